--- a/cmd/ridgeswitch-lab/demo.go
+++ b/cmd/ridgeswitch-lab/demo.go
@@ -34,8 +34,10 @@
 	return runFleet(ctx, command, command.Duration("duration")+runMargin, func(ctx context.Context, run fleetRun) (summary, error) {
 		return fleet.Demonstrate(ctx, fleet.Demonstration{
 			Deployment: run.deployment,
-			Load: fleet.LoadOptions{Seed: run.options.Seed, Duration: command.Duration("duration"),
-				ModelRate: command.Float64("rate")},
+			Load: fleet.LoadOptions{
+				Seed: run.options.Seed, Duration: command.Duration("duration"),
+				ModelRate: command.Float64("rate"),
+			},
 			Fleet: run.options,
 			Log:   run.log,
 		})
--- a/internal/dataplane/record_test.go
+++ b/internal/dataplane/record_test.go
@@ -107,8 +107,10 @@
 	})
 
 	It("does not start when the file cannot be written", func() {
-		_, err := dataplane.New(dataplane.Options{Source: &source{}, Clock: clockAtZero, Address: "127.0.0.1:0",
-			RecordFile: filepath.Join(file, "not-a-folder", "day.jsonl")})
+		_, err := dataplane.New(dataplane.Options{
+			Source: &source{}, Clock: clockAtZero, Address: "127.0.0.1:0",
+			RecordFile: filepath.Join(file, "not-a-folder", "day.jsonl"),
+		})
 		Expect(err).To(MatchError(ContainSubstring("record_file")))
 	})
 })
--- a/internal/lab/caller/balancer.go
+++ b/internal/lab/caller/balancer.go
@@ -40,8 +40,10 @@
 
 // NewBalancer returns a balancer to which no node is ready yet.
 func NewBalancer(targets []Target) *Balancer {
-	return &Balancer{targets: targets, ready: make(map[string]bool),
-		client: &http.Client{Timeout: pollTimeout}}
+	return &Balancer{
+		targets: targets, ready: make(map[string]bool),
+		client: &http.Client{Timeout: pollTimeout},
+	}
 }
 
 // Run polls every node until the context ends.
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -101,8 +101,10 @@
 		defer cancel()
 		ctx = left
 	}
-	record := checker.Request{ID: id, Tenant: job.Tenant, Key: job.Key, Service: job.Service,
-		Repeatable: job.Repeatable, Streamed: job.Streamed, Sent: runner.Now(), Follows: follows}
+	record := checker.Request{
+		ID: id, Tenant: job.Tenant, Key: job.Key, Service: job.Service,
+		Repeatable: job.Repeatable, Streamed: job.Streamed, Sent: runner.Now(), Follows: follows,
+	}
 	call := &exchange{client: runner.client, now: runner.Now, job: job, record: &record}
 	runner.dispatch(ctx, call)
 	runner.lock.Lock()
--- a/internal/lab/checker/breakage_test.go
+++ b/internal/lab/checker/breakage_test.go
@@ -22,8 +22,10 @@
 
 // run adds an execution of a request at a moment, altered by change.
 func run(records *checker.Records, id string, at time.Duration, change func(*checker.Execution)) {
-	execution := checker.Execution{RequestID: id, AttemptID: id + "/2", Attempt: 1, Service: "model",
-		Replica: "replica-2", Zone: "north", Arrived: at, Tenant: "large", WeightVersion: "v1"}
+	execution := checker.Execution{
+		RequestID: id, AttemptID: id + "/2", Attempt: 1, Service: "model",
+		Replica: "replica-2", Zone: "north", Arrived: at, Tenant: "large", WeightVersion: "v1",
+	}
 	change(&execution)
 	records.Executions = append(records.Executions, execution)
 }
@@ -31,8 +33,10 @@
 // unanswered adds refused requests to the model, one a second.
 func unanswered(records *checker.Records, from, to time.Duration) {
 	for at := from; at <= to; at += second {
-		records.Requests = append(records.Requests, checker.Request{ID: "unanswered", Service: "model",
-			Sent: at, Ended: at, Status: 503, Result: checker.ResultRefused, Claim: checker.ClaimNotRun})
+		records.Requests = append(records.Requests, checker.Request{
+			ID: "unanswered", Service: "model",
+			Sent: at, Ended: at, Status: 503, Result: checker.ResultRefused, Claim: checker.ClaimNotRun,
+		})
 	}
 }
 
--- a/internal/lab/checker/history_test.go
+++ b/internal/lab/checker/history_test.go
@@ -33,29 +33,39 @@
 		at := time.Duration(number) * 100 * millisecond
 		addAnswered(records, fmt.Sprintf("request-%d", number), at)
 	}
-	refused := checker.Request{ID: "refused", Node: "front-1", Tenant: "large", Key: "main",
+	refused := checker.Request{
+		ID: "refused", Node: "front-1", Tenant: "large", Key: "main",
 		Sent: second, Ended: second + millisecond, Status: 503,
-		Result: checker.ResultRefused, Claim: checker.ClaimNotRun, ErrorKind: "overloaded"}
+		Result: checker.ResultRefused, Claim: checker.ClaimNotRun, ErrorKind: "overloaded",
+	}
 	records.Requests = append(records.Requests, refused)
-	records.Executions = append(records.Executions, checker.Execution{RequestID: "refused", Attempt: 1,
-		Service: "model", Replica: "replica-1", Zone: "north", Arrived: second, Refused: true})
+	records.Executions = append(records.Executions, checker.Execution{
+		RequestID: "refused", Attempt: 1,
+		Service: "model", Replica: "replica-1", Zone: "north", Arrived: second, Refused: true,
+	})
 }
 
 // addAnswered adds a request of tenant large that replica-1 answered.
 func addAnswered(records *checker.Records, id string, at time.Duration) {
-	records.Requests = append(records.Requests, checker.Request{ID: id, Node: "front-1",
+	records.Requests = append(records.Requests, checker.Request{
+		ID: id, Node: "front-1",
 		Tenant: "large", Key: "main", Service: "model", Sent: at, Ended: at + 50*millisecond,
-		Status: 200, Result: checker.ResultComplete, EchoID: id, DigestMatches: true})
-	records.Executions = append(records.Executions, checker.Execution{RequestID: id,
+		Status: 200, Result: checker.ResultComplete, EchoID: id, DigestMatches: true,
+	})
+	records.Executions = append(records.Executions, checker.Execution{
+		RequestID: id,
 		AttemptID: id + "/1", Attempt: 1, Service: "model", Replica: "replica-1", Zone: "north",
 		Arrived: at + millisecond, Ended: at + 49*millisecond, Tenant: "large", WeightVersion: "v1",
 		PromptTokens: 100, ReusedTokens: 50,
-		Reused: []checker.Reuse{{Part: "part", Tenant: "small", WeightVersion: "v1"}}})
+		Reused: []checker.Reuse{{Part: "part", Tenant: "small", WeightVersion: "v1"}},
+	})
 }
 
 func acknowledged(id string, base uint64, sent time.Duration, revision uint64, change checker.Change) checker.Order {
-	return checker.Order{OrderID: id, Node: "front-1", BaseRevision: base, Change: change, Sent: sent,
-		Answered: sent + 100*millisecond, Outcome: checker.OutcomeAcknowledged, Revision: revision}
+	return checker.Order{
+		OrderID: id, Node: "front-1", BaseRevision: base, Change: change, Sent: sent,
+		Answered: sent + 100*millisecond, Outcome: checker.OutcomeAcknowledged, Revision: revision,
+	}
 }
 
 func addOrders(records *checker.Records) {
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -41,19 +41,23 @@
 			_, err := emulated.Command(10*second, replica.WeightsCommand{WeightVersion: "v2", Epoch: 1, Holder: "core-1"})
 			Expect(err).NotTo(HaveOccurred())
 		}
-		_, err := emulated.Submit(one.at, emulator.Request{RequestID: fmt.Sprintf("request-%d", number),
-			Attempt: 1, Tenant: one.tenant, Model: "model", CacheSalt: one.salt, OutputTokens: 1,
-			Parts: []prefixindex.Part{{ID: "shared", Tokens: 1000}}})
+		_, err := emulated.Submit(one.at, emulator.Request{
+			RequestID: fmt.Sprintf("request-%d", number),
+			Attempt:   1, Tenant: one.tenant, Model: "model", CacheSalt: one.salt, OutputTokens: 1,
+			Parts: []prefixindex.Part{{ID: "shared", Tokens: 1000}},
+		})
 		Expect(err).NotTo(HaveOccurred())
 	}
 	emulated.Advance(time.Minute)
 	return lo.Map(emulated.Executions(), func(one *emulator.Execution, _ int) checker.Execution {
-		return checker.Execution{RequestID: one.Request.RequestID, Attempt: one.Request.Attempt,
+		return checker.Execution{
+			RequestID: one.Request.RequestID, Attempt: one.Request.Attempt,
 			Replica: "replica-1", Arrived: one.ArrivedAt, Refused: !one.Started, Tenant: one.Request.Tenant,
 			WeightVersion: one.WeightVersion, FinalVersion: one.FinalWeightVersion,
 			Reused: lo.Map(one.Reused, func(part emulator.ReusedPart, _ int) checker.Reuse {
 				return checker.Reuse{Part: part.Hash, Tenant: part.Tenant, WeightVersion: part.WeightVersion}
-			})}
+			}),
+		}
 	})
 }
 
@@ -68,8 +72,10 @@
 	ledger := attempts.New(attempts.Options{Repeatable: toldRepeatable, MaxAttempts: 3})
 	for ledger.Next().Kind == attempts.Dispatch {
 		number := ledger.Next().Attempt
-		for _, kind := range []attempts.EventKind{attempts.AttemptPlanned, attempts.ConnectStarted,
-			attempts.BytesMayHaveLeft, attempts.EndLost} {
+		for _, kind := range []attempts.EventKind{
+			attempts.AttemptPlanned, attempts.ConnectStarted,
+			attempts.BytesMayHaveLeft, attempts.EndLost,
+		} {
 			Expect(ledger.Apply(attempts.Event{Kind: kind, Attempt: number})).To(Succeed())
 		}
 		run(records, "once", time.Duration(number)*second, func(one *checker.Execution) { one.Service = fmt.Sprint(number) })
@@ -118,13 +124,16 @@
 		order, err := dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
 			Order: &ridgeswitchv1.OrderHeader{OrderId: id, BaseRevision: base},
 			Configuration: &ridgeswitchv1.Configuration{Stores: []*ridgeswitchv1.Store{
-				{Name: id, Zone: "zone", Address: "127.0.0.1:7400"}}},
+				{Name: id, Zone: "zone", Address: "127.0.0.1:7400"},
+			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		answer := machine.Apply(&controlpb.Command{Command: &controlpb.Command_Order{Order: order}})
 		at := time.Duration(number) * millisecond
-		record := checker.Order{OrderID: id, BaseRevision: base, Sent: at, Answered: at,
-			Outcome: checker.OutcomeAcknowledged, Revision: answer.GetRevision()}
+		record := checker.Order{
+			OrderID: id, BaseRevision: base, Sent: at, Answered: at,
+			Outcome: checker.OutcomeAcknowledged, Revision: answer.GetRevision(),
+		}
 		if answer.GetProblem() != nil {
 			record.Outcome, record.ProblemKind = checker.OutcomeRefused, answer.GetProblem().GetKind()
 		}
--- a/internal/lab/fleet/demonstration.go
+++ b/internal/lab/fleet/demonstration.go
@@ -57,8 +57,10 @@
 	if err := running.Start(ctx); err != nil {
 		return nil, errors.Wrap(err, "start the fleet")
 	}
-	experiment := &Experiment{Fleet: running, Deployment: deployment, Clock: options.Clock,
-		Plan: plan, Load: load, Log: demonstration.Log, Script: demonstration.Script}
+	experiment := &Experiment{
+		Fleet: running, Deployment: deployment, Clock: options.Clock,
+		Plan: plan, Load: load, Log: demonstration.Log, Script: demonstration.Script,
+	}
 	outcome, err := experiment.Run(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -104,11 +104,15 @@
 // script returns what is to happen, and the load beside it.
 func (experiment *Experiment) script(recorder *operator.Recorder) (Script, caller.Load) {
 	if experiment.Script == nil {
-		return &operator.Scenario{Plan: experiment.Plan, Recorder: recorder,
-			Machines: experiment.Fleet, Log: experiment.Log}, experiment.Load
+		return &operator.Scenario{
+			Plan: experiment.Plan, Recorder: recorder,
+			Machines: experiment.Fleet, Log: experiment.Log,
+		}, experiment.Load
 	}
-	chosen := experiment.Script(Stage{Deployment: experiment.Deployment, Fleet: experiment.Fleet,
-		Recorder: recorder, Plan: experiment.Plan, Clock: experiment.Clock, Log: experiment.Log})
+	chosen := experiment.Script(Stage{
+		Deployment: experiment.Deployment, Fleet: experiment.Fleet,
+		Recorder: recorder, Plan: experiment.Plan, Clock: experiment.Clock, Log: experiment.Log,
+	})
 	return beside(chosen, experiment.Load)
 }
 
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -110,8 +110,10 @@
 		topology := deployment("hivatal").Topology
 		// A fleet of the real addresses may be running beside the tests.
 		topology.Platform.Address = "127.5.254.1:7500"
-		running := fleet.New(fleet.Options{Topology: topology, LabBinary: shell,
-			NodeBinary: shell, Folder: folder, Clock: fleet.NewClock(), TimeScale: 1})
+		running := fleet.New(fleet.Options{
+			Topology: topology, LabBinary: shell,
+			NodeBinary: shell, Folder: folder, Clock: fleet.NewClock(), TimeScale: 1,
+		})
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		Expect(running.Start(ctx)).To(MatchError(ContainSubstring("ended while it started")))
@@ -141,13 +143,17 @@
 	It("counts how requests ended and fails on a violation", func() {
 		topology := deployment("hivatal").Topology
 		service := topology.Replicas.Service
-		records := &checker.Records{End: time.Second,
+		records := &checker.Records{
+			End: time.Second,
 			Requests: []checker.Request{
 				{ID: "1", Service: service, Streamed: true, Result: checker.ResultComplete, EchoID: "1", DigestMatches: true, FirstByte: 10 * time.Millisecond},
 				{ID: "2", Result: checker.ResultRefused, ErrorKind: "rate_limited"},
-				{ID: "3", Result: checker.ResultCut}, {ID: "4", Result: checker.ResultLeft}, {ID: "5", Result: checker.ResultLost},
+				{ID: "3", Result: checker.ResultCut},
+				{ID: "4", Result: checker.ResultLeft},
+				{ID: "5", Result: checker.ResultLost},
 			},
-			Executions: []checker.Execution{{RequestID: "1", Attempt: 1, Service: service}}}
+			Executions: []checker.Execution{{RequestID: "1", Attempt: 1, Service: service}},
+		}
 		summary := fleet.Summarize(topology, 1, &fleet.Outcome{Records: records})
 		Expect(summary.Err()).To(Succeed())
 		Expect([]int{summary.Requests, summary.Succeeded, summary.Refused, summary.Failed, summary.Left}).To(Equal([]int{5, 1, 1, 2, 1}))
--- a/internal/lab/fleet/groundtruth.go
+++ b/internal/lab/fleet/groundtruth.go
@@ -63,9 +63,11 @@
 		records.Executions = append(records.Executions, execution)
 	}
 	for _, record := range commands {
-		records.Commands = append(records.Commands, checker.Command{Replica: member.Address,
-			Holder: record.Holder, Epoch: record.Epoch, WeightVersion: record.WeightVersion,
-			At: fleet.at(record.UnixNano), Accepted: record.Accepted})
+		records.Commands = append(records.Commands, checker.Command{
+			Replica: member.Address,
+			Holder:  record.Holder, Epoch: record.Epoch, WeightVersion: record.WeightVersion,
+			At: fleet.at(record.UnixNano), Accepted: record.Accepted,
+		})
 	}
 	return nil
 }
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -74,13 +74,17 @@
 	if err != nil {
 		return nil, err
 	}
-	stream, err := workload.New(mix, workload.Options{Seed: options.Seed, Duration: options.Duration,
-		ModelRate: options.ModelRate, WebRate: deployment.Topology.WebServices[0].FetchesPerSecond})
+	stream, err := workload.New(mix, workload.Options{
+		Seed: options.Seed, Duration: options.Duration,
+		ModelRate: options.ModelRate, WebRate: deployment.Topology.WebServices[0].FetchesPerSecond,
+	})
 	if err != nil {
 		return nil, err
 	}
-	return &load{deployment: deployment, plan: plan, options: options, stream: stream,
-		random: rand.New(rand.NewPCG(options.Seed, 0xca11))}, nil
+	return &load{
+		deployment: deployment, plan: plan, options: options, stream: stream,
+		random: rand.New(rand.NewPCG(options.Seed, 0xca11)),
+	}, nil
 }
 
 // Next implements caller.Load.
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -52,8 +52,10 @@
 	// the fleet has recorded how the run ended.
 	// Should the lab itself be killed, the system ends what it started.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	process := &Process{Name: name, Kind: kind, Started: time.Now(), command: command, log: log,
-		done: make(chan struct{})}
+	process := &Process{
+		Name: name, Kind: kind, Started: time.Now(), command: command, log: log,
+		done: make(chan struct{}),
+	}
 	if err := command.Start(); err != nil {
 		_ = log.Close()
 		return nil, errors.Wrapf(err, "start %s", name)
--- a/internal/lab/fleet/sampler.go
+++ b/internal/lab/fleet/sampler.go
@@ -51,8 +51,10 @@
 // NewSampler returns a sampler for a fleet.
 func NewSampler(machines func() *Topology, clock *Clock) *Sampler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
-	return &Sampler{machines: machines, clock: clock, listed: make(map[string]checker.Listing),
-		client: &http.Client{Timeout: sampleTimeout, Transport: transport}}
+	return &Sampler{
+		machines: machines, clock: clock, listed: make(map[string]checker.Listing),
+		client: &http.Client{Timeout: sampleTimeout, Transport: transport},
+	}
 }
 
 // Run samples until the context ends.
@@ -96,8 +98,10 @@
 	}
 	sampler.lock.Lock()
 	defer sampler.lock.Unlock()
-	sampler.served = append(sampler.served, checker.ServedSample{Node: node.Name, At: at,
-		Revision: status.GetServedRevision(), Fenced: status.GetFenced()})
+	sampler.served = append(sampler.served, checker.ServedSample{
+		Node: node.Name, At: at,
+		Revision: status.GetServedRevision(), Fenced: status.GetFenced(),
+	})
 }
 
 func (sampler *Sampler) sampleVersion(ctx context.Context, member Backend) {
@@ -112,8 +116,10 @@
 	}
 	sampler.lock.Lock()
 	defer sampler.lock.Unlock()
-	sampler.versions = append(sampler.versions, checker.VersionSample{Pool: sampler.machines().Replicas.Pool,
-		Replica: member.Address, At: at, WeightVersion: report.WeightVersion})
+	sampler.versions = append(sampler.versions, checker.VersionSample{
+		Pool:    sampler.machines().Replicas.Pool,
+		Replica: member.Address, At: at, WeightVersion: report.WeightVersion,
+	})
 }
 
 // serviceList is the platform's list.
@@ -149,8 +155,10 @@
 	for _, service := range list.Services {
 		for _, entry := range service.Replicas {
 			shown[entry.Address] = true
-			sampler.note(checker.Listing{Service: service.Name, Replica: entry.Address, Zone: entry.Zone,
-				Draining: entry.State == stateDraining}, at)
+			sampler.note(checker.Listing{
+				Service: service.Name, Replica: entry.Address, Zone: entry.Zone,
+				Draining: entry.State == stateDraining,
+			}, at)
 		}
 	}
 	for address, listing := range sampler.listed {
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -47,8 +47,10 @@
 	address := options.Topology.Platform.Address
 	return standIn{
 		name: "platform",
-		arguments: []string{"platform", "--address", address,
-			"--services", filepath.Join(options.Folder, servicesFile), "--lag", platformLag.String()},
+		arguments: []string{
+			"platform", "--address", address,
+			"--services", filepath.Join(options.Folder, servicesFile), "--lag", platformLag.String(),
+		},
 		probe: "http://" + address + servicesPath,
 	}
 }
@@ -65,9 +67,11 @@
 
 func replicaStandIn(options Options, number int, member Backend) standIn {
 	group := options.Topology.Replicas
-	arguments := []string{"replica", "--address", member.Address, "--zone", member.Zone,
+	arguments := []string{
+		"replica", "--address", member.Address, "--zone", member.Zone,
 		"--class", group.MachineClass, "--weight-version", group.WeightVersion,
-		"--store", options.Topology.Store.Address}
+		"--store", options.Topology.Store.Address,
+	}
 	return standIn{
 		name:      fmt.Sprintf("replica-%d", number+1),
 		arguments: append(arguments, modelFlags(options, number+1)...),
@@ -91,8 +95,10 @@
 func webStandIn(options Options, group WebGroup, number int, member Backend) standIn {
 	return standIn{
 		name: fmt.Sprintf("%s-%d", group.Service, number+1),
-		arguments: []string{"webservice", "--address", member.Address,
-			"--seed", strconv.FormatUint(options.Seed+uint64(number), 10)},
+		arguments: []string{
+			"webservice", "--address", member.Address,
+			"--seed", strconv.FormatUint(options.Seed+uint64(number), 10),
+		},
 		probe: "http://" + member.Address + executionsPath,
 	}
 }
--- a/internal/lab/links/forwarder.go
+++ b/internal/lab/links/forwarder.go
@@ -36,8 +36,10 @@
 		return nil, errors.Wrapf(err, "forward from %s", address)
 	}
 	background, cancel := context.WithCancel(context.Background())
-	forwarder := &Forwarder{network: network, machine: ipOf(listener.Addr()), target: target,
-		listener: listener, context: background, cancel: cancel}
+	forwarder := &Forwarder{
+		network: network, machine: ipOf(listener.Addr()), target: target,
+		listener: listener, context: background, cancel: cancel,
+	}
 	forwarder.running.Go(forwarder.accept)
 	return forwarder, nil
 }
@@ -79,10 +81,14 @@
 		_ = outbound.Close()
 	})
 	defer stop()
-	there := &stream{network: forwarder.network, link: Link{From: from, To: forwarder.machine},
-		from: inbound, to: outbound}
-	back := &stream{network: forwarder.network, link: Link{From: forwarder.machine, To: from},
-		from: outbound, to: inbound}
+	there := &stream{
+		network: forwarder.network, link: Link{From: from, To: forwarder.machine},
+		from: inbound, to: outbound,
+	}
+	back := &stream{
+		network: forwarder.network, link: Link{From: forwarder.machine, To: from},
+		from: outbound, to: inbound,
+	}
 	var pumping sync.WaitGroup
 	pumping.Go(func() { there.pump(forwarder.context) })
 	pumping.Go(func() { back.pump(forwarder.context) })
--- a/internal/lab/links/network.go
+++ b/internal/lab/links/network.go
@@ -37,8 +37,10 @@
 
 // NewNetwork returns a network in which everything passes at once.
 func NewNetwork() *Network {
-	return &Network{treatments: make(map[Link]Treatment), changed: make(chan struct{}),
-		spoiled: make(map[*stream]struct{})}
+	return &Network{
+		treatments: make(map[Link]Treatment), changed: make(chan struct{}),
+		spoiled: make(map[*stream]struct{}),
+	}
 }
 
 // Treat sets the treatment of links. Streams that lost bytes on a link which is
--- a/internal/lab/operator/changes.go
+++ b/internal/lab/operator/changes.go
@@ -18,8 +18,10 @@
 	plan := scenario.Plan
 	return scenario.Take(ctx, Order{
 		Call: "AddKey",
-		Request: &ridgeswitchv1.AddKeyRequest{Order: scenario.header("add-key"), Tenant: plan.KeyTenant,
-			Key: &ridgeswitchv1.Key{Name: plan.AddedKey, Sha256: plan.AddedDigest}},
+		Request: &ridgeswitchv1.AddKeyRequest{
+			Order: scenario.header("add-key"), Tenant: plan.KeyTenant,
+			Key: &ridgeswitchv1.Key{Name: plan.AddedKey, Sha256: plan.AddedDigest},
+		},
 		Change: checker.Change{Kind: checker.ChangeAddKey, Tenant: plan.KeyTenant, Key: plan.AddedKey},
 	})
 }
@@ -29,8 +31,10 @@
 	plan := scenario.Plan
 	return scenario.Take(ctx, Order{
 		Call: "RevokeKey",
-		Request: &ridgeswitchv1.RevokeKeyRequest{Order: scenario.header("revoke-key"),
-			Tenant: plan.RevokedTenant, Key: plan.RevokedKey},
+		Request: &ridgeswitchv1.RevokeKeyRequest{
+			Order:  scenario.header("revoke-key"),
+			Tenant: plan.RevokedTenant, Key: plan.RevokedKey,
+		},
 		Change: checker.Change{Kind: checker.ChangeRevoke, Tenant: plan.RevokedTenant, Key: plan.RevokedKey},
 	})
 }
@@ -40,8 +44,10 @@
 	pool := scenario.Plan.Pool
 	return scenario.Take(ctx, Order{
 		Call: "NameWeights",
-		Request: &ridgeswitchv1.NameWeightsRequest{Order: scenario.header("weights-" + version),
-			Pool: pool, WeightVersion: version},
+		Request: &ridgeswitchv1.NameWeightsRequest{
+			Order: scenario.header("weights-" + version),
+			Pool:  pool, WeightVersion: version,
+		},
 		Change: checker.Change{Kind: checker.ChangeWeights, Pool: pool, WeightVersion: version},
 	})
 }
@@ -50,8 +56,10 @@
 	zone := scenario.Plan.EvacuatedZone
 	return scenario.Take(ctx, Order{
 		Call: "EvacuateZone",
-		Request: &ridgeswitchv1.EvacuateZoneRequest{Order: scenario.header("evacuate"), Zone: zone,
-			Reason: "works on the power supply"},
+		Request: &ridgeswitchv1.EvacuateZoneRequest{
+			Order: scenario.header("evacuate"), Zone: zone,
+			Reason: "works on the power supply",
+		},
 		Change: checker.Change{Kind: checker.ChangeEvacuate, Zone: zone},
 	})
 }
--- a/internal/lab/operator/operator_test.go
+++ b/internal/lab/operator/operator_test.go
@@ -54,7 +54,8 @@
 
 func revoke() operator.Order {
 	return operator.Order{Call: "RevokeKey", Request: &ridgeswitchv1.RevokeKeyRequest{
-		Order: &ridgeswitchv1.OrderHeader{OrderId: "order-1"}, Tenant: "court", Key: "spare"}}
+		Order: &ridgeswitchv1.OrderHeader{OrderId: "order-1"}, Tenant: "court", Key: "spare",
+	}}
 }
 
 var _ = Describe("a submission", func() {
@@ -62,7 +63,8 @@
 		target, asked := node(reply{200, `{"outcome":"ACKNOWLEDGED","revision":"7"}`})
 		record := operator.NewRecorder(now).Submit(context.Background(), target, revoke())
 		Expect(*asked).To(Equal([]string{
-			`DELETE /v1/tenants/court/keys/spare {"order":{"orderId":"order-1"},"tenant":"court","key":"spare"}`}))
+			`DELETE /v1/tenants/court/keys/spare {"order":{"orderId":"order-1"},"tenant":"court","key":"spare"}`,
+		}))
 		Expect(record.Outcome).To(Equal(checker.OutcomeAcknowledged))
 		Expect(record.Revision).To(BeEquivalentTo(7))
 	})
@@ -152,10 +154,12 @@
 	m.done = append(m.done, "restart "+name)
 	return nil
 }
+
 func (m *machines) DrainReplica(_ context.Context, address string) error {
 	m.done = append(m.done, "drain "+address)
 	return nil
 }
+
 func (m *machines) DisturbReplicas(_ context.Context, addresses []string, disturbed bool) error {
 	m.done = append(m.done, fmt.Sprintf("disturb %s %v", strings.Join(addresses, " "), disturbed))
 	return nil
@@ -176,9 +180,13 @@
 		}
 		recorder := operator.NewRecorder(now)
 		tenant := func(name string) *ridgeswitchv1.Tenant {
-			return &ridgeswitchv1.Tenant{Name: name, Limits: &ridgeswitchv1.Limits{RequestsPerSecond: 1, Burst: 1,
-				ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 1},
-				Keys: []*ridgeswitchv1.Key{{Name: "spare", Sha256: dynamic.KeyDigest(name)}}}
+			return &ridgeswitchv1.Tenant{
+				Name: name, Limits: &ridgeswitchv1.Limits{
+					RequestsPerSecond: 1, Burst: 1,
+					ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 1,
+				},
+				Keys: []*ridgeswitchv1.Key{{Name: "spare", Sha256: dynamic.KeyDigest(name)}},
+			}
 		}
 		first := operator.ApplyOrder("first", 0, &ridgeswitchv1.Configuration{
 			Tenants: []*ridgeswitchv1.Tenant{tenant("a"), tenant("b")},
@@ -190,14 +198,20 @@
 		Expect(record.Outcome).To(Equal(checker.OutcomeAcknowledged), record.ProblemKind)
 		log := logrus.New()
 		log.SetOutput(GinkgoWriter)
-		scenario := &operator.Scenario{Recorder: recorder, Machines: involved, Log: logrus.NewEntry(log),
-			Plan: operator.Plan{Run: "run", Pool: "pool", FirstWeights: "v2", LastWeights: "v3", EvacuatedZone: "north",
+		scenario := &operator.Scenario{
+			Recorder: recorder, Machines: involved, Log: logrus.NewEntry(log),
+			Plan: operator.Plan{
+				Run: "run", Pool: "pool", FirstWeights: "v2", LastWeights: "v3", EvacuatedZone: "north",
 				DrainedReplica: "replica", DisturbedReplicas: []string{"one", "two"}, KilledFront: "front", KilledCore: "core", KeyTenant: "a", AddedKey: "added",
-				AddedDigest: dynamic.KeyDigest("added"), RevokedTenant: "b", RevokedKey: "spare", WalledTenant: "a"}}
+				AddedDigest: dynamic.KeyDigest("added"), RevokedTenant: "b", RevokedKey: "spare", WalledTenant: "a",
+			},
+		}
 		scenario.Run(context.Background())
 		Expect(scenario.Failures()).To(BeEmpty())
-		Expect(involved.done).To(Equal([]string{"drain replica", "disturb one two true",
-			"kill front", "kill core", "disturb one two false", "restart front", "restart core"}))
+		Expect(involved.done).To(Equal([]string{
+			"drain replica", "disturb one two true",
+			"kill front", "kill core", "disturb one two false", "restart front", "restart core",
+		}))
 		Expect(checker.Check(&checker.Records{Orders: recorder.Records()})).To(BeEmpty())
 		outcomes := lo.CountValuesBy(recorder.Records(), func(one checker.Order) checker.Outcome { return one.Outcome })
 		Expect(outcomes[checker.OutcomeRefused]).To(Equal(4), "three invalid configurations and the loser of the race")
--- a/internal/lab/plans/plans_test.go
+++ b/internal/lab/plans/plans_test.go
@@ -29,8 +29,10 @@
 var _ = Describe("a plan", func() {
 	It("is chosen by its name", func() {
 		names := lo.Map(plans.All(), func(plan plans.Plan, _ int) string { return plan.Name })
-		Expect(names).To(Equal([]string{"rolling-restart", "core-loss", "disk-loss-twice", "zone-cut",
-			"freeze-core-25s", "machine-swap", "config-storm", "kill-third"}))
+		Expect(names).To(Equal([]string{
+			"rolling-restart", "core-loss", "disk-loss-twice", "zone-cut",
+			"freeze-core-25s", "machine-swap", "config-storm", "kill-third",
+		}))
 		for _, name := range names {
 			plan, err := plans.ByName(name)
 			Expect(err).NotTo(HaveOccurred())
@@ -116,13 +118,16 @@
 
 var _ = Describe("what was acknowledged", func() {
 	key := func(id, tenant, name, digest string) operator.Order {
-		return operator.Order{Request: &ridgeswitchv1.AddKeyRequest{Order: &ridgeswitchv1.OrderHeader{OrderId: id},
-			Tenant: tenant, Key: &ridgeswitchv1.Key{Name: name, Sha256: digest}}}
+		return operator.Order{Request: &ridgeswitchv1.AddKeyRequest{
+			Order:  &ridgeswitchv1.OrderHeader{OrderId: id},
+			Tenant: tenant, Key: &ridgeswitchv1.Key{Name: name, Sha256: digest},
+		}}
 	}
 
 	It("must be held with its content", func() {
 		held := &ridgeswitchv1.Configuration{Tenants: []*ridgeswitchv1.Tenant{
-			{Name: "court", Keys: []*ridgeswitchv1.Key{{Name: "kept", Sha256: "one"}}}}}
+			{Name: "court", Keys: []*ridgeswitchv1.Key{{Name: "kept", Sha256: "one"}}},
+		}}
 		Expect(plans.MissingOrders(held, key("1", "court", "kept", "one"))).To(BeEmpty())
 		Expect(plans.MissingOrders(held, key("1", "court", "kept", "two"), key("2", "other", "kept", "one"),
 			key("3", "court", "lost", "one"))).To(Equal([]string{"1", "2", "3"}))
--- a/internal/lab/plans/recovery.go
+++ b/internal/lab/plans/recovery.go
@@ -92,6 +92,8 @@
 	if recovery.Orders <= checker.OutageBound {
 		return nil
 	}
-	return []checker.Violation{{Invariant: OrdersReturn, At: at,
-		Detail: "no order was acknowledged for " + recovery.Orders.String() + " after a disturbance"}}
+	return []checker.Violation{{
+		Invariant: OrdersReturn, At: at,
+		Detail: "no order was acknowledged for " + recovery.Orders.String() + " after a disturbance",
+	}}
 }
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -49,10 +49,14 @@
 
 func newRun(stage fleet.Stage, options Options, network *links.Network) *run {
 	stage.Recorder.AttemptTimeout = attemptTimeout
-	made := &run{Stage: stage, plan: options.Plan, network: network, duration: options.Duration,
+	made := &run{
+		Stage: stage, plan: options.Plan, network: network, duration: options.Duration,
 		random: rand.New(rand.NewPCG(options.Seed, 0x91a5)),
-		scenario: &operator.Scenario{Plan: stage.Plan, Recorder: stage.Recorder,
-			Machines: stage.Fleet, Log: stage.Log}}
+		scenario: &operator.Scenario{
+			Plan: stage.Plan, Recorder: stage.Recorder,
+			Machines: stage.Fleet, Log: stage.Log,
+		},
+	}
 	made.applicants = newApplicants(made)
 	return made
 }
--- a/internal/lab/plans/storm.go
+++ b/internal/lab/plans/storm.go
@@ -124,8 +124,10 @@
 }
 
 func (run *run) route(name, webService string) *ridgeswitchv1.Route {
-	return &ridgeswitchv1.Route{Host: name + ".example", Public: true,
-		Destination: &ridgeswitchv1.Route_WebService{WebService: webService}}
+	return &ridgeswitchv1.Route{
+		Host: name + ".example", Public: true,
+		Destination: &ridgeswitchv1.Route_WebService{WebService: webService},
+	}
 }
 
 // applyInvalid submits a configuration with a route to nowhere.
--- a/internal/lab/sim/calm.go
+++ b/internal/lab/sim/calm.go
@@ -3,9 +3,10 @@
 import (
 	"time"
 
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
-	"github.com/samber/lo"
 )
 
 const (
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -154,15 +154,19 @@
 	for _, failOpen := range []bool{false, true} {
 		for _, mechanism := range []Break{BreakReadsOwnView, BreakNoCompareAndSet} {
 			It("shows that "+string(mechanism)+" is switched off"+lo.Ternary(failOpen, ", where nodes fail open", ""), func() {
-				campaign := Campaign{First: 1, Last: 20, Virtual: DefaultVirtual, Break: mechanism, FailOpen: failOpen,
-					Faults: []string{"core-split"}, Jobs: testJobs, StopAfter: 1}
+				campaign := Campaign{
+					First: 1, Last: 20, Virtual: DefaultVirtual, Break: mechanism, FailOpen: failOpen,
+					Faults: []string{"core-split"}, Jobs: testJobs, StopAfter: 1,
+				}
 				Expect(campaign.Run().Failures).NotTo(BeEmpty())
 			})
 		}
 
 		It("breaks nothing in random runs"+lo.Ternary(failOpen, ", where nodes fail open", ""), func() {
-			campaign := Campaign{First: 7001, Last: 7010, Virtual: MinVirtual + 10*time.Second, FailOpen: failOpen,
-				Faults: []string{"core-split"}, Jobs: testJobs}
+			campaign := Campaign{
+				First: 7001, Last: 7010, Virtual: MinVirtual + 10*time.Second, FailOpen: failOpen,
+				Faults: []string{"core-split"}, Jobs: testJobs,
+			}
 			Expect(campaign.Run().Failures).To(BeEmpty())
 		})
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -41,6 +41,7 @@
 func (s *standIn) Load() []dataplane.DestinationLoad {
 	return []dataplane.DestinationLoad{{Name: "demo", InFlight: 4}, {Name: "demo", WebService: true, InFlight: 1}}
 }
+
 func (s *standIn) IndexStats() prefixindex.Stats {
 	return prefixindex.Stats{Reported: 5, Predicted: 6, Bytes: 7}
 }
--- a/internal/operatorcli/status_test.go
+++ b/internal/operatorcli/status_test.go
@@ -95,7 +95,9 @@
 			"revisions ATTENTION 7 on core-1; 6 on front-1"),
 		Entry("a roll-out", all, func() {
 			d.core.weights.Replicas = []*ridgeswitchv1.ReplicaStatus{
-				{Phase: "serving", WeightVersion: "w"}, {Phase: "serving", WeightVersion: "v"}, {Phase: "loading", WeightVersion: "v"},
+				{Phase: "serving", WeightVersion: "w"},
+				{Phase: "serving", WeightVersion: "v"},
+				{Phase: "loading", WeightVersion: "v"},
 				{Phase: "serving", WeightVersion: "v", PlatformDraining: true},
 			}
 		}, "roll-outs under way p: 1 of 3 serve w, 1 loading"),
--- a/internal/replay/exampleday/generate_test.go
+++ b/internal/replay/exampleday/generate_test.go
@@ -27,8 +27,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	configuration, err := dynamic.Parse(data)
 	Expect(err).NotTo(HaveOccurred())
-	return exampleday.Options{Seed: seed, Configuration: configuration, Mix: workload.HivatalMix(),
-		ModelRequests: requests, Length: 24 * time.Hour, Speed: 100}
+	return exampleday.Options{
+		Seed: seed, Configuration: configuration, Mix: workload.HivatalMix(),
+		ModelRequests: requests, Length: 24 * time.Hour, Speed: 100,
+	}
 }
 
 func written(chosen exampleday.Options) []byte {
--- a/internal/replay/player/fleet_test.go
+++ b/internal/replay/player/fleet_test.go
@@ -21,9 +21,11 @@
 	fleet, err := player.NewFleet(nodes, []player.Key{{Tenant: "court", Secret: "secret"}}, 4)
 	Expect(err).NotTo(HaveOccurred())
 	defer fleet.Close()
-	return fleet.Send(context.Background(), player.Attempt{Record: recording.Record{Tenant: "court", Host: "models.example",
+	return fleet.Send(context.Background(), player.Attempt{Record: recording.Record{
+		Tenant: "court", Host: "models.example",
 		Pool: "cases", Model: "large", Parts: []recording.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
-		OutputTokens: 9, Repeatable: true, Streamed: true, DeadlineMS: 2500}})
+		OutputTokens: 9, Repeatable: true, Streamed: true, DeadlineMS: 2500,
+	}})
 }
 
 // node starts a node with a scripted answer and returns its address.
--- a/internal/replay/player/play_test.go
+++ b/internal/replay/player/play_test.go
@@ -122,12 +122,16 @@
 
 	It("comes back after a refusal that did not run, when it was told, and counts that as a retry", func() {
 		refused := player.Result{Outcome: recording.Refused, Problem: "queue_full", Certain: true, RetryAfter: 3 * time.Second}
-		sender := &scriptedSender{unknown: "x", results: []player.Result{refused, refused,
-			{Outcome: recording.Answered, ReusedTokens: 7, FirstToken: time.Second}}}
+		sender := &scriptedSender{unknown: "x", results: []player.Result{
+			refused, refused,
+			{Outcome: recording.Answered, ReusedTokens: 7, FirstToken: time.Second},
+		}}
 		played, err := player.Play(context.Background(), at(0), sender, options(&virtualClock{}, 1))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(played.Samples).To(ConsistOf(report.Sample{Tenant: "court", Destination: "cases", Outcome: recording.Answered,
-			Retries: 2, ReusedTokens: 7, FirstToken: 7 * time.Second, Total: 6 * time.Second}))
+		Expect(played.Samples).To(ConsistOf(report.Sample{
+			Tenant: "court", Destination: "cases", Outcome: recording.Answered,
+			Retries: 2, ReusedTokens: 7, FirstToken: 7 * time.Second, Total: 6 * time.Second,
+		}))
 	})
 
 	DescribeTable("does not come back otherwise", func(result player.Result) {
--- a/internal/replay/report/report_test.go
+++ b/internal/replay/report/report_test.go
@@ -18,21 +18,31 @@
 const ms = time.Millisecond
 
 // hour is a run over the first hour of a day.
-var hour = report.Run{Source: report.SourceFleet, Target: "1 nodes", Records: "day", Speed: 10,
-	Started: time.Date(2026, time.March, 2, 0, 0, 0, 0, time.UTC), UntilMS: time.Hour.Milliseconds()}
+var hour = report.Run{
+	Source: report.SourceFleet, Target: "1 nodes", Records: "day", Speed: 10,
+	Started: time.Date(2026, time.March, 2, 0, 0, 0, 0, time.UTC), UntilMS: time.Hour.Milliseconds(),
+}
 
 // samples are two tenants' requests to one pool, and one of the public to a web
 // service.
 func samples() []report.Sample {
 	return []report.Sample{
-		{At: 0, Tenant: "court", Destination: "cases", Streamed: true, Outcome: recording.Answered,
-			PromptTokens: 1000, ReusedTokens: 250, FirstToken: 100 * ms, Total: 900 * ms, Deadline: time.Second},
-		{At: 30 * time.Minute, Tenant: "court", Destination: "cases", Outcome: recording.Answered, Retries: 2,
-			PromptTokens: 1000, ReusedTokens: 750, FirstToken: 1100 * ms, Total: 1100 * ms, Deadline: time.Second},
-		{At: 30 * time.Minute, Tenant: "court", Destination: "cases", Outcome: recording.Refused, Problem: "queue_full",
-			PromptTokens: 5000, Total: 5 * ms},
-		{At: 59 * time.Minute, Tenant: "school", Destination: "cases", Streamed: true, Outcome: recording.Answered,
-			PromptTokens: 2000, ReusedTokens: 0, FirstToken: 300 * ms, Total: 500 * ms},
+		{
+			At: 0, Tenant: "court", Destination: "cases", Streamed: true, Outcome: recording.Answered,
+			PromptTokens: 1000, ReusedTokens: 250, FirstToken: 100 * ms, Total: 900 * ms, Deadline: time.Second,
+		},
+		{
+			At: 30 * time.Minute, Tenant: "court", Destination: "cases", Outcome: recording.Answered, Retries: 2,
+			PromptTokens: 1000, ReusedTokens: 750, FirstToken: 1100 * ms, Total: 1100 * ms, Deadline: time.Second,
+		},
+		{
+			At: 30 * time.Minute, Tenant: "court", Destination: "cases", Outcome: recording.Refused, Problem: "queue_full",
+			PromptTokens: 5000, Total: 5 * ms,
+		},
+		{
+			At: 59 * time.Minute, Tenant: "school", Destination: "cases", Streamed: true, Outcome: recording.Answered,
+			PromptTokens: 2000, ReusedTokens: 0, FirstToken: 300 * ms, Total: 500 * ms,
+		},
 		{At: 59 * time.Minute, Tenant: "school", Destination: "cases", Outcome: recording.Cut, Total: ms},
 		{At: 59 * time.Minute, Destination: "web calendar", Web: true, Outcome: recording.Answered, Total: 3 * ms},
 	}
@@ -76,8 +86,10 @@
 	})
 
 	It("takes what a recording tells of itself", func() {
-		record := recording.Record{Tenant: "court", Pool: "cases", Streamed: true, Outcome: recording.Answered, Attempts: 3,
-			ReusedTokens: 5, FirstUS: 2000, TotalUS: 4000, DeadlineMS: 1, Parts: []recording.Part{{ID: "a", Tokens: 10}}}
+		record := recording.Record{
+			Tenant: "court", Pool: "cases", Streamed: true, Outcome: recording.Answered, Attempts: 3,
+			ReusedTokens: 5, FirstUS: 2000, TotalUS: 4000, DeadlineMS: 1, Parts: []recording.Part{{ID: "a", Tokens: 10}},
+		}
 		made := report.Build(hour, report.Recorded([]recording.Record{record}))
 		Expect(made.Models).To(And(HaveField("Retries", 2), HaveField("ReuseRatio", 0.5), HaveField("Late", 1)))
 		Expect(made.Models.FirstToken.P50MS).To(BeNumerically("~", 2, 0.01))
--- a/pkg/attempts/ledger_test.go
+++ b/pkg/attempts/ledger_test.go
@@ -15,7 +15,9 @@
 // inputs returns every event that could come next, fitting or not.
 func inputs(planned int) []attempts.Event {
 	events := []attempts.Event{
-		{Kind: attempts.DeadlinePassed}, {Kind: attempts.CallerLeft}, {Kind: attempts.AttemptsExhausted},
+		{Kind: attempts.DeadlinePassed},
+		{Kind: attempts.CallerLeft},
+		{Kind: attempts.AttemptsExhausted},
 		{Kind: attempts.AttemptPlanned, Attempt: planned + 1},
 	}
 	for attempt := 1; attempt <= planned; attempt++ {
@@ -184,8 +186,10 @@
 
 	It("never dispatches again once a part of an answer was handed on", func() {
 		ledger := replay(attempts.Options{Repeatable: true, MaxAttempts: 3}, []attempts.Event{
-			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
-			{Kind: attempts.BytesMayHaveLeft, Attempt: 1}, {Kind: attempts.AnswerBegan, Attempt: 1},
+			{Kind: attempts.AttemptPlanned, Attempt: 1},
+			{Kind: attempts.ConnectStarted, Attempt: 1},
+			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
+			{Kind: attempts.AnswerBegan, Attempt: 1},
 			{Kind: attempts.EndLost, Attempt: 1},
 		})
 		Expect(ledger.Next()).To(Equal(attempts.Move{Kind: attempts.AbortRelay, Attempt: 1}))
@@ -193,8 +197,10 @@
 
 	It("relays an answer from its first part to its end", func() {
 		ledger := replay(attempts.Options{MaxAttempts: 1}, []attempts.Event{
-			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
-			{Kind: attempts.BytesMayHaveLeft, Attempt: 1}, {Kind: attempts.AnswerBegan, Attempt: 1},
+			{Kind: attempts.AttemptPlanned, Attempt: 1},
+			{Kind: attempts.ConnectStarted, Attempt: 1},
+			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
+			{Kind: attempts.AnswerBegan, Attempt: 1},
 		})
 		Expect(ledger.Next()).To(Equal(attempts.Move{Kind: attempts.Relay, Attempt: 1}))
 		Expect(ledger.Apply(attempts.Event{Kind: attempts.AnswerCompleted, Attempt: 1})).To(Succeed())
@@ -221,7 +227,8 @@
 
 	It("names the state in which an event does not fit", func() {
 		ledger := replay(attempts.Options{}, []attempts.Event{
-			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
+			{Kind: attempts.AttemptPlanned, Attempt: 1},
+			{Kind: attempts.ConnectStarted, Attempt: 1},
 			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
 		})
 		err := ledger.Apply(attempts.Event{Kind: attempts.NotSent, Attempt: 1})
--- a/pkg/config/dynamic/document_test.go
+++ b/pkg/config/dynamic/document_test.go
@@ -148,7 +148,8 @@
 
 	It("need no identity in a request, and no other order may use theirs", func() {
 		order, err := dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
-			Configuration: documentConfiguration(), Source: source(4, 3, "second")})
+			Configuration: documentConfiguration(), Source: source(4, 3, "second"),
+		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(order).To(equalMessage(documentCommand(documentConfiguration(), source(4, 3, "second")).GetOrder()))
 		_, err = dynamic.EvacuationOrder(order.GetOrderId(), "a", true, "")
--- a/pkg/config/dynamic/machine_test.go
+++ b/pkg/config/dynamic/machine_test.go
@@ -40,12 +40,14 @@
 
 func register(node string, incarnation uint64) *controlpb.Command {
 	return &controlpb.Command{Command: &controlpb.Command_RegisterNode{
-		RegisterNode: &controlpb.RegisterNode{Node: node, Incarnation: incarnation}}}
+		RegisterNode: &controlpb.RegisterNode{Node: node, Incarnation: incarnation},
+	}}
 }
 
 func forget(node string, incarnation uint64) *controlpb.Command {
 	return &controlpb.Command{Command: &controlpb.Command_ForgetNode{
-		ForgetNode: &controlpb.ForgetNode{Node: node, Incarnation: incarnation}}}
+		ForgetNode: &controlpb.ForgetNode{Node: node, Incarnation: incarnation},
+	}}
 }
 
 // outcome spells an answer as its revision or the kind of its problem.
@@ -122,7 +124,8 @@
 		before := machine.State()
 		bare := &controlpb.Order{OrderId: "x", Change: &controlpb.Order_Apply{Apply: &config{Tenants: []*ridgeswitchv1.Tenant{{}}}}, BaseRevision: 1}
 		for _, refused := range []*controlpb.Command{
-			nil, {},
+			nil,
+			{},
 			{Command: &controlpb.Command_SetReplicas{SetReplicas: &controlpb.SetReplicas{}}},
 			{Command: &controlpb.Command_Order{Order: &controlpb.Order{OrderId: "x"}}},
 			{Command: &controlpb.Command_Order{Order: &controlpb.Order{}}},
--- a/pkg/config/dynamic/parse.go
+++ b/pkg/config/dynamic/parse.go
@@ -104,7 +104,8 @@
 
 // member checks one name and value of an object.
 func (w *walker) member(path, name string, value json.RawMessage,
-	descriptor protoreflect.MessageDescriptor, seen map[protoreflect.FullName]bool) {
+	descriptor protoreflect.MessageDescriptor, seen map[protoreflect.FullName]bool,
+) {
 	field := fieldNamed(descriptor, name)
 	if field == nil {
 		w.add(KindUnknownField, joinPath(path, name), "%s has no such field; remove it or correct its name", descriptor.Name())
--- a/pkg/config/dynamic/property_test.go
+++ b/pkg/config/dynamic/property_test.go
@@ -79,7 +79,8 @@
 // nothing, a resend gets the first answer, and no two orders on one base both
 // change the configuration.
 func checkAnswer(order *controlpb.Order, answer *controlpb.Answer, before *controlpb.ConfigurationState,
-	machine *dynamic.Machine, accepted map[string]*controlpb.Answer, bases map[uint64]string) {
+	machine *dynamic.Machine, accepted map[string]*controlpb.Answer, bases map[uint64]string,
+) {
 	if order == nil {
 		return
 	}
--- a/pkg/config/dynamic/validateroutes_test.go
+++ b/pkg/config/dynamic/validateroutes_test.go
@@ -120,8 +120,10 @@
 		Entry("engine without slots and memory", func(c *config) { c.Pools[0].Engine = &ridgeswitchv1.Engine{} },
 			"out_of_range pools[0].engine.slots", "out_of_range pools[0].engine.memory_tokens"),
 		Entry("engine beyond bounds", func(c *config) {
-			c.Pools[0].Engine = &ridgeswitchv1.Engine{Slots: 100_001, MemoryTokens: 1e12 + 1, TokenBytes: 1<<30 + 1,
-				LinkBitsPerSecond: math.Inf(1), TokensPerEvent: 1_000_001, MaxReportReaders: 1_000_001}
+			c.Pools[0].Engine = &ridgeswitchv1.Engine{
+				Slots: 100_001, MemoryTokens: 1e12 + 1, TokenBytes: 1<<30 + 1,
+				LinkBitsPerSecond: math.Inf(1), TokensPerEvent: 1_000_001, MaxReportReaders: 1_000_001,
+			}
 		}, "out_of_range pools[0].engine.slots", "out_of_range pools[0].engine.memory_tokens", "out_of_range pools[0].engine.token_bytes",
 			"out_of_range pools[0].engine.link_bits_per_second", "out_of_range pools[0].engine.tokens_per_event", "out_of_range pools[0].engine.max_report_readers"),
 		Entry("pool's back ends", func(c *config) {
--- a/pkg/config/static/check.go
+++ b/pkg/config/static/check.go
@@ -71,8 +71,12 @@
 	}
 	c.address("traffic", s.Traffic)
 	c.address("control", s.Control)
-	c.distinct([]namedValue{{"internal", s.Internal}, {"internal_listen", s.InternalListen},
-		{"traffic", s.Traffic}, {"control", s.Control}})
+	c.distinct([]namedValue{
+		{"internal", s.Internal},
+		{"internal_listen", s.InternalListen},
+		{"traffic", s.Traffic},
+		{"control", s.Control},
+	})
 }
 
 // namedValue is a value and the field that it stands in.
--- a/pkg/membership/calm_test.go
+++ b/pkg/membership/calm_test.go
@@ -7,9 +7,10 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
-	"github.com/samber/lo"
 )
 
 // heartbeatsWithRow counts the heartbeats of one node in some time, and those
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
--- a/pkg/membership/random_test.go
+++ b/pkg/membership/random_test.go
@@ -8,8 +8,9 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
 const (
--- a/pkg/membership/ring.go
+++ b/pkg/membership/ring.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -6,9 +6,10 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
-	"github.com/samber/lo"
 )
 
 var _ = Describe("the table", func() {
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -9,6 +9,7 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
--- a/pkg/relaytree/network_test.go
+++ b/pkg/relaytree/network_test.go
@@ -7,10 +7,11 @@
 	"strings"
 	"time"
 
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
-	"github.com/samber/lo"
 )
 
 const (
--- a/pkg/relaytree/transfer_test.go
+++ b/pkg/relaytree/transfer_test.go
@@ -5,6 +5,7 @@
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
--- a/scripts/knownred/arguments.go
+++ b/scripts/knownred/arguments.go
@@ -30,8 +30,10 @@
 	if entry.IsPlain() {
 		return []string{"test", "-count=1", "-v", timeoutAlone, "-run=" + entry.Pattern(), entry.Package}
 	}
-	return []string{"test", "-count=1", "-v", timeoutAlone, entry.Package,
-		"-ginkgo.no-color", "-ginkgo.focus=" + entry.Pattern()}
+	return []string{
+		"test", "-count=1", "-v", timeoutAlone, entry.Package,
+		"-ginkgo.no-color", "-ginkgo.focus=" + entry.Pattern(),
+	}
 }
 
 // countArguments are the arguments of go that count the specs which an entry
