--- a/scripts/knownred/knownred_test.go
+++ b/scripts/knownred/knownred_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"os"
 	"strings"
 	"testing"
 
@@ -95,6 +96,27 @@
 	})
 })
 
+var _ = Describe("the test command of the README", func() {
+	It("passes over the listed tests", func() {
+		plan, err := runProgram("make", "--dry-run", "--directory=../..", "test")
+		Expect(err).NotTo(HaveOccurred(), plan.All)
+		Expect(strings.Split(plan.Standard, "\n")).To(ContainElement("go run ./scripts/knownred"))
+		Expect(plan.Standard).NotTo(ContainSubstring("go test"))
+	})
+
+	It("is all that CI runs", func() {
+		script, err := os.ReadFile("../../.ci/run")
+		Expect(err).NotTo(HaveOccurred())
+		lines := strings.Split(strings.TrimSpace(string(script)), "\n")
+		Expect(lines[len(lines)-1]).To(Equal("make test"))
+		Expect(strings.Count(string(script), "make")).To(Equal(1))
+
+		readme, err := os.ReadFile("../../README.md")
+		Expect(err).NotTo(HaveOccurred())
+		Expect(string(readme)).To(ContainSubstring("\n    make test\n"))
+	})
+})
+
 var _ = Describe("the list", func() {
 	It("is empty when the file is absent", func() {
 		entries, err := ReadList("testdata/absent.txt")
