--- /dev/null
+++ b/pkg/replication/durable/golden_test.go
@@ -0,0 +1,74 @@
+package durable
+
+import (
+	"os"
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
+)
+
+// The golden files were written by an earlier release, and are never written anew: an
+// earlier release has to be able to read what this one writes, and the other way
+// round. They are made where there are none and writeGolden is set.
+const (
+	goldenFolder = "testdata/golden"
+	writeGolden  = "RIDGESWITCH_WRITE_GOLDEN"
+)
+
+// everyKind are entries of all kinds.
+var everyKind = []replication.Entry{
+	{Index: 28, Term: 6, Kind: replication.EntryBarrier},
+	{Index: 29, Term: 6, Kind: replication.EntryGroupChange, Command: []byte(`[{"ID":"a","Incarnation":1,"Learner":false}]`)},
+	{Index: 30, Term: 6, Kind: replication.EntryRestore, Command: []byte("state")},
+	{Index: 31, Term: 6, Kind: replication.EntryCommand, Command: []byte{}},
+}
+
+var _ = Describe("Files of an earlier release", func() {
+	It("are written to the last byte by the same saves, and restore the same state", func() {
+		disk := memdisk.New()
+		_, expected := runScript(disk)
+		log, _, err := OpenWithLimit(disk, logName, smallLimit)
+		Expect(err).NotTo(HaveOccurred())
+		for _, ready := range []replication.Ready{
+			{HardState: &replication.HardState{Term: 6, PromisedTo: "a", PromisedIncarnation: 1 << 60, Commit: 27}, Entries: everyKind[:2]},
+			{Entries: everyKind[2:]},
+		} {
+			Expect(log.Save(ready)).To(Succeed())
+			expected = operation{ready: ready}.after(expected)
+		}
+
+		if os.Getenv(writeGolden) != "" {
+			writeGoldenFiles(disk)
+		}
+		files, err := os.ReadDir(goldenFolder)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(files).To(HaveLen(len(disk.Names())))
+		golden := memdisk.New()
+		for _, file := range files {
+			data, err := os.ReadFile(filepath.Join(goldenFolder, file.Name()))
+			Expect(err).NotTo(HaveOccurred())
+			Expect(disk.ReadFile(file.Name())).To(Equal(data), file.Name())
+			Expect(golden.WriteFile(file.Name(), data)).To(Succeed())
+		}
+		_, restored, err := Open(golden, logName)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(restored).To(Equal(expected))
+	})
+})
+
+// writeGoldenFiles writes the files of a disk, unless there are golden ones.
+func writeGoldenFiles(disk *memdisk.Disk) {
+	if _, err := os.Stat(goldenFolder); err == nil {
+		return
+	}
+	Expect(os.MkdirAll(goldenFolder, 0o700)).To(Succeed())
+	for _, name := range disk.Names() {
+		data, err := disk.ReadFile(name)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(os.WriteFile(filepath.Join(goldenFolder, name), data, 0o600)).To(Succeed())
+	}
+}
--- /dev/null
+++ b/pkg/replication/golden_group_test.go
@@ -0,0 +1,21 @@
+package replication
+
+import (
+	"github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+var _ = ginkgo.Describe("The command of a group change", func() {
+	// Logs and members of earlier releases hold it in this form.
+	const golden = `[{"ID":"10.0.0.1:7100","Incarnation":1,"Learner":false},` +
+		`{"ID":"10.0.0.2:7100","Incarnation":14841536834309578040,"Learner":true}]`
+
+	ginkgo.It("is written and read as by earlier releases", func() {
+		group := places{
+			{Voter: Voter{ID: "10.0.0.1:7100", Incarnation: 1}},
+			{Voter: Voter{ID: "10.0.0.2:7100", Incarnation: 14841536834309578040}, Learner: true},
+		}
+		Expect(string(encodePlaces(group))).To(Equal(golden))
+		Expect(decodePlaces([]byte(golden))).To(Equal(group))
+	})
+})
