--- a/internal/control/sectiondecoder.go
+++ b/internal/control/section_decoder.go
@@ -16,15 +16,15 @@
 // sectionDecoder makes a message of sections, and a new message of each update
 // to them. Messages share what has not changed: nobody may write to one.
 type sectionDecoder struct {
-	lists    []*decodedList
+	fields   []*decodedField
 	settings protoreflect.Message
 	// current is the message made last.
 	current protoreflect.Message
 }
 
-// decodedList is the elements of one sectioned list.
-type decodedList struct {
-	sectionedList
+// decodedField is the elements of one sectioned list.
+type decodedField struct {
+	sectionedField
 	elements map[string]*decodedElement
 	// changed are the elements replaced since the last message; reordered tells
 	// that the order may be another.
@@ -34,29 +34,29 @@
 
 // decodedElement is an element and its place.
 type decodedElement struct {
-	before   string
-	message  protoreflect.Message
-	position int
+	predecessor string
+	message     protoreflect.Message
+	position    int
 }
 
 // newShardDecoder returns a decoder for the relayed state of a shard.
 func newShardDecoder(shardID uint32) *sectionDecoder {
 	if shardID == ConfigurationShard {
-		return newSectionDecoder(&ridgeswitchv1.Configuration{}, configurationLists)
+		return newSectionDecoder(&ridgeswitchv1.Configuration{}, configurationFields)
 	}
-	return newSectionDecoder(&controlpb.ServiceState{}, serviceLists)
+	return newSectionDecoder(&controlpb.ServiceState{}, serviceFields)
 }
 
 // newSectionDecoder returns a decoder that begins with an empty message.
-func newSectionDecoder(empty proto.Message, lists []sectionedList) *sectionDecoder {
+func newSectionDecoder(empty proto.Message, fields []sectionedField) *sectionDecoder {
 	decoder := &sectionDecoder{
 		settings: empty.ProtoReflect().New(),
 		current:  empty.ProtoReflect().New(),
 	}
-	for _, list := range lists {
-		decoder.lists = append(decoder.lists, &decodedList{
-			sectionedList: list,
-			elements:      map[string]*decodedElement{},
+	for _, field := range fields {
+		decoder.fields = append(decoder.fields, &decodedField{
+			sectionedField: field,
+			elements:       map[string]*decodedElement{},
 		})
 	}
 	return decoder
@@ -66,8 +66,8 @@
 // error the decoder is of no more use.
 func (d *sectionDecoder) apply(update relaytree.Update) (proto.Message, error) {
 	for _, name := range update.Removed {
-		if list, key := d.listOf(name); list != nil {
-			list.remove(key)
+		if field, key := d.fieldOf(name); field != nil {
+			field.remove(key)
 		}
 	}
 	for _, section := range update.Sections {
@@ -83,11 +83,11 @@
 	return next.Interface(), nil
 }
 
-// listOf finds the list that a section belongs to, and its key there.
-func (d *sectionDecoder) listOf(name string) (list *decodedList, key string) {
-	for _, list := range d.lists {
-		if key, found := strings.CutPrefix(name, list.prefix); found {
-			return list, key
+// fieldOf finds the list that a section belongs to, and its key there.
+func (d *sectionDecoder) fieldOf(name string) (field *decodedField, key string) {
+	for _, field := range d.fields {
+		if key, found := strings.CutPrefix(name, field.prefix); found {
+			return field, key
 		}
 	}
 	return nil, ""
@@ -107,36 +107,36 @@
 		// Read only when a group is formed anew.
 		return nil
 	}
-	list, key := d.listOf(section.Name)
-	if list == nil {
+	field, key := d.fieldOf(section.Name)
+	if field == nil {
 		return &sectionError{section: section.Name, reason: "is of no known kind; let all nodes run one version"}
 	}
-	before, length := protowire.ConsumeString(section.Content)
+	predecessor, length := protowire.ConsumeString(section.Content)
 	if length < 0 {
 		return &sectionError{section: section.Name, reason: "is cut short; it is asked for again with the next revision"}
 	}
-	message := d.current.NewField(list.fieldOf(d.current)).List().NewElement().Message()
+	message := d.current.NewField(field.descriptor(d.current)).List().NewElement().Message()
 	if err := proto.Unmarshal(section.Content[length:], message.Interface()); err != nil {
 		return errors.Wrapf(err, "decode section %q", section.Name)
 	}
-	list.set(key, before, message)
+	field.set(key, predecessor, message)
 	return nil
 }
 
-func (l *decodedList) set(key, before string, message protoreflect.Message) {
+func (l *decodedField) set(key, predecessor string, message protoreflect.Message) {
 	element := l.elements[key]
 	if element == nil {
 		element = &decodedElement{}
 		l.elements[key] = element
 		l.reordered = true
 	}
-	l.reordered = l.reordered || element.before != before
-	element.before = before
+	l.reordered = l.reordered || element.predecessor != predecessor
+	element.predecessor = predecessor
 	element.message = message
 	l.changed = append(l.changed, element)
 }
 
-func (l *decodedList) remove(key string) {
+func (l *decodedField) remove(key string) {
 	delete(l.elements, key)
 	l.reordered = true
 }
@@ -149,8 +149,8 @@
 		next.Set(field, value)
 		return true
 	})
-	for _, list := range d.lists {
-		if err := list.assemble(next, d.current); err != nil {
+	for _, sectioned := range d.fields {
+		if err := sectioned.assemble(next, d.current); err != nil {
 			return nil, err
 		}
 	}
@@ -158,8 +158,8 @@
 }
 
 // assemble gives the next message its list. An unchanged one is shared.
-func (l *decodedList) assemble(next, current protoreflect.Message) error {
-	field := l.fieldOf(next)
+func (l *decodedField) assemble(next, current protoreflect.Message) error {
+	field := l.descriptor(next)
 	switch {
 	case l.reordered:
 		ordered, err := l.inOrder()
@@ -184,10 +184,10 @@
 }
 
 // inOrder follows the elements from the first one, which has none before it.
-func (l *decodedList) inOrder() ([]protoreflect.Value, error) {
+func (l *decodedField) inOrder() ([]protoreflect.Value, error) {
 	following := make(map[string]string, len(l.elements))
 	for key, element := range l.elements {
-		following[element.before] = key
+		following[element.predecessor] = key
 	}
 	values := make([]protoreflect.Value, 0, len(l.elements))
 	for key := following[""]; key != "" && len(values) < len(l.elements); key = following[key] {
--- a/internal/control/sections.go
+++ b/internal/control/sections.go
@@ -17,10 +17,10 @@
 // settingsSection holds every field that isn't a sectioned list.
 const settingsSection = "settings"
 
-// sectionedList is a repeated field that is relayed as one section an element,
+// sectionedField is a repeated field that is relayed as one section an element,
 // so that a change of one element is relayed alone.
-type sectionedList struct {
-	field protoreflect.Name
+type sectionedField struct {
+	name protoreflect.Name
 	// prefix stands before the element's key in the name of its section.
 	prefix string
 	// keys are the element's fields whose values together are unique in the
@@ -33,25 +33,25 @@
 }
 
 // copyOf makes the copy function of a list.
-func copyOf[M proto.Message, E proto.Message](list func(M) *[]E) func(to, from proto.Message) {
+func copyOf[M proto.Message, E proto.Message](elements func(M) *[]E) func(to, from proto.Message) {
 	return func(to, from proto.Message) {
-		*list(to.(M)) = slices.Clone(*list(from.(M)))
+		*elements(to.(M)) = slices.Clone(*elements(from.(M)))
 	}
 }
 
-// configurationLists are the lists of a Configuration.
-var configurationLists = []sectionedList{
-	{field: "tenants", prefix: "tenant/", keys: keyedBy("name"), copy: copyOf(tenantsOf)},
-	{field: "pools", prefix: "pool/", keys: keyedBy("name"), copy: copyOf(poolsOf)},
-	{field: "web_services", prefix: "web-service/", keys: keyedBy("name"), copy: copyOf(webServicesOf)},
-	{field: "stores", prefix: "store/", keys: keyedBy("name"), copy: copyOf(storesOf)},
-	{field: "routes", prefix: "route/", keys: keyedBy("host", "path_prefix"), copy: copyOf(routesOf)},
-	{field: "evacuations", prefix: "evacuation/", keys: keyedBy("zone"), copy: copyOf(evacuationsOf)},
+// configurationFields are the lists of a Configuration.
+var configurationFields = []sectionedField{
+	{name: "tenants", prefix: "tenant/", keys: keyedBy("name"), copy: copyOf(tenantsOf)},
+	{name: "pools", prefix: "pool/", keys: keyedBy("name"), copy: copyOf(poolsOf)},
+	{name: "web_services", prefix: "web-service/", keys: keyedBy("name"), copy: copyOf(webServicesOf)},
+	{name: "stores", prefix: "store/", keys: keyedBy("name"), copy: copyOf(storesOf)},
+	{name: "routes", prefix: "route/", keys: keyedBy("host", "path_prefix"), copy: copyOf(routesOf)},
+	{name: "evacuations", prefix: "evacuation/", keys: keyedBy("zone"), copy: copyOf(evacuationsOf)},
 }
 
-// serviceLists are the lists of a ServiceState that all nodes need.
-var serviceLists = []sectionedList{
-	{field: "replicas", prefix: "replica/", keys: keyedBy("address"), copy: copyOf(replicasOf)},
+// serviceFields are the lists of a ServiceState that all nodes need.
+var serviceFields = []sectionedField{
+	{name: "replicas", prefix: "replica/", keys: keyedBy("address"), copy: copyOf(replicasOf)},
 }
 
 func tenantsOf(c *ridgeswitchv1.Configuration) *[]*ridgeswitchv1.Tenant { return &c.Tenants }
@@ -72,15 +72,15 @@
 
 func replicasOf(s *controlpb.ServiceState) *[]*controlpb.ReplicaState { return &s.Replicas }
 
-// fieldOf is the list's field in a message.
-func (l sectionedList) fieldOf(message protoreflect.Message) protoreflect.FieldDescriptor {
-	return message.Descriptor().Fields().ByName(l.field)
+// descriptor is the list's field in a message.
+func (l sectionedField) descriptor(message protoreflect.Message) protoreflect.FieldDescriptor {
+	return message.Descriptor().Fields().ByName(l.name)
 }
 
 func keyedBy(fields ...protoreflect.Name) []protoreflect.Name { return fields }
 
 // keyOf joins an element's values of the key fields.
-func (l sectionedList) keyOf(element protoreflect.Message) string {
+func (l sectionedField) keyOf(element protoreflect.Message) string {
 	fields := element.Descriptor().Fields()
 	key := ""
 	for _, name := range l.keys {
@@ -102,15 +102,15 @@
 
 // encodeSections cuts a message into sections. Equal messages give equal
 // sections. Elements of a sectioned list need a key that is unique in it.
-func encodeSections(message proto.Message, lists []sectionedList) ([]relaytree.Section, error) {
+func encodeSections(message proto.Message, sectioned []sectionedField) ([]relaytree.Section, error) {
 	source := message.ProtoReflect()
-	settings, err := encodeSettings(source, lists)
+	settings, err := encodeSettings(source, sectioned)
 	if err != nil {
 		return nil, err
 	}
 	sections := []relaytree.Section{{Name: settingsSection, Content: settings}}
-	for _, list := range lists {
-		elements, err := encodeList(source, list)
+	for _, field := range sectioned {
+		elements, err := encodeElements(source, field)
 		if err != nil {
 			return nil, err
 		}
@@ -119,10 +119,10 @@
 	return sections, nil
 }
 
-func encodeSettings(source protoreflect.Message, lists []sectionedList) ([]byte, error) {
+func encodeSettings(source protoreflect.Message, fields []sectionedField) ([]byte, error) {
 	sectioned := map[protoreflect.Name]bool{}
-	for _, list := range lists {
-		sectioned[list.field] = true
+	for _, field := range fields {
+		sectioned[field.name] = true
 	}
 	rest := source.New()
 	source.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -136,28 +136,28 @@
 	return content, errors.Wrap(err, "encode the settings section")
 }
 
-// encodeList makes a section of each element. Its content begins with the key of
+// encodeElements makes a section of each element. Its content begins with the key of
 // the element before it, empty for the first: so the order is kept, and adding
 // or removing an element changes one other section at most.
-func encodeList(source protoreflect.Message, list sectionedList) ([]relaytree.Section, error) {
-	elements := source.Get(list.fieldOf(source)).List()
+func encodeElements(source protoreflect.Message, field sectionedField) ([]relaytree.Section, error) {
+	elements := source.Get(field.descriptor(source)).List()
 	sections := make([]relaytree.Section, 0, elements.Len())
 	keys := make(map[string]struct{}, elements.Len())
-	before := ""
+	predecessor := ""
 	for i := range elements.Len() {
 		element := elements.Get(i).Message()
-		key := list.keyOf(element)
-		if _, taken := keys[key]; taken || key == "" {
-			return nil, &sectionError{section: list.prefix + key, reason: "needs a key of its own; refuse such a state when it is ordered"}
+		key := field.keyOf(element)
+		if _, duplicate := keys[key]; duplicate || key == "" {
+			return nil, &sectionError{section: field.prefix + key, reason: "needs a key of its own; refuse such a state when it is ordered"}
 		}
 		keys[key] = struct{}{}
-		content := protowire.AppendString(nil, before)
+		content := protowire.AppendString(nil, predecessor)
 		content, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(content, element.Interface())
 		if err != nil {
-			return nil, errors.Wrapf(err, "encode section %q", list.prefix+key)
+			return nil, errors.Wrapf(err, "encode section %q", field.prefix+key)
 		}
-		sections = append(sections, relaytree.Section{Name: list.prefix + key, Content: content})
-		before = key
+		sections = append(sections, relaytree.Section{Name: field.prefix + key, Content: content})
+		predecessor = key
 	}
 	return sections, nil
 }
--- a/internal/control/sections_test.go
+++ b/internal/control/sections_test.go
@@ -72,7 +72,7 @@
 
 // publish sends a configuration through a relay machine.
 func publish(relay *relaytree.Machine, configuration *ridgeswitchv1.Configuration) ([]relaytree.Outbound, relaytree.Update) {
-	sections, err := encodeSections(configuration, configurationLists)
+	sections, err := encodeSections(configuration, configurationFields)
 	if err != nil {
 		panic(err)
 	}
@@ -159,7 +159,7 @@
 			for _, name := range names {
 				configuration.Tenants = append(configuration.Tenants, &ridgeswitchv1.Tenant{Name: name})
 			}
-			_, err := encodeSections(configuration, configurationLists)
+			_, err := encodeSections(configuration, configurationFields)
 			Expect(err).To(BeAssignableToTypeOf(&sectionError{}))
 		}
 	})
@@ -180,22 +180,22 @@
 
 	It("are decoded whole after an update that could not be decoded", func() {
 		relay := relaytree.New(relaytree.Config{Self: "root"})
-		node := &Machine{relay: relay, held: heldState{
+		node := &Machine{relay: relay, received: receivedState{
 			decoders:  map[uint32]*sectionDecoder{},
 			revisions: map[uint32]uint64{},
 		}}
 		first := largeConfiguration(3)
 		_, update := publish(relay, first)
-		node.holdOne(update)
+		node.receiveUpdate(update)
 		broken := relaytree.Update{Revision: 2, Sections: []relaytree.Section{{Name: "tenant/a"}}}
-		node.holdOne(broken)
+		node.receiveUpdate(broken)
 		Expect(node.incomplete).To(BeTrue())
-		Expect(proto.Equal(node.held.configuration, first)).To(BeTrue())
+		Expect(proto.Equal(node.received.configuration, first)).To(BeTrue())
 		third := withKey(withKey(first, 0), 1)
 		_, update = publish(relay, third)
-		node.holdOne(update)
-		Expect(proto.Equal(node.held.configuration, third)).To(BeTrue())
-		Expect(node.held.revisions[ConfigurationShard]).To(Equal(uint64(3)))
+		node.receiveUpdate(update)
+		Expect(proto.Equal(node.received.configuration, third)).To(BeTrue())
+		Expect(node.received.revisions[ConfigurationShard]).To(Equal(uint64(3)))
 	})
 })
 
@@ -203,7 +203,7 @@
 func BenchmarkEncodeSections(b *testing.B) {
 	configuration := largeConfiguration(manyTenants)
 	for b.Loop() {
-		if _, err := encodeSections(configuration, configurationLists); err != nil {
+		if _, err := encodeSections(configuration, configurationFields); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/control/sentcounts.go
+++ b/internal/control/sent_counts.go
@@ -43,7 +43,7 @@
 // sentCounts counts the frames that a node sends. It is safe for concurrent use.
 type sentCounts [wire.KindCount][distanceCount]struct{ frames, bytes atomic.Uint64 }
 
-func (c *sentCounts) note(frame []byte, distance Distance) {
+func (c *sentCounts) add(frame []byte, distance Distance) {
 	count := &c[wire.MessageKindOf(frame)][distance]
 	count.frames.Add(1)
 	count.bytes.Add(uint64(len(frame)))
--- a/internal/control/sentcounts_test.go
+++ b/internal/control/sent_counts_test.go
@@ -13,10 +13,10 @@
 		driver := &Driver{}
 		probe := wire.Encode(wire.Envelope{From: "a", Membership: &membership.Message{Type: membership.MessageGossip}})
 		beat := wire.Encode(wire.Envelope{From: "a", Membership: &membership.Message{Type: membership.MessageHeartbeat}})
-		driver.sent.note(probe, distanceBetween("north", "north"))
-		driver.sent.note(probe, distanceBetween("north", "south"))
-		driver.sent.note(probe, distanceBetween("north", "south"))
-		driver.sent.note(beat, distanceBetween("north", ""))
+		driver.sent.add(probe, distanceBetween("north", "north"))
+		driver.sent.add(probe, distanceBetween("north", "south"))
+		driver.sent.add(probe, distanceBetween("north", "south"))
+		driver.sent.add(beat, distanceBetween("north", ""))
 		size := uint64(len(probe))
 		Expect(driver.Sent()).To(ConsistOf(
 			SentCount{Kind: wire.KindProbe, Distance: SameZone, Frames: 1, Bytes: size},
--- a/internal/control/serviceshard.go
+++ b/internal/control/service_shard.go
@@ -92,14 +92,14 @@
 
 // Sections encodes what all nodes need: the replicas and not the registry.
 func (s *serviceShard) Sections() ([]relaytree.Section, error) {
-	return encodeSections(s.relayed(), serviceLists)
+	return encodeSections(s.relayed(), serviceFields)
 }
 
 func (s *serviceShard) relayed() *controlpb.ServiceState {
 	return &controlpb.ServiceState{Revision: s.state.GetRevision(), Replicas: s.state.GetReplicas()}
 }
 
-func (s *serviceShard) holds(relayed proto.Message) bool {
+func (s *serviceShard) equals(relayed proto.Message) bool {
 	return proto.Equal(s.relayed(), relayed)
 }
 
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -23,8 +23,8 @@
 	Snapshot() ([]byte, error)
 	// Sections encodes what is relayed to all nodes.
 	Sections() ([]relaytree.Section, error)
-	// holds tells whether a relayed state is that of this one.
-	holds(relayed proto.Message) bool
+	// equals tells whether a relayed state is that of this one.
+	equals(relayed proto.Message) bool
 }
 
 // shard is this node's copy of one shard.
@@ -37,9 +37,9 @@
 	compacted uint64
 	// maxLogEntries is how long the applied log may become.
 	maxLogEntries uint64
-	// saving tells that a write is outstanding: a checkpoint if checkpointing,
+	// writing tells that a write is outstanding: a checkpoint if checkpointing,
 	// else what outstanding holds.
-	saving        bool
+	writing       bool
 	checkpointing bool
 	checkpointDue bool
 	outstanding   replication.Ready
@@ -48,14 +48,14 @@
 	// proposals are this node's commands that wait to be applied.
 	proposals map[uint64]proposal
 	// reads are those that wait for a quorum, by their numbers in the group.
-	reads   map[uint64]confirmedRead
+	reads   map[uint64]pendingRead
 	rollout rolloutState
-	// witnessing is set while this node is to form the group anew.
-	witnessing *witnessing
-	// awaited is what this node, as leader, waits for the nodes to confirm.
-	awaited awaited
-	// spreading follows the newest state of a shard that this node leads.
-	spreading spreading
+	// recovery is set while this node is to form the group anew.
+	recovery *witnessSearch
+	// awaitedRevision is what this node, as leader, waits for the nodes to confirm.
+	awaited awaitedRevision
+	// dissemination follows the newest state of a shard that this node leads.
+	dissemination dissemination
 	// restoredPublished tells that publishRestored has been done.
 	restoredPublished bool
 }
@@ -84,7 +84,7 @@
 		learner:       config.Learner,
 		maxLogEntries: uint64(config.logEntries()),
 		proposals:     map[uint64]proposal{},
-		reads:         map[uint64]confirmedRead{},
+		reads:         map[uint64]pendingRead{},
 		rollout:       newRolloutState(0, now),
 	}
 	if restored.Snapshot != nil {
@@ -133,15 +133,15 @@
 	return newServiceShard(state), nil
 }
 
-// leads tells whether this node leads the shard.
-func (s *shard) leads() bool {
+// isLeader tells whether this node leads the shard.
+func (s *shard) isLeader() bool {
 	return s.group.Status().Role == replication.RoleLeader
 }
 
-// settled tells whether everything in the log has been applied. For a leader
+// allApplied tells whether everything in the log has been applied. For a leader
 // that includes the barrier of its own term, and so all that earlier leaders
 // committed.
-func (s *shard) settled() bool {
+func (s *shard) allApplied() bool {
 	status := s.group.Status()
 	return status.Applied == status.LastIndex
 }
@@ -180,7 +180,7 @@
 
 // Sections encodes the configuration and the answers to the newest orders.
 func (c *configurationShard) Sections() ([]relaytree.Section, error) {
-	sections, err := encodeSections(c.Configuration(), configurationLists)
+	sections, err := encodeSections(c.Configuration(), configurationFields)
 	if err != nil {
 		return nil, err
 	}
@@ -188,6 +188,6 @@
 	return append(sections, answers...), err
 }
 
-func (c *configurationShard) holds(relayed proto.Message) bool {
+func (c *configurationShard) equals(relayed proto.Message) bool {
 	return proto.Equal(c.Configuration(), relayed)
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -23,12 +23,12 @@
 // else is heard; zero while it may not admit any.
 func (m *Machine) ServeUntil() time.Duration {
 	if m.config.FailOpen {
-		if m.held.revisions[ConfigurationShard] == 0 {
+		if m.received.revisions[ConfigurationShard] == 0 {
 			return 0
 		}
 		return membership.Never
 	}
-	if !m.registered(ConfigurationShard) || m.members.Fenced(m.now) || !m.knowsBackends() {
+	if !m.registered(ConfigurationShard) || m.members.Fenced(m.now) || !m.endpointsUsable() {
 		return 0
 	}
 	return m.members.FenceDeadline()
@@ -37,10 +37,10 @@
 // Prepared tells whether this node can serve what the configuration promises: it
 // knows the back ends, and is registered with the shard of every pool.
 func (m *Machine) Prepared() bool {
-	if !m.backends.listed {
+	if !m.backends.endpointsKnown {
 		return false
 	}
-	for _, pool := range m.held.configuration.GetPools() {
+	for _, pool := range m.received.configuration.GetPools() {
 		if !m.config.ReplicasFinishFirst && !m.registered(ShardOfService(pool.GetService(), m.config.ServiceShards)) {
 			return false
 		}
@@ -50,7 +50,7 @@
 
 // Configuration returns the newest configuration that reached this node; read
 // only.
-func (m *Machine) Configuration() *ridgeswitchv1.Configuration { return m.held.configuration }
+func (m *Machine) Configuration() *ridgeswitchv1.Configuration { return m.received.configuration }
 
 // Status describes this node's view of the deployment.
 func (m *Machine) Status() *ridgeswitchv1.NodeStatus {
@@ -59,7 +59,7 @@
 		Zone:             m.config.Self.Zone,
 		HoldsState:       m.config.Self.HoldsState,
 		Fenced:           m.ServeUntil() <= m.now,
-		ServedRevision:   m.confirmed.published[ConfigurationShard],
+		ServedRevision:   m.confirmations.published[ConfigurationShard],
 		Fences:           m.members.FenceCount(),
 		ServeRemainingMs: m.serveRemaining(),
 	}
@@ -84,8 +84,8 @@
 	status := &ridgeswitchv1.ShardStatus{
 		Shard:    id,
 		Leader:   string(m.knownLeader(id)),
-		Term:     m.terms[id].term,
-		Revision: m.held.revisions[id],
+		Term:     m.observedTerms[id].term,
+		Revision: m.received.revisions[id],
 		Group: lo.Map(m.groupOf(id), func(id member.ID, _ int) string {
 			return string(id)
 		}),
@@ -113,7 +113,7 @@
 // Weights describes how far the roll-out of a pool has come, or returns nil when
 // there is no such pool.
 func (m *Machine) Weights(poolName string) *ridgeswitchv1.WeightsStatus {
-	for _, pool := range m.held.configuration.GetPools() {
+	for _, pool := range m.received.configuration.GetPools() {
 		if pool.GetName() == poolName {
 			return m.poolWeights(pool)
 		}
@@ -123,15 +123,15 @@
 
 func (m *Machine) poolWeights(pool *ridgeswitchv1.Pool) *ridgeswitchv1.WeightsStatus {
 	status := &ridgeswitchv1.WeightsStatus{Pool: pool.GetName(), WeightVersion: pool.GetWeightVersion()}
-	rows := m.held.services[ShardOfService(pool.GetService(), m.config.ServiceShards)].GetReplicas()
-	for _, listed := range m.backends.services[pool.GetService()] {
-		row := findReplica(rows, listed.Address)
+	rows := m.received.services[ShardOfService(pool.GetService(), m.config.ServiceShards)].GetReplicas()
+	for _, endpoint := range m.backends.services[pool.GetService()] {
+		row := findReplica(rows, endpoint.Address)
 		status.Replicas = append(status.Replicas, &ridgeswitchv1.ReplicaStatus{
-			Address:          listed.Address,
-			Zone:             listed.Zone,
-			Phase:            phaseOf(row, listed),
-			WeightVersion:    statusVersion(row, listed),
-			PlatformDraining: listed.Draining,
+			Address:          endpoint.Address,
+			Zone:             endpoint.Zone,
+			Phase:            phaseOf(row, endpoint),
+			WeightVersion:    statusVersion(row, endpoint),
+			PlatformDraining: endpoint.Draining,
 		})
 	}
 	return status
@@ -139,19 +139,19 @@
 
 // phaseOf is the phase of a replica; one without a row serves if the list shows its
 // version.
-func phaseOf(row *controlpb.ReplicaState, listed listing.Replica) string {
-	if row == nil && listed.WeightVersion != "" {
+func phaseOf(row *controlpb.ReplicaState, endpoint listing.Replica) string {
+	if row == nil && endpoint.WeightVersion != "" {
 		return phaseName(controlpb.ReplicaPhase_SERVING)
 	}
 	return phaseName(row.GetPhase())
 }
 
 // statusVersion is what a replica runs, or is ordered to load.
-func statusVersion(row *controlpb.ReplicaState, listed listing.Replica) string {
-	if movedByRollout(row, listed) {
+func statusVersion(row *controlpb.ReplicaState, endpoint listing.Replica) string {
+	if outOfServiceByRollout(row, endpoint) {
 		return row.GetWeightVersion()
 	}
-	return runningVersion(row, listed)
+	return runningVersion(row, endpoint)
 }
 
 func phaseName(phase controlpb.ReplicaPhase) string {
@@ -194,8 +194,8 @@
 	return record.State == membership.StateAlive || record.State == membership.StateSuspect
 }
 
-// digestOfMembers summarises who is where and alive, to notice changes.
-func digestOfMembers(records []membership.Record) uint64 {
+// memberDigest summarises who is where and alive, to notice changes.
+func memberDigest(records []membership.Record) uint64 {
 	digest := xxhash.New()
 	for _, record := range records {
 		live := "down"
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -31,23 +31,23 @@
 }
 
 // sameInstance tells whether a row is about the incarnation that the list names.
-func sameInstance(row *controlpb.ReplicaState, listed listing.Replica) bool {
-	return row.GetInstance() == "" || listed.Instance == "" || row.GetInstance() == listed.Instance
+func sameInstance(row *controlpb.ReplicaState, endpoint listing.Replica) bool {
+	return row.GetInstance() == "" || endpoint.Instance == "" || row.GetInstance() == endpoint.Instance
 }
 
 // runningVersion is the version of a replica that takes requests, from its row, if
 // it has one, or else from the list, which lags behind rows; empty if unknown.
-func runningVersion(row *controlpb.ReplicaState, listed listing.Replica) string {
-	if row == nil || !sameInstance(row, listed) || row.GetPhase() == controlpb.ReplicaPhase_LOADING {
-		return listed.WeightVersion
+func runningVersion(row *controlpb.ReplicaState, endpoint listing.Replica) string {
+	if row == nil || !sameInstance(row, endpoint) || row.GetPhase() == controlpb.ReplicaPhase_LOADING {
+		return endpoint.WeightVersion
 	}
-	if numericallyNewer(listed.WeightVersion, row.GetWeightVersion()) {
-		return listed.WeightVersion
+	if numericallyNewer(endpoint.WeightVersion, row.GetWeightVersion()) {
+		return endpoint.WeightVersion
 	}
 	return row.GetWeightVersion()
 }
 
-// movedByRollout tells whether a row keeps requests from a replica.
-func movedByRollout(row *controlpb.ReplicaState, listed listing.Replica) bool {
-	return row != nil && sameInstance(row, listed) && row.GetPhase() != controlpb.ReplicaPhase_SERVING
+// outOfServiceByRollout tells whether a row keeps requests from a replica.
+func outOfServiceByRollout(row *controlpb.ReplicaState, endpoint listing.Replica) bool {
+	return row != nil && sameInstance(row, endpoint) && row.GetPhase() != controlpb.ReplicaPhase_SERVING
 }
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -9,70 +9,70 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// hold keeps newer states of shards that the relay tree brought.
-func (m *Machine) hold(updates []relaytree.Update) {
+// receiveUpdates keeps newer states of shards that the relay tree brought.
+func (m *Machine) receiveUpdates(updates []relaytree.Update) {
 	for _, update := range updates {
-		m.holdOne(update)
+		m.receiveUpdate(update)
 	}
 }
 
-// holdOne keeps one state. A node never goes back to an older revision.
-func (m *Machine) holdOne(update relaytree.Update) {
+// receiveUpdate keeps one state. A node never goes back to an older revision.
+func (m *Machine) receiveUpdate(update relaytree.Update) {
 	shardID := uint32(update.Topic)
-	if update.Revision <= m.held.revisions[shardID] {
+	if update.Revision <= m.received.revisions[shardID] {
 		return
 	}
-	if !m.decodeHeld(shardID, update) {
+	if !m.decodeUpdate(shardID, update) {
 		m.incomplete = true
 		return
 	}
-	m.held.revisions[shardID] = update.Revision
-	m.backends.dirty = true
+	m.received.revisions[shardID] = update.Revision
+	m.backends.viewStale = true
 }
 
-// decodeHeld decodes what has changed in a relayed state and tells whether it
+// decodeUpdate decodes what has changed in a relayed state and tells whether it
 // was sound.
-func (m *Machine) decodeHeld(shardID uint32, update relaytree.Update) bool {
-	decoder := m.held.decoders[shardID]
+func (m *Machine) decodeUpdate(shardID uint32, update relaytree.Update) bool {
+	decoder := m.received.decoders[shardID]
 	if decoder == nil {
 		decoder = newShardDecoder(shardID)
-		m.held.decoders[shardID] = decoder
+		m.received.decoders[shardID] = decoder
 		_, update.Sections = m.relay.Held(update.Topic)
 		update.Removed = nil
 	}
 	decoded, err := decoder.apply(update)
 	if err != nil {
 		// The next update is decoded from the whole state.
-		delete(m.held.decoders, shardID)
+		delete(m.received.decoders, shardID)
 		return false
 	}
 	switch state := decoded.(type) {
 	case *ridgeswitchv1.Configuration:
-		m.held.configuration = state
+		m.received.configuration = state
 	case *controlpb.ServiceState:
-		m.held.services[shardID] = state
+		m.received.services[shardID] = state
 	}
 	return true
 }
 
 // publishView puts a new view into the output if anything in it has changed.
 func (m *Machine) publishView() {
-	if !m.backends.dirty {
+	if !m.backends.viewStale {
 		return
 	}
-	m.backends.dirty = false
+	m.backends.viewStale = false
 	m.output.View = m.buildView()
-	for id, revision := range m.held.revisions {
-		m.confirmed.published[id] = revision
+	for id, revision := range m.received.revisions {
+		m.confirmations.published[id] = revision
 	}
-	if m.updateOwnConfirmation() {
+	if m.updateLocalConfirmation() {
 		m.sendConfirmation()
 	}
 }
 
 // buildView joins configuration, service shards and the platform's list.
 func (m *Machine) buildView() *routing.View {
-	configuration := m.held.configuration
+	configuration := m.received.configuration
 	view := &routing.View{
 		Revision:      configuration.GetRevision(),
 		Configuration: configuration,
@@ -149,8 +149,8 @@
 	if route.GetDestination() != nil {
 		add(route.GetPool(), route.GetWebService(), 1)
 	}
-	for _, share := range route.GetSplit() {
-		add(share.GetPool(), share.GetWebService(), share.GetWeight())
+	for _, split := range route.GetSplit() {
+		add(split.GetPool(), split.GetWebService(), split.GetWeight())
 	}
 	return choices
 }
@@ -161,37 +161,37 @@
 func (m *Machine) viewPool(pool *ridgeswitchv1.Pool, evacuated zoneSet) *routing.Pool {
 	shardID := ShardOfService(pool.GetService(), m.config.ServiceShards)
 	registered := m.registered(shardID) || m.config.ReplicasFinishFirst
-	rows := m.held.services[shardID].GetReplicas()
-	entry := &routing.Pool{Config: pool, Store: findStore(m.held.configuration, pool.GetStore())}
-	for _, listed := range m.backends.services[pool.GetService()] {
-		row := findReplica(rows, listed.Address)
-		version := runningVersion(row, listed)
-		known := version != "" || pool.GetWeightVersion() == "" && listed.Instance != ""
-		kept := listed.Draining || movedByRollout(row, listed) || evacuated.has(listed.Zone)
-		entry.Replicas = append(entry.Replicas, viewReplica(listed, version, registered && known && !kept))
-	}
-	if named := m.noteNamedWeights(pool); m.weightsOverdue(named) {
-		giveUpOutdated(entry, named.version)
+	rows := m.received.services[shardID].GetReplicas()
+	entry := &routing.Pool{Config: pool, Store: findStore(m.received.configuration, pool.GetStore())}
+	for _, endpoint := range m.backends.services[pool.GetService()] {
+		row := findReplica(rows, endpoint.Address)
+		version := runningVersion(row, endpoint)
+		versionKnown := version != "" || pool.GetWeightVersion() == "" && endpoint.Instance != ""
+		excluded := endpoint.Draining || outOfServiceByRollout(row, endpoint) || evacuated.has(endpoint.Zone)
+		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, version, registered && versionKnown && !excluded))
+	}
+	if target := m.followWeightsTarget(pool); m.weightsOverdue(target) {
+		excludeOutdated(entry, target.version)
 	}
 	return entry
 }
 
 func (m *Machine) viewWebService(service *ridgeswitchv1.WebService, evacuated zoneSet) *routing.WebService {
 	entry := &routing.WebService{Config: service}
-	for _, listed := range m.backends.services[service.GetService()] {
-		entry.Replicas = append(entry.Replicas, viewReplica(listed, "", !listed.Draining && !evacuated.has(listed.Zone)))
+	for _, endpoint := range m.backends.services[service.GetService()] {
+		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, "", !endpoint.Draining && !evacuated.has(endpoint.Zone)))
 	}
 	return entry
 }
 
 // viewReplica is a listed back end as traffic sees it.
-func viewReplica(listed listing.Replica, version string, admitting bool) routing.Replica {
+func viewReplica(endpoint listing.Replica, version string, admitting bool) routing.Replica {
 	return routing.Replica{
-		Address:       listed.Address,
-		Zone:          listed.Zone,
-		Instance:      listed.Instance,
-		Slots:         listed.Slots,
-		ColdUntil:     listed.ColdUntil,
+		Address:       endpoint.Address,
+		Zone:          endpoint.Zone,
+		Instance:      endpoint.Instance,
+		Slots:         endpoint.Slots,
+		ColdUntil:     endpoint.WarmingUntil,
 		WeightVersion: version,
 		Admitting:     admitting,
 	}
--- a/internal/control/weightsdeadline.go
+++ b/internal/control/weights_deadline.go
@@ -7,32 +7,32 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// reachedShare of a pool, one in so many, must run the named version before a node
+// requiredPoolDivisor of a pool, one in so many, must run the named version before a node
 // gives up the replicas that do not.
-const reachedShare = 4
+const requiredPoolDivisor = 4
 
-// namedWeights is the version that the configuration names for a pool, and since
+// weightsTarget is the version that the configuration names for a pool, and since
 // when this node has known it.
-type namedWeights struct {
+type weightsTarget struct {
 	version string
 	since   time.Duration
 }
 
-// noteNamedWeights follows the versions that the configuration names.
-func (m *Machine) noteNamedWeights(pool *ridgeswitchv1.Pool) namedWeights {
-	known, found := m.named[pool.GetName()]
+// followWeightsTarget follows the versions that the configuration names.
+func (m *Machine) followWeightsTarget(pool *ridgeswitchv1.Pool) weightsTarget {
+	known, found := m.weightsTargets[pool.GetName()]
 	if !found || known.version != pool.GetWeightVersion() {
-		known = namedWeights{version: pool.GetWeightVersion(), since: m.now}
-		m.named[pool.GetName()] = known
+		known = weightsTarget{version: pool.GetWeightVersion(), since: m.now}
+		m.weightsTargets[pool.GetName()] = known
 	}
 	return known
 }
 
 // weightsOverdue tells whether the bound within which named weights are to be
 // everywhere is about to end.
-func (m *Machine) weightsOverdue(named namedWeights) bool {
+func (m *Machine) weightsOverdue(target weightsTarget) bool {
 	deadline := m.config.Times.WeightsDeadline
-	return deadline > 0 && m.now >= named.since+deadline
+	return deadline > 0 && m.now >= target.since+deadline
 }
 
 // tickWeightsDeadline has the view built anew when a deadline passes.
@@ -41,23 +41,23 @@
 	if deadline <= 0 {
 		return
 	}
-	for _, named := range m.named {
-		if before < named.since+deadline && m.now >= named.since+deadline {
-			m.backends.dirty = true
+	for _, target := range m.weightsTargets {
+		if before < target.since+deadline && m.now >= target.since+deadline {
+			m.backends.viewStale = true
 		}
 	}
 }
 
-// giveUpOutdated keeps requests from replicas that do not run the named weights
+// excludeOutdated keeps requests from replicas that do not run the named weights
 // although their time is over, once enough others do.
-func giveUpOutdated(pool *routing.Pool, version string) {
+func excludeOutdated(pool *routing.Pool, version string) {
 	reached := 0
 	for _, replica := range pool.Replicas {
 		if replica.Admitting && versionReached(replica.WeightVersion, version) {
 			reached++
 		}
 	}
-	if reached*reachedShare < len(pool.Replicas) || reached == 0 {
+	if reached*requiredPoolDivisor < len(pool.Replicas) || reached == 0 {
 		return
 	}
 	for position := range pool.Replicas {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -46,7 +46,7 @@
 		settings.Replicas, settings.Nodes, settings.Zones = 3700, 3000, 9
 		addresses := map[string]bool{}
 		for _, service := range platformList(settings) {
-			for _, replica := range service.Replicas {
+			for _, replica := range service.Endpoints {
 				addresses[replica.Address] = true
 			}
 		}
--- a/internal/lab/hollow/index.go
+++ b/internal/lab/hollow/index.go
@@ -178,7 +178,7 @@
 		PlacementMicroseconds: float64(placement) / float64(time.Microsecond),
 		PlacementCandidates:   candidates,
 		PlatformListBytes:     listBytes,
-		ListsPerSecond:        1 / control.DefaultListReadEvery.Seconds(),
+		ListsPerSecond:        1 / control.DefaultEndpointReadEvery.Seconds(),
 	}
 }
 
@@ -212,7 +212,7 @@
 	list := platform.List{}
 	for _, service := range platformList(settings) {
 		shown := platform.Service{Name: service.Name}
-		for _, listed := range service.Replicas {
+		for _, listed := range service.Endpoints {
 			shown.Replicas = append(shown.Replicas, platform.Replica{
 				Address: listed.Address, Zone: listed.Zone, State: platform.StateRunning,
 			})
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -63,7 +63,7 @@
 		Sender:     built,
 		Storage:    storage,
 		Commander:  built,
-		Lists:      built,
+		Endpoints:  built,
 		Log:        of.log.WithFields(logrus.Fields{"node": config.Self.ID}),
 	})
 	return built, nil
@@ -98,9 +98,9 @@
 	})
 }
 
-// ReadList implements control.ListReader.
-func (n *node) ReadList() {
-	go n.driver.ListRead(control.ListReading{StartedAt: n.fleet.clock(), Services: n.fleet.topology.list})
+// ReadEndpoints implements control.EndpointReader.
+func (n *node) ReadEndpoints() {
+	go n.driver.EndpointsRead(control.EndpointReading{StartedAt: n.fleet.clock(), Services: n.fleet.topology.list})
 }
 
 // Report implements control.Commander.
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -18,7 +18,7 @@
 	addresses []string
 	group     []member.ID
 	// list is what the platform lists. Nodes only read it.
-	list []control.ListedService
+	list []control.ServiceEndpoints
 }
 
 func newTopology(settings Settings, addresses []string) *topology {
@@ -79,8 +79,8 @@
 	times := control.DefaultTimes()
 	for _, length := range []*time.Duration{
 		&times.HeartbeatEvery, &times.ElectionTimeout, &times.LeaseDuration, &times.LeaseMargin,
-		&times.FenceAfter, &times.FenceMargin, &times.AcknowledgeTimeout, &times.OrderTimeout,
-		&times.RetryEvery, &times.ConfirmEvery, &times.DigestEvery, &times.ListReadEvery, &times.CommandGap,
+		&times.FenceAfter, &times.FenceMargin, &times.AcknowledgeTimeout, &times.RequestTimeout,
+		&times.RetryEvery, &times.ConfirmEvery, &times.DigestEvery, &times.EndpointReadEvery, &times.CommandGap,
 	} {
 		*length = s.stretched(*length)
 	}
@@ -98,14 +98,14 @@
 }
 
 // platformList is what the platform lists.
-func platformList(settings Settings) []control.ListedService {
-	services := make([]control.ListedService, settings.pools())
+func platformList(settings Settings) []control.ServiceEndpoints {
+	services := make([]control.ServiceEndpoints, settings.pools())
 	for pool := range services {
 		services[pool].Name = serviceName(pool)
 	}
 	for number := range settings.Replicas {
 		service := &services[number%len(services)]
-		service.Replicas = append(service.Replicas, control.ListedReplica{
+		service.Endpoints = append(service.Endpoints, control.Endpoint{
 			Address: replicaAddress(number),
 			Zone:    zoneName(settings.zoneOf(number)),
 		})
--- a/internal/lab/hollow/virtualnode.go
+++ b/internal/lab/hollow/virtualnode.go
@@ -100,7 +100,7 @@
 		n.view = output.View
 	}
 	n.serveUntil = n.machine.ServeUntil()
-	for _, save := range output.Saves {
+	for _, save := range output.Writes {
 		n.save(now, save)
 	}
 	for _, send := range output.Sends {
@@ -124,9 +124,9 @@
 		report := n.fleet.replicas.report(request.Address, now)
 		n.call(now, func(now time.Duration) control.Output { return n.machine.SetReplicaReport(now, report) })
 	}
-	if output.ReadList {
-		reading := control.ListReading{StartedAt: now, Services: n.fleet.topology.list}
-		n.call(now, func(now time.Duration) control.Output { return n.machine.ListRead(now, reading) })
+	if output.ReadEndpoints {
+		reading := control.EndpointReading{StartedAt: now, Services: n.fleet.topology.list}
+		n.call(now, func(now time.Duration) control.Output { return n.machine.EndpointsRead(now, reading) })
 	}
 }
 
@@ -134,17 +134,17 @@
 const virtualCallTime = 2 * time.Millisecond
 
 // save writes at once and tells so a little later.
-func (n *virtualNode) save(now time.Duration, save control.Save) {
+func (n *virtualNode) save(now time.Duration, save control.StorageWrite) {
 	if err := write(n.storage[save.Shard], save); err != nil {
 		n.fleet.badWrites++
 		return
 	}
 	n.fleet.queue.add(now+virtualDiskTime, func(now time.Duration) {
-		n.take(now, func() control.Output { return n.machine.Saved(now, save.Shard) })
+		n.take(now, func() control.Output { return n.machine.StorageWritten(now, save.Shard) })
 	})
 }
 
-func write(storage control.Storage, save control.Save) error {
+func write(storage control.Storage, save control.StorageWrite) error {
 	if save.Checkpoint == nil {
 		return storage.Save(save.Ready)
 	}
--- a/internal/lab/sim/diskfaults.go
+++ b/internal/lab/sim/diskfaults.go
@@ -136,7 +136,7 @@
 		if !one.up {
 			continue
 		}
-		places, leads := one.machine.Places(shard)
+		places, leads := one.machine.GroupSlots(shard)
 		if !leads {
 			continue
 		}
--- a/internal/lab/sim/failopen_test.go
+++ b/internal/lab/sim/failopen_test.go
@@ -58,7 +58,7 @@
 // leaderOfConfiguration is the node that leads the configuration, or nil.
 func (w *simulation) leaderOfConfiguration() *node {
 	for _, one := range w.diskNodes() {
-		if _, leads := one.machine.Places(0); one.up && leads {
+		if _, leads := one.machine.GroupSlots(0); one.up && leads {
 			return one
 		}
 	}
--- a/internal/lab/sim/finishfirst.go
+++ b/internal/lab/sim/finishfirst.go
@@ -53,7 +53,7 @@
 	case command.ExpectsSequence && command.ExpectedSequence != r.sequence, r.target != "":
 		return control.CommandBusy
 	case r.version == command.WeightVersion:
-		return control.CommandHolds
+		return control.CommandUpToDate
 	}
 	r.sequence++
 	r.target = command.WeightVersion
@@ -146,20 +146,20 @@
 	// A holder is one machine, whatever name its commands bear.
 	present := arrivedCommand{target.incarnation, string(holder.info.ID), command.Token, command.WeightVersion, c.world.now}
 	c.arrivedCommands[target] = present
-	if command.Holder != string(holder.info.ID) {
-		c.world.violate("command_holder", "%s commands %s as %s", holder.info.ID, target.address, command.Holder)
+	if command.Leader != string(holder.info.ID) {
+		c.world.violate("command_holder", "%s commands %s as %s", holder.info.ID, target.address, command.Leader)
 	}
 	if last.incarnation != target.incarnation {
 		return
 	}
 	switch {
 	case command.Token < last.token:
-		c.world.violate("tokens_never_fall", "%s got token %x of %s after %x of %s", target.address, command.Token, command.Holder, last.token, last.holder)
+		c.world.violate("tokens_never_fall", "%s got token %x of %s after %x of %s", target.address, command.Token, command.Leader, last.token, last.holder)
 	case command.Token == last.token && present.holder != last.holder:
 		c.world.violate("token_of_one_holder", "%s got token %x of %s and of %s", target.address, command.Token, last.holder, present.holder)
 	case present.holder != last.holder && c.world.now-last.at < commandGapBound:
 		c.world.violate("holders_keep_apart", "%s commands %s %v after %s did", present.holder, target.address, c.world.now-last.at, last.holder)
 	case command.WeightVersion == last.version && c.world.now > c.world.settings.calmFrom()+ServiceBackBound:
-		c.world.violate("commanded_in_vain", "%s commands %s to load %s again", command.Holder, target.address, command.WeightVersion)
+		c.world.violate("commanded_in_vain", "%s commands %s to load %s again", command.Leader, target.address, command.WeightVersion)
 	}
 }
--- a/internal/lab/sim/listfaults.go
+++ b/internal/lab/sim/listfaults.go
@@ -17,7 +17,7 @@
 // reader returns a node that reads the list, or any node if none does.
 func (w *simulation) reader() *node {
 	for _, one := range w.nodes {
-		if one.up && !one.frozen && one.machine.ReadsList() {
+		if one.up && !one.frozen && one.machine.ReadsEndpoints() {
 			return one
 		}
 	}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -314,7 +314,7 @@
 		n.publish(output.View)
 	}
 	n.setServeUntil(n.machine.ServeUntil())
-	for _, save := range output.Saves {
+	for _, save := range output.Writes {
 		n.save(save)
 	}
 	for _, send := range output.Sends {
@@ -329,7 +329,7 @@
 	for _, request := range output.Reports {
 		n.askReport(request)
 	}
-	if output.ReadList {
+	if output.ReadEndpoints {
 		n.readList()
 	}
 }
--- a/internal/lab/sim/openmode.go
+++ b/internal/lab/sim/openmode.go
@@ -76,7 +76,7 @@
 	if n.storage == nil || !n.world.settings.FailOpen {
 		return
 	}
-	if known := n.machine.DiskAddresses(); len(known) > 0 {
+	if known := n.machine.CoreNodeAddresses(); len(known) > 0 {
 		n.storage.addresses = known
 	}
 }
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -14,7 +14,7 @@
 	world    *simulation
 	services []*platformService
 	// shown is the list that nodes read, which lags behind while lagging.
-	shown   []control.ListedService
+	shown   []control.ServiceEndpoints
 	lagging bool
 	// down counts the faults that have readings fail, and backAt is when the last
 	// one ended.
@@ -57,8 +57,8 @@
 
 // show makes the present state what nodes read.
 func (p *platform) show() {
-	p.shown = lo.Map(p.services, func(service *platformService, _ int) control.ListedService {
-		return control.ListedService{Name: service.name, Replicas: service.listed()}
+	p.shown = lo.Map(p.services, func(service *platformService, _ int) control.ServiceEndpoints {
+		return control.ServiceEndpoints{Name: service.name, Endpoints: service.listed()}
 	})
 	for _, entry := range p.entries() {
 		address := entry.replica.address
@@ -72,8 +72,8 @@
 	}
 }
 
-func (s *platformService) listed() []control.ListedReplica {
-	var listed []control.ListedReplica
+func (s *platformService) listed() []control.Endpoint {
+	var listed []control.Endpoint
 	for _, entry := range s.replicas {
 		if !entry.removed {
 			listed = append(listed, entry.listed())
@@ -83,8 +83,8 @@
 }
 
 // listed is the entry as the list shows it.
-func (e *listedReplica) listed() control.ListedReplica {
-	listed := control.ListedReplica{Address: e.replica.address, Zone: e.replica.zone, Draining: e.draining}
+func (e *listedReplica) listed() control.Endpoint {
+	listed := control.Endpoint{Address: e.replica.address, Zone: e.replica.zone, Draining: e.draining}
 	if e.replica.world.settings.FinishFirst {
 		listed.Instance = e.replica.instance()
 		listed.WeightVersion = e.replica.version
@@ -116,7 +116,7 @@
 // readList reads the list and hands it to the node.
 func (n *node) readList() {
 	life := n.life
-	reading := control.ListReading{StartedAt: n.now()}
+	reading := control.EndpointReading{StartedAt: n.now()}
 	n.world.counts.ListReadings++
 	n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
 		reading.Services = n.world.platform.shown
@@ -124,7 +124,7 @@
 			reading.Services, reading.Err = nil, errPlatformDown
 		}
 		n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
-			n.post(life, func(now time.Duration) control.Output { return n.machine.ListRead(now, reading) })
+			n.post(life, func(now time.Duration) control.Output { return n.machine.EndpointsRead(now, reading) })
 		})
 	})
 }
--- a/internal/lab/sim/reads.go
+++ b/internal/lab/sim/reads.go
@@ -99,7 +99,7 @@
 	w.after(readPatience, func() {
 		if _, open := reader.reads[ticket]; !read.answered && open {
 			delete(reader.reads, ticket)
-			reader.post(reader.life, func(now time.Duration) control.Output { return reader.machine.Abandon(now, ticket) })
+			reader.post(reader.life, func(now time.Duration) control.Output { return reader.machine.Cancel(now, ticket) })
 		}
 	})
 	return read
--- a/internal/lab/sim/storage.go
+++ b/internal/lab/sim/storage.go
@@ -49,7 +49,7 @@
 
 // pendingSave is a write that is not durable yet.
 type pendingSave struct {
-	save control.Save
+	save control.StorageWrite
 }
 
 func newStorage() *storage {
@@ -72,7 +72,7 @@
 }
 
 // write makes a save durable.
-func (s *storage) write(save control.Save) error {
+func (s *storage) write(save control.StorageWrite) error {
 	log := s.logs[save.Shard]
 	if save.Checkpoint == nil {
 		return log.Save(save.Ready)
@@ -114,7 +114,7 @@
 }
 
 // save starts a write of a node, which ends with the machine's Saved.
-func (n *node) save(save control.Save) {
+func (n *node) save(save control.StorageWrite) {
 	pending := &pendingSave{save: save}
 	n.storage.pending = append(n.storage.pending, pending)
 	life := n.life
@@ -159,5 +159,5 @@
 }
 
 func (n *node) saved(life uint64, shard uint32) {
-	n.post(life, func(now time.Duration) control.Output { return n.machine.Saved(now, shard) })
+	n.post(life, func(now time.Duration) control.Output { return n.machine.StorageWritten(now, shard) })
 }
--- a/internal/node/addresses.go
+++ b/internal/node/addresses.go
@@ -72,7 +72,7 @@
 // write brings the file up to date, and returns what it holds. A node that knows
 // nobody else keeps what it knew: it may be cut off.
 func (s *addressService) write(written []string) []string {
-	addresses := s.driver.DiskAddresses()
+	addresses := s.driver.CoreNodeAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, written) {
 		return written
 	}
--- a/internal/node/controlconfig.go
+++ b/internal/node/controlconfig.go
@@ -39,7 +39,7 @@
 		config.Times = control.FailOpenTimes(settings.Contact(), settings.Acknowledge())
 	}
 	config.Times.HeartbeatEvery = settings.HeartbeatEvery()
-	config.Times.ListReadEvery = settings.PlatformPollEvery()
+	config.Times.EndpointReadEvery = settings.PlatformPollEvery()
 	config.Times.CommandGap = settings.CommandGap()
 	config.Times.WeightsDeadline = settings.WeightsDeadline()
 	for _, name := range slices.Concat(settings.Group, disk.founders) {
--- a/internal/node/edges.go
+++ b/internal/node/edges.go
@@ -11,7 +11,7 @@
 // ListReader reads the platform's list of back ends. An error leaves the last list in
 // force.
 type ListReader interface {
-	Read(ctx context.Context) ([]control.ListedService, error)
+	Read(ctx context.Context) ([]control.ServiceEndpoints, error)
 }
 
 // ReplicaCommander speaks to replicas about their weights.
--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -276,15 +276,15 @@
 			Address: request.Address, Incarnation: 1, WeightVersion: d.versions[request.Address], MeasuredAt: d.now,
 		}))
 	}
-	if output.ReadList {
-		d.perform(node, node.machine.ListRead(d.now, d.reading()))
+	if output.ReadEndpoints {
+		d.perform(node, node.machine.EndpointsRead(d.now, d.reading()))
 	}
-	for _, save := range output.Saves {
+	for _, save := range output.Writes {
 		d.save(node, save)
 	}
 }
 
-func (d *goldenDeployment) save(node *goldenNode, save control.Save) {
+func (d *goldenDeployment) save(node *goldenNode, save control.StorageWrite) {
 	log := node.storage.logs[save.Shard]
 	if kept := save.Checkpoint; kept != nil {
 		Expect(log.Checkpoint(kept.HardState, kept.Snapshot, kept.Entries)).To(Succeed())
@@ -294,16 +294,16 @@
 	for _, entry := range save.Ready.Entries {
 		d.formedAnew = d.formedAnew || entry.Kind == replication.EntryRestore
 	}
-	d.perform(node, node.machine.Saved(d.now, save.Shard))
+	d.perform(node, node.machine.StorageWritten(d.now, save.Shard))
 }
 
 // reading is the list of replicas.
-func (d *goldenDeployment) reading() control.ListReading {
-	service := control.ListedService{Name: "summaries"}
+func (d *goldenDeployment) reading() control.EndpointReading {
+	service := control.ServiceEndpoints{Name: "summaries"}
 	for _, address := range replicaAddresses {
-		service.Replicas = append(service.Replicas, control.ListedReplica{Address: address, Zone: "a"})
+		service.Endpoints = append(service.Endpoints, control.Endpoint{Address: address, Zone: "a"})
 	}
-	return control.ListReading{StartedAt: d.now, Services: []control.ListedService{service}}
+	return control.EndpointReading{StartedAt: d.now, Services: []control.ServiceEndpoints{service}}
 }
 
 // run lets time pass. Messages arrive at the next tick, in the order of sending.
@@ -366,7 +366,7 @@
 // group is that of a shard.
 func (d *goldenDeployment) group(shard uint32) []placeDump {
 	for _, name := range d.names {
-		if group, leads := d.nodes[name].machine.Places(shard); leads {
+		if group, leads := d.nodes[name].machine.GroupSlots(shard); leads {
 			return dumpPlaces(group)
 		}
 	}
@@ -421,7 +421,7 @@
 func (d *goldenDeployment) writeAddresses() {
 	for _, name := range d.names {
 		node := d.nodes[name]
-		data, err := json.Marshal(node.machine.DiskAddresses())
+		data, err := json.Marshal(node.machine.CoreNodeAddresses())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(node.storage.disk.WriteFile(addressesFile, data)).To(Succeed())
 	}
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -20,15 +20,15 @@
 	log    *logrus.Entry
 }
 
-// ReadList implements control.ListReader. Control asks for one reading at a time.
-func (l *lists) ReadList() {
-	go func() { l.driver.ListRead(l.read()) }()
+// ReadEndpoints implements control.EndpointReader. Control asks for one reading at a time.
+func (l *lists) ReadEndpoints() {
+	go func() { l.driver.EndpointsRead(l.read()) }()
 }
 
-func (l *lists) read() control.ListReading {
+func (l *lists) read() control.EndpointReading {
 	ctx, cancel := context.WithTimeout(context.Background(), listReadTimeout)
 	defer cancel()
-	reading := control.ListReading{StartedAt: clock.SinceBoot()}
+	reading := control.EndpointReading{StartedAt: clock.SinceBoot()}
 	reading.Services, reading.Err = l.reader.Read(ctx)
 	if reading.Err != nil {
 		l.log.WithError(reading.Err).Warn("cannot read the platform's list; the last one stays in force")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -203,7 +203,7 @@
 		Storage:    n.storage.shards(),
 		Commander:  n.commander,
 		Traffic:    n.sharer,
-		Lists:      n.lists,
+		Endpoints:  n.lists,
 		Log:        n.log.WithField("component", "control"),
 	})
 	n.commander.driver = n.driver
@@ -267,7 +267,7 @@
 // and ends within the drain time.
 func (n *Node) drain() {
 	n.health.draining.Store(true)
-	n.driver.HandOver()
+	n.driver.TransferLeadership()
 	time.Sleep(min(readinessNotice, n.settings.DrainTimeout()/2))
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout())
 	defer cancel()
--- a/internal/node/ownedges.go
+++ b/internal/node/ownedges.go
@@ -38,7 +38,7 @@
 }
 
 // Read implements ListReader.
-func (l *ownLists) Read(ctx context.Context) ([]control.ListedService, error) {
+func (l *ownLists) Read(ctx context.Context) ([]control.ServiceEndpoints, error) {
 	list, err := l.client.Fetch(ctx)
 	if err != nil {
 		return nil, err
@@ -48,11 +48,11 @@
 	return services, nil
 }
 
-func listedService(service platform.Service, _ int) control.ListedService {
-	return control.ListedService{
+func listedService(service platform.Service, _ int) control.ServiceEndpoints {
+	return control.ServiceEndpoints{
 		Name: service.Name,
-		Replicas: lo.Map(service.Replicas, func(replica platform.Replica, _ int) control.ListedReplica {
-			return control.ListedReplica{
+		Endpoints: lo.Map(service.Replicas, func(replica platform.Replica, _ int) control.Endpoint {
+			return control.Endpoint{
 				Address:  replica.Address,
 				Zone:     replica.Zone,
 				Draining: replica.State != platform.StateRunning,
@@ -71,7 +71,7 @@
 	err := r.client.LoadWeights(ctx, command.Address, replica.WeightsCommand{
 		WeightVersion: command.WeightVersion,
 		Epoch:         command.Token,
-		Holder:        command.Holder,
+		Holder:        command.Leader,
 	})
 	var stale *replica.StaleEpochError
 	var status *replica.StatusError
--- a/internal/node/starts.go
+++ b/internal/node/starts.go
@@ -25,22 +25,22 @@
 }
 
 // mark sets for how much longer the listed back ends are cold.
-func (s *starts) mark(now time.Duration, services []control.ListedService) {
+func (s *starts) mark(now time.Duration, services []control.ServiceEndpoints) {
 	appeared := now
 	if s.started == nil {
 		appeared = now - dynamic.MaxColdStart
 	}
 	started, times := map[listedBackend]time.Duration{}, coldStarts(s.view())
 	for _, service := range services {
-		for at := range service.Replicas {
-			replica := &service.Replicas[at]
+		for at := range service.Endpoints {
+			replica := &service.Endpoints[at]
 			place := listedBackend{service: service.Name, address: replica.Address}
 			since, known := s.started[place]
 			if !known {
 				since = appeared
 			}
 			started[place] = since
-			replica.ColdRemaining = max(0, since+times[service.Name]-now)
+			replica.WarmUpRemaining = max(0, since+times[service.Name]-now)
 		}
 	}
 	s.started = started
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -26,11 +26,11 @@
 
 	// remaining reads a list of a service's addresses.
 	remaining := func(now time.Duration, service string, addresses ...string) []time.Duration {
-		services := []control.ListedService{{Name: service, Replicas: lo.Map(addresses, func(address string, _ int) control.ListedReplica {
-			return control.ListedReplica{Address: address}
+		services := []control.ServiceEndpoints{{Name: service, Endpoints: lo.Map(addresses, func(address string, _ int) control.Endpoint {
+			return control.Endpoint{Address: address}
 		})}}
 		seen.mark(now, services)
-		return lo.Map(services[0].Replicas, func(replica control.ListedReplica, _ int) time.Duration { return replica.ColdRemaining })
+		return lo.Map(services[0].Endpoints, func(replica control.Endpoint, _ int) time.Duration { return replica.WarmUpRemaining })
 	}
 
 	BeforeEach(func() {
@@ -75,7 +75,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		read, err := reader.Read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(read[0].Replicas[0].ColdRemaining).To(BeZero())
-		Expect(read[0].Replicas[1].ColdRemaining).To(Equal(cold))
+		Expect(read[0].Endpoints[0].WarmUpRemaining).To(BeZero())
+		Expect(read[0].Endpoints[1].WarmUpRemaining).To(Equal(cold))
 	})
 })
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -190,22 +190,22 @@
 func goldenControl() []goldenMessage {
 	revisions := []protocol.ShardRevision{{Shard: 0, Revision: 8, Drained: 7}, {Shard: 4, Revision: 90, Drained: 90}}
 	return []goldenMessage{
-		controlFrame("order", KindOrder, protocol.Message{Type: protocol.MessageOrder, Payload: []byte("order")}),
+		controlFrame("order", KindOrder, protocol.Message{Type: protocol.MessageChange, Payload: []byte("order")}),
 		controlFrame("order reply", KindOrder, protocol.Message{
-			Type: protocol.MessageOrderReply, Payload: []byte("answer"), Accepted: true, Leader: "10.0.0.2:7100",
+			Type: protocol.MessageChangeReply, Payload: []byte("answer"), Accepted: true, Leader: "10.0.0.2:7100",
 		}),
 		controlFrame("register", KindRegister, protocol.Message{Type: protocol.MessageRegister, Shard: 4, Incarnation: 1_700_000_000_123}),
 		controlFrame("register reply", KindRegister, protocol.Message{
 			Type: protocol.MessageRegisterReply, Shard: 4, Incarnation: 1_700_000_000_123, Revision: 90, Accepted: true,
 		}),
 		controlFrame("confirm", KindConfirm, protocol.Message{Type: protocol.MessageConfirm, Incarnation: 1_700_000_000_123, Revisions: revisions}),
-		controlFrame("ask confirm", KindAskConfirm, protocol.Message{Type: protocol.MessageAskConfirm, Shard: 4, Revision: 90}),
+		controlFrame("ask confirm", KindAskConfirm, protocol.Message{Type: protocol.MessageConfirmRequest, Shard: 4, Revision: 90}),
 		controlFrame("witness request", KindOther, protocol.Message{Type: protocol.MessageWitnessRequest, Shard: 4, Term: 65_541}),
 		controlFrame("witness reply", KindOther, protocol.Message{
 			Type: protocol.MessageWitnessReply, Shard: 4, Term: 6, Revision: 89, Incarnation: 1_700_000_000_123,
 		}),
-		controlFrame("list", KindOther, protocol.Message{Type: protocol.MessageList, Payload: []byte("list")}),
-		controlFrame("list request", KindOther, protocol.Message{Type: protocol.MessageListRequest, Payload: []byte("list request")}),
+		controlFrame("list", KindOther, protocol.Message{Type: protocol.MessageEndpoints, Payload: []byte("list")}),
+		controlFrame("list request", KindOther, protocol.Message{Type: protocol.MessageEndpointsRequest, Payload: []byte("list request")}),
 		controlFrame("read source", KindOther, protocol.Message{Type: protocol.MessageReadSource}),
 		controlFrame("read source reply", KindOther, protocol.Message{
 			Type: protocol.MessageReadSourceReply, Payload: []byte("source"), Accepted: true,
--- a/internal/wire/messagekind.go
+++ b/internal/wire/messagekind.go
@@ -170,11 +170,11 @@
 
 func controlKind(message protocol.MessageType) MessageKind {
 	switch message {
-	case protocol.MessageOrder, protocol.MessageOrderReply:
+	case protocol.MessageChange, protocol.MessageChangeReply:
 		return KindOrder
 	case protocol.MessageRegister, protocol.MessageRegisterReply:
 		return KindRegister
-	case protocol.MessageAskConfirm:
+	case protocol.MessageConfirmRequest:
 		return KindAskConfirm
 	case protocol.MessageConfirm:
 		return KindConfirm
