--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -193,7 +193,7 @@
 		incarnation := member.Incarnation(node.GetIncarnation())
 		row := m.confirmations.byNode[confirmationKey{shard: hosted.id, node: id}]
 		current := row.incarnation == incarnation && row.revision >= overdue.revision && row.drained >= overdue.drained
-		if !current && !m.members.LifeEnded(id, incarnation) {
+		if !current && !m.members.IncarnationEnded(id, incarnation) {
 			m.sendControl(id, protocol.Message{Type: protocol.MessageConfirmRequest, Shard: hosted.id})
 		}
 	}
@@ -228,7 +228,7 @@
 		return true
 	}
 	for _, node := range hosted.state.Nodes() {
-		if !m.members.FormerLifeSettled(member.ID(node.GetNode())) {
+		if !m.members.FormerIncarnationQuiesced(member.ID(node.GetNode())) {
 			return false
 		}
 	}
@@ -279,7 +279,7 @@
 		if row.incarnation == incarnation && satisfied(row) {
 			continue
 		}
-		if !m.members.LifeEnded(id, incarnation) {
+		if !m.members.IncarnationEnded(id, incarnation) {
 			return false
 		}
 	}
@@ -291,7 +291,7 @@
 func (m *Machine) forgetEndedIncarnations(hosted *shard) {
 	for _, node := range hosted.state.Nodes() {
 		id := member.ID(node.GetNode())
-		if !m.members.LifeEnded(id, member.Incarnation(node.GetIncarnation())) || !m.members.FormerLifeSettled(id) {
+		if !m.members.IncarnationEnded(id, member.Incarnation(node.GetIncarnation())) || !m.members.FormerIncarnationQuiesced(id) {
 			continue
 		}
 		forget := &controlpb.ForgetNode{Node: node.GetNode(), Incarnation: node.GetIncarnation()}
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -294,7 +294,7 @@
 			Nodes:    hosted.state.Nodes(),
 		}), nil
 	}
-	_, sections := m.relay.Held(relaytree.Topic(hosted.id))
+	_, sections := m.relay.Snapshot(relaytree.Topic(hosted.id))
 	answers, err := decodeAnswers(sections)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the answers that a witness holds")
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -218,7 +218,7 @@
 		return
 	}
 	if !message.Accepted && message.Incarnation > m.selfIncarnation() {
-		m.sendMembership(m.members.Outlive(m.now, message.Incarnation))
+		m.sendMembership(m.members.AdvanceIncarnationPast(m.now, message.Incarnation))
 		return
 	}
 	if !message.Accepted && message.Revision != 0 {
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -37,7 +37,7 @@
 	if decoder == nil {
 		decoder = newShardDecoder(shardID)
 		m.received.decoders[shardID] = decoder
-		_, update.Sections = m.relay.Held(update.Topic)
+		_, update.Sections = m.relay.Snapshot(update.Topic)
 		update.Removed = nil
 	}
 	decoded, err := decoder.apply(update)
--- a/internal/dataplane/cold.go
+++ b/internal/dataplane/cold.go
@@ -19,12 +19,12 @@
 
 	mutex sync.Mutex
 	nodes []string
-	rates map[float64]*coldshare.Bound
+	rates map[float64]*coldshare.Limiter
 }
 
 // newColdBounds returns the bounds of a node.
 func newColdBounds(node member.ID) *coldBounds {
-	return &coldBounds{node: string(node), rates: make(map[float64]*coldshare.Bound)}
+	return &coldBounds{node: string(node), rates: make(map[float64]*coldshare.Limiter)}
 }
 
 // setNodes takes in which nodes serve callers now.
@@ -38,7 +38,7 @@
 }
 
 // of returns the bound of back ends that bear a rate.
-func (c *coldBounds) of(now time.Duration, perSecond float64) *coldshare.Bound {
+func (c *coldBounds) of(now time.Duration, perSecond float64) *coldshare.Limiter {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	bound, known := c.rates[perSecond]
@@ -64,5 +64,5 @@
 	if rate <= 0 || now >= listed.ColdUntil {
 		return true
 	}
-	return c.of(now, rate).TryTake(now, listed.Address)
+	return c.of(now, rate).TryAcquire(now, listed.Address)
 }
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -105,7 +105,7 @@
 			MonitorSetVersion: 4,
 			Monitors:          []member.ID{"10.0.0.8:7100", "10.0.0.9:7100"},
 			MonitorBoots:      []member.Incarnation{1_700_000_000_001, 1_699_999_999_000},
-			Silences: []membership.Silence{{
+			TimeoutReports: []membership.TimeoutReport{{
 				Monitor: "10.0.0.9:7100", MonitorBoot: 1_699_999_999_000, Incarnation: 1_700_000_000_000, MonitorSetVersion: 3,
 			}},
 			Version: 12,
@@ -132,16 +132,16 @@
 	return []goldenMessage{
 		membershipFrame("join", KindJoin, membership.Message{Type: membership.MessageJoin, From: records[0].Info, Records: records[:1]}),
 		membershipFrame("join reply", KindJoinReply, membership.Message{
-			Type: membership.MessageJoinReply, From: records[1].Info, Records: records, Digest: 77, Settled: true,
+			Type: membership.MessageJoinReply, From: records[1].Info, Records: records, Digest: 77, Stable: true,
 		}),
 		membershipFrame("join reply before the table", KindJoinReply, membership.Message{
-			Type: membership.MessageJoinReply, From: records[1].Info, Held: true,
+			Type: membership.MessageJoinReply, From: records[1].Info, Deferred: true,
 		}),
 		membershipFrame("heartbeat", KindMemberHeartbeat, membership.Message{
 			Type: membership.MessageHeartbeat, Sequence: 300, MonitorSetVersion: 4, Digest: 78,
 		}),
 		membershipFrame("heartbeat reply", KindMemberHeartbeatReply, membership.Message{
-			Type: membership.MessageHeartbeatReply, Sequence: 300, MonitorSetVersion: 4, SilencedVersion: 3, Digest: 78,
+			Type: membership.MessageHeartbeatReply, Sequence: 300, MonitorSetVersion: 4, TimedOutVersion: 3, Digest: 78,
 		}),
 		membershipFrame("probe", KindProbe, membership.Message{Type: membership.MessageGossip, From: records[0].Info, Digest: 79}),
 		membershipFrame("changed records", KindNews, membership.Message{Type: membership.MessageGossip, Records: records[2:], Digest: 80}),
@@ -149,11 +149,11 @@
 			Type: membership.MessageGossip, From: records[0].Info, Buckets: []uint32{5, 0, 4_000_000_000},
 		}),
 		membershipFrame("summary", KindSummary, membership.Message{
-			Type: membership.MessageGossip, From: records[0].Info, Covered: 0b101,
+			Type: membership.MessageGossip, From: records[0].Info, CoveredBuckets: 0b101,
 			Summary: []membership.RecordDigest{{Member: 1, Digest: 2}, {Member: 3_000_000_000, Digest: 4}},
 		}),
 		membershipFrame("requested records", KindMissing, membership.Message{
-			Type: membership.MessageGossip, From: records[0].Info, Wanted: []uint32{9, 3_000_000_000}, Records: records[3:],
+			Type: membership.MessageGossip, From: records[0].Info, Requested: []uint32{9, 3_000_000_000}, Records: records[3:],
 		}),
 	}
 }
@@ -167,15 +167,15 @@
 func goldenRelay() []goldenMessage {
 	return []goldenMessage{
 		relayFrame("update", KindRelayUpdate, relaytree.Message{
-			Type: relaytree.MessageUpdate, Topic: 3, Revision: 20, BaseRevision: 18, Checksum: 1 << 62, Part: 1, Parts: 4,
+			Type: relaytree.MessageUpdate, Topic: 3, Revision: 20, BaseRevision: 18, Checksum: 1 << 62, Chunk: 1, ChunkCount: 4,
 			Sections: []relaytree.Section{{Name: "routes/1", Content: []byte("content")}, {Name: "empty"}},
 			Removed:  []string{"routes/2"},
 		}),
 		relayFrame("digest", KindRelayDigest, relaytree.Message{
-			Type: relaytree.MessageDigest, Known: []relaytree.TopicRevision{{Topic: 3, Revision: 20, Assembling: true}, {Topic: 4, Revision: 1}},
+			Type: relaytree.MessageDigest, Revisions: []relaytree.TopicRevision{{Topic: 3, Revision: 20, Assembling: true}, {Topic: 4, Revision: 1}},
 		}),
 		relayFrame("acknowledge", KindRelayAcknowledge, relaytree.Message{
-			Type: relaytree.MessageAcknowledge, Topic: 3, Revision: 19, Part: 2, Answers: 20, Mismatch: true,
+			Type: relaytree.MessageAcknowledge, Topic: 3, Revision: 19, Chunk: 2, AcknowledgedRevision: 20, Mismatch: true,
 		}),
 	}
 }
--- a/internal/wire/memberrows.go
+++ b/internal/wire/memberrows.go
@@ -41,7 +41,7 @@
 
 // textsOf is the largest number of texts that a record adds.
 func textsOf(record membership.Record) int {
-	return infoStrings + len(record.Monitors) + len(record.Silences)
+	return infoStrings + len(record.Monitors) + len(record.TimeoutReports)
 }
 
 // text returns the index of a text, 0 for none.
@@ -70,7 +70,7 @@
 		row.Monitors = append(row.Monitors, p.text(string(monitor)))
 	}
 	row.Boots, row.FarBoots = packBoots(record.MonitorBoots, info.Incarnation)
-	for _, silence := range record.Silences {
+	for _, silence := range record.TimeoutReports {
 		row.Silences = append(row.Silences, &fb.SilenceRowT{
 			Monitor:           p.text(string(silence.Monitor)),
 			Incarnation:       uint64(silence.Incarnation),
@@ -170,7 +170,7 @@
 		MonitorSetVersion: row.MonitorSetVersion(),
 		Monitors:          r.monitors(row),
 		MonitorBoots:      r.boots(row),
-		Silences:          r.silences(row),
+		TimeoutReports:    r.silences(row),
 		Version:           row.Version(),
 	}
 }
@@ -219,16 +219,16 @@
 	return boots
 }
 
-func (r rowReader) silences(row *fb.MemberRow) []membership.Silence {
+func (r rowReader) silences(row *fb.MemberRow) []membership.TimeoutReport {
 	length := r.elements(row.SilencesLength(), leastTableBytes)
 	if length == 0 {
 		return nil
 	}
-	silences := make([]membership.Silence, length)
+	silences := make([]membership.TimeoutReport, length)
 	var stored fb.SilenceRow
 	for i := range silences {
 		row.Silences(&stored, i)
-		silences[i] = membership.Silence{
+		silences[i] = membership.TimeoutReport{
 			Monitor:           member.ID(r.shared(stored.Monitor())),
 			Incarnation:       member.Incarnation(stored.Incarnation()),
 			MonitorSetVersion: stored.MonitorSetVersion(),
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -27,15 +27,15 @@
 		MonitorSetVersion: message.MonitorSetVersion,
 		Digest:            message.Digest,
 		Boot:              uint64(message.Boot),
-		SilencedVersion:   message.SilencedVersion,
+		SilencedVersion:   message.TimedOutVersion,
 		Texts:             texts,
 		Rows:              rows,
 		Buckets:           message.Buckets,
-		Covered:           message.Covered,
+		Covered:           message.CoveredBuckets,
 		Summary:           packSummary(message.Summary),
-		Wanted:            message.Wanted,
-		Held:              message.Held,
-		Settled:           message.Settled,
+		Wanted:            message.Requested,
+		Held:              message.Deferred,
+		Settled:           message.Stable,
 	}
 }
 
@@ -79,13 +79,13 @@
 		Digest:            table.Digest(),
 		Records:           r.records(table),
 		Boot:              member.Incarnation(table.Boot()),
-		SilencedVersion:   table.SilencedVersion(),
+		TimedOutVersion:   table.SilencedVersion(),
 		Buckets:           r.numbers(table.BucketsLength(), table.Buckets),
-		Covered:           table.Covered(),
+		CoveredBuckets:    table.Covered(),
 		Summary:           r.summary(table),
-		Wanted:            r.numbers(table.WantedLength(), table.Wanted),
-		Held:              table.Held(),
-		Settled:           table.Settled(),
+		Requested:         r.numbers(table.WantedLength(), table.Wanted),
+		Deferred:          table.Held(),
+		Stable:            table.Settled(),
 	}
 }
 
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -15,14 +15,14 @@
 		Revision:     message.Revision,
 		BaseRevision: message.BaseRevision,
 		Checksum:     message.Checksum,
-		Part:         message.Part,
-		Parts:        message.Parts,
+		Part:         message.Chunk,
+		Parts:        message.ChunkCount,
 		Sections:     packSections(message.Sections),
 		Removed:      message.Removed,
-		Answers:      message.Answers,
+		Answers:      message.AcknowledgedRevision,
 		Mismatch:     message.Mismatch,
 	}
-	for _, known := range message.Known {
+	for _, known := range message.Revisions {
 		packed.Known = append(packed.Known, &fb.TopicRevisionT{
 			Topic:      uint32(known.Topic),
 			Revision:   known.Revision,
@@ -48,18 +48,18 @@
 		return nil
 	}
 	return &relaytree.Message{
-		Type:         relaytree.MessageType(table.Type()),
-		Topic:        relaytree.Topic(table.Topic()),
-		Revision:     table.Revision(),
-		BaseRevision: table.BaseRevision(),
-		Checksum:     table.Checksum(),
-		Part:         table.Part(),
-		Parts:        table.Parts(),
-		Sections:     r.sections(table),
-		Removed:      r.texts(table.RemovedLength(), table.Removed),
-		Answers:      table.Answers(),
-		Mismatch:     table.Mismatch(),
-		Known:        r.topicRevisions(table),
+		Type:                 relaytree.MessageType(table.Type()),
+		Topic:                relaytree.Topic(table.Topic()),
+		Revision:             table.Revision(),
+		BaseRevision:         table.BaseRevision(),
+		Checksum:             table.Checksum(),
+		Chunk:                table.Part(),
+		ChunkCount:           table.Parts(),
+		Sections:             r.sections(table),
+		Removed:              r.texts(table.RemovedLength(), table.Removed),
+		AcknowledgedRevision: table.Answers(),
+		Mismatch:             table.Mismatch(),
+		Revisions:            r.topicRevisions(table),
 	}
 }
 
--- a/pkg/coldshare/coldshare.go
+++ b/pkg/coldshare/coldshare.go
@@ -19,8 +19,8 @@
 
 // Defaults of Options.
 const (
-	DefaultOwners = 2
-	DefaultSettle = time.Second
+	DefaultOwners         = 2
+	DefaultOwnershipDelay = time.Second
 	// window is the span in which requests are counted.
 	window = time.Second
 	// maxReplicas bounds the replicas that are remembered; those sent to longest
@@ -36,114 +36,114 @@
 	PerSecond float64
 	// Owners is how many nodes may send to one cold replica.
 	Owners int
-	// Settle is how long a node waits after it has become an owner.
-	Settle time.Duration
+	// OwnershipDelay is how long a node waits after it has become an owner.
+	OwnershipDelay time.Duration
 }
 
-// Bound counts what one node sends to cold replicas. It may be used by many
+// Limiter counts what one node sends to cold replicas. It may be used by many
 // goroutines.
-type Bound struct {
+type Limiter struct {
 	options Options
 
 	mutex    sync.Mutex
 	nodes    []string
-	replicas map[string]*coldReplica
+	replicas map[string]*replicaState
 }
 
-// coldReplica is what a node remembers of one replica.
-type coldReplica struct {
+// replicaState is what a node remembers of one replica.
+type replicaState struct {
 	owned      bool
 	ownedSince time.Duration
-	sent       []time.Duration
+	sentAt     []time.Duration
 	usedAt     time.Duration
 }
 
 // New returns a bound for a node that knows of no other.
-func New(options Options) *Bound {
+func New(options Options) *Limiter {
 	if options.Owners <= 0 {
 		options.Owners = DefaultOwners
 	}
-	if options.Settle <= 0 {
-		options.Settle = DefaultSettle
+	if options.OwnershipDelay <= 0 {
+		options.OwnershipDelay = DefaultOwnershipDelay
 	}
-	return &Bound{options: options, nodes: []string{options.Node}, replicas: make(map[string]*coldReplica)}
+	return &Limiter{options: options, nodes: []string{options.Node}, replicas: make(map[string]*replicaState)}
 }
 
 // SetNodes replaces the live nodes, this one among them.
-func (b *Bound) SetNodes(now time.Duration, nodes []string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.nodes = slices.Clone(nodes)
-	for address, replica := range b.replicas {
-		b.refresh(now, address, replica)
+func (l *Limiter) SetNodes(now time.Duration, nodes []string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.nodes = slices.Clone(nodes)
+	for address, replica := range l.replicas {
+		l.updateOwnership(now, address, replica)
 	}
 }
 
 // Allowed tells whether one more request may go to a cold replica now. It counts
 // nothing.
-func (b *Bound) Allowed(now time.Duration, address string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.allowed(now, b.replica(now, address))
+func (l *Limiter) Allowed(now time.Duration, address string) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.allowed(now, l.trackedReplica(now, address))
 }
 
-// TryTake counts a request to a cold replica and returns true, or returns false
+// TryAcquire counts a request to a cold replica and returns true, or returns false
 // when none may go there.
-func (b *Bound) TryTake(now time.Duration, address string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	replica := b.replica(now, address)
-	if !b.allowed(now, replica) {
+func (l *Limiter) TryAcquire(now time.Duration, address string) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	replica := l.trackedReplica(now, address)
+	if !l.allowed(now, replica) {
 		return false
 	}
-	replica.sent = append(replica.sent, now)
+	replica.sentAt = append(replica.sentAt, now)
 	return true
 }
 
-func (b *Bound) allowed(now time.Duration, replica *coldReplica) bool {
-	if !replica.owned || now-replica.ownedSince < b.options.Settle {
+func (l *Limiter) allowed(now time.Duration, replica *replicaState) bool {
+	if !replica.owned || now-replica.ownedSince < l.options.OwnershipDelay {
 		return false
 	}
-	for len(replica.sent) > 0 && replica.sent[0] <= now-window {
-		replica.sent = replica.sent[1:]
+	for len(replica.sentAt) > 0 && replica.sentAt[0] <= now-window {
+		replica.sentAt = replica.sentAt[1:]
 	}
-	return len(replica.sent) < b.part()
+	return len(replica.sentAt) < l.quotaPerOwner()
 }
 
-// part is how many requests each owner may send in a second. With fewer requests
+// quotaPerOwner is how many requests each owner may send in a second. With fewer requests
 // than owners, only as many nodes own the replica.
-func (b *Bound) part() int { return int(b.options.PerSecond) / b.owners() }
+func (l *Limiter) quotaPerOwner() int { return int(l.options.PerSecond) / l.owners() }
 
-func (b *Bound) owners() int { return max(1, min(b.options.Owners, int(b.options.PerSecond))) }
+func (l *Limiter) owners() int { return max(1, min(l.options.Owners, int(l.options.PerSecond))) }
 
-func (b *Bound) replica(now time.Duration, address string) *coldReplica {
-	known, present := b.replicas[address]
+func (l *Limiter) trackedReplica(now time.Duration, address string) *replicaState {
+	tracked, present := l.replicas[address]
 	if !present {
-		b.makeRoom()
-		known = &coldReplica{}
-		b.replicas[address] = known
-		b.refresh(now, address, known)
+		l.evictOldest()
+		tracked = &replicaState{}
+		l.replicas[address] = tracked
+		l.updateOwnership(now, address, tracked)
 	}
-	known.usedAt = now
-	return known
+	tracked.usedAt = now
+	return tracked
 }
 
-func (b *Bound) makeRoom() {
-	if len(b.replicas) < maxReplicas {
+func (l *Limiter) evictOldest() {
+	if len(l.replicas) < maxReplicas {
 		return
 	}
 	oldest, oldestAt := "", time.Duration(0)
-	for address, replica := range b.replicas {
+	for address, replica := range l.replicas {
 		if oldest == "" || replica.usedAt < oldestAt {
 			oldest, oldestAt = address, replica.usedAt
 		}
 	}
-	delete(b.replicas, oldest)
+	delete(l.replicas, oldest)
 }
 
-// refresh finds out whether this node is an owner now.
-func (b *Bound) refresh(now time.Duration, address string, replica *coldReplica) {
-	owned := b.rank(address) < b.owners()
+// updateOwnership finds out whether this node is an owner now.
+func (l *Limiter) updateOwnership(now time.Duration, address string, replica *replicaState) {
+	owned := l.rank(address) < l.owners()
 	if owned && !replica.owned {
 		replica.ownedSince = now
 	}
@@ -151,19 +151,19 @@
 }
 
 // rank counts the nodes that go before this one for a replica.
-func (b *Bound) rank(address string) int {
-	own := weight(b.options.Node, address)
-	ahead := 0
-	for _, node := range b.nodes {
-		if node == b.options.Node {
+func (l *Limiter) rank(address string) int {
+	self := weight(l.options.Node, address)
+	rank := 0
+	for _, node := range l.nodes {
+		if node == l.options.Node {
 			continue
 		}
 		other := weight(node, address)
-		if cmp.Or(cmp.Compare(own, other), cmp.Compare(b.options.Node, node)) < 0 {
-			ahead++
+		if cmp.Or(cmp.Compare(self, other), cmp.Compare(l.options.Node, node)) < 0 {
+			rank++
 		}
 	}
-	return ahead
+	return rank
 }
 
 func weight(node, address string) uint64 {
--- a/pkg/coldshare/coldshare_test.go
+++ b/pkg/coldshare/coldshare_test.go
@@ -24,13 +24,13 @@
 type trial struct {
 	random *rand.Rand
 	names  []string
-	bounds map[string]*coldshare.Bound
+	bounds map[string]*coldshare.Limiter
 	sent   []time.Duration
-	most   int
+	peak   int
 }
 
 func newTrial(seed uint64, nodes int) *trial {
-	t := &trial{random: rand.New(rand.NewPCG(seed, 1)), bounds: map[string]*coldshare.Bound{}}
+	t := &trial{random: rand.New(rand.NewPCG(seed, 1)), bounds: map[string]*coldshare.Limiter{}}
 	for number := range nodes {
 		t.names = append(t.names, fmt.Sprint("node-", number))
 	}
@@ -44,18 +44,18 @@
 
 func (t *trial) send(now time.Duration) {
 	for _, name := range t.names {
-		for t.bounds[name].TryTake(now, "replica") {
+		for t.bounds[name].TryAcquire(now, "replica") {
 			t.sent = append(t.sent, now)
 		}
 	}
 	for len(t.sent) > 0 && t.sent[0] <= now-time.Second {
 		t.sent = t.sent[1:]
 	}
-	t.most = max(t.most, len(t.sent))
+	t.peak = max(t.peak, len(t.sent))
 }
 
-// without returns the names but for some that are drawn.
-func (t *trial) without(missing int) []string {
+// namesWithout returns the names but for some that are drawn.
+func (t *trial) namesWithout(missing int) []string {
 	names := append([]string(nil), t.names...)
 	t.random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	return names[missing:]
@@ -70,8 +70,8 @@
 			t.send(now)
 			total += max(0, len(t.sent)-before)
 		}
-		Expect(t.most).To(BeNumerically("<=", perSecond))
-		Expect(t.most).To(BeNumerically(">=", 4))
+		Expect(t.peak).To(BeNumerically("<=", perSecond))
+		Expect(t.peak).To(BeNumerically(">=", 4))
 	})
 
 	DescribeTable("stays below one and a half times the rate and five while views differ", func(seed uint64, nodes, missing int) {
@@ -79,11 +79,11 @@
 		for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 			if t.random.IntN(50) == 0 {
 				name := t.names[t.random.IntN(nodes)]
-				t.bounds[name].SetNodes(now, append(t.without(missing), name))
+				t.bounds[name].SetNodes(now, append(t.namesWithout(missing), name))
 			}
 			t.send(now)
 		}
-		Expect(t.most).To(BeNumerically("<=", perSecond*1.5+5))
+		Expect(t.peak).To(BeNumerically("<=", perSecond*1.5+5))
 	},
 		Entry("nine nodes, one of which others miss", uint64(1), 9, 1),
 		Entry("nine nodes, two of which others miss", uint64(2), 9, 2),
@@ -101,18 +101,18 @@
 			}
 		}
 		bound.SetNodes(3*time.Hour, []string{"a"})
-		Expect(bound.TryTake(3*time.Hour+999*time.Millisecond, address)).To(BeFalse())
+		Expect(bound.TryAcquire(3*time.Hour+999*time.Millisecond, address)).To(BeFalse())
 		for range int(perSecond) {
-			Expect(bound.TryTake(3*time.Hour+time.Second, address)).To(BeTrue())
+			Expect(bound.TryAcquire(3*time.Hour+time.Second, address)).To(BeTrue())
 		}
-		Expect(bound.TryTake(3*time.Hour+time.Second, address)).To(BeFalse())
-		Expect(bound.TryTake(3*time.Hour+2*time.Second, address)).To(BeTrue())
+		Expect(bound.TryAcquire(3*time.Hour+time.Second, address)).To(BeFalse())
+		Expect(bound.TryAcquire(3*time.Hour+2*time.Second, address)).To(BeTrue())
 	})
 
 	It("gives all to one node where the rate is below one for each owner", func() {
 		bound := coldshare.New(coldshare.Options{Node: "a", PerSecond: 1})
 		bound.Allowed(0, "replica")
-		Expect(bound.TryTake(time.Second, "replica")).To(BeTrue())
-		Expect(bound.TryTake(time.Second, "replica")).To(BeFalse())
+		Expect(bound.TryAcquire(time.Second, "replica")).To(BeTrue())
+		Expect(bound.TryAcquire(time.Second, "replica")).To(BeFalse())
 	})
 })
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -43,9 +43,9 @@
 // Holder tells how long a lease that a majority confirms may be used.
 // The zero Holder was never confirmed.
 type Holder struct {
-	timing    Timing
-	confirmed bool
-	from      time.Duration
+	timing      Timing
+	confirmed   bool
+	confirmedAt time.Duration
 }
 
 // NewHolder returns a holder whose lease is not confirmed yet.
@@ -56,11 +56,11 @@
 // Confirm takes in that a majority answered a round sent at sentAt, on the
 // holder's clock. Older rounds than the newest one confirmed change nothing.
 func (h *Holder) Confirm(sentAt time.Duration) {
-	if h.confirmed && sentAt <= h.from {
+	if h.confirmed && sentAt <= h.confirmedAt {
 		return
 	}
 	h.confirmed = true
-	h.from = sentAt
+	h.confirmedAt = sentAt
 }
 
 // Deadline returns the first instant at which the holder may no longer act.
@@ -69,7 +69,7 @@
 	if !h.confirmed {
 		return 0, false
 	}
-	return h.from + h.timing.Duration - h.timing.Margin, true
+	return h.confirmedAt + h.timing.Duration - h.timing.Margin, true
 }
 
 // MayAct tells whether the lease can be used at now.
@@ -81,28 +81,28 @@
 // Successor tells when every lease of an earlier term has run out.
 // The zero Successor took over nothing.
 type Successor struct {
-	timing Timing
-	took   bool
-	tookAt time.Duration
+	timing    Timing
+	elected   bool
+	electedAt time.Duration
 }
 
 // NewSuccessor returns the successor that a majority had promised the term to
-// at tookAt, on the successor's clock.
-func NewSuccessor(timing Timing, tookAt time.Duration) Successor {
-	return Successor{timing: timing, took: true, tookAt: tookAt}
+// at electedAt, on the successor's clock.
+func NewSuccessor(timing Timing, electedAt time.Duration) Successor {
+	return Successor{timing: timing, elected: true, electedAt: electedAt}
 }
 
 // ReadyAt returns the first instant at which the successor may act. It is
 // false if the successor took over nothing.
-func (s *Successor) ReadyAt() (readyAt time.Duration, took bool) {
-	if !s.took {
+func (s *Successor) ReadyAt() (readyAt time.Duration, elected bool) {
+	if !s.elected {
 		return 0, false
 	}
-	return s.tookAt + s.timing.Duration + s.timing.Margin, true
+	return s.electedAt + s.timing.Duration + s.timing.Margin, true
 }
 
 // MayAct tells whether all earlier leases have run out at now.
 func (s *Successor) MayAct(now time.Duration) bool {
-	readyAt, took := s.ReadyAt()
-	return took && now >= readyAt
+	readyAt, elected := s.ReadyAt()
+	return elected && now >= readyAt
 }
--- a/pkg/membership/config.go
+++ b/pkg/membership/config.go
@@ -22,25 +22,25 @@
 const (
 	// zoneFanOut is how many members of its own zone each holder of news passes it to.
 	zoneFanOut = 3
-	// crossFanOut is how many members of other zones the one whose news it is passes it
+	// crossZoneFanOut is how many members of other zones the one whose news it is passes it
 	// to, and crossings about how many others do so for each zone.
-	crossFanOut = 2
-	crossings   = 4
-	// bulkNews is how many records of others may change at once for each change to be
+	crossZoneFanOut = 2
+	forwardsPerZone = 4
+	// bulkUpdateThreshold is how many records of others may change at once for each change to be
 	// passed on; more are left to exchanges.
-	bulkNews = 16
-	// leastHeartbeatsInFence heartbeats must fit into FenceAfter, so that one may
+	bulkUpdateThreshold = 16
+	// minHeartbeatsPerFence heartbeats must fit into FenceAfter, so that one may
 	// be lost before others are tried, and there is time to change to them.
-	leastHeartbeatsInFence = 4
-	// rowRepeatRounds is for how many rounds a peer may leave heartbeats
+	minHeartbeatsPerFence = 4
+	// recordResendRounds is for how many rounds a peer may leave heartbeats
 	// unanswered before they hold this node's row again.
-	rowRepeatRounds = 2
-	// probeRounds is how many heartbeat rounds lie between two digests sent to
+	recordResendRounds = 2
+	// roundsPerProbe is how many heartbeat rounds lie between two digests sent to
 	// a member beyond the monitors, which heals splits.
-	probeRounds = 5
-	// joinPatienceFences is for how many FenceAfter periods a starting node
+	roundsPerProbe = 5
+	// joinTimeoutFences is for how many FenceAfter periods a starting node
 	// waits for some seed before it takes itself to be alone.
-	joinPatienceFences = 3
+	joinTimeoutFences = 3
 )
 
 // Config sets up a Machine. Zero values take the defaults.
@@ -74,7 +74,7 @@
 	c.FenceAfter = defaultDuration(c.FenceAfter, DefaultFenceAfter)
 	c.FenceMargin = defaultDuration(c.FenceMargin, DefaultFenceMargin)
 	c.ForgetAfter = defaultDuration(c.ForgetAfter, DefaultForgetAfter)
-	c.HeartbeatEvery = min(c.HeartbeatEvery, c.FenceAfter/leastHeartbeatsInFence)
+	c.HeartbeatEvery = min(c.HeartbeatEvery, c.FenceAfter/minHeartbeatsPerFence)
 	return c
 }
 
@@ -85,20 +85,20 @@
 	return value
 }
 
-// settleAfter is how long the table must be without a new member before the node
+// stabilizationWait is how long the table must be without a new member before the node
 // chooses monitors by it.
-func (c Config) settleAfter() time.Duration {
+func (c Config) stabilizationWait() time.Duration {
 	return c.HeartbeatEvery / 2
 }
 
-// joinHold is how long after its own start a node expects others to start, and half
+// startupWindow is how long after its own start a node expects others to start, and half
 // of the longest time for which it keeps them waiting for its table.
-func (c Config) joinHold() time.Duration {
+func (c Config) startupWindow() time.Duration {
 	return 2 * c.HeartbeatEvery
 }
 
-// choosePatience is how long a life without monitors waits for the table to settle.
-func (c Config) choosePatience() time.Duration {
+// monitorChoiceTimeout is how long a life without monitors waits for the table to settle.
+func (c Config) monitorChoiceTimeout() time.Duration {
 	return 2 * c.FenceAfter
 }
 
@@ -108,7 +108,7 @@
 	return c.FenceAfter / 2
 }
 
-// silenceAfter is how long a monitor hears nothing before it reports.
-func (c Config) silenceAfter() time.Duration {
+// monitorTimeout is how long a monitor hears nothing before it reports.
+func (c Config) monitorTimeout() time.Duration {
 	return c.FenceAfter + c.FenceMargin
 }
--- a/pkg/membership/doc.go
+++ b/pkg/membership/doc.go
@@ -27,7 +27,7 @@
 // over: the process goes on under the next incarnation (FenceCount grows), with
 // new monitors, and may serve only after the layer above has registered it and
 // learnt the current revision. A set of n monitors needs acksNeeded(n)
-// acknowledgements to serve; silencesNeeded(n) is the least number of monitors
+// acknowledgements to serve; reportsNeeded(n) is the least number of monitors
 // that leaves fewer. These hold:
 //
 //  1. A Silence is a promise. After it, this process of the monitor never again
@@ -40,7 +40,7 @@
 //     the incarnation or learnt of the set, whichever is later. What the member
 //     counts of this monitor was sent before that. So, as long as clocks differ
 //     in rate by less than FenceMargin/FenceAfter, it has run out.
-//  3. Hence, when silencesNeeded monitors of a set reported, the member is
+//  3. Hence, when reportsNeeded monitors of a set reported, the member is
 //     fenced under this set, and stays so.
 //  4. A member that replaces a set is subject to both: it is fenced when either
 //     lacks its majority. A new set counts as acknowledged when it is declared,
@@ -56,18 +56,18 @@
 //
 // A member that left is fenced for good by its own act. That, and a later life, is
 // known at once, and so before what the member sent last has arrived everywhere.
-// FormerLifeSettled tells when it has; a certain fence includes FenceMargin.
+// FormerIncarnationQuiesced tells when it has; a certain fence includes FenceMargin.
 //
 // This assumes that a node's processes follow each other, one at a time, and
-// that each starts with an incarnation which no earlier one used. LifeEnded
+// that each starts with an incarnation which no earlier one used. IncarnationEnded
 // assumes further that incarnations grow, so that a later life means that the
 // earlier one is over. A process that started with too small an incarnation
 // begins a later life as soon as it hears of the earlier one; until then
-// LifeEnded may be wrong of it, CertainlyFenced is not.
+// IncarnationEnded may be wrong of it, CertainlyFenced is not.
 //
 // # When there is no certainty
 //
-// With fewer than silencesNeeded reports the answer stays "not certain", and
+// With fewer than reportsNeeded reports the answer stays "not certain", and
 // the caller must wait for the member itself. This is so when the member's
 // monitors died with it (with three, when two of them did; the loss of one
 // leaves two, which is enough), when they restarted before they reported, and
--- a/pkg/membership/errors.go
+++ b/pkg/membership/errors.go
@@ -13,7 +13,7 @@
 const (
 	RemoveSelf RemoveReason = iota + 1
 	RemoveUnknown
-	RemoveOtherLife
+	RemoveOtherIncarnation
 )
 
 // String returns the reason with its remedy.
@@ -23,7 +23,7 @@
 		return "it is this node; let it leave, or ask another node"
 	case RemoveUnknown:
 		return "no such member; look the name up in the list of members"
-	case RemoveOtherLife:
+	case RemoveOtherIncarnation:
 		return "it has begun another life since; check that its process is stopped and try again"
 	default:
 		return fmt.Sprintf("reason %d", uint8(r))
--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -17,7 +17,7 @@
 //     that it lacks or that differ. Of these, the other sends what is still newer.
 
 const (
-	// bucketCount is the number of ranges, one for each bit of Message.Covered.
+	// bucketCount is the number of ranges, one for each bit of Message.CoveredBuckets.
 	bucketCount = 64
 	bucketBits  = 6
 	allBuckets  = ^uint64(0)
@@ -26,11 +26,11 @@
 // A node starts an exchange at most exchangesPerHeartbeat times in HeartbeatEvery, and
 // less often the more a summary holds.
 const (
-	exchangesPerHeartbeat = 4
-	exchangePerRecord     = 500 * time.Microsecond
-	// exchangesWithDiffering is one in how many exchanges goes to the member whose digest
+	exchangesPerHeartbeat     = 4
+	exchangeIntervalPerRecord = 500 * time.Microsecond
+	// differingPartnerOneIn is one in how many exchanges goes to the member whose digest
 	// differed; the others go to some member of this node's zone, which costs less.
-	exchangesWithDiffering = 3
+	differingPartnerOneIn = 3
 )
 
 // exchange is what a node knows of the need to exchange records.
@@ -48,16 +48,16 @@
 // bucketOf returns the range of a member.
 func bucketOf(key uint32) int { return int(key >> (32 - bucketBits)) }
 
-// account takes a new or changed record into the digests.
-func (m *Machine) account(e *entry) {
+// updateDigest takes a new or changed record into the digests.
+func (m *Machine) updateDigest(e *entry) {
 	digest := recordDigest(e.record)
 	m.digest += digest - e.digest
 	m.buckets[bucketOf(e.key)] += digest - e.digest
 	e.digest = digest
 }
 
-// unaccount takes a record out of the digests.
-func (m *Machine) unaccount(e *entry) {
+// removeFromDigest takes a record out of the digests.
+func (m *Machine) removeFromDigest(e *entry) {
 	m.digest -= e.digest
 	m.buckets[bucketOf(e.key)] -= e.digest
 	e.digest = 0
@@ -78,51 +78,51 @@
 // startExchange sends the digests by range if some member's table differs. While
 // little news comes in, a difference is most likely news on its way, so that it waits.
 func (m *Machine) startExchange() {
-	waiting := len(m.heldJoins) > 0
+	waiting := len(m.deferredJoins) > 0
 	if m.now < m.exchange.next || m.exchange.differing.ID == "" && !waiting {
 		return
 	}
 	overdue := m.now >= m.exchange.next+m.config.FenceAfter
-	if !m.inBulk() && !waiting && !overdue && m.now-m.changed < m.config.HeartbeatEvery/2 {
+	if !m.inBulkChange() && !waiting && !overdue && m.now-m.changedAt < m.config.HeartbeatEvery/2 {
 		return
 	}
 	partner, found := m.exchangePartner()
 	if !found {
 		return
 	}
-	m.exchange = exchange{next: m.now + m.exchangeEvery()}
+	m.exchange = exchange{next: m.now + m.exchangeInterval()}
 	m.outbox = append(m.outbox, Outbound{
 		To:      partner.ID,
 		Address: partner.Address,
-		Message: m.signed(Message{Type: MessageGossip, Buckets: m.bucketDigests()}),
+		Message: m.withSender(Message{Type: MessageGossip, Buckets: m.bucketDigests()}),
 	})
 }
 
 // exchangePartner draws whom to exchange records with. A node that keeps others
 // waiting for its table asks the other seeds, which others join through.
 func (m *Machine) exchangePartner() (member.Info, bool) {
-	if len(m.heldJoins) > 0 {
-		if seed, found := m.anySeed(); found {
+	if len(m.deferredJoins) > 0 {
+		if seed, found := m.randomSeedMember(); found {
 			return seed, true
 		}
 	}
-	if m.random.IntN(exchangesWithDiffering) > 0 {
-		if near, _, _ := m.liveByZone(); len(near) > 0 {
+	if m.random.IntN(differingPartnerOneIn) > 0 {
+		if near, _, _ := m.shuffledLiveMembers(); len(near) > 0 {
 			return m.table[near[0]].record.Info, true
 		}
 	}
 	return m.exchange.differing, m.exchange.differing.ID != ""
 }
 
-// anySeed draws a member that listens at a seed.
-func (m *Machine) anySeed() (member.Info, bool) {
-	seeds := m.foreignSeeds()
+// randomSeedMember draws a member that listens at a seed.
+func (m *Machine) randomSeedMember() (member.Info, bool) {
+	seeds := m.remoteSeeds()
 	if len(seeds) == 0 {
 		return member.Info{}, false
 	}
-	wanted := seeds[m.random.IntN(len(seeds))]
-	for _, id := range m.order {
-		if info := m.table[id].record.Info; info.Address == wanted {
+	address := seeds[m.random.IntN(len(seeds))]
+	for _, id := range m.sortedIDs {
+		if info := m.table[id].record.Info; info.Address == address {
 			return info, true
 		}
 	}
@@ -142,10 +142,10 @@
 	switch {
 	case len(msg.Buckets) > 0:
 		m.onBuckets(msg)
-	case msg.Covered != 0:
+	case msg.CoveredBuckets != 0:
 		m.onSummary(msg)
-	case len(msg.Wanted) > 0:
-		m.onWanted(msg)
+	case len(msg.Requested) > 0:
+		m.onRequested(msg)
 	case len(msg.Records) == 0:
 		m.compareDigest(msg)
 	}
@@ -166,12 +166,12 @@
 		// The digests by range are shorter than the one of the table.
 		covered = allBuckets
 	}
-	m.reply(msg, Message{Type: MessageGossip, Covered: covered, Summary: m.summaryOf(covered)})
+	m.reply(msg, Message{Type: MessageGossip, CoveredBuckets: covered, Summary: m.summaryOf(covered)})
 }
 
 func (m *Machine) summaryOf(covered uint64) []RecordDigest {
-	summary := make([]RecordDigest, 0, len(m.order)*bits.OnesCount64(covered)/bucketCount)
-	for _, id := range m.order {
+	summary := make([]RecordDigest, 0, len(m.sortedIDs)*bits.OnesCount64(covered)/bucketCount)
+	for _, id := range m.sortedIDs {
 		if e := m.table[id]; e.isCovered(covered) {
 			summary = append(summary, e.summary())
 		}
@@ -187,13 +187,13 @@
 // own of these.
 func (m *Machine) onSummary(msg Message) {
 	theirs := make(map[uint32]uint32, len(msg.Summary))
-	for _, one := range msg.Summary {
-		theirs[one.Member] = one.Digest
+	for _, summary := range msg.Summary {
+		theirs[summary.Member] = summary.Digest
 	}
-	answer := Message{Type: MessageGossip}
-	for _, id := range m.order {
+	reply := Message{Type: MessageGossip}
+	for _, id := range m.sortedIDs {
 		e := m.table[id]
-		if !e.isCovered(msg.Covered) {
+		if !e.isCovered(msg.CoveredBuckets) {
 			continue
 		}
 		digest, known := theirs[e.key]
@@ -201,31 +201,31 @@
 		if known && digest == uint32(e.digest) {
 			continue
 		}
-		answer.Records = append(answer.Records, e.record.clone())
+		reply.Records = append(reply.Records, e.record.clone())
 		if known {
-			answer.Wanted = append(answer.Wanted, e.key)
+			reply.Requested = append(reply.Requested, e.key)
 		}
 	}
 	for key := range theirs {
-		answer.Wanted = append(answer.Wanted, key)
+		reply.Requested = append(reply.Requested, key)
 	}
-	slices.Sort(answer.Wanted)
-	if len(answer.Records)+len(answer.Wanted) > 0 {
-		m.reply(msg, answer)
+	slices.Sort(reply.Requested)
+	if len(reply.Records)+len(reply.Requested) > 0 {
+		m.reply(msg, reply)
 	}
 }
 
-// onWanted sends the wanted records, but for those that the sender holds by now: what
+// onRequested sends the wanted records, but for those that the sender holds by now: what
 // it sent along has been merged.
-func (m *Machine) onWanted(msg Message) {
+func (m *Machine) onRequested(msg Message) {
 	received := map[member.ID]Record{}
 	for _, record := range msg.Records {
 		received[record.Info.ID] = record
 	}
 	var records []Record
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		e := m.table[id]
-		if _, wanted := slices.BinarySearch(msg.Wanted, e.key); !wanted {
+		if _, requested := slices.BinarySearch(msg.Requested, e.key); !requested {
 			continue
 		}
 		if their, known := received[id]; !known || !equalRecords(their, e.record) {
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -8,22 +8,22 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// A process that outlives an earlier one skips outliveStep incarnations, and up
-// to outliveSpread more, drawn by its own start.
+// A process that outlives an earlier one skips minIncarnationSkip incarnations, and up
+// to incarnationSkipJitter more, drawn by its own start.
 const (
-	outliveStep   = 1 << 16
-	outliveSpread = 1 << 32
+	minIncarnationSkip    = 1 << 16
+	incarnationSkipJitter = 1 << 32
 )
 
-// mergeAll takes in the records of a message.
-func (m *Machine) mergeAll(msg Message) {
+// mergeMessage takes in the records of a message.
+func (m *Machine) mergeMessage(msg Message) {
 	for _, record := range msg.Records {
 		m.merge(record)
 	}
 	if msg.Type == MessageJoinReply && !m.joined {
 		// The seed's neighbours know the table already; only this node is new.
-		clear(m.news)
-		m.news[m.config.Self.ID] = true
+		clear(m.pendingUpdates)
+		m.pendingUpdates[m.config.Self.ID] = true
 	}
 }
 
@@ -33,93 +33,93 @@
 	if id == "" {
 		return
 	}
-	if id == m.config.Self.ID && m.outlivedBy(record) {
-		m.outlive(record.Info.Incarnation)
+	if id == m.config.Self.ID && m.isSupersededBy(record) {
+		m.skipIncarnationsPast(record.Info.Incarnation)
 		return
 	}
-	if over, forgotten := m.ended[id]; forgotten && record.Info.Incarnation <= over {
+	if endedIncarnation, forgotten := m.forgotten[id]; forgotten && record.Info.Incarnation <= endedIncarnation {
 		return
 	}
 	e, known := m.table[id]
 	if !known {
-		delete(m.ended, id)
+		delete(m.forgotten, id)
 		m.insert(mergeRecords(record, record))
 		return
 	}
-	if len(record.Silences) == 0 && compareOwnerPart(record, e.record) <= 0 {
+	if len(record.TimeoutReports) == 0 && compareOwnerState(record, e.record) <= 0 {
 		return
 	}
 	merged := mergeRecords(e.record, record)
 	if equalRecords(merged, e.record) {
 		return
 	}
-	m.updateWatch(e, merged)
+	m.updateMonitor(e, merged)
 	if merged.Info.Incarnation != e.record.Info.Incarnation || leftRank(merged) != leftRank(e.record) {
-		e.lifeSince = m.now
+		e.incarnationSince = m.now
 	}
 	e.record = merged
-	m.account(e)
-	e.over = e.over && merged.certainlyFenced()
-	m.file(id, e)
-	m.news[id] = true
-	m.changed = m.now
+	m.updateDigest(e)
+	e.seenFenced = e.seenFenced && merged.certainlyFenced()
+	m.updateIndexes(id, e)
+	m.pendingUpdates[id] = true
+	m.changedAt = m.now
 }
 
 func (m *Machine) insert(record Record) {
 	id := record.Info.ID
-	e := &entry{record: record, key: memberKey(id), watch: watch{heard: m.now}, lifeSince: m.now}
+	e := &entry{record: record, key: memberKey(id), monitor: memberMonitor{lastHeard: m.now}, incarnationSince: m.now}
 	m.table[id] = e
-	m.account(e)
-	m.file(id, e)
-	at, _ := slices.BinarySearch(m.order, id)
-	m.order = slices.Insert(m.order, at, id)
+	m.updateDigest(e)
+	m.updateIndexes(id, e)
+	at, _ := slices.BinarySearch(m.sortedIDs, id)
+	m.sortedIDs = slices.Insert(m.sortedIDs, at, id)
 	if id != m.config.Self.ID {
 		m.ring.insert(id)
 	}
-	m.news[id] = true
-	m.changed = m.now
-	m.grown = m.now
+	m.pendingUpdates[id] = true
+	m.changedAt = m.now
+	m.grownAt = m.now
 }
 
 func (m *Machine) remove(id member.ID) {
-	m.unaccount(m.table[id])
+	m.removeFromDigest(m.table[id])
 	delete(m.table, id)
-	m.unfile(id)
-	at, _ := slices.BinarySearch(m.order, id)
-	m.order = slices.Delete(m.order, at, at+1)
+	m.removeFromIndexes(id)
+	at, _ := slices.BinarySearch(m.sortedIDs, id)
+	m.sortedIDs = slices.Delete(m.sortedIDs, at, at+1)
 	m.ring.remove(id)
 }
 
-// outlivedBy tells whether the table speaks of a life of this node that this
+// isSupersededBy tells whether the table speaks of a life of this node that this
 // process does not know of, such as one that an earlier process began.
-func (m *Machine) outlivedBy(record Record) bool {
-	if record.Info.Incarnation != m.life.incarnation {
-		return record.Info.Incarnation > m.life.incarnation
+func (m *Machine) isSupersededBy(record Record) bool {
+	if record.Info.Incarnation != m.incarnation.number {
+		return record.Info.Incarnation > m.incarnation.number
 	}
-	return record.Version > m.life.version
+	return record.Version > m.incarnation.recordVersion
 }
 
-// outlive begins a life after the given one, and far enough after it not to meet
+// skipIncarnationsPast begins a life after the given one, and far enough after it not to meet
 // lives of the earlier process that nobody here has heard of. Should two processes run under one
 // ID, they outbid each other no faster than once in FenceAfter.
-func (m *Machine) outlive(incarnation member.Incarnation) {
-	if m.life.left || m.now < m.nextOutlive {
+func (m *Machine) skipIncarnationsPast(incarnation member.Incarnation) {
+	if m.incarnation.left || m.now < m.nextIncarnationSkip {
 		return
 	}
-	m.nextOutlive = m.now + m.config.FenceAfter
-	step := outliveStep + m.random.Uint64N(outliveSpread)
-	m.nextLife(incarnation + member.Incarnation(step))
+	m.nextIncarnationSkip = m.now + m.config.FenceAfter
+	step := minIncarnationSkip + m.random.Uint64N(incarnationSkipJitter)
+	m.startNextIncarnation(incarnation + member.Incarnation(step))
 }
 
-// updateWatch starts the timer anew for each new life and each new set, since
+// updateMonitor starts the timer anew for each new life and each new set, since
 // this node learnt of it only now.
-func (m *Machine) updateWatch(e *entry, merged Record) {
+func (m *Machine) updateMonitor(e *entry, merged Record) {
 	if merged.Info.Incarnation != e.record.Info.Incarnation {
-		e.watch = watch{heard: m.now}
+		e.monitor = memberMonitor{lastHeard: m.now}
 		return
 	}
 	if merged.MonitorSetVersion != e.record.MonitorSetVersion {
-		e.watch.heard = m.now
+		e.monitor.lastHeard = m.now
 	}
 }
 
@@ -127,23 +127,23 @@
 // and asks a seed on which no live member listens: so that two halves of a split,
 // or members that all began anew at once, are found again.
 func (m *Machine) probe() {
-	if id := m.anyOther(); id != "" {
+	if id := m.randomMember(); id != "" {
 		m.send(id, Message{Type: MessageGossip})
 	}
 	if id := m.nextFenced(); id != "" {
 		m.send(id, Message{Type: MessageGossip})
 	}
-	seeds := m.unknownSeeds()
+	seeds := m.vacantSeeds()
 	if len(seeds) > 0 {
-		m.askSeed(seeds[m.random.IntN(len(seeds))])
+		m.contactSeed(seeds[m.random.IntN(len(seeds))])
 	}
 }
 
-// anyOther draws a member that hasn't left, or returns "" if there is none.
-func (m *Machine) anyOther() member.ID {
-	first := m.random.IntN(len(m.order))
-	for offset := range m.order {
-		id := m.order[(first+offset)%len(m.order)]
+// randomMember draws a member that hasn't left, or returns "" if there is none.
+func (m *Machine) randomMember() member.ID {
+	first := m.random.IntN(len(m.sortedIDs))
+	for offset := range m.sortedIDs {
+		id := m.sortedIDs[(first+offset)%len(m.sortedIDs)]
 		if id != m.config.Self.ID && m.table[id].record.State != StateLeft {
 			return id
 		}
@@ -155,9 +155,9 @@
 // call after the other, or "" if there is none. A fenced member that begins anew
 // may know nobody but others that began anew with it.
 func (m *Machine) nextFenced() member.ID {
-	for range m.fenced {
-		m.fencedTurn++
-		id := m.fenced[m.fencedTurn%len(m.fenced)]
+	for range m.fencedMembers {
+		m.nextFencedProbe++
+		id := m.fencedMembers[m.nextFencedProbe%len(m.fencedMembers)]
 		if id != m.config.Self.ID && m.table[id].record.State != StateLeft {
 			return id
 		}
@@ -171,7 +171,7 @@
 	if !known {
 		return
 	}
-	m.outbox = append(m.outbox, Outbound{To: id, Address: e.record.Info.Address, Message: m.signed(msg)})
+	m.outbox = append(m.outbox, Outbound{To: id, Address: e.record.Info.Address, Message: m.withSender(msg)})
 }
 
 // reply addresses msg to the sender of received, which may be a stranger.
@@ -183,17 +183,17 @@
 	m.outbox = append(m.outbox, Outbound{
 		To:      received.From.ID,
 		Address: address,
-		Message: m.signed(msg),
+		Message: m.withSender(msg),
 	})
 }
 
-func (m *Machine) signed(msg Message) Message {
+func (m *Machine) withSender(msg Message) Message {
 	msg.From = m.selfRecord().Info
-	if msg.isBrief() {
+	if msg.omitsSenderInfo() {
 		msg.From = member.Info{ID: msg.From.ID}
 	}
 	if msg.Type != MessageHeartbeatReply {
-		msg.Incarnation = m.life.incarnation
+		msg.Incarnation = m.incarnation.number
 	}
 	msg.Boot = m.boot
 	msg.Digest = m.digest
@@ -205,7 +205,7 @@
 	return a.Info == b.Info &&
 		a.Version == b.Version &&
 		leftRank(a) == leftRank(b) &&
-		slices.Equal(a.Silences, b.Silences)
+		slices.Equal(a.TimeoutReports, b.TimeoutReports)
 }
 
 // recordDigest is one record's part of the digest, which is their sum and so
@@ -216,12 +216,12 @@
 	writeNumber(hash, uint64(r.Info.Incarnation))
 	writeNumber(hash, r.Version)
 	writeNumber(hash, uint64(leftRank(r)))
-	silences := slices.SortedFunc(slices.Values(r.Silences), compareSilences)
-	for _, silence := range silences {
-		writeString(hash, string(silence.Monitor))
-		writeNumber(hash, uint64(silence.MonitorBoot))
-		writeNumber(hash, uint64(silence.Incarnation))
-		writeNumber(hash, silence.MonitorSetVersion)
+	reports := slices.SortedFunc(slices.Values(r.TimeoutReports), compareTimeoutReports)
+	for _, report := range reports {
+		writeString(hash, string(report.Monitor))
+		writeNumber(hash, uint64(report.MonitorBoot))
+		writeNumber(hash, uint64(report.Incarnation))
+		writeNumber(hash, report.MonitorSetVersion)
 	}
 	return hash.Sum64()
 }
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -7,34 +7,34 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// sentRound remembers when a round of heartbeats was sent.
-type sentRound struct {
+// sentHeartbeat remembers when a round of heartbeats was sent.
+type sentHeartbeat struct {
 	sequence uint64
 	at       time.Duration
 }
 
-// watch is what a node remembers of a member as one of its monitors, for the
+// monitor is what a node remembers of a member as one of its monitors, for the
 // member's newest incarnation.
-type watch struct {
-	// heard is when the member last was heard, or its set was learnt.
-	heard time.Duration
-	// silencedVersion is the newest set version reported silent. The node
+type memberMonitor struct {
+	// lastHeard is when the member last was heard, or its set was learnt.
+	lastHeard time.Duration
+	// timedOutVersion is the newest set version reported silent. The node
 	// never acknowledges that version again.
-	silencedVersion uint64
+	timedOutVersion uint64
 }
 
-// heartbeat sends one round to all targets, and now and then a digest to
+// sendHeartbeats sends one round to all targets, and now and then a digest to
 // another member.
-func (m *Machine) heartbeat() {
+func (m *Machine) sendHeartbeats() {
 	m.nextHeartbeat = m.now + m.config.HeartbeatEvery
 	m.sequence++
-	m.rounds++
-	m.sent = append(m.sent, sentRound{sequence: m.sequence, at: m.now})
-	m.pruneSent()
-	for _, id := range m.targets() {
+	m.heartbeatRounds++
+	m.sentHeartbeats = append(m.sentHeartbeats, sentHeartbeat{sequence: m.sequence, at: m.now})
+	m.pruneSentHeartbeats()
+	for _, id := range m.heartbeatTargets() {
 		m.send(id, m.heartbeatFor(m.peers[id]))
 	}
-	if m.rounds%probeRounds == 0 {
+	if m.heartbeatRounds%roundsPerProbe == 0 {
 		m.probe()
 	}
 }
@@ -43,8 +43,8 @@
 // that it holds it. A peer that stopped replying is sent the row again, since it
 // may have started anew without a table.
 func (m *Machine) heartbeatFor(p *peer) Message {
-	if m.holdsSelf(p) {
-		return Message{Type: MessageHeartbeat, Sequence: m.sequence, MonitorSetVersion: p.setVersion}
+	if m.hasSelfRecord(p) {
+		return Message{Type: MessageHeartbeat, Sequence: m.sequence, MonitorSetVersion: p.reportedSetVersion}
 	}
 	record := m.selfRecord().clone()
 	return Message{
@@ -55,25 +55,25 @@
 	}
 }
 
-// holdsSelf tells whether a peer that answers holds the present row of this
+// hasSelfRecord tells whether a peer that answers holds the present row of this
 // node. A reply is given only to the life in the replier's row, and within a life
 // the row changes with the set version alone, beside silences.
-func (m *Machine) holdsSelf(p *peer) bool {
+func (m *Machine) hasSelfRecord(p *peer) bool {
 	self := m.selfRecord()
-	return p.answered &&
-		m.now-p.contact <= rowRepeatRounds*m.config.HeartbeatEvery &&
-		p.setVersion == self.MonitorSetVersion &&
-		len(self.Silences) == 0
+	return p.acknowledged &&
+		m.now-p.lastContact <= recordResendRounds*m.config.HeartbeatEvery &&
+		p.reportedSetVersion == self.MonitorSetVersion &&
+		len(self.TimeoutReports) == 0
 }
 
-// pruneSent drops the rounds whose acknowledgement would come too late.
-func (m *Machine) pruneSent() {
-	m.sent = slices.DeleteFunc(m.sent, func(round sentRound) bool {
-		return m.now-round.at >= m.config.FenceAfter
+// pruneSentHeartbeats drops the rounds whose acknowledgement would come too late.
+func (m *Machine) pruneSentHeartbeats() {
+	m.sentHeartbeats = slices.DeleteFunc(m.sentHeartbeats, func(sent sentHeartbeat) bool {
+		return m.now-sent.at >= m.config.FenceAfter
 	})
 }
 
-func (m *Machine) targets() []member.ID {
+func (m *Machine) heartbeatTargets() []member.ID {
 	var ids []member.ID
 	for id, p := range m.peers {
 		if p.targeted {
@@ -87,7 +87,7 @@
 // onHeartbeat acknowledges a heartbeat of the sender's newest life, and tells
 // the sender of a later life of its own, if there is one.
 func (m *Machine) onHeartbeat(msg Message) {
-	if m.life.left {
+	if m.incarnation.left {
 		m.reply(msg, Message{Type: MessageGossip, Records: []Record{m.selfRecord().clone()}})
 		return
 	}
@@ -99,13 +99,13 @@
 		m.reply(msg, Message{Type: MessageGossip, Records: []Record{e.record.clone()}})
 		return
 	}
-	e.watch.heard = m.now
+	e.monitor.lastHeard = m.now
 	m.reply(msg, Message{
 		Type:              MessageHeartbeatReply,
 		Sequence:          msg.Sequence,
 		Incarnation:       msg.Incarnation,
 		MonitorSetVersion: e.record.MonitorSetVersion,
-		SilencedVersion:   e.watch.silencedVersion,
+		TimedOutVersion:   e.monitor.timedOutVersion,
 	})
 	m.compareDigest(msg)
 }
@@ -114,51 +114,51 @@
 // heartbeat was sent.
 func (m *Machine) onHeartbeatReply(msg Message) {
 	m.compareDigest(msg)
-	sentAt, found := m.sentAt(msg.Sequence)
+	sentAt, found := m.heartbeatSentAt(msg.Sequence)
 	p, known := m.peers[msg.From.ID]
-	if !found || !known || msg.Incarnation != m.life.incarnation {
+	if !found || !known || msg.Incarnation != m.incarnation.number {
 		return
 	}
 	p.boot = msg.Boot
-	p.silencedVersion = max(p.silencedVersion, msg.SilencedVersion)
-	p.setVersion = msg.MonitorSetVersion
+	p.timedOutVersion = max(p.timedOutVersion, msg.TimedOutVersion)
+	p.reportedSetVersion = msg.MonitorSetVersion
 	if p.targeted {
-		p.contact = max(p.contact, sentAt)
-		p.answered = true
+		p.lastContact = max(p.lastContact, sentAt)
+		p.acknowledged = true
 	}
-	if len(m.life.sets) == 0 || m.life.left {
+	if len(m.incarnation.monitorSets) == 0 || m.incarnation.left {
 		return
 	}
-	for i := range m.life.sets {
-		m.life.sets[i].acknowledge(msg, sentAt)
+	for i := range m.incarnation.monitorSets {
+		m.incarnation.monitorSets[i].acknowledge(msg, sentAt)
 	}
-	m.settleSets()
+	m.updateMonitorSets()
 }
 
-func (m *Machine) sentAt(sequence uint64) (time.Duration, bool) {
-	for _, round := range m.sent {
-		if round.sequence == sequence && sequence >= m.life.firstSequence {
-			return round.at, true
+func (m *Machine) heartbeatSentAt(sequence uint64) (time.Duration, bool) {
+	for _, sent := range m.sentHeartbeats {
+		if sent.sequence == sequence && sequence >= m.incarnation.firstSequence {
+			return sent.at, true
 		}
 	}
 	return 0, false
 }
 
-// reportSilences reports each member that chose this node as a monitor and has
+// reportTimeouts reports each member that chose this node as a monitor and has
 // been silent for long enough. The report is a promise: this process never again
 // acknowledges that incarnation under that set version. A process that the member
 // does not count on, as it started after the member's choice, reports too: a member
 // that died shortly before would be taken for alive for ever.
-func (m *Machine) reportSilences() {
+func (m *Machine) reportTimeouts() {
 	// A report changes the table and with it the set.
-	for _, id := range slices.Clone(m.watched) {
+	for _, id := range slices.Clone(m.monitored) {
 		e := m.table[id]
-		if id == m.config.Self.ID || !m.mustReport(e) {
+		if id == m.config.Self.ID || !m.hasTimedOut(e) {
 			continue
 		}
-		e.watch.silencedVersion = e.record.MonitorSetVersion
+		e.monitor.timedOutVersion = e.record.MonitorSetVersion
 		reported := e.record.clone()
-		reported.addSilence(Silence{
+		reported.addTimeoutReport(TimeoutReport{
 			Monitor:           m.config.Self.ID,
 			MonitorBoot:       m.boot,
 			Incarnation:       reported.Info.Incarnation,
@@ -168,12 +168,12 @@
 	}
 }
 
-func (m *Machine) mustReport(e *entry) bool {
+func (m *Machine) hasTimedOut(e *entry) bool {
 	if e.record.State == StateLeft || !e.record.namesMonitor(m.config.Self.ID) {
 		return false
 	}
-	if e.watch.silencedVersion >= e.record.MonitorSetVersion {
+	if e.monitor.timedOutVersion >= e.record.MonitorSetVersion {
 		return false
 	}
-	return m.now-e.watch.heard >= m.config.silenceAfter()
+	return m.now-e.monitor.lastHeard >= m.config.monitorTimeout()
 }
--- /dev/null
+++ b/pkg/membership/id_set.go
@@ -0,0 +1,36 @@
+package membership
+
+import (
+	"slices"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// idSet is a sorted set of members, so that it is walked in the same order
+// everywhere. It is meant for the few members that a tick has to look at, in
+// place of the whole table.
+type idSet []member.ID
+
+// set makes id an element or not.
+func (s *idSet) set(id member.ID, present bool) {
+	at, found := slices.BinarySearch(*s, id)
+	switch {
+	case present && !found:
+		*s = slices.Insert(*s, at, id)
+	case !present && found:
+		*s = slices.Delete(*s, at, at+1)
+	}
+}
+
+// updateIndexes keeps the sets that follow an entry's record: those that chose this node as
+// a monitor, and those whose life is over.
+func (m *Machine) updateIndexes(id member.ID, e *entry) {
+	m.monitored.set(id, e.record.namesMonitor(m.config.Self.ID))
+	m.fencedMembers.set(id, e.record.certainlyFenced())
+}
+
+// removeFromIndexes takes a member out of those sets.
+func (m *Machine) removeFromIndexes(id member.ID) {
+	m.monitored.set(id, false)
+	m.fencedMembers.set(id, false)
+}
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -18,49 +18,49 @@
 	now           time.Duration
 	lastTick      time.Duration
 	nextHeartbeat time.Duration
-	nextNews      time.Duration
-	// changed is when the table last changed, and grown when it last got a member.
-	changed  time.Duration
-	grown    time.Duration
-	nextJoin time.Duration
-	// joinTurn chooses the seed that is asked next, and heldJoins wait for the table.
-	joinTurn    int
-	heldJoins   []member.Info
-	heldSince   time.Duration
-	nextOutlive time.Duration
-	rounds      uint64
-	joined      bool
-	startedAt   time.Duration
+	nextGossip    time.Duration
+	// changedAt is when the table last changed, and grown when it last got a member.
+	changedAt time.Duration
+	grownAt   time.Duration
+	nextJoin  time.Duration
+	// nextSeed chooses the seed that is asked next, and deferredJoins wait for the table.
+	nextSeed            int
+	deferredJoins       []member.Info
+	deferredSince       time.Duration
+	nextIncarnationSkip time.Duration
+	heartbeatRounds     uint64
+	joined              bool
+	startedAt           time.Duration
 
 	table map[member.ID]*entry
-	// order holds the IDs of the table, sorted.
-	order []member.ID
-	ring  ring
-	// watched are the members that chose this node as a monitor, and fenced
+	// sortedIDs holds the IDs of the table, sorted.
+	sortedIDs []member.ID
+	ring      ring
+	// monitored are the members that chose this node as a monitor, and fenced
 	// those whose newest life is over.
-	watched idSet
-	fenced  idSet
-	// fencedTurn is the position of the last fenced member that was probed.
-	fencedTurn int
+	monitored     idSet
+	fencedMembers idSet
+	// nextFencedProbe is the position of the last fenced member that was probed.
+	nextFencedProbe int
 	// digest summarises the table, and buckets do by ranges of members.
 	digest   uint64
 	buckets  [bucketCount]uint64
 	exchange exchange
-	// ended keeps the newest life of each forgotten member, which is over.
-	ended map[member.ID]member.Incarnation
-	news  map[member.ID]bool
+	// forgotten keeps the newest life of each forgotten member, which is over.
+	forgotten      map[member.ID]member.Incarnation
+	pendingUpdates map[member.ID]bool
 	// bulkUntil is until when so many records change that news of them isn't passed on
 	// one by one.
 	bulkUntil time.Duration
-	// changes counts the records of others that changed since changesSince.
-	changes      int
-	changesSince time.Duration
+	// recentChanges counts the records of others that changed since recentChangesSince.
+	recentChanges      int
+	recentChangesSince time.Duration
 
-	life       life
-	fenceCount uint64
-	sequence   uint64
-	sent       []sentRound
-	peers      map[member.ID]*peer
+	incarnation    localIncarnation
+	fenceCount     uint64
+	sequence       uint64
+	sentHeartbeats []sentHeartbeat
+	peers          map[member.ID]*peer
 
 	outbox []Outbound
 }
@@ -69,15 +69,15 @@
 type entry struct {
 	record Record
 	// key and digest stand for the member and its record in summaries.
-	key    uint32
-	digest uint64
-	watch  watch
-	// overSince is when this node first saw that the life is over.
-	overSince time.Duration
-	over      bool
-	// lifeSince is when this node learnt of the member's newest life, or that the
+	key     uint32
+	digest  uint64
+	monitor memberMonitor
+	// fencedSince is when this node first saw that the life is over.
+	fencedSince time.Duration
+	seenFenced  bool
+	// incarnationSince is when this node learnt of the member's newest life, or that the
 	// member left.
-	lifeSince time.Duration
+	incarnationSince time.Duration
 }
 
 // New returns the machine of a node that starts at now. The node is fenced
@@ -85,26 +85,26 @@
 func New(cfg Config, now time.Duration) *Machine {
 	cfg = cfg.withDefaults()
 	m := &Machine{
-		config:        cfg,
-		boot:          cfg.Self.Incarnation,
-		random:        rand.New(rand.NewPCG(ringPosition(cfg.Self.ID), uint64(cfg.Self.Incarnation))),
-		now:           now,
-		lastTick:      now,
-		nextHeartbeat: now,
-		nextJoin:      now,
-		startedAt:     now,
-		ring:          newRing(cfg.Self.ID),
-		table:         map[member.ID]*entry{},
-		ended:         map[member.ID]member.Incarnation{},
-		news:          map[member.ID]bool{},
-		peers:         map[member.ID]*peer{},
+		config:         cfg,
+		boot:           cfg.Self.Incarnation,
+		random:         rand.New(rand.NewPCG(ringPosition(cfg.Self.ID), uint64(cfg.Self.Incarnation))),
+		now:            now,
+		lastTick:       now,
+		nextHeartbeat:  now,
+		nextJoin:       now,
+		startedAt:      now,
+		ring:           newRing(cfg.Self.ID),
+		table:          map[member.ID]*entry{},
+		forgotten:      map[member.ID]member.Incarnation{},
+		pendingUpdates: map[member.ID]bool{},
+		peers:          map[member.ID]*peer{},
 	}
-	m.joined = len(m.foreignSeeds()) == 0
-	m.joinTurn = int(ringPosition(cfg.Self.ID) % (1 << 16))
-	m.beginLife(cfg.Self.Incarnation)
+	m.joined = len(m.remoteSeeds()) == 0
+	m.nextSeed = int(ringPosition(cfg.Self.ID) % (1 << 16))
+	m.startIncarnation(cfg.Self.Incarnation)
 	if m.joined {
 		// Nobody else is expected.
-		m.grown = now - cfg.settleAfter()
+		m.grownAt = now - cfg.stabilizationWait()
 	}
 	m.maintainMonitors()
 	return m
@@ -113,17 +113,17 @@
 // Tick lets time pass. It should be called several times in HeartbeatEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.advance(now)
-	if m.life.left {
+	if m.incarnation.left {
 		return nil
 	}
 	m.lastTick = m.now
 	m.join()
-	m.releaseJoins()
-	m.reportSilences()
-	m.forget()
+	m.answerDeferredJoins()
+	m.reportTimeouts()
+	m.forgetFenced()
 	m.maintainMonitors()
 	if m.now >= m.nextHeartbeat {
-		m.heartbeat()
+		m.sendHeartbeats()
 	}
 	m.startExchange()
 	return m.flush()
@@ -135,11 +135,11 @@
 	if msg.From.ID == m.config.Self.ID || msg.From.ID == "" {
 		return m.flush()
 	}
-	settled := m.settled()
-	m.mergeAll(msg)
+	stable := m.isStable()
+	m.mergeMessage(msg)
 	switch msg.Type {
 	case MessageJoin:
-		m.onJoin(msg, settled)
+		m.onJoin(msg, stable)
 	case MessageJoinReply:
 		m.onJoinReply(msg)
 	case MessageHeartbeat:
@@ -149,9 +149,9 @@
 	case MessageGossip:
 		m.onGossip(msg)
 	}
-	m.maintainAfter(msg)
-	if m.now >= m.nextHeartbeat && !m.life.left {
-		m.heartbeat()
+	m.maintainMonitorsAfter(msg)
+	if m.now >= m.nextHeartbeat && !m.incarnation.left {
+		m.sendHeartbeats()
 	}
 	return m.flush()
 }
@@ -160,15 +160,15 @@
 // on, for good.
 func (m *Machine) Leave(now time.Duration) []Outbound {
 	m.advance(now)
-	if m.life.left {
+	if m.incarnation.left {
 		return nil
 	}
-	m.life.left = true
-	m.life.deadline = 0
-	m.publishSelf()
+	m.incarnation.left = true
+	m.incarnation.fenceDeadline = 0
+	m.publishSelfRecord()
 	record := m.selfRecord().clone()
-	clear(m.news)
-	for _, id := range m.order {
+	clear(m.pendingUpdates)
+	for _, id := range m.sortedIDs {
 		if id != m.config.Self.ID && m.table[id].record.State != StateLeft {
 			m.send(id, Message{Type: MessageGossip, Records: []Record{record}})
 		}
@@ -191,7 +191,7 @@
 	case !known:
 		return m.flush(), &RemoveError{ID: id, Reason: RemoveUnknown}
 	case e.record.Info.Incarnation != incarnation:
-		return m.flush(), &RemoveError{ID: id, Reason: RemoveOtherLife}
+		return m.flush(), &RemoveError{ID: id, Reason: RemoveOtherIncarnation}
 	}
 	record := e.record.clone()
 	record.Version++
@@ -203,8 +203,8 @@
 // advance moves the clock, and ends the life that its fence has ended.
 func (m *Machine) advance(now time.Duration) {
 	m.now = max(m.now, now)
-	m.forgiveOwnPause()
-	m.endFencedLife()
+	m.restartTimersAfterPause()
+	m.endFencedIncarnation()
 }
 
 // paused tells whether this node was stopped for so long that what it didn't
@@ -213,24 +213,24 @@
 	return m.now-m.lastTick > m.config.unresponsiveAfter()
 }
 
-// forgiveOwnPause starts all timers anew after a pause.
-func (m *Machine) forgiveOwnPause() {
+// restartTimersAfterPause starts all timers anew after a pause.
+func (m *Machine) restartTimersAfterPause() {
 	if !m.paused() {
 		return
 	}
 	m.lastTick = m.now
 	for _, e := range m.table {
-		e.watch.heard = m.now
+		e.monitor.lastHeard = m.now
 	}
 	for _, p := range m.peers {
-		p.since = m.now
+		p.targetedSince = m.now
 	}
 }
 
 // Members returns the table sorted by ID, this node included.
 func (m *Machine) Members() []Record {
 	records := make([]Record, 0, len(m.table))
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		records = append(records, m.table[id].record.clone())
 	}
 	return records
@@ -241,12 +241,12 @@
 // about a round trip.
 func (m *Machine) Alive(id member.ID) bool {
 	e, known := m.table[id]
-	return known && e.record.State == StateAlive && !m.orphaned(&e.record)
+	return known && e.record.State == StateAlive && !m.isOrphaned(&e.record)
 }
 
-// orphaned tells whether so many monitors of a member are not alive that a
+// isOrphaned tells whether so many monitors of a member are not alive that a
 // living member would have replaced them by now.
-func (m *Machine) orphaned(record *Record) bool {
+func (m *Machine) isOrphaned(record *Record) bool {
 	lost := 0
 	for _, id := range record.Monitors {
 		e, known := m.table[id]
@@ -254,7 +254,7 @@
 			lost++
 		}
 	}
-	return lost > 0 && lost >= min(silencesNeeded(len(record.Monitors)), len(record.Monitors))
+	return lost > 0 && lost >= min(reportsNeeded(len(record.Monitors)), len(record.Monitors))
 }
 
 // CertainlyFenced tells whether the member's life that Incarnation returns
@@ -263,15 +263,15 @@
 func (m *Machine) CertainlyFenced(id member.ID) bool {
 	e, known := m.table[id]
 	if !known {
-		_, over := m.ended[id]
-		return over
+		_, forgotten := m.forgotten[id]
+		return forgotten
 	}
 	return e.record.certainlyFenced()
 }
 
-// LifeEnded tells whether the given life of a member certainly serves no more:
+// IncarnationEnded tells whether the given life of a member certainly serves no more:
 // it is fenced for certain, it left, or a later life has begun.
-func (m *Machine) LifeEnded(id member.ID, incarnation member.Incarnation) bool {
+func (m *Machine) IncarnationEnded(id member.ID, incarnation member.Incarnation) bool {
 	newest, known := m.Incarnation(id)
 	if !known || incarnation > newest {
 		return false
@@ -279,13 +279,13 @@
 	return incarnation < newest || m.CertainlyFenced(id)
 }
 
-// FormerLifeSettled tells whether what the member sent in lives that ended by its
+// FormerIncarnationQuiesced tells whether what the member sent in lives that ended by its
 // own act, as it left or began a later one, has arrived by now: it is FenceMargin
 // since this node learnt of that. A fence that monitors are certain of includes that
 // time.
-func (m *Machine) FormerLifeSettled(id member.ID) bool {
+func (m *Machine) FormerIncarnationQuiesced(id member.ID) bool {
 	e, known := m.table[id]
-	return !known || m.now-e.lifeSince >= m.config.FenceMargin
+	return !known || m.now-e.incarnationSince >= m.config.FenceMargin
 }
 
 // Incarnation returns the newest life known of the member.
@@ -293,7 +293,7 @@
 	if e, known := m.table[id]; known {
 		return e.record.Info.Incarnation, true
 	}
-	incarnation, known := m.ended[id]
+	incarnation, known := m.forgotten[id]
 	return incarnation, known
 }
 
--- a/pkg/membership/message.go
+++ b/pkg/membership/message.go
@@ -35,10 +35,10 @@
 	StateLeft
 )
 
-// Silence is the report of one monitor that it has not acknowledged any
+// TimeoutReport is the report of one monitor that it has not acknowledged any
 // heartbeat of a member for long enough that the member must have stopped
 // counting on it.
-type Silence struct {
+type TimeoutReport struct {
 	Monitor member.ID
 	// MonitorBoot tells which process of the monitor reports.
 	MonitorBoot member.Incarnation
@@ -58,8 +58,8 @@
 	Monitors []member.ID
 	// MonitorBoots are the processes of Monitors, in the same order, that the
 	// member counts on: a monitor that starts again has lost its promises.
-	MonitorBoots []member.Incarnation
-	Silences     []Silence
+	MonitorBoots   []member.Incarnation
+	TimeoutReports []TimeoutReport
 	// Version orders records of one incarnation.
 	Version uint64
 }
@@ -75,12 +75,12 @@
 	// Boot is the incarnation with which the sender's process started.
 	Boot member.Incarnation
 	// From describes the sender, so that a receiver can answer a stranger. It holds the
-	// ID alone where the receiver knows the sender, see isBrief.
+	// ID alone where the receiver knows the sender, see omitsSenderInfo.
 	From              member.Info
 	MonitorSetVersion uint64
-	// SilencedVersion is, in a heartbeat reply, the newest monitor set version
+	// TimedOutVersion is, in a heartbeat reply, the newest monitor set version
 	// of the heartbeat's incarnation that the sender reported silent; 0 if none.
-	SilencedVersion uint64
+	TimedOutVersion uint64
 	// Digest summarises the sender's table.
 	Digest  uint64
 	Records []Record
@@ -88,16 +88,16 @@
 	// Buckets are the digests of the sender's table by range of members, which ask the
 	// receiver for a summary of those that differ.
 	Buckets []uint32
-	// Covered has a bit for each range that Summary, which may be empty, covers.
-	Covered uint64
-	Summary []RecordDigest
-	// Wanted are the members of whom the sender asks for records.
-	Wanted []uint32
+	// CoveredBuckets has a bit for each range that Summary, which may be empty, covers.
+	CoveredBuckets uint64
+	Summary        []RecordDigest
+	// Requested are the members of whom the sender asks for records.
+	Requested []uint32
 
-	// Held tells, in a reply to a join, that the table will follow.
-	Held bool
-	// Settled tells, with a whole table, that no member has been new to it lately.
-	Settled bool
+	// Deferred tells, in a reply to a join, that the table will follow.
+	Deferred bool
+	// Stable tells, with a whole table, that no member has been new to it lately.
+	Stable bool
 }
 
 // RecordDigest stands for one record in a summary of a table.
@@ -107,18 +107,18 @@
 	Digest uint32
 }
 
-// isBrief tells whether the receiver knows the sender already, or finds it among the
+// omitsSenderInfo tells whether the receiver knows the sender already, or finds it among the
 // records, so that From needs no more than the ID.
-func (m Message) isBrief() bool {
+func (m Message) omitsSenderInfo() bool {
 	switch m.Type {
 	case MessageHeartbeat, MessageHeartbeatReply:
 		return true
 	case MessageJoin:
 		return false
 	case MessageJoinReply:
-		return !m.Held
+		return !m.Deferred
 	default:
-		return len(m.Records) > 0 && len(m.Wanted) == 0
+		return len(m.Records) > 0 && len(m.Requested) == 0
 	}
 }
 
--- a/pkg/membership/network_test.go
+++ b/pkg/membership/network_test.go
@@ -21,7 +21,7 @@
 	incarnation member.Incarnation
 	offset      time.Duration
 	rate        float64
-	life        int
+	process     int
 	left        bool
 	// checkedTable and checkedDeadline are what the last check of this life saw.
 	checked         bool
@@ -36,7 +36,7 @@
 	at      time.Duration
 	order   int
 	to      string
-	life    int
+	process int
 	message *membership.Message
 	from    string
 }
@@ -58,7 +58,7 @@
 	return last
 }
 
-type oneWay struct{ from, to string }
+type direction struct{ from, to string }
 
 // network runs machines on a virtual clock, and checks after each event that
 // no member serves that somebody counts as certainly fenced.
@@ -71,14 +71,14 @@
 	nodes      map[string]*node
 	names      []string
 	all        []*node
-	cut        map[oneWay]bool
+	blocked    map[direction]bool
 	loss       float64
 	duplicates float64
 	latency    time.Duration
 	jitter     time.Duration
 	violations []string
 	// clocksGoBack lets incarnations fall from one process to the next, about
-	// which LifeEnded makes no promise.
+	// which IncarnationEnded makes no promise.
 	clocksGoBack bool
 	// onSend, if set, sees each message that a node sends.
 	onSend func(from string, out membership.Outbound)
@@ -88,125 +88,125 @@
 	return &network{
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		nodes:   map[string]*node{},
-		cut:     map[oneWay]bool{},
+		blocked: map[direction]bool{},
 		latency: time.Millisecond,
 		jitter:  time.Millisecond,
 	}
 }
 
-func (w *network) add(name, zone string) {
-	w.nodes[name] = &node{id: member.ID(name), zone: zone, rate: 1}
-	w.all = append(w.all, w.nodes[name])
-	w.names = append(w.names, name)
+func (net *network) add(name, zone string) {
+	net.nodes[name] = &node{id: member.ID(name), zone: zone, rate: 1}
+	net.all = append(net.all, net.nodes[name])
+	net.names = append(net.names, name)
 }
 
-func (w *network) clock(n *node) time.Duration {
-	return n.offset + time.Duration(float64(w.now)*n.rate)
+func (net *network) clock(n *node) time.Duration {
+	return n.offset + time.Duration(float64(net.now)*n.rate)
 }
 
 // start runs a new process, whose clock begins anywhere.
-func (w *network) start(name string, seeds ...string) {
-	n := w.nodes[name]
+func (net *network) start(name string, seeds ...string) {
+	n := net.nodes[name]
 	n.incarnation += 1000
-	if w.clocksGoBack {
-		n.incarnation = member.Incarnation(1 + w.random.IntN(1_000_000_000))
+	if net.clocksGoBack {
+		n.incarnation = member.Incarnation(1 + net.random.IntN(1_000_000_000))
 	}
-	n.life++
+	n.process++
 	n.frozen, n.left, n.checked = false, false, false
-	n.offset = time.Duration(w.random.IntN(1000)) * time.Second
-	cfg := w.config
+	n.offset = time.Duration(net.random.IntN(1000)) * time.Second
+	cfg := net.config
 	cfg.Seeds = seeds
 	cfg.Self = member.Info{ID: n.id, Address: name, Zone: n.zone, Incarnation: n.incarnation}
-	n.machine = membership.New(cfg, w.clock(n))
-	w.push(event{at: w.now + time.Duration(w.random.IntN(int(tickEvery))), to: name, life: n.life})
+	n.machine = membership.New(cfg, net.clock(n))
+	net.push(event{at: net.now + time.Duration(net.random.IntN(int(tickEvery))), to: name, process: n.process})
 }
 
-func (w *network) kill(name string) { w.nodes[name].machine = nil }
+func (net *network) kill(name string) { net.nodes[name].machine = nil }
 
-func (w *network) leave(name string) {
-	n := w.nodes[name]
+func (net *network) leave(name string) {
+	n := net.nodes[name]
 	n.left = true
-	w.send(name, n.machine.Leave(w.clock(n)))
-	w.check(name)
+	net.send(name, n.machine.Leave(net.clock(n)))
+	net.check(name)
 }
 
-func (w *network) isolate(name string, cut bool) {
-	for _, other := range w.names {
-		w.cut[oneWay{name, other}] = cut
-		w.cut[oneWay{other, name}] = cut
+func (net *network) isolate(name string, blocked bool) {
+	for _, other := range net.names {
+		net.blocked[direction{name, other}] = blocked
+		net.blocked[direction{other, name}] = blocked
 	}
 }
 
-func (w *network) push(e event) {
-	w.order++
-	e.order = w.order
-	heap.Push(&w.queue, e)
+func (net *network) push(e event) {
+	net.order++
+	e.order = net.order
+	heap.Push(&net.queue, e)
 }
 
-func (w *network) send(from string, outbox []membership.Outbound) {
+func (net *network) send(from string, outbox []membership.Outbound) {
 	for _, out := range outbox {
-		if w.onSend != nil {
-			w.onSend(from, out)
+		if net.onSend != nil {
+			net.onSend(from, out)
 		}
 		to := out.Address
 		if to == "" {
 			to = string(out.To)
 		}
-		if _, known := w.nodes[to]; !known || w.cut[oneWay{from, to}] || w.random.Float64() < w.loss {
+		if _, known := net.nodes[to]; !known || net.blocked[direction{from, to}] || net.random.Float64() < net.loss {
 			continue
 		}
-		w.deliverLater(from, to, out.Message)
-		if w.random.Float64() < w.duplicates {
-			w.deliverLater(from, to, out.Message)
+		net.deliverLater(from, to, out.Message)
+		if net.random.Float64() < net.duplicates {
+			net.deliverLater(from, to, out.Message)
 		}
 	}
 }
 
-func (w *network) deliverLater(from, to string, msg membership.Message) {
-	at := w.now + w.latency + time.Duration(w.random.Int64N(int64(w.jitter)+1))
-	w.push(event{at: at, to: to, from: from, message: &msg})
+func (net *network) deliverLater(from, to string, msg membership.Message) {
+	at := net.now + net.latency + time.Duration(net.random.Int64N(int64(net.jitter)+1))
+	net.push(event{at: at, to: to, from: from, message: &msg})
 }
 
 // runUntil handles all events up to the instant.
-func (w *network) runUntil(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		w.handle(e)
+func (net *network) runUntil(until time.Duration) {
+	for len(net.queue) > 0 && net.queue[0].at <= until {
+		e := heap.Pop(&net.queue).(event)
+		net.now = e.at
+		net.handle(e)
 	}
-	w.now = until
+	net.now = until
 }
 
-func (w *network) handle(e event) {
-	n := w.nodes[e.to]
+func (net *network) handle(e event) {
+	n := net.nodes[e.to]
 	if e.message == nil {
-		if n.machine != nil && e.life == n.life {
-			w.push(event{at: w.now + tickEvery, to: e.to, life: e.life})
+		if n.machine != nil && e.process == n.process {
+			net.push(event{at: net.now + tickEvery, to: e.to, process: e.process})
 			if n.runs() {
-				w.send(e.to, n.machine.Tick(w.clock(n)))
-				w.check(e.to)
+				net.send(e.to, n.machine.Tick(net.clock(n)))
+				net.check(e.to)
 			}
 		}
 		return
 	}
-	if n.machine == nil || w.cut[oneWay{e.from, e.to}] {
+	if n.machine == nil || net.blocked[direction{e.from, e.to}] {
 		return
 	}
 	if n.frozen {
 		// Frames wait in the socket until the process runs again.
-		w.push(event{at: w.now + tickEvery, to: e.to, from: e.from, message: e.message})
+		net.push(event{at: net.now + tickEvery, to: e.to, from: e.from, message: e.message})
 		return
 	}
-	w.send(e.to, n.machine.Step(w.clock(n), *e.message))
-	w.check(e.to)
+	net.send(e.to, n.machine.Step(net.clock(n), *e.message))
+	net.check(e.to)
 }
 
-func (w *network) serves(name string) bool {
-	return w.nodes[name].serves(w)
+func (net *network) serves(name string) bool {
+	return net.nodes[name].serves(net)
 }
 
-func (n *node) serves(w *network) bool {
-	return n.machine != nil && !n.machine.Fenced(w.clock(n))
+func (n *node) serves(net *network) bool {
+	return n.machine != nil && !n.machine.Fenced(net.clock(n))
 }
 
 // unchanged tells whether the table and the fence deadline are those of the last
@@ -221,30 +221,30 @@
 
 // check compares what changed with everybody else: changed may have become
 // certain of another's fence, or may have begun to serve.
-func (w *network) check(changed string) {
-	n := w.nodes[changed]
+func (net *network) check(changed string) {
+	n := net.nodes[changed]
 	if n.unchanged() {
 		return
 	}
-	serves := w.serves(changed)
-	for _, other := range w.all {
-		if other.serves(w) {
-			w.checkPair(n, other)
+	serves := net.serves(changed)
+	for _, other := range net.all {
+		if other.serves(net) {
+			net.checkPair(n, other)
 		}
 		if serves {
-			w.checkPair(other, n)
+			net.checkPair(other, n)
 		}
 	}
 }
 
-func (w *network) checkPair(o, s *node) {
-	if o.machine == nil {
+func (net *network) checkPair(observer, subject *node) {
+	if observer.machine == nil {
 		return
 	}
-	incarnation, _ := s.machine.Incarnation(s.id)
-	seen, _ := o.machine.Incarnation(s.id)
-	certain := o.machine.CertainlyFenced(s.id) && seen == incarnation
-	if certain || !w.clocksGoBack && o.machine.LifeEnded(s.id, incarnation) {
-		w.violations = append(w.violations, fmt.Sprintf("%v: %s is certain that %s@%d is fenced, but it serves", w.now, o.id, s.id, incarnation))
+	incarnation, _ := subject.machine.Incarnation(subject.id)
+	seen, _ := observer.machine.Incarnation(subject.id)
+	certain := observer.machine.CertainlyFenced(subject.id) && seen == incarnation
+	if certain || !net.clocksGoBack && observer.machine.IncarnationEnded(subject.id, incarnation) {
+		net.violations = append(net.violations, fmt.Sprintf("%v: %s is certain that %s@%d is fenced, but it serves", net.now, observer.id, subject.id, incarnation))
 	}
 }
--- a/pkg/membership/quorum.go
+++ b/pkg/membership/quorum.go
@@ -11,8 +11,8 @@
 	return (monitors + 1) / 2
 }
 
-// silencesNeeded is the smallest number of monitors that leaves fewer than
+// reportsNeeded is the smallest number of monitors that leaves fewer than
 // acksNeeded. It exceeds the number of monitors when nothing can fence.
-func silencesNeeded(monitors int) int {
+func reportsNeeded(monitors int) int {
 	return monitors - acksNeeded(monitors) + 1
 }
--- /dev/null
+++ b/pkg/membership/random_faults_test.go
@@ -0,0 +1,205 @@
+package membership_test
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+const (
+	// defaultSeeds is what seedsSetting in the environment replaces in long runs.
+	defaultSeeds = 300
+	seedsSetting = "MEMBERSHIP_SEEDS"
+	fleetSeeds   = 20
+)
+
+func seedCount() uint64 {
+	text, set := os.LookupEnv(seedsSetting)
+	if !set {
+		return defaultSeeds
+	}
+	return lo.Must(strconv.ParseUint(text, 10, 64))
+}
+
+var _ = Describe("random runs", func() {
+	It("never counts a serving member as certainly fenced", func() {
+		for seed := range seedCount() {
+			net := randomFleet(seed)
+			net.injectFaults(20 * time.Second)
+			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
+			net.endFaults()
+			net.runUntil(net.now + 8*time.Second)
+			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
+			net.expectAllServing(fmt.Sprintf("seed %d", seed))
+			Expect(net.distinctTables()).To(Equal(1), "seed %d: all hold one table", seed)
+		}
+	})
+
+	It("would report clocks that differ by more than the margin", func() {
+		reported := 0
+		for seed := range uint64(50) {
+			net := randomFleet(seed)
+			for _, name := range net.names {
+				net.nodes[name].rate = 0.5 + net.random.Float64()
+			}
+			net.injectFaults(20 * time.Second)
+			reported += len(net.violations)
+		}
+		Expect(reported).To(BeNumerically(">", 0))
+	})
+
+	DescribeTable("17 nodes of which some are lost at once: certainty everywhere in time",
+		func(monitorCount int, longestGap time.Duration, victims func(net *network) []string) {
+			for seed := range uint64(fleetSeeds) {
+				net := newNetwork(seed)
+				net.config.MonitorCount = monitorCount
+				net.startFleet(17, 4)
+				net.runUntil(4 * time.Second)
+				net.expectAllServing("before")
+				lost := victims(net)
+				for _, name := range lost {
+					net.kill(name)
+				}
+				gap := net.longestGap(1700 * time.Millisecond)
+				Expect(gap).To(BeNumerically("<=", longestGap), "seed %d", seed)
+				net.expectCertain(lost, seed)
+				net.expectAllServing(fmt.Sprintf("seed %d", seed))
+				Expect(net.violations).To(BeEmpty())
+			}
+		},
+		Entry("one", 3, time.Duration(0), randomVictims(1)),
+		Entry("two", 3, 300*time.Millisecond, randomVictims(2)),
+		Entry("two, with five monitors", 5, time.Duration(0), randomVictims(2)),
+		Entry("a zone", 3, time.Duration(0), zoneVictims),
+	)
+})
+
+func fleetOf(seed uint64, count, zones int) *network {
+	net := newNetwork(seed)
+	net.startFleet(count, zones)
+	return net
+}
+
+func (net *network) startFleet(count, zones int) {
+	for i := range count {
+		net.add(fmt.Sprintf("n%02d", i), fmt.Sprintf("z%d", i%zones))
+	}
+	for _, name := range net.names {
+		net.start(name, net.names[:min(3, count)]...)
+	}
+}
+
+func randomVictims(count int) func(net *network) []string {
+	return func(net *network) []string {
+		places := net.random.Perm(len(net.names))[:count]
+		return lo.Map(places, func(at, _ int) string { return net.names[at] })
+	}
+}
+
+func zoneVictims(net *network) []string {
+	return lo.Filter(net.names, func(name string, _ int) bool { return net.nodes[name].zone == "z1" })
+}
+
+// longestGap runs for a while and returns for how long some running node was
+// fenced in one go.
+func (net *network) longestGap(duration time.Duration) time.Duration {
+	const step = 10 * time.Millisecond
+	gaps := map[string]time.Duration{}
+	longest := time.Duration(0)
+	for until := net.now + duration; net.now < until; {
+		net.runUntil(net.now + step)
+		for _, name := range net.names {
+			gaps[name] += step
+			if net.nodes[name].machine == nil || net.serves(name) {
+				gaps[name] = 0
+			}
+			longest = max(longest, gaps[name])
+		}
+	}
+	return longest
+}
+
+func (net *network) expectCertain(lost []string, seed uint64) {
+	for _, pair := range lo.CrossJoin2(lo.Without(net.names, lost...), lost) {
+		machine, dead := net.nodes[pair.A].machine, member.ID(pair.B)
+		Expect(machine.CertainlyFenced(dead)).To(BeTrue(), "seed %d: %s of %s", seed, pair.A, dead)
+		Expect(machine.Alive(dead)).To(BeFalse())
+	}
+}
+
+func randomFleet(seed uint64) *network {
+	net := newNetwork(seed)
+	net.clocksGoBack = seed%5 == 4
+	net.startFleet(3+int(seed%6), 3)
+	for _, name := range net.names {
+		net.nodes[name].rate = 0.96 + 0.08*net.random.Float64()
+	}
+	net.runUntil(3 * time.Second)
+	net.loss = []float64{0, 0.02, 0.2}[seed%3]
+	net.duplicates = []float64{0, 0.1}[seed%2]
+	net.jitter = []time.Duration{time.Millisecond, 80 * time.Millisecond, 700 * time.Millisecond}[seed/3%3]
+	return net
+}
+
+// injectFaults lets faults come for a while.
+func (net *network) injectFaults(duration time.Duration) {
+	until := net.now + duration
+	for net.now < until {
+		net.runUntil(net.now + time.Duration(net.random.IntN(900))*time.Millisecond)
+		net.injectFault(net.names[net.random.IntN(len(net.names))], net.names[net.random.IntN(len(net.names))])
+	}
+}
+
+func (net *network) injectFault(name, other string) {
+	n := net.nodes[name]
+	switch net.random.IntN(12) {
+	case 0:
+		net.kill(name)
+	case 1, 2:
+		if n.machine == nil || n.left {
+			net.start(name, net.names[:3]...)
+		}
+	case 3:
+		net.start(name, net.names[:3]...)
+	case 4:
+		n.frozen = n.machine != nil
+	case 5, 6:
+		n.frozen = false
+	case 7, 8:
+		net.isolate(name, net.random.IntN(2) == 0)
+	case 9:
+		net.blocked[direction{name, other}] = true
+	case 10:
+		clear(net.blocked)
+	case 11:
+		if n.runs() && net.random.IntN(4) == 0 {
+			net.leave(name)
+		}
+	}
+}
+
+// endFaults ends all faults and starts what doesn't run.
+func (net *network) endFaults() {
+	clear(net.blocked)
+	net.loss, net.duplicates, net.jitter = 0, 0, time.Millisecond
+	for _, name := range net.names {
+		n := net.nodes[name]
+		n.frozen = false
+		if n.machine == nil || n.left {
+			net.start(name, net.names[:3]...)
+		}
+	}
+}
+
+func (net *network) expectAllServing(context string) {
+	for _, n := range net.all {
+		Expect(n.machine == nil || n.serves(net)).To(BeTrue(), "%s: %s", context, n.id)
+	}
+}
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -11,13 +11,13 @@
 func (r Record) clone() Record {
 	r.Monitors = slices.Clone(r.Monitors)
 	r.MonitorBoots = slices.Clone(r.MonitorBoots)
-	r.Silences = slices.Clone(r.Silences)
+	r.TimeoutReports = slices.Clone(r.TimeoutReports)
 	return r
 }
 
-// compareOwnerPart orders two records of one member by what the member itself
+// compareOwnerState orders two records of one member by what the member itself
 // said: incarnation, then version, then whether it left.
-func compareOwnerPart(a, b Record) int {
+func compareOwnerState(a, b Record) int {
 	return cmp.Or(
 		cmp.Compare(a.Info.Incarnation, b.Info.Incarnation),
 		cmp.Compare(a.Version, b.Version),
@@ -37,34 +37,34 @@
 // those that the owner's part has outlived are dropped.
 func mergeRecords(a, b Record) Record {
 	newer := a
-	if compareOwnerPart(a, b) < 0 {
+	if compareOwnerState(a, b) < 0 {
 		newer = b
 	}
 	merged := newer.clone()
-	merged.Silences = nil
-	for _, silence := range slices.Concat(a.Silences, b.Silences) {
-		merged.addSilence(silence)
+	merged.TimeoutReports = nil
+	for _, report := range slices.Concat(a.TimeoutReports, b.TimeoutReports) {
+		merged.addTimeoutReport(report)
 	}
-	merged.Silences = merged.withoutFormerProcesses()
+	merged.TimeoutReports = merged.withoutSupersededReports()
 	merged.State = merged.derivedState()
 	return merged
 }
 
-// addSilence inserts s in order unless it is outlived or already present.
-func (r *Record) addSilence(s Silence) {
+// addTimeoutReport inserts s in order unless it is outlived or already present.
+func (r *Record) addTimeoutReport(s TimeoutReport) {
 	if s.Incarnation < r.Info.Incarnation {
 		return
 	}
 	if s.Incarnation == r.Info.Incarnation && s.MonitorSetVersion < r.MonitorSetVersion {
 		return
 	}
-	at, found := slices.BinarySearchFunc(r.Silences, s, compareSilences)
+	at, found := slices.BinarySearchFunc(r.TimeoutReports, s, compareTimeoutReports)
 	if !found {
-		r.Silences = slices.Insert(r.Silences, at, s)
+		r.TimeoutReports = slices.Insert(r.TimeoutReports, at, s)
 	}
 }
 
-func compareSilences(a, b Silence) int {
+func compareTimeoutReports(a, b TimeoutReport) int {
 	return cmp.Or(
 		cmp.Compare(a.Monitor, b.Monitor),
 		cmp.Compare(a.MonitorBoot, b.MonitorBoot),
@@ -73,36 +73,36 @@
 	)
 }
 
-// countsSilence tells whether s speaks of exactly the monitor set that r
+// countsReport tells whether s speaks of exactly the monitor set that r
 // declares, and comes from the very process that the member counts on.
-func (r *Record) countsSilence(s Silence) bool {
+func (r *Record) countsReport(s TimeoutReport) bool {
 	if s.Incarnation != r.Info.Incarnation || s.MonitorSetVersion != r.MonitorSetVersion {
 		return false
 	}
-	return r.bindsMonitor(s.Monitor, s.MonitorBoot)
+	return r.reliesOnMonitor(s.Monitor, s.MonitorBoot)
 }
 
-// isDoubt tells whether s says that the member is silent under the monitor set that
+// isSuspicion tells whether s says that the member is silent under the monitor set that
 // r declares, whichever process of the monitor says so.
-func (r *Record) isDoubt(s Silence) bool {
+func (r *Record) isSuspicion(s TimeoutReport) bool {
 	return s.Incarnation == r.Info.Incarnation && s.MonitorSetVersion == r.MonitorSetVersion &&
 		r.namesMonitor(s.Monitor)
 }
 
-// doubted tells whether any monitor reports the member silent. A monitor that
+// isSuspected tells whether any monitor reports the member silent. A monitor that
 // started again has no part in a certain fence, but a member that lived would have
 // noticed its start and declared a new set.
-func (r *Record) doubted() bool {
-	return slices.ContainsFunc(r.Silences, r.isDoubt)
+func (r *Record) isSuspected() bool {
+	return slices.ContainsFunc(r.TimeoutReports, r.isSuspicion)
 }
 
-// withoutFormerProcesses returns the silences without those of processes that the
+// withoutSupersededReports returns the silences without those of processes that the
 // member does not count on and that another process of the same monitor followed.
 // So a monitor that starts again and again adds two at most.
-func (r *Record) withoutFormerProcesses() []Silence {
-	return slices.DeleteFunc(slices.Clone(r.Silences), func(s Silence) bool {
-		return r.isDoubt(s) && !r.countsSilence(s) && slices.ContainsFunc(r.Silences, func(other Silence) bool {
-			return r.isDoubt(other) && other.Monitor == s.Monitor && other.MonitorBoot > s.MonitorBoot
+func (r *Record) withoutSupersededReports() []TimeoutReport {
+	return slices.DeleteFunc(slices.Clone(r.TimeoutReports), func(s TimeoutReport) bool {
+		return r.isSuspicion(s) && !r.countsReport(s) && slices.ContainsFunc(r.TimeoutReports, func(other TimeoutReport) bool {
+			return r.isSuspicion(other) && other.Monitor == s.Monitor && other.MonitorBoot > s.MonitorBoot
 		})
 	})
 }
@@ -112,16 +112,16 @@
 	return slices.Contains(r.Monitors, monitor)
 }
 
-// bindsMonitor tells whether the member counts on this process as a monitor.
-func (r *Record) bindsMonitor(monitor member.ID, boot member.Incarnation) bool {
+// reliesOnMonitor tells whether the member counts on this process as a monitor.
+func (r *Record) reliesOnMonitor(monitor member.ID, boot member.Incarnation) bool {
 	at := slices.Index(r.Monitors, monitor)
 	return at >= 0 && at < len(r.MonitorBoots) && r.MonitorBoots[at] == boot
 }
 
-func (r *Record) silenceCount() int {
+func (r *Record) countedReports() int {
 	count := 0
-	for _, silence := range r.Silences {
-		if r.countsSilence(silence) {
+	for _, report := range r.TimeoutReports {
+		if r.countsReport(report) {
 			count++
 		}
 	}
@@ -131,7 +131,7 @@
 // certainlyFenced tells whether the member refuses traffic in this incarnation
 // now and for ever. See the package comment for why.
 func (r *Record) certainlyFenced() bool {
-	return r.State == StateLeft || r.silenceCount() >= silencesNeeded(len(r.Monitors))
+	return r.State == StateLeft || r.countedReports() >= reportsNeeded(len(r.Monitors))
 }
 
 // seemsReachable tells whether no monitor reports the member silent. A member
@@ -146,7 +146,7 @@
 		return StateLeft
 	case r.certainlyFenced():
 		return StateFenced
-	case r.doubted() || r.MonitorSetVersion == 0:
+	case r.isSuspected() || r.MonitorSetVersion == 0:
 		return StateSuspect
 	default:
 		return StateAlive
--- a/pkg/membership/ring.go
+++ b/pkg/membership/ring.go
@@ -13,11 +13,11 @@
 // a circle of hashes.
 type ring struct {
 	origin     uint64
-	successors []ringPlace
+	successors []ringMember
 }
 
-// ringPlace is a member and its distance from the origin.
-type ringPlace struct {
+// ringMember is a member and its distance from the origin.
+type ringMember struct {
 	distance uint64
 	id       member.ID
 }
@@ -31,28 +31,28 @@
 	return ring{origin: ringPosition(origin)}
 }
 
-// place works out a member's distance. Unsigned subtraction wraps, which closes
+// memberAt works out a member's distance. Unsigned subtraction wraps, which closes
 // the circle.
-func (r *ring) place(id member.ID) ringPlace {
-	return ringPlace{distance: ringPosition(id) - r.origin, id: id}
+func (r *ring) memberAt(id member.ID) ringMember {
+	return ringMember{distance: ringPosition(id) - r.origin, id: id}
 }
 
 func (r *ring) insert(id member.ID) {
-	place := r.place(id)
-	at, found := slices.BinarySearchFunc(r.successors, place, compareRingPlaces)
+	inserted := r.memberAt(id)
+	at, found := slices.BinarySearchFunc(r.successors, inserted, compareRingMembers)
 	if !found {
-		r.successors = slices.Insert(r.successors, at, place)
+		r.successors = slices.Insert(r.successors, at, inserted)
 	}
 }
 
 func (r *ring) remove(id member.ID) {
-	at, found := slices.BinarySearchFunc(r.successors, r.place(id), compareRingPlaces)
+	at, found := slices.BinarySearchFunc(r.successors, r.memberAt(id), compareRingMembers)
 	if found {
 		r.successors = slices.Delete(r.successors, at, at+1)
 	}
 }
 
-func compareRingPlaces(a, b ringPlace) int {
+func compareRingMembers(a, b ringMember) int {
 	return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.id, b.id))
 }
 
--- a/pkg/membership/calm_test.go
+++ b/pkg/membership/steady_state_test.go
@@ -13,51 +13,51 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// heartbeatsWithRow counts the heartbeats of one node in some time, and those
+// heartbeatsWithRecord counts the heartbeats of one node in some time, and those
 // among them that held its row.
-func (w *network) heartbeatsWithRow(name string, duration time.Duration) (all, withRow int) {
-	w.onSend = func(from string, out membership.Outbound) {
+func (net *network) heartbeatsWithRecord(name string, duration time.Duration) (all, withRecord int) {
+	net.onSend = func(from string, out membership.Outbound) {
 		if from != name || out.Message.Type != membership.MessageHeartbeat {
 			return
 		}
 		all++
-		withRow += min(1, len(out.Message.Records))
+		withRecord += min(1, len(out.Message.Records))
 	}
-	w.runUntil(w.now + duration)
-	w.onSend = nil
-	return all, withRow
+	net.runUntil(net.now + duration)
+	net.onSend = nil
+	return all, withRecord
 }
 
-// tables counts the different tables of all running members.
-func (w *network) tables() int {
-	return len(lo.UniqBy(w.running(), func(n *node) uint64 { return n.machine.Digest() }))
+// distinctTables counts the different tables of all running members.
+func (net *network) distinctTables() int {
+	return len(lo.UniqBy(net.running(), func(n *node) uint64 { return n.machine.Digest() }))
 }
 
-func (w *network) running() []*node {
-	return lo.Filter(w.all, func(n *node, _ int) bool { return n.machine != nil })
+func (net *network) running() []*node {
+	return lo.Filter(net.all, func(n *node, _ int) bool { return n.machine != nil })
 }
 
 var _ = Describe("a calm fleet", func() {
 	It("sends heartbeats without rows", func() {
-		w := fleetOf(1, 9, 3)
-		w.runUntil(4 * time.Second)
-		all, withRow := w.heartbeatsWithRow("n04", 2*time.Second)
+		net := fleetOf(1, 9, 3)
+		net.runUntil(4 * time.Second)
+		all, withRow := net.heartbeatsWithRecord("n04", 2*time.Second)
 		Expect(all).To(BeNumerically(">=", 27))
 		Expect(withRow).To(BeZero())
 	})
 
 	It("sends its row again to a monitor that started without a table, which acknowledges it soon", func() {
-		w := fleetOf(1, 9, 3)
-		w.runUntil(4 * time.Second)
-		monitor := rowOf(w, "n04").Monitors[0]
-		w.start(string(monitor))
-		boot := w.nodes[string(monitor)].incarnation
-		w.runUntil(w.now + time.Second)
-		row := rowOf(w, "n04")
+		net := fleetOf(1, 9, 3)
+		net.runUntil(4 * time.Second)
+		monitor := recordOf(net, "n04").Monitors[0]
+		net.start(string(monitor))
+		boot := net.nodes[string(monitor)].incarnation
+		net.runUntil(net.now + time.Second)
+		row := recordOf(net, "n04")
 		at := lo.IndexOf(row.Monitors, monitor)
 		Expect(at).To(BeNumerically(">=", 0))
 		Expect(row.MonitorBoots[at]).To(Equal(boot))
-		Expect(w.violations).To(BeEmpty())
+		Expect(net.violations).To(BeEmpty())
 	})
 
 	It("comes to one table after many start at once, whatever is lost", func() {
@@ -66,17 +66,17 @@
 		// whether all agree at a given one.
 		const step, bound = 50 * time.Millisecond, time.Second
 		for seed := range uint64(20) {
-			w := newNetwork(seed)
-			w.loss = 0.1
-			w.startFleet(60, 5)
-			w.runUntil(3 * time.Second)
-			w.calm()
-			for end := w.now + bound; w.tables() > 1 && w.now < end; {
-				w.runUntil(w.now + step)
+			net := newNetwork(seed)
+			net.loss = 0.1
+			net.startFleet(60, 5)
+			net.runUntil(3 * time.Second)
+			net.endFaults()
+			for end := net.now + bound; net.distinctTables() > 1 && net.now < end; {
+				net.runUntil(net.now + step)
 			}
-			Expect(w.tables()).To(Equal(1), "seed %d", seed)
-			w.runUntil(6 * time.Second)
-			w.expectAllServing(fmt.Sprintf("seed %d", seed))
+			Expect(net.distinctTables()).To(Equal(1), "seed %d", seed)
+			net.runUntil(6 * time.Second)
+			net.expectAllServing(fmt.Sprintf("seed %d", seed))
 		}
 	})
 
@@ -106,16 +106,16 @@
 		Expect(summary).To(HaveLen(joiners + 1))
 		wanted := lo.Map(summary, func(one membership.RecordDigest, _ int) uint32 { return one.Member })
 		slices.Sort(wanted)
-		told := machine.Step(time.Second, membership.Message{Type: membership.MessageGossip, From: from, Wanted: wanted})
+		told := machine.Step(time.Second, membership.Message{Type: membership.MessageGossip, From: from, Requested: wanted})
 		Expect(told).To(HaveLen(1))
 		Expect(told[0].Message.Records).To(HaveLen(joiners + 1))
 	})
 
 	It("costs two nodes that differ in one record little more than that record", func() {
-		pair := newPair(200)
+		pair := newMachinePair(200)
 		pair.exchange()
 		Expect(pair.first.Digest()).To(Equal(pair.second.Digest()), "after the first exchange")
-		newer := recordNamed("m007")
+		newer := newRecord("m007")
 		newer.Version++
 		pair.first.Step(pair.now, membership.Message{Type: membership.MessageGossip, From: member.Info{ID: "m001"}, Records: []membership.Record{newer}})
 		Expect(pair.first.Digest()).NotTo(Equal(pair.second.Digest()))
@@ -126,13 +126,13 @@
 	})
 })
 
-// recordNamed is a record of a member that doesn't run.
-func recordNamed(name string) membership.Record {
+// newRecord is a record of a member that doesn't run.
+func newRecord(name string) membership.Record {
 	return membership.Record{Info: member.Info{ID: member.ID(name), Address: name, Zone: "other", Incarnation: 5}, State: membership.StateAlive, Version: 1}
 }
 
-// pair is two machines with tables of their own, which play exchanges.
-type pair struct {
+// machinePair is two machines with tables of their own, which play exchanges.
+type machinePair struct {
 	now           time.Duration
 	first, second *membership.Machine
 }
@@ -140,25 +140,25 @@
 // exchangeCost counts what the messages of an exchange hold.
 type exchangeCost struct{ digests, records int }
 
-func newPair(members int) *pair {
-	made := &pair{
+func newMachinePair(members int) *machinePair {
+	pair := &machinePair{
 		first:  membership.New(membership.Config{Self: member.Info{ID: "first", Address: "first", Zone: "one", Incarnation: 1}}, 0),
 		second: membership.New(membership.Config{Self: member.Info{ID: "second", Address: "second", Zone: "two", Incarnation: 1}}, 0),
 	}
 	for number := range members {
-		record := recordNamed(fmt.Sprintf("m%03d", number))
+		record := newRecord(fmt.Sprintf("m%03d", number))
 		gossip := membership.Message{Type: membership.MessageGossip, From: record.Info, Records: []membership.Record{record}}
-		made.first.Step(0, gossip)
+		pair.first.Step(0, gossip)
 		if number%2 == 0 {
-			made.second.Step(0, gossip)
+			pair.second.Step(0, gossip)
 		}
 	}
-	return made
+	return pair
 }
 
 // exchange has the second machine notice that the first one's table differs, and
 // carries their messages until none is left.
-func (p *pair) exchange() exchangeCost {
+func (p *machinePair) exchange() exchangeCost {
 	var cost exchangeCost
 	p.now += 5 * time.Second
 	p.first.Tick(p.now)
@@ -182,7 +182,7 @@
 	return cost
 }
 
-func (p *pair) step(to *membership.Machine, sent membership.Outbound, cost *exchangeCost) []membership.Outbound {
+func (p *machinePair) step(to *membership.Machine, sent membership.Outbound, cost *exchangeCost) []membership.Outbound {
 	if sent.Message.Type != membership.MessageGossip {
 		return nil
 	}
@@ -191,6 +191,6 @@
 	return to.Step(p.now, sent.Message)
 }
 
-func rowOf(w *network, name string) membership.Record {
-	return lo.Must(lo.Find(w.nodes[name].machine.Members(), func(r membership.Record) bool { return r.Info.ID == member.ID(name) }))
+func recordOf(net *network, name string) membership.Record {
+	return lo.Must(lo.Find(net.nodes[name].machine.Members(), func(r membership.Record) bool { return r.Info.ID == member.ID(name) }))
 }
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -27,7 +27,7 @@
 		func(version uint64, firstBoot, secondBoot member.Incarnation, certain bool) {
 			record := randomRecords(rand.New(rand.NewPCG(1, 1)), 1)[0]
 			record.MonitorSetVersion = 2
-			record.Silences = []membership.Silence{
+			record.TimeoutReports = []membership.TimeoutReport{
 				{Monitor: "m1", MonitorBoot: firstBoot, Incarnation: record.Info.Incarnation, MonitorSetVersion: version},
 				{Monitor: "m2", MonitorBoot: secondBoot, Incarnation: record.Info.Incarnation, MonitorSetVersion: version},
 			}
@@ -43,19 +43,19 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		record := randomRecords(random, 1)[0]
 		record.MonitorSetVersion = 2
-		report := func(boot member.Incarnation) membership.Silence {
-			return membership.Silence{Monitor: "m1", MonitorBoot: boot, Incarnation: record.Info.Incarnation, MonitorSetVersion: 2}
+		report := func(boot member.Incarnation) membership.TimeoutReport {
+			return membership.TimeoutReport{Monitor: "m1", MonitorBoot: boot, Incarnation: record.Info.Incarnation, MonitorSetVersion: 2}
 		}
 		var records []membership.Record
 		for boot := member.Incarnation(1); boot <= 9; boot++ {
-			record.Silences = []membership.Silence{report(boot)}
+			record.TimeoutReports = []membership.TimeoutReport{report(boot)}
 			records = append(records, record)
 		}
 		for range 20 {
 			random.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 			row := tableOf(records)
 			Expect(row.State).To(Equal(membership.StateSuspect))
-			Expect(row.Silences).To(Equal([]membership.Silence{report(1), report(9)}))
+			Expect(row.TimeoutReports).To(Equal([]membership.TimeoutReport{report(1), report(9)}))
 		}
 	})
 
@@ -76,7 +76,7 @@
 			gossip := membership.Message{Type: membership.MessageGossip, From: record.Info, Records: []membership.Record{record}}
 			monitor.Step(now, gossip)
 			monitor.Tick(now)
-			if rowOfX(monitor).State == membership.StateSuspect {
+			if recordOfX(monitor).State == membership.StateSuspect {
 				reportedAt = now
 			}
 		}
@@ -91,61 +91,61 @@
 		}
 		settledAfter := func(from time.Duration) {
 			machine.Tick(from + membership.DefaultFenceMargin - 1)
-			ExpectWithOffset(1, machine.FormerLifeSettled("x")).To(BeFalse())
+			ExpectWithOffset(1, machine.FormerIncarnationQuiesced("x")).To(BeFalse())
 			machine.Tick(from + membership.DefaultFenceMargin)
-			ExpectWithOffset(1, machine.FormerLifeSettled("x")).To(BeTrue())
+			ExpectWithOffset(1, machine.FormerIncarnationQuiesced("x")).To(BeTrue())
 		}
-		Expect(machine.FormerLifeSettled("x")).To(BeTrue(), "of nobody known")
+		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "of nobody known")
 		learn(time.Second)
 		settledAfter(time.Second)
 		record.Version = 2
 		learn(2 * time.Second)
-		Expect(machine.FormerLifeSettled("x")).To(BeTrue(), "the same life")
+		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "the same life")
 		record.Info.Incarnation, record.Version = 6, 1
 		learn(3 * time.Second)
-		Expect(machine.LifeEnded("x", 5)).To(BeTrue())
+		Expect(machine.IncarnationEnded("x", 5)).To(BeTrue())
 		settledAfter(3 * time.Second)
 		record.State = membership.StateLeft
 		learn(4 * time.Second)
-		Expect(machine.LifeEnded("x", 6)).To(BeTrue())
+		Expect(machine.IncarnationEnded("x", 6)).To(BeTrue())
 		settledAfter(4 * time.Second)
 	})
 
 	It("forgets lives that are over, and remembers that they are", func() {
-		w := newNetwork(3)
-		w.config.ForgetAfter = 5 * time.Second
+		net := newNetwork(3)
+		net.config.ForgetAfter = 5 * time.Second
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
-			w.add(name, name)
+			net.add(name, name)
 		}
-		for _, name := range w.names {
-			w.start(name, "a", "b")
+		for _, name := range net.names {
+			net.start(name, "a", "b")
 		}
-		w.runUntil(2 * time.Second)
-		incarnation := w.nodes["e"].incarnation
-		w.kill("e")
-		w.runUntil(20 * time.Second)
+		net.runUntil(2 * time.Second)
+		incarnation := net.nodes["e"].incarnation
+		net.kill("e")
+		net.runUntil(20 * time.Second)
 		for _, name := range []string{"a", "b", "c", "d"} {
-			machine := w.nodes[name].machine
+			machine := net.nodes[name].machine
 			Expect(machine.Members()).To(HaveLen(4))
 			Expect(machine.CertainlyFenced("e")).To(BeTrue())
-			Expect(machine.LifeEnded("e", incarnation)).To(BeTrue())
+			Expect(machine.IncarnationEnded("e", incarnation)).To(BeTrue())
 		}
-		w.start("e", "b")
-		w.runUntil(22 * time.Second)
-		Expect(w.nodes["a"].machine.Alive("e")).To(BeTrue())
-		Expect(w.nodes["a"].machine.CertainlyFenced("e")).To(BeFalse())
-		Expect(w.nodes["a"].machine.LifeEnded("e", incarnation)).To(BeTrue())
+		net.start("e", "b")
+		net.runUntil(22 * time.Second)
+		Expect(net.nodes["a"].machine.Alive("e")).To(BeTrue())
+		Expect(net.nodes["a"].machine.CertainlyFenced("e")).To(BeFalse())
+		Expect(net.nodes["a"].machine.IncarnationEnded("e", incarnation)).To(BeTrue())
 	})
 
 	It("lets a process that started with an old incarnation outlive the table", func() {
-		w := fleetOf(5, 5, 5)
-		w.runUntil(2 * time.Second)
-		w.kill("n04")
-		w.nodes["n04"].incarnation -= 1500
-		w.start("n04", "n00")
-		w.runUntil(5 * time.Second)
-		w.expectAllServing("restarted with an older incarnation")
-		incarnation, _ := w.nodes["n00"].machine.Incarnation("n04")
+		net := fleetOf(5, 5, 5)
+		net.runUntil(2 * time.Second)
+		net.kill("n04")
+		net.nodes["n04"].incarnation -= 1500
+		net.start("n04", "n00")
+		net.runUntil(5 * time.Second)
+		net.expectAllServing("restarted with an older incarnation")
+		incarnation, _ := net.nodes["n00"].machine.Incarnation("n04")
 		Expect(incarnation).To(BeNumerically(">", 1000))
 	})
 
@@ -154,66 +154,66 @@
 		// each; a probe of any member at random may miss all three for seconds.
 		const probesNeeded = 2
 		for seed := range uint64(30) {
-			w := fleetOf(seed, 8, 4)
-			seeds := w.names[:3]
-			w.runUntil(3 * time.Second)
+			net := fleetOf(seed, 8, 4)
+			seeds := net.names[:3]
+			net.runUntil(3 * time.Second)
 			for _, name := range seeds {
-				w.kill(name)
+				net.kill(name)
 			}
-			w.runUntil(6 * time.Second)
+			net.runUntil(6 * time.Second)
 			for _, name := range seeds {
-				w.start(name, seeds...)
+				net.start(name, seeds...)
 			}
 			probeEvery := 5 * membership.DefaultHeartbeatEvery
-			w.runUntil(6*time.Second + probesNeeded*probeEvery)
-			for _, name := range w.names[3:] {
+			net.runUntil(6*time.Second + probesNeeded*probeEvery)
+			for _, name := range net.names[3:] {
 				for _, again := range seeds {
-					Expect(w.nodes[name].machine.Alive(member.ID(again))).To(BeTrue(), "seed %d: %s of %s", seed, name, again)
+					Expect(net.nodes[name].machine.Alive(member.ID(again))).To(BeTrue(), "seed %d: %s of %s", seed, name, again)
 				}
 			}
 		}
 	})
 
 	It("asks a seed again on which a member listened that has left", func() {
-		w := fleetOf(11, 6, 3)
-		w.runUntil(3 * time.Second)
-		w.isolate("n05", true)
-		for _, name := range w.names[:5] {
-			w.cut[oneWay{name, "n05"}] = false
-			w.leave(name)
-			w.runUntil(w.now + 50*time.Millisecond)
-			w.kill(name)
+		net := fleetOf(11, 6, 3)
+		net.runUntil(3 * time.Second)
+		net.isolate("n05", true)
+		for _, name := range net.names[:5] {
+			net.blocked[direction{name, "n05"}] = false
+			net.leave(name)
+			net.runUntil(net.now + 50*time.Millisecond)
+			net.kill(name)
 		}
-		w.runUntil(5 * time.Second)
-		for _, name := range w.names[:5] {
-			w.start(name, w.names[:3]...)
+		net.runUntil(5 * time.Second)
+		for _, name := range net.names[:5] {
+			net.start(name, net.names[:3]...)
 		}
-		w.isolate("n05", false)
-		w.runUntil(9 * time.Second)
-		for _, name := range w.names[:5] {
-			Expect(w.nodes["n05"].machine.Alive(member.ID(name))).To(BeTrue(), name)
-			Expect(w.nodes[name].machine.Alive("n05")).To(BeTrue(), name)
+		net.isolate("n05", false)
+		net.runUntil(9 * time.Second)
+		for _, name := range net.names[:5] {
+			Expect(net.nodes["n05"].machine.Alive(member.ID(name))).To(BeTrue(), name)
+			Expect(net.nodes[name].machine.Alive("n05")).To(BeTrue(), name)
 		}
 	})
 
 	It("removes only the newest life of another member", func() {
-		w := fleetOf(9, 3, 3)
-		w.runUntil(2 * time.Second)
+		net := fleetOf(9, 3, 3)
+		net.runUntil(2 * time.Second)
 		for id, reason := range map[member.ID]membership.RemoveReason{
-			"n00": membership.RemoveSelf, "n01": membership.RemoveOtherLife, "x": membership.RemoveUnknown,
+			"n00": membership.RemoveSelf, "n01": membership.RemoveOtherIncarnation, "x": membership.RemoveUnknown,
 		} {
-			_, err := w.nodes["n00"].machine.Remove(w.clock(w.nodes["n00"]), id, 7)
+			_, err := net.nodes["n00"].machine.Remove(net.clock(net.nodes["n00"]), id, 7)
 			Expect(err).To(Equal(&membership.RemoveError{ID: id, Reason: reason}))
 		}
 	})
 
 	It("spreads monitors over zones", func() {
-		w := fleetOf(9, 17, 4)
-		w.runUntil(4 * time.Second)
-		for _, record := range w.nodes["n00"].machine.Members() {
+		net := fleetOf(9, 17, 4)
+		net.runUntil(4 * time.Second)
+		for _, record := range net.nodes["n00"].machine.Members() {
 			zones := map[string]bool{}
 			for _, id := range record.Monitors {
-				zones[w.nodes[string(id)].zone] = true
+				zones[net.nodes[string(id)].zone] = true
 			}
 			Expect(record.Monitors).To(HaveLen(3))
 			Expect(zones).To(HaveLen(3))
@@ -238,7 +238,7 @@
 			Version:           version,
 		}
 		for range random.IntN(3) {
-			record.Silences = append(record.Silences, membership.Silence{
+			record.TimeoutReports = append(record.TimeoutReports, membership.TimeoutReport{
 				Monitor:           monitors[random.IntN(len(monitors))],
 				MonitorBoot:       member.Incarnation(1 + random.IntN(2)),
 				Incarnation:       member.Incarnation(1 + random.IntN(2)),
@@ -259,10 +259,10 @@
 			Records: []membership.Record{record},
 		})
 	}
-	return rowOfX(machine)
+	return recordOfX(machine)
 }
 
-func rowOfX(machine *membership.Machine) membership.Record {
+func recordOfX(machine *membership.Machine) membership.Record {
 	isX := func(record membership.Record) bool { return record.Info.ID == "x" }
 	return lo.Must(lo.Find(machine.Members(), isX))
 }
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -33,7 +33,7 @@
 })
 
 func runTimeline(text string) {
-	w := newNetwork(7)
+	net := newNetwork(7)
 	var columns []string
 	for number, line := range strings.Split(text, "\n") {
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -41,63 +41,63 @@
 		}
 		cells := strings.Split(line, "|")
 		if columns == nil {
-			columns = addColumns(w, cells)
+			columns = addColumns(net, cells)
 			continue
 		}
 		at, err := time.ParseDuration(strings.TrimSpace(cells[0]))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(at).To(BeNumerically(">=", w.now))
-		w.runUntil(at)
+		Expect(at).To(BeNumerically(">=", net.now))
+		net.runUntil(at)
 		for i, cell := range cells[1:] {
 			for _, token := range strings.Split(cell, ",") {
 				if token = strings.TrimSpace(token); token != "" {
-					perform(w, columns[i], token, number+1)
+					perform(net, columns[i], token, number+1)
 				}
 			}
 		}
 	}
-	Expect(w.violations).To(BeEmpty())
+	Expect(net.violations).To(BeEmpty())
 }
 
-func addColumns(w *network, cells []string) []string {
+func addColumns(net *network, cells []string) []string {
 	var columns []string
 	for _, cell := range cells[1:] {
 		name, zone, _ := strings.Cut(strings.TrimSpace(cell), "@")
-		w.add(name, zone)
+		net.add(name, zone)
 		columns = append(columns, name)
 	}
 	return columns
 }
 
-func perform(w *network, name, token string, line int) {
+func perform(net *network, name, token string, line int) {
 	verb, argument, _ := strings.Cut(strings.TrimSuffix(token, ")"), "(")
-	n := w.nodes[name]
+	n := net.nodes[name]
 	other := member.ID(argument)
 	where := "line " + strconv.Itoa(line) + ", " + name + ": " + token
 	switch verb {
 	case "start":
 		seeds := strings.Fields(argument)
 		if len(seeds) == 0 {
-			seeds = w.names[:min(3, len(w.names))]
+			seeds = net.names[:min(3, len(net.names))]
 		}
-		w.start(name, seeds...)
+		net.start(name, seeds...)
 	case "kill":
-		w.kill(name)
+		net.kill(name)
 	case "freeze", "wake":
 		n.frozen = verb == "freeze"
 	case "leave":
-		w.leave(name)
+		net.leave(name)
 	case "remove":
 		incarnation, _ := n.machine.Incarnation(other)
-		out, err := n.machine.Remove(w.clock(n), other, incarnation)
+		out, err := n.machine.Remove(net.clock(n), other, incarnation)
 		Expect(err).NotTo(HaveOccurred())
-		w.send(name, out)
+		net.send(name, out)
 	case "cut", "mend":
-		w.cut[oneWay{name, argument}] = verb == "cut"
+		net.blocked[direction{name, argument}] = verb == "cut"
 	case "isolate", "rejoin":
-		w.isolate(name, verb == "isolate")
+		net.isolate(name, verb == "isolate")
 	case "serving", "fenced":
-		Expect(w.serves(name)).To(Equal(verb == "serving"), where)
+		Expect(net.serves(name)).To(Equal(verb == "serving"), where)
 	case "lives":
 		Expect(strconv.FormatUint(n.machine.FenceCount(), 10)).To(Equal(argument), where)
 	case "certain", "uncertain":
--- a/pkg/relaytree/log.go
+++ b/pkg/relaytree/change_log.go
@@ -22,8 +22,8 @@
 	name     string
 }
 
-// start forgets everything before a revision.
-func (l *changeLog) start(revision uint64) {
+// reset forgets everything before a revision.
+func (l *changeLog) reset(revision uint64) {
 	l.oldest = revision
 	l.entries = nil
 }
@@ -46,24 +46,24 @@
 // trim drops the older half, in whole revisions, so that it is seldom needed.
 func (l *changeLog) trim() {
 	l.oldest = l.entries[len(l.entries)-maxLogEntries/2].revision
-	l.entries = slices.Clone(l.entries[l.after(l.oldest):])
+	l.entries = slices.Clone(l.entries[l.firstAfter(l.oldest):])
 }
 
-// after is the position of the first entry beyond a revision.
-func (l *changeLog) after(revision uint64) int {
+// firstAfter is the position of the first entry beyond a revision.
+func (l *changeLog) firstAfter(revision uint64) int {
 	return sort.Search(len(l.entries), func(i int) bool { return l.entries[i].revision > revision })
 }
 
 // reaches tells whether all changes since a revision are known, and are no more
 // than the given number.
-func (l *changeLog) reaches(revision uint64, most int) bool {
-	return revision >= l.oldest && len(l.entries)-l.after(revision) <= most
+func (l *changeLog) reaches(revision uint64, limit int) bool {
+	return revision >= l.oldest && len(l.entries)-l.firstAfter(revision) <= limit
 }
 
 // namesSince lists the sections that changed after a revision, sorted.
 func (l *changeLog) namesSince(revision uint64) []string {
 	var names []string
-	for _, entry := range l.entries[l.after(revision):] {
+	for _, entry := range l.entries[l.firstAfter(revision):] {
 		names = append(names, entry.name)
 	}
 	slices.Sort(names)
--- a/pkg/relaytree/delta_test.go
+++ b/pkg/relaytree/delta_test.go
@@ -25,70 +25,70 @@
 }
 
 // fill publishes the first revision, with many sections.
-func (w *network) fill(root *node, sections int) {
-	w.published++
+func (net *network) fill(root *node, sections int) {
+	net.published++
 	for i := range sections {
 		content := fmt.Sprintf("%0*d", sectionBytes, i)
-		w.truth.set(fmt.Sprintf("section-%05d", i), w.published, content)
+		net.reference.set(fmt.Sprintf("section-%05d", i), net.published, content)
 	}
-	w.truth.names = sections
-	outbox, updates := root.machine.Publish(topic, w.published, w.truth.sections())
-	w.take(root, updates)
-	w.send(root, outbox)
+	net.reference.names = sections
+	outbox, updates := root.machine.Publish(topic, net.published, net.reference.sections())
+	net.applyUpdates(root, updates)
+	net.send(root, outbox)
 }
 
 var _ = Describe("deltas", func() {
 	It("cost less than 2 KB a child for one change among 22,000 sections", func() {
-		w := newNetwork(1, numbered(5, 1))
-		w.setRoot("n00")
-		w.fill(w.nodes[0], largeState)
-		w.run(convergence)
-		Expect(w.behind()).To(BeEmpty())
-		whole := w.bytes[relaytree.MessageUpdate] / 4
-		clear(w.bytes)
-		w.publish(w.nodes[0])
-		w.run(betweenDigests)
-		Expect(w.behind()).To(BeEmpty())
-		delta := w.bytes[relaytree.MessageUpdate] / 4
+		net := newNetwork(1, nodeNames(5, 1))
+		net.setRoot("n00")
+		net.fill(net.nodes[0], largeState)
+		net.run(convergence)
+		Expect(net.lagging()).To(BeEmpty())
+		whole := net.bytes[relaytree.MessageUpdate] / 4
+		clear(net.bytes)
+		net.publish(net.nodes[0])
+		net.run(betweenDigests)
+		Expect(net.lagging()).To(BeEmpty())
+		delta := net.bytes[relaytree.MessageUpdate] / 4
 		AddReportEntry("bytes a child", fmt.Sprintf("whole %d, delta %d", whole, delta))
 		Expect(whole).To(BeNumerically(">", largeState*sectionBytes))
 		Expect(delta).To(BeNumerically("<", 2<<10))
 	})
 
 	It("serve a storm on a large state with no further whole state", func() {
-		w := newNetwork(2, numbered(17, 4))
-		w.setRoot("n00")
-		w.fill(w.nodes[0], 20_000)
-		w.run(convergence)
-		Expect(w.behind()).To(BeEmpty())
-		clear(w.bytes)
+		net := newNetwork(2, nodeNames(17, 4))
+		net.setRoot("n00")
+		net.fill(net.nodes[0], 20_000)
+		net.run(convergence)
+		Expect(net.lagging()).To(BeEmpty())
+		clear(net.bytes)
 		for range 200 {
-			w.publish(w.nodes[0])
-			w.run(stepEvery)
+			net.publish(net.nodes[0])
+			net.run(stepEvery)
 		}
-		w.run(convergence)
-		Expect(w.behind()).To(BeEmpty())
-		Expect(w.violations).To(BeEmpty())
-		Expect(w.bytes[relaytree.MessageUpdate]).To(BeNumerically("<", 200*16*2<<10))
+		net.run(convergence)
+		Expect(net.lagging()).To(BeEmpty())
+		Expect(net.violations).To(BeEmpty())
+		Expect(net.bytes[relaytree.MessageUpdate]).To(BeNumerically("<", 200*16*2<<10))
 	})
 
 	It("reach a node that starts during a storm, which doesn't start its transfer anew", func() {
-		w := newNetworkWithParts(3, numbered(4, 1), 4<<10)
-		w.setRoot("n00")
-		w.nodes[3].deaf = true
-		w.fill(w.nodes[0], 2_000)
-		w.run(convergence)
-		w.nodes[3].deaf = false
-		w.parts = 0
+		net := newNetworkWithChunks(3, nodeNames(4, 1), 4<<10)
+		net.setRoot("n00")
+		net.nodes[3].deaf = true
+		net.fill(net.nodes[0], 2_000)
+		net.run(convergence)
+		net.nodes[3].deaf = false
+		net.chunks = 0
 		for range 200 {
-			w.publish(w.nodes[0])
-			w.run(2 * stepEvery)
+			net.publish(net.nodes[0])
+			net.run(2 * stepEvery)
 		}
-		Expect(w.nodes[3].newest).To(BeNumerically(">", 100))
-		Expect(w.parts).To(BeNumerically("<", 150))
-		w.run(convergence)
-		Expect(w.behind()).To(BeEmpty())
-		Expect(w.violations).To(BeEmpty())
+		Expect(net.nodes[3].newest).To(BeNumerically(">", 100))
+		Expect(net.chunks).To(BeNumerically("<", 150))
+		net.run(convergence)
+		Expect(net.lagging()).To(BeEmpty())
+		Expect(net.violations).To(BeEmpty())
 	})
 
 	It("are refused for another state, and followed by a whole one", func() {
@@ -102,7 +102,7 @@
 		sender.Publish(topic, 1, both("1"))
 		receiver.Publish(topic, 1, state("1"))
 		sender.Step(0, "receiver", relaytree.Message{
-			Type: relaytree.MessageAcknowledge, Topic: topic, Revision: 1, Answers: 1,
+			Type: relaytree.MessageAcknowledge, Topic: topic, Revision: 1, AcknowledgedRevision: 1,
 		})
 		delta, _ := sender.Publish(topic, 2, both("2"))
 		Expect(delta[0].Message.BaseRevision).To(Equal(uint64(1)))
@@ -113,8 +113,8 @@
 		Expect(whole[0].Message.BaseRevision).To(BeZero())
 		_, updates = receiver.Step(0, "sender", whole[0].Message)
 		Expect(updates).To(HaveLen(1))
-		_, sections := receiver.Held(topic)
-		_, published := sender.Held(topic)
+		_, sections := receiver.Snapshot(topic)
+		_, published := sender.Snapshot(topic)
 		Expect(sections).To(Equal(published))
 	})
 
@@ -144,7 +144,7 @@
 		}
 		baseFor := func(holder member.ID, revision uint64) uint64 {
 			known := []relaytree.TopicRevision{{Topic: topic, Revision: revision}}
-			answer, _ := root.Step(0, holder, relaytree.Message{Type: relaytree.MessageDigest, Known: known})
+			answer, _ := root.Step(0, holder, relaytree.Message{Type: relaytree.MessageDigest, Revisions: known})
 			Expect(answer).To(HaveLen(1))
 			return answer[0].Message.BaseRevision
 		}
@@ -154,26 +154,26 @@
 
 	It("converge under loss, duplication, reordering and death, in parts or whole, and never mix", func() {
 		for seed := range uint64(400) {
-			parts := []int{relaytree.DefaultPartBytes, 40}[seed%2]
-			w := newNetworkWithParts(seed, numbered(4+int(seed%9), 1+int(seed%3)), parts)
-			w.loss = []float64{0, 0.1, 0.25}[seed%3]
-			w.duplication = []float64{0, 0.3}[seed/3%2]
-			w.jitter = []time.Duration{0, 60 * time.Millisecond}[seed/6%2]
-			w.truth.names = 40
-			root := w.nodes[w.random.IntN(len(w.nodes))]
-			w.setRoot(root.id)
+			parts := []int{relaytree.DefaultChunkBytes, 40}[seed%2]
+			net := newNetworkWithChunks(seed, nodeNames(4+int(seed%9), 1+int(seed%3)), parts)
+			net.loss = []float64{0, 0.1, 0.25}[seed%3]
+			net.duplication = []float64{0, 0.3}[seed/3%2]
+			net.jitter = []time.Duration{0, 60 * time.Millisecond}[seed/6%2]
+			net.reference.names = 40
+			root := net.nodes[net.random.IntN(len(net.nodes))]
+			net.setRoot(root.id)
 			for range 40 {
-				w.publish(root)
-				w.run(time.Duration(w.random.IntN(30)) * time.Millisecond)
+				net.publish(root)
+				net.run(time.Duration(net.random.IntN(30)) * time.Millisecond)
 			}
-			w.killInner(root)
-			w.publish(root)
-			w.run(300 * time.Millisecond)
-			w.tellMembers(everyone)
-			w.loss = 0
-			w.run(2 * convergence)
-			Expect(w.behind()).To(BeEmpty(), "seed %d", seed)
-			Expect(w.violations).To(BeEmpty(), "seed %d", seed)
+			net.killInnerNode(root)
+			net.publish(root)
+			net.run(300 * time.Millisecond)
+			net.setMembers(everyone)
+			net.loss = 0
+			net.run(2 * convergence)
+			Expect(net.lagging()).To(BeEmpty(), "seed %d", seed)
+			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 })
@@ -181,45 +181,45 @@
 // BenchmarkOneChange is the time in which the root publishes a state with one
 // changed section among 22,000 and a child takes it.
 func BenchmarkOneChange(b *testing.B) {
-	w := newNetwork(1, numbered(2, 1))
-	w.setRoot("n00")
-	w.fill(w.nodes[0], largeState)
-	w.run(convergence)
-	root, child := w.nodes[0].machine, w.nodes[1].machine
-	sections := w.truth.sections()
+	net := newNetwork(1, nodeNames(2, 1))
+	net.setRoot("n00")
+	net.fill(net.nodes[0], largeState)
+	net.run(convergence)
+	root, child := net.nodes[0].machine, net.nodes[1].machine
+	sections := net.reference.sections()
 	b.ResetTimer()
 	for b.Loop() {
-		w.published++
-		sections[0].Content = []byte(fmt.Sprint(w.published))
-		outbox, _ := root.Publish(topic, w.published, sections)
+		net.published++
+		sections[0].Content = []byte(fmt.Sprint(net.published))
+		outbox, _ := root.Publish(topic, net.published, sections)
 		for _, out := range outbox {
-			takeFrame(root, child, out, "n01")
+			deliverFrame(root, child, out, "n01")
 		}
 	}
 }
 
 // BenchmarkTakeOneChange is the child's share of it, with the decoding.
 func BenchmarkTakeOneChange(b *testing.B) {
-	w := newNetwork(1, numbered(2, 1))
-	w.setRoot("n00")
-	w.fill(w.nodes[0], largeState)
-	w.run(convergence)
-	root, child := w.nodes[0].machine, w.nodes[1].machine
-	sections := w.truth.sections()
+	net := newNetwork(1, nodeNames(2, 1))
+	net.setRoot("n00")
+	net.fill(net.nodes[0], largeState)
+	net.run(convergence)
+	root, child := net.nodes[0].machine, net.nodes[1].machine
+	sections := net.reference.sections()
 	for b.Loop() {
 		b.StopTimer()
-		w.published++
-		sections[0].Content = []byte(fmt.Sprint(w.published))
-		outbox, _ := root.Publish(topic, w.published, sections)
+		net.published++
+		sections[0].Content = []byte(fmt.Sprint(net.published))
+		outbox, _ := root.Publish(topic, net.published, sections)
 		b.StartTimer()
 		for _, out := range outbox {
-			takeFrame(root, child, out, "n01")
+			deliverFrame(root, child, out, "n01")
 		}
 	}
 }
 
-// takeFrame carries one update over the wire, and its acknowledgement back.
-func takeFrame(sender, receiver *relaytree.Machine, out relaytree.Outbound, to member.ID) {
+// deliverFrame carries one update over the wire, and its acknowledgement back.
+func deliverFrame(sender, receiver *relaytree.Machine, out relaytree.Outbound, to member.ID) {
 	frame := wire.Encode(wire.Envelope{Relay: &out.Message})
 	decoded, err := wire.Decode(frame)
 	if err != nil {
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -15,11 +15,11 @@
 const (
 	DefaultFanOut      = 4
 	DefaultDigestEvery = 200 * time.Millisecond
-	DefaultPartBytes   = 128 << 10
+	DefaultChunkBytes  = 128 << 10
 )
 
-// greetingsPerDigest is how often in DigestEvery new parents are asked at most.
-const greetingsPerDigest = 4
+// parentDigestsPerInterval is how often in DigestEvery new parents are asked at most.
+const parentDigestsPerInterval = 4
 
 // Config sets up a Machine. Zero values take the defaults.
 type Config struct {
@@ -29,9 +29,9 @@
 	// DigestEvery is the time between two digests, and how long an update may
 	// stay unacknowledged before a newer one is sent after it.
 	DigestEvery time.Duration
-	// PartBytes is the size, in names and contents, from which an update is
+	// ChunkBytes is the size, in names and contents, from which an update is
 	// sent in several parts, one a round trip.
-	PartBytes int
+	ChunkBytes int
 }
 
 // Machine is the relay state of one node. It does no I/O and reads no clock;
@@ -40,41 +40,41 @@
 	config     Config
 	now        time.Duration
 	nextDigest time.Duration
-	// turn chooses the parent and the other member that the next digest goes to.
-	turn uint64
-	// moved tells that the parents may be new, and greeted when all of them were
+	// digestTurn chooses the parent and the other member that the next digest goes to.
+	digestTurn uint64
+	// parentsChanged tells that the parents may be new, and greeted when all of them were
 	// last sent a digest for that.
-	moved   bool
-	greeted time.Duration
+	parentsChanged    bool
+	parentsNotifiedAt time.Duration
 
 	members []Member
 	roots   map[Topic]member.ID
 	// positions are this node's places by root; cleared when members change.
-	positions map[member.ID]position
+	positions map[member.ID]treePosition
 
-	held       map[Topic]*state
+	states     map[Topic]*state
 	assemblies map[Topic]*assembly
-	// known are the revisions that other members said they hold.
-	known      map[link]uint64
-	inFlight   map[link]*flight
-	digestSent map[member.ID]time.Duration
+	// knownRevisions are the revisions that other members said they hold.
+	knownRevisions map[feedKey]uint64
+	inFlight       map[feedKey]*transfer
+	digestSentAt   map[member.ID]time.Duration
 
 	outbox []Outbound
 }
 
-// link is the way of one topic to one member.
-type link struct {
+// feedKey is the way of one topic to one member.
+type feedKey struct {
 	to    member.ID
 	topic Topic
 }
 
-// flight is an update of which a part was sent and not yet acknowledged.
-type flight struct {
+// transfer is an update of which a part was sent and not yet acknowledged.
+type transfer struct {
 	update *update
-	part   int
+	chunk  int
 	sentAt time.Duration
-	// repeats counts how often the part was sent again.
-	repeats int
+	// resends counts how often the part was sent again.
+	resends int
 }
 
 // New returns a machine that holds nothing and knows no other member.
@@ -85,18 +85,18 @@
 	if cfg.DigestEvery <= 0 {
 		cfg.DigestEvery = DefaultDigestEvery
 	}
-	if cfg.PartBytes <= 0 {
-		cfg.PartBytes = DefaultPartBytes
+	if cfg.ChunkBytes <= 0 {
+		cfg.ChunkBytes = DefaultChunkBytes
 	}
 	m := &Machine{
-		config:     cfg,
-		roots:      map[Topic]member.ID{},
-		held:       map[Topic]*state{},
-		assemblies: map[Topic]*assembly{},
-		known:      map[link]uint64{},
-		inFlight:   map[link]*flight{},
-		digestSent: map[member.ID]time.Duration{},
-		turn:       xxhash.Sum64String(string(cfg.Self)),
+		config:         cfg,
+		roots:          map[Topic]member.ID{},
+		states:         map[Topic]*state{},
+		assemblies:     map[Topic]*assembly{},
+		knownRevisions: map[feedKey]uint64{},
+		inFlight:       map[feedKey]*transfer{},
+		digestSentAt:   map[member.ID]time.Duration{},
+		digestTurn:     xxhash.Sum64String(string(cfg.Self)),
 	}
 	m.SetMembers(nil)
 	return m
@@ -115,8 +115,8 @@
 		return
 	}
 	m.members = sorted
-	m.moveInTrees()
-	m.dropGone()
+	m.resetPositions()
+	m.dropDepartedMembers()
 }
 
 // SetRoot names the node that publishes a topic.
@@ -125,25 +125,25 @@
 		return
 	}
 	m.roots[topic] = root
-	m.moveInTrees()
+	m.resetPositions()
 }
 
-// moveInTrees derives all positions anew and asks the new parents soon: at once,
+// resetPositions derives all positions anew and asks the new parents soon: at once,
 // but not again and again while members come and go one after the other.
-func (m *Machine) moveInTrees() {
-	m.positions = map[member.ID]position{}
-	m.moved = true
-	m.nextDigest = min(m.nextDigest, max(m.now, m.greeted+m.config.DigestEvery/greetingsPerDigest))
+func (m *Machine) resetPositions() {
+	m.positions = map[member.ID]treePosition{}
+	m.parentsChanged = true
+	m.nextDigest = min(m.nextDigest, max(m.now, m.parentsNotifiedAt+m.config.DigestEvery/parentDigestsPerInterval))
 }
 
-func (m *Machine) dropGone() {
+func (m *Machine) dropDepartedMembers() {
 	live := map[member.ID]bool{}
 	for _, other := range m.members {
 		live[other.ID] = true
 	}
-	maps.DeleteFunc(m.inFlight, func(l link, _ *flight) bool { return !live[l.to] })
-	maps.DeleteFunc(m.known, func(l link, _ uint64) bool { return !live[l.to] })
-	maps.DeleteFunc(m.digestSent, func(id member.ID, _ time.Duration) bool { return !live[id] })
+	maps.DeleteFunc(m.inFlight, func(key feedKey, _ *transfer) bool { return !live[key.to] })
+	maps.DeleteFunc(m.knownRevisions, func(key feedKey, _ uint64) bool { return !live[key.to] })
+	maps.DeleteFunc(m.digestSentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
 }
 
 // Publish sends a new revision down the tree, given as all its sections.
@@ -153,7 +153,7 @@
 		return nil, nil
 	}
 	change := m.stateOf(topic).differenceTo(sections)
-	updates := m.hold(topic, revision, change)
+	updates := m.apply(topic, revision, change)
 	m.feedChildren(topic, "")
 	return m.flush(), updates
 }
@@ -166,7 +166,7 @@
 	case MessageUpdate:
 		updates = m.onUpdate(from, msg)
 	case MessageDigest:
-		m.onDigest(from, msg.Known)
+		m.onDigest(from, msg.Revisions)
 	case MessageAcknowledge:
 		m.onAcknowledge(from, msg)
 	}
@@ -176,7 +176,7 @@
 // Tick lets time pass. It should be called several times in DigestEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.now = max(m.now, now)
-	m.expireFlights()
+	m.expireTransfers()
 	m.expireAssemblies()
 	if m.now >= m.nextDigest {
 		m.nextDigest = m.now + m.config.DigestEvery
@@ -187,35 +187,35 @@
 
 // Revision returns the newest revision held of a topic; 0 if none.
 func (m *Machine) Revision(topic Topic) uint64 {
-	if held := m.held[topic]; held != nil {
-		return held.revision
+	if state := m.states[topic]; state != nil {
+		return state.revision
 	}
 	return 0
 }
 
-// Held returns the newest revision of a topic and all its sections, sorted by
+// Snapshot returns the newest revision of a topic and all its sections, sorted by
 // name.
-func (m *Machine) Held(topic Topic) (revision uint64, sections []Section) {
-	held := m.held[topic]
-	if held == nil {
+func (m *Machine) Snapshot(topic Topic) (revision uint64, sections []Section) {
+	state := m.states[topic]
+	if state == nil {
 		return 0, nil
 	}
-	return held.revision, held.list()
+	return state.revision, state.sortedSections()
 }
 
 // stateOf returns the state of a topic, which is empty at first.
 func (m *Machine) stateOf(topic Topic) *state {
-	if m.held[topic] == nil {
-		m.held[topic] = newState(m.config.PartBytes)
+	if m.states[topic] == nil {
+		m.states[topic] = newState(m.config.ChunkBytes)
 	}
-	return m.held[topic]
+	return m.states[topic]
 }
 
-// hold moves a topic to a newer revision. This is the only place that changes
+// apply moves a topic to a newer revision. This is the only place that changes
 // what is held, and it does so in one step.
-func (m *Machine) hold(topic Topic, revision uint64, change changes) []Update {
+func (m *Machine) apply(topic Topic, revision uint64, change changes) []Update {
 	m.stateOf(topic).apply(revision, change)
-	if gathering := m.assemblies[topic]; gathering != nil && gathering.first.Revision <= revision {
+	if pending := m.assemblies[topic]; pending != nil && pending.first.Revision <= revision {
 		delete(m.assemblies, topic)
 	}
 	return []Update{{
--- a/pkg/relaytree/machine_test.go
+++ b/pkg/relaytree/machine_test.go
@@ -19,19 +19,19 @@
 var _ = Describe("the relay tree", func() {
 	DescribeTable("reaches all nodes at once, once a zone and a node, with bounded children",
 		func(count, zones int, within time.Duration) {
-			w := newNetwork(1, numbered(count, zones))
-			w.jitter = 0
-			w.setRoot("n00")
-			w.run(betweenDigests)
-			w.publish(w.nodes[0])
-			w.run(within)
-			Expect(w.behind()).To(BeEmpty())
+			net := newNetwork(1, nodeNames(count, zones))
+			net.jitter = 0
+			net.setRoot("n00")
+			net.run(betweenDigests)
+			net.publish(net.nodes[0])
+			net.run(within)
+			Expect(net.lagging()).To(BeEmpty())
 			updates, crossings := 0, 0
-			for _, n := range w.nodes {
+			for _, n := range net.nodes {
 				Expect(len(n.children)).To(BeNumerically("<=", 2*relaytree.DefaultFanOut))
 				updates += n.updates
 				for child := range n.children {
-					if w.node(child).zone != n.zone {
+					if net.node(child).zone != n.zone {
 						crossings++
 					}
 				}
@@ -46,15 +46,15 @@
 	)
 
 	It("coalesces a storm to one update a link and round trip", func() {
-		w := newNetwork(1, numbered(17, 4))
-		w.setRoot("n00")
+		net := newNetwork(1, nodeNames(17, 4))
+		net.setRoot("n00")
 		for range 1000 {
-			w.publish(w.nodes[0])
+			net.publish(net.nodes[0])
 		}
-		w.run(100 * time.Millisecond)
-		Expect(w.behind()).To(BeEmpty())
-		Expect(w.nodes[0].updates).To(BeNumerically("<=", 2*len(w.nodes[0].children)))
-		Expect(w.violations).To(BeEmpty())
+		net.run(100 * time.Millisecond)
+		Expect(net.lagging()).To(BeEmpty())
+		Expect(net.nodes[0].updates).To(BeNumerically("<=", 2*len(net.nodes[0].children)))
+		Expect(net.violations).To(BeEmpty())
 	})
 
 	It("pulls what the receiver of a digest holds beyond it", func() {
@@ -88,39 +88,39 @@
 		Expect(updates).To(BeEmpty())
 		Expect(out[0].Message.Revision).To(Equal(uint64(5)))
 		Expect(out[0].Message.Mismatch).To(BeFalse())
-		revision, sections := machine.Held(topic)
+		revision, sections := machine.Snapshot(topic)
 		Expect(revision).To(Equal(uint64(5)))
 		Expect(sections).To(Equal(state("5")))
 	})
 
 	It("converges within a bound after inner nodes died, whatever the views", func() {
 		for seed := range uint64(300) {
-			w := newNetwork(seed, numbered(8+int(seed%12), 1+int(seed%4)))
-			w.loss = []float64{0, 0.1, 0.3}[seed%3]
-			w.jitter = []time.Duration{0, 50 * time.Millisecond}[seed%2]
-			root := w.nodes[w.random.IntN(len(w.nodes))]
-			w.setRoot(root.id)
+			net := newNetwork(seed, nodeNames(8+int(seed%12), 1+int(seed%4)))
+			net.loss = []float64{0, 0.1, 0.3}[seed%3]
+			net.jitter = []time.Duration{0, 50 * time.Millisecond}[seed%2]
+			root := net.nodes[net.random.IntN(len(net.nodes))]
+			net.setRoot(root.id)
 			for range 10 {
-				w.publish(root)
-				w.run(time.Duration(w.random.IntN(100)) * time.Millisecond)
-				w.killInner(root)
+				net.publish(root)
+				net.run(time.Duration(net.random.IntN(100)) * time.Millisecond)
+				net.killInnerNode(root)
 			}
 			// Members change late, and for some nodes later than for others.
-			w.tellMembers(func(*node) bool { return w.random.IntN(2) == 0 })
-			w.publish(root)
-			w.run(300 * time.Millisecond)
-			w.tellMembers(everyone)
-			w.run(convergence)
-			Expect(w.behind()).To(BeEmpty(), "seed %d", seed)
-			Expect(w.violations).To(BeEmpty(), "seed %d", seed)
+			net.setMembers(func(*node) bool { return net.random.IntN(2) == 0 })
+			net.publish(root)
+			net.run(300 * time.Millisecond)
+			net.setMembers(everyone)
+			net.run(convergence)
+			Expect(net.lagging()).To(BeEmpty(), "seed %d", seed)
+			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 })
 
-// killInner kills, now and then, a node that has fed others.
-func (w *network) killInner(root *node) {
-	for _, n := range w.nodes {
-		if n != root && len(n.children) > 0 && w.random.IntN(8) == 0 {
+// killInnerNode kills, now and then, a node that has fed others.
+func (net *network) killInnerNode(root *node) {
+	for _, n := range net.nodes {
+		if n != root && len(n.children) > 0 && net.random.IntN(8) == 0 {
 			n.dead = true
 			return
 		}
--- a/pkg/relaytree/message.go
+++ b/pkg/relaytree/message.go
@@ -49,23 +49,23 @@
 	BaseRevision uint64
 	// Checksum is that of the whole state at Revision.
 	Checksum uint64
-	// Part is, in an update, the position of this part from 0 on; in an
+	// Chunk is, in an update, the position of this part from 0 on; in an
 	// acknowledgement, how many parts have come so far, or 0 once the update
 	// was taken or refused.
-	Part uint32
-	// Parts is how many parts the update has.
-	Parts uint32
+	Chunk uint32
+	// ChunkCount is how many parts the update has.
+	ChunkCount uint32
 	// Sections are the new and changed sections.
 	Sections []Section
 	// Removed names sections that a delta removes.
 	Removed []string
-	// Answers is the Revision of the update that an acknowledgement answers.
-	Answers uint64
+	// AcknowledgedRevision is the Revision of the update that an acknowledgement answers.
+	AcknowledgedRevision uint64
 	// Mismatch tells that the delta would have led to another state than the
 	// sender's, and asks for a whole one.
 	Mismatch bool
-	// Known are the revisions of a digest.
-	Known []TopicRevision
+	// Revisions are the revisions of a digest.
+	Revisions []TopicRevision
 }
 
 // Outbound is a message and the member it is for.
--- a/pkg/relaytree/network_test.go
+++ b/pkg/relaytree/network_test.go
@@ -50,16 +50,16 @@
 	duplication float64
 	jitter      time.Duration
 	published   uint64
-	partBytes   int
+	chunkBytes  int
 	root        member.ID
-	truth       truth
+	reference   referenceModel
 	bytes       map[relaytree.MessageType]int
-	parts       int
+	chunks      int
 	violations  []string
 }
 
-// numbered names count nodes, spread over zones, as newNetwork takes them.
-func numbered(count, zones int) []string {
+// nodeNames names count nodes, spread over zones, as newNetwork takes them.
+func nodeNames(count, zones int) []string {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprintf("n%02d@z%d", i, i%zones))
@@ -69,146 +69,146 @@
 
 // newNetwork makes a node for each name@zone.
 func newNetwork(seed uint64, names []string) *network {
-	return newNetworkWithParts(seed, names, relaytree.DefaultPartBytes)
+	return newNetworkWithChunks(seed, names, relaytree.DefaultChunkBytes)
 }
 
-func newNetworkWithParts(seed uint64, names []string, partBytes int) *network {
-	w := &network{
-		random: rand.New(rand.NewPCG(seed, 2)),
-		jitter: time.Millisecond,
-		truth:  newTruth(),
+func newNetworkWithChunks(seed uint64, names []string, chunkBytes int) *network {
+	net := &network{
+		random:    rand.New(rand.NewPCG(seed, 2)),
+		jitter:    time.Millisecond,
+		reference: newReferenceModel(),
 
-		partBytes: partBytes,
-		bytes:     map[relaytree.MessageType]int{},
+		chunkBytes: chunkBytes,
+		bytes:      map[relaytree.MessageType]int{},
 	}
 	for _, name := range names {
 		name, zone, _ := strings.Cut(strings.TrimSpace(name), "@")
 		id := member.ID(name)
 		n := &node{id: id, zone: zone, children: map[member.ID]bool{}}
-		w.nodes = append(w.nodes, n)
-		w.start(n)
+		net.nodes = append(net.nodes, n)
+		net.start(n)
 	}
-	w.tellMembers(everyone)
-	return w
+	net.setMembers(everyone)
+	return net
 }
 
 // start gives a node a machine that holds nothing.
-func (w *network) start(n *node) {
-	n.machine = relaytree.New(relaytree.Config{Self: n.id, PartBytes: w.partBytes})
+func (net *network) start(n *node) {
+	n.machine = relaytree.New(relaytree.Config{Self: n.id, ChunkBytes: net.chunkBytes})
 	n.newest = 0
 	n.model = map[string]string{}
 }
 
 // restart lets a node forget all, before the others know of it.
-func (w *network) restart(n *node) {
-	w.start(n)
-	w.tellMembers(func(other *node) bool { return other == n })
-	n.machine.SetRoot(topic, w.root)
+func (net *network) restart(n *node) {
+	net.start(n)
+	net.setMembers(func(other *node) bool { return other == n })
+	n.machine.SetRoot(topic, net.root)
 }
 
 func everyone(*node) bool { return true }
 
-// tellMembers gives some nodes the present view of who lives.
-func (w *network) tellMembers(whom func(*node) bool) {
+// setMembers gives some nodes the present view of who lives.
+func (net *network) setMembers(receives func(*node) bool) {
 	var members []relaytree.Member
-	for _, n := range w.nodes {
+	for _, n := range net.nodes {
 		if !n.dead {
 			members = append(members, relaytree.Member{ID: n.id, Zone: n.zone})
 		}
 	}
-	for _, n := range w.nodes {
-		if whom(n) {
+	for _, n := range net.nodes {
+		if receives(n) {
 			n.machine.SetMembers(members)
 		}
 	}
 }
 
-func (w *network) setRoot(root member.ID) {
-	w.root = root
-	for _, n := range w.nodes {
+func (net *network) setRoot(root member.ID) {
+	net.root = root
+	for _, n := range net.nodes {
 		n.machine.SetRoot(topic, root)
 	}
 }
 
-func (w *network) publish(root *node) {
-	w.published++
-	w.truth.change(w.random, w.published)
-	outbox, updates := root.machine.Publish(topic, w.published, w.truth.sections())
-	w.take(root, updates)
-	w.send(root, outbox)
+func (net *network) publish(root *node) {
+	net.published++
+	net.reference.change(net.random, net.published)
+	outbox, updates := root.machine.Publish(topic, net.published, net.reference.sections())
+	net.applyUpdates(root, updates)
+	net.send(root, outbox)
 }
 
-func (w *network) send(from *node, outbox []relaytree.Outbound) {
+func (net *network) send(from *node, outbox []relaytree.Outbound) {
 	for _, out := range outbox {
 		message := out.Message
-		w.bytes[message.Type] += len(wire.Encode(wire.Envelope{From: from.id, Relay: &message}))
-		if message.Part > 0 && message.Type == relaytree.MessageUpdate {
-			w.parts++
+		net.bytes[message.Type] += len(wire.Encode(wire.Envelope{From: from.id, Relay: &message}))
+		if message.Chunk > 0 && message.Type == relaytree.MessageUpdate {
+			net.chunks++
 		}
 		if message.Type == relaytree.MessageUpdate {
 			from.updates++
 			from.children[out.To] = true
 		}
-		if w.random.Float64() < w.loss {
+		if net.random.Float64() < net.loss {
 			continue
 		}
-		w.carry(delivery{from: from.id, to: out.To, message: message})
-		if w.random.Float64() < w.duplication {
-			w.carry(delivery{from: from.id, to: out.To, message: message})
+		net.enqueue(delivery{from: from.id, to: out.To, message: message})
+		if net.random.Float64() < net.duplication {
+			net.enqueue(delivery{from: from.id, to: out.To, message: message})
 		}
 	}
 }
 
-// carry lets a message arrive after a time of its own, so that messages overtake
+// enqueue lets a message arrive after a time of its own, so that messages overtake
 // each other.
-func (w *network) carry(d delivery) {
-	d.at = w.now + time.Millisecond + time.Duration(w.random.Int64N(int64(w.jitter)+1))
-	w.queue = append(w.queue, d)
+func (net *network) enqueue(d delivery) {
+	d.at = net.now + time.Millisecond + time.Duration(net.random.Int64N(int64(net.jitter)+1))
+	net.queue = append(net.queue, d)
 }
 
-func (w *network) node(id member.ID) *node {
-	return lo.Must(lo.Find(w.nodes, func(n *node) bool { return n.id == id }))
+func (net *network) node(id member.ID) *node {
+	return lo.Must(lo.Find(net.nodes, func(n *node) bool { return n.id == id }))
 }
 
-func (w *network) run(duration time.Duration) {
-	for until := w.now + duration; w.now < until; {
-		w.now += stepEvery
-		w.deliverDue()
-		for _, n := range w.nodes {
+func (net *network) run(duration time.Duration) {
+	for until := net.now + duration; net.now < until; {
+		net.now += stepEvery
+		net.deliverDue()
+		for _, n := range net.nodes {
 			if !n.dead {
-				w.send(n, n.machine.Tick(w.now))
+				net.send(n, n.machine.Tick(net.now))
 			}
 		}
 	}
 }
 
-func (w *network) deliverDue() {
-	isDue := func(d delivery, _ int) bool { return d.at <= w.now }
-	due, later := lo.FilterReject(w.queue, isDue)
-	w.queue = later
+func (net *network) deliverDue() {
+	isDue := func(d delivery, _ int) bool { return d.at <= net.now }
+	due, later := lo.FilterReject(net.queue, isDue)
+	net.queue = later
 	slices.SortStableFunc(due, func(a, b delivery) int { return int(a.at - b.at) })
 	for _, d := range due {
-		if n := w.node(d.to); !n.dead && !n.deaf {
-			w.deliver(n, d)
+		if n := net.node(d.to); !n.dead && !n.deaf {
+			net.deliver(n, d)
 		}
 	}
 }
 
-func (w *network) deliver(n *node, d delivery) {
-	outbox, updates := n.machine.Step(w.now, d.from, d.message)
-	w.take(n, updates)
-	w.send(n, outbox)
+func (net *network) deliver(n *node, d delivery) {
+	outbox, updates := n.machine.Step(net.now, d.from, d.message)
+	net.applyUpdates(n, updates)
+	net.send(n, outbox)
 	if n.machine.Revision(topic) != n.newest {
-		w.violate("%s holds an untold revision", n.id)
+		net.violate("%s holds an untold revision", n.id)
 	}
 }
 
-// take checks that each update leads to a newer revision, and to nothing but
+// applyUpdates checks that each update leads to a newer revision, and to nothing but
 // what was published under it.
-func (w *network) take(n *node, updates []relaytree.Update) {
+func (net *network) applyUpdates(n *node, updates []relaytree.Update) {
 	for _, update := range updates {
 		if update.Revision <= n.newest {
-			w.violate("%s went from %d to %d", n.id, n.newest, update.Revision)
+			net.violate("%s went from %d to %d", n.id, n.newest, update.Revision)
 		}
 		for _, section := range update.Sections {
 			n.model[section.Name] = string(section.Content)
@@ -216,20 +216,20 @@
 		for _, name := range update.Removed {
 			delete(n.model, name)
 		}
-		if wrong := w.truth.wrong(n.model, n.newest, update); wrong != "" {
-			w.violate("%s mixes revision %d: section %s", n.id, update.Revision, wrong)
+		if mismatch := net.reference.mismatch(n.model, n.newest, update); mismatch != "" {
+			net.violate("%s mixes revision %d: section %s", n.id, update.Revision, mismatch)
 		}
 		n.newest = update.Revision
 	}
 }
 
-func (w *network) violate(format string, arguments ...any) {
-	w.violations = append(w.violations, fmt.Sprint(w.now, ": ", fmt.Sprintf(format, arguments...)))
+func (net *network) violate(format string, arguments ...any) {
+	net.violations = append(net.violations, fmt.Sprint(net.now, ": ", fmt.Sprintf(format, arguments...)))
 }
 
-// behind lists the live nodes without the newest revision.
-func (w *network) behind() []member.ID {
-	return lo.FilterMap(w.nodes, func(n *node, _ int) (member.ID, bool) {
-		return n.id, !n.dead && n.machine.Revision(topic) != w.published
+// lagging lists the live nodes without the newest revision.
+func (net *network) lagging() []member.ID {
+	return lo.FilterMap(net.nodes, func(n *node, _ int) (member.ID, bool) {
+		return n.id, !n.dead && n.machine.Revision(topic) != net.published
 	})
 }
--- a/pkg/relaytree/receive.go
+++ b/pkg/relaytree/receive.go
@@ -6,18 +6,18 @@
 // One that doesn't fit is answered with the revision held, upon which the sender
 // sends what fits.
 func (m *Machine) onUpdate(from member.ID, msg Message) []Update {
-	held := m.Revision(msg.Topic)
-	if msg.Revision <= held {
+	revision := m.Revision(msg.Topic)
+	if msg.Revision <= revision {
 		m.acknowledge(from, msg)
 		return nil
 	}
-	if msg.BaseRevision > held {
+	if msg.BaseRevision > revision {
 		if !m.receivesFromOther(from, msg.Topic) {
 			m.acknowledge(from, msg)
 		}
 		return nil
 	}
-	change, complete := m.gather(from, msg)
+	change, complete := m.assemble(from, msg)
 	if !complete {
 		return nil
 	}
@@ -25,61 +25,61 @@
 		change = m.stateOf(msg.Topic).differenceTo(change.sections)
 	}
 	if m.stateOf(msg.Topic).checksumAfter(change) != msg.Checksum {
-		m.refuse(from, msg)
+		m.rejectUpdate(from, msg)
 		return nil
 	}
-	updates := m.hold(msg.Topic, msg.Revision, change)
-	m.known[link{to: from, topic: msg.Topic}] = msg.Revision
+	updates := m.apply(msg.Topic, msg.Revision, change)
+	m.knownRevisions[feedKey{to: from, topic: msg.Topic}] = msg.Revision
 	m.acknowledge(from, msg)
 	m.feedChildren(msg.Topic, from)
 	return updates
 }
 
-// refuse asks for a whole state in place of a delta that leads elsewhere. A
+// rejectUpdate asks for a whole state in place of a delta that leads elsewhere. A
 // whole state that is damaged is left unanswered: the next digest asks again.
-func (m *Machine) refuse(from member.ID, msg Message) {
+func (m *Machine) rejectUpdate(from member.ID, msg Message) {
 	delete(m.assemblies, msg.Topic)
 	if msg.BaseRevision == 0 {
 		return
 	}
 	m.send(from, Message{
-		Type:     MessageAcknowledge,
-		Topic:    msg.Topic,
-		Revision: m.Revision(msg.Topic),
-		Answers:  msg.Revision,
-		Mismatch: true,
+		Type:                 MessageAcknowledge,
+		Topic:                msg.Topic,
+		Revision:             m.Revision(msg.Topic),
+		AcknowledgedRevision: msg.Revision,
+		Mismatch:             true,
 	})
 }
 
 func (m *Machine) acknowledge(from member.ID, msg Message) {
 	m.send(from, Message{
-		Type:     MessageAcknowledge,
-		Topic:    msg.Topic,
-		Revision: m.Revision(msg.Topic),
-		Answers:  msg.Revision,
+		Type:                 MessageAcknowledge,
+		Topic:                msg.Topic,
+		Revision:             m.Revision(msg.Topic),
+		AcknowledgedRevision: msg.Revision,
 	})
 }
 
 // onAcknowledge sends the next part, or whatever is newer than what the
 // receiver holds now.
 func (m *Machine) onAcknowledge(from member.ID, msg Message) {
-	way := link{to: from, topic: msg.Topic}
-	flying := m.inFlight[way]
-	answersFlight := flying != nil && flying.update.revision == msg.Answers
-	if answersFlight && msg.Part > 0 {
-		m.advance(way, int(msg.Part))
+	key := feedKey{to: from, topic: msg.Topic}
+	transfer := m.inFlight[key]
+	matchesTransfer := transfer != nil && transfer.update.revision == msg.AcknowledgedRevision
+	if matchesTransfer && msg.Chunk > 0 {
+		m.advance(key, int(msg.Chunk))
 		return
 	}
-	m.known[way] = msg.Revision
+	m.knownRevisions[key] = msg.Revision
 	if msg.Mismatch {
-		m.known[way] = 0
+		m.knownRevisions[key] = 0
 		// A snapshot may be no newer than what the receiver holds.
 		m.stateOf(msg.Topic).snapshot = nil
 	}
-	if flying != nil && !answersFlight {
+	if transfer != nil && !matchesTransfer {
 		return
 	}
-	delete(m.inFlight, way)
+	delete(m.inFlight, key)
 	if msg.Revision < m.Revision(msg.Topic) {
 		m.feed(from, msg.Topic)
 	}
@@ -87,12 +87,12 @@
 
 // advance goes on with the part that the receiver waits for. An acknowledgement
 // that came twice, or late, moves nothing.
-func (m *Machine) advance(way link, next int) {
-	flying := m.inFlight[way]
-	if next <= flying.part || next >= len(flying.update.parts) {
+func (m *Machine) advance(key feedKey, nextChunk int) {
+	transfer := m.inFlight[key]
+	if nextChunk <= transfer.chunk || nextChunk >= len(transfer.update.chunks) {
 		return
 	}
-	flying.part = next
-	flying.repeats = 0
-	m.sendPart(way)
+	transfer.chunk = nextChunk
+	transfer.resends = 0
+	m.sendChunk(key)
 }
--- a/pkg/relaytree/truth_test.go
+++ b/pkg/relaytree/reference_model_test.go
@@ -11,8 +11,8 @@
 // alwaysChanged is a section that every revision changes.
 const alwaysChanged = "revision"
 
-// truth is every state that was published, told by the history of each section.
-type truth struct {
+// referenceModel is every state that was published, told by the history of each section.
+type referenceModel struct {
 	histories map[string][]version
 	changed   map[uint64][]string
 	names     int
@@ -24,13 +24,13 @@
 	content  string
 }
 
-func newTruth() truth {
-	return truth{histories: map[string][]version{}, changed: map[uint64][]string{}, names: 12}
+func newReferenceModel() referenceModel {
+	return referenceModel{histories: map[string][]version{}, changed: map[uint64][]string{}, names: 12}
 }
 
 // change adds, changes and removes a few sections, and sometimes gives one back
 // a content that it had before.
-func (t *truth) change(random *rand.Rand, revision uint64) {
+func (t *referenceModel) change(random *rand.Rand, revision uint64) {
 	t.set(alwaysChanged, revision, fmt.Sprint(revision))
 	for range random.IntN(3) {
 		name := fmt.Sprintf("section-%03d", random.IntN(t.names))
@@ -38,13 +38,13 @@
 	}
 }
 
-func (t *truth) set(name string, revision uint64, content string) {
+func (t *referenceModel) set(name string, revision uint64, content string) {
 	t.histories[name] = append(t.histories[name], version{revision: revision, content: content})
 	t.changed[revision] = append(t.changed[revision], name)
 }
 
 // at is the content of a section at a revision; empty if there is none.
-func (t *truth) at(name string, revision uint64) string {
+func (t *referenceModel) at(name string, revision uint64) string {
 	history := t.histories[name]
 	later := sort.Search(len(history), func(i int) bool { return history[i].revision > revision })
 	if later == 0 {
@@ -54,7 +54,7 @@
 }
 
 // sections is the newest state.
-func (t *truth) sections() []relaytree.Section {
+func (t *referenceModel) sections() []relaytree.Section {
 	var sections []relaytree.Section
 	for name, history := range t.histories {
 		if content := history[len(history)-1].content; content != "" {
@@ -64,9 +64,9 @@
 	return sections
 }
 
-// wrong names a section that an update left otherwise than it was published. The
+// mismatch names a section that an update left otherwise than it was published. The
 // model was right at the revision before the update.
-func (t *truth) wrong(model map[string]string, before uint64, update relaytree.Update) string {
+func (t *referenceModel) mismatch(model map[string]string, before uint64, update relaytree.Update) string {
 	suspects := append([]string{}, update.Removed...)
 	for _, section := range update.Sections {
 		suspects = append(suspects, section.Name)
--- a/pkg/relaytree/spread.go
+++ b/pkg/relaytree/send.go
@@ -8,25 +8,25 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxRepeats is how often a part of a large update is sent again.
-const maxRepeats = 8
+// maxResends is how often a part of a large update is sent again.
+const maxResends = 8
 
-// place returns this node's position in the tree of a topic.
-func (m *Machine) place(topic Topic) position {
+// position returns this node's position in the tree of a topic.
+func (m *Machine) positionIn(topic Topic) treePosition {
 	root, known := m.roots[topic]
 	if !known {
-		return position{}
+		return treePosition{}
 	}
-	place, derived := m.positions[root]
+	position, derived := m.positions[root]
 	if !derived {
-		place = placeInTree(m.config.Self, root, m.members, m.config.FanOut)
-		m.positions[root] = place
+		position = positionInTree(m.config.Self, root, m.members, m.config.FanOut)
+		m.positions[root] = position
 	}
-	return place
+	return position
 }
 
 func (m *Machine) feedChildren(topic Topic, except member.ID) {
-	for _, child := range m.place(topic).children {
+	for _, child := range m.positionIn(topic).children {
 		if child != except {
 			m.feed(child, topic)
 		}
@@ -37,71 +37,71 @@
 // its way: then its acknowledgement, or its expiry, sends the newest of that
 // time.
 func (m *Machine) feed(to member.ID, topic Topic) {
-	way := link{to: to, topic: topic}
-	if m.inFlight[way] != nil {
+	key := feedKey{to: to, topic: topic}
+	if m.inFlight[key] != nil {
 		return
 	}
-	held := m.stateOf(topic)
-	base, heard := m.known[way]
-	if !heard {
-		base = held.guessBase()
+	state := m.stateOf(topic)
+	base, known := m.knownRevisions[key]
+	if !known {
+		base = state.guessBase()
 	}
-	if heard && base >= held.revision {
+	if known && base >= state.revision {
 		return
 	}
-	m.inFlight[way] = &flight{update: held.updateFrom(base)}
-	m.sendPart(way)
+	m.inFlight[key] = &transfer{update: state.updateFrom(base)}
+	m.sendChunk(key)
 }
 
 // Feed sends a member what it lacks of a topic, whatever its place in the tree: for
 // a publisher that knows better than the tree whom an update did not reach. A
 // member that is known to hold nothing of a large state is left to its parent.
 func (m *Machine) Feed(to member.ID, topic Topic) []Outbound {
-	held := m.held[topic]
-	if held == nil || to == m.config.Self {
+	state := m.states[topic]
+	if state == nil || to == m.config.Self {
 		return nil
 	}
-	base, heard := m.known[link{to: to, topic: topic}]
-	if heard && base == 0 && held.size > m.config.PartBytes {
+	base, known := m.knownRevisions[feedKey{to: to, topic: topic}]
+	if known && base == 0 && state.size > m.config.ChunkBytes {
 		return nil
 	}
 	m.feed(to, topic)
 	return m.flush()
 }
 
-func (m *Machine) sendPart(way link) {
-	flying := m.inFlight[way]
-	flying.sentAt = m.now
-	m.send(way.to, flying.update.message(way.topic, flying.part))
+func (m *Machine) sendChunk(key feedKey) {
+	transfer := m.inFlight[key]
+	transfer.sentAt = m.now
+	m.send(key.to, transfer.update.message(key.topic, transfer.chunk))
 }
 
-// expireFlights sends a lost part of a large update again, and gives up waiting
+// expireTransfers sends a lost part of a large update again, and gives up waiting
 // for other acknowledgements. What was lost of those is found by the receiver's
 // next digest; what is newer goes out now.
-func (m *Machine) expireFlights() {
-	for _, way := range m.overdue() {
-		flying := m.inFlight[way]
-		if len(flying.update.parts) > 1 && flying.repeats < maxRepeats {
-			flying.repeats++
-			m.sendPart(way)
+func (m *Machine) expireTransfers() {
+	for _, key := range m.overdue() {
+		transfer := m.inFlight[key]
+		if len(transfer.update.chunks) > 1 && transfer.resends < maxResends {
+			transfer.resends++
+			m.sendChunk(key)
 			continue
 		}
-		delete(m.inFlight, way)
-		if m.Revision(way.topic) > flying.update.revision {
-			m.feed(way.to, way.topic)
+		delete(m.inFlight, key)
+		if m.Revision(key.topic) > transfer.update.revision {
+			m.feed(key.to, key.topic)
 		}
 	}
 }
 
 // overdue lists the flights without an acknowledgement in time, sorted.
-func (m *Machine) overdue() []link {
-	var overdue []link
-	for way, flying := range m.inFlight {
-		if m.now-flying.sentAt >= m.config.DigestEvery {
-			overdue = append(overdue, way)
+func (m *Machine) overdue() []feedKey {
+	var overdue []feedKey
+	for key, transfer := range m.inFlight {
+		if m.now-transfer.sentAt >= m.config.DigestEvery {
+			overdue = append(overdue, key)
 		}
 	}
-	slices.SortFunc(overdue, func(a, b link) int {
+	slices.SortFunc(overdue, func(a, b feedKey) int {
 		return cmp.Or(cmp.Compare(a.to, b.to), cmp.Compare(a.topic, b.topic))
 	})
 	return overdue
@@ -112,19 +112,19 @@
 // newer sends it, whatever the topic.
 func (m *Machine) sendDigests() {
 	receivers := m.parents()
-	if m.moved {
-		m.moved = false
-		m.greeted = m.now
+	if m.parentsChanged {
+		m.parentsChanged = false
+		m.parentsNotifiedAt = m.now
 	} else if len(receivers) > 1 {
-		inTurn := m.turn % uint64(len(receivers))
+		inTurn := m.digestTurn % uint64(len(receivers))
 		receivers = receivers[inTurn : inTurn+1]
 	}
 	if len(m.members) > 1 {
 		others := slices.DeleteFunc(slices.Clone(m.members), func(other Member) bool {
 			return other.ID == m.config.Self
 		})
-		inTurn := others[m.turn%uint64(len(others))].ID
-		m.turn++
+		inTurn := others[m.digestTurn%uint64(len(others))].ID
+		m.digestTurn++
 		if !slices.Contains(receivers, inTurn) {
 			receivers = append(receivers, inTurn)
 		}
@@ -138,7 +138,7 @@
 func (m *Machine) parents() []member.ID {
 	var parents []member.ID
 	for topic := range m.roots {
-		if parent := m.place(topic).parent; parent != "" {
+		if parent := m.positionIn(topic).parent; parent != "" {
 			parents = append(parents, parent)
 		}
 	}
@@ -147,22 +147,22 @@
 }
 
 func (m *Machine) sendDigest(to member.ID) {
-	m.digestSent[to] = m.now
-	known := make([]TopicRevision, 0, len(m.held))
-	for topic, held := range m.held {
+	m.digestSentAt[to] = m.now
+	known := make([]TopicRevision, 0, len(m.states))
+	for topic, state := range m.states {
 		known = append(known, TopicRevision{
 			Topic:      topic,
-			Revision:   held.revision,
+			Revision:   state.revision,
 			Assembling: m.isAssembling(topic),
 		})
 	}
 	for topic := range m.assemblies {
-		if m.held[topic] == nil && m.isAssembling(topic) {
+		if m.states[topic] == nil && m.isAssembling(topic) {
 			known = append(known, TopicRevision{Topic: topic, Assembling: true})
 		}
 	}
 	slices.SortFunc(known, func(a, b TopicRevision) int { return cmp.Compare(a.Topic, b.Topic) })
-	m.send(to, Message{Type: MessageDigest, Known: known})
+	m.send(to, Message{Type: MessageDigest, Revisions: known})
 }
 
 // onDigest sends what is newer here, and asks for what is newer there.
@@ -173,23 +173,23 @@
 		theirs[entry.Topic] = entry
 		senderNewer = senderNewer || entry.Revision > m.Revision(entry.Topic)
 	}
-	for _, topic := range slices.Sorted(maps.Keys(m.held)) {
+	for _, topic := range slices.Sorted(maps.Keys(m.states)) {
 		their := theirs[topic]
-		m.known[link{to: from, topic: topic}] = their.Revision
-		if m.held[topic].revision > their.Revision && !their.Assembling {
+		m.knownRevisions[feedKey{to: from, topic: topic}] = their.Revision
+		if m.states[topic].revision > their.Revision && !their.Assembling {
 			m.feed(from, topic)
 		}
 	}
 	if senderNewer {
-		m.askOnce(from)
+		m.replyWithDigest(from)
 	}
 }
 
-// askOnce answers with a digest, unless one went there so lately that the two
+// replyWithDigest answers with a digest, unless one went there so lately that the two
 // would answer each other without end.
-func (m *Machine) askOnce(from member.ID) {
-	sentAt, asked := m.digestSent[from]
-	if asked && m.now-sentAt < m.config.DigestEvery/2 {
+func (m *Machine) replyWithDigest(from member.ID) {
+	sentAt, sent := m.digestSentAt[from]
+	if sent && m.now-sentAt < m.config.DigestEvery/2 {
 		return
 	}
 	m.sendDigest(from)
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -12,8 +12,8 @@
 
 // state is the newest revision of a topic, and which sections changed lately.
 type state struct {
-	// partBytes is the size from which an update is sent in several parts.
-	partBytes int
+	// chunkBytes is the size from which an update is sent in several parts.
+	chunkBytes int
 
 	revision uint64
 	// previous is the revision held before this one; 0 if none.
@@ -26,8 +26,8 @@
 	size int
 	log  changeLog
 
-	// recent is the update built last, for children that all need the same.
-	recent *update
+	// latestUpdate is the update built last, for children that all need the same.
+	latestUpdate *update
 	// snapshot is a whole state in several parts that receivers are still sent.
 	snapshot *update
 }
@@ -44,12 +44,12 @@
 	removed  []string
 }
 
-func newState(partBytes int) *state {
-	return &state{partBytes: partBytes, sections: map[string]storedSection{}}
+func newState(chunkBytes int) *state {
+	return &state{chunkBytes: chunkBytes, sections: map[string]storedSection{}}
 }
 
-// hashOf is what a section adds to the checksum.
-func hashOf(section Section) uint64 {
+// sectionHash is what a section adds to the checksum.
+func sectionHash(section Section) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	var length [8]byte
@@ -74,14 +74,14 @@
 		}
 	}
 	if kept < len(s.sections) {
-		found.removed = s.namesBeside(sections)
+		found.removed = s.namesMissingFrom(sections)
 	}
 	found.sort()
 	return found
 }
 
-// namesBeside lists the sections that are not among the given ones.
-func (s *state) namesBeside(sections []Section) []string {
+// namesMissingFrom lists the sections that are not among the given ones.
+func (s *state) namesMissingFrom(sections []Section) []string {
 	given := make(map[string]struct{}, len(sections))
 	for _, section := range sections {
 		given[section.Name] = struct{}{}
@@ -104,7 +104,7 @@
 func (s *state) checksumAfter(change changes) uint64 {
 	checksum := s.checksum
 	for _, section := range change.sections {
-		checksum += hashOf(section) - s.sections[section.Name].hash
+		checksum += sectionHash(section) - s.sections[section.Name].hash
 	}
 	for _, name := range change.removed {
 		checksum -= s.sections[name].hash
@@ -116,7 +116,7 @@
 func (s *state) apply(revision uint64, change changes) {
 	for _, section := range change.sections {
 		s.remove(section.Name)
-		stored := storedSection{content: section.Content, hash: hashOf(section)}
+		stored := storedSection{content: section.Content, hash: sectionHash(section)}
 		s.sections[section.Name] = stored
 		s.checksum += stored.hash
 		s.size += len(section.Name) + len(section.Content)
@@ -125,13 +125,13 @@
 		s.remove(name)
 	}
 	if s.revision == 0 {
-		s.log.start(revision)
+		s.log.reset(revision)
 	} else {
 		s.log.add(revision, change)
 	}
 	s.previous = s.revision
 	s.revision = revision
-	s.recent = nil
+	s.latestUpdate = nil
 	if s.snapshot != nil && !s.log.reaches(s.snapshot.revision, maxSnapshotLag) {
 		s.snapshot = nil
 	}
@@ -147,8 +147,8 @@
 	delete(s.sections, name)
 }
 
-// list returns all sections, sorted by name.
-func (s *state) list() []Section {
+// sortedSections returns all sections, sorted by name.
+func (s *state) sortedSections() []Section {
 	sections := make([]Section, 0, len(s.sections))
 	for _, name := range slices.Sorted(maps.Keys(s.sections)) {
 		sections = append(sections, Section{Name: name, Content: s.sections[name].content})
@@ -156,9 +156,9 @@
 	return sections
 }
 
-// since returns what leads from an older revision to this one. The log must
+// changesSince returns what leads from an older revision to this one. The log must
 // reach back to it.
-func (s *state) since(base uint64) changes {
+func (s *state) changesSince(base uint64) changes {
 	var found changes
 	for _, name := range s.log.namesSince(base) {
 		if stored, kept := s.sections[name]; kept {
--- a/pkg/relaytree/timeline_test.go
+++ b/pkg/relaytree/timeline_test.go
@@ -13,8 +13,8 @@
 
 // A filled state takes 14 parts, each a round trip of 10 ms.
 const (
-	timelineParts    = 1 << 10
-	timelineSections = 100
+	timelineChunkBytes = 1 << 10
+	timelineSections   = 100
 )
 
 // Each file of testdata is a timeline: the first row names the columns
@@ -37,43 +37,43 @@
 })
 
 func runTimeline(text string) {
-	var w *network
+	var net *network
 	for line := range strings.Lines(text) {
 		cells := strings.Split(strings.TrimSpace(line), "|")
 		if strings.HasPrefix(line, "#") {
 			continue
 		}
-		if w == nil {
-			w = newNetworkWithParts(1, cells[1:], timelineParts)
+		if net == nil {
+			net = newNetworkWithChunks(1, cells[1:], timelineChunkBytes)
 			continue
 		}
 		at, err := time.ParseDuration(strings.TrimSpace(cells[0]))
 		Expect(err).NotTo(HaveOccurred())
-		w.run(at - w.now)
+		net.run(at - net.now)
 		for i, cell := range cells[1:] {
 			for token := range strings.SplitSeq(cell, ",") {
-				w.perform(w.nodes[i], strings.TrimSpace(token), line)
+				net.perform(net.nodes[i], strings.TrimSpace(token), line)
 			}
 		}
 	}
-	Expect(w.violations).To(BeEmpty())
+	Expect(net.violations).To(BeEmpty())
 }
 
-func (w *network) perform(n *node, token, line string) {
+func (net *network) perform(n *node, token, line string) {
 	verb, argument, _ := strings.Cut(strings.TrimSuffix(token, ")"), "(")
 	switch verb {
 	case "":
 	case "root":
-		w.setRoot(n.id)
+		net.setRoot(n.id)
 	case "publish":
-		w.publish(n)
+		net.publish(n)
 	case "fill":
-		w.fill(n, timelineSections)
+		net.fill(n, timelineSections)
 	case "restart":
-		w.restart(n)
+		net.restart(n)
 	case "kill":
 		n.dead = true
-		w.tellMembers(everyone)
+		net.setMembers(everyone)
 	case "lost":
 		n.dead = true
 	case "deaf", "hear":
--- a/pkg/relaytree/tree.go
+++ b/pkg/relaytree/tree.go
@@ -15,60 +15,60 @@
 	Zone string
 }
 
-// position is one node's place in the tree of one root.
-type position struct {
+// treePosition is one node's place in the tree of one root.
+type treePosition struct {
 	// parent is empty at the root.
 	parent   member.ID
 	children []member.ID
 }
 
-// placeInTree returns the place of self in the tree that every node derives
+// positionInTree returns the place of self in the tree that every node derives
 // from the same root and members. The root feeds one entry node in each other
 // zone, and each entry node feeds its zone. Both levels are heaps with fanOut
 // children a node, so that a node has at most twice fanOut children.
-func placeInTree(self, root member.ID, members []Member, fanOut int) position {
+func positionInTree(self, root member.ID, members []Member, fanOut int) treePosition {
 	var entries []member.ID
 	var zones []string
-	within := map[string][]member.ID{}
+	byZone := map[string][]member.ID{}
 	for _, m := range orderForRoot(root, members) {
-		if len(within[m.Zone]) == 0 {
+		if len(byZone[m.Zone]) == 0 {
 			entries = append(entries, m.ID)
 			zones = append(zones, m.Zone)
 		}
-		within[m.Zone] = append(within[m.Zone], m.ID)
+		byZone[m.Zone] = append(byZone[m.Zone], m.ID)
 	}
-	place := placeInHeap(self, entries, fanOut)
+	position := positionInHeap(self, entries, fanOut)
 	for _, zone := range zones {
-		inZone := placeInHeap(self, within[zone], fanOut)
-		place.parent = cmp.Or(place.parent, inZone.parent)
-		place.children = append(place.children, inZone.children...)
+		inZone := positionInHeap(self, byZone[zone], fanOut)
+		position.parent = cmp.Or(position.parent, inZone.parent)
+		position.children = append(position.children, inZone.children...)
 	}
-	return place
+	return position
 }
 
 // orderForRoot puts the root first and the others in an order that differs
 // between roots, so that the inner nodes differ as well. While the root isn't
 // live, the first of the others stands in.
 func orderForRoot(root member.ID, members []Member) []Member {
-	weighed := make([]weighedMember, len(members))
+	weighted := make([]weightedMember, len(members))
 	for i, m := range members {
-		weighed[i] = weighedMember{Member: m, weight: weightForRoot(root, m.ID)}
+		weighted[i] = weightedMember{Member: m, weight: weightForRoot(root, m.ID)}
 	}
-	slices.SortFunc(weighed, func(a, b weighedMember) int {
+	slices.SortFunc(weighted, func(a, b weightedMember) int {
 		if a.weight != b.weight {
 			return cmp.Compare(a.weight, b.weight)
 		}
 		return cmp.Compare(a.ID, b.ID)
 	})
 	ordered := make([]Member, len(members))
-	for i, m := range weighed {
+	for i, m := range weighted {
 		ordered[i] = m.Member
 	}
 	return ordered
 }
 
-// weighedMember is a member with its weight for one root.
-type weighedMember struct {
+// weightedMember is a member with its weight for one root.
+type weightedMember struct {
 	Member
 	weight uint64
 }
@@ -81,18 +81,18 @@
 	return xxhash.Sum64String(string(root) + "\x00" + string(id))
 }
 
-// placeInHeap reads nodes as a heap in which each has fanOut children.
-func placeInHeap(self member.ID, nodes []member.ID, fanOut int) position {
-	at := slices.Index(nodes, self)
-	if at < 0 {
-		return position{}
+// positionInHeap reads nodes as a heap in which each has fanOut children.
+func positionInHeap(self member.ID, nodes []member.ID, fanOut int) treePosition {
+	index := slices.Index(nodes, self)
+	if index < 0 {
+		return treePosition{}
 	}
-	var place position
-	if at > 0 {
-		place.parent = nodes[(at-1)/fanOut]
+	var position treePosition
+	if index > 0 {
+		position.parent = nodes[(index-1)/fanOut]
 	}
-	first := min(at*fanOut+1, len(nodes))
+	first := min(index*fanOut+1, len(nodes))
 	end := min(first+fanOut, len(nodes))
-	place.children = slices.Clone(nodes[first:end])
-	return place
+	position.children = slices.Clone(nodes[first:end])
+	return position
 }
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -11,37 +11,37 @@
 	// base is 0 for a whole state.
 	base     uint64
 	checksum uint64
-	parts    []changes
+	chunks   []changes
 }
 
 // updateFrom returns the update for a receiver that holds a revision: what
 // changed since, or the whole state if that isn't known. A whole state in
 // several parts may lag a little: a storm would have it started again without
 // end, and each version would take memory of its own.
-func (s *state) updateFrom(held uint64) *update {
-	base := held
-	if held == 0 || held < s.log.oldest {
+func (s *state) updateFrom(revision uint64) *update {
+	base := revision
+	if revision == 0 || revision < s.log.oldest {
 		base = 0
 	}
-	if base == 0 && s.snapshot != nil && s.snapshot.revision > held {
+	if base == 0 && s.snapshot != nil && s.snapshot.revision > revision {
 		return s.snapshot
 	}
-	if s.recent != nil && s.recent.base == base {
-		return s.recent
+	if s.latestUpdate != nil && s.latestUpdate.base == base {
+		return s.latestUpdate
 	}
-	s.recent = s.build(base)
-	if base == 0 && len(s.recent.parts) > 1 {
-		s.snapshot = s.recent
+	s.latestUpdate = s.build(base)
+	if base == 0 && len(s.latestUpdate.chunks) > 1 {
+		s.snapshot = s.latestUpdate
 	}
-	return s.recent
+	return s.latestUpdate
 }
 
 func (s *state) build(base uint64) *update {
 	built := &update{revision: s.revision, base: base, checksum: s.checksum}
 	if base == 0 {
-		built.parts = split(changes{sections: s.list()}, s.partBytes)
+		built.chunks = split(changes{sections: s.sortedSections()}, s.chunkBytes)
 	} else {
-		built.parts = split(s.since(base), s.partBytes)
+		built.chunks = split(s.changesSince(base), s.chunkBytes)
 	}
 	return built
 }
@@ -51,7 +51,7 @@
 // the receiver doesn't hold the guessed revision, it answers with what it holds.
 func (s *state) guessBase() uint64 {
 	switch {
-	case s.size <= s.partBytes:
+	case s.size <= s.chunkBytes:
 		return 0
 	case s.previous >= s.log.oldest:
 		return s.previous
@@ -60,40 +60,40 @@
 	}
 }
 
-// split cuts changes into parts of about partBytes; there is at least one.
-func split(all changes, partBytes int) []changes {
-	parts := []changes{{}}
+// split cuts changes into parts of about chunkBytes; there is at least one.
+func split(all changes, chunkBytes int) []changes {
+	chunks := []changes{{}}
 	size := 0
 	next := func(bytes int) *changes {
-		if size > 0 && size+bytes > partBytes {
-			parts = append(parts, changes{})
+		if size > 0 && size+bytes > chunkBytes {
+			chunks = append(chunks, changes{})
 			size = 0
 		}
 		size += bytes
-		return &parts[len(parts)-1]
+		return &chunks[len(chunks)-1]
 	}
 	for _, section := range all.sections {
-		part := next(len(section.Name) + len(section.Content))
-		part.sections = append(part.sections, section)
+		chunk := next(len(section.Name) + len(section.Content))
+		chunk.sections = append(chunk.sections, section)
 	}
 	for _, name := range all.removed {
-		part := next(len(name))
-		part.removed = append(part.removed, name)
+		chunk := next(len(name))
+		chunk.removed = append(chunk.removed, name)
 	}
-	return parts
+	return chunks
 }
 
 // message is one part of the update.
-func (u *update) message(topic Topic, part int) Message {
+func (u *update) message(topic Topic, chunk int) Message {
 	return Message{
 		Type:         MessageUpdate,
 		Topic:        topic,
 		Revision:     u.revision,
 		BaseRevision: u.base,
 		Checksum:     u.checksum,
-		Part:         uint32(part),
-		Parts:        uint32(len(u.parts)),
-		Sections:     u.parts[part].sections,
-		Removed:      u.parts[part].removed,
+		Chunk:        uint32(chunk),
+		ChunkCount:   uint32(len(u.chunks)),
+		Sections:     u.chunks[chunk].sections,
+		Removed:      u.chunks[chunk].removed,
 	}
 }
