--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -226,7 +226,7 @@
 	if hosted.rollout.term > 1 && m.now < first {
 		return false
 	}
-	return hosted.group.MayCommand(m.now) && hosted.group.MayCommand(m.now+commandTimeout)
+	return hosted.group.HasCommandLease(m.now) && hosted.group.HasCommandLease(m.now+commandTimeout)
 }
 
 // commandToken orders all commands that a replica ever gets: first by the term
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -18,7 +18,7 @@
 	}
 	var group []member.ID
 	if hosted := m.shards[shardID]; hosted != nil {
-		for _, place := range hosted.group.Status().Places {
+		for _, place := range hosted.group.Status().Slots {
 			group = append(group, place.ID)
 		}
 	}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -240,7 +240,7 @@
 func (m *Machine) transferLeadership() {
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil {
-			hosted.group.HandOver(m.now)
+			hosted.group.TransferLeadership(m.now)
 			m.processReady(hosted)
 		}
 	}
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -77,7 +77,7 @@
 }
 
 func (m *Machine) tickRecovery(hosted *shard) {
-	term, won := hosted.group.Ballot()
+	term, won := hosted.group.RecoveryTerm()
 	if !won {
 		hosted.recovery = nil
 		return
@@ -172,7 +172,7 @@
 		term = max(term, reply.term)
 	}
 	if term >= search.term {
-		hosted.group.RaiseBallot(term)
+		hosted.group.RaiseRecoveryTerm(term)
 		m.processReady(hosted)
 		return
 	}
@@ -184,7 +184,7 @@
 		hosted.badEntries++
 		return
 	}
-	if err := hosted.group.Reform(m.now, search.term, state); err != nil {
+	if err := hosted.group.RecoverQuorum(m.now, search.term, state); err != nil {
 		// Another member's ballot has overtaken this one.
 		return
 	}
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -64,7 +64,7 @@
 func newShard(id uint32, group []member.ID, config Config, restored replication.Restored, now timeStamp) (*shard, error) {
 	core, err := replication.New(replication.Config{
 		Self:            config.Self.ID,
-		Group:           group,
+		Founders:        group,
 		MaxVoters:       config.maxVoters(),
 		HeartbeatEvery:  config.Times.HeartbeatEvery,
 		ElectionTimeout: config.Times.ElectionTimeout,
--- a/internal/dataplane/claiming/driver.go
+++ b/internal/dataplane/claiming/driver.go
@@ -83,9 +83,9 @@
 
 // Serve implements suture.Service: it ticks until ctx ends.
 func (d *Driver) Serve(ctx context.Context) error {
-	every := d.options.Config.ResendEvery
+	every := d.options.Config.ResendInterval
 	if every <= 0 {
-		every = claims.DefaultResendEvery
+		every = claims.DefaultResendInterval
 	}
 	ticker := time.NewTicker(every / ticksPerResend)
 	defer ticker.Stop()
@@ -115,9 +115,9 @@
 // result turns an outcome into what the data plane takes.
 func (d *Driver) result(number claims.Number, outcome claims.Outcome) (dataplane.Claim, error) {
 	switch outcome {
-	case claims.Held:
+	case claims.Acquired:
 		return &heldClaim{driver: d, number: number}, nil
-	case claims.Taken:
+	case claims.AlreadyClaimed:
 		return nil, dataplane.ErrClaimTaken
 	default:
 		return nil, dataplane.ErrClaimUndecided
--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -35,7 +35,7 @@
 		drivers = map[member.ID]*claiming.Driver{}
 		for _, name := range names {
 			drivers[name] = claiming.New(claiming.Options{
-				Config: claims.Config{Self: name, Life: 1},
+				Config: claims.Config{Self: name, Incarnation: 1},
 				Clock:  func() time.Duration { return time.Duration(clock.Load()) },
 				Send: func(to member.ID, message claims.Message) {
 					if alone.Load() {
@@ -47,7 +47,7 @@
 			})
 			drivers[name].SetDirectory([]claims.Set{{Epoch: 1, Members: names}})
 		}
-		clock.Store(int64(2 * claims.DefaultRemember))
+		clock.Store(int64(2 * claims.DefaultRetention))
 	})
 
 	claim := func(name member.ID) (dataplane.Claim, error) {
@@ -68,7 +68,7 @@
 	It("loses a claim that nobody acknowledges any more", func() {
 		held, err := claim("a")
 		Expect(err).NotTo(HaveOccurred())
-		clock.Add(int64(claims.DefaultRemember))
+		clock.Add(int64(claims.DefaultRetention))
 		Expect(held.Valid()).To(BeFalse())
 	})
 
@@ -81,7 +81,7 @@
 		}()
 		<-dropped
 		<-dropped
-		clock.Add(int64(claims.DefaultDecideWithin))
+		clock.Add(int64(claims.DefaultDecisionTimeout))
 		drivers["a"].Tick()
 		Expect(<-failed).To(MatchError(dataplane.ErrClaimUndecided))
 	})
--- a/internal/lab/plans/votes.go
+++ b/internal/lab/plans/votes.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	if !lo.Contains(places, replication.Place{Voter: voter}) {
+	if !lo.Contains(places, replication.Slot{Voter: voter}) {
 		return errors.Errorf("shard %d has no vote for %s in incarnation %d", shard, voter.ID, voter.Incarnation)
 	}
 	return nil
@@ -94,10 +94,10 @@
 }
 
 // lastPlaces returns the places of a shard by the last change that is durable.
-func lastPlaces(kept replication.Restored) ([]replication.Place, error) {
-	var places []replication.Place
+func lastPlaces(kept replication.Restored) ([]replication.Slot, error) {
+	var places []replication.Slot
 	if kept.Snapshot != nil {
-		places = kept.Snapshot.Group
+		places = kept.Snapshot.Slots
 	}
 	for _, entry := range kept.Entries {
 		if entry.Kind != replication.EntryGroupChange {
--- a/internal/lab/sim/diskfaults.go
+++ b/internal/lab/sim/diskfaults.go
@@ -129,8 +129,8 @@
 
 // places returns the places of a shard as its leader of the newest term knows
 // them.
-func (w *simulation) places(shard uint32) ([]replication.Place, bool) {
-	var newest []replication.Place
+func (w *simulation) places(shard uint32) ([]replication.Slot, bool) {
+	var newest []replication.Slot
 	term := uint64(0)
 	for _, one := range w.diskNodes() {
 		if !one.up {
--- a/internal/lab/sim/majorityloss.go
+++ b/internal/lab/sim/majorityloss.go
@@ -100,7 +100,7 @@
 func (w *simulation) whole() bool {
 	for shard := range w.serviceShards + 1 {
 		places, known := w.places(shard)
-		if !known || !lo.EveryBy(places, func(place replication.Place) bool {
+		if !known || !lo.EveryBy(places, func(place replication.Slot) bool {
 			return !place.Learner && w.nodeNamed(place.ID).storage.incarnation == place.Incarnation
 		}) {
 			return false
--- a/internal/lab/sim/openmode.go
+++ b/internal/lab/sim/openmode.go
@@ -227,7 +227,7 @@
 	for shard := range w.serviceShards + 1 {
 		places, known := w.places(shard)
 		voter := replication.Voter{ID: one.info.ID, Incarnation: one.storage.incarnation}
-		if !known || !lo.Contains(places, replication.Place{Voter: voter}) {
+		if !known || !lo.Contains(places, replication.Slot{Voter: voter}) {
 			return false
 		}
 	}
--- a/internal/lab/sim/touch.go
+++ b/internal/lab/sim/touch.go
@@ -106,8 +106,8 @@
 	return true
 }
 
-func votersOf(places []replication.Place) []replication.Voter {
-	return lo.FilterMap(places, func(place replication.Place, _ int) (replication.Voter, bool) {
+func votersOf(places []replication.Slot) []replication.Voter {
+	return lo.FilterMap(places, func(place replication.Slot, _ int) (replication.Voter, bool) {
 		return place.Voter, !place.Learner
 	})
 }
--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -109,7 +109,7 @@
 	return decoded(data, &controlpb.ServiceState{})
 }
 
-func dumpPlaces(group []replication.Place) []placeDump {
+func dumpPlaces(group []replication.Slot) []placeDump {
 	var dumped []placeDump
 	for _, place := range group {
 		dumped = append(dumped, placeDump{Node: string(place.ID), Incarnation: place.Incarnation, Learner: place.Learner})
@@ -138,8 +138,8 @@
 	dumped := shardDump{
 		Shard:               shard,
 		Term:                restored.Term,
-		PromisedTo:          string(restored.PromisedTo),
-		PromisedIncarnation: restored.PromisedIncarnation,
+		PromisedTo:          string(restored.VotedFor),
+		PromisedIncarnation: restored.VotedForIncarnation,
 		Commit:              restored.Commit,
 		Entries:             []entryDump{},
 	}
@@ -147,7 +147,7 @@
 		dumped.Snapshot = &snapshotDump{
 			Index: snapshot.Index,
 			Term:  snapshot.Term,
-			Group: dumpPlaces(snapshot.Group),
+			Group: dumpPlaces(snapshot.Slots),
 			State: stateDump(shard, snapshot.Data),
 		}
 	}
--- a/internal/node/storage_test.go
+++ b/internal/node/storage_test.go
@@ -77,7 +77,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		log, _, err := durable.Open(folder, shardName(1))
 		Expect(err).NotTo(HaveOccurred())
-		promised := replication.HardState{Term: 7, PromisedTo: "core-2", PromisedIncarnation: 1}
+		promised := replication.HardState{Term: 7, VotedFor: "core-2", VotedForIncarnation: 1}
 		Expect(log.Save(replication.Ready{HardState: &promised})).To(Succeed())
 		Expect(folder.Close()).To(Succeed())
 		for range 2 {
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -55,16 +55,16 @@
 		{Index: 43, Term: 6, Kind: replication.EntryGroupChange, Command: []byte("group")},
 		{Index: 44, Term: 6, Kind: replication.EntryRestore, Command: []byte("state")},
 	}
-	snapshot := &replication.Snapshot{Index: 40, Term: 4, Data: []byte("state"), Group: []replication.Place{
+	snapshot := &replication.Snapshot{Index: 40, Term: 4, Data: []byte("state"), Slots: []replication.Slot{
 		{Voter: replication.Voter{ID: "10.0.0.1:7100", Incarnation: 1}},
 		{Voter: replication.Voter{ID: "10.0.0.2:7100", Incarnation: 1 << 60}, Learner: true},
 	}}
 	return []goldenMessage{
 		replicationFrame("promise request", KindPromise, replication.Message{
-			Type: replication.MessagePromiseRequest, Term: 6, Index: 40, IndexTerm: 5, Trial: true, Handover: true,
+			Type: replication.MessageVoteRequest, Term: 6, Index: 40, IndexTerm: 5, PreVote: true, Transfer: true,
 		}),
 		replicationFrame("promise reply", KindPromise, replication.Message{
-			Type: replication.MessagePromiseReply, Term: 6, Trial: true, Reject: true,
+			Type: replication.MessageVoteReply, Term: 6, PreVote: true, Reject: true,
 		}),
 		replicationFrame("append", KindAppend, replication.Message{
 			Type: replication.MessageAppend, Term: 6, Index: 40, IndexTerm: 4, Commit: 39, Entries: entries,
@@ -73,19 +73,19 @@
 			Type: replication.MessageAppendReply, Term: 6, Index: 40, Reject: true, RejectHint: 33, Learner: true,
 		}),
 		replicationFrame("heartbeat", KindGroupHeartbeat, replication.Message{
-			Type: replication.MessageHeartbeat, Term: 6, Commit: 39, Round: 900,
+			Type: replication.MessageHeartbeat, Term: 6, Commit: 39, HeartbeatNumber: 900,
 		}),
 		replicationFrame("heartbeat reply", KindGroupHeartbeatReply, replication.Message{
-			Type: replication.MessageHeartbeatReply, Term: 6, Round: 900, Learner: true,
+			Type: replication.MessageHeartbeatReply, Term: 6, HeartbeatNumber: 900, Learner: true,
 		}),
 		replicationFrame("snapshot", KindSnapshot, replication.Message{
 			Type: replication.MessageSnapshot, Term: 6, Snapshot: snapshot,
 		}),
 		replicationFrame("ballot request", KindOther, replication.Message{
-			Type: replication.MessageBallotRequest, Term: 65_541, Index: 44, IndexTerm: 6, Trial: true,
+			Type: replication.MessageRecoveryRequest, Term: 65_541, Index: 44, IndexTerm: 6, PreVote: true,
 		}),
 		replicationFrame("ballot reply", KindOther, replication.Message{
-			Type: replication.MessageBallotReply, Term: 65_541, Index: 44, IndexTerm: 6, Reject: true,
+			Type: replication.MessageRecoveryReply, Term: 65_541, Index: 44, IndexTerm: 6, Reject: true,
 		}),
 	}
 }
--- a/internal/wire/messagekind.go
+++ b/internal/wire/messagekind.go
@@ -161,7 +161,7 @@
 		return KindAppendReply
 	case replication.MessageSnapshot:
 		return KindSnapshot
-	case replication.MessagePromiseRequest, replication.MessagePromiseReply:
+	case replication.MessageVoteRequest, replication.MessageVoteReply:
 		return KindPromise
 	default:
 		return KindOther
--- a/internal/wire/replication.go
+++ b/internal/wire/replication.go
@@ -17,9 +17,9 @@
 		Index:       message.Index,
 		IndexTerm:   message.IndexTerm,
 		Commit:      message.Commit,
-		Round:       message.Round,
-		Trial:       message.Trial,
-		Handover:    message.Handover,
+		Round:       message.HeartbeatNumber,
+		Trial:       message.PreVote,
+		Handover:    message.Transfer,
 		Learner:     message.Learner,
 		Reject:      message.Reject,
 		RejectHint:  message.RejectHint,
@@ -51,12 +51,12 @@
 	return &fb.SnapshotT{
 		Index:  snapshot.Index,
 		Term:   snapshot.Term,
-		Places: packPlaces(snapshot.Group),
+		Places: packSlots(snapshot.Slots),
 		Data:   snapshot.Data,
 	}
 }
 
-func packPlaces(group []replication.Place) []*fb.PlaceT {
+func packSlots(group []replication.Slot) []*fb.PlaceT {
 	if len(group) == 0 {
 		return nil
 	}
@@ -72,20 +72,20 @@
 		return nil
 	}
 	return &replication.Message{
-		Type:        replication.MessageType(table.Type()),
-		Term:        table.Term(),
-		Incarnation: table.Incarnation(),
-		Index:       table.Index(),
-		IndexTerm:   table.IndexTerm(),
-		Commit:      table.Commit(),
-		Round:       table.Round(),
-		Trial:       table.Trial(),
-		Handover:    table.Handover(),
-		Learner:     table.Learner(),
-		Reject:      table.Reject(),
-		RejectHint:  table.RejectHint(),
-		Entries:     r.entries(table),
-		Snapshot:    r.snapshot(table.Snapshot(nil)),
+		Type:            replication.MessageType(table.Type()),
+		Term:            table.Term(),
+		Incarnation:     table.Incarnation(),
+		Index:           table.Index(),
+		IndexTerm:       table.IndexTerm(),
+		Commit:          table.Commit(),
+		HeartbeatNumber: table.Round(),
+		PreVote:         table.Trial(),
+		Transfer:        table.Handover(),
+		Learner:         table.Learner(),
+		Reject:          table.Reject(),
+		RejectHint:      table.RejectHint(),
+		Entries:         r.entries(table),
+		Snapshot:        r.snapshot(table.Snapshot(nil)),
 	}
 }
 
@@ -115,21 +115,21 @@
 	return &replication.Snapshot{
 		Index: table.Index(),
 		Term:  table.Term(),
-		Group: r.places(table),
+		Slots: r.slots(table),
 		Data:  r.bytes(table.DataBytes()),
 	}
 }
 
-func (r *reader) places(table *fb.Snapshot) []replication.Place {
+func (r *reader) slots(table *fb.Snapshot) []replication.Slot {
 	length := r.elements(table.PlacesLength(), leastTableBytes)
 	if length == 0 {
 		return nil
 	}
-	group := make([]replication.Place, length)
+	group := make([]replication.Slot, length)
 	var stored fb.Place
 	for i := range group {
 		table.Places(&stored, i)
-		group[i] = replication.Place{
+		group[i] = replication.Slot{
 			Voter:   replication.Voter{ID: member.ID(r.text(stored.Id())), Incarnation: stored.Incarnation()},
 			Learner: stored.Learner(),
 		}
--- a/pkg/claims/claim.go
+++ b/pkg/claims/claim.go
@@ -9,32 +9,32 @@
 
 // claim is a claim of this node.
 type claim struct {
-	number Number
-	key    Key
-	held   bool
-	// decideBy is when an undecided claim is given up.
-	decideBy time.Duration
+	number   Number
+	key      Key
+	acquired bool
+	// deadline is when an undecided claim is given up.
+	deadline time.Duration
 	// validUntil is when a held claim is lost.
 	validUntil time.Duration
-	// nextSend is when silent homes are asked again, or the next round begins.
-	nextSend time.Duration
-	round    round
+	// nextSendAt is when silent homes are asked again, or the next round begins.
+	nextSendAt time.Duration
+	attempt    attempt
 }
 
-// round is one asking or renewal of all homes.
-type round struct {
+// attempt is one asking or renewal of all homes.
+type attempt struct {
 	number uint64
 	epoch  uint64
 	// sentAt is when the first message of the round was sent.
 	sentAt time.Duration
 	// homes are those of each set.
 	homes [][]member.ID
-	// answers are what the homes have said.
-	answers map[member.ID]Kind
+	// replies are what the homes have said.
+	replies map[member.ID]Kind
 }
 
-// everyone returns all homes, each once.
-func (r *round) everyone() []member.ID {
+// allHomes returns all homes, each once.
+func (r *attempt) allHomes() []member.ID {
 	var all []member.ID
 	for _, homes := range r.homes {
 		for _, id := range homes {
@@ -47,10 +47,10 @@
 }
 
 // count returns how many of some homes have answered so.
-func (r *round) count(homes []member.ID, matches func(Kind) bool) int {
+func (r *attempt) count(homes []member.ID, matches func(Kind) bool) int {
 	count := 0
 	for _, id := range homes {
-		if answer, answered := r.answers[id]; answered && matches(answer) {
+		if answer, answered := r.replies[id]; answered && matches(answer) {
 			count++
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 // granted tells whether a majority has granted in every set.
-func (r *round) granted() bool {
+func (r *attempt) granted() bool {
 	for _, homes := range r.homes {
 		if r.count(homes, isGranted) < majority(len(homes)) {
 			return false
@@ -68,7 +68,7 @@
 }
 
 // hopeless tells whether some set can no longer have a majority.
-func (r *round) hopeless() bool {
+func (r *attempt) hopeless() bool {
 	for _, homes := range r.homes {
 		refused := r.count(homes, func(answer Kind) bool { return !isGranted(answer) })
 		if len(homes)-refused < majority(len(homes)) {
@@ -78,10 +78,10 @@
 	return false
 }
 
-// taken tells whether a home knows another claim.
-func (r *round) taken() bool {
-	for _, answer := range r.answers {
-		if answer == Known {
+// conflicting tells whether a home knows another claim.
+func (r *attempt) conflicting() bool {
+	for _, answer := range r.replies {
+		if answer == Conflict {
 			return true
 		}
 	}
--- a/pkg/claims/cluster_test.go
+++ b/pkg/claims/cluster_test.go
@@ -119,7 +119,7 @@
 	p.inbox = nil
 	p.frozenUntil = 0
 	p.adopted = len(c.plans) - 1
-	p.machine = claims.New(claims.Config{Self: p.id, Life: p.life, Remember: remember}, c.now)
+	p.machine = claims.New(claims.Config{Self: p.id, Incarnation: p.life, Retention: remember}, c.now)
 	p.machine.SetDirectory(c.plans[p.adopted])
 	for _, runs := range c.runs {
 		for _, running := range runs {
@@ -168,7 +168,7 @@
 		decided := p.open[decision.Number]
 		decided.decided, decided.outcome = true, decision.Outcome
 		decided.sendAt = c.now + time.Duration(c.random.Int64N(int64(50*time.Millisecond)))
-		if decision.Outcome != claims.Held {
+		if decision.Outcome != claims.Acquired {
 			delete(p.open, decision.Number)
 		}
 	}
--- a/pkg/claims/directory.go
+++ b/pkg/claims/directory.go
@@ -26,10 +26,10 @@
 }
 
 // homes returns the homes of a key in each set.
-func (d directory) homes(key Key, copies int) [][]member.ID {
+func (d directory) homes(key Key, count int) [][]member.ID {
 	homes := make([][]member.ID, len(d))
 	for at, set := range d {
-		homes[at] = homesOf(set.Members, key, copies)
+		homes[at] = homesOf(set.Members, key, count)
 	}
 	return homes
 }
@@ -42,7 +42,7 @@
 
 // homesOf returns the nodes with the greatest weights for a key. The loss or
 // addition of a node moves only the keys that it is a home of.
-func homesOf(members []member.ID, key Key, copies int) []member.ID {
+func homesOf(members []member.ID, key Key, count int) []member.ID {
 	all := make([]ranked, len(members))
 	for at, id := range members {
 		all[at] = ranked{id: id, weight: xxhash.Sum64(append(key[:len(key):len(key)], id...))}
@@ -59,7 +59,7 @@
 		}
 		return 1
 	})
-	homes := make([]member.ID, min(copies, len(all)))
+	homes := make([]member.ID, min(count, len(all)))
 	for at := range homes {
 		homes[at] = all[at].id
 	}
--- a/pkg/claims/doc.go
+++ b/pkg/claims/doc.go
@@ -18,10 +18,10 @@
 //     its claim for good.
 //   - While the directory changes, a claim needs a majority in every set of it.
 //     A set may be left out only when every node has adopted the sets that
-//     follow it, or certainly serves nothing, and Config.Remember has passed
+//     follow it, or certainly serves nothing, and Config.Retention has passed
 //     after that.
 //
-// A key is remembered for Config.Remember after the last sign of life of its
+// A key is remembered for Config.Retention after the last sign of life of its
 // claim. What is sent again later than that is a new request.
 //
 // The Machine is a state machine: claims, messages and the time go in, messages
--- a/pkg/claims/home.go
+++ b/pkg/claims/home.go
@@ -8,21 +8,21 @@
 
 // claimID names a claim among those of all nodes.
 type claimID struct {
-	claimant member.ID
-	life     member.Incarnation
-	number   Number
+	claimant    member.ID
+	incarnation member.Incarnation
+	number      Number
 }
 
 // entry is a claim that a home remembers.
 type entry struct {
-	claim claimID
-	until time.Duration
+	claim     claimID
+	expiresAt time.Duration
 }
 
 // home is what a node remembers for others.
 type home struct {
-	remember time.Duration
-	limit    int
+	retention  time.Duration
+	maxEntries int
 	// readyAt is when all that an earlier life granted is forgotten.
 	readyAt time.Duration
 	entries map[Key]entry
@@ -33,34 +33,34 @@
 // newHome returns the memory of a node that starts at the time now.
 func newHome(config Config, now time.Duration) *home {
 	return &home{
-		remember: config.Remember,
-		limit:    config.MaxEntries,
-		readyAt:  now + config.Remember + config.margin(),
-		entries:  make(map[Key]entry),
-		sweepAt:  now + config.renewEvery(),
+		retention:  config.Retention,
+		maxEntries: config.MaxEntries,
+		readyAt:    now + config.Retention + config.margin(),
+		entries:    make(map[Key]entry),
+		sweepAt:    now + config.renewInterval(),
 	}
 }
 
-// answer decides over an asking or a renewal, and remembers what it grants.
-func (h *home) answer(now time.Duration, from member.ID, asked Message) Kind {
-	claim := claimID{claimant: from, life: asked.Life, number: asked.Number}
+// handleRequest decides over an asking or a renewal, and remembers what it grants.
+func (h *home) handleRequest(now time.Duration, from member.ID, asked Message) Kind {
+	claim := claimID{claimant: from, incarnation: asked.Incarnation, number: asked.Number}
 	known, present := h.entries[asked.Key]
-	present = present && known.until > now
+	present = present && known.expiresAt > now
 	switch {
 	case present && known.claim != claim:
-		return Known
-	case !present && asked.Kind == Ask && now < h.readyAt:
-		return Unready
+		return Conflict
+	case !present && asked.Kind == Acquire && now < h.readyAt:
+		return NotReady
 	case !present && h.full(now):
 		return Full
 	}
-	h.entries[asked.Key] = entry{claim: claim, until: now + h.remember}
+	h.entries[asked.Key] = entry{claim: claim, expiresAt: now + h.retention}
 	return Granted
 }
 
 // release forgets a claim whose request has not run.
 func (h *home) release(from member.ID, released Message) {
-	claim := claimID{claimant: from, life: released.Life, number: released.Number}
+	claim := claimID{claimant: from, incarnation: released.Incarnation, number: released.Number}
 	if known, present := h.entries[released.Key]; present && known.claim == claim {
 		delete(h.entries, released.Key)
 	}
@@ -68,17 +68,17 @@
 
 // full tells whether there is no room even after what is forgotten is removed.
 func (h *home) full(now time.Duration) bool {
-	if len(h.entries) < h.limit {
+	if len(h.entries) < h.maxEntries {
 		return false
 	}
 	h.sweep(now)
-	return len(h.entries) >= h.limit
+	return len(h.entries) >= h.maxEntries
 }
 
 // sweep removes what is forgotten.
 func (h *home) sweep(now time.Duration) {
 	for key, remembered := range h.entries {
-		if remembered.until <= now {
+		if remembered.expiresAt <= now {
 			delete(h.entries, key)
 		}
 	}
@@ -89,6 +89,6 @@
 	if now < h.sweepAt {
 		return
 	}
-	h.sweepAt = now + h.remember/renewShare
+	h.sweepAt = now + h.retention/renewDivisor
 	h.sweep(now)
 }
--- a/pkg/claims/machine.go
+++ b/pkg/claims/machine.go
@@ -18,12 +18,12 @@
 	directory directory
 	home      *home
 	claims    map[Number]*claim
-	// order holds the numbers of the claims, ascending.
-	order     []Number
+	// numbers holds the numbers of the claims, ascending.
+	numbers   []Number
 	last      Number
 	decisions []Decision
-	// seenEpoch is the newest epoch that a claimant named.
-	seenEpoch uint64
+	// newestEpoch is the newest epoch that a claimant named.
+	newestEpoch uint64
 }
 
 // New returns the machine of a node that starts at the time now.
@@ -44,23 +44,23 @@
 }
 
 // Claim asks for a key. The decision comes out of Decisions, at the latest
-// Config.DecideWithin later.
+// Config.DecisionTimeout later.
 func (m *Machine) Claim(now time.Duration, key Key) (Number, []Outbound, error) {
 	if len(m.directory) == 0 {
 		return 0, nil, errors.WithStack(ErrNoDirectory)
 	}
 	m.last++
-	asked := &claim{number: m.last, key: key, decideBy: now + m.config.DecideWithin}
+	asked := &claim{number: m.last, key: key, deadline: now + m.config.DecisionTimeout}
 	m.claims[asked.number] = asked
-	m.order = append(m.order, asked.number)
-	return asked.number, m.begin(now, asked), nil
+	m.numbers = append(m.numbers, asked.number)
+	return asked.number, m.startAttempt(now, asked), nil
 }
 
 // MayRun tells whether a held claim is still valid, so that its request may be
 // sent to a back end now.
 func (m *Machine) MayRun(now time.Duration, number Number) bool {
 	held, present := m.claims[number]
-	return present && held.held && now < held.validUntil
+	return present && held.acquired && now < held.validUntil
 }
 
 // End ends a held claim. A request that may have run is remembered from now
@@ -70,15 +70,15 @@
 	if !present {
 		return nil
 	}
-	lost := held.held && now >= held.validUntil
+	lost := held.acquired && now >= held.validUntil
 	if !mayHaveRun {
-		return m.giveUp(now, held)
+		return m.release(now, held)
 	}
-	m.drop(held)
+	m.forget(held)
 	if lost {
 		return nil
 	}
-	held.round = m.nextRound(now, held)
+	held.attempt = m.newAttempt(now, held)
 	return m.deliver(now, m.messages(held, Renew))
 }
 
@@ -89,34 +89,34 @@
 	return decided
 }
 
-// Remembered returns how many claims this node remembers as a home.
-func (m *Machine) Remembered() int {
+// EntryCount returns how many claims this node remembers as a home.
+func (m *Machine) EntryCount() int {
 	return len(m.home.entries)
 }
 
 // Step takes a message in.
 func (m *Machine) Step(now time.Duration, from member.ID, message Message) []Outbound {
 	switch message.Kind {
-	case Ask, Renew:
+	case Acquire, Renew:
 		answer := message
-		answer.Kind = m.answer(now, from, message)
+		answer.Kind = m.handleRequest(now, from, message)
 		return m.deliver(now, []Outbound{{To: from, Message: answer}})
 	case Release:
 		m.home.release(from, message)
 		return nil
-	case Granted, Known, Unready, Full, Outdated:
-		return m.answered(now, from, message)
+	case Granted, Conflict, NotReady, Full, Outdated:
+		return m.handleReply(now, from, message)
 	default:
 		return nil
 	}
 }
 
 // Tick asks silent homes again, renews what is held, and gives up what was not
-// decided in time. A few ticks in Config.ResendEvery are enough.
+// decided in time. A few ticks in Config.ResendInterval are enough.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.home.tick(now)
 	var out []Outbound
-	for _, number := range slices.Clone(m.order) {
+	for _, number := range slices.Clone(m.numbers) {
 		if present, open := m.claims[number]; open {
 			out = append(out, m.tickClaim(now, present)...)
 		}
@@ -127,42 +127,42 @@
 // tickClaim does what is due for one claim.
 func (m *Machine) tickClaim(now time.Duration, due *claim) []Outbound {
 	switch {
-	case !due.held && now >= due.decideBy:
-		return m.decideAgainst(now, due)
-	case due.held && now >= due.validUntil:
+	case !due.acquired && now >= due.deadline:
+		return m.reject(now, due)
+	case due.acquired && now >= due.validUntil:
 		// Lost for good; End finds it so, and MayRun refuses.
 		return nil
-	case now < due.nextSend:
+	case now < due.nextSendAt:
 		return nil
-	case due.held && (due.round.granted() || due.round.epoch != m.directory.epoch()):
-		return m.begin(now, due)
+	case due.acquired && (due.attempt.granted() || due.attempt.epoch != m.directory.epoch()):
+		return m.startAttempt(now, due)
 	default:
 		return m.resend(now, due)
 	}
 }
 
-// answer decides as a home. A claimant whose directory is older than another's
+// handleRequest decides as a home. A claimant whose directory is older than another's
 // that was seen may know too few homes.
-func (m *Machine) answer(now time.Duration, from member.ID, asked Message) Kind {
-	if asked.Kind == Ask && asked.Epoch < max(m.directory.epoch(), m.seenEpoch) {
+func (m *Machine) handleRequest(now time.Duration, from member.ID, asked Message) Kind {
+	if asked.Kind == Acquire && asked.Epoch < max(m.directory.epoch(), m.newestEpoch) {
 		return Outdated
 	}
-	m.seenEpoch = max(m.seenEpoch, asked.Epoch)
-	return m.home.answer(now, from, asked)
+	m.newestEpoch = max(m.newestEpoch, asked.Epoch)
+	return m.home.handleRequest(now, from, asked)
 }
 
-// answered takes in a home's answer to the present round of a claim.
-func (m *Machine) answered(now time.Duration, from member.ID, message Message) []Outbound {
+// handleReply takes in a home's answer to the present round of a claim.
+func (m *Machine) handleReply(now time.Duration, from member.ID, message Message) []Outbound {
 	asked, present := m.claims[message.Number]
-	if !present || message.Life != m.config.Life || message.Key != asked.key || message.Round != asked.round.number {
+	if !present || message.Incarnation != m.config.Incarnation || message.Key != asked.key || message.Attempt != asked.attempt.number {
 		return nil
 	}
 	// What has once been granted in a round stays so.
-	if asked.round.answers[from] != Granted || message.Kind == Granted {
-		asked.round.answers[from] = message.Kind
+	if asked.attempt.replies[from] != Granted || message.Kind == Granted {
+		asked.attempt.replies[from] = message.Kind
 	}
-	if asked.held {
-		m.prolong(now, asked)
+	if asked.acquired {
+		m.extend(now, asked)
 		return nil
 	}
 	return m.decide(now, asked)
@@ -171,50 +171,50 @@
 // decide ends the asking when its result is certain.
 func (m *Machine) decide(now time.Duration, asked *claim) []Outbound {
 	switch {
-	case now >= asked.decideBy:
-		return m.decideAgainst(now, asked)
-	case asked.round.granted():
-		asked.held = true
-		asked.validUntil = asked.round.sentAt + m.config.validFor()
-		asked.nextSend = asked.round.sentAt + m.config.renewEvery()
-		m.decisions = append(m.decisions, Decision{Number: asked.number, Outcome: Held})
+	case now >= asked.deadline:
+		return m.reject(now, asked)
+	case asked.attempt.granted():
+		asked.acquired = true
+		asked.validUntil = asked.attempt.sentAt + m.config.validFor()
+		asked.nextSendAt = asked.attempt.sentAt + m.config.renewInterval()
+		m.decisions = append(m.decisions, Decision{Number: asked.number, Outcome: Acquired})
 		return nil
-	case asked.round.hopeless():
-		return m.decideAgainst(now, asked)
+	case asked.attempt.hopeless():
+		return m.reject(now, asked)
 	default:
 		return nil
 	}
 }
 
-// prolong extends a held claim by a renewal that a majority has acknowledged.
+// extend extends a held claim by a renewal that a majority has acknowledged.
 // A claim that has been lost stays lost: others may have had it since.
-func (m *Machine) prolong(now time.Duration, held *claim) {
-	if now < held.validUntil && held.round.granted() {
-		held.validUntil = max(held.validUntil, held.round.sentAt+m.config.validFor())
-		held.nextSend = max(held.nextSend, held.round.sentAt+m.config.renewEvery())
+func (m *Machine) extend(now time.Duration, held *claim) {
+	if now < held.validUntil && held.attempt.granted() {
+		held.validUntil = max(held.validUntil, held.attempt.sentAt+m.config.validFor())
+		held.nextSendAt = max(held.nextSendAt, held.attempt.sentAt+m.config.renewInterval())
 	}
 }
 
-// decideAgainst ends a claim that is not held.
-func (m *Machine) decideAgainst(now time.Duration, asked *claim) []Outbound {
+// reject ends a claim that is not held.
+func (m *Machine) reject(now time.Duration, asked *claim) []Outbound {
 	outcome := Undecided
-	if asked.round.taken() {
-		outcome = Taken
+	if asked.attempt.conflicting() {
+		outcome = AlreadyClaimed
 	}
 	m.decisions = append(m.decisions, Decision{Number: asked.number, Outcome: outcome})
-	return m.giveUp(now, asked)
+	return m.release(now, asked)
 }
 
-// giveUp tells the homes that the request of a claim does not run.
-func (m *Machine) giveUp(now time.Duration, ended *claim) []Outbound {
-	m.drop(ended)
+// release tells the homes that the request of a claim does not run.
+func (m *Machine) release(now time.Duration, ended *claim) []Outbound {
+	m.forget(ended)
 	return m.deliver(now, m.messages(ended, Release))
 }
 
-// drop forgets a claim of this node.
-func (m *Machine) drop(ended *claim) {
+// forget forgets a claim of this node.
+func (m *Machine) forget(ended *claim) {
 	delete(m.claims, ended.number)
-	if at, present := slices.BinarySearch(m.order, ended.number); present {
-		m.order = slices.Delete(m.order, at, at+1)
+	if at, present := slices.BinarySearch(m.numbers, ended.number); present {
+		m.numbers = slices.Delete(m.numbers, at, at+1)
 	}
 }
--- a/pkg/claims/machine_test.go
+++ b/pkg/claims/machine_test.go
@@ -28,7 +28,7 @@
 		before := c.outcomes
 		c.outcomes = map[claims.Outcome]int{}
 		c.submit(p, key)
-		c.advance(claims.DefaultDecideWithin + 2*step)
+		c.advance(claims.DefaultDecisionTimeout + 2*step)
 		Expect(c.outcomes).To(HaveLen(1))
 		for outcome := range c.outcomes {
 			c.outcomes = before
@@ -38,19 +38,19 @@
 	}
 
 	It("lets one node run a request, and refuses it everywhere else", func() {
-		Expect(settle(c.peers[0])).To(Equal(claims.Held))
+		Expect(settle(c.peers[0])).To(Equal(claims.Acquired))
 		for _, other := range c.peers {
-			Expect(settle(other)).To(Equal(claims.Taken))
+			Expect(settle(other)).To(Equal(claims.AlreadyClaimed))
 		}
 		Expect(c.runs[key]).To(HaveLen(1))
 	})
 
 	It("remembers a run for a while after its end, and then no more", func() {
-		Expect(settle(c.peers[0])).To(Equal(claims.Held))
+		Expect(settle(c.peers[0])).To(Equal(claims.Acquired))
 		c.advance(c.runs[key][0].end - c.now + remember/2)
-		Expect(settle(c.peers[1])).To(Equal(claims.Taken))
+		Expect(settle(c.peers[1])).To(Equal(claims.AlreadyClaimed))
 		c.advance(remember)
-		Expect(settle(c.peers[1])).To(Equal(claims.Held))
+		Expect(settle(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
 	It("gives a key back whose request has certainly not run", func() {
@@ -58,7 +58,7 @@
 		c.send("a", c.peers[0].machine.End(c.now, number, false))
 		delete(c.peers[0].open, number)
 		c.advance(100 * time.Millisecond)
-		Expect(settle(c.peers[1])).To(Equal(claims.Held))
+		Expect(settle(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
 	It("decides without a home that has failed, and refuses at once without two", func() {
@@ -67,7 +67,7 @@
 		held, undecided := 0, 0
 		for number := range 60 {
 			key = claims.KeyOf("court", fmt.Sprintf("failing-%d", number))
-			if settle(c.peers[0]) == claims.Held {
+			if settle(c.peers[0]) == claims.Acquired {
 				held++
 			} else {
 				undecided++
@@ -79,14 +79,14 @@
 	})
 
 	It("grants nothing after a start until all that may have been granted is forgotten", func() {
-		Expect(settle(c.peers[0])).To(Equal(claims.Held))
+		Expect(settle(c.peers[0])).To(Equal(claims.Acquired))
 		for _, p := range c.peers {
 			c.restart(p)
 		}
-		c.advance(quiet - 2*claims.DefaultDecideWithin)
+		c.advance(quiet - 2*claims.DefaultDecisionTimeout)
 		Expect(settle(c.peers[1])).To(Equal(claims.Undecided))
-		c.advance(2 * claims.DefaultDecideWithin)
-		Expect(settle(c.peers[1])).To(Equal(claims.Held))
+		c.advance(2 * claims.DefaultDecisionTimeout)
+		Expect(settle(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
 	It("keeps what still runs over restarts of all homes, one after the other", func() {
@@ -100,7 +100,7 @@
 			}
 		}
 		Expect(c.peers[0].machine.MayRun(c.now, number)).To(BeTrue())
-		Expect(settle(c.peers[1])).To(Equal(claims.Taken))
+		Expect(settle(c.peers[1])).To(Equal(claims.AlreadyClaimed))
 	})
 
 	It("takes the claim from a node that was frozen for long", func() {
@@ -108,7 +108,7 @@
 		c.advance(30 * time.Millisecond)
 		c.freeze(c.peers[0], 2*remember)
 		c.advance(2*remember - 100*time.Millisecond)
-		Expect(settle(c.peers[1])).To(Equal(claims.Held))
+		Expect(settle(c.peers[1])).To(Equal(claims.Acquired))
 		Expect(c.peers[0].machine.MayRun(c.now, number)).To(BeFalse())
 	})
 
@@ -118,7 +118,7 @@
 			p.machine.SetDirectory(newer)
 		}
 		Expect(settle(c.peers[0])).To(Equal(claims.Undecided))
-		Expect(settle(c.peers[1])).To(Equal(claims.Held))
+		Expect(settle(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
 	It("says that it has no directory", func() {
@@ -127,10 +127,10 @@
 	})
 
 	It("forgets nothing for lack of room", func() {
-		home := claims.New(claims.Config{Self: "a", Remember: remember, MaxEntries: 2}, 0)
+		home := claims.New(claims.Config{Self: "a", Retention: remember, MaxEntries: 2}, 0)
 		ask := func(now time.Duration, number claims.Number) claims.Kind {
 			name := claims.KeyOf("court", fmt.Sprint(number))
-			out := home.Step(now, "b", claims.Message{Kind: claims.Ask, Key: name, Number: number, Epoch: 1})
+			out := home.Step(now, "b", claims.Message{Kind: claims.Acquire, Key: name, Number: number, Epoch: 1})
 			return out[0].Message.Kind
 		}
 		Expect(ask(quiet, 1)).To(Equal(claims.Granted))
@@ -138,7 +138,7 @@
 		Expect(ask(quiet, 3)).To(Equal(claims.Full))
 		Expect(ask(quiet, 1)).To(Equal(claims.Granted))
 		Expect(ask(quiet+remember, 3)).To(Equal(claims.Granted))
-		Expect(home.Remembered()).To(Equal(1))
+		Expect(home.EntryCount()).To(Equal(1))
 	})
 
 	It("tells tenants apart whose names and identities run into each other", func() {
@@ -162,7 +162,7 @@
 		c.advance(quiet)
 		twice := c.checkRuns()
 		GinkgoWriter.Printf("seed %d: %v, run again later %d times, %d directories\n", seed, c.outcomes, twice, len(c.plans))
-		for _, outcome := range []claims.Outcome{claims.Held, claims.Taken, claims.Undecided} {
+		for _, outcome := range []claims.Outcome{claims.Acquired, claims.AlreadyClaimed, claims.Undecided} {
 			Expect(c.outcomes[outcome]).To(BeNumerically(">", 0), outcome.String())
 		}
 		Expect(twice).To(BeNumerically(">", 0), "windows have to pass, or nothing was tried")
--- a/pkg/claims/message.go
+++ b/pkg/claims/message.go
@@ -31,18 +31,18 @@
 // The kinds of messages. Ask, Renew and Release go to homes, the others come
 // back from them.
 const (
-	// Ask asks for a grant.
-	Ask Kind = iota
+	// Acquire asks for a grant.
+	Acquire Kind = iota
 	// Renew says that the claim is held, as it has been granted before.
 	Renew
 	// Release says that the request has not run and will not run.
 	Release
 	// Granted says that the home remembers the claim.
 	Granted
-	// Known says that the home remembers another claim of the key.
-	Known
-	// Unready says that the home cannot tell yet, since it started lately.
-	Unready
+	// Conflict says that the home remembers another claim of the key.
+	Conflict
+	// NotReady says that the home cannot tell yet, since it started lately.
+	NotReady
 	// Full says that the home can remember no more.
 	Full
 	// Outdated says that the claimant's directory is older than the home's.
@@ -62,11 +62,11 @@
 type Message struct {
 	Kind Kind
 	Key  Key
-	// Life and Number name the claim, together with the claimant.
-	Life   member.Incarnation
-	Number Number
-	// Round numbers the claim's askings and renewals. Answers repeat it.
-	Round uint64
+	// Incarnation and Number name the claim, together with the claimant.
+	Incarnation member.Incarnation
+	Number      Number
+	// Attempt numbers the claim's askings and renewals. Answers repeat it.
+	Attempt uint64
 	// Epoch is that of the claimant's newest set.
 	Epoch uint64
 }
@@ -82,11 +82,11 @@
 
 // The outcomes of a claim.
 const (
-	// Held means that the request may run while MayRun says so.
-	Held Outcome = iota
-	// Taken means that there is, or was lately, another claim of the key. Its
+	// Acquired means that the request may run while MayRun says so.
+	Acquired Outcome = iota
+	// AlreadyClaimed means that there is, or was lately, another claim of the key. Its
 	// request may have run.
-	Taken
+	AlreadyClaimed
 	// Undecided means that too few homes answered in time. The request does not
 	// run here; whether it ran elsewhere is not known.
 	Undecided
--- a/pkg/replication/clustercheck_test.go
+++ b/pkg/replication/cluster_check_test.go
@@ -29,8 +29,8 @@
 			}
 			c.leaders[status.Term] = n.voter()
 		}
-		n.places = status.Places
-		if n.group.MayCommand(c.clock(n)) {
+		n.slots = status.Slots
+		if n.group.HasCommandLease(c.clock(n)) {
 			holders = append(holders, n.id)
 		}
 	}
@@ -50,11 +50,11 @@
 	if status.SnapshotIndex > 0 {
 		cell += fmt.Sprintf(" s%d", status.SnapshotIndex)
 	}
-	if n.group.MayCommand(c.clock(n)) {
+	if n.group.HasCommandLease(c.clock(n)) {
 		cell += " lease"
 	}
-	if !slices.Equal(status.Places, founded(c.config.Group...)) {
-		cell += fmt.Sprintf(" v%d@%d", len(status.Group), status.ChangeIndex)
+	if !slices.Equal(status.Slots, founderSlots(c.config.Founders...)) {
+		cell += fmt.Sprintf(" v%d@%d", len(status.Voters), status.ChangeIndex)
 	}
 	return cell
 }
--- a/pkg/replication/driver_test.go
+++ b/pkg/replication/cluster_driver_test.go
@@ -35,10 +35,10 @@
 
 // drain does what a driver does, until the node has nothing more to do.
 func (c *cluster) drain(n *node) {
-	for n.group != nil && n.held == nil && n.group.HasReady() {
+	for n.group != nil && n.pendingReady == nil && n.group.HasReady() {
 		ready := n.group.Ready()
 		if ready.MustSync() && (n.stalled || c.random.Float64() < c.faults.stall) {
-			n.held = &ready
+			n.pendingReady = &ready
 			return
 		}
 		c.finish(n, ready)
@@ -60,19 +60,19 @@
 	for _, read := range ready.Reads {
 		Expect(read.Index).To(BeNumerically(">=", n.reads[read.ID]), "%s: stale read", n.id)
 		Expect(n.appliedIndex).To(BeNumerically(">=", read.Index))
-		n.answered++
+		n.readsServed++
 	}
-	n.failed += len(ready.ReadsFailed)
+	n.readsFailed += len(ready.ReadsFailed)
 	n.group.Advance()
 }
 
 // release ends the sync of the held Ready.
 func (c *cluster) release(n *node) {
-	if n.held == nil {
+	if n.pendingReady == nil {
 		return
 	}
-	ready := *n.held
-	n.held = nil
+	ready := *n.pendingReady
+	n.pendingReady = nil
 	c.finish(n, ready)
 	c.drain(n)
 }
@@ -85,7 +85,7 @@
 		Expect(n.applied).To(Equal(agreed), "%s: another history at %d", n.id, entry.Index)
 	}
 	c.digests[entry.Index] = n.applied
-	c.highest = max(c.highest, entry.Index)
+	c.highestApplied = max(c.highestApplied, entry.Index)
 }
 
 func (c *cluster) restore(n *node, snapshot *replication.Snapshot) {
@@ -95,7 +95,7 @@
 }
 
 func (c *cluster) compact(n *node) error {
-	if n.group == nil || n.held != nil {
+	if n.group == nil || n.pendingReady != nil {
 		return nil
 	}
 	err := n.group.Compact(n.appliedIndex, binary.BigEndian.AppendUint64(nil, n.applied))
@@ -105,16 +105,16 @@
 	return err
 }
 
-// reform forms the group anew once a node has won a ballot. What no member
+// recoverQuorum forms the group anew once a node has won a ballot. What no member
 // knows any more was lost with the disks.
-func (c *cluster) reform(n *node) {
-	ballot, won := n.group.Ballot()
-	if !won || c.ballotsFail {
+func (c *cluster) recoverQuorum(n *node) {
+	term, won := n.group.RecoveryTerm()
+	if !won || c.recoveryBlocked {
 		return
 	}
-	if used := slices.Max(append(slices.Collect(maps.Keys(c.leaders)), 0)); used >= ballot {
+	if used := slices.Max(append(slices.Collect(maps.Keys(c.leaders)), 0)); used >= term {
 		// All who knew the term may have lost their disks; witnesses have not.
-		n.group.RaiseBallot(used)
+		n.group.RaiseRecoveryTerm(used)
 		c.drain(n)
 		return
 	}
@@ -122,13 +122,13 @@
 	for _, entry := range n.group.Unapplied() {
 		state = digestAfter(state, entry)
 	}
-	c.highest = 0
+	c.highestApplied = 0
 	for _, other := range c.nodes {
-		c.highest = max(c.highest, other.appliedIndex)
+		c.highestApplied = max(c.highestApplied, other.appliedIndex)
 	}
-	maps.DeleteFunc(c.digests, func(index uint64, _ uint64) bool { return index > c.highest })
-	Expect(n.group.Reform(c.clock(n), ballot, binary.BigEndian.AppendUint64(nil, state))).To(Succeed())
-	c.reformed++
+	maps.DeleteFunc(c.digests, func(index uint64, _ uint64) bool { return index > c.highestApplied })
+	Expect(n.group.RecoverQuorum(c.clock(n), term, binary.BigEndian.AppendUint64(nil, state))).To(Succeed())
+	c.recoveries++
 	c.drain(n)
 }
 
@@ -146,7 +146,7 @@
 func (c *cluster) read(n *node) {
 	id, err := n.group.RequestRead(c.clock(n))
 	if err == nil {
-		n.reads[id] = c.highest
+		n.reads[id] = c.highestApplied
 	}
 	c.drain(n)
 }
--- a/pkg/replication/incarnations_test.go
+++ b/pkg/replication/cluster_incarnations_test.go
@@ -13,19 +13,19 @@
 	config := c.config
 	config.Self = n.id
 	config.Learner = n.learner
-	config.Incarnation = n.diskIncarnation
-	if !n.founder || (c.forgetful && n.incarnation%2 == 1 && n.diskKnowsGroup()) {
-		config.Group = nil
+	config.Incarnation = n.incarnation
+	if !n.founder || (c.forgetful && n.startCount%2 == 1 && n.diskKnowsGroup()) {
+		config.Founders = nil
 	}
 	group, err := replication.New(config, n.disk, c.clock(n))
 	Expect(err).NotTo(HaveOccurred())
 	n.group = group
 	group.ExpectState()
-	n.incarnation++
-	if n.known {
+	n.startCount++
+	if n.announced {
 		group.SetPeers(c.clock(n), c.peers())
 	} else {
-		n.known = true
+		n.announced = true
 		c.gossip()
 	}
 	n.reads = map[uint64]uint64{}
@@ -37,17 +37,17 @@
 
 // crash loses the held Ready, or only what follows its sync.
 func (c *cluster) crash(n *node, synced bool) {
-	if n.held != nil && synced {
-		n.write(*n.held)
+	if n.pendingReady != nil && synced {
+		n.write(*n.pendingReady)
 	}
-	n.held = nil
+	n.pendingReady = nil
 	n.group = nil
 }
 
 func (c *cluster) wipe(n *node) {
 	c.crash(n, false)
 	n.disk = replication.Restored{}
-	n.diskIncarnation = nextIncarnation(n.diskIncarnation)
+	n.incarnation = nextIncarnation(n.incarnation)
 	n.learner = true
 }
 
@@ -62,9 +62,9 @@
 func (c *cluster) loseDisk(n *node) {
 	c.wipe(n)
 	n.learner = false
-	n.places = nil
-	n.lostAt = c.now
-	c.lost++
+	n.slots = nil
+	n.diskLostAt = c.now
+	c.disksLost++
 }
 
 // end ends the node and its disk for good.
@@ -78,7 +78,7 @@
 }
 
 func (n *node) voter() replication.Voter {
-	return replication.Voter{ID: n.id, Incarnation: n.diskIncarnation}
+	return replication.Voter{ID: n.id, Incarnation: n.incarnation}
 }
 
 // intactAfter tells whether each group that any node goes by keeps a majority
@@ -86,12 +86,12 @@
 func (c *cluster) intactAfter(loss *node) bool {
 	for _, n := range c.nodes {
 		voters, intact := 0, 0
-		for _, place := range n.places {
-			if place.Learner {
+		for _, slot := range n.slots {
+			if slot.Learner {
 				continue
 			}
 			voters++
-			if place.ID != loss.id && place.Voter == c.node(place.ID).voter() {
+			if slot.ID != loss.id && slot.Voter == c.node(slot.ID).voter() {
 				intact++
 			}
 		}
@@ -105,9 +105,9 @@
 	return true
 }
 
-// heardLate is how long after its end a node may still count as heard, also by
+// lateContact is how long after its end a node may still count as heard, also by
 // one that was paused.
-const heardLate = time.Second
+const lateContact = time.Second
 
 // maybeAdded counts the incarnations without a vote in the group that the node
 // goes by, which may be given one although they are lost, as the leader has not
@@ -115,8 +115,8 @@
 func (c *cluster) maybeAdded(n, loss *node) int {
 	added := 0
 	for _, lost := range c.nodes {
-		recent := lost == loss || (lost.lostAt > 0 && c.now < lost.lostAt+heardLate)
-		if recent && !slices.ContainsFunc(n.places, func(p replication.Place) bool { return p.ID == lost.id && !p.Learner }) {
+		recent := lost == loss || (lost.diskLostAt > 0 && c.now < lost.diskLostAt+lateContact)
+		if recent && !slices.ContainsFunc(n.slots, func(p replication.Slot) bool { return p.ID == lost.id && !p.Learner }) {
 			added++
 		}
 	}
--- a/pkg/replication/network_test.go
+++ b/pkg/replication/cluster_network_test.go
@@ -20,10 +20,10 @@
 type link struct{ from, to member.ID }
 
 type packet struct {
-	at          time.Duration
-	link        link
-	incarnation int
-	m           replication.Message
+	at         time.Duration
+	link       link
+	startCount int
+	m          replication.Message
 }
 
 func (c *cluster) post(n *node, outbound replication.Outbound) {
@@ -36,7 +36,7 @@
 	for range copies {
 		delay := time.Duration(1 + c.random.Int64N(int64(c.faults.maxDelay)))
 		c.enqueue(packet{
-			at: c.now + delay, link: link{n.id, outbound.To}, incarnation: c.node(outbound.To).incarnation, m: outbound.Message,
+			at: c.now + delay, link: link{n.id, outbound.To}, startCount: c.node(outbound.To).startCount, m: outbound.Message,
 		})
 	}
 }
@@ -63,7 +63,7 @@
 		if n.group != nil && c.now >= n.pausedUntil {
 			n.group.Tick(c.clock(n))
 			c.drain(n)
-			c.reform(n)
+			c.recoverQuorum(n)
 		}
 	}
 }
@@ -71,8 +71,8 @@
 func (c *cluster) deliver(p packet) {
 	n := c.node(p.link.to)
 	// A connection does not outlive a lost disk; it may outlive all else here.
-	stale := n.learner && p.incarnation != n.incarnation
-	if n.group == nil || c.cut[p.link] || stale {
+	stale := n.learner && p.startCount != n.startCount
+	if n.group == nil || c.blocked[p.link] || stale {
 		return
 	}
 	if c.now < n.pausedUntil {
--- a/pkg/replication/cluster_test.go
+++ b/pkg/replication/cluster_test.go
@@ -22,24 +22,24 @@
 // node is one member with its disk. What the state machine has not been told
 // to be durable is lost in a crash.
 type node struct {
-	id          member.ID
-	group       *replication.Group
-	disk        replication.Restored
-	learner     bool
-	incarnation int
+	id         member.ID
+	group      *replication.Group
+	disk       replication.Restored
+	learner    bool
+	startCount int
 	// founder tells that the settings of the node name the founders.
 	founder bool
-	// known, left and gone are what gossip tells: the node has started once, it
+	// announced, left and gone are what gossip tells: the node has started once, it
 	// is about to stop, or it stopped for good and its disk with it.
-	known, left, gone bool
-	// diskIncarnation numbers the disks that the node has had.
-	diskIncarnation uint64
-	// lostAt is when the node lost a disk last.
-	lostAt time.Duration
-	// places is the newest group that the node was seen with on this disk.
-	places []replication.Place
-	// held is a Ready whose sync has not ended.
-	held *replication.Ready
+	announced, left, gone bool
+	// incarnation numbers the disks that the node has had.
+	incarnation uint64
+	// diskLostAt is when the node lost a disk last.
+	diskLostAt time.Duration
+	// slots is the newest group that the node was seen with on this disk.
+	slots []replication.Slot
+	// pendingReady is a Ready whose sync has not ended.
+	pendingReady *replication.Ready
 	// stalled keeps every sync from ending.
 	stalled bool
 	// pausedUntil is when the process runs on; its clock does not stop.
@@ -49,8 +49,8 @@
 	appliedIndex uint64
 	// reads maps a read to the index that its answer must cover.
 	reads         map[uint64]uint64
-	answered      int
-	failed        int
+	readsServed   int
+	readsFailed   int
 	offset, drift time.Duration
 }
 
@@ -62,24 +62,24 @@
 	now     time.Duration
 	random  *rand.Rand
 	faults  faults
-	cut     map[link]bool
+	blocked map[link]bool
 	packets []packet
 	// digests and leaders are what the whole cluster has ever agreed on.
-	digests map[uint64]uint64
-	leaders map[uint64]replication.Voter
-	highest uint64
+	digests        map[uint64]uint64
+	leaders        map[uint64]replication.Voter
+	highestApplied uint64
 	// wiped tells that a disk was lost whose member gets no vote again; in
 	// schedules with neverRepaired there is one such loss at most.
 	wiped         bool
 	neverRepaired bool
 	// majorityLost allows losses of any number of disks at once.
 	majorityLost bool
-	// lost counts the disks that were lost and are to be repaired.
-	lost int
-	// reformed counts how often the group was formed anew; ballotsFail keeps it
+	// disksLost counts the disks that were lost and are to be repaired.
+	disksLost int
+	// recoveries counts how often the group was formed anew; recoveryBlocked keeps it
 	// from that, as if the state could not be found.
-	reformed    int
-	ballotsFail bool
+	recoveries      int
+	recoveryBlocked bool
 	// forgetful restarts founders without the names of the founders, once their
 	// disks tell of the group.
 	forgetful bool
@@ -90,9 +90,9 @@
 // Marks before the IDs of members that are no founders: one is there from the
 // start, the other starts later. A bound on the voters stands among the IDs.
 const (
-	peerMark  = "+"
-	laterMark = "-"
-	maxMark   = "max="
+	peerPrefix      = "+"
+	laterPrefix     = "-"
+	maxVotersPrefix = "max="
 )
 
 func newCluster(random *rand.Rand, ids ...member.ID) *cluster {
@@ -103,7 +103,7 @@
 			HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
 			LeaseDuration: leaseDuration, LeaseMargin: leaseMargin, MaxLogEntries: 2,
 		},
-		cut:     map[link]bool{},
+		blocked: map[link]bool{},
 		digests: map[uint64]uint64{},
 		leaders: map[uint64]replication.Voter{},
 	}
@@ -111,7 +111,7 @@
 		c.addNode(string(id))
 	}
 	for _, n := range c.nodes {
-		if n.known {
+		if n.announced {
 			c.start(n)
 		}
 	}
@@ -119,18 +119,18 @@
 }
 
 func (c *cluster) addNode(marked string) {
-	if bound, found := strings.CutPrefix(marked, maxMark); found {
+	if bound, found := strings.CutPrefix(marked, maxVotersPrefix); found {
 		c.config.MaxVoters, _ = strconv.Atoi(bound)
 		return
 	}
 	n := &node{
-		id:              member.ID(strings.TrimLeft(marked, peerMark+laterMark)),
-		diskIncarnation: replication.FoundingIncarnation,
-		known:           !strings.HasPrefix(marked, laterMark),
+		id:          member.ID(strings.TrimLeft(marked, peerPrefix+laterPrefix)),
+		incarnation: replication.FoundingIncarnation,
+		announced:   !strings.HasPrefix(marked, laterPrefix),
 	}
 	n.founder = marked == string(n.id)
 	if n.founder {
-		c.config.Group = append(c.config.Group, n.id)
+		c.config.Founders = append(c.config.Founders, n.id)
 	}
 	c.nodes = append(c.nodes, n)
 }
@@ -152,7 +152,7 @@
 func (c *cluster) peers() []replication.Peer {
 	var peers []replication.Peer
 	for _, n := range c.nodes {
-		if n.known {
+		if n.announced {
 			peers = append(peers, replication.Peer{ID: n.id, Left: n.left})
 		}
 	}
--- a/pkg/replication/compact.go
+++ b/pkg/replication/compact.go
@@ -12,8 +12,8 @@
 	if g.log.snapshot != nil && index <= g.log.snapshot.Index {
 		return &CompactError{Index: index, Message: "is covered by a snapshot already: compact at a newer index"}
 	}
-	term, held := g.log.termAt(index)
-	if !held || index == 0 {
+	term, ok := g.log.termAt(index)
+	if !ok || index == 0 {
 		return &CompactError{Index: index, Message: "is not in the log: compact at an applied index"}
 	}
 	group := g.log.groups.at(index)
@@ -23,7 +23,7 @@
 	snapshot := &Snapshot{
 		Index: index,
 		Term:  term,
-		Group: group,
+		Slots: group,
 		Data:  slices.Clone(data),
 	}
 	g.log.compact(snapshot, uint64(g.cfg.MaxLogEntries))
--- a/pkg/replication/config.go
+++ b/pkg/replication/config.go
@@ -28,12 +28,12 @@
 	// that took the place of a lost one has an incarnation that differs from
 	// all before it, and that must be durable before New is called.
 	Incarnation uint64
-	// Group holds the founding voters in the agreed order, the same on every
+	// Founders holds the founding voters in the agreed order, the same on every
 	// founder. Earlier members are preferred as leaders. It is empty on a member
 	// that joins a group, and may be empty on any member whose log or snapshot
 	// is not: the present voters are those that the log tells of, and its first
 	// entry tells of the founders. A member that knows of no group is a learner.
-	Group []member.ID
+	Founders []member.ID
 	// MaxVoters bounds how far the leader lets the group grow by itself; zero
 	// stands for DefaultMaxVoters.
 	MaxVoters int
@@ -65,7 +65,7 @@
 
 // withDefaults returns the settings with those that were left to the package.
 func (c Config) withDefaults() Config {
-	c.Group = slices.Clone(c.Group)
+	c.Founders = slices.Clone(c.Founders)
 	if c.MaxVoters == 0 {
 		c.MaxVoters = DefaultMaxVoters
 	}
@@ -82,7 +82,7 @@
 	if c.Incarnation == 0 {
 		return &ConfigError{Field: "Incarnation", Message: "is zero: name the durable state, FoundingIncarnation on a founder"}
 	}
-	if err := checkDistinct(c.Group); err != nil {
+	if err := checkDistinct(c.Founders); err != nil {
 		return err
 	}
 	if c.MaxVoters < 0 {
@@ -121,11 +121,11 @@
 type HardState struct {
 	// Term is the highest term that the member has seen.
 	Term uint64
-	// PromisedTo is the member that Term is promised to, or empty.
-	PromisedTo member.ID
-	// PromisedIncarnation is the incarnation of PromisedTo. In another
+	// VotedFor is the member that Term is promised to, or empty.
+	VotedFor member.ID
+	// VotedForIncarnation is the incarnation of VotedFor. In another
 	// incarnation the member would be another candidate.
-	PromisedIncarnation uint64
+	VotedForIncarnation uint64
 	// Commit is the highest index known to be committed when the state was
 	// written. It may lag behind without harm, as the leader tells it again.
 	Commit uint64
@@ -144,7 +144,7 @@
 // check finds what durable state can never be if it was kept whole.
 func (r Restored) check() error {
 	if r.Snapshot != nil {
-		if err := places(r.Snapshot.Group).check(); err != nil {
+		if err := slots(r.Snapshot.Slots).check(); err != nil {
 			return &RestoredError{Message: "the snapshot is of no possible group: " + err.Error()}
 		}
 	}
--- a/pkg/replication/durability_test.go
+++ b/pkg/replication/durability_test.go
@@ -12,16 +12,16 @@
 
 func newMember(self member.ID, group ...member.ID) *replication.Group {
 	g, err := replication.New(replication.Config{
-		Self: self, Incarnation: replication.FoundingIncarnation, Group: group, HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
+		Self: self, Incarnation: replication.FoundingIncarnation, Founders: group, HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
 	}, replication.Restored{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	return g
 }
 
-func founded(ids ...member.ID) []replication.Place {
-	var group []replication.Place
+func founderSlots(ids ...member.ID) []replication.Slot {
+	var group []replication.Slot
 	for _, id := range ids {
-		group = append(group, replication.Place{Voter: replication.Voter{ID: id, Incarnation: replication.FoundingIncarnation}})
+		group = append(group, replication.Slot{Voter: replication.Voter{ID: id, Incarnation: replication.FoundingIncarnation}})
 	}
 	return group
 }
@@ -30,7 +30,7 @@
 	return replication.Entry{Index: index, Term: term, Kind: replication.EntryCommand, Command: []byte("c")}
 }
 
-func appendOf(term, index, indexTerm, commit uint64, entries ...replication.Entry) replication.Message {
+func appendMessage(term, index, indexTerm, commit uint64, entries ...replication.Entry) replication.Message {
 	return replication.Message{
 		Type: replication.MessageAppend, Term: term, Index: index, IndexTerm: indexTerm, Commit: commit, Entries: entries,
 	}
@@ -40,7 +40,7 @@
 	It("lets a member's own promise and entries count after Advance only", func() {
 		g := newMember("n1", "n1")
 		g.Tick(electionTimeout)
-		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 1, PromisedTo: "n1", PromisedIncarnation: replication.FoundingIncarnation}))
+		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 1, VotedFor: "n1", VotedForIncarnation: replication.FoundingIncarnation}))
 		Expect(g.Status().Role).To(Equal(replication.RoleCandidate))
 		g.Advance()
 		Expect(g.Status().Role).To(Equal(replication.RoleLeader))
@@ -55,13 +55,13 @@
 
 	It("hands a promise out to be durable in the Ready of the reply, also in a known term", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessagePromiseReply, Term: 4, Reject: true})).To(Succeed())
+		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageVoteReply, Term: 4, Reject: true})).To(Succeed())
 		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 4}))
 		g.Advance()
-		request := replication.Message{Type: replication.MessagePromiseRequest, Term: 4, Incarnation: 1}
+		request := replication.Message{Type: replication.MessageVoteRequest, Term: 4, Incarnation: 1}
 		Expect(g.Step(0, "n3", request)).To(Succeed())
 		ready := g.Ready()
-		Expect(ready.HardState).To(Equal(&replication.HardState{Term: 4, PromisedTo: "n3", PromisedIncarnation: 1}))
+		Expect(ready.HardState).To(Equal(&replication.HardState{Term: 4, VotedFor: "n3", VotedForIncarnation: 1}))
 		Expect(ready.MustSync()).To(BeTrue())
 		Expect(ready.Messages).To(HaveLen(1))
 		Expect(ready.Messages[0].Message.Reject).To(BeFalse())
@@ -72,9 +72,9 @@
 
 	It("acknowledges what came during a sync with the next Ready", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		Expect(g.Step(0, "n2", appendOf(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
 		Expect(g.Ready().Messages).To(HaveLen(1))
-		Expect(g.Step(0, "n2", appendOf(1, 1, 1, 0, entry(2, 1)))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 1, 1, 0, entry(2, 1)))).To(Succeed())
 		Expect(g.HasReady()).To(BeFalse())
 		Expect(g.Ready()).To(Equal(replication.Ready{}))
 		g.Advance()
@@ -85,7 +85,7 @@
 
 	It("bounds the messages that wait while a sync stalls", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		Expect(g.Step(0, "n2", appendOf(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
 		g.Ready()
 		for range 10000 {
 			Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat, Term: 1})).To(Succeed())
@@ -96,9 +96,9 @@
 
 	It("keeps what was durable of a sync whose end was truncated meanwhile", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		Expect(g.Step(0, "n2", appendOf(1, 0, 0, 2, entry(1, 1), entry(2, 1), entry(3, 1)))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 2, entry(1, 1), entry(2, 1), entry(3, 1)))).To(Succeed())
 		Expect(g.Ready().Committed).To(HaveLen(2))
-		Expect(g.Step(time.Second, "n3", appendOf(2, 2, 1, 2, entry(3, 2)))).To(Succeed())
+		Expect(g.Step(time.Second, "n3", appendMessage(2, 2, 1, 2, entry(3, 2)))).To(Succeed())
 		g.Advance()
 		Expect(g.Compact(2, []byte("state"))).To(Succeed())
 		Expect(g.Ready().Entries).To(Equal([]replication.Entry{entry(3, 2)}))
@@ -106,8 +106,8 @@
 
 	It("commits no further than the leader's message vouches for", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		Expect(g.Step(0, "n2", appendOf(1, 0, 0, 0, entry(1, 1), entry(2, 1)))).To(Succeed())
-		Expect(g.Step(0, "n3", appendOf(2, 1, 1, 2))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0, entry(1, 1), entry(2, 1)))).To(Succeed())
+		Expect(g.Step(0, "n3", appendMessage(2, 1, 1, 2))).To(Succeed())
 		Expect(g.Status().Commit).To(Equal(uint64(1)))
 	})
 })
@@ -117,44 +117,44 @@
 		g := newMember("n1", "n1", "n2", "n3")
 		var refused *replication.MessageError
 		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat})).To(BeAssignableToTypeOf(refused))
-		Expect(g.Step(0, "n2", appendOf(1, 0, 0, 2, entry(1, 1), entry(2, 1)))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 2, entry(1, 1), entry(2, 1)))).To(Succeed())
 		before := g.Status()
 		for _, m := range []replication.Message{
 			{Type: 99, Term: 1},
 			{Type: replication.MessageSnapshot, Term: 1},
 			{Type: replication.MessageSnapshot, Term: 1, Snapshot: &replication.Snapshot{Index: 9, Term: 1}},
-			appendOf(1, 2, 1, 2, entry(4, 1)),
-			appendOf(1, 0, 0, 2, entry(1, 1), entry(2, 0)),
-			appendOf(1, 1, 1, 2, entry(2, 2)),
-			appendOf(1, 2, 1, 2, replication.Entry{Index: 3, Term: 1, Kind: replication.EntryGroupChange}),
-			appendOf(2, 1, 1, 2, entry(2, 2)),
+			appendMessage(1, 2, 1, 2, entry(4, 1)),
+			appendMessage(1, 0, 0, 2, entry(1, 1), entry(2, 0)),
+			appendMessage(1, 1, 1, 2, entry(2, 2)),
+			appendMessage(1, 2, 1, 2, replication.Entry{Index: 3, Term: 1, Kind: replication.EntryGroupChange}),
+			appendMessage(2, 1, 1, 2, entry(2, 2)),
 		} {
 			Expect(g.Step(0, "n2", m)).To(BeAssignableToTypeOf(refused))
 		}
-		Expect(g.Step(0, "n9", appendOf(1, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
+		Expect(g.Step(0, "n9", appendMessage(1, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
 		Expect(g.Status()).To(Equal(before))
-		Expect(g.Step(0, "n3", appendOf(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
+		Expect(g.Step(0, "n3", appendMessage(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
 	})
 
 	It("name the leader to a caller that asks another member", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		Expect(g.Step(0, "n2", appendOf(1, 0, 0, 0))).To(Succeed())
+		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0))).To(Succeed())
 		_, err := g.Propose(0, nil)
 		Expect(err).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
 		_, err = g.RequestRead(0)
 		Expect(err).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
-		Expect(g.HandOver(0)).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
+		Expect(g.TransferLeadership(0)).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
 	})
 
 	It("find settings and durable state that can't be right", func() {
-		good := replication.Config{Self: "n1", Incarnation: replication.FoundingIncarnation, Group: []member.ID{"n1", "n2"}, HeartbeatEvery: 1, ElectionTimeout: 3}
+		good := replication.Config{Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2"}, HeartbeatEvery: 1, ElectionTimeout: 3}
 		for _, spoil := range []func(*replication.Config){
 			func(c *replication.Config) { c.Self = "" },
 			func(c *replication.Config) { c.Incarnation = 0 },
-			func(c *replication.Config) { c.Group = []member.ID{"n1", ""} },
+			func(c *replication.Config) { c.Founders = []member.ID{"n1", ""} },
 			func(c *replication.Config) { c.MaxVoters = -1 },
 			func(c *replication.Config) { c.RemoveAfter = -1 },
-			func(c *replication.Config) { c.Group = []member.ID{"n1", "n1"} },
+			func(c *replication.Config) { c.Founders = []member.ID{"n1", "n1"} },
 			func(c *replication.Config) { c.HeartbeatEvery = 0 },
 			func(c *replication.Config) { c.ElectionTimeout = 1 },
 			func(c *replication.Config) { c.LeaseDuration, c.LeaseMargin = 1, 1 },
@@ -171,10 +171,10 @@
 			{HardState: hard, Entries: []replication.Entry{entry(1, 2)}},
 			{HardState: replication.HardState{Term: 1, Commit: 1}},
 			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Group: founded("n1", "n1")}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Group: founded("n1", "")}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Group: waiting()[2:]}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Group: make([]replication.Place, 2)}},
+			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "n1")}},
+			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "")}},
+			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: slotsWithLearner()[2:]}},
+			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: make([]replication.Slot, 2)}},
 			{HardState: hard, Entries: []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryGroupChange, Command: []byte("[]")}}},
 		} {
 			_, err := replication.New(good, restored, 0)
--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -24,10 +24,10 @@
 
 // encode returns the whole state as one change.
 func encode(state replication.Restored) []byte {
-	return change{hardState: &state.HardState, snapshot: state.Snapshot, entries: state.Entries}.encode()
+	return record{hardState: &state.HardState, snapshot: state.Snapshot, entries: state.Entries}.encode()
 }
 
-func (c change) encode() []byte {
+func (c record) encode() []byte {
 	table := &fb.StateT{
 		HardState: packHardState(c.hardState),
 		Snapshot:  packSnapshot(c.snapshot),
@@ -44,8 +44,8 @@
 	}
 	return &fb.HardStateT{
 		Term:                hard.Term,
-		PromisedTo:          string(hard.PromisedTo),
-		PromisedIncarnation: hard.PromisedIncarnation,
+		PromisedTo:          string(hard.VotedFor),
+		PromisedIncarnation: hard.VotedForIncarnation,
 		Commit:              hard.Commit,
 	}
 }
@@ -57,12 +57,12 @@
 	return &fb.SnapshotT{
 		Index:  snapshot.Index,
 		Term:   snapshot.Term,
-		Places: packPlaces(snapshot.Group),
+		Places: packSlots(snapshot.Slots),
 		Data:   snapshot.Data,
 	}
 }
 
-func packPlaces(group []replication.Place) []*fb.PlaceT {
+func packSlots(group []replication.Slot) []*fb.PlaceT {
 	packed := make([]*fb.PlaceT, len(group))
 	for i, place := range group {
 		packed[i] = &fb.PlaceT{Id: string(place.ID), Incarnation: place.Incarnation, Learner: place.Learner}
@@ -85,19 +85,19 @@
 
 // decode returns a change that shares no memory with data. The store has
 // checked that data is what was written.
-func decode(data []byte) (decoded change, err error) {
+func decode(data []byte) (decoded record, err error) {
 	if len(data) < flatbuffers.SizeUOffsetT+len(identifier) || !flatbuffers.BufferHasIdentifier(data, identifier) {
-		return change{}, errEncoding
+		return record{}, errEncoding
 	}
 	// The accessors have no verifier: a wrong offset shows as a panic of the
 	// bounds check.
 	defer func() {
 		if recover() != nil {
-			decoded, err = change{}, errEncoding
+			decoded, err = record{}, errEncoding
 		}
 	}()
 	table := fb.GetRootAsState(data, 0).UnPack()
-	return change{
+	return record{
 		hardState: unpackHardState(table.HardState),
 		snapshot:  unpackSnapshot(table.Snapshot),
 		entries:   unpackEntries(table.Entries),
@@ -110,8 +110,8 @@
 	}
 	return &replication.HardState{
 		Term:                table.Term,
-		PromisedTo:          member.ID(table.PromisedTo),
-		PromisedIncarnation: table.PromisedIncarnation,
+		VotedFor:            member.ID(table.PromisedTo),
+		VotedForIncarnation: table.PromisedIncarnation,
 		Commit:              table.Commit,
 	}
 }
@@ -123,18 +123,18 @@
 	return &replication.Snapshot{
 		Index: table.Index,
 		Term:  table.Term,
-		Group: unpackPlaces(table.Places),
+		Slots: unpackSlots(table.Places),
 		Data:  bytes.Clone(table.Data),
 	}
 }
 
-func unpackPlaces(tables []*fb.PlaceT) []replication.Place {
+func unpackSlots(tables []*fb.PlaceT) []replication.Slot {
 	if len(tables) == 0 {
 		return nil
 	}
-	group := make([]replication.Place, len(tables))
+	group := make([]replication.Slot, len(tables))
 	for i, table := range tables {
-		group[i] = replication.Place{
+		group[i] = replication.Slot{
 			Voter:   replication.Voter{ID: member.ID(table.Id), Incarnation: table.Incarnation},
 			Learner: table.Learner,
 		}
--- a/pkg/replication/durable/golden_test.go
+++ b/pkg/replication/durable/golden_test.go
@@ -34,7 +34,7 @@
 		log, _, err := OpenWithLimit(disk, logName, smallLimit)
 		Expect(err).NotTo(HaveOccurred())
 		for _, ready := range []replication.Ready{
-			{HardState: &replication.HardState{Term: 6, PromisedTo: "a", PromisedIncarnation: 1 << 60, Commit: 27}, Entries: everyKind[:2]},
+			{HardState: &replication.HardState{Term: 6, VotedFor: "a", VotedForIncarnation: 1 << 60, Commit: 27}, Entries: everyKind[:2]},
 			{Entries: everyKind[2:]},
 		} {
 			Expect(log.Save(ready)).To(Succeed())
--- a/pkg/replication/durable/log.go
+++ b/pkg/replication/durable/log.go
@@ -47,7 +47,7 @@
 		return nil, replication.Restored{}, err
 	}
 	log := &Log{store: store, state: state, maxLogBytes: maxLogBytes}
-	log.planCheckpoint(len(contents.Payload))
+	log.scheduleCheckpoint(len(contents.Payload))
 	restored := state
 	restored.Entries = slices.Clone(state.Entries)
 	return log, restored, nil
@@ -62,7 +62,7 @@
 	if !ready.MustSync() {
 		return nil
 	}
-	change := change{hardState: ready.HardState, snapshot: ready.Snapshot, entries: ready.Entries}
+	change := record{hardState: ready.HardState, snapshot: ready.Snapshot, entries: ready.Entries}
 	next, err := change.applyTo(l.state)
 	if err != nil {
 		return err
@@ -79,8 +79,8 @@
 
 // Checkpoint replaces all durable state. It has the errors of Save.
 func (l *Log) Checkpoint(hard replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error {
-	whole := change{hardState: &hard, snapshot: snapshot, entries: entries}
-	next, err := whole.applyTo(replication.Restored{HardState: replication.HardState{Term: l.state.Term}})
+	replacement := record{hardState: &hard, snapshot: snapshot, entries: entries}
+	next, err := replacement.applyTo(replication.Restored{HardState: replication.HardState{Term: l.state.Term}})
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		return err
 	}
 	l.state = next
-	l.planCheckpoint(len(payload))
+	l.scheduleCheckpoint(len(payload))
 	return nil
 }
 
@@ -111,6 +111,6 @@
 	return err
 }
 
-func (l *Log) planCheckpoint(checkpointBytes int) {
+func (l *Log) scheduleCheckpoint(checkpointBytes int) {
 	l.checkpointAt = max(l.maxLogBytes, checkpointRatio*checkpointBytes)
 }
--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -29,7 +29,7 @@
 }
 
 func hard(term uint64, promisedTo member.ID, commit uint64) *replication.HardState {
-	return &replication.HardState{Term: term, PromisedTo: promisedTo, Commit: commit}
+	return &replication.HardState{Term: term, VotedFor: promisedTo, Commit: commit}
 }
 
 // entries returns the entries first..last of one term.
@@ -46,7 +46,7 @@
 	return &replication.Snapshot{
 		Index: index,
 		Term:  term,
-		Group: []replication.Place{
+		Slots: []replication.Slot{
 			{Voter: replication.Voter{ID: "a", Incarnation: 1}},
 			{Voter: replication.Voter{ID: "b", Incarnation: 1700000000000}},
 			{Voter: replication.Voter{ID: "c", Incarnation: 2}, Learner: true},
@@ -118,7 +118,7 @@
 	_, restored, err := Open(disk, logName)
 	Expect(err).NotTo(HaveOccurred())
 	group, err := replication.New(replication.Config{
-		Self: "b", Incarnation: replication.FoundingIncarnation, Group: []member.ID{"a", "b", "c"},
+		Self: "b", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"a", "b", "c"},
 		HeartbeatEvery: time.Second, ElectionTimeout: time.Minute,
 	}, restored, 0)
 	Expect(err).NotTo(HaveOccurred())
@@ -237,12 +237,12 @@
 
 	It("restores the group without a change whose entry was truncated", func() {
 		founding := snapshot(1, 2)
-		founding.Group = []replication.Place{
+		founding.Slots = []replication.Slot{
 			{Voter: replication.Voter{ID: "a", Incarnation: 1}},
 			{Voter: replication.Voter{ID: "b", Incarnation: 1}},
 			{Voter: replication.Voter{ID: "c", Incarnation: 1}},
 		}
-		command, err := json.Marshal(snapshot(1, 2).Group)
+		command, err := json.Marshal(snapshot(1, 2).Slots)
 		Expect(err).NotTo(HaveOccurred())
 		removal := replication.Entry{Index: 4, Term: 1, Kind: replication.EntryGroupChange, Command: command}
 
@@ -251,9 +251,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Save(replication.Ready{HardState: hard(1, "a", 2), Snapshot: founding})).To(Succeed())
 		Expect(log.Save(replication.Ready{Entries: append(entries(1, 3, 3), removal)})).To(Succeed())
-		Expect(restoredGroup(disk).Status().Places).To(Equal(snapshot(1, 2).Group))
+		Expect(restoredGroup(disk).Status().Slots).To(Equal(snapshot(1, 2).Slots))
 		Expect(log.Save(replication.Ready{HardState: hard(2, "b", 3), Entries: entries(2, 4, 5)})).To(Succeed())
-		Expect(restoredGroup(disk).Status().Places).To(Equal(founding.Group))
+		Expect(restoredGroup(disk).Status().Slots).To(Equal(founding.Slots))
 	})
 
 	DescribeTable("refuses what does not follow on its state, and writes nothing",
@@ -279,7 +279,7 @@
 		log, _, err := OpenWithLimit(disk, logName, smallLimit)
 		Expect(err).NotTo(HaveOccurred())
 		config := replication.Config{
-			Self: "a", Incarnation: replication.FoundingIncarnation, Group: []member.ID{"a"},
+			Self: "a", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"a"},
 			HeartbeatEvery: time.Millisecond, ElectionTimeout: time.Second,
 		}
 		group, err := replication.New(config, replication.Restored{}, 0)
@@ -289,13 +289,13 @@
 			Expect(log.Save(group.Ready())).To(Succeed())
 			group.Advance()
 		}
-		config.Group = nil
+		config.Founders = nil
 		expectFounders := func() {
 			_, restored, err := OpenWithLimit(disk, logName, smallLimit)
 			Expect(err).NotTo(HaveOccurred())
 			again, err := replication.New(config, restored, 0)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(again.Status().Places).To(Equal([]replication.Place{{Voter: replication.Voter{ID: "a", Incarnation: replication.FoundingIncarnation}}}))
+			Expect(again.Status().Slots).To(Equal([]replication.Slot{{Voter: replication.Voter{ID: "a", Incarnation: replication.FoundingIncarnation}}}))
 			Expect(again.Status().Role).To(Equal(replication.RoleFollower))
 		}
 		expectFounders()
--- a/pkg/replication/durable/change.go
+++ b/pkg/replication/durable/record.go
@@ -7,10 +7,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// change is what one Save does to the state: the hard state replaces the
+// record is what one Save does to the state: the hard state replaces the
 // former one, then the snapshot replaces all entries, then the entries replace
 // those from the index of the first one on.
-type change struct {
+type record struct {
 	hardState *replication.HardState
 	snapshot  *replication.Snapshot
 	entries   []replication.Entry
@@ -19,7 +19,7 @@
 // applyTo returns the state after the change, or *OrderError if the change
 // does not follow on the state. It may write behind the end of the entries of
 // the former state, but not change them.
-func (c change) applyTo(state replication.Restored) (replication.Restored, error) {
+func (c record) applyTo(state replication.Restored) (replication.Restored, error) {
 	if c.hardState != nil {
 		if c.hardState.Term < state.Term {
 			return state, &OrderError{Message: fmt.Sprintf("term %d after term %d", c.hardState.Term, state.Term)}
@@ -36,9 +36,9 @@
 	if err := checkEntries(state, c.entries); err != nil {
 		return state, err
 	}
-	kept := int(c.entries[0].Index - coveredIndex(state) - 1)
-	if kept < len(state.Entries) {
-		state.Entries = state.Entries[:kept:kept]
+	retained := int(c.entries[0].Index - coveredIndex(state) - 1)
+	if retained < len(state.Entries) {
+		state.Entries = state.Entries[:retained:retained]
 	}
 	state.Entries = append(state.Entries, c.entries...)
 	return state, nil
--- a/pkg/replication/elastic_test.go
+++ b/pkg/replication/elastic_test.go
@@ -19,10 +19,10 @@
 
 const (
 	elasticTicks = 600
-	settledTicks = 100
+	stableTicks  = 100
 	// elasticRemoveAfter lets a schedule see many removals.
 	elasticRemoveAfter = 300 * time.Millisecond
-	mostNodes          = 9
+	maxNodes           = 9
 )
 
 // replacement is a node that comes because another goes.
@@ -59,13 +59,13 @@
 
 // join starts a node that nobody knew before.
 func (s *elasticSchedule) join() {
-	if len(s.present()) >= mostNodes {
+	if len(s.present()) >= maxNodes {
 		return
 	}
 	s.started++
-	s.addNode(laterMark + "n" + strconv.Itoa(s.started))
+	s.addNode(laterPrefix + "n" + strconv.Itoa(s.started))
 	n := s.nodes[len(s.nodes)-1]
-	n.diskIncarnation = uint64(1 + s.random.IntN(100))
+	n.incarnation = uint64(1 + s.random.IntN(100))
 	n.offset = time.Duration(s.random.Int64N(int64(time.Hour)))
 	s.start(n)
 }
@@ -99,7 +99,7 @@
 	case roll < 9:
 		s.gossip()
 	case roll < 17:
-		clear(s.cut)
+		clear(s.blocked)
 	case roll < 57:
 		randomEvent(s.cluster)
 	case roll < 97 && s.leader() != nil:
@@ -138,28 +138,28 @@
 	})
 }
 
-// settle ends what was begun, lets the nodes come to rest, and has the group
+// endAndVerify ends what was begun, lets the nodes come to rest, and has the group
 // prove that it goes on.
-func (s *elasticSchedule) settle(seed uint64) {
+func (s *elasticSchedule) endAndVerify(seed uint64) {
 	for _, n := range s.present() {
 		n.left = false
 	}
 	s.replacements = nil
 	s.gossip()
 	healAll(s.cluster)
-	for range settledTicks {
+	for range stableTicks {
 		s.advance()
 	}
 	leader := s.leader()
 	Expect(leader).NotTo(BeNil(), "seed %d: no leader", seed)
-	before := s.highest
+	before := s.highestApplied
 	_, err := leader.group.Propose(s.clock(leader), []byte("last"))
 	Expect(err).NotTo(HaveOccurred())
 	s.drain(leader)
-	for range settledTicks {
+	for range stableTicks {
 		s.advance()
 	}
-	Expect(s.highest).To(BeNumerically(">", before), "seed %d: nothing is committed", seed)
+	Expect(s.highestApplied).To(BeNumerically(">", before), "seed %d: nothing is committed", seed)
 	expectAgreement(s.cluster, seed)
 }
 
@@ -177,25 +177,25 @@
 	return leader
 }
 
-// expectAllVote expects every node that is there to vote in the incarnation of its
+// expectAllMembersVote expects every node that is there to vote in the incarnation of its
 // disk, on all nodes and finally, and of those that are gone only what an odd
 // group keeps.
-func expectAllVote(c *cluster, seed uint64) {
-	var whole []replication.Place
+func expectAllMembersVote(c *cluster, seed uint64) {
+	var fullGroup []replication.Slot
 	for _, n := range c.present() {
-		whole = append(whole, replication.Place{Voter: n.voter()})
+		fullGroup = append(fullGroup, replication.Slot{Voter: n.voter()})
 	}
-	group := c.leader().group.Status().Places
-	Expect(group).To(ContainElements(whole), "seed %d: a live peer has no vote", seed)
-	for _, place := range group {
-		Expect(place.Learner).To(BeFalse(), "seed %d: a place is kept for %s", seed, place.ID)
+	group := c.leader().group.Status().Slots
+	Expect(group).To(ContainElements(fullGroup), "seed %d: a live peer has no vote", seed)
+	for _, slot := range group {
+		Expect(slot.Learner).To(BeFalse(), "seed %d: a place is kept for %s", seed, slot.ID)
 	}
-	if len(group) > len(whole) {
+	if len(group) > len(fullGroup) {
 		Expect(len(group)%2).To(Equal(1), "seed %d: an even group keeps a silent voter", seed)
 	}
 	for _, n := range c.present() {
 		status := n.group.Status()
-		Expect(status.Places).To(Equal(group), "seed %d: %s has another group", seed, n.id)
+		Expect(status.Slots).To(Equal(group), "seed %d: %s has another group", seed, n.id)
 		Expect(status.ChangeIndex).To(BeNumerically("<=", status.Commit), "seed %d: %s", seed, n.id)
 		Expect(status.Role).NotTo(Equal(replication.RoleLearner), "seed %d: %s", seed, n.id)
 	}
@@ -216,10 +216,10 @@
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	c.drain(leader)
 	c.advanceBy(5 * heartbeatEvery)
-	ExpectWithOffset(1, c.highest).To(BeNumerically(">=", index), "%q is not committed", command)
+	ExpectWithOffset(1, c.highestApplied).To(BeNumerically(">=", index), "%q is not committed", command)
 }
 
-func calmCluster(ids ...member.ID) *cluster {
+func stableCluster(ids ...member.ID) *cluster {
 	c := newCluster(rand.New(rand.NewPCG(3, 3)), ids...)
 	c.elastic = true
 	c.advanceBy(time.Second)
@@ -235,9 +235,9 @@
 				s.event()
 				s.advance()
 			}
-			s.settle(seed)
-			committed += int(s.highest)
-			lost += s.lost
+			s.endAndVerify(seed)
+			committed += int(s.highestApplied)
+			lost += s.disksLost
 			killed += s.killed
 			planned += s.planned
 			unplanned += s.unplanned
@@ -255,21 +255,21 @@
 	It("grows from three to five to nine voters, and no further", func() {
 		ids := []member.ID{"n1", "n2", "n3"}
 		for i := 4; i <= 10; i++ {
-			ids = append(ids, member.ID(fmt.Sprint(laterMark, "n", i)))
+			ids = append(ids, member.ID(fmt.Sprint(laterPrefix, "n", i)))
 		}
-		c := calmCluster(ids...)
+		c := stableCluster(ids...)
 		for i, voters := range []int{4, 5, 6, 7, 8, 9, 9} {
 			c.start(c.nodes[3+i])
 			c.advanceBy(10 * heartbeatEvery)
-			Expect(c.leader().group.Status().Group).To(HaveLen(voters))
+			Expect(c.leader().group.Status().Voters).To(HaveLen(voters))
 			c.propose("grown")
 		}
 		Expect(c.nodes[9].group.Status().Role).To(Equal(replication.RoleLearner))
-		Expect(c.nodes[9].appliedIndex).To(Equal(c.highest))
+		Expect(c.nodes[9].appliedIndex).To(Equal(c.highestApplied))
 	})
 
 	It("goes on with the old voters as they go one after the other, each after a new one came", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4", "-n5", "-n6")
+		c := stableCluster("n1", "n2", "n3", "-n4", "-n5", "-n6")
 		for i := range 3 {
 			c.propose("before")
 			c.start(c.nodes[3+i])
@@ -278,7 +278,7 @@
 			old.left = true
 			c.gossip()
 			if old == c.leader() {
-				Expect(old.group.HandOver(c.clock(old))).To(Succeed())
+				Expect(old.group.TransferLeadership(c.clock(old))).To(Succeed())
 				c.drain(old)
 				c.advanceBy(electionTimeout)
 			}
@@ -286,43 +286,43 @@
 			c.advanceBy(2*electionTimeout + 10*heartbeatEvery)
 			c.propose("after")
 		}
-		Expect(c.leader().group.Status().Group).To(Equal([]member.ID{"n4", "n5", "n6"}))
+		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n4", "n5", "n6"}))
 		expectAgreement(c, 0)
 	})
 
 	It("takes a new member in for one of a full group that is gone", func() {
-		c := calmCluster("max=3", "n1", "n2", "n3", "+n4")
-		Expect(c.leader().group.Status().Group).To(HaveLen(3))
+		c := stableCluster("max=3", "n1", "n2", "n3", "+n4")
+		Expect(c.leader().group.Status().Voters).To(HaveLen(3))
 		c.end(c.node("n3"))
 		c.advanceBy(replication.DefaultRemoveAfter + 10*heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(Equal([]member.ID{"n1", "n2", "n4"}))
+		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4"}))
 	})
 
 	It("keeps the silent voter of an odd group, and that of an even one for a while", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4")
+		c := stableCluster("n1", "n2", "n3", "-n4")
 		c.crash(c.node("n3"), true)
 		c.advanceBy(2 * replication.DefaultRemoveAfter)
-		Expect(c.leader().group.Status().Group).To(HaveLen(3))
+		Expect(c.leader().group.Status().Voters).To(HaveLen(3))
 		c.start(c.node("n3"))
 		c.start(c.node("n4"))
 		c.advanceBy(10 * heartbeatEvery)
 		c.crash(c.node("n3"), true)
 		c.advanceBy(replication.DefaultRemoveAfter - 2*heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(HaveLen(4))
+		Expect(c.leader().group.Status().Voters).To(HaveLen(4))
 		c.advanceBy(10 * heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(Equal([]member.ID{"n1", "n2", "n4"}))
+		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4"}))
 		c.start(c.node("n3"))
 		c.advanceBy(10 * heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(Equal([]member.ID{"n1", "n2", "n4", "n3"}), "in its old incarnation")
+		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4", "n3"}), "in its old incarnation")
 	})
 
 	It("is formed anew by the voters of the newest known group", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4", "-n5")
+		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
 		c.advanceBy(10 * heartbeatEvery)
 		c.propose("kept")
-		kept := c.highest
+		kept := c.highestApplied
 		for _, id := range []member.ID{"n1", "n2", "n3"} {
 			c.loseDisk(c.node(id))
 		}
@@ -332,20 +332,20 @@
 			c.start(c.node(id))
 		}
 		c.advanceBy(3 * time.Second)
-		Expect(c.reformed).To(BeZero(), "without a voter of the newest group")
+		Expect(c.recoveries).To(BeZero(), "without a voter of the newest group")
 		c.start(c.node("n5"))
 		c.advanceBy(2 * time.Second)
-		Expect(c.reformed).To(Equal(1))
-		Expect(c.highest).To(BeNumerically(">", kept))
+		Expect(c.recoveries).To(Equal(1))
+		Expect(c.highestApplied).To(BeNumerically(">", kept))
 		expectAgreement(c, 0)
 	})
 
 	It("is formed anew by its founders when all disks are lost, and grows again", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4", "-n5")
+		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
 		c.advanceBy(10 * heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(HaveLen(5))
+		Expect(c.leader().group.Status().Voters).To(HaveLen(5))
 		for _, n := range c.nodes {
 			c.loseDisk(n)
 		}
@@ -353,13 +353,13 @@
 			c.start(n)
 		}
 		c.advanceBy(3 * time.Second)
-		Expect(c.reformed).To(Equal(1))
+		Expect(c.recoveries).To(Equal(1))
 		c.propose("after")
 		expectAgreement(c, 0)
 	})
 
 	It("is not formed anew by founders with new disks while another member that had joined is down", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4", "-n5")
+		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
 		c.advanceBy(10 * heartbeatEvery)
@@ -372,11 +372,11 @@
 			c.start(n)
 		}
 		c.advanceBy(3 * time.Second)
-		Expect(c.reformed).To(BeZero())
+		Expect(c.recoveries).To(BeZero())
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
 		c.advanceBy(3 * time.Second)
-		Expect(c.reformed).To(Equal(1))
+		Expect(c.recoveries).To(Equal(1))
 		expectAgreement(c, 0)
 	})
 
@@ -395,20 +395,20 @@
 			healAll(c)
 			c.elastic = true
 			expectAgreement(c, seed)
-			reformed += c.reformed
+			reformed += c.recoveries
 		}
 		Expect(reformed).To(BeNumerically(">", *elasticSchedules/4))
 	})
 
 	It("survives that all go down, with founders that are not told who founded it", func() {
-		c := calmCluster("n1", "n2", "n3")
+		c := stableCluster("n1", "n2", "n3")
 		c.forgetful = true
 		c.propose("kept")
 		for _, n := range c.nodes {
 			c.crash(n, true)
 		}
 		for _, n := range c.nodes {
-			n.incarnation = 1
+			n.startCount = 1
 			c.start(n)
 		}
 		c.advanceBy(time.Second)
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -37,16 +37,16 @@
 }
 
 func (g *Group) tickElection() {
-	if g.role == RoleCandidate && g.now >= g.election.askedAt+g.cfg.HeartbeatEvery {
-		g.askForPromises()
+	if g.role == RoleCandidate && g.now >= g.election.requestedAt+g.cfg.HeartbeatEvery {
+		g.requestVotes()
 	}
 	if !g.electionDue() {
 		return
 	}
-	if g.role == RoleCandidate && g.election.trial {
+	if g.role == RoleCandidate && g.election.preElection {
 		return
 	}
-	g.startTrial()
+	g.startPreElection()
 }
 
 // electionDue tells whether this voter has waited its turn, or should step in for
@@ -55,64 +55,64 @@
 	if g.now >= g.election.waitFrom+g.electionWait() {
 		return true
 	}
-	if !g.election.stepIn || g.hearsLiveLeader() {
+	if !g.election.candidateBehind || g.hasLiveLeader() {
 		return false
 	}
-	return g.now >= g.election.stepInFrom+time.Duration(g.electionRank())*g.cfg.HeartbeatEvery
+	return g.now >= g.election.candidateBehindSince+time.Duration(g.electionRank())*g.cfg.HeartbeatEvery
 }
 
-// noteHopelessTrial takes in that a voter with an earlier turn asks for promises
+// observeHopelessCandidate takes in that a voter with an earlier turn asks for promises
 // which it can't get, since its log lacks entries of this one. The voters that hold
 // them then follow each other by HeartbeatEvery in place of their whole turns.
-func (g *Group) noteHopelessTrial(m Message) {
-	hopeless := g.role == RoleFollower && !g.hearsLiveLeader() && !g.log.isUpToDate(m.Index, m.IndexTerm)
-	if !hopeless || g.election.stepIn {
+func (g *Group) observeHopelessCandidate(m Message) {
+	hopeless := g.role == RoleFollower && !g.hasLiveLeader() && !g.log.isUpToDate(m.Index, m.IndexTerm)
+	if !hopeless || g.election.candidateBehind {
 		return
 	}
-	g.election.stepIn = true
-	g.election.stepInFrom = g.now
+	g.election.candidateBehind = true
+	g.election.candidateBehindSince = g.now
 }
 
-// hearsLiveLeader tells whether an election would disturb a working leader.
-func (g *Group) hearsLiveLeader() bool {
+// hasLiveLeader tells whether an election would disturb a working leader.
+func (g *Group) hasLiveLeader() bool {
 	if g.role == RoleLeader {
 		return true
 	}
 	return g.leader != "" && g.now < g.election.leaderContact+g.cfg.ElectionTimeout
 }
 
-// startTrial asks whether a campaign could be won, without raising any term.
+// startPreElection asks whether a campaign could be won, without raising any term.
 // It goes on until it is won or a leader is heard.
-func (g *Group) startTrial() {
-	g.rest(g.hard.Term, "")
+func (g *Group) startPreElection() {
+	g.becomeFollower(g.hard.Term, "")
 	g.role = RoleCandidate
-	g.election.trial = true
-	g.askForPromises()
-	g.countPromises()
+	g.election.preElection = true
+	g.requestVotes()
+	g.countGrants()
 }
 
 // campaign raises the term and promises it to itself. The own promise counts
 // when it is durable.
-func (g *Group) campaign(handover bool) {
-	g.rest(g.hard.Term+1, "")
-	g.hard.PromisedTo = g.cfg.Self
-	g.hard.PromisedIncarnation = g.cfg.Incarnation
+func (g *Group) campaign(transfer bool) {
+	g.becomeFollower(g.hard.Term+1, "")
+	g.hard.VotedFor = g.cfg.Self
+	g.hard.VotedForIncarnation = g.cfg.Incarnation
 	g.role = RoleCandidate
-	g.election.handover = handover
+	g.election.transfer = transfer
 	g.election.waitFrom = g.now
 	// If this campaign fails, the members that campaign at the same time must
 	// not wait equally long again.
 	g.election.lostLeader = ""
-	g.askForPromises()
+	g.requestVotes()
 }
 
-// askForPromises asks all voters that have not granted; a lost or premature
+// requestVotes asks all voters that have not granted; a lost or premature
 // request is so repaired by the next one.
-func (g *Group) askForPromises() {
-	g.election.askedAt = g.now
+func (g *Group) requestVotes() {
+	g.election.requestedAt = g.now
 	g.election.rejected = nil
 	term := g.hard.Term
-	if g.election.trial {
+	if g.election.preElection {
 		term++
 		// What was granted earlier may be untrue by now: a voter may hear an
 		// leader again.
@@ -123,27 +123,27 @@
 			continue
 		}
 		g.send(id, Message{
-			Type:      MessagePromiseRequest,
+			Type:      MessageVoteRequest,
 			Term:      term,
 			Index:     g.log.lastIndex(),
 			IndexTerm: g.log.lastTerm(),
-			Trial:     g.election.trial,
-			Handover:  g.election.handover,
+			PreVote:   g.election.preElection,
+			Transfer:  g.election.transfer,
 		})
 	}
 }
 
-func (g *Group) stepPromiseRequest(from member.ID, m Message) {
-	reply := Message{Type: MessagePromiseReply, Term: m.Term, Trial: m.Trial}
+func (g *Group) stepVoteRequest(from member.ID, m Message) {
+	reply := Message{Type: MessageVoteReply, Term: m.Term, PreVote: m.PreVote}
 	switch {
 	case g.cfg.Learner:
 		reply.Learner = true
 		reply.Reject = true
-	case m.Trial:
-		reply.Reject = !g.wouldPromise(m)
-		g.noteHopelessTrial(m)
+	case m.PreVote:
+		reply.Reject = !g.wouldGrant(m)
+		g.observeHopelessCandidate(m)
 	default:
-		reply.Reject = !g.promise(from, m)
+		reply.Reject = !g.grantVote(from, m)
 	}
 	if reply.Reject {
 		reply.Term = g.hard.Term
@@ -151,38 +151,38 @@
 	g.send(from, reply)
 }
 
-func (g *Group) wouldPromise(m Message) bool {
-	if m.Term <= g.hard.Term || g.hearsLiveLeader() {
+func (g *Group) wouldGrant(m Message) bool {
+	if m.Term <= g.hard.Term || g.hasLiveLeader() {
 		return false
 	}
 	return g.log.isUpToDate(m.Index, m.IndexTerm)
 }
 
-// promise grants a term to one member at most. The grant leaves in the Ready
+// grantVote grants a term to one member at most. The grant leaves in the Ready
 // that carries it as HardState, and so after it is durable.
-func (g *Group) promise(from member.ID, m Message) bool {
+func (g *Group) grantVote(from member.ID, m Message) bool {
 	if m.Term < g.hard.Term {
 		return false
 	}
 	if m.Term > g.hard.Term {
-		if g.hearsLiveLeader() && !m.Handover {
+		if g.hasLiveLeader() && !m.Transfer {
 			return false
 		}
-		g.rest(m.Term, "")
+		g.becomeFollower(m.Term, "")
 	}
-	if g.hard.PromisedTo == from && g.hard.PromisedIncarnation == m.Incarnation {
+	if g.hard.VotedFor == from && g.hard.VotedForIncarnation == m.Incarnation {
 		return true
 	}
-	if g.hard.PromisedTo != "" || g.leader != "" {
+	if g.hard.VotedFor != "" || g.leader != "" {
 		return false
 	}
 	if !g.log.isUpToDate(m.Index, m.IndexTerm) {
 		return false
 	}
-	g.hard.PromisedTo = from
-	g.hard.PromisedIncarnation = m.Incarnation
+	g.hard.VotedFor = from
+	g.hard.VotedForIncarnation = m.Incarnation
 	g.election.waitFrom = g.now
-	g.election.stepIn = false
+	g.election.candidateBehind = false
 	return true
 }
 
@@ -191,19 +191,19 @@
 	return slices.ContainsFunc(g.election.granted, func(voter Voter) bool { return voter.ID == id })
 }
 
-func (g *Group) stepPromiseReply(from member.ID, m Message) {
-	if !g.knows(from) {
+func (g *Group) stepVoteReply(from member.ID, m Message) {
+	if !g.recognizes(from) {
 		return
 	}
 	if m.Reject && m.Term > g.hard.Term {
-		g.rest(m.Term, "")
+		g.becomeFollower(m.Term, "")
 		return
 	}
-	if g.role != RoleCandidate || m.Trial != g.election.trial {
+	if g.role != RoleCandidate || m.PreVote != g.election.preElection {
 		return
 	}
 	voter := Voter{ID: from, Incarnation: m.Incarnation}
-	if !g.places().votes(voter) {
+	if !g.slots().votes(voter) {
 		// A promise counts only if nobody else can have been promised the term
 		// by the same voter and it knows all that this voter acknowledged.
 		return
@@ -212,66 +212,66 @@
 		g.addRejection(voter)
 		return
 	}
-	wanted := g.hard.Term
-	if g.election.trial {
-		wanted++
+	expectedTerm := g.hard.Term
+	if g.election.preElection {
+		expectedTerm++
 	}
-	if m.Term != wanted || m.Learner {
+	if m.Term != expectedTerm || m.Learner {
 		return
 	}
-	g.addPromise(voter)
+	g.addGrant(voter)
 }
 
-func (g *Group) addPromise(from Voter) {
+func (g *Group) addGrant(from Voter) {
 	if !slices.Contains(g.election.granted, from) {
 		g.election.granted = append(g.election.granted, from)
 	}
-	g.countPromises()
+	g.countGrants()
 }
 
 // addRejection gives a campaign up that a majority refuses. A trial goes on,
 // as its refusals pass when the voters miss the leader too.
 func (g *Group) addRejection(from Voter) {
-	if g.election.trial || slices.Contains(g.election.granted, from) {
+	if g.election.preElection || slices.Contains(g.election.granted, from) {
 		return
 	}
 	if !slices.Contains(g.election.rejected, from) {
 		g.election.rejected = append(g.election.rejected, from)
 	}
-	if len(g.election.rejected) > len(g.places().voters())-g.quorum() {
-		g.rest(g.hard.Term, "")
+	if len(g.election.rejected) > len(g.slots().voters())-g.quorum() {
+		g.becomeFollower(g.hard.Term, "")
 	}
 }
 
-func (g *Group) countPromises() {
+func (g *Group) countGrants() {
 	if len(g.election.granted) < g.quorum() {
 		return
 	}
-	if g.election.trial {
+	if g.election.preElection {
 		g.campaign(false)
 		return
 	}
-	g.takeLeadership()
+	g.becomeLeader()
 }
 
-// takeLeadership begins the term with a barrier entry: its commit commits all
+// becomeLeader begins the term with a barrier entry: its commit commits all
 // entries that earlier terms left. In an empty log that entry tells of the
 // founding voters, so that the log alone tells of the group from then on.
-func (g *Group) takeLeadership() {
-	g.rest(g.hard.Term, g.cfg.Self)
+func (g *Group) becomeLeader() {
+	g.becomeFollower(g.hard.Term, g.cfg.Self)
 	g.role = RoleLeader
 	g.election.lostLeader = ""
 	g.leadership.progress = make(map[member.ID]*progress)
-	g.trackOthers()
-	g.leadership.holder = lease.NewHolder(g.cfg.leaseTiming())
-	g.leadership.successor = lease.NewSuccessor(g.cfg.leaseTiming(), g.now)
+	g.trackMembers()
+	g.leadership.commandLease = lease.NewHolder(g.cfg.leaseTiming())
+	g.leadership.priorLeases = lease.NewSuccessor(g.cfg.leaseTiming(), g.now)
 	g.leadership.barrier = g.appendBarrier()
-	g.startRound()
+	g.broadcastHeartbeat()
 }
 
 func (g *Group) appendBarrier() uint64 {
 	if g.log.lastIndex() == 0 {
-		return g.appendOwn(EntryGroupChange, encodePlaces(g.places()))
+		return g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
 	}
-	return g.appendOwn(EntryBarrier, nil)
+	return g.appendEntry(EntryBarrier, nil)
 }
--- a/pkg/replication/errors.go
+++ b/pkg/replication/errors.go
@@ -64,14 +64,14 @@
 	return fmt.Sprintf("replication message of type %d from %q: %s", e.Type, e.From, e.Message)
 }
 
-// BallotError tells that a group can't be formed anew under a ballot.
-type BallotError struct {
-	Ballot uint64
+// RecoveryTermError tells that a group can't be formed anew under a ballot.
+type RecoveryTermError struct {
+	Term uint64
 }
 
 // Error names the ballot and the remedy.
-func (e *BallotError) Error() string {
-	return fmt.Sprintf("ballot %d is not won, or no longer the newest: wait until Ballot tells of one that is", e.Ballot)
+func (e *RecoveryTermError) Error() string {
+	return fmt.Sprintf("ballot %d is not won, or no longer the newest: wait until Ballot tells of one that is", e.Term)
 }
 
 // CompactError tells that the log cannot be compacted at Index.
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -5,14 +5,14 @@
 // stepFromLeader takes messages in which only the leader of their term sends.
 func (g *Group) stepFromLeader(from member.ID, m Message) error {
 	if m.Term < g.hard.Term {
-		g.refuseOldLeader(from, m)
+		g.rejectStaleLeader(from, m)
 		return nil
 	}
 	if err := g.checkFromLeader(from, m); err != nil {
 		return err
 	}
 	if m.Term > g.hard.Term || g.role == RoleCandidate || g.leader == "" {
-		g.rest(m.Term, from)
+		g.becomeFollower(m.Term, from)
 	}
 	g.election.leaderContact = g.now
 	g.election.waitFrom = g.now
@@ -46,8 +46,8 @@
 	}
 }
 
-// refuseOldLeader tells a leader of an earlier term that its time is over.
-func (g *Group) refuseOldLeader(from member.ID, m Message) {
+// rejectStaleLeader tells a leader of an earlier term that its time is over.
+func (g *Group) rejectStaleLeader(from member.ID, m Message) {
 	reply := MessageAppendReply
 	if m.Type == MessageHeartbeat {
 		reply = MessageHeartbeatReply
@@ -56,16 +56,16 @@
 }
 
 func (g *Group) stepHeartbeat(from member.ID, m Message) {
-	if m.Handover && g.role == RoleFollower {
+	if m.Transfer && g.role == RoleFollower {
 		g.campaign(true)
 		return
 	}
 	g.send(from, Message{
-		Type:    MessageHeartbeatReply,
-		Term:    g.hard.Term,
-		Round:   m.Round,
-		Commit:  g.log.committed,
-		Learner: g.cfg.Learner,
+		Type:            MessageHeartbeatReply,
+		Term:            g.hard.Term,
+		HeartbeatNumber: m.HeartbeatNumber,
+		Commit:          g.log.committed,
+		Learner:         g.cfg.Learner,
 	})
 }
 
@@ -75,7 +75,7 @@
 		g.rejectAppend(from, m)
 		return
 	}
-	g.followGroup()
+	g.updateRole()
 	g.log.commitTo(min(m.Commit, last))
 	g.acknowledge(from, last)
 }
@@ -91,8 +91,8 @@
 		if err := entry.check(); err != nil {
 			return &MessageError{From: from, Type: m.Type, Message: err.Error()}
 		}
-		held, ok := g.log.termAt(entry.Index)
-		if ok && entry.Index <= g.log.committed && held != entry.Term {
+		heldTerm, ok := g.log.termAt(entry.Index)
+		if ok && entry.Index <= g.log.committed && heldTerm != entry.Term {
 			return &MessageError{From: from, Type: m.Type, Message: "the entries contradict committed ones: check that no two groups are mixed up"}
 		}
 		previous = entry
@@ -130,7 +130,7 @@
 	if m.Snapshot == nil {
 		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
 	}
-	if err := places(m.Snapshot.Group).check(); err != nil {
+	if err := slots(m.Snapshot.Slots).check(); err != nil {
 		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
 	}
 	return nil
@@ -148,7 +148,7 @@
 		return
 	}
 	g.log.install(snapshot)
-	g.followGroup()
+	g.updateRole()
 	g.output.snapshot = snapshot
 	g.acknowledge(from, snapshot.Index)
 }
--- a/pkg/replication/golden_group_test.go
+++ b/pkg/replication/golden_group_test.go
@@ -11,11 +11,11 @@
 		`{"ID":"10.0.0.2:7100","Incarnation":14841536834309578040,"Learner":true}]`
 
 	ginkgo.It("is written and read as by earlier releases", func() {
-		group := places{
+		group := slots{
 			{Voter: Voter{ID: "10.0.0.1:7100", Incarnation: 1}},
 			{Voter: Voter{ID: "10.0.0.2:7100", Incarnation: 14841536834309578040}, Learner: true},
 		}
-		Expect(string(encodePlaces(group))).To(Equal(golden))
-		Expect(decodePlaces([]byte(golden))).To(Equal(group))
+		Expect(string(encodeSlots(group))).To(Equal(golden))
+		Expect(decodeSlots([]byte(golden))).To(Equal(group))
 	})
 })
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -41,7 +41,7 @@
 // maxQueuedMessages bounds the messages that wait for a Ready.
 const maxQueuedMessages = 4096
 
-// Group is one member's state machine of a replica group. It is not safe for
+// Founders is one member's state machine of a replica group. It is not safe for
 // concurrent use.
 type Group struct {
 	cfg Config
@@ -56,7 +56,7 @@
 	peers []Peer
 
 	election   election
-	reform     reformation
+	recovery   quorumRecovery
 	leadership leadership
 	reads      readQueue
 	output     output
@@ -71,44 +71,44 @@
 	// lostLeader is the leader that the wait is about; it is not waited for.
 	lostLeader member.ID
 	suspected  []member.ID
-	// stepIn tells that a voter with an earlier turn can't win, known since
-	// stepInFrom.
-	stepIn     bool
-	stepInFrom time.Duration
+	// candidateBehind tells that a voter with an earlier turn can't win, known since
+	// candidateBehindSince.
+	candidateBehind      bool
+	candidateBehindSince time.Duration
 
-	// trial tells that the present campaign raises no term.
-	trial bool
-	// handover tells that the leader asked for the present campaign.
-	handover bool
-	granted  []Voter
-	rejected []Voter
-	askedAt  time.Duration
+	// preElection tells that the present campaign raises no term.
+	preElection bool
+	// transfer tells that the leader asked for the present campaign.
+	transfer    bool
+	granted     []Voter
+	rejected    []Voter
+	requestedAt time.Duration
 }
 
 // leadership is what a member keeps while it leads the term.
 type leadership struct {
 	progress map[member.ID]*progress
 	// barrier is the index of the entry that began the term.
-	barrier     uint64
-	round       uint64
-	rounds      []sentRound
-	heartbeatAt time.Duration
-	// roundIndex is the last index of the log when the last round began.
-	roundIndex uint64
-	holder     lease.Holder
-	successor  lease.Successor
-	// appendWanted tells that followers have yet to be sent news.
-	appendWanted bool
-	// handingTo is the member that is to take over, or empty.
-	handingTo    member.ID
-	handoverAt   time.Duration
-	handoverSent bool
-	due          dueChange
-}
-
-// sentRound is a heartbeat round that no quorum has answered yet.
-type sentRound struct {
-	round  uint64
+	barrier         uint64
+	heartbeatNumber uint64
+	unconfirmed     []sentHeartbeat
+	heartbeatAt     time.Duration
+	// heartbeatLastIndex is the last index of the log when the last round began.
+	heartbeatLastIndex uint64
+	commandLease       lease.Holder
+	priorLeases        lease.Successor
+	// appendPending tells that followers have yet to be sent news.
+	appendPending bool
+	// transferTarget is the member that is to take over, or empty.
+	transferTarget    member.ID
+	transferStartedAt time.Duration
+	transferSent      bool
+	due               dueChange
+}
+
+// sentHeartbeat is a heartbeat round that no quorum has answered yet.
+type sentHeartbeat struct {
+	number uint64
 	sentAt time.Duration
 }
 
@@ -126,27 +126,27 @@
 		cfg:  cfg,
 		now:  now,
 		hard: restored.HardState,
-		log:  restoreLog(restored, foundingPlaces(cfg.Group)),
+		log:  restoreLog(restored, foundingSlots(cfg.Founders)),
 	}
 	g.output.persisted = g.hard
-	g.role = g.restingRole()
+	g.role = g.followerRole()
 	g.election.waitFrom = now
 	return g, nil
 }
 
-// restingRole is that of a member which neither leads nor campaigns. Only a
+// followerRole is that of a member which neither leads nor campaigns. Only a
 // voter campaigns, as only it can win by the group that it knows.
-func (g *Group) restingRole() Role {
-	if g.cfg.Learner || !g.places().votes(g.self()) {
+func (g *Group) followerRole() Role {
+	if g.cfg.Learner || !g.slots().votes(g.self()) {
 		return RoleLearner
 	}
 	return RoleFollower
 }
 
-// followGroup takes in that the log of the leader may have changed the group.
-func (g *Group) followGroup() {
+// updateRole takes in that the log of the leader may have changed the group.
+func (g *Group) updateRole() {
 	if g.role == RoleFollower || g.role == RoleLearner {
-		g.role = g.restingRole()
+		g.role = g.followerRole()
 	}
 }
 
@@ -155,28 +155,28 @@
 	return Voter{ID: g.cfg.Self, Incarnation: g.cfg.Incarnation}
 }
 
-// places returns the group that is in effect.
-func (g *Group) places() places {
-	return g.log.groups.latest().places
+// slots returns the group that is in effect.
+func (g *Group) slots() slots {
+	return g.log.groups.latest().slots
 }
 
 // Tick lets time pass. The driver calls it several times per HeartbeatEvery.
 func (g *Group) Tick(now time.Duration) {
-	g.observe(now)
+	g.advanceClock(now)
 	switch g.role {
 	case RoleLeader:
 		g.tickLeader()
 	case RoleFollower, RoleCandidate:
-		if !g.tickReform() {
+		if !g.tickRecovery() {
 			g.tickElection()
 		}
 	case RoleLearner:
-		g.tickReform()
+		g.tickRecovery()
 	}
 }
 
-// observe keeps time from running backwards.
-func (g *Group) observe(now time.Duration) {
+// advanceClock keeps time from running backwards.
+func (g *Group) advanceClock(now time.Duration) {
 	g.now = max(g.now, now)
 }
 
@@ -187,22 +187,22 @@
 // clock must be read after the message arrived: the wait of a successor in the
 // command lease counts from there.
 func (g *Group) Step(now time.Duration, from member.ID, m Message) error {
-	g.observe(now)
+	g.advanceClock(now)
 	if from == g.cfg.Self || from == "" {
 		return &MessageError{From: from, Type: m.Type, Message: "the sender is not another member: check that no two members run under one ID"}
 	}
 	switch m.Type {
-	case MessagePromiseRequest:
-		g.stepPromiseRequest(from, m)
+	case MessageVoteRequest:
+		g.stepVoteRequest(from, m)
 		return nil
-	case MessagePromiseReply:
-		g.stepPromiseReply(from, m)
+	case MessageVoteReply:
+		g.stepVoteReply(from, m)
 		return nil
-	case MessageBallotRequest:
-		g.stepBallotRequest(from, m)
+	case MessageRecoveryRequest:
+		g.stepRecoveryRequest(from, m)
 		return nil
-	case MessageBallotReply:
-		g.stepBallotReply(from, m)
+	case MessageRecoveryReply:
+		g.stepRecoveryReply(from, m)
 		return nil
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return g.stepFromLeader(from, m)
@@ -213,30 +213,30 @@
 	}
 }
 
-// rest makes the member a follower (or learner) of term. The leader may be
+// becomeFollower makes the member a follower (or learner) of term. The leader may be
 // unknown yet.
-func (g *Group) rest(term uint64, leader member.ID) {
+func (g *Group) becomeFollower(term uint64, leader member.ID) {
 	if term > g.hard.Term {
 		g.hard.Term = term
-		g.hard.PromisedTo = ""
-		g.hard.PromisedIncarnation = 0
+		g.hard.VotedFor = ""
+		g.hard.VotedForIncarnation = 0
 	}
 	if g.role == RoleLeader {
 		g.election.waitFrom = g.now
 		g.failReads()
 	}
-	g.role = g.restingRole()
+	g.role = g.followerRole()
 	g.leader = leader
 	g.leadership = leadership{}
 	g.election.granted = nil
 	g.election.rejected = nil
-	g.election.trial = false
-	g.election.handover = false
-	g.election.stepIn = false
+	g.election.preElection = false
+	g.election.transfer = false
+	g.election.candidateBehind = false
 }
 
 func (g *Group) quorum() int {
-	return g.places().quorum()
+	return g.slots().quorum()
 }
 
 // send queues a message for the next Ready. While a sync stalls, the queue is
--- a/pkg/replication/change.go
+++ b/pkg/replication/group_change.go
@@ -18,8 +18,8 @@
 	// member, or in a new place at the end. Voter may be in a later incarnation
 	// than the one the place was kept for.
 	ChangeAddVoter
-	// ChangeDropPlace gives the place up that is kept for Voter.
-	ChangeDropPlace
+	// ChangeDropSlot gives the place up that is kept for Voter.
+	ChangeDropSlot
 )
 
 // GroupChange is one step of a change of the voters: it removes or adds a
@@ -38,12 +38,12 @@
 
 // The problems of a change.
 const (
-	// ProblemChangeUnderWay: an earlier change is not committed yet.
-	ProblemChangeUnderWay GroupChangeProblem = iota + 1
-	// ProblemLeadershipNew: the leader has committed nothing in its term yet.
-	ProblemLeadershipNew
-	// ProblemNoSuchPlace: the group has no such voter, or no place kept.
-	ProblemNoSuchPlace
+	// ProblemChangePending: an earlier change is not committed yet.
+	ProblemChangePending GroupChangeProblem = iota + 1
+	// ProblemTermUncommitted: the leader has committed nothing in its term yet.
+	ProblemTermUncommitted
+	// ProblemNoSuchSlot: the group has no such voter, or no place kept.
+	ProblemNoSuchSlot
 	// ProblemNotCaughtUp: the member that is to get the vote lacks entries.
 	ProblemNotCaughtUp
 	// ProblemNoMajority: too few of the remaining voters are live.
@@ -57,11 +57,11 @@
 // remedy tells what to do about the problem.
 func (p GroupChangeProblem) remedy() string {
 	switch p {
-	case ProblemChangeUnderWay:
+	case ProblemChangePending:
 		return "an earlier change is not committed yet: try again when it is"
-	case ProblemLeadershipNew:
+	case ProblemTermUncommitted:
 		return "the leader has committed nothing in its term yet: try again in a moment"
-	case ProblemNoSuchPlace:
+	case ProblemNoSuchSlot:
 		return "the group has no such place: read its status and name a voter of it, or a member without a place"
 	case ProblemNotCaughtUp:
 		return "the member does not hold the log yet: start it, and try again when it has caught up"
@@ -91,44 +91,44 @@
 // adds that member by itself once it has caught up. It fails with a
 // *NotLeaderError or a *GroupChangeError.
 func (g *Group) ProposeGroupChange(now time.Duration, change GroupChange) error {
-	g.observe(now)
-	if err := g.acceptsWork(); err != nil {
+	g.advanceClock(now)
+	if err := g.checkAcceptsProposals(); err != nil {
 		return err
 	}
 	changed, problem := g.afterChange(change)
 	if problem != 0 {
 		return &GroupChangeError{Change: change, Problem: problem}
 	}
-	g.appendOwn(EntryGroupChange, encodePlaces(changed))
-	g.trackOthers()
+	g.appendEntry(EntryGroupChange, encodeSlots(changed))
+	g.trackMembers()
 	return nil
 }
 
 // afterChange returns the group after the change, or why it can't be made.
-func (g *Group) afterChange(change GroupChange) (places, GroupChangeProblem) {
+func (g *Group) afterChange(change GroupChange) (slots, GroupChangeProblem) {
 	if g.log.committed < g.leadership.barrier {
 		// A change that an earlier term left could be in effect elsewhere.
-		return nil, ProblemLeadershipNew
+		return nil, ProblemTermUncommitted
 	}
 	if g.log.groups.latest().index > g.log.committed {
-		return nil, ProblemChangeUnderWay
+		return nil, ProblemChangePending
 	}
 	switch change.Kind {
 	case ChangeRemoveVoter:
 		return g.afterRemoval(change)
 	case ChangeAddVoter:
 		return g.afterAddition(change)
-	case ChangeDropPlace:
+	case ChangeDropSlot:
 		return g.afterDrop(change)
 	default:
 		return nil, ProblemUnknownKind
 	}
 }
 
-func (g *Group) afterRemoval(change GroupChange) (places, GroupChangeProblem) {
-	group := g.places()
+func (g *Group) afterRemoval(change GroupChange) (slots, GroupChangeProblem) {
+	group := g.slots()
 	if !group.votes(change.Voter) {
-		return nil, ProblemNoSuchPlace
+		return nil, ProblemNoSuchSlot
 	}
 	if change.Voter.ID == g.cfg.Self {
 		return nil, ProblemLeader
@@ -139,9 +139,9 @@
 		if problem := g.successorProblem(change); problem != 0 {
 			return nil, problem
 		}
-		changed = group.with(position, Place{Voter: change.Successor, Learner: true})
+		changed = group.with(position, Slot{Voter: change.Successor, Learner: true})
 	}
-	if !g.majorityLive(changed) {
+	if !g.hasLiveMajority(changed) {
 		return nil, ProblemNoMajority
 	}
 	return changed, 0
@@ -152,10 +152,10 @@
 	successor := change.Successor
 	if successor.ID == change.Voter.ID {
 		if successor.Incarnation == change.Voter.Incarnation {
-			return ProblemNoSuchPlace
+			return ProblemNoSuchSlot
 		}
-	} else if g.places().position(successor.ID) >= 0 {
-		return ProblemNoSuchPlace
+	} else if g.slots().position(successor.ID) >= 0 {
+		return ProblemNoSuchSlot
 	}
 	if !g.caughtUp(successor) {
 		return ProblemNotCaughtUp
@@ -163,32 +163,32 @@
 	return 0
 }
 
-func (g *Group) afterAddition(change GroupChange) (places, GroupChangeProblem) {
-	group := g.places()
+func (g *Group) afterAddition(change GroupChange) (slots, GroupChangeProblem) {
+	group := g.slots()
 	position := group.position(change.Voter.ID)
 	if change.Voter.ID == "" || (position >= 0 && !group[position].Learner) {
-		return nil, ProblemNoSuchPlace
+		return nil, ProblemNoSuchSlot
 	}
 	if !g.caughtUp(change.Voter) {
 		return nil, ProblemNotCaughtUp
 	}
-	added := Place{Voter: change.Voter}
+	added := Slot{Voter: change.Voter}
 	changed := append(slices.Clone(group), added)
 	if position >= 0 {
 		changed = group.with(position, added)
 	}
-	if !g.majorityLive(changed) {
+	if !g.hasLiveMajority(changed) {
 		return nil, ProblemNoMajority
 	}
 	return changed, 0
 }
 
 // afterDrop changes no majority, as a kept place has no vote.
-func (g *Group) afterDrop(change GroupChange) (places, GroupChangeProblem) {
-	group := g.places()
+func (g *Group) afterDrop(change GroupChange) (slots, GroupChangeProblem) {
+	group := g.slots()
 	position := group.position(change.Voter.ID)
 	if position < 0 || !group[position].Learner {
-		return nil, ProblemNoSuchPlace
+		return nil, ProblemNoSuchSlot
 	}
 	return group.without(position), 0
 }
@@ -200,15 +200,15 @@
 	if follower == nil || follower.learner || follower.incarnation != voter.Incarnation {
 		return false
 	}
-	return g.heard(follower) && follower.match >= g.leadership.roundIndex
+	return g.isLive(follower) && follower.match >= g.leadership.heartbeatLastIndex
 }
 
-// majorityLive tells whether the voters that are heard, in the incarnation that
+// hasLiveMajority tells whether the voters that are heard, in the incarnation that
 // counts, are a majority of the group.
-func (g *Group) majorityLive(group places) bool {
+func (g *Group) hasLiveMajority(group slots) bool {
 	live := 0
 	for _, voter := range group.voters() {
-		if g.voterHeard(voter) {
+		if g.isLiveVoter(voter) {
 			live++
 		}
 	}
--- a/pkg/replication/history.go
+++ b/pkg/replication/group_history.go
@@ -2,42 +2,42 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// groupSince is a group and the index of the entry with which it began. It is
+// groupState is a group and the index of the entry with which it began. It is
 // never changed, and so shared with those who ask for it.
-type groupSince struct {
-	index  uint64
-	places places
+type groupState struct {
+	index uint64
+	slots slots
 	// voters and voterIDs follow from places.
 	voters   []Voter
 	voterIDs []member.ID
 }
 
-func newGroupSince(index uint64, group places) groupSince {
-	since := groupSince{index: index, places: group, voters: group.voters()}
-	for _, voter := range since.voters {
-		since.voterIDs = append(since.voterIDs, voter.ID)
+func newGroupState(index uint64, group slots) groupState {
+	state := groupState{index: index, slots: group, voters: group.voters()}
+	for _, voter := range state.voters {
+		state.voterIDs = append(state.voterIDs, voter.ID)
 	}
-	return since
+	return state
 }
 
 // groupHistory holds the groups of a log, oldest first and at least one. A
 // change takes effect when its entry is appended, and is undone when the entry
 // is truncated.
-type groupHistory []groupSince
+type groupHistory []groupState
 
 // latest returns the group that is in effect.
-func (h groupHistory) latest() groupSince {
+func (h groupHistory) latest() groupState {
 	return h[len(h)-1]
 }
 
 // at returns the group after the entry at index.
-func (h groupHistory) at(index uint64) places {
+func (h groupHistory) at(index uint64) slots {
 	for i := len(h) - 1; i > 0; i-- {
 		if h[i].index <= index {
-			return h[i].places
+			return h[i].slots
 		}
 	}
-	return h[0].places
+	return h[0].slots
 }
 
 // appended takes in an entry that was checked.
@@ -45,11 +45,11 @@
 	if entry.Kind != EntryGroupChange {
 		return h
 	}
-	changed, err := decodePlaces(entry.Command)
+	changed, err := decodeSlots(entry.Command)
 	if err != nil {
 		return h
 	}
-	return append(h, newGroupSince(entry.Index, changed))
+	return append(h, newGroupState(entry.Index, changed))
 }
 
 // truncated undoes the changes from index on.
--- a/pkg/replication/repair.go
+++ b/pkg/replication/group_repair.go
@@ -17,23 +17,23 @@
 type dueChange struct {
 	// change is zero if none is due.
 	change GroupChange
-	// sinceRound is the heartbeat round that began when the change became due.
-	sinceRound uint64
+	// sinceHeartbeat is the heartbeat round that began when the change became due.
+	sinceHeartbeat uint64
 }
 
-// leastReducible is the smallest group that bears a loss with one voter less.
-const leastReducible = 4
+// minReducibleVoters is the smallest group that bears a loss with one voter less.
+const minReducibleVoters = 4
 
 // repairGroup looks, as a heartbeat round begins, for the change that is due.
 func (g *Group) repairGroup() {
-	if first := g.firstDue(); first != g.leadership.due.change {
-		g.leadership.due = dueChange{change: first, sinceRound: g.leadership.round}
+	if first := g.firstDueChange(); first != g.leadership.due.change {
+		g.leadership.due = dueChange{change: first, sinceHeartbeat: g.leadership.heartbeatNumber}
 	}
-	g.makeDueChange()
+	g.proposeDueChange()
 }
 
-// firstDue returns the change that is due first, or zero.
-func (g *Group) firstDue() GroupChange {
+// firstDueChange returns the change that is due first, or zero.
+func (g *Group) firstDueChange() GroupChange {
 	for _, due := range []func() (GroupChange, bool){
 		g.dueRefill, g.dueIncarnationRemoval, g.dueReduction, g.dueReplacement, g.dueGrowth, g.dueDrop,
 	} {
@@ -48,56 +48,56 @@
 	return GroupChange{}
 }
 
-// makeDueChange proposes the change that is due once it has the answers that it
+// proposeDueChange proposes the change that is due once it has the answers that it
 // waits for.
-func (g *Group) makeDueChange() {
+func (g *Group) proposeDueChange() {
 	due := g.leadership.due
-	if due.change == (GroupChange{}) || !g.answeredSince(due) {
+	if due.change == (GroupChange{}) || !g.acknowledgedSince(due) {
 		return
 	}
 	g.leadership.due = dueChange{}
 	_ = g.ProposeGroupChange(g.now, due.change)
 }
 
-// answeredSince tells whether a majority of the changed group has answered since
+// acknowledgedSince tells whether a majority of the changed group has answered since
 // the change became due. A group that grows to an even number bears no more
 // losses than before, and fewer while a voter is gone: there all have to answer.
-func (g *Group) answeredSince(due dueChange) bool {
+func (g *Group) acknowledgedSince(due dueChange) bool {
 	changed, problem := g.afterChange(due.change)
 	if problem != 0 {
 		return false
 	}
 	voters := changed.voters()
-	answered := 0
+	acknowledged := 0
 	for _, voter := range voters {
-		if g.answered(voter, due.sinceRound) {
-			answered++
+		if g.acknowledgedHeartbeat(voter, due.sinceHeartbeat) {
+			acknowledged++
 		}
 	}
-	if g.grows(due.change) && len(voters)%2 == 0 {
-		return answered == len(voters)
+	if g.addsSlot(due.change) && len(voters)%2 == 0 {
+		return acknowledged == len(voters)
 	}
-	return answered >= changed.quorum()
+	return acknowledged >= changed.quorum()
 }
 
-// answered tells whether the voter has answered that heartbeat round or a later
+// acknowledgedHeartbeat tells whether the voter has answered that heartbeat round or a later
 // one.
-func (g *Group) answered(voter Voter, round uint64) bool {
+func (g *Group) acknowledgedHeartbeat(voter Voter, heartbeat uint64) bool {
 	if voter == g.self() {
 		return true
 	}
 	follower := g.leadership.progress[voter.ID]
-	return follower != nil && follower.incarnation == voter.Incarnation && follower.ackedRound >= round
+	return follower != nil && follower.incarnation == voter.Incarnation && follower.ackedHeartbeat >= heartbeat
 }
 
-// grows tells whether the change gives a vote to a member without a place.
-func (g *Group) grows(change GroupChange) bool {
-	return change.Kind == ChangeAddVoter && g.places().position(change.Voter.ID) < 0
+// addsSlot tells whether the change gives a vote to a member without a place.
+func (g *Group) addsSlot(change GroupChange) bool {
+	return change.Kind == ChangeAddVoter && g.slots().position(change.Voter.ID) < 0
 }
 
-// fillPlaces adds a member that a place is kept for, as soon as a removal is
+// fillSlots adds a member that a place is kept for, as soon as a removal is
 // committed: until then the group tolerates fewer losses.
-func (g *Group) fillPlaces() {
+func (g *Group) fillSlots() {
 	if change, due := g.dueRefill(); due {
 		_ = g.ProposeGroupChange(g.now, change)
 	}
@@ -105,9 +105,9 @@
 
 // dueRefill gives the vote back to a member that a place is kept for.
 func (g *Group) dueRefill() (change GroupChange, due bool) {
-	for _, place := range g.places() {
-		voter := g.presentIncarnation(place)
-		if place.Learner && g.caughtUp(voter) {
+	for _, slot := range g.slots() {
+		voter := g.presentIncarnation(slot)
+		if slot.Learner && g.caughtUp(voter) {
 			return GroupChange{Kind: ChangeAddVoter, Voter: voter}, true
 		}
 	}
@@ -117,10 +117,10 @@
 // dueIncarnationRemoval removes a lost incarnation whose member holds the log
 // in a new one, and keeps its place.
 func (g *Group) dueIncarnationRemoval() (change GroupChange, due bool) {
-	for _, place := range g.places() {
-		successor := g.presentIncarnation(place)
-		if !place.Learner && successor.Incarnation != place.Incarnation && g.caughtUp(successor) {
-			return GroupChange{Kind: ChangeRemoveVoter, Voter: place.Voter, Successor: successor}, true
+	for _, slot := range g.slots() {
+		successor := g.presentIncarnation(slot)
+		if !slot.Learner && successor.Incarnation != slot.Incarnation && g.caughtUp(successor) {
+			return GroupChange{Kind: ChangeRemoveVoter, Voter: slot.Voter, Successor: successor}, true
 		}
 	}
 	return GroupChange{}, false
@@ -130,12 +130,12 @@
 // voters: without it the group bears as many losses. A group with an odd number
 // keeps its silent voters, which may come back with their disks.
 func (g *Group) dueReduction() (change GroupChange, due bool) {
-	voters := g.places().voters()
-	if len(voters) < leastReducible || len(voters)%2 != 0 {
+	voters := g.slots().voters()
+	if len(voters) < minReducibleVoters || len(voters)%2 != 0 {
 		return GroupChange{}, false
 	}
 	for _, voter := range voters {
-		if g.silent(voter) {
+		if g.isUnresponsive(voter) {
 			return GroupChange{Kind: ChangeRemoveVoter, Voter: voter}, true
 		}
 	}
@@ -151,8 +151,8 @@
 	if !found {
 		return GroupChange{}, false
 	}
-	for _, voter := range g.places().voters() {
-		if g.silent(voter) {
+	for _, voter := range g.slots().voters() {
+		if g.isUnresponsive(voter) {
 			return GroupChange{Kind: ChangeRemoveVoter, Voter: voter, Successor: successor}, true
 		}
 	}
@@ -172,7 +172,7 @@
 func (g *Group) candidate() (voter Voter, found bool) {
 	for _, peer := range g.peers {
 		follower := g.leadership.progress[peer.ID]
-		if peer.Left || follower == nil || g.places().position(peer.ID) >= 0 {
+		if peer.Left || follower == nil || g.slots().position(peer.ID) >= 0 {
 			continue
 		}
 		if voter := (Voter{ID: peer.ID, Incarnation: follower.incarnation}); g.caughtUp(voter) {
@@ -185,32 +185,32 @@
 // mayGrow tells whether there is room for a voter. One voter more raises the
 // majority of an odd group, which then bears less while a voter is not heard.
 func (g *Group) mayGrow() bool {
-	group := g.places()
+	group := g.slots()
 	if len(group) >= g.cfg.MaxVoters {
 		return false
 	}
-	return len(group)%2 == 0 || !slices.ContainsFunc(group.voters(), g.unheard)
+	return len(group)%2 == 0 || !slices.ContainsFunc(group.voters(), g.isMissing)
 }
 
-func (g *Group) unheard(voter Voter) bool {
-	return voter != g.self() && !g.voterHeard(voter)
+func (g *Group) isMissing(voter Voter) bool {
+	return voter != g.self() && !g.isLiveVoter(voter)
 }
 
 // dueDrop gives a place up whose member does not come back for it.
 func (g *Group) dueDrop() (change GroupChange, due bool) {
-	for _, place := range g.places() {
-		if place.Learner && g.silent(place.Voter) {
-			return GroupChange{Kind: ChangeDropPlace, Voter: place.Voter}, true
+	for _, slot := range g.slots() {
+		if slot.Learner && g.isUnresponsive(slot.Voter) {
+			return GroupChange{Kind: ChangeDropSlot, Voter: slot.Voter}, true
 		}
 	}
 	return GroupChange{}, false
 }
 
-// silent tells whether nothing was heard of the member, in any incarnation, for
+// isUnresponsive tells whether nothing was heard of the member, in any incarnation, for
 // long enough to go on without it.
-func (g *Group) silent(voter Voter) bool {
+func (g *Group) isUnresponsive(voter Voter) bool {
 	follower := g.leadership.progress[voter.ID]
-	if follower == nil || g.heard(follower) {
+	if follower == nil || g.isLive(follower) {
 		return false
 	}
 	return g.hasLeft(voter.ID) || g.now >= follower.lastContact+g.cfg.RemoveAfter
@@ -218,9 +218,9 @@
 
 // presentIncarnation is the incarnation in which the member of a place was last
 // heard.
-func (g *Group) presentIncarnation(place Place) Voter {
-	if follower := g.leadership.progress[place.ID]; follower != nil {
-		return Voter{ID: place.ID, Incarnation: follower.incarnation}
+func (g *Group) presentIncarnation(slot Slot) Voter {
+	if follower := g.leadership.progress[slot.ID]; follower != nil {
+		return Voter{ID: slot.ID, Incarnation: follower.incarnation}
 	}
-	return place.Voter
+	return slot.Voter
 }
--- a/pkg/replication/leader.go
+++ b/pkg/replication/leader.go
@@ -19,29 +19,29 @@
 // be committed if this member stays the leader. What becomes of it shows in
 // Ready.Committed: the entry at that index, if it has the same term.
 func (g *Group) Propose(now time.Duration, command []byte) (index uint64, err error) {
-	g.observe(now)
-	if err := g.acceptsWork(); err != nil {
+	g.advanceClock(now)
+	if err := g.checkAcceptsProposals(); err != nil {
 		return 0, err
 	}
 	if g.log.lastIndex()-g.log.committed >= maxUncommitted {
 		return 0, ErrBacklogFull
 	}
-	return g.appendOwn(EntryCommand, command), nil
+	return g.appendEntry(EntryCommand, command), nil
 }
 
-func (g *Group) acceptsWork() error {
+func (g *Group) checkAcceptsProposals() error {
 	if g.role != RoleLeader {
 		return &NotLeaderError{Leader: g.leader}
 	}
-	if g.leadership.handingTo != "" {
-		return &NotLeaderError{Leader: g.leadership.handingTo}
+	if g.leadership.transferTarget != "" {
+		return &NotLeaderError{Leader: g.leadership.transferTarget}
 	}
 	return nil
 }
 
-// appendOwn appends an entry of the own term. The followers are sent it with
+// appendEntry appends an entry of the own term. The followers are sent it with
 // the next Ready, together with others appended until then.
-func (g *Group) appendOwn(kind EntryKind, command []byte) uint64 {
+func (g *Group) appendEntry(kind EntryKind, command []byte) uint64 {
 	entry := Entry{
 		Index:   g.log.lastIndex() + 1,
 		Term:    g.hard.Term,
@@ -49,53 +49,53 @@
 		Command: slices.Clone(command),
 	}
 	g.log.append(entry)
-	g.leadership.appendWanted = true
+	g.leadership.appendPending = true
 	return entry.Index
 }
 
 func (g *Group) tickLeader() {
-	if !g.hearsQuorum() {
-		g.rest(g.hard.Term, "")
+	if !g.hasLiveQuorum() {
+		g.becomeFollower(g.hard.Term, "")
 		return
 	}
-	g.tickHandover()
+	g.tickTransfer()
 	if g.now >= g.leadership.heartbeatAt+g.cfg.HeartbeatEvery {
-		g.startRound()
+		g.broadcastHeartbeat()
 	}
 }
 
-// hearsQuorum tells whether a majority, this member included, was heard within
+// hasLiveQuorum tells whether a majority, this member included, was heard within
 // ElectionTimeout. A leader without one steps down, as the others may have
 // elected another.
-func (g *Group) hearsQuorum() bool {
-	return g.majorityLive(g.places())
+func (g *Group) hasLiveQuorum() bool {
+	return g.hasLiveMajority(g.slots())
 }
 
-func (g *Group) heard(follower *progress) bool {
+func (g *Group) isLive(follower *progress) bool {
 	return g.now < follower.lastContact+g.cfg.ElectionTimeout
 }
 
-// voterHeard tells whether the voter was heard in the incarnation that has the
+// isLiveVoter tells whether the voter was heard in the incarnation that has the
 // vote.
-func (g *Group) voterHeard(voter Voter) bool {
+func (g *Group) isLiveVoter(voter Voter) bool {
 	if voter == g.self() {
 		return true
 	}
 	follower := g.leadership.progress[voter.ID]
-	return follower != nil && follower.incarnation == voter.Incarnation && g.heard(follower)
+	return follower != nil && follower.incarnation == voter.Incarnation && g.isLive(follower)
 }
 
 // broadcastAppend sends the news to all followers that can take it.
 func (g *Group) broadcastAppend() {
-	g.leadership.appendWanted = false
-	for _, id := range g.others() {
-		g.sendNews(id)
+	g.leadership.appendPending = false
+	for _, id := range g.otherMembers() {
+		g.sendAppends(id)
 	}
 }
 
-// sendNews sends an append with all that may be under way, at least an empty
+// sendAppends sends an append with all that may be under way, at least an empty
 // one that tells the commit index.
-func (g *Group) sendNews(to member.ID) {
+func (g *Group) sendAppends(to member.ID) {
 	follower := g.leadership.progress[to]
 	if follower.full() {
 		return
@@ -109,12 +109,12 @@
 func (g *Group) sendAppend(to member.ID) {
 	follower := g.leadership.progress[to]
 	before := follower.next - 1
-	beforeTerm, held := g.log.termAt(before)
-	if !held {
+	beforeTerm, ok := g.log.termAt(before)
+	if !ok {
 		g.sendSnapshot(to)
 		return
 	}
-	entries := g.log.after(follower.next, maxAppendBytes)
+	entries := g.log.entriesFrom(follower.next, maxAppendBytes)
 	g.send(to, Message{
 		Type:      MessageAppend,
 		Term:      g.hard.Term,
@@ -147,11 +147,11 @@
 
 // stepToLeader takes replies of followers in.
 func (g *Group) stepToLeader(from member.ID, m Message) error {
-	if !g.knows(from) {
+	if !g.recognizes(from) {
 		return nil
 	}
 	if m.Term > g.hard.Term {
-		g.rest(m.Term, "")
+		g.becomeFollower(m.Term, "")
 		return nil
 	}
 	if g.role != RoleLeader || m.Term < g.hard.Term {
@@ -172,31 +172,31 @@
 		follower.beginIncarnation(m.Incarnation)
 	}
 	follower.lastContact = g.now
-	follower.contactRound = g.leadership.round
+	follower.contactHeartbeat = g.leadership.heartbeatNumber
 	follower.learner = m.Learner
 	if m.Type == MessageHeartbeatReply {
-		g.heartbeatAnswered(from, m)
+		g.handleHeartbeatReply(from, m)
 		return nil
 	}
-	g.appendAnswered(from, m)
+	g.handleAppendReply(from, m)
 	return nil
 }
 
-func (g *Group) appendAnswered(from member.ID, m Message) {
+func (g *Group) handleAppendReply(from member.ID, m Message) {
 	follower := g.leadership.progress[from]
 	if m.Reject {
 		hint, _ := g.log.conflictHint(m.RejectHint, m.IndexTerm)
 		if follower.rejected(m.Index, hint) {
-			g.sendNews(from)
+			g.sendAppends(from)
 		}
 		return
 	}
 	if follower.acknowledged(m.Index) {
 		g.maybeCommit()
-		g.continueHandover(from)
+		g.continueTransfer(from)
 	}
 	if follower.next <= g.log.lastIndex() {
-		g.sendNews(from)
+		g.sendAppends(from)
 	}
 }
 
@@ -205,24 +205,24 @@
 // overwritten yet, however many copies it has.
 func (g *Group) maybeCommit() {
 	index := g.quorumOf(g.log.durable, func(p *progress) uint64 { return p.match })
-	if term, held := g.log.termAt(index); !held || term != g.hard.Term {
+	if term, ok := g.log.termAt(index); !ok || term != g.hard.Term {
 		return
 	}
 	if g.log.commitTo(index) {
-		g.leadership.appendWanted = true
+		g.leadership.appendPending = true
 		g.releaseReads()
-		g.fillPlaces()
+		g.fillSlots()
 	}
 }
 
 // quorumOf returns the greatest value that a majority of the voters reached.
-func (g *Group) quorumOf(own uint64, value func(*progress) uint64) uint64 {
+func (g *Group) quorumOf(self uint64, value func(*progress) uint64) uint64 {
 	var values []uint64
 	for _, voter := range g.log.groups.latest().voters {
 		follower := g.leadership.progress[voter.ID]
 		switch {
 		case voter == g.self():
-			values = append(values, own)
+			values = append(values, self)
 		case follower != nil && follower.incarnation == voter.Incarnation:
 			values = append(values, value(follower))
 		default:
--- a/pkg/replication/handover.go
+++ b/pkg/replication/leadership_transfer.go
@@ -6,26 +6,26 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// HandOver asks the next live voter in the agreed order to take over at once,
+// TransferLeadership asks the next live voter in the agreed order to take over at once,
 // when it holds the whole log. Until then, and for ElectionTimeout at most, the
 // leader takes no proposals and gives no commands. It fails with ErrNoSuccessor
 // or a *NotLeaderError.
-func (g *Group) HandOver(now time.Duration) error {
-	g.observe(now)
+func (g *Group) TransferLeadership(now time.Duration) error {
+	g.advanceClock(now)
 	if g.role != RoleLeader {
 		return &NotLeaderError{Leader: g.leader}
 	}
-	if g.leadership.handingTo != "" {
+	if g.leadership.transferTarget != "" {
 		return nil
 	}
 	successor := g.nextLiveVoter()
 	if successor == "" {
 		return ErrNoSuccessor
 	}
-	g.leadership.handingTo = successor
-	g.leadership.handoverAt = g.now
-	g.leadership.handoverSent = false
-	g.continueHandover(successor)
+	g.leadership.transferTarget = successor
+	g.leadership.transferStartedAt = g.now
+	g.leadership.transferSent = false
+	g.continueTransfer(successor)
 	return nil
 }
 
@@ -44,41 +44,41 @@
 		}
 	}
 	for _, id := range append(after, before...) {
-		place := g.places()[g.places().position(id)]
-		if g.voterHeard(place.Voter) && !g.hasLeft(id) {
+		slot := g.slots()[g.slots().position(id)]
+		if g.isLiveVoter(slot.Voter) && !g.hasLeft(id) {
 			return id
 		}
 	}
 	return ""
 }
 
-// continueHandover asks the successor to campaign once it holds the whole log.
-func (g *Group) continueHandover(from member.ID) {
-	if g.leadership.handingTo != from || g.leadership.handoverSent {
+// continueTransfer asks the successor to campaign once it holds the whole log.
+func (g *Group) continueTransfer(from member.ID) {
+	if g.leadership.transferTarget != from || g.leadership.transferSent {
 		return
 	}
 	if g.leadership.progress[from].match < g.log.lastIndex() {
 		return
 	}
-	g.leadership.handoverSent = true
+	g.leadership.transferSent = true
 	g.send(from, Message{
 		Type:     MessageHeartbeat,
 		Term:     g.hard.Term,
 		Index:    g.log.lastIndex(),
-		Handover: true,
+		Transfer: true,
 	})
 }
 
-// repeatHandover asks again, as the first request may have been lost: the
+// repeatTransfer asks again, as the first request may have been lost: the
 // successor would have left this term else.
-func (g *Group) repeatHandover(from member.ID) {
-	g.leadership.handoverSent = false
-	g.continueHandover(from)
+func (g *Group) repeatTransfer(from member.ID) {
+	g.leadership.transferSent = false
+	g.continueTransfer(from)
 }
 
-// tickHandover goes on as the leader if the successor did not take over.
-func (g *Group) tickHandover() {
-	if g.leadership.handingTo != "" && g.now >= g.leadership.handoverAt+g.cfg.ElectionTimeout {
-		g.leadership.handingTo = ""
+// tickTransfer goes on as the leader if the successor did not take over.
+func (g *Group) tickTransfer() {
+	if g.leadership.transferTarget != "" && g.now >= g.leadership.transferStartedAt+g.cfg.ElectionTimeout {
+		g.leadership.transferTarget = ""
 	}
 }
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -31,15 +31,15 @@
 	case EntryCommand, EntryBarrier, EntryRestore:
 		return nil
 	case EntryGroupChange:
-		_, err := decodePlaces(e.Command)
+		_, err := decodeSlots(e.Command)
 		return err
 	default:
 		return errors.New("an entry is of a kind that this member can't follow: run the same version on all members")
 	}
 }
 
-func restoreLog(restored Restored, founding places) *replicaLog {
-	log := &replicaLog{groups: groupHistory{newGroupSince(0, founding)}}
+func restoreLog(restored Restored, founding slots) *replicaLog {
+	log := &replicaLog{groups: groupHistory{newGroupState(0, founding)}}
 	if restored.Snapshot != nil {
 		log.install(restored.Snapshot)
 		log.applied = restored.Snapshot.Index
@@ -64,7 +64,7 @@
 }
 
 // termAt is false for indexes that the log does not hold.
-func (l *replicaLog) termAt(index uint64) (term uint64, held bool) {
+func (l *replicaLog) termAt(index uint64) (term uint64, ok bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
 	}
@@ -75,8 +75,8 @@
 }
 
 func (l *replicaLog) matches(index, term uint64) bool {
-	held, ok := l.termAt(index)
-	return ok && held == term
+	heldTerm, ok := l.termAt(index)
+	return ok && heldTerm == term
 }
 
 // isUpToDate tells whether a log that ends with (index, term) holds at least
@@ -104,9 +104,9 @@
 	return l.entries[from:to:to]
 }
 
-// after returns entries from first on, of about maxBytes together and at
+// entriesFrom returns entries from first on, of about maxBytes together and at
 // least one if there is any.
-func (l *replicaLog) after(first uint64, maxBytes int) []Entry {
+func (l *replicaLog) entriesFrom(first uint64, maxBytes int) []Entry {
 	entries := l.slice(first, l.lastIndex())
 	size := 0
 	for i, entry := range entries {
@@ -164,9 +164,9 @@
 func (l *replicaLog) conflictHint(index, term uint64) (hint, hintTerm uint64) {
 	hint = min(index, l.lastIndex())
 	for hint > l.offset {
-		held, _ := l.termAt(hint)
-		if held <= term {
-			return hint, held
+		heldTerm, _ := l.termAt(hint)
+		if heldTerm <= term {
+			return hint, heldTerm
 		}
 		hint--
 	}
@@ -189,10 +189,10 @@
 	return l.slice(l.durable+1, l.lastIndex())
 }
 
-// wrote takes in that the entries are durable. Those that were truncated
+// setDurable takes in that the entries are durable. Those that were truncated
 // meanwhile don't count; an entry that is still the same has the same entries
 // before it.
-func (l *replicaLog) wrote(entries []Entry) {
+func (l *replicaLog) setDurable(entries []Entry) {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if l.matches(entries[i].Index, entries[i].Term) {
 			l.durable = max(l.durable, entries[i].Index)
@@ -209,7 +209,7 @@
 	l.entries = nil
 	l.durable = snapshot.Index
 	l.committed = max(l.committed, snapshot.Index)
-	l.groups = groupHistory{newGroupSince(snapshot.Index, snapshot.Group)}
+	l.groups = groupHistory{newGroupState(snapshot.Index, snapshot.Slots)}
 }
 
 // compact makes the snapshot the newest one and keeps up to keep entries that
--- a/pkg/replication/message.go
+++ b/pkg/replication/message.go
@@ -7,10 +7,10 @@
 
 // The messages of the replication protocol.
 const (
-	// MessagePromiseRequest asks a voter to promise a term to the sender.
-	MessagePromiseRequest MessageType = iota + 1
-	// MessagePromiseReply grants or rejects a promise.
-	MessagePromiseReply
+	// MessageVoteRequest asks a voter to promise a term to the sender.
+	MessageVoteRequest MessageType = iota + 1
+	// MessageVoteReply grants or rejects a promise.
+	MessageVoteReply
 	// MessageAppend carries entries from the leader to a follower.
 	MessageAppend
 	// MessageAppendReply tells how far the follower's durable log matches.
@@ -21,11 +21,11 @@
 	MessageHeartbeatReply
 	// MessageSnapshot replaces the state of a follower that is too far behind.
 	MessageSnapshot
-	// MessageBallotRequest asks every place to promise a ballot, under which a
+	// MessageRecoveryRequest asks every place to promise a ballot, under which a
 	// group that lost the majority is formed anew.
-	MessageBallotRequest
-	// MessageBallotReply grants or rejects a ballot.
-	MessageBallotReply
+	MessageRecoveryRequest
+	// MessageRecoveryReply grants or rejects a ballot.
+	MessageRecoveryReply
 )
 
 // EntryKind tells how an entry is applied.
@@ -57,8 +57,8 @@
 type Snapshot struct {
 	Index uint64
 	Term  uint64
-	// Group holds the places in the agreed order.
-	Group []Place
+	// Slots holds the places in the agreed order.
+	Slots []Slot
 	Data  []byte
 }
 
@@ -76,13 +76,13 @@
 	// IndexTerm is the term of the entry at Index.
 	IndexTerm uint64
 	Commit    uint64
-	// Round numbers a leader's heartbeats; replies echo it.
-	Round uint64
-	// Trial asks for a promise without raising terms, so that a member which
+	// HeartbeatNumber numbers a leader's heartbeats; replies echo it.
+	HeartbeatNumber uint64
+	// PreVote asks for a promise without raising terms, so that a member which
 	// cannot win does not disturb the leader.
-	Trial bool
-	// Handover marks a campaign that the present leader asked for.
-	Handover bool
+	PreVote bool
+	// Transfer marks a campaign that the present leader asked for.
+	Transfer bool
 	// Learner tells that the sender of a reply wants no vote.
 	Learner    bool
 	Reject     bool
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -19,20 +19,20 @@
 // follow as learners, and are given one when they have caught up. It has no
 // bearing on safety.
 func (g *Group) SetPeers(now time.Duration, peers []Peer) {
-	g.observe(now)
+	g.advanceClock(now)
 	g.peers = make([]Peer, 0, len(peers))
 	for _, peer := range peers {
-		if peer.ID != "" && peer.ID != g.cfg.Self && g.peer(peer.ID) == nil {
+		if peer.ID != "" && peer.ID != g.cfg.Self && g.findPeer(peer.ID) == nil {
 			g.peers = append(g.peers, peer)
 		}
 	}
 	if g.role == RoleLeader {
-		g.trackOthers()
+		g.trackMembers()
 	}
 }
 
-// peer returns what is known of the peer, or nil.
-func (g *Group) peer(id member.ID) *Peer {
+// findPeer returns what is known of the peer, or nil.
+func (g *Group) findPeer(id member.ID) *Peer {
 	index := slices.IndexFunc(g.peers, func(peer Peer) bool { return peer.ID == id })
 	if index < 0 {
 		return nil
@@ -41,22 +41,22 @@
 }
 
 func (g *Group) hasLeft(id member.ID) bool {
-	peer := g.peer(id)
+	peer := g.findPeer(id)
 	return peer != nil && peer.Left
 }
 
-// knows tells whether the member has a place or is a peer.
-func (g *Group) knows(id member.ID) bool {
-	return g.places().position(id) >= 0 || g.peer(id) != nil
+// recognizes tells whether the member has a place or is a peer.
+func (g *Group) recognizes(id member.ID) bool {
+	return g.slots().position(id) >= 0 || g.findPeer(id) != nil
 }
 
-// others returns the other members: the places, then the peers without one.
-func (g *Group) others() []member.ID {
-	group := g.places()
+// otherMembers returns the other members: the places, then the peers without one.
+func (g *Group) otherMembers() []member.ID {
+	group := g.slots()
 	others := make([]member.ID, 0, len(group)+len(g.peers))
-	for _, place := range group {
-		if place.ID != g.cfg.Self {
-			others = append(others, place.ID)
+	for _, slot := range group {
+		if slot.ID != g.cfg.Self {
+			others = append(others, slot.ID)
 		}
 	}
 	for _, peer := range g.peers {
@@ -67,18 +67,18 @@
 	return others
 }
 
-// trackOthers begins to track the members that the leader does not track yet.
+// trackMembers begins to track the members that the leader does not track yet.
 // It forgets none: a late message of a lost incarnation must not count as that
 // of a new one.
-func (g *Group) trackOthers() {
-	for _, id := range g.others() {
+func (g *Group) trackMembers() {
+	for _, id := range g.otherMembers() {
 		if g.leadership.progress[id] != nil {
 			continue
 		}
 		g.leadership.progress[id] = &progress{
-			next:         g.log.lastIndex() + 1,
-			lastContact:  g.now,
-			contactRound: g.leadership.round,
+			next:             g.log.lastIndex() + 1,
+			lastContact:      g.now,
+			contactHeartbeat: g.leadership.heartbeatNumber,
 		}
 	}
 	for _, voter := range g.log.groups.latest().voters {
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -32,12 +32,12 @@
 	snapshotSentAt time.Duration
 	// lastContact is when the member was last heard of in this term.
 	lastContact time.Duration
-	// ackedRound is the newest heartbeat round that the member answered.
-	ackedRound uint64
-	// contactRound is the newest round that had begun by then.
-	contactRound uint64
+	// ackedHeartbeat is the newest heartbeat round that the member answered.
+	ackedHeartbeat uint64
+	// contactHeartbeat is the newest round that had begun by then.
+	contactHeartbeat uint64
 	// incarnation is the newest incarnation in which the member was heard.
-	// match and ackedRound are those of this incarnation, and count if it has a
+	// match and ackedHeartbeat are those of this incarnation, and count if it has a
 	// vote.
 	incarnation uint64
 	// learner tells that the member wants no vote.
@@ -68,7 +68,7 @@
 // incarnations of a member follow each other. So the numbers of incarnations
 // need no order, and no late message of a lost incarnation counts.
 func (p *progress) isLaterIncarnation(m Message) bool {
-	return m.Round > p.contactRound && m.Incarnation != 0
+	return m.HeartbeatNumber > p.contactHeartbeat && m.Incarnation != 0
 }
 
 // beginIncarnation forgets what the member acknowledged with the durable state that
@@ -76,14 +76,14 @@
 func (p *progress) beginIncarnation(incarnation uint64) {
 	p.incarnation = incarnation
 	p.match = 0
-	p.ackedRound = 0
+	p.ackedHeartbeat = 0
 	p.becomeProbe()
 }
 
 // acknowledged takes in that the follower holds everything up to index. It is
 // true if that is news.
 func (p *progress) acknowledged(index uint64) bool {
-	news := index > p.match
+	advanced := index > p.match
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
 	switch p.state {
@@ -95,7 +95,7 @@
 		}
 	case progressReplicate:
 	}
-	return news
+	return advanced
 }
 
 // rejected takes in that the follower lacks the entry at index, and that the
--- a/pkg/replication/random_test.go
+++ b/pkg/replication/random_test.go
@@ -36,12 +36,12 @@
 			}
 			healAll(c)
 			expectAgreement(c, seed)
-			committed += int(c.highest)
-			lost += c.lost
-			reformed += c.reformed
+			committed += int(c.highestApplied)
+			lost += c.disksLost
+			reformed += c.recoveries
 			terms += len(c.leaders)
 			for _, n := range c.nodes {
-				reads += n.answered
+				reads += n.readsServed
 			}
 		}
 		// The schedules would prove nothing if they never came to the point.
@@ -91,16 +91,16 @@
 	case roll < 64:
 		c.crash(n, c.random.IntN(2) == 0)
 	case roll < 70:
-		c.cut[link{n.id, other.id}] = true
+		c.blocked[link{n.id, other.id}] = true
 	case roll < 72:
 		for _, peer := range c.nodes {
-			c.cut[link{n.id, peer.id}] = true
-			c.cut[link{peer.id, n.id}] = true
+			c.blocked[link{n.id, peer.id}] = true
+			c.blocked[link{peer.id, n.id}] = true
 		}
 	case roll < 78:
-		clear(c.cut)
+		clear(c.blocked)
 	case roll < 80:
-		if n.group.HandOver(c.clock(n)) == nil {
+		if n.group.TransferLeadership(c.clock(n)) == nil {
 			c.drain(n)
 		}
 	case roll < 83:
@@ -126,7 +126,7 @@
 func (c *cluster) leaseHolders() int {
 	holders := 0
 	for _, n := range c.nodes {
-		if n.group != nil && n.group.MayCommand(c.clock(n)) {
+		if n.group != nil && n.group.HasCommandLease(c.clock(n)) {
 			holders++
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 func healAll(c *cluster) {
-	clear(c.cut)
+	clear(c.blocked)
 	c.faults = faults{maxDelay: time.Millisecond}
 	for _, n := range c.present() {
 		if n.group == nil {
@@ -151,13 +151,13 @@
 // expectRepaired expects every member to vote in the incarnation of its disk,
 // on all members and finally.
 func expectRepaired(c *cluster, seed uint64) {
-	var whole []replication.Place
+	var fullGroup []replication.Slot
 	for _, n := range c.nodes {
-		whole = append(whole, replication.Place{Voter: n.voter()})
+		fullGroup = append(fullGroup, replication.Slot{Voter: n.voter()})
 	}
 	for _, n := range c.nodes {
 		status := n.group.Status()
-		Expect(status.Places).To(Equal(whole), "seed %d: %s has another group", seed, n.id)
+		Expect(status.Slots).To(Equal(fullGroup), "seed %d: %s has another group", seed, n.id)
 		Expect(status.ChangeIndex).To(BeNumerically("<=", status.Commit), "seed %d: %s", seed, n.id)
 		Expect(status.Role).NotTo(Equal(replication.RoleLearner), "seed %d: %s", seed, n.id)
 	}
@@ -172,13 +172,13 @@
 		if status.Role == replication.RoleLeader {
 			leaders++
 		}
-		Expect(status.Applied).To(Equal(c.highest), "seed %d: %s lags", seed, n.id)
-		Expect(n.applied).To(Equal(c.digests[c.highest]), "seed %d: %s differs", seed, n.id)
+		Expect(status.Applied).To(Equal(c.highestApplied), "seed %d: %s lags", seed, n.id)
+		Expect(n.applied).To(Equal(c.digests[c.highestApplied]), "seed %d: %s differs", seed, n.id)
 	}
 	Expect(leaders).To(Equal(1), "seed %d: leaders", seed)
 	switch {
 	case c.elastic:
-		expectAllVote(c, seed)
+		expectAllMembersVote(c, seed)
 	case !c.neverRepaired:
 		expectRepaired(c, seed)
 	}
--- a/pkg/replication/read.go
+++ b/pkg/replication/read_index.go
@@ -25,16 +25,16 @@
 // pendingRead waits for round to be answered; for round zero none was sent
 // since the request.
 type pendingRead struct {
-	id    uint64
-	round uint64
+	id        uint64
+	heartbeat uint64
 }
 
 // RequestRead asks for a linearizable read. It is answered in Ready.Reads, or
 // in Ready.ReadsFailed if the leadership is lost before. Reads that come while
 // a round is under way share the next one.
 func (g *Group) RequestRead(now time.Duration) (readID uint64, err error) {
-	g.observe(now)
-	if err := g.acceptsWork(); err != nil {
+	g.advanceClock(now)
+	if err := g.checkAcceptsProposals(); err != nil {
 		return 0, err
 	}
 	if len(g.reads.waiting) >= maxPendingReads {
@@ -42,21 +42,21 @@
 	}
 	g.reads.lastID++
 	g.reads.waiting = append(g.reads.waiting, pendingRead{id: g.reads.lastID})
-	if !g.readRoundUnderWay() {
-		g.startRound()
+	if !g.readHeartbeatInFlight() {
+		g.broadcastHeartbeat()
 	}
 	return g.reads.lastID, nil
 }
 
-func (g *Group) readRoundUnderWay() bool {
-	return len(g.reads.waiting) > 0 && g.reads.waiting[0].round != 0
+func (g *Group) readHeartbeatInFlight() bool {
+	return len(g.reads.waiting) > 0 && g.reads.waiting[0].heartbeat != 0
 }
 
 // assignReads gives all reads without one the round that was just sent.
 func (g *Group) assignReads() {
 	for i := range g.reads.waiting {
-		if g.reads.waiting[i].round == 0 {
-			g.reads.waiting[i].round = g.leadership.round
+		if g.reads.waiting[i].heartbeat == 0 {
+			g.reads.waiting[i].heartbeat = g.leadership.heartbeatNumber
 		}
 	}
 }
@@ -64,22 +64,22 @@
 // confirmReads hands out the reads whose round a majority answered. Until the
 // barrier is committed the leader can't know the last committed entry, so they
 // wait for that too.
-func (g *Group) confirmReads(answered uint64) {
+func (g *Group) confirmReads(acknowledged uint64) {
 	if g.role != RoleLeader || g.log.committed < g.leadership.barrier {
 		return
 	}
-	for g.readRoundUnderWay() && g.reads.waiting[0].round <= answered {
+	for g.readHeartbeatInFlight() && g.reads.waiting[0].heartbeat <= acknowledged {
 		g.reads.ready = append(g.reads.ready, Read{ID: g.reads.waiting[0].id, Index: g.log.committed})
 		g.reads.waiting = g.reads.waiting[1:]
 	}
-	if len(g.reads.waiting) > 0 && g.reads.waiting[0].round == 0 {
-		g.startRound()
+	if len(g.reads.waiting) > 0 && g.reads.waiting[0].heartbeat == 0 {
+		g.broadcastHeartbeat()
 	}
 }
 
 // releaseReads looks again at reads that waited for the barrier.
 func (g *Group) releaseReads() {
-	g.countRounds()
+	g.confirmHeartbeats()
 }
 
 // failReads gives all reads up that this member can't confirm any more.
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -44,19 +44,19 @@
 	if g.output.outstanding != nil {
 		return false
 	}
-	return g.promiseChanged() ||
+	return g.hardStateChanged() ||
 		g.output.snapshot != nil ||
 		len(g.output.messages) > 0 ||
-		g.leadership.appendWanted ||
+		g.leadership.appendPending ||
 		g.log.durable < g.log.lastIndex() ||
 		g.log.applied < g.log.committed ||
 		len(g.reads.ready) > 0 ||
 		len(g.reads.failed) > 0
 }
 
-func (g *Group) promiseChanged() bool {
-	return g.hard.Term != g.output.persisted.Term || g.hard.PromisedTo != g.output.persisted.PromisedTo ||
-		g.hard.PromisedIncarnation != g.output.persisted.PromisedIncarnation
+func (g *Group) hardStateChanged() bool {
+	return g.hard.Term != g.output.persisted.Term || g.hard.VotedFor != g.output.persisted.VotedFor ||
+		g.hard.VotedForIncarnation != g.output.persisted.VotedForIncarnation
 }
 
 // Ready hands out what there is to do. While a Ready is outstanding, it hands
@@ -65,19 +65,19 @@
 	if g.output.outstanding != nil {
 		return Ready{}
 	}
-	if g.leadership.appendWanted {
+	if g.leadership.appendPending {
 		g.broadcastAppend()
 	}
 	ready := Ready{
 		Entries:     slices.Clone(g.log.notDurable()),
 		Snapshot:    g.output.snapshot,
 		Messages:    g.output.messages,
-		Committed:   g.notApplied(),
+		Committed:   g.unapplied(),
 		Reads:       g.reads.ready,
 		ReadsFailed: g.reads.failed,
 	}
 	// A commit index alone is not worth a sync: the leader tells it again.
-	if ready.MustSync() || g.promiseChanged() {
+	if ready.MustSync() || g.hardStateChanged() {
 		g.hard.Commit = g.log.committed
 		hard := g.hard
 		ready.HardState = &hard
@@ -91,7 +91,7 @@
 	return ready
 }
 
-func (g *Group) notApplied() []Entry {
+func (g *Group) unapplied() []Entry {
 	from := g.log.applied
 	if g.output.snapshot != nil {
 		from = g.output.snapshot.Index
@@ -113,24 +113,24 @@
 	if count := len(ready.Committed); count > 0 {
 		g.log.applied = max(g.log.applied, ready.Committed[count-1].Index)
 	}
-	g.log.wrote(ready.Entries)
-	g.countOwnCopies(ready)
+	g.log.setDurable(ready.Entries)
+	g.acknowledgeSelf(ready)
 }
 
-// countOwnCopies lets this member's own promise and own entries count, as they
+// acknowledgeSelf lets this member's own promise and own entries count, as they
 // are durable now.
-func (g *Group) countOwnCopies(ready *Ready) {
-	g.countOwnBallot(ready)
+func (g *Group) acknowledgeSelf(ready *Ready) {
+	g.acknowledgeSelfRecovery(ready)
 	switch g.role {
 	case RoleLeader:
 		g.maybeCommit()
 	case RoleCandidate:
 		hard := ready.HardState
-		if hard == nil || g.election.trial {
+		if hard == nil || g.election.preElection {
 			return
 		}
-		if hard.Term == g.hard.Term && hard.PromisedTo == g.cfg.Self && hard.PromisedIncarnation == g.cfg.Incarnation {
-			g.addPromise(g.self())
+		if hard.Term == g.hard.Term && hard.VotedFor == g.cfg.Self && hard.VotedForIncarnation == g.cfg.Incarnation {
+			g.addGrant(g.self())
 		}
 	case RoleFollower, RoleLearner:
 	}
--- a/pkg/replication/repair_test.go
+++ b/pkg/replication/repair_test.go
@@ -16,16 +16,16 @@
 	g := newMember("n1", "n1", "n2", "n3")
 	g.Tick(electionTimeout)
 	for _, trial := range []bool{true, false} {
-		granted := replication.Message{Type: replication.MessagePromiseReply, Incarnation: 1, Term: 1, Trial: trial}
+		granted := replication.Message{Type: replication.MessageVoteReply, Incarnation: 1, Term: 1, PreVote: trial}
 		Expect(g.Step(electionTimeout, "n2", granted)).To(Succeed())
-		settle(g)
+		drainReadies(g)
 	}
 	Expect(g.Status().Role).To(Equal(replication.RoleLeader))
 	return g
 }
 
-// sentTo passes all Readies and returns who was sent messages of that type.
-func sentTo(g *replication.Group, kind replication.MessageType) []member.ID {
+// recipientsOf passes all Readies and returns who was sent messages of that type.
+func recipientsOf(g *replication.Group, kind replication.MessageType) []member.ID {
 	var ids []member.ID
 	for g.HasReady() {
 		for _, outbound := range g.Ready().Messages {
@@ -42,23 +42,23 @@
 	It("are told by the first entry to whoever does not know them", func() {
 		leader := firstLeader()
 		first := leader.Checkpoint().Entries
-		Expect(first).To(Equal([]replication.Entry{changeEntry(1, 1, founded("n1", "n2", "n3"))}))
+		Expect(first).To(Equal([]replication.Entry{changeEntry(1, 1, founderSlots("n1", "n2", "n3"))}))
 
 		joined := newMember("n4")
 		Expect(joined.Status().Role).To(Equal(replication.RoleLearner))
-		Expect(joined.Step(0, "n1", appendOf(1, 0, 0, 1, first...))).To(Succeed())
-		settle(joined)
-		Expect(joined.Status().Group).To(Equal([]member.ID{"n1", "n2", "n3"}))
+		Expect(joined.Step(0, "n1", appendMessage(1, 0, 0, 1, first...))).To(Succeed())
+		drainReadies(joined)
+		Expect(joined.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n3"}))
 		Expect(joined.Status().Role).To(Equal(replication.RoleLearner))
 
 		founder := newMember("n2", "n1", "n2", "n3")
-		Expect(founder.Step(0, "n1", appendOf(1, 0, 0, 1, first...))).To(Succeed())
-		settle(founder)
+		Expect(founder.Step(0, "n1", appendMessage(1, 0, 0, 1, first...))).To(Succeed())
+		drainReadies(founder)
 		again, err := replication.New(replication.Config{
 			Self: "n2", Incarnation: replication.FoundingIncarnation, HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
 		}, founder.Checkpoint(), 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again.Status().Places).To(Equal(founded("n1", "n2", "n3")))
+		Expect(again.Status().Slots).To(Equal(founderSlots("n1", "n2", "n3")))
 		Expect(again.Status().Role).To(Equal(replication.RoleFollower))
 	})
 
@@ -75,8 +75,8 @@
 
 	It("stay in doubt in a log that does not tell of them, which is not compacted", func() {
 		g := newMember("n4")
-		Expect(g.Step(0, "n1", appendOf(1, 0, 0, 1, entry(1, 1)))).To(Succeed())
-		settle(g)
+		Expect(g.Step(0, "n1", appendMessage(1, 0, 0, 1, entry(1, 1)))).To(Succeed())
+		drainReadies(g)
 		Expect(g.Compact(1, nil)).To(BeAssignableToTypeOf(&replication.CompactError{}))
 	})
 })
@@ -86,30 +86,30 @@
 		g := newMember("n1", "n1", "n2", "n3")
 		g.SetPeers(0, []replication.Peer{{ID: "n4"}, {ID: "n1"}, {ID: "n4"}, {ID: "n2"}, {ID: ""}})
 		g.Tick(electionTimeout)
-		Expect(sentTo(g, replication.MessagePromiseRequest)).To(Equal([]member.ID{"n2", "n3"}))
+		Expect(recipientsOf(g, replication.MessageVoteRequest)).To(Equal([]member.ID{"n2", "n3"}))
 
 		leader := firstLeader()
 		leader.SetPeers(electionTimeout, []replication.Peer{{ID: "n4"}})
 		leader.Tick(electionTimeout + heartbeatEvery)
-		Expect(sentTo(leader, replication.MessageHeartbeat)).To(Equal([]member.ID{"n2", "n3", "n4"}))
+		Expect(recipientsOf(leader, replication.MessageHeartbeat)).To(Equal([]member.ID{"n2", "n3", "n4"}))
 	})
 
 	It("disturb no live leader, whatever term they tell of", func() {
 		leader := electedLeader()
 		follower := newMember("n2", "n1", "n2", "n3")
-		Expect(follower.Step(0, "n1", appendOf(1, 0, 0, 0))).To(Succeed())
+		Expect(follower.Step(0, "n1", appendMessage(1, 0, 0, 0))).To(Succeed())
 		for _, g := range []*replication.Group{leader, follower} {
 			before := g.Status()
 			for _, m := range []replication.Message{
-				{Type: replication.MessagePromiseRequest, Trial: true},
-				{Type: replication.MessagePromiseRequest},
-				{Type: replication.MessagePromiseReply, Reject: true},
-				{Type: replication.MessagePromiseReply},
+				{Type: replication.MessageVoteRequest, PreVote: true},
+				{Type: replication.MessageVoteRequest},
+				{Type: replication.MessageVoteReply, Reject: true},
+				{Type: replication.MessageVoteReply},
 				{Type: replication.MessageAppendReply, Reject: true},
 				{Type: replication.MessageHeartbeatReply},
-				{Type: replication.MessageBallotReply, Reject: true},
-				{Type: replication.MessageBallotRequest, Trial: true},
-				{Type: replication.MessageBallotRequest},
+				{Type: replication.MessageRecoveryReply, Reject: true},
+				{Type: replication.MessageRecoveryRequest, PreVote: true},
+				{Type: replication.MessageRecoveryRequest},
 			} {
 				m.Term, m.Incarnation, m.Index, m.IndexTerm = 90, 5, 90, 90
 				Expect(g.Step(0, "n9", m)).To(Succeed())
@@ -126,10 +126,10 @@
 
 	It("take nothing over when they leave, though they still vote", func() {
 		g := electedLeader()
-		Expect(g.Step(tookAt, "n2", matched(2, 2))).To(Succeed())
-		g.SetPeers(tookAt, []replication.Peer{{ID: "n2", Left: true}, {ID: "n3"}})
-		Expect(g.HandOver(tookAt)).To(Succeed())
-		_, err := g.Propose(tookAt, nil)
+		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
+		g.SetPeers(electedAt, []replication.Peer{{ID: "n2", Left: true}, {ID: "n3"}})
+		Expect(g.TransferLeadership(electedAt)).To(Succeed())
+		_, err := g.Propose(electedAt, nil)
 		Expect(err).To(Equal(&replication.NotLeaderError{Leader: "n3"}))
 	})
 
@@ -138,89 +138,89 @@
 		g.SetPeers(0, []replication.Peer{{ID: "n4"}})
 		g.Tick(electionTimeout)
 		for _, id := range []member.ID{"n4", "n9"} {
-			granted := replication.Message{Type: replication.MessagePromiseReply, Incarnation: 1, Term: 1, Trial: true}
+			granted := replication.Message{Type: replication.MessageVoteReply, Incarnation: 1, Term: 1, PreVote: true}
 			Expect(g.Step(electionTimeout, id, granted)).To(Succeed())
 		}
 		Expect(g.Status().Term).To(BeZero())
 	})
 
 	It("get one when they have caught up, unless they leave", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4", "-n5")
+		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.node("n4").left = true
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
 		c.advanceBy(10 * heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(Equal([]member.ID{"n1", "n2", "n3", "n5"}))
+		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n3", "n5"}))
 	})
 
 	It("get none while a silent voter of an odd group may yet be back", func() {
-		c := calmCluster("n1", "n2", "n3", "-n4")
+		c := stableCluster("n1", "n2", "n3", "-n4")
 		c.crash(c.node("n3"), true)
 		c.advanceBy(electionTimeout + tickEvery)
 		c.start(c.node("n4"))
 		c.advanceBy(time.Second)
-		Expect(c.leader().group.Status().Group).To(HaveLen(3))
+		Expect(c.leader().group.Status().Voters).To(HaveLen(3))
 		c.start(c.node("n3"))
 		c.advanceBy(10 * heartbeatEvery)
-		Expect(c.leader().group.Status().Group).To(HaveLen(4))
+		Expect(c.leader().group.Status().Voters).To(HaveLen(4))
 	})
 })
 
 var _ = Describe("a change of an elastic group", func() {
 	It("drops a voter without a successor, and takes a new one in at the end", func() {
 		g := electedLeader()
-		Expect(g.Step(tookAt, "n2", matched(2, 2))).To(Succeed())
-		Expect(problemOf(g.ProposeGroupChange(tookAt, replication.GroupChange{
+		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
+		Expect(problemOf(g.ProposeGroupChange(electedAt, replication.GroupChange{
 			Kind: replication.ChangeAddVoter, Voter: replication.Voter{ID: "n4", Incarnation: 1},
 		}))).To(Equal(replication.ProblemNotCaughtUp))
-		g.SetPeers(tookAt, []replication.Peer{{ID: "n4"}})
-		later := tookAt + heartbeatEvery
+		g.SetPeers(electedAt, []replication.Peer{{ID: "n4"}})
+		later := electedAt + heartbeatEvery
 		g.Tick(later)
-		settle(g)
-		Expect(g.Step(later, "n4", answers(2))).To(Succeed())
-		Expect(g.Step(later, "n4", matched(2, 2))).To(Succeed())
+		drainReadies(g)
+		Expect(g.Step(later, "n4", heartbeatReply(2))).To(Succeed())
+		Expect(g.Step(later, "n4", appendReply(2, 2))).To(Succeed())
 		add := replication.GroupChange{Kind: replication.ChangeAddVoter, Voter: replication.Voter{ID: "n4", Incarnation: 1}}
 		drop := replication.GroupChange{Kind: replication.ChangeRemoveVoter, Voter: lostN3}
 		Expect(g.ProposeGroupChange(later, drop)).To(Succeed())
-		Expect(g.Status().Places).To(Equal(founded("n1", "n2")))
-		Expect(problemOf(g.ProposeGroupChange(later, add))).To(Equal(replication.ProblemChangeUnderWay))
-		settle(g)
-		Expect(g.Step(later, "n2", matched(2, 3))).To(Succeed())
-		Expect(g.Step(later, "n4", matched(2, 3))).To(Succeed())
+		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2")))
+		Expect(problemOf(g.ProposeGroupChange(later, add))).To(Equal(replication.ProblemChangePending))
+		drainReadies(g)
+		Expect(g.Step(later, "n2", appendReply(2, 3))).To(Succeed())
+		Expect(g.Step(later, "n4", appendReply(2, 3))).To(Succeed())
 		Expect(g.ProposeGroupChange(later, add)).To(Succeed())
-		Expect(g.Status().Places).To(Equal(founded("n1", "n2", "n4")))
+		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2", "n4")))
 	})
 
 	It("gives a kept place up whose member stays silent", func() {
-		g := settledLeader()
-		Expect(problemOf(g.ProposeGroupChange(tookAt, replication.GroupChange{
-			Kind: replication.ChangeDropPlace, Voter: lostN3,
-		}))).To(Equal(replication.ProblemNoSuchPlace))
-		Expect(g.ProposeGroupChange(tookAt, remove)).To(Succeed())
-		silent := tookAt + electionTimeout
-		beatUntil(g, tookAt, silent)
-		Expect(g.Step(silent, "n2", matched(2, 3))).To(Succeed())
-		end := tookAt + replication.DefaultRemoveAfter
-		beatUntil(g, silent, end-heartbeatEvery)
-		Expect(g.Status().Places).To(Equal(waiting()))
-		beatUntil(g, end-heartbeatEvery, end+heartbeatEvery)
-		Expect(g.Status().Places).To(Equal(founded("n1", "n2")))
+		g := leaderWithCommittedBarrier()
+		Expect(problemOf(g.ProposeGroupChange(electedAt, replication.GroupChange{
+			Kind: replication.ChangeDropSlot, Voter: lostN3,
+		}))).To(Equal(replication.ProblemNoSuchSlot))
+		Expect(g.ProposeGroupChange(electedAt, removeLostN3)).To(Succeed())
+		silent := electedAt + electionTimeout
+		acknowledgeHeartbeatsUntil(g, electedAt, silent)
+		Expect(g.Step(silent, "n2", appendReply(2, 3))).To(Succeed())
+		end := electedAt + replication.DefaultRemoveAfter
+		acknowledgeHeartbeatsUntil(g, silent, end-heartbeatEvery)
+		Expect(g.Status().Slots).To(Equal(slotsWithLearner()))
+		acknowledgeHeartbeatsUntil(g, end-heartbeatEvery, end+heartbeatEvery)
+		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2")))
 	})
 })
 
 var _ = Describe("a group that lost a majority", func() {
 	It("is not formed anew by a member of which a voter with a newer log knows better", func() {
-		grant := replication.Message{Type: replication.MessageBallotReply, Incarnation: 8, Trial: true}
-		newer := replication.Message{Type: replication.MessageBallotReply, Incarnation: 1, Trial: true, Reject: true, Index: 2, IndexTerm: 1}
+		grant := replication.Message{Type: replication.MessageRecoveryReply, Incarnation: 8, PreVote: true}
+		newer := replication.Message{Type: replication.MessageRecoveryReply, Incarnation: 1, PreVote: true, Reject: true, Index: 2, IndexTerm: 1}
 		for _, objected := range []bool{false, true} {
 			g := newMember("n3", "n1", "n2", "n3")
 			g.SetPeers(0, []replication.Peer{{ID: "n4"}})
-			Expect(g.Step(0, "n1", appendOf(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
-			settle(g)
+			Expect(g.Step(0, "n1", appendMessage(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
+			drainReadies(g)
 			now := time.Duration(0)
 			for asked := []member.ID(nil); len(asked) == 0; now += tickEvery {
 				g.Tick(now)
-				if asked = sentTo(g, replication.MessageBallotRequest); len(asked) > 0 {
+				if asked = recipientsOf(g, replication.MessageRecoveryRequest); len(asked) > 0 {
 					Expect(asked).To(Equal([]member.ID{"n1", "n2", "n4"}))
 				}
 			}
@@ -229,7 +229,7 @@
 				Expect(g.Step(now, "n4", newer)).To(Succeed())
 			}
 			Expect(g.Step(now, "n2", grant)).To(Succeed())
-			ballot, _ := g.Ballot()
+			ballot, _ := g.RecoveryTerm()
 			Expect(ballot == 0).To(Equal(objected))
 		}
 	})
--- a/pkg/replication/place.go
+++ b/pkg/replication/slot.go
@@ -23,52 +23,52 @@
 	Incarnation uint64
 }
 
-// Place is one place in the agreed order of a group. A new voter gets a place
+// Slot is one place in the agreed order of a group. A new voter gets a place
 // at the end; one that lost its durable state gets its place back.
-type Place struct {
+type Slot struct {
 	Voter
 	// Learner tells that the place is kept for the member, which has no vote
 	// until it holds the log.
 	Learner bool
 }
 
-// places are all places of a group in the agreed order.
-type places []Place
+// slots are all places of a group in the agreed order.
+type slots []Slot
 
-// foundingPlaces is the group before the first entry of the log.
-func foundingPlaces(group []member.ID) places {
-	founded := make(places, len(group))
+// foundingSlots is the group before the first entry of the log.
+func foundingSlots(group []member.ID) slots {
+	founded := make(slots, len(group))
 	for i, id := range group {
-		founded[i] = Place{Voter: Voter{ID: id, Incarnation: FoundingIncarnation}}
+		founded[i] = Slot{Voter: Voter{ID: id, Incarnation: FoundingIncarnation}}
 	}
 	return founded
 }
 
 // voters returns those whose promises and acknowledgements count.
-func (p places) voters() []Voter {
+func (p slots) voters() []Voter {
 	voters := make([]Voter, 0, len(p))
-	for _, place := range p {
-		if !place.Learner {
-			voters = append(voters, place.Voter)
+	for _, slot := range p {
+		if !slot.Learner {
+			voters = append(voters, slot.Voter)
 		}
 	}
 	return voters
 }
 
 // votes tells whether the member has a vote in that incarnation.
-func (p places) votes(voter Voter) bool {
-	return slices.Contains(p, Place{Voter: voter})
+func (p slots) votes(voter Voter) bool {
+	return slices.Contains(p, Slot{Voter: voter})
 }
 
 // position returns the place of the member, or -1.
-func (p places) position(id member.ID) int {
-	return slices.IndexFunc(p, func(place Place) bool { return place.ID == id })
+func (p slots) position(id member.ID) int {
+	return slices.IndexFunc(p, func(slot Slot) bool { return slot.ID == id })
 }
 
-func (p places) quorum() int {
+func (p slots) quorum() int {
 	voters := 0
-	for _, place := range p {
-		if !place.Learner {
+	for _, slot := range p {
+		if !slot.Learner {
 			voters++
 		}
 	}
@@ -76,42 +76,42 @@
 }
 
 // with returns a copy in which the position is filled anew.
-func (p places) with(position int, filled Place) places {
+func (p slots) with(position int, filled Slot) slots {
 	changed := slices.Clone(p)
 	changed[position] = filled
 	return changed
 }
 
 // without returns a copy without the place at position.
-func (p places) without(position int) places {
+func (p slots) without(position int) slots {
 	return slices.Delete(slices.Clone(p), position, position+1)
 }
 
 // check finds places that no group can have.
-func (p places) check() error {
+func (p slots) check() error {
 	if len(p.voters()) == 0 {
 		return errors.New("the group has no voter")
 	}
 	ids := make([]member.ID, 0, len(p))
-	for _, place := range p {
-		if place.Incarnation == 0 {
+	for _, slot := range p {
+		if slot.Incarnation == 0 {
 			return errors.New("a place of the group has no incarnation")
 		}
-		ids = append(ids, place.ID)
+		ids = append(ids, slot.ID)
 	}
 	return checkDistinct(ids)
 }
 
-// encodePlaces returns the command of an EntryGroupChange: the whole group
+// encodeSlots returns the command of an EntryGroupChange: the whole group
 // after it.
-func encodePlaces(group places) []byte {
+func encodeSlots(group slots) []byte {
 	// Marshal fails for types only that these are not.
 	data, _ := json.Marshal(group)
 	return data
 }
 
-func decodePlaces(command []byte) (places, error) {
-	var group places
+func decodeSlots(command []byte) (slots, error) {
+	var group slots
 	if err := json.Unmarshal(command, &group); err != nil {
 		return nil, errors.Wrap(err, "decode the places of a group")
 	}
--- a/pkg/replication/status.go
+++ b/pkg/replication/status.go
@@ -16,12 +16,12 @@
 	Role          Role
 	// Incarnation is that of Self's durable state.
 	Incarnation uint64
-	// Group holds the voters in the agreed order. It must not be changed, like
+	// Voters holds the voters in the agreed order. It must not be changed, like
 	// Places.
-	Group []member.ID
-	// Places holds all places in the agreed order, with those that wait for a
+	Voters []member.ID
+	// Slots holds all places in the agreed order, with those that wait for a
 	// vote.
-	Places []Place
+	Slots []Slot
 	// ChangeIndex is the index of the entry that began this group; the change
 	// is final when it is committed.
 	ChangeIndex uint64
@@ -55,8 +55,8 @@
 		LastIndex:   g.log.lastIndex(),
 		Role:        g.role,
 		Incarnation: g.cfg.Incarnation,
-		Group:       group.voterIDs,
-		Places:      group.places,
+		Voters:      group.voterIDs,
+		Slots:       group.slots,
 	}
 	status.ChangeIndex = group.index
 	if g.log.snapshot != nil {
@@ -65,13 +65,13 @@
 	if g.role != RoleLeader {
 		return status
 	}
-	for _, id := range g.others() {
+	for _, id := range g.otherMembers() {
 		follower := g.leadership.progress[id]
 		status.Followers = append(status.Followers, FollowerStatus{
 			ID:          id,
 			Match:       follower.match,
-			Live:        g.heard(follower),
-			Learner:     !g.places().votes(Voter{ID: id, Incarnation: follower.incarnation}),
+			Live:        g.isLive(follower),
+			Learner:     !g.slots().votes(Voter{ID: id, Incarnation: follower.incarnation}),
 			Incarnation: follower.incarnation,
 		})
 	}
--- a/pkg/replication/timeline_test.go
+++ b/pkg/replication/timeline_test.go
@@ -16,7 +16,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-var redraw = flag.Bool("redraw", false, "write the timelines anew instead of comparing them")
+var updateTimelines = flag.Bool("redraw", false, "write the timelines anew instead of comparing them")
 
 // A timeline has a line an event and a column a node, which shows the node
 // after the event. Lines that begin with # are remarks.
@@ -24,7 +24,7 @@
 	content, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
 	drawn := runTimeline(string(content))
-	if *redraw {
+	if *updateTimelines {
 		Expect(os.WriteFile(path, []byte(drawn), 0o644)).To(Succeed())
 	}
 	Expect(drawn).To(Equal(string(content)))
@@ -84,16 +84,16 @@
 	}
 	if words[0] == "seek" || words[0] == "found" {
 		// While the state is sought, a ballot is won and nothing comes of it.
-		c.ballotsFail = words[0] == "seek"
+		c.recoveryBlocked = words[0] == "seek"
 		return
 	}
 	if words[0] == "heal" {
-		clear(c.cut)
+		clear(c.blocked)
 		return
 	}
 	ends := strings.Split(words[1], ">")
 	if words[0] == "cut" && len(ends) == 2 {
-		c.cut[link{member.ID(ends[0]), member.ID(ends[1])}] = true
+		c.blocked[link{member.ID(ends[0]), member.ID(ends[1])}] = true
 		return
 	}
 	n := c.node(member.ID(words[1]))
@@ -109,8 +109,8 @@
 		c.drain(n)
 	case "isolate":
 		for _, other := range c.nodes {
-			c.cut[link{n.id, other.id}] = true
-			c.cut[link{other.id, n.id}] = true
+			c.blocked[link{n.id, other.id}] = true
+			c.blocked[link{other.id, n.id}] = true
 		}
 	case "crash":
 		c.crash(n, false)
@@ -140,7 +140,7 @@
 	case "compact":
 		Expect(c.compact(n)).To(Succeed())
 	case "handover":
-		Expect(n.group.HandOver(c.clock(n))).To(Succeed())
+		Expect(n.group.TransferLeadership(c.clock(n))).To(Succeed())
 		c.drain(n)
 	default:
 		Fail("unknown event " + words[0])
--- a/pkg/twoslot/memdisk/faults.go
+++ b/pkg/twoslot/memdisk/faults.go
@@ -124,11 +124,11 @@
 }
 
 // leaveTorn leaves what the interrupted write made of a file.
-func (d *Disk) leaveTorn(name string, kept, data []byte, written int) {
+func (d *Disk) leaveTorn(name string, prefix, data []byte, written int) {
 	switch d.crash.Tear {
 	case TearShort:
-		d.files[name] = slices.Concat(kept, data[:written])
+		d.files[name] = slices.Concat(prefix, data[:written])
 	case TearZeroed:
-		d.files[name] = slices.Concat(kept, data[:written], make([]byte, len(data)-written))
+		d.files[name] = slices.Concat(prefix, data[:written], make([]byte, len(data)-written))
 	}
 }
--- a/pkg/twoslot/memdisk/memdisk.go
+++ b/pkg/twoslot/memdisk/memdisk.go
@@ -82,11 +82,11 @@
 
 // write leaves kept and, behind it, data in the file. The bytes of a file are
 // never changed in place, only added to.
-func (d *Disk) write(name string, kept, data []byte) error {
+func (d *Disk) write(name string, prefix, data []byte) error {
 	if d.crashed {
 		return ErrCrashed
 	}
-	growth := len(kept) + len(data) - len(d.files[name])
+	growth := len(prefix) + len(data) - len(d.files[name])
 	if d.full || (d.capacity > 0 && d.used()+growth > d.capacity) {
 		d.stats.Refused++
 		return &twoslot.Error{Kind: twoslot.KindDiskFull, Name: name}
@@ -98,11 +98,11 @@
 	}
 	if written, ok := d.crashWithin(len(data)); ok {
 		d.crashed = true
-		d.leaveTorn(name, kept, data, written)
+		d.leaveTorn(name, prefix, data, written)
 		return ErrCrashed
 	}
 	d.stats.Positions += 1 + len(data)
-	d.files[name] = append(kept, data...)
+	d.files[name] = append(prefix, data...)
 	return nil
 }
 
--- a/pkg/twoslot/open.go
+++ b/pkg/twoslot/open.go
@@ -22,7 +22,7 @@
 
 const (
 	fileAbsent fileState = iota + 1
-	fileWhole
+	fileIntact
 	// fileUnreadable files were cut short by a crash, or damaged.
 	fileUnreadable
 )
@@ -68,18 +68,18 @@
 		logStarted: logEnd != logMissing,
 		logBytes:   len(files.logs[newest.generation%2].data),
 	}
-	if err := store.create(files); err != nil {
+	if err := store.createLogs(files); err != nil {
 		return nil, Contents{}, err
 	}
-	if err := store.recover(contents, logEnd); err != nil {
+	if err := store.repairTail(contents, logEnd); err != nil {
 		return nil, Contents{}, err
 	}
 	return store, contents, nil
 }
 
-// create makes sure that both logs exist before anything is acknowledged, so
+// createLogs makes sure that both logs exist before anything is acknowledged, so
 // that one which is missing later was lost.
-func (s *Store) create(files *image) error {
+func (s *Store) createLogs(files *image) error {
 	if s.generation > 0 {
 		return nil
 	}
@@ -93,30 +93,30 @@
 		return nil
 	}
 	if err := s.disk.WriteFile(s.logName(next), nil); err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	return nil
 }
 
-// recover brings the files into a state that can be appended to, or leaves that
+// repairTail brings the files into a state that can be appended to, or leaves that
 // to the next Append while the disk is full.
-func (s *Store) recover(contents Contents, logEnd logEndKind) error {
+func (s *Store) repairTail(contents Contents, logEnd logEndKind) error {
 	switch {
 	case !s.logStarted:
 		s.logBytes = 0
-		return unlessFull(s.startLog(logHeader(s.generation)))
+		return ignoreDiskFull(s.startLog(logHeader(s.generation)))
 	case logEnd == logTorn:
 		// The torn tail must not stand between records. Rewriting the log in
 		// place could lose it in the next crash; a new generation cannot.
-		s.carried = &contents
-		return unlessFull(s.carryOver())
+		s.salvaged = &contents
+		return ignoreDiskFull(s.rewriteSalvaged())
 	default:
 		return nil
 	}
 }
 
-// unlessFull drops the error of a write that can be done later.
-func unlessFull(err error) error {
+// ignoreDiskFull drops the error of a write that can be done later.
+func ignoreDiskFull(err error) error {
 	if errors.Is(err, ErrDiskFull) {
 		return nil
 	}
@@ -157,7 +157,7 @@
 	if state == fileAbsent || !ok || parsed.generation%2 != parity || parsed.generation == 0 {
 		return slotFile{state: state}
 	}
-	return slotFile{state: fileWhole, slot: parsed}
+	return slotFile{state: fileIntact, slot: parsed}
 }
 
 func classifyLog(data []byte, state fileState, parity uint64) logFile {
@@ -165,13 +165,13 @@
 	if state == fileAbsent || !ok || generation%2 != parity {
 		return logFile{state: state, data: data}
 	}
-	return logFile{state: fileWhole, generation: generation, data: data}
+	return logFile{state: fileIntact, generation: generation, data: data}
 }
 
 // newest returns the slot of the newest generation that was durable. It is
 // the empty slot of generation 0 before the first checkpoint.
 func (f *image) newest() (slot, error) {
-	newest := f.newestWhole()
+	newest := f.newestIntact()
 	if newest.generation == 0 && !f.startsEmpty() {
 		return slot{}, f.corrupt("no slot is readable")
 	}
@@ -181,10 +181,10 @@
 	return newest, nil
 }
 
-func (f *image) newestWhole() slot {
+func (f *image) newestIntact() slot {
 	var newest slot
 	for _, candidate := range f.slots {
-		if candidate.state == fileWhole && candidate.slot.generation > newest.generation {
+		if candidate.state == fileIntact && candidate.slot.generation > newest.generation {
 			newest = candidate.slot
 		}
 	}
@@ -198,7 +198,7 @@
 	if f.slots[0].state != fileAbsent || len(second.data) > 0 {
 		return false
 	}
-	if first.state == fileWhole {
+	if first.state == fileIntact {
 		return first.generation == 0
 	}
 	return f.slots[1].state == fileAbsent && second.state == fileAbsent && tornStart(first.data, logHeader(0))
@@ -211,11 +211,11 @@
 		return true
 	}
 	other := f.slots[(generation+1)%2]
-	if other.state == fileWhole {
+	if other.state == fileIntact {
 		return true
 	}
 	previous := f.logs[(generation+1)%2]
-	return previous.state == fileWhole && previous.generation == generation-1
+	return previous.state == fileIntact && previous.generation == generation-1
 }
 
 // logEndKind tells what a crash left of the log of the newest generation.
@@ -231,7 +231,7 @@
 // records reads the log of a generation whose slot is durable.
 func (f *image) records(generation uint64) ([][]byte, logEndKind, error) {
 	log := f.logs[generation%2]
-	if log.state != fileWhole {
+	if log.state != fileIntact {
 		return nil, logMissing, f.checkMissing(generation, log)
 	}
 	if log.generation != generation {
--- a/pkg/twoslot/store.go
+++ b/pkg/twoslot/store.go
@@ -14,9 +14,9 @@
 	// logStarted tells whether the log of the generation has its header.
 	logStarted bool
 	logBytes   int
-	// carried is what was read in front of a torn tail, until a generation
+	// salvaged is what was read in front of a torn tail, until a generation
 	// without that tail is durable.
-	carried *Contents
+	salvaged *Contents
 	// broken is set by a write of which nobody knows how it ended.
 	broken error
 }
@@ -34,7 +34,7 @@
 	if contentBytes(records) > maxFrameContent {
 		return &Error{Kind: KindTooLarge, Name: s.name}
 	}
-	if err := s.carryOver(); err != nil {
+	if err := s.rewriteSalvaged(); err != nil {
 		return err
 	}
 	if !s.logStarted {
@@ -42,7 +42,7 @@
 	}
 	frame := appendFrame(nil, s.generation, records)
 	if err := s.disk.Append(s.logName(s.generation), frame); err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	s.logBytes += len(frame)
 	return nil
@@ -72,38 +72,38 @@
 	}
 	next := s.generation + 1
 	if err := s.disk.WriteFile(s.slotName(next), encodeSlot(next, payload, records)); err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	s.generation = next
-	s.carried = nil
+	s.salvaged = nil
 	s.logStarted = false
 	s.logBytes = 0
 	// The slot is durable, which is what was asked for: when only the log
 	// does not fit, the next Append starts it or answers that the disk is
 	// full.
-	return unlessFull(s.startLog(logHeader(next)))
+	return ignoreDiskFull(s.startLog(logHeader(next)))
 }
 
-// carryOver writes what stands in front of a torn tail to a new generation.
-func (s *Store) carryOver() error {
-	if s.carried == nil {
+// rewriteSalvaged writes what stands in front of a torn tail to a new generation.
+func (s *Store) rewriteSalvaged() error {
+	if s.salvaged == nil {
 		return nil
 	}
-	return s.advance(s.carried.Payload, s.carried.Records)
+	return s.advance(s.salvaged.Payload, s.salvaged.Records)
 }
 
 // startLog replaces the log of the generation before the last.
 func (s *Store) startLog(content []byte) error {
 	if err := s.disk.WriteFile(s.logName(s.generation), content); err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	s.logStarted = true
 	s.logBytes = len(content)
 	return nil
 }
 
-// failed types the error of a write.
-func (s *Store) failed(err error) error {
+// writeError types the error of a write.
+func (s *Store) writeError(err error) error {
 	if errors.Is(err, ErrDiskFull) {
 		return &Error{Kind: KindDiskFull, Name: s.name, Cause: err}
 	}
