--- a/internal/dataplane/adopting.go
+++ b/internal/dataplane/adopting.go
@@ -64,18 +64,18 @@
 		return
 	}
 	for _, report := range news.Reports {
-		a.router.AdoptParts(now, report.Address, report.Feed, partChanges(report.Changes))
+		a.router.AdoptChunks(now, report.Address, report.Feed, partChanges(report.Changes))
 	}
 }
 
 // snapshot is what this node knows of a back end, as it is told to others.
 func (a *adopting) snapshot(address string) (shared.Report, bool) {
-	at, parts, known := a.router.PartsSnapshot(address)
+	at, parts, known := a.router.ChunksSnapshot(address)
 	if !known {
 		return shared.Report{}, false
 	}
-	changes := lo.Map(parts, func(part kvrouter.PartChange, _ int) shared.Change {
-		return shared.Change{Name: part.Name, Tokens: part.Tokens}
+	changes := lo.Map(parts, func(part kvrouter.ChunkChange, _ int) shared.Change {
+		return shared.Change{Name: part.Hash, Tokens: part.Tokens}
 	})
 	return shared.Report{Address: address, Feed: at, Whole: true, Changes: changes}, true
 }
--- a/internal/dataplane/adopting_internal_test.go
+++ b/internal/dataplane/adopting_internal_test.go
@@ -60,8 +60,8 @@
 		}
 		server.takeReport(now, sharedReport(backend, from, page))
 	}
-	known := func(server *Server) (int, kvrouter.Feed) {
-		at, parts, _ := server.router.PartsSnapshot(backend)
+	known := func(server *Server) (int, kvrouter.FeedPosition) {
+		at, parts, _ := server.router.ChunksSnapshot(backend)
 		return len(parts), at
 	}
 
@@ -81,7 +81,7 @@
 		Expect(started.adopting.over(now)).To(BeTrue())
 		parts, at := known(started)
 		Expect(parts).To(Equal(5001))
-		Expect(at).To(Equal(kvrouter.Feed{Incarnation: 7, Next: 5001}))
+		Expect(at).To(Equal(kvrouter.FeedPosition{Incarnation: 7, Next: 5001}))
 	})
 
 	It("goes on from where it was read before, instead of from the beginning", func() {
@@ -94,7 +94,7 @@
 		for range 5 {
 			deliver(started, old)
 		}
-		_, since, _ := started.router.PartsPosition(backend)
+		_, since, _ := started.router.ChunksPosition(backend)
 		Expect(since).To(Equal(uint64(50)))
 	})
 
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -86,7 +86,7 @@
 	// WeightVersion is the version that the cache salt is for.
 	WeightVersion string
 	CacheSalt     string
-	Parts         []prefixindex.Part
+	Parts         []prefixindex.Chunk
 	OutputTokens  uint32
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -50,7 +50,7 @@
 // naming tells how the back ends name the parts of prompts.
 func (b *poolBackend) naming() kvrouter.Naming {
 	if b.server.options.Edges.Reports != nil {
-		return kvrouter.Named
+		return kvrouter.ByID
 	}
 	return kvrouter.Chained
 }
--- a/internal/dataplane/feed_internal_test.go
+++ b/internal/dataplane/feed_internal_test.go
@@ -45,8 +45,8 @@
 }
 
 // promptParts is the prompt of these tests.
-func promptParts() []prefixindex.Part {
-	return []prefixindex.Part{{ID: "case", Tokens: 320}, {ID: "question", Tokens: 160}}
+func promptParts() []prefixindex.Chunk {
+	return []prefixindex.Chunk{{ID: "case", Tokens: 320}, {ID: "question", Tokens: 160}}
 }
 
 // keeps returns an event by which the prompt is kept under a weight version.
@@ -70,7 +70,7 @@
 // overlap returns the tokens that the router believes the replica to keep.
 func overlap(router *kvrouter.Router, weightVersion string) uint32 {
 	decision, err := router.Select(kvrouter.Request{
-		Model: feedModel, Parts: promptParts(), SaltFor: saltOf, Settings: kvrouter.DefaultSettings(),
+		Model: feedModel, Chunks: promptParts(), SaltFor: saltOf, Settings: kvrouter.DefaultSettings(),
 		Random: rand.New(rand.NewPCG(1, 1)),
 	}, []kvrouter.Candidate{{Address: feedAddress, WeightVersion: weightVersion}})
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/dataplane/feeds.go
+++ b/internal/dataplane/feeds.go
@@ -150,7 +150,7 @@
 func (f *feeds) resyncWhereWanted() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, address := range f.server.router.ResyncWanted(f.server.options.Clock()) {
+	for _, address := range f.server.router.ResyncNeeded(f.server.options.Clock()) {
 		if present, runs := f.running[address]; runs {
 			present.feed.resync()
 		}
--- a/internal/dataplane/listing_internal_test.go
+++ b/internal/dataplane/listing_internal_test.go
@@ -91,9 +91,9 @@
 
 // keeps tells what the router believes that the replica keeps of a part.
 func (n *reportingNode) keeps(part string) uint32 {
-	parts := []prefixindex.Part{{ID: part, Tokens: 4000}}
+	parts := []prefixindex.Chunk{{ID: part, Tokens: 4000}}
 	decision, err := n.server.router.Select(kvrouter.Request{
-		Now: n.now, Model: "model", Parts: parts, Naming: kvrouter.Named,
+		Now: n.now, Model: "model", Chunks: parts, Naming: kvrouter.ByID,
 		SaltFor: func(string) string { return "salt" }, Settings: kvrouter.DefaultSettings(),
 	}, []kvrouter.Candidate{{Address: "replica", Zone: "a"}})
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/dataplane/pool.go
+++ b/internal/dataplane/pool.go
@@ -43,7 +43,7 @@
 func (b *poolBackend) choose(w *work) (target, *caller.Problem) {
 	pool := b.newestPool(w)
 	if pool == nil || pool.Config.GetModel() != w.destination.Pool.Config.GetModel() {
-		return nil, noReplicaProblem(&kvrouter.NoReplicaError{Reason: kvrouter.NoneListed}, b.server.options.BackendRetry)
+		return nil, noReplicaProblem(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, b.server.options.BackendRetry)
 	}
 	now := b.server.options.Clock()
 	candidates := b.candidates(now, pool)
@@ -95,7 +95,7 @@
 	return kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Parts:        w.described.Parts,
+		Chunks:       w.described.Parts,
 		Naming:       b.naming(),
 		OutputTokens: w.described.OutputTokens,
 		Engine:       engineProfile(pool),
@@ -103,7 +103,7 @@
 		BodyBytes:    len(w.body),
 		Zone:         b.server.options.Zone,
 		MaxWait:      longestWait(w),
-		ColdAllowed: func(address string) bool {
+		SlowStartAllowed: func(address string) bool {
 			return b.server.cold.allowed(now, pool.Config.GetBackends(), address)
 		},
 		SaltFor: func(weightVersion string) string {
@@ -126,11 +126,11 @@
 		if listed.Admitting && confirmed && !b.server.quarantine.holds(listed.Address, listed.WeightVersion) &&
 			!b.server.outdated.holds(now, listed) {
 			candidates = append(candidates, kvrouter.Candidate{
-				Address:       listed.Address,
-				Zone:          listed.Zone,
-				WeightVersion: listed.WeightVersion,
-				Instance:      listed.Instance,
-				ColdUntil:     listed.ColdUntil,
+				Address:        listed.Address,
+				Zone:           listed.Zone,
+				WeightVersion:  listed.WeightVersion,
+				Instance:       listed.Instance,
+				SlowStartUntil: listed.ColdUntil,
 			})
 		}
 	}
@@ -175,16 +175,16 @@
 // await implements target: the replica may be about to have read what the request
 // has in common with an earlier one.
 func (t *replicaTarget) await(w *work) {
-	awaited := t.decision.Awaited
+	awaited := t.decision.Wait
 	if awaited == nil {
 		return
 	}
 	now := t.backend.server.options.Clock
-	timer := time.NewTimer(awaited.Until() - now())
+	timer := time.NewTimer(awaited.Deadline() - now())
 	defer timer.Stop()
 	for {
 		changed := awaited.Changed()
-		if awaited.Over(now()) {
+		if awaited.Done(now()) {
 			return
 		}
 		select {
@@ -280,7 +280,7 @@
 		return nil
 	}
 	server := t.backend.server
-	server.router.WeightVersionSeen(server.options.Clock(), t.decision.Address, answered)
+	server.router.ObserveWeightVersion(server.options.Clock(), t.decision.Address, answered)
 	if answered != t.decision.WeightVersion {
 		server.quarantine.report(t.decision.Address, answered)
 		return &versionError{expected: t.decision.WeightVersion, answered: answered}
--- a/internal/dataplane/readers.go
+++ b/internal/dataplane/readers.go
@@ -237,7 +237,7 @@
 // that it keeps when that is not known, and otherwise a page from where this node
 // stands.
 func (r *reportReaders) readOnce(ctx context.Context, address string) error {
-	if !r.server.router.PartsWhole(address) && r.listings.take(r.server.options.Clock(), address) {
+	if !r.server.router.ChunksComplete(address) && r.listings.take(r.server.options.Clock(), address) {
 		if r.list(ctx, address) == nil {
 			return nil
 		}
@@ -247,7 +247,7 @@
 
 // readPage reads a page from where this node stands.
 func (r *reportReaders) readPage(ctx context.Context, address string) error {
-	epoch, since, known := r.server.router.PartsPosition(address)
+	epoch, since, known := r.server.router.ChunksPosition(address)
 	bounded, cancel := context.WithTimeout(ctx, readWait+readPatience)
 	defer cancel()
 	page, err := r.reader.Read(bounded, address, since, readWait)
@@ -271,11 +271,11 @@
 func sharedReport(address string, since uint64, page ReportPage) shared.Report {
 	return shared.Report{
 		Address: address,
-		Feed:    kvrouter.Feed{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
+		Feed:    kvrouter.FeedPosition{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
 		Changes: lo.Map(page.Changes, func(change PartChange, _ int) shared.Change {
 			return shared.Change{
 				Sequence: change.Sequence,
-				Name:     prefixindex.NamedPart(change.Model, change.CacheSalt, change.ID),
+				Name:     prefixindex.HashByID(change.Model, change.CacheSalt, change.ID),
 				Tokens:   change.Tokens,
 				Removed:  change.Removed,
 			}
--- a/internal/dataplane/shared/message.go
+++ b/internal/dataplane/shared/message.go
@@ -70,7 +70,7 @@
 // Report hands on a page of a replica's or store's reports.
 type Report struct {
 	Address string
-	Feed    kvrouter.Feed
+	Feed    kvrouter.FeedPosition
 	// Whole tells that the changes are all that is kept, instead of changes.
 	Whole   bool
 	Changes []Change
--- a/internal/dataplane/sharing.go
+++ b/internal/dataplane/sharing.go
@@ -104,7 +104,7 @@
 func (s *Server) News() shared.News {
 	now := s.options.Clock()
 	s.health.sweep(now)
-	news := s.sharing.take(now, s.router.OwnLoads(now))
+	news := s.sharing.take(now, s.router.LocalLoads(now))
 	news.Outcomes = s.health.TakeReports(now)
 	return news
 }
@@ -113,10 +113,10 @@
 func (s *Server) TakeNews(news shared.News) {
 	now := s.options.Clock()
 	for _, load := range news.Loads {
-		s.router.RemoteLoad(now, string(news.Node), load.Address, load.SharedLoad)
+		s.router.SetRemoteLoad(now, string(news.Node), load.Address, load.SharedLoad)
 	}
 	for _, dispatch := range news.Dispatches {
-		s.router.ObserveLinks(now, dispatch.Address, dispatch.Links)
+		s.router.ObserveDispatchLinks(now, dispatch.Address, dispatch.Links)
 	}
 	for _, report := range news.Reports {
 		s.takeReport(now, report)
@@ -140,17 +140,17 @@
 	defer s.lookWarm()
 	changes := partChanges(report.Changes)
 	if report.Whole {
-		return s.router.PartsListed(now, report.Address, report.Feed.Incarnation, report.Feed.Next, changes)
+		return s.router.ChunksReplaced(now, report.Address, report.Feed.Incarnation, report.Feed.Next, changes)
 	}
-	return s.router.PartsReported(now, report.Address, report.Feed, changes)
+	return s.router.ChunksReported(now, report.Address, report.Feed, changes)
 }
 
 // partChanges are changes as the router takes them.
-func partChanges(told []shared.Change) []kvrouter.PartChange {
-	return lo.Map(told, func(change shared.Change, _ int) kvrouter.PartChange {
-		return kvrouter.PartChange{
+func partChanges(told []shared.Change) []kvrouter.ChunkChange {
+	return lo.Map(told, func(change shared.Change, _ int) kvrouter.ChunkChange {
+		return kvrouter.ChunkChange{
 			Sequence: change.Sequence,
-			Name:     change.Name,
+			Hash:     change.Name,
 			Tokens:   change.Tokens,
 			Removed:  change.Removed,
 		}
--- a/internal/dataplane/warmup.go
+++ b/internal/dataplane/warmup.go
@@ -69,7 +69,7 @@
 
 // lookWarm looks whether the node knows enough of what replicas keep.
 func (s *Server) lookWarm() {
-	s.warmUp.look(s.options.Clock(), s.options.Source.View(), s.router.PartsWhole)
+	s.warmUp.look(s.options.Clock(), s.options.Source.View(), s.router.ChunksComplete)
 }
 
 // holdPrompt holds the work's prompt back while the node warms up.
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/warmup_test.go
@@ -36,7 +36,7 @@
 		Expect(stand.requests()).To(BeEmpty())
 
 		f.server.TakeNews(shared.News{Node: "other", Reports: []shared.Report{
-			{Address: stand.address(), Feed: kvrouter.Feed{Incarnation: 1, Next: 1}, Whole: true},
+			{Address: stand.address(), Feed: kvrouter.FeedPosition{Incarnation: 1, Next: 1}, Whole: true},
 		}})
 		f.timeout = 10000
 		f.publish()
--- a/internal/edge/caller/prefix.go
+++ b/internal/edge/caller/prefix.go
@@ -11,7 +11,7 @@
 const tokensParameter = "tokens"
 
 // ParsePrefix reads `id;tokens=N, id;tokens=N`. A returned error is a *Problem.
-func ParsePrefix(value string) ([]prefixindex.Part, error) {
+func ParsePrefix(value string) ([]prefixindex.Chunk, error) {
 	if strings.TrimSpace(value) == "" {
 		return nil, nil
 	}
@@ -19,7 +19,7 @@
 	if len(fields) > MaxParts {
 		return nil, NewProblem(KindBadRequest, "%s lists %d parts: send at most %d", HeaderPrefix, len(fields), MaxParts)
 	}
-	parts := make([]prefixindex.Part, len(fields))
+	parts := make([]prefixindex.Chunk, len(fields))
 	total := uint64(0)
 	for position, field := range fields {
 		part, err := parsePart(position, field)
@@ -36,7 +36,7 @@
 }
 
 // FormatPrefix writes parts as ParsePrefix reads them.
-func FormatPrefix(parts []prefixindex.Part) string {
+func FormatPrefix(parts []prefixindex.Chunk) string {
 	var text strings.Builder
 	text.Grow(prefixBytes(parts))
 	for position, part := range parts {
@@ -51,7 +51,7 @@
 }
 
 // prefixBytes bounds the length of the parts as text.
-func prefixBytes(parts []prefixindex.Part) int {
+func prefixBytes(parts []prefixindex.Chunk) int {
 	const besidesID = len(", ;"+tokensParameter+"=") + len("4294967295")
 	total := besidesID * len(parts)
 	for _, part := range parts {
@@ -61,21 +61,21 @@
 }
 
 // parsePart reads one part.
-func parsePart(position int, field string) (prefixindex.Part, error) {
+func parsePart(position int, field string) (prefixindex.Chunk, error) {
 	id, parameter, found := strings.Cut(field, ";")
 	id = strings.TrimSpace(id)
 	name, value, assigned := strings.Cut(strings.TrimSpace(parameter), "=")
 	if !found || !assigned || name != tokensParameter {
-		return prefixindex.Part{}, partProblem(position, field)
+		return prefixindex.Chunk{}, partProblem(position, field)
 	}
 	if id == "" || len(id) > MaxPartIDBytes || strings.ContainsAny(id, " \t\"\\=") {
-		return prefixindex.Part{}, partProblem(position, field)
+		return prefixindex.Chunk{}, partProblem(position, field)
 	}
 	tokens, err := strconv.ParseUint(value, 10, 32)
 	if err != nil || tokens == 0 || tokens > MaxPartTokens {
-		return prefixindex.Part{}, partProblem(position, field)
+		return prefixindex.Chunk{}, partProblem(position, field)
 	}
-	return prefixindex.Part{ID: id, Tokens: uint32(tokens)}, nil
+	return prefixindex.Chunk{ID: id, Tokens: uint32(tokens)}, nil
 }
 
 // partProblem says which part cannot be read.
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -21,7 +21,7 @@
 	ID string
 	// Model is empty if the caller gave none.
 	Model string
-	Parts []prefixindex.Part
+	Parts []prefixindex.Chunk
 	// Repeatable permits the request to run more than once.
 	Repeatable bool
 	// Deadline is the longest time that the caller waits; zero if not given.
--- a/internal/edge/caller/request_test.go
+++ b/internal/edge/caller/request_test.go
@@ -31,7 +31,7 @@
 		}
 		Expect(caller.Parse(request)).To(Equal(caller.Request{
 			ID: "r-1", Model: "large", Repeatable: true, Deadline: 250 * time.Millisecond, OutputTokens: 9, Streamed: true,
-			Parts: []prefixindex.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
+			Parts: []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
 		}))
 	})
 
@@ -70,7 +70,7 @@
 	)
 
 	It("reads what it writes", func() {
-		parts := []prefixindex.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}}
+		parts := []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}}
 		Expect(caller.ParsePrefix(caller.FormatPrefix(parts))).To(Equal(parts))
 	})
 })
--- a/internal/lab/bench/ablation.go
+++ b/internal/lab/bench/ablation.go
@@ -105,8 +105,8 @@
 const (
 	// noCredit stands for 0 where 0 means the default.
 	noCredit = 1e-9
-	// neverWorthIt makes every pull look slower than prefill.
-	neverWorthIt = 1e9
+	// neverFaster makes every pull look slower than prefill.
+	neverFaster = 1e9
 )
 
 // Variations returns the knobs of the router, each with the values that the
@@ -121,7 +121,7 @@
 	all = append(all, vary("temperature", func(s *Settings, v float64) { s.Routing.Temperature = v }, 0, 0.1, 0.5)...)
 	all = append(all, vary("guess credit", func(s *Settings, v float64) { s.Router.GuessCredit = max(v, noCredit) }, 0, 0.5, 0.75, 1)...)
 	return append(all,
-		Variation{Knob: "pulls", Value: "off", apply: func(s *Settings) { s.Router.PullAdvantage = neverWorthIt }},
+		Variation{Knob: "pulls", Value: "off", apply: func(s *Settings) { s.Router.PullAdvantage = neverFaster }},
 		Variation{Knob: "store", Value: "none", apply: func(s *Settings) { s.StoreTokens = 0 }},
 		Variation{Knob: "prediction until reported", Value: "off", apply: func(s *Settings) { s.Router.PredictionLag = -time.Second }},
 	)
--- a/internal/lab/bench/baselines.go
+++ b/internal/lab/bench/baselines.go
@@ -10,8 +10,8 @@
 // replicaLoad is what least-loaded knows of a replica: the tokens of prompts
 // that have no first token yet, and all tokens that its attempts hold.
 type replicaLoad struct {
-	waiting uint64
-	held    uint64
+	prefillTokens  uint64
+	reservedTokens uint64
 }
 
 // leastLoaded sends each attempt to the replica with the least load, which it
@@ -27,10 +27,10 @@
 }
 
 func (p *leastLoaded) cost(load replicaLoad) float64 {
-	return p.prefillScale*float64(load.waiting) + float64(load.held)
+	return p.prefillScale*float64(load.prefillTokens) + float64(load.reservedTokens)
 }
 
-func (p *leastLoaded) place(_ time.Duration, request *workload.Request) (placement, time.Duration) {
+func (p *leastLoaded) route(_ time.Duration, request *workload.Request) (placement, time.Duration) {
 	best := p.start
 	for step := range p.loads {
 		candidate := (p.start + step) % len(p.loads)
@@ -46,13 +46,13 @@
 		output:  uint64(request.OutputTokens),
 	}
 	load := &p.loads[best]
-	load.waiting += placed.prompt
-	load.held += placed.prompt + placed.output
+	load.prefillTokens += placed.prompt
+	load.reservedTokens += placed.prompt + placed.output
 	return placed, 0
 }
 
 func (p *leastLoaded) firstToken(_ time.Duration, placed *placement) {
-	p.loads[placed.replica].waiting -= placed.prompt
+	p.loads[placed.replica].prefillTokens -= placed.prompt
 }
 
 func (p *leastLoaded) finished(now time.Duration, placed *placement, completed bool) {
@@ -60,7 +60,7 @@
 		p.firstToken(now, placed)
 	}
 	load := &p.loads[placed.replica]
-	load.held -= placed.prompt + placed.output
+	load.reservedTokens -= placed.prompt + placed.output
 }
 
 // roundRobin sends attempts to all replicas in turn.
@@ -70,7 +70,7 @@
 	next     int
 }
 
-func (p *roundRobin) place(_ time.Duration, request *workload.Request) (placement, time.Duration) {
+func (p *roundRobin) route(_ time.Duration, request *workload.Request) (placement, time.Duration) {
 	chosen := p.next
 	p.next = (p.next + 1) % p.replicas
 	return placement{replica: chosen, salt: p.salts.of(request.Tenant, weightVersion)}, 0
@@ -87,7 +87,7 @@
 	random   *rand.Rand
 }
 
-func (p *uniform) place(_ time.Duration, request *workload.Request) (placement, time.Duration) {
+func (p *uniform) route(_ time.Duration, request *workload.Request) (placement, time.Duration) {
 	chosen := p.random.IntN(p.replicas)
 	return placement{replica: chosen, salt: p.salts.of(request.Tenant, weightVersion)}, 0
 }
--- a/internal/lab/bench/policy.go
+++ b/internal/lab/bench/policy.go
@@ -46,8 +46,8 @@
 
 // policy places attempts, and hears what becomes of them.
 type policy interface {
-	// place returns where to send an attempt, or after what time to ask again.
-	place(now time.Duration, request *workload.Request) (placed placement, retryAfter time.Duration)
+	// route returns where to send an attempt, or after what time to ask again.
+	route(now time.Duration, request *workload.Request) (placed placement, retryAfter time.Duration)
 	firstToken(now time.Duration, placed *placement)
 	finished(now time.Duration, placed *placement, completed bool)
 }
@@ -58,8 +58,8 @@
 	// wanted.
 	event(now time.Duration, replicaNumber int, event replica.Event) bool
 	report(now time.Duration, replicaNumber int, report replica.Report)
-	// resyncWanted returns the replicas that a reset is wanted of.
-	resyncWanted(now time.Duration) []int
+	// resyncNeeded returns the replicas that a reset is wanted of.
+	resyncNeeded(now time.Duration) []int
 }
 
 func newPolicy(name PolicyName, settings Settings) policy {
--- a/internal/lab/bench/prefixaware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -14,8 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// placeAgainAfter is when to ask again if the router does not say.
-const placeAgainAfter = time.Second
+// defaultRetryAfter is when to ask again if the router does not say.
+const defaultRetryAfter = time.Second
 
 // storeAddress names the store.
 const storeAddress = "store"
@@ -46,7 +46,7 @@
 	}
 	for number := range settings.Replicas {
 		address := settings.address(number)
-		p.addHolder(address)
+		p.addOwner(address)
 		p.candidates = append(p.candidates, kvrouter.Candidate{
 			Address:       address,
 			Zone:          settings.zone(number),
@@ -55,21 +55,21 @@
 	}
 	if settings.StoreTokens > 0 {
 		p.store, p.storeZone = storeAddress, settings.storeZone()
-		p.addHolder(storeAddress)
+		p.addOwner(storeAddress)
 	}
 	return p
 }
 
-func (p *prefixAware) addHolder(address string) {
+func (p *prefixAware) addOwner(address string) {
 	p.numbers[address] = len(p.addresses)
 	p.addresses = append(p.addresses, address)
 }
 
-func (p *prefixAware) place(now time.Duration, request *workload.Request) (placement, time.Duration) {
+func (p *prefixAware) route(now time.Duration, request *workload.Request) (placement, time.Duration) {
 	decision, err := p.router.Select(kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Parts:        request.Parts,
+		Chunks:       request.Parts,
 		OutputTokens: request.OutputTokens,
 		SaltFor:      func(version string) string { return p.salts.of(request.Tenant, version) },
 		Settings:     p.routing,
@@ -97,7 +97,7 @@
 	if errors.As(err, &none) && none.RetryAfter > 0 {
 		return none.RetryAfter
 	}
-	return placeAgainAfter
+	return defaultRetryAfter
 }
 
 func (p *prefixAware) firstToken(now time.Duration, placed *placement) {
@@ -133,18 +133,18 @@
 	})
 }
 
-func (p *prefixAware) resyncWanted(now time.Duration) []int {
-	return lo.Map(p.router.ResyncWanted(now), func(address string, _ int) int { return p.numbers[address] })
+func (p *prefixAware) resyncNeeded(now time.Duration) []int {
+	return lo.Map(p.router.ResyncNeeded(now), func(address string, _ int) int { return p.numbers[address] })
 }
 
-func links(parts []replica.Part) []prefixindex.Link {
-	return lo.Map(parts, func(part replica.Part, _ int) prefixindex.Link {
-		return prefixindex.Link{Hash: mustHash(part.Hash), Tokens: part.Tokens}
+func links(chunks []replica.Part) []prefixindex.Link {
+	return lo.Map(chunks, func(chunk replica.Part, _ int) prefixindex.Link {
+		return prefixindex.Link{Hash: mustHash(chunk.Hash), Tokens: chunk.Tokens}
 	})
 }
 
-func hashes(parts []replica.Part) []prefixindex.ChainHash {
-	return lo.Map(parts, func(part replica.Part, _ int) prefixindex.ChainHash { return mustHash(part.Hash) })
+func hashes(chunks []replica.Part) []prefixindex.ChainHash {
+	return lo.Map(chunks, func(chunk replica.Part, _ int) prefixindex.ChainHash { return mustHash(chunk.Hash) })
 }
 
 // mustHash reads a name that the emulator has written.
--- a/internal/lab/bench/replay.go
+++ b/internal/lab/bench/replay.go
@@ -45,9 +45,9 @@
 	return outcomes, nil
 }
 
-// note enters what happened to a request of a trace that Replay was given.
-func (s *simulation) note(request *workload.Request, enter func(*Outcome)) {
+// updateOutcome enters what happened to a request of a trace that Replay was given.
+func (s *simulation) updateOutcome(request *workload.Request, update func(*Outcome)) {
 	if outcome := s.outcomes[request]; outcome != nil {
-		enter(outcome)
+		update(outcome)
 	}
 }
--- a/internal/lab/bench/reporting.go
+++ b/internal/lab/bench/reporting.go
@@ -7,8 +7,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/emulator"
 )
 
-// keeper is a replica or store as far as it reports what it keeps.
-type keeper interface {
+// source is a replica or store as far as it reports what it keeps.
+type reportSource interface {
 	Journal() *emulator.Journal
 	Snapshot() replica.Event
 }
@@ -17,31 +17,31 @@
 type reporter struct {
 	number int
 	zone   string
-	keeper keeper
+	source reportSource
 	feed   *emulator.Feed
 	// sequence is how far the journal has been sent on.
 	sequence uint64
 	// resyncing is set from the wish for a reset until one has come.
 	resyncing bool
-	// linkFree is when the network is done with earlier transfers.
-	linkFree time.Duration
+	// linkFreeAt is when the network is done with earlier transfers.
+	linkFreeAt time.Duration
 }
 
-func newReporter(settings Settings, number int, keeper keeper) reporter {
+func newReporter(settings Settings, number int, source reportSource) reporter {
 	return reporter{
 		number: number,
 		zone:   settings.zone(number),
-		keeper: keeper,
+		source: source,
 		feed:   emulator.NewFeed(settings.Feed, settings.Seed+uint64(number)),
 	}
 }
 
 // sendEvents carries the new events to the policy, and returns them.
 func (s *simulation) sendEvents(now time.Duration, from *reporter) []replica.Event {
-	journal := from.keeper.Journal()
-	events, kept := journal.After(from.sequence)
-	if !kept {
-		events = []replica.Event{from.keeper.Snapshot()}
+	journal := from.source.Journal()
+	events, complete := journal.After(from.sequence)
+	if !complete {
+		events = []replica.Event{from.source.Snapshot()}
 	}
 	from.sequence = journal.LastSequence()
 	for _, event := range events {
@@ -78,7 +78,7 @@
 	from.resyncing = true
 	s.tallies.resyncs++
 	s.timers.Add(now+s.settings.ResyncDelay, func(now time.Duration) {
-		s.carry(now, from, from.keeper.Snapshot())
+		s.carry(now, from, from.source.Snapshot())
 	})
 }
 
@@ -94,12 +94,12 @@
 func (s *simulation) sendReports(now time.Duration) {
 	for _, machine := range s.machines {
 		report := machine.model.Report(now)
-		s.settle(now, machine)
+		s.publishNotices(now, machine)
 		if s.reportLoss.Float64() >= s.settings.ReportLossRatio {
 			s.reader.report(now, machine.number, report)
 		}
 	}
-	for _, number := range s.reader.resyncWanted(now) {
+	for _, number := range s.reader.resyncNeeded(now) {
 		s.resync(now, s.reporter(number))
 	}
 	s.timers.Add(now+s.settings.ReportEvery, s.sendReports)
--- a/internal/lab/bench/result.go
+++ b/internal/lab/bench/result.go
@@ -140,12 +140,12 @@
 
 // quantile returns the smallest value that at least a share of the values do not
 // exceed.
-func quantile(values []time.Duration, share float64) time.Duration {
+func quantile(values []time.Duration, fraction float64) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[int(share*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
 
 func milliseconds(span time.Duration) float64 {
--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -10,16 +10,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// submitAgainAfter is when a request that a replica refused is placed again.
-const submitAgainAfter = time.Second
+// resubmitAfter is when a request that a replica refused is placed again.
+const resubmitAfter = time.Second
 
 // machine is one emulated replica with what is under way on it.
 type machine struct {
 	reporter
 	model    *emulator.Replica
 	attempts map[emulator.Handle]*attempt
-	// pushFree is when the machine has sent all earlier parts to the store.
-	pushFree time.Duration
+	// pushFreeAt is when the machine has sent all earlier parts to the store.
+	pushFreeAt time.Duration
 }
 
 // attempt is one request on a machine.
@@ -83,7 +83,7 @@
 		now, machine := s.next()
 		if machine != nil {
 			machine.model.Advance(now)
-			s.settle(now, machine)
+			s.publishNotices(now, machine)
 			continue
 		}
 		s.timers.RunDue(now)
@@ -106,54 +106,54 @@
 
 // arrive places a request and hands it to the replica.
 func (s *simulation) arrive(now time.Duration, request *workload.Request) {
-	placed, again := s.policy.place(now, request)
-	if again > 0 {
+	placement, retryAfter := s.policy.route(now, request)
+	if retryAfter > 0 {
 		s.tallies.deferred++
-		s.note(request, func(outcome *Outcome) { outcome.Deferred++ })
-		s.timers.Add(now+again, func(now time.Duration) { s.arrive(now, request) })
+		s.updateOutcome(request, func(outcome *Outcome) { outcome.Deferred++ })
+		s.timers.Add(now+retryAfter, func(now time.Duration) { s.arrive(now, request) })
 		return
 	}
-	machine := s.machines[placed.replica]
+	machine := s.machines[placement.replica]
 	handle, err := machine.model.Submit(now, emulator.Request{
 		RequestID:    request.ID,
 		Tenant:       request.Tenant,
 		Model:        model,
-		CacheSalt:    placed.salt,
+		CacheSalt:    placement.salt,
 		Parts:        request.Parts,
 		OutputTokens: request.OutputTokens,
-		AwaitPull:    placed.pull != nil,
+		AwaitPull:    placement.pull != nil,
 	})
 	if err != nil {
 		s.tallies.refused++
-		s.note(request, func(outcome *Outcome) { outcome.Refused++ })
-		s.policy.finished(now, &placed, false)
-		s.timers.Add(now+submitAgainAfter, func(now time.Duration) { s.arrive(now, request) })
+		s.updateOutcome(request, func(outcome *Outcome) { outcome.Refused++ })
+		s.policy.finished(now, &placement, false)
+		s.timers.Add(now+resubmitAfter, func(now time.Duration) { s.arrive(now, request) })
 		return
 	}
-	machine.attempts[handle] = &attempt{request: request, placed: placed}
-	if placed.pull != nil {
-		s.pull(now, machine, handle, placed)
+	machine.attempts[handle] = &attempt{request: request, placed: placement}
+	if placement.pull != nil {
+		s.pull(now, machine, handle, placement)
 	}
-	s.settle(now, machine)
+	s.publishNotices(now, machine)
 }
 
 // pull moves the parts that the replica lacks from a peer or the store. The
 // networks of both ends carry one transfer at a time.
 func (s *simulation) pull(now time.Duration, to *machine, handle emulator.Handle, placed placement) {
 	missing := to.model.Missing(handle, placed.pull.FirstPart, placed.pull.LastPart)
-	from, parts := s.export(now, placed.source, missing)
+	from, chunks := s.export(now, placed.source, missing)
 	var tokens uint64
-	for _, part := range parts {
-		tokens += uint64(part.Tokens)
+	for _, chunk := range chunks {
+		tokens += uint64(chunk.Tokens)
 	}
-	start := max(now, from.linkFree, to.linkFree)
+	start := max(now, from.linkFreeAt, to.linkFreeAt)
 	end := start + s.settings.Links.TransferTime(from.zone, to.zone, tokens)
-	from.linkFree = end
-	to.linkFree = end
+	from.linkFreeAt = end
+	to.linkFreeAt = end
 	s.tallies.pulledTokens += tokens
 	s.timers.Add(end, func(now time.Duration) {
-		to.model.PullDone(now, handle, parts)
-		s.settle(now, to)
+		to.model.PullDone(now, handle, chunks)
+		s.publishNotices(now, to)
 	})
 }
 
@@ -164,27 +164,27 @@
 		return &s.store.reporter, s.store.export(missing)
 	}
 	from := s.machines[source]
-	parts := from.model.Export(now, missing)
-	s.settle(now, from)
-	return &from.reporter, parts
+	chunks := from.model.Export(now, missing)
+	s.publishNotices(now, from)
+	return &from.reporter, chunks
 }
 
-// settle tells the policy what has happened on a machine and sends its new
+// publishNotices tells the policy what has happened on a machine and sends its new
 // events on their way.
-func (s *simulation) settle(now time.Duration, machine *machine) {
+func (s *simulation) publishNotices(now time.Duration, machine *machine) {
 	for _, notice := range machine.model.Notices() {
-		under := machine.attempts[notice.Handle]
+		notified := machine.attempts[notice.Handle]
 		switch notice.Kind {
 		case emulator.NoticeFirstToken:
-			s.policy.firstToken(now, &under.placed)
-			s.tallies.firstTokens = append(s.tallies.firstTokens, notice.At-under.request.At)
-			s.note(under.request, func(outcome *Outcome) {
-				outcome.FirstToken = notice.At - under.request.At
+			s.policy.firstToken(now, &notified.placed)
+			s.tallies.firstTokens = append(s.tallies.firstTokens, notice.At-notified.request.At)
+			s.updateOutcome(notified.request, func(outcome *Outcome) {
+				outcome.FirstToken = notice.At - notified.request.At
 				outcome.ReusedTokens = notice.ReusedTokens
 			})
 		case emulator.NoticeFinished:
-			s.policy.finished(now, &under.placed, true)
-			s.note(under.request, func(outcome *Outcome) { outcome.Finished = notice.At - under.request.At })
+			s.policy.finished(now, &notified.placed, true)
+			s.updateOutcome(notified.request, func(outcome *Outcome) { outcome.Finished = notice.At - notified.request.At })
 			delete(machine.attempts, notice.Handle)
 			s.open--
 			s.tallies.end = now
@@ -193,8 +193,8 @@
 	if s.reader == nil {
 		return
 	}
-	made := s.sendEvents(now, &machine.reporter)
+	events := s.sendEvents(now, &machine.reporter)
 	if s.store != nil {
-		s.push(now, machine, made)
+		s.push(now, machine, events)
 	}
 }
--- a/internal/lab/bench/store.go
+++ b/internal/lab/bench/store.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// leastPushTokens is the length from which on replicas push a part.
-	leastPushTokens = 256
+	// minPushTokens is the length from which on replicas push a part.
+	minPushTokens = 256
 	// storeJournalEvents bounds the events that a store keeps for readers.
 	storeJournalEvents = 4096
 )
@@ -34,15 +34,15 @@
 
 // export returns the parts that are kept up to the first one that is not.
 func (s *store) export(hashes []prefixindex.ChainHash) []emulator.KeptPart {
-	var parts []emulator.KeptPart
+	var chunks []emulator.KeptPart
 	for _, hash := range hashes {
-		part, kept := s.model.Get(hash)
-		if !kept {
+		chunk, found := s.model.Get(hash)
+		if !found {
 			break
 		}
-		parts = append(parts, part)
+		chunks = append(chunks, chunk)
 	}
-	return parts
+	return chunks
 }
 
 // push sends what a replica has newly kept to the store, one part after the
@@ -52,23 +52,23 @@
 		if event.Kind != replica.EventStored {
 			continue
 		}
-		for _, part := range event.Parts {
-			if part.Tokens >= leastPushTokens {
-				s.pushPart(now, from, mustHash(part.Hash), part.Tokens)
+		for _, chunk := range event.Parts {
+			if chunk.Tokens >= minPushTokens {
+				s.pushChunk(now, from, mustHash(chunk.Hash), chunk.Tokens)
 			}
 		}
 	}
 }
 
-func (s *simulation) pushPart(now time.Duration, from *machine, hash prefixindex.ChainHash, tokens uint32) {
-	if _, kept := s.store.model.Get(hash); kept {
+func (s *simulation) pushChunk(now time.Duration, from *machine, hash prefixindex.ChainHash, tokens uint32) {
+	if _, found := s.store.model.Get(hash); found {
 		return
 	}
 	took := s.settings.Links.TransferTime(from.zone, s.store.zone, uint64(tokens))
-	from.pushFree = max(now, from.pushFree) + took
-	s.timers.Add(from.pushFree, func(now time.Duration) {
-		if part, kept := from.model.Part(hash); kept {
-			s.store.model.Put(part)
+	from.pushFreeAt = max(now, from.pushFreeAt) + took
+	s.timers.Add(from.pushFreeAt, func(now time.Duration) {
+		if chunk, found := from.model.Part(hash); found {
+			s.store.model.Put(chunk)
 			s.sendEvents(now, &s.store.reporter)
 		}
 	})
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -44,7 +44,7 @@
 		_, err := emulated.Submit(one.at, emulator.Request{
 			RequestID: fmt.Sprintf("request-%d", number),
 			Attempt:   1, Tenant: one.tenant, Model: "model", CacheSalt: one.salt, OutputTokens: 1,
-			Parts: []prefixindex.Part{{ID: "shared", Tokens: 1000}},
+			Parts: []prefixindex.Chunk{{ID: "shared", Tokens: 1000}},
 		})
 		Expect(err).NotTo(HaveOccurred())
 	}
--- a/internal/lab/emulator/cache_test.go
+++ b/internal/lab/emulator/cache_test.go
@@ -10,7 +10,7 @@
 )
 
 func chain(ids ...string) []prefixindex.Link {
-	parts := lo.Map(ids, func(id string, _ int) prefixindex.Part { return prefixindex.Part{ID: id, Tokens: 100} })
+	parts := lo.Map(ids, func(id string, _ int) prefixindex.Chunk { return prefixindex.Chunk{ID: id, Tokens: 100} })
 	return prefixindex.Chain("model", "salt", parts)
 }
 
--- a/internal/lab/emulator/replica_test.go
+++ b/internal/lab/emulator/replica_test.go
@@ -25,15 +25,15 @@
 	return replica
 }
 
-func request(id, tenant, salt string, parts ...prefixindex.Part) emulator.Request {
+func request(id, tenant, salt string, parts ...prefixindex.Chunk) emulator.Request {
 	return emulator.Request{
 		RequestID: id, Attempt: 1, Tenant: tenant, Model: "model", CacheSalt: salt,
 		Parts: parts, OutputTokens: 10,
 	}
 }
 
-func part(id string, tokens uint32) prefixindex.Part {
-	return prefixindex.Part{ID: id, Tokens: tokens}
+func part(id string, tokens uint32) prefixindex.Chunk {
+	return prefixindex.Chunk{ID: id, Tokens: tokens}
 }
 
 // finish runs a replica until nothing changes any more.
@@ -167,7 +167,7 @@
 
 	It("waits for pulled parts and keeps who made them", func() {
 		source, replica := newReplica(smallMachine()), newReplica(smallMachine())
-		parts := []prefixindex.Part{part("a", 3000), part("b", 3000)}
+		parts := []prefixindex.Chunk{part("a", 3000), part("b", 3000)}
 		mustSubmit(source, 0, request("made", "maker", "s", parts...))
 		done := finish(source)
 		pulling := request("pulled", "user", "s", parts...)
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -21,7 +21,7 @@
 	Repeatable string
 	Model      string
 	CacheSalt  string
-	Parts      []prefixindex.Part
+	Parts      []prefixindex.Chunk
 	// OutputTokens is how many tokens are generated, at least 1.
 	OutputTokens uint32
 	// ChunkTokens asks for a notice each time so many tokens are out; 0 asks for
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -82,7 +82,7 @@
 }
 
 func rootOf(request Request) prefixindex.ChainHash {
-	return prefixindex.Root(request.Model, request.CacheSalt)
+	return prefixindex.RootHash(request.Model, request.CacheSalt)
 }
 
 func sortedHandles(active map[Handle]*sequence) []Handle {
--- a/internal/lab/enginebench/batch.go
+++ b/internal/lab/enginebench/batch.go
@@ -14,13 +14,13 @@
 	}
 	request.produced++
 	ended := request.produced >= request.arrival.out
-	if !request.firstTold && (request.produced >= r.engine.Stride || ended) {
-		request.firstTold = true
-		request.first(now + milliseconds(r.engine.First))
+	if !request.firstSent && (request.produced >= r.engine.Stride || ended) {
+		request.firstSent = true
+		request.first(now + milliseconds(r.engine.FirstEvent))
 	}
 	if ended {
 		r.remove(request)
-		request.done(now + milliseconds(r.engine.First))
+		request.done(now + milliseconds(r.engine.FirstEvent))
 	}
 }
 
--- a/internal/lab/enginebench/enginebench_test.go
+++ b/internal/lab/enginebench/enginebench_test.go
@@ -19,7 +19,7 @@
 func run(profile enginebench.Profile, policy enginebench.Policy, load float64) *enginebench.Result {
 	return enginebench.Run(enginebench.Settings{
 		Profile: profile, Policy: policy, Seed: 1, Load: load, Duration: 15 * time.Second,
-		EventLoss: 0.005, ShareEvery: 30 * time.Millisecond,
+		EventLoss: 0.005, LoadExchangeInterval: 30 * time.Millisecond,
 	})
 }
 
--- a/internal/lab/enginebench/feed.go
+++ b/internal/lab/enginebench/feed.go
@@ -9,13 +9,13 @@
 const (
 	salt  = "salt"
 	model = "model"
-	// batchEvery is how often changes of holders are handed on, and reportEvery
+	// batchInterval is how often changes of holders are handed on, and reportInterval
 	// how often they report load.
-	batchEvery  = 100 * time.Millisecond
-	reportEvery = 500 * time.Millisecond
-	reportAge   = 100 * time.Millisecond
+	batchInterval  = 100 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
+	reportAge      = 100 * time.Millisecond
 	// shareEvery is how often routers tell each other of their load.
-	shareDelay = 3 * time.Millisecond
+	loadExchangeDelay = 3 * time.Millisecond
 )
 
 // feedLog numbers the changes of a holder.
@@ -26,33 +26,33 @@
 // sendChanges hands the changes of all holders to the routers, each batch late
 // and some changes never.
 func (s *simulation) sendChanges(now time.Duration) {
-	for _, holder := range s.holders {
-		changes := holder.memory.takeChanges()
+	for _, owner := range s.owners {
+		changes := owner.memory.takeChanges()
 		if len(changes) == 0 {
 			continue
 		}
-		from := holder.feed.sequence
-		var batch []kvrouter.PartChange
+		from := owner.feed.sequence
+		var batch []kvrouter.ChunkChange
 		for _, change := range changes {
-			holder.feed.sequence++
+			owner.feed.sequence++
 			if s.random.Float64() < s.settings.EventLoss {
 				continue
 			}
-			batch = append(batch, kvrouter.PartChange{
-				Sequence: holder.feed.sequence, Salt: salt, Model: model, ID: change.id,
-				Tokens: uint32(change.kept), Removed: change.kept == 0,
+			batch = append(batch, kvrouter.ChunkChange{
+				Sequence: owner.feed.sequence, Salt: salt, Model: model, ID: change.id,
+				Tokens: uint32(change.cached), Removed: change.cached == 0,
 			})
 		}
-		position := kvrouter.Feed{Incarnation: 1, From: from, Next: holder.feed.sequence}
+		position := kvrouter.FeedPosition{Incarnation: 1, From: from, Next: owner.feed.sequence}
 		late := 80*time.Millisecond + time.Duration(s.random.ExpFloat64()*float64(50*time.Millisecond))
-		address := holder.address
+		address := owner.address
 		s.timers.Add(now+late, func(now time.Duration) {
 			for _, node := range s.nodes {
 				node.changes(now, address, position, batch)
 			}
 		})
 	}
-	s.timers.Add(now+batchEvery, s.sendChanges)
+	s.timers.Add(now+batchInterval, s.sendChanges)
 }
 
 // sendReports hands the load of the replicas to the routers.
@@ -72,14 +72,14 @@
 			}
 		})
 	}
-	s.timers.Add(now+reportEvery, s.sendReports)
+	s.timers.Add(now+reportInterval, s.sendReports)
 }
 
-// share lets the routers tell each other of their load.
-func (s *simulation) share(now time.Duration) {
+// exchangeLoads lets the routers tell each other of their load.
+func (s *simulation) exchangeLoads(now time.Duration) {
 	for from, node := range s.nodes {
 		loads := node.loads(now)
-		s.timers.Add(now+shareDelay, func(now time.Duration) {
+		s.timers.Add(now+loadExchangeDelay, func(now time.Duration) {
 			for to, other := range s.nodes {
 				if to != from {
 					other.remoteLoads(now, from, loads)
@@ -87,5 +87,5 @@
 			}
 		})
 	}
-	s.timers.Add(now+s.settings.ShareEvery, s.share)
+	s.timers.Add(now+s.settings.LoadExchangeInterval, s.exchangeLoads)
 }
--- a/internal/lab/enginebench/knobs.go
+++ b/internal/lab/enginebench/knobs.go
@@ -4,33 +4,33 @@
 
 // Knobs returns the router with one setting moved at a time.
 func Knobs() []Variant {
-	base := Variant{Name: "none moved", Policy: Router, ShareEvery: defaultShareEvery}
+	base := Variant{Name: "none moved", Policy: Router, LoadExchangeInterval: defaultLoadExchangeInterval}
 	variants := []Variant{base}
 	knob := func(name string, tune func(*RouterSettings)) {
 		moved := base
 		moved.Name, moved.Tune = name, tune
 		variants = append(variants, moved)
 	}
-	share := func(name string, every time.Duration) {
+	loadExchange := func(name string, interval time.Duration) {
 		moved := base
-		moved.Name, moved.ShareEvery = name, every
+		moved.Name, moved.LoadExchangeInterval = name, interval
 		variants = append(variants, moved)
 	}
-	share("load shared every 10 ms", 10*time.Millisecond)
-	share("load shared every 100 ms", 100*time.Millisecond)
-	share("load shared every 300 ms", 300*time.Millisecond)
-	share("load not shared", 0)
+	loadExchange("load shared every 10 ms", 10*time.Millisecond)
+	loadExchange("load shared every 100 ms", 100*time.Millisecond)
+	loadExchange("load shared every 300 ms", 300*time.Millisecond)
+	loadExchange("load not shared", 0)
 	knob("harm weight 0", func(s *RouterSettings) { s.Settings.HarmWeight = 0 })
 	knob("harm weight 4", func(s *RouterSettings) { s.Settings.HarmWeight = 4 })
 	knob("harm weight 1 at any backlog", func(s *RouterSettings) { s.Settings.HarmTime = 0 })
-	knob("pulled parts last", func(s *RouterSettings) { s.Settings.ChurnShare = 0 })
-	knob("churn share 0.3", func(s *RouterSettings) { s.Settings.ChurnShare = 0.3 })
+	knob("pulled parts last", func(s *RouterSettings) { s.Settings.ChurnFraction = 0 })
+	knob("churn share 0.3", func(s *RouterSettings) { s.Settings.ChurnFraction = 0.3 })
 	knob("decode weight 0", func(s *RouterSettings) { s.Settings.DecodeWeight = 0 })
 	knob("decode weight 1", func(s *RouterSettings) { s.Settings.DecodeWeight = 1 })
 	knob("less urgent weight 0.2", func(s *RouterSettings) { s.Settings.LessUrgentWeight = 0.2 })
 	knob("less urgent weight 1", func(s *RouterSettings) { s.Settings.LessUrgentWeight = 1 })
-	knob("move price 0", func(s *RouterSettings) { s.Settings.MovePrice = 0 })
-	knob("move price 0.5", func(s *RouterSettings) { s.Settings.MovePrice = 0.5 })
+	knob("move price 0", func(s *RouterSettings) { s.Settings.TransferPrice = 0 })
+	knob("move price 0.5", func(s *RouterSettings) { s.Settings.TransferPrice = 0.5 })
 	knob("request weight 64", func(s *RouterSettings) { s.Settings.RequestWeight = 64 })
 	knob("spread 0", func(s *RouterSettings) { s.Settings.SpreadTime = 0 })
 	knob("spread 60 ms", func(s *RouterSettings) { s.Settings.SpreadTime = 60 })
@@ -42,26 +42,26 @@
 
 // Ablation returns the router with one mechanism left out at a time.
 func Ablation() []Variant {
-	base := Variant{Name: "all mechanisms", Policy: Router, ShareEvery: defaultShareEvery}
+	base := Variant{Name: "all mechanisms", Policy: Router, LoadExchangeInterval: defaultLoadExchangeInterval}
 	variants := []Variant{base}
 	without := func(name string, tune func(*RouterSettings)) {
 		moved := base
 		moved.Name, moved.Tune = "without "+name, tune
 		variants = append(variants, moved)
 	}
-	without("prefix credit", func(s *RouterSettings) { s.Options.Off.Overlap = true })
-	without("own and others' expectations", func(s *RouterSettings) { s.Options.Off.Expectations = true })
-	without("learnt speeds", func(s *RouterSettings) { s.Options.Off.LearntSpeeds = true })
-	without("waiting for an earlier request", func(s *RouterSettings) { s.Options.Off.Waiting = true })
-	without("pulls from peers", func(s *RouterSettings) { s.Options.Off.PeerPulls = true })
-	without("pulls from the store", func(s *RouterSettings) { s.Options.Off.StorePulls = true })
-	without("saves", func(s *RouterSettings) { s.Options.Off.Saves = true })
+	without("prefix credit", func(s *RouterSettings) { s.Options.Disabled.Overlap = true })
+	without("own and others' expectations", func(s *RouterSettings) { s.Options.Disabled.PendingChunks = true })
+	without("learnt speeds", func(s *RouterSettings) { s.Options.Disabled.LearntSpeeds = true })
+	without("waiting for an earlier request", func(s *RouterSettings) { s.Options.Disabled.PrefixWaits = true })
+	without("pulls from peers", func(s *RouterSettings) { s.Options.Disabled.PeerPulls = true })
+	without("pulls from the store", func(s *RouterSettings) { s.Options.Disabled.StorePulls = true })
+	without("saves", func(s *RouterSettings) { s.Options.Disabled.SaveToStore = true })
 	without("priorities at replicas", func(s *RouterSettings) { s.SamePriority = true })
 	without("a preference of each node", func(s *RouterSettings) { s.Settings.SpreadTime = 0 })
 	without("price of zones", func(s *RouterSettings) { s.Settings.ZonePrice, s.Settings.ZonePricePerKilobyte = 0, 0 })
 	without("harm weight", func(s *RouterSettings) { s.Settings.HarmWeight = 0 })
 	without("price of memory in use", func(s *RouterSettings) { s.Settings.DecodeWeight = 0 })
 	alone := base
-	alone.Name, alone.ShareEvery = "without shared load", 0
+	alone.Name, alone.LoadExchangeInterval = "without shared load", 0
 	return append(variants, alone)
 }
--- a/internal/lab/enginebench/policy.go
+++ b/internal/lab/enginebench/policy.go
@@ -13,46 +13,48 @@
 
 // The policies.
 const (
-	Random          Policy = "random"
-	LeastRequests   Policy = "least requests"
-	Rendezvous      Policy = "rendezvous, bounded load"
-	RendezvousStore Policy = "rendezvous, priority, store"
-	LeastStore      Policy = "least requests, priority, store"
-	Router          Policy = "router"
-	RouterNoStore   Policy = "router, no store"
-	RouterNoShare   Policy = "router, no shared load"
+	Random                    Policy = "random"
+	LeastRequests             Policy = "least requests"
+	Rendezvous                Policy = "rendezvous, bounded load"
+	RendezvousStore           Policy = "rendezvous, priority, store"
+	LeastStore                Policy = "least requests, priority, store"
+	Router                    Policy = "router"
+	RouterWithoutStore        Policy = "router, no store"
+	RouterWithoutLoadExchange Policy = "router, no shared load"
 )
 
 // Policies returns all policies.
 func Policies() []Policy {
-	return []Policy{Random, LeastRequests, Rendezvous, RendezvousStore, LeastStore, Router, RouterNoStore, RouterNoShare}
+	return []Policy{Random, LeastRequests, Rendezvous, RendezvousStore, LeastStore, Router, RouterWithoutStore, RouterWithoutLoadExchange}
 }
 
 func (p Policy) usesStore() bool {
-	return p == RendezvousStore || p == LeastStore || p == Router || p == RouterNoShare
+	return p == RendezvousStore || p == LeastStore || p == Router || p == RouterWithoutLoadExchange
 }
 
-func (p Policy) isRouter() bool { return p == Router || p == RouterNoStore || p == RouterNoShare }
+func (p Policy) isRouter() bool {
+	return p == Router || p == RouterWithoutStore || p == RouterWithoutLoadExchange
+}
 
 // placement is where a node sends a request.
 type placement struct {
 	replica     int
 	priority    uint8
-	source      *holder
+	source      *owner
 	save        bool
 	reservation *kvrouter.Reservation
 	// believed are the leading tokens that the replica is taken to keep.
 	believed int
-	// awaited is what the request is held back for, or nil.
-	awaited *kvrouter.Awaited
+	// wait is what the request is held back for, or nil.
+	wait *kvrouter.PrefixWait
 }
 
 // node is a router that sees its share of the requests.
 type node interface {
-	place(now time.Duration, arrival *arrival) (placed placement, again time.Duration)
+	route(now time.Duration, arrival *arrival) (placed placement, again time.Duration)
 	first(now time.Duration, placed *placement)
 	done(now time.Duration, placed *placement)
-	changes(now time.Duration, address string, position kvrouter.Feed, changes []kvrouter.PartChange)
+	changes(now time.Duration, address string, position kvrouter.FeedPosition, changes []kvrouter.ChunkChange)
 	report(now time.Duration, address string, report kvrouter.Report)
 	loads(now time.Duration) []kvrouter.AddressLoad
 	remoteLoads(now time.Duration, from int, loads []kvrouter.AddressLoad)
@@ -81,7 +83,7 @@
 // boundedLoad is the most requests of a replica relative to the mean.
 const boundedLoad = 1.25
 
-func (n *simpleNode) place(_ time.Duration, arrival *arrival) (placement, time.Duration) {
+func (n *simpleNode) route(_ time.Duration, arrival *arrival) (placement, time.Duration) {
 	placed := placement{priority: 5}
 	switch n.policy {
 	case Random:
@@ -89,7 +91,7 @@
 	case LeastRequests, LeastStore:
 		placed.replica = n.least()
 	default:
-		placed.replica = n.rendezvous(arrival.parts[0].ID)
+		placed.replica = n.rendezvous(arrival.chunks[0].ID)
 	}
 	if n.policy.usesStore() {
 		placed.priority = arrival.class.Priority
@@ -112,7 +114,7 @@
 	return best
 }
 
-func (n *simpleNode) rendezvous(part string) int {
+func (n *simpleNode) rendezvous(chunk string) int {
 	total := 1
 	for _, running := range n.running {
 		total += running
@@ -124,7 +126,7 @@
 			continue
 		}
 		hash := fnv.New64a()
-		_, _ = hash.Write([]byte(part))
+		_, _ = hash.Write([]byte(chunk))
 		_, _ = hash.Write([]byte(n.sim.replicas[number].address))
 		mixed := hash.Sum64() * 0x9E3779B97F4A7C15
 		if best < 0 || mixed > highest {
@@ -141,7 +143,7 @@
 
 func (n *simpleNode) done(_ time.Duration, placed *placement) { n.running[placed.replica]-- }
 
-func (n *simpleNode) changes(time.Duration, string, kvrouter.Feed, []kvrouter.PartChange) {}
+func (n *simpleNode) changes(time.Duration, string, kvrouter.FeedPosition, []kvrouter.ChunkChange) {}
 
 func (n *simpleNode) report(time.Duration, string, kvrouter.Report) {}
 
--- a/internal/lab/enginebench/profile.go
+++ b/internal/lab/enginebench/profile.go
@@ -23,15 +23,15 @@
 	// PairsPerMillion is the time for a million pairs of a read token and one
 	// before it.
 	PairsPerMillion float64
-	First           float64
+	FirstEvent      float64
 	// Stride is the number of tokens in an event.
 	Stride        int
-	Chunk         int
+	PrefillChunk  int
 	BytesPerToken float64
 	LinkBits      float64
 	StoreBits     float64
 	StoreTokens   int
-	MoveSetup     float64
+	TransferSetup float64
 }
 
 // Class is one kind of request.
@@ -40,20 +40,20 @@
 	// PerSecond is the rate at a load of 1.
 	PerSecond float64
 	// Shared are the parts that requests share.
-	Shared []SharedPart
-	// Own is the mean of the own part, with the spread of its logarithm.
-	Own, OwnSpread, OwnMost float64
-	Out, OutSpread          float64
-	Aim, Deadline           time.Duration
-	Worth, LateWorth        float64
-	Priority                uint8
+	Shared []SharedChunk
+	// Unshared is the mean of the own part, with the spread of its logarithm.
+	Unshared, UnsharedSpread, UnsharedMax float64
+	Out, OutSpread                        float64
+	LatencyTarget, Deadline               time.Duration
+	Value, LateValue                      float64
+	Priority                              uint8
 }
 
-// SharedPart is a part drawn from a number of things.
-type SharedPart struct {
-	Things               int
-	Skew                 float64
-	Tokens, Spread, Most float64
+// SharedChunk is a part drawn from a number of things.
+type SharedChunk struct {
+	Variants            int
+	Skew                float64
+	Tokens, Spread, Max float64
 }
 
 // Profile is a fleet and what is asked of it.
@@ -71,27 +71,27 @@
 func harborEngine() Engine {
 	return Engine{
 		Slots: 64, MemoryTokens: 164044, StepBase: 4.63, StepPerSlot: 0.153,
-		ContextPerThousand: 0.00275, PrefillTokens: 37.9, PairsPerMillion: 0.248, First: 19,
-		Stride: 5, Chunk: 2048, BytesPerToken: 18432, LinkBits: 370e9, StoreBits: 37e9,
-		StoreTokens: 2_309_790, MoveSetup: 5,
+		ContextPerThousand: 0.00275, PrefillTokens: 37.9, PairsPerMillion: 0.248, FirstEvent: 19,
+		Stride: 5, PrefillChunk: 2048, BytesPerToken: 18432, LinkBits: 370e9, StoreBits: 37e9,
+		StoreTokens: 2_309_790, TransferSetup: 5,
 	}
 }
 
-func shared13(things int) []SharedPart {
-	return []SharedPart{{Things: things, Skew: 0.3, Tokens: 13300, Spread: 0.7, Most: 39900}}
+func oneLongChunk(variants int) []SharedChunk {
+	return []SharedChunk{{Variants: variants, Skew: 0.3, Tokens: 13300, Spread: 0.7, Max: 39900}}
 }
 
-func twoParts(things int) []SharedPart {
-	return []SharedPart{
-		{Things: 4, Tokens: 2520, Spread: 0.4, Most: 6290},
-		{Things: things, Skew: 0.3, Tokens: 3780, Spread: 0.7, Most: 11300},
+func twoChunks(variants int) []SharedChunk {
+	return []SharedChunk{
+		{Variants: 4, Tokens: 2520, Spread: 0.4, Max: 6290},
+		{Variants: variants, Skew: 0.3, Tokens: 3780, Spread: 0.7, Max: 11300},
 	}
 }
 
-func shortParts(groups, things int) []SharedPart {
-	return []SharedPart{
-		{Things: groups, Tokens: 210, Spread: 0.4, Most: 524},
-		{Things: things, Skew: 0.3, Tokens: 140, Spread: 0.7, Most: 419},
+func shortChunks(groups, variants int) []SharedChunk {
+	return []SharedChunk{
+		{Variants: groups, Tokens: 210, Spread: 0.4, Max: 524},
+		{Variants: variants, Skew: 0.3, Tokens: 140, Spread: 0.7, Max: 419},
 	}
 }
 
@@ -102,14 +102,14 @@
 		Name: "wide", Replicas: 90, Zones: 5, Nodes: 60, Slowness: []float64{1},
 		Engine: Engine{
 			Slots: 48, MemoryTokens: 168_384, StepBase: 3.29, ContextPerThousand: 0.0262,
-			PrefillTokens: 93, PairsPerMillion: 0.442, First: 80,
-			Stride: 8, Chunk: 2048, BytesPerToken: 131072, LinkBits: 69e9, StoreBits: 670e9,
-			StoreTokens: 4_047_750, MoveSetup: 4,
+			PrefillTokens: 93, PairsPerMillion: 0.442, FirstEvent: 80,
+			Stride: 8, PrefillChunk: 2048, BytesPerToken: 131072, LinkBits: 69e9, StoreBits: 670e9,
+			StoreTokens: 4_047_750, TransferSetup: 4,
 		},
 		Classes: []Class{
-			{Name: "long", PerSecond: 70, Shared: shared13(428), Own: 3720, OwnSpread: 1.1, OwnMost: 53200, Out: 15, OutSpread: 1.4, Aim: 800 * time.Millisecond, Deadline: 8 * time.Second, Worth: 2, LateWorth: 0.6, Priority: 1},
-			{Name: "middle", PerSecond: 63, Shared: twoParts(587), Own: 2890, OwnSpread: 1, OwnMost: 39600, Out: 7, OutSpread: 1.4, Aim: 600 * time.Millisecond, Deadline: 4 * time.Second, Worth: 3, LateWorth: 0.9, Priority: 0},
-			{Name: "short", PerSecond: 131, Shared: shortParts(16, 1220), Own: 1110, OwnSpread: 1, OwnMost: 3790, Out: 22, OutSpread: 0.9, Aim: 500 * time.Millisecond, Deadline: 8 * time.Second, Worth: 1, LateWorth: 0.3, Priority: 2},
+			{Name: "long", PerSecond: 70, Shared: oneLongChunk(428), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, Out: 15, OutSpread: 1.4, LatencyTarget: 800 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
+			{Name: "middle", PerSecond: 63, Shared: twoChunks(587), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, Out: 7, OutSpread: 1.4, LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
+			{Name: "short", PerSecond: 131, Shared: shortChunks(16, 1220), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, Out: 22, OutSpread: 0.9, LatencyTarget: 500 * time.Millisecond, Deadline: 8 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
 		},
 	}
 }
@@ -127,17 +127,17 @@
 		{
 			Name: "large", Engine: large, Replicas: 18, Zones: 4, Nodes: 9, Slowness: []float64{1, 1, 1.3},
 			Classes: []Class{
-				{Name: "long", PerSecond: 18.9, Shared: shared13(94), Own: 3720, OwnSpread: 1.1, OwnMost: 53200, Out: 40, OutSpread: 1.4, Aim: time.Second, Deadline: 12 * time.Second, Worth: 3, LateWorth: 0.9, Priority: 0},
-				{Name: "middle", PerSecond: 15.3, Shared: twoParts(66), Own: 2890, OwnSpread: 1, OwnMost: 39600, Out: 17, OutSpread: 1.4, Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 2, LateWorth: 0.6, Priority: 1},
-				{Name: "short", PerSecond: 20.5, Shared: shortParts(40, 155), Own: 1110, OwnSpread: 1, OwnMost: 3790, Out: 57, OutSpread: 0.9, Aim: 2 * time.Second, Deadline: 15 * time.Second, Worth: 1, LateWorth: 0.3, Priority: 2},
+				{Name: "long", PerSecond: 18.9, Shared: oneLongChunk(94), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, Out: 40, OutSpread: 1.4, LatencyTarget: time.Second, Deadline: 12 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
+				{Name: "middle", PerSecond: 15.3, Shared: twoChunks(66), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, Out: 17, OutSpread: 1.4, LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
+				{Name: "short", PerSecond: 20.5, Shared: shortChunks(40, 155), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, Out: 57, OutSpread: 0.9, LatencyTarget: 2 * time.Second, Deadline: 15 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
 			},
 		},
 		{
 			Name: "small", Engine: harborEngine(), Replicas: 18, Zones: 3, Nodes: 8, Slowness: []float64{1, 1, 1.3},
 			Classes: []Class{
-				{Name: "long", PerSecond: 13.3, Shared: shared13(94), Own: 3720, OwnSpread: 1.1, OwnMost: 53200, Out: 24, OutSpread: 1.4, Aim: time.Second, Deadline: 10 * time.Second, Worth: 2, LateWorth: 0.6, Priority: 1},
-				{Name: "middle", PerSecond: 9.4, Shared: twoParts(66), Own: 2890, OwnSpread: 1, OwnMost: 39600, Out: 10, OutSpread: 1.4, Aim: 800 * time.Millisecond, Deadline: 5 * time.Second, Worth: 3, LateWorth: 0.9, Priority: 0},
-				{Name: "short", PerSecond: 14.7, Shared: shortParts(40, 155), Own: 1110, OwnSpread: 1, OwnMost: 3790, Out: 34, OutSpread: 0.9, Aim: 600 * time.Millisecond, Deadline: 10 * time.Second, Worth: 1, LateWorth: 0.3, Priority: 2},
+				{Name: "long", PerSecond: 13.3, Shared: oneLongChunk(94), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, Out: 24, OutSpread: 1.4, LatencyTarget: time.Second, Deadline: 10 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
+				{Name: "middle", PerSecond: 9.4, Shared: twoChunks(66), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, Out: 10, OutSpread: 1.4, LatencyTarget: 800 * time.Millisecond, Deadline: 5 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
+				{Name: "short", PerSecond: 14.7, Shared: shortChunks(40, 155), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, Out: 34, OutSpread: 0.9, LatencyTarget: 600 * time.Millisecond, Deadline: 10 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
 			},
 		},
 		wideProfile(),
@@ -166,13 +166,13 @@
 		engine.LinkBits = between(30e9, 800e9)
 		engine.StoreBits = between(0.1, 8) * engine.LinkBits
 		engine.StoreTokens = int(between(0.5, 30) * float64(engine.MemoryTokens))
-		share := float64(drawn.Replicas) / drawnReplicas * scale
+		scaleOfFleet := float64(drawn.Replicas) / drawnReplicas * scale
 		drawn.Classes = slices.Clone(drawn.Classes)
 		perReplica := between(1.5, 2.5)
 		sum := lo.SumBy(drawn.Classes, func(class Class) float64 { return class.PerSecond })
 		for position := range drawn.Classes {
 			class := &drawn.Classes[position]
-			class.PerSecond *= perReplica * drawnReplicas * share / sum
+			class.PerSecond *= perReplica * drawnReplicas * scaleOfFleet / sum
 		}
 		profiles = append(profiles, drawn)
 	}
--- a/internal/lab/enginebench/replica.go
+++ b/internal/lab/enginebench/replica.go
@@ -21,31 +21,31 @@
 	produced int
 	running  bool
 	// source is where it pulls from first, and save whether it saves.
-	source *holder
+	source *owner
 	save   bool
 	// believed are the leading tokens that the router took the replica to keep.
 	believed int
 	first    func(now time.Duration)
 	done     func(now time.Duration)
-	// firstTold and wasted tell of the first event, and of tokens read twice
+	// firstSent and wasted tell of the first event, and of tokens read twice
 	// because of preemption.
-	firstTold bool
+	firstSent bool
 }
 
-// holder is a replica or the store, as the end of a move.
-type holder struct {
+// owner is a replica or the store, as the end of a move.
+type owner struct {
 	address string
 	zone    int
 	memory  *memory
-	// linkFree is when its moves so far have ended.
-	linkFree time.Duration
-	bits     float64
-	feed     feedLog
+	// linkFreeAt is when its moves so far have ended.
+	linkFreeAt time.Duration
+	bits       float64
+	feed       feedLog
 }
 
 // replica is the model of one replica.
 type replica struct {
-	holder
+	owner
 	engine   *Engine
 	slow     float64
 	sim      *simulation
@@ -63,51 +63,51 @@
 		r.enqueue(now, request)
 		return
 	}
-	parts, tokens := r.missing(request)
+	chunks, tokens := r.missing(request)
 	if tokens == 0 {
 		r.sim.timers.Add(now+time.Millisecond, func(now time.Duration) { r.enqueue(now, request) })
 		return
 	}
-	end, begun := r.sim.move(now, request.source, &r.holder, tokens)
-	if !begun {
+	end, started := r.sim.transfer(now, request.source, &r.owner, tokens)
+	if !started {
 		r.enqueue(now, request)
 		return
 	}
 	r.sim.result.movedTokens += tokens
 	r.sim.timers.Add(end, func(now time.Duration) {
-		r.store(parts)
+		r.store(chunks)
 		r.enqueue(now, request)
 	})
 }
 
 // missing returns the parts that the source keeps beyond the replica's own.
-func (r *replica) missing(request *run) (parts []prefixindex.Part, tokens int) {
-	own, whole := r.memory.leading(request.arrival.parts)
-	_, theirs := request.source.memory.leading(request.arrival.parts)
-	if theirs <= whole {
+func (r *replica) missing(request *run) (chunks []prefixindex.Chunk, tokens int) {
+	cached, complete := r.memory.leading(request.arrival.chunks)
+	_, theirs := request.source.memory.leading(request.arrival.chunks)
+	if theirs <= complete {
 		return nil, 0
 	}
-	parts = request.arrival.parts[whole:theirs]
-	for _, part := range parts {
-		tokens += int(part.Tokens)
-		request.source.memory.pin(part.ID)
-		request.source.memory.unpin(part.ID)
+	chunks = request.arrival.chunks[complete:theirs]
+	for _, chunk := range chunks {
+		tokens += int(chunk.Tokens)
+		request.source.memory.pin(chunk.ID)
+		request.source.memory.unpin(chunk.ID)
 	}
 	leading := 0
-	for _, part := range request.arrival.parts[:whole] {
-		leading += int(part.Tokens)
+	for _, chunk := range request.arrival.chunks[:complete] {
+		leading += int(chunk.Tokens)
 	}
-	return parts, tokens - (own - leading)
+	return chunks, tokens - (cached - leading)
 }
 
 // store puts moved parts into memory as far as there is room.
-func (r *replica) store(parts []prefixindex.Part) {
-	for _, part := range parts {
-		if !r.memory.reserve(int(part.Tokens)) {
+func (r *replica) store(chunks []prefixindex.Chunk) {
+	for _, chunk := range chunks {
+		if !r.memory.reserve(int(chunk.Tokens)) {
 			return
 		}
-		if !r.memory.keep(part.ID, int(part.Tokens)) {
-			r.memory.release(int(part.Tokens))
+		if !r.memory.add(chunk.ID, int(chunk.Tokens)) {
+			r.memory.release(int(chunk.Tokens))
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	if r.stepping {
 		return
 	}
-	budget := r.engine.Chunk
+	budget := r.engine.PrefillChunk
 	work, pairs, context := 0, 0.0, 0
 	read := map[*run]int{}
 	for _, request := range r.active {
@@ -167,32 +167,32 @@
 
 // admit makes room for a request and finds what is kept of its prompt.
 func (r *replica) admit(now time.Duration, request *run) bool {
-	kept, whole := r.memory.leading(request.arrival.parts)
+	cached, complete := r.memory.leading(request.arrival.chunks)
 	prompt := request.arrival.promptTokens()
-	kept = min(kept, prompt-1)
-	for _, part := range request.arrival.parts[:whole] {
-		r.memory.pin(part.ID)
+	cached = min(cached, prompt-1)
+	for _, chunk := range request.arrival.chunks[:complete] {
+		r.memory.pin(chunk.ID)
 	}
 	need := 0
-	for _, part := range request.arrival.parts[whole:] {
-		need += int(part.Tokens)
+	for _, chunk := range request.arrival.chunks[complete:] {
+		need += int(chunk.Tokens)
 	}
 	if !r.memory.reserve(need + blockTokens) {
-		for _, part := range request.arrival.parts[:whole] {
-			r.memory.unpin(part.ID)
+		for _, chunk := range request.arrival.chunks[:complete] {
+			r.memory.unpin(chunk.ID)
 		}
 		return false
 	}
 	request.pinned = nil
-	for _, part := range request.arrival.parts[:whole] {
-		request.pinned = append(request.pinned, part.ID)
+	for _, chunk := range request.arrival.chunks[:complete] {
+		request.pinned = append(request.pinned, chunk.ID)
 	}
 	request.reserved = need + blockTokens
-	request.unread = prompt - kept
+	request.unread = prompt - cached
 	request.read += request.unread
 	request.running = true
 	r.sim.result.readTokens += request.unread
-	r.sim.countReread(now, request, kept)
+	r.sim.countReread(now, request, cached)
 	return true
 }
 
@@ -217,53 +217,53 @@
 
 // promptRead keeps the parts of a prompt that has been read.
 func (r *replica) promptRead(now time.Duration, request *run) {
-	held := map[string]bool{}
+	pinned := map[string]bool{}
 	for _, id := range request.pinned {
-		held[id] = true
+		pinned[id] = true
 	}
-	for _, part := range request.arrival.parts {
-		if held[part.ID] {
+	for _, chunk := range request.arrival.chunks {
+		if pinned[chunk.ID] {
 			continue
 		}
-		tokens := int(part.Tokens)
-		if r.memory.keep(part.ID, tokens) {
+		tokens := int(chunk.Tokens)
+		if r.memory.add(chunk.ID, tokens) {
 			request.reserved -= tokens
-			r.memory.used += roundUp(tokens) - tokens
+			r.memory.used += alignToBlocks(tokens) - tokens
 		}
-		r.memory.pin(part.ID)
-		request.pinned = append(request.pinned, part.ID)
+		r.memory.pin(chunk.ID)
+		request.pinned = append(request.pinned, chunk.ID)
 	}
 	if request.save {
-		r.saveParts(now, request)
+		r.saveChunks(now, request)
 	}
 }
 
-// saveParts sends the store what it lacks.
-func (r *replica) saveParts(now time.Duration, request *run) {
+// saveChunks sends the store what it lacks.
+func (r *replica) saveChunks(now time.Duration, request *run) {
 	store := r.sim.store
 	if store == nil {
 		return
 	}
-	var lacking []prefixindex.Part
+	var lacking []prefixindex.Chunk
 	tokens := 0
-	for _, part := range request.arrival.parts {
-		if _, kept := store.memory.parts[part.ID]; !kept {
-			lacking = append(lacking, part)
-			tokens += int(part.Tokens)
+	for _, chunk := range request.arrival.chunks {
+		if _, stored := store.memory.chunks[chunk.ID]; !stored {
+			lacking = append(lacking, chunk)
+			tokens += int(chunk.Tokens)
 		}
 	}
 	if tokens == 0 {
 		return
 	}
-	end, begun := r.sim.move(now, &r.holder, store, tokens)
-	if !begun {
+	end, started := r.sim.transfer(now, &r.owner, store, tokens)
+	if !started {
 		return
 	}
 	r.sim.result.movedTokens += tokens
 	r.sim.timers.Add(end, func(time.Duration) {
-		for _, part := range lacking {
-			if store.memory.reserve(int(part.Tokens)) && !store.memory.keep(part.ID, int(part.Tokens)) {
-				store.memory.release(int(part.Tokens))
+		for _, chunk := range lacking {
+			if store.memory.reserve(int(chunk.Tokens)) && !store.memory.add(chunk.ID, int(chunk.Tokens)) {
+				store.memory.release(int(chunk.Tokens))
 			}
 		}
 	})
--- a/internal/lab/enginebench/reread.go
+++ b/internal/lab/enginebench/reread.go
@@ -31,32 +31,32 @@
 
 // countReread counts the shared tokens that a request has to read although some
 // replica had read them before, by reason.
-func (s *simulation) countReread(now time.Duration, request *run, kept int) {
-	parts := request.arrival.parts
+func (s *simulation) countReread(now time.Duration, request *run, cached int) {
+	chunks := request.arrival.chunks
 	position := 0
-	for _, part := range parts[:len(parts)-1] {
-		position += int(part.Tokens)
-		used, known := s.lastUse[part.ID]
-		s.lastUse[part.ID] = now
-		if !known || now-used > rereadWithin || position <= kept {
+	for _, chunk := range chunks[:len(chunks)-1] {
+		position += int(chunk.Tokens)
+		used, present := s.lastUse[chunk.ID]
+		s.lastUse[chunk.ID] = now
+		if !present || now-used > rereadWithin || position <= cached {
 			continue
 		}
-		tokens := min(int(part.Tokens), position-kept)
+		tokens := min(int(chunk.Tokens), position-cached)
 		s.result.rereadTokens += tokens
-		s.result.rereads[s.reasonOf(request, part, position)] += tokens
+		s.result.rereads[s.reasonOf(request, chunk, position)] += tokens
 	}
 }
 
 // reasonOf tells why a part that ends at a position of the prompt is read again.
-func (s *simulation) reasonOf(request *run, part prefixindex.Part, position int) Reread {
+func (s *simulation) reasonOf(request *run, chunk prefixindex.Chunk, position int) Reread {
 	switch {
 	case request.believed >= position:
 		return RereadBelieved
 	case request.source != nil:
 		return RereadPulled
 	}
-	for _, holder := range s.holders {
-		if element, present := holder.memory.parts[part.ID]; present && element.Value.(*keptPart).kept >= int(part.Tokens) {
+	for _, owner := range s.owners {
+		if element, present := owner.memory.chunks[chunk.ID]; present && element.Value.(*cachedChunk).cached >= int(chunk.Tokens) {
 			return RereadChosen
 		}
 	}
--- a/internal/lab/enginebench/result.go
+++ b/internal/lab/enginebench/result.go
@@ -54,10 +54,10 @@
 	if o.first == 0 || o.first > class.Deadline {
 		return 0
 	}
-	if o.first <= class.Aim {
+	if o.first <= class.LatencyTarget {
 		return 1
 	}
-	return class.LateWorth / class.Worth
+	return class.LateValue / class.Value
 }
 
 func (r *Result) summarize(arrivals []*arrival, profile *Profile) {
@@ -70,21 +70,21 @@
 	earned, owed := 0.0, 0.0
 	for position := range profile.Classes {
 		class := &profile.Classes[position]
-		var own []*outcome
+		var outcomes []*outcome
 		for _, arrival := range arrivals {
 			if arrival.class != class || arrival.at < warmUp {
 				continue
 			}
 			if found := byArrival[arrival]; found != nil {
-				own = append(own, found)
+				outcomes = append(outcomes, found)
 			} else {
-				own = append(own, &outcome{arrival: arrival})
+				outcomes = append(outcomes, &outcome{arrival: arrival})
 			}
 		}
-		got, of := weigh(own)
-		earned += got * class.Worth
-		owed += of * class.Worth
-		r.ByClass[class.Name] = r.classResult(own)
+		got, of := weigh(outcomes)
+		earned += got * class.Value
+		owed += of * class.Value
+		r.ByClass[class.Name] = r.classResult(outcomes)
 	}
 	r.Credit = earned / owed
 	for _, class := range r.ByClass {
@@ -96,9 +96,9 @@
 func size(o *outcome) float64 { return float64(o.arrival.promptTokens() + 10*o.arrival.out) }
 
 // weigh sums what the requests of a kind earned and were worth, by size.
-func weigh(own []*outcome) (earned, owed float64) {
-	mean := lo.SumBy(own, size) / float64(max(1, len(own)))
-	for _, outcome := range own {
+func weigh(outcomes []*outcome) (earned, owed float64) {
+	mean := lo.SumBy(outcomes, size) / float64(max(1, len(outcomes)))
+	for _, outcome := range outcomes {
 		weight := min(0.3+0.7*size(outcome)/mean, 4)
 		earned += weight * outcome.credit()
 		owed += weight
@@ -106,23 +106,23 @@
 	return earned, owed
 }
 
-func share(own []*outcome) float64 {
-	earned, owed := weigh(own)
+func creditRatio(outcomes []*outcome) float64 {
+	earned, owed := weigh(outcomes)
 	if owed == 0 {
 		return math.NaN()
 	}
 	return earned / owed
 }
 
-func (r *Result) classResult(own []*outcome) ClassResult {
-	slices.SortFunc(own, func(a, b *outcome) int { return int(size(b) - size(a)) })
-	tenth := len(own) / 10
-	inTime := lo.CountBy(own, func(o *outcome) bool { return o.first > 0 && o.first <= o.arrival.class.Aim })
+func (r *Result) classResult(outcomes []*outcome) ClassResult {
+	slices.SortFunc(outcomes, func(a, b *outcome) int { return int(size(b) - size(a)) })
+	tenth := len(outcomes) / 10
+	inTime := lo.CountBy(outcomes, func(o *outcome) bool { return o.first > 0 && o.first <= o.arrival.class.LatencyTarget })
 	return ClassResult{
-		All:          share(own),
-		LargestTenth: share(own[:tenth]),
-		NextFifth:    share(own[tenth : 3*tenth]),
-		InTime:       float64(inTime) / float64(max(1, len(own))),
+		All:          creditRatio(outcomes),
+		LargestTenth: creditRatio(outcomes[:tenth]),
+		NextFifth:    creditRatio(outcomes[tenth : 3*tenth]),
+		InTime:       float64(inTime) / float64(max(1, len(outcomes))),
 	}
 }
 
@@ -141,11 +141,11 @@
 		}
 	}
 	slices.Sort(times)
-	at := func(part float64) time.Duration {
+	at := func(quantile float64) time.Duration {
 		if len(times) == 0 {
 			return 0
 		}
-		return times[int(part*float64(len(times)-1))]
+		return times[int(quantile*float64(len(times)-1))]
 	}
 	r.TTFT50, r.TTFT95, r.TTFT99 = at(0.5), at(0.95), at(0.99)
 }
--- a/internal/lab/enginebench/routernode.go
+++ b/internal/lab/enginebench/router_node.go
@@ -66,9 +66,9 @@
 	return n
 }
 
-func (n *routerNode) place(now time.Duration, arrival *arrival) (placement, time.Duration) {
+func (n *routerNode) route(now time.Duration, arrival *arrival) (placement, time.Duration) {
 	request := kvrouter.Request{
-		Now: now, Model: model, Parts: arrival.parts, Naming: kvrouter.Named, OutputTokens: uint32(4 * arrival.class.Out),
+		Now: now, Model: model, Chunks: arrival.chunks, Naming: kvrouter.ByID, OutputTokens: uint32(4 * arrival.class.Out),
 		SaltFor: func(string) string { return salt }, Settings: n.settings.Settings, Engine: &n.settings.Engine,
 		Priority: n.settings.priority(arrival.class), MaxWait: arrival.class.Deadline / 2, Zone: fmt.Sprint(n.sim.zoneOf(n.number)),
 	}
@@ -82,38 +82,38 @@
 	}
 	placed := placement{
 		replica: n.numbers[decision.Address], priority: n.settings.priority(arrival.class), save: decision.Save, reservation: decision.Reservation,
-		awaited: decision.Awaited, believed: int(decision.OverlapTokens),
+		wait: decision.Wait, believed: int(decision.OverlapTokens),
 	}
 	if decision.Pull != nil {
-		placed.source = n.holder(decision.Pull.Source)
+		placed.source = n.ownerAt(decision.Pull.Source)
 	}
-	n.tell(now, &decision, arrival)
+	n.announceDispatch(now, &decision, arrival)
 	return placed, 0
 }
 
-// tell lets the other routers know of the dispatch.
-func (n *routerNode) tell(now time.Duration, decision *kvrouter.Decision, arrival *arrival) {
-	if n.sim.settings.ShareEvery == 0 {
+// announceDispatch lets the other routers know of the dispatch.
+func (n *routerNode) announceDispatch(now time.Duration, decision *kvrouter.Decision, arrival *arrival) {
+	if n.sim.settings.LoadExchangeInterval == 0 {
 		return
 	}
 	address, save := decision.Address, decision.Save
-	n.sim.timers.Add(now+n.sim.settings.ShareEvery, func(now time.Duration) {
+	n.sim.timers.Add(now+n.sim.settings.LoadExchangeInterval, func(now time.Duration) {
 		for number, other := range n.sim.nodes {
 			if number == n.number {
 				continue
 			}
 			router := other.(*routerNode).router
-			router.Observe(now, address, model, salt, kvrouter.Named, arrival.parts)
+			router.ObserveDispatch(now, address, model, salt, kvrouter.ByID, arrival.chunks)
 			if save {
-				router.Observe(now, n.sim.store.address, model, salt, kvrouter.Named, arrival.parts)
+				router.ObserveDispatch(now, n.sim.store.address, model, salt, kvrouter.ByID, arrival.chunks)
 			}
 		}
 	})
 }
 
-func (n *routerNode) holder(address string) *holder {
+func (n *routerNode) ownerAt(address string) *owner {
 	if number, found := n.numbers[address]; found {
-		return &n.sim.replicas[number].holder
+		return &n.sim.replicas[number].owner
 	}
 	return n.sim.store
 }
@@ -124,18 +124,18 @@
 	placed.reservation.Finish(now, true)
 }
 
-func (n *routerNode) changes(now time.Duration, address string, position kvrouter.Feed, changes []kvrouter.PartChange) {
-	n.router.PartsReported(now, address, position, changes)
+func (n *routerNode) changes(now time.Duration, address string, position kvrouter.FeedPosition, changes []kvrouter.ChunkChange) {
+	n.router.ChunksReported(now, address, position, changes)
 }
 
 func (n *routerNode) report(now time.Duration, address string, report kvrouter.Report) {
 	n.router.Report(now, address, report)
 }
 
-func (n *routerNode) loads(now time.Duration) []kvrouter.AddressLoad { return n.router.OwnLoads(now) }
+func (n *routerNode) loads(now time.Duration) []kvrouter.AddressLoad { return n.router.LocalLoads(now) }
 
 func (n *routerNode) remoteLoads(now time.Duration, from int, loads []kvrouter.AddressLoad) {
-	for _, told := range loads {
-		n.router.RemoteLoad(now, nodeNames[from], told.Address, told.SharedLoad)
+	for _, load := range loads {
+		n.router.SetRemoteLoad(now, nodeNames[from], load.Address, load.SharedLoad)
 	}
 }
--- a/internal/lab/enginebench/simulation.go
+++ b/internal/lab/enginebench/simulation.go
@@ -18,8 +18,8 @@
 	Duration time.Duration
 	// EventLoss is the share of changes that never come.
 	EventLoss float64
-	// ShareEvery is the time between shared loads; 0 means that none is shared.
-	ShareEvery time.Duration
+	// LoadExchangeInterval is the time between shared loads; 0 means that none is shared.
+	LoadExchangeInterval time.Duration
 	// Tune changes the prefix-aware router's settings; may be nil.
 	Tune func(*RouterSettings)
 }
@@ -27,16 +27,16 @@
 // warmUp is the time whose requests do not count.
 const warmUp = 2 * time.Second
 
-// mostMoveWait is the wait for a link from which on a move is not begun.
-const mostMoveWait = 2 * time.Second
+// maxTransferWait is the wait for a link from which on a move is not begun.
+const maxTransferWait = 2 * time.Second
 
 type simulation struct {
 	settings Settings
 	random   *rand.Rand
 	timers   timers.Queue
 	replicas []*replica
-	store    *holder
-	holders  []*holder
+	store    *owner
+	owners   []*owner
 	nodes    []node
 	result   *Result
 	// lastUse is when a shared part was used last.
@@ -58,8 +58,8 @@
 	}
 	s.timers.Add(0, s.sendChanges)
 	s.timers.Add(0, s.sendReports)
-	if settings.ShareEvery > 0 {
-		s.timers.Add(0, s.share)
+	if settings.LoadExchangeInterval > 0 {
+		s.timers.Add(0, s.exchangeLoads)
 	}
 	s.timers.Run(settings.Duration + 20*time.Second)
 	s.result.summarize(arrivals, &settings.Profile)
@@ -71,7 +71,7 @@
 	engine := &profile.Engine
 	for number := range profile.Replicas {
 		created := &replica{
-			holder: holder{
+			owner: owner{
 				address: fmt.Sprint("replica-", number),
 				zone:    number * profile.Zones / profile.Replicas,
 				memory:  newMemory(engine.MemoryTokens),
@@ -82,11 +82,11 @@
 			sim:    s,
 		}
 		s.replicas = append(s.replicas, created)
-		s.holders = append(s.holders, &created.holder)
+		s.owners = append(s.owners, &created.owner)
 	}
 	if s.settings.Policy.usesStore() {
-		s.store = &holder{address: "store", zone: 1, memory: newMemory(engine.StoreTokens), bits: engine.StoreBits}
-		s.holders = append(s.holders, s.store)
+		s.store = &owner{address: "store", zone: 1, memory: newMemory(engine.StoreTokens), bits: engine.StoreBits}
+		s.owners = append(s.owners, s.store)
 	}
 	for number := range profile.Nodes {
 		s.nodes = append(s.nodes, newNode(s, number))
@@ -96,11 +96,11 @@
 // arrive lets the node of a request place it.
 func (s *simulation) arrive(now time.Duration, arrival *arrival, attempt int) {
 	node := s.nodes[arrival.node]
-	placed, again := node.place(now, arrival)
-	if again > 0 {
+	placed, retryAfter := node.route(now, arrival)
+	if retryAfter > 0 {
 		s.result.refused++
-		if attempt < 1 && now+again < arrival.at+arrival.class.Deadline {
-			s.timers.Add(now+again, func(now time.Duration) { s.arrive(now, arrival, attempt+1) })
+		if attempt < 1 && now+retryAfter < arrival.at+arrival.class.Deadline {
+			s.timers.Add(now+retryAfter, func(now time.Duration) { s.arrive(now, arrival, attempt+1) })
 		}
 		return
 	}
@@ -117,32 +117,32 @@
 			s.timers.Add(at, func(now time.Duration) { node.done(now, &placed) })
 		},
 	}
-	s.hold(now, placed.awaited, func(now time.Duration) {
+	s.sendWhenReady(now, placed.wait, func(now time.Duration) {
 		s.replicas[placed.replica].submit(now+time.Millisecond, request)
 	})
 }
 
-// holdStep is the time between two looks at what a request is held back for.
-const holdStep = 5 * time.Millisecond
+// waitPollInterval is the time between two looks at what a request is held back for.
+const waitPollInterval = 5 * time.Millisecond
 
-// hold sends a request once there is nothing to wait for any more.
-func (s *simulation) hold(now time.Duration, awaited *kvrouter.Awaited, send func(now time.Duration)) {
-	if awaited == nil || awaited.Over(now) {
+// sendWhenReady sends a request once there is nothing to wait for any more.
+func (s *simulation) sendWhenReady(now time.Duration, wait *kvrouter.PrefixWait, send func(now time.Duration)) {
+	if wait == nil || wait.Done(now) {
 		send(now)
 		return
 	}
-	s.timers.Add(now+holdStep, func(now time.Duration) { s.hold(now, awaited, send) })
+	s.timers.Add(now+waitPollInterval, func(now time.Duration) { s.sendWhenReady(now, wait, send) })
 }
 
 func (s *simulation) zoneOf(node int) int { return node % s.settings.Profile.Zones }
 
-// move books the links of both ends, and returns when the move has ended.
-func (s *simulation) move(now time.Duration, from, to *holder, tokens int) (time.Duration, bool) {
-	start := max(now, from.linkFree, to.linkFree)
+// transfer books the links of both ends, and returns when the move has ended.
+func (s *simulation) transfer(now time.Duration, from, to *owner, tokens int) (time.Duration, bool) {
+	start := max(now, from.linkFreeAt, to.linkFreeAt)
 	if from == s.store || to == s.store {
-		start = max(now, replicaOf(s, from, to).linkFree)
+		start = max(now, replicaOf(s, from, to).linkFreeAt)
 	}
-	if start-now > mostMoveWait {
+	if start-now > maxTransferWait {
 		return 0, false
 	}
 	engine := &s.settings.Profile.Engine
@@ -150,14 +150,14 @@
 	if from.zone != to.zone {
 		took *= 2
 	}
-	end := start + milliseconds(engine.MoveSetup+took)
-	from.linkFree, to.linkFree = end, end
+	end := start + milliseconds(engine.TransferSetup+took)
+	from.linkFreeAt, to.linkFreeAt = end, end
 	return end, true
 }
 
 // replicaOf returns the end of a move that is not the store, which serves many
 // at once.
-func replicaOf(s *simulation, from, to *holder) *holder {
+func replicaOf(s *simulation, from, to *owner) *owner {
 	if from == s.store {
 		return to
 	}
--- a/internal/lab/enginebench/table.go
+++ b/internal/lab/enginebench/table.go
@@ -20,22 +20,22 @@
 
 // Variant is a policy with changed settings.
 type Variant struct {
-	Name       string
-	Policy     Policy
-	ShareEvery time.Duration
-	Tune       func(*RouterSettings)
+	Name                 string
+	Policy               Policy
+	LoadExchangeInterval time.Duration
+	Tune                 func(*RouterSettings)
 }
 
-// defaultShareEvery is how often routers tell each other of their load.
-const defaultShareEvery = 30 * time.Millisecond
+// defaultLoadExchangeInterval is how often routers tell each other of their load.
+const defaultLoadExchangeInterval = 30 * time.Millisecond
 
 // Variants returns each policy as it is.
 func Variants() []Variant {
 	var variants []Variant
 	for _, policy := range Policies() {
 		variant := Variant{Name: string(policy), Policy: policy}
-		if policy.isRouter() && policy != RouterNoShare {
-			variant.ShareEvery = defaultShareEvery
+		if policy.isRouter() && policy != RouterWithoutLoadExchange {
+			variant.LoadExchangeInterval = defaultLoadExchangeInterval
 		}
 		variants = append(variants, variant)
 	}
@@ -56,7 +56,7 @@
 				for _, seed := range seeds {
 					settings := Settings{
 						Profile: profile, Policy: variant.Policy, Seed: seed, Load: load, Duration: duration,
-						EventLoss: 0.005, ShareEvery: variant.ShareEvery, Tune: variant.Tune,
+						EventLoss: 0.005, LoadExchangeInterval: variant.LoadExchangeInterval, Tune: variant.Tune,
 					}
 					runs = append(runs, func() {
 						result := Run(settings)
@@ -91,13 +91,13 @@
 
 // add takes in the result of one of several seeds.
 func (r *Result) add(other *Result, seeds int) {
-	part := 1 / float64(seeds)
-	r.Credit += part * other.Credit
-	r.Worst += part * other.Worst
-	r.CrossZone += part * other.CrossZone
-	r.MovedTokens += part * other.MovedTokens
-	r.ReadTokens += part * other.ReadTokens
-	r.RereadTokens += part * other.RereadTokens
+	weight := 1 / float64(seeds)
+	r.Credit += weight * other.Credit
+	r.Worst += weight * other.Worst
+	r.CrossZone += weight * other.CrossZone
+	r.MovedTokens += weight * other.MovedTokens
+	r.ReadTokens += weight * other.ReadTokens
+	r.RereadTokens += weight * other.RereadTokens
 	r.Refused += other.Refused
 	r.Preempted += other.Preempted
 	r.TTFT50 += other.TTFT50 / time.Duration(seeds)
@@ -108,14 +108,14 @@
 		r.Rereads = map[Reread]float64{}
 	}
 	for reason, tokens := range other.Rereads {
-		r.Rereads[reason] += part * tokens
+		r.Rereads[reason] += weight * tokens
 	}
 	for name, class := range other.ByClass {
 		sum := r.ByClass[name]
-		sum.All += part * class.All
-		sum.LargestTenth += part * class.LargestTenth
-		sum.NextFifth += part * class.NextFifth
-		sum.InTime += part * class.InTime
+		sum.All += weight * class.All
+		sum.LargestTenth += weight * class.LargestTenth
+		sum.NextFifth += weight * class.NextFifth
+		sum.InTime += weight * class.InTime
 		r.ByClass[name] = sum
 	}
 }
--- a/internal/lab/enginebench/workload.go
+++ b/internal/lab/enginebench/workload.go
@@ -16,41 +16,41 @@
 	number int
 	class  *Class
 	node   int
-	parts  []prefixindex.Part
+	chunks []prefixindex.Chunk
 	out    int
 }
 
 func (a *arrival) promptTokens() int {
 	tokens := 0
-	for _, part := range a.parts {
-		tokens += int(part.Tokens)
+	for _, chunk := range a.chunks {
+		tokens += int(chunk.Tokens)
 	}
 	return tokens
 }
 
 // logNormal draws around a mean.
-func logNormal(random *rand.Rand, mean, spread, most float64) int {
+func logNormal(random *rand.Rand, mean, spread, highest float64) int {
 	if spread == 0 {
 		return int(mean)
 	}
 	value := mean * math.Exp(spread*random.NormFloat64()-spread*spread/2)
-	return int(max(1, min(value, most)))
+	return int(max(1, min(value, highest)))
 }
 
-// drawThing draws one of things, the first ones more often by their skew.
-func drawThing(random *rand.Rand, things int, skew float64) int {
+// drawVariant draws one of things, the first ones more often by their skew.
+func drawVariant(random *rand.Rand, variants int, skew float64) int {
 	sum := 0.0
-	for thing := range things {
-		sum += math.Pow(float64(thing+1), -skew)
+	for variant := range variants {
+		sum += math.Pow(float64(variant+1), -skew)
 	}
-	left := random.Float64() * sum
-	for thing := range things {
-		left -= math.Pow(float64(thing+1), -skew)
-		if left < 0 {
-			return thing
+	remaining := random.Float64() * sum
+	for variant := range variants {
+		remaining -= math.Pow(float64(variant+1), -skew)
+		if remaining < 0 {
+			return variant
 		}
 	}
-	return things - 1
+	return variants - 1
 }
 
 // workload draws the arrivals of all classes in order. The load waves a little.
@@ -72,7 +72,7 @@
 	slices.SortFunc(arrivals, func(a, b *arrival) int { return int(a.at - b.at) })
 	for number, arrival := range arrivals {
 		arrival.number = number
-		last := &arrival.parts[len(arrival.parts)-1]
+		last := &arrival.chunks[len(arrival.chunks)-1]
 		last.ID = fmt.Sprint("own-", number)
 	}
 	return arrivals
@@ -82,16 +82,16 @@
 	drawn := &arrival{at: at, class: class, node: random.IntN(nodes)}
 	// The last shared part says which ones go before it.
 	deepest := class.Shared[len(class.Shared)-1]
-	thing := drawThing(random, deepest.Things, deepest.Skew)
+	variant := drawVariant(random, deepest.Variants, deepest.Skew)
 	for level, shared := range class.Shared {
-		name := fmt.Sprint(class.Name, "/", level, ".", thing%shared.Things)
-		if _, known := sizes[name]; !known {
-			sizes[name] = uint32(logNormal(random, shared.Tokens, shared.Spread, shared.Most))
+		name := fmt.Sprint(class.Name, "/", level, ".", variant%shared.Variants)
+		if _, drawnBefore := sizes[name]; !drawnBefore {
+			sizes[name] = uint32(logNormal(random, shared.Tokens, shared.Spread, shared.Max))
 		}
-		drawn.parts = append(drawn.parts, prefixindex.Part{ID: name, Tokens: sizes[name]})
+		drawn.chunks = append(drawn.chunks, prefixindex.Chunk{ID: name, Tokens: sizes[name]})
 	}
-	own := logNormal(random, class.Own, class.OwnSpread, class.OwnMost)
-	drawn.parts = append(drawn.parts, prefixindex.Part{Tokens: uint32(own)})
+	unshared := logNormal(random, class.Unshared, class.UnsharedSpread, class.UnsharedMax)
+	drawn.chunks = append(drawn.chunks, prefixindex.Chunk{Tokens: uint32(unshared)})
 	drawn.out = logNormal(random, class.Out, class.OutSpread, 4*class.Out)
 	return drawn
 }
--- a/internal/lab/hollow/index.go
+++ b/internal/lab/hollow/index.go
@@ -122,13 +122,13 @@
 // place returns the mean time to place a request over one pool's replicas.
 func (f *indexFeed) place() (mean time.Duration, candidates int) {
 	pool := f.candidates()
-	parts := make([]prefixindex.Part, promptParts)
+	parts := make([]prefixindex.Chunk, promptParts)
 	for at := range parts {
-		parts[at] = prefixindex.Part{ID: nodeName(at), Tokens: partTokens}
+		parts[at] = prefixindex.Chunk{ID: nodeName(at), Tokens: partTokens}
 	}
 	request := kvrouter.Request{
 		Model:        serviceName(0),
-		Parts:        parts,
+		Chunks:       parts,
 		OutputTokens: partTokens,
 		SaltFor:      func(version string) string { return version },
 	}
--- a/internal/lab/proxybench/node.go
+++ b/internal/lab/proxybench/node.go
@@ -65,7 +65,7 @@
 		Source:  fixedSource{view: newView(addresses)},
 		Clock:   clock.SinceBoot,
 		Log:     logrus.NewEntry(log),
-		Router:  kvrouter.Options{RampStart: connections},
+		Router:  kvrouter.Options{SlowStartInitial: connections},
 	})
 	if err != nil {
 		return nil, err
--- a/internal/lab/standin/replica/request.go
+++ b/internal/lab/standin/replica/request.go
@@ -68,11 +68,11 @@
 
 // parsePrefix reads `id;tokens=N, id;tokens=N`. An absent header is a prompt
 // without parts.
-func parsePrefix(text string) ([]prefixindex.Part, error) {
+func parsePrefix(text string) ([]prefixindex.Chunk, error) {
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
 	}
-	var parts []prefixindex.Part
+	var parts []prefixindex.Chunk
 	for _, item := range strings.Split(text, ",") {
 		id, parameter, found := strings.Cut(strings.TrimSpace(item), ";")
 		value, named := strings.CutPrefix(strings.TrimSpace(parameter), "tokens=")
@@ -80,7 +80,7 @@
 		if id == "" || !found || !named || err != nil || tokens == 0 {
 			return nil, errors.Errorf("%s part %q is not `id;tokens=N`; give each part an ID and a positive length", protocol.HeaderPrefix, item)
 		}
-		parts = append(parts, prefixindex.Part{ID: strings.TrimSpace(id), Tokens: uint32(tokens)})
+		parts = append(parts, prefixindex.Chunk{ID: strings.TrimSpace(id), Tokens: uint32(tokens)})
 	}
 	return parts, nil
 }
--- a/internal/lab/workload/dossier.go
+++ b/internal/lab/workload/dossier.go
@@ -12,7 +12,7 @@
 type dossier struct {
 	name      string
 	tenant    string
-	documents []prefixindex.Part
+	documents []prefixindex.Chunk
 }
 
 // dossiers are those of one activity, in the order of their use.
@@ -50,14 +50,14 @@
 }
 
 func (d *dossiers) grow(grown *dossier) {
-	grown.documents = append(grown.documents, prefixindex.Part{
+	grown.documents = append(grown.documents, prefixindex.Chunk{
 		ID:     fmt.Sprintf("%s/document-%d", grown.name, len(grown.documents)+1),
 		Tokens: d.plan.tokens.draw(d.random),
 	})
 }
 
 // use returns the tenant and the documents of one request.
-func (d *dossiers) use() (tenant string, documents []prefixindex.Part) {
+func (d *dossiers) use() (tenant string, documents []prefixindex.Chunk) {
 	rank := d.rank()
 	used := d.active[rank]
 	if d.random.Float64() < d.plan.growth {
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -102,19 +102,19 @@
 	}
 }
 
-func (g *Generator) prompt(activity activity, tenant string, documents []prefixindex.Part) []prefixindex.Part {
-	parts := []prefixindex.Part{
+func (g *Generator) prompt(activity activity, tenant string, documents []prefixindex.Chunk) []prefixindex.Chunk {
+	parts := []prefixindex.Chunk{
 		{ID: fmt.Sprintf("%s/system", g.mix.Name), Tokens: g.mix.systemTokens},
 		{ID: fmt.Sprintf("%s/%s/instructions", tenant, activity.kind), Tokens: activity.instructions},
 	}
 	parts = append(parts, documents...)
-	return append(parts, prefixindex.Part{
+	return append(parts, prefixindex.Chunk{
 		ID:     fmt.Sprintf("%s/text-%d-%d", tenant, g.options.Seed, g.nextID+1),
 		Tokens: activity.text.draw(g.random),
 	})
 }
 
-func (g *Generator) pickDossier(position int) (tenant string, documents []prefixindex.Part) {
+func (g *Generator) pickDossier(position int) (tenant string, documents []prefixindex.Chunk) {
 	if g.mix.activities[position].dossiers.active == 0 {
 		return g.pickTenant(), nil
 	}
--- a/internal/lab/workload/request.go
+++ b/internal/lab/workload/request.go
@@ -37,7 +37,7 @@
 	Web  bool
 	Path string
 
-	Parts        []prefixindex.Part
+	Parts        []prefixindex.Chunk
 	OutputTokens uint32
 	Streamed     bool
 	// Repeatable tells that the request may run twice.
--- a/internal/replay/recording/golden_test.go
+++ b/internal/replay/recording/golden_test.go
@@ -23,7 +23,7 @@
 
 // goldenRecords have every outcome, and every field in one of them.
 func goldenRecords() []recording.Record {
-	parts := recording.Parts([]prefixindex.Part{{ID: "rules", Tokens: 300}, {ID: "question", Tokens: 20}})
+	parts := recording.Parts([]prefixindex.Chunk{{ID: "rules", Tokens: 300}, {ID: "question", Tokens: 20}})
 	return []recording.Record{
 		fullRecord(),
 		{AtUS: 2000, Tenant: "court", Host: "models.example", Pool: "cases", Model: "large", Parts: parts,
--- a/internal/replay/recording/record.go
+++ b/internal/replay/recording/record.go
@@ -46,7 +46,7 @@
 	Left Outcome = "left"
 )
 
-// Part is one part of a prompt.
+// Chunk is one part of a prompt.
 type Part struct {
 	// ID is a digest of the part's name: see PartID.
 	ID     string `json:"id"`
@@ -111,7 +111,7 @@
 }
 
 // Parts returns the recorded form of a prompt.
-func Parts(parts []prefixindex.Part) []Part {
+func Parts(parts []prefixindex.Chunk) []Part {
 	recorded := make([]Part, len(parts))
 	for position, part := range parts {
 		recorded[position] = Part{ID: PartID(part.ID), Tokens: part.Tokens}
@@ -129,10 +129,10 @@
 }
 
 // Prompt returns the prompt as a request names it.
-func (r Record) Prompt() []prefixindex.Part {
-	prompt := make([]prefixindex.Part, len(r.Parts))
+func (r Record) Prompt() []prefixindex.Chunk {
+	prompt := make([]prefixindex.Chunk, len(r.Parts))
 	for position, part := range r.Parts {
-		prompt[position] = prefixindex.Part{ID: part.ID, Tokens: part.Tokens}
+		prompt[position] = prefixindex.Chunk{ID: part.ID, Tokens: part.Tokens}
 	}
 	return prompt
 }
--- a/internal/replay/recording/recording_test.go
+++ b/internal/replay/recording/recording_test.go
@@ -25,7 +25,7 @@
 func fullRecord() recording.Record {
 	return recording.Record{
 		AtUS: 1500, Tenant: "court", Host: "models.example", Pool: "cases", Model: "large",
-		Parts:        recording.Parts([]prefixindex.Part{{ID: "case 17, secret", Tokens: 300}, {ID: "question", Tokens: 20}}),
+		Parts:        recording.Parts([]prefixindex.Chunk{{ID: "case 17, secret", Tokens: 300}, {ID: "question", Tokens: 20}}),
 		OutputTokens: 64, Repeatable: true, Streamed: true, DeadlineMS: 2000, Outcome: recording.Refused,
 		Problem: "queue_full", Status: 429, Attempts: 2, ReusedTokens: 300, FirstUS: 1000, TotalUS: 9000,
 	}
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -236,7 +236,7 @@
 			Dispatches: []shared.Dispatch{{Address: "10.1.0.1:8000", Links: []prefixindex.Link{{Hash: 1 << 63, Tokens: 512}, {Hash: 2, Tokens: 16}}}},
 			Reports: []shared.Report{{
 				Address: "replica-2",
-				Feed:    kvrouter.Feed{Incarnation: 5, From: 10, Next: 12, Lost: true},
+				Feed:    kvrouter.FeedPosition{Incarnation: 5, From: 10, Next: 12, Lost: true},
 				Whole:   true,
 				Changes: []shared.Change{{Sequence: 10, Name: 1 << 62, Tokens: 64}, {Sequence: 11, Name: 3, Removed: true}},
 			}},
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -183,7 +183,7 @@
 		table.Reports(&stored, i)
 		reports[i] = shared.Report{
 			Address: named.at(stored.Address()),
-			Feed: kvrouter.Feed{
+			Feed: kvrouter.FeedPosition{
 				Incarnation: stored.Incarnation(),
 				From:        stored.From(),
 				Next:        stored.Next(),
--- a/pkg/kvrouter/active.go
+++ b/pkg/kvrouter/active_load.go
@@ -8,9 +8,9 @@
 func (r *Router) ActiveRequests(now time.Duration, address string) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, present := r.replicas[address]
+	state, present := r.replicas[address]
 	if !present {
 		return 0
 	}
-	return r.activeLoad(now, known).requests
+	return r.activeLoad(now, state).requests
 }
--- a/pkg/kvrouter/cost.go
+++ b/pkg/kvrouter/block_cost.go
@@ -1,7 +1,7 @@
 package kvrouter
 
-// costInputs are the terms of the cost of one replica, in blocks.
-type costInputs struct {
+// blockCostInputs are the terms of the cost of one replica, in blocks.
+type blockCostInputs struct {
 	activePrefill  float64
 	incomingPrompt float64
 	overlapCredit  float64
@@ -10,10 +10,10 @@
 	activeRequests float64
 }
 
-// cost estimates, in blocks, what it costs the fleet to run a request on a
+// blockCost estimates, in blocks, what it costs the fleet to run a request on a
 // replica: the prompt work that is left after the credit for kept parts, the
 // memory that active requests hold, and a flat cost per active request.
-func cost(settings Settings, inputs costInputs) float64 {
+func blockCost(settings Settings, inputs blockCostInputs) float64 {
 	prefill := max(0, inputs.activePrefill+inputs.incomingPrompt-inputs.overlapCredit)
 	potentialDecode := inputs.activeDecode + inputs.incomingDecode
 	return settings.PrefillLoadScale*prefill +
--- a/pkg/kvrouter/parts_test.go
+++ b/pkg/kvrouter/chunk_reports_test.go
@@ -14,9 +14,9 @@
 
 const epoch = 77
 
-// timedFleet is a router of a pool with an engine profile, whose replicas report
+// engineFleet is a router of a pool with an engine profile, whose replicas report
 // parts by their own IDs.
-type timedFleet struct {
+type engineFleet struct {
 	router     *kvrouter.Router
 	candidates []kvrouter.Candidate
 	engine     kvrouter.EngineProfile
@@ -24,8 +24,8 @@
 	change     func(*kvrouter.Request)
 }
 
-func newTimedFleet(addresses ...string) *timedFleet {
-	f := &timedFleet{
+func newEngineFleet(addresses ...string) *engineFleet {
+	f := &engineFleet{
 		router:   kvrouter.New(kvrouter.Options{}),
 		settings: kvrouter.DefaultEngineSettings(),
 		engine: kvrouter.EngineProfile{
@@ -41,17 +41,17 @@
 }
 
 // longPrompt is a prompt of parts of 1,000 tokens each.
-func longPrompt(parts int) []prefixindex.Part {
-	var made []prefixindex.Part
-	for number := range parts {
-		made = append(made, prefixindex.Part{ID: fmt.Sprint("part ", number), Tokens: 1000})
+func longPrompt(chunks int) []prefixindex.Chunk {
+	var made []prefixindex.Chunk
+	for number := range chunks {
+		made = append(made, prefixindex.Chunk{ID: fmt.Sprint("part ", number), Tokens: 1000})
 	}
 	return made
 }
 
-func (f *timedFleet) try(now time.Duration, parts []prefixindex.Part) (kvrouter.Decision, error) {
+func (f *engineFleet) trySelect(now time.Duration, chunks []prefixindex.Chunk) (kvrouter.Decision, error) {
 	request := kvrouter.Request{
-		Now: now, Model: model, Parts: parts, Naming: kvrouter.Named, OutputTokens: 10,
+		Now: now, Model: model, Chunks: chunks, Naming: kvrouter.ByID, OutputTokens: 10,
 		SaltFor: salt, Settings: f.settings, Engine: &f.engine, Priority: 5,
 	}
 	if f.change != nil {
@@ -60,94 +60,94 @@
 	return f.router.Select(request, f.candidates)
 }
 
-func (f *timedFleet) choose(now time.Duration, parts []prefixindex.Part) kvrouter.Decision {
-	decision, err := f.try(now, parts)
+func (f *engineFleet) choose(now time.Duration, chunks []prefixindex.Chunk) kvrouter.Decision {
+	decision, err := f.trySelect(now, chunks)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	return decision
 }
 
 // overlap returns how much of a prompt the router thinks that a replica keeps.
-func (f *timedFleet) overlap(now time.Duration, address string, parts []prefixindex.Part) uint32 {
+func (f *engineFleet) overlap(now time.Duration, address string, chunks []prefixindex.Chunk) uint32 {
 	all := f.candidates
 	defer func() { f.candidates = all }()
 	f.candidates = []kvrouter.Candidate{{Address: address, WeightVersion: version}}
-	decision := f.choose(now, parts)
+	decision := f.choose(now, chunks)
 	decision.Reservation.Cancelled(now)
 	return decision.OverlapTokens
 }
 
-func held(sequence uint64, part, tokens int) kvrouter.PartChange {
-	return kvrouter.PartChange{
+func cachedChange(sequence uint64, chunk, tokens int) kvrouter.ChunkChange {
+	return kvrouter.ChunkChange{
 		Sequence: sequence, Salt: salt(version), Model: model,
-		ID: fmt.Sprint("part ", part), Tokens: uint32(tokens), Removed: tokens < 1000,
+		ID: fmt.Sprint("part ", chunk), Tokens: uint32(tokens), Removed: tokens < 1000,
 	}
 }
 
-func batch(from, next uint64) kvrouter.Feed {
-	return kvrouter.Feed{Incarnation: epoch, From: from, Next: next}
+func feedPosition(from, next uint64) kvrouter.FeedPosition {
+	return kvrouter.FeedPosition{Incarnation: epoch, From: from, Next: next}
 }
 
 var _ = Describe("Reports of parts by their own IDs", func() {
-	var f *timedFleet
+	var f *engineFleet
 
 	BeforeEach(func() {
-		f = newTimedFleet("a", "b")
-		first := []kvrouter.PartChange{held(1, 0, 1000), held(2, 1, 1000), held(3, 2, 1000)}
-		Expect(f.router.PartsReported(late, "a", batch(0, 3), first)).To(Equal(kvrouter.Accepted))
+		f = newEngineFleet("a", "b")
+		first := []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)}
+		Expect(f.router.ChunksReported(late, "a", feedPosition(0, 3), first)).To(Equal(kvrouter.Accepted))
 	})
 
 	overlap := func(now time.Duration) int { return int(f.overlap(now, "a", longPrompt(4))) }
 
 	It("make the overlap of a prompt, up to what is evicted", func() {
 		Expect(overlap(late)).To(Equal(3000))
-		f.router.PartsReported(late, "a", batch(3, 4), []kvrouter.PartChange{held(4, 1, 480)})
+		f.router.ChunksReported(late, "a", feedPosition(3, 4), []kvrouter.ChunkChange{cachedChange(4, 1, 480)})
 		Expect(overlap(late)).To(Equal(1480))
 	})
 
 	It("count once, in whatever order and how often they come", func() {
-		removal := []kvrouter.PartChange{held(4, 2, 0)}
-		again := []kvrouter.PartChange{held(5, 2, 1000), held(6, 3, 1000)}
-		Expect(f.router.PartsReported(late, "a", batch(4, 6), again)).To(Equal(kvrouter.Accepted))
+		removal := []kvrouter.ChunkChange{cachedChange(4, 2, 0)}
+		again := []kvrouter.ChunkChange{cachedChange(5, 2, 1000), cachedChange(6, 3, 1000)}
+		Expect(f.router.ChunksReported(late, "a", feedPosition(4, 6), again)).To(Equal(kvrouter.Accepted))
 		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.PartsReported(late, "a", batch(3, 4), removal)).To(Equal(kvrouter.Accepted))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(kvrouter.Accepted))
 		Expect(overlap(late)).To(Equal(4000))
-		Expect(f.router.PartsReported(late, "a", batch(3, 4), removal)).To(Equal(kvrouter.Duplicate))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(kvrouter.Duplicate))
 		Expect(overlap(late)).To(Equal(4000))
 		both := append(removal, again...)
-		Expect(f.router.PartsReported(late, "a", batch(3, 6), both)).To(Equal(kvrouter.Duplicate))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 6), both)).To(Equal(kvrouter.Duplicate))
 		Expect(overlap(late)).To(Equal(4000))
 	})
 
 	It("become guesses when some are lost, and are asked for anew", func() {
-		lost := kvrouter.Feed{Incarnation: epoch, From: 9, Next: 10, Lost: true}
-		Expect(f.router.PartsReported(late, "a", lost, []kvrouter.PartChange{held(10, 0, 1000)})).To(Equal(kvrouter.Gap))
+		lost := kvrouter.FeedPosition{Incarnation: epoch, From: 9, Next: 10, Lost: true}
+		Expect(f.router.ChunksReported(late, "a", lost, []kvrouter.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(kvrouter.Gap))
 		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.ResyncWanted(late)).To(Equal([]string{"a"}))
-		Expect(overlap(late + kvrouter.DefaultDoubtTTL)).To(Equal(1000))
-		f.router.PartsListed(late, "a", epoch, 12, []kvrouter.PartChange{held(0, 0, 1000), held(0, 1, 1000)})
-		Expect(f.router.ResyncWanted(late)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(late)).To(Equal([]string{"a"}))
+		Expect(overlap(late + kvrouter.DefaultUncertainTTL)).To(Equal(1000))
+		f.router.ChunksReplaced(late, "a", epoch, 12, []kvrouter.ChunkChange{cachedChange(0, 0, 1000), cachedChange(0, 1, 1000)})
+		Expect(f.router.ResyncNeeded(late)).To(BeEmpty())
 		Expect(overlap(2 * late)).To(Equal(2000))
 	})
 
 	It("are taken in without the missing ones after a while", func() {
-		f.router.PartsReported(late, "a", batch(4, 5), []kvrouter.PartChange{held(5, 3, 1000)})
+		f.router.ChunksReported(late, "a", feedPosition(4, 5), []kvrouter.ChunkChange{cachedChange(5, 3, 1000)})
 		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.ResyncWanted(late + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
+		Expect(f.router.ResyncNeeded(late + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
 		Expect(overlap(late + kvrouter.DefaultReorderWait)).To(Equal(4000))
 	})
 
 	It("end with the life of the replica, and those of an earlier life are ignored", func() {
-		restarted := kvrouter.Feed{Incarnation: epoch + 1, Next: 1}
-		Expect(f.router.PartsReported(late, "a", restarted, []kvrouter.PartChange{held(1, 0, 1000)})).To(Equal(kvrouter.Accepted))
+		restarted := kvrouter.FeedPosition{Incarnation: epoch + 1, Next: 1}
+		Expect(f.router.ChunksReported(late, "a", restarted, []kvrouter.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(kvrouter.Accepted))
 		Expect(overlap(late)).To(Equal(1000))
-		Expect(f.router.PartsReported(late, "a", batch(3, 4), []kvrouter.PartChange{held(4, 1, 1000)})).To(Equal(kvrouter.Stale))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), []kvrouter.ChunkChange{cachedChange(4, 1, 1000)})).To(Equal(kvrouter.Stale))
 		Expect(overlap(late)).To(Equal(1000))
 	})
 
 	It("are ignored when a list is older than what is known", func() {
-		Expect(f.router.PartsListed(late, "a", epoch, 2, nil)).To(Equal(kvrouter.Stale))
+		Expect(f.router.ChunksReplaced(late, "a", epoch, 2, nil)).To(Equal(kvrouter.Stale))
 		Expect(overlap(late)).To(Equal(3000))
-		incarnation, sequence, known := f.router.PartsPosition("a")
+		incarnation, sequence, known := f.router.ChunksPosition("a")
 		Expect([]any{incarnation, sequence, known}).To(Equal([]any{uint64(epoch), uint64(3), true}))
 	})
 
@@ -165,8 +165,8 @@
 		decision.Reservation.FirstToken(late + time.Second)
 		decision.Reservation.Finish(late+time.Second, true)
 		Expect(overlap(late + 15*time.Second)).To(Equal(4000))
-		Expect(overlap(late + time.Second + kvrouter.DefaultNamedPredictionLag)).To(Equal(3000))
-		f.router.Observe(2*late, "a", model, salt(version), kvrouter.Named, longPrompt(4))
+		Expect(overlap(late + time.Second + kvrouter.DefaultByIDPredictionLag)).To(Equal(3000))
+		f.router.ObserveDispatch(2*late, "a", model, salt(version), kvrouter.ByID, longPrompt(4))
 		Expect(overlap(2 * late)).To(Equal(4000))
 	})
 
@@ -176,18 +176,18 @@
 		Expect(overlap(late)).To(Equal(3000))
 		decision := f.choose(late, longPrompt(4))
 		decision.Reservation.FirstToken(late)
-		f.router.PartsReported(late, "a", batch(3, 4), []kvrouter.PartChange{held(4, 3, 0)})
+		f.router.ChunksReported(late, "a", feedPosition(3, 4), []kvrouter.ChunkChange{cachedChange(4, 3, 0)})
 		Expect(overlap(late)).To(Equal(3000))
 	})
 
 	It("follow the replica under loss, doubling and reordering", func() {
 		random := rand.New(rand.NewPCG(3, 3))
-		const parts = 8
-		kept := make([]int, parts)
+		const chunks = 8
+		kept := make([]int, chunks)
 		copy(kept, []int{1000, 1000, 1000})
 		type message struct {
-			position kvrouter.Feed
-			changes  []kvrouter.PartChange
+			position kvrouter.FeedPosition
+			changes  []kvrouter.ChunkChange
 		}
 		var underway []message
 		sequence := uint64(3)
@@ -195,34 +195,34 @@
 		for range 3000 {
 			now += 10 * time.Millisecond
 			from := sequence
-			var changes []kvrouter.PartChange
+			var changes []kvrouter.ChunkChange
 			for range 1 + random.IntN(3) {
 				sequence++
-				part := random.IntN(parts)
-				kept[part] = []int{0, 480, 1000}[random.IntN(3)]
-				changes = append(changes, held(sequence, part, kept[part]))
+				chunk := random.IntN(chunks)
+				kept[chunk] = []int{0, 480, 1000}[random.IntN(3)]
+				changes = append(changes, cachedChange(sequence, chunk, kept[chunk]))
 			}
 			if random.IntN(200) > 0 {
-				underway = append(underway, message{batch(from, sequence), changes})
+				underway = append(underway, message{feedPosition(from, sequence), changes})
 			}
 			for len(underway) > random.IntN(5) {
 				at := random.IntN(len(underway))
-				f.router.PartsReported(now, "a", underway[at].position, underway[at].changes)
+				f.router.ChunksReported(now, "a", underway[at].position, underway[at].changes)
 				if random.IntN(5) > 0 {
 					underway = append(underway[:at], underway[at+1:]...)
 				}
 			}
 		}
 		for _, late := range underway {
-			f.router.PartsReported(now, "a", late.position, late.changes)
+			f.router.ChunksReported(now, "a", late.position, late.changes)
 		}
 		now += time.Second
-		if len(f.router.ResyncWanted(now)) > 0 {
-			var all []kvrouter.PartChange
-			for part, tokens := range kept {
-				all = append(all, held(0, part, tokens))
+		if len(f.router.ResyncNeeded(now)) > 0 {
+			var all []kvrouter.ChunkChange
+			for chunk, tokens := range kept {
+				all = append(all, cachedChange(0, chunk, tokens))
 			}
-			Expect(f.router.PartsListed(now, "a", epoch, sequence, all)).To(Equal(kvrouter.Accepted))
+			Expect(f.router.ChunksReplaced(now, "a", epoch, sequence, all)).To(Equal(kvrouter.Accepted))
 		}
 		want := 0
 		for _, tokens := range kept {
@@ -231,6 +231,6 @@
 				break
 			}
 		}
-		Expect(int(f.overlap(now, "a", longPrompt(parts)))).To(Equal(want))
+		Expect(int(f.overlap(now, "a", longPrompt(chunks)))).To(Equal(want))
 	})
 })
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -59,8 +59,8 @@
 		case 40:
 			f.router.Forget(address)
 		}
-		f.router.ResyncWanted(now)
-		f.router.LinkMeasured("zone", "zone", float64(round))
+		f.router.ResyncNeeded(now)
+		f.router.ObserveLinkBandwidth("zone", "zone", float64(round))
 	}
 }
 
@@ -75,14 +75,14 @@
 		router.Report(0, address, kvrouter.Report{WeightVersion: version, Incarnation: life})
 		router.Stored(0, address, life, 1, links(prompt(2*number)))
 	}
-	parts := prompt(32)
+	chunks := prompt(32)
 	settings := kvrouter.DefaultSettings()
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			decision, err := router.Select(kvrouter.Request{
-				Now: late, Model: model, Parts: parts, SaltFor: salt, Settings: settings,
+				Now: late, Model: model, Chunks: chunks, SaltFor: salt, Settings: settings,
 			}, candidates)
 			if err != nil {
 				b.Fatal(err)
@@ -93,17 +93,17 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "selections/s")
 }
 
-// BenchmarkSelectTimed selects for prompts of three parts among 140 replicas
+// BenchmarkSelectByTime selects for prompts of three parts among 140 replicas
 // with an engine profile, one of three keeping the prompt.
-func BenchmarkSelectTimed(b *testing.B) {
+func BenchmarkSelectByTime(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
 	var candidates []kvrouter.Candidate
-	parts := longPrompt(3)
+	chunks := longPrompt(3)
 	for number := range 140 {
 		address := fmt.Sprint("replica-", number)
 		candidates = append(candidates, kvrouter.Candidate{Address: address, Zone: fmt.Sprint(number % 4), WeightVersion: version})
 		if number%3 == 0 {
-			router.PartsReported(0, address, batch(0, 3), []kvrouter.PartChange{held(1, 0, 1000), held(2, 1, 1000), held(3, 2, 1000)})
+			router.ChunksReported(0, address, feedPosition(0, 3), []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)})
 		}
 	}
 	engine := kvrouter.EngineProfile{Slots: 64, MemoryTokens: 160_000, BytesPerToken: 20_000, LinkBitsPerSecond: 400e9}
@@ -112,7 +112,7 @@
 	b.ResetTimer()
 	for range b.N {
 		decision, err := router.Select(kvrouter.Request{
-			Now: late, Model: model, Parts: parts, Naming: kvrouter.Named, SaltFor: salt, Settings: settings, Engine: &engine,
+			Now: late, Model: model, Chunks: chunks, Naming: kvrouter.ByID, SaltFor: salt, Settings: settings, Engine: &engine,
 		}, candidates)
 		if err != nil {
 			b.Fatal(err)
@@ -121,14 +121,14 @@
 	}
 }
 
-// BenchmarkRemoteLoad takes in the loads that 64 routers have on 140 replicas.
-func BenchmarkRemoteLoad(b *testing.B) {
+// BenchmarkSetRemoteLoad takes in the loads that 64 routers have on 140 replicas.
+func BenchmarkSetRemoteLoad(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
 	told := kvrouter.SharedLoad{Requests: 2, DecodeTokens: 9000}
 	told.PrefillTokens[1] = 4000
 	b.ReportAllocs()
 	for round := range b.N {
 		now := late + time.Duration(round)*20*time.Microsecond
-		router.RemoteLoad(now, fmt.Sprint(round%64), fmt.Sprint("replica-", round/64%140), told)
+		router.SetRemoteLoad(now, fmt.Sprint(round%64), fmt.Sprint("replica-", round/64%140), told)
 	}
 }
--- a/pkg/kvrouter/errors.go
+++ b/pkg/kvrouter/errors.go
@@ -10,8 +10,8 @@
 
 // The reasons of a NoReplicaError.
 const (
-	// NoneListed means that there were no candidates at all.
-	NoneListed Reason = "none_listed"
+	// NoCandidates means that there were no candidates at all.
+	NoCandidates Reason = "none_listed"
 	// AllExcluded means that the request must not go to any candidate.
 	AllExcluded Reason = "all_excluded"
 	// AllBusy means that the allowed candidates are over the busy threshold or
--- a/pkg/kvrouter/events.go
+++ b/pkg/kvrouter/events.go
@@ -11,27 +11,27 @@
 
 // Stored takes in that a replica or store reported parts that it now keeps.
 func (r *Router) Stored(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) FeedStatus {
-	return r.take(now, address, incarnation, event{kind: storedEvent, sequence: sequence, links: links})
+	return r.handleEvent(now, address, incarnation, event{kind: storedEvent, sequence: sequence, links: links})
 }
 
 // Removed takes in that a replica or store reported parts that it dropped.
 func (r *Router) Removed(now time.Duration, address string, incarnation, sequence uint64, hashes []prefixindex.ChainHash) FeedStatus {
-	return r.take(now, address, incarnation, event{kind: removedEvent, sequence: sequence, hashes: hashes})
+	return r.handleEvent(now, address, incarnation, event{kind: removedEvent, sequence: sequence, hashes: hashes})
 }
 
 // Reset takes in that links is all that a replica or store kept when it had
 // sent the events up to sequence. It ends the doubt after lost events.
 func (r *Router) Reset(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) FeedStatus {
-	return r.take(now, address, incarnation, event{kind: resetEvent, sequence: sequence, links: links})
+	return r.handleEvent(now, address, incarnation, event{kind: resetEvent, sequence: sequence, links: links})
 }
 
-// take hands an event to the feed of its holder. The caller must not change
+// handleEvent hands an event to the feed of its holder. The caller must not change
 // the event's slices afterwards, since the event may wait for an earlier one.
-func (r *Router) take(now time.Duration, address string, incarnation uint64, taken event) FeedStatus {
-	known := r.stateOf(now, address)
-	status, restarted := known.feed.take(now, incarnation, taken)
+func (r *Router) handleEvent(now time.Duration, address string, incarnation uint64, received event) FeedStatus {
+	state := r.state(now, address)
+	status, restarted := state.feed.handleEvent(now, incarnation, received)
 	if restarted {
-		r.restarted(now, known)
+		r.handleRestart(now, state)
 	}
 	return status
 }
@@ -40,23 +40,23 @@
 // the replica has restarted or changed its weights. Reports that are older than
 // one that was seen are ignored.
 func (r *Router) Report(now time.Duration, address string, report Report) {
-	known := r.stateOf(now, address)
+	state := r.state(now, address)
 	describes := now - report.Age
-	if !r.newest(known, describes) {
+	if !r.isNewestReport(state, describes) {
 		return
 	}
-	current, restarted := known.feed.reported(now, report)
+	current, restarted := state.feed.handleReport(now, report)
 	if !current {
 		return
 	}
 	if restarted {
-		r.restarted(now, known)
+		r.handleRestart(now, state)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known.load.report(describes, report.total())
+	state.load.report(describes, report.totalLoad())
 	if report.MemoryTotal > 0 {
-		known.memory = memoryReport{
+		state.memory = memoryReport{
 			used:      float64(report.MemoryUsed),
 			total:     float64(report.MemoryTotal),
 			waiting:   float64(report.Waiting),
@@ -65,12 +65,12 @@
 		}
 	}
 	if report.Warming {
-		known.ramp.since = now
+		state.slowStart.since = now
 	}
 }
 
-// total is the load that a report tells of.
-func (report *Report) total() load {
+// totalLoad is the load that a report tells of.
+func (report *Report) totalLoad() load {
 	if report.MemoryTotal > 0 {
 		return load{
 			decodeTokens: float64(report.MemoryUsed),
@@ -84,52 +84,52 @@
 	}
 }
 
-// newest tells whether no report of a later instant was seen yet.
-func (r *Router) newest(known *replicaState, describes time.Duration) bool {
+// isNewestReport tells whether no report of a later instant was seen yet.
+func (r *Router) isNewestReport(state *replicaState, describes time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return !known.load.reported || describes >= known.load.reportedAt
+	return !state.load.reported || describes >= state.load.reportedAt
 }
 
-// WeightVersionSeen takes in that an answer of a replica came from a weight
+// ObserveWeightVersion takes in that an answer of a replica came from a weight
 // version. A version that is not the last one known ends the trust in all that
 // the replica reported before.
-func (r *Router) WeightVersionSeen(now time.Duration, address, version string) {
-	r.stateOf(now, address).feed.observeVersion(version)
+func (r *Router) ObserveWeightVersion(now time.Duration, address, version string) {
+	r.state(now, address).feed.observeWeightVersion(version)
 }
 
-// ResyncWanted returns, in order, the addresses whose events were lost, and
+// ResyncNeeded returns, in order, the addresses whose events were lost, and
 // that should be asked for a reset.
-func (r *Router) ResyncWanted(now time.Duration) []string {
+func (r *Router) ResyncNeeded(now time.Duration) []string {
 	r.mutex.Lock()
 	states := lo.Values(r.replicas)
 	r.mutex.Unlock()
-	var wanted []string
+	var addresses []string
 	for _, state := range states {
-		if state.feed.view(now).resyncWanted {
-			wanted = append(wanted, state.address)
+		if state.feed.view(now).resyncNeeded {
+			addresses = append(addresses, state.address)
 		}
 	}
-	slices.Sort(wanted)
-	return wanted
+	slices.Sort(addresses)
+	return addresses
 }
 
-func (r *Router) stateOf(now time.Duration, address string) *replicaState {
+func (r *Router) state(now time.Duration, address string) *replicaState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.advance(now)
-	return r.state(now, address)
+	r.observeTime(now)
+	return r.stateLocked(now, address)
 }
 
-// restarted begins slow start, and drops the load that other routers had on
+// handleRestart begins slow start, and drops the load that other routers had on
 // the replica. Own reservations end as their connections do.
-func (r *Router) restarted(now time.Duration, known *replicaState) {
+func (r *Router) handleRestart(now time.Duration, state *replicaState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known.load.forgetReports()
-	known.shared = sharedLoads{}
-	known.memory = memoryReport{}
-	known.slowness = slowness{}
-	known.moves = moves{}
-	known.ramp.since = now
+	state.load.forgetReports()
+	state.shared = sharedLoads{}
+	state.memory = memoryReport{}
+	state.slowness = slowness{}
+	state.transferLink = transferLink{}
+	state.slowStart.since = now
 }
--- a/pkg/kvrouter/feed.go
+++ b/pkg/kvrouter/feed.go
@@ -42,7 +42,7 @@
 	// changed is closed at the next change of what the holder keeps; nil when
 	// nobody waits for it.
 	changed chan struct{}
-	holder  prefixindex.Holder
+	owner   prefixindex.Owner
 	options *Options
 
 	published atomic.Pointer[feedView]
@@ -53,71 +53,71 @@
 	started     bool
 	incarnation uint64
 	retired     []uint64
-	// heardAt is when the present life was last heard of.
-	heardAt time.Duration
-	// life counts how often everything was dropped.
-	life          uint64
+	// lastHeardAt is when the present life was last heard of.
+	lastHeardAt time.Duration
+	// epoch counts how often everything was dropped.
+	epoch         uint64
 	weightVersion string
 	// next is the sequence number that is expected.
 	next uint64
-	// waiting are the events beyond next, in order of sequence.
-	waiting      []event
-	waitingSince time.Duration
-	// tail is the newest sequence number that a load report told of.
-	tail      uint64
-	tailSince time.Duration
-	lost      bool
-	// eventsSeen tells that the holder does report what it keeps.
-	eventsSeen bool
-	// parts is used by holders that report parts by their own IDs.
-	parts partsFeed
+	// buffered are the events beyond next, in order of sequence.
+	buffered      []event
+	bufferedSince time.Duration
+	// reportedSequence is the newest sequence number that a load report told of.
+	reportedSequence   uint64
+	reportedSequenceAt time.Duration
+	eventsLost         bool
+	// reportsEvents tells that the holder does report what it keeps.
+	reportsEvents bool
+	// chunks is used by holders that report parts by their own IDs.
+	chunks chunkFeed
 }
 
-// take brings in an event. Restarted tells that it was the first sign of a
+// handleEvent brings in an event. Restarted tells that it was the first sign of a
 // new life of the holder.
-func (f *feed) take(now time.Duration, incarnation uint64, taken event) (status FeedStatus, restarted bool) {
+func (f *feed) handleEvent(now time.Duration, incarnation uint64, received event) (status FeedStatus, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
-	current, restarted := f.enter(now, incarnation)
-	if !current || taken.sequence == 0 {
+	current, restarted := f.checkIncarnation(now, incarnation)
+	if !current || received.sequence == 0 {
 		return Stale, false
 	}
-	f.eventsSeen = true
-	status = f.place(now, taken)
-	f.giveUpIfDue(now)
-	if status == Accepted && f.lost {
+	f.reportsEvents = true
+	status = f.applyInOrder(now, received)
+	f.giveUpOnMissing(now)
+	if status == Accepted && f.eventsLost {
 		status = Gap
 	}
 	return status, restarted
 }
 
-// enter checks the incarnation of an event, and starts a new life if it is
+// checkIncarnation checks the incarnation of an event, and starts a new life if it is
 // newer than the present one.
 //
 // Lives are numbered upwards, so anything else is late news of an earlier life.
 // Only if the present life has been silent for long is it taken for the newest
 // all the same, so that a replica which numbers its lives in another way is
 // believed in the end.
-func (f *feed) enter(now time.Duration, incarnation uint64) (current, restarted bool) {
+func (f *feed) checkIncarnation(now time.Duration, incarnation uint64) (current, restarted bool) {
 	if f.forgotten {
 		return false, false
 	}
 	if f.started && incarnation != f.incarnation {
 		newer := incarnation > f.incarnation && !slices.Contains(f.retired, incarnation)
-		silent := now-f.heardAt >= f.options.ReportLag
+		silent := now-f.lastHeardAt >= f.options.ReportLag
 		if !newer && !silent {
 			return false, false
 		}
 		f.retire(f.incarnation)
-		f.begin(incarnation)
+		f.startIncarnation(incarnation)
 		f.dropAll()
 		restarted = true
 	}
 	if !f.started {
 		f.started = true
-		f.begin(incarnation)
+		f.startIncarnation(incarnation)
 	}
-	f.heardAt = max(f.heardAt, now)
+	f.lastHeardAt = max(f.lastHeardAt, now)
 	return true, restarted
 }
 
@@ -128,157 +128,157 @@
 	f.retired = append(f.retired, incarnation)
 }
 
-func (f *feed) begin(incarnation uint64) {
+func (f *feed) startIncarnation(incarnation uint64) {
 	f.incarnation = incarnation
 	f.next = 1
-	f.waiting = nil
-	f.tail = 0
-	f.lost = false
+	f.buffered = nil
+	f.reportedSequence = 0
+	f.eventsLost = false
 	f.weightVersion = ""
-	f.parts = partsFeed{}
+	f.chunks = chunkFeed{}
 }
 
 func (f *feed) dropAll() {
-	f.life++
-	f.index.Drop(f.holder)
-	f.pending.Drop(f.holder)
-	f.announce()
+	f.epoch++
+	f.index.Drop(f.owner)
+	f.pending.Drop(f.owner)
+	f.notifyChange()
 }
 
-// place applies an event or lets it wait for its turn.
-func (f *feed) place(now time.Duration, taken event) FeedStatus {
-	if taken.kind == resetEvent {
-		return f.placeReset(now, taken)
+// applyInOrder applies an event or lets it wait for its turn.
+func (f *feed) applyInOrder(now time.Duration, received event) FeedStatus {
+	if received.kind == resetEvent {
+		return f.applyReset(now, received)
 	}
-	if taken.sequence < f.next {
+	if received.sequence < f.next {
 		return Duplicate
 	}
-	at, waits := f.findWaiting(taken.sequence)
-	if waits {
+	at, buffered := f.findBuffered(received.sequence)
+	if buffered {
 		return Duplicate
 	}
-	if len(f.waiting) == 0 {
-		f.waitingSince = now
+	if len(f.buffered) == 0 {
+		f.bufferedSince = now
 	}
-	f.waiting = slices.Insert(f.waiting, at, taken)
-	f.applyWaiting(now)
+	f.buffered = slices.Insert(f.buffered, at, received)
+	f.applyBuffered(now)
 	return Accepted
 }
 
-// placeReset applies a reset. It makes all events up to its own number
+// applyReset applies a reset. It makes all events up to its own number
 // superfluous, so it need not wait for them.
-func (f *feed) placeReset(now time.Duration, taken event) FeedStatus {
-	if taken.sequence+1 < f.next {
+func (f *feed) applyReset(now time.Duration, received event) FeedStatus {
+	if received.sequence+1 < f.next {
 		return Stale
 	}
-	at, waits := f.findWaiting(taken.sequence)
-	if waits {
+	at, buffered := f.findBuffered(received.sequence)
+	if buffered {
 		at++
 	}
-	f.waiting = slices.Delete(f.waiting, 0, at)
-	f.waitingSince = now
-	f.lost = false
-	f.apply(taken)
-	f.next = taken.sequence + 1
-	f.applyWaiting(now)
+	f.buffered = slices.Delete(f.buffered, 0, at)
+	f.bufferedSince = now
+	f.eventsLost = false
+	f.apply(received)
+	f.next = received.sequence + 1
+	f.applyBuffered(now)
 	return Accepted
 }
 
-func (f *feed) findWaiting(sequence uint64) (at int, found bool) {
-	return slices.BinarySearchFunc(f.waiting, sequence, func(waiting event, wanted uint64) int {
+func (f *feed) findBuffered(sequence uint64) (at int, found bool) {
+	return slices.BinarySearchFunc(f.buffered, sequence, func(buffered event, target uint64) int {
 		switch {
-		case waiting.sequence < wanted:
+		case buffered.sequence < target:
 			return -1
-		case waiting.sequence > wanted:
+		case buffered.sequence > target:
 			return 1
 		}
 		return 0
 	})
 }
 
-// applyWaiting applies the events whose turn has come.
-func (f *feed) applyWaiting(now time.Duration) {
+// applyBuffered applies the events whose turn has come.
+func (f *feed) applyBuffered(now time.Duration) {
 	applied := 0
-	for applied < len(f.waiting) && f.waiting[applied].sequence == f.next {
-		f.apply(f.waiting[applied])
+	for applied < len(f.buffered) && f.buffered[applied].sequence == f.next {
+		f.apply(f.buffered[applied])
 		f.next++
 		applied++
 	}
 	if applied > 0 {
-		f.waiting = slices.Delete(f.waiting, 0, applied)
-		f.waitingSince = now
+		f.buffered = slices.Delete(f.buffered, 0, applied)
+		f.bufferedSince = now
 	}
 }
 
-func (f *feed) apply(taken event) {
-	defer f.announce()
-	switch taken.kind {
+func (f *feed) apply(received event) {
+	defer f.notifyChange()
+	switch received.kind {
 	case storedEvent:
-		f.index.Store(f.holder, taken.links)
+		f.index.Store(f.owner, received.links)
 	case removedEvent:
-		f.index.Remove(f.holder, taken.hashes)
+		f.index.Remove(f.owner, received.hashes)
 	case resetEvent:
-		f.index.Reset(f.holder, taken.links)
+		f.index.Reset(f.owner, received.links)
 	}
 }
 
-// giveUpIfDue stops waiting for events that have been missing for too long.
-func (f *feed) giveUpIfDue(now time.Duration) {
-	if f.tail != 0 && f.next > f.tail {
-		f.tail = 0
+// giveUpOnMissing stops waiting for events that have been missing for too long.
+func (f *feed) giveUpOnMissing(now time.Duration) {
+	if f.reportedSequence != 0 && f.next > f.reportedSequence {
+		f.reportedSequence = 0
 	}
-	if f.tail != 0 && now-f.tailSince >= f.options.ReportLag {
-		f.tail = 0
-		f.lost = true
+	if f.reportedSequence != 0 && now-f.reportedSequenceAt >= f.options.ReportLag {
+		f.reportedSequence = 0
+		f.eventsLost = true
 	}
-	if len(f.waiting) == 0 {
+	if len(f.buffered) == 0 {
 		return
 	}
-	tooMany := len(f.waiting) > f.options.ReorderWindow
-	tooLong := now-f.waitingSince >= f.options.ReorderWait
+	tooMany := len(f.buffered) > f.options.ReorderWindow
+	tooLong := now-f.bufferedSince >= f.options.ReorderWait
 	if !tooMany && !tooLong {
 		return
 	}
-	for _, waiting := range f.waiting {
-		f.apply(waiting)
-		f.next = waiting.sequence + 1
+	for _, buffered := range f.buffered {
+		f.apply(buffered)
+		f.next = buffered.sequence + 1
 	}
-	f.waiting = nil
-	f.lost = true
+	f.buffered = nil
+	f.eventsLost = true
 }
 
-// reported takes in what a load report says of the holder's life. Current is
+// handleReport takes in what a load report says of the holder's life. Current is
 // false for a report of an earlier life.
-func (f *feed) reported(now time.Duration, report Report) (current, restarted bool) {
+func (f *feed) handleReport(now time.Duration, report Report) (current, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
 	if report.Incarnation != 0 {
-		current, restarted = f.enter(now, report.Incarnation)
+		current, restarted = f.checkIncarnation(now, report.Incarnation)
 		if !current {
 			return false, false
 		}
 	}
-	f.changeVersion(report.WeightVersion)
-	if f.eventsSeen && f.tail == 0 && report.LastSequence >= f.next {
-		f.tail = report.LastSequence
-		f.tailSince = now
+	f.setWeightVersion(report.WeightVersion)
+	if f.reportsEvents && f.reportedSequence == 0 && report.LastSequence >= f.next {
+		f.reportedSequence = report.LastSequence
+		f.reportedSequenceAt = now
 	}
-	f.giveUpIfDue(now)
+	f.giveUpOnMissing(now)
 	return !f.forgotten, restarted
 }
 
-// observeVersion takes in that an answer came from a weight version.
-func (f *feed) observeVersion(version string) {
+// observeWeightVersion takes in that an answer came from a weight version.
+func (f *feed) observeWeightVersion(version string) {
 	f.mutex.Lock()
 	defer f.unlock()
 	if !f.forgotten {
-		f.changeVersion(version)
+		f.setWeightVersion(version)
 	}
 }
 
-// changeVersion drops everything when the weight version has changed. What the
+// setWeightVersion drops everything when the weight version has changed. What the
 // holder has kept since then comes with the reset that is asked for.
-func (f *feed) changeVersion(version string) {
+func (f *feed) setWeightVersion(version string) {
 	if version == "" || version == f.weightVersion {
 		return
 	}
@@ -286,19 +286,19 @@
 	f.weightVersion = version
 	if changed {
 		f.dropAll()
-		f.lost = f.eventsSeen
+		f.eventsLost = f.reportsEvents
 	}
 }
 
-// replaced drops everything, since another replica has the address now.
-func (f *feed) replaced() {
+// handleReplacement drops everything, since another replica has the address now.
+func (f *feed) handleReplacement() {
 	f.mutex.Lock()
 	defer f.unlock()
 	if f.forgotten {
 		return
 	}
 	f.dropAll()
-	f.parts = partsFeed{}
+	f.chunks = chunkFeed{}
 }
 
 // forget drops everything and writes nothing from now on.
@@ -306,7 +306,7 @@
 	f.mutex.Lock()
 	defer f.unlock()
 	f.forgotten = true
-	f.waiting = nil
-	f.parts = partsFeed{}
+	f.buffered = nil
+	f.chunks = chunkFeed{}
 	f.dropAll()
 }
--- a/pkg/kvrouter/feedprediction.go
+++ b/pkg/kvrouter/feed_prediction.go
@@ -8,47 +8,47 @@
 
 // predict records that the holder probably keeps the parts of a request that
 // was dispatched in the given life.
-func (f *feed) predict(now time.Duration, life uint64, links []prefixindex.Link) {
+func (f *feed) predict(now time.Duration, epoch uint64, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
-	if f.forgotten || f.life != life {
+	if f.forgotten || f.epoch != epoch {
 		return
 	}
-	defer f.announce()
-	if f.eventsSeen {
+	defer f.notifyChange()
+	if f.reportsEvents {
 		f.predictUntilReported(now, links)
 		return
 	}
-	f.index.Predict(now, f.holder, links)
+	f.index.Predict(now, f.owner, links)
 }
 
 // predictUntilReported bridges the time until the holder's own report comes.
 func (f *feed) predictUntilReported(now time.Duration, links []prefixindex.Link) {
 	lag := f.options.PredictionLag
-	if f.parts.seen && lag > 0 {
-		lag = f.options.NamedPredictionLag
+	if f.chunks.inUse && lag > 0 {
+		lag = f.options.ByIDPredictionLag
 	}
 	if lag > 0 {
-		f.index.PredictFor(now, lag, f.holder, links)
+		f.index.PredictFor(now, lag, f.owner, links)
 	}
 }
 
-// expect records that a request with the parts is on its way, so that requests
+// addPending records that a request with the parts is on its way, so that requests
 // behind it find them kept once their turn has come.
-func (f *feed) expect(now time.Duration, links []prefixindex.Link) {
+func (f *feed) addPending(now time.Duration, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
 	if !f.forgotten {
-		f.pending.Predict(now, f.holder, links)
+		f.pending.Predict(now, f.owner, links)
 	}
 }
 
-// unexpect takes back expect.
-func (f *feed) unexpect(links []prefixindex.Link) {
+// removePending takes back expect.
+func (f *feed) removePending(links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
-	defer f.announce()
+	defer f.notifyChange()
 	for _, link := range links {
-		f.pending.Remove(f.holder, []prefixindex.ChainHash{link.Hash})
+		f.pending.Remove(f.owner, []prefixindex.ChainHash{link.Hash})
 	}
 }
--- a/pkg/kvrouter/feed_test.go
+++ b/pkg/kvrouter/feed_test.go
@@ -37,18 +37,18 @@
 		Expect(removed(late, 2, 5, 5)).To(Equal(kvrouter.Duplicate))
 		Expect(stored(late, 0, 0, 0)).To(Equal(kvrouter.Stale))
 		Expect(keptBlocks(late)).To(Equal(10))
-		Expect(f.router.ResyncWanted(late + time.Minute)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
 	})
 
 	It("asks for a reset when a missing event does not come in time", func() {
 		stored(late, 1, 0, 3)
 		Expect(stored(late, 3, 6, 9)).To(Equal(kvrouter.Accepted))
-		Expect(f.router.ResyncWanted(late + 499*time.Millisecond)).To(BeEmpty())
-		Expect(f.router.ResyncWanted(late + 500*time.Millisecond)).To(Equal([]string{"a"}))
+		Expect(f.router.ResyncNeeded(late + 499*time.Millisecond)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(late + 500*time.Millisecond)).To(Equal([]string{"a"}))
 		Expect(stored(late+time.Second, 4, 4, 4)).To(Equal(kvrouter.Gap))
 		Expect(keptBlocks(late + time.Second)).To(Equal(5))
 		Expect(f.router.Reset(late+time.Second, "a", life, 4, whole)).To(Equal(kvrouter.Accepted))
-		Expect(f.router.ResyncWanted(late + time.Minute)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
 		Expect(keptBlocks(late + time.Second)).To(Equal(10))
 	})
 
@@ -63,15 +63,15 @@
 		stored(late, 1, 0, 3)
 		report := kvrouter.Report{WeightVersion: version, Incarnation: life, LastSequence: 3}
 		f.router.Report(late, "a", report)
-		Expect(f.router.ResyncWanted(late + 4*time.Second)).To(BeEmpty())
-		Expect(f.router.ResyncWanted(late + 5*time.Second)).To(Equal([]string{"a"}))
+		Expect(f.router.ResyncNeeded(late + 4*time.Second)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(late + 5*time.Second)).To(Equal([]string{"a"}))
 		f.router.Reset(late+5*time.Second, "a", life, 3, nil)
 		f.router.Report(late+5*time.Second, "a", report)
-		Expect(f.router.ResyncWanted(late + time.Hour)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(late + time.Hour)).To(BeEmpty())
 	})
 
 	It("gives parts in doubt less credit until a reset", func() {
-		f.settings.OwnCredit = 1
+		f.settings.LocalCredit = 1
 		stored(late, 1, 0, 9)
 		certain := f.choose(late, prompt(10))
 		certain.Reservation.Finish(late, false)
@@ -111,10 +111,10 @@
 		stored(late, 1, 0, 9)
 		f.router.Report(late, "a", kvrouter.Report{WeightVersion: "v2", Incarnation: life})
 		Expect(keptBlocks(late)).To(BeZero())
-		Expect(f.router.ResyncWanted(late)).To(Equal([]string{"a"}))
+		Expect(f.router.ResyncNeeded(late)).To(Equal([]string{"a"}))
 		f.router.Reset(late, "a", life, 2, whole)
 		Expect(keptBlocks(late)).To(Equal(10))
-		f.router.WeightVersionSeen(late, "a", "v3")
+		f.router.ObserveWeightVersion(late, "a", "v3")
 		Expect(keptBlocks(late)).To(BeZero())
 	})
 
@@ -133,8 +133,8 @@
 			for range 300 {
 				stream.step()
 			}
-			stream.settle()
-			Expect(f.router.ResyncWanted(stream.now)).To(BeEmpty(), "seed %d", seed)
+			stream.deliverAll()
+			Expect(f.router.ResyncNeeded(stream.now)).To(BeEmpty(), "seed %d", seed)
 			Expect(keptBlocks(stream.now)).To(Equal(stream.leading()), "seed %d", seed)
 			Expect(f.router.IndexStats().Reported).To(Equal(len(stream.kept)), "seed %d", seed)
 		}
@@ -197,7 +197,7 @@
 	for len(s.underway) > 0 && s.random.IntN(6) < len(s.underway) {
 		s.deliver(s.random.IntN(len(s.underway)))
 	}
-	if len(s.router.ResyncWanted(s.now)) > 0 {
+	if len(s.router.ResyncNeeded(s.now)) > 0 {
 		s.sendReset()
 	}
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-// settle lets all events arrive, and the router ask for what it misses.
-func (s *replicaStream) settle() {
+// deliverAll lets all events arrive, and the router ask for what it misses.
+func (s *replicaStream) deliverAll() {
 	s.send(streamEvent{stored: s.prompt[:1]})
 	s.kept[s.prompt[0].Hash] = s.prompt[0]
 	s.router.Report(s.now, "a", kvrouter.Report{Incarnation: s.incarnation, LastSequence: s.sequence})
@@ -247,7 +247,7 @@
 			s.deliver(0)
 		}
 		s.now += time.Minute
-		if len(s.router.ResyncWanted(s.now)) > 0 {
+		if len(s.router.ResyncNeeded(s.now)) > 0 {
 			s.sendReset()
 		}
 	}
--- a/pkg/kvrouter/load.go
+++ b/pkg/kvrouter/load.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// beyond returns what l holds above other, nothing of it negative.
-func (l load) beyond(other load) load {
+// excessOver returns what l holds above other, nothing of it negative.
+func (l load) excessOver(other load) load {
 	return load{
 		prefillTokens: max(0, l.prefillTokens-other.prefillTokens),
 		decodeTokens:  max(0, l.decodeTokens-other.decodeTokens),
@@ -50,7 +50,7 @@
 // with the present one. Otherwise work that was dispatched since would be
 // taken off, and work that ended since would be taken for somebody else's.
 type loadRecord struct {
-	own loadHistory
+	local loadHistory
 	// others is what the newest report showed beyond the own load.
 	others load
 	// reportedAt is the instant that the newest report describes.
@@ -63,7 +63,7 @@
 	if r.reported && describes < r.reportedAt {
 		return
 	}
-	r.others = total.beyond(r.own.at(describes))
+	r.others = total.excessOver(r.local.at(describes))
 	r.reportedAt = describes
 	r.reported = true
 }
@@ -78,9 +78,9 @@
 // ages, since nothing tells when their work ends.
 func (r *loadRecord) total(now time.Duration, options *Options) load {
 	if !r.reported {
-		return r.own.present
+		return r.local.present
 	}
-	return r.own.present.plus(r.others.times(fade(now-r.reportedAt, options)))
+	return r.local.present.plus(r.others.times(fade(now-r.reportedAt, options)))
 }
 
 // fade is 1 for fresh reports and falls to 0 for useless ones.
@@ -108,7 +108,7 @@
 
 // add changes the present load, and keeps the past as far back as keep.
 func (h *loadHistory) add(now, keep time.Duration, change load) {
-	h.present = h.present.plus(change).beyond(load{})
+	h.present = h.present.plus(change).excessOver(load{})
 	last := len(h.samples) - 1
 	if last >= 0 && now-h.samples[last].at < historyResolution {
 		h.samples[last].load = h.present
--- a/pkg/kvrouter/mechanisms.go
+++ b/pkg/kvrouter/mechanisms.go
@@ -5,23 +5,23 @@
 type Mechanisms struct {
 	// Overlap counts what replicas keep of a prompt.
 	Overlap bool
-	// Expectations take a replica to keep a prompt as soon as it was sent there, by
+	// PendingChunks take a replica to keep a prompt as soon as it was sent there, by
 	// this router or by another one.
-	Expectations bool
+	PendingChunks bool
 	// LearntSpeeds follow the speeds of pools, replicas and links.
 	LearntSpeeds bool
-	// Waiting holds requests back for earlier ones with the same beginning.
-	Waiting bool
+	// PrefixWaits holds requests back for earlier ones with the same beginning.
+	PrefixWaits bool
 	// PeerPulls and StorePulls bring parts from other replicas and from the store.
 	PeerPulls, StorePulls bool
-	// Saves put parts into the store.
-	Saves bool
+	// SaveToStore put parts into the store.
+	SaveToStore bool
 }
 
-// brings tells whether parts may be pulled from a peer or from the store.
-func (off Mechanisms) brings(isStore bool) bool {
+// allowsPull tells whether parts may be pulled from a peer or from the store.
+func (disabled Mechanisms) allowsPull(isStore bool) bool {
 	if isStore {
-		return !off.StorePulls
+		return !disabled.StorePulls
 	}
-	return !off.PeerPulls
+	return !disabled.PeerPulls
 }
--- a/pkg/kvrouter/naming.go
+++ b/pkg/kvrouter/naming.go
@@ -10,14 +10,14 @@
 const (
 	// Chained names stand for a part and all before it.
 	Chained Naming = iota
-	// Named parts go by their own ID, under the cache salt and the model.
-	Named
+	// ByID parts go by their own ID, under the cache salt and the model.
+	ByID
 )
 
 // Links names the parts of a prompt.
-func (n Naming) Links(model, cacheSalt string, parts []prefixindex.Part) []prefixindex.Link {
-	if n == Named {
-		return prefixindex.Named(model, cacheSalt, parts)
+func (n Naming) Links(model, cacheSalt string, chunks []prefixindex.Chunk) []prefixindex.Link {
+	if n == ByID {
+		return prefixindex.LinksByID(model, cacheSalt, chunks)
 	}
-	return prefixindex.Chain(model, cacheSalt, parts)
+	return prefixindex.Chain(model, cacheSalt, chunks)
 }
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -11,8 +11,8 @@
 	DefaultBlockTokens            = 16
 	DefaultGuessCredit            = 0.75
 	DefaultReportLag              = 5 * time.Second
-	DefaultNamedPredictionLag     = 20 * time.Second
-	DefaultDoubtTTL               = 60 * time.Second
+	DefaultByIDPredictionLag      = 20 * time.Second
+	DefaultUncertainTTL           = 60 * time.Second
 	DefaultBytesPerToken          = 320 << 10
 	DefaultLinkBytesPerSecond     = 2.5e9
 	DefaultLinkLatency            = 2 * time.Millisecond
@@ -22,9 +22,9 @@
 	DefaultPrefillTokensPerSecond = 8000.0
 	DefaultReorderWindow          = 64
 	DefaultReorderWait            = 500 * time.Millisecond
-	DefaultRampDuration           = 10 * time.Second
-	DefaultRampStart              = 4
-	DefaultRampPerSecond          = 4.0
+	DefaultSlowStartDuration      = 10 * time.Second
+	DefaultSlowStartInitial       = 4
+	DefaultSlowStartPerSecond     = 4.0
 	DefaultReportFresh            = 2 * time.Second
 	DefaultReportUseless          = 10 * time.Second
 )
@@ -45,17 +45,17 @@
 	// report, from the first token until its report should have come. The default
 	// is ReportLag; a negative one turns these predictions off.
 	PredictionLag time.Duration
-	// NamedPredictionLag is PredictionLag for replicas that report parts by
+	// ByIDPredictionLag is PredictionLag for replicas that report parts by
 	// their own IDs. It may be longer than their reports take, since a report
 	// that the part is gone ends the prediction.
-	NamedPredictionLag time.Duration
-	// Off are the mechanisms that are left out.
-	Off Mechanisms
+	ByIDPredictionLag time.Duration
+	// Disabled are the mechanisms that are left out.
+	Disabled Mechanisms
 	// Name tells this router from the others that send to the same replicas.
 	Name string
-	// DoubtTTL is how long parts count as predicted that were reported before
+	// UncertainTTL is how long parts count as predicted that were reported before
 	// some reports were lost.
-	DoubtTTL time.Duration
+	UncertainTTL time.Duration
 	// BytesPerToken is the size of the kept state of one token. The default is
 	// that of a model with 80 layers of 8 key-value heads of 128 in 16 bits.
 	BytesPerToken float64
@@ -78,12 +78,12 @@
 	ReorderWindow int
 	// ReorderWait is how long they wait.
 	ReorderWait time.Duration
-	// RampDuration is how long slow start lasts.
-	RampDuration time.Duration
-	// RampStart is how many reservations a replica takes at the start of it.
-	RampStart int
-	// RampPerSecond is how many more it takes with each second.
-	RampPerSecond float64
+	// SlowStartDuration is how long slow start lasts.
+	SlowStartDuration time.Duration
+	// SlowStartInitial is how many reservations a replica takes at the start of it.
+	SlowStartInitial int
+	// SlowStartPerSecond is how many more it takes with each second.
+	SlowStartPerSecond float64
 	// ReportFresh is the age up to which a load report counts in full.
 	ReportFresh time.Duration
 	// ReportUseless is the age from which on it does not count.
@@ -95,8 +95,8 @@
 	setDefault(&o.GuessCredit, DefaultGuessCredit)
 	setDefault(&o.ReportLag, DefaultReportLag)
 	setDefault(&o.PredictionLag, o.ReportLag)
-	setDefault(&o.NamedPredictionLag, DefaultNamedPredictionLag)
-	setDefault(&o.DoubtTTL, DefaultDoubtTTL)
+	setDefault(&o.ByIDPredictionLag, DefaultByIDPredictionLag)
+	setDefault(&o.UncertainTTL, DefaultUncertainTTL)
 	setDefault(&o.BytesPerToken, DefaultBytesPerToken)
 	setDefault(&o.LinkBytesPerSecond, DefaultLinkBytesPerSecond)
 	setDefault(&o.LinkLatency, DefaultLinkLatency)
@@ -106,9 +106,9 @@
 	setDefault(&o.PrefillTokensPerSecond, DefaultPrefillTokensPerSecond)
 	setDefault(&o.ReorderWindow, DefaultReorderWindow)
 	setDefault(&o.ReorderWait, DefaultReorderWait)
-	setDefault(&o.RampDuration, DefaultRampDuration)
-	setDefault(&o.RampStart, DefaultRampStart)
-	setDefault(&o.RampPerSecond, DefaultRampPerSecond)
+	setDefault(&o.SlowStartDuration, DefaultSlowStartDuration)
+	setDefault(&o.SlowStartInitial, DefaultSlowStartInitial)
+	setDefault(&o.SlowStartPerSecond, DefaultSlowStartPerSecond)
 	setDefault(&o.ReportFresh, DefaultReportFresh)
 	setDefault(&o.ReportUseless, DefaultReportUseless)
 	return o
--- a/pkg/kvrouter/backlog.go
+++ b/pkg/kvrouter/prefill_queue.go
@@ -8,19 +8,19 @@
 // Priorities is the number of priorities of requests, 0 being the most urgent.
 const Priorities = 10
 
-// unfinishedShare is the least share of a prompt that counts as unread until
+// unfinishedFraction is the least share of a prompt that counts as unread until
 // its first event has come.
-const unfinishedShare = 0.05
+const unfinishedFraction = 0.05
 
 // prefillWork is the prompt of a request that has not answered yet.
 type prefillWork struct {
 	priority uint8
 	tokens   float64
-	left     float64
+	unread   float64
 }
 
 // floor is the least that counts as left.
-func (w *prefillWork) floor() float64 { return unfinishedShare * w.tokens }
+func (w *prefillWork) floor() float64 { return unfinishedFraction * w.tokens }
 
 // prefillQueue estimates how much of the own requests' prompts a replica still
 // has to read. The replica reads one prompt at a time, the most urgent first and
@@ -36,10 +36,10 @@
 	q.work = slices.DeleteFunc(q.work, func(other *prefillWork) bool { return other == work })
 }
 
-// left sums what is unread.
-func (q *prefillQueue) left() (sum float64) {
+// unread sums what is unread.
+func (q *prefillQueue) unread() (sum float64) {
 	for _, work := range q.work {
-		sum += work.left
+		sum += work.unread
 	}
 	return sum
 }
@@ -47,7 +47,7 @@
 // byPriority adds what is unread to the sums of each priority.
 func (q *prefillQueue) byPriority(sums *[Priorities]float64) {
 	for _, work := range q.work {
-		sums[work.priority] += work.left
+		sums[work.priority] += work.unread
 	}
 }
 
@@ -63,8 +63,8 @@
 		if work.priority != priority {
 			continue
 		}
-		read := min(max(work.left-work.floor(), 0), tokens)
-		work.left -= read
+		read := min(max(work.unread-work.floor(), 0), tokens)
+		work.unread -= read
 		tokens -= read
 	}
 	return tokens
--- a/pkg/kvrouter/speed.go
+++ b/pkg/kvrouter/prefill_speed.go
@@ -5,9 +5,9 @@
 const (
 	// speedWeight is the weight of a new observation in the moving average.
 	speedWeight = 0.2
-	// leastTokensToLearn is the shortest prefill that tells the speed rather
+	// minTokensToLearn is the shortest prefill that tells the speed rather
 	// than the fixed cost of a request.
-	leastTokensToLearn = 256
+	minTokensToLearn = 256
 )
 
 // prefillSpeed is the moving average of a replica's prefill speed.
@@ -17,7 +17,7 @@
 
 // learn takes in that the replica computed tokens, queue included, in a time.
 func (s *prefillSpeed) learn(tokens float64, took time.Duration) {
-	if tokens < leastTokensToLearn || took <= 0 {
+	if tokens < minTokensToLearn || took <= 0 {
 		return
 	}
 	observed := tokens / took.Seconds()
--- /dev/null
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -0,0 +1,120 @@
+package kvrouter_test
+
+import (
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
+)
+
+// withSuffix is a prompt of shared parts with one of its own at the end.
+func withSuffix(shared int, own string) []prefixindex.Chunk {
+	return append(longPrompt(shared), prefixindex.Chunk{ID: own, Tokens: 500})
+}
+
+var _ = Describe("A prompt whose beginning is being read", func() {
+	soon := late + 50*time.Millisecond
+
+	It("waits until the replica has read it", func() {
+		f := newEngineFleet("a")
+		first := f.choose(late, withSuffix(8, "first"))
+		Expect(first.Wait).To(BeNil())
+		second := f.choose(soon, withSuffix(8, "second"))
+		Expect(second.Wait).NotTo(BeNil())
+		Expect(second.OverlapTokens).To(Equal(uint32(8000)))
+		Expect(second.Wait.Done(soon)).To(BeFalse())
+		changed := second.Wait.Changed()
+		Expect(changed).NotTo(BeClosed())
+		read := late + 250*time.Millisecond
+		first.Reservation.FirstToken(read)
+		Expect(changed).To(BeClosed())
+		Expect(second.Wait.Done(read)).To(BeTrue())
+		Expect(f.choose(read, withSuffix(8, "third")).Wait).To(BeNil())
+	})
+
+	It("waits for prompts that other routers told of, until the replica reports the parts", func() {
+		f := newEngineFleet("a")
+		f.keeps("a", 1)
+		links := kvrouter.ByID.Links(model, salt(version), longPrompt(8))
+		f.router.ObserveDispatchLinks(late, "a", links)
+		decision := f.choose(soon, withSuffix(8, "own"))
+		Expect(decision.Wait).NotTo(BeNil())
+		Expect(decision.Wait.Done(soon)).To(BeFalse())
+		changed := decision.Wait.Changed()
+		var changes []kvrouter.ChunkChange
+		for chunk := range 8 {
+			changes = append(changes, cachedChange(uint64(chunk+2), chunk, 1000))
+		}
+		f.router.ChunksReported(soon, "a", feedPosition(1, 9), changes)
+		Expect(changed).To(BeClosed())
+		Expect(decision.Wait.Done(soon)).To(BeTrue())
+	})
+
+	It("goes on when the earlier request ends without having been read", func() {
+		f := newEngineFleet("a")
+		first := f.choose(late, withSuffix(8, "first"))
+		second := f.choose(soon, withSuffix(8, "second"))
+		changed := second.Wait.Changed()
+		first.Reservation.Cancelled(soon)
+		Expect(changed).To(BeClosed())
+		Expect(second.Wait.Done(soon)).To(BeTrue())
+	})
+
+	It("goes on when the replica begins a new life", func() {
+		f := newEngineFleet("a")
+		f.choose(late, withSuffix(8, "first"))
+		second := f.choose(soon, withSuffix(8, "second"))
+		changed := second.Wait.Changed()
+		f.candidates[0].Instance = "second"
+		f.choose(soon, longPrompt(1))
+		Expect(changed).To(BeClosed())
+		Expect(second.Wait.Done(soon)).To(BeTrue())
+	})
+
+	It("waits no longer than half as long again as expected, nor than the request may", func() {
+		f := newEngineFleet("a")
+		f.choose(late, withSuffix(8, "first"))
+		second := f.choose(late, withSuffix(8, "second"))
+		Expect(second.Wait.Deadline() - late).To(BeNumerically("~", 420*time.Millisecond, 10*time.Millisecond))
+		Expect(second.Wait.Done(second.Wait.Deadline())).To(BeTrue())
+		f.change = func(request *kvrouter.Request) { request.MaxWait = 30 * time.Millisecond }
+		third := f.choose(late, withSuffix(8, "third"))
+		Expect(third.Wait.Deadline() - late).To(Equal(30 * time.Millisecond))
+	})
+
+	It("waits no longer than two seconds, however much the replica has to read", func() {
+		f := newEngineFleet("a")
+		f.choose(late, append(longPrompt(60), prefixindex.Chunk{ID: "first", Tokens: 500}))
+		f.hasBacklog(late, "a", 5, 20_000)
+		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
+		second := f.choose(late, append(longPrompt(60), prefixindex.Chunk{ID: "second", Tokens: 500}))
+		Expect(second.Wait.Deadline() - late).To(Equal(2 * time.Second))
+	})
+
+	It("does not wait when the parts have little in common", func() {
+		f := newEngineFleet("a")
+		f.choose(late, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "x", Tokens: 8000}})
+		Expect(f.choose(soon, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "y", Tokens: 8000}}).Wait).To(BeNil())
+	})
+
+	It("does not wait for less urgent prompts that take longer than the wait saves", func() {
+		f := newEngineFleet("a")
+		f.change = func(request *kvrouter.Request) { request.Priority = 7 }
+		f.choose(late, append(longPrompt(2), prefixindex.Chunk{ID: "long", Tokens: 40_000}))
+		f.change = func(request *kvrouter.Request) { request.Priority = 0 }
+		f.settings.LessUrgentWeight = 0.1
+		urgent := f.choose(late, withSuffix(2, "urgent"))
+		Expect(urgent.Wait).To(BeNil())
+		Expect(urgent.OverlapTokens).To(BeZero())
+	})
+
+	It("does not wait at a replica that keeps the beginning already", func() {
+		f := newEngineFleet("a")
+		f.keeps("a", 8)
+		f.choose(late, withSuffix(8, "first"))
+		Expect(f.choose(soon, withSuffix(8, "second")).Wait).To(BeNil())
+	})
+})
--- a/pkg/kvrouter/prompt.go
+++ b/pkg/kvrouter/prompt.go
@@ -60,7 +60,7 @@
 		s.used++
 		added.version = version
 		added.salt = req.salt(version)
-		added.links = req.Naming.Links(req.Model, added.salt, req.Parts)
+		added.links = req.Naming.Links(req.Model, added.salt, req.Chunks)
 		added.sources = added.sources[:0]
 		r.index.Overlaps(req.Now, added.links, &added.overlaps)
 		if req.Engine != nil {
@@ -82,8 +82,8 @@
 // number instead of wrapping around.
 func (req *Request) countTokens() {
 	tokens := uint64(0)
-	for _, part := range req.Parts {
-		tokens += uint64(part.Tokens)
+	for _, chunk := range req.Chunks {
+		tokens += uint64(chunk.Tokens)
 	}
 	req.promptTokens = uint32(min(tokens, math.MaxUint32))
 }
--- a/pkg/kvrouter/pull.go
+++ b/pkg/kvrouter/pull.go
@@ -11,25 +11,25 @@
 	state   *replicaState
 	zone    string
 	region  string
-	reach   prefixindex.Extent
+	extent  prefixindex.Extent
 	isStore bool
-	// sure tells that the holder has reported to keep all of it.
-	sure bool
+	// certain tells that the holder has reported to keep all of it.
+	certain bool
 }
 
 // plannedPull is a pull with what its planning was based on.
 type plannedPull struct {
-	source    pullSource
-	link      linkKey
-	firstPart int
-	tokens    uint32
+	source     pullSource
+	zones      zonePair
+	firstChunk int
+	tokens     uint32
 	// sharedWith counts the pulls that were under way from the source.
 	sharedWith int
 	transfer   time.Duration
 	// saved is how much sooner the parts are there than by prefill.
 	saved time.Duration
-	// savedShare is saved as a share of the time of prefill, from 0 to 1.
-	savedShare float64
+	// savedFraction is saved as a share of the time of prefill, from 0 to 1.
+	savedFraction float64
 	// price is what the moved bytes cost, in milliseconds.
 	price float64
 }
@@ -58,36 +58,36 @@
 // has the strength left to serve it. Only parts that it reported count: a guess
 // would send the replica for nothing.
 func (r *Router) addSource(req *Request, p *prompt, address, zone, region string, isStore bool) {
-	state := r.state(req.Now, address)
+	state := r.stateLocked(req.Now, address)
 	if req.Engine != nil {
-		if r.options.Off.brings(isStore) {
-			p.addTimedSource(state, zone, region, isStore)
+		if r.options.Disabled.allowsPull(isStore) {
+			p.addSourceByTime(state, zone, region, isStore)
 		}
 		return
 	}
-	reach := p.overlaps.Of(state.holder).Reported
-	if reach.Parts == 0 || state.pullsServed >= r.options.MaxPullsPerSource {
+	reach := p.overlaps.Of(state.owner).Reported
+	if reach.Chunks == 0 || state.pullsServed >= r.options.MaxPullsPerSource {
 		return
 	}
 	if !isStore && r.busy(req, state) {
 		return
 	}
-	if state.feed.view(req.Now).doubtful {
+	if state.feed.view(req.Now).uncertain {
 		return
 	}
-	p.sources = append(p.sources, pullSource{state: state, zone: zone, reach: reach, isStore: isStore})
+	p.sources = append(p.sources, pullSource{state: state, zone: zone, extent: reach, isStore: isStore})
 }
 
-// planPull finds the pull that saves a replica the most time; planned is false
+// planPullByBlocks finds the pull that saves a replica the most time; planned is false
 // when prefill is about as fast as any. The pull begins where the replica's own
 // overlap ends. The router's lock is held.
-func (r *Router) planPull(req *Request, p *prompt, state *replicaState, zone string, own prefixindex.Extent) (best plannedPull, planned bool) {
+func (r *Router) planPullByBlocks(req *Request, p *prompt, state *replicaState, zone string, cached prefixindex.Extent) (best plannedPull, planned bool) {
 	for at := range p.sources {
 		source := &p.sources[at]
-		if source.state == state || source.reach.Parts <= own.Parts || source.reach.Tokens <= own.Tokens {
+		if source.state == state || source.extent.Chunks <= cached.Chunks || source.extent.Tokens <= cached.Tokens {
 			continue
 		}
-		candidate := r.estimatePull(req, source, state, zone, own)
+		candidate := r.estimatePullByBlocks(req, source, state, zone, cached)
 		if candidate.saved > best.saved {
 			best = candidate
 		}
@@ -95,18 +95,18 @@
 	return best, best.saved > 0
 }
 
-// estimatePull compares a pull with prefill. Its saved time is 0 or less when
+// estimatePullByBlocks compares a pull with prefill. Its saved time is 0 or less when
 // the pull is not clearly faster.
-func (r *Router) estimatePull(req *Request, source *pullSource, state *replicaState, zone string, own prefixindex.Extent) plannedPull {
+func (r *Router) estimatePullByBlocks(req *Request, source *pullSource, state *replicaState, zone string, cached prefixindex.Extent) plannedPull {
 	planned := plannedPull{
 		source:     *source,
-		link:       linkKey{from: source.zone, to: zone},
-		firstPart:  own.Parts,
-		tokens:     source.reach.Tokens - own.Tokens,
+		zones:      zonePair{from: source.zone, to: zone},
+		firstChunk: cached.Chunks,
+		tokens:     source.extent.Tokens - cached.Tokens,
 		sharedWith: source.state.pullsServed,
 	}
 	tokens := float64(planned.tokens)
-	planned.transfer = r.links.transferTime(req.Now, planned.link, tokens, planned.sharedWith, &r.options)
+	planned.transfer = r.bandwidths.transferTime(req.Now, planned.zones, tokens, planned.sharedWith, &r.options)
 	weighted := float64(planned.transfer) * r.options.PullAdvantage
 	if source.zone != zone {
 		weighted *= r.options.CrossZoneFactor
@@ -114,7 +114,7 @@
 	prefill := state.speed.timeFor(tokens, &r.options)
 	planned.saved = prefill - time.Duration(weighted)
 	if planned.saved > 0 {
-		planned.savedShare = float64(planned.saved) / float64(prefill)
+		planned.savedFraction = float64(planned.saved) / float64(prefill)
 	}
 	return planned
 }
@@ -125,17 +125,17 @@
 // parts itself.
 func (p *plannedPull) credit(settings Settings) float64 {
 	if p.source.isStore {
-		return min(settings.StoreCredit, p.savedShare)
+		return min(settings.StoreCredit, p.savedFraction)
 	}
-	return min(settings.PeerCredit, p.savedShare)
+	return min(settings.PeerCredit, p.savedFraction)
 }
 
 // pull returns the instruction for the replica.
 func (p *plannedPull) pull() *Pull {
 	return &Pull{
 		Source:        p.source.state.address,
-		FirstPart:     p.firstPart,
-		LastPart:      p.source.reach.Parts - 1,
+		FirstPart:     p.firstChunk,
+		LastPart:      p.source.extent.Chunks - 1,
 		Tokens:        p.tokens,
 		EstimatedTime: p.transfer,
 	}
--- a/pkg/kvrouter/pull_test.go
+++ b/pkg/kvrouter/pull_test.go
@@ -39,7 +39,7 @@
 	// measure tells the router a bandwidth at the time of the requests.
 	measure := func(from string, bytesPerSecond float64) {
 		f.isBusyWith(late, "taker", 0, 0, 0)
-		f.router.LinkMeasured(from, "zone", bytesPerSecond)
+		f.router.ObserveLinkBandwidth(from, "zone", bytesPerSecond)
 	}
 
 	// taken selects for the taker although the holder is a candidate.
@@ -113,7 +113,7 @@
 
 	It("prefills where the replica is learnt to be fast", func() {
 		f.candidates = f.candidates[1:]
-		other := []prefixindex.Part{{ID: "other", Tokens: 10_000}}
+		other := []prefixindex.Chunk{{ID: "other", Tokens: 10_000}}
 		f.choose(late, other).Reservation.FirstToken(late + 100*time.Millisecond)
 		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "holder", Zone: "zone", WeightVersion: version})
 		Expect(taken().Pull).To(BeNil())
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -16,17 +16,17 @@
 	// Instance names the replica's present life, or is "" when it is not known.
 	// A change ends all that is known of the address.
 	Instance string
-	// ColdUntil is when the replica stops being cold, on the router's clock; 0
+	// SlowStartUntil is when the replica stops being cold, on the router's clock; 0
 	// when it is not.
-	ColdUntil time.Duration
+	SlowStartUntil time.Duration
 }
 
 // Request is what selection needs to know of a request.
 type Request struct {
 	Now   time.Duration
 	Model string
-	// Parts is the prompt.
-	Parts []prefixindex.Part
+	// Chunks is the prompt.
+	Chunks []prefixindex.Chunk
 	// Naming says how the pool's replicas name parts.
 	Naming Naming
 	// OutputTokens bounds the tokens that will be generated.
@@ -49,9 +49,9 @@
 	// Session tells that the last part of the prompt is its session's, and comes
 	// again.
 	Session bool
-	// ColdAllowed tells whether one more request may go to a cold replica. It
+	// SlowStartAllowed tells whether one more request may go to a cold replica. It
 	// must not count the request, which may go elsewhere. With nil none may.
-	ColdAllowed func(address string) bool
+	SlowStartAllowed func(address string) bool
 	// Store is the address of the pool's store, or "".
 	Store string
 	// StoreZone is the zone of the store.
@@ -66,8 +66,8 @@
 
 	// promptTokens counts the tokens of all parts.
 	promptTokens uint32
-	// pace is that of the model's replicas, when there is an engine profile.
-	pace *pace
+	// latencyModel is that of the model's replicas, when there is an engine profile.
+	latency *latencyModel
 	// harmWeight is HarmWeight at the present backlog.
 	harmWeight float64
 }
@@ -89,8 +89,8 @@
 	Pull *Pull
 	// Save tells the replica to save the prompt's parts to the store.
 	Save bool
-	// Awaited tells what to wait for before the request is sent, or is nil.
-	Awaited *Awaited
+	// Wait tells what to wait for before the request is sent, or is nil.
+	Wait *PrefixWait
 	// ExpectedDelay is the estimated time to the first event; 0 without an
 	// engine profile.
 	ExpectedDelay time.Duration
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -15,8 +15,8 @@
 	links  []prefixindex.Link
 	pull   plannedPull
 	pulls  bool
-	// life is the life of the replica's feed that the attempt belongs to.
-	life uint64
+	// feedEpoch is the life of the replica's feed that the attempt belongs to.
+	feedEpoch uint64
 	// startedAt, computeTokens and backlogTokens tell how long the first token
 	// should take.
 	startedAt     time.Duration
@@ -25,25 +25,25 @@
 	// work, pace and expected are set with an engine profile. Expected is the
 	// estimated time to the first event in milliseconds.
 	work     *prefillWork
-	pace     *pace
+	latency  *latencyModel
 	expected float64
-	// awaited tells that the attempt was held back, so that its time tells
+	// waited tells that the attempt was held back, so that its time tells
 	// nothing of the replica's speed.
-	awaited bool
+	waited bool
 	// store is the store that the parts are saved to, or nil.
 	store *replicaState
 
 	// The router's lock guards what follows; nothing of it changes once the
 	// attempt is finished.
-	held       load
+	load       load
 	firstToken bool
 	finished   bool
 	generated  uint32
 }
 
-// reserve adds the load of a request to the chosen replica. The router's lock
+// reserveByBlocks adds the load of a request to the chosen replica. The router's lock
 // is held.
-func (r *Router) reserve(req *Request, chosen *scoredCandidate) *Reservation {
+func (r *Router) reserveByBlocks(req *Request, chosen *scoredCandidate) *Reservation {
 	promptTokens := float64(req.promptTokens)
 	compute := promptTokens - float64(chosen.overlap.Likely.Tokens)
 	if chosen.pulls {
@@ -56,20 +56,20 @@
 		links:         chosen.prompt.links,
 		pull:          chosen.pull,
 		pulls:         chosen.pulls,
-		life:          chosen.view.life,
+		feedEpoch:     chosen.view.epoch,
 		startedAt:     req.Now,
 		computeTokens: max(0, compute),
 		backlogTokens: chosen.backlogTokens,
 	}
-	reservation.hold(req.Now, load{prefillTokens: reservation.computeTokens, decodeTokens: promptTokens, requests: 1})
+	reservation.setLoad(req.Now, load{prefillTokens: reservation.computeTokens, decodeTokens: promptTokens, requests: 1})
 	return reservation
 }
 
-// hold changes what the reservation adds to the replica's load.
-func (r *Reservation) hold(now time.Duration, wanted load) {
-	change := wanted.plus(r.held.times(-1))
-	r.held = wanted
-	r.state.load.own.add(now, r.router.options.ReportUseless, change)
+// setLoad changes what the reservation adds to the replica's load.
+func (r *Reservation) setLoad(now time.Duration, target load) {
+	change := target.plus(r.load.times(-1))
+	r.load = target
+	r.state.load.local.add(now, r.router.options.ReportUseless, change)
 }
 
 // FirstToken says that the replica has sent the first token, so that the prompt
@@ -78,9 +78,9 @@
 	if !r.endPrefill(now) {
 		return
 	}
-	r.state.feed.predict(now, r.life, r.links)
+	r.state.feed.predict(now, r.feedEpoch, r.links)
 	if r.store != nil {
-		r.store.feed.predict(now, r.store.feed.view(now).life, r.links)
+		r.store.feed.predict(now, r.store.feed.view(now).epoch, r.links)
 	}
 }
 
@@ -88,26 +88,26 @@
 func (r *Reservation) endPrefill(now time.Duration) bool {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
-	r.router.advance(now)
+	r.router.observeTime(now)
 	if r.finished || r.firstToken {
 		return false
 	}
 	r.firstToken = true
 	if r.work != nil {
-		r.state.settle(now)
-		r.learnTimed(now)
+		r.state.drainBacklog(now)
+		r.learnByTime(now)
 		r.state.queue.remove(r.work)
 	} else {
-		r.learn(now - r.startedAt)
+		r.learnByBlocks(now - r.startedAt)
 	}
 	r.endPull()
-	r.hold(now, load{decodeTokens: r.held.decodeTokens, requests: r.held.requests})
+	r.setLoad(now, load{decodeTokens: r.load.decodeTokens, requests: r.load.requests})
 	return true
 }
 
-// learn updates the replica's prefill speed, or the speed of the link when the
+// learnByBlocks updates the replica's prefill speed, or the speed of the link when the
 // time was spent on a pull as well.
-func (r *Reservation) learn(took time.Duration) {
+func (r *Reservation) learnByBlocks(took time.Duration) {
 	computed := r.backlogTokens + r.computeTokens
 	if !r.pulls {
 		r.state.speed.learn(computed, took)
@@ -115,7 +115,7 @@
 	}
 	options := &r.router.options
 	pulling := took - r.state.speed.timeFor(computed, options)
-	r.router.links.pulled(r.startedAt+took, r.pull.link, float64(r.pull.tokens), r.pull.sharedWith, pulling, options)
+	r.router.bandwidths.observePull(r.startedAt+took, r.pull.zones, float64(r.pull.tokens), r.pull.sharedWith, pulling, options)
 }
 
 func (r *Reservation) endPull() {
@@ -129,14 +129,14 @@
 func (r *Reservation) Progress(now time.Duration, generated uint32) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
-	r.router.advance(now)
+	r.router.observeTime(now)
 	if r.finished || generated <= r.generated {
 		return
 	}
-	wanted := r.held
-	wanted.decodeTokens += float64(generated - r.generated)
+	target := r.load
+	target.decodeTokens += float64(generated - r.generated)
 	r.generated = generated
-	r.hold(now, wanted)
+	r.setLoad(now, target)
 }
 
 // Finish says that the attempt has ended, completed or not, and releases its
@@ -147,38 +147,38 @@
 		return
 	}
 	if !completed {
-		r.unexpect()
+		r.removePending()
 		return
 	}
-	if r.firstToken && r.state.feed.view(now).reports {
+	if r.firstToken && r.state.feed.view(now).reportsEvents {
 		return
 	}
-	r.state.feed.predict(now, r.life, r.links)
+	r.state.feed.predict(now, r.feedEpoch, r.links)
 }
 
 // release ends the load, and tells whether it had not ended before.
 func (r *Reservation) release(now time.Duration) bool {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
-	r.router.advance(now)
+	r.router.observeTime(now)
 	if r.finished {
 		return false
 	}
 	r.finished = true
 	if !r.firstToken {
 		r.endPull()
-		r.endWork(now)
+		r.removeFromQueue(now)
 	}
-	r.hold(now, load{})
+	r.setLoad(now, load{})
 	return true
 }
 
-// endWork takes the prompt off the replica's queue.
-func (r *Reservation) endWork(now time.Duration) {
+// removeFromQueue takes the prompt off the replica's queue.
+func (r *Reservation) removeFromQueue(now time.Duration) {
 	if r.work == nil {
 		return
 	}
-	r.state.settle(now)
+	r.state.drainBacklog(now)
 	r.state.queue.remove(r.work)
 }
 
@@ -186,17 +186,17 @@
 // more, or that it has not run. Nothing is learnt from it.
 func (r *Reservation) Cancelled(now time.Duration) {
 	if r.release(now) {
-		r.unexpect()
+		r.removePending()
 	}
 }
 
-// unexpect takes back that the prompt will be kept, if it was not read.
-func (r *Reservation) unexpect() {
+// removePending takes back that the prompt will be kept, if it was not read.
+func (r *Reservation) removePending() {
 	if r.work == nil || r.firstToken {
 		return
 	}
-	r.state.feed.unexpect(r.links)
+	r.state.feed.removePending(r.links)
 	if r.store != nil {
-		r.store.feed.unexpect(r.links)
+		r.store.feed.removePending(r.links)
 	}
 }
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -23,16 +23,16 @@
 	index   *prefixindex.Index
 	// pending holds the parts of requests that have not answered yet. They are
 	// not there to pull, but a request behind will find them.
-	pending   *prefixindex.Index
-	scratches sync.Pool
+	pending     *prefixindex.Index
+	scratchPool sync.Pool
 
-	mutex       sync.Mutex
-	replicas    map[string]*replicaState
-	nextHolder  prefixindex.Holder
-	freeHolders []prefixindex.Holder
-	links       links
-	paces       map[string]*pace
-	seen        seenParts
+	mutex         sync.Mutex
+	replicas      map[string]*replicaState
+	nextOwner     prefixindex.Owner
+	freeOwners    []prefixindex.Owner
+	bandwidths    linkBandwidths
+	latencyModels map[string]*latencyModel
+	recentHashes  recentHashes
 	// latest is the newest time that the router was told.
 	latest time.Duration
 }
@@ -48,13 +48,13 @@
 func New(options Options) *Router {
 	options = options.withDefaults()
 	return &Router{
-		options:   options,
-		index:     prefixindex.New(options.Index),
-		pending:   prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards}),
-		scratches: sync.Pool{New: func() any { return &scratch{} }},
-		replicas:  make(map[string]*replicaState),
-		links:     newLinks(),
-		paces:     make(map[string]*pace),
+		options:       options,
+		index:         prefixindex.New(options.Index),
+		pending:       prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards}),
+		scratchPool:   sync.Pool{New: func() any { return &scratch{} }},
+		replicas:      make(map[string]*replicaState),
+		bandwidths:    newLinkBandwidths(),
+		latencyModels: make(map[string]*latencyModel),
 	}
 }
 
@@ -62,37 +62,37 @@
 func (r *Router) Load(now time.Duration, address string) Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, present := r.replicas[address]
+	state, present := r.replicas[address]
 	if !present {
 		return Load{}
 	}
-	return r.blocks(known.load.total(now, &r.options))
+	return r.blocks(state.load.total(now, &r.options))
 }
 
 // IndexStats returns the size of the prefix index.
 func (r *Router) IndexStats() prefixindex.Stats { return r.index.Stats() }
 
-// LinkMeasured takes in the bandwidth of pulls from one zone to another.
-func (r *Router) LinkMeasured(fromZone, toZone string, bytesPerSecond float64) {
+// ObserveLinkBandwidth takes in the bandwidth of pulls from one zone to another.
+func (r *Router) ObserveLinkBandwidth(fromZone, toZone string, bytesPerSecond float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.links.measured(r.latest, linkKey{from: fromZone, to: toZone}, bytesPerSecond)
+	r.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
 }
 
 // Forget drops all that is known of an address that the platform no longer
 // lists. Reservations on it may still be finished.
 func (r *Router) Forget(address string) {
 	r.mutex.Lock()
-	known, present := r.replicas[address]
+	state, present := r.replicas[address]
 	delete(r.replicas, address)
 	r.mutex.Unlock()
 	if !present {
 		return
 	}
-	known.feed.forget()
+	state.feed.forget()
 	// Only now can no event of the old address reach the handle any more.
 	r.mutex.Lock()
-	r.freeHolders = append(r.freeHolders, known.holder)
+	r.freeOwners = append(r.freeOwners, state.owner)
 	r.mutex.Unlock()
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// advance remembers the newest time. The router's lock is held.
-func (r *Router) advance(now time.Duration) {
+// observeTime remembers the newest time. The router's lock is held.
+func (r *Router) observeTime(now time.Duration) {
 	r.latest = max(r.latest, now)
 }
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -9,9 +9,9 @@
 const (
 	// defaultRetryAfter is when to come back if nothing tells better.
 	defaultRetryAfter = time.Second
-	// leastRetryAfter and mostRetryAfter bound the advice to callers.
-	leastRetryAfter = 200 * time.Millisecond
-	mostRetryAfter  = 5 * time.Second
+	// minRetryAfter and maxRetryAfter bound the advice to callers.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
 // scoredCandidate is a candidate that may take the request, with its cost.
@@ -23,13 +23,13 @@
 	overlap   prefixindex.Overlap
 	pull      plannedPull
 	pulls     bool
-	// awaits tells that the overlap is there only after a wait.
-	awaits         bool
+	// waits tells that the overlap is there only after a wait.
+	waits          bool
 	backlogTokens  float64
 	activeRequests float64
 	cost           float64
-	// timed is used with an engine profile.
-	timed timedTerms
+	// timeTerms is used with an engine profile.
+	timeTerms timeTerms
 }
 
 // Select chooses the replica for a request and reserves its load. It returns a
@@ -37,37 +37,37 @@
 // the reservation of the decision with Finish.
 func (r *Router) Select(req Request, candidates []Candidate) (Decision, error) {
 	if len(candidates) == 0 {
-		return Decision{}, &NoReplicaError{Reason: NoneListed, RetryAfter: defaultRetryAfter}
+		return Decision{}, &NoReplicaError{Reason: NoCandidates, RetryAfter: defaultRetryAfter}
 	}
-	s := r.scratches.Get().(*scratch)
-	defer r.scratches.Put(s)
+	s := r.scratchPool.Get().(*scratch)
+	defer r.scratchPool.Put(s)
 	s.reset()
 	req.countTokens()
 	if req.Engine != nil {
 		profile := req.Engine.withDefaults(&r.options)
 		req.Engine = &profile
 		req.Priority = min(req.Priority, Priorities-1)
-		r.noticeInstances(req.Now, candidates)
+		r.detectReplacements(req.Now, candidates)
 	}
 	r.lookUp(s, &req, candidates)
-	decision, err := r.selectLocked(s, &req, candidates)
+	decision, err := r.scoreAndDecide(s, &req, candidates)
 	if err == nil && req.Engine != nil {
-		r.expect(&req, &decision)
+		r.addPending(&req, &decision)
 	}
 	return decision, err
 }
 
-// selectLocked takes the router's lock for the choice.
-func (r *Router) selectLocked(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
+// scoreAndDecide takes the router's lock for the choice.
+func (r *Router) scoreAndDecide(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.advance(req.Now)
+	r.observeTime(req.Now)
 	if req.Engine != nil {
-		req.pace = r.paceOf(req.Model, req.Engine)
+		req.latency = r.latencyModelOf(req.Model, req.Engine)
 	}
 	r.gatherSources(s, req, candidates)
 	if req.Engine != nil {
-		r.weighHarm(s, req, candidates)
+		r.setHarmWeight(s, req, candidates)
 	}
 	allowed := r.score(s, req, candidates)
 	if allowed == 0 {
@@ -92,17 +92,17 @@
 			continue
 		}
 		allowed++
-		state := r.state(req.Now, candidate.Address)
+		state := r.stateLocked(req.Now, candidate.Address)
 		if req.Engine != nil {
-			if req.bears(candidate) {
-				s.scored = append(s.scored, r.scoreTimed(req, candidate, state, s.prompt(candidate.WeightVersion)))
+			if req.mayUse(candidate) {
+				s.scored = append(s.scored, r.scoreByTime(req, candidate, state, s.prompt(candidate.WeightVersion)))
 			}
 			continue
 		}
-		if r.busy(req, state) || r.ramping(req, state) {
+		if r.busy(req, state) || r.atSlowStartLimit(req, state) {
 			continue
 		}
-		s.scored = append(s.scored, r.scoreOne(req, candidate, state, s.prompt(candidate.WeightVersion)))
+		s.scored = append(s.scored, r.scoreByBlocks(req, candidate, state, s.prompt(candidate.WeightVersion)))
 	}
 	return allowed
 }
@@ -116,26 +116,26 @@
 	return active.PrefillBlocks+active.DecodeBlocks >= req.Settings.BusyThresholdBlocks
 }
 
-// ramping tells whether a replica has as many reservations as its slow start
+// atSlowStartLimit tells whether a replica has as many reservations as its slow start
 // allows.
-func (r *Router) ramping(req *Request, state *replicaState) bool {
-	return state.load.own.present.requests >= float64(state.ramp.limit(req.Now, &r.options))
+func (r *Router) atSlowStartLimit(req *Request, state *replicaState) bool {
+	return state.load.local.present.requests >= float64(state.slowStart.limit(req.Now, &r.options))
 }
 
-func (r *Router) scoreOne(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
+func (r *Router) scoreByBlocks(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
 	scored := scoredCandidate{
 		candidate: candidate,
 		state:     state,
 		prompt:    p,
 		view:      state.feed.view(req.Now),
-		overlap:   p.overlaps.Of(state.holder),
+		overlap:   p.overlaps.Of(state.owner),
 	}
-	scored.pull, scored.pulls = r.planPull(req, p, state, candidate.Zone, scored.overlap.Likely)
+	scored.pull, scored.pulls = r.planPullByBlocks(req, p, state, candidate.Zone, scored.overlap.Likely)
 	total := state.load.total(req.Now, &r.options)
 	active := r.blocks(total)
 	scored.backlogTokens = total.prefillTokens
 	scored.activeRequests = active.ActiveRequests
-	scored.cost = cost(req.Settings, costInputs{
+	scored.cost = blockCost(req.Settings, blockCostInputs{
 		activePrefill:  active.PrefillBlocks,
 		incomingPrompt: r.tokensToBlocks(req.promptTokens),
 		overlapCredit:  r.credit(req.Settings, &scored),
@@ -151,11 +151,11 @@
 func (r *Router) credit(settings Settings, scored *scoredCandidate) float64 {
 	certain := r.tokensToBlocks(scored.overlap.Reported.Tokens)
 	guessed := r.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
-	if scored.view.doubtful {
+	if scored.view.uncertain {
 		guessed += certain
 		certain = 0
 	}
-	credit := settings.OwnCredit * (certain + r.options.GuessCredit*guessed)
+	credit := settings.LocalCredit * (certain + r.options.GuessCredit*guessed)
 	if scored.pulls {
 		credit += scored.pull.credit(settings) * r.tokensToBlocks(scored.pull.tokens)
 	}
@@ -181,13 +181,13 @@
 		decision.Pull = chosen.pull.pull()
 	}
 	if req.Engine != nil {
-		decision.ExpectedDelay = fromMilliseconds(chosen.timed.delay)
+		decision.ExpectedDelay = fromMilliseconds(chosen.timeTerms.delay)
 		decision.Save = r.shouldSave(req, chosen.prompt)
-		decision.Awaited = r.awaited(req, chosen)
-		decision.Reservation = r.reserveTimed(req, chosen, decision.Save)
+		decision.Wait = r.prefixWait(req, chosen)
+		decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
 		return decision
 	}
-	decision.Reservation = r.reserve(req, chosen)
+	decision.Reservation = r.reserveByBlocks(req, chosen)
 	return decision
 }
 
@@ -195,16 +195,16 @@
 // prefill.
 func (r *Router) retryAfter(req *Request, candidates []Candidate) time.Duration {
 	if req.Engine != nil {
-		return r.retryAfterTimed(req, candidates)
+		return r.retryAfterByTime(req, candidates)
 	}
-	shortest := mostRetryAfter
+	shortest := maxRetryAfter
 	for at := range candidates {
 		if req.excludes(candidates[at].Address) {
 			continue
 		}
-		state := r.state(req.Now, candidates[at].Address)
+		state := r.stateLocked(req.Now, candidates[at].Address)
 		backlog := state.load.total(req.Now, &r.options).prefillTokens
 		shortest = min(shortest, state.speed.timeFor(backlog, &r.options))
 	}
-	return max(shortest, leastRetryAfter)
+	return max(shortest, minRetryAfter)
 }
--- a/pkg/kvrouter/select_test.go
+++ b/pkg/kvrouter/select_test.go
@@ -62,7 +62,7 @@
 	It("never lets a credit make the prefill term negative", func() {
 		f := newFleet(slowLinks, "a")
 		f.keeps("a", links(prompt(10)))
-		f.settings.OwnCredit = 3
+		f.settings.LocalCredit = 3
 		f.isBusyWith(late, "a", 5, 7, 1)
 		Expect(f.choose(late, prompt(10)).Cost).To(BeNumerically("~", 7+10))
 	})
@@ -109,7 +109,7 @@
 		counts := map[string]int{}
 		f = newFleet(slowLinks, "a", "b", "c")
 		for number := range 300 {
-			other := []prefixindex.Part{{ID: fmt.Sprint(number), Tokens: 1}}
+			other := []prefixindex.Chunk{{ID: fmt.Sprint(number), Tokens: 1}}
 			chosen := f.choose(late, other)
 			chosen.Reservation.Finish(late, false)
 			again := f.choose(late, other)
@@ -164,7 +164,7 @@
 			return refused.Reason
 		}
 		req := f.request(late, prompt(1))
-		Expect(refusal(req, nil)).To(Equal(kvrouter.NoneListed))
+		Expect(refusal(req, nil)).To(Equal(kvrouter.NoCandidates))
 		req.Exclude = func(string) bool { return true }
 		Expect(refusal(req, f.candidates)).To(Equal(kvrouter.AllExcluded))
 		f.settings.BusyThresholdBlocks = 10
--- a/pkg/kvrouter/settings.go
+++ b/pkg/kvrouter/settings.go
@@ -9,7 +9,7 @@
 // but count them each.
 const (
 	DefaultPrefillLoadScale     = 1.0
-	DefaultOwnCredit            = 1.0
+	DefaultLocalCredit          = 1.0
 	DefaultPeerCredit           = 0.75
 	DefaultStoreCredit          = 0.5
 	DefaultBusyThresholdBlocks  = 32768
@@ -17,8 +17,8 @@
 	DefaultHarmWeight           = 1.0
 	DefaultHarmTime             = 25.0
 	DefaultLessUrgentWeight     = 0.8
-	DefaultMovePrice            = 0.05
-	DefaultChurnShare           = 0.1
+	DefaultTransferPrice        = 0.05
+	DefaultChurnFraction        = 0.1
 	DefaultSpreadTime           = 20.0
 	DefaultZonePrice            = 5.0
 	DefaultZonePricePerKilobyte = 4.0
@@ -30,8 +30,8 @@
 	PrefillLoadScale float64
 	// RequestWeight is a flat cost, in blocks, per active request.
 	RequestWeight float64
-	// OwnCredit is the credit per block that the replica keeps itself.
-	OwnCredit float64
+	// LocalCredit is the credit per block that the replica keeps itself.
+	LocalCredit float64
 	// PeerCredit is the credit per block that it would pull from a peer.
 	PeerCredit float64
 	// StoreCredit is the credit per block that it would pull from the store.
@@ -53,10 +53,10 @@
 	HarmTime float64
 	// LessUrgentWeight is the share of less urgent prompts that count as ahead.
 	LessUrgentWeight float64
-	// ChurnShare is the share of a replica's memory that may wait to be read before
+	// ChurnFraction is the share of a replica's memory that may wait to be read before
 	// pulled parts count as evicted by the time that they are used. 0 means that
 	// they last.
-	ChurnShare float64
+	ChurnFraction float64
 	// SpreadTime bounds the preference, in milliseconds, that each router has of
 	// its own for each replica. It keeps routers whose news of each other is as
 	// old as that from all choosing the same replica.
@@ -66,8 +66,8 @@
 	ZonePrice float64
 	// ZonePricePerKilobyte is added to it for each kilobyte of the request's body.
 	ZonePricePerKilobyte float64
-	// MovePrice is what a megabyte moved costs, in milliseconds.
-	MovePrice float64
+	// TransferPrice is what a megabyte moved costs, in milliseconds.
+	TransferPrice float64
 	// Temperature of the softmax over the costs; 0 selects the lowest cost.
 	Temperature float64
 }
@@ -76,7 +76,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		PrefillLoadScale:     DefaultPrefillLoadScale,
-		OwnCredit:            DefaultOwnCredit,
+		LocalCredit:          DefaultLocalCredit,
 		PeerCredit:           DefaultPeerCredit,
 		StoreCredit:          DefaultStoreCredit,
 		BusyThresholdBlocks:  DefaultBusyThresholdBlocks,
@@ -84,8 +84,8 @@
 		HarmWeight:           DefaultHarmWeight,
 		HarmTime:             DefaultHarmTime,
 		LessUrgentWeight:     DefaultLessUrgentWeight,
-		MovePrice:            DefaultMovePrice,
-		ChurnShare:           DefaultChurnShare,
+		TransferPrice:        DefaultTransferPrice,
+		ChurnFraction:        DefaultChurnFraction,
 		SpreadTime:           DefaultSpreadTime,
 		ZonePrice:            DefaultZonePrice,
 		ZonePricePerKilobyte: DefaultZonePricePerKilobyte,
--- a/pkg/kvrouter/shared.go
+++ b/pkg/kvrouter/shared_load.go
@@ -44,8 +44,8 @@
 
 // sharedEntry is the newest load that another router told of.
 type sharedEntry struct {
-	load   SharedLoad
-	toldAt time.Duration
+	load       SharedLoad
+	receivedAt time.Duration
 	// remaining is the state of the countdown when it was told.
 	remaining  float64
 	generation uint64
@@ -64,25 +64,25 @@
 	sweptAt    time.Duration
 }
 
-const leastRemaining = 1e-6
+const minRemaining = 1e-6
 
 // set replaces what a router told.
-func (s *sharedLoads) set(now time.Duration, router string, told SharedLoad) {
+func (s *sharedLoads) set(now time.Duration, router string, reported SharedLoad) {
 	if s.byRouter == nil {
 		s.byRouter = make(map[string]sharedEntry)
 		s.remaining = 1
 	}
 	s.remove(router)
-	if told.idle() || len(s.byRouter) >= maxSharingRouters {
+	if reported.idle() || len(s.byRouter) >= maxSharingRouters {
 		return
 	}
-	s.byRouter[router] = sharedEntry{load: told, toldAt: now, remaining: s.remaining, generation: s.generation}
-	s.add(&told, 1, 1)
+	s.byRouter[router] = sharedEntry{load: reported, receivedAt: now, remaining: s.remaining, generation: s.generation}
+	s.add(&reported, 1, 1)
 }
 
 // remove takes off what a router told.
 func (s *sharedLoads) remove(router string) {
-	known, present := s.byRouter[router]
+	entry, present := s.byRouter[router]
 	if !present {
 		return
 	}
@@ -92,10 +92,10 @@
 		return
 	}
 	unread := 0.0
-	if known.generation == s.generation {
-		unread = s.remaining / known.remaining
+	if entry.generation == s.generation {
+		unread = s.remaining / entry.remaining
 	}
-	s.add(&known.load, -1, unread)
+	s.add(&entry.load, -1, unread)
 }
 
 func (s *sharedLoads) add(load *SharedLoad, sign, unread float64) {
@@ -113,12 +113,12 @@
 	if prefill <= 0 || tokens <= 0 {
 		return
 	}
-	share := max(0, 1-tokens/prefill)
+	fraction := max(0, 1-tokens/prefill)
 	for priority := range s.sum.PrefillTokens {
-		s.sum.PrefillTokens[priority] *= share
+		s.sum.PrefillTokens[priority] *= fraction
 	}
-	s.remaining *= share
-	if s.remaining < leastRemaining {
+	s.remaining *= fraction
+	if s.remaining < minRemaining {
 		s.sum.PrefillTokens = [Priorities]float64{}
 		s.remaining = 1
 		s.generation++
@@ -131,70 +131,70 @@
 		return
 	}
 	s.sweptAt = now
-	for router, known := range s.byRouter {
-		if now-known.toldAt >= sharedLoadTTL {
+	for router, entry := range s.byRouter {
+		if now-entry.receivedAt >= sharedLoadTTL {
 			s.remove(router)
 		}
 	}
 }
 
-// RemoteLoad takes in the load that another router has on a replica. It counts
+// SetRemoteLoad takes in the load that another router has on a replica. It counts
 // until the next one of that router, or for a second.
-func (r *Router) RemoteLoad(now time.Duration, router, address string, told SharedLoad) {
+func (r *Router) SetRemoteLoad(now time.Duration, router, address string, reported SharedLoad) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.advance(now)
-	known := r.state(now, address)
-	known.settle(now)
-	known.shared.set(now, router, told)
+	r.observeTime(now)
+	state := r.stateLocked(now, address)
+	state.drainBacklog(now)
+	state.shared.set(now, router, reported)
 }
 
-// OwnLoads returns, by address, the own load of each replica that has some, and
+// LocalLoads returns, by address, the own load of each replica that has some, and
 // once more of each that has had some until the last call. It is what to hand
-// to RemoteLoad of the other routers.
-func (r *Router) OwnLoads(now time.Duration) []AddressLoad {
+// to SetRemoteLoad of the other routers.
+func (r *Router) LocalLoads(now time.Duration) []AddressLoad {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.advance(now)
+	r.observeTime(now)
 	var loads []AddressLoad
-	for address, known := range r.replicas {
-		if known.load.own.present.requests == 0 && !known.toldLoad {
+	for address, state := range r.replicas {
+		if state.load.local.present.requests == 0 && !state.loadAnnounced {
 			continue
 		}
-		own := known.ownLoad(now)
-		known.toldLoad = !own.idle()
-		loads = append(loads, AddressLoad{Address: address, SharedLoad: own})
+		local := state.localLoad(now)
+		state.loadAnnounced = !local.idle()
+		loads = append(loads, AddressLoad{Address: address, SharedLoad: local})
 	}
 	slices.SortFunc(loads, func(a, b AddressLoad) int { return cmp.Compare(a.Address, b.Address) })
 	return loads
 }
 
-// ownLoad is the load of this router's own requests.
-func (s *replicaState) ownLoad(now time.Duration) SharedLoad {
-	s.settle(now)
-	own := SharedLoad{
-		DecodeTokens: s.load.own.present.decodeTokens,
-		Requests:     s.load.own.present.requests,
+// localLoad is the load of this router's own requests.
+func (s *replicaState) localLoad(now time.Duration) SharedLoad {
+	s.drainBacklog(now)
+	local := SharedLoad{
+		DecodeTokens: s.load.local.present.decodeTokens,
+		Requests:     s.load.local.present.requests,
 	}
-	s.queue.byPriority(&own.PrefillTokens)
-	return own
+	s.queue.byPriority(&local.PrefillTokens)
+	return local
 }
 
-// settle brings the estimate of what the replica has read up to date. Own and
+// drainBacklog brings the estimate of what the replica has read up to date. Own and
 // other requests share its time.
-func (s *replicaState) settle(now time.Duration) {
+func (s *replicaState) drainBacklog(now time.Duration) {
 	elapsed := now - s.queue.updatedAt
 	if elapsed <= 0 {
 		return
 	}
 	s.queue.updatedAt = now
 	s.shared.sweep(now)
-	own, others := s.queue.left(), s.shared.sum.prefill()
-	if own+others <= 0 || s.perToken <= 0 {
+	local, others := s.queue.unread(), s.shared.sum.prefill()
+	if local+others <= 0 || s.perToken <= 0 {
 		return
 	}
 	read := milliseconds(elapsed) / (s.perToken * s.slowness.factor())
-	share := own / (own + others)
-	s.queue.drain(read * share)
-	s.shared.drain(read * (1 - share))
+	localFraction := local / (local + others)
+	s.queue.drain(read * localFraction)
+	s.shared.drain(read * (1 - localFraction))
 }
--- a/pkg/kvrouter/suite_test.go
+++ b/pkg/kvrouter/suite_test.go
@@ -51,16 +51,16 @@
 }
 
 // prompt is a prompt of parts of one block each, named by position.
-func prompt(blocks int) []prefixindex.Part {
-	return lo.Times(blocks, func(position int) prefixindex.Part {
-		return prefixindex.Part{ID: fmt.Sprint("part ", position), Tokens: blockTokens}
+func prompt(blocks int) []prefixindex.Chunk {
+	return lo.Times(blocks, func(position int) prefixindex.Chunk {
+		return prefixindex.Chunk{ID: fmt.Sprint("part ", position), Tokens: blockTokens}
 	})
 }
 
 func salt(weightVersion string) string { return "domain/" + weightVersion }
 
-func links(parts []prefixindex.Part) []prefixindex.Link {
-	return prefixindex.Chain(model, salt(version), parts)
+func links(chunks []prefixindex.Chunk) []prefixindex.Link {
+	return prefixindex.Chain(model, salt(version), chunks)
 }
 
 func hashes(links []prefixindex.Link) []prefixindex.ChainHash {
@@ -84,20 +84,20 @@
 	})
 }
 
-func (f *fleet) request(now time.Duration, parts []prefixindex.Part) kvrouter.Request {
-	return kvrouter.Request{Now: now, Model: model, Parts: parts, SaltFor: salt, Settings: f.settings}
+func (f *fleet) request(now time.Duration, chunks []prefixindex.Chunk) kvrouter.Request {
+	return kvrouter.Request{Now: now, Model: model, Chunks: chunks, SaltFor: salt, Settings: f.settings}
 }
 
-func (f *fleet) choose(now time.Duration, parts []prefixindex.Part) kvrouter.Decision {
-	decision, err := f.router.Select(f.request(now, parts), f.candidates)
+func (f *fleet) choose(now time.Duration, chunks []prefixindex.Chunk) kvrouter.Decision {
+	decision, err := f.router.Select(f.request(now, chunks), f.candidates)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	return decision
 }
 
 // overlap returns how many tokens the router thinks that a replica keeps.
-func (f *fleet) overlap(now time.Duration, address string, parts []prefixindex.Part) uint32 {
+func (f *fleet) overlap(now time.Duration, address string, chunks []prefixindex.Chunk) uint32 {
 	only := lo.Filter(f.candidates, func(candidate kvrouter.Candidate, _ int) bool { return candidate.Address == address })
-	decision, err := f.router.Select(f.request(now, parts), only)
+	decision, err := f.router.Select(f.request(now, chunks), only)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	decision.Reservation.Finish(now, false)
 	return decision.OverlapTokens
