--- a/pkg/kvrouter/timed.go
+++ b/pkg/kvrouter/time_cost.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// coldSlowdown is how many times longer a cold replica is assumed to take.
-	coldSlowdown = 1.5
+	// slowStartSlowdown is how many times longer a cold replica is assumed to take.
+	slowStartSlowdown = 1.5
 	// memoryInUse is the share of memory from which on requests are preempted.
 	memoryInUse = 0.97
 	// sharedMemory is the share of a kept overlap that a request adds to the
@@ -23,74 +23,74 @@
 	sharedMemory = 0.5
 	// outputMemory is the share of the most tokens out that a request uses.
 	outputMemory = 0.5
-	// maxPaces bounds the models whose speed is learnt.
-	maxPaces = 64
+	// maxLatencyModels bounds the models whose speed is learnt.
+	maxLatencyModels = 64
 )
 
-// timedTerms are what the cost in the replica's own time is made of.
-type timedTerms struct {
-	// compute are the tokens of the prompt that the replica has to read, and
+// timeTerms are what the cost in the replica's own time is made of.
+type timeTerms struct {
+	// computeTokens are the tokens of the prompt that the replica has to read, and
 	// ahead those of other prompts that it reads before, weighted.
-	compute, ahead float64
+	computeTokens, queuedTokens float64
 	// slowness is how many times longer the replica takes than its pool.
 	slowness float64
 	// pull and delay are in milliseconds; delay is the expected time to the first
 	// event.
 	pull, delay float64
-	// memory are the tokens that the request adds to those in use.
-	memory float64
+	// memoryTokens are the tokens that the request adds to those in use.
+	memoryTokens float64
 	// price is what the move and the distance cost, in milliseconds.
 	price float64
-	// over tells that the replica's slots or memory are full.
-	over bool
+	// isFull tells that the replica's slots or memory are full.
+	full bool
 }
 
-// paceOf returns the learnt pace of a model's replicas. The router's lock is
+// latencyModelOf returns the learnt pace of a model's replicas. The router's lock is
 // held.
-func (r *Router) paceOf(model string, profile *EngineProfile) *pace {
-	known, present := r.paces[model]
+func (r *Router) latencyModelOf(model string, profile *EngineProfile) *latencyModel {
+	learned, present := r.latencyModels[model]
 	if present {
-		return known
+		return learned
 	}
-	if len(r.paces) >= maxPaces {
-		clear(r.paces)
+	if len(r.latencyModels) >= maxLatencyModels {
+		clear(r.latencyModels)
 	}
-	created := newPace(profile)
-	r.paces[model] = created
+	created := newLatencyModel(profile)
+	r.latencyModels[model] = created
 	return created
 }
 
-// scoreTimed estimates what the request costs on a replica, in blocks of the
+// scoreByTime estimates what the request costs on a replica, in blocks of the
 // time that a usual replica takes to read them.
-func (r *Router) scoreTimed(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
+func (r *Router) scoreByTime(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
 	scored := scoredCandidate{
 		candidate: candidate,
 		state:     state,
 		prompt:    p,
 		view:      state.feed.view(req.Now),
-		overlap:   p.overlaps.Of(state.holder),
+		overlap:   p.overlaps.Of(state.owner),
 	}
-	state.perToken = req.pace.perToken
-	state.settle(req.Now)
-	terms := &scored.timed
+	state.perToken = req.latency.perToken
+	state.drainBacklog(req.Now)
+	terms := &scored.timeTerms
 	terms.slowness = state.slowness.factor()
-	if candidate.ColdUntil > req.Now {
-		terms.slowness *= coldSlowdown
+	if candidate.SlowStartUntil > req.Now {
+		terms.slowness *= slowStartSlowdown
 	}
-	terms.ahead = r.ahead(req, state)
-	if planned, worthIt := r.planAwait(p, state, scored.overlap.Likely, terms.ahead); worthIt {
-		scored.awaits = true
+	terms.queuedTokens = r.queuedTokens(req, state)
+	if planned, beneficial := r.planWait(p, state, scored.overlap.Likely, terms.queuedTokens); beneficial {
+		scored.waits = true
 		scored.overlap.Likely = planned.extent
-		terms.ahead = planned.backlog
+		terms.queuedTokens = planned.backlog
 	}
-	if r.options.Off.Overlap {
+	if r.options.Disabled.Overlap {
 		scored.overlap = prefixindex.Overlap{}
 	}
-	own := scored.overlap.Likely
-	terms.compute = float64(req.promptTokens) - float64(own.Tokens)
-	scored.pull, scored.pulls = r.planTimedPull(req, p, state, candidate, own, terms.slowness)
+	cached := scored.overlap.Likely
+	terms.computeTokens = float64(req.promptTokens) - float64(cached.Tokens)
+	scored.pull, scored.pulls = r.planPullByTime(req, p, state, candidate, cached, terms.slowness)
 	if scored.pulls {
-		terms.compute -= float64(scored.pull.tokens) * r.lasting(req, state)
+		terms.computeTokens -= float64(scored.pull.tokens) * r.retainedFraction(req, state)
 		terms.pull = milliseconds(scored.pull.transfer)
 		terms.price = scored.pull.price
 	}
@@ -102,11 +102,11 @@
 	}
 	active := r.activeLoad(req.Now, state)
 	r.addDelay(req, terms, active.requests)
-	terms.memory = requestMemory(req, float64(own.Tokens))
-	terms.over = r.over(req, state, terms, active)
-	scored.backlogTokens = terms.ahead
+	terms.memoryTokens = requestMemory(req, float64(cached.Tokens))
+	terms.full = r.isFull(req, state, terms, active)
+	scored.backlogTokens = terms.queuedTokens
 	scored.activeRequests = active.requests
-	scored.cost = r.timedCost(req, terms, active)
+	scored.cost = r.timeCost(req, terms, active)
 	return scored
 }
 
@@ -116,62 +116,62 @@
 	return req.Settings.ZonePrice + req.Settings.ZonePricePerKilobyte*kilobytes
 }
 
-// mostHarm is the largest weight of harm that a backlog leads to.
-const mostHarm = 16
+// maxHarmWeight is the largest weight of harm that a backlog leads to.
+const maxHarmWeight = 16
 
-// weighHarm sets the weight of harm by the median backlog of the candidates: as
+// setHarmWeight sets the weight of harm by the median backlog of the candidates: as
 // long as half of them are idle, hardly anybody waits for this prompt.
-func (r *Router) weighHarm(s *scratch, req *Request, candidates []Candidate) {
+func (r *Router) setHarmWeight(s *scratch, req *Request, candidates []Candidate) {
 	req.harmWeight = req.Settings.HarmWeight
 	if req.Settings.HarmTime <= 0 || len(candidates) == 0 {
 		return
 	}
 	s.backlogs = s.backlogs[:0]
 	for at := range candidates {
-		state := r.state(req.Now, candidates[at].Address)
-		state.perToken = req.pace.perToken
-		state.settle(req.Now)
-		s.backlogs = append(s.backlogs, state.queue.left()+state.shared.sum.prefill())
+		state := r.stateLocked(req.Now, candidates[at].Address)
+		state.perToken = req.latency.perToken
+		state.drainBacklog(req.Now)
+		s.backlogs = append(s.backlogs, state.queue.unread()+state.shared.sum.prefill())
 	}
 	slices.Sort(s.backlogs)
-	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.pace.perToken
-	req.harmWeight = min(req.Settings.HarmWeight*(1+backlog/req.Settings.HarmTime), max(mostHarm, req.Settings.HarmWeight))
+	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.latency.perToken
+	req.harmWeight = min(req.Settings.HarmWeight*(1+backlog/req.Settings.HarmTime), max(maxHarmWeight, req.Settings.HarmWeight))
 }
 
 // addDelay estimates the time to the first event.
-func (r *Router) addDelay(req *Request, terms *timedTerms, requests float64) {
-	work := terms.ahead + terms.compute
+func (r *Router) addDelay(req *Request, terms *timeTerms, requests float64) {
+	work := terms.queuedTokens + terms.computeTokens
 	steps := 1 + work/req.Engine.PrefillChunk
 	batch := steps * requests * milliseconds(req.Engine.StepPerRequest)
-	terms.delay = terms.slowness*(req.pace.expected(work)+batch) + terms.pull
+	terms.delay = terms.slowness*(req.latency.expected(work)+batch) + terms.pull
 }
 
-// timedCost weighs the terms. The prompt's own tokens count more than once, since
+// timeCost weighs the terms. The prompt's own tokens count more than once, since
 // whoever comes behind waits for them too.
-func (r *Router) timedCost(req *Request, terms *timedTerms, active load) float64 {
+func (r *Router) timeCost(req *Request, terms *timeTerms, active load) float64 {
 	settings := &req.Settings
-	blockTime := req.pace.perToken * float64(r.options.BlockTokens)
-	harm := terms.slowness * req.harmWeight * req.pace.perToken * terms.compute
-	pressure := terms.slowness * (active.decodeTokens + terms.memory) / float64(r.options.BlockTokens)
+	blockTime := req.latency.perToken * float64(r.options.BlockTokens)
+	harm := terms.slowness * req.harmWeight * req.latency.perToken * terms.computeTokens
+	pressure := terms.slowness * (active.decodeTokens + terms.memoryTokens) / float64(r.options.BlockTokens)
 	return settings.PrefillLoadScale*(terms.delay+terms.price+harm)/blockTime +
 		settings.DecodeWeight*pressure +
 		settings.RequestWeight*terms.slowness*active.requests
 }
 
-// ahead sums the tokens that a replica reads before the request's own. Less
+// queuedTokens sums the tokens that a replica reads before the request's own. Less
 // urgent prompts count less, since only the one being read now goes first.
-func (r *Router) ahead(req *Request, state *replicaState) float64 {
+func (r *Router) queuedTokens(req *Request, state *replicaState) float64 {
 	sums := state.shared.sum.PrefillTokens
 	state.queue.byPriority(&sums)
-	ahead := 0.0
+	queued := 0.0
 	for priority, tokens := range sums {
 		if priority <= int(req.Priority) {
-			ahead += tokens
+			queued += tokens
 		} else {
-			ahead += req.Settings.LessUrgentWeight * tokens
+			queued += req.Settings.LessUrgentWeight * tokens
 		}
 	}
-	return ahead + r.unknownRequests(req, state)*state.meanCompute
+	return queued + r.unknownRequests(req, state)*state.meanCompute
 }
 
 // unknownRequests counts the requests that the replica reports to wait, and that
@@ -188,7 +188,7 @@
 // activeLoad is the load of the replica: the own one, and what others told or
 // the replica reported.
 func (r *Router) activeLoad(now time.Duration, state *replicaState) load {
-	total := state.load.own.present
+	total := state.load.local.present
 	others := load{requests: state.shared.sum.Requests, decodeTokens: state.shared.sum.DecodeTokens}
 	if state.load.reported {
 		reported := state.load.others.times(fade(now-state.load.reportedAt, &r.options))
@@ -196,7 +196,7 @@
 		others.decodeTokens = max(others.decodeTokens, reported.decodeTokens)
 	}
 	total = total.plus(others)
-	if used, known := state.memory.estimate(now, &state.load, &r.options); known {
+	if used, reported := state.memory.estimate(now, &state.load, &r.options); reported {
 		total.decodeTokens = used
 	}
 	return total
@@ -207,9 +207,9 @@
 	return float64(req.promptTokens) - overlap*(1-sharedMemory) + outputMemory*float64(req.OutputTokens)
 }
 
-// over tells whether the replica's slots are taken, its memory would overflow,
+// isFull tells whether the replica's slots are taken, its memory would overflow,
 // or its blocks exceed the busy threshold.
-func (r *Router) over(req *Request, state *replicaState, terms *timedTerms, active load) bool {
+func (r *Router) isFull(req *Request, state *replicaState, terms *timeTerms, active load) bool {
 	if req.Engine.Slots > 0 && active.requests >= float64(req.Engine.Slots) {
 		return true
 	}
@@ -217,10 +217,10 @@
 	if state.memory.total > 0 {
 		memory = state.memory.total
 	}
-	if memory > 0 && active.decodeTokens+terms.memory > memoryInUse*memory {
+	if memory > 0 && active.decodeTokens+terms.memoryTokens > memoryInUse*memory {
 		return true
 	}
-	blocks := (terms.ahead + active.decodeTokens) / float64(r.options.BlockTokens)
+	blocks := (terms.queuedTokens + active.decodeTokens) / float64(r.options.BlockTokens)
 	return req.Settings.BusyThresholdBlocks > 0 && blocks >= req.Settings.BusyThresholdBlocks
 }
 
@@ -240,10 +240,10 @@
 
 // estimate returns the tokens in use now: the reported ones, and what the own
 // requests have changed since.
-func (m *memoryReport) estimate(now time.Duration, record *loadRecord, options *Options) (used float64, known bool) {
+func (m *memoryReport) estimate(now time.Duration, record *loadRecord, options *Options) (used float64, fresh bool) {
 	if !m.known || now-m.describes > options.ReportFresh {
 		return 0, false
 	}
-	since := record.own.present.decodeTokens - record.own.at(m.describes).decodeTokens
+	since := record.local.present.decodeTokens - record.local.at(m.describes).decodeTokens
 	return max(0, m.used+since), true
 }
--- a/pkg/kvrouter/timed_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -11,28 +11,28 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-func otherPrompt(name string, tokens uint32) []prefixindex.Part {
-	return []prefixindex.Part{{ID: name, Tokens: tokens}}
+func otherPrompt(name string, tokens uint32) []prefixindex.Chunk {
+	return []prefixindex.Chunk{{ID: name, Tokens: tokens}}
 }
 
-func (f *timedFleet) keeps(address string, parts int) {
-	var changes []kvrouter.PartChange
-	for part := range parts {
-		changes = append(changes, held(uint64(part+1), part, 1000))
+func (f *engineFleet) keeps(address string, chunks int) {
+	var changes []kvrouter.ChunkChange
+	for chunk := range chunks {
+		changes = append(changes, cachedChange(uint64(chunk+1), chunk, 1000))
 	}
-	f.router.PartsReported(late, address, batch(0, uint64(parts)), changes)
+	f.router.ChunksReported(late, address, feedPosition(0, uint64(chunks)), changes)
 }
 
 // hasBacklog makes another router tell of unread prompts.
-func (f *timedFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
+func (f *engineFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
 	told := kvrouter.SharedLoad{Requests: 1, DecodeTokens: tokens}
 	told.PrefillTokens[priority] = tokens
-	f.router.RemoteLoad(now, "other", address, told)
+	f.router.SetRemoteLoad(now, "other", address, told)
 }
 
 var _ = Describe("Cost in the replica's own time", func() {
 	It("goes where the prompt is kept, and elsewhere when that replica is behind", func() {
-		f := newTimedFleet("a", "b")
+		f := newEngineFleet("a", "b")
 		f.engine.LinkBitsPerSecond = 1e6
 		f.keeps("b", 4)
 		decision := f.choose(late, longPrompt(5))
@@ -45,7 +45,7 @@
 	})
 
 	It("counts what other routers told of for a second, less what was read since", func() {
-		f := newTimedFleet("a", "b")
+		f := newEngineFleet("a", "b")
 		f.hasBacklog(late, "a", 5, 8000)
 		Expect(f.choose(late, otherPrompt("x", 100)).Address).To(Equal("b"))
 		f.candidates = f.candidates[:1]
@@ -60,38 +60,38 @@
 	})
 
 	It("replaces what a router told before, and hands out its own load", func() {
-		f := newTimedFleet("a")
+		f := newEngineFleet("a")
 		f.hasBacklog(late, "a", 5, 8000)
-		f.router.RemoteLoad(late, "other", "a", kvrouter.SharedLoad{})
-		Expect(f.router.OwnLoads(late)).To(BeEmpty())
+		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{})
+		Expect(f.router.LocalLoads(late)).To(BeEmpty())
 		decision := f.choose(late, otherPrompt("x", 4000))
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 120*time.Millisecond, time.Millisecond))
-		loads := f.router.OwnLoads(late + 50*time.Millisecond)
+		loads := f.router.LocalLoads(late + 50*time.Millisecond)
 		Expect(loads).To(HaveLen(1))
 		Expect(loads[0].Address).To(Equal("a"))
 		Expect(loads[0].PrefillTokens[5]).To(BeNumerically("~", 2000, 1))
 		Expect(loads[0].Requests).To(Equal(1.0))
 		decision.Reservation.FirstToken(late + 120*time.Millisecond)
-		loads = f.router.OwnLoads(late + 120*time.Millisecond)
+		loads = f.router.LocalLoads(late + 120*time.Millisecond)
 		Expect(loads[0].PrefillTokens[5]).To(BeZero())
 		Expect(loads[0].DecodeTokens).To(BeNumerically(">", 4000))
 		decision.Reservation.Finish(late+time.Second, true)
-		Expect(f.router.OwnLoads(late + time.Second)).To(Equal([]kvrouter.AddressLoad{{Address: "a"}}))
-		Expect(f.router.OwnLoads(late + time.Second)).To(BeEmpty())
+		Expect(f.router.LocalLoads(late + time.Second)).To(Equal([]kvrouter.AddressLoad{{Address: "a"}}))
+		Expect(f.router.LocalLoads(late + time.Second)).To(BeEmpty())
 	})
 
 	It("sums what many routers told, whatever was read in between", func() {
-		f := newTimedFleet("a")
+		f := newEngineFleet("a")
 		f.choose(late, otherPrompt("first", 100)).Reservation.Cancelled(late)
 		for number := range 5 {
 			told := kvrouter.SharedLoad{Requests: 1}
 			told.PrefillTokens[0] = 4000
-			f.router.RemoteLoad(late, fmt.Sprint(number), "a", told)
+			f.router.SetRemoteLoad(late, fmt.Sprint(number), "a", told)
 		}
 		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
 		at := late + 250*time.Millisecond
 		for number := range 4 {
-			f.router.RemoteLoad(at, fmt.Sprint(number), "a", kvrouter.SharedLoad{})
+			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", kvrouter.SharedLoad{})
 		}
 		decision := f.choose(at, otherPrompt("x", 400))
 		// Half of the fifth router's 4,000 tokens were read, then the own 400 follow.
@@ -99,7 +99,7 @@
 	})
 
 	It("waits behind less urgent prompts only in part", func() {
-		f := newTimedFleet("a")
+		f := newEngineFleet("a")
 		f.hasBacklog(late, "a", 7, 8000)
 		delayAt := func(priority uint8) time.Duration {
 			f.change = func(request *kvrouter.Request) { request.Priority = priority }
@@ -111,7 +111,7 @@
 	})
 
 	It("sends large bodies to another zone for a longer wait only than small ones", func() {
-		f := newTimedFleet("near", "far")
+		f := newEngineFleet("near", "far")
 		f.candidates[1].Zone = "another"
 		f.hasBacklog(late, "near", 5, 2000)
 		addressOf := func(bodyBytes int) string {
@@ -125,7 +125,7 @@
 	})
 
 	It("learns that a replica is slow", func() {
-		f := newTimedFleet("a", "b")
+		f := newEngineFleet("a", "b")
 		all := f.candidates
 		now := late
 		for round := range 30 {
@@ -147,14 +147,14 @@
 	})
 
 	It("avoids replicas whose slots or memory are full, and says when to come back if all are", func() {
-		f := newTimedFleet("a", "b")
+		f := newEngineFleet("a", "b")
 		f.keeps("a", 4)
-		f.router.RemoteLoad(late, "other", "a", kvrouter.SharedLoad{Requests: 4})
+		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{Requests: 4})
 		Expect(f.choose(late, longPrompt(4)).Address).To(Equal("b"))
 		f.router.Report(late, "b", kvrouter.Report{MemoryUsed: 97_500, MemoryTotal: 100_000, Running: 3})
 		f.hasBacklog(late, "a", 0, 80_000)
-		f.router.RemoteLoad(late, "more", "a", kvrouter.SharedLoad{Requests: 4})
-		_, err := f.try(late, otherPrompt("x", 4000))
+		f.router.SetRemoteLoad(late, "more", "a", kvrouter.SharedLoad{Requests: 4})
+		_, err := f.trySelect(late, otherPrompt("x", 4000))
 		Expect(err).To(HaveValue(HaveField("Reason", kvrouter.AllBusy)))
 		refused := err.(*kvrouter.NoReplicaError)
 		Expect(refused.RetryAfter).To(BeNumerically("<", time.Second))
@@ -163,13 +163,13 @@
 	})
 
 	It("goes to cold replicas only where the caller permits it", func() {
-		f := newTimedFleet("a")
-		f.candidates[0].ColdUntil = late + time.Second
-		_, err := f.try(late, longPrompt(1))
+		f := newEngineFleet("a")
+		f.candidates[0].SlowStartUntil = late + time.Second
+		_, err := f.trySelect(late, longPrompt(1))
 		Expect(err).To(HaveValue(And(
 			HaveField("Reason", kvrouter.AllBusy), HaveField("RetryAfter", time.Second))))
 		f.change = func(request *kvrouter.Request) {
-			request.ColdAllowed = func(address string) bool { return address == "a" }
+			request.SlowStartAllowed = func(address string) bool { return address == "a" }
 		}
 		f.choose(late, longPrompt(1)).Reservation.Cancelled(late)
 		f.change = nil
@@ -177,7 +177,7 @@
 	})
 
 	It("prefers its own zone when nothing else differs", func() {
-		f := newTimedFleet("a", "b", "c")
+		f := newEngineFleet("a", "b", "c")
 		f.candidates[1].Zone = "near"
 		f.change = func(request *kvrouter.Request) { request.Zone = "near" }
 		Expect(f.choose(late, longPrompt(2)).Address).To(Equal("b"))
@@ -186,7 +186,7 @@
 	It("keeps routers with old news from choosing the same replica", func() {
 		chosen := map[string]int{}
 		for number := range 30 {
-			f := newTimedFleet("a", "b", "c", "d")
+			f := newEngineFleet("a", "b", "c", "d")
 			f.router = kvrouter.New(kvrouter.Options{Name: fmt.Sprint(number)})
 			f.settings.SpreadTime = 20
 			chosen[f.choose(late, longPrompt(2)).Address]++
@@ -196,10 +196,10 @@
 })
 
 var _ = Describe("Pulls and saves with an engine profile", func() {
-	var f *timedFleet
+	var f *engineFleet
 
 	BeforeEach(func() {
-		f = newTimedFleet("a", "b")
+		f = newEngineFleet("a", "b")
 		f.keeps("b", 8)
 		f.hasBacklog(late, "b", 0, 40_000)
 	})
@@ -217,7 +217,7 @@
 		f.candidates[1].Zone = "other"
 		Expect(f.choose(late, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 11400*time.Microsecond, 10*time.Microsecond))
 		f.candidates[1].Region = "other"
-		g := newTimedFleet("a", "b")
+		g := newEngineFleet("a", "b")
 		g.candidates = f.candidates
 		g.keeps("b", 8)
 		g.hasBacklog(late, "b", 0, 40_000)
@@ -244,11 +244,11 @@
 		)
 		// drops has a replica report that it keeps none of the prompt any more.
 		drops := func(address string) {
-			var changes []kvrouter.PartChange
-			for part := range 9 {
-				changes = append(changes, held(sequence+1, part, 0))
+			var changes []kvrouter.ChunkChange
+			for chunk := range 9 {
+				changes = append(changes, cachedChange(sequence+1, chunk, 0))
 			}
-			f.router.PartsReported(now, address, kvrouter.Feed{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
+			f.router.ChunksReported(now, address, kvrouter.FeedPosition{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
 			sequence++
 		}
 		// pulls has the prompt begin some time after it is sent, and tells whether it
@@ -258,7 +258,7 @@
 			f.hasBacklog(now, "b", 0, 40_000)
 			decision := f.choose(now, longPrompt(9))
 			Expect(decision.Address).To(Equal("a"))
-			Expect(decision.Awaited).To(BeNil())
+			Expect(decision.Wait).To(BeNil())
 			now += after
 			decision.Reservation.FirstToken(now)
 			decision.Reservation.Finish(now, true)
@@ -283,31 +283,31 @@
 	})
 
 	It("saves shared parts that the store lacks, once", func() {
-		g := newTimedFleet("a")
+		g := newEngineFleet("a")
 		g.engine.StoreTokens, g.engine.Slots, g.engine.MemoryTokens = 1_000_000, 0, 0
 		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		Expect(g.choose(late, otherPrompt("own", 5000)).Save).To(BeFalse())
 		first := g.choose(late, longPrompt(3))
 		Expect(first.Save).To(BeTrue())
-		other := append(longPrompt(2), prefixindex.Part{ID: "other", Tokens: 500})
+		other := append(longPrompt(2), prefixindex.Chunk{ID: "other", Tokens: 500})
 		Expect(g.choose(late, other).Save).To(BeFalse())
 		first.Reservation.FirstToken(late)
 		Expect(g.choose(late+15*time.Second, other).Save).To(BeTrue(), "its last part came before")
-		g.router.PartsReported(late, "store", batch(0, 2), []kvrouter.PartChange{held(1, 0, 1000), held(2, 1, 1000)})
-		again := append(longPrompt(2), prefixindex.Part{ID: "third", Tokens: 500})
+		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		again := append(longPrompt(2), prefixindex.Chunk{ID: "third", Tokens: 500})
 		Expect(g.choose(late+time.Hour, again).Save).To(BeFalse())
-		g.router.PartsReported(late+time.Hour, "store", kvrouter.Feed{Incarnation: epoch + 1, Next: 0}, nil)
-		fourth := append(longPrompt(2), prefixindex.Part{ID: "fourth", Tokens: 500})
+		g.router.ChunksReported(late+time.Hour, "store", kvrouter.FeedPosition{Incarnation: epoch + 1, Next: 0}, nil)
+		fourth := append(longPrompt(2), prefixindex.Chunk{ID: "fourth", Tokens: 500})
 		Expect(g.choose(late+time.Hour, fourth).Save).To(BeTrue(), "the store came back empty")
 		g.engine.StoreTokens = 10_000
 		Expect(g.choose(late+time.Hour, longPrompt(5)).Save).To(BeFalse(), "it would fill the store")
 	})
 
 	It("pulls from the store what no replica keeps", func() {
-		g := newTimedFleet("a")
+		g := newEngineFleet("a")
 		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		g.engine.StoreLinkBitsPerSecond = 40e9
-		g.router.PartsReported(late, "store", batch(0, 2), []kvrouter.PartChange{held(1, 0, 1000), held(2, 1, 1000)})
+		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		decision := g.choose(late, longPrompt(3))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "store"), HaveField("Tokens", uint32(2000)))))
 		Expect(decision.Pull.EstimatedTime).To(BeNumerically("~", 13*time.Millisecond, 10*time.Microsecond))
--- a/pkg/prefixindex/benchmark_test.go
+++ b/pkg/prefixindex/benchmark_test.go
@@ -25,13 +25,13 @@
 func benchmarkChains() [][]prefixindex.Link {
 	chains := make([][]prefixindex.Link, benchmarkPrompts)
 	for prompt := range chains {
-		parts := make([]prefixindex.Part, benchmarkDepth)
+		parts := make([]prefixindex.Chunk, benchmarkDepth)
 		for position := range parts {
 			owner := prompt
 			if position < benchmarkDepth/2 {
 				owner = prompt / benchmarkFamily
 			}
-			parts[position] = prefixindex.Part{ID: fmt.Sprint(owner, "/", position), Tokens: 512}
+			parts[position] = prefixindex.Chunk{ID: fmt.Sprint(owner, "/", position), Tokens: 512}
 		}
 		chains[prompt] = prefixindex.Chain("model", "salt", parts)
 	}
@@ -45,7 +45,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, links := range chains {
 		for range benchmarkHolders / 3 {
-			index.Store(prefixindex.Holder(random.IntN(benchmarkHolders)), links)
+			index.Store(prefixindex.Owner(random.IntN(benchmarkHolders)), links)
 		}
 	}
 	return index
@@ -88,28 +88,28 @@
 func BenchmarkEvents(b *testing.B) {
 	chains := benchmarkChains()
 	index := filled(chains)
-	var holders atomic.Uint32
+	var owners atomic.Uint32
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
-		holder := prefixindex.Holder(holders.Add(1) + benchmarkHolders)
-		writeEvents(pb, index, holder, chains)
+		owner := prefixindex.Owner(owners.Add(1) + benchmarkHolders)
+		writeEvents(pb, index, owner, chains)
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
-func writeEvents(pb *testing.PB, index *prefixindex.Index, holder prefixindex.Holder, chains [][]prefixindex.Link) {
-	random := rand.New(rand.NewPCG(uint64(holder), 5))
+func writeEvents(pb *testing.PB, index *prefixindex.Index, owner prefixindex.Owner, chains [][]prefixindex.Link) {
+	random := rand.New(rand.NewPCG(uint64(owner), 5))
 	removed := make([]prefixindex.ChainHash, 1)
 	for pb.Next() {
 		links := chains[random.IntN(len(chains))]
 		at := random.IntN(len(links))
 		if random.IntN(2) == 0 {
-			index.Store(holder, links[at:at+1])
+			index.Store(owner, links[at:at+1])
 			continue
 		}
 		removed[0] = links[at].Hash
-		index.Remove(holder, removed)
+		index.Remove(owner, removed)
 	}
 }
 
@@ -124,7 +124,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		worker := workers.Add(1)
 		if worker%4 == 1 {
-			writeEvents(pb, index, prefixindex.Holder(worker+benchmarkHolders), chains)
+			writeEvents(pb, index, prefixindex.Owner(worker+benchmarkHolders), chains)
 			return
 		}
 		var overlaps prefixindex.Overlaps
@@ -140,14 +140,14 @@
 // and reports the growth of the heap for each pair. The case of one holder a
 // part is the dearest, since holders of one part share its slot.
 func BenchmarkMemory(b *testing.B) {
-	for _, holders := range []int{1, 4, 16} {
-		b.Run(fmt.Sprint("holders=", holders), func(b *testing.B) { measureMemory(b, holders) })
+	for _, owners := range []int{1, 4, 16} {
+		b.Run(fmt.Sprint("holders=", owners), func(b *testing.B) { measureMemory(b, owners) })
 	}
 }
 
-func measureMemory(b *testing.B, holdersPerPart int) {
+func measureMemory(b *testing.B, ownersPerChunk int) {
 	const pairs = 1_000_000
-	links := make([]prefixindex.Link, pairs/holdersPerPart)
+	links := make([]prefixindex.Link, pairs/ownersPerChunk)
 	random := rand.New(rand.NewPCG(7, 8))
 	for at := range links {
 		links[at] = prefixindex.Link{Hash: prefixindex.ChainHash(random.Uint64()), Tokens: 512}
@@ -156,8 +156,8 @@
 	for range b.N {
 		before := heapInUse()
 		index := prefixindex.New(prefixindex.Options{})
-		for holder := range prefixindex.Holder(holdersPerPart) {
-			index.Store(holder, links)
+		for owner := range prefixindex.Owner(ownersPerChunk) {
+			index.Store(owner, links)
 		}
 		grown = heapInUse() - before
 		runtime.KeepAlive(index)
--- a/pkg/prefixindex/chain.go
+++ b/pkg/prefixindex/chain.go
@@ -9,8 +9,8 @@
 // ChainHash names a prompt part together with everything before it.
 type ChainHash uint64
 
-// Part is one part of a prompt as the caller names it.
-type Part struct {
+// Chunk is one part of a prompt as the caller names it.
+type Chunk struct {
 	// ID is the caller's name of the part's content.
 	ID string
 	// Tokens is the length of the part.
@@ -23,30 +23,30 @@
 	Tokens uint32
 }
 
-// Root returns the hash that the chain of a prompt starts from.
-func Root(model, cacheSalt string) ChainHash {
+// RootHash returns the hash that the chain of a prompt starts from.
+func RootHash(model, cacheSalt string) ChainHash {
 	digest := xxhash.New()
 	writeDelimited(digest, model)
 	writeDelimited(digest, cacheSalt)
 	return ChainHash(digest.Sum64())
 }
 
-// Next returns the name of the part that follows previous.
-func Next(previous ChainHash, partID string) ChainHash {
+// NextHash returns the name of the part that follows previous.
+func NextHash(previous ChainHash, chunkID string) ChainHash {
 	// The array keeps the names of usual length off the heap.
 	var buffer [128]byte
 	data := binary.BigEndian.AppendUint64(buffer[:0], uint64(previous))
-	data = append(data, partID...)
+	data = append(data, chunkID...)
 	return ChainHash(xxhash.Sum64(data))
 }
 
 // Chain names every part of a prompt under a model and a cache salt.
-func Chain(model, cacheSalt string, parts []Part) []Link {
-	links := make([]Link, len(parts))
-	previous := Root(model, cacheSalt)
-	for position, part := range parts {
-		previous = Next(previous, part.ID)
-		links[position] = Link{Hash: previous, Tokens: part.Tokens}
+func Chain(model, cacheSalt string, chunks []Chunk) []Link {
+	links := make([]Link, len(chunks))
+	previous := RootHash(model, cacheSalt)
+	for position, chunk := range chunks {
+		previous = NextHash(previous, chunk.ID)
+		links[position] = Link{Hash: previous, Tokens: chunk.Tokens}
 	}
 	return links
 }
--- a/pkg/prefixindex/concurrency_test.go
+++ b/pkg/prefixindex/concurrency_test.go
@@ -15,14 +15,14 @@
 	It("always shows what does not change, and never more than was stored", func() {
 		// One shard makes writers and readers meet on the same table.
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
-		const steady, lastChurning, never = prefixindex.Holder(0), prefixindex.Holder(4), prefixindex.Holder(5)
+		const steady, lastChurning, never = prefixindex.Owner(0), prefixindex.Owner(4), prefixindex.Owner(5)
 		stable := chain(strings.Repeat("abcdefgh", 8))
 		index.Store(steady, stable)
 
 		var writers, readers sync.WaitGroup
 		done := make(chan struct{})
-		for holder := steady + 1; holder <= lastChurning; holder++ {
-			writers.Go(func() { churn(index, holder, stable) })
+		for owner := steady + 1; owner <= lastChurning; owner++ {
+			writers.Go(func() { churn(index, owner, stable) })
 		}
 		wrong := make([]int, 4)
 		for reader := range wrong {
@@ -39,7 +39,7 @@
 
 	It("never shows the holder of a part for another part that takes over its slot", func() {
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
-		const oneHolder, otherHolder = prefixindex.Holder(1), prefixindex.Holder(2)
+		const oneHolder, otherHolder = prefixindex.Owner(1), prefixindex.Owner(2)
 		one := []prefixindex.Link{{Hash: prefixindex.CollidingHash(1), Tokens: 1}}
 		other := []prefixindex.Link{{Hash: prefixindex.CollidingHash(2), Tokens: 1}}
 		done := make(chan struct{})
@@ -62,32 +62,32 @@
 })
 
 // nobody stands for no holder.
-const nobody = prefixindex.Holder(1 << 20)
+const nobody = prefixindex.Owner(1 << 20)
 
 // churn stores, removes, resets and drops parts of one holder, and ends with
 // none. The removals move the slots of other parts.
-func churn(index *prefixindex.Index, holder prefixindex.Holder, links []prefixindex.Link) {
-	random := rand.New(rand.NewPCG(uint64(holder), 1))
+func churn(index *prefixindex.Index, owner prefixindex.Owner, links []prefixindex.Link) {
+	random := rand.New(rand.NewPCG(uint64(owner), 1))
 	others := make([]prefixindex.Link, 64)
 	for round := range 600 {
 		for at := range others {
 			others[at] = prefixindex.Link{Hash: prefixindex.ChainHash(random.Uint64()), Tokens: 1}
 		}
-		index.Store(holder, others)
-		index.Store(holder, links)
-		index.Predict(0, holder, others[:8])
-		index.Remove(holder, hashes(others))
-		index.Remove(holder, hashes(links[:4]))
+		index.Store(owner, others)
+		index.Store(owner, links)
+		index.Predict(0, owner, others[:8])
+		index.Remove(owner, hashes(others))
+		index.Remove(owner, hashes(links[:4]))
 		if round%100 == 0 {
-			index.Reset(holder, links[:2])
+			index.Reset(owner, links[:2])
 		}
 	}
-	index.Drop(holder)
+	index.Drop(owner)
 }
 
 // watch counts lookups that miss the steady holder or find the one that never
 // stored anything.
-func watch(index *prefixindex.Index, done <-chan struct{}, links []prefixindex.Link, steady, never prefixindex.Holder) int {
+func watch(index *prefixindex.Index, done <-chan struct{}, links []prefixindex.Link, steady, never prefixindex.Owner) int {
 	var overlaps prefixindex.Overlaps
 	wrong := 0
 	for {
@@ -97,8 +97,8 @@
 		default:
 		}
 		index.Overlaps(0, links, &overlaps)
-		missing := steady != nobody && overlaps.Of(steady).Reported.Parts != len(links)
-		if missing || overlaps.Of(never).Likely.Parts != 0 {
+		missing := steady != nobody && overlaps.Of(steady).Reported.Chunks != len(links)
+		if missing || overlaps.Of(never).Likely.Chunks != 0 {
 			wrong++
 		}
 	}
--- a/pkg/prefixindex/index.go
+++ b/pkg/prefixindex/index.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Holder is a dense handle of a replica or store, assigned by the caller from
+// Owner is a dense handle of a replica or store, assigned by the caller from
 // 0 up. Memory grows with the largest handle in use.
-type Holder uint32
+type Owner uint32
 
 // Defaults of Options.
 const (
@@ -36,7 +36,7 @@
 type Index struct {
 	reported  *partitions
 	predicted *predictions
-	sizes     *sizes
+	sizes     *chunkSizes
 }
 
 // Stats describes the size of an Index.
@@ -66,57 +66,57 @@
 	if options.Shards <= 0 {
 		options.Shards = DefaultShards
 	}
-	kept := newSizes(options.MaxSized)
+	sizes := newChunkSizes(options.MaxSized)
 	return &Index{
 		reported:  newPartitions(options.Shards),
-		predicted: newPredictions(options, kept),
-		sizes:     kept,
+		predicted: newPredictions(options, sizes),
+		sizes:     sizes,
 	}
 }
 
 // Store records that holder reported to keep the parts, in any order. Only the
 // hashes are kept: a lookup counts the tokens that its prompt states.
-func (x *Index) Store(holder Holder, links []Link) {
+func (x *Index) Store(owner Owner, links []Link) {
 	for _, link := range links {
-		x.sizes.clear(holder, link.Hash, false)
-		x.reported.put(holder, link.Hash)
+		x.sizes.clear(owner, link.Hash, false)
+		x.reported.put(owner, link.Hash)
 	}
 }
 
 // Remove records that holder dropped the parts. Predictions of them go too.
-func (x *Index) Remove(holder Holder, hashes []ChainHash) {
+func (x *Index) Remove(owner Owner, hashes []ChainHash) {
 	for _, hash := range hashes {
-		x.reported.remove(holder, hash)
-		x.sizes.clear(holder, hash, false)
+		x.reported.remove(owner, hash)
+		x.sizes.clear(owner, hash, false)
 	}
-	x.predicted.remove(holder, hashes)
+	x.predicted.remove(owner, hashes)
 }
 
 // Reset replaces all that holder keeps, reported and predicted, by links.
-func (x *Index) Reset(holder Holder, links []Link) {
-	x.Drop(holder)
-	x.Store(holder, links)
+func (x *Index) Reset(owner Owner, links []Link) {
+	x.Drop(owner)
+	x.Store(owner, links)
 }
 
 // Drop forgets all that holder keeps, reported and predicted.
-func (x *Index) Drop(holder Holder) {
-	x.reported.drop(holder)
-	x.predicted.drop(holder)
-	x.sizes.drop(holder)
+func (x *Index) Drop(owner Owner) {
+	x.reported.drop(owner)
+	x.predicted.drop(owner)
+	x.sizes.drop(owner)
 }
 
 // Predict records for the TTL of the options that holder probably keeps the
 // parts. A newer prediction of the same part renews it.
-func (x *Index) Predict(now time.Duration, holder Holder, links []Link) {
-	x.PredictFor(now, x.predicted.ttl, holder, links)
+func (x *Index) Predict(now time.Duration, owner Owner, links []Link) {
+	x.PredictFor(now, x.predicted.ttl, owner, links)
 }
 
 // PredictFor is Predict with a TTL of its own.
-func (x *Index) PredictFor(now, ttl time.Duration, holder Holder, links []Link) {
+func (x *Index) PredictFor(now, ttl time.Duration, owner Owner, links []Link) {
 	for _, link := range links {
-		x.sizes.clear(holder, link.Hash, true)
+		x.sizes.clear(owner, link.Hash, true)
 	}
-	x.predicted.add(now, ttl, holder, links)
+	x.predicted.add(now, ttl, owner, links)
 }
 
 // Expire forgets predictions whose time is over. Overlaps does so too, so that
@@ -125,6 +125,6 @@
 
 // Stats returns the present size.
 func (x *Index) Stats() Stats {
-	kept, bytes := x.reported.size()
-	return Stats{Reported: kept, Predicted: x.predicted.count(), Sized: int(x.sizes.count.Load()), Bytes: bytes}
+	reported, bytes := x.reported.size()
+	return Stats{Reported: reported, Predicted: x.predicted.count(), Sized: int(x.sizes.count.Load()), Bytes: bytes}
 }
--- a/pkg/prefixindex/model_test.go
+++ b/pkg/prefixindex/model_test.go
@@ -12,57 +12,57 @@
 
 // modelIndex is the plainest index that is right: a set of hashes a holder.
 type modelIndex struct {
-	reported  map[prefixindex.Holder]map[prefixindex.ChainHash]bool
-	predicted map[prefixindex.Holder]map[prefixindex.ChainHash]time.Duration
+	reported  map[prefixindex.Owner]map[prefixindex.ChainHash]bool
+	predicted map[prefixindex.Owner]map[prefixindex.ChainHash]time.Duration
 }
 
 // modelHolders are spread so that they belong to two groups.
-var modelHolders = []prefixindex.Holder{0, 1, 2, 63, 64}
+var modelHolders = []prefixindex.Owner{0, 1, 2, 63, 64}
 
 func newModelIndex() *modelIndex {
 	model := &modelIndex{
-		reported:  map[prefixindex.Holder]map[prefixindex.ChainHash]bool{},
-		predicted: map[prefixindex.Holder]map[prefixindex.ChainHash]time.Duration{},
+		reported:  map[prefixindex.Owner]map[prefixindex.ChainHash]bool{},
+		predicted: map[prefixindex.Owner]map[prefixindex.ChainHash]time.Duration{},
 	}
-	for _, holder := range modelHolders {
-		model.drop(holder)
+	for _, owner := range modelHolders {
+		model.drop(owner)
 	}
 	return model
 }
 
-func (m *modelIndex) drop(holder prefixindex.Holder) {
-	m.reported[holder] = map[prefixindex.ChainHash]bool{}
-	m.predicted[holder] = map[prefixindex.ChainHash]time.Duration{}
+func (m *modelIndex) drop(owner prefixindex.Owner) {
+	m.reported[owner] = map[prefixindex.ChainHash]bool{}
+	m.predicted[owner] = map[prefixindex.ChainHash]time.Duration{}
 }
 
-func (m *modelIndex) store(holder prefixindex.Holder, links []prefixindex.Link) {
+func (m *modelIndex) store(owner prefixindex.Owner, links []prefixindex.Link) {
 	for _, link := range links {
-		m.reported[holder][link.Hash] = true
+		m.reported[owner][link.Hash] = true
 	}
 }
 
-func (m *modelIndex) remove(holder prefixindex.Holder, hashes []prefixindex.ChainHash) {
+func (m *modelIndex) remove(owner prefixindex.Owner, hashes []prefixindex.ChainHash) {
 	for _, hash := range hashes {
-		delete(m.reported[holder], hash)
-		delete(m.predicted[holder], hash)
+		delete(m.reported[owner], hash)
+		delete(m.predicted[owner], hash)
 	}
 }
 
-func (m *modelIndex) predict(until time.Duration, holder prefixindex.Holder, links []prefixindex.Link) {
+func (m *modelIndex) predict(until time.Duration, owner prefixindex.Owner, links []prefixindex.Link) {
 	for _, link := range links {
-		m.predicted[holder][link.Hash] = max(until, m.predicted[holder][link.Hash])
+		m.predicted[owner][link.Hash] = max(until, m.predicted[owner][link.Hash])
 	}
 }
 
-func (m *modelIndex) overlap(now time.Duration, holder prefixindex.Holder, links []prefixindex.Link) prefixindex.Overlap {
+func (m *modelIndex) overlap(now time.Duration, owner prefixindex.Owner, links []prefixindex.Link) prefixindex.Overlap {
 	var overlap prefixindex.Overlap
 	for position, link := range links {
-		reported := m.reported[holder][link.Hash]
-		likely := reported || m.predicted[holder][link.Hash] > now
-		if reported && overlap.Reported.Parts == position {
+		reported := m.reported[owner][link.Hash]
+		likely := reported || m.predicted[owner][link.Hash] > now
+		if reported && overlap.Reported.Chunks == position {
 			overlap.Reported = extent(position + 1)
 		}
-		if likely && overlap.Likely.Parts == position {
+		if likely && overlap.Likely.Chunks == position {
 			overlap.Likely = extent(position + 1)
 		}
 	}
@@ -80,26 +80,26 @@
 
 // step applies one random change to the index and to the model.
 func step(random *rand.Rand, now time.Duration, index *prefixindex.Index, model *modelIndex) {
-	holder := modelHolders[random.IntN(len(modelHolders))]
+	owner := modelHolders[random.IntN(len(modelHolders))]
 	links := randomPrompt(random)
 	some := links[random.IntN(len(links)):]
 	switch choice := random.IntN(100); {
 	case choice < 45:
-		index.Store(holder, some)
-		model.store(holder, some)
+		index.Store(owner, some)
+		model.store(owner, some)
 	case choice < 75:
-		index.Remove(holder, hashes(some))
-		model.remove(holder, hashes(some))
+		index.Remove(owner, hashes(some))
+		model.remove(owner, hashes(some))
 	case choice < 95:
-		index.PredictFor(now, 50*time.Second, holder, some)
-		model.predict(now+50*time.Second, holder, some)
+		index.PredictFor(now, 50*time.Second, owner, some)
+		model.predict(now+50*time.Second, owner, some)
 	case choice < 98:
-		index.Reset(holder, some)
-		model.drop(holder)
-		model.store(holder, some)
+		index.Reset(owner, some)
+		model.drop(owner)
+		model.store(owner, some)
 	default:
-		index.Drop(holder)
-		model.drop(holder)
+		index.Drop(owner)
+		model.drop(owner)
 	}
 }
 
@@ -114,8 +114,8 @@
 				step(random, now, index, model)
 				links := randomPrompt(random)
 				overlaps := lookUp(index, now, links)
-				for _, holder := range modelHolders {
-					Expect(overlaps.Of(holder)).To(Equal(model.overlap(now, holder, links)), "seed %d change %d holder %d", seed, change, holder)
+				for _, owner := range modelHolders {
+					Expect(overlaps.Of(owner)).To(Equal(model.overlap(now, owner, links)), "seed %d change %d holder %d", seed, change, owner)
 				}
 			}
 			kept := 0
--- a/pkg/prefixindex/overlaps.go
+++ b/pkg/prefixindex/overlaps.go
@@ -8,8 +8,8 @@
 
 // Extent is how far a holder keeps a prompt from its beginning without a gap.
 type Extent struct {
-	// Parts counts the leading parts.
-	Parts int
+	// Chunks counts the leading parts.
+	Chunks int
 	// Tokens is the sum of their tokens, and of what is kept of the next part
 	// if its end was evicted.
 	Tokens uint32
@@ -27,21 +27,21 @@
 // Overlaps is the answer to a lookup. Its memory is reused from one lookup to
 // the next; the zero value is ready for use. It is not safe for concurrent use.
 type Overlaps struct {
-	holders  []Holder
-	byHolder []Overlap
+	owners  []Owner
+	byOwner []Overlap
 }
 
 // Of returns the overlap of a holder; zero when it keeps nothing.
-func (o *Overlaps) Of(holder Holder) Overlap {
-	if int(holder) >= len(o.byHolder) {
+func (o *Overlaps) Of(owner Owner) Overlap {
+	if int(owner) >= len(o.byOwner) {
 		return Overlap{}
 	}
-	return o.byHolder[holder]
+	return o.byOwner[owner]
 }
 
-// Holders returns, in ascending order, the holders that keep at least the
+// Owners returns, in ascending order, the holders that keep at least the
 // first part. The slice is valid until the next lookup.
-func (o *Overlaps) Holders() []Holder { return o.holders }
+func (o *Overlaps) Owners() []Owner { return o.owners }
 
 // Overlaps finds for every holder how much of a prompt it keeps. A part counts
 // only when the holder keeps all parts before it.
@@ -51,10 +51,10 @@
 	reported := x.reported.all()
 	var predicted []*partition
 	if !x.predicted.empty() {
-		predicted = x.predicted.parts.all()
+		predicted = x.predicted.partitions.all()
 	}
 	for group := range max(len(reported), len(predicted)) {
-		walk := walk{into: into, first: Holder(group * holdersPerGroup)}
+		walk := walk{into: into, firstOwner: Owner(group * ownersPerGroup)}
 		if x.sizes.count.Load() > 0 {
 			walk.sizes = x.sizes
 		}
@@ -69,17 +69,17 @@
 }
 
 func (o *Overlaps) clear() {
-	for _, holder := range o.holders {
-		o.byHolder[holder] = Overlap{}
+	for _, owner := range o.owners {
+		o.byOwner[owner] = Overlap{}
 	}
-	o.holders = o.holders[:0]
+	o.owners = o.owners[:0]
 }
 
 // add makes room for the overlap of a holder that keeps the first part.
-func (o *Overlaps) add(holder Holder) {
-	o.holders = append(o.holders, holder)
-	for int(holder) >= len(o.byHolder) {
-		o.byHolder = append(o.byHolder, Overlap{})
+func (o *Overlaps) add(owner Owner) {
+	o.owners = append(o.owners, owner)
+	for int(owner) >= len(o.byOwner) {
+		o.byOwner = append(o.byOwner, Overlap{})
 	}
 }
 
@@ -87,101 +87,101 @@
 // that keep all parts so far only ever get smaller, so that each holder is
 // looked at once: where it drops out.
 type walk struct {
-	into      *Overlaps
-	first     Holder
-	reported  *partition
-	predicted *partition
-	// sizes is nil when all holders keep whole parts.
-	sizes *sizes
-	// cutReported and cutLikely are the holders that keep only the beginning of
+	into       *Overlaps
+	firstOwner Owner
+	reported   *partition
+	predicted  *partition
+	// chunkSizes is nil when all holders keep whole parts.
+	sizes *chunkSizes
+	// partialReported and partialLikely are the holders that keep only the beginning of
 	// the part at hand.
-	cutReported, cutLikely holderSet
+	partialReported, partialLikely ownerSet
 }
 
 func (w *walk) run(links []Link) {
-	reported, likely := ^holderSet(0), ^holderSet(0)
+	reported, likely := ^ownerSet(0), ^ownerSet(0)
 	reached := Extent{}
 	for position, link := range links {
-		kept := find(w.reported, link.Hash)
+		reporting := find(w.reported, link.Hash)
 		predicted := find(w.predicted, link.Hash)
-		stillReported := reported & kept
-		stillLikely := likely & (kept | predicted)
+		stillReported := reported & reporting
+		stillLikely := likely & (reporting | predicted)
 		if position == 0 {
-			w.begin(stillLikely)
+			w.addOwners(stillLikely)
 		} else {
-			w.end(reported&^stillReported, likely&^stillLikely, reached)
+			w.recordExtent(reported&^stillReported, likely&^stillLikely, reached)
 		}
 		if w.sizes != nil && stillLikely != 0 {
-			w.cut(link, stillReported, stillLikely, predicted, reached)
-			stillReported &^= w.cutReported
-			stillLikely &^= w.cutLikely
+			w.recordPartial(link, stillReported, stillLikely, predicted, reached)
+			stillReported &^= w.partialReported
+			stillLikely &^= w.partialLikely
 		}
 		reported, likely = stillReported, stillLikely
 		if likely == 0 {
 			return
 		}
-		reached = reached.with(link.Tokens)
+		reached = reached.extendedBy(link.Tokens)
 	}
 	if len(links) > 0 {
-		w.end(reported, likely, reached)
+		w.recordExtent(reported, likely, reached)
 	}
 }
 
-// cut finds the holders that keep only the beginning of a part, and records how
+// recordPartial finds the holders that keep only the beginning of a part, and records how
 // far they come. A prediction stands for the whole part, unless it is a report
 // that came into doubt.
-func (w *walk) cut(link Link, reported, likely, predicted holderSet, reached Extent) {
-	w.cutReported, w.cutLikely = 0, 0
-	w.sizes.shorter(link.Hash, link.Tokens, func(kept keptSize) {
-		if kept.holder < w.first || kept.holder >= w.first+holdersPerGroup {
+func (w *walk) recordPartial(link Link, reported, likely, predicted ownerSet, reached Extent) {
+	w.partialReported, w.partialLikely = 0, 0
+	w.sizes.visitShorter(link.Hash, link.Tokens, func(size cachedSize) {
+		if size.owner < w.firstOwner || size.owner >= w.firstOwner+ownersPerGroup {
 			return
 		}
-		bit := holderSet(1) << (kept.holder - w.first)
-		partly := Extent{Parts: reached.Parts, Tokens: reached.with(kept.tokens).Tokens}
-		if reported&bit != 0 && !kept.doubted {
-			w.cutReported |= bit
-			w.into.byHolder[kept.holder].Reported = partly
+		bit := ownerSet(1) << (size.owner - w.firstOwner)
+		partly := Extent{Chunks: reached.Chunks, Tokens: reached.extendedBy(size.tokens).Tokens}
+		if reported&bit != 0 && !size.uncertain {
+			w.partialReported |= bit
+			w.into.byOwner[size.owner].Reported = partly
 		}
-		if likely&bit != 0 && (kept.doubted || predicted&bit == 0) {
-			w.cutLikely |= bit
-			w.into.byHolder[kept.holder].Likely = partly
+		if likely&bit != 0 && (size.uncertain || predicted&bit == 0) {
+			w.partialLikely |= bit
+			w.into.byOwner[size.owner].Likely = partly
 		}
 	})
 }
 
 // find returns the holders of a hash in a partition, which may be nil.
-func find(p *partition, hash ChainHash) holderSet {
+func find(p *partition, hash ChainHash) ownerSet {
 	if p == nil {
 		return 0
 	}
-	return p.of(hash).find(hash)
+	return p.shardOf(hash).find(hash)
 }
 
-// begin adds the holders of the first part.
-func (w *walk) begin(holders holderSet) {
-	for ; holders != 0; holders &= holders - 1 {
-		w.into.add(w.holder(holders))
+// addOwners adds the holders of the first part.
+func (w *walk) addOwners(owners ownerSet) {
+	for ; owners != 0; owners &= owners - 1 {
+		w.into.add(w.lowestOwner(owners))
 	}
 }
 
-// end records how far the holders that drop out have come.
-func (w *walk) end(reported, likely holderSet, reached Extent) {
+// recordExtent records how far the holders that drop out have come.
+func (w *walk) recordExtent(reported, likely ownerSet, reached Extent) {
 	for ; reported != 0; reported &= reported - 1 {
-		w.into.byHolder[w.holder(reported)].Reported = reached
+		w.into.byOwner[w.lowestOwner(reported)].Reported = reached
 	}
 	for ; likely != 0; likely &= likely - 1 {
-		w.into.byHolder[w.holder(likely)].Likely = reached
+		w.into.byOwner[w.lowestOwner(likely)].Likely = reached
 	}
 }
 
-// holder returns the first holder of a set that is not empty.
-func (w *walk) holder(holders holderSet) Holder {
-	return w.first + Holder(bits.TrailingZeros64(uint64(holders)))
+// owner returns the first holder of a set that is not empty.
+func (w *walk) lowestOwner(owners ownerSet) Owner {
+	return w.firstOwner + Owner(bits.TrailingZeros64(uint64(owners)))
 }
 
-// with returns the extent that is longer by one part. Its tokens stay at the
+// extendedBy returns the extent that is longer by one part. Its tokens stay at the
 // largest number instead of wrapping around.
-func (e Extent) with(tokens uint32) Extent {
+func (e Extent) extendedBy(tokens uint32) Extent {
 	sum := min(uint64(e.Tokens)+uint64(tokens), math.MaxUint32)
-	return Extent{Parts: e.Parts + 1, Tokens: uint32(sum)}
+	return Extent{Chunks: e.Chunks + 1, Tokens: uint32(sum)}
 }
--- a/pkg/prefixindex/overlaps_test.go
+++ b/pkg/prefixindex/overlaps_test.go
@@ -13,16 +13,16 @@
 
 const partTokens = 16
 
-// parts names a prompt by one letter a part.
-func parts(ids string) []prefixindex.Part {
-	return lo.Map([]rune(ids), func(id rune, _ int) prefixindex.Part {
-		return prefixindex.Part{ID: string(id), Tokens: partTokens}
+// chunks names a prompt by one letter a part.
+func chunks(ids string) []prefixindex.Chunk {
+	return lo.Map([]rune(ids), func(id rune, _ int) prefixindex.Chunk {
+		return prefixindex.Chunk{ID: string(id), Tokens: partTokens}
 	})
 }
 
 // chain is the prompt under one model and salt.
 func chain(ids string) []prefixindex.Link {
-	return prefixindex.Chain("model", "salt", parts(ids))
+	return prefixindex.Chain("model", "salt", chunks(ids))
 }
 
 func hashes(links []prefixindex.Link) []prefixindex.ChainHash {
@@ -36,7 +36,7 @@
 }
 
 func extent(leading int) prefixindex.Extent {
-	return prefixindex.Extent{Parts: leading, Tokens: uint32(leading) * partTokens}
+	return prefixindex.Extent{Chunks: leading, Tokens: uint32(leading) * partTokens}
 }
 
 var _ = Describe("Overlaps", func() {
@@ -44,8 +44,8 @@
 
 	BeforeEach(func() { index = prefixindex.New(prefixindex.Options{}) })
 
-	reported := func(holder prefixindex.Holder, links []prefixindex.Link) prefixindex.Extent {
-		return lookUp(index, 0, links).Of(holder).Reported
+	reported := func(owner prefixindex.Owner, links []prefixindex.Link) prefixindex.Extent {
+		return lookUp(index, 0, links).Of(owner).Reported
 	}
 
 	It("counts the leading parts of each holder", func() {
@@ -53,7 +53,7 @@
 		index.Store(2, chain("ab"))
 		index.Store(3, chain("axy"))
 		overlaps := lookUp(index, 0, chain("abcd"))
-		Expect(overlaps.Holders()).To(Equal([]prefixindex.Holder{1, 2, 3}))
+		Expect(overlaps.Owners()).To(Equal([]prefixindex.Owner{1, 2, 3}))
 		Expect(overlaps.Of(1).Reported).To(Equal(extent(3)))
 		Expect(overlaps.Of(2).Reported).To(Equal(extent(2)))
 		Expect(overlaps.Of(3).Reported).To(Equal(extent(1)))
@@ -90,27 +90,27 @@
 	})
 
 	It("never finds parts under another model or salt", func() {
-		index.Store(1, prefixindex.Chain("model", "salt", parts("abc")))
-		Expect(reported(1, prefixindex.Chain("model", "other", parts("abc")))).To(BeZero())
-		Expect(reported(1, prefixindex.Chain("other", "salt", parts("abc")))).To(BeZero())
-		Expect(reported(1, prefixindex.Chain("models", "alt", parts("abc")))).To(BeZero())
+		index.Store(1, prefixindex.Chain("model", "salt", chunks("abc")))
+		Expect(reported(1, prefixindex.Chain("model", "other", chunks("abc")))).To(BeZero())
+		Expect(reported(1, prefixindex.Chain("other", "salt", chunks("abc")))).To(BeZero())
+		Expect(reported(1, prefixindex.Chain("models", "alt", chunks("abc")))).To(BeZero())
 	})
 
 	It("counts the tokens that the prompt states, without wrapping around", func() {
 		links := chain("abc")
 		index.Store(1, links)
 		links[1].Tokens = 1<<32 - 1
-		Expect(reported(1, links)).To(Equal(prefixindex.Extent{Parts: 3, Tokens: 1<<32 - 1}))
+		Expect(reported(1, links)).To(Equal(prefixindex.Extent{Chunks: 3, Tokens: 1<<32 - 1}))
 	})
 
 	It("has room for many holders", func() {
-		for holder := range prefixindex.Holder(200) {
-			index.Store(holder, chain("abcd")[:1+holder%4])
+		for owner := range prefixindex.Owner(200) {
+			index.Store(owner, chain("abcd")[:1+owner%4])
 		}
 		overlaps := lookUp(index, 0, chain("abcd"))
-		Expect(overlaps.Holders()).To(HaveLen(200))
-		for holder := range prefixindex.Holder(200) {
-			Expect(overlaps.Of(holder).Reported).To(Equal(extent(1 + int(holder%4))))
+		Expect(overlaps.Owners()).To(HaveLen(200))
+		for owner := range prefixindex.Owner(200) {
+			Expect(overlaps.Of(owner).Reported).To(Equal(extent(1 + int(owner%4))))
 		}
 	})
 
@@ -130,16 +130,16 @@
 		var overlaps prefixindex.Overlaps
 		index.Overlaps(0, chain("abc"), &overlaps)
 		index.Overlaps(0, chain("xyz"), &overlaps)
-		Expect(overlaps.Holders()).To(BeEmpty())
+		Expect(overlaps.Owners()).To(BeEmpty())
 		Expect(overlaps.Of(7)).To(BeZero())
 		index.Overlaps(0, nil, &overlaps)
-		Expect(overlaps.Holders()).To(BeEmpty())
+		Expect(overlaps.Owners()).To(BeEmpty())
 	})
 
 	It("allocates nothing when its answer is reused", func() {
 		links := chain("abcdefgh")
-		for holder := range prefixindex.Holder(18) {
-			index.Store(holder, links)
+		for owner := range prefixindex.Owner(18) {
+			index.Store(owner, links)
 		}
 		index.Predict(0, 20, links)
 		var overlaps prefixindex.Overlaps
--- a/pkg/prefixindex/partition.go
+++ b/pkg/prefixindex/partition.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// holdersPerGroup is the number of holders that share one partition: as many
-// as a holderSet has bits.
-const holdersPerGroup = 64
+// ownersPerGroup is the number of holders that share one partition: as many
+// as a ownerSet has bits.
+const ownersPerGroup = 64
 
 // partition keeps the parts of one group of holders, spread over shards by
 // their hash.
@@ -26,7 +26,7 @@
 	return p
 }
 
-func (p *partition) of(hash ChainHash) *shard {
+func (p *partition) shardOf(hash ChainHash) *shard {
 	return &p.shards[mix(hash)>>p.shift]
 }
 
@@ -34,80 +34,80 @@
 // added, and the list of them is replaced as a whole, so that lookups read it
 // without a lock.
 type partitions struct {
-	shards int
-	list   atomic.Pointer[[]*partition]
-	growth sync.Mutex
+	shards  int
+	byGroup atomic.Pointer[[]*partition]
+	growth  sync.Mutex
 }
 
 func newPartitions(shards int) *partitions {
 	p := &partitions{shards: shards}
-	p.list.Store(&[]*partition{})
+	p.byGroup.Store(&[]*partition{})
 	return p
 }
 
 // all returns the partitions in the order of their groups.
-func (p *partitions) all() []*partition { return *p.list.Load() }
+func (p *partitions) all() []*partition { return *p.byGroup.Load() }
 
-// of returns the partition of a holder and the holder's bit in it.
-func (p *partitions) of(holder Holder) (*partition, holderSet) {
-	group := int(holder / holdersPerGroup)
-	list := p.all()
-	if group >= len(list) {
-		list = p.grow(group)
+// partitionOf returns the partition of a holder and the holder's bit in it.
+func (p *partitions) partitionOf(owner Owner) (*partition, ownerSet) {
+	group := int(owner / ownersPerGroup)
+	groups := p.all()
+	if group >= len(groups) {
+		groups = p.grow(group)
 	}
-	return list[group], 1 << (holder % holdersPerGroup)
+	return groups[group], 1 << (owner % ownersPerGroup)
 }
 
 func (p *partitions) grow(group int) []*partition {
 	p.growth.Lock()
 	defer p.growth.Unlock()
-	list := p.all()
-	if group < len(list) {
-		return list
+	groups := p.all()
+	if group < len(groups) {
+		return groups
 	}
-	longer := append([]*partition(nil), list...)
+	longer := append([]*partition(nil), groups...)
 	for len(longer) <= group {
 		longer = append(longer, newPartition(p.shards))
 	}
-	p.list.Store(&longer)
+	p.byGroup.Store(&longer)
 	return longer
 }
 
-func (p *partitions) put(holder Holder, hash ChainHash) {
-	group, bit := p.of(holder)
-	group.of(hash).put(hash, bit)
+func (p *partitions) put(owner Owner, hash ChainHash) {
+	group, bit := p.partitionOf(owner)
+	group.shardOf(hash).put(hash, bit)
 }
 
-func (p *partitions) remove(holder Holder, hash ChainHash) {
-	group, bit := p.of(holder)
-	group.of(hash).remove(hash, bit)
+func (p *partitions) remove(owner Owner, hash ChainHash) {
+	group, bit := p.partitionOf(owner)
+	group.shardOf(hash).remove(hash, bit)
 }
 
-func (p *partitions) drop(holder Holder) {
-	group, bit := p.of(holder)
+func (p *partitions) drop(owner Owner) {
+	group, bit := p.partitionOf(owner)
 	for at := range group.shards {
 		group.shards[at].drop(bit)
 	}
 }
 
 // size counts the pairs of part and holder, and the bytes of the tables.
-func (p *partitions) size() (kept, bytes int) {
+func (p *partitions) size() (pairs, bytes int) {
 	for _, group := range p.all() {
 		for at := range group.shards {
 			shard := &group.shards[at]
-			kept += int(shard.kept.Load())
+			pairs += int(shard.pairs.Load())
 			bytes += shard.table.Load().slots() * bytesPerSlot
 		}
 	}
-	return kept, bytes
+	return pairs, bytes
 }
 
-// heldBy lists the hashes of a holder.
-func (p *partitions) heldBy(holder Holder) []ChainHash {
-	group, bit := p.of(holder)
-	var held []ChainHash
+// hashesOf lists the hashes of a holder.
+func (p *partitions) hashesOf(owner Owner) []ChainHash {
+	group, bit := p.partitionOf(owner)
+	var hashes []ChainHash
 	for at := range group.shards {
-		held = group.shards[at].appendHeld(held, bit)
+		hashes = group.shards[at].appendHashesOf(hashes, bit)
 	}
-	return held
+	return hashes
 }
--- a/pkg/prefixindex/predictions.go
+++ b/pkg/prefixindex/predictions.go
@@ -14,11 +14,11 @@
 // predictions holds parts that holders probably keep, apart from what they
 // reported, so that a guess never mixes with a fact.
 type predictions struct {
-	ttl     time.Duration
-	maximum int
-	parts   *partitions
-	// sizes holds the kept tokens of predictions that were reported once.
-	sizes *sizes
+	ttl        time.Duration
+	maximum    int
+	partitions *partitions
+	// chunkSizes holds the kept tokens of predictions that were reported once.
+	sizes *chunkSizes
 	// nextExpiry lets lookups skip the lock while nothing is due.
 	nextExpiry atomic.Int64
 
@@ -31,83 +31,83 @@
 
 // prediction names a predicted part of a holder.
 type prediction struct {
-	hash   ChainHash
-	holder Holder
+	hash  ChainHash
+	owner Owner
 }
 
-func newPredictions(options Options, kept *sizes) *predictions {
+func newPredictions(options Options, sizes *chunkSizes) *predictions {
 	p := &predictions{
-		ttl:     options.PredictionTTL,
-		maximum: options.MaxPredicted,
-		parts:   newPartitions(options.Shards),
-		sizes:   kept,
-		expires: make(map[prediction]time.Duration),
+		ttl:        options.PredictionTTL,
+		maximum:    options.MaxPredicted,
+		partitions: newPartitions(options.Shards),
+		sizes:      sizes,
+		expires:    make(map[prediction]time.Duration),
 	}
 	p.nextExpiry.Store(never)
 	return p
 }
 
-func (p *predictions) add(now, ttl time.Duration, holder Holder, links []Link) {
+func (p *predictions) add(now, ttl time.Duration, owner Owner, links []Link) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.popDue(now)
+	p.expireDue(now)
 	for _, link := range links {
-		p.put(prediction{hash: link.Hash, holder: holder}, now+ttl)
+		p.put(prediction{hash: link.Hash, owner: owner}, now+ttl)
 	}
-	p.bound()
+	p.enforceLimit()
 }
 
 // addHashes is add for parts of which only the names are known.
-func (p *predictions) addHashes(now, ttl time.Duration, holder Holder, hashes []ChainHash) {
+func (p *predictions) addHashes(now, ttl time.Duration, owner Owner, hashes []ChainHash) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.popDue(now)
+	p.expireDue(now)
 	for _, hash := range hashes {
-		p.put(prediction{hash: hash, holder: holder}, now+ttl)
+		p.put(prediction{hash: hash, owner: owner}, now+ttl)
 	}
-	p.bound()
+	p.enforceLimit()
 }
 
 // put makes or renews a prediction. The lock is held.
 func (p *predictions) put(key prediction, expiry time.Duration) {
-	if known, present := p.expires[key]; present && known >= expiry {
+	if current, present := p.expires[key]; present && current >= expiry {
 		return
 	}
 	p.expires[key] = expiry
 	p.queue.add(queuedExpiry{prediction: key, at: expiry})
-	p.parts.put(key.holder, key.hash)
+	p.partitions.put(key.owner, key.hash)
 }
 
-// bound drops what is beyond the cap. The lock is held.
-func (p *predictions) bound() {
+// enforceLimit drops what is beyond the cap. The lock is held.
+func (p *predictions) enforceLimit() {
 	for len(p.expires) > p.maximum {
-		p.popFirst()
+		p.expireEarliest()
 	}
 	p.compact()
 	p.publishNextExpiry()
 }
 
-func (p *predictions) remove(holder Holder, hashes []ChainHash) {
+func (p *predictions) remove(owner Owner, hashes []ChainHash) {
 	if p.empty() {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, hash := range hashes {
-		p.forget(prediction{hash: hash, holder: holder})
+		p.forget(prediction{hash: hash, owner: owner})
 	}
 	p.compact()
 	p.publishNextExpiry()
 }
 
-func (p *predictions) drop(holder Holder) {
+func (p *predictions) drop(owner Owner) {
 	if p.empty() {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for key := range p.expires {
-		if key.holder == holder {
+		if key.owner == owner {
 			p.forget(key)
 		}
 	}
@@ -121,7 +121,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.popDue(now)
+	p.expireDue(now)
 	p.publishNextExpiry()
 }
 
@@ -134,16 +134,16 @@
 // empty tells without a lock whether nothing is predicted.
 func (p *predictions) empty() bool { return p.nextExpiry.Load() == never }
 
-func (p *predictions) popDue(now time.Duration) {
+func (p *predictions) expireDue(now time.Duration) {
 	for len(p.queue) > 0 && p.queue[0].at <= now {
-		p.popFirst()
+		p.expireEarliest()
 	}
 }
 
-// popFirst takes the earliest expiry, and forgets its prediction unless that
+// expireEarliest takes the earliest expiry, and forgets its prediction unless that
 // was renewed since.
-func (p *predictions) popFirst() {
-	first := p.queue.takeFirst()
+func (p *predictions) expireEarliest() {
+	first := p.queue.popEarliest()
 	if p.expires[first.prediction] == first.at {
 		p.forget(first.prediction)
 	}
@@ -154,8 +154,8 @@
 		return
 	}
 	delete(p.expires, key)
-	p.parts.remove(key.holder, key.hash)
-	p.sizes.clear(key.holder, key.hash, true)
+	p.partitions.remove(key.owner, key.hash)
+	p.sizes.clear(key.owner, key.hash, true)
 }
 
 // compact rebuilds the queue when overtaken expiries outnumber the others, so
@@ -195,14 +195,14 @@
 func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// add puts an element into its place, and takeFirst takes the earliest. Unlike
+// add puts an element into its place, and popEarliest takes the earliest. Unlike
 // heap.Push and heap.Pop they make no garbage.
 func (q *expiryQueue) add(queued queuedExpiry) {
 	*q = append(*q, queued)
 	heap.Fix(q, len(*q)-1)
 }
 
-func (q *expiryQueue) takeFirst() queuedExpiry {
+func (q *expiryQueue) popEarliest() queuedExpiry {
 	first, last := (*q)[0], len(*q)-1
 	(*q)[0] = (*q)[last]
 	*q = (*q)[:last]
@@ -216,4 +216,4 @@
 func (q *expiryQueue) Push(queued any) { q.add(queued.(queuedExpiry)) }
 
 // Pop takes the earliest element.
-func (q *expiryQueue) Pop() any { return q.takeFirst() }
+func (q *expiryQueue) Pop() any { return q.popEarliest() }
--- a/pkg/prefixindex/shard.go
+++ b/pkg/prefixindex/shard.go
@@ -27,7 +27,7 @@
 	table   atomic.Pointer[table]
 	// used counts the slots in use, and kept the pairs of part and holder.
 	used    atomic.Int64
-	kept    atomic.Int64
+	pairs   atomic.Int64
 	writers sync.Mutex
 	_       [24]byte // keeps neighbouring shards off one cache line
 }
@@ -35,21 +35,21 @@
 func (s *shard) init() { s.table.Store(newTable(minimumSlots)) }
 
 // find returns the holders of a hash.
-func (s *shard) find(hash ChainHash) holderSet {
+func (s *shard) find(hash ChainHash) ownerSet {
 	for range optimisticReads {
 		before := s.version.Load()
 		if before%2 == 1 {
 			continue
 		}
-		_, holders := s.table.Load().find(hash)
+		_, owners := s.table.Load().find(hash)
 		if s.version.Load() == before {
-			return holders
+			return owners
 		}
 	}
 	s.writers.Lock()
 	defer s.writers.Unlock()
-	_, holders := s.table.Load().find(hash)
-	return holders
+	_, owners := s.table.Load().find(hash)
+	return owners
 }
 
 // beginWrite and endWrite enclose every change of the table.
@@ -64,17 +64,17 @@
 }
 
 // put adds holders to those of a hash.
-func (s *shard) put(hash ChainHash, added holderSet) {
+func (s *shard) put(hash ChainHash, added ownerSet) {
 	s.beginWrite()
 	defer s.endWrite()
 	current := s.table.Load()
-	slot, holders := current.find(hash)
-	if holders&added == added {
+	slot, owners := current.find(hash)
+	if owners&added == added {
 		return
 	}
-	current.store(slot, hash, holders|added)
-	s.kept.Add(int64(bits.OnesCount64(uint64(added &^ holders))))
-	if holders != 0 {
+	current.store(slot, hash, owners|added)
+	s.pairs.Add(int64(bits.OnesCount64(uint64(added &^ owners))))
+	if owners != 0 {
 		return
 	}
 	used := int(s.used.Add(1))
@@ -84,12 +84,12 @@
 }
 
 // remove takes holders from those of a hash.
-func (s *shard) remove(hash ChainHash, removed holderSet) {
+func (s *shard) remove(hash ChainHash, removed ownerSet) {
 	s.beginWrite()
 	defer s.endWrite()
 	current := s.table.Load()
-	slot, holders := current.find(hash)
-	if holders&removed == 0 {
+	slot, owners := current.find(hash)
+	if owners&removed == 0 {
 		return
 	}
 	s.removeAt(current, slot, removed)
@@ -97,7 +97,7 @@
 }
 
 // drop takes holders from all hashes.
-func (s *shard) drop(removed holderSet) {
+func (s *shard) drop(removed ownerSet) {
 	if s.used.Load() == 0 {
 		return
 	}
@@ -114,15 +114,15 @@
 
 // removeAt takes holders from those of a slot, and tells whether that freed
 // the slot.
-func (s *shard) removeAt(current *table, slot uint64, removed holderSet) bool {
-	hash, holders := current.load(slot)
-	left := holders &^ removed
-	if left == holders {
+func (s *shard) removeAt(current *table, slot uint64, removed ownerSet) bool {
+	hash, owners := current.load(slot)
+	remaining := owners &^ removed
+	if remaining == owners {
 		return false
 	}
-	s.kept.Add(-int64(bits.OnesCount64(uint64(holders & removed))))
-	if left != 0 {
-		current.store(slot, hash, left)
+	s.pairs.Add(-int64(bits.OnesCount64(uint64(owners & removed))))
+	if remaining != 0 {
+		current.store(slot, hash, remaining)
 		return false
 	}
 	current.erase(slot)
@@ -148,18 +148,18 @@
 	s.table.Store(resized)
 }
 
-// appendHeld appends the hashes that have the given holder.
-func (s *shard) appendHeld(held []ChainHash, holder holderSet) []ChainHash {
+// appendHashesOf appends the hashes that have the given holder.
+func (s *shard) appendHashesOf(hashes []ChainHash, owner ownerSet) []ChainHash {
 	if s.used.Load() == 0 {
-		return held
+		return hashes
 	}
 	s.writers.Lock()
 	defer s.writers.Unlock()
 	current := s.table.Load()
 	for slot := range uint64(current.slots()) {
-		if hash, holders := current.load(slot); holders&holder != 0 {
-			held = append(held, hash)
+		if hash, owners := current.load(slot); owners&owner != 0 {
+			hashes = append(hashes, hash)
 		}
 	}
-	return held
+	return hashes
 }
--- a/pkg/prefixindex/table.go
+++ b/pkg/prefixindex/table.go
@@ -14,8 +14,8 @@
 	mixFactor = 0x9E3779B97F4A7C15
 )
 
-// holderSet is a set of the holders of one group, a bit each.
-type holderSet uint64
+// ownerSet is a set of the holders of one group, a bit each.
+type ownerSet uint64
 
 // table is an open-addressing hash table with linear probing, which maps a
 // chain hash to the set of its holders. A slot with an empty set is free.
@@ -34,15 +34,15 @@
 
 func (t *table) slots() int { return int(t.mask) + 1 }
 
-func (t *table) load(slot uint64) (ChainHash, holderSet) {
+func (t *table) load(slot uint64) (ChainHash, ownerSet) {
 	at := slot * wordsPerSlot
-	return ChainHash(atomic.LoadUint64(&t.words[at])), holderSet(atomic.LoadUint64(&t.words[at+1]))
+	return ChainHash(atomic.LoadUint64(&t.words[at])), ownerSet(atomic.LoadUint64(&t.words[at+1]))
 }
 
-func (t *table) store(slot uint64, hash ChainHash, holders holderSet) {
+func (t *table) store(slot uint64, hash ChainHash, owners ownerSet) {
 	at := slot * wordsPerSlot
 	atomic.StoreUint64(&t.words[at], uint64(hash))
-	atomic.StoreUint64(&t.words[at+1], uint64(holders))
+	atomic.StoreUint64(&t.words[at+1], uint64(owners))
 }
 
 // home returns the slot at which the search for a hash begins.
@@ -51,12 +51,12 @@
 // find returns the slot of a hash and its holders, or a free slot where the
 // hash belongs. The search is bounded by the size of the table also when a
 // writer changes it meanwhile.
-func (t *table) find(hash ChainHash) (slot uint64, holders holderSet) {
+func (t *table) find(hash ChainHash) (slot uint64, owners ownerSet) {
 	slot = t.home(hash)
 	for range t.slots() {
-		kept, holders := t.load(slot)
-		if holders == 0 || kept == hash {
-			return slot, holders
+		stored, owners := t.load(slot)
+		if owners == 0 || stored == hash {
+			return slot, owners
 		}
 		slot = (slot + 1) & t.mask
 	}
@@ -69,14 +69,14 @@
 	next := hole
 	for {
 		next = (next + 1) & t.mask
-		hash, holders := t.load(next)
-		if holders == 0 {
+		hash, owners := t.load(next)
+		if owners == 0 {
 			break
 		}
 		distanceFromHome := (next - t.home(hash)) & t.mask
 		distanceFromHole := (next - hole) & t.mask
 		if distanceFromHome >= distanceFromHole {
-			t.store(hole, hash, holders)
+			t.store(hole, hash, owners)
 			hole = next
 		}
 	}
@@ -86,12 +86,12 @@
 // copyTo inserts every slot into an empty table.
 func (t *table) copyTo(target *table) {
 	for slot := range uint64(t.slots()) {
-		hash, holders := t.load(slot)
-		if holders == 0 {
+		hash, owners := t.load(slot)
+		if owners == 0 {
 			continue
 		}
 		free, _ := target.find(hash)
-		target.store(free, hash, holders)
+		target.store(free, hash, owners)
 	}
 }
 
