--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -187,13 +187,13 @@
 // viewReplica is a listed back end as traffic sees it.
 func viewReplica(endpoint listing.Replica, version string, admitting bool) routing.Replica {
 	return routing.Replica{
-		Address:       endpoint.Address,
-		Zone:          endpoint.Zone,
-		Instance:      endpoint.Instance,
-		Slots:         endpoint.Slots,
-		ColdUntil:     endpoint.WarmingUntil,
-		WeightVersion: version,
-		Admitting:     admitting,
+		Address:        endpoint.Address,
+		Zone:           endpoint.Zone,
+		Instance:       endpoint.Instance,
+		Slots:          endpoint.Slots,
+		SlowStartUntil: endpoint.WarmingUntil,
+		WeightVersion:  version,
+		Admitting:      admitting,
 	}
 }
 
--- a/internal/dataplane/reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -35,20 +35,20 @@
 		o.refusals++
 		return nil, &outbound.RefusedError{Status: http.StatusMisdirectedRequest, WrongTarget: true, Instance: standing}
 	}
-	return wholeAnswer{}, nil
+	return completeResponse{}, nil
 }
 
-// wholeAnswer is an answer without a body.
-type wholeAnswer struct{}
+// completeResponse is an answer without a body.
+type completeResponse struct{}
 
-func (wholeAnswer) Status() int                      { return http.StatusOK }
-func (wholeAnswer) Header() http.Header              { return http.Header{} }
-func (wholeAnswer) WeightVersion() string            { return weightsOne }
-func (wholeAnswer) Streamed() bool                   { return false }
-func (wholeAnswer) ReadWhole() ([]byte, bool, error) { return nil, true, nil }
-func (wholeAnswer) Next() ([]byte, error)            { return nil, io.EOF }
-func (wholeAnswer) LastEventID() string              { return "" }
-func (wholeAnswer) Close()                           {}
+func (completeResponse) Status() int                      { return http.StatusOK }
+func (completeResponse) Header() http.Header              { return http.Header{} }
+func (completeResponse) WeightVersion() string            { return weightsOne }
+func (completeResponse) Streamed() bool                   { return false }
+func (completeResponse) ReadWhole() ([]byte, bool, error) { return nil, true, nil }
+func (completeResponse) Next() ([]byte, error)            { return nil, io.EOF }
+func (completeResponse) LastEventID() string              { return "" }
+func (completeResponse) Close()                           {}
 
 var _ = Describe("An address that another replica has got", func() {
 	const reused, other = "replica-0:1", "replica-1:1"
@@ -98,7 +98,7 @@
 		serve(second, 0)
 		edge.standing[reused] = "i-2"
 		serve(first, time.Minute)
-		second.server.TakeNews(first.server.News())
+		second.server.ApplyUpdate(first.server.PendingUpdate())
 		serve(second, time.Minute)
 		Expect(edge.refusals).To(Equal(1))
 	})
@@ -124,7 +124,7 @@
 			edge.standing[reused] = "i-2"
 			f.source.onView = func(seen int64) {
 				if seen == look {
-					f.server.TakeNews(shared.News{Denials: []shared.Denial{{Address: reused, Instance: "i-0"}}})
+					f.server.ApplyUpdate(shared.Update{Denials: []shared.Denial{{Address: reused, Instance: "i-0"}}})
 				}
 			}
 			Expect(f.generate().problem.MayHaveRun).To(BeFalse())
--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -22,7 +22,7 @@
 	var healthy *replicaStandIn
 
 	BeforeEach(func() {
-		healthy = newReplica(answering("ok"))
+		healthy = newReplica(respondWith("ok"))
 	})
 
 	It("that find no listener go elsewhere, and the next ones avoid it", func() {
@@ -102,7 +102,7 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(got.header).NotTo(HaveKey("Retry-After"), "sending it again is not safe")
-		Eventually(left).WithTimeout(patience).Should(BeClosed())
+		Eventually(left).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
 	It("end when the caller leaves", func() {
@@ -126,7 +126,7 @@
 		}()
 		_, err = http.DefaultClient.Do(request)
 		Expect(err).To(HaveOccurred())
-		Eventually(left).WithTimeout(patience).Should(BeClosed())
+		Eventually(left).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
 	DescribeTable("never make a cut answer look complete, wherever it is cut", func(streamed bool) {
--- a/internal/dataplane/identify.go
+++ b/internal/dataplane/authenticator.go
@@ -5,27 +5,27 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// requestNamer gives every request an identity, so that each refusal names it.
-type requestNamer struct {
-	identities *identities
+// requestIdentifier gives every request an identity, so that each refusal names it.
+type requestIdentifier struct {
+	ids *idGenerator
 }
 
 // handle implements handler. An identity that cannot be used is replaced here
 // and refused when the headers are read.
-func (n *requestNamer) handle(e *exchange, next func()) {
+func (n *requestIdentifier) handle(e *exchange, next func()) {
 	e.requestID = e.edges.Callers.RequestID(e.request.Header)
 	if e.requestID == "" || len(e.requestID) > caller.MaxRequestIDBytes {
-		e.requestID = n.identities.next()
+		e.requestID = n.ids.next()
 	}
 	next()
 }
 
-// tenantIdentifier finds the tenant of the request's key. Whether a tenant is
+// authenticator finds the tenant of the request's key. Whether a tenant is
 // needed is decided by the route.
-type tenantIdentifier struct{}
+type authenticator struct{}
 
 // handle implements handler.
-func (*tenantIdentifier) handle(e *exchange, next func()) {
+func (*authenticator) handle(e *exchange, next func()) {
 	digest, given := e.edges.Callers.KeyDigest(e.request.Header)
 	if given {
 		e.keyDigest = routing.KeyDigest(digest)
@@ -34,9 +34,9 @@
 	next()
 }
 
-// keyStillAdmits tells whether a view admits the request's key for the same
+// keyStillValid tells whether a view admits the request's key for the same
 // tenant.
-func (e *exchange) keyStillAdmits(view *routing.View) bool {
+func (e *exchange) keyStillValid(view *routing.View) bool {
 	if e.tenant == nil {
 		return true
 	}
@@ -44,8 +44,8 @@
 	return tenant != nil && tenant.Name == e.tenant.Name
 }
 
-// unauthorized is the refusal of a request without a valid key.
-func unauthorized() *caller.Problem {
+// unauthorizedProblem is the refusal of a request without a valid key.
+func unauthorizedProblem() *caller.Problem {
 	return caller.NewProblem(caller.KindUnauthorized,
 		"the request carries no valid key: send %s: Bearer KEY with a key of your tenant", caller.HeaderAuthorization)
 }
--- a/internal/dataplane/health.go
+++ b/internal/dataplane/backend_health.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// webOverdueTargets is how many times the latency aimed at an attempt on a web
+	// webOverdueFactor is how many times the latency aimed at an attempt on a web
 	// service may go without any output before it counts against its back end.
-	webOverdueTargets = 2
-	// poolOverdueTargets is the same for the replicas of pools, where a prompt
-	// waits long in busy times, and overdueDelays how many times the delay that
+	webOverdueFactor = 2
+	// poolOverdueFactor is the same for the replicas of pools, where a prompt
+	// waits long in busy times, and expectedDelayFactor how many times the delay that
 	// was expected of it may go beyond that.
-	poolOverdueTargets = 6
-	overdueDelays      = 3
-	// leastOverdue bounds that time from below.
-	leastOverdue = 500 * time.Millisecond
+	poolOverdueFactor   = 6
+	expectedDelayFactor = 3
+	// minOverdue bounds that time from below.
+	minOverdue = 500 * time.Millisecond
 )
 
-// health judges back ends by the outcomes of attempts on them, its own and those
+// backendHealth judges back ends by the outcomes of attempts on them, its own and those
 // that other nodes tell.
-type health struct {
+type backendHealth struct {
 	*outlier.Detector
 	zone  string
 	peers func() []member.Info
@@ -46,7 +46,7 @@
 // attemptHealth is an attempt as far as the health of its back end goes. Of its
 // outcomes up to the first output one counts.
 type attemptHealth struct {
-	health  *health
+	health  *backendHealth
 	address string
 	// overdueAt and slowAt are when the attempt counts as overdue, and its output
 	// as slow; 0 means never.
@@ -55,15 +55,15 @@
 	counted bool
 }
 
-// newHealth returns a judge that knows no back end.
-func newHealth(options Options) *health {
+// newBackendHealth returns a judge that knows no back end.
+func newBackendHealth(options Options) *backendHealth {
 	settings := options.Outlier
 	settings.Node = string(options.Member)
 	log := options.Log
 	settings.Changed = func(address string, ejected bool) {
 		log.WithFields(logrus.Fields{"backend": address, "ejected": ejected}).Info("a back end has left or joined the choice by its outcomes")
 	}
-	return &health{
+	return &backendHealth{
 		Detector: outlier.New(settings),
 		zone:     options.Zone,
 		peers:    options.Peers,
@@ -72,7 +72,7 @@
 }
 
 // follow makes the back ends of a view known.
-func (h *health) follow(view *routing.View) {
+func (h *backendHealth) follow(view *routing.View) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if view == nil || view == h.view {
@@ -90,24 +90,24 @@
 }
 
 // healthMembers names the incarnations of listed back ends.
-func healthMembers(listed []routing.Replica) []outlier.Member {
-	return lo.Map(listed, func(replica routing.Replica, _ int) outlier.Member {
+func healthMembers(replicas []routing.Replica) []outlier.Member {
+	return lo.Map(replicas, func(replica routing.Replica, _ int) outlier.Member {
 		return outlier.Member{Address: replica.Address, Instance: replica.Instance}
 	})
 }
 
 // begin enters an attempt that is about to be sent, and the delay that is expected
 // of it.
-func (h *health) begin(now time.Duration, w *work, address string, expected time.Duration) *attemptHealth {
+func (h *backendHealth) begin(now time.Duration, w *work, address string, expected time.Duration) *attemptHealth {
 	started := &attemptHealth{health: h, address: address}
 	if target := time.Duration(w.route.Config.GetTargetLatencyMs()) * time.Millisecond; target > 0 {
-		targets := time.Duration(poolOverdueTargets)
+		factor := time.Duration(poolOverdueFactor)
 		// The router learns by itself how fast replicas are.
 		if w.destination.WebService != nil {
-			targets = webOverdueTargets
+			factor = webOverdueFactor
 			started.slowAt = now + target
 		}
-		started.overdueAt = now + max(targets*target, leastOverdue) + overdueDelays*expected
+		started.overdueAt = now + max(factor*target, minOverdue) + expectedDelayFactor*expected
 	}
 	h.ProbeSent(now, address)
 	h.mutex.Lock()
@@ -116,8 +116,8 @@
 	return started
 }
 
-// sweep counts the attempts that have become overdue.
-func (h *health) sweep(now time.Duration) {
+// countOverdue counts the attempts that have become overdue.
+func (h *backendHealth) countOverdue(now time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for running := range h.running {
@@ -137,13 +137,13 @@
 	return a.counted
 }
 
-// answered enters the first output of a stream, or a whole answer.
-func (a *attemptHealth) answered(now time.Duration, status int) {
+// responded enters the first output of a stream, or a whole answer.
+func (a *attemptHealth) responded(now time.Duration, status int) {
 	overdue := a.end()
 	switch {
 	case status == http.StatusGatewayTimeout:
 		// The deadline may have been too short.
-		a.health.Heard(a.address)
+		a.health.RecordResponse(a.address)
 	case status >= http.StatusInternalServerError && status != http.StatusNotImplemented:
 		a.health.Observe(now, a.address, outlier.Errored)
 	case overdue || a.slowAt > 0 && now >= a.slowAt:
@@ -160,7 +160,7 @@
 }
 
 // describe fills in what is known of the health of a destination's back ends.
-func (h *health) describe(now time.Duration, into *DestinationStats) {
+func (h *backendHealth) describe(now time.Duration, into *DestinationStats) {
 	stats := h.Stats(now, destinationName{name: into.Name, webService: into.WebService}.key())
 	into.Ejected, into.Suspected, into.Ejections = stats.Ejected, stats.Suspected, stats.Ejections
 	for outcome, count := range stats.Outcomes {
@@ -169,50 +169,50 @@
 	slices.SortFunc(into.Outcomes, func(a, b OutcomeCount) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// takeOutcomes takes in what another node tells of back ends.
-func (h *health) takeOutcomes(now time.Duration, news shared.News) {
-	if len(news.Outcomes) == 0 {
+// applyOutcomes takes in what another node tells of back ends.
+func (h *backendHealth) applyOutcomes(now time.Duration, update shared.Update) {
+	if len(update.Outcomes) == 0 {
 		return
 	}
-	teller, _ := lo.Find(h.peers(), func(peer member.Info) bool { return peer.ID == news.Node })
-	for _, report := range news.Outcomes {
-		h.Told(now, string(news.Node), teller.Zone == h.zone, report)
+	sender, _ := lo.Find(h.peers(), func(peer member.Info) bool { return peer.ID == update.Node })
+	for _, report := range update.Outcomes {
+		h.ApplyReport(now, string(update.Node), sender.Zone == h.zone, report)
 	}
 }
 
-// selected is how a selection ended.
-type selected int
+// selectionResult is how a selection ended.
+type selectionResult int
 
 const (
 	// foundOne means that there is a back end.
-	foundOne selected = iota
+	foundOne selectionResult = iota
 	// foundBusy means that those which are not excluded take no more.
 	foundBusy
 	// foundNone means that there is none which is not excluded.
 	foundNone
 )
 
-// choose tries a selection without back ends that fail. If the others take no
+// chooseHealthy tries a selection without back ends that fail. If the others take no
 // more, it goes on with those that fail in part, and if there are no others, with
 // all.
-func choose(h *health, now time.Duration, w *work, try func(exclude func(address string) bool) selected) {
+func chooseHealthy(h *backendHealth, now time.Duration, w *work, try func(exclude func(address string) bool) selectionResult) {
 	// A probe that fails is not made good by a retry.
-	probe := w.ledger.Sent() == 0
+	probe := w.tracker.Sent() == 0
 	unfit := false
-	atMost := func(worst outlier.Verdict) selected {
+	tryUpTo := func(worst outlier.Verdict) selectionResult {
 		return try(func(address string) bool {
 			if w.hasTried(address) {
 				return true
 			}
 			verdict := h.Verdict(now, address, probe)
-			unfit = unfit || verdict != outlier.Fit
+			unfit = unfit || verdict != outlier.Healthy
 			return verdict > worst
 		})
 	}
-	if atMost(outlier.Fit) == foundOne || !unfit {
+	if tryUpTo(outlier.Healthy) == foundOne || !unfit {
 		return
 	}
-	if atMost(outlier.Ejected) == foundNone {
-		atMost(outlier.Suspected)
+	if tryUpTo(outlier.Ejected) == foundNone {
+		tryUpTo(outlier.Suspected)
 	}
 }
--- a/internal/dataplane/health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -17,13 +17,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// statusAnswer is a whole answer of a status.
-type statusAnswer struct {
-	wholeAnswer
+// statusResponse is a whole answer of a status.
+type statusResponse struct {
+	completeResponse
 	status int
 }
 
-func (a statusAnswer) Status() int { return a.status }
+func (a statusResponse) Status() int { return a.status }
 
 // backends is an edge whose back ends may be grey: of the requests to those that
 // are, some go wrong.
@@ -45,7 +45,7 @@
 	if wrong {
 		return b.wrong(ctx)
 	}
-	return wholeAnswer{}, nil
+	return completeResponse{}, nil
 }
 
 // turnGrey makes one back end grey, or well.
@@ -65,7 +65,7 @@
 // What may go wrong.
 var (
 	failing = func(context.Context) (dataplane.Answer, error) {
-		return statusAnswer{status: http.StatusInternalServerError}, nil
+		return statusResponse{status: http.StatusInternalServerError}, nil
 	}
 	shedding = func(context.Context) (dataplane.Answer, error) {
 		return nil, &outbound.RefusedError{Status: http.StatusServiceUnavailable}
@@ -174,12 +174,12 @@
 		defer leave()
 		for number := range requests {
 			go f.generateUntil(ctx)
-			Eventually(func() int { return edge.count(address(0)) }).WithTimeout(patience).Should(Equal(number + 1))
+			Eventually(func() int { return edge.count(address(0)) }).WithTimeout(waitTimeout).Should(Equal(number + 1))
 		}
-		f.server.News()
+		f.server.PendingUpdate()
 		Expect(f.server.Stats()[0].Ejected).To(BeZero(), "the time that is aimed at is not over")
 		f.clock.Add(int64(2 * time.Second))
-		f.server.News()
+		f.server.PendingUpdate()
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 	},
 		Entry("whatever it is asked", 1, 2),
@@ -219,7 +219,7 @@
 		}),
 		Entry("that is cold", func(f *fixture) {
 			for at := range f.replicas {
-				f.replicas[at].ColdUntil = time.Hour
+				f.replicas[at].SlowStartUntil = time.Hour
 			}
 		}),
 		Entry("that is to load other weights", func(f *fixture) { f.named = "weights-2" }),
@@ -296,11 +296,11 @@
 		}
 		share := func(nodes []*fixture) {
 			for number, from := range nodes {
-				news := from.server.News()
+				news := from.server.PendingUpdate()
 				news.Node = peers[number].ID
 				for other, to := range nodes {
 					if other != number {
-						to.server.TakeNews(news)
+						to.server.ApplyUpdate(news)
 					}
 				}
 			}
@@ -373,7 +373,7 @@
 		edge.every = 1
 		edge.wrong = func(context.Context) (dataplane.Answer, error) {
 			f.clock.Add(int64(400 * time.Millisecond))
-			return wholeAnswer{}, nil
+			return completeResponse{}, nil
 		}
 		edge.mutex.Unlock()
 		edge.turnGrey(address(1), true)
--- a/internal/dataplane/body.go
+++ b/internal/dataplane/body_reader.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// maxTrustedBytes bounds the buffer that a declared length gets in advance.
-const maxTrustedBytes = 64 << 10
+// maxPreallocatedBytes bounds the buffer that a declared length gets in advance.
+const maxPreallocatedBytes = 64 << 10
 
 // unreadBodyGrace is how long a refusal waits for the rest of a body that nobody
 // reads, so that the connection may go on.
@@ -32,9 +32,9 @@
 	}
 	if e.pending == nil {
 		e.pending = newPendingBody()
-		r.finish(e)
+		r.readPending(e)
 	}
-	<-e.pending.ended
+	<-e.pending.done
 	if e.pending.problem != nil {
 		e.refuse(e.pending.problem)
 		return
@@ -51,34 +51,34 @@
 // pendingBody is a body that is being read. Only of one that was read whole does
 // the server notice that the caller leaves.
 type pendingBody struct {
-	// ended is closed when nothing more is read. What was read, or why it could
+	// done is closed when nothing more is read. What was read, or why it could
 	// not be, stays as it is from then on.
-	ended   chan struct{}
+	done    chan struct{}
 	body    []byte
 	problem *caller.Problem
 }
 
 // newPendingBody returns one of which nothing has been read.
 func newPendingBody() *pendingBody {
-	return &pendingBody{ended: make(chan struct{})}
+	return &pendingBody{done: make(chan struct{})}
 }
 
-// bodyFault is why the body could not be read, if that is known already.
-func (e *exchange) bodyFault() *caller.Problem {
+// bodyReadProblem is why the body could not be read, if that is known already.
+func (e *exchange) bodyReadProblem() *caller.Problem {
 	if e.pending == nil {
 		return nil
 	}
 	select {
-	case <-e.pending.ended:
+	case <-e.pending.done:
 		return e.pending.problem
 	default:
 		return nil
 	}
 }
 
-// finish reads the pending body to its end.
-func (r *bodyReader) finish(e *exchange) {
-	defer close(e.pending.ended)
+// readPending reads the pending body to its end.
+func (r *bodyReader) readPending(e *exchange) {
+	defer close(e.pending.done)
 	body, err := r.read(e)
 	if err != nil {
 		e.pending.problem = bodyProblem(e, err)
@@ -116,14 +116,14 @@
 	}
 	_ = http.NewResponseController(e.writer).SetReadDeadline(until)
 	if e.pending != nil {
-		<-e.pending.ended
+		<-e.pending.done
 	}
 }
 
 // limit is the bound of the configuration, or the node's own.
 func (r *bodyReader) limit(e *exchange) int64 {
-	if bound := e.view.Configuration.GetCallerLimits().GetMaxBodyBytes(); bound > 0 {
-		return int64(bound)
+	if limit := e.view.Configuration.GetCallerLimits().GetMaxBodyBytes(); limit > 0 {
+		return int64(limit)
 	}
 	return r.maxBytes
 }
@@ -132,7 +132,7 @@
 // buffer, but only up to a bound: memory is not given on a caller's word.
 func readAll(reader io.Reader, declared int64) ([]byte, error) {
 	var buffer bytes.Buffer
-	buffer.Grow(int(min(max(declared, 0), maxTrustedBytes)) + bytes.MinRead)
+	buffer.Grow(int(min(max(declared, 0), maxPreallocatedBytes)) + bytes.MinRead)
 	_, err := buffer.ReadFrom(reader)
 	return buffer.Bytes(), err
 }
--- a/internal/dataplane/leaving_test.go
+++ b/internal/dataplane/caller_disconnect_test.go
@@ -17,7 +17,7 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixture(stand.address())
 		release := sync.OnceFunc(func() { close(proceed) })
@@ -26,16 +26,16 @@
 		f.publish()
 		first := make(chan outcome, 1)
 		go func() { first <- f.generate() }()
-		Eventually(arrived).WithTimeout(patience).Should(Receive())
+		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 
 		connection := f.connect()
 		connection.write(promptHead("Request-Id: left", "Content-Length: 10") + body)
-		Eventually(f.server.Waiting).WithTimeout(patience).Should(Equal(1))
+		Eventually(f.server.Waiting).WithTimeout(waitTimeout).Should(Equal(1))
 		Expect(connection.Close()).To(Succeed())
-		Eventually(f.server.Waiting).WithTimeout(patience / 2).Should(BeZero())
+		Eventually(f.server.Waiting).WithTimeout(waitTimeout / 2).Should(BeZero())
 		release()
 		var answered outcome
-		Eventually(first).WithTimeout(patience).Should(Receive(&answered))
+		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&answered))
 		Expect(answered.status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 		for _, request := range stand.requests() {
@@ -51,7 +51,7 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixtureWith(func(options *dataplane.Options) { options.MaxBodyBytes = 16 }, stand.address())
 		release := sync.OnceFunc(func() { close(proceed) })
@@ -60,7 +60,7 @@
 		f.publish()
 		first := make(chan outcome, 1)
 		go func() { first <- f.generate() }()
-		Eventually(arrived).WithTimeout(patience).Should(Receive())
+		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		connection := f.connect()
 		connection.write(promptHead("Content-Length: 17") + "the prompt is lon")
 		response, _ := connection.answer()
@@ -68,7 +68,7 @@
 		Expect(f.server.Waiting()).To(BeZero())
 		release()
 		var answered outcome
-		Eventually(first).WithTimeout(patience).Should(Receive(&answered))
+		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&answered))
 		Expect(answered.status).To(Equal(http.StatusOK))
 	})
 })
--- a/internal/dataplane/callerlimits_test.go
+++ b/internal/dataplane/caller_limits_test.go
@@ -16,7 +16,7 @@
 
 	// limited starts a node whose configuration bounds what callers send.
 	limited := func(limits *ridgeswitchv1.CallerLimits) (*fixture, *replicaStandIn) {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.source.View().Configuration = &ridgeswitchv1.Configuration{CallerLimits: limits}
 		return f, stand
--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -26,12 +26,12 @@
 // name comes first, so that every refusal bears it.
 func (s *Server) newChain() chain {
 	steps := chain{
-		&requestNamer{identities: s.identities},
+		&requestIdentifier{ids: s.ids},
 		&servingCheck{source: s.options.Source},
-		headerBound{},
-		&tenantIdentifier{},
-		&routeFinder{destinations: s.destinations, draws: newShareDraws()},
-		&headerReader{},
+		headerLimiter{},
+		&authenticator{},
+		&routeMatcher{destinations: s.destinations, sampler: newDestinationSampler()},
+		&requestParser{},
 	}
 	if s.recorder != nil {
 		steps = append(steps, &requestRecorder{recorder: s.recorder, clock: s.options.Clock, started: s.options.Clock()})
@@ -41,10 +41,10 @@
 		&deadlineSetter{fallback: s.options.RequestTimeout},
 		&tenantLimiter{limiter: s.limiter, bodies: bodies, clock: s.options.Clock},
 		bodies,
-		&duplicateCheck{register: s.duplicates, clock: s.options.Clock},
+		&duplicateChecker{register: s.duplicates, clock: s.options.Clock},
 	)
 	if s.options.Claims != nil {
-		steps = append(steps, &claimStep{claims: s.options.Claims})
+		steps = append(steps, &claimHandler{claims: s.options.Claims})
 	}
 	return append(steps, s.newDispatcher())
 }
--- a/internal/dataplane/claiming/driver.go
+++ b/internal/dataplane/claiming/driver.go
@@ -116,9 +116,9 @@
 func (d *Driver) result(number claims.Number, outcome claims.Outcome) (dataplane.Claim, error) {
 	switch outcome {
 	case claims.Acquired:
-		return &heldClaim{driver: d, number: number}, nil
+		return &grantedClaim{driver: d, number: number}, nil
 	case claims.AlreadyClaimed:
-		return nil, dataplane.ErrClaimTaken
+		return nil, dataplane.ErrAlreadyClaimed
 	default:
 		return nil, dataplane.ErrClaimUndecided
 	}
@@ -137,31 +137,31 @@
 	d.mutex.Lock()
 	out := step(d.options.Clock())
 	for _, decision := range d.machine.Decisions() {
-		if decided, waits := d.waiting[decision.Number]; waits {
+		if decided, found := d.waiting[decision.Number]; found {
 			delete(d.waiting, decision.Number)
 			decided <- decision.Outcome
 		}
 	}
 	d.mutex.Unlock()
-	for _, one := range out {
-		d.options.Send(one.To, one.Message)
+	for _, message := range out {
+		d.options.Send(message.To, message.Message)
 	}
 }
 
-// heldClaim is a claim that was decided for this node.
-type heldClaim struct {
+// grantedClaim is a claim that was decided for this node.
+type grantedClaim struct {
 	driver *Driver
 	number claims.Number
 }
 
 // Valid implements dataplane.Claim.
-func (c *heldClaim) Valid() bool {
+func (c *grantedClaim) Valid() bool {
 	c.driver.mutex.Lock()
 	defer c.driver.mutex.Unlock()
 	return c.driver.machine.MayRun(c.driver.options.Clock(), c.number)
 }
 
 // End implements dataplane.Claim.
-func (c *heldClaim) End(mayHaveRun bool) {
+func (c *grantedClaim) End(mayHaveRun bool) {
 	c.driver.end(c.number, mayHaveRun)
 }
--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -59,7 +59,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held.Valid()).To(BeTrue())
 		_, err = claim("b")
-		Expect(err).To(MatchError(dataplane.ErrClaimTaken))
+		Expect(err).To(MatchError(dataplane.ErrAlreadyClaimed))
 		held.End(false)
 		_, err = claim("b")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/dataplane/claims.go
+++ b/internal/dataplane/claims.go
@@ -9,21 +9,21 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// ErrClaimTaken is returned for a request that another node runs or ran lately.
-var ErrClaimTaken = errors.New("the request is claimed by another submission: send a new one under a new identity")
+// ErrAlreadyClaimed is returned for a request that another node runs or ran lately.
+var ErrAlreadyClaimed = errors.New("the request is claimed by another submission: send a new one under a new identity")
 
 // ErrClaimUndecided is returned when it cannot be told in time whether another
 // node runs the request.
 var ErrClaimUndecided = errors.New("too few nodes could tell whether the request runs elsewhere: send it again under the same identity")
 
-// undecidedRetry is when a caller may come back after a claim was undecided.
-const undecidedRetry = time.Second
+// claimRetryAfter is when a caller may come back after a claim was undecided.
+const claimRetryAfter = time.Second
 
 // Claims decide, among all nodes, which of them runs a request that must not
 // run twice.
 type Claims interface {
 	// Claim claims a tenant's request for this node. It takes no longer than
-	// the claim's own bound, and ends with ctx. The errors are ErrClaimTaken
+	// the claim's own bound, and ends with ctx. The errors are ErrAlreadyClaimed
 	// and ErrClaimUndecided; with one, nothing is held.
 	Claim(ctx context.Context, tenant, requestID string) (Claim, error)
 }
@@ -38,19 +38,19 @@
 	End(mayHaveRun bool)
 }
 
-// claimStep claims what must not run twice before anything is sent.
-type claimStep struct {
+// claimHandler claims what must not run twice before anything is sent.
+type claimHandler struct {
 	claims Claims
 }
 
 // handle implements handler. Identities made by the node are unique, and a
 // request that may be repeated needs no claim.
-func (s *claimStep) handle(e *exchange, next func()) {
-	if e.tenant == nil || e.described.ID == "" || e.described.Repeatable {
+func (s *claimHandler) handle(e *exchange, next func()) {
+	if e.tenant == nil || e.parsed.ID == "" || e.parsed.Repeatable {
 		next()
 		return
 	}
-	claim, err := s.claims.Claim(e.ctx, e.tenant.Name, e.described.ID)
+	claim, err := s.claims.Claim(e.ctx, e.tenant.Name, e.parsed.ID)
 	if err != nil {
 		e.notRunHere = true
 		e.refuse(claimProblem(err))
@@ -65,7 +65,7 @@
 // claimProblem tells why a request could not be claimed. Whether another
 // submission of it has run is not known either way.
 func claimProblem(err error) *caller.Problem {
-	if errors.Is(err, ErrClaimTaken) {
+	if errors.Is(err, ErrAlreadyClaimed) {
 		problem := caller.NewProblem(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on another node: send a new one under a new identity", caller.HeaderRequestID)
 		problem.MayHaveRun = true
@@ -73,13 +73,13 @@
 	}
 	problem := caller.NewProblem(caller.KindClaimUndecided,
 		"this submission does not run, but whether an earlier one with this %s has run cannot be told now: send it again under the same identity",
-		caller.HeaderRequestID).After(undecidedRetry)
+		caller.HeaderRequestID).After(claimRetryAfter)
 	problem.MayHaveRun = true
 	problem.RepeatIsSafe = true
 	return problem
 }
 
-// claimHolds tells whether the work may still be sent to a back end.
-func (w *work) claimHolds() bool {
+// claimValid tells whether the work may still be sent to a back end.
+func (w *work) claimValid() bool {
 	return w.claim == nil || w.claim.Valid()
 }
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -56,7 +56,7 @@
 
 	It("is claimed before it is sent, and held as one that may have run", func() {
 		decided := &scriptedClaims{validLooks: 10}
-		f, stand := newNode(decided, answering("ok"))
+		f, stand := newNode(decided, respondWith("ok"))
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
 		Expect(decided.claimed).To(Equal([]string{"court/r-1"}))
 		Expect(stand.requests()).To(HaveLen(1))
@@ -81,7 +81,7 @@
 	})
 
 	It("is refused when another node has it", func() {
-		f, stand := newNode(&scriptedClaims{refusal: dataplane.ErrClaimTaken}, answering("ok"))
+		f, stand := newNode(&scriptedClaims{refusal: dataplane.ErrAlreadyClaimed}, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusConflict))
 		Expect(got.problem.Kind).To(Equal(caller.KindDuplicateRequest))
@@ -92,7 +92,7 @@
 
 	It("is refused while that cannot be told, and may be sent again to the same node", func() {
 		decided := &scriptedClaims{refusal: dataplane.ErrClaimUndecided, validLooks: 10}
-		f, stand := newNode(decided, answering("ok"))
+		f, stand := newNode(decided, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
@@ -104,7 +104,7 @@
 	})
 
 	It("is not sent once its claim is lost", func() {
-		f, stand := newNode(&scriptedClaims{validLooks: 0}, answering("ok"))
+		f, stand := newNode(&scriptedClaims{validLooks: 0}, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
@@ -117,7 +117,7 @@
 				refusing()(writer, request)
 				return
 			}
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		}
 		f, first := newNode(&scriptedClaims{validLooks: validLooks}, script)
 		second := newReplica(script)
@@ -135,8 +135,8 @@
 	)
 
 	It("needs no claim if it may be repeated, or if the caller chose no identity", func() {
-		decided := &scriptedClaims{refusal: dataplane.ErrClaimTaken}
-		f, _ := newNode(decided, answering("ok"))
+		decided := &scriptedClaims{refusal: dataplane.ErrAlreadyClaimed}
+		f, _ := newNode(decided, respondWith("ok"))
 		Expect(f.generate(named, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 		Expect(decided.claimed).To(BeEmpty())
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connection_limit_test.go
@@ -57,7 +57,7 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixture(stand.address())
 		f.source.View().Pools["pool"].Config.Backends = &ridgeswitchv1.BackendLimits{MaxConnections: 2}
--- a/internal/dataplane/deadline.go
+++ b/internal/dataplane/deadline.go
@@ -30,8 +30,8 @@
 	if limit == 0 {
 		limit = destinationTimeout(e.destination, s.fallback)
 	}
-	if e.described.Deadline > 0 {
-		limit = min(limit, e.described.Deadline)
+	if e.parsed.Deadline > 0 {
+		limit = min(limit, e.parsed.Deadline)
 	}
 	ctx, cancel := context.WithTimeoutCause(e.ctx, limit, errDeadline)
 	defer cancel()
--- a/internal/dataplane/shares_internal_test.go
+++ b/internal/dataplane/destination_sampler_internal_test.go
@@ -31,7 +31,7 @@
 			total += uint64(weight)
 		}
 		for range nodes {
-			draws := newShareDraws()
+			draws := newDestinationSampler()
 			counts := map[*routing.Pool]int{}
 			for number := 1; number <= longest; number++ {
 				// What other routes get in between changes nothing.
@@ -56,10 +56,10 @@
 
 	It("keeps no more routes in mind than its bound", func() {
 		route, _ := split(1, 1)
-		draws := newShareDraws()
-		for number := range 2*maxSharedRoutes + 1 {
+		draws := newDestinationSampler()
+		for number := range 2*maxSampledRoutes + 1 {
 			draws.next(fmt.Sprint(number), route)
 		}
-		Expect(len(draws.last)).To(BeNumerically("<=", maxSharedRoutes))
+		Expect(len(draws.last)).To(BeNumerically("<=", maxSampledRoutes))
 	})
 })
--- a/internal/dataplane/destinations.go
+++ b/internal/dataplane/destination_state.go
@@ -28,10 +28,10 @@
 	Retries uint64
 	// RetriesDenied counts retries that the budget did not permit.
 	RetriesDenied uint64
-	// Answered counts complete answers of back ends.
-	Answered uint64
-	// Cut counts answers that were cut after a part had been handed on.
-	Cut uint64
+	// Completed counts complete answers of back ends.
+	Completed uint64
+	// Truncated counts answers that were cut after a part had been handed on.
+	Truncated uint64
 	// Abandoned counts requests whose caller left.
 	Abandoned uint64
 	// Refusals are sorted by kind.
@@ -89,13 +89,13 @@
 	return &destinations{budget: budget, states: make(map[destinationName]*destinationState)}
 }
 
-// of returns the state of a destination.
-func (d *destinations) of(destination routing.Destination) *destinationState {
-	name := nameOf(destination)
+// state returns the state of a destination.
+func (d *destinations) state(destination routing.Destination) *destinationState {
+	name := destinationNameOf(destination)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	state, known := d.states[name]
-	if !known {
+	state, found := d.states[name]
+	if !found {
 		state = &destinationState{
 			budget:   retrybudget.New(d.budget),
 			stats:    DestinationStats{Name: name.name, WebService: name.webService},
@@ -106,8 +106,8 @@
 	return state
 }
 
-// nameOf returns the name of a destination.
-func nameOf(destination routing.Destination) destinationName {
+// destinationNameOf returns the name of a destination.
+func destinationNameOf(destination routing.Destination) destinationName {
 	if destination.WebService != nil {
 		return destinationName{name: destination.WebService.Config.GetName(), webService: true}
 	}
@@ -163,18 +163,18 @@
 	s.refusals[kind]++
 }
 
-// countAnswered counts a complete answer.
-func (s *destinationState) countAnswered() {
+// countCompleted counts a complete answer.
+func (s *destinationState) countCompleted() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.stats.Answered++
+	s.stats.Completed++
 }
 
-// countCut counts an answer that was cut.
-func (s *destinationState) countCut() {
+// countTruncated counts an answer that was cut.
+func (s *destinationState) countTruncated() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.stats.Cut++
+	s.stats.Truncated++
 }
 
 // countAbandoned counts a request whose caller left.
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -25,22 +25,22 @@
 
 // target is a back end chosen for one attempt.
 type target interface {
-	// await holds the attempt back while that is better for it.
-	await(w *work)
+	// waitBeforeSend holds the attempt back while that is better for it.
+	waitBeforeSend(w *work)
 	// address returns where the attempt goes.
 	address() string
-	// current tells whether the newest view still lets the request go there.
-	current(w *work) bool
-	// takeCold counts the attempt if the back end is cold, and returns false if
+	// stillEligible tells whether the newest view still lets the request go there.
+	stillEligible(w *work) bool
+	// tryAcquireSlowStart counts the attempt if the back end is cold, and returns false if
 	// that bears no more now.
-	takeCold() bool
+	tryAcquireSlowStart() bool
 	// send runs the attempt up to the header of its answer.
 	send(ctx context.Context, w *work, attempt int) (Answer, error)
-	// refused says that the back end promised not to run the attempt.
-	refused(refusal *outbound.RefusedError)
-	// hasRoom tells whether the back end is known to have places left, so that a
+	// handleRefusal says that the back end promised not to run the attempt.
+	handleRefusal(refusal *outbound.RefusedError)
+	// hasSpareCapacity tells whether the back end is known to have places left, so that a
 	// refusal is not for want of them.
-	hasRoom() bool
+	hasSpareCapacity() bool
 	// expectedDelay is how long the first output is expected to take; 0 if that is
 	// not known.
 	expectedDelay() time.Duration
@@ -54,19 +54,19 @@
 // work is a request in the hands of the dispatcher.
 type work struct {
 	*exchange
-	ledger *attempts.Ledger
+	tracker *attempts.Tracker
 	// tried holds the back ends of earlier attempts, of which there are few.
 	tried []string
 	// problem is why the last attempt, or the last selection, failed.
 	problem *caller.Problem
 	// health is that of the last attempt's back end.
 	health *attemptHealth
-	// ready is the answer that the ledger's Relay move hands on.
-	ready *readyAnswer
+	// buffered is the answer that the ledger's Relay move hands on.
+	buffered *bufferedResponse
 	// relaying tells that the head of an answer went to the caller, and
-	// lastEvent is the last event that did.
-	relaying  bool
-	lastEvent string
+	// lastEventID is the last event that did.
+	relaying    bool
+	lastEventID string
 }
 
 // dispatcher is the last handler of the chain: it runs attempts as the ledger
@@ -85,21 +85,21 @@
 // handle implements handler.
 func (d *dispatcher) handle(e *exchange, _ func()) {
 	w := &work{exchange: e}
-	w.ledger = attempts.New(attempts.Options{
-		Repeatable:  e.described.Repeatable,
+	w.tracker = attempts.New(attempts.Options{
+		Repeatable:  e.parsed.Repeatable,
 		Resumable:   e.route.Config.GetResumable(),
 		MaxAttempts: e.maxAttempts(d.server.options.MaxAttempts),
 		MaxUnsent:   d.server.options.MaxUnsent,
 	})
-	d.server.holdPrompt(w)
+	d.server.waitForStartup(w)
 	for {
-		w.noticeEnd()
-		move := w.ledger.Next()
-		if move.Kind != attempts.Dispatch {
-			d.answer(w, move)
+		w.recordContextEnd()
+		action := w.tracker.Next()
+		if action.Kind != attempts.Dispatch {
+			d.respond(w, action)
 			return
 		}
-		d.dispatch(w, move.Attempt)
+		d.dispatch(w, action.Attempt)
 	}
 }
 
@@ -119,7 +119,7 @@
 		d.release(chosen, false)
 		return
 	}
-	if problem == nil && !w.counters.permitAttempt(d.server.options.Clock(), w.ledger.Sent(), attempt) {
+	if problem == nil && !w.counters.permitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
 		d.release(chosen, false)
 		problem = budgetProblem(w.problem).After(d.server.options.BackendRetry)
 	}
@@ -128,7 +128,7 @@
 		w.apply(attempts.Event{Kind: attempts.AttemptsExhausted})
 		return
 	}
-	w.watch.attempt(attempt)
+	w.observer.attempt(attempt)
 	w.tried = append(w.tried, chosen.address())
 	completed := false
 	defer func() { d.release(chosen, completed) }()
@@ -139,16 +139,16 @@
 // newest view again.
 func (d *dispatcher) choose(w *work) (target, *caller.Problem) {
 	for range maxSelections {
-		if problem := w.recheck(d.server); problem != nil {
+		if problem := w.revalidate(d.server); problem != nil {
 			return nil, problem
 		}
 		chosen, problem := d.backend(w).choose(w)
 		if problem != nil {
 			return nil, problem
 		}
-		chosen.await(w)
+		chosen.waitBeforeSend(w)
 		d.server.inFlight.begin(chosen.address())
-		if chosen.current(w) && chosen.takeCold() {
+		if chosen.stillEligible(w) && chosen.tryAcquireSlowStart() {
 			return chosen, nil
 		}
 		d.release(chosen, false)
@@ -172,17 +172,17 @@
 	defer w.health.end()
 	received, err := chosen.send(w.ctx, w, attempt)
 	if err != nil {
-		d.enterFailure(w, chosen, attempt, err)
+		d.recordFailure(w, chosen, attempt, err)
 		return false
 	}
 	defer received.Close()
-	d.server.health.Heard(chosen.address())
+	d.server.health.RecordResponse(chosen.address())
 	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
 	if err := d.receive(w, chosen, attempt, received); err != nil {
-		d.enterLoss(w, attempt, err)
+		d.recordLoss(w, attempt, err)
 		return false
 	}
-	w.apply(attempts.Event{Kind: attempts.AnswerCompleted, Attempt: attempt})
+	w.apply(attempts.Event{Kind: attempts.ResponseCompleted, Attempt: attempt})
 	return true
 }
 
@@ -194,22 +194,22 @@
 	}
 	if received.Streamed() {
 		chunk, err := received.Next()
-		if err != nil && !isProperEnd(err) {
+		if err != nil && !isCompleteEnd(err) {
 			return err
 		}
 		chosen.firstOutput()
-		w.health.answered(d.server.options.Clock(), received.Status())
+		w.health.responded(d.server.options.Clock(), received.Status())
 		return d.relay(w, attempt, received, chunk, err)
 	}
-	body, whole, err := received.ReadWhole()
+	body, complete, err := received.ReadWhole()
 	if err != nil {
 		return err
 	}
-	w.health.answered(d.server.options.Clock(), received.Status())
-	if !whole {
+	w.health.responded(d.server.options.Clock(), received.Status())
+	if !complete {
 		return d.relay(w, attempt, received, body, nil)
 	}
-	w.ready = &readyAnswer{status: received.Status(), header: received.Header(), body: body}
+	w.buffered = &bufferedResponse{status: received.Status(), header: received.Header(), body: body}
 	return nil
 }
 
@@ -218,38 +218,38 @@
 	return slices.Contains(w.tried, address)
 }
 
-// recheck looks at the newest view: a key may have been revoked, or the node
+// revalidate looks at the newest view: a key may have been revoked, or the node
 // may have been cut off, while the request waited.
-func (w *work) recheck(server *Server) *caller.Problem {
+func (w *work) revalidate(server *Server) *caller.Problem {
 	view, problem := servingView(server.options.Source)
 	if problem != nil {
 		return problem
 	}
-	if !w.keyStillAdmits(view) {
-		return unauthorized()
+	if !w.keyStillValid(view) {
+		return unauthorizedProblem()
 	}
-	if !w.claimHolds() {
+	if !w.claimValid() {
 		return claimProblem(ErrClaimUndecided)
 	}
 	return nil
 }
 
-// noticeEnd enters the end of the request's context.
-func (w *work) noticeEnd() {
+// recordContextEnd enters the end of the request's context.
+func (w *work) recordContextEnd() {
 	if w.ctx.Err() == nil {
 		return
 	}
 	if deadlinePassed(w.ctx) {
-		w.apply(attempts.Event{Kind: attempts.DeadlinePassed})
+		w.apply(attempts.Event{Kind: attempts.DeadlineExceeded})
 		return
 	}
-	w.apply(attempts.Event{Kind: attempts.CallerLeft})
+	w.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 }
 
 // apply enters an event. One that does not fit is a fault of this package, and
 // going on could run a request twice.
 func (w *work) apply(event attempts.Event) {
-	if err := w.ledger.Apply(event); err != nil {
+	if err := w.tracker.Apply(event); err != nil {
 		panic(err)
 	}
 }
--- a/internal/dataplane/duplicates.go
+++ b/internal/dataplane/duplicates.go
@@ -7,38 +7,38 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// requestName is the identity of a request among all tenants.
-type requestName struct {
+// requestKey is the identity of a request among all tenants.
+type requestKey struct {
 	tenant string
 	id     string
 }
 
 // finishedRequest is a remembered request that has ended.
 type finishedRequest struct {
-	name requestName
-	at   time.Duration
+	key        requestKey
+	finishedAt time.Duration
 }
 
-// knownRequest is what the register knows under one name.
-type knownRequest struct {
+// registerEntry is what the register knows under one name.
+type registerEntry struct {
 	// repeatable tells that all submissions under the name may run again.
 	repeatable bool
 	// running and finished count the submissions that hold the name.
 	running, finished int
 }
 
-// duplicateRegister remembers the requests that are running and those that
+// requestRegister remembers the requests that are running and those that
 // ended lately and may have run. Running ones are bounded by the tenants'
 // limits, finished ones by number and age.
 //
 // That an answer was written whole says nothing of what the caller got, and a
 // caller may be gone long before the node notices. So what may run again is
 // never held up by an earlier submission of it.
-type duplicateRegister struct {
+type requestRegister struct {
 	mutex       sync.Mutex
-	limit       int
+	maxFinished int
 	rememberFor time.Duration
-	known       map[requestName]knownRequest
+	entries     map[requestKey]registerEntry
 	// finished is a ring, the oldest entry at first. It grows with what it holds, up
 	// to limit entries.
 	finished []finishedRequest
@@ -46,114 +46,114 @@
 	count    int
 }
 
-// leastFinished is the size of the ring of finished requests at first.
-const leastFinished = 64
+// initialFinished is the size of the ring of finished requests at first.
+const initialFinished = 64
 
-// newDuplicateRegister returns a register that has seen no request.
-func newDuplicateRegister(limit int, rememberFor time.Duration) *duplicateRegister {
-	return &duplicateRegister{
-		limit:       limit,
+// newRequestRegister returns a register that has seen no request.
+func newRequestRegister(limit int, rememberFor time.Duration) *requestRegister {
+	return &requestRegister{
+		maxFinished: limit,
 		rememberFor: rememberFor,
-		known:       make(map[requestName]knownRequest),
-		finished:    make([]finishedRequest, min(limit, leastFinished)),
+		entries:     make(map[requestKey]registerEntry),
+		finished:    make([]finishedRequest, min(limit, initialFinished)),
 	}
 }
 
 // begin enters a request. It returns false if the request is known already and
 // either submission may not run again.
-func (r *duplicateRegister) begin(now time.Duration, name requestName, repeatable bool) bool {
+func (r *requestRegister) begin(now time.Duration, key requestKey, repeatable bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.expire(now)
-	entry, known := r.known[name]
-	if known && !(entry.repeatable && repeatable) {
+	entry, found := r.entries[key]
+	if found && !(entry.repeatable && repeatable) {
 		return false
 	}
 	entry.repeatable = repeatable
 	entry.running++
-	r.known[name] = entry
+	r.entries[key] = entry
 	return true
 }
 
 // forget removes a running request that has not run.
-func (r *duplicateRegister) forget(name requestName) {
+func (r *requestRegister) forget(key requestKey) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	entry := r.known[name]
+	entry := r.entries[key]
 	entry.running--
-	r.keep(name, entry)
+	r.update(key, entry)
 }
 
 // finish remembers a running request as one that has ended.
-func (r *duplicateRegister) finish(now time.Duration, name requestName) {
+func (r *requestRegister) finish(now time.Duration, key requestKey) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.count == r.limit {
+	if r.count == r.maxFinished {
 		r.dropOldest()
 	}
 	if r.count == len(r.finished) {
 		r.grow()
 	}
-	r.finished[(r.first+r.count)%len(r.finished)] = finishedRequest{name: name, at: now}
+	r.finished[(r.first+r.count)%len(r.finished)] = finishedRequest{key: key, finishedAt: now}
 	r.count++
-	entry := r.known[name]
+	entry := r.entries[key]
 	entry.running--
 	entry.finished++
-	r.known[name] = entry
+	r.entries[key] = entry
 }
 
 // grow makes room for more finished requests.
-func (r *duplicateRegister) grow() {
-	grown := make([]finishedRequest, min(r.limit, 2*len(r.finished)))
+func (r *requestRegister) grow() {
+	grown := make([]finishedRequest, min(r.maxFinished, 2*len(r.finished)))
 	copied := copy(grown, r.finished[r.first:])
 	copy(grown[copied:], r.finished[:r.first])
 	r.finished, r.first = grown, 0
 }
 
-// keep replaces what is known under a name, as long as a submission holds it.
-func (r *duplicateRegister) keep(name requestName, entry knownRequest) {
+// update replaces what is known under a name, as long as a submission holds it.
+func (r *requestRegister) update(key requestKey, entry registerEntry) {
 	if entry.running == 0 && entry.finished == 0 {
-		delete(r.known, name)
+		delete(r.entries, key)
 		return
 	}
-	r.known[name] = entry
+	r.entries[key] = entry
 }
 
 // expire drops the finished requests that are old enough.
-func (r *duplicateRegister) expire(now time.Duration) {
-	for r.count > 0 && now-r.finished[r.first].at >= r.rememberFor {
+func (r *requestRegister) expire(now time.Duration) {
+	for r.count > 0 && now-r.finished[r.first].finishedAt >= r.rememberFor {
 		r.dropOldest()
 	}
 }
 
 // dropOldest drops the oldest finished request.
-func (r *duplicateRegister) dropOldest() {
-	name := r.finished[r.first].name
-	entry := r.known[name]
+func (r *requestRegister) dropOldest() {
+	key := r.finished[r.first].key
+	entry := r.entries[key]
 	entry.finished--
-	r.keep(name, entry)
+	r.update(key, entry)
 	r.finished[r.first] = finishedRequest{}
 	r.first = (r.first + 1) % len(r.finished)
 	r.count--
 }
 
-// duplicateCheck refuses a request that this node is running or has run, unless
+// duplicateChecker refuses a request that this node is running or has run, unless
 // it may run again.
-type duplicateCheck struct {
-	register *duplicateRegister
+type duplicateChecker struct {
+	register *requestRegister
 	clock    func() time.Duration
 }
 
 // handle implements handler. Only identities that a tenant chose are checked:
 // those made by the node are unique, and nothing tells callers without a key
 // apart.
-func (c *duplicateCheck) handle(e *exchange, next func()) {
-	if e.tenant == nil || e.described.ID == "" {
+func (c *duplicateChecker) handle(e *exchange, next func()) {
+	if e.tenant == nil || e.parsed.ID == "" {
 		next()
 		return
 	}
-	name := requestName{tenant: e.tenant.Name, id: e.described.ID}
-	if !c.register.begin(c.clock(), name, e.described.Repeatable) {
+	key := requestKey{tenant: e.tenant.Name, id: e.parsed.ID}
+	if !c.register.begin(c.clock(), key, e.parsed.Repeatable) {
 		problem := caller.NewProblem(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on this node: send a new one under a new identity", caller.HeaderRequestID)
 		problem.MayHaveRun = true
@@ -162,10 +162,10 @@
 	}
 	defer func() {
 		if e.certainlyNotRun || e.notRunHere {
-			c.register.forget(name)
+			c.register.forget(key)
 			return
 		}
-		c.register.finish(c.clock(), name)
+		c.register.finish(c.clock(), key)
 	}()
 	next()
 }
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -86,7 +86,7 @@
 	// WeightVersion is the version that the cache salt is for.
 	WeightVersion string
 	CacheSalt     string
-	Parts         []prefixindex.Chunk
+	Chunks        []prefixindex.Chunk
 	OutputTokens  uint32
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
@@ -99,8 +99,8 @@
 type Pull struct {
 	// Source is the address to fetch from.
 	Source string
-	// FirstPart and LastPart are positions in the prompt, from 0.
-	FirstPart, LastPart int
+	// FirstChunk and LastChunk are positions in the prompt, from 0.
+	FirstChunk, LastChunk int
 }
 
 // Answer is a back end's answer whose header has arrived.
@@ -148,11 +148,11 @@
 	Next uint64
 	// Lost tells that changes before this page are not to be had any more.
 	Lost    bool
-	Changes []PartChange
+	Changes []ChunkChange
 }
 
-// PartChange reports a kept part, or one that was dropped.
-type PartChange struct {
+// ChunkChange reports a kept part, or one that was dropped.
+type ChunkChange struct {
 	// Sequence numbers the changes of an incarnation; 0 in a list.
 	Sequence uint64
 	// Removed tells that the part, or some of it, was dropped.
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -8,9 +8,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// waitShare is the share of the time left for which a request may wait at a
+// waitDivisor is the share of the time left for which a request may wait at a
 // replica that is full, if all are.
-const waitShare = 2
+const waitDivisor = 2
 
 // engineProfile describes a pool's engine to the router, or is nil if the
 // configuration does not.
@@ -38,13 +38,13 @@
 	return kvrouter.DefaultEngineSettings()
 }
 
-// longestWait is how long a request may wait at a full replica.
-func longestWait(w *work) time.Duration {
+// maxWait is how long a request may wait at a full replica.
+func maxWait(w *work) time.Duration {
 	deadline, bounded := w.ctx.Deadline()
 	if !bounded {
 		return 0
 	}
-	return time.Until(deadline) / waitShare
+	return time.Until(deadline) / waitDivisor
 }
 
 // naming tells how the back ends name the parts of prompts.
@@ -55,19 +55,19 @@
 	return kvrouter.Chained
 }
 
-// tell notes for the other nodes where a request's parts will be kept.
-func (b *poolBackend) tell(attempt Attempt) {
-	if len(attempt.Generation.Parts) == 0 {
+// announceDispatch notes for the other nodes where a request's parts will be kept.
+func (b *poolBackend) announceDispatch(attempt Attempt) {
+	if len(attempt.Generation.Chunks) == 0 {
 		return
 	}
 	generation := attempt.Generation
 	dispatch := shared.Dispatch{
 		Address: attempt.Address,
-		Links:   b.naming().Links(generation.Model, generation.CacheSalt, generation.Parts),
+		Links:   b.naming().Links(generation.Model, generation.CacheSalt, generation.Chunks),
 	}
-	b.server.sharing.dispatched(dispatch)
+	b.server.updates.addDispatch(dispatch)
 	if generation.SaveTo != "" {
 		dispatch.Address = generation.SaveTo
-		b.server.sharing.dispatched(dispatch)
+		b.server.updates.addDispatch(dispatch)
 	}
 }
--- a/internal/dataplane/feed.go
+++ b/internal/dataplane/event_feed.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// firstReconnect is the wait before a broken stream is opened again.
-	firstReconnect = 100 * time.Millisecond
-	// longestReconnect bounds the wait after further failures.
-	longestReconnect = 2 * time.Second
-	// resetPatience is how long a new stream may take to bring its reset.
-	resetPatience = 5 * time.Second
+	// minReconnectDelay is the wait before a broken stream is opened again.
+	minReconnectDelay = 100 * time.Millisecond
+	// maxReconnectDelay bounds the wait after further failures.
+	maxReconnectDelay = 2 * time.Second
+	// resetTimeout is how long a new stream may take to bring its reset.
+	resetTimeout = 5 * time.Second
 )
 
 // errResync ends a stream that is to be opened again from a reset on.
@@ -29,9 +29,9 @@
 	Follow(ctx context.Context, address string, after replica.Position, handle func(replica.Event) error) error
 }
 
-// feed brings one back end's events and load reports to the router. It runs
+// eventFeed brings one back end's events and load reports to the router. It runs
 // under the supervisor for as long as the back end is listed.
-type feed struct {
+type eventFeed struct {
 	address    string
 	source     eventSource
 	router     *kvrouter.Router
@@ -51,60 +51,60 @@
 
 	// The fields below belong to the goroutine that runs Serve.
 
-	// after is how far the events were taken in; zero to start from a reset.
-	after replica.Position
-	// heard tells that the stream has carried an event.
-	heard bool
-	// held tells that the back end was in quarantine at its last report.
-	held bool
+	// position is how far the events were taken in; zero to start from a reset.
+	position replica.Position
+	// receivedEvent tells that the stream has carried an event.
+	receivedEvent bool
+	// quarantined tells that the back end was in quarantine at its last report.
+	quarantined bool
 }
 
 // Serve implements suture.Service: it follows the stream until ctx ends.
-func (f *feed) Serve(ctx context.Context) error {
-	wait := firstReconnect
+func (f *eventFeed) Serve(ctx context.Context) error {
+	wait := minReconnectDelay
 	for ctx.Err() == nil {
 		f.follow(ctx)
-		if f.heard {
-			wait = firstReconnect
+		if f.receivedEvent {
+			wait = minReconnectDelay
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			break
 		}
-		wait = min(2*wait, longestReconnect)
+		wait = min(2*wait, maxReconnectDelay)
 	}
 	return ctx.Err()
 }
 
 // String implements fmt.Stringer for the supervisor's messages.
-func (f *feed) String() string {
+func (f *eventFeed) String() string {
 	return "feed of " + f.address
 }
 
 // follow reads one stream to its end.
-func (f *feed) follow(ctx context.Context) {
+func (f *eventFeed) follow(ctx context.Context) {
 	stream, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.mutex.Lock()
 	f.cancelStream = cancel
-	f.resynced = f.after.Sequence > 0
+	f.resynced = f.position.Sequence > 0
 	f.opened = f.clock()
 	f.mutex.Unlock()
-	f.heard = false
-	err := f.source.Follow(stream, f.address, f.after, f.take)
+	f.receivedEvent = false
+	err := f.source.Follow(stream, f.address, f.position, f.handle)
 	if errors.Is(err, errResync) || !f.wasResynced() {
-		f.after = replica.Position{}
+		f.position = replica.Position{}
 	}
 }
 
 // expect sets the weight version that control state has.
-func (f *feed) expect(weightVersion string) {
+func (f *eventFeed) expect(weightVersion string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.expected = weightVersion
 }
 
 // expectedVersion returns the weight version that control state has.
-func (f *feed) expectedVersion() string {
+func (f *eventFeed) expectedVersion() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.expected
@@ -112,35 +112,35 @@
 
 // resync ends the open stream so that it is opened again from a reset on. A
 // stream that was opened so is given time for its reset to come.
-func (f *feed) resync() {
+func (f *eventFeed) resync() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	due := f.resynced || f.clock()-f.opened >= resetPatience
+	due := f.resynced || f.clock()-f.opened >= resetTimeout
 	if due && f.cancelStream != nil {
 		f.resynced = false
 		f.cancelStream()
 	}
 }
 
-// take takes one event in.
-func (f *feed) take(event replica.Event) error {
-	f.heard = true
-	f.health.Alive(f.clock(), f.address)
+// handle takes one event in.
+func (f *eventFeed) handle(event replica.Event) error {
+	f.receivedEvent = true
+	f.health.RecordAlive(f.clock(), f.address)
 	if event.Kind == replica.EventReport {
-		return f.takeReport(event)
+		return f.applyLoadReport(event)
 	}
-	if f.held {
+	if f.quarantined {
 		// What a replica in quarantine keeps is not to be known.
 		return nil
 	}
-	status, err := f.takeParts(event)
+	status, err := f.applyChunks(event)
 	if err != nil {
 		return err
 	}
 	f.advance(event)
 	if event.Kind == replica.EventReset {
-		f.after.Sequence = event.Sequence
-		f.markResynced()
+		f.position.Sequence = event.Sequence
+		f.setResynced()
 		return nil
 	}
 	if status == kvrouter.Gap && f.wasResynced() {
@@ -150,29 +150,29 @@
 }
 
 // advance remembers the newest event of the back end's present life.
-func (f *feed) advance(event replica.Event) {
-	if event.Incarnation != f.after.Incarnation {
-		f.after = replica.Position{Incarnation: event.Incarnation}
+func (f *eventFeed) advance(event replica.Event) {
+	if event.Incarnation != f.position.Incarnation {
+		f.position = replica.Position{Incarnation: event.Incarnation}
 	}
-	f.after.Sequence = max(f.after.Sequence, event.Sequence)
+	f.position.Sequence = max(f.position.Sequence, event.Sequence)
 }
 
-// markResynced enters that a reset has come.
-func (f *feed) markResynced() {
+// setResynced enters that a reset has come.
+func (f *eventFeed) setResynced() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.resynced = true
 }
 
 // wasResynced tells whether the stream has had its reset or needs none.
-func (f *feed) wasResynced() bool {
+func (f *eventFeed) wasResynced() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.resynced
 }
 
-// takeParts hands an event about kept parts to the router.
-func (f *feed) takeParts(event replica.Event) (kvrouter.FeedStatus, error) {
+// applyChunks hands an event about kept parts to the router.
+func (f *eventFeed) applyChunks(event replica.Event) (kvrouter.FeedStatus, error) {
 	now := f.clock()
 	switch event.Kind {
 	case replica.EventStored, replica.EventReset:
@@ -195,8 +195,8 @@
 	}
 }
 
-// takeReport takes a load report in, and enters or leaves quarantine by it.
-func (f *feed) takeReport(event replica.Event) error {
+// applyLoadReport takes a load report in, and enters or leaves quarantine by it.
+func (f *eventFeed) applyLoadReport(event replica.Event) error {
 	report := event.Report
 	if report == nil {
 		return errors.New("a report event carries no report")
@@ -204,16 +204,16 @@
 	if f.expectedVersion() != "" {
 		f.quarantine.report(f.address, report.WeightVersion)
 	}
-	wasHeld := f.held
-	f.held = f.expectedVersion() != "" && f.quarantine.holds(f.address, f.expectedVersion())
-	if f.held {
-		if !wasHeld {
+	wasQuarantined := f.quarantined
+	f.quarantined = f.expectedVersion() != "" && f.quarantine.contains(f.address, f.expectedVersion())
+	if f.quarantined {
+		if !wasQuarantined {
 			f.router.Forget(f.address)
 		}
 		return nil
 	}
 	f.router.Report(f.clock(), f.address, routerReport(report))
-	if wasHeld {
+	if wasQuarantined {
 		return errResync
 	}
 	return nil
@@ -233,9 +233,9 @@
 	}
 }
 
-// pause waits, and returns false if ctx ends first.
-func pause(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
+// sleep waits, and returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/dataplane/feed_internal_test.go
+++ b/internal/dataplane/event_feed_internal_test.go
@@ -44,15 +44,15 @@
 	return io.ErrUnexpectedEOF
 }
 
-// promptParts is the prompt of these tests.
-func promptParts() []prefixindex.Chunk {
+// promptChunks is the prompt of these tests.
+func promptChunks() []prefixindex.Chunk {
 	return []prefixindex.Chunk{{ID: "case", Tokens: 320}, {ID: "question", Tokens: 160}}
 }
 
 // keeps returns an event by which the prompt is kept under a weight version.
 func keeps(kind replica.EventKind, sequence uint64, weightVersion string) replica.Event {
 	event := replica.Event{Kind: kind, Incarnation: 1, Sequence: sequence}
-	for _, link := range prefixindex.Chain(feedModel, saltOf(weightVersion), promptParts()) {
+	for _, link := range prefixindex.Chain(feedModel, saltOf(weightVersion), promptChunks()) {
 		event.Parts = append(event.Parts, replica.Part{Hash: strconv.FormatUint(uint64(link.Hash), 16), Tokens: link.Tokens})
 	}
 	return event
@@ -70,7 +70,7 @@
 // overlap returns the tokens that the router believes the replica to keep.
 func overlap(router *kvrouter.Router, weightVersion string) uint32 {
 	decision, err := router.Select(kvrouter.Request{
-		Model: feedModel, Chunks: promptParts(), SaltFor: saltOf, Settings: kvrouter.DefaultSettings(),
+		Model: feedModel, Chunks: promptChunks(), SaltFor: saltOf, Settings: kvrouter.DefaultSettings(),
 		Random: rand.New(rand.NewPCG(1, 1)),
 	}, []kvrouter.Candidate{{Address: feedAddress, WeightVersion: weightVersion}})
 	Expect(err).NotTo(HaveOccurred())
@@ -80,13 +80,13 @@
 
 var _ = Describe("feed", func() {
 	var source *scriptedSource
-	var subject *feed
+	var subject *eventFeed
 	var now time.Duration
 
 	BeforeEach(func() {
 		now = 0
 		source = &scriptedSource{}
-		subject = &feed{
+		subject = &eventFeed{
 			address: feedAddress, source: source, router: kvrouter.New(kvrouter.Options{}),
 			quarantine: newQuarantine(), health: outlier.New(outlier.Options{}),
 			clock: func() time.Duration { return now },
@@ -128,13 +128,13 @@
 		source.events = []replica.Event{keeps(replica.EventStored, 7, "w1")}
 		subject.follow(context.Background())
 		Expect(source.err).To(MatchError(errResync))
-		Expect(subject.after).To(Equal(replica.Position{}))
+		Expect(subject.position).To(Equal(replica.Position{}))
 	})
 
 	It("puts a replica that reports other weights in quarantine, and forgets what it keeps", func() {
 		source.events = []replica.Event{keeps(replica.EventReset, 4, "w1"), reports("w2"), keeps(replica.EventStored, 5, "w1")}
 		subject.follow(context.Background())
-		Expect(subject.quarantine.holds(feedAddress, "w1")).To(BeTrue())
+		Expect(subject.quarantine.contains(feedAddress, "w1")).To(BeTrue())
 		Expect(overlap(subject.router, "w1")).To(BeZero())
 
 		By("reading everything again once they agree")
@@ -142,7 +142,7 @@
 		source.events = []replica.Event{reports("w2")}
 		subject.follow(context.Background())
 		Expect(source.err).To(MatchError(errResync))
-		Expect(subject.quarantine.holds(feedAddress, "w2")).To(BeFalse())
+		Expect(subject.quarantine.contains(feedAddress, "w2")).To(BeFalse())
 		source.events = []replica.Event{keeps(replica.EventReset, 6, "w2")}
 		subject.follow(context.Background())
 		Expect(source.asked[len(source.asked)-1]).To(Equal(replica.Position{}))
@@ -155,7 +155,7 @@
 		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Suspected))
 		source.events = []replica.Event{reports("w1")}
 		subject.follow(context.Background())
-		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Fit))
+		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Healthy))
 	})
 
 	DescribeTable("gives a stream up that cannot be read", func(event replica.Event) {
@@ -232,7 +232,7 @@
 		server.feeds.reconcile(viewOf("store", "two", "three"))
 		Expect(<-source.opened).To(Equal("three"))
 		Expect(<-source.closed).To(Equal("one"))
-		Expect(server.quarantine.holds("one", "w1")).To(BeFalse())
+		Expect(server.quarantine.contains("one", "w1")).To(BeFalse())
 		cancel()
 		<-ended
 	})
@@ -240,13 +240,13 @@
 
 var _ = Describe("duplicateRegister", func() {
 	It("stays within its bounds and forgets by age", func() {
-		register := newDuplicateRegister(2, time.Minute)
-		names := []requestName{{"t", "a"}, {"t", "b"}, {"t", "c"}}
+		register := newRequestRegister(2, time.Minute)
+		names := []requestKey{{"t", "a"}, {"t", "b"}, {"t", "c"}}
 		for _, name := range names {
 			Expect(register.begin(0, name, false)).To(BeTrue())
 			register.finish(0, name)
 		}
-		Expect(register.known).To(HaveLen(2))
+		Expect(register.entries).To(HaveLen(2))
 		Expect(register.begin(0, names[2], false)).To(BeFalse())
 		Expect(register.begin(0, names[0], false)).To(BeTrue(), "the oldest made room")
 		Expect(register.begin(time.Minute, names[2], false)).To(BeTrue(), "it is old enough")
@@ -254,8 +254,8 @@
 	})
 
 	It("holds a name for each submission that may run again, and none beside one that may not", func() {
-		register := newDuplicateRegister(2, time.Minute)
-		name := requestName{"t", "a"}
+		register := newRequestRegister(2, time.Minute)
+		name := requestKey{"t", "a"}
 		Expect(register.begin(0, name, true)).To(BeTrue())
 		Expect(register.begin(0, name, true)).To(BeTrue())
 		register.forget(name)
@@ -268,14 +268,14 @@
 		Expect(register.begin(time.Minute+time.Second, name, false)).To(BeTrue(), "both are old enough")
 		Expect(register.begin(time.Minute+time.Second, name, true)).To(BeFalse(), "one that may not run again is running")
 		register.forget(name)
-		Expect(register.known).To(BeEmpty())
+		Expect(register.entries).To(BeEmpty())
 	})
 
 	It("takes memory for what it holds only, and keeps the order of age while it grows", func() {
-		const limit, submitted = 1 << 16, 3 * leastFinished
-		register := newDuplicateRegister(limit, time.Minute)
-		Expect(register.finished).To(HaveLen(leastFinished))
-		name := func(number int) requestName { return requestName{tenant: "t", id: strconv.Itoa(number)} }
+		const limit, submitted = 1 << 16, 3 * initialFinished
+		register := newRequestRegister(limit, time.Minute)
+		Expect(register.finished).To(HaveLen(initialFinished))
+		name := func(number int) requestKey { return requestKey{tenant: "t", id: strconv.Itoa(number)} }
 		for number := range submitted {
 			at := time.Duration(number) * time.Second / 2
 			Expect(register.begin(at, name(number), false)).To(BeTrue())
@@ -285,13 +285,13 @@
 		newest := time.Duration(submitted-1) * time.Second / 2
 		for number := range submitted {
 			old := newest-time.Duration(number)*time.Second/2 >= time.Minute
-			Expect(register.known[name(number)].finished == 0).To(Equal(old), "request %d", number)
+			Expect(register.entries[name(number)].finished == 0).To(Equal(old), "request %d", number)
 		}
-		Expect(len(register.finished)).To(BeNumerically("<=", 4*leastFinished))
+		Expect(len(register.finished)).To(BeNumerically("<=", 4*initialFinished))
 	})
 
 	It("never forgets a running request, under concurrent use", func() {
-		register := newDuplicateRegister(8, time.Minute)
+		register := newRequestRegister(8, time.Minute)
 		var wait sync.WaitGroup
 		for worker := range 4 {
 			wait.Add(1)
@@ -299,7 +299,7 @@
 				defer GinkgoRecover()
 				defer wait.Done()
 				for round := range 200 {
-					name := requestName{tenant: strconv.Itoa(worker), id: strconv.Itoa(round)}
+					name := requestKey{tenant: strconv.Itoa(worker), id: strconv.Itoa(round)}
 					Expect(register.begin(0, name, false)).To(BeTrue())
 					Expect(register.begin(0, name, false)).To(BeFalse())
 					register.finish(0, name)
@@ -307,6 +307,6 @@
 			}()
 		}
 		wait.Wait()
-		Expect(register.known).To(HaveLen(8))
+		Expect(register.entries).To(HaveLen(8))
 	})
 })
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -26,7 +26,7 @@
 	host        string
 	route       *routing.Route
 	destination routing.Destination
-	described   caller.Request
+	parsed      caller.Request
 	requestID   string
 	body        []byte
 	// pending is the reading of the body; nil before it begins.
@@ -45,15 +45,15 @@
 	claim Claim
 	// failed tells that the caller has got no complete answer of a back end.
 	failed bool
-	// watch notes the answer's beginning for the recording; nil without one.
-	watch *answerWatch
+	// observer notes the answer's beginning for the recording; nil without one.
+	observer *responseObserver
 }
 
 // refuse answers with a problem at once. The caller is told to come back only
 // where sending the request again is safe.
 func (e *exchange) refuse(problem *caller.Problem) {
 	problem.RequestID = e.requestID
-	if problem.MayHaveRun && !e.described.Repeatable && !problem.RepeatIsSafe {
+	if problem.MayHaveRun && !e.parsed.Repeatable && !problem.RepeatIsSafe {
 		problem.RetryAfter = 0
 	}
 	e.failed = true
@@ -61,15 +61,15 @@
 	if e.counters != nil {
 		e.counters.countRefusal(problem.Kind)
 	}
-	e.watch.refused(problem)
+	e.observer.refused(problem)
 	e.boundUnreadBody()
 	e.edges.Callers.WriteProblem(e.writer, problem)
 }
 
 // maxAttempts is the route's bound of attempts, or the default.
 func (e *exchange) maxAttempts(fallback int) int {
-	if bound := e.route.Config.GetMaxAttempts(); bound > 0 {
-		return int(bound)
+	if limit := e.route.Config.GetMaxAttempts(); limit > 0 {
+		return int(limit)
 	}
 	return fallback
 }
@@ -80,12 +80,12 @@
 	described := Attempt{
 		Address:     address,
 		RequestID:   w.requestID,
-		AttemptID:   server.identities.next(),
+		AttemptID:   server.ids.next(),
 		Number:      number,
 		Priority:    w.view.Priority(w.tenant, w.route),
-		Repeatable:  w.described.Repeatable,
-		Streamed:    w.described.Streamed,
-		ResumeAfter: w.lastEvent,
+		Repeatable:  w.parsed.Repeatable,
+		Streamed:    w.parsed.Streamed,
+		ResumeAfter: w.lastEventID,
 		Request:     w.request,
 		Body:        w.body,
 	}
--- a/internal/dataplane/feeds.go
+++ b/internal/dataplane/feed_manager.go
@@ -15,18 +15,18 @@
 
 // runningFeed is a feed under the supervisor.
 type runningFeed struct {
-	feed  *feed
-	token suture.ServiceToken
+	eventFeed *eventFeed
+	token     suture.ServiceToken
 }
 
-// wantedFeed is a back end that a view lists.
-type wantedFeed struct {
+// feedSpec is a back end that a view lists.
+type feedSpec struct {
 	source        eventSource
 	weightVersion string
 }
 
-// feeds keeps one feed running for every replica and store of the newest view.
-type feeds struct {
+// feedManager keeps one feed running for every replica and store of the newest view.
+type feedManager struct {
 	server     *Server
 	supervisor *suture.Supervisor
 	replicas   eventSource
@@ -37,14 +37,14 @@
 	view    *routing.View
 }
 
-// newFeeds returns feeds that run once their supervisor does.
-func newFeeds(server *Server) *feeds {
-	silence := server.options.EventSilence
-	return &feeds{
+// newFeedManager returns feeds that run once their supervisor does.
+func newFeedManager(server *Server) *feedManager {
+	timeout := server.options.EventTimeout
+	return &feedManager{
 		server:     server,
 		supervisor: newSupervisor("feeds", server.options.Log),
-		replicas:   replica.NewEventClient(server.sender, silence),
-		stores:     store.NewEventClient(server.sender, silence),
+		replicas:   replica.NewEventClient(server.sender, timeout),
+		stores:     store.NewEventClient(server.sender, timeout),
 		running:    make(map[string]runningFeed),
 	}
 }
@@ -58,13 +58,13 @@
 
 // Serve implements suture.Service: it compares the running feeds with the
 // newest view until ctx ends.
-func (f *feeds) Serve(ctx context.Context) error {
+func (f *feedManager) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(f.server.options.ViewInterval)
 	defer ticker.Stop()
 	for {
 		f.reconcile(f.server.options.Source.View())
-		f.server.cold.setNodes(f.server.options.Clock(), f.server.options.Peers())
-		f.resyncWhereWanted()
+		f.server.slowStart.setNodes(f.server.options.Clock(), f.server.options.Peers())
+		f.resyncAfterGaps()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -74,85 +74,85 @@
 }
 
 // String implements fmt.Stringer for the supervisor's messages.
-func (f *feeds) String() string {
+func (f *feedManager) String() string {
 	return "feeds"
 }
 
 // reconcile starts and stops feeds so that they fit a view.
-func (f *feeds) reconcile(view *routing.View) {
+func (f *feedManager) reconcile(view *routing.View) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if view == nil || view == f.view {
 		return
 	}
 	f.view = view
-	wanted := f.wanted(view)
+	desired := f.desiredFeeds(view)
 	for address, present := range f.running {
-		if _, stays := wanted[address]; !stays {
+		if _, found := desired[address]; !found {
 			f.stop(address, present)
 		}
 	}
-	for address, want := range wanted {
-		f.ensure(address, want)
+	for address, spec := range desired {
+		f.ensure(address, spec)
 	}
 	f.server.limiter.retain(view)
-	f.server.outdated.retain(view)
+	f.server.stale.retain(view)
 	f.server.health.follow(view)
 }
 
-// wanted returns the back ends whose events matter under a view.
-func (f *feeds) wanted(view *routing.View) map[string]wantedFeed {
-	wanted := make(map[string]wantedFeed)
+// desiredFeeds returns the back ends whose events matter under a view.
+func (f *feedManager) desiredFeeds(view *routing.View) map[string]feedSpec {
+	desired := make(map[string]feedSpec)
 	if f.server.options.Edges.Reports != nil {
-		return wanted
+		return desired
 	}
 	for _, pool := range view.Pools {
-		for _, listed := range pool.Replicas {
-			wanted[listed.Address] = wantedFeed{source: f.replicas, weightVersion: listed.WeightVersion}
+		for _, replica := range pool.Replicas {
+			desired[replica.Address] = feedSpec{source: f.replicas, weightVersion: replica.WeightVersion}
 		}
 		if address := pool.Store.GetAddress(); address != "" {
-			wanted[address] = wantedFeed{source: f.stores}
+			desired[address] = feedSpec{source: f.stores}
 		}
 	}
-	return wanted
+	return desired
 }
 
 // ensure starts a feed unless it runs, and tells it what control state expects.
-func (f *feeds) ensure(address string, want wantedFeed) {
+func (f *feedManager) ensure(address string, spec feedSpec) {
 	present, runs := f.running[address]
 	if !runs {
-		present.feed = &feed{
+		present.eventFeed = &eventFeed{
 			address:    address,
-			source:     want.source,
+			source:     spec.source,
 			router:     f.server.router,
 			quarantine: f.server.quarantine,
 			health:     f.server.health.Detector,
 			clock:      f.server.options.Clock,
 		}
-		present.feed.expect(want.weightVersion)
-		present.token = f.supervisor.Add(present.feed)
+		present.eventFeed.expect(spec.weightVersion)
+		present.token = f.supervisor.Add(present.eventFeed)
 		f.running[address] = present
 		return
 	}
-	present.feed.expect(want.weightVersion)
+	present.eventFeed.expect(spec.weightVersion)
 }
 
 // stop ends the feed of a back end that is not listed any more, and forgets
 // all that it has brought.
-func (f *feeds) stop(address string, present runningFeed) {
-	_ = f.supervisor.RemoveAndWait(present.token, longestReconnect)
+func (f *feedManager) stop(address string, present runningFeed) {
+	_ = f.supervisor.RemoveAndWait(present.token, maxReconnectDelay)
 	delete(f.running, address)
 	f.server.router.Forget(address)
 	f.server.quarantine.forget(address)
 }
 
-// resyncWhereWanted asks for a reset where events were lost.
-func (f *feeds) resyncWhereWanted() {
+// resyncAfterGaps asks for a reset where events were lost.
+func (f *feedManager) resyncAfterGaps() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, address := range f.server.router.ResyncNeeded(f.server.options.Clock()) {
 		if present, runs := f.running[address]; runs {
-			present.feed.resync()
+			present.eventFeed.resync()
 		}
 	}
 }
--- a/internal/dataplane/listing_internal_test.go
+++ b/internal/dataplane/full_read_internal_test.go
@@ -18,15 +18,15 @@
 type scriptedReports struct {
 	mutex sync.Mutex
 	// lose makes the next page tell of a gap.
-	lose   bool
-	refuse error
-	listed []string
+	lose      bool
+	refuse    error
+	fullReads []string
 }
 
 func (s *scriptedReports) Read(_ context.Context, _ string, since uint64, _ time.Duration) (ReportPage, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	page := ReportPage{Incarnation: 7, Next: since + 1, Lost: s.lose || since == 0, Changes: []PartChange{
+	page := ReportPage{Incarnation: 7, Next: since + 1, Lost: s.lose || since == 0, Changes: []ChunkChange{
 		{Sequence: since + 1, CacheSalt: "salt", Model: "model", ID: "newest", Tokens: 100},
 	}}
 	s.lose = false
@@ -36,23 +36,23 @@
 func (s *scriptedReports) List(_ context.Context, address string) (ReportPage, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.listed = append(s.listed, address)
+	s.fullReads = append(s.fullReads, address)
 	if s.refuse != nil {
 		return ReportPage{}, s.refuse
 	}
-	return ReportPage{Incarnation: 7, Next: 41, Changes: []PartChange{
+	return ReportPage{Incarnation: 7, Next: 41, Changes: []ChunkChange{
 		{CacheSalt: "salt", Model: "model", ID: "oldest", Tokens: 4000},
 		{CacheSalt: "salt", Model: "model", ID: "newest", Tokens: 100},
 	}}, nil
 }
 
-// lists returns what was listed since the last call.
-func (s *scriptedReports) lists() []string {
+// takeFullReads returns what was listed since the last call.
+func (s *scriptedReports) takeFullReads() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	listed := s.listed
-	s.listed = nil
-	return listed
+	addresses := s.fullReads
+	s.fullReads = nil
+	return addresses
 }
 
 // fixedView is control state that does not change.
@@ -89,11 +89,11 @@
 	Expect(n.server.readers.readOnce(context.Background(), "replica")).To(Succeed())
 }
 
-// keeps tells what the router believes that the replica keeps of a part.
-func (n *reportingNode) keeps(part string) uint32 {
-	parts := []prefixindex.Chunk{{ID: part, Tokens: 4000}}
+// cachedTokens tells what the router believes that the replica keeps of a part.
+func (n *reportingNode) cachedTokens(id string) uint32 {
+	chunks := []prefixindex.Chunk{{ID: id, Tokens: 4000}}
 	decision, err := n.server.router.Select(kvrouter.Request{
-		Now: n.now, Model: "model", Chunks: parts, Naming: kvrouter.ByID,
+		Now: n.now, Model: "model", Chunks: chunks, Naming: kvrouter.ByID,
 		SaltFor: func(string) string { return "salt" }, Settings: kvrouter.DefaultSettings(),
 	}, []kvrouter.Candidate{{Address: "replica", Zone: "a"}})
 	Expect(err).NotTo(HaveOccurred())
@@ -107,10 +107,10 @@
 
 	It("is listed by its reader at first, and told to the others as a whole", func() {
 		n.read()
-		Expect(n.keeps("oldest")).To(Equal(uint32(4000)), "its history does not go back so far")
-		reports := n.server.News().Reports
+		Expect(n.cachedTokens("oldest")).To(Equal(uint32(4000)), "its history does not go back so far")
+		reports := n.server.PendingUpdate().Reports
 		Expect(reports).To(HaveLen(1))
-		Expect(reports[0].Whole).To(BeTrue())
+		Expect(reports[0].Complete).To(BeTrue())
 		Expect(reports[0].Feed.Next).To(Equal(uint64(41)))
 		Expect(reports[0].Changes).To(HaveLen(2))
 	})
@@ -118,48 +118,48 @@
 	It("is followed from the list on", func() {
 		n.read()
 		n.read()
-		Expect(n.reports.lists()).To(HaveLen(1))
-		Expect(n.server.News().Reports[1].Feed.From).To(Equal(uint64(41)))
+		Expect(n.reports.takeFullReads()).To(HaveLen(1))
+		Expect(n.server.PendingUpdate().Reports[1].Feed.From).To(Equal(uint64(41)))
 	})
 
 	It("is listed once more after a gap, but not at once again", func() {
 		n.read()
 		n.reports.lose = true
 		n.read()
-		n.now += listAgainAfter
+		n.now += minFullReadInterval
 		n.read()
-		Expect(n.reports.lists()).To(HaveLen(2))
+		Expect(n.reports.takeFullReads()).To(HaveLen(2))
 		n.reports.lose = true
 		n.read()
-		n.now += listAgainAfter - 1
+		n.now += minFullReadInterval - 1
 		n.read()
-		Expect(n.reports.lists()).To(BeEmpty())
+		Expect(n.reports.takeFullReads()).To(BeEmpty())
 	})
 
 	It("is never listed by a node that does not read it, whatever that node has missed", func() {
-		n.server.readers.settling.over = true
+		n.server.readers.stabilization.done = true
 		n.server.options.Peers = func() []member.Info { return []member.Info{{ID: "reader", Zone: "a"}} }
 		for range 20 {
 			n.now += time.Second
 			n.server.readers.follow(context.Background(), n.server.options.Source.View())
 		}
 		Expect(n.server.readers.running).To(BeEmpty())
-		Expect(n.reports.lists()).To(BeEmpty(), "of a large fleet, each node would hold up each back end")
+		Expect(n.reports.takeFullReads()).To(BeEmpty(), "of a large fleet, each node would hold up each back end")
 	})
 
 	It("is followed by its changes while it can not be listed", func() {
 		n.reports.refuse = context.DeadlineExceeded
 		n.read()
-		Expect(n.keeps("newest")).To(Equal(uint32(100)))
+		Expect(n.cachedTokens("newest")).To(Equal(uint32(100)))
 	})
 })
 
 var _ = Describe("listings", func() {
 	It("forgets what is not listed any more", func() {
-		l := newListings()
-		Expect(l.take(0, "a")).To(BeTrue())
-		Expect(l.take(1, "a")).To(BeFalse())
+		l := newFullReadLimiter()
+		Expect(l.tryAcquire(0, "a")).To(BeTrue())
+		Expect(l.tryAcquire(1, "a")).To(BeFalse())
 		l.retain(nil)
-		Expect(l.take(1, "a")).To(BeTrue())
+		Expect(l.tryAcquire(1, "a")).To(BeTrue())
 	})
 })
--- a/internal/dataplane/generate_test.go
+++ b/internal/dataplane/generate_test.go
@@ -19,7 +19,7 @@
 			writer.Header().Set("Lab-Digest", "abc")
 			writer.Header().Set(replica.HeaderReusedTokens, "16")
 			writer.Header().Set("Internal-Detail", "hidden")
-			answering("the answer")(writer, request)
+			respondWith("the answer")(writer, request)
 		})
 		f := newFixture(stand.address())
 		got := f.generate(header{"Request-Id", "r-1"}, header{"Lab-Tenant", "court"}, header{"Output-Tokens", "8"}, header{"Idempotency-Key", "k"})
@@ -46,7 +46,7 @@
 	})
 
 	It("gives a walled tenant a salt of its own", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.generate()
 		f.generate(header{"Authorization", "Bearer " + schoolKey})
@@ -55,7 +55,7 @@
 	})
 
 	DescribeTable("is refused before any attempt", func(status int, kind caller.Kind, headers ...header) {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		got := f.generate(headers...)
 		Expect(got.status).To(Equal(status))
@@ -79,7 +79,7 @@
 	})
 
 	It("is refused first of all while the node may not serve", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.source.refusal = errors.New("cut off")
 		got := f.generate(header{"Authorization", "Bearer other"})
@@ -91,7 +91,7 @@
 	})
 
 	DescribeTable("to a node that has no configuration is refused for now, whatever it is", func(view *routing.View) {
-		f := newFixture(newReplica(answering("ok")).address())
+		f := newFixture(newReplica(respondWith("ok")).address())
 		f.source.view.Store(view)
 		for _, key := range []string{courtKey, "no key"} {
 			got := f.generate(header{"Authorization", "Bearer " + key})
@@ -115,7 +115,7 @@
 	})
 
 	It("is refused when its key is revoked while it waits", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.source.onServing = func(look int) {
 			if look == 2 {
@@ -128,7 +128,7 @@
 	})
 
 	It("goes to no replica that does not admit", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.replicas[0].Admitting = false
 		f.publish()
@@ -141,7 +141,7 @@
 	})
 
 	It("goes to no replica whose weight version is not confirmed", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.replicas[0].WeightVersion = ""
 		f.publish()
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -33,8 +33,8 @@
 	poolModel   = "large"
 	weightsOne  = "weights-1"
 	defaultBody = "the prompt"
-	// patience bounds every wait on a channel or socket.
-	patience = 5 * time.Second
+	// waitTimeout bounds every wait on a channel or socket.
+	waitTimeout = 5 * time.Second
 )
 
 // source is control state in the hands of a test.
@@ -195,7 +195,7 @@
 	for _, given := range headers {
 		request.Header.Set(given.name, given.value)
 	}
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
 		return outcome{err: err}
@@ -264,8 +264,8 @@
 	return append([]*http.Request(nil), r.seen...)
 }
 
-// answering returns a script that answers a whole answer.
-func answering(text string) http.HandlerFunc {
+// respondWith returns a script that answers a whole answer.
+func respondWith(text string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(replica.HeaderWeightVersion, weightsOne)
 		_, _ = io.WriteString(writer, text)
--- a/internal/dataplane/headerbound.go
+++ b/internal/dataplane/header_limiter.go
@@ -10,15 +10,15 @@
 // a space and the end of the line.
 const fieldOverhead = 4
 
-// headerBound refuses headers beyond the bound of the configuration. The listener's
+// headerLimiter refuses headers beyond the bound of the configuration. The listener's
 // own bound is that of the largest one, and cannot change while it serves.
-type headerBound struct{}
+type headerLimiter struct{}
 
 // handle implements handler.
-func (headerBound) handle(e *exchange, next func()) {
-	bound := uint64(e.view.Configuration.GetCallerLimits().GetMaxHeaderBytes())
-	if bound > 0 && headerBytes(e.request.Header) > bound {
-		e.refuse(caller.NewProblem(caller.KindHeaderTooLarge, "the header is larger than %d bytes: send less", bound))
+func (headerLimiter) handle(e *exchange, next func()) {
+	limit := uint64(e.view.Configuration.GetCallerLimits().GetMaxHeaderBytes())
+	if limit > 0 && headerBytes(e.request.Header) > limit {
+		e.refuse(caller.NewProblem(caller.KindHeaderTooLarge, "the header is larger than %d bytes: send less", limit))
 		return
 	}
 	next()
--- a/internal/dataplane/hung_test.go
+++ b/internal/dataplane/hung_replica_test.go
@@ -27,7 +27,7 @@
 				<-request.Context().Done()
 				return
 			}
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		return stand
 	}
--- a/internal/dataplane/inflight.go
+++ b/internal/dataplane/in_flight.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// of returns how many attempts are running on a back end.
-func (f *inFlight) of(address string) int {
+// count returns how many attempts are running on a back end.
+func (f *inFlight) count(address string) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.counts[address]
--- a/internal/dataplane/kept_test.go
+++ b/internal/dataplane/keep_alive_test.go
@@ -19,12 +19,12 @@
 	// before, until the connection ends. It returns the identity of the one that
 	// was not answered, if there is one.
 	hammer := func(address, name string, answered func()) string {
-		connection, err := net.DialTimeout("tcp", address, patience)
+		connection, err := net.DialTimeout("tcp", address, waitTimeout)
 		if err != nil {
 			return name
 		}
 		defer func() { _ = connection.Close() }()
-		_ = connection.SetDeadline(time.Now().Add(patience))
+		_ = connection.SetDeadline(time.Now().Add(waitTimeout))
 		reader := bufio.NewReader(connection)
 		for number := 0; ; number++ {
 			id := fmt.Sprintf("%s-%d", name, number)
@@ -46,7 +46,7 @@
 	It("end without an answer to nothing that was passed on, when the node stops", func() {
 		const rounds, connections = 10, 32
 		for range rounds {
-			stand := newReplica(answering("ok"))
+			stand := newReplica(respondWith("ok"))
 			f := newFixture(stand.address())
 			ended := make(chan error, 1)
 			go func() { ended <- f.server.Start() }()
--- a/internal/dataplane/ownedges.go
+++ b/internal/dataplane/native_edges.go
@@ -11,56 +11,58 @@
 )
 
 // withDefaults fills in the node's own protocols.
-func (e Edges) withDefaults(sender *outbound.Client, maxAnswerBytes int64) Edges {
+func (e Edges) withDefaults(sender *outbound.Client, maxResponseBytes int64) Edges {
 	if e.Callers == nil {
-		e.Callers = ownCallers{}
+		e.Callers = nativeCallerEdge{}
 	}
 	if e.Replicas == nil {
-		e.Replicas = &ownReplicas{client: replica.NewClient(sender, maxAnswerBytes)}
+		e.Replicas = &nativeReplicaEdge{client: replica.NewClient(sender, maxResponseBytes)}
 	}
 	if e.WebServices == nil {
-		e.WebServices = &ownWebServices{client: webservice.NewClient(sender, maxAnswerBytes)}
+		e.WebServices = &nativeWebServiceEdge{client: webservice.NewClient(sender, maxResponseBytes)}
 	}
 	return e
 }
 
-// ownCallers speaks the node's own protocol with callers.
-type ownCallers struct{}
+// nativeCallerEdge speaks the node's own protocol with callers.
+type nativeCallerEdge struct{}
 
 // RequestID implements CallerEdge.
-func (ownCallers) RequestID(header http.Header) string { return header.Get(caller.HeaderRequestID) }
+func (nativeCallerEdge) RequestID(header http.Header) string {
+	return header.Get(caller.HeaderRequestID)
+}
 
 // KeyDigest implements CallerEdge.
-func (ownCallers) KeyDigest(header http.Header) (string, bool) { return caller.KeyDigest(header) }
+func (nativeCallerEdge) KeyDigest(header http.Header) (string, bool) { return caller.KeyDigest(header) }
 
 // Describe implements CallerEdge.
-func (ownCallers) Describe(request *http.Request) (caller.Request, error) {
+func (nativeCallerEdge) Describe(request *http.Request) (caller.Request, error) {
 	return caller.Parse(request)
 }
 
 // WriteProblem implements CallerEdge.
-func (ownCallers) WriteProblem(writer http.ResponseWriter, problem *caller.Problem) {
+func (nativeCallerEdge) WriteProblem(writer http.ResponseWriter, problem *caller.Problem) {
 	caller.WriteProblem(writer, problem)
 }
 
 // CompleteHeader implements CallerEdge.
-func (ownCallers) CompleteHeader(header http.Header, requestID string) {
+func (nativeCallerEdge) CompleteHeader(header http.Header, requestID string) {
 	header.Set(caller.HeaderRequestID, requestID)
 }
 
 // StreamProblem implements CallerEdge.
-func (ownCallers) StreamProblem(problem *caller.Problem) []byte {
+func (nativeCallerEdge) StreamProblem(problem *caller.Problem) []byte {
 	return caller.StreamProblem(problem)
 }
 
-// ownReplicas speaks the node's own protocol with replicas.
-type ownReplicas struct {
+// nativeReplicaEdge speaks the node's own protocol with replicas.
+type nativeReplicaEdge struct {
 	client *replica.Client
 }
 
 // Send implements BackendEdge. An answer that leaves open whether the request
 // has run is an *outbound.FailedAnswerError.
-func (r *ownReplicas) Send(ctx context.Context, attempt Attempt) (Answer, error) {
+func (r *nativeReplicaEdge) Send(ctx context.Context, attempt Attempt) (Answer, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
 	if err != nil {
 		return nil, err
@@ -78,7 +80,7 @@
 		Address:      attempt.Address,
 		Model:        attempt.Generation.Model,
 		CacheSalt:    attempt.Generation.CacheSalt,
-		Prefix:       caller.FormatPrefix(attempt.Generation.Parts),
+		Prefix:       caller.FormatPrefix(attempt.Generation.Chunks),
 		RequestID:    attempt.RequestID,
 		AttemptID:    attempt.AttemptID,
 		Attempt:      attempt.Number,
@@ -90,18 +92,18 @@
 		Body:         attempt.Body,
 	}
 	if pull := attempt.Generation.Pull; pull != nil {
-		call.Pull = &replica.Pull{Source: pull.Source, FirstPart: pull.FirstPart, LastPart: pull.LastPart}
+		call.Pull = &replica.Pull{Source: pull.Source, FirstPart: pull.FirstChunk, LastPart: pull.LastChunk}
 	}
 	return call
 }
 
-// ownWebServices speaks the node's own protocol with web services.
-type ownWebServices struct {
+// nativeWebServiceEdge speaks the node's own protocol with web services.
+type nativeWebServiceEdge struct {
 	client *webservice.Client
 }
 
 // Send implements BackendEdge.
-func (w *ownWebServices) Send(ctx context.Context, attempt Attempt) (Answer, error) {
+func (w *nativeWebServiceEdge) Send(ctx context.Context, attempt Attempt) (Answer, error) {
 	received, err := w.client.Forward(ctx, webservice.Call{
 		Address:   attempt.Address,
 		Request:   attempt.Request,
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -18,8 +18,8 @@
 const (
 	// DefaultMaxBodyBytes bounds a caller's body.
 	DefaultMaxBodyBytes = 16 << 20
-	// DefaultMaxAnswerBytes bounds an answer that is read whole.
-	DefaultMaxAnswerBytes = 16 << 20
+	// DefaultMaxResponseBytes bounds an answer that is read whole.
+	DefaultMaxResponseBytes = 16 << 20
 	// DefaultRequestTimeout bounds a request whose destination sets no bound.
 	DefaultRequestTimeout = 60 * time.Second
 	// DefaultMaxAttempts bounds the attempts of one request.
@@ -29,8 +29,8 @@
 	DefaultBackendRetry = time.Second
 	// DefaultDrainTimeout bounds the time in which a stopping node finishes.
 	DefaultDrainTimeout = 20 * time.Second
-	// DefaultEventSilence is the longest time without an event of a back end.
-	DefaultEventSilence = 15 * time.Second
+	// DefaultEventTimeout is the longest time without an event of a back end.
+	DefaultEventTimeout = 15 * time.Second
 	// DefaultViewInterval is the time between two looks at the newest view by
 	// the feeds.
 	DefaultViewInterval = 200 * time.Millisecond
@@ -99,9 +99,9 @@
 	Claims Claims
 	// MaxBodyBytes bounds a caller's body.
 	MaxBodyBytes int64
-	// MaxAnswerBytes bounds an answer that is read whole before any of it is
+	// MaxResponseBytes bounds an answer that is read whole before any of it is
 	// handed on, and one event of a streamed answer.
-	MaxAnswerBytes int64
+	MaxResponseBytes int64
 	// RequestTimeout bounds a request whose destination sets no bound.
 	RequestTimeout time.Duration
 	// MaxAttempts bounds the attempts of one request.
@@ -113,8 +113,8 @@
 	BackendRetry time.Duration
 	// DrainTimeout bounds the time in which a stopping node finishes.
 	DrainTimeout time.Duration
-	// EventSilence is the longest time without an event of a back end.
-	EventSilence time.Duration
+	// EventTimeout is the longest time without an event of a back end.
+	EventTimeout time.Duration
 	// ViewInterval is the time between two looks at the newest view by the
 	// feeds.
 	ViewInterval time.Duration
@@ -147,12 +147,12 @@
 	setDefault(&o.Router.Name, o.Node)
 	setDefault(&o.Admission, defaultAdmission)
 	setDefault(&o.MaxBodyBytes, DefaultMaxBodyBytes)
-	setDefault(&o.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	setDefault(&o.MaxResponseBytes, DefaultMaxResponseBytes)
 	setDefault(&o.RequestTimeout, DefaultRequestTimeout)
 	setDefault(&o.MaxAttempts, DefaultMaxAttempts)
 	setDefault(&o.BackendRetry, DefaultBackendRetry)
 	setDefault(&o.DrainTimeout, DefaultDrainTimeout)
-	setDefault(&o.EventSilence, DefaultEventSilence)
+	setDefault(&o.EventTimeout, DefaultEventTimeout)
 	setDefault(&o.ViewInterval, DefaultViewInterval)
 	setDefault(&o.RememberedRequests, DefaultRememberedRequests)
 	setDefault(&o.RememberFor, DefaultRememberFor)
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -13,19 +13,19 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 )
 
-// versionError says that an answer was made under other weights than the cache
+// versionMismatchError says that an answer was made under other weights than the cache
 // salt of its request names.
-type versionError struct {
-	expected, answered string
+type versionMismatchError struct {
+	expected, actual string
 }
 
 // Error implements error.
-func (e *versionError) Error() string {
-	return fmt.Sprintf("the answer was made by weight version %q instead of %q", e.answered, e.expected)
+func (e *versionMismatchError) Error() string {
+	return fmt.Sprintf("the answer was made by weight version %q instead of %q", e.actual, e.expected)
 }
 
-// enterFailure enters the end of an attempt that got no answer.
-func (d *dispatcher) enterFailure(w *work, chosen target, attempt int, err error) {
+// recordFailure enters the end of an attempt that got no answer.
+func (d *dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
 	var unsent *outbound.Error
 	if errors.As(err, &unsent) && !unsent.MayHaveLeft {
 		w.problem = d.unsentProblem(w, unsent)
@@ -34,12 +34,12 @@
 	}
 	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
 	if unsent == nil {
-		d.server.health.Heard(chosen.address())
+		d.server.health.RecordResponse(chosen.address())
 	}
 	var refusal *outbound.RefusedError
 	if errors.As(err, &refusal) {
-		chosen.refused(refusal)
-		if !refusal.WrongTarget && chosen.hasRoom() {
+		chosen.handleRefusal(refusal)
+		if !refusal.WrongTarget && chosen.hasSpareCapacity() {
 			w.health.failed(d.server.options.Clock(), outlier.Refused)
 		}
 		w.problem = refusedProblem(refusal, d.server.options.BackendRetry)
@@ -47,9 +47,9 @@
 		return
 	}
 	if unsent != nil && deadlinePassed(w.ctx) {
-		d.server.health.Silent(d.server.options.Clock(), chosen.address())
+		d.server.health.RecordMissedDeadline(d.server.options.Clock(), chosen.address())
 	}
-	d.enterLoss(w, attempt, err)
+	d.recordLoss(w, attempt, err)
 }
 
 // unsentProblem tells why nothing was sent, and counts it against the back end
@@ -61,36 +61,36 @@
 		return caller.NewProblem(caller.KindBackendsBusy,
 			"the back end has as many connections as it may have: send the request again").After(wait)
 	}
-	d.countUnlessEnded(w, outlier.Unreached)
+	d.countUnlessCancelled(w, outlier.Unreached)
 	return caller.NewProblem(caller.KindNoBackend,
 		"the back end could not be reached: send the request again").After(wait)
 }
 
-// enterLoss enters that an attempt which was sent has no certain end.
-func (d *dispatcher) enterLoss(w *work, attempt int, err error) {
+// recordLoss enters that an attempt which was sent has no certain end.
+func (d *dispatcher) recordLoss(w *work, attempt int, err error) {
 	var failed *outbound.FailedAnswerError
 	var gone *callerGoneError
-	var otherWeights *versionError
+	var otherWeights *versionMismatchError
 	switch {
 	case errors.As(err, &gone):
-		w.apply(attempts.Event{Kind: attempts.CallerLeft})
+		w.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 	case errors.As(err, &failed):
 		// A back end that answers is not suspected of being dead.
-		d.countUnlessEnded(w, outlier.Errored)
+		d.countUnlessCancelled(w, outlier.Errored)
 	case errors.As(err, &otherWeights):
 		// That is no fault of the back end, and passes.
 		d.server.health.Suspect(d.server.options.Clock(), w.health.address)
 	default:
-		d.countUnlessEnded(w, outlier.Reset)
+		d.countUnlessCancelled(w, outlier.Reset)
 	}
 	w.problem = caller.NewProblem(caller.KindOutcomeUnknown,
 		"the back end's answer was lost (%v): find out whether the request has run before you send it again", err)
-	w.apply(attempts.Event{Kind: attempts.EndLost, Attempt: attempt})
+	w.apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: attempt})
 }
 
-// countUnlessEnded enters an outcome against the back end of an attempt, unless
+// countUnlessCancelled enters an outcome against the back end of an attempt, unless
 // the attempt was ended from this side.
-func (d *dispatcher) countUnlessEnded(w *work, outcome outlier.Outcome) {
+func (d *dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
 	if w.ctx.Err() == nil {
 		w.health.failed(d.server.options.Clock(), outcome)
 	}
@@ -113,31 +113,31 @@
 		"the destination's share of retries is used up after this failure: %s", reason)
 }
 
-// answer does what the ledger asks for at the end.
-func (d *dispatcher) answer(w *work, move attempts.Move) {
-	switch move.Kind {
+// respond does what the ledger asks for at the end.
+func (d *dispatcher) respond(w *work, action attempts.Action) {
+	switch action.Kind {
 	case attempts.Relay:
-		w.counters.countAnswered()
-		w.writeReady()
+		w.counters.countCompleted()
+		w.writeBuffered()
 	case attempts.AbortRelay:
 		d.abortRelay(w)
-	case attempts.AnswerNotRun:
+	case attempts.RespondNotRun:
 		w.refuse(w.finalProblem())
-	case attempts.AnswerUnknown:
+	case attempts.RespondUnknown:
 		problem := w.finalProblem()
 		problem.Kind = caller.KindOutcomeUnknown
 		w.refuse(problem)
-	case attempts.AnswerDeadline:
+	case attempts.RespondDeadline:
 		problem := deadlineProblem()
-		problem.MayHaveRun = w.ledger.MayHaveRun()
+		problem.MayHaveRun = w.tracker.MayHaveRun()
 		w.refuse(problem)
 	case attempts.Abandon:
 		w.counters.countAbandoned()
 		w.failed = true
-		w.certainlyNotRun = !w.ledger.MayHaveRun()
+		w.certainlyNotRun = !w.tracker.MayHaveRun()
 		panic(http.ErrAbortHandler)
 	default:
-		panic(fmt.Sprintf("the ledger asks for %s although no attempt is running", move.Kind))
+		panic(fmt.Sprintf("the ledger asks for %s although no attempt is running", action.Kind))
 	}
 }
 
@@ -149,8 +149,8 @@
 		problem = caller.NewProblem(caller.KindNoBackend, "no attempt was possible: send the request again").After(DefaultBackendRetry)
 	}
 	// A lost claim may have let another node run the request.
-	problem.MayHaveRun = problem.MayHaveRun || w.ledger.MayHaveRun()
-	if w.ledger.MayHaveRun() {
+	problem.MayHaveRun = problem.MayHaveRun || w.tracker.MayHaveRun()
+	if w.tracker.MayHaveRun() {
 		problem.RepeatIsSafe = false
 	}
 	return problem
--- /dev/null
+++ b/internal/dataplane/outgoing_updates.go
@@ -0,0 +1,158 @@
+package dataplane
+
+import (
+	"sync"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+)
+
+const (
+	// loadRefresh is how long a load that has not changed is not told again. It
+	// is half the time for which others believe it.
+	loadRefresh = 500 * time.Millisecond
+	// maxPendingUpdates bounds the dispatches, and the pages of reports, that wait to
+	// be told; what is beyond it is not told.
+	maxPendingUpdates = 1024
+)
+
+// sentLoad is the load of a replica as the others were told it last.
+type sentLoad struct {
+	load   kvrouter.SharedLoad
+	sentAt time.Duration
+}
+
+// outgoingUpdates gathers what this node tells the others of its traffic.
+type outgoingUpdates struct {
+	mutex      sync.Mutex
+	sentLoads  map[string]sentLoad
+	dispatches []shared.Dispatch
+	reports    []shared.Report
+	denials    []shared.Denial
+}
+
+// newOutgoingUpdates returns a sharing that has nothing to tell.
+func newOutgoingUpdates() *outgoingUpdates {
+	return &outgoingUpdates{sentLoads: make(map[string]sentLoad)}
+}
+
+// addDispatch notes a request that was sent to a replica.
+func (s *outgoingUpdates) addDispatch(dispatch shared.Dispatch) { enqueue(s, &s.dispatches, dispatch) }
+
+// addReport notes a page of reports that this node has read.
+func (s *outgoingUpdates) addReport(report shared.Report) { enqueue(s, &s.reports, report) }
+
+// addDenial notes an incarnation that was found to be gone from its address.
+func (s *outgoingUpdates) addDenial(denial shared.Denial) { enqueue(s, &s.denials, denial) }
+
+// enqueue keeps a piece of news until it is taken; beyond maxPendingUpdates it is lost.
+func enqueue[T any](s *outgoingUpdates, queue *[]T, entry T) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(*queue) < maxPendingUpdates {
+		*queue = append(*queue, entry)
+	}
+}
+
+// drain returns what is to be told now, given the present loads.
+func (s *outgoingUpdates) drain(now time.Duration, loads []kvrouter.AddressLoad) shared.Update {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	update := shared.Update{Dispatches: s.dispatches, Reports: s.reports, Denials: s.denials}
+	s.dispatches, s.reports, s.denials = nil, nil, nil
+	for _, load := range loads {
+		if s.shouldSend(now, load) {
+			update.Loads = append(update.Loads, load)
+		}
+	}
+	return update
+}
+
+// shouldSend tells whether the others believe another load, or would cease to
+// believe this one. That a prompt is read further, and that an answer grows, they
+// expect by themselves. The lock is held.
+func (s *outgoingUpdates) shouldSend(now time.Duration, load kvrouter.AddressLoad) bool {
+	sent, found := s.sentLoads[load.Address]
+	idle := load.SharedLoad.Requests == 0
+	if found && sameRequests(sent.load, load.SharedLoad) && (idle || now-sent.sentAt < loadRefresh) {
+		return false
+	}
+	if idle {
+		delete(s.sentLoads, load.Address)
+		return found
+	}
+	s.sentLoads[load.Address] = sentLoad{load: load.SharedLoad, sentAt: now}
+	return true
+}
+
+// sameRequests tells whether two loads of one replica are the same requests, of which none
+// has come, ended, or begun to answer between them.
+func sameRequests(sent, present kvrouter.SharedLoad) bool {
+	prefilling := func(load kvrouter.SharedLoad) bool {
+		return lo.SomeBy(load.PrefillTokens[:], func(tokens float64) bool { return tokens > 0 })
+	}
+	return sent.Requests == present.Requests && prefilling(sent) == prefilling(present)
+}
+
+// Update returns what this node has to tell the others of its traffic since the
+// last call.
+func (s *Server) PendingUpdate() shared.Update {
+	now := s.options.Clock()
+	s.health.countOverdue(now)
+	update := s.updates.drain(now, s.router.LocalLoads(now))
+	update.Outcomes = s.health.TakeReports(now)
+	return update
+}
+
+// ApplyUpdate takes in what another node has told.
+func (s *Server) ApplyUpdate(update shared.Update) {
+	now := s.options.Clock()
+	for _, load := range update.Loads {
+		s.router.SetRemoteLoad(now, string(update.Node), load.Address, load.SharedLoad)
+	}
+	for _, dispatch := range update.Dispatches {
+		s.router.ObserveDispatchLinks(now, dispatch.Address, dispatch.Links)
+	}
+	for _, report := range update.Reports {
+		s.applyReport(now, report)
+	}
+	for _, denial := range update.Denials {
+		s.stale.recordDenial(denial)
+	}
+	s.health.applyOutcomes(now, update)
+}
+
+// handleWrongTarget enters that a listed back end said that a request was for another
+// one, and tells the others if that holds for good.
+func (s *Server) handleWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
+	if s.stale.recordRefusal(s.options.Clock(), replica, refusal.Instance) {
+		s.updates.addDenial(shared.Denial{Address: replica.Address, Instance: replica.Instance})
+	}
+}
+
+// applyReport brings a page of reports into the index.
+func (s *Server) applyReport(now time.Duration, report shared.Report) kvrouter.FeedStatus {
+	defer s.updateStartupGate()
+	changes := chunkChanges(report.Changes)
+	if report.Complete {
+		return s.router.ChunksReplaced(now, report.Address, report.Feed.Incarnation, report.Feed.Next, changes)
+	}
+	return s.router.ChunksReported(now, report.Address, report.Feed, changes)
+}
+
+// chunkChanges are changes as the router takes them.
+func chunkChanges(changes []shared.Change) []kvrouter.ChunkChange {
+	return lo.Map(changes, func(change shared.Change, _ int) kvrouter.ChunkChange {
+		return kvrouter.ChunkChange{
+			Sequence: change.Sequence,
+			Hash:     change.Name,
+			Tokens:   change.Tokens,
+			Removed:  change.Removed,
+		}
+	})
+}
--- a/internal/dataplane/unsent_test.go
+++ b/internal/dataplane/partial_body_test.go
@@ -25,10 +25,10 @@
 
 // connect opens a connection to the node. No read on it outlasts patience.
 func (f *fixture) connect() *callerConnection {
-	connection, err := net.DialTimeout("tcp", f.front.Listener.Addr().String(), patience)
+	connection, err := net.DialTimeout("tcp", f.front.Listener.Addr().String(), waitTimeout)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = connection.Close() })
-	Expect(connection.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(connection.SetDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	return &callerConnection{Conn: connection, reader: bufio.NewReader(connection)}
 }
 
@@ -64,7 +64,7 @@
 	)
 
 	DescribeTable("gets its answer at the route's time, and nothing runs", func(lines []string, part string) {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
 		f.publish()
@@ -96,7 +96,7 @@
 	)
 
 	DescribeTable("gets a refusal that needs no body soon", func(status int, change func(f *fixture), host, key string) {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		change(f)
 		before := len(stand.requests())
@@ -122,7 +122,7 @@
 	)
 
 	It("is no hindrance to one that sends slowly, and to what follows on its connection", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
 		f.publish()
--- a/internal/dataplane/pool.go
+++ b/internal/dataplane/pool_backend.go
@@ -31,14 +31,14 @@
 	backend  *poolBackend
 	decision kvrouter.Decision
 	limits   *ridgeswitchv1.BackendLimits
-	// coldUntil is when the replica has warmed up.
-	coldUntil time.Duration
-	slots     int
-	// namedVersion is the weight version that the pool's replicas are to run.
-	namedVersion string
+	// slowStartUntil is when the replica has warmed up.
+	slowStartUntil time.Duration
+	slots          int
+	// targetVersion is the weight version that the pool's replicas are to run.
+	targetVersion string
 }
 
-// choose implements backend. Replicas that failed lately are avoided as long
+// chooseHealthy implements backend. Replicas that failed lately are avoided as long
 // as others take requests.
 func (b *poolBackend) choose(w *work) (target, *caller.Problem) {
 	pool := b.newestPool(w)
@@ -49,26 +49,26 @@
 	candidates := b.candidates(now, pool)
 	var decision kvrouter.Decision
 	var err error
-	choose(b.server.health, now, w, func(exclude func(string) bool) selected {
+	chooseHealthy(b.server.health, now, w, func(exclude func(string) bool) selectionResult {
 		decision, err = b.server.router.Select(b.selection(w, pool, now, exclude), candidates)
-		return selectedBy(err)
+		return selectionResultOf(err)
 	})
 	if err != nil {
 		return nil, noReplicaProblem(err, b.server.options.BackendRetry)
 	}
-	listed, _ := lo.Find(pool.Replicas, func(listed routing.Replica) bool { return listed.Address == decision.Address })
+	chosen, _ := lo.Find(pool.Replicas, func(chosen routing.Replica) bool { return chosen.Address == decision.Address })
 	return &replicaTarget{
-		backend:      b,
-		decision:     decision,
-		limits:       pool.Config.GetBackends(),
-		coldUntil:    listed.ColdUntil,
-		slots:        listed.Slots,
-		namedVersion: pool.Config.GetWeightVersion(),
+		backend:        b,
+		decision:       decision,
+		limits:         pool.Config.GetBackends(),
+		slowStartUntil: chosen.SlowStartUntil,
+		slots:          chosen.Slots,
+		targetVersion:  pool.Config.GetWeightVersion(),
 	}, nil
 }
 
-// selectedBy tells how a selection of the router ended.
-func selectedBy(err error) selected {
+// selectionResultOf tells how a selection of the router ended.
+func selectionResultOf(err error) selectionResult {
 	var none *kvrouter.NoReplicaError
 	switch {
 	case err == nil:
@@ -95,16 +95,16 @@
 	return kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Chunks:       w.described.Parts,
+		Chunks:       w.parsed.Parts,
 		Naming:       b.naming(),
-		OutputTokens: w.described.OutputTokens,
+		OutputTokens: w.parsed.OutputTokens,
 		Engine:       engineProfile(pool),
 		Priority:     uint8(w.view.Priority(w.tenant, w.route)),
 		BodyBytes:    len(w.body),
 		Zone:         b.server.options.Zone,
-		MaxWait:      longestWait(w),
+		MaxWait:      maxWait(w),
 		SlowStartAllowed: func(address string) bool {
-			return b.server.cold.allowed(now, pool.Config.GetBackends(), address)
+			return b.server.slowStart.allowed(now, pool.Config.GetBackends(), address)
 		},
 		SaltFor: func(weightVersion string) string {
 			return replica.CacheSalt(model, weightVersion, w.sharingDomain(b.server.options.Source.View()))
@@ -121,16 +121,16 @@
 // whose weight version is not confirmed gets none: no cache salt could be right.
 func (b *poolBackend) candidates(now time.Duration, pool *routing.Pool) []kvrouter.Candidate {
 	candidates := make([]kvrouter.Candidate, 0, len(pool.Replicas))
-	for _, listed := range pool.Replicas {
-		confirmed := listed.WeightVersion != ""
-		if listed.Admitting && confirmed && !b.server.quarantine.holds(listed.Address, listed.WeightVersion) &&
-			!b.server.outdated.holds(now, listed) {
+	for _, listing := range pool.Replicas {
+		confirmed := listing.WeightVersion != ""
+		if listing.Admitting && confirmed && !b.server.quarantine.contains(listing.Address, listing.WeightVersion) &&
+			!b.server.stale.isStale(now, listing) {
 			candidates = append(candidates, kvrouter.Candidate{
-				Address:        listed.Address,
-				Zone:           listed.Zone,
-				WeightVersion:  listed.WeightVersion,
-				Instance:       listed.Instance,
-				SlowStartUntil: listed.ColdUntil,
+				Address:        listing.Address,
+				Zone:           listing.Zone,
+				WeightVersion:  listing.WeightVersion,
+				Instance:       listing.Instance,
+				SlowStartUntil: listing.SlowStartUntil,
 			})
 		}
 	}
@@ -172,9 +172,9 @@
 	return t.decision.Address
 }
 
-// await implements target: the replica may be about to have read what the request
+// waitBeforeSend implements target: the replica may be about to have read what the request
 // has in common with an earlier one.
-func (t *replicaTarget) await(w *work) {
+func (t *replicaTarget) waitBeforeSend(w *work) {
 	awaited := t.decision.Wait
 	if awaited == nil {
 		return
@@ -197,27 +197,27 @@
 	}
 }
 
-// current implements target.
-func (t *replicaTarget) current(w *work) bool {
+// stillEligible implements target.
+func (t *replicaTarget) stillEligible(w *work) bool {
 	pool := t.backend.newestPool(w)
-	if pool == nil || !t.backend.mayServeParts(pool, t.decision.Address, t.decision.WeightVersion) {
+	if pool == nil || !t.backend.mayUse(pool, t.decision.Address, t.decision.WeightVersion) {
 		return false
 	}
 	salt := replica.CacheSalt(pool.Config.GetModel(), t.decision.WeightVersion, w.sharingDomain(t.backend.server.options.Source.View()))
 	return salt == t.decision.CacheSalt
 }
 
-// admitting returns a pool's replica if it admits requests of a version.
-func admitting(pool *routing.Pool, address, weightVersion string) (routing.Replica, bool) {
-	return lo.Find(pool.Replicas, func(listed routing.Replica) bool {
-		return listed.Address == address && listed.Admitting && listed.WeightVersion == weightVersion
+// findAdmitting returns a pool's replica if it admits requests of a version.
+func findAdmitting(pool *routing.Pool, address, weightVersion string) (routing.Replica, bool) {
+	return lo.Find(pool.Replicas, func(candidate routing.Replica) bool {
+		return candidate.Address == address && candidate.Admitting && candidate.WeightVersion == weightVersion
 	})
 }
 
-// takeCold implements target.
-func (t *replicaTarget) takeCold() bool {
+// tryAcquireSlowStart implements target.
+func (t *replicaTarget) tryAcquireSlowStart() bool {
 	server := t.backend.server
-	return server.cold.take(server.options.Clock(), t.limits, routing.Replica{Address: t.decision.Address, ColdUntil: t.coldUntil})
+	return server.slowStart.tryAcquire(server.options.Clock(), t.limits, routing.Replica{Address: t.decision.Address, SlowStartUntil: t.slowStartUntil})
 }
 
 // send implements target.
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := t.check(received); err != nil {
+	if err := t.checkVersion(received); err != nil {
 		received.Close()
 		return nil, err
 	}
@@ -240,15 +240,15 @@
 		Model:         w.destination.Pool.Config.GetModel(),
 		WeightVersion: t.decision.WeightVersion,
 		CacheSalt:     t.decision.CacheSalt,
-		Parts:         w.described.Parts,
-		OutputTokens:  w.described.OutputTokens,
+		Chunks:        w.parsed.Parts,
+		OutputTokens:  w.parsed.OutputTokens,
 		Pull:          t.pull(w),
 	}
 	described.Instance = t.decision.Instance
 	if t.decision.Save {
 		described.Generation.SaveTo = w.destination.Pool.Store.GetAddress()
 	}
-	t.backend.tell(described)
+	t.backend.announceDispatch(described)
 	return described
 }
 
@@ -260,59 +260,59 @@
 	if planned == nil || pool == nil {
 		return nil
 	}
-	if planned.Source != pool.Store.GetAddress() && !t.backend.mayServeParts(pool, planned.Source, t.decision.WeightVersion) {
+	if planned.Source != pool.Store.GetAddress() && !t.backend.mayUse(pool, planned.Source, t.decision.WeightVersion) {
 		return nil
 	}
-	return &Pull{Source: planned.Source, FirstPart: planned.FirstPart, LastPart: planned.LastPart}
+	return &Pull{Source: planned.Source, FirstChunk: planned.FirstPart, LastChunk: planned.LastPart}
 }
 
-// mayServeParts tells whether a replica may be pulled from under a version.
-func (b *poolBackend) mayServeParts(pool *routing.Pool, address, weightVersion string) bool {
-	listed, admits := admitting(pool, address, weightVersion)
-	return admits && !b.server.quarantine.holds(address, weightVersion) &&
-		!b.server.outdated.holds(b.server.options.Clock(), listed)
+// mayUse tells whether a replica may be pulled from under a version.
+func (b *poolBackend) mayUse(pool *routing.Pool, address, weightVersion string) bool {
+	found, admits := findAdmitting(pool, address, weightVersion)
+	return admits && !b.server.quarantine.contains(address, weightVersion) &&
+		!b.server.stale.isStale(b.server.options.Clock(), found)
 }
 
-// check refuses answers made under other weights.
-func (t *replicaTarget) check(received Answer) error {
-	answered := received.WeightVersion()
-	if answered == "" {
+// checkVersion refuses answers made under other weights.
+func (t *replicaTarget) checkVersion(received Answer) error {
+	actual := received.WeightVersion()
+	if actual == "" {
 		return nil
 	}
 	server := t.backend.server
-	server.router.ObserveWeightVersion(server.options.Clock(), t.decision.Address, answered)
-	if answered != t.decision.WeightVersion {
-		server.quarantine.report(t.decision.Address, answered)
-		return &versionError{expected: t.decision.WeightVersion, answered: answered}
+	server.router.ObserveWeightVersion(server.options.Clock(), t.decision.Address, actual)
+	if actual != t.decision.WeightVersion {
+		server.quarantine.report(t.decision.Address, actual)
+		return &versionMismatchError{expected: t.decision.WeightVersion, actual: actual}
 	}
 	return nil
 }
 
-// refused implements target.
-func (t *replicaTarget) refused(refusal *outbound.RefusedError) {
+// handleRefusal implements target.
+func (t *replicaTarget) handleRefusal(refusal *outbound.RefusedError) {
 	if !refusal.WrongTarget {
 		return
 	}
-	t.backend.server.wrongTarget(routing.Replica{
+	t.backend.server.handleWrongTarget(routing.Replica{
 		Address: t.decision.Address, Instance: t.decision.Instance, WeightVersion: t.decision.WeightVersion,
 	}, refusal)
 }
 
-// hasRoom implements target. A replica that is to load other weights takes
+// hasSpareCapacity implements target. A replica that is to load other weights takes
 // nothing while it does.
-func (t *replicaTarget) hasRoom() bool {
+func (t *replicaTarget) hasSpareCapacity() bool {
 	server := t.backend.server
 	now := server.options.Clock()
-	loads := t.namedVersion != "" && t.namedVersion != t.decision.WeightVersion
+	loadingWeights := t.targetVersion != "" && t.targetVersion != t.decision.WeightVersion
 	active := server.router.ActiveRequests(now, t.decision.Address)
-	return !loads && now >= t.coldUntil && active < float64(t.slots)*roomShare
+	return !loadingWeights && now >= t.slowStartUntil && active < float64(t.slots)*spareCapacityFraction
 }
 
 // expectedDelay implements target.
 func (t *replicaTarget) expectedDelay() time.Duration { return t.decision.ExpectedDelay }
 
-// roomShare is the share of its slots up to which a replica has room for certain.
-const roomShare = 0.5
+// spareCapacityFraction is the share of its slots up to which a replica has room for certain.
+const spareCapacityFraction = 0.5
 
 // firstOutput implements target.
 func (t *replicaTarget) firstOutput() {
--- a/internal/dataplane/awaiting_test.go
+++ b/internal/dataplane/prefix_wait_test.go
@@ -30,7 +30,7 @@
 		ended    chan int
 		requests = func() float64 {
 			sum := 0.0
-			for _, load := range f.server.News().Loads {
+			for _, load := range f.server.PendingUpdate().Loads {
 				sum += load.Requests
 			}
 			return sum
@@ -44,7 +44,7 @@
 		request.Header.Set("Authorization", "Bearer "+courtKey)
 		request.Header.Set("Prefix", sharedPrompt)
 		request.Header.Set("Accept", caller.StreamType)
-		client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+		client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		go func() {
 			response, err := client.Do(request)
 			if err != nil {
@@ -74,30 +74,30 @@
 		f.engine = &ridgeswitchv1.Engine{Slots: 8, MemoryTokens: 1_000_000}
 		f.publish()
 		generate(context.Background())
-		Eventually(stand.requests, patience).Should(HaveLen(1))
+		Eventually(stand.requests, waitTimeout).Should(HaveLen(1))
 	})
 
 	It("is sent when the other has its first event", func() {
 		generate(context.Background())
-		Eventually(requests, patience).Should(Equal(2.0))
+		Eventually(requests, waitTimeout).Should(Equal(2.0))
 		Consistently(stand.requests, 100*time.Millisecond).Should(HaveLen(1))
 		begun.Store(true)
 		release()
-		Eventually(stand.requests, patience).Should(HaveLen(2))
-		Eventually(ended, patience).Should(Receive(Equal(http.StatusOK)))
-		Eventually(ended, patience).Should(Receive(Equal(http.StatusOK)))
+		Eventually(stand.requests, waitTimeout).Should(HaveLen(2))
+		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
+		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
 		Expect(early.Load()).To(Equal(int32(1)))
 	})
 
 	It("is never sent when its caller leaves meanwhile", func() {
 		ctx, leave := context.WithCancel(context.Background())
 		generate(ctx)
-		Eventually(requests, patience).Should(Equal(2.0))
+		Eventually(requests, waitTimeout).Should(Equal(2.0))
 		leave()
-		Eventually(requests, patience).Should(Equal(1.0))
+		Eventually(requests, waitTimeout).Should(Equal(1.0))
 		begun.Store(true)
 		release()
-		Eventually(ended, patience).Should(Receive(Equal(http.StatusOK)))
+		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
 		Expect(stand.requests()).To(HaveLen(1))
 	})
 })
--- a/internal/dataplane/quarantine.go
+++ b/internal/dataplane/quarantine.go
@@ -29,12 +29,12 @@
 	delete(q.reported, address)
 }
 
-// holds tells whether a replica is kept from requests, given the version that
+// contains tells whether a replica is kept from requests, given the version that
 // control state has for it. A replica that has reported nothing is not: control
 // state has confirmed its version.
-func (q *quarantine) holds(address, weightVersion string) bool {
+func (q *quarantine) contains(address, weightVersion string) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	reported, known := q.reported[address]
-	return known && reported != weightVersion
+	reported, found := q.reported[address]
+	return found && reported != weightVersion
 }
--- a/internal/dataplane/record.go
+++ b/internal/dataplane/recorder.go
@@ -54,15 +54,15 @@
 
 	stopOnce sync.Once
 	stop     chan struct{}
-	ended    chan struct{}
+	done     chan struct{}
 
 	written atomic.Uint64
 	dropped atomic.Uint64
 	failed  atomic.Uint64
-	// noted is how many drops the recording tells of.
-	noted uint64
-	// reported tells that a failure of the disk was logged.
-	reported bool
+	// dropsWritten is how many drops the recording tells of.
+	dropsWritten uint64
+	// failureLogged tells that a failure of the disk was logged.
+	failureLogged bool
 }
 
 // openRecorder starts to append a recording to a file.
@@ -108,7 +108,7 @@
 		queue:  make(chan recording.Record, queue),
 		flush:  flush,
 		stop:   make(chan struct{}),
-		ended:  make(chan struct{}),
+		done:   make(chan struct{}),
 	}, nil
 }
 
@@ -124,7 +124,7 @@
 // close implements recorder. Records that come later are not written.
 func (r *fileRecorder) close() {
 	r.stopOnce.Do(func() { close(r.stop) })
-	<-r.ended
+	<-r.done
 }
 
 // stats returns the counters.
@@ -134,7 +134,7 @@
 
 // run writes records until close.
 func (r *fileRecorder) run() {
-	defer close(r.ended)
+	defer close(r.done)
 	for {
 		select {
 		case record := <-r.queue:
@@ -163,7 +163,7 @@
 }
 
 func (r *fileRecorder) write(record recording.Record) {
-	r.noteDrops()
+	r.writeDropCount()
 	if err := r.writer.Write(record); err != nil {
 		r.failed.Add(1)
 		r.report(err)
@@ -172,22 +172,22 @@
 	r.written.Add(1)
 }
 
-// noteDrops writes how many records were dropped since the last note, so that
+// writeDropCount writes how many records were dropped since the last note, so that
 // whoever replays the recording knows that it is not whole.
-func (r *fileRecorder) noteDrops() {
+func (r *fileRecorder) writeDropCount() {
 	dropped := r.dropped.Load()
-	if dropped == r.noted {
+	if dropped == r.dropsWritten {
 		return
 	}
-	if err := r.writer.Drop(int64(dropped - r.noted)); err != nil {
+	if err := r.writer.Drop(int64(dropped - r.dropsWritten)); err != nil {
 		r.report(err)
 		return
 	}
-	r.noted = dropped
+	r.dropsWritten = dropped
 }
 
 func (r *fileRecorder) flushNow() {
-	r.noteDrops()
+	r.writeDropCount()
 	if err := r.buffer.Flush(); err != nil {
 		r.report(err)
 	}
@@ -196,8 +196,8 @@
 // report logs the first failure of the disk. A buffer that has failed stays
 // failed, so that every later record counts as failed.
 func (r *fileRecorder) report(err error) {
-	if !r.reported {
-		r.reported = true
+	if !r.failureLogged {
+		r.failureLogged = true
 		r.log.WithError(err).Error("the recording cannot be written and stops here: free the disk and restart the node")
 	}
 }
--- a/internal/dataplane/record_internal_test.go
+++ b/internal/dataplane/recorder_internal_test.go
@@ -102,21 +102,21 @@
 		Expect(r.stats()).To(Equal(RecordStats{Written: 3, Dropped: 18}))
 	})
 
-	DescribeTable("tells how a request has ended", func(watch answerWatch, failed, gone bool, expected recording.Outcome) {
+	DescribeTable("tells how a request has ended", func(watch responseObserver, failed, gone bool, expected recording.Outcome) {
 		ctx, cancel := context.WithCancel(context.Background())
 		if gone {
 			cancel()
 		}
 		defer cancel()
-		e := &exchange{request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), watch: &watch, failed: failed}
+		e := &exchange{request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), observer: &watch, failed: failed}
 		Expect(e.outcome()).To(Equal(expected))
 	},
-		Entry("answered", answerWatch{status: 200}, false, false, recording.Answered),
-		Entry("answered to a caller that hangs up after the last byte", answerWatch{status: 200}, false, true, recording.Answered),
-		Entry("refused", answerWatch{status: 503, problem: caller.KindNoBackend}, true, false, recording.Refused),
-		Entry("cut", answerWatch{status: 200}, true, false, recording.Cut),
-		Entry("left during the answer", answerWatch{status: 200}, true, true, recording.Left),
-		Entry("left before it", answerWatch{}, true, true, recording.Left))
+		Entry("answered", responseObserver{status: 200}, false, false, recording.Answered),
+		Entry("answered to a caller that hangs up after the last byte", responseObserver{status: 200}, false, true, recording.Answered),
+		Entry("refused", responseObserver{status: 503, problem: caller.KindNoBackend}, true, false, recording.Refused),
+		Entry("cut", responseObserver{status: 200}, true, false, recording.Cut),
+		Entry("left during the answer", responseObserver{status: 200}, true, true, recording.Left),
+		Entry("left before it", responseObserver{}, true, true, recording.Left))
 
 	It("goes on without a disk, counts what is lost and logs it once", func() {
 		target := &disk{}
--- a/internal/dataplane/record_test.go
+++ b/internal/dataplane/recording_test.go
@@ -37,7 +37,7 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set(replica.HeaderReusedTokens, "32")
 			f.clock.Add(int64(7 * time.Millisecond))
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		records := recorded(file, func(started *fixture) {
 			f = started
@@ -53,7 +53,7 @@
 	})
 
 	It("writes neither prompts nor keys nor the names of parts", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		recorded(file, func(f *fixture) { f.generate() }, stand.address())
 		text, err := os.ReadFile(file)
 		Expect(err).NotTo(HaveOccurred())
@@ -84,7 +84,7 @@
 	})
 
 	It("does not record requests that reach no destination", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		records := recorded(file, func(f *fixture) {
 			f.send(http.MethodGet, "unknown.example", "/")
 			f.send(http.MethodPost, poolHost, "/")
@@ -96,7 +96,7 @@
 
 	It("appends to a recording that ended within a line", func() {
 		Expect(os.WriteFile(file, []byte(`{"format":"ridgeswitch-rec`), 0o600)).To(Succeed())
-		f := newRecordingFixture(file, newReplica(answering("ok")).address())
+		f := newRecordingFixture(file, newReplica(respondWith("ok")).address())
 		f.generate()
 		f.front.Close()
 		f.server.Stop()
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -9,8 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// readyAnswer is a whole answer that is known to be complete.
-type readyAnswer struct {
+// bufferedResponse is a whole answer that is known to be complete.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -29,7 +29,7 @@
 // relay hands an answer on as it comes, beginning with what has been read. The
 // status line goes out only here, after a first part has come.
 func (d *dispatcher) relay(w *work, attempt int, received Answer, chunk []byte, err error) error {
-	w.apply(attempts.Event{Kind: attempts.AnswerBegan, Attempt: attempt})
+	w.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
 	if !w.relaying {
 		w.relaying = true
 		w.writeHeader(received.Status(), received.Header())
@@ -42,18 +42,18 @@
 		if flushError := controller.Flush(); flushError != nil {
 			return &callerGoneError{cause: flushError}
 		}
-		w.lastEvent = received.LastEventID()
+		w.lastEventID = received.LastEventID()
 		chunk, err = received.Next()
 	}
-	if isProperEnd(err) {
+	if isCompleteEnd(err) {
 		return nil
 	}
 	return err
 }
 
-// isProperEnd tells whether Next has said that an answer is complete. Only the
+// isCompleteEnd tells whether Next has said that an answer is complete. Only the
 // bare io.EOF says so: an error that merely wraps one tells of a cut.
-func isProperEnd(err error) bool {
+func isCompleteEnd(err error) bool {
 	return err == io.EOF
 }
 
@@ -72,7 +72,7 @@
 // writeStreamProblem tells of the cut inside the stream, where the protocol has
 // a way to say so.
 func (w *work) writeStreamProblem() {
-	event := w.edges.Callers.StreamProblem(w.cutProblem())
+	event := w.edges.Callers.StreamProblem(w.truncationProblem())
 	if len(event) == 0 {
 		return
 	}
@@ -82,15 +82,15 @@
 
 // countAbort counts a cut answer, or one that nobody waits for any more.
 func (w *work) countAbort() {
-	if w.ledger.CallerLeft() {
+	if w.tracker.CallerDisconnected() {
 		w.counters.countAbandoned()
 		return
 	}
-	w.counters.countCut()
+	w.counters.countTruncated()
 }
 
-// cutProblem tells of an answer that was cut.
-func (w *work) cutProblem() *caller.Problem {
+// truncationProblem tells of an answer that was cut.
+func (w *work) truncationProblem() *caller.Problem {
 	problem := w.finalProblem()
 	problem.Kind = caller.KindAnswerCut
 	if deadlinePassed(w.ctx) {
@@ -101,18 +101,18 @@
 	return problem
 }
 
-// writeReady hands a whole answer on. The header was written before if the
+// writeBuffered hands a whole answer on. The header was written before if the
 // answer was handed on as it came.
-func (w *work) writeReady() {
-	if w.ready == nil {
+func (w *work) writeBuffered() {
+	if w.buffered == nil {
 		return
 	}
-	header := w.ready.header
-	if w.request.Method != http.MethodHead && permitsBody(w.ready.status) {
-		header.Set("Content-Length", strconv.Itoa(len(w.ready.body)))
+	header := w.buffered.header
+	if w.request.Method != http.MethodHead && permitsBody(w.buffered.status) {
+		header.Set("Content-Length", strconv.Itoa(len(w.buffered.body)))
 	}
-	w.writeHeader(w.ready.status, header)
-	_, _ = w.writer.Write(w.ready.body)
+	w.writeHeader(w.buffered.status, header)
+	_, _ = w.writer.Write(w.buffered.body)
 }
 
 // permitsBody tells whether an answer of a status may have a body.
@@ -122,7 +122,7 @@
 
 // writeHeader writes the status line and header of an answer.
 func (w *work) writeHeader(status int, header http.Header) {
-	w.watch.began(status, header)
+	w.observer.responseStarted(status, header)
 	target := w.writer.Header()
 	for name, values := range header {
 		target[name] = values
--- a/internal/dataplane/readers.go
+++ b/internal/dataplane/report_readers.go
@@ -20,15 +20,15 @@
 const (
 	// readWait is how long one read waits for news.
 	readWait = time.Second
-	// readPause is the least time between two reads of one back end, so that
+	// minReadInterval is the least time between two reads of one back end, so that
 	// news is read in batches.
-	readPause = 200 * time.Millisecond
-	// readBackoff is the pause after a failed read, and longestReadBackoff
+	minReadInterval = 200 * time.Millisecond
+	// readBackoff is the pause after a failed read, and maxReadBackoff
 	// bounds it after further ones.
-	readBackoff        = 250 * time.Millisecond
-	longestReadBackoff = 2 * time.Second
-	// readPatience is how much longer than its wait a read may take.
-	readPatience = time.Second
+	readBackoff    = 250 * time.Millisecond
+	maxReadBackoff = 2 * time.Second
+	// readTimeoutMargin is how much longer than its wait a read may take.
+	readTimeoutMargin = time.Second
 )
 
 // reportReaders reads the reports of the replicas and stores that this node is
@@ -37,11 +37,11 @@
 	server *Server
 	reader ReportReader
 
-	// seen is the view that forgetUnlisted looked at last. It belongs to Serve.
-	seen *routing.View
-	// settling belongs to Serve as well.
-	settling settling
-	listings *listings
+	// lastView is the view that forgetRemoved looked at last. It belongs to Serve.
+	lastView *routing.View
+	// stabilizationWait belongs to Serve as well.
+	stabilization stabilizationWait
+	fullReads     *fullReadLimiter
 	// assigned is what this node reads by the view and the live nodes that owned
 	// looked at last. It belongs to Serve.
 	assigned assignment
@@ -53,10 +53,10 @@
 // newReportReaders returns readers that run once Serve does.
 func newReportReaders(server *Server) *reportReaders {
 	return &reportReaders{
-		server:   server,
-		reader:   server.options.Edges.Reports,
-		running:  make(map[string]context.CancelFunc),
-		listings: newListings(),
+		server:    server,
+		reader:    server.options.Edges.Reports,
+		running:   make(map[string]context.CancelFunc),
+		fullReads: newFullReadLimiter(),
 	}
 }
 
@@ -69,8 +69,8 @@
 	for {
 		if view := r.server.options.Source.View(); view != nil {
 			r.follow(ctx, view)
-			r.forgetUnlisted(view)
-			r.server.lookWarm()
+			r.forgetRemoved(view)
+			r.server.updateStartupGate()
 		}
 		select {
 		case <-ctx.Done():
@@ -83,8 +83,8 @@
 // follow reads what this node is the reader of, once it knows the other nodes and
 // has learnt from them how far the reports were read.
 func (r *reportReaders) follow(ctx context.Context, view *routing.View) {
-	settled := r.settling.settled(r.server.options.Clock(), r.server.options.Peers())
-	if !settled || r.server.Learning() {
+	stable := r.stabilization.stable(r.server.options.Clock(), r.server.options.Peers())
+	if !stable || r.server.AwaitingSnapshot() {
 		return
 	}
 	r.reconcile(ctx, r.owned(view))
@@ -95,16 +95,16 @@
 	return "report readers"
 }
 
-// forgetUnlisted drops what is known of back ends that are not listed any more.
-func (r *reportReaders) forgetUnlisted(view *routing.View) {
-	if view == r.seen {
+// forgetRemoved drops what is known of back ends that are not listed any more.
+func (r *reportReaders) forgetRemoved(view *routing.View) {
+	if view == r.lastView {
 		return
 	}
-	r.seen = view
-	listed := reportingBackends(view)
-	r.listings.retain(listed)
+	r.lastView = view
+	reporting := reportingBackends(view)
+	r.fullReads.retain(reporting)
 	for _, address := range r.server.router.Addresses() {
-		if _, stays := listed[address]; !stays {
+		if _, found := reporting[address]; !found {
 			r.server.router.Forget(address)
 			r.server.quarantine.forget(address)
 		}
@@ -118,8 +118,8 @@
 	owned map[string]bool
 }
 
-// holds tells whether the assignment was made for a view and live nodes.
-func (a *assignment) holds(view *routing.View, peers []member.Info) bool {
+// validFor tells whether the assignment was made for a view and live nodes.
+func (a *assignment) validFor(view *routing.View, peers []member.Info) bool {
 	same := func(one, other member.Info) bool { return one.ID == other.ID && one.Zone == other.Zone }
 	return a.owned != nil && a.view == view && slices.EqualFunc(a.peers, peers, same)
 }
@@ -127,7 +127,7 @@
 // owned returns the addresses that this node reads.
 func (r *reportReaders) owned(view *routing.View) map[string]bool {
 	peers := r.server.options.Peers()
-	if !r.assigned.holds(view, peers) {
+	if !r.assigned.validFor(view, peers) {
 		r.assigned = assignment{view: view, peers: slices.Clone(peers), owned: r.assign(view, peers)}
 	}
 	return r.assigned.owned
@@ -137,7 +137,7 @@
 func (r *reportReaders) assign(view *routing.View, peers []member.Info) map[string]bool {
 	owned := make(map[string]bool)
 	for address, zone := range reportingBackends(view) {
-		if readerOf(address, zone, peers) == r.server.options.Member {
+		if readerFor(address, zone, peers) == r.server.options.Member {
 			owned[address] = true
 		}
 	}
@@ -148,8 +148,8 @@
 func reportingBackends(view *routing.View) map[string]string {
 	zones := make(map[string]string)
 	for _, pool := range view.Pools {
-		for _, listed := range pool.Replicas {
-			zones[listed.Address] = listed.Zone
+		for _, replica := range pool.Replicas {
+			zones[replica.Address] = replica.Zone
 		}
 		if address := pool.Store.GetAddress(); address != "" {
 			zones[address] = pool.Store.GetZone()
@@ -158,12 +158,12 @@
 	return zones
 }
 
-// readerOf returns the node that reads a back end: of the nodes in its zone, or
+// readerFor returns the node that reads a back end: of the nodes in its zone, or
 // of all if there is none, the one that weighs highest for it.
-func readerOf(address, zone string, peers []member.Info) member.ID {
-	near, nearFound := heaviest(address, peers, func(peer member.Info) bool { return peer.Zone == zone })
-	if nearFound {
-		return near
+func readerFor(address, zone string, peers []member.Info) member.ID {
+	inZone, found := heaviest(address, peers, func(peer member.Info) bool { return peer.Zone == zone })
+	if found {
+		return inZone
 	}
 	anywhere, _ := heaviest(address, peers, func(member.Info) bool { return true })
 	return anywhere
@@ -171,14 +171,14 @@
 
 // heaviest returns the node that weighs most for a back end, among those admitted.
 func heaviest(address string, peers []member.Info, admitted func(member.Info) bool) (best member.ID, found bool) {
-	most := uint64(0)
+	highest := uint64(0)
 	for _, peer := range peers {
 		if !admitted(peer) {
 			continue
 		}
 		weight := readerWeight(address, peer.ID)
-		if !found || cmp.Or(cmp.Compare(weight, most), cmp.Compare(peer.ID, best)) > 0 {
-			best, most, found = peer.ID, weight, true
+		if !found || cmp.Or(cmp.Compare(weight, highest), cmp.Compare(peer.ID, best)) > 0 {
+			best, highest, found = peer.ID, weight, true
 		}
 	}
 	return best, found
@@ -224,12 +224,12 @@
 	backoff := readBackoff
 	for ctx.Err() == nil {
 		if err := r.readOnce(ctx, address); err != nil {
-			pause(ctx, backoff)
-			backoff = min(2*backoff, longestReadBackoff)
+			sleep(ctx, backoff)
+			backoff = min(2*backoff, maxReadBackoff)
 			continue
 		}
 		backoff = readBackoff
-		pause(ctx, readPause)
+		sleep(ctx, minReadInterval)
 	}
 }
 
@@ -237,8 +237,8 @@
 // that it keeps when that is not known, and otherwise a page from where this node
 // stands.
 func (r *reportReaders) readOnce(ctx context.Context, address string) error {
-	if !r.server.router.ChunksComplete(address) && r.listings.take(r.server.options.Clock(), address) {
-		if r.list(ctx, address) == nil {
+	if !r.server.router.ChunksComplete(address) && r.fullReads.tryAcquire(r.server.options.Clock(), address) {
+		if r.readFull(ctx, address) == nil {
 			return nil
 		}
 	}
@@ -247,32 +247,32 @@
 
 // readPage reads a page from where this node stands.
 func (r *reportReaders) readPage(ctx context.Context, address string) error {
-	epoch, since, known := r.server.router.ChunksPosition(address)
-	bounded, cancel := context.WithTimeout(ctx, readWait+readPatience)
+	epoch, since, found := r.server.router.ChunksPosition(address)
+	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
 	defer cancel()
 	page, err := r.reader.Read(bounded, address, since, readWait)
 	if err != nil {
 		return err
 	}
-	report := sharedReport(address, since, page)
-	if known && page.Incarnation != epoch {
+	report := gossipReport(address, since, page)
+	if found && page.Incarnation != epoch {
 		// The position belongs to an earlier life of the back end.
 		report.Feed.From = 0
 	}
-	if known && page.Incarnation == epoch && len(report.Changes) == 0 && !page.Lost {
+	if found && page.Incarnation == epoch && len(report.Changes) == 0 && !page.Lost {
 		return nil
 	}
-	r.server.takeReport(r.server.options.Clock(), report)
-	r.server.sharing.reported(report)
+	r.server.applyReport(r.server.options.Clock(), report)
+	r.server.updates.addReport(report)
 	return nil
 }
 
-// sharedReport is a page as it is told to others.
-func sharedReport(address string, since uint64, page ReportPage) shared.Report {
+// gossipReport is a page as it is told to others.
+func gossipReport(address string, since uint64, page ReportPage) shared.Report {
 	return shared.Report{
 		Address: address,
 		Feed:    kvrouter.FeedPosition{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
-		Changes: lo.Map(page.Changes, func(change PartChange, _ int) shared.Change {
+		Changes: lo.Map(page.Changes, func(change ChunkChange, _ int) shared.Change {
 			return shared.Change{
 				Sequence: change.Sequence,
 				Name:     prefixindex.HashByID(change.Model, change.CacheSalt, change.ID),
--- a/internal/dataplane/readers_internal_test.go
+++ b/internal/dataplane/report_readers_internal_test.go
@@ -12,21 +12,21 @@
 	peers := []member.Info{{ID: "n1", Zone: "a"}, {ID: "n2", Zone: "a"}, {ID: "n3", Zone: "b"}}
 
 	It("is one of its zone, or any where the zone has none, and the same for every order of the nodes", func() {
-		near := readerOf("10.0.0.1:1", "a", peers)
+		near := readerFor("10.0.0.1:1", "a", peers)
 		Expect(near).To(BeElementOf(member.ID("n1"), member.ID("n2")))
-		Expect(readerOf("10.0.0.1:1", "a", []member.Info{peers[2], peers[1], peers[0]})).To(Equal(near))
-		Expect(readerOf("10.0.0.1:1", "c", peers)).To(BeElementOf(member.ID("n1"), member.ID("n2"), member.ID("n3")))
-		Expect(readerOf("10.0.0.1:1", "a", nil)).To(BeEmpty())
+		Expect(readerFor("10.0.0.1:1", "a", []member.Info{peers[2], peers[1], peers[0]})).To(Equal(near))
+		Expect(readerFor("10.0.0.1:1", "c", peers)).To(BeElementOf(member.ID("n1"), member.ID("n2"), member.ID("n3")))
+		Expect(readerFor("10.0.0.1:1", "a", nil)).To(BeEmpty())
 	})
 
 	It("is worked out anew when the view, a node or its zone is another one, and not before", func() {
 		view := &routing.View{}
 		assigned := assignment{view: view, peers: peers, owned: map[string]bool{}}
-		Expect(assigned.holds(view, peers)).To(BeTrue())
-		Expect(assigned.holds(&routing.View{}, peers)).To(BeFalse())
-		Expect(assigned.holds(view, peers[:2])).To(BeFalse())
+		Expect(assigned.validFor(view, peers)).To(BeTrue())
+		Expect(assigned.validFor(&routing.View{}, peers)).To(BeFalse())
+		Expect(assigned.validFor(view, peers[:2])).To(BeFalse())
 		moved := []member.Info{{ID: "n1", Zone: "b"}, peers[1], peers[2]}
-		Expect(assigned.holds(view, moved)).To(BeFalse())
-		Expect((&assignment{}).holds(nil, nil)).To(BeFalse())
+		Expect(assigned.validFor(view, moved)).To(BeFalse())
+		Expect((&assignment{}).validFor(nil, nil)).To(BeFalse())
 	})
 })
--- a/internal/dataplane/recordstep.go
+++ b/internal/dataplane/request_recorder.go
@@ -10,11 +10,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
 )
 
-// answerWatch notes when and how the answer of one request begins. A nil watch
+// responseObserver notes when and how the answer of one request begins. A nil watch
 // notes nothing.
-type answerWatch struct {
+type responseObserver struct {
 	clock        func() time.Duration
-	firstAt      time.Duration
+	firstByteAt  time.Duration
 	status       int
 	problem      caller.Kind
 	reusedTokens uint64
@@ -22,18 +22,18 @@
 }
 
 // attempt notes that an attempt starts.
-func (w *answerWatch) attempt(number int) {
+func (w *responseObserver) attempt(number int) {
 	if w != nil {
 		w.attempts = number
 	}
 }
 
-// began notes the header of a back end's answer.
-func (w *answerWatch) began(status int, header http.Header) {
+// responseStarted notes the header of a back end's answer.
+func (w *responseObserver) responseStarted(status int, header http.Header) {
 	if w == nil {
 		return
 	}
-	w.firstAt = w.clock()
+	w.firstByteAt = w.clock()
 	w.status = status
 	if tokens, err := strconv.ParseUint(header.Get(replica.HeaderReusedTokens), 10, 64); err == nil {
 		w.reusedTokens = tokens
@@ -41,11 +41,11 @@
 }
 
 // refused notes an error in place of an answer.
-func (w *answerWatch) refused(problem *caller.Problem) {
+func (w *responseObserver) refused(problem *caller.Problem) {
 	if w == nil {
 		return
 	}
-	w.firstAt = w.clock()
+	w.firstByteAt = w.clock()
 	w.status = problem.Status()
 	w.problem = problem.Kind
 }
@@ -60,7 +60,7 @@
 
 // handle implements handler. Cut answers end in a panic.
 func (r *requestRecorder) handle(e *exchange, next func()) {
-	e.watch = &answerWatch{clock: r.clock}
+	e.observer = &responseObserver{clock: r.clock}
 	defer func() { r.recorder.record(r.describe(e)) }()
 	next()
 }
@@ -70,20 +70,20 @@
 	record := recording.Record{
 		AtUS:         (e.arrived - r.started).Microseconds(),
 		Host:         e.host,
-		Parts:        recording.Parts(e.described.Parts),
-		OutputTokens: e.described.OutputTokens,
-		Repeatable:   e.described.Repeatable,
-		Streamed:     e.described.Streamed,
-		DeadlineMS:   e.described.Deadline.Milliseconds(),
+		Parts:        recording.Parts(e.parsed.Parts),
+		OutputTokens: e.parsed.OutputTokens,
+		Repeatable:   e.parsed.Repeatable,
+		Streamed:     e.parsed.Streamed,
+		DeadlineMS:   e.parsed.Deadline.Milliseconds(),
 		Outcome:      e.outcome(),
-		Problem:      string(e.watch.problem),
-		Status:       e.watch.status,
-		Attempts:     e.watch.attempts,
-		ReusedTokens: e.watch.reusedTokens,
+		Problem:      string(e.observer.problem),
+		Status:       e.observer.status,
+		Attempts:     e.observer.attempts,
+		ReusedTokens: e.observer.reusedTokens,
 		TotalUS:      (r.clock() - e.arrived).Microseconds(),
 	}
-	if e.watch.status != 0 {
-		record.FirstUS = (e.watch.firstAt - e.arrived).Microseconds()
+	if e.observer.status != 0 {
+		record.FirstUS = (e.observer.firstByteAt - e.arrived).Microseconds()
 	}
 	if e.tenant != nil {
 		record.Tenant = e.tenant.Name
@@ -100,9 +100,9 @@
 // outcome tells how an exchange has ended for its caller.
 func (e *exchange) outcome() recording.Outcome {
 	switch {
-	case e.watch.problem != "":
+	case e.observer.problem != "":
 		return recording.Refused
-	case e.watch.status != 0 && !e.failed:
+	case e.observer.status != 0 && !e.failed:
 		// A caller may hang up as soon as it has the last byte.
 		return recording.Answered
 	case e.request.Context().Err() != nil:
--- a/internal/dataplane/recheck_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -16,7 +16,7 @@
 	// changeAt publishes a changed view right after a look at the old one, and
 	// returns what the replicas have got when the request is answered.
 	changeAt := func(look int64, change func(f *fixture)) (outcome, *replicaStandIn) {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.source.onView = func(seen int64) {
 			if seen == look {
@@ -63,7 +63,7 @@
 	named := header{"Request-Id", "same"}
 
 	It("is refused after it was answered", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
 		again := f.generate(named)
@@ -80,7 +80,7 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-proceed
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixture(stand.address())
 		first := make(chan outcome)
@@ -99,7 +99,7 @@
 				refusing()(writer, request)
 				return
 			}
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixture(stand.address())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
@@ -118,7 +118,7 @@
 	repeatable, once := header{"Repeatable", "true"}, header{"Repeatable", "false"}
 
 	DescribeTable("after it was answered, of which the caller may have got nothing", func(first, second header, taken bool) {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
 		again := f.generate(named, second)
@@ -140,26 +140,26 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixture(stand.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		answers := make(chan outcome, 2)
 		go func() { answers <- f.generate(named, first) }()
-		Eventually(arrived).WithTimeout(patience).Should(Receive())
+		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		go func() { answers <- f.generate(named, second) }()
 		if taken {
-			Eventually(arrived).WithTimeout(patience).Should(Receive())
+			Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		} else {
 			var refused outcome
-			Eventually(answers).WithTimeout(patience).Should(Receive(&refused))
+			Eventually(answers).WithTimeout(waitTimeout).Should(Receive(&refused))
 			Expect(refused.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 			Expect(stand.requests()).To(HaveLen(1))
 		}
 		release()
 		var answered outcome
-		Eventually(answers).WithTimeout(patience).Should(Receive(&answered))
+		Eventually(answers).WithTimeout(waitTimeout).Should(Receive(&answered))
 		Expect(answered.status).To(Equal(http.StatusOK))
 	},
 		Entry("is taken if it may run twice", repeatable, repeatable, true),
--- /dev/null
+++ b/internal/dataplane/route_matcher.go
@@ -0,0 +1,69 @@
+package dataplane
+
+import (
+	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+)
+
+// routeMatcher finds the route and the destination of a request by its host and
+// the longest path prefix.
+type routeMatcher struct {
+	destinations *destinations
+	sampler      *destinationSampler
+}
+
+// handle implements handler.
+func (r *routeMatcher) handle(e *exchange, next func()) {
+	e.host = caller.HostName(e.request)
+	route := e.view.Hosts[e.host].Match(e.request.URL.EscapedPath())
+	if route == nil {
+		e.refuse(caller.NewProblem(caller.KindUnknownHost,
+			"no route serves the host %q at this path: send a Host header and a path that the operator has configured", e.host))
+		return
+	}
+	e.route = route
+	e.destination = route.Destination(r.sampler.next(e.host, route))
+	e.counters = r.destinations.state(e.destination)
+	if e.tenant == nil && !route.Config.GetPublic() {
+		e.refuse(unauthorizedProblem())
+		return
+	}
+	next()
+}
+
+// requestParser reads what the caller says of its request.
+type requestParser struct{}
+
+// handle implements handler.
+func (*requestParser) handle(e *exchange, next func()) {
+	parsed, err := e.edges.Callers.Describe(e.request)
+	if err != nil {
+		e.refuse(asProblem(err))
+		return
+	}
+	pool := e.destination.Pool
+	if pool != nil && parsed.Model != "" && parsed.Model != pool.Config.GetModel() {
+		e.refuse(caller.NewProblem(caller.KindModelMismatch,
+			"the host %q serves the model %q, not %q: send the request to that model's host or leave %s out",
+			e.host, pool.Config.GetModel(), parsed.Model, caller.HeaderModel))
+		return
+	}
+	e.parsed = applyRouteKind(parsed, e.route)
+	next()
+}
+
+// applyRouteKind lets the route's kind decide what the caller's headers would decide
+// otherwise.
+func applyRouteKind(parsed caller.Request, route *routing.Route) caller.Request {
+	switch route.Config.GetKind() {
+	case ridgeswitchv1.RequestKind_REPEATABLE:
+		parsed.Repeatable = true
+	case ridgeswitchv1.RequestKind_AT_MOST_ONCE:
+		parsed.Repeatable = false
+	case ridgeswitchv1.RequestKind_STREAMING:
+		parsed.Streamed = true
+		parsed.Repeatable = route.Config.GetResumable()
+	}
+	return parsed
+}
--- a/internal/dataplane/routetimeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -77,7 +77,7 @@
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-proceed
-			answering("ok")(writer, request)
+			respondWith("ok")(writer, request)
 		})
 		f := newFixture(stand.address())
 		release := sync.OnceFunc(func() { close(proceed) })
@@ -86,7 +86,7 @@
 		f.publish()
 		first := make(chan outcome, 1)
 		go func() { first <- f.generate() }()
-		Eventually(arrived).WithTimeout(patience).Should(BeClosed())
+		Eventually(arrived).WithTimeout(waitTimeout).Should(BeClosed())
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
 		f.timeout = ownBound
 		f.publish()
@@ -97,7 +97,7 @@
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		release()
 		var earlier outcome
-		Eventually(first).WithTimeout(patience).Should(Receive(&earlier))
+		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&earlier))
 		Expect(earlier.status).To(Equal(http.StatusOK), "the earlier one has its own time")
 		Expect(stand.requests()).To(HaveLen(1))
 	})
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -21,20 +21,20 @@
 	options      Options
 	sender       *outbound.Client
 	router       *kvrouter.Router
-	identities   *identities
+	ids          *idGenerator
 	destinations *destinations
 	limiter      *limiter
-	duplicates   *duplicateRegister
+	duplicates   *requestRegister
 	inFlight     *inFlight
-	health       *health
+	health       *backendHealth
 	quarantine   *quarantine
-	outdated     *outdated
-	cold         *coldBounds
-	feeds        *feeds
-	sharing      *sharing
-	adopting     *adopting
+	stale        *staleBackends
+	slowStart    *slowStart
+	feeds        *feedManager
+	updates      *outgoingUpdates
+	snapshots    *snapshotExchange
 	readers      *reportReaders
-	warmUp       *warmUp
+	startup      *startupGate
 	chain        chain
 	listener     *listener
 	// recorder is nil without a recording.
@@ -57,33 +57,33 @@
 	if err != nil {
 		return nil, err
 	}
-	named, err := newIdentities(options.Node)
+	ids, err := newIDGenerator(options.Node)
 	if err != nil {
 		return nil, err
 	}
 	sender := outbound.New(outbound.Options{Name: clientName})
-	options.Edges = options.Edges.withDefaults(sender, options.MaxAnswerBytes)
+	options.Edges = options.Edges.withDefaults(sender, options.MaxResponseBytes)
 	server := &Server{
 		options:      options,
 		sender:       sender,
 		router:       kvrouter.New(options.Router),
-		identities:   named,
+		ids:          ids,
 		destinations: newDestinations(options.RetryBudget),
 		limiter:      newLimiter(options.Clock, options.Admission),
-		duplicates:   newDuplicateRegister(options.RememberedRequests, options.RememberFor),
+		duplicates:   newRequestRegister(options.RememberedRequests, options.RememberFor),
 		inFlight:     newInFlight(),
-		health:       newHealth(options),
+		health:       newBackendHealth(options),
 		quarantine:   newQuarantine(),
-		outdated:     newOutdated(),
-		cold:         newColdBounds(options.Member),
-		sharing:      newSharing(),
-		warmUp:       newWarmUp(),
+		stale:        newStaleBackends(),
+		slowStart:    newSlowStart(options.Member),
+		updates:      newOutgoingUpdates(),
+		startup:      newStartupGate(),
 		seed:         rand.Uint64(),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
 	server.feedsCtx, server.stopFeeds = context.WithCancel(context.Background())
-	server.adopting = newAdopting(options, server.router)
-	server.feeds = newFeeds(server)
+	server.snapshots = newSnapshotExchange(options, server.router)
+	server.feeds = newFeedManager(server)
 	server.readers = newReportReaders(server)
 	if server.listener, err = newListener(options, server); err != nil {
 		return nil, err
@@ -152,17 +152,17 @@
 
 // InFlight returns how many attempts run on a back end through this node.
 func (s *Server) InFlight(address string) int {
-	return s.inFlight.of(address)
+	return s.inFlight.count(address)
 }
 
 // Stats returns the counters of every destination that was routed to.
 func (s *Server) Stats() []DestinationStats {
 	now := s.options.Clock()
-	all := s.destinations.snapshot()
-	for at := range all {
-		s.health.describe(now, &all[at])
+	stats := s.destinations.snapshot()
+	for i := range stats {
+		s.health.describe(now, &stats[i])
 	}
-	return all
+	return stats
 }
 
 // RecordStats returns what became of the records of this node's requests.
@@ -182,4 +182,4 @@
 	return rand.New(rand.NewPCG(s.seed, s.draws.Add(1)))
 }
 
-var _ suture.Service = (*feed)(nil)
+var _ suture.Service = (*eventFeed)(nil)
--- a/internal/dataplane/server_test.go
+++ b/internal/dataplane/server_test.go
@@ -18,7 +18,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = poolHost
 	request.Header.Set("Authorization", "Bearer "+courtKey)
-	return (&http.Client{Timeout: patience, Transport: &http.Transport{}}).Do(request)
+	return (&http.Client{Timeout: waitTimeout, Transport: &http.Transport{}}).Do(request)
 }
 
 var _ = Describe("Server", func() {
@@ -31,7 +31,7 @@
 			}
 			close(arrived)
 			<-proceed
-			answering("late")(writer, request)
+			respondWith("late")(writer, request)
 		})
 		f := newFixture(stand.address())
 		ended := make(chan error, 1)
@@ -62,7 +62,7 @@
 	})
 
 	It("says why it cannot listen", func() {
-		stand := newReplica(answering("ok"))
+		stand := newReplica(respondWith("ok"))
 		f := newFixture()
 		server, err := dataplane.New(dataplane.Options{
 			Source: f.source, Clock: clockAtZero, Address: stand.address(),
--- a/internal/dataplane/shared/exchange.go
+++ b/internal/dataplane/shared/exchange.go
@@ -10,9 +10,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxWaiting bounds the news that waits at a relay. What comes beyond it is
+// maxPending bounds the news that waits at a relay. What comes beyond it is
 // dropped.
-const maxWaiting = 4096
+const maxPending = 4096
 
 // Exchange passes news on at one node. It is not safe for concurrent use.
 type Exchange struct {
@@ -20,8 +20,8 @@
 	zone string
 	// toZone waits for the nodes of the zone, and toRelays for the relays of the
 	// other zones.
-	toZone   []News
-	toRelays []News
+	toZone   []Update
+	toRelays []Update
 }
 
 // Outbound is a batch for other nodes.
@@ -36,21 +36,21 @@
 }
 
 // Add takes this node's own news.
-func (e *Exchange) Add(news News) {
-	news.Node = e.self
-	e.toZone = keep(e.toZone, news)
-	e.toRelays = keep(e.toRelays, news)
+func (e *Exchange) Add(update Update) {
+	update.Node = e.self
+	e.toZone = appendBounded(e.toZone, update)
+	e.toRelays = appendBounded(e.toRelays, update)
 }
 
-// Take takes a batch of another node and returns the news that is new here.
-func (e *Exchange) Take(batch Batch) []News {
-	foreign := lo.Reject(batch.News, func(news News, _ int) bool { return news.Node == e.self })
+// Receive takes a batch of another node and returns the news that is new here.
+func (e *Exchange) Receive(batch Batch) []Update {
+	foreign := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == e.self })
 	switch batch.Stage {
-	case Gathering:
-		e.toZone = keep(e.toZone, foreign...)
-		e.toRelays = keep(e.toRelays, foreign...)
-	case Crossing:
-		e.toZone = keep(e.toZone, foreign...)
+	case NodeToRelay:
+		e.toZone = appendBounded(e.toZone, foreign...)
+		e.toRelays = appendBounded(e.toRelays, foreign...)
+	case RelayToRelay:
+		e.toZone = appendBounded(e.toZone, foreign...)
 	}
 	return foreign
 }
@@ -59,18 +59,18 @@
 func (e *Exchange) Flush(live []member.Info) []Outbound {
 	toZone, toRelays := e.toZone, e.toRelays
 	e.toZone, e.toRelays = nil, nil
-	relay, found := RelayOf(e.zone, live)
+	relay, found := RelayFor(e.zone, live)
 	if !found {
 		return nil
 	}
 	if relay.ID != e.self {
-		return outbound(Gathering, toRelays, relay)
+		return outbound(NodeToRelay, toRelays, relay)
 	}
 	listeners := lo.Filter(live, func(node member.Info, _ int) bool {
 		return node.Zone == e.zone && node.ID != e.self && servesCallers(node)
 	})
-	sends := outbound(Spreading, toZone, listeners...)
-	return append(sends, outbound(Crossing, toRelays, e.foreignRelays(live)...)...)
+	sends := outbound(RelayToNodes, toZone, listeners...)
+	return append(sends, outbound(RelayToRelay, toRelays, e.foreignRelays(live)...)...)
 }
 
 // foreignRelays returns the relays of the other zones in which callers are
@@ -79,7 +79,7 @@
 	serving := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone != e.zone && servesCallers(node) })
 	zones := lo.Uniq(lo.Map(serving, func(node member.Info, _ int) string { return node.Zone }))
 	slices.Sort(zones)
-	return lo.FilterMap(zones, func(zone string, _ int) (member.Info, bool) { return RelayOf(zone, live) })
+	return lo.FilterMap(zones, func(zone string, _ int) (member.Info, bool) { return RelayFor(zone, live) })
 }
 
 // servesCallers tells whether a node has traffic, and so a use for news of it.
@@ -87,10 +87,10 @@
 	return node.TrafficAddress != ""
 }
 
-// RelayOf returns the relay of a zone: of the live nodes in it, the one that
+// RelayFor returns the relay of a zone: of the live nodes in it, the one that
 // weighs highest. A node that serves no callers is taken before any that does,
 // as it has its link and processor to spare.
-func RelayOf(zone string, live []member.Info) (member.Info, bool) {
+func RelayFor(zone string, live []member.Info) (member.Info, bool) {
 	candidates := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone == zone })
 	if idle := lo.Reject(candidates, func(node member.Info, _ int) bool { return servesCallers(node) }); len(idle) > 0 {
 		candidates = idle
@@ -110,15 +110,15 @@
 
 // outbound returns a batch for nodes, or nothing if there is no news or nobody
 // to tell. Whose news comes back passes it over.
-func outbound(stage Stage, news []News, to ...member.Info) []Outbound {
-	if len(news) == 0 || len(to) == 0 {
+func outbound(stage Stage, updates []Update, to ...member.Info) []Outbound {
+	if len(updates) == 0 || len(to) == 0 {
 		return nil
 	}
-	return []Outbound{{To: to, Batch: Batch{Stage: stage, News: news}}}
+	return []Outbound{{To: to, Batch: Batch{Stage: stage, Updates: updates}}}
 }
 
-// keep appends news up to the bound.
-func keep(waiting []News, added ...News) []News {
-	room := max(0, maxWaiting-len(waiting))
-	return append(waiting, added[:min(room, len(added))]...)
+// appendBounded appends news up to the bound.
+func appendBounded(waiting []Update, added ...Update) []Update {
+	capacity := max(0, maxPending-len(waiting))
+	return append(waiting, added[:min(capacity, len(added))]...)
 }
--- a/internal/dataplane/shared/exchange_test.go
+++ b/internal/dataplane/shared/exchange_test.go
@@ -64,7 +64,7 @@
 	if from.Zone != to.Zone {
 		n.crossings++
 	}
-	for _, news := range n.exchanges[to.ID].Take(batch) {
+	for _, news := range n.exchanges[to.ID].Receive(batch) {
 		n.heard[to.ID][news.Node]++
 	}
 }
@@ -76,7 +76,7 @@
 	It("brings everybody's news to everybody else once", func() {
 		n := newNetwork(4, 18)
 		for id, exchange := range n.exchanges {
-			exchange.Add(shared.News{Node: id})
+			exchange.Add(shared.Update{Node: id})
 		}
 		for range 4 {
 			n.round(nil)
@@ -94,7 +94,7 @@
 		n := newNetwork(4, 18)
 		for range 20 {
 			for _, exchange := range n.exchanges {
-				exchange.Add(shared.News{})
+				exchange.Add(shared.Update{})
 			}
 			n.round(nil)
 		}
@@ -104,7 +104,7 @@
 
 	It("still brings news to everybody when nodes disagree on who is live", func() {
 		n := newNetwork(3, 3)
-		relay, _ := shared.RelayOf("zone-0", n.peers)
+		relay, _ := shared.RelayFor("zone-0", n.peers)
 		var without []member.Info
 		for _, peer := range n.peers {
 			if peer.ID != relay.ID {
@@ -113,7 +113,7 @@
 		}
 		teller := without[0]
 		Expect(teller.Zone).To(Equal("zone-0"))
-		n.exchanges[teller.ID].Add(shared.News{})
+		n.exchanges[teller.ID].Add(shared.Update{})
 		for range 4 {
 			// The teller alone has noticed that the relay is dead.
 			n.round(map[member.ID][]member.Info{teller.ID: without})
@@ -131,12 +131,12 @@
 		n.peers = append(n.peers, idle)
 		n.exchanges[idle.ID] = shared.NewExchange(idle.ID, idle.Zone)
 		n.heard[idle.ID] = map[member.ID]int{}
-		relay, found := shared.RelayOf(zoneOfAll, n.peers)
+		relay, found := shared.RelayFor(zoneOfAll, n.peers)
 		Expect(found).To(BeTrue())
 		Expect(relay.ID).To(Equal(idle.ID))
 		for id, exchange := range n.exchanges {
 			if id != idle.ID {
-				exchange.Add(shared.News{Node: id})
+				exchange.Add(shared.Update{Node: id})
 			}
 		}
 		for range 4 {
@@ -153,21 +153,21 @@
 
 	It("holds no more than its bound", func() {
 		exchange := shared.NewExchange("relay", "zone")
-		news := make([]shared.News, 10000)
+		news := make([]shared.Update, 10000)
 		for i := range news {
 			news[i].Node = "other"
 		}
-		Expect(exchange.Take(shared.Batch{Stage: shared.Gathering, News: news})).To(HaveLen(len(news)))
+		Expect(exchange.Receive(shared.Batch{Stage: shared.NodeToRelay, Updates: news})).To(HaveLen(len(news)))
 		peers := []member.Info{{ID: "relay", Zone: "zone"}, {ID: "listener", Zone: "zone", TrafficAddress: "served"}}
 		sends := exchange.Flush(peers)
 		Expect(sends).To(HaveLen(1))
-		Expect(len(sends[0].Batch.News)).To(Equal(4096))
+		Expect(len(sends[0].Batch.Updates)).To(Equal(4096))
 	})
 
 	It("sends nothing without news, or without live nodes", func() {
 		exchange := shared.NewExchange("a", "zone")
 		Expect(exchange.Flush([]member.Info{{ID: "a", Zone: "zone"}, {ID: "b", Zone: "zone"}})).To(BeEmpty())
-		exchange.Add(shared.News{})
+		exchange.Add(shared.Update{})
 		Expect(exchange.Flush(nil)).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/shared/message.go
+++ b/internal/dataplane/shared/message.go
@@ -23,32 +23,32 @@
 
 // The stages of a batch.
 const (
-	// Gathering batches go from a node to the relay of its zone.
-	Gathering Stage = iota + 1
-	// Crossing batches go from a relay to the relays of other zones.
-	Crossing
-	// Spreading batches go from a relay to the nodes of its zone.
-	Spreading
-	// Asking batches go from a node that has started to one that it asks for
+	// NodeToRelay batches go from a node to the relay of its zone.
+	NodeToRelay Stage = iota + 1
+	// RelayToRelay batches go from a relay to the relays of other zones.
+	RelayToRelay
+	// RelayToNodes batches go from a relay to the nodes of its zone.
+	RelayToNodes
+	// SnapshotRequest batches go from a node that has started to one that it asks for
 	// what it knows, see Adoption.
-	Asking
-	// Answering batches carry a part of that back, and Answered ones the rest.
-	Answering
-	Answered
+	SnapshotRequest
+	// SnapshotChunk batches carry a part of that back, and Answered ones the rest.
+	SnapshotChunk
+	SnapshotEnd
 )
 
 // Direct tells whether a batch is part of an Adoption: it is for the node that
 // gets it alone.
-func (s Stage) Direct() bool { return s >= Asking && s <= Answered }
+func (s Stage) Direct() bool { return s >= SnapshotRequest && s <= SnapshotEnd }
 
 // Batch carries the news of several nodes.
 type Batch struct {
-	Stage Stage
-	News  []News
+	Stage   Stage
+	Updates []Update
 }
 
-// News is what one node tells of its traffic at one time.
-type News struct {
+// Updates is what one node tells of its traffic at one time.
+type Update struct {
 	// Node is whose news it is.
 	Node       member.ID
 	Loads      []kvrouter.AddressLoad
@@ -71,9 +71,9 @@
 type Report struct {
 	Address string
 	Feed    kvrouter.FeedPosition
-	// Whole tells that the changes are all that is kept, instead of changes.
-	Whole   bool
-	Changes []Change
+	// Complete tells that the changes are all that is kept, instead of changes.
+	Complete bool
+	Changes  []Change
 }
 
 // Change is a change of what a replica or store keeps of one part.
@@ -95,7 +95,7 @@
 }
 
 // Empty tells whether the news says nothing.
-func (n *News) Empty() bool {
+func (n *Update) Empty() bool {
 	return len(n.Loads) == 0 && len(n.Dispatches) == 0 && len(n.Reports) == 0 &&
 		len(n.Denials) == 0 && len(n.Outcomes) == 0
 }
--- a/internal/dataplane/shared/adoption_test.go
+++ b/internal/dataplane/shared/snapshot_test.go
@@ -19,10 +19,10 @@
 
 var _ = Describe("A node that has started", func() {
 	const self = member.ID("self")
-	var adoption *shared.Adoption
+	var adoption *shared.SnapshotClient
 	var live []member.Info
 	BeforeEach(func() {
-		adoption = shared.NewAdoption(self, "a")
+		adoption = shared.NewSnapshotClient(self, "a")
 		live = []member.Info{serving("self", "a"), serving("far", "b"), serving("near", "a"), {ID: "core", Zone: "a"}}
 	})
 
@@ -31,48 +31,48 @@
 		sends := adoption.Tick(at, live)
 		ExpectWithOffset(1, sends).To(HaveLen(1))
 		ExpectWithOffset(1, sends[0].To).To(HaveLen(1))
-		ExpectWithOffset(1, sends[0].Batch.Stage).To(Equal(shared.Asking))
-		ExpectWithOffset(1, sends[0].Batch.News).To(Equal([]shared.News{{Node: self}}))
+		ExpectWithOffset(1, sends[0].Batch.Stage).To(Equal(shared.SnapshotRequest))
+		ExpectWithOffset(1, sends[0].Batch.Updates).To(Equal([]shared.Update{{Node: self}}))
 		return sends[0].To[0].ID
 	}
 	nothingDue := func(at time.Duration) { ExpectWithOffset(1, adoption.Tick(at, live)).To(BeEmpty()) }
-	told := func(node member.ID, reports int) shared.News {
-		return shared.News{Node: node, Reports: make([]shared.Report, reports)}
+	told := func(node member.ID, reports int) shared.Update {
+		return shared.Update{Node: node, Reports: make([]shared.Report, reports)}
 	}
 
 	It("asks a node of its zone that serves callers, and is done once that has told all", func() {
 		Expect(asks(0)).To(Equal(member.ID("near")))
 		nothingDue(900 * time.Millisecond)
-		Expect(adoption.Heard(900*time.Millisecond, shared.Answering, told("near", 2))).To(BeTrue())
+		Expect(adoption.HandleResponse(900*time.Millisecond, shared.SnapshotChunk, told("near", 2))).To(BeTrue())
 		nothingDue(1800 * time.Millisecond)
-		Expect(adoption.Waiting(1800 * time.Millisecond)).To(BeTrue())
-		Expect(adoption.Over(1800 * time.Millisecond)).To(BeFalse())
-		Expect(adoption.Heard(1800*time.Millisecond, shared.Answered, told("near", 0))).To(BeTrue())
-		Expect(adoption.Over(1800 * time.Millisecond)).To(BeTrue())
-		Expect(adoption.Waiting(1800 * time.Millisecond)).To(BeFalse())
+		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeTrue())
+		Expect(adoption.Done(1800 * time.Millisecond)).To(BeFalse())
+		Expect(adoption.HandleResponse(1800*time.Millisecond, shared.SnapshotEnd, told("near", 0))).To(BeTrue())
+		Expect(adoption.Done(1800 * time.Millisecond)).To(BeTrue())
+		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeFalse())
 		nothingDue(4 * time.Second)
 	})
 
 	It("asks the next one at once if the first one knows nothing", func() {
 		asks(0)
-		adoption.Heard(10*time.Millisecond, shared.Answered, told("near", 0))
-		Expect(adoption.Over(10 * time.Millisecond)).To(BeFalse())
-		Expect(adoption.Waiting(10 * time.Millisecond)).To(BeFalse())
+		adoption.HandleResponse(10*time.Millisecond, shared.SnapshotEnd, told("near", 0))
+		Expect(adoption.Done(10 * time.Millisecond)).To(BeFalse())
+		Expect(adoption.Pending(10 * time.Millisecond)).To(BeFalse())
 		Expect(asks(20 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("asks the next one if the first one is silent for a second, or falls silent", func() {
 		asks(0)
-		adoption.Heard(500*time.Millisecond, shared.Answering, told("near", 1))
+		adoption.HandleResponse(500*time.Millisecond, shared.SnapshotChunk, told("near", 1))
 		nothingDue(1400 * time.Millisecond)
 		Expect(asks(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("takes no answer that it does not wait for", func() {
-		Expect(adoption.Heard(0, shared.Answered, told("near", 1))).To(BeFalse())
+		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, told("near", 1))).To(BeFalse())
 		asks(0)
-		Expect(adoption.Heard(0, shared.Answered, told("far", 1))).To(BeFalse())
-		Expect(adoption.Over(0)).To(BeFalse())
+		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, told("far", 1))).To(BeFalse())
+		Expect(adoption.Done(0)).To(BeFalse())
 	})
 
 	It("waits a while for others to become known", func() {
@@ -80,7 +80,7 @@
 		live = live[:1]
 		nothingDue(0)
 		nothingDue(1400 * time.Millisecond)
-		Expect(adoption.Over(1400 * time.Millisecond)).To(BeFalse())
+		Expect(adoption.Done(1400 * time.Millisecond)).To(BeFalse())
 		live = all
 		asks(1450 * time.Millisecond)
 	})
@@ -89,83 +89,83 @@
 		live = live[:1]
 		nothingDue(0)
 		nothingDue(1500 * time.Millisecond)
-		Expect(adoption.Over(1500 * time.Millisecond)).To(BeTrue())
+		Expect(adoption.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
 	It("gives up after five seconds, whatever is still being told", func() {
 		told := told(asks(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
-			Expect(adoption.Over(at)).To(BeFalse())
-			adoption.Heard(at, shared.Answering, told)
+			Expect(adoption.Done(at)).To(BeFalse())
+			adoption.HandleResponse(at, shared.SnapshotChunk, told)
 			nothingDue(at)
 		}
-		Expect(adoption.Over(5 * time.Second)).To(BeTrue())
+		Expect(adoption.Done(5 * time.Second)).To(BeTrue())
 	})
 
 	It("is done when all have told that they know nothing, but not before it can know them all", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
-			adoption.Heard(at, shared.Answered, told(asks(at), 0))
+			adoption.HandleResponse(at, shared.SnapshotEnd, told(asks(at), 0))
 		}
 		nothingDue(time.Second)
-		Expect(adoption.Over(time.Second)).To(BeFalse())
+		Expect(adoption.Done(time.Second)).To(BeFalse())
 		nothingDue(1500 * time.Millisecond)
-		Expect(adoption.Over(1500 * time.Millisecond)).To(BeTrue())
+		Expect(adoption.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
 	It("asks six nodes at most", func() {
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
-			adoption.Heard(at, shared.Answered, told(asks(at), 0))
+			adoption.HandleResponse(at, shared.SnapshotEnd, told(asks(at), 0))
 		}
 		nothingDue(10 * time.Millisecond)
 	})
 })
 
 var _ = Describe("A node that is asked", func() {
-	var answers *shared.Answers
+	var answers *shared.SnapshotServer
 	var live []member.Info
 	// changes is how many parts each back end keeps.
 	var changes int
 	BeforeEach(func() {
-		answers = shared.NewAnswers("self")
+		answers = shared.NewSnapshotServer("self")
 		live = []member.Info{serving("one", "a"), serving("two", "b")}
 		changes = 400
 	})
 	snapshot := func(address string) (shared.Report, bool) {
-		return shared.Report{Address: address, Whole: true, Changes: make([]shared.Change, changes)}, address != "unknown"
+		return shared.Report{Address: address, Complete: true, Changes: make([]shared.Change, changes)}, address != "unknown"
 	}
 	// told is what a send tells: to whom, at what stage, of which back ends.
 	told := func(send shared.Outbound) string {
-		addresses := lo.Map(send.Batch.News[0].Reports, func(report shared.Report, _ int) string { return report.Address })
-		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == shared.Answered, " ", addresses)
+		addresses := lo.Map(send.Batch.Updates[0].Reports, func(report shared.Report, _ int) string { return report.Address })
+		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == shared.SnapshotEnd, " ", addresses)
 	}
 	tick := func() []string {
 		return lo.Map(answers.Tick(live, snapshot), func(send shared.Outbound, _ int) string { return told(send) })
 	}
 
 	It("tells what it knows in pieces, each tick about as much as a small link carries", func() {
-		answers.Asked("one", []string{"a", "b", "unknown", "c", "d"})
+		answers.HandleRequest("one", []string{"a", "b", "unknown", "c", "d"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
 		Expect(tick()).To(Equal([]string{"one true [d]"}))
 		Expect(tick()).To(BeEmpty())
 	})
 
 	It("tells one after the other, and from the beginning to who asks again", func() {
-		answers.Asked("one", []string{"a", "b", "c", "d"})
-		answers.Asked("two", []string{"a"})
+		answers.HandleRequest("one", []string{"a", "b", "c", "d"})
+		answers.HandleRequest("two", []string{"a"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
-		answers.Asked("one", []string{"a"})
+		answers.HandleRequest("one", []string{"a"})
 		Expect(tick()).To(Equal([]string{"two true [a]", "one true [a]"}))
 	})
 
 	It("says so at once if it knows nothing", func() {
-		answers.Asked("one", nil)
+		answers.HandleRequest("one", nil)
 		Expect(tick()).To(Equal([]string{"one true []"}))
 	})
 
 	It("tells nothing to who is not live any more", func() {
-		answers.Asked("gone", []string{"a"})
+		answers.HandleRequest("gone", []string{"a"})
 		Expect(tick()).To(BeEmpty())
 		live = append(live, serving("gone", "a"))
 		Expect(tick()).To(BeEmpty())
@@ -175,7 +175,7 @@
 		changes = 0
 		for number := range 40 {
 			live = append(live, serving(fmt.Sprint("asker ", number), "a"))
-			answers.Asked(member.ID(fmt.Sprint("asker ", number)), []string{"a"})
+			answers.HandleRequest(member.ID(fmt.Sprint("asker ", number)), []string{"a"})
 		}
 		Expect(tick()).To(HaveLen(16))
 	})
--- /dev/null
+++ b/internal/dataplane/snapshot_exchange.go
@@ -0,0 +1,107 @@
+package dataplane
+
+import (
+	"sync"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// snapshots lets a node that has started learn from another one what back ends
+// keep, and answers those that ask this node.
+type snapshotExchange struct {
+	router *kvrouter.Router
+
+	mutex  sync.Mutex
+	client *shared.SnapshotClient
+	server *shared.SnapshotServer
+}
+
+func newSnapshotExchange(options Options, router *kvrouter.Router) *snapshotExchange {
+	return &snapshotExchange{
+		router: router,
+		client: shared.NewSnapshotClient(options.Member, options.Zone),
+		server: shared.NewSnapshotServer(options.Member),
+	}
+}
+
+// done tells whether this node has learnt what it could from others.
+func (a *snapshotExchange) done(now time.Duration) bool {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return a.client.Done(now)
+}
+
+// tick returns the question and the answers that are due.
+func (a *snapshotExchange) tick(now time.Duration, live []member.Info) []shared.Outbound {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return append(a.client.Tick(now, live), a.server.Tick(live, a.snapshot)...)
+}
+
+// handleRequest notes a node's question. Who has not adopted yet itself answers that it
+// knows nothing.
+func (a *snapshotExchange) handleRequest(now time.Duration, by member.ID) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if !a.client.Done(now) {
+		a.server.HandleRequest(by, nil)
+		return
+	}
+	a.server.HandleRequest(by, a.router.Addresses())
+}
+
+// handleResponse takes in a part of an answer.
+func (a *snapshotExchange) handleResponse(now time.Duration, stage shared.Stage, update shared.Update) {
+	a.mutex.Lock()
+	current := a.client.HandleResponse(now, stage, update)
+	a.mutex.Unlock()
+	if !current {
+		return
+	}
+	for _, report := range update.Reports {
+		a.router.AdoptChunks(now, report.Address, report.Feed, chunkChanges(report.Changes))
+	}
+}
+
+// snapshot is what this node knows of a back end, as it is told to others.
+func (a *snapshotExchange) snapshot(address string) (shared.Report, bool) {
+	feed, chunks, found := a.router.ChunksSnapshot(address)
+	if !found {
+		return shared.Report{}, false
+	}
+	changes := lo.Map(chunks, func(chunk kvrouter.ChunkChange, _ int) shared.Change {
+		return shared.Change{Name: chunk.Hash, Tokens: chunk.Tokens}
+	})
+	return shared.Report{Address: address, Feed: feed, Complete: true, Changes: changes}, true
+}
+
+// SnapshotMessages returns what this node is to ask others, or to answer them, now.
+func (s *Server) SnapshotMessages(live []member.Info) []shared.Outbound {
+	return s.snapshots.tick(s.options.Clock(), live)
+}
+
+// AwaitingSnapshot tells whether another node is asked, or is telling, what back ends keep.
+// It is false some seconds after the start in any case.
+func (s *Server) AwaitingSnapshot() bool {
+	s.snapshots.mutex.Lock()
+	defer s.snapshots.mutex.Unlock()
+	return s.snapshots.client.Pending(s.options.Clock())
+}
+
+// HandleSnapshotBatch takes in a question or an answer of another node.
+func (s *Server) HandleSnapshotBatch(batch shared.Batch) {
+	now := s.options.Clock()
+	for _, update := range batch.Updates {
+		if batch.Stage == shared.SnapshotRequest {
+			s.snapshots.handleRequest(now, update.Node)
+			continue
+		}
+		s.snapshots.handleResponse(now, batch.Stage, update)
+	}
+	s.updateStartupGate()
+}
--- a/internal/dataplane/adopting_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -41,10 +41,10 @@
 	deliver := func(servers ...*Server) int {
 		delivered := 0
 		for _, from := range servers {
-			for _, send := range from.Adopt(live) {
+			for _, send := range from.SnapshotMessages(live) {
 				for _, to := range servers {
 					if to.options.Member == send.To[0].ID {
-						to.TakeDirect(send.Batch)
+						to.HandleSnapshotBatch(send.Batch)
 						delivered++
 					}
 				}
@@ -56,9 +56,9 @@
 	report := func(server *Server, from, next uint64) {
 		page := ReportPage{Incarnation: 7, Next: next}
 		for sequence := from + 1; sequence <= next; sequence++ {
-			page.Changes = append(page.Changes, PartChange{Sequence: sequence, ID: fmt.Sprint("part ", sequence), Tokens: 100})
+			page.Changes = append(page.Changes, ChunkChange{Sequence: sequence, ID: fmt.Sprint("part ", sequence), Tokens: 100})
 		}
-		server.takeReport(now, sharedReport(backend, from, page))
+		server.applyReport(now, gossipReport(backend, from, page))
 	}
 	known := func(server *Server) (int, kvrouter.FeedPosition) {
 		at, parts, _ := server.router.ChunksSnapshot(backend)
@@ -69,7 +69,7 @@
 
 	It("is what the others know, with the changes since", func() {
 		old := newNode("old")
-		Expect(old.adopting.over(now)).To(BeFalse())
+		Expect(old.snapshots.done(now)).To(BeFalse())
 		now = 10 * time.Second
 		report(old, 0, 5000)
 		started := newNode("started")
@@ -78,7 +78,7 @@
 		for range 20 {
 			deliver(started, old)
 		}
-		Expect(started.adopting.over(now)).To(BeTrue())
+		Expect(started.snapshots.done(now)).To(BeTrue())
 		parts, at := known(started)
 		Expect(parts).To(Equal(5001))
 		Expect(at).To(Equal(kvrouter.FeedPosition{Incarnation: 7, Next: 5001}))
@@ -86,9 +86,9 @@
 
 	It("goes on from where it was read before, instead of from the beginning", func() {
 		old := newNode("old")
-		Expect(old.adopting.over(now)).To(BeFalse())
+		Expect(old.snapshots.done(now)).To(BeFalse())
 		now = 10 * time.Second
-		Expect(old.adopting.over(now)).To(BeTrue())
+		Expect(old.snapshots.done(now)).To(BeTrue())
 		report(old, 0, 50)
 		started := newNode("started")
 		for range 5 {
@@ -107,7 +107,7 @@
 		now = 1500 * time.Millisecond
 		Expect(deliver(servers...)).To(BeZero())
 		for _, server := range servers {
-			Expect(server.adopting.over(now)).To(BeTrue())
+			Expect(server.snapshots.done(now)).To(BeTrue())
 		}
 	})
 
@@ -120,9 +120,9 @@
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		started.readers.follow(ctx, view)
-		now = settleFor
-		Expect(started.Adopt(live)).To(HaveLen(1))
-		Expect(started.Learning()).To(BeTrue())
+		now = stableFor
+		Expect(started.SnapshotMessages(live)).To(HaveLen(1))
+		Expect(started.AwaitingSnapshot()).To(BeTrue())
 		started.readers.follow(ctx, view)
 		Expect(started.readers.running).To(BeEmpty())
 		now += time.Second
--- a/internal/dataplane/shares_test.go
+++ b/internal/dataplane/split_route_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("A split route", func() {
 	It("sends each destination its share, whatever other routes get", func() {
 		const requests, most = 60, 3
-		pooled, web := newReplica(answering("ok")), newReplica(answering("ok"))
+		pooled, web := newReplica(respondWith("ok")), newReplica(respondWith("ok"))
 		f := newFixture(pooled.address())
 		f.webs = []routing.Replica{{Address: web.address(), Zone: "a", Admitting: true}}
 		f.publish()
--- /dev/null
+++ b/internal/dataplane/stabilization_wait.go
@@ -0,0 +1,49 @@
+package dataplane
+
+import (
+	"slices"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+const (
+	// stableFor is how long the live nodes stay the same until a node that has
+	// started believes that it knows them.
+	stableFor = 200 * time.Millisecond
+	// maxStabilizationWait ends that wait in any case.
+	maxStabilizationWait = 5 * time.Second
+)
+
+// stabilizationWait waits until a node that has started knows the live nodes. Before, it
+// takes itself for the only one, or for one of a few, and would do the work of the
+// others too.
+type stabilizationWait struct {
+	started   bool
+	startedAt time.Duration
+	changedAt time.Duration
+	peers     []member.ID
+	done      bool
+}
+
+// stable tells, given the live nodes of each look, whether the node knows them.
+// Once it does that stays so.
+func (s *stabilizationWait) stable(now time.Duration, peers []member.Info) bool {
+	if s.done {
+		return true
+	}
+	ids := lo.Map(peers, func(peer member.Info, _ int) member.ID { return peer.ID })
+	if !s.started {
+		s.started = true
+		s.startedAt, s.changedAt = now, now
+	}
+	if !slices.Equal(ids, s.peers) {
+		s.changedAt = now
+		s.peers = ids
+	}
+	alone := len(peers) <= 1
+	s.done = now-s.startedAt >= maxStabilizationWait || (!alone && now-s.changedAt >= stableFor)
+	return s.done
+}
--- a/internal/dataplane/outdated_internal_test.go
+++ b/internal/dataplane/stale_backends_internal_test.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// outdatedTimeline plays lines of "time event" on a memory of what is out of
+// staleTimeline plays lines of "time event" on a memory of what is out of
 // date, and checks after each whether the address is "held" or "free". Events:
 //
 //	list INSTANCE VERSION    the view names them at the address
@@ -20,8 +20,8 @@
 //	refused BY               the back end there refused; "-" for one that did not say who it is
 //	told INSTANCE            another node told that the incarnation is gone
 //	wait                     nothing
-func outdatedTimeline(text string) {
-	subject := newOutdated()
+func staleTimeline(text string) {
+	subject := newStaleBackends()
 	listed := routing.Replica{Address: "a"}
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		words := strings.Fields(line)
@@ -35,14 +35,14 @@
 		case "unlist":
 			subject.retain(&routing.View{})
 		case "refused":
-			subject.refused(now, listed, given(event[1]))
+			subject.recordRefusal(now, listed, given(event[1]))
 		case "told":
-			subject.denied(shared.Denial{Address: "a", Instance: event[1]})
+			subject.recordDenial(shared.Denial{Address: "a", Instance: event[1]})
 		case "wait":
 		default:
 			Fail("no such event: " + line)
 		}
-		found := map[bool]string{true: "held", false: "free"}[subject.holds(now, listed)]
+		found := map[bool]string{true: "held", false: "free"}[subject.isStale(now, listed)]
 		Expect(found).To(Equal(expected), line)
 	}
 }
@@ -56,7 +56,7 @@
 }
 
 var _ = Describe("outdated", func() {
-	DescribeTable("keeps an address out", outdatedTimeline,
+	DescribeTable("keeps an address out", staleTimeline,
 		Entry("until the list names another incarnation there", `
 			0s     list i-1 w1   free
 			1s     refused i-9   held
@@ -98,20 +98,20 @@
 	)
 
 	It("tells once that an incarnation is gone", func() {
-		subject := newOutdated()
+		subject := newStaleBackends()
 		listed := routing.Replica{Address: "a", Instance: "i-1", WeightVersion: "w1"}
-		Expect(subject.refused(0, listed, "i-9")).To(BeTrue())
-		Expect(subject.refused(0, listed, "i-9")).To(BeFalse())
-		Expect(subject.refused(0, listed, "i-1")).To(BeFalse(), "other weights are no news for others")
+		Expect(subject.recordRefusal(0, listed, "i-9")).To(BeTrue())
+		Expect(subject.recordRefusal(0, listed, "i-9")).To(BeFalse())
+		Expect(subject.recordRefusal(0, listed, "i-1")).To(BeFalse(), "other weights are no news for others")
 	})
 
 	It("forgets what is not listed any more, and holds no more than its bound", func() {
-		subject := newOutdated()
+		subject := newStaleBackends()
 		for number := range 2 * maxDenials {
-			subject.denied(shared.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
+			subject.recordDenial(shared.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
 		}
 		Expect(subject.gone).To(HaveLen(maxDenials))
-		subject.refused(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
+		subject.recordRefusal(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
 		subject.retain(&routing.View{})
 		Expect(subject.gone).To(BeEmpty())
 		Expect(subject.entries).To(BeEmpty())
--- a/internal/dataplane/warmup_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -13,30 +13,30 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// silentReports are replicas that this node does not read.
-type silentReports struct{}
+// unresponsiveReports are replicas that this node does not read.
+type unresponsiveReports struct{}
 
-func (silentReports) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (dataplane.ReportPage, error) {
+func (unresponsiveReports) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (dataplane.ReportPage, error) {
 	<-ctx.Done()
 	return dataplane.ReportPage{}, ctx.Err()
 }
 
-func (silentReports) List(ctx context.Context, _ string) (dataplane.ReportPage, error) {
+func (unresponsiveReports) List(ctx context.Context, _ string) (dataplane.ReportPage, error) {
 	<-ctx.Done()
 	return dataplane.ReportPage{}, ctx.Err()
 }
 
 var _ = Describe("A node that has just started", func() {
 	It("sends no prompt until it has heard what the replicas keep", func() {
-		stand := newReplica(answering("done"))
-		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = silentReports{} }, stand.address())
+		stand := newReplica(respondWith("done"))
+		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, stand.address())
 		f.timeout = 50
 		f.publish()
 		Expect(f.generate().status).NotTo(Equal(http.StatusOK))
 		Expect(stand.requests()).To(BeEmpty())
 
-		f.server.TakeNews(shared.News{Node: "other", Reports: []shared.Report{
-			{Address: stand.address(), Feed: kvrouter.FeedPosition{Incarnation: 1, Next: 1}, Whole: true},
+		f.server.ApplyUpdate(shared.Update{Node: "other", Reports: []shared.Report{
+			{Address: stand.address(), Feed: kvrouter.FeedPosition{Incarnation: 1, Next: 1}, Complete: true},
 		}})
 		f.timeout = 10000
 		f.publish()
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -35,8 +35,8 @@
 // inFlightOn returns how many attempts run on back ends.
 func (s *Server) inFlightOn(replicas []routing.Replica) int {
 	total := 0
-	for _, listed := range replicas {
-		total += s.inFlight.of(listed.Address)
+	for _, replica := range replicas {
+		total += s.inFlight.count(replica.Address)
 	}
 	return total
 }
--- a/internal/dataplane/stats_test.go
+++ b/internal/dataplane/stats_test.go
@@ -18,7 +18,7 @@
 			}
 			close(arrived)
 			<-proceed
-			answering("late")(writer, request)
+			respondWith("late")(writer, request)
 		})
 		f := newFixture(stand.address())
 		inFlight := func() map[bool]int {
