--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -27,7 +27,7 @@
 }
 
 // Send implements dataplane.BackendEdge.
-func (o *occupants) Send(_ context.Context, attempt dataplane.Attempt) (dataplane.Answer, error) {
+func (o *occupants) Send(_ context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	standing := o.standing[attempt.Address]
@@ -41,14 +41,14 @@
 // completeResponse is an answer without a body.
 type completeResponse struct{}
 
-func (completeResponse) Status() int                      { return http.StatusOK }
-func (completeResponse) Header() http.Header              { return http.Header{} }
-func (completeResponse) WeightVersion() string            { return weightsOne }
-func (completeResponse) Streamed() bool                   { return false }
-func (completeResponse) ReadWhole() ([]byte, bool, error) { return nil, true, nil }
-func (completeResponse) Next() ([]byte, error)            { return nil, io.EOF }
-func (completeResponse) LastEventID() string              { return "" }
-func (completeResponse) Close()                           {}
+func (completeResponse) Status() int                    { return http.StatusOK }
+func (completeResponse) Header() http.Header            { return http.Header{} }
+func (completeResponse) WeightVersion() string          { return weightsOne }
+func (completeResponse) Streamed() bool                 { return false }
+func (completeResponse) ReadAll() ([]byte, bool, error) { return nil, true, nil }
+func (completeResponse) Next() ([]byte, error)          { return nil, io.EOF }
+func (completeResponse) LastEventID() string            { return "" }
+func (completeResponse) Close()                         {}
 
 var _ = Describe("An address that another replica has got", func() {
 	const reused, other = "replica-0:1", "replica-1:1"
--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -130,19 +130,19 @@
 	})
 
 	DescribeTable("never make a cut answer look complete, wherever it is cut", func(streamed bool) {
-		whole := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nAttempt-Id: ATTEMPT\r\n\r\nhello"
+		full := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nAttempt-Id: ATTEMPT\r\n\r\nhello"
 		if streamed {
-			whole = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nAttempt-Id: ATTEMPT\r\n\r\n" +
+			full = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nAttempt-Id: ATTEMPT\r\n\r\n" +
 				"9\r\ndata: a\n\n\r\ne\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
 		}
-		backend := newCuttingReplica(whole)
+		backend := newCuttingReplica(full)
 		f := newFixture(backend.listener.Addr().String())
 		complete := 0
-		for cut := range len(whole) + 1 {
-			backend.cut.Store(int64(cut))
+		for truncated := range len(full) + 1 {
+			backend.cut.Store(int64(truncated))
 			before := backend.runs.Load()
 			got := f.generate()
-			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "cut after %d bytes", cut)
+			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "cut after %d bytes", truncated)
 			switch {
 			case got.err != nil:
 				Expect(streamed).To(BeTrue())
@@ -203,13 +203,13 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		c.runs.Add(1)
 		script := strings.Replace(c.script, "ATTEMPT", request.Header.Get(replica.HeaderAttemptID), 1)
-		cut := c.cut.Load()
-		if cut < int64(len(c.script)) {
+		truncated := c.cut.Load()
+		if truncated < int64(len(c.script)) {
 			// The cut is counted from the end, as the identity has grown the
 			// script.
-			keep := int64(len(script)) - (int64(len(c.script)) - cut)
-			if cut < int64(strings.Index(c.script, "ATTEMPT")) {
-				keep = cut
+			keep := int64(len(script)) - (int64(len(c.script)) - truncated)
+			if truncated < int64(strings.Index(c.script, "ATTEMPT")) {
+				keep = truncated
 			}
 			_, _ = io.WriteString(connection, script[:keep])
 			return
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -29,7 +29,7 @@
 // are, some go wrong.
 type backends struct {
 	// wrong is what then happens, and every which of the requests it happens to.
-	wrong func(ctx context.Context) (dataplane.Answer, error)
+	wrong func(ctx context.Context) (dataplane.Response, error)
 	every int
 	mutex sync.Mutex
 	grey  map[string]bool
@@ -37,7 +37,7 @@
 }
 
 // Send implements dataplane.BackendEdge.
-func (b *backends) Send(ctx context.Context, attempt dataplane.Attempt) (dataplane.Answer, error) {
+func (b *backends) Send(ctx context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
 	b.mutex.Lock()
 	b.sent[attempt.Address]++
 	wrong := b.grey[attempt.Address] && (b.sent[attempt.Address]-1)%b.every == 0
@@ -64,26 +64,26 @@
 
 // What may go wrong.
 var (
-	failing = func(context.Context) (dataplane.Answer, error) {
+	failing = func(context.Context) (dataplane.Response, error) {
 		return statusResponse{status: http.StatusInternalServerError}, nil
 	}
-	shedding = func(context.Context) (dataplane.Answer, error) {
+	shedding = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.RefusedError{Status: http.StatusServiceUnavailable}
 	}
-	unclear = func(context.Context) (dataplane.Answer, error) {
+	unclear = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.FailedAnswerError{Status: http.StatusServiceUnavailable}
 	}
-	resetting = func(context.Context) (dataplane.Answer, error) {
+	resetting = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.Error{MayHaveLeft: true}
 	}
-	garbling = func(context.Context) (dataplane.Answer, error) {
+	garbling = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.FaultError{Reason: "the answer was cut"}
 	}
-	hanging = func(ctx context.Context) (dataplane.Answer, error) {
+	hanging = func(ctx context.Context) (dataplane.Response, error) {
 		<-ctx.Done()
 		return nil, &outbound.Error{MayHaveLeft: true}
 	}
-	unreachable = func(context.Context) (dataplane.Answer, error) {
+	unreachable = func(context.Context) (dataplane.Response, error) {
 		return nil, outbound.NotSent(errors.New("connection refused"))
 	}
 )
@@ -93,7 +93,7 @@
 	var edge *backends
 
 	address := func(number int) string { return fmt.Sprintf("backend-%d:1", number) }
-	newEdge := func(wrong func(context.Context) (dataplane.Answer, error)) *backends {
+	newEdge := func(wrong func(context.Context) (dataplane.Response, error)) *backends {
 		return &backends{wrong: wrong, every: 2, grey: map[string]bool{}, sent: map[string]int{}}
 	}
 	// newPool starts a node before a pool of which the edge answers.
@@ -128,7 +128,7 @@
 		return failed
 	}
 
-	DescribeTable("gets next to nothing while every second request to it ends in", func(wrong func(context.Context) (dataplane.Answer, error)) {
+	DescribeTable("gets next to nothing while every second request to it ends in", func(wrong func(context.Context) (dataplane.Response, error)) {
 		edge = newEdge(wrong)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
@@ -283,7 +283,7 @@
 	Context("by several nodes", func() {
 		peers := []member.Info{{ID: "a-1", Zone: "a"}, {ID: "a-2", Zone: "a"}, {ID: "b-1", Zone: "b"}, {ID: "b-2", Zone: "b"}}
 		// newFleet starts a node for each peer, with an edge of its own.
-		newFleet := func(wrong func(context.Context) (dataplane.Answer, error)) (nodes []*fixture, edges []*backends) {
+		newFleet := func(wrong func(context.Context) (dataplane.Response, error)) (nodes []*fixture, edges []*backends) {
 			for _, peer := range peers {
 				edge := newEdge(wrong)
 				edges = append(edges, edge)
@@ -296,11 +296,11 @@
 		}
 		share := func(nodes []*fixture) {
 			for number, from := range nodes {
-				news := from.server.PendingUpdate()
-				news.Node = peers[number].ID
+				update := from.server.PendingUpdate()
+				update.Node = peers[number].ID
 				for other, to := range nodes {
 					if other != number {
-						to.server.ApplyUpdate(news)
+						to.server.ApplyUpdate(update)
 					}
 				}
 			}
@@ -351,33 +351,33 @@
 		f := newPool(edge, unchanged)
 		f.webs = append([]routing.Replica(nil), f.replicas...)
 		f.publish()
-		ask := func(requests int) {
+		sendRequest := func(requests int) {
 			for range requests {
 				f.clock.Add(int64(50 * time.Millisecond))
 				f.send(http.MethodGet, webHost, "/")
 			}
 		}
-		ask(60)
+		sendRequest(60)
 		edge.turnGrey(address(0), true)
-		ask(60)
+		sendRequest(60)
 		before := edge.count(address(0))
-		ask(100)
+		sendRequest(100)
 		Expect(edge.count(address(0)) - before).To(BeNumerically("<=", 4))
 
 		By("slowness")
 		edge.turnGrey(address(0), false)
-		ask(400)
+		sendRequest(400)
 		f.target = 300
 		f.publish()
 		edge.mutex.Lock()
 		edge.every = 1
-		edge.wrong = func(context.Context) (dataplane.Answer, error) {
+		edge.wrong = func(context.Context) (dataplane.Response, error) {
 			f.clock.Add(int64(400 * time.Millisecond))
 			return completeResponse{}, nil
 		}
 		edge.mutex.Unlock()
 		edge.turnGrey(address(1), true)
-		ask(200)
+		sendRequest(200)
 		Expect(f.server.Stats()).To(ContainElement(And(HaveField("WebService", true), HaveField("Ejected", 1))))
 	})
 
--- a/internal/dataplane/caller_disconnect_test.go
+++ b/internal/dataplane/caller_disconnect_test.go
@@ -34,9 +34,9 @@
 		Expect(connection.Close()).To(Succeed())
 		Eventually(f.server.Waiting).WithTimeout(waitTimeout / 2).Should(BeZero())
 		release()
-		var answered outcome
-		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&answered))
-		Expect(answered.status).To(Equal(http.StatusOK))
+		var responded outcome
+		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&responded))
+		Expect(responded.status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 		for _, request := range stand.requests() {
 			Expect(request.Header.Get("Request-Id")).NotTo(Equal("left"))
@@ -67,8 +67,8 @@
 		Expect(response.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
 		Expect(f.server.Waiting()).To(BeZero())
 		release()
-		var answered outcome
-		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&answered))
-		Expect(answered.status).To(Equal(http.StatusOK))
+		var responded outcome
+		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&responded))
+		Expect(responded.status).To(Equal(http.StatusOK))
 	})
 })
--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -55,21 +55,21 @@
 	}
 
 	It("lets one of several nodes run a request", func() {
-		held, err := claim("a")
+		granted, err := claim("a")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held.Valid()).To(BeTrue())
+		Expect(granted.Valid()).To(BeTrue())
 		_, err = claim("b")
 		Expect(err).To(MatchError(dataplane.ErrAlreadyClaimed))
-		held.End(false)
+		granted.End(false)
 		_, err = claim("b")
 		Expect(err).NotTo(HaveOccurred())
 	})
 
 	It("loses a claim that nobody acknowledges any more", func() {
-		held, err := claim("a")
+		granted, err := claim("a")
 		Expect(err).NotTo(HaveOccurred())
 		clock.Add(int64(claims.DefaultRetention))
-		Expect(held.Valid()).To(BeFalse())
+		Expect(granted.Valid()).To(BeFalse())
 	})
 
 	It("says in time that too few homes answer", func() {
--- a/internal/dataplane/connection_limit_test.go
+++ b/internal/dataplane/connection_limit_test.go
@@ -19,16 +19,16 @@
 var _ = Describe("The connections to a back end", func() {
 	// limits starts a node among others, with a pool and a web service that share
 	// a back end, and returns its bounds.
-	limits := func(nodes int, poolMost, webMost uint32) func(address string) int {
+	limits := func(nodes int, poolLimit, webLimit uint32) func(address string) int {
 		f := newFixtureWith(func(options *dataplane.Options) {
 			options.Peers = func() []member.Info { return make([]member.Info, nodes) }
 		})
 		pool := &routing.Pool{
-			Config:   &ridgeswitchv1.Pool{Name: "pool", Backends: &ridgeswitchv1.BackendLimits{MaxConnections: poolMost}},
+			Config:   &ridgeswitchv1.Pool{Name: "pool", Backends: &ridgeswitchv1.BackendLimits{MaxConnections: poolLimit}},
 			Replicas: []routing.Replica{{Address: "pool:1"}, {Address: "both:1"}},
 		}
 		web := &routing.WebService{
-			Config:   &ridgeswitchv1.WebService{Name: "web", Backends: &ridgeswitchv1.BackendLimits{MaxConnections: webMost}},
+			Config:   &ridgeswitchv1.WebService{Name: "web", Backends: &ridgeswitchv1.BackendLimits{MaxConnections: webLimit}},
 			Replicas: []routing.Replica{{Address: "web:1"}, {Address: "both:1"}},
 		}
 		f.source.view.Store(&routing.View{
@@ -81,7 +81,7 @@
 	})
 
 	It("are no fault of the back end when they are spent", func() {
-		spent := &backends{wrong: func(context.Context) (dataplane.Answer, error) {
+		spent := &backends{wrong: func(context.Context) (dataplane.Response, error) {
 			return nil, outbound.NotSent(&outbound.ConnectionsSpentError{Address: "only:1", Limit: 2})
 		}, every: 2, grey: map[string]bool{"only:1": true}, sent: map[string]int{}}
 		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Replicas = spent }, "only:1", "other:1")
--- a/internal/dataplane/destination_sampler_internal_test.go
+++ b/internal/dataplane/destination_sampler_internal_test.go
@@ -23,8 +23,8 @@
 	}
 
 	DescribeTable("gives each its share of any requests that follow each other", func(weights ...uint32) {
-		// most is how far a count may lie from its share, in requests.
-		const most, longest, nodes = 3.0, 400, 50
+		// tolerance is how far a count may lie from its share, in requests.
+		const tolerance, requests, nodes = 3.0, 400, 50
 		route, pools := split(weights...)
 		total := uint64(0)
 		for _, weight := range weights {
@@ -33,13 +33,13 @@
 		for range nodes {
 			draws := newDestinationSampler()
 			counts := map[*routing.Pool]int{}
-			for number := 1; number <= longest; number++ {
+			for number := 1; number <= requests; number++ {
 				// What other routes get in between changes nothing.
 				draws.next("other.example", route)
 				counts[route.Destination(draws.next("models.example", route)).Pool]++
 				for at, pool := range pools {
 					share := float64(number) * float64(weights[at]) / float64(total)
-					Expect(math.Abs(float64(counts[pool])-share)).To(BeNumerically("<=", most),
+					Expect(math.Abs(float64(counts[pool])-share)).To(BeNumerically("<=", tolerance),
 						"destination %d after %d requests", at, number)
 				}
 			}
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -35,7 +35,7 @@
 	// that bears no more now.
 	tryAcquireSlowStart() bool
 	// send runs the attempt up to the header of its answer.
-	send(ctx context.Context, w *work, attempt int) (Answer, error)
+	send(ctx context.Context, w *work, attempt int) (Response, error)
 	// handleRefusal says that the back end promised not to run the attempt.
 	handleRefusal(refusal *outbound.RefusedError)
 	// hasSpareCapacity tells whether the back end is known to have places left, so that a
@@ -188,7 +188,7 @@
 
 // receive reads an answer to its end. What need not be held back is handed on
 // at once.
-func (d *dispatcher) receive(w *work, chosen target, attempt int, received Answer) error {
+func (d *dispatcher) receive(w *work, chosen target, attempt int, received Response) error {
 	if w.relaying && (!received.Streamed() || received.Status() != http.StatusOK) {
 		return &outbound.FaultError{Reason: fmt.Sprintf("the stream was not taken up: the back end answered with status %d", received.Status())}
 	}
@@ -201,7 +201,7 @@
 		w.health.responded(d.server.options.Clock(), received.Status())
 		return d.relay(w, attempt, received, chunk, err)
 	}
-	body, complete, err := received.ReadWhole()
+	body, complete, err := received.ReadAll()
 	if err != nil {
 		return err
 	}
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -34,7 +34,7 @@
 	// Send runs one attempt up to the header of its answer. It sends the request
 	// once at most. The errors are *outbound.Error, *outbound.RefusedError and
 	// *outbound.FaultError; after any other one the request may have run.
-	Send(ctx context.Context, attempt Attempt) (Answer, error)
+	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
 
 // Edges are the protocols that a node speaks to callers and back ends.
@@ -103,8 +103,8 @@
 	FirstChunk, LastChunk int
 }
 
-// Answer is a back end's answer whose header has arrived.
-type Answer interface {
+// Response is a back end's answer whose header has arrived.
+type Response interface {
 	// Status returns the HTTP status.
 	Status() int
 	// Header returns the headers that are handed on.
@@ -113,9 +113,9 @@
 	WeightVersion() string
 	// Streamed tells whether the answer is to be handed on as it comes.
 	Streamed() bool
-	// ReadWhole reads the answer, or returns false with its beginning if it
+	// ReadAll reads the answer, or returns false with its beginning if it
 	// is too long to be held back.
-	ReadWhole() ([]byte, bool, error)
+	ReadAll() ([]byte, bool, error)
 	// Next returns the next bytes to hand on, and io.EOF after the proper end.
 	// Of a stream of events it returns whole events. The bytes are valid until
 	// the next call.
--- a/internal/dataplane/event_feed_internal_test.go
+++ b/internal/dataplane/event_feed_internal_test.go
@@ -111,13 +111,13 @@
 		Expect(source.asked).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}, {Incarnation: 1, Sequence: 4}}), "the stream that resync ends is the open one")
 
 		source.events = nil
-		asking := &resyncingSource{}
-		subject.source = asking
-		asking.during = subject.resync
+		requesting := &resyncingSource{}
+		subject.source = requesting
+		requesting.during = subject.resync
 		subject.follow(context.Background())
 		subject.follow(context.Background())
-		Expect(asking.asked).To(Equal([]replica.Position{{Incarnation: 1, Sequence: 4}, {}}))
-		Expect(asking.ended).To(Equal([]bool{true, false}))
+		Expect(requesting.asked).To(Equal([]replica.Position{{Incarnation: 1, Sequence: 4}, {}}))
+		Expect(requesting.ended).To(Equal([]bool{true, false}))
 	})
 
 	It("starts anew when events are missing for too long", func() {
--- a/internal/dataplane/keep_alive_test.go
+++ b/internal/dataplane/keep_alive_test.go
@@ -18,7 +18,7 @@
 	// hammer sends requests on one connection, each after the answer to the one
 	// before, until the connection ends. It returns the identity of the one that
 	// was not answered, if there is one.
-	hammer := func(address, name string, answered func()) string {
+	hammer := func(address, name string, responded func()) string {
 		connection, err := net.DialTimeout("tcp", address, waitTimeout)
 		if err != nil {
 			return name
@@ -36,7 +36,7 @@
 			if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
 				return id
 			}
-			answered()
+			responded()
 			if response.Close {
 				return ""
 			}
--- a/internal/dataplane/native_edges.go
+++ b/internal/dataplane/native_edges.go
@@ -62,7 +62,7 @@
 
 // Send implements BackendEdge. An answer that leaves open whether the request
 // has run is an *outbound.FailedAnswerError.
-func (r *nativeReplicaEdge) Send(ctx context.Context, attempt Attempt) (Answer, error) {
+func (r *nativeReplicaEdge) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 }
 
 // Send implements BackendEdge.
-func (w *nativeWebServiceEdge) Send(ctx context.Context, attempt Attempt) (Answer, error) {
+func (w *nativeWebServiceEdge) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := w.client.Forward(ctx, webservice.Call{
 		Address:   attempt.Address,
 		Request:   attempt.Request,
--- a/internal/dataplane/partial_body_test.go
+++ b/internal/dataplane/partial_body_test.go
@@ -69,8 +69,8 @@
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
 		f.publish()
 		connection := f.connect()
-		whole := promptHead(fmt.Sprintf("Content-Length: %d", len(defaultBody))) + defaultBody
-		connection.write(whole)
+		full := promptHead(fmt.Sprintf("Content-Length: %d", len(defaultBody))) + defaultBody
+		connection.write(full)
 		response, _ := connection.answer()
 		Expect(response.StatusCode).To(Equal(http.StatusOK), "a whole request before it, on the same connection")
 
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -221,7 +221,7 @@
 }
 
 // send implements target.
-func (t *replicaTarget) send(ctx context.Context, w *work, attempt int) (Answer, error) {
+func (t *replicaTarget) send(ctx context.Context, w *work, attempt int) (Response, error) {
 	received, err := t.backend.edge.Send(ctx, t.attempt(w, attempt))
 	if err != nil {
 		return nil, err
@@ -274,7 +274,7 @@
 }
 
 // checkVersion refuses answers made under other weights.
-func (t *replicaTarget) checkVersion(received Answer) error {
+func (t *replicaTarget) checkVersion(received Response) error {
 	actual := received.WeightVersion()
 	if actual == "" {
 		return nil
--- a/internal/dataplane/prefix_wait_test.go
+++ b/internal/dataplane/prefix_wait_test.go
@@ -25,7 +25,7 @@
 		f        *fixture
 		begin    chan struct{}
 		release  func()
-		begun    atomic.Bool
+		started  atomic.Bool
 		early    atomic.Int32
 		ended    chan int
 		requests = func() float64 {
@@ -60,10 +60,10 @@
 		begin = make(chan struct{})
 		release = sync.OnceFunc(func() { close(begin) })
 		ended = make(chan int, 2)
-		begun.Store(false)
+		started.Store(false)
 		early.Store(0)
 		stand = newReplica(func(writer http.ResponseWriter, request *http.Request) {
-			if !begun.Load() {
+			if !started.Load() {
 				early.Add(1)
 			}
 			<-begin
@@ -81,7 +81,7 @@
 		generate(context.Background())
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
 		Consistently(stand.requests, 100*time.Millisecond).Should(HaveLen(1))
-		begun.Store(true)
+		started.Store(true)
 		release()
 		Eventually(stand.requests, waitTimeout).Should(HaveLen(2))
 		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
@@ -95,7 +95,7 @@
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
 		leave()
 		Eventually(requests, waitTimeout).Should(Equal(1.0))
-		begun.Store(true)
+		started.Store(true)
 		release()
 		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
 		Expect(stand.requests()).To(HaveLen(1))
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -73,13 +73,13 @@
 		Expect(records[0]).To(And(HaveField("Outcome", recording.Refused), HaveField("Problem", string(got.problem.Kind)),
 			HaveField("Status", got.status), HaveField("Attempts", 1)))
 
-		cut := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		truncated := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			panic(http.ErrAbortHandler)
 		})
 		records = recorded(filepath.Join(GinkgoT().TempDir(), "cut.jsonl"), func(f *fixture) {
 			f.generate(header{"Accept", "text/event-stream"})
-		}, cut.address())
+		}, truncated.address())
 		Expect(records[0]).To(And(HaveField("Outcome", recording.Cut), HaveField("Streamed", true)))
 	})
 
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -28,7 +28,7 @@
 
 // relay hands an answer on as it comes, beginning with what has been read. The
 // status line goes out only here, after a first part has come.
-func (d *dispatcher) relay(w *work, attempt int, received Answer, chunk []byte, err error) error {
+func (d *dispatcher) relay(w *work, attempt int, received Response, chunk []byte, err error) error {
 	w.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
 	if !w.relaying {
 		w.relaying = true
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -117,12 +117,12 @@
 
 	repeatable, once := header{"Repeatable", "true"}, header{"Repeatable", "false"}
 
-	DescribeTable("after it was answered, of which the caller may have got nothing", func(first, second header, taken bool) {
+	DescribeTable("after it was answered, of which the caller may have got nothing", func(first, second header, accepted bool) {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
 		again := f.generate(named, second)
-		if taken {
+		if accepted {
 			Expect(again.status).To(Equal(http.StatusOK))
 			Expect(stand.requests()).To(HaveLen(2))
 			return
@@ -135,7 +135,7 @@
 		Entry("is refused if the second may not", repeatable, once, false),
 	)
 
-	DescribeTable("while the first runs, whose caller may have gone unnoticed", func(first, second header, taken bool) {
+	DescribeTable("while the first runs, whose caller may have gone unnoticed", func(first, second header, accepted bool) {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -145,22 +145,22 @@
 		f := newFixture(stand.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
-		answers := make(chan outcome, 2)
-		go func() { answers <- f.generate(named, first) }()
+		responses := make(chan outcome, 2)
+		go func() { responses <- f.generate(named, first) }()
 		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
-		go func() { answers <- f.generate(named, second) }()
-		if taken {
+		go func() { responses <- f.generate(named, second) }()
+		if accepted {
 			Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		} else {
 			var refused outcome
-			Eventually(answers).WithTimeout(waitTimeout).Should(Receive(&refused))
+			Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&refused))
 			Expect(refused.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 			Expect(stand.requests()).To(HaveLen(1))
 		}
 		release()
-		var answered outcome
-		Eventually(answers).WithTimeout(waitTimeout).Should(Receive(&answered))
-		Expect(answered.status).To(Equal(http.StatusOK))
+		var responded outcome
+		Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&responded))
+		Expect(responded.status).To(Equal(http.StatusOK))
 	},
 		Entry("is taken if it may run twice", repeatable, repeatable, true),
 		Entry("is refused if the first may not", once, repeatable, false),
--- a/internal/dataplane/route_timeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -20,9 +20,9 @@
 		given = 300 * time.Millisecond
 		// grace is how long after it the answer may end.
 		grace = 500 * time.Millisecond
-		// ownBound is the destination's own, in milliseconds: a node that ignores
+		// destinationTimeout is the destination's own, in milliseconds: a node that ignores
 		// the route's time ends the request then, and the specs don't hang.
-		ownBound = 2000
+		destinationTimeout = 2000
 	)
 
 	// stuck never goes on after the beginning of its answer.
@@ -43,7 +43,7 @@
 	DescribeTable("ends it in time, whatever keeps it", func(script http.HandlerFunc, streamed, resumable bool) {
 		stand, other := newReplica(script), newReplica(script)
 		f := newFixture(stand.address(), other.address())
-		f.timeout = ownBound
+		f.timeout = destinationTimeout
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds()), Resumable: resumable}
 		f.publish()
 		began := time.Now()
@@ -88,7 +88,7 @@
 		go func() { first <- f.generate() }()
 		Eventually(arrived).WithTimeout(waitTimeout).Should(BeClosed())
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
-		f.timeout = ownBound
+		f.timeout = destinationTimeout
 		f.publish()
 		began := time.Now()
 		got := f.generate()
--- a/internal/dataplane/server_test.go
+++ b/internal/dataplane/server_test.go
@@ -38,14 +38,14 @@
 		go func() { ended <- f.server.Start() }()
 		<-f.server.Listening()
 		address := f.server.Address()
-		answered := make(chan string, 1)
+		responded := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
 			response, err := post(address)
 			Expect(err).NotTo(HaveOccurred())
 			body, _ := io.ReadAll(response.Body)
 			_ = response.Body.Close()
-			answered <- string(body)
+			responded <- string(body)
 		}()
 		<-arrived
 
@@ -56,7 +56,7 @@
 		Expect(err).To(HaveOccurred(), "no new connection is taken")
 
 		close(proceed)
-		Expect(<-answered).To(Equal("late"))
+		Expect(<-responded).To(Equal("late"))
 		Expect(f.server.Drain(context.Background())).To(Succeed())
 		Expect(<-ended).NotTo(HaveOccurred())
 	})
--- a/internal/dataplane/shared/exchange_test.go
+++ b/internal/dataplane/shared/exchange_test.go
@@ -20,7 +20,7 @@
 type network struct {
 	peers     []member.Info
 	exchanges map[member.ID]*shared.Exchange
-	// heard counts how often each node heard the news of each.
+	// received counts how often each node heard the news of each.
 	heard map[member.ID]map[member.ID]int
 	// crossings counts the batches between zones, and sent all batches.
 	crossings, sent int
@@ -64,8 +64,8 @@
 	if from.Zone != to.Zone {
 		n.crossings++
 	}
-	for _, news := range n.exchanges[to.ID].Receive(batch) {
-		n.heard[to.ID][news.Node]++
+	for _, update := range n.exchanges[to.ID].Receive(batch) {
+		n.heard[to.ID][update.Node]++
 	}
 }
 
@@ -81,10 +81,10 @@
 		for range 4 {
 			n.round(nil)
 		}
-		for id, heard := range n.heard {
-			Expect(heard).To(HaveLen(len(n.peers)-1), "news at %s", id)
-			Expect(heard).NotTo(HaveKey(id))
-			for from, times := range heard {
+		for id, received := range n.heard {
+			Expect(received).To(HaveLen(len(n.peers)-1), "news at %s", id)
+			Expect(received).NotTo(HaveKey(id))
+			for from, times := range received {
 				Expect(times).To(Equal(1), "%s of %s", id, from)
 			}
 		}
@@ -111,16 +111,16 @@
 				without = append(without, peer)
 			}
 		}
-		teller := without[0]
-		Expect(teller.Zone).To(Equal("zone-0"))
-		n.exchanges[teller.ID].Add(shared.Update{})
+		sender := without[0]
+		Expect(sender.Zone).To(Equal("zone-0"))
+		n.exchanges[sender.ID].Add(shared.Update{})
 		for range 4 {
 			// The teller alone has noticed that the relay is dead.
-			n.round(map[member.ID][]member.Info{teller.ID: without})
+			n.round(map[member.ID][]member.Info{sender.ID: without})
 		}
 		for _, peer := range without {
-			if peer.ID != teller.ID && peer.Zone != "zone-0" {
-				Expect(n.heard[peer.ID]).To(HaveKey(teller.ID), "news at %s", peer.ID)
+			if peer.ID != sender.ID && peer.Zone != "zone-0" {
+				Expect(n.heard[peer.ID]).To(HaveKey(sender.ID), "news at %s", peer.ID)
 			}
 		}
 	})
@@ -142,8 +142,8 @@
 		for range 4 {
 			n.round(nil)
 		}
-		for id, heard := range n.heard {
-			for from, times := range heard {
+		for id, received := range n.heard {
+			for from, times := range received {
 				Expect(times).To(Equal(1), "%s of %s", id, from)
 			}
 		}
@@ -153,11 +153,11 @@
 
 	It("holds no more than its bound", func() {
 		exchange := shared.NewExchange("relay", "zone")
-		news := make([]shared.Update, 10000)
-		for i := range news {
-			news[i].Node = "other"
+		update := make([]shared.Update, 10000)
+		for i := range update {
+			update[i].Node = "other"
 		}
-		Expect(exchange.Receive(shared.Batch{Stage: shared.NodeToRelay, Updates: news})).To(HaveLen(len(news)))
+		Expect(exchange.Receive(shared.Batch{Stage: shared.NodeToRelay, Updates: update})).To(HaveLen(len(update)))
 		peers := []member.Info{{ID: "relay", Zone: "zone"}, {ID: "listener", Zone: "zone", TrafficAddress: "served"}}
 		sends := exchange.Flush(peers)
 		Expect(sends).To(HaveLen(1))
--- a/internal/dataplane/shared/snapshot_test.go
+++ b/internal/dataplane/shared/snapshot_test.go
@@ -36,18 +36,18 @@
 		return sends[0].To[0].ID
 	}
 	nothingDue := func(at time.Duration) { ExpectWithOffset(1, adoption.Tick(at, live)).To(BeEmpty()) }
-	told := func(node member.ID, reports int) shared.Update {
+	sent := func(node member.ID, reports int) shared.Update {
 		return shared.Update{Node: node, Reports: make([]shared.Report, reports)}
 	}
 
 	It("asks a node of its zone that serves callers, and is done once that has told all", func() {
 		Expect(asks(0)).To(Equal(member.ID("near")))
 		nothingDue(900 * time.Millisecond)
-		Expect(adoption.HandleResponse(900*time.Millisecond, shared.SnapshotChunk, told("near", 2))).To(BeTrue())
+		Expect(adoption.HandleResponse(900*time.Millisecond, shared.SnapshotChunk, sent("near", 2))).To(BeTrue())
 		nothingDue(1800 * time.Millisecond)
 		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeTrue())
 		Expect(adoption.Done(1800 * time.Millisecond)).To(BeFalse())
-		Expect(adoption.HandleResponse(1800*time.Millisecond, shared.SnapshotEnd, told("near", 0))).To(BeTrue())
+		Expect(adoption.HandleResponse(1800*time.Millisecond, shared.SnapshotEnd, sent("near", 0))).To(BeTrue())
 		Expect(adoption.Done(1800 * time.Millisecond)).To(BeTrue())
 		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeFalse())
 		nothingDue(4 * time.Second)
@@ -55,7 +55,7 @@
 
 	It("asks the next one at once if the first one knows nothing", func() {
 		asks(0)
-		adoption.HandleResponse(10*time.Millisecond, shared.SnapshotEnd, told("near", 0))
+		adoption.HandleResponse(10*time.Millisecond, shared.SnapshotEnd, sent("near", 0))
 		Expect(adoption.Done(10 * time.Millisecond)).To(BeFalse())
 		Expect(adoption.Pending(10 * time.Millisecond)).To(BeFalse())
 		Expect(asks(20 * time.Millisecond)).To(Equal(member.ID("far")))
@@ -63,15 +63,15 @@
 
 	It("asks the next one if the first one is silent for a second, or falls silent", func() {
 		asks(0)
-		adoption.HandleResponse(500*time.Millisecond, shared.SnapshotChunk, told("near", 1))
+		adoption.HandleResponse(500*time.Millisecond, shared.SnapshotChunk, sent("near", 1))
 		nothingDue(1400 * time.Millisecond)
 		Expect(asks(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("takes no answer that it does not wait for", func() {
-		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, told("near", 1))).To(BeFalse())
+		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, sent("near", 1))).To(BeFalse())
 		asks(0)
-		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, told("far", 1))).To(BeFalse())
+		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, sent("far", 1))).To(BeFalse())
 		Expect(adoption.Done(0)).To(BeFalse())
 	})
 
@@ -93,10 +93,10 @@
 	})
 
 	It("gives up after five seconds, whatever is still being told", func() {
-		told := told(asks(0), 1)
+		sent := sent(asks(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 			Expect(adoption.Done(at)).To(BeFalse())
-			adoption.HandleResponse(at, shared.SnapshotChunk, told)
+			adoption.HandleResponse(at, shared.SnapshotChunk, sent)
 			nothingDue(at)
 		}
 		Expect(adoption.Done(5 * time.Second)).To(BeTrue())
@@ -104,7 +104,7 @@
 
 	It("is done when all have told that they know nothing, but not before it can know them all", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
-			adoption.HandleResponse(at, shared.SnapshotEnd, told(asks(at), 0))
+			adoption.HandleResponse(at, shared.SnapshotEnd, sent(asks(at), 0))
 		}
 		nothingDue(time.Second)
 		Expect(adoption.Done(time.Second)).To(BeFalse())
@@ -116,7 +116,7 @@
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
-			adoption.HandleResponse(at, shared.SnapshotEnd, told(asks(at), 0))
+			adoption.HandleResponse(at, shared.SnapshotEnd, sent(asks(at), 0))
 		}
 		nothingDue(10 * time.Millisecond)
 	})
@@ -136,12 +136,12 @@
 		return shared.Report{Address: address, Complete: true, Changes: make([]shared.Change, changes)}, address != "unknown"
 	}
 	// told is what a send tells: to whom, at what stage, of which back ends.
-	told := func(send shared.Outbound) string {
+	sent := func(send shared.Outbound) string {
 		addresses := lo.Map(send.Batch.Updates[0].Reports, func(report shared.Report, _ int) string { return report.Address })
 		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == shared.SnapshotEnd, " ", addresses)
 	}
 	tick := func() []string {
-		return lo.Map(answers.Tick(live, snapshot), func(send shared.Outbound, _ int) string { return told(send) })
+		return lo.Map(answers.Tick(live, snapshot), func(send shared.Outbound, _ int) string { return sent(send) })
 	}
 
 	It("tells what it knows in pieces, each tick about as much as a small link carries", func() {
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -60,7 +60,7 @@
 		}
 		server.applyReport(now, gossipReport(backend, from, page))
 	}
-	known := func(server *Server) (int, kvrouter.FeedPosition) {
+	complete := func(server *Server) (int, kvrouter.FeedPosition) {
 		at, parts, _ := server.router.ChunksSnapshot(backend)
 		return len(parts), at
 	}
@@ -79,7 +79,7 @@
 			deliver(started, old)
 		}
 		Expect(started.snapshots.done(now)).To(BeTrue())
-		parts, at := known(started)
+		parts, at := complete(started)
 		Expect(parts).To(Equal(5001))
 		Expect(at).To(Equal(kvrouter.FeedPosition{Incarnation: 7, Next: 5001}))
 	})
--- a/internal/dataplane/split_route_test.go
+++ b/internal/dataplane/split_route_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("A split route", func() {
 	It("sends each destination its share, whatever other routes get", func() {
-		const requests, most = 60, 3
+		const requests, maximum = 60, 3
 		pooled, web := newReplica(respondWith("ok")), newReplica(respondWith("ok"))
 		f := newFixture(pooled.address())
 		f.webs = []routing.Replica{{Address: web.address(), Zone: "a", Admitting: true}}
@@ -30,6 +30,6 @@
 			Expect(f.generate().status).To(Equal(http.StatusOK))
 			Expect(f.send(http.MethodPost, poolHost, "/v1/plain", header{"Authorization", "Bearer " + courtKey}).status).To(Equal(http.StatusOK))
 		}
-		Expect(len(web.requests())).To(BeNumerically("~", requests/4, most))
+		Expect(len(web.requests())).To(BeNumerically("~", requests/4, maximum))
 	})
 })
--- a/internal/dataplane/startup_gate_internal_test.go
+++ b/internal/dataplane/startup_gate_internal_test.go
@@ -18,22 +18,22 @@
 		return &routing.View{Pools: map[string]*routing.Pool{"pool": pool}}
 	}
 	var (
-		u     *startupGate
-		known map[string]bool
-		whole = func(address string) bool { return known[address] }
+		u        *startupGate
+		complete map[string]bool
+		whole    = func(address string) bool { return complete[address] }
 	)
 	BeforeEach(func() {
 		u = newStartupGate()
-		known = make(map[string]bool)
+		complete = make(map[string]bool)
 	})
 
 	It("holds prompts back until it is known what most replicas keep", func() {
 		view := listing("a", "b", "c", "d")
 		u.update(time.Hour, view, whole)
-		known["a"], known["b"] = true, true
+		complete["a"], complete["b"] = true, true
 		u.update(time.Hour, view, whole)
 		Expect(u.opened).NotTo(BeClosed())
-		known["c"] = true
+		complete["c"] = true
 		u.update(time.Hour, view, whole)
 		Expect(u.opened).To(BeClosed())
 	})
@@ -49,7 +49,7 @@
 	})
 
 	It("does not begin anew", func() {
-		known["a"] = true
+		complete["a"] = true
 		u.update(0, listing("a"), whole)
 		u.update(time.Hour, listing("b", "c"), whole)
 		Expect(u.opened).To(BeClosed())
--- a/internal/dataplane/stats_test.go
+++ b/internal/dataplane/stats_test.go
@@ -33,20 +33,20 @@
 		ended := make(chan error, 1)
 		go func() { ended <- f.server.Start() }()
 		<-f.server.Listening()
-		answered := make(chan error, 1)
+		responded := make(chan error, 1)
 		go func() {
 			response, err := post(f.server.Address())
 			if err == nil {
 				err = response.Body.Close()
 			}
-			answered <- err
+			responded <- err
 		}()
 		<-arrived
 		Expect(inFlight()).To(HaveKeyWithValue(false, 1))
 		Expect(f.server.Stats()).To(ContainElement(HaveField("FirstAttempts", uint64(1))))
 		Expect(f.server.IndexStats().Reported).To(BeZero())
 		close(proceed)
-		Expect(<-answered).To(Succeed())
+		Expect(<-responded).To(Succeed())
 		f.server.Stop()
 		Expect(<-ended).To(Succeed())
 		Expect(f.server.Load()).NotTo(ContainElement(HaveField("InFlight", BeNumerically(">", 0))))
--- a/internal/dataplane/stream_test.go
+++ b/internal/dataplane/stream_test.go
@@ -46,9 +46,9 @@
 		Expect(line).To(Equal("data: a\n"))
 		Expect(f.server.InFlight(stand.address())).To(Equal(1))
 		close(read)
-		rest, err := io.ReadAll(reader)
+		remainder, err := io.ReadAll(reader)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(rest)).To(HaveSuffix("data: [DONE]\n\n"))
+		Expect(string(remainder)).To(HaveSuffix("data: [DONE]\n\n"))
 	})
 
 	It("that lacks its end never ends cleanly", func() {
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -124,7 +124,7 @@
 }
 
 // send implements target.
-func (t *webTarget) send(ctx context.Context, w *work, attempt int) (Answer, error) {
+func (t *webTarget) send(ctx context.Context, w *work, attempt int) (Response, error) {
 	described := w.attempt(t.backend.server, t.chosen.Address, attempt)
 	described.Instance = t.chosen.Instance
 	return t.backend.edge.Send(ctx, described)
--- a/internal/dataplane/web_backend_test.go
+++ b/internal/dataplane/web_backend_test.go
@@ -63,12 +63,12 @@
 	})
 
 	It("goes to the back end with the fewest requests in flight", func() {
-		held, proceed := make(chan struct{}), make(chan struct{})
+		inFlight, proceed := make(chan struct{}), make(chan struct{})
 		var holding atomic.Int32
 		script := func(writer http.ResponseWriter, request *http.Request) {
 			if request.URL.Path == "/hold" {
 				holding.Add(1)
-				close(held)
+				close(inFlight)
 				<-proceed
 				return
 			}
@@ -78,7 +78,7 @@
 		f := newWebFixture(newWeb(script), newWeb(script))
 		done := make(chan outcome)
 		go func() { done <- f.send(http.MethodGet, webHost, "/hold") }()
-		<-held
+		<-inFlight
 		busy := f.webs[0].Address
 		if f.server.InFlight(busy) == 0 {
 			busy = f.webs[1].Address
--- a/internal/edge/replica/answer.go
+++ b/internal/edge/replica/answer.go
@@ -73,10 +73,10 @@
 	_ = a.response.Body.Close()
 }
 
-// ReadWhole reads the whole answer; the second result is always true without
+// ReadAll reads the whole answer; the second result is always true without
 // an error. An answer that is cut, whose end cannot be told from a cut, or that
 // is too large, is a *outbound.FaultError.
-func (a *Answer) ReadWhole() ([]byte, bool, error) {
+func (a *Answer) ReadAll() ([]byte, bool, error) {
 	if !a.delimited() {
 		return nil, false, &outbound.FaultError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
 	}
--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -98,7 +98,7 @@
 	DescribeTable("takes no whole answer", func(script http.HandlerFunc) {
 		answer, err := generate(replica.Call{}, script)
 		Expect(err).NotTo(HaveOccurred())
-		_, _, err = answer.ReadWhole()
+		_, _, err = answer.ReadAll()
 		Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
 		answer.Close()
 	},
--- a/internal/edge/webservice/answer.go
+++ b/internal/edge/webservice/answer.go
@@ -54,10 +54,10 @@
 	_ = a.response.Body.Close()
 }
 
-// ReadWhole reads the answer up to the bound. It returns false if there is
+// ReadAll reads the answer up to the bound. It returns false if there is
 // more, which Next returns. A cut answer, or one whose end cannot be told from
 // a cut, is a *outbound.FaultError.
-func (a *Answer) ReadWhole() ([]byte, bool, error) {
+func (a *Answer) ReadAll() ([]byte, bool, error) {
 	if err := a.checkDelimited(); err != nil {
 		return nil, false, err
 	}
--- a/internal/edge/webservice/client_test.go
+++ b/internal/edge/webservice/client_test.go
@@ -53,7 +53,7 @@
 		long := strings.Repeat("x", 3*maxWholeBytes)
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, long) })
 		Expect(err).NotTo(HaveOccurred())
-		first, whole, err := answer.ReadWhole()
+		first, whole, err := answer.ReadAll()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(whole).To(BeFalse())
 		text := string(first)
@@ -75,7 +75,7 @@
 			}
 		})
 		Expect(err).NotTo(HaveOccurred())
-		_, _, err = answer.ReadWhole()
+		_, _, err = answer.ReadAll()
 		Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
 	},
 		Entry("that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage"),
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -189,11 +189,11 @@
 			}
 		}
 		total := 0
-		for _, held := range explored.held {
+		for _, running := range explored.held {
 			if limits.Concurrent > 0 {
-				Expect(len(held)).To(BeNumerically("<=", int(limits.Concurrent)))
+				Expect(len(running)).To(BeNumerically("<=", int(limits.Concurrent)))
 			}
-			total += len(held)
+			total += len(running)
 		}
 		Expect(explored.Running()).To(Equal(total))
 		Expect(total).To(BeNumerically("<=", int(options.Concurrent)))
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -79,27 +79,27 @@
 
 // replay builds a ledger from events that it is known to take.
 func replay(options attempts.Options, events []attempts.Event) *attempts.Tracker {
-	ledger := attempts.New(options)
+	tracker := attempts.New(options)
 	for _, event := range events {
-		Expect(ledger.Apply(event)).To(Succeed())
+		Expect(tracker.Apply(event)).To(Succeed())
 	}
-	return ledger
+	return tracker
 }
 
 // explore visits every sequence that the ledger takes.
-func explore(options attempts.Options, events []attempts.Event, known truth, visit func([]attempts.Event, *attempts.Tracker, truth)) int {
-	ledger := replay(options, events)
-	visit(events, ledger, known)
+func explore(options attempts.Options, events []attempts.Event, actual truth, visit func([]attempts.Event, *attempts.Tracker, truth)) int {
+	tracker := replay(options, events)
+	visit(events, tracker, actual)
 	visited := 1
 	if len(events) == sequenceLength {
 		return visited
 	}
-	for _, event := range inputs(len(known.mayRun)) {
+	for _, event := range inputs(len(actual.mayRun)) {
 		if replay(options, events).Apply(event) != nil {
 			continue
 		}
 		longer := append(append([]attempts.Event(nil), events...), event)
-		visited += explore(options, longer, known.after(event), visit)
+		visited += explore(options, longer, actual.after(event), visit)
 	}
 	return visited
 }
@@ -116,33 +116,33 @@
 var _ = Describe("Ledger", func() {
 	DescribeTable("over every short input sequence", func(repeatable bool) {
 		options := attempts.Options{Repeatable: repeatable, MaxAttempts: 3}
-		visited := explore(options, nil, truth{}, func(events []attempts.Event, ledger *attempts.Tracker, known truth) {
-			move := ledger.Next()
-			if ledger.MayHaveRun() != (known.possibleRuns() > 0) {
+		visited := explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
+			action := tracker.Next()
+			if tracker.MayHaveRun() != (actual.possibleRuns() > 0) {
 				// The ledger may only be the more careful of the two, while
 				// a connection is being obtained.
-				Expect(ledger.MayHaveRun()).To(BeTrue(), describe(events))
-				Expect(known.running()).To(BeNumerically(">", 0), describe(events))
+				Expect(tracker.MayHaveRun()).To(BeTrue(), describe(events))
+				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
 			}
-			if !repeatable && known.possibleRuns() > 1 {
+			if !repeatable && actual.possibleRuns() > 1 {
 				Fail("a second run was possible: " + describe(events))
 			}
-			switch move.Kind {
+			switch action.Kind {
 			case attempts.Dispatch:
-				Expect(known.running()).To(BeZero(), describe(events))
+				Expect(actual.running()).To(BeZero(), describe(events))
 				if !repeatable {
-					Expect(known.possibleRuns()).To(BeZero(), describe(events))
+					Expect(actual.possibleRuns()).To(BeZero(), describe(events))
 				}
 			case attempts.RespondNotRun:
-				Expect(known.running()).To(BeZero(), describe(events))
-				Expect(known.possibleRuns()).To(BeZero(), describe(events))
+				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(actual.possibleRuns()).To(BeZero(), describe(events))
 			case attempts.RespondUnknown:
-				Expect(known.running()).To(BeZero(), describe(events))
-				Expect(known.possibleRuns()).To(BeNumerically(">", 0), describe(events))
+				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(actual.possibleRuns()).To(BeNumerically(">", 0), describe(events))
 			case attempts.RespondDeadline, attempts.Abandon:
-				Expect(known.running()).To(BeZero(), describe(events))
+				Expect(actual.running()).To(BeZero(), describe(events))
 			case attempts.Wait, attempts.Cancel:
-				Expect(known.running()).To(BeNumerically(">", 0), describe(events))
+				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
 			}
 		})
 		Expect(visited).To(BeNumerically(">", 1000))
@@ -154,27 +154,27 @@
 	DescribeTable("of a stream, over every short input sequence", func(resumable bool) {
 		options := attempts.Options{Repeatable: resumable, Resumable: resumable, MaxAttempts: 2}
 		takenUp, aborted := 0, 0
-		explore(options, nil, truth{}, func(events []attempts.Event, ledger *attempts.Tracker, known truth) {
-			begun, over := false, false
+		explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
+			started, ended := false, false
 			for _, event := range events {
-				begun = begun || event.Kind == attempts.ResponseStarted
-				over = over || event.Kind == attempts.DeadlineExceeded || event.Kind == attempts.CallerDisconnected
+				started = started || event.Kind == attempts.ResponseStarted
+				ended = ended || event.Kind == attempts.DeadlineExceeded || event.Kind == attempts.CallerDisconnected
 			}
-			move := ledger.Next()
-			if !begun {
+			action := tracker.Next()
+			if !started {
 				return
 			}
-			switch move.Kind {
+			switch action.Kind {
 			case attempts.RespondNotRun, attempts.RespondUnknown, attempts.RespondDeadline:
 				Fail("an answer of the node's own after a part of a back end's: " + describe(events))
 			case attempts.Dispatch:
 				takenUp++
-				Expect(known.running()).To(BeZero(), describe(events))
-				Expect(over).To(BeFalse(), describe(events))
-				Expect(move.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), describe(events))
+				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(ended).To(BeFalse(), describe(events))
+				Expect(action.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), describe(events))
 			case attempts.AbortRelay:
 				aborted++
-				Expect(known.running()).To(BeZero(), describe(events))
+				Expect(actual.running()).To(BeZero(), describe(events))
 			}
 		})
 		Expect(takenUp > 0).To(Equal(resumable))
@@ -185,38 +185,38 @@
 	)
 
 	It("never dispatches again once a part of an answer was handed on", func() {
-		ledger := replay(attempts.Options{Repeatable: true, MaxAttempts: 3}, []attempts.Event{
+		tracker := replay(attempts.Options{Repeatable: true, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
 			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
 			{Kind: attempts.ResponseStarted, Attempt: 1},
 			{Kind: attempts.OutcomeLost, Attempt: 1},
 		})
-		Expect(ledger.Next()).To(Equal(attempts.Action{Kind: attempts.AbortRelay, Attempt: 1}))
+		Expect(tracker.Next()).To(Equal(attempts.Action{Kind: attempts.AbortRelay, Attempt: 1}))
 	})
 
 	It("relays an answer from its first part to its end", func() {
-		ledger := replay(attempts.Options{MaxAttempts: 1}, []attempts.Event{
+		tracker := replay(attempts.Options{MaxAttempts: 1}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
 			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
 			{Kind: attempts.ResponseStarted, Attempt: 1},
 		})
-		Expect(ledger.Next()).To(Equal(attempts.Action{Kind: attempts.Relay, Attempt: 1}))
-		Expect(ledger.Apply(attempts.Event{Kind: attempts.ResponseCompleted, Attempt: 1})).To(Succeed())
-		Expect(ledger.Next()).To(Equal(attempts.Action{Kind: attempts.Relay, Attempt: 1}))
-		Expect(ledger.Apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: 1})).NotTo(Succeed())
+		Expect(tracker.Next()).To(Equal(attempts.Action{Kind: attempts.Relay, Attempt: 1}))
+		Expect(tracker.Apply(attempts.Event{Kind: attempts.ResponseCompleted, Attempt: 1})).To(Succeed())
+		Expect(tracker.Next()).To(Equal(attempts.Action{Kind: attempts.Relay, Attempt: 1}))
+		Expect(tracker.Apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: 1})).NotTo(Succeed())
 	})
 
 	DescribeTable("the next move", func(repeatable bool, last attempts.EventKind, expected attempts.ActionKind) {
-		ledger := replay(attempts.Options{Repeatable: repeatable, MaxAttempts: 3}, []attempts.Event{
+		tracker := replay(attempts.Options{Repeatable: repeatable, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
 		})
 		if last != attempts.NotSent {
-			Expect(ledger.Apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: 1})).To(Succeed())
+			Expect(tracker.Apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: 1})).To(Succeed())
 		}
-		Expect(ledger.Apply(attempts.Event{Kind: last, Attempt: 1})).To(Succeed())
-		Expect(ledger.Next().Kind).To(Equal(expected))
+		Expect(tracker.Apply(attempts.Event{Kind: last, Attempt: 1})).To(Succeed())
+		Expect(tracker.Next().Kind).To(Equal(expected))
 	},
 		Entry("after an unsent attempt", false, attempts.NotSent, attempts.Dispatch),
 		Entry("after a refusal", false, attempts.Refused, attempts.Dispatch),
@@ -226,14 +226,14 @@
 	)
 
 	It("names the state in which an event does not fit", func() {
-		ledger := replay(attempts.Options{}, []attempts.Event{
+		tracker := replay(attempts.Options{}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
 			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
 		})
-		err := ledger.Apply(attempts.Event{Kind: attempts.NotSent, Attempt: 1})
+		err := tracker.Apply(attempts.Event{Kind: attempts.NotSent, Attempt: 1})
 		Expect(err).To(BeAssignableToTypeOf(&attempts.TransitionError{}))
 		Expect(err).To(MatchError(ContainSubstring("the attempt is sent")))
-		Expect(ledger.MayHaveRun()).To(BeTrue())
+		Expect(tracker.MayHaveRun()).To(BeTrue())
 	})
 })
--- a/pkg/outlier/detector_test.go
+++ b/pkg/outlier/detector_test.go
@@ -167,12 +167,12 @@
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := probeDue(d, 0, "replica-0")
-		for _, least := range []time.Duration{2, 4, 8, 8} {
+		for _, minimum := range []time.Duration{2, 4, 8, 8} {
 			d.ProbeSent(now, "replica-0")
 			d.Observe(now, "replica-0", outlier.Errored)
 			due := probeDue(d, now, "replica-0")
 			Expect(due - now).To(And(
-				BeNumerically(">=", least*time.Second), BeNumerically("<=", least*time.Second*3/2+time.Second/10)))
+				BeNumerically(">=", minimum*time.Second), BeNumerically("<=", minimum*time.Second*3/2+time.Second/10)))
 			now = due
 		}
 	})
@@ -181,11 +181,11 @@
 		d := detector(6)
 		now, last := time.Duration(0), time.Duration(0)
 		for range 3 {
-			begun := now
+			started := now
 			repeat(d, now, "replica-0", outlier.Errored, 2)
 			now = probeDue(d, now, "replica-0")
-			Expect(now - begun).To(BeNumerically(">", last))
-			last = now - begun
+			Expect(now - started).To(BeNumerically(">", last))
+			last = now - started
 			for range outlier.DefaultProbes {
 				d.ProbeSent(now, "replica-0")
 				d.Observe(now, "replica-0", outlier.Succeeded)
@@ -233,15 +233,15 @@
 	})
 
 	It("says when a replica is ejected and readmitted", func() {
-		var said []string
+		var changes []string
 		d := detectorOf(outlier.Options{Probes: 1, Changed: func(address string, out bool) {
-			said = append(said, fmt.Sprint(address, " ", out))
+			changes = append(changes, fmt.Sprint(address, " ", out))
 		}}, 6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := probeDue(d, 0, "replica-0")
 		d.ProbeSent(now, "replica-0")
 		d.Observe(now, "replica-0", outlier.Succeeded)
-		Expect(said).To(Equal([]string{"replica-0 true", "replica-0 false"}))
+		Expect(changes).To(Equal([]string{"replica-0 true", "replica-0 false"}))
 	})
 
 	It("counts the outcomes of the node", func() {
@@ -283,18 +283,18 @@
 
 	It("begins after three deadlines in a row, between which nothing came", func() {
 		d := detector(6)
-		silent := func(times int) {
+		missDeadlines := func(times int) {
 			for range times {
 				d.RecordMissedDeadline(0, "replica-0")
 			}
 		}
-		silent(2)
+		missDeadlines(2)
 		d.Observe(0, "replica-0", outlier.Refused)
-		silent(2)
+		missDeadlines(2)
 		d.RecordResponse("replica-0")
-		silent(2)
+		missDeadlines(2)
 		Expect(d.Verdict(0, "replica-0", true)).To(Equal(outlier.Healthy))
-		silent(1)
+		missDeadlines(1)
 		Expect(d.Verdict(0, "replica-0", true)).To(Equal(outlier.Suspected))
 	})
 
@@ -312,25 +312,25 @@
 
 // fleet is the detectors of nodes in two zones that tell each other everything.
 type fleet struct {
-	near, far []*outlier.Detector
+	sameZone, otherZone []*outlier.Detector
 }
 
 func newFleet(perZone, replicas int) *fleet {
 	f := &fleet{}
 	for number := range perZone {
-		f.near = append(f.near, detectorOf(outlier.Options{Node: fmt.Sprint("near-", number)}, replicas))
-		f.far = append(f.far, detectorOf(outlier.Options{Node: fmt.Sprint("far-", number)}, replicas))
+		f.sameZone = append(f.sameZone, detectorOf(outlier.Options{Node: fmt.Sprint("near-", number)}, replicas))
+		f.otherZone = append(f.otherZone, detectorOf(outlier.Options{Node: fmt.Sprint("far-", number)}, replicas))
 	}
 	return f
 }
 
-// share lets every node tell every other what it has to tell.
-func (f *fleet) share(now time.Duration) (told int) {
-	zones := [][]*outlier.Detector{f.near, f.far}
+// exchangeReports lets every node tell every other what it has to tell.
+func (f *fleet) exchangeReports(now time.Duration) (reported int) {
+	zones := [][]*outlier.Detector{f.sameZone, f.otherZone}
 	for zone, tellers := range zones {
 		for number, from := range tellers {
 			reports := from.TakeReports(now)
-			told += len(reports)
+			reported += len(reports)
 			for otherZone, listeners := range zones {
 				for _, to := range listeners {
 					if to == from {
@@ -343,47 +343,47 @@
 			}
 		}
 	}
-	return told
+	return reported
 }
 
 var _ = Describe("Nodes that see a trickle each", func() {
 	It("eject together what none of them could eject alone", func() {
 		f := newFleet(4, 18)
-		for _, node := range f.near[:2] {
+		for _, node := range f.sameZone[:2] {
 			node.Observe(0, "replica-0", outlier.Errored)
 		}
-		f.share(0)
-		for _, node := range f.near {
+		f.exchangeReports(0)
+		for _, node := range f.sameZone {
 			Expect(ejected(node, 0)).To(Equal(1))
 		}
 		By("and so do those of other zones, which have seen nothing else of it")
-		for _, node := range f.far {
+		for _, node := range f.otherZone {
 			Expect(ejected(node, 0)).To(Equal(1))
 		}
 	})
 
 	It("tell nothing while all is well", func() {
 		f := newFleet(4, 18)
-		for _, node := range f.near {
+		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 50)
 		}
-		Expect(f.share(0)).To(BeZero())
+		Expect(f.exchangeReports(0)).To(BeZero())
 	})
 
 	It("tell the good outcomes once there are bad ones, so that a rare fault ejects nobody", func() {
 		f := newFleet(4, 18)
-		for _, node := range f.near {
+		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 3)
 		}
 		for second := range 30 * time.Second / time.Second {
 			now := second * time.Second
-			f.near[second%4].Observe(now, "replica-0", outlier.Errored)
-			f.share(now)
-			for _, node := range f.near {
+			f.sameZone[second%4].Observe(now, "replica-0", outlier.Errored)
+			f.exchangeReports(now)
+			for _, node := range f.sameZone {
 				node.Observe(now, "replica-0", outlier.Succeeded)
 			}
-			f.share(now + time.Second/2)
-			for _, node := range f.near {
+			f.exchangeReports(now + time.Second/2)
+			for _, node := range f.sameZone {
 				Expect(ejected(node, now)).To(BeZero())
 			}
 		}
@@ -392,63 +392,63 @@
 	It("do not believe one node alone, which may be cut off", func() {
 		f := newFleet(4, 18)
 		for _, member := range members(18) {
-			repeat(f.near[0], 0, member.Address, outlier.Unreached, 3)
+			repeat(f.sameZone[0], 0, member.Address, outlier.Unreached, 3)
 		}
-		f.share(0)
-		for _, node := range append(f.near[1:], f.far...) {
+		f.exchangeReports(0)
+		for _, node := range append(f.sameZone[1:], f.otherZone...) {
 			Expect(ejected(node, 0)).To(BeZero())
 		}
 	})
 
-	// failNear lets a replica fail the nodes of one zone in turn, while it is well
+	// failInSameZone lets a replica fail the nodes of one zone in turn, while it is well
 	// for the others.
-	failNear := func(f *fleet, rounds int) {
+	failInSameZone := func(f *fleet, rounds int) {
 		for round := range rounds {
 			now := time.Duration(round) * time.Second
-			f.near[round%len(f.near)].Observe(now, "replica-0", outlier.Errored)
-			f.share(now)
-			for _, node := range f.far {
+			f.sameZone[round%len(f.sameZone)].Observe(now, "replica-0", outlier.Errored)
+			f.exchangeReports(now)
+			for _, node := range f.otherZone {
 				node.Observe(now, "replica-0", outlier.Succeeded)
 			}
-			f.share(now + time.Second/2)
+			f.exchangeReports(now + time.Second/2)
 		}
 	}
 
 	It("go by their own zone when a replica fails for the callers of one zone alone", func() {
 		f := newFleet(4, 18)
-		failNear(f, 8)
-		for _, node := range f.near {
+		failInSameZone(f, 8)
+		for _, node := range f.sameZone {
 			Expect(ejected(node, 0)).To(Equal(1))
 		}
-		for _, node := range f.far {
+		for _, node := range f.otherZone {
 			Expect(ejected(node, 0)).To(BeZero())
 		}
 	})
 
 	It("share their probes, good and bad", func() {
 		f := newFleet(2, 18)
-		for _, node := range f.near {
+		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Errored, 2)
 		}
-		f.share(0)
+		f.exchangeReports(0)
 		now := 2 * outlier.DefaultEjection
-		f.near[0].ProbeSent(now, "replica-0")
-		f.near[0].Observe(now, "replica-0", outlier.Errored)
-		f.share(now)
-		Expect(f.near[1].Verdict(now, "replica-0", true)).To(Equal(outlier.Ejected), "the other's probe is put off")
+		f.sameZone[0].ProbeSent(now, "replica-0")
+		f.sameZone[0].Observe(now, "replica-0", outlier.Errored)
+		f.exchangeReports(now)
+		Expect(f.sameZone[1].Verdict(now, "replica-0", true)).To(Equal(outlier.Ejected), "the other's probe is put off")
 		for range outlier.DefaultProbes {
 			now += 8 * outlier.DefaultEjection
-			f.near[0].ProbeSent(now, "replica-0")
-			f.near[0].Observe(now, "replica-0", outlier.Succeeded)
-			f.share(now)
+			f.sameZone[0].ProbeSent(now, "replica-0")
+			f.sameZone[0].Observe(now, "replica-0", outlier.Succeeded)
+			f.exchangeReports(now)
 		}
-		Expect(ejected(f.near[1], now)).To(BeZero())
+		Expect(ejected(f.sameZone[1], now)).To(BeZero())
 	})
 
 	It("probe at times of their own", func() {
 		f := newFleet(8, 18)
 		due := map[time.Duration]int{}
-		for _, node := range f.near {
+		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Errored, 2)
 			due[probeDue(node, 0, "replica-0")]++
 		}
--- a/pkg/retrybudget/fleet_test.go
+++ b/pkg/retrybudget/fleet_test.go
@@ -75,7 +75,7 @@
 // firstAttempts counts those of the window that ends now, of the one before it
 // or of the one half a window before it, whichever holds the most.
 func (f *testFleet) firstAttempts() float64 {
-	most := 0
+	maximum := 0
 	for _, end := range []time.Duration{f.now, f.now - fleetWindow/2, f.now - fleetWindow} {
 		count := 0
 		for _, at := range f.firsts {
@@ -83,9 +83,9 @@
 				count++
 			}
 		}
-		most = max(most, count)
+		maximum = max(maximum, count)
 	}
-	return float64(most)
+	return float64(maximum)
 }
 
 var _ = Describe("Budget of a fleet", func() {
@@ -95,7 +95,7 @@
 		for range nodes {
 			fleet.join(time.Duration(20+random.IntN(200)) * time.Second)
 		}
-		most := 0
+		maximum := 0
 		for fleet.now < 3*time.Minute {
 			fleet.now += time.Duration(random.IntN(8)) * time.Millisecond
 			if random.IntN(4000) == 0 {
@@ -116,9 +116,9 @@
 			fleet.firsts, fleet.retries = fleet.forget(fleet.firsts, 2), fleet.forget(fleet.retries, 1)
 			permitted := retrybudget.DefaultRatio * fleet.firstAttempts()
 			Expect(float64(len(fleet.retries))).To(BeNumerically("<=", permitted+fleetSlack))
-			most = max(most, len(fleet.retries)-int(permitted))
+			maximum = max(maximum, len(fleet.retries)-int(permitted))
 		}
-		Expect(most).To(BeNumerically(">", fleetSlack/4))
+		Expect(maximum).To(BeNumerically(">", fleetSlack/4))
 	},
 		Entry("9 nodes", uint64(1), 9),
 		Entry("8 nodes, other luck", uint64(2), 8),
