--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -1,241 +1,147 @@
 package membership
 
 import (
+	"maps"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
+	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// A process that outlives an earlier one skips minIncarnationSkip incarnations, and up
-// to incarnationSkipJitter more, drawn by its own start.
+// Gossip is sent at most gossipsPerHeartbeat times in HeartbeatEvery, with at most
+// maxGossipRecords records a message. So a deployment that loses many members at once
+// sends few messages of many records.
 const (
-	minIncarnationSkip    = 1 << 16
-	incarnationSkipJitter = 1 << 32
+	gossipsPerHeartbeat = 4
+	maxGossipRecords    = 128
 )
 
-// mergeMessage takes in the records of a message.
-func (m *Machine) mergeMessage(msg Message) {
-	for _, record := range msg.Records {
-		m.merge(record)
-	}
-	if msg.Type == MessageJoinReply && !m.joined {
-		// The seed's neighbours know the table already; only this node is new.
-		clear(m.pendingUpdates)
-		m.pendingUpdates[m.config.Self.ID] = true
-	}
+// gossip passes changed records on to a few members. It owns the pending updates: the
+// members whose records changed since they were last passed on.
+type gossip struct {
+	config  Config
+	table   *memberTable
+	sampler *sampler
+	pending map[member.ID]bool
+	// next is when gossip may be sent again.
+	next time.Duration
+	// bulkUntil is until when so many records change that they are left to
+	// anti-entropy instead of being passed on one by one.
+	bulkUntil time.Duration
+	// recentChanges counts the records that changed since recentChangesSince.
+	recentChanges      int
+	recentChangesSince time.Duration
 }
 
-// merge joins one record into the table and notes what is news.
-func (m *Machine) merge(record Record) {
-	id := record.Info.ID
-	if id == "" {
-		return
-	}
-	if id == m.config.Self.ID && m.isSupersededBy(record) {
-		m.skipIncarnationsPast(record.Info.Incarnation)
-		return
-	}
-	if endedIncarnation, forgotten := m.forgotten[id]; forgotten && record.Info.Incarnation <= endedIncarnation {
-		return
-	}
-	e, known := m.table[id]
-	if !known {
-		delete(m.forgotten, id)
-		m.insert(mergeRecords(record, record))
-		return
-	}
-	if len(record.TimeoutReports) == 0 && compareOwnerState(record, e.record) <= 0 {
-		return
-	}
-	merged := mergeRecords(e.record, record)
-	if equalRecords(merged, e.record) {
-		return
-	}
-	m.updateMonitor(e, merged)
-	if merged.Info.Incarnation != e.record.Info.Incarnation || leftRank(merged) != leftRank(e.record) {
-		e.incarnationSince = m.now
-	}
-	e.record = merged
-	m.updateDigest(e)
-	e.seenFenced = e.seenFenced && merged.certainlyFenced()
-	m.updateIndexes(id, e)
-	m.pendingUpdates[id] = true
-	m.changedAt = m.now
+// add marks a member's record as changed.
+func (g *gossip) add(id member.ID) {
+	g.pending[id] = true
 }
 
-func (m *Machine) insert(record Record) {
-	id := record.Info.ID
-	e := &entry{record: record, key: memberKey(id), monitor: memberMonitor{lastHeard: m.now}, incarnationSince: m.now}
-	m.table[id] = e
-	m.updateDigest(e)
-	m.updateIndexes(id, e)
-	at, _ := slices.BinarySearch(m.sortedIDs, id)
-	m.sortedIDs = slices.Insert(m.sortedIDs, at, id)
-	if id != m.config.Self.ID {
-		m.ring.insert(id)
-	}
-	m.pendingUpdates[id] = true
-	m.changedAt = m.now
-	m.grownAt = m.now
+// clear drops all pending updates.
+func (g *gossip) clear() {
+	clear(g.pending)
 }
 
-func (m *Machine) remove(id member.ID) {
-	m.removeFromDigest(m.table[id])
-	delete(m.table, id)
-	m.removeFromIndexes(id)
-	at, _ := slices.BinarySearch(m.sortedIDs, id)
-	m.sortedIDs = slices.Delete(m.sortedIDs, at, at+1)
-	m.ring.remove(id)
+// due tells whether there are pending updates to send now. If urgent is set, they don't
+// wait for the next turn.
+func (g *gossip) due(now time.Duration, urgent bool) bool {
+	return len(g.pending) > 0 && (now >= g.next || urgent)
 }
 
-// isSupersededBy tells whether the table speaks of a life of this node that this
-// process does not know of, such as one that an earlier process began.
-func (m *Machine) isSupersededBy(record Record) bool {
-	if record.Info.Incarnation != m.incarnation.number {
-		return record.Info.Incarnation > m.incarnation.number
+// take returns the records to pass on now and the members to send them to.
+func (g *gossip) take(now time.Duration) (records []Record, receivers []member.ID) {
+	g.next = now + g.config.HeartbeatEvery/gossipsPerHeartbeat
+	ids := g.takePendingUpdates(now)
+	if len(ids) == 0 {
+		return nil, nil
 	}
-	return record.Version > m.incarnation.recordVersion
-}
-
-// skipIncarnationsPast begins a life after the given one, and far enough after it not to meet
-// lives of the earlier process that nobody here has heard of. Should two processes run under one
-// ID, they outbid each other no faster than once in FenceAfter.
-func (m *Machine) skipIncarnationsPast(incarnation member.Incarnation) {
-	if m.incarnation.left || m.now < m.nextIncarnationSkip {
-		return
+	for _, id := range ids {
+		records = append(records, g.table.entries[id].record.clone())
 	}
-	m.nextIncarnationSkip = m.now + m.config.FenceAfter
-	step := minIncarnationSkip + m.random.Uint64N(incarnationSkipJitter)
-	m.startNextIncarnation(incarnation + member.Incarnation(step))
+	originated := slices.ContainsFunc(ids, g.originatedUpdate)
+	return records, g.receivers(originated)
 }
 
-// updateMonitor starts the timer anew for each new life and each new set, since
-// this node learnt of it only now.
-func (m *Machine) updateMonitor(e *entry, merged Record) {
-	if merged.Info.Incarnation != e.record.Info.Incarnation {
-		e.monitor = memberMonitor{lastHeard: m.now}
-		return
+// takePendingUpdates returns the members whose records are sent now. If there are more
+// than maxGossipRecords, it draws that many, this node among them, and leaves the rest
+// for later.
+//
+// In bulk changes, the records that aren't urgent are left to anti-entropy: passed on
+// by each of n nodes to some others, n changes would cost several tables a node.
+func (g *gossip) takePendingUpdates(now time.Duration) []member.ID {
+	ids := slices.Sorted(maps.Keys(g.pending))
+	ids = slices.DeleteFunc(ids, func(id member.ID) bool { return g.table.entries[id] == nil })
+	urgent := slices.DeleteFunc(slices.Clone(ids), func(id member.ID) bool { return !g.isUrgent(id) })
+	g.countChanges(now, len(ids)-len(urgent))
+	if g.inBulkChange(now) {
+		ids = urgent
 	}
-	if merged.MonitorSetVersion != e.record.MonitorSetVersion {
-		e.monitor.lastHeard = m.now
+	if len(ids) <= maxGossipRecords {
+		g.clear()
+		return ids
 	}
-}
-
-// probe sends a digest to any member, to one in turn of those whose life is over,
-// and asks a seed on which no live member listens: so that two halves of a split,
-// or members that all began anew at once, are found again.
-func (m *Machine) probe() {
-	if id := m.randomMember(); id != "" {
-		m.send(id, Message{Type: MessageGossip})
+	g.sampler.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	if self := slices.Index(ids, g.config.Self.ID); self >= maxGossipRecords {
+		ids[0], ids[self] = ids[self], ids[0]
 	}
-	if id := m.nextFenced(); id != "" {
-		m.send(id, Message{Type: MessageGossip})
-	}
-	seeds := m.vacantSeeds()
-	if len(seeds) > 0 {
-		m.contactSeed(seeds[m.random.IntN(len(seeds))])
+	ids = ids[:maxGossipRecords]
+	for _, id := range ids {
+		delete(g.pending, id)
 	}
+	return ids
 }
 
-// randomMember draws a member that hasn't left, or returns "" if there is none.
-func (m *Machine) randomMember() member.ID {
-	first := m.random.IntN(len(m.sortedIDs))
-	for offset := range m.sortedIDs {
-		id := m.sortedIDs[(first+offset)%len(m.sortedIDs)]
-		if id != m.config.Self.ID && m.table[id].record.State != StateLeft {
-			return id
-		}
+// countChanges counts the changes that aren't urgent within HeartbeatEvery, and
+// recognizes a bulk change.
+func (g *gossip) countChanges(now time.Duration, count int) {
+	if now-g.recentChangesSince >= g.config.HeartbeatEvery {
+		g.recentChangesSince = now
+		g.recentChanges = 0
 	}
-	return ""
-}
-
-// nextFenced returns the members that are certainly fenced and haven't left, one
-// call after the other, or "" if there is none. A fenced member that begins anew
-// may know nobody but others that began anew with it.
-func (m *Machine) nextFenced() member.ID {
-	for range m.fencedMembers {
-		m.nextFencedProbe++
-		id := m.fencedMembers[m.nextFencedProbe%len(m.fencedMembers)]
-		if id != m.config.Self.ID && m.table[id].record.State != StateLeft {
-			return id
-		}
+	g.recentChanges += count
+	if g.recentChanges > bulkUpdateThreshold {
+		g.bulkUntil = now + g.config.FenceAfter
 	}
-	return ""
 }
 
-// send addresses msg to a member of the table.
-func (m *Machine) send(id member.ID, msg Message) {
-	e, known := m.table[id]
-	if !known {
-		return
-	}
-	m.outbox = append(m.outbox, Outbound{To: id, Address: e.record.Info.Address, Message: m.withSender(msg)})
-}
-
-// reply addresses msg to the sender of received, which may be a stranger.
-func (m *Machine) reply(received Message, msg Message) {
-	address := received.From.Address
-	if e, known := m.table[received.From.ID]; known && address == "" {
-		address = e.record.Info.Address
-	}
-	m.outbox = append(m.outbox, Outbound{
-		To:      received.From.ID,
-		Address: address,
-		Message: m.withSender(msg),
-	})
-}
+// inBulkChange tells whether very many records have changed lately.
+func (g *gossip) inBulkChange(now time.Duration) bool { return now < g.bulkUntil }
 
-func (m *Machine) withSender(msg Message) Message {
-	msg.From = m.selfRecord().Info
-	if msg.omitsSenderInfo() {
-		msg.From = member.Info{ID: msg.From.ID}
-	}
-	if msg.Type != MessageHeartbeatReply {
-		msg.Incarnation = m.incarnation.number
-	}
-	msg.Boot = m.boot
-	msg.Digest = m.digest
-	return msg
+// isUrgent tells whether a record is passed on even in a bulk change: it is this
+// node's, or tells of a member that left or timed out.
+func (g *gossip) isUrgent(id member.ID) bool {
+	record := &g.table.entries[id].record
+	return id == g.config.Self.ID || record.State == StateLeft || len(record.TimeoutReports) > 0
 }
 
-// equalRecords compares what the digest covers, plus addresses.
-func equalRecords(a, b Record) bool {
-	return a.Info == b.Info &&
-		a.Version == b.Version &&
-		leftRank(a) == leftRank(b) &&
-		slices.Equal(a.TimeoutReports, b.TimeoutReports)
+// originatedUpdate tells whether this node is the source of a record's change: the
+// record is its own, or has a report of this process.
+func (g *gossip) originatedUpdate(id member.ID) bool {
+	return id == g.config.Self.ID || slices.ContainsFunc(g.table.entries[id].record.TimeoutReports, func(report TimeoutReport) bool {
+		return report.Monitor == g.config.Self.ID && report.MonitorBoot == g.config.Self.Incarnation
+	})
 }
 
-// recordDigest is one record's part of the digest, which is their sum and so
-// doesn't depend on order.
-func recordDigest(r Record) uint64 {
-	hash := xxhash.New()
-	writeString(hash, string(r.Info.ID))
-	writeNumber(hash, uint64(r.Info.Incarnation))
-	writeNumber(hash, r.Version)
-	writeNumber(hash, uint64(leftRank(r)))
-	reports := slices.SortedFunc(slices.Values(r.TimeoutReports), compareTimeoutReports)
-	for _, report := range reports {
-		writeString(hash, string(report.Monitor))
-		writeNumber(hash, uint64(report.MonitorBoot))
-		writeNumber(hash, uint64(report.Incarnation))
-		writeNumber(hash, report.MonitorSetVersion)
+// receivers draws the members to send updates to: some of this node's zone, and some
+// of others. The source of an update always sends to other zones; those that pass it
+// on do so now and then, so that each zone gets it from a few.
+func (g *gossip) receivers(originated bool) []member.ID {
+	near, far, zones := g.sampler.shuffledLiveMembers()
+	across := crossZoneFanOut
+	if !originated {
+		across = g.crossZoneForwards(zones)
 	}
-	return hash.Sum64()
-}
-
-func writeString(hash *xxhash.Digest, text string) {
-	writeNumber(hash, uint64(len(text)))
-	// xxhash never returns an error.
-	_, _ = hash.WriteString(text)
+	return slices.Concat(near[:min(zoneFanOut, len(near))], far[:min(across, len(far))])
 }
 
-func writeNumber(hash *xxhash.Digest, number uint64) {
-	var bytes [8]byte
-	for i := range bytes {
-		bytes[i] = byte(number >> (8 * i))
+// crossZoneForwards draws how many members of other zones this node passes an update
+// on to. All nodes together make about forwardsPerZone for each zone.
+func (g *gossip) crossZoneForwards(zones int) int {
+	expected := float64(forwardsPerZone*zones) / float64(len(g.table.sortedIDs))
+	count := int(expected)
+	if g.sampler.random.Float64() < expected-float64(count) {
+		count++
 	}
-	_, _ = hash.Write(bytes[:])
+	return min(count, crossZoneFanOut)
 }
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -1,97 +1,29 @@
 package membership
 
-import (
-	"slices"
-	"time"
+import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-)
-
-// sentHeartbeat remembers when a round of heartbeats was sent.
-type sentHeartbeat struct {
-	sequence uint64
-	at       time.Duration
-}
-
-// monitor is what a node remembers of a member as one of its monitors, for the
-// member's newest incarnation.
-type memberMonitor struct {
-	// lastHeard is when the member last was heard, or its set was learnt.
-	lastHeard time.Duration
-	// timedOutVersion is the newest set version reported silent. The node
-	// never acknowledges that version again.
-	timedOutVersion uint64
-}
-
-// sendHeartbeats sends one round to all targets, and now and then a digest to
-// another member.
+// sendHeartbeats sends one heartbeat to each target, and a probe in every
+// roundsPerProbe-th round.
 func (m *Machine) sendHeartbeats() {
 	m.nextHeartbeat = m.now + m.config.HeartbeatEvery
-	m.sequence++
 	m.heartbeatRounds++
-	m.sentHeartbeats = append(m.sentHeartbeats, sentHeartbeat{sequence: m.sequence, at: m.now})
-	m.pruneSentHeartbeats()
-	for _, id := range m.heartbeatTargets() {
-		m.send(id, m.heartbeatFor(m.peers[id]))
+	sequence := m.heartbeats.add(m.now, m.config.FenceAfter)
+	for _, id := range m.monitors.targets() {
+		m.send(id, m.monitors.heartbeat(m.now, id, sequence))
 	}
 	if m.heartbeatRounds%roundsPerProbe == 0 {
 		m.probe()
 	}
 }
 
-// heartbeatFor holds this node's own row unless the peer's newest reply shows
-// that it holds it. A peer that stopped replying is sent the row again, since it
-// may have started anew without a table.
-func (m *Machine) heartbeatFor(p *peer) Message {
-	if m.hasSelfRecord(p) {
-		return Message{Type: MessageHeartbeat, Sequence: m.sequence, MonitorSetVersion: p.reportedSetVersion}
-	}
-	record := m.selfRecord().clone()
-	return Message{
-		Type:              MessageHeartbeat,
-		Sequence:          m.sequence,
-		MonitorSetVersion: record.MonitorSetVersion,
-		Records:           []Record{record},
-	}
-}
-
-// hasSelfRecord tells whether a peer that answers holds the present row of this
-// node. A reply is given only to the life in the replier's row, and within a life
-// the row changes with the set version alone, beside silences.
-func (m *Machine) hasSelfRecord(p *peer) bool {
-	self := m.selfRecord()
-	return p.acknowledged &&
-		m.now-p.lastContact <= recordResendRounds*m.config.HeartbeatEvery &&
-		p.reportedSetVersion == self.MonitorSetVersion &&
-		len(self.TimeoutReports) == 0
-}
-
-// pruneSentHeartbeats drops the rounds whose acknowledgement would come too late.
-func (m *Machine) pruneSentHeartbeats() {
-	m.sentHeartbeats = slices.DeleteFunc(m.sentHeartbeats, func(sent sentHeartbeat) bool {
-		return m.now-sent.at >= m.config.FenceAfter
-	})
-}
-
-func (m *Machine) heartbeatTargets() []member.ID {
-	var ids []member.ID
-	for id, p := range m.peers {
-		if p.targeted {
-			ids = append(ids, id)
-		}
-	}
-	slices.Sort(ids)
-	return ids
-}
-
-// onHeartbeat acknowledges a heartbeat of the sender's newest life, and tells
-// the sender of a later life of its own, if there is one.
+// onHeartbeat acknowledges a heartbeat of the sender's newest incarnation. It tells a
+// sender that has been superseded, and one that left or was removed, so by its record.
 func (m *Machine) onHeartbeat(msg Message) {
-	if m.incarnation.left {
-		m.reply(msg, Message{Type: MessageGossip, Records: []Record{m.selfRecord().clone()}})
+	if m.fence.left {
+		m.reply(msg, Message{Type: MessageGossip, Records: []Record{m.table.selfRecord().clone()}})
 		return
 	}
-	e, known := m.table[msg.From.ID]
+	e, known := m.table.entries[msg.From.ID]
 	if !known {
 		return
 	}
@@ -99,81 +31,81 @@
 		m.reply(msg, Message{Type: MessageGossip, Records: []Record{e.record.clone()}})
 		return
 	}
-	e.monitor.lastHeard = m.now
-	m.reply(msg, Message{
-		Type:              MessageHeartbeatReply,
-		Sequence:          msg.Sequence,
-		Incarnation:       msg.Incarnation,
-		MonitorSetVersion: e.record.MonitorSetVersion,
-		TimedOutVersion:   e.monitor.timedOutVersion,
-	})
-	m.compareDigest(msg)
+	m.reply(msg, m.detector.acknowledge(m.now, msg, &e.record))
+	m.antiEntropy.compareDigest(msg)
 }
 
-// onHeartbeatReply counts the acknowledgement by the time at which the
-// heartbeat was sent.
+// onHeartbeatReply counts an acknowledgement by the time at which its heartbeat was
+// sent. Replies to heartbeats of an earlier incarnation don't count.
 func (m *Machine) onHeartbeatReply(msg Message) {
-	m.compareDigest(msg)
-	sentAt, found := m.heartbeatSentAt(msg.Sequence)
-	p, known := m.peers[msg.From.ID]
-	if !found || !known || msg.Incarnation != m.incarnation.number {
-		return
-	}
-	p.boot = msg.Boot
-	p.timedOutVersion = max(p.timedOutVersion, msg.TimedOutVersion)
-	p.reportedSetVersion = msg.MonitorSetVersion
-	if p.targeted {
-		p.lastContact = max(p.lastContact, sentAt)
-		p.acknowledged = true
-	}
-	if len(m.incarnation.monitorSets) == 0 || m.incarnation.left {
+	m.antiEntropy.compareDigest(msg)
+	sentAt, found := m.heartbeats.sentAt(msg.Sequence)
+	if !found || !m.monitors.knows(msg.From.ID) || msg.Incarnation != m.fence.number {
 		return
 	}
-	for i := range m.incarnation.monitorSets {
-		m.incarnation.monitorSets[i].acknowledge(msg, sentAt)
-	}
-	m.updateMonitorSets()
+	m.monitors.acknowledge(msg, sentAt)
+	m.fence.acknowledge(m.now, msg, sentAt)
 }
 
-func (m *Machine) heartbeatSentAt(sequence uint64) (time.Duration, bool) {
-	for _, sent := range m.sentHeartbeats {
-		if sent.sequence == sequence && sequence >= m.incarnation.firstSequence {
-			return sent.at, true
-		}
+// maintainMonitorsAfter reconsiders the monitors when a message may allow a change
+// that is waited for.
+func (m *Machine) maintainMonitorsAfter(msg Message) {
+	waiting := len(m.fence.monitorSets) != 1 || m.fence.isFenced(m.now)
+	if !m.fence.left && (waiting || msg.Type == MessageHeartbeatReply) {
+		m.maintainMonitors()
 	}
-	return 0, false
 }
 
-// reportTimeouts reports each member that chose this node as a monitor and has
-// been silent for long enough. The report is a promise: this process never again
-// acknowledges that incarnation under that set version. A process that the member
-// does not count on, as it started after the member's choice, reports too: a member
-// that died shortly before would be taken for alive for ever.
-func (m *Machine) reportTimeouts() {
-	// A report changes the table and with it the set.
-	for _, id := range slices.Clone(m.monitored) {
-		e := m.table[id]
-		if id == m.config.Self.ID || !m.hasTimedOut(e) {
-			continue
+// maintainMonitors declares a monitor set, replaces it, or begins a new incarnation
+// that can. A set is replaced only by one whose members all respond, and not before
+// the replacement before it is complete.
+func (m *Machine) maintainMonitors() {
+	if !m.joiner.joined || len(m.fence.monitorSets) > 1 {
+		return
+	}
+	if m.table.selfRecord().certainlyFenced() {
+		m.startNextIncarnation(m.fence.number + 1)
+	}
+	if m.shouldDeferChoice() {
+		return
+	}
+	chosen := m.monitors.choose(m.now)
+	if added := m.monitors.target(m.now, chosen, m.fence.monitorSets); added {
+		m.nextHeartbeat = m.now
+	}
+	ready := m.monitors.allResponsive(m.now, chosen)
+	switch {
+	case len(m.fence.monitorSets) == 0:
+		if ready || m.now-m.fence.startedAt >= m.config.unresponsiveAfter() {
+			m.declareMonitors(chosen)
 		}
-		e.monitor.timedOutVersion = e.record.MonitorSetVersion
-		reported := e.record.clone()
-		reported.addTimeoutReport(TimeoutReport{
-			Monitor:           m.config.Self.ID,
-			MonitorBoot:       m.boot,
-			Incarnation:       reported.Info.Incarnation,
-			MonitorSetVersion: reported.MonitorSetVersion,
-		})
-		m.merge(reported)
+	case !ready || !m.monitors.needsReplacement(m.fence.newestSet(), chosen):
+		return
+	case m.fence.isFenced(m.now):
+		// The declared set can't be replaced without its majority.
+		m.startNextIncarnation(m.fence.number + 1)
+	default:
+		m.declareMonitors(chosen)
 	}
 }
 
-func (m *Machine) hasTimedOut(e *entry) bool {
-	if e.record.State == StateLeft || !e.record.namesMonitor(m.config.Self.ID) {
+// shouldDeferChoice tells whether the choice of monitors had better wait until the
+// table is stable: each new member may take another's place on the ring, and each new
+// set is an update to all. A set that may fail is replaced at once.
+func (m *Machine) shouldDeferChoice() bool {
+	if m.isTableStable() {
 		return false
 	}
-	if e.monitor.timedOutVersion >= e.record.MonitorSetVersion {
-		return false
+	if len(m.fence.monitorSets) == 0 {
+		return m.now-m.fence.startedAt < m.config.monitorChoiceTimeout()
 	}
-	return m.now-e.monitor.lastHeard >= m.config.monitorTimeout()
+	return !m.fence.isFenced(m.now) && m.monitors.isHealthy(m.now, m.fence.newestSet())
+}
+
+// declareMonitors makes the chosen members the newest set of this incarnation.
+func (m *Machine) declareMonitors(chosen []member.ID) {
+	replaces := len(m.fence.monitorSets) > 0
+	m.fence.declare(m.now, m.monitors.newSet(m.now, chosen, replaces))
+	m.publishSelfRecord()
+	m.nextHeartbeat = m.now
 }
--- a/pkg/membership/id_set.go
+++ b/pkg/membership/id_set.go
@@ -21,16 +21,3 @@
 		*s = slices.Delete(*s, at, at+1)
 	}
 }
-
-// updateIndexes keeps the sets that follow an entry's record: those that chose this node as
-// a monitor, and those whose life is over.
-func (m *Machine) updateIndexes(id member.ID, e *entry) {
-	m.monitored.set(id, e.record.namesMonitor(m.config.Self.ID))
-	m.fencedMembers.set(id, e.record.certainlyFenced())
-}
-
-// removeFromIndexes takes a member out of those sets.
-func (m *Machine) removeFromIndexes(id member.ID) {
-	m.monitored.set(id, false)
-	m.fencedMembers.set(id, false)
-}
--- a/pkg/membership/join.go
+++ b/pkg/membership/join.go
@@ -7,18 +7,51 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// remoteSeeds are the seeds that aren't this node's own address.
-func (m *Machine) remoteSeeds() []string {
-	return slices.DeleteFunc(slices.Clone(m.config.Seeds), func(seed string) bool {
-		return seed == "" || seed == m.config.Self.Address
+// joiner owns the state of joining, on both sides: this node's own search for a seed
+// that replies with its table, and the replies to other nodes that this node, as a
+// seed, defers until its table is stable.
+type joiner struct {
+	config Config
+	seeds  []string
+	// startedAt is when this process started.
+	startedAt time.Duration
+	// joined tells whether the search has ended: a seed replied, none did in time, or
+	// there was none to ask.
+	joined bool
+	// nextAttempt is when the next seed is asked, and nextSeed counts the attempts.
+	nextAttempt time.Duration
+	nextSeed    int
+	// deferred are the nodes that wait for this node's table, and deferredSince is
+	// when the first of them asked.
+	deferred      []member.Info
+	deferredSince time.Duration
+}
+
+func newJoiner(cfg Config, now time.Duration) *joiner {
+	j := &joiner{
+		config:      cfg,
+		seeds:       cfg.Seeds,
+		startedAt:   now,
+		nextAttempt: now,
+		// Nodes with the same seeds begin at different ones.
+		nextSeed: int(ringPosition(cfg.Self.ID) % (1 << 16)),
+	}
+	j.joined = len(j.remoteSeeds()) == 0
+	return j
+}
+
+// remoteSeeds returns the seeds that aren't this node's own address.
+func (j *joiner) remoteSeeds() []string {
+	return slices.DeleteFunc(slices.Clone(j.seeds), func(seed string) bool {
+		return seed == "" || seed == j.config.Self.Address
 	})
 }
 
-// vacantSeeds are foreign seeds that no member listens on whose life may go on:
-// where one has left or is fenced, another process may have begun.
-func (m *Machine) vacantSeeds() []string {
-	vacant := m.remoteSeeds()
-	for _, e := range m.table {
+// vacantSeeds returns the remote seeds at which no member listens that may be running:
+// where one has left or is fenced, another process may have started.
+func (j *joiner) vacantSeeds(table *memberTable) []string {
+	vacant := j.remoteSeeds()
+	for _, e := range table.entries {
 		if !e.record.certainlyFenced() && slices.Contains(vacant, e.record.Info.Address) {
 			vacant = slices.DeleteFunc(vacant, func(seed string) bool { return seed == e.record.Info.Address })
 		}
@@ -26,140 +59,59 @@
 	return vacant
 }
 
-// join asks one seed after the other until one answers. A node whose seeds stay
-// silent takes itself to be alone, and goes on asking.
-func (m *Machine) join() {
-	if m.joined || m.now < m.nextJoin {
-		return
-	}
-	m.nextJoin = m.now + m.config.HeartbeatEvery
-	if m.now-m.startedAt >= m.joinTimeout() {
-		m.completeJoin()
-	}
-	seeds := m.remoteSeeds()
-	m.contactSeed(seeds[m.nextSeed%len(seeds)])
-	m.nextSeed++
+// attemptDue tells whether it is time to ask the next seed.
+func (j *joiner) attemptDue(now time.Duration) bool {
+	return !j.joined && now >= j.nextAttempt
 }
 
-// onJoin answers with the table. While many nodes start, it soon holds more, so that
-// the answer waits. Settled tells whether it did before this node joined.
-func (m *Machine) onJoin(msg Message, stable bool) {
-	if stable && m.pastStartupWindow() {
-		m.reply(msg, m.joinReply())
-		return
-	}
-	m.reply(msg, Message{Type: MessageJoinReply, Deferred: true})
-	if len(m.deferredJoins) == 0 {
-		m.deferredSince = m.now
-	}
-	waiting := slices.ContainsFunc(m.deferredJoins, func(deferred member.Info) bool { return deferred.ID == msg.From.ID })
-	if !waiting {
-		m.deferredJoins = append(m.deferredJoins, msg.From)
-	}
+// attempt returns the next seed to ask, and schedules the attempt after it.
+func (j *joiner) attempt(now time.Duration) (seed string) {
+	j.nextAttempt = now + j.config.HeartbeatEvery
+	seeds := j.remoteSeeds()
+	seed = seeds[j.nextSeed%len(seeds)]
+	j.nextSeed++
+	return seed
 }
 
-// pastStartupWindow tells whether nodes that started together with this one have had the
-// time to join.
-func (m *Machine) pastStartupWindow() bool {
-	return m.now-m.startedAt >= m.config.startupWindow()
+// hasTimedOut tells whether no seed replied for so long that this node considers
+// itself alone.
+func (j *joiner) hasTimedOut(now time.Duration) bool {
+	return now-j.startedAt >= joinTimeoutFences*j.config.FenceAfter
 }
 
-// answerDeferredJoins answers the joins that wait once the table has settled, or has kept
-// them waiting for long enough.
-func (m *Machine) answerDeferredJoins() {
-	if len(m.deferredJoins) == 0 {
-		return
-	}
-	ready := m.pastStartupWindow() && m.isStable()
-	if !ready && m.now-m.deferredSince < 2*m.config.startupWindow() {
-		return
-	}
-	reply := m.joinReply()
-	for _, joining := range m.deferredJoins {
-		m.outbox = append(m.outbox, Outbound{To: joining.ID, Address: joining.Address, Message: m.withSender(reply)})
-	}
-	m.deferredJoins = nil
+// onDeferral waits for a seed that will reply when its table is stable.
+func (j *joiner) onDeferral(now time.Duration) {
+	j.nextAttempt = max(j.nextAttempt, now+2*j.config.startupWindow()+j.config.HeartbeatEvery)
 }
 
-func (m *Machine) joinReply() Message {
-	return Message{Type: MessageJoinReply, Records: m.Members(), Stable: m.isStable()}
+// pastStartupWindow tells whether nodes that started together with this one have had
+// the time to join.
+func (j *joiner) pastStartupWindow(now time.Duration) bool {
+	return now-j.startedAt >= j.config.startupWindow()
 }
 
-// onJoinReply ends the search for seeds, or waits for the one that holds its answer.
-func (m *Machine) onJoinReply(msg Message) {
-	if msg.Deferred {
-		m.nextJoin = max(m.nextJoin, m.now+2*m.config.startupWindow()+m.config.HeartbeatEvery)
-		return
-	}
-	m.completeJoin()
-	if msg.Stable {
-		m.grownAt = m.now - m.config.stabilizationWait()
+// deferReply lets a joining node wait for this node's table.
+func (j *joiner) deferReply(now time.Duration, joining member.Info) {
+	if len(j.deferred) == 0 {
+		j.deferredSince = now
 	}
-}
-
-// isStable tells whether no member has been new to the table lately, so that the
-// neighbours on the ring are likely to stay.
-func (m *Machine) isStable() bool {
-	return m.now-m.grownAt >= m.config.stabilizationWait()
-}
-
-// completeJoin lets the search for monitors begin.
-func (m *Machine) completeJoin() {
-	if !m.joined {
-		m.joined = true
-		m.incarnation.startedAt = m.now
-	}
-}
-
-func (m *Machine) joinTimeout() time.Duration {
-	return joinTimeoutFences * m.config.FenceAfter
-}
-
-// SetSeeds replaces the addresses to join through. A node that has joined needs
-// them to find the other side of a split alone.
-func (m *Machine) SetSeeds(now time.Duration, seeds []string) []Outbound {
-	m.advance(now)
-	m.config.Seeds = slices.Clone(seeds)
-	for _, seed := range m.vacantSeeds() {
-		m.contactSeed(seed)
+	waiting := slices.ContainsFunc(j.deferred, func(other member.Info) bool { return other.ID == joining.ID })
+	if !waiting {
+		j.deferred = append(j.deferred, joining)
 	}
-	return m.flush()
 }
 
-// contactSeed asks for the table, or shows a digest of the own one if that may hold much
-// of it.
-func (m *Machine) contactSeed(address string) {
-	message := Message{Type: MessageGossip}
-	if !m.joined || m.isAlone() {
-		message = Message{Type: MessageJoin, Records: []Record{m.selfRecord().clone()}}
+// takeDeferred returns the waiting nodes, and forgets them, once the table is stable
+// or they have waited for twice the startup window.
+func (j *joiner) takeDeferred(now time.Duration, stable bool) []member.Info {
+	if len(j.deferred) == 0 {
+		return nil
 	}
-	m.outbox = append(m.outbox, Outbound{Address: address, Message: m.withSender(message)})
-}
-
-// isAlone tells whether this node knows of no other member that may live.
-func (m *Machine) isAlone() bool {
-	return !slices.ContainsFunc(m.sortedIDs, func(id member.ID) bool {
-		return id != m.config.Self.ID && !m.table[id].record.certainlyFenced()
-	})
-}
-
-// forgetFenced drops lives that have been over for long, and remembers only that
-// they are over.
-func (m *Machine) forgetFenced() {
-	for _, id := range slices.Clone(m.fencedMembers) {
-		e := m.table[id]
-		if id == m.config.Self.ID {
-			continue
-		}
-		if !e.seenFenced {
-			e.seenFenced = true
-			e.fencedSince = m.now
-		}
-		if m.now-e.fencedSince < m.config.ForgetAfter {
-			continue
-		}
-		m.forgotten[id] = e.record.Info.Incarnation
-		m.remove(id)
-		delete(m.peers, id)
+	ready := j.pastStartupWindow(now) && stable
+	if !ready && now-j.deferredSince < 2*j.config.startupWindow() {
+		return nil
 	}
+	joining := j.deferred
+	j.deferred = nil
+	return joining
 }
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -1,110 +1,80 @@
 package membership
 
 import (
-	"math/rand/v2"
+	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Machine is the membership state of one node. It does no I/O and reads no
-// clock; it is not safe for concurrent use.
+// A process that supersedes an earlier one skips minIncarnationSkip incarnations, and
+// up to incarnationSkipJitter more, drawn at random.
+const (
+	minIncarnationSkip    = 1 << 16
+	incarnationSkipJitter = 1 << 32
+)
+
+// Machine is the membership state of one node. It does no I/O and reads no clock: each
+// input states the time, and each output lists the messages to send. It is not safe for
+// concurrent use.
+//
+// Each part owns its state and none sends a message; Machine passes inputs to them and
+// turns their outputs into messages.
 type Machine struct {
 	config Config
-	// boot names this process among all processes of the node.
-	boot   member.Incarnation
-	random *rand.Rand
 
-	now           time.Duration
-	lastTick      time.Duration
-	nextHeartbeat time.Duration
-	nextGossip    time.Duration
-	// changedAt is when the table last changed, and grown when it last got a member.
-	changedAt time.Duration
-	grownAt   time.Duration
-	nextJoin  time.Duration
-	// nextSeed chooses the seed that is asked next, and deferredJoins wait for the table.
-	nextSeed            int
-	deferredJoins       []member.Info
-	deferredSince       time.Duration
+	now      time.Duration
+	lastTick time.Duration
+	// nextHeartbeat is when heartbeats are sent next, and heartbeatRounds counts the
+	// times that they were.
+	nextHeartbeat   time.Duration
+	heartbeatRounds uint64
+	// nextIncarnationSkip is when skipIncarnationsPast may act again.
 	nextIncarnationSkip time.Duration
-	heartbeatRounds     uint64
-	joined              bool
-	startedAt           time.Duration
 
-	table map[member.ID]*entry
-	// sortedIDs holds the IDs of the table, sorted.
-	sortedIDs []member.ID
-	ring      ring
-	// monitored are the members that chose this node as a monitor, and fenced
-	// those whose newest life is over.
-	monitored     idSet
-	fencedMembers idSet
-	// nextFencedProbe is the position of the last fenced member that was probed.
-	nextFencedProbe int
-	// digest summarises the table, and buckets do by ranges of members.
-	digest   uint64
-	buckets  [bucketCount]uint64
-	exchange exchange
-	// forgotten keeps the newest life of each forgotten member, which is over.
-	forgotten      map[member.ID]member.Incarnation
-	pendingUpdates map[member.ID]bool
-	// bulkUntil is until when so many records change that news of them isn't passed on
-	// one by one.
-	bulkUntil time.Duration
-	// recentChanges counts the records of others that changed since recentChangesSince.
-	recentChanges      int
-	recentChangesSince time.Duration
+	table   *memberTable
+	sampler *sampler
 
-	incarnation    localIncarnation
-	fenceCount     uint64
-	sequence       uint64
-	sentHeartbeats []sentHeartbeat
-	peers          map[member.ID]*peer
+	// Failure detection: this node's fence, its monitors, and its role as a monitor.
+	fence      fence
+	heartbeats heartbeatLog
+	monitors   monitorSelector
+	detector   failureDetector
 
-	outbox []Outbound
-}
+	// Dissemination.
+	gossip      gossip
+	antiEntropy antiEntropy
+
+	joiner *joiner
 
-// entry is a row of the table with what this node adds to it.
-type entry struct {
-	record Record
-	// key and digest stand for the member and its record in summaries.
-	key     uint32
-	digest  uint64
-	monitor memberMonitor
-	// fencedSince is when this node first saw that the life is over.
-	fencedSince time.Duration
-	seenFenced  bool
-	// incarnationSince is when this node learnt of the member's newest life, or that the
-	// member left.
-	incarnationSince time.Duration
+	outbox []Outbound
 }
 
 // New returns the machine of a node that starts at now. The node is fenced
 // until enough monitors acknowledged it, or until it is known to be alone.
 func New(cfg Config, now time.Duration) *Machine {
 	cfg = cfg.withDefaults()
+	table := newMemberTable(cfg.Self.ID)
+	sampler := newSampler(cfg.Self, table)
+	joiner := newJoiner(cfg, now)
 	m := &Machine{
-		config:         cfg,
-		boot:           cfg.Self.Incarnation,
-		random:         rand.New(rand.NewPCG(ringPosition(cfg.Self.ID), uint64(cfg.Self.Incarnation))),
-		now:            now,
-		lastTick:       now,
-		nextHeartbeat:  now,
-		nextJoin:       now,
-		startedAt:      now,
-		ring:           newRing(cfg.Self.ID),
-		table:          map[member.ID]*entry{},
-		forgotten:      map[member.ID]member.Incarnation{},
-		pendingUpdates: map[member.ID]bool{},
-		peers:          map[member.ID]*peer{},
+		config:        cfg,
+		now:           now,
+		lastTick:      now,
+		nextHeartbeat: now,
+		table:         table,
+		sampler:       sampler,
+		fence:         fence{fenceAfter: cfg.FenceAfter},
+		monitors:      monitorSelector{config: cfg, table: table, peers: map[member.ID]*peer{}},
+		detector:      newFailureDetector(cfg, table),
+		gossip:        gossip{config: cfg, table: table, sampler: sampler, pending: map[member.ID]bool{}},
+		antiEntropy:   antiEntropy{config: cfg, table: table, sampler: sampler, joiner: joiner},
+		joiner:        joiner,
 	}
-	m.joined = len(m.remoteSeeds()) == 0
-	m.nextSeed = int(ringPosition(cfg.Self.ID) % (1 << 16))
 	m.startIncarnation(cfg.Self.Incarnation)
-	if m.joined {
+	if joiner.joined {
 		// Nobody else is expected.
-		m.grownAt = now - cfg.stabilizationWait()
+		m.markTableStable()
 	}
 	m.maintainMonitors()
 	return m
@@ -113,13 +83,15 @@
 // Tick lets time pass. It should be called several times in HeartbeatEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.advance(now)
-	if m.incarnation.left {
+	if m.fence.left {
 		return nil
 	}
 	m.lastTick = m.now
-	m.join()
-	m.answerDeferredJoins()
-	m.reportTimeouts()
+	m.attemptJoin()
+	m.sendDeferredJoinReplies()
+	for _, record := range m.detector.reportTimeouts(m.now) {
+		m.merge(record)
+	}
 	m.forgetFenced()
 	m.maintainMonitors()
 	if m.now >= m.nextHeartbeat {
@@ -135,7 +107,7 @@
 	if msg.From.ID == m.config.Self.ID || msg.From.ID == "" {
 		return m.flush()
 	}
-	stable := m.isStable()
+	stable := m.isTableStable()
 	m.mergeMessage(msg)
 	switch msg.Type {
 	case MessageJoin:
@@ -147,10 +119,12 @@
 	case MessageHeartbeatReply:
 		m.onHeartbeatReply(msg)
 	case MessageGossip:
-		m.onGossip(msg)
+		if reply, any := m.antiEntropy.onGossip(msg); any {
+			m.reply(msg, reply)
+		}
 	}
 	m.maintainMonitorsAfter(msg)
-	if m.now >= m.nextHeartbeat && !m.incarnation.left {
+	if m.now >= m.nextHeartbeat && !m.fence.left {
 		m.sendHeartbeats()
 	}
 	return m.flush()
@@ -160,31 +134,30 @@
 // on, for good.
 func (m *Machine) Leave(now time.Duration) []Outbound {
 	m.advance(now)
-	if m.incarnation.left {
+	if m.fence.left {
 		return nil
 	}
-	m.incarnation.left = true
-	m.incarnation.fenceDeadline = 0
+	m.fence.leave()
 	m.publishSelfRecord()
-	record := m.selfRecord().clone()
-	clear(m.pendingUpdates)
-	for _, id := range m.sortedIDs {
-		if id != m.config.Self.ID && m.table[id].record.State != StateLeft {
+	record := m.table.selfRecord().clone()
+	m.gossip.clear()
+	for _, id := range m.table.sortedIDs {
+		if id != m.config.Self.ID && m.table.entries[id].record.State != StateLeft {
 			m.send(id, Message{Type: MessageGossip, Records: []Record{record}})
 		}
 	}
 	return m.flush()
 }
 
-// Remove announces that a member's process has stopped for good, on the word of
-// an operator: for a machine that was taken away together with its monitors, so
-// that nobody is left to be certain. It is refused for this node itself, for
-// members that aren't known, and for a life that isn't the newest. A process
-// that runs nevertheless begins a new life as soon as it hears of it; until then
-// it may serve, against what CertainlyFenced says.
+// Remove announces that a member's process has stopped for good, as an operator made
+// sure: for a machine that was taken away together with its monitors, so that no node
+// can be certain of its fence. It returns a RemoveError for this node itself, for a
+// member that isn't known, and for an incarnation that isn't the newest. A process that
+// runs nevertheless begins a new incarnation as soon as it hears of it; until then it
+// may serve, contrary to what CertainlyFenced says.
 func (m *Machine) Remove(now time.Duration, id member.ID, incarnation member.Incarnation) ([]Outbound, error) {
 	m.advance(now)
-	e, known := m.table[id]
+	e, known := m.table.entries[id]
 	switch {
 	case id == m.config.Self.ID:
 		return m.flush(), &RemoveError{ID: id, Reason: RemoveSelf}
@@ -200,103 +173,145 @@
 	return m.flush(), nil
 }
 
-// advance moves the clock, and ends the life that its fence has ended.
+// SetSeeds replaces the addresses to join through. A node that has joined needs them
+// only to find the other side of a partition.
+func (m *Machine) SetSeeds(now time.Duration, seeds []string) []Outbound {
+	m.advance(now)
+	m.joiner.seeds = slices.Clone(seeds)
+	for _, seed := range m.joiner.vacantSeeds(m.table) {
+		m.contactSeed(seed)
+	}
+	return m.flush()
+}
+
+// AdvanceIncarnationPast begins an incarnation after the given one, unless the present
+// one is later already. It is for a node that learns elsewhere of an earlier process of
+// its own with a higher incarnation: its wall clock was set back, say, while no running
+// member remembers that process.
+func (m *Machine) AdvanceIncarnationPast(now time.Duration, incarnation member.Incarnation) []Outbound {
+	m.advance(now)
+	if incarnation > m.fence.number {
+		m.skipIncarnationsPast(incarnation)
+	}
+	return m.flush()
+}
+
+// advance moves the clock, and ends an incarnation that was fenced.
 func (m *Machine) advance(now time.Duration) {
 	m.now = max(m.now, now)
-	m.restartTimersAfterPause()
-	m.endFencedIncarnation()
+	if m.now-m.lastTick > m.config.unresponsiveAfter() {
+		// This node was paused for so long that what it didn't hear says nothing
+		// about others.
+		m.lastTick = m.now
+		m.detector.restartTimers(m.now)
+		m.monitors.restartTimers(m.now)
+	}
+	if m.fence.hasEnded(m.now) {
+		m.startNextIncarnation(m.fence.number + 1)
+	}
 }
 
-// paused tells whether this node was stopped for so long that what it didn't
-// hear says nothing about others.
-func (m *Machine) paused() bool {
-	return m.now-m.lastTick > m.config.unresponsiveAfter()
+// mergeMessage takes in the records of a message.
+func (m *Machine) mergeMessage(msg Message) {
+	for _, record := range msg.Records {
+		m.merge(record)
+	}
+	if msg.Type == MessageJoinReply && !m.joiner.joined {
+		// The seed's neighbours know the table already; only this node is new.
+		m.gossip.clear()
+		m.gossip.add(m.config.Self.ID)
+	}
 }
 
-// restartTimersAfterPause starts all timers anew after a pause.
-func (m *Machine) restartTimersAfterPause() {
-	if !m.paused() {
+// merge joins one record into the table, and passes on what changed.
+func (m *Machine) merge(record Record) {
+	id := record.Info.ID
+	if id == "" {
 		return
 	}
-	m.lastTick = m.now
-	for _, e := range m.table {
-		e.monitor.lastHeard = m.now
+	if id == m.config.Self.ID && m.fence.isSupersededBy(record) {
+		m.skipIncarnationsPast(record.Info.Incarnation)
+		return
 	}
-	for _, p := range m.peers {
-		p.targetedSince = m.now
+	if change, changed := m.table.merge(m.now, record); changed {
+		m.detector.observe(m.now, id, change)
+		m.gossip.add(id)
 	}
 }
 
-// Members returns the table sorted by ID, this node included.
-func (m *Machine) Members() []Record {
-	records := make([]Record, 0, len(m.table))
-	for _, id := range m.sortedIDs {
-		records = append(records, m.table[id].record.clone())
+// skipIncarnationsPast begins an incarnation so far after the given one that it doesn't
+// meet those of the earlier process that nobody here has heard of. If two processes
+// run under one ID, they outbid each other at most once in FenceAfter.
+func (m *Machine) skipIncarnationsPast(incarnation member.Incarnation) {
+	if m.fence.left || m.now < m.nextIncarnationSkip {
+		return
 	}
-	return records
+	m.nextIncarnationSkip = m.now + m.config.FenceAfter
+	skip := minIncarnationSkip + m.sampler.random.Uint64N(incarnationSkipJitter)
+	m.startNextIncarnation(incarnation + member.Incarnation(skip))
 }
 
-// Alive tells whether nothing speaks against the member: no monitor reports it
-// silent, and it has monitors left that would. A false suspicion ends within
-// about a round trip.
-func (m *Machine) Alive(id member.ID) bool {
-	e, known := m.table[id]
-	return known && e.record.State == StateAlive && !m.isOrphaned(&e.record)
+// startNextIncarnation ends the present incarnation and starts another.
+func (m *Machine) startNextIncarnation(number member.Incarnation) {
+	m.fence.endedCount++
+	m.startIncarnation(number)
+	m.nextHeartbeat = m.now
 }
 
-// isOrphaned tells whether so many monitors of a member are not alive that a
-// living member would have replaced them by now.
-func (m *Machine) isOrphaned(record *Record) bool {
-	lost := 0
-	for _, id := range record.Monitors {
-		e, known := m.table[id]
-		if !known || e.record.State != StateAlive {
-			lost++
-		}
-	}
-	return lost > 0 && lost >= min(reportsNeeded(len(record.Monitors)), len(record.Monitors))
+// startIncarnation starts a fenced incarnation without monitors.
+func (m *Machine) startIncarnation(number member.Incarnation) {
+	m.fence.begin(m.now, number)
+	m.heartbeats.clear()
+	m.monitors.reset(m.now)
+	m.publishSelfRecord()
 }
 
-// CertainlyFenced tells whether the member's life that Incarnation returns
-// refuses traffic now and for ever, or left. A later life of the same member
-// may serve.
-func (m *Machine) CertainlyFenced(id member.ID) bool {
-	e, known := m.table[id]
-	if !known {
-		_, forgotten := m.forgotten[id]
-		return forgotten
-	}
-	return e.record.certainlyFenced()
+// publishSelfRecord puts a new version of this node's record into the table.
+func (m *Machine) publishSelfRecord() {
+	m.merge(m.fence.nextRecord(m.config.Self))
 }
 
-// IncarnationEnded tells whether the given life of a member certainly serves no more:
-// it is fenced for certain, it left, or a later life has begun.
-func (m *Machine) IncarnationEnded(id member.ID, incarnation member.Incarnation) bool {
-	newest, known := m.Incarnation(id)
-	if !known || incarnation > newest {
-		return false
-	}
-	return incarnation < newest || m.CertainlyFenced(id)
+// isTableStable tells whether no member has been added to the table lately, so that
+// this node's neighbours on the ring are likely to stay.
+func (m *Machine) isTableStable() bool {
+	return m.now-m.table.grownAt >= m.config.stabilizationWait()
 }
 
-// FormerIncarnationQuiesced tells whether what the member sent in lives that ended by its
-// own act, as it left or began a later one, has arrived by now: it is FenceMargin
-// since this node learnt of that. A fence that monitors are certain of includes that
-// time.
-func (m *Machine) FormerIncarnationQuiesced(id member.ID) bool {
-	e, known := m.table[id]
-	return !known || m.now-e.incarnationSince >= m.config.FenceMargin
+// markTableStable spares the stabilization wait where no more members are expected.
+func (m *Machine) markTableStable() {
+	m.table.grownAt = m.now - m.config.stabilizationWait()
 }
 
-// Incarnation returns the newest life known of the member.
-func (m *Machine) Incarnation(id member.ID) (member.Incarnation, bool) {
-	if e, known := m.table[id]; known {
-		return e.record.Info.Incarnation, true
+// forgetFenced drops the members that were fenced long ago, and remembers only that
+// their incarnations have ended.
+func (m *Machine) forgetFenced() {
+	for _, id := range m.table.forgetFenced(m.now, m.config.ForgetAfter) {
+		m.detector.forget(id)
+		m.monitors.forget(id)
 	}
-	incarnation, known := m.forgotten[id]
-	return incarnation, known
 }
 
-func (m *Machine) selfRecord() *Record {
-	return &m.table[m.config.Self.ID].record
+// startExchange sends the first message of an exchange if one is due.
+func (m *Machine) startExchange() {
+	partner, due := m.antiEntropy.start(m.now, m.gossip.inBulkChange(m.now))
+	if due {
+		m.sendTo(partner, m.antiEntropy.request())
+	}
+}
+
+// probe sends a digest to a random member and to a fenced one, and contacts a vacant
+// seed. So the two sides of a healed partition, or members that all restarted at once,
+// find each other again.
+func (m *Machine) probe() {
+	if id := m.sampler.randomMember(); id != "" {
+		m.send(id, Message{Type: MessageGossip})
+	}
+	// A fenced member that starts again may know nobody but others that did so
+	// together with it.
+	if id := m.sampler.nextFenced(); id != "" {
+		m.send(id, Message{Type: MessageGossip})
+	}
+	if seed := m.sampler.randomSeed(m.joiner.vacantSeeds(m.table)); seed != "" {
+		m.contactSeed(seed)
+	}
 }
--- /dev/null
+++ b/pkg/membership/member_table.go
@@ -0,0 +1,198 @@
+package membership
+
+import (
+	"slices"
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// memberTable owns the newest known record of each member, this node included,
+// together with the indexes and digests derived from the records. A record changes
+// only through merge and disappears only through forgetFenced, so that the indexes
+// and digests always match the records.
+type memberTable struct {
+	self    member.ID
+	entries map[member.ID]*entry
+	// sortedIDs holds the keys of entries in ascending order.
+	sortedIDs []member.ID
+	// ring orders the other members for the choice of monitors.
+	ring ring
+	// monitored are the members that chose this node as a monitor.
+	monitored idSet
+	// fenced are the members whose newest incarnation is certainly fenced.
+	fenced idSet
+	// digest sums the digests of all records, and buckets those of each key range.
+	digest  uint64
+	buckets [bucketCount]uint64
+	// forgotten holds the newest incarnation, which has ended, of each member whose
+	// record was dropped.
+	forgotten map[member.ID]member.Incarnation
+	// changedAt is when a record last changed, and grownAt when a member was last
+	// added.
+	changedAt time.Duration
+	grownAt   time.Duration
+}
+
+// entry is one record and what this node derived from it.
+type entry struct {
+	record Record
+	// key and digest represent the member and its record in summaries.
+	key    uint32
+	digest uint64
+	// incarnationSince is when this node learnt of the member's newest incarnation,
+	// or that the member left.
+	incarnationSince time.Duration
+	// fencedSince is when forgetFenced first found the member fenced; valid if
+	// seenFenced is set.
+	fencedSince time.Duration
+	seenFenced  bool
+}
+
+// tableChange tells what a merge changed of one member's record.
+type tableChange struct {
+	newMember      bool
+	newIncarnation bool
+	newMonitorSet  bool
+}
+
+func newMemberTable(self member.ID) *memberTable {
+	return &memberTable{
+		self:      self,
+		entries:   map[member.ID]*entry{},
+		ring:      newRing(self),
+		forgotten: map[member.ID]member.Incarnation{},
+	}
+}
+
+// merge joins a record into the table. It returns false if the table stays the same:
+// the record is not newer, or belongs to a forgotten incarnation.
+func (t *memberTable) merge(now time.Duration, record Record) (tableChange, bool) {
+	id := record.Info.ID
+	if ended, forgotten := t.forgotten[id]; forgotten && record.Info.Incarnation <= ended {
+		return tableChange{}, false
+	}
+	e, known := t.entries[id]
+	if !known {
+		t.insert(now, mergeRecords(record, record))
+		return tableChange{newMember: true}, true
+	}
+	if len(record.TimeoutReports) == 0 && compareOwnerState(record, e.record) <= 0 {
+		return tableChange{}, false
+	}
+	merged := mergeRecords(e.record, record)
+	if equalRecords(merged, e.record) {
+		return tableChange{}, false
+	}
+	change := tableChange{
+		newIncarnation: merged.Info.Incarnation != e.record.Info.Incarnation,
+		newMonitorSet:  merged.MonitorSetVersion != e.record.MonitorSetVersion,
+	}
+	if change.newIncarnation || leftRank(merged) != leftRank(e.record) {
+		e.incarnationSince = now
+	}
+	e.record = merged
+	e.seenFenced = e.seenFenced && merged.certainlyFenced()
+	t.updateDigest(e)
+	t.updateIndexes(id, e)
+	t.changedAt = now
+	return change, true
+}
+
+func (t *memberTable) insert(now time.Duration, record Record) {
+	id := record.Info.ID
+	delete(t.forgotten, id)
+	e := &entry{record: record, key: memberKey(id), incarnationSince: now}
+	t.entries[id] = e
+	t.updateDigest(e)
+	t.updateIndexes(id, e)
+	at, _ := slices.BinarySearch(t.sortedIDs, id)
+	t.sortedIDs = slices.Insert(t.sortedIDs, at, id)
+	if id != t.self {
+		t.ring.insert(id)
+	}
+	t.changedAt = now
+	t.grownAt = now
+}
+
+// updateIndexes updates the sets that depend on an entry's record.
+func (t *memberTable) updateIndexes(id member.ID, e *entry) {
+	t.monitored.set(id, e.record.namesMonitor(t.self))
+	t.fenced.set(id, e.record.certainlyFenced())
+}
+
+// forgetFenced drops the other members that have been fenced for at least the given
+// time, keeps only their last incarnation, and returns them.
+func (t *memberTable) forgetFenced(now, after time.Duration) []member.ID {
+	var dropped []member.ID
+	for _, id := range slices.Clone(t.fenced) {
+		if id == t.self {
+			continue
+		}
+		e := t.entries[id]
+		if !e.seenFenced {
+			e.seenFenced = true
+			e.fencedSince = now
+		}
+		if now-e.fencedSince < after {
+			continue
+		}
+		t.forgotten[id] = e.record.Info.Incarnation
+		t.remove(id)
+		dropped = append(dropped, id)
+	}
+	return dropped
+}
+
+func (t *memberTable) remove(id member.ID) {
+	t.removeFromDigest(t.entries[id])
+	delete(t.entries, id)
+	t.monitored.set(id, false)
+	t.fenced.set(id, false)
+	at, _ := slices.BinarySearch(t.sortedIDs, id)
+	t.sortedIDs = slices.Delete(t.sortedIDs, at, at+1)
+	t.ring.remove(id)
+}
+
+// selfRecord returns this node's record, which is present from New on.
+func (t *memberTable) selfRecord() *Record {
+	return &t.entries[t.self].record
+}
+
+// addressOf returns the address of a member, if the member is known.
+func (t *memberTable) addressOf(id member.ID) (string, bool) {
+	e, known := t.entries[id]
+	if !known {
+		return "", false
+	}
+	return e.record.Info.Address, true
+}
+
+// copyRecords returns all records in the order of their IDs, without shared memory.
+func (t *memberTable) copyRecords() []Record {
+	records := make([]Record, 0, len(t.sortedIDs))
+	for _, id := range t.sortedIDs {
+		records = append(records, t.entries[id].record.clone())
+	}
+	return records
+}
+
+// isAlone tells whether this node knows of no other member that may be running.
+func (t *memberTable) isAlone() bool {
+	return !slices.ContainsFunc(t.sortedIDs, func(id member.ID) bool {
+		return id != t.self && !t.entries[id].record.certainlyFenced()
+	})
+}
+
+// isOrphaned tells whether so many monitors of a member are not alive that a
+// running member would have replaced them by now.
+func (t *memberTable) isOrphaned(record *Record) bool {
+	lost := 0
+	for _, id := range record.Monitors {
+		e, known := t.entries[id]
+		if !known || e.record.State != StateAlive {
+			lost++
+		}
+	}
+	return lost > 0 && lost >= min(reportsNeeded(len(record.Monitors)), len(record.Monitors))
+}
--- /dev/null
+++ b/pkg/membership/sampler.go
@@ -0,0 +1,80 @@
+package membership
+
+import (
+	"math/rand/v2"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// sampler selects members for gossip, anti-entropy and probes. It owns the machine's
+// only random generator, so that a run repeats exactly for equal inputs.
+type sampler struct {
+	random *rand.Rand
+	self   member.Info
+	table  *memberTable
+	// nextFencedProbe is the position, in the table's fenced members, of the member
+	// that nextFenced returned last.
+	nextFencedProbe int
+}
+
+// newSampler seeds the generator by the node's ID and incarnation.
+func newSampler(self member.Info, table *memberTable) *sampler {
+	source := rand.NewPCG(ringPosition(self.ID), uint64(self.Incarnation))
+	return &sampler{random: rand.New(source), self: self, table: table}
+}
+
+// shuffledLiveMembers returns the other members that may be running, those of this
+// node's zone and those of other zones, each in random order, and the number of zones.
+func (s *sampler) shuffledLiveMembers() (near, far []member.ID, zones int) {
+	seenZones := map[string]bool{}
+	for _, id := range s.table.sortedIDs {
+		record := &s.table.entries[id].record
+		seenZones[record.Info.Zone] = true
+		switch {
+		case id == s.self.ID || record.certainlyFenced():
+		case record.Info.Zone == s.self.Zone:
+			near = append(near, id)
+		default:
+			far = append(far, id)
+		}
+	}
+	for _, ids := range [][]member.ID{near, far} {
+		s.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	}
+	return near, far, len(seenZones)
+}
+
+// randomMember draws another member that hasn't left, or returns "" if there is none.
+func (s *sampler) randomMember() member.ID {
+	ids := s.table.sortedIDs
+	first := s.random.IntN(len(ids))
+	for offset := range ids {
+		id := ids[(first+offset)%len(ids)]
+		if id != s.self.ID && s.table.entries[id].record.State != StateLeft {
+			return id
+		}
+	}
+	return ""
+}
+
+// nextFenced returns the other members that are certainly fenced and haven't left, one
+// with each call, or "" if there is none.
+func (s *sampler) nextFenced() member.ID {
+	fenced := s.table.fenced
+	for range fenced {
+		s.nextFencedProbe++
+		id := fenced[s.nextFencedProbe%len(fenced)]
+		if id != s.self.ID && s.table.entries[id].record.State != StateLeft {
+			return id
+		}
+	}
+	return ""
+}
+
+// randomSeed draws one of the seeds, or returns "" if there is none.
+func (s *sampler) randomSeed(seeds []string) string {
+	if len(seeds) == 0 {
+		return ""
+	}
+	return seeds[s.random.IntN(len(seeds))]
+}
