--- a/cmd/ridgeswitch-lab/experiment.go
+++ b/cmd/ridgeswitch-lab/experiment.go
@@ -18,8 +18,8 @@
 	experimentTimeout = 6 * time.Minute
 )
 
-// listPlans is the name by which the plans are listed.
-const listPlans = "list"
+// showPlans is the name by which the plans are listed.
+const showPlans = "list"
 
 func experimentCommand() *cli.Command {
 	return &cli.Command{
@@ -35,7 +35,7 @@
 
 // runExperiment runs a plan and prints its summary as the last line.
 func runExperiment(ctx context.Context, command *cli.Command) error {
-	if command.String("plan") == listPlans {
+	if command.String("plan") == showPlans {
 		printPlans()
 		return nil
 	}
--- a/cmd/ridgeswitch-lab/hollow.go
+++ b/cmd/ridgeswitch-lab/hollow.go
@@ -92,22 +92,22 @@
 		return err
 	}
 	result, err := hollow.Run(ctx, hollow.Settings{
-		Nodes:           command.Int("nodes"),
-		Core:            command.Int("core"),
-		Zones:           command.Int("zones"),
-		Replicas:        command.Int("replicas"),
-		Tenants:         command.Int("tenants"),
-		Duration:        time.Duration(command.Int("seconds")) * time.Second,
-		StartEvery:      command.Duration("start-every"),
-		SettleTimeout:   command.Duration("settle"),
-		Stretch:         command.Int("stretch"),
-		Virtual:         command.Bool("virtual"),
-		ChangeEvery:     command.Duration("change-every"),
-		PartsPerReplica: command.Int("parts"),
-		IndexDuration:   command.Duration("index"),
-		Sockets:         hollow.Sockets(command.String("sockets")),
-		MemoryLimit:     hollow.DefaultMemoryLimit,
-		Seed:            command.Uint64("seed"),
+		Nodes:              command.Int("nodes"),
+		Core:               command.Int("core"),
+		Zones:              command.Int("zones"),
+		Replicas:           command.Int("replicas"),
+		Tenants:            command.Int("tenants"),
+		Duration:           time.Duration(command.Int("seconds")) * time.Second,
+		StartEvery:         command.Duration("start-every"),
+		ConvergenceTimeout: command.Duration("settle"),
+		Stretch:            command.Int("stretch"),
+		Virtual:            command.Bool("virtual"),
+		ChangeEvery:        command.Duration("change-every"),
+		ChunksPerReplica:   command.Int("parts"),
+		IndexDuration:      command.Duration("index"),
+		Sockets:            hollow.Sockets(command.String("sockets")),
+		MemoryLimit:        hollow.DefaultMemoryLimit,
+		Seed:               command.Uint64("seed"),
 	})
 	endProfile()
 	if err != nil {
--- a/cmd/ridgeswitch-lab/platform.go
+++ b/cmd/ridgeswitch-lab/platform.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read the initial list of services")
 	}
-	initial, err := platform.ParseList(data)
+	initial, err := platform.ParseEndpoints(data)
 	if err != nil {
 		return err
 	}
--- a/cmd/ridgeswitch-lab/sim.go
+++ b/cmd/ridgeswitch-lab/sim.go
@@ -19,8 +19,8 @@
 // simGCPercent trades memory for speed.
 const simGCPercent = 400
 
-// listBreaks is the value of --break that lists the values that there are.
-const listBreaks = "list"
+// showBreaks is the value of --break that lists the values that there are.
+const showBreaks = "list"
 
 func simCommand() *cli.Command {
 	return &cli.Command{
@@ -44,7 +44,7 @@
 // runSim prints the timeline of the first failing seed and, as its last line, a
 // JSON summary.
 func runSim(_ context.Context, command *cli.Command) error {
-	if command.String("break") == listBreaks {
+	if command.String("break") == showBreaks {
 		return printBreaks(command)
 	}
 	campaign, err := campaignOf(command)
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -46,7 +46,7 @@
 		}, stand.address())
 		Expect(records).To(Equal([]recording.Record{{
 			AtUS: (3 * time.Second).Microseconds(), Tenant: "court", Host: poolHost, Pool: "pool", Model: poolModel,
-			Parts:        []recording.Part{{ID: recording.PartID("case"), Tokens: 32}, {ID: recording.PartID("question"), Tokens: 16}},
+			Chunks:       []recording.Chunk{{ID: recording.ChunkID("case"), Tokens: 32}, {ID: recording.ChunkID("question"), Tokens: 16}},
 			OutputTokens: 8, Repeatable: true, DeadlineMS: 900, Outcome: recording.Answered, Status: http.StatusOK,
 			Attempts: 1, ReusedTokens: 32, FirstUS: 7000, TotalUS: 7000,
 		}}))
@@ -80,7 +80,7 @@
 		records = recorded(filepath.Join(GinkgoT().TempDir(), "cut.jsonl"), func(f *fixture) {
 			f.generate(header{"Accept", "text/event-stream"})
 		}, truncated.address())
-		Expect(records[0]).To(And(HaveField("Outcome", recording.Cut), HaveField("Streamed", true)))
+		Expect(records[0]).To(And(HaveField("Outcome", recording.Truncated), HaveField("Streamed", true)))
 	})
 
 	It("does not record requests that reach no destination", func() {
--- a/internal/dataplane/request_recorder.go
+++ b/internal/dataplane/request_recorder.go
@@ -70,7 +70,7 @@
 	record := recording.Record{
 		AtUS:         (e.arrived - r.started).Microseconds(),
 		Host:         e.host,
-		Parts:        recording.Parts(e.parsed.Parts),
+		Chunks:       recording.Chunks(e.parsed.Parts),
 		OutputTokens: e.parsed.OutputTokens,
 		Repeatable:   e.parsed.Repeatable,
 		Streamed:     e.parsed.Streamed,
@@ -108,6 +108,6 @@
 	case e.request.Context().Err() != nil:
 		return recording.Left
 	default:
-		return recording.Cut
+		return recording.Truncated
 	}
 }
--- a/internal/lab/bench/prefix_aware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -69,7 +69,7 @@
 	decision, err := p.router.Select(kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Chunks:       request.Parts,
+		Chunks:       request.Chunks,
 		OutputTokens: request.OutputTokens,
 		SaltFor:      func(version string) string { return p.salts.of(request.Tenant, version) },
 		Settings:     p.routing,
--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -119,7 +119,7 @@
 		Tenant:       request.Tenant,
 		Model:        model,
 		CacheSalt:    placement.salt,
-		Parts:        request.Parts,
+		Chunks:       request.Chunks,
 		OutputTokens: request.OutputTokens,
 		AwaitPull:    placement.pull != nil,
 	})
@@ -159,7 +159,7 @@
 
 // export returns the parts that a peer or the store still keeps of those that
 // were asked for.
-func (s *simulation) export(now time.Duration, source int, missing []prefixindex.ChainHash) (*reporter, []emulator.KeptPart) {
+func (s *simulation) export(now time.Duration, source int, missing []prefixindex.ChainHash) (*reporter, []emulator.CachedChunk) {
 	if source == s.settings.storeNumber() {
 		return &s.store.reporter, s.store.export(missing)
 	}
--- a/internal/lab/bench/store.go
+++ b/internal/lab/bench/store.go
@@ -33,8 +33,8 @@
 }
 
 // export returns the parts that are kept up to the first one that is not.
-func (s *store) export(hashes []prefixindex.ChainHash) []emulator.KeptPart {
-	var chunks []emulator.KeptPart
+func (s *store) export(hashes []prefixindex.ChainHash) []emulator.CachedChunk {
+	var chunks []emulator.CachedChunk
 	for _, hash := range hashes {
 		chunk, found := s.model.Get(hash)
 		if !found {
@@ -67,7 +67,7 @@
 	took := s.settings.Links.TransferTime(from.zone, s.store.zone, uint64(tokens))
 	from.pushFreeAt = max(now, from.pushFreeAt) + took
 	s.timers.Add(from.pushFreeAt, func(now time.Duration) {
-		if chunk, found := from.model.Part(hash); found {
+		if chunk, found := from.model.Chunk(hash); found {
 			s.store.model.Put(chunk)
 			s.sendEvents(now, &s.store.reporter)
 		}
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -63,14 +63,14 @@
 func requestID(r *http.Request) string { return r.Header.Get("Request-Id") }
 
 func answerWhole(w http.ResponseWriter, id string) {
-	_ = json.NewEncoder(w).Encode(standin.NewWholeAnswer(id, 20))
+	_ = json.NewEncoder(w).Encode(standin.NewCompleteResponse(id, 20))
 }
 
 // streamEvents writes the events of a complete streamed answer, up to a count.
 func streamEvents(w http.ResponseWriter, id string, count int) {
 	output := standin.Output(id, 0, 3)
-	chunk, _ := json.Marshal(standin.ChunkAnswer{RequestID: id, Output: output})
-	digest, _ := json.Marshal(standin.DigestAnswer{RequestID: id, Digest: standin.Digest(id, output)})
+	chunk, _ := json.Marshal(standin.ChunkResponse{RequestID: id, Output: output})
+	digest, _ := json.Marshal(standin.DigestResponse{RequestID: id, Digest: standin.Digest(id, output)})
 	events := []string{"data: " + string(chunk), "event: digest\ndata: " + string(digest), "data: [DONE]"}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for _, event := range events[:count] {
@@ -100,12 +100,12 @@
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		})
-		Expect(records[0].Result).To(Equal(checker.ResultCut))
+		Expect(records[0].Result).To(Equal(checker.ResultTruncated))
 	})
 
 	It("see a cut answer that ends as if it were complete", func() {
 		records := send(caller.Job{}, func(w http.ResponseWriter, r *http.Request) {
-			data, _ := json.Marshal(standin.NewWholeAnswer(requestID(r), 20))
+			data, _ := json.Marshal(standin.NewCompleteResponse(requestID(r), 20))
 			_, _ = w.Write(data[:len(data)-10])
 		})
 		Expect(records[0].Result).To(Equal(checker.ResultComplete))
@@ -118,7 +118,7 @@
 		Expect(records[0].Result).To(Equal(checker.ResultComplete))
 		Expect(records[0].DigestMatches).To(BeTrue())
 		records = send(job, func(w http.ResponseWriter, r *http.Request) { streamEvents(w, requestID(r), 2) })
-		Expect(records[0].Result).To(Equal(checker.ResultCut))
+		Expect(records[0].Result).To(Equal(checker.ResultTruncated))
 	})
 
 	It("read the error event of a cut stream", func() {
@@ -126,7 +126,7 @@
 			streamEvents(w, requestID(r), 1)
 			_, _ = fmt.Fprint(w, "event: error\ndata: {\"kind\":\"answer_cut\",\"may_have_run\":true}\n\n")
 		})
-		Expect(records[0].Result).To(Equal(checker.ResultCut))
+		Expect(records[0].Result).To(Equal(checker.ResultTruncated))
 		Expect(records[0].ErrorKind).To(Equal("answer_cut"))
 		Expect(records[0].Claim).To(Equal(checker.ClaimMayHaveRun))
 	})
--- a/internal/lab/caller/exchange.go
+++ b/internal/lab/caller/exchange.go
@@ -92,8 +92,8 @@
 	if job.Model != "" {
 		header.Set(edge.HeaderModel, job.Model)
 	}
-	if len(job.Parts) > 0 {
-		header.Set(edge.HeaderPrefix, edge.FormatPrefix(job.Parts))
+	if len(job.Chunks) > 0 {
+		header.Set(edge.HeaderPrefix, edge.FormatPrefix(job.Chunks))
 	}
 	if job.OutputTokens > 0 {
 		header.Set(edge.HeaderOutputTokens, strconv.FormatUint(uint64(job.OutputTokens), 10))
@@ -117,12 +117,12 @@
 	case call.job.WebService:
 		err = readPage(call.record, response.Header, body)
 	default:
-		err = readWhole(call.record, body)
+		err = readComplete(call.record, body)
 	}
 	call.record.Ended = call.now()
 	if err != nil {
-		call.record.Result = checker.ResultCut
-		call.noteLeaving(ctx)
+		call.record.Result = checker.ResultTruncated
+		call.recordDeparture(ctx)
 	}
 }
 
@@ -133,11 +133,11 @@
 	if isDialError(err) {
 		call.record.ErrorKind = "dial"
 	}
-	call.noteLeaving(ctx)
+	call.recordDeparture(ctx)
 }
 
-// noteLeaving marks an unfinished exchange that the caller itself gave up.
-func (call *exchange) noteLeaving(ctx context.Context) {
+// recordDeparture marks an unfinished exchange that the caller itself gave up.
+func (call *exchange) recordDeparture(ctx context.Context) {
 	if ctx.Err() != nil {
 		call.record.Result = checker.ResultLeft
 	}
--- a/internal/lab/caller/job.go
+++ b/internal/lab/caller/job.go
@@ -23,7 +23,7 @@
 	Host         string
 	Path         string
 	Model        string
-	Parts        []prefixindex.Chunk
+	Chunks       []prefixindex.Chunk
 	OutputTokens uint32
 	Repeatable   bool
 	Streamed     bool
--- a/internal/lab/caller/answer.go
+++ b/internal/lab/caller/response.go
@@ -22,8 +22,8 @@
 // answer is cut.
 const errorEvent = "error"
 
-// errCut is the end of an answer that the node itself declared to be cut.
-var errCut = errors.New("the answer was cut")
+// errTruncated is the end of an answer that the node itself declared to be cut.
+var errTruncated = errors.New("the answer was cut")
 
 // refusal is the body of an error. The claim is a pointer, since a body that
 // does not make it must not be read as "not run".
@@ -71,16 +71,16 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// readWhole reads a replica's answer in one piece.
-func readWhole(record *checker.Request, body io.Reader) error {
+// readComplete reads a replica's answer in one piece.
+func readComplete(record *checker.Request, body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return err
 	}
-	var answer standin.WholeAnswer
+	var answer standin.CompleteResponse
 	_ = json.Unmarshal(data, &answer)
 	record.EchoID = answer.RequestID
-	record.DigestMatches = standin.CheckWhole(record.ID, data) == nil
+	record.DigestMatches = standin.CheckComplete(record.ID, data) == nil
 	record.Result = checker.ResultComplete
 	return nil
 }
@@ -112,7 +112,7 @@
 		if event.name == errorEvent {
 			return readErrorEvent(record, event.data)
 		}
-		noteOwner(record, event)
+		recordOwner(record, event)
 		check.Event(event.name, event.data)
 	}
 	record.DigestMatches = check.Err() == nil
@@ -125,13 +125,13 @@
 	if err := json.Unmarshal([]byte(data), &problem); err == nil {
 		takeProblem(record, problem)
 	}
-	return errCut
+	return errTruncated
 }
 
-// noteOwner keeps the identity that an event names; one that is not the
+// recordOwner keeps the identity that an event names; one that is not the
 // caller's stays, whatever follows.
-func noteOwner(record *checker.Request, event serverEvent) {
-	var chunk standin.ChunkAnswer
+func recordOwner(record *checker.Request, event serverEvent) {
+	var chunk standin.ChunkResponse
 	if json.Unmarshal([]byte(event.data), &chunk) != nil || chunk.RequestID == "" {
 		return
 	}
--- a/internal/lab/checker/commands.go
+++ b/internal/lab/checker/commands.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// CommandHolder holds that one node at a time commands a replica: once a
+// OneCommander holds that one node at a time commands a replica: once a
 // replica has received a command of one epoch, no command of an older epoch
 // and none of another holder in the same epoch reaches it. A command that the
 // replica refused breaks the rule as well, since its sender believed to hold
 // the right to command.
-type CommandHolder struct{}
+type OneCommander struct{}
 
 // Name returns the stable name.
-func (CommandHolder) Name() Name { return "command_holder" }
+func (OneCommander) Name() Name { return "command_holder" }
 
 // Check follows the epochs that each replica received.
-func (rule CommandHolder) Check(records *Records) []Violation {
+func (rule OneCommander) Check(records *Records) []Violation {
 	newest := make(map[string]Command)
 	var violations []Violation
 	for _, command := range commandsByTime(records) {
--- a/internal/lab/checker/draining.go
+++ b/internal/lab/checker/draining.go
@@ -30,14 +30,14 @@
 func drainingSpans(records *Records) map[string][]Span {
 	since := make(map[string]time.Duration)
 	spans := make(map[string][]Span)
-	for _, listing := range listingsByTime(records) {
-		from, draining := since[listing.Replica]
+	for _, sample := range endpointsByTime(records) {
+		from, draining := since[sample.Replica]
 		switch {
-		case listing.Draining && !listing.Removed && !draining:
-			since[listing.Replica] = listing.At + DrainingBound
-		case draining && !listing.Draining && !listing.Removed:
-			spans[listing.Replica] = append(spans[listing.Replica], Span{From: from, To: listing.At})
-			delete(since, listing.Replica)
+		case sample.Draining && !sample.Removed && !draining:
+			since[sample.Replica] = sample.At + DrainingBound
+		case draining && !sample.Draining && !sample.Removed:
+			spans[sample.Replica] = append(spans[sample.Replica], Span{From: from, To: sample.At})
+			delete(since, sample.Replica)
 		}
 	}
 	for replica, from := range since {
--- a/internal/lab/checker/figures.go
+++ b/internal/lab/checker/figures.go
@@ -24,12 +24,12 @@
 	samples := servingSamples(records)
 	var spread []time.Duration
 	for _, order := range firstAcknowledgements(records) {
-		for _, life := range records.Nodes {
-			throughout := life.From <= order.Sent && (!life.Ended || life.To > order.Answered+ServedBound)
+		for _, run := range records.Nodes {
+			throughout := run.From <= order.Sent && (!run.Ended || run.To > order.Answered+ServedBound)
 			if !throughout {
 				continue
 			}
-			if at, served := servedSince(samples, life.Node, order); served {
+			if at, served := servedSince(samples, run.Node, order); served {
 				spread = append(spread, at-order.Sent)
 			}
 		}
--- a/internal/lab/checker/history_test.go
+++ b/internal/lab/checker/history_test.go
@@ -85,7 +85,7 @@
 }
 
 func addNodes(records *checker.Records) {
-	records.Nodes = []checker.NodeLife{
+	records.Nodes = []checker.NodeRun{
 		{Node: "front-1"},
 		{Node: "core-1", Span: checker.Span{To: 8 * second}, Ended: true},
 		{Node: "core-1", Span: checker.Span{From: 9 * second}},
@@ -115,13 +115,13 @@
 func addReplicas(records *checker.Records) {
 	for number := 1; number <= 3; number++ {
 		replica := fmt.Sprintf("replica-%d", number)
-		records.Listings = append(records.Listings, checker.Listing{Service: "model", Replica: replica, Zone: "north"})
+		records.Listings = append(records.Listings, checker.EndpointSample{Service: "model", Replica: replica, Zone: "north"})
 		records.Versions = append(records.Versions,
 			checker.VersionSample{Pool: "model", Replica: replica, At: 26 * second, WeightVersion: "v1"},
 			checker.VersionSample{Pool: "model", Replica: replica, At: 28 * second, WeightVersion: "v2"})
 	}
 	records.Listings = append(records.Listings,
-		checker.Listing{Service: "model", Replica: "replica-3", Zone: "north", Draining: true, At: 7 * second})
+		checker.EndpointSample{Service: "model", Replica: "replica-3", Zone: "north", Draining: true, At: 7 * second})
 	records.Commands = []checker.Command{
 		{Replica: "replica-1", Holder: "core-1", Epoch: 1, WeightVersion: "v1", At: second, Accepted: true},
 		{Replica: "replica-1", Holder: "core-2", Epoch: 2, WeightVersion: "v2", At: 11 * second, Accepted: true},
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -44,7 +44,7 @@
 		_, err := emulated.Submit(one.at, emulator.Request{
 			RequestID: fmt.Sprintf("request-%d", number),
 			Attempt:   1, Tenant: one.tenant, Model: "model", CacheSalt: one.salt, OutputTokens: 1,
-			Parts: []prefixindex.Chunk{{ID: "shared", Tokens: 1000}},
+			Chunks: []prefixindex.Chunk{{ID: "shared", Tokens: 1000}},
 		})
 		Expect(err).NotTo(HaveOccurred())
 	}
@@ -54,7 +54,7 @@
 			RequestID: one.Request.RequestID, Attempt: one.Request.Attempt,
 			Replica: "replica-1", Arrived: one.ArrivedAt, Refused: !one.Started, Tenant: one.Request.Tenant,
 			WeightVersion: one.WeightVersion, FinalVersion: one.FinalWeightVersion,
-			Reused: lo.Map(one.Reused, func(part emulator.ReusedPart, _ int) checker.Reuse {
+			Reused: lo.Map(one.Reused, func(part emulator.ReusedChunk, _ int) checker.Reuse {
 				return checker.Reuse{Part: part.Hash, Tenant: part.Tenant, WeightVersion: part.WeightVersion}
 			}),
 		}
--- a/internal/lab/checker/records.go
+++ b/internal/lab/checker/records.go
@@ -10,9 +10,9 @@
 	Executions []Execution
 	Commands   []Command
 	Orders     []Order
-	Nodes      []NodeLife
+	Nodes      []NodeRun
 	Served     []ServedSample
-	Listings   []Listing
+	Listings   []EndpointSample
 	Versions   []VersionSample
 	// Calm are the spans without a fault and without a change by an operator.
 	Calm []Span
@@ -39,8 +39,8 @@
 const (
 	// ResultComplete is an answer that looks whole to the caller.
 	ResultComplete Result = "complete"
-	// ResultCut is an answer that the caller saw break off.
-	ResultCut Result = "cut"
+	// ResultTruncated is an answer that the caller saw break off.
+	ResultTruncated Result = "cut"
 	// ResultRefused is a typed error in place of an answer.
 	ResultRefused Result = "refused"
 	// ResultLost is a connection that failed before any answer.
@@ -193,8 +193,8 @@
 	ProblemKind string
 }
 
-// NodeLife is one run of a node's process.
-type NodeLife struct {
+// NodeRun is one run of a node's process.
+type NodeRun struct {
 	Node string
 	Span
 	// Ended tells that the process ended at Span.To; else it outlived the
@@ -210,9 +210,9 @@
 	Fenced   bool
 }
 
-// Listing is one entry of the platform's list from At on, as the list showed
+// EndpointSample is one entry of the platform's list from At on, as the list showed
 // it.
-type Listing struct {
+type EndpointSample struct {
 	Service  string
 	Replica  string
 	Zone     string
--- a/internal/lab/checker/served.go
+++ b/internal/lab/checker/served.go
@@ -67,29 +67,29 @@
 // servingSamples returns, by time, the samples of nodes that admit traffic. A
 // process that has not yet shown any revision does not serve yet.
 func servingSamples(records *Records) []ServedSample {
-	started := make(map[NodeLife]bool)
+	started := make(map[NodeRun]bool)
 	var serving []ServedSample
 	for _, sample := range samplesByTime(records) {
-		life, found := lifeAt(records, sample.Node, sample.At)
+		run, found := nodeRunAt(records, sample.Node, sample.At)
 		if !found || sample.Fenced {
 			continue
 		}
-		if sample.Revision == 0 && !started[life] {
+		if sample.Revision == 0 && !started[run] {
 			continue
 		}
-		started[life] = true
+		started[run] = true
 		serving = append(serving, sample)
 	}
 	return serving
 }
 
-func lifeAt(records *Records, node string, at time.Duration) (NodeLife, bool) {
-	for _, life := range records.Nodes {
-		if life.Node == node && at >= life.From && (!life.Ended || at < life.To) {
-			return life, true
+func nodeRunAt(records *Records, node string, at time.Duration) (NodeRun, bool) {
+	for _, run := range records.Nodes {
+		if run.Node == node && at >= run.From && (!run.Ended || at < run.To) {
+			return run, true
 		}
 	}
-	return NodeLife{}, false
+	return NodeRun{}, false
 }
 
 // ServedNeverBack holds that a node never serves an older revision than it did
@@ -133,14 +133,14 @@
 		}
 	}
 	var violations []Violation
-	for _, life := range records.Nodes {
-		at, served := last[life.Node]
-		lately := served && at >= life.From && at+recoveryWindow >= records.End
-		if life.Ended || lately {
+	for _, run := range records.Nodes {
+		at, served := last[run.Node]
+		lately := served && at >= run.From && at+recoveryWindow >= records.End
+		if run.Ended || lately {
 			continue
 		}
 		violations = append(violations, violation(rule.Name(), records.End,
-			"node %s runs but did not serve at the end (last seen to serve at %v)", life.Node, at))
+			"node %s runs but did not serve at the end (last seen to serve at %v)", run.Node, at))
 	}
 	return violations
 }
--- a/internal/lab/checker/weights.go
+++ b/internal/lab/checker/weights.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// WeightsSettle holds that a named weight version runs on every listed replica
+// WeightsConverge holds that a named weight version runs on every listed replica
 // of its pool within WeightsBound of calm time. A replica that the platform
 // lists as draining, or not at all, is on its way out and is not counted.
-type WeightsSettle struct{}
+type WeightsConverge struct{}
 
 // Name returns the stable name.
-func (WeightsSettle) Name() Name { return "weights_settle" }
+func (WeightsConverge) Name() Name { return "weights_settle" }
 
 // Check judges every naming that was followed by enough calm time.
-func (rule WeightsSettle) Check(records *Records) []Violation {
+func (rule WeightsConverge) Check(records *Records) []Violation {
 	var violations []Violation
 	namings := namings(records)
 	for position, naming := range namings {
-		deadline, calm := settleDeadline(records, naming, replacedAt(namings, position))
+		deadline, calm := convergenceDeadline(records, naming, replacedAt(namings, position))
 		if !calm {
 			continue
 		}
@@ -27,10 +27,10 @@
 	return violations
 }
 
-func (rule WeightsSettle) checkNaming(records *Records, naming Order, deadline time.Duration) []Violation {
+func (rule WeightsConverge) checkNaming(records *Records, naming Order, deadline time.Duration) []Violation {
 	var violations []Violation
 	for _, replica := range poolReplicas(records, naming.Change.Pool) {
-		if !listedAt(records, replica, deadline) {
+		if !runningAt(records, replica, deadline) {
 			continue
 		}
 		version, seen := versionAfter(records, replica, deadline)
@@ -69,9 +69,9 @@
 	return forever
 }
 
-// settleDeadline returns the first moment at which a naming has had
+// convergenceDeadline returns the first moment at which a naming has had
 // WeightsBound of calm time without being replaced.
-func settleDeadline(records *Records, naming Order, replaced time.Duration) (time.Duration, bool) {
+func convergenceDeadline(records *Records, naming Order, replaced time.Duration) (time.Duration, bool) {
 	for _, calm := range records.Calm {
 		deadline := max(calm.From, naming.Answered) + WeightsBound
 		if deadline <= calm.To && deadline < replaced {
@@ -108,21 +108,21 @@
 	return first.WeightVersion, found
 }
 
-// listedAt tells whether the platform listed a replica as running.
-func listedAt(records *Records, replica string, at time.Duration) bool {
-	listed := false
-	for _, listing := range listingsByTime(records) {
-		if listing.Replica == replica && listing.At <= at {
-			listed = !listing.Draining && !listing.Removed
+// runningAt tells whether the platform listed a replica as running.
+func runningAt(records *Records, replica string, at time.Duration) bool {
+	running := false
+	for _, sample := range endpointsByTime(records) {
+		if sample.Replica == replica && sample.At <= at {
+			running = !sample.Draining && !sample.Removed
 		}
 	}
-	return listed
+	return running
 }
 
-// listingsByTime returns a sorted copy of the platform's history.
-func listingsByTime(records *Records) []Listing {
+// endpointsByTime returns a sorted copy of the platform's history.
+func endpointsByTime(records *Records) []EndpointSample {
 	sorted := slices.Clone(records.Listings)
-	slices.SortStableFunc(sorted, func(left, right Listing) int {
+	slices.SortStableFunc(sorted, func(left, right EndpointSample) int {
 		return compareTimes(left.At, right.At)
 	})
 	return sorted
--- a/internal/lab/emulator/cache.go
+++ b/internal/lab/emulator/cache.go
@@ -6,8 +6,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// KeptPart is a prompt part in memory, with the truth about who made it.
-type KeptPart struct {
+// CachedChunk is a prompt part in memory, with the truth about who made it.
+type CachedChunk struct {
 	Hash   prefixindex.ChainHash `json:"hash"`
 	Parent prefixindex.ChainHash `json:"parent"`
 	Tokens uint32                `json:"tokens"`
@@ -30,8 +30,8 @@
 }
 
 type cacheEntry struct {
-	part KeptPart
-	pins int
+	chunk CachedChunk
+	pins  int
 }
 
 // NewCache returns an empty cache of the given capacity in tokens.
@@ -47,25 +47,25 @@
 func (c *Cache) KeptTokens() uint64 { return c.kept }
 
 // Get returns a part if it is kept.
-func (c *Cache) Get(hash prefixindex.ChainHash) (KeptPart, bool) {
+func (c *Cache) Get(hash prefixindex.ChainHash) (CachedChunk, bool) {
 	element, ok := c.entries[hash]
 	if !ok {
-		return KeptPart{}, false
+		return CachedChunk{}, false
 	}
-	return element.Value.(*cacheEntry).part, true
+	return element.Value.(*cacheEntry).chunk, true
 }
 
 // Leading returns the kept parts of a chain up to the first one that is missing.
-func (c *Cache) Leading(links []prefixindex.Link) []KeptPart {
-	var parts []KeptPart
+func (c *Cache) Leading(links []prefixindex.Link) []CachedChunk {
+	var chunks []CachedChunk
 	for _, link := range links {
-		part, ok := c.Get(link.Hash)
+		chunk, ok := c.Get(link.Hash)
 		if !ok {
 			break
 		}
-		parts = append(parts, part)
+		chunks = append(chunks, chunk)
 	}
-	return parts
+	return chunks
 }
 
 // Touch marks the kept parts of a chain as just used.
@@ -104,30 +104,30 @@
 // Put keeps a part as the most recently used one. A part that is kept already
 // stays as it was first made. The part is not stored when pinned parts leave no
 // room for it.
-func (c *Cache) Put(part KeptPart) (stored bool, removed []KeptPart) {
-	if _, ok := c.entries[part.Hash]; ok {
+func (c *Cache) Put(chunk CachedChunk) (stored bool, removed []CachedChunk) {
+	if _, ok := c.entries[chunk.Hash]; ok {
 		return false, nil
 	}
-	removed, room := c.makeRoom(uint64(part.Tokens))
-	if !room {
+	removed, fits := c.evictFor(uint64(chunk.Tokens))
+	if !fits {
 		return false, removed
 	}
-	c.entries[part.Hash] = c.recent.PushFront(&cacheEntry{part: part})
-	c.kept += uint64(part.Tokens)
+	c.entries[chunk.Hash] = c.recent.PushFront(&cacheEntry{chunk: chunk})
+	c.kept += uint64(chunk.Tokens)
 	return true, removed
 }
 
 // PutChain keeps parts of one chain, in order, up to the first one that finds no
 // room. None of them makes room for another.
-func (c *Cache) PutChain(parts []KeptPart) (stored, removed []KeptPart) {
+func (c *Cache) PutChain(chunks []CachedChunk) (stored, removed []CachedChunk) {
 	var pinned []prefixindex.ChainHash
-	for _, part := range parts {
-		added, evicted := c.Put(part)
+	for _, chunk := range chunks {
+		added, evicted := c.Put(chunk)
 		removed = append(removed, evicted...)
 		if added {
-			stored = append(stored, part)
+			stored = append(stored, chunk)
 		}
-		pins := c.Pin([]prefixindex.Link{{Hash: part.Hash}})
+		pins := c.Pin([]prefixindex.Link{{Hash: chunk.Hash}})
 		if len(pins) == 0 {
 			break
 		}
@@ -139,8 +139,8 @@
 
 // Reserve takes memory for the output of an active request and evicts parts for
 // it. Release gives it back.
-func (c *Cache) Reserve(tokens uint64) (removed []KeptPart) {
-	removed, _ = c.makeRoom(tokens)
+func (c *Cache) Reserve(tokens uint64) (removed []CachedChunk) {
+	removed, _ = c.evictFor(tokens)
 	c.reserved += tokens
 	return removed
 }
@@ -149,16 +149,16 @@
 func (c *Cache) Release(tokens uint64) { c.reserved -= tokens }
 
 // All returns every kept part, the least recently used one last.
-func (c *Cache) All() []KeptPart {
-	parts := make([]KeptPart, 0, len(c.entries))
+func (c *Cache) All() []CachedChunk {
+	chunks := make([]CachedChunk, 0, len(c.entries))
 	for element := c.recent.Front(); element != nil; element = element.Next() {
-		parts = append(parts, element.Value.(*cacheEntry).part)
+		chunks = append(chunks, element.Value.(*cacheEntry).chunk)
 	}
-	return parts
+	return chunks
 }
 
-// makeRoom evicts unpinned parts until the tokens fit.
-func (c *Cache) makeRoom(tokens uint64) (removed []KeptPart, room bool) {
+// evictFor evicts unpinned parts until the tokens fit.
+func (c *Cache) evictFor(tokens uint64) (removed []CachedChunk, fits bool) {
 	element := c.recent.Back()
 	for c.kept+c.reserved+tokens > c.capacity {
 		if element == nil {
@@ -168,9 +168,9 @@
 		entry := element.Value.(*cacheEntry)
 		if entry.pins == 0 {
 			c.recent.Remove(element)
-			delete(c.entries, entry.part.Hash)
-			c.kept -= uint64(entry.part.Tokens)
-			removed = append(removed, entry.part)
+			delete(c.entries, entry.chunk.Hash)
+			c.kept -= uint64(entry.chunk.Tokens)
+			removed = append(removed, entry.chunk)
 		}
 		element = previous
 	}
--- a/internal/lab/emulator/cache_test.go
+++ b/internal/lab/emulator/cache_test.go
@@ -14,9 +14,9 @@
 	return prefixindex.Chain("model", "salt", parts)
 }
 
-func kept(links []prefixindex.Link) []emulator.KeptPart {
-	return lo.Map(links, func(link prefixindex.Link, _ int) emulator.KeptPart {
-		return emulator.KeptPart{Hash: link.Hash, Tokens: link.Tokens}
+func kept(links []prefixindex.Link) []emulator.CachedChunk {
+	return lo.Map(links, func(link prefixindex.Link, _ int) emulator.CachedChunk {
+		return emulator.CachedChunk{Hash: link.Hash, Tokens: link.Tokens}
 	})
 }
 
@@ -64,11 +64,11 @@
 
 	It("keeps the maker of a part that is put again", func() {
 		cache := emulator.NewCache(300)
-		part := emulator.KeptPart{Hash: 7, Tokens: 10, Tenant: "first", WeightVersion: "v1"}
-		cache.PutChain([]emulator.KeptPart{part})
+		part := emulator.CachedChunk{Hash: 7, Tokens: 10, Tenant: "first", WeightVersion: "v1"}
+		cache.PutChain([]emulator.CachedChunk{part})
 		again := part
 		again.Tenant = "second"
-		cache.PutChain([]emulator.KeptPart{again})
-		Expect(cache.All()).To(Equal([]emulator.KeptPart{part}))
+		cache.PutChain([]emulator.CachedChunk{again})
+		Expect(cache.All()).To(Equal([]emulator.CachedChunk{part}))
 	})
 })
--- a/internal/lab/emulator/feedplan_test.go
+++ b/internal/lab/emulator/feed_plan_test.go
@@ -72,7 +72,7 @@
 	It("gives what follows a number, or says that it is gone", func() {
 		journal := emulator.NewJournal(7, 4)
 		for number := range 20 {
-			journal.Stored([]emulator.KeptPart{{Hash: 1, Tokens: uint32(number + 1)}})
+			journal.Stored([]emulator.CachedChunk{{Hash: 1, Tokens: uint32(number + 1)}})
 		}
 		events, kept := journal.After(19)
 		Expect(kept).To(BeTrue())
--- a/internal/lab/emulator/journal.go
+++ b/internal/lab/emulator/journal.go
@@ -30,20 +30,20 @@
 func (j *Journal) LastSequence() uint64 { return j.sequence }
 
 // Stored adds an event about parts that are now kept.
-func (j *Journal) Stored(parts []KeptPart) {
-	if len(parts) > 0 {
-		j.add(protocol.EventStored, EventParts(parts))
+func (j *Journal) Stored(chunks []CachedChunk) {
+	if len(chunks) > 0 {
+		j.add(protocol.EventStored, EventChunks(chunks))
 	}
 }
 
 // Removed adds an event about parts that were dropped.
-func (j *Journal) Removed(parts []KeptPart) {
-	if len(parts) == 0 {
+func (j *Journal) Removed(chunks []CachedChunk) {
+	if len(chunks) == 0 {
 		return
 	}
-	gone := make([]protocol.Part, len(parts))
-	for position, part := range parts {
-		gone[position] = protocol.Part{Hash: FormatHash(part.Hash)}
+	gone := make([]protocol.Part, len(chunks))
+	for position, chunk := range chunks {
+		gone[position] = protocol.Part{Hash: FormatHash(chunk.Hash)}
 	}
 	j.add(protocol.EventRemoved, gone)
 }
@@ -63,37 +63,37 @@
 
 // Snapshot returns a reset that stands for everything up to the newest event.
 // It bears that event's number, so that the next event follows it without a gap.
-func (j *Journal) Snapshot(kept []KeptPart) protocol.Event {
+func (j *Journal) Snapshot(kept []CachedChunk) protocol.Event {
 	return protocol.Event{
 		Kind:        protocol.EventReset,
 		Incarnation: j.incarnation,
 		Sequence:    j.sequence,
-		Parts:       EventParts(kept),
+		Parts:       EventChunks(kept),
 	}
 }
 
-func (j *Journal) add(kind protocol.EventKind, parts []protocol.Part) {
+func (j *Journal) add(kind protocol.EventKind, chunks []protocol.Part) {
 	j.sequence++
 	j.events = append(j.events, protocol.Event{
 		Kind:        kind,
 		Incarnation: j.incarnation,
 		Sequence:    j.sequence,
-		Parts:       parts,
+		Parts:       chunks,
 	})
 	if len(j.events) > 2*j.limit {
 		j.events = append([]protocol.Event(nil), j.events[len(j.events)-j.limit:]...)
 	}
 }
 
-// EventParts turns kept parts into the protocol's form, which tells neither
+// EventChunks turns kept parts into the protocol's form, which tells neither
 // tenant nor version.
-func EventParts(parts []KeptPart) []protocol.Part {
-	shown := make([]protocol.Part, len(parts))
-	for position, part := range parts {
+func EventChunks(chunks []CachedChunk) []protocol.Part {
+	shown := make([]protocol.Part, len(chunks))
+	for position, chunk := range chunks {
 		shown[position] = protocol.Part{
-			Hash:   FormatHash(part.Hash),
-			Parent: FormatHash(part.Parent),
-			Tokens: part.Tokens,
+			Hash:   FormatHash(chunk.Hash),
+			Parent: FormatHash(chunk.Parent),
+			Tokens: chunk.Tokens,
 		}
 	}
 	return shown
--- a/internal/lab/emulator/replica.go
+++ b/internal/lab/emulator/replica.go
@@ -98,7 +98,7 @@
 	execution.Handle = r.nextHandle
 	attempt := &sequence{
 		handle:    r.nextHandle,
-		links:     prefixindex.Chain(request.Model, request.CacheSalt, request.Parts),
+		links:     prefixindex.Chain(request.Model, request.CacheSalt, request.Chunks),
 		execution: execution,
 		pulling:   request.AwaitPull,
 	}
@@ -167,7 +167,7 @@
 
 // PullDone ends the wait of an attempt for pulled parts and keeps those that
 // came. A failed pull brings none.
-func (r *Replica) PullDone(now time.Duration, handle Handle, parts []KeptPart) {
+func (r *Replica) PullDone(now time.Duration, handle Handle, chunks []CachedChunk) {
 	r.Advance(now)
 	attempt, ok := r.active[handle]
 	if !ok || !attempt.pulling {
@@ -176,7 +176,7 @@
 	attempt.pulling = false
 	r.pulling--
 	pinned := r.cache.Pin(attempt.links)
-	r.keep(parts)
+	r.keep(chunks)
 	r.cache.Unpin(pinned)
 	r.cache.Touch(attempt.links)
 	r.queue = append(r.queue, attempt)
@@ -202,20 +202,20 @@
 
 // Export returns the parts that a peer asked for, up to the first one that is
 // not kept.
-func (r *Replica) Export(now time.Duration, hashes []prefixindex.ChainHash) []KeptPart {
+func (r *Replica) Export(now time.Duration, hashes []prefixindex.ChainHash) []CachedChunk {
 	r.Advance(now)
 	if now < r.upAt {
 		return nil
 	}
-	var parts []KeptPart
+	var chunks []CachedChunk
 	for _, hash := range hashes {
-		part, ok := r.cache.Get(hash)
+		chunk, ok := r.cache.Get(hash)
 		if !ok {
 			break
 		}
-		parts = append(parts, part)
+		chunks = append(chunks, chunk)
 	}
-	return parts
+	return chunks
 }
 
 // Drain makes the replica refuse new requests, or take them again.
@@ -231,7 +231,7 @@
 	r.Advance(now)
 	for _, handle := range sortedHandles(r.active) {
 		attempt := r.active[handle]
-		r.note(NoticeCrashed, attempt)
+		r.addNotice(NoticeCrashed, attempt)
 		attempt.execution.Outcome = OutcomeCrashed
 		attempt.execution.FinishedAt = now
 	}
@@ -253,16 +253,16 @@
 // Snapshot returns a reset event that lists everything kept.
 func (r *Replica) Snapshot() protocol.Event { return r.journal.Snapshot(r.cache.All()) }
 
-// Part returns one kept part.
-func (r *Replica) Part(hash prefixindex.ChainHash) (KeptPart, bool) { return r.cache.Get(hash) }
+// Chunk returns one kept part.
+func (r *Replica) Chunk(hash prefixindex.ChainHash) (CachedChunk, bool) { return r.cache.Get(hash) }
 
 func (r *Replica) warming() bool { return r.now < r.warmAt }
 
 // keep stores parts of one chain, in order, and reports what was stored and what
 // had to go. It ends at the first part that finds no room, since no later part
 // counts without it.
-func (r *Replica) keep(parts []KeptPart) {
-	stored, removed := r.cache.PutChain(parts)
+func (r *Replica) keep(chunks []CachedChunk) {
+	stored, removed := r.cache.PutChain(chunks)
 	r.journal.Removed(removed)
 	r.journal.Stored(stored)
 }
--- a/internal/lab/emulator/replica_test.go
+++ b/internal/lab/emulator/replica_test.go
@@ -28,7 +28,7 @@
 func request(id, tenant, salt string, parts ...prefixindex.Chunk) emulator.Request {
 	return emulator.Request{
 		RequestID: id, Attempt: 1, Tenant: tenant, Model: "model", CacheSalt: salt,
-		Parts: parts, OutputTokens: 10,
+		Chunks: parts, OutputTokens: 10,
 	}
 }
 
@@ -219,7 +219,7 @@
 	})
 
 	It("shows a reuse across weights when the salt does not change with them", func() {
-		mixed := func(saltAfter string) []emulator.ReusedPart {
+		mixed := func(saltAfter string) []emulator.ReusedChunk {
 			replica := newReplica(smallMachine())
 			mustSubmit(replica, 0, request("before", "t", "salt-v1", shared))
 			loading := finish(replica)
--- a/internal/lab/emulator/report.go
+++ b/internal/lab/emulator/report.go
@@ -46,14 +46,14 @@
 	}
 	report := shown.report
 	age := min(r.config.ReportDelay, now-shown.at)
-	report.AgeMS = WholeMilliseconds(age)
+	report.AgeMS = CeilMilliseconds(age)
 	report.Warming = shown.at < r.warmAt && now-age < r.warmAt
 	return report
 }
 
-// WholeMilliseconds rounds an age up, so that nothing passes for newer than it
+// CeilMilliseconds rounds an age up, so that nothing passes for newer than it
 // is.
-func WholeMilliseconds(age time.Duration) uint64 {
+func CeilMilliseconds(age time.Duration) uint64 {
 	return uint64((age + time.Millisecond - 1) / time.Millisecond)
 }
 
@@ -63,7 +63,7 @@
 		WeightVersion:       r.WeightVersion(),
 		ActiveRequests:      uint32(len(r.active)),
 		ActivePrefillTokens: r.prefillTokens(),
-		ActiveDecodeTokens:  r.heldTokens(),
+		ActiveDecodeTokens:  r.activeTokens(),
 		KeptTokens:          r.cache.KeptTokens(),
 		CapacityTokens:      r.config.CapacityTokens,
 		LastSequence:        r.journal.LastSequence(),
@@ -96,8 +96,8 @@
 	return tokens
 }
 
-// heldTokens counts the tokens, prompt and generated, of all accepted attempts.
-func (r *Replica) heldTokens() uint64 {
+// activeTokens counts the tokens, prompt and generated, of all accepted attempts.
+func (r *Replica) activeTokens() uint64 {
 	var tokens uint64
 	for _, attempt := range r.active {
 		tokens += attempt.prompt + uint64(attempt.produced)
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -21,7 +21,7 @@
 	Repeatable string
 	Model      string
 	CacheSalt  string
-	Parts      []prefixindex.Chunk
+	Chunks     []prefixindex.Chunk
 	// OutputTokens is how many tokens are generated, at least 1.
 	OutputTokens uint32
 	// ChunkTokens asks for a notice each time so many tokens are out; 0 asks for
@@ -96,8 +96,8 @@
 	OutcomeRefused              Outcome = "refused"
 )
 
-// ReusedPart is a part that an attempt did not compute, with its maker.
-type ReusedPart struct {
+// ReusedChunk is a part that an attempt did not compute, with its maker.
+type ReusedChunk struct {
 	Hash          string `json:"hash"`
 	Tokens        uint32 `json:"tokens"`
 	Tenant        string `json:"tenant"`
@@ -120,7 +120,7 @@
 	FirstTokenAt    time.Duration
 	PrefilledTokens uint64
 	ReusedTokens    uint64
-	Reused          []ReusedPart
+	Reused          []ReusedChunk
 	// WeightVersion is the version at the start, FinalWeightVersion at the end.
 	WeightVersion      string
 	FinalWeightVersion string
@@ -128,13 +128,13 @@
 
 // MixedReuse returns the reused parts that another weight version made, or that
 // another tenant made while walled says that either of the two is walled.
-func (e *Execution) MixedReuse(walled func(tenant string) bool) []ReusedPart {
-	var mixed []ReusedPart
-	for _, part := range e.Reused {
-		otherVersion := part.WeightVersion != e.WeightVersion
-		otherTenant := part.Tenant != e.Request.Tenant
-		if otherVersion || otherTenant && (walled(part.Tenant) || walled(e.Request.Tenant)) {
-			mixed = append(mixed, part)
+func (e *Execution) MixedReuse(walled func(tenant string) bool) []ReusedChunk {
+	var mixed []ReusedChunk
+	for _, chunk := range e.Reused {
+		otherVersion := chunk.WeightVersion != e.WeightVersion
+		otherTenant := chunk.Tenant != e.Request.Tenant
+		if otherVersion || otherTenant && (walled(chunk.Tenant) || walled(e.Request.Tenant)) {
+			mixed = append(mixed, chunk)
 		}
 	}
 	return mixed
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -168,16 +168,16 @@
 	leading := r.cache.Leading(attempt.links)
 	attempt.pinned = r.cache.Pin(attempt.links[:len(leading)])
 	r.cache.Touch(attempt.links)
-	execution.Reused = lo.Map(leading, func(part KeptPart, _ int) ReusedPart {
-		return ReusedPart{
-			Hash:          FormatHash(part.Hash),
-			Tokens:        part.Tokens,
-			Tenant:        part.Tenant,
-			WeightVersion: part.WeightVersion,
+	execution.Reused = lo.Map(leading, func(chunk CachedChunk, _ int) ReusedChunk {
+		return ReusedChunk{
+			Hash:          FormatHash(chunk.Hash),
+			Tokens:        chunk.Tokens,
+			Tenant:        chunk.Tenant,
+			WeightVersion: chunk.WeightVersion,
 		}
 	})
-	for _, part := range leading {
-		execution.ReusedTokens += uint64(part.Tokens)
+	for _, chunk := range leading {
+		execution.ReusedTokens += uint64(chunk.Tokens)
 	}
 	attempt.reserved = uint64(execution.Request.OutputTokens)
 	r.journal.Removed(r.cache.Reserve(attempt.reserved))
@@ -199,7 +199,7 @@
 	attempt.execution.FirstTokenAt = r.now
 	attempt.produced = 1
 	attempt.reported = 1
-	r.note(NoticeFirstToken, attempt)
+	r.addNotice(NoticeFirstToken, attempt)
 	if attempt.execution.Request.OutputTokens == 1 {
 		r.finish(attempt)
 		return
@@ -210,9 +210,9 @@
 func (r *Replica) keepComputed(attempt *sequence) {
 	execution := attempt.execution
 	parent := rootOf(execution.Request)
-	var made []KeptPart
+	var made []CachedChunk
 	for _, link := range attempt.links {
-		made = append(made, KeptPart{
+		made = append(made, CachedChunk{
 			Hash:          link.Hash,
 			Parent:        parent,
 			Tokens:        link.Tokens,
@@ -242,14 +242,14 @@
 	}
 	attempt.reported = uint32(attempt.nextStop())
 	if attempt.reported < attempt.execution.Request.OutputTokens {
-		r.note(NoticeChunk, attempt)
+		r.addNotice(NoticeChunk, attempt)
 		return
 	}
 	r.finish(attempt)
 }
 
 func (r *Replica) finish(attempt *sequence) {
-	r.note(NoticeFinished, attempt)
+	r.addNotice(NoticeFinished, attempt)
 	r.release(attempt, OutcomeCompleted)
 }
 
@@ -271,7 +271,7 @@
 	attempt.execution.FinalWeightVersion = r.weights.version
 }
 
-func (r *Replica) note(kind NoticeKind, attempt *sequence) {
+func (r *Replica) addNotice(kind NoticeKind, attempt *sequence) {
 	r.notices = append(r.notices, Notice{
 		Kind:          kind,
 		Handle:        attempt.handle,
--- a/internal/lab/emulator/store.go
+++ b/internal/lab/emulator/store.go
@@ -25,15 +25,15 @@
 }
 
 // Put keeps a part that a replica pushed.
-func (s *Store) Put(part KeptPart) {
-	stored, removed := s.cache.PutChain([]KeptPart{part})
-	s.cache.Touch([]prefixindex.Link{{Hash: part.Hash}})
+func (s *Store) Put(chunk CachedChunk) {
+	stored, removed := s.cache.PutChain([]CachedChunk{chunk})
+	s.cache.Touch([]prefixindex.Link{{Hash: chunk.Hash}})
 	s.journal.Removed(removed)
 	s.journal.Stored(stored)
 }
 
 // Get returns a part and marks it as used.
-func (s *Store) Get(hash prefixindex.ChainHash) (KeptPart, bool) {
+func (s *Store) Get(hash prefixindex.ChainHash) (CachedChunk, bool) {
 	s.cache.Touch([]prefixindex.Link{{Hash: hash}})
 	return s.cache.Get(hash)
 }
--- a/internal/lab/fleet/ending.go
+++ b/internal/lab/fleet/ending.go
@@ -6,8 +6,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
 )
 
-// beside returns the script, and the load cut off where the script ends.
-func beside(script Script, load caller.Load) (Script, caller.Load) {
+// loadBeside returns the script, and the load cut off where the script ends.
+func loadBeside(script Script, load caller.Load) (Script, caller.Load) {
 	ending := &endingScript{Script: script, ended: make(chan struct{})}
 	return ending, &endingLoad{Load: load, ended: ending.ended}
 }
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -18,14 +18,14 @@
 const (
 	// setupTimeout bounds the start up to the first served request.
 	setupTimeout = 25 * time.Second
-	// settleTimeout is how long the deployment gets after the last change. It
+	// convergenceTimeout is how long the deployment gets after the last change. It
 	// exceeds the bound on a roll-out, so that a late one is seen as such.
-	settleTimeout = checker.WeightsBound + time.Second
-	// settlePoll is how often the settling is looked at.
-	settlePoll = 100 * time.Millisecond
-	// afterSettled is how long the samples go on once all has settled, so that
+	convergenceTimeout = checker.WeightsBound + time.Second
+	// convergencePollEvery is how often the settling is looked at.
+	convergencePollEvery = 100 * time.Millisecond
+	// samplingAfterConvergence is how long the samples go on once all has settled, so that
 	// the newest configuration is due everywhere before they end.
-	afterSettled = checker.ServedBound + time.Second
+	samplingAfterConvergence = checker.ServedBound + time.Second
 	// firstRevision is the base of the first configuration.
 	firstRevision = 0
 )
@@ -68,10 +68,10 @@
 	Records *checker.Records
 	// Skipped counts requests that were not sent since too many ran.
 	Skipped int
-	// WeightsSettled is the time from the last disturbance until every replica
+	// ConvergenceTime is the time from the last disturbance until every replica
 	// ran the last weights; Settled tells whether they came to.
-	WeightsSettled time.Duration
-	Settled        bool
+	ConvergenceTime time.Duration
+	Converged       bool
 	// Failures are the steps of the scenario that could not be done.
 	Failures []error
 }
@@ -93,7 +93,7 @@
 		acting.Go(func() { runner.Do(ctx, load) })
 		acting.Go(func() { script.Run(ctx) })
 		acting.Wait()
-		experiment.settle(ctx, sampler, script, outcome)
+		experiment.awaitConvergence(ctx, sampler, script, outcome)
 	})
 	outcome.Skipped = runner.Skipped()
 	outcome.Failures = script.Failures()
@@ -113,7 +113,7 @@
 		Deployment: experiment.Deployment, Fleet: experiment.Fleet,
 		Recorder: recorder, Plan: experiment.Plan, Clock: experiment.Clock, Log: experiment.Log,
 	})
-	return beside(chosen, experiment.Load)
+	return loadBeside(chosen, experiment.Load)
 }
 
 // collect reads the ground truth, also when the time for the run is up.
@@ -150,18 +150,18 @@
 	watching.Wait()
 }
 
-// settle waits until every replica runs the last weights, or until it should
+// awaitConvergence waits until every replica runs the last weights, or until it should
 // have.
-func (experiment *Experiment) settle(ctx context.Context, sampler *Sampler, script Script, outcome *Outcome) {
+func (experiment *Experiment) awaitConvergence(ctx context.Context, sampler *Sampler, script Script, outcome *Outcome) {
 	calmSince := script.Disturbed()
-	for ctx.Err() == nil && experiment.Clock.Now() < calmSince+settleTimeout {
+	for ctx.Err() == nil && experiment.Clock.Now() < calmSince+convergenceTimeout {
 		if sampler.ReplicasRunning(experiment.Plan.LastWeights) {
-			outcome.Settled = true
-			outcome.WeightsSettled = max(0, experiment.Clock.Now()-calmSince)
-			wait(ctx, calmSince+afterSettled-experiment.Clock.Now())
+			outcome.Converged = true
+			outcome.ConvergenceTime = max(0, experiment.Clock.Now()-calmSince)
+			wait(ctx, calmSince+samplingAfterConvergence-experiment.Clock.Now())
 			return
 		}
-		wait(ctx, settlePoll)
+		wait(ctx, convergencePollEvery)
 	}
 }
 
@@ -179,7 +179,7 @@
 	records := &checker.Records{
 		Requests: runner.Records(),
 		Orders:   recorder.Records(),
-		Nodes:    experiment.Fleet.Lives(),
+		Nodes:    experiment.Fleet.NodeRuns(),
 		Calm:     []checker.Span{{From: script.Disturbed(), To: end}},
 		End:      end,
 	}
--- a/internal/lab/fleet/export_test.go
+++ b/internal/lab/fleet/export_test.go
@@ -19,4 +19,4 @@
 }
 
 // Beside returns a script, and a load that ends with it.
-func Beside(script Script, load caller.Load) (Script, caller.Load) { return beside(script, load) }
+func Beside(script Script, load caller.Load) (Script, caller.Load) { return loadBeside(script, load) }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -248,22 +248,22 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Lives returns every life of every node's process.
-func (fleet *Fleet) Lives() []checker.NodeLife {
+// NodeRuns returns every life of every node's process.
+func (fleet *Fleet) NodeRuns() []checker.NodeRun {
 	fleet.lock.Lock()
 	defer fleet.lock.Unlock()
-	var lives []checker.NodeLife
+	var runs []checker.NodeRun
 	for _, process := range fleet.processes {
 		if process.Kind != KindNode {
 			continue
 		}
-		life := checker.NodeLife{Node: process.Name}
-		life.From = fleet.options.Clock.At(process.Started)
+		run := checker.NodeRun{Node: process.Name}
+		run.From = fleet.options.Clock.At(process.Started)
 		if ended, done := process.Ended(); done {
-			life.To = fleet.options.Clock.At(ended)
-			life.Ended = true
+			run.To = fleet.options.Clock.At(ended)
+			run.Ended = true
 		}
-		lives = append(lives, life)
+		runs = append(runs, run)
 	}
-	return lives
+	return runs
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -148,7 +148,7 @@
 			Requests: []checker.Request{
 				{ID: "1", Service: service, Streamed: true, Result: checker.ResultComplete, EchoID: "1", DigestMatches: true, FirstByte: 10 * time.Millisecond},
 				{ID: "2", Result: checker.ResultRefused, ErrorKind: "rate_limited"},
-				{ID: "3", Result: checker.ResultCut},
+				{ID: "3", Result: checker.ResultTruncated},
 				{ID: "4", Result: checker.ResultLeft},
 				{ID: "5", Result: checker.ResultLost},
 			},
--- a/internal/lab/fleet/groundtruth.go
+++ b/internal/lab/fleet/ground_truth.go
@@ -65,7 +65,7 @@
 	for _, record := range commands {
 		records.Commands = append(records.Commands, checker.Command{
 			Replica: member.Address,
-			Holder:  record.Holder, Epoch: record.Epoch, WeightVersion: record.WeightVersion,
+			Holder:  record.Sender, Epoch: record.Epoch, WeightVersion: record.WeightVersion,
 			At: fleet.at(record.UnixNano), Accepted: record.Accepted,
 		})
 	}
@@ -88,8 +88,8 @@
 		FinalVersion:  record.FinalWeightVersion,
 		PromptTokens:  record.PrefilledTokens + record.ReusedTokens,
 		ReusedTokens:  record.ReusedTokens,
-		Reused: lo.Map(record.ReusedParts, func(part emulator.ReusedPart, _ int) checker.Reuse {
-			return checker.Reuse{Part: part.Hash, Tenant: part.Tenant, WeightVersion: part.WeightVersion}
+		Reused: lo.Map(record.ReusedChunks, func(chunk emulator.ReusedChunk, _ int) checker.Reuse {
+			return checker.Reuse{Part: chunk.Hash, Tenant: chunk.Tenant, WeightVersion: chunk.WeightVersion}
 		}),
 	}
 }
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -24,14 +24,14 @@
 
 // Shares of the callers, from 0 to 1.
 const (
-	// spareShare use the tenant's spare key, also after it was revoked.
-	spareShare = 0.4
-	// addedShare use the added key.
-	addedShare = 0.2
-	// leavingShare go away before their answer is complete.
-	leavingShare = 0.03
-	// returningShare come back after a refusal.
-	returningShare = 0.5
+	// spareKeyProbability use the tenant's spare key, also after it was revoked.
+	spareKeyProbability = 0.4
+	// addedKeyProbability use the added key.
+	addedKeyProbability = 0.2
+	// leaveProbability go away before their answer is complete.
+	leaveProbability = 0.03
+	// returnProbability come back after a refusal.
+	returnProbability = 0.5
 )
 
 // longestStay is the longest time after which a caller goes away.
@@ -95,14 +95,14 @@
 	}
 	job := caller.Job{
 		At:           request.At,
-		Parts:        request.Parts,
+		Chunks:       request.Chunks,
 		OutputTokens: request.OutputTokens,
 		Repeatable:   request.Repeatable,
 		Streamed:     request.Streamed,
 		Deadline:     request.Deadline,
-		ComesBack:    load.random.Float64() < returningShare,
+		ComesBack:    load.random.Float64() < returnProbability,
 	}
-	if load.random.Float64() < leavingShare {
+	if load.random.Float64() < leaveProbability {
 		job.LeaveAfter = time.Duration(load.random.Int64N(int64(longestStay))) + time.Millisecond
 	}
 	if request.Web {
@@ -138,9 +138,9 @@
 	chance := load.random.Float64()
 	addedKnown := request.At > time.Duration(addedKeyUse*float64(load.options.Duration))
 	switch {
-	case request.Tenant == load.plan.RevokedTenant && chance < spareShare:
+	case request.Tenant == load.plan.RevokedTenant && chance < spareKeyProbability:
 		return load.plan.RevokedKey
-	case request.Tenant == load.plan.KeyTenant && addedKnown && chance < addedShare:
+	case request.Tenant == load.plan.KeyTenant && addedKnown && chance < addedKeyProbability:
 		return load.plan.AddedKey
 	default:
 		return mainKey
@@ -148,9 +148,9 @@
 }
 
 // host returns the host of the first route whose pool is wanted.
-func (load *load) host(wanted func(pool string) bool) string {
+func (load *load) host(matches func(pool string) bool) string {
 	for _, route := range load.deployment.Configuration.GetRoutes() {
-		if wanted(route.GetPool()) {
+		if matches(route.GetPool()) {
 			return route.GetHost()
 		}
 	}
--- a/internal/lab/fleet/machines.go
+++ b/internal/lab/fleet/machines.go
@@ -23,9 +23,9 @@
 
 // What disturbed replicas do.
 const (
-	refuseRatio = 0.3
-	cutRatio    = 0.15
-	cutAtByte   = 400
+	refuseRatio    = 0.3
+	truncateRatio  = 0.15
+	truncateAtByte = 400
 )
 
 // RestartNode starts a node again on the data that it left.
@@ -54,7 +54,7 @@
 func (fleet *Fleet) DisturbReplicas(ctx context.Context, addresses []string, disturbed bool) error {
 	var faults standin.Faults
 	if disturbed {
-		faults = standin.Faults{RefuseRatio: refuseRatio, CutRatio: cutRatio, CutAtByte: cutAtByte}
+		faults = standin.Faults{RefuseRatio: refuseRatio, TruncateRatio: truncateRatio, TruncateAtByte: truncateAtByte}
 	}
 	for _, address := range addresses {
 		if err := fleet.post(ctx, address, faultsPath, faults); err != nil {
--- a/internal/lab/fleet/sampler.go
+++ b/internal/lab/fleet/sampler.go
@@ -18,9 +18,9 @@
 
 // Intervals of the samples.
 const (
-	statusEvery  = 50 * time.Millisecond
-	listingEvery = 100 * time.Millisecond
-	versionEvery = 250 * time.Millisecond
+	statusEvery    = 50 * time.Millisecond
+	endpointsEvery = 100 * time.Millisecond
+	versionEvery   = 250 * time.Millisecond
 	// sampleTimeout bounds one sample.
 	sampleTimeout = time.Second
 )
@@ -41,18 +41,18 @@
 	clock    *Clock
 	client   *http.Client
 
-	lock     sync.Mutex
-	served   []checker.ServedSample
-	versions []checker.VersionSample
-	listings []checker.Listing
-	listed   map[string]checker.Listing
+	lock             sync.Mutex
+	served           []checker.ServedSample
+	versions         []checker.VersionSample
+	endpoints        []checker.EndpointSample
+	currentEndpoints map[string]checker.EndpointSample
 }
 
 // NewSampler returns a sampler for a fleet.
 func NewSampler(machines func() *Topology, clock *Clock) *Sampler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	return &Sampler{
-		machines: machines, clock: clock, listed: make(map[string]checker.Listing),
+		machines: machines, clock: clock, currentEndpoints: make(map[string]checker.EndpointSample),
 		client: &http.Client{Timeout: sampleTimeout, Transport: transport},
 	}
 }
@@ -66,7 +66,7 @@
 	for _, member := range sampler.machines().Replicas.Members {
 		running.Go(func() { repeat(ctx, versionEvery, func() { sampler.sampleVersion(ctx, member) }) })
 	}
-	running.Go(func() { repeat(ctx, listingEvery, func() { sampler.sampleListing(ctx) }) })
+	running.Go(func() { repeat(ctx, endpointsEvery, func() { sampler.sampleEndpoints(ctx) }) })
 	running.Wait()
 	sampler.client.CloseIdleConnections()
 }
@@ -122,8 +122,8 @@
 	})
 }
 
-// serviceList is the platform's list.
-type serviceList struct {
+// platformServices is the platform's list.
+type platformServices struct {
 	Services []struct {
 		Name     string `json:"name"`
 		Replicas []struct {
@@ -137,47 +137,47 @@
 // stateDraining is how the list marks a replica that is to go.
 const stateDraining = "draining"
 
-// sampleListing reads the list and keeps what changed. An entry bears the time
+// sampleEndpoints reads the list and keeps what changed. An entry bears the time
 // after the answer, by which the list certainly showed it.
-func (sampler *Sampler) sampleListing(ctx context.Context) {
+func (sampler *Sampler) sampleEndpoints(ctx context.Context) {
 	body, err := sampler.get(ctx, sampler.machines().Platform.Address, servicesPath)
 	if err != nil {
 		return
 	}
-	var list serviceList
-	if err := json.Unmarshal(body, &list); err != nil {
+	var shown platformServices
+	if err := json.Unmarshal(body, &shown); err != nil {
 		return
 	}
 	at := sampler.clock.Now()
 	sampler.lock.Lock()
 	defer sampler.lock.Unlock()
-	shown := make(map[string]bool)
-	for _, service := range list.Services {
+	present := make(map[string]bool)
+	for _, service := range shown.Services {
 		for _, entry := range service.Replicas {
-			shown[entry.Address] = true
-			sampler.note(checker.Listing{
+			present[entry.Address] = true
+			sampler.recordEndpoint(checker.EndpointSample{
 				Service: service.Name, Replica: entry.Address, Zone: entry.Zone,
 				Draining: entry.State == stateDraining,
 			}, at)
 		}
 	}
-	for address, listing := range sampler.listed {
-		if !shown[address] {
-			listing.Removed = true
-			sampler.note(listing, at)
+	for address, sample := range sampler.currentEndpoints {
+		if !present[address] {
+			sample.Removed = true
+			sampler.recordEndpoint(sample, at)
 		}
 	}
 }
 
-// note keeps an entry if it differs from the last one of its replica.
-func (sampler *Sampler) note(listing checker.Listing, at time.Duration) {
-	listing.At = 0
-	if last, known := sampler.listed[listing.Replica]; known && last == listing {
+// recordEndpoint keeps an entry if it differs from the last one of its replica.
+func (sampler *Sampler) recordEndpoint(sample checker.EndpointSample, at time.Duration) {
+	sample.At = 0
+	if last, known := sampler.currentEndpoints[sample.Replica]; known && last == sample {
 		return
 	}
-	sampler.listed[listing.Replica] = listing
-	listing.At = at
-	sampler.listings = append(sampler.listings, listing)
+	sampler.currentEndpoints[sample.Replica] = sample
+	sample.At = at
+	sampler.endpoints = append(sampler.endpoints, sample)
 }
 
 func (sampler *Sampler) get(ctx context.Context, address, path string) ([]byte, error) {
@@ -211,8 +211,8 @@
 		newest[sample.Replica] = sample.WeightVersion
 	}
 	for address, running := range newest {
-		listing, known := sampler.listed[address]
-		counts := known && !listing.Draining && !listing.Removed
+		endpoint, known := sampler.currentEndpoints[address]
+		counts := known && !endpoint.Draining && !endpoint.Removed
 		if counts && running != version {
 			return false
 		}
@@ -226,5 +226,5 @@
 	defer sampler.lock.Unlock()
 	records.Served = append(records.Served, sampler.served...)
 	records.Versions = append(records.Versions, sampler.versions...)
-	records.Listings = append(records.Listings, sampler.listings...)
+	records.Listings = append(records.Listings, sampler.endpoints...)
 }
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/stand_ins.go
@@ -105,11 +105,11 @@
 
 // writeServices writes the platform's initial list.
 func writeServices(topology *Topology, folder string) error {
-	list := platform.List{Services: []platform.Service{
-		listed(topology.Replicas.Service, topology.Replicas.Members),
+	list := platform.Endpoints{Services: []platform.Service{
+		runningService(topology.Replicas.Service, topology.Replicas.Members),
 	}}
 	for _, group := range topology.WebServices {
-		list.Services = append(list.Services, listed(group.Service, group.Members))
+		list.Services = append(list.Services, runningService(group.Service, group.Members))
 	}
 	data, err := json.Marshal(list)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(folder, servicesFile), data, 0o644), "write the platform's list")
 }
 
-func listed(service string, members []Backend) platform.Service {
+func runningService(service string, members []Backend) platform.Service {
 	return platform.Service{Name: service, Replicas: lo.Map(members, func(member Backend, _ int) platform.Replica {
 		return platform.Replica{Address: member.Address, Zone: member.Zone, State: platform.StateRunning}
 	})}
--- a/internal/lab/fleet/summary.go
+++ b/internal/lab/fleet/summary.go
@@ -36,8 +36,8 @@
 	ConfigChangesAcked int            `json:"config_changes_acked"`
 	ConfigSpreadP99    float64        `json:"config_spread_ms_p99"`
 	AcknowledgementP99 float64        `json:"ack_ms_p99"`
-	WeightsSettled     bool           `json:"weights_settled"`
-	WeightsSettledMS   float64        `json:"weights_settled_ms"`
+	WeightsConverged   bool           `json:"weights_settled"`
+	WeightsConvergedMS float64        `json:"weights_settled_ms"`
 	Commands           int            `json:"commands"`
 	// LongestOutageMS is the longest time for which a service answered nobody.
 	LongestOutageMS float64             `json:"longest_outage_ms"`
@@ -60,8 +60,8 @@
 		ConfigChangesAcked: checker.AcknowledgedChanges(records),
 		ConfigSpreadP99:    milliseconds(checker.Quantile(checker.ConfigurationSpread(records), 0.99)),
 		AcknowledgementP99: milliseconds(checker.Quantile(checker.AcknowledgementTimes(records), 0.99)),
-		WeightsSettled:     outcome.Settled,
-		WeightsSettledMS:   milliseconds(outcome.WeightsSettled),
+		WeightsConverged:   outcome.Converged,
+		WeightsConvergedMS: milliseconds(outcome.ConvergenceTime),
 		Commands:           len(records.Commands),
 		LongestOutageMS:    milliseconds(checker.LongestOutage(records)),
 		FailedSteps:        lo.Map(outcome.Failures, func(err error, _ int) string { return err.Error() }),
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// settleCheckEvery is the time between two looks at the nodes that start.
-	settleCheckEvery = 50 * time.Millisecond
+	// convergenceCheckEvery is the time between two looks at the nodes that start.
+	convergenceCheckEvery = 50 * time.Millisecond
 	// firstOrderTimeout bounds one try to apply the first configuration.
 	firstOrderTimeout = 10 * time.Second
 )
@@ -46,9 +46,9 @@
 		return nil, err
 	}
 	built.topology = newTopology(settings, built.network.addresses())
-	life := member.Incarnation(time.Now().UnixMilli())
+	incarnation := member.Incarnation(time.Now().UnixMilli())
 	for number := range settings.Nodes {
-		added, err := newNode(number, built, life)
+		added, err := newNode(number, built, incarnation)
 		if err != nil {
 			built.network.close()
 			return nil, errors.Wrapf(err, "build hollow node %d", number)
@@ -125,28 +125,28 @@
 	return through.driver.Submit(ctx, order)
 }
 
-// settle waits until every node serves every replica, or the context ends, and
+// awaitConvergence waits until every node serves every replica, or the context ends, and
 // returns how many do.
-func (f *fleet) settle(ctx context.Context) int {
-	check := time.NewTicker(settleCheckEvery)
+func (f *fleet) awaitConvergence(ctx context.Context) int {
+	check := time.NewTicker(convergenceCheckEvery)
 	defer check.Stop()
 	for {
-		settled := f.settledNodes()
-		if settled == len(f.nodes) {
-			return settled
+		converged := f.convergedNodes()
+		if converged == len(f.nodes) {
+			return converged
 		}
 		select {
 		case <-ctx.Done():
-			return settled
+			return converged
 		case <-check.C:
 		}
 	}
 }
 
-func (f *fleet) settledNodes() int {
+func (f *fleet) convergedNodes() int {
 	count := 0
 	for _, one := range f.nodes {
-		if one.settled() {
+		if one.converged() {
 			count++
 		}
 	}
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -30,7 +30,7 @@
 		Entry("no pause between starts", func(s *Settings) { s.StartEvery = 0 }, "starts"),
 		Entry("times that run backwards", func(s *Settings) { s.Stretch = -1 }, "stretch is -1"),
 		Entry("unknown sockets", func(s *Settings) { s.Sockets = "udp" }, "udp"),
-		Entry("too many own sockets", func(s *Settings) { s.Nodes, s.Sockets = 500, OwnSockets }, "connections"),
+		Entry("too many own sockets", func(s *Settings) { s.Nodes, s.Sockets = 500, PerNodeSockets }, "connections"),
 	)
 
 	It("make a configuration that nodes take", func() {
@@ -45,7 +45,7 @@
 		settings := small()
 		settings.Replicas, settings.Nodes, settings.Zones = 3700, 3000, 9
 		addresses := map[string]bool{}
-		for _, service := range platformList(settings) {
+		for _, service := range platformEndpoints(settings) {
 			for _, replica := range service.Endpoints {
 				addresses[replica.Address] = true
 			}
@@ -84,9 +84,9 @@
 var _ = Describe("Rates", func() {
 	It("are means a node and name the busiest one", func() {
 		quiet, busy := &meter{}, &meter{}
-		quiet.noteSent(wire.KindConfirm, make([]byte, 6))
-		busy.noteReceived(wire.KindConfirm, make([]byte, 16))
-		busy.noteReceived(wire.KindConfirm, make([]byte, 16))
+		quiet.addSent(wire.KindConfirm, make([]byte, 6))
+		busy.addReceived(wire.KindConfirm, make([]byte, 16))
+		busy.addReceived(wire.KindConfirm, make([]byte, 16))
 		rates := ratesOf([]reading{quiet.read(), busy.read()}, 2*second)
 		Expect(rates.SentMessages).To(Equal(0.25))
 		Expect(rates.SentBytes).To(Equal(2.5))
@@ -112,15 +112,15 @@
 		Expect(judged.Pending).To(Equal(1))
 		Expect(judged.Failed).To(Equal(1))
 		Expect(judged.NotEverywhere).To(Equal(1))
-		Expect(judged.ToEveryNode.Most).To(BeNumerically("~", 2000, 2))
-		Expect(judged.LateAfterAcknowledged.Most).To(BeNumerically("~", 1000, 1))
+		Expect(judged.ToEveryNode.Max).To(BeNumerically("~", 2000, 2))
+		Expect(judged.LateAfterAcknowledged.Max).To(BeNumerically("~", 1000, 1))
 		Expect(judged.ToOneNode.Count).To(Equal(int64(3)))
 	})
 })
 
 var _ = Describe("The network", func() {
 	It("carries a frame to the node that it is for", func() {
-		for _, sockets := range []Sockets{SharedSockets, OwnSockets} {
+		for _, sockets := range []Sockets{SharedSockets, PerNodeSockets} {
 			settings := small()
 			settings.Sockets = sockets
 			arrived := make(chan int, 1)
@@ -152,10 +152,10 @@
 		feed := newIndexFeed(settings)
 		feed.fill()
 		for range 1000 {
-			feed.turnOver()
+			feed.replaceChunk()
 		}
-		Expect(feed.router.IndexStats().Reported).To(Equal(settings.Replicas * settings.PartsPerReplica))
-		_, candidates := feed.place()
+		Expect(feed.router.IndexStats().Reported).To(Equal(settings.Replicas * settings.ChunksPerReplica))
+		_, candidates := feed.measurePlacement()
 		Expect(candidates).To(Equal(settings.Replicas))
 	})
 })
@@ -167,6 +167,6 @@
 		result, err := Run(context.Background(), settings)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Stopped).To(Equal(ErrMemory.Error()))
-		Expect(result.HeldRealTime).To(BeFalse())
+		Expect(result.StableInRealTime).To(BeFalse())
 	})
 })
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -48,7 +48,7 @@
 func newTransportNetwork(settings Settings, receive deliver) (*transportNetwork, error) {
 	carrier := &transportNetwork{settings: settings, numbers: map[string]int{}, receive: receive}
 	count := settings.Zones
-	if settings.Sockets == OwnSockets {
+	if settings.Sockets == PerNodeSockets {
 		count = settings.Nodes
 	}
 	for number := range count {
@@ -59,7 +59,7 @@
 	}
 	for number := range settings.Nodes {
 		address := net.JoinHostPort(settings.hostOf(number), "7100")
-		if settings.Sockets == OwnSockets {
+		if settings.Sockets == PerNodeSockets {
 			address = carrier.transports[number].Address()
 		}
 		carrier.names = append(carrier.names, address)
@@ -73,7 +73,7 @@
 func (n *transportNetwork) listen(number int) error {
 	handler := n.receiveShared
 	options := transport.Options{MaxQueuedFrames: sharedQueuedFrames, MaxQueuedBytes: sharedQueuedBytes}
-	if n.settings.Sockets == OwnSockets {
+	if n.settings.Sockets == PerNodeSockets {
 		options = transport.Options{}
 		handler = func(frame []byte) { n.receive(number, frame) }
 	}
@@ -99,7 +99,7 @@
 func (n *transportNetwork) addresses() []string { return n.names }
 
 func (n *transportNetwork) send(from int, address string, frame []byte) {
-	if n.settings.Sockets == OwnSockets {
+	if n.settings.Sockets == PerNodeSockets {
 		n.transports[from].Send(address, frame)
 		return
 	}
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -50,8 +50,8 @@
 }
 
 // newNode builds a node.
-func newNode(number int, of *fleet, life member.Incarnation) (*node, error) {
-	config := of.topology.controlConfig(number, life)
+func newNode(number int, of *fleet, incarnation member.Incarnation) (*node, error) {
+	config := of.topology.controlConfig(number, incarnation)
 	machine, storage, err := newMachine(config, of.clock())
 	if err != nil {
 		return nil, err
@@ -71,13 +71,13 @@
 
 // Send implements control.Sender.
 func (n *node) Send(address string, frame []byte) {
-	n.meter.noteSent(wire.MessageKindOf(frame), frame)
+	n.meter.addSent(wire.MessageKindOf(frame), frame)
 	n.fleet.network.send(n.number, address, frame)
 }
 
 // receive takes a frame from the network.
 func (n *node) receive(frame []byte) {
-	n.meter.noteReceived(wire.MessageKindOf(frame), frame)
+	n.meter.addReceived(wire.MessageKindOf(frame), frame)
 	n.driver.ReceiveFrame(frame)
 }
 
@@ -100,7 +100,7 @@
 
 // ReadEndpoints implements control.EndpointReader.
 func (n *node) ReadEndpoints() {
-	go n.driver.EndpointsRead(control.EndpointReading{StartedAt: n.fleet.clock(), Services: n.fleet.topology.list})
+	go n.driver.EndpointsRead(control.EndpointReading{StartedAt: n.fleet.clock(), Services: n.fleet.topology.endpoints})
 }
 
 // Report implements control.Commander.
@@ -126,8 +126,8 @@
 // serving tells whether the node admits traffic.
 func (n *node) serving() bool { return n.driver.Serving() == nil }
 
-// settled tells whether the node serves every replica.
-func (n *node) settled() bool {
+// converged tells whether the node serves every replica.
+func (n *node) converged() bool {
 	return n.serving() && admitsAll(n.driver.View(), n.fleet.settings.Replicas)
 }
 
--- a/internal/lab/hollow/roletimes.go
+++ b/internal/lab/hollow/role_times.go
@@ -18,16 +18,16 @@
 	FrontKinds map[string]float64 `json:"front_percent_by_kind"`
 }
 
-// usedTimes are the processor times so far of each node.
-type usedTimes []nodeTimes
+// processorTimes are the processor times so far of each node.
+type processorTimes []nodeTimes
 
 type nodeTimes struct {
 	all, ticks time.Duration
 	kinds      [wire.KindCount]time.Duration
 }
 
-func (f *virtualFleet) roleTimes() usedTimes {
-	times := make(usedTimes, len(f.nodes))
+func (f *virtualFleet) roleTimes() processorTimes {
+	times := make(processorTimes, len(f.nodes))
 	for number, one := range f.nodes {
 		times[number] = nodeTimes{all: one.used, ticks: one.usedTick, kinds: one.usedKind}
 	}
@@ -35,7 +35,7 @@
 }
 
 // since works out the shares of the time that was measured.
-func (u usedTimes) since(earlier usedTimes, settings Settings) *RoleTimes {
+func (u processorTimes) since(earlier processorTimes, settings Settings) *RoleTimes {
 	for number := range u {
 		u[number] = u[number].minus(earlier[number])
 	}
@@ -44,8 +44,8 @@
 	times := &RoleTimes{
 		Core:       percent(core.mean().all),
 		Front:      percent(front.mean().all),
-		CoreKinds:  core.mean().shares(percent),
-		FrontKinds: front.mean().shares(percent),
+		CoreKinds:  core.mean().byKind(percent),
+		FrontKinds: front.mean().byKind(percent),
 	}
 	for _, one := range u {
 		times.Busiest = max(times.Busiest, percent(one.all))
@@ -53,7 +53,7 @@
 	return times
 }
 
-func (u usedTimes) mean() nodeTimes {
+func (u processorTimes) mean() nodeTimes {
 	var sum nodeTimes
 	if len(u) == 0 {
 		return sum
@@ -83,12 +83,12 @@
 	return t
 }
 
-func (t nodeTimes) shares(percent func(time.Duration) float64) map[string]float64 {
-	shares := map[string]float64{"tick": percent(t.ticks)}
+func (t nodeTimes) byKind(percent func(time.Duration) float64) map[string]float64 {
+	percents := map[string]float64{"tick": percent(t.ticks)}
 	for of := range wire.KindCount {
 		if t.kinds[of] > 0 {
-			shares[of.String()] = percent(t.kinds[of])
+			percents[of.String()] = percent(t.kinds[of])
 		}
 	}
-	return shares
+	return percents
 }
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -27,15 +27,15 @@
 	Stretch  int     `json:"stretch"`
 	// Seconds is the time that was measured.
 	Seconds float64 `json:"seconds"`
-	// HeldRealTime tells whether every node served during all of that time at
+	// StableInRealTime tells whether every node served during all of that time at
 	// its own pace, and no change was pending or failed.
-	HeldRealTime bool `json:"held_real_time"`
+	StableInRealTime bool `json:"held_real_time"`
 	// Virtual tells that the nodes ran on a virtual clock, on which inputs take
-	// no time, and HeldVirtualTime that they held as above on it.
-	Virtual         bool    `json:"virtual"`
-	HeldVirtualTime bool    `json:"held_virtual_time"`
-	SettledNodes    int     `json:"settled_nodes"`
-	SettleMS        float64 `json:"settle_ms"`
+	// no time, and StableInVirtualTime that they held as above on it.
+	Virtual             bool    `json:"virtual"`
+	StableInVirtualTime bool    `json:"held_virtual_time"`
+	ConvergedNodes      int     `json:"settled_nodes"`
+	ConvergenceMS       float64 `json:"settle_ms"`
 	// MostNotServing is the largest number of nodes that refused traffic at
 	// one time while measured.
 	MostNotServing int `json:"most_not_serving"`
@@ -75,8 +75,8 @@
 	}
 	if ctx.Err() != nil {
 		result.Stopped = context.Cause(ctx).Error()
-		result.HeldRealTime = false
-		result.HeldVirtualTime = false
+		result.StableInRealTime = false
+		result.StableInVirtualTime = false
 	}
 	result.LoadAfter = loadAverage()
 	return result, nil
@@ -108,13 +108,13 @@
 	}
 	defer nodes.stop()
 	started := time.Now()
-	settling, cancel := context.WithTimeout(ctx, settings.SettleTimeout)
+	settling, cancel := context.WithTimeout(ctx, settings.ConvergenceTimeout)
 	defer cancel()
 	if err := nodes.startUntil(ctx, settling); err != nil {
 		return result.notStarted(ctx, err)
 	}
-	result.SettledNodes = nodes.settle(settling)
-	result.SettleMS = float64(time.Since(started).Milliseconds())
+	result.ConvergedNodes = nodes.awaitConvergence(settling)
+	result.ConvergenceMS = float64(time.Since(started).Milliseconds())
 	if ctx.Err() == nil {
 		result.measure(ctx, nodes, usage)
 	}
@@ -179,8 +179,8 @@
 	r.Spread = watched.judge(submitted)
 	r.MostNotServing = watched.notServing
 	r.SamplerLateMS = float64(watched.late) / float64(time.Millisecond)
-	held := r.SettledNodes == r.Nodes && r.MostNotServing == 0 &&
+	held := r.ConvergedNodes == r.Nodes && r.MostNotServing == 0 &&
 		r.Spread.Failed == 0 && r.Spread.Pending == 0 && r.Spread.NotEverywhere == 0
-	r.HeldRealTime = held && !r.Virtual && r.Stretch == 1
-	r.HeldVirtualTime = held && r.Virtual
+	r.StableInRealTime = held && !r.Virtual && r.Stretch == 1
+	r.StableInVirtualTime = held && r.Virtual
 }
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -15,19 +15,19 @@
 const (
 	// SharedSockets gives the nodes of a zone one transport.
 	SharedSockets Sockets = "shared"
-	// OwnSockets gives each node its own transport, as real nodes have. The
+	// PerNodeSockets gives each node its own transport, as real nodes have. The
 	// connections grow with the square of the number of nodes.
-	OwnSockets Sockets = "own"
+	PerNodeSockets Sockets = "own"
 )
 
 // Bounds of a run.
 const (
-	maxNodes       = 4096
-	maxOwnSockets  = 90
-	maxReplicas    = 65_536
-	maxZones       = 64
-	maxStretch     = 100
-	replicasInPool = 124
+	maxNodes          = 4096
+	maxPerNodeSockets = 90
+	maxReplicas       = 65_536
+	maxZones          = 64
+	maxStretch        = 100
+	replicasInPool    = 124
 	// DefaultMemoryLimit is the resident memory at which a run stops.
 	DefaultMemoryLimit = 12 << 30
 )
@@ -43,8 +43,8 @@
 	Duration time.Duration
 	// StartEvery is the time between the starts of two nodes.
 	StartEvery time.Duration
-	// SettleTimeout bounds the time until they do.
-	SettleTimeout time.Duration
+	// ConvergenceTimeout bounds the time until they do.
+	ConvergenceTimeout time.Duration
 	// Stretch multiplies all periods and timeouts of the nodes beside the tick
 	// of the driver, so that more nodes fit the machine. Rates are divided by
 	// it, and times of spreading mean little.
@@ -52,14 +52,14 @@
 	// Virtual runs all nodes on one goroutine and a virtual clock, so that a
 	// machine that is too slow or too busy does not disturb them.
 	Virtual bool
-	// Together starts all nodes at once, without a configured group: they find
+	// SimultaneousStart starts all nodes at once, without a configured group: they find
 	// each other through seeds and fail open.
-	Together bool
+	SimultaneousStart bool
 	// ChangeEvery is the time between two changes of the configuration; 0
 	// means none.
 	ChangeEvery time.Duration
-	// PartsPerReplica is what each replica keeps in the index that is measured.
-	PartsPerReplica int
+	// ChunksPerReplica is what each replica keeps in the index that is measured.
+	ChunksPerReplica int
 	// IndexDuration is how long that index is fed.
 	IndexDuration time.Duration
 	Sockets       Sockets
@@ -87,10 +87,10 @@
 		return outOfRange("stretch", s.Stretch, 1, maxStretch)
 	case s.StartEvery <= 0:
 		return errors.New("the time between the starts of two nodes must be above 0")
-	case s.Sockets != SharedSockets && s.Sockets != OwnSockets:
-		return errors.Errorf("sockets are %q; use %q or %q", s.Sockets, SharedSockets, OwnSockets)
-	case s.Sockets == OwnSockets && s.Nodes > maxOwnSockets:
-		return errors.Errorf("%d nodes with own sockets need too many connections; use at most %d, or shared sockets", s.Nodes, maxOwnSockets)
+	case s.Sockets != SharedSockets && s.Sockets != PerNodeSockets:
+		return errors.Errorf("sockets are %q; use %q or %q", s.Sockets, SharedSockets, PerNodeSockets)
+	case s.Sockets == PerNodeSockets && s.Nodes > maxPerNodeSockets:
+		return errors.Errorf("%d nodes with own sockets need too many connections; use at most %d, or shared sockets", s.Nodes, maxPerNodeSockets)
 	}
 	return nil
 }
--- a/internal/lab/hollow/spread.go
+++ b/internal/lab/hollow/spread.go
@@ -21,8 +21,8 @@
 
 // spread notes when nodes first serve a revision.
 type spread struct {
-	nodes []observed
-	held  []uint64
+	nodes     []observed
+	revisions []uint64
 	// everywhere is when every node served a revision or a newer one.
 	everywhere map[uint64]time.Duration
 	complete   uint64
@@ -42,12 +42,12 @@
 }
 
 func newSpread[Node observed](nodes []Node) *spread {
-	watched := &spread{held: make([]uint64, len(nodes)), everywhere: map[uint64]time.Duration{}}
+	watched := &spread{revisions: make([]uint64, len(nodes)), everywhere: map[uint64]time.Duration{}}
 	watched.complete = ^uint64(0)
 	for number, one := range nodes {
 		watched.nodes = append(watched.nodes, one)
-		watched.held[number] = one.revision()
-		watched.complete = min(watched.complete, watched.held[number])
+		watched.revisions[number] = one.revision()
+		watched.complete = min(watched.complete, watched.revisions[number])
 	}
 	return watched
 }
@@ -72,21 +72,21 @@
 
 // sample takes in what each node serves now.
 func (s *spread) sample(now time.Duration) {
-	least := ^uint64(0)
+	oldest := ^uint64(0)
 	refusing := 0
 	for number, one := range s.nodes {
 		if !one.serving() {
 			refusing++
 		}
 		revision := one.revision()
-		if revision > s.held[number] {
-			s.arrivals = append(s.arrivals, arrival{after: s.held[number], revision: revision, at: now})
-			s.held[number] = revision
+		if revision > s.revisions[number] {
+			s.arrivals = append(s.arrivals, arrival{after: s.revisions[number], revision: revision, at: now})
+			s.revisions[number] = revision
 		}
-		least = min(least, revision)
+		oldest = min(oldest, revision)
 	}
 	s.notServing = max(s.notServing, refusing)
-	for s.complete < least {
+	for s.complete < oldest {
 		s.complete++
 		s.everywhere[s.complete] = now
 	}
@@ -96,8 +96,8 @@
 type Distribution struct {
 	Count  int64   `json:"count"`
 	Median float64 `json:"p50"`
-	High   float64 `json:"p99"`
-	Most   float64 `json:"max"`
+	P99    float64 `json:"p99"`
+	Max    float64 `json:"max"`
 }
 
 // histogram gathers times from a microsecond to a minute.
@@ -120,8 +120,8 @@
 	return Distribution{
 		Count:  h.recorded.TotalCount(),
 		Median: milliseconds(h.recorded.ValueAtQuantile(50)),
-		High:   milliseconds(h.recorded.ValueAtQuantile(99)),
-		Most:   milliseconds(h.recorded.Max()),
+		P99:    milliseconds(h.recorded.ValueAtQuantile(99)),
+		Max:    milliseconds(h.recorded.Max()),
 	}
 }
 
--- a/internal/lab/hollow/start.go
+++ b/internal/lab/hollow/start.go
@@ -68,7 +68,7 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	settings.Virtual = true
-	settings.Together = true
+	settings.SimultaneousStart = true
 	fleet, err := newVirtualFleet(settings)
 	if err != nil {
 		return nil, err
@@ -85,15 +85,15 @@
 // awaitAgreement runs until all nodes have held one table for a while.
 func (f *StartFigures) awaitAgreement(ctx context.Context, fleet *virtualFleet) {
 	var since, checked time.Duration
-	var held uint64
+	var lastDigest uint64
 	fleet.runUntil(ctx, startLimit, func() bool {
 		if fleet.now < checked+startCheckEvery {
 			return false
 		}
 		checked = fleet.now
 		digest, agreed := fleet.commonTable()
-		if !agreed || digest != held {
-			since, held = fleet.now, digest
+		if !agreed || digest != lastDigest {
+			since, lastDigest = fleet.now, digest
 		}
 		f.Agreed = agreed && fleet.now-since >= startSteady
 		f.AgreedSeconds = since.Seconds()
@@ -119,7 +119,7 @@
 		f.ProcessorSeconds += one.used.Seconds()
 	}
 	for of := range wire.KindCount {
-		sent, across := all.sent[of], all.across[of]
+		sent, across := all.sent[of], all.crossZone[of]
 		if sent.messages == 0 {
 			continue
 		}
@@ -139,11 +139,11 @@
 
 func megabytes(bytes uint64) float64 { return float64(bytes) / bytesPerMegabyte }
 
-// togetherConfig is the configuration of a node that finds the others through seeds.
-func (t *topology) togetherConfig(number int, life member.Incarnation) control.Config {
+// simultaneousStartConfig is the configuration of a node that finds the others through seeds.
+func (t *topology) simultaneousStartConfig(number int, incarnation member.Incarnation) control.Config {
 	seeds := min(seedCount, t.settings.Core)
 	config := control.Config{
-		Self:          t.info(number, life),
+		Self:          t.info(number, incarnation),
 		Seeds:         t.addresses[:seeds],
 		Seeded:        true,
 		FailOpen:      true,
--- a/internal/lab/hollow/start_test.go
+++ b/internal/lab/hollow/start_test.go
@@ -34,7 +34,7 @@
 
 	It("is no agreement when nobody runs", func() {
 		settings := small()
-		settings.Virtual, settings.Together = true, true
+		settings.Virtual, settings.SimultaneousStart = true, true
 		fleet, err := newVirtualFleet(settings)
 		Expect(err).NotTo(HaveOccurred())
 		figures := &StartFigures{}
--- a/internal/lab/hollow/suite_test.go
+++ b/internal/lab/hollow/suite_test.go
@@ -16,7 +16,7 @@
 func small() Settings {
 	return Settings{
 		Nodes: 7, Core: 3, Zones: 3, Replicas: 5, Tenants: 4,
-		Duration: 3 * second, SettleTimeout: 30 * second, StartEvery: second / 100, Stretch: 1,
-		ChangeEvery: second, PartsPerReplica: 16, Sockets: SharedSockets, MemoryLimit: DefaultMemoryLimit, Seed: 1,
+		Duration: 3 * second, ConvergenceTimeout: 30 * second, StartEvery: second / 100, Stretch: 1,
+		ChangeEvery: second, ChunksPerReplica: 16, Sockets: SharedSockets, MemoryLimit: DefaultMemoryLimit, Seed: 1,
 	}
 }
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -17,8 +17,8 @@
 	// addresses are the internal addresses of the nodes.
 	addresses []string
 	group     []member.ID
-	// list is what the platform lists. Nodes only read it.
-	list []control.ServiceEndpoints
+	// endpoints is what the platform lists. Nodes only read it.
+	endpoints []control.ServiceEndpoints
 }
 
 func newTopology(settings Settings, addresses []string) *topology {
@@ -26,7 +26,7 @@
 	for number := range settings.Core {
 		layout.group = append(layout.group, member.ID(nodeName(number)))
 	}
-	layout.list = platformList(settings)
+	layout.endpoints = platformEndpoints(settings)
 	return layout
 }
 
@@ -42,10 +42,10 @@
 }
 
 // info describes a node to the others.
-func (t *topology) info(number int, life member.Incarnation) member.Info {
+func (t *topology) info(number int, incarnation member.Incarnation) member.Info {
 	host := t.settings.hostOf(number)
 	id := member.ID(nodeName(number))
-	if t.settings.Together {
+	if t.settings.SimultaneousStart {
 		id = member.ID(t.addresses[number])
 	}
 	return member.Info{
@@ -55,18 +55,18 @@
 		ControlAddress: host + ":7300",
 		Zone:           zoneName(t.settings.zoneOf(number)),
 		HoldsState:     number < t.settings.Core,
-		Incarnation:    life,
+		Incarnation:    incarnation,
 	}
 }
 
 // controlConfig is the configuration of a node's control machine.
-func (t *topology) controlConfig(number int, life member.Incarnation) control.Config {
-	if t.settings.Together {
-		return t.togetherConfig(number, life)
+func (t *topology) controlConfig(number int, incarnation member.Incarnation) control.Config {
+	if t.settings.SimultaneousStart {
+		return t.simultaneousStartConfig(number, incarnation)
 	}
 	seeds := min(seedCount, t.settings.Core)
 	return control.Config{
-		Self:          t.info(number, life),
+		Self:          t.info(number, incarnation),
 		Seeds:         t.addresses[:seeds],
 		Group:         t.group,
 		ServiceShards: control.DefaultServiceShards,
@@ -97,8 +97,8 @@
 	return fmt.Sprintf("10.%d.%d.%d:7400", 1+number/62500, number/250%250, 1+number%250)
 }
 
-// platformList is what the platform lists.
-func platformList(settings Settings) []control.ServiceEndpoints {
+// platformEndpoints is what the platform lists.
+func platformEndpoints(settings Settings) []control.ServiceEndpoints {
 	services := make([]control.ServiceEndpoints, settings.pools())
 	for pool := range services {
 		services[pool].Name = serviceName(pool)
--- a/internal/lab/hollow/traffic.go
+++ b/internal/lab/hollow/traffic.go
@@ -26,36 +26,36 @@
 // meter counts the messages of one node by kind.
 type meter struct {
 	// across is the part of sent that goes to other zones.
-	sent, across, received [wire.KindCount]struct {
+	sent, crossZone, received [wire.KindCount]struct {
 		messages, bytes atomic.Uint64
 	}
 }
 
-func (m *meter) noteSent(of wire.MessageKind, frame []byte) {
+func (m *meter) addSent(of wire.MessageKind, frame []byte) {
 	m.sent[of].messages.Add(1)
 	m.sent[of].bytes.Add(uint64(lengthBytes + len(frame)))
 }
 
-func (m *meter) noteAcross(of wire.MessageKind, frame []byte) {
-	m.across[of].messages.Add(1)
-	m.across[of].bytes.Add(uint64(lengthBytes + len(frame)))
+func (m *meter) addCrossZone(of wire.MessageKind, frame []byte) {
+	m.crossZone[of].messages.Add(1)
+	m.crossZone[of].bytes.Add(uint64(lengthBytes + len(frame)))
 }
 
-func (m *meter) noteReceived(of wire.MessageKind, frame []byte) {
+func (m *meter) addReceived(of wire.MessageKind, frame []byte) {
 	m.received[of].messages.Add(1)
 	m.received[of].bytes.Add(uint64(lengthBytes + len(frame)))
 }
 
 // reading is what one node's meter showed at an instant.
 type reading struct {
-	sent, across, received [wire.KindCount]count
+	sent, crossZone, received [wire.KindCount]count
 }
 
 func (m *meter) read() reading {
 	var now reading
 	for of := range wire.KindCount {
 		now.sent[of] = count{messages: m.sent[of].messages.Load(), bytes: m.sent[of].bytes.Load()}
-		now.across[of] = count{messages: m.across[of].messages.Load(), bytes: m.across[of].bytes.Load()}
+		now.crossZone[of] = count{messages: m.crossZone[of].messages.Load(), bytes: m.crossZone[of].bytes.Load()}
 		now.received[of] = count{messages: m.received[of].messages.Load(), bytes: m.received[of].bytes.Load()}
 	}
 	return now
@@ -64,7 +64,7 @@
 func (r reading) plus(other reading) reading {
 	for of := range wire.KindCount {
 		r.sent[of] = r.sent[of].plus(other.sent[of])
-		r.across[of] = r.across[of].plus(other.across[of])
+		r.crossZone[of] = r.crossZone[of].plus(other.crossZone[of])
 		r.received[of] = r.received[of].plus(other.received[of])
 	}
 	return r
@@ -73,7 +73,7 @@
 func (r reading) minus(earlier reading) reading {
 	for of := range wire.KindCount {
 		r.sent[of] = r.sent[of].minus(earlier.sent[of])
-		r.across[of] = r.across[of].minus(earlier.across[of])
+		r.crossZone[of] = r.crossZone[of].minus(earlier.crossZone[of])
 		r.received[of] = r.received[of].minus(earlier.received[of])
 	}
 	return r
--- a/internal/lab/hollow/virtualfleet.go
+++ b/internal/lab/hollow/virtual_fleet.go
@@ -20,8 +20,8 @@
 	virtualJitter  = time.Millisecond
 	// virtualDiskTime is the time of a write.
 	virtualDiskTime = time.Millisecond
-	// virtualLife is the life that all nodes start in.
-	virtualLife = 1
+	// virtualIncarnation is the life that all nodes start in.
+	virtualIncarnation = 1
 )
 
 // virtualFleet is all nodes of a run on the virtual clock. One goroutine owns
@@ -57,7 +57,7 @@
 	}
 	fleet.topology = newTopology(settings, addresses)
 	for number := range settings.Nodes {
-		built, err := newVirtualNode(number, fleet, virtualLife)
+		built, err := newVirtualNode(number, fleet, virtualIncarnation)
 		if err != nil {
 			return nil, errors.Wrapf(err, "build virtual node %d", number)
 		}
@@ -66,8 +66,8 @@
 	return fleet, nil
 }
 
-// carry brings a frame to a node.
-func (f *virtualFleet) carry(now time.Duration, target int, frame []byte) {
+// deliver brings a frame to a node.
+func (f *virtualFleet) deliver(now time.Duration, target int, frame []byte) {
 	delay := virtualLatency + time.Duration(f.random.Int64N(int64(virtualJitter)))
 	f.queue.add(now+delay, func(now time.Duration) { f.nodes[target].receive(now, frame) })
 }
@@ -95,36 +95,36 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "the hollow configuration cannot be applied")
 	}
-	end := f.settings.SettleTimeout
+	end := f.settings.ConvergenceTimeout
 	core := f.settings.Core
 	for number, one := range f.nodes[:core] {
 		f.queue.add(time.Duration(number)*f.settings.StartEvery, one.start)
 	}
 	f.runUntil(ctx, virtualElection, never)
 	const firstTicket = 0
-	f.nodes[0].take(f.now, func() control.Output { return f.nodes[0].machine.Submit(f.now, firstTicket, order) })
+	f.nodes[0].process(f.now, func() control.Output { return f.nodes[0].machine.Submit(f.now, firstTicket, order) })
 	f.runUntil(ctx, end, func() bool { return f.nodes[0].revision() > 0 })
 	for number, one := range f.nodes[core:] {
 		f.queue.add(f.now+time.Duration(number)*f.settings.StartEvery, one.start)
 	}
 	check := f.now
 	f.runUntil(ctx, end, func() bool {
-		if f.now < check+settleCheckEvery {
+		if f.now < check+convergenceCheckEvery {
 			return false
 		}
 		check = f.now
-		return f.settledNodes() == len(f.nodes)
+		return f.convergedNodes() == len(f.nodes)
 	})
-	return f.settledNodes(), nil
+	return f.convergedNodes(), nil
 }
 
 // virtualElection is enough for the nodes with state to have a leader.
 const virtualElection = 5 * time.Second
 
-func (f *virtualFleet) settledNodes() int {
+func (f *virtualFleet) convergedNodes() int {
 	count := 0
 	for _, one := range f.nodes {
-		if one.settled() {
+		if one.converged() {
 			count++
 		}
 	}
@@ -142,12 +142,12 @@
 		ticket := uint64(number) + 1
 		f.tickets[ticket] = &change{submittedAt: now}
 		through := f.nodes[f.random.IntN(len(f.nodes))]
-		through.take(now, func() control.Output { return through.machine.Submit(now, ticket, order) })
+		through.process(now, func() control.Output { return through.machine.Submit(now, ticket, order) })
 	})
 }
 
-// answered notes the answer to a change.
-func (f *virtualFleet) answered(now time.Duration, reply control.Reply) {
+// handleReply notes the answer to a change.
+func (f *virtualFleet) handleReply(now time.Duration, reply control.Reply) {
 	made, known := f.tickets[reply.Ticket]
 	if !known {
 		return
@@ -191,11 +191,11 @@
 	if err != nil {
 		return err
 	}
-	result.SettledNodes, err = fleet.start(ctx)
+	result.ConvergedNodes, err = fleet.start(ctx)
 	if err != nil {
 		return err
 	}
-	result.SettleMS = float64(fleet.now.Milliseconds())
+	result.ConvergenceMS = float64(fleet.now.Milliseconds())
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/internal/lab/hollow/virtualnode.go
+++ b/internal/lab/hollow/virtual_node.go
@@ -28,8 +28,8 @@
 	usedKind [wire.KindCount]time.Duration
 }
 
-func newVirtualNode(number int, of *virtualFleet, life member.Incarnation) (*virtualNode, error) {
-	machine, storage, err := newMachine(of.topology.controlConfig(number, life), 0)
+func newVirtualNode(number int, of *virtualFleet, incarnation member.Incarnation) (*virtualNode, error) {
+	machine, storage, err := newMachine(of.topology.controlConfig(number, incarnation), 0)
 	return &virtualNode{number: number, machine: machine, storage: storage, fleet: of}, err
 }
 
@@ -42,7 +42,7 @@
 
 func (n *virtualNode) serving() bool { return n.view != nil && n.fleet.now < n.serveUntil }
 
-func (n *virtualNode) settled() bool {
+func (n *virtualNode) converged() bool {
 	return n.serving() && admitsAll(n.view, n.fleet.settings.Replicas)
 }
 
@@ -60,21 +60,21 @@
 }
 
 func (n *virtualNode) tick(now time.Duration) {
-	n.usedTick += n.take(now, func() control.Output { return n.machine.Tick(now) })
+	n.usedTick += n.process(now, func() control.Output { return n.machine.Tick(now) })
 }
 
 // call runs an input that a call to the platform or to a replica leads to.
 func (n *virtualNode) call(now time.Duration, input func(now time.Duration) control.Output) {
 	n.fleet.queue.add(now+virtualCallTime, func(now time.Duration) {
-		n.take(now, func() control.Output { return input(now) })
+		n.process(now, func() control.Output { return input(now) })
 	})
 }
 
 // receive takes a frame of another node.
 func (n *virtualNode) receive(now time.Duration, frame []byte) {
 	of := wire.MessageKindOf(frame)
-	n.meter.noteReceived(of, frame)
-	n.usedKind[of] += n.take(now, func() control.Output {
+	n.meter.addReceived(of, frame)
+	n.usedKind[of] += n.process(now, func() control.Output {
 		envelope, err := wire.Decode(frame)
 		if err != nil {
 			n.fleet.badFrames++
@@ -84,9 +84,9 @@
 	})
 }
 
-// take gives an input to the machine, carries the output out, and returns the
+// process gives an input to the machine, carries the output out, and returns the
 // processor time of both.
-func (n *virtualNode) take(now time.Duration, input func() control.Output) time.Duration {
+func (n *virtualNode) process(now time.Duration, input func() control.Output) time.Duration {
 	before := threadTime()
 	n.perform(now, input())
 	used := threadTime() - before
@@ -107,7 +107,7 @@
 		n.send(now, send)
 	}
 	for _, reply := range output.Replies {
-		n.fleet.answered(now, reply)
+		n.fleet.handleReply(now, reply)
 	}
 	n.performCalls(now, output)
 }
@@ -125,7 +125,7 @@
 		n.call(now, func(now time.Duration) control.Output { return n.machine.SetReplicaReport(now, report) })
 	}
 	if output.ReadEndpoints {
-		reading := control.EndpointReading{StartedAt: now, Services: n.fleet.topology.list}
+		reading := control.EndpointReading{StartedAt: now, Services: n.fleet.topology.endpoints}
 		n.call(now, func(now time.Duration) control.Output { return n.machine.EndpointsRead(now, reading) })
 	}
 }
@@ -140,7 +140,7 @@
 		return
 	}
 	n.fleet.queue.add(now+virtualDiskTime, func(now time.Duration) {
-		n.take(now, func() control.Output { return n.machine.StorageWritten(now, save.Shard) })
+		n.process(now, func() control.Output { return n.machine.StorageWritten(now, save.Shard) })
 	})
 }
 
@@ -158,11 +158,11 @@
 	}
 	send.Envelope.Deployment = deployment
 	frame := wire.Encode(send.Envelope)
-	n.meter.noteSent(wire.MessageKindOf(frame), frame)
+	n.meter.addSent(wire.MessageKindOf(frame), frame)
 	if n.fleet.settings.zoneOf(n.number) != n.fleet.settings.zoneOf(target) {
-		n.meter.noteAcross(wire.MessageKindOf(frame), frame)
+		n.meter.addCrossZone(wire.MessageKindOf(frame), frame)
 	}
-	n.fleet.carry(now, target, frame)
+	n.fleet.deliver(now, target, frame)
 }
 
 // threadTime is the processor time of this thread.
--- a/internal/lab/hollow/virtualrun_test.go
+++ b/internal/lab/hollow/virtual_run_test.go
@@ -19,13 +19,13 @@
 var _ = Describe("A run on the virtual clock", func() {
 	It("holds and is the same each time", func() {
 		first, second := measured(small()), measured(small())
-		Expect(first.HeldVirtualTime).To(BeTrue())
-		Expect(first.HeldRealTime).To(BeFalse())
+		Expect(first.StableInVirtualTime).To(BeTrue())
+		Expect(first.StableInRealTime).To(BeFalse())
 		Expect(first.Spread.Confirmed).To(Equal(2))
 		Expect(first.Roles.Front).To(BeNumerically(">", 0))
 		Expect(first.All).To(Equal(second.All))
 		Expect(first.Spread).To(Equal(second.Spread))
-		Expect(first.SettleMS).To(Equal(second.SettleMS))
+		Expect(first.ConvergenceMS).To(Equal(second.ConvergenceMS))
 	})
 
 	It("differs with the seed", func() {
@@ -36,12 +36,12 @@
 
 	It("does not hold while no majority of the core nodes runs", func() {
 		settings := small()
-		settings.SettleTimeout = 2 * second
+		settings.ConvergenceTimeout = 2 * second
 		fleet, err := newVirtualFleet(settings)
 		Expect(err).NotTo(HaveOccurred())
 		fleet.queue.add(0, fleet.nodes[0].start)
-		fleet.runUntil(context.Background(), settings.SettleTimeout, never)
-		Expect(fleet.settledNodes()).To(BeZero())
+		fleet.runUntil(context.Background(), settings.ConvergenceTimeout, never)
+		Expect(fleet.convergedNodes()).To(BeZero())
 	})
 })
 
--- a/internal/lab/hollow/virtual_test.go
+++ b/internal/lab/hollow/virtual_test.go
@@ -62,22 +62,22 @@
 		fleet, err := newFleet(settings, func() time.Duration { return time.Since(began) },
 			func(receive deliver) (network, error) { return newHandOver(settings, receive), nil })
 		g.Expect(err).NotTo(HaveOccurred())
-		ctx, cancel := context.WithTimeout(context.Background(), settings.SettleTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), settings.ConvergenceTimeout)
 		defer cancel()
 		g.Expect(fleet.startUntil(ctx, ctx)).To(Succeed())
 		defer fleet.stop()
-		g.Expect(fleet.settle(ctx)).To(Equal(settings.Nodes))
+		g.Expect(fleet.awaitConvergence(ctx)).To(Equal(settings.Nodes))
 
 		result := newResult(settings)
-		result.SettledNodes = settings.Nodes
+		result.ConvergedNodes = settings.Nodes
 		result.measure(ctx, fleet, newUsageMeter(settings.Nodes))
 
-		g.Expect(result.HeldRealTime).To(BeTrue())
+		g.Expect(result.StableInRealTime).To(BeTrue())
 		g.Expect(result.Seconds).To(BeNumerically("~", settings.Duration.Seconds(), 0.01))
 		g.Expect(result.Spread.Submitted).To(BeNumerically(">=", 2))
 		g.Expect(result.Spread.Confirmed).To(Equal(result.Spread.Submitted))
 		g.Expect(result.Spread.ToOneNode.Count).To(Equal(int64(settings.Nodes * result.Spread.Submitted)))
-		g.Expect(result.Spread.ToEveryNode.Most).To(BeNumerically("<", 1000))
+		g.Expect(result.Spread.ToEveryNode.Max).To(BeNumerically("<", 1000))
 		g.Expect(result.All.SentMessages).To(BeNumerically("~", result.All.ReceivedMessages, 2))
 		g.Expect(rate(result.FrontNodes, "membership heartbeat")).To(BeNumerically("~", 30, 3))
 		g.Expect(rate(result.FrontNodes, "replication heartbeat")).To(BeZero())
--- a/internal/lab/links/network.go
+++ b/internal/lab/links/network.go
@@ -12,10 +12,10 @@
 	To   netip.Addr
 }
 
-// Treatment is what a link does to bytes. The zero value passes them at once.
-type Treatment struct {
-	// Cut loses all bytes.
-	Cut bool
+// LinkState is what a link does to bytes. The zero value passes them at once.
+type LinkState struct {
+	// Blocked loses all bytes.
+	Blocked bool
 	// Delay holds bytes back: each by at least Delay, and by at most twice as
 	// long.
 	Delay time.Duration
@@ -28,7 +28,7 @@
 	OnLoss func(link Link, bytes int)
 
 	lock       sync.Mutex
-	treatments map[Link]Treatment
+	treatments map[Link]LinkState
 	// changed is closed and made anew whenever a treatment changes.
 	changed chan struct{}
 	// spoiled holds the streams that have lost bytes.
@@ -38,21 +38,21 @@
 // NewNetwork returns a network in which everything passes at once.
 func NewNetwork() *Network {
 	return &Network{
-		treatments: make(map[Link]Treatment), changed: make(chan struct{}),
+		treatments: make(map[Link]LinkState), changed: make(chan struct{}),
 		spoiled: make(map[*stream]struct{}),
 	}
 }
 
 // Treat sets the treatment of links. Streams that lost bytes on a link which is
 // no longer cut are closed.
-func (network *Network) Treat(links []Link, treatment Treatment) {
+func (network *Network) Treat(links []Link, treatment LinkState) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	for _, link := range links {
 		network.treatments[link] = treatment
 	}
 	for spoiled := range network.spoiled {
-		if !network.treatments[spoiled.link].Cut {
+		if !network.treatments[spoiled.link].Blocked {
 			spoiled.close()
 			delete(network.spoiled, spoiled)
 		}
@@ -63,7 +63,7 @@
 
 // treatment returns the treatment of a link, and a channel that closes when
 // any treatment changes.
-func (network *Network) treatment(link Link) (Treatment, <-chan struct{}) {
+func (network *Network) treatment(link Link) (LinkState, <-chan struct{}) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	return network.treatments[link], network.changed
@@ -74,7 +74,7 @@
 func (network *Network) loses(one *stream, bytes int) bool {
 	network.lock.Lock()
 	_, spoiled := network.spoiled[one]
-	lost := spoiled || one.closed || network.treatments[one.link].Cut
+	lost := spoiled || one.closed || network.treatments[one.link].Blocked
 	if lost && !one.closed {
 		network.spoiled[one] = struct{}{}
 	}
--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -22,8 +22,8 @@
 var (
 	there = links.Link{From: netip.MustParseAddr(senderIP), To: netip.MustParseAddr(targetIP)}
 	back  = links.Link{From: there.To, To: there.From}
-	cut   = links.Treatment{Cut: true}
-	whole = links.Treatment{}
+	cut   = links.LinkState{Blocked: true}
+	whole = links.LinkState{}
 )
 
 // loss is what a link lost.
@@ -168,7 +168,7 @@
 		const delay = 20 * time.Millisecond
 		made := newPath()
 		sender, target := made.connect()
-		made.network.Treat([]links.Link{there}, links.Treatment{Delay: delay})
+		made.network.Treat([]links.Link{there}, links.LinkState{Delay: delay})
 		began := time.Now()
 		write(sender, "late")
 		Expect(read(target, 4)).To(Equal("late"))
--- a/internal/lab/links/stream.go
+++ b/internal/lab/links/stream.go
@@ -55,7 +55,7 @@
 func (one *stream) awaitPassage(ctx context.Context) {
 	for {
 		treatment, changed := one.network.treatment(one.link)
-		if !treatment.Cut {
+		if !treatment.Blocked {
 			return
 		}
 		select {
--- a/internal/lab/plans/promises.go
+++ b/internal/lab/plans/acknowledged_orders.go
@@ -12,37 +12,37 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
 )
 
-// promise is an acknowledged order.
-type promise struct {
+// recordAcknowledged is an acknowledged order.
+type acknowledgedOrder struct {
 	order    operator.Order
 	revision uint64
 }
 
-// promise keeps an acknowledged order for the end.
-func (run *run) promise(order operator.Order, record checker.Order) {
+// recordAcknowledged keeps an acknowledged order for the end.
+func (run *run) recordAcknowledged(order operator.Order, record checker.Order) {
 	run.lock.Lock()
 	defer run.lock.Unlock()
-	run.promised = append(run.promised, promise{order: order, revision: record.Revision})
+	run.acknowledged = append(run.acknowledged, acknowledgedOrder{order: order, revision: record.Revision})
 }
 
 // verify looks on every node for what was acknowledged, and sends every order
 // again: a resend must be answered as the first time, which the checker holds.
 func (run *run) verify(ctx context.Context) error {
-	if len(run.promised) == 0 {
+	if len(run.acknowledged) == 0 {
 		return errors.New("no order was acknowledged, so that there is nothing to look for")
 	}
 	pause(ctx, checker.ServedBound+100*time.Millisecond)
 	for _, target := range run.Fleet.LiveTargets() {
-		held, err := run.Recorder.Configuration(ctx, target)
+		configuration, err := run.Recorder.Configuration(ctx, target)
 		if err != nil {
 			return err
 		}
-		for _, missing := range missing(held, run.promised) {
+		for _, missing := range missing(configuration, run.acknowledged) {
 			run.violate(AcknowledgedKept, fmt.Sprintf("%s does not hold order %s, acknowledged as revision %d",
 				target.Node, missing.order.Request.GetOrder().GetOrderId(), missing.revision))
 		}
 	}
-	for _, kept := range run.promised {
+	for _, kept := range run.acknowledged {
 		record, err := run.Recorder.Insist(ctx, run.scenario.Targets(), kept.order)
 		if err != nil {
 			return err
@@ -56,26 +56,26 @@
 }
 
 // missing returns the promises that a configuration does not hold.
-func missing(held *ridgeswitchv1.Configuration, promised []promise) []promise {
+func missing(configuration *ridgeswitchv1.Configuration, acknowledged []acknowledgedOrder) []acknowledgedOrder {
 	keys, routes := make(map[string]bool), make(map[string]bool)
-	for _, tenant := range held.GetTenants() {
+	for _, tenant := range configuration.GetTenants() {
 		for _, key := range tenant.GetKeys() {
 			keys[keyPath(tenant.GetName(), key.GetName(), key.GetSha256())] = true
 		}
 	}
-	for _, route := range held.GetRoutes() {
+	for _, route := range configuration.GetRoutes() {
 		routes[route.GetHost()] = true
 	}
-	var found []promise
-	for _, one := range promised {
-		if !isHeld(one.order, keys, routes) {
+	var found []acknowledgedOrder
+	for _, one := range acknowledged {
+		if !isInForce(one.order, keys, routes) {
 			found = append(found, one)
 		}
 	}
 	return found
 }
 
-func isHeld(order operator.Order, keys, routes map[string]bool) bool {
+func isInForce(order operator.Order, keys, routes map[string]bool) bool {
 	switch request := order.Request.(type) {
 	case *ridgeswitchv1.AddKeyRequest:
 		return keys[keyPath(request.GetTenant(), request.GetKey().GetName(), request.GetKey().GetSha256())]
--- a/internal/lab/plans/applicants.go
+++ b/internal/lab/plans/background_operators.go
@@ -16,14 +16,14 @@
 
 // Numbers of the operators that submit orders all the time.
 const (
-	applicantCount = 2
-	applicantPause = 300 * time.Millisecond
-	// applicantLimit bounds how long one of them insists on an order.
-	applicantLimit = 45 * time.Second
+	backgroundOperatorCount = 2
+	backgroundOrderPause    = 300 * time.Millisecond
+	// backgroundOrderTimeout bounds how long one of them insists on an order.
+	backgroundOrderTimeout = 45 * time.Second
 )
 
-// applicants are operators that add keys one after another.
-type applicants struct {
+// backgroundOperators are operators that add keys one after another.
+type backgroundOperators struct {
 	run     *run
 	ended   chan struct{}
 	running sync.WaitGroup
@@ -35,23 +35,23 @@
 	changed chan struct{}
 }
 
-func newApplicants(run *run) *applicants {
-	return &applicants{run: run, ended: make(chan struct{}), changed: make(chan struct{}), newest: -1}
+func newBackgroundOperators(run *run) *backgroundOperators {
+	return &backgroundOperators{run: run, ended: make(chan struct{}), changed: make(chan struct{}), newest: -1}
 }
 
-func (all *applicants) start(ctx context.Context) {
-	for number := range applicantCount {
+func (all *backgroundOperators) start(ctx context.Context) {
+	for number := range backgroundOperatorCount {
 		all.running.Go(func() { all.apply(ctx, number) })
 	}
 }
 
 // stop returns when every operator has the verdict on its last order.
-func (all *applicants) stop() {
+func (all *backgroundOperators) stop() {
 	close(all.ended)
 	all.running.Wait()
 }
 
-func (all *applicants) apply(ctx context.Context, operatorNumber int) {
+func (all *backgroundOperators) apply(ctx context.Context, operatorNumber int) {
 	for number := 0; ; number++ {
 		select {
 		case <-all.ended:
@@ -63,13 +63,13 @@
 		if err := all.submit(ctx, fmt.Sprintf("kept-%d-%d", operatorNumber, number), number); err != nil {
 			all.run.fail(err)
 		}
-		pause(ctx, applicantPause)
+		pause(ctx, backgroundOrderPause)
 	}
 }
 
 // submit adds a key and insists until that has a verdict.
-func (all *applicants) submit(ctx context.Context, key string, number int) error {
-	ctx, cancel := context.WithTimeout(ctx, applicantLimit)
+func (all *backgroundOperators) submit(ctx context.Context, key string, number int) error {
+	ctx, cancel := context.WithTimeout(ctx, backgroundOrderTimeout)
 	defer cancel()
 	order := all.run.keyOrder(key, number)
 	sent := all.run.Clock.Now()
@@ -80,8 +80,8 @@
 	if record.Outcome != checker.OutcomeAcknowledged {
 		return errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
 	}
-	all.run.promise(order, record)
-	all.note(sent)
+	all.run.recordAcknowledged(order, record)
+	all.recordAcknowledged(sent)
 	return nil
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-func (all *applicants) note(sent time.Duration) {
+func (all *backgroundOperators) recordAcknowledged(sent time.Duration) {
 	all.lock.Lock()
 	defer all.lock.Unlock()
 	all.newest = max(all.newest, sent)
@@ -109,7 +109,7 @@
 }
 
 // await returns when an order that was sent after a moment was acknowledged.
-func (all *applicants) await(ctx context.Context, moment time.Duration) error {
+func (all *backgroundOperators) await(ctx context.Context, moment time.Duration) error {
 	for {
 		all.lock.Lock()
 		newest, changed := all.newest, all.changed
--- a/internal/lab/plans/disks.go
+++ b/internal/lab/plans/disks.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	if err := run.settle(ctx); err != nil {
+	if err := run.awaitService(ctx); err != nil {
 		return err
 	}
 	return run.awaitVotes(ctx, second)
@@ -50,7 +50,7 @@
 	if record.Outcome != checker.OutcomeAcknowledged {
 		return "", errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
 	}
-	run.promise(order, record)
+	run.recordAcknowledged(order, record)
 	run.disturb("lose the disk of " + victim)
 	return victim, run.replaceDisk(victim)
 }
--- a/internal/lab/plans/experiment.go
+++ b/internal/lab/plans/experiment.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 )
 
-// loadLimit is the length of a load that nobody ends; plans end it.
-const loadLimit = 5 * time.Minute
+// maxLoadTime is the length of a load that nobody ends; plans end it.
+const maxLoadTime = 5 * time.Minute
 
 // Options choose an experiment.
 type Options struct {
@@ -48,7 +48,7 @@
 	var played *run
 	demonstration := fleet.Demonstration{
 		Deployment: options.Deployment,
-		Load:       fleet.LoadOptions{Seed: options.Seed, Duration: loadLimit, ModelRate: options.ModelRate},
+		Load:       fleet.LoadOptions{Seed: options.Seed, Duration: maxLoadTime, ModelRate: options.ModelRate},
 		Fleet:      options.Fleet,
 		Log:        options.Log,
 		Script: func(stage fleet.Stage) fleet.Script {
--- a/internal/lab/plans/export_test.go
+++ b/internal/lab/plans/export_test.go
@@ -19,9 +19,9 @@
 // MissingOrders returns the IDs of acknowledged orders that a configuration does
 // not hold.
 func MissingOrders(held *ridgeswitchv1.Configuration, acknowledged ...operator.Order) []string {
-	var promised []promise
+	var promised []acknowledgedOrder
 	for _, order := range acknowledged {
-		promised = append(promised, promise{order: order})
+		promised = append(promised, acknowledgedOrder{order: order})
 	}
 	var ids []string
 	for _, one := range missing(held, promised) {
--- a/internal/lab/plans/freeze.go
+++ b/internal/lab/plans/freeze.go
@@ -66,9 +66,9 @@
 			return err
 		}
 	}
-	if err := run.settle(ctx); err != nil {
+	if err := run.awaitService(ctx); err != nil {
 		return err
 	}
-	pause(ctx, quietStart)
+	pause(ctx, faultFreeStart)
 	return nil
 }
--- a/internal/lab/plans/leaders.go
+++ b/internal/lab/plans/leaders.go
@@ -22,7 +22,7 @@
 // leader returns the leader of a shard as it calls itself: others may know of a
 // former one.
 func (run *run) leader(ctx context.Context, shard uint32) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		for _, target := range run.Fleet.LiveTargets() {
--- a/internal/lab/plans/plan.go
+++ b/internal/lab/plans/plan.go
@@ -15,24 +15,24 @@
 	Summary string
 	// Links lets the plan cut and delay what nodes send each other.
 	Links bool
-	// OwnOrders tells that the plan submits its own orders, beside which no
+	// SubmitsOrders tells that the plan submits its own orders, beside which no
 	// others are to change the configuration.
-	OwnOrders bool
-	// act brings the faults and returns when all have been mended.
-	act func(ctx context.Context, run *run) error
+	SubmitsOrders bool
+	// injectFaults brings the faults and returns when all have been mended.
+	injectFaults func(ctx context.Context, run *run) error
 }
 
 // All returns every plan, in the order of the documentation.
 func All() []Plan {
 	return []Plan{
-		{Name: "rolling-restart", Summary: "every node in turn is stopped by SIGTERM and started again", act: rollingRestart},
-		{Name: "core-loss", Summary: "all nodes with disks are killed at once, then a majority; they come back with their disks", act: loseCore},
-		{Name: "disk-loss-twice", Summary: "two nodes with disks lose them one after the other, right after an acknowledged order", act: loseDiskTwice},
-		{Name: "zone-cut", Summary: "a zone is cut off both ways, then each way alone", Links: true, act: cutZone},
-		{Name: "freeze-core-25s", Summary: "the leaders of the configuration and of the pool's shard are frozen for 25 s", act: freezeCore},
-		{Name: "machine-swap", Summary: "a node with a disk gets an empty machine at another address, and the seeds move", act: swapMachine},
-		{Name: "config-storm", Summary: "200 configurations with races, invalid ones and resends", OwnOrders: true, act: stormConfigurations},
-		{Name: "kill-third", Summary: "a third of all nodes is killed at once, twice", act: killThird},
+		{Name: "rolling-restart", Summary: "every node in turn is stopped by SIGTERM and started again", injectFaults: rollingRestart},
+		{Name: "core-loss", Summary: "all nodes with disks are killed at once, then a majority; they come back with their disks", injectFaults: loseCore},
+		{Name: "disk-loss-twice", Summary: "two nodes with disks lose them one after the other, right after an acknowledged order", injectFaults: loseDiskTwice},
+		{Name: "zone-cut", Summary: "a zone is cut off both ways, then each way alone", Links: true, injectFaults: partitionZone},
+		{Name: "freeze-core-25s", Summary: "the leaders of the configuration and of the pool's shard are frozen for 25 s", injectFaults: freezeCore},
+		{Name: "machine-swap", Summary: "a node with a disk gets an empty machine at another address, and the seeds move", injectFaults: swapMachine},
+		{Name: "config-storm", Summary: "200 configurations with races, invalid ones and resends", SubmitsOrders: true, injectFaults: stormConfigurations},
+		{Name: "kill-third", Summary: "a third of all nodes is killed at once, twice", injectFaults: killThird},
 	}
 }
 
--- a/internal/lab/plans/pool.go
+++ b/internal/lab/plans/pool.go
@@ -27,7 +27,7 @@
 // awaitPool returns when every node knows the pool to serve as wanted. Weights
 // that are named before the pool has begun to serve are loaded first.
 func (run *run) awaitPool(ctx context.Context, wanted func([]*ridgeswitchv1.ReplicaStatus) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if run.poolIs(ctx, wanted) {
@@ -35,7 +35,7 @@
 		}
 		pause(ctx, watchEvery)
 	}
-	return errors.Errorf("the pool did not serve within %v", recoveryLimit)
+	return errors.Errorf("the pool did not serve within %v", recoveryTimeout)
 }
 
 func (run *run) poolIs(ctx context.Context, wanted func([]*ridgeswitchv1.ReplicaStatus) bool) bool {
--- a/internal/lab/plans/recovery.go
+++ b/internal/lab/plans/recovery.go
@@ -37,18 +37,18 @@
 // MeasureRecovery finds the longest silences since the first disturbance.
 // Orders were submitted until submitted, without a longer pause.
 func MeasureRecovery(records *checker.Records, disturbances []Disturbance, submitted time.Duration) Recovery {
-	begun := lo.Map(disturbances, func(one Disturbance, _ int) time.Duration { return one.At })
-	recovery := Recovery{Orders: longestSilence(acknowledgements(records), begun, submitted)}
-	asked := make(map[string]time.Duration)
-	answers := make(map[string][]time.Duration)
+	starts := lo.Map(disturbances, func(one Disturbance, _ int) time.Duration { return one.At })
+	recovery := Recovery{Orders: longestGap(acknowledgements(records), starts, submitted)}
+	lastSent := make(map[string]time.Duration)
+	completions := make(map[string][]time.Duration)
 	for _, request := range records.Requests {
-		asked[request.Service] = max(asked[request.Service], request.Sent)
+		lastSent[request.Service] = max(lastSent[request.Service], request.Sent)
 		if request.Result == checker.ResultComplete {
-			answers[request.Service] = append(answers[request.Service], request.Ended)
+			completions[request.Service] = append(completions[request.Service], request.Ended)
 		}
 	}
-	for service, until := range asked {
-		recovery.Callers = max(recovery.Callers, longestSilence(answers[service], begun, until))
+	for service, until := range lastSent {
+		recovery.Callers = max(recovery.Callers, longestGap(completions[service], starts, until))
 	}
 	return recovery
 }
@@ -68,11 +68,11 @@
 	return lo.Values(first)
 }
 
-// longestSilence returns the longest span without an event, from the first
+// longestGap returns the longest span without an event, from the first
 // disturbance until the end of expectation. Later disturbances do not cut a
 // silence in two: the end of a fault is one as well, and what is silent before
 // it is the doing of the fault.
-func longestSilence(events, disturbances []time.Duration, until time.Duration) time.Duration {
+func longestGap(events, disturbances []time.Duration, until time.Duration) time.Duration {
 	if len(disturbances) == 0 {
 		return 0
 	}
--- a/internal/lab/plans/restarts.go
+++ b/internal/lab/plans/restarts.go
@@ -75,10 +75,10 @@
 			return err
 		}
 	}
-	if err := run.settle(ctx); err != nil {
+	if err := run.awaitService(ctx); err != nil {
 		return err
 	}
-	pause(ctx, quietStart)
+	pause(ctx, faultFreeStart)
 	return nil
 }
 
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -16,32 +16,32 @@
 
 // Times of every run.
 const (
-	// quietStart is how long orders go through before the first fault.
-	quietStart = 2 * time.Second
-	// recoveryLimit bounds the wait for service after a fault. It exceeds the
+	// faultFreeStart is how long orders go through before the first fault.
+	faultFreeStart = 2 * time.Second
+	// recoveryTimeout bounds the wait for service after a fault. It exceeds the
 	// rule's bound, so that a late return is measured.
-	recoveryLimit = 30 * time.Second
+	recoveryTimeout = 30 * time.Second
 	// attemptTimeout is when an operator tries another node.
 	attemptTimeout = 2500 * time.Millisecond
-	// actLimit bounds all faults of a plan.
-	actLimit = 4 * time.Minute
+	// faultTimeout bounds all faults of a plan.
+	faultTimeout = 4 * time.Minute
 )
 
 // run is one run of a plan. It implements fleet.Script.
 type run struct {
 	fleet.Stage
-	plan       Plan
-	network    *links.Network
-	duration   time.Duration
-	random     *rand.Rand
-	scenario   *operator.Scenario
-	applicants *applicants
+	plan                Plan
+	network             *links.Network
+	duration            time.Duration
+	random              *rand.Rand
+	scenario            *operator.Scenario
+	backgroundOperators *backgroundOperators
 
 	lock         sync.Mutex
 	disturbances []Disturbance
 	failures     []error
 	violations   []checker.Violation
-	promised     []promise
+	acknowledged []acknowledgedOrder
 	// submitted is until when orders were submitted without a pause.
 	submitted time.Duration
 	ended     time.Duration
@@ -57,34 +57,34 @@
 			Machines: stage.Fleet, Log: stage.Log,
 		},
 	}
-	made.applicants = newApplicants(made)
+	made.backgroundOperators = newBackgroundOperators(made)
 	return made
 }
 
 // Run implements fleet.Script.
 func (run *run) Run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, actLimit)
+	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	began := run.Clock.Now()
 	run.step("wait for the pool", func() error { return run.awaitPool(ctx, allServing) })
 	run.step("add a key", func() error { return run.scenario.AddKey(ctx) })
 	run.step("revoke a key", func() error { return run.scenario.RevokeKey(ctx) })
 	run.step("name weights", func() error { return run.scenario.NameWeights(ctx, run.Plan.FirstWeights) })
-	if !run.plan.OwnOrders {
-		run.applicants.start(ctx)
+	if !run.plan.SubmitsOrders {
+		run.backgroundOperators.start(ctx)
 	}
-	pause(ctx, quietStart)
-	run.step(run.plan.Name, func() error { return run.plan.act(ctx, run) })
-	if run.plan.OwnOrders {
+	pause(ctx, faultFreeStart)
+	run.step(run.plan.Name, func() error { return run.plan.injectFaults(ctx, run) })
+	if run.plan.SubmitsOrders {
 		run.submitted = run.Clock.Now()
 	}
 	run.step("wait for all nodes", func() error { return run.Fleet.AwaitReady(ctx) })
 	run.step("name newer weights", func() error { return run.scenario.NameWeights(ctx, run.Plan.LastWeights) })
 	pause(ctx, began+run.duration-run.Clock.Now())
-	if !run.plan.OwnOrders {
+	if !run.plan.SubmitsOrders {
 		run.submitted = run.Clock.Now()
 	}
-	run.applicants.stop()
+	run.backgroundOperators.stop()
 	run.step("look for what was acknowledged", func() error { return run.verify(ctx) })
 	run.ended = run.Clock.Now()
 }
@@ -130,12 +130,12 @@
 	run.violations = append(run.violations, checker.Violation{Invariant: name, Detail: detail, At: run.Clock.Now()})
 }
 
-// settle returns when an order that was sent after now is acknowledged, the pool
+// awaitService returns when an order that was sent after now is acknowledged, the pool
 // serves and all nodes are ready.
-func (run *run) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+func (run *run) awaitService(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	if err := run.applicants.await(ctx, run.Clock.Now()); err != nil {
+	if err := run.backgroundOperators.await(ctx, run.Clock.Now()); err != nil {
 		return err
 	}
 	if err := run.awaitPool(ctx, anyServing); err != nil {
--- a/internal/lab/plans/storm.go
+++ b/internal/lab/plans/storm.go
@@ -32,7 +32,7 @@
 func stormConfigurations(ctx context.Context, run *run) error {
 	run.disturb("storm of configurations")
 	for number := 1; number <= stormConfigurationCount; number++ {
-		if err := run.stormRound(ctx, number); err != nil {
+		if err := run.stormIteration(ctx, number); err != nil {
 			return errors.Wrapf(err, "configuration %d", number)
 		}
 		if number == stormConfigurationCount/2 {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (run *run) stormRound(ctx context.Context, number int) error {
+func (run *run) stormIteration(ctx context.Context, number int) error {
 	if number%invalidEvery == 0 {
 		return run.applyInvalid(ctx, number)
 	}
@@ -105,7 +105,7 @@
 			return nil, failures[number]
 		case record.Outcome == checker.OutcomeAcknowledged:
 			won = &orders[number]
-			run.promise(orders[number], record)
+			run.recordAcknowledged(orders[number], record)
 		case record.ProblemKind != baseStale:
 			return nil, errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
 		}
--- a/internal/lab/plans/swap.go
+++ b/internal/lab/plans/swap.go
@@ -37,7 +37,7 @@
 	if err := run.Fleet.RestartNode(name); err != nil {
 		return err
 	}
-	if err := run.settle(ctx); err != nil {
+	if err := run.awaitService(ctx); err != nil {
 		return err
 	}
 	if err := run.awaitVotes(ctx, name); err != nil {
--- a/internal/lab/plans/votes.go
+++ b/internal/lab/plans/votes.go
@@ -26,7 +26,7 @@
 // or not it has been marked as committed; what is durable proves it, whatever
 // nodes say.
 func (run *run) awaitVotes(ctx context.Context, name string) error {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	began := run.Clock.Now()
 	var last error
@@ -37,7 +37,7 @@
 		}
 		pause(ctx, watchEvery)
 	}
-	return errors.Wrapf(last, "%s did not get its votes within %v", name, recoveryLimit)
+	return errors.Wrapf(last, "%s did not get its votes within %v", name, recoveryTimeout)
 }
 
 func (run *run) votesEverywhere(ctx context.Context, name string) error {
@@ -71,11 +71,11 @@
 	if err != nil {
 		return err
 	}
-	places, err := lastPlaces(kept)
+	slots, err := lastMemberSlots(kept)
 	if err != nil {
 		return err
 	}
-	if !lo.Contains(places, replication.Slot{Voter: voter}) {
+	if !lo.Contains(slots, replication.Slot{Voter: voter}) {
 		return errors.Errorf("shard %d has no vote for %s in incarnation %d", shard, voter.ID, voter.Incarnation)
 	}
 	return nil
@@ -93,22 +93,22 @@
 	return identity.Incarnation, errors.Wrap(json.Unmarshal(data, &identity), "parse the identity of a data folder")
 }
 
-// lastPlaces returns the places of a shard by the last change that is durable.
-func lastPlaces(kept replication.Restored) ([]replication.Slot, error) {
-	var places []replication.Slot
+// lastMemberSlots returns the places of a shard by the last change that is durable.
+func lastMemberSlots(kept replication.Restored) ([]replication.Slot, error) {
+	var slots []replication.Slot
 	if kept.Snapshot != nil {
-		places = kept.Snapshot.Slots
+		slots = kept.Snapshot.Slots
 	}
 	for _, entry := range kept.Entries {
 		if entry.Kind != replication.EntryGroupChange {
 			continue
 		}
-		places = nil
-		if err := json.Unmarshal(entry.Command, &places); err != nil {
+		slots = nil
+		if err := json.Unmarshal(entry.Command, &slots); err != nil {
 			return nil, errors.Wrap(err, "read the places of a shard")
 		}
 	}
-	return places, nil
+	return slots, nil
 }
 
 // readOnlyDisk reads the folder of a running node.
--- a/internal/lab/plans/zone.go
+++ b/internal/lab/plans/zone.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 )
 
-// cutTime is how long a zone is cut off.
-const cutTime = 6 * time.Second
+// partitionTime is how long a zone is cut off.
+const partitionTime = 6 * time.Second
 
 // boundary holds the links between a zone and all others.
 type boundary struct {
@@ -20,8 +20,8 @@
 	in  []links.Link
 }
 
-// cutZone cuts a zone off both ways, then each way alone.
-func cutZone(ctx context.Context, run *run) error {
+// partitionZone cuts a zone off both ways, then each way alone.
+func partitionZone(ctx context.Context, run *run) error {
 	zones := run.Fleet.Topology().Zones()
 	zone := zones[run.random.IntN(len(zones))]
 	border, err := boundaryOf(run.Fleet.Topology(), zone)
@@ -34,14 +34,14 @@
 		links []links.Link
 	}{{"cut off " + zone, both}, {"cut what leaves " + zone, border.out}, {"cut what enters " + zone, border.in}} {
 		run.disturb(cut.name)
-		run.network.Treat(cut.links, links.Treatment{Cut: true})
-		pause(ctx, cutTime)
+		run.network.Treat(cut.links, links.LinkState{Blocked: true})
+		pause(ctx, partitionTime)
 		run.disturb("end: " + cut.name)
-		run.network.Treat(cut.links, links.Treatment{})
-		if err := run.settle(ctx); err != nil {
+		run.network.Treat(cut.links, links.LinkState{})
+		if err := run.awaitService(ctx); err != nil {
 			return err
 		}
-		pause(ctx, quietStart)
+		pause(ctx, faultFreeStart)
 	}
 	return nil
 }
--- a/internal/lab/proxybench/measure.go
+++ b/internal/lab/proxybench/measure.go
@@ -56,8 +56,8 @@
 			return Report{}, err
 		}
 	}
-	for round := range settings.Rounds {
-		if err := running.round(ctx, round); err != nil {
+	for repetition := range settings.Rounds {
+		if err := running.measureAll(ctx, repetition); err != nil {
 			return Report{}, err
 		}
 	}
@@ -107,11 +107,11 @@
 	return slices.DeleteFunc(connected, func(one *series) bool { return one == nil })
 }
 
-// round measures every target once. The order turns with the rounds, so that
+// repetition measures every target once. The order turns with the rounds, so that
 // none always follows the same other.
-func (b *bench) round(ctx context.Context, round int) error {
+func (b *bench) measureAll(ctx context.Context, repetition int) error {
 	order := b.all()
-	turn := round % len(order)
+	turn := repetition % len(order)
 	order = append(order[turn:len(order):len(order)], order[:turn]...)
 	for _, measured := range order {
 		if err := b.saturate(ctx, measured); err != nil {
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, measured := range order {
-		rate := halfLoad * measured.rates[round]
+		rate := halfLoad * measured.rates[repetition]
 		histogram, err := measured.target.paced(ctx, rate, b.settings.HalfLoadTime)
 		if err != nil {
 			return err
@@ -127,7 +127,7 @@
 		measured.halfRates = append(measured.halfRates, rate)
 		measured.latencies.Merge(histogram)
 	}
-	return b.compareLatencies(ctx, halfLoad*b.proxied.rates[round], round)
+	return b.compareLatencies(ctx, halfLoad*b.proxied.rates[repetition], repetition)
 }
 
 // saturate adds one saturation to a series.
@@ -142,9 +142,9 @@
 }
 
 // compareLatencies puts forwarder and node under one rate, one after the other.
-func (b *bench) compareLatencies(ctx context.Context, rate float64, round int) error {
+func (b *bench) compareLatencies(ctx context.Context, rate float64, repetition int) error {
 	order := []*series{b.forwarder, b.proxied}
-	if round%2 == 1 {
+	if repetition%2 == 1 {
 		slices.Reverse(order)
 	}
 	shown := make(map[*series]*hdrhistogram.Histogram, len(order))
@@ -178,10 +178,10 @@
 // summary compares node and forwarder round by round.
 func (b *bench) summary() Summary {
 	var throughputs, processors []float64
-	for round := range b.settings.Rounds {
-		direct := b.direct.processor[round]
-		throughputs = append(throughputs, b.proxied.rates[round]/b.forwarder.rates[round])
-		processors = append(processors, (b.forwarder.processor[round]-direct)/(b.proxied.processor[round]-direct))
+	for repetition := range b.settings.Rounds {
+		direct := b.direct.processor[repetition]
+		throughputs = append(throughputs, b.proxied.rates[repetition]/b.forwarder.rates[repetition])
+		processors = append(processors, (b.forwarder.processor[repetition]-direct)/(b.proxied.processor[repetition]-direct))
 	}
 	return Summary{
 		Rounds:          b.settings.Rounds,
--- a/internal/lab/sim/backendfaults.go
+++ b/internal/lab/sim/backend_faults.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// stickCommands holds some commands back on their way to replicas.
-func (w *simulation) stickCommands() {
-	w.stuckCommands++
-	w.place(w.nameWeights(0, pick(w, poolNames)))
-	w.after(w.lasting(3*time.Second, 8*time.Second), func() { w.stuckCommands-- })
+// delayCommands holds some commands back on their way to replicas.
+func (w *simulation) delayCommands() {
+	w.delayedCommandFaults++
+	w.issue(w.nameWeights(0, pick(w, poolNames)))
+	w.after(w.faultDuration(3*time.Second, 8*time.Second), func() { w.delayedCommandFaults-- })
 }
 
 // crashReplica stops a replica, which comes back with its weights or others.
@@ -22,21 +22,21 @@
 	if w.chance(0.5) && !w.settings.FinishFirst {
 		version = firstWeights
 	}
-	w.after(w.lasting(500*time.Millisecond, 4*time.Second), func() { victim.restart(version) })
+	w.after(w.faultDuration(500*time.Millisecond, 4*time.Second), func() { victim.restart(version) })
 }
 
-// changeListing has the platform drain or remove a replica for a while.
-func (w *simulation) changeListing() {
+// drainOrRemoveReplica has the platform drain or remove a replica for a while.
+func (w *simulation) drainOrRemoveReplica() {
 	entry := pick(w, w.platform.entries())
 	remove := w.chance(0.3)
 	w.platform.change(func() {
 		entry.draining = true
 		entry.removed = remove
 	})
-	w.note(worldColumn, "%s leaves the list", entry.replica.address)
-	w.after(w.lasting(time.Second, 10*time.Second), func() {
+	w.logf(worldColumn, "%s leaves the list", entry.replica.address)
+	w.after(w.faultDuration(time.Second, 10*time.Second), func() {
 		w.platform.change(func() { entry.draining, entry.removed = false, false })
-		w.note(worldColumn, "%s is listed", entry.replica.address)
+		w.logf(worldColumn, "%s is listed", entry.replica.address)
 	})
 }
 
@@ -46,7 +46,7 @@
 		return
 	}
 	w.platform.lagging = true
-	w.after(w.lasting(time.Second, 4*time.Second), func() {
+	w.after(w.faultDuration(time.Second, 4*time.Second), func() {
 		w.platform.lagging = false
 		w.platform.show()
 	})
--- a/internal/lab/sim/campaign.go
+++ b/internal/lab/sim/campaign.go
@@ -166,7 +166,7 @@
 	c.Resends += other.Resends
 	c.Commands += other.Commands
 	c.Refusals += other.Refusals
-	c.ListReadings += other.ListReadings
+	c.EndpointReads += other.EndpointReads
 	c.Reports += other.Reports
 	c.Reads += other.Reads
 	c.ReadsRefused += other.ReadsRefused
--- a/internal/lab/sim/campaign_test.go
+++ b/internal/lab/sim/campaign_test.go
@@ -67,7 +67,7 @@
 		summary := Campaign{First: 5001, Last: 5012, Virtual: MinVirtual + 5*time.Second, FailOpen: true, Jobs: testJobs}.Run()
 		Expect(summary.Failures).To(BeEmpty())
 		Expect(summary.OrdersAcked).To(BeNumerically(">", 100))
-		for _, kind := range kindsOfSeeds {
+		for _, kind := range seededGroupFaults {
 			Expect(FaultNames()).To(ContainElement(kind))
 		}
 	})
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -40,18 +40,18 @@
 	served map[*node]uint64
 	// revoked are the keys whose revocation was acknowledged, with its revision.
 	revoked map[string]uint64
-	// servedInLife is what each process admitted under last, where nodes serve
+	// servedByProcess is what each process admitted under last, where nodes serve
 	// while cut off.
-	servedInLife map[*node]servedRevision
+	servedByProcess map[*node]servedRevision
 	// documents are the acknowledged documents by the version that they build on.
 	documents map[uint64]string
-	// taken are the newest commands that each replica took in its life.
-	taken    map[*replica]takenCommand
-	commands []checker.Command
+	// acceptedCommands are the newest commands that each replica took in its life.
+	acceptedCommands map[*replica]acceptedCommand
+	commands         []checker.Command
 	// arrivedCommands and named belong to replicas that finish their requests first.
-	arrivedCommands map[*replica]arrivedCommand
-	named           map[string]namedWeights
-	orders          []checker.Order
+	arrivedCommands     map[*replica]arrivedCommand
+	acknowledgedWeights map[string]acknowledgedWeights
+	orders              []checker.Order
 }
 
 // relayedKey names one revision of one shard.
@@ -60,7 +60,7 @@
 	revision uint64
 }
 
-type takenCommand struct {
+type acceptedCommand struct {
 	incarnation uint64
 	token       uint64
 }
@@ -74,19 +74,19 @@
 		served:    map[*node]uint64{},
 		revoked:   map[string]uint64{},
 
-		servedInLife: map[*node]servedRevision{},
-		documents:    map[uint64]string{},
-		taken:        map[*replica]takenCommand{},
+		servedByProcess:  map[*node]servedRevision{},
+		documents:        map[uint64]string{},
+		acceptedCommands: map[*replica]acceptedCommand{},
 
-		arrivedCommands: map[*replica]arrivedCommand{},
-		named:           map[string]namedWeights{},
+		arrivedCommands:     map[*replica]arrivedCommand{},
+		acknowledgedWeights: map[string]acknowledgedWeights{},
 	}
 }
 
 // violate records that an invariant did not hold.
 func (w *simulation) violate(name checker.Name, format string, arguments ...any) {
 	detail := fmt.Sprintf(format, arguments...)
-	w.note(worldColumn, "VIOLATION %s: %s", name, detail)
+	w.logf(worldColumn, "VIOLATION %s: %s", name, detail)
 	if len(w.checks.violations) < maxViolations {
 		w.checks.violations = append(w.checks.violations, Violation{Invariant: name, Detail: detail, At: w.now})
 	}
@@ -101,7 +101,7 @@
 // and that no view admits to a zone that its own configuration evacuates.
 func (c *checks) viewPublished(n *node, view *routing.View) {
 	c.trace(string(n.info.ID), view.Revision)
-	c.oneContent(n, view)
+	c.checkOneContent(n, view)
 	for _, evacuation := range view.Configuration.GetEvacuations() {
 		for _, pool := range view.Pools {
 			for _, one := range pool.Replicas {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (c *checks) oneContent(n *node, view *routing.View) {
+func (c *checks) checkOneContent(n *node, view *routing.View) {
 	if previous := n.views[view.Revision]; previous != nil && previous.Configuration == view.Configuration && previous != view {
 		return
 	}
@@ -129,11 +129,11 @@
 	c.contents[view.Revision] = content
 }
 
-// admitted holds that no node admits under less than what was acknowledged, or
+// requestAdmitted holds that no node admits under less than what was acknowledged, or
 // under less than it admitted under before, in this life or an earlier one.
-func (c *checks) admitted(n *node, view *routing.View, key tenantKey) {
+func (c *checks) requestAdmitted(n *node, view *routing.View, key tenantKey) {
 	if c.world.settings.FailOpen {
-		c.admittedOpen(n, view.Revision)
+		c.admittedFailOpen(n, view.Revision)
 		return
 	}
 	if view.Revision < c.acknowledged {
@@ -148,8 +148,8 @@
 	c.served[n] = max(c.served[n], view.Revision)
 }
 
-// sent holds that a draining replica gets no request after the bound.
-func (c *checks) sent(sent *request) {
+// requestSent holds that a draining replica gets no request after the bound.
+func (c *checks) requestSent(sent *request) {
 	if c.world.settings.FailOpen {
 		// A node that is cut off goes on by the list that it knows.
 		return
@@ -160,12 +160,12 @@
 	}
 }
 
-// strayedGrace is how long nodes may not know that a replica came back with
+// unorderedWeightsGrace is how long nodes may not know that a replica came back with
 // weights that nobody ordered.
-const strayedGrace = 5 * time.Second
+const unorderedWeightsGrace = 5 * time.Second
 
-// arrived holds that a request runs on the weights that it was admitted for.
-func (c *checks) arrived(arrived *request) {
+// requestArrived holds that a request runs on the weights that it was admitted for.
+func (c *checks) requestArrived(arrived *request) {
 	if c.world.settings.FailOpen {
 		// A node that is cut off goes on by the weights that it knows.
 		return
@@ -174,7 +174,7 @@
 	if target.version == arrived.version {
 		return
 	}
-	unaware := target.strayed && (!c.world.calm() || c.world.now < target.strayedAt+strayedGrace)
+	unaware := target.unorderedWeights && (!c.world.inRecoveryPhase() || c.world.now < target.unorderedWeightsAt+unorderedWeightsGrace)
 	if unaware {
 		return
 	}
@@ -182,9 +182,9 @@
 		arrived.node.info.ID, arrived.version, target.address, target.version, target.target)
 }
 
-// weightsChange holds that no request runs while a replica changes its weights.
-func (c *checks) weightsChange(target *replica, command control.Command) {
-	if target.active > 0 && !target.strayed && !c.world.settings.FailOpen {
+// weightsLoadStarted holds that no request runs while a replica changes its weights.
+func (c *checks) weightsLoadStarted(target *replica, command control.Command) {
+	if target.active > 0 && !target.unorderedWeights && !c.world.settings.FailOpen {
 		c.world.violate("weights_under_requests", "%s began to load %s with %d requests running", target.address, command.WeightVersion, target.active)
 	}
 }
@@ -201,14 +201,14 @@
 	})
 }
 
-// commandTaken holds that the epochs that a replica follows never go back.
-func (c *checks) commandTaken(target *replica, holder *node, command control.Command) {
-	last := c.taken[target]
+// commandAccepted holds that the epochs that a replica follows never go back.
+func (c *checks) commandAccepted(target *replica, sender *node, command control.Command) {
+	last := c.acceptedCommands[target]
 	if last.incarnation == target.incarnation && command.Token < last.token {
-		c.world.violate("epochs_never_back", "%s took a command of %s with token %x after %x", target.address, holder.info.ID, command.Token, last.token)
+		c.world.violate("epochs_never_back", "%s took a command of %s with token %x after %x", target.address, sender.info.ID, command.Token, last.token)
 		return
 	}
-	c.taken[target] = takenCommand{incarnation: target.incarnation, token: command.Token}
+	c.acceptedCommands[target] = acceptedCommand{incarnation: target.incarnation, token: command.Token}
 }
 
 // relayed holds that a revision of a shard has one content, whoever sends it.
@@ -223,9 +223,9 @@
 	c.checksums[key] = message.Checksum
 }
 
-// orderAnswered notes what operators know from now on, and holds that an answer
+// orderReplied notes what operators know from now on, and holds that an answer
 // is for the order that it is given to.
-func (c *checks) orderAnswered(sent *submission, answer *controlpb.Answer) {
+func (c *checks) orderReplied(sent *submission, answer *controlpb.Answer) {
 	record := sent.record
 	if answered := answer.GetOrderId(); answered != "" && answered != sent.sentID {
 		c.world.violate("answer_of_order", "%s answered order %s with the answer to %s", record.Node, sent.sentID, answered)
@@ -235,7 +235,7 @@
 		return
 	}
 	c.acknowledged = max(c.acknowledged, record.Revision)
-	c.world.noteAcknowledged(record.Revision)
+	c.world.recordAcknowledged(record.Revision)
 	c.documentAcknowledged(sent.order)
 	if record.Change.Kind == checker.ChangeRevoke {
 		c.revoked[record.Change.Key] = max(c.revoked[record.Change.Key], record.Revision)
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -18,16 +18,16 @@
 
 // stragglers names weights, and has a replica join late, one come back with the old
 // version after the roll-out, and one that does not do what it is told at first.
-func stragglers(world *simulation, deaf int) {
+func stragglers(world *simulation, commandsToDrop int) {
 	world.startWithin(startBound)
-	ofPool := lo.Filter(world.platform.entries(), func(entry *listedReplica, _ int) bool { return entry.replica.pool == poolNames[0] })
+	ofPool := lo.Filter(world.platform.entries(), func(entry *endpoint, _ int) bool { return entry.replica.pool == poolNames[0] })
 	late, returns, deafOne := ofPool[0], ofPool[1].replica, ofPool[2].replica
 	old := late.replica.version
-	deafOne.deaf = deaf
+	deafOne.commandsToDrop = commandsToDrop
 	world.at(2*second, func() { world.platform.change(func() { late.removed = true }) })
 	world.at(7*second, func() {
 		named := world.nameWeights(0, poolNames[0])
-		world.expectAcknowledged(named, openAcknowledge)
+		world.expectAcknowledged(named, failOpenAcknowledge)
 		stray := 16*second + world.upTo(second)
 		world.at(stray, func() {
 			world.platform.change(func() { late.removed = false })
@@ -75,14 +75,14 @@
 
 // evacuateUnder evacuates a zone during a cut and ends all nodes, as when the power
 // fails, as soon as the evacuation is acknowledged.
-func evacuateUnder(world *simulation, cut func(*simulation)) {
+func evacuateUnder(world *simulation, isolate func(*simulation)) {
 	world.startWithin(startBound)
 	world.at(7*second, func() {
-		cut(world)
+		isolate(world)
 		world.after(world.upTo(2*second), func() {
 			zone := world.nodes[0].info.Zone
 			order := world.evacuate(0, zone)
-			world.place(order)
+			world.issue(order)
 			world.awaitEvacuation(order, func() {
 				for _, one := range world.nodes {
 					world.restartAfter(one, world.upTo(second))
@@ -98,16 +98,16 @@
 
 // awaitEvacuation goes on once an evacuation is acknowledged, during the cut or after.
 func (w *simulation) awaitEvacuation(order *operatorOrder, then func()) {
-	const step = time.Millisecond
-	if order.settled && order.outcome == checker.OutcomeAcknowledged {
+	const pollInterval = time.Millisecond
+	if order.finished && order.outcome == checker.OutcomeAcknowledged {
 		then()
 		return
 	}
-	if w.calm() {
+	if w.inRecoveryPhase() {
 		w.violate("acknowledged", "the evacuation was never acknowledged")
 		return
 	}
-	w.after(step, func() { w.awaitEvacuation(order, then) })
+	w.after(pollInterval, func() { w.awaitEvacuation(order, then) })
 }
 
 // checkEvacuated holds that every node knows that a zone is evacuated.
@@ -126,14 +126,14 @@
 	}{
 		{"the core is cut in two halves", func(world *simulation) {
 			disks := world.diskNodes()
-			world.cutFor(disks[:len(disks)/2], disks[len(disks)/2:], true)
+			world.partitionFor(disks[:len(disks)/2], disks[len(disks)/2:], true)
 		}},
 		{"the leader is cut off", func(world *simulation) {
-			world.cutFor([]*node{world.leaderOfConfiguration()}, world.nodes, true)
+			world.partitionFor([]*node{world.leaderOfConfiguration()}, world.nodes, true)
 		}},
-		{"a zone is cut off", (*simulation).cutZone},
+		{"a zone is cut off", (*simulation).isolateZone},
 		{"no message of a node with a disk arrives", func(world *simulation) {
-			world.cutFor([]*node{pick(world, world.diskNodes())}, world.nodes, false)
+			world.partitionFor([]*node{pick(world, world.diskNodes())}, world.nodes, false)
 		}},
 	}
 	for _, one := range cuts {
@@ -143,7 +143,7 @@
 	}
 
 	It("is seen to be lost when it is acknowledged before it is synced", func() {
-		world := playOpenWithout(BreakAckBeforeSync, 1, func(world *simulation) {
+		world := playFailOpenWithout(BreakAckBeforeSync, 1, func(world *simulation) {
 			evacuateUnder(world, func(world *simulation) {
 				cuts[0].cut(world)
 				for _, one := range world.diskNodes() {
@@ -161,35 +161,35 @@
 		playAll(func(world *simulation) {
 			world.startWithin(startBound)
 			for round := range 2 {
-				world.at(7*second+time.Duration(round)*world.planned(voteBound), func() { world.replaceWhenSound() })
+				world.at(7*second+time.Duration(round)*world.planned(promotionBound), func() { world.replaceWhenHealthy() })
 			}
 			world.at(20*second, func() {
-				if !world.whole() {
+				if !world.everyMemberIsVoter() {
 					world.violate("whole", "some node with a disk has no vote")
 				}
-				world.expectAcknowledged(world.addKey(0), openAcknowledge)
+				world.expectAcknowledged(world.addKey(0), failOpenAcknowledge)
 			})
 		})
 	})
 })
 
-// replaceWhenSound replaces a machine as soon as a majority of the voters stays sound
+// replaceWhenHealthy replaces a machine as soon as a majority of the voters stays sound
 // without it, by one that must get its vote in time.
-func (w *simulation) replaceWhenSound() {
-	const step = 10 * time.Millisecond
-	victims := lo.Filter(w.exchangeable(), func(one *node, _ int) bool { return w.votes(one) })
+func (w *simulation) replaceWhenHealthy() {
+	const pollInterval = 10 * time.Millisecond
+	victims := lo.Filter(w.replaceableMachines(), func(one *node, _ int) bool { return w.isVoterEverywhere(one) })
 	if len(victims) == 0 {
-		w.after(step, w.replaceWhenSound)
+		w.after(pollInterval, w.replaceWhenHealthy)
 		return
 	}
 	victim := pick(w, victims)
 	w.removeMachine(victim)
 	added := w.addMachine(victim.info.Zone)
 	added.start()
-	w.after(voteBound, func() {
+	w.after(promotionBound, func() {
 		// It may have been the next one to go.
-		if !added.gone && !w.votes(added) {
-			w.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, voteBound)
+		if !added.gone && !w.isVoterEverywhere(added) {
+			w.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, promotionBound)
 		}
 	})
 }
--- a/internal/lab/sim/split.go
+++ b/internal/lab/sim/core_split.go
@@ -15,7 +15,7 @@
 	disks := w.diskNodes()
 	w.random.Shuffle(len(disks), func(i, j int) { disks[i], disks[j] = disks[j], disks[i] })
 	one, other := disks[:len(disks)/2], disks[len(disks)/2:]
-	w.cutFor(one, other, true)
+	w.partitionFor(one, other, true)
 	for range splitRaces {
 		w.after(w.upTo(4*time.Second), func() { w.raceAcross(one, other) })
 	}
@@ -24,7 +24,7 @@
 // raceAcross places two changes on the same base, one on each side of a cut, and
 // reads on both sides.
 func (w *simulation) raceAcross(sides ...[]*node) {
-	if w.calm() {
+	if w.inRecoveryPhase() {
 		return
 	}
 	base, read := w.readRevision(), w.readConfiguration()
@@ -35,10 +35,10 @@
 		}
 		order := w.randomChange(base)
 		if w.settings.FailOpen {
-			order = w.changedDocument(read)
+			order = w.changedDocumentOrder(read)
 		}
 		target := pick(w, running)
-		w.placeAt(target, order)
+		w.issueAt(target, order)
 		w.after(w.upTo(time.Second), func() {
 			w.readConfigurationAt(target)
 			w.readDocumentAt(target)
--- a/internal/lab/sim/deployment.go
+++ b/internal/lab/sim/deployment.go
@@ -49,7 +49,7 @@
 	}
 	w.network = newNetwork(w, total+maxReplacements)
 	if w.settings.FailOpen {
-		w.nameFounders()
+		w.chooseFounders()
 	}
 	for _, one := range w.nodes {
 		one.seeds = w.chooseSeeds(one, w.plan)
@@ -65,31 +65,31 @@
 
 func zoneName(number int) string { return fmt.Sprintf("z%d", number+1) }
 
-func (w *simulation) addNode(index int, holdsState bool, zone string) {
+func (w *simulation) addNode(index int, hasDisk bool, zone string) {
 	name := fmt.Sprintf("r%d", index)
-	if holdsState {
+	if hasDisk {
 		name = fmt.Sprintf("d%d", index)
 	}
 	one := &node{world: w, index: index, tickEvery: control.DefaultTickEvery, info: member.Info{
 		ID:         member.ID(name),
 		Address:    name + ":7100",
 		Zone:       zone,
-		HoldsState: holdsState,
+		HoldsState: hasDisk,
 	}}
 	one.clock = nodeClock{
 		base: w.planned(maxUptime),
 		rate: maxClockRate * (2*w.plan.Float64() - 1),
 	}
-	if holdsState {
+	if hasDisk {
 		one.storage = newStorage()
 		w.group = append(w.group, one.info.ID)
 		w.groupZones[one.info.ID] = zone
 	}
 	if w.settings.FailOpen {
-		one.openMode()
+		one.enableFailOpen()
 	}
 	w.nodes = append(w.nodes, one)
-	w.all = append(w.all, one)
+	w.everyNode = append(w.everyNode, one)
 	w.byAddress[one.info.Address] = one
 }
 
@@ -125,7 +125,7 @@
 			one.measureEvery = measureEvery
 		}
 		w.replicas[one.address] = one
-		service.replicas = append(service.replicas, &listedReplica{replica: one})
+		service.replicas = append(service.replicas, &endpoint{replica: one})
 	}
 	w.platform.services = append(w.platform.services, service)
 }
--- a/internal/lab/sim/diskfaults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -15,7 +15,7 @@
 func (w *simulation) slowDisk() {
 	victim := pick(w, w.diskNodes())
 	victim.storage.slow = 20*time.Millisecond + w.upTo(700*time.Millisecond)
-	w.after(w.lasting(2*time.Second, 6*time.Second), func() { victim.storage.slow = 0 })
+	w.after(w.faultDuration(2*time.Second, 6*time.Second), func() { victim.storage.slow = 0 })
 }
 
 // losePowerAfterAck stops all nodes with disks as soon as an operator has an
@@ -26,19 +26,19 @@
 	for _, one := range disks {
 		one.storage.slow = slow
 	}
-	sound := func() {
+	restoreDisks := func() {
 		for _, one := range disks {
 			one.storage.slow = 0
 		}
 	}
 	order := w.addKey(0)
-	w.place(order)
+	w.issue(order)
 	w.whenAcknowledged(order, func() {
 		for _, one := range disks {
-			w.restartAfter(one, w.lasting(100*time.Millisecond, 2*time.Second))
+			w.restartAfter(one, w.faultDuration(100*time.Millisecond, 2*time.Second))
 		}
-		sound()
-	}, sound)
+		restoreDisks()
+	}, restoreDisks)
 }
 
 // fullDisk makes a disk refuse all writes for a while.
@@ -47,7 +47,7 @@
 	disk := victim.storage.disk
 	disk.SetFull(true)
 	victim.storage.full = true
-	w.after(w.lasting(time.Second, 4*time.Second), func() {
+	w.after(w.faultDuration(time.Second, 4*time.Second), func() {
 		disk.SetFull(false)
 		victim.storage.full = false
 	})
@@ -56,7 +56,7 @@
 // loseDisk replaces a machine: its disk is gone, its clock starts anew, and at
 // times its address is another one.
 func (w *simulation) loseDisk() {
-	victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return w.mayLose(one) })
+	victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return w.canLose(one) })
 	if len(victims) > 0 {
 		w.replaceMachine(pick(w, victims))
 	}
@@ -67,12 +67,12 @@
 // whose disks are lost come back at their addresses, at any time among the others.
 func (w *simulation) loseDisksAsPowerFails() {
 	order := w.addKey(0)
-	w.place(order)
+	w.issue(order)
 	w.whenAcknowledged(order, func() {
 		if w.majorityLost {
 			return
 		}
-		victims := w.bearableLoss()
+		victims := w.tolerableLoss()
 		if len(victims) > 0 {
 			w.counts.Faults["disks-lost-with-power-off"]++
 		}
@@ -81,97 +81,97 @@
 			case lo.Contains(victims, one):
 				w.replaceMachineAt(one, false)
 			case !one.gone:
-				w.restartAfter(one, w.lasting(100*time.Millisecond, 2*time.Second))
+				w.restartAfter(one, w.faultDuration(100*time.Millisecond, 2*time.Second))
 			}
 		}
 	}, func() {})
 }
 
-// bearableLoss returns nodes whose disks may be lost at one instant, as many as there
+// tolerableLoss returns nodes whose disks may be lost at one instant, as many as there
 // may be, in no order.
-func (w *simulation) bearableLoss() []*node {
+func (w *simulation) tolerableLoss() []*node {
 	var victims []*node
 	disks := w.diskNodes()
 	for _, position := range w.random.Perm(len(disks)) {
-		if one := disks[position]; one.up && w.mayLose(append(victims, one)...) {
+		if one := disks[position]; one.up && w.canLose(append(victims, one)...) {
 			victims = append(victims, one)
 		}
 	}
 	return victims
 }
 
-// mayLose tells whether every shard keeps a majority of its voters without the
+// canLose tells whether every shard keeps a majority of its voters without the
 // disks of nodes. A voter whose disk was lost counts until it is replaced, and one
 // that is about to go is as good as lost.
-func (w *simulation) mayLose(victims ...*node) bool {
+func (w *simulation) canLose(victims ...*node) bool {
 	for shard := range w.serviceShards + 1 {
-		places, known := w.places(shard)
+		slots, known := w.memberSlots(shard)
 		if !known {
 			return false
 		}
-		voters, sound := 0, 0
-		for _, place := range places {
-			if place.Learner {
+		voters, healthy := 0, 0
+		for _, slot := range slots {
+			if slot.Learner {
 				continue
 			}
 			voters++
-			holder := w.nodeNamed(place.ID)
-			if !lo.Contains(victims, holder) && !holder.gone && !holder.leaving && holder.storage.incarnation == place.Incarnation {
-				sound++
+			member := w.nodeNamed(slot.ID)
+			if !lo.Contains(victims, member) && !member.gone && !member.leaving && member.storage.incarnation == slot.Incarnation {
+				healthy++
 			}
 		}
-		if 2*sound <= voters {
+		if 2*healthy <= voters {
 			return false
 		}
 	}
 	return true
 }
 
-// places returns the places of a shard as its leader of the newest term knows
+// memberSlots returns the places of a shard as its leader of the newest term knows
 // them.
-func (w *simulation) places(shard uint32) ([]replication.Slot, bool) {
+func (w *simulation) memberSlots(shard uint32) ([]replication.Slot, bool) {
 	var newest []replication.Slot
 	term := uint64(0)
 	for _, one := range w.diskNodes() {
 		if !one.up {
 			continue
 		}
-		places, leads := one.machine.GroupSlots(shard)
+		slots, leads := one.machine.GroupSlots(shard)
 		if !leads {
 			continue
 		}
-		if of := one.machine.Status().GetShards()[shard].GetTerm(); of > term {
-			newest, term = places, of
+		if shardTerm := one.machine.Status().GetShards()[shard].GetTerm(); shardTerm > term {
+			newest, term = slots, shardTerm
 		}
 	}
 	return newest, term > 0
 }
 
 func (w *simulation) nodeNamed(id member.ID) *node {
-	position := slices.IndexFunc(w.all, func(one *node) bool { return one.info.ID == id })
-	return w.all[position]
+	position := slices.IndexFunc(w.everyNode, func(one *node) bool { return one.info.ID == id })
+	return w.everyNode[position]
 }
 
 // loseDiskTwice takes a second disk as soon as the first loss is repaired, that
 // is, as soon as the shards could do without any one disk again.
 func (w *simulation) loseDiskTwice() {
-	const patience = 12 * time.Second
-	const step = 20 * time.Millisecond
+	const timeout = 12 * time.Second
+	const pollInterval = 20 * time.Millisecond
 	w.loseDisk()
-	deadline := min(w.now+patience, w.settings.calmFrom()-time.Second)
-	var look func()
-	look = func() {
-		victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return one.up && w.mayLose(one) })
+	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart()-time.Second)
+	var poll func()
+	poll = func() {
+		victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return one.up && w.canLose(one) })
 		switch {
 		case len(victims) == len(w.diskNodes()):
-			w.note(worldColumn, "repaired")
+			w.logf(worldColumn, "repaired")
 			w.counts.Faults["disk-lost-after-repair"]++
 			w.replaceMachine(pick(w, victims))
 		case w.now < deadline:
-			w.after(step, look)
+			w.after(pollInterval, poll)
 		}
 	}
-	w.after(step, look)
+	w.after(pollInterval, poll)
 }
 
 // replaceMachine gives a node another machine, at times at another address.
@@ -184,7 +184,7 @@
 }
 
 func (w *simulation) replaceMachineAt(victim *node, elsewhere bool) {
-	victim.note("disk lost")
+	victim.logf("disk lost")
 	victim.stop()
 	victim.storage.disk.Lose()
 	victim.storage.incarnation = w.newDiskIncarnation()
@@ -193,7 +193,7 @@
 	if elsewhere {
 		w.move(victim)
 	}
-	w.after(w.lasting(300*time.Millisecond, 2*time.Second), victim.start)
+	w.after(w.faultDuration(300*time.Millisecond, 2*time.Second), victim.start)
 }
 
 // newDiskIncarnation names a disk that is found empty.
@@ -211,7 +211,7 @@
 // without it and the second is down.
 func (w *simulation) loseDiskAfterAck() {
 	disks := w.diskNodes()
-	victims := lo.Filter(disks, func(one *node, _ int) bool { return w.mayLose(one) && one.up })
+	victims := lo.Filter(disks, func(one *node, _ int) bool { return w.canLose(one) && one.up })
 	if len(victims) == 0 || len(disks) != 3 {
 		w.loseDisk()
 		return
@@ -222,42 +222,42 @@
 	if w.chance(0.5) {
 		late, second = second, late
 	}
-	w.network.cut([]*node{late}, w.nodes, 1)
-	w.network.cut(w.nodes, []*node{late}, 1)
+	w.network.changeBlocked([]*node{late}, w.nodes, 1)
+	w.network.changeBlocked(w.nodes, []*node{late}, 1)
 	w.after(1500*time.Millisecond, func() {
 		order := w.addKey(0)
-		w.place(order)
+		w.issue(order)
 		w.whenAcknowledged(order, func() {
 			// Another disk may have been lost meanwhile.
-			if w.mayLose(victim) {
+			if w.canLose(victim) {
 				w.replaceMachine(victim)
-				w.restartAfter(second, w.lasting(4*time.Second, 2*time.Second))
+				w.restartAfter(second, w.faultDuration(4*time.Second, 2*time.Second))
 			}
-			w.openCut(late)
-		}, func() { w.openCut(late) })
+			w.reconnect(late)
+		}, func() { w.reconnect(late) })
 	})
 }
 
-func (w *simulation) openCut(late *node) {
-	w.network.cut([]*node{late}, w.nodes, -1)
-	w.network.cut(w.nodes, []*node{late}, -1)
+func (w *simulation) reconnect(late *node) {
+	w.network.changeBlocked([]*node{late}, w.nodes, -1)
+	w.network.changeBlocked(w.nodes, []*node{late}, -1)
 }
 
 // whenAcknowledged waits up to a few seconds for an order's acknowledgement.
 func (w *simulation) whenAcknowledged(order *operatorOrder, then, otherwise func()) {
-	const patience = 4 * time.Second
-	const step = 500 * time.Microsecond
-	deadline := min(w.now+patience, w.settings.calmFrom())
-	var look func()
-	look = func() {
+	const timeout = 4 * time.Second
+	const pollInterval = 500 * time.Microsecond
+	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart())
+	var poll func()
+	poll = func() {
 		switch {
-		case order.settled && order.outcome == checker.OutcomeAcknowledged:
+		case order.finished && order.outcome == checker.OutcomeAcknowledged:
 			then()
-		case w.now >= deadline || order.settled:
+		case w.now >= deadline || order.finished:
 			otherwise()
 		default:
-			w.after(step, look)
+			w.after(pollInterval, poll)
 		}
 	}
-	look()
+	poll()
 }
--- a/internal/lab/sim/documents.go
+++ b/internal/lab/sim/documents.go
@@ -12,38 +12,38 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// document orders a configuration under a version of the operator's, in uneven
+// documentOrder orders a configuration under a version of the operator's, in uneven
 // steps above the one that it builds on.
-func (w *simulation) document(configuration *ridgeswitchv1.Configuration, base uint64) *operatorOrder {
+func (w *simulation) documentOrder(configuration *ridgeswitchv1.Configuration, base uint64) *operatorOrder {
 	configuration.Evacuations = nil
-	w.operators.named++
+	w.operators.nameCount++
 	source := &ridgeswitchv1.Source{
 		Version:     base + 1 + w.random.Uint64N(3),
 		BaseVersion: base,
-		Document:    fmt.Appendf(nil, "document %d", w.operators.named),
+		Document:    fmt.Appendf(nil, "document %d", w.operators.nameCount),
 	}
 	content, err := dynamic.DocumentOrder(configuration, source)
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
 }
 
-// changedDocument changes what an operator has read, and applies it on top of
+// changedDocumentOrder changes what an operator has read, and applies it on top of
 // that.
-func (w *simulation) changedDocument(read *ridgeswitchv1.Configuration) *operatorOrder {
+func (w *simulation) changedDocumentOrder(read *ridgeswitchv1.Configuration) *operatorOrder {
 	read = proto.CloneOf(read)
 	if len(read.GetWebServices()) > 0 {
 		read.Routes = append(read.Routes, &ridgeswitchv1.Route{
-			Host:        fmt.Sprintf("d%d.example", w.operators.named),
+			Host:        fmt.Sprintf("d%d.example", w.operators.nameCount),
 			Destination: &ridgeswitchv1.Route_WebService{WebService: webService},
 		})
 	}
-	return w.document(read, read.GetSource().GetVersion())
+	return w.documentOrder(read, read.GetSource().GetVersion())
 }
 
 // raceDocuments lets operators apply documents on top of the same one.
 func (w *simulation) raceDocuments() {
 	read := w.readConfiguration()
-	for range raceOf {
-		w.after(w.upTo(20*time.Millisecond), func() { w.place(w.changedDocument(read)) })
+	for range ordersPerRace {
+		w.after(w.upTo(20*time.Millisecond), func() { w.issue(w.changedDocumentOrder(read)) })
 	}
 }
 
@@ -67,7 +67,7 @@
 	var newest *ridgeswitchv1.Source
 	for _, order := range w.operators.orders {
 		source := order.content.GetApplyDocument().GetSource()
-		if order.settled && order.outcome == checker.OutcomeAcknowledged && source.GetVersion() > newest.GetVersion() {
+		if order.finished && order.outcome == checker.OutcomeAcknowledged && source.GetVersion() > newest.GetVersion() {
 			newest = source
 		}
 	}
@@ -83,7 +83,7 @@
 		reader.nextTicket++
 		reader.reads[reader.nextTicket] = func(reply control.Reply) { read = reply.Source }
 		ticket := reader.nextTicket
-		reader.post(reader.life, func(now time.Duration) control.Output { return reader.machine.ReadSource(now, ticket) })
+		reader.post(reader.process, func(now time.Duration) control.Output { return reader.machine.ReadSource(now, ticket) })
 		w.after(readBound, func() { w.compareDocument(reader, read) })
 	}
 }
--- a/internal/lab/sim/openmode.go
+++ b/internal/lab/sim/fail_open.go
@@ -15,32 +15,32 @@
 // whose nodes go on serving while they are cut off.
 
 const (
-	// openContact is how long a node that fell silent counts as in contact.
-	openContact = 3 * time.Second
-	// openAcknowledge bounds the wait for an acknowledgement.
-	openAcknowledge = 4 * time.Second
+	// failOpenContact is how long a node that fell silent counts as in contact.
+	failOpenContact = 3 * time.Second
+	// failOpenAcknowledge bounds the wait for an acknowledgement.
+	failOpenAcknowledge = 4 * time.Second
 	// slowHeartbeat and slowTick are those of nodes that save work while idle.
 	slowHeartbeat = 250 * time.Millisecond
 	slowTick      = 50 * time.Millisecond
 	// RecoveryBound is how long a deployment may take to serve again after all its
 	// nodes went down at once.
 	RecoveryBound = 12 * time.Second
-	// voteBound is how long a new machine may take to get a vote.
-	voteBound = 4 * time.Second
+	// promotionBound is how long a new machine may take to get a vote.
+	promotionBound = 4 * time.Second
 	// maxReplacements bounds the machines that a run adds.
 	maxReplacements = 12
 )
 
-// openMode names the node by its address.
-func (n *node) openMode() {
+// enableFailOpen names the node by its address.
+func (n *node) enableFailOpen() {
 	n.info.ID = member.ID(n.info.Address)
 	if n.world.settings.Seed%2 == 0 {
 		n.tickEvery = slowTick
 	}
 }
 
-// nameFounders chooses the seeds, and founds the groups with the nodes there.
-func (w *simulation) nameFounders() {
+// chooseFounders chooses the seeds, and founds the groups with the nodes there.
+func (w *simulation) chooseFounders() {
 	disks := w.diskNodes()
 	for _, one := range disks[:min(maxSeeds, len(disks))] {
 		w.seeds = append(w.seeds, one.info.Address)
@@ -55,13 +55,13 @@
 	}
 }
 
-// openConfig completes what a control machine knows when it starts.
-func (n *node) openConfig(config *control.Config) {
+// applyFailOpen completes what a control machine knows when it starts.
+func (n *node) applyFailOpen(config *control.Config) {
 	config.Seeded = true
 	config.FailOpen = true
 	config.Group = nil
 	config.GroupZones = nil
-	config.Times = control.FailOpenTimes(openContact, openAcknowledge)
+	config.Times = control.FailOpenTimes(failOpenContact, failOpenAcknowledge)
 	if n.tickEvery == slowTick {
 		config.Times.HeartbeatEvery = slowHeartbeat
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// keepAddresses is what a data folder remembers of other nodes with disks.
-func (n *node) keepAddresses() {
+// saveAddresses is what a data folder remembers of other nodes with disks.
+func (n *node) saveAddresses() {
 	if n.storage == nil || !n.world.settings.FailOpen {
 		return
 	}
@@ -84,39 +84,39 @@
 // addMachine adds a new machine with an empty disk, or none if there were many
 // already.
 func (w *simulation) addMachine(zone string) *node {
-	if len(w.all) >= len(w.network.blocked) {
+	if len(w.everyNode) >= len(w.network.blocked) {
 		return nil
 	}
-	w.addNode(len(w.all), true, zone)
+	w.addNode(len(w.everyNode), true, zone)
 	added := w.nodes[len(w.nodes)-1]
 	added.storage.incarnation = w.newDiskIncarnation()
-	added.note("added")
+	added.logf("added")
 	return added
 }
 
-// cameLater tells whether a machine was added during the run.
-func (w *simulation) cameLater(id member.ID) bool {
+// addedDuringRun tells whether a machine was added during the run.
+func (w *simulation) addedDuringRun(id member.ID) bool {
 	first := len(w.network.blocked) - maxReplacements
-	return lo.ContainsBy(w.all[first:], func(one *node) bool { return one.info.ID == id })
+	return lo.ContainsBy(w.everyNode[first:], func(one *node) bool { return one.info.ID == id })
 }
 
 // removeMachine takes a machine away for good.
 func (w *simulation) removeMachine(victim *node) {
 	victim.stop()
 	victim.gone = true
-	victim.note("gone")
+	victim.logf("gone")
 	w.nodes = lo.Without(w.nodes, victim)
 	delete(w.byAddress, victim.info.Address)
-	w.disturbed(victim)
-	w.after(seedLag, w.renewSeeds)
+	w.recordDisturbance(victim)
+	w.after(seedLag, w.updateSeeds)
 }
 
 // seedLag is how long the seeds in settings lag behind.
 const seedLag = 3 * time.Second
 
-// renewSeeds replaces the seeds that are gone in the settings. Nodes that run
+// updateSeeds replaces the seeds that are gone in the settings. Nodes that run
 // read them anew at times.
-func (w *simulation) renewSeeds() {
+func (w *simulation) updateSeeds() {
 	disks := lo.Map(w.diskNodes(), func(one *node, _ int) string { return one.info.Address })
 	w.seeds = lo.Intersect(w.seeds, disks)
 	for _, address := range disks {
@@ -124,23 +124,23 @@
 			w.seeds = append(w.seeds, address)
 		}
 	}
-	w.spreadSeeds()
+	w.distributeSeeds()
 }
 
-func (w *simulation) spreadSeeds() {
+func (w *simulation) distributeSeeds() {
 	seeds := slices.Clone(w.seeds)
 	for _, one := range w.nodes {
 		if w.chance(0.5) {
 			one.seeds = seeds
-			one.post(one.life, func(now time.Duration) control.Output { return one.machine.SetSeeds(now, seeds) })
+			one.post(one.process, func(now time.Duration) control.Output { return one.machine.SetSeeds(now, seeds) })
 		}
 	}
 }
 
-// exchangeable are the machines with disks that are to stay, and without which a
+// replaceableMachines are the machines with disks that are to stay, and without which a
 // majority of the voters of every shard stays sound.
-func (w *simulation) exchangeable() []*node {
-	return lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return !one.leaving && w.mayLose(one) })
+func (w *simulation) replaceableMachines() []*node {
+	return lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return !one.leaving && w.canLose(one) })
 }
 
 // replaceOrWipe takes a machine away and adds another one, or takes its disk
@@ -150,17 +150,17 @@
 		w.replaceMachineAt(victim, false)
 		return
 	}
-	w.exchange(victim)
+	w.exchangeMachine(victim)
 }
 
-// exchange takes a machine away, and adds another one soon after.
-func (w *simulation) exchange(victim *node) {
+// exchangeMachine takes a machine away, and adds another one soon after.
+func (w *simulation) exchangeMachine(victim *node) {
 	zone := victim.info.Zone
-	if len(w.all) >= len(w.network.blocked) {
+	if len(w.everyNode) >= len(w.network.blocked) {
 		return
 	}
 	w.removeMachine(victim)
-	w.after(w.lasting(300*time.Millisecond, 2*time.Second), func() {
+	w.after(w.faultDuration(300*time.Millisecond, 2*time.Second), func() {
 		if added := w.addMachine(zone); added != nil {
 			added.start()
 		}
@@ -169,8 +169,8 @@
 
 // replaceUnplanned loses a machine, which another one replaces.
 func (w *simulation) replaceUnplanned() {
-	if victims := w.exchangeable(); len(victims) > 0 {
-		w.exchange(pick(w, victims))
+	if victims := w.replaceableMachines(); len(victims) > 0 {
+		w.exchangeMachine(pick(w, victims))
 	}
 }
 
@@ -178,15 +178,15 @@
 // gets its vote, as far as a majority of the voters stays sound.
 func (w *simulation) replaceTwo() {
 	w.replaceUnplanned()
-	w.after(w.upTo(min(voteBound, w.settings.calmFrom()-w.now)), w.replaceUnplanned)
+	w.after(w.upTo(min(promotionBound, w.settings.recoveryPhaseStart()-w.now)), w.replaceUnplanned)
 }
 
 // replacePlanned adds a machine, and takes another one away once the new one has
 // a vote.
 func (w *simulation) replacePlanned() {
-	const step = 50 * time.Millisecond
-	const patience = 8 * time.Second
-	victims := w.exchangeable()
+	const pollInterval = 50 * time.Millisecond
+	const timeout = 8 * time.Second
+	victims := w.replaceableMachines()
 	if len(victims) == 0 {
 		return
 	}
@@ -196,54 +196,54 @@
 		return
 	}
 	added.start()
-	deadline := min(w.now+patience, w.settings.calmFrom()-time.Second)
-	var look func()
-	look = func() {
+	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart()-time.Second)
+	var poll func()
+	poll = func() {
 		switch {
 		case w.now >= deadline || victim.gone:
-		case w.votes(added) && w.mayLose(victim):
-			w.leaveThen(victim, func() { w.removeMachine(victim) })
+		case w.isVoterEverywhere(added) && w.canLose(victim):
+			w.shutDownThen(victim, func() { w.removeMachine(victim) })
 		default:
-			w.after(step, look)
+			w.after(pollInterval, poll)
 		}
 	}
-	w.after(step, look)
+	w.after(pollInterval, poll)
 }
 
-// leaveThen stops a node in good order, at times, and then does what follows.
-func (w *simulation) leaveThen(one *node, then func()) {
+// shutDownThen stops a node in good order, at times, and then does what follows.
+func (w *simulation) shutDownThen(one *node, then func()) {
 	const leaveGrace = 200 * time.Millisecond
 	one.leaving = true
 	if !one.up || w.chance(0.3) {
 		then()
 		return
 	}
-	one.post(one.life, one.machine.Leave)
+	one.post(one.process, one.machine.Leave)
 	w.after(leaveGrace, then)
 }
 
-// votes tells whether a node has a vote in every shard.
-func (w *simulation) votes(one *node) bool {
+// isVoterEverywhere tells whether a node has a vote in every shard.
+func (w *simulation) isVoterEverywhere(one *node) bool {
 	for shard := range w.serviceShards + 1 {
-		places, known := w.places(shard)
+		slots, known := w.memberSlots(shard)
 		voter := replication.Voter{ID: one.info.ID, Incarnation: one.storage.incarnation}
-		if !known || !lo.Contains(places, replication.Slot{Voter: voter}) {
+		if !known || !lo.Contains(slots, replication.Slot{Voter: voter}) {
 			return false
 		}
 	}
 	return true
 }
 
-// moveSeeds names other nodes with disks as seeds, or addresses where nobody
+// changeSeeds names other nodes with disks as seeds, or addresses where nobody
 // listens.
-func (w *simulation) moveSeeds() {
+func (w *simulation) changeSeeds() {
 	disks := lo.Map(w.diskNodes(), func(one *node, _ int) string { return one.info.Address })
 	w.random.Shuffle(len(disks), func(i, j int) { disks[i], disks[j] = disks[j], disks[i] })
 	w.seeds = disks[:min(maxSeeds, len(disks))]
 	if w.chance(0.3) {
 		w.seeds[0] = "gone:7100"
 	}
-	w.spreadSeeds()
+	w.distributeSeeds()
 }
 
 // loseRelayParent stops, freezes or cuts off a node just before an order, so that
@@ -252,18 +252,18 @@
 	victim := pick(w, w.nodes)
 	switch w.random.IntN(3) {
 	case 0:
-		w.restartAfter(victim, w.lasting(2*time.Second, 3*time.Second))
+		w.restartAfter(victim, w.faultDuration(2*time.Second, 3*time.Second))
 	case 1:
-		victim.freeze(w.lasting(2*time.Second, 3*time.Second))
+		victim.freeze(w.faultDuration(2*time.Second, 3*time.Second))
 	default:
-		w.cutFor([]*node{victim}, w.nodes, true)
+		w.partitionFor([]*node{victim}, w.nodes, true)
 	}
-	w.after(w.upTo(200*time.Millisecond), func() { w.place(w.addKey(0)) })
+	w.after(w.upTo(200*time.Millisecond), func() { w.issue(w.addKey(0)) })
 }
 
-// kindsOfGroups are the faults of deployments whose group is named, and
-// kindsOfSeeds those of deployments that find themselves through seeds.
+// configuredGroupFaults are the faults of deployments whose group is named, and
+// seededGroupFaults those of deployments that find themselves through seeds.
 var (
-	kindsOfGroups = []string{"majority-disk-loss"}
-	kindsOfSeeds  = []string{"machine-replaced", "machine-replaced-planned", "two-machines-replaced", "seeds-moved", "relay-parent-lost"}
+	configuredGroupFaults = []string{"majority-disk-loss"}
+	seededGroupFaults     = []string{"machine-replaced", "machine-replaced-planned", "two-machines-replaced", "seeds-moved", "relay-parent-lost"}
 )
--- a/internal/lab/sim/failopen_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -13,14 +13,14 @@
 // promptAcknowledge bounds an acknowledgement that waits for live nodes alone.
 const promptAcknowledge = 300 * time.Millisecond
 
-// playOpen runs a deployment that finds itself through seeds, without random
+// playFailOpen runs a deployment that finds itself through seeds, without random
 // faults and orders.
-func playOpen(seed uint64, script func(*simulation)) *simulation {
-	return playOpenWithout(BreakNone, seed, script)
+func playFailOpen(seed uint64, script func(*simulation)) *simulation {
+	return playFailOpenWithout(BreakNone, seed, script)
 }
 
-// playOpenWithout is playOpen with a mechanism switched off.
-func playOpenWithout(mechanism Break, seed uint64, script func(*simulation)) *simulation {
+// playFailOpenWithout is playFailOpen with a mechanism switched off.
+func playFailOpenWithout(mechanism Break, seed uint64, script func(*simulation)) *simulation {
 	return playWith(Settings{Seed: seed, Virtual: DefaultVirtual, FailOpen: true, Break: mechanism}, script)
 }
 
@@ -28,10 +28,10 @@
 func playWith(settings Settings, script func(*simulation)) *simulation {
 	world := newSimulation(settings)
 	world.build()
-	world.scheduleTouch()
-	world.at(firstOrderAt, func() { world.place(world.applyFirst()) })
+	world.scheduleObservation()
+	world.at(firstOrderAt, func() { world.issue(world.applyFirst()) })
 	script(world)
-	world.scheduleCalm()
+	world.scheduleRecoveryChecks()
 	world.loop()
 	world.checks.finish()
 	return world
@@ -40,7 +40,7 @@
 // playAll plays a script with several seeds, which must break nothing.
 func playAll(script func(*simulation)) {
 	for seed := uint64(1); seed <= 6; seed++ {
-		world := playOpen(seed, script)
+		world := playFailOpen(seed, script)
 		ExpectWithOffset(1, world.checks.violations).To(BeEmpty(), "seed %d", seed)
 	}
 }
@@ -67,7 +67,7 @@
 
 // expectAcknowledged places an order that must be acknowledged within a bound.
 func (w *simulation) expectAcknowledged(order *operatorOrder, bound time.Duration) {
-	w.place(order)
+	w.issue(order)
 	w.checkAcknowledged(order, bound)
 }
 
@@ -104,7 +104,7 @@
 			world.startWithin(startBound)
 			world.at(7*second, func() {
 				order := world.addKey(0)
-				world.place(order)
+				world.issue(order)
 				world.whenAcknowledged(order, func() {
 					for _, one := range world.nodes {
 						world.restartAfter(one, world.upTo(second))
@@ -126,8 +126,8 @@
 		playAll(func(world *simulation) {
 			world.startWithin(startBound)
 			world.at(7*second, func() { world.replaceMachineAt(world.nodes[world.random.IntN(maxSeeds)], false) })
-			world.at(7*second+2*second+voteBound, func() {
-				if !world.whole() {
+			world.at(7*second+2*second+promotionBound, func() {
+				if !world.everyMemberIsVoter() {
 					world.violate("vote_regained", "a founder has no vote in its new life")
 				}
 			})
@@ -146,12 +146,12 @@
 						added = world.addMachine(victim.info.Zone)
 					} else {
 						added = world.addMachine(victim.info.Zone)
-						world.after(voteBound, func() { world.leaveThen(victim, func() { world.removeMachine(victim) }) })
+						world.after(promotionBound, func() { world.shutDownThen(victim, func() { world.removeMachine(victim) }) })
 					}
 					added.start()
-					world.after(voteBound, func() {
-						if !world.votes(added) {
-							world.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, voteBound)
+					world.after(promotionBound, func() {
+						if !world.isVoterEverywhere(added) {
+							world.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, promotionBound)
 						}
 					})
 				})
@@ -165,10 +165,10 @@
 			world.at(7*second, func() {
 				voters := len(world.diskNodes())
 				for range (voters - 1) / 2 {
-					victim := pick(world, world.exchangeable())
-					world.leaveThen(victim, func() { world.removeMachine(victim) })
+					victim := pick(world, world.replaceableMachines())
+					world.shutDownThen(victim, func() { world.removeMachine(victim) })
 				}
-				if victims := world.exchangeable(); len(victims) > 0 {
+				if victims := world.replaceableMachines(); len(victims) > 0 {
 					world.violate("majority_kept", "%d of %d voters may go as well", len(victims), voters)
 				}
 				for range (voters - 1) / 2 {
@@ -187,7 +187,7 @@
 				added.start()
 				world.after(world.upTo(2*second), func() { world.removeMachine(added) })
 			})
-			world.at(13*second, func() { world.expectAcknowledged(world.addKey(0), openAcknowledge) })
+			world.at(13*second, func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
 		})
 	})
 })
@@ -199,8 +199,8 @@
 			var orders []*operatorOrder
 			world.at(7*second, func() {
 				cut := world.router()
-				world.network.cut([]*node{cut}, world.nodes, 1)
-				world.network.cut(world.nodes, []*node{cut}, 1)
+				world.network.changeBlocked([]*node{cut}, world.nodes, 1)
+				world.network.changeBlocked(world.nodes, []*node{cut}, 1)
 				for range 10 {
 					order := world.addKey(0)
 					order.firstSent = world.now
@@ -208,7 +208,7 @@
 					orders = append(orders, order)
 					world.submitTo(cut, order)
 				}
-				world.after(openAcknowledge, func() { world.openCut(cut) })
+				world.after(failOpenAcknowledge, func() { world.reconnect(cut) })
 			})
 			world.at(12*second, func() {
 				for _, order := range orders {
@@ -231,14 +231,14 @@
 		faults := []func(world *simulation, victim *node){
 			func(_ *simulation, victim *node) { victim.stop() },
 			func(_ *simulation, victim *node) { victim.freeze(15 * second) },
-			func(world *simulation, victim *node) { world.cutFor([]*node{victim}, world.nodes, true) },
+			func(world *simulation, victim *node) { world.partitionFor([]*node{victim}, world.nodes, true) },
 			func(_ *simulation, victim *node) { victim.storage.slow = 150 * time.Millisecond },
 			func(_ *simulation, victim *node) { victim.storage.disk.SetFull(true) },
 		}
 		for kind, fault := range faults {
 			for _, ofLeader := range []bool{false, true} {
 				for seed := uint64(1); seed <= 3; seed++ {
-					world := playOpen(seed, func(world *simulation) {
+					world := playFailOpen(seed, func(world *simulation) {
 						world.startWithin(startBound)
 						world.at(7*second, func() {
 							victim := pick(world, world.diskNodes())
@@ -246,9 +246,9 @@
 								victim = world.leaderOfConfiguration()
 							}
 							fault(world, victim)
-							victim.brokenAt = world.now
-							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.addKey(0), openAcknowledge) })
-							world.after(6*second, func() { world.expectAcknowledged(world.addKey(0), openAcknowledge) })
+							victim.lastOutOfContact = world.now
+							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
+							world.after(6*second, func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
 							world.at(20*second, func() {
 								victim.storage.slow = 0
 								victim.storage.disk.SetFull(false)
@@ -265,7 +265,7 @@
 	It("owes no acknowledgement while a disk is lost and another one is full, and gives it once the second one has room", func() {
 		for seed := uint64(1); seed <= 6; seed++ {
 			var open []*operatorOrder
-			world := playOpen(seed, func(world *simulation) {
+			world := playFailOpen(seed, func(world *simulation) {
 				world.startWithin(startBound)
 				world.at(7*second, func() {
 					if len(world.diskNodes()) > 3 {
@@ -278,13 +278,13 @@
 					world.at(11*second, func() {
 						order := world.addKey(0)
 						open = append(open, order)
-						world.place(order)
+						world.issue(order)
 					})
 					world.at(16*second, func() {
-						Expect(open[0].settled).To(BeFalse(), "a majority of the voters can't write")
+						Expect(open[0].finished).To(BeFalse(), "a majority of the voters can't write")
 						followers[1].storage.disk.SetFull(false)
 						followers[1].storage.full = false
-						world.checkAcknowledged(open[0], openAcknowledge)
+						world.checkAcknowledged(open[0], failOpenAcknowledge)
 					})
 				})
 			})
@@ -306,7 +306,7 @@
 			for round := range 5 {
 				world.at(time.Duration(13+round)*second, func() {
 					order := world.addKey(0)
-					world.placeAt(pick(world, world.diskNodes()), order)
+					world.issueAt(pick(world, world.diskNodes()), order)
 					world.checkAcknowledged(order, promptAcknowledge)
 				})
 			}
@@ -317,7 +317,7 @@
 	It("serves after a restart without a quorum, by what its peers hold", func() {
 		playAll(func(world *simulation) {
 			world.startWithin(startBound)
-			world.at(7*second, func() { world.place(world.addKey(0)) })
+			world.at(7*second, func() { world.issue(world.addKey(0)) })
 			world.at(9*second, func() {
 				disks := world.diskNodes()
 				for _, one := range disks[:len(disks)/2+1] {
@@ -348,13 +348,13 @@
 			world.startWithin(startBound)
 			world.at(7*second, func() {
 				cut := world.router()
-				world.network.cut([]*node{cut}, world.nodes, 1)
-				world.network.cut(world.nodes, []*node{cut}, 1)
+				world.network.changeBlocked([]*node{cut}, world.nodes, 1)
+				world.network.changeBlocked(world.nodes, []*node{cut}, 1)
 				world.after(5*second, func() {
 					if !cut.serving() {
 						world.violate("fails_open", "%s does not serve while it is cut off", cut.info.ID)
 					}
-					world.openCut(cut)
+					world.reconnect(cut)
 				})
 			})
 		})
@@ -366,7 +366,7 @@
 			for round := range 4 {
 				world.at(time.Duration(8+5*round)*second, func() {
 					world.loseRelayParent()
-					world.after(world.upTo(300*time.Millisecond), func() { world.place(world.addKey(0)) })
+					world.after(world.upTo(300*time.Millisecond), func() { world.issue(world.addKey(0)) })
 				})
 			}
 		})
@@ -377,9 +377,9 @@
 			world.startWithin(startBound)
 			world.at(7*second, func() {
 				leader := world.leaderOfConfiguration()
-				world.cutFor([]*node{leader}, world.nodes, true)
+				world.partitionFor([]*node{leader}, world.nodes, true)
 				read := world.readConfiguration()
-				first, other := world.changedDocument(read), world.changedDocument(read)
+				first, other := world.changedDocumentOrder(read), world.changedDocumentOrder(read)
 				for _, order := range []*operatorOrder{first, other} {
 					order.firstSent = world.now
 					world.operators.orders = append(world.operators.orders, order)
