--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -15,7 +15,7 @@
 	name string
 	// weight is how often the kind is chosen, relative to others.
 	weight int
-	begin  func(*simulation)
+	start  func(*simulation)
 }
 
 // faultKinds lists everything that goes wrong.
@@ -38,19 +38,19 @@
 	{"partition", 3, (*simulation).partition},
 	{"one-way-partition", 3, (*simulation).partitionOneWay},
 	{"core-split", 3, (*simulation).splitCore},
-	{"zone-cut", 3, (*simulation).cutZone},
-	{"node-cut", 3, (*simulation).cutNode},
+	{"zone-cut", 3, (*simulation).isolateZone},
+	{"node-cut", 3, (*simulation).isolateNode},
 	{"message-storm", 4, (*simulation).messageStorm},
 	{"config-storm", 2, (*simulation).configStorm},
-	{"weights-overtaken", 3, (*simulation).overtakeWeights},
-	{"stuck-commands", 3, (*simulation).stickCommands},
+	{"weights-overtaken", 3, (*simulation).supersedeWeights},
+	{"stuck-commands", 3, (*simulation).delayCommands},
 	{"machine-replaced", 4, (*simulation).replaceUnplanned},
 	{"machine-replaced-planned", 3, (*simulation).replacePlanned},
 	{"two-machines-replaced", 3, (*simulation).replaceTwo},
-	{"seeds-moved", 2, (*simulation).moveSeeds},
+	{"seeds-moved", 2, (*simulation).changeSeeds},
 	{"relay-parent-lost", 4, (*simulation).loseRelayParent},
 	{"replica-crash", 3, (*simulation).crashReplica},
-	{"replica-listing", 3, (*simulation).changeListing},
+	{"replica-listing", 3, (*simulation).drainOrRemoveReplica},
 	{"platform-lag", 2, (*simulation).lagPlatform},
 }
 
@@ -58,39 +58,39 @@
 const (
 	minFaults   = 4
 	faultSpread = 7
-	// quietEnd is the span before the calm in which no fault begins.
-	quietEnd = time.Second
+	// faultFreeEnd is the span before the calm in which no fault begins.
+	faultFreeEnd = time.Second
 )
 
 // scheduleFaults plans the faults of the run.
 func (w *simulation) scheduleFaults() {
-	kinds := w.kinds()
+	kinds := w.applicableFaultKinds()
 	weights := lo.SumBy(kinds, func(kind faultKind) int { return kind.weight })
-	span := w.settings.calmFrom() - formation - quietEnd
+	span := w.settings.recoveryPhaseStart() - formation - faultFreeEnd
 	for range minFaults + w.plan.IntN(faultSpread) {
-		kind := kindOf(kinds, w.plan.IntN(weights))
-		w.at(formation+w.planned(span), func() { w.begin(kind) })
+		kind := weightedKind(kinds, w.plan.IntN(weights))
+		w.at(formation+w.planned(span), func() { w.startFault(kind) })
 	}
-	w.at(w.settings.calmFrom(), w.endFaults)
+	w.at(w.settings.recoveryPhaseStart(), w.endFaults)
 }
 
-// kinds are those that the run chooses from.
-func (w *simulation) kinds() []faultKind {
+// applicableFaultKinds are those that the run chooses from.
+func (w *simulation) applicableFaultKinds() []faultKind {
 	if w.settings.FailOpen {
-		return lo.Filter(chosenKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
-			return !lo.Contains(kindsOfGroups, kind.name)
+		return lo.Filter(selectedFaultKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
+			return !lo.Contains(configuredGroupFaults, kind.name)
 		})
 	}
-	return lo.Filter(chosenKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
-		return !lo.Contains(kindsOfSeeds, kind.name)
+	return lo.Filter(selectedFaultKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
+		return !lo.Contains(seededGroupFaults, kind.name)
 	})
 }
 
-// chosenKinds are the kinds of the given names, or all.
-func chosenKinds(names []string, finishFirst bool) []faultKind {
+// selectedFaultKinds are the kinds of the given names, or all.
+func selectedFaultKinds(names []string, finishFirst bool) []faultKind {
 	all := faultKinds
 	if finishFirst || len(names) > 0 {
-		all = slices.Concat(faultKinds, listFaultKinds)
+		all = slices.Concat(faultKinds, endpointFaultKinds)
 	}
 	if len(names) == 0 {
 		return all
@@ -98,11 +98,11 @@
 	return lo.Filter(all, func(kind faultKind, _ int) bool { return lo.Contains(names, kind.name) })
 }
 
-// kindOf returns the kind that a share of all weights falls to.
-func kindOf(kinds []faultKind, share int) faultKind {
+// weightedKind returns the kind that a share of all weights falls to.
+func weightedKind(kinds []faultKind, draw int) faultKind {
 	position := 0
-	for share >= kinds[position].weight {
-		share -= kinds[position].weight
+	for draw >= kinds[position].weight {
+		draw -= kinds[position].weight
 		position++
 	}
 	return kinds[position]
@@ -110,7 +110,7 @@
 
 // FaultNames lists the names of all kinds of faults.
 func FaultNames() []string {
-	return lo.Map(slices.Concat(faultKinds, listFaultKinds), func(kind faultKind, _ int) string { return kind.name })
+	return lo.Map(slices.Concat(faultKinds, endpointFaultKinds), func(kind faultKind, _ int) string { return kind.name })
 }
 
 // UnknownFaultError tells that no kind of fault has the given name.
@@ -132,24 +132,24 @@
 	return nil
 }
 
-func (w *simulation) begin(kind faultKind) {
-	if w.majorityLost && !lo.Contains(kindsDuringLoss, kind.name) {
+func (w *simulation) startFault(kind faultKind) {
+	if w.majorityLost && !lo.Contains(faultsDuringMajorityLoss, kind.name) {
 		return
 	}
 	w.counts.Faults[kind.name]++
-	w.note(worldColumn, "FAULT %s", kind.name)
-	kind.begin(w)
+	w.logf(worldColumn, "FAULT %s", kind.name)
+	kind.start(w)
 }
 
-// lasting returns a random length from shortest on that ends before the calm.
-func (w *simulation) lasting(shortest, spread time.Duration) time.Duration {
-	left := max(0, w.settings.calmFrom()-w.now)
+// faultDuration returns a random length from shortest on that ends before the calm.
+func (w *simulation) faultDuration(shortest, spread time.Duration) time.Duration {
+	left := max(0, w.settings.recoveryPhaseStart()-w.now)
 	return min(shortest+w.upTo(spread), left)
 }
 
 // endFaults starts what does not run at the beginning of the calm.
 func (w *simulation) endFaults() {
-	w.note(worldColumn, "CALM")
+	w.logf(worldColumn, "CALM")
 	w.freezeNextCommand = false
 	for _, one := range w.nodes {
 		one.start()
@@ -171,23 +171,23 @@
 }
 
 func (w *simulation) crashOne() {
-	w.restartAfter(pick(w, w.nodes), w.lasting(100*time.Millisecond, 4*time.Second))
+	w.restartAfter(pick(w, w.nodes), w.faultDuration(100*time.Millisecond, 4*time.Second))
 }
 
 // crashMany stops a random part of the nodes at one instant; at times all with
 // disks, as when the power fails.
 func (w *simulation) crashMany() {
-	victims := w.someNodes()
+	victims := w.randomNodes()
 	if w.chance(0.5) {
 		victims = append(victims, w.diskNodes()...)
 	}
 	for _, one := range lo.Uniq(victims) {
-		w.restartAfter(one, w.lasting(100*time.Millisecond, 3*time.Second))
+		w.restartAfter(one, w.faultDuration(100*time.Millisecond, 3*time.Second))
 	}
 }
 
-// someNodes returns a random part of the nodes, at least one.
-func (w *simulation) someNodes() []*node {
+// randomNodes returns a random part of the nodes, at least one.
+func (w *simulation) randomNodes() []*node {
 	order := w.random.Perm(len(w.nodes))
 	count := 1 + w.random.IntN(len(w.nodes))
 	return lo.Map(order[:count], func(position, _ int) *node { return w.nodes[position] })
@@ -199,30 +199,30 @@
 	const leaveGrace = 200 * time.Millisecond
 	for position, one := range w.nodes {
 		start := time.Duration(position) * between
-		if w.now+start+between > w.settings.calmFrom() {
+		if w.now+start+between > w.settings.recoveryPhaseStart() {
 			return
 		}
 		w.after(start, func() {
 			if one.gone || !one.up {
 				return
 			}
-			one.post(one.life, one.machine.Leave)
-			w.after(leaveGrace, func() { w.restartAfter(one, w.lasting(50*time.Millisecond, 300*time.Millisecond)) })
+			one.post(one.process, one.machine.Leave)
+			w.after(leaveGrace, func() { w.restartAfter(one, w.faultDuration(50*time.Millisecond, 300*time.Millisecond)) })
 		})
 	}
 }
 
 // freezeOne stops a process for long, without its end.
 func (w *simulation) freezeOne() {
-	pick(w, w.nodes).freeze(w.lasting(3*time.Second, 17*time.Second))
+	pick(w, w.nodes).freeze(w.faultDuration(3*time.Second, 17*time.Second))
 }
 
 // freezeLeader stops a leader in the middle of its work.
 func (w *simulation) freezeLeader() {
 	if leader := w.anyLeader(); leader != nil {
-		w.place(w.nameWeights(0, pick(w, poolNames)))
+		w.issue(w.nameWeights(0, pick(w, poolNames)))
 		w.after(w.upTo(2*time.Second), func() {
-			leader.freeze(w.lasting(3*time.Second, 9*time.Second))
+			leader.freeze(w.faultDuration(3*time.Second, 9*time.Second))
 		})
 	}
 }
@@ -231,7 +231,7 @@
 // the sending of the command.
 func (w *simulation) freezeAtCommand() {
 	w.freezeNextCommand = true
-	w.place(w.nameWeights(0, pick(w, poolNames)))
+	w.issue(w.nameWeights(0, pick(w, poolNames)))
 }
 
 // anyLeader returns a node that leads a shard, or nil.
@@ -250,7 +250,7 @@
 	const furthest = 2 * time.Hour
 	victim := pick(w, w.nodes)
 	victim.clock.wallOffset = w.upTo(2*furthest) - furthest
-	w.restartAfter(victim, w.lasting(50*time.Millisecond, time.Second))
+	w.restartAfter(victim, w.faultDuration(50*time.Millisecond, time.Second))
 }
 
 // messageStorm loses, doubles and holds back frames.
@@ -261,42 +261,42 @@
 		delay:     w.upTo(400 * time.Millisecond),
 	}
 	w.network.storms = append(w.network.storms, active)
-	w.after(w.lasting(time.Second, 6*time.Second), func() {
+	w.after(w.faultDuration(time.Second, 6*time.Second), func() {
 		w.network.storms = lo.Without(w.network.storms, active)
 	})
 }
 
 func (w *simulation) partition() {
-	side := w.someNodes()
-	w.cutFor(side, lo.Without(w.nodes, side...), true)
+	side := w.randomNodes()
+	w.partitionFor(side, lo.Without(w.nodes, side...), true)
 }
 
 func (w *simulation) partitionOneWay() {
-	side := w.someNodes()
-	w.cutFor(side, lo.Without(w.nodes, side...), false)
+	side := w.randomNodes()
+	w.partitionFor(side, lo.Without(w.nodes, side...), false)
 }
 
-func (w *simulation) cutZone() {
+func (w *simulation) isolateZone() {
 	zone := pick(w, w.nodes).info.Zone
 	inside := lo.Filter(w.nodes, func(one *node, _ int) bool { return one.info.Zone == zone })
-	w.cutFor(inside, lo.Without(w.nodes, inside...), true)
+	w.partitionFor(inside, lo.Without(w.nodes, inside...), true)
 }
 
-func (w *simulation) cutNode() {
+func (w *simulation) isolateNode() {
 	victim := []*node{pick(w, w.nodes)}
-	w.cutFor(victim, w.nodes, w.chance(0.5))
+	w.partitionFor(victim, w.nodes, w.chance(0.5))
 }
 
-// cutFor blocks the ways from one side to the other, and back if both.
-func (w *simulation) cutFor(from, to []*node, both bool) {
-	w.network.cut(from, to, 1)
+// partitionFor blocks the ways from one side to the other, and back if both.
+func (w *simulation) partitionFor(from, to []*node, both bool) {
+	w.network.changeBlocked(from, to, 1)
 	if both {
-		w.network.cut(to, from, 1)
+		w.network.changeBlocked(to, from, 1)
 	}
-	w.after(w.lasting(300*time.Millisecond, 8*time.Second), func() {
-		w.network.cut(from, to, -1)
+	w.after(w.faultDuration(300*time.Millisecond, 8*time.Second), func() {
+		w.network.changeBlocked(from, to, -1)
 		if both {
-			w.network.cut(to, from, -1)
+			w.network.changeBlocked(to, from, -1)
 		}
 	})
 }
@@ -305,15 +305,15 @@
 func (w *simulation) configStorm() {
 	const orders = 25
 	for range orders {
-		w.after(w.upTo(time.Second), func() { w.place(w.randomOrder(0)) })
+		w.after(w.upTo(time.Second), func() { w.issue(w.randomOrder(0)) })
 	}
 }
 
-// overtakeWeights names weights again and again before they are everywhere.
-func (w *simulation) overtakeWeights() {
+// supersedeWeights names weights again and again before they are everywhere.
+func (w *simulation) supersedeWeights() {
 	const namings = 4
 	pool := pick(w, poolNames)
 	for range namings {
-		w.after(w.upTo(6*time.Second), func() { w.place(w.nameWeights(0, pool)) })
+		w.after(w.upTo(6*time.Second), func() { w.issue(w.nameWeights(0, pool)) })
 	}
 }
--- a/internal/lab/sim/finish.go
+++ b/internal/lab/sim/final_checks.go
@@ -13,7 +13,7 @@
 	}
 	c.applyRules()
 	c.checkHistory()
-	c.nothingLost()
+	c.checkNothingLost()
 }
 
 // applyRules applies the rules that the simulator shares with the experiments on
@@ -24,15 +24,15 @@
 		checker.OneOrderPerBase{},
 		checker.ResentOrder{},
 		checker.InvalidRefused{},
-		checker.CommandHolder{},
+		checker.OneCommander{},
 	}
 	for _, rule := range rules {
 		c.violations = append(c.violations, rule.Check(records)...)
 	}
 }
 
-// nothingLost holds that at the end every node has what was acknowledged.
-func (c *checks) nothingLost() {
+// checkNothingLost holds that at the end every node has what was acknowledged.
+func (c *checks) checkNothingLost() {
 	for _, one := range c.world.nodes {
 		if one.view != nil && one.view.Revision < c.acknowledged {
 			c.world.violate("acknowledged_lost", "%s ends with revision %d although %d was acknowledged", one.info.ID, one.view.Revision, c.acknowledged)
--- a/internal/lab/sim/finishfirst.go
+++ b/internal/lab/sim/finish_first.go
@@ -42,13 +42,13 @@
 	return fmt.Sprintf("%s#%d", r.address, r.incarnation)
 }
 
-// takeFinishFirst handles a command of a replica that checks no tokens, refuses a
+// handleCommandFinishFirst handles a command of a replica that checks no tokens, refuses a
 // second command while one is under way, and loads once its requests have ended.
-func (r *replica) takeFinishFirst(holder *node, command control.Command) control.CommandOutcome {
+func (r *replica) handleCommandFinishFirst(sender *node, command control.Command) control.CommandOutcome {
 	if command.Instance != r.instance() {
 		return control.CommandWrongInstance
 	}
-	r.world.checks.commandArrived(r, holder, command)
+	r.world.checks.commandArrived(r, sender, command)
 	switch {
 	case command.ExpectsSequence && command.ExpectedSequence != r.sequence, r.target != "":
 		return control.CommandBusy
@@ -63,10 +63,10 @@
 
 // loadWhenIdle begins to load once no request runs.
 func (r *replica) loadWhenIdle() {
-	if !r.world.settings.FinishFirst || r.active > 0 || r.target == "" || r.loadingNow {
+	if !r.world.settings.FinishFirst || r.active > 0 || r.target == "" || r.loading {
 		return
 	}
-	r.loadingNow = true
+	r.loading = true
 	incarnation := r.incarnation
 	r.world.after(r.loadTime(), func() {
 		if !r.up || r.incarnation != incarnation {
@@ -74,65 +74,65 @@
 		}
 		r.version, r.target = r.target, ""
 		r.lastVersion = r.version
-		r.loadingNow = false
+		r.loading = false
 		r.world.platform.showLater()
-		r.world.note(worldColumn, "%s runs %s", r.address, r.version)
+		r.world.logf(worldColumn, "%s runs %s", r.address, r.version)
 	})
 }
 
 // loadTime is longer while many load at once.
 func (r *replica) loadTime() time.Duration {
-	loading := lo.CountBy(r.world.platform.entries(), func(entry *listedReplica) bool {
-		return entry.replica.pool == r.pool && entry.replica.loadingNow
+	loading := lo.CountBy(r.world.platform.entries(), func(entry *endpoint) bool {
+		return entry.replica.pool == r.pool && entry.replica.loading
 	})
 	load := finishFirstLoad + r.world.upTo(finishFirstSpread)
 	return load * time.Duration(max(loading, loadsWithoutSlowing)) / loadsWithoutSlowing
 }
 
-// refuses tells whether the replica does not run a request: it loads weights, or has
+// rejects tells whether the replica does not run a request: it loads weights, or has
 // others than the request expects.
-func (r *replica) refuses(arrived *request) bool {
+func (r *replica) rejects(arrived *request) bool {
 	if !r.world.settings.FinishFirst || r.world.broken(BreakVersionIgnored) {
 		return false
 	}
 	return r.target != "" || r.version != arrived.version
 }
 
-// begun holds that no request begins while weights are being loaded, or on older
+// requestStarted holds that no request begins while weights are being loaded, or on older
 // weights than were named in the calm and acknowledged longer ago than the bound.
-func (c *checks) begun(begun *request) {
-	if begun.replica.loadingNow {
+func (c *checks) requestStarted(started *request) {
+	if started.replica.loading {
 		c.world.violate("weights_under_requests", "a request of %s began on %s, which loads weights %s",
-			begun.node.info.ID, begun.replica.address, begun.replica.target)
+			started.node.info.ID, started.replica.address, started.replica.target)
 	}
-	named, known := c.named[begun.replica.pool]
-	if !known || c.world.now <= named.at+finishFirstBound {
+	acknowledged, known := c.acknowledgedWeights[started.replica.pool]
+	if !known || c.world.now <= acknowledged.at+finishFirstBound {
 		return
 	}
-	running, err := strconv.Atoi(begun.replica.version)
-	if err == nil && running < named.version {
+	running, err := strconv.Atoi(started.replica.version)
+	if err == nil && running < acknowledged.version {
 		c.world.violate("older_weights", "a request of %s began on weights %d of %s, %v after %d was acknowledged",
-			begun.node.info.ID, running, begun.replica.address, c.world.now-named.at, named.version)
+			started.node.info.ID, running, started.replica.address, c.world.now-acknowledged.at, acknowledged.version)
 	}
 }
 
-// namedWeights is a version that was acknowledged in the calm.
-type namedWeights struct {
+// acknowledgedWeights is a version that was acknowledged in the calm.
+type acknowledgedWeights struct {
 	version int
 	at      time.Duration
 }
 
-// weightsNamed notes an acknowledgement in the calm.
-func (c *checks) weightsNamed(pool, version string, at time.Duration) {
+// weightsAcknowledged notes an acknowledgement in the calm.
+func (c *checks) weightsAcknowledged(pool, version string, at time.Duration) {
 	if number, err := strconv.Atoi(version); err == nil {
-		c.named[pool] = namedWeights{version: number, at: at}
+		c.acknowledgedWeights[pool] = acknowledgedWeights{version: number, at: at}
 	}
 }
 
 // arrivedCommand is the newest command that reached a replica in its present life.
 type arrivedCommand struct {
 	incarnation uint64
-	holder      string
+	sender      string
 	token       uint64
 	version     string
 	at          time.Duration
@@ -141,25 +141,25 @@
 // commandArrived holds that tokens never fall and belong to one holder each, that two
 // holders keep apart, that the holder is the sender, and that nothing is commanded
 // twice in the calm.
-func (c *checks) commandArrived(target *replica, holder *node, command control.Command) {
+func (c *checks) commandArrived(target *replica, sender *node, command control.Command) {
 	last := c.arrivedCommands[target]
 	// A holder is one machine, whatever name its commands bear.
-	present := arrivedCommand{target.incarnation, string(holder.info.ID), command.Token, command.WeightVersion, c.world.now}
-	c.arrivedCommands[target] = present
-	if command.Leader != string(holder.info.ID) {
-		c.world.violate("command_holder", "%s commands %s as %s", holder.info.ID, target.address, command.Leader)
+	current := arrivedCommand{target.incarnation, string(sender.info.ID), command.Token, command.WeightVersion, c.world.now}
+	c.arrivedCommands[target] = current
+	if command.Leader != string(sender.info.ID) {
+		c.world.violate("command_holder", "%s commands %s as %s", sender.info.ID, target.address, command.Leader)
 	}
 	if last.incarnation != target.incarnation {
 		return
 	}
 	switch {
 	case command.Token < last.token:
-		c.world.violate("tokens_never_fall", "%s got token %x of %s after %x of %s", target.address, command.Token, command.Leader, last.token, last.holder)
-	case command.Token == last.token && present.holder != last.holder:
-		c.world.violate("token_of_one_holder", "%s got token %x of %s and of %s", target.address, command.Token, last.holder, present.holder)
-	case present.holder != last.holder && c.world.now-last.at < commandGapBound:
-		c.world.violate("holders_keep_apart", "%s commands %s %v after %s did", present.holder, target.address, c.world.now-last.at, last.holder)
-	case command.WeightVersion == last.version && c.world.now > c.world.settings.calmFrom()+ServiceBackBound:
+		c.world.violate("tokens_never_fall", "%s got token %x of %s after %x of %s", target.address, command.Token, command.Leader, last.token, last.sender)
+	case command.Token == last.token && current.sender != last.sender:
+		c.world.violate("token_of_one_holder", "%s got token %x of %s and of %s", target.address, command.Token, last.sender, current.sender)
+	case current.sender != last.sender && c.world.now-last.at < commandGapBound:
+		c.world.violate("holders_keep_apart", "%s commands %s %v after %s did", current.sender, target.address, c.world.now-last.at, last.sender)
+	case command.WeightVersion == last.version && c.world.now > c.world.settings.recoveryPhaseStart()+ServiceBackBound:
 		c.world.violate("commanded_in_vain", "%s commands %s to load %s again", command.Leader, target.address, command.WeightVersion)
 	}
 }
--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -16,7 +16,7 @@
 // register that holds the revision, and the version of the document in force.
 var revisionRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{registerState{}} },
-	Step: func(state, input, _ any) []any { return input.(*operatorOrder).next(state.(registerState)) },
+	Step: func(state, input, _ any) []any { return input.(*operatorOrder).nextStates(state.(registerState)) },
 }
 
 // registerState is what is in force after some orders.
@@ -26,8 +26,8 @@
 	version uint64
 }
 
-// fits tells whether an order may be taken in a state.
-func (o *operatorOrder) fits(state registerState) bool {
+// applicable tells whether an order may be taken in a state.
+func (o *operatorOrder) applicable(state registerState) bool {
 	if document := o.content.GetApplyDocument(); document != nil {
 		return document.GetSource().GetBaseVersion() == state.version
 	}
@@ -35,8 +35,8 @@
 	return base == state.revision || (base == 0 && o.content.GetApply() == nil)
 }
 
-// taken is the state after an order that changed something.
-func (o *operatorOrder) taken(state registerState) registerState {
+// applied is the state after an order that changed something.
+func (o *operatorOrder) applied(state registerState) registerState {
 	state.revision++
 	switch {
 	case o.content.GetApplyDocument() != nil:
@@ -47,29 +47,29 @@
 	return state
 }
 
-// next returns what may be in force after an order.
-func (o *operatorOrder) next(state registerState) []any {
-	fits := o.fits(state)
+// nextStates returns what may be in force after an order.
+func (o *operatorOrder) nextStates(state registerState) []any {
+	fits := o.applicable(state)
 	answered := o.answer.GetRevision()
 	switch {
-	case !o.decided() && fits:
-		return []any{state, o.taken(state)}
-	case !o.decided():
+	case !o.outcomeKnown() && fits:
+		return []any{state, o.applied(state)}
+	case !o.outcomeKnown():
 		return []any{state}
 	case o.outcome == checker.OutcomeRefused && answered == state.revision:
 		return []any{state}
 	case o.outcome == checker.OutcomeRefused || !fits:
 		return nil
 	case answered == state.revision+1:
-		return []any{o.taken(state)}
-	case o.mayKeep && answered == state.revision:
+		return []any{o.applied(state)}
+	case o.mayBeNoOp && answered == state.revision:
 		return []any{state}
 	}
 	return nil
 }
 
-// decided tells whether the operator knows what became of the order.
-func (o *operatorOrder) decided() bool { return o.settled && !o.doubtful }
+// outcomeKnown tells whether the operator knows what became of the order.
+func (o *operatorOrder) outcomeKnown() bool { return o.finished && !o.ambiguous }
 
 // historyTimeout bounds the search for an order of the history. What takes
 // longer gives no verdict, and is counted.
@@ -82,9 +82,9 @@
 			ClientId: client,
 			Input:    order,
 			Call:     int64(order.firstSent),
-			Return:   int64(order.settledAt),
+			Return:   int64(order.finishedAt),
 		}
-		if !order.decided() {
+		if !order.outcomeKnown() {
 			// It may take effect at any time from now on.
 			operation.Return = math.MaxInt64
 		}
@@ -108,7 +108,7 @@
 func tighten(history []porcupine.Operation) {
 	byRevision := map[uint64][]int{}
 	for position, operation := range history {
-		if order := operation.Input.(*operatorOrder); order.decided() {
+		if order := operation.Input.(*operatorOrder); order.outcomeKnown() {
 			revision := order.answer.GetRevision()
 			byRevision[revision] = append(byRevision[revision], position)
 		}
--- a/internal/lab/sim/majorityloss.go
+++ b/internal/lab/sim/majority_loss.go
@@ -8,10 +8,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// kindsDuringLoss are the faults that may begin while the disks of a majority are
+// faultsDuringMajorityLoss are the faults that may begin while the disks of a majority are
 // lost. The others might take away the last node that holds what was
 // acknowledged, after which nobody could bring it back.
-var kindsDuringLoss = []string{
+var faultsDuringMajorityLoss = []string{
 	"slow-disk", "message-storm", "config-storm", "weights-overtaken", "stuck-commands",
 	"replica-crash", "replica-listing", "platform-lag",
 }
@@ -20,8 +20,8 @@
 // when all else is well. At times a member that keeps its disk has missed the
 // last order, so that only witnesses hold it.
 func (w *simulation) loseMajority() {
-	const patience = 8 * time.Second
-	w.whenSound(patience, func() {
+	const timeout = 8 * time.Second
+	w.whenHealthy(timeout, func() {
 		w.majorityLost = true
 		// What was shown and never acknowledged may go with the disks.
 		w.checks.shown = 0
@@ -44,17 +44,17 @@
 func (w *simulation) loseAllButStale() {
 	positions := w.random.Perm(len(w.group))
 	late := w.nodes[positions[0]]
-	w.network.cut([]*node{late}, w.nodes, 1)
-	w.network.cut(w.nodes, []*node{late}, 1)
+	w.network.changeBlocked([]*node{late}, w.nodes, 1)
+	w.network.changeBlocked(w.nodes, []*node{late}, 1)
 	w.after(1500*time.Millisecond, func() {
 		order := w.addKey(0)
-		w.place(order)
+		w.issue(order)
 		w.whenAcknowledged(order, func() {
 			w.loseDisksOf(positions[1:])
-			w.openCut(late)
+			w.reconnect(late)
 		}, func() {
 			w.majorityLost = false
-			w.openCut(late)
+			w.reconnect(late)
 		})
 	})
 }
@@ -63,45 +63,45 @@
 // without disks could find none of the others else. While the groups are formed
 // anew, a member may crash, and another disk may be lost.
 func (w *simulation) loseDisksOf(positions []int) {
-	const unsettled = 5 * time.Second
+	const reformationTime = 5 * time.Second
 	w.majorityLostAt = w.now
 	for number, position := range positions {
 		w.replaceMachineAt(w.nodes[position], number > 0 && w.chance(0.5))
 	}
 	victim := pick(w, w.diskNodes())
 	switch roll := w.random.IntN(3); {
-	case w.now+unsettled > w.settings.calmFrom():
+	case w.now+reformationTime > w.settings.recoveryPhaseStart():
 	case roll == 0:
-		w.after(w.upTo(unsettled), func() { w.restartAfter(victim, w.lasting(100*time.Millisecond, time.Second)) })
+		w.after(w.upTo(reformationTime), func() { w.restartAfter(victim, w.faultDuration(100*time.Millisecond, time.Second)) })
 	case roll == 1:
-		w.after(w.upTo(unsettled), func() { w.replaceMachineAt(victim, false) })
+		w.after(w.upTo(reformationTime), func() { w.replaceMachineAt(victim, false) })
 	}
-	w.awaitWhole(w.now + unsettled)
+	w.awaitAllVoters(w.now + reformationTime)
 }
 
-// awaitWhole waits until all members vote again in every shard.
-func (w *simulation) awaitWhole(from time.Duration) {
-	const step = 20 * time.Millisecond
-	var look func()
-	look = func() {
-		if w.whole() {
-			w.note(worldColumn, "formed anew")
+// awaitAllVoters waits until all members vote again in every shard.
+func (w *simulation) awaitAllVoters(from time.Duration) {
+	const pollInterval = 20 * time.Millisecond
+	var poll func()
+	poll = func() {
+		if w.everyMemberIsVoter() {
+			w.logf(worldColumn, "formed anew")
 			w.majorityLost = false
 			w.counts.Faults["majority-recovered"]++
 			return
 		}
-		w.after(step, look)
+		w.after(pollInterval, poll)
 	}
-	w.at(from, look)
+	w.at(from, poll)
 }
 
-// whole tells whether the leader of every shard knows all members as voters in
+// everyMemberIsVoter tells whether the leader of every shard knows all members as voters in
 // the incarnations of their disks.
-func (w *simulation) whole() bool {
+func (w *simulation) everyMemberIsVoter() bool {
 	for shard := range w.serviceShards + 1 {
-		places, known := w.places(shard)
-		if !known || !lo.EveryBy(places, func(place replication.Slot) bool {
-			return !place.Learner && w.nodeNamed(place.ID).storage.incarnation == place.Incarnation
+		slots, known := w.memberSlots(shard)
+		if !known || !lo.EveryBy(slots, func(slot replication.Slot) bool {
+			return !slot.Learner && w.nodeNamed(slot.ID).storage.incarnation == slot.Incarnation
 		}) {
 			return false
 		}
@@ -109,26 +109,26 @@
 	return true
 }
 
-// whenSound waits for an instant at which all nodes serve what was acknowledged,
+// whenHealthy waits for an instant at which all nodes serve what was acknowledged,
 // and can reach each other.
-func (w *simulation) whenSound(patience time.Duration, then func()) {
-	const step = 20 * time.Millisecond
-	deadline := min(w.now+patience, w.settings.calmFrom()-time.Second)
-	var look func()
-	look = func() {
+func (w *simulation) whenHealthy(timeout time.Duration, then func()) {
+	const pollInterval = 20 * time.Millisecond
+	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart()-time.Second)
+	var poll func()
+	poll = func() {
 		switch {
 		case w.now >= deadline:
-		case w.sound():
+		case w.healthy():
 			then()
 		default:
-			w.after(step, look)
+			w.after(pollInterval, poll)
 		}
 	}
-	look()
+	poll()
 }
 
-func (w *simulation) sound() bool {
-	if w.majorityLost || !w.whole() {
+func (w *simulation) healthy() bool {
+	if w.majorityLost || !w.everyMemberIsVoter() {
 		return false
 	}
 	for _, one := range w.nodes {
--- a/internal/lab/sim/majorityloss_test.go
+++ b/internal/lab/sim/majority_loss_test.go
@@ -10,17 +10,17 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// lose takes the disks of some members at once, which come back empty.
-func (w *simulation) lose(positions ...int) {
+// loseDisksAt takes the disks of some members at once, which come back empty.
+func (w *simulation) loseDisksAt(positions ...int) {
 	for _, position := range positions {
 		w.replaceMachineAt(w.nodes[position], false)
 	}
 }
 
-// cutOff separates a node from all others.
-func (w *simulation) cutOff(victim *node) {
-	w.network.cut([]*node{victim}, w.nodes, 1)
-	w.network.cut(w.nodes, []*node{victim}, 1)
+// isolateNodeForGood separates a node from all others.
+func (w *simulation) isolateNodeForGood(victim *node) {
+	w.network.changeBlocked([]*node{victim}, w.nodes, 1)
+	w.network.changeBlocked(w.nodes, []*node{victim}, 1)
 }
 
 // threeDisks is the first seed from one on whose deployment has three disks.
@@ -37,7 +37,7 @@
 
 // acknowledged tells whether an operator has the acknowledgement of an order.
 func acknowledged(order *operatorOrder) bool {
-	return order.settled && order.outcome == checker.OutcomeAcknowledged
+	return order.finished && order.outcome == checker.OutcomeAcknowledged
 }
 
 var _ = Describe("A deployment that lost the majority of its disks", func() {
@@ -53,13 +53,13 @@
 				world := play(threeDisks(10*seed), func(world *simulation) {
 					world.at(6*second, func() {
 						before = world.addKey(0)
-						world.place(before)
+						world.issue(before)
 					})
-					world.at(lossAt, func() { world.lose(positions...) })
+					world.at(lossAt, func() { world.loseDisksAt(positions...) })
 					world.at(backAt-2*second, func() {
-						Expect(world.whole()).To(BeTrue(), "seed %d", seed)
+						Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
 						after = world.addKey(0)
-						world.place(after)
+						world.issue(after)
 						resent = &operatorOrder{content: before.content, change: before.change, firstSent: world.now}
 						world.submitTo(world.router(), resent)
 					})
@@ -80,20 +80,20 @@
 			checked := false
 			world := play(threeDisks(10*seed), func(world *simulation) {
 				late := world.nodes[2]
-				world.at(6*second, func() { world.cutOff(late) })
+				world.at(6*second, func() { world.isolateNodeForGood(late) })
 				back := func(missed *operatorOrder) {
-					Expect(world.whole()).To(BeTrue(), "seed %d", seed)
+					Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
 					Expect(lo.EveryBy(world.nodes, (*node).serving)).To(BeTrue(), "seed %d", seed)
 					Expect(late.view.Revision).To(Equal(missed.answer.GetRevision()), "seed %d", seed)
 					checked = true
 				}
 				world.at(7500*time.Millisecond, func() {
 					missed := world.addKey(0)
-					world.placeAt(world.router(), missed)
+					world.issueAt(world.router(), missed)
 					world.whenAcknowledged(missed, func() {
 						Expect(late.view.Revision).To(BeNumerically("<", missed.answer.GetRevision()))
-						world.lose(0, 1)
-						world.openCut(late)
+						world.loseDisksAt(0, 1)
+						world.reconnect(late)
 						world.after(ServiceBackBound, func() { back(missed) })
 					}, func() { Fail("the order was not acknowledged without the member") })
 				})
@@ -120,21 +120,21 @@
 		for seed := uint64(1); seed <= 3; seed++ {
 			world := play(threeDisks(10*seed), func(world *simulation) {
 				cut, down := world.nodes[2], world.nodes[1]
-				world.at(lossAt-second, func() { world.cutOff(cut) })
-				world.at(lossAt, func() { world.lose(0, 1) })
+				world.at(lossAt-second, func() { world.isolateNodeForGood(cut) })
+				world.at(lossAt, func() { world.loseDisksAt(0, 1) })
 				world.at(backAt, func() {
-					_, known := world.places(0)
+					_, known := world.memberSlots(0)
 					Expect(known).To(BeFalse(), "seed %d: formed without a member that may hold more", seed)
-					world.openCut(cut)
+					world.reconnect(cut)
 				})
 				world.at(backAt+ServiceBackBound, func() {
-					Expect(world.whole()).To(BeTrue(), "seed %d", seed)
-					world.lose(0)
+					Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
+					world.loseDisksAt(0)
 					down.stop()
 					cut.stop()
 				})
 				world.at(backAt+ServiceBackBound+4*second, func() {
-					_, known := world.places(0)
+					_, known := world.memberSlots(0)
 					Expect(known).To(BeFalse(), "seed %d: formed without those that still have disks", seed)
 					down.start()
 					cut.start()
--- a/internal/lab/sim/spoil.go
+++ b/internal/lab/sim/message_breaks.go
@@ -11,17 +11,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// aheadBy is how far beyond its own revisions a node confirms when that is
+// confirmationInflation is how far beyond its own revisions a node confirms when that is
 // broken.
-const aheadBy = 1 << 20
+const confirmationInflation = 1 << 20
 
-// spoil changes a received message, or acts on it, where a break asks for it.
-func (n *node) spoil(envelope *wire.Envelope) {
+// applyBreak changes a received message, or acts on it, where a break asks for it.
+func (n *node) applyBreak(envelope *wire.Envelope) {
 	switch n.world.settings.Break {
 	case BreakAckBeforeConfirm:
-		confirmAhead(envelope.Control)
+		inflateConfirmation(envelope.Control)
 	case BreakRelayAcceptsOlder:
-		n.goBack(envelope.Relay)
+		n.revertView(envelope.Relay)
 	case BreakNoWitnessFloor:
 		n.ignoreWitnesses(envelope)
 	case BreakAppendClaimed:
@@ -30,32 +30,32 @@
 	}
 }
 
-// confirmAhead makes a confirmation claim more than its sender serves.
-func confirmAhead(message *protocol.Message) {
+// inflateConfirmation makes a confirmation claim more than its sender serves.
+func inflateConfirmation(message *protocol.Message) {
 	if message == nil || message.Type != protocol.MessageConfirm {
 		return
 	}
 	for position := range message.Revisions {
 		if message.Revisions[position].Shard == control.ConfigurationShard {
-			message.Revisions[position].Revision += aheadBy
+			message.Revisions[position].Revision += confirmationInflation
 		}
 	}
 }
 
-// goBack puts the view of an older revision in force when one arrives.
-func (n *node) goBack(message *relaytree.Message) {
+// revertView puts the view of an older revision in force when one arrives.
+func (n *node) revertView(message *relaytree.Message) {
 	if message == nil || message.Type != relaytree.MessageUpdate || message.Topic != relaytree.Topic(control.ConfigurationShard) {
 		return
 	}
 	older, known := n.views[message.Revision]
 	if known && n.view != nil && message.Revision < n.view.Revision {
 		n.view = older
-		n.note("back to r%d", older.Revision)
+		n.logf("back to r%d", older.Revision)
 	}
 }
 
-// noteAppended remembers how far the entries reach that a leader has sent.
-func (n *node) noteAppended(envelope wire.Envelope) {
+// recordAppended remembers how far the entries reach that a leader has sent.
+func (n *node) recordAppended(envelope wire.Envelope) {
 	message := envelope.Replication
 	if message == nil || message.Type != replication.MessageAppend {
 		return
@@ -67,7 +67,7 @@
 // leader has sent.
 func (n *node) claimAppended(envelope *wire.Envelope) {
 	message := envelope.Replication
-	if message == nil || message.Type != replication.MessageAppendReply || !n.world.cameLater(envelope.From) {
+	if message == nil || message.Type != replication.MessageAppendReply || !n.world.addedDuringRun(envelope.From) {
 		return
 	}
 	message.Reject = false
@@ -78,8 +78,8 @@
 // groups are to be formed anew.
 func (n *node) ignoreWitnesses(envelope *wire.Envelope) {
 	// Long enough for a member that has a log to form the groups anew.
-	const blind = 8 * time.Second
-	if n.storage == nil || !n.world.majorityLost || n.world.now > n.world.majorityLostAt+blind {
+	const ignoredFor = 8 * time.Second
+	if n.storage == nil || !n.world.majorityLost || n.world.now > n.world.majorityLostAt+ignoredFor {
 		return
 	}
 	if message := envelope.Relay; message != nil && message.Type == relaytree.MessageUpdate {
@@ -90,9 +90,9 @@
 	}
 }
 
-// probes tells whether this node looks for members that it may have lost with a
+// isProbe tells whether this node looks for members that it may have lost with a
 // message: with a digest of its table, or by asking a seed although it serves already.
-func (n *node) probes(envelope wire.Envelope) bool {
+func (n *node) isProbe(envelope wire.Envelope) bool {
 	message := envelope.Membership
 	if message == nil {
 		return false
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -42,11 +42,11 @@
 	return &network{world: world, blocked: blocked}
 }
 
-// cut blocks (change 1) or opens (change -1) the ways from some nodes to others.
-func (n *network) cut(from, to []*node, change int) {
+// changeBlocked blocks (change 1) or opens (change -1) the ways from some nodes to others.
+func (n *network) changeBlocked(from, to []*node, change int) {
 	for _, source := range from {
 		for _, target := range to {
-			n.world.linkChanged(source, target)
+			n.world.recordLinkChange(source, target)
 			if source != target {
 				n.blocked[source.index][target.index] += change
 			}
@@ -57,36 +57,36 @@
 // send carries a message to whichever node listens on its address.
 func (n *network) send(from *node, send control.Send) {
 	to := n.world.nodeAt(send.Address)
-	if to == nil || n.world.broken(BreakNoProbes) && from.probes(send.Envelope) {
+	if to == nil || n.world.broken(BreakNoProbes) && from.isProbe(send.Envelope) {
 		return
 	}
 	n.sent++
-	from.noteAppended(send.Envelope)
+	from.recordAppended(send.Envelope)
 	n.world.checks.relayed(send.Envelope.Relay)
 	frame := wire.Encode(send.Envelope)
-	n.carry(from, to, frame)
+	n.deliver(from, to, frame)
 	for _, active := range n.storms {
 		if n.world.chance(active.duplicate) {
 			n.duplicated++
-			n.world.after(n.world.upTo(duplicateSpread), func() { n.carry(from, to, frame) })
+			n.world.after(n.world.upTo(duplicateSpread), func() { n.deliver(from, to, frame) })
 		}
 	}
 }
 
-// carry takes one copy of a frame to a node, unless it is lost. A cut loses what
+// deliver takes one copy of a frame to a node, unless it is lost. A cut loses what
 // arrives during it as well as what is sent.
-func (n *network) carry(from, to *node, frame []byte) {
+func (n *network) deliver(from, to *node, frame []byte) {
 	if n.drops(from, to) {
 		n.lost++
 		return
 	}
-	life := to.life
+	process := to.process
 	n.world.after(n.latency(from, to), func() {
 		if n.blocked[from.index][to.index] > 0 {
 			n.lost++
 			return
 		}
-		to.receive(life, frame)
+		to.receive(process, frame)
 	})
 }
 
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -35,8 +35,8 @@
 	gone bool
 	// leaving tells that the machine is about to be taken away.
 	leaving bool
-	// brokenAt is when the node was last out of touch.
-	brokenAt time.Duration
+	// lastOutOfContact is when the node was last out of touch.
+	lastOutOfContact time.Duration
 	// tickEvery is how often the control machine looks at the clock.
 	tickEvery time.Duration
 	// storage is nil on nodes without a disk.
@@ -44,8 +44,8 @@
 	clock   nodeClock
 
 	up bool
-	// life numbers the processes; what was meant for an earlier one is dropped.
-	life    uint64
+	// process numbers the processes; what was meant for an earlier one is dropped.
+	process uint64
 	frozen  bool
 	backlog []func()
 
@@ -71,13 +71,13 @@
 	base       time.Duration
 	rate       float64
 	wallOffset time.Duration
-	// stood is how long the clock stood still.
-	stood time.Duration
+	// stoppedFor is how long the clock stood still.
+	stoppedFor time.Duration
 }
 
 func (n *node) now() time.Duration {
 	elapsed := time.Duration(float64(n.world.now) * (1 + n.clock.rate))
-	return n.clock.base + elapsed - n.clock.stood
+	return n.clock.base + elapsed - n.clock.stoppedFor
 }
 
 // InFlight implements routing.LoadReader.
@@ -97,7 +97,7 @@
 	if !ok {
 		return
 	}
-	n.life++
+	n.process++
 	n.correctSeeds()
 	n.info.Incarnation = n.incarnation()
 	machine, err := control.New(n.controlConfig(), restored, n, n.now())
@@ -107,13 +107,13 @@
 	}
 	n.machine = machine
 	n.up = true
-	n.world.disturbed(n)
+	n.world.recordDisturbance(n)
 	n.inFlight = map[string]int{}
 	n.tickets = map[uint64]*submission{}
 	n.reads = map[uint64]func(control.Reply){}
 	n.views = map[uint64]*routing.View{}
 	n.appended = map[uint32]uint64{}
-	n.note("start")
+	n.logf("start")
 	n.scheduleAll()
 }
 
@@ -137,7 +137,7 @@
 		ReplicasFinishFirst: n.world.settings.FinishFirst,
 	}
 	if n.world.settings.FailOpen {
-		n.openConfig(&config)
+		n.applyFailOpen(&config)
 	}
 	return config
 }
@@ -198,16 +198,16 @@
 
 // scheduleAll starts what a process does by itself.
 func (n *node) scheduleAll() {
-	life := n.life
-	n.every(life, n.tickEvery, func() { n.post(life, n.machine.Tick) })
-	n.scheduleTraffic(life)
+	process := n.process
+	n.every(process, n.tickEvery, func() { n.post(process, n.machine.Tick) })
+	n.scheduleTraffic(process)
 }
 
 // every repeats an action of one life from a random instant on.
-func (n *node) every(life uint64, period time.Duration, action func()) {
+func (n *node) every(process uint64, period time.Duration, action func()) {
 	var repeat func()
 	repeat = func() {
-		if n.life != life || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
 		n.world.after(period, repeat)
@@ -223,12 +223,12 @@
 	if !n.up {
 		return
 	}
-	n.note("stop")
-	n.world.disturbed(n)
-	n.keepAddresses()
+	n.logf("stop")
+	n.world.recordDisturbance(n)
+	n.saveAddresses()
 	n.up = false
 	n.frozen = false
-	n.life++
+	n.process++
 	n.backlog = nil
 	n.staleView = n.view
 	n.view = nil
@@ -247,12 +247,12 @@
 	if !n.up || n.frozen {
 		return
 	}
-	n.note("frozen")
-	n.world.disturbed(n)
+	n.logf("frozen")
+	n.world.recordDisturbance(n)
 	n.frozen = true
-	life := n.life
+	process := n.process
 	n.world.after(length, func() {
-		if n.life == life {
+		if n.process == process {
 			n.wake(length)
 		}
 	})
@@ -261,10 +261,10 @@
 // wake lets the process go on. Traffic may run before control does.
 func (n *node) wake(length time.Duration) {
 	n.frozen = false
-	n.note("wakes")
-	n.world.disturbed(n)
+	n.logf("wakes")
+	n.world.recordDisturbance(n)
 	if n.world.broken(BreakLeaseIgnoresSuspend) {
-		n.clock.stood += length
+		n.clock.stoppedFor += length
 	}
 	for range admissionsOnWake {
 		n.admit()
@@ -277,22 +277,22 @@
 }
 
 // receive takes a frame for one life.
-func (n *node) receive(life uint64, frame []byte) {
+func (n *node) receive(process uint64, frame []byte) {
 	envelope, err := wire.Decode(frame)
 	if err != nil {
 		n.world.violate("frame", "%s got a frame that it cannot decode: %v", n.info.ID, err)
 		return
 	}
-	n.post(life, func(now time.Duration) control.Output {
-		n.spoil(&envelope)
+	n.post(process, func(now time.Duration) control.Output {
+		n.applyBreak(&envelope)
 		return n.machine.Receive(now, envelope)
 	})
 }
 
 // post gives an input to the control machine, or keeps it while the node is
 // frozen.
-func (n *node) post(life uint64, input func(now time.Duration) control.Output) {
-	if n.life != life || !n.up {
+func (n *node) post(process uint64, input func(now time.Duration) control.Output) {
+	if n.process != process || !n.up {
 		return
 	}
 	n.whenAwake(func() { n.perform(input(n.now())) })
@@ -321,23 +321,23 @@
 		n.world.network.send(n, send)
 	}
 	for _, reply := range output.Replies {
-		n.deliver(reply)
+		n.deliverReply(reply)
 	}
 	for _, command := range output.Commands {
 		n.command(command)
 	}
 	for _, request := range output.Reports {
-		n.askReport(request)
+		n.requestReport(request)
 	}
 	if output.ReadEndpoints {
-		n.readList()
+		n.readEndpoints()
 	}
 }
 
 // publish puts a view in force for traffic.
 func (n *node) publish(view *routing.View) {
 	if n.view == nil || n.view.Revision != view.Revision {
-		n.note("r%d", view.Revision)
+		n.logf("r%d", view.Revision)
 	}
 	n.view = view
 	n.views[view.Revision] = view
@@ -348,10 +348,10 @@
 	now := n.now()
 	if serving := until > now; serving != (n.serveUntil > now) {
 		if serving {
-			n.note("serving")
+			n.logf("serving")
 			n.staleView = nil
 		} else {
-			n.note("fenced")
+			n.logf("fenced")
 		}
 	}
 	n.serveUntil = until
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -20,29 +20,29 @@
 	orderEvery = 900 * time.Millisecond
 	// retryDelay is the mean pause before a resend.
 	retryDelay = 300 * time.Millisecond
-	// raceOf is the number of orders in a race.
-	raceOf = 3
+	// ordersPerRace is the number of orders in a race.
+	ordersPerRace = 3
 )
 
-// patiences are how long operators wait for an answer before they resend the
+// attemptTimeouts are how long operators wait for an answer before they resend the
 // order to another node, while the first answer may still come.
-var patiences = []time.Duration{time.Second, 3 * time.Second, 9 * time.Second}
+var attemptTimeouts = []time.Duration{time.Second, 3 * time.Second, 9 * time.Second}
 
-// openPatience is how long operators wait for a node that may be cut off.
-const openPatience = time.Second
+// failOpenAttemptTimeout is how long operators wait for a node that may be cut off.
+const failOpenAttemptTimeout = time.Second
 
-func (w *simulation) patience() time.Duration {
+func (w *simulation) attemptTimeout() time.Duration {
 	if w.settings.FailOpen {
-		return openPatience
+		return failOpenAttemptTimeout
 	}
-	return pick(w, patiences)
+	return pick(w, attemptTimeouts)
 }
 
 // operators keep all orders of a run.
 type operators struct {
 	orders []*operatorOrder
-	// named counts what needs a name of its own.
-	named int
+	// nameCount counts what needs a name of its own.
+	nameCount int
 }
 
 // operatorOrder is one order with all its submissions.
@@ -50,18 +50,18 @@
 	content *controlpb.Order
 	change  checker.Change
 	invalid bool
-	// mayKeep tells that the order may find everything as it wants it already.
-	mayKeep     bool
+	// mayBeNoOp tells that the order may find everything as it wants it already.
+	mayBeNoOp   bool
 	submissions []*submission
 	firstSent   time.Duration
-	// settledAt is when the final answer came; the order is open until then.
-	settled   bool
-	settledAt time.Duration
-	// doubtful tells that the order was refused while an earlier copy of it was
+	// finishedAt is when the final answer came; the order is open until then.
+	finished   bool
+	finishedAt time.Duration
+	// ambiguous tells that the order was refused while an earlier copy of it was
 	// under way, which may be taken later all the same.
-	doubtful bool
-	outcome  checker.Outcome
-	answer   *controlpb.Answer
+	ambiguous bool
+	outcome   checker.Outcome
+	answer    *controlpb.Answer
 }
 
 // submission is one sending of an order to a node.
@@ -71,21 +71,21 @@
 	sentAt time.Duration
 	// sentID is the identity with which the order reached the node.
 	sentID    string
-	answered  bool
+	replied   bool
 	abandoned bool
-	// overtaken tells that the operator went on to another node.
-	overtaken bool
-	record    checker.Order
+	// superseded tells that the operator went on to another node.
+	superseded bool
+	record     checker.Order
 }
 
-// taken tells whether the answer says that the order is in the log.
-func (s *submission) taken() bool {
+// accepted tells whether the answer says that the order is in the log.
+func (s *submission) accepted() bool {
 	outcome := s.record.Outcome
-	return s.answered && (outcome == checker.OutcomeAcknowledged || outcome == checker.OutcomePending)
+	return s.replied && (outcome == checker.OutcomeAcknowledged || outcome == checker.OutcomePending)
 }
 
-// place begins an order: it is submitted until its answer is final.
-func (w *simulation) place(order *operatorOrder) {
+// issue begins an order: it is submitted until its answer is final.
+func (w *simulation) issue(order *operatorOrder) {
 	order.firstSent = w.now
 	w.operators.orders = append(w.operators.orders, order)
 	w.counts.Orders++
@@ -96,7 +96,7 @@
 // submit sends an order to a random node. An operator whose connection is
 // refused tries again soon.
 func (w *simulation) submit(order *operatorOrder) {
-	if order.settled {
+	if order.finished {
 		return
 	}
 	target := pick(w, w.receivers(order))
@@ -133,32 +133,32 @@
 	if len(order.submissions) > 1 {
 		w.counts.Resends++
 	}
-	target.take(sent)
-	w.after(w.patience(), func() {
-		if !sent.answered {
-			sent.overtaken = w.settings.FailOpen
+	target.acceptSubmission(sent)
+	w.after(w.attemptTimeout(), func() {
+		if !sent.replied {
+			sent.superseded = w.settings.FailOpen
 			w.submit(order)
 		}
 	})
 }
 
-// placeAt begins an order at one node.
-func (w *simulation) placeAt(target *node, order *operatorOrder) {
+// issueAt begins an order at one node.
+func (w *simulation) issueAt(target *node, order *operatorOrder) {
 	order.firstSent = w.now
 	w.operators.orders = append(w.operators.orders, order)
 	w.counts.Orders++
 	w.submitTo(target, order)
 }
 
-// take gives a submission to the node's control machine.
-func (n *node) take(sent *submission) {
+// acceptSubmission gives a submission to the node's control machine.
+func (n *node) acceptSubmission(sent *submission) {
 	n.nextTicket++
 	ticket := n.nextTicket
 	n.tickets[ticket] = sent
 	content := n.world.submitted(sent)
 	sent.sentID = content.GetOrderId()
-	n.note("< %s", content.GetOrderId())
-	n.post(n.life, func(now time.Duration) control.Output {
+	n.logf("< %s", content.GetOrderId())
+	n.post(n.process, func(now time.Duration) control.Output {
 		return n.machine.Submit(now, ticket, content)
 	})
 }
@@ -178,8 +178,8 @@
 	return content
 }
 
-// deliver hands an answer to the operator.
-func (n *node) deliver(reply control.Reply) {
+// deliverReply hands an answer to the operator.
+func (n *node) deliverReply(reply control.Reply) {
 	if read, found := n.reads[reply.Ticket]; found {
 		delete(n.reads, reply.Ticket)
 		read(reply)
@@ -190,29 +190,29 @@
 		return
 	}
 	delete(n.tickets, reply.Ticket)
-	sent.answered = true
+	sent.replied = true
 	sent.record.Answered = n.world.now
 	sent.record.Outcome = outcomeOf(reply)
 	sent.record.Revision = reply.Answer.GetRevision()
 	sent.record.ProblemKind = reply.Answer.GetProblem().GetKind()
-	if sent.record.Outcome == checker.OutcomeRefused && sent.order.mayBeTakenLater() {
-		sent.order.doubtful = true
+	if sent.record.Outcome == checker.OutcomeRefused && sent.order.mayBeAppliedLater() {
+		sent.order.ambiguous = true
 		sent.record.Outcome = checker.OutcomeUnavailable
 	}
-	n.note("> %s %s r%d", sent.record.OrderID, sent.record.Outcome, sent.record.Revision)
-	n.world.answered(sent, reply.Answer)
+	n.logf("> %s %s r%d", sent.record.OrderID, sent.record.Outcome, sent.record.Revision)
+	n.world.handleReply(sent, reply.Answer)
 }
 
-// mayBeTakenLater tells whether a refusal is no last word: an earlier copy is
+// mayBeAppliedLater tells whether a refusal is no last word: an earlier copy is
 // under way, and the order names no base revision that would keep it from being
 // taken once the configuration has changed.
-func (o *operatorOrder) mayBeTakenLater() bool {
+func (o *operatorOrder) mayBeAppliedLater() bool {
 	if o.content.GetBaseRevision() != 0 || o.content.GetApply() != nil || o.content.GetApplyDocument() != nil {
 		return false
 	}
-	taken := lo.ContainsBy(o.submissions, func(sent *submission) bool { return sent.taken() })
-	open := lo.ContainsBy(o.submissions, func(sent *submission) bool { return !sent.answered && !sent.abandoned })
-	return open && !taken
+	accepted := lo.ContainsBy(o.submissions, func(sent *submission) bool { return sent.accepted() })
+	open := lo.ContainsBy(o.submissions, func(sent *submission) bool { return !sent.replied && !sent.abandoned })
+	return open && !accepted
 }
 
 func outcomeOf(reply control.Reply) checker.Outcome {
@@ -231,24 +231,24 @@
 	}
 }
 
-// answered settles an order, or sends it again.
-func (w *simulation) answered(sent *submission, answer *controlpb.Answer) {
+// replied settles an order, or sends it again.
+func (w *simulation) handleReply(sent *submission, answer *controlpb.Answer) {
 	order := sent.order
-	w.checks.orderAnswered(sent, answer)
-	if order.settled {
+	w.checks.orderReplied(sent, answer)
+	if order.finished {
 		return
 	}
 	outcome := sent.record.Outcome
 	final := outcome == checker.OutcomeAcknowledged || outcome == checker.OutcomeRefused
-	if !final && sent.overtaken {
+	if !final && sent.superseded {
 		return
 	}
-	if !final && !order.doubtful {
+	if !final && !order.ambiguous {
 		w.after(w.upTo(2*retryDelay), func() { w.submit(order) })
 		return
 	}
-	order.settled = true
-	order.settledAt = w.now
+	order.finished = true
+	order.finishedAt = w.now
 	order.outcome = outcome
 	order.answer = answer
 	if outcome == checker.OutcomeAcknowledged {
@@ -260,33 +260,33 @@
 
 // scheduleOperators plans the orders of the run up to the calm.
 func (w *simulation) scheduleOperators() {
-	w.at(firstOrderAt, func() { w.place(w.applyFirst()) })
+	w.at(firstOrderAt, func() { w.issue(w.applyFirst()) })
 	instant := formation - time.Second
-	for instant < w.settings.calmFrom() {
-		w.at(instant, w.placeRandom)
+	for instant < w.settings.recoveryPhaseStart() {
+		w.at(instant, w.issueRandom)
 		instant += w.planned(2 * orderEvery)
 	}
 }
 
-// placeRandom places one order, or several that race on one base.
-func (w *simulation) placeRandom() {
-	const raceShare = 0.25
-	if w.chance(raceShare) {
-		w.placeRace()
+// issueRandom places one order, or several that race on one base.
+func (w *simulation) issueRandom() {
+	const raceProbability = 0.25
+	if w.chance(raceProbability) {
+		w.issueRace()
 		return
 	}
-	w.place(w.randomOrder(0))
+	w.issue(w.randomOrder(0))
 }
 
-// placeRace places orders on the same base at different nodes.
-func (w *simulation) placeRace() {
+// issueRace places orders on the same base at different nodes.
+func (w *simulation) issueRace() {
 	base := w.readRevision()
 	if w.settings.FailOpen && w.chance(0.5) {
 		w.raceDocuments()
 		return
 	}
-	for range raceOf {
-		w.after(w.upTo(20*time.Millisecond), func() { w.place(w.randomChange(base)) })
+	for range ordersPerRace {
+		w.after(w.upTo(20*time.Millisecond), func() { w.issue(w.randomChange(base)) })
 	}
 }
 
--- a/internal/lab/sim/orders.go
+++ b/internal/lab/sim/orders.go
@@ -11,10 +11,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// header gives an order a new identity.
-func (w *simulation) header(base uint64) *ridgeswitchv1.OrderHeader {
-	w.operators.named++
-	return &ridgeswitchv1.OrderHeader{OrderId: fmt.Sprintf("o%d", w.operators.named), BaseRevision: base}
+// newOrderHeader gives an order a new identity.
+func (w *simulation) newOrderHeader(base uint64) *ridgeswitchv1.OrderHeader {
+	w.operators.nameCount++
+	return &ridgeswitchv1.OrderHeader{OrderId: fmt.Sprintf("o%d", w.operators.nameCount), BaseRevision: base}
 }
 
 // newOrder completes an order. The requests of the simulator are well formed, so
@@ -29,10 +29,10 @@
 // applyFirst is the order that forms the first configuration.
 func (w *simulation) applyFirst() *operatorOrder {
 	if w.settings.FailOpen {
-		return w.document(w.firstConfiguration(), 0)
+		return w.documentOrder(w.firstConfiguration(), 0)
 	}
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
-		Order:         w.header(0),
+		Order:         w.newOrderHeader(0),
 		Configuration: w.firstConfiguration(),
 	})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
@@ -73,23 +73,23 @@
 func (w *simulation) addKey(base uint64) *operatorOrder {
 	tenant := pick(w, w.keys).tenant
 	key := w.newKey(tenant)
-	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.AddKeyRequest{Order: w.header(base), Tenant: tenant, Key: key})
+	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.AddKeyRequest{Order: w.newOrderHeader(base), Tenant: tenant, Key: key})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeAddKey, Tenant: tenant, Key: key.GetName()})
 }
 
 // revokeKey revokes a key that may be revoked already, or not in force yet.
 func (w *simulation) revokeKey(base uint64) *operatorOrder {
 	key := pick(w, w.keys)
-	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RevokeKeyRequest{Order: w.header(base), Tenant: key.tenant, Key: key.name})
+	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RevokeKeyRequest{Order: w.newOrderHeader(base), Tenant: key.tenant, Key: key.name})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeRevoke, Tenant: key.tenant, Key: key.name})
 }
 
 // nameWeights names a version that no order named before.
 func (w *simulation) nameWeights(base uint64, pool string) *operatorOrder {
-	header := w.header(base)
+	header := w.newOrderHeader(base)
 	version := "w" + header.GetOrderId()
 	if w.settings.FinishFirst {
-		version = fmt.Sprint(1 + w.operators.named)
+		version = fmt.Sprint(1 + w.operators.nameCount)
 	}
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.NameWeightsRequest{Order: header, Pool: pool, WeightVersion: version})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeWeights, Pool: pool, WeightVersion: version})
@@ -97,27 +97,27 @@
 
 // evacuate gives a reason of its own, so that each order changes something.
 func (w *simulation) evacuate(base uint64, zone string) *operatorOrder {
-	header := w.header(base)
+	header := w.newOrderHeader(base)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.EvacuateZoneRequest{Order: header, Zone: zone, Reason: header.GetOrderId()})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeEvacuate, Zone: zone})
 }
 
 func (w *simulation) restore(zone string) *operatorOrder {
-	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RestoreZoneRequest{Order: w.header(0), Zone: zone})
+	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RestoreZoneRequest{Order: w.newOrderHeader(0), Zone: zone})
 	order := newOrder(content, err, checker.Change{Kind: checker.ChangeRestore, Zone: zone})
-	order.mayKeep = true
+	order.mayBeNoOp = true
 	return order
 }
 
 func (w *simulation) setWall() *operatorOrder {
 	tenant := pick(w, w.keys).tenant
 	walled := w.chance(0.5)
-	content, err := dynamic.WallOrder(&ridgeswitchv1.SetTenantWallRequest{Order: w.header(0), Tenant: tenant}, walled)
+	content, err := dynamic.WallOrder(&ridgeswitchv1.SetTenantWallRequest{Order: w.newOrderHeader(0), Tenant: tenant}, walled)
 	order := newOrder(content, err, checker.Change{Kind: checker.ChangeUnwall, Tenant: tenant})
 	if walled {
 		order.change.Kind = checker.ChangeWall
 	}
-	order.mayKeep = true
+	order.mayBeNoOp = true
 	return order
 }
 
@@ -134,9 +134,9 @@
 func (w *simulation) applyChanged() *operatorOrder {
 	configuration := w.readConfiguration()
 	if w.settings.FailOpen {
-		return w.changedDocument(configuration)
+		return w.changedDocumentOrder(configuration)
 	}
-	header := w.header(configuration.GetRevision())
+	header := w.newOrderHeader(configuration.GetRevision())
 	configuration.Routes = append(configuration.Routes, &ridgeswitchv1.Route{
 		Host:        header.GetOrderId() + ".example",
 		Destination: &ridgeswitchv1.Route_WebService{WebService: webService},
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -29,10 +29,10 @@
 
 type platformService struct {
 	name     string
-	replicas []*listedReplica
+	replicas []*endpoint
 }
 
-type listedReplica struct {
+type endpoint struct {
 	replica  *replica
 	draining bool
 	removed  bool
@@ -43,8 +43,8 @@
 }
 
 // entries returns the entries of all services.
-func (p *platform) entries() []*listedReplica {
-	return lo.FlatMap(p.services, func(service *platformService, _ int) []*listedReplica { return service.replicas })
+func (p *platform) entries() []*endpoint {
+	return lo.FlatMap(p.services, func(service *platformService, _ int) []*endpoint { return service.replicas })
 }
 
 // change applies a change and shows it, unless the list lags.
@@ -58,7 +58,7 @@
 // show makes the present state what nodes read.
 func (p *platform) show() {
 	p.shown = lo.Map(p.services, func(service *platformService, _ int) control.ServiceEndpoints {
-		return control.ServiceEndpoints{Name: service.name, Endpoints: service.listed()}
+		return control.ServiceEndpoints{Name: service.name, Endpoints: service.endpoints()}
 	})
 	for _, entry := range p.entries() {
 		address := entry.replica.address
@@ -72,25 +72,25 @@
 	}
 }
 
-func (s *platformService) listed() []control.Endpoint {
-	var listed []control.Endpoint
+func (s *platformService) endpoints() []control.Endpoint {
+	var endpoints []control.Endpoint
 	for _, entry := range s.replicas {
 		if !entry.removed {
-			listed = append(listed, entry.listed())
+			endpoints = append(endpoints, entry.snapshot())
 		}
 	}
-	return listed
+	return endpoints
 }
 
-// listed is the entry as the list shows it.
-func (e *listedReplica) listed() control.Endpoint {
-	listed := control.Endpoint{Address: e.replica.address, Zone: e.replica.zone, Draining: e.draining}
+// snapshot is the entry as the list shows it.
+func (e *endpoint) snapshot() control.Endpoint {
+	entry := control.Endpoint{Address: e.replica.address, Zone: e.replica.zone, Draining: e.draining}
 	if e.replica.world.settings.FinishFirst {
-		listed.Instance = e.replica.instance()
-		listed.WeightVersion = e.replica.version
-		listed.Slots = 8
+		entry.Instance = e.replica.instance()
+		entry.WeightVersion = e.replica.version
+		entry.Slots = 8
 	}
-	return listed
+	return entry
 }
 
 // showLater makes a change of a replica itself visible after the lag.
@@ -113,18 +113,18 @@
 	return p.down == 0 && (p.firstReader == n || !p.world.broken(BreakReaderNeverReplaced))
 }
 
-// readList reads the list and hands it to the node.
-func (n *node) readList() {
-	life := n.life
+// readEndpoints reads the list and hands it to the node.
+func (n *node) readEndpoints() {
+	process := n.process
 	reading := control.EndpointReading{StartedAt: n.now()}
-	n.world.counts.ListReadings++
+	n.world.counts.EndpointReads++
 	n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
 		reading.Services = n.world.platform.shown
 		if !n.world.platform.mayRead(n) {
 			reading.Services, reading.Err = nil, errPlatformDown
 		}
 		n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
-			n.post(life, func(now time.Duration) control.Output { return n.machine.EndpointsRead(now, reading) })
+			n.post(process, func(now time.Duration) control.Output { return n.machine.EndpointsRead(now, reading) })
 		})
 	})
 }
--- a/internal/lab/sim/reads.go
+++ b/internal/lab/sim/reads.go
@@ -14,29 +14,29 @@
 // readEvery is the mean time between two reads.
 const readEvery = 400 * time.Millisecond
 
-// readPatience is how long operators wait for what they read.
-const readPatience = 9 * time.Second
+// readTimeout is how long operators wait for what they read.
+const readTimeout = 9 * time.Second
 
-// reading is what an operator read: a configuration, a document, or neither.
-type reading struct {
+// readResult is what an operator read: a configuration, a document, or neither.
+type readResult struct {
 	revision uint64
 	version  uint64
-	// answered tells that the node answered, and refused that it was not sure.
-	answered bool
-	refused  bool
+	// replied tells that the node answered, and refused that it was not sure.
+	replied bool
+	refused bool
 }
 
 // scheduleReads plans reads over the whole run.
 func (w *simulation) scheduleReads() {
 	instant := time.Duration(firstOrderAt)
-	for instant < w.settings.Virtual-readPatience {
-		w.at(instant, w.readAnywhere)
+	for instant < w.settings.Virtual-readTimeout {
+		w.at(instant, w.readAtRandomNode)
 		instant += time.Duration(w.readPlan.Int64N(int64(2 * readEvery)))
 	}
 }
 
-// readAnywhere reads the configuration, or the document, at some node.
-func (w *simulation) readAnywhere() {
+// readAtRandomNode reads the configuration, or the document, at some node.
+func (w *simulation) readAtRandomNode() {
 	reader := w.nodes[w.readPlan.IntN(len(w.nodes))]
 	if w.readPlan.IntN(2) == 0 {
 		w.readConfigurationAt(reader)
@@ -47,41 +47,41 @@
 
 // readConfigurationAt reads the configuration at a node. What it gets is known once
 // the patience is over.
-func (w *simulation) readConfigurationAt(reader *node) *reading {
+func (w *simulation) readConfigurationAt(reader *node) *readResult {
 	if !reader.up {
-		return &reading{}
+		return &readResult{}
 	}
-	least := max(w.checks.acknowledged, w.checks.shown)
-	return w.read(reader, reader.machine.ReadConfiguration, func(read *reading) {
-		if read.revision < least {
-			w.violate("read_never_older", "%s shows revision %d although %d was acknowledged or shown before", reader.info.ID, read.revision, least)
+	minimum := max(w.checks.acknowledged, w.checks.shown)
+	return w.read(reader, reader.machine.ReadConfiguration, func(read *readResult) {
+		if read.revision < minimum {
+			w.violate("read_never_older", "%s shows revision %d although %d was acknowledged or shown before", reader.info.ID, read.revision, minimum)
 		}
 		w.checks.shown = max(w.checks.shown, read.revision)
 	})
 }
 
 // readDocumentAt reads the document at a node.
-func (w *simulation) readDocumentAt(reader *node) *reading {
+func (w *simulation) readDocumentAt(reader *node) *readResult {
 	if !reader.up {
-		return &reading{}
+		return &readResult{}
 	}
-	least := w.newestDocument().GetVersion()
-	return w.read(reader, reader.machine.ReadSource, func(read *reading) {
-		if read.version < least {
-			w.violate("read_never_older", "%s shows version %d although %d was acknowledged before", reader.info.ID, read.version, least)
+	minimum := w.newestDocument().GetVersion()
+	return w.read(reader, reader.machine.ReadSource, func(read *readResult) {
+		if read.version < minimum {
+			w.violate("read_never_older", "%s shows version %d although %d was acknowledged before", reader.info.ID, read.version, minimum)
 		}
 	})
 }
 
 // read asks a node, and checks what it answers in time.
-func (w *simulation) read(reader *node, ask func(now time.Duration, ticket uint64) control.Output, check func(*reading)) *reading {
-	read := &reading{}
+func (w *simulation) read(reader *node, send func(now time.Duration, ticket uint64) control.Output, check func(*readResult)) *readResult {
+	read := &readResult{}
 	w.counts.Reads++
 	reader.nextTicket++
 	ticket := reader.nextTicket
 	reader.reads[ticket] = func(reply control.Reply) {
-		reply = reader.shown(reply)
-		read.answered, read.refused = true, reply.Err != nil
+		reply = reader.shownReply(reply)
+		read.replied, read.refused = true, reply.Err != nil
 		read.revision = reply.Configuration.GetRevision()
 		read.version = reply.Source.GetVersion()
 		if read.refused {
@@ -90,26 +90,26 @@
 		}
 		check(read)
 	}
-	reader.post(reader.life, func(now time.Duration) control.Output {
+	reader.post(reader.process, func(now time.Duration) control.Output {
 		if w.broken(BreakReadsOwnView) {
 			return control.Output{Replies: []control.Reply{{Ticket: ticket}}}
 		}
-		return ask(now, ticket)
+		return send(now, ticket)
 	})
-	w.after(readPatience, func() {
-		if _, open := reader.reads[ticket]; !read.answered && open {
+	w.after(readTimeout, func() {
+		if _, open := reader.reads[ticket]; !read.replied && open {
 			delete(reader.reads, ticket)
-			reader.post(reader.life, func(now time.Duration) control.Output { return reader.machine.Cancel(now, ticket) })
+			reader.post(reader.process, func(now time.Duration) control.Output { return reader.machine.Cancel(now, ticket) })
 		}
 	})
 	return read
 }
 
-// shown is the answer as the operator gets it.
-func (n *node) shown(reply control.Reply) control.Reply {
+// shownReply is the answer as the operator gets it.
+func (n *node) shownReply(reply control.Reply) control.Reply {
 	if !n.world.broken(BreakReadsOwnView) {
 		return reply
 	}
-	held := n.machine.Configuration()
-	return control.Reply{Configuration: held, Source: &ridgeswitchv1.Source{Version: held.GetSource().GetVersion()}}
+	configuration := n.machine.Configuration()
+	return control.Reply{Configuration: configuration, Source: &ridgeswitchv1.Source{Version: configuration.GetSource().GetVersion()}}
 }
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -17,8 +17,8 @@
 func (w *simulation) expectRead(reader *node, bound time.Duration) {
 	configuration, document := w.readConfigurationAt(reader), w.readDocumentAt(reader)
 	w.after(bound, func() {
-		for _, read := range []*reading{configuration, document} {
-			if !read.answered || read.refused {
+		for _, read := range []*readResult{configuration, document} {
+			if !read.replied || read.refused {
 				w.violate("read_back", "%s has no answer after %v", reader.info.ID, bound)
 			}
 		}
@@ -28,9 +28,9 @@
 // expectNoRead holds that reads of a node that can't be sure are never answered.
 func (w *simulation) expectNoRead(reader *node) {
 	configuration, document := w.readConfigurationAt(reader), w.readDocumentAt(reader)
-	w.after(readPatience, func() {
-		for _, read := range []*reading{configuration, document} {
-			if read.answered && !read.refused {
+	w.after(readTimeout, func() {
+		for _, read := range []*readResult{configuration, document} {
+			if read.replied && !read.refused {
 				w.violate("read_refused", "%s shows revision %d, version %d while it is cut off", reader.info.ID, read.revision, read.version)
 			}
 		}
@@ -39,9 +39,9 @@
 
 // isolate cuts a node off from all others for a while.
 func (w *simulation) isolate(one *node, length time.Duration) {
-	w.network.cut([]*node{one}, w.nodes, 1)
-	w.network.cut(w.nodes, []*node{one}, 1)
-	w.after(length, func() { w.openCut(one) })
+	w.network.changeBlocked([]*node{one}, w.nodes, 1)
+	w.network.changeBlocked(w.nodes, []*node{one}, 1)
+	w.after(length, func() { w.reconnect(one) })
 }
 
 // readsWhileCutOff has a node cut off, something acknowledged without it, and
@@ -54,13 +54,13 @@
 		// The others may have to elect another leader first.
 		world.after(4*second, func() {
 			other := pick(world, lo.Without(world.diskNodes(), cut))
-			document := world.changedDocument(other.view.Configuration)
-			world.placeAt(other, document)
-			world.checkAcknowledged(document, openAcknowledge)
-			world.after(openAcknowledge, func() { world.expectNoRead(cut) })
+			document := world.changedDocumentOrder(other.view.Configuration)
+			world.issueAt(other, document)
+			world.checkAcknowledged(document, failOpenAcknowledge)
+			world.after(failOpenAcknowledge, func() { world.expectNoRead(cut) })
 		})
 	})
-	world.at(21*second+openContact, func() {
+	world.at(21*second+failOpenContact, func() {
 		for _, one := range world.nodes {
 			world.expectRead(one, readBackBound)
 		}
@@ -84,7 +84,7 @@
 		})
 
 		It("of "+victim.name+" that is cut off are seen to be older when it answers by what it holds", func() {
-			world := playOpenWithout(BreakReadsOwnView, 1, func(world *simulation) {
+			world := playFailOpenWithout(BreakReadsOwnView, 1, func(world *simulation) {
 				readsWhileCutOff(world, func() *node { return victim.of(world) })
 			})
 			Expect(lo.Map(world.checks.violations, func(one Violation, _ int) checker.Name { return one.Invariant })).
@@ -100,21 +100,21 @@
 			world.at(7*second, func() {
 				disks := world.diskNodes()
 				one, other := disks[:len(disks)/2], disks[len(disks)/2:]
-				world.network.cut(one, other, 1)
-				world.network.cut(other, one, 1)
+				world.network.changeBlocked(one, other, 1)
+				world.network.changeBlocked(other, one, 1)
 				for round := range 5 {
 					world.after(time.Duration(round)*second, func() { world.raceAcross(one, other) })
 				}
 				world.after(6*second, func() {
-					world.network.cut(one, other, -1)
-					world.network.cut(other, one, -1)
+					world.network.changeBlocked(one, other, -1)
+					world.network.changeBlocked(other, one, -1)
 				})
 			})
-			world.at(13*second+openContact, func() {
+			world.at(13*second+failOpenContact, func() {
 				for _, one := range world.nodes {
 					world.expectRead(one, readBackBound)
 				}
-				world.expectAcknowledged(world.addKey(0), openAcknowledge)
+				world.expectAcknowledged(world.addKey(0), failOpenAcknowledge)
 			})
 		})
 	})
@@ -126,14 +126,14 @@
 				// Another voter makes their number even.
 				added := world.addMachine(zoneName(0))
 				added.start()
-				world.after(voteBound, func() {
+				world.after(promotionBound, func() {
 					disks := world.diskNodes()
-					if !world.votes(added) || len(disks)%2 != 0 {
+					if !world.isVoterEverywhere(added) || len(disks)%2 != 0 {
 						world.violate("even", "%d nodes with disks", len(disks))
 					}
 					one, other := disks[:len(disks)/2], disks[len(disks)/2:]
-					world.network.cut(one, other, 1)
-					world.network.cut(other, one, 1)
+					world.network.changeBlocked(one, other, 1)
+					world.network.changeBlocked(other, one, 1)
 					world.after(3*second, func() {
 						world.raceAcross(one, other)
 						acknowledged := world.checks.acknowledged
@@ -141,13 +141,13 @@
 							if world.checks.acknowledged > acknowledged {
 								world.violate("no_majority", "revision %d was acknowledged by half of the core", world.checks.acknowledged)
 							}
-							world.network.cut(one, other, -1)
-							world.network.cut(other, one, -1)
+							world.network.changeBlocked(one, other, -1)
+							world.network.changeBlocked(other, one, -1)
 						})
 					})
 				})
 			})
-			world.at(20*second, func() { world.expectAcknowledged(world.addKey(0), openAcknowledge) })
+			world.at(20*second, func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
 		})
 	})
 
--- a/internal/lab/sim/calm.go
+++ b/internal/lab/sim/recovery_checks.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// probes is the number of orders after the service must be back.
-	probes     = 3
-	probeEvery = 400 * time.Millisecond
+	// verificationOrders is the number of orders after the service must be back.
+	verificationOrders = 3
+	verificationEvery  = 400 * time.Millisecond
 )
 
-// scheduleCalm plans what has to hold once the faults are over.
-func (w *simulation) scheduleCalm() {
-	back := w.settings.calmFrom() + ServiceBackBound
+// scheduleRecoveryChecks plans what has to hold once the faults are over.
+func (w *simulation) scheduleRecoveryChecks() {
+	back := w.settings.recoveryPhaseStart() + ServiceBackBound
 	w.at(back, w.checkServiceBack)
-	for number := range probes {
-		w.at(back+time.Duration(number)*probeEvery, func() { w.probe(w.addKey(0)) })
+	for number := range verificationOrders {
+		w.at(back+time.Duration(number)*verificationEvery, func() { w.verifyOrder(w.addKey(0)) })
 	}
 	if w.settings.FailOpen {
-		w.at(back+probes*probeEvery+AcknowledgeBound, w.checkDocument)
+		w.at(back+verificationOrders*verificationEvery+AcknowledgeBound, w.checkDocument)
 	}
 	for _, pool := range poolNames {
-		w.at(back+probes*probeEvery, func() { w.probeWeights(pool) })
+		w.at(back+verificationOrders*verificationEvery, func() { w.verifyWeights(pool) })
 	}
-	w.at(w.settings.Virtual-time.Millisecond, w.checkSettled)
+	w.at(w.settings.Virtual-time.Millisecond, w.checkOrdersFinished)
 }
 
 // checkServiceBack holds that every node serves, and every pool has a replica
@@ -63,11 +63,11 @@
 // within the time that it takes. If weights are named anew meanwhile, that replica
 // may load them at once, and has as long again.
 func (w *simulation) awaitReplicaBack(one *node, pool string) {
-	named := one.machine.Weights(pool).GetWeightVersion()
+	version := one.machine.Weights(pool).GetWeightVersion()
 	w.after(ReplicaOutBound, func() {
 		switch {
 		case !w.mayServe(one.view, pool) || admits(one.view, pool):
-		case one.machine.Weights(pool).GetWeightVersion() != named && w.rollingOut(one, pool):
+		case one.machine.Weights(pool).GetWeightVersion() != version && w.rollingOut(one, pool):
 			w.awaitReplicaBack(one, pool)
 		default:
 			w.violate("service_back", "%s admits nothing to pool %s %v after its last replica was taken out", one.info.ID, pool, ReplicaOutBound)
@@ -114,16 +114,16 @@
 	return lo.ContainsBy(view.Pools[pool].Replicas, func(one routing.Replica) bool { return one.Admitting })
 }
 
-// probe places an order that must be acknowledged within the bound, and be in
+// verifyOrder places an order that must be acknowledged within the bound, and be in
 // force everywhere within the next.
-func (w *simulation) probe(order *operatorOrder) {
-	w.place(order)
+func (w *simulation) verifyOrder(order *operatorOrder) {
+	w.issue(order)
 	w.after(AcknowledgeBound, func() {
-		if !order.settled || order.outcome != checker.OutcomeAcknowledged {
+		if !order.finished || order.outcome != checker.OutcomeAcknowledged {
 			w.violate("acknowledged_in_calm", "order %s has no acknowledgement after %v", order.content.GetOrderId(), AcknowledgeBound)
 			return
 		}
-		w.at(order.settledAt+SpreadBound, func() { w.checkSpread(order) })
+		w.at(order.finishedAt+SpreadBound, func() { w.checkSpread(order) })
 	})
 }
 
@@ -135,15 +135,15 @@
 	}
 }
 
-// probeWeights names new weights, which must run on every replica within the
+// verifyWeights names new weights, which must run on every replica within the
 // bound.
-func (w *simulation) probeWeights(pool string) {
+func (w *simulation) verifyWeights(pool string) {
 	order := w.nameWeights(0, pool)
-	w.probe(order)
+	w.verifyOrder(order)
 	w.after(AcknowledgeBound, func() {
-		if order.settled {
-			w.checks.weightsNamed(pool, order.change.WeightVersion, order.settledAt)
-			w.at(order.settledAt+w.weightsBound(), func() { w.checkWeights(pool, order.change.WeightVersion) })
+		if order.finished {
+			w.checks.weightsAcknowledged(pool, order.change.WeightVersion, order.finishedAt)
+			w.at(order.finishedAt+w.weightsBound(), func() { w.checkWeights(pool, order.change.WeightVersion) })
 		}
 	})
 }
@@ -175,18 +175,18 @@
 }
 
 func (w *simulation) checkAdmitting(one *node, target *replica) {
-	listed, found := lo.Find(one.view.Pools[target.pool].Replicas, func(listed routing.Replica) bool {
-		return listed.Address == target.address
+	endpoint, found := lo.Find(one.view.Pools[target.pool].Replicas, func(endpoint routing.Replica) bool {
+		return endpoint.Address == target.address
 	})
-	if !found || !listed.Admitting {
+	if !found || !endpoint.Admitting {
 		w.violate("weights_settle", "%s admits nothing to %s after %v of calm", one.info.ID, target.address, checker.WeightsBound)
 	}
 }
 
-// checkSettled holds that every order got its final answer.
-func (w *simulation) checkSettled() {
+// checkOrdersFinished holds that every order got its final answer.
+func (w *simulation) checkOrdersFinished() {
 	for _, order := range w.operators.orders {
-		if !order.settled {
+		if !order.finished {
 			w.violate("order_settles", "order %s, first sent at %v, has no final answer", order.content.GetOrderId(), order.firstSent)
 		}
 	}
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -18,8 +18,8 @@
 	callTimeout = 2 * time.Second
 	// dispatchDelay bounds the time between a command's output and its sending.
 	dispatchDelay = 30 * time.Millisecond
-	// maxStuck bounds how late a command that got stuck arrives.
-	maxStuck = 8 * time.Second
+	// maxCommandDelay bounds how late a command that got stuck arrives.
+	maxCommandDelay = 8 * time.Second
 )
 
 // replica models what control needs of a model replica: weights, the epoch
@@ -33,28 +33,28 @@
 
 	up          bool
 	incarnation uint64
-	// loadingNow tells that a replica that finishes its requests first has done so.
-	loadingNow bool
+	// loading tells that a replica that finishes its requests first has done so.
+	loading bool
 	// version is empty while target is being loaded.
 	version string
 	target  string
 	// lastVersion is the version that was last loaded in full.
 	lastVersion string
-	// loading numbers the loads.
-	loading uint64
+	// loadNumber numbers the loads.
+	loadNumber uint64
 	// sequence counts the commands of this life.
 	sequence uint64
 	// highestToken is the greatest token of a command in this life.
 	highestToken uint64
 	active       int
-	// strayed tells that the replica came back with other weights, which
+	// unorderedWeights tells that the replica came back with other weights, which
 	// nobody ordered, and since when.
-	strayed   bool
-	strayedAt time.Duration
+	unorderedWeights   bool
+	unorderedWeightsAt time.Duration
 
-	// deaf is how many of the commands to come have no effect. Every other one of
+	// commandsToDrop is how many of the commands to come have no effect. Every other one of
 	// them is lost, and the rest are answered as if another were under way.
-	deaf int
+	commandsToDrop int
 
 	// measureEvery is how old the numbers in its report may be.
 	measureEvery time.Duration
@@ -62,25 +62,25 @@
 	measuredAt   time.Duration
 }
 
-// hear takes a command unless the replica is deaf, and tells whether it answers.
-func (r *replica) hear(holder *node, command control.Command) (outcome control.CommandOutcome, answers bool) {
-	if r.deaf == 0 {
-		return r.take(holder, command), true
+// receiveCommand takes a command unless the replica is deaf, and tells whether it answers.
+func (r *replica) receiveCommand(sender *node, command control.Command) (outcome control.CommandOutcome, replies bool) {
+	if r.commandsToDrop == 0 {
+		return r.handleCommand(sender, command), true
 	}
-	r.deaf--
-	return control.CommandBusy, r.deaf%2 == 0
+	r.commandsToDrop--
+	return control.CommandBusy, r.commandsToDrop%2 == 0
 }
 
-// take handles a command.
-func (r *replica) take(holder *node, command control.Command) control.CommandOutcome {
+// handleCommand handles a command.
+func (r *replica) handleCommand(sender *node, command control.Command) control.CommandOutcome {
 	if r.world.settings.FinishFirst {
-		return r.takeFinishFirst(holder, command)
+		return r.handleCommandFinishFirst(sender, command)
 	}
 	if command.Token < r.highestToken && !r.world.broken(BreakNoEpochCheck) {
 		r.world.counts.StaleCommands++
 		return control.CommandFenced
 	}
-	r.world.checks.commandTaken(r, holder, command)
+	r.world.checks.commandAccepted(r, sender, command)
 	r.highestToken = command.Token
 	if r.target == command.WeightVersion || (r.target == "" && r.version == command.WeightVersion) {
 		return control.CommandAccepted
@@ -91,17 +91,17 @@
 
 // load begins to load the weights of a command.
 func (r *replica) load(command control.Command) {
-	r.world.checks.weightsChange(r, command)
-	r.strayed = false
+	r.world.checks.weightsLoadStarted(r, command)
+	r.unorderedWeights = false
 	r.version = ""
 	r.target = command.WeightVersion
-	r.loading++
-	load, incarnation := r.loading, r.incarnation
+	r.loadNumber++
+	load, incarnation := r.loadNumber, r.incarnation
 	r.world.after(minLoad+r.world.upTo(loadSpread), func() {
-		if r.up && r.incarnation == incarnation && r.loading == load {
+		if r.up && r.incarnation == incarnation && r.loadNumber == load {
 			r.version, r.target = r.target, ""
 			r.lastVersion = r.version
-			r.world.note(worldColumn, "%s runs %s", r.address, r.version)
+			r.world.logf(worldColumn, "%s runs %s", r.address, r.version)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 func (r *replica) crash() {
 	r.up = false
 	r.active = 0
-	r.world.note(worldColumn, "%s down", r.address)
+	r.world.logf(worldColumn, "%s down", r.address)
 }
 
 // restart brings the replica back, with the given weights.
@@ -140,48 +140,48 @@
 	r.incarnation++
 	r.highestToken = 0
 	r.sequence = 0
-	r.loadingNow = false
+	r.loading = false
 	r.world.platform.showLater()
-	r.strayed = r.strayed || version != r.lastVersion
-	r.strayedAt = r.world.now
+	r.unorderedWeights = r.unorderedWeights || version != r.lastVersion
+	r.unorderedWeightsAt = r.world.now
 	r.version, r.target, r.lastVersion = version, "", version
-	r.world.note(worldColumn, "%s back on %s", r.address, version)
+	r.world.logf(worldColumn, "%s back on %s", r.address, version)
 }
 
 // command sends a command if the right to do so has not ended meanwhile.
 func (n *node) command(command control.Command) {
-	life := n.life
+	process := n.process
 	n.world.after(n.world.upTo(dispatchDelay), func() {
-		if n.life == life && n.up {
-			n.whenAwake(func() { n.dispatch(life, command) })
+		if n.process == process && n.up {
+			n.whenAwake(func() { n.dispatch(process, command) })
 		}
 	})
 	if n.world.freezeNextCommand {
 		n.world.freezeNextCommand = false
-		n.freeze(n.world.lasting(4*time.Second, 8*time.Second))
+		n.freeze(n.world.faultDuration(4*time.Second, 8*time.Second))
 	}
 }
 
-func (n *node) dispatch(life uint64, command control.Command) {
+func (n *node) dispatch(process uint64, command control.Command) {
 	if n.world.broken(BreakTokenReused) {
 		command.Token = 1
 	}
 	if n.now() >= command.Deadline && !n.world.broken(BreakCommandAfterDeadline) {
-		n.commandDone(life, command, control.CommandNotSent)
+		n.commandDone(process, command, control.CommandNotSent)
 		return
 	}
 	target := n.world.replicas[command.Address]
-	n.note("%s:=%s t%x", command.Address, command.WeightVersion, command.Token)
+	n.logf("%s:=%s t%x", command.Address, command.WeightVersion, command.Token)
 	n.world.checks.commandSent(n, command)
-	answered := false
+	replied := false
 	n.world.after(command.Deadline-n.now(), func() {
-		if !answered {
-			answered = true
-			n.commandDone(life, command, control.CommandUnknown)
+		if !replied {
+			replied = true
+			n.commandDone(process, command, control.CommandUnknown)
 		}
 	})
 	latency := n.world.commandLatency()
-	if n.world.losesCall() || n.world.settings.FinishFirst && latency > command.Deadline-n.now() && !n.world.broken(BreakCommandAfterDeadline) {
+	if n.world.dropsCall() || n.world.settings.FinishFirst && latency > command.Deadline-n.now() && !n.world.broken(BreakCommandAfterDeadline) {
 		return
 	}
 	incarnation := target.incarnation
@@ -189,35 +189,35 @@
 		if !target.up || target.incarnation != incarnation {
 			return
 		}
-		outcome, answers := target.hear(n, command)
-		if !answers {
+		outcome, replies := target.receiveCommand(n, command)
+		if !replies {
 			return
 		}
 		n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
-			if !answered {
-				answered = true
-				n.commandDone(life, command, outcome)
+			if !replied {
+				replied = true
+				n.commandDone(process, command, outcome)
 			}
 		})
 	})
 }
 
-func (n *node) commandDone(life uint64, command control.Command, outcome control.CommandOutcome) {
-	n.post(life, func(now time.Duration) control.Output { return n.machine.CommandDone(now, command, outcome) })
+func (n *node) commandDone(process uint64, command control.Command, outcome control.CommandOutcome) {
+	n.post(process, func(now time.Duration) control.Output { return n.machine.CommandDone(now, command, outcome) })
 }
 
 // commandLatency is mostly short; while commands get stuck, some arrive long
 // after their sender's right has ended.
 func (w *simulation) commandLatency() time.Duration {
 	latency := minLatency + w.upTo(replicaLatency)
-	if w.stuckCommands > 0 && w.chance(0.5) {
-		latency += w.upTo(maxStuck)
+	if w.delayedCommandFaults > 0 && w.chance(0.5) {
+		latency += w.upTo(maxCommandDelay)
 	}
 	return latency
 }
 
-// losesCall tells whether a call to a replica gets lost.
-func (w *simulation) losesCall() bool {
+// dropsCall tells whether a call to a replica gets lost.
+func (w *simulation) dropsCall() bool {
 	for _, active := range w.network.storms {
 		if w.chance(active.loss) {
 			return true
@@ -226,34 +226,34 @@
 	return false
 }
 
-// askReport counts the numbers as measured when the question was sent, less the
+// requestReport counts the numbers as measured when the question was sent, less the
 // age that the replica states.
-func (n *node) askReport(request control.ReportRequest) {
-	life := n.life
-	askedAt := n.now()
+func (n *node) requestReport(request control.ReportRequest) {
+	process := n.process
+	requestedAt := n.now()
 	n.world.counts.Reports++
 	target := n.world.replicas[request.Address]
-	if target == nil || n.world.losesCall() {
-		n.world.after(callTimeout, func() { n.reportFailed(life, request) })
+	if target == nil || n.world.dropsCall() {
+		n.world.after(callTimeout, func() { n.reportFailed(process, request) })
 		return
 	}
 	n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
 		if !target.up {
-			n.reportFailed(life, request)
+			n.reportFailed(process, request)
 			return
 		}
 		report, age := target.report()
-		report.MeasuredAt = askedAt - age
+		report.MeasuredAt = requestedAt - age
 		n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
-			n.post(life, func(now time.Duration) control.Output {
+			n.post(process, func(now time.Duration) control.Output {
 				return n.machine.SetReplicaReport(now, report)
 			})
 		})
 	})
 }
 
-func (n *node) reportFailed(life uint64, request control.ReportRequest) {
-	n.post(life, func(now time.Duration) control.Output {
+func (n *node) reportFailed(process uint64, request control.ReportRequest) {
+	n.post(process, func(now time.Duration) control.Output {
 		return n.machine.ReplicaReportFailed(now, request.Address)
 	})
 }
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -10,8 +10,8 @@
 const (
 	// formation is how long the deployment may take to form before faults.
 	formation = 5 * time.Second
-	// calmLength is the span without faults at the end.
-	calmLength = 30 * time.Second
+	// recoveryPhaseLength is the span without faults at the end.
+	recoveryPhaseLength = 30 * time.Second
 	// ServiceBackBound is how long after the faults every node must serve.
 	ServiceBackBound = 12 * time.Second
 	// ReplicaOutBound is how long the last replica of a pool may be out of service
@@ -23,7 +23,7 @@
 	// on every node.
 	SpreadBound = 2 * time.Second
 	// MinVirtual is the shortest run that leaves time for faults.
-	MinVirtual = formation + calmLength + 5*time.Second
+	MinVirtual = formation + recoveryPhaseLength + 5*time.Second
 )
 
 // Settings choose one run.
@@ -44,5 +44,5 @@
 	Timeline bool
 }
 
-// calmFrom is when the faults are over.
-func (s Settings) calmFrom() time.Duration { return s.Virtual - calmLength }
+// recoveryPhaseStart is when the faults are over.
+func (s Settings) recoveryPhaseStart() time.Duration { return s.Virtual - recoveryPhaseLength }
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -27,7 +27,7 @@
 
 	// nodes are those that there are; all holds those taken away too.
 	nodes         []*node
-	all           []*node
+	everyNode     []*node
 	byAddress     map[string]*node
 	group         []member.ID
 	groupZones    map[member.ID]string
@@ -37,8 +37,8 @@
 	platform      *platform
 	keys          []tenantKey
 	operators     operators
-	// stuckCommands counts the active faults that hold commands back.
-	stuckCommands int
+	// delayedCommandFaults counts the active faults that hold commands back.
+	delayedCommandFaults int
 	// majorityLost tells that the disks of a majority are gone, and that the
 	// groups have not been formed anew.
 	majorityLost   bool
@@ -48,8 +48,8 @@
 
 	// seeds are what settings name from now on, in a deployment that finds itself
 	// through seeds.
-	seeds []string
-	touch touch
+	seeds        []string
+	connectivity connectivity
 
 	checks   *checks
 	counts   Counts
@@ -68,10 +68,10 @@
 	// Refusals counts requests that replicas did not run, as they expected other
 	// weights.
 	Refusals uint64 `json:"requests_refused_by_replicas"`
-	// ListReadings counts readings of the platform's list, and Reports those of
+	// EndpointReads counts readings of the platform's list, and Reports those of
 	// replicas' reports.
-	ListReadings uint64 `json:"list_readings"`
-	Reports      uint64 `json:"reports"`
+	EndpointReads uint64 `json:"list_readings"`
+	Reports       uint64 `json:"reports"`
 	// Reads counts what operators asked for, and ReadsRefused what nodes were not
 	// sure of.
 	Reads        uint64 `json:"reads"`
@@ -100,10 +100,10 @@
 	world.build()
 	world.scheduleStart()
 	world.scheduleFaults()
-	world.scheduleTouch()
+	world.scheduleObservation()
 	world.scheduleOperators()
 	world.scheduleReads()
-	world.scheduleCalm()
+	world.scheduleRecoveryChecks()
 	world.loop()
 	world.checks.finish()
 	return world.result()
@@ -194,5 +194,5 @@
 
 func (w *simulation) broken(mechanism Break) bool { return w.settings.Break == mechanism }
 
-// calm tells whether the faults are over.
-func (w *simulation) calm() bool { return w.now >= w.settings.calmFrom() }
+// inRecoveryPhase tells whether the faults are over.
+func (w *simulation) inRecoveryPhase() bool { return w.now >= w.settings.recoveryPhaseStart() }
--- a/internal/lab/sim/storage.go
+++ b/internal/lab/sim/storage.go
@@ -117,13 +117,13 @@
 func (n *node) save(save control.StorageWrite) {
 	pending := &pendingSave{save: save}
 	n.storage.pending = append(n.storage.pending, pending)
-	life := n.life
+	process := n.process
 	if n.world.broken(BreakAckBeforeSync) {
-		n.world.after(0, func() { n.saved(life, save.Shard) })
+		n.world.after(0, func() { n.saved(process, save.Shard) })
 	}
 	ends := max(n.world.now, n.storage.busyUntil[save.Shard]) + n.syncTime()
 	n.storage.busyUntil[save.Shard] = ends
-	n.world.after(ends-n.world.now, func() { n.sync(life, pending) })
+	n.world.after(ends-n.world.now, func() { n.sync(process, pending) })
 }
 
 func (n *node) syncTime() time.Duration {
@@ -135,14 +135,14 @@
 }
 
 // sync ends a write. A full disk is tried again, as the driver does.
-func (n *node) sync(life uint64, pending *pendingSave) {
-	if n.life != life || !n.up {
+func (n *node) sync(process uint64, pending *pendingSave) {
+	if n.process != process || !n.up {
 		return
 	}
 	err := n.storage.write(pending.save)
 	switch {
 	case errors.Is(err, twoslot.ErrDiskFull):
-		n.world.after(saveRetryEvery, func() { n.sync(life, pending) })
+		n.world.after(saveRetryEvery, func() { n.sync(process, pending) })
 		return
 	case err != nil && n.world.broken(BreakAckBeforeSync):
 		// The node went on as if an earlier write had succeeded.
@@ -154,10 +154,10 @@
 	}
 	n.storage.finish(pending)
 	if !n.world.broken(BreakAckBeforeSync) {
-		n.saved(life, pending.save.Shard)
+		n.saved(process, pending.save.Shard)
 	}
 }
 
-func (n *node) saved(life uint64, shard uint32) {
-	n.post(life, func(now time.Duration) control.Output { return n.machine.StorageWritten(now, shard) })
+func (n *node) saved(process uint64, shard uint32) {
+	n.post(process, func(now time.Duration) control.Output { return n.machine.StorageWritten(now, shard) })
 }
--- a/internal/lab/sim/timeline.go
+++ b/internal/lab/sim/timeline.go
@@ -16,48 +16,48 @@
 
 // timeline is a drawing of a run: a line for an instant, a column a node.
 type timeline struct {
-	notes []note
+	entries []timelineEntry
 }
 
-type note struct {
+type timelineEntry struct {
 	at     time.Duration
 	column int
 	text   string
 }
 
-// note writes into the column of this node.
-func (n *node) note(format string, arguments ...any) {
-	n.world.note(n.index, format, arguments...)
+// logf writes into the column of this node.
+func (n *node) logf(format string, arguments ...any) {
+	n.world.logf(n.index, format, arguments...)
 }
 
-// note writes into a column, if a timeline is kept.
-func (w *simulation) note(column int, format string, arguments ...any) {
+// logf writes into a column, if a timeline is kept.
+func (w *simulation) logf(column int, format string, arguments ...any) {
 	if w.timeline == nil {
 		return
 	}
-	w.timeline.notes = append(w.timeline.notes, note{at: w.now, column: column, text: fmt.Sprintf(format, arguments...)})
+	w.timeline.entries = append(w.timeline.entries, timelineEntry{at: w.now, column: column, text: fmt.Sprintf(format, arguments...)})
 }
 
 // draw returns the timeline as text.
 func (t *timeline) draw(w *simulation) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-*s", timeWidth, "time")
-	for _, one := range w.all {
+	for _, one := range w.everyNode {
 		fmt.Fprintf(&text, "%-*s", columnWidth, fmt.Sprintf("%s/%s", one.info.ID, one.info.Zone))
 	}
 	text.WriteString("deployment\n")
-	for _, note := range t.notes {
-		t.line(&text, note, len(w.all))
+	for _, entry := range t.entries {
+		t.writeEntry(&text, entry, len(w.everyNode))
 	}
 	return text.String()
 }
 
-// line writes one note. What is longer than its column runs on into the next
+// writeEntry writes one note. What is longer than its column runs on into the next
 // ones, as nothing else stands on its line.
-func (t *timeline) line(text *strings.Builder, note note, columns int) {
-	column := note.column
+func (t *timeline) writeEntry(text *strings.Builder, entry timelineEntry, columns int) {
+	column := entry.column
 	if column == worldColumn {
 		column = columns
 	}
-	fmt.Fprintf(text, "%-*.3f%s%s\n", timeWidth, note.at.Seconds(), strings.Repeat(" ", column*columnWidth), note.text)
+	fmt.Fprintf(text, "%-*.3f%s%s\n", timeWidth, entry.at.Seconds(), strings.Repeat(" ", column*columnWidth), entry.text)
 }
--- a/internal/lab/sim/traffic.go
+++ b/internal/lab/sim/traffic.go
@@ -17,8 +17,8 @@
 	minRun   = 10 * time.Millisecond
 	shortRun = 50 * time.Millisecond
 	longRun  = 500 * time.Millisecond
-	// longShare is the share of long requests.
-	longShare = 0.08
+	// longRunProbability is the share of long requests.
+	longRunProbability = 0.08
 	// admissionsOnWake is how many requests a node takes after a freeze before
 	// control runs.
 	admissionsOnWake = 4
@@ -34,17 +34,17 @@
 // request is one admitted request.
 type request struct {
 	node    *node
-	life    uint64
+	process uint64
 	replica *replica
 	version string
 	view    *routing.View
 }
 
 // scheduleTraffic lets requests come at random instants.
-func (n *node) scheduleTraffic(life uint64) {
+func (n *node) scheduleTraffic(process uint64) {
 	var next func()
 	next = func() {
-		if n.life != life || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
 		if !n.frozen {
@@ -80,7 +80,7 @@
 	if tenant == nil {
 		return
 	}
-	n.world.checks.admitted(n, view, key)
+	n.world.checks.requestAdmitted(n, view, key)
 	pool := view.Pools[pick(n.world, poolNames)]
 	if pool == nil {
 		return
@@ -90,19 +90,19 @@
 		return
 	}
 	chosen := pick(n.world, admitting)
-	n.send(&request{
+	n.sendRequest(&request{
 		node:    n,
-		life:    n.life,
+		process: n.process,
 		replica: n.world.replicas[chosen.Address],
 		version: chosen.WeightVersion,
 		view:    view,
 	})
 }
 
-// send counts a request as running from before it leaves until its end is known.
-func (n *node) send(sent *request) {
+// sendRequest counts a request as running from before it leaves until its end is known.
+func (n *node) sendRequest(sent *request) {
 	n.world.counts.Requests++
-	n.world.checks.sent(sent)
+	n.world.checks.requestSent(sent)
 	n.inFlight[sent.replica.address]++
 	n.world.after(n.world.requestLatency(), sent.arrive)
 }
@@ -111,10 +111,10 @@
 // the replica. Some requests are slow, by less than the margin that others add
 // before they count on a fence.
 func (w *simulation) requestLatency() time.Duration {
-	const slowShare = 0.3
+	const slowProbability = 0.3
 	const slowest = control.DefaultFenceMargin - 20*time.Millisecond
 	latency := minLatency + w.upTo(replicaLatency)
-	if w.chance(slowShare) {
+	if w.chance(slowProbability) {
 		latency += slowest/2 + w.upTo(slowest/2)
 	}
 	return latency
@@ -127,13 +127,13 @@
 		r.end()
 		return
 	}
-	if target.refuses(r) {
+	if target.rejects(r) {
 		r.node.world.counts.Refusals++
 		r.end()
 		return
 	}
-	r.node.world.checks.arrived(r)
-	r.node.world.checks.begun(r)
+	r.node.world.checks.requestArrived(r)
+	r.node.world.checks.requestStarted(r)
 	target.active++
 	incarnation := target.incarnation
 	world := r.node.world
@@ -147,14 +147,14 @@
 }
 
 func (w *simulation) runTime() time.Duration {
-	if w.chance(longShare) {
+	if w.chance(longRunProbability) {
 		return minRun + w.upTo(longRun)
 	}
 	return minRun + w.upTo(shortRun)
 }
 
 func (r *request) end() {
-	if r.node.life == r.life {
+	if r.node.process == r.process {
 		r.node.inFlight[r.replica.address]--
 	}
 }
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -13,11 +13,11 @@
 type Faults struct {
 	// RefuseRatio refuses requests with a promise that they did not run.
 	RefuseRatio float64 `json:"refuse_ratio"`
-	// CutRatio cuts answers after CutAtByte bytes of the body. A negative
-	// CutAtByte closes the connection with no answer at all, after the request
+	// TruncateRatio cuts answers after TruncateAtByte bytes of the body. A negative
+	// TruncateAtByte closes the connection with no answer at all, after the request
 	// has run.
-	CutRatio  float64 `json:"cut_ratio"`
-	CutAtByte int     `json:"cut_at_byte"`
+	TruncateRatio  float64 `json:"cut_ratio"`
+	TruncateAtByte int     `json:"cut_at_byte"`
 	// HangRatio runs requests and never answers them.
 	HangRatio float64 `json:"hang_ratio"`
 	// SlowLink divides the bandwidth of transfers; 0 means 1.
@@ -32,7 +32,7 @@
 
 // Check returns an error that names a setting out of its range.
 func (f Faults) Check() error {
-	for _, ratio := range []float64{f.RefuseRatio, f.CutRatio, f.HangRatio, f.DropEventRatio} {
+	for _, ratio := range []float64{f.RefuseRatio, f.TruncateRatio, f.HangRatio, f.DropEventRatio} {
 		if ratio < 0 || ratio > 1 {
 			return errors.Errorf("fault ratio %v must be from 0 to 1", ratio)
 		}
@@ -69,24 +69,24 @@
 	return p.faults
 }
 
-// Fate is what the faults do to one request.
-type Fate struct {
-	Refuse bool
-	Hang   bool
-	Cut    bool
-	// CutAtByte counts bytes of the body.
-	CutAtByte int
+// RequestFaults is what the faults do to one request.
+type RequestFaults struct {
+	Refuse   bool
+	Hang     bool
+	Truncate bool
+	// TruncateAtByte counts bytes of the body.
+	TruncateAtByte int
 }
 
 // Draw returns the fate of the next request.
-func (p *FaultPlan) Draw() Fate {
+func (p *FaultPlan) Draw() RequestFaults {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return Fate{
-		Refuse:    p.random.Float64() < p.faults.RefuseRatio,
-		Hang:      p.random.Float64() < p.faults.HangRatio,
-		Cut:       p.random.Float64() < p.faults.CutRatio,
-		CutAtByte: p.faults.CutAtByte,
+	return RequestFaults{
+		Refuse:         p.random.Float64() < p.faults.RefuseRatio,
+		Hang:           p.random.Float64() < p.faults.HangRatio,
+		Truncate:       p.random.Float64() < p.faults.TruncateRatio,
+		TruncateAtByte: p.faults.TruncateAtByte,
 	}
 }
 
@@ -97,27 +97,27 @@
 	return p.random.Float64() < p.faults.DropEventRatio
 }
 
-// CutWriter passes an answer on up to a number of bytes of its body, and then
+// TruncatingWriter passes an answer on up to a number of bytes of its body, and then
 // ends the connection so that the client sees a broken answer.
-type CutWriter struct {
+type TruncatingWriter struct {
 	http.ResponseWriter
 	left int
 }
 
-// NewCutWriter returns the writer that a fate calls for.
-func NewCutWriter(w http.ResponseWriter, fate Fate) http.ResponseWriter {
-	if !fate.Cut {
+// NewTruncatingWriter returns the writer that a fate calls for.
+func NewTruncatingWriter(w http.ResponseWriter, faults RequestFaults) http.ResponseWriter {
+	if !faults.Truncate {
 		return w
 	}
-	if fate.CutAtByte < 0 {
+	if faults.TruncateAtByte < 0 {
 		panic(http.ErrAbortHandler)
 	}
-	return &CutWriter{ResponseWriter: w, left: fate.CutAtByte}
+	return &TruncatingWriter{ResponseWriter: w, left: faults.TruncateAtByte}
 }
 
 // Write sends what fits before the cut and panics with http.ErrAbortHandler when
 // it is reached.
-func (w *CutWriter) Write(data []byte) (int, error) {
+func (w *TruncatingWriter) Write(data []byte) (int, error) {
 	if len(data) < w.left {
 		w.left -= len(data)
 		return w.ResponseWriter.Write(data)
@@ -128,4 +128,4 @@
 }
 
 // Flush sends what has been written.
-func (w *CutWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
+func (w *TruncatingWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
--- a/internal/lab/standin/platform/lagging.go
+++ b/internal/lab/standin/platform/lagging_endpoints.go
@@ -13,23 +13,23 @@
 	Served      bool
 }
 
-// LaggingList is a list of services that shows changes only after a lag. It is
+// LaggingEndpoints is a list of services that shows changes only after a lag. It is
 // not safe for concurrent use.
-type LaggingList struct {
+type LaggingEndpoints struct {
 	lag     time.Duration
-	shown   List
+	shown   Endpoints
 	records []*Record
 	// visible counts the records that shown contains.
 	visible int
 }
 
-// NewLaggingList returns a list that shows its initial content at once.
-func NewLaggingList(initial List, lag time.Duration) *LaggingList {
-	return &LaggingList{lag: lag, shown: initial}
+// NewLaggingEndpoints returns a list that shows its initial content at once.
+func NewLaggingEndpoints(initial Endpoints, lag time.Duration) *LaggingEndpoints {
+	return &LaggingEndpoints{lag: lag, shown: initial}
 }
 
 // Change makes a change, which shows after the lag.
-func (l *LaggingList) Change(now time.Duration, change Change) error {
+func (l *LaggingEndpoints) Change(now time.Duration, change Change) error {
 	if err := change.check(); err != nil {
 		return err
 	}
@@ -39,10 +39,10 @@
 
 // SetLag changes the lag of later changes. A change never shows before an
 // earlier one.
-func (l *LaggingList) SetLag(lag time.Duration) { l.lag = lag }
+func (l *LaggingEndpoints) SetLag(lag time.Duration) { l.lag = lag }
 
 // Serve returns the list as a reader sees it now.
-func (l *LaggingList) Serve(now time.Duration) List {
+func (l *LaggingEndpoints) Serve(now time.Duration) Endpoints {
 	for l.visible < len(l.records) && l.records[l.visible].Visible <= now {
 		l.shown = l.shown.with(l.records[l.visible].Change)
 		l.records[l.visible].FirstServed = now
@@ -53,7 +53,7 @@
 }
 
 // History returns every change, in order.
-func (l *LaggingList) History() []Record {
+func (l *LaggingEndpoints) History() []Record {
 	history := make([]Record, len(l.records))
 	for position, record := range l.records {
 		history[position] = *record
--- a/internal/lab/standin/platform/lagging_test.go
+++ b/internal/lab/standin/platform/lagging_endpoints_test.go
@@ -16,8 +16,8 @@
 const initial = `{"services":[{"name":"cases","replicas":[
 	{"address":"a:1","zone":"z1","state":"running"},{"address":"b:1","zone":"z2","state":"running"}]}]}`
 
-func parse(data string) platform.List {
-	list, err := platform.ParseList([]byte(data))
+func parse(data string) platform.Endpoints {
+	list, err := platform.ParseEndpoints([]byte(data))
 	Expect(err).NotTo(HaveOccurred())
 	return list
 }
@@ -28,7 +28,7 @@
 	add := platform.Change{Service: "cases", Address: "c:1", Zone: "z3", State: platform.StateRunning}
 
 	It("shows changes after the lag, and remembers when they were first served", func() {
-		list := platform.NewLaggingList(parse(initial), time.Second)
+		list := platform.NewLaggingEndpoints(parse(initial), time.Second)
 		for _, change := range []platform.Change{drain, remove, add} {
 			Expect(list.Change(5*time.Second, change)).To(Succeed())
 		}
@@ -46,9 +46,9 @@
 	})
 
 	It("refuses an unknown state", func() {
-		list := platform.NewLaggingList(parse(initial), 0)
+		list := platform.NewLaggingEndpoints(parse(initial), 0)
 		Expect(list.Change(0, platform.Change{Service: "cases", Address: "a:1", State: "gone"})).NotTo(Succeed())
-		_, err := platform.ParseList([]byte(`{"services":[{"name":"x","replicas":[{"address":"","state":"running"}]}]}`))
+		_, err := platform.ParseEndpoints([]byte(`{"services":[{"name":"x","replicas":[{"address":"","state":"running"}]}]}`))
 		Expect(err).To(HaveOccurred())
 	})
 })
--- a/internal/lab/standin/platform/server.go
+++ b/internal/lab/standin/platform/server.go
@@ -35,16 +35,16 @@
 	clock   standin.Clock
 
 	// mutex guards list.
-	mutex sync.Mutex
-	list  *LaggingList
+	mutex     sync.Mutex
+	endpoints *LaggingEndpoints
 }
 
 // New returns a platform that lists the initial services.
-func New(address string, initial List, lag time.Duration) *Server {
+func New(address string, initial Endpoints, lag time.Duration) *Server {
 	return &Server{
-		address: address,
-		clock:   standin.NewClock(1),
-		list:    NewLaggingList(initial, lag),
+		address:   address,
+		clock:     standin.NewClock(1),
+		endpoints: NewLaggingEndpoints(initial, lag),
 	}
 }
 
@@ -70,9 +70,9 @@
 
 func (s *Server) services(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	list := s.list.Serve(s.clock.Now())
+	endpoints := s.endpoints.Serve(s.clock.Now())
 	s.mutex.Unlock()
-	standin.WriteJSON(w, http.StatusOK, list)
+	standin.WriteJSON(w, http.StatusOK, endpoints)
 }
 
 // change takes all changes of a body or none.
@@ -91,7 +91,7 @@
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
 	for _, change := range body.Changes {
-		_ = s.list.Change(now, change)
+		_ = s.endpoints.Change(now, change)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -103,13 +103,13 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.list.SetLag(time.Duration(setting.LagMS) * time.Millisecond)
+	s.endpoints.SetLag(time.Duration(setting.LagMS) * time.Millisecond)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (s *Server) history(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	records := s.list.History()
+	records := s.endpoints.History()
 	s.mutex.Unlock()
 	shown := make([]HistoryRecord, len(records))
 	for position, record := range records {
--- a/internal/lab/standin/platform/services.go
+++ b/internal/lab/standin/platform/services.go
@@ -29,8 +29,8 @@
 	Replicas []Replica `json:"replicas"`
 }
 
-// List is the answer to GET /v1/services, and the form of the initial file.
-type List struct {
+// Endpoints is the answer to GET /v1/services, and the form of the initial file.
+type Endpoints struct {
 	Services []Service `json:"services"`
 }
 
@@ -47,21 +47,21 @@
 	Changes []Change `json:"changes"`
 }
 
-// ParseList reads and checks an initial list.
-func ParseList(data []byte) (List, error) {
-	var list List
-	if err := json.Unmarshal(data, &list); err != nil {
-		return list, errors.Wrap(err, "platform: read services")
+// ParseEndpoints reads and checks an initial list.
+func ParseEndpoints(data []byte) (Endpoints, error) {
+	var endpoints Endpoints
+	if err := json.Unmarshal(data, &endpoints); err != nil {
+		return endpoints, errors.Wrap(err, "platform: read services")
 	}
-	for _, service := range list.Services {
+	for _, service := range endpoints.Services {
 		for _, replica := range service.Replicas {
 			change := Change{Service: service.Name, Address: replica.Address, Zone: replica.Zone, State: replica.State}
 			if err := change.check(); err != nil {
-				return list, err
+				return endpoints, err
 			}
 		}
 	}
-	return list, nil
+	return endpoints, nil
 }
 
 func (c Change) check() error {
@@ -76,8 +76,8 @@
 }
 
 // with returns the list after a change; the old list stays as it was.
-func (l List) with(change Change) List {
-	next := List{}
+func (l Endpoints) with(change Change) Endpoints {
+	next := Endpoints{}
 	found := false
 	for _, service := range l.Services {
 		if service.Name == change.Service {
--- a/internal/lab/standin/replica/parts.go
+++ b/internal/lab/standin/replica/chunks.go
@@ -18,18 +18,18 @@
 // minPushTokens is the length from which a part is worth keeping in the store.
 const minPushTokens = 256
 
-// pullPatience, in the model's time, is how long an attempt waits for parts before
+// pullTimeout, in the model's time, is how long an attempt waits for parts before
 // it computes them.
-const pullPatience = 15 * time.Second
+const pullTimeout = 15 * time.Second
 
-// part serves a kept part to a peer, in the time that its transfer takes.
-func (s *Server) part(w http.ResponseWriter, r *http.Request) {
+// chunk serves a kept part to a peer, in the time that its transfer takes.
+func (s *Server) serveChunk(w http.ResponseWriter, r *http.Request) {
 	hash, err := emulator.ParseHash(r.PathValue("hash"))
 	if err != nil {
 		standin.WriteJSON(w, http.StatusBadRequest, standin.Problem{Kind: "bad_hash", Message: "the part's name must be a hexadecimal chain hash"})
 		return
 	}
-	var kept []emulator.KeptPart
+	var kept []emulator.CachedChunk
 	s.do(func(now time.Duration) { kept = s.model.Export(now, []prefixindex.ChainHash{hash}) })
 	if len(kept) == 0 {
 		standin.WriteJSON(w, http.StatusNotFound, standin.Problem{Kind: "not_kept", Message: "the part is not kept here; compute it"})
@@ -47,55 +47,55 @@
 // pull fetches what an attempt lacks, up to the first part that cannot be had in
 // time, and lets the attempt go on.
 func (s *Server) pull(ctx context.Context, handle emulator.Handle, wanted pullRange) {
-	ctx, cancel := context.WithTimeout(ctx, s.clock.Real(pullPatience))
+	ctx, cancel := context.WithTimeout(ctx, s.clock.Real(pullTimeout))
 	defer cancel()
 	var missing []prefixindex.ChainHash
 	s.do(func(time.Duration) { missing = s.model.Missing(handle, wanted.first, wanted.last) })
-	var parts []emulator.KeptPart
+	var chunks []emulator.CachedChunk
 	for _, hash := range missing {
-		part, err := s.fetch(ctx, wanted.source, hash)
+		chunk, err := s.fetch(ctx, wanted.source, hash)
 		if err != nil {
 			break
 		}
-		parts = append(parts, part)
+		chunks = append(chunks, chunk)
 	}
-	s.act(func(now time.Duration) { s.model.PullDone(now, handle, parts) })
+	s.act(func(now time.Duration) { s.model.PullDone(now, handle, chunks) })
 }
 
-func (s *Server) fetch(ctx context.Context, source string, hash prefixindex.ChainHash) (emulator.KeptPart, error) {
-	var part emulator.KeptPart
+func (s *Server) fetch(ctx context.Context, source string, hash prefixindex.ChainHash) (emulator.CachedChunk, error) {
+	var chunk emulator.CachedChunk
 	url := "http://" + source + protocol.PathParts + emulator.FormatHash(hash)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return part, errors.Wrap(err, "replica: fetch part")
+		return chunk, errors.Wrap(err, "replica: fetch part")
 	}
 	request.Header.Set(standin.HeaderZone, s.settings.Model.Zone)
 	response, err := s.client.Do(request)
 	if err != nil {
-		return part, errors.Wrap(err, "replica: fetch part")
+		return chunk, errors.Wrap(err, "replica: fetch part")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return part, errors.Errorf("replica: %s does not keep part %s", source, emulator.FormatHash(hash))
+		return chunk, errors.Errorf("replica: %s does not keep part %s", source, emulator.FormatHash(hash))
 	}
-	if err := json.NewDecoder(response.Body).Decode(&part); err != nil {
-		return part, errors.Wrap(err, "replica: read part")
+	if err := json.NewDecoder(response.Body).Decode(&chunk); err != nil {
+		return chunk, errors.Wrap(err, "replica: read part")
 	}
-	if part.Hash != hash {
-		return part, errors.Errorf("replica: %s answered with another part", source)
+	if chunk.Hash != hash {
+		return chunk, errors.Errorf("replica: %s answered with another part", source)
 	}
-	return part, nil
+	return chunk, nil
 }
 
-// pushMadeParts sends each long part that is newly kept to the store.
-func (s *Server) pushMadeParts(ctx context.Context) {
+// pushNewChunks sends each long part that is newly kept to the store.
+func (s *Server) pushNewChunks(ctx context.Context) {
 	var position standin.Position
 	for {
 		events, more := s.EventsAfter(position)
 		for _, event := range events {
 			position = standin.Position{Known: true, Incarnation: event.Incarnation, Sequence: event.Sequence}
 			if event.Kind == protocol.EventStored {
-				s.pushParts(ctx, event.Parts)
+				s.pushChunks(ctx, event.Parts)
 			}
 		}
 		select {
@@ -106,28 +106,28 @@
 	}
 }
 
-func (s *Server) pushParts(ctx context.Context, parts []protocol.Part) {
-	for _, shown := range parts {
+func (s *Server) pushChunks(ctx context.Context, chunks []protocol.Part) {
+	for _, shown := range chunks {
 		hash, err := emulator.ParseHash(shown.Hash)
 		if err != nil || shown.Tokens < minPushTokens {
 			continue
 		}
-		var part emulator.KeptPart
+		var chunk emulator.CachedChunk
 		var kept bool
-		s.do(func(time.Duration) { part, kept = s.model.Part(hash) })
+		s.do(func(time.Duration) { chunk, kept = s.model.Chunk(hash) })
 		// A store that is down misses the part; it is a cache.
-		if kept && s.push(ctx, part) != nil {
+		if kept && s.push(ctx, chunk) != nil {
 			return
 		}
 	}
 }
 
-func (s *Server) push(ctx context.Context, part emulator.KeptPart) error {
-	body, err := json.Marshal(part)
+func (s *Server) push(ctx context.Context, chunk emulator.CachedChunk) error {
+	body, err := json.Marshal(chunk)
 	if err != nil {
 		return errors.Wrap(err, "replica: push part")
 	}
-	url := "http://" + s.settings.Store + protocol.PathParts + emulator.FormatHash(part.Hash)
+	url := "http://" + s.settings.Store + protocol.PathParts + emulator.FormatHash(chunk.Hash)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "replica: push part")
--- a/internal/lab/standin/replica/control.go
+++ b/internal/lab/standin/replica/control.go
@@ -48,7 +48,7 @@
 		outcome, err = s.model.Command(now, command)
 		s.commands = append(s.commands, CommandRecord{
 			UnixNano:      s.clock.UnixNano(now),
-			Holder:        command.Holder,
+			Sender:        command.Holder,
 			Epoch:         command.Epoch,
 			WeightVersion: command.WeightVersion,
 			Accepted:      err == nil,
@@ -87,6 +87,6 @@
 // the mutex.
 func (s *Server) crash(now time.Duration) {
 	s.model.Crash(now)
-	s.endLife()
-	s.life, s.endLife = newLife()
+	s.endRun()
+	s.runContext, s.endRun = newRunContext()
 }
--- a/internal/lab/standin/replica/generate.go
+++ b/internal/lab/standin/replica/generate.go
@@ -33,8 +33,8 @@
 		standin.WriteJSON(w, http.StatusBadRequest, standin.Problem{Kind: "bad_request", Message: err.Error()})
 		return
 	}
-	fate := s.faults.Draw()
-	handle, notices, err := s.submit(read.request, fate)
+	faults := s.faults.Draw()
+	handle, notices, err := s.submit(read.request, faults)
 	if err != nil {
 		refuse(w, err)
 		return
@@ -43,17 +43,17 @@
 	if read.pull != nil {
 		go s.pull(r.Context(), handle, *read.pull)
 	}
-	answer := &answer{server: s, call: read, handle: handle, notices: notices, fate: fate}
+	answer := &responseWriter{server: s, call: read, handle: handle, notices: notices, faults: faults}
 	answer.write(w, r)
 }
 
 // submit offers an attempt to the model.
-func (s *Server) submit(request emulator.Request, fate standin.Fate) (emulator.Handle, <-chan emulator.Notice, error) {
+func (s *Server) submit(request emulator.Request, faults standin.RequestFaults) (emulator.Handle, <-chan emulator.Notice, error) {
 	var handle emulator.Handle
 	var notices chan emulator.Notice
 	var err error
 	s.act(func(now time.Duration) {
-		if fate.Refuse {
+		if faults.Refuse {
 			s.model.RecordRefusal(now, request, refusedByFault)
 			err = &emulator.Refusal{Reason: refusedByFault}
 			return
@@ -91,19 +91,19 @@
 	w.Header().Set(protocol.HeaderAttemptID, request.AttemptID)
 }
 
-// answer writes what comes of one attempt.
-type answer struct {
+// responseWriter writes what comes of one attempt.
+type responseWriter struct {
 	server  *Server
 	call    call
 	handle  emulator.Handle
 	notices <-chan emulator.Notice
-	fate    standin.Fate
+	faults  standin.RequestFaults
 	sent    uint32
 	output  strings.Builder
 }
 
 // write follows the attempt to its end, or to the end of the connection.
-func (a *answer) write(w http.ResponseWriter, r *http.Request) {
+func (a *responseWriter) write(w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
 		case <-r.Context().Done():
@@ -115,7 +115,7 @@
 			case a.call.stream:
 				w = a.stream(w, r, notice)
 			case notice.Kind == emulator.NoticeFinished:
-				a.whole(w, r, notice)
+				a.writeComplete(w, r, notice)
 			}
 			if notice.Kind == emulator.NoticeFinished {
 				return
@@ -124,43 +124,43 @@
 	}
 }
 
-// whole writes the answer in one piece.
-func (a *answer) whole(w http.ResponseWriter, r *http.Request, notice emulator.Notice) {
+// writeComplete writes the answer in one piece.
+func (a *responseWriter) writeComplete(w http.ResponseWriter, r *http.Request, notice emulator.Notice) {
 	a.hang(r)
 	a.describe(w, notice)
-	body, err := json.Marshal(standin.NewWholeAnswer(a.call.request.RequestID, notice.Tokens))
+	body, err := json.Marshal(standin.NewCompleteResponse(a.call.request.RequestID, notice.Tokens))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	cut := standin.NewCutWriter(w, a.fate)
-	if _, err := cut.Write(body); err == nil {
-		a.server.markDelivered(a.handle)
+	truncating := standin.NewTruncatingWriter(w, a.faults)
+	if _, err := truncating.Write(body); err == nil {
+		a.server.recordDelivered(a.handle)
 	}
 }
 
 // stream writes one further piece of a streamed answer.
-func (a *answer) stream(w http.ResponseWriter, r *http.Request, notice emulator.Notice) http.ResponseWriter {
+func (a *responseWriter) stream(w http.ResponseWriter, r *http.Request, notice emulator.Notice) http.ResponseWriter {
 	if notice.Kind == emulator.NoticeFirstToken {
 		a.hang(r)
 		a.describe(w, notice)
 		w.Header().Set("Content-Type", eventStream)
 		w.WriteHeader(http.StatusOK)
-		w = standin.NewCutWriter(w, a.fate)
+		w = standin.NewTruncatingWriter(w, a.faults)
 	}
 	id := a.call.request.RequestID
 	if notice.Tokens > a.sent {
 		output := standin.Output(id, a.sent, notice.Tokens)
 		a.output.WriteString(output)
 		a.sent = notice.Tokens
-		a.event(w, "", standin.ChunkAnswer{RequestID: id, Output: output})
+		a.event(w, "", standin.ChunkResponse{RequestID: id, Output: output})
 	}
 	if notice.Kind == emulator.NoticeFinished {
 		digest := standin.Digest(id, a.output.String())
-		a.event(w, standin.EventDigest, standin.DigestAnswer{RequestID: id, Digest: digest})
+		a.event(w, standin.EventDigest, standin.DigestResponse{RequestID: id, Digest: digest})
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", protocol.StreamEnd); err == nil {
-			a.server.markDelivered(a.handle)
+			a.server.recordDelivered(a.handle)
 		}
 	}
 	_ = http.NewResponseController(w).Flush()
@@ -169,7 +169,7 @@
 
 // event writes one server-sent event. A write that fails shows as the end of
 // the request's context.
-func (a *answer) event(w http.ResponseWriter, name string, value any) {
+func (a *responseWriter) event(w http.ResponseWriter, name string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -181,14 +181,14 @@
 }
 
 // describe sets the headers that are known from the first token on.
-func (a *answer) describe(w http.ResponseWriter, notice emulator.Notice) {
+func (a *responseWriter) describe(w http.ResponseWriter, notice emulator.Notice) {
 	w.Header().Set(protocol.HeaderWeightVersion, notice.WeightVersion)
 	w.Header().Set(protocol.HeaderReusedTokens, strconv.FormatUint(notice.ReusedTokens, 10))
 }
 
 // hang keeps the answer back for good when the faults say so.
-func (a *answer) hang(r *http.Request) {
-	if !a.fate.Hang {
+func (a *responseWriter) hang(r *http.Request) {
+	if !a.faults.Hang {
 		return
 	}
 	<-r.Context().Done()
--- a/internal/lab/standin/replica/groundtruth.go
+++ b/internal/lab/standin/replica/ground_truth.go
@@ -32,18 +32,18 @@
 	FirstTokenUnixNano int64 `json:"first_token_unix_nano"`
 	FinishedUnixNano   int64 `json:"finished_unix_nano"`
 	// Delivered tells whether the whole answer was written to the connection.
-	Delivered          bool                  `json:"delivered"`
-	PrefilledTokens    uint64                `json:"prefilled_tokens"`
-	ReusedTokens       uint64                `json:"reused_tokens"`
-	ReusedParts        []emulator.ReusedPart `json:"reused_parts"`
-	WeightVersion      string                `json:"weight_version"`
-	FinalWeightVersion string                `json:"final_weight_version"`
+	Delivered          bool                   `json:"delivered"`
+	PrefilledTokens    uint64                 `json:"prefilled_tokens"`
+	ReusedTokens       uint64                 `json:"reused_tokens"`
+	ReusedChunks       []emulator.ReusedChunk `json:"reused_parts"`
+	WeightVersion      string                 `json:"weight_version"`
+	FinalWeightVersion string                 `json:"final_weight_version"`
 }
 
 // CommandRecord is one weights command, as /lab/commands tells it.
 type CommandRecord struct {
 	UnixNano      int64  `json:"unix_nano"`
-	Holder        string `json:"holder"`
+	Sender        string `json:"holder"`
 	Epoch         uint64 `json:"epoch"`
 	WeightVersion string `json:"weight_version"`
 	Accepted      bool   `json:"accepted"`
@@ -81,7 +81,7 @@
 		Delivered:          s.delivered[execution.Handle],
 		PrefilledTokens:    execution.PrefilledTokens,
 		ReusedTokens:       execution.ReusedTokens,
-		ReusedParts:        execution.Reused,
+		ReusedChunks:       execution.Reused,
 		WeightVersion:      execution.WeightVersion,
 		FinalWeightVersion: execution.FinalWeightVersion,
 	}
@@ -95,7 +95,7 @@
 	return s.clock.UnixNano(at)
 }
 
-func (s *Server) markDelivered(handle emulator.Handle) {
+func (s *Server) recordDelivered(handle emulator.Handle) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.delivered[handle] = true
@@ -112,6 +112,6 @@
 	standin.WriteLines(w, commands)
 }
 
-func newLife() (context.Context, context.CancelFunc) {
+func newRunContext() (context.Context, context.CancelFunc) {
 	return context.WithCancel(context.Background())
 }
--- a/internal/lab/standin/replica/request.go
+++ b/internal/lab/standin/replica/request.go
@@ -46,7 +46,7 @@
 		Model:      header.Get(protocol.HeaderModel),
 		CacheSalt:  header.Get(protocol.HeaderCacheSalt),
 	}
-	if read.request.Parts, err = parsePrefix(header.Get(protocol.HeaderPrefix)); err != nil {
+	if read.request.Chunks, err = parsePrefix(header.Get(protocol.HeaderPrefix)); err != nil {
 		return read, err
 	}
 	if read.request.Attempt, err = positive(header, protocol.HeaderAttempt, 1, 1<<16); err != nil {
@@ -72,7 +72,7 @@
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
 	}
-	var parts []prefixindex.Chunk
+	var chunks []prefixindex.Chunk
 	for _, item := range strings.Split(text, ",") {
 		id, parameter, found := strings.Cut(strings.TrimSpace(item), ";")
 		value, named := strings.CutPrefix(strings.TrimSpace(parameter), "tokens=")
@@ -80,20 +80,20 @@
 		if id == "" || !found || !named || err != nil || tokens == 0 {
 			return nil, errors.Errorf("%s part %q is not `id;tokens=N`; give each part an ID and a positive length", protocol.HeaderPrefix, item)
 		}
-		parts = append(parts, prefixindex.Chunk{ID: strings.TrimSpace(id), Tokens: uint32(tokens)})
+		chunks = append(chunks, prefixindex.Chunk{ID: strings.TrimSpace(id), Tokens: uint32(tokens)})
 	}
-	return parts, nil
+	return chunks, nil
 }
 
-func parsePull(source, parts string) (*pullRange, error) {
+func parsePull(source, chunks string) (*pullRange, error) {
 	if source == "" {
 		return nil, nil
 	}
-	firstText, lastText, found := strings.Cut(parts, "-")
+	firstText, lastText, found := strings.Cut(chunks, "-")
 	first, firstErr := strconv.Atoi(strings.TrimSpace(firstText))
 	last, lastErr := strconv.Atoi(strings.TrimSpace(lastText))
 	if !found || firstErr != nil || lastErr != nil || first < 0 || last < first {
-		return nil, errors.Errorf("%s %q is not `first-last`; count positions in %s from 0", protocol.HeaderPullParts, parts, protocol.HeaderPrefix)
+		return nil, errors.Errorf("%s %q is not `first-last`; count positions in %s from 0", protocol.HeaderPullParts, chunks, protocol.HeaderPrefix)
 	}
 	return &pullRange{source: source, first: first, last: last}, nil
 }
--- a/internal/lab/standin/replica/server.go
+++ b/internal/lab/standin/replica/server.go
@@ -30,20 +30,20 @@
 	changed     chan struct{}
 	incarnation uint64
 	sequence    uint64
-	// life ends when the replica crashes, and every open answer with it.
-	life    context.Context
-	endLife context.CancelFunc
+	// runContext ends when the replica crashes, and every open answer with it.
+	runContext context.Context
+	endRun     context.CancelFunc
 }
 
 // New returns a stand-in whose machine has been up for long enough to be warm
 // when cold is false.
-func New(settings Settings, cold bool) (*Server, error) {
+func New(settings Settings, warmingUp bool) (*Server, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	model := settings.scaledModel()
 	start := time.Duration(0)
-	if !cold {
+	if !warmingUp {
 		start = -model.Warming
 	}
 	emulated, err := emulator.New(model, start)
@@ -61,7 +61,7 @@
 		delivered: map[emulator.Handle]bool{},
 		changed:   make(chan struct{}),
 	}
-	s.life, s.endLife = newLife()
+	s.runContext, s.endRun = newRunContext()
 	return s, nil
 }
 
@@ -83,7 +83,7 @@
 	var background sync.WaitGroup
 	background.Go(func() { s.drive(ctx) })
 	if s.settings.Store != "" {
-		background.Go(func() { s.pushMadeParts(ctx) })
+		background.Go(func() { s.pushNewChunks(ctx) })
 	}
 	err := serve(s.Handler())
 	background.Wait()
@@ -106,7 +106,7 @@
 	served.Handle(protocol.PathEvents, events)
 	served.HandleFunc("GET "+protocol.PathReport, s.report)
 	served.HandleFunc("POST "+protocol.PathWeights, s.loadWeights)
-	served.HandleFunc("GET "+protocol.PathParts+"{hash}", s.part)
+	served.HandleFunc("GET "+protocol.PathParts+"{hash}", s.serveChunk)
 	all := http.NewServeMux()
 	all.Handle("/v1/", s.whileUp(served))
 	all.HandleFunc("GET /lab/executions", s.showExecutions)
@@ -122,17 +122,17 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		up := s.model.Up(s.clock.Now())
-		life := s.life
+		runContext := s.runContext
 		s.mutex.Unlock()
 		if !up {
 			panic(http.ErrAbortHandler)
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		stop := context.AfterFunc(life, cancel)
+		stop := context.AfterFunc(runContext, cancel)
 		defer stop()
 		next.ServeHTTP(w, r.WithContext(ctx))
-		if life.Err() != nil {
+		if runContext.Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
 	})
@@ -222,6 +222,6 @@
 	var report protocol.Report
 	s.do(func(now time.Duration) { report = s.model.Report(now) })
 	age := time.Duration(report.AgeMS) * time.Millisecond
-	report.AgeMS = emulator.WholeMilliseconds(s.clock.Real(age))
+	report.AgeMS = emulator.CeilMilliseconds(s.clock.Real(age))
 	return report
 }
--- a/internal/lab/standin/replica/server_test.go
+++ b/internal/lab/standin/replica/server_test.go
@@ -144,7 +144,7 @@
 	It("answers whole, with the echo and what was reused", func() {
 		response, body, err := one.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(standin.CheckWhole("r1", body)).To(Succeed())
+		Expect(standin.CheckComplete("r1", body)).To(Succeed())
 		Expect(response.Header.Get(protocol.HeaderAttemptID)).To(Equal("attempt-r1"))
 		Expect(response.Header.Get(protocol.HeaderWeightVersion)).To(Equal("v1"))
 		response, _, err = one.generate("r2", nil)
@@ -226,7 +226,7 @@
 		_, _, err = one.generate("r2", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(one.last().WeightVersion).To(Equal("v2"))
-		Expect(one.last().ReusedParts[0].WeightVersion).To(Equal("v1"))
+		Expect(one.last().ReusedChunks[0].WeightVersion).To(Equal("v1"))
 	})
 
 	It("breaks open answers in a crash", func() {
--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/response.go
@@ -24,22 +24,22 @@
 // EventDigest is the name of the server-sent event that carries a Digest.
 const EventDigest = "digest"
 
-// WholeAnswer is the body of an answer in one piece.
-type WholeAnswer struct {
+// CompleteResponse is the body of an answer in one piece.
+type CompleteResponse struct {
 	RequestID string `json:"request_id"`
 	Output    string `json:"output"`
 	Digest    string `json:"digest"`
 }
 
-// ChunkAnswer is the data of one event of a streamed answer.
-type ChunkAnswer struct {
+// ChunkResponse is the data of one event of a streamed answer.
+type ChunkResponse struct {
 	RequestID string `json:"request_id"`
 	Output    string `json:"output"`
 }
 
-// DigestAnswer is the data of the digest event, which precedes the end of a
+// DigestResponse is the data of the digest event, which precedes the end of a
 // streamed answer.
-type DigestAnswer struct {
+type DigestResponse struct {
 	RequestID string `json:"request_id"`
 	Digest    string `json:"digest"`
 }
@@ -67,15 +67,15 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// NewWholeAnswer returns the complete answer to a request.
-func NewWholeAnswer(requestID string, tokens uint32) WholeAnswer {
+// NewCompleteResponse returns the complete answer to a request.
+func NewCompleteResponse(requestID string, tokens uint32) CompleteResponse {
 	output := Output(requestID, 0, tokens)
-	return WholeAnswer{RequestID: requestID, Output: output, Digest: Digest(requestID, output)}
+	return CompleteResponse{RequestID: requestID, Output: output, Digest: Digest(requestID, output)}
 }
 
-// CheckWhole tells whether a body is the complete answer to a request.
-func CheckWhole(requestID string, body []byte) error {
-	var answer WholeAnswer
+// CheckComplete tells whether a body is the complete answer to a request.
+func CheckComplete(requestID string, body []byte) error {
+	var answer CompleteResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return errors.Wrap(err, "answer is cut or no answer")
 	}
@@ -101,7 +101,7 @@
 func (c *StreamCheck) Event(name, data string) {
 	switch {
 	case name == EventDigest:
-		var digest DigestAnswer
+		var digest DigestResponse
 		c.read(data, &digest)
 		c.digest = digest.Digest
 		c.owner(digest.RequestID)
@@ -109,7 +109,7 @@
 	case data == streamEnd:
 		c.ended = true
 	default:
-		var chunk ChunkAnswer
+		var chunk ChunkResponse
 		c.read(data, &chunk)
 		c.output.WriteString(chunk.Output)
 		c.owner(chunk.RequestID)
@@ -142,12 +142,12 @@
 	}
 }
 
-func check(wanted, requestID, output, digest string) error {
-	if requestID != wanted {
-		return errors.Errorf("answer of request %q came to %q", requestID, wanted)
+func check(expected, requestID, output, digest string) error {
+	if requestID != expected {
+		return errors.Errorf("answer of request %q came to %q", requestID, expected)
 	}
 	if Digest(requestID, output) != digest {
-		return errors.Errorf("answer to %q does not match its digest", wanted)
+		return errors.Errorf("answer to %q does not match its digest", expected)
 	}
 	return nil
 }
--- a/internal/lab/standin/answer_test.go
+++ b/internal/lab/standin/response_test.go
@@ -17,13 +17,13 @@
 
 var _ = Describe("answers", func() {
 	It("tells a whole answer from a cut, swapped or changed one", func() {
-		answer := standin.NewWholeAnswer("r1", 20)
+		answer := standin.NewCompleteResponse("r1", 20)
 		body := encode(answer)
-		Expect(standin.CheckWhole("r1", []byte(body))).To(Succeed())
-		Expect(standin.CheckWhole("r1", []byte(body[:len(body)-10]))).NotTo(Succeed())
-		Expect(standin.CheckWhole("r2", []byte(body))).NotTo(Succeed())
+		Expect(standin.CheckComplete("r1", []byte(body))).To(Succeed())
+		Expect(standin.CheckComplete("r1", []byte(body[:len(body)-10]))).NotTo(Succeed())
+		Expect(standin.CheckComplete("r2", []byte(body))).NotTo(Succeed())
 		answer.Output = answer.Output[:8]
-		Expect(standin.CheckWhole("r1", []byte(encode(answer)))).NotTo(Succeed())
+		Expect(standin.CheckComplete("r1", []byte(encode(answer)))).NotTo(Succeed())
 	})
 
 	It("joins chunks to the whole output", func() {
@@ -34,9 +34,9 @@
 	Describe("StreamCheck", func() {
 		var check *standin.StreamCheck
 		chunk := func(id string, first, end uint32) string {
-			return encode(standin.ChunkAnswer{RequestID: id, Output: standin.Output("r1", first, end)})
+			return encode(standin.ChunkResponse{RequestID: id, Output: standin.Output("r1", first, end)})
 		}
-		digest := encode(standin.DigestAnswer{RequestID: "r1", Digest: standin.Digest("r1", standin.Output("r1", 0, 16))})
+		digest := encode(standin.DigestResponse{RequestID: "r1", Digest: standin.Digest("r1", standin.Output("r1", 0, 16))})
 		BeforeEach(func() { check = standin.NewStreamCheck("r1") })
 
 		It("accepts a complete stream", func() {
--- a/internal/lab/standin/store/server.go
+++ b/internal/lab/standin/store/server.go
@@ -130,38 +130,38 @@
 		return
 	}
 	s.mutex.Lock()
-	part, kept := s.model.Get(hash)
+	chunk, kept := s.model.Get(hash)
 	s.mutex.Unlock()
 	if !kept {
 		standin.WriteJSON(w, http.StatusNotFound, standin.Problem{Kind: "not_kept", Message: "the part is not kept here; compute it"})
 		return
 	}
-	if s.transfer(r, part) == nil {
-		standin.WriteJSON(w, http.StatusOK, part)
+	if s.transfer(r, chunk) == nil {
+		standin.WriteJSON(w, http.StatusOK, chunk)
 	}
 }
 
 // put keeps a part that a replica pushes.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	var part emulator.KeptPart
-	if !standin.ReadJSON(w, r, &part) {
+	var chunk emulator.CachedChunk
+	if !standin.ReadJSON(w, r, &chunk) {
 		return
 	}
-	if emulator.FormatHash(part.Hash) != r.PathValue("hash") || part.Tokens == 0 {
+	if emulator.FormatHash(chunk.Hash) != r.PathValue("hash") || chunk.Tokens == 0 {
 		standin.WriteJSON(w, http.StatusBadRequest, standin.Problem{Kind: "bad_part", Message: "the part must bear the name in the path and a positive length"})
 		return
 	}
-	if s.transfer(r, part) != nil {
+	if s.transfer(r, chunk) != nil {
 		return
 	}
-	s.change(func() { s.model.Put(part) })
+	s.change(func() { s.model.Put(chunk) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) transfer(r *http.Request, part emulator.KeptPart) error {
+func (s *Server) transfer(r *http.Request, chunk emulator.CachedChunk) error {
 	links := s.settings.Links
 	links.Slowdown = s.faults.Current().SlowLink
-	span := links.TransferTime(s.settings.Zone, r.Header.Get(standin.HeaderZone), uint64(part.Tokens))
+	span := links.TransferTime(s.settings.Zone, r.Header.Get(standin.HeaderZone), uint64(chunk.Tokens))
 	return standin.Wait(r.Context(), s.clock.Real(span))
 }
 
--- a/internal/lab/standin/store/server_test.go
+++ b/internal/lab/standin/store/server_test.go
@@ -17,7 +17,7 @@
 )
 
 var _ = Describe("Server", func() {
-	part := emulator.KeptPart{Hash: 0xab, Parent: 0xaa, Tokens: 50, Tenant: "t", WeightVersion: "v1"}
+	part := emulator.CachedChunk{Hash: 0xab, Parent: 0xaa, Tokens: 50, Tenant: "t", WeightVersion: "v1"}
 	var server *store.Server
 	call := func(method, path, body string) *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -129,7 +129,7 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	if _, err := standin.NewCutWriter(w, fate).Write(body); err == nil {
+	if _, err := standin.NewTruncatingWriter(w, fate).Write(body); err == nil {
 		s.end(visit, func() { visit.Delivered = true })
 	}
 }
@@ -154,10 +154,10 @@
 	return visit
 }
 
-func (s *Server) end(visit *VisitRecord, note func()) {
+func (s *Server) end(visit *VisitRecord, update func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	note()
+	update()
 	visit.FinishedUnixNano = s.now()
 }
 
--- a/internal/lab/workload/dossier.go
+++ b/internal/lab/workload/dossier.go
@@ -80,5 +80,5 @@
 }
 
 func (s span) draw(random *rand.Rand) uint32 {
-	return s.least + random.Uint32N(s.most-s.least+1)
+	return s.min + random.Uint32N(s.max-s.min+1)
 }
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -94,7 +94,7 @@
 	return Request{
 		Kind:         activity.kind,
 		Tenant:       tenant,
-		Parts:        g.prompt(activity, tenant, documents),
+		Chunks:       g.prompt(activity, tenant, documents),
 		OutputTokens: activity.output.draw(g.random),
 		Streamed:     streamed,
 		Repeatable:   !(streamed && unrepeatable),
@@ -124,10 +124,10 @@
 func (g *Generator) pickActivity() int {
 	at := g.random.Float64()
 	for position, activity := range g.mix.activities {
-		if at < activity.share {
+		if at < activity.fraction {
 			return position
 		}
-		at -= activity.share
+		at -= activity.fraction
 	}
 	return len(g.mix.activities) - 1
 }
@@ -135,10 +135,10 @@
 func (g *Generator) pickTenant() string {
 	at := g.random.Float64()
 	for _, tenant := range g.mix.Tenants {
-		if at < tenant.Share {
+		if at < tenant.Fraction {
 			return tenant.Name
 		}
-		at -= tenant.Share
+		at -= tenant.Fraction
 	}
 	return g.mix.Tenants[len(g.mix.Tenants)-1].Name
 }
--- a/internal/lab/workload/generator_test.go
+++ b/internal/lab/workload/generator_test.go
@@ -30,7 +30,7 @@
 // meanShared returns the mean length of prompts without the callers' own words.
 func meanShared(requests []workload.Request) uint64 {
 	return lo.MeanBy(requests, func(request workload.Request) uint64 {
-		return request.PromptTokens() - uint64(request.Parts[len(request.Parts)-1].Tokens)
+		return request.PromptTokens() - uint64(request.Chunks[len(request.Chunks)-1].Tokens)
 	})
 }
 
@@ -54,7 +54,7 @@
 		Entry("Lakeshore", workload.LakeshoreMix()))
 
 	DescribeTable("has shares that make a whole", func(mix workload.Mix) {
-		total := lo.SumBy(mix.Tenants, func(tenant workload.Tenant) float64 { return tenant.Share })
+		total := lo.SumBy(mix.Tenants, func(tenant workload.Tenant) float64 { return tenant.Fraction })
 		Expect(total).To(BeNumerically("~", 1, 1e-9))
 		Expect(mix.Tenants).To(HaveLen(8))
 	},
@@ -79,8 +79,8 @@
 
 	It("ends a prompt with words of its own, after parts that others share", func() {
 		summaries := ofKind(stream(workload.HivatalMix(), 1), workload.KindCaseSummary)
-		lasts := lo.Map(summaries, func(request workload.Request, _ int) string { return request.Parts[len(request.Parts)-1].ID })
-		firsts := lo.Map(summaries, func(request workload.Request, _ int) string { return request.Parts[2].ID })
+		lasts := lo.Map(summaries, func(request workload.Request, _ int) string { return request.Chunks[len(request.Chunks)-1].ID })
+		firsts := lo.Map(summaries, func(request workload.Request, _ int) string { return request.Chunks[2].ID })
 		Expect(lo.Uniq(lasts)).To(HaveLen(len(summaries)))
 		Expect(len(lo.Uniq(firsts))).To(BeNumerically("<", len(summaries)*3/4))
 	})
--- a/internal/lab/workload/mix.go
+++ b/internal/lab/workload/mix.go
@@ -30,8 +30,8 @@
 
 // span is a range of sizes, both ends included.
 type span struct {
-	least uint32
-	most  uint32
+	min uint32
+	max uint32
 }
 
 // activity is one kind of model request. Its prompt is the system prompt, the
@@ -39,8 +39,8 @@
 // caller's own text.
 type activity struct {
 	kind Kind
-	// share is the activity's share of the model requests.
-	share float64
+	// fraction is the activity's share of the model requests.
+	fraction float64
 	// instructions is the length of what a tenant tells the model each time.
 	instructions uint32
 	dossiers     dossierPlan
@@ -101,26 +101,26 @@
 	return Mix{
 		Name: Hivatal,
 		Tenants: []Tenant{
-			{Name: "civil-court", Share: 0.30},
-			{Name: "criminal-court", Share: 0.26},
-			{Name: "appeal-court", Share: 0.16},
-			{Name: "labour-court", Share: 0.07},
-			{Name: "land-registry", Share: 0.06},
-			{Name: "prosecution", Share: 0.06, Walled: true},
-			{Name: "legal-aid", Share: 0.05},
-			{Name: "bar-chamber", Share: 0.04, Walled: true},
+			{Name: "civil-court", Fraction: 0.30},
+			{Name: "criminal-court", Fraction: 0.26},
+			{Name: "appeal-court", Fraction: 0.16},
+			{Name: "labour-court", Fraction: 0.07},
+			{Name: "land-registry", Fraction: 0.06},
+			{Name: "prosecution", Fraction: 0.06, Walled: true},
+			{Name: "legal-aid", Fraction: 0.05},
+			{Name: "bar-chamber", Fraction: 0.04, Walled: true},
 		},
 		ModelRate:    8,
 		WebRate:      14,
 		systemTokens: 1000,
 		activities: []activity{
 			{
-				kind: KindTagging, share: 0.60, instructions: 3000,
+				kind: KindTagging, fraction: 0.60, instructions: 3000,
 				text: span{500, 1500}, output: span{16, 40},
 				deadline: 20 * time.Second,
 			},
 			{
-				kind: KindCaseSummary, share: 0.15, instructions: 2500,
+				kind: KindCaseSummary, fraction: 0.15, instructions: 2500,
 				dossiers: dossierPlan{
 					active: 160, documents: span{3, 12}, tokens: span{2000, 6000},
 					skew: 0.7, turnover: 1.0 / 30, growth: 0.05,
@@ -129,7 +129,7 @@
 				streamed: 0.8, unrepeatable: 0.4, deadline: 60 * time.Second,
 			},
 			{
-				kind: KindHearingNotice, share: 0.25, instructions: 4000,
+				kind: KindHearingNotice, fraction: 0.25, instructions: 4000,
 				dossiers: dossierPlan{
 					active: 24, documents: span{1, 1}, tokens: span{2000, 4000},
 					skew: 0.5, turnover: 1.0 / 200, growth: 0,
@@ -153,21 +153,21 @@
 	return Mix{
 		Name: Lakeshore,
 		Tenants: []Tenant{
-			{Name: "north-high", Share: 0.24},
-			{Name: "south-high", Share: 0.22},
-			{Name: "night-batch", Share: 0.20},
-			{Name: "elementary", Share: 0.12},
-			{Name: "vocational", Share: 0.08},
-			{Name: "registrars", Share: 0.06},
-			{Name: "principals", Share: 0.05, Walled: true},
-			{Name: "school-board", Share: 0.03, Walled: true},
+			{Name: "north-high", Fraction: 0.24},
+			{Name: "south-high", Fraction: 0.22},
+			{Name: "night-batch", Fraction: 0.20},
+			{Name: "elementary", Fraction: 0.12},
+			{Name: "vocational", Fraction: 0.08},
+			{Name: "registrars", Fraction: 0.06},
+			{Name: "principals", Fraction: 0.05, Walled: true},
+			{Name: "school-board", Fraction: 0.03, Walled: true},
 		},
 		ModelRate:    4,
 		WebRate:      9,
 		systemTokens: 800,
 		activities: []activity{
 			{
-				kind: KindRoomClash, share: 0.50, instructions: 1500,
+				kind: KindRoomClash, fraction: 0.50, instructions: 1500,
 				dossiers: dossierPlan{
 					active: 60, documents: span{1, 3}, tokens: span{1500, 3000},
 					skew: 0.6, turnover: 1.0 / 60, growth: 0.02,
@@ -176,7 +176,7 @@
 				deadline: 8 * time.Second,
 			},
 			{
-				kind: KindTermGrid, share: 0.15, instructions: 2500,
+				kind: KindTermGrid, fraction: 0.15, instructions: 2500,
 				dossiers: dossierPlan{
 					active: 80, documents: span{3, 8}, tokens: span{2000, 5000},
 					skew: 0.6, turnover: 1.0 / 25, growth: 0.05,
@@ -185,7 +185,7 @@
 				streamed: 0.5, unrepeatable: 0.4, deadline: 25 * time.Second,
 			},
 			{
-				kind: KindTeacherAudit, share: 0.20, instructions: 2000,
+				kind: KindTeacherAudit, fraction: 0.20, instructions: 2000,
 				dossiers: dossierPlan{
 					active: 50, documents: span{2, 5}, tokens: span{2000, 4000},
 					skew: 0.6, turnover: 1.0 / 30, growth: 0.03,
@@ -194,7 +194,7 @@
 				streamed: 0.2, unrepeatable: 0.2, deadline: 15 * time.Second,
 			},
 			{
-				kind: KindBatchDraft, share: 0.15, instructions: 2500,
+				kind: KindBatchDraft, fraction: 0.15, instructions: 2500,
 				dossiers: dossierPlan{
 					active: 60, documents: span{3, 8}, tokens: span{2000, 5000},
 					skew: 0.3, turnover: 1.0 / 20, growth: 0,
--- a/internal/lab/workload/request.go
+++ b/internal/lab/workload/request.go
@@ -37,7 +37,7 @@
 	Web  bool
 	Path string
 
-	Parts        []prefixindex.Chunk
+	Chunks       []prefixindex.Chunk
 	OutputTokens uint32
 	Streamed     bool
 	// Repeatable tells that the request may run twice.
@@ -49,7 +49,7 @@
 // PromptTokens returns the length of the prompt.
 func (r Request) PromptTokens() uint64 {
 	var tokens uint64
-	for _, part := range r.Parts {
+	for _, part := range r.Chunks {
 		tokens += uint64(part.Tokens)
 	}
 	return tokens
@@ -58,7 +58,7 @@
 // Tenant is a tenant of a mix.
 type Tenant struct {
 	Name string
-	// Share is the tenant's share of the model requests; all shares make 1.
-	Share  float64
-	Walled bool
+	// Fraction is the tenant's share of the model requests; all shares make 1.
+	Fraction float64
+	Walled   bool
 }
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -16,26 +16,26 @@
 func Commands() []*cli.Command {
 	commands := []*cli.Command{configCommand()}
 	for _, call := range lo.Must(schema.Calls()) {
-		words := strings.Fields(call.Binding.GetVerb())
-		commands = addVerb(commands, words, call)
+		verbs := strings.Fields(call.Binding.GetVerb())
+		commands = addVerb(commands, verbs, call)
 	}
 	return commands
 }
 
 // addVerb adds a call under its words; calls whose verbs begin with the same
 // word share a command.
-func addVerb(commands []*cli.Command, words []string, call schema.Call) []*cli.Command {
-	if len(words) == 1 {
-		return append(commands, verbCommand(words[0], call))
+func addVerb(commands []*cli.Command, verbs []string, call schema.Call) []*cli.Command {
+	if len(verbs) == 1 {
+		return append(commands, verbCommand(verbs[0], call))
 	}
 	parent, found := lo.Find(commands, func(command *cli.Command) bool {
-		return command.Name == words[0]
+		return command.Name == verbs[0]
 	})
 	if !found {
-		parent = &cli.Command{Name: words[0], Usage: "calls of " + string(call.Method.Parent().Name())}
+		parent = &cli.Command{Name: verbs[0], Usage: "calls of " + string(call.Method.Parent().Name())}
 		commands = append(commands, parent)
 	}
-	parent.Commands = addVerb(parent.Commands, words[1:], call)
+	parent.Commands = addVerb(parent.Commands, verbs[1:], call)
 	return commands
 }
 
@@ -73,7 +73,7 @@
 		return err
 	}
 	if orderID != "" {
-		printer.note("order-id: " + orderID)
+		printer.printMessage("order-id: " + orderID)
 	}
 	client := newClient(command.StringSlice(flagNode), command.Duration(flagTimeout))
 	answer, err := client.send(ctx, call, request)
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -29,11 +29,11 @@
 	response protoreflect.MessageDescriptor
 	table    bool
 	out      io.Writer
-	notes    io.Writer
+	messages io.Writer
 }
 
 func newPrinter(command *cli.Command, response protoreflect.MessageDescriptor) (*printer, error) {
-	p := &printer{response: response, out: command.Root().Writer, notes: command.Root().ErrWriter}
+	p := &printer{response: response, out: command.Root().Writer, messages: command.Root().ErrWriter}
 	if !isTabular(response) {
 		return p, nil
 	}
@@ -48,9 +48,9 @@
 	}
 }
 
-// note prints a line that is not part of the answer.
-func (p *printer) note(line string) {
-	_, _ = fmt.Fprintln(p.notes, line)
+// printMessage prints a line that is not part of the answer.
+func (p *printer) printMessage(text string) {
+	_, _ = fmt.Fprintln(p.messages, text)
 }
 
 // print prints the JSON of a response message.
@@ -89,13 +89,13 @@
 }
 
 // writeRows writes one table with a row for each element of a list.
-func writeRows(writer io.Writer, list protoreflect.FieldDescriptor, rows protoreflect.List) {
-	columns := fieldsOf(list.Message())
+func writeRows(writer io.Writer, field protoreflect.FieldDescriptor, rows protoreflect.List) {
+	columns := fieldsOf(field.Message())
 	headings := make([]string, 0, len(columns))
 	for _, column := range columns {
 		headings = append(headings, strings.ToUpper(string(column.Name())))
 	}
-	_, _ = fmt.Fprintf(writer, "\n%s\n%s\n", list.Name(), strings.Join(headings, "\t"))
+	_, _ = fmt.Fprintf(writer, "\n%s\n%s\n", field.Name(), strings.Join(headings, "\t"))
 	for i := range rows.Len() {
 		cells := make([]string, 0, len(columns))
 		for _, column := range columns {
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -32,11 +32,11 @@
 		nodes := byRevision[revisions[0]]
 		return check{"revisions", resultOK, fmt.Sprintf("%d on all %d that answered", revisions[0], len(nodes))}
 	}
-	var parts []string
+	var groups []string
 	for _, revision := range revisions {
-		parts = append(parts, fmt.Sprintf("%d on %s", revision, listed(byRevision[revision])))
+		groups = append(groups, fmt.Sprintf("%d on %s", revision, joinNames(byRevision[revision])))
 	}
-	return check{"revisions", resultAttention, strings.Join(shortened(parts), "; ")}
+	return check{"revisions", resultAttention, strings.Join(shortened(groups), "; ")}
 }
 
 // checkRollOuts names the pools that do not serve their weight version on every
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -31,8 +31,8 @@
 // phaseServing is the phase of a replica that takes requests.
 const phaseServing = "serving"
 
-// maxListed bounds the names that a line of the summary holds.
-const maxListed = 8
+// maxNames bounds the names that a line of the summary holds.
+const maxNames = 8
 
 // check is one line of the summary.
 type check struct {
@@ -143,7 +143,7 @@
 	for _, state := range []string{"fenced", stateSuspect, "unknown"} {
 		if len(byState[state]) > 0 {
 			made.result = resultAttention
-			made.detail += "; " + state + ": " + listed(lo.Map(byState[state], nodeOfMember))
+			made.detail += "; " + state + ": " + joinNames(lo.Map(byState[state], nodeOfMember))
 		}
 	}
 	return made
@@ -169,11 +169,11 @@
 	made := check{"traffic", resultOK, fmt.Sprintf("%d of %d live members serve", len(s.answers)-len(refusing)-len(silent), len(s.answers))}
 	if len(refusing) > 0 {
 		made.result = resultAttention
-		made.detail += "; refusing: " + listed(refusing)
+		made.detail += "; refusing: " + joinNames(refusing)
 	}
 	if len(silent) > 0 {
 		made.result = resultAttention
-		made.detail += "; no answer: " + listed(silent)
+		made.detail += "; no answer: " + joinNames(silent)
 	}
 	return made
 }
@@ -191,14 +191,14 @@
 
 func nodeOfMember(member *ridgeswitchv1.MemberStatus, _ int) string { return member.GetNode() }
 
-// listed joins names, of which there may be very many.
-func listed(names []string) string {
+// joinNames joins names, of which there may be very many.
+func joinNames(names []string) string {
 	return strings.Join(shortened(names), ", ")
 }
 
 func shortened(texts []string) []string {
-	if len(texts) <= maxListed {
+	if len(texts) <= maxNames {
 		return texts
 	}
-	return append(texts[:maxListed:maxListed], fmt.Sprintf("and %d more", len(texts)-maxListed))
+	return append(texts[:maxNames:maxNames], fmt.Sprintf("and %d more", len(texts)-maxNames))
 }
--- a/internal/replay/exampleday/generate.go
+++ b/internal/replay/exampleday/generate.go
@@ -137,7 +137,7 @@
 		return record
 	}
 	record.Host, record.Pool, record.Model = pool.host, pool.name, pool.model
-	record.Parts = recording.Parts(request.Parts)
+	record.Chunks = recording.Chunks(request.Chunks)
 	return record
 }
 
--- a/internal/replay/player/answer.go
+++ b/internal/replay/player/answer.go
@@ -37,7 +37,7 @@
 	_, err := io.Copy(tail, response.Body)
 	result.FirstToken = tail.first
 	if err != nil || isStream(response) && !tail.properEnd() {
-		result.Outcome = recording.Cut
+		result.Outcome = recording.Truncated
 	}
 	return result
 }
@@ -80,12 +80,12 @@
 func readProblem(response *http.Response) Result {
 	result := Result{Outcome: recording.Refused, Problem: problemUntyped}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxProblemBytes))
-	var told problem
-	if err != nil || json.Unmarshal(data, &told) != nil || told.Kind == "" {
+	var received problem
+	if err != nil || json.Unmarshal(data, &received) != nil || received.Kind == "" {
 		return result
 	}
-	result.Problem = told.Kind
-	result.Certain = told.MayHaveRun != nil && !*told.MayHaveRun
+	result.Problem = received.Kind
+	result.Certain = received.MayHaveRun != nil && !*received.MayHaveRun
 	if seconds, err := strconv.ParseUint(response.Header.Get(caller.HeaderRetryAfter), 10, 16); err == nil {
 		result.RetryAfter = time.Duration(seconds) * time.Second
 	}
--- a/internal/replay/player/emulator.go
+++ b/internal/replay/player/emulator.go
@@ -64,7 +64,7 @@
 			At:           selection.due(record),
 			ID:           strconv.Itoa(position),
 			Tenant:       record.Tenant,
-			Parts:        record.Prompt(),
+			Chunks:       record.Prompt(),
 			OutputTokens: record.OutputTokens,
 			Streamed:     record.Streamed,
 			Repeatable:   record.Repeatable,
--- a/internal/replay/player/fleet.go
+++ b/internal/replay/player/fleet.go
@@ -106,7 +106,7 @@
 			return readAnswer(response, began)
 		}
 		if !isDialError(err) {
-			return Result{Outcome: recording.Cut}
+			return Result{Outcome: recording.Truncated}
 		}
 	}
 	return Result{Outcome: recording.Refused, Problem: problemUnreachable}
--- a/internal/replay/player/fleet_test.go
+++ b/internal/replay/player/fleet_test.go
@@ -23,7 +23,7 @@
 	defer fleet.Close()
 	return fleet.Send(context.Background(), player.Attempt{Record: recording.Record{
 		Tenant: "court", Host: "models.example",
-		Pool: "cases", Model: "large", Parts: []recording.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
+		Pool: "cases", Model: "large", Chunks: []recording.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
 		OutputTokens: 9, Repeatable: true, Streamed: true, DeadlineMS: 2500,
 	}})
 }
@@ -87,8 +87,8 @@
 	})
 
 	It("counts a stream without its end as cut, and a lost connection as well", func() {
-		Expect(send(node(streaming("data: x\n\n"))).Outcome).To(Equal(recording.Cut))
-		Expect(send(node(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })).Outcome).To(Equal(recording.Cut))
+		Expect(send(node(streaming("data: x\n\n"))).Outcome).To(Equal(recording.Truncated))
+		Expect(send(node(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })).Outcome).To(Equal(recording.Truncated))
 	})
 
 	DescribeTable("reads refusals", func(body string, kind string, certain bool) {
--- a/internal/replay/player/play_test.go
+++ b/internal/replay/player/play_test.go
@@ -143,7 +143,7 @@
 	},
 		Entry("may have run", player.Result{Outcome: recording.Refused, RetryAfter: time.Second}),
 		Entry("not told when", player.Result{Outcome: recording.Refused, Certain: true}),
-		Entry("cut", player.Result{Outcome: recording.Cut, Certain: true, RetryAfter: time.Second}))
+		Entry("cut", player.Result{Outcome: recording.Truncated, Certain: true, RetryAfter: time.Second}))
 
 	It("skips tenants without a key and fetches that must not run twice", func() {
 		records := at(0, 1, 2)
--- a/internal/replay/plot/plot.go
+++ b/internal/replay/plot/plot.go
@@ -57,17 +57,17 @@
 	top, step := niceTop(largest)
 	d := &drawing{}
 	d.open(l.Title, l.Unit)
-	d.verticalMarks(top, step)
+	d.verticalTicks(top, step)
 	for position, label := range l.Labels {
-		share := 0.0
+		fraction := 0.0
 		if len(l.Labels) > 1 {
-			share = float64(position) / float64(len(l.Labels)-1)
+			fraction = float64(position) / float64(len(l.Labels)-1)
 		}
-		d.text(plotX(share), plotY(0)+18, "middle", "mark", label)
+		d.text(plotX(fraction), plotY(0)+18, "middle", "mark", label)
 	}
 	for position, series := range l.Series {
 		colour := colours[position%len(colours)]
-		d.line(series.Values, top, colour)
+		d.polyline(series.Values, top, colour)
 		d.legend(len(l.Series)-position, series.Name, colour)
 	}
 	return d.close()
@@ -83,7 +83,7 @@
 	top, step := niceTop(largest)
 	d := &drawing{}
 	d.open(b.Title, b.Unit)
-	d.verticalMarks(top, step)
+	d.verticalTicks(top, step)
 	slot := 1 / float64(max(len(b.Bars), 1))
 	for position, bar := range b.Bars {
 		left, right := plotX((float64(position)+0.1)*slot), plotX((float64(position)+0.9)*slot)
@@ -130,7 +130,7 @@
 	d.printf(`<text x="%.1f" y="%.1f" text-anchor="%s" class="%s">%s</text>`, x, y, anchor, class, html.EscapeString(text))
 }
 
-func (d *drawing) verticalMarks(top, step float64) {
+func (d *drawing) verticalTicks(top, step float64) {
 	for count := 0; float64(count)*step <= top*(1+1e-9); count++ {
 		value := float64(count) * step
 		y := plotY(value / top)
@@ -139,9 +139,9 @@
 	}
 }
 
-// line draws the runs of values between gaps. A value without neighbours is a
+// polyline draws the runs of values between gaps. A value without neighbours is a
 // dot.
-func (d *drawing) line(values []float64, top float64, colour string) {
+func (d *drawing) polyline(values []float64, top float64, colour string) {
 	var run []string
 	finish := func() {
 		if len(run) == 1 {
@@ -157,16 +157,16 @@
 			finish()
 			continue
 		}
-		share := (float64(position) + 0.5) / float64(len(values))
-		run = append(run, fmt.Sprintf("%.1f,%.1f", plotX(share), plotY(value/top)))
+		fraction := (float64(position) + 0.5) / float64(len(values))
+		run = append(run, fmt.Sprintf("%.1f,%.1f", plotX(fraction), plotY(value/top)))
 	}
 	finish()
 }
 
 // legend names a line, in a place counted from the right edge.
-func (d *drawing) legend(place int, name, colour string) {
+func (d *drawing) legend(row int, name, colour string) {
 	const slot = 110.0
-	x := width - marginRight - slot*float64(place)
+	x := width - marginRight - slot*float64(row)
 	d.printf(`<line x1="%.1f" y1="14" x2="%.1f" y2="14" stroke="%s" stroke-width="3"/>`, x, x+18, colour)
 	d.text(x+24, 18, "start", "mark", name)
 }
--- a/internal/replay/plot/scale.go
+++ b/internal/replay/plot/scale.go
@@ -37,13 +37,13 @@
 }
 
 // plotX returns the place of a share of the horizontal axis, from 0 to 1.
-func plotX(share float64) float64 {
-	return marginLeft + share*(width-marginLeft-marginRight)
+func plotX(fraction float64) float64 {
+	return marginLeft + fraction*(width-marginLeft-marginRight)
 }
 
 // plotY returns the place of a share of the vertical axis, from 0 to 1.
-func plotY(share float64) float64 {
-	return height - marginBottom - share*(height-marginTop-marginBottom)
+func plotY(fraction float64) float64 {
+	return height - marginBottom - fraction*(height-marginTop-marginBottom)
 }
 
 // number writes a mark's value as short as it can be.
--- a/internal/replay/recording/check.go
+++ b/internal/replay/recording/check.go
@@ -27,12 +27,12 @@
 	if err := r.checkOutcome(); err != nil {
 		return err
 	}
-	return r.checkParts()
+	return r.checkChunks()
 }
 
 func (r Record) checkOutcome() error {
 	switch r.Outcome {
-	case Answered, Cut, Left:
+	case Answered, Truncated, Left:
 		return nil
 	case Refused:
 		if r.Problem == "" {
@@ -43,17 +43,17 @@
 	return errors.Errorf("outcome %q is unknown", r.Outcome)
 }
 
-// checkParts keeps to what a caller may send, since the parts become a header.
-func (r Record) checkParts() error {
-	if len(r.Parts) > caller.MaxParts {
+// checkChunks keeps to what a caller may send, since the parts become a header.
+func (r Record) checkChunks() error {
+	if len(r.Chunks) > caller.MaxParts {
 		return errors.Errorf("there are more than %d parts", caller.MaxParts)
 	}
-	for _, part := range r.Parts {
-		if part.ID == "" || len(part.ID) > caller.MaxPartIDBytes || strings.IndexFunc(part.ID, notPlain) >= 0 {
-			return errors.Errorf("the part name %q holds more than letters, digits, '.', '_' and '-'", part.ID)
+	for _, chunk := range r.Chunks {
+		if chunk.ID == "" || len(chunk.ID) > caller.MaxPartIDBytes || strings.IndexFunc(chunk.ID, notPlain) >= 0 {
+			return errors.Errorf("the part name %q holds more than letters, digits, '.', '_' and '-'", chunk.ID)
 		}
-		if part.Tokens == 0 || part.Tokens > caller.MaxPartTokens {
-			return errors.Errorf("the part %q has %d tokens; 1 to %d are possible", part.ID, part.Tokens, caller.MaxPartTokens)
+		if chunk.Tokens == 0 || chunk.Tokens > caller.MaxPartTokens {
+			return errors.Errorf("the part %q has %d tokens; 1 to %d are possible", chunk.ID, chunk.Tokens, caller.MaxPartTokens)
 		}
 	}
 	if r.PromptTokens() > caller.MaxPromptTokens {
--- a/internal/replay/recording/reader.go
+++ b/internal/replay/recording/reader.go
@@ -60,8 +60,8 @@
 	return reader.day()
 }
 
-// placed is a record with the time of its arrival.
-type placed struct {
+// arrivals is a record with the time of its arrival.
+type arrival struct {
 	at     time.Time
 	record Record
 }
@@ -76,16 +76,16 @@
 	// skipping is set below a header of an unknown version.
 	skipping bool
 	started  time.Time
-	placed   []placed
+	arrivals []arrival
 	dropped  int64
 	faults   Faults
 }
 
 func (r *reader) readAll() error {
 	for {
-		line, err := r.readLine()
-		if line = bytes.TrimSpace(line); len(line) > 0 {
-			r.take(line)
+		text, err := r.readLine()
+		if text = bytes.TrimSpace(text); len(text) > 0 {
+			r.parseLine(text)
 		}
 		switch {
 		case err == nil:
@@ -103,63 +103,63 @@
 // readLine returns the next line without its end. A line that is too long is
 // counted, skipped and returned as an empty one.
 func (r *reader) readLine() ([]byte, error) {
-	var line []byte
+	var text []byte
 	tooLong := false
 	for {
-		piece, err := r.source.ReadSlice('\n')
-		if len(line)+len(piece) > MaxLineBytes {
+		fragment, err := r.source.ReadSlice('\n')
+		if len(text)+len(fragment) > MaxLineBytes {
 			tooLong = true
-			line = nil
+			text = nil
 		}
 		if !tooLong {
-			line = append(line, piece...)
+			text = append(text, fragment...)
 		}
 		if err == bufio.ErrBufferFull {
 			continue
 		}
-		if err == nil || len(line) > 0 || tooLong {
+		if err == nil || len(text) > 0 || tooLong {
 			r.line++
 		}
 		if tooLong {
 			r.faults.add(r.line, FaultTooLong, fmt.Sprintf("the line has more than %d bytes", MaxLineBytes))
 			return nil, err
 		}
-		return line, err
+		return text, err
 	}
 }
 
-// kinds has the fields by which the kinds of lines differ.
-type kinds struct {
+// recordKind has the fields by which the kinds of lines differ.
+type recordKind struct {
 	Format  *string `json:"format"`
 	Dropped *int64  `json:"dropped"`
 }
 
-// take uses one line.
-func (r *reader) take(line []byte) {
-	var kind kinds
-	if err := json.Unmarshal(line, &kind); err != nil {
-		r.fault(syntaxFault(line), err)
+// parseLine uses one line.
+func (r *reader) parseLine(text []byte) {
+	var kind recordKind
+	if err := json.Unmarshal(text, &kind); err != nil {
+		r.fault(syntaxFault(text), err)
 		return
 	}
 	switch {
 	case kind.Format != nil:
-		r.takeHeader(line)
+		r.parseHeader(text)
 	case r.skipping:
 		r.fault(FaultVersion, errors.New("the line follows a header of an unknown version"))
 	case r.header == nil:
 		r.fault(FaultInvalid, errors.New("the line comes before any header"))
 	case kind.Dropped != nil:
-		r.takeDropped(line)
+		r.parseDropped(text)
 	default:
-		r.takeRecord(line)
+		r.parseRecord(text)
 	}
 }
 
 // syntaxFault tells a line that ends before its JSON does from one that was
 // never JSON.
-func syntaxFault(line []byte) FaultKind {
+func syntaxFault(text []byte) FaultKind {
 	var value json.RawMessage
-	if err := json.NewDecoder(bytes.NewReader(line)).Decode(&value); err == io.ErrUnexpectedEOF {
+	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&value); err == io.ErrUnexpectedEOF {
 		return FaultTorn
 	}
 	return FaultInvalid
@@ -169,7 +169,7 @@
 	r.faults.add(r.line, kind, err.Error())
 }
 
-func (r *reader) takeHeader(line []byte) {
+func (r *reader) parseHeader(text []byte) {
 	r.header = nil
 	r.skipping = true
 	// The version comes first: a later one may have other fields.
@@ -177,7 +177,7 @@
 		Format  string `json:"format"`
 		Version int    `json:"version"`
 	}
-	if err := json.Unmarshal(line, &announced); err != nil {
+	if err := json.Unmarshal(text, &announced); err != nil {
 		r.fault(FaultInvalid, err)
 		return
 	}
@@ -187,7 +187,7 @@
 		return
 	}
 	var header Header
-	if err := strictly(line, &header); err != nil {
+	if err := decodeStrictly(text, &header); err != nil {
 		r.fault(FaultInvalid, err)
 		return
 	}
@@ -202,22 +202,22 @@
 	}
 }
 
-func (r *reader) takeDropped(line []byte) {
-	var note Dropped
-	if err := strictly(line, &note); err != nil {
+func (r *reader) parseDropped(text []byte) {
+	var dropped Dropped
+	if err := decodeStrictly(text, &dropped); err != nil {
 		r.fault(FaultInvalid, err)
 		return
 	}
-	if note.Dropped <= 0 {
+	if dropped.Dropped <= 0 {
 		r.fault(FaultInvalid, errors.New("dropped must be positive"))
 		return
 	}
-	r.dropped += note.Dropped
+	r.dropped += dropped.Dropped
 }
 
-func (r *reader) takeRecord(line []byte) {
+func (r *reader) parseRecord(text []byte) {
 	var record Record
-	if err := strictly(line, &record); err != nil {
+	if err := decodeStrictly(text, &record); err != nil {
 		r.fault(FaultInvalid, err)
 		return
 	}
@@ -226,24 +226,24 @@
 		return
 	}
 	at := r.header.Started.Add(time.Duration(record.AtUS) * time.Microsecond)
-	r.placed = append(r.placed, placed{at: at, record: record})
+	r.arrivals = append(r.arrivals, arrival{at: at, record: record})
 }
 
-// strictly decodes a line and refuses fields that the version does not have.
-func strictly(line []byte, into any) error {
-	decoder := json.NewDecoder(bytes.NewReader(line))
+// decodeStrictly decodes a line and refuses fields that the version does not have.
+func decodeStrictly(text []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(into)
 }
 
 // day puts the records of all headers in the order of their arrival.
 func (r *reader) day() (*Day, error) {
-	if len(r.placed) == 0 {
+	if len(r.arrivals) == 0 {
 		return nil, &EmptyError{Lines: r.line, Faults: r.faults}
 	}
-	slices.SortStableFunc(r.placed, func(a, b placed) int { return cmp.Compare(a.at.UnixMicro(), b.at.UnixMicro()) })
+	slices.SortStableFunc(r.arrivals, func(a, b arrival) int { return cmp.Compare(a.at.UnixMicro(), b.at.UnixMicro()) })
 	day := &Day{Started: r.started, Dropped: r.dropped, Faults: r.faults}
-	for _, each := range r.placed {
+	for _, each := range r.arrivals {
 		each.record.AtUS = each.at.Sub(r.started).Microseconds()
 		day.Records = append(day.Records, each.record)
 	}
--- a/internal/replay/recording/record.go
+++ b/internal/replay/recording/record.go
@@ -40,15 +40,15 @@
 	Answered Outcome = "answered"
 	// Refused is a typed error in place of an answer.
 	Refused Outcome = "refused"
-	// Cut is an answer that broke off, or a connection that did.
-	Cut Outcome = "cut"
+	// Truncated is an answer that broke off, or a connection that did.
+	Truncated Outcome = "cut"
 	// Left is a caller that went away before the end.
 	Left Outcome = "left"
 )
 
 // Chunk is one part of a prompt.
-type Part struct {
-	// ID is a digest of the part's name: see PartID.
+type Chunk struct {
+	// ID is a digest of the part's name: see ChunkID.
 	ID     string `json:"id"`
 	Tokens uint32 `json:"tokens"`
 }
@@ -65,8 +65,8 @@
 	Pool       string `json:"pool,omitempty"`
 	WebService string `json:"web_service,omitempty"`
 	// Model is the pool's model.
-	Model string `json:"model,omitempty"`
-	Parts []Part `json:"parts,omitempty"`
+	Model  string  `json:"model,omitempty"`
+	Chunks []Chunk `json:"parts,omitempty"`
 	// OutputTokens is what the caller asked for; 0 if it did not say.
 	OutputTokens uint32 `json:"output_tokens,omitempty"`
 	Repeatable   bool   `json:"repeatable,omitempty"`
@@ -96,25 +96,25 @@
 	Dropped int64 `json:"dropped"`
 }
 
-// partIDBytes is how much of a digest names a part. Among a million parts the
+// chunkIDBytes is how much of a digest names a part. Among a million parts the
 // chance that any two have one name is below one in ten million.
-const partIDBytes = 8
+const chunkIDBytes = 8
 
-// partIDDomain keeps the digests apart from those of other uses.
-const partIDDomain = "ridgeswitch-recording-part\x00"
+// chunkIDDomain keeps the digests apart from those of other uses.
+const chunkIDDomain = "ridgeswitch-recording-part\x00"
 
-// PartID returns the name under which a part is recorded. Equal parts have
+// ChunkID returns the name under which a part is recorded. Equal parts have
 // equal names in the recordings of all nodes, so that reuse can be replayed.
-func PartID(id string) string {
-	digest := sha256.Sum256([]byte(partIDDomain + id))
-	return hex.EncodeToString(digest[:partIDBytes])
+func ChunkID(id string) string {
+	digest := sha256.Sum256([]byte(chunkIDDomain + id))
+	return hex.EncodeToString(digest[:chunkIDBytes])
 }
 
-// Parts returns the recorded form of a prompt.
-func Parts(parts []prefixindex.Chunk) []Part {
-	recorded := make([]Part, len(parts))
-	for position, part := range parts {
-		recorded[position] = Part{ID: PartID(part.ID), Tokens: part.Tokens}
+// Chunks returns the recorded form of a prompt.
+func Chunks(chunks []prefixindex.Chunk) []Chunk {
+	recorded := make([]Chunk, len(chunks))
+	for position, chunk := range chunks {
+		recorded[position] = Chunk{ID: ChunkID(chunk.ID), Tokens: chunk.Tokens}
 	}
 	return recorded
 }
@@ -122,17 +122,17 @@
 // PromptTokens returns the length of the prompt.
 func (r Record) PromptTokens() uint64 {
 	var tokens uint64
-	for _, part := range r.Parts {
-		tokens += uint64(part.Tokens)
+	for _, chunk := range r.Chunks {
+		tokens += uint64(chunk.Tokens)
 	}
 	return tokens
 }
 
 // Prompt returns the prompt as a request names it.
 func (r Record) Prompt() []prefixindex.Chunk {
-	prompt := make([]prefixindex.Chunk, len(r.Parts))
-	for position, part := range r.Parts {
-		prompt[position] = prefixindex.Chunk{ID: part.ID, Tokens: part.Tokens}
+	prompt := make([]prefixindex.Chunk, len(r.Chunks))
+	for position, chunk := range r.Chunks {
+		prompt[position] = prefixindex.Chunk{ID: chunk.ID, Tokens: chunk.Tokens}
 	}
 	return prompt
 }
--- a/internal/replay/recording/recording_test.go
+++ b/internal/replay/recording/recording_test.go
@@ -25,7 +25,7 @@
 func fullRecord() recording.Record {
 	return recording.Record{
 		AtUS: 1500, Tenant: "court", Host: "models.example", Pool: "cases", Model: "large",
-		Parts:        recording.Parts([]prefixindex.Chunk{{ID: "case 17, secret", Tokens: 300}, {ID: "question", Tokens: 20}}),
+		Chunks:       recording.Chunks([]prefixindex.Chunk{{ID: "case 17, secret", Tokens: 300}, {ID: "question", Tokens: 20}}),
 		OutputTokens: 64, Repeatable: true, Streamed: true, DeadlineMS: 2000, Outcome: recording.Refused,
 		Problem: "queue_full", Status: 429, Attempts: 2, ReusedTokens: 300, FirstUS: 1000, TotalUS: 9000,
 	}
@@ -69,8 +69,8 @@
 	It("names parts by digests: equal ones equally, and none by its content", func() {
 		data := string(written(start, fullRecord()))
 		Expect(data).NotTo(ContainSubstring("secret"))
-		Expect(recording.PartID("a")).To(Equal(recording.PartID("a")))
-		Expect(recording.PartID("a")).NotTo(Equal(recording.PartID("b")))
+		Expect(recording.ChunkID("a")).To(Equal(recording.ChunkID("a")))
+		Expect(recording.ChunkID("a")).NotTo(Equal(recording.ChunkID("b")))
 	})
 
 	It("puts several recordings into one order of arrival", func() {
--- a/internal/replay/report/compare.go
+++ b/internal/replay/report/compare.go
@@ -54,11 +54,11 @@
 // them lacks has figures of zero there.
 func Compare(a, b *Report) []Difference {
 	differences := compareGroups("models", a.Models, b.Models)
-	differences = append(differences, compareLists("tenant", a.Tenants, b.Tenants)...)
-	return append(differences, compareLists("destination", a.Destinations, b.Destinations)...)
+	differences = append(differences, compareByName("tenant", a.Tenants, b.Tenants)...)
+	return append(differences, compareByName("destination", a.Destinations, b.Destinations)...)
 }
 
-func compareLists(kind string, a, b []Group) []Difference {
+func compareByName(kind string, a, b []Group) []Difference {
 	named := func(groups []Group) map[string]Group {
 		return lo.KeyBy(groups, func(group Group) string { return group.Name })
 	}
--- a/internal/replay/report/page.go
+++ b/internal/replay/report/page.go
@@ -61,7 +61,7 @@
 		Speed:      short(r.Run.Speed),
 		Tiles:      r.tiles(),
 		DayPlots:   r.dayPlots(),
-		SharePlots: r.sharePlots(),
+		SharePlots: r.groupPlots(),
 		Tables: []groupTable{
 			{Title: "By tenant (requests to models)", Column: "tenant", Groups: r.Tenants},
 			{Title: "By destination", Column: "pool or web service", Groups: r.Destinations},
@@ -118,7 +118,7 @@
 	return value
 }
 
-func (r *Report) sharePlots() []template.HTML {
+func (r *Report) groupPlots() []template.HTML {
 	tenants := func(value func(Group) float64) []plot.Bar {
 		return lo.Map(r.Tenants, func(group Group, _ int) plot.Bar {
 			return plot.Bar{Label: group.Name, Value: value(group)}
@@ -154,9 +154,9 @@
 // clockTime names a time of the day, with seconds where the replayed part is
 // short.
 func clockTime(run Run, sinceStartMS int64) string {
-	const shortPart = time.Hour
+	const shortSpan = time.Hour
 	at := run.Started.UTC().Add(time.Duration(sinceStartMS) * time.Millisecond)
-	if time.Duration(run.UntilMS-run.FromMS)*time.Millisecond < shortPart {
+	if time.Duration(run.UntilMS-run.FromMS)*time.Millisecond < shortSpan {
 		return at.Format(time.TimeOnly)
 	}
 	return at.Round(time.Minute).Format("15:04")
--- a/internal/replay/report/report.go
+++ b/internal/replay/report/report.go
@@ -141,7 +141,7 @@
 		case recording.Refused:
 			group.Refused++
 			refused[sample.Problem]++
-		case recording.Cut:
+		case recording.Truncated:
 			group.Cut++
 		case recording.Left:
 			group.Left++
@@ -165,11 +165,11 @@
 	return group
 }
 
-func ratio(part, whole uint64) float64 {
-	if whole == 0 {
+func ratio(numerator, denominator uint64) float64 {
+	if denominator == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(numerator) / float64(denominator)
 }
 
 // Write writes the report as JSON.
--- a/internal/replay/report/report_test.go
+++ b/internal/replay/report/report_test.go
@@ -43,7 +43,7 @@
 			At: 59 * time.Minute, Tenant: "school", Destination: "cases", Streamed: true, Outcome: recording.Answered,
 			PromptTokens: 2000, ReusedTokens: 0, FirstToken: 300 * ms, Total: 500 * ms,
 		},
-		{At: 59 * time.Minute, Tenant: "school", Destination: "cases", Outcome: recording.Cut, Total: ms},
+		{At: 59 * time.Minute, Tenant: "school", Destination: "cases", Outcome: recording.Truncated, Total: ms},
 		{At: 59 * time.Minute, Destination: "web calendar", Web: true, Outcome: recording.Answered, Total: 3 * ms},
 	}
 }
@@ -88,7 +88,7 @@
 	It("takes what a recording tells of itself", func() {
 		record := recording.Record{
 			Tenant: "court", Pool: "cases", Streamed: true, Outcome: recording.Answered, Attempts: 3,
-			ReusedTokens: 5, FirstUS: 2000, TotalUS: 4000, DeadlineMS: 1, Parts: []recording.Part{{ID: "a", Tokens: 10}},
+			ReusedTokens: 5, FirstUS: 2000, TotalUS: 4000, DeadlineMS: 1, Chunks: []recording.Chunk{{ID: "a", Tokens: 10}},
 		}
 		made := report.Build(hour, report.Recorded([]recording.Record{record}))
 		Expect(made.Models).To(And(HaveField("Retries", 2), HaveField("ReuseRatio", 0.5), HaveField("Late", 1)))
--- a/scripts/knownred/arguments.go
+++ b/scripts/knownred/arguments.go
@@ -11,9 +11,9 @@
 
 // suiteArguments are the arguments of go for all tests of a package but the
 // listed ones.
-func suiteArguments(folder string, listed []Failure) []string {
+func suiteArguments(folder string, failures []Failure) []string {
 	arguments := []string{"test"}
-	plain, specs := lo.FilterReject(listed, func(entry Failure, _ int) bool { return entry.IsPlain() })
+	plain, specs := lo.FilterReject(failures, func(entry Failure, _ int) bool { return entry.IsPlain() })
 	if len(plain) > 0 {
 		arguments = append(arguments, "-skip="+joinPatterns(plain))
 	}
--- a/scripts/knownred/knownred_test.go
+++ b/scripts/knownred/knownred_test.go
@@ -35,7 +35,7 @@
 
 // play runs the sample with a list, and returns what was printed.
 func play(list string) (string, error) {
-	entries, err := ParseList(list)
+	entries, err := ParseFailures(list)
 	Expect(err).NotTo(HaveOccurred())
 	var out bytes.Buffer
 	err = Runner{Go: goOnSample, Out: &out}.Run(entries)
@@ -119,13 +119,13 @@
 
 var _ = Describe("the list", func() {
 	It("is empty when the file is absent", func() {
-		entries, err := ReadList("testdata/absent.txt")
+		entries, err := ReadFailures("testdata/absent.txt")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(entries).To(BeEmpty())
 	})
 
 	It("passes over empty lines and remarks", func() {
-		entries, err := ParseList("# a remark\n\n ./a :: b c :: d :: e \n")
+		entries, err := ParseFailures("# a remark\n\n ./a :: b c :: d :: e \n")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(entries).To(HaveLen(1))
 		Expect(entries[0].Test).To(Equal("b c"))
@@ -134,7 +134,7 @@
 
 	DescribeTable("refuses lines that are not of its form",
 		func(line string) {
-			_, err := ParseList(line)
+			_, err := ParseFailures(line)
 			Expect(err).To(HaveOccurred())
 		},
 		Entry("too few fields", "./a :: b :: c"),
@@ -145,7 +145,7 @@
 	)
 
 	It("of the repository is of its form", func() {
-		_, err := ReadList("../../" + listPath)
+		_, err := ReadFailures("../../" + failuresPath)
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
--- a/scripts/knownred/list.go
+++ b/scripts/knownred/list.go
@@ -12,8 +12,8 @@
 // separator stands between the fields of a line of the list.
 const separator = " :: "
 
-// fieldsOfLine is how many fields each line has.
-const fieldsOfLine = 4
+// fieldsPerEntry is how many fields each line has.
+const fieldsPerEntry = 4
 
 // plainTest matches names of tests that are written without ginkgo.
 var plainTest = regexp.MustCompile(`^(Test|Fuzz|Example)\S*$`)
@@ -44,9 +44,9 @@
 	return " " + regexp.QuoteMeta(entry.Test) + "$"
 }
 
-// ReadList reads the list of known failures. A file that is absent is an empty
+// ReadFailures reads the list of known failures. A file that is absent is an empty
 // list.
-func ReadList(path string) ([]Failure, error) {
+func ReadFailures(path string) ([]Failure, error) {
 	content, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -54,19 +54,19 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the list of known failures")
 	}
-	return ParseList(string(content))
+	return ParseFailures(string(content))
 }
 
-// ParseList reads the list's lines. Empty lines and lines that begin with # say
+// ParseFailures reads the list's lines. Empty lines and lines that begin with # say
 // nothing.
-func ParseList(content string) ([]Failure, error) {
+func ParseFailures(content string) ([]Failure, error) {
 	var entries []Failure
 	for index, line := range strings.Split(content, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		entry, err := parseLine(line)
+		entry, err := parseEntry(line)
 		if err != nil {
 			return nil, errors.Wrapf(err, "line %d", index+1)
 		}
@@ -75,9 +75,9 @@
 	return entries, checkUnique(entries)
 }
 
-func parseLine(line string) (Failure, error) {
-	fields := strings.Split(line, separator)
-	if len(fields) != fieldsOfLine {
+func parseEntry(text string) (Failure, error) {
+	fields := strings.Split(text, separator)
+	if len(fields) != fieldsPerEntry {
 		return Failure{}, errors.Errorf("%d fields, want package :: test :: cause :: issue", len(fields))
 	}
 	fields = lo.Map(fields, func(field string, _ int) string { return strings.TrimSpace(field) })
--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -13,8 +13,8 @@
 	"sync"
 )
 
-// listPath is where the list stands, seen from the root of the repository.
-const listPath = "KNOWN-RED.txt"
+// failuresPath is where the list stands, seen from the root of the repository.
+const failuresPath = "KNOWN-RED.txt"
 
 func main() {
 	if err := run(); err != nil {
@@ -24,7 +24,7 @@
 }
 
 func run() error {
-	entries, err := ReadList(listPath)
+	entries, err := ReadFailures(failuresPath)
 	if err != nil {
 		return err
 	}
--- a/scripts/knownred/run.go
+++ b/scripts/knownred/run.go
@@ -37,7 +37,7 @@
 	if len(entries) == 0 {
 		return runner.print(runner.Go("test", "./..."))
 	}
-	outcomes, err := runner.runListed(entries)
+	outcomes, err := runner.runKnownFailures(entries)
 	if err != nil {
 		return err
 	}
@@ -48,10 +48,10 @@
 	return err
 }
 
-// runListed runs each listed test alone. Whether one passes does not change the
+// runKnownFailures runs each listed test alone. Whether one passes does not change the
 // verdict, but each entry has to select exactly one test, so that none hides
 // more than it names.
-func (runner Runner) runListed(entries []Failure) ([]Outcome, error) {
+func (runner Runner) runKnownFailures(entries []Failure) ([]Outcome, error) {
 	var outcomes []Outcome
 	for _, entry := range entries {
 		outcome := runner.runAlone(entry)
@@ -79,8 +79,8 @@
 
 // runOthers runs all tests that are not listed.
 func (runner Runner) runOthers(entries []Failure) error {
-	listedOf := lo.GroupBy(entries, func(entry Failure) string { return entry.Package })
-	folders, err := runner.foldersWithout(lo.Keys(listedOf))
+	byPackage := lo.GroupBy(entries, func(entry Failure) string { return entry.Package })
+	folders, err := runner.foldersWithout(lo.Keys(byPackage))
 	if err != nil {
 		return err
 	}
@@ -88,8 +88,8 @@
 	if len(folders) > 0 {
 		failed = runner.print(runner.Go(append([]string{"test"}, folders...)...))
 	}
-	for _, folder := range sortedKeys(listedOf) {
-		err := runner.print(runner.Go(suiteArguments(folder, listedOf[folder])...))
+	for _, folder := range sortedKeys(byPackage) {
+		err := runner.print(runner.Go(suiteArguments(folder, byPackage[folder])...))
 		if err != nil {
 			failed = err
 		}
@@ -103,11 +103,11 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "list the packages:\n%s", all.All)
 	}
-	listed, err := runner.Go(append([]string{"list"}, folders...)...)
+	failures, err := runner.Go(append([]string{"list"}, folders...)...)
 	if err != nil {
-		return nil, errors.Wrapf(err, "list the packages of known failures:\n%s", listed.All)
+		return nil, errors.Wrapf(err, "list the packages of known failures:\n%s", failures.All)
 	}
-	without, _ := lo.Difference(strings.Fields(all.Standard), strings.Fields(listed.Standard))
+	without, _ := lo.Difference(strings.Fields(all.Standard), strings.Fields(failures.Standard))
 	return without, nil
 }
 
@@ -116,8 +116,8 @@
 	return errors.Wrap(err, "tests failed")
 }
 
-func sortedKeys(listedOf map[string][]Failure) []string {
-	keys := lo.Keys(listedOf)
+func sortedKeys(byPackage map[string][]Failure) []string {
+	keys := lo.Keys(byPackage)
 	sort.Strings(keys)
 	return keys
 }
