--- a/internal/dataplane/authenticator.go
+++ b/internal/dataplane/authenticator.go
@@ -45,7 +45,7 @@
 }
 
 // unauthorizedProblem is the refusal of a request without a valid key.
-func unauthorizedProblem() *caller.Problem {
-	return caller.NewProblem(caller.KindUnauthorized,
+func unauthorizedProblem() *caller.Error {
+	return caller.NewError(caller.KindUnauthorized,
 		"the request carries no valid key: send %s: Bearer KEY with a key of your tenant", caller.HeaderAuthorization)
 }
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -71,17 +71,17 @@
 		return nil, &outbound.RefusedError{Status: http.StatusServiceUnavailable}
 	}
 	unclear = func(context.Context) (dataplane.Response, error) {
-		return nil, &outbound.FailedAnswerError{Status: http.StatusServiceUnavailable}
+		return nil, &outbound.FailedResponseError{Status: http.StatusServiceUnavailable}
 	}
 	resetting = func(context.Context) (dataplane.Response, error) {
-		return nil, &outbound.Error{MayHaveLeft: true}
+		return nil, &outbound.Error{MayHaveBeenSent: true}
 	}
 	garbling = func(context.Context) (dataplane.Response, error) {
-		return nil, &outbound.FaultError{Reason: "the answer was cut"}
+		return nil, &outbound.InvalidResponseError{Reason: "the answer was cut"}
 	}
 	hanging = func(ctx context.Context) (dataplane.Response, error) {
 		<-ctx.Done()
-		return nil, &outbound.Error{MayHaveLeft: true}
+		return nil, &outbound.Error{MayHaveBeenSent: true}
 	}
 	unreachable = func(context.Context) (dataplane.Response, error) {
 		return nil, outbound.NotSent(errors.New("connection refused"))
--- a/internal/dataplane/body_reader.go
+++ b/internal/dataplane/body_reader.go
@@ -55,7 +55,7 @@
 	// not be, stays as it is from then on.
 	done    chan struct{}
 	body    []byte
-	problem *caller.Problem
+	problem *caller.Error
 }
 
 // newPendingBody returns one of which nothing has been read.
@@ -64,7 +64,7 @@
 }
 
 // bodyReadProblem is why the body could not be read, if that is known already.
-func (e *exchange) bodyReadProblem() *caller.Problem {
+func (e *exchange) bodyReadProblem() *caller.Error {
 	if e.pending == nil {
 		return nil
 	}
@@ -138,15 +138,15 @@
 }
 
 // bodyProblem is the refusal of a request whose body cannot be read.
-func bodyProblem(e *exchange, err error) *caller.Problem {
+func bodyProblem(e *exchange, err error) *caller.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return caller.NewProblem(caller.KindBodyTooLarge, "the body is larger than %d bytes: send less", tooLarge.Limit)
+		return caller.NewError(caller.KindBodyTooLarge, "the body is larger than %d bytes: send less", tooLarge.Limit)
 	}
 	// The error of a read that the deadline ended does not always say so, and the
 	// context may end a moment later than the read.
 	if deadline, bounded := e.ctx.Deadline(); bounded && !time.Now().Before(deadline) {
 		return deadlineProblem()
 	}
-	return caller.NewProblem(caller.KindBadRequest, "the body cannot be read (%v): send the request again", err)
+	return caller.NewError(caller.KindBadRequest, "the body cannot be read (%v): send the request again", err)
 }
--- a/internal/dataplane/claims.go
+++ b/internal/dataplane/claims.go
@@ -46,7 +46,7 @@
 // handle implements handler. Identities made by the node are unique, and a
 // request that may be repeated needs no claim.
 func (s *claimHandler) handle(e *exchange, next func()) {
-	if e.tenant == nil || e.parsed.ID == "" || e.parsed.Repeatable {
+	if e.tenant == nil || e.parsed.ID == "" || e.parsed.Idempotent {
 		next()
 		return
 	}
@@ -64,18 +64,18 @@
 
 // claimProblem tells why a request could not be claimed. Whether another
 // submission of it has run is not known either way.
-func claimProblem(err error) *caller.Problem {
+func claimProblem(err error) *caller.Error {
 	if errors.Is(err, ErrAlreadyClaimed) {
-		problem := caller.NewProblem(caller.KindDuplicateRequest,
+		problem := caller.NewError(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on another node: send a new one under a new identity", caller.HeaderRequestID)
 		problem.MayHaveRun = true
 		return problem
 	}
-	problem := caller.NewProblem(caller.KindClaimUndecided,
+	problem := caller.NewError(caller.KindClaimUndecided,
 		"this submission does not run, but whether an earlier one with this %s has run cannot be told now: send it again under the same identity",
-		caller.HeaderRequestID).After(claimRetryAfter)
+		caller.HeaderRequestID).WithRetryAfter(claimRetryAfter)
 	problem.MayHaveRun = true
-	problem.RepeatIsSafe = true
+	problem.RetryIsSafe = true
 	return problem
 }
 
--- a/internal/dataplane/connection_limit_test.go
+++ b/internal/dataplane/connection_limit_test.go
@@ -82,7 +82,7 @@
 
 	It("are no fault of the back end when they are spent", func() {
 		spent := &backends{wrong: func(context.Context) (dataplane.Response, error) {
-			return nil, outbound.NotSent(&outbound.ConnectionsSpentError{Address: "only:1", Limit: 2})
+			return nil, outbound.NotSent(&outbound.ConnectionLimitError{Address: "only:1", Limit: 2})
 		}, every: 2, grey: map[string]bool{"only:1": true}, sent: map[string]int{}}
 		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Replicas = spent }, "only:1", "other:1")
 		f.replicas[1].Admitting = false
--- a/internal/dataplane/deadline.go
+++ b/internal/dataplane/deadline.go
@@ -66,16 +66,16 @@
 
 // deadlineProblem is the refusal of a request that ran out of time before any
 // attempt.
-func deadlineProblem() *caller.Problem {
-	return caller.NewProblem(caller.KindDeadlineExceeded,
-		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).After(time.Second)
+func deadlineProblem() *caller.Error {
+	return caller.NewError(caller.KindDeadlineExceeded,
+		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).WithRetryAfter(time.Second)
 }
 
 // asProblem returns the problem that an error is, or an internal one.
-func asProblem(err error) *caller.Problem {
-	var problem *caller.Problem
+func asProblem(err error) *caller.Error {
+	var problem *caller.Error
 	if errors.As(err, &problem) {
 		return problem
 	}
-	return caller.NewProblem(caller.KindInternal, "the node failed: %v", err)
+	return caller.NewError(caller.KindInternal, "the node failed: %v", err)
 }
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -20,7 +20,7 @@
 type backend interface {
 	// choose selects a back end for an attempt of the work, or says why there
 	// is none.
-	choose(w *work) (target, *caller.Problem)
+	choose(w *work) (target, *caller.Error)
 }
 
 // target is a back end chosen for one attempt.
@@ -58,7 +58,7 @@
 	// tried holds the back ends of earlier attempts, of which there are few.
 	tried []string
 	// problem is why the last attempt, or the last selection, failed.
-	problem *caller.Problem
+	problem *caller.Error
 	// health is that of the last attempt's back end.
 	health *attemptHealth
 	// buffered is the answer that the ledger's Relay move hands on.
@@ -86,7 +86,7 @@
 func (d *dispatcher) handle(e *exchange, _ func()) {
 	w := &work{exchange: e}
 	w.tracker = attempts.New(attempts.Options{
-		Repeatable:  e.parsed.Repeatable,
+		Repeatable:  e.parsed.Idempotent,
 		Resumable:   e.route.Config.GetResumable(),
 		MaxAttempts: e.maxAttempts(d.server.options.MaxAttempts),
 		MaxUnsent:   d.server.options.MaxUnsent,
@@ -121,7 +121,7 @@
 	}
 	if problem == nil && !w.counters.permitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
 		d.release(chosen, false)
-		problem = budgetProblem(w.problem).After(d.server.options.BackendRetry)
+		problem = budgetProblem(w.problem).WithRetryAfter(d.server.options.BackendRetry)
 	}
 	if problem != nil {
 		w.problem = problem
@@ -137,7 +137,7 @@
 
 // choose selects a back end, counts the attempt in, and only then looks at the
 // newest view again.
-func (d *dispatcher) choose(w *work) (target, *caller.Problem) {
+func (d *dispatcher) choose(w *work) (target, *caller.Error) {
 	for range maxSelections {
 		if problem := w.revalidate(d.server); problem != nil {
 			return nil, problem
@@ -153,8 +153,8 @@
 		}
 		d.release(chosen, false)
 	}
-	return nil, caller.NewProblem(caller.KindNoBackend,
-		"the back ends are changing: send the request again").After(d.server.options.BackendRetry)
+	return nil, caller.NewError(caller.KindNoBackend,
+		"the back ends are changing: send the request again").WithRetryAfter(d.server.options.BackendRetry)
 }
 
 // release ends an attempt that choose has counted in.
@@ -190,7 +190,7 @@
 // at once.
 func (d *dispatcher) receive(w *work, chosen target, attempt int, received Response) error {
 	if w.relaying && (!received.Streamed() || received.Status() != http.StatusOK) {
-		return &outbound.FaultError{Reason: fmt.Sprintf("the stream was not taken up: the back end answered with status %d", received.Status())}
+		return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the stream was not taken up: the back end answered with status %d", received.Status())}
 	}
 	if received.Streamed() {
 		chunk, err := received.Next()
@@ -220,7 +220,7 @@
 
 // revalidate looks at the newest view: a key may have been revoked, or the node
 // may have been cut off, while the request waited.
-func (w *work) revalidate(server *Server) *caller.Problem {
+func (w *work) revalidate(server *Server) *caller.Error {
 	view, problem := servingView(server.options.Source)
 	if problem != nil {
 		return problem
--- a/internal/dataplane/duplicates.go
+++ b/internal/dataplane/duplicates.go
@@ -153,8 +153,8 @@
 		return
 	}
 	key := requestKey{tenant: e.tenant.Name, id: e.parsed.ID}
-	if !c.register.begin(c.clock(), key, e.parsed.Repeatable) {
-		problem := caller.NewProblem(caller.KindDuplicateRequest,
+	if !c.register.begin(c.clock(), key, e.parsed.Idempotent) {
+		problem := caller.NewError(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on this node: send a new one under a new identity", caller.HeaderRequestID)
 		problem.MayHaveRun = true
 		e.refuse(problem)
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -17,23 +17,23 @@
 	// carries none.
 	KeyDigest(header http.Header) (string, bool)
 	// Describe reads what the caller says of its request. The error is a
-	// *caller.Problem.
+	// *caller.Error.
 	Describe(request *http.Request) (caller.Request, error)
-	// WriteProblem answers a request with a problem of this node.
-	WriteProblem(writer http.ResponseWriter, problem *caller.Problem)
+	// WriteError answers a request with a problem of this node.
+	WriteError(writer http.ResponseWriter, problem *caller.Error)
 	// CompleteHeader adds what this node says in the header of a back end's
 	// answer.
 	CompleteHeader(header http.Header, requestID string)
-	// StreamProblem returns what is written of a problem into a stream that is
+	// ErrorEvent returns what is written of a problem into a stream that is
 	// cut, before its connection is broken; nil for nothing.
-	StreamProblem(problem *caller.Problem) []byte
+	ErrorEvent(problem *caller.Error) []byte
 }
 
 // BackendEdge runs attempts on back ends of one kind.
 type BackendEdge interface {
 	// Send runs one attempt up to the header of its answer. It sends the request
 	// once at most. The errors are *outbound.Error, *outbound.RefusedError and
-	// *outbound.FaultError; after any other one the request may have run.
+	// *outbound.InvalidResponseError; after any other one the request may have run.
 	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
 
--- a/internal/dataplane/event_feed_internal_test.go
+++ b/internal/dataplane/event_feed_internal_test.go
@@ -53,7 +53,7 @@
 func keeps(kind replica.EventKind, sequence uint64, weightVersion string) replica.Event {
 	event := replica.Event{Kind: kind, Incarnation: 1, Sequence: sequence}
 	for _, link := range prefixindex.Chain(feedModel, saltOf(weightVersion), promptChunks()) {
-		event.Parts = append(event.Parts, replica.Part{Hash: strconv.FormatUint(uint64(link.Hash), 16), Tokens: link.Tokens})
+		event.Chunks = append(event.Chunks, replica.Chunk{Hash: strconv.FormatUint(uint64(link.Hash), 16), Tokens: link.Tokens})
 	}
 	return event
 }
@@ -165,7 +165,7 @@
 		Expect(errors.Is(source.err, errResync)).To(BeFalse())
 	},
 		Entry("with an unknown kind", replica.Event{Kind: "other", Incarnation: 1, Sequence: 1}),
-		Entry("with a bad hash", replica.Event{Kind: replica.EventStored, Incarnation: 1, Sequence: 1, Parts: []replica.Part{{Hash: "zz"}}}),
+		Entry("with a bad hash", replica.Event{Kind: replica.EventStored, Incarnation: 1, Sequence: 1, Chunks: []replica.Chunk{{Hash: "zz"}}}),
 		Entry("with an empty report", replica.Event{Kind: replica.EventReport}),
 	)
 })
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -51,9 +51,9 @@
 
 // refuse answers with a problem at once. The caller is told to come back only
 // where sending the request again is safe.
-func (e *exchange) refuse(problem *caller.Problem) {
+func (e *exchange) refuse(problem *caller.Error) {
 	problem.RequestID = e.requestID
-	if problem.MayHaveRun && !e.parsed.Repeatable && !problem.RepeatIsSafe {
+	if problem.MayHaveRun && !e.parsed.Idempotent && !problem.RetryIsSafe {
 		problem.RetryAfter = 0
 	}
 	e.failed = true
@@ -63,7 +63,7 @@
 	}
 	e.observer.refused(problem)
 	e.boundUnreadBody()
-	e.edges.Callers.WriteProblem(e.writer, problem)
+	e.edges.Callers.WriteError(e.writer, problem)
 }
 
 // maxAttempts is the route's bound of attempts, or the default.
@@ -83,7 +83,7 @@
 		AttemptID:   server.ids.next(),
 		Number:      number,
 		Priority:    w.view.Priority(w.tenant, w.route),
-		Repeatable:  w.parsed.Repeatable,
+		Repeatable:  w.parsed.Idempotent,
 		Streamed:    w.parsed.Streamed,
 		ResumeAfter: w.lastEventID,
 		Request:     w.request,
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -175,7 +175,7 @@
 	status  int
 	header  http.Header
 	body    string
-	problem caller.Problem
+	problem caller.Error
 	// err is what went wrong while the answer was read.
 	err error
 }
--- a/internal/dataplane/header_limiter.go
+++ b/internal/dataplane/header_limiter.go
@@ -18,7 +18,7 @@
 func (headerLimiter) handle(e *exchange, next func()) {
 	limit := uint64(e.view.Configuration.GetCallerLimits().GetMaxHeaderBytes())
 	if limit > 0 && headerBytes(e.request.Header) > limit {
-		e.refuse(caller.NewProblem(caller.KindHeaderTooLarge, "the header is larger than %d bytes: send less", limit))
+		e.refuse(caller.NewError(caller.KindHeaderTooLarge, "the header is larger than %d bytes: send less", limit))
 		return
 	}
 	next()
--- a/internal/dataplane/native_edges.go
+++ b/internal/dataplane/native_edges.go
@@ -40,9 +40,9 @@
 	return caller.Parse(request)
 }
 
-// WriteProblem implements CallerEdge.
-func (nativeCallerEdge) WriteProblem(writer http.ResponseWriter, problem *caller.Problem) {
-	caller.WriteProblem(writer, problem)
+// WriteError implements CallerEdge.
+func (nativeCallerEdge) WriteError(writer http.ResponseWriter, problem *caller.Error) {
+	caller.WriteError(writer, problem)
 }
 
 // CompleteHeader implements CallerEdge.
@@ -50,9 +50,9 @@
 	header.Set(caller.HeaderRequestID, requestID)
 }
 
-// StreamProblem implements CallerEdge.
-func (nativeCallerEdge) StreamProblem(problem *caller.Problem) []byte {
-	return caller.StreamProblem(problem)
+// ErrorEvent implements CallerEdge.
+func (nativeCallerEdge) ErrorEvent(problem *caller.Error) []byte {
+	return caller.ErrorEvent(problem)
 }
 
 // nativeReplicaEdge speaks the node's own protocol with replicas.
@@ -61,7 +61,7 @@
 }
 
 // Send implements BackendEdge. An answer that leaves open whether the request
-// has run is an *outbound.FailedAnswerError.
+// has run is an *outbound.FailedResponseError.
 func (r *nativeReplicaEdge) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	if received.Status() >= http.StatusInternalServerError {
 		received.Close()
-		return nil, &outbound.FailedAnswerError{Status: received.Status()}
+		return nil, &outbound.FailedResponseError{Status: received.Status()}
 	}
 	return received, nil
 }
@@ -85,14 +85,14 @@
 		AttemptID:    attempt.AttemptID,
 		Attempt:      attempt.Number,
 		OutputTokens: attempt.Generation.OutputTokens,
-		Repeatable:   attempt.Repeatable,
+		Idempotent:   attempt.Repeatable,
 		Streamed:     attempt.Streamed,
 		Extra:        caller.PassThrough(attempt.Request.Header),
 		ContentType:  attempt.Request.Header.Get("Content-Type"),
 		Body:         attempt.Body,
 	}
 	if pull := attempt.Generation.Pull; pull != nil {
-		call.Pull = &replica.Pull{Source: pull.Source, FirstPart: pull.FirstChunk, LastPart: pull.LastChunk}
+		call.Pull = &replica.Pull{Source: pull.Source, FirstChunk: pull.FirstChunk, LastChunk: pull.LastChunk}
 	}
 	return call
 }
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -27,7 +27,7 @@
 // recordFailure enters the end of an attempt that got no answer.
 func (d *dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
 	var unsent *outbound.Error
-	if errors.As(err, &unsent) && !unsent.MayHaveLeft {
+	if errors.As(err, &unsent) && !unsent.MayHaveBeenSent {
 		w.problem = d.unsentProblem(w, unsent)
 		w.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
 		return
@@ -54,21 +54,21 @@
 
 // unsentProblem tells why nothing was sent, and counts it against the back end
 // unless that is this node's own bound.
-func (d *dispatcher) unsentProblem(w *work, unsent *outbound.Error) *caller.Problem {
+func (d *dispatcher) unsentProblem(w *work, unsent *outbound.Error) *caller.Error {
 	wait := d.server.options.BackendRetry
-	var spent *outbound.ConnectionsSpentError
+	var spent *outbound.ConnectionLimitError
 	if errors.As(unsent, &spent) {
-		return caller.NewProblem(caller.KindBackendsBusy,
-			"the back end has as many connections as it may have: send the request again").After(wait)
+		return caller.NewError(caller.KindBackendsBusy,
+			"the back end has as many connections as it may have: send the request again").WithRetryAfter(wait)
 	}
 	d.countUnlessCancelled(w, outlier.Unreached)
-	return caller.NewProblem(caller.KindNoBackend,
-		"the back end could not be reached: send the request again").After(wait)
+	return caller.NewError(caller.KindNoBackend,
+		"the back end could not be reached: send the request again").WithRetryAfter(wait)
 }
 
 // recordLoss enters that an attempt which was sent has no certain end.
 func (d *dispatcher) recordLoss(w *work, attempt int, err error) {
-	var failed *outbound.FailedAnswerError
+	var failed *outbound.FailedResponseError
 	var gone *callerGoneError
 	var otherWeights *versionMismatchError
 	switch {
@@ -83,7 +83,7 @@
 	default:
 		d.countUnlessCancelled(w, outlier.Reset)
 	}
-	w.problem = caller.NewProblem(caller.KindOutcomeUnknown,
+	w.problem = caller.NewError(caller.KindOutcomeUnknown,
 		"the back end's answer was lost (%v): find out whether the request has run before you send it again", err)
 	w.apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: attempt})
 }
@@ -97,19 +97,19 @@
 }
 
 // refusedProblem tells of a back end that promised not to run the request.
-func refusedProblem(refusal *outbound.RefusedError, wait time.Duration) *caller.Problem {
-	return caller.NewProblem(caller.KindBackendRefused,
-		"the back end did not take the request (%v): send it again later", refusal).After(max(refusal.RetryAfter, wait))
+func refusedProblem(refusal *outbound.RefusedError, wait time.Duration) *caller.Error {
+	return caller.NewError(caller.KindBackendRefused,
+		"the back end did not take the request (%v): send it again later", refusal).WithRetryAfter(max(refusal.RetryAfter, wait))
 }
 
 // budgetProblem tells of a retry that the budget does not permit. It keeps
 // what the last attempt's problem said.
-func budgetProblem(last *caller.Problem) *caller.Problem {
+func budgetProblem(last *caller.Error) *caller.Error {
 	reason := "an earlier attempt failed"
 	if last != nil {
 		reason = last.Message
 	}
-	return caller.NewProblem(caller.KindRetryBudgetSpent,
+	return caller.NewError(caller.KindRetryBudgetSpent,
 		"the destination's share of retries is used up after this failure: %s", reason)
 }
 
@@ -143,15 +143,15 @@
 
 // finalProblem returns the last problem with the ledger's word on whether the
 // request may have run.
-func (w *work) finalProblem() *caller.Problem {
+func (w *work) finalProblem() *caller.Error {
 	problem := w.problem
 	if problem == nil {
-		problem = caller.NewProblem(caller.KindNoBackend, "no attempt was possible: send the request again").After(DefaultBackendRetry)
+		problem = caller.NewError(caller.KindNoBackend, "no attempt was possible: send the request again").WithRetryAfter(DefaultBackendRetry)
 	}
 	// A lost claim may have let another node run the request.
 	problem.MayHaveRun = problem.MayHaveRun || w.tracker.MayHaveRun()
 	if w.tracker.MayHaveRun() {
-		problem.RepeatIsSafe = false
+		problem.RetryIsSafe = false
 	}
 	return problem
 }
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -40,7 +40,7 @@
 
 // chooseHealthy implements backend. Replicas that failed lately are avoided as long
 // as others take requests.
-func (b *poolBackend) choose(w *work) (target, *caller.Problem) {
+func (b *poolBackend) choose(w *work) (target, *caller.Error) {
 	pool := b.newestPool(w)
 	if pool == nil || pool.Config.GetModel() != w.destination.Pool.Config.GetModel() {
 		return nil, noReplicaProblem(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, b.server.options.BackendRetry)
@@ -95,7 +95,7 @@
 	return kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Chunks:       w.parsed.Parts,
+		Chunks:       w.parsed.Chunks,
 		Naming:       b.naming(),
 		OutputTokens: w.parsed.OutputTokens,
 		Engine:       engineProfile(pool),
@@ -155,7 +155,7 @@
 const anonymousDomain = "anonymous"
 
 // noReplicaProblem tells why no replica was chosen.
-func noReplicaProblem(err error, wait time.Duration) *caller.Problem {
+func noReplicaProblem(err error, wait time.Duration) *caller.Error {
 	kind := caller.KindNoBackend
 	var none *kvrouter.NoReplicaError
 	if errors.As(err, &none) {
@@ -164,7 +164,7 @@
 			kind = caller.KindBackendsBusy
 		}
 	}
-	return caller.NewProblem(kind, "%v", err).After(wait)
+	return caller.NewError(kind, "%v", err).WithRetryAfter(wait)
 }
 
 // address implements target.
@@ -240,7 +240,7 @@
 		Model:         w.destination.Pool.Config.GetModel(),
 		WeightVersion: t.decision.WeightVersion,
 		CacheSalt:     t.decision.CacheSalt,
-		Chunks:        w.parsed.Parts,
+		Chunks:        w.parsed.Chunks,
 		OutputTokens:  w.parsed.OutputTokens,
 		Pull:          t.pull(w),
 	}
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -72,7 +72,7 @@
 // writeStreamProblem tells of the cut inside the stream, where the protocol has
 // a way to say so.
 func (w *work) writeStreamProblem() {
-	event := w.edges.Callers.StreamProblem(w.truncationProblem())
+	event := w.edges.Callers.ErrorEvent(w.truncationProblem())
 	if len(event) == 0 {
 		return
 	}
@@ -90,9 +90,9 @@
 }
 
 // truncationProblem tells of an answer that was cut.
-func (w *work) truncationProblem() *caller.Problem {
+func (w *work) truncationProblem() *caller.Error {
 	problem := w.finalProblem()
-	problem.Kind = caller.KindAnswerCut
+	problem.Kind = caller.KindResponseTruncated
 	if deadlinePassed(w.ctx) {
 		problem = deadlineProblem()
 	}
--- a/internal/dataplane/request_recorder.go
+++ b/internal/dataplane/request_recorder.go
@@ -41,7 +41,7 @@
 }
 
 // refused notes an error in place of an answer.
-func (w *responseObserver) refused(problem *caller.Problem) {
+func (w *responseObserver) refused(problem *caller.Error) {
 	if w == nil {
 		return
 	}
@@ -70,9 +70,9 @@
 	record := recording.Record{
 		AtUS:         (e.arrived - r.started).Microseconds(),
 		Host:         e.host,
-		Chunks:       recording.Chunks(e.parsed.Parts),
+		Chunks:       recording.Chunks(e.parsed.Chunks),
 		OutputTokens: e.parsed.OutputTokens,
-		Repeatable:   e.parsed.Repeatable,
+		Repeatable:   e.parsed.Idempotent,
 		Streamed:     e.parsed.Streamed,
 		DeadlineMS:   e.parsed.Deadline.Milliseconds(),
 		Outcome:      e.outcome(),
--- a/internal/dataplane/route_matcher.go
+++ b/internal/dataplane/route_matcher.go
@@ -18,7 +18,7 @@
 	e.host = caller.HostName(e.request)
 	route := e.view.Hosts[e.host].Match(e.request.URL.EscapedPath())
 	if route == nil {
-		e.refuse(caller.NewProblem(caller.KindUnknownHost,
+		e.refuse(caller.NewError(caller.KindUnknownHost,
 			"no route serves the host %q at this path: send a Host header and a path that the operator has configured", e.host))
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 	pool := e.destination.Pool
 	if pool != nil && parsed.Model != "" && parsed.Model != pool.Config.GetModel() {
-		e.refuse(caller.NewProblem(caller.KindModelMismatch,
+		e.refuse(caller.NewError(caller.KindModelMismatch,
 			"the host %q serves the model %q, not %q: send the request to that model's host or leave %s out",
 			e.host, pool.Config.GetModel(), parsed.Model, caller.HeaderModel))
 		return
@@ -58,12 +58,12 @@
 func applyRouteKind(parsed caller.Request, route *routing.Route) caller.Request {
 	switch route.Config.GetKind() {
 	case ridgeswitchv1.RequestKind_REPEATABLE:
-		parsed.Repeatable = true
+		parsed.Idempotent = true
 	case ridgeswitchv1.RequestKind_AT_MOST_ONCE:
-		parsed.Repeatable = false
+		parsed.Idempotent = false
 	case ridgeswitchv1.RequestKind_STREAMING:
 		parsed.Streamed = true
-		parsed.Repeatable = route.Config.GetResumable()
+		parsed.Idempotent = route.Config.GetResumable()
 	}
 	return parsed
 }
--- a/internal/dataplane/serving_check.go
+++ b/internal/dataplane/serving_check.go
@@ -30,10 +30,10 @@
 }
 
 // servingView returns the newest view, or why the node may not serve by it.
-func servingView(source routing.Source) (*routing.View, *caller.Problem) {
+func servingView(source routing.Source) (*routing.View, *caller.Error) {
 	if err := source.Serving(); err != nil {
-		return nil, caller.NewProblem(caller.KindNotServing,
-			"this node serves no traffic now (%v): send the request to another node or try again", err).After(notServingRetry)
+		return nil, caller.NewError(caller.KindNotServing,
+			"this node serves no traffic now (%v): send the request to another node or try again", err).WithRetryAfter(notServingRetry)
 	}
 	view := source.View()
 	if view == nil {
@@ -43,7 +43,7 @@
 }
 
 // unconfiguredProblem is the refusal of a node that can't know what is allowed.
-func unconfiguredProblem() *caller.Problem {
-	return caller.NewProblem(caller.KindNotServing,
-		"this node has no configuration yet: send the request to another node or try again").After(notServingRetry)
+func unconfiguredProblem() *caller.Error {
+	return caller.NewError(caller.KindNotServing,
+		"this node has no configuration yet: send the request to another node or try again").WithRetryAfter(notServingRetry)
 }
--- a/internal/dataplane/stream_test.go
+++ b/internal/dataplane/stream_test.go
@@ -56,7 +56,7 @@
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.err).To(MatchError(io.ErrUnexpectedEOF))
 		Expect(got.body).To(HavePrefix("data: a\n\ndata: b\n\nevent: error\ndata: {"))
-		Expect(got.body).To(ContainSubstring(string(caller.KindAnswerCut)))
+		Expect(got.body).To(ContainSubstring(string(caller.KindResponseTruncated)))
 	})
 
 	It("that goes on after its end never ends cleanly", func() {
--- a/internal/dataplane/tenant_limiter.go
+++ b/internal/dataplane/tenant_limiter.go
@@ -33,7 +33,7 @@
 // why not. The ticket of an admitted request is to be released. A request that
 // waits calls waiting first, and gives up when the channel that it returns is
 // closed.
-func (l *limiter) acquire(ctx context.Context, arrival admission.Arrival, onQueued func() <-chan struct{}) (admission.Ticket, *caller.Problem) {
+func (l *limiter) acquire(ctx context.Context, arrival admission.Arrival, onQueued func() <-chan struct{}) (admission.Ticket, *caller.Error) {
 	decision, granted := l.arrive(arrival)
 	switch decision.Outcome {
 	case admission.Admitted:
@@ -46,21 +46,21 @@
 }
 
 // admissionProblem tells why a request was neither admitted nor queued.
-func admissionProblem(tenant string, decision admission.Decision) *caller.Problem {
-	var problem *caller.Problem
+func admissionProblem(tenant string, decision admission.Decision) *caller.Error {
+	var problem *caller.Error
 	switch decision.Outcome {
 	case admission.RefusedRate:
-		problem = caller.NewProblem(caller.KindRateLimited,
+		problem = caller.NewError(caller.KindRateLimited,
 			"tenant %q sends more requests a second than it may: slow down", tenant)
 	case admission.RefusedDeadline:
-		problem = caller.NewProblem(caller.KindDeadlineUnreachable,
+		problem = caller.NewError(caller.KindDeadlineUnreachable,
 			"so many requests of tenant %q wait on this node that the deadline would pass first: come back, or send a larger %s",
 			tenant, caller.HeaderDeadline)
 	default:
-		problem = caller.NewProblem(caller.KindQueueFull,
+		problem = caller.NewError(caller.KindQueueFull,
 			"tenant %q has as many requests running and waiting as it may: wait for some to finish", tenant)
 	}
-	return problem.After(decision.RetryAfter)
+	return problem.WithRetryAfter(decision.RetryAfter)
 }
 
 // arrive enters a request. The channel is nil unless the request waits.
@@ -77,7 +77,7 @@
 }
 
 // wait blocks until a queued request is granted or has waited long enough.
-func (l *limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Problem {
+func (l *limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Error {
 	timer := time.NewTimer(max(decision.Until-l.clock(), 0))
 	defer timer.Stop()
 	select {
@@ -131,12 +131,12 @@
 }
 
 // queueTimeoutProblem is the refusal of a request that has waited in vain.
-func queueTimeoutProblem(ctx context.Context, tenant string) *caller.Problem {
+func queueTimeoutProblem(ctx context.Context, tenant string) *caller.Error {
 	if deadlinePassed(ctx) {
 		return deadlineProblem()
 	}
-	return caller.NewProblem(caller.KindQueueTimeout,
-		"no place became free for tenant %q in time: send fewer requests at a time", tenant).After(time.Second)
+	return caller.NewError(caller.KindQueueTimeout,
+		"no place became free for tenant %q in time: send fewer requests at a time", tenant).WithRetryAfter(time.Second)
 }
 
 // admissionLimits returns a tenant's limits as admission reads them.
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -33,10 +33,10 @@
 
 // chooseHealthy implements backend: the fewest attempts in flight win. Back ends that
 // failed lately are avoided as long as there are others.
-func (b *webBackend) choose(w *work) (target, *caller.Problem) {
+func (b *webBackend) choose(w *work) (target, *caller.Error) {
 	service := b.newestService(w)
 	if service == nil {
-		return nil, noWebBackendProblem().After(b.server.options.BackendRetry)
+		return nil, noWebBackendProblem().WithRetryAfter(b.server.options.BackendRetry)
 	}
 	now := b.server.options.Clock()
 	var chosen routing.Replica
@@ -51,7 +51,7 @@
 		return foundOne
 	})
 	if !found {
-		return nil, noWebBackendProblem().After(b.server.options.BackendRetry)
+		return nil, noWebBackendProblem().WithRetryAfter(b.server.options.BackendRetry)
 	}
 	return &webTarget{backend: b, chosen: chosen, limits: service.Config.GetBackends()}, nil
 }
@@ -90,8 +90,8 @@
 }
 
 // noWebBackendProblem tells that no back end admits requests.
-func noWebBackendProblem() *caller.Problem {
-	return caller.NewProblem(caller.KindNoBackend,
+func noWebBackendProblem() *caller.Error {
+	return caller.NewError(caller.KindNoBackend,
 		"no back end of the web service takes requests: send the request again")
 }
 
--- a/internal/disk/write.go
+++ b/internal/disk/write.go
@@ -28,11 +28,11 @@
 	temporary := path + temporarySuffix
 	if err := writeTemporary(temporary, data); err != nil {
 		_ = os.Remove(temporary)
-		return typed(name, err)
+		return writeError(name, err)
 	}
 	if err := os.Rename(temporary, path); err != nil {
 		_ = os.Remove(temporary)
-		return typed(name, err)
+		return writeError(name, err)
 	}
 	// The rename may be done and not durable: nobody knows, so even a full
 	// disk is not reported as one that left the file unchanged.
@@ -64,7 +64,7 @@
 	}
 	opened, created, err := openAppend(path)
 	if err != nil {
-		return typed(name, err)
+		return writeError(name, err)
 	}
 	info, err := opened.Stat()
 	if err != nil {
@@ -103,7 +103,7 @@
 	if syncErr := opened.Sync(); syncErr != nil {
 		return errors.Wrapf(syncErr, "disk: cannot take back a failed write to %s (%v)", name, err)
 	}
-	return typed(name, err)
+	return writeError(name, err)
 }
 
 func writeAndSync(opened file, data []byte) error {
@@ -113,8 +113,8 @@
 	return opened.Sync()
 }
 
-// typed makes the errors of a full disk or quota match twoslot.ErrDiskFull.
-func typed(name string, err error) error {
+// writeError makes the errors of a full disk or quota match twoslot.ErrDiskFull.
+func writeError(name string, err error) error {
 	if errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) {
 		return &twoslot.Error{Kind: twoslot.KindDiskFull, Name: name, Cause: err}
 	}
--- a/internal/edge/caller/doc.go
+++ b/internal/edge/caller/doc.go
@@ -35,12 +35,12 @@
 const (
 	// MaxRequestIDBytes bounds Request-Id.
 	MaxRequestIDBytes = 256
-	// MaxParts bounds the parts of one prompt.
-	MaxParts = 4096
-	// MaxPartIDBytes bounds the name of one part.
-	MaxPartIDBytes = 256
-	// MaxPartTokens bounds the length of one part.
-	MaxPartTokens = 1 << 24
+	// MaxChunks bounds the parts of one prompt.
+	MaxChunks = 4096
+	// MaxChunkIDBytes bounds the name of one part.
+	MaxChunkIDBytes = 256
+	// MaxChunkTokens bounds the length of one part.
+	MaxChunkTokens = 1 << 24
 	// MaxPromptTokens bounds the length of a prompt.
 	MaxPromptTokens = 1 << 27
 	// MaxOutputTokens bounds what a caller may ask for.
--- a/internal/edge/caller/problem.go
+++ b/internal/edge/caller/error.go
@@ -32,7 +32,7 @@
 	KindRetryBudgetSpent    Kind = "retry_budget_spent"
 	KindDeadlineExceeded    Kind = "deadline_exceeded"
 	KindOutcomeUnknown      Kind = "outcome_unknown"
-	KindAnswerCut           Kind = "answer_cut"
+	KindResponseTruncated   Kind = "answer_cut"
 	KindInternal            Kind = "internal"
 )
 
@@ -57,12 +57,12 @@
 	KindRetryBudgetSpent:    http.StatusServiceUnavailable,
 	KindDeadlineExceeded:    http.StatusGatewayTimeout,
 	KindOutcomeUnknown:      http.StatusBadGateway,
-	KindAnswerCut:           http.StatusBadGateway,
+	KindResponseTruncated:   http.StatusBadGateway,
 	KindInternal:            http.StatusInternalServerError,
 }
 
-// Problem is an error that a caller is told of.
-type Problem struct {
+// Error is an error that a caller is told of.
+type Error struct {
 	Kind Kind `json:"kind"`
 	// Message says what is wrong and what to do about it.
 	Message string `json:"message"`
@@ -71,31 +71,31 @@
 	MayHaveRun bool `json:"may_have_run"`
 	// RequestID echoes the request's identity.
 	RequestID string `json:"request_id"`
-	// RepeatIsSafe tells that the same request may be sent again, although an
+	// RetryIsSafe tells that the same request may be sent again, although an
 	// earlier submission of it may have run.
-	RepeatIsSafe bool `json:"-"`
+	RetryIsSafe bool `json:"-"`
 	// RetryAfter is when to come back; zero if coming back does not help.
 	RetryAfter time.Duration `json:"-"`
 }
 
 // Error implements error.
-func (p *Problem) Error() string {
+func (p *Error) Error() string {
 	return fmt.Sprintf("%s: %s", p.Kind, p.Message)
 }
 
-// NewProblem returns a problem of a request that has not run.
-func NewProblem(kind Kind, format string, arguments ...any) *Problem {
-	return &Problem{Kind: kind, Message: fmt.Sprintf(format, arguments...)}
+// NewError returns a problem of a request that has not run.
+func NewError(kind Kind, format string, arguments ...any) *Error {
+	return &Error{Kind: kind, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// After sets the time to come back, and returns the problem.
-func (p *Problem) After(wait time.Duration) *Problem {
+// WithRetryAfter sets the time to come back, and returns the problem.
+func (p *Error) WithRetryAfter(wait time.Duration) *Error {
 	p.RetryAfter = wait
 	return p
 }
 
 // Status returns the HTTP status of the problem.
-func (p *Problem) Status() int {
+func (p *Error) Status() int {
 	if status, known := statusByKind[p.Kind]; known {
 		return status
 	}
@@ -109,8 +109,8 @@
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
-// WriteProblem answers a request with a problem.
-func WriteProblem(writer http.ResponseWriter, problem *Problem) {
+// WriteError answers a request with a problem.
+func WriteError(writer http.ResponseWriter, problem *Error) {
 	body, err := json.Marshal(problem)
 	if err != nil {
 		http.Error(writer, problem.Error(), problem.Status())
@@ -132,8 +132,8 @@
 	_, _ = writer.Write(body)
 }
 
-// StreamProblem returns the event by which a cut stream tells of its problem.
-func StreamProblem(problem *Problem) []byte {
+// ErrorEvent returns the event by which a cut stream tells of its problem.
+func ErrorEvent(problem *Error) []byte {
 	body, err := json.Marshal(problem)
 	if err != nil {
 		body = []byte("{}")
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -20,10 +20,10 @@
 	// ID is empty if the caller gave none.
 	ID string
 	// Model is empty if the caller gave none.
-	Model string
-	Parts []prefixindex.Chunk
-	// Repeatable permits the request to run more than once.
-	Repeatable bool
+	Model  string
+	Chunks []prefixindex.Chunk
+	// Idempotent permits the request to run more than once.
+	Idempotent bool
 	// Deadline is the longest time that the caller waits; zero if not given.
 	Deadline time.Duration
 	// OutputTokens is zero if not given.
@@ -40,10 +40,10 @@
 	if parsed.ID, err = parseRequestID(header.Get(HeaderRequestID)); err != nil {
 		return Request{}, err
 	}
-	if parsed.Parts, err = ParsePrefix(strings.Join(header.Values(HeaderPrefix), ",")); err != nil {
+	if parsed.Chunks, err = ParsePrefix(strings.Join(header.Values(HeaderPrefix), ",")); err != nil {
 		return Request{}, err
 	}
-	if parsed.Repeatable, err = parseRepeatable(request); err != nil {
+	if parsed.Idempotent, err = parseIdempotent(request); err != nil {
 		return Request{}, err
 	}
 	deadline, err := parseNumber(header, HeaderDeadline, MaxDeadlineMilliseconds)
@@ -112,19 +112,19 @@
 // characters pass, since the identity is echoed in headers.
 func parseRequestID(id string) (string, error) {
 	if len(id) > MaxRequestIDBytes {
-		return "", NewProblem(KindBadRequest, "%s is longer than %d bytes: shorten it", HeaderRequestID, MaxRequestIDBytes)
+		return "", NewError(KindBadRequest, "%s is longer than %d bytes: shorten it", HeaderRequestID, MaxRequestIDBytes)
 	}
 	for _, character := range []byte(id) {
 		if character < 0x21 || character > 0x7e {
-			return "", NewProblem(KindBadRequest, "%s holds a character that is not printable ASCII: remove it", HeaderRequestID)
+			return "", NewError(KindBadRequest, "%s holds a character that is not printable ASCII: remove it", HeaderRequestID)
 		}
 	}
 	return id, nil
 }
 
-// parseRepeatable reads whether the request may run more than once. Without
+// parseIdempotent reads whether the request may run more than once. Without
 // the header, only methods that are safe by definition may.
-func parseRepeatable(request *http.Request) (bool, error) {
+func parseIdempotent(request *http.Request) (bool, error) {
 	value := request.Header.Get(HeaderRepeatable)
 	switch strings.ToLower(strings.TrimSpace(value)) {
 	case "":
@@ -134,7 +134,7 @@
 	case "false":
 		return false, nil
 	default:
-		return false, NewProblem(KindBadRequest, "%s is %q: send true or false", HeaderRepeatable, value)
+		return false, NewError(KindBadRequest, "%s is %q: send true or false", HeaderRepeatable, value)
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	number, err := strconv.ParseUint(value, 10, 64)
 	if err != nil || number == 0 || number > limit {
-		return 0, NewProblem(KindBadRequest, "%s is %q: send a whole number from 1 to %d", name, value, limit)
+		return 0, NewError(KindBadRequest, "%s is %q: send a whole number from 1 to %d", name, value, limit)
 	}
 	return number, nil
 }
--- a/internal/edge/caller/request_test.go
+++ b/internal/edge/caller/request_test.go
@@ -30,15 +30,15 @@
 			request.Header.Set(name, value)
 		}
 		Expect(caller.Parse(request)).To(Equal(caller.Request{
-			ID: "r-1", Model: "large", Repeatable: true, Deadline: 250 * time.Millisecond, OutputTokens: 9, Streamed: true,
-			Parts: []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
+			ID: "r-1", Model: "large", Idempotent: true, Deadline: 250 * time.Millisecond, OutputTokens: 9, Streamed: true,
+			Chunks: []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}},
 		}))
 	})
 
 	DescribeTable("takes only methods that are safe for repeatable by themselves", func(method string, repeatable bool) {
 		parsed, err := caller.Parse(httptest.NewRequest(method, "/", nil))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(parsed.Repeatable).To(Equal(repeatable))
+		Expect(parsed.Idempotent).To(Equal(repeatable))
 	},
 		Entry("GET", http.MethodGet, true), Entry("HEAD", http.MethodHead, true),
 		Entry("POST", http.MethodPost, false), Entry("PUT", http.MethodPut, false), Entry("DELETE", http.MethodDelete, false),
@@ -46,7 +46,7 @@
 
 	DescribeTable("refuses", func(name, value string) {
 		_, err := caller.Parse(with(http.MethodPost, name, value))
-		problem, typed := err.(*caller.Problem)
+		problem, typed := err.(*caller.Error)
 		Expect(typed).To(BeTrue())
 		Expect(problem.Kind).To(Equal(caller.KindBadRequest))
 		Expect(problem.Message).To(HavePrefix(name))
@@ -59,7 +59,7 @@
 		Entry("an unknown parameter", "Prefix", "a;bytes=3"),
 		Entry("an empty part", "Prefix", "a;tokens=3,,b;tokens=3"),
 		Entry("a name with a blank", "Prefix", "a b;tokens=3"),
-		Entry("too many parts", "Prefix", strings.Repeat("a;tokens=1,", caller.MaxParts)+"a;tokens=1"),
+		Entry("too many parts", "Prefix", strings.Repeat("a;tokens=1,", caller.MaxChunks)+"a;tokens=1"),
 		Entry("too many tokens", "Prefix", strings.Repeat("a;tokens=16777216,", 8)+"a;tokens=16777216"),
 		Entry("a long identity", "Request-Id", strings.Repeat("x", caller.MaxRequestIDBytes+1)),
 		Entry("an identity that cannot be echoed", "Request-Id", "é"),
@@ -99,9 +99,9 @@
 var _ = Describe("WriteProblem", func() {
 	It("says everything a caller needs", func() {
 		recorder := httptest.NewRecorder()
-		problem := caller.NewProblem(caller.KindRateLimited, "slow down").After(1100 * time.Millisecond)
+		problem := caller.NewError(caller.KindRateLimited, "slow down").WithRetryAfter(1100 * time.Millisecond)
 		problem.RequestID = "r-1"
-		caller.WriteProblem(recorder, problem)
+		caller.WriteError(recorder, problem)
 		Expect(recorder.Code).To(Equal(http.StatusTooManyRequests))
 		Expect(recorder.Header().Get("Retry-After")).To(Equal("2"))
 		Expect(recorder.Body.String()).To(MatchJSON(`{"kind":"rate_limited","message":"slow down","may_have_run":false,"request_id":"r-1"}`))
@@ -112,9 +112,9 @@
 			caller.KindBadRequest, caller.KindHeaderTooLarge, caller.KindBodyTooLarge, caller.KindNotServing, caller.KindUnauthorized, caller.KindUnknownHost,
 			caller.KindModelMismatch, caller.KindDuplicateRequest, caller.KindRateLimited, caller.KindQueueFull,
 			caller.KindQueueTimeout, caller.KindDeadlineUnreachable, caller.KindClaimUndecided, caller.KindNoBackend, caller.KindBackendsBusy, caller.KindBackendRefused,
-			caller.KindRetryBudgetSpent, caller.KindDeadlineExceeded, caller.KindOutcomeUnknown, caller.KindAnswerCut,
+			caller.KindRetryBudgetSpent, caller.KindDeadlineExceeded, caller.KindOutcomeUnknown, caller.KindResponseTruncated,
 		} {
-			Expect(caller.NewProblem(kind, "x").Status()).NotTo(Equal(http.StatusInternalServerError), string(kind))
+			Expect(caller.NewError(kind, "x").Status()).NotTo(Equal(http.StatusInternalServerError), string(kind))
 		}
 	})
 })
--- a/internal/edge/operator/call.go
+++ b/internal/edge/operator/call.go
@@ -46,7 +46,7 @@
 	answer, err := control.Submit(ctx, order)
 	if err != nil {
 		var carrier problemCarrier
-		if !errors.As(err, &carrier) && ranOutOfTime(err) {
+		if !errors.As(err, &carrier) && isTimeout(err) {
 			return &ridgeswitchv1.OrderResult{Outcome: ridgeswitchv1.OrderResult_PENDING}, nil
 		}
 		return nil, err
--- a/internal/edge/operator/codec.go
+++ b/internal/edge/operator/codec.go
@@ -49,12 +49,12 @@
 	_, _ = w.Write(data)
 }
 
-// writeRefusal answers with a problem and, where it helps, when to come back.
-func writeRefusal(w http.ResponseWriter, refused refusal) {
-	if refused.retryAfter > 0 {
-		setRetryAfter(w, refused.retryAfter)
+// writeRejection answers with a problem and, where it helps, when to come back.
+func writeRejection(w http.ResponseWriter, rejected rejection) {
+	if rejected.retryAfter > 0 {
+		setRetryAfter(w, rejected.retryAfter)
 	}
-	writeMessage(w, refused.status, refused.problem)
+	writeMessage(w, rejected.status, rejected.problem)
 }
 
 // setRetryAfter tells when to come back, in whole seconds.
@@ -65,5 +65,5 @@
 
 // writeProblem answers with a problem that the control interface itself found.
 func writeProblem(w http.ResponseWriter, problem *ridgeswitchv1.Problem) {
-	writeRefusal(w, refusalFor(problem))
+	writeRejection(w, rejectionFor(problem))
 }
--- a/internal/edge/operator/questions.go
+++ b/internal/edge/operator/queries.go
@@ -8,20 +8,20 @@
 // schemaPaths is how the paths of the calls of the schema begin.
 const schemaPaths = "/v1/"
 
-// WithQuestions returns a handler of another operator protocol with the product's own
+// WithQueries returns a handler of another operator protocol with the product's own
 // questions beside it: the calls that change nothing, the health checks and the
 // metrics. Changes are the other protocol's alone, which knows what they are made from.
-func WithQuestions(other, own http.Handler) http.Handler {
+func WithQueries(changes, queries http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if isQuestion(request) {
-			own.ServeHTTP(writer, request)
+		if isQuery(request) {
+			queries.ServeHTTP(writer, request)
 			return
 		}
-		other.ServeHTTP(writer, request)
+		changes.ServeHTTP(writer, request)
 	})
 }
 
-func isQuestion(request *http.Request) bool {
+func isQuery(request *http.Request) bool {
 	if request.Method != http.MethodGet {
 		return false
 	}
--- a/internal/edge/operator/problem.go
+++ b/internal/edge/operator/rejection.go
@@ -81,47 +81,47 @@
 	KindInternal:                      http.StatusInternalServerError,
 }
 
-// refusal is a problem with what HTTP adds to it.
-type refusal struct {
+// rejection is a problem with what HTTP adds to it.
+type rejection struct {
 	status     int
 	retryAfter time.Duration
 	problem    *ridgeswitchv1.Problem
 }
 
-// refusalOf turns an error into an answer. An error without a Problem leaves
+// rejectionOf turns an error into an answer. An error without a Problem leaves
 // open whether the call took effect, so the remedy is the identical call.
-func refusalOf(err error) refusal {
+func rejectionOf(err error) rejection {
 	var carrier problemCarrier
 	if !errors.As(err, &carrier) {
 		carrier = &UnavailableError{Kind: KindUnavailable, Message: outcomeUnknown(err)}
 	}
-	refused := refusalFor(carrier.Problem())
+	rejected := rejectionFor(carrier.Problem())
 	var unavailable *UnavailableError
 	if errors.As(err, &unavailable) && unavailable.RetryAfter > 0 {
-		refused.retryAfter = unavailable.RetryAfter
+		rejected.retryAfter = unavailable.RetryAfter
 	}
-	return refused
+	return rejected
 }
 
 func outcomeUnknown(err error) string {
 	return fmt.Sprintf("%v; the call may have taken effect: resend it unchanged, to any node", err)
 }
 
-// refusalFor finds the status of a problem. A kind that is not known here comes
+// rejectionFor finds the status of a problem. A kind that is not known here comes
 // from a newer part of the node; it is not the caller's fault.
-func refusalFor(problem *ridgeswitchv1.Problem) refusal {
+func rejectionFor(problem *ridgeswitchv1.Problem) rejection {
 	status, known := statusByKind[dynamic.Kind(problem.GetKind())]
 	if !known {
 		status = http.StatusInternalServerError
 	}
-	refused := refusal{status: status, problem: problem}
+	rejected := rejection{status: status, problem: problem}
 	if status == http.StatusServiceUnavailable {
-		refused.retryAfter = DefaultRetryAfter
+		rejected.retryAfter = DefaultRetryAfter
 	}
-	return refused
+	return rejected
 }
 
-// ranOutOfTime tells whether a call ended because its time was up.
-func ranOutOfTime(err error) bool {
+// isTimeout tells whether a call ended because its time was up.
+func isTimeout(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/edge/operator/resources.go
+++ b/internal/edge/operator/resources.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// order is the common way of all calls whose request is an order by itself.
-func order[Request proto.Message](control Control) func(context.Context, Request) (*ridgeswitchv1.OrderResult, error) {
+// submitRequest is the common way of all calls whose request is an order by itself.
+func submitRequest[Request proto.Message](control Control) func(context.Context, Request) (*ridgeswitchv1.OrderResult, error) {
 	return func(ctx context.Context, request Request) (*ridgeswitchv1.OrderResult, error) {
 		order, err := dynamic.OrderFromRequest(request)
 		if err != nil {
@@ -41,7 +41,7 @@
 
 func (c *configurations) calls() []call {
 	return []call{
-		newCall("ApplyConfiguration", order[*ridgeswitchv1.ApplyConfigurationRequest](c.control)),
+		newCall("ApplyConfiguration", submitRequest[*ridgeswitchv1.ApplyConfigurationRequest](c.control)),
 		newCall("GetConfiguration", c.get),
 		newCall("GetSource", c.source),
 	}
@@ -63,17 +63,17 @@
 
 func (c *configurations) get(ctx context.Context, request *ridgeswitchv1.GetConfigurationRequest) (*ridgeswitchv1.Configuration, error) {
 	if request.GetLocal() {
-		return learnt(c.control.Configuration())
+		return requireConfiguration(c.control.Configuration())
 	}
 	configuration, err := c.control.ReadConfiguration(ctx)
 	if err != nil {
 		return nil, &UnavailableError{Kind: KindNoLeader, Message: err.Error()}
 	}
-	return learnt(configuration)
+	return requireConfiguration(configuration)
 }
 
-// learnt refuses a read before the first configuration.
-func learnt(configuration *ridgeswitchv1.Configuration) (*ridgeswitchv1.Configuration, error) {
+// requireConfiguration refuses a read before the first configuration.
+func requireConfiguration(configuration *ridgeswitchv1.Configuration) (*ridgeswitchv1.Configuration, error) {
 	if configuration == nil {
 		return nil, &UnavailableError{
 			Kind:    KindUnavailable,
@@ -92,8 +92,8 @@
 
 func (t *tenants) calls() []call {
 	return []call{
-		newCall("AddKey", order[*ridgeswitchv1.AddKeyRequest](t.control)),
-		newCall("RevokeKey", order[*ridgeswitchv1.RevokeKeyRequest](t.control)),
+		newCall("AddKey", submitRequest[*ridgeswitchv1.AddKeyRequest](t.control)),
+		newCall("RevokeKey", submitRequest[*ridgeswitchv1.RevokeKeyRequest](t.control)),
 		newCall("WallTenant", t.wall),
 		newCall("UnwallTenant", t.unwall),
 	}
@@ -124,8 +124,8 @@
 
 func (z *zones) calls() []call {
 	return []call{
-		newCall("EvacuateZone", order[*ridgeswitchv1.EvacuateZoneRequest](z.control)),
-		newCall("RestoreZone", order[*ridgeswitchv1.RestoreZoneRequest](z.control)),
+		newCall("EvacuateZone", submitRequest[*ridgeswitchv1.EvacuateZoneRequest](z.control)),
+		newCall("RestoreZone", submitRequest[*ridgeswitchv1.RestoreZoneRequest](z.control)),
 	}
 }
 
@@ -138,7 +138,7 @@
 
 func (w *weights) calls() []call {
 	return []call{
-		newCall("NameWeights", order[*ridgeswitchv1.NameWeightsRequest](w.control)),
+		newCall("NameWeights", submitRequest[*ridgeswitchv1.NameWeightsRequest](w.control)),
 		newCall("GetWeights", w.get),
 	}
 }
--- a/internal/edge/operator/routes.go
+++ b/internal/edge/operator/routes.go
@@ -58,14 +58,14 @@
 func (c call) handle(w http.ResponseWriter, r *http.Request) {
 	request := c.newRequest()
 	if err := readRequest(w, r, pathvar.Vars(r), request); err != nil {
-		writeRefusal(w, refusalOf(err))
+		writeRejection(w, rejectionOf(err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	response, err := c.serve(ctx, request)
 	if err != nil {
-		writeRefusal(w, refusalOf(err))
+		writeRejection(w, rejectionOf(err))
 		return
 	}
 	status := statusOf(response)
--- a/internal/edge/outbound/client.go
+++ b/internal/edge/outbound/client.go
@@ -44,20 +44,20 @@
 type Client struct {
 	service   httpc.Service
 	transport *http.Transport
-	open      *openConnections
+	open      *connectionLimiter
 }
 
 // Error says that a request got no answer.
 type Error struct {
-	// MayHaveLeft tells whether any byte of the request may have left. If it
+	// MayHaveBeenSent tells whether any byte of the request may have left. If it
 	// is false none has left, and none will.
-	MayHaveLeft bool
-	cause       error
+	MayHaveBeenSent bool
+	cause           error
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	if e.MayHaveLeft {
+	if e.MayHaveBeenSent {
 		return fmt.Sprintf("no answer after the request was sent: %v", e.cause)
 	}
 	return fmt.Sprintf("the request was not sent: %v", e.cause)
@@ -87,14 +87,14 @@
 	// httpc registers a breaker and writes a log line for every request.
 	breaker.NoBreakerFor(options.Name)
 	logx.SetLevel(logx.SevereLevel)
-	open := newOpenConnections()
+	open := newConnectionLimiter()
 	transport := newTransport(options, open)
 	client := &http.Client{Transport: transport, CheckRedirect: keepRedirect}
 	return &Client{service: httpc.NewServiceWithClient(options.Name, client), transport: transport, open: open}
 }
 
 // newTransport returns a transport that changes nothing in what passes.
-func newTransport(options Options, open *openConnections) *http.Transport {
+func newTransport(options Options, open *connectionLimiter) *http.Transport {
 	return &http.Transport{
 		DialContext:            dialer(options.DialTimeout, open),
 		DisableCompression:     true,
@@ -114,13 +114,13 @@
 // caller closes the answer's body; unless it was read to its end the
 // connection is closed with it.
 func (c *Client) Send(request *http.Request, body []byte) (*http.Response, error) {
-	watch := &connectionWatch{}
+	watch := &connectionTrace{}
 	trace := &httptrace.ClientTrace{GotConn: watch.got}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
-	makeUnrepeatable(request, body)
+	preventRetries(request, body)
 	response, err := c.service.DoRequest(request)
 	if err != nil {
-		return nil, &Error{MayHaveLeft: watch.seal(), cause: errors.WithStack(err)}
+		return nil, &Error{MayHaveBeenSent: watch.seal(), cause: errors.WithStack(err)}
 	}
 	return response, nil
 }
@@ -136,7 +136,7 @@
 
 // LimitConnections bounds the connections to each back end by what limit returns
 // for its address, 0 for any number. A request that finds all of them in use is not
-// sent; the cause of its error is a *ConnectionsSpentError.
+// sent; the cause of its error is a *ConnectionLimitError.
 func (c *Client) LimitConnections(limit func(address string) int) { c.open.setLimit(limit) }
 
 // CloseIdle closes the connections that carry no request.
@@ -144,40 +144,40 @@
 	c.transport.CloseIdleConnections()
 }
 
-// connectionWatch remembers the connections that a request was given.
-type connectionWatch struct {
-	mutex   sync.Mutex
-	held    []heldConnection
-	foreign bool
+// connectionTrace remembers the connections that a request was given.
+type connectionTrace struct {
+	mutex       sync.Mutex
+	connections []usedConnection
+	untracked   bool
 }
 
-// heldConnection is a connection and its count of writes when it was given.
-type heldConnection struct {
-	connection *countedConn
-	before     uint64
+// usedConnection is a connection and its count of writes when it was given.
+type usedConnection struct {
+	connection   *countedConn
+	writesBefore uint64
 }
 
 // got is called before the request is written to the connection.
-func (w *connectionWatch) got(info httptrace.GotConnInfo) {
+func (w *connectionTrace) got(info httptrace.GotConnInfo) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	counted, known := info.Conn.(*countedConn)
 	if !known {
-		w.foreign = true
+		w.untracked = true
 		return
 	}
-	w.held = append(w.held, heldConnection{connection: counted, before: counted.writeCount()})
+	w.connections = append(w.connections, usedConnection{connection: counted, writesBefore: counted.writeCount()})
 }
 
 // seal ends the connections, and returns whether any byte may have left.
-func (w *connectionWatch) seal() bool {
+func (w *connectionTrace) seal() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	left := w.foreign
-	for _, held := range w.held {
-		if held.connection.seal() != held.before {
-			left = true
+	mayHaveBeenSent := w.untracked
+	for _, used := range w.connections {
+		if used.connection.seal() != used.writesBefore {
+			mayHaveBeenSent = true
 		}
 	}
-	return left
+	return mayHaveBeenSent
 }
--- a/internal/edge/outbound/client_test.go
+++ b/internal/edge/outbound/client_test.go
@@ -46,7 +46,7 @@
 		err = exchangeOnce(client, http.MethodPost, address, []byte("prompt"))
 		var failed *outbound.Error
 		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(failed.MayHaveLeft).To(BeFalse())
+		Expect(failed.MayHaveBeenSent).To(BeFalse())
 	})
 
 	DescribeTable("does not follow a redirect, which would send a second time", func(status int) {
--- a/internal/edge/outbound/connection.go
+++ b/internal/edge/outbound/connection.go
@@ -68,7 +68,7 @@
 
 // dialer returns the transport's dial function, which opens no more connections
 // to an address than there may be.
-func dialer(timeout time.Duration, open *openConnections) func(ctx context.Context, network, address string) (net.Conn, error) {
+func dialer(timeout time.Duration, open *connectionLimiter) func(ctx context.Context, network, address string) (net.Conn, error) {
 	plain := &net.Dialer{Timeout: timeout, KeepAlive: keepAlivePeriod}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if err := open.reserve(address); err != nil {
--- a/internal/edge/outbound/open_test.go
+++ b/internal/edge/outbound/connection_limit_test.go
@@ -51,8 +51,8 @@
 	boundOf := func(err error) int {
 		var failed *outbound.Error
 		ExpectWithOffset(1, errors.As(err, &failed)).To(BeTrue())
-		ExpectWithOffset(1, failed.MayHaveLeft).To(BeFalse())
-		var spent *outbound.ConnectionsSpentError
+		ExpectWithOffset(1, failed.MayHaveBeenSent).To(BeFalse())
+		var spent *outbound.ConnectionLimitError
 		ExpectWithOffset(1, errors.As(err, &spent)).To(BeTrue())
 		return spent.Limit
 	}
@@ -122,7 +122,7 @@
 			for range 3 {
 				_, err := begin(address)
 				Expect(err).To(HaveOccurred())
-				var spent *outbound.ConnectionsSpentError
+				var spent *outbound.ConnectionLimitError
 				Expect(errors.As(err, &spent)).To(BeFalse(), "%v", err)
 			}
 		}
--- a/internal/edge/outbound/direct.go
+++ b/internal/edge/outbound/direct.go
@@ -19,11 +19,11 @@
 	// DefaultDirectIdleTimeout ends the reuse of connections that have carried
 	// nothing lately.
 	DefaultDirectIdleTimeout = 3 * time.Second
-	// DefaultUnacknowledged is how long sent bytes, or probes of a connection
+	// DefaultAckTimeout is how long sent bytes, or probes of a connection
 	// that waits, may stay without the other machine's acknowledgement.
-	DefaultUnacknowledged = 3 * time.Second
-	// probeEvery is the interval of probes on a connection that waits.
-	probeEvery = time.Second
+	DefaultAckTimeout = 3 * time.Second
+	// probeInterval is the interval of probes on a connection that waits.
+	probeInterval = time.Second
 )
 
 // Bounds of what is taken beside the answer that is waited for.
@@ -45,13 +45,13 @@
 	IdleTimeout time.Duration
 	// IdlePerAddress bounds the idle connections to one back end.
 	IdlePerAddress int
-	// Unacknowledged is how long sent bytes may stay without the other machine's
+	// AckTimeout is how long sent bytes may stay without the other machine's
 	// acknowledgement.
-	Unacknowledged time.Duration
-	// Belongs tells whether an answer is that of the request. One that is not is
+	AckTimeout time.Duration
+	// Matches tells whether an answer is that of the request. One that is not is
 	// a surplus answer to an earlier request and is passed over. Nil takes every
 	// answer.
-	Belongs func(request *http.Request, response *http.Response) bool
+	Matches func(request *http.Request, response *http.Response) bool
 }
 
 // Direct sends requests on connections of its own, in place of net/http's
@@ -63,7 +63,7 @@
 	options DirectOptions
 	dialer  net.Dialer
 	idle    *idleConnections
-	open    *openConnections
+	open    *connectionLimiter
 }
 
 // NewDirect returns a client without connections.
@@ -71,20 +71,20 @@
 	setDefault(&options.DialTimeout, DefaultDirectDialTimeout)
 	setDefault(&options.IdleTimeout, DefaultDirectIdleTimeout)
 	setDefault(&options.IdlePerAddress, DefaultIdlePerAddress)
-	setDefault(&options.Unacknowledged, DefaultUnacknowledged)
+	setDefault(&options.AckTimeout, DefaultAckTimeout)
 	return &Direct{
 		options: options,
 		idle:    newIdleConnections(options.IdlePerAddress),
-		open:    newOpenConnections(),
+		open:    newConnectionLimiter(),
 		dialer: net.Dialer{
 			Timeout: options.DialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{
 				Enable:   true,
-				Idle:     probeEvery,
-				Interval: probeEvery,
-				Count:    max(int(options.Unacknowledged/probeEvery), 1),
+				Idle:     probeInterval,
+				Interval: probeInterval,
+				Count:    max(int(options.AckTimeout/probeInterval), 1),
 			},
-			Control: limitUnacknowledged(options.Unacknowledged),
+			Control: ackTimeoutControl(options.AckTimeout),
 		},
 	}
 }
@@ -97,9 +97,9 @@
 	}
 }
 
-// limitUnacknowledged makes a connection fail when the other machine
+// ackTimeoutControl makes a connection fail when the other machine
 // acknowledges nothing, as one without power does.
-func limitUnacknowledged(limit time.Duration) func(string, string, syscall.RawConn) error {
+func ackTimeoutControl(limit time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failure error
 		err := raw.Control(func(descriptor uintptr) {
@@ -133,7 +133,7 @@
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &Error{MayHaveLeft: connection.written > 0, cause: errors.WithStack(err)}
+		return nil, &Error{MayHaveBeenSent: connection.written > 0, cause: errors.WithStack(err)}
 	}
 	return response, nil
 }
@@ -152,7 +152,7 @@
 
 // LimitConnections bounds the connections to each back end by what limit returns
 // for its address, 0 for any number. A request that finds all of them in use is not
-// sent; the cause of its error is a *ConnectionsSpentError.
+// sent; the cause of its error is a *ConnectionLimitError.
 func (d *Direct) LimitConnections(limit func(address string) int) { d.open.setLimit(limit) }
 
 // CloseIdle closes the connections that carry no request.
@@ -164,15 +164,15 @@
 		return nil, err
 	}
 	for {
-		kept := d.idle.take(address)
-		if kept == nil {
+		idle := d.idle.take(address)
+		if idle == nil {
 			break
 		}
-		if kept.quiet() {
-			kept.written = 0
-			return kept, nil
+		if idle.isIdle() {
+			idle.written = 0
+			return idle, nil
 		}
-		kept.close()
+		idle.close()
 	}
 	if err := d.open.reserve(address); err != nil {
 		return nil, err
--- a/internal/edge/outbound/directconnection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -18,7 +18,7 @@
 	address string
 	net.Conn
 	// open counts the connection until it is closed.
-	open *openConnections
+	open *connectionLimiter
 	// limited bounds what reader takes of the header of an answer.
 	limited io.LimitedReader
 	reader  *bufio.Reader
@@ -31,7 +31,7 @@
 	expires time.Time
 }
 
-func newDirectConnection(address string, dialled net.Conn, open *openConnections) *directConnection {
+func newDirectConnection(address string, dialled net.Conn, open *connectionLimiter) *directConnection {
 	connection := &directConnection{address: address, Conn: dialled, open: open}
 	connection.limited = io.LimitedReader{R: dialled, N: math.MaxInt64}
 	connection.reader = bufio.NewReader(&connection.limited)
@@ -46,9 +46,9 @@
 	}
 }
 
-// quiet tells whether a kept connection is open and nothing has come on it since
+// idle tells whether a kept connection is open and nothing has come on it since
 // its last answer.
-func (c *directConnection) quiet() bool {
+func (c *directConnection) isIdle() bool {
 	tcp, known := c.Conn.(syscall.Conn)
 	if !known || c.reader.Buffered() > 0 {
 		return false
@@ -57,14 +57,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, failure := syscall.Read(int(descriptor), one[:])
-		quiet = errors.Is(failure, syscall.EAGAIN)
+		idle = errors.Is(failure, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 // limitHeader bounds the bytes that are read until the bound is lifted.
--- a/internal/edge/outbound/direct_test.go
+++ b/internal/edge/outbound/direct_test.go
@@ -132,7 +132,7 @@
 	})
 
 	It("passes over a late answer to an earlier request", func() {
-		use(outbound.DirectOptions{Belongs: belongs})
+		use(outbound.DirectOptions{Matches: belongs})
 		server := serveScript(func(number int, connection *scriptedConnection) {
 			for request := connection.next(); request != nil; request = connection.next() {
 				id := request.Header.Get("Id")
@@ -149,7 +149,7 @@
 	})
 
 	It("takes no answer when only others come", func() {
-		use(outbound.DirectOptions{Belongs: belongs})
+		use(outbound.DirectOptions{Matches: belongs})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("%s%s%s", answered("a"), answered("b"), answered("c"))
@@ -158,7 +158,7 @@
 		_, err := send(server, "mine", nil)
 		var failed *outbound.Error
 		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(failed.MayHaveLeft).To(BeTrue())
+		Expect(failed.MayHaveBeenSent).To(BeTrue())
 	})
 
 	DescribeTable("takes no answer out of what is none", func(bytes string) {
@@ -169,7 +169,7 @@
 		_, err := send(server, "", nil)
 		var failed *outbound.Error
 		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(failed.MayHaveLeft).To(BeTrue())
+		Expect(failed.MayHaveBeenSent).To(BeTrue())
 	},
 		Entry("nothing", ""),
 		Entry("garbage", "\x16\x03\x01 no answer at all\r\n\r\n"),
@@ -257,7 +257,7 @@
 		_, err := client.Send(newRequest(http.MethodPost, server.listener.Addr().String()).WithContext(ctx), nil)
 		var failed *outbound.Error
 		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(failed.MayHaveLeft).To(BeTrue())
+		Expect(failed.MayHaveBeenSent).To(BeTrue())
 		Expect(errors.Is(err, context.DeadlineExceeded)).To(BeTrue())
 	})
 
@@ -281,7 +281,7 @@
 		_, err := client.Send(request, nil)
 		var failed *outbound.Error
 		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(failed.MayHaveLeft).To(BeFalse())
+		Expect(failed.MayHaveBeenSent).To(BeFalse())
 	},
 		Entry("when a header would end its line", func(request *http.Request) *http.Request {
 			request.Header.Set("Id", "a\r\nB: c")
--- a/internal/edge/outbound/exchange.go
+++ b/internal/edge/outbound/exchange.go
@@ -15,8 +15,8 @@
 // The back end may answer a longer one before it has read it.
 const inlineBodyBytes = 16 << 10
 
-// errNoAnswer says that what came on a connection is not the answer.
-var errNoAnswer = errors.New("no answer to the request came on its connection")
+// errNoResponse says that what came on a connection is not the answer.
+var errNoResponse = errors.New("no answer to the request came on its connection")
 
 // exchange is one request on its connection, and the body of its answer.
 type exchange struct {
@@ -92,23 +92,23 @@
 		}
 		switch {
 		case response.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errNoAnswer
+			return nil, errNoResponse
 		case response.StatusCode < http.StatusOK:
 			continue
-		case e.options.Belongs == nil || e.options.Belongs(e.request, response):
+		case e.options.Matches == nil || e.options.Matches(e.request, response):
 			return response, nil
-		case surplus == maxSurplus || !passOver(response):
-			return nil, errNoAnswer
+		case surplus == maxSurplus || !discardResponse(response):
+			return nil, errNoResponse
 		}
 		surplus++
 		e.surplus = true
 	}
-	return nil, errNoAnswer
+	return nil, errNoResponse
 }
 
-// passOver reads an answer of another request to its end, and returns false if
+// discardResponse reads an answer of another request to its end, and returns false if
 // that cannot be done.
-func passOver(response *http.Response) bool {
+func discardResponse(response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
 	if !delimited(response) {
 		return false
@@ -178,17 +178,17 @@
 		return
 	}
 	e.ended = true
-	e.idle.put(e.connection, e.keepFor())
+	e.idle.put(e.connection, e.reuseTime())
 }
 
 // reusable tells whether the connection is as it was before the request. What
 // comes behind an answer belongs to nobody.
 func (e *exchange) reusable() bool {
-	return e.writtenWhole() && !e.surplus && !e.response.Close && delimited(e.response) && e.connection.reader.Buffered() == 0
+	return e.writeComplete() && !e.surplus && !e.response.Close && delimited(e.response) && e.connection.reader.Buffered() == 0
 }
 
-// writtenWhole tells whether the whole request has been written by now.
-func (e *exchange) writtenWhole() bool {
+// writeComplete tells whether the whole request has been written by now.
+func (e *exchange) writeComplete() bool {
 	if e.writing != nil {
 		select {
 		case <-e.writing:
@@ -199,10 +199,10 @@
 	return !e.incomplete
 }
 
-// keepFor returns how long the connection may be used again: not up to the very
+// reuseTime returns how long the connection may be used again: not up to the very
 // moment at which the back end closes it.
-func (e *exchange) keepFor() time.Duration {
-	const safe, whole = 3, 4
+func (e *exchange) reuseTime() time.Duration {
+	const numerator, denominator = 3, 4
 	_, parameter, given := strings.Cut(strings.ToLower(e.response.Header.Get("Keep-Alive")), "timeout=")
 	if !given {
 		return e.options.IdleTimeout
@@ -212,11 +212,11 @@
 	if err != nil {
 		return e.options.IdleTimeout
 	}
-	return min(e.options.IdleTimeout, time.Duration(seconds)*time.Second*safe/whole)
+	return min(e.options.IdleTimeout, time.Duration(seconds)*time.Second*numerator/denominator)
 }
 
-// headersOfWriting are those that the message on the connection decides.
-var headersOfWriting = map[string]bool{
+// framingHeaders are those that the message on the connection decides.
+var framingHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true, "Trailer": true,
 }
 
@@ -233,7 +233,7 @@
 	}
 	head = append(head, "\r\n"...)
 	for name, values := range request.Header {
-		if headersOfWriting[name] {
+		if framingHeaders[name] {
 			continue
 		}
 		for _, value := range values {
--- a/internal/edge/outbound/idle.go
+++ b/internal/edge/outbound/idle.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sweepEvery is the interval at which connections that expired are closed.
-const sweepEvery = time.Second
+// sweepInterval is the interval at which connections that expired are closed.
+const sweepInterval = time.Second
 
 // idleConnections are the connections that carry no request, by address, the
 // longest idle first.
@@ -23,19 +23,19 @@
 }
 
 // put keeps a connection for a time.
-func (i *idleConnections) put(connection *directConnection, keep time.Duration) {
-	connection.expires = time.Now().Add(keep)
+func (i *idleConnections) put(connection *directConnection, reuseTime time.Duration) {
+	connection.expires = time.Now().Add(reuseTime)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	kept := i.connections[connection.address]
-	if keep <= 0 || len(kept) >= i.perAddress {
+	idle := i.connections[connection.address]
+	if reuseTime <= 0 || len(idle) >= i.perAddress {
 		connection.close()
 		return
 	}
-	i.connections[connection.address] = append(kept, connection)
+	i.connections[connection.address] = append(idle, connection)
 	if !i.sweeping {
 		i.sweeping = true
-		time.AfterFunc(sweepEvery, i.sweep)
+		time.AfterFunc(sweepInterval, i.sweep)
 	}
 }
 
@@ -45,13 +45,13 @@
 	defer i.mutex.Unlock()
 	now := time.Now()
 	for {
-		kept := i.connections[address]
-		if len(kept) == 0 {
+		idle := i.connections[address]
+		if len(idle) == 0 {
 			return nil
 		}
-		last := kept[len(kept)-1]
-		kept[len(kept)-1] = nil
-		i.connections[address] = kept[:len(kept)-1]
+		last := idle[len(idle)-1]
+		idle[len(idle)-1] = nil
+		i.connections[address] = idle[:len(idle)-1]
 		if now.Before(last.expires) {
 			return last
 		}
@@ -64,24 +64,24 @@
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	now := time.Now()
-	for address, kept := range i.connections {
-		still := kept[:0]
-		for _, connection := range kept {
+	for address, idle := range i.connections {
+		remaining := idle[:0]
+		for _, connection := range idle {
 			if now.Before(connection.expires) {
-				still = append(still, connection)
+				remaining = append(remaining, connection)
 			} else {
 				connection.close()
 			}
 		}
-		clear(kept[len(still):])
-		i.connections[address] = still
-		if len(still) == 0 {
+		clear(idle[len(remaining):])
+		i.connections[address] = remaining
+		if len(remaining) == 0 {
 			delete(i.connections, address)
 		}
 	}
 	i.sweeping = len(i.connections) > 0
 	if i.sweeping {
-		time.AfterFunc(sweepEvery, i.sweep)
+		time.AfterFunc(sweepInterval, i.sweep)
 	}
 }
 
@@ -89,8 +89,8 @@
 func (i *idleConnections) closeAll() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	for _, kept := range i.connections {
-		for _, connection := range kept {
+	for _, idle := range i.connections {
+		for _, connection := range idle {
 			connection.close()
 		}
 	}
--- a/internal/edge/outbound/fault.go
+++ b/internal/edge/outbound/invalid_response.go
@@ -1,16 +1,16 @@
 package outbound
 
-// FaultError says that an answer was cut, that a cut could not be noticed, or
+// InvalidResponseError says that an answer was cut, that a cut could not be noticed, or
 // that the answer cannot be taken for that of the attempt. The request may have
 // run.
-type FaultError struct {
+type InvalidResponseError struct {
 	Reason string
 	// Cause is what was seen of the connection; it may be nil.
 	Cause error
 }
 
 // Error implements error.
-func (e *FaultError) Error() string {
+func (e *InvalidResponseError) Error() string {
 	if e.Cause == nil {
 		return e.Reason
 	}
@@ -18,6 +18,6 @@
 }
 
 // Unwrap returns the cause.
-func (e *FaultError) Unwrap() error {
+func (e *InvalidResponseError) Unwrap() error {
 	return e.Cause
 }
--- a/internal/edge/outbound/refusal.go
+++ b/internal/edge/outbound/refusal.go
@@ -26,13 +26,13 @@
 	return fmt.Sprintf("the back end refused the request with status %d: %s", e.Status, e.Message)
 }
 
-// FailedAnswerError says that a back end answered with a failure that does not
+// FailedResponseError says that a back end answered with a failure that does not
 // tell whether the request has run.
-type FailedAnswerError struct {
+type FailedResponseError struct {
 	Status int
 }
 
 // Error implements error.
-func (e *FailedAnswerError) Error() string {
+func (e *FailedResponseError) Error() string {
 	return fmt.Sprintf("the back end failed with status %d", e.Status)
 }
--- a/internal/edge/outbound/sendsonce_test.go
+++ b/internal/edge/outbound/single_send_test.go
@@ -39,7 +39,7 @@
 		switch {
 		case err == nil:
 			Expect(backend.whole.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
-		case errors.As(err, &failed) && !failed.MayHaveLeft:
+		case errors.As(err, &failed) && !failed.MayHaveBeenSent:
 			Expect(backend.begun.Load()).To(BeZero(), "cut after %d bytes", cut)
 		}
 		if cut == 0 {
@@ -49,7 +49,7 @@
 			return false
 		}
 		Expect(failed).NotTo(BeNil(), "cut after %d bytes", cut)
-		Expect(failed.MayHaveLeft).To(BeTrue(), "cut after %d bytes", cut)
+		Expect(failed.MayHaveBeenSent).To(BeTrue(), "cut after %d bytes", cut)
 		return true
 	}
 
--- a/internal/edge/platform/list.go
+++ b/internal/edge/platform/endpoints.go
@@ -17,8 +17,8 @@
 const (
 	// PathServices is where the platform lists back ends.
 	PathServices = "/v1/services"
-	// maxListBytes bounds the list.
-	maxListBytes = 16 << 20
+	// maxResponseBytes bounds the list.
+	maxResponseBytes = 16 << 20
 )
 
 // State is what the platform says of a back end.
@@ -45,18 +45,18 @@
 	Replicas []Replica `json:"replicas"`
 }
 
-// List is the platform's whole list.
-type List struct {
+// Endpoints is the platform's whole list.
+type Endpoints struct {
 	Services []Service `json:"services"`
 }
 
-// ListError says that a list cannot be used. The last good one stays in force.
-type ListError struct {
+// EndpointsError says that a list cannot be used. The last good one stays in force.
+type EndpointsError struct {
 	Reason string
 }
 
 // Error implements error.
-func (e *ListError) Error() string {
+func (e *EndpointsError) Error() string {
 	return "the platform's list cannot be used: " + e.Reason
 }
 
@@ -72,53 +72,53 @@
 }
 
 // Fetch returns the present list.
-func (c *Client) Fetch(ctx context.Context) (*List, error) {
+func (c *Client) Fetch(ctx context.Context) (*Endpoints, error) {
 	response, err := c.sender.Get(ctx, "http://"+c.address+PathServices)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, &ListError{Reason: fmt.Sprintf("the platform answered with status %d", response.StatusCode)}
+		return nil, &EndpointsError{Reason: fmt.Sprintf("the platform answered with status %d", response.StatusCode)}
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	if len(body) > maxListBytes {
-		return nil, &ListError{Reason: fmt.Sprintf("it is larger than %d bytes", maxListBytes)}
+	if len(body) > maxResponseBytes {
+		return nil, &EndpointsError{Reason: fmt.Sprintf("it is larger than %d bytes", maxResponseBytes)}
 	}
-	return parseList(body)
+	return parseEndpoints(body)
 }
 
-// parseList reads and checks a list.
-func parseList(body []byte) (*List, error) {
-	list := &List{}
-	if err := json.Unmarshal(body, list); err != nil {
-		return nil, &ListError{Reason: err.Error()}
+// parseEndpoints reads and checks a list.
+func parseEndpoints(body []byte) (*Endpoints, error) {
+	endpoints := &Endpoints{}
+	if err := json.Unmarshal(body, endpoints); err != nil {
+		return nil, &EndpointsError{Reason: err.Error()}
 	}
-	if list.Services == nil {
-		return nil, &ListError{Reason: "it has no services field"}
+	if endpoints.Services == nil {
+		return nil, &EndpointsError{Reason: "it has no services field"}
 	}
-	for _, service := range list.Services {
+	for _, service := range endpoints.Services {
 		if err := service.check(); err != nil {
 			return nil, err
 		}
 	}
-	return list, nil
+	return endpoints, nil
 }
 
 // check returns the first fault of a listed service.
 func (s Service) check() error {
 	if s.Name == "" {
-		return &ListError{Reason: "a service has no name"}
+		return &EndpointsError{Reason: "a service has no name"}
 	}
 	for _, replica := range s.Replicas {
 		if replica.Address == "" {
-			return &ListError{Reason: "a replica of " + s.Name + " has no address"}
+			return &EndpointsError{Reason: "a replica of " + s.Name + " has no address"}
 		}
 		if replica.State != StateRunning && replica.State != StateDraining {
-			return &ListError{Reason: fmt.Sprintf("replica %s has the unknown state %q", replica.Address, replica.State)}
+			return &EndpointsError{Reason: fmt.Sprintf("replica %s has the unknown state %q", replica.Address, replica.State)}
 		}
 	}
 	return nil
--- a/internal/edge/platform/list_test.go
+++ b/internal/edge/platform/endpoints_test.go
@@ -40,7 +40,7 @@
 
 	DescribeTable("takes no list", func(text string) {
 		_, err := clientOf(says(text)).Fetch(context.Background())
-		Expect(err).To(BeAssignableToTypeOf(&platform.ListError{}))
+		Expect(err).To(BeAssignableToTypeOf(&platform.EndpointsError{}))
 	},
 		Entry("that is no JSON", `{`),
 		Entry("without services", `{}`),
@@ -61,7 +61,7 @@
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		var outcomes []error
-		client.Poll(ctx, 300*time.Millisecond, func(_ *platform.List, err error) {
+		client.Poll(ctx, 300*time.Millisecond, func(_ *platform.Endpoints, err error) {
 			outcomes = append(outcomes, err)
 			if len(outcomes) == 2 {
 				cancel()
--- a/internal/edge/platform/poll.go
+++ b/internal/edge/platform/poll.go
@@ -11,7 +11,7 @@
 // Poll fetches the list at once and then every interval until the context
 // ends, and hands each outcome to deliver. One fetch may take no longer than
 // the interval, so that a platform which hangs does not delay the next.
-func (c *Client) Poll(ctx context.Context, interval time.Duration, deliver func(*List, error)) {
+func (c *Client) Poll(ctx context.Context, interval time.Duration, deliver func(*Endpoints, error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -25,11 +25,11 @@
 }
 
 // fetchOnce fetches the list within a time limit.
-func (c *Client) fetchOnce(ctx context.Context, limit time.Duration, deliver func(*List, error)) {
+func (c *Client) fetchOnce(ctx context.Context, limit time.Duration, deliver func(*Endpoints, error)) {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	list, err := c.Fetch(bounded)
+	endpoints, err := c.Fetch(bounded)
 	if ctx.Err() == nil {
-		deliver(list, err)
+		deliver(endpoints, err)
 	}
 }
--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -36,7 +36,7 @@
 }
 
 // generate runs one attempt on a scripted replica that echoes the attempt.
-func generate(call replica.Call, script http.HandlerFunc) (*replica.Answer, error) {
+func generate(call replica.Call, script http.HandlerFunc) (*replica.Response, error) {
 	call.Address = start(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(replica.HeaderAttemptID, attemptID)
 		script(writer, request)
@@ -46,7 +46,7 @@
 }
 
 // drain reads a stream to its end.
-func drain(answer *replica.Answer) (string, error) {
+func drain(answer *replica.Response) (string, error) {
 	var all string
 	for {
 		event, err := answer.Next()
@@ -60,12 +60,12 @@
 var _ = Describe("Client", func() {
 	It("asks for a pull", func() {
 		var seen http.Header
-		answer, err := generate(replica.Call{Attempt: 2, Pull: &replica.Pull{Source: "peer:1", FirstPart: 1, LastPart: 3}},
+		answer, err := generate(replica.Call{Attempt: 2, Pull: &replica.Pull{Source: "peer:1", FirstChunk: 1, LastChunk: 3}},
 			func(_ http.ResponseWriter, request *http.Request) { seen = request.Header })
 		Expect(err).NotTo(HaveOccurred())
 		answer.Close()
 		Expect(seen.Get(replica.HeaderPullSource)).To(Equal("peer:1"))
-		Expect(seen.Get(replica.HeaderPullParts)).To(Equal("1-3"))
+		Expect(seen.Get(replica.HeaderPullChunks)).To(Equal("1-3"))
 		Expect(seen.Get(replica.HeaderAttempt)).To(Equal("2"))
 	})
 
@@ -92,14 +92,14 @@
 			writer.Header().Set(replica.HeaderNotRun, "true")
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		})
-		Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
+		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 	})
 
 	DescribeTable("takes no whole answer", func(script http.HandlerFunc) {
 		answer, err := generate(replica.Call{}, script)
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = answer.ReadAll()
-		Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
+		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 		answer.Close()
 	},
 		Entry("that is too large", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -126,7 +126,7 @@
 		if properEnd {
 			Expect(err).To(BeIdenticalTo(io.EOF))
 		} else {
-			Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
+			Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 			Expect(err).NotTo(MatchError(io.EOF), "no cut may pass for the proper end")
 		}
 	},
--- a/internal/edge/replica/command.go
+++ b/internal/edge/replica/command.go
@@ -13,8 +13,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// maxControlAnswerBytes bounds a replica's answer to a control call.
-const maxControlAnswerBytes = 1 << 20
+// maxControlResponseBytes bounds a replica's answer to a control call.
+const maxControlResponseBytes = 1 << 20
 
 // CommandClient asks replicas for reports and orders them to load weights.
 type CommandClient struct {
@@ -60,7 +60,7 @@
 		return Report{}, &StatusError{Path: PathReport, Status: response.StatusCode}
 	}
 	report := Report{}
-	decoder := json.NewDecoder(io.LimitReader(response.Body, maxControlAnswerBytes))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxControlResponseBytes))
 	return report, errors.Wrap(decoder.Decode(&report), "decode a replica's report")
 }
 
--- a/internal/edge/replica/events.go
+++ b/internal/edge/replica/events.go
@@ -40,13 +40,13 @@
 // EventClient follows the event streams of replicas.
 type EventClient struct {
 	sender *outbound.Client
-	// silence is the longest time without an event.
-	silence time.Duration
+	// idleTimeout is the longest time without an event.
+	idleTimeout time.Duration
 }
 
 // NewEventClient returns a client that gives a stream up after a silence.
-func NewEventClient(sender *outbound.Client, silence time.Duration) *EventClient {
-	return &EventClient{sender: sender, silence: silence}
+func NewEventClient(sender *outbound.Client, idleTimeout time.Duration) *EventClient {
+	return &EventClient{sender: sender, idleTimeout: idleTimeout}
 }
 
 // Follow reads the events after a position, or from a reset on if nothing was
@@ -56,7 +56,7 @@
 func (c *EventClient) Follow(ctx context.Context, address string, after Position, handle func(Event) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(c.silence, cancel)
+	watchdog := time.AfterFunc(c.idleTimeout, cancel)
 	defer watchdog.Stop()
 	response, err := c.sender.Get(ctx, eventsURL(address, after))
 	if err != nil {
@@ -67,7 +67,7 @@
 		return errors.Errorf("%s of %s answered with status %d", PathEvents, address, response.StatusCode)
 	}
 	return readEvents(response.Body, func(event Event) error {
-		watchdog.Reset(c.silence)
+		watchdog.Reset(c.idleTimeout)
 		return handle(event)
 	})
 }
@@ -104,13 +104,13 @@
 
 // Links returns the parts of an event as the index names them.
 func (e Event) Links() ([]prefixindex.Link, error) {
-	links := make([]prefixindex.Link, len(e.Parts))
-	for position, part := range e.Parts {
-		hash, err := strconv.ParseUint(part.Hash, hexBase, hashBits)
+	links := make([]prefixindex.Link, len(e.Chunks))
+	for position, chunk := range e.Chunks {
+		hash, err := strconv.ParseUint(chunk.Hash, hexBase, hashBits)
 		if err != nil {
 			return nil, errors.Wrapf(err, "the hash of part %d of an event cannot be read", position)
 		}
-		links[position] = prefixindex.Link{Hash: prefixindex.ChainHash(hash), Tokens: part.Tokens}
+		links[position] = prefixindex.Link{Hash: prefixindex.ChainHash(hash), Tokens: chunk.Tokens}
 	}
 	return links, nil
 }
--- a/internal/edge/replica/generate.go
+++ b/internal/edge/replica/generate.go
@@ -23,8 +23,8 @@
 type Pull struct {
 	// Source is the address to fetch from.
 	Source string
-	// FirstPart and LastPart are positions in the prefix, from 0.
-	FirstPart, LastPart int
+	// FirstChunk and LastChunk are positions in the prefix, from 0.
+	FirstChunk, LastChunk int
 }
 
 // Call is one attempt to run a request on a replica.
@@ -40,8 +40,8 @@
 	// Attempt is the number of the attempt, from 1.
 	Attempt      int
 	OutputTokens uint32
-	// Repeatable tells whether the caller permits more than one run.
-	Repeatable bool
+	// Idempotent tells whether the caller permits more than one run.
+	Idempotent bool
 	Streamed   bool
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
@@ -54,19 +54,19 @@
 // Client runs requests on replicas. It may be used by many goroutines.
 type Client struct {
 	sender *outbound.Client
-	// maxAnswerBytes bounds an answer that is read whole, and one event of a
+	// maxResponseBytes bounds an answer that is read whole, and one event of a
 	// streamed answer.
-	maxAnswerBytes int64
+	maxResponseBytes int64
 }
 
-// NewClient returns a client that takes answers of at most maxAnswerBytes.
-func NewClient(sender *outbound.Client, maxAnswerBytes int64) *Client {
-	return &Client{sender: sender, maxAnswerBytes: maxAnswerBytes}
+// NewClient returns a client that takes answers of at most maxResponseBytes.
+func NewClient(sender *outbound.Client, maxResponseBytes int64) *Client {
+	return &Client{sender: sender, maxResponseBytes: maxResponseBytes}
 }
 
 // Generate runs one attempt up to the header of its answer. The errors are
-// *outbound.Error, *outbound.RefusedError and *outbound.FaultError.
-func (c *Client) Generate(ctx context.Context, call Call) (*Answer, error) {
+// *outbound.Error, *outbound.RefusedError and *outbound.InvalidResponseError.
+func (c *Client) Generate(ctx context.Context, call Call) (*Response, error) {
 	request, err := c.request(ctx, call)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	if response.Header.Get(HeaderNotRun) == "true" && response.StatusCode >= http.StatusBadRequest {
 		return nil, refusal(response)
 	}
-	return &Answer{response: response, maxBytes: c.maxAnswerBytes}, nil
+	return &Response{response: response, maxBytes: c.maxResponseBytes}, nil
 }
 
 // request builds the HTTP request of an attempt.
@@ -102,7 +102,7 @@
 	setNonEmpty(header, "Content-Type", call.ContentType)
 	header.Set(HeaderAttemptID, call.AttemptID)
 	header.Set(HeaderAttempt, strconv.Itoa(call.Attempt))
-	header.Set(HeaderRepeatable, strconv.FormatBool(call.Repeatable))
+	header.Set(HeaderRepeatable, strconv.FormatBool(call.Idempotent))
 	if call.OutputTokens > 0 {
 		header.Set(HeaderOutputTokens, strconv.FormatUint(uint64(call.OutputTokens), 10))
 	}
@@ -111,7 +111,7 @@
 	}
 	if call.Pull != nil {
 		header.Set(HeaderPullSource, call.Pull.Source)
-		header.Set(HeaderPullParts, fmt.Sprintf("%d-%d", call.Pull.FirstPart, call.Pull.LastPart))
+		header.Set(HeaderPullChunks, fmt.Sprintf("%d-%d", call.Pull.FirstChunk, call.Pull.LastChunk))
 	}
 	return request, nil
 }
@@ -129,7 +129,7 @@
 	if echoed == call.AttemptID {
 		return nil
 	}
-	return &outbound.FaultError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
+	return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
 }
 
 // refusal reads a refusal and closes it.
--- a/internal/edge/replica/protocol.go
+++ b/internal/edge/replica/protocol.go
@@ -17,8 +17,8 @@
 	PathReport = "/v1/report"
 	// PathWeights takes a WeightsCommand.
 	PathWeights = "/v1/weights"
-	// PathParts serves a kept part to a peer: "/v1/parts/<chain hash in hex>".
-	PathParts = "/v1/parts/"
+	// PathChunks serves a kept part to a peer: "/v1/parts/<chain hash in hex>".
+	PathChunks = "/v1/parts/"
 )
 
 // Headers of a generate request and its answer.
@@ -44,8 +44,8 @@
 	HeaderOutputTokens = "Output-Tokens"
 	// HeaderPullSource is the address that the replica is to pull parts from.
 	HeaderPullSource = "Pull-Source"
-	// HeaderPullParts is the range "first-last" of positions in Prefix to pull.
-	HeaderPullParts = "Pull-Parts"
+	// HeaderPullChunks is the range "first-last" of positions in Prefix to pull.
+	HeaderPullChunks = "Pull-Parts"
 	// HeaderWeightVersion, in an answer, is the version that produced it.
 	HeaderWeightVersion = "Weight-Version"
 	// HeaderReusedTokens, in an answer, counts the tokens that were not
@@ -80,12 +80,12 @@
 	// Sequence numbers stored, removed and reset events of an incarnation
 	// from 1. A gap means that events were lost.
 	Sequence uint64  `json:"sequence,omitempty"`
-	Parts    []Part  `json:"parts,omitempty"`
+	Chunks   []Chunk `json:"parts,omitempty"`
 	Report   *Report `json:"report,omitempty"`
 }
 
-// Part is one kept part in an event.
-type Part struct {
+// Chunk is one kept part in an event.
+type Chunk struct {
 	// Hash is the chain hash in hexadecimal.
 	Hash string `json:"hash"`
 	// Parent is the chain hash of the part before it.
@@ -100,7 +100,7 @@
 	ActiveRequests      uint32 `json:"active_requests"`
 	ActivePrefillTokens uint64 `json:"active_prefill_tokens"`
 	ActiveDecodeTokens  uint64 `json:"active_decode_tokens"`
-	KeptTokens          uint64 `json:"kept_tokens"`
+	CachedTokens        uint64 `json:"kept_tokens"`
 	CapacityTokens      uint64 `json:"capacity_tokens"`
 	// LastSequence is the newest event sequence number at the time.
 	LastSequence uint64 `json:"last_sequence"`
@@ -116,8 +116,8 @@
 	// Epoch fences the commanding node: a replica refuses an epoch below the
 	// highest it has seen.
 	Epoch uint64 `json:"epoch"`
-	// Holder names the commanding node.
-	Holder string `json:"holder"`
+	// Leader names the commanding node.
+	Leader string `json:"holder"`
 }
 
 // StreamEnd is the data of the last event of a complete streamed answer.
--- a/internal/edge/replica/answer.go
+++ b/internal/edge/replica/response.go
@@ -16,9 +16,9 @@
 // streamBufferBytes is the size of the buffer that a stream is read through.
 const streamBufferBytes = 16 << 10
 
-// maxTrustedBytes bounds the buffer that an answer's declared length gets in
+// maxPreallocatedBytes bounds the buffer that an answer's declared length gets in
 // advance.
-const maxTrustedBytes = 64 << 10
+const maxPreallocatedBytes = 64 << 10
 
 // passThroughPrefix begins the headers that pass untouched.
 const passThroughPrefix = "Lab-"
@@ -31,8 +31,8 @@
 	HeaderReusedTokens:  true,
 }
 
-// Answer is the answer of an attempt whose header has arrived. Close it.
-type Answer struct {
+// Response is the answer of an attempt whose header has arrived. Close it.
+type Response struct {
 	response *http.Response
 	maxBytes int64
 	stream   *bufio.Reader
@@ -40,12 +40,12 @@
 }
 
 // Status returns the HTTP status.
-func (a *Answer) Status() int {
+func (a *Response) Status() int {
 	return a.response.StatusCode
 }
 
 // Header returns the headers that are handed on to the caller.
-func (a *Answer) Header() http.Header {
+func (a *Response) Header() http.Header {
 	relayed := make(http.Header, len(a.response.Header))
 	for name, values := range a.response.Header {
 		if relayedHeaders[name] || strings.HasPrefix(name, passThroughPrefix) {
@@ -57,42 +57,42 @@
 }
 
 // WeightVersion returns the version that produced the answer, or "".
-func (a *Answer) WeightVersion() string {
+func (a *Response) WeightVersion() string {
 	return a.response.Header.Get(HeaderWeightVersion)
 }
 
 // Streamed tells whether the answer is a stream of events.
-func (a *Answer) Streamed() bool {
+func (a *Response) Streamed() bool {
 	mediaType, _, err := mime.ParseMediaType(a.response.Header.Get("Content-Type"))
 	return err == nil && mediaType == contentTypeStream
 }
 
 // Close ends the answer. Unless it was read to its end, the connection is
 // closed and with it, as far as the replica listens, the attempt.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	_ = a.response.Body.Close()
 }
 
 // ReadAll reads the whole answer; the second result is always true without
 // an error. An answer that is cut, whose end cannot be told from a cut, or that
-// is too large, is a *outbound.FaultError.
-func (a *Answer) ReadAll() ([]byte, bool, error) {
+// is too large, is a *outbound.InvalidResponseError.
+func (a *Response) ReadAll() ([]byte, bool, error) {
 	if !a.delimited() {
-		return nil, false, &outbound.FaultError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
+		return nil, false, &outbound.InvalidResponseError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
 	}
 	var body bytes.Buffer
-	body.Grow(int(min(max(a.response.ContentLength, 0), maxTrustedBytes)) + bytes.MinRead)
+	body.Grow(int(min(max(a.response.ContentLength, 0), maxPreallocatedBytes)) + bytes.MinRead)
 	if _, err := body.ReadFrom(io.LimitReader(a.response.Body, a.maxBytes+1)); err != nil {
-		return nil, false, &outbound.FaultError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
+		return nil, false, &outbound.InvalidResponseError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
 	}
 	if int64(body.Len()) > a.maxBytes {
-		return nil, false, &outbound.FaultError{Reason: "the answer is larger than this node takes"}
+		return nil, false, &outbound.InvalidResponseError{Reason: "the answer is larger than this node takes"}
 	}
 	return body.Bytes(), true, nil
 }
 
 // delimited tells whether the end of the answer is marked.
-func (a *Answer) delimited() bool {
+func (a *Response) delimited() bool {
 	return a.response.ContentLength >= 0 || isChunked(a.response.TransferEncoding)
 }
 
@@ -103,9 +103,9 @@
 
 // Next returns the next whole event of a stream, with the blank line that
 // ends it. After the event that ends the stream it returns io.EOF; a stream
-// that ends in any other way is a *outbound.FaultError. A part of an event is never
+// that ends in any other way is a *outbound.InvalidResponseError. A part of an event is never
 // returned.
-func (a *Answer) Next() ([]byte, error) {
+func (a *Response) Next() ([]byte, error) {
 	if a.stream == nil {
 		a.stream = bufio.NewReaderSize(a.response.Body, streamBufferBytes)
 	}
@@ -121,19 +121,19 @@
 }
 
 // readEvent reads up to and with the next blank line.
-func (a *Answer) readEvent() ([]byte, error) {
+func (a *Response) readEvent() ([]byte, error) {
 	var event []byte
 	for {
 		line, err := a.stream.ReadSlice('\n')
 		event = append(event, line...)
 		if int64(len(event)) > a.maxBytes {
-			return nil, &outbound.FaultError{Reason: "an event of the answer is larger than this node takes"}
+			return nil, &outbound.InvalidResponseError{Reason: "an event of the answer is larger than this node takes"}
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err != nil {
-			return nil, &outbound.FaultError{Reason: "the streamed answer was cut", Cause: unexpected(err)}
+			return nil, &outbound.InvalidResponseError{Reason: "the streamed answer was cut", Cause: unexpectedEOF(err)}
 		}
 		if bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\n\r\n")) {
 			return event, nil
@@ -141,9 +141,9 @@
 	}
 }
 
-// unexpected keeps an end that came too early from being taken for the proper
+// unexpectedEOF keeps an end that came too early from being taken for the proper
 // end, which is io.EOF.
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return errors.WithStack(io.ErrUnexpectedEOF)
 	}
@@ -153,9 +153,9 @@
 // checkNothingFollows returns io.EOF unless the replica sent more after the
 // end. How the connection ended does not matter any more, as the answer's own
 // terminator has been seen.
-func (a *Answer) checkNothingFollows() error {
+func (a *Response) checkNothingFollows() error {
 	if _, err := a.stream.ReadByte(); err == nil {
-		return &outbound.FaultError{Reason: "the streamed answer goes on after its end"}
+		return &outbound.InvalidResponseError{Reason: "the streamed answer goes on after its end"}
 	}
 	return io.EOF
 }
@@ -172,6 +172,6 @@
 }
 
 // LastEventID returns "": the events of this protocol have no identities.
-func (a *Answer) LastEventID() string {
+func (a *Response) LastEventID() string {
 	return ""
 }
--- a/internal/edge/store/events.go
+++ b/internal/edge/store/events.go
@@ -16,8 +16,8 @@
 }
 
 // NewEventClient returns a client that gives a stream up after a silence.
-func NewEventClient(sender *outbound.Client, silence time.Duration) *EventClient {
-	return &EventClient{events: replica.NewEventClient(sender, silence)}
+func NewEventClient(sender *outbound.Client, idleTimeout time.Duration) *EventClient {
+	return &EventClient{events: replica.NewEventClient(sender, idleTimeout)}
 }
 
 // Follow reads the events after a position, or from a reset on if nothing was
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -50,20 +50,20 @@
 // Client hands requests to web services. It may be used by many goroutines.
 type Client struct {
 	sender *outbound.Client
-	// maxWholeBytes bounds what is read of an answer before any of it is
+	// maxBufferedBytes bounds what is read of an answer before any of it is
 	// handed on.
-	maxWholeBytes int64
+	maxBufferedBytes int64
 }
 
-// NewClient returns a client that reads up to maxWholeBytes of an answer
+// NewClient returns a client that reads up to maxBufferedBytes of an answer
 // before it is handed on.
-func NewClient(sender *outbound.Client, maxWholeBytes int64) *Client {
-	return &Client{sender: sender, maxWholeBytes: maxWholeBytes}
+func NewClient(sender *outbound.Client, maxBufferedBytes int64) *Client {
+	return &Client{sender: sender, maxBufferedBytes: maxBufferedBytes}
 }
 
 // Forward runs one attempt up to the header of its answer. The errors are
-// *outbound.Error, *outbound.RefusedError and *outbound.FaultError.
-func (c *Client) Forward(ctx context.Context, call Call) (*Answer, error) {
+// *outbound.Error, *outbound.RefusedError and *outbound.InvalidResponseError.
+func (c *Client) Forward(ctx context.Context, call Call) (*Response, error) {
 	target := "http://" + call.Address + call.Request.URL.RequestURI()
 	request, err := http.NewRequestWithContext(ctx, call.Request.Method, target, nil)
 	if err != nil {
@@ -81,7 +81,7 @@
 		_ = response.Body.Close()
 		return nil, err
 	}
-	return newAnswer(response, c.maxWholeBytes), nil
+	return newResponse(response, c.maxBufferedBytes), nil
 }
 
 // checkAttempt refuses an answer that names another attempt, and returns a
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if echoed != call.AttemptID {
-		return &outbound.FaultError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
+		return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
 	}
 	if response.Header.Get(HeaderNotRun) != "true" || response.StatusCode < http.StatusBadRequest {
 		return nil
--- a/internal/edge/webservice/client_test.go
+++ b/internal/edge/webservice/client_test.go
@@ -15,15 +15,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/webservice"
 )
 
-const maxWholeBytes = 16
+const maxBufferedBytes = 16
 
 // forward sends a request to a scripted back end.
-func forward(script http.HandlerFunc) (*webservice.Answer, error) {
+func forward(script http.HandlerFunc) (*webservice.Response, error) {
 	server := httptest.NewServer(script)
 	DeferCleanup(server.Close)
 	sender := outbound.New(outbound.Options{Name: "test"})
 	DeferCleanup(sender.CloseIdle)
-	return webservice.NewClient(sender, maxWholeBytes).Forward(context.Background(), webservice.Call{
+	return webservice.NewClient(sender, maxBufferedBytes).Forward(context.Background(), webservice.Call{
 		Address: server.Listener.Addr().String(), Request: httptest.NewRequest(http.MethodGet, "/page", nil), AttemptID: "a-1",
 	})
 }
@@ -43,14 +43,14 @@
 		_, err := forward(echoing("a-1"))
 		Expect(err).To(Equal(&outbound.RefusedError{Status: http.StatusServiceUnavailable, RetryAfter: 2 * time.Second}))
 		_, err = forward(echoing("a-2"))
-		Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
+		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 		answer, err := forward(echoing(""))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
 
 	It("hands an answer on in parts if it is too long to be held back", func() {
-		long := strings.Repeat("x", 3*maxWholeBytes)
+		long := strings.Repeat("x", 3*maxBufferedBytes)
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, long) })
 		Expect(err).NotTo(HaveOccurred())
 		first, whole, err := answer.ReadAll()
@@ -76,7 +76,7 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = answer.ReadAll()
-		Expect(err).To(BeAssignableToTypeOf(&outbound.FaultError{}))
+		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 	},
 		Entry("that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage"),
 		Entry("that is cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n"),
--- a/internal/edge/webservice/answer.go
+++ b/internal/edge/webservice/response.go
@@ -17,60 +17,60 @@
 	streamType = "text/event-stream"
 )
 
-// Answer is the answer of an attempt whose header has arrived. Close it.
-type Answer struct {
+// Response is the answer of an attempt whose header has arrived. Close it.
+type Response struct {
 	response *http.Response
 	header   http.Header
 	maxBytes int64
 	buffer   []byte
 }
 
-// newAnswer wraps a response.
-func newAnswer(response *http.Response, maxBytes int64) *Answer {
+// newResponse wraps a response.
+func newResponse(response *http.Response, maxBytes int64) *Response {
 	header := response.Header.Clone()
 	removeHopHeaders(header)
 	header.Del(HeaderAttemptID)
-	return &Answer{response: response, header: header, maxBytes: maxBytes}
+	return &Response{response: response, header: header, maxBytes: maxBytes}
 }
 
 // Status returns the HTTP status.
-func (a *Answer) Status() int {
+func (a *Response) Status() int {
 	return a.response.StatusCode
 }
 
 // Header returns the headers that are handed on.
-func (a *Answer) Header() http.Header {
+func (a *Response) Header() http.Header {
 	return a.header
 }
 
 // Streamed tells whether the answer is to be handed on as it comes.
-func (a *Answer) Streamed() bool {
+func (a *Response) Streamed() bool {
 	mediaType, _, err := mime.ParseMediaType(a.header.Get("Content-Type"))
 	return err == nil && mediaType == streamType
 }
 
 // Close ends the answer.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	_ = a.response.Body.Close()
 }
 
 // ReadAll reads the answer up to the bound. It returns false if there is
 // more, which Next returns. A cut answer, or one whose end cannot be told from
-// a cut, is a *outbound.FaultError.
-func (a *Answer) ReadAll() ([]byte, bool, error) {
+// a cut, is a *outbound.InvalidResponseError.
+func (a *Response) ReadAll() ([]byte, bool, error) {
 	if err := a.checkDelimited(); err != nil {
 		return nil, false, err
 	}
 	body, err := io.ReadAll(io.LimitReader(a.response.Body, a.maxBytes+1))
 	if err != nil {
-		return nil, false, &outbound.FaultError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
+		return nil, false, &outbound.InvalidResponseError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
 	}
 	return body, int64(len(body)) <= a.maxBytes, nil
 }
 
 // Next returns the next bytes of the answer, and io.EOF after its proper end.
 // The bytes are valid until the next call.
-func (a *Answer) Next() ([]byte, error) {
+func (a *Response) Next() ([]byte, error) {
 	if err := a.checkDelimited(); err != nil {
 		return nil, err
 	}
@@ -86,13 +86,13 @@
 			return nil, io.EOF
 		}
 		if err != nil {
-			return nil, &outbound.FaultError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
+			return nil, &outbound.InvalidResponseError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
 		}
 	}
 }
 
-// checkDelimited returns a *outbound.FaultError unless the end of the answer is marked.
-func (a *Answer) checkDelimited() error {
+// checkDelimited returns a *outbound.InvalidResponseError unless the end of the answer is marked.
+func (a *Response) checkDelimited() error {
 	response := a.response
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
 		return nil
@@ -100,15 +100,15 @@
 	if response.Request != nil && response.Request.Method == http.MethodHead {
 		return nil
 	}
-	return &outbound.FaultError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
+	return &outbound.InvalidResponseError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
 }
 
 // WeightVersion returns "": a web service has no weights.
-func (a *Answer) WeightVersion() string {
+func (a *Response) WeightVersion() string {
 	return ""
 }
 
 // LastEventID returns "": the events of this protocol have no identities.
-func (a *Answer) LastEventID() string {
+func (a *Response) LastEventID() string {
 	return ""
 }
--- a/internal/lab/bench/prefix_aware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -112,11 +112,11 @@
 	address := p.addresses[number]
 	switch event.Kind {
 	case replica.EventStored:
-		return p.router.Stored(now, address, event.Incarnation, event.Sequence, links(event.Parts)) == kvrouter.Gap
+		return p.router.Stored(now, address, event.Incarnation, event.Sequence, links(event.Chunks)) == kvrouter.Gap
 	case replica.EventRemoved:
-		return p.router.Removed(now, address, event.Incarnation, event.Sequence, hashes(event.Parts)) == kvrouter.Gap
+		return p.router.Removed(now, address, event.Incarnation, event.Sequence, hashes(event.Chunks)) == kvrouter.Gap
 	default:
-		return p.router.Reset(now, address, event.Incarnation, event.Sequence, links(event.Parts)) == kvrouter.Gap
+		return p.router.Reset(now, address, event.Incarnation, event.Sequence, links(event.Chunks)) == kvrouter.Gap
 	}
 }
 
@@ -137,14 +137,14 @@
 	return lo.Map(p.router.ResyncNeeded(now), func(address string, _ int) int { return p.numbers[address] })
 }
 
-func links(chunks []replica.Part) []prefixindex.Link {
-	return lo.Map(chunks, func(chunk replica.Part, _ int) prefixindex.Link {
+func links(chunks []replica.Chunk) []prefixindex.Link {
+	return lo.Map(chunks, func(chunk replica.Chunk, _ int) prefixindex.Link {
 		return prefixindex.Link{Hash: mustHash(chunk.Hash), Tokens: chunk.Tokens}
 	})
 }
 
-func hashes(chunks []replica.Part) []prefixindex.ChainHash {
-	return lo.Map(chunks, func(chunk replica.Part, _ int) prefixindex.ChainHash { return mustHash(chunk.Hash) })
+func hashes(chunks []replica.Chunk) []prefixindex.ChainHash {
+	return lo.Map(chunks, func(chunk replica.Chunk, _ int) prefixindex.ChainHash { return mustHash(chunk.Hash) })
 }
 
 // mustHash reads a name that the emulator has written.
--- a/internal/lab/bench/store.go
+++ b/internal/lab/bench/store.go
@@ -52,7 +52,7 @@
 		if event.Kind != replica.EventStored {
 			continue
 		}
-		for _, chunk := range event.Parts {
+		for _, chunk := range event.Chunks {
 			if chunk.Tokens >= minPushTokens {
 				s.pushChunk(now, from, mustHash(chunk.Hash), chunk.Tokens)
 			}
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -38,7 +38,7 @@
 	for number, one := range requests {
 		if one.at >= 10*second && !commanded {
 			commanded = true
-			_, err := emulated.Command(10*second, replica.WeightsCommand{WeightVersion: "v2", Epoch: 1, Holder: "core-1"})
+			_, err := emulated.Command(10*second, replica.WeightsCommand{WeightVersion: "v2", Epoch: 1, Leader: "core-1"})
 			Expect(err).NotTo(HaveOccurred())
 		}
 		_, err := emulated.Submit(one.at, emulator.Request{
--- a/internal/lab/emulator/journal.go
+++ b/internal/lab/emulator/journal.go
@@ -41,9 +41,9 @@
 	if len(chunks) == 0 {
 		return
 	}
-	gone := make([]protocol.Part, len(chunks))
+	gone := make([]protocol.Chunk, len(chunks))
 	for position, chunk := range chunks {
-		gone[position] = protocol.Part{Hash: FormatHash(chunk.Hash)}
+		gone[position] = protocol.Chunk{Hash: FormatHash(chunk.Hash)}
 	}
 	j.add(protocol.EventRemoved, gone)
 }
@@ -68,17 +68,17 @@
 		Kind:        protocol.EventReset,
 		Incarnation: j.incarnation,
 		Sequence:    j.sequence,
-		Parts:       EventChunks(kept),
+		Chunks:      EventChunks(kept),
 	}
 }
 
-func (j *Journal) add(kind protocol.EventKind, chunks []protocol.Part) {
+func (j *Journal) add(kind protocol.EventKind, chunks []protocol.Chunk) {
 	j.sequence++
 	j.events = append(j.events, protocol.Event{
 		Kind:        kind,
 		Incarnation: j.incarnation,
 		Sequence:    j.sequence,
-		Parts:       chunks,
+		Chunks:      chunks,
 	})
 	if len(j.events) > 2*j.limit {
 		j.events = append([]protocol.Event(nil), j.events[len(j.events)-j.limit:]...)
@@ -87,10 +87,10 @@
 
 // EventChunks turns kept parts into the protocol's form, which tells neither
 // tenant nor version.
-func EventChunks(chunks []CachedChunk) []protocol.Part {
-	shown := make([]protocol.Part, len(chunks))
+func EventChunks(chunks []CachedChunk) []protocol.Chunk {
+	shown := make([]protocol.Chunk, len(chunks))
 	for position, chunk := range chunks {
-		shown[position] = protocol.Part{
+		shown[position] = protocol.Chunk{
 			Hash:   FormatHash(chunk.Hash),
 			Parent: FormatHash(chunk.Parent),
 			Tokens: chunk.Tokens,
--- a/internal/lab/emulator/replica_test.go
+++ b/internal/lab/emulator/replica_test.go
@@ -195,7 +195,7 @@
 
 var _ = Describe("weights", func() {
 	command := func(version string, epoch uint64) protocol.WeightsCommand {
-		return protocol.WeightsCommand{WeightVersion: version, Epoch: epoch, Holder: "node"}
+		return protocol.WeightsCommand{WeightVersion: version, Epoch: epoch, Leader: "node"}
 	}
 	shared := part("a", 1000)
 
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -65,12 +65,12 @@
 			Expect(wire.MessageKindOf(wire.Encode(envelope))).To(Equal(expected))
 		},
 		Entry("probe", wire.Envelope{Membership: &membership.Message{Type: membership.MessageGossip}}, wire.KindProbe),
-		Entry("news", wire.Envelope{Membership: &membership.Message{Type: membership.MessageGossip, Records: make([]membership.Record, 1)}}, wire.KindNews),
-		Entry("digests by range", wire.Envelope{Membership: &membership.Message{Type: membership.MessageGossip, Buckets: make([]uint32, 64)}}, wire.KindBuckets),
+		Entry("news", wire.Envelope{Membership: &membership.Message{Type: membership.MessageGossip, Records: make([]membership.Record, 1)}}, wire.KindRecordUpdate),
+		Entry("digests by range", wire.Envelope{Membership: &membership.Message{Type: membership.MessageGossip, Buckets: make([]uint32, 64)}}, wire.KindRangeDigests),
 		Entry("summary", wire.Envelope{Membership: &membership.Message{Type: membership.MessageGossip, CoveredBuckets: 1}}, wire.KindSummary),
 		Entry("records and wishes", wire.Envelope{Membership: &membership.Message{
 			Type: membership.MessageGossip, Records: make([]membership.Record, 1), Requested: []uint32{7},
-		}}, wire.KindMissing),
+		}}, wire.KindRecordRequest),
 		Entry("digest", wire.Envelope{Relay: &relaytree.Message{Type: relaytree.MessageDigest}}, wire.KindRelayDigest),
 	)
 
--- a/internal/lab/hollow/index.go
+++ b/internal/lab/hollow/index.go
@@ -189,7 +189,7 @@
 		Kind:        replica.EventStored,
 		Incarnation: uint64(time.Now().UnixMilli()),
 		Sequence:    decodedEvents,
-		Parts:       []replica.Part{{Hash: "8f3c5a1b7d9e2046", Parent: "2046d9e71b5a3c8f", Tokens: chunkTokens}},
+		Chunks:      []replica.Chunk{{Hash: "8f3c5a1b7d9e2046", Parent: "2046d9e71b5a3c8f", Tokens: chunkTokens}},
 	})
 	if err != nil {
 		return 0, 0
@@ -209,7 +209,7 @@
 
 // endpointsBytes is the size of the platform's answer.
 func endpointsBytes(settings Settings) int {
-	encoded := platform.List{}
+	encoded := platform.Endpoints{}
 	for _, service := range platformEndpoints(settings) {
 		shown := platform.Service{Name: service.Name}
 		for _, endpoint := range service.Endpoints {
--- a/internal/lab/standin/replica/chunks.go
+++ b/internal/lab/standin/replica/chunks.go
@@ -64,7 +64,7 @@
 
 func (s *Server) fetch(ctx context.Context, source string, hash prefixindex.ChainHash) (emulator.CachedChunk, error) {
 	var chunk emulator.CachedChunk
-	url := "http://" + source + protocol.PathParts + emulator.FormatHash(hash)
+	url := "http://" + source + protocol.PathChunks + emulator.FormatHash(hash)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return chunk, errors.Wrap(err, "replica: fetch part")
@@ -95,7 +95,7 @@
 		for _, event := range events {
 			position = standin.Position{Known: true, Incarnation: event.Incarnation, Sequence: event.Sequence}
 			if event.Kind == protocol.EventStored {
-				s.pushChunks(ctx, event.Parts)
+				s.pushChunks(ctx, event.Chunks)
 			}
 		}
 		select {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (s *Server) pushChunks(ctx context.Context, chunks []protocol.Part) {
+func (s *Server) pushChunks(ctx context.Context, chunks []protocol.Chunk) {
 	for _, shown := range chunks {
 		hash, err := emulator.ParseHash(shown.Hash)
 		if err != nil || shown.Tokens < minPushTokens {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return errors.Wrap(err, "replica: push part")
 	}
-	url := "http://" + s.settings.Store + protocol.PathParts + emulator.FormatHash(chunk.Hash)
+	url := "http://" + s.settings.Store + protocol.PathChunks + emulator.FormatHash(chunk.Hash)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "replica: push part")
--- a/internal/lab/standin/replica/control.go
+++ b/internal/lab/standin/replica/control.go
@@ -48,7 +48,7 @@
 		outcome, err = s.model.Command(now, command)
 		s.commands = append(s.commands, CommandRecord{
 			UnixNano:      s.clock.UnixNano(now),
-			Sender:        command.Holder,
+			Sender:        command.Leader,
 			Epoch:         command.Epoch,
 			WeightVersion: command.WeightVersion,
 			Accepted:      err == nil,
--- a/internal/lab/standin/replica/request.go
+++ b/internal/lab/standin/replica/request.go
@@ -61,7 +61,7 @@
 	if read.stream {
 		read.request.ChunkTokens = chunkTokens
 	}
-	read.pull, err = parsePull(header.Get(protocol.HeaderPullSource), header.Get(protocol.HeaderPullParts))
+	read.pull, err = parsePull(header.Get(protocol.HeaderPullSource), header.Get(protocol.HeaderPullChunks))
 	read.request.AwaitPull = read.pull != nil
 	return read, err
 }
@@ -93,7 +93,7 @@
 	first, firstErr := strconv.Atoi(strings.TrimSpace(firstText))
 	last, lastErr := strconv.Atoi(strings.TrimSpace(lastText))
 	if !found || firstErr != nil || lastErr != nil || first < 0 || last < first {
-		return nil, errors.Errorf("%s %q is not `first-last`; count positions in %s from 0", protocol.HeaderPullParts, chunks, protocol.HeaderPrefix)
+		return nil, errors.Errorf("%s %q is not `first-last`; count positions in %s from 0", protocol.HeaderPullChunks, chunks, protocol.HeaderPrefix)
 	}
 	return &pullRange{source: source, first: first, last: last}, nil
 }
--- a/internal/lab/standin/replica/server.go
+++ b/internal/lab/standin/replica/server.go
@@ -106,7 +106,7 @@
 	served.Handle(protocol.PathEvents, events)
 	served.HandleFunc("GET "+protocol.PathReport, s.report)
 	served.HandleFunc("POST "+protocol.PathWeights, s.loadWeights)
-	served.HandleFunc("GET "+protocol.PathParts+"{hash}", s.serveChunk)
+	served.HandleFunc("GET "+protocol.PathChunks+"{hash}", s.serveChunk)
 	all := http.NewServeMux()
 	all.Handle("/v1/", s.whileUp(served))
 	all.HandleFunc("GET /lab/executions", s.showExecutions)
--- a/internal/lab/standin/replica/server_test.go
+++ b/internal/lab/standin/replica/server_test.go
@@ -270,14 +270,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		storeHas := 0
 		awaitEvent(listener.Addr().String(), func(event protocol.Event) bool {
-			storeHas += len(event.Parts)
+			storeHas += len(event.Chunks)
 			return storeHas == 2
 		})
 		for id, source := range map[string]string{"from-peer": maker.address, "from-store": listener.Addr().String()} {
 			puller := start("")
 			response, _, err := puller.generate(id, func(header http.Header) {
 				header.Set(protocol.HeaderPullSource, source)
-				header.Set(protocol.HeaderPullParts, "0-1")
+				header.Set(protocol.HeaderPullChunks, "0-1")
 			})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.Header.Get(protocol.HeaderReusedTokens)).To(Equal("5000"), id)
--- a/internal/lab/standin/store/server.go
+++ b/internal/lab/standin/store/server.go
@@ -86,8 +86,8 @@
 		ReportEvery: s.settings.ReportEvery,
 	})
 	mux.HandleFunc("GET "+protocol.PathReport, s.report)
-	mux.HandleFunc("GET "+protocol.PathParts+"{hash}", s.get)
-	mux.HandleFunc("PUT "+protocol.PathParts+"{hash}", s.put)
+	mux.HandleFunc("GET "+protocol.PathChunks+"{hash}", s.get)
+	mux.HandleFunc("PUT "+protocol.PathChunks+"{hash}", s.put)
 	mux.HandleFunc("POST /lab/faults", s.setFaults)
 	mux.HandleFunc("POST /lab/empty", s.empty)
 	return mux
--- a/internal/lab/standin/store/server_test.go
+++ b/internal/lab/standin/store/server_test.go
@@ -39,21 +39,21 @@
 	})
 
 	It("keeps what is pushed, with its true maker, and reports it", func() {
-		Expect(call("PUT", protocol.PathParts+"ab", encoded()).Code).To(Equal(http.StatusNoContent))
-		Expect(call("GET", protocol.PathParts+"ab", "").Body.String()).To(MatchJSON(encoded()))
-		Expect(server.Report().KeptTokens).To(Equal(uint64(50)))
+		Expect(call("PUT", protocol.PathChunks+"ab", encoded()).Code).To(Equal(http.StatusNoContent))
+		Expect(call("GET", protocol.PathChunks+"ab", "").Body.String()).To(MatchJSON(encoded()))
+		Expect(server.Report().CachedTokens).To(Equal(uint64(50)))
 		events, _ := server.EventsAfter(standin.Position{Known: true, Incarnation: 4, Sequence: 1})
 		Expect(events).To(HaveLen(1))
-		Expect(events[0].Parts).To(Equal([]protocol.Part{{Hash: "ab", Parent: "aa", Tokens: 50}}))
+		Expect(events[0].Chunks).To(Equal([]protocol.Chunk{{Hash: "ab", Parent: "aa", Tokens: 50}}))
 	})
 
 	It("refuses a part under another's name", func() {
-		Expect(call("PUT", protocol.PathParts+"ac", encoded()).Code).To(Equal(http.StatusBadRequest))
-		Expect(call("GET", protocol.PathParts+"ac", "").Code).To(Equal(http.StatusNotFound))
+		Expect(call("PUT", protocol.PathChunks+"ac", encoded()).Code).To(Equal(http.StatusBadRequest))
+		Expect(call("GET", protocol.PathChunks+"ac", "").Code).To(Equal(http.StatusNotFound))
 	})
 
 	It("comes back empty in a new life, and tells readers so", func() {
-		Expect(call("PUT", protocol.PathParts+"ab", encoded()).Code).To(Equal(http.StatusNoContent))
+		Expect(call("PUT", protocol.PathChunks+"ab", encoded()).Code).To(Equal(http.StatusNoContent))
 		_, changed := server.EventsAfter(standin.Position{})
 		Expect(call("POST", "/lab/empty", "").Code).To(Equal(http.StatusNoContent))
 		Expect(changed).To(BeClosed())
@@ -61,7 +61,7 @@
 		Expect(events).To(HaveLen(1))
 		Expect(events[0].Kind).To(Equal(protocol.EventReset))
 		Expect(events[0].Incarnation).To(Equal(uint64(5)))
-		Expect(events[0].Parts).To(BeEmpty())
-		Expect(call("GET", protocol.PathParts+"ab", "").Code).To(Equal(http.StatusNotFound))
+		Expect(events[0].Chunks).To(BeEmpty())
+		Expect(call("GET", protocol.PathChunks+"ab", "").Code).To(Equal(http.StatusNotFound))
 	})
 })
--- a/internal/logring/incident.go
+++ b/internal/logring/incident.go
@@ -31,8 +31,8 @@
 	return log.WithField(incidentField, kind)
 }
 
-// calls tells whether an entry makes the ring write out.
-func (r *Ring) calls(entry *logrus.Entry) bool {
+// triggersDump tells whether an entry makes the ring write out.
+func (r *Ring) triggersDump(entry *logrus.Entry) bool {
 	kind, isIncident := entry.Data[incidentField].(IncidentKind)
 	if !isIncident {
 		return entry.Level <= logrus.ErrorLevel
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -49,15 +49,15 @@
 
 // Fire implements logrus.Hook.
 func (r *Ring) Fire(entry *logrus.Entry) error {
-	line, err := r.formatter.Format(entry)
+	formatted, err := r.formatter.Format(entry)
 	if err != nil {
 		return err
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.add(line)
-	if r.calls(entry) {
-		return r.writeOut()
+	r.add(formatted)
+	if r.triggersDump(entry) {
+		return r.dump()
 	}
 	return nil
 }
@@ -67,22 +67,22 @@
 func (r *Ring) Dump() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.writeOut()
+	return r.dump()
 }
 
-func (r *Ring) add(line []byte) {
-	r.entries[r.next] = line
+func (r *Ring) add(formatted []byte) {
+	r.entries[r.next] = formatted
 	r.next = (r.next + 1) % len(r.entries)
 	r.full = r.full || r.next == 0
 }
 
-func (r *Ring) writeOut() error {
+func (r *Ring) dump() error {
 	ordered := r.entries[:r.next]
 	if r.full {
 		ordered = append(append([][]byte{}, r.entries[r.next:]...), r.entries[:r.next]...)
 	}
-	for _, line := range ordered {
-		if _, err := r.output.Write(line); err != nil {
+	for _, formatted := range ordered {
+		if _, err := r.output.Write(formatted); err != nil {
 			return err
 		}
 	}
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -64,7 +64,7 @@
 func (c *controlCollector) Collect(into chan<- prometheus.Metric) {
 	status := c.control.Status()
 	c.info.send(into, 1, status.GetNode(), status.GetZone(), strconv.FormatBool(status.GetHoldsState()))
-	c.fenced.send(into, truth(status.GetFenced()))
+	c.fenced.send(into, boolValue(status.GetFenced()))
 	c.fences.send(into, float64(status.GetFences()))
 	c.serveRemaining.send(into, serveRemainingSeconds(status))
 	c.servedRevision.send(into, float64(status.GetServedRevision()))
@@ -86,8 +86,8 @@
 
 func (c *controlCollector) collectShard(into chan<- prometheus.Metric, shard *ridgeswitchv1.ShardStatus, self string) {
 	label := strconv.FormatUint(uint64(shard.GetShard()), 10)
-	c.shardLed.send(into, truth(shard.GetLeader() == self), label)
-	c.shardLeaderKnown.send(into, truth(shard.GetLeader() != ""), label)
+	c.shardLed.send(into, boolValue(shard.GetLeader() == self), label)
+	c.shardLeaderKnown.send(into, boolValue(shard.GetLeader() != ""), label)
 	c.shardRevision.send(into, float64(shard.GetRevision()), label)
 	if shard.GetTerm() == 0 {
 		// The node does not hold the shard, or the shard has never had a leader.
--- a/internal/metrics/destinations.go
+++ b/internal/metrics/destinations.go
@@ -35,18 +35,18 @@
 
 // of returns the series of a destination.
 func (d *destinationNames) of(name string, webService bool) destination {
-	wanted := destination{kind: kindPool, name: name}
+	series := destination{kind: kindPool, name: name}
 	if webService {
-		wanted.kind = kindWebService
+		series.kind = kindWebService
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if _, found := d.known[wanted]; found {
-		return wanted
+	if _, found := d.known[series]; found {
+		return series
 	}
 	if len(d.known) >= d.limit {
-		return destination{kind: wanted.kind, name: overflowName}
+		return destination{kind: series.kind, name: overflowName}
 	}
-	d.known[wanted] = struct{}{}
-	return wanted
+	d.known[series] = struct{}{}
+	return series
 }
--- a/internal/metrics/index.go
+++ b/internal/metrics/index.go
@@ -4,28 +4,28 @@
 
 // indexCollector reads the size of the index of prefixes.
 type indexCollector struct {
-	traffic      Traffic
-	parts, bytes metric
+	traffic       Traffic
+	chunks, bytes metric
 }
 
 func newIndexCollector(traffic Traffic) *indexCollector {
 	return &indexCollector{
 		traffic: traffic,
-		parts:   gauge("index", "parts", "Pairs of a part of a prefix and a holder of it, by how it is known.", "source"),
+		chunks:  gauge("index", "parts", "Pairs of a part of a prefix and a holder of it, by how it is known.", "source"),
 		bytes:   gauge("index", "bytes", "Memory of the tables of reported parts."),
 	}
 }
 
 // Describe implements prometheus.Collector.
 func (c *indexCollector) Describe(into chan<- *prometheus.Desc) {
-	into <- c.parts.description
+	into <- c.chunks.description
 	into <- c.bytes.description
 }
 
 // Collect implements prometheus.Collector.
 func (c *indexCollector) Collect(into chan<- prometheus.Metric) {
 	stats := c.traffic.IndexStats()
-	c.parts.send(into, float64(stats.Reported), "reported")
-	c.parts.send(into, float64(stats.Predicted), "predicted")
+	c.chunks.send(into, float64(stats.Reported), "reported")
+	c.chunks.send(into, float64(stats.Predicted), "predicted")
 	c.bytes.send(into, float64(stats.Bytes))
 }
--- a/internal/metrics/metric.go
+++ b/internal/metrics/metric.go
@@ -28,8 +28,8 @@
 	into <- prometheus.MustNewConstMetric(m.description, m.kind, value, labels...)
 }
 
-// truth is 1 for true and 0 for false.
-func truth(condition bool) float64 {
+// boolValue is 1 for true and 0 for false.
+func boolValue(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -15,12 +15,12 @@
 	traffic Traffic
 	names   *destinationNames
 
-	firstAttempts, retries, retriesDenied metric
-	retryRatio                            metric
-	answered, cut, abandoned, refused     metric
-	inFlight                              metric
-	ejected, suspected                    metric
-	ejections, outcomes                   metric
+	firstAttempts, retries, retriesDenied    metric
+	retryRatio                               metric
+	completed, truncated, abandoned, refused metric
+	inFlight                                 metric
+	ejected, suspected                       metric
+	ejections, outcomes                      metric
 }
 
 func newTrafficCollector(traffic Traffic) *trafficCollector {
@@ -33,8 +33,8 @@
 		retries:       counter("", "retries_total", "Further attempts of these requests.", destinationLabels...),
 		retriesDenied: counter("", "retries_denied_total", "Retries that the retry budget did not permit.", destinationLabels...),
 		retryRatio:    gauge("", "retry_ratio", "Retries for each first attempt since the node started.", destinationLabels...),
-		answered:      counter("", "answered_total", "Complete answers of back ends.", destinationLabels...),
-		cut:           counter("", "cut_answers_total", "Answers that were cut after a part had been handed on.", destinationLabels...),
+		completed:     counter("", "answered_total", "Complete answers of back ends.", destinationLabels...),
+		truncated:     counter("", "cut_answers_total", "Answers that were cut after a part had been handed on.", destinationLabels...),
 		abandoned:     counter("", "abandoned_total", "Requests whose caller left.", destinationLabels...),
 		refused:       counter("", "refusals_total", "Requests that the node refused or could not complete, by the kind of the error.", refusalLabels...),
 		ejected:       gauge("", "ejected_backends", "Back ends that this node leaves out because they failed far more requests than others.", destinationLabels...),
@@ -49,7 +49,7 @@
 func (c *trafficCollector) Describe(into chan<- *prometheus.Desc) {
 	all := []metric{
 		c.firstAttempts, c.retries, c.retriesDenied, c.retryRatio,
-		c.answered, c.cut, c.abandoned, c.refused, c.inFlight,
+		c.completed, c.truncated, c.abandoned, c.refused, c.inFlight,
 		c.ejected, c.suspected, c.ejections, c.outcomes,
 	}
 	for _, described := range all {
@@ -115,8 +115,8 @@
 	c.firstAttempts.send(into, float64(stats.FirstAttempts), name.kind, name.name)
 	c.retries.send(into, float64(stats.Retries), name.kind, name.name)
 	c.retriesDenied.send(into, float64(stats.RetriesDenied), name.kind, name.name)
-	c.answered.send(into, float64(stats.Completed), name.kind, name.name)
-	c.cut.send(into, float64(stats.Truncated), name.kind, name.name)
+	c.completed.send(into, float64(stats.Completed), name.kind, name.name)
+	c.truncated.send(into, float64(stats.Truncated), name.kind, name.name)
 	c.abandoned.send(into, float64(stats.Abandoned), name.kind, name.name)
 	if stats.FirstAttempts > 0 {
 		ratio := float64(stats.Retries) / float64(stats.FirstAttempts)
--- a/internal/node/addresses.go
+++ b/internal/node/addresses.go
@@ -18,8 +18,8 @@
 const (
 	// addressesFile holds the internal addresses of other nodes with disks.
 	addressesFile = "addresses"
-	// addressesEvery is how often they are compared with the file.
-	addressesEvery = 5 * time.Second
+	// addressesInterval is how often they are compared with the file.
+	addressesInterval = 5 * time.Second
 )
 
 // seeds are those of the settings, and the nodes with disks that the node knew
@@ -28,12 +28,12 @@
 	if s.disk == nil || !settings.Seeded() {
 		return settings.Seeds
 	}
-	known, err := readAddresses(s.disk)
+	stored, err := readAddresses(s.disk)
 	if err != nil {
 		// They only help to find others; the settings' seeds are enough.
 		return settings.Seeds
 	}
-	return lo.Uniq(slices.Concat(settings.Seeds, known))
+	return lo.Uniq(slices.Concat(settings.Seeds, stored))
 }
 
 func readAddresses(folder *disk.Disk) ([]string, error) {
@@ -57,7 +57,7 @@
 // Serve implements suture.Service.
 func (s *addressService) Serve(ctx context.Context) error {
 	written, _ := readAddresses(s.storage.disk)
-	ticker := time.NewTicker(addressesEvery)
+	ticker := time.NewTicker(addressesInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/node/commander.go
+++ b/internal/node/commander.go
@@ -41,10 +41,10 @@
 // send checks the right to command again at the moment of sending, on the clock that
 // counts suspended time, and the call itself ends with that right.
 func (c *commander) send(command control.Command) control.CommandOutcome {
-	if !c.begin() {
+	if !c.acquireSlot() {
 		return control.CommandNotSent
 	}
-	defer c.end()
+	defer c.releaseSlot()
 	remaining := command.Deadline - clock.SinceBoot()
 	if remaining <= 0 {
 		return control.CommandNotSent
@@ -73,24 +73,24 @@
 }
 
 func (c *commander) report(request control.ReportRequest) (control.ReplicaReport, error) {
-	if !c.begin() {
+	if !c.acquireSlot() {
 		return control.ReplicaReport{}, errTooManyCalls
 	}
-	defer c.end()
+	defer c.releaseSlot()
 	ctx, cancel := context.WithTimeout(context.Background(), replicaCallTimeout)
 	defer cancel()
-	askedAt := clock.SinceBoot()
+	sentAt := clock.SinceBoot()
 	report, err := c.replicas.Report(ctx, request.Address, request.Instance)
 	if err != nil {
 		return control.ReplicaReport{}, err
 	}
 	report.Address = request.Address
-	report.MeasuredAt = askedAt - report.Age
+	report.MeasuredAt = sentAt - report.Age
 	return report, nil
 }
 
-// begin takes one of the calls that may run at once.
-func (c *commander) begin() bool {
+// acquireSlot takes one of the calls that may run at once.
+func (c *commander) acquireSlot() bool {
 	select {
 	case c.slots <- struct{}{}:
 		return true
@@ -99,4 +99,4 @@
 	}
 }
 
-func (c *commander) end() { <-c.slots }
+func (c *commander) releaseSlot() { <-c.slots }
--- a/internal/node/controlconfig.go
+++ b/internal/node/control_config.go
@@ -25,7 +25,7 @@
 			TrafficAddress: trafficAddress(settings),
 			ControlAddress: settings.Control,
 			Zone:           settings.Zone,
-			HoldsState:     settings.HoldsState(),
+			HoldsState:     settings.HasDisk(),
 			Incarnation:    member.Incarnation(time.Now().UnixMilli()),
 		},
 		Seeds:           disk.seeds(settings),
--- a/internal/node/edges.go
+++ b/internal/node/edges.go
@@ -8,9 +8,9 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-// ListReader reads the platform's list of back ends. An error leaves the last list in
+// EndpointReader reads the platform's list of back ends. An error leaves the last list in
 // force.
-type ListReader interface {
+type EndpointReader interface {
 	Read(ctx context.Context) ([]control.ServiceEndpoints, error)
 }
 
@@ -34,14 +34,14 @@
 	// LimitConnections, if set, is told how many connections this node may have to
 	// each back end, 0 for any number.
 	LimitConnections func(limit func(address string) int)
-	// Lists reads the platform's list of back ends.
-	Lists    ListReader
-	Replicas ReplicaCommander
+	// Endpoints reads the platform's list of back ends.
+	Endpoints EndpointReader
+	Replicas  ReplicaCommander
 	// ReplicasFinishFirst is that of control.Config.
 	ReplicasFinishFirst bool
 	// Operator returns what serves operators, and whoever asks for the node's
 	// health. The node's own questions are answered beside it, see
-	// operator.WithQuestions.
+	// operator.WithQueries.
 	Operator func(node *Node) http.Handler
 	// ReadyAddress is a further IP and port at which Operator's handler is
 	// served; empty for none.
--- a/internal/node/lists.go
+++ b/internal/node/endpoints.go
@@ -10,23 +10,23 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 )
 
-// listReadTimeout bounds one reading of the platform's list with all its pages.
-const listReadTimeout = 1500 * time.Millisecond
+// endpointReadTimeout bounds one reading of the platform's list with all its pages.
+const endpointReadTimeout = 1500 * time.Millisecond
 
-// lists reads the platform's list when control asks for it.
-type lists struct {
-	reader ListReader
+// endpointLoader reads the platform's list when control asks for it.
+type endpointLoader struct {
+	reader EndpointReader
 	driver *control.Driver
 	log    *logrus.Entry
 }
 
 // ReadEndpoints implements control.EndpointReader. Control asks for one reading at a time.
-func (l *lists) ReadEndpoints() {
+func (l *endpointLoader) ReadEndpoints() {
 	go func() { l.driver.EndpointsRead(l.read()) }()
 }
 
-func (l *lists) read() control.EndpointReading {
-	ctx, cancel := context.WithTimeout(context.Background(), listReadTimeout)
+func (l *endpointLoader) read() control.EndpointReading {
+	ctx, cancel := context.WithTimeout(context.Background(), endpointReadTimeout)
 	defer cancel()
 	reading := control.EndpointReading{StartedAt: clock.SinceBoot()}
 	reading.Services, reading.Err = l.reader.Read(ctx)
--- a/internal/node/sharer.go
+++ b/internal/node/gossip.go
@@ -11,13 +11,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// shareEvery is how often a node tells the others of its traffic, if there is
+// gossipInterval is how often a node tells the others of its traffic, if there is
 // anything to tell.
-const shareEvery = 50 * time.Millisecond
+const gossipInterval = 50 * time.Millisecond
 
-// sharer tells the other nodes of this node's traffic, and passes on what they
+// gossipService tells the other nodes of this node's traffic, and passes on what they
 // tell.
-type sharer struct {
+type gossipService struct {
 	// dataplane is nil on a node that serves no callers, which passes news on.
 	dataplane *dataplane.Server
 	driver    *control.Driver
@@ -26,51 +26,51 @@
 	exchange *shared.Exchange
 }
 
-// newSharer returns the sharer of a node. The driver is set before it serves.
-func newSharer(id member.ID, zone string, server *dataplane.Server) *sharer {
-	return &sharer{dataplane: server, exchange: shared.NewExchange(id, zone)}
+// newGossipService returns the sharer of a node. The driver is set before it serves.
+func newGossipService(id member.ID, zone string, server *dataplane.Server) *gossipService {
+	return &gossipService{dataplane: server, exchange: shared.NewExchange(id, zone)}
 }
 
 // Serve implements suture.Service.
-func (s *sharer) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(shareEvery)
+func (s *gossipService) Serve(ctx context.Context) error {
+	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			s.share()
+			s.sendDue()
 		}
 	}
 }
 
-// share sends what is due.
-func (s *sharer) share() {
+// sendDue sends what is due.
+func (s *gossipService) sendDue() {
 	live := s.driver.LiveNodes()
-	var news shared.Update
+	var update shared.Update
 	var direct []shared.Outbound
 	if s.dataplane != nil {
-		news = s.dataplane.PendingUpdate()
+		update = s.dataplane.PendingUpdate()
 		direct = s.dataplane.SnapshotMessages(live)
 	}
-	for _, send := range append(direct, s.flush(news, live)...) {
+	for _, send := range append(direct, s.flush(update, live)...) {
 		s.driver.SendTraffic(send)
 	}
 }
 
 // flush adds this node's own news to what it passes on, and takes what is due.
-func (s *sharer) flush(own shared.Update, live []member.Info) []shared.Outbound {
+func (s *gossipService) flush(local shared.Update, live []member.Info) []shared.Outbound {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !own.Empty() {
-		s.exchange.Add(own)
+	if !local.Empty() {
+		s.exchange.Add(local)
 	}
 	return s.exchange.Flush(live)
 }
 
 // TakeBatch implements control.TrafficReceiver.
-func (s *sharer) TakeBatch(batch shared.Batch) {
+func (s *gossipService) TakeBatch(batch shared.Batch) {
 	if batch.Stage.Direct() {
 		if s.dataplane != nil {
 			s.dataplane.HandleSnapshotBatch(batch)
@@ -78,17 +78,17 @@
 		return
 	}
 	s.mutex.Lock()
-	fresh := s.exchange.Receive(batch)
+	updates := s.exchange.Receive(batch)
 	s.mutex.Unlock()
 	if s.dataplane == nil {
 		return
 	}
-	for _, news := range fresh {
-		s.dataplane.ApplyUpdate(news)
+	for _, update := range updates {
+		s.dataplane.ApplyUpdate(update)
 	}
 }
 
 // String implements fmt.Stringer for the supervisor's messages.
-func (s *sharer) String() string {
+func (s *gossipService) String() string {
 	return "traffic sharing"
 }
--- a/internal/node/heapgrowth.go
+++ b/internal/node/heap_growth.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// heapGrowthEvery is how often the growth of the heap follows the fleet.
-	heapGrowthEvery = 2 * time.Second
+	// heapGrowthInterval is how often the growth of the heap follows the fleet.
+	heapGrowthInterval = 2 * time.Second
 	// smallFleet is the number of live nodes up to which the setting holds as it is.
 	smallFleet = 80
 	// nodesPerPercent is how many nodes beyond that let the heap grow by one percent
-	// more, and mostExtraGrowth bounds it.
+	// more, and maxExtraGrowth bounds it.
 	nodesPerPercent = 2
-	mostExtraGrowth = 120
+	maxExtraGrowth  = 120
 )
 
 // heapGrowth lets the heap grow further where there are many nodes. What they tell of
@@ -30,13 +30,13 @@
 
 // Serve implements suture.Service.
 func (h *heapGrowth) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(heapGrowthEvery)
+	ticker := time.NewTicker(heapGrowthInterval)
 	defer ticker.Stop()
 	set := 0
 	for {
-		if wanted := growthFor(h.percent, len(h.driver.LiveNodes())); wanted != set {
-			debug.SetGCPercent(wanted)
-			set = wanted
+		if growth := growthFor(h.percent, len(h.driver.LiveNodes())); growth != set {
+			debug.SetGCPercent(growth)
+			set = growth
 		}
 		select {
 		case <-ctx.Done():
@@ -51,5 +51,5 @@
 
 // growthFor is the growth of the heap, in percent, among so many live nodes.
 func growthFor(percent, nodes int) int {
-	return percent + min(max(nodes-smallFleet, 0)/nodesPerPercent, mostExtraGrowth)
+	return percent + min(max(nodes-smallFleet, 0)/nodesPerPercent, maxExtraGrowth)
 }
--- a/internal/node/ownedges.go
+++ b/internal/node/native_edges.go
@@ -21,34 +21,34 @@
 // replicas. The view is that of the node, or nil as long as it has none.
 func (e Edges) withDefaults(platformAddress string, view func() *routing.View) Edges {
 	sender := outbound.New(outbound.Options{Name: "control"})
-	if e.Lists == nil {
-		e.Lists = &ownLists{client: platform.NewClient(sender, platformAddress), starts: starts{view: view}}
+	if e.Endpoints == nil {
+		e.Endpoints = &nativeEndpoints{client: platform.NewClient(sender, platformAddress), slowStart: slowStart{view: view}}
 	}
 	if e.Replicas == nil {
-		e.Replicas = &ownReplicas{client: replica.NewCommandClient(sender)}
+		e.Replicas = &nativeReplicas{client: replica.NewCommandClient(sender)}
 	}
 	return e
 }
 
-// ownLists reads the platform's list by the product's own protocol. One reading
+// nativeEndpoints reads the platform's list by the product's own protocol. One reading
 // runs at a time.
-type ownLists struct {
-	client *platform.Client
-	starts starts
+type nativeEndpoints struct {
+	client    *platform.Client
+	slowStart slowStart
 }
 
-// Read implements ListReader.
-func (l *ownLists) Read(ctx context.Context) ([]control.ServiceEndpoints, error) {
-	list, err := l.client.Fetch(ctx)
+// Read implements EndpointReader.
+func (l *nativeEndpoints) Read(ctx context.Context) ([]control.ServiceEndpoints, error) {
+	endpoints, err := l.client.Fetch(ctx)
 	if err != nil {
 		return nil, err
 	}
-	services := lo.Map(list.Services, listedService)
-	l.starts.mark(clock.SinceBoot(), services)
+	services := lo.Map(endpoints.Services, serviceEndpoints)
+	l.slowStart.setWarmUpRemaining(clock.SinceBoot(), services)
 	return services, nil
 }
 
-func listedService(service platform.Service, _ int) control.ServiceEndpoints {
+func serviceEndpoints(service platform.Service, _ int) control.ServiceEndpoints {
 	return control.ServiceEndpoints{
 		Name: service.Name,
 		Endpoints: lo.Map(service.Replicas, func(replica platform.Replica, _ int) control.Endpoint {
@@ -61,17 +61,17 @@
 	}
 }
 
-// ownReplicas speaks to replicas by the product's own protocol.
-type ownReplicas struct {
+// nativeReplicas speaks to replicas by the product's own protocol.
+type nativeReplicas struct {
 	client *replica.CommandClient
 }
 
 // LoadWeights implements ReplicaCommander.
-func (r *ownReplicas) LoadWeights(ctx context.Context, command control.Command) (control.CommandOutcome, error) {
+func (r *nativeReplicas) LoadWeights(ctx context.Context, command control.Command) (control.CommandOutcome, error) {
 	err := r.client.LoadWeights(ctx, command.Address, replica.WeightsCommand{
 		WeightVersion: command.WeightVersion,
 		Epoch:         command.Token,
-		Holder:        command.Leader,
+		Leader:        command.Leader,
 	})
 	var stale *replica.StaleEpochError
 	var status *replica.StatusError
@@ -88,7 +88,7 @@
 }
 
 // Report implements ReplicaCommander.
-func (r *ownReplicas) Report(ctx context.Context, address, _ string) (control.ReplicaReport, error) {
+func (r *nativeReplicas) Report(ctx context.Context, address, _ string) (control.ReplicaReport, error) {
 	report, err := r.client.Report(ctx, address)
 	if err != nil {
 		return control.ReplicaReport{}, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,13 +25,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/retrybudget"
 )
 
-// leaveGrace is how long a stopping node goes on sending after it has handed its
+// leaveDelay is how long a stopping node goes on sending after it has handed its
 // shards over, so that the messages leave.
-const leaveGrace = 200 * time.Millisecond
+const leaveDelay = 200 * time.Millisecond
 
-// readinessNotice is how long a stopping node still takes connections after its
+// readinessDelay is how long a stopping node still takes connections after its
 // readiness is off, so that whoever polls it can send new ones elsewhere first.
-const readinessNotice = time.Second
+const readinessDelay = time.Second
 
 // Node is one running node.
 type Node struct {
@@ -42,11 +42,11 @@
 	transport *transport.Transport
 	driver    *control.Driver
 	dataplane *dataplane.Server
-	sharer    *sharer
+	gossip    *gossipService
 	operators []*operator.Server
 	health    *health
 	commander *commander
-	lists     *lists
+	endpoints *endpointLoader
 	// seeds are those in use.
 	seeds []string
 }
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	source := &lateSource{}
+	source := &driverSource{}
 	n.dataplane, err = dataplane.New(dataplane.Options{
 		Node:         n.settings.Node,
 		Member:       member.ID(n.settings.MemberID()),
@@ -95,7 +95,7 @@
 	if n.edges.LimitConnections != nil {
 		n.edges.LimitConnections(n.dataplane.ConnectionLimit)
 	}
-	n.sharer = newSharer(member.ID(n.settings.MemberID()), n.settings.Zone, n.served())
+	n.gossip = newGossipService(member.ID(n.settings.MemberID()), n.settings.Zone, n.callerServer())
 	machine, err := control.New(n.controlConfig(), n.storage.restored, n.dataplane, clock.SinceBoot())
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	}
 	source.driver = n.driver
 	n.health.driver = n.driver
-	n.health.served = n.served()
+	n.health.dataplane = n.callerServer()
 	return n.buildOperators()
 }
 
@@ -121,7 +121,7 @@
 )
 
 // retryBudget is this node's part of the fleet's retries.
-func (n *Node) retryBudget(source *lateSource) retrybudget.Options {
+func (n *Node) retryBudget(source *driverSource) retrybudget.Options {
 	live := func() int { return max(1, len(source.peers())) }
 	return retrybudget.Options{
 		Ratio:         float64(n.settings.RetryPercent) / percent,
@@ -145,8 +145,8 @@
 	}
 }
 
-// served is what serves callers, or nil on a node that serves none.
-func (n *Node) served() *dataplane.Server {
+// callerServer is what serves callers, or nil on a node that serves none.
+func (n *Node) callerServer() *dataplane.Server {
 	if n.settings.ControlOnly {
 		return nil
 	}
@@ -173,23 +173,23 @@
 // operatorHandler returns what serves operators. Beside another operator protocol, the
 // product's own questions are answered.
 func (n *Node) operatorHandler() (http.Handler, error) {
-	served, err := metrics.NewHandler(n.driver, n.dataplane, n.transport)
+	metricsHandler, err := metrics.NewHandler(n.driver, n.dataplane, n.transport)
 	if err != nil {
 		return nil, err
 	}
-	own, err := operator.NewHandler(n.driver, n.health, operator.WithMetrics(served))
+	native, err := operator.NewHandler(n.driver, n.health, operator.WithMetrics(metricsHandler))
 	if err != nil || n.edges.Operator == nil {
-		return own, err
+		return native, err
 	}
-	return operator.WithQuestions(n.edges.Operator(n), own), nil
+	return operator.WithQueries(n.edges.Operator(n), native), nil
 }
 
 // buildDriver connects the control machine to the network, the disk and the
 // replicas.
 func (n *Node) buildDriver(machine *control.Machine) error {
 	n.commander = newCommander(n.edges.Replicas, n.log.WithField("component", "commander"))
-	n.lists = &lists{reader: n.edges.Lists, log: n.log.WithField("component", "lists")}
-	frames := &lateFrames{}
+	n.endpoints = &endpointLoader{reader: n.edges.Endpoints, log: n.log.WithField("component", "lists")}
+	frames := &frameReceiver{}
 	listening, err := transport.Listen(n.settings.InternalListener(), frames.receive, transport.Options{})
 	if err != nil {
 		return err
@@ -202,13 +202,13 @@
 		Sender:     listening,
 		Storage:    n.storage.shards(),
 		Commander:  n.commander,
-		Traffic:    n.sharer,
-		Endpoints:  n.lists,
+		Traffic:    n.gossip,
+		Endpoints:  n.endpoints,
 		Log:        n.log.WithField("component", "control"),
 	})
 	n.commander.driver = n.driver
-	n.sharer.driver = n.driver
-	n.lists.driver = n.driver
+	n.gossip.driver = n.driver
+	n.endpoints.driver = n.driver
 	frames.driver.Store(n.driver)
 	return nil
 }
@@ -249,7 +249,7 @@
 	if n.storage.disk != nil && n.settings.Seeded() {
 		supervisor.Add(&addressService{storage: n.storage, driver: n.driver, log: n.log})
 	}
-	supervisor.Add(n.sharer)
+	supervisor.Add(n.gossip)
 	finished := make(chan struct{})
 	ended := supervisor.ServeBackground(ctx)
 	go func() {
@@ -268,14 +268,14 @@
 func (n *Node) drain() {
 	n.health.draining.Store(true)
 	n.driver.TransferLeadership()
-	time.Sleep(min(readinessNotice, n.settings.DrainTimeout()/2))
+	time.Sleep(min(readinessDelay, n.settings.DrainTimeout()/2))
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout())
 	defer cancel()
 	if err := n.drainCallers(ctx); err != nil {
 		n.log.WithError(err).Warn("requests were still running when the drain time ended")
 	}
 	n.driver.Leave()
-	time.Sleep(leaveGrace)
+	time.Sleep(leaveDelay)
 	n.dataplane.Stop()
 	for _, server := range n.operators {
 		server.Stop()
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -13,19 +13,19 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// errLearning is the reason why a node that has just started is not ready.
-var errLearning = errors.New("the node is still learning from others what back ends keep; it is ready within seconds")
+// errAwaitingSnapshot is the reason why a node that has just started is not ready.
+var errAwaitingSnapshot = errors.New("the node is still learning from others what back ends keep; it is ready within seconds")
 
 // errDraining is the reason why a stopping node is not ready.
 var errDraining = errors.New("the node is draining; use another one")
 
-// lateSource hands control state to the front for callers, which is built first.
-type lateSource struct {
+// driverSource hands control state to the front for callers, which is built first.
+type driverSource struct {
 	driver *control.Driver
 }
 
 // View implements routing.Source.
-func (s *lateSource) View() *routing.View { return s.driver.View() }
+func (s *driverSource) View() *routing.View { return s.driver.View() }
 
 // view is the node's view, or nil while it has none.
 func (n *Node) view() *routing.View {
@@ -36,18 +36,18 @@
 }
 
 // peers returns the live nodes that serve callers.
-func (s *lateSource) peers() []member.Info { return s.driver.Peers() }
+func (s *driverSource) peers() []member.Info { return s.driver.Peers() }
 
 // Serving implements routing.Source.
-func (s *lateSource) Serving() error { return s.driver.Serving() }
+func (s *driverSource) Serving() error { return s.driver.Serving() }
 
-// lateFrames drops frames that arrive before the driver is there; the senders
+// frameReceiver drops frames that arrive before the driver is there; the senders
 // repeat what matters.
-type lateFrames struct {
+type frameReceiver struct {
 	driver atomic.Pointer[control.Driver]
 }
 
-func (f *lateFrames) receive(frame []byte) {
+func (f *frameReceiver) receive(frame []byte) {
 	if driver := f.driver.Load(); driver != nil {
 		driver.ReceiveFrame(frame)
 	}
@@ -56,9 +56,9 @@
 // health answers the platform's probes.
 type health struct {
 	driver *control.Driver
-	// served is what serves callers, or nil.
-	served   *dataplane.Server
-	draining atomic.Bool
+	// dataplane is what serves callers, or nil.
+	dataplane *dataplane.Server
+	draining  atomic.Bool
 }
 
 // Ready implements operator.Health.
@@ -69,8 +69,8 @@
 	if err := h.driver.Ready(); err != nil {
 		return err
 	}
-	if h.served != nil && h.served.AwaitingSnapshot() {
-		return errLearning
+	if h.dataplane != nil && h.dataplane.AwaitingSnapshot() {
+		return errAwaitingSnapshot
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/node/slow_start.go
@@ -0,0 +1,65 @@
+package node
+
+import (
+	"time"
+
+	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/control"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
+)
+
+// slowStart tells which back ends are cold where the list does not: one that appears
+// in it is cold for as long as its destination's configuration says. Those of the
+// first reading are taken for warm, since nothing tells when they started.
+type slowStart struct {
+	view func() *routing.View
+	// startedAt is when each listed back end started, as far as the list shows; nil
+	// before the first reading.
+	startedAt map[backendKey]time.Duration
+}
+
+// backendKey is a place in the list.
+type backendKey struct {
+	service, address string
+}
+
+// setWarmUpRemaining sets for how much longer the listed back ends are cold.
+func (s *slowStart) setWarmUpRemaining(now time.Duration, services []control.ServiceEndpoints) {
+	appeared := now
+	if s.startedAt == nil {
+		appeared = now - dynamic.MaxSlowStart
+	}
+	started, durations := map[backendKey]time.Duration{}, slowStartDurations(s.view())
+	for _, service := range services {
+		for at := range service.Endpoints {
+			replica := &service.Endpoints[at]
+			key := backendKey{service: service.Name, address: replica.Address}
+			since, found := s.startedAt[key]
+			if !found {
+				since = appeared
+			}
+			started[key] = since
+			replica.WarmUpRemaining = max(0, since+durations[service.Name]-now)
+		}
+	}
+	s.startedAt = started
+}
+
+// slowStartDurations returns for how long the back ends of each service are cold.
+func slowStartDurations(view *routing.View) map[string]time.Duration {
+	durations := map[string]time.Duration{}
+	if view == nil {
+		return durations
+	}
+	set := func(service string, limits *ridgeswitchv1.BackendLimits) {
+		durations[service] = time.Duration(limits.GetColdStartMs()) * time.Millisecond
+	}
+	for _, pool := range view.Pools {
+		set(pool.Config.GetService(), pool.Config.GetBackends())
+	}
+	for _, service := range view.WebServices {
+		set(service.Config.GetService(), service.Config.GetBackends())
+	}
+	return durations
+}
--- a/internal/node/starts_test.go
+++ b/internal/node/slow_start_test.go
@@ -22,14 +22,14 @@
 		cold = 30 * time.Second
 	)
 	var view *routing.View
-	var seen *starts
+	var seen *slowStart
 
 	// remaining reads a list of a service's addresses.
 	remaining := func(now time.Duration, service string, addresses ...string) []time.Duration {
 		services := []control.ServiceEndpoints{{Name: service, Endpoints: lo.Map(addresses, func(address string, _ int) control.Endpoint {
 			return control.Endpoint{Address: address}
 		})}}
-		seen.mark(now, services)
+		seen.setWarmUpRemaining(now, services)
 		return lo.Map(services[0].Endpoints, func(replica control.Endpoint, _ int) time.Duration { return replica.WarmUpRemaining })
 	}
 
@@ -39,7 +39,7 @@
 			Pools:       map[string]*routing.Pool{"pool": {Config: &ridgeswitchv1.Pool{Service: "model", Backends: limits}}},
 			WebServices: map[string]*routing.WebService{"web": {Config: &ridgeswitchv1.WebService{Service: "pages", Backends: limits}}},
 		}
-		seen = &starts{view: func() *routing.View { return view }}
+		seen = &slowStart{view: func() *routing.View { return view }}
 	})
 
 	DescribeTable("are cold from when they appear, for as long as the configuration says", func(service string) {
@@ -70,7 +70,7 @@
 			lists = lists[1:]
 		}))
 		DeferCleanup(server.Close)
-		reader := Edges{}.withDefaults(server.Listener.Addr().String(), func() *routing.View { return view }).Lists
+		reader := Edges{}.withDefaults(server.Listener.Addr().String(), func() *routing.View { return view }).Endpoints
 		_, err := reader.Read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		read, err := reader.Read(context.Background())
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -37,14 +37,14 @@
 
 // ForeignDataError says that a data folder belongs to another node.
 type ForeignDataError struct {
-	Folder string
-	Found  string
-	Want   string
+	Folder   string
+	Found    string
+	Expected string
 }
 
 // Error implements error.
 func (e *ForeignDataError) Error() string {
-	return fmt.Sprintf("data folder %s belongs to node %q and not to %q; point data_folder at this node's own folder", e.Folder, e.Found, e.Want)
+	return fmt.Sprintf("data folder %s belongs to node %q and not to %q; point data_folder at this node's own folder", e.Folder, e.Found, e.Expected)
 }
 
 // storage is the data folder of a node, with what it kept of each shard.
@@ -63,7 +63,7 @@
 // openStorage opens the data folder, if the settings name one.
 func openStorage(settings *static.Settings) (*storage, error) {
 	opened := &storage{logs: map[uint32]*durable.Log{}, restored: map[uint32]replication.Restored{}}
-	if !settings.HoldsState() {
+	if !settings.HasDisk() {
 		return opened, nil
 	}
 	folder, err := disk.Open(settings.DataFolder)
@@ -79,52 +79,52 @@
 }
 
 func (s *storage) read(settings *static.Settings) error {
-	kept, initialised, err := readIdentity(s.disk, settings)
+	stored, initialised, err := readIdentity(s.disk, settings)
 	if err != nil {
 		return err
 	}
-	whole, err := hasShards(s.disk, kept)
+	complete, err := hasShards(s.disk, stored)
 	if err != nil {
 		return err
 	}
-	if !initialised || !whole {
+	if !initialised || !complete {
 		// What the folder had promised for a shard whose files are gone is not
 		// known any more, so that it must not vote under its former incarnation.
-		kept, err = s.begin(settings, initialised)
+		stored, err = s.createIdentity(settings, initialised)
 	}
 	if err != nil {
 		return err
 	}
-	s.incarnation = kept.Incarnation
-	s.founders = kept.Founders
+	s.incarnation = stored.Incarnation
+	s.founders = stored.Founders
 	for shard := uint32(0); shard <= uint32(settings.ServiceShards); shard++ {
 		if err := s.openShard(shard); err != nil {
 			return errors.Wrapf(err, "open shard %d in %s", shard, settings.DataFolder)
 		}
 	}
-	if count := uint32(settings.ServiceShards) + 1; count > kept.Shards {
-		kept.Shards = count
-		return kept.write(s.disk)
+	if count := uint32(settings.ServiceShards) + 1; count > stored.Shards {
+		stored.Shards = count
+		return stored.write(s.disk)
 	}
 	return nil
 }
 
-// begin makes the identity of a folder durable that can't vote under a former
+// createIdentity makes the identity of a folder durable that can't vote under a former
 // incarnation. A group is formed only in a folder that nothing was ever written to.
-func (s *storage) begin(settings *static.Settings, used bool) (identity, error) {
+func (s *storage) createIdentity(settings *static.Settings, used bool) (identity, error) {
 	empty, err := s.disk.Empty()
 	if err != nil {
 		return identity{}, err
 	}
 	if settings.Founder() && !used && empty {
-		return foundGroups(s.disk, settings)
+		return createFounder(s.disk, settings)
 	}
-	return beginIncarnation(s.disk, settings)
+	return createIncarnation(s.disk, settings)
 }
 
-// foundGroups makes the identity of a founder durable. The order of the founders
+// createFounder makes the identity of a founder durable. The order of the founders
 // must not depend on that of the seeds in the settings.
-func foundGroups(folder *disk.Disk, settings *static.Settings) (identity, error) {
+func createFounder(folder *disk.Disk, settings *static.Settings) (identity, error) {
 	made := identity{
 		Node:        settings.MemberID(),
 		Incarnation: replication.FoundingIncarnation,
@@ -152,8 +152,8 @@
 func shardName(shard uint32) string { return fmt.Sprintf("shard-%03d", shard) }
 
 // hasShards tells whether the folder has all files that its identity tells of.
-func hasShards(folder *disk.Disk, kept identity) (bool, error) {
-	for shard := range kept.Shards {
+func hasShards(folder *disk.Disk, stored identity) (bool, error) {
+	for shard := range stored.Shards {
 		if found, err := hasShard(folder, shard); !found || err != nil {
 			return false, err
 		}
@@ -201,8 +201,8 @@
 	return max(binary.BigEndian.Uint64(drawn[:]), replication.FoundingIncarnation+1), nil
 }
 
-// beginIncarnation makes the identity of a folder that was found empty durable.
-func beginIncarnation(folder *disk.Disk, settings *static.Settings) (identity, error) {
+// createIncarnation makes the identity of a folder that was found empty durable.
+func createIncarnation(folder *disk.Disk, settings *static.Settings) (identity, error) {
 	incarnation, err := newIncarnation()
 	if err != nil {
 		return identity{}, err
@@ -227,7 +227,7 @@
 
 // readIdentity tells whether a data folder was initialised for this node, and
 // its incarnation.
-func readIdentity(folder *disk.Disk, settings *static.Settings) (kept identity, initialised bool, err error) {
+func readIdentity(folder *disk.Disk, settings *static.Settings) (stored identity, initialised bool, err error) {
 	data, err := folder.ReadFile(identityFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return identity{}, false, nil
@@ -235,24 +235,24 @@
 	if err != nil {
 		return identity{}, false, err
 	}
-	if err := json.Unmarshal(data, &kept); err != nil {
+	if err := json.Unmarshal(data, &stored); err != nil {
 		return identity{}, false, errors.Wrapf(err, "read %s in %s; restore the folder or replace the node", identityFile, settings.DataFolder)
 	}
-	if kept.Node != settings.MemberID() {
-		return identity{}, false, &ForeignDataError{Folder: settings.DataFolder, Found: kept.Node, Want: settings.MemberID()}
+	if stored.Node != settings.MemberID() {
+		return identity{}, false, &ForeignDataError{Folder: settings.DataFolder, Found: stored.Node, Expected: settings.MemberID()}
 	}
-	if kept.Incarnation == 0 {
+	if stored.Incarnation == 0 {
 		// Written by init before incarnations were numbered.
-		kept.Incarnation = replication.FoundingIncarnation
+		stored.Incarnation = replication.FoundingIncarnation
 	}
-	return kept, true, nil
+	return stored, true, nil
 }
 
 // Initialise marks an empty data folder as that of a founding member, which may
 // vote. It is run once on each node with a disk when a deployment is first set
 // up, and never on a machine that replaces another.
 func Initialise(settings *static.Settings) error {
-	if !settings.HoldsState() {
+	if !settings.HasDisk() {
 		return errors.New("the settings name no data_folder; only nodes with disks are initialised")
 	}
 	if settings.Seeded() {
@@ -263,11 +263,11 @@
 		return err
 	}
 	defer func() { _ = folder.Close() }()
-	kept, initialised, err := readIdentity(folder, settings)
+	stored, initialised, err := readIdentity(folder, settings)
 	if err != nil {
 		return err
 	}
-	if initialised && kept.Incarnation != replication.FoundingIncarnation {
+	if initialised && stored.Incarnation != replication.FoundingIncarnation {
 		return errors.Errorf("data folder %s was made by a start without init, as for a replaced disk; start the node, or empty the folder first if the deployment is new", settings.DataFolder)
 	}
 	if initialised {
--- a/internal/reload/watcher.go
+++ b/internal/reload/watcher.go
@@ -31,9 +31,9 @@
 // Watcher looks at a settings file. It notices what changes from the moment on
 // at which it was made.
 type Watcher struct {
-	path    string
-	seen    os.FileInfo
-	hangups chan os.Signal
+	path     string
+	lastInfo os.FileInfo
+	hangups  chan os.Signal
 }
 
 // NewWatcher returns a watcher of a file; an empty path stands for settings that
@@ -62,15 +62,15 @@
 		case <-ctx.Done():
 			return
 		case <-w.hangups:
-			w.hungUp(target)
+			w.reloadOnHangup(target)
 		case <-ticker.C:
 			w.poll(target)
 		}
 	}
 }
 
-// hungUp hands the settings over whether their file seems to have changed or not.
-func (w *Watcher) hungUp(target Target) {
+// reloadOnHangup hands the settings over whether their file seems to have changed or not.
+func (w *Watcher) reloadOnHangup(target Target) {
 	w.changed()
 	target.reload()
 }
@@ -89,8 +89,8 @@
 	if err != nil {
 		return false
 	}
-	last := w.seen
-	w.seen = present
+	last := w.lastInfo
+	w.lastInfo = present
 	return last == nil || !os.SameFile(last, present) || last.Size() != present.Size() || !last.ModTime().Equal(present.ModTime())
 }
 
--- a/internal/reload/watcher_test.go
+++ b/internal/reload/watcher_test.go
@@ -130,9 +130,9 @@
 		write("node: b", began)
 		watcher.poll(target)
 		Expect(applied).To(BeEmpty(), "nothing tells the files apart")
-		watcher.hungUp(target)
+		watcher.reloadOnHangup(target)
 		Expect(applied).To(Equal([]string{"b"}))
-		watcher.hungUp(target)
+		watcher.reloadOnHangup(target)
 		Expect(applied).To(Equal([]string{"b", "b"}))
 	})
 
@@ -140,7 +140,7 @@
 		write("node: a", began)
 		start()
 		write("node: b", began.Add(time.Second))
-		watcher.hungUp(target)
+		watcher.reloadOnHangup(target)
 		watcher.poll(target)
 		Expect(applied).To(Equal([]string{"b"}))
 	})
@@ -194,7 +194,7 @@
 
 	It("reports a missing file at a hangup", func() {
 		start()
-		watcher.hungUp(target)
+		watcher.reloadOnHangup(target)
 		Expect(entries.AllEntries()).To(HaveLen(1))
 		Expect(entries.LastEntry().Data[logrus.ErrorKey]).To(MatchError(ContainSubstring("name a readable settings file")))
 	})
--- a/internal/replay/recording/check.go
+++ b/internal/replay/recording/check.go
@@ -45,15 +45,15 @@
 
 // checkChunks keeps to what a caller may send, since the parts become a header.
 func (r Record) checkChunks() error {
-	if len(r.Chunks) > caller.MaxParts {
-		return errors.Errorf("there are more than %d parts", caller.MaxParts)
+	if len(r.Chunks) > caller.MaxChunks {
+		return errors.Errorf("there are more than %d parts", caller.MaxChunks)
 	}
 	for _, chunk := range r.Chunks {
-		if chunk.ID == "" || len(chunk.ID) > caller.MaxPartIDBytes || strings.IndexFunc(chunk.ID, notPlain) >= 0 {
+		if chunk.ID == "" || len(chunk.ID) > caller.MaxChunkIDBytes || strings.IndexFunc(chunk.ID, notPlain) >= 0 {
 			return errors.Errorf("the part name %q holds more than letters, digits, '.', '_' and '-'", chunk.ID)
 		}
-		if chunk.Tokens == 0 || chunk.Tokens > caller.MaxPartTokens {
-			return errors.Errorf("the part %q has %d tokens; 1 to %d are possible", chunk.ID, chunk.Tokens, caller.MaxPartTokens)
+		if chunk.Tokens == 0 || chunk.Tokens > caller.MaxChunkTokens {
+			return errors.Errorf("the part %q has %d tokens; 1 to %d are possible", chunk.ID, chunk.Tokens, caller.MaxChunkTokens)
 		}
 	}
 	if r.PromptTokens() > caller.MaxPromptTokens {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -20,44 +20,44 @@
 	}
 }
 
-// timedOut tells whether a peer gave no answer, be it a refusal.
-func timedOut(err error) bool {
+// isTimeout tells whether a peer gave no answer, be it a refusal.
+func isTimeout(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-// connecting derives the time and the pauses of attempts to connect to one peer
+// dialAttempts derives the time and the pauses of attempts to connect to one peer
 // from how the earlier ones ended.
-type connecting struct {
+type dialAttempts struct {
 	options *Options
 	timeout time.Duration
-	// silent is how long the peer has given no answer.
-	silent  time.Duration
-	backoff time.Duration
+	// timedOutFor is how long the peer has given no answer.
+	timedOutFor time.Duration
+	backoff     time.Duration
 }
 
-func newConnecting(options *Options) *connecting {
-	c := &connecting{options: options}
+func newDialAttempts(options *Options) *dialAttempts {
+	c := &dialAttempts{options: options}
 	c.succeeded()
 	return c
 }
 
 // succeeded begins anew.
-func (c *connecting) succeeded() {
+func (c *dialAttempts) succeeded() {
 	c.timeout = c.options.FirstDialTimeout
-	c.silent = 0
+	c.timedOutFor = 0
 	c.backoff = c.options.MinBackoff
 }
 
 // failed returns the pause before the next attempt.
-func (c *connecting) failed(err error) time.Duration {
-	if timedOut(err) {
-		c.silent += c.timeout
+func (c *dialAttempts) failed(err error) time.Duration {
+	if isTimeout(err) {
+		c.timedOutFor += c.timeout
 	}
-	if c.silent >= c.options.DialTimeout {
+	if c.timedOutFor >= c.options.DialTimeout {
 		c.timeout = c.options.DialTimeout
 	}
-	pause := c.backoff
+	delay := c.backoff
 	c.backoff = min(2*c.backoff, c.options.MaxBackoff)
-	return pause
+	return delay
 }
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -18,7 +18,7 @@
 
 	It("are short until the peer has been silent for a while, and a refusal is no silence", func() {
 		options := Options{FirstDialTimeout: 400 * time.Millisecond, DialTimeout: time.Second}.withDefaults()
-		attempts := newConnecting(&options)
+		attempts := newDialAttempts(&options)
 		timeouts := []time.Duration{attempts.timeout}
 		for _, err := range []error{silence, refusal, silence, silence, silence} {
 			attempts.failed(err)
@@ -33,7 +33,7 @@
 
 	It("pause longer after each failure, up to a bound", func() {
 		options := Options{MinBackoff: 20 * time.Millisecond, MaxBackoff: 50 * time.Millisecond}.withDefaults()
-		attempts := newConnecting(&options)
+		attempts := newDialAttempts(&options)
 		Expect([]time.Duration{attempts.failed(silence), attempts.failed(nil), attempts.failed(refusal)}).
 			To(Equal([]time.Duration{20 * time.Millisecond, 40 * time.Millisecond, 50 * time.Millisecond}))
 	})
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -73,9 +73,9 @@
 	return o
 }
 
-func setDefault[T int | time.Duration](value *T, otherwise T) {
+func setDefault[T int | time.Duration](value *T, defaultValue T) {
 	if *value <= 0 {
-		*value = otherwise
+		*value = defaultValue
 	}
 }
 
@@ -86,9 +86,9 @@
 // newDialer returns a dialer whose connections come from the IP that the node
 // listens on, so that receivers and faults between machines can tell nodes
 // apart by source address.
-func newDialer(listening net.Addr, options Options) *net.Dialer {
+func newDialer(listenAddress net.Addr, options Options) *net.Dialer {
 	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAliveConfig: options.keepAlive()}
-	if local, ok := listening.(*net.TCPAddr); ok && !local.IP.IsUnspecified() {
+	if local, ok := listenAddress.(*net.TCPAddr); ok && !local.IP.IsUnspecified() {
 		dialer.LocalAddr = &net.TCPAddr{IP: local.IP, Zone: local.Zone}
 	}
 	// Without this, bytes sent to a machine that vanished count as written
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -26,13 +26,13 @@
 }
 
 func newPeer(transport *Transport, address string) *peer {
-	own, cancel := context.WithCancel(transport.context)
+	peerContext, cancel := context.WithCancel(transport.context)
 	options := transport.options
 	return &peer{
 		transport: transport,
 		address:   address,
 		queue:     newQueue(options.MaxQueuedFrames, options.MaxQueuedBytes),
-		context:   own,
+		context:   peerContext,
 		cancel:    cancel,
 	}
 }
@@ -51,21 +51,21 @@
 func (p *peer) run() {
 	defer p.cancel()
 	defer p.dropQueued()
-	connecting := newConnecting(&p.transport.options)
+	attempts := newDialAttempts(&p.transport.options)
 	for !p.retired && p.waitForFrames() {
-		connection, err := p.transport.dial(p.context, p.address, connecting.timeout)
+		connection, err := p.transport.dial(p.context, p.address, attempts.timeout)
 		if err != nil {
 			p.transport.counters.connectFailures.Add(1)
 		} else {
 			p.transport.counters.connectionsOpened.Add(1)
 			if p.serve(connection) {
-				connecting.succeeded()
+				attempts.succeeded()
 				continue
 			}
 		}
 		// A peer that accepts and takes nothing must not be dialled in a loop
 		// either.
-		if !p.pause(connecting.failed(err)) {
+		if !p.waitBackoff(attempts.failed(err)) {
 			return
 		}
 	}
@@ -90,7 +90,7 @@
 // tells whether any frame was sent.
 func (p *peer) serve(connection net.Conn) (sentAny bool) {
 	lost := make(chan struct{})
-	p.transport.running.Go(func() { watch(connection, lost) })
+	p.transport.running.Go(func() { closeOnPeerClose(connection, lost) })
 	defer func() { _ = connection.Close() }()
 	idle := time.NewTimer(p.transport.options.IdleTimeout)
 	defer idle.Stop()
@@ -108,12 +108,12 @@
 		select {
 		case <-p.queue.ready:
 		case <-idle.C:
-			left := p.transport.options.IdleTimeout - time.Since(sentAt)
-			if left <= 0 && p.transport.retire(p) {
+			remaining := p.transport.options.IdleTimeout - time.Since(sentAt)
+			if remaining <= 0 && p.transport.retire(p) {
 				p.retired = true
 				return sentAny
 			}
-			idle.Reset(max(left, p.transport.options.MinBackoff))
+			idle.Reset(max(remaining, p.transport.options.MinBackoff))
 		case <-lost:
 			return sentAny
 		case <-p.context.Done():
@@ -122,9 +122,9 @@
 	}
 }
 
-// watch notices that the other side closed the connection, on which it never
+// closeOnPeerClose notices that the other side closed the connection, on which it never
 // sends anything, before a frame is lost on it.
-func watch(connection net.Conn, lost chan<- struct{}) {
+func closeOnPeerClose(connection net.Conn, lost chan<- struct{}) {
 	var unexpected [1]byte
 	_, _ = connection.Read(unexpected[:])
 	_ = connection.Close()
@@ -155,9 +155,9 @@
 	return true
 }
 
-// pause waits before the next attempt to connect; it tells false when the peer
+// waitBackoff waits before the next attempt to connect; it tells false when the peer
 // was stopped.
-func (p *peer) pause(backoff time.Duration) bool {
+func (p *peer) waitBackoff(backoff time.Duration) bool {
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	select {
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -15,12 +15,12 @@
 	// which there are as many as nodes. Most frames are smaller, and of larger ones
 	// what the buffer lacks is read past it.
 	readBufferBytes = 4 << 10
-	// trustedBytes is how much is set aside for a frame on the word of its
+	// maxPreallocatedBytes is how much is set aside for a frame on the word of its
 	// length alone; larger ones grow as their bytes arrive.
-	trustedBytes = 64 << 10
-	// acceptPause keeps the accept loop calm while the process is out of
+	maxPreallocatedBytes = 64 << 10
+	// acceptRetryDelay keeps the accept loop calm while the process is out of
 	// descriptors.
-	acceptPause = 50 * time.Millisecond
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
 var errFrameLength = errors.New("transport: frame length out of bounds")
@@ -34,7 +34,7 @@
 				return
 			}
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			case <-t.context.Done():
 			}
 			continue
@@ -115,7 +115,7 @@
 }
 
 func readExactly(reader io.Reader, length int) ([]byte, error) {
-	if length <= trustedBytes {
+	if length <= maxPreallocatedBytes {
 		frame := make([]byte, length)
 		if _, err := io.ReadFull(reader, frame); err != nil {
 			return nil, io.ErrUnexpectedEOF
@@ -123,7 +123,7 @@
 		return frame, nil
 	}
 	var buffer bytes.Buffer
-	buffer.Grow(trustedBytes)
+	buffer.Grow(maxPreallocatedBytes)
 	if _, err := io.CopyN(&buffer, reader, int64(length)); err != nil {
 		return nil, io.ErrUnexpectedEOF
 	}
--- a/internal/transport/stats.go
+++ b/internal/transport/stats.go
@@ -64,8 +64,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	stats.Peers = len(t.peers)
-	for _, known := range t.peers {
-		frames, bytes := known.queue.size()
+	for _, peer := range t.peers {
+		frames, bytes := peer.queue.size()
 		stats.QueuedFrames += frames
 		stats.QueuedBytes += bytes
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -89,7 +89,7 @@
 func (t *Transport) retire(idle *peer) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if waiting, _ := idle.queue.size(); waiting > 0 {
+	if queued, _ := idle.queue.size(); queued > 0 {
 		return false
 	}
 	if t.peers[idle.address] == idle {
@@ -133,11 +133,11 @@
 // peer returns the peer at address and starts it if it is new. The lock is held, and
 // the transport is open.
 func (t *Transport) peer(address string) *peer {
-	known := t.peers[address]
-	if known == nil {
-		known = newPeer(t, address)
-		t.peers[address] = known
-		t.running.Go(known.run)
+	existing := t.peers[address]
+	if existing == nil {
+		existing = newPeer(t, address)
+		t.peers[address] = existing
+		t.running.Go(existing.run)
 	}
-	return known
+	return existing
 }
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -50,7 +50,7 @@
 }
 
 func (r *reader) shardRevisions(table *fb.Control) []protocol.ShardRevision {
-	length := r.elements(table.RevisionsLength(), leastTableBytes)
+	length := r.vectorLength(table.RevisionsLength(), minTableBytes)
 	if length == 0 {
 		return nil
 	}
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -60,10 +60,10 @@
 		{Voter: replication.Voter{ID: "10.0.0.2:7100", Incarnation: 1 << 60}, Learner: true},
 	}}
 	return []goldenMessage{
-		replicationFrame("promise request", KindPromise, replication.Message{
+		replicationFrame("promise request", KindVote, replication.Message{
 			Type: replication.MessageVoteRequest, Term: 6, Index: 40, IndexTerm: 5, PreVote: true, Transfer: true,
 		}),
-		replicationFrame("promise reply", KindPromise, replication.Message{
+		replicationFrame("promise reply", KindVote, replication.Message{
 			Type: replication.MessageVoteReply, Term: 6, PreVote: true, Reject: true,
 		}),
 		replicationFrame("append", KindAppend, replication.Message{
@@ -144,15 +144,15 @@
 			Type: membership.MessageHeartbeatReply, Sequence: 300, MonitorSetVersion: 4, TimedOutVersion: 3, Digest: 78,
 		}),
 		membershipFrame("probe", KindProbe, membership.Message{Type: membership.MessageGossip, From: records[0].Info, Digest: 79}),
-		membershipFrame("changed records", KindNews, membership.Message{Type: membership.MessageGossip, Records: records[2:], Digest: 80}),
-		membershipFrame("digests by range", KindBuckets, membership.Message{
+		membershipFrame("changed records", KindRecordUpdate, membership.Message{Type: membership.MessageGossip, Records: records[2:], Digest: 80}),
+		membershipFrame("digests by range", KindRangeDigests, membership.Message{
 			Type: membership.MessageGossip, From: records[0].Info, Buckets: []uint32{5, 0, 4_000_000_000},
 		}),
 		membershipFrame("summary", KindSummary, membership.Message{
 			Type: membership.MessageGossip, From: records[0].Info, CoveredBuckets: 0b101,
 			Summary: []membership.RecordDigest{{Member: 1, Digest: 2}, {Member: 3_000_000_000, Digest: 4}},
 		}),
-		membershipFrame("requested records", KindMissing, membership.Message{
+		membershipFrame("requested records", KindRecordRequest, membership.Message{
 			Type: membership.MessageGossip, From: records[0].Info, Requested: []uint32{9, 3_000_000_000}, Records: records[3:],
 		}),
 	}
@@ -190,8 +190,8 @@
 func goldenControl() []goldenMessage {
 	revisions := []protocol.ShardRevision{{Shard: 0, Revision: 8, Drained: 7}, {Shard: 4, Revision: 90, Drained: 90}}
 	return []goldenMessage{
-		controlFrame("order", KindOrder, protocol.Message{Type: protocol.MessageChange, Payload: []byte("order")}),
-		controlFrame("order reply", KindOrder, protocol.Message{
+		controlFrame("order", KindChange, protocol.Message{Type: protocol.MessageChange, Payload: []byte("order")}),
+		controlFrame("order reply", KindChange, protocol.Message{
 			Type: protocol.MessageChangeReply, Payload: []byte("answer"), Accepted: true, Leader: "10.0.0.2:7100",
 		}),
 		controlFrame("register", KindRegister, protocol.Message{Type: protocol.MessageRegister, Shard: 4, Incarnation: 1_700_000_000_123}),
@@ -199,7 +199,7 @@
 			Type: protocol.MessageRegisterReply, Shard: 4, Incarnation: 1_700_000_000_123, Revision: 90, Accepted: true,
 		}),
 		controlFrame("confirm", KindConfirm, protocol.Message{Type: protocol.MessageConfirm, Incarnation: 1_700_000_000_123, Revisions: revisions}),
-		controlFrame("ask confirm", KindAskConfirm, protocol.Message{Type: protocol.MessageConfirmRequest, Shard: 4, Revision: 90}),
+		controlFrame("ask confirm", KindConfirmRequest, protocol.Message{Type: protocol.MessageConfirmRequest, Shard: 4, Revision: 90}),
 		controlFrame("witness request", KindOther, protocol.Message{Type: protocol.MessageWitnessRequest, Shard: 4, Term: 65_541}),
 		controlFrame("witness reply", KindOther, protocol.Message{
 			Type: protocol.MessageWitnessReply, Shard: 4, Term: 6, Revision: 89, Incarnation: 1_700_000_000_123,
@@ -252,12 +252,12 @@
 
 func goldenTraffic() []goldenMessage {
 	return []goldenMessage{
-		trafficFrame("to the relay", KindTrafficGathering, shared.Batch{Stage: shared.NodeToRelay, Updates: goldenNews()}),
-		trafficFrame("between relays", KindTrafficCrossing, shared.Batch{Stage: shared.RelayToRelay, Updates: goldenNews()}),
-		trafficFrame("from the relay", KindTrafficSpreading, shared.Batch{Stage: shared.RelayToNodes, Updates: goldenNews()}),
-		trafficFrame("request of a started node", KindTrafficAdoption, shared.Batch{Stage: shared.SnapshotRequest, Updates: goldenNews()[1:]}),
-		trafficFrame("part of a response", KindTrafficAdoption, shared.Batch{Stage: shared.SnapshotChunk, Updates: goldenNews()}),
-		trafficFrame("end of a response", KindTrafficAdoption, shared.Batch{Stage: shared.SnapshotEnd, Updates: goldenNews()[1:]}),
+		trafficFrame("to the relay", KindTrafficNodeToRelay, shared.Batch{Stage: shared.NodeToRelay, Updates: goldenNews()}),
+		trafficFrame("between relays", KindTrafficRelayToRelay, shared.Batch{Stage: shared.RelayToRelay, Updates: goldenNews()}),
+		trafficFrame("from the relay", KindTrafficRelayToNodes, shared.Batch{Stage: shared.RelayToNodes, Updates: goldenNews()}),
+		trafficFrame("request of a started node", KindTrafficSnapshot, shared.Batch{Stage: shared.SnapshotRequest, Updates: goldenNews()[1:]}),
+		trafficFrame("part of a response", KindTrafficSnapshot, shared.Batch{Stage: shared.SnapshotChunk, Updates: goldenNews()}),
+		trafficFrame("end of a response", KindTrafficSnapshot, shared.Batch{Stage: shared.SnapshotEnd, Updates: goldenNews()[1:]}),
 	}
 }
 
--- a/internal/wire/memberrows.go
+++ b/internal/wire/member_rows.go
@@ -13,10 +13,10 @@
 // Records of members travel as rows that share their texts: a whole table names each
 // member in a few rows, and most addresses of a member differ in the port alone.
 
-// mostTexts is how many texts the rows of one message may name: their indexes are
+// maxTexts is how many texts the rows of one message may name: their indexes are
 // uint16, and 0 stands for no text. Rows beyond it are left out; the table of members
 // is repaired by digests.
-const mostTexts = math.MaxUint16
+const maxTexts = math.MaxUint16
 
 // rowPacker packs the rows of one message.
 type rowPacker struct {
@@ -31,7 +31,7 @@
 	packer := rowPacker{table: newTextTable()}
 	rows := make([]*fb.MemberRowT, 0, len(records))
 	for _, record := range records {
-		if len(packer.table.texts)+textsOf(record) > mostTexts {
+		if len(packer.table.texts)+maxTextsOf(record) > maxTexts {
 			break
 		}
 		rows = append(rows, packer.row(record))
@@ -39,8 +39,8 @@
 	return rows, packer.table.texts
 }
 
-// textsOf is the largest number of texts that a record adds.
-func textsOf(record membership.Record) int {
+// maxTextsOf is the largest number of texts that a record adds.
+func maxTextsOf(record membership.Record) int {
 	return infoStrings + len(record.Monitors) + len(record.TimeoutReports)
 }
 
@@ -83,7 +83,7 @@
 
 // port returns the port of an address whose host is that of base, or else the index
 // of the whole address.
-func (p rowPacker) port(address, base string) (port, whole uint16) {
+func (p rowPacker) port(address, base string) (port, addressIndex uint16) {
 	host, text, err := net.SplitHostPort(address)
 	if err != nil {
 		return 0, p.text(address)
@@ -91,7 +91,7 @@
 	number, err := strconv.ParseUint(text, 10, 16)
 	baseHost, _, baseErr := net.SplitHostPort(base)
 	// Only a port that is spelt the usual way is found again.
-	same := err == nil && baseErr == nil && number > 0 && host == baseHost && len(base) <= longestBase
+	same := err == nil && baseErr == nil && number > 0 && host == baseHost && len(base) <= maxBaseBytes
 	if !same || joinPort(base, uint16(number)) != address {
 		return 0, p.text(address)
 	}
@@ -128,7 +128,7 @@
 
 func (r *reader) records(table *fb.Membership) []membership.Record {
 	texts := r.texts(table.TextsLength(), table.Texts)
-	length := r.elements(table.RowsLength(), leastTableBytes)
+	length := r.vectorLength(table.RowsLength(), minTableBytes)
 	if length == 0 {
 		return nil
 	}
@@ -142,8 +142,8 @@
 	return records
 }
 
-// shared returns a text by its index. Rows share its memory.
-func (r rowReader) shared(index uint16) string {
+// sharedText returns a text by its index. Rows share its memory.
+func (r rowReader) sharedText(index uint16) string {
 	if index == 0 {
 		return ""
 	}
@@ -155,14 +155,14 @@
 }
 
 func (r rowReader) record(row *fb.MemberRow) membership.Record {
-	address := r.shared(row.Address())
+	address := r.sharedText(row.Address())
 	return membership.Record{
 		Info: member.Info{
-			ID:             member.ID(r.shared(row.Id())),
+			ID:             member.ID(r.sharedText(row.Id())),
 			Address:        address,
 			TrafficAddress: r.address(row.TrafficPort(), row.TrafficAddress(), address),
 			ControlAddress: r.address(row.ControlPort(), row.ControlAddress(), address),
-			Zone:           r.shared(row.Zone()),
+			Zone:           r.sharedText(row.Zone()),
 			HoldsState:     row.HoldsState(),
 			Incarnation:    member.Incarnation(row.Incarnation()),
 		},
@@ -170,22 +170,22 @@
 		MonitorSetVersion: row.MonitorSetVersion(),
 		Monitors:          r.monitors(row),
 		MonitorBoots:      r.boots(row),
-		TimeoutReports:    r.silences(row),
+		TimeoutReports:    r.timeoutReports(row),
 		Version:           row.Version(),
 	}
 }
 
-// longestBase is the longest address that a port is joined to; no IP address with a
+// maxBaseBytes is the longest address that a port is joined to; no IP address with a
 // zone and a port is longer.
-const longestBase = 64
+const maxBaseBytes = 64
 
 // address is the other direction of rowPacker.port. A joined address is a copy of its
 // own, unlike other texts, so that it is bounded.
-func (r rowReader) address(port, whole uint16, base string) string {
+func (r rowReader) address(port, addressIndex uint16, base string) string {
 	if port == 0 {
-		return r.shared(whole)
+		return r.sharedText(addressIndex)
 	}
-	if len(base) > longestBase || !r.take(leastTableBytes) {
+	if len(base) > maxBaseBytes || !r.spend(minTableBytes) {
 		r.exhausted = true
 		return ""
 	}
@@ -193,13 +193,13 @@
 }
 
 func (r rowReader) monitors(row *fb.MemberRow) []member.ID {
-	length := r.elements(row.MonitorsLength(), textIndexBytes)
+	length := r.vectorLength(row.MonitorsLength(), textIndexBytes)
 	if length == 0 {
 		return nil
 	}
 	monitors := make([]member.ID, length)
 	for i := range monitors {
-		monitors[i] = member.ID(r.shared(row.Monitors(i)))
+		monitors[i] = member.ID(r.sharedText(row.Monitors(i)))
 	}
 	return monitors
 }
@@ -208,7 +208,7 @@
 	if row.FarBootsLength() > 0 {
 		return r.incarnations(row.FarBootsLength(), row.FarBoots)
 	}
-	length := r.elements(row.BootsLength(), bootBytes)
+	length := r.vectorLength(row.BootsLength(), bootBytes)
 	if length == 0 {
 		return nil
 	}
@@ -219,8 +219,8 @@
 	return boots
 }
 
-func (r rowReader) silences(row *fb.MemberRow) []membership.TimeoutReport {
-	length := r.elements(row.SilencesLength(), leastTableBytes)
+func (r rowReader) timeoutReports(row *fb.MemberRow) []membership.TimeoutReport {
+	length := r.vectorLength(row.SilencesLength(), minTableBytes)
 	if length == 0 {
 		return nil
 	}
@@ -229,7 +229,7 @@
 	for i := range silences {
 		row.Silences(&stored, i)
 		silences[i] = membership.TimeoutReport{
-			Monitor:           member.ID(r.shared(stored.Monitor())),
+			Monitor:           member.ID(r.sharedText(stored.Monitor())),
 			Incarnation:       member.Incarnation(stored.Incarnation()),
 			MonitorSetVersion: stored.MonitorSetVersion(),
 			MonitorBoot:       member.Incarnation(stored.MonitorBoot()),
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -90,7 +90,7 @@
 }
 
 func (r *reader) summary(table *fb.Membership) []membership.RecordDigest {
-	length := r.elements(table.SummaryLength(), memberDigestBytes)
+	length := r.vectorLength(table.SummaryLength(), memberDigestBytes)
 	if length == 0 {
 		return nil
 	}
@@ -105,7 +105,7 @@
 
 // numbers copies a vector of numbers.
 func (r *reader) numbers(length int, at func(int) uint32) []uint32 {
-	length = r.elements(length, flatbuffers.SizeUint32)
+	length = r.vectorLength(length, flatbuffers.SizeUint32)
 	if length == 0 {
 		return nil
 	}
--- a/internal/wire/messagekind.go
+++ b/internal/wire/message_kind.go
@@ -19,10 +19,10 @@
 	KindMemberHeartbeat
 	KindMemberHeartbeatReply
 	KindProbe
-	KindNews
-	KindBuckets
+	KindRecordUpdate
+	KindRangeDigests
 	KindSummary
-	KindMissing
+	KindRecordRequest
 	KindRelayUpdate
 	KindRelayDigest
 	KindRelayAcknowledge
@@ -31,16 +31,16 @@
 	KindAppend
 	KindAppendReply
 	KindSnapshot
-	KindPromise
-	KindOrder
+	KindVote
+	KindChange
 	KindRegister
 	KindConfirm
-	KindAskConfirm
+	KindConfirmRequest
 	KindOther
-	KindTrafficGathering
-	KindTrafficCrossing
-	KindTrafficSpreading
-	KindTrafficAdoption
+	KindTrafficNodeToRelay
+	KindTrafficRelayToRelay
+	KindTrafficRelayToNodes
+	KindTrafficSnapshot
 	KindCount
 )
 
@@ -58,10 +58,10 @@
 	KindMemberHeartbeat:      "membership heartbeat",
 	KindMemberHeartbeatReply: "membership heartbeat reply",
 	KindProbe:                "membership probe",
-	KindNews:                 "membership news",
-	KindBuckets:              "membership digests by range",
+	KindRecordUpdate:         "membership news",
+	KindRangeDigests:         "membership digests by range",
 	KindSummary:              "membership summary",
-	KindMissing:              "membership records and wishes",
+	KindRecordRequest:        "membership records and wishes",
 	KindRelayUpdate:          "relay update",
 	KindRelayDigest:          "relay digest",
 	KindRelayAcknowledge:     "relay acknowledge",
@@ -70,16 +70,16 @@
 	KindAppend:               "replication append",
 	KindAppendReply:          "replication append reply",
 	KindSnapshot:             "replication snapshot",
-	KindPromise:              "replication promise",
-	KindOrder:                "control order",
+	KindVote:                 "replication promise",
+	KindChange:               "control order",
 	KindRegister:             "control register",
 	KindConfirm:              "control confirm",
-	KindAskConfirm:           "control ask confirm",
+	KindConfirmRequest:       "control ask confirm",
 	KindOther:                "other",
-	KindTrafficGathering:     "traffic news to the relay",
-	KindTrafficCrossing:      "traffic news between relays",
-	KindTrafficSpreading:     "traffic news from the relay",
-	KindTrafficAdoption:      "traffic news asked for",
+	KindTrafficNodeToRelay:   "traffic news to the relay",
+	KindTrafficRelayToRelay:  "traffic news between relays",
+	KindTrafficRelayToNodes:  "traffic news from the relay",
+	KindTrafficSnapshot:      "traffic news asked for",
 }
 
 // MessageKindOf reads the kind of a frame that this process has encoded, without
@@ -115,24 +115,24 @@
 	case membership.MessageHeartbeatReply:
 		return KindMemberHeartbeatReply
 	case membership.MessageGossip:
-		return gossipKind(message)
+		return membershipGossipKind(message)
 	default:
 		return KindOther
 	}
 }
 
-func gossipKind(message *fb.Membership) MessageKind {
+func membershipGossipKind(message *fb.Membership) MessageKind {
 	switch {
 	case message.BucketsLength() > 0:
-		return KindBuckets
+		return KindRangeDigests
 	case message.Covered() != 0:
 		return KindSummary
 	case message.WantedLength() > 0:
-		return KindMissing
+		return KindRecordRequest
 	case message.RowsLength() == 0:
 		return KindProbe
 	default:
-		return KindNews
+		return KindRecordUpdate
 	}
 }
 
@@ -162,7 +162,7 @@
 	case replication.MessageSnapshot:
 		return KindSnapshot
 	case replication.MessageVoteRequest, replication.MessageVoteReply:
-		return KindPromise
+		return KindVote
 	default:
 		return KindOther
 	}
@@ -171,11 +171,11 @@
 func controlKind(message protocol.MessageType) MessageKind {
 	switch message {
 	case protocol.MessageChange, protocol.MessageChangeReply:
-		return KindOrder
+		return KindChange
 	case protocol.MessageRegister, protocol.MessageRegisterReply:
 		return KindRegister
 	case protocol.MessageConfirmRequest:
-		return KindAskConfirm
+		return KindConfirmRequest
 	case protocol.MessageConfirm:
 		return KindConfirm
 	default:
@@ -186,12 +186,12 @@
 func trafficKind(stage shared.Stage) MessageKind {
 	switch stage {
 	case shared.NodeToRelay:
-		return KindTrafficGathering
+		return KindTrafficNodeToRelay
 	case shared.RelayToRelay:
-		return KindTrafficCrossing
+		return KindTrafficRelayToRelay
 	case shared.RelayToNodes:
-		return KindTrafficSpreading
+		return KindTrafficRelayToNodes
 	default:
-		return KindTrafficAdoption
+		return KindTrafficSnapshot
 	}
 }
