--- a/internal/wire/names.go
+++ b/internal/wire/name_table.go
@@ -20,9 +20,9 @@
 
 // index returns the index of a text, which is new if it was not met before.
 func (t *textTable) index(text string) uint32 {
-	known, found := t.indexes[text]
+	existing, found := t.indexes[text]
 	if found {
-		return known
+		return existing
 	}
 	added := uint32(len(t.texts))
 	t.indexes[text] = added
@@ -43,33 +43,33 @@
 func newNameTable(batch *shared.Batch) *nameTable {
 	table := &nameTable{indexes: map[string]uint32{}, texts: newTextTable()}
 	for i := range batch.Updates {
-		table.gather(&batch.Updates[i])
+		table.addUpdateEndpoints(&batch.Updates[i])
 	}
 	return table
 }
 
-func (t *nameTable) gather(news *shared.Update) {
-	t.note(string(news.Node))
-	for i := range news.Loads {
-		t.note(news.Loads[i].Address)
+func (t *nameTable) addUpdateEndpoints(update *shared.Update) {
+	t.addEndpoint(string(update.Node))
+	for i := range update.Loads {
+		t.addEndpoint(update.Loads[i].Address)
 	}
-	for i := range news.Dispatches {
-		t.note(news.Dispatches[i].Address)
+	for i := range update.Dispatches {
+		t.addEndpoint(update.Dispatches[i].Address)
 	}
-	for i := range news.Reports {
-		t.note(news.Reports[i].Address)
+	for i := range update.Reports {
+		t.addEndpoint(update.Reports[i].Address)
 	}
-	for i := range news.Denials {
-		t.note(news.Denials[i].Address)
+	for i := range update.Denials {
+		t.addEndpoint(update.Denials[i].Address)
 	}
-	for i := range news.Outcomes {
-		t.note(news.Outcomes[i].Address)
+	for i := range update.Outcomes {
+		t.addEndpoint(update.Outcomes[i].Address)
 	}
 }
 
-// note makes a name an endpoint if it can be one.
-func (t *nameTable) note(name string) {
-	if _, known := t.indexes[name]; known {
+// addEndpoint makes a name an endpoint if it can be one.
+func (t *nameTable) addEndpoint(name string) {
+	if _, found := t.indexes[name]; found {
 		return
 	}
 	endpoint, fits := endpointOf(name)
@@ -82,8 +82,8 @@
 
 // index returns the index of a name.
 func (t *nameTable) index(name string) uint32 {
-	if known, found := t.indexes[name]; found {
-		return known
+	if existing, found := t.indexes[name]; found {
+		return existing
 	}
 	return uint32(len(t.endpoints)) + t.texts.index(name)
 }
@@ -103,8 +103,8 @@
 	return endpoint<<portBits | uint64(parsed.Port()), true
 }
 
-// mostEndpointNames bounds the names of endpoints that are kept.
-const mostEndpointNames = 16384
+// maxEndpointNames bounds the names of endpoints that are kept.
+const maxEndpointNames = 16384
 
 // endpointNames keeps the names of endpoints that were met, so that the news of many
 // nodes doesn't cost a new text each time.
@@ -126,28 +126,28 @@
 	name = netip.AddrPortFrom(address, uint16(endpoint)).String()
 	endpointNames.Lock()
 	defer endpointNames.Unlock()
-	if len(endpointNames.names) >= mostEndpointNames {
+	if len(endpointNames.names) >= maxEndpointNames {
 		clear(endpointNames.names)
 	}
 	endpointNames.names[endpoint] = name
 	return name
 }
 
-// names are those of a message that was received.
-type names []string
+// receivedNames are those of a message that was received.
+type receivedNames []string
 
 // at returns a name, or "" for an index that the message does not have.
-func (n names) at(index uint32) string {
+func (n receivedNames) at(index uint32) string {
 	if int64(index) >= int64(len(n)) {
 		return ""
 	}
 	return n[index]
 }
 
-func (r *reader) names(table *fb.Traffic) names {
-	endpoints := r.elements(table.EndpointsLength(), endpointBytes)
-	texts := r.elements(table.TextsLength(), leastStringBytes)
-	named := make(names, 0, endpoints+texts)
+func (r *reader) names(table *fb.Traffic) receivedNames {
+	endpoints := r.vectorLength(table.EndpointsLength(), endpointBytes)
+	texts := r.vectorLength(table.TextsLength(), minStringBytes)
+	named := make(receivedNames, 0, endpoints+texts)
 	for i := range endpoints {
 		named = append(named, endpointName(table.Endpoints(i)))
 	}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -11,9 +11,9 @@
 const (
 	incarnationBytes  = flatbuffers.SizeUint64
 	offsetBytes       = flatbuffers.SizeUOffsetT
-	leastStringBytes  = offsetBytes + flatbuffers.SizeUOffsetT // length
-	leastTableBytes   = offsetBytes + flatbuffers.SizeSOffsetT // vtable
-	leastSectionBytes = leastTableBytes + leastStringBytes     // name
+	minStringBytes    = offsetBytes + flatbuffers.SizeUOffsetT // length
+	minTableBytes     = offsetBytes + flatbuffers.SizeSOffsetT // vtable
+	minSectionBytes   = minTableBytes + minStringBytes         // name
 	memberDigestBytes = 2 * flatbuffers.SizeUint32
 	textIndexBytes    = flatbuffers.SizeUint16
 	endpointBytes     = flatbuffers.SizeUint64
@@ -32,8 +32,8 @@
 	exhausted bool
 }
 
-// take accounts for n bytes and tells whether they may be read.
-func (r *reader) take(n int) bool {
+// spend accounts for n bytes and tells whether they may be read.
+func (r *reader) spend(n int) bool {
 	if n > r.budget {
 		r.exhausted = true
 		r.budget = 0
@@ -43,10 +43,10 @@
 	return true
 }
 
-// elements returns the length of a vector of tables or strings that take at
-// least leastBytes each, or 0 if the frame cannot hold that many.
-func (r *reader) elements(length, leastBytes int) int {
-	if r.exhausted || !r.take(length*leastBytes) {
+// vectorLength returns the length of a vector of tables or strings that take at
+// least minElementBytes each, or 0 if the frame cannot hold that many.
+func (r *reader) vectorLength(length, minElementBytes int) int {
+	if r.exhausted || !r.spend(length*minElementBytes) {
 		return 0
 	}
 	return length
@@ -54,7 +54,7 @@
 
 // text copies a string.
 func (r *reader) text(stored []byte) string {
-	if !r.take(len(stored)) {
+	if !r.spend(len(stored)) {
 		return ""
 	}
 	return string(stored)
@@ -62,7 +62,7 @@
 
 // bytes copies a byte vector, and keeps nil apart from empty.
 func (r *reader) bytes(stored []byte) []byte {
-	if stored == nil || !r.take(len(stored)) {
+	if stored == nil || !r.spend(len(stored)) {
 		return nil
 	}
 	return append(make([]byte, 0, len(stored)), stored...)
@@ -70,7 +70,7 @@
 
 // texts copies a vector of strings.
 func (r *reader) texts(length int, at func(int) []byte) []string {
-	length = r.elements(length, leastStringBytes)
+	length = r.vectorLength(length, minStringBytes)
 	if length == 0 {
 		return nil
 	}
@@ -83,7 +83,7 @@
 
 // incarnations copies a vector of incarnations.
 func (r *reader) incarnations(length int, at func(int) uint64) []member.Incarnation {
-	length = r.elements(length, incarnationBytes)
+	length = r.vectorLength(length, incarnationBytes)
 	if length == 0 {
 		return nil
 	}
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -22,11 +22,11 @@
 		Answers:      message.AcknowledgedRevision,
 		Mismatch:     message.Mismatch,
 	}
-	for _, known := range message.Revisions {
+	for _, revision := range message.Revisions {
 		packed.Known = append(packed.Known, &fb.TopicRevisionT{
-			Topic:      uint32(known.Topic),
-			Revision:   known.Revision,
-			Assembling: known.Assembling,
+			Topic:      uint32(revision.Topic),
+			Revision:   revision.Revision,
+			Assembling: revision.Assembling,
 		})
 	}
 	return packed
@@ -64,7 +64,7 @@
 }
 
 func (r *reader) sections(table *fb.Relay) []relaytree.Section {
-	length := r.elements(table.SectionsLength(), leastSectionBytes)
+	length := r.vectorLength(table.SectionsLength(), minSectionBytes)
 	if length == 0 {
 		return nil
 	}
@@ -81,19 +81,19 @@
 }
 
 func (r *reader) topicRevisions(table *fb.Relay) []relaytree.TopicRevision {
-	length := r.elements(table.KnownLength(), leastTableBytes)
+	length := r.vectorLength(table.KnownLength(), minTableBytes)
 	if length == 0 {
 		return nil
 	}
-	known := make([]relaytree.TopicRevision, length)
+	revisions := make([]relaytree.TopicRevision, length)
 	var stored fb.TopicRevision
-	for i := range known {
+	for i := range revisions {
 		table.Known(&stored, i)
-		known[i] = relaytree.TopicRevision{
+		revisions[i] = relaytree.TopicRevision{
 			Topic:      relaytree.Topic(stored.Topic()),
 			Revision:   stored.Revision(),
 			Assembling: stored.Assembling(),
 		}
 	}
-	return known
+	return revisions
 }
--- a/internal/wire/replication.go
+++ b/internal/wire/replication.go
@@ -90,7 +90,7 @@
 }
 
 func (r *reader) entries(table *fb.Replication) []replication.Entry {
-	length := r.elements(table.EntriesLength(), leastTableBytes)
+	length := r.vectorLength(table.EntriesLength(), minTableBytes)
 	if length == 0 {
 		return nil
 	}
@@ -121,7 +121,7 @@
 }
 
 func (r *reader) slots(table *fb.Snapshot) []replication.Slot {
-	length := r.elements(table.PlacesLength(), leastTableBytes)
+	length := r.vectorLength(table.PlacesLength(), minTableBytes)
 	if length == 0 {
 		return nil
 	}
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -11,8 +11,8 @@
 
 // The least bytes that an element of a vector of a Traffic message takes.
 const (
-	partChangeBytes = 24
-	partLinkBytes   = 16
+	chunkChangeBytes = 24
+	chunkLinkBytes   = 16
 	// A load of several priorities takes an entry for each.
 	trafficLoadBytes = 20
 )
@@ -23,31 +23,31 @@
 	}
 	table := newNameTable(batch)
 	packed := &fb.TrafficT{Stage: byte(batch.Stage), Endpoints: table.endpoints}
-	for _, news := range batch.Updates {
-		packed.News = append(packed.News, packNews(table, news))
+	for _, update := range batch.Updates {
+		packed.News = append(packed.News, packUpdate(table, update))
 	}
 	packed.Texts = table.texts.texts
 	return packed
 }
 
-func packNews(table *nameTable, news shared.Update) *fb.TrafficNewsT {
-	packed := &fb.TrafficNewsT{Node: table.index(string(news.Node))}
-	for _, load := range news.Loads {
+func packUpdate(table *nameTable, update shared.Update) *fb.TrafficNewsT {
+	packed := &fb.TrafficNewsT{Node: table.index(string(update.Node))}
+	for _, load := range update.Loads {
 		packed.Loads = append(packed.Loads, packLoads(table, load)...)
 	}
-	for _, dispatch := range news.Dispatches {
+	for _, dispatch := range update.Dispatches {
 		packed.Dispatches = append(packed.Dispatches, packDispatch(table, dispatch))
 	}
-	for _, report := range news.Reports {
+	for _, report := range update.Reports {
 		packed.Reports = append(packed.Reports, packReport(table, report))
 	}
-	for _, denial := range news.Denials {
+	for _, denial := range update.Denials {
 		packed.Denials = append(packed.Denials, &fb.TrafficDenialT{
 			Address:  table.index(denial.Address),
 			Instance: table.index(denial.Instance),
 		})
 	}
-	for _, report := range news.Outcomes {
+	for _, report := range update.Outcomes {
 		packed.Outcomes = append(packed.Outcomes, &fb.TrafficOutcomesT{
 			Address:  table.index(report.Address),
 			Failures: float32(report.Failures),
@@ -115,7 +115,7 @@
 	}
 	named := r.names(table)
 	batch := &shared.Batch{Stage: shared.Stage(table.Stage())}
-	batch.Updates = make([]shared.Update, r.elements(table.NewsLength(), leastTableBytes))
+	batch.Updates = make([]shared.Update, r.vectorLength(table.NewsLength(), minTableBytes))
 	var stored fb.TrafficNews
 	for i := range batch.Updates {
 		table.News(&stored, i)
@@ -132,8 +132,8 @@
 }
 
 // trafficLoads joins the entries of one replica, which follow each other.
-func (r *reader) trafficLoads(table *fb.TrafficNews, named names) []kvrouter.AddressLoad {
-	length := r.elements(table.LoadsLength(), trafficLoadBytes)
+func (r *reader) trafficLoads(table *fb.TrafficNews, named receivedNames) []kvrouter.AddressLoad {
+	length := r.vectorLength(table.LoadsLength(), trafficLoadBytes)
 	loads := make([]kvrouter.AddressLoad, 0, length)
 	var stored fb.TrafficLoad
 	last := uint32(0)
@@ -153,21 +153,21 @@
 	return loads
 }
 
-func (r *reader) trafficDispatches(table *fb.TrafficNews, named names) []shared.Dispatch {
-	dispatches := make([]shared.Dispatch, r.elements(table.DispatchesLength(), leastTableBytes))
+func (r *reader) trafficDispatches(table *fb.TrafficNews, named receivedNames) []shared.Dispatch {
+	dispatches := make([]shared.Dispatch, r.vectorLength(table.DispatchesLength(), minTableBytes))
 	var stored fb.TrafficDispatch
 	for i := range dispatches {
 		table.Dispatches(&stored, i)
 		dispatches[i] = shared.Dispatch{
 			Address: named.at(stored.Address()),
-			Links:   r.partLinks(&stored),
+			Links:   r.chunkLinks(&stored),
 		}
 	}
 	return dispatches
 }
 
-func (r *reader) partLinks(stored *fb.TrafficDispatch) []prefixindex.Link {
-	links := make([]prefixindex.Link, r.elements(stored.LinksLength(), partLinkBytes))
+func (r *reader) chunkLinks(stored *fb.TrafficDispatch) []prefixindex.Link {
+	links := make([]prefixindex.Link, r.vectorLength(stored.LinksLength(), chunkLinkBytes))
 	var link fb.PartLink
 	for i := range links {
 		stored.Links(&link, i)
@@ -176,8 +176,8 @@
 	return links
 }
 
-func (r *reader) trafficReports(table *fb.TrafficNews, named names) []shared.Report {
-	reports := make([]shared.Report, r.elements(table.ReportsLength(), leastTableBytes))
+func (r *reader) trafficReports(table *fb.TrafficNews, named receivedNames) []shared.Report {
+	reports := make([]shared.Report, r.vectorLength(table.ReportsLength(), minTableBytes))
 	var stored fb.TrafficReport
 	for i := range reports {
 		table.Reports(&stored, i)
@@ -190,14 +190,14 @@
 				Lost:        stored.Lost(),
 			},
 			Complete: stored.Whole(),
-			Changes:  r.partChanges(&stored),
+			Changes:  r.chunkChanges(&stored),
 		}
 	}
 	return reports
 }
 
-func (r *reader) partChanges(stored *fb.TrafficReport) []shared.Change {
-	changes := make([]shared.Change, r.elements(stored.ChangesLength(), partChangeBytes))
+func (r *reader) chunkChanges(stored *fb.TrafficReport) []shared.Change {
+	changes := make([]shared.Change, r.vectorLength(stored.ChangesLength(), chunkChangeBytes))
 	var change fb.PartChange
 	for i := range changes {
 		stored.Changes(&change, i)
@@ -211,8 +211,8 @@
 	return changes
 }
 
-func (r *reader) trafficDenials(table *fb.TrafficNews, named names) []shared.Denial {
-	denials := make([]shared.Denial, r.elements(table.DenialsLength(), leastTableBytes))
+func (r *reader) trafficDenials(table *fb.TrafficNews, named receivedNames) []shared.Denial {
+	denials := make([]shared.Denial, r.vectorLength(table.DenialsLength(), minTableBytes))
 	var stored fb.TrafficDenial
 	for i := range denials {
 		table.Denials(&stored, i)
@@ -221,8 +221,8 @@
 	return denials
 }
 
-func (r *reader) trafficOutcomes(table *fb.TrafficNews, named names) []outlier.Report {
-	outcomes := make([]outlier.Report, r.elements(table.OutcomesLength(), leastTableBytes))
+func (r *reader) trafficOutcomes(table *fb.TrafficNews, named receivedNames) []outlier.Report {
+	outcomes := make([]outlier.Report, r.vectorLength(table.OutcomesLength(), minTableBytes))
 	var stored fb.TrafficOutcomes
 	for i := range outcomes {
 		table.Outcomes(&stored, i)
--- a/pkg/config/dynamic/answers.go
+++ b/pkg/config/dynamic/answers.go
@@ -41,8 +41,8 @@
 	return cloneAnswer(answer)
 }
 
-// list returns copies of all answers, oldest first.
-func (l *answerLog) list() []*controlpb.Answer {
+// all returns copies of all answers, oldest first.
+func (l *answerLog) all() []*controlpb.Answer {
 	return lo.Map(l.oldestFirst, func(answer *controlpb.Answer, _ int) *controlpb.Answer {
 		return cloneAnswer(answer)
 	})
--- a/pkg/config/dynamic/bounds.go
+++ b/pkg/config/dynamic/bounds.go
@@ -59,8 +59,8 @@
 	MaxQueueTimeout = 10 * time.Minute
 	// MaxRequestTimeout bounds the time of one request.
 	MaxRequestTimeout = 24 * time.Hour
-	// MaxColdStart bounds the time for which a back end is cold after a start.
-	MaxColdStart = time.Hour
+	// MaxSlowStart bounds the time for which a back end is cold after a start.
+	MaxSlowStart = time.Hour
 	// MaxBackendConnections bounds the connections that a back end bears.
 	MaxBackendConnections = 1_000_000
 	// MaxReportReaders bounds the readers of a back end's reports.
--- a/pkg/config/dynamic/change.go
+++ b/pkg/config/dynamic/change.go
@@ -53,7 +53,7 @@
 }
 
 func addKey(next *ridgeswitchv1.Configuration, change *controlpb.AddKey) error {
-	tenant, err := tenantNamed(next, change.GetTenant())
+	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 }
 
 func revokeKey(next *ridgeswitchv1.Configuration, change *controlpb.RevokeKey) error {
-	tenant, err := tenantNamed(next, change.GetTenant())
+	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 }
 
 func setWall(next *ridgeswitchv1.Configuration, change *controlpb.SetWall) error {
-	tenant, err := tenantNamed(next, change.GetTenant())
+	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func tenantNamed(configuration *ridgeswitchv1.Configuration, name string) (*ridgeswitchv1.Tenant, error) {
+func tenantByName(configuration *ridgeswitchv1.Configuration, name string) (*ridgeswitchv1.Tenant, error) {
 	tenant, found := lo.Find(configuration.GetTenants(), func(tenant *ridgeswitchv1.Tenant) bool {
 		return tenant.GetName() == name
 	})
--- a/pkg/config/dynamic/checks.go
+++ b/pkg/config/dynamic/checks.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// knob checks a number for which 0 means the default.
-func (c *checker) knob(path string, value, bound float64) {
+// nonNegative checks a number for which 0 means the default.
+func (c *checker) nonNegative(path string, value, bound float64) {
 	if math.IsNaN(value) || value < 0 || value > bound {
 		c.add(KindOutOfRange, path, "is %v; use a number from 0 to %v", value, bound)
 	}
@@ -168,7 +168,7 @@
 	if value == "" {
 		return
 	}
-	if first, taken := set.first[value]; taken {
+	if first, found := set.first[value]; found {
 		c.add(KindDuplicate, path, "%s is already given at %s; make it unique", set.what, first)
 		return
 	}
@@ -192,6 +192,6 @@
 }
 
 // itemPath is the path of one element of a list.
-func itemPath(list string, index int) string {
-	return fmt.Sprintf("%s[%d]", list, index)
+func itemPath(field string, index int) string {
+	return fmt.Sprintf("%s[%d]", field, index)
 }
--- a/pkg/config/dynamic/errors.go
+++ b/pkg/config/dynamic/errors.go
@@ -75,39 +75,39 @@
 type Errors []*Error
 
 // Error lists the faults, one a line.
-func (list Errors) Error() string { return faults.Lines(list) }
+func (errs Errors) Error() string { return faults.Lines(errs) }
 
 // Unwrap gives errors.As and errors.Is access to the single faults.
-func (list Errors) Unwrap() []error { return faults.Single(list) }
+func (errs Errors) Unwrap() []error { return faults.Single(errs) }
 
 // Problem carries the kind and field of the first fault and a message that
 // lists all of them.
-func (list Errors) Problem() *ridgeswitchv1.Problem {
-	if len(list) == 0 {
+func (errs Errors) Problem() *ridgeswitchv1.Problem {
+	if len(errs) == 0 {
 		return nil
 	}
-	problem := list[0].Problem()
-	if len(list) == 1 {
+	problem := errs[0].Problem()
+	if len(errs) == 1 {
 		return problem
 	}
-	problem.Message = list.summary()
+	problem.Message = errs.summary()
 	return problem
 }
 
 // summary lists up to maxReportedFaults faults on one line.
-func (list Errors) summary() string {
-	shown := list
+func (errs Errors) summary() string {
+	shown := errs
 	if len(shown) > maxReportedFaults {
 		shown = shown[:maxReportedFaults]
 	}
-	parts := make([]string, 0, len(shown)+1)
+	texts := make([]string, 0, len(shown)+1)
 	for _, fault := range shown {
-		parts = append(parts, fault.Error())
+		texts = append(texts, fault.Error())
 	}
-	if hidden := len(list) - len(shown); hidden > 0 {
-		parts = append(parts, fmt.Sprintf("and %d more", hidden))
+	if hidden := len(errs) - len(shown); hidden > 0 {
+		texts = append(texts, fmt.Sprintf("and %d more", hidden))
 	}
-	return fmt.Sprintf("%d faults: %s", len(list), strings.Join(parts, "; "))
+	return fmt.Sprintf("%d faults: %s", len(errs), strings.Join(texts, "; "))
 }
 
 // collector gathers the faults of one input.
@@ -125,11 +125,11 @@
 }
 
 // orNil returns the list as an error, or nil when it is empty.
-func (list Errors) orNil() error {
-	if len(list) == 0 {
+func (errs Errors) orNil() error {
+	if len(errs) == 0 {
 		return nil
 	}
-	return list
+	return errs
 }
 
 // problemOf turns an error of this package into the body that operators get.
--- a/pkg/config/dynamic/machine.go
+++ b/pkg/config/dynamic/machine.go
@@ -56,8 +56,8 @@
 func (m *Machine) State() *controlpb.ConfigurationState {
 	return &controlpb.ConfigurationState{
 		Configuration: proto.Clone(m.configuration).(*ridgeswitchv1.Configuration),
-		Answers:       m.answers.list(),
-		Nodes:         m.nodes.list(),
+		Answers:       m.answers.all(),
+		Nodes:         m.nodes.nodes(),
 		Source:        proto.CloneOf(m.source),
 	}
 }
@@ -75,7 +75,7 @@
 
 // Nodes are the registered nodes, sorted by name.
 func (m *Machine) Nodes() []*controlpb.RegisterNode {
-	return m.nodes.list()
+	return m.nodes.nodes()
 }
 
 // Answer is the answer that an accepted order got, or nil. Its confirmed field
--- a/pkg/config/dynamic/parse.go
+++ b/pkg/config/dynamic/parse.go
@@ -106,7 +106,7 @@
 func (w *walker) member(path, name string, value json.RawMessage,
 	descriptor protoreflect.MessageDescriptor, seen map[protoreflect.FullName]bool,
 ) {
-	field := fieldNamed(descriptor, name)
+	field := fieldByName(descriptor, name)
 	if field == nil {
 		w.add(KindUnknownField, joinPath(path, name), "%s has no such field; remove it or correct its name", descriptor.Name())
 		return
@@ -122,7 +122,7 @@
 	}
 	w.alternative(fieldPath, field, seen)
 	if field.IsList() {
-		w.list(fieldPath, value, field)
+		w.array(fieldPath, value, field)
 		return
 	}
 	w.value(fieldPath, value, field)
@@ -140,9 +140,9 @@
 	seen[oneof.FullName()] = true
 }
 
-// list checks every element of a repeated field. It stops at the longest list
+// array checks every element of a repeated field. It stops at the longest list
 // that any configuration may hold, before the list takes up memory.
-func (w *walker) list(path string, data []byte, field protoreflect.FieldDescriptor) {
+func (w *walker) array(path string, data []byte, field protoreflect.FieldDescriptor) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	token, err := decoder.Token()
 	if err != nil || token != json.Delim('[') {
@@ -192,8 +192,8 @@
 	return protojson.Unmarshal(document, dynamicpb.NewMessage(field.ContainingMessage()))
 }
 
-// fieldNamed finds a field by its proto name or its JSON name.
-func fieldNamed(descriptor protoreflect.MessageDescriptor, name string) protoreflect.FieldDescriptor {
+// fieldByName finds a field by its proto name or its JSON name.
+func fieldByName(descriptor protoreflect.MessageDescriptor, name string) protoreflect.FieldDescriptor {
 	if field := descriptor.Fields().ByJSONName(name); field != nil {
 		return field
 	}
--- a/pkg/config/dynamic/registry.go
+++ b/pkg/config/dynamic/registry.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// list returns the registered nodes, sorted by name.
-func (r *registry) list() []*controlpb.RegisterNode {
+// nodes returns the registered nodes, sorted by name.
+func (r *registry) nodes() []*controlpb.RegisterNode {
 	nodes := lo.MapToSlice(r.incarnations, func(name string, incarnation uint64) *controlpb.RegisterNode {
 		return &controlpb.RegisterNode{Node: name, Incarnation: incarnation}
 	})
--- a/pkg/config/dynamic/validate.go
+++ b/pkg/config/dynamic/validate.go
@@ -71,11 +71,11 @@
 	}
 }
 
-func (v *validation) keys(list string, keys []*ridgeswitchv1.Key) {
-	v.count(list, len(keys), MaxKeysPerTenant)
+func (v *validation) keys(field string, keys []*ridgeswitchv1.Key) {
+	v.count(field, len(keys), MaxKeysPerTenant)
 	names := newUniqueSet("key name")
 	for i, key := range keys {
-		path := itemPath(list, i)
+		path := itemPath(field, i)
 		v.key(path, key)
 		v.unique(names, path+".name", key.GetName())
 		v.unique(v.names.digests, path+".sha256", key.GetSha256())
@@ -109,7 +109,7 @@
 		v.address(path+".address", store.GetAddress())
 		v.name(path+".zone", store.GetZone())
 		v.memory(path+".memory_tokens", store.GetMemoryTokens())
-		v.knob(path+".link_bits_per_second", store.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
+		v.nonNegative(path+".link_bits_per_second", store.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
 		v.atMost(path+".max_report_readers", uint64(store.GetMaxReportReaders()), MaxReportReaders)
 	}
 }
@@ -143,11 +143,11 @@
 }
 
 func (v *validation) routing(path string, routing *ridgeswitchv1.Routing) {
-	v.knob(path+".prefill_load_scale", routing.GetPrefillLoadScale(), MaxRoutingKnob)
-	v.knob(path+".request_weight", routing.GetRequestWeight(), MaxRoutingKnob)
-	v.knob(path+".peer_credit", routing.GetPeerCredit(), 1)
-	v.knob(path+".store_credit", routing.GetStoreCredit(), 1)
-	v.knob(path+".temperature", routing.GetTemperature(), MaxRoutingKnob)
+	v.nonNegative(path+".prefill_load_scale", routing.GetPrefillLoadScale(), MaxRoutingKnob)
+	v.nonNegative(path+".request_weight", routing.GetRequestWeight(), MaxRoutingKnob)
+	v.nonNegative(path+".peer_credit", routing.GetPeerCredit(), 1)
+	v.nonNegative(path+".store_credit", routing.GetStoreCredit(), 1)
+	v.nonNegative(path+".temperature", routing.GetTemperature(), MaxRoutingKnob)
 }
 
 func (v *validation) webServices(services []*ridgeswitchv1.WebService) {
--- a/pkg/config/dynamic/validatebackends.go
+++ b/pkg/config/dynamic/validate_backends.go
@@ -15,7 +15,7 @@
 	}
 	v.memory(path+".memory_tokens", engine.GetMemoryTokens())
 	v.atMost(path+".token_bytes", uint64(engine.GetTokenBytes()), MaxTokenBytes)
-	v.knob(path+".link_bits_per_second", engine.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
+	v.nonNegative(path+".link_bits_per_second", engine.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
 	v.atMost(path+".tokens_per_event", uint64(engine.GetTokensPerEvent()), MaxTokensPerEvent)
 	v.atMost(path+".max_report_readers", uint64(engine.GetMaxReportReaders()), MaxReportReaders)
 }
@@ -28,6 +28,6 @@
 func (v *validation) backends(path string, limits *ridgeswitchv1.BackendLimits) {
 	v.atMost(path+".max_connections", uint64(limits.GetMaxConnections()), MaxBackendConnections)
 	v.path(path+".health_path", limits.GetHealthPath())
-	v.timeoutOrZero(path+".cold_start_ms", limits.GetColdStartMs(), MaxColdStart)
-	v.knob(path+".cold_requests_per_second", limits.GetColdRequestsPerSecond(), MaxRequestsPerSecond)
+	v.timeoutOrZero(path+".cold_start_ms", limits.GetColdStartMs(), MaxSlowStart)
+	v.nonNegative(path+".cold_requests_per_second", limits.GetColdRequestsPerSecond(), MaxRequestsPerSecond)
 }
--- a/pkg/config/dynamic/validateroutes.go
+++ b/pkg/config/dynamic/validate_routes.go
@@ -56,22 +56,22 @@
 	v.split(path+".split", split)
 }
 
-func (v *validation) split(list string, split []*ridgeswitchv1.WeightedDestination) {
-	v.count(list, len(split), MaxSplit)
+func (v *validation) split(field string, split []*ridgeswitchv1.WeightedDestination) {
+	v.count(field, len(split), MaxSplit)
 	total := uint64(0)
 	for i, part := range split {
-		path := itemPath(list, i)
+		path := itemPath(field, i)
 		total += uint64(part.GetWeight())
 		v.atMost(path+".weight", uint64(part.GetWeight()), MaxWeight)
 		v.splitDestination(path, part)
 	}
 	if total == 0 {
-		v.add(KindOutOfRange, list, "has weights that add up to 0; give one destination a weight")
+		v.add(KindOutOfRange, field, "has weights that add up to 0; give one destination a weight")
 	}
 }
 
-func (v *validation) splitDestination(path string, part *ridgeswitchv1.WeightedDestination) {
-	switch target := part.GetDestination().(type) {
+func (v *validation) splitDestination(path string, destination *ridgeswitchv1.WeightedDestination) {
+	switch target := destination.GetDestination().(type) {
 	case *ridgeswitchv1.WeightedDestination_Pool:
 		v.reference(v.names.pools, path+".pool", target.Pool)
 	case *ridgeswitchv1.WeightedDestination_WebService:
--- a/pkg/config/faults/faults.go
+++ b/pkg/config/faults/faults.go
@@ -14,18 +14,18 @@
 }
 
 // Lines lists faults, one a line.
-func Lines[E error](list []E) string {
-	lines := make([]string, 0, len(list))
-	for _, fault := range list {
+func Lines[E error](errs []E) string {
+	lines := make([]string, 0, len(errs))
+	for _, fault := range errs {
 		lines = append(lines, fault.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Single returns the faults as single errors, for errors.Is and errors.As.
-func Single[E error](list []E) []error {
-	single := make([]error, 0, len(list))
-	for _, fault := range list {
+func Single[E error](errs []E) []error {
+	single := make([]error, 0, len(errs))
+	for _, fault := range errs {
 		single = append(single, fault)
 	}
 	return single
--- a/pkg/config/static/check.go
+++ b/pkg/config/static/check.go
@@ -91,7 +91,7 @@
 		if named.value == "" {
 			continue
 		}
-		if earlier, taken := first[named.value]; taken {
+		if earlier, found := first[named.value]; found {
 			c.add(KindDuplicate, named.field, "%q is already given as %s; use another", named.value, earlier)
 			continue
 		}
@@ -140,10 +140,10 @@
 		return
 	}
 	position := slices.Index(s.Group, s.Node)
-	if position >= 0 && !s.HoldsState() {
+	if position >= 0 && !s.HasDisk() {
 		c.add(KindMissing, "data_folder", "is empty on a node of group; give its folder or take the node off group")
 	}
-	if position < 0 && s.HoldsState() {
+	if position < 0 && s.HasDisk() {
 		c.add(KindInconsistent, "data_folder", "is set on a node that is not in group; add the node to group on every node or remove the folder")
 	}
 	if position >= 0 && position < len(s.GroupZones) && s.GroupZones[position] != s.Zone {
@@ -181,14 +181,14 @@
 	c.between(field, milliseconds, int(low.Milliseconds()), int(high.Milliseconds()))
 }
 
-func itemField(list string, index int) string {
-	return fmt.Sprintf("%s[%d]", list, index)
+func itemField(field string, index int) string {
+	return fmt.Sprintf("%s[%d]", field, index)
 }
 
-func items(list string, values []string) []namedValue {
+func items(field string, values []string) []namedValue {
 	named := make([]namedValue, 0, len(values))
 	for i, value := range values {
-		named = append(named, namedValue{itemField(list, i), value})
+		named = append(named, namedValue{itemField(field, i), value})
 	}
 	return named
 }
--- a/pkg/config/static/errors.go
+++ b/pkg/config/static/errors.go
@@ -41,7 +41,7 @@
 type Errors []*Error
 
 // Error lists the faults, one a line.
-func (list Errors) Error() string { return faults.Lines(list) }
+func (errs Errors) Error() string { return faults.Lines(errs) }
 
 // Unwrap gives errors.As access to the single faults.
-func (list Errors) Unwrap() []error { return faults.Single(list) }
+func (errs Errors) Unwrap() []error { return faults.Single(errs) }
--- a/pkg/config/static/load.go
+++ b/pkg/config/static/load.go
@@ -103,11 +103,11 @@
 		return &Error{Kind: KindUnknownField, Field: name, Message: "there is no such setting; remove it or correct its name"}
 	}
 	if err := value.Decode(field); err != nil {
-		wanted := reflect.TypeOf(field).Elem()
+		expected := reflect.TypeOf(field).Elem()
 		return &Error{
 			Kind:    KindMalformed,
 			Field:   name,
-			Message: fmt.Sprintf("line %d: must be a value of type %s", value.Line, wanted),
+			Message: fmt.Sprintf("line %d: must be a value of type %s", value.Line, expected),
 		}
 	}
 	return nil
--- a/pkg/config/static/settings.go
+++ b/pkg/config/static/settings.go
@@ -115,8 +115,8 @@
 	LogRing int `yaml:"log_ring" usage:"log entries kept in memory"`
 }
 
-// HoldsState tells whether the node has a disk and may hold control state.
-func (s *Settings) HoldsState() bool {
+// HasDisk tells whether the node has a disk and may hold control state.
+func (s *Settings) HasDisk() bool {
 	return s.DataFolder != ""
 }
 
@@ -136,7 +136,7 @@
 
 // Founder tells whether the node is one of those that form the replica groups.
 func (s *Settings) Founder() bool {
-	return s.Founding && s.Seeded() && s.HoldsState() && slices.Contains(s.Seeds, s.Internal)
+	return s.Founding && s.Seeded() && s.HasDisk() && slices.Contains(s.Seeds, s.Internal)
 }
 
 // InternalListener is the IP and port to listen on for other nodes.
--- a/pkg/config/static/suite_test.go
+++ b/pkg/config/static/suite_test.go
@@ -55,7 +55,7 @@
 	It("are read from YAML and JSON with defaults", func() {
 		settings := parsed(validSettings)
 		Expect(settings.Check()).To(BeEmpty())
-		Expect(settings.HoldsState()).To(BeTrue())
+		Expect(settings.HasDisk()).To(BeTrue())
 		Expect(settings.DrainTimeout()).To(Equal(static.DefaultDrainTimeout))
 		Expect(settings.HeartbeatEvery()).To(Equal(100 * time.Millisecond))
 		Expect(settings.PlatformPollEvery()).To(Equal(time.Second))
