--- a/pkg/prefixindex/benchmark_test.go
+++ b/pkg/prefixindex/benchmark_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// benchmarkHolders are the replicas and the store of one pool.
-	benchmarkHolders = 19
-	// benchmarkDepth is the number of parts of a prompt.
+	// benchmarkOwners are the replicas and the store of one pool.
+	benchmarkOwners = 19
+	// benchmarkDepth is the number of chunks of a prompt.
 	benchmarkDepth = 32
 	// benchmarkPrompts are the prompts that the index is filled with. The first
-	// half of the parts of each are shared by the prompts of a family.
+	// half of the chunks of each are shared by the prompts of a family.
 	benchmarkPrompts = 4096
 	benchmarkFamily  = 64
 )
@@ -38,20 +38,20 @@
 	return chains
 }
 
-// filled returns an index in which each prompt is kept by a third of the
-// holders.
+// filled returns an index in which each prompt is cached by a third of the
+// owners.
 func filled(chains [][]prefixindex.Link) *prefixindex.Index {
 	index := prefixindex.New(prefixindex.Options{})
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, links := range chains {
-		for range benchmarkHolders / 3 {
-			index.Store(prefixindex.Owner(random.IntN(benchmarkHolders)), links)
+		for range benchmarkOwners / 3 {
+			index.Store(prefixindex.Owner(random.IntN(benchmarkOwners)), links)
 		}
 	}
 	return index
 }
 
-// BenchmarkLookup looks up prompts of 32 parts on all cores.
+// BenchmarkLookup looks up prompts of 32 chunks on all cores.
 func BenchmarkLookup(b *testing.B) {
 	chains := benchmarkChains()
 	index := filled(chains)
@@ -83,8 +83,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "lookups/s")
 }
 
-// BenchmarkEvents stores and removes parts, one at a time, each core as a
-// holder of its own.
+// BenchmarkEvents stores and removes chunks, one at a time, each core as a
+// owner of its own.
 func BenchmarkEvents(b *testing.B) {
 	chains := benchmarkChains()
 	index := filled(chains)
@@ -92,7 +92,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
-		owner := prefixindex.Owner(owners.Add(1) + benchmarkHolders)
+		owner := prefixindex.Owner(owners.Add(1) + benchmarkOwners)
 		writeEvents(pb, index, owner, chains)
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
@@ -124,7 +124,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		worker := workers.Add(1)
 		if worker%4 == 1 {
-			writeEvents(pb, index, prefixindex.Owner(worker+benchmarkHolders), chains)
+			writeEvents(pb, index, prefixindex.Owner(worker+benchmarkOwners), chains)
 			return
 		}
 		var overlaps prefixindex.Overlaps
@@ -136,9 +136,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "operations/s")
 }
 
-// BenchmarkMemory fills an index with a million pairs of a part and a holder,
-// and reports the growth of the heap for each pair. The case of one holder a
-// part is the dearest, since holders of one part share its slot.
+// BenchmarkMemory fills an index with a million pairs of a chunk and an owner,
+// and reports the growth of the heap for each pair. The case of one owner a
+// chunk is the dearest, since owners of one chunk share its slot.
 func BenchmarkMemory(b *testing.B) {
 	for _, owners := range []int{1, 4, 16} {
 		b.Run(fmt.Sprint("holders=", owners), func(b *testing.B) { measureMemory(b, owners) })
@@ -146,6 +146,7 @@
 }
 
 func measureMemory(b *testing.B, ownersPerChunk int) {
+	b.Helper()
 	const pairs = 1_000_000
 	links := make([]prefixindex.Link, pairs/ownersPerChunk)
 	random := rand.New(rand.NewPCG(7, 8))
--- a/pkg/prefixindex/by_id_test.go
+++ b/pkg/prefixindex/by_id_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// promptByID is a prompt of parts of 100 tokens each.
+// promptByID is a prompt of chunks of 100 tokens each.
 func promptByID(ids ...string) []prefixindex.Link {
 	var parts []prefixindex.Chunk
 	for _, id := range ids {
@@ -20,7 +20,7 @@
 	return prefixindex.LinksByID("model", "salt", parts)
 }
 
-var _ = Describe("Named parts", func() {
+var _ = Describe("Chunks by ID", func() {
 	const owner = prefixindex.Owner(3)
 	var (
 		index    *prefixindex.Index
@@ -50,7 +50,7 @@
 		Expect(promptByID("a")[0].Hash).NotTo(Equal(chained[0].Hash))
 	})
 
-	It("count only when all before them are kept", func() {
+	It("count only when all before them are cached", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner, links[2].Hash, 100)
 		Expect(of(0).Reported).To(Equal(extent(1, 100)))
@@ -88,7 +88,7 @@
 		Expect(index.Stats().Sized).To(Equal(1))
 	})
 
-	It("leave nothing behind when their holder is dropped", func() {
+	It("leave nothing behind when their owner is dropped", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner+1, links[0].Hash, 50)
 		index.DemoteReported(0, time.Second, owner)
--- a/pkg/prefixindex/chain.go
+++ b/pkg/prefixindex/chain.go
@@ -6,18 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChainHash names a prompt part together with everything before it.
+// ChainHash identifies a chunk of a prompt together with everything before it, or
+// by its ID alone where it comes from HashByID.
 type ChainHash uint64
 
-// Chunk is one part of a prompt as the caller names it.
+// Chunk is a named piece of a prompt, as the caller states it.
 type Chunk struct {
-	// ID is the caller's name of the part's content.
+	// ID is the caller's name of the chunk's content.
 	ID string
-	// Tokens is the length of the part.
+	// Tokens is the length of the chunk, in tokens.
 	Tokens uint32
 }
 
-// Link is one part of a prompt as replicas and the index name it.
+// Link is one chunk of a prompt, by the hash that owners and the index use.
 type Link struct {
 	Hash   ChainHash
 	Tokens uint32
@@ -31,16 +32,17 @@
 	return ChainHash(digest.Sum64())
 }
 
-// NextHash returns the name of the part that follows previous.
+// NextHash returns the hash of the chunk that follows previous.
 func NextHash(previous ChainHash, chunkID string) ChainHash {
-	// The array keeps the names of usual length off the heap.
+	// The array keeps IDs of usual length off the heap.
 	var buffer [128]byte
 	data := binary.BigEndian.AppendUint64(buffer[:0], uint64(previous))
 	data = append(data, chunkID...)
 	return ChainHash(xxhash.Sum64(data))
 }
 
-// Chain names every part of a prompt under a model and a cache salt.
+// Chain returns the links of a prompt under a model and a cache salt, each with
+// its chain hash.
 func Chain(model, cacheSalt string, chunks []Chunk) []Link {
 	links := make([]Link, len(chunks))
 	previous := RootHash(model, cacheSalt)
--- a/pkg/prefixindex/chunk_sizes.go
+++ b/pkg/prefixindex/chunk_sizes.go
@@ -5,21 +5,21 @@
 	"sync/atomic"
 )
 
-// chunkSizeShards is the number of parts of the sizes that are locked apart.
+// chunkSizeShards is the number of separately locked shards of chunkSizes.
 const chunkSizeShards = 64
 
-// cachedSize says how many tokens of a part a holder keeps. The holder may have
-// evicted the end of the part.
+// cachedSize is how many tokens of a chunk an owner caches, from the chunk's
+// beginning. The owner may have evicted its end.
 type cachedSize struct {
 	owner  Owner
 	tokens uint32
-	// uncertain sizes belong to a part that was reported once, and that counts as
-	// predicted since reports were lost.
+	// uncertain is set once reports of the owner were lost: the chunk counts as
+	// predicted from then on, see Index.DemoteReported.
 	uncertain bool
 }
 
-// chunkSizes knows the kept tokens of parts whose holders report them. Holders that
-// report whole parts only have no entry.
+// chunkSizes holds the cached tokens of chunks whose owners report them. Owners
+// that report whole chunks only have no entries.
 type chunkSizes struct {
 	maximum int64
 	count   atomic.Int64
@@ -43,7 +43,8 @@
 	return &s.shards[mix(hash)%chunkSizeShards]
 }
 
-// get returns the kept tokens of a part that is reported.
+// get returns the reported tokens of a chunk, and false if there are none or they
+// are uncertain.
 func (s *chunkSizes) get(owner Owner, hash ChainHash) (uint32, bool) {
 	shard := s.shardOf(hash)
 	shard.mutex.RLock()
@@ -56,8 +57,8 @@
 	return 0, false
 }
 
-// set records the kept tokens of a part that is reported. It returns false when
-// there is no room for another.
+// set records the reported tokens of a chunk. It returns false when the table is
+// full.
 func (s *chunkSizes) set(owner Owner, hash ChainHash, tokens uint32) bool {
 	shard := s.shardOf(hash)
 	shard.mutex.Lock()
@@ -77,7 +78,7 @@
 	return true
 }
 
-// setUncertain marks the size of a part that counts as predicted from now on.
+// setUncertain records that the chunk counts as predicted from now on.
 func (s *chunkSizes) setUncertain(owner Owner, hash ChainHash) {
 	shard := s.shardOf(hash)
 	shard.mutex.Lock()
@@ -89,7 +90,8 @@
 	}
 }
 
-// clear forgets the size of a part of a holder.
+// clear removes the size of an owner's chunk; with uncertainOnly only if it is
+// uncertain.
 func (s *chunkSizes) clear(owner Owner, hash ChainHash, uncertainOnly bool) {
 	if s.count.Load() == 0 {
 		return
@@ -102,7 +104,7 @@
 	})
 }
 
-// drop forgets the sizes of all parts of a holder.
+// drop removes the sizes of all chunks of an owner.
 func (s *chunkSizes) drop(owner Owner) {
 	if s.count.Load() == 0 {
 		return
@@ -117,7 +119,8 @@
 	}
 }
 
-// clearLocked forgets the sizes of a part that match. The shard's lock is held.
+// clearLocked removes the sizes of a chunk that match. The caller holds the
+// shard's lock.
 func (s *chunkSizes) clearLocked(shard *chunkSizeShard, hash ChainHash, matches func(cachedSize) bool) {
 	sizes := shard.byHash[hash]
 	remaining := sizes[:0]
@@ -134,8 +137,8 @@
 	shard.byHash[hash] = remaining
 }
 
-// visitShorter calls visit for each holder that keeps fewer tokens of a part than
-// the prompt states.
+// visitShorter calls visit for each owner that caches fewer tokens of a chunk than
+// the prompt states. The shard's lock is held meanwhile.
 func (s *chunkSizes) visitShorter(hash ChainHash, tokens uint32, visit func(cachedSize)) {
 	shard := s.shardOf(hash)
 	shard.mutex.RLock()
--- a/pkg/prefixindex/concurrency_test.go
+++ b/pkg/prefixindex/concurrency_test.go
@@ -37,7 +37,7 @@
 		Expect(index.Stats().Reported).To(Equal(len(stable)))
 	})
 
-	It("never shows the holder of a part for another part that takes over its slot", func() {
+	It("never shows the owner of a chunk for another chunk that takes over its slot", func() {
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
 		const oneHolder, otherHolder = prefixindex.Owner(1), prefixindex.Owner(2)
 		one := []prefixindex.Link{{Hash: prefixindex.CollidingHash(1), Tokens: 1}}
@@ -51,7 +51,7 @@
 		for range 100_000 {
 			index.Store(oneHolder, one)
 			index.Store(otherHolder, other)
-			// The other part moves to the slot of the first.
+			// The other chunk moves to the slot of the first.
 			index.Remove(oneHolder, hashes(one))
 			index.Remove(otherHolder, hashes(other))
 		}
@@ -61,11 +61,11 @@
 	})
 })
 
-// nobody stands for no holder.
+// nobody stands for no owner.
 const nobody = prefixindex.Owner(1 << 20)
 
-// churn stores, removes, resets and drops parts of one holder, and ends with
-// none. The removals move the slots of other parts.
+// churn stores, removes, resets and drops chunks of one owner, and ends with
+// none. The removals move the slots of other chunks.
 func churn(index *prefixindex.Index, owner prefixindex.Owner, links []prefixindex.Link) {
 	random := rand.New(rand.NewPCG(uint64(owner), 1))
 	others := make([]prefixindex.Link, 64)
@@ -85,7 +85,7 @@
 	index.Drop(owner)
 }
 
-// watch counts lookups that miss the steady holder or find the one that never
+// watch counts lookups that miss the steady owner or find the one that never
 // stored anything.
 func watch(index *prefixindex.Index, done <-chan struct{}, links []prefixindex.Link, steady, never prefixindex.Owner) int {
 	var overlaps prefixindex.Overlaps
--- a/pkg/prefixindex/index.go
+++ b/pkg/prefixindex/index.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Owner is a dense handle of a replica or store, assigned by the caller from
-// 0 up. Memory grows with the largest handle in use.
+// Owner is a dense handle of a replica or store that caches chunks, assigned by
+// the caller from 0 up. Memory grows with the largest handle in use.
 type Owner uint32
 
 // Defaults of Options.
@@ -16,23 +16,23 @@
 
 // Options configure an Index. Zero values mean the defaults.
 type Options struct {
-	// PredictionTTL is how long a predicted part counts.
+	// PredictionTTL is how long a prediction lasts.
 	PredictionTTL time.Duration
-	// MaxPredicted bounds the predicted parts of all holders together. Past
-	// it, those that would expire first are dropped.
+	// MaxPredicted bounds the predictions of all owners together. Beyond it, those
+	// that would expire first are dropped.
 	MaxPredicted int
-	// MaxSized bounds the pairs of a part and a holder with a reported size, of
-	// all holders together. Past it, further parts are not taken in.
+	// MaxSized bounds the pairs of a chunk and an owner with a reported size, of
+	// all owners together. Beyond it, further chunks are ignored.
 	MaxSized int
-	// Shards is the number of parts that are locked apart; rounded up to a
-	// power of two.
+	// Shards is the number of separately locked shards of each partition; rounded
+	// up to a power of two.
 	Shards int
 }
 
-// Index remembers which holders keep which parts. It is safe for concurrent
-// use: lookups take no lock unless a writer changes the same shard at that
-// moment. Changes of one holder should come from one writer at a time, since
-// the last one wins.
+// Index records which owners cache which chunks. It is safe for concurrent use:
+// lookups take no lock unless a writer changes the same shard at that moment.
+// Changes of one owner should come from one writer at a time, since the last one
+// wins.
 type Index struct {
 	reported  *partitions
 	predicted *predictions
@@ -41,14 +41,14 @@
 
 // Stats describes the size of an Index.
 type Stats struct {
-	// Reported counts pairs of a part and a holder that reported to keep it.
+	// Reported counts pairs of a chunk and an owner that reported it.
 	Reported int
-	// Predicted counts pairs of a part and a holder that are predicted.
+	// Predicted counts pairs of a chunk and an owner that are predicted.
 	Predicted int
-	// Sized counts those of them, and of the predicted ones, that were reported
-	// with a size.
+	// Sized counts the pairs, reported or predicted, that were reported with a
+	// size.
 	Sized int
-	// Bytes is the memory of the tables of reported parts.
+	// Bytes is the memory of the tables of reported chunks, in bytes.
 	Bytes int
 }
 
@@ -74,8 +74,8 @@
 	}
 }
 
-// Store records that holder reported to keep the parts, in any order. Only the
-// hashes are kept: a lookup counts the tokens that its prompt states.
+// Store records that an owner reported the chunks, in any order. Only the hashes
+// are recorded: a lookup counts the tokens that its prompt states.
 func (x *Index) Store(owner Owner, links []Link) {
 	for _, link := range links {
 		x.sizes.clear(owner, link.Hash, false)
@@ -83,7 +83,7 @@
 	}
 }
 
-// Remove records that holder dropped the parts. Predictions of them go too.
+// Remove records that an owner evicted the chunks. Predictions of them end too.
 func (x *Index) Remove(owner Owner, hashes []ChainHash) {
 	for _, hash := range hashes {
 		x.reported.remove(owner, hash)
@@ -92,26 +92,26 @@
 	x.predicted.remove(owner, hashes)
 }
 
-// Reset replaces all that holder keeps, reported and predicted, by links.
+// Reset replaces all chunks of an owner, reported and predicted, by links.
 func (x *Index) Reset(owner Owner, links []Link) {
 	x.Drop(owner)
 	x.Store(owner, links)
 }
 
-// Drop forgets all that holder keeps, reported and predicted.
+// Drop removes all chunks of an owner, reported and predicted.
 func (x *Index) Drop(owner Owner) {
 	x.reported.drop(owner)
 	x.predicted.drop(owner)
 	x.sizes.drop(owner)
 }
 
-// Predict records for the TTL of the options that holder probably keeps the
-// parts. A newer prediction of the same part renews it.
+// Predict records that an owner probably caches the chunks, for the TTL of the
+// options. A newer prediction of the same chunk renews it.
 func (x *Index) Predict(now time.Duration, owner Owner, links []Link) {
 	x.PredictFor(now, x.predicted.ttl, owner, links)
 }
 
-// PredictFor is Predict with a TTL of its own.
+// PredictFor is Predict with the given TTL.
 func (x *Index) PredictFor(now, ttl time.Duration, owner Owner, links []Link) {
 	for _, link := range links {
 		x.sizes.clear(owner, link.Hash, true)
@@ -119,11 +119,11 @@
 	x.predicted.add(now, ttl, owner, links)
 }
 
-// Expire forgets predictions whose time is over. Overlaps does so too, so that
+// Expire removes predictions whose TTL has ended. Overlaps does so too, so that
 // calling it is only needed to free memory while there are no lookups.
 func (x *Index) Expire(now time.Duration) { x.predicted.expire(now) }
 
-// Stats returns the present size.
+// Stats returns the current size.
 func (x *Index) Stats() Stats {
 	reported, bytes := x.reported.size()
 	return Stats{Reported: reported, Predicted: x.predicted.count(), Sized: int(x.sizes.count.Load()), Bytes: bytes}
--- a/pkg/prefixindex/model_test.go
+++ b/pkg/prefixindex/model_test.go
@@ -10,21 +10,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// modelIndex is the plainest index that is right: a set of hashes a holder.
+// modelIndex is the plainest index that is right: a set of hashes an owner.
 type modelIndex struct {
 	reported  map[prefixindex.Owner]map[prefixindex.ChainHash]bool
 	predicted map[prefixindex.Owner]map[prefixindex.ChainHash]time.Duration
 }
 
-// modelHolders are spread so that they belong to two groups.
-var modelHolders = []prefixindex.Owner{0, 1, 2, 63, 64}
+// modelOwners are spread so that they belong to two groups.
+var modelOwners = []prefixindex.Owner{0, 1, 2, 63, 64}
 
 func newModelIndex() *modelIndex {
 	model := &modelIndex{
 		reported:  map[prefixindex.Owner]map[prefixindex.ChainHash]bool{},
 		predicted: map[prefixindex.Owner]map[prefixindex.ChainHash]time.Duration{},
 	}
-	for _, owner := range modelHolders {
+	for _, owner := range modelOwners {
 		model.drop(owner)
 	}
 	return model
@@ -80,7 +80,7 @@
 
 // step applies one random change to the index and to the model.
 func step(random *rand.Rand, now time.Duration, index *prefixindex.Index, model *modelIndex) {
-	owner := modelHolders[random.IntN(len(modelHolders))]
+	owner := modelOwners[random.IntN(len(modelOwners))]
 	links := randomPrompt(random)
 	some := links[random.IntN(len(links)):]
 	switch choice := random.IntN(100); {
@@ -114,7 +114,7 @@
 				step(random, now, index, model)
 				links := randomPrompt(random)
 				overlaps := lookUp(index, now, links)
-				for _, owner := range modelHolders {
+				for _, owner := range modelOwners {
 					Expect(overlaps.Of(owner)).To(Equal(model.overlap(now, owner, links)), "seed %d change %d holder %d", seed, change, owner)
 				}
 			}
@@ -130,7 +130,7 @@
 		Entry("in many tables", 256),
 	)
 
-	It("gives memory back and keeps what is left", func() {
+	It("releases memory and keeps what is left", func() {
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
 		index.Store(2, chain("a"))
 		small := index.Stats().Bytes
--- a/pkg/prefixindex/overlaps.go
+++ b/pkg/prefixindex/overlaps.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Extent is how far a holder keeps a prompt from its beginning without a gap.
+// Extent is how much of a prompt an owner caches from its beginning without a gap.
 type Extent struct {
-	// Chunks counts the leading parts.
+	// Chunks counts the leading chunks.
 	Chunks int
-	// Tokens is the sum of their tokens, and of what is kept of the next part
+	// Tokens is the sum of their tokens, and of what is cached of the next chunk
 	// if its end was evicted.
 	Tokens uint32
 }
 
-// Overlap is what one holder keeps of a prompt.
+// Overlap is what one owner caches of a prompt.
 type Overlap struct {
-	// Reported counts leading parts that the holder reported.
+	// Reported counts leading chunks that the owner reported.
 	Reported Extent
-	// Likely counts leading parts that the holder reported or that are
+	// Likely counts leading chunks that the owner reported or that are
 	// predicted. It is never shorter than Reported.
 	Likely Extent
 }
 
-// Overlaps is the answer to a lookup. Its memory is reused from one lookup to
-// the next; the zero value is ready for use. It is not safe for concurrent use.
+// Overlaps is the result of a lookup. Its memory is reused from one lookup to the
+// next; the zero value is ready for use. It is not safe for concurrent use.
 type Overlaps struct {
 	owners  []Owner
 	byOwner []Overlap
 }
 
-// Of returns the overlap of a holder; zero when it keeps nothing.
+// Of returns the overlap of an owner; zero when it caches nothing.
 func (o *Overlaps) Of(owner Owner) Overlap {
 	if int(owner) >= len(o.byOwner) {
 		return Overlap{}
@@ -39,12 +39,12 @@
 	return o.byOwner[owner]
 }
 
-// Owners returns, in ascending order, the holders that keep at least the
-// first part. The slice is valid until the next lookup.
+// Owners returns, in ascending order, the owners that cache at least the
+// first chunk. The slice is valid until the next lookup.
 func (o *Overlaps) Owners() []Owner { return o.owners }
 
-// Overlaps finds for every holder how much of a prompt it keeps. A part counts
-// only when the holder keeps all parts before it.
+// Overlaps finds for every owner how much of a prompt it caches. A chunk counts
+// only when the owner caches all chunks before it.
 func (x *Index) Overlaps(now time.Duration, links []Link, into *Overlaps) {
 	into.clear()
 	x.predicted.expire(now)
@@ -75,7 +75,7 @@
 	o.owners = o.owners[:0]
 }
 
-// add makes room for the overlap of a holder that keeps the first part.
+// add appends an owner that caches the first chunk, with an empty overlap.
 func (o *Overlaps) add(owner Owner) {
 	o.owners = append(o.owners, owner)
 	for int(owner) >= len(o.byOwner) {
@@ -83,18 +83,18 @@
 	}
 }
 
-// walk goes down a prompt with the holders of one group. The sets of holders
-// that keep all parts so far only ever get smaller, so that each holder is
-// looked at once: where it drops out.
+// walk follows a prompt with the owners of one group. The sets of owners that
+// cache all chunks so far only ever get smaller, so that each owner is looked at
+// once: where it drops out.
 type walk struct {
 	into       *Overlaps
 	firstOwner Owner
 	reported   *partition
 	predicted  *partition
-	// chunkSizes is nil when all holders keep whole parts.
+	// sizes is nil when no owner reports sizes.
 	sizes *chunkSizes
-	// partialReported and partialLikely are the holders that keep only the beginning of
-	// the part at hand.
+	// partialReported and partialLikely are the owners that cache only the
+	// beginning of the current chunk.
 	partialReported, partialLikely ownerSet
 }
 
@@ -127,9 +127,9 @@
 	}
 }
 
-// recordPartial finds the holders that keep only the beginning of a part, and records how
-// far they come. A prediction stands for the whole part, unless it is a report
-// that came into doubt.
+// recordPartial finds the owners that cache only the beginning of a chunk, and
+// records the extents of theirs that end there. A prediction stands for the whole
+// chunk, unless it is a report that became uncertain.
 func (w *walk) recordPartial(link Link, reported, likely, predicted ownerSet, reached Extent) {
 	w.partialReported, w.partialLikely = 0, 0
 	w.sizes.visitShorter(link.Hash, link.Tokens, func(size cachedSize) {
@@ -149,7 +149,7 @@
 	})
 }
 
-// find returns the holders of a hash in a partition, which may be nil.
+// find returns the owners of a hash in a partition, which may be nil.
 func find(p *partition, hash ChainHash) ownerSet {
 	if p == nil {
 		return 0
@@ -157,14 +157,14 @@
 	return p.shardOf(hash).find(hash)
 }
 
-// addOwners adds the holders of the first part.
+// addOwners adds the owners of the first chunk.
 func (w *walk) addOwners(owners ownerSet) {
 	for ; owners != 0; owners &= owners - 1 {
 		w.into.add(w.lowestOwner(owners))
 	}
 }
 
-// recordExtent records how far the holders that drop out have come.
+// recordExtent records the extent that was reached by owners that drop out.
 func (w *walk) recordExtent(reported, likely ownerSet, reached Extent) {
 	for ; reported != 0; reported &= reported - 1 {
 		w.into.byOwner[w.lowestOwner(reported)].Reported = reached
@@ -174,13 +174,13 @@
 	}
 }
 
-// owner returns the first holder of a set that is not empty.
+// lowestOwner returns the owner of the lowest bit of a set that is not empty.
 func (w *walk) lowestOwner(owners ownerSet) Owner {
 	return w.firstOwner + Owner(bits.TrailingZeros64(uint64(owners)))
 }
 
-// extendedBy returns the extent that is longer by one part. Its tokens stay at the
-// largest number instead of wrapping around.
+// extendedBy returns the extent that is longer by one chunk. Its tokens saturate
+// instead of wrapping around.
 func (e Extent) extendedBy(tokens uint32) Extent {
 	sum := min(uint64(e.Tokens)+uint64(tokens), math.MaxUint32)
 	return Extent{Chunks: e.Chunks + 1, Tokens: uint32(sum)}
--- a/pkg/prefixindex/overlaps_test.go
+++ b/pkg/prefixindex/overlaps_test.go
@@ -13,7 +13,7 @@
 
 const partTokens = 16
 
-// chunks names a prompt by one letter a part.
+// chunks names a prompt by one letter a chunk.
 func chunks(ids string) []prefixindex.Chunk {
 	return lo.Map([]rune(ids), func(id rune, _ int) prefixindex.Chunk {
 		return prefixindex.Chunk{ID: string(id), Tokens: partTokens}
@@ -48,7 +48,7 @@
 		return lookUp(index, 0, links).Of(owner).Reported
 	}
 
-	It("counts the leading parts of each holder", func() {
+	It("counts the leading chunks of each owner", func() {
 		index.Store(1, chain("abc"))
 		index.Store(2, chain("ab"))
 		index.Store(3, chain("axy"))
@@ -60,7 +60,7 @@
 		Expect(overlaps.Of(4)).To(BeZero())
 	})
 
-	It("tells equal parts at other positions apart", func() {
+	It("tells equal chunks at other positions apart", func() {
 		index.Store(1, chain("ab"))
 		Expect(reported(1, chain("aba"))).To(Equal(extent(2)))
 		Expect(reported(1, chain("ba"))).To(BeZero())
@@ -69,7 +69,7 @@
 		Expect(reported(2, chain("aba"))).To(BeZero())
 	})
 
-	It("stops at the first gap of each holder", func() {
+	It("stops at the first gap of each owner", func() {
 		links := chain("abcde")
 		index.Store(1, links)
 		index.Store(2, links)
@@ -80,7 +80,7 @@
 		Expect(reported(1, links)).To(Equal(extent(5)))
 	})
 
-	It("takes parts in any order and doubled", func() {
+	It("takes chunks in any order and doubled", func() {
 		links := chain("abcd")
 		index.Store(1, links[2:])
 		index.Store(1, links[:2])
@@ -89,7 +89,7 @@
 		Expect(index.Stats().Reported).To(Equal(4))
 	})
 
-	It("never finds parts under another model or salt", func() {
+	It("never finds chunks under another model or salt", func() {
 		index.Store(1, prefixindex.Chain("model", "salt", chunks("abc")))
 		Expect(reported(1, prefixindex.Chain("model", "other", chunks("abc")))).To(BeZero())
 		Expect(reported(1, prefixindex.Chain("other", "salt", chunks("abc")))).To(BeZero())
@@ -103,7 +103,7 @@
 		Expect(reported(1, links)).To(Equal(prefixindex.Extent{Chunks: 3, Tokens: 1<<32 - 1}))
 	})
 
-	It("has room for many holders", func() {
+	It("has room for many owners", func() {
 		for owner := range prefixindex.Owner(200) {
 			index.Store(owner, chain("abcd")[:1+owner%4])
 		}
@@ -114,7 +114,7 @@
 		}
 	})
 
-	It("replaces what a holder keeps on a reset, and forgets it on a drop", func() {
+	It("replaces what a owner caches on a reset, and forgets it on a drop", func() {
 		index.Store(1, chain("abc"))
 		index.Store(2, chain("abc"))
 		index.Reset(1, chain("ax"))
@@ -194,7 +194,7 @@
 		Expect(prefixindex.QueuedExpiries(index)).To(BeNumerically("<", 30))
 	})
 
-	It("go with a report that the part was dropped, with a reset and with a drop", func() {
+	It("go with a report that the chunk was dropped, with a reset and with a drop", func() {
 		index := prefixindex.New(prefixindex.Options{})
 		index.Predict(0, 1, links)
 		index.Remove(1, hashes(links[2:3]))
--- a/pkg/prefixindex/partition.go
+++ b/pkg/prefixindex/partition.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// ownersPerGroup is the number of holders that share one partition: as many
-// as a ownerSet has bits.
+// ownersPerGroup is the number of owners that share one partition: as many
+// as an ownerSet has bits.
 const ownersPerGroup = 64
 
-// partition keeps the parts of one group of holders, spread over shards by
-// their hash.
+// partition holds the chunks of one group of owners, spread over shards by their
+// hash.
 type partition struct {
 	shards []shard
 	shift  uint
@@ -30,9 +30,9 @@
 	return &p.shards[mix(hash)>>p.shift]
 }
 
-// partitions has a partition for each group of holders. Groups are only ever
-// added, and the list of them is replaced as a whole, so that lookups read it
-// without a lock.
+// partitions has a partition for each group of owners. Groups are only ever added,
+// and the slice of them is replaced as a whole, so that lookups read it without a
+// lock. The growth lock is held while a group is added.
 type partitions struct {
 	shards  int
 	byGroup atomic.Pointer[[]*partition]
@@ -48,7 +48,7 @@
 // all returns the partitions in the order of their groups.
 func (p *partitions) all() []*partition { return *p.byGroup.Load() }
 
-// partitionOf returns the partition of a holder and the holder's bit in it.
+// partitionOf returns the partition of an owner and the owner's bit in it.
 func (p *partitions) partitionOf(owner Owner) (*partition, ownerSet) {
 	group := int(owner / ownersPerGroup)
 	groups := p.all()
@@ -90,7 +90,7 @@
 	}
 }
 
-// size counts the pairs of part and holder, and the bytes of the tables.
+// size counts the pairs of chunk and owner, and the bytes of the tables.
 func (p *partitions) size() (pairs, bytes int) {
 	for _, group := range p.all() {
 		for at := range group.shards {
@@ -102,7 +102,7 @@
 	return pairs, bytes
 }
 
-// hashesOf lists the hashes of a holder.
+// hashesOf returns the hashes of an owner, in no order.
 func (p *partitions) hashesOf(owner Owner) []ChainHash {
 	group, bit := p.partitionOf(owner)
 	var hashes []ChainHash
--- a/pkg/prefixindex/predictions.go
+++ b/pkg/prefixindex/predictions.go
@@ -11,25 +11,27 @@
 // never is the next expiry while nothing is predicted.
 const never = int64(math.MaxInt64)
 
-// predictions holds parts that holders probably keep, apart from what they
-// reported, so that a guess never mixes with a fact.
+// predictions holds chunks that owners probably cache, separate from those that
+// they reported.
 type predictions struct {
 	ttl        time.Duration
 	maximum    int
 	partitions *partitions
-	// chunkSizes holds the kept tokens of predictions that were reported once.
+	// sizes has the cached tokens of predictions that were reported before, see
+	// Index.DemoteReported.
 	sizes *chunkSizes
-	// nextExpiry lets lookups skip the lock while nothing is due.
+	// nextExpiry is the earliest instant in queue, in nanoseconds, or never. It
+	// lets lookups skip the lock while nothing is due.
 	nextExpiry atomic.Int64
 
 	mutex   sync.Mutex
 	expires map[prediction]time.Duration
-	// queue holds an expiry for each prediction and each renewal of one; those
-	// that a renewal has overtaken are skipped when they come up.
+	// queue holds an expiry for each prediction and each renewal of one; an expiry
+	// that a renewal has superseded is skipped when it is due.
 	queue expiryQueue
 }
 
-// prediction names a predicted part of a holder.
+// prediction identifies a predicted chunk of an owner.
 type prediction struct {
 	hash  ChainHash
 	owner Owner
@@ -57,7 +59,7 @@
 	p.enforceLimit()
 }
 
-// addHashes is add for parts of which only the names are known.
+// addHashes is add for chunks of which only the hashes are available.
 func (p *predictions) addHashes(now, ttl time.Duration, owner Owner, hashes []ChainHash) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -68,7 +70,8 @@
 	p.enforceLimit()
 }
 
-// put makes or renews a prediction. The lock is held.
+// put adds or renews a prediction. The caller holds the lock, as it does for all
+// methods below that don't take it.
 func (p *predictions) put(key prediction, expiry time.Duration) {
 	if current, present := p.expires[key]; present && current >= expiry {
 		return
@@ -78,7 +81,7 @@
 	p.partitions.put(key.owner, key.hash)
 }
 
-// enforceLimit drops what is beyond the cap. The lock is held.
+// enforceLimit drops the predictions beyond the maximum that expire first.
 func (p *predictions) enforceLimit() {
 	for len(p.expires) > p.maximum {
 		p.expireEarliest()
@@ -131,7 +134,7 @@
 	return len(p.expires)
 }
 
-// empty tells without a lock whether nothing is predicted.
+// empty reports whether nothing is predicted, without taking the lock.
 func (p *predictions) empty() bool { return p.nextExpiry.Load() == never }
 
 func (p *predictions) expireDue(now time.Duration) {
@@ -140,8 +143,8 @@
 	}
 }
 
-// expireEarliest takes the earliest expiry, and forgets its prediction unless that
-// was renewed since.
+// expireEarliest removes the earliest expiry, and its prediction unless that was
+// renewed since.
 func (p *predictions) expireEarliest() {
 	first := p.queue.popEarliest()
 	if p.expires[first.prediction] == first.at {
@@ -158,7 +161,7 @@
 	p.sizes.clear(key.owner, key.hash, true)
 }
 
-// compact rebuilds the queue when overtaken expiries outnumber the others, so
+// compact rebuilds the queue when superseded expiries outnumber the others, so
 // that renewals do not grow it without bound.
 func (p *predictions) compact() {
 	if len(p.queue) <= 2*len(p.expires)+minimumSlots {
@@ -195,8 +198,8 @@
 func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// add puts an element into its place, and popEarliest takes the earliest. Unlike
-// heap.Push and heap.Pop they make no garbage.
+// add inserts an element, and popEarliest removes the earliest. Unlike heap.Push
+// and heap.Pop they don't allocate for the conversion to an interface.
 func (q *expiryQueue) add(queued queuedExpiry) {
 	*q = append(*q, queued)
 	heap.Fix(q, len(*q)-1)
@@ -212,8 +215,8 @@
 	return first
 }
 
-// Push and Pop are there for heap.Interface alone.
+// Push inserts an element. It is there for heap.Interface alone, like Pop.
 func (q *expiryQueue) Push(queued any) { q.add(queued.(queuedExpiry)) }
 
-// Pop takes the earliest element.
+// Pop removes the earliest element.
 func (q *expiryQueue) Pop() any { return q.popEarliest() }
--- a/pkg/prefixindex/reported.go
+++ b/pkg/prefixindex/reported.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// SetTokens records that a holder reported to keep so many tokens of a part, from
-// the part's beginning. 0 tokens mean that it keeps none of it any more. A
-// lookup counts no more than these tokens, and ends there for this holder if
-// they are fewer than its prompt states.
+// SetTokens records that an owner reported the number of tokens that it caches of
+// a chunk, from the chunk's beginning. With 0 it caches none of it any more. A
+// lookup counts no more than these tokens, and ends there for this owner if they
+// are fewer than its prompt states.
 func (x *Index) SetTokens(owner Owner, hash ChainHash, tokens uint32) {
 	if tokens == 0 {
 		x.Remove(owner, []ChainHash{hash})
@@ -21,8 +21,8 @@
 	x.predicted.remove(owner, []ChainHash{hash})
 }
 
-// DemoteReported turns all that a holder reported into predictions that end after ttl,
-// because some of its reports were lost. New reports confirm them one by one.
+// DemoteReported turns all that an owner reported into predictions that end after
+// ttl, because some of its reports were lost. New reports confirm them one by one.
 func (x *Index) DemoteReported(now, ttl time.Duration, owner Owner) {
 	hashes := x.reported.hashesOf(owner)
 	for _, hash := range hashes {
@@ -32,8 +32,8 @@
 	x.reported.drop(owner)
 }
 
-// ReportedChunks lists what a holder reported to keep, see Hold, in the order of the names.
-// Parts in doubt are left out.
+// ReportedChunks returns the chunks that an owner reported by SetTokens, in the
+// order of their hashes. Uncertain ones are left out.
 func (x *Index) ReportedChunks(owner Owner) []Link {
 	hashes := x.reported.hashesOf(owner)
 	slices.Sort(hashes)
--- a/pkg/prefixindex/shard.go
+++ b/pkg/prefixindex/shard.go
@@ -17,7 +17,7 @@
 	shrinkDivisor   = 8
 )
 
-// shard is one part of a partition.
+// shard holds the chunks of a partition whose hashes have the same leading bits.
 //
 // Invariant: version is odd exactly while a writer changes the table. A reader
 // that saw the same even version before and after its reads has read one
@@ -25,7 +25,7 @@
 type shard struct {
 	version atomic.Uint64
 	table   atomic.Pointer[table]
-	// used counts the slots in use, and kept the pairs of part and holder.
+	// used counts the slots in use, and pairs the pairs of chunk and owner.
 	used    atomic.Int64
 	pairs   atomic.Int64
 	writers sync.Mutex
@@ -34,7 +34,7 @@
 
 func (s *shard) init() { s.table.Store(newTable(minimumSlots)) }
 
-// find returns the holders of a hash.
+// find returns the owners of a hash.
 func (s *shard) find(hash ChainHash) ownerSet {
 	for range optimisticReads {
 		before := s.version.Load()
@@ -63,7 +63,7 @@
 	s.writers.Unlock()
 }
 
-// put adds holders to those of a hash.
+// put adds owners to a hash.
 func (s *shard) put(hash ChainHash, added ownerSet) {
 	s.beginWrite()
 	defer s.endWrite()
@@ -83,7 +83,7 @@
 	}
 }
 
-// remove takes holders from those of a hash.
+// remove removes owners from a hash.
 func (s *shard) remove(hash ChainHash, removed ownerSet) {
 	s.beginWrite()
 	defer s.endWrite()
@@ -96,7 +96,7 @@
 	s.shrink()
 }
 
-// drop takes holders from all hashes.
+// drop removes owners from all hashes.
 func (s *shard) drop(removed ownerSet) {
 	if s.used.Load() == 0 {
 		return
@@ -112,8 +112,7 @@
 	s.shrink()
 }
 
-// removeAt takes holders from those of a slot, and tells whether that freed
-// the slot.
+// removeAt removes owners from a slot, and reports whether that freed the slot.
 func (s *shard) removeAt(current *table, slot uint64, removed ownerSet) bool {
 	hash, owners := current.load(slot)
 	remaining := owners &^ removed
@@ -130,7 +129,7 @@
 	return true
 }
 
-// shrink gives memory back after many removals.
+// shrink releases memory after many removals.
 func (s *shard) shrink() {
 	slots := s.table.Load().slots()
 	smaller := slots
@@ -148,7 +147,7 @@
 	s.table.Store(resized)
 }
 
-// appendHashesOf appends the hashes that have the given holder.
+// appendHashesOf appends the hashes that have the given owner.
 func (s *shard) appendHashesOf(hashes []ChainHash, owner ownerSet) []ChainHash {
 	if s.used.Load() == 0 {
 		return hashes
--- a/pkg/prefixindex/table.go
+++ b/pkg/prefixindex/table.go
@@ -3,8 +3,8 @@
 import "sync/atomic"
 
 const (
-	// wordsPerSlot is the size of a slot: the chain hash, and the set of the
-	// holders that keep the part.
+	// wordsPerSlot is the size of a slot in machine words of 64 bits: the chain
+	// hash, and the set of the owners that cache the chunk.
 	wordsPerSlot = 2
 	// bytesPerSlot is the memory that a slot takes.
 	bytesPerSlot = wordsPerSlot * 8
@@ -14,11 +14,11 @@
 	mixFactor = 0x9E3779B97F4A7C15
 )
 
-// ownerSet is a set of the holders of one group, a bit each.
+// ownerSet is a set of the owners of one group, a bit each.
 type ownerSet uint64
 
 // table is an open-addressing hash table with linear probing, which maps a
-// chain hash to the set of its holders. A slot with an empty set is free.
+// chain hash to the set of its owners. A slot with an empty set is free.
 //
 // The words are written under the lock of the table's shard and read without
 // it, hence the atomic access. A reader may see a slot half written; the
@@ -48,7 +48,7 @@
 // home returns the slot at which the search for a hash begins.
 func (t *table) home(hash ChainHash) uint64 { return mix(hash) & t.mask }
 
-// find returns the slot of a hash and its holders, or a free slot where the
+// find returns the slot of a hash and its owners, or a free slot where the
 // hash belongs. The search is bounded by the size of the table also when a
 // writer changes it meanwhile.
 func (t *table) find(hash ChainHash) (slot uint64, owners ownerSet) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// mix spreads a hash over all bits, since the hashes come from outside and the
-// table and the choice of the shard use different bits of the result.
+// mix spreads a hash over all bits, since the hashes come from other processes and
+// the table and the choice of the shard use different bits of the result.
 func mix(hash ChainHash) uint64 {
 	mixed := uint64(hash) * mixFactor
 	return mixed ^ mixed>>32
