--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -263,7 +263,7 @@
 	if planned.Source != pool.Store.GetAddress() && !t.backend.mayUse(pool, planned.Source, t.decision.WeightVersion) {
 		return nil
 	}
-	return &Pull{Source: planned.Source, FirstChunk: planned.FirstPart, LastChunk: planned.LastPart}
+	return &Pull{Source: planned.Source, FirstChunk: planned.FirstChunk, LastChunk: planned.LastChunk}
 }
 
 // mayUse tells whether a replica may be pulled from under a version.
--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -18,7 +18,7 @@
 	reporter
 	model    *emulator.Replica
 	attempts map[emulator.Handle]*attempt
-	// pushFreeAt is when the machine has sent all earlier parts to the store.
+	// pushFreeAt is when the machine has sent all earlier chunks to the store.
 	pushFreeAt time.Duration
 }
 
@@ -137,10 +137,10 @@
 	s.publishNotices(now, machine)
 }
 
-// pull moves the parts that the replica lacks from a peer or the store. The
+// pull moves the chunks that the replica lacks from a peer or the store. The
 // networks of both ends carry one transfer at a time.
 func (s *simulation) pull(now time.Duration, to *machine, handle emulator.Handle, placed placement) {
-	missing := to.model.Missing(handle, placed.pull.FirstPart, placed.pull.LastPart)
+	missing := to.model.Missing(handle, placed.pull.FirstChunk, placed.pull.LastChunk)
 	from, chunks := s.export(now, placed.source, missing)
 	var tokens uint64
 	for _, chunk := range chunks {
@@ -157,7 +157,7 @@
 	})
 }
 
-// export returns the parts that a peer or the store still keeps of those that
+// export returns the chunks that a peer or the store still caches of those that
 // were asked for.
 func (s *simulation) export(now time.Duration, source int, missing []prefixindex.ChainHash) (*reporter, []emulator.CachedChunk) {
 	if source == s.settings.storeNumber() {
--- a/pkg/kvrouter/active_load_test.go
+++ b/pkg/kvrouter/active_load_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("Active requests", func() {
-	It("are the router's own and those that others told, together", func() {
+	It("are the local ones and those that other routers sent, together", func() {
 		router := kvrouter.New(kvrouter.Options{})
 		Expect(router.ActiveRequests(0, "a:1")).To(BeZero())
 		decision, err := router.Select(kvrouter.Request{Model: "m", SaltFor: func(string) string { return "salt" }, Settings: kvrouter.DefaultSettings()},
--- /dev/null
+++ b/pkg/kvrouter/block_model.go
@@ -0,0 +1,146 @@
+package kvrouter
+
+import "time"
+
+// blockModel estimates costs in blocks, for pools without an engine profile. The
+// router's lock guards it, and the caller of its methods holds it.
+type blockModel struct {
+	options    *Options
+	replicas   *registry
+	bandwidths linkBandwidths
+}
+
+// choose returns the candidate to take. The result is valid until the scratch
+// memory is reset.
+func (m *blockModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
+	m.gatherSources(s, req, candidates)
+	allowed := m.score(s, req, candidates)
+	if allowed == 0 {
+		return nil, &NoReplicaError{Reason: AllExcluded, RetryAfter: defaultRetryAfter}
+	}
+	if len(s.scored) == 0 {
+		return nil, &NoReplicaError{Reason: AllBusy, RetryAfter: m.retryAfter(req, candidates)}
+	}
+	return &s.scored[chooseScored(req, s.scored, s.scored[0].prompt.identity())], nil
+}
+
+// score adds the candidates that may take the request to the scratch memory, and
+// returns how many the request doesn't exclude.
+func (m *blockModel) score(s *scratch, req *Request, candidates []Candidate) (allowed int) {
+	for i := range candidates {
+		candidate := &candidates[i]
+		if req.excludes(candidate.Address) {
+			continue
+		}
+		allowed++
+		state := m.replicas.state(req.Now, candidate.Address)
+		if m.busy(req, state) || m.atSlowStartLimit(req, state) {
+			continue
+		}
+		s.scored = append(s.scored, m.scoreOne(req, candidate, state, s.prompt(candidate.WeightVersion)))
+	}
+	return allowed
+}
+
+// busy reports whether a replica has reached the busy threshold.
+func (m *blockModel) busy(req *Request, state *replicaState) bool {
+	if req.Settings.BusyThresholdBlocks <= 0 {
+		return false
+	}
+	active := m.options.blocks(state.load.total(req.Now, m.options))
+	return active.PrefillBlocks+active.DecodeBlocks >= req.Settings.BusyThresholdBlocks
+}
+
+// atSlowStartLimit reports whether a replica has as many reservations as its slow
+// start allows.
+func (m *blockModel) atSlowStartLimit(req *Request, state *replicaState) bool {
+	return state.load.local.present.requests >= float64(state.slowStart.limit(req.Now, m.options))
+}
+
+func (m *blockModel) scoreOne(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
+	scored := scoredCandidate{
+		candidate: candidate,
+		state:     state,
+		prompt:    p,
+		view:      state.feed.view(req.Now),
+		overlap:   p.overlaps.Of(state.owner),
+	}
+	scored.pull, scored.pulls = m.planPull(req, p, state, candidate.Zone, scored.overlap.Likely)
+	total := state.load.total(req.Now, m.options)
+	active := m.options.blocks(total)
+	scored.backlogTokens = total.prefillTokens
+	scored.activeRequests = active.ActiveRequests
+	scored.cost = blockCost(&req.Settings, blockCostInputs{
+		activePrefill:  active.PrefillBlocks,
+		incomingPrompt: m.options.tokensToBlocks(req.promptTokens),
+		overlapCredit:  m.credit(&req.Settings, &scored),
+		activeDecode:   active.DecodeBlocks,
+		incomingDecode: m.options.tokensToBlocks(req.promptTokens) + m.options.tokensToBlocks(req.OutputTokens),
+		activeRequests: active.ActiveRequests,
+	})
+	return scored
+}
+
+// credit returns the blocks that the replica need not compute, each weighted by
+// how certain and how near it is.
+func (m *blockModel) credit(settings *Settings, scored *scoredCandidate) float64 {
+	certain := m.options.tokensToBlocks(scored.overlap.Reported.Tokens)
+	guessed := m.options.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
+	if scored.view.uncertain {
+		guessed += certain
+		certain = 0
+	}
+	credit := settings.LocalCredit * (certain + m.options.GuessCredit*guessed)
+	if scored.pulls {
+		credit += scored.pull.credit(settings) * m.options.tokensToBlocks(scored.pull.tokens)
+	}
+	return credit
+}
+
+// blockCostInputs are the terms of the cost of one replica, in blocks.
+type blockCostInputs struct {
+	activePrefill  float64
+	incomingPrompt float64
+	overlapCredit  float64
+	activeDecode   float64
+	incomingDecode float64
+	activeRequests float64
+}
+
+// blockCost estimates, in blocks, what it costs the fleet to run a request on a
+// replica: the prompt work that is left after the credit for cached chunks, the
+// memory that active requests occupy, and a flat cost per active request.
+func blockCost(settings *Settings, inputs blockCostInputs) float64 {
+	prefill := max(0, inputs.activePrefill+inputs.incomingPrompt-inputs.overlapCredit)
+	potentialDecode := inputs.activeDecode + inputs.incomingDecode
+	return settings.PrefillLoadScale*prefill +
+		potentialDecode +
+		settings.RequestWeight*inputs.activeRequests
+}
+
+// retryAfter estimates when the first of the candidates has completed its prefill.
+func (m *blockModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
+	shortest := maxRetryAfter
+	for i := range candidates {
+		if req.excludes(candidates[i].Address) {
+			continue
+		}
+		state := m.replicas.state(req.Now, candidates[i].Address)
+		backlog := state.load.total(req.Now, m.options).prefillTokens
+		shortest = min(shortest, state.prefillSpeed.timeFor(backlog, m.options))
+	}
+	return max(shortest, minRetryAfter)
+}
+
+// learn updates the replica's prefill speed by the time to the first token, or the
+// bandwidth of the link when some of that time was spent on a pull.
+func (m *blockModel) learn(r *Reservation, now time.Duration) {
+	took := now - r.startedAt
+	computed := r.backlogTokens + r.computeTokens
+	if !r.pulls {
+		r.state.prefillSpeed.learn(computed, took)
+		return
+	}
+	pulling := took - r.state.prefillSpeed.timeFor(computed, m.options)
+	m.bandwidths.observePull(now, r.pull.zones, float64(r.pull.tokens), r.pull.sharedWith, pulling, m.options)
+}
--- /dev/null
+++ b/pkg/kvrouter/block_pull.go
@@ -0,0 +1,95 @@
+package kvrouter
+
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
+)
+
+// gatherSources finds the owners that replicas may pull each prompt from: the
+// candidates on the same weight version, and the store.
+func (m *blockModel) gatherSources(s *scratch, req *Request, candidates []Candidate) {
+	for i := range candidates {
+		candidate := &candidates[i]
+		if req.excludes(candidate.Address) {
+			continue
+		}
+		m.addSource(req, s.prompt(candidate.WeightVersion), candidate.Address, candidate.Zone, false)
+	}
+	if req.Store == "" {
+		return
+	}
+	for i := range s.used {
+		m.addSource(req, &s.prompts[i], req.Store, req.StoreZone, true)
+	}
+}
+
+// addSource adds an owner that certainly caches the beginning of the prompt and
+// has capacity to serve it. Only chunks that it reported count: a guess would let
+// the replica ask in vain.
+func (m *blockModel) addSource(req *Request, p *prompt, address, zone string, isStore bool) {
+	state := m.replicas.state(req.Now, address)
+	extent := p.overlaps.Of(state.owner).Reported
+	if extent.Chunks == 0 || state.pullsServed >= m.options.MaxPullsPerSource {
+		return
+	}
+	if !isStore && m.busy(req, state) {
+		return
+	}
+	if state.feed.view(req.Now).uncertain {
+		return
+	}
+	p.sources = append(p.sources, pullSource{state: state, zone: zone, extent: extent, isStore: isStore})
+}
+
+// planPull finds the pull that saves a replica the most time; planned is false
+// when prefill is about as fast as any. The pull begins where the replica's own
+// overlap ends.
+func (m *blockModel) planPull(req *Request, p *prompt, state *replicaState, zone string, cached prefixindex.Extent) (best plannedPull, planned bool) {
+	for i := range p.sources {
+		source := &p.sources[i]
+		if source.state == state || source.extent.Chunks <= cached.Chunks || source.extent.Tokens <= cached.Tokens {
+			continue
+		}
+		candidate := m.estimatePull(req, source, state, zone, cached)
+		if candidate.saved > best.saved {
+			best = candidate
+		}
+	}
+	return best, best.saved > 0
+}
+
+// estimatePull compares a pull with prefill. Its saved time is 0 or less when
+// the pull is not clearly faster.
+func (m *blockModel) estimatePull(req *Request, source *pullSource, state *replicaState, zone string, cached prefixindex.Extent) plannedPull {
+	planned := plannedPull{
+		source:     *source,
+		zones:      zonePair{from: source.zone, to: zone},
+		firstChunk: cached.Chunks,
+		tokens:     source.extent.Tokens - cached.Tokens,
+		sharedWith: source.state.pullsServed,
+	}
+	tokens := float64(planned.tokens)
+	planned.transfer = m.bandwidths.transferTime(req.Now, planned.zones, tokens, planned.sharedWith, m.options)
+	weighted := float64(planned.transfer) * m.options.PullAdvantage
+	if source.zone != zone {
+		weighted *= m.options.CrossZoneFactor
+	}
+	prefill := state.prefillSpeed.timeFor(tokens, m.options)
+	planned.saved = prefill - time.Duration(weighted)
+	if planned.saved > 0 {
+		planned.savedFraction = float64(planned.saved) / float64(prefill)
+	}
+	return planned
+}
+
+// credit returns the credit per block of a pull: that of the settings, but no
+// more than the fraction of prefill that the pull saves. Over a slow link a pull
+// saves little, and a replica must not win by it against one that caches the
+// chunks itself.
+func (p *plannedPull) credit(settings *Settings) float64 {
+	if p.source.isStore {
+		return min(settings.StoreCredit, p.savedFraction)
+	}
+	return min(settings.PeerCredit, p.savedFraction)
+}
--- a/pkg/kvrouter/choose.go
+++ b/pkg/kvrouter/choose.go
@@ -13,37 +13,37 @@
 // costTolerance is the difference, in blocks, below which costs are equal.
 const costTolerance = 1e-6
 
-// choose returns the position of the replica to take among the scored ones, of
-// which there is at least one.
-func choose(settings Settings, scored []scoredCandidate, prompt prefixindex.ChainHash, random *rand.Rand) int {
-	if settings.Temperature > 0 && random != nil {
-		return sample(settings.Temperature, scored, random)
+// chooseScored returns the position of the candidate to take among the scored ones,
+// of which there is at least one. Hash spreads ties.
+func chooseScored(req *Request, scored []scoredCandidate, hash prefixindex.ChainHash) int {
+	if req.Settings.Temperature > 0 && req.Random != nil {
+		return sample(req.Settings.Temperature, scored, req.Random)
 	}
 	best := 0
-	for at := range scored[1:] {
-		if better(&scored[at+1], &scored[best], prompt) {
-			best = at + 1
+	for i := 1; i < len(scored); i++ {
+		if better(&scored[i], &scored[best], hash) {
+			best = i
 		}
 	}
 	return best
 }
 
-// better tells whether a goes before b. Equal costs are decided by the active
+// better reports whether a goes before b. Equal costs are decided by the active
 // requests, and those by a hash of address and prompt, so that ties spread over
 // the replicas but one prompt falls to the same replica on every router.
-func better(a, b *scoredCandidate, prompt prefixindex.ChainHash) bool {
+func better(a, b *scoredCandidate, hash prefixindex.ChainHash) bool {
 	if math.Abs(a.cost-b.cost) > costTolerance {
 		return a.cost < b.cost
 	}
 	if a.activeRequests != b.activeRequests {
 		return a.activeRequests < b.activeRequests
 	}
-	return tieHash(a.candidate.Address, prompt) < tieHash(b.candidate.Address, prompt)
+	return tieHash(a.candidate.Address, hash) < tieHash(b.candidate.Address, hash)
 }
 
-func tieHash(address string, prompt prefixindex.ChainHash) uint64 {
+func tieHash(address string, hash prefixindex.ChainHash) uint64 {
 	var buffer [128]byte
-	binary.BigEndian.PutUint64(buffer[:8], uint64(prompt))
+	binary.BigEndian.PutUint64(buffer[:8], uint64(hash))
 	return xxhash.Sum64(append(buffer[:8], address...))
 }
 
@@ -54,19 +54,19 @@
 	if highest-lowest <= costTolerance {
 		return random.IntN(len(scored))
 	}
-	weight := func(at int) float64 {
-		normalized := (scored[at].cost - lowest) / (highest - lowest)
+	weight := func(i int) float64 {
+		normalized := (scored[i].cost - lowest) / (highest - lowest)
 		return math.Exp(-normalized / temperature)
 	}
 	sum := 0.0
-	for at := range scored {
-		sum += weight(at)
+	for i := range scored {
+		sum += weight(i)
 	}
 	remaining := random.Float64() * sum
-	for at := range scored {
-		remaining -= weight(at)
+	for i := range scored {
+		remaining -= weight(i)
 		if remaining < 0 {
-			return at
+			return i
 		}
 	}
 	return len(scored) - 1
@@ -74,9 +74,9 @@
 
 func costRange(scored []scoredCandidate) (lowest, highest float64) {
 	lowest, highest = math.Inf(1), math.Inf(-1)
-	for at := range scored {
-		lowest = min(lowest, scored[at].cost)
-		highest = max(highest, scored[at].cost)
+	for i := range scored {
+		lowest = min(lowest, scored[i].cost)
+		highest = max(highest, scored[i].cost)
 	}
 	return lowest, highest
 }
--- a/pkg/kvrouter/chunk_reports_test.go
+++ b/pkg/kvrouter/chunk_reports_test.go
@@ -15,7 +15,7 @@
 const epoch = 77
 
 // engineFleet is a router of a pool with an engine profile, whose replicas report
-// parts by their own IDs.
+// chunks by their own IDs.
 type engineFleet struct {
 	router     *kvrouter.Router
 	candidates []kvrouter.Candidate
@@ -40,7 +40,7 @@
 	return f
 }
 
-// longPrompt is a prompt of parts of 1,000 tokens each.
+// longPrompt is a prompt of chunks of 1,000 tokens each.
 func longPrompt(chunks int) []prefixindex.Chunk {
 	var made []prefixindex.Chunk
 	for number := range chunks {
@@ -66,7 +66,7 @@
 	return decision
 }
 
-// overlap returns how much of a prompt the router thinks that a replica keeps.
+// overlap returns how much of a prompt the router thinks that a replica caches.
 func (f *engineFleet) overlap(now time.Duration, address string, chunks []prefixindex.Chunk) uint32 {
 	all := f.candidates
 	defer func() { f.candidates = all }()
@@ -87,7 +87,7 @@
 	return kvrouter.FeedPosition{Incarnation: epoch, From: from, Next: next}
 }
 
-var _ = Describe("Reports of parts by their own IDs", func() {
+var _ = Describe("Reports of chunks by their own IDs", func() {
 	var f *engineFleet
 
 	BeforeEach(func() {
@@ -136,7 +136,7 @@
 		Expect(overlap(late + kvrouter.DefaultReorderWait)).To(Equal(4000))
 	})
 
-	It("end with the life of the replica, and those of an earlier life are ignored", func() {
+	It("end with the incarnation of the replica, and those of an earlier incarnation are ignored", func() {
 		restarted := kvrouter.FeedPosition{Incarnation: epoch + 1, Next: 1}
 		Expect(f.router.ChunksReported(late, "a", restarted, []kvrouter.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(kvrouter.Accepted))
 		Expect(overlap(late)).To(Equal(1000))
@@ -147,8 +147,8 @@
 	It("are ignored when a list is older than what is known", func() {
 		Expect(f.router.ChunksReplaced(late, "a", epoch, 2, nil)).To(Equal(kvrouter.Stale))
 		Expect(overlap(late)).To(Equal(3000))
-		incarnation, sequence, known := f.router.ChunksPosition("a")
-		Expect([]any{incarnation, sequence, known}).To(Equal([]any{uint64(epoch), uint64(3), true}))
+		incarnation, sequence, snapshotOf := f.router.ChunksPosition("a")
+		Expect([]any{incarnation, sequence, snapshotOf}).To(Equal([]any{uint64(epoch), uint64(3), true}))
 	})
 
 	It("end when another replica takes over the address", func() {
@@ -170,7 +170,7 @@
 		Expect(overlap(2 * late)).To(Equal(4000))
 	})
 
-	It("take back a prediction when the part is gone or the attempt was cancelled", func() {
+	It("take back a prediction when the chunk is gone or the attempt was cancelled", func() {
 		f.candidates = f.candidates[:1]
 		f.choose(late, longPrompt(4)).Reservation.Cancelled(late)
 		Expect(overlap(late)).To(Equal(3000))
@@ -183,8 +183,8 @@
 	It("follow the replica under loss, doubling and reordering", func() {
 		random := rand.New(rand.NewPCG(3, 3))
 		const chunks = 8
-		kept := make([]int, chunks)
-		copy(kept, []int{1000, 1000, 1000})
+		cached := make([]int, chunks)
+		copy(cached, []int{1000, 1000, 1000})
 		type message struct {
 			position kvrouter.FeedPosition
 			changes  []kvrouter.ChunkChange
@@ -199,8 +199,8 @@
 			for range 1 + random.IntN(3) {
 				sequence++
 				chunk := random.IntN(chunks)
-				kept[chunk] = []int{0, 480, 1000}[random.IntN(3)]
-				changes = append(changes, cachedChange(sequence, chunk, kept[chunk]))
+				cached[chunk] = []int{0, 480, 1000}[random.IntN(3)]
+				changes = append(changes, cachedChange(sequence, chunk, cached[chunk]))
 			}
 			if random.IntN(200) > 0 {
 				underway = append(underway, message{feedPosition(from, sequence), changes})
@@ -219,13 +219,13 @@
 		now += time.Second
 		if len(f.router.ResyncNeeded(now)) > 0 {
 			var all []kvrouter.ChunkChange
-			for chunk, tokens := range kept {
+			for chunk, tokens := range cached {
 				all = append(all, cachedChange(0, chunk, tokens))
 			}
 			Expect(f.router.ChunksReplaced(now, "a", epoch, sequence, all)).To(Equal(kvrouter.Accepted))
 		}
 		want := 0
-		for _, tokens := range kept {
+		for _, tokens := range cached {
 			want += tokens
 			if tokens < 1000 {
 				break
--- a/pkg/kvrouter/chunk_snapshot.go
+++ b/pkg/kvrouter/chunk_snapshot.go
@@ -1,6 +1,7 @@
 package kvrouter
 
 import (
+	"slices"
 	"time"
 
 	"github.com/samber/lo"
@@ -8,41 +9,22 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// ChunksSnapshot returns all that a replica or store is known to keep, as of the
-// change Feed.Next. Feed.Lost tells that it may keep more. Known is false for a
-// holder that has reported nothing.
-func (r *Router) ChunksSnapshot(address string) (position FeedPosition, chunks []ChunkChange, found bool) {
-	r.mutex.Lock()
-	state, present := r.replicas[address]
-	r.mutex.Unlock()
-	if !present {
-		return FeedPosition{}, nil, false
-	}
-	return state.feed.chunksSnapshot()
-}
-
-// AdoptChunks takes in a snapshot that another router has made, see
-// ChunksSnapshot. The changes that this router has followed itself are newer than
-// the snapshot and stay. A snapshot that tells nothing new, or that leaves a gap
-// before those changes, is Stale and changes nothing.
-func (r *Router) AdoptChunks(now time.Duration, address string, position FeedPosition, chunks []ChunkChange) FeedStatus {
-	return r.state(now, address).feed.adoptSnapshot(now, position, chunks)
-}
-
-// chunksSnapshot returns what the holder is known to keep.
-func (f *feed) chunksSnapshot() (position FeedPosition, chunks []ChunkChange, found bool) {
+// handleSnapshot replaces everything by what the owner reported to cache.
+func (f *feed) handleSnapshot(now time.Duration, incarnation, sequence uint64, chunks []ChunkChange) (status FeedStatus, restarted bool) {
 	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if f.forgotten || !f.chunks.inUse {
-		return FeedPosition{}, nil, false
+	defer f.unlock()
+	current, restarted := f.checkUnorderedIncarnation(now, incarnation)
+	if !current {
+		return Stale, false
 	}
-	chunks = lo.Map(f.index.ReportedChunks(f.owner), func(link prefixindex.Link, _ int) ChunkChange {
-		return ChunkChange{Hash: link.Hash, Tokens: link.Tokens}
-	})
-	return FeedPosition{Incarnation: f.incarnation, Next: f.chunks.position, Lost: f.eventsLost}, chunks, true
+	if f.chunks.inUse && sequence < f.chunks.position {
+		return Stale, restarted
+	}
+	f.replaceChunks(now, sequence, chunks)
+	return Accepted, restarted
 }
 
-// adoptSnapshot takes in a snapshot of another router.
+// adoptSnapshot records a snapshot of another router.
 func (f *feed) adoptSnapshot(now time.Duration, position FeedPosition, chunks []ChunkChange) FeedStatus {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -66,8 +48,26 @@
 	return Accepted
 }
 
-// addUnchanged adds what was kept when the feed began. The parts that have changed
-// since are known better.
+// replaceChunks replaces everything by what was cached at a sequence number.
+func (f *feed) replaceChunks(now time.Duration, sequence uint64, chunks []ChunkChange) {
+	f.reportsEvents = true
+	f.chunks.inUse = true
+	f.chunks.position = sequence
+	f.chunks.changedHashes = nil
+	f.eventsLost = false
+	f.index.Drop(f.owner)
+	for _, chunk := range chunks {
+		f.applyChange(chunk)
+	}
+	f.chunks.buffered = slices.DeleteFunc(f.chunks.buffered, func(buffered chunkBatch) bool {
+		return buffered.position.Next <= sequence
+	})
+	f.applyBufferedBatches(now)
+	f.notifyChange()
+}
+
+// addUnchanged adds what was cached when the feed began. Of the chunks that have
+// changed since, the feed has newer reports.
 func (f *feed) addUnchanged(chunks []ChunkChange) {
 	changedHashes := f.chunks.changedHashes
 	f.chunks.changedHashes = nil
@@ -78,3 +78,16 @@
 	}
 	f.notifyChange()
 }
+
+// chunksSnapshot returns what the owner is recorded to cache.
+func (f *feed) chunksSnapshot() (position FeedPosition, chunks []ChunkChange, found bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.forgotten || !f.chunks.inUse {
+		return FeedPosition{}, nil, false
+	}
+	chunks = lo.Map(f.index.ReportedChunks(f.owner), func(link prefixindex.Link, _ int) ChunkChange {
+		return ChunkChange{Hash: link.Hash, Tokens: link.Tokens}
+	})
+	return FeedPosition{Incarnation: f.incarnation, Next: f.chunks.position, Lost: f.eventsLost}, chunks, true
+}
--- a/pkg/kvrouter/chunk_snapshot_test.go
+++ b/pkg/kvrouter/chunk_snapshot_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-var _ = Describe("A snapshot of what a replica keeps", func() {
+var _ = Describe("A snapshot of what a replica caches", func() {
 	const address = "replica"
 	const incarnation = 77
 	var full, started *kvrouter.Router
@@ -20,25 +20,25 @@
 		started = kvrouter.New(kvrouter.Options{})
 	})
 
-	// report tells a router of the change with a number.
+	// report reports the change with a number to a router.
 	report := func(router *kvrouter.Router, sequence uint64, chunk, tokens int) {
 		router.ChunksReported(0, address, kvrouter.FeedPosition{Incarnation: incarnation, From: sequence - 1, Next: sequence},
 			[]kvrouter.ChunkChange{{Sequence: sequence, ID: fmt.Sprint(chunk), Tokens: uint32(tokens), Removed: tokens == 0}})
 	}
-	// known returns what a router knows, and whether that is all.
-	known := func(router *kvrouter.Router) (map[uint64]uint32, bool) {
+	// snapshotOf returns what a router has recorded, and whether that is all.
+	snapshotOf := func(router *kvrouter.Router) (map[uint64]uint32, bool) {
 		at, chunks, present := router.ChunksSnapshot(address)
 		Expect(present).To(BeTrue())
-		kept := make(map[uint64]uint32)
+		cached := make(map[uint64]uint32)
 		for _, chunk := range chunks {
-			kept[uint64(chunk.Hash)] = chunk.Tokens
+			cached[uint64(chunk.Hash)] = chunk.Tokens
 		}
-		return kept, !at.Lost
+		return cached, !at.Lost
 	}
-	// same expects that the started router knows all that the other one does.
+	// same expects that the started router has recorded the same as the other one.
 	same := func() {
-		wanted, _ := known(full)
-		got, complete := known(started)
+		wanted, _ := snapshotOf(full)
+		got, complete := snapshotOf(started)
 		ExpectWithOffset(1, got).To(Equal(wanted))
 		ExpectWithOffset(1, complete).To(BeTrue())
 	}
@@ -51,7 +51,7 @@
 		Expect(present).To(BeFalse())
 	})
 
-	It("is all that a router knows that has heard nothing itself, and later changes follow it", func() {
+	It("is all that a router without reports has, and later changes follow it", func() {
 		report(full, 1, 1, 10)
 		report(full, 2, 2, 20)
 		at, chunks, _ := full.ChunksSnapshot(address)
@@ -64,14 +64,14 @@
 		same()
 	})
 
-	It("fits beneath the changes that a started router has followed, at whatever time it is made", func() {
+	It("fits before the changes that a started router has followed, at whatever time it is made", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 300 {
 			full, started = kvrouter.New(kvrouter.Options{}), kvrouter.New(kvrouter.Options{})
 			const changes = 60
 			begins := 2 + random.IntN(changes-2)
 			made := begins - 1 + random.IntN(changes-begins+1)
-			taken := max(begins, made) + random.IntN(changes-max(begins, made)+1)
+			selectTarget := max(begins, made) + random.IntN(changes-max(begins, made)+1)
 			var at kvrouter.FeedPosition
 			var chunks []kvrouter.ChunkChange
 			for sequence := 1; sequence <= changes; sequence++ {
@@ -83,8 +83,8 @@
 				if sequence >= begins {
 					report(started, uint64(sequence), chunk, tokens)
 				}
-				if sequence == taken {
-					Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Accepted), "begins %d, made %d, taken %d", begins, made, taken)
+				if sequence == selectTarget {
+					Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Accepted), "begins %d, made %d, taken %d", begins, made, selectTarget)
 				}
 			}
 			same()
@@ -96,8 +96,8 @@
 		at, chunks, _ := full.ChunksSnapshot(address)
 		report(started, 3, 2, 20)
 		Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Stale))
-		kept, complete := known(started)
-		Expect(kept).To(HaveLen(1))
+		cached, complete := snapshotOf(started)
+		Expect(cached).To(HaveLen(1))
 		Expect(complete).To(BeFalse())
 	})
 
@@ -107,8 +107,8 @@
 		report(started, 1, 1, 10)
 		report(started, 2, 1, 0)
 		Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Stale))
-		kept, _ := known(started)
-		Expect(kept).To(BeEmpty())
+		cached, _ := snapshotOf(started)
+		Expect(cached).To(BeEmpty())
 	})
 
 	It("is stale if it is of another start of the replica", func() {
@@ -125,12 +125,12 @@
 		at, chunks, _ := full.ChunksSnapshot(address)
 		Expect(at.Lost).To(BeTrue())
 		Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Accepted))
-		kept, complete := known(started)
-		Expect(kept).To(HaveLen(1))
+		cached, complete := snapshotOf(started)
+		Expect(cached).To(HaveLen(1))
 		Expect(complete).To(BeFalse())
 	})
 
-	It("cannot be taken beneath changes of which some were lost", func() {
+	It("cannot be adopted before changes of which some were lost", func() {
 		report(full, 1, 1, 10)
 		report(full, 2, 2, 10)
 		at, chunks, _ := full.ChunksSnapshot(address)
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -50,12 +50,12 @@
 func (f *fleet) disturb(address string) {
 	for round := range uint64(200) {
 		now := late + time.Duration(round)*time.Millisecond
-		f.router.Stored(now, address, life, 2*round+1, links(prompt(10)))
-		f.router.Removed(now, address, life, 2*round+2, hashes(links(prompt(10))[5:]))
+		f.router.Stored(now, address, firstIncarnation, 2*round+1, links(prompt(10)))
+		f.router.Removed(now, address, firstIncarnation, 2*round+2, hashes(links(prompt(10))[5:]))
 		f.isBusyWith(now, address, round, round, 1)
 		switch round % 50 {
 		case 20:
-			f.router.Reset(now, address, life+round, 1, links(prompt(3)))
+			f.router.Reset(now, address, firstIncarnation+round, 1, links(prompt(3)))
 		case 40:
 			f.router.Forget(address)
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkSelect selects for prompts of 32 parts among 18 replicas, on all
+// BenchmarkSelect selects for prompts of 32 chunks among 18 replicas, on all
 // cores at once.
 func BenchmarkSelect(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
@@ -72,8 +72,8 @@
 	for number := range 18 {
 		address := fmt.Sprint("replica-", number)
 		candidates = append(candidates, kvrouter.Candidate{Address: address, Zone: fmt.Sprint(number % 4), WeightVersion: version})
-		router.Report(0, address, kvrouter.Report{WeightVersion: version, Incarnation: life})
-		router.Stored(0, address, life, 1, links(prompt(2*number)))
+		router.Report(0, address, kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation})
+		router.Stored(0, address, firstIncarnation, 1, links(prompt(2*number)))
 	}
 	chunks := prompt(32)
 	settings := kvrouter.DefaultSettings()
@@ -93,7 +93,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "selections/s")
 }
 
-// BenchmarkSelectByTime selects for prompts of three parts among 140 replicas
+// BenchmarkSelectByTime selects for prompts of three chunks among 140 replicas
 // with an engine profile, one of three keeping the prompt.
 func BenchmarkSelectByTime(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
@@ -121,14 +121,14 @@
 	}
 }
 
-// BenchmarkSetRemoteLoad takes in the loads that 64 routers have on 140 replicas.
+// BenchmarkSetRemoteLoad records the loads that 64 routers have on 140 replicas.
 func BenchmarkSetRemoteLoad(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
-	told := kvrouter.SharedLoad{Requests: 2, DecodeTokens: 9000}
-	told.PrefillTokens[1] = 4000
+	load := kvrouter.SharedLoad{Requests: 2, DecodeTokens: 9000}
+	load.PrefillTokens[1] = 4000
 	b.ReportAllocs()
 	for round := range b.N {
 		now := late + time.Duration(round)*20*time.Microsecond
-		router.SetRemoteLoad(now, fmt.Sprint(round%64), fmt.Sprint("replica-", round/64%140), told)
+		router.SetRemoteLoad(now, fmt.Sprint(round%64), fmt.Sprint("replica-", round/64%140), load)
 	}
 }
--- a/pkg/kvrouter/engine.go
+++ b/pkg/kvrouter/engine.go
@@ -12,32 +12,33 @@
 )
 
 // EngineProfile says how the replicas of a pool run requests. With one, the
-// router estimates costs in the replicas' own time and learns how long they
-// take; without one it counts blocks only. Zero values of the times and rates
-// mean the defaults, which hold until they are learnt.
+// router estimates costs in the replicas' own time and learns how long they take;
+// without one it counts blocks only. Zero values of the times and rates mean the
+// defaults, which are used until better values are learned.
 type EngineProfile struct {
 	// Slots is how many requests a replica runs at once; 0 means no bound.
 	Slots int
 	// MemoryTokens is how many tokens fit into a replica's memory; 0 means no
 	// bound.
 	MemoryTokens float64
-	// BytesPerToken is the size of the kept state of one token.
+	// BytesPerToken is the size of the cached state of one token.
 	BytesPerToken float64
-	// LinkBitsPerSecond is the rate of a replica's link for moves of kept parts.
+	// LinkBitsPerSecond is the rate of a replica's link for transfers of cached chunks.
 	LinkBitsPerSecond float64
 	// StoreLinkBitsPerSecond is that of the store.
 	StoreLinkBitsPerSecond float64
 	// StoreTokens is how many tokens fit into the store.
 	StoreTokens float64
-	// PrefillTokensPerMillisecond is assumed until the pool's speed is learnt.
+	// PrefillTokensPerMillisecond is assumed until the pool's speed is learned.
 	PrefillTokensPerMillisecond float64
-	// FirstEvent is the time to the first event beyond prefill, likewise.
+	// FirstEvent is the time from the end of prefill to the first event, assumed until
+	// it is learned.
 	FirstEvent time.Duration
-	// PullSetup is added to the time of each move.
+	// PullSetup is added to the time of each transfer.
 	PullSetup time.Duration
 	// StepPerRequest is how much longer each step takes for each running request.
 	StepPerRequest time.Duration
-	// PrefillChunk is how many tokens of prompts are read in one step.
+	// PrefillChunk is how many tokens of prompts are computed in one step.
 	PrefillChunk float64
 }
 
@@ -52,15 +53,3 @@
 	setDefault(&p.PrefillChunk, DefaultPrefillChunk)
 	return p
 }
-
-const bitsPerByte = 8
-
-// milliseconds returns a duration as a number of milliseconds.
-func milliseconds(duration time.Duration) float64 {
-	return float64(duration) / float64(time.Millisecond)
-}
-
-// fromMilliseconds is the inverse of milliseconds.
-func fromMilliseconds(value float64) time.Duration {
-	return time.Duration(value * float64(time.Millisecond))
-}
--- a/pkg/kvrouter/errors.go
+++ b/pkg/kvrouter/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Reason tells why no replica was chosen.
+// Reason is why no replica was chosen.
 type Reason string
 
 // The reasons of a NoReplicaError.
@@ -19,14 +19,14 @@
 	AllBusy Reason = "all_busy"
 )
 
-// NoReplicaError says that no replica can take a request.
+// NoReplicaError is returned when no replica can take a request.
 type NoReplicaError struct {
 	Reason Reason
 	// RetryAfter is when a new attempt may succeed.
 	RetryAfter time.Duration
 }
 
-// Error returns what is wrong and what to do about it.
+// Error returns the cause and what to do about it.
 func (e *NoReplicaError) Error() string {
 	switch e.Reason {
 	case AllExcluded:
--- a/pkg/kvrouter/events.go
+++ b/pkg/kvrouter/events.go
@@ -9,24 +9,25 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Stored takes in that a replica or store reported parts that it now keeps.
+// Stored records that a replica or store reported chunks that it now caches, under
+// chained names. The caller must not change the slice afterwards, here as for
+// Removed and Reset: an event may be buffered until an earlier one has come.
 func (r *Router) Stored(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) FeedStatus {
 	return r.handleEvent(now, address, incarnation, event{kind: storedEvent, sequence: sequence, links: links})
 }
 
-// Removed takes in that a replica or store reported parts that it dropped.
+// Removed records that a replica or store reported chunks that it evicted.
 func (r *Router) Removed(now time.Duration, address string, incarnation, sequence uint64, hashes []prefixindex.ChainHash) FeedStatus {
 	return r.handleEvent(now, address, incarnation, event{kind: removedEvent, sequence: sequence, hashes: hashes})
 }
 
-// Reset takes in that links is all that a replica or store kept when it had
-// sent the events up to sequence. It ends the doubt after lost events.
+// Reset records that links is all that a replica or store cached when it had sent
+// the events up to sequence. It makes the chunks certain again after lost events.
 func (r *Router) Reset(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) FeedStatus {
 	return r.handleEvent(now, address, incarnation, event{kind: resetEvent, sequence: sequence, links: links})
 }
 
-// handleEvent hands an event to the feed of its holder. The caller must not change
-// the event's slices afterwards, since the event may wait for an earlier one.
+// handleEvent passes an event to the feed of its owner.
 func (r *Router) handleEvent(now time.Duration, address string, incarnation uint64, received event) FeedStatus {
 	state := r.state(now, address)
 	status, restarted := state.feed.handleEvent(now, incarnation, received)
@@ -36,9 +37,9 @@
 	return status
 }
 
-// Report takes in a replica's account of its load, and notices from it when
-// the replica has restarted or changed its weights. Reports that are older than
-// one that was seen are ignored.
+// Report records what a replica reported of its load, and detects by it that the
+// replica has restarted or changed its weights. Reports that are older than an
+// earlier one are ignored.
 func (r *Router) Report(now time.Duration, address string, report Report) {
 	state := r.state(now, address)
 	describes := now - report.Age
@@ -56,12 +57,12 @@
 	defer r.mutex.Unlock()
 	state.load.report(describes, report.totalLoad())
 	if report.MemoryTotal > 0 {
-		state.memory = memoryReport{
+		state.load.memory = memoryReport{
 			used:      float64(report.MemoryUsed),
 			total:     float64(report.MemoryTotal),
 			waiting:   float64(report.Waiting),
 			describes: describes,
-			known:     true,
+			present:   true,
 		}
 	}
 	if report.Warming {
@@ -69,7 +70,7 @@
 	}
 }
 
-// totalLoad is the load that a report tells of.
+// totalLoad returns the load that a report states.
 func (report *Report) totalLoad() load {
 	if report.MemoryTotal > 0 {
 		return load{
@@ -84,25 +85,25 @@
 	}
 }
 
-// isNewestReport tells whether no report of a later instant was seen yet.
+// isNewestReport reports whether no report of a later instant has come yet.
 func (r *Router) isNewestReport(state *replicaState, describes time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return !state.load.reported || describes >= state.load.reportedAt
 }
 
-// ObserveWeightVersion takes in that an answer of a replica came from a weight
-// version. A version that is not the last one known ends the trust in all that
-// the replica reported before.
+// ObserveWeightVersion records that a response of a replica came from a weight
+// version. Another version than the last one discards all that the replica
+// reported before.
 func (r *Router) ObserveWeightVersion(now time.Duration, address, version string) {
 	r.state(now, address).feed.observeWeightVersion(version)
 }
 
-// ResyncNeeded returns, in order, the addresses whose events were lost, and
-// that should be asked for a reset.
+// ResyncNeeded returns, in order, the addresses whose events were lost, and that
+// should be asked for a reset.
 func (r *Router) ResyncNeeded(now time.Duration) []string {
 	r.mutex.Lock()
-	states := lo.Values(r.replicas)
+	states := lo.Values(r.replicas.byAddress)
 	r.mutex.Unlock()
 	var addresses []string
 	for _, state := range states {
@@ -114,22 +115,24 @@
 	return addresses
 }
 
+// state returns the state of an address, under the lock. The caller may use its
+// feed without the lock.
 func (r *Router) state(now time.Duration, address string) *replicaState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.observeTime(now)
-	return r.stateLocked(now, address)
+	return r.replicas.state(now, address)
+}
+
+// existingState returns the state of an address, or nil when there is none.
+func (r *Router) existingState(address string) *replicaState {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.replicas.byAddress[address]
 }
 
-// handleRestart begins slow start, and drops the load that other routers had on
-// the replica. Own reservations end as their connections do.
 func (r *Router) handleRestart(now time.Duration, state *replicaState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	state.load.forgetReports()
-	state.shared = sharedLoads{}
-	state.memory = memoryReport{}
-	state.slowness = slowness{}
-	state.transferLink = transferLink{}
-	state.slowStart.since = now
+	state.restart(now)
 }
--- a/pkg/kvrouter/feed.go
+++ b/pkg/kvrouter/feed.go
@@ -9,95 +9,64 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// retiredIncarnations is how many earlier lives of a replica are remembered,
-// to tell a late event of theirs from a new life.
-const retiredIncarnations = 8
+// maxRetiredIncarnations is how many earlier incarnations of an owner are
+// remembered, to tell their late events from those of a new one.
+const maxRetiredIncarnations = 8
 
-// event is one event of a holder's feed.
-type event struct {
-	kind     eventKind
-	sequence uint64
-	links    []prefixindex.Link
-	hashes   []prefixindex.ChainHash
-}
-
-type eventKind int
-
-const (
-	storedEvent eventKind = iota
-	removedEvent
-	resetEvent
-)
-
-// feed brings the events of one holder into the index, in the order of their
-// sequence numbers, each once. It is the only writer of its holder.
+// feed records the reports of one owner in the index, each once and in order. It is
+// the only writer of its owner.
 //
-// An event that comes too early waits for those before it. If they do not come
-// within the reorder window or time, they are taken for lost: what waited is
-// taken in, and all that is known of the holder is in doubt until a reset.
+// An owner reports either chained chunks, as events that are numbered upwards from 1
+// in each incarnation (eventFeed), or chunks by ID, as batches of changes between
+// two sequence numbers (chunkFeed). A report that comes too early is buffered until
+// those before it have come. If they don't come within the reorder window or wait,
+// they count as lost: what is buffered is applied, and all that is recorded of the
+// owner is uncertain until a reset or snapshot.
+//
+// Methods that handle, observe or record something from outside take the mutex and
+// end with unlock; the caller of all others holds it.
 type feed struct {
 	index *prefixindex.Index
-	// pending holds the parts of requests that have not answered yet.
+	// pending has the chunks of requests whose first event has not come yet.
 	pending *prefixindex.Index
-	// changed is closed at the next change of what the holder keeps; nil when
-	// nobody waits for it.
-	changed chan struct{}
 	owner   prefixindex.Owner
 	options *Options
 
 	published atomic.Pointer[feedView]
 
 	mutex sync.Mutex
-	// forgotten feeds write nothing more, since their holder may be reused.
-	forgotten   bool
+	// changed is closed at the next change of what the owner caches; nil when
+	// nobody waits for it.
+	changed chan struct{}
+	// forgotten is set for good when the address was dropped. The feed writes nothing
+	// any more, since the owner may be assigned again.
+	forgotten bool
+	// started is set once an incarnation was seen.
 	started     bool
 	incarnation uint64
 	retired     []uint64
-	// lastHeardAt is when the present life was last heard of.
+	// lastHeardAt is when the present incarnation last reported.
 	lastHeardAt time.Duration
 	// epoch counts how often everything was dropped.
 	epoch         uint64
 	weightVersion string
-	// next is the sequence number that is expected.
-	next uint64
-	// buffered are the events beyond next, in order of sequence.
-	buffered      []event
-	bufferedSince time.Duration
-	// reportedSequence is the newest sequence number that a load report told of.
-	reportedSequence   uint64
-	reportedSequenceAt time.Duration
-	eventsLost         bool
-	// reportsEvents tells that the holder does report what it keeps.
+	// eventsLost says that reports were lost, and only a reset or snapshot helps.
+	eventsLost bool
+	// reportsEvents says that the owner does report what it caches.
 	reportsEvents bool
-	// chunks is used by holders that report parts by their own IDs.
+	// events is used by owners that report chained chunks, and chunks by those that
+	// report chunks by ID.
+	events eventFeed
 	chunks chunkFeed
 }
 
-// handleEvent brings in an event. Restarted tells that it was the first sign of a
-// new life of the holder.
-func (f *feed) handleEvent(now time.Duration, incarnation uint64, received event) (status FeedStatus, restarted bool) {
-	f.mutex.Lock()
-	defer f.unlock()
-	current, restarted := f.checkIncarnation(now, incarnation)
-	if !current || received.sequence == 0 {
-		return Stale, false
-	}
-	f.reportsEvents = true
-	status = f.applyInOrder(now, received)
-	f.giveUpOnMissing(now)
-	if status == Accepted && f.eventsLost {
-		status = Gap
-	}
-	return status, restarted
-}
-
-// checkIncarnation checks the incarnation of an event, and starts a new life if it is
+// checkIncarnation checks the incarnation of an event, and starts a new one if it is
 // newer than the present one.
 //
-// Lives are numbered upwards, so anything else is late news of an earlier life.
-// Only if the present life has been silent for long is it taken for the newest
-// all the same, so that a replica which numbers its lives in another way is
-// believed in the end.
+// Incarnations are numbered upwards, so anything else is a late event of an earlier
+// one. Only if the present incarnation has been silent for long is it taken for the
+// newest all the same, so that a replica which numbers its incarnations in another
+// way is believed in the end.
 func (f *feed) checkIncarnation(now time.Duration, incarnation uint64) (current, restarted bool) {
 	if f.forgotten {
 		return false, false
@@ -121,8 +90,30 @@
 	return true, restarted
 }
 
+// checkUnorderedIncarnation is checkIncarnation for owners whose incarnations have no
+// order: one that is neither the present one nor one of the last few is a new start.
+func (f *feed) checkUnorderedIncarnation(now time.Duration, incarnation uint64) (current, restarted bool) {
+	if f.forgotten || slices.Contains(f.retired, incarnation) {
+		return false, false
+	}
+	if f.started && incarnation != f.incarnation {
+		f.retire(f.incarnation)
+		f.dropAll()
+		f.started = false
+		restarted = true
+	}
+	if !f.started {
+		version := f.weightVersion
+		f.started = true
+		f.startIncarnation(incarnation)
+		f.weightVersion = version
+	}
+	f.lastHeardAt = max(f.lastHeardAt, now)
+	return true, restarted
+}
+
 func (f *feed) retire(incarnation uint64) {
-	if len(f.retired) == retiredIncarnations {
+	if len(f.retired) == maxRetiredIncarnations {
 		f.retired = slices.Delete(f.retired, 0, 1)
 	}
 	f.retired = append(f.retired, incarnation)
@@ -130,11 +121,9 @@
 
 func (f *feed) startIncarnation(incarnation uint64) {
 	f.incarnation = incarnation
-	f.next = 1
-	f.buffered = nil
-	f.reportedSequence = 0
 	f.eventsLost = false
 	f.weightVersion = ""
+	f.events = eventFeed{next: 1}
 	f.chunks = chunkFeed{}
 }
 
@@ -145,110 +134,8 @@
 	f.notifyChange()
 }
 
-// applyInOrder applies an event or lets it wait for its turn.
-func (f *feed) applyInOrder(now time.Duration, received event) FeedStatus {
-	if received.kind == resetEvent {
-		return f.applyReset(now, received)
-	}
-	if received.sequence < f.next {
-		return Duplicate
-	}
-	at, buffered := f.findBuffered(received.sequence)
-	if buffered {
-		return Duplicate
-	}
-	if len(f.buffered) == 0 {
-		f.bufferedSince = now
-	}
-	f.buffered = slices.Insert(f.buffered, at, received)
-	f.applyBuffered(now)
-	return Accepted
-}
-
-// applyReset applies a reset. It makes all events up to its own number
-// superfluous, so it need not wait for them.
-func (f *feed) applyReset(now time.Duration, received event) FeedStatus {
-	if received.sequence+1 < f.next {
-		return Stale
-	}
-	at, buffered := f.findBuffered(received.sequence)
-	if buffered {
-		at++
-	}
-	f.buffered = slices.Delete(f.buffered, 0, at)
-	f.bufferedSince = now
-	f.eventsLost = false
-	f.apply(received)
-	f.next = received.sequence + 1
-	f.applyBuffered(now)
-	return Accepted
-}
-
-func (f *feed) findBuffered(sequence uint64) (at int, found bool) {
-	return slices.BinarySearchFunc(f.buffered, sequence, func(buffered event, target uint64) int {
-		switch {
-		case buffered.sequence < target:
-			return -1
-		case buffered.sequence > target:
-			return 1
-		}
-		return 0
-	})
-}
-
-// applyBuffered applies the events whose turn has come.
-func (f *feed) applyBuffered(now time.Duration) {
-	applied := 0
-	for applied < len(f.buffered) && f.buffered[applied].sequence == f.next {
-		f.apply(f.buffered[applied])
-		f.next++
-		applied++
-	}
-	if applied > 0 {
-		f.buffered = slices.Delete(f.buffered, 0, applied)
-		f.bufferedSince = now
-	}
-}
-
-func (f *feed) apply(received event) {
-	defer f.notifyChange()
-	switch received.kind {
-	case storedEvent:
-		f.index.Store(f.owner, received.links)
-	case removedEvent:
-		f.index.Remove(f.owner, received.hashes)
-	case resetEvent:
-		f.index.Reset(f.owner, received.links)
-	}
-}
-
-// giveUpOnMissing stops waiting for events that have been missing for too long.
-func (f *feed) giveUpOnMissing(now time.Duration) {
-	if f.reportedSequence != 0 && f.next > f.reportedSequence {
-		f.reportedSequence = 0
-	}
-	if f.reportedSequence != 0 && now-f.reportedSequenceAt >= f.options.ReportLag {
-		f.reportedSequence = 0
-		f.eventsLost = true
-	}
-	if len(f.buffered) == 0 {
-		return
-	}
-	tooMany := len(f.buffered) > f.options.ReorderWindow
-	tooLong := now-f.bufferedSince >= f.options.ReorderWait
-	if !tooMany && !tooLong {
-		return
-	}
-	for _, buffered := range f.buffered {
-		f.apply(buffered)
-		f.next = buffered.sequence + 1
-	}
-	f.buffered = nil
-	f.eventsLost = true
-}
-
-// handleReport takes in what a load report says of the holder's life. Current is
-// false for a report of an earlier life.
+// handleReport records what a load report says of the owner's incarnation. Current is
+// false for a report of an earlier one.
 func (f *feed) handleReport(now time.Duration, report Report) (current, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -259,15 +146,14 @@
 		}
 	}
 	f.setWeightVersion(report.WeightVersion)
-	if f.reportsEvents && f.reportedSequence == 0 && report.LastSequence >= f.next {
-		f.reportedSequence = report.LastSequence
-		f.reportedSequenceAt = now
+	if f.reportsEvents {
+		f.events.expect(now, report.LastSequence)
 	}
 	f.giveUpOnMissing(now)
 	return !f.forgotten, restarted
 }
 
-// observeWeightVersion takes in that an answer came from a weight version.
+// observeWeightVersion records that a response came from a weight version.
 func (f *feed) observeWeightVersion(version string) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -277,7 +163,7 @@
 }
 
 // setWeightVersion drops everything when the weight version has changed. What the
-// holder has kept since then comes with the reset that is asked for.
+// owner has cached since then comes with the reset that is asked for.
 func (f *feed) setWeightVersion(version string) {
 	if version == "" || version == f.weightVersion {
 		return
@@ -306,7 +192,26 @@
 	f.mutex.Lock()
 	defer f.unlock()
 	f.forgotten = true
-	f.buffered = nil
+	f.events.buffered = nil
 	f.chunks = chunkFeed{}
 	f.dropAll()
 }
+
+// nextChange returns a channel that is closed at the next change of what the owner
+// caches.
+func (f *feed) nextChange() <-chan struct{} {
+	f.mutex.Lock()
+	defer f.unlock()
+	if f.changed == nil {
+		f.changed = make(chan struct{})
+	}
+	return f.changed
+}
+
+// notifyChange closes the channel of nextChange.
+func (f *feed) notifyChange() {
+	if f.changed != nil {
+		close(f.changed)
+		f.changed = nil
+	}
+}
--- a/pkg/kvrouter/feed_prediction.go
+++ b/pkg/kvrouter/feed_prediction.go
@@ -6,8 +6,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// predict records that the holder probably keeps the parts of a request that
-// was dispatched in the given life.
+// predict records that the owner probably caches the chunks of a request that was
+// dispatched in the given epoch of the feed.
 func (f *feed) predict(now time.Duration, epoch uint64, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -22,7 +22,8 @@
 	f.index.Predict(now, f.owner, links)
 }
 
-// predictUntilReported bridges the time until the holder's own report comes.
+// predictUntilReported predicts the chunks for the time until the owner's own report
+// comes.
 func (f *feed) predictUntilReported(now time.Duration, links []prefixindex.Link) {
 	lag := f.options.PredictionLag
 	if f.chunks.inUse && lag > 0 {
@@ -33,8 +34,8 @@
 	}
 }
 
-// addPending records that a request with the parts is on its way, so that requests
-// behind it find them kept once their turn has come.
+// addPending records that a request with the chunks was sent, so that requests behind
+// it will find them cached when their turn comes.
 func (f *feed) addPending(now time.Duration, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// removePending takes back expect.
+// removePending withdraws addPending.
 func (f *feed) removePending(links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
--- a/pkg/kvrouter/feed_test.go
+++ b/pkg/kvrouter/feed_test.go
@@ -22,10 +22,10 @@
 		return int(f.overlap(now, "a", prompt(10)) / blockTokens)
 	}
 	stored := func(now time.Duration, sequence uint64, first, last int) kvrouter.FeedStatus {
-		return f.router.Stored(now, "a", life, sequence, whole[first:last+1])
+		return f.router.Stored(now, "a", firstIncarnation, sequence, whole[first:last+1])
 	}
 	removed := func(now time.Duration, sequence uint64, first, last int) kvrouter.FeedStatus {
-		return f.router.Removed(now, "a", life, sequence, hashes(whole[first:last+1]))
+		return f.router.Removed(now, "a", firstIncarnation, sequence, hashes(whole[first:last+1]))
 	}
 
 	It("takes events in once and in order, whatever order they come in", func() {
@@ -47,7 +47,7 @@
 		Expect(f.router.ResyncNeeded(late + 500*time.Millisecond)).To(Equal([]string{"a"}))
 		Expect(stored(late+time.Second, 4, 4, 4)).To(Equal(kvrouter.Gap))
 		Expect(keptBlocks(late + time.Second)).To(Equal(5))
-		Expect(f.router.Reset(late+time.Second, "a", life, 4, whole)).To(Equal(kvrouter.Accepted))
+		Expect(f.router.Reset(late+time.Second, "a", firstIncarnation, 4, whole)).To(Equal(kvrouter.Accepted))
 		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
 		Expect(keptBlocks(late + time.Second)).To(Equal(10))
 	})
@@ -61,16 +61,16 @@
 
 	It("notices from a load report that the newest events were lost", func() {
 		stored(late, 1, 0, 3)
-		report := kvrouter.Report{WeightVersion: version, Incarnation: life, LastSequence: 3}
+		report := kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, LastSequence: 3}
 		f.router.Report(late, "a", report)
 		Expect(f.router.ResyncNeeded(late + 4*time.Second)).To(BeEmpty())
 		Expect(f.router.ResyncNeeded(late + 5*time.Second)).To(Equal([]string{"a"}))
-		f.router.Reset(late+5*time.Second, "a", life, 3, nil)
+		f.router.Reset(late+5*time.Second, "a", firstIncarnation, 3, nil)
 		f.router.Report(late+5*time.Second, "a", report)
 		Expect(f.router.ResyncNeeded(late + time.Hour)).To(BeEmpty())
 	})
 
-	It("gives parts in doubt less credit until a reset", func() {
+	It("gives uncertain chunks less credit until a reset", func() {
 		f.settings.LocalCredit = 1
 		stored(late, 1, 0, 9)
 		certain := f.choose(late, prompt(10))
@@ -82,22 +82,22 @@
 		Expect(doubtful.OverlapTokens).To(Equal(certain.OverlapTokens))
 	})
 
-	It("drops everything on a new life, and ignores late events of the old one", func() {
+	It("drops everything on a new incarnation, and ignores late events of the old one", func() {
 		stored(late, 1, 0, 9)
 		stored(late, 3, 0, 9)
-		Expect(f.router.Stored(late, "a", life+1, 1, whole[:2])).To(Equal(kvrouter.Accepted))
+		Expect(f.router.Stored(late, "a", firstIncarnation+1, 1, whole[:2])).To(Equal(kvrouter.Accepted))
 		Expect(keptBlocks(late)).To(Equal(2))
 		Expect(stored(late, 2, 0, 9)).To(Equal(kvrouter.Stale))
-		Expect(f.router.Reset(late, "a", life, 9, whole)).To(Equal(kvrouter.Stale))
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: life, ActiveRequests: 5})
+		Expect(f.router.Reset(late, "a", firstIncarnation, 9, whole)).To(Equal(kvrouter.Stale))
+		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, ActiveRequests: 5})
 		Expect(f.router.Load(late, "a").ActiveRequests).To(BeZero())
 		Expect(keptBlocks(late)).To(Equal(2))
 	})
 
-	It("takes a lower incarnation for late news, unless the present one has fallen silent", func() {
+	It("takes a lower incarnation for a late event, unless the present one has fallen silent", func() {
 		stored(late, 1, 0, 9)
 		lower := func(now time.Duration) kvrouter.FeedStatus {
-			return f.router.Reset(now, "a", life-1, 1, whole[:2])
+			return f.router.Reset(now, "a", firstIncarnation-1, 1, whole[:2])
 		}
 		Expect(lower(late + 4*time.Second)).To(Equal(kvrouter.Stale))
 		f.isBusyWith(late+4*time.Second, "a", 0, 0, 0)
@@ -109,19 +109,19 @@
 
 	It("drops everything when the weight version changes, by a report or an answer", func() {
 		stored(late, 1, 0, 9)
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: "v2", Incarnation: life})
+		f.router.Report(late, "a", kvrouter.Report{WeightVersion: "v2", Incarnation: firstIncarnation})
 		Expect(keptBlocks(late)).To(BeZero())
 		Expect(f.router.ResyncNeeded(late)).To(Equal([]string{"a"}))
-		f.router.Reset(late, "a", life, 2, whole)
+		f.router.Reset(late, "a", firstIncarnation, 2, whole)
 		Expect(keptBlocks(late)).To(Equal(10))
 		f.router.ObserveWeightVersion(late, "a", "v3")
 		Expect(keptBlocks(late)).To(BeZero())
 	})
 
-	It("ignores a reset that is older than what it knows", func() {
+	It("ignores a reset that is older than its state", func() {
 		stored(late, 1, 0, 9)
 		removed(late, 2, 3, 3)
-		Expect(f.router.Reset(late, "a", life, 1, whole)).To(Equal(kvrouter.Stale))
+		Expect(f.router.Reset(late, "a", firstIncarnation, 1, whole)).To(Equal(kvrouter.Stale))
 		Expect(keptBlocks(late)).To(Equal(3))
 	})
 
@@ -136,7 +136,7 @@
 			stream.deliverAll()
 			Expect(f.router.ResyncNeeded(stream.now)).To(BeEmpty(), "seed %d", seed)
 			Expect(keptBlocks(stream.now)).To(Equal(stream.leading()), "seed %d", seed)
-			Expect(f.router.IndexStats().Reported).To(Equal(len(stream.kept)), "seed %d", seed)
+			Expect(f.router.IndexStats().Reported).To(Equal(len(stream.cached)), "seed %d", seed)
 		}
 	},
 		Entry("doubled and reordered", 0.0),
@@ -152,7 +152,7 @@
 	removed               []prefixindex.ChainHash
 }
 
-// replicaStream is a replica that keeps parts of one prompt at random, and the
+// replicaStream is a replica that caches chunks of one prompt at random, and the
 // disorderly way of its events to a router.
 type replicaStream struct {
 	random                *rand.Rand
@@ -160,7 +160,7 @@
 	loss                  float64
 	now                   time.Duration
 	prompt                []prefixindex.Link
-	kept                  map[prefixindex.ChainHash]prefixindex.Link
+	cached                map[prefixindex.ChainHash]prefixindex.Link
 	incarnation, sequence uint64
 	underway              []streamEvent
 }
@@ -172,26 +172,26 @@
 		loss:        loss,
 		now:         late,
 		prompt:      links(prompt(10)),
-		kept:        map[prefixindex.ChainHash]prefixindex.Link{},
-		incarnation: life,
+		cached:      map[prefixindex.ChainHash]prefixindex.Link{},
+		incarnation: firstIncarnation,
 	}
 }
 
-// step changes what the replica keeps, and delivers some events.
+// step changes what the replica caches, and delivers some events.
 func (s *replicaStream) step() {
 	s.now += 20 * time.Millisecond
 	link := s.prompt[s.random.IntN(len(s.prompt))]
 	switch choice := s.random.IntN(100); {
 	case choice < 60:
-		s.kept[link.Hash] = link
+		s.cached[link.Hash] = link
 		s.send(streamEvent{stored: []prefixindex.Link{link}})
 	case choice < 98:
-		delete(s.kept, link.Hash)
+		delete(s.cached, link.Hash)
 		s.send(streamEvent{removed: []prefixindex.ChainHash{link.Hash}})
 	default:
 		s.incarnation++
 		s.sequence = 0
-		clear(s.kept)
+		clear(s.cached)
 	}
 	// Up to five events are under way and overtake each other.
 	for len(s.underway) > 0 && s.random.IntN(6) < len(s.underway) {
@@ -213,14 +213,14 @@
 	}
 }
 
-// sendReset lists what is kept now; like on the wire, it bears the number of
+// sendReset lists what is cached now; like on the wire, it bears the number of
 // the newest event.
 func (s *replicaStream) sendReset() {
 	s.underway = append(s.underway, streamEvent{
 		incarnation: s.incarnation,
 		sequence:    s.sequence,
 		reset:       true,
-		stored:      lo.Values(s.kept),
+		stored:      lo.Values(s.cached),
 	})
 }
 
@@ -240,7 +240,7 @@
 // deliverAll lets all events arrive, and the router ask for what it misses.
 func (s *replicaStream) deliverAll() {
 	s.send(streamEvent{stored: s.prompt[:1]})
-	s.kept[s.prompt[0].Hash] = s.prompt[0]
+	s.cached[s.prompt[0].Hash] = s.prompt[0]
 	s.router.Report(s.now, "a", kvrouter.Report{Incarnation: s.incarnation, LastSequence: s.sequence})
 	for round := 0; round == 0 || len(s.underway) > 0; round++ {
 		for len(s.underway) > 0 {
@@ -253,10 +253,10 @@
 	}
 }
 
-// leading counts the parts that the replica keeps without a gap.
+// leading counts the chunks that the replica caches without a gap.
 func (s *replicaStream) leading() int {
 	for position, link := range s.prompt {
-		if _, present := s.kept[link.Hash]; !present {
+		if _, present := s.cached[link.Hash]; !present {
 			return position
 		}
 	}
--- a/pkg/kvrouter/feed_view.go
+++ b/pkg/kvrouter/feed_view.go
@@ -1,22 +1,20 @@
 package kvrouter
 
-import (
-	"time"
-)
+import "time"
 
 // feedView is what selection reads of a feed.
 type feedView struct {
 	epoch uint64
-	// uncertain tells that events are missing.
+	// uncertain says that events are missing, so that overlaps are guesses.
 	uncertain bool
-	// resyncNeeded tells that they are lost, and only a reset helps.
+	// resyncNeeded says that they are lost, and only a reset helps.
 	resyncNeeded bool
-	// reportsEvents tells that the holder does report what it keeps.
+	// reportsEvents says that the owner does report what it caches.
 	reportsEvents bool
 }
 
-// view returns the present state. It does not wait for an event that is being
-// taken in, so that a long reset does not hold up selection.
+// view returns the published state, which it updates unless another goroutine has
+// the mutex: a long reset does not delay selection.
 func (f *feed) view(now time.Duration) feedView {
 	if f.mutex.TryLock() {
 		f.giveUpOnMissing(now)
@@ -29,11 +27,12 @@
 	return feedView{}
 }
 
-// unlock publishes the state for view, and ends a change of the feed.
+// unlock publishes the state for view and unlocks the mutex. Every change of the
+// feed ends with it.
 func (f *feed) unlock() {
 	state := feedView{
 		epoch:         f.epoch,
-		uncertain:     !f.chunks.inUse && (f.eventsLost || len(f.buffered) > 0),
+		uncertain:     !f.chunks.inUse && (f.eventsLost || len(f.events.buffered) > 0),
 		resyncNeeded:  f.eventsLost,
 		reportsEvents: f.reportsEvents,
 	}
--- a/pkg/kvrouter/link_bandwidth.go
+++ b/pkg/kvrouter/link_bandwidth.go
@@ -8,12 +8,12 @@
 	// linkMemory is how long a measurement counts. After it the default is
 	// assumed again, so that a link that was slow is tried again.
 	linkMemory = 30 * time.Second
-	// steepestSpeedup bounds how much faster than expected one pull may make
+	// maxSpeedup bounds how much faster than expected one pull may make
 	// a link look, since its time is inferred from the first token.
-	steepestSpeedup = 2
+	maxSpeedup = 2
 )
 
-// zonePair names a direction between two zones.
+// zonePair identifies a direction between two zones.
 type zonePair struct {
 	from, to string
 }
@@ -24,7 +24,7 @@
 	measuredAt     time.Duration
 }
 
-// linkBandwidths knows how fast bytes go from zone to zone.
+// linkBandwidths has the measured bandwidths between zones, for the block cost model.
 type linkBandwidths struct {
 	byZones map[zonePair]measuredBandwidth
 }
@@ -33,20 +33,20 @@
 	return linkBandwidths{byZones: make(map[zonePair]measuredBandwidth)}
 }
 
-// observe takes in a bandwidth.
-func (l *linkBandwidths) observe(now time.Duration, key zonePair, bytesPerSecond float64) {
+// observe records a bandwidth.
+func (l *linkBandwidths) observe(now time.Duration, zones zonePair, bytesPerSecond float64) {
 	if bytesPerSecond <= 0 {
 		return
 	}
-	previous, present := l.byZones[key]
+	previous, present := l.byZones[zones]
 	if present && now-previous.measuredAt < linkMemory {
 		bytesPerSecond = previous.bytesPerSecond + linkWeight*(bytesPerSecond-previous.bytesPerSecond)
 	}
-	l.byZones[key] = measuredBandwidth{bytesPerSecond: bytesPerSecond, measuredAt: now}
+	l.byZones[zones] = measuredBandwidth{bytesPerSecond: bytesPerSecond, measuredAt: now}
 }
 
-func (l *linkBandwidths) bytesPerSecond(now time.Duration, key zonePair, options *Options) float64 {
-	measured, present := l.byZones[key]
+func (l *linkBandwidths) bytesPerSecond(now time.Duration, zones zonePair, options *Options) float64 {
+	measured, present := l.byZones[zones]
 	if !present || now-measured.measuredAt >= linkMemory {
 		return options.LinkBytesPerSecond
 	}
@@ -55,18 +55,18 @@
 
 // transferTime estimates how long tokens take over a link that other pulls
 // from the same source share.
-func (l *linkBandwidths) transferTime(now time.Duration, key zonePair, tokens float64, sharedWith int, options *Options) time.Duration {
+func (l *linkBandwidths) transferTime(now time.Duration, zones zonePair, tokens float64, sharedWith int, options *Options) time.Duration {
 	bytes := tokens * options.BytesPerToken * float64(1+sharedWith)
-	return options.LinkLatency + seconds(bytes/l.bytesPerSecond(now, key, options))
+	return options.LinkLatency + seconds(bytes/l.bytesPerSecond(now, zones, options))
 }
 
-// observePull infers a bandwidth from a pull that took about so long.
-func (l *linkBandwidths) observePull(now time.Duration, key zonePair, tokens float64, sharedWith int, took time.Duration, options *Options) {
-	expected := l.transferTime(now, key, tokens, sharedWith, options) - options.LinkLatency
-	transfer := max(took-options.LinkLatency, expected/steepestSpeedup)
+// observePull infers a bandwidth from the estimated time of a pull.
+func (l *linkBandwidths) observePull(now time.Duration, zones zonePair, tokens float64, sharedWith int, took time.Duration, options *Options) {
+	expected := l.transferTime(now, zones, tokens, sharedWith, options) - options.LinkLatency
+	transfer := max(took-options.LinkLatency, expected/maxSpeedup)
 	if transfer <= 0 {
 		return
 	}
 	bytes := tokens * options.BytesPerToken * float64(1+sharedWith)
-	l.observe(now, key, bytes/transfer.Seconds())
+	l.observe(now, zones, bytes/transfer.Seconds())
 }
--- a/pkg/kvrouter/load_test.go
+++ b/pkg/kvrouter/load_test.go
@@ -16,7 +16,7 @@
 
 	It("follows the reservations of the router itself", func() {
 		f := newFleet(slowLinks, "a")
-		f.keeps("a", links(prompt(10))[:4])
+		f.caches("a", links(prompt(10))[:4])
 		reservation := f.choose(late, prompt(10)).Reservation
 		Expect(f.router.Load(late, "a")).To(Equal(blocks(6, 10, 1)))
 		reservation.FirstToken(late + time.Second)
@@ -32,7 +32,7 @@
 		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("adds what a late report shows beyond the own load of its time", func() {
+	It("adds what a late report shows in excess of the local load of its time", func() {
 		f := newFleet(slowLinks, "a")
 		first := f.choose(late, prompt(10)).Reservation
 		f.choose(late+2*time.Second, prompt(20))
@@ -44,7 +44,7 @@
 			ActiveDecodeTokens:  (10 + 30) * blockTokens,
 			ActiveRequests:      2,
 			WeightVersion:       version,
-			Incarnation:         life,
+			Incarnation:         firstIncarnation,
 			Age:                 3 * time.Second,
 		})
 		Expect(f.router.Load(late+2*time.Second, "a")).To(Equal(blocks(20, 20+30, 2)))
@@ -53,17 +53,17 @@
 	It("lets the work of others fade as the report ages, and ignores older reports", func() {
 		f := newFleet(slowLinks, "a")
 		f.isBusyWith(late, "a", 0, 80, 4)
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: life, Age: time.Second})
+		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Age: time.Second})
 		Expect(f.router.Load(late+2*time.Second, "a")).To(Equal(blocks(0, 80, 4)))
 		Expect(f.router.Load(late+6*time.Second, "a")).To(Equal(blocks(0, 40, 2)))
 		Expect(f.router.Load(late+10*time.Second, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("takes over the load that a new router knows nothing of", func() {
+	It("takes over the load that a new router finds", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.isBusyWith(late, "a", 50, 90, 3)
 		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
-		f.router.Stored(late, "a", life+1, 1, nil)
+		f.router.Stored(late, "a", firstIncarnation+1, 1, nil)
 		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
@@ -73,7 +73,7 @@
 		f.router.Forget("a")
 		f.router.Forget("a")
 		Expect(f.router.Addresses()).To(BeEmpty())
-		f.router.Report(late, "b", kvrouter.Report{WeightVersion: version, Incarnation: life})
+		f.router.Report(late, "b", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation})
 		reservation.Finish(late, true)
 		f.candidates[0].Address = "b"
 		Expect(f.overlap(late, "b", prompt(10))).To(BeZero())
@@ -81,7 +81,7 @@
 })
 
 var _ = Describe("Predictions", func() {
-	It("stand for 120 s in for a replica that never reports what it keeps", func() {
+	It("stand for 120 s in for a replica that never reports what it caches", func() {
 		f := newFleet(slowLinks, "a")
 		f.choose(late, prompt(10)).Reservation.Finish(late, true)
 		Expect(f.overlap(late+119*time.Second, "a", prompt(10))).To(BeEquivalentTo(10 * blockTokens))
@@ -90,7 +90,7 @@
 
 	It("bridge the lag of a replica that does report", func() {
 		f := newFleet(slowLinks, "a")
-		f.keeps("a", nil)
+		f.caches("a", nil)
 		reservation := f.choose(late, prompt(10)).Reservation
 		Expect(f.overlap(late, "a", prompt(10))).To(BeZero())
 		reservation.FirstToken(late)
@@ -104,7 +104,7 @@
 		f.choose(late, prompt(10)).Reservation.Finish(late, false)
 		Expect(f.overlap(late, "a", prompt(10))).To(BeZero())
 		reservation := f.choose(late, prompt(10)).Reservation
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: life + 1})
+		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation + 1})
 		reservation.Finish(late, true)
 		Expect(f.overlap(2*late, "a", prompt(10))).To(BeZero())
 	})
@@ -114,7 +114,7 @@
 		f.candidates = f.candidates[:1]
 		f.choose(late, prompt(10)).Reservation.Finish(late, true)
 		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "b", Zone: "zone", WeightVersion: version})
-		f.keeps("b", links(prompt(10))[:8])
+		f.caches("b", links(prompt(10))[:8])
 		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
 	})
 })
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -35,31 +35,31 @@
 	Index prefixindex.Options
 	// BlockTokens is the size of a block, the unit of load and cost.
 	BlockTokens uint32
-	// GuessCredit multiplies the credit of parts that are predicted, or that a
+	// GuessCredit multiplies the credit of chunks that are predicted, or that a
 	// replica reported before some of its reports were lost.
 	GuessCredit float64
-	// ReportLag is how late news of a replica may be: events that a load report
-	// tells of are lost, and a life is over, when nothing came for so long.
+	// ReportLag is how late reports of a replica may be: events that a load report
+	// states are lost, and an incarnation has ended, when nothing came for so long.
 	ReportLag time.Duration
-	// PredictionLag is how long a part counts as predicted on a replica that does
+	// PredictionLag is how long a chunk counts as predicted on a replica that does
 	// report, from the first token until its report should have come. The default
-	// is ReportLag; a negative one turns these predictions off.
+	// is ReportLag; a negative one disables these predictions.
 	PredictionLag time.Duration
-	// ByIDPredictionLag is PredictionLag for replicas that report parts by
-	// their own IDs. It may be longer than their reports take, since a report
-	// that the part is gone ends the prediction.
+	// ByIDPredictionLag is PredictionLag for replicas that report chunks by ID. It
+	// may be longer than their reports take, since a report that the chunk was
+	// evicted ends the prediction.
 	ByIDPredictionLag time.Duration
-	// Disabled are the mechanisms that are left out.
+	// Disabled are the mechanisms that are disabled.
 	Disabled Mechanisms
-	// Name tells this router from the others that send to the same replicas.
+	// Name distinguishes this router from others that send to the same replicas.
 	Name string
-	// UncertainTTL is how long parts count as predicted that were reported before
+	// UncertainTTL is how long chunks count as predicted that were reported before
 	// some reports were lost.
 	UncertainTTL time.Duration
-	// BytesPerToken is the size of the kept state of one token. The default is
+	// BytesPerToken is the size of the cached state of one token. The default is
 	// that of a model with 80 layers of 8 key-value heads of 128 in 16 bits.
 	BytesPerToken float64
-	// LinkBytesPerSecond is assumed of links that were not measured yet.
+	// LinkBytesPerSecond is assumed of links without a measurement.
 	LinkBytesPerSecond float64
 	// LinkLatency is added to the time of each pull.
 	LinkLatency time.Duration
@@ -68,15 +68,14 @@
 	CrossZoneFactor float64
 	// PullAdvantage is how many times faster than prefill a pull must be.
 	PullAdvantage float64
-	// MaxPullsPerSource bounds the pulls under way from one source that this
+	// MaxPullsPerSource bounds the pulls in progress from one source that this
 	// router planned.
 	MaxPullsPerSource int
-	// PrefillTokensPerSecond is assumed of replicas until their speed is
-	// learnt.
+	// PrefillTokensPerSecond is assumed of replicas until their speed is learned.
 	PrefillTokensPerSecond float64
-	// ReorderWindow is how many events of a replica wait for a missing one.
+	// ReorderWindow is how many events of a replica are buffered for a missing one.
 	ReorderWindow int
-	// ReorderWait is how long they wait.
+	// ReorderWait is how long they are buffered.
 	ReorderWait time.Duration
 	// SlowStartDuration is how long slow start lasts.
 	SlowStartDuration time.Duration
@@ -86,7 +85,8 @@
 	SlowStartPerSecond float64
 	// ReportFresh is the age up to which a load report counts in full.
 	ReportFresh time.Duration
-	// ReportUseless is the age from which on it does not count.
+	// ReportUseless is the age from which on it does not count. In between its weight
+	// falls in proportion.
 	ReportUseless time.Duration
 }
 
@@ -114,6 +114,20 @@
 	return o
 }
 
+// blocks converts a load in tokens to blocks.
+func (o *Options) blocks(tokens load) Load {
+	blockTokens := float64(o.BlockTokens)
+	return Load{
+		PrefillBlocks:  tokens.prefillTokens / blockTokens,
+		DecodeBlocks:   tokens.decodeTokens / blockTokens,
+		ActiveRequests: tokens.requests,
+	}
+}
+
+func (o *Options) tokensToBlocks(tokens uint32) float64 {
+	return float64(tokens) / float64(o.BlockTokens)
+}
+
 // setDefault replaces the zero value of an option.
 func setDefault[T comparable](option *T, value T) {
 	var zero T
--- a/pkg/kvrouter/prefill_speed.go
+++ b/pkg/kvrouter/prefill_speed.go
@@ -5,17 +5,19 @@
 const (
 	// speedWeight is the weight of a new observation in the moving average.
 	speedWeight = 0.2
-	// minTokensToLearn is the shortest prefill that tells the speed rather
-	// than the fixed cost of a request.
+	// minTokensToLearn is the shortest prefill whose time depends more on the speed
+	// than on the fixed cost of a request.
 	minTokensToLearn = 256
 )
 
-// prefillSpeed is the moving average of a replica's prefill speed.
+// prefillSpeed is the moving average of a replica's prefill speed, for the block
+// cost model.
 type prefillSpeed struct {
 	tokensPerSecond float64
 }
 
-// learn takes in that the replica computed tokens, queue included, in a time.
+// learn records that the replica computed tokens, those queued before included, in
+// a time.
 func (s *prefillSpeed) learn(tokens float64, took time.Duration) {
 	if tokens < minTokensToLearn || took <= 0 {
 		return
@@ -36,8 +38,3 @@
 	}
 	return seconds(tokens / speed)
 }
-
-// seconds turns a number of seconds into a duration.
-func seconds(value float64) time.Duration {
-	return time.Duration(value * float64(time.Second))
-}
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// minWaitTokens is the smallest beginning of a prompt, in tokens, that is worth
-	// waiting for.
+	// minWaitTokens is the smallest beginning of a prompt, in tokens, that a request
+	// waits for.
 	minWaitTokens = 256
-	// waitTokenTolerance is how many tokens of the parts awaited a replica may leave
-	// out, as it keeps whole blocks.
+	// waitTokenTolerance is how many of these tokens a replica may lack at the end of
+	// the wait, as it caches whole blocks.
 	waitTokenTolerance = 64
-	// waitFactor and waitMargin bound a wait: it ends at so many times the
-	// expected time, and a margin.
+	// waitFactor and waitMargin bound a wait: it ends at so many times the expected
+	// time, and a margin.
 	waitFactor = 1.5
 	waitMargin = 100 * time.Millisecond
 	// maxWait bounds it in any case: a request that is held back has no place in
@@ -22,65 +22,65 @@
 	maxWait = 2 * time.Second
 )
 
-// PrefixWait is the beginning of a prompt that a replica reads for an earlier
-// request. A replica looks up what it keeps when a request arrives: sent before
-// the earlier one has its first event, the request would read the beginning once
-// more, and take longer than if it is held back until then.
+// PrefixWait is a wait for the beginning of a prompt, which a replica computes for
+// an earlier request. A replica looks up what it caches when a request arrives:
+// sent before the earlier one has its first event, the request would compute the
+// beginning once more, and take longer than if it is held back until then. Its
+// methods are safe for concurrent use.
 type PrefixWait struct {
-	router   *Router
-	feed     *feed
-	links    []prefixindex.Link
-	tokens   uint32
-	deadline time.Duration
+	index, pending *prefixindex.Index
+	feed           *feed
+	links          []prefixindex.Link
+	tokens         uint32
+	deadline       time.Duration
 }
 
-// Deadline is when to send the request in any case.
-func (a *PrefixWait) Deadline() time.Duration { return a.deadline }
+// Deadline returns when to send the request in any case, on the router's clock.
+func (w *PrefixWait) Deadline() time.Duration { return w.deadline }
 
-// Changed returns a channel that is closed when what the replica keeps changes
+// Changed returns a channel that is closed when what the replica caches changes
 // after the call.
-func (a *PrefixWait) Changed() <-chan struct{} { return a.feed.nextChange() }
+func (w *PrefixWait) Changed() <-chan struct{} { return w.feed.nextChange() }
 
-// Done tells whether there is nothing to wait for any more: the replica keeps the
-// beginning, or nobody makes it read it, or it is time.
-func (a *PrefixWait) Done(now time.Duration) bool {
-	if now >= a.deadline {
+// Done reports whether the request is to be sent: the replica caches the beginning,
+// or no request makes it compute that any more, or the deadline has come.
+func (w *PrefixWait) Done(now time.Duration) bool {
+	if now >= w.deadline {
 		return true
 	}
 	var cached, pending prefixindex.Overlaps
-	a.router.index.Overlaps(now, a.links, &cached)
-	if cached.Of(a.feed.owner).Likely.Tokens+waitTokenTolerance >= a.tokens {
+	w.index.Overlaps(now, w.links, &cached)
+	if cached.Of(w.feed.owner).Likely.Tokens+waitTokenTolerance >= w.tokens {
 		return true
 	}
-	a.router.pending.Overlaps(now, a.links, &pending)
-	return pending.Of(a.feed.owner).Likely.Tokens < a.tokens
+	w.pending.Overlaps(now, w.links, &pending)
+	return pending.Of(w.feed.owner).Likely.Tokens < w.tokens
 }
 
-// plannedWait is what a replica would keep of a prompt after a wait.
+// plannedWait is what a replica would cache of a prompt after a wait.
 type plannedWait struct {
 	extent prefixindex.Extent
-	// backlog are the tokens that the replica reads until then, at most.
+	// backlog are the tokens that the replica computes until then, at most.
 	backlog float64
 }
 
-// planWait tells whether the request had better wait until the replica has read
-// the beginning of its prompt for an earlier one. The router's lock is held.
-func (r *Router) planWait(p *prompt, state *replicaState, cached prefixindex.Extent, queuedTokens float64) (planned plannedWait, beneficial bool) {
-	if r.options.Disabled.PrefixWaits {
+// planWait reports whether the request had better wait until the replica has
+// computed the beginning of its prompt for an earlier one.
+func (m *timeModel) planWait(p *prompt, state *replicaState, cached prefixindex.Extent, queuedTokens float64) (planned plannedWait, beneficial bool) {
+	if m.options.Disabled.PrefixWaits {
 		return plannedWait{}, false
 	}
 	pending := p.pending.Of(state.owner).Likely
 	if pending.Tokens < cached.Tokens+minWaitTokens {
 		return plannedWait{}, false
 	}
-	planned = plannedWait{extent: pending, backlog: state.queue.unread() + state.shared.sum.prefill()}
+	planned = plannedWait{extent: pending, backlog: state.load.unread()}
 	saved := float64(pending.Tokens - cached.Tokens)
 	return planned, planned.backlog < queuedTokens+saved
 }
 
-// prefixWait describes the wait that the chosen candidate asks for, or is nil. The
-// router's lock is held.
-func (r *Router) prefixWait(req *Request, chosen *scoredCandidate) *PrefixWait {
+// prefixWait returns the wait of the chosen candidate, or nil.
+func (m *timeModel) prefixWait(req *Request, chosen *scoredCandidate) *PrefixWait {
 	if !chosen.waits {
 		return nil
 	}
@@ -90,30 +90,11 @@
 		wait = min(wait, req.MaxWait)
 	}
 	return &PrefixWait{
-		router:   r,
+		index:    m.index,
+		pending:  m.pending,
 		feed:     chosen.state.feed,
 		links:    chosen.prompt.links,
 		tokens:   chosen.overlap.Likely.Tokens,
 		deadline: req.Now + wait,
 	}
 }
-
-// nextChange returns a channel that is closed at the next change of what the
-// holder keeps.
-func (f *feed) nextChange() <-chan struct{} {
-	f.mutex.Lock()
-	defer f.unlock()
-	if f.changed == nil {
-		f.changed = make(chan struct{})
-	}
-	return f.changed
-}
-
-// notifyChange tells who waits that what the holder keeps has changed. The feed's
-// lock is held.
-func (f *feed) notifyChange() {
-	if f.changed != nil {
-		close(f.changed)
-		f.changed = nil
-	}
-}
--- a/pkg/kvrouter/prefix_wait_test.go
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// withSuffix is a prompt of shared parts with one of its own at the end.
+// withSuffix is a prompt of shared chunks with one of its own at the end.
 func withSuffix(shared int, own string) []prefixindex.Chunk {
 	return append(longPrompt(shared), prefixindex.Chunk{ID: own, Tokens: 500})
 }
@@ -35,9 +35,9 @@
 		Expect(f.choose(read, withSuffix(8, "third")).Wait).To(BeNil())
 	})
 
-	It("waits for prompts that other routers told of, until the replica reports the parts", func() {
+	It("waits for prompts that other routers announced, until the replica reports the chunks", func() {
 		f := newEngineFleet("a")
-		f.keeps("a", 1)
+		f.caches("a", 1)
 		links := kvrouter.ByID.Links(model, salt(version), longPrompt(8))
 		f.router.ObserveDispatchLinks(late, "a", links)
 		decision := f.choose(soon, withSuffix(8, "own"))
@@ -63,7 +63,7 @@
 		Expect(second.Wait.Done(soon)).To(BeTrue())
 	})
 
-	It("goes on when the replica begins a new life", func() {
+	It("goes on when the replica begins a new incarnation", func() {
 		f := newEngineFleet("a")
 		f.choose(late, withSuffix(8, "first"))
 		second := f.choose(soon, withSuffix(8, "second"))
@@ -94,7 +94,7 @@
 		Expect(second.Wait.Deadline() - late).To(Equal(2 * time.Second))
 	})
 
-	It("does not wait when the parts have little in common", func() {
+	It("does not wait when the chunks have little in common", func() {
 		f := newEngineFleet("a")
 		f.choose(late, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "x", Tokens: 8000}})
 		Expect(f.choose(soon, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "y", Tokens: 8000}}).Wait).To(BeNil())
@@ -111,9 +111,9 @@
 		Expect(urgent.OverlapTokens).To(BeZero())
 	})
 
-	It("does not wait at a replica that keeps the beginning already", func() {
+	It("does not wait at a replica that caches the beginning already", func() {
 		f := newEngineFleet("a")
-		f.keeps("a", 8)
+		f.caches("a", 8)
 		f.choose(late, withSuffix(8, "first"))
 		Expect(f.choose(soon, withSuffix(8, "second")).Wait).To(BeNil())
 	})
--- a/pkg/kvrouter/prompt.go
+++ b/pkg/kvrouter/prompt.go
@@ -6,16 +6,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// prompt is a request's chain under one weight version, with what the holders
-// keep of it. Each weight version has a chain of its own, because the cache
-// salt contains the version; so nothing kept under one version is ever found
-// for a replica on another.
+// prompt is a request's prompt under one weight version, with what the owners cache
+// of it. Each weight version has hashes of its own, because the cache salt contains
+// the version; so nothing cached under one version is ever found for a replica on
+// another.
 type prompt struct {
 	version  string
 	salt     string
 	links    []prefixindex.Link
 	overlaps prefixindex.Overlaps
-	// pending is what holders will keep when the requests before are done.
+	// pending is what owners will cache when the requests before have their first
+	// events.
 	pending prefixindex.Overlaps
 	sources []pullSource
 }
@@ -37,19 +38,19 @@
 
 // prompt returns the prompt under a weight version, if it was looked up.
 func (s *scratch) prompt(version string) *prompt {
-	for at := range s.used {
-		if s.prompts[at].version == version {
-			return &s.prompts[at]
+	for i := range s.used {
+		if s.prompts[i].version == version {
+			return &s.prompts[i]
 		}
 	}
 	return nil
 }
 
-// lookUp chains the request's parts under each weight version of the
-// candidates, and looks up who keeps them.
+// lookUp hashes the request's chunks under each weight version of the candidates,
+// and looks up the owners that cache them.
 func (r *Router) lookUp(s *scratch, req *Request, candidates []Candidate) {
-	for at := range candidates {
-		version := candidates[at].WeightVersion
+	for i := range candidates {
+		version := candidates[i].WeightVersion
 		if s.prompt(version) != nil {
 			continue
 		}
@@ -69,6 +70,10 @@
 	}
 }
 
+func (req *Request) excludes(address string) bool {
+	return req.Exclude != nil && req.Exclude(address)
+}
+
 // salt returns the cache salt under a weight version. Without SaltFor the
 // version itself is the salt, so that versions are kept apart in any case.
 func (req *Request) salt(version string) string {
@@ -78,8 +83,8 @@
 	return req.SaltFor(version)
 }
 
-// countTokens counts the tokens of the prompt. The count stays at the largest
-// number instead of wrapping around.
+// countTokens counts the tokens of the prompt. The count saturates instead of
+// wrapping around.
 func (req *Request) countTokens() {
 	tokens := uint64(0)
 	for _, chunk := range req.Chunks {
@@ -88,7 +93,7 @@
 	req.promptTokens = uint32(min(tokens, math.MaxUint32))
 }
 
-// identity names the prompt, to spread ties.
+// identity identifies the prompt, to spread ties.
 func (p *prompt) identity() prefixindex.ChainHash {
 	if len(p.links) == 0 {
 		return 0
--- a/pkg/kvrouter/pull_test.go
+++ b/pkg/kvrouter/pull_test.go
@@ -33,7 +33,7 @@
 			LinkLatency:            time.Millisecond,
 		}
 		f = newFleet(options, "holder", "taker")
-		f.keeps("holder", links(prompt(blocks)))
+		f.caches("holder", links(prompt(blocks)))
 	})
 
 	// measure tells the router a bandwidth at the time of the requests.
@@ -42,8 +42,8 @@
 		f.router.ObserveLinkBandwidth(from, "zone", bytesPerSecond)
 	}
 
-	// taken selects for the taker although the holder is a candidate.
-	taken := func() kvrouter.Decision {
+	// taken selects for the taker although the owner is a candidate.
+	selectTarget := func() kvrouter.Decision {
 		req := f.request(late, prompt(blocks))
 		f.isBusyWith(late, "holder", 0, 10*blocks, 1)
 		decision, err := f.router.Select(req, f.candidates)
@@ -52,109 +52,109 @@
 		return decision
 	}
 
-	DescribeTable("credits a pull with no more than the share of prefill that it saves", func(speedup, credited float64) {
+	DescribeTable("credits a pull with no more than the fraction of prefill that it saves", func(speedup, credited float64) {
 		measure("zone", speedup*slowLink)
 		const promptAndMemory = 2 * blocks
-		Expect(taken().Cost).To(BeNumerically("~", promptAndMemory-credited*blocks, 0.2))
+		Expect(selectTarget().Cost).To(BeNumerically("~", promptAndMemory-credited*blocks, 0.2))
 	},
 		Entry("half the time, taken 1.25 times", 2.0, 1-1.25/2),
 		Entry("a quarter of the time, taken 1.25 times", 4.0, 1-1.25/4),
 		Entry("a tenth of the time: the credit of a peer", 10.0, kvrouter.DefaultPeerCredit))
 
-	It("fetches what is missing behind the own overlap, up to where the source ends", func() {
-		f.keeps("taker", links(prompt(blocks))[:30])
-		f.router.Removed(0, "holder", life, 2, hashes(links(prompt(blocks))[90:91]))
-		pull := taken().Pull
+	It("fetches what is missing behind the replica's overlap, up to where the source ends", func() {
+		f.caches("taker", links(prompt(blocks))[:30])
+		f.router.Removed(0, "holder", firstIncarnation, 2, hashes(links(prompt(blocks))[90:91]))
+		pull := selectTarget().Pull
 		Expect(pull).To(HaveValue(And(
 			HaveField("Source", "holder"),
-			HaveField("FirstPart", 30),
-			HaveField("LastPart", 89),
+			HaveField("FirstChunk", 30),
+			HaveField("LastChunk", 89),
 			HaveField("Tokens", uint32(60*blockTokens)),
 		)))
 		seconds := 60 * blockTokens * tokensToBytes / fastLink
 		Expect(pull.EstimatedTime.Seconds()).To(BeNumerically("~", seconds+0.001, 1e-6))
 	})
 
-	It("counts the fetched parts with the peer's credit, and not as prefill", func() {
-		decision := taken()
+	It("counts the fetched chunks with the peer's credit, and not as prefill", func() {
+		decision := selectTarget()
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultPeerCredit*blocks+blocks))
 		Expect(f.router.Load(late, "taker").PrefillBlocks).To(BeZero())
 	})
 
 	It("prefills when the link is too slow, as measured", func() {
 		measure("zone", slowLink)
-		decision := taken()
+		decision := selectTarget()
 		Expect(decision.Pull).To(BeNil())
 		Expect(f.router.Load(late, "taker").PrefillBlocks).To(BeEquivalentTo(blocks))
 		measure("zone", 20*fastLink)
-		Expect(taken().Pull).NotTo(BeNil())
+		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
 
 	It("tries a link that was slow again after a while", func() {
 		measure("zone", slowLink)
-		Expect(taken().Pull).To(BeNil())
+		Expect(selectTarget().Pull).To(BeNil())
 		f.isBusyWith(late+31*time.Second, "holder", 0, 10*blocks, 1)
 		Expect(f.choose(late+31*time.Second, prompt(blocks)).Pull).NotTo(BeNil())
 	})
 
 	It("learns from a first token that came late that the link is slow", func() {
 		for range 8 {
-			decision := taken()
+			decision := selectTarget()
 			if decision.Pull == nil {
 				return
 			}
 			decision.Reservation.FirstToken(late + 4*time.Duration(prefillSeconds*float64(time.Second)))
 			decision.Reservation.Finish(late, false)
-			f.router.Removed(late, "taker", life, 1, nil)
-			f.router.Reset(late, "taker", life, 2, nil)
+			f.router.Removed(late, "taker", firstIncarnation, 1, nil)
+			f.router.Reset(late, "taker", firstIncarnation, 2, nil)
 		}
 		Fail("the router went on pulling over a slow link")
 	})
 
-	It("prefills where the replica is learnt to be fast", func() {
+	It("prefills where the replica is learned to be fast", func() {
 		f.candidates = f.candidates[1:]
 		other := []prefixindex.Chunk{{ID: "other", Tokens: 10_000}}
 		f.choose(late, other).Reservation.FirstToken(late + 100*time.Millisecond)
 		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "holder", Zone: "zone", WeightVersion: version})
-		Expect(taken().Pull).To(BeNil())
+		Expect(selectTarget().Pull).To(BeNil())
 	})
 
 	It("pulls from another zone only for a greater gain", func() {
 		f.candidates[0].Zone = "far"
 		measure("far", 1.6*slowLink)
-		Expect(taken().Pull).To(BeNil())
+		Expect(selectTarget().Pull).To(BeNil())
 		f.candidates[0].Zone = "zone"
 		measure("zone", 1.6*slowLink)
-		Expect(taken().Pull).NotTo(BeNil())
+		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
 
-	It("spares sources that are busy, in doubt, or serve many pulls already", func() {
+	It("spares sources that are busy, uncertain, or serve many pulls already", func() {
 		for range kvrouter.DefaultMaxPullsPerSource {
-			Expect(taken().Pull).NotTo(BeNil())
+			Expect(selectTarget().Pull).NotTo(BeNil())
 		}
-		last := taken()
+		last := selectTarget()
 		Expect(last.Pull).To(BeNil())
 
 		f = newFleet(options, "holder", "taker")
-		f.keeps("holder", links(prompt(blocks)))
+		f.caches("holder", links(prompt(blocks)))
 		f.settings.BusyThresholdBlocks = 10 * blocks
-		Expect(taken().Pull).To(BeNil())
+		Expect(selectTarget().Pull).To(BeNil())
 
 		f = newFleet(options, "holder", "taker")
-		f.keeps("holder", links(prompt(blocks)))
-		f.router.Stored(late, "holder", life, 3, nil)
-		Expect(taken().Pull).To(BeNil())
+		f.caches("holder", links(prompt(blocks)))
+		f.router.Stored(late, "holder", firstIncarnation, 3, nil)
+		Expect(selectTarget().Pull).To(BeNil())
 	})
 
 	It("releases the source at the first token or at the end", func() {
 		for round := range 3 * kvrouter.DefaultMaxPullsPerSource {
-			decision := taken()
+			decision := selectTarget()
 			Expect(decision.Pull).NotTo(BeNil(), "round %d", round)
 			decision.Reservation.Finish(late, false)
 		}
 		for range kvrouter.DefaultMaxPullsPerSource + 1 {
-			f.router.Reset(late, "taker", life, 1, nil)
-			decision := taken()
+			f.router.Reset(late, "taker", firstIncarnation, 1, nil)
+			decision := selectTarget()
 			Expect(decision.Pull).NotTo(BeNil())
 			decision.Reservation.FirstToken(late + decision.Pull.EstimatedTime)
 		}
--- a/pkg/kvrouter/recent_hashes.go
+++ b/pkg/kvrouter/recent_hashes.go
@@ -2,16 +2,16 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 
-// maxRecentHashes bounds each of the two generations of seen parts.
+// maxRecentHashes bounds each of the two generations of recentHashes.
 const maxRecentHashes = 1 << 15
 
-// recentHashes remembers which parts came lately, in two generations: when the
-// newer one is full it becomes the older one, whose parts are forgotten.
+// recentHashes is the set of chunks that came lately, in two generations: when the
+// newer one is full it replaces the older one.
 type recentHashes struct {
 	newer, older map[prefixindex.ChainHash]struct{}
 }
 
-// add tells whether a part was seen lately, and remembers it.
+// add reports whether a chunk is in the set, and adds it.
 func (s *recentHashes) add(hash prefixindex.ChainHash) bool {
 	_, inNewer := s.newer[hash]
 	_, inOlder := s.older[hash]
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -13,21 +13,21 @@
 	Zone          string
 	Region        string
 	WeightVersion string
-	// Instance names the replica's present life, or is "" when it is not known.
-	// A change ends all that is known of the address.
+	// Instance identifies the replica's process, or is "" when the caller can't tell. A
+	// change discards the router's state of the address.
 	Instance string
-	// SlowStartUntil is when the replica stops being cold, on the router's clock; 0
-	// when it is not.
+	// SlowStartUntil is when the replica's slow start ends, on the router's clock; 0
+	// when it is not in slow start.
 	SlowStartUntil time.Duration
 }
 
-// Request is what selection needs to know of a request.
+// Request is a request as selection sees it.
 type Request struct {
 	Now   time.Duration
 	Model string
 	// Chunks is the prompt.
 	Chunks []prefixindex.Chunk
-	// Naming says how the pool's replicas name parts.
+	// Naming says how the pool's replicas name chunks.
 	Naming Naming
 	// OutputTokens bounds the tokens that will be generated.
 	OutputTokens uint32
@@ -46,11 +46,12 @@
 	// MaxWait is the longest time to the first event at which the request may go
 	// to a replica that is full, if all are. With 0 it is refused.
 	MaxWait time.Duration
-	// Session tells that the last part of the prompt is its session's, and comes
-	// again.
+	// Session says that the last chunk of the prompt is its session's, which later
+	// requests send again.
 	Session bool
-	// SlowStartAllowed tells whether one more request may go to a cold replica. It
-	// must not count the request, which may go elsewhere. With nil none may.
+	// SlowStartAllowed reports whether one more request may go to a replica in slow
+	// start. It must not count the request, which may go elsewhere. With nil none may.
+	// The router's lock is held meanwhile, as for Exclude.
 	SlowStartAllowed func(address string) bool
 	// Store is the address of the pool's store, or "".
 	Store string
@@ -64,9 +65,9 @@
 	// cost at any temperature.
 	Random *rand.Rand
 
-	// promptTokens counts the tokens of all parts.
+	// promptTokens counts the tokens of all chunks.
 	promptTokens uint32
-	// latencyModel is that of the model's replicas, when there is an engine profile.
+	// latency is that of the model's replicas, when there is an engine profile.
 	latency *latencyModel
 	// harmWeight is HarmWeight at the present backlog.
 	harmWeight float64
@@ -79,7 +80,7 @@
 	Instance      string
 	WeightVersion string
 	CacheSalt     string
-	// OverlapTokens counts the tokens that the replica probably keeps.
+	// OverlapTokens counts the tokens that the replica probably caches.
 	OverlapTokens uint32
 	// PromptTokens counts all tokens of the prompt.
 	PromptTokens uint32
@@ -87,9 +88,9 @@
 	Cost float64
 	// Pull is what the replica is to pull, or nil.
 	Pull *Pull
-	// Save tells the replica to save the prompt's parts to the store.
+	// Save tells the replica to save the prompt's chunks to the store.
 	Save bool
-	// Wait tells what to wait for before the request is sent, or is nil.
+	// Wait is what to wait for before the request is sent, or nil.
 	Wait *PrefixWait
 	// ExpectedDelay is the estimated time to the first event; 0 without an
 	// engine profile.
@@ -98,19 +99,19 @@
 	Reservation *Reservation
 }
 
-// Pull tells a replica to fetch parts instead of computing them.
+// Pull tells a replica to fetch chunks instead of computing them.
 type Pull struct {
 	// Source is the address of a peer or of the store.
 	Source string
-	// FirstPart and LastPart are positions in the prompt, from 0, inclusive.
-	FirstPart int
-	LastPart  int
-	// Tokens counts the tokens of the parts.
+	// FirstChunk and LastChunk are positions in the prompt, from 0, inclusive.
+	FirstChunk int
+	LastChunk  int
+	// Tokens counts the tokens of the chunks.
 	Tokens        uint32
 	EstimatedTime time.Duration
 }
 
-// Report is a replica's own account of its state.
+// Report is what a replica reports of its state.
 type Report struct {
 	// ActivePrefillTokens counts prompt tokens of accepted requests that are
 	// still to be computed.
@@ -123,32 +124,32 @@
 	Incarnation        uint64
 	// Age is how long ago the report described the replica.
 	Age time.Duration
-	// LastSequence is the newest event sequence number at that time; 0 when
-	// it is not known.
+	// LastSequence is the newest event sequence number at that time, or 0 when the
+	// replica didn't state it.
 	LastSequence uint64
 	// Waiting and Running count the replica's requests, and MemoryUsed and
 	// MemoryTotal tokens; a report with MemoryTotal counts instead of the active
 	// tokens and requests above.
 	Waiting, Running        uint32
 	MemoryUsed, MemoryTotal uint64
-	// Warming tells that the replica started lately and is fragile.
+	// Warming says that the replica started lately and is warming up.
 	Warming bool
 }
 
-// FeedStatus tells what became of an event.
+// FeedStatus is the outcome of an event or batch.
 type FeedStatus int
 
 // The outcomes of an event.
 const (
-	// Accepted events are in the index, or wait shortly for an earlier one.
+	// Accepted events are in the index, or buffered until an earlier one has come.
 	Accepted FeedStatus = iota
 	// Duplicate events were seen before.
 	Duplicate
-	// Stale events are of an earlier life of the replica, or older than the
+	// Stale events are of an earlier incarnation of the replica, or older than the
 	// state that the index already has.
 	Stale
 	// Gap means that events were lost: ask the replica for a reset. What the
-	// event says is taken in all the same.
+	// event says is applied all the same.
 	Gap
 )
 
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -6,6 +6,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
+// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
+const meanComputeWeight = 0.1
+
 // Reservation accounts for the load of one attempt on a replica: its prefill
 // until the first token, and its memory until the end. It is safe for
 // concurrent use, and Finish must be called once the attempt has ended.
@@ -15,34 +18,34 @@
 	links  []prefixindex.Link
 	pull   plannedPull
 	pulls  bool
-	// feedEpoch is the life of the replica's feed that the attempt belongs to.
+	// feedEpoch is the epoch of the replica's feed that the attempt belongs to.
 	feedEpoch uint64
 	// startedAt, computeTokens and backlogTokens tell how long the first token
 	// should take.
 	startedAt     time.Duration
 	computeTokens float64
 	backlogTokens float64
-	// work, pace and expected are set with an engine profile. Expected is the
-	// estimated time to the first event in milliseconds.
-	work     *prefillWork
-	latency  *latencyModel
-	expected float64
-	// waited tells that the attempt was held back, so that its time tells
-	// nothing of the replica's speed.
+
+	// work and latency are set with an engine profile.
+	work    *prefillWork
+	latency *latencyModel
+	// waited says that the attempt was held back by a PrefixWait, so that its time
+	// tells nothing of the replica's speed.
 	waited bool
-	// store is the store that the parts are saved to, or nil.
+	// store is the store that the chunks are saved to, or nil.
 	store *replicaState
 
-	// The router's lock guards what follows; nothing of it changes once the
-	// attempt is finished.
+	// The router's lock guards the fields below. They don't change once the attempt
+	// is finished.
+
 	load       load
 	firstToken bool
 	finished   bool
 	generated  uint32
 }
 
-// reserveByBlocks adds the load of a request to the chosen replica. The router's lock
-// is held.
+// reserveByBlocks adds the load of a request to the replica that the block cost
+// model has chosen. The caller holds the lock.
 func (r *Router) reserveByBlocks(req *Request, chosen *scoredCandidate) *Reservation {
 	promptTokens := float64(req.promptTokens)
 	compute := promptTokens - float64(chosen.overlap.Likely.Tokens)
@@ -50,7 +53,40 @@
 		compute -= float64(chosen.pull.tokens)
 		chosen.pull.source.state.pullsServed++
 	}
-	reservation := &Reservation{
+	reservation := r.newReservation(req, chosen)
+	reservation.computeTokens = max(0, compute)
+	reservation.setLoad(req.Now, load{prefillTokens: reservation.computeTokens, decodeTokens: promptTokens, requests: 1})
+	return reservation
+}
+
+// reserveByTime adds the load of a request to the replica that the time cost model
+// has chosen. The caller holds the lock.
+func (r *Router) reserveByTime(req *Request, chosen *scoredCandidate, saveToStore bool) *Reservation {
+	reservation := r.newReservation(req, chosen)
+	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
+	reservation.work = &prefillWork{priority: req.Priority, tokens: reservation.computeTokens, unread: reservation.computeTokens}
+	reservation.latency = req.latency
+	reservation.waited = chosen.waits
+	if saveToStore {
+		reservation.store = r.replicas.state(req.Now, req.Store)
+	}
+	if chosen.pulls {
+		chosen.pull.source.state.pullsServed++
+		reservation.reserveLinks(req.Now)
+	}
+	state := chosen.state
+	state.load.queue.add(reservation.work)
+	state.meanCompute += meanComputeWeight * (reservation.computeTokens - state.meanCompute)
+	reservation.setLoad(req.Now, load{
+		prefillTokens: reservation.computeTokens,
+		decodeTokens:  chosen.timeTerms.memoryTokens,
+		requests:      1,
+	})
+	return reservation
+}
+
+func (r *Router) newReservation(req *Request, chosen *scoredCandidate) *Reservation {
+	return &Reservation{
 		router:        r,
 		state:         chosen.state,
 		links:         chosen.prompt.links,
@@ -58,21 +94,19 @@
 		pulls:         chosen.pulls,
 		feedEpoch:     chosen.view.epoch,
 		startedAt:     req.Now,
-		computeTokens: max(0, compute),
 		backlogTokens: chosen.backlogTokens,
 	}
-	reservation.setLoad(req.Now, load{prefillTokens: reservation.computeTokens, decodeTokens: promptTokens, requests: 1})
-	return reservation
 }
 
-// setLoad changes what the reservation adds to the replica's load.
+// setLoad changes what the reservation adds to the replica's load. The caller holds
+// the router's lock.
 func (r *Reservation) setLoad(now time.Duration, target load) {
 	change := target.plus(r.load.times(-1))
 	r.load = target
 	r.state.load.local.add(now, r.router.options.ReportUseless, change)
 }
 
-// FirstToken says that the replica has sent the first token, so that the prompt
+// FirstToken records that the replica has sent the first token, so that the prompt
 // has been computed. Only the first call counts.
 func (r *Reservation) FirstToken(now time.Duration) {
 	if !r.endPrefill(now) {
@@ -85,7 +119,7 @@
 }
 
 // endPrefill releases the prefill load, and learns from the time it took.
-func (r *Reservation) endPrefill(now time.Duration) bool {
+func (r *Reservation) endPrefill(now time.Duration) (ended bool) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
 	r.router.observeTime(now)
@@ -95,36 +129,23 @@
 	r.firstToken = true
 	if r.work != nil {
 		r.state.drainBacklog(now)
-		r.learnByTime(now)
-		r.state.queue.remove(r.work)
+		r.router.times.learn(r, now)
+		r.state.load.queue.remove(r.work)
 	} else {
-		r.learnByBlocks(now - r.startedAt)
+		r.router.blocks.learn(r, now)
 	}
 	r.endPull()
 	r.setLoad(now, load{decodeTokens: r.load.decodeTokens, requests: r.load.requests})
 	return true
 }
 
-// learnByBlocks updates the replica's prefill speed, or the speed of the link when the
-// time was spent on a pull as well.
-func (r *Reservation) learnByBlocks(took time.Duration) {
-	computed := r.backlogTokens + r.computeTokens
-	if !r.pulls {
-		r.state.speed.learn(computed, took)
-		return
-	}
-	options := &r.router.options
-	pulling := took - r.state.speed.timeFor(computed, options)
-	r.router.bandwidths.observePull(r.startedAt+took, r.pull.zones, float64(r.pull.tokens), r.pull.sharedWith, pulling, options)
-}
-
 func (r *Reservation) endPull() {
 	if r.pulls {
 		r.pull.source.state.pullsServed--
 	}
 }
 
-// Progress says how many tokens have been generated so far. Smaller numbers
+// Progress records how many tokens have been generated so far. Smaller numbers
 // than before are ignored.
 func (r *Reservation) Progress(now time.Duration, generated uint32) {
 	r.router.mutex.Lock()
@@ -139,9 +160,9 @@
 	r.setLoad(now, target)
 }
 
-// Finish says that the attempt has ended, completed or not, and releases its
+// Finish records that the attempt has ended, completed or not, and releases its
 // load. Only the first call counts. A completed attempt renews the prediction
-// of what the replica keeps, unless the replica reports that itself.
+// of what the replica caches, unless the replica reports that itself.
 func (r *Reservation) Finish(now time.Duration, completed bool) {
 	if !r.release(now) {
 		return
@@ -156,7 +177,15 @@
 	r.state.feed.predict(now, r.feedEpoch, r.links)
 }
 
-// release ends the load, and tells whether it had not ended before.
+// Cancelled records that the attempt has ended because nobody waits for it any
+// more, or that it has not run. Nothing is learned from it.
+func (r *Reservation) Cancelled(now time.Duration) {
+	if r.release(now) {
+		r.removePending()
+	}
+}
+
+// release ends the load, and reports whether it had not ended before.
 func (r *Reservation) release(now time.Duration) bool {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -167,30 +196,16 @@
 	r.finished = true
 	if !r.firstToken {
 		r.endPull()
-		r.removeFromQueue(now)
+		if r.work != nil {
+			r.state.drainBacklog(now)
+			r.state.load.queue.remove(r.work)
+		}
 	}
 	r.setLoad(now, load{})
 	return true
 }
 
-// removeFromQueue takes the prompt off the replica's queue.
-func (r *Reservation) removeFromQueue(now time.Duration) {
-	if r.work == nil {
-		return
-	}
-	r.state.drainBacklog(now)
-	r.state.queue.remove(r.work)
-}
-
-// Cancelled says that the attempt has ended because nobody waits for it any
-// more, or that it has not run. Nothing is learnt from it.
-func (r *Reservation) Cancelled(now time.Duration) {
-	if r.release(now) {
-		r.removePending()
-	}
-}
-
-// removePending takes back that the prompt will be kept, if it was not read.
+// removePending withdraws the pending chunks of a prompt that was not computed.
 func (r *Reservation) removePending() {
 	if r.work == nil || r.firstToken {
 		return
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -10,30 +10,37 @@
 )
 
 const (
-	// pendingTTL ends the parts of a request that never answers.
+	// pendingTTL ends the pending chunks of a request that never answers.
 	pendingTTL = 10 * time.Second
-	// maxPending bounds the parts of requests that have not answered.
+	// maxPending bounds the pending chunks.
 	maxPending    = 1 << 16
 	pendingShards = 16
 )
 
 // Router selects replicas. It is safe for concurrent use.
+//
+// It composes the registry of replicas, each with a feed and a load, and the two
+// cost models.
+//
+// Locks: mutex guards all but the feeds and the indexes. A feed has a mutex of its
+// own, under which it changes the indexes and takes their locks. No goroutine waits
+// for one of the two mutexes while it holds the other: selection reads a feed under
+// the router's mutex by TryLock alone, and a feed never calls the router.
 type Router struct {
 	options Options
-	index   *prefixindex.Index
-	// pending holds the parts of requests that have not answered yet. They are
-	// not there to pull, but a request behind will find them.
+	// index has the chunks that owners cache, by their reports and predictions.
+	index *prefixindex.Index
+	// pending has the chunks of requests whose first event has not come yet. They
+	// can't be pulled, but a request behind will find them cached.
 	pending     *prefixindex.Index
 	scratchPool sync.Pool
 
-	mutex         sync.Mutex
-	replicas      map[string]*replicaState
-	nextOwner     prefixindex.Owner
-	freeOwners    []prefixindex.Owner
-	bandwidths    linkBandwidths
-	latencyModels map[string]*latencyModel
-	recentHashes  recentHashes
-	// latest is the newest time that the router was told.
+	// mutex guards the fields below, and all of replicaState but its feed.
+	mutex    sync.Mutex
+	replicas registry
+	blocks   blockModel
+	times    timeModel
+	// latest is the newest time that the router was given.
 	latest time.Duration
 }
 
@@ -44,76 +51,84 @@
 	ActiveRequests float64
 }
 
-// New returns a Router that knows of no replica.
+// New returns a Router without replicas.
 func New(options Options) *Router {
-	options = options.withDefaults()
-	return &Router{
-		options:       options,
-		index:         prefixindex.New(options.Index),
-		pending:       prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards}),
-		scratchPool:   sync.Pool{New: func() any { return &scratch{} }},
-		replicas:      make(map[string]*replicaState),
-		bandwidths:    newLinkBandwidths(),
+	r := &Router{
+		options:     options.withDefaults(),
+		scratchPool: sync.Pool{New: func() any { return &scratch{} }},
+	}
+	r.index = prefixindex.New(r.options.Index)
+	r.pending = prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards})
+	r.replicas = registry{index: r.index, pending: r.pending, options: &r.options, byAddress: make(map[string]*replicaState)}
+	r.blocks = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: newLinkBandwidths()}
+	r.times = timeModel{
+		options:       &r.options,
+		replicas:      &r.replicas,
+		index:         r.index,
+		pending:       r.pending,
 		latencyModels: make(map[string]*latencyModel),
 	}
+	return r
 }
 
 // Load returns the load that the router assumes of a replica.
 func (r *Router) Load(now time.Duration, address string) Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	state, present := r.replicas[address]
+	state, present := r.replicas.byAddress[address]
 	if !present {
 		return Load{}
 	}
-	return r.blocks(state.load.total(now, &r.options))
+	return r.options.blocks(state.load.total(now, &r.options))
+}
+
+// ActiveRequests returns how many requests the router assumes that a replica
+// works on: its own, and those that other routers sent or the replica reported,
+// whichever is more.
+func (r *Router) ActiveRequests(now time.Duration, address string) float64 {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	state, present := r.replicas.byAddress[address]
+	if !present {
+		return 0
+	}
+	return state.load.active(now, &r.options).requests
 }
 
 // IndexStats returns the size of the prefix index.
 func (r *Router) IndexStats() prefixindex.Stats { return r.index.Stats() }
 
-// ObserveLinkBandwidth takes in the bandwidth of pulls from one zone to another.
+// ObserveLinkBandwidth records the bandwidth of pulls from one zone to another, in
+// bytes per second.
 func (r *Router) ObserveLinkBandwidth(fromZone, toZone string, bytesPerSecond float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
+	r.blocks.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
 }
 
-// Forget drops all that is known of an address that the platform no longer
-// lists. Reservations on it may still be finished.
+// Forget drops the state of an address that the platform no longer lists.
+// Reservations on it may still be finished.
 func (r *Router) Forget(address string) {
 	r.mutex.Lock()
-	state, present := r.replicas[address]
-	delete(r.replicas, address)
+	state, present := r.replicas.remove(address)
 	r.mutex.Unlock()
 	if !present {
 		return
 	}
 	state.feed.forget()
-	// Only now can no event of the old address reach the handle any more.
 	r.mutex.Lock()
-	r.freeOwners = append(r.freeOwners, state.owner)
-	r.mutex.Unlock()
+	defer r.mutex.Unlock()
+	r.replicas.releaseOwner(state.owner)
 }
 
-// Addresses returns, in no order, the addresses that the router knows.
+// Addresses returns, in no order, the addresses that the router has state of.
 func (r *Router) Addresses() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return lo.Keys(r.replicas)
-}
-
-// blocks turns a load in tokens into blocks.
-func (r *Router) blocks(tokens load) Load {
-	blockTokens := float64(r.options.BlockTokens)
-	return Load{
-		PrefillBlocks:  tokens.prefillTokens / blockTokens,
-		DecodeBlocks:   tokens.decodeTokens / blockTokens,
-		ActiveRequests: tokens.requests,
-	}
+	return lo.Keys(r.replicas.byAddress)
 }
 
-// observeTime remembers the newest time. The router's lock is held.
+// observeTime records the newest time. The caller holds the lock.
 func (r *Router) observeTime(now time.Duration) {
 	r.latest = max(r.latest, now)
 }
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// defaultRetryAfter is when to come back if nothing tells better.
+	// defaultRetryAfter is the advice to callers when no estimate is available.
 	defaultRetryAfter = time.Second
-	// minRetryAfter and maxRetryAfter bound the advice to callers.
+	// minRetryAfter and maxRetryAfter bound the advice.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
@@ -23,12 +23,13 @@
 	overlap   prefixindex.Overlap
 	pull      plannedPull
 	pulls     bool
-	// waits tells that the overlap is there only after a wait.
+	// waits says that the overlap is there only after a wait.
 	waits          bool
 	backlogTokens  float64
 	activeRequests float64
-	cost           float64
-	// timeTerms is used with an engine profile.
+	// cost is in blocks.
+	cost float64
+	// timeTerms is set by the time cost model.
 	timeTerms timeTerms
 }
 
@@ -50,124 +51,67 @@
 		r.detectReplacements(req.Now, candidates)
 	}
 	r.lookUp(s, &req, candidates)
-	decision, err := r.scoreAndDecide(s, &req, candidates)
+	decision, err := r.chooseAndReserve(s, &req, candidates)
 	if err == nil && req.Engine != nil {
 		r.addPending(&req, &decision)
 	}
 	return decision, err
 }
 
-// scoreAndDecide takes the router's lock for the choice.
-func (r *Router) scoreAndDecide(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
+// detectReplacements discards the state of addresses whose replica is another
+// instance than the last one.
+func (r *Router) detectReplacements(now time.Duration, candidates []Candidate) {
 	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.observeTime(req.Now)
-	if req.Engine != nil {
-		req.latency = r.latencyModelOf(req.Model, req.Engine)
-	}
-	r.gatherSources(s, req, candidates)
-	if req.Engine != nil {
-		r.setHarmWeight(s, req, candidates)
-	}
-	allowed := r.score(s, req, candidates)
-	if allowed == 0 {
-		return Decision{}, &NoReplicaError{Reason: AllExcluded, RetryAfter: defaultRetryAfter}
-	}
-	if req.Engine != nil {
-		s.dropFull(req)
-	}
-	if len(s.scored) == 0 {
-		return Decision{}, &NoReplicaError{Reason: AllBusy, RetryAfter: r.retryAfter(req, candidates)}
-	}
-	at := choose(req.Settings, s.scored, s.scored[0].prompt.affinity(req), req.Random)
-	return r.decide(req, &s.scored[at]), nil
-}
-
-// score fills in the candidates that may take the request, and returns how
-// many it is not kept from.
-func (r *Router) score(s *scratch, req *Request, candidates []Candidate) (allowed int) {
-	for at := range candidates {
-		candidate := &candidates[at]
-		if req.excludes(candidate.Address) {
+	var replaced []*replicaState
+	for i := range candidates {
+		candidate := &candidates[i]
+		if candidate.Instance == "" {
 			continue
 		}
-		allowed++
-		state := r.stateLocked(req.Now, candidate.Address)
-		if req.Engine != nil {
-			if req.mayUse(candidate) {
-				s.scored = append(s.scored, r.scoreByTime(req, candidate, state, s.prompt(candidate.WeightVersion)))
-			}
-			continue
+		state := r.replicas.state(now, candidate.Address)
+		if state.instance != "" && state.instance != candidate.Instance {
+			replaced = append(replaced, state)
 		}
-		if r.busy(req, state) || r.atSlowStartLimit(req, state) {
-			continue
-		}
-		s.scored = append(s.scored, r.scoreByBlocks(req, candidate, state, s.prompt(candidate.WeightVersion)))
+		state.instance = candidate.Instance
 	}
-	return allowed
-}
-
-// busy tells whether a replica has reached the busy threshold.
-func (r *Router) busy(req *Request, state *replicaState) bool {
-	if req.Settings.BusyThresholdBlocks <= 0 {
-		return false
+	r.mutex.Unlock()
+	for _, state := range replaced {
+		state.feed.handleReplacement()
+		r.handleRestart(now, state)
 	}
-	active := r.blocks(state.load.total(req.Now, &r.options))
-	return active.PrefillBlocks+active.DecodeBlocks >= req.Settings.BusyThresholdBlocks
 }
 
-// atSlowStartLimit tells whether a replica has as many reservations as its slow start
-// allows.
-func (r *Router) atSlowStartLimit(req *Request, state *replicaState) bool {
-	return state.load.local.present.requests >= float64(state.slowStart.limit(req.Now, &r.options))
-}
-
-func (r *Router) scoreByBlocks(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
-	scored := scoredCandidate{
-		candidate: candidate,
-		state:     state,
-		prompt:    p,
-		view:      state.feed.view(req.Now),
-		overlap:   p.overlaps.Of(state.owner),
-	}
-	scored.pull, scored.pulls = r.planPullByBlocks(req, p, state, candidate.Zone, scored.overlap.Likely)
-	total := state.load.total(req.Now, &r.options)
-	active := r.blocks(total)
-	scored.backlogTokens = total.prefillTokens
-	scored.activeRequests = active.ActiveRequests
-	scored.cost = blockCost(req.Settings, blockCostInputs{
-		activePrefill:  active.PrefillBlocks,
-		incomingPrompt: r.tokensToBlocks(req.promptTokens),
-		overlapCredit:  r.credit(req.Settings, &scored),
-		activeDecode:   active.DecodeBlocks,
-		incomingDecode: r.tokensToBlocks(req.promptTokens) + r.tokensToBlocks(req.OutputTokens),
-		activeRequests: active.ActiveRequests,
-	})
-	return scored
-}
-
-// credit returns the blocks that the replica need not compute, each weighted by
-// how sure and how near it is.
-func (r *Router) credit(settings Settings, scored *scoredCandidate) float64 {
-	certain := r.tokensToBlocks(scored.overlap.Reported.Tokens)
-	guessed := r.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
-	if scored.view.uncertain {
-		guessed += certain
-		certain = 0
-	}
-	credit := settings.LocalCredit * (certain + r.options.GuessCredit*guessed)
-	if scored.pulls {
-		credit += scored.pull.credit(settings) * r.tokensToBlocks(scored.pull.tokens)
-	}
-	return credit
-}
-
-func (r *Router) tokensToBlocks(tokens uint32) float64 {
-	return float64(tokens) / float64(r.options.BlockTokens)
+// chooseAndReserve has the cost model of the request choose a candidate, and
+// reserves its load, under the router's lock. It is the only place where requests
+// with and without an engine profile part. The models are called directly: behind
+// an interface the request would escape to the heap.
+func (r *Router) chooseAndReserve(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.observeTime(req.Now)
+	if req.Engine == nil {
+		chosen, err := r.blocks.choose(s, req, candidates)
+		if err != nil {
+			return Decision{}, err
+		}
+		decision := newDecision(req, chosen)
+		decision.Reservation = r.reserveByBlocks(req, chosen)
+		return decision, nil
+	}
+	chosen, err := r.times.choose(s, req, candidates)
+	if err != nil {
+		return Decision{}, err
+	}
+	decision := newDecision(req, chosen)
+	decision.ExpectedDelay = fromMilliseconds(chosen.timeTerms.delay)
+	decision.Save = r.times.shouldSave(req, chosen.prompt)
+	decision.Wait = r.times.prefixWait(req, chosen)
+	decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
+	return decision, nil
 }
 
-// decide turns the chosen candidate into a decision, and reserves its load.
-func (r *Router) decide(req *Request, chosen *scoredCandidate) Decision {
+// newDecision returns the decision for a candidate, but for its reservation.
+func newDecision(req *Request, chosen *scoredCandidate) Decision {
 	decision := Decision{
 		Address:       chosen.candidate.Address,
 		Instance:      chosen.candidate.Instance,
@@ -180,31 +124,18 @@
 	if chosen.pulls {
 		decision.Pull = chosen.pull.pull()
 	}
-	if req.Engine != nil {
-		decision.ExpectedDelay = fromMilliseconds(chosen.timeTerms.delay)
-		decision.Save = r.shouldSave(req, chosen.prompt)
-		decision.Wait = r.prefixWait(req, chosen)
-		decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
-		return decision
-	}
-	decision.Reservation = r.reserveByBlocks(req, chosen)
 	return decision
 }
 
-// retryAfter estimates when the first of the candidates has worked off its
-// prefill.
-func (r *Router) retryAfter(req *Request, candidates []Candidate) time.Duration {
-	if req.Engine != nil {
-		return r.retryAfterByTime(req, candidates)
+// addPending records that the chosen replica, and the store if the chunks are
+// saved, will cache the prompt.
+func (r *Router) addPending(req *Request, decision *Decision) {
+	if r.options.Disabled.PendingChunks {
+		return
 	}
-	shortest := maxRetryAfter
-	for at := range candidates {
-		if req.excludes(candidates[at].Address) {
-			continue
-		}
-		state := r.stateLocked(req.Now, candidates[at].Address)
-		backlog := state.load.total(req.Now, &r.options).prefillTokens
-		shortest = min(shortest, state.speed.timeFor(backlog, &r.options))
+	reservation := decision.Reservation
+	reservation.state.feed.addPending(req.Now, reservation.links)
+	if reservation.store != nil {
+		reservation.store.feed.addPending(req.Now, reservation.links)
 	}
-	return max(shortest, minRetryAfter)
 }
--- a/pkg/kvrouter/select_test.go
+++ b/pkg/kvrouter/select_test.go
@@ -1,6 +1,7 @@
 package kvrouter_test
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -21,9 +22,9 @@
 		f := newFleet(slowLinks, "worker-1", "worker-2", "worker-3")
 		f.settings.BusyThresholdBlocks = 100
 		whole := links(prompt(60))
-		f.keeps("worker-1", whole[:48])
-		f.keeps("worker-2", whole[:20])
-		f.keeps("worker-3", whole)
+		f.caches("worker-1", whole[:48])
+		f.caches("worker-2", whole[:20])
+		f.caches("worker-3", whole)
 		f.isBusyWith(late, "worker-1", 0, 46, 1)
 		f.isBusyWith(late, "worker-2", 0, 8, 1)
 		f.isBusyWith(late, "worker-3", 0, 100, 1)
@@ -39,7 +40,7 @@
 
 	It("gives the deepest overlap the request when loads are equal", func() {
 		f := newFleet(slowLinks, "a", "b")
-		f.keeps("b", links(prompt(10))[:4])
+		f.caches("b", links(prompt(10))[:4])
 		chosen := f.choose(late, prompt(10))
 		Expect(chosen.Address).To(Equal("b"))
 		Expect(chosen.OverlapTokens).To(BeEquivalentTo(4 * blockTokens))
@@ -50,7 +51,7 @@
 
 	It("weighs the prefill term and the requests as configured", func() {
 		f := newFleet(slowLinks, "a", "b")
-		f.keeps("a", links(prompt(10)))
+		f.caches("a", links(prompt(10)))
 		f.isBusyWith(late, "a", 0, 12, 2)
 		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
 		f.settings.PrefillLoadScale = 2
@@ -61,7 +62,7 @@
 
 	It("never lets a credit make the prefill term negative", func() {
 		f := newFleet(slowLinks, "a")
-		f.keeps("a", links(prompt(10)))
+		f.caches("a", links(prompt(10)))
 		f.settings.LocalCredit = 3
 		f.isBusyWith(late, "a", 5, 7, 1)
 		Expect(f.choose(late, prompt(10)).Cost).To(BeNumerically("~", 7+10))
@@ -74,11 +75,11 @@
 		Expect(kvrouter.SettingsFrom(&ridgeswitchv1.Routing{PeerCredit: 0.5, BusyThresholdBlocks: 100, Temperature: 0.1})).To(Equal(wanted))
 	})
 
-	It("never finds parts kept under another weight version or sharing domain", func() {
+	It("never finds chunks cached under another weight version or sharing domain", func() {
 		f := newFleet(kvrouter.Options{LinkBytesPerSecond: 1e15})
 		f.add("old", "zone", "v1")
 		f.add("new", "zone", "v2")
-		f.keeps("old", links(prompt(10)))
+		f.caches("old", links(prompt(10)))
 		chosen := f.choose(late, prompt(10))
 		Expect(chosen.Address).To(Equal("old"))
 		chosen.Reservation.Finish(late, false)
@@ -91,7 +92,7 @@
 		Expect(chosen.Pull).To(BeNil())
 
 		f = newFleet(kvrouter.Options{}, "a")
-		f.keeps("a", links(prompt(10)))
+		f.caches("a", links(prompt(10)))
 		walled := f.request(late, prompt(10))
 		walled.SaltFor = func(weightVersion string) string { return "walled/" + weightVersion }
 		decision, err := f.router.Select(walled, f.candidates)
@@ -158,7 +159,7 @@
 			_, err := f.router.Select(req, candidates)
 			var refused *kvrouter.NoReplicaError
 			Expect(err).To(BeAssignableToTypeOf(refused))
-			refused = err.(*kvrouter.NoReplicaError)
+			Expect(errors.As(err, &refused)).To(BeTrue())
 			Expect(refused.RetryAfter).To(BeNumerically(">", 0))
 			Expect(refused.Error()).To(ContainSubstring("again after"))
 			return refused.Reason
@@ -200,11 +201,11 @@
 		Expect(admitted(f, 5*time.Second)).To(Equal(24))
 		Expect(admitted(f, 10*time.Second)).To(Equal(1000))
 
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: life, Warming: true})
+		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Warming: true})
 		Expect(admitted(f, late)).To(Equal(4))
 		Expect(admitted(f, late+10*time.Second)).To(Equal(1000))
 
-		f.router.Reset(2*late, "a", life+1, 1, nil)
+		f.router.Reset(2*late, "a", firstIncarnation+1, 1, nil)
 		Expect(admitted(f, 2*late)).To(Equal(4))
 	})
 })
--- a/pkg/kvrouter/settings.go
+++ b/pkg/kvrouter/settings.go
@@ -30,7 +30,7 @@
 	PrefillLoadScale float64
 	// RequestWeight is a flat cost, in blocks, per active request.
 	RequestWeight float64
-	// LocalCredit is the credit per block that the replica keeps itself.
+	// LocalCredit is the credit per block that the replica caches itself.
 	LocalCredit float64
 	// PeerCredit is the credit per block that it would pull from a peer.
 	PeerCredit float64
@@ -44,21 +44,22 @@
 
 	// DecodeWeight is the weight of a block of memory in use.
 	DecodeWeight float64
-	// HarmWeight is how often the request's own prefill counts beyond its own
-	// delay, for those that come behind it.
+	// HarmWeight is how often the request's own prefill counts beyond its own delay,
+	// for the delay that it causes to the requests behind it.
 	HarmWeight float64
 	// HarmTime is the median backlog of the replicas, in milliseconds, at which
-	// HarmWeight doubles, and so on: the more prompts wait, the more of them wait
-	// for this one. 0 leaves HarmWeight as it is.
+	// HarmWeight doubles, and so on: the more prompts are queued, the more of them wait
+	// for this one. With 0 HarmWeight does not depend on the backlog.
 	HarmTime float64
-	// LessUrgentWeight is the share of less urgent prompts that count as ahead.
+	// LessUrgentWeight is the fraction of less urgent prompts that counts as queued
+	// before the request.
 	LessUrgentWeight float64
-	// ChurnFraction is the share of a replica's memory that may wait to be read before
-	// pulled parts count as evicted by the time that they are used. 0 means that
-	// they last.
+	// ChurnFraction is the backlog, as a fraction of a replica's memory, from which on
+	// pulled chunks count as evicted by the time that they are used. 0 means that
+	// they are never evicted before.
 	ChurnFraction float64
-	// SpreadTime bounds the preference, in milliseconds, that each router has of
-	// its own for each replica. It keeps routers whose news of each other is as
+	// SpreadTime bounds the preference, in milliseconds, that each router has of its
+	// own for each replica. It keeps routers whose load updates of each other are as
 	// old as that from all choosing the same replica.
 	SpreadTime float64
 	// ZonePrice is what a request to a replica in another zone costs, in
@@ -66,7 +67,7 @@
 	ZonePrice float64
 	// ZonePricePerKilobyte is added to it for each kilobyte of the request's body.
 	ZonePricePerKilobyte float64
-	// TransferPrice is what a megabyte moved costs, in milliseconds.
+	// TransferPrice is what the transfer of a megabyte costs, in milliseconds.
 	TransferPrice float64
 	// Temperature of the softmax over the costs; 0 selects the lowest cost.
 	Temperature float64
--- a/pkg/kvrouter/shared_load.go
+++ b/pkg/kvrouter/shared_load.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// sharedLoadTTL ends the load that another router told of and has not
-	// told of since.
+	// sharedLoadTTL is how long a load that another router sent counts.
 	sharedLoadTTL = time.Second
-	// sweepEvery is how often ended loads are looked for.
-	sweepEvery = 250 * time.Millisecond
-	// maxSharingRouters bounds the routers whose load on one replica is kept.
+	// sweepInterval is the time between two searches for loads that have ended.
+	sweepInterval = 250 * time.Millisecond
+	// maxSharingRouters bounds the routers whose load on one replica is recorded.
 	maxSharingRouters = 512
 )
 
-// SharedLoad is the work of one router's requests on a replica, in tokens.
+// SharedLoad is the load of one router's requests on a replica, as routers send it
+// to each other.
 type SharedLoad struct {
-	// PrefillTokens are the unread tokens of prompts by priority.
+	// PrefillTokens are the unread prompt tokens by priority.
 	PrefillTokens [Priorities]float64
-	// DecodeTokens are those that its requests hold in memory.
+	// DecodeTokens are the tokens that its requests occupy in memory.
 	DecodeTokens float64
-	// Requests counts its requests that have not ended.
+	// Requests counts its active requests.
 	Requests float64
 }
 
@@ -32,7 +32,7 @@
 	SharedLoad
 }
 
-// idle tells whether there is nothing to say.
+// idle reports whether there is no load.
 func (l *SharedLoad) idle() bool { return l.Requests == 0 }
 
 func (l *SharedLoad) prefill() (sum float64) {
@@ -42,45 +42,47 @@
 	return sum
 }
 
-// sharedEntry is the newest load that another router told of.
+// sharedEntry is the newest load that another router sent.
 type sharedEntry struct {
 	load       SharedLoad
 	receivedAt time.Duration
-	// remaining is the state of the countdown when it was told.
+	// remaining and generation are those of sharedLoads when the entry was received.
 	remaining  float64
 	generation uint64
 }
 
-// sharedLoads sums what other routers told of one replica. Their prefill shrinks
-// as the replica reads it. So that one told load changes the sum at constant
-// cost, all prefill shrinks by one common factor.
+// sharedLoads sums the loads that other routers sent of one replica. Their prefill
+// shrinks as the replica computes it. So that a new load changes the sum at
+// constant cost, all prefill shrinks by one common factor, and an entry remembers
+// the factor that held when it was received.
 type sharedLoads struct {
 	byRouter map[string]sharedEntry
 	sum      SharedLoad
-	// remaining is the share of prefill told at its start that is still
-	// unread, within a generation. A new one begins when it falls near 0.
+	// remaining is the fraction that is still unread of the prefill received at the
+	// start of the generation. A new generation begins when it falls near 0.
 	remaining  float64
 	generation uint64
 	sweptAt    time.Duration
 }
 
+// minRemaining is the fraction below which a generation ends.
 const minRemaining = 1e-6
 
-// set replaces what a router told.
-func (s *sharedLoads) set(now time.Duration, router string, reported SharedLoad) {
+// set replaces the load of a router.
+func (s *sharedLoads) set(now time.Duration, router string, received SharedLoad) {
 	if s.byRouter == nil {
 		s.byRouter = make(map[string]sharedEntry)
 		s.remaining = 1
 	}
 	s.remove(router)
-	if reported.idle() || len(s.byRouter) >= maxSharingRouters {
+	if received.idle() || len(s.byRouter) >= maxSharingRouters {
 		return
 	}
-	s.byRouter[router] = sharedEntry{load: reported, receivedAt: now, remaining: s.remaining, generation: s.generation}
-	s.add(&reported, 1, 1)
+	s.byRouter[router] = sharedEntry{load: received, receivedAt: now, remaining: s.remaining, generation: s.generation}
+	s.add(&received, 1, 1)
 }
 
-// remove takes off what a router told.
+// remove subtracts the load of a router, as far as it is unread.
 func (s *sharedLoads) remove(router string) {
 	entry, present := s.byRouter[router]
 	if !present {
@@ -107,7 +109,7 @@
 	s.sum.Requests = max(0, s.sum.Requests+sign*load.Requests)
 }
 
-// drain takes off tokens that the replica has read meanwhile.
+// drain subtracts tokens that the replica has computed meanwhile.
 func (s *sharedLoads) drain(tokens float64) {
 	prefill := s.sum.prefill()
 	if prefill <= 0 || tokens <= 0 {
@@ -125,9 +127,9 @@
 	}
 }
 
-// sweep removes what was not told again in time.
+// sweep removes the loads that were not renewed in time.
 func (s *sharedLoads) sweep(now time.Duration) {
-	if len(s.byRouter) == 0 || now-s.sweptAt < sweepEvery {
+	if len(s.byRouter) == 0 || now-s.sweptAt < sweepInterval {
 		return
 	}
 	s.sweptAt = now
@@ -138,63 +140,44 @@
 	}
 }
 
-// SetRemoteLoad takes in the load that another router has on a replica. It counts
+// SetRemoteLoad records the load that another router has on a replica. It counts
 // until the next one of that router, or for a second.
-func (r *Router) SetRemoteLoad(now time.Duration, router, address string, reported SharedLoad) {
+func (r *Router) SetRemoteLoad(now time.Duration, router, address string, received SharedLoad) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.observeTime(now)
-	state := r.stateLocked(now, address)
+	state := r.replicas.state(now, address)
 	state.drainBacklog(now)
-	state.shared.set(now, router, reported)
+	state.load.shared.set(now, router, received)
 }
 
-// LocalLoads returns, by address, the own load of each replica that has some, and
-// once more of each that has had some until the last call. It is what to hand
-// to SetRemoteLoad of the other routers.
+// LocalLoads returns, in the order of the addresses, the load of this router's
+// reservations on each replica that has some, and once more on each that had some
+// at the last call. It is to be passed to SetRemoteLoad of the other routers.
 func (r *Router) LocalLoads(now time.Duration) []AddressLoad {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.observeTime(now)
 	var loads []AddressLoad
-	for address, state := range r.replicas {
-		if state.load.local.present.requests == 0 && !state.loadAnnounced {
+	for address, state := range r.replicas.byAddress {
+		if state.load.local.present.requests == 0 && !state.load.announced {
 			continue
 		}
 		local := state.localLoad(now)
-		state.loadAnnounced = !local.idle()
+		state.load.announced = !local.idle()
 		loads = append(loads, AddressLoad{Address: address, SharedLoad: local})
 	}
 	slices.SortFunc(loads, func(a, b AddressLoad) int { return cmp.Compare(a.Address, b.Address) })
 	return loads
 }
 
-// localLoad is the load of this router's own requests.
+// localLoad returns the load of this router's reservations.
 func (s *replicaState) localLoad(now time.Duration) SharedLoad {
 	s.drainBacklog(now)
 	local := SharedLoad{
 		DecodeTokens: s.load.local.present.decodeTokens,
 		Requests:     s.load.local.present.requests,
 	}
-	s.queue.byPriority(&local.PrefillTokens)
+	s.load.queue.byPriority(&local.PrefillTokens)
 	return local
 }
-
-// drainBacklog brings the estimate of what the replica has read up to date. Own and
-// other requests share its time.
-func (s *replicaState) drainBacklog(now time.Duration) {
-	elapsed := now - s.queue.updatedAt
-	if elapsed <= 0 {
-		return
-	}
-	s.queue.updatedAt = now
-	s.shared.sweep(now)
-	local, others := s.queue.unread(), s.shared.sum.prefill()
-	if local+others <= 0 || s.perToken <= 0 {
-		return
-	}
-	read := milliseconds(elapsed) / (s.perToken * s.slowness.factor())
-	localFraction := local / (local + others)
-	s.queue.drain(read * localFraction)
-	s.shared.drain(read * (1 - localFraction))
-}
--- a/pkg/kvrouter/slow_start.go
+++ b/pkg/kvrouter/slow_start.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// slowStart bounds the reservations of a replica that may be cold and fragile. It
-// begins when the replica is first seen, again when it restarts, and again
-// with each report that says warming, so that the bound starts to rise only
-// when the replica has stopped saying so.
+// slowStart bounds the reservations of a replica that may have started lately. It
+// begins when the replica is first seen, again when it restarts, and again with each
+// report that says that it is warming up, so that the bound starts to rise only when
+// the replica has stopped saying so.
 type slowStart struct {
 	since time.Duration
 }
--- a/pkg/kvrouter/suite_test.go
+++ b/pkg/kvrouter/suite_test.go
@@ -24,8 +24,8 @@
 	blockTokens = kvrouter.DefaultBlockTokens
 	// late is a time at which slow start is over for replicas first seen at 0.
 	late = time.Minute
-	// life is the incarnation that replicas begin with.
-	life = 7
+	// firstIncarnation is the incarnation that replicas start with.
+	firstIncarnation = 7
 )
 
 // fleet is a router with replicas a, b and so on in one zone each by choice.
@@ -47,10 +47,10 @@
 
 func (f *fleet) add(address, zone, weightVersion string) {
 	f.candidates = append(f.candidates, kvrouter.Candidate{Address: address, Zone: zone, WeightVersion: weightVersion})
-	f.router.Report(0, address, kvrouter.Report{WeightVersion: weightVersion, Incarnation: life})
+	f.router.Report(0, address, kvrouter.Report{WeightVersion: weightVersion, Incarnation: firstIncarnation})
 }
 
-// prompt is a prompt of parts of one block each, named by position.
+// prompt is a prompt of chunks of one block each, named by position.
 func prompt(blocks int) []prefixindex.Chunk {
 	return lo.Times(blocks, func(position int) prefixindex.Chunk {
 		return prefixindex.Chunk{ID: fmt.Sprint("part ", position), Tokens: blockTokens}
@@ -67,10 +67,10 @@
 	return lo.Map(links, func(link prefixindex.Link, _ int) prefixindex.ChainHash { return link.Hash })
 }
 
-// keeps makes a replica report parts of the prompt.
-func (f *fleet) keeps(address string, kept []prefixindex.Link) {
+// caches makes a replica report chunks of the prompt.
+func (f *fleet) caches(address string, cached []prefixindex.Link) {
 	f.sequences[address]++
-	Expect(f.router.Stored(0, address, life, f.sequences[address], kept)).To(Equal(kvrouter.Accepted))
+	Expect(f.router.Stored(0, address, firstIncarnation, f.sequences[address], cached)).To(Equal(kvrouter.Accepted))
 }
 
 // isBusyWith makes a replica report load, in blocks.
@@ -80,7 +80,7 @@
 		ActiveDecodeTokens:  decode * blockTokens,
 		ActiveRequests:      requests,
 		WeightVersion:       version,
-		Incarnation:         life,
+		Incarnation:         firstIncarnation,
 	})
 }
 
@@ -94,7 +94,7 @@
 	return decision
 }
 
-// overlap returns how many tokens the router thinks that a replica keeps.
+// overlap returns how many tokens the router thinks that a replica caches.
 func (f *fleet) overlap(now time.Duration, address string, chunks []prefixindex.Chunk) uint32 {
 	only := lo.Filter(f.candidates, func(candidate kvrouter.Candidate, _ int) bool { return candidate.Address == address })
 	decision, err := f.router.Select(f.request(now, chunks), only)
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -1,6 +1,7 @@
 package kvrouter_test
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -15,7 +16,7 @@
 	return []prefixindex.Chunk{{ID: name, Tokens: tokens}}
 }
 
-func (f *engineFleet) keeps(address string, chunks int) {
+func (f *engineFleet) caches(address string, chunks int) {
 	var changes []kvrouter.ChunkChange
 	for chunk := range chunks {
 		changes = append(changes, cachedChange(uint64(chunk+1), chunk, 1000))
@@ -25,16 +26,16 @@
 
 // hasBacklog makes another router tell of unread prompts.
 func (f *engineFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
-	told := kvrouter.SharedLoad{Requests: 1, DecodeTokens: tokens}
-	told.PrefillTokens[priority] = tokens
-	f.router.SetRemoteLoad(now, "other", address, told)
+	load := kvrouter.SharedLoad{Requests: 1, DecodeTokens: tokens}
+	load.PrefillTokens[priority] = tokens
+	f.router.SetRemoteLoad(now, "other", address, load)
 }
 
 var _ = Describe("Cost in the replica's own time", func() {
-	It("goes where the prompt is kept, and elsewhere when that replica is behind", func() {
+	It("goes where the prompt is cached, and elsewhere when that replica is behind", func() {
 		f := newEngineFleet("a", "b")
 		f.engine.LinkBitsPerSecond = 1e6
-		f.keeps("b", 4)
+		f.caches("b", 4)
 		decision := f.choose(late, longPrompt(5))
 		Expect(decision.Address).To(Equal("b"))
 		Expect(decision.Instance).To(Equal("first"))
@@ -44,7 +45,7 @@
 		Expect(f.choose(late, longPrompt(5)).Address).To(Equal("a"))
 	})
 
-	It("counts what other routers told of for a second, less what was read since", func() {
+	It("counts the load that other routers sent for a second, less what was computed since", func() {
 		f := newEngineFleet("a", "b")
 		f.hasBacklog(late, "a", 5, 8000)
 		Expect(f.choose(late, otherPrompt("x", 100)).Address).To(Equal("b"))
@@ -59,7 +60,7 @@
 		Expect(delay(late + time.Second)).To(BeNumerically("~", 21*time.Millisecond, time.Millisecond))
 	})
 
-	It("replaces what a router told before, and hands out its own load", func() {
+	It("replaces the earlier load of a router, and returns the local load", func() {
 		f := newEngineFleet("a")
 		f.hasBacklog(late, "a", 5, 8000)
 		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{})
@@ -80,13 +81,13 @@
 		Expect(f.router.LocalLoads(late + time.Second)).To(BeEmpty())
 	})
 
-	It("sums what many routers told, whatever was read in between", func() {
+	It("sums the loads of many routers, whatever was computed in between", func() {
 		f := newEngineFleet("a")
 		f.choose(late, otherPrompt("first", 100)).Reservation.Cancelled(late)
 		for number := range 5 {
-			told := kvrouter.SharedLoad{Requests: 1}
-			told.PrefillTokens[0] = 4000
-			f.router.SetRemoteLoad(late, fmt.Sprint(number), "a", told)
+			load := kvrouter.SharedLoad{Requests: 1}
+			load.PrefillTokens[0] = 4000
+			f.router.SetRemoteLoad(late, fmt.Sprint(number), "a", load)
 		}
 		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
 		at := late + 250*time.Millisecond
@@ -148,7 +149,7 @@
 
 	It("avoids replicas whose slots or memory are full, and says when to come back if all are", func() {
 		f := newEngineFleet("a", "b")
-		f.keeps("a", 4)
+		f.caches("a", 4)
 		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{Requests: 4})
 		Expect(f.choose(late, longPrompt(4)).Address).To(Equal("b"))
 		f.router.Report(late, "b", kvrouter.Report{MemoryUsed: 97_500, MemoryTotal: 100_000, Running: 3})
@@ -156,13 +157,14 @@
 		f.router.SetRemoteLoad(late, "more", "a", kvrouter.SharedLoad{Requests: 4})
 		_, err := f.trySelect(late, otherPrompt("x", 4000))
 		Expect(err).To(HaveValue(HaveField("Reason", kvrouter.AllBusy)))
-		refused := err.(*kvrouter.NoReplicaError)
+		var refused *kvrouter.NoReplicaError
+		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.RetryAfter).To(BeNumerically("<", time.Second))
 		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Second }
 		Expect(f.choose(late, otherPrompt("x", 4000)).Address).To(Equal("b"))
 	})
 
-	It("goes to cold replicas only where the caller permits it", func() {
+	It("goes to replicas in slow start only where the caller permits it", func() {
 		f := newEngineFleet("a")
 		f.candidates[0].SlowStartUntil = late + time.Second
 		_, err := f.trySelect(late, longPrompt(1))
@@ -183,7 +185,7 @@
 		Expect(f.choose(late, longPrompt(2)).Address).To(Equal("b"))
 	})
 
-	It("keeps routers with old news from choosing the same replica", func() {
+	It("keeps routers with old updates from choosing the same replica", func() {
 		chosen := map[string]int{}
 		for number := range 30 {
 			f := newEngineFleet("a", "b", "c", "d")
@@ -200,11 +202,11 @@
 
 	BeforeEach(func() {
 		f = newEngineFleet("a", "b")
-		f.keeps("b", 8)
+		f.caches("b", 8)
 		f.hasBacklog(late, "b", 0, 40_000)
 	})
 
-	It("pulls what a peer keeps when that is sooner than reading it", func() {
+	It("pulls what a peer caches when that is sooner than reading it", func() {
 		decision := f.choose(late, longPrompt(9))
 		Expect(decision.Address).To(Equal("a"))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "b"), HaveField("Tokens", uint32(8000)))))
@@ -219,7 +221,7 @@
 		f.candidates[1].Region = "other"
 		g := newEngineFleet("a", "b")
 		g.candidates = f.candidates
-		g.keeps("b", 8)
+		g.caches("b", 8)
 		g.hasBacklog(late, "b", 0, 40_000)
 		Expect(g.choose(late, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 37*time.Millisecond, 10*time.Microsecond))
 	})
@@ -242,7 +244,7 @@
 			now      time.Duration
 			sequence uint64
 		)
-		// drops has a replica report that it keeps none of the prompt any more.
+		// drops has a replica report that it caches none of the prompt any more.
 		drops := func(address string) {
 			var changes []kvrouter.ChunkChange
 			for chunk := range 9 {
@@ -251,7 +253,7 @@
 			f.router.ChunksReported(now, address, kvrouter.FeedPosition{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
 			sequence++
 		}
-		// pulls has the prompt begin some time after it is sent, and tells whether it
+		// pulls has the prompt begin some time after it is sent, and reports whether it
 		// pulled.
 		pulls := func(after time.Duration) bool {
 			drops("a")
@@ -274,7 +276,7 @@
 			Expect(pulls(time.Second)).To(BeTrue())
 		})
 
-		It("does not blame it for late pulls with others in time between them", func() {
+		It("does not attribute late pulls to it with others in time between them", func() {
 			for range 4 {
 				Expect(pulls(3 * time.Second)).To(BeTrue())
 				Expect(pulls(20 * time.Millisecond)).To(BeTrue())
@@ -282,7 +284,7 @@
 		})
 	})
 
-	It("saves shared parts that the store lacks, once", func() {
+	It("saves shared chunks that the store lacks, once", func() {
 		g := newEngineFleet("a")
 		g.engine.StoreTokens, g.engine.Slots, g.engine.MemoryTokens = 1_000_000, 0, 0
 		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
@@ -303,7 +305,7 @@
 		Expect(g.choose(late+time.Hour, longPrompt(5)).Save).To(BeFalse(), "it would fill the store")
 	})
 
-	It("pulls from the store what no replica keeps", func() {
+	It("pulls from the store what no replica caches", func() {
 		g := newEngineFleet("a")
 		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		g.engine.StoreLinkBitsPerSecond = 40e9
--- /dev/null
+++ b/pkg/kvrouter/time_model.go
@@ -0,0 +1,180 @@
+package kvrouter
+
+import (
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
+)
+
+// maxLatencyModels bounds the models whose latency is learned.
+const maxLatencyModels = 64
+
+// timeModel estimates costs in the replicas' own time, for pools with an engine
+// profile. The router's lock guards it, and the caller of its methods holds it.
+type timeModel struct {
+	options  *Options
+	replicas *registry
+	// index and pending are the router's, for waits for a prefix.
+	index, pending *prefixindex.Index
+	latencyModels  map[string]*latencyModel
+	recentHashes   recentHashes
+}
+
+// choose returns the candidate to take. The result is valid until the scratch
+// memory is reset.
+func (m *timeModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
+	req.latency = m.latencyModelOf(req.Model, req.Engine)
+	m.gatherSources(s, req, candidates)
+	m.setHarmWeight(s, req, candidates)
+	allowed := m.score(s, req, candidates)
+	if allowed == 0 {
+		return nil, &NoReplicaError{Reason: AllExcluded, RetryAfter: defaultRetryAfter}
+	}
+	s.dropFull(req)
+	if len(s.scored) == 0 {
+		return nil, &NoReplicaError{Reason: AllBusy, RetryAfter: m.retryAfter(req, candidates)}
+	}
+	return &s.scored[chooseScored(req, s.scored, s.scored[0].prompt.affinity())], nil
+}
+
+// latencyModelOf returns the learned latency of a model's replicas.
+func (m *timeModel) latencyModelOf(model string, profile *EngineProfile) *latencyModel {
+	learned, present := m.latencyModels[model]
+	if present {
+		return learned
+	}
+	if len(m.latencyModels) >= maxLatencyModels {
+		clear(m.latencyModels)
+	}
+	created := newLatencyModel(profile)
+	m.latencyModels[model] = created
+	return created
+}
+
+// score adds the candidates that may take the request to the scratch memory, and
+// returns how many the request doesn't exclude.
+func (m *timeModel) score(s *scratch, req *Request, candidates []Candidate) (allowed int) {
+	for i := range candidates {
+		candidate := &candidates[i]
+		if req.excludes(candidate.Address) {
+			continue
+		}
+		allowed++
+		state := m.replicas.state(req.Now, candidate.Address)
+		if req.slowStartAllows(candidate) {
+			s.scored = append(s.scored, m.scoreOne(req, candidate, state, s.prompt(candidate.WeightVersion)))
+		}
+	}
+	return allowed
+}
+
+// slowStartAllows reports whether a candidate is not in slow start, or the caller
+// permits one more request to it.
+func (req *Request) slowStartAllows(candidate *Candidate) bool {
+	if candidate.SlowStartUntil <= req.Now {
+		return true
+	}
+	return req.SlowStartAllowed != nil && req.SlowStartAllowed(candidate.Address)
+}
+
+// dropFull leaves out replicas that are full. When all are, those are left whose
+// first event would come within the request's longest wait.
+func (s *scratch) dropFull(req *Request) {
+	hasCapacity := func(scored scoredCandidate, _ int) bool { return !scored.timeTerms.full }
+	withinMaxWait := func(scored scoredCandidate, _ int) bool {
+		return fromMilliseconds(scored.timeTerms.delay) <= req.MaxWait
+	}
+	free := lo.CountBy(s.scored, func(scored scoredCandidate) bool { return !scored.timeTerms.full })
+	switch {
+	case free == len(s.scored):
+		return
+	case free > 0:
+		s.scored = lo.Filter(s.scored, hasCapacity)
+	default:
+		s.scored = lo.Filter(s.scored, withinMaxWait)
+	}
+}
+
+// affinity returns the hash of what should draw requests to one replica when costs
+// are equal: the shared beginning of the prompt.
+func (p *prompt) affinity() prefixindex.ChainHash {
+	if len(p.links) < 2 {
+		return p.identity()
+	}
+	return p.links[len(p.links)-2].Hash
+}
+
+// learn updates the latency of the pool and the slowness of the replica and of
+// its links by the time to the first event.
+func (m *timeModel) learn(r *Reservation, now time.Duration) {
+	if r.waited || m.options.Disabled.LearntSpeeds {
+		return
+	}
+	took := milliseconds(now - r.startedAt)
+	pull := 0.0
+	if r.pulls {
+		pull = milliseconds(r.pull.transfer)
+	}
+	work := r.backlogTokens + r.computeTokens
+	usual := r.latency.expected(work)
+	excess := took - r.state.slowness.factor()*usual - pull
+	if r.pulls && r.observeTransfer(now, pull, excess) {
+		return
+	}
+	prefill := max(took-pull, 1)
+	certainty := (r.computeTokens + 1) / (work + 1)
+	ratio := prefill / max(usual, 1)
+	if r.backlogTokens <= r.computeTokens/4 {
+		r.latency.learn(work, prefill)
+	}
+	r.state.slowness.observe(now, ratio, certainty)
+}
+
+// retryAfter estimates when the first replica has capacity: when it has computed a
+// good part of what is queued there.
+func (m *timeModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
+	shortest := maxRetryAfter
+	for i := range candidates {
+		candidate := &candidates[i]
+		if req.excludes(candidate.Address) {
+			continue
+		}
+		state := m.replicas.state(req.Now, candidate.Address)
+		backlog := m.queuedTokens(req, state)
+		delay := state.slowness.factor() * req.latency.expected(backlog)
+		wait := max(fromMilliseconds(delay)-req.MaxWait, 0)
+		if candidate.SlowStartUntil > req.Now {
+			wait = max(wait, candidate.SlowStartUntil-req.Now)
+		}
+		shortest = min(shortest, wait)
+	}
+	return max(shortest, minRetryAfter)
+}
+
+// shouldSave reports whether the request is to save its chunks to the store: those
+// that others are likely to use again, when the store lacks some of them. These
+// are all but the last, and the last too when it has come before or is a session's.
+func (m *timeModel) shouldSave(req *Request, p *prompt) bool {
+	if req.Store == "" || len(p.links) == 0 || m.options.Disabled.SaveToStore {
+		return false
+	}
+	last := len(p.links) - 1
+	reused := m.recentHashes.add(p.links[last].Hash) || req.Session
+	saved := p.links
+	if !reused {
+		saved = p.links[:last]
+	}
+	tokens := 0.0
+	for _, link := range saved {
+		tokens += float64(link.Tokens)
+	}
+	if capacity := req.Engine.StoreTokens; capacity > 0 && float64(req.promptTokens) > maxSaveFraction*capacity {
+		return false
+	}
+	// Chunks on their way to the store count as cached.
+	owner := m.replicas.state(req.Now, req.Store).owner
+	stored := max(p.overlaps.Of(owner).Likely.Tokens, p.pending.Of(owner).Likely.Tokens)
+	return tokens >= minPullTokens && float64(stored) < tokens
+}
