--- a/pkg/kvrouter/chunk_snapshot_test.go
+++ b/pkg/kvrouter/chunk_snapshot_test.go
@@ -71,7 +71,7 @@
 			const changes = 60
 			begins := 2 + random.IntN(changes-2)
 			made := begins - 1 + random.IntN(changes-begins+1)
-			selectTarget := max(begins, made) + random.IntN(changes-max(begins, made)+1)
+			adoptedAt := max(begins, made) + random.IntN(changes-max(begins, made)+1)
 			var at kvrouter.FeedPosition
 			var chunks []kvrouter.ChunkChange
 			for sequence := 1; sequence <= changes; sequence++ {
@@ -83,8 +83,8 @@
 				if sequence >= begins {
 					report(started, uint64(sequence), chunk, tokens)
 				}
-				if sequence == selectTarget {
-					Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Accepted), "begins %d, made %d, taken %d", begins, made, selectTarget)
+				if sequence == adoptedAt {
+					Expect(adopt(started, at, chunks)).To(Equal(kvrouter.Accepted), "begins %d, made %d, adopted at %d", begins, made, adoptedAt)
 				}
 			}
 			same()
--- a/pkg/prefixindex/overlaps_test.go
+++ b/pkg/prefixindex/overlaps_test.go
@@ -114,7 +114,7 @@
 		}
 	})
 
-	It("replaces what a owner caches on a reset, and forgets it on a drop", func() {
+	It("replaces what an owner caches on a reset, and forgets it on a drop", func() {
 		index.Store(1, chain("abc"))
 		index.Store(2, chain("abc"))
 		index.Reset(1, chain("ax"))
