--- a/scripts/simfigures/figures.go
+++ b/scripts/simfigures/figures.go
@@ -14,8 +14,10 @@
 	"github.com/pkg/errors"
 )
 
-// wallTimeKey is the only figure of a run that depends on the machine.
-const wallTimeKey = "wall_seconds"
+// machineKeys are the figures of a run that depend on the machine: the time that it
+// took, and the histories whose check was given up after a wall-clock limit
+// (historyTimeout in internal/lab/sim/history.go).
+var machineKeys = []string{"wall_seconds", "histories_undecided"}
 
 // figures is the summary that the simulator prints, key by key, with the values
 // as they stand in its JSON.
@@ -63,7 +65,9 @@
 	if err := json.Unmarshal(summary, &all); err != nil {
 		return nil, errors.Wrap(err, "not one JSON object")
 	}
-	delete(all, wallTimeKey)
+	for _, key := range machineKeys {
+		delete(all, key)
+	}
 	return all, nil
 }
 
