--- a/pkg/replication/config.go
+++ b/pkg/replication/config.go
@@ -8,12 +8,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// minHeartbeatsPerElection is how many heartbeats a leader must be able to
-// send within one ElectionTimeout, so that one lost heartbeat costs nothing.
+// minHeartbeatsPerElection is how many heartbeats a leader must be able to send
+// within one ElectionTimeout, so that one lost heartbeat does no harm.
 const minHeartbeatsPerElection = 2
 
 const (
-	// DefaultMaxVoters bears the loss of four voters at once.
+	// DefaultMaxVoters tolerates the loss of four voters at once.
 	DefaultMaxVoters = 9
 	// DefaultRemoveAfter outlasts the restart of a process.
 	DefaultRemoveAfter = 1500 * time.Millisecond
@@ -24,38 +24,37 @@
 	// Self is the member that runs this state machine.
 	Self member.ID
 	// Incarnation names the durable state that Self is started with. It is
-	// FoundingIncarnation on the disks that the group is founded with. A disk
-	// that took the place of a lost one has an incarnation that differs from
-	// all before it, and that must be durable before New is called.
+	// FoundingIncarnation on the disks that the group is founded with. A disk that
+	// replaces a lost one has an incarnation that differs from all before it, and
+	// that must be durable before New is called.
 	Incarnation uint64
 	// Founders holds the founding voters in the agreed order, the same on every
 	// founder. Earlier members are preferred as leaders. It is empty on a member
-	// that joins a group, and may be empty on any member whose log or snapshot
-	// is not: the present voters are those that the log tells of, and its first
-	// entry tells of the founders. A member that knows of no group is a learner.
+	// that joins a group, and may be empty on any member whose log or snapshot is
+	// not: the present voters are those that the log tells of, and its first entry
+	// names the founders. A member that knows of no group is a learner.
 	Founders []member.ID
 	// MaxVoters bounds how far the leader lets the group grow by itself; zero
 	// stands for DefaultMaxVoters.
 	MaxVoters int
-	// RemoveAfter is how long a voter is silent before the leader removes it
-	// from a group with an even number of voters; zero stands for
-	// DefaultRemoveAfter.
+	// RemoveAfter is how long a voter is not heard before the leader removes it from
+	// a group with an even number of voters; zero stands for DefaultRemoveAfter.
 	RemoveAfter time.Duration
 	// HeartbeatEvery is the time between two heartbeats of a leader.
 	HeartbeatEvery time.Duration
 	// ElectionTimeout is how long a voter waits for a leader before the first
 	// live voter campaigns, and how long a leader stays without a majority.
 	ElectionTimeout time.Duration
-	// LeaseDuration is the length of the command lease; zero turns it off.
+	// LeaseDuration is the length of the command lease; zero disables it.
 	LeaseDuration time.Duration
 	// LeaseMargin covers differing rates of clocks, see package lease.
 	LeaseMargin time.Duration
-	// MaxLogEntries is how many entries are kept behind the snapshot for
-	// followers that are a little late.
+	// MaxLogEntries is how many of the entries that the snapshot covers are kept,
+	// for followers that are a little behind.
 	MaxLogEntries int
-	// Learner starts a member that never votes, and that is given no vote. A
-	// member whose durable state was lost needs only another Incarnation: the
-	// leader gives it the vote back when that is safe.
+	// Learner starts a member that never votes, and that is given no vote. A member
+	// whose durable state was lost needs only another Incarnation: the leader gives
+	// it the vote back when that is safe.
 	Learner bool
 }
 
@@ -63,7 +62,7 @@
 	return lease.Timing{Duration: c.LeaseDuration, Margin: c.LeaseMargin}
 }
 
-// withDefaults returns the settings with those that were left to the package.
+// withDefaults returns the settings with the defaults of those that are zero.
 func (c Config) withDefaults() Config {
 	c.Founders = slices.Clone(c.Founders)
 	if c.MaxVoters == 0 {
@@ -109,66 +108,10 @@
 func checkDistinct(group []member.ID) error {
 	sorted := slices.Sorted(slices.Values(group))
 	if len(slices.Compact(sorted)) != len(group) {
-		return &ConfigError{Field: "Group", Message: "lists a member twice: list each once"}
+		return &ConfigError{Field: "Founders", Message: "lists a member twice: list each once"}
 	}
 	if slices.Contains(group, "") {
-		return &ConfigError{Field: "Group", Message: "lists an empty ID: name every member"}
-	}
-	return nil
-}
-
-// HardState is what a member must never forget.
-type HardState struct {
-	// Term is the highest term that the member has seen.
-	Term uint64
-	// VotedFor is the member that Term is promised to, or empty.
-	VotedFor member.ID
-	// VotedForIncarnation is the incarnation of VotedFor. In another
-	// incarnation the member would be another candidate.
-	VotedForIncarnation uint64
-	// Commit is the highest index known to be committed when the state was
-	// written. It may lag behind without harm, as the leader tells it again.
-	Commit uint64
-}
-
-// Restored is the durable state that a member is started with.
-type Restored struct {
-	HardState
-	// Snapshot is the newest durable snapshot, or nil.
-	Snapshot *Snapshot
-	// Entries are the durable entries without gaps. Those that the snapshot
-	// covers are passed over.
-	Entries []Entry
-}
-
-// check finds what durable state can never be if it was kept whole.
-func (r Restored) check() error {
-	if r.Snapshot != nil {
-		if err := slots(r.Snapshot.Slots).check(); err != nil {
-			return &RestoredError{Message: "the snapshot is of no possible group: " + err.Error()}
-		}
-	}
-	previous := Entry{}
-	if r.Snapshot != nil {
-		previous = Entry{Index: r.Snapshot.Index, Term: r.Snapshot.Term}
-	}
-	for _, entry := range r.Entries {
-		if entry.Index <= previous.Index {
-			continue
-		}
-		if entry.Index != previous.Index+1 {
-			return &RestoredError{Message: "the log has a gap: restore the member as a learner with an empty disk"}
-		}
-		if err := entry.check(); err != nil {
-			return &RestoredError{Message: err.Error()}
-		}
-		if entry.Term < previous.Term || entry.Term > r.Term {
-			return &RestoredError{Message: "the log's terms are out of order: restore the member as a learner with an empty disk"}
-		}
-		previous = entry
-	}
-	if r.Commit > previous.Index {
-		return &RestoredError{Message: "committed entries are missing: restore the member as a learner with an empty disk"}
+		return &ConfigError{Field: "Founders", Message: "lists an empty ID: name every member"}
 	}
 	return nil
 }
--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -1,5 +1,7 @@
-// Package replication is the state machine of one replica group: a replicated
-// log with one leader a term and followers, after Raft.
+// Package replication is the state machine of one member of a replica group: a
+// replicated log with one leader per term, after Raft (Ongaro and Ousterhout,
+// "In Search of an Understandable Consensus Algorithm"; Ongaro's thesis for
+// pre-vote, leadership transfer, read index and single-server changes).
 //
 // The package does no I/O, starts no goroutine and reads no clock. A driver
 // passes messages and time in through Step and Tick, takes the outcome from
@@ -15,38 +17,60 @@
 //		group.Advance()
 //	}
 //
-// The rules which everything else rests on:
-//
-//   - A voter promises a term to one member only, and the promise is durable
-//     before the reply leaves.
-//   - A follower's acknowledgement leaves after the entries it speaks of are
-//     durable. The leader's own copy counts only after Advance.
-//   - A leader commits by counting copies of entries of its own term only;
-//     a barrier entry commits what earlier terms left.
-//   - A voter is a member in one incarnation of its durable state. A member that lost
-//     its state goes on in a new incarnation, as a learner: neither its promises nor
-//     its acknowledgements count, and those of the lost incarnation bind nobody else.
-//   - The group follows from the log. Its first entry tells of the founders, and
-//     a founder is told of them by its settings until it holds that entry. A
-//     member that knows of no group is a learner. A change of one voter takes effect when
-//     its entry is appended, and is undone when the entry is truncated. The
-//     leader makes one at a time: the next only after the one before it, and an
-//     entry of the leader's own term, are committed. So each majority before a
-//     change and each after it have a voter in common.
-//   - The leader repairs the group by itself: when a member in a new incarnation holds
-//     the log, the lost incarnation is removed and then the new one is added in its
-//     place. Until the removal, the lost incarnation counts in the size of the group
-//     as one that never answers, which is why one lost disk is safe before the
+// A Group is not safe for concurrent use: the driver owns it.
+//
+// # State and its owners
+//
+// Group holds the term, the vote, the role and the leader, and passes messages
+// and decisions between types that each own the state of one concern:
+//
+//	replicaLog          entries, snapshot, and the durable, committed and applied index
+//	groupHistory        the members of the group, as the log tells them
+//	electionTimer       when this voter campaigns
+//	campaign            the grants and rejections of the campaign in progress
+//	tracker, progress   what the leader knows of the log of each other member
+//	heartbeats          which heartbeats a quorum has not acknowledged yet
+//	commandLease        until when the leader may command
+//	readQueue           linearizable reads that wait for a heartbeat
+//	leadershipTransfer  the member that is to take the leadership over
+//	dueChange           the change of the group that the leader makes next
+//	quorumRecovery      the attempt to recover a group that lost its quorum
+//	output              what the next Ready hands out
+//
+// # Invariants
+//
+//   - A voter grants a term to one member only, and the vote is durable before
+//     the reply leaves.
+//   - A follower's acknowledgement leaves after the entries that it acknowledges
+//     are durable. The leader's own replica counts only after Advance.
+//   - A leader commits by counting replicas of entries of its own term only; a
+//     barrier entry commits the entries that earlier terms left.
+//   - A voter is a member in one incarnation of its durable state. A member that
+//     lost its state goes on in a new incarnation, as a learner: neither its votes
+//     nor its acknowledgements count, and those of the lost incarnation bind
+//     nobody else.
+//   - The group follows from the log. Its first entry names the founders; until a
+//     founder has that entry, its settings name them. A member that knows of no
+//     group is a learner. A change of one voter takes effect when its entry is
+//     appended, and is undone when the entry is truncated. The leader makes one
+//     change at a time: the next only after the one before it, and an entry of the
+//     leader's own term, are committed. So each majority before a change and each
+//     majority after it have a voter in common.
+//   - The leader repairs the group by itself: when a member in a new incarnation
+//     has the log, the lost incarnation is removed and then the new one is added in
+//     its slot. Until the removal, the lost incarnation counts in the size of the
+//     group as one that never replies. That is why one lost disk is safe before the
 //     leader has learnt of it: all majorities share a voter that still has what
 //     they acknowledged.
 //   - The leader fits the group to the members that are there: a peer that has
-//     caught up gets a vote, and a silent voter is removed from a group with an
-//     even number of them, which bears as many losses without it. An odd group
-//     keeps its silent voters until a new one has come. The voters that a change
-//     rests on answer a heartbeat after it became due, and before it is made.
-//   - A group that lost the majority of its voters' incarnations is formed anew only
-//     under a ballot that the present incarnation of every place has promised, by the
-//     member whose log is the newest of all. The places are those of the newest
-//     group that the member knows; it yields to a voter with a newer log, which
-//     may know a newer one.
+//     caught up gets a vote, and an unresponsive voter is removed from a group with
+//     an even number of them, which tolerates as many losses without it. An odd
+//     group keeps its unresponsive voters until a new one has come. The voters that
+//     a change rests on acknowledge a heartbeat after the change became due, and
+//     before it is made.
+//   - A group that lost the majority of its voters' incarnations is recovered only
+//     under a recovery term that the present incarnation of every slot has granted,
+//     by the member whose log is the newest of all. The slots are those of the
+//     newest group that the member knows; it yields to a voter with a newer log,
+//     which may know a newer group.
 package replication
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -4,31 +4,34 @@
 	"slices"
 	"time"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/lease"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// SetSuspected tells which members are thought to be down, for instance by the
-// membership. It shortens the wait of later members in the agreed order and
-// has no bearing on safety.
-func (g *Group) SetSuspected(suspected []member.ID) {
-	g.election.suspected = slices.Clone(suspected)
+// electionTimer is what decides when a voter campaigns. It has no bearing on
+// safety.
+type electionTimer struct {
+	// leaderContact is when the leader was last heard.
+	leaderContact time.Duration
+	// waitFrom is when the wait for a leader began.
+	waitFrom time.Duration
+	// lostLeader is the leader that is missed; it gets no turn.
+	lostLeader member.ID
+	// suspected are the members that are thought to be down; they get no turn.
+	suspected []member.ID
+	// candidateBehind tells that a voter with an earlier turn can't win, as its log
+	// lacks entries of this one. It is known since candidateBehindSince.
+	candidateBehind      bool
+	candidateBehindSince time.Duration
 }
 
-// electionWait is ElectionTimeout*(1 + i/2) for the i-th live voter in the
-// agreed order, so that the voters campaign one after the other.
-func (g *Group) electionWait() time.Duration {
-	return g.cfg.ElectionTimeout + time.Duration(g.electionRank())*g.cfg.ElectionTimeout/2
-}
-
-// electionRank counts the live voters before this one in the agreed order.
-func (g *Group) electionRank() int {
+// rank counts the live voters before self in the agreed order.
+func (t *electionTimer) rank(self member.ID, voters []member.ID) int {
 	rank := 0
-	for _, id := range g.log.groups.latest().voterIDs {
-		if id == g.cfg.Self {
+	for _, id := range voters {
+		if id == self {
 			break
 		}
-		if id == g.election.lostLeader || slices.Contains(g.election.suspected, id) {
+		if id == t.lostLeader || slices.Contains(t.suspected, id) {
 			continue
 		}
 		rank++
@@ -36,41 +39,67 @@
 	return rank
 }
 
+// campaign is the attempt of a candidate to be elected. It is zero on all others.
+type campaign struct {
+	// preVote tells that the campaign raises no term: it asks whether one that
+	// does could be won.
+	preVote bool
+	// transfer tells that the leader asked for the campaign.
+	transfer    bool
+	granted     grants
+	rejected    grants
+	requestedAt time.Duration
+}
+
+// grants are the members that granted (or rejected) a request, in the incarnation
+// in which they did.
+type grants []Voter
+
+// includes tells whether the member is among them in any incarnation.
+func (g grants) includes(id member.ID) bool {
+	return slices.ContainsFunc(g, func(voter Voter) bool { return voter.ID == id })
+}
+
+// with returns the grants together with that of the voter.
+func (g grants) with(voter Voter) grants {
+	if slices.Contains(g, voter) {
+		return g
+	}
+	return append(g, voter)
+}
+
+// SetSuspected tells which members are thought to be down, for instance by the
+// membership. It shortens the wait of later members in the agreed order and has
+// no bearing on safety.
+func (g *Group) SetSuspected(suspected []member.ID) {
+	g.timer.suspected = slices.Clone(suspected)
+}
+
 func (g *Group) tickElection() {
-	if g.role == RoleCandidate && g.now >= g.election.requestedAt+g.cfg.HeartbeatEvery {
+	if g.role == RoleCandidate && g.now >= g.campaign.requestedAt+g.cfg.HeartbeatEvery {
 		g.requestVotes()
 	}
 	if !g.electionDue() {
 		return
 	}
-	if g.role == RoleCandidate && g.election.preElection {
+	if g.role == RoleCandidate && g.campaign.preVote {
 		return
 	}
-	g.startPreElection()
+	g.startPreVote()
 }
 
 // electionDue tells whether this voter has waited its turn, or should step in for
-// a voter that can't win.
+// a voter that can't win. The turn of the i-th live voter in the agreed order comes
+// after ElectionTimeout*(1 + i/2), so that the voters campaign one after the other.
 func (g *Group) electionDue() bool {
-	if g.now >= g.election.waitFrom+g.electionWait() {
+	rank := time.Duration(g.timer.rank(g.cfg.Self, g.log.groups.latest().voterIDs))
+	if g.now >= g.timer.waitFrom+g.cfg.ElectionTimeout+rank*g.cfg.ElectionTimeout/2 {
 		return true
 	}
-	if !g.election.candidateBehind || g.hasLiveLeader() {
+	if !g.timer.candidateBehind || g.hasLiveLeader() {
 		return false
 	}
-	return g.now >= g.election.candidateBehindSince+time.Duration(g.electionRank())*g.cfg.HeartbeatEvery
-}
-
-// observeHopelessCandidate takes in that a voter with an earlier turn asks for promises
-// which it can't get, since its log lacks entries of this one. The voters that hold
-// them then follow each other by HeartbeatEvery in place of their whole turns.
-func (g *Group) observeHopelessCandidate(m Message) {
-	hopeless := g.role == RoleFollower && !g.hasLiveLeader() && !g.log.isUpToDate(m.Index, m.IndexTerm)
-	if !hopeless || g.election.candidateBehind {
-		return
-	}
-	g.election.candidateBehind = true
-	g.election.candidateBehindSince = g.now
+	return g.now >= g.timer.candidateBehindSince+rank*g.cfg.HeartbeatEvery
 }
 
 // hasLiveLeader tells whether an election would disturb a working leader.
@@ -78,61 +107,66 @@
 	if g.role == RoleLeader {
 		return true
 	}
-	return g.leader != "" && g.now < g.election.leaderContact+g.cfg.ElectionTimeout
+	return g.leader != "" && g.now < g.timer.leaderContact+g.cfg.ElectionTimeout
 }
 
-// startPreElection asks whether a campaign could be won, without raising any term.
-// It goes on until it is won or a leader is heard.
-func (g *Group) startPreElection() {
+// startPreVote asks whether a campaign could be won, without raising any term. It
+// goes on until it is won or a leader is heard.
+func (g *Group) startPreVote() {
 	g.becomeFollower(g.hard.Term, "")
 	g.role = RoleCandidate
-	g.election.preElection = true
+	g.campaign.preVote = true
 	g.requestVotes()
 	g.countGrants()
 }
 
-// campaign raises the term and promises it to itself. The own promise counts
-// when it is durable.
-func (g *Group) campaign(transfer bool) {
+// startCampaign raises the term and votes for this member. With transfer, the
+// leader of the present term asked for it.
+func (g *Group) startCampaign(transfer bool) {
 	g.becomeFollower(g.hard.Term+1, "")
-	g.hard.VotedFor = g.cfg.Self
-	g.hard.VotedForIncarnation = g.cfg.Incarnation
+	g.voteForSelf()
 	g.role = RoleCandidate
-	g.election.transfer = transfer
-	g.election.waitFrom = g.now
-	// If this campaign fails, the members that campaign at the same time must
-	// not wait equally long again.
-	g.election.lostLeader = ""
+	g.campaign.transfer = transfer
+	g.timer.waitFrom = g.now
+	// If this campaign fails, the members that campaign at the same time must not
+	// wait equally long again.
+	g.timer.lostLeader = ""
 	g.requestVotes()
 }
 
-// requestVotes asks all voters that have not granted; a lost or premature
-// request is so repaired by the next one.
+// requestVotes sends a request to all voters that have not granted, and so repeats
+// one that was lost or premature.
 func (g *Group) requestVotes() {
-	g.election.requestedAt = g.now
-	g.election.rejected = nil
-	term := g.hard.Term
-	if g.election.preElection {
-		term++
-		// What was granted earlier may be untrue by now: a voter may hear an
+	g.campaign.requestedAt = g.now
+	g.campaign.rejected = nil
+	if g.campaign.preVote {
+		// What was granted before may be untrue by now, as a voter may hear a
 		// leader again.
-		g.election.granted = []Voter{g.self()}
+		g.campaign.granted = grants{g.self()}
 	}
 	for _, id := range g.log.groups.latest().voterIDs {
-		if id == g.cfg.Self || g.grantedBy(id) {
+		if id == g.cfg.Self || g.campaign.granted.includes(id) {
 			continue
 		}
 		g.send(id, Message{
 			Type:      MessageVoteRequest,
-			Term:      term,
+			Term:      g.campaignTerm(),
 			Index:     g.log.lastIndex(),
 			IndexTerm: g.log.lastTerm(),
-			PreVote:   g.election.preElection,
-			Transfer:  g.election.transfer,
+			PreVote:   g.campaign.preVote,
+			Transfer:  g.campaign.transfer,
 		})
 	}
 }
 
+// campaignTerm is the term that the candidate requests votes for.
+func (g *Group) campaignTerm() uint64 {
+	if g.campaign.preVote {
+		return g.hard.Term + 1
+	}
+	return g.hard.Term
+}
+
 func (g *Group) stepVoteRequest(from member.ID, m Message) {
 	reply := Message{Type: MessageVoteReply, Term: m.Term, PreVote: m.PreVote}
 	switch {
@@ -140,8 +174,8 @@
 		reply.Learner = true
 		reply.Reject = true
 	case m.PreVote:
-		reply.Reject = !g.wouldGrant(m)
-		g.observeHopelessCandidate(m)
+		reply.Reject = m.Term <= g.hard.Term || g.hasLiveLeader() || !g.log.isUpToDate(m.Index, m.IndexTerm)
+		g.observeCandidate(m)
 	default:
 		reply.Reject = !g.grantVote(from, m)
 	}
@@ -151,15 +185,20 @@
 	g.send(from, reply)
 }
 
-func (g *Group) wouldGrant(m Message) bool {
-	if m.Term <= g.hard.Term || g.hasLiveLeader() {
-		return false
+// observeCandidate notices a voter with an earlier turn that requests votes which
+// it can't get, since its log lacks entries of this one. The voters that have them
+// then follow each other by HeartbeatEvery in place of their whole turns.
+func (g *Group) observeCandidate(m Message) {
+	behind := g.role == RoleFollower && !g.hasLiveLeader() && !g.log.isUpToDate(m.Index, m.IndexTerm)
+	if !behind || g.timer.candidateBehind {
+		return
 	}
-	return g.log.isUpToDate(m.Index, m.IndexTerm)
+	g.timer.candidateBehind = true
+	g.timer.candidateBehindSince = g.now
 }
 
 // grantVote grants a term to one member at most. The grant leaves in the Ready
-// that carries it as HardState, and so after it is durable.
+// that carries the vote as HardState, and so after the vote is durable.
 func (g *Group) grantVote(from member.ID, m Message) bool {
 	if m.Term < g.hard.Term {
 		return false
@@ -181,16 +220,11 @@
 	}
 	g.hard.VotedFor = from
 	g.hard.VotedForIncarnation = m.Incarnation
-	g.election.waitFrom = g.now
-	g.election.candidateBehind = false
+	g.timer.waitFrom = g.now
+	g.timer.candidateBehind = false
 	return true
 }
 
-// grantedBy tells whether the member has granted the present campaign.
-func (g *Group) grantedBy(id member.ID) bool {
-	return slices.ContainsFunc(g.election.granted, func(voter Voter) bool { return voter.ID == id })
-}
-
 func (g *Group) stepVoteReply(from member.ID, m Message) {
 	if !g.recognizes(from) {
 		return
@@ -199,79 +233,67 @@
 		g.becomeFollower(m.Term, "")
 		return
 	}
-	if g.role != RoleCandidate || m.PreVote != g.election.preElection {
+	if g.role != RoleCandidate || m.PreVote != g.campaign.preVote {
 		return
 	}
 	voter := Voter{ID: from, Incarnation: m.Incarnation}
 	if !g.slots().votes(voter) {
-		// A promise counts only if nobody else can have been promised the term
-		// by the same voter and it knows all that this voter acknowledged.
+		// A vote counts only if the same voter can't have granted the term to
+		// another member, and knows all that it acknowledged.
 		return
 	}
 	if m.Reject {
 		g.addRejection(voter)
 		return
 	}
-	expectedTerm := g.hard.Term
-	if g.election.preElection {
-		expectedTerm++
-	}
-	if m.Term != expectedTerm || m.Learner {
+	if m.Term != g.campaignTerm() || m.Learner {
 		return
 	}
 	g.addGrant(voter)
 }
 
 func (g *Group) addGrant(from Voter) {
-	if !slices.Contains(g.election.granted, from) {
-		g.election.granted = append(g.election.granted, from)
-	}
+	g.campaign.granted = g.campaign.granted.with(from)
 	g.countGrants()
 }
 
-// addRejection gives a campaign up that a majority refuses. A trial goes on,
-// as its refusals pass when the voters miss the leader too.
+// addRejection ends a campaign that a majority rejects. A pre-vote goes on, as its
+// rejections pass when the voters miss the leader too.
 func (g *Group) addRejection(from Voter) {
-	if g.election.preElection || slices.Contains(g.election.granted, from) {
+	if g.campaign.preVote || slices.Contains(g.campaign.granted, from) {
 		return
 	}
-	if !slices.Contains(g.election.rejected, from) {
-		g.election.rejected = append(g.election.rejected, from)
-	}
-	if len(g.election.rejected) > len(g.slots().voters())-g.quorum() {
+	g.campaign.rejected = g.campaign.rejected.with(from)
+	if len(g.campaign.rejected) > len(g.slots().voters())-g.slots().quorum() {
 		g.becomeFollower(g.hard.Term, "")
 	}
 }
 
 func (g *Group) countGrants() {
-	if len(g.election.granted) < g.quorum() {
+	if len(g.campaign.granted) < g.slots().quorum() {
 		return
 	}
-	if g.election.preElection {
-		g.campaign(false)
+	if g.campaign.preVote {
+		g.startCampaign(false)
 		return
 	}
 	g.becomeLeader()
 }
 
-// becomeLeader begins the term with a barrier entry: its commit commits all
-// entries that earlier terms left. In an empty log that entry tells of the
-// founding voters, so that the log alone tells of the group from then on.
+// becomeLeader begins the leadership with a barrier entry: its commit commits all
+// entries that earlier terms left. In an empty log that entry names the founding
+// voters, so that the log alone tells of the group from then on.
 func (g *Group) becomeLeader() {
 	g.becomeFollower(g.hard.Term, g.cfg.Self)
 	g.role = RoleLeader
-	g.election.lostLeader = ""
-	g.leadership.progress = make(map[member.ID]*progress)
+	g.timer.lostLeader = ""
+	g.leadership.followers = newTracker(g.self(), g.cfg.ElectionTimeout)
 	g.trackMembers()
-	g.leadership.commandLease = lease.NewHolder(g.cfg.leaseTiming())
-	g.leadership.priorLeases = lease.NewSuccessor(g.cfg.leaseTiming(), g.now)
-	g.leadership.barrier = g.appendBarrier()
-	g.broadcastHeartbeat()
-}
-
-func (g *Group) appendBarrier() uint64 {
+	g.leadership.lease = newCommandLease(g.cfg.leaseTiming(), g.now)
 	if g.log.lastIndex() == 0 {
-		return g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
+		g.leadership.barrier = g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
+	} else {
+		g.leadership.barrier = g.appendEntry(EntryBarrier, nil)
 	}
-	return g.appendEntry(EntryBarrier, nil)
+	g.broadcastHeartbeat()
 }
--- a/pkg/replication/errors.go
+++ b/pkg/replication/errors.go
@@ -8,15 +8,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ErrNoSuccessor tells that no other voter is live and caught up enough to
-// take over. Try again when another voter is back.
+// ErrNoSuccessor tells that no other voter is live that could take the leadership
+// over. Try again when another voter is back.
 var ErrNoSuccessor = errors.New("no other voter is live: try again when another voter is back")
 
-// ErrBacklogFull tells that too much waits for a quorum already. Try again
-// when earlier proposals or reads are answered.
+// ErrBacklogFull tells that too much waits for a quorum already. Try again when
+// earlier proposals or reads have completed.
 var ErrBacklogFull = errors.New("too many proposals or reads wait for a quorum: try again when earlier ones are answered")
 
-// NotLeaderError tells that only the leader can do what was asked.
+// NotLeaderError tells that only the leader can do what was requested.
 type NotLeaderError struct {
 	// Leader is the member to ask instead; empty if none is known now.
 	Leader member.ID
@@ -36,7 +36,7 @@
 	Message string
 }
 
-// Error names the field and its fault.
+// Error names the field and what is wrong with it.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("replication config: %s %s", e.Field, e.Message)
 }
@@ -51,8 +51,8 @@
 	return "restored state: " + e.Message
 }
 
-// MessageError tells that a message was not taken in, as no correct member of
-// the group could have sent it.
+// MessageError tells that a message was dropped, as no correct member of the group
+// could have sent it.
 type MessageError struct {
 	From    member.ID
 	Type    MessageType
@@ -64,14 +64,14 @@
 	return fmt.Sprintf("replication message of type %d from %q: %s", e.Type, e.From, e.Message)
 }
 
-// RecoveryTermError tells that a group can't be formed anew under a ballot.
+// RecoveryTermError tells that a group can't be recovered under a term.
 type RecoveryTermError struct {
 	Term uint64
 }
 
-// Error names the ballot and the remedy.
+// Error names the term and the remedy.
 func (e *RecoveryTermError) Error() string {
-	return fmt.Sprintf("ballot %d is not won, or no longer the newest: wait until Ballot tells of one that is", e.Term)
+	return fmt.Sprintf("recovery term %d is not granted by all members, or no longer the newest: wait until RecoveryTerm returns one that is", e.Term)
 }
 
 // CompactError tells that the log cannot be compacted at Index.
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -2,21 +2,22 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// stepFromLeader takes messages in which only the leader of their term sends.
+// stepFromLeader handles the messages that only the leader of their term sends.
 func (g *Group) stepFromLeader(from member.ID, m Message) error {
 	if m.Term < g.hard.Term {
 		g.rejectStaleLeader(from, m)
 		return nil
 	}
+	// Before any change, so that a message in error changes nothing.
 	if err := g.checkFromLeader(from, m); err != nil {
 		return err
 	}
 	if m.Term > g.hard.Term || g.role == RoleCandidate || g.leader == "" {
 		g.becomeFollower(m.Term, from)
 	}
-	g.election.leaderContact = g.now
-	g.election.waitFrom = g.now
-	g.election.lostLeader = from
+	g.timer.leaderContact = g.now
+	g.timer.waitFrom = g.now
+	g.timer.lostLeader = from
 	switch m.Type {
 	case MessageAppend:
 		g.stepAppend(from, m)
@@ -28,7 +29,6 @@
 	return nil
 }
 
-// checkFromLeader comes before any change, so that a refused message has none.
 func (g *Group) checkFromLeader(from member.ID, m Message) error {
 	if m.Term == 0 {
 		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
@@ -40,13 +40,13 @@
 	case MessageAppend:
 		return g.checkAppend(from, m)
 	case MessageSnapshot:
-		return g.checkSnapshot(from, m)
+		return checkSnapshot(from, m)
 	default:
 		return nil
 	}
 }
 
-// rejectStaleLeader tells a leader of an earlier term that its time is over.
+// rejectStaleLeader tells a leader of an earlier term of the present one.
 func (g *Group) rejectStaleLeader(from member.ID, m Message) {
 	reply := MessageAppendReply
 	if m.Type == MessageHeartbeat {
@@ -57,7 +57,7 @@
 
 func (g *Group) stepHeartbeat(from member.ID, m Message) {
 	if m.Transfer && g.role == RoleFollower {
-		g.campaign(true)
+		g.startCampaign(true)
 		return
 	}
 	g.send(from, Message{
@@ -80,8 +80,8 @@
 	g.acknowledge(from, last)
 }
 
-// checkAppend refuses entries that no leader can send: with gaps, or in place
-// of entries that are committed here.
+// checkAppend finds entries that no leader can send: with gaps, or in place of
+// entries that are committed here.
 func (g *Group) checkAppend(from member.ID, m Message) error {
 	previous := Entry{Index: m.Index, Term: m.IndexTerm}
 	for _, entry := range m.Entries {
@@ -91,8 +91,8 @@
 		if err := entry.check(); err != nil {
 			return &MessageError{From: from, Type: m.Type, Message: err.Error()}
 		}
-		heldTerm, ok := g.log.termAt(entry.Index)
-		if ok && entry.Index <= g.log.committed && heldTerm != entry.Term {
+		term, ok := g.log.termAt(entry.Index)
+		if ok && entry.Index <= g.log.committed && term != entry.Term {
 			return &MessageError{From: from, Type: m.Type, Message: "the entries contradict committed ones: check that no two groups are mixed up"}
 		}
 		previous = entry
@@ -113,7 +113,7 @@
 	})
 }
 
-// acknowledge answers that the log matches the leader's up to index. The answer
+// acknowledge replies that the log matches the leader's up to index. The reply
 // leaves in the Ready that holds the entries, and so after they are durable.
 func (g *Group) acknowledge(to member.ID, index uint64) {
 	g.send(to, Message{
@@ -124,31 +124,3 @@
 		Learner: g.cfg.Learner,
 	})
 }
-
-// checkSnapshot refuses a snapshot of a group that can't be.
-func (g *Group) checkSnapshot(from member.ID, m Message) error {
-	if m.Snapshot == nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
-	}
-	if err := slots(m.Snapshot.Slots).check(); err != nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
-	}
-	return nil
-}
-
-func (g *Group) stepSnapshot(from member.ID, m Message) {
-	snapshot := m.Snapshot
-	if snapshot.Index <= g.log.committed {
-		g.acknowledge(from, g.log.committed)
-		return
-	}
-	if g.log.matches(snapshot.Index, snapshot.Term) {
-		g.log.commitTo(snapshot.Index)
-		g.acknowledge(from, snapshot.Index)
-		return
-	}
-	g.log.install(snapshot)
-	g.updateRole()
-	g.output.snapshot = snapshot
-	g.acknowledge(from, snapshot.Index)
-}
--- a/pkg/replication/group_history.go
+++ b/pkg/replication/group_history.go
@@ -3,11 +3,11 @@
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
 // groupState is a group and the index of the entry with which it began. It is
-// never changed, and so shared with those who ask for it.
+// never changed in place, and so may be shared.
 type groupState struct {
 	index uint64
 	slots slots
-	// voters and voterIDs follow from places.
+	// voters and voterIDs follow from slots.
 	voters   []Voter
 	voterIDs []member.ID
 }
@@ -20,9 +20,9 @@
 	return state
 }
 
-// groupHistory holds the groups of a log, oldest first and at least one. A
-// change takes effect when its entry is appended, and is undone when the entry
-// is truncated.
+// groupHistory is the groups that a log tells of, oldest first and at least one. A
+// change takes effect when its entry is appended, and is undone when the entry is
+// truncated.
 type groupHistory []groupState
 
 // latest returns the group that is in effect.
@@ -40,7 +40,7 @@
 	return h[0].slots
 }
 
-// appended takes in an entry that was checked.
+// appended returns the history after an entry, which Entry.check has accepted.
 func (h groupHistory) appended(entry Entry) groupHistory {
 	if entry.Kind != EntryGroupChange {
 		return h
@@ -52,7 +52,7 @@
 	return append(h, newGroupState(entry.Index, changed))
 }
 
-// truncated undoes the changes from index on.
+// truncated returns the history without the changes from index on.
 func (h groupHistory) truncated(index uint64) groupHistory {
 	for len(h) > 1 && h[len(h)-1].index >= index {
 		h = h[:len(h)-1]
@@ -60,7 +60,7 @@
 	return h
 }
 
-// compacted drops the groups that ended at or before index.
+// compacted returns the history without the groups that ended at or before index.
 func (h groupHistory) compacted(index uint64) groupHistory {
 	for len(h) > 1 && h[1].index <= index {
 		h = h[1:]
--- /dev/null
+++ b/pkg/replication/hard_state.go
@@ -0,0 +1,59 @@
+package replication
+
+import "github.com/ridgeswitch/ridgeswitch/pkg/member"
+
+// HardState is what a member must never forget.
+type HardState struct {
+	// Term is the highest term that the member has seen.
+	Term uint64
+	// VotedFor is the member that Term is granted to, or empty.
+	VotedFor member.ID
+	// VotedForIncarnation is the incarnation of VotedFor. In another incarnation the
+	// member would be another candidate.
+	VotedForIncarnation uint64
+	// Commit is the highest index known to be committed when the state was written.
+	// It may be out of date without harm, as the leader sends it again.
+	Commit uint64
+}
+
+// Restored is the durable state that a member is started with.
+type Restored struct {
+	HardState
+	// Snapshot is the newest durable snapshot, or nil.
+	Snapshot *Snapshot
+	// Entries are the durable entries without gaps. Those that the snapshot covers
+	// are skipped.
+	Entries []Entry
+}
+
+// check finds durable state that no member can have written.
+func (r Restored) check() error {
+	if r.Snapshot != nil {
+		if err := slots(r.Snapshot.Slots).check(); err != nil {
+			return &RestoredError{Message: "the snapshot is of no possible group: " + err.Error()}
+		}
+	}
+	previous := Entry{}
+	if r.Snapshot != nil {
+		previous = Entry{Index: r.Snapshot.Index, Term: r.Snapshot.Term}
+	}
+	for _, entry := range r.Entries {
+		if entry.Index <= previous.Index {
+			continue
+		}
+		if entry.Index != previous.Index+1 {
+			return &RestoredError{Message: "the log has a gap: restore the member as a learner with an empty disk"}
+		}
+		if err := entry.check(); err != nil {
+			return &RestoredError{Message: err.Error()}
+		}
+		if entry.Term < previous.Term || entry.Term > r.Term {
+			return &RestoredError{Message: "the log's terms are out of order: restore the member as a learner with an empty disk"}
+		}
+		previous = entry
+	}
+	if r.Commit > previous.Index {
+		return &RestoredError{Message: "committed entries are missing: restore the member as a learner with an empty disk"}
+	}
+	return nil
+}
--- a/pkg/replication/heartbeat.go
+++ b/pkg/replication/heartbeat.go
@@ -6,44 +6,86 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// broadcastHeartbeat sends a heartbeat to everyone. Its number is known to belong to
-// this instant; what a majority answers was so confirmed after it.
+// heartbeats are those of one leadership, numbered from 1 in the order of sending.
+// What a majority replies to one was confirmed after it was sent.
+type heartbeats struct {
+	// number and sentAt are those of the newest heartbeat.
+	number uint64
+	sentAt time.Duration
+	// lastIndex is the last index of the log when the newest heartbeat was sent.
+	lastIndex uint64
+	// unconfirmed are those that no majority has acknowledged yet, oldest first.
+	unconfirmed []sentHeartbeat
+}
+
+type sentHeartbeat struct {
+	number uint64
+	sentAt time.Duration
+}
+
+// begin numbers a heartbeat that is sent now.
+func (h *heartbeats) begin(now time.Duration) {
+	h.number++
+	h.sentAt = now
+	h.unconfirmed = append(h.unconfirmed, sentHeartbeat{number: h.number, sentAt: now})
+}
+
+// confirm removes the heartbeats up to the number that a majority has acknowledged,
+// and returns when the newest of them was sent. It is false if there are none.
+func (h *heartbeats) confirm(acknowledged uint64) (sentAt time.Duration, confirmed bool) {
+	for len(h.unconfirmed) > 0 && h.unconfirmed[0].number <= acknowledged {
+		sentAt, confirmed = h.unconfirmed[0].sentAt, true
+		h.unconfirmed = h.unconfirmed[1:]
+	}
+	return sentAt, confirmed
+}
+
+// broadcastHeartbeat sends a heartbeat to all other members. With it begins the
+// confirmation of the reads that wait for one, and the search for a change of the
+// group that is due.
 func (g *Group) broadcastHeartbeat() {
-	g.leadership.heartbeatNumber++
-	g.leadership.heartbeatAt = g.now
-	g.leadership.unconfirmed = append(g.leadership.unconfirmed, sentHeartbeat{number: g.leadership.heartbeatNumber, sentAt: g.now})
+	g.leadership.heartbeats.begin(g.now)
 	for _, id := range g.otherMembers() {
 		g.send(id, Message{
 			Type:            MessageHeartbeat,
 			Term:            g.hard.Term,
 			Index:           g.log.lastIndex(),
-			HeartbeatNumber: g.leadership.heartbeatNumber,
+			HeartbeatNumber: g.leadership.heartbeats.number,
 		})
 	}
-	g.assignReads()
+	g.reads.assign(g.leadership.heartbeats.number)
 	g.confirmHeartbeats()
 	g.repairGroup()
-	g.leadership.heartbeatLastIndex = g.log.lastIndex()
+	g.leadership.heartbeats.lastIndex = g.log.lastIndex()
 }
 
-func (g *Group) handleHeartbeatReply(from member.ID, m Message) {
-	follower := g.leadership.progress[from]
-	if m.HeartbeatNumber <= g.leadership.heartbeatNumber {
+func (g *Group) handleHeartbeatReply(from member.ID, follower *progress, m Message) {
+	if m.HeartbeatNumber <= g.leadership.heartbeats.number {
 		follower.ackedHeartbeat = max(follower.ackedHeartbeat, m.HeartbeatNumber)
 	}
 	g.confirmHeartbeats()
 	g.proposeDueChange()
-	g.resendLost(from, m.Commit)
+	g.resendLost(from, follower, m.Commit)
 	g.repeatTransfer(from)
 }
 
-// resendLost sends again what may have been lost on the way to a follower that
-// lags behind.
-func (g *Group) resendLost(to member.ID, commit uint64) {
-	follower := g.leadership.progress[to]
+// confirmHeartbeats extends the command lease and answers reads by the heartbeats
+// that a majority has acknowledged.
+func (g *Group) confirmHeartbeats() {
+	acknowledged := g.leadership.followers.reachedByMajority(g.log.groups.latest().voters,
+		g.leadership.heartbeats.number, func(p *progress) uint64 { return p.ackedHeartbeat })
+	if sentAt, confirmed := g.leadership.heartbeats.confirm(acknowledged); confirmed {
+		g.leadership.lease.holder.Confirm(sentAt)
+	}
+	g.confirmReads(acknowledged)
+}
+
+// resendLost sends again what may have been lost on the way to a follower that is
+// behind.
+func (g *Group) resendLost(to member.ID, follower *progress, commit uint64) {
 	if follower.state == progressSnapshot {
 		if g.now >= follower.snapshotSentAt+g.cfg.ElectionTimeout {
-			g.sendSnapshot(to)
+			g.sendSnapshot(to, follower)
 		}
 		return
 	}
@@ -52,34 +94,9 @@
 	}
 	follower.probing = false
 	if follower.full() {
-		// All that may be under way was sent, and nothing came back since the
-		// last round: ask where the follower stands.
+		// All that may be in flight was sent, and nothing was acknowledged since the
+		// last heartbeat: find out which entries the follower has.
 		follower.becomeProbe()
 	}
-	g.sendAppends(to)
-}
-
-// confirmHeartbeats takes in which rounds a majority has answered.
-func (g *Group) confirmHeartbeats() {
-	acknowledged := g.quorumOf(g.leadership.heartbeatNumber, func(p *progress) uint64 { return p.ackedHeartbeat })
-	for len(g.leadership.unconfirmed) > 0 && g.leadership.unconfirmed[0].number <= acknowledged {
-		g.leadership.commandLease.Confirm(g.leadership.unconfirmed[0].sentAt)
-		g.leadership.unconfirmed = g.leadership.unconfirmed[1:]
-	}
-	g.confirmReads(acknowledged)
-}
-
-// HasCommandLease tells whether the leader holds the command lease: it has applied
-// its own barrier, every lease of an earlier term has run out, and a majority
-// answered a heartbeat sent less than LeaseDuration-LeaseMargin ago. The
-// driver asks again at the instant of sending. Now may also lie ahead, to ask
-// whether the lease would last as long; the answer changes no state.
-func (g *Group) HasCommandLease(now time.Duration) bool {
-	if g.role != RoleLeader || g.leadership.transferTarget != "" {
-		return false
-	}
-	if g.log.applied < g.leadership.barrier {
-		return false
-	}
-	return g.leadership.priorLeases.MayAct(now) && g.leadership.commandLease.MayAct(max(now, g.now))
+	g.sendAppends(to, follower)
 }
--- a/pkg/replication/leader.go
+++ b/pkg/replication/leader.go
@@ -8,16 +8,31 @@
 )
 
 const (
-	// maxAppendBytes bounds the commands in one append message; a longer
-	// command goes alone.
+	// maxAppendBytes bounds the commands in one append message; a longer command
+	// goes alone.
 	maxAppendBytes = 1 << 20
 	// maxUncommitted bounds the entries that wait for a quorum.
 	maxUncommitted = 8192
 )
 
-// Propose appends a command to the log and returns the index at which it will
-// be committed if this member stays the leader. What becomes of it shows in
-// Ready.Committed: the entry at that index, if it has the same term.
+// leadership is what a member keeps while it leads a term.
+type leadership struct {
+	followers  tracker
+	heartbeats heartbeats
+	lease      commandLease
+	transfer   leadershipTransfer
+	due        dueChange
+	// barrier is the index of the entry that began the leadership.
+	barrier uint64
+	// appendPending tells that followers have yet to be sent new entries or a new
+	// commit index.
+	appendPending bool
+}
+
+// Propose appends a command to the log and returns the index at which it will be
+// committed if this member stays the leader. The outcome shows in Ready.Committed:
+// the command is committed if the entry at that index has the same term. It fails
+// with a *NotLeaderError or ErrBacklogFull.
 func (g *Group) Propose(now time.Duration, command []byte) (index uint64, err error) {
 	g.advanceClock(now)
 	if err := g.checkAcceptsProposals(); err != nil {
@@ -33,13 +48,13 @@
 	if g.role != RoleLeader {
 		return &NotLeaderError{Leader: g.leader}
 	}
-	if g.leadership.transferTarget != "" {
-		return &NotLeaderError{Leader: g.leadership.transferTarget}
+	if target := g.leadership.transfer.target; target != "" {
+		return &NotLeaderError{Leader: target}
 	}
 	return nil
 }
 
-// appendEntry appends an entry of the own term. The followers are sent it with
+// appendEntry appends an entry of the present term. The followers are sent it with
 // the next Ready, together with others appended until then.
 func (g *Group) appendEntry(kind EntryKind, command []byte) uint64 {
 	entry := Entry{
@@ -53,65 +68,68 @@
 	return entry.Index
 }
 
+// tickLeader steps down without a live majority, as the others may have elected
+// another leader.
 func (g *Group) tickLeader() {
-	if !g.hasLiveQuorum() {
+	if !g.leadership.followers.hasLiveMajority(g.slots(), g.now) {
 		g.becomeFollower(g.hard.Term, "")
 		return
 	}
 	g.tickTransfer()
-	if g.now >= g.leadership.heartbeatAt+g.cfg.HeartbeatEvery {
+	if g.now >= g.leadership.heartbeats.sentAt+g.cfg.HeartbeatEvery {
 		g.broadcastHeartbeat()
 	}
 }
 
-// hasLiveQuorum tells whether a majority, this member included, was heard within
-// ElectionTimeout. A leader without one steps down, as the others may have
-// elected another.
-func (g *Group) hasLiveQuorum() bool {
-	return g.hasLiveMajority(g.slots())
-}
-
-func (g *Group) isLive(follower *progress) bool {
-	return g.now < follower.lastContact+g.cfg.ElectionTimeout
-}
-
-// isLiveVoter tells whether the voter was heard in the incarnation that has the
-// vote.
-func (g *Group) isLiveVoter(voter Voter) bool {
-	if voter == g.self() {
-		return true
-	}
-	follower := g.leadership.progress[voter.ID]
-	return follower != nil && follower.incarnation == voter.Incarnation && g.isLive(follower)
+// trackMembers begins to track the members that the leader does not track yet.
+func (g *Group) trackMembers() {
+	followers := g.leadership.followers.members
+	for _, id := range g.otherMembers() {
+		if followers[id] != nil {
+			continue
+		}
+		followers[id] = &progress{
+			next:             g.log.lastIndex() + 1,
+			lastContact:      g.now,
+			contactHeartbeat: g.leadership.heartbeats.number,
+		}
+	}
+	for _, voter := range g.log.groups.latest().voters {
+		if follower := followers[voter.ID]; follower != nil && follower.incarnation == 0 {
+			// Until the member is heard in a later incarnation.
+			follower.incarnation = voter.Incarnation
+		}
+	}
 }
 
-// broadcastAppend sends the news to all followers that can take it.
+// broadcastAppend sends new entries and the commit index to all followers that can
+// take them.
 func (g *Group) broadcastAppend() {
 	g.leadership.appendPending = false
 	for _, id := range g.otherMembers() {
-		g.sendAppends(id)
+		g.sendAppends(id, g.leadership.followers.get(id))
 	}
 }
 
-// sendAppends sends an append with all that may be under way, at least an empty
-// one that tells the commit index.
-func (g *Group) sendAppends(to member.ID) {
-	follower := g.leadership.progress[to]
+// sendAppends sends as many entries as may be in flight; it is at least one append,
+// which may be empty but for the commit index.
+func (g *Group) sendAppends(to member.ID, follower *progress) {
 	if follower.full() {
 		return
 	}
-	g.sendAppend(to)
+	g.sendAppend(to, follower)
 	for follower.next <= g.log.lastIndex() && !follower.full() {
-		g.sendAppend(to)
+		g.sendAppend(to, follower)
 	}
 }
 
-func (g *Group) sendAppend(to member.ID) {
-	follower := g.leadership.progress[to]
+// sendAppend sends one append, or the snapshot if the log has no longer the entries
+// that the follower lacks.
+func (g *Group) sendAppend(to member.ID, follower *progress) {
 	before := follower.next - 1
 	beforeTerm, ok := g.log.termAt(before)
 	if !ok {
-		g.sendSnapshot(to)
+		g.sendSnapshot(to, follower)
 		return
 	}
 	entries := g.log.entriesFrom(follower.next, maxAppendBytes)
@@ -132,20 +150,7 @@
 	}
 }
 
-// sendSnapshot sends the newest snapshot. It is there whenever entries have
-// been dropped from the log.
-func (g *Group) sendSnapshot(to member.ID) {
-	snapshot := g.log.snapshot
-	g.leadership.progress[to].becomeSnapshot(snapshot.Index, g.now)
-	g.send(to, Message{
-		Type:     MessageSnapshot,
-		Term:     g.hard.Term,
-		Index:    snapshot.Index,
-		Snapshot: snapshot,
-	})
-}
-
-// stepToLeader takes replies of followers in.
+// stepToLeader handles replies of followers.
 func (g *Group) stepToLeader(from member.ID, m Message) error {
 	if !g.recognizes(from) {
 		return nil
@@ -160,7 +165,7 @@
 	if m.Type == MessageAppendReply && m.Index > g.log.lastIndex() {
 		return &MessageError{From: from, Type: m.Type, Message: "acknowledges entries that the leader never had: check that no two groups are mixed up"}
 	}
-	follower := g.leadership.progress[from]
+	follower := g.leadership.followers.get(from)
 	if follower == nil {
 		return nil
 	}
@@ -172,22 +177,21 @@
 		follower.beginIncarnation(m.Incarnation)
 	}
 	follower.lastContact = g.now
-	follower.contactHeartbeat = g.leadership.heartbeatNumber
+	follower.contactHeartbeat = g.leadership.heartbeats.number
 	follower.learner = m.Learner
 	if m.Type == MessageHeartbeatReply {
-		g.handleHeartbeatReply(from, m)
+		g.handleHeartbeatReply(from, follower, m)
 		return nil
 	}
-	g.handleAppendReply(from, m)
+	g.handleAppendReply(from, follower, m)
 	return nil
 }
 
-func (g *Group) handleAppendReply(from member.ID, m Message) {
-	follower := g.leadership.progress[from]
+func (g *Group) handleAppendReply(from member.ID, follower *progress, m Message) {
 	if m.Reject {
 		hint, _ := g.log.conflictHint(m.RejectHint, m.IndexTerm)
 		if follower.rejected(m.Index, hint) {
-			g.sendAppends(from)
+			g.sendAppends(from, follower)
 		}
 		return
 	}
@@ -196,39 +200,24 @@
 		g.continueTransfer(from)
 	}
 	if follower.next <= g.log.lastIndex() {
-		g.sendAppends(from)
+		g.sendAppends(from, follower)
 	}
 }
 
-// maybeCommit commits what a majority of the voters holds durably, if the
-// newest such entry is of the own term. An entry of an earlier term could be
-// overwritten yet, however many copies it has.
+// maybeCommit commits the entries that are durable on a majority of the voters, if
+// the newest of them is of the present term. An entry of an earlier term could still
+// be overwritten, however many voters have it.
 func (g *Group) maybeCommit() {
-	index := g.quorumOf(g.log.durable, func(p *progress) uint64 { return p.match })
+	index := g.leadership.followers.reachedByMajority(g.log.groups.latest().voters,
+		g.log.durable, func(p *progress) uint64 { return p.match })
 	if term, ok := g.log.termAt(index); !ok || term != g.hard.Term {
 		return
 	}
-	if g.log.commitTo(index) {
-		g.leadership.appendPending = true
-		g.releaseReads()
-		g.fillSlots()
-	}
-}
-
-// quorumOf returns the greatest value that a majority of the voters reached.
-func (g *Group) quorumOf(self uint64, value func(*progress) uint64) uint64 {
-	var values []uint64
-	for _, voter := range g.log.groups.latest().voters {
-		follower := g.leadership.progress[voter.ID]
-		switch {
-		case voter == g.self():
-			values = append(values, self)
-		case follower != nil && follower.incarnation == voter.Incarnation:
-			values = append(values, value(follower))
-		default:
-			values = append(values, 0)
-		}
+	if !g.log.commitTo(index) {
+		return
 	}
-	slices.Sort(values)
-	return values[len(values)-g.quorum()]
+	g.leadership.appendPending = true
+	// Reads may have waited for the commit of the barrier.
+	g.confirmHeartbeats()
+	g.refillSlot()
 }
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -6,61 +6,70 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// TransferLeadership asks the next live voter in the agreed order to take over at once,
-// when it holds the whole log. Until then, and for ElectionTimeout at most, the
-// leader takes no proposals and gives no commands. It fails with ErrNoSuccessor
-// or a *NotLeaderError.
+// leadershipTransfer is the transfer that the leader has begun.
+type leadershipTransfer struct {
+	// target is the member that is to take over, or empty.
+	target    member.ID
+	startedAt time.Duration
+	// requestSent tells that the target was asked to campaign, which it is once it
+	// has the whole log.
+	requestSent bool
+}
+
+// TransferLeadership asks the next live voter in the agreed order to take over at
+// once, when it has the whole log. Until then, and for ElectionTimeout at most, the
+// leader accepts no proposals and gives no commands. A transfer that is in progress
+// goes on. It fails with ErrNoSuccessor or a *NotLeaderError.
 func (g *Group) TransferLeadership(now time.Duration) error {
 	g.advanceClock(now)
 	if g.role != RoleLeader {
 		return &NotLeaderError{Leader: g.leader}
 	}
-	if g.leadership.transferTarget != "" {
+	if g.leadership.transfer.target != "" {
 		return nil
 	}
-	successor := g.nextLiveVoter()
-	if successor == "" {
+	target := g.nextLiveVoter()
+	if target == "" {
 		return ErrNoSuccessor
 	}
-	g.leadership.transferTarget = successor
-	g.leadership.transferStartedAt = g.now
-	g.leadership.transferSent = false
-	g.continueTransfer(successor)
+	g.leadership.transfer = leadershipTransfer{target: target, startedAt: g.now}
+	g.continueTransfer(target)
 	return nil
 }
 
-// nextLiveVoter goes round the agreed order, beginning after this member.
+// nextLiveVoter returns the first live voter after this member in the agreed order,
+// from whose end it goes on at the beginning, or an empty ID.
 func (g *Group) nextLiveVoter() member.ID {
-	var before, after []member.ID
+	var before, after []Voter
 	passedSelf := false
-	for _, id := range g.log.groups.latest().voterIDs {
+	for _, voter := range g.log.groups.latest().voters {
 		switch {
-		case id == g.cfg.Self:
+		case voter.ID == g.cfg.Self:
 			passedSelf = true
 		case passedSelf:
-			after = append(after, id)
+			after = append(after, voter)
 		default:
-			before = append(before, id)
+			before = append(before, voter)
 		}
 	}
-	for _, id := range append(after, before...) {
-		slot := g.slots()[g.slots().position(id)]
-		if g.isLiveVoter(slot.Voter) && !g.hasLeft(id) {
-			return id
+	for _, voter := range append(after, before...) {
+		if g.leadership.followers.isLiveVoter(voter, g.now) && !g.peers.hasLeft(voter.ID) {
+			return voter.ID
 		}
 	}
 	return ""
 }
 
-// continueTransfer asks the successor to campaign once it holds the whole log.
+// continueTransfer asks the target to campaign once it has the whole log.
 func (g *Group) continueTransfer(from member.ID) {
-	if g.leadership.transferTarget != from || g.leadership.transferSent {
+	transfer := &g.leadership.transfer
+	if transfer.target != from || transfer.requestSent {
 		return
 	}
-	if g.leadership.progress[from].match < g.log.lastIndex() {
+	if g.leadership.followers.get(from).match < g.log.lastIndex() {
 		return
 	}
-	g.leadership.transferSent = true
+	transfer.requestSent = true
 	g.send(from, Message{
 		Type:     MessageHeartbeat,
 		Term:     g.hard.Term,
@@ -69,16 +78,17 @@
 	})
 }
 
-// repeatTransfer asks again, as the first request may have been lost: the
-// successor would have left this term else.
+// repeatTransfer asks again, as the first request may have been lost: otherwise the
+// target would have left this term.
 func (g *Group) repeatTransfer(from member.ID) {
-	g.leadership.transferSent = false
+	g.leadership.transfer.requestSent = false
 	g.continueTransfer(from)
 }
 
-// tickTransfer goes on as the leader if the successor did not take over.
+// tickTransfer ends a transfer whose target did not take over in time.
 func (g *Group) tickTransfer() {
-	if g.leadership.transferTarget != "" && g.now >= g.leadership.transferStartedAt+g.cfg.ElectionTimeout {
-		g.leadership.transferTarget = ""
+	transfer := &g.leadership.transfer
+	if transfer.target != "" && g.now >= transfer.startedAt+g.cfg.ElectionTimeout {
+		transfer.target = ""
 	}
 }
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -1,43 +1,24 @@
 package replication
 
-import (
-	"slices"
+import "slices"
 
-	"github.com/pkg/errors"
-)
-
-// replicaLog is the part of the log that a member holds: the entries after
-// offset, and the newest snapshot, which covers at least everything up to
-// offset.
+// replicaLog is the part of the log that a member has: the entries after offset, and
+// the newest snapshot, which covers at least everything up to offset.
+//
+// applied <= committed <= lastIndex, and durable <= lastIndex, hold always.
 type replicaLog struct {
 	offset     uint64
 	offsetTerm uint64
 	entries    []Entry
 	snapshot   *Snapshot
 	// durable is the last index that the driver has made durable.
-	durable uint64
-	// committed <= lastIndex.
+	durable   uint64
 	committed uint64
-	// applied <= committed.
-	applied uint64
+	applied   uint64
 	// groups follows from the snapshot and the entries.
 	groups groupHistory
 }
 
-// check refuses kinds that this member doesn't know, and groups that it can't
-// follow: to pass over them would be unsafe.
-func (e Entry) check() error {
-	switch e.Kind {
-	case EntryCommand, EntryBarrier, EntryRestore:
-		return nil
-	case EntryGroupChange:
-		_, err := decodeSlots(e.Command)
-		return err
-	default:
-		return errors.New("an entry is of a kind that this member can't follow: run the same version on all members")
-	}
-}
-
 func restoreLog(restored Restored, founding slots) *replicaLog {
 	log := &replicaLog{groups: groupHistory{newGroupState(0, founding)}}
 	if restored.Snapshot != nil {
@@ -63,7 +44,7 @@
 	return term
 }
 
-// termAt is false for indexes that the log does not hold.
+// termAt is false for indexes that the log does not have.
 func (l *replicaLog) termAt(index uint64) (term uint64, ok bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -75,12 +56,12 @@
 }
 
 func (l *replicaLog) matches(index, term uint64) bool {
-	heldTerm, ok := l.termAt(index)
-	return ok && heldTerm == term
+	localTerm, ok := l.termAt(index)
+	return ok && localTerm == term
 }
 
-// isUpToDate tells whether a log that ends with (index, term) holds at least
-// what this log may have committed.
+// isUpToDate tells whether a log that ends with (index, term) has at least what this
+// log may have committed.
 func (l *replicaLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -88,12 +69,13 @@
 	return index >= l.lastIndex()
 }
 
-// isNewest tells whether no log that ends with (index, term) is newer.
+// isNewest tells whether a log that ends with (index, term) is not newer than this
+// one.
 func (l *replicaLog) isNewest(index, term uint64) bool {
 	return term < l.lastTerm() || (term == l.lastTerm() && index <= l.lastIndex())
 }
 
-// slice returns the entries first..last. Its capacity is cut so that no later
+// slice returns the entries first..last. Its capacity is limited so that no later
 // append to the log can be seen through it.
 func (l *replicaLog) slice(first, last uint64) []Entry {
 	if first > last {
@@ -104,8 +86,8 @@
 	return l.entries[from:to:to]
 }
 
-// entriesFrom returns entries from first on, of about maxBytes together and at
-// least one if there is any.
+// entriesFrom returns entries from first on, of about maxBytes together and at least
+// one if there is any.
 func (l *replicaLog) entriesFrom(first uint64, maxBytes int) []Entry {
 	entries := l.slice(first, l.lastIndex())
 	size := 0
@@ -125,8 +107,8 @@
 	}
 }
 
-// maybeAppend takes entries in after the entry (index, term). It is false if
-// the log does not hold that entry; else it returns the last new index.
+// maybeAppend appends entries after the entry (index, term). It is false if the log
+// does not have that entry; otherwise it returns the last new index.
 func (l *replicaLog) maybeAppend(index, term uint64, entries []Entry) (last uint64, ok bool) {
 	last = index + uint64(len(entries))
 	if index < l.offset {
@@ -147,26 +129,26 @@
 	return last, true
 }
 
-// truncateFrom drops the entries from index on, which conflict with the
-// leader's log.
+// truncateFrom drops the entries from index on, which conflict with the leader's
+// log.
 func (l *replicaLog) truncateFrom(index uint64) {
-	keep := index - l.offset - 1
-	if keep >= uint64(len(l.entries)) {
+	remaining := index - l.offset - 1
+	if remaining >= uint64(len(l.entries)) {
 		return
 	}
-	l.entries = l.entries[:keep:keep]
+	l.entries = l.entries[:remaining:remaining]
 	l.durable = min(l.durable, index-1)
 	l.groups = l.groups.truncated(index)
 }
 
-// conflictHint returns the last index at or before index whose term is not
-// above term, which is where the logs may begin to agree.
+// conflictHint returns the last index at or before index whose term is not above
+// term, which is where the logs may begin to agree.
 func (l *replicaLog) conflictHint(index, term uint64) (hint, hintTerm uint64) {
 	hint = min(index, l.lastIndex())
 	for hint > l.offset {
-		heldTerm, _ := l.termAt(hint)
-		if heldTerm <= term {
-			return hint, heldTerm
+		localTerm, _ := l.termAt(hint)
+		if localTerm <= term {
+			return hint, localTerm
 		}
 		hint--
 	}
@@ -176,6 +158,7 @@
 	return l.offset, l.offsetTerm
 }
 
+// commitTo is true if the commit index advanced.
 func (l *replicaLog) commitTo(index uint64) bool {
 	if index <= l.committed {
 		return false
@@ -189,9 +172,9 @@
 	return l.slice(l.durable+1, l.lastIndex())
 }
 
-// setDurable takes in that the entries are durable. Those that were truncated
-// meanwhile don't count; an entry that is still the same has the same entries
-// before it.
+// setDurable records that the entries are durable. Those that were truncated in the
+// meantime don't count; an entry that is still the same has the same entries before
+// it.
 func (l *replicaLog) setDurable(entries []Entry) {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if l.matches(entries[i].Index, entries[i].Term) {
@@ -212,15 +195,15 @@
 	l.groups = groupHistory{newGroupState(snapshot.Index, snapshot.Slots)}
 }
 
-// compact makes the snapshot the newest one and keeps up to keep entries that
-// it covers.
-func (l *replicaLog) compact(snapshot *Snapshot, keep uint64) {
+// compact makes the snapshot the newest one, and keeps up to trailing of the entries
+// that it covers.
+func (l *replicaLog) compact(snapshot *Snapshot, trailing uint64) {
 	l.snapshot = snapshot
 	l.groups = l.groups.compacted(snapshot.Index)
-	if snapshot.Index <= l.offset+keep {
+	if snapshot.Index <= l.offset+trailing {
 		return
 	}
-	offset := snapshot.Index - keep
+	offset := snapshot.Index - trailing
 	term, _ := l.termAt(offset)
 	l.entries = slices.Clone(l.entries[offset-l.offset:])
 	l.offset = offset
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -14,77 +14,44 @@
 	Left bool
 }
 
-// SetPeers tells which members with a disk are known at present, for instance
-// by gossip. The leader sends the log to all of them: those without a vote
-// follow as learners, and are given one when they have caught up. It has no
-// bearing on safety.
+// SetPeers tells which members with a disk are known at present, for instance by
+// gossip. The leader sends the log to all of them: those without a vote follow as
+// learners, and are given one when they have caught up. It has no bearing on
+// safety.
 func (g *Group) SetPeers(now time.Duration, peers []Peer) {
 	g.advanceClock(now)
-	g.peers = make([]Peer, 0, len(peers))
-	for _, peer := range peers {
-		if peer.ID != "" && peer.ID != g.cfg.Self && g.findPeer(peer.ID) == nil {
-			g.peers = append(g.peers, peer)
-		}
-	}
+	g.peers = newPeerSet(g.cfg.Self, peers)
 	if g.role == RoleLeader {
 		g.trackMembers()
 	}
 }
 
-// findPeer returns what is known of the peer, or nil.
-func (g *Group) findPeer(id member.ID) *Peer {
-	index := slices.IndexFunc(g.peers, func(peer Peer) bool { return peer.ID == id })
-	if index < 0 {
-		return nil
-	}
-	return &g.peers[index]
-}
-
-func (g *Group) hasLeft(id member.ID) bool {
-	peer := g.findPeer(id)
-	return peer != nil && peer.Left
-}
-
-// recognizes tells whether the member has a place or is a peer.
-func (g *Group) recognizes(id member.ID) bool {
-	return g.slots().position(id) >= 0 || g.findPeer(id) != nil
-}
+// peerSet holds the other members that are known, in the order they were given in.
+type peerSet []Peer
 
-// otherMembers returns the other members: the places, then the peers without one.
-func (g *Group) otherMembers() []member.ID {
-	group := g.slots()
-	others := make([]member.ID, 0, len(group)+len(g.peers))
-	for _, slot := range group {
-		if slot.ID != g.cfg.Self {
-			others = append(others, slot.ID)
-		}
-	}
-	for _, peer := range g.peers {
-		if group.position(peer.ID) < 0 {
-			others = append(others, peer.ID)
+// newPeerSet drops self, members without an ID, and all but the first of those
+// that are listed twice.
+func newPeerSet(self member.ID, peers []Peer) peerSet {
+	set := make(peerSet, 0, len(peers))
+	for _, peer := range peers {
+		if peer.ID != "" && peer.ID != self && set.find(peer.ID) == nil {
+			set = append(set, peer)
 		}
 	}
-	return others
+	return set
 }
 
-// trackMembers begins to track the members that the leader does not track yet.
-// It forgets none: a late message of a lost incarnation must not count as that
-// of a new one.
-func (g *Group) trackMembers() {
-	for _, id := range g.otherMembers() {
-		if g.leadership.progress[id] != nil {
-			continue
-		}
-		g.leadership.progress[id] = &progress{
-			next:             g.log.lastIndex() + 1,
-			lastContact:      g.now,
-			contactHeartbeat: g.leadership.heartbeatNumber,
-		}
-	}
-	for _, voter := range g.log.groups.latest().voters {
-		if follower := g.leadership.progress[voter.ID]; follower != nil && follower.incarnation == 0 {
-			// Until the member is heard in a later incarnation.
-			follower.incarnation = voter.Incarnation
-		}
+// find returns the peer, or nil.
+func (s peerSet) find(id member.ID) *Peer {
+	index := slices.IndexFunc(s, func(peer Peer) bool { return peer.ID == id })
+	if index < 0 {
+		return nil
 	}
+	return &s[index]
+}
+
+// hasLeft tells whether the member announced that it stops.
+func (s peerSet) hasLeft(id member.ID) bool {
+	peer := s.find(id)
+	return peer != nil && peer.Left
 }
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -2,45 +2,44 @@
 
 import "time"
 
-// maxInFlight is how many entries the leader sends to a follower ahead of its
+// maxInFlight is how many entries the leader sends to a follower before their
 // acknowledgements.
 const maxInFlight = 1024
 
-// progressState tells how the leader feeds a follower.
+// progressState tells how the leader sends the log to a follower.
 type progressState uint8
 
 const (
 	// progressProbe looks for the last matching entry, one append at a time.
 	progressProbe progressState = iota
-	// progressReplicate sends entries ahead of their acknowledgements.
+	// progressReplicate sends entries before those sent earlier are acknowledged.
 	progressReplicate
 	// progressSnapshot waits for the follower to install a snapshot.
 	progressSnapshot
 )
 
-// progress is what a leader knows of a follower.
+// progress is what a leader knows of a follower. match < next holds always.
 type progress struct {
 	state progressState
 	// match is the last index known to be durable there and the same as here.
 	match uint64
 	// next is the first index to send.
 	next uint64
-	// probing tells that an append is under way in progressProbe.
+	// probing tells that an append is in flight in progressProbe.
 	probing bool
 	// snapshotIndex and snapshotSentAt are valid in progressSnapshot.
 	snapshotIndex  uint64
 	snapshotSentAt time.Duration
-	// lastContact is when the member was last heard of in this term.
+	// lastContact is when the member was last heard in this term.
 	lastContact time.Duration
-	// ackedHeartbeat is the newest heartbeat round that the member answered.
+	// ackedHeartbeat is the newest heartbeat that the member acknowledged.
 	ackedHeartbeat uint64
-	// contactHeartbeat is the newest round that had begun by then.
+	// contactHeartbeat is the newest heartbeat that had been sent at lastContact.
 	contactHeartbeat uint64
-	// incarnation is the newest incarnation in which the member was heard.
-	// match and ackedHeartbeat are those of this incarnation, and count if it has a
-	// vote.
+	// incarnation is the newest incarnation in which the member was heard. match
+	// and ackedHeartbeat are those of this incarnation, and count if it has a vote.
 	incarnation uint64
-	// learner tells that the member wants no vote.
+	// learner tells that the member refuses a vote.
 	learner bool
 }
 
@@ -62,11 +61,11 @@
 	p.next = index + 1
 }
 
-// isLaterIncarnation tells whether the message proves that its incarnation is
-// later than the one that the member was heard in: it answers a round, as
-// heartbeat replies do, which began after that one was heard, and the
-// incarnations of a member follow each other. So the numbers of incarnations
-// need no order, and no late message of a lost incarnation counts.
+// isLaterIncarnation tells whether the message proves that its incarnation is later
+// than the one that the member was heard in: it acknowledges a heartbeat that was
+// sent after that one was heard, and the incarnations of a member follow each
+// other. So the numbers of incarnations need no order, and no late message of a
+// lost incarnation counts.
 func (p *progress) isLaterIncarnation(m Message) bool {
 	return m.HeartbeatNumber > p.contactHeartbeat && m.Incarnation != 0
 }
@@ -80,8 +79,8 @@
 	p.becomeProbe()
 }
 
-// acknowledged takes in that the follower holds everything up to index. It is
-// true if that is news.
+// acknowledged records that the follower has everything up to index. It is true if
+// match advanced.
 func (p *progress) acknowledged(index uint64) bool {
 	advanced := index > p.match
 	p.match = max(p.match, index)
@@ -98,8 +97,9 @@
 	return advanced
 }
 
-// rejected takes in that the follower lacks the entry at index, and that the
-// logs may agree at hint. It is true if the leader must send again.
+// rejected records that the follower lacks the entry at index, and that the logs may
+// agree at hint. It is true if the leader must send again, and false for a reply
+// that is out of date.
 func (p *progress) rejected(index, hint uint64) bool {
 	if index <= p.match {
 		return false
@@ -119,7 +119,7 @@
 	return true
 }
 
-// full tells that nothing more may be sent ahead of acknowledgements.
+// full tells that no append may be sent until one is acknowledged.
 func (p *progress) full() bool {
 	switch p.state {
 	case progressProbe:
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -7,82 +7,116 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// A group that lost the durable state of a majority of its voters can elect
-// nobody any more. It is formed anew under a ballot, a term that is promised
-// not by a majority but by the present incarnation of every place. Then each
-// incarnation that may ever have voted either has promised the ballot, and
-// takes no part in lower terms, or is one that its member has replaced, and is
-// gone for good. Since each promise is granted only to a log that is up to
-// date, the member that wins the ballot holds all that survived.
+// A group that lost the durable state of a majority of its voters can elect nobody
+// any more. It is recovered under a recovery term, which is granted not by a
+// majority but by the present incarnation of every slot. Then each incarnation that
+// may ever have voted either has granted the recovery term, and takes no part in
+// lower terms, or is one that its member has replaced, and is gone for good. Since
+// each grant is given only to a log that is up to date, the member that wins the
+// recovery term has all that survived.
 
 const (
-	// recoveryTimeouts is how many election timeouts pass without a leader before
-	// a member asks whether the group has to be formed anew, and how many a
-	// ballot may take.
+	// recoveryTimeouts is how many election timeouts pass without a leader before a
+	// member asks whether the group must be recovered, and how many a recovery term
+	// may take to be granted.
 	recoveryTimeouts = 3
-	// recoveryTermStep is how far a ballot lies above all terms that are known, so
-	// that it is above those too that only lost disks knew.
+	// recoveryTermStep is how far a recovery term lies above all terms that are
+	// known, so that it is above those too that only lost disks knew.
 	recoveryTermStep = 1 << 16
 )
 
-// quorumRecovery is what a member knows of the need to form the group anew.
+// quorumRecovery is this member's attempt to recover a group that lost its quorum.
+// It has two phases, as an election has: with term zero the member only asks who
+// would grant a recovery term, then it requests the grants for term.
 type quorumRecovery struct {
-	// term is the own one, or 0 while the member only asks.
+	// term is the recovery term that this member has begun, or 0.
 	term uint64
-	// startedAt is when the ballot began.
+	// startedAt is when term was begun.
 	startedAt   time.Duration
 	requestedAt time.Duration
 	// retryAt is when the next attempt may begin.
 	retryAt time.Duration
-	granted []Voter
+	granted grants
 	// termFloor is the highest term that was heard of.
 	termFloor uint64
-	// lastTerm is the newest ballot that this process began.
+	// lastTerm is the newest recovery term that this process has begun.
 	lastTerm uint64
-	// stateExpected tells that the group had a state, whatever the disks hold.
+	// stateExpected tells that the group had a state, whatever the disks contain.
 	stateExpected bool
 }
 
-// ExpectState tells that the group had a state before. Without that, members
-// whose logs are empty form no group: they may be those of a new deployment that
-// was not set up, and a lost one would be opened as if it were new.
-func (g *Group) ExpectState() { g.recovery.stateExpected = true }
+// stop ends the attempt.
+func (r *quorumRecovery) stop() {
+	r.term = 0
+	r.granted = nil
+}
 
-// RaiseTermFloor tells that a term was in use in this group. Ballots lie
-// above it.
-func (g *Group) RaiseTermFloor(term uint64) {
-	g.recovery.termFloor = max(g.recovery.termFloor, term)
+// stopUntil ends the attempt; another one follows.
+func (r *quorumRecovery) stopUntil(retryAt time.Duration) {
+	r.stop()
+	r.retryAt = retryAt
 }
 
-// Term returns the ballot under which all members of the group wait for Reform.
-func (g *Group) RecoveryTerm() (term uint64, won bool) {
-	return g.recovery.term, g.recoveryTermWon()
+// nextTerm is above newest, the highest term that is known, and is one that no other
+// position among the slots chooses: of two recovery terms at a time one is higher,
+// and wins.
+func (r *quorumRecovery) nextTerm(newest uint64, position, slotCount int) uint64 {
+	term := newest + recoveryTermStep
+	if newest == r.lastTerm && newest > 0 {
+		// This member's last recovery term was not granted, and is a step above the
+		// others already.
+		term = newest + 1
+	}
+	for term%uint64(slotCount) != uint64(position) {
+		term++
+	}
+	return term
 }
 
-func (g *Group) recoveryTermWon() bool {
-	return g.recoveryTermCurrent() && g.recoveryGrantedByAll()
+// grantedByMajority tells whether the incarnations that granted are a majority of
+// those that vote.
+func (r *quorumRecovery) grantedByMajority(group slots) bool {
+	granted := 0
+	for _, voter := range group.voters() {
+		if slices.Contains(r.granted, voter) {
+			granted++
+		}
+	}
+	return granted >= group.quorum()
 }
 
-// recoveryGrantedByAll tells whether all places have granted. A member with an empty log
-// knows the founders only, and waits for all peers: one may be a later voter.
-func (g *Group) recoveryGrantedByAll() bool {
-	for _, slot := range g.slots() {
-		if !g.recoveryGrantedBy(slot.ID) {
-			return false
+// recovered returns the group with each slot given to the incarnation that has
+// granted the recovery term, with a vote.
+func (r *quorumRecovery) recovered(group slots) slots {
+	recovered := slices.Clone(group)
+	for _, voter := range r.granted {
+		if position := recovered.position(voter.ID); position >= 0 {
+			recovered[position] = Slot{Voter: voter}
 		}
 	}
-	return g.log.lastIndex() > 0 || !slices.ContainsFunc(g.peers, func(peer Peer) bool {
-		return !peer.Left && !g.recoveryGrantedBy(peer.ID)
-	})
+	return recovered
 }
 
-// recoveryTermCurrent tells whether a ballot of this member is still the newest term.
-func (g *Group) recoveryTermCurrent() bool {
-	return g.recovery.term != 0 && g.recovery.term == g.hard.Term && g.role != RoleLeader
+// ExpectState tells that the group had a state before. Without that, members whose
+// logs are empty recover no group: they may be those of a new deployment that was
+// not set up, and a lost one would be opened as if it were new.
+func (g *Group) ExpectState() { g.recovery.stateExpected = true }
+
+// RaiseTermFloor tells that a term was in use in this group. Recovery terms lie
+// above it.
+func (g *Group) RaiseTermFloor(term uint64) {
+	g.recovery.termFloor = max(g.recovery.termFloor, term)
 }
 
-// RaiseRecoveryTerm begins another ballot above a term that was in use, if one that
-// this member has won does not lie above it.
+// RecoveryTerm returns the recovery term that this member has begun, or zero. It is
+// won when all members of the group have granted it, and then wait for
+// RecoverQuorum.
+func (g *Group) RecoveryTerm() (term uint64, won bool) {
+	return g.recovery.term, g.recoveryTermWon()
+}
+
+// RaiseRecoveryTerm begins another recovery term above a term that was in use, if
+// the one that this member has won does not lie above it.
 func (g *Group) RaiseRecoveryTerm(term uint64) {
 	g.RaiseTermFloor(term)
 	if g.recoveryTermWon() && g.recovery.term <= term {
@@ -91,72 +125,71 @@
 	}
 }
 
-// abandonRecoveryTerm gives a ballot up. Another one follows.
-func (g *Group) abandonRecoveryTerm() {
-	g.recovery.term = 0
-	g.recovery.granted = nil
-	g.recovery.retryAt = g.now + g.cfg.HeartbeatEvery
-}
-
-// BarrierApplied tells whether this member leads the group and has applied all
-// that was there when it took the leadership.
-func (g *Group) BarrierApplied() bool {
-	return g.role == RoleLeader && g.log.applied >= g.leadership.barrier
-}
-
 // Unapplied returns the entries that the state machine above has not applied,
-// whether they are committed or not. A group that is formed anew keeps them.
+// whether they are committed or not. A group that is recovered keeps them.
 func (g *Group) Unapplied() []Entry {
 	return slices.Clone(g.log.slice(g.log.applied+1, g.log.lastIndex()))
 }
 
-// RecoverQuorum forms the group anew, from the present incarnations of all places,
-// under the ballot that this member has won. State replaces that of the state
-// machine above; who knows the new group knows the state too, as its entry
-// comes first. It fails with a *RecoveryTermError.
+// RecoverQuorum makes this member the leader of a group of the present incarnations
+// of all slots, under the recovery term that it has won. State replaces that of the
+// state machine above; a member that knows the new group has the state too, as its
+// entry comes first. It fails with a *RecoveryTermError.
 func (g *Group) RecoverQuorum(now time.Duration, term uint64, state []byte) error {
 	g.advanceClock(now)
 	if !g.recoveryTermWon() || g.recovery.term != term {
 		return &RecoveryTermError{Term: term}
 	}
-	group := g.recoveredSlots()
+	group := g.recovery.recovered(g.slots())
 	if g.log.lastIndex() == 0 {
 		g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
 	}
 	g.appendEntry(EntryRestore, state)
 	g.appendEntry(EntryGroupChange, encodeSlots(group))
-	// A ballot forms one group only: the term may outlast this leadership.
-	g.abandonRecoveryTerm()
+	// A recovery term forms one group only: the term may outlast this leadership.
+	g.recovery.stopUntil(g.now + g.cfg.HeartbeatEvery)
 	g.becomeLeader()
 	return nil
 }
 
-// recoveredSlots gives every place to the incarnation that has granted the ballot.
-func (g *Group) recoveredSlots() slots {
-	group := slices.Clone(g.slots())
-	for _, voter := range g.recovery.granted {
-		if position := group.position(voter.ID); position >= 0 {
-			group[position] = Slot{Voter: voter}
+// recoveryTermCurrent tells whether a recovery term of this member is still the
+// newest term.
+func (g *Group) recoveryTermCurrent() bool {
+	return g.recovery.term != 0 && g.recovery.term == g.hard.Term && g.role != RoleLeader
+}
+
+func (g *Group) recoveryTermWon() bool {
+	return g.recoveryTermCurrent() && g.recoveryGrantedByAll()
+}
+
+// recoveryGrantedByAll tells whether the members of all slots have granted. A member
+// with an empty log knows the founders only, and waits for all peers: one of them
+// may be a later voter.
+func (g *Group) recoveryGrantedByAll() bool {
+	for _, slot := range g.slots() {
+		if !g.recovery.granted.includes(slot.ID) {
+			return false
 		}
 	}
-	return group
+	return g.log.lastIndex() > 0 || !slices.ContainsFunc(g.peers, func(peer Peer) bool {
+		return !peer.Left && !g.recovery.granted.includes(peer.ID)
+	})
 }
 
-// tickRecovery asks, while no leader is heard, whether the group has to be formed
-// anew. It is true while a ballot of this member is open, which leaves no room
-// for an election.
+// tickRecovery asks, while no leader is heard, whether the group must be recovered.
+// It is true while a recovery term of this member awaits its grants, which rules out
+// an election.
 func (g *Group) tickRecovery() bool {
 	if !g.mayRecoverQuorum() {
-		g.recovery.granted = nil
-		g.recovery.term = 0
+		g.recovery.stop()
 		return false
 	}
 	if g.recovery.term != 0 {
 		return g.tickRecoveryTerm()
 	}
 	if g.now >= g.recoveryDueAt() && g.now >= g.recovery.requestedAt+g.cfg.ElectionTimeout {
-		// What was granted earlier may be untrue by now.
-		g.recovery.granted = []Voter{g.self()}
+		// What was granted before may be untrue by now.
+		g.recovery.granted = grants{g.self()}
 		g.requestRecoveryGrants()
 		g.countRecoveryGrants()
 	}
@@ -170,16 +203,16 @@
 	return g.recovery.stateExpected || g.log.lastIndex() > 0
 }
 
-// recoveryDueAt is when this member may ask: one place after the other.
+// recoveryDueAt is when this member may begin to ask: one slot after the other.
 func (g *Group) recoveryDueAt() time.Duration {
-	rank := time.Duration(g.slots().position(g.cfg.Self))
-	wait := recoveryTimeouts*g.cfg.ElectionTimeout + rank*g.cfg.ElectionTimeout/2
-	return max(g.election.waitFrom+wait, g.recovery.retryAt)
+	position := time.Duration(g.slots().position(g.cfg.Self))
+	wait := recoveryTimeouts*g.cfg.ElectionTimeout + position*g.cfg.ElectionTimeout/2
+	return max(g.timer.waitFrom+wait, g.recovery.retryAt)
 }
 
 func (g *Group) tickRecoveryTerm() bool {
 	if !g.recoveryTermCurrent() || g.now >= g.recovery.startedAt+recoveryTimeouts*g.cfg.ElectionTimeout {
-		g.abandonRecoveryTerm()
+		g.recovery.stopUntil(g.now + g.cfg.HeartbeatEvery)
 		return false
 	}
 	if !g.recoveryTermWon() && g.now >= g.recovery.requestedAt+g.cfg.HeartbeatEvery {
@@ -188,12 +221,28 @@
 	return true
 }
 
-// requestRecoveryGrants asks every place that has not granted, and the other peers, one of
-// which may be a voter of a newer group.
+// startRecoveryTerm begins a recovery term and votes for this member itself. The
+// vote counts once it is durable, see acknowledgeSelf.
+func (g *Group) startRecoveryTerm() {
+	group := g.slots()
+	newest := max(g.hard.Term, g.recovery.termFloor)
+	term := g.recovery.nextTerm(newest, group.position(g.cfg.Self), len(group))
+	g.becomeFollower(term, "")
+	g.voteForSelf()
+	g.timer.waitFrom = g.now
+	g.recovery.term = term
+	g.recovery.lastTerm = term
+	g.recovery.startedAt = g.now
+	g.recovery.granted = nil
+	g.requestRecoveryGrants()
+}
+
+// requestRecoveryGrants asks the members of all slots that have not granted, and the
+// other peers, one of which may be a voter of a newer group.
 func (g *Group) requestRecoveryGrants() {
 	g.recovery.requestedAt = g.now
 	for _, id := range g.otherMembers() {
-		if g.recoveryGrantedBy(id) {
+		if g.recovery.granted.includes(id) {
 			continue
 		}
 		g.send(id, Message{
@@ -206,19 +255,14 @@
 	}
 }
 
-func (g *Group) recoveryGrantedBy(id member.ID) bool {
-	return slices.ContainsFunc(g.recovery.granted, func(voter Voter) bool { return voter.ID == id })
-}
-
-// stepRecoveryRequest promises a ballot to a log that is up to date, durably
-// before the answer leaves. The term of the answer is the highest one that was
-// seen here.
+// stepRecoveryRequest grants a recovery term to a log that is up to date, durably
+// before the reply leaves. The term of the reply is the highest one that was seen
+// here.
 func (g *Group) stepRecoveryRequest(from member.ID, m Message) {
 	granted := !g.cfg.Learner && g.log.isUpToDate(m.Index, m.IndexTerm)
-	switch {
-	case m.PreVote:
+	if m.PreVote {
 		granted = granted && !g.hasLiveLeader()
-	default:
+	} else {
 		granted = granted && g.grantVote(from, m)
 	}
 	reply := Message{Type: MessageRecoveryReply, Term: g.hard.Term, PreVote: m.PreVote, Reject: !granted}
@@ -247,90 +291,33 @@
 	g.addRecoveryGrant(Voter{ID: from, Incarnation: m.Incarnation})
 }
 
-// yieldRecovery leaves it to a voter with a newer log to form the group anew: this
-// member may not know the newest group, and so not all whose promise is needed.
+// yieldRecovery leaves it to a voter with a newer log to recover the group: this
+// member may not know the newest group, and so not all whose grant is needed.
 func (g *Group) yieldRecovery() {
 	if g.recovery.term != 0 || len(g.recovery.granted) > 0 {
-		g.abandonRecoveryTerm()
-		g.recovery.retryAt = g.now + recoveryTimeouts*g.cfg.ElectionTimeout
+		g.recovery.stopUntil(g.now + recoveryTimeouts*g.cfg.ElectionTimeout)
 	}
 }
 
 func (g *Group) addRecoveryGrant(from Voter) {
-	if !g.recoveryGrantedBy(from.ID) {
+	if !g.recovery.granted.includes(from.ID) {
 		g.recovery.granted = append(g.recovery.granted, from)
 		g.countRecoveryGrants()
 	}
 }
 
-// countRecoveryGrants finds out, when all places have granted, whether the group has to
-// be formed anew: this member's log is the newest, and so is the group that it
-// tells of.
+// countRecoveryGrants decides, when the members of all slots have granted, whether
+// the group must be recovered. By then this member's log is known to be the newest,
+// and so is the group that it tells of.
 func (g *Group) countRecoveryGrants() {
 	if !g.recoveryGrantedByAll() {
 		return
 	}
 	switch {
-	case g.majorityPresent():
+	case g.recovery.grantedByMajority(g.slots()):
 		// An election can do it.
-		g.recovery.granted = nil
-		g.recovery.term = 0
+		g.recovery.stop()
 	case g.recovery.term == 0:
 		g.startRecoveryTerm()
 	}
 }
-
-// majorityPresent tells whether the incarnations that granted are a majority of
-// those that vote.
-func (g *Group) majorityPresent() bool {
-	present := 0
-	for _, voter := range g.slots().voters() {
-		if slices.Contains(g.recovery.granted, voter) {
-			present++
-		}
-	}
-	return present >= g.quorum()
-}
-
-// startRecoveryTerm promises a ballot to this member itself. The own promise counts
-// when it is durable.
-func (g *Group) startRecoveryTerm() {
-	term := g.nextRecoveryTerm()
-	g.becomeFollower(term, "")
-	g.hard.VotedFor = g.cfg.Self
-	g.hard.VotedForIncarnation = g.cfg.Incarnation
-	g.election.waitFrom = g.now
-	g.recovery.term = term
-	g.recovery.lastTerm = term
-	g.recovery.startedAt = g.now
-	g.recovery.granted = nil
-	g.requestRecoveryGrants()
-}
-
-// nextRecoveryTerm is above all that is known, and is one that no other place chooses:
-// of two ballots at a time one is higher, and wins.
-func (g *Group) nextRecoveryTerm() uint64 {
-	newest := max(g.hard.Term, g.recovery.termFloor)
-	term := newest + recoveryTermStep
-	if newest == g.recovery.lastTerm && newest > 0 {
-		// The own ballot came to nothing, and has made the step.
-		term = newest + 1
-	}
-	slotCount := uint64(len(g.slots()))
-	rank := uint64(g.slots().position(g.cfg.Self))
-	for term%slotCount != rank {
-		term++
-	}
-	return term
-}
-
-// acknowledgeSelfRecovery lets this member's own promise count, as it is durable now.
-func (g *Group) acknowledgeSelfRecovery(ready *Ready) {
-	hard := ready.HardState
-	if hard == nil || !g.recoveryTermCurrent() || hard.Term != g.recovery.term {
-		return
-	}
-	if hard.VotedFor == g.cfg.Self && hard.VotedForIncarnation == g.cfg.Incarnation {
-		g.addRecoveryGrant(g.self())
-	}
-}
--- a/pkg/replication/read_index.go
+++ b/pkg/replication/read_index.go
@@ -5,33 +5,79 @@
 // maxPendingReads bounds the reads that wait for a quorum.
 const maxPendingReads = 8192
 
-// Read tells that a linearizable read may be answered from the state after
-// Index. When it stands in a Ready, all entries up to Index have been handed
-// out in that Ready or earlier ones.
+// Read tells that a linearizable read may be answered from the state after Index.
+// When it stands in a Ready, all entries up to Index have been handed out in that
+// Ready or earlier ones.
 type Read struct {
 	ID    uint64
 	Index uint64
 }
 
-// readQueue holds reads from their request until a quorum has confirmed the
-// leadership after it.
+// readQueue keeps reads from their request until a majority has acknowledged a
+// heartbeat that was sent after it, which confirms that no newer leader had
+// committed anything by then.
 type readQueue struct {
-	lastID  uint64
+	lastID uint64
+	// waiting are in the order of their requests, and so of their heartbeats; those
+	// without one come last.
 	waiting []pendingRead
-	ready   []Read
-	failed  []uint64
+	// ready and failed are for the next Ready.
+	ready  []Read
+	failed []uint64
 }
 
-// pendingRead waits for round to be answered; for round zero none was sent
+// pendingRead waits for a heartbeat to be acknowledged; for zero none was sent
 // since the request.
 type pendingRead struct {
 	id        uint64
 	heartbeat uint64
 }
 
-// RequestRead asks for a linearizable read. It is answered in Ready.Reads, or
-// in Ready.ReadsFailed if the leadership is lost before. Reads that come while
-// a round is under way share the next one.
+func (q *readQueue) add() (id uint64) {
+	q.lastID++
+	q.waiting = append(q.waiting, pendingRead{id: q.lastID})
+	return q.lastID
+}
+
+// heartbeatInFlight tells whether a heartbeat was sent that reads wait for.
+func (q *readQueue) heartbeatInFlight() bool {
+	return len(q.waiting) > 0 && q.waiting[0].heartbeat != 0
+}
+
+// needHeartbeat tells whether reads wait and no heartbeat was sent for any of them.
+func (q *readQueue) needHeartbeat() bool {
+	return len(q.waiting) > 0 && q.waiting[0].heartbeat == 0
+}
+
+// assign gives the heartbeat that was just sent to all reads without one.
+func (q *readQueue) assign(heartbeat uint64) {
+	for i := range q.waiting {
+		if q.waiting[i].heartbeat == 0 {
+			q.waiting[i].heartbeat = heartbeat
+		}
+	}
+}
+
+// confirm makes the reads ready whose heartbeat a majority has acknowledged.
+func (q *readQueue) confirm(acknowledged, committed uint64) {
+	for q.heartbeatInFlight() && q.waiting[0].heartbeat <= acknowledged {
+		q.ready = append(q.ready, Read{ID: q.waiting[0].id, Index: committed})
+		q.waiting = q.waiting[1:]
+	}
+}
+
+// failWaiting gives all reads up that this member can't confirm any more.
+func (q *readQueue) failWaiting() {
+	for _, read := range q.waiting {
+		q.failed = append(q.failed, read.id)
+	}
+	q.waiting = nil
+}
+
+// RequestRead requests a linearizable read. It comes back in Ready.Reads, or in
+// Ready.ReadsFailed if the leadership is lost before. Reads that are requested
+// while a heartbeat is in flight share the next one. It fails with a
+// *NotLeaderError or ErrBacklogFull.
 func (g *Group) RequestRead(now time.Duration) (readID uint64, err error) {
 	g.advanceClock(now)
 	if err := g.checkAcceptsProposals(); err != nil {
@@ -40,52 +86,21 @@
 	if len(g.reads.waiting) >= maxPendingReads {
 		return 0, ErrBacklogFull
 	}
-	g.reads.lastID++
-	g.reads.waiting = append(g.reads.waiting, pendingRead{id: g.reads.lastID})
-	if !g.readHeartbeatInFlight() {
+	id := g.reads.add()
+	if !g.reads.heartbeatInFlight() {
 		g.broadcastHeartbeat()
 	}
-	return g.reads.lastID, nil
-}
-
-func (g *Group) readHeartbeatInFlight() bool {
-	return len(g.reads.waiting) > 0 && g.reads.waiting[0].heartbeat != 0
-}
-
-// assignReads gives all reads without one the round that was just sent.
-func (g *Group) assignReads() {
-	for i := range g.reads.waiting {
-		if g.reads.waiting[i].heartbeat == 0 {
-			g.reads.waiting[i].heartbeat = g.leadership.heartbeatNumber
-		}
-	}
+	return id, nil
 }
 
-// confirmReads hands out the reads whose round a majority answered. Until the
-// barrier is committed the leader can't know the last committed entry, so they
-// wait for that too.
+// confirmReads waits also for the commit of the barrier, as the leader can't know
+// the last committed entry before.
 func (g *Group) confirmReads(acknowledged uint64) {
 	if g.role != RoleLeader || g.log.committed < g.leadership.barrier {
 		return
 	}
-	for g.readHeartbeatInFlight() && g.reads.waiting[0].heartbeat <= acknowledged {
-		g.reads.ready = append(g.reads.ready, Read{ID: g.reads.waiting[0].id, Index: g.log.committed})
-		g.reads.waiting = g.reads.waiting[1:]
-	}
-	if len(g.reads.waiting) > 0 && g.reads.waiting[0].heartbeat == 0 {
+	g.reads.confirm(acknowledged, g.log.committed)
+	if g.reads.needHeartbeat() {
 		g.broadcastHeartbeat()
 	}
 }
-
-// releaseReads looks again at reads that waited for the barrier.
-func (g *Group) releaseReads() {
-	g.confirmHeartbeats()
-}
-
-// failReads gives all reads up that this member can't confirm any more.
-func (g *Group) failReads() {
-	for _, read := range g.reads.waiting {
-		g.reads.failed = append(g.reads.failed, read.id)
-	}
-	g.reads.waiting = nil
-}
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -1,13 +1,20 @@
 package replication
 
-import "slices"
+import (
+	"slices"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// maxQueuedMessages bounds the messages that wait for a Ready.
+const maxQueuedMessages = 4096
 
 // Ready is what the driver has to do, in the order of the package comment.
 type Ready struct {
 	// HardState is nil unless it must be made durable.
 	HardState *HardState
-	// Entries must be made durable. They replace all durable entries from the
-	// index of the first one on.
+	// Entries must be made durable. They replace all durable entries from the index
+	// of the first one on.
 	Entries []Entry
 	// Snapshot replaces the whole durable log and the application's state.
 	Snapshot *Snapshot
@@ -21,13 +28,13 @@
 	ReadsFailed []uint64
 }
 
-// MustSync tells whether anything has to be durable before Messages are sent
-// and Committed is applied.
+// MustSync tells whether anything has to be durable before Messages are sent and
+// Committed is applied.
 func (r Ready) MustSync() bool {
 	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil
 }
 
-// output gathers what the next Ready will hold.
+// output collects what the next Ready will hand out.
 type output struct {
 	messages []Outbound
 	// snapshot was received and not handed out yet.
@@ -38,8 +45,17 @@
 	outstanding *Ready
 }
 
-// HasReady tells whether Ready would hold anything to do. It is false while a
-// Ready is outstanding.
+// queue adds a message. While a sync stalls, the queue is bounded; a message that is
+// dropped then counts as lost on the way, and is repeated.
+func (o *output) queue(to member.ID, m Message) {
+	if len(o.messages) >= maxQueuedMessages {
+		return
+	}
+	o.messages = append(o.messages, Outbound{To: to, Message: m})
+}
+
+// HasReady tells whether Ready would hand out anything. It is false while a Ready is
+// outstanding.
 func (g *Group) HasReady() bool {
 	if g.output.outstanding != nil {
 		return false
@@ -54,13 +70,16 @@
 		len(g.reads.failed) > 0
 }
 
+// hardStateChanged ignores the commit index, which alone is not worth a sync: the
+// leader sends it again.
 func (g *Group) hardStateChanged() bool {
-	return g.hard.Term != g.output.persisted.Term || g.hard.VotedFor != g.output.persisted.VotedFor ||
-		g.hard.VotedForIncarnation != g.output.persisted.VotedForIncarnation
+	persisted := g.output.persisted
+	return g.hard.Term != persisted.Term || g.hard.VotedFor != persisted.VotedFor ||
+		g.hard.VotedForIncarnation != persisted.VotedForIncarnation
 }
 
-// Ready hands out what there is to do. While a Ready is outstanding, it hands
-// out nothing; Advance ends that.
+// Ready hands out what there is to do. It is empty while a Ready is outstanding;
+// Advance ends that.
 func (g *Group) Ready() Ready {
 	if g.output.outstanding != nil {
 		return Ready{}
@@ -72,11 +91,10 @@
 		Entries:     slices.Clone(g.log.notDurable()),
 		Snapshot:    g.output.snapshot,
 		Messages:    g.output.messages,
-		Committed:   g.unapplied(),
+		Committed:   g.notApplied(),
 		Reads:       g.reads.ready,
 		ReadsFailed: g.reads.failed,
 	}
-	// A commit index alone is not worth a sync: the leader tells it again.
 	if ready.MustSync() || g.hardStateChanged() {
 		g.hard.Commit = g.log.committed
 		hard := g.hard
@@ -91,16 +109,17 @@
 	return ready
 }
 
-func (g *Group) unapplied() []Entry {
-	from := g.log.applied
+// notApplied returns the committed entries that the driver has not applied.
+func (g *Group) notApplied() []Entry {
+	applied := g.log.applied
 	if g.output.snapshot != nil {
-		from = g.output.snapshot.Index
+		applied = g.output.snapshot.Index
 	}
-	return slices.Clone(g.log.slice(from+1, g.log.committed))
+	return slices.Clone(g.log.slice(applied+1, g.log.committed))
 }
 
-// Advance tells that all of the outstanding Ready is done: it is durable, sent
-// and applied.
+// Advance tells that all of the outstanding Ready is done: it is durable, sent and
+// applied.
 func (g *Group) Advance() {
 	ready := g.output.outstanding
 	if ready == nil {
@@ -117,19 +136,19 @@
 	g.acknowledgeSelf(ready)
 }
 
-// acknowledgeSelf lets this member's own promise and own entries count, as they
-// are durable now.
+// acknowledgeSelf lets this member's vote and entries count, as they are durable
+// now.
 func (g *Group) acknowledgeSelf(ready *Ready) {
-	g.acknowledgeSelfRecovery(ready)
+	votedForSelf := ready.HardState != nil && ready.HardState.Term == g.hard.Term &&
+		ready.HardState.VotedFor == g.cfg.Self && ready.HardState.VotedForIncarnation == g.cfg.Incarnation
+	if votedForSelf && g.recoveryTermCurrent() {
+		g.addRecoveryGrant(g.self())
+	}
 	switch g.role {
 	case RoleLeader:
 		g.maybeCommit()
 	case RoleCandidate:
-		hard := ready.HardState
-		if hard == nil || g.election.preElection {
-			return
-		}
-		if hard.Term == g.hard.Term && hard.VotedFor == g.cfg.Self && hard.VotedForIncarnation == g.cfg.Incarnation {
+		if votedForSelf && !g.campaign.preVote {
 			g.addGrant(g.self())
 		}
 	case RoleFollower, RoleLearner:
--- a/pkg/replication/slot.go
+++ b/pkg/replication/slot.go
@@ -13,41 +13,43 @@
 // with.
 const FoundingIncarnation = 1
 
-// Voter is a member together with one incarnation of its durable state.
-// Promises and acknowledgements are those of an incarnation: a member that lost
-// its disk goes on under a new incarnation, which knows nothing of them.
+// Voter is a member together with one incarnation of its durable state. Votes and
+// acknowledgements are those of an incarnation: a member that lost its disk goes on
+// under a new incarnation, which knows nothing of them.
 type Voter struct {
-	ID member.ID
+	ID member.ID `json:"ID"`
 	// Incarnation names the durable state among those that the member has had. It
-	// never comes back.
-	Incarnation uint64
+	// is never used again.
+	Incarnation uint64 `json:"Incarnation"`
 }
 
-// Slot is one place in the agreed order of a group. A new voter gets a place
-// at the end; one that lost its durable state gets its place back.
+// Slot is one position in the agreed order of a group. A new voter gets a slot at
+// the end; one that lost its durable state gets its slot back. Its JSON form is
+// stored in logs.
 type Slot struct {
 	Voter
-	// Learner tells that the place is kept for the member, which has no vote
-	// until it holds the log.
-	Learner bool
+	// Learner tells that the slot is reserved for the member, which has no vote
+	// until it has the log.
+	Learner bool `json:"Learner"`
 }
 
-// slots are all places of a group in the agreed order.
+// slots are all slots of a group in the agreed order. They are never changed in
+// place, and so may be shared.
 type slots []Slot
 
 // foundingSlots is the group before the first entry of the log.
-func foundingSlots(group []member.ID) slots {
-	founded := make(slots, len(group))
-	for i, id := range group {
-		founded[i] = Slot{Voter: Voter{ID: id, Incarnation: FoundingIncarnation}}
+func foundingSlots(founders []member.ID) slots {
+	founding := make(slots, len(founders))
+	for i, id := range founders {
+		founding[i] = Slot{Voter: Voter{ID: id, Incarnation: FoundingIncarnation}}
 	}
-	return founded
+	return founding
 }
 
-// voters returns those whose promises and acknowledgements count.
-func (p slots) voters() []Voter {
-	voters := make([]Voter, 0, len(p))
-	for _, slot := range p {
+// voters returns those whose votes and acknowledgements count.
+func (s slots) voters() []Voter {
+	voters := make([]Voter, 0, len(s))
+	for _, slot := range s {
 		if !slot.Learner {
 			voters = append(voters, slot.Voter)
 		}
@@ -56,56 +58,61 @@
 }
 
 // votes tells whether the member has a vote in that incarnation.
-func (p slots) votes(voter Voter) bool {
-	return slices.Contains(p, Slot{Voter: voter})
+func (s slots) votes(voter Voter) bool {
+	return slices.Contains(s, Slot{Voter: voter})
 }
 
-// position returns the place of the member, or -1.
-func (p slots) position(id member.ID) int {
-	return slices.IndexFunc(p, func(slot Slot) bool { return slot.ID == id })
+// position returns the position of the member's slot, or -1.
+func (s slots) position(id member.ID) int {
+	return slices.IndexFunc(s, func(slot Slot) bool { return slot.ID == id })
 }
 
-func (p slots) quorum() int {
+// quorum returns how many voters are a majority of the group.
+func (s slots) quorum() int {
 	voters := 0
-	for _, slot := range p {
+	for _, slot := range s {
 		if !slot.Learner {
 			voters++
 		}
 	}
+	return majority(voters)
+}
+
+// majority returns how many of a number of voters are a majority.
+func majority(voters int) int {
 	return voters/2 + 1
 }
 
-// with returns a copy in which the position is filled anew.
-func (p slots) with(position int, filled Slot) slots {
-	changed := slices.Clone(p)
-	changed[position] = filled
+// with returns a copy with another slot at position.
+func (s slots) with(position int, slot Slot) slots {
+	changed := slices.Clone(s)
+	changed[position] = slot
 	return changed
 }
 
-// without returns a copy without the place at position.
-func (p slots) without(position int) slots {
-	return slices.Delete(slices.Clone(p), position, position+1)
+// without returns a copy without the slot at position.
+func (s slots) without(position int) slots {
+	return slices.Delete(slices.Clone(s), position, position+1)
 }
 
-// check finds places that no group can have.
-func (p slots) check() error {
-	if len(p.voters()) == 0 {
+// check finds slots that no group can have.
+func (s slots) check() error {
+	if len(s.voters()) == 0 {
 		return errors.New("the group has no voter")
 	}
-	ids := make([]member.ID, 0, len(p))
-	for _, slot := range p {
+	ids := make([]member.ID, 0, len(s))
+	for _, slot := range s {
 		if slot.Incarnation == 0 {
-			return errors.New("a place of the group has no incarnation")
+			return errors.New("a slot of the group has no incarnation")
 		}
 		ids = append(ids, slot.ID)
 	}
 	return checkDistinct(ids)
 }
 
-// encodeSlots returns the command of an EntryGroupChange: the whole group
-// after it.
+// encodeSlots returns the command of an EntryGroupChange: the whole group after it.
 func encodeSlots(group slots) []byte {
-	// Marshal fails for types only that these are not.
+	// Marshal fails only for types that slots don't contain.
 	data, _ := json.Marshal(group)
 	return data
 }
@@ -113,7 +120,7 @@
 func decodeSlots(command []byte) (slots, error) {
 	var group slots
 	if err := json.Unmarshal(command, &group); err != nil {
-		return nil, errors.Wrap(err, "decode the places of a group")
+		return nil, errors.Wrap(err, "decode the slots of a group")
 	}
 	return group, group.check()
 }
--- /dev/null
+++ b/pkg/replication/snapshot.go
@@ -0,0 +1,104 @@
+package replication
+
+import (
+	"slices"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// Snapshot is the state after all entries up to and including Index.
+type Snapshot struct {
+	Index uint64
+	Term  uint64
+	// Slots are those of the group after Index, in the agreed order.
+	Slots []Slot
+	// Data is the state of the state machine above.
+	Data []byte
+}
+
+// Compact makes the application's state after index the newest snapshot and drops
+// the entries before it but for MaxLogEntries. The index must be applied (Advance
+// was called) and newer than the last snapshot. It fails with a *CompactError.
+func (g *Group) Compact(index uint64, data []byte) error {
+	if index > g.log.applied {
+		return &CompactError{Index: index, Message: "is not applied yet: call Advance first"}
+	}
+	if g.log.snapshot != nil && index <= g.log.snapshot.Index {
+		return &CompactError{Index: index, Message: "is covered by a snapshot already: compact at a newer index"}
+	}
+	term, ok := g.log.termAt(index)
+	if !ok || index == 0 {
+		return &CompactError{Index: index, Message: "is not in the log: compact at an applied index"}
+	}
+	group := g.log.groups.at(index)
+	if len(group) == 0 {
+		return &CompactError{Index: index, Message: "is of a log that tells of no group yet: compact at a later index"}
+	}
+	snapshot := &Snapshot{
+		Index: index,
+		Term:  term,
+		Slots: group,
+		Data:  slices.Clone(data),
+	}
+	g.log.compact(snapshot, uint64(g.cfg.MaxLogEntries))
+	return nil
+}
+
+// Checkpoint returns the whole durable state, with which the driver may replace
+// everything that it wrote before. It must not be called while a Ready is
+// outstanding, which could hold older records that are written after it.
+func (g *Group) Checkpoint() Restored {
+	hard := g.hard
+	hard.Commit = g.log.committed
+	first := g.log.offset + 1
+	if g.log.snapshot != nil {
+		first = g.log.snapshot.Index + 1
+	}
+	return Restored{
+		HardState: hard,
+		Snapshot:  g.log.snapshot,
+		Entries:   slices.Clone(g.log.slice(first, g.log.lastIndex())),
+	}
+}
+
+// sendSnapshot sends the newest snapshot. There is one whenever entries have been
+// dropped from the log.
+func (g *Group) sendSnapshot(to member.ID, follower *progress) {
+	snapshot := g.log.snapshot
+	follower.becomeSnapshot(snapshot.Index, g.now)
+	g.send(to, Message{
+		Type:     MessageSnapshot,
+		Term:     g.hard.Term,
+		Index:    snapshot.Index,
+		Snapshot: snapshot,
+	})
+}
+
+// checkSnapshot finds a snapshot of a group that can't be.
+func checkSnapshot(from member.ID, m Message) error {
+	if m.Snapshot == nil {
+		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
+	}
+	if err := slots(m.Snapshot.Slots).check(); err != nil {
+		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
+	}
+	return nil
+}
+
+// stepSnapshot installs the snapshot, unless the log has the entry at its index.
+func (g *Group) stepSnapshot(from member.ID, m Message) {
+	snapshot := m.Snapshot
+	if snapshot.Index <= g.log.committed {
+		g.acknowledge(from, g.log.committed)
+		return
+	}
+	if g.log.matches(snapshot.Index, snapshot.Term) {
+		g.log.commitTo(snapshot.Index)
+		g.acknowledge(from, snapshot.Index)
+		return
+	}
+	g.log.install(snapshot)
+	g.updateRole()
+	g.output.snapshot = snapshot
+	g.acknowledge(from, snapshot.Index)
+}
--- a/pkg/replication/status.go
+++ b/pkg/replication/status.go
@@ -16,17 +16,16 @@
 	Role          Role
 	// Incarnation is that of Self's durable state.
 	Incarnation uint64
-	// Voters holds the voters in the agreed order. It must not be changed, like
-	// Places.
+	// Voters are in the agreed order. They must not be changed, like Slots.
 	Voters []member.ID
-	// Slots holds all places in the agreed order, with those that wait for a
+	// Slots are all slots in the agreed order, with those of members that wait for a
 	// vote.
 	Slots []Slot
-	// ChangeIndex is the index of the entry that began this group; the change
-	// is final when it is committed.
+	// ChangeIndex is the index of the entry that began this group; the change is
+	// final when it is committed.
 	ChangeIndex uint64
-	// Followers is set on the leader only: the places in their order, then the
-	// peers without one.
+	// Followers is set on the leader only: the members with a slot in the agreed
+	// order, then the peers without one.
 	Followers []FollowerStatus
 }
 
@@ -57,21 +56,22 @@
 		Incarnation: g.cfg.Incarnation,
 		Voters:      group.voterIDs,
 		Slots:       group.slots,
+		ChangeIndex: group.index,
 	}
-	status.ChangeIndex = group.index
 	if g.log.snapshot != nil {
 		status.SnapshotIndex = g.log.snapshot.Index
 	}
 	if g.role != RoleLeader {
 		return status
 	}
+	followers := &g.leadership.followers
 	for _, id := range g.otherMembers() {
-		follower := g.leadership.progress[id]
+		follower := followers.get(id)
 		status.Followers = append(status.Followers, FollowerStatus{
 			ID:          id,
 			Match:       follower.match,
-			Live:        g.isLive(follower),
-			Learner:     !g.slots().votes(Voter{ID: id, Incarnation: follower.incarnation}),
+			Live:        followers.isLive(follower, g.now),
+			Learner:     !group.slots.votes(Voter{ID: id, Incarnation: follower.incarnation}),
 			Incarnation: follower.incarnation,
 		})
 	}
--- /dev/null
+++ b/pkg/replication/tracker.go
@@ -0,0 +1,101 @@
+package replication
+
+import (
+	"slices"
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// tracker is what a leader knows of the logs of the other members, and what a
+// majority of the voters has reached. A voter counts only in the incarnation that
+// has the vote. It forgets no member while the leadership lasts: a late message of
+// a lost incarnation must not count as one of a new incarnation.
+type tracker struct {
+	// self is the leader. It counts as live, and as having acknowledged everything.
+	self Voter
+	// liveFor is how long a member counts as live after it was heard.
+	liveFor time.Duration
+	members map[member.ID]*progress
+}
+
+func newTracker(self Voter, liveFor time.Duration) tracker {
+	return tracker{self: self, liveFor: liveFor, members: map[member.ID]*progress{}}
+}
+
+// get returns the progress of another member, or nil if it is not tracked.
+func (t *tracker) get(id member.ID) *progress {
+	return t.members[id]
+}
+
+// voter returns the progress of the voter, or nil if its member is not tracked or
+// was last heard in another incarnation.
+func (t *tracker) voter(voter Voter) *progress {
+	follower := t.members[voter.ID]
+	if follower == nil || follower.incarnation != voter.Incarnation {
+		return nil
+	}
+	return follower
+}
+
+// isLive tells whether the member was heard lately, in whatever incarnation.
+func (t *tracker) isLive(follower *progress, now time.Duration) bool {
+	return now < follower.lastContact+t.liveFor
+}
+
+// isLiveVoter tells whether the voter was heard lately.
+func (t *tracker) isLiveVoter(voter Voter, now time.Duration) bool {
+	if voter == t.self {
+		return true
+	}
+	follower := t.voter(voter)
+	return follower != nil && t.isLive(follower, now)
+}
+
+// hasLiveMajority tells whether a majority of the group was heard lately.
+func (t *tracker) hasLiveMajority(group slots, now time.Duration) bool {
+	live := 0
+	for _, voter := range group.voters() {
+		if t.isLiveVoter(voter, now) {
+			live++
+		}
+	}
+	return live >= group.quorum()
+}
+
+// hasAcknowledged tells whether the voter has acknowledged that heartbeat or a
+// later one.
+func (t *tracker) hasAcknowledged(voter Voter, heartbeat uint64) bool {
+	if voter == t.self {
+		return true
+	}
+	follower := t.voter(voter)
+	return follower != nil && follower.ackedHeartbeat >= heartbeat
+}
+
+// present is the incarnation in which the member of a slot was last heard.
+func (t *tracker) present(slot Slot) Voter {
+	if follower := t.members[slot.ID]; follower != nil {
+		return Voter{ID: slot.ID, Incarnation: follower.incarnation}
+	}
+	return slot.Voter
+}
+
+// reachedByMajority returns the greatest value that a majority of the voters has
+// reached; self is that of the leader.
+func (t *tracker) reachedByMajority(voters []Voter, self uint64, value func(*progress) uint64) uint64 {
+	values := make([]uint64, 0, len(voters))
+	for _, voter := range voters {
+		follower := t.voter(voter)
+		switch {
+		case voter == t.self:
+			values = append(values, self)
+		case follower != nil:
+			values = append(values, value(follower))
+		default:
+			values = append(values, 0)
+		}
+	}
+	slices.Sort(values)
+	return values[len(values)-majority(len(values))]
+}
