--- a/pkg/replication/cluster_check_test.go
+++ b/pkg/replication/cluster_check_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// cell draws a node: role, term, commit/last, and marks. A group that is not
+// cell draws a node: role, term, commit/last, and flags. A group that is not
 // the founding one shows as the number of voters @ the index of the change.
 func (c *cluster) cell(n *node) string {
 	if n.group == nil {
--- a/pkg/replication/cluster_driver_test.go
+++ b/pkg/replication/cluster_driver_test.go
@@ -66,7 +66,7 @@
 	n.group.Advance()
 }
 
-// release ends the sync of the held Ready.
+// release ends the sync of the pending Ready.
 func (c *cluster) release(n *node) {
 	if n.pendingReady == nil {
 		return
@@ -105,8 +105,8 @@
 	return err
 }
 
-// recoverQuorum forms the group anew once a node has won a ballot. What no member
-// knows any more was lost with the disks.
+// recoverQuorum recovers the group once a node has won a recovery term. What no
+// member knows any more was lost with the disks.
 func (c *cluster) recoverQuorum(n *node) {
 	term, won := n.group.RecoveryTerm()
 	if !won || c.recoveryBlocked {
--- a/pkg/replication/cluster_incarnations_test.go
+++ b/pkg/replication/cluster_incarnations_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// crash loses the held Ready, or only what follows its sync.
+// crash loses the pending Ready, or only what follows its sync.
 func (c *cluster) crash(n *node, synced bool) {
 	if n.pendingReady != nil && synced {
 		n.write(*n.pendingReady)
--- a/pkg/replication/cluster_test.go
+++ b/pkg/replication/cluster_test.go
@@ -19,8 +19,8 @@
 	tickEvery       = 10 * time.Millisecond
 )
 
-// node is one member with its disk. What the state machine has not been told
-// to be durable is lost in a crash.
+// node is one member with its disk. What was not written to the disk is
+// lost in a crash.
 type node struct {
 	id         member.ID
 	group      *replication.Group
@@ -47,7 +47,7 @@
 	// applied is the chain digest of all applied entries, at appliedIndex.
 	applied      uint64
 	appliedIndex uint64
-	// reads maps a read to the index that its answer must cover.
+	// reads maps a read to the index that its result must cover.
 	reads         map[uint64]uint64
 	readsServed   int
 	readsFailed   int
@@ -76,8 +76,8 @@
 	majorityLost bool
 	// disksLost counts the disks that were lost and are to be repaired.
 	disksLost int
-	// recoveries counts how often the group was formed anew; recoveryBlocked keeps it
-	// from that, as if the state could not be found.
+	// recoveries counts how often the group was recovered; recoveryBlocked prevents
+	// that, as if the state could not be found.
 	recoveries      int
 	recoveryBlocked bool
 	// forgetful restarts founders without the names of the founders, once their
@@ -87,7 +87,7 @@
 	elastic bool
 }
 
-// Marks before the IDs of members that are no founders: one is there from the
+// Prefixes of the IDs of members that are no founders: one is there from the
 // start, the other starts later. A bound on the voters stands among the IDs.
 const (
 	peerPrefix      = "+"
--- a/pkg/replication/durability_test.go
+++ b/pkg/replication/durability_test.go
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("durability", func() {
-	It("lets a member's own promise and entries count after Advance only", func() {
+	It("lets a member's vote for itself and its own entries count after Advance only", func() {
 		g := newMember("n1", "n1")
 		g.Tick(electionTimeout)
 		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 1, VotedFor: "n1", VotedForIncarnation: replication.FoundingIncarnation}))
@@ -53,7 +53,7 @@
 		Expect(g.Ready().Committed).To(Equal(barrier.Entries))
 	})
 
-	It("hands a promise out to be durable in the Ready of the reply, also in a known term", func() {
+	It("hands a vote out to be durable in the Ready of the reply, also in a known term", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageVoteReply, Term: 4, Reject: true})).To(Succeed())
 		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 4}))
@@ -112,8 +112,8 @@
 	})
 })
 
-var _ = Describe("refusals", func() {
-	It("refuse what no correct member sends, and change nothing", func() {
+var _ = Describe("invalid input", func() {
+	It("is rejected when no correct member sends it, and changes nothing", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		var refused *replication.MessageError
 		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat})).To(BeAssignableToTypeOf(refused))
@@ -136,7 +136,7 @@
 		Expect(g.Step(0, "n3", appendMessage(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
 	})
 
-	It("name the leader to a caller that asks another member", func() {
+	It("is answered with the name of the leader when a caller asks another member", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0))).To(Succeed())
 		_, err := g.Propose(0, nil)
@@ -146,9 +146,9 @@
 		Expect(g.TransferLeadership(0)).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
 	})
 
-	It("find settings and durable state that can't be right", func() {
+	It("is found in settings and durable state that can't be right", func() {
 		good := replication.Config{Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2"}, HeartbeatEvery: 1, ElectionTimeout: 3}
-		for _, spoil := range []func(*replication.Config){
+		for _, invalidate := range []func(*replication.Config){
 			func(c *replication.Config) { c.Self = "" },
 			func(c *replication.Config) { c.Incarnation = 0 },
 			func(c *replication.Config) { c.Founders = []member.ID{"n1", ""} },
@@ -161,7 +161,7 @@
 			func(c *replication.Config) { c.MaxLogEntries = -1 },
 		} {
 			config := good
-			spoil(&config)
+			invalidate(&config)
 			_, err := replication.New(config, replication.Restored{}, 0)
 			Expect(err).To(BeAssignableToTypeOf(&replication.ConfigError{}))
 		}
--- a/pkg/replication/elastic_test.go
+++ b/pkg/replication/elastic_test.go
@@ -188,10 +188,10 @@
 	group := c.leader().group.Status().Slots
 	Expect(group).To(ContainElements(fullGroup), "seed %d: a live peer has no vote", seed)
 	for _, slot := range group {
-		Expect(slot.Learner).To(BeFalse(), "seed %d: a place is kept for %s", seed, slot.ID)
+		Expect(slot.Learner).To(BeFalse(), "seed %d: a slot is reserved for %s", seed, slot.ID)
 	}
 	if len(group) > len(fullGroup) {
-		Expect(len(group)%2).To(Equal(1), "seed %d: an even group keeps a silent voter", seed)
+		Expect(len(group)%2).To(Equal(1), "seed %d: an even group keeps an unresponsive voter", seed)
 	}
 	for _, n := range c.present() {
 		status := n.group.Status()
@@ -227,7 +227,7 @@
 }
 
 var _ = Describe("an elastic group", func() {
-	It("keeps one history and one leader a term in random schedules, and ends with a vote for every member", func() {
+	It("keeps one history and one leader per term in random schedules, and ends with a vote for every member", func() {
 		var committed, lost, killed, planned, unplanned, started int
 		for seed := range uint64(*elasticSchedules) {
 			s := newElasticSchedule(seed)
@@ -298,7 +298,7 @@
 		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4"}))
 	})
 
-	It("keeps the silent voter of an odd group, and that of an even one for a while", func() {
+	It("keeps the unresponsive voter of an odd group, and that of an even one for a while", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4")
 		c.crash(c.node("n3"), true)
 		c.advanceBy(2 * replication.DefaultRemoveAfter)
@@ -316,7 +316,7 @@
 		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4", "n3"}), "in its old incarnation")
 	})
 
-	It("is formed anew by the voters of the newest known group", func() {
+	It("is recovered by the voters of the newest known group", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
@@ -340,7 +340,7 @@
 		expectAgreement(c, 0)
 	})
 
-	It("is formed anew by its founders when all disks are lost, and grows again", func() {
+	It("is recovered by its founders when all disks are lost, and grows again", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
@@ -358,7 +358,7 @@
 		expectAgreement(c, 0)
 	})
 
-	It("is not formed anew by founders with new disks while another member that had joined is down", func() {
+	It("is not recovered by founders with new disks while another member that had joined is down", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
@@ -380,7 +380,7 @@
 		expectAgreement(c, 0)
 	})
 
-	It("keeps what any disk holds when it has grown and loses any number of disks", func() {
+	It("keeps what any disk has when it has grown and loses any number of disks", func() {
 		var reformed int
 		for seed := range uint64(*elasticSchedules) {
 			c := newCluster(rand.New(rand.NewPCG(seed, 13)), "n1", "n2", "n3", "+n4", "+n5")
--- a/pkg/replication/golden_group_test.go
+++ b/pkg/replication/golden_group_test.go
@@ -6,7 +6,7 @@
 )
 
 var _ = ginkgo.Describe("The command of a group change", func() {
-	// Logs and members of earlier releases hold it in this form.
+	// Logs and members of earlier releases contain it in this form.
 	const golden = `[{"ID":"10.0.0.1:7100","Incarnation":1,"Learner":false},` +
 		`{"ID":"10.0.0.2:7100","Incarnation":14841536834309578040,"Learner":true}]`
 
--- a/pkg/replication/group_change_test.go
+++ b/pkg/replication/group_change_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -18,7 +19,8 @@
 	addNewN3     = replication.GroupChange{Kind: replication.ChangeAddVoter, Voter: newN3}
 )
 
-// slotsWithLearner is the group of n1, n2 and the place that is kept for the new n3.
+// slotsWithLearner is the group of n1, n2 and the slot that is reserved for the new
+// n3.
 func slotsWithLearner() []replication.Slot {
 	return append(founderSlots("n1", "n2"), replication.Slot{Voter: newN3, Learner: true})
 }
@@ -34,8 +36,8 @@
 	return m
 }
 
-// leaderWithCommittedBarrier is electedLeader after its barrier is committed, with the new n3
-// caught up.
+// leaderWithCommittedBarrier is electedLeader after its barrier is committed, with
+// the new n3 caught up.
 func leaderWithCommittedBarrier() *replication.Group {
 	g := electedLeader()
 	Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
@@ -44,22 +46,22 @@
 	return g
 }
 
-// heartbeatReply is the answer to a heartbeat of term 2.
+// heartbeatReply acknowledges a heartbeat of term 2.
 func heartbeatReply(heartbeat uint64) replication.Message {
 	return replication.Message{Type: replication.MessageHeartbeatReply, Incarnation: replication.FoundingIncarnation, Term: 2, HeartbeatNumber: heartbeat}
 }
 
-// newIncarnationMatches has the new n3 answer the first round and hold the log.
+// newIncarnationMatches has the new n3 acknowledge the first heartbeat and the log.
 func newIncarnationMatches(g *replication.Group, now time.Duration) {
 	Expect(g.Step(now, "n3", inIncarnation(newN3.Incarnation, heartbeatReply(1)))).To(Succeed())
 	Expect(g.Step(now, "n3", inIncarnation(newN3.Incarnation, appendReply(2, 2)))).To(Succeed())
 }
 
 func problemOf(err error) replication.GroupChangeProblem {
-	var refused *replication.GroupChangeError
-	ExpectWithOffset(1, err).To(BeAssignableToTypeOf(refused))
+	var rejected *replication.GroupChangeError
+	ExpectWithOffset(1, errors.As(err, &rejected)).To(BeTrue(), "%v", err)
 	ExpectWithOffset(1, err.Error()).To(ContainSubstring(": "))
-	return err.(*replication.GroupChangeError).Problem
+	return rejected.Problem
 }
 
 var _ = Describe("a change of the group", func() {
@@ -74,14 +76,14 @@
 		drainReadies(g)
 		Expect(g.Step(electedAt, "n2", appendReply(2, 3))).To(Succeed())
 		fullGroup := append(founderSlots("n1", "n2"), replication.Slot{Voter: newN3})
-		Expect(g.Status().Slots).To(Equal(fullGroup), "the place was not filled at once")
+		Expect(g.Status().Slots).To(Equal(fullGroup), "the slot was not filled at once")
 		Expect(g.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n3"}))
 		Expect(problemOf(g.ProposeGroupChange(electedAt, addNewN3))).To(Equal(replication.ProblemChangePending))
 	})
 
-	It("is refused when it names the wrong member", func() {
+	It("is rejected when it names the wrong member", func() {
 		g := leaderWithCommittedBarrier()
-		for _, spoil := range []func(*replication.GroupChange){
+		for _, invalidate := range []func(*replication.GroupChange){
 			func(c *replication.GroupChange) { c.Voter.ID = "n9" },
 			func(c *replication.GroupChange) { c.Voter.Incarnation = 2 },
 			func(c *replication.GroupChange) { c.Successor = lostN3 },
@@ -89,7 +91,7 @@
 			func(c *replication.GroupChange) { c.Kind = replication.ChangeAddVoter },
 		} {
 			change := removeLostN3
-			spoil(&change)
+			invalidate(&change)
 			Expect(problemOf(g.ProposeGroupChange(electedAt, change))).To(Equal(replication.ProblemNoSuchSlot))
 		}
 		leader := removeLostN3
@@ -100,7 +102,7 @@
 		Expect(follower.ProposeGroupChange(0, removeLostN3)).To(Equal(&replication.NotLeaderError{}))
 	})
 
-	It("is refused while the successor lacks entries, or the others are not heard", func() {
+	It("is rejected while the successor lacks entries, or the others are not heard", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
 		Expect(problemOf(g.ProposeGroupChange(electedAt, removeLostN3))).To(Equal(replication.ProblemNotCaughtUp))
@@ -116,7 +118,7 @@
 		Expect(g.Status().Commit).To(BeZero())
 	})
 
-	It("forgets what the lost incarnation holds, also when that is told late", func() {
+	It("forgets what the lost incarnation acknowledged, also when that arrives late", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n3", appendReply(2, 1))).To(Succeed())
 		Expect(g.Status().Followers[1].Match).To(Equal(uint64(1)))
@@ -130,7 +132,7 @@
 		Expect(g.Status().Followers[1].Incarnation).To(Equal(newN3.Incarnation))
 	})
 
-	It("takes an incarnation for a later one only if it answers a round that began after the other was heard", func() {
+	It("takes an incarnation for a later one only if it acknowledges a heartbeat that was sent after the other was heard", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n3", appendReply(2, 1))).To(Succeed())
 		for _, late := range []replication.Message{heartbeatReply(1), appendReply(2, 2)} {
@@ -143,7 +145,7 @@
 		Expect(g.Status().Followers[1].Incarnation).To(Equal(newN3.Incarnation))
 	})
 
-	It("does not renew a promise of a term for another incarnation", func() {
+	It("does not repeat a vote for another incarnation", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		request := replication.Message{Type: replication.MessageVoteRequest, Incarnation: lostN3.Incarnation, Term: 4}
 		Expect(g.Step(0, "n3", request)).To(Succeed())
@@ -153,7 +155,7 @@
 		Expect(messages[1].Message.Reject).To(BeTrue())
 	})
 
-	It("stands in snapshots from its index on, and is undone with its entry", func() {
+	It("is part of snapshots from its index on, and is undone with its entry", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		change := changeEntry(2, 1, slotsWithLearner())
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 1, entry(1, 1), change, entry(3, 1)))).To(Succeed())
--- a/pkg/replication/leadership_test.go
+++ b/pkg/replication/leadership_test.go
@@ -13,7 +13,7 @@
 // electedAt is when electedLeader becomes the leader of term 2.
 const electedAt = electionTimeout
 
-// electedLeader returns the leader n1 of a group of three, whose log holds an
+// electedLeader returns the leader n1 of a group of three, whose log has an
 // entry of term 1 and its own barrier, both durable here only.
 func electedLeader() *replication.Group {
 	g, err := replication.New(replication.Config{
@@ -36,7 +36,7 @@
 	return g
 }
 
-// drainReadies passes all Readies and returns the rounds of the heartbeats to n2.
+// drainReadies passes all Readies and returns the numbers of the heartbeats to n2.
 func drainReadies(g *replication.Group) (heartbeats []uint64) {
 	for g.HasReady() {
 		for _, outbound := range g.Ready().Messages {
@@ -53,7 +53,7 @@
 	return replication.Message{Type: replication.MessageAppendReply, Incarnation: 1, Term: term, Index: index}
 }
 
-// acknowledgeHeartbeatsUntil answers every heartbeat at once until then.
+// acknowledgeHeartbeatsUntil acknowledges every heartbeat at once until then.
 func acknowledgeHeartbeatsUntil(g *replication.Group, from, until time.Duration) {
 	for now := from; now <= until; now += tickEvery {
 		g.Tick(now)
@@ -68,8 +68,8 @@
 	Expect(g.Step(now, "n2", reply)).To(Succeed())
 }
 
-var _ = Describe("trials", func() {
-	It("are won by grants of one asking only", func() {
+var _ = Describe("pre-votes", func() {
+	It("are won by grants of one round of requests only", func() {
 		g := newMember("n1", "n1", "n2", "n3", "n4", "n5")
 		granted := replication.Message{Type: replication.MessageVoteReply, Incarnation: 1, Term: 1, PreVote: true}
 		g.Tick(electionTimeout)
@@ -89,7 +89,7 @@
 		Expect(g.Step(electedAt, "n3", appendReply(2, 1))).To(Succeed())
 		Expect(g.Status().Commit).To(BeZero())
 		Expect(g.Step(electedAt, "n3", appendReply(1, 2))).To(Succeed())
-		Expect(g.Status().Commit).To(BeZero(), "an answer to an earlier term counted")
+		Expect(g.Status().Commit).To(BeZero(), "a reply in an earlier term counted")
 		Expect(g.Step(electedAt, "n3", appendReply(2, 2))).To(Succeed())
 		Expect(g.Status().Commit).To(Equal(uint64(2)))
 	})
@@ -105,7 +105,7 @@
 		Expect(g.HasCommandLease(late)).To(BeTrue())
 	})
 
-	It("counts the lease from the sending of the round, not from its answer", func() {
+	It("counts the lease from the sending of the heartbeat, not from its acknowledgement", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
 		sent := electedAt + leaseDuration + leaseMargin
@@ -124,14 +124,14 @@
 		Expect(g.HasCommandLease(end)).To(BeFalse())
 	})
 
-	It("is not moved in time by a question about a later instant", func() {
+	It("does not advance its clock for a query about a later instant", func() {
 		g := electedLeader()
 		Expect(g.HasCommandLease(time.Hour)).To(BeFalse())
 		g.Tick(electedAt + heartbeatEvery)
 		Expect(g.Status().Role).To(Equal(replication.RoleLeader))
 	})
 
-	It("refuses work that can't be bounded, and tells when it failed reads", func() {
+	It("rejects work that can't be bounded, and tells which reads failed", func() {
 		g := electedLeader()
 		read, err := g.RequestRead(electedAt)
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/replication/random_test.go
+++ b/pkg/replication/random_test.go
@@ -25,7 +25,7 @@
 )
 
 var _ = Describe("random schedules", func() {
-	It("keep one history, one leader a term and one lease holder, and end in agreement", func() {
+	It("keep one history, one leader per term and one lease holder, and end in agreement", func() {
 		var committed, terms, reads, leases, lost, reformed int
 		for seed := range uint64(*schedules) {
 			c := randomCluster(seed)
@@ -60,7 +60,7 @@
 	c := newCluster(random, ids...)
 	c.neverRepaired = seed%neverRepairedEvery == 0
 	c.majorityLost = seed%neverRepairedEvery == 1
-	// Who is silent is not removed here: the elastic schedules do that.
+	// Unresponsive members are not removed here: the elastic schedules do that.
 	c.config.RemoveAfter = time.Hour
 	c.faults = faults{lose: 0.1, double: 0.1, stall: 0.1, maxDelay: 20 * time.Millisecond}
 	for _, n := range c.nodes {
@@ -110,7 +110,7 @@
 		c.wiped = true
 		c.wipe(n)
 	case roll < 86 && !c.neverRepaired && c.intactAfter(n):
-		// More lost disks than this could hold all copies of an entry.
+		// More lost disks than this could have had all replicas of an entry.
 		c.loseDisk(n)
 	case roll < 87 && c.majorityLost && c.random.IntN(4) == 0:
 		for range 1 + c.random.IntN(len(c.nodes)) {
--- a/pkg/replication/repair_test.go
+++ b/pkg/replication/repair_test.go
@@ -15,8 +15,8 @@
 func firstLeader() *replication.Group {
 	g := newMember("n1", "n1", "n2", "n3")
 	g.Tick(electionTimeout)
-	for _, trial := range []bool{true, false} {
-		granted := replication.Message{Type: replication.MessageVoteReply, Incarnation: 1, Term: 1, PreVote: trial}
+	for _, preVote := range []bool{true, false} {
+		granted := replication.Message{Type: replication.MessageVoteReply, Incarnation: 1, Term: 1, PreVote: preVote}
 		Expect(g.Step(electionTimeout, "n2", granted)).To(Succeed())
 		drainReadies(g)
 	}
@@ -62,7 +62,7 @@
 		Expect(again.Status().Role).To(Equal(replication.RoleFollower))
 	})
 
-	It("are not made up by a member that knows of no group", func() {
+	It("are not invented by a member that knows of no group", func() {
 		g := newMember("n4")
 		g.ExpectState()
 		g.SetPeers(0, []replication.Peer{{ID: "n1"}, {ID: "n2"}})
@@ -82,7 +82,7 @@
 })
 
 var _ = Describe("members without a vote, or about to lose it", func() {
-	It("are sent the log and the heartbeats, and are not asked for promises", func() {
+	It("are sent the log and the heartbeats, and are not asked for votes", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		g.SetPeers(0, []replication.Peer{{ID: "n4"}, {ID: "n1"}, {ID: "n4"}, {ID: "n2"}, {ID: ""}})
 		g.Tick(electionTimeout)
@@ -133,7 +133,7 @@
 		Expect(err).To(Equal(&replication.NotLeaderError{Leader: "n3"}))
 	})
 
-	It("do not count when they grant promises", func() {
+	It("do not count when they grant votes", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		g.SetPeers(0, []replication.Peer{{ID: "n4"}})
 		g.Tick(electionTimeout)
@@ -153,7 +153,7 @@
 		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n3", "n5"}))
 	})
 
-	It("get none while a silent voter of an odd group may yet be back", func() {
+	It("get none while an unresponsive voter of an odd group may yet be back", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4")
 		c.crash(c.node("n3"), true)
 		c.advanceBy(electionTimeout + tickEvery)
@@ -191,25 +191,25 @@
 		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2", "n4")))
 	})
 
-	It("gives a kept place up whose member stays silent", func() {
+	It("drops a reserved slot whose member stays unresponsive", func() {
 		g := leaderWithCommittedBarrier()
 		Expect(problemOf(g.ProposeGroupChange(electedAt, replication.GroupChange{
 			Kind: replication.ChangeDropSlot, Voter: lostN3,
 		}))).To(Equal(replication.ProblemNoSuchSlot))
 		Expect(g.ProposeGroupChange(electedAt, removeLostN3)).To(Succeed())
-		silent := electedAt + electionTimeout
-		acknowledgeHeartbeatsUntil(g, electedAt, silent)
-		Expect(g.Step(silent, "n2", appendReply(2, 3))).To(Succeed())
+		unheard := electedAt + electionTimeout
+		acknowledgeHeartbeatsUntil(g, electedAt, unheard)
+		Expect(g.Step(unheard, "n2", appendReply(2, 3))).To(Succeed())
 		end := electedAt + replication.DefaultRemoveAfter
-		acknowledgeHeartbeatsUntil(g, silent, end-heartbeatEvery)
+		acknowledgeHeartbeatsUntil(g, unheard, end-heartbeatEvery)
 		Expect(g.Status().Slots).To(Equal(slotsWithLearner()))
 		acknowledgeHeartbeatsUntil(g, end-heartbeatEvery, end+heartbeatEvery)
 		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2")))
 	})
 })
 
-var _ = Describe("a group that lost a majority", func() {
-	It("is not formed anew by a member of which a voter with a newer log knows better", func() {
+var _ = Describe("a group that lost its quorum", func() {
+	It("is not recovered by a member whose log is older than that of another voter", func() {
 		grant := replication.Message{Type: replication.MessageRecoveryReply, Incarnation: 8, PreVote: true}
 		newer := replication.Message{Type: replication.MessageRecoveryReply, Incarnation: 1, PreVote: true, Reject: true, Index: 2, IndexTerm: 1}
 		for _, objected := range []bool{false, true} {
@@ -218,10 +218,10 @@
 			Expect(g.Step(0, "n1", appendMessage(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
 			drainReadies(g)
 			now := time.Duration(0)
-			for asked := []member.ID(nil); len(asked) == 0; now += tickEvery {
+			for requested := []member.ID(nil); len(requested) == 0; now += tickEvery {
 				g.Tick(now)
-				if asked = recipientsOf(g, replication.MessageRecoveryRequest); len(asked) > 0 {
-					Expect(asked).To(Equal([]member.ID{"n1", "n2", "n4"}))
+				if requested = recipientsOf(g, replication.MessageRecoveryRequest); len(requested) > 0 {
+					Expect(requested).To(Equal([]member.ID{"n1", "n2", "n4"}))
 				}
 			}
 			Expect(g.Step(now, "n1", grant)).To(Succeed())
@@ -229,8 +229,8 @@
 				Expect(g.Step(now, "n4", newer)).To(Succeed())
 			}
 			Expect(g.Step(now, "n2", grant)).To(Succeed())
-			ballot, _ := g.RecoveryTerm()
-			Expect(ballot == 0).To(Equal(objected))
+			term, _ := g.RecoveryTerm()
+			Expect(term == 0).To(Equal(objected))
 		}
 	})
 })
--- a/pkg/replication/timeline_test.go
+++ b/pkg/replication/timeline_test.go
@@ -16,7 +16,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-var updateTimelines = flag.Bool("redraw", false, "write the timelines anew instead of comparing them")
+var updateTimelines = flag.Bool("update-timelines", false, "write the timelines again instead of comparing them")
 
 // A timeline has a line an event and a column a node, which shows the node
 // after the event. Lines that begin with # are remarks.
@@ -83,7 +83,7 @@
 		return
 	}
 	if words[0] == "seek" || words[0] == "found" {
-		// While the state is sought, a ballot is won and nothing comes of it.
+		// While the state is sought, a recovery term that is won leads to nothing.
 		c.recoveryBlocked = words[0] == "seek"
 		return
 	}
@@ -139,7 +139,7 @@
 		c.release(n)
 	case "compact":
 		Expect(c.compact(n)).To(Succeed())
-	case "handover":
+	case "transfer":
 		Expect(n.group.TransferLeadership(c.clock(n))).To(Succeed())
 		c.drain(n)
 	default:
