--- a/internal/wire/replication.go
+++ b/internal/wire/replication.go
@@ -4,13 +4,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication/fbtable"
 )
 
 func packReplication(message *replication.Message) *fb.ReplicationT {
 	if message == nil {
 		return nil
 	}
-	return &fb.ReplicationT{
+	packed := &fb.ReplicationT{
 		Type:        byte(message.Type),
 		Term:        message.Term,
 		Incarnation: message.Incarnation,
@@ -23,23 +24,11 @@
 		Learner:     message.Learner,
 		Reject:      message.Reject,
 		RejectHint:  message.RejectHint,
-		Entries:     packEntries(message.Entries),
 		Snapshot:    packSnapshot(message.Snapshot),
 	}
-}
-
-func packEntries(entries []replication.Entry) []*fb.EntryT {
-	if len(entries) == 0 {
-		return nil
-	}
-	packed := make([]*fb.EntryT, len(entries))
-	for i, entry := range entries {
-		packed[i] = &fb.EntryT{
-			Index:   entry.Index,
-			Term:    entry.Term,
-			Kind:    byte(entry.Kind),
-			Command: entry.Command,
-		}
+	// An empty vector is left out of a frame.
+	if len(message.Entries) > 0 {
+		packed.Entries = fbtable.PackEntries[fb.EntryT](message.Entries)
 	}
 	return packed
 }
@@ -48,21 +37,9 @@
 	if snapshot == nil {
 		return nil
 	}
-	return &fb.SnapshotT{
-		Index:  snapshot.Index,
-		Term:   snapshot.Term,
-		Places: packSlots(snapshot.Slots),
-		Data:   snapshot.Data,
-	}
-}
-
-func packSlots(group []replication.Slot) []*fb.PlaceT {
-	if len(group) == 0 {
-		return nil
-	}
-	packed := make([]*fb.PlaceT, len(group))
-	for i, place := range group {
-		packed[i] = &fb.PlaceT{Id: string(place.ID), Incarnation: place.Incarnation, Learner: place.Learner}
+	packed := &fb.SnapshotT{Index: snapshot.Index, Term: snapshot.Term, Data: snapshot.Data}
+	if len(snapshot.Slots) > 0 {
+		packed.Places = fbtable.PackSlots[fb.PlaceT](snapshot.Slots)
 	}
 	return packed
 }
--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -9,6 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication/durable/fb"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication/fbtable"
 )
 
 //go:generate flatc --go --gen-object-api -o . durable.fbs
@@ -31,7 +32,7 @@
 	table := &fb.StateT{
 		HardState: packHardState(c.hardState),
 		Snapshot:  packSnapshot(c.snapshot),
-		Entries:   packEntries(c.entries),
+		Entries:   fbtable.PackEntries[fb.EntryT](c.entries),
 	}
 	builder := flatbuffers.NewBuilder(initialBuilderBytes)
 	builder.FinishWithFileIdentifier(table.Pack(builder), []byte(identifier))
@@ -57,32 +58,11 @@
 	return &fb.SnapshotT{
 		Index:  snapshot.Index,
 		Term:   snapshot.Term,
-		Places: packSlots(snapshot.Slots),
+		Places: fbtable.PackSlots[fb.PlaceT](snapshot.Slots),
 		Data:   snapshot.Data,
 	}
 }
 
-func packSlots(group []replication.Slot) []*fb.PlaceT {
-	packed := make([]*fb.PlaceT, len(group))
-	for i, place := range group {
-		packed[i] = &fb.PlaceT{Id: string(place.ID), Incarnation: place.Incarnation, Learner: place.Learner}
-	}
-	return packed
-}
-
-func packEntries(entries []replication.Entry) []*fb.EntryT {
-	packed := make([]*fb.EntryT, len(entries))
-	for i, entry := range entries {
-		packed[i] = &fb.EntryT{
-			Index:   entry.Index,
-			Term:    entry.Term,
-			Kind:    byte(entry.Kind),
-			Command: entry.Command,
-		}
-	}
-	return packed
-}
-
 // decode returns a change that shares no memory with data. The store has
 // checked that data is what was written.
 func decode(data []byte) (decoded record, err error) {
