--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -15,24 +15,23 @@
 //go:generate flatc --go --gen-object-api -o . durable.fbs
 //go:generate gofmt -w fb
 
-// identifier marks the records of this schema; it stands behind the root
-// offset.
+// identifier is the file identifier of this schema, which follows the root offset.
 const identifier = "RSD1"
 
 const initialBuilderBytes = 512
 
 var errEncoding = errors.New("durable: data is not a record of this release")
 
-// encode returns the whole state as one change.
+// encode returns the whole state as one record.
 func encode(state replication.Restored) []byte {
 	return record{hardState: &state.HardState, snapshot: state.Snapshot, entries: state.Entries}.encode()
 }
 
-func (c record) encode() []byte {
+func (r record) encode() []byte {
 	table := &fb.StateT{
-		HardState: packHardState(c.hardState),
-		Snapshot:  packSnapshot(c.snapshot),
-		Entries:   fbtable.PackEntries[fb.EntryT](c.entries),
+		HardState: packHardState(r.hardState),
+		Snapshot:  packSnapshot(r.snapshot),
+		Entries:   fbtable.PackEntries[fb.EntryT](r.entries),
 	}
 	builder := flatbuffers.NewBuilder(initialBuilderBytes)
 	builder.FinishWithFileIdentifier(table.Pack(builder), []byte(identifier))
@@ -63,14 +62,14 @@
 	}
 }
 
-// decode returns a change that shares no memory with data. The store has
-// checked that data is what was written.
+// decode returns a record that shares no memory with data. The store has verified that
+// data is what was written.
 func decode(data []byte) (decoded record, err error) {
 	if len(data) < flatbuffers.SizeUOffsetT+len(identifier) || !flatbuffers.BufferHasIdentifier(data, identifier) {
 		return record{}, errEncoding
 	}
-	// The accessors have no verifier: a wrong offset shows as a panic of the
-	// bounds check.
+	// The accessors have no verifier: a wrong offset shows as a panic of the bounds
+	// check.
 	defer func() {
 		if recover() != nil {
 			decoded, err = record{}, errEncoding
--- a/pkg/replication/durable/encoding_test.go
+++ b/pkg/replication/durable/encoding_test.go
@@ -57,7 +57,7 @@
 		Expect(fields).To(ConsistOf("HardState", "Entries", "Snapshot", "Messages", "Committed", "Reads", "ReadsFailed"))
 	})
 
-	It("refuses what it did not write, and never panics", func() {
+	It("rejects what it did not write, and never panics", func() {
 		var state replication.Restored
 		fill(reflect.ValueOf(&state).Elem(), "state")
 		data := encode(state)
--- a/pkg/replication/durable/log.go
+++ b/pkg/replication/durable/log.go
@@ -1,6 +1,3 @@
-// Package durable keeps the state of a member of a replica group on a disk:
-// each Save is one record of a twoslot store, and the whole state is its
-// checkpoint.
 package durable
 
 import (
@@ -11,12 +8,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// DefaultMaxLogBytes is the size of records behind a checkpoint at which Save
-// writes the next one.
+// DefaultMaxLogBytes is the size in bytes of the records after a checkpoint at which
+// Save writes the next checkpoint.
 const DefaultMaxLogBytes = 4 << 20
 
-// checkpointRatio is how many times the size of a checkpoint may stand in
-// records behind it, so that a large state isn't written all the time.
+// checkpointRatio is how many times as large as a checkpoint the records after it may
+// become, so that a large state isn't written all the time.
 const checkpointRatio = 2
 
 // Log is the durable state of one member. It is not safe for concurrent use.
@@ -25,18 +22,18 @@
 	// state is what is durable.
 	state       replication.Restored
 	maxLogBytes int
-	// checkpointAt is the size of records at which Save writes a checkpoint.
+	// checkpointAt is the size of the records in bytes at which Save writes a
+	// checkpoint.
 	checkpointAt int
 }
 
-// Open reads the state of that name from the disk. The state is empty if the
-// disk holds none. Damaged state is an error that matches twoslot.ErrCorrupt.
+// Open reads the state of that name from the disk. The state is empty if the disk has
+// none. Damaged state is an error that matches twoslot.ErrCorrupt.
 func Open(disk twoslot.Disk, name string) (*Log, replication.Restored, error) {
 	return OpenWithLimit(disk, name, DefaultMaxLogBytes)
 }
 
-// OpenWithLimit is Open with a bound on the bytes of records behind a
-// checkpoint.
+// OpenWithLimit is Open with a bound on the bytes of the records after a checkpoint.
 func OpenWithLimit(disk twoslot.Disk, name string, maxLogBytes int) (*Log, replication.Restored, error) {
 	store, contents, err := twoslot.Open(disk, name)
 	if err != nil {
@@ -53,31 +50,31 @@
 	return log, restored, nil
 }
 
-// Save makes durable what a Ready holds for the disk. All of it is durable
-// when Save returns nil, and after a crash all or none of it is. On
-// twoslot.ErrDiskFull and *OrderError nothing changed, and Save can be called
-// again; after other errors the log must be opened again. The memory of the
-// Ready must not be changed afterwards.
+// Save makes the hard state, snapshot and entries of a Ready durable. All of them are
+// durable when Save returns nil, and after a crash all or none are. On
+// twoslot.ErrDiskFull and *OrderError nothing changed, and Save can be called again;
+// after other errors the log must be opened again. The memory of the Ready must not
+// be changed afterwards.
 func (l *Log) Save(ready replication.Ready) error {
 	if !ready.MustSync() {
 		return nil
 	}
-	change := record{hardState: ready.HardState, snapshot: ready.Snapshot, entries: ready.Entries}
-	next, err := change.applyTo(l.state)
+	saved := record{hardState: ready.HardState, snapshot: ready.Snapshot, entries: ready.Entries}
+	next, err := saved.applyTo(l.state)
 	if err != nil {
 		return err
 	}
 	if ready.Snapshot != nil {
 		return l.writeCheckpoint(next)
 	}
-	if err := l.store.Append(change.encode()); err != nil {
+	if err := l.store.Append(saved.encode()); err != nil {
 		return err
 	}
 	l.state = next
 	return l.checkpointIfLarge()
 }
 
-// Checkpoint replaces all durable state. It has the errors of Save.
+// Checkpoint replaces all durable state. It fails as Save does.
 func (l *Log) Checkpoint(hard replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error {
 	replacement := record{hardState: &hard, snapshot: snapshot, entries: entries}
 	next, err := replacement.applyTo(replication.Restored{HardState: replication.HardState{Term: l.state.Term}})
@@ -97,8 +94,8 @@
 	return nil
 }
 
-// checkpointIfLarge bounds the log. What was saved is durable already, so a
-// disk without room for the checkpoint only puts it off.
+// checkpointIfLarge bounds the log. What was saved is durable already, so a disk that
+// is too full for the checkpoint only delays it.
 func (l *Log) checkpointIfLarge() error {
 	if l.store.LogBytes() < l.checkpointAt {
 		return nil
--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// script has promises, entries, conflicting suffixes, a snapshot from the
+// script has votes, entries, conflicting suffixes, a snapshot from the
 // leader, a compaction, and enough bytes for checkpoints in between.
 var script = []operation{
 	{ready: replication.Ready{HardState: hard(1, "a", 0)}},
@@ -97,7 +97,7 @@
 }
 
 // runScript runs operations until one fails. It returns the state that was
-// acknowledged, and that with the operation under way.
+// acknowledged, and that with the operation in progress.
 func runScript(disk *memdisk.Disk) (acknowledged, underWay replication.Restored) {
 	log, _, err := OpenWithLimit(disk, logName, smallLimit)
 	if err != nil {
@@ -138,7 +138,7 @@
 		}
 	})
 
-	It("restores what was acknowledged, or that and the save under way, after a crash at any byte", func() {
+	It("restores what was acknowledged, or that and the save in progress, after a crash at any byte", func() {
 		whole := memdisk.New()
 		runScript(whole)
 		total := whole.Stats().Positions
@@ -156,7 +156,7 @@
 				if !reflect.DeepEqual(restored, acknowledged) && !reflect.DeepEqual(restored, underWay) {
 					Fail(fmt.Sprintf("tear %d at %d: restored %+v", tear, position, restored))
 				}
-				// Opening may have mended what the crash tore.
+				// Opening may have repaired what the crash tore.
 				_, again, err := Open(disk, logName)
 				if err != nil || !reflect.DeepEqual(again, restored) {
 					Fail(fmt.Sprintf("tear %d at %d, opened again: %v, restored %+v", tear, position, err, again))
@@ -195,7 +195,7 @@
 		}
 	})
 
-	It("keeps entries that a refused save would have replaced", func() {
+	It("keeps entries that a rejected save would have replaced", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimit(disk, logName, 1)
 		Expect(err).NotTo(HaveOccurred())
@@ -256,7 +256,7 @@
 		Expect(restoredGroup(disk).Status().Slots).To(Equal(founding.Slots))
 	})
 
-	DescribeTable("refuses what does not follow on its state, and writes nothing",
+	DescribeTable("rejects what does not follow on its state, and writes nothing",
 		func(ready replication.Ready) {
 			disk := memdisk.New()
 			runScript(disk)
@@ -268,7 +268,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(after).To(Equal(before))
 		},
-		Entry("entries behind a gap", replication.Ready{Entries: entries(6, 29, 30)}),
+		Entry("entries after a gap", replication.Ready{Entries: entries(6, 29, 30)}),
 		Entry("entries that the snapshot covers", replication.Ready{Entries: entries(6, 22, 30)}),
 		Entry("entries with a gap", replication.Ready{Entries: append(entries(6, 28, 28), entries(6, 30, 30)...)}),
 		Entry("an older term", replication.Ready{HardState: hard(5, "a", 24)}),
--- a/pkg/replication/durable/record.go
+++ b/pkg/replication/durable/record.go
@@ -7,44 +7,44 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// record is what one Save does to the state: the hard state replaces the
-// former one, then the snapshot replaces all entries, then the entries replace
-// those from the index of the first one on.
+// record is what one Save changes of the state: the hard state replaces the former
+// one, then the snapshot replaces all entries, then the entries replace those from the
+// index of the first one on. Nil and empty fields change nothing.
 type record struct {
 	hardState *replication.HardState
 	snapshot  *replication.Snapshot
 	entries   []replication.Entry
 }
 
-// applyTo returns the state after the change, or *OrderError if the change
-// does not follow on the state. It may write behind the end of the entries of
-// the former state, but not change them.
-func (c record) applyTo(state replication.Restored) (replication.Restored, error) {
-	if c.hardState != nil {
-		if c.hardState.Term < state.Term {
-			return state, &OrderError{Message: fmt.Sprintf("term %d after term %d", c.hardState.Term, state.Term)}
+// applyTo returns the state after the record, or an *OrderError if the record does not
+// follow on the state. It may write after the end of the entries of the former state,
+// but does not change them.
+func (r record) applyTo(state replication.Restored) (replication.Restored, error) {
+	if r.hardState != nil {
+		if r.hardState.Term < state.Term {
+			return state, &OrderError{Message: fmt.Sprintf("term %d after term %d", r.hardState.Term, state.Term)}
 		}
-		state.HardState = *c.hardState
+		state.HardState = *r.hardState
 	}
-	if c.snapshot != nil {
-		state.Snapshot = c.snapshot
+	if r.snapshot != nil {
+		state.Snapshot = r.snapshot
 		state.Entries = nil
 	}
-	if len(c.entries) == 0 {
+	if len(r.entries) == 0 {
 		return state, nil
 	}
-	if err := checkEntries(state, c.entries); err != nil {
+	if err := checkEntries(state, r.entries); err != nil {
 		return state, err
 	}
-	retained := int(c.entries[0].Index - coveredIndex(state) - 1)
+	retained := int(r.entries[0].Index - coveredIndex(state) - 1)
 	if retained < len(state.Entries) {
 		state.Entries = state.Entries[:retained:retained]
 	}
-	state.Entries = append(state.Entries, c.entries...)
+	state.Entries = append(state.Entries, r.entries...)
 	return state, nil
 }
 
-// coveredIndex returns the index in front of the first entry.
+// coveredIndex returns the index before the first entry.
 func coveredIndex(state replication.Restored) uint64 {
 	if state.Snapshot == nil {
 		return 0
@@ -67,19 +67,19 @@
 	return nil
 }
 
-// restore replays the records behind a checkpoint.
+// restore replays the records after a checkpoint.
 func restore(name string, contents twoslot.Contents) (replication.Restored, error) {
 	var state replication.Restored
 	encoded := contents.Records
-	// A state is never encoded to nothing: an empty payload is that of a store
-	// which was mended before its first checkpoint.
+	// A state is never encoded to nothing: an empty payload is that of a store that was
+	// repaired before its first checkpoint.
 	if len(contents.Payload) > 0 {
 		encoded = append([][]byte{contents.Payload}, encoded...)
 	}
 	for i, data := range encoded {
-		change, err := decode(data)
+		saved, err := decode(data)
 		if err == nil {
-			state, err = change.applyTo(state)
+			state, err = saved.applyTo(state)
 		}
 		if err != nil {
 			detail := fmt.Sprintf("record %d of %d", i+1, len(encoded))
@@ -89,13 +89,13 @@
 	return state, nil
 }
 
-// OrderError tells that a change does not follow on the state before it, which
-// is a fault of the caller; nothing was written.
+// OrderError tells that a record does not follow on the state before it, which is a
+// mistake of the caller; nothing was written.
 type OrderError struct {
 	Message string
 }
 
-// Error names the fault and its remedy.
+// Error names the mistake and the remedy.
 func (e *OrderError) Error() string {
 	return "durable: change does not follow on what is stored: " + e.Message + "; stop the member and report this"
 }
