--- a/internal/lab/bench/ablation.go
+++ b/internal/lab/bench/ablation.go
@@ -9,14 +9,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/workload"
 )
 
-// AblationRow is what became of kv with one knob moved, over all seeds.
+// AblationRow is the result of kv with one knob changed, over all seeds.
 type AblationRow struct {
 	Mix   string `json:"mix"`
 	Knob  string `json:"knob"`
 	Value string `json:"value"`
 	Seeds int    `json:"seeds"`
 
-	// The figures are means over the seeds; Result tells what they are.
+	// The figures are means over the seeds of those of Result.
 	TTFTMeanMS        float64 `json:"ttft_ms_mean"`
 	TTFTP95MS         float64 `json:"ttft_ms_p95"`
 	OutputTokenMeanMS float64 `json:"output_token_ms_mean"`
@@ -24,12 +24,12 @@
 	PulledTokens      float64 `json:"pulled_tokens"`
 	Deferred          float64 `json:"deferred"`
 	Refused           float64 `json:"refused"`
-	// TTFTOfBase is the mean TTFT as a share of that with no knob moved.
+	// TTFTOfBase is the mean TTFT as a fraction of that with no knob changed.
 	TTFTOfBase float64 `json:"ttft_of_base"`
 }
 
-// Ablate replays the traces of the seeds under kv, with one knob moved at a
-// time. The first row has none moved. The seed of the settings does not count.
+// Ablate replays the traces of the seeds under kv, with one knob changed at a time. The
+// first row has none changed. The seed of the settings is not used.
 func Ablate(settings Settings, seeds []uint64, variations []Variation) ([]AblationRow, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	}, nil
 }
 
-// Variation moves one knob.
+// Variation changes one knob.
 type Variation struct {
 	Knob  string
 	Value string
@@ -105,7 +105,7 @@
 const (
 	// noCredit stands for 0 where 0 means the default.
 	noCredit = 1e-9
-	// neverFaster makes every pull look slower than prefill.
+	// neverFaster is a PullAdvantage that makes every pull slower than prefill.
 	neverFaster = 1e9
 )
 
--- a/internal/lab/bench/baselines.go
+++ b/internal/lab/bench/baselines.go
@@ -7,17 +7,16 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/workload"
 )
 
-// replicaLoad is what least-loaded knows of a replica: the tokens of prompts
-// that have no first token yet, and all tokens that its attempts hold.
+// replicaLoad is the load of a replica: the tokens of prompts that have no first token
+// yet, and all tokens of its attempts in memory.
 type replicaLoad struct {
 	prefillTokens  uint64
 	reservedTokens uint64
 }
 
-// leastLoaded sends each attempt to the replica with the least load, which it
-// knows exactly since all attempts pass through it. The load is the cost of the
-// prefix-aware policy, with the same weight of prefill, but without any credit
-// for overlap.
+// leastLoaded sends each attempt to the replica with the least load, which is exact
+// since all attempts pass through the policy. The load is the cost of the prefix-aware
+// policy, with the same weight of prefill, but without any credit for overlap.
 type leastLoaded struct {
 	salts        salts
 	loads        []replicaLoad
--- a/internal/lab/bench/policy.go
+++ b/internal/lab/bench/policy.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// PolicyName names a policy.
+// PolicyName is the name of a policy, as commands and results state it.
 type PolicyName string
 
 // The policies.
@@ -18,9 +18,9 @@
 	PolicyLeastLoaded PolicyName = "least-loaded"
 	PolicyRoundRobin  PolicyName = "round-robin"
 	PolicyRandom      PolicyName = "random"
-	// PolicyOracle is the router of kv that knows what every replica keeps at
-	// once: what replicas report comes with no delay and no loss, and nothing is
-	// predicted. It shows what late and lossy reports cost kv.
+	// PolicyOracle is the router of kv with perfect reports: what replicas report comes
+	// with no delay and no loss, and nothing is predicted. It shows what late and lossy
+	// reports cost kv.
 	PolicyOracle PolicyName = "oracle"
 )
 
@@ -38,27 +38,27 @@
 	pull   *kvrouter.Pull
 	source int
 
-	// reservation is the router's; tokens is what least-loaded counts.
+	// reservation is the router's; prompt and output are the tokens that least-loaded
+	// counts.
 	reservation *kvrouter.Reservation
 	prompt      uint64
 	output      uint64
 }
 
-// policy places attempts, and hears what becomes of them.
+// policy routes attempts, and is notified of their outcome.
 type policy interface {
-	// route returns where to send an attempt, or after what time to ask again.
+	// route returns where to send an attempt, or after what time to try again.
 	route(now time.Duration, request *workload.Request) (placed placement, retryAfter time.Duration)
 	firstToken(now time.Duration, placed *placement)
 	finished(now time.Duration, placed *placement, completed bool)
 }
 
-// feedReader is a policy that reads what replicas say of themselves.
+// feedReader is a policy that uses the reports of replicas.
 type feedReader interface {
-	// event returns true when the events of a replica were lost and a reset is
-	// wanted.
+	// event returns true when events of a replica were lost and a reset is needed.
 	event(now time.Duration, replicaNumber int, event replica.Event) bool
 	report(now time.Duration, replicaNumber int, report replica.Report)
-	// resyncNeeded returns the replicas that a reset is wanted of.
+	// resyncNeeded returns the replicas from which a reset is needed.
 	resyncNeeded(now time.Duration) []int
 }
 
--- a/internal/lab/bench/prefix_aware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -14,13 +14,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// defaultRetryAfter is when to ask again if the router does not say.
+// defaultRetryAfter is when to try again if the router does not say.
 const defaultRetryAfter = time.Second
 
-// storeAddress names the store.
+// storeAddress is the address of the store.
 const storeAddress = "store"
 
-// prefixAware is the router of the nodes.
+// prefixAware is the policy of the nodes' router.
 type prefixAware struct {
 	router     *kvrouter.Router
 	salts      salts
@@ -147,7 +147,7 @@
 	return lo.Map(chunks, func(chunk replica.Chunk, _ int) prefixindex.ChainHash { return mustHash(chunk.Hash) })
 }
 
-// mustHash reads a name that the emulator has written.
+// mustHash parses a hash that the emulator has formatted.
 func mustHash(text string) prefixindex.ChainHash {
 	hash, err := emulator.ParseHash(text)
 	if err != nil {
--- a/internal/lab/bench/replay.go
+++ b/internal/lab/bench/replay.go
@@ -9,15 +9,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/workload"
 )
 
-// Outcome is what became of one request of a replayed trace. All are answered
-// in the end, because those that were put off or refused are placed again.
+// Outcome is the outcome of one request of a replayed trace. All get a response in the
+// end, because those that were deferred or refused are routed again.
 type Outcome struct {
 	// FirstToken and Finished count from the request's arrival.
 	FirstToken   time.Duration
 	Finished     time.Duration
 	ReusedTokens uint64
-	// Refused and Deferred count how often a replica refused the request, and
-	// how often the policy put it off.
+	// Refused and Deferred count how often a replica refused the request, and how often
+	// the policy deferred it.
 	Refused  int
 	Deferred int
 }
@@ -45,7 +45,7 @@
 	return outcomes, nil
 }
 
-// updateOutcome enters what happened to a request of a trace that Replay was given.
+// updateOutcome updates the outcome of a request, if Replay asked for it.
 func (s *simulation) updateOutcome(request *workload.Request, update func(*Outcome)) {
 	if outcome := s.outcomes[request]; outcome != nil {
 		update(outcome)
--- a/internal/lab/bench/reporting.go
+++ b/internal/lab/bench/reporting.go
@@ -7,23 +7,23 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/emulator"
 )
 
-// source is a replica or store as far as it reports what it keeps.
+// reportSource is a replica or store as far as it reports what it caches.
 type reportSource interface {
 	Journal() *emulator.Journal
 	Snapshot() replica.Event
 }
 
-// reporter carries the events of a keeper, and has a network.
+// reporter sends the events of a replica or store, and has its network.
 type reporter struct {
 	number int
 	zone   string
 	source reportSource
 	feed   *emulator.Feed
-	// sequence is how far the journal has been sent on.
+	// sequence is the number of the last event of the journal that was sent.
 	sequence uint64
-	// resyncing is set from the wish for a reset until one has come.
+	// resyncing is set from the request for a reset until one has come.
 	resyncing bool
-	// linkFreeAt is when the network is done with earlier transfers.
+	// linkFreeAt is when earlier transfers have ended.
 	linkFreeAt time.Duration
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// sendEvents carries the new events to the policy, and returns them.
+// sendEvents sends the new events to the policy, and returns them.
 func (s *simulation) sendEvents(now time.Duration, from *reporter) []replica.Event {
 	journal := from.source.Journal()
 	events, complete := journal.After(from.sequence)
@@ -60,7 +60,7 @@
 	}
 }
 
-// deliver hands an event to the policy.
+// deliver delivers an event to the policy.
 func (s *simulation) deliver(now time.Duration, from *reporter, event replica.Event) {
 	if event.Kind == replica.EventReset {
 		from.resyncing = false
@@ -70,7 +70,7 @@
 	}
 }
 
-// resync asks for a reset. As long as one is on its way no other is asked for.
+// resync requests a reset, unless one was requested and has not come yet.
 func (s *simulation) resync(now time.Duration, from *reporter) {
 	if from.resyncing {
 		return
--- a/internal/lab/bench/result.go
+++ b/internal/lab/bench/result.go
@@ -9,11 +9,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/workload"
 )
 
-// tailQuantile is the share of requests that are at least as fast as the tail
+// tailQuantile is the fraction of requests that are at least as fast as the tail
 // figure.
 const tailQuantile = 0.95
 
-// Result is what a policy made of the trace. TTFT is the time from a request's
+// Result is the result of a policy on the trace. TTFT is the time from a request's
 // arrival to its first token.
 type Result struct {
 	Policy   PolicyName `json:"policy"`
@@ -27,21 +27,21 @@
 	OutputTokenMeanMS float64 `json:"output_token_ms_mean"`
 	// PrefillTokens counts the prompt tokens that replicas computed.
 	PrefillTokens uint64 `json:"prefill_tokens"`
-	// ReusedTokens counts those that they did not compute, kept or pulled.
+	// ReusedTokens counts those that they did not compute, cached or pulled.
 	ReusedTokens uint64 `json:"reused_tokens"`
-	// ReusedTokenRatio is the share of prompt tokens that they did not compute.
+	// ReusedTokenRatio is the fraction of prompt tokens that they did not compute.
 	ReusedTokenRatio float64 `json:"reused_token_ratio"`
-	// PulledTokens counts the tokens that were moved between replicas.
+	// PulledTokens counts the tokens that were transferred by pulls.
 	PulledTokens uint64 `json:"pulled_tokens"`
-	// PrefillUtilization is the share of the replicas' time spent in prefill.
+	// PrefillUtilization is the fraction of the replicas' time spent in prefill.
 	PrefillUtilization float64 `json:"prefill_utilization"`
 	// Refused counts attempts that a replica refused, and Deferred those that the
-	// policy put off; both were placed again.
+	// policy deferred; both were routed again.
 	Refused  int `json:"refused"`
 	Deferred int `json:"deferred"`
 	// Resyncs counts the resets asked for after lost events.
 	Resyncs int `json:"resyncs"`
-	// ReusedOfOracle is the reused tokens as a share of the oracle's, for kv.
+	// ReusedOfOracle is the reused tokens as a fraction of the oracle's, for kv.
 	ReusedOfOracle float64 `json:"reused_of_oracle,omitempty"`
 }
 
@@ -86,7 +86,7 @@
 	return simulation.result(name), nil
 }
 
-// compareWithOracle enters how close kv comes to the oracle.
+// compareWithOracle sets ReusedOfOracle.
 func compareWithOracle(results []Result) {
 	oracle, found := lo.Find(results, func(result Result) bool { return result.Policy == PolicyOracle })
 	if !found || oracle.ReusedTokens == 0 {
@@ -138,7 +138,7 @@
 	return result
 }
 
-// quantile returns the smallest value that at least a share of the values do not
+// quantile returns the smallest value that at least a fraction of the values do not
 // exceed.
 func quantile(values []time.Duration, fraction float64) time.Duration {
 	if len(values) == 0 {
--- a/internal/lab/bench/settings.go
+++ b/internal/lab/bench/settings.go
@@ -27,16 +27,16 @@
 	Links    emulator.LinkModel
 	// StoreTokens is the capacity of the fleet's store; 0 means that there is none.
 	StoreTokens uint64
-	// Feed says how events go wrong on their way to the router.
+	// Feed is the plan of faults and delays of events on their way to the router.
 	Feed emulator.FeedPlan
 	// ReportEvery is the time between load reports.
 	ReportEvery time.Duration
-	// ReportLossRatio is the share of load reports that never come, from 0 to 1.
+	// ReportLossRatio is the fraction of load reports that are lost, from 0 to 1.
 	ReportLossRatio float64
 	// Router and Routing configure the prefix-aware policy.
 	Router  kvrouter.Options
 	Routing kvrouter.Settings
-	// ResyncDelay is the time from the wish for a reset until it is sent.
+	// ResyncDelay is the time from the request for a reset until it is sent.
 	ResyncDelay time.Duration
 }
 
@@ -46,7 +46,7 @@
 	fleetSize     = 18
 	// prefillLoadScale weighs a block of prefill against a block of memory. On the
 	// emulated machines computing a block takes 3 ms or more, while a block that
-	// is held adds 0.6 microseconds to each of a few hundred decode steps. The
+	// is in memory adds 0.6 microseconds to each of a few hundred decode steps. The
 	// weight is about that ratio. Both deployments' pools set it.
 	prefillLoadScale = 16
 )
@@ -100,8 +100,8 @@
 	return s.Machine.Check()
 }
 
-// forPolicy returns the settings as a policy meets them: the oracle hears of
-// everything at once, whatever becomes of the reports to others.
+// forPolicy returns the settings for a policy: the oracle gets all reports at once,
+// whatever happens to those of others.
 func (s Settings) forPolicy(name PolicyName) Settings {
 	if name != PolicyOracle {
 		return s
@@ -115,10 +115,10 @@
 
 func (s Settings) address(replica int) string { return fmt.Sprintf("replica-%d", replica+1) }
 
-// storeNumber is the number of the store among the holders of parts.
+// storeNumber is the number of the store, which follows those of the replicas.
 func (s Settings) storeNumber() int { return s.Replicas }
 
-// storeZone is the zone that the store stands in.
+// storeZone is the zone of the store.
 func (s Settings) storeZone() string { return s.zone(0) }
 
 func (s Settings) zone(replica int) string { return fmt.Sprintf("zone-%d", replica%s.Zones+1) }
--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -10,15 +10,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// resubmitAfter is when a request that a replica refused is placed again.
+// resubmitAfter is when a request that a replica refused is routed again.
 const resubmitAfter = time.Second
 
-// machine is one emulated replica with what is under way on it.
+// machine is one emulated replica with its active attempts.
 type machine struct {
 	reporter
 	model    *emulator.Replica
 	attempts map[emulator.Handle]*attempt
-	// pushFreeAt is when the machine has sent all earlier chunks to the store.
+	// pushFreeAt is when all earlier pushes of chunks to the store have ended.
 	pushFreeAt time.Duration
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// next returns the time of the next thing to happen, and the machine that it
-// happens to, if it is not a timer.
+// next returns the time of the next event, and the machine that it happens on, or nil
+// for a timer.
 func (s *simulation) next() (time.Duration, *machine) {
 	at, found := s.timers.Next()
 	var changing *machine
@@ -104,7 +104,7 @@
 	return at, changing
 }
 
-// arrive places a request and hands it to the replica.
+// arrive routes a request and submits it to the replica.
 func (s *simulation) arrive(now time.Duration, request *workload.Request) {
 	placement, retryAfter := s.policy.route(now, request)
 	if retryAfter > 0 {
@@ -137,7 +137,7 @@
 	s.publishNotices(now, machine)
 }
 
-// pull moves the chunks that the replica lacks from a peer or the store. The
+// pull transfers the chunks that the replica lacks from a peer or the store. The
 // networks of both ends carry one transfer at a time.
 func (s *simulation) pull(now time.Duration, to *machine, handle emulator.Handle, placed placement) {
 	missing := to.model.Missing(handle, placed.pull.FirstChunk, placed.pull.LastChunk)
@@ -169,8 +169,8 @@
 	return &from.reporter, chunks
 }
 
-// publishNotices tells the policy what has happened on a machine and sends its new
-// events on their way.
+// publishNotices notifies the policy of what has happened on a machine, and sends its
+// new events.
 func (s *simulation) publishNotices(now time.Duration, machine *machine) {
 	for _, notice := range machine.model.Notices() {
 		notified := machine.attempts[notice.Handle]
--- a/internal/lab/bench/store.go
+++ b/internal/lab/bench/store.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// minPushTokens is the length from which on replicas push a part.
+	// minPushTokens is the smallest chunk that replicas push, in tokens.
 	minPushTokens = 256
 	// storeJournalEvents bounds the events that a store keeps for readers.
 	storeJournalEvents = 4096
 )
 
-// store is the fleet's store of kept parts, with a network like a replica's.
+// store is the fleet's store of chunks, with a network like a replica's.
 type store struct {
 	reporter
 	model *emulator.Store
@@ -32,7 +32,7 @@
 	return added
 }
 
-// export returns the parts that are kept up to the first one that is not.
+// export returns the chunks that are cached up to the first one that is not.
 func (s *store) export(hashes []prefixindex.ChainHash) []emulator.CachedChunk {
 	var chunks []emulator.CachedChunk
 	for _, hash := range hashes {
@@ -45,8 +45,8 @@
 	return chunks
 }
 
-// push sends what a replica has newly kept to the store, one part after the
-// other, beside the transfers that requests wait for.
+// push sends the chunks that a replica has newly cached to the store, one after the
+// other, in parallel to the transfers that requests wait for.
 func (s *simulation) push(now time.Duration, from *machine, events []replica.Event) {
 	for _, event := range events {
 		if event.Kind != replica.EventStored {
--- a/internal/lab/enginebench/batch.go
+++ b/internal/lab/enginebench/batch.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// produce adds a token to the output of a request.
+// produce adds a token to the output of a request, unless it is preempted for lack of
+// memory.
 func (r *replica) produce(now time.Duration, request *run) {
 	if request.produced > 0 && request.produced%blockTokens == 0 {
-		if !r.grow(now, request) {
+		if !r.grow(request) {
 			return
 		}
 	}
@@ -24,11 +25,12 @@
 	}
 }
 
-// grow reserves the next block, and preempts others for it.
-func (r *replica) grow(now time.Duration, request *run) bool {
+// grow reserves the next block of a request, and preempts others for it. It returns
+// false when the request itself was preempted.
+func (r *replica) grow(request *run) bool {
 	for !r.memory.reserve(blockTokens) {
 		victim := r.victim()
-		r.preempt(now, victim)
+		r.preempt(victim)
 		if victim == request {
 			return false
 		}
@@ -37,30 +39,20 @@
 	return true
 }
 
-// victim is the newest of the least urgent requests.
+// victim returns the request to preempt: the newest of the least urgent ones.
 func (r *replica) victim() *run {
-	return slices.MaxFunc(r.active, func(a, b *run) int {
-		if a.priority != b.priority {
-			return int(a.priority) - int(b.priority)
-		}
-		return a.order - b.order
-	})
+	return slices.MaxFunc(r.active, compareUrgency)
 }
 
-func (r *replica) preempt(now time.Duration, request *run) {
+// preempt returns a request to the queue, without its output.
+func (r *replica) preempt(request *run) {
 	r.sim.result.preempted++
 	r.remove(request)
 	request.produced = 0
-	at, _ := slices.BinarySearchFunc(r.waiting, request, func(a, b *run) int {
-		if a.priority != b.priority {
-			return int(a.priority) - int(b.priority)
-		}
-		return a.order - b.order
-	})
-	r.waiting = slices.Insert(r.waiting, at, request)
+	r.queue(request)
 }
 
-// remove takes a request out of the batch.
+// remove removes a request from the batch.
 func (r *replica) remove(request *run) {
 	request.running = false
 	r.active = slices.DeleteFunc(r.active, func(other *run) bool { return other == request })
--- a/internal/lab/enginebench/feed.go
+++ b/internal/lab/enginebench/feed.go
@@ -9,22 +9,22 @@
 const (
 	salt  = "salt"
 	model = "model"
-	// batchInterval is how often changes of holders are handed on, and reportInterval
-	// how often they report load.
+	// batchInterval is the time between two batches of an owner's changes, and
+	// reportInterval that between two load reports, which are reportAge old on arrival.
 	batchInterval  = 100 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
 	reportAge      = 100 * time.Millisecond
-	// shareEvery is how often routers tell each other of their load.
+	// loadExchangeDelay is how long the load of one router takes to the others.
 	loadExchangeDelay = 3 * time.Millisecond
 )
 
-// feedLog numbers the changes of a holder.
+// feedLog has the sequence number of an owner's last change.
 type feedLog struct {
 	sequence uint64
 }
 
-// sendChanges hands the changes of all holders to the routers, each batch late
-// and some changes never.
+// sendChanges sends the changes of all owners to the routers. Each batch is late, and
+// some changes are lost.
 func (s *simulation) sendChanges(now time.Duration) {
 	for _, owner := range s.owners {
 		changes := owner.memory.takeChanges()
@@ -55,7 +55,7 @@
 	s.timers.Add(now+batchInterval, s.sendChanges)
 }
 
-// sendReports hands the load of the replicas to the routers.
+// sendReports sends the load of the replicas to the routers.
 func (s *simulation) sendReports(now time.Duration) {
 	for _, replica := range s.replicas {
 		report := kvrouter.Report{
@@ -75,7 +75,7 @@
 	s.timers.Add(now+reportInterval, s.sendReports)
 }
 
-// exchangeLoads lets the routers tell each other of their load.
+// exchangeLoads sends the load of each router to the others.
 func (s *simulation) exchangeLoads(now time.Duration) {
 	for from, node := range s.nodes {
 		loads := node.loads(now)
--- a/internal/lab/enginebench/knobs.go
+++ b/internal/lab/enginebench/knobs.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Knobs returns the router with one setting moved at a time.
+// Knobs returns variants of the router with one setting changed each.
 func Knobs() []Variant {
 	base := Variant{Name: "none moved", Policy: Router, LoadExchangeInterval: defaultLoadExchangeInterval}
 	variants := []Variant{base}
@@ -40,7 +40,7 @@
 	return variants
 }
 
-// Ablation returns the router with one mechanism left out at a time.
+// Ablation returns variants of the router with one mechanism disabled each.
 func Ablation() []Variant {
 	base := Variant{Name: "all mechanisms", Policy: Router, LoadExchangeInterval: defaultLoadExchangeInterval}
 	variants := []Variant{base}
--- a/internal/lab/enginebench/memory.go
+++ b/internal/lab/enginebench/memory.go
@@ -6,34 +6,36 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
+// blockTokens is the size of a block of memory, in tokens.
 const blockTokens = 16
 
-// alignToBlocks returns the tokens of the blocks that hold so many tokens.
+// alignToBlocks rounds a number of tokens up to whole blocks.
 func alignToBlocks(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
-// cachedChunk is a part in a memory.
+// cachedChunk is a chunk in memory.
 type cachedChunk struct {
 	id     string
 	tokens int
-	// cached is what is left of it, from its beginning.
+	// cached is how many of its tokens are left, from its beginning.
 	cached int
-	pins   int
+	// pins counts the running requests that use the chunk.
+	pins int
 }
 
-// change is what happened to a part: what is kept of it now.
+// change is a change of a chunk: how many of its tokens are cached now.
 type change struct {
 	id     string
 	cached int
 }
 
-// memory holds parts of prompts and the own tokens of running requests. Parts
-// that no running request uses give way, the least recently used first and from
-// their end.
+// memory holds chunks of prompts and the unshared tokens of running requests. Chunks
+// that no running request uses can be evicted, the least recently used first and from
+// their end. Sizes are in tokens.
 type memory struct {
 	total  int
 	used   int
 	chunks map[string]*list.Element
-	// recent has the part used last in front.
+	// recent has the most recently used chunk in front.
 	recent  *list.List
 	changes []change
 }
@@ -42,7 +44,7 @@
 	return &memory{total: total, chunks: map[string]*list.Element{}, recent: list.New()}
 }
 
-// pinned counts what cannot give way.
+// pinned counts the tokens that can't be evicted.
 func (m *memory) pinned() int {
 	free := 0
 	for at := m.recent.Back(); at != nil; at = at.Prev() {
@@ -53,8 +55,8 @@
 	return m.used - free
 }
 
-// leading counts the tokens that are kept from the beginning of a prompt, and
-// the whole parts among them.
+// leading counts the tokens that are cached from the beginning of a prompt, and
+// the whole chunks among them.
 func (m *memory) leading(chunks []prefixindex.Chunk) (tokens, complete int) {
 	for _, chunk := range chunks {
 		element, present := m.chunks[chunk.ID]
@@ -71,8 +73,8 @@
 	return tokens, complete
 }
 
-// reserve makes room for tokens; it returns false when running requests use too
-// much.
+// reserve reserves memory for tokens, and evicts chunks for it. It returns false when
+// running requests use too much.
 func (m *memory) reserve(tokens int) bool {
 	tokens = alignToBlocks(tokens)
 	for at := m.recent.Back(); at != nil && m.used+tokens > m.total; {
@@ -89,7 +91,7 @@
 
 func (m *memory) release(tokens int) { m.used -= alignToBlocks(tokens) }
 
-// evict takes tokens off the end of a part that is not in use.
+// evict evicts tokens from the end of a chunk that is not in use.
 func (m *memory) evict(element *list.Element, tokens int) {
 	chunk := element.Value.(*cachedChunk)
 	if chunk.pins > 0 {
@@ -105,8 +107,8 @@
 	}
 }
 
-// add adds a whole part, whose tokens were reserved; it returns false when the
-// part was there, so that the reserved tokens are to be released.
+// add adds a whole chunk, whose tokens the caller has reserved. It returns false when
+// the chunk was cached before, so that the caller must release them.
 func (m *memory) add(id string, tokens int) bool {
 	element, present := m.chunks[id]
 	if !present {
@@ -124,14 +126,12 @@
 	return true
 }
 
-func (m *memory) pin(id string) bool {
-	element, present := m.chunks[id]
-	if !present {
-		return false
+// pin makes a chunk the most recently used one and prevents its eviction until unpin.
+func (m *memory) pin(id string) {
+	if element, present := m.chunks[id]; present {
+		m.recent.MoveToFront(element)
+		element.Value.(*cachedChunk).pins++
 	}
-	m.recent.MoveToFront(element)
-	element.Value.(*cachedChunk).pins++
-	return true
 }
 
 func (m *memory) unpin(id string) {
--- a/internal/lab/enginebench/policy.go
+++ b/internal/lab/enginebench/policy.go
@@ -43,17 +43,19 @@
 	source      *owner
 	save        bool
 	reservation *kvrouter.Reservation
-	// believed are the leading tokens that the replica is taken to keep.
+	// believed are the leading tokens that the router assumes to be cached.
 	believed int
 	// wait is what the request is held back for, or nil.
 	wait *kvrouter.PrefixWait
 }
 
-// node is a router that sees its share of the requests.
+// node is a router that receives a fraction of the requests.
 type node interface {
-	route(now time.Duration, arrival *arrival) (placed placement, again time.Duration)
+	// route chooses a replica, or returns when to try again.
+	route(now time.Duration, arrival *arrival) (placed placement, retryAfter time.Duration)
 	first(now time.Duration, placed *placement)
 	done(now time.Duration, placed *placement)
+	// changes, report and remoteLoads deliver what owners report and other routers send.
 	changes(now time.Duration, address string, position kvrouter.FeedPosition, changes []kvrouter.ChunkChange)
 	report(now time.Duration, address string, report kvrouter.Report)
 	loads(now time.Duration) []kvrouter.AddressLoad
@@ -72,7 +74,7 @@
 	}
 }
 
-// simpleNode knows its own requests only.
+// simpleNode chooses by its own requests only.
 type simpleNode struct {
 	sim     *simulation
 	policy  Policy
@@ -80,7 +82,7 @@
 	running []int
 }
 
-// boundedLoad is the most requests of a replica relative to the mean.
+// boundedLoad bounds the requests of a replica relative to the mean.
 const boundedLoad = 1.25
 
 func (n *simpleNode) route(_ time.Duration, arrival *arrival) (placement, time.Duration) {
--- a/internal/lab/enginebench/profile.go
+++ b/internal/lab/enginebench/profile.go
@@ -34,14 +34,15 @@
 	TransferSetup float64
 }
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name string
 	// PerSecond is the rate at a load of 1.
 	PerSecond float64
-	// Shared are the parts that requests share.
+	// Shared are the chunks that requests share.
 	Shared []SharedChunk
-	// Unshared is the mean of the own part, with the spread of its logarithm.
+	// Unshared is the mean length of the last chunk, which no other request has, in
+	// tokens, with the spread of its logarithm and the largest length.
 	Unshared, UnsharedSpread, UnsharedMax float64
 	Out, OutSpread                        float64
 	LatencyTarget, Deadline               time.Duration
@@ -49,14 +50,15 @@
 	Priority                              uint8
 }
 
-// SharedChunk is a part drawn from a number of things.
+// SharedChunk is a chunk of prompts that is drawn from a number of variants. Tokens is
+// its mean length, with the spread of its logarithm and the largest length.
 type SharedChunk struct {
 	Variants            int
 	Skew                float64
 	Tokens, Spread, Max float64
 }
 
-// Profile is a fleet and what is asked of it.
+// Profile is a fleet and its requests.
 type Profile struct {
 	Name     string
 	Engine   Engine
@@ -96,7 +98,7 @@
 }
 
 // wideProfile is a fleet of many replicas that read quickly, with links on which a
-// part takes longer than to be read, few slots and large parts.
+// chunk takes longer than to be computed, few slots and large chunks.
 func wideProfile() Profile {
 	return Profile{
 		Name: "wide", Replicas: 90, Zones: 5, Nodes: 60, Slowness: []float64{1},
@@ -114,8 +116,8 @@
 	}
 }
 
-// Profiles returns the fleets of the comparison: one with more memory and speed
-// and wider aims, and one with less.
+// Profiles returns the fleets of the comparison: one with more memory and speed and
+// longer latency targets, one with less, and a wide one.
 func Profiles() []Profile {
 	large := harborEngine()
 	large.MemoryTokens = 188_939
@@ -144,8 +146,8 @@
 	}
 }
 
-// DrawnProfiles returns fleets whose shape is drawn, so that no setting was chosen by
-// them. Equal seeds draw equal fleets.
+// DrawnProfiles returns fleets with drawn sizes and speeds, by which no setting of the
+// router was tuned. Equal seeds draw equal fleets.
 func DrawnProfiles(seed uint64, count int) []Profile {
 	random := rand.New(rand.NewPCG(seed, drawnStream))
 	between := func(low, high float64) float64 { return low * math.Pow(high/low, random.Float64()) }
@@ -182,6 +184,6 @@
 const (
 	// drawnStream separates the draws of fleets from others of the same seed.
 	drawnStream = 17
-	// drawnReplicas are the replicas for which drawn rates are told.
+	// drawnReplicas is the number of replicas to which the rates of the classes relate.
 	drawnReplicas = 18.0
 )
--- a/internal/lab/enginebench/replica.go
+++ b/internal/lab/enginebench/replica.go
@@ -12,38 +12,40 @@
 	arrival  *arrival
 	order    int
 	priority uint8
-	// pinned are the parts that it holds on to.
+	// pinned are the chunks that it uses.
 	pinned []string
-	// reserved are its own tokens in memory, and read its tokens to be read.
+	// reserved are its unshared tokens in memory. Read are the prompt tokens that it
+	// had to have read, each time that it was admitted, and unread those that are left.
 	reserved int
 	read     int
 	unread   int
 	produced int
 	running  bool
-	// source is where it pulls from first, and save whether it saves.
+	// source is where it pulls from first, or nil, and save says whether it saves its
+	// chunks to the store.
 	source *owner
 	save   bool
-	// believed are the leading tokens that the router took the replica to keep.
+	// believed are the leading tokens that the router assumed to be cached.
 	believed int
-	first    func(now time.Duration)
-	done     func(now time.Duration)
-	// firstSent and wasted tell of the first event, and of tokens read twice
-	// because of preemption.
+	// first and done are called with the time of the first and the last event.
+	first func(now time.Duration)
+	done  func(now time.Duration)
+	// firstSent says that the first event was sent.
 	firstSent bool
 }
 
-// owner is a replica or the store, as the end of a move.
+// owner is a replica or the store, as an end of transfers.
 type owner struct {
 	address string
 	zone    int
 	memory  *memory
-	// linkFreeAt is when its moves so far have ended.
+	// linkFreeAt is when its transfers so far have ended.
 	linkFreeAt time.Duration
 	bits       float64
 	feed       feedLog
 }
 
-// replica is the model of one replica.
+// replica is the model of one replica. Waiting is in the order of urgency.
 type replica struct {
 	owner
 	engine   *Engine
@@ -55,7 +57,7 @@
 	orders   int
 }
 
-// submit takes a request, whose pull comes first.
+// submit queues a request, after its pull if it has one.
 func (r *replica) submit(now time.Duration, request *run) {
 	r.orders++
 	request.order = r.orders
@@ -80,7 +82,8 @@
 	})
 }
 
-// missing returns the parts that the source keeps beyond the replica's own.
+// missing returns the chunks that the source caches and the replica lacks, as far as
+// all chunks before are cached.
 func (r *replica) missing(request *run) (chunks []prefixindex.Chunk, tokens int) {
 	cached, complete := r.memory.leading(request.arrival.chunks)
 	_, theirs := request.source.memory.leading(request.arrival.chunks)
@@ -100,7 +103,7 @@
 	return chunks, tokens - (cached - leading)
 }
 
-// store puts moved parts into memory as far as there is room.
+// store adds pulled chunks to memory as far as it has capacity.
 func (r *replica) store(chunks []prefixindex.Chunk) {
 	for _, chunk := range chunks {
 		if !r.memory.reserve(int(chunk.Tokens)) {
@@ -112,19 +115,27 @@
 	}
 }
 
-// enqueue lets a request wait among the others, the more urgent first.
+// enqueue queues a request, and starts a step if none is in progress.
 func (r *replica) enqueue(now time.Duration, request *run) {
-	at, _ := slices.BinarySearchFunc(r.waiting, request, func(a, b *run) int {
-		if a.priority != b.priority {
-			return int(a.priority) - int(b.priority)
-		}
-		return a.order - b.order
-	})
-	r.waiting = slices.Insert(r.waiting, at, request)
+	r.queue(request)
 	r.step(now)
 }
 
-// step runs one step of the batch if there is anything to run.
+// queue inserts a request into the waiting ones, in the order of urgency.
+func (r *replica) queue(request *run) {
+	position, _ := slices.BinarySearchFunc(r.waiting, request, compareUrgency)
+	r.waiting = slices.Insert(r.waiting, position, request)
+}
+
+// compareUrgency orders requests by priority, and by arrival within one.
+func compareUrgency(a, b *run) int {
+	if a.priority != b.priority {
+		return int(a.priority) - int(b.priority)
+	}
+	return a.order - b.order
+}
+
+// step starts one step of the batch if there is anything to run.
 func (r *replica) step(now time.Duration) {
 	if r.stepping {
 		return
@@ -155,7 +166,7 @@
 	r.sim.timers.Add(now+milliseconds(took*r.slow), func(now time.Duration) { r.stepped(now, read) })
 }
 
-// readSome reads the next piece of a prompt.
+// readSome reads the next tokens of a prompt within the budget of the step.
 func (r *replica) readSome(request *run, budget *int, read map[*run]int, pairs *float64) int {
 	tokens := min(request.unread, *budget)
 	*budget -= tokens
@@ -165,7 +176,8 @@
 	return tokens
 }
 
-// admit makes room for a request and finds what is kept of its prompt.
+// admit reserves memory for a request and finds what is cached of its prompt. It
+// returns false when memory is full.
 func (r *replica) admit(now time.Duration, request *run) bool {
 	cached, complete := r.memory.leading(request.arrival.chunks)
 	prompt := request.arrival.promptTokens()
@@ -196,7 +208,7 @@
 	return true
 }
 
-// stepped ends a step.
+// stepped ends a step, and starts the next.
 func (r *replica) stepped(now time.Duration, read map[*run]int) {
 	r.stepping = false
 	for _, request := range slices.Clone(r.active) {
@@ -215,7 +227,7 @@
 	r.step(now)
 }
 
-// promptRead keeps the parts of a prompt that has been read.
+// promptRead caches the chunks of a prompt that was read.
 func (r *replica) promptRead(now time.Duration, request *run) {
 	pinned := map[string]bool{}
 	for _, id := range request.pinned {
@@ -238,7 +250,7 @@
 	}
 }
 
-// saveChunks sends the store what it lacks.
+// saveChunks transfers the chunks that the store lacks to it.
 func (r *replica) saveChunks(now time.Duration, request *run) {
 	store := r.sim.store
 	if store == nil {
--- a/internal/lab/enginebench/reread.go
+++ b/internal/lab/enginebench/reread.go
@@ -6,22 +6,23 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// rereadWithin is how long after its last use reading a shared part again counts.
+// rereadWithin is how long after its last use a shared chunk that is read counts as
+// read again.
 const rereadWithin = 10 * time.Second
 
-// Reread is why shared tokens were read although a replica had read them before.
+// Reread is why shared tokens were read although a replica had read them before. Its
+// values are printed.
 type Reread string
 
 // The reasons.
 const (
-	// RereadGone means that nobody kept the part any more.
+	// RereadGone means that no owner cached the chunk any more.
 	RereadGone Reread = "gone"
-	// RereadBelieved means that the router took the chosen replica to keep it.
+	// RereadBelieved means that the router assumed that the chosen replica cached it.
 	RereadBelieved Reread = "believed"
-	// RereadPulled means that it was to be pulled, and did not come or was gone
-	// again.
+	// RereadPulled means that it was to be pulled, and did not come or was evicted.
 	RereadPulled Reread = "pulled"
-	// RereadChosen means that another replica, or the store, kept it and that the
+	// RereadChosen means that another replica, or the store, cached it and that the
 	// router chose to have it read.
 	RereadChosen Reread = "chosen"
 )
@@ -47,7 +48,7 @@
 	}
 }
 
-// reasonOf tells why a part that ends at a position of the prompt is read again.
+// reasonOf returns why a chunk that ends at a position of the prompt is read again.
 func (s *simulation) reasonOf(request *run, chunk prefixindex.Chunk, position int) Reread {
 	switch {
 	case request.believed >= position:
--- a/internal/lab/enginebench/result.go
+++ b/internal/lab/enginebench/result.go
@@ -8,7 +8,7 @@
 	"github.com/samber/lo"
 )
 
-// outcome is what became of a request.
+// outcome is the outcome of a request.
 type outcome struct {
 	arrival   *arrival
 	first     time.Duration
@@ -16,7 +16,7 @@
 	crossZone bool
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	outcomes     []*outcome
 	movedTokens  int
@@ -26,12 +26,12 @@
 	refused      int
 	preempted    int
 
-	// Credit is the share of the worth of all requests that was earned, and Worst
-	// that of the worst kind, with the largest tenth and the fifth below it of
-	// each kind counted as kinds.
+	// Credit is the fraction of the value of all requests that was earned, and Worst
+	// that of the worst class. The largest tenth of each class and the fifth below it
+	// count as classes of their own.
 	Credit, Worst float64
 	ByClass       map[string]ClassResult
-	// CrossZone is the share of requests sent to another zone.
+	// CrossZone is the fraction of requests sent to another zone.
 	CrossZone float64
 	// MovedTokens, ReadTokens and RereadTokens count tokens per request.
 	MovedTokens, ReadTokens, RereadTokens float64
@@ -41,14 +41,14 @@
 	TTFT50, TTFT95, TTFT99 time.Duration
 }
 
-// ClassResult is the share of the worth of one kind that was earned.
+// ClassResult is the fraction of the value of one class that was earned.
 type ClassResult struct {
 	All, LargestTenth, NextFifth float64
-	// InTime is the share of requests within the aim.
+	// InTime is the fraction of requests within the latency target.
 	InTime float64
 }
 
-// credit is the share of its worth that a request earned.
+// credit returns the fraction of its value that a request earned.
 func (o *outcome) credit() float64 {
 	class := o.arrival.class
 	if o.first == 0 || o.first > class.Deadline {
@@ -95,7 +95,7 @@
 
 func size(o *outcome) float64 { return float64(o.arrival.promptTokens() + 10*o.arrival.out) }
 
-// weigh sums what the requests of a kind earned and were worth, by size.
+// weigh sums the credits of the requests of a class, and their weights by size.
 func weigh(outcomes []*outcome) (earned, owed float64) {
 	mean := lo.SumBy(outcomes, size) / float64(max(1, len(outcomes)))
 	for _, outcome := range outcomes {
@@ -149,3 +149,34 @@
 	}
 	r.TTFT50, r.TTFT95, r.TTFT99 = at(0.5), at(0.95), at(0.99)
 }
+
+// add adds the result of one of several seeds to their mean.
+func (r *Result) add(other *Result, seeds int) {
+	weight := 1 / float64(seeds)
+	r.Credit += weight * other.Credit
+	r.Worst += weight * other.Worst
+	r.CrossZone += weight * other.CrossZone
+	r.MovedTokens += weight * other.MovedTokens
+	r.ReadTokens += weight * other.ReadTokens
+	r.RereadTokens += weight * other.RereadTokens
+	r.Refused += other.Refused
+	r.Preempted += other.Preempted
+	r.TTFT50 += other.TTFT50 / time.Duration(seeds)
+	r.TTFT95 += other.TTFT95 / time.Duration(seeds)
+	r.TTFT99 += other.TTFT99 / time.Duration(seeds)
+	if r.ByClass == nil {
+		r.ByClass = map[string]ClassResult{}
+		r.Rereads = map[Reread]float64{}
+	}
+	for reason, tokens := range other.Rereads {
+		r.Rereads[reason] += weight * tokens
+	}
+	for name, class := range other.ByClass {
+		sum := r.ByClass[name]
+		sum.All += weight * class.All
+		sum.LargestTenth += weight * class.LargestTenth
+		sum.NextFifth += weight * class.NextFifth
+		sum.InTime += weight * class.InTime
+		r.ByClass[name] = sum
+	}
+}
--- a/internal/lab/enginebench/router_node.go
+++ b/internal/lab/enginebench/router_node.go
@@ -19,7 +19,7 @@
 	SamePriority bool
 }
 
-// priority is that of a request at the replicas.
+// priority returns the priority of a class at the replicas.
 func (s *RouterSettings) priority(class *Class) uint8 {
 	if s.SamePriority {
 		return samePriority
@@ -27,13 +27,13 @@
 	return class.Priority
 }
 
-// samePriority is the priority of requests that name none.
+// samePriority is the priority of requests without one.
 const samePriority = 5
 
-// nodeNames name the routers to each other.
+// nodeNames are the names of the routers.
 var nodeNames = lo.Times(2000, func(number int) string { return fmt.Sprint("node-", number) })
 
-// routerNode is the router of the nodes.
+// routerNode is a node with the router of the product.
 type routerNode struct {
 	sim        *simulation
 	number     int
@@ -91,7 +91,8 @@
 	return placed, 0
 }
 
-// announceDispatch lets the other routers know of the dispatch.
+// announceDispatch announces a dispatch to the other routers, with the next load
+// exchange.
 func (n *routerNode) announceDispatch(now time.Duration, decision *kvrouter.Decision, arrival *arrival) {
 	if n.sim.settings.LoadExchangeInterval == 0 {
 		return
--- a/internal/lab/enginebench/simulation.go
+++ b/internal/lab/enginebench/simulation.go
@@ -16,18 +16,19 @@
 	Seed     uint64
 	Load     float64
 	Duration time.Duration
-	// EventLoss is the share of changes that never come.
+	// EventLoss is the fraction of changes that are lost.
 	EventLoss float64
-	// LoadExchangeInterval is the time between shared loads; 0 means that none is shared.
+	// LoadExchangeInterval is the time between two load exchanges of the routers; with 0
+	// there are none.
 	LoadExchangeInterval time.Duration
 	// Tune changes the prefix-aware router's settings; may be nil.
 	Tune func(*RouterSettings)
 }
 
-// warmUp is the time whose requests do not count.
+// warmUp is the time at the beginning whose requests are not counted.
 const warmUp = 2 * time.Second
 
-// maxTransferWait is the wait for a link from which on a move is not begun.
+// maxTransferWait is the wait for a link beyond which a transfer is not started.
 const maxTransferWait = 2 * time.Second
 
 type simulation struct {
@@ -39,11 +40,11 @@
 	owners   []*owner
 	nodes    []node
 	result   *Result
-	// lastUse is when a shared part was used last.
+	// lastUse is when a shared chunk was last used, by ID.
 	lastUse map[string]time.Duration
 }
 
-// Run plays one run.
+// Run plays one run and returns its result.
 func Run(settings Settings) *Result {
 	s := &simulation{
 		settings: settings,
@@ -93,7 +94,7 @@
 	}
 }
 
-// arrive lets the node of a request place it.
+// arrive has the node of a request route it.
 func (s *simulation) arrive(now time.Duration, arrival *arrival, attempt int) {
 	node := s.nodes[arrival.node]
 	placed, retryAfter := node.route(now, arrival)
@@ -122,10 +123,10 @@
 	})
 }
 
-// waitPollInterval is the time between two looks at what a request is held back for.
+// waitPollInterval is the time between two checks whether a wait has ended.
 const waitPollInterval = 5 * time.Millisecond
 
-// sendWhenReady sends a request once there is nothing to wait for any more.
+// sendWhenReady sends a request once its wait, if any, has ended.
 func (s *simulation) sendWhenReady(now time.Duration, wait *kvrouter.PrefixWait, send func(now time.Duration)) {
 	if wait == nil || wait.Done(now) {
 		send(now)
@@ -136,7 +137,8 @@
 
 func (s *simulation) zoneOf(node int) int { return node % s.settings.Profile.Zones }
 
-// transfer books the links of both ends, and returns when the move has ended.
+// transfer reserves the links of both ends, and returns when the transfer has ended.
+// It returns false when a link is busy for too long.
 func (s *simulation) transfer(now time.Duration, from, to *owner, tokens int) (time.Duration, bool) {
 	start := max(now, from.linkFreeAt, to.linkFreeAt)
 	if from == s.store || to == s.store {
@@ -155,8 +157,8 @@
 	return end, true
 }
 
-// replicaOf returns the end of a move that is not the store, which serves many
-// at once.
+// replicaOf returns the end of a transfer that is not the store: the store serves many
+// transfers at once.
 func replicaOf(s *simulation, from, to *owner) *owner {
 	if from == s.store {
 		return to
--- a/internal/lab/enginebench/workload.go
+++ b/internal/lab/enginebench/workload.go
@@ -28,7 +28,8 @@
 	return tokens
 }
 
-// logNormal draws around a mean.
+// logNormal draws from a log-normal distribution by its mean, and the spread of its
+// logarithm.
 func logNormal(random *rand.Rand, mean, spread, highest float64) int {
 	if spread == 0 {
 		return int(mean)
@@ -37,7 +38,7 @@
 	return int(max(1, min(value, highest)))
 }
 
-// drawVariant draws one of things, the first ones more often by their skew.
+// drawVariant draws one of a number of variants, the first ones more often by the skew.
 func drawVariant(random *rand.Rand, variants int, skew float64) int {
 	sum := 0.0
 	for variant := range variants {
@@ -53,7 +54,8 @@
 	return variants - 1
 }
 
-// workload draws the arrivals of all classes in order. The load waves a little.
+// workload draws the arrivals of all classes in order. The load varies by a fifth
+// around its mean.
 func workload(profile *Profile, load float64, duration time.Duration, seed uint64) []*arrival {
 	random := rand.New(rand.NewPCG(seed, 11))
 	sizes := map[string]uint32{}
@@ -80,7 +82,7 @@
 
 func draw(random *rand.Rand, class *Class, at time.Duration, nodes int, sizes map[string]uint32) *arrival {
 	drawn := &arrival{at: at, class: class, node: random.IntN(nodes)}
-	// The last shared part says which ones go before it.
+	// The variant of the last shared chunk determines those before it.
 	deepest := class.Shared[len(class.Shared)-1]
 	variant := drawVariant(random, deepest.Variants, deepest.Skew)
 	for level, shared := range class.Shared {
