--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -48,11 +48,11 @@
 		Expect(strings.Join(missing, "\n")).To(BeEmpty())
 	})
 
-	It("quotes texts of specs that exist where it tells what is proved", func() {
+	It("quotes specs and log lines as they are, where it tells what is proved and how to operate", func() {
 		var missing []string
 		for _, page := range pages {
-			if page.path == "docs/PROOFS.md" || strings.HasPrefix(page.path, "docs/incidents/") {
-				missing = append(missing, page.missingSpecs(sources)...)
+			if page.path == "docs/PROOFS.md" || strings.HasPrefix(page.path, "docs/incidents/") || strings.HasPrefix(page.path, "docs/operations/") {
+				missing = append(missing, page.missingTexts(sources)...)
 			}
 		}
 		Expect(strings.Join(missing, "\n")).To(BeEmpty())
@@ -150,10 +150,10 @@
 		Expect(newPage("docs/page.md", "`maxTerm` in `pkg/lease/other.go`").misplacedNames(sources)).To(HaveLen(1))
 	})
 
-	It("finds texts of specs that are gone", func() {
+	It("finds texts that no Go file spells out", func() {
 		Expect(sources.addGo("pkg/lease/lease_test.go", "package lease\nvar spec = \"renews a lease \" + \"before it ends\"")).To(Succeed())
-		Expect(newPage("docs/page.md", "`lease` \"renews a lease\nbefore it ends\"").missingSpecs(sources)).To(BeEmpty())
-		Expect(newPage("docs/page.md", "\"short\", \"renews a lease after it ended\"").missingSpecs(sources)).To(HaveLen(1))
+		Expect(newPage("docs/page.md", "`lease` \"renews a lease\nbefore it ends\"").missingTexts(sources)).To(BeEmpty())
+		Expect(newPage("docs/page.md", "\"short\", \"renews a lease after it ended\"").missingTexts(sources)).To(HaveLen(1))
 	})
 
 	It("finds links to nothing", func() {
--- a/docs/index_test.go
+++ b/docs/index_test.go
@@ -333,16 +333,16 @@
 	return false
 }
 
-// hasSpec tells whether a text is part of a string, or is put together from those of
+// hasText tells whether a text is part of a string, or is put together from those of
 // containers and a spec.
-func (s *index) hasSpec(text string) bool {
+func (s *index) hasText(text string) bool {
 	for found := range s.texts {
 		if strings.Contains(found, text) {
 			return true
 		}
 	}
 	for at, sign := range text {
-		if sign == ' ' && s.texts[text[:at]] && s.hasSpec(text[at+1:]) {
+		if sign == ' ' && s.texts[text[:at]] && s.hasText(text[at+1:]) {
 			return true
 		}
 	}
--- a/docs/page_test.go
+++ b/docs/page_test.go
@@ -27,8 +27,8 @@
 	quoted = regexp.MustCompile("`([^`\n]+(?:\n[^`\n]+)?)`")
 	// inFile says in which file an identifier is declared.
 	inFile = regexp.MustCompile("`([A-Za-z_][\\w.]*)`\\s+in\\s+`([\\w./-]+\\.go)`")
-	// spec is the text of a spec, or another text, between quotation marks.
-	spec = regexp.MustCompile(`"([^"]*)"`)
+	// text is that of a spec or a log line, between quotation marks.
+	text = regexp.MustCompile(`"([^"]*)"`)
 	// paragraphEnd is where text between quotation marks ends at the latest.
 	paragraphEnd = regexp.MustCompile(`\n\s*\n|\|`)
 	// link is a link to another page.
@@ -39,8 +39,8 @@
 	notInAnchor = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
 )
 
-func newPage(path, text string) page {
-	prose := fenced.ReplaceAllString(text, "")
+func newPage(path, content string) page {
+	prose := fenced.ReplaceAllString(content, "")
 	prose = indented.ReplaceAllString(prose, "\n\n")
 	return page{path: path, prose: prose}
 }
@@ -88,17 +88,19 @@
 	return missing
 }
 
-// wordsOfSpec is how many words a text has at least to be taken for that of a spec.
-const wordsOfSpec = 4
+// wordsOfText is how many words a quotation has at least to be taken for that of a spec
+// or a log line.
+const wordsOfText = 4
 
-// missingSpecs lists the quoted texts of specs that no Go file spells out.
-func (p page) missingSpecs(sources *index) []string {
+// missingTexts lists the quoted texts that no Go file spells out.
+func (p page) missingTexts(sources *index) []string {
 	var missing []string
 	for _, paragraph := range paragraphEnd.Split(quoted.ReplaceAllString(p.prose, "`"), -1) {
-		for _, found := range spec.FindAllStringSubmatch(paragraph, -1) {
-			text := strings.Join(strings.Fields(found[1]), " ")
-			if len(strings.Fields(text)) >= wordsOfSpec && !strings.Contains(text, "`") && !p.hasRow(text) && !sources.hasSpec(text) {
-				missing = append(missing, p.path+": "+text)
+		for _, found := range text.FindAllStringSubmatch(paragraph, -1) {
+			quotation := strings.Join(strings.Fields(found[1]), " ")
+			if len(strings.Fields(quotation)) >= wordsOfText && !strings.Contains(quotation, "`") &&
+				!p.hasRow(quotation) && !sources.hasText(quotation) {
+				missing = append(missing, p.path+": "+quotation)
 			}
 		}
 	}
