--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -87,6 +87,7 @@
 	sources := newIndex()
 	sources.addFile("pkg/lease/lease.go")
 	sources.addFile("docs/ROADMAP.md")
+	sources.addFile("pkg/docs/lease.go")
 	Expect(sources.addGo("pkg/lease/lease.go", `package lease
 
 import "net/http"
@@ -132,6 +133,7 @@
 		Entry("a folder that is gone", "`pkg/gone`"),
 		Entry("a file without its folder that is gone", "`gone.go`"),
 		Entry("a path with other folders", "`pkg/other/lease.go`"),
+		Entry("a path that exists below another folder only", "`docs/lease.go`"),
 		Entry("an identifier that its package lacks", "`lease.Owner`"),
 		Entry("a member that its type lacks", "`lease.Holder.Expire`"),
 		Entry("a member that a type without its package lacks", "`Holder.Expire`"),
--- a/docs/index_test.go
+++ b/docs/index_test.go
@@ -398,10 +398,15 @@
 func (s *index) hasRelativePath(name string) bool {
 	trimmed := strings.TrimSuffix(strings.TrimSuffix(strings.TrimPrefix(name, "./"), "..."), "/")
 	top, _, _ := strings.Cut(trimmed, "/")
-	if !s.paths[top] && !filePath.MatchString(trimmed) {
+	switch {
+	case strings.ContainsAny(trimmed, "*{<"):
 		return true
+	case s.paths[top]:
+		return s.paths[trimmed]
+	case filePath.MatchString(trimmed):
+		return s.suffixes[trimmed]
 	}
-	return strings.ContainsAny(trimmed, "*{<") || s.suffixes[trimmed]
+	return true
 }
 
 // hasQualified checks an identifier after that of its package, its type or both.
