--- a/scripts/knownred/run.go
+++ b/scripts/knownred/run.go
@@ -43,7 +43,9 @@
 	}
 	err = runner.runOthers(entries)
 	for _, outcome := range outcomes {
-		fmt.Fprintln(runner.Out, outcome)
+		if _, printErr := fmt.Fprintln(runner.Out, outcome); printErr != nil && err == nil {
+			err = errors.Wrap(printErr, "print the account of a listed test")
+		}
 	}
 	return err
 }
@@ -112,8 +114,11 @@
 }
 
 func (runner Runner) print(output Output, err error) error {
-	fmt.Fprint(runner.Out, output.All)
-	return errors.Wrap(err, "tests failed")
+	_, printErr := fmt.Fprint(runner.Out, output.All)
+	if err != nil {
+		return errors.Wrap(err, "tests failed")
+	}
+	return errors.Wrap(printErr, "print the output of the tests")
 }
 
 func sortedKeys(byPackage map[string][]Failure) []string {
