--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -1,16 +1,16 @@
-// Package member holds the identities by which nodes name each other. It is
-// shared by the coordination packages and has no behaviour of its own.
+// Package member defines the identities by which nodes name each other. The coordination
+// packages share it; it has no behaviour and no state.
 package member
 
-// ID names a node for as long as its settings stay the same. Two processes
-// that claim one ID are told apart by their Incarnation.
+// ID names a node for as long as its settings stay the same. Two processes with one ID
+// are told apart by their Incarnation.
 type ID string
 
-// Incarnation orders the lives of a node: it grows with each start of the
-// process, and with each refutation of a false suspicion.
+// Incarnation orders the incarnations of a node. It grows with each start of the process,
+// and each time that the node has been fenced or superseded.
 type Incarnation uint64
 
-// Info is what a node tells others of itself.
+// Info is what a node tells others about itself.
 type Info struct {
 	ID ID
 	// Address is the host and port of the node's internal listener.
@@ -19,10 +19,11 @@
 	TrafficAddress string
 	// ControlAddress is the host and port on which the node serves operators.
 	ControlAddress string
-	// Zone is the failure domain that the node stands in.
+	// Zone is the failure domain of the node.
 	Zone string
-	// HoldsState tells whether the node has a disk and may hold control state.
+	// HoldsState tells whether the node has a disk and may store control state. The
+	// status that operators read has a field of this name.
 	HoldsState bool
-	// Incarnation is the current life of the node.
+	// Incarnation is the present incarnation of the node.
 	Incarnation Incarnation
 }
--- a/pkg/membership/config.go
+++ b/pkg/membership/config.go
@@ -19,27 +19,32 @@
 // Never is the fence deadline of a member that nothing can fence.
 const Never = time.Duration(math.MaxInt64)
 
+// The reach of gossip; see gossip.receivers.
 const (
-	// zoneFanOut is how many members of its own zone each holder of news passes it to.
+	// zoneFanOut is how many members of its own zone a node passes an update to.
 	zoneFanOut = 3
-	// crossZoneFanOut is how many members of other zones the one whose news it is passes it
-	// to, and crossings about how many others do so for each zone.
+	// crossZoneFanOut is how many members of other zones the source of an update
+	// sends it to. It also bounds how many any other node passes it on to.
 	crossZoneFanOut = 2
+	// forwardsPerZone is about how many members of other zones all the nodes that
+	// aren't the source pass an update on to, for each zone.
 	forwardsPerZone = 4
-	// bulkUpdateThreshold is how many records of others may change at once for each change to be
-	// passed on; more are left to exchanges.
+	// bulkUpdateThreshold is how many records may change within HeartbeatEvery before
+	// the changes are left to anti-entropy.
 	bulkUpdateThreshold = 16
-	// minHeartbeatsPerFence heartbeats must fit into FenceAfter, so that one may
-	// be lost before others are tried, and there is time to change to them.
+)
+
+const (
+	// minHeartbeatsPerFence heartbeats must fit into FenceAfter, so that one may be
+	// lost before other monitors are tried, and there is time to replace the set.
 	minHeartbeatsPerFence = 4
-	// recordResendRounds is for how many rounds a peer may leave heartbeats
-	// unanswered before they hold this node's row again.
+	// recordResendRounds is for how many heartbeat rounds a peer may leave heartbeats
+	// unanswered before they contain this node's record again.
 	recordResendRounds = 2
-	// roundsPerProbe is how many heartbeat rounds lie between two digests sent to
-	// a member beyond the monitors, which heals splits.
+	// roundsPerProbe is the number of heartbeat rounds from one probe to the next.
 	roundsPerProbe = 5
-	// joinTimeoutFences is for how many FenceAfter periods a starting node
-	// waits for some seed before it takes itself to be alone.
+	// joinTimeoutFences is for how many FenceAfter periods a starting node waits for
+	// some seed before it considers itself alone.
 	joinTimeoutFences = 3
 )
 
@@ -48,10 +53,10 @@
 	// Self describes this node. Self.Incarnation must differ from that of every
 	// earlier process under the same ID, and should be greater.
 	Self member.Info
-	// Seeds are internal addresses of nodes to join through.
+	// Seeds are internal addresses, host and port, of nodes to join through.
 	Seeds []string
-	// MonitorCount is how many monitors a member chooses, when there are
-	// enough members.
+	// MonitorCount is how many monitors a member chooses, if there are enough
+	// members.
 	MonitorCount int
 	// HeartbeatEvery is the time between two heartbeats; a quarter of FenceAfter
 	// at most.
@@ -59,8 +64,8 @@
 	// FenceAfter is how long a member may serve after it sent the newest
 	// heartbeat that enough monitors acknowledged.
 	FenceAfter time.Duration
-	// FenceMargin is how much longer a monitor waits before it reports a
-	// silence. Clocks may differ in rate by FenceMargin/FenceAfter.
+	// FenceMargin is how much longer than FenceAfter a monitor waits before it
+	// reports a member. Clocks may differ in rate by FenceMargin/FenceAfter.
 	FenceMargin time.Duration
 	// ForgetAfter is how long the table keeps members that left or are fenced.
 	ForgetAfter time.Duration
@@ -85,30 +90,31 @@
 	return value
 }
 
-// stabilizationWait is how long the table must be without a new member before the node
-// chooses monitors by it.
+// stabilizationWait is how long the table must be without a new member to count as
+// stable.
 func (c Config) stabilizationWait() time.Duration {
 	return c.HeartbeatEvery / 2
 }
 
-// startupWindow is how long after its own start a node expects others to start, and half
-// of the longest time for which it keeps them waiting for its table.
+// startupWindow is how long after its own start a node expects others to start. It is
+// half of the longest time for which a node defers its reply to a joining one.
 func (c Config) startupWindow() time.Duration {
 	return 2 * c.HeartbeatEvery
 }
 
-// monitorChoiceTimeout is how long a life without monitors waits for the table to settle.
+// monitorChoiceTimeout is how long an incarnation without monitors waits for the table
+// to become stable.
 func (c Config) monitorChoiceTimeout() time.Duration {
 	return 2 * c.FenceAfter
 }
 
-// unresponsiveAfter is how long a node may leave heartbeats unanswered before
-// others are preferred as monitors. It leaves half of FenceAfter to change.
+// unresponsiveAfter is how long a node may leave heartbeats unanswered before others
+// are preferred as monitors. It leaves half of FenceAfter to replace the set.
 func (c Config) unresponsiveAfter() time.Duration {
 	return c.FenceAfter / 2
 }
 
-// monitorTimeout is how long a monitor hears nothing before it reports.
+// monitorTimeout is how long a monitor receives no heartbeat before it reports.
 func (c Config) monitorTimeout() time.Duration {
 	return c.FenceAfter + c.FenceMargin
 }
--- a/pkg/membership/errors.go
+++ b/pkg/membership/errors.go
@@ -6,13 +6,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// RemoveReason tells why a member can't be removed.
+// RemoveReason tells why Remove refused.
 type RemoveReason uint8
 
 // The reasons of a RemoveError.
 const (
+	// RemoveSelf is for the node that was asked; Leave is the way for it.
 	RemoveSelf RemoveReason = iota + 1
+	// RemoveUnknown is for a member that isn't in the table.
 	RemoveUnknown
+	// RemoveOtherIncarnation is for an incarnation that isn't the member's newest.
 	RemoveOtherIncarnation
 )
 
@@ -24,13 +27,13 @@
 	case RemoveUnknown:
 		return "no such member; look the name up in the list of members"
 	case RemoveOtherIncarnation:
-		return "it has begun another life since; check that its process is stopped and try again"
+		return "a later incarnation of it has begun; check that its process is stopped and try again"
 	default:
 		return fmt.Sprintf("reason %d", uint8(r))
 	}
 }
 
-// RemoveError is returned by Remove.
+// RemoveError is the error of Remove.
 type RemoveError struct {
 	ID     member.ID
 	Reason RemoveReason
--- a/pkg/membership/id_set.go
+++ b/pkg/membership/id_set.go
@@ -6,12 +6,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// idSet is a sorted set of members, so that it is walked in the same order
-// everywhere. It is meant for the few members that a tick has to look at, in
-// place of the whole table.
+// idSet is a sorted set of members, so that it is iterated in the same order
+// everywhere. It is meant for the few members that a tick has to look at, instead of
+// the whole table.
 type idSet []member.ID
 
-// set makes id an element or not.
+// set adds id to the set, or removes it.
 func (s *idSet) set(id member.ID, present bool) {
 	at, found := slices.BinarySearch(*s, id)
 	switch {
--- a/pkg/membership/network_test.go
+++ b/pkg/membership/network_test.go
@@ -23,7 +23,8 @@
 	rate        float64
 	process     int
 	left        bool
-	// checkedTable and checkedDeadline are what the last check of this life saw.
+	// checkedTable and checkedDeadline are the digest and the fence deadline at the last
+	// check of this process.
 	checked         bool
 	checkedTable    uint64
 	checkedDeadline time.Duration
@@ -31,7 +32,7 @@
 
 func (n *node) runs() bool { return n.machine != nil && !n.frozen }
 
-// event is a delivery or, without a message, a tick.
+// event is the delivery of a message or, without one, a tick.
 type event struct {
 	at      time.Duration
 	order   int
@@ -77,8 +78,8 @@
 	latency    time.Duration
 	jitter     time.Duration
 	violations []string
-	// clocksGoBack lets incarnations fall from one process to the next, about
-	// which IncarnationEnded makes no promise.
+	// clocksGoBack lets incarnations decrease from one process to the next, a case in
+	// which IncarnationEnded guarantees nothing.
 	clocksGoBack bool
 	// onSend, if set, sees each message that a node sends.
 	onSend func(from string, out membership.Outbound)
@@ -104,7 +105,7 @@
 	return n.offset + time.Duration(float64(net.now)*n.rate)
 }
 
-// start runs a new process, whose clock begins anywhere.
+// start runs a new process, whose clock starts at a random time.
 func (net *network) start(name string, seeds ...string) {
 	n := net.nodes[name]
 	n.incarnation += 1000
@@ -209,9 +210,8 @@
 	return n.machine != nil && !n.machine.Fenced(net.clock(n))
 }
 
-// unchanged tells whether the table and the fence deadline are those of the last
-// check. Then nobody has become certain of anything, and this node serves only if
-// it did then.
+// unchanged tells whether the table and the fence deadline are those of the last check.
+// Then this node has become certain of nothing new, and serves only if it did then.
 func (n *node) unchanged() bool {
 	table, deadline := n.machine.Digest(), n.machine.FenceDeadline()
 	same := n.checked && table == n.checkedTable && deadline == n.checkedDeadline
@@ -219,8 +219,8 @@
 	return same
 }
 
-// check compares what changed with everybody else: changed may have become
-// certain of another's fence, or may have begun to serve.
+// check compares a node that changed with all others: it may have become certain of
+// another's fence, or may have begun to serve.
 func (net *network) check(changed string) {
 	n := net.nodes[changed]
 	if n.unchanged() {
--- a/pkg/membership/random_faults_test.go
+++ b/pkg/membership/random_faults_test.go
@@ -28,7 +28,7 @@
 	return lo.Must(strconv.ParseUint(text, 10, 64))
 }
 
-var _ = Describe("random runs", func() {
+var _ = Describe("random faults", func() {
 	It("never counts a serving member as certainly fenced", func() {
 		for seed := range seedCount() {
 			net := randomFleet(seed)
@@ -38,7 +38,7 @@
 			net.runUntil(net.now + 8*time.Second)
 			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
 			net.expectAllServing(fmt.Sprintf("seed %d", seed))
-			Expect(net.distinctTables()).To(Equal(1), "seed %d: all hold one table", seed)
+			Expect(net.distinctTables()).To(Equal(1), "seed %d: one table everywhere", seed)
 		}
 	})
 
@@ -98,8 +98,8 @@
 
 func randomVictims(count int) func(net *network) []string {
 	return func(net *network) []string {
-		places := net.random.Perm(len(net.names))[:count]
-		return lo.Map(places, func(at, _ int) string { return net.names[at] })
+		indexes := net.random.Perm(len(net.names))[:count]
+		return lo.Map(indexes, func(at, _ int) string { return net.names[at] })
 	}
 }
 
@@ -107,8 +107,8 @@
 	return lo.Filter(net.names, func(name string, _ int) bool { return net.nodes[name].zone == "z1" })
 }
 
-// longestGap runs for a while and returns for how long some running node was
-// fenced in one go.
+// longestGap runs the network for a duration and returns the longest uninterrupted time
+// for which a running node was fenced.
 func (net *network) longestGap(duration time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	gaps := map[string]time.Duration{}
@@ -148,7 +148,7 @@
 	return net
 }
 
-// injectFaults lets faults come for a while.
+// injectFaults injects a random fault every now and then for a duration.
 func (net *network) injectFaults(duration time.Duration) {
 	until := net.now + duration
 	for net.now < until {
@@ -185,7 +185,7 @@
 	}
 }
 
-// endFaults ends all faults and starts what doesn't run.
+// endFaults ends all faults and starts the nodes that don't run.
 func (net *network) endFaults() {
 	clear(net.blocked)
 	net.loss, net.duplicates, net.jitter = 0, 0, time.Millisecond
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -7,6 +7,54 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
+// State is the state of a member according to its record.
+type State uint8
+
+// The states of a member.
+const (
+	// StateAlive members have declared monitors, and none reports them.
+	StateAlive State = iota + 1
+	// StateSuspect members are reported by some monitor, or have declared none yet; they
+	// may still serve.
+	StateSuspect
+	// StateFenced members certainly refuse traffic until they have learnt the current
+	// revision again.
+	StateFenced
+	// StateLeft members announced that they stop, or were removed by an operator.
+	StateLeft
+)
+
+// Record is what the table knows of one member. All but TimeoutReports is the member's
+// own statement.
+type Record struct {
+	Info  member.Info
+	State State
+	// MonitorSetVersion numbers the member's choices of monitors in this incarnation; 0
+	// if it has declared none yet.
+	MonitorSetVersion uint64
+	// Monitors are the monitors that the member chose.
+	Monitors []member.ID
+	// MonitorBoots are the processes of Monitors, in the same order, that the member
+	// counts on: the promises of a monitor end with its process.
+	MonitorBoots []member.Incarnation
+	// TimeoutReports are the monitors' reports about the member, sorted.
+	TimeoutReports []TimeoutReport
+	// Version orders the records of one incarnation.
+	Version uint64
+}
+
+// TimeoutReport states that one process of a monitor has received no heartbeat of a
+// member for so long that the member's acknowledgements from it have expired, and
+// promises not to acknowledge that incarnation under that monitor set again.
+type TimeoutReport struct {
+	Monitor member.ID
+	// MonitorBoot identifies the process of the monitor.
+	MonitorBoot member.Incarnation
+	// Incarnation and MonitorSetVersion are those of the member in the monitor's table.
+	Incarnation       member.Incarnation
+	MonitorSetVersion uint64
+}
+
 // clone copies r with all that it points to.
 func (r Record) clone() Record {
 	r.Monitors = slices.Clone(r.Monitors)
@@ -15,8 +63,8 @@
 	return r
 }
 
-// compareOwnerState orders two records of one member by what the member itself
-// said: incarnation, then version, then whether it left.
+// compareOwnerState orders two records of one member by what the member itself stated:
+// incarnation, then version, then whether it left.
 func compareOwnerState(a, b Record) int {
 	return cmp.Or(
 		cmp.Compare(a.Info.Incarnation, b.Info.Incarnation),
@@ -25,6 +73,7 @@
 	)
 }
 
+// leftRank orders a record of a member that left after one of the same version.
 func leftRank(r Record) int {
 	if r.State == StateLeft {
 		return 1
@@ -32,9 +81,9 @@
 	return 0
 }
 
-// mergeRecords joins two records of one member. It is commutative, associative
-// and idempotent: the owner's part is the newer one, silences are united, and
-// those that the owner's part has outlived are dropped.
+// mergeRecords joins two records of one member. It is commutative, associative and
+// idempotent: it takes the newer of the member's own statements and the union of the
+// reports, without those of earlier incarnations and monitor sets.
 func mergeRecords(a, b Record) Record {
 	newer := a
 	if compareOwnerState(a, b) < 0 {
@@ -50,17 +99,18 @@
 	return merged
 }
 
-// addTimeoutReport inserts s in order unless it is outlived or already present.
-func (r *Record) addTimeoutReport(s TimeoutReport) {
-	if s.Incarnation < r.Info.Incarnation {
+// addTimeoutReport inserts a report in order unless it is present already or of an
+// earlier incarnation or monitor set.
+func (r *Record) addTimeoutReport(report TimeoutReport) {
+	if report.Incarnation < r.Info.Incarnation {
 		return
 	}
-	if s.Incarnation == r.Info.Incarnation && s.MonitorSetVersion < r.MonitorSetVersion {
+	if report.Incarnation == r.Info.Incarnation && report.MonitorSetVersion < r.MonitorSetVersion {
 		return
 	}
-	at, found := slices.BinarySearchFunc(r.TimeoutReports, s, compareTimeoutReports)
+	at, found := slices.BinarySearchFunc(r.TimeoutReports, report, compareTimeoutReports)
 	if !found {
-		r.TimeoutReports = slices.Insert(r.TimeoutReports, at, s)
+		r.TimeoutReports = slices.Insert(r.TimeoutReports, at, report)
 	}
 }
 
@@ -73,51 +123,52 @@
 	)
 }
 
-// countsReport tells whether s speaks of exactly the monitor set that r
-// declares, and comes from the very process that the member counts on.
-func (r *Record) countsReport(s TimeoutReport) bool {
-	if s.Incarnation != r.Info.Incarnation || s.MonitorSetVersion != r.MonitorSetVersion {
+// countsReport tells whether a report counts towards a certain fence: it is about the
+// declared monitor set, and from the very process that the member counts on.
+func (r *Record) countsReport(report TimeoutReport) bool {
+	if report.Incarnation != r.Info.Incarnation || report.MonitorSetVersion != r.MonitorSetVersion {
 		return false
 	}
-	return r.reliesOnMonitor(s.Monitor, s.MonitorBoot)
+	return r.reliesOnMonitor(report.Monitor, report.MonitorBoot)
 }
 
-// isSuspicion tells whether s says that the member is silent under the monitor set that
-// r declares, whichever process of the monitor says so.
-func (r *Record) isSuspicion(s TimeoutReport) bool {
-	return s.Incarnation == r.Info.Incarnation && s.MonitorSetVersion == r.MonitorSetVersion &&
-		r.namesMonitor(s.Monitor)
+// isSuspicion tells whether a report is about the declared monitor set, whichever process
+// of the monitor it is from.
+func (r *Record) isSuspicion(report TimeoutReport) bool {
+	return report.Incarnation == r.Info.Incarnation && report.MonitorSetVersion == r.MonitorSetVersion &&
+		r.namesMonitor(report.Monitor)
 }
 
-// isSuspected tells whether any monitor reports the member silent. A monitor that
-// started again has no part in a certain fence, but a member that lived would have
-// noticed its start and declared a new set.
+// isSuspected tells whether any monitor reports the member. The report of a monitor that
+// restarted doesn't count towards a certain fence, but a running member would have noticed
+// the restart and declared a new set.
 func (r *Record) isSuspected() bool {
 	return slices.ContainsFunc(r.TimeoutReports, r.isSuspicion)
 }
 
-// withoutSupersededReports returns the silences without those of processes that the
-// member does not count on and that another process of the same monitor followed.
-// So a monitor that starts again and again adds two at most.
+// withoutSupersededReports returns the reports without those of processes that the member
+// doesn't count on and that a later process of the same monitor superseded. So a monitor
+// that restarts again and again adds two at most.
 func (r *Record) withoutSupersededReports() []TimeoutReport {
-	return slices.DeleteFunc(slices.Clone(r.TimeoutReports), func(s TimeoutReport) bool {
-		return r.isSuspicion(s) && !r.countsReport(s) && slices.ContainsFunc(r.TimeoutReports, func(other TimeoutReport) bool {
-			return r.isSuspicion(other) && other.Monitor == s.Monitor && other.MonitorBoot > s.MonitorBoot
+	return slices.DeleteFunc(slices.Clone(r.TimeoutReports), func(report TimeoutReport) bool {
+		return r.isSuspicion(report) && !r.countsReport(report) && slices.ContainsFunc(r.TimeoutReports, func(other TimeoutReport) bool {
+			return r.isSuspicion(other) && other.Monitor == report.Monitor && other.MonitorBoot > report.MonitorBoot
 		})
 	})
 }
 
-// namesMonitor tells whether the member chose this monitor, in whatever process.
+// namesMonitor tells whether the member chose a monitor, whichever its process.
 func (r *Record) namesMonitor(monitor member.ID) bool {
 	return slices.Contains(r.Monitors, monitor)
 }
 
-// reliesOnMonitor tells whether the member counts on this process as a monitor.
+// reliesOnMonitor tells whether the member counts on this process of a monitor.
 func (r *Record) reliesOnMonitor(monitor member.ID, boot member.Incarnation) bool {
 	at := slices.Index(r.Monitors, monitor)
 	return at >= 0 && at < len(r.MonitorBoots) && r.MonitorBoots[at] == boot
 }
 
+// countedReports returns how many reports count towards a certain fence.
 func (r *Record) countedReports() int {
 	count := 0
 	for _, report := range r.TimeoutReports {
@@ -128,18 +179,19 @@
 	return count
 }
 
-// certainlyFenced tells whether the member refuses traffic in this incarnation
-// now and for ever. See the package comment for why.
+// certainlyFenced tells whether the member refuses traffic in this incarnation now and
+// for ever. The package comment tells why.
 func (r *Record) certainlyFenced() bool {
 	return r.State == StateLeft || r.countedReports() >= reportsNeeded(len(r.Monitors))
 }
 
-// seemsReachable tells whether no monitor reports the member silent. A member
-// that hasn't declared monitors yet is fenced, but may well answer.
+// seemsReachable tells whether no monitor reports the member. A member that hasn't
+// declared monitors yet is fenced, but may well respond.
 func (r *Record) seemsReachable() bool {
 	return r.State == StateAlive || r.MonitorSetVersion == 0 && r.State != StateLeft
 }
 
+// derivedState returns the state that follows from the rest of the record.
 func (r *Record) derivedState() State {
 	switch {
 	case r.State == StateLeft:
--- a/pkg/membership/ring.go
+++ b/pkg/membership/ring.go
@@ -9,20 +9,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ring lists the other members in the order in which they follow one origin on
-// a circle of hashes.
+// ring lists the other members in the order in which they follow this node on a ring
+// of hashes.
 type ring struct {
 	origin     uint64
 	successors []ringMember
 }
 
-// ringMember is a member and its distance from the origin.
+// ringMember is a member and its distance from this node.
 type ringMember struct {
 	distance uint64
 	id       member.ID
 }
 
-// ringPosition is the place of a member on the circle.
+// ringPosition returns the position of a member on the ring.
 func ringPosition(id member.ID) uint64 {
 	return xxhash.Sum64String(string(id))
 }
@@ -31,8 +31,8 @@
 	return ring{origin: ringPosition(origin)}
 }
 
-// memberAt works out a member's distance. Unsigned subtraction wraps, which closes
-// the circle.
+// memberAt computes a member's distance. Unsigned subtraction wraps around, which closes
+// the ring.
 func (r *ring) memberAt(id member.ID) ringMember {
 	return ringMember{distance: ringPosition(id) - r.origin, id: id}
 }
@@ -56,17 +56,18 @@
 	return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.id, b.id))
 }
 
-// monitorChoice collects monitors in ring order: first one from each zone, then
-// the nearest of the rest, so that the loss of a zone takes as few as possible.
+// monitorChoice collects monitors from candidates that are offered in ring order: first
+// the nearest one of each zone, then the nearest of the rest, so that the loss of a zone
+// takes as few monitors as possible.
 type monitorChoice struct {
 	count int
 	// perZone are the nearest members of distinct zones.
 	perZone []member.Info
-	// rest are the nearest members that perZone passed over.
+	// rest are the nearest members that aren't in perZone.
 	rest []member.Info
 }
 
-// offer considers the next member of the ring.
+// offer takes in the next candidate.
 func (c *monitorChoice) offer(candidate member.Info) {
 	sameZone := func(chosen member.Info) bool { return chosen.Zone == candidate.Zone }
 	switch {
@@ -77,12 +78,12 @@
 	}
 }
 
-// complete tells whether no later member can be chosen.
+// complete tells whether no later candidate can be chosen.
 func (c *monitorChoice) complete() bool {
 	return len(c.perZone) == c.count
 }
 
-// chosen returns at most limit monitors.
+// chosen returns at most limit monitors, the preferred ones first.
 func (c *monitorChoice) chosen(limit int) []member.ID {
 	var ids []member.ID
 	for _, info := range slices.Concat(c.perZone, c.rest) {
--- a/pkg/membership/steady_state_test.go
+++ b/pkg/membership/steady_state_test.go
@@ -13,8 +13,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// heartbeatsWithRecord counts the heartbeats of one node in some time, and those
-// among them that held its row.
+// heartbeatsWithRecord counts the heartbeats of one node in a duration, and those among
+// them that contained its record.
 func (net *network) heartbeatsWithRecord(name string, duration time.Duration) (all, withRecord int) {
 	net.onSend = func(from string, out membership.Outbound) {
 		if from != name || out.Message.Type != membership.MessageHeartbeat {
@@ -28,7 +28,7 @@
 	return all, withRecord
 }
 
-// distinctTables counts the different tables of all running members.
+// distinctTables counts the different tables of all running nodes.
 func (net *network) distinctTables() int {
 	return len(lo.UniqBy(net.running(), func(n *node) uint64 { return n.machine.Digest() }))
 }
@@ -37,8 +37,8 @@
 	return lo.Filter(net.all, func(n *node, _ int) bool { return n.machine != nil })
 }
 
-var _ = Describe("a calm fleet", func() {
-	It("sends heartbeats without rows", func() {
+var _ = Describe("a fleet without faults", func() {
+	It("sends heartbeats without records", func() {
 		net := fleetOf(1, 9, 3)
 		net.runUntil(4 * time.Second)
 		all, withRow := net.heartbeatsWithRecord("n04", 2*time.Second)
@@ -46,24 +46,24 @@
 		Expect(withRow).To(BeZero())
 	})
 
-	It("sends its row again to a monitor that started without a table, which acknowledges it soon", func() {
+	It("sends its record again to a monitor that restarted without a table, which soon acknowledges it", func() {
 		net := fleetOf(1, 9, 3)
 		net.runUntil(4 * time.Second)
 		monitor := recordOf(net, "n04").Monitors[0]
 		net.start(string(monitor))
 		boot := net.nodes[string(monitor)].incarnation
 		net.runUntil(net.now + time.Second)
-		row := recordOf(net, "n04")
-		at := lo.IndexOf(row.Monitors, monitor)
+		record := recordOf(net, "n04")
+		at := lo.IndexOf(record.Monitors, monitor)
 		Expect(at).To(BeNumerically(">=", 0))
-		Expect(row.MonitorBoots[at]).To(Equal(boot))
+		Expect(record.MonitorBoots[at]).To(Equal(boot))
 		Expect(net.violations).To(BeEmpty())
 	})
 
-	It("comes to one table after many start at once, whatever is lost", func() {
-		// Later, some return to monitors that had left heartbeats unanswered, which is
-		// news for an instant; so the first instant of agreement is looked for, and not
-		// whether all agree at a given one.
+	It("converges on one table after many nodes start at once, despite message loss", func() {
+		// Later, some nodes return to monitors that had left heartbeats unanswered, so
+		// that tables differ for an instant. So the test waits for the first instant at
+		// which all agree, instead of checking a given one.
 		const step, bound = 50 * time.Millisecond, time.Second
 		for seed := range uint64(20) {
 			net := newNetwork(seed)
@@ -80,38 +80,38 @@
 		}
 	})
 
-	It("leaves a burst of news to exchanges, which tell all of it in one message", func() {
+	It("leaves a burst of updates to anti-entropy, which sends all of them in one message", func() {
 		const joiners = 400
 		machine := membership.New(membership.Config{Self: member.Info{ID: "a", Incarnation: 1}}, 0)
 		from := member.Info{ID: "j000", Address: "j000"}
-		news := 0
-		note := func(outbox []membership.Outbound) {
+		gossiped := 0
+		count := func(outbox []membership.Outbound) {
 			for _, out := range outbox {
-				news += len(out.Message.Records)
+				gossiped += len(out.Message.Records)
 			}
 		}
 		for number := range joiners {
 			name := fmt.Sprintf("j%03d", number)
 			record := membership.Record{Info: member.Info{ID: member.ID(name), Address: name, Incarnation: 5}, State: membership.StateAlive, Version: 1}
-			note(machine.Step(time.Millisecond, membership.Message{Type: membership.MessageGossip, From: from, Records: []membership.Record{record}}))
+			count(machine.Step(time.Millisecond, membership.Message{Type: membership.MessageGossip, From: from, Records: []membership.Record{record}}))
 		}
 		for now := 20 * time.Millisecond; now < time.Second; now += 20 * time.Millisecond {
-			note(machine.Tick(now))
+			count(machine.Tick(now))
 		}
-		Expect(news).To(BeNumerically("<=", 24))
+		Expect(gossiped).To(BeNumerically("<=", 24))
 
-		asked := machine.Step(time.Second, membership.Message{Type: membership.MessageGossip, From: from, Buckets: make([]uint32, 64)})
-		Expect(asked).To(HaveLen(1))
-		summary := asked[0].Message.Summary
+		summaries := machine.Step(time.Second, membership.Message{Type: membership.MessageGossip, From: from, Buckets: make([]uint32, 64)})
+		Expect(summaries).To(HaveLen(1))
+		summary := summaries[0].Message.Summary
 		Expect(summary).To(HaveLen(joiners + 1))
-		wanted := lo.Map(summary, func(one membership.RecordDigest, _ int) uint32 { return one.Member })
-		slices.Sort(wanted)
-		told := machine.Step(time.Second, membership.Message{Type: membership.MessageGossip, From: from, Requested: wanted})
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Message.Records).To(HaveLen(joiners + 1))
+		requested := lo.Map(summary, func(digest membership.RecordDigest, _ int) uint32 { return digest.Member })
+		slices.Sort(requested)
+		replies := machine.Step(time.Second, membership.Message{Type: membership.MessageGossip, From: from, Requested: requested})
+		Expect(replies).To(HaveLen(1))
+		Expect(replies[0].Message.Records).To(HaveLen(joiners + 1))
 	})
 
-	It("costs two nodes that differ in one record little more than that record", func() {
+	It("repairs one differing record at little more than the cost of that record", func() {
 		pair := newMachinePair(200)
 		pair.exchange()
 		Expect(pair.first.Digest()).To(Equal(pair.second.Digest()), "after the first exchange")
@@ -126,18 +126,18 @@
 	})
 })
 
-// newRecord is a record of a member that doesn't run.
+// newRecord returns the record of a member that doesn't run.
 func newRecord(name string) membership.Record {
 	return membership.Record{Info: member.Info{ID: member.ID(name), Address: name, Zone: "other", Incarnation: 5}, State: membership.StateAlive, Version: 1}
 }
 
-// machinePair is two machines with tables of their own, which play exchanges.
+// machinePair is two machines with separate tables that exchange records.
 type machinePair struct {
 	now           time.Duration
 	first, second *membership.Machine
 }
 
-// exchangeCost counts what the messages of an exchange hold.
+// exchangeCost counts the digests and records in the messages of an exchange.
 type exchangeCost struct{ digests, records int }
 
 func newMachinePair(members int) *machinePair {
@@ -156,8 +156,8 @@
 	return pair
 }
 
-// exchange has the second machine notice that the first one's table differs, and
-// carries their messages until none is left.
+// exchange lets the second machine notice that the first one's table differs, and delivers
+// their messages until none is left.
 func (p *machinePair) exchange() exchangeCost {
 	var cost exchangeCost
 	p.now += 5 * time.Second
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -23,7 +23,7 @@
 		}
 	})
 
-	DescribeTable("counts a silence only under the set and from the processes that the member named",
+	DescribeTable("counts a time-out report only under the set and from the processes that the member named",
 		func(version uint64, firstBoot, secondBoot member.Incarnation, certain bool) {
 			record := randomRecords(rand.New(rand.NewPCG(1, 1)), 1)[0]
 			record.MonitorSetVersion = 2
@@ -34,12 +34,12 @@
 			Expect(tableOf([]membership.Record{record}).State == membership.StateFenced).To(Equal(certain))
 		},
 		Entry("both", uint64(2), member.Incarnation(1), member.Incarnation(1), true),
-		Entry("one monitor started again", uint64(2), member.Incarnation(1), member.Incarnation(9), false),
+		Entry("one monitor restarted", uint64(2), member.Incarnation(1), member.Incarnation(9), false),
 		Entry("an earlier set", uint64(1), member.Incarnation(1), member.Incarnation(1), false),
 		Entry("a later set, not yet known", uint64(3), member.Incarnation(1), member.Incarnation(1), false),
 	)
 
-	It("keeps two reports at most of a monitor that starts again and again", func() {
+	It("keeps at most two reports of a monitor that restarts again and again", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		record := randomRecords(random, 1)[0]
 		record.MonitorSetVersion = 2
@@ -53,13 +53,13 @@
 		}
 		for range 20 {
 			random.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-			row := tableOf(records)
-			Expect(row.State).To(Equal(membership.StateSuspect))
-			Expect(row.TimeoutReports).To(Equal([]membership.TimeoutReport{report(1), report(9)}))
+			merged := tableOf(records)
+			Expect(merged.State).To(Equal(membership.StateSuspect))
+			Expect(merged.TimeoutReports).To(Equal([]membership.TimeoutReport{report(1), report(9)}))
 		}
 	})
 
-	It("gives a member the full time from when its new set is learnt", func() {
+	It("grants a member the full time-out from when its new monitor set is learnt", func() {
 		monitor := membership.New(membership.Config{Self: member.Info{ID: "m1", Incarnation: 1}}, 0)
 		record := membership.Record{
 			Info:              member.Info{ID: "x", Address: "x", Incarnation: 5},
@@ -83,35 +83,35 @@
 		Expect(reportedAt).To(Equal(2200 * time.Millisecond))
 	})
 
-	It("tells when what a member sent in an ended life has arrived", func() {
+	It("tells when all that a member sent in an ended incarnation has arrived", func() {
 		machine := membership.New(membership.Config{Self: member.Info{ID: "o", Incarnation: 1}}, 0)
 		record := membership.Record{Info: member.Info{ID: "x", Address: "x", Incarnation: 5}, Version: 1}
 		learn := func(now time.Duration) {
 			machine.Step(now, membership.Message{Type: membership.MessageGossip, From: record.Info, Records: []membership.Record{record}})
 		}
-		settledAfter := func(from time.Duration) {
+		expectQuiescedAfter := func(from time.Duration) {
 			machine.Tick(from + membership.DefaultFenceMargin - 1)
 			ExpectWithOffset(1, machine.FormerIncarnationQuiesced("x")).To(BeFalse())
 			machine.Tick(from + membership.DefaultFenceMargin)
 			ExpectWithOffset(1, machine.FormerIncarnationQuiesced("x")).To(BeTrue())
 		}
-		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "of nobody known")
+		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "of an unknown member")
 		learn(time.Second)
-		settledAfter(time.Second)
+		expectQuiescedAfter(time.Second)
 		record.Version = 2
 		learn(2 * time.Second)
-		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "the same life")
+		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "the same incarnation")
 		record.Info.Incarnation, record.Version = 6, 1
 		learn(3 * time.Second)
 		Expect(machine.IncarnationEnded("x", 5)).To(BeTrue())
-		settledAfter(3 * time.Second)
+		expectQuiescedAfter(3 * time.Second)
 		record.State = membership.StateLeft
 		learn(4 * time.Second)
 		Expect(machine.IncarnationEnded("x", 6)).To(BeTrue())
-		settledAfter(4 * time.Second)
+		expectQuiescedAfter(4 * time.Second)
 	})
 
-	It("forgets lives that are over, and remembers that they are", func() {
+	It("forgets ended incarnations, and remembers that they ended", func() {
 		net := newNetwork(3)
 		net.config.ForgetAfter = 5 * time.Second
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -137,7 +137,7 @@
 		Expect(net.nodes["a"].machine.IncarnationEnded("e", incarnation)).To(BeTrue())
 	})
 
-	It("lets a process that started with an old incarnation outlive the table", func() {
+	It("lets a process that started with an old incarnation supersede the one in the table", func() {
 		net := fleetOf(5, 5, 5)
 		net.runUntil(2 * time.Second)
 		net.kill("n04")
@@ -196,7 +196,7 @@
 		}
 	})
 
-	It("removes only the newest life of another member", func() {
+	It("removes only the newest incarnation of another member", func() {
 		net := fleetOf(9, 3, 3)
 		net.runUntil(2 * time.Second)
 		for id, reason := range map[member.ID]membership.RemoveReason{
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -13,11 +13,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Each file of testdata is a timeline: the first row names the columns
-// (node@zone), each further row is an instant. A cell acts (start, start(seed
-// seed), kill, freeze, wake, leave, remove(b), cut(b): nothing from here reaches b,
-// mend(b), isolate, rejoin) or checks (serving, fenced, lives(n): how many are
-// over, certain(b), uncertain(b), alive(b), notalive(b), unknown(b)).
+// Each file of testdata is a timeline: the first row names the columns (node@zone), each
+// further row is an instant. A cell acts (start, start(seed seed), kill, freeze, wake,
+// leave, remove(b), block(b): no message from here reaches b, unblock(b), isolate, rejoin)
+// or checks (serving, fenced, fences(n): FenceCount, certain(b), uncertain(b), alive(b),
+// notalive(b), unknown(b)).
 var _ = Describe("timelines", func() {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -92,13 +92,13 @@
 		out, err := n.machine.Remove(net.clock(n), other, incarnation)
 		Expect(err).NotTo(HaveOccurred())
 		net.send(name, out)
-	case "cut", "mend":
-		net.blocked[direction{name, argument}] = verb == "cut"
+	case "block", "unblock":
+		net.blocked[direction{name, argument}] = verb == "block"
 	case "isolate", "rejoin":
 		net.isolate(name, verb == "isolate")
 	case "serving", "fenced":
 		Expect(net.serves(name)).To(Equal(verb == "serving"), where)
-	case "lives":
+	case "fences":
 		Expect(strconv.FormatUint(n.machine.FenceCount(), 10)).To(Equal(argument), where)
 	case "certain", "uncertain":
 		Expect(n.machine.CertainlyFenced(other)).To(Equal(verb == "certain"), where)
