--- a/internal/dataplane/slow_start.go
+++ b/internal/dataplane/slow_start.go
@@ -8,8 +8,8 @@
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
-	"github.com/ridgeswitch/ridgeswitch/pkg/coldshare"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/slowstart"
 )
 
 // slowStart bounds what this node sends to cold back ends, by the rate that
@@ -19,12 +19,12 @@
 
 	mutex  sync.Mutex
 	nodes  []string
-	limits map[float64]*coldshare.Limiter
+	limits map[float64]*slowstart.Limiter
 }
 
 // newSlowStart returns the bounds of a node.
 func newSlowStart(node member.ID) *slowStart {
-	return &slowStart{node: string(node), limits: make(map[float64]*coldshare.Limiter)}
+	return &slowStart{node: string(node), limits: make(map[float64]*slowstart.Limiter)}
 }
 
 // setNodes takes in which nodes serve callers now.
@@ -38,12 +38,12 @@
 }
 
 // limitFor returns the bound of back ends that bear a rate.
-func (c *slowStart) limitFor(now time.Duration, perSecond float64) *coldshare.Limiter {
+func (c *slowStart) limitFor(now time.Duration, perSecond float64) *slowstart.Limiter {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	limit, found := c.limits[perSecond]
 	if !found {
-		limit = coldshare.New(coldshare.Options{Node: c.node, PerSecond: perSecond})
+		limit = slowstart.New(slowstart.Options{Node: c.node, PerSecond: perSecond})
 		limit.SetNodes(now, c.nodes)
 		c.limits[perSecond] = limit
 	}
--- a/pkg/coldshare/coldshare.go
+++ b/pkg/slowstart/slowstart.go
@@ -1,12 +1,12 @@
-// Package coldshare bounds the requests that a cold replica gets from a whole
-// fleet of nodes in any second, without a word between them.
+// Package slowstart limits the requests that a replica in slow start receives in any
+// second from all nodes together, without communication between the nodes.
 //
-// For each cold replica, rendezvous hashing over the live nodes names a few
-// owners. Only these may send to it, and each no more than its part of the
-// bound in any second. Nodes whose views of the fleet differ may name different
-// owners. An owner therefore keeps to its part, and one that has become an owner
-// waits for as long as news may take before it sends.
-package coldshare
+// For each such replica, rendezvous hashing over the live nodes selects a few owners.
+// Only these may send to it, and each at most its quota in any second. Nodes whose views
+// of the live nodes differ may select different owners. An owner therefore keeps to its
+// quota, and a node that has become an owner waits, before it sends, for as long as a
+// change of the live nodes may take to reach the others.
+package slowstart
 
 import (
 	"cmp"
@@ -21,44 +21,53 @@
 const (
 	DefaultOwners         = 2
 	DefaultOwnershipDelay = time.Second
-	// window is the span in which requests are counted.
+
+	// window is the duration over which requests are counted.
 	window = time.Second
-	// maxReplicas bounds the replicas that are remembered; those sent to longest
-	// ago are forgotten.
+	// maxReplicas bounds the replicas that a limiter tracks; the least recently used
+	// ones are evicted.
 	maxReplicas = 4096
 )
 
-// Options configure a Bound. Zero values mean the defaults.
+// Options configure a Limiter. Zero values of Owners and OwnershipDelay mean the
+// defaults.
 type Options struct {
 	// Node is the name of this node.
 	Node string
-	// PerSecond is how many requests a cold replica bears in a second.
+	// PerSecond is how many requests a replica in slow start may receive in a second
+	// from all nodes together.
 	PerSecond float64
-	// Owners is how many nodes may send to one cold replica.
+	// Owners is how many nodes may send to one such replica.
 	Owners int
-	// OwnershipDelay is how long a node waits after it has become an owner.
+	// OwnershipDelay is how long a node waits, after it has become an owner, before it
+	// sends.
 	OwnershipDelay time.Duration
 }
 
-// Limiter counts what one node sends to cold replicas. It may be used by many
-// goroutines.
+// Limiter counts the requests that one node sends to replicas in slow start. It is safe
+// for concurrent use. Times are readings of the node's monotonic clock.
 type Limiter struct {
 	options Options
 
-	mutex    sync.Mutex
-	nodes    []string
+	mutex sync.Mutex
+	// nodes are the live nodes, this one included.
+	nodes []string
+	// replicas holds the tracked replicas by address.
 	replicas map[string]*replicaState
 }
 
-// replicaState is what a node remembers of one replica.
+// replicaState is what a limiter tracks of one replica.
 type replicaState struct {
+	// owned tells whether this node is an owner, and ownedSince since when.
 	owned      bool
 	ownedSince time.Duration
-	sentAt     []time.Duration
-	usedAt     time.Duration
+	// sentAt are the times of the requests in the last window, oldest first.
+	sentAt []time.Duration
+	// usedAt is when the replica was last asked for.
+	usedAt time.Duration
 }
 
-// New returns a bound for a node that knows of no other.
+// New returns the limiter of a node that knows of no other node.
 func New(options Options) *Limiter {
 	if options.Owners <= 0 {
 		options.Owners = DefaultOwners
@@ -69,7 +78,7 @@
 	return &Limiter{options: options, nodes: []string{options.Node}, replicas: make(map[string]*replicaState)}
 }
 
-// SetNodes replaces the live nodes, this one among them.
+// SetNodes replaces the live nodes, which include this one.
 func (l *Limiter) SetNodes(now time.Duration, nodes []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -79,16 +88,16 @@
 	}
 }
 
-// Allowed tells whether one more request may go to a cold replica now. It counts
-// nothing.
+// Allowed tells whether one more request may go to the replica at an address now. It
+// counts no request.
 func (l *Limiter) Allowed(now time.Duration, address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.allowed(now, l.trackedReplica(now, address))
 }
 
-// TryAcquire counts a request to a cold replica and returns true, or returns false
-// when none may go there.
+// TryAcquire counts a request to the replica at an address and returns true, or returns
+// false if none may go there now.
 func (l *Limiter) TryAcquire(now time.Duration, address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,6 +109,7 @@
 	return true
 }
 
+// allowed is Allowed for a caller that holds the mutex.
 func (l *Limiter) allowed(now time.Duration, replica *replicaState) bool {
 	if !replica.owned || now-replica.ownedSince < l.options.OwnershipDelay {
 		return false
@@ -110,12 +120,14 @@
 	return len(replica.sentAt) < l.quotaPerOwner()
 }
 
-// quotaPerOwner is how many requests each owner may send in a second. With fewer requests
-// than owners, only as many nodes own the replica.
+// quotaPerOwner returns how many requests each owner may send in a second.
 func (l *Limiter) quotaPerOwner() int { return int(l.options.PerSecond) / l.owners() }
 
+// owners returns how many nodes own a replica: no more than requests are allowed in a
+// second, so that each owner may send one at least.
 func (l *Limiter) owners() int { return max(1, min(l.options.Owners, int(l.options.PerSecond))) }
 
+// trackedReplica returns the state of a replica, which is tracked from now on.
 func (l *Limiter) trackedReplica(now time.Duration, address string) *replicaState {
 	tracked, present := l.replicas[address]
 	if !present {
@@ -128,6 +140,7 @@
 	return tracked
 }
 
+// evictOldest stops tracking the least recently used replica if there are too many.
 func (l *Limiter) evictOldest() {
 	if len(l.replicas) < maxReplicas {
 		return
@@ -141,7 +154,7 @@
 	delete(l.replicas, oldest)
 }
 
-// updateOwnership finds out whether this node is an owner now.
+// updateOwnership determines whether this node owns a replica now.
 func (l *Limiter) updateOwnership(now time.Duration, address string, replica *replicaState) {
 	owned := l.rank(address) < l.owners()
 	if owned && !replica.owned {
@@ -150,7 +163,7 @@
 	replica.owned = owned
 }
 
-// rank counts the nodes that go before this one for a replica.
+// rank returns how many nodes precede this one as owners of a replica.
 func (l *Limiter) rank(address string) int {
 	self := weight(l.options.Node, address)
 	rank := 0
@@ -166,6 +179,7 @@
 	return rank
 }
 
+// weight is the rendezvous hash of a node and a replica; the highest ones own it.
 func weight(node, address string) uint64 {
 	return xxhash.Sum64String(node + "\x00" + address)
 }
--- a/pkg/coldshare/coldshare_test.go
+++ b/pkg/slowstart/slowstart_test.go
@@ -1,4 +1,4 @@
-package coldshare_test
+package slowstart_test
 
 import (
 	"fmt"
@@ -9,42 +9,42 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/coldshare"
+	"github.com/ridgeswitch/ridgeswitch/pkg/slowstart"
 )
 
-func TestColdShare(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "coldshare")
+	RunSpecs(t, "slowstart")
 }
 
 const perSecond = 5.0
 
-// trial sends as much as nodes with differing views let through, and returns the
-// most requests in any second.
+// trial sends one replica as many requests as its nodes allow.
 type trial struct {
-	random *rand.Rand
-	names  []string
-	bounds map[string]*coldshare.Limiter
-	sent   []time.Duration
-	peak   int
+	random   *rand.Rand
+	names    []string
+	limiters map[string]*slowstart.Limiter
+	sent     []time.Duration
+	// peak is the largest number of requests in any second.
+	peak int
 }
 
 func newTrial(seed uint64, nodes int) *trial {
-	t := &trial{random: rand.New(rand.NewPCG(seed, 1)), bounds: map[string]*coldshare.Limiter{}}
+	t := &trial{random: rand.New(rand.NewPCG(seed, 1)), limiters: map[string]*slowstart.Limiter{}}
 	for number := range nodes {
 		t.names = append(t.names, fmt.Sprint("node-", number))
 	}
 	for _, name := range t.names {
-		t.bounds[name] = coldshare.New(coldshare.Options{Node: name, PerSecond: perSecond})
-		t.bounds[name].SetNodes(0, t.names)
-		t.bounds[name].Allowed(0, "replica")
+		t.limiters[name] = slowstart.New(slowstart.Options{Node: name, PerSecond: perSecond})
+		t.limiters[name].SetNodes(0, t.names)
+		t.limiters[name].Allowed(0, "replica")
 	}
 	return t
 }
 
 func (t *trial) send(now time.Duration) {
 	for _, name := range t.names {
-		for t.bounds[name].TryAcquire(now, "replica") {
+		for t.limiters[name].TryAcquire(now, "replica") {
 			t.sent = append(t.sent, now)
 		}
 	}
@@ -54,14 +54,14 @@
 	t.peak = max(t.peak, len(t.sent))
 }
 
-// namesWithout returns the names but for some that are drawn.
+// namesWithout returns the names except a number of random ones.
 func (t *trial) namesWithout(missing int) []string {
 	names := append([]string(nil), t.names...)
 	t.random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	return names[missing:]
 }
 
-var _ = Describe("Bound", func() {
+var _ = Describe("Limiter", func() {
 	It("lets the fleet send the whole rate, and no more, when views agree", func() {
 		t := newTrial(1, 9)
 		total := 0
@@ -79,7 +79,7 @@
 		for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 			if t.random.IntN(50) == 0 {
 				name := t.names[t.random.IntN(nodes)]
-				t.bounds[name].SetNodes(now, append(t.namesWithout(missing), name))
+				t.limiters[name].SetNodes(now, append(t.namesWithout(missing), name))
 			}
 			t.send(now)
 		}
@@ -89,30 +89,30 @@
 		Entry("nine nodes, two of which others miss", uint64(2), 9, 2),
 		Entry("seventy-two nodes, six of which others miss", uint64(3), 72, 6))
 
-	It("makes a node that becomes an owner wait until others know", func() {
-		bound := coldshare.New(coldshare.Options{Node: "a", PerSecond: perSecond, Owners: 1})
+	It("makes a node that becomes an owner wait until the others know", func() {
+		limiter := slowstart.New(slowstart.Options{Node: "a", PerSecond: perSecond, Owners: 1})
 		others := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-		bound.SetNodes(0, others)
+		limiter.SetNodes(0, others)
 		address := ""
 		for number := 0; ; number++ {
 			address = fmt.Sprint("replica-", number)
-			if bound.Allowed(time.Hour, address); !bound.Allowed(2*time.Hour, address) {
+			if limiter.Allowed(time.Hour, address); !limiter.Allowed(2*time.Hour, address) {
 				break
 			}
 		}
-		bound.SetNodes(3*time.Hour, []string{"a"})
-		Expect(bound.TryAcquire(3*time.Hour+999*time.Millisecond, address)).To(BeFalse())
+		limiter.SetNodes(3*time.Hour, []string{"a"})
+		Expect(limiter.TryAcquire(3*time.Hour+999*time.Millisecond, address)).To(BeFalse())
 		for range int(perSecond) {
-			Expect(bound.TryAcquire(3*time.Hour+time.Second, address)).To(BeTrue())
+			Expect(limiter.TryAcquire(3*time.Hour+time.Second, address)).To(BeTrue())
 		}
-		Expect(bound.TryAcquire(3*time.Hour+time.Second, address)).To(BeFalse())
-		Expect(bound.TryAcquire(3*time.Hour+2*time.Second, address)).To(BeTrue())
+		Expect(limiter.TryAcquire(3*time.Hour+time.Second, address)).To(BeFalse())
+		Expect(limiter.TryAcquire(3*time.Hour+2*time.Second, address)).To(BeTrue())
 	})
 
 	It("gives all to one node where the rate is below one for each owner", func() {
-		bound := coldshare.New(coldshare.Options{Node: "a", PerSecond: 1})
-		bound.Allowed(0, "replica")
-		Expect(bound.TryAcquire(time.Second, "replica")).To(BeTrue())
-		Expect(bound.TryAcquire(time.Second, "replica")).To(BeFalse())
+		limiter := slowstart.New(slowstart.Options{Node: "a", PerSecond: 1})
+		limiter.Allowed(0, "replica")
+		Expect(limiter.TryAcquire(time.Second, "replica")).To(BeTrue())
+		Expect(limiter.TryAcquire(time.Second, "replica")).To(BeFalse())
 	})
 })
