--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -12,7 +12,7 @@
 var timing = lease.Timing{Duration: 6 * time.Second, Margin: time.Second}
 
 var _ = Describe("a command lease", func() {
-	It("ends for the holder a margin early, counted from the newest round", func() {
+	It("expires for the holder a margin early, counted from the newest acknowledged message", func() {
 		holder := lease.NewHolder(timing)
 		Expect(holder.MayAct(0)).To(BeFalse())
 		holder.Confirm(10 * time.Second)
@@ -21,23 +21,23 @@
 		Expect(holder.MayAct(15 * time.Second)).To(BeFalse())
 	})
 
-	It("begins for the successor a margin late", func() {
+	It("starts for the successor a margin late", func() {
 		successor := lease.NewSuccessor(timing, 10*time.Second)
 		Expect(successor.MayAct(17*time.Second - 1)).To(BeFalse())
 		Expect(successor.MayAct(17 * time.Second)).To(BeTrue())
 	})
 
-	It("is nobody's with the zero values", func() {
+	It("has no holder with the zero values", func() {
 		var holder lease.Holder
 		var successor lease.Successor
 		Expect(holder.MayAct(time.Hour)).To(BeFalse())
 		Expect(successor.MayAct(time.Hour)).To(BeFalse())
-		off := lease.NewHolder(lease.Timing{})
-		off.Confirm(time.Second)
-		Expect(off.MayAct(time.Second)).To(BeFalse())
+		disabled := lease.NewHolder(lease.Timing{})
+		disabled.Confirm(time.Second)
+		Expect(disabled.MayAct(time.Second)).To(BeFalse())
 	})
 
-	It("refuses timings under which nobody could act", func() {
+	It("rejects timings under which nobody could act", func() {
 		Expect(timing.Check()).To(Succeed())
 		Expect(lease.Timing{}.Check()).To(Succeed())
 		Expect(lease.Timing{Duration: time.Second, Margin: time.Second}.Check()).NotTo(Succeed())
