--- a/pkg/relaytree/doc.go
+++ b/pkg/relaytree/doc.go
@@ -1,24 +1,40 @@
-// Package relaytree spreads the newest revision of each topic from its root to
-// all nodes along a tree that every node derives alone from the live members.
-//
-// A state is a set of named sections. Each node keeps the newest state of a topic
-// and a bounded log of which sections changed at which revision, so that it can
-// send a receiver what changed since the revision that the receiver holds. A
-// receiver of which that isn't known, or that is too far behind, gets the whole
-// state, in parts if it is large. The checksum of all sections goes with every
-// update: who would end in another state takes nothing and asks for a whole one.
-//
-// An update goes down the tree at once. Each node acknowledges it, and while an
-// update of a topic is on its way to a node, newer ones wait there in one place:
-// only the newest is kept, so that a storm of revisions costs each link one
-// update a round trip. Losses and repairs are covered by digests: every
-// DigestEvery a node tells its parents and one other member in turn what it
-// holds; whoever is newer sends, and whoever is older answers with its own
-// digest. So a node whose parent died, or whose tree differs from the others'
-// for a while, still converges.
-//
-// The invariants: the revision that a node holds of a topic never falls, and what
-// it holds or hands out is all of one revision.
-//
-// Contents are opaque and are shared, not copied: nobody may change one.
+// Package relaytree distributes the newest revision of each topic from its root to all
+// nodes along a tree that every node derives by itself from the live members.
+//
+// The package is pure logic: Machine does no I/O, reads no clock and starts no goroutine.
+// Its caller feeds it messages and ticks from one goroutine, and sends the messages that
+// it returns. Messages may be lost, duplicated, delayed and reordered.
+//
+// # States and updates
+//
+// A state is a set of named sections. Each node stores the newest state of each topic and
+// a bounded log of which sections changed at which revision, so that it can send a
+// receiver a delta from the receiver's revision. A receiver whose revision isn't known, or
+// is too old, gets the whole state, in chunks if it is large. Every update carries the
+// checksum of all sections: a receiver that would end in another state applies nothing and
+// requests a whole one.
+//
+// # Protocol
+//
+// An update goes down the tree at once. Each node acknowledges it. While an update of a
+// topic is in flight to a node, newer ones are coalesced: only the newest is sent after the
+// acknowledgement, so that a storm of revisions costs each link one update a round trip.
+// Digests repair losses: every DigestEvery a node sends the list of its revisions to its
+// parents and to one other member in turn. A receiver with something newer sends it, and
+// one with something older replies with its own digest. So a node whose parent died, or
+// whose tree differs from the others' for a while, still converges.
+//
+// # Parts and their state
+//
+//   - topology: live members, roots, and this node's positions in the trees.
+//   - stateStore: the newest state of each topic, its change log and cached updates.
+//   - sender: what other members are known to have, and the updates in flight to them.
+//   - assembler: chunks received of updates that aren't complete.
+//   - Machine: the schedule of digests, and the composition of the above.
+//
+// # Invariants
+//
+// The revision that a node has of a topic never decreases, and what it has or hands out
+// is all of one revision: Machine.apply is the only place that changes it. Contents are
+// opaque and are shared, not copied: nobody may modify one.
 package relaytree
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -1,9 +1,7 @@
 package relaytree
 
 import (
-	"cmp"
 	"maps"
-	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -18,9 +16,6 @@
 	DefaultChunkBytes  = 128 << 10
 )
 
-// parentDigestsPerInterval is how often in DigestEvery new parents are asked at most.
-const parentDigestsPerInterval = 4
-
 // Config sets up a Machine. Zero values take the defaults.
 type Config struct {
 	Self member.ID
@@ -29,55 +24,36 @@
 	// DigestEvery is the time between two digests, and how long an update may
 	// stay unacknowledged before a newer one is sent after it.
 	DigestEvery time.Duration
-	// ChunkBytes is the size, in names and contents, from which an update is
-	// sent in several parts, one a round trip.
+	// ChunkBytes is the size of names and contents, in bytes, from which an update is
+	// sent in several chunks, one a round trip.
 	ChunkBytes int
 }
 
 // Machine is the relay state of one node. It does no I/O and reads no clock;
 // it is not safe for concurrent use.
 type Machine struct {
-	config     Config
-	now        time.Duration
+	config Config
+	now    time.Duration
+
+	topology  topology
+	store     *stateStore
+	sender    sender
+	assembler assembler
+
 	nextDigest time.Duration
-	// digestTurn chooses the parent and the other member that the next digest goes to.
+	// digestTurn selects the parent and the other member that get the next digests.
 	digestTurn uint64
-	// parentsChanged tells that the parents may be new, and greeted when all of them were
-	// last sent a digest for that.
+	// parentsChanged tells that there may be new parents, and parentsNotifiedAt when
+	// all parents were last sent a digest for that reason.
 	parentsChanged    bool
 	parentsNotifiedAt time.Duration
+	// digestSentAt is when a digest was last sent to each member.
+	digestSentAt map[member.ID]time.Duration
 
-	members []Member
-	roots   map[Topic]member.ID
-	// positions are this node's places by root; cleared when members change.
-	positions map[member.ID]treePosition
-
-	states     map[Topic]*state
-	assemblies map[Topic]*assembly
-	// knownRevisions are the revisions that other members said they hold.
-	knownRevisions map[feedKey]uint64
-	inFlight       map[feedKey]*transfer
-	digestSentAt   map[member.ID]time.Duration
-
-	outbox []Outbound
-}
-
-// feedKey is the way of one topic to one member.
-type feedKey struct {
-	to    member.ID
-	topic Topic
-}
-
-// transfer is an update of which a part was sent and not yet acknowledged.
-type transfer struct {
-	update *update
-	chunk  int
-	sentAt time.Duration
-	// resends counts how often the part was sent again.
-	resends int
+	outbox *outbox
 }
 
-// New returns a machine that holds nothing and knows no other member.
+// New returns a machine without any state that knows no other member.
 func New(cfg Config) *Machine {
 	if cfg.FanOut <= 0 {
 		cfg.FanOut = DefaultFanOut
@@ -88,77 +64,81 @@
 	if cfg.ChunkBytes <= 0 {
 		cfg.ChunkBytes = DefaultChunkBytes
 	}
+	store := &stateStore{chunkBytes: cfg.ChunkBytes, states: map[Topic]*state{}}
+	out := &outbox{}
 	m := &Machine{
-		config:         cfg,
-		roots:          map[Topic]member.ID{},
-		states:         map[Topic]*state{},
-		assemblies:     map[Topic]*assembly{},
-		knownRevisions: map[feedKey]uint64{},
-		inFlight:       map[feedKey]*transfer{},
-		digestSentAt:   map[member.ID]time.Duration{},
-		digestTurn:     xxhash.Sum64String(string(cfg.Self)),
+		config:   cfg,
+		topology: topology{self: cfg.Self, fanOut: cfg.FanOut, roots: map[Topic]member.ID{}},
+		store:    store,
+		sender: sender{
+			resendAfter:    cfg.DigestEvery,
+			store:          store,
+			outbox:         out,
+			knownRevisions: map[feedKey]uint64{},
+			inFlight:       map[feedKey]*transfer{},
+		},
+		assembler: assembler{digestEvery: cfg.DigestEvery, assemblies: map[Topic]*assembly{}},
+		// Nodes begin with different members.
+		digestTurn:   xxhash.Sum64String(string(cfg.Self)),
+		digestSentAt: map[member.ID]time.Duration{},
+		outbox:       out,
 	}
 	m.SetMembers(nil)
 	return m
 }
 
-// SetMembers tells which nodes are live. Self need not be among them. The next
-// Tick sends digests to the new parents.
+// SetMembers replaces the live nodes. Self need not be among them. The next Tick sends
+// digests to the new parents.
 func (m *Machine) SetMembers(members []Member) {
-	sorted := slices.Clone(members)
-	slices.SortFunc(sorted, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-	isSelf := func(other Member) bool { return other.ID == m.config.Self }
-	if !slices.ContainsFunc(sorted, isSelf) {
-		sorted = append(sorted, Member{ID: m.config.Self})
-	}
-	if slices.Equal(sorted, m.members) {
+	if !m.topology.setMembers(members) {
 		return
 	}
-	m.members = sorted
-	m.resetPositions()
-	m.dropDepartedMembers()
+	m.scheduleParentDigests()
+	live := map[member.ID]bool{}
+	for _, other := range m.topology.members {
+		live[other.ID] = true
+	}
+	m.sender.forgetAllBut(live)
+	maps.DeleteFunc(m.digestSentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
 }
 
 // SetRoot names the node that publishes a topic.
 func (m *Machine) SetRoot(topic Topic, root member.ID) {
-	if m.roots[topic] == root {
-		return
+	if m.topology.setRoot(topic, root) {
+		m.scheduleParentDigests()
 	}
-	m.roots[topic] = root
-	m.resetPositions()
-}
-
-// resetPositions derives all positions anew and asks the new parents soon: at once,
-// but not again and again while members come and go one after the other.
-func (m *Machine) resetPositions() {
-	m.positions = map[member.ID]treePosition{}
-	m.parentsChanged = true
-	m.nextDigest = min(m.nextDigest, max(m.now, m.parentsNotifiedAt+m.config.DigestEvery/parentDigestsPerInterval))
 }
 
-func (m *Machine) dropDepartedMembers() {
-	live := map[member.ID]bool{}
-	for _, other := range m.members {
-		live[other.ID] = true
-	}
-	maps.DeleteFunc(m.inFlight, func(key feedKey, _ *transfer) bool { return !live[key.to] })
-	maps.DeleteFunc(m.knownRevisions, func(key feedKey, _ uint64) bool { return !live[key.to] })
-	maps.DeleteFunc(m.digestSentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
-}
-
-// Publish sends a new revision down the tree, given as all its sections.
-// Revisions that are not newer than the one held are ignored.
+// Publish sends a new revision down the tree, given as all its sections. A revision that
+// isn't newer than the present one is ignored.
 func (m *Machine) Publish(topic Topic, revision uint64, sections []Section) ([]Outbound, []Update) {
 	if revision <= m.Revision(topic) {
 		return nil, nil
 	}
-	change := m.stateOf(topic).differenceTo(sections)
+	change := m.store.get(topic).differenceTo(sections)
 	updates := m.apply(topic, revision, change)
 	m.feedChildren(topic, "")
-	return m.flush(), updates
+	return m.outbox.flush(), updates
+}
+
+// Feed sends a member the newest revision of a topic, wherever it is in the tree. It is
+// for a publisher that knows which members an update did not reach. A member that is known
+// to have nothing of a large state is left to its parent.
+func (m *Machine) Feed(to member.ID, topic Topic) []Outbound {
+	state := m.store.states[topic]
+	if state == nil || to == m.config.Self {
+		return nil
+	}
+	base, known := m.sender.knownRevisions[feedKey{to: to, topic: topic}]
+	if known && base == 0 && state.size > m.config.ChunkBytes {
+		return nil
+	}
+	m.sender.feed(m.now, to, topic)
+	return m.outbox.flush()
 }
 
-// Step takes one message in, and returns what to send and what is newly held.
+// Step takes one message in. It returns the messages to send and the revisions that the
+// node has from now on.
 func (m *Machine) Step(now time.Duration, from member.ID, msg Message) ([]Outbound, []Update) {
 	m.now = max(m.now, now)
 	var updates []Update
@@ -168,56 +148,43 @@
 	case MessageDigest:
 		m.onDigest(from, msg.Revisions)
 	case MessageAcknowledge:
-		m.onAcknowledge(from, msg)
+		m.sender.onAcknowledge(m.now, from, msg)
 	}
-	return m.flush(), updates
+	return m.outbox.flush(), updates
 }
 
 // Tick lets time pass. It should be called several times in DigestEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.now = max(m.now, now)
-	m.expireTransfers()
-	m.expireAssemblies()
+	m.sender.expire(m.now)
+	m.assembler.expire(m.now)
 	if m.now >= m.nextDigest {
 		m.nextDigest = m.now + m.config.DigestEvery
 		m.sendDigests()
 	}
-	return m.flush()
+	return m.outbox.flush()
 }
 
-// Revision returns the newest revision held of a topic; 0 if none.
+// Revision returns the newest revision of a topic; 0 if there is none.
 func (m *Machine) Revision(topic Topic) uint64 {
-	if state := m.states[topic]; state != nil {
-		return state.revision
-	}
-	return 0
+	return m.store.revision(topic)
 }
 
 // Snapshot returns the newest revision of a topic and all its sections, sorted by
 // name.
 func (m *Machine) Snapshot(topic Topic) (revision uint64, sections []Section) {
-	state := m.states[topic]
+	state := m.store.states[topic]
 	if state == nil {
 		return 0, nil
 	}
 	return state.revision, state.sortedSections()
 }
 
-// stateOf returns the state of a topic, which is empty at first.
-func (m *Machine) stateOf(topic Topic) *state {
-	if m.states[topic] == nil {
-		m.states[topic] = newState(m.config.ChunkBytes)
-	}
-	return m.states[topic]
-}
-
-// apply moves a topic to a newer revision. This is the only place that changes
-// what is held, and it does so in one step.
+// apply moves a topic to a newer revision. This is the only place that changes a state,
+// and it does so in one step.
 func (m *Machine) apply(topic Topic, revision uint64, change changes) []Update {
-	m.stateOf(topic).apply(revision, change)
-	if pending := m.assemblies[topic]; pending != nil && pending.first.Revision <= revision {
-		delete(m.assemblies, topic)
-	}
+	m.store.get(topic).apply(revision, change)
+	m.assembler.dropUpTo(topic, revision)
 	return []Update{{
 		Topic:    topic,
 		Revision: revision,
@@ -226,12 +193,11 @@
 	}}
 }
 
-func (m *Machine) flush() []Outbound {
-	outbox := m.outbox
-	m.outbox = nil
-	return outbox
-}
-
-func (m *Machine) send(to member.ID, msg Message) {
-	m.outbox = append(m.outbox, Outbound{To: to, Message: msg})
+// feedChildren sends the newest revision of a topic to the children of this node.
+func (m *Machine) feedChildren(topic Topic, except member.ID) {
+	for _, child := range m.topology.position(topic).children {
+		if child != except {
+			m.sender.feed(m.now, child, topic)
+		}
+	}
 }
