--- a/pkg/relaytree/chunks_test.go
+++ b/pkg/relaytree/chunks_test.go
@@ -10,12 +10,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// newChunkedMachine is a machine that sends its state in one part a section.
+// newChunkedMachine is a machine that sends its state in one chunk a section.
 func newChunkedMachine(id member.ID) *relaytree.Machine {
 	return relaytree.New(relaytree.Config{Self: id, ChunkBytes: 1})
 }
 
-// threeSections is a state in three parts.
+// threeSections is a state in three chunks.
 func threeSections(content string) []relaytree.Section {
 	sections := state(content)
 	for _, name := range []string{"second", "third"} {
@@ -24,21 +24,21 @@
 	return sections
 }
 
-// digestFrom lets a member that holds nothing send its digest.
+// digestFrom lets a member without any state send its digest.
 func digestFrom(id member.ID, sender *relaytree.Machine, known ...relaytree.TopicRevision) []relaytree.Outbound {
 	sent, _ := sender.Step(0, id, relaytree.Message{Type: relaytree.MessageDigest, Revisions: known})
 	return sent
 }
 
-// acknowledgementFrom lets a member acknowledge parts.
-func acknowledgementFrom(id member.ID, sender *relaytree.Machine, revision uint64, part uint32) []relaytree.Outbound {
+// acknowledgementFrom lets a member acknowledge chunks.
+func acknowledgementFrom(id member.ID, sender *relaytree.Machine, revision uint64, chunk uint32) []relaytree.Outbound {
 	sent, _ := sender.Step(0, id, relaytree.Message{
-		Type: relaytree.MessageAcknowledge, Topic: topic, AcknowledgedRevision: revision, Chunk: part,
+		Type: relaytree.MessageAcknowledge, Topic: topic, AcknowledgedRevision: revision, Chunk: chunk,
 	})
 	return sent
 }
 
-var _ = Describe("a transfer in parts", func() {
+var _ = Describe("a transfer in chunks", func() {
 	var sender *relaytree.Machine
 
 	BeforeEach(func() {
@@ -46,7 +46,7 @@
 		sender.Publish(topic, 1, threeSections("1"))
 	})
 
-	It("sends one part a round trip, whatever comes twice", func() {
+	It("sends one chunk a round trip, despite duplicate acknowledgements", func() {
 		first := digestFrom("late", sender)
 		Expect(first).To(HaveLen(1))
 		Expect(first[0].Message.ChunkCount).To(Equal(uint32(3)))
@@ -56,7 +56,7 @@
 		Expect(acknowledgementFrom("late", sender, 1, 1)).To(BeEmpty())
 	})
 
-	It("repeats a part that is not acknowledged, a bounded number of times", func() {
+	It("resends an unacknowledged chunk a bounded number of times", func() {
 		digestFrom("late", sender)
 		sent := 0
 		for tick := range time.Duration(20) {
@@ -65,40 +65,40 @@
 		Expect(sent).To(Equal(8))
 	})
 
-	It("gives a further receiver the same snapshot, and then the rest", func() {
+	It("sends another receiver the same snapshot, and then the rest", func() {
 		digestFrom("late", sender)
 		sender.Publish(topic, 2, threeSections("2"))
 		other := digestFrom("later", sender)
 		Expect(other[0].Message.Revision).To(Equal(uint64(1)))
 	})
 
-	It("leaves alone whoever receives from another", func() {
+	It("sends nothing to a member that is assembling an update from another", func() {
 		receiving := relaytree.TopicRevision{Topic: topic, Assembling: true}
 		Expect(digestFrom("late", sender, receiving)).To(BeEmpty())
 	})
 
-	It("is told of in the receiver's digests until it ends", func() {
+	It("is shown in the receiver's digests until it ends", func() {
 		receiver := newChunkedMachine("receiver")
 		receiver.SetMembers([]relaytree.Member{{ID: "sender"}})
-		part := digestFrom("receiver", sender)
+		chunk := digestFrom("receiver", sender)
 		for receiving := range 3 {
-			receiver.Step(0, "sender", part[0].Message)
+			receiver.Step(0, "sender", chunk[0].Message)
 			digest := receiver.Tick(relaytree.DefaultDigestEvery * time.Duration(receiving))
 			Expect(digest[0].Message.Revisions[0].Assembling).To(Equal(receiving < 2))
-			part = acknowledgementFrom("receiver", sender, 1, uint32(receiving+1))
+			chunk = acknowledgementFrom("receiver", sender, 1, uint32(receiving+1))
 		}
 		Expect(receiver.Revision(topic)).To(Equal(uint64(1)))
 	})
 
-	It("takes parts of one sender and one revision at a time", func() {
+	It("accepts chunks of one sender and one revision at a time", func() {
 		receiver := newChunkedMachine("receiver")
-		part := digestFrom("receiver", sender)[0].Message
-		answer, _ := receiver.Step(0, "sender", part)
-		Expect(answer[0].Message.Chunk).To(Equal(uint32(1)))
-		answer, _ = receiver.Step(0, "another", part)
-		Expect(answer).To(BeEmpty())
-		part.Revision, part.Chunk = 2, 1
-		answer, _ = receiver.Step(0, "sender", part)
-		Expect(answer[0].Message.Chunk).To(BeZero())
+		chunk := digestFrom("receiver", sender)[0].Message
+		reply, _ := receiver.Step(0, "sender", chunk)
+		Expect(reply[0].Message.Chunk).To(Equal(uint32(1)))
+		reply, _ = receiver.Step(0, "another", chunk)
+		Expect(reply).To(BeEmpty())
+		chunk.Revision, chunk.Chunk = 2, 1
+		reply, _ = receiver.Step(0, "sender", chunk)
+		Expect(reply[0].Message.Chunk).To(BeZero())
 	})
 })
--- a/pkg/relaytree/delta_test.go
+++ b/pkg/relaytree/delta_test.go
@@ -55,7 +55,7 @@
 		Expect(delta).To(BeNumerically("<", 2<<10))
 	})
 
-	It("serve a storm on a large state with no further whole state", func() {
+	It("carry a storm on a large state without another whole state", func() {
 		net := newNetwork(2, nodeNames(17, 4))
 		net.setRoot("n00")
 		net.fill(net.nodes[0], 20_000)
@@ -72,13 +72,13 @@
 		Expect(net.bytes[relaytree.MessageUpdate]).To(BeNumerically("<", 200*16*2<<10))
 	})
 
-	It("reach a node that starts during a storm, which doesn't start its transfer anew", func() {
+	It("reach a node that starts during a storm, which doesn't restart its transfer", func() {
 		net := newNetworkWithChunks(3, nodeNames(4, 1), 4<<10)
 		net.setRoot("n00")
-		net.nodes[3].deaf = true
+		net.nodes[3].isolated = true
 		net.fill(net.nodes[0], 2_000)
 		net.run(convergence)
-		net.nodes[3].deaf = false
+		net.nodes[3].isolated = false
 		net.chunks = 0
 		for range 200 {
 			net.publish(net.nodes[0])
@@ -91,7 +91,7 @@
 		Expect(net.violations).To(BeEmpty())
 	})
 
-	It("are refused for another state, and followed by a whole one", func() {
+	It("are rejected for another state, and followed by a whole one", func() {
 		sender := relaytree.New(relaytree.Config{Self: "sender"})
 		sender.SetMembers([]relaytree.Member{{ID: "sender"}, {ID: "receiver"}})
 		sender.SetRoot(topic, "sender")
@@ -106,10 +106,10 @@
 		})
 		delta, _ := sender.Publish(topic, 2, both("2"))
 		Expect(delta[0].Message.BaseRevision).To(Equal(uint64(1)))
-		refusal, updates := receiver.Step(0, "sender", delta[0].Message)
+		rejection, updates := receiver.Step(0, "sender", delta[0].Message)
 		Expect(updates).To(BeEmpty())
 		Expect(receiver.Revision(topic)).To(Equal(uint64(1)))
-		whole, _ := sender.Step(0, "receiver", refusal[0].Message)
+		whole, _ := sender.Step(0, "receiver", rejection[0].Message)
 		Expect(whole[0].Message.BaseRevision).To(BeZero())
 		_, updates = receiver.Step(0, "sender", whole[0].Message)
 		Expect(updates).To(HaveLen(1))
@@ -118,20 +118,20 @@
 		Expect(sections).To(Equal(published))
 	})
 
-	It("never take a damaged whole state", func() {
+	It("never apply a damaged whole state", func() {
 		sender := relaytree.New(relaytree.Config{Self: "sender"})
 		sender.SetMembers([]relaytree.Member{{ID: "sender"}, {ID: "receiver"}})
 		sender.SetRoot(topic, "sender")
 		whole, _ := sender.Publish(topic, 1, state("1"))
 		whole[0].Message.Checksum++
 		receiver := relaytree.New(relaytree.Config{Self: "receiver"})
-		answer, updates := receiver.Step(0, "sender", whole[0].Message)
-		Expect(answer).To(BeEmpty())
+		reply, updates := receiver.Step(0, "sender", whole[0].Message)
+		Expect(reply).To(BeEmpty())
 		Expect(updates).To(BeEmpty())
 		Expect(receiver.Revision(topic)).To(BeZero())
 	})
 
-	It("give way to a whole state where the changes are no longer known", func() {
+	It("are replaced by a whole state where the log doesn't reach back", func() {
 		root := relaytree.New(relaytree.Config{Self: "root"})
 		const sections, revisions = 100, 400
 		for revision := range uint64(revisions) {
@@ -142,20 +142,20 @@
 			}
 			root.Publish(topic, revision+1, all)
 		}
-		baseFor := func(holder member.ID, revision uint64) uint64 {
+		baseFor := func(receiver member.ID, revision uint64) uint64 {
 			known := []relaytree.TopicRevision{{Topic: topic, Revision: revision}}
-			answer, _ := root.Step(0, holder, relaytree.Message{Type: relaytree.MessageDigest, Revisions: known})
-			Expect(answer).To(HaveLen(1))
-			return answer[0].Message.BaseRevision
+			reply, _ := root.Step(0, receiver, relaytree.Message{Type: relaytree.MessageDigest, Revisions: known})
+			Expect(reply).To(HaveLen(1))
+			return reply[0].Message.BaseRevision
 		}
 		Expect(baseFor("late", revisions-100)).To(Equal(uint64(revisions - 100)))
 		Expect(baseFor("too late", 1)).To(BeZero())
 	})
 
-	It("converge under loss, duplication, reordering and death, in parts or whole, and never mix", func() {
+	It("converge under loss, duplication, reordering and crashes, in chunks or whole, and never mix", func() {
 		for seed := range uint64(400) {
-			parts := []int{relaytree.DefaultChunkBytes, 40}[seed%2]
-			net := newNetworkWithChunks(seed, nodeNames(4+int(seed%9), 1+int(seed%3)), parts)
+			chunkBytes := []int{relaytree.DefaultChunkBytes, 40}[seed%2]
+			net := newNetworkWithChunks(seed, nodeNames(4+int(seed%9), 1+int(seed%3)), chunkBytes)
 			net.loss = []float64{0, 0.1, 0.25}[seed%3]
 			net.duplication = []float64{0, 0.3}[seed/3%2]
 			net.jitter = []time.Duration{0, 60 * time.Millisecond}[seed/6%2]
@@ -178,8 +178,8 @@
 	})
 })
 
-// BenchmarkOneChange is the time in which the root publishes a state with one
-// changed section among 22,000 and a child takes it.
+// BenchmarkOneChange measures how long the root takes to publish a state with one changed
+// section among 22,000 and a child to apply it.
 func BenchmarkOneChange(b *testing.B) {
 	net := newNetwork(1, nodeNames(2, 1))
 	net.setRoot("n00")
@@ -198,7 +198,7 @@
 	}
 }
 
-// BenchmarkTakeOneChange is the child's share of it, with the decoding.
+// BenchmarkTakeOneChange measures the child's part of that, with the decoding.
 func BenchmarkTakeOneChange(b *testing.B) {
 	net := newNetwork(1, nodeNames(2, 1))
 	net.setRoot("n00")
@@ -218,15 +218,15 @@
 	}
 }
 
-// deliverFrame carries one update over the wire, and its acknowledgement back.
+// deliverFrame encodes and delivers one update, and its acknowledgement back.
 func deliverFrame(sender, receiver *relaytree.Machine, out relaytree.Outbound, to member.ID) {
 	frame := wire.Encode(wire.Envelope{Relay: &out.Message})
 	decoded, err := wire.Decode(frame)
 	if err != nil {
 		panic(err)
 	}
-	answers, _ := receiver.Step(0, "n00", *decoded.Relay)
-	for _, answer := range answers {
-		sender.Step(0, to, answer.Message)
+	replies, _ := receiver.Step(0, "n00", *decoded.Relay)
+	for _, reply := range replies {
+		sender.Step(0, to, reply.Message)
 	}
 }
--- a/pkg/relaytree/machine_test.go
+++ b/pkg/relaytree/machine_test.go
@@ -11,13 +11,13 @@
 
 const (
 	convergence = 2 * time.Second
-	// betweenDigests is when the first digests are over and the next not due:
-	// one that crosses an update has it sent twice.
+	// betweenDigests is after the first digests and before the next ones: a digest that
+	// crosses an update causes it to be sent twice.
 	betweenDigests = 50 * time.Millisecond
 )
 
 var _ = Describe("the relay tree", func() {
-	DescribeTable("reaches all nodes at once, once a zone and a node, with bounded children",
+	DescribeTable("sends an update to each node once, and into each zone once, with bounded children",
 		func(count, zones int, within time.Duration) {
 			net := newNetwork(1, nodeNames(count, zones))
 			net.jitter = 0
@@ -57,26 +57,26 @@
 		Expect(net.violations).To(BeEmpty())
 	})
 
-	It("pulls what the receiver of a digest holds beyond it", func() {
+	It("pulls what the sender of a digest has beyond the receiver", func() {
 		old := relaytree.New(relaytree.Config{Self: "old"})
-		ahead := relaytree.New(relaytree.Config{Self: "ahead"})
-		sent, _ := ahead.Publish(topic, 7, state("7"))
+		newer := relaytree.New(relaytree.Config{Self: "newer"})
+		sent, _ := newer.Publish(topic, 7, state("7"))
 		Expect(sent).To(BeEmpty())
-		ahead.SetMembers([]relaytree.Member{{ID: "old"}, {ID: "ahead"}})
-		digest := ahead.Tick(0)
+		newer.SetMembers([]relaytree.Member{{ID: "old"}, {ID: "newer"}})
+		digest := newer.Tick(0)
 		Expect(digest).To(HaveLen(1))
-		ask, _ := old.Step(0, "ahead", digest[0].Message)
-		Expect(ask).To(HaveLen(1))
-		answer, _ := ahead.Step(0, "old", ask[0].Message)
-		Expect(answer).To(HaveLen(1))
-		_, updates := old.Step(0, "ahead", answer[0].Message)
+		request, _ := old.Step(0, "newer", digest[0].Message)
+		Expect(request).To(HaveLen(1))
+		reply, _ := newer.Step(0, "old", request[0].Message)
+		Expect(reply).To(HaveLen(1))
+		_, updates := old.Step(0, "newer", reply[0].Message)
 		Expect(updates).To(Equal([]relaytree.Update{{Topic: topic, Revision: 7, Sections: state("7")}}))
-		again, updates := old.Step(0, "ahead", answer[0].Message)
+		again, updates := old.Step(0, "newer", reply[0].Message)
 		Expect(updates).To(BeEmpty())
 		Expect(again).To(HaveLen(1))
 	})
 
-	It("never takes an older revision, nor a delta that it can't apply", func() {
+	It("never applies an older revision, nor a delta that doesn't fit", func() {
 		machine := relaytree.New(relaytree.Config{Self: "a"})
 		machine.Publish(topic, 5, state("5"))
 		machine.Publish(topic, 4, state("4"))
@@ -93,7 +93,7 @@
 		Expect(sections).To(Equal(state("5")))
 	})
 
-	It("converges within a bound after inner nodes died, whatever the views", func() {
+	It("converges within a bound after inner nodes died, whatever the members that nodes know", func() {
 		for seed := range uint64(300) {
 			net := newNetwork(seed, nodeNames(8+int(seed%12), 1+int(seed%4)))
 			net.loss = []float64{0, 0.1, 0.3}[seed%3]
@@ -117,7 +117,7 @@
 	})
 })
 
-// killInnerNode kills, now and then, a node that has fed others.
+// killInnerNode kills, now and then, a node that has sent updates to others.
 func (net *network) killInnerNode(root *node) {
 	for _, n := range net.nodes {
 		if n != root && len(n.children) > 0 && net.random.IntN(8) == 0 {
--- a/pkg/relaytree/network_test.go
+++ b/pkg/relaytree/network_test.go
@@ -26,13 +26,13 @@
 }
 
 type node struct {
-	id      member.ID
-	zone    string
-	machine *relaytree.Machine
-	dead    bool
-	deaf    bool
-	newest  uint64
-	// model is what the updates together say.
+	id       member.ID
+	zone     string
+	machine  *relaytree.Machine
+	dead     bool
+	isolated bool
+	newest   uint64
+	// model is the state that all updates together give.
 	model    map[string]string
 	updates  int
 	children map[member.ID]bool
@@ -46,7 +46,7 @@
 	nodes  []*node
 	queue  []delivery
 	loss   float64
-	// duplication is the share of messages that come twice.
+	// duplication is the fraction of messages that are delivered twice.
 	duplication float64
 	jitter      time.Duration
 	published   uint64
@@ -92,14 +92,14 @@
 	return net
 }
 
-// start gives a node a machine that holds nothing.
+// start gives a node a machine without any state.
 func (net *network) start(n *node) {
 	n.machine = relaytree.New(relaytree.Config{Self: n.id, ChunkBytes: net.chunkBytes})
 	n.newest = 0
 	n.model = map[string]string{}
 }
 
-// restart lets a node forget all, before the others know of it.
+// restart restarts a node without any state, before the others know of it.
 func (net *network) restart(n *node) {
 	net.start(n)
 	net.setMembers(func(other *node) bool { return other == n })
@@ -108,7 +108,7 @@
 
 func everyone(*node) bool { return true }
 
-// setMembers gives some nodes the present view of who lives.
+// setMembers tells some nodes which nodes are live.
 func (net *network) setMembers(receives func(*node) bool) {
 	var members []relaytree.Member
 	for _, n := range net.nodes {
@@ -159,8 +159,7 @@
 	}
 }
 
-// enqueue lets a message arrive after a time of its own, so that messages overtake
-// each other.
+// enqueue delivers a message after a random time, so that messages overtake each other.
 func (net *network) enqueue(d delivery) {
 	d.at = net.now + time.Millisecond + time.Duration(net.random.Int64N(int64(net.jitter)+1))
 	net.queue = append(net.queue, d)
@@ -188,7 +187,7 @@
 	net.queue = later
 	slices.SortStableFunc(due, func(a, b delivery) int { return int(a.at - b.at) })
 	for _, d := range due {
-		if n := net.node(d.to); !n.dead && !n.deaf {
+		if n := net.node(d.to); !n.dead && !n.isolated {
 			net.deliver(n, d)
 		}
 	}
@@ -199,7 +198,7 @@
 	net.applyUpdates(n, updates)
 	net.send(n, outbox)
 	if n.machine.Revision(topic) != n.newest {
-		net.violate("%s holds an untold revision", n.id)
+		net.violate("%s has a revision without an update", n.id)
 	}
 }
 
@@ -227,7 +226,7 @@
 	net.violations = append(net.violations, fmt.Sprint(net.now, ": ", fmt.Sprintf(format, arguments...)))
 }
 
-// lagging lists the live nodes without the newest revision.
+// lagging returns the live nodes without the newest revision.
 func (net *network) lagging() []member.ID {
 	return lo.FilterMap(net.nodes, func(n *node, _ int) (member.ID, bool) {
 		return n.id, !n.dead && n.machine.Revision(topic) != net.published
--- a/pkg/relaytree/reference_model_test.go
+++ b/pkg/relaytree/reference_model_test.go
@@ -11,7 +11,7 @@
 // alwaysChanged is a section that every revision changes.
 const alwaysChanged = "revision"
 
-// referenceModel is every state that was published, told by the history of each section.
+// referenceModel is every state that was published, as the history of each section.
 type referenceModel struct {
 	histories map[string][]version
 	changed   map[uint64][]string
@@ -64,8 +64,8 @@
 	return sections
 }
 
-// mismatch names a section that an update left otherwise than it was published. The
-// model was right at the revision before the update.
+// mismatch names a section that differs after an update from what was published. The
+// model was correct at the revision before the update.
 func (t *referenceModel) mismatch(model map[string]string, before uint64, update relaytree.Update) string {
 	suspects := append([]string{}, update.Removed...)
 	for _, section := range update.Sections {
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -10,35 +10,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// state is the newest revision of a topic, and which sections changed lately.
+// state is the newest revision of a topic, and a log of which sections changed lately.
 type state struct {
-	// chunkBytes is the size from which an update is sent in several parts.
+	// chunkBytes is the size, in bytes, from which an update is split into chunks.
 	chunkBytes int
 
 	revision uint64
-	// previous is the revision held before this one; 0 if none.
+	// previous is the revision before this one; 0 if none.
 	previous uint64
 	sections map[string]storedSection
-	// checksum is the sum of the sections' hashes, so that a change of few
-	// sections changes it without a look at the others.
+	// checksum is the sum of the sections' hashes, so that it can be updated from the
+	// changed sections alone.
 	checksum uint64
-	// size is the sum of the names' and contents' lengths in bytes.
+	// size is the total size of names and contents in bytes.
 	size int
 	log  changeLog
 
-	// latestUpdate is the update built last, for children that all need the same.
+	// latestUpdate caches the update built last, since all children usually need the
+	// same one.
 	latestUpdate *update
-	// snapshot is a whole state in several parts that receivers are still sent.
+	// snapshot is a whole state in several chunks that is still sent to receivers. It
+	// may be older than the state.
 	snapshot *update
 }
 
-// storedSection is the content of a section and its share of the checksum.
+// storedSection is the content of a section and the hash that it adds to the checksum.
 type storedSection struct {
 	content []byte
 	hash    uint64
 }
 
-// changes lead from one revision to another.
+// changes are the sections in which one revision differs from another.
 type changes struct {
 	sections []Section
 	removed  []string
@@ -48,39 +50,41 @@
 	return &state{chunkBytes: chunkBytes, sections: map[string]storedSection{}}
 }
 
-// sectionHash is what a section adds to the checksum.
+// sectionHash returns what a section adds to the checksum.
 func sectionHash(section Section) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(section.Name)))
+	// xxhash never returns an error.
 	_, _ = digest.Write(length[:])
 	_, _ = digest.WriteString(section.Name)
 	_, _ = digest.Write(section.Content)
 	return digest.Sum64()
 }
 
-// differenceTo finds what leads from this state to the one of the sections.
+// differenceTo returns the changes that lead from this state to the one with the given
+// sections.
 func (s *state) differenceTo(sections []Section) changes {
 	var found changes
-	kept := 0
+	retained := 0
 	for _, section := range sections {
 		stored, known := s.sections[section.Name]
 		if known {
-			kept++
+			retained++
 		}
 		if !known || !bytes.Equal(stored.content, section.Content) {
 			found.sections = append(found.sections, section)
 		}
 	}
-	if kept < len(s.sections) {
+	if retained < len(s.sections) {
 		found.removed = s.namesMissingFrom(sections)
 	}
 	found.sort()
 	return found
 }
 
-// namesMissingFrom lists the sections that are not among the given ones.
+// namesMissingFrom returns the names of the sections that aren't among the given ones.
 func (s *state) namesMissingFrom(sections []Section) []string {
 	given := make(map[string]struct{}, len(sections))
 	for _, section := range sections {
@@ -88,7 +92,7 @@
 	}
 	var names []string
 	for name := range s.sections {
-		if _, kept := given[name]; !kept {
+		if _, retained := given[name]; !retained {
 			names = append(names, name)
 		}
 	}
@@ -100,7 +104,7 @@
 	slices.Sort(c.removed)
 }
 
-// checksumAfter is the checksum that the state would have after changes.
+// checksumAfter returns the checksum that the state would have after changes.
 func (s *state) checksumAfter(change changes) uint64 {
 	checksum := s.checksum
 	for _, section := range change.sections {
@@ -156,12 +160,12 @@
 	return sections
 }
 
-// changesSince returns what leads from an older revision to this one. The log must
-// reach back to it.
+// changesSince returns the changes that lead from an older revision to this one. The log
+// must reach back to it.
 func (s *state) changesSince(base uint64) changes {
 	var found changes
 	for _, name := range s.log.namesSince(base) {
-		if stored, kept := s.sections[name]; kept {
+		if stored, present := s.sections[name]; present {
 			found.sections = append(found.sections, Section{Name: name, Content: stored.content})
 		} else {
 			found.removed = append(found.removed, name)
--- a/pkg/relaytree/timeline_test.go
+++ b/pkg/relaytree/timeline_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// A filled state takes 14 parts, each a round trip of 10 ms.
+// A filled state takes 14 chunks, each a round trip of 10 ms.
 const (
 	timelineChunkBytes = 1 << 10
 	timelineSections   = 100
@@ -19,9 +19,9 @@
 
 // Each file of testdata is a timeline: the first row names the columns
 // (node@zone), each further row is an instant. A cell acts (root, publish, fill:
-// publishes a state that takes many parts, restart: forgets all, kill: all learn
-// of it, lost: dies and nobody learns of it, deaf, hear) or checks
-// (holds(revision)).
+// publishes a state that takes many chunks, restart: loses its state, kill: all learn
+// of it, crash: dies and nobody learns of it, isolate: receives nothing, rejoin) or checks
+// (revision(number)).
 var _ = Describe("timelines", func() {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -74,11 +74,11 @@
 	case "kill":
 		n.dead = true
 		net.setMembers(everyone)
-	case "lost":
+	case "crash":
 		n.dead = true
-	case "deaf", "hear":
-		n.deaf = verb == "deaf"
-	case "holds":
+	case "isolate", "rejoin":
+		n.isolated = verb == "isolate"
+	case "revision":
 		Expect(strconv.FormatUint(n.machine.Revision(topic), 10)).To(Equal(argument), string(n.id)+": "+line)
 	default:
 		Fail("unknown token " + token)
--- a/pkg/relaytree/tree.go
+++ b/pkg/relaytree/tree.go
@@ -9,23 +9,23 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Member is a live node as the tree sees it.
+// Member is a live node and its zone.
 type Member struct {
 	ID   member.ID
 	Zone string
 }
 
-// treePosition is one node's place in the tree of one root.
+// treePosition is one node's position in the tree of one root.
 type treePosition struct {
 	// parent is empty at the root.
 	parent   member.ID
 	children []member.ID
 }
 
-// positionInTree returns the place of self in the tree that every node derives
-// from the same root and members. The root feeds one entry node in each other
-// zone, and each entry node feeds its zone. Both levels are heaps with fanOut
-// children a node, so that a node has at most twice fanOut children.
+// positionInTree returns the position of self in the tree that every node derives from
+// the same root and members. The root feeds one entry node in each other zone, and each
+// entry node feeds its zone. Both levels are heaps with fanOut children a node, so that a
+// node has at most twice fanOut children.
 func positionInTree(self, root member.ID, members []Member, fanOut int) treePosition {
 	var entries []member.ID
 	var zones []string
@@ -46,9 +46,9 @@
 	return position
 }
 
-// orderForRoot puts the root first and the others in an order that differs
-// between roots, so that the inner nodes differ as well. While the root isn't
-// live, the first of the others stands in.
+// orderForRoot puts the root first and the others in an order that differs between roots,
+// so that the inner nodes differ as well. While the root isn't live, the first of the
+// others replaces it.
 func orderForRoot(root member.ID, members []Member) []Member {
 	weighted := make([]weightedMember, len(members))
 	for i, m := range members {
@@ -73,7 +73,7 @@
 	weight uint64
 }
 
-// weightForRoot is the place of a member in a root's order; the root comes first.
+// weightForRoot is the sort key of a member in a root's order; the root comes first.
 func weightForRoot(root, id member.ID) uint64 {
 	if id == root {
 		return 0
@@ -81,7 +81,8 @@
 	return xxhash.Sum64String(string(root) + "\x00" + string(id))
 }
 
-// positionInHeap reads nodes as a heap in which each has fanOut children.
+// positionInHeap returns the position of self in a heap of nodes in which each has fanOut
+// children.
 func positionInHeap(self member.ID, nodes []member.ID, fanOut int) treePosition {
 	index := slices.Index(nodes, self)
 	if index < 0 {
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -1,11 +1,11 @@
 package relaytree
 
-// maxSnapshotLag is how many changes a snapshot may lag behind and still be sent
-// to a further receiver, that gets the rest as a delta.
+// maxSnapshotLag is how many changes a snapshot may lag behind and still be sent to
+// another receiver, which gets the rest as a delta.
 const maxSnapshotLag = 1024
 
-// update leads a receiver to a revision. It is never changed, and is shared by
-// the flights to several receivers.
+// update leads a receiver to a revision. It is immutable, and is shared by the transfers
+// to several receivers.
 type update struct {
 	revision uint64
 	// base is 0 for a whole state.
@@ -14,10 +14,10 @@
 	chunks   []changes
 }
 
-// updateFrom returns the update for a receiver that holds a revision: what
-// changed since, or the whole state if that isn't known. A whole state in
-// several parts may lag a little: a storm would have it started again without
-// end, and each version would take memory of its own.
+// updateFrom returns the update for a receiver at a revision: a delta, or the whole state
+// if the log doesn't reach back. A whole state in several chunks may lag behind:
+// otherwise a storm of revisions would restart the transfer again and again, and each
+// receiver's version would take memory.
 func (s *state) updateFrom(revision uint64) *update {
 	base := revision
 	if revision == 0 || revision < s.log.oldest {
@@ -36,6 +36,7 @@
 	return s.latestUpdate
 }
 
+// build returns the update from a base, or the whole state if the base is 0.
 func (s *state) build(base uint64) *update {
 	built := &update{revision: s.revision, base: base, checksum: s.checksum}
 	if base == 0 {
@@ -46,9 +47,9 @@
 	return built
 }
 
-// guessBase is the revision that a receiver of which nothing is known is taken
-// to hold. A small state is sent whole. A large one isn't sent on a guess: if
-// the receiver doesn't hold the guessed revision, it answers with what it holds.
+// guessBase returns the base for a receiver whose revision isn't known. A small state is
+// sent whole. A large one isn't sent on a guess: a receiver that isn't at the guessed
+// revision replies with its own.
 func (s *state) guessBase() uint64 {
 	switch {
 	case s.size <= s.chunkBytes:
@@ -60,7 +61,7 @@
 	}
 }
 
-// split cuts changes into parts of about chunkBytes; there is at least one.
+// split divides changes into chunks of about chunkBytes; there is at least one.
 func split(all changes, chunkBytes int) []changes {
 	chunks := []changes{{}}
 	size := 0
@@ -83,7 +84,7 @@
 	return chunks
 }
 
-// message is one part of the update.
+// message returns the message with one chunk of the update.
 func (u *update) message(topic Topic, chunk int) Message {
 	return Message{
 		Type:         MessageUpdate,
