--- a/internal/lab/checker/breakage_test.go
+++ b/internal/lab/checker/breakage_test.go
@@ -195,11 +195,11 @@
 	}},
 	{"command_holder", "an older holder still commands", func(records *checker.Records) {
 		records.Commands = append(records.Commands,
-			checker.Command{Replica: "replica-1", Holder: "core-1", Epoch: 1, At: 12 * second})
+			checker.Command{Replica: "replica-1", Sender: "core-1", Epoch: 1, At: 12 * second})
 	}},
 	{"command_holder", "two holders share an epoch", func(records *checker.Records) {
 		records.Commands = append(records.Commands,
-			checker.Command{Replica: "replica-1", Holder: "core-3", Epoch: 2, At: 12 * second})
+			checker.Command{Replica: "replica-1", Sender: "core-3", Epoch: 2, At: 12 * second})
 	}},
 	{"retry_ratio", "a window is full of retries", func(records *checker.Records) {
 		for number := range 15 {
--- a/internal/lab/checker/commands.go
+++ b/internal/lab/checker/commands.go
@@ -22,11 +22,11 @@
 		case known && command.Epoch < last.Epoch:
 			violations = append(violations, violation(rule.Name(), command.At,
 				"%s commanded %s in epoch %d after %s had in epoch %d",
-				command.Holder, command.Replica, command.Epoch, last.Holder, last.Epoch))
-		case known && command.Epoch == last.Epoch && command.Holder != last.Holder:
+				command.Sender, command.Replica, command.Epoch, last.Sender, last.Epoch))
+		case known && command.Epoch == last.Epoch && command.Sender != last.Sender:
 			violations = append(violations, violation(rule.Name(), command.At,
 				"%s and %s both commanded %s in epoch %d",
-				last.Holder, command.Holder, command.Replica, command.Epoch))
+				last.Sender, command.Sender, command.Replica, command.Epoch))
 		default:
 			newest[command.Replica] = command
 		}
--- a/internal/lab/checker/history_test.go
+++ b/internal/lab/checker/history_test.go
@@ -57,7 +57,7 @@
 		AttemptID: id + "/1", Attempt: 1, Service: "model", Replica: "replica-1", Zone: "north",
 		Arrived: at + millisecond, Ended: at + 49*millisecond, Tenant: "large", WeightVersion: "v1",
 		PromptTokens: 100, ReusedTokens: 50,
-		Reused: []checker.Reuse{{Part: "part", Tenant: "small", WeightVersion: "v1"}},
+		Reused: []checker.Reuse{{Chunk: "part", Tenant: "small", WeightVersion: "v1"}},
 	})
 }
 
@@ -123,7 +123,7 @@
 	records.Listings = append(records.Listings,
 		checker.EndpointSample{Service: "model", Replica: "replica-3", Zone: "north", Draining: true, At: 7 * second})
 	records.Commands = []checker.Command{
-		{Replica: "replica-1", Holder: "core-1", Epoch: 1, WeightVersion: "v1", At: second, Accepted: true},
-		{Replica: "replica-1", Holder: "core-2", Epoch: 2, WeightVersion: "v2", At: 11 * second, Accepted: true},
+		{Replica: "replica-1", Sender: "core-1", Epoch: 1, WeightVersion: "v1", At: second, Accepted: true},
+		{Replica: "replica-1", Sender: "core-2", Epoch: 2, WeightVersion: "v2", At: 11 * second, Accepted: true},
 	}
 }
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -55,7 +55,7 @@
 			Replica: "replica-1", Arrived: one.ArrivedAt, Refused: !one.Started, Tenant: one.Request.Tenant,
 			WeightVersion: one.WeightVersion, FinalVersion: one.FinalWeightVersion,
 			Reused: lo.Map(one.Reused, func(part emulator.ReusedChunk, _ int) checker.Reuse {
-				return checker.Reuse{Part: part.Hash, Tenant: part.Tenant, WeightVersion: part.WeightVersion}
+				return checker.Reuse{Chunk: part.Hash, Tenant: part.Tenant, WeightVersion: part.WeightVersion}
 			}),
 		}
 	})
--- a/internal/lab/checker/records.go
+++ b/internal/lab/checker/records.go
@@ -119,7 +119,7 @@
 // Reuse is a kept part that an execution took over, with the truth about who
 // made it.
 type Reuse struct {
-	Part          string
+	Chunk         string `json:"Part"`
 	Tenant        string
 	WeightVersion string
 }
@@ -127,7 +127,7 @@
 // Command is an order to a replica as the replica received it.
 type Command struct {
 	Replica       string
-	Holder        string
+	Sender        string `json:"Holder"`
 	Epoch         uint64
 	WeightVersion string
 	At            time.Duration
--- a/internal/lab/checker/reuse.go
+++ b/internal/lab/checker/reuse.go
@@ -26,7 +26,7 @@
 			violations = append(violations, violation(rule.Name(), execution.Arrived,
 				"request %s on %s under %s reused part %s made under %s",
 				execution.RequestID, execution.Replica, execution.WeightVersion,
-				reuse.Part, reuse.WeightVersion))
+				reuse.Chunk, reuse.WeightVersion))
 		}
 	}
 	return violations
@@ -56,7 +56,7 @@
 			violations = append(violations, violation(rule.Name(), execution.Arrived,
 				"request %s of tenant %s on %s reused part %s made by tenant %s",
 				execution.RequestID, execution.Tenant, execution.Replica,
-				reuse.Part, reuse.Tenant))
+				reuse.Chunk, reuse.Tenant))
 		}
 	}
 	return violations
--- a/internal/lab/fleet/ground_truth.go
+++ b/internal/lab/fleet/ground_truth.go
@@ -65,7 +65,7 @@
 	for _, record := range commands {
 		records.Commands = append(records.Commands, checker.Command{
 			Replica: member.Address,
-			Holder:  record.Sender, Epoch: record.Epoch, WeightVersion: record.WeightVersion,
+			Sender:  record.Sender, Epoch: record.Epoch, WeightVersion: record.WeightVersion,
 			At: fleet.at(record.UnixNano), Accepted: record.Accepted,
 		})
 	}
@@ -89,7 +89,7 @@
 		PromptTokens:  record.PrefilledTokens + record.ReusedTokens,
 		ReusedTokens:  record.ReusedTokens,
 		Reused: lo.Map(record.ReusedChunks, func(chunk emulator.ReusedChunk, _ int) checker.Reuse {
-			return checker.Reuse{Part: chunk.Hash, Tenant: chunk.Tenant, WeightVersion: chunk.WeightVersion}
+			return checker.Reuse{Chunk: chunk.Hash, Tenant: chunk.Tenant, WeightVersion: chunk.WeightVersion}
 		}),
 	}
 }
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -194,7 +194,7 @@
 	c.world.counts.Commands++
 	c.commands = append(c.commands, checker.Command{
 		Replica:       command.Address,
-		Holder:        string(n.info.ID),
+		Sender:        string(n.info.ID),
 		Epoch:         command.Token,
 		WeightVersion: command.WeightVersion,
 		At:            c.world.now,
--- a/internal/replay/report/compare.go
+++ b/internal/replay/report/compare.go
@@ -39,7 +39,7 @@
 	{"requests", func(g Group) float64 { return float64(g.Requests) }},
 	{"answered", func(g Group) float64 { return float64(g.Answered) }},
 	{"refused", func(g Group) float64 { return float64(g.Refused) }},
-	{"cut", func(g Group) float64 { return float64(g.Cut) }},
+	{"cut", func(g Group) float64 { return float64(g.Truncated) }},
 	{"left", func(g Group) float64 { return float64(g.Left) }},
 	{"late", func(g Group) float64 { return float64(g.Late) }},
 	{"retries", func(g Group) float64 { return float64(g.Retries) }},
--- a/internal/replay/report/page.go
+++ b/internal/replay/report/page.go
@@ -48,7 +48,7 @@
 	Speed      string
 	Tiles      []tile
 	DayPlots   []template.HTML
-	SharePlots []template.HTML
+	GroupPlots []template.HTML
 	Tables     []groupTable
 }
 
@@ -61,7 +61,7 @@
 		Speed:      short(r.Run.Speed),
 		Tiles:      r.tiles(),
 		DayPlots:   r.dayPlots(),
-		SharePlots: r.groupPlots(),
+		GroupPlots: r.groupPlots(),
 		Tables: []groupTable{
 			{Title: "By tenant (requests to models)", Column: "tenant", Groups: r.Tenants},
 			{Title: "By destination", Column: "pool or web service", Groups: r.Destinations},
--- a/internal/replay/report/report.go
+++ b/internal/replay/report/report.go
@@ -68,12 +68,12 @@
 
 // Group is the figures of some of the requests.
 type Group struct {
-	Name     string `json:"name"`
-	Requests int    `json:"requests"`
-	Answered int    `json:"answered"`
-	Refused  int    `json:"refused"`
-	Cut      int    `json:"cut"`
-	Left     int    `json:"left"`
+	Name      string `json:"name"`
+	Requests  int    `json:"requests"`
+	Answered  int    `json:"answered"`
+	Refused   int    `json:"refused"`
+	Truncated int    `json:"cut"`
+	Left      int    `json:"left"`
 	// Late counts the answers that were complete only after the deadline.
 	Late    int `json:"late"`
 	Retries int `json:"retries"`
@@ -142,7 +142,7 @@
 			group.Refused++
 			refused[sample.Problem]++
 		case recording.Truncated:
-			group.Cut++
+			group.Truncated++
 		case recording.Left:
 			group.Left++
 		}
--- a/internal/replay/report/report_test.go
+++ b/internal/replay/report/report_test.go
@@ -52,7 +52,7 @@
 	It("has the figures that can be counted by hand", func() {
 		made := report.Build(hour, samples())
 		Expect(made.Models).To(And(HaveField("Requests", 5), HaveField("Answered", 3), HaveField("Refused", 1),
-			HaveField("Cut", 1), HaveField("Late", 1), HaveField("Retries", 2)))
+			HaveField("Truncated", 1), HaveField("Late", 1), HaveField("Retries", 2)))
 		Expect(made.Models.PromptTokens).To(Equal(uint64(4000)))
 		Expect(made.Models.ReuseRatio).To(Equal(0.25))
 		Expect(made.Models.RefusedBy).To(Equal([]report.Refusals{{Kind: "queue_full", Count: 1}}))
