--- a/internal/replay/player/fleet_test.go
+++ b/internal/replay/player/fleet_test.go
@@ -72,7 +72,7 @@
 		parsed, err := caller.Parse(request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(parsed).To(And(HaveField("Model", "large"), HaveField("OutputTokens", uint32(9)), HaveField("Streamed", true),
-			HaveField("Repeatable", true), HaveField("Deadline", 2500*time.Millisecond), HaveField("Parts", HaveLen(2))))
+			HaveField("Idempotent", true), HaveField("Deadline", 2500*time.Millisecond), HaveField("Chunks", HaveLen(2))))
 		Expect(parsed.ID).To(HavePrefix("replay-"))
 	})
 
