--- a/internal/lab/standin/platform/server.go
+++ b/internal/lab/standin/platform/server.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"sync"
 	"time"
@@ -53,11 +52,6 @@
 	return standin.Serve(ctx, s.address, s.Handler())
 }
 
-// RunListener serves on a listener until the context ends.
-func (s *Server) RunListener(ctx context.Context, listener net.Listener) error {
-	return standin.ServeListener(ctx, listener, s.Handler())
-}
-
 // Handler returns the platform's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -7,7 +7,6 @@
 	"context"
 	"crypto/sha256"
 	"encoding/hex"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
@@ -69,11 +68,6 @@
 	return standin.Serve(ctx, s.address, s.Handler())
 }
 
-// RunListener serves on a listener until the context ends.
-func (s *Server) RunListener(ctx context.Context, listener net.Listener) error {
-	return standin.ServeListener(ctx, listener, s.Handler())
-}
-
 // Handler returns the back end's HTTP interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
