--- a/internal/lab/checker/draining.go
+++ b/internal/lab/checker/draining.go
@@ -11,19 +11,34 @@
 
 // Check looks for requests that arrived at a draining replica too late.
 func (rule DrainingReplica) Check(records *Records) []Violation {
-	spans := drainingSpans(records)
 	var violations []Violation
+	replicaOf := func(execution Execution) string { return execution.Replica }
+	for _, late := range arrivalsWithin(records, drainingSpans(records), replicaOf) {
+		violations = append(violations, violation(rule.Name(), late.execution.Arrived,
+			"request %s arrived at %s, which is listed as draining and closed since %v",
+			late.execution.RequestID, late.execution.Replica, late.span.From))
+	}
+	return violations
+}
+
+// arrival is an execution that arrived within a span in which nothing may.
+type arrival struct {
+	execution Execution
+	span      Span
+}
+
+// arrivalsWithin returns the executions that arrived within a span of their key,
+// once for each such span, in the order of the records.
+func arrivalsWithin(records *Records, spans map[string][]Span, keyOf func(Execution) string) []arrival {
+	var arrivals []arrival
 	for _, execution := range records.Executions {
-		for _, span := range spans[execution.Replica] {
-			if !span.contains(execution.Arrived) {
-				continue
+		for _, span := range spans[keyOf(execution)] {
+			if span.contains(execution.Arrived) {
+				arrivals = append(arrivals, arrival{execution: execution, span: span})
 			}
-			violations = append(violations, violation(rule.Name(), execution.Arrived,
-				"request %s arrived at %s, which is listed as draining and closed since %v",
-				execution.RequestID, execution.Replica, span.From))
 		}
 	}
-	return violations
+	return arrivals
 }
 
 // drainingSpans returns when each replica must get nothing.
--- a/internal/lab/checker/evacuation.go
+++ b/internal/lab/checker/evacuation.go
@@ -12,17 +12,12 @@
 
 // Check looks for requests that arrived in an evacuated zone.
 func (rule EvacuatedZone) Check(records *Records) []Violation {
-	spans := evacuatedSpans(records)
 	var violations []Violation
-	for _, execution := range records.Executions {
-		for _, span := range spans[execution.Zone] {
-			if !span.contains(execution.Arrived) {
-				continue
-			}
-			violations = append(violations, violation(rule.Name(), execution.Arrived,
-				"request %s arrived at %s in zone %s, which is evacuated and closed since %v",
-				execution.RequestID, execution.Replica, execution.Zone, span.From))
-		}
+	zoneOf := func(execution Execution) string { return execution.Zone }
+	for _, late := range arrivalsWithin(records, evacuatedSpans(records), zoneOf) {
+		violations = append(violations, violation(rule.Name(), late.execution.Arrived,
+			"request %s arrived at %s in zone %s, which is evacuated and closed since %v",
+			late.execution.RequestID, late.execution.Replica, late.execution.Zone, late.span.From))
 	}
 	return violations
 }
--- a/internal/lab/operator/changes.go
+++ b/internal/lab/operator/changes.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 
+	"google.golang.org/protobuf/reflect/protoreflect"
+
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
@@ -74,19 +76,19 @@
 }
 
 func (scenario *Scenario) wall(ctx context.Context) error {
-	tenant := scenario.Plan.WalledTenant
-	return scenario.Take(ctx, Order{
-		Call:    "WallTenant",
-		Request: &ridgeswitchv1.SetTenantWallRequest{Order: scenario.header("wall"), Tenant: tenant},
-		Change:  checker.Change{Kind: checker.ChangeWall, Tenant: tenant},
-	})
+	return scenario.setWall(ctx, "WallTenant", "wall", checker.ChangeWall)
 }
 
 func (scenario *Scenario) unwall(ctx context.Context) error {
+	return scenario.setWall(ctx, "UnwallTenant", "unwall", checker.ChangeUnwall)
+}
+
+// setWall raises or takes down the wall of the plan's tenant.
+func (scenario *Scenario) setWall(ctx context.Context, call protoreflect.Name, name string, kind checker.ChangeKind) error {
 	tenant := scenario.Plan.WalledTenant
 	return scenario.Take(ctx, Order{
-		Call:    "UnwallTenant",
-		Request: &ridgeswitchv1.SetTenantWallRequest{Order: scenario.header("unwall"), Tenant: tenant},
-		Change:  checker.Change{Kind: checker.ChangeUnwall, Tenant: tenant},
+		Call:    call,
+		Request: &ridgeswitchv1.SetTenantWallRequest{Order: scenario.header(name), Tenant: tenant},
+		Change:  checker.Change{Kind: kind, Tenant: tenant},
 	})
 }
