--- a/internal/lab/emulator/replica.go
+++ b/internal/lab/emulator/replica.go
@@ -92,7 +92,7 @@
 	r.executions = append(r.executions, execution)
 	if reason, refused := r.refusal(); refused {
 		r.refuse(execution, reason)
-		return 0, &Refusal{Reason: reason}
+		return 0, &RefusedError{Reason: reason}
 	}
 	r.nextHandle++
 	execution.Handle = r.nextHandle
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -43,13 +43,13 @@
 	RefusedDown     RefusalReason = "down"
 )
 
-// Refusal is the error of a request that has not run and will not run.
-type Refusal struct {
+// RefusedError is the error of a request that has not run and will not run.
+type RefusedError struct {
 	Reason RefusalReason
 }
 
 // Error names the reason and what to do.
-func (r *Refusal) Error() string {
+func (r *RefusedError) Error() string {
 	return fmt.Sprintf("replica refused the request (%s); send it to another replica", r.Reason)
 }
 
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -55,7 +55,7 @@
 func (r *Replica) Command(now time.Duration, command protocol.WeightsCommand) (CommandOutcome, error) {
 	r.Advance(now)
 	if now < r.upAt {
-		return 0, &Refusal{Reason: RefusedDown}
+		return 0, &RefusedError{Reason: RefusedDown}
 	}
 	if command.Epoch < r.weights.highestEpoch {
 		return 0, &StaleEpochError{Epoch: command.Epoch, Highest: r.weights.highestEpoch}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -95,7 +95,7 @@
 			return err
 		}
 	}
-	if err := fleet.forward(); err != nil {
+	if err := fleet.forward(ctx); err != nil {
 		return err
 	}
 	if err := fleet.initialise(ctx); err != nil {
@@ -137,12 +137,12 @@
 }
 
 // forward starts a relay at the address that each node tells the others.
-func (fleet *Fleet) forward() error {
+func (fleet *Fleet) forward(ctx context.Context) error {
 	if fleet.options.Network == nil {
 		return nil
 	}
 	for _, node := range fleet.Topology().Nodes {
-		forwarder, err := fleet.options.Network.Forward(node.InternalAddress(), node.listenAddress())
+		forwarder, err := fleet.options.Network.Forward(ctx, node.InternalAddress(), node.listenAddress())
 		if err != nil {
 			return err
 		}
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -52,17 +52,17 @@
 		case <-ticker.C:
 		}
 		through := c.fleet.nodes[c.random.IntN(len(c.fleet.nodes))]
-		c.running.Go(func() { c.submit(through, number) })
+		c.running.Go(func() { c.submit(ctx, through, number) })
 	}
 }
 
-// submit submits one change and waits for its answer, also beyond the time that
-// is measured.
-func (c *changes) submit(through *node, number int) {
+// submit submits one change and waits for its result, also beyond the end of the
+// context, which is that of the measured time.
+func (c *changes) submit(ctx context.Context, through *node, number int) {
 	made := change{submittedAt: c.fleet.clock()}
 	order, err := changeOrder(c.fleet.settings, number)
 	if err == nil {
-		answer, submitErr := c.fleet.submit(context.Background(), through, order, changeTimeout)
+		answer, submitErr := c.fleet.submit(context.WithoutCancel(ctx), through, order, changeTimeout)
 		err = submitErr
 		made.revision = answer.GetRevision()
 		made.confirmed = answer.GetConfirmed()
--- a/internal/lab/links/forwarder.go
+++ b/internal/lab/links/forwarder.go
@@ -23,24 +23,24 @@
 	machine  netip.Addr
 	target   string
 	listener net.Listener
-	context  context.Context
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
 
 // Forward starts a forwarder from an address to a target, both IP number and
-// port. The address's IP number is the machine's name in links.
-func (network *Network) Forward(address, target string) (*Forwarder, error) {
+// port. The address's IP number is the machine's name in links. The forwarder
+// outlives the context: only Close ends it.
+func (network *Network) Forward(ctx context.Context, address, target string) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "forward from %s", address)
 	}
-	background, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	forwarder := &Forwarder{
 		network: network, machine: ipOf(listener.Addr()), target: target,
-		listener: listener, context: background, cancel: cancel,
+		listener: listener, cancel: cancel,
 	}
-	forwarder.running.Go(forwarder.accept)
+	forwarder.running.Go(func() { forwarder.accept(ctx) })
 	return forwarder, nil
 }
 
@@ -54,29 +54,30 @@
 	forwarder.running.Wait()
 }
 
-func (forwarder *Forwarder) accept() {
+// accept relays connections until the listener is closed.
+func (forwarder *Forwarder) accept(ctx context.Context) {
 	for {
 		connection, err := forwarder.listener.Accept()
 		if err != nil {
 			return
 		}
-		forwarder.running.Go(func() { forwarder.relay(connection) })
+		forwarder.running.Go(func() { forwarder.relay(ctx, connection) })
 	}
 }
 
 // relay joins a connection with one to the target. The target sees it come
 // from the same IP number.
-func (forwarder *Forwarder) relay(inbound net.Conn) {
+func (forwarder *Forwarder) relay(ctx context.Context, inbound net.Conn) {
 	defer func() { _ = inbound.Close() }()
 	from := ipOf(inbound.RemoteAddr())
 	dialer := &net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: from.AsSlice()}}
-	outbound, err := dialer.DialContext(forwarder.context, "tcp", forwarder.target)
+	outbound, err := dialer.DialContext(ctx, "tcp", forwarder.target)
 	if err != nil {
 		reset(inbound)
 		return
 	}
 	defer func() { _ = outbound.Close() }()
-	stop := context.AfterFunc(forwarder.context, func() {
+	stop := context.AfterFunc(ctx, func() {
 		_ = inbound.Close()
 		_ = outbound.Close()
 	})
@@ -90,8 +91,8 @@
 		from: outbound, to: inbound,
 	}
 	var pumping sync.WaitGroup
-	pumping.Go(func() { there.pump(forwarder.context) })
-	pumping.Go(func() { back.pump(forwarder.context) })
+	pumping.Go(func() { there.pump(ctx) })
+	pumping.Go(func() { back.pump(ctx) })
 	pumping.Wait()
 }
 
--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -1,6 +1,7 @@
 package links_test
 
 import (
+	"context"
 	"io"
 	"net"
 	"net/netip"
@@ -46,7 +47,7 @@
 	var err error
 	made.target, err = net.Listen("tcp", targetIP+":0")
 	Expect(err).NotTo(HaveOccurred())
-	made.forwarder, err = made.network.Forward(targetIP+":0", made.target.Addr().String())
+	made.forwarder, err = made.network.Forward(context.Background(), targetIP+":0", made.target.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() {
 		made.forwarder.Close()
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -11,6 +11,7 @@
 	"github.com/pkg/errors"
 )
 
+// The allotted ports.
 const (
 	// FirstPort and LastPort bound the ports that are allotted. They lie below those
 	// that systems give to outgoing connections (32768 and up on Linux, 49152 and up
--- a/internal/lab/proxybench/caller.go
+++ b/internal/lab/proxybench/caller.go
@@ -47,7 +47,7 @@
 	}, nil
 }
 
-// call sends one request and reads its answer to the end.
+// call sends one request and reads the response to its end.
 func (c *connection) call() error {
 	c.count++
 	c.buffer = append(c.buffer[:0], c.head...)
@@ -61,12 +61,13 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	answer, err := io.Copy(io.Discard, response.Body)
+	received, err := io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	if response.StatusCode != http.StatusOK || answer != int64(len(c.body)) {
-		return errors.Errorf("an answer has status %d and %d bytes", response.StatusCode, answer)
+	if response.StatusCode != http.StatusOK || received != int64(len(c.body)) {
+		return errors.Errorf("a response has status %d and %d bytes", response.StatusCode, received)
 	}
 	return nil
 }
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -94,7 +94,7 @@
 
 // trace adds to the digest of the run.
 func (c *checks) trace(what string, number uint64) {
-	_, _ = c.digest.WriteString(fmt.Sprintf("%d %s %d\n", c.world.now, what, number))
+	_, _ = fmt.Fprintf(c.digest, "%d %s %d\n", c.world.now, what, number)
 }
 
 // viewPublished holds that a revision has one content everywhere and for ever,
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -19,7 +19,7 @@
 // stragglers names weights, and has a replica join late, one come back with the old
 // version after the roll-out, and one that does not do what it is told at first.
 func stragglers(world *simulation, commandsToDrop int) {
-	world.startWithin(startBound)
+	world.startAll()
 	ofPool := lo.Filter(world.platform.entries(), func(entry *endpoint, _ int) bool { return entry.replica.pool == poolNames[0] })
 	late, returns, deafOne := ofPool[0], ofPool[1].replica, ofPool[2].replica
 	old := late.replica.version
@@ -27,7 +27,7 @@
 	world.at(2*second, func() { world.platform.change(func() { late.removed = true }) })
 	world.at(7*second, func() {
 		named := world.nameWeights(0, poolNames[0])
-		world.expectAcknowledged(named, failOpenAcknowledge)
+		world.expectAcknowledged(named)
 		stray := 16*second + world.upTo(second)
 		world.at(stray, func() {
 			world.platform.change(func() { late.removed = false })
@@ -76,7 +76,7 @@
 // evacuateUnder evacuates a zone during a cut and ends all nodes, as when the power
 // fails, as soon as the evacuation is acknowledged.
 func evacuateUnder(world *simulation, isolate func(*simulation)) {
-	world.startWithin(startBound)
+	world.startAll()
 	world.at(7*second, func() {
 		isolate(world)
 		world.after(world.upTo(2*second), func() {
@@ -159,7 +159,7 @@
 var _ = Describe("Two machines", func() {
 	It("are replaced within the time in which the first one's successor gets its vote", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			for round := range 2 {
 				world.at(7*second+time.Duration(round)*world.planned(promotionBound), func() { world.replaceWhenHealthy() })
 			}
@@ -167,7 +167,7 @@
 				if !world.everyMemberIsVoter() {
 					world.violate("whole", "some node with a disk has no vote")
 				}
-				world.expectAcknowledged(world.addKey(0), failOpenAcknowledge)
+				world.expectAcknowledged(world.addKey(0))
 			})
 		})
 	})
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -45,15 +45,15 @@
 	}
 }
 
-// startWithin starts all nodes in any order.
-func (w *simulation) startWithin(bound time.Duration) {
+// startAll starts all nodes in any order.
+func (w *simulation) startAll() {
 	for _, one := range w.nodes {
-		w.at(w.planned(bound), one.start)
+		w.at(w.planned(startSpread), one.start)
 	}
 }
 
-// startBound is how long a deployment's nodes lie apart when it starts.
-const startBound = 300 * time.Millisecond
+// startSpread is the longest time between the starts of two nodes.
+const startSpread = 300 * time.Millisecond
 
 // leaderOfConfiguration is the node that leads the configuration, or nil.
 func (w *simulation) leaderOfConfiguration() *node {
@@ -65,10 +65,11 @@
 	return nil
 }
 
-// expectAcknowledged places an order that must be acknowledged within a bound.
-func (w *simulation) expectAcknowledged(order *operatorOrder, bound time.Duration) {
+// expectAcknowledged issues an order that must be acknowledged within
+// failOpenAcknowledge.
+func (w *simulation) expectAcknowledged(order *operatorOrder) {
 	w.issue(order)
-	w.checkAcknowledged(order, bound)
+	w.checkAcknowledged(order, failOpenAcknowledge)
 }
 
 // checkAcknowledged holds that an order is acknowledged within a bound from now.
@@ -84,10 +85,10 @@
 	It("forms in any order of starts, also when one seed comes late", func() {
 		for _, late := range []time.Duration{0, 4 * time.Second} {
 			playAll(func(world *simulation) {
-				world.startWithin(startBound)
+				world.startAll()
 				if late > 0 {
 					one := world.nodes[world.plan.IntN(maxSeeds)]
-					world.at(startBound+time.Millisecond, one.stop)
+					world.at(startSpread+time.Millisecond, one.stop)
 					world.at(late, one.start)
 				}
 				world.at(4*second, func() {
@@ -101,7 +102,7 @@
 
 	It("is the same after all its nodes were killed at once, and keeps what was acknowledged", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				order := world.addKey(0)
 				world.issue(order)
@@ -124,7 +125,7 @@
 
 	It("takes a founder that lost its disk back with a vote, and never forms a second time", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() { world.replaceMachineAt(world.nodes[world.random.IntN(maxSeeds)], false) })
 			world.at(7*second+2*second+promotionBound, func() {
 				if !world.everyMemberIsVoter() {
@@ -136,7 +137,7 @@
 
 	It("gives a machine that replaces another a vote in time, planned or not, one after the other", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			for round := range 3 {
 				world.at(time.Duration(7+6*round)*second, func() {
 					victim := pick(world, world.diskNodes())
@@ -161,7 +162,7 @@
 
 	It("loses no majority to machines that are about to go", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				voters := len(world.diskNodes())
 				for range (voters - 1) / 2 {
@@ -180,14 +181,14 @@
 
 	It("goes on when the machine that replaces a lost one is lost at once", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				world.removeMachine(pick(world, world.diskNodes()))
 				added := world.addMachine("z1")
 				added.start()
 				world.after(world.upTo(2*second), func() { world.removeMachine(added) })
 			})
-			world.at(13*second, func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
+			world.at(13*second, func() { world.expectAcknowledged(world.addKey(0)) })
 		})
 	})
 })
@@ -195,7 +196,7 @@
 var _ = Describe("An operator of a deployment that fails open", func() {
 	It("goes on to another node when one leaves it without an answer", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			var orders []*operatorOrder
 			world.at(7*second, func() {
 				cut := world.router()
@@ -239,7 +240,7 @@
 			for _, ofLeader := range []bool{false, true} {
 				for seed := uint64(1); seed <= 3; seed++ {
 					world := playFailOpen(seed, func(world *simulation) {
-						world.startWithin(startBound)
+						world.startAll()
 						world.at(7*second, func() {
 							victim := pick(world, world.diskNodes())
 							if ofLeader {
@@ -247,8 +248,8 @@
 							}
 							fault(world, victim)
 							victim.lastOutOfContact = world.now
-							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
-							world.after(6*second, func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
+							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.addKey(0)) })
+							world.after(6*second, func() { world.expectAcknowledged(world.addKey(0)) })
 							world.at(20*second, func() {
 								victim.storage.slow = 0
 								victim.storage.disk.SetFull(false)
@@ -266,7 +267,7 @@
 		for seed := uint64(1); seed <= 6; seed++ {
 			var open []*operatorOrder
 			world := playFailOpen(seed, func(world *simulation) {
-				world.startWithin(startBound)
+				world.startAll()
 				world.at(7*second, func() {
 					if len(world.diskNodes()) > 3 {
 						return
@@ -294,7 +295,7 @@
 
 	It("waits for no node that died shortly before all others started anew", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				victim := world.router()
 				others := lo.Without(world.nodes, victim)
@@ -316,7 +317,7 @@
 
 	It("serves after a restart without a quorum, by what its peers hold", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() { world.issue(world.addKey(0)) })
 			world.at(9*second, func() {
 				disks := world.diskNodes()
@@ -345,7 +346,7 @@
 
 	It("goes on serving while it is cut off, and never goes back", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				cut := world.router()
 				world.network.changeBlocked([]*node{cut}, world.nodes, 1)
@@ -362,7 +363,7 @@
 
 	It("brings an acknowledged state to all nodes in touch when a relay parent is lost", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			for round := range 4 {
 				world.at(time.Duration(8+5*round)*second, func() {
 					world.loseRelayParent()
@@ -374,7 +375,7 @@
 
 	It("lets one of two operators win while the leader is cut off, and answers resends alike at any node", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				leader := world.leaderOfConfiguration()
 				world.partitionFor([]*node{leader}, world.nodes, true)
--- a/internal/lab/sim/reads.go
+++ b/internal/lab/sim/reads.go
@@ -28,7 +28,7 @@
 
 // scheduleReads plans reads over the whole run.
 func (w *simulation) scheduleReads() {
-	instant := time.Duration(firstOrderAt)
+	instant := firstOrderAt
 	for instant < w.settings.Virtual-readTimeout {
 		w.at(instant, w.readAtRandomNode)
 		instant += time.Duration(w.readPlan.Int64N(int64(2 * readEvery)))
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -47,7 +47,7 @@
 // readsWhileCutOff has a node cut off, something acknowledged without it, and
 // reads at it.
 func readsWhileCutOff(world *simulation, victim func() *node) {
-	world.startWithin(startBound)
+	world.startAll()
 	world.at(7*second, func() {
 		cut := victim()
 		world.isolate(cut, 14*second)
@@ -96,7 +96,7 @@
 var _ = Describe("A core that is cut in two halves", func() {
 	It("shows nothing older, takes one of two racing changes at most, and is whole again in time", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(7*second, func() {
 				disks := world.diskNodes()
 				one, other := disks[:len(disks)/2], disks[len(disks)/2:]
@@ -114,14 +114,14 @@
 				for _, one := range world.nodes {
 					world.expectRead(one, readBackBound)
 				}
-				world.expectAcknowledged(world.addKey(0), failOpenAcknowledge)
+				world.expectAcknowledged(world.addKey(0))
 			})
 		})
 	})
 
 	It("acknowledges nothing while neither half has a majority, and shows nothing older", func() {
 		playAll(func(world *simulation) {
-			world.startWithin(startBound)
+			world.startAll()
 			world.at(6*second, func() {
 				// Another voter makes their number even.
 				added := world.addMachine(zoneName(0))
@@ -147,7 +147,7 @@
 					})
 				})
 			})
-			world.at(20*second, func() { world.expectAcknowledged(world.addKey(0), failOpenAcknowledge) })
+			world.at(20*second, func() { world.expectAcknowledged(world.addKey(0)) })
 		})
 	})
 
--- a/internal/lab/standin/platform/lagging_endpoints_test.go
+++ b/internal/lab/standin/platform/lagging_endpoints_test.go
@@ -16,8 +16,8 @@
 const initial = `{"services":[{"name":"cases","replicas":[
 	{"address":"a:1","zone":"z1","state":"running"},{"address":"b:1","zone":"z2","state":"running"}]}]}`
 
-func parse(data string) platform.Endpoints {
-	list, err := platform.ParseEndpoints([]byte(data))
+func parseInitial() platform.Endpoints {
+	list, err := platform.ParseEndpoints([]byte(initial))
 	Expect(err).NotTo(HaveOccurred())
 	return list
 }
@@ -28,11 +28,11 @@
 	add := platform.Change{Service: "cases", Address: "c:1", Zone: "z3", State: platform.StateRunning}
 
 	It("shows changes after the lag, and remembers when they were first served", func() {
-		list := platform.NewLaggingEndpoints(parse(initial), time.Second)
+		list := platform.NewLaggingEndpoints(parseInitial(), time.Second)
 		for _, change := range []platform.Change{drain, remove, add} {
 			Expect(list.Change(5*time.Second, change)).To(Succeed())
 		}
-		Expect(list.Serve(5900 * time.Millisecond)).To(Equal(parse(initial)))
+		Expect(list.Serve(5900 * time.Millisecond)).To(Equal(parseInitial()))
 		Expect(list.History()[0].Served).To(BeFalse())
 		Expect(list.Serve(6200 * time.Millisecond).Services[0].Replicas).To(Equal([]platform.Replica{
 			{Address: "a:1", Zone: "z1", State: platform.StateDraining},
@@ -46,7 +46,7 @@
 	})
 
 	It("refuses an unknown state", func() {
-		list := platform.NewLaggingEndpoints(parse(initial), 0)
+		list := platform.NewLaggingEndpoints(parseInitial(), 0)
 		Expect(list.Change(0, platform.Change{Service: "cases", Address: "a:1", State: "gone"})).NotTo(Succeed())
 		_, err := platform.ParseEndpoints([]byte(`{"services":[{"name":"x","replicas":[{"address":"","state":"running"}]}]}`))
 		Expect(err).To(HaveOccurred())
@@ -55,7 +55,7 @@
 
 var _ = Describe("Server", func() {
 	It("serves the list, takes changes whole or not at all, and tells its history", func() {
-		handler := platform.New("", parse(initial), 0).Handler()
+		handler := platform.New("", parseInitial(), 0).Handler()
 		call := func(method, path, body string) *httptest.ResponseRecorder {
 			recorder := httptest.NewRecorder()
 			handler.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewBufferString(body)))
--- a/internal/lab/standin/replica/control.go
+++ b/internal/lab/standin/replica/control.go
@@ -87,6 +87,6 @@
 // the mutex.
 func (s *Server) crash(now time.Duration) {
 	s.model.Crash(now)
-	s.endRun()
-	s.runContext, s.endRun = newRunContext()
+	close(s.crashed)
+	s.crashed = make(chan struct{})
 }
--- a/internal/lab/standin/replica/generate.go
+++ b/internal/lab/standin/replica/generate.go
@@ -55,7 +55,7 @@
 	s.act(func(now time.Duration) {
 		if faults.Refuse {
 			s.model.RecordRefusal(now, request, refusedByFault)
-			err = &emulator.Refusal{Reason: refusedByFault}
+			err = &emulator.RefusedError{Reason: refusedByFault}
 			return
 		}
 		if handle, err = s.model.Submit(now, request); err == nil {
@@ -77,7 +77,7 @@
 // refuse answers that an attempt has not run and will not run.
 func refuse(w http.ResponseWriter, err error) {
 	kind := "refused"
-	var refusal *emulator.Refusal
+	var refusal *emulator.RefusedError
 	if errors.As(err, &refusal) {
 		kind = string(refusal.Reason)
 	}
--- a/internal/lab/standin/replica/ground_truth.go
+++ b/internal/lab/standin/replica/ground_truth.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"context"
 	"net/http"
 	"time"
 
@@ -111,7 +110,3 @@
 	s.mutex.Unlock()
 	standin.WriteLines(w, commands)
 }
-
-func newRunContext() (context.Context, context.CancelFunc) {
-	return context.WithCancel(context.Background())
-}
--- a/internal/lab/standin/replica/server.go
+++ b/internal/lab/standin/replica/server.go
@@ -30,9 +30,9 @@
 	changed     chan struct{}
 	incarnation uint64
 	sequence    uint64
-	// runContext ends when the replica crashes, and every open answer with it.
-	runContext context.Context
-	endRun     context.CancelFunc
+	// crashed is closed when the replica crashes, which ends every open response,
+	// and replaced for the next run.
+	crashed chan struct{}
 }
 
 // New returns a stand-in whose machine has been up for long enough to be warm
@@ -60,8 +60,8 @@
 		waiting:   map[emulator.Handle]chan emulator.Notice{},
 		delivered: map[emulator.Handle]bool{},
 		changed:   make(chan struct{}),
+		crashed:   make(chan struct{}),
 	}
-	s.runContext, s.endRun = newRunContext()
 	return s, nil
 }
 
@@ -122,18 +122,25 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		up := s.model.Up(s.clock.Now())
-		runContext := s.runContext
+		crashed := s.crashed
 		s.mutex.Unlock()
 		if !up {
 			panic(http.ErrAbortHandler)
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		stop := context.AfterFunc(runContext, cancel)
-		defer stop()
+		go func() {
+			select {
+			case <-crashed:
+				cancel()
+			case <-ctx.Done():
+			}
+		}()
 		next.ServeHTTP(w, r.WithContext(ctx))
-		if runContext.Err() != nil {
+		select {
+		case <-crashed:
 			panic(http.ErrAbortHandler)
+		default:
 		}
 	})
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -39,7 +39,7 @@
 	go func() {
 		defer close(stopped)
 		<-ctx.Done()
-		grace, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTime)
 		defer cancel()
 		if err := server.Shutdown(grace); err != nil {
 			_ = server.Close()
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -97,7 +97,7 @@
 		Chunks:       g.prompt(activity, tenant, documents),
 		OutputTokens: activity.output.draw(g.random),
 		Streamed:     streamed,
-		Repeatable:   !(streamed && unrepeatable),
+		Repeatable:   !streamed || !unrepeatable,
 		Deadline:     activity.deadline,
 	}
 }
--- a/internal/replay/exampleday/generate_test.go
+++ b/internal/replay/exampleday/generate_test.go
@@ -45,11 +45,14 @@
 	return day
 }
 
+// emulatedSeed is the seed of the emulated fleet.
+const emulatedSeed = 1
+
 // emulated replays a day and reports it.
-func emulated(day *recording.Day, seed uint64, policy bench.PolicyName) *report.Report {
+func emulated(day *recording.Day, policy bench.PolicyName) *report.Report {
 	selection, records, err := player.Selection{Speed: 100}.Of(day)
 	Expect(err).NotTo(HaveOccurred())
-	played, err := player.Emulate(records, selection, bench.DefaultSettings(workload.HivatalMix(), seed), policy)
+	played, err := player.Emulate(records, selection, bench.DefaultSettings(workload.HivatalMix(), emulatedSeed), policy)
 	Expect(err).NotTo(HaveOccurred())
 	return report.Build(report.Run{UntilMS: selection.Until.Milliseconds()}, played.Samples)
 }
@@ -81,8 +84,8 @@
 var _ = Describe("A replay on the emulator", func() {
 	It("gives equal reports for equal seeds, and what the made-up day recorded", func() {
 		day := read(written(options(1, 300)))
-		first := emulated(day, 1, bench.PolicyKV)
-		Expect(emulated(day, 1, bench.PolicyKV)).To(Equal(first))
+		first := emulated(day, bench.PolicyKV)
+		Expect(emulated(day, bench.PolicyKV)).To(Equal(first))
 		models := lo.Filter(day.Records, func(record recording.Record, _ int) bool { return record.Pool != "" })
 		recorded := report.Build(report.Run{}, report.Recorded(models))
 		Expect(report.Compare(recorded, first)).To(BeEmpty())
@@ -90,7 +93,7 @@
 
 	It("shows that random placing reuses less", func() {
 		day := read(written(options(1, 600)))
-		aware, random := emulated(day, 1, bench.PolicyKV), emulated(day, 1, bench.PolicyRandom)
+		aware, random := emulated(day, bench.PolicyKV), emulated(day, bench.PolicyRandom)
 		Expect(random.Models.Requests).To(Equal(aware.Models.Requests))
 		Expect(random.Models.ReuseRatio).To(BeNumerically("<", 0.8*aware.Models.ReuseRatio))
 	})
--- a/internal/replay/player/fleet.go
+++ b/internal/replay/player/fleet.go
@@ -101,7 +101,7 @@
 	began := time.Now()
 	for range f.nodes {
 		node := f.nodes[f.turn.Add(1)%uint64(len(f.nodes))]
-		response, err := f.client.Do(f.request(ctx, node, attempt))
+		response, err := f.client.Do(f.request(ctx, node, attempt)) //nolint:bodyclose // readAnswer closes it
 		if err == nil {
 			return readAnswer(response, began)
 		}
--- a/internal/replay/recording/reader.go
+++ b/internal/replay/recording/reader.go
@@ -89,7 +89,7 @@
 		}
 		switch {
 		case err == nil:
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, gzip.ErrChecksum), errors.Is(err, gzip.ErrHeader):
 			r.faults.add(r.line+1, FaultTorn, "the compressed file is cut or damaged here")
@@ -114,7 +114,7 @@
 		if !tooLong {
 			text = append(text, fragment...)
 		}
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err == nil || len(text) > 0 || tooLong {
@@ -159,7 +159,7 @@
 // never JSON.
 func syntaxFault(text []byte) FaultKind {
 	var value json.RawMessage
-	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&value); err == io.ErrUnexpectedEOF {
+	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&value); errors.Is(err, io.ErrUnexpectedEOF) {
 		return FaultTorn
 	}
 	return FaultInvalid
