--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
@@ -11,7 +11,7 @@
 // TrafficReceiver takes in what other nodes tell of their traffic. It is safe
 // for concurrent use.
 type TrafficReceiver interface {
-	TakeBatch(batch shared.Batch)
+	TakeBatch(batch gossip.Batch)
 }
 
 // livePeers are the live nodes, for traffic to read without waiting for
@@ -71,7 +71,7 @@
 
 // SendTraffic sends a batch of news about traffic to other nodes. It may get
 // lost.
-func (d *Driver) SendTraffic(send shared.Outbound) {
+func (d *Driver) SendTraffic(send gossip.Outbound) {
 	envelope := wire.Envelope{
 		Deployment: d.options.Deployment,
 		From:       d.machine.config.Self.ID,
--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
@@ -124,7 +124,7 @@
 			edge.standing[reused] = "i-2"
 			f.source.onView = func(seen int64) {
 				if seen == look {
-					f.server.ApplyUpdate(shared.Update{Denials: []shared.Denial{{Address: reused, Instance: "i-0"}}})
+					f.server.ApplyUpdate(gossip.Update{Denials: []gossip.Denial{{Address: reused, Instance: "i-0"}}})
 				}
 			}
 			Expect(f.generate().problem.MayHaveRun).To(BeFalse())
--- a/internal/dataplane/backend_health.go
+++ b/internal/dataplane/backend_health.go
@@ -10,7 +10,7 @@
 	"github.com/samber/lo"
 	"github.com/sirupsen/logrus"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
@@ -170,7 +170,7 @@
 }
 
 // applyOutcomes takes in what another node tells of back ends.
-func (h *backendHealth) applyOutcomes(now time.Duration, update shared.Update) {
+func (h *backendHealth) applyOutcomes(now time.Duration, update gossip.Update) {
 	if len(update.Outcomes) == 0 {
 		return
 	}
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
@@ -61,7 +61,7 @@
 		return
 	}
 	generation := attempt.Generation
-	dispatch := shared.Dispatch{
+	dispatch := gossip.Dispatch{
 		Address: attempt.Address,
 		Links:   b.naming().Links(generation.Model, generation.CacheSalt, generation.Chunks),
 	}
--- a/internal/dataplane/shared/exchange_test.go
+++ b/internal/dataplane/gossip/exchange_test.go
@@ -1,4 +1,4 @@
-package shared_test
+package gossip_test
 
 import (
 	"fmt"
@@ -7,19 +7,19 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-func TestShared(t *testing.T) {
+func TestGossip(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Shared Suite")
+	RunSpecs(t, "Gossip Suite")
 }
 
 // network is a set of exchanges whose batches arrive at once.
 type network struct {
 	peers     []member.Info
-	exchanges map[member.ID]*shared.Exchange
+	exchanges map[member.ID]*gossip.Exchange
 	// received counts how often each node heard the news of each.
 	heard map[member.ID]map[member.ID]int
 	// crossings counts the batches between zones, and sent all batches.
@@ -27,7 +27,7 @@
 }
 
 func newNetwork(zones, perZone int) *network {
-	n := &network{exchanges: map[member.ID]*shared.Exchange{}, heard: map[member.ID]map[member.ID]int{}}
+	n := &network{exchanges: map[member.ID]*gossip.Exchange{}, heard: map[member.ID]map[member.ID]int{}}
 	for zone := range zones {
 		for number := range perZone {
 			info := member.Info{
@@ -36,7 +36,7 @@
 				TrafficAddress: "served",
 			}
 			n.peers = append(n.peers, info)
-			n.exchanges[info.ID] = shared.NewExchange(info.ID, info.Zone)
+			n.exchanges[info.ID] = gossip.NewExchange(info.ID, info.Zone)
 			n.heard[info.ID] = map[member.ID]int{}
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 // deliver lets a batch arrive.
-func (n *network) deliver(from, to member.Info, batch shared.Batch) {
+func (n *network) deliver(from, to member.Info, batch gossip.Batch) {
 	n.sent++
 	if from.Zone != to.Zone {
 		n.crossings++
@@ -76,7 +76,7 @@
 	It("brings everybody's news to everybody else once", func() {
 		n := newNetwork(4, 18)
 		for id, exchange := range n.exchanges {
-			exchange.Add(shared.Update{Node: id})
+			exchange.Add(gossip.Update{Node: id})
 		}
 		for range 4 {
 			n.round(nil)
@@ -94,7 +94,7 @@
 		n := newNetwork(4, 18)
 		for range 20 {
 			for _, exchange := range n.exchanges {
-				exchange.Add(shared.Update{})
+				exchange.Add(gossip.Update{})
 			}
 			n.round(nil)
 		}
@@ -104,7 +104,7 @@
 
 	It("still brings news to everybody when nodes disagree on who is live", func() {
 		n := newNetwork(3, 3)
-		relay, _ := shared.RelayFor("zone-0", n.peers)
+		relay, _ := gossip.RelayFor("zone-0", n.peers)
 		var without []member.Info
 		for _, peer := range n.peers {
 			if peer.ID != relay.ID {
@@ -113,7 +113,7 @@
 		}
 		sender := without[0]
 		Expect(sender.Zone).To(Equal("zone-0"))
-		n.exchanges[sender.ID].Add(shared.Update{})
+		n.exchanges[sender.ID].Add(gossip.Update{})
 		for range 4 {
 			// The teller alone has noticed that the relay is dead.
 			n.round(map[member.ID][]member.Info{sender.ID: without})
@@ -129,14 +129,14 @@
 		n := newNetwork(2, 5)
 		idle := member.Info{ID: "idle", Zone: zoneOfAll}
 		n.peers = append(n.peers, idle)
-		n.exchanges[idle.ID] = shared.NewExchange(idle.ID, idle.Zone)
+		n.exchanges[idle.ID] = gossip.NewExchange(idle.ID, idle.Zone)
 		n.heard[idle.ID] = map[member.ID]int{}
-		relay, found := shared.RelayFor(zoneOfAll, n.peers)
+		relay, found := gossip.RelayFor(zoneOfAll, n.peers)
 		Expect(found).To(BeTrue())
 		Expect(relay.ID).To(Equal(idle.ID))
 		for id, exchange := range n.exchanges {
 			if id != idle.ID {
-				exchange.Add(shared.Update{Node: id})
+				exchange.Add(gossip.Update{Node: id})
 			}
 		}
 		for range 4 {
@@ -152,12 +152,12 @@
 	})
 
 	It("holds no more than its bound", func() {
-		exchange := shared.NewExchange("relay", "zone")
-		update := make([]shared.Update, 10000)
+		exchange := gossip.NewExchange("relay", "zone")
+		update := make([]gossip.Update, 10000)
 		for i := range update {
 			update[i].Node = "other"
 		}
-		Expect(exchange.Receive(shared.Batch{Stage: shared.NodeToRelay, Updates: update})).To(HaveLen(len(update)))
+		Expect(exchange.Receive(gossip.Batch{Stage: gossip.NodeToRelay, Updates: update})).To(HaveLen(len(update)))
 		peers := []member.Info{{ID: "relay", Zone: "zone"}, {ID: "listener", Zone: "zone", TrafficAddress: "served"}}
 		sends := exchange.Flush(peers)
 		Expect(sends).To(HaveLen(1))
@@ -165,9 +165,9 @@
 	})
 
 	It("sends nothing without news, or without live nodes", func() {
-		exchange := shared.NewExchange("a", "zone")
+		exchange := gossip.NewExchange("a", "zone")
 		Expect(exchange.Flush([]member.Info{{ID: "a", Zone: "zone"}, {ID: "b", Zone: "zone"}})).To(BeEmpty())
-		exchange.Add(shared.Update{})
+		exchange.Add(gossip.Update{})
 		Expect(exchange.Flush(nil)).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/shared/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -1,4 +1,4 @@
-// Package shared holds what nodes tell each other of their traffic: the load
+// Package gossip holds what nodes tell each other of their traffic: the load
 // that each has on the replicas, which prompts it sent where, what replicas and
 // stores reported to it of the parts that they keep, and which replicas it found
 // to be gone, and how its requests went at replicas that fail some. All of it may be lost,
@@ -9,7 +9,7 @@
 // the other zones. So each piece of news crosses into another zone once, and a
 // node gets few messages however many nodes there are. Exchange is the state
 // machine of this; it does no I/O and reads no clock.
-package shared
+package gossip
 
 import (
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
--- a/internal/dataplane/shared/snapshot_server.go
+++ b/internal/dataplane/gossip/snapshot_server.go
@@ -1,4 +1,4 @@
-package shared
+package gossip
 
 import (
 	"slices"
--- a/internal/dataplane/shared/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -1,4 +1,4 @@
-package shared_test
+package gossip_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -19,10 +19,10 @@
 
 var _ = Describe("A node that has started", func() {
 	const self = member.ID("self")
-	var adoption *shared.SnapshotClient
+	var adoption *gossip.SnapshotClient
 	var live []member.Info
 	BeforeEach(func() {
-		adoption = shared.NewSnapshotClient(self, "a")
+		adoption = gossip.NewSnapshotClient(self, "a")
 		live = []member.Info{serving("self", "a"), serving("far", "b"), serving("near", "a"), {ID: "core", Zone: "a"}}
 	})
 
@@ -31,23 +31,23 @@
 		sends := adoption.Tick(at, live)
 		ExpectWithOffset(1, sends).To(HaveLen(1))
 		ExpectWithOffset(1, sends[0].To).To(HaveLen(1))
-		ExpectWithOffset(1, sends[0].Batch.Stage).To(Equal(shared.SnapshotRequest))
-		ExpectWithOffset(1, sends[0].Batch.Updates).To(Equal([]shared.Update{{Node: self}}))
+		ExpectWithOffset(1, sends[0].Batch.Stage).To(Equal(gossip.SnapshotRequest))
+		ExpectWithOffset(1, sends[0].Batch.Updates).To(Equal([]gossip.Update{{Node: self}}))
 		return sends[0].To[0].ID
 	}
 	nothingDue := func(at time.Duration) { ExpectWithOffset(1, adoption.Tick(at, live)).To(BeEmpty()) }
-	sent := func(node member.ID, reports int) shared.Update {
-		return shared.Update{Node: node, Reports: make([]shared.Report, reports)}
+	sent := func(node member.ID, reports int) gossip.Update {
+		return gossip.Update{Node: node, Reports: make([]gossip.Report, reports)}
 	}
 
 	It("asks a node of its zone that serves callers, and is done once that has told all", func() {
 		Expect(asks(0)).To(Equal(member.ID("near")))
 		nothingDue(900 * time.Millisecond)
-		Expect(adoption.HandleResponse(900*time.Millisecond, shared.SnapshotChunk, sent("near", 2))).To(BeTrue())
+		Expect(adoption.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, sent("near", 2))).To(BeTrue())
 		nothingDue(1800 * time.Millisecond)
 		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeTrue())
 		Expect(adoption.Done(1800 * time.Millisecond)).To(BeFalse())
-		Expect(adoption.HandleResponse(1800*time.Millisecond, shared.SnapshotEnd, sent("near", 0))).To(BeTrue())
+		Expect(adoption.HandleResponse(1800*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))).To(BeTrue())
 		Expect(adoption.Done(1800 * time.Millisecond)).To(BeTrue())
 		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeFalse())
 		nothingDue(4 * time.Second)
@@ -55,7 +55,7 @@
 
 	It("asks the next one at once if the first one knows nothing", func() {
 		asks(0)
-		adoption.HandleResponse(10*time.Millisecond, shared.SnapshotEnd, sent("near", 0))
+		adoption.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))
 		Expect(adoption.Done(10 * time.Millisecond)).To(BeFalse())
 		Expect(adoption.Pending(10 * time.Millisecond)).To(BeFalse())
 		Expect(asks(20 * time.Millisecond)).To(Equal(member.ID("far")))
@@ -63,15 +63,15 @@
 
 	It("asks the next one if the first one is silent for a second, or falls silent", func() {
 		asks(0)
-		adoption.HandleResponse(500*time.Millisecond, shared.SnapshotChunk, sent("near", 1))
+		adoption.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, sent("near", 1))
 		nothingDue(1400 * time.Millisecond)
 		Expect(asks(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("takes no answer that it does not wait for", func() {
-		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, sent("near", 1))).To(BeFalse())
+		Expect(adoption.HandleResponse(0, gossip.SnapshotEnd, sent("near", 1))).To(BeFalse())
 		asks(0)
-		Expect(adoption.HandleResponse(0, shared.SnapshotEnd, sent("far", 1))).To(BeFalse())
+		Expect(adoption.HandleResponse(0, gossip.SnapshotEnd, sent("far", 1))).To(BeFalse())
 		Expect(adoption.Done(0)).To(BeFalse())
 	})
 
@@ -96,7 +96,7 @@
 		sent := sent(asks(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 			Expect(adoption.Done(at)).To(BeFalse())
-			adoption.HandleResponse(at, shared.SnapshotChunk, sent)
+			adoption.HandleResponse(at, gossip.SnapshotChunk, sent)
 			nothingDue(at)
 		}
 		Expect(adoption.Done(5 * time.Second)).To(BeTrue())
@@ -104,7 +104,7 @@
 
 	It("is done when all have told that they know nothing, but not before it can know them all", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
-			adoption.HandleResponse(at, shared.SnapshotEnd, sent(asks(at), 0))
+			adoption.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
 		}
 		nothingDue(time.Second)
 		Expect(adoption.Done(time.Second)).To(BeFalse())
@@ -116,32 +116,32 @@
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
-			adoption.HandleResponse(at, shared.SnapshotEnd, sent(asks(at), 0))
+			adoption.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
 		}
 		nothingDue(10 * time.Millisecond)
 	})
 })
 
 var _ = Describe("A node that is asked", func() {
-	var answers *shared.SnapshotServer
+	var answers *gossip.SnapshotServer
 	var live []member.Info
 	// changes is how many parts each back end keeps.
 	var changes int
 	BeforeEach(func() {
-		answers = shared.NewSnapshotServer("self")
+		answers = gossip.NewSnapshotServer("self")
 		live = []member.Info{serving("one", "a"), serving("two", "b")}
 		changes = 400
 	})
-	snapshot := func(address string) (shared.Report, bool) {
-		return shared.Report{Address: address, Complete: true, Changes: make([]shared.Change, changes)}, address != "unknown"
+	snapshot := func(address string) (gossip.Report, bool) {
+		return gossip.Report{Address: address, Complete: true, Changes: make([]gossip.Change, changes)}, address != "unknown"
 	}
 	// told is what a send tells: to whom, at what stage, of which back ends.
-	sent := func(send shared.Outbound) string {
-		addresses := lo.Map(send.Batch.Updates[0].Reports, func(report shared.Report, _ int) string { return report.Address })
-		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == shared.SnapshotEnd, " ", addresses)
+	sent := func(send gossip.Outbound) string {
+		addresses := lo.Map(send.Batch.Updates[0].Reports, func(report gossip.Report, _ int) string { return report.Address })
+		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == gossip.SnapshotEnd, " ", addresses)
 	}
 	tick := func() []string {
-		return lo.Map(answers.Tick(live, snapshot), func(send shared.Outbound, _ int) string { return sent(send) })
+		return lo.Map(answers.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return sent(send) })
 	}
 
 	It("tells what it knows in pieces, each tick about as much as a small link carries", func() {
--- a/internal/dataplane/outgoing_updates.go
+++ b/internal/dataplane/outgoing_updates.go
@@ -6,7 +6,7 @@
 
 	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
@@ -31,9 +31,9 @@
 type outgoingUpdates struct {
 	mutex      sync.Mutex
 	sentLoads  map[string]sentLoad
-	dispatches []shared.Dispatch
-	reports    []shared.Report
-	denials    []shared.Denial
+	dispatches []gossip.Dispatch
+	reports    []gossip.Report
+	denials    []gossip.Denial
 }
 
 // newOutgoingUpdates returns a sharing that has nothing to tell.
@@ -42,13 +42,13 @@
 }
 
 // addDispatch notes a request that was sent to a replica.
-func (s *outgoingUpdates) addDispatch(dispatch shared.Dispatch) { enqueue(s, &s.dispatches, dispatch) }
+func (s *outgoingUpdates) addDispatch(dispatch gossip.Dispatch) { enqueue(s, &s.dispatches, dispatch) }
 
 // addReport notes a page of reports that this node has read.
-func (s *outgoingUpdates) addReport(report shared.Report) { enqueue(s, &s.reports, report) }
+func (s *outgoingUpdates) addReport(report gossip.Report) { enqueue(s, &s.reports, report) }
 
 // addDenial notes an incarnation that was found to be gone from its address.
-func (s *outgoingUpdates) addDenial(denial shared.Denial) { enqueue(s, &s.denials, denial) }
+func (s *outgoingUpdates) addDenial(denial gossip.Denial) { enqueue(s, &s.denials, denial) }
 
 // enqueue keeps a piece of news until it is taken; beyond maxPendingUpdates it is lost.
 func enqueue[T any](s *outgoingUpdates, queue *[]T, entry T) {
@@ -60,10 +60,10 @@
 }
 
 // drain returns what is to be told now, given the present loads.
-func (s *outgoingUpdates) drain(now time.Duration, loads []kvrouter.AddressLoad) shared.Update {
+func (s *outgoingUpdates) drain(now time.Duration, loads []kvrouter.AddressLoad) gossip.Update {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	update := shared.Update{Dispatches: s.dispatches, Reports: s.reports, Denials: s.denials}
+	update := gossip.Update{Dispatches: s.dispatches, Reports: s.reports, Denials: s.denials}
 	s.dispatches, s.reports, s.denials = nil, nil, nil
 	for _, load := range loads {
 		if s.shouldSend(now, load) {
@@ -101,7 +101,7 @@
 
 // Update returns what this node has to tell the others of its traffic since the
 // last call.
-func (s *Server) PendingUpdate() shared.Update {
+func (s *Server) PendingUpdate() gossip.Update {
 	now := s.options.Clock()
 	s.health.countOverdue(now)
 	update := s.updates.drain(now, s.router.LocalLoads(now))
@@ -110,7 +110,7 @@
 }
 
 // ApplyUpdate takes in what another node has told.
-func (s *Server) ApplyUpdate(update shared.Update) {
+func (s *Server) ApplyUpdate(update gossip.Update) {
 	now := s.options.Clock()
 	for _, load := range update.Loads {
 		s.router.SetRemoteLoad(now, string(update.Node), load.Address, load.SharedLoad)
@@ -131,12 +131,12 @@
 // one, and tells the others if that holds for good.
 func (s *Server) handleWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
 	if s.stale.recordRefusal(s.options.Clock(), replica, refusal.Instance) {
-		s.updates.addDenial(shared.Denial{Address: replica.Address, Instance: replica.Instance})
+		s.updates.addDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
 	}
 }
 
 // applyReport brings a page of reports into the index.
-func (s *Server) applyReport(now time.Duration, report shared.Report) kvrouter.FeedStatus {
+func (s *Server) applyReport(now time.Duration, report gossip.Report) kvrouter.FeedStatus {
 	defer s.updateStartupGate()
 	changes := chunkChanges(report.Changes)
 	if report.Complete {
@@ -146,8 +146,8 @@
 }
 
 // chunkChanges are changes as the router takes them.
-func chunkChanges(changes []shared.Change) []kvrouter.ChunkChange {
-	return lo.Map(changes, func(change shared.Change, _ int) kvrouter.ChunkChange {
+func chunkChanges(changes []gossip.Change) []kvrouter.ChunkChange {
+	return lo.Map(changes, func(change gossip.Change, _ int) kvrouter.ChunkChange {
 		return kvrouter.ChunkChange{
 			Sequence: change.Sequence,
 			Hash:     change.Name,
--- a/internal/dataplane/report_readers.go
+++ b/internal/dataplane/report_readers.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -268,12 +268,12 @@
 }
 
 // gossipReport is a page as it is told to others.
-func gossipReport(address string, since uint64, page ReportPage) shared.Report {
-	return shared.Report{
+func gossipReport(address string, since uint64, page ReportPage) gossip.Report {
+	return gossip.Report{
 		Address: address,
 		Feed:    kvrouter.FeedPosition{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
-		Changes: lo.Map(page.Changes, func(change ChunkChange, _ int) shared.Change {
-			return shared.Change{
+		Changes: lo.Map(page.Changes, func(change ChunkChange, _ int) gossip.Change {
+			return gossip.Change{
 				Sequence: change.Sequence,
 				Name:     prefixindex.HashByID(change.Model, change.CacheSalt, change.ID),
 				Tokens:   change.Tokens,
--- a/internal/dataplane/snapshot_exchange.go
+++ b/internal/dataplane/snapshot_exchange.go
@@ -6,7 +6,7 @@
 
 	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
@@ -17,15 +17,15 @@
 	router *kvrouter.Router
 
 	mutex  sync.Mutex
-	client *shared.SnapshotClient
-	server *shared.SnapshotServer
+	client *gossip.SnapshotClient
+	server *gossip.SnapshotServer
 }
 
 func newSnapshotExchange(options Options, router *kvrouter.Router) *snapshotExchange {
 	return &snapshotExchange{
 		router: router,
-		client: shared.NewSnapshotClient(options.Member, options.Zone),
-		server: shared.NewSnapshotServer(options.Member),
+		client: gossip.NewSnapshotClient(options.Member, options.Zone),
+		server: gossip.NewSnapshotServer(options.Member),
 	}
 }
 
@@ -37,7 +37,7 @@
 }
 
 // tick returns the question and the answers that are due.
-func (a *snapshotExchange) tick(now time.Duration, live []member.Info) []shared.Outbound {
+func (a *snapshotExchange) tick(now time.Duration, live []member.Info) []gossip.Outbound {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return append(a.client.Tick(now, live), a.server.Tick(live, a.snapshot)...)
@@ -56,7 +56,7 @@
 }
 
 // handleResponse takes in a part of an answer.
-func (a *snapshotExchange) handleResponse(now time.Duration, stage shared.Stage, update shared.Update) {
+func (a *snapshotExchange) handleResponse(now time.Duration, stage gossip.Stage, update gossip.Update) {
 	a.mutex.Lock()
 	current := a.client.HandleResponse(now, stage, update)
 	a.mutex.Unlock()
@@ -69,19 +69,19 @@
 }
 
 // snapshot is what this node knows of a back end, as it is told to others.
-func (a *snapshotExchange) snapshot(address string) (shared.Report, bool) {
+func (a *snapshotExchange) snapshot(address string) (gossip.Report, bool) {
 	feed, chunks, found := a.router.ChunksSnapshot(address)
 	if !found {
-		return shared.Report{}, false
+		return gossip.Report{}, false
 	}
-	changes := lo.Map(chunks, func(chunk kvrouter.ChunkChange, _ int) shared.Change {
-		return shared.Change{Name: chunk.Hash, Tokens: chunk.Tokens}
+	changes := lo.Map(chunks, func(chunk kvrouter.ChunkChange, _ int) gossip.Change {
+		return gossip.Change{Name: chunk.Hash, Tokens: chunk.Tokens}
 	})
-	return shared.Report{Address: address, Feed: feed, Complete: true, Changes: changes}, true
+	return gossip.Report{Address: address, Feed: feed, Complete: true, Changes: changes}, true
 }
 
 // SnapshotMessages returns what this node is to ask others, or to answer them, now.
-func (s *Server) SnapshotMessages(live []member.Info) []shared.Outbound {
+func (s *Server) SnapshotMessages(live []member.Info) []gossip.Outbound {
 	return s.snapshots.tick(s.options.Clock(), live)
 }
 
@@ -94,10 +94,10 @@
 }
 
 // HandleSnapshotBatch takes in a question or an answer of another node.
-func (s *Server) HandleSnapshotBatch(batch shared.Batch) {
+func (s *Server) HandleSnapshotBatch(batch gossip.Batch) {
 	now := s.options.Clock()
 	for _, update := range batch.Updates {
-		if batch.Stage == shared.SnapshotRequest {
+		if batch.Stage == gossip.SnapshotRequest {
 			s.snapshots.handleRequest(now, update.Node)
 			continue
 		}
--- a/internal/dataplane/stale_backends.go
+++ b/internal/dataplane/stale_backends.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
@@ -45,7 +45,7 @@
 func (o *staleBackends) recordRefusal(now time.Duration, replica routing.Replica, respondingInstance string) (gone bool) {
 	sameInstancePossible := replica.WeightVersion != "" && (respondingInstance == "" || respondingInstance == replica.Instance)
 	if replica.Instance != "" && !sameInstancePossible {
-		return o.recordDenial(shared.Denial{Address: replica.Address, Instance: replica.Instance})
+		return o.recordDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -57,7 +57,7 @@
 
 // recordDenial enters that an incarnation is gone from its address, and returns
 // whether that was not known.
-func (o *staleBackends) recordDenial(denial shared.Denial) (fresh bool) {
+func (o *staleBackends) recordDenial(denial gossip.Denial) (fresh bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	instance, present := o.gone[denial.Address]
--- a/internal/dataplane/stale_backends_internal_test.go
+++ b/internal/dataplane/stale_backends_internal_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
@@ -37,7 +37,7 @@
 		case "refused":
 			subject.recordRefusal(now, listed, given(event[1]))
 		case "told":
-			subject.recordDenial(shared.Denial{Address: "a", Instance: event[1]})
+			subject.recordDenial(gossip.Denial{Address: "a", Instance: event[1]})
 		case "wait":
 		default:
 			Fail("no such event: " + line)
@@ -108,7 +108,7 @@
 	It("forgets what is not listed any more, and holds no more than its bound", func() {
 		subject := newStaleBackends()
 		for number := range 2 * maxDenials {
-			subject.recordDenial(shared.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
+			subject.recordDenial(gossip.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
 		}
 		Expect(subject.gone).To(HaveLen(maxDenials))
 		subject.recordRefusal(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
--- a/internal/dataplane/startup_gate_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
@@ -35,7 +35,7 @@
 		Expect(f.generate().status).NotTo(Equal(http.StatusOK))
 		Expect(stand.requests()).To(BeEmpty())
 
-		f.server.ApplyUpdate(shared.Update{Node: "other", Reports: []shared.Report{
+		f.server.ApplyUpdate(gossip.Update{Node: "other", Reports: []gossip.Report{
 			{Address: stand.address(), Feed: kvrouter.FeedPosition{Incarnation: 1, Next: 1}, Complete: true},
 		}})
 		f.timeout = 10000
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -7,7 +7,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -23,12 +23,12 @@
 	driver    *control.Driver
 
 	mutex    sync.Mutex
-	exchange *shared.Exchange
+	exchange *gossip.Exchange
 }
 
 // newGossipService returns the sharer of a node. The driver is set before it serves.
 func newGossipService(id member.ID, zone string, server *dataplane.Server) *gossipService {
-	return &gossipService{dataplane: server, exchange: shared.NewExchange(id, zone)}
+	return &gossipService{dataplane: server, exchange: gossip.NewExchange(id, zone)}
 }
 
 // Serve implements suture.Service.
@@ -48,8 +48,8 @@
 // sendDue sends what is due.
 func (s *gossipService) sendDue() {
 	live := s.driver.LiveNodes()
-	var update shared.Update
-	var direct []shared.Outbound
+	var update gossip.Update
+	var direct []gossip.Outbound
 	if s.dataplane != nil {
 		update = s.dataplane.PendingUpdate()
 		direct = s.dataplane.SnapshotMessages(live)
@@ -60,7 +60,7 @@
 }
 
 // flush adds this node's own news to what it passes on, and takes what is due.
-func (s *gossipService) flush(local shared.Update, live []member.Info) []shared.Outbound {
+func (s *gossipService) flush(local gossip.Update, live []member.Info) []gossip.Outbound {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !local.Empty() {
@@ -70,7 +70,7 @@
 }
 
 // TakeBatch implements control.TrafficReceiver.
-func (s *gossipService) TakeBatch(batch shared.Batch) {
+func (s *gossipService) TakeBatch(batch gossip.Batch) {
 	if batch.Stage.Direct() {
 		if s.dataplane != nil {
 			s.dataplane.HandleSnapshotBatch(batch)
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
@@ -217,47 +217,47 @@
 	}
 }
 
-func trafficFrame(name string, kind MessageKind, batch shared.Batch) goldenMessage {
+func trafficFrame(name string, kind MessageKind, batch gossip.Batch) goldenMessage {
 	envelope := goldenEnvelope()
 	envelope.Traffic = &batch
 	return goldenMessage{name: "traffic " + name, kind: kind, envelope: envelope}
 }
 
 // goldenNews is news of every sort, of a node with an IPv4 address and of one with a name.
-func goldenNews() []shared.Update {
+func goldenNews() []gossip.Update {
 	load := kvrouter.AddressLoad{Address: "10.1.0.1:8000"}
 	load.DecodeTokens, load.Requests = 1200, 3
 	load.PrefillTokens[0], load.PrefillTokens[4] = 512, 64
 	idle := kvrouter.AddressLoad{Address: "replica-2"}
-	return []shared.Update{
+	return []gossip.Update{
 		{
 			Node:       "10.0.0.1:7100",
 			Loads:      []kvrouter.AddressLoad{load, idle},
-			Dispatches: []shared.Dispatch{{Address: "10.1.0.1:8000", Links: []prefixindex.Link{{Hash: 1 << 63, Tokens: 512}, {Hash: 2, Tokens: 16}}}},
-			Reports: []shared.Report{{
+			Dispatches: []gossip.Dispatch{{Address: "10.1.0.1:8000", Links: []prefixindex.Link{{Hash: 1 << 63, Tokens: 512}, {Hash: 2, Tokens: 16}}}},
+			Reports: []gossip.Report{{
 				Address:  "replica-2",
 				Feed:     kvrouter.FeedPosition{Incarnation: 5, From: 10, Next: 12, Lost: true},
 				Complete: true,
-				Changes:  []shared.Change{{Sequence: 10, Name: 1 << 62, Tokens: 64}, {Sequence: 11, Name: 3, Removed: true}},
+				Changes:  []gossip.Change{{Sequence: 10, Name: 1 << 62, Tokens: 64}, {Sequence: 11, Name: 3, Removed: true}},
 			}},
-			Denials:  []shared.Denial{{Address: "replica-2", Instance: "instance-9"}},
+			Denials:  []gossip.Denial{{Address: "replica-2", Instance: "instance-9"}},
 			Outcomes: []outlier.Report{{Address: "10.1.0.1:8000", Failures: 2.5, Total: 40}},
 		},
 		{
-			Node: "node-2", Loads: []kvrouter.AddressLoad{}, Dispatches: []shared.Dispatch{},
-			Reports: []shared.Report{}, Denials: []shared.Denial{}, Outcomes: []outlier.Report{},
+			Node: "node-2", Loads: []kvrouter.AddressLoad{}, Dispatches: []gossip.Dispatch{},
+			Reports: []gossip.Report{}, Denials: []gossip.Denial{}, Outcomes: []outlier.Report{},
 		},
 	}
 }
 
 func goldenTraffic() []goldenMessage {
 	return []goldenMessage{
-		trafficFrame("to the relay", KindTrafficNodeToRelay, shared.Batch{Stage: shared.NodeToRelay, Updates: goldenNews()}),
-		trafficFrame("between relays", KindTrafficRelayToRelay, shared.Batch{Stage: shared.RelayToRelay, Updates: goldenNews()}),
-		trafficFrame("from the relay", KindTrafficRelayToNodes, shared.Batch{Stage: shared.RelayToNodes, Updates: goldenNews()}),
-		trafficFrame("request of a started node", KindTrafficSnapshot, shared.Batch{Stage: shared.SnapshotRequest, Updates: goldenNews()[1:]}),
-		trafficFrame("part of a response", KindTrafficSnapshot, shared.Batch{Stage: shared.SnapshotChunk, Updates: goldenNews()}),
-		trafficFrame("end of a response", KindTrafficSnapshot, shared.Batch{Stage: shared.SnapshotEnd, Updates: goldenNews()[1:]}),
+		trafficFrame("to the relay", KindTrafficNodeToRelay, gossip.Batch{Stage: gossip.NodeToRelay, Updates: goldenNews()}),
+		trafficFrame("between relays", KindTrafficRelayToRelay, gossip.Batch{Stage: gossip.RelayToRelay, Updates: goldenNews()}),
+		trafficFrame("from the relay", KindTrafficRelayToNodes, gossip.Batch{Stage: gossip.RelayToNodes, Updates: goldenNews()}),
+		trafficFrame("request of a started node", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotRequest, Updates: goldenNews()[1:]}),
+		trafficFrame("part of a response", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotChunk, Updates: goldenNews()}),
+		trafficFrame("end of a response", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotEnd, Updates: goldenNews()[1:]}),
 	}
 }
 
--- a/internal/wire/message_kind.go
+++ b/internal/wire/message_kind.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -99,7 +99,7 @@
 		return controlKind(protocol.MessageType(message.Type()))
 	}
 	if message := envelope.Traffic(nil); message != nil {
-		return trafficKind(shared.Stage(message.Stage()))
+		return trafficKind(gossip.Stage(message.Stage()))
 	}
 	return KindOther
 }
@@ -183,13 +183,13 @@
 	}
 }
 
-func trafficKind(stage shared.Stage) MessageKind {
+func trafficKind(stage gossip.Stage) MessageKind {
 	switch stage {
-	case shared.NodeToRelay:
+	case gossip.NodeToRelay:
 		return KindTrafficNodeToRelay
-	case shared.RelayToRelay:
+	case gossip.RelayToRelay:
 		return KindTrafficRelayToRelay
-	case shared.RelayToNodes:
+	case gossip.RelayToNodes:
 		return KindTrafficRelayToNodes
 	default:
 		return KindTrafficSnapshot
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"sync"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // newNameTable gathers the endpoints first, since indexes of texts follow them.
-func newNameTable(batch *shared.Batch) *nameTable {
+func newNameTable(batch *gossip.Batch) *nameTable {
 	table := &nameTable{indexes: map[string]uint32{}, texts: newTextTable()}
 	for i := range batch.Updates {
 		table.addUpdateEndpoints(&batch.Updates[i])
@@ -48,7 +48,7 @@
 	return table
 }
 
-func (t *nameTable) addUpdateEndpoints(update *shared.Update) {
+func (t *nameTable) addUpdateEndpoints(update *gossip.Update) {
 	t.addEndpoint(string(update.Node))
 	for i := range update.Loads {
 		t.addEndpoint(update.Loads[i].Address)
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -1,7 +1,7 @@
 package wire
 
 import (
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -17,7 +17,7 @@
 	trafficLoadBytes = 20
 )
 
-func packTraffic(batch *shared.Batch) *fb.TrafficT {
+func packTraffic(batch *gossip.Batch) *fb.TrafficT {
 	if batch == nil {
 		return nil
 	}
@@ -30,7 +30,7 @@
 	return packed
 }
 
-func packUpdate(table *nameTable, update shared.Update) *fb.TrafficNewsT {
+func packUpdate(table *nameTable, update gossip.Update) *fb.TrafficNewsT {
 	packed := &fb.TrafficNewsT{Node: table.index(string(update.Node))}
 	for _, load := range update.Loads {
 		packed.Loads = append(packed.Loads, packLoads(table, load)...)
@@ -81,7 +81,7 @@
 	return packed
 }
 
-func packDispatch(table *nameTable, dispatch shared.Dispatch) *fb.TrafficDispatchT {
+func packDispatch(table *nameTable, dispatch gossip.Dispatch) *fb.TrafficDispatchT {
 	packed := &fb.TrafficDispatchT{Address: table.index(dispatch.Address)}
 	for _, link := range dispatch.Links {
 		packed.Links = append(packed.Links, &fb.PartLinkT{Name: uint64(link.Hash), Tokens: link.Tokens})
@@ -89,7 +89,7 @@
 	return packed
 }
 
-func packReport(table *nameTable, report shared.Report) *fb.TrafficReportT {
+func packReport(table *nameTable, report gossip.Report) *fb.TrafficReportT {
 	packed := &fb.TrafficReportT{
 		Address:     table.index(report.Address),
 		Incarnation: report.Feed.Incarnation,
@@ -109,17 +109,17 @@
 	return packed
 }
 
-func (r *reader) traffic(table *fb.Traffic) *shared.Batch {
+func (r *reader) traffic(table *fb.Traffic) *gossip.Batch {
 	if table == nil {
 		return nil
 	}
 	named := r.names(table)
-	batch := &shared.Batch{Stage: shared.Stage(table.Stage())}
-	batch.Updates = make([]shared.Update, r.vectorLength(table.NewsLength(), minTableBytes))
+	batch := &gossip.Batch{Stage: gossip.Stage(table.Stage())}
+	batch.Updates = make([]gossip.Update, r.vectorLength(table.NewsLength(), minTableBytes))
 	var stored fb.TrafficNews
 	for i := range batch.Updates {
 		table.News(&stored, i)
-		batch.Updates[i] = shared.Update{
+		batch.Updates[i] = gossip.Update{
 			Node:       member.ID(named.at(stored.Node())),
 			Loads:      r.trafficLoads(&stored, named),
 			Dispatches: r.trafficDispatches(&stored, named),
@@ -153,12 +153,12 @@
 	return loads
 }
 
-func (r *reader) trafficDispatches(table *fb.TrafficNews, named receivedNames) []shared.Dispatch {
-	dispatches := make([]shared.Dispatch, r.vectorLength(table.DispatchesLength(), minTableBytes))
+func (r *reader) trafficDispatches(table *fb.TrafficNews, named receivedNames) []gossip.Dispatch {
+	dispatches := make([]gossip.Dispatch, r.vectorLength(table.DispatchesLength(), minTableBytes))
 	var stored fb.TrafficDispatch
 	for i := range dispatches {
 		table.Dispatches(&stored, i)
-		dispatches[i] = shared.Dispatch{
+		dispatches[i] = gossip.Dispatch{
 			Address: named.at(stored.Address()),
 			Links:   r.chunkLinks(&stored),
 		}
@@ -176,12 +176,12 @@
 	return links
 }
 
-func (r *reader) trafficReports(table *fb.TrafficNews, named receivedNames) []shared.Report {
-	reports := make([]shared.Report, r.vectorLength(table.ReportsLength(), minTableBytes))
+func (r *reader) trafficReports(table *fb.TrafficNews, named receivedNames) []gossip.Report {
+	reports := make([]gossip.Report, r.vectorLength(table.ReportsLength(), minTableBytes))
 	var stored fb.TrafficReport
 	for i := range reports {
 		table.Reports(&stored, i)
-		reports[i] = shared.Report{
+		reports[i] = gossip.Report{
 			Address: named.at(stored.Address()),
 			Feed: kvrouter.FeedPosition{
 				Incarnation: stored.Incarnation(),
@@ -196,12 +196,12 @@
 	return reports
 }
 
-func (r *reader) chunkChanges(stored *fb.TrafficReport) []shared.Change {
-	changes := make([]shared.Change, r.vectorLength(stored.ChangesLength(), chunkChangeBytes))
+func (r *reader) chunkChanges(stored *fb.TrafficReport) []gossip.Change {
+	changes := make([]gossip.Change, r.vectorLength(stored.ChangesLength(), chunkChangeBytes))
 	var change fb.PartChange
 	for i := range changes {
 		stored.Changes(&change, i)
-		changes[i] = shared.Change{
+		changes[i] = gossip.Change{
 			Sequence: change.Sequence(),
 			Name:     prefixindex.ChainHash(change.Name()),
 			Tokens:   change.Tokens(),
@@ -211,12 +211,12 @@
 	return changes
 }
 
-func (r *reader) trafficDenials(table *fb.TrafficNews, named receivedNames) []shared.Denial {
-	denials := make([]shared.Denial, r.vectorLength(table.DenialsLength(), minTableBytes))
+func (r *reader) trafficDenials(table *fb.TrafficNews, named receivedNames) []gossip.Denial {
+	denials := make([]gossip.Denial, r.vectorLength(table.DenialsLength(), minTableBytes))
 	var stored fb.TrafficDenial
 	for i := range denials {
 		table.Denials(&stored, i)
-		denials[i] = shared.Denial{Address: named.at(stored.Address()), Instance: named.at(stored.Instance())}
+		denials[i] = gossip.Denial{Address: named.at(stored.Address()), Instance: named.at(stored.Instance())}
 	}
 	return denials
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,7 +10,7 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
@@ -44,7 +44,7 @@
 	Membership  *membership.Message
 	Relay       *relaytree.Message
 	Control     *protocol.Message
-	Traffic     *shared.Batch
+	Traffic     *gossip.Batch
 }
 
 // Encode returns the frame of an envelope. The result shares no memory with
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/shared"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -115,17 +115,17 @@
 
 	It("name IPv4 endpoints by number, and what is spelt otherwise by text", func() {
 		names := []string{"10.4.64.49:8782", "255.255.255.255:65535", "0.0.0.0:0", "010.4.64.49:8782", "10.4.64.49", "[::1]:80", "node-1", ""}
-		batch := &shared.Batch{Stage: shared.RelayToRelay}
+		batch := &gossip.Batch{Stage: gossip.RelayToRelay}
 		for _, name := range names {
 			load := kvrouter.AddressLoad{Address: name}
 			load.Requests = 2
 			load.PrefillTokens[0], load.PrefillTokens[1] = 100, 30
-			batch.Updates = append(batch.Updates, shared.Update{
+			batch.Updates = append(batch.Updates, gossip.Update{
 				Node:       member.ID(name),
 				Loads:      []kvrouter.AddressLoad{load},
-				Dispatches: []shared.Dispatch{},
-				Reports:    []shared.Report{},
-				Denials:    []shared.Denial{},
+				Dispatches: []gossip.Dispatch{},
+				Reports:    []gossip.Report{},
+				Denials:    []gossip.Denial{},
 				Outcomes:   []outlier.Report{},
 			})
 		}
