--- a/internal/dataplane/recorder.go
+++ b/internal/dataplane/recorder/recorder.go
@@ -1,4 +1,10 @@
-package dataplane
+// Package recorder appends a record of each request that has ended to a file, from
+// which the traffic of a day can be replayed.
+//
+// A Recorder owns its file and one goroutine that writes to it. Record may be
+// called concurrently and never blocks: a record that finds the queue full is
+// dropped and counted, so that a slow disk never delays a request.
+package recorder
 
 import (
 	"bufio"
@@ -15,23 +21,16 @@
 )
 
 const (
-	// recordQueue bounds the records that wait for the disk.
-	recordQueue = 4096
-	// recordFlushEvery bounds how long a record stays in memory.
-	recordFlushEvery = time.Second
-	// recordFileMode keeps recordings from other users of the machine.
-	recordFileMode = 0o600
+	// queueLength bounds the records that wait for the disk.
+	queueLength = 4096
+	// flushInterval bounds how long a record stays in memory.
+	flushInterval = time.Second
+	// fileMode keeps recordings from other users of the machine.
+	fileMode = 0o600
 )
 
-// recorder takes a record of each request that has ended. It never blocks.
-type recorder interface {
-	record(recording.Record)
-	// close writes out what waits.
-	close()
-}
-
-// RecordStats count what became of the records of a node.
-type RecordStats struct {
+// Stats counts what became of the records of a node.
+type Stats struct {
 	// Written counts the records handed to the file's buffer, which is flushed
 	// every second.
 	Written uint64
@@ -41,9 +40,18 @@
 	Failed  uint64
 }
 
-// fileRecorder writes records to a file in a goroutine of its own. A record
-// that finds the queue full is dropped and counted.
-type fileRecorder struct {
+// Options configure a Recorder.
+type Options struct {
+	// Path names the file. Records are appended to what it holds already.
+	Path string
+	// Node is the name of the recording node, for the header.
+	Node string
+	// Log gets the first failure of the disk.
+	Log *logrus.Entry
+}
+
+// Recorder writes records to a file in a goroutine that Close ends.
+type Recorder struct {
 	log    *logrus.Entry
 	target io.WriteCloser
 	buffer *bufio.Writer
@@ -65,9 +73,10 @@
 	failureLogged bool
 }
 
-// openRecorder starts to append a recording to a file.
-func openRecorder(options Options) (*fileRecorder, error) {
-	file, err := os.OpenFile(options.RecordFile, os.O_WRONLY|os.O_CREATE|os.O_APPEND, recordFileMode)
+// New opens the file, writes the header of a recording and starts the goroutine
+// that writes records. The caller must Close the Recorder.
+func New(options Options) (*Recorder, error) {
+	file, err := os.OpenFile(options.Path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, fileMode)
 	if err != nil {
 		return nil, errors.Wrap(err, "open the recording: name a file that the node may write, or leave record_file out")
 	}
@@ -78,8 +87,8 @@
 			return nil, errors.Wrap(err, "append to the recording")
 		}
 	}
-	ticker := time.NewTicker(recordFlushEvery)
-	r, err := newFileRecorder(file, recording.NewHeader(options.Node, time.Now()), recordQueue, ticker.C, options.Log)
+	ticker := time.NewTicker(flushInterval)
+	r, err := newRecorder(file, recording.NewHeader(options.Node, time.Now()), queueLength, ticker.C, options.Log)
 	if err != nil {
 		ticker.Stop()
 		_ = file.Close()
@@ -90,8 +99,8 @@
 	return r, nil
 }
 
-// newFileRecorder writes the header. What is recorded waits until run is called.
-func newFileRecorder(target io.WriteCloser, header recording.Header, queue int, flush <-chan time.Time, log *logrus.Entry) (*fileRecorder, error) {
+// newRecorder writes the header. What is recorded waits until run is called.
+func newRecorder(target io.WriteCloser, header recording.Header, queue int, flush <-chan time.Time, log *logrus.Entry) (*Recorder, error) {
 	buffer := bufio.NewWriter(target)
 	writer, err := recording.NewWriter(buffer, header)
 	if err != nil {
@@ -100,7 +109,7 @@
 	if err := buffer.Flush(); err != nil {
 		return nil, errors.Wrap(err, "write the recording's header")
 	}
-	return &fileRecorder{
+	return &Recorder{
 		log:    log,
 		target: target,
 		buffer: buffer,
@@ -112,8 +121,9 @@
 	}, nil
 }
 
-// record implements recorder.
-func (r *fileRecorder) record(record recording.Record) {
+// Record queues the record of a request that has ended. It never blocks, and may be
+// called concurrently.
+func (r *Recorder) Record(record recording.Record) {
 	select {
 	case r.queue <- record:
 	default:
@@ -121,19 +131,20 @@
 	}
 }
 
-// close implements recorder. Records that come later are not written.
-func (r *fileRecorder) close() {
+// Close writes the queued records and closes the file. Records that come later are
+// not written. It may be called more than once.
+func (r *Recorder) Close() {
 	r.stopOnce.Do(func() { close(r.stop) })
 	<-r.done
 }
 
-// stats returns the counters.
-func (r *fileRecorder) stats() RecordStats {
-	return RecordStats{Written: r.written.Load(), Dropped: r.dropped.Load(), Failed: r.failed.Load()}
+// Stats returns the counters. It may be called concurrently.
+func (r *Recorder) Stats() Stats {
+	return Stats{Written: r.written.Load(), Dropped: r.dropped.Load(), Failed: r.failed.Load()}
 }
 
 // run writes records until close.
-func (r *fileRecorder) run() {
+func (r *Recorder) run() {
 	defer close(r.done)
 	for {
 		select {
@@ -149,7 +160,7 @@
 }
 
 // finish writes what waits and closes the file.
-func (r *fileRecorder) finish() {
+func (r *Recorder) finish() {
 	if r.ticker != nil {
 		r.ticker.Stop()
 	}
@@ -162,7 +173,7 @@
 	}
 }
 
-func (r *fileRecorder) write(record recording.Record) {
+func (r *Recorder) write(record recording.Record) {
 	r.writeDropCount()
 	if err := r.writer.Write(record); err != nil {
 		r.failed.Add(1)
@@ -174,7 +185,7 @@
 
 // writeDropCount writes how many records were dropped since the last note, so that
 // whoever replays the recording knows that it is not whole.
-func (r *fileRecorder) writeDropCount() {
+func (r *Recorder) writeDropCount() {
 	dropped := r.dropped.Load()
 	if dropped == r.dropsWritten {
 		return
@@ -186,7 +197,7 @@
 	r.dropsWritten = dropped
 }
 
-func (r *fileRecorder) flushNow() {
+func (r *Recorder) flushNow() {
 	r.writeDropCount()
 	if err := r.buffer.Flush(); err != nil {
 		r.report(err)
@@ -195,7 +206,7 @@
 
 // report logs the first failure of the disk. A buffer that has failed stays
 // failed, so that every later record counts as failed.
-func (r *fileRecorder) report(err error) {
+func (r *Recorder) report(err error) {
 	if !r.failureLogged {
 		r.failureLogged = true
 		r.log.WithError(err).Error("the recording cannot be written and stops here: free the disk and restart the node")
--- a/internal/dataplane/recorder_internal_test.go
+++ b/internal/dataplane/recorder/recorder_internal_test.go
@@ -1,11 +1,9 @@
-package dataplane
+package recorder
 
 import (
 	"bytes"
-	"context"
 	"io"
-	"net/http"
-	"net/http/httptest"
+	"testing"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -13,10 +11,14 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
 )
 
+func TestRecorder(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Recorder Suite")
+}
+
 // disk is a file whose first writes succeed, and which may then fail.
 type disk struct {
 	bytes.Buffer
@@ -40,11 +42,11 @@
 func (d *disk) Close() error { return nil }
 
 // newTestRecorder returns a recorder whose goroutine does not run yet.
-func newTestRecorder(target *disk, queue int, flush <-chan time.Time) (*fileRecorder, *bytes.Buffer) {
+func newTestRecorder(target *disk, queue int, flush <-chan time.Time) (*Recorder, *bytes.Buffer) {
 	log := logrus.New()
 	lines := &bytes.Buffer{}
 	log.SetOutput(io.MultiWriter(GinkgoWriter, lines))
-	r, err := newFileRecorder(target, recording.NewHeader("front-1", time.Unix(1, 0)), queue, flush, logrus.NewEntry(log))
+	r, err := newRecorder(target, recording.NewHeader("front-1", time.Unix(1, 0)), queue, flush, logrus.NewEntry(log))
 	Expect(err).NotTo(HaveOccurred())
 	return r, lines
 }
@@ -58,12 +60,12 @@
 		target := &disk{}
 		r, _ := newTestRecorder(target, 3, nil)
 		for range 10 {
-			r.record(someRecord())
+			r.Record(someRecord())
 		}
-		Expect(r.stats()).To(Equal(RecordStats{Dropped: 7}))
+		Expect(r.Stats()).To(Equal(Stats{Dropped: 7}))
 		go r.run()
-		r.close()
-		Expect(r.stats()).To(Equal(RecordStats{Written: 3, Dropped: 7}))
+		r.Close()
+		Expect(r.Stats()).To(Equal(Stats{Written: 3, Dropped: 7}))
 		day, err := recording.Read(&target.Buffer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(day.Records).To(HaveLen(3))
@@ -77,7 +79,7 @@
 		r, _ := newTestRecorder(target, 2, flush)
 		target.entered, target.proceed = make(chan struct{}), make(chan struct{})
 		go r.run()
-		r.record(someRecord())
+		r.Record(someRecord())
 		flush <- time.Time{}
 		flushed := false
 		for !flushed {
@@ -89,35 +91,19 @@
 		}
 		// The goroutine now hangs in a write.
 		for range 20 {
-			r.record(someRecord())
+			r.Record(someRecord())
 		}
-		Expect(r.stats().Dropped).To(Equal(uint64(18)))
+		Expect(r.Stats().Dropped).To(Equal(uint64(18)))
 		close(target.proceed)
 		go func() {
 			for range target.entered {
 				continue
 			}
 		}()
-		r.close()
-		Expect(r.stats()).To(Equal(RecordStats{Written: 3, Dropped: 18}))
+		r.Close()
+		Expect(r.Stats()).To(Equal(Stats{Written: 3, Dropped: 18}))
 	})
 
-	DescribeTable("tells how a request has ended", func(watch responseObserver, failed, gone bool, expected recording.Outcome) {
-		ctx, cancel := context.WithCancel(context.Background())
-		if gone {
-			cancel()
-		}
-		defer cancel()
-		e := &exchange{request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), observer: &watch, failed: failed}
-		Expect(e.outcome()).To(Equal(expected))
-	},
-		Entry("answered", responseObserver{status: 200}, false, false, recording.Answered),
-		Entry("answered to a caller that hangs up after the last byte", responseObserver{status: 200}, false, true, recording.Answered),
-		Entry("refused", responseObserver{status: 503, problem: caller.KindNoBackend}, true, false, recording.Refused),
-		Entry("cut", responseObserver{status: 200}, true, false, recording.Truncated),
-		Entry("left during the answer", responseObserver{status: 200}, true, true, recording.Left),
-		Entry("left before it", responseObserver{}, true, true, recording.Left))
-
 	It("goes on without a disk, counts what is lost and logs it once", func() {
 		target := &disk{}
 		flush := make(chan time.Time)
@@ -125,8 +111,8 @@
 		target.fails = true
 		go r.run()
 		flush <- time.Time{}
-		r.record(someRecord())
-		r.close()
+		r.Record(someRecord())
+		r.Close()
 		Expect(bytes.Count(log.Bytes(), []byte("cannot be written"))).To(Equal(1))
 
 		again, log := newTestRecorder(&disk{}, 64, nil)
@@ -134,7 +120,7 @@
 		Expect(again.writer.Drop(1)).To(Succeed())
 		again.flushNow()
 		again.write(someRecord())
-		Expect(again.stats()).To(Equal(RecordStats{Failed: 1}))
+		Expect(again.Stats()).To(Equal(Stats{Failed: 1}))
 		Expect(bytes.Count(log.Bytes(), []byte("cannot be written"))).To(Equal(1))
 	})
 })
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -10,6 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
 )
@@ -23,7 +24,7 @@
 	day, err := recording.Load(file)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(day.Faults.Total()).To(BeZero())
-	Expect(f.server.RecordStats()).To(Equal(dataplane.RecordStats{Written: uint64(len(day.Records))}))
+	Expect(f.server.RecordStats()).To(Equal(recorder.Stats{Written: uint64(len(day.Records))}))
 	return day.Records
 }
 
--- a/internal/dataplane/request_recorder.go
+++ b/internal/dataplane/request_recorder.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
@@ -53,7 +54,7 @@
 // requestRecorder hands a record of each request on when it has ended. It
 // stands where the destination, the tenant and the headers are known.
 type requestRecorder struct {
-	recorder recorder
+	recorder *recorder.Recorder
 	clock    func() time.Duration
 	started  time.Duration
 }
@@ -61,7 +62,7 @@
 // handle implements handler. Cut answers end in a panic.
 func (r *requestRecorder) handle(e *exchange, next func()) {
 	e.observer = &responseObserver{clock: r.clock}
-	defer func() { r.recorder.record(r.describe(e)) }()
+	defer func() { r.recorder.Record(r.describe(e)) }()
 	next()
 }
 
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -8,6 +8,7 @@
 
 	"github.com/thejerf/suture/v4"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
@@ -38,7 +39,7 @@
 	chain        chain
 	listener     *listener
 	// recorder is nil without a recording.
-	recorder *fileRecorder
+	recorder *recorder.Recorder
 	// draws counts the random sources handed out, so that each has its own
 	// seed.
 	draws atomic.Uint64
@@ -89,7 +90,9 @@
 		return nil, err
 	}
 	if options.RecordFile != "" {
-		if server.recorder, err = openRecorder(options); err != nil {
+		if server.recorder, err = recorder.New(recorder.Options{
+			Path: options.RecordFile, Node: options.Node, Log: options.Log,
+		}); err != nil {
 			return nil, err
 		}
 	}
@@ -145,7 +148,7 @@
 		s.stopFeeds()
 		s.sender.CloseIdle()
 		if s.recorder != nil {
-			s.recorder.close()
+			s.recorder.Close()
 		}
 	})
 }
@@ -166,11 +169,11 @@
 }
 
 // RecordStats returns what became of the records of this node's requests.
-func (s *Server) RecordStats() RecordStats {
+func (s *Server) RecordStats() recorder.Stats {
 	if s.recorder == nil {
-		return RecordStats{}
+		return recorder.Stats{}
 	}
-	return s.recorder.stats()
+	return s.recorder.Stats()
 }
 
 // random returns a source of random numbers for one selection, or nil where
