--- /dev/null
+++ b/internal/dataplane/duplicate_checker.go
@@ -0,0 +1,41 @@
+package dataplane
+
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
+)
+
+// duplicateChecker refuses a request that this node is running or has run, unless
+// it may run again.
+type duplicateChecker struct {
+	register *duplicates.Register
+	clock    func() time.Duration
+}
+
+// handle implements handler. Only identities that a tenant chose are checked:
+// those made by the node are unique, and nothing tells callers without a key
+// apart.
+func (c *duplicateChecker) handle(e *exchange, next func()) {
+	if e.tenant == nil || e.parsed.ID == "" {
+		next()
+		return
+	}
+	key := duplicates.Key{Tenant: e.tenant.Name, ID: e.parsed.ID}
+	if !c.register.Begin(c.clock(), key, e.parsed.Idempotent) {
+		problem := caller.NewError(caller.KindDuplicateRequest,
+			"a request with this %s is running or has ended on this node: send a new one under a new identity", caller.HeaderRequestID)
+		problem.MayHaveRun = true
+		e.refuse(problem)
+		return
+	}
+	defer func() {
+		if e.certainlyNotRun || e.notRunHere {
+			c.register.Forget(key)
+			return
+		}
+		c.register.Finish(c.clock(), key)
+	}()
+	next()
+}
--- /dev/null
+++ b/internal/dataplane/duplicates/register.go
@@ -0,0 +1,142 @@
+// Package duplicates remembers the requests of a node, so that a request which must
+// not run twice is refused when it comes again.
+//
+// A Register owns the requests that are running and those that ended lately and may
+// have run. It reads no clock, and may be used concurrently.
+package duplicates
+
+import (
+	"sync"
+	"time"
+)
+
+// Key is the identity of a request among all tenants.
+type Key struct {
+	Tenant string
+	ID     string
+}
+
+// finishedRequest is a remembered request that has ended.
+type finishedRequest struct {
+	key        Key
+	finishedAt time.Duration
+}
+
+// registerEntry is the state of one key.
+type registerEntry struct {
+	// repeatable reports whether all submissions with the key may run again.
+	repeatable bool
+	// running and finished count the submissions with the key.
+	running, finished int
+}
+
+// Register remembers the requests that are running and those that ended lately and
+// may have run. Running ones are bounded by the tenants' limits, finished ones by
+// number and age.
+//
+// A completely written response does not prove that the caller got it, and a caller
+// may have disconnected long before the node notices. So a request that may run
+// again is never refused because of an earlier submission.
+type Register struct {
+	mutex       sync.Mutex
+	maxFinished int
+	rememberFor time.Duration
+	entries     map[Key]registerEntry
+	// finished is a ring buffer with the oldest entry at first. It grows up to
+	// maxFinished entries.
+	finished []finishedRequest
+	first    int
+	count    int
+}
+
+// initialFinished is the initial capacity of the ring of finished requests.
+const initialFinished = 64
+
+// New returns an empty register. It remembers up to maxFinished requests that have
+// ended, each for rememberFor.
+func New(maxFinished int, rememberFor time.Duration) *Register {
+	return &Register{
+		maxFinished: maxFinished,
+		rememberFor: rememberFor,
+		entries:     make(map[Key]registerEntry),
+		finished:    make([]finishedRequest, min(maxFinished, initialFinished)),
+	}
+}
+
+// begin enters a request. It returns false if the request is known already and
+// either submission may not run again.
+func (r *Register) Begin(now time.Duration, key Key, repeatable bool) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.expire(now)
+	entry, found := r.entries[key]
+	if found && !(entry.repeatable && repeatable) {
+		return false
+	}
+	entry.repeatable = repeatable
+	entry.running++
+	r.entries[key] = entry
+	return true
+}
+
+// forget removes a running request that has not run.
+func (r *Register) Forget(key Key) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	entry := r.entries[key]
+	entry.running--
+	r.update(key, entry)
+}
+
+// finish remembers a running request as one that has ended.
+func (r *Register) Finish(now time.Duration, key Key) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.count == r.maxFinished {
+		r.dropOldest()
+	}
+	if r.count == len(r.finished) {
+		r.grow()
+	}
+	r.finished[(r.first+r.count)%len(r.finished)] = finishedRequest{key: key, finishedAt: now}
+	r.count++
+	entry := r.entries[key]
+	entry.running--
+	entry.finished++
+	r.entries[key] = entry
+}
+
+// grow makes room for more finished requests.
+func (r *Register) grow() {
+	grown := make([]finishedRequest, min(r.maxFinished, 2*len(r.finished)))
+	copied := copy(grown, r.finished[r.first:])
+	copy(grown[copied:], r.finished[:r.first])
+	r.finished, r.first = grown, 0
+}
+
+// update replaces what is known under a name, as long as a submission holds it.
+func (r *Register) update(key Key, entry registerEntry) {
+	if entry.running == 0 && entry.finished == 0 {
+		delete(r.entries, key)
+		return
+	}
+	r.entries[key] = entry
+}
+
+// expire drops the finished requests that are old enough.
+func (r *Register) expire(now time.Duration) {
+	for r.count > 0 && now-r.finished[r.first].finishedAt >= r.rememberFor {
+		r.dropOldest()
+	}
+}
+
+// dropOldest drops the oldest finished request.
+func (r *Register) dropOldest() {
+	key := r.finished[r.first].key
+	entry := r.entries[key]
+	entry.finished--
+	r.update(key, entry)
+	r.finished[r.first] = finishedRequest{}
+	r.first = (r.first + 1) % len(r.finished)
+	r.count--
+}
--- /dev/null
+++ b/internal/dataplane/duplicates/register_internal_test.go
@@ -0,0 +1,89 @@
+package duplicates
+
+import (
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+func TestDuplicates(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Duplicates Suite")
+}
+
+var _ = Describe("Register", func() {
+	It("stays within its bounds and forgets by age", func() {
+		register := New(2, time.Minute)
+		keys := []Key{{"t", "a"}, {"t", "b"}, {"t", "c"}}
+		for _, key := range keys {
+			Expect(register.Begin(0, key, false)).To(BeTrue())
+			register.Finish(0, key)
+		}
+		Expect(register.entries).To(HaveLen(2))
+		Expect(register.Begin(0, keys[2], false)).To(BeFalse())
+		Expect(register.Begin(0, keys[0], false)).To(BeTrue(), "the oldest made room")
+		Expect(register.Begin(time.Minute, keys[2], false)).To(BeTrue(), "it is old enough")
+		Expect(register.Begin(time.Minute, keys[0], false)).To(BeFalse(), "it is running, however old")
+	})
+
+	It("keeps a key for each submission that may run again, and none beside one that may not", func() {
+		register := New(2, time.Minute)
+		key := Key{"t", "a"}
+		Expect(register.Begin(0, key, true)).To(BeTrue())
+		Expect(register.Begin(0, key, true)).To(BeTrue())
+		register.Forget(key)
+		Expect(register.Begin(0, key, false)).To(BeFalse(), "the other one is running")
+		register.Finish(0, key)
+		Expect(register.Begin(0, key, false)).To(BeFalse(), "the other one has run")
+		Expect(register.Begin(time.Second, key, true)).To(BeTrue())
+		register.Finish(time.Second, key)
+		Expect(register.Begin(time.Minute, key, false)).To(BeFalse(), "the later one has run lately")
+		Expect(register.Begin(time.Minute+time.Second, key, false)).To(BeTrue(), "both are old enough")
+		Expect(register.Begin(time.Minute+time.Second, key, true)).To(BeFalse(), "one that may not run again is running")
+		register.Forget(key)
+		Expect(register.entries).To(BeEmpty())
+	})
+
+	It("takes memory for what it holds only, and keeps the order of age while it grows", func() {
+		const limit, submitted = 1 << 16, 3 * initialFinished
+		register := New(limit, time.Minute)
+		Expect(register.finished).To(HaveLen(initialFinished))
+		key := func(number int) Key { return Key{Tenant: "t", ID: strconv.Itoa(number)} }
+		for number := range submitted {
+			at := time.Duration(number) * time.Second / 2
+			Expect(register.Begin(at, key(number), false)).To(BeTrue())
+			register.Finish(at, key(number))
+		}
+		// The first of them are older than a minute, so that the ring has wrapped.
+		newest := time.Duration(submitted-1) * time.Second / 2
+		for number := range submitted {
+			old := newest-time.Duration(number)*time.Second/2 >= time.Minute
+			Expect(register.entries[key(number)].finished == 0).To(Equal(old), "request %d", number)
+		}
+		Expect(len(register.finished)).To(BeNumerically("<=", 4*initialFinished))
+	})
+
+	It("never forgets a running request, under concurrent use", func() {
+		register := New(8, time.Minute)
+		var wait sync.WaitGroup
+		for worker := range 4 {
+			wait.Add(1)
+			go func() {
+				defer GinkgoRecover()
+				defer wait.Done()
+				for round := range 200 {
+					key := Key{Tenant: strconv.Itoa(worker), ID: strconv.Itoa(round)}
+					Expect(register.Begin(0, key, false)).To(BeTrue())
+					Expect(register.Begin(0, key, false)).To(BeFalse())
+					register.Finish(0, key)
+				}
+			}()
+		}
+		wait.Wait()
+		Expect(register.entries).To(HaveLen(8))
+	})
+})
--- a/internal/dataplane/event_feed_internal_test.go
+++ b/internal/dataplane/event_feed_internal_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"math/rand/v2"
 	"strconv"
-	"sync"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -237,76 +236,3 @@
 		<-ended
 	})
 })
-
-var _ = Describe("duplicateRegister", func() {
-	It("stays within its bounds and forgets by age", func() {
-		register := newRequestRegister(2, time.Minute)
-		names := []requestKey{{"t", "a"}, {"t", "b"}, {"t", "c"}}
-		for _, name := range names {
-			Expect(register.begin(0, name, false)).To(BeTrue())
-			register.finish(0, name)
-		}
-		Expect(register.entries).To(HaveLen(2))
-		Expect(register.begin(0, names[2], false)).To(BeFalse())
-		Expect(register.begin(0, names[0], false)).To(BeTrue(), "the oldest made room")
-		Expect(register.begin(time.Minute, names[2], false)).To(BeTrue(), "it is old enough")
-		Expect(register.begin(time.Minute, names[0], false)).To(BeFalse(), "it is running, however old")
-	})
-
-	It("holds a name for each submission that may run again, and none beside one that may not", func() {
-		register := newRequestRegister(2, time.Minute)
-		name := requestKey{"t", "a"}
-		Expect(register.begin(0, name, true)).To(BeTrue())
-		Expect(register.begin(0, name, true)).To(BeTrue())
-		register.forget(name)
-		Expect(register.begin(0, name, false)).To(BeFalse(), "the other one is running")
-		register.finish(0, name)
-		Expect(register.begin(0, name, false)).To(BeFalse(), "the other one has run")
-		Expect(register.begin(time.Second, name, true)).To(BeTrue())
-		register.finish(time.Second, name)
-		Expect(register.begin(time.Minute, name, false)).To(BeFalse(), "the later one has run lately")
-		Expect(register.begin(time.Minute+time.Second, name, false)).To(BeTrue(), "both are old enough")
-		Expect(register.begin(time.Minute+time.Second, name, true)).To(BeFalse(), "one that may not run again is running")
-		register.forget(name)
-		Expect(register.entries).To(BeEmpty())
-	})
-
-	It("takes memory for what it holds only, and keeps the order of age while it grows", func() {
-		const limit, submitted = 1 << 16, 3 * initialFinished
-		register := newRequestRegister(limit, time.Minute)
-		Expect(register.finished).To(HaveLen(initialFinished))
-		name := func(number int) requestKey { return requestKey{tenant: "t", id: strconv.Itoa(number)} }
-		for number := range submitted {
-			at := time.Duration(number) * time.Second / 2
-			Expect(register.begin(at, name(number), false)).To(BeTrue())
-			register.finish(at, name(number))
-		}
-		// The first of them are older than a minute, so that the ring has wrapped.
-		newest := time.Duration(submitted-1) * time.Second / 2
-		for number := range submitted {
-			old := newest-time.Duration(number)*time.Second/2 >= time.Minute
-			Expect(register.entries[name(number)].finished == 0).To(Equal(old), "request %d", number)
-		}
-		Expect(len(register.finished)).To(BeNumerically("<=", 4*initialFinished))
-	})
-
-	It("never forgets a running request, under concurrent use", func() {
-		register := newRequestRegister(8, time.Minute)
-		var wait sync.WaitGroup
-		for worker := range 4 {
-			wait.Add(1)
-			go func() {
-				defer GinkgoRecover()
-				defer wait.Done()
-				for round := range 200 {
-					name := requestKey{tenant: strconv.Itoa(worker), id: strconv.Itoa(round)}
-					Expect(register.begin(0, name, false)).To(BeTrue())
-					Expect(register.begin(0, name, false)).To(BeFalse())
-					register.finish(0, name)
-				}
-			}()
-		}
-		wait.Wait()
-		Expect(register.entries).To(HaveLen(8))
-	})
-})
--- a/internal/dataplane/feed_manager.go
+++ b/internal/dataplane/feed_manager.go
@@ -63,7 +63,7 @@
 	defer ticker.Stop()
 	for {
 		f.reconcile(f.server.options.Source.View())
-		f.server.slowStart.setNodes(f.server.options.Clock(), f.server.options.Peers())
+		f.server.slowStart.SetNodes(f.server.options.Clock(), f.server.options.Peers())
 		f.resyncAfterGaps()
 		select {
 		case <-ctx.Done():
--- a/internal/dataplane/catch_all_router.go
+++ b/internal/dataplane/listener/catch_all_router.go
@@ -1,4 +1,4 @@
-package dataplane
+package listener
 
 import (
 	"net/http"
--- a/internal/dataplane/listener.go
+++ b/internal/dataplane/listener/listener.go
@@ -1,4 +1,11 @@
-package dataplane
+// Package listener runs the HTTP server on which a node serves callers, on top of
+// go-zero's.
+//
+// A Listener owns the bound address and the server. Limits, time-outs and refusals
+// are the handler's alone: all that go-zero would add by itself is switched off.
+// Serve is called once; Shutdown, Close and Address may be called concurrently
+// with it.
+package listener
 
 import (
 	"context"
@@ -34,8 +41,18 @@
 	logLevel = "severe"
 )
 
-// listener runs go-zero's HTTP server.
-type listener struct {
+// Options configure a Listener.
+type Options struct {
+	// Address is the host and port to listen on.
+	Address string
+	// DrainTimeout is the longest graceful shutdown.
+	DrainTimeout time.Duration
+	// Log gets the messages of the HTTP server.
+	Log *logrus.Entry
+}
+
+// Listener serves HTTP on one address.
+type Listener struct {
 	rest *rest.Server
 	log  *logrus.Entry
 	// listening is closed when the address is bound.
@@ -51,9 +68,9 @@
 	stopped bool
 }
 
-// newListener sets up go-zero's server with everything that it switches on by
-// itself set on purpose: limits, timeouts and refusals are the chain's alone.
-func newListener(options Options, handler http.Handler) (*listener, error) {
+// New sets up the server of a handler. Nothing is bound before Serve. An address
+// that is not host:port is an error.
+func New(options Options, handler http.Handler) (*Listener, error) {
 	host, portText, err := net.SplitHostPort(options.Address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "the traffic address %q is not host:port", options.Address)
@@ -66,7 +83,7 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return &listener{
+	return &Listener{
 		rest:      server,
 		log:       options.Log,
 		listening: make(chan struct{}),
@@ -94,12 +111,13 @@
 	}
 }
 
-// serve binds the address and serves until the server is shut down.
+// Serve binds the address and serves until Shutdown or Close. It returns nil after
+// these, and otherwise why it could not serve.
 //
 // go-zero's own call returns only after its process-wide shutdown, so it runs
 // in a goroutine of its own, which a server that is stopped earlier leaves
 // behind until the process ends.
-func (l *listener) serve() error {
+func (l *Listener) Serve() error {
 	l.mutex.Lock()
 	if l.started {
 		l.mutex.Unlock()
@@ -116,7 +134,7 @@
 }
 
 // run runs go-zero's server, which panics when it cannot listen.
-func (l *listener) run() {
+func (l *Listener) run() {
 	defer func() {
 		if cause := recover(); cause != nil {
 			l.end(errors.Errorf("the traffic listener failed: %v", cause))
@@ -126,8 +144,11 @@
 	l.end(nil)
 }
 
+// Listening returns a channel that is closed when the address is bound.
+func (l *Listener) Listening() <-chan struct{} { return l.listening }
+
 // configure sets what go-zero leaves to the HTTP server.
-func (l *listener) configure(server *http.Server) {
+func (l *Listener) configure(server *http.Server) {
 	server.ReadHeaderTimeout = headerTimeout
 	server.IdleTimeout = idleTimeout
 	server.MaxHeaderBytes = maxHeaderBytes
@@ -147,17 +168,17 @@
 	}
 }
 
-// end says how the server ended. Only the first word counts.
-func (l *listener) end(err error) {
+// end reports how the server ended. Only the first call counts.
+func (l *Listener) end(err error) {
 	select {
 	case l.ended <- err:
 	default:
 	}
 }
 
-// shutdown takes no new connection and waits for running requests until ctx
-// ends.
-func (l *listener) shutdown(ctx context.Context) error {
+// Shutdown accepts no new connection and waits for running requests until ctx ends,
+// which is an error.
+func (l *Listener) Shutdown(ctx context.Context) error {
 	server := l.stop()
 	if server == nil {
 		l.end(nil)
@@ -170,8 +191,8 @@
 	return errors.Wrap(err, "requests are still running")
 }
 
-// close ends every connection at once.
-func (l *listener) close() {
+// Close ends every connection at once.
+func (l *Listener) Close() {
 	if server := l.stop(); server != nil {
 		_ = server.Close()
 	}
@@ -180,15 +201,15 @@
 
 // stop marks the listener as stopped, and returns the HTTP server if there is
 // one already.
-func (l *listener) stop() *http.Server {
+func (l *Listener) stop() *http.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.stopped = true
 	return l.server
 }
 
-// boundAddress returns the address that is listened on, or "".
-func (l *listener) boundAddress() string {
+// Address returns the bound address, or "" before it is bound.
+func (l *Listener) Address() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.address == nil {
@@ -197,13 +218,13 @@
 	return l.address.String()
 }
 
-// logWriter writes what the HTTP server tells into the log.
+// logWriter writes the messages of the HTTP server to the log.
 type logWriter struct {
 	entry *logrus.Entry
 }
 
 // Write implements io.Writer.
-func (w logWriter) Write(line []byte) (int, error) {
-	w.entry.Warn(fmt.Sprintf("traffic listener: %s", line))
-	return len(line), nil
+func (w logWriter) Write(message []byte) (int, error) {
+	w.entry.Warn(fmt.Sprintf("traffic listener: %s", message))
+	return len(message), nil
 }
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -104,7 +104,7 @@
 		Zone:         b.server.options.Zone,
 		MaxWait:      maxWait(w),
 		SlowStartAllowed: func(address string) bool {
-			return b.server.slowStart.allowed(now, pool.Config.GetBackends(), address)
+			return b.server.slowStart.Allowed(now, pool.Config.GetBackends(), address)
 		},
 		SaltFor: func(weightVersion string) string {
 			return replica.CacheSalt(model, weightVersion, w.sharingDomain(b.server.options.Source.View()))
@@ -217,7 +217,7 @@
 // tryAcquireSlowStart implements target.
 func (t *replicaTarget) tryAcquireSlowStart() bool {
 	server := t.backend.server
-	return server.slowStart.tryAcquire(server.options.Clock(), t.limits, routing.Replica{Address: t.decision.Address, SlowStartUntil: t.slowStartUntil})
+	return server.slowStart.TryAcquire(server.options.Clock(), t.limits, t.decision.Address, t.slowStartUntil)
 }
 
 // send implements target.
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -8,7 +8,10 @@
 
 	"github.com/thejerf/suture/v4"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
@@ -25,19 +28,19 @@
 	ids          *idGenerator
 	destinations *destinations
 	limiter      *limiter
-	duplicates   *requestRegister
+	duplicates   *duplicates.Register
 	inFlight     *inFlight
 	health       *backendHealth
 	quarantine   *quarantine
 	stale        *staleBackends
-	slowStart    *slowStart
+	slowStart    *warmup.Limiter
 	feeds        *feedManager
 	updates      *outgoingUpdates
 	snapshots    *snapshotExchange
 	readers      *reportReaders
 	startup      *startupGate
 	chain        chain
-	listener     *listener
+	listener     *listener.Listener
 	// recorder is nil without a recording.
 	recorder *recorder.Recorder
 	// draws counts the random sources handed out, so that each has its own
@@ -71,12 +74,12 @@
 		ids:          ids,
 		destinations: newDestinations(options.RetryBudget),
 		limiter:      newLimiter(options.Clock, options.Admission),
-		duplicates:   newRequestRegister(options.RememberedRequests, options.RememberFor),
+		duplicates:   duplicates.New(options.RememberedRequests, options.RememberFor),
 		inFlight:     newInFlight(),
 		health:       newBackendHealth(options),
 		quarantine:   newQuarantine(),
 		stale:        newStaleBackends(),
-		slowStart:    newSlowStart(options.Member),
+		slowStart:    warmup.New(options.Member),
 		updates:      newOutgoingUpdates(),
 		startup:      newStartupGate(),
 		seed:         rand.Uint64(),
@@ -86,7 +89,9 @@
 	server.snapshots = newSnapshotExchange(options, server.router)
 	server.feeds = newFeedManager(server)
 	server.readers = newReportReaders(server)
-	if server.listener, err = newListener(options, server); err != nil {
+	if server.listener, err = listener.New(listener.Options{
+		Address: options.Address, DrainTimeout: options.DrainTimeout, Log: options.Log,
+	}, server); err != nil {
 		return nil, err
 	}
 	if options.RecordFile != "" {
@@ -110,7 +115,7 @@
 		supervisor.Add(s.readers)
 	}
 	ended := supervisor.ServeBackground(s.feedsCtx)
-	err := s.listener.serve()
+	err := s.listener.Serve()
 	s.stopFeeds()
 	<-ended
 	return err
@@ -118,18 +123,18 @@
 
 // Listening is closed when the address is bound.
 func (s *Server) Listening() <-chan struct{} {
-	return s.listener.listening
+	return s.listener.Listening()
 }
 
 // Address returns the address that is listened on, or "" before it is bound.
 func (s *Server) Address() string {
-	return s.listener.boundAddress()
+	return s.listener.Address()
 }
 
 // Drain takes no new connection, and returns when the running requests have
 // ended, or with an error when ctx ends first. Readiness is to be off before.
 func (s *Server) Drain(ctx context.Context) error {
-	err := s.listener.shutdown(ctx)
+	err := s.listener.Shutdown(ctx)
 	if err == nil {
 		s.release()
 	}
@@ -138,7 +143,7 @@
 
 // Stop ends everything at once. Running requests are cut.
 func (s *Server) Stop() {
-	s.listener.close()
+	s.listener.Close()
 	s.release()
 }
 
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -58,7 +58,7 @@
 
 // slowStartExhausted tells whether a back end is cold and bears no more requests now.
 func (b *webBackend) slowStartExhausted(now time.Duration, service *routing.WebService, candidate routing.Replica) bool {
-	return now < candidate.SlowStartUntil && !b.server.slowStart.allowed(now, service.Config.GetBackends(), candidate.Address)
+	return now < candidate.SlowStartUntil && !b.server.slowStart.Allowed(now, service.Config.GetBackends(), candidate.Address)
 }
 
 // newestService returns the work's service in the newest view, or nil.
@@ -120,7 +120,7 @@
 // tryAcquireSlowStart implements target.
 func (t *webTarget) tryAcquireSlowStart() bool {
 	server := t.backend.server
-	return server.slowStart.tryAcquire(server.options.Clock(), t.limits, t.chosen)
+	return server.slowStart.TryAcquire(server.options.Clock(), t.limits, t.chosen.Address, t.chosen.SlowStartUntil)
 }
 
 // send implements target.
