--- a/internal/dataplane/destination_state.go
+++ b/internal/dataplane/destination_state.go
@@ -1,12 +1,15 @@
 package dataplane
 
 import (
+	"cmp"
+	"slices"
 	"sort"
 	"sync"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 	"github.com/ridgeswitch/ridgeswitch/pkg/retrybudget"
 )
 
@@ -52,20 +55,21 @@
 	Count uint64
 }
 
+// addHealth fills in the statistics of the destination's back ends.
+func (s *DestinationStats) addHealth(stats outlier.PoolStats) {
+	s.Ejected, s.Suspected, s.Ejections = stats.Ejected, stats.Suspected, stats.Ejections
+	for outcome, count := range stats.Outcomes {
+		s.Outcomes = append(s.Outcomes, OutcomeCount{Name: outcome.String(), Count: count})
+	}
+	slices.SortFunc(s.Outcomes, func(a, b OutcomeCount) int { return cmp.Compare(a.Name, b.Name) })
+}
+
 // destinationName tells pools from web services of the same name.
 type destinationName struct {
 	name       string
 	webService bool
 }
 
-// key is one text for the name.
-func (n destinationName) key() string {
-	if n.webService {
-		return "web/" + n.name
-	}
-	return "pool/" + n.name
-}
-
 // destinationState is what a node remembers of a destination: its counters and
 // its retry budget.
 type destinationState struct {
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -4,9 +4,9 @@
 	"context"
 	"fmt"
 	"net/http"
-	"slices"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
@@ -60,7 +60,7 @@
 	// problem is why the last attempt, or the last selection, failed.
 	problem *caller.Error
 	// health is that of the last attempt's back end.
-	health *attemptHealth
+	health *health.Attempt
 	// buffered is the answer that the ledger's Relay move hands on.
 	buffered *bufferedResponse
 	// relaying tells that the head of an answer went to the caller, and
@@ -168,8 +168,12 @@
 func (d *dispatcher) run(w *work, chosen target, attempt int) bool {
 	w.apply(attempts.Event{Kind: attempts.AttemptPlanned, Attempt: attempt, Address: chosen.address()})
 	w.apply(attempts.Event{Kind: attempts.ConnectStarted, Attempt: attempt})
-	w.health = d.server.health.begin(d.server.options.Clock(), w, chosen.address(), chosen.expectedDelay())
-	defer w.health.end()
+	w.health = d.server.health.Begin(d.server.options.Clock(), chosen.address(), health.Expectation{
+		Target:     w.route.TargetLatency(),
+		Delay:      chosen.expectedDelay(),
+		WebService: w.destination.WebService != nil,
+	})
+	defer w.health.End()
 	received, err := chosen.send(w.ctx, w, attempt)
 	if err != nil {
 		d.recordFailure(w, chosen, attempt, err)
@@ -198,14 +202,14 @@
 			return err
 		}
 		chosen.firstOutput()
-		w.health.responded(d.server.options.Clock(), received.Status())
+		w.health.Responded(d.server.options.Clock(), received.Status())
 		return d.relay(w, attempt, received, chunk, err)
 	}
 	body, complete, err := received.ReadAll()
 	if err != nil {
 		return err
 	}
-	w.health.responded(d.server.options.Clock(), received.Status())
+	w.health.Responded(d.server.options.Clock(), received.Status())
 	if !complete {
 		return d.relay(w, attempt, received, body, nil)
 	}
@@ -213,11 +217,6 @@
 	return nil
 }
 
-// hasTried tells whether an earlier attempt went to a back end.
-func (w *work) hasTried(address string) bool {
-	return slices.Contains(w.tried, address)
-}
-
 // revalidate looks at the newest view: a key may have been revoked, or the node
 // may have been cut off, while the request waited.
 func (w *work) revalidate(server *Server) *caller.Error {
--- a/internal/dataplane/event_feed.go
+++ b/internal/dataplane/event_feed.go
@@ -7,6 +7,7 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
@@ -35,7 +36,7 @@
 	address    string
 	source     eventSource
 	router     *kvrouter.Router
-	quarantine *quarantine
+	quarantine *health.Quarantine
 	health     *outlier.Detector
 	clock      func() time.Duration
 
@@ -202,10 +203,10 @@
 		return errors.New("a report event carries no report")
 	}
 	if f.expectedVersion() != "" {
-		f.quarantine.report(f.address, report.WeightVersion)
+		f.quarantine.Report(f.address, report.WeightVersion)
 	}
 	wasQuarantined := f.quarantined
-	f.quarantined = f.expectedVersion() != "" && f.quarantine.contains(f.address, f.expectedVersion())
+	f.quarantined = f.expectedVersion() != "" && f.quarantine.Contains(f.address, f.expectedVersion())
 	if f.quarantined {
 		if !wasQuarantined {
 			f.router.Forget(f.address)
--- a/internal/dataplane/event_feed_internal_test.go
+++ b/internal/dataplane/event_feed_internal_test.go
@@ -13,6 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
@@ -87,7 +88,7 @@
 		source = &scriptedSource{}
 		subject = &eventFeed{
 			address: feedAddress, source: source, router: kvrouter.New(kvrouter.Options{}),
-			quarantine: newQuarantine(), health: outlier.New(outlier.Options{}),
+			quarantine: health.NewQuarantine(), health: outlier.New(outlier.Options{}),
 			clock: func() time.Duration { return now },
 		}
 		subject.expect("w1")
@@ -133,7 +134,7 @@
 	It("puts a replica that reports other weights in quarantine, and forgets what it keeps", func() {
 		source.events = []replica.Event{keeps(replica.EventReset, 4, "w1"), reports("w2"), keeps(replica.EventStored, 5, "w1")}
 		subject.follow(context.Background())
-		Expect(subject.quarantine.contains(feedAddress, "w1")).To(BeTrue())
+		Expect(subject.quarantine.Contains(feedAddress, "w1")).To(BeTrue())
 		Expect(overlap(subject.router, "w1")).To(BeZero())
 
 		By("reading everything again once they agree")
@@ -141,7 +142,7 @@
 		source.events = []replica.Event{reports("w2")}
 		subject.follow(context.Background())
 		Expect(source.err).To(MatchError(errResync))
-		Expect(subject.quarantine.contains(feedAddress, "w2")).To(BeFalse())
+		Expect(subject.quarantine.Contains(feedAddress, "w2")).To(BeFalse())
 		source.events = []replica.Event{keeps(replica.EventReset, 6, "w2")}
 		subject.follow(context.Background())
 		Expect(source.asked[len(source.asked)-1]).To(Equal(replica.Position{}))
@@ -227,11 +228,11 @@
 
 		server.feeds.reconcile(viewOf("store", "one", "two"))
 		Expect([]string{<-source.opened, <-source.opened, <-source.opened}).To(ConsistOf("store", "one", "two"))
-		server.quarantine.report("one", "w0")
+		server.quarantine.Report("one", "w0")
 		server.feeds.reconcile(viewOf("store", "two", "three"))
 		Expect(<-source.opened).To(Equal("three"))
 		Expect(<-source.closed).To(Equal("one"))
-		Expect(server.quarantine.contains("one", "w1")).To(BeFalse())
+		Expect(server.quarantine.Contains("one", "w1")).To(BeFalse())
 		cancel()
 		<-ended
 	})
--- a/internal/dataplane/feed_manager.go
+++ b/internal/dataplane/feed_manager.go
@@ -96,8 +96,8 @@
 		f.ensure(address, spec)
 	}
 	f.server.limiter.retain(view)
-	f.server.stale.retain(view)
-	f.server.health.follow(view)
+	f.server.stale.Retain(view)
+	f.server.health.Follow(view)
 }
 
 // desiredFeeds returns the back ends whose events matter under a view.
@@ -143,7 +143,7 @@
 	_ = f.supervisor.RemoveAndWait(present.token, maxReconnectDelay)
 	delete(f.running, address)
 	f.server.router.Forget(address)
-	f.server.quarantine.forget(address)
+	f.server.quarantine.Forget(address)
 }
 
 // resyncAfterGaps asks for a reset where events were lost.
--- /dev/null
+++ b/internal/dataplane/health/quarantine.go
@@ -0,0 +1,40 @@
+package health
+
+import "sync"
+
+// Quarantine keeps requests away from replicas that report another weight
+// version than control state has for them. Parts that such a replica keeps may
+// have been made under either version.
+type Quarantine struct {
+	mutex    sync.Mutex
+	reported map[string]string
+}
+
+// NewQuarantine returns a quarantine that has heard of no replica.
+func NewQuarantine() *Quarantine {
+	return &Quarantine{reported: make(map[string]string)}
+}
+
+// Report records the weight version that a replica says it runs.
+func (q *Quarantine) Report(address, weightVersion string) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.reported[address] = weightVersion
+}
+
+// Forget removes a replica that is no longer listed.
+func (q *Quarantine) Forget(address string) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	delete(q.reported, address)
+}
+
+// Contains reports whether a replica is in quarantine, given the version that control
+// state has for it. A replica that has reported nothing is not: control state has
+// confirmed its version.
+func (q *Quarantine) Contains(address, weightVersion string) bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	reported, found := q.reported[address]
+	return found && reported != weightVersion
+}
--- a/internal/dataplane/stale_backends_internal_test.go
+++ b/internal/dataplane/health/stale_backends_internal_test.go
@@ -1,8 +1,9 @@
-package dataplane
+package health
 
 import (
 	"fmt"
 	"strings"
+	"testing"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -12,6 +13,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
+func TestHealth(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Health Suite")
+}
+
 // staleTimeline plays lines of "time event" on a memory of what is out of
 // date, and checks after each whether the address is "held" or "free". Events:
 //
@@ -21,8 +27,8 @@
 //	told INSTANCE            another node told that the incarnation is gone
 //	wait                     nothing
 func staleTimeline(text string) {
-	subject := newStaleBackends()
-	listed := routing.Replica{Address: "a"}
+	subject := NewStaleBackends()
+	replica := routing.Replica{Address: "a"}
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		words := strings.Fields(line)
 		now, err := time.ParseDuration(words[0])
@@ -30,19 +36,19 @@
 		event, expected := words[1:len(words)-1], words[len(words)-1]
 		switch event[0] {
 		case "list":
-			listed.Instance, listed.WeightVersion = given(event[1]), given(event[2])
-			subject.retain(&routing.View{Pools: map[string]*routing.Pool{"p": {Replicas: []routing.Replica{listed}}}})
+			replica.Instance, replica.WeightVersion = given(event[1]), given(event[2])
+			subject.Retain(&routing.View{Pools: map[string]*routing.Pool{"p": {Replicas: []routing.Replica{replica}}}})
 		case "unlist":
-			subject.retain(&routing.View{})
+			subject.Retain(&routing.View{})
 		case "refused":
-			subject.recordRefusal(now, listed, given(event[1]))
+			subject.RecordRefusal(now, replica, given(event[1]))
 		case "told":
-			subject.recordDenial(gossip.Denial{Address: "a", Instance: event[1]})
+			subject.RecordDenial(gossip.Denial{Address: "a", Instance: event[1]})
 		case "wait":
 		default:
 			Fail("no such event: " + line)
 		}
-		found := map[bool]string{true: "held", false: "free"}[subject.isStale(now, listed)]
+		found := map[bool]string{true: "held", false: "free"}[subject.Contains(now, replica)]
 		Expect(found).To(Equal(expected), line)
 	}
 }
@@ -55,7 +61,7 @@
 	return word
 }
 
-var _ = Describe("outdated", func() {
+var _ = Describe("StaleBackends", func() {
 	DescribeTable("keeps an address out", staleTimeline,
 		Entry("until the list names another incarnation there", `
 			0s     list i-1 w1   free
@@ -98,21 +104,21 @@
 	)
 
 	It("tells once that an incarnation is gone", func() {
-		subject := newStaleBackends()
-		listed := routing.Replica{Address: "a", Instance: "i-1", WeightVersion: "w1"}
-		Expect(subject.recordRefusal(0, listed, "i-9")).To(BeTrue())
-		Expect(subject.recordRefusal(0, listed, "i-9")).To(BeFalse())
-		Expect(subject.recordRefusal(0, listed, "i-1")).To(BeFalse(), "other weights are no news for others")
+		subject := NewStaleBackends()
+		replica := routing.Replica{Address: "a", Instance: "i-1", WeightVersion: "w1"}
+		Expect(subject.RecordRefusal(0, replica, "i-9")).To(BeTrue())
+		Expect(subject.RecordRefusal(0, replica, "i-9")).To(BeFalse())
+		Expect(subject.RecordRefusal(0, replica, "i-1")).To(BeFalse(), "other weights are no news for others")
 	})
 
 	It("forgets what is not listed any more, and holds no more than its bound", func() {
-		subject := newStaleBackends()
+		subject := NewStaleBackends()
 		for number := range 2 * maxDenials {
-			subject.recordDenial(gossip.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
+			subject.RecordDenial(gossip.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
 		}
 		Expect(subject.gone).To(HaveLen(maxDenials))
-		subject.recordRefusal(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
-		subject.retain(&routing.View{})
+		subject.RecordRefusal(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
+		subject.Retain(&routing.View{})
 		Expect(subject.gone).To(BeEmpty())
 		Expect(subject.entries).To(BeEmpty())
 	})
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -40,7 +40,7 @@
 	if errors.As(err, &refusal) {
 		chosen.handleRefusal(refusal)
 		if !refusal.WrongTarget && chosen.hasSpareCapacity() {
-			w.health.failed(d.server.options.Clock(), outlier.Refused)
+			w.health.Failed(d.server.options.Clock(), outlier.Refused)
 		}
 		w.problem = refusedProblem(refusal, d.server.options.BackendRetry)
 		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
@@ -79,7 +79,7 @@
 		d.countUnlessCancelled(w, outlier.Errored)
 	case errors.As(err, &otherWeights):
 		// That is no fault of the back end, and passes.
-		d.server.health.Suspect(d.server.options.Clock(), w.health.address)
+		d.server.health.Suspect(d.server.options.Clock(), w.health.Address)
 	default:
 		d.countUnlessCancelled(w, outlier.Reset)
 	}
@@ -92,7 +92,7 @@
 // the attempt was ended from this side.
 func (d *dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
 	if w.ctx.Err() == nil {
-		w.health.failed(d.server.options.Clock(), outcome)
+		w.health.Failed(d.server.options.Clock(), outcome)
 	}
 }
 
--- a/internal/dataplane/outgoing_updates.go
+++ b/internal/dataplane/outgoing_updates.go
@@ -103,7 +103,7 @@
 // last call.
 func (s *Server) PendingUpdate() gossip.Update {
 	now := s.options.Clock()
-	s.health.countOverdue(now)
+	s.health.CountOverdue(now)
 	update := s.updates.drain(now, s.router.LocalLoads(now))
 	update.Outcomes = s.health.TakeReports(now)
 	return update
@@ -122,15 +122,15 @@
 		s.applyReport(now, report)
 	}
 	for _, denial := range update.Denials {
-		s.stale.recordDenial(denial)
+		s.stale.RecordDenial(denial)
 	}
-	s.health.applyOutcomes(now, update)
+	s.health.ApplyOutcomes(now, update)
 }
 
 // handleWrongTarget enters that a listed back end said that a request was for another
 // one, and tells the others if that holds for good.
 func (s *Server) handleWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
-	if s.stale.recordRefusal(s.options.Clock(), replica, refusal.Instance) {
+	if s.stale.RecordRefusal(s.options.Clock(), replica, refusal.Instance) {
 		s.updates.addDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
 	}
 }
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -8,6 +8,7 @@
 	"github.com/samber/lo"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
@@ -49,7 +50,7 @@
 	candidates := b.candidates(now, pool)
 	var decision kvrouter.Decision
 	var err error
-	chooseHealthy(b.server.health, now, w, func(exclude func(string) bool) selectionResult {
+	b.server.health.Choose(now, w.tried, w.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
 		decision, err = b.server.router.Select(b.selection(w, pool, now, exclude), candidates)
 		return selectionResultOf(err)
 	})
@@ -68,15 +69,15 @@
 }
 
 // selectionResultOf tells how a selection of the router ended.
-func selectionResultOf(err error) selectionResult {
+func selectionResultOf(err error) health.SelectionResult {
 	var none *kvrouter.NoReplicaError
 	switch {
 	case err == nil:
-		return foundOne
+		return health.Found
 	case errors.As(err, &none) && none.Reason == kvrouter.AllBusy:
-		return foundBusy
+		return health.AllBusy
 	}
-	return foundNone
+	return health.NoneLeft
 }
 
 // newestPool returns the work's pool in the newest view, or nil if it is gone.
@@ -85,7 +86,7 @@
 	if view == nil {
 		return nil
 	}
-	b.server.health.follow(view)
+	b.server.health.Follow(view)
 	return view.Pools[w.destination.Pool.Config.GetName()]
 }
 
@@ -123,8 +124,8 @@
 	candidates := make([]kvrouter.Candidate, 0, len(pool.Replicas))
 	for _, listing := range pool.Replicas {
 		confirmed := listing.WeightVersion != ""
-		if listing.Admitting && confirmed && !b.server.quarantine.contains(listing.Address, listing.WeightVersion) &&
-			!b.server.stale.isStale(now, listing) {
+		if listing.Admitting && confirmed && !b.server.quarantine.Contains(listing.Address, listing.WeightVersion) &&
+			!b.server.stale.Contains(now, listing) {
 			candidates = append(candidates, kvrouter.Candidate{
 				Address:        listing.Address,
 				Zone:           listing.Zone,
@@ -269,8 +270,8 @@
 // mayUse tells whether a replica may be pulled from under a version.
 func (b *poolBackend) mayUse(pool *routing.Pool, address, weightVersion string) bool {
 	found, admits := findAdmitting(pool, address, weightVersion)
-	return admits && !b.server.quarantine.contains(address, weightVersion) &&
-		!b.server.stale.isStale(b.server.options.Clock(), found)
+	return admits && !b.server.quarantine.Contains(address, weightVersion) &&
+		!b.server.stale.Contains(b.server.options.Clock(), found)
 }
 
 // checkVersion refuses answers made under other weights.
@@ -282,7 +283,7 @@
 	server := t.backend.server
 	server.router.ObserveWeightVersion(server.options.Clock(), t.decision.Address, actual)
 	if actual != t.decision.WeightVersion {
-		server.quarantine.report(t.decision.Address, actual)
+		server.quarantine.Report(t.decision.Address, actual)
 		return &versionMismatchError{expected: t.decision.WeightVersion, actual: actual}
 	}
 	return nil
--- a/internal/dataplane/report_readers.go
+++ b/internal/dataplane/report_readers.go
@@ -106,7 +106,7 @@
 	for _, address := range r.server.router.Addresses() {
 		if _, found := reporting[address]; !found {
 			r.server.router.Forget(address)
-			r.server.quarantine.forget(address)
+			r.server.quarantine.Forget(address)
 		}
 	}
 }
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -9,6 +9,7 @@
 	"github.com/thejerf/suture/v4"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
@@ -30,9 +31,9 @@
 	limiter      *limiter
 	duplicates   *duplicates.Register
 	inFlight     *inFlight
-	health       *backendHealth
-	quarantine   *quarantine
-	stale        *staleBackends
+	health       *health.Tracker
+	quarantine   *health.Quarantine
+	stale        *health.StaleBackends
 	slowStart    *warmup.Limiter
 	feeds        *feedManager
 	updates      *outgoingUpdates
@@ -76,13 +77,15 @@
 		limiter:      newLimiter(options.Clock, options.Admission),
 		duplicates:   duplicates.New(options.RememberedRequests, options.RememberFor),
 		inFlight:     newInFlight(),
-		health:       newBackendHealth(options),
-		quarantine:   newQuarantine(),
-		stale:        newStaleBackends(),
-		slowStart:    warmup.New(options.Member),
-		updates:      newOutgoingUpdates(),
-		startup:      newStartupGate(),
-		seed:         rand.Uint64(),
+		health: health.New(health.Options{
+			Outlier: options.Outlier, Member: options.Member, Zone: options.Zone, Peers: options.Peers, Log: options.Log,
+		}),
+		quarantine: health.NewQuarantine(),
+		stale:      health.NewStaleBackends(),
+		slowStart:  warmup.New(options.Member),
+		updates:    newOutgoingUpdates(),
+		startup:    newStartupGate(),
+		seed:       rand.Uint64(),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
 	server.feedsCtx, server.stopFeeds = context.WithCancel(context.Background())
@@ -168,7 +171,7 @@
 	now := s.options.Clock()
 	stats := s.destinations.snapshot()
 	for i := range stats {
-		s.health.describe(now, &stats[i])
+		stats[i].addHealth(s.health.DestinationStats(now, stats[i].Name, stats[i].WebService))
 	}
 	return stats
 }
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -6,6 +6,7 @@
 	"time"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
@@ -41,14 +42,14 @@
 	now := b.server.options.Clock()
 	var chosen routing.Replica
 	found := false
-	chooseHealthy(b.server.health, now, w, func(exclude func(string) bool) selectionResult {
+	b.server.health.Choose(now, w.tried, w.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
 		chosen, found = b.fewestInFlight(service, func(candidate routing.Replica) bool {
-			return b.server.stale.isStale(now, candidate) || b.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
+			return b.server.stale.Contains(now, candidate) || b.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
 		})
 		if !found {
-			return foundNone
+			return health.NoneLeft
 		}
-		return foundOne
+		return health.Found
 	})
 	if !found {
 		return nil, noWebBackendProblem().WithRetryAfter(b.server.options.BackendRetry)
@@ -67,7 +68,7 @@
 	if view == nil {
 		return nil
 	}
-	b.server.health.follow(view)
+	b.server.health.Follow(view)
 	return view.WebServices[w.destination.WebService.Config.GetName()]
 }
 
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -69,6 +69,12 @@
 	return time.Duration(r.Config.GetTimeoutMs()) * time.Millisecond
 }
 
+// TargetLatency is the latency that the route aims at for its responses; zero if it
+// has no target.
+func (r *Route) TargetLatency() time.Duration {
+	return time.Duration(r.Config.GetTargetLatencyMs()) * time.Millisecond
+}
+
 // Routes are the routes of one host, the longest prefix first.
 type Routes []*Route
 
