--- a/internal/dataplane/benchmark_test.go
+++ b/internal/dataplane/benchmark_test.go
@@ -72,6 +72,7 @@
 }
 
 func benchmarkRequests(b *testing.B, host string, header http.Header) {
+	b.Helper()
 	server := newBenchmarkServer(b)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/dataplane/duplicates/register.go
+++ b/internal/dataplane/duplicates/register.go
@@ -63,14 +63,14 @@
 	}
 }
 
-// begin enters a request. It returns false if the request is known already and
-// either submission may not run again.
+// Begin records a request that is about to run. It reports false, and records nothing,
+// if the key is known and either submission may not run again.
 func (r *Register) Begin(now time.Duration, key Key, repeatable bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.expire(now)
 	entry, found := r.entries[key]
-	if found && !(entry.repeatable && repeatable) {
+	if found && (!entry.repeatable || !repeatable) {
 		return false
 	}
 	entry.repeatable = repeatable
@@ -79,7 +79,7 @@
 	return true
 }
 
-// forget removes a running request that has not run.
+// Forget removes a running request that has not run.
 func (r *Register) Forget(key Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -88,7 +88,7 @@
 	r.update(key, entry)
 }
 
-// finish remembers a running request as one that has ended.
+// Finish remembers a running request as one that has ended and may have run.
 func (r *Register) Finish(now time.Duration, key Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -106,7 +106,7 @@
 	r.entries[key] = entry
 }
 
-// grow makes room for more finished requests.
+// grow doubles the ring of finished requests, up to its bound.
 func (r *Register) grow() {
 	grown := make([]finishedRequest, min(r.maxFinished, 2*len(r.finished)))
 	copied := copy(grown, r.finished[r.first:])
@@ -114,7 +114,7 @@
 	r.finished, r.first = grown, 0
 }
 
-// update replaces what is known under a name, as long as a submission holds it.
+// update replaces the entry of a key, or deletes it when no submission has the key.
 func (r *Register) update(key Key, entry registerEntry) {
 	if entry.running == 0 && entry.finished == 0 {
 		delete(r.entries, key)
--- a/internal/dataplane/event_feed_internal_test.go
+++ b/internal/dataplane/event_feed_internal_test.go
@@ -234,6 +234,6 @@
 		Expect(<-source.closed).To(Equal("one"))
 		Expect(server.quarantine.Contains("one", "w1")).To(BeFalse())
 		cancel()
-		<-ended
+		Expect(<-ended).To(MatchError(context.Canceled))
 	})
 })
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -16,7 +16,7 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	// ctx ends when the caller leaves or the deadline passes.
-	ctx     context.Context
+	ctx     context.Context //nolint:containedctx // an exchange is one request, as http.Request is
 	arrived time.Duration
 	// view is the view under which the request was admitted.
 	view *routing.View
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -47,7 +47,7 @@
 	Updates []Update
 }
 
-// Updates is what one node tells of its traffic at one time.
+// Update is what one node reports of its traffic at one time.
 type Update struct {
 	// Node is whose news it is.
 	Node       member.ID
--- a/internal/dataplane/outgoing_updates.go
+++ b/internal/dataplane/outgoing_updates.go
@@ -78,7 +78,7 @@
 // expect by themselves. The lock is held.
 func (s *outgoingUpdates) shouldSend(now time.Duration, load kvrouter.AddressLoad) bool {
 	sent, found := s.sentLoads[load.Address]
-	idle := load.SharedLoad.Requests == 0
+	idle := load.Requests == 0
 	if found && sameRequests(sent.load, load.SharedLoad) && (idle || now-sent.sentAt < loadRefresh) {
 		return false
 	}
@@ -99,8 +99,8 @@
 	return sent.Requests == present.Requests && prefilling(sent) == prefilling(present)
 }
 
-// Update returns what this node has to tell the others of its traffic since the
-// last call.
+// PendingUpdate returns what other nodes are to learn of this node's traffic since the
+// last call. It also counts overdue attempts, and is called periodically.
 func (s *Server) PendingUpdate() gossip.Update {
 	now := s.options.Clock()
 	s.health.CountOverdue(now)
@@ -135,14 +135,15 @@
 	}
 }
 
-// applyReport brings a page of reports into the index.
-func (s *Server) applyReport(now time.Duration, report gossip.Report) kvrouter.FeedStatus {
+// applyReport applies a page of reports to the prefix index.
+func (s *Server) applyReport(now time.Duration, report gossip.Report) {
 	defer s.updateStartupGate()
 	changes := chunkChanges(report.Changes)
 	if report.Complete {
-		return s.router.ChunksReplaced(now, report.Address, report.Feed.Incarnation, report.Feed.Next, changes)
+		s.router.ChunksReplaced(now, report.Address, report.Feed.Incarnation, report.Feed.Next, changes)
+		return
 	}
-	return s.router.ChunksReported(now, report.Address, report.Feed, changes)
+	s.router.ChunksReported(now, report.Address, report.Feed, changes)
 }
 
 // chunkChanges are changes as the router takes them.
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -54,7 +54,7 @@
 // isCompleteEnd tells whether Next has said that an answer is complete. Only the
 // bare io.EOF says so: an error that merely wraps one tells of a cut.
 func isCompleteEnd(err error) bool {
-	return err == io.EOF
+	return err == io.EOF //nolint:errorlint // a wrapped io.EOF is a truncated response
 }
 
 // abortRelay ends a cut answer so that nobody takes it for a complete one: an
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -49,9 +49,9 @@
 	draws atomic.Uint64
 	seed  uint64
 
-	stopFeeds context.CancelFunc
-	feedsCtx  context.Context
-	stopOnce  sync.Once
+	// stopped is closed when the server is released.
+	stopped  chan struct{}
+	stopOnce sync.Once
 }
 
 var _ routing.LoadReader = (*Server)(nil)
@@ -86,9 +86,9 @@
 		updates:    newOutgoingUpdates(),
 		startup:    newStartupGate(),
 		seed:       rand.Uint64(),
+		stopped:    make(chan struct{}),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
-	server.feedsCtx, server.stopFeeds = context.WithCancel(context.Background())
 	server.snapshots = newSnapshotExchange(options, server.router)
 	server.feeds = newFeedManager(server)
 	server.readers = newReportReaders(server)
@@ -117,10 +117,19 @@
 	if s.options.Edges.Reports != nil {
 		supervisor.Add(s.readers)
 	}
-	ended := supervisor.ServeBackground(s.feedsCtx)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go func() {
+		select {
+		case <-s.stopped:
+			cancel()
+		case <-ctx.Done():
+		}
+	}()
+	ended := supervisor.ServeBackground(ctx)
 	err := s.listener.Serve()
-	s.stopFeeds()
-	<-ended
+	cancel()
+	<-ended //nolint:errcheck // the supervisor ends with ctx alone
 	return err
 }
 
@@ -153,7 +162,7 @@
 // release gives back what a stopped server holds.
 func (s *Server) release() {
 	s.stopOnce.Do(func() {
-		s.stopFeeds()
+		close(s.stopped)
 		s.sender.CloseIdle()
 		if s.recorder != nil {
 			s.recorder.Close()
--- a/internal/dataplane/warmup/limiter.go
+++ b/internal/dataplane/warmup/limiter.go
@@ -13,8 +13,8 @@
 	"github.com/samber/lo"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
-	"github.com/ridgeswitch/ridgeswitch/pkg/slowstart"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/slowstart"
 )
 
 // Limiter limits the requests of one node to back ends that warm up.
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -163,12 +163,13 @@
 			deadline := now + time.Duration(1+random.IntN(4000))*time.Millisecond
 			decision := explored.Arrive(now, admission.Arrival{Tenant: tenant, Limits: limits, Deadline: deadline})
 			explored.owners[decision.Ticket] = tenant
-			if decision.Outcome == admission.Admitted {
+			switch decision.Outcome {
+			case admission.Admitted:
 				explored.held[tenant] = append(explored.held[tenant], decision.Ticket)
-			} else if decision.Outcome == admission.Queued {
+			case admission.Queued:
 				Expect(decision.Until).To(BeNumerically("<=", deadline))
 				waiting[decision.Ticket] = decision.Until
-			} else {
+			default:
 				Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 			}
 		case action == 3 && len(explored.held[tenant]) > 0:
--- a/pkg/outlier/detector.go
+++ b/pkg/outlier/detector.go
@@ -133,14 +133,14 @@
 	if outcome == Succeeded || outcome == Slow {
 		target.suspicion.clear()
 	}
-	failure, total := outcome.weight()
+	failure := outcome.failureWeight()
 	if failure > 0 {
 		target.watch(now, &d.options)
 		target.failed, target.failedAt = true, now
 	}
-	target.unreported.add(now, d.options.HalfLife, failure, total)
-	target.local.add(now, d.options.HalfLife, failure, total)
-	d.count(now, target, true, failure, total)
+	target.unreported.add(now, d.options.HalfLife, failure, 1)
+	target.local.add(now, d.options.HalfLife, failure, 1)
+	d.count(now, target, true, failure, 1)
 }
 
 // count enters outcomes of a replica, seen in this zone if they are near, and
@@ -271,7 +271,7 @@
 		return Healthy
 	case target.suspicion.active(now):
 		return Suspected
-	case target.ejection.ejected && !(probe && target.ejection.admitsProbe(now)):
+	case target.ejection.ejected && (!probe || !target.ejection.admitsProbe(now)):
 		return Ejected
 	}
 	return Healthy
--- a/pkg/outlier/detector_test.go
+++ b/pkg/outlier/detector_test.go
@@ -48,11 +48,11 @@
 	return d.Stats(now, pool).Ejected
 }
 
-// probeDue returns when the probe of an ejected replica is due, from a time on.
-func probeDue(d *outlier.Detector, from time.Duration, address string) time.Duration {
+// probeDue returns when the probe of replica-0, which is ejected, is due, from a time on.
+func probeDue(d *outlier.Detector, from time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	for now := from; now < from+time.Minute; now += step {
-		if d.Verdict(now, address, true) == outlier.Healthy {
+		if d.Verdict(now, "replica-0", true) == outlier.Healthy {
 			return now
 		}
 	}
@@ -137,7 +137,7 @@
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		Expect(d.Verdict(outlier.DefaultEjection-1, "replica-0", true)).To(Equal(outlier.Ejected))
-		now := probeDue(d, outlier.DefaultEjection, "replica-0")
+		now := probeDue(d, outlier.DefaultEjection)
 		Expect(d.Verdict(now, "replica-0", false)).To(Equal(outlier.Ejected), "what is no probe does not go there")
 		for range outlier.DefaultProbes {
 			Expect(ejected(d, now)).To(Equal(1))
@@ -156,7 +156,7 @@
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := time.Duration(0)
 		for _, outcome := range []outlier.Outcome{outlier.Succeeded, outlier.Succeeded, outlier.Errored, outlier.Succeeded, outlier.Succeeded} {
-			now = probeDue(d, now, "replica-0")
+			now = probeDue(d, now)
 			d.ProbeSent(now, "replica-0")
 			d.Observe(now, "replica-0", outcome)
 			Expect(ejected(d, now)).To(Equal(1))
@@ -166,11 +166,11 @@
 	It("waits twice as long after each probe that fails, up to a bound", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
-		now := probeDue(d, 0, "replica-0")
+		now := probeDue(d, 0)
 		for _, minimum := range []time.Duration{2, 4, 8, 8} {
 			d.ProbeSent(now, "replica-0")
 			d.Observe(now, "replica-0", outlier.Errored)
-			due := probeDue(d, now, "replica-0")
+			due := probeDue(d, now)
 			Expect(due - now).To(And(
 				BeNumerically(">=", minimum*time.Second), BeNumerically("<=", minimum*time.Second*3/2+time.Second/10)))
 			now = due
@@ -183,7 +183,7 @@
 		for range 3 {
 			started := now
 			repeat(d, now, "replica-0", outlier.Errored, 2)
-			now = probeDue(d, now, "replica-0")
+			now = probeDue(d, now)
 			Expect(now - started).To(BeNumerically(">", last))
 			last = now - started
 			for range outlier.DefaultProbes {
@@ -195,13 +195,13 @@
 		By("forgetting it when the replica has been well for long")
 		now += time.Minute
 		repeat(d, now, "replica-0", outlier.Errored, 2)
-		Expect(probeDue(d, now, "replica-0") - now).To(BeNumerically("<=", 2*outlier.DefaultEjection))
+		Expect(probeDue(d, now) - now).To(BeNumerically("<=", 2*outlier.DefaultEjection))
 	})
 
 	It("lets another probe go when the first never ends", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
-		now := probeDue(d, 0, "replica-0")
+		now := probeDue(d, 0)
 		d.ProbeSent(now, "replica-0")
 		Expect(d.Verdict(now+outlier.DefaultEjection-1, "replica-0", true)).To(Equal(outlier.Ejected))
 		Expect(d.Verdict(now+outlier.DefaultEjection, "replica-0", true)).To(Equal(outlier.Healthy))
@@ -238,7 +238,7 @@
 			changes = append(changes, fmt.Sprint(address, " ", out))
 		}}, 6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
-		now := probeDue(d, 0, "replica-0")
+		now := probeDue(d, 0)
 		d.ProbeSent(now, "replica-0")
 		d.Observe(now, "replica-0", outlier.Succeeded)
 		Expect(changes).To(Equal([]string{"replica-0 true", "replica-0 false"}))
@@ -315,7 +315,8 @@
 	sameZone, otherZone []*outlier.Detector
 }
 
-func newFleet(perZone, replicas int) *fleet {
+func newFleet(perZone int) *fleet {
+	const replicas = 18
 	f := &fleet{}
 	for number := range perZone {
 		f.sameZone = append(f.sameZone, detectorOf(outlier.Options{Node: fmt.Sprint("near-", number)}, replicas))
@@ -348,7 +349,7 @@
 
 var _ = Describe("Nodes that see a trickle each", func() {
 	It("eject together what none of them could eject alone", func() {
-		f := newFleet(4, 18)
+		f := newFleet(4)
 		for _, node := range f.sameZone[:2] {
 			node.Observe(0, "replica-0", outlier.Errored)
 		}
@@ -363,7 +364,7 @@
 	})
 
 	It("tell nothing while all is well", func() {
-		f := newFleet(4, 18)
+		f := newFleet(4)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 50)
 		}
@@ -371,7 +372,7 @@
 	})
 
 	It("tell the good outcomes once there are bad ones, so that a rare fault ejects nobody", func() {
-		f := newFleet(4, 18)
+		f := newFleet(4)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 3)
 		}
@@ -390,7 +391,7 @@
 	})
 
 	It("do not believe one node alone, which may be cut off", func() {
-		f := newFleet(4, 18)
+		f := newFleet(4)
 		for _, member := range members(18) {
 			repeat(f.sameZone[0], 0, member.Address, outlier.Unreached, 3)
 		}
@@ -415,7 +416,7 @@
 	}
 
 	It("go by their own zone when a replica fails for the callers of one zone alone", func() {
-		f := newFleet(4, 18)
+		f := newFleet(4)
 		failInSameZone(f, 8)
 		for _, node := range f.sameZone {
 			Expect(ejected(node, 0)).To(Equal(1))
@@ -426,7 +427,7 @@
 	})
 
 	It("share their probes, good and bad", func() {
-		f := newFleet(2, 18)
+		f := newFleet(2)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Errored, 2)
 		}
@@ -446,11 +447,11 @@
 	})
 
 	It("probe at times of their own", func() {
-		f := newFleet(8, 18)
+		f := newFleet(8)
 		due := map[time.Duration]int{}
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Errored, 2)
-			due[probeDue(node, 0, "replica-0")]++
+			due[probeDue(node, 0)]++
 		}
 		Expect(len(due)).To(BeNumerically(">", 4))
 	})
--- a/pkg/outlier/outcome.go
+++ b/pkg/outlier/outcome.go
@@ -34,16 +34,16 @@
 	return names[o]
 }
 
-// weight is how much an outcome counts as a failure, and how much it counts at
-// all.
-func (o Outcome) weight() (failure, total float64) {
+// failureWeight returns how much an outcome, which counts as 1, counts as a failure.
+func (o Outcome) failureWeight() float64 {
 	switch o {
 	case Succeeded:
-		return 0, 1
+		return 0
 	case Slow:
-		return 0.5, 1
+		return 0.5
+	default:
+		return 1
 	}
-	return 1, 1
 }
 
 // breaksConnection tells whether an outcome makes a replica suspect at once.
