--- a/internal/lab/bench/ablation_test.go
+++ b/internal/lab/bench/ablation_test.go
@@ -26,7 +26,7 @@
 		return rows
 	}
 
-	It("moves each knob alone, on the same traces every time", func() {
+	It("changes each knob alone, on the same traces every time", func() {
 		rows := ablate()
 		Expect(rows).To(HaveLen(1 + len(bench.Variations())))
 		Expect(ablate()).To(Equal(rows))
@@ -46,7 +46,7 @@
 		Expect(figures("store", "none").ReusedTokenRatio).To(BeNumerically("<", base.ReusedTokenRatio))
 	})
 
-	It("prints a line of the table for each row", func() {
+	It("prints a row of the table for each result", func() {
 		rows := []bench.AblationRow{{Mix: "m", Knob: "k", Value: "v", TTFTMeanMS: 12, TTFTOfBase: 0.5, PulledTokens: 2e6}}
 		lines := strings.Split(strings.TrimSpace(bench.AblationTable(rows)), "\n")
 		Expect(lines).To(HaveLen(3))
--- a/internal/lab/bench/bench_test.go
+++ b/internal/lab/bench/bench_test.go
@@ -53,7 +53,7 @@
 		Entry("seed 1", uint64(1)),
 		Entry("seed 20", uint64(20)))
 
-	It("loses its advantage when replicas cannot keep what they computed", func() {
+	It("loses its advantage when replicas cannot cache what they computed", func() {
 		settings := bench.DefaultSettings(workload.HivatalMix(), 1)
 		settings.Duration = 3 * time.Minute
 		settings.Machine.CapacityTokens = 2000
--- a/internal/lab/bench/oracle_test.go
+++ b/internal/lab/bench/oracle_test.go
@@ -45,7 +45,7 @@
 		Expect(worse[bench.PolicyKV]).NotTo(Equal(undisturbed[bench.PolicyKV]))
 	})
 
-	It("shows what a router loses that never hears of anything", func() {
+	It("shows what a router without any reports loses", func() {
 		settings := bench.DefaultSettings(workload.LakeshoreMix(), 3)
 		settings.Feed.LossRatio = 1
 		settings.Feed.Delay = time.Hour
@@ -62,7 +62,7 @@
 		Expect(perReplica).To(And(BeNumerically(">", 1), BeNumerically("<", int(settings.Duration/longestPossible)/4)))
 	})
 
-	It("refuses a share of lost reports above 1", func() {
+	It("refuses a ratio of lost reports above 1", func() {
 		settings := bench.DefaultSettings(workload.LakeshoreMix(), 3)
 		settings.ReportLossRatio = 1.5
 		_, err := bench.Compare(settings)
--- a/internal/lab/enginebench/enginebench_test.go
+++ b/internal/lab/enginebench/enginebench_test.go
@@ -42,7 +42,7 @@
 })
 
 var _ = Describe("Ablation", func() {
-	It("leaves out mechanisms that the choice rests on, which shows", func() {
+	It("shows the effect of mechanisms that the choice depends on", func() {
 		profile := enginebench.Profiles()[1]
 		played := map[string]enginebench.Result{}
 		for _, row := range enginebench.Compare([]enginebench.Profile{profile}, []float64{2}, enginebench.Ablation(), []uint64{1}, 12*time.Second, 4) {
--- a/internal/lab/enginebench/knobs.go
+++ b/internal/lab/enginebench/knobs.go
@@ -51,7 +51,7 @@
 	}
 	without("prefix credit", func(s *RouterSettings) { s.Options.Disabled.Overlap = true })
 	without("own and others' expectations", func(s *RouterSettings) { s.Options.Disabled.PendingChunks = true })
-	without("learnt speeds", func(s *RouterSettings) { s.Options.Disabled.LearntSpeeds = true })
+	without("learnt speeds", func(s *RouterSettings) { s.Options.Disabled.LearnedSpeeds = true })
 	without("waiting for an earlier request", func(s *RouterSettings) { s.Options.Disabled.PrefixWaits = true })
 	without("pulls from peers", func(s *RouterSettings) { s.Options.Disabled.PeerPulls = true })
 	without("pulls from the store", func(s *RouterSettings) { s.Options.Disabled.StorePulls = true })
--- a/pkg/kvrouter/choose.go
+++ b/pkg/kvrouter/choose.go
@@ -30,7 +30,7 @@
 
 // better reports whether a goes before b. Equal costs are decided by the active
 // requests, and those by a hash of address and prompt, so that ties spread over
-// the replicas but one prompt falls to the same replica on every router.
+// the replicas but one prompt goes to the same replica on every router.
 func better(a, b *scoredCandidate, hash prefixindex.ChainHash) bool {
 	if math.Abs(a.cost-b.cost) > costTolerance {
 		return a.cost < b.cost
--- a/pkg/kvrouter/chunk_reports_test.go
+++ b/pkg/kvrouter/chunk_reports_test.go
@@ -15,7 +15,7 @@
 const epoch = 77
 
 // engineFleet is a router of a pool with an engine profile, whose replicas report
-// chunks by their own IDs.
+// chunks by ID.
 type engineFleet struct {
 	router     *kvrouter.Router
 	candidates []kvrouter.Candidate
@@ -42,11 +42,11 @@
 
 // longPrompt is a prompt of chunks of 1,000 tokens each.
 func longPrompt(chunks int) []prefixindex.Chunk {
-	var made []prefixindex.Chunk
+	var prompt []prefixindex.Chunk
 	for number := range chunks {
-		made = append(made, prefixindex.Chunk{ID: fmt.Sprint("part ", number), Tokens: 1000})
+		prompt = append(prompt, prefixindex.Chunk{ID: fmt.Sprint("chunk ", number), Tokens: 1000})
 	}
-	return made
+	return prompt
 }
 
 func (f *engineFleet) trySelect(now time.Duration, chunks []prefixindex.Chunk) (kvrouter.Decision, error) {
@@ -79,7 +79,7 @@
 func cachedChange(sequence uint64, chunk, tokens int) kvrouter.ChunkChange {
 	return kvrouter.ChunkChange{
 		Sequence: sequence, Salt: salt(version), Model: model,
-		ID: fmt.Sprint("part ", chunk), Tokens: uint32(tokens), Removed: tokens < 1000,
+		ID: fmt.Sprint("chunk ", chunk), Tokens: uint32(tokens), Removed: tokens < 1000,
 	}
 }
 
@@ -87,7 +87,7 @@
 	return kvrouter.FeedPosition{Incarnation: epoch, From: from, Next: next}
 }
 
-var _ = Describe("Reports of chunks by their own IDs", func() {
+var _ = Describe("Reports of chunks by ID", func() {
 	var f *engineFleet
 
 	BeforeEach(func() {
@@ -118,7 +118,7 @@
 		Expect(overlap(late)).To(Equal(4000))
 	})
 
-	It("become guesses when some are lost, and are asked for anew", func() {
+	It("become predictions when some are lost, and a resync is needed", func() {
 		lost := kvrouter.FeedPosition{Incarnation: epoch, From: 9, Next: 10, Lost: true}
 		Expect(f.router.ChunksReported(late, "a", lost, []kvrouter.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(kvrouter.Gap))
 		Expect(overlap(late)).To(Equal(3000))
@@ -129,7 +129,7 @@
 		Expect(overlap(2 * late)).To(Equal(2000))
 	})
 
-	It("are taken in without the missing ones after a while", func() {
+	It("are applied without the missing ones after a while", func() {
 		f.router.ChunksReported(late, "a", feedPosition(4, 5), []kvrouter.ChunkChange{cachedChange(5, 3, 1000)})
 		Expect(overlap(late)).To(Equal(3000))
 		Expect(f.router.ResyncNeeded(late + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
@@ -144,7 +144,7 @@
 		Expect(overlap(late)).To(Equal(1000))
 	})
 
-	It("are ignored when a list is older than what is known", func() {
+	It("are ignored when a snapshot is older than the recorded state", func() {
 		Expect(f.router.ChunksReplaced(late, "a", epoch, 2, nil)).To(Equal(kvrouter.Stale))
 		Expect(overlap(late)).To(Equal(3000))
 		incarnation, sequence, snapshotOf := f.router.ChunksPosition("a")
@@ -170,7 +170,7 @@
 		Expect(overlap(2 * late)).To(Equal(4000))
 	})
 
-	It("take back a prediction when the chunk is gone or the attempt was cancelled", func() {
+	It("withdraw a prediction when the chunk is evicted or the attempt was cancelled", func() {
 		f.candidates = f.candidates[:1]
 		f.choose(late, longPrompt(4)).Reservation.Cancelled(late)
 		Expect(overlap(late)).To(Equal(3000))
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("Router under concurrent use", func() {
-	It("keeps its accounts and never picks what it was not offered", func() {
+	It("keeps its load consistent and never chooses a replica that is no candidate", func() {
 		f := newFleet(kvrouter.Options{}, "a", "b", "c", "d")
 		var workers sync.WaitGroup
 		var failures sync.Map
--- a/pkg/kvrouter/load_test.go
+++ b/pkg/kvrouter/load_test.go
@@ -59,7 +59,7 @@
 		Expect(f.router.Load(late+10*time.Second, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("takes over the load that a new router finds", func() {
+	It("adopts the load that a new router finds", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.isBusyWith(late, "a", 50, 90, 3)
 		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
@@ -67,7 +67,7 @@
 		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("keeps accounts of a replica that was forgotten apart from its successor", func() {
+	It("separates the load of a replica that was forgotten from its successor's", func() {
 		f := newFleet(slowLinks, "a")
 		reservation := f.choose(late, prompt(10)).Reservation
 		f.router.Forget("a")
--- a/pkg/kvrouter/mechanisms.go
+++ b/pkg/kvrouter/mechanisms.go
@@ -9,8 +9,8 @@
 	// PendingChunks assume that a replica caches a prompt as soon as it was sent
 	// there, by this router or by another one.
 	PendingChunks bool
-	// LearntSpeeds follow the speeds of pools, replicas and links.
-	LearntSpeeds bool
+	// LearnedSpeeds follow the speeds of pools, replicas and links.
+	LearnedSpeeds bool
 	// PrefixWaits hold requests back for earlier ones with the same beginning.
 	PrefixWaits bool
 	// PeerPulls and StorePulls transfer chunks from other replicas and from the store.
--- a/pkg/kvrouter/prefix_wait_test.go
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -11,8 +11,8 @@
 )
 
 // withSuffix is a prompt of shared chunks with one of its own at the end.
-func withSuffix(shared int, own string) []prefixindex.Chunk {
-	return append(longPrompt(shared), prefixindex.Chunk{ID: own, Tokens: 500})
+func withSuffix(shared int, suffix string) []prefixindex.Chunk {
+	return append(longPrompt(shared), prefixindex.Chunk{ID: suffix, Tokens: 500})
 }
 
 var _ = Describe("A prompt whose beginning is being read", func() {
--- a/pkg/kvrouter/pull_test.go
+++ b/pkg/kvrouter/pull_test.go
@@ -32,23 +32,23 @@
 			PrefillTokensPerSecond: prefillSpeed,
 			LinkLatency:            time.Millisecond,
 		}
-		f = newFleet(options, "holder", "taker")
-		f.caches("holder", links(prompt(blocks)))
+		f = newFleet(options, "source", "target")
+		f.caches("source", links(prompt(blocks)))
 	})
 
 	// measure tells the router a bandwidth at the time of the requests.
 	measure := func(from string, bytesPerSecond float64) {
-		f.isBusyWith(late, "taker", 0, 0, 0)
+		f.isBusyWith(late, "target", 0, 0, 0)
 		f.router.ObserveLinkBandwidth(from, "zone", bytesPerSecond)
 	}
 
-	// taken selects for the taker although the owner is a candidate.
+	// taken selects for the target although the source is a candidate.
 	selectTarget := func() kvrouter.Decision {
 		req := f.request(late, prompt(blocks))
-		f.isBusyWith(late, "holder", 0, 10*blocks, 1)
+		f.isBusyWith(late, "source", 0, 10*blocks, 1)
 		decision, err := f.router.Select(req, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(decision.Address).To(Equal("taker"))
+		Expect(decision.Address).To(Equal("target"))
 		return decision
 	}
 
@@ -57,16 +57,16 @@
 		const promptAndMemory = 2 * blocks
 		Expect(selectTarget().Cost).To(BeNumerically("~", promptAndMemory-credited*blocks, 0.2))
 	},
-		Entry("half the time, taken 1.25 times", 2.0, 1-1.25/2),
-		Entry("a quarter of the time, taken 1.25 times", 4.0, 1-1.25/4),
+		Entry("half the time, weighted 1.25 times", 2.0, 1-1.25/2),
+		Entry("a quarter of the time, weighted 1.25 times", 4.0, 1-1.25/4),
 		Entry("a tenth of the time: the credit of a peer", 10.0, kvrouter.DefaultPeerCredit))
 
 	It("fetches what is missing behind the replica's overlap, up to where the source ends", func() {
-		f.caches("taker", links(prompt(blocks))[:30])
-		f.router.Removed(0, "holder", firstIncarnation, 2, hashes(links(prompt(blocks))[90:91]))
+		f.caches("target", links(prompt(blocks))[:30])
+		f.router.Removed(0, "source", firstIncarnation, 2, hashes(links(prompt(blocks))[90:91]))
 		pull := selectTarget().Pull
 		Expect(pull).To(HaveValue(And(
-			HaveField("Source", "holder"),
+			HaveField("Source", "source"),
 			HaveField("FirstChunk", 30),
 			HaveField("LastChunk", 89),
 			HaveField("Tokens", uint32(60*blockTokens)),
@@ -78,14 +78,14 @@
 	It("counts the fetched chunks with the peer's credit, and not as prefill", func() {
 		decision := selectTarget()
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultPeerCredit*blocks+blocks))
-		Expect(f.router.Load(late, "taker").PrefillBlocks).To(BeZero())
+		Expect(f.router.Load(late, "target").PrefillBlocks).To(BeZero())
 	})
 
 	It("prefills when the link is too slow, as measured", func() {
 		measure("zone", slowLink)
 		decision := selectTarget()
 		Expect(decision.Pull).To(BeNil())
-		Expect(f.router.Load(late, "taker").PrefillBlocks).To(BeEquivalentTo(blocks))
+		Expect(f.router.Load(late, "target").PrefillBlocks).To(BeEquivalentTo(blocks))
 		measure("zone", 20*fastLink)
 		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
@@ -93,7 +93,7 @@
 	It("tries a link that was slow again after a while", func() {
 		measure("zone", slowLink)
 		Expect(selectTarget().Pull).To(BeNil())
-		f.isBusyWith(late+31*time.Second, "holder", 0, 10*blocks, 1)
+		f.isBusyWith(late+31*time.Second, "source", 0, 10*blocks, 1)
 		Expect(f.choose(late+31*time.Second, prompt(blocks)).Pull).NotTo(BeNil())
 	})
 
@@ -105,8 +105,8 @@
 			}
 			decision.Reservation.FirstToken(late + 4*time.Duration(prefillSeconds*float64(time.Second)))
 			decision.Reservation.Finish(late, false)
-			f.router.Removed(late, "taker", firstIncarnation, 1, nil)
-			f.router.Reset(late, "taker", firstIncarnation, 2, nil)
+			f.router.Removed(late, "target", firstIncarnation, 1, nil)
+			f.router.Reset(late, "target", firstIncarnation, 2, nil)
 		}
 		Fail("the router went on pulling over a slow link")
 	})
@@ -115,7 +115,7 @@
 		f.candidates = f.candidates[1:]
 		other := []prefixindex.Chunk{{ID: "other", Tokens: 10_000}}
 		f.choose(late, other).Reservation.FirstToken(late + 100*time.Millisecond)
-		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "holder", Zone: "zone", WeightVersion: version})
+		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "source", Zone: "zone", WeightVersion: version})
 		Expect(selectTarget().Pull).To(BeNil())
 	})
 
@@ -135,14 +135,14 @@
 		last := selectTarget()
 		Expect(last.Pull).To(BeNil())
 
-		f = newFleet(options, "holder", "taker")
-		f.caches("holder", links(prompt(blocks)))
+		f = newFleet(options, "source", "target")
+		f.caches("source", links(prompt(blocks)))
 		f.settings.BusyThresholdBlocks = 10 * blocks
 		Expect(selectTarget().Pull).To(BeNil())
 
-		f = newFleet(options, "holder", "taker")
-		f.caches("holder", links(prompt(blocks)))
-		f.router.Stored(late, "holder", firstIncarnation, 3, nil)
+		f = newFleet(options, "source", "target")
+		f.caches("source", links(prompt(blocks)))
+		f.router.Stored(late, "source", firstIncarnation, 3, nil)
 		Expect(selectTarget().Pull).To(BeNil())
 	})
 
@@ -153,7 +153,7 @@
 			decision.Reservation.Finish(late, false)
 		}
 		for range kvrouter.DefaultMaxPullsPerSource + 1 {
-			f.router.Reset(late, "taker", firstIncarnation, 1, nil)
+			f.router.Reset(late, "target", firstIncarnation, 1, nil)
 			decision := selectTarget()
 			Expect(decision.Pull).NotTo(BeNil())
 			decision.Reservation.FirstToken(late + decision.Pull.EstimatedTime)
@@ -161,13 +161,13 @@
 	})
 
 	It("pulls from the store, which is never chosen to run the request", func() {
-		f = newFleet(options, "taker")
+		f = newFleet(options, "target")
 		f.router.Stored(0, "store", 1, 1, links(prompt(blocks)))
 		req := f.request(late, prompt(blocks))
 		req.Store, req.StoreZone = "store", "zone"
 		decision, err := f.router.Select(req, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(decision.Address).To(Equal("taker"))
+		Expect(decision.Address).To(Equal("target"))
 		Expect(decision.Pull).To(HaveValue(HaveField("Source", "store")))
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultStoreCredit*blocks+blocks))
 		// A store that comes back empty has a new incarnation.
--- a/pkg/kvrouter/select_test.go
+++ b/pkg/kvrouter/select_test.go
@@ -14,7 +14,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// slowLinks make every pull dearer than prefill.
+// slowLinks make every pull slower than prefill.
 var slowLinks = kvrouter.Options{LinkBytesPerSecond: 1}
 
 var _ = Describe("Select", func() {
--- a/pkg/kvrouter/suite_test.go
+++ b/pkg/kvrouter/suite_test.go
@@ -36,7 +36,7 @@
 	settings   kvrouter.Settings
 }
 
-// newFleet returns a router that has known its replicas since time 0.
+// newFleet returns a router whose replicas were first seen at time 0.
 func newFleet(options kvrouter.Options, addresses ...string) *fleet {
 	f := &fleet{router: kvrouter.New(options), sequences: map[string]uint64{}, settings: kvrouter.DefaultSettings()}
 	for _, address := range addresses {
@@ -53,7 +53,7 @@
 // prompt is a prompt of chunks of one block each, named by position.
 func prompt(blocks int) []prefixindex.Chunk {
 	return lo.Times(blocks, func(position int) prefixindex.Chunk {
-		return prefixindex.Chunk{ID: fmt.Sprint("part ", position), Tokens: blockTokens}
+		return prefixindex.Chunk{ID: fmt.Sprint("chunk ", position), Tokens: blockTokens}
 	})
 }
 
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -95,7 +95,7 @@
 			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", kvrouter.SharedLoad{})
 		}
 		decision := f.choose(at, otherPrompt("x", 400))
-		// Half of the fifth router's 4,000 tokens were read, then the own 400 follow.
+		// Half of the fifth router's 4,000 tokens were computed, then the local 400 follow.
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 80*time.Millisecond, 3*time.Millisecond))
 	})
 
@@ -226,7 +226,7 @@
 		Expect(g.choose(late, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 37*time.Millisecond, 10*time.Microsecond))
 	})
 
-	It("waits for earlier moves of either end, and begins none that would wait long", func() {
+	It("waits for earlier transfers of either end, and starts none that would wait long", func() {
 		f.engine.LinkBitsPerSecond = 8e9
 		f.engine.PrefillTokensPerMillisecond = 1
 		f.engine.Slots = 0
@@ -294,7 +294,7 @@
 		other := append(longPrompt(2), prefixindex.Chunk{ID: "other", Tokens: 500})
 		Expect(g.choose(late, other).Save).To(BeFalse())
 		first.Reservation.FirstToken(late)
-		Expect(g.choose(late+15*time.Second, other).Save).To(BeTrue(), "its last part came before")
+		Expect(g.choose(late+15*time.Second, other).Save).To(BeTrue(), "its last chunk came before")
 		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		again := append(longPrompt(2), prefixindex.Chunk{ID: "third", Tokens: 500})
 		Expect(g.choose(late+time.Hour, again).Save).To(BeFalse())
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -109,7 +109,7 @@
 // learn updates the latency of the pool and the slowness of the replica and of
 // its links by the time to the first event.
 func (m *timeModel) learn(r *Reservation, now time.Duration) {
-	if r.waited || m.options.Disabled.LearntSpeeds {
+	if r.waited || m.options.Disabled.LearnedSpeeds {
 		return
 	}
 	took := milliseconds(now - r.startedAt)
--- a/pkg/prefixindex/benchmark_test.go
+++ b/pkg/prefixindex/benchmark_test.go
@@ -25,15 +25,15 @@
 func benchmarkChains() [][]prefixindex.Link {
 	chains := make([][]prefixindex.Link, benchmarkPrompts)
 	for prompt := range chains {
-		parts := make([]prefixindex.Chunk, benchmarkDepth)
-		for position := range parts {
+		chunks := make([]prefixindex.Chunk, benchmarkDepth)
+		for position := range chunks {
 			owner := prompt
 			if position < benchmarkDepth/2 {
 				owner = prompt / benchmarkFamily
 			}
-			parts[position] = prefixindex.Chunk{ID: fmt.Sprint(owner, "/", position), Tokens: 512}
+			chunks[position] = prefixindex.Chunk{ID: fmt.Sprint(owner, "/", position), Tokens: 512}
 		}
-		chains[prompt] = prefixindex.Chain("model", "salt", parts)
+		chains[prompt] = prefixindex.Chain("model", "salt", chunks)
 	}
 	return chains
 }
@@ -65,7 +65,7 @@
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "lookups/s")
-	b.ReportMetric(float64(b.N)*benchmarkDepth/b.Elapsed().Seconds(), "parts/s")
+	b.ReportMetric(float64(b.N)*benchmarkDepth/b.Elapsed().Seconds(), "chunks/s")
 }
 
 // BenchmarkLookupHotPrompt looks up one prompt on all cores.
@@ -138,10 +138,10 @@
 
 // BenchmarkMemory fills an index with a million pairs of a chunk and an owner,
 // and reports the growth of the heap for each pair. The case of one owner a
-// chunk is the dearest, since owners of one chunk share its slot.
+// chunk costs most, since owners of one chunk share its slot.
 func BenchmarkMemory(b *testing.B) {
 	for _, owners := range []int{1, 4, 16} {
-		b.Run(fmt.Sprint("holders=", owners), func(b *testing.B) { measureMemory(b, owners) })
+		b.Run(fmt.Sprint("owners=", owners), func(b *testing.B) { measureMemory(b, owners) })
 	}
 }
 
--- a/pkg/prefixindex/by_id_test.go
+++ b/pkg/prefixindex/by_id_test.go
@@ -13,11 +13,11 @@
 
 // promptByID is a prompt of chunks of 100 tokens each.
 func promptByID(ids ...string) []prefixindex.Link {
-	var parts []prefixindex.Chunk
+	var chunks []prefixindex.Chunk
 	for _, id := range ids {
-		parts = append(parts, prefixindex.Chunk{ID: id, Tokens: 100})
+		chunks = append(chunks, prefixindex.Chunk{ID: id, Tokens: 100})
 	}
-	return prefixindex.LinksByID("model", "salt", parts)
+	return prefixindex.LinksByID("model", "salt", chunks)
 }
 
 var _ = Describe("Chunks by ID", func() {
@@ -37,11 +37,11 @@
 		index.Overlaps(now, links, &overlaps)
 		return overlaps.Of(owner)
 	}
-	extent := func(parts int, tokens uint32) prefixindex.Extent {
-		return prefixindex.Extent{Chunks: parts, Tokens: tokens}
+	extent := func(chunks int, tokens uint32) prefixindex.Extent {
+		return prefixindex.Extent{Chunks: chunks, Tokens: tokens}
 	}
 
-	It("have the same name wherever they stand, under one model and salt", func() {
+	It("have the same hash at each position, under one model and salt", func() {
 		Expect(promptByID("x", "a")[1]).To(Equal(promptByID("a")[0]))
 		Expect(promptByID("a")[0].Hash).To(Equal(prefixindex.HashByID("model", "salt", "a")))
 		Expect(promptByID("a")[0].Hash).NotTo(Equal(prefixindex.HashByID("model", "other", "a")))
@@ -70,14 +70,14 @@
 		Expect(of(0).Reported).To(Equal(extent(0, 16)))
 	})
 
-	It("are taken for whole when they are predicted", func() {
+	It("count as complete when they are predicted", func() {
 		index.SetTokens(owner, links[0].Hash, 16)
 		index.PredictFor(0, time.Second, owner, links[:2])
 		Expect(of(0)).To(Equal(prefixindex.Overlap{Reported: extent(0, 16), Likely: extent(2, 200)}))
 		Expect(of(time.Second).Likely).To(Equal(extent(0, 16)))
 	})
 
-	It("become guesses when reports were lost, until they are reported again or time is over", func() {
+	It("become predictions when reports were lost, until they are reported again or the TTL ends", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner, links[1].Hash, 32)
 		index.DemoteReported(0, 10*time.Second, owner)
@@ -108,21 +108,21 @@
 
 	It("follow a simple model under random changes", func() {
 		random := rand.New(rand.NewPCG(7, 7))
-		const owners, parts = 70, 6
+		const owners, chunks = 70, 6
 		var ids []string
-		for number := range parts {
+		for number := range chunks {
 			ids = append(ids, fmt.Sprint(number))
 		}
 		links = promptByID(ids...)
-		var kept [owners][parts]uint32
+		var cached [owners][chunks]uint32
 		for range 5000 {
-			changed, part := random.IntN(owners), random.IntN(parts)
+			changed, chunk := random.IntN(owners), random.IntN(chunks)
 			tokens := uint32(random.IntN(3) * 50)
-			kept[changed][part] = tokens
-			index.SetTokens(prefixindex.Owner(changed), links[part].Hash, tokens)
+			cached[changed][chunk] = tokens
+			index.SetTokens(prefixindex.Owner(changed), links[chunk].Hash, tokens)
 			asked := random.IntN(owners)
 			want := prefixindex.Extent{}
-			for _, tokens := range kept[asked] {
+			for _, tokens := range cached[asked] {
 				want.Tokens += tokens
 				if tokens < 100 {
 					break
--- a/pkg/prefixindex/model_test.go
+++ b/pkg/prefixindex/model_test.go
@@ -115,14 +115,14 @@
 				links := randomPrompt(random)
 				overlaps := lookUp(index, now, links)
 				for _, owner := range modelOwners {
-					Expect(overlaps.Of(owner)).To(Equal(model.overlap(now, owner, links)), "seed %d change %d holder %d", seed, change, owner)
+					Expect(overlaps.Of(owner)).To(Equal(model.overlap(now, owner, links)), "seed %d change %d owner %d", seed, change, owner)
 				}
 			}
-			kept := 0
+			pairs := 0
 			for _, reported := range model.reported {
-				kept += len(reported)
+				pairs += len(reported)
 			}
-			Expect(index.Stats().Reported).To(Equal(kept))
+			Expect(index.Stats().Reported).To(Equal(pairs))
 		}
 	},
 		Entry("in one table, where runs are long", 1),
