--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -24,8 +24,8 @@
 
 // attempt is one request on a machine.
 type attempt struct {
-	request *workload.Request
-	placed  placement
+	request   *workload.Request
+	placement placement
 }
 
 // simulation replays a trace under one policy.
@@ -130,7 +130,7 @@
 		s.timers.Add(now+resubmitAfter, func(now time.Duration) { s.arrive(now, request) })
 		return
 	}
-	machine.attempts[handle] = &attempt{request: request, placed: placement}
+	machine.attempts[handle] = &attempt{request: request, placement: placement}
 	if placement.pull != nil {
 		s.pull(now, machine, handle, placement)
 	}
@@ -176,14 +176,14 @@
 		notified := machine.attempts[notice.Handle]
 		switch notice.Kind {
 		case emulator.NoticeFirstToken:
-			s.policy.firstToken(now, &notified.placed)
+			s.policy.firstToken(now, &notified.placement)
 			s.tallies.firstTokens = append(s.tallies.firstTokens, notice.At-notified.request.At)
 			s.updateOutcome(notified.request, func(outcome *Outcome) {
 				outcome.FirstToken = notice.At - notified.request.At
 				outcome.ReusedTokens = notice.ReusedTokens
 			})
 		case emulator.NoticeFinished:
-			s.policy.finished(now, &notified.placed, true)
+			s.policy.finished(now, &notified.placement, true)
 			s.updateOutcome(notified.request, func(outcome *Outcome) { outcome.Finished = notice.At - notified.request.At })
 			delete(machine.attempts, notice.Handle)
 			s.open--
--- a/internal/lab/enginebench/compare.go
+++ b/internal/lab/enginebench/compare.go
@@ -47,7 +47,7 @@
 	for _, profile := range profiles {
 		for _, load := range loads {
 			for _, variant := range variants {
-				at := len(rows)
+				row := len(rows)
 				rows = append(rows, Row{Fleet: profile.Name, Load: load, Name: variant.Name})
 				for _, seed := range seeds {
 					settings := Settings{
@@ -58,7 +58,7 @@
 						result := Run(settings)
 						lock.Lock()
 						defer lock.Unlock()
-						rows[at].Result.add(result, len(seeds))
+						rows[row].Result.add(result, len(seeds))
 					})
 				}
 			}
--- a/internal/lab/enginebench/memory.go
+++ b/internal/lab/enginebench/memory.go
@@ -47,8 +47,8 @@
 // pinned counts the tokens that can't be evicted.
 func (m *memory) pinned() int {
 	free := 0
-	for at := m.recent.Back(); at != nil; at = at.Prev() {
-		if chunk := at.Value.(*cachedChunk); chunk.pins == 0 {
+	for element := m.recent.Back(); element != nil; element = element.Prev() {
+		if chunk := element.Value.(*cachedChunk); chunk.pins == 0 {
 			free += alignToBlocks(chunk.cached)
 		}
 	}
@@ -77,10 +77,10 @@
 // running requests use too much.
 func (m *memory) reserve(tokens int) bool {
 	tokens = alignToBlocks(tokens)
-	for at := m.recent.Back(); at != nil && m.used+tokens > m.total; {
-		previous := at.Prev()
-		m.evict(at, m.used+tokens-m.total)
-		at = previous
+	for element := m.recent.Back(); element != nil && m.used+tokens > m.total; {
+		previous := element.Prev()
+		m.evict(element, m.used+tokens-m.total)
+		element = previous
 	}
 	if m.used+tokens > m.total {
 		return false
--- a/internal/lab/enginebench/result.go
+++ b/internal/lab/enginebench/result.go
@@ -72,7 +72,7 @@
 		class := &profile.Classes[position]
 		var outcomes []*outcome
 		for _, arrival := range arrivals {
-			if arrival.class != class || arrival.at < warmUp {
+			if arrival.class != class || arrival.arrivedAt < warmUp {
 				continue
 			}
 			if found := byArrival[arrival]; found != nil {
@@ -136,18 +136,18 @@
 	r.Refused, r.Preempted = r.refused, r.preempted
 	var times []time.Duration
 	for _, outcome := range r.outcomes {
-		if outcome.first > 0 && outcome.arrival.at >= warmUp {
+		if outcome.first > 0 && outcome.arrival.arrivedAt >= warmUp {
 			times = append(times, outcome.first)
 		}
 	}
 	slices.Sort(times)
-	at := func(quantile float64) time.Duration {
+	quantileOf := func(quantile float64) time.Duration {
 		if len(times) == 0 {
 			return 0
 		}
 		return times[int(quantile*float64(len(times)-1))]
 	}
-	r.TTFT50, r.TTFT95, r.TTFT99 = at(0.5), at(0.95), at(0.99)
+	r.TTFT50, r.TTFT95, r.TTFT99 = quantileOf(0.5), quantileOf(0.95), quantileOf(0.99)
 }
 
 // add adds the result of one of several seeds to their mean.
--- a/internal/lab/enginebench/router_node.go
+++ b/internal/lab/enginebench/router_node.go
@@ -43,7 +43,7 @@
 	settings   RouterSettings
 }
 
-func newRouterNode(s *simulation, number int) *routerNode {
+func newRouterNode(s *simulation, nodeNumber int) *routerNode {
 	engine := &s.settings.Profile.Engine
 	settings := RouterSettings{
 		Settings: kvrouter.DefaultEngineSettings(),
@@ -55,13 +55,13 @@
 	if s.settings.Tune != nil {
 		s.settings.Tune(&settings)
 	}
-	settings.Options.Name = fmt.Sprint(number)
-	n := &routerNode{sim: s, number: number, router: kvrouter.New(settings.Options), numbers: map[string]int{}, settings: settings}
-	for at, replica := range s.replicas {
+	settings.Options.Name = fmt.Sprint(nodeNumber)
+	n := &routerNode{sim: s, number: nodeNumber, router: kvrouter.New(settings.Options), numbers: map[string]int{}, settings: settings}
+	for number, replica := range s.replicas {
 		n.candidates = append(n.candidates, kvrouter.Candidate{
 			Address: replica.address, Zone: fmt.Sprint(replica.zone), WeightVersion: "1", Instance: replica.address,
 		})
-		n.numbers[replica.address] = at
+		n.numbers[replica.address] = number
 	}
 	return n
 }
--- a/internal/lab/enginebench/simulation.go
+++ b/internal/lab/enginebench/simulation.go
@@ -55,7 +55,7 @@
 	s.build()
 	arrivals := workload(&settings.Profile, settings.Load, settings.Duration, settings.Seed)
 	for _, arrival := range arrivals {
-		s.timers.Add(arrival.at, func(now time.Duration) { s.arrive(now, arrival, 0) })
+		s.timers.Add(arrival.arrivedAt, func(now time.Duration) { s.arrive(now, arrival, 0) })
 	}
 	s.timers.Add(0, s.sendChanges)
 	s.timers.Add(0, s.sendReports)
@@ -100,7 +100,7 @@
 	placed, retryAfter := node.route(now, arrival)
 	if retryAfter > 0 {
 		s.result.refused++
-		if attempt < 1 && now+retryAfter < arrival.at+arrival.class.Deadline {
+		if attempt < 1 && now+retryAfter < arrival.arrivedAt+arrival.class.Deadline {
 			s.timers.Add(now+retryAfter, func(now time.Duration) { s.arrive(now, arrival, attempt+1) })
 		}
 		return
@@ -110,7 +110,7 @@
 	request := &run{
 		arrival: arrival, priority: placed.priority, source: placed.source, save: placed.save, believed: placed.believed,
 		first: func(at time.Duration) {
-			outcome.first = at - arrival.at
+			outcome.first = at - arrival.arrivedAt
 			s.timers.Add(at, func(now time.Duration) { node.first(now, &placed) })
 		},
 		done: func(at time.Duration) {
--- a/internal/lab/enginebench/workload.go
+++ b/internal/lab/enginebench/workload.go
@@ -12,12 +12,12 @@
 
 // arrival is one request.
 type arrival struct {
-	at     time.Duration
-	number int
-	class  *Class
-	node   int
-	chunks []prefixindex.Chunk
-	out    int
+	arrivedAt time.Duration
+	number    int
+	class     *Class
+	node      int
+	chunks    []prefixindex.Chunk
+	out       int
 }
 
 func (a *arrival) promptTokens() int {
@@ -71,7 +71,7 @@
 			arrivals = append(arrivals, draw(random, class, at, profile.Nodes, sizes))
 		}
 	}
-	slices.SortFunc(arrivals, func(a, b *arrival) int { return int(a.at - b.at) })
+	slices.SortFunc(arrivals, func(a, b *arrival) int { return int(a.arrivedAt - b.arrivedAt) })
 	for number, arrival := range arrivals {
 		arrival.number = number
 		last := &arrival.chunks[len(arrival.chunks)-1]
@@ -81,7 +81,7 @@
 }
 
 func draw(random *rand.Rand, class *Class, at time.Duration, nodes int, sizes map[string]uint32) *arrival {
-	drawn := &arrival{at: at, class: class, node: random.IntN(nodes)}
+	drawn := &arrival{arrivedAt: at, class: class, node: random.IntN(nodes)}
 	// The variant of the last shared chunk determines those before it.
 	deepest := class.Shared[len(class.Shared)-1]
 	variant := drawVariant(random, deepest.Variants, deepest.Skew)
--- a/pkg/prefixindex/chunk_sizes.go
+++ b/pkg/prefixindex/chunk_sizes.go
@@ -33,8 +33,8 @@
 
 func newChunkSizes(maximum int) *chunkSizes {
 	created := &chunkSizes{maximum: int64(maximum)}
-	for at := range created.shards {
-		created.shards[at].byHash = make(map[ChainHash][]cachedSize)
+	for i := range created.shards {
+		created.shards[i].byHash = make(map[ChainHash][]cachedSize)
 	}
 	return created
 }
@@ -64,9 +64,9 @@
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	sizes := shard.byHash[hash]
-	for at := range sizes {
-		if sizes[at].owner == owner {
-			sizes[at] = cachedSize{owner: owner, tokens: tokens}
+	for i := range sizes {
+		if sizes[i].owner == owner {
+			sizes[i] = cachedSize{owner: owner, tokens: tokens}
 			return true
 		}
 	}
@@ -83,9 +83,9 @@
 	shard := s.shardOf(hash)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	for at := range shard.byHash[hash] {
-		if shard.byHash[hash][at].owner == owner {
-			shard.byHash[hash][at].uncertain = true
+	for i := range shard.byHash[hash] {
+		if shard.byHash[hash][i].owner == owner {
+			shard.byHash[hash][i].uncertain = true
 		}
 	}
 }
@@ -109,8 +109,8 @@
 	if s.count.Load() == 0 {
 		return
 	}
-	for at := range s.shards {
-		shard := &s.shards[at]
+	for i := range s.shards {
+		shard := &s.shards[i]
 		shard.mutex.Lock()
 		for hash := range shard.byHash {
 			s.clearLocked(shard, hash, func(size cachedSize) bool { return size.owner == owner })
--- a/pkg/prefixindex/partition.go
+++ b/pkg/prefixindex/partition.go
@@ -20,8 +20,8 @@
 func newPartition(shards int) *partition {
 	exponent := bits.Len(uint(shards - 1))
 	p := &partition{shards: make([]shard, 1<<exponent), shift: uint(64 - exponent)}
-	for at := range p.shards {
-		p.shards[at].init()
+	for i := range p.shards {
+		p.shards[i].init()
 	}
 	return p
 }
@@ -85,16 +85,16 @@
 
 func (p *partitions) drop(owner Owner) {
 	group, bit := p.partitionOf(owner)
-	for at := range group.shards {
-		group.shards[at].drop(bit)
+	for i := range group.shards {
+		group.shards[i].drop(bit)
 	}
 }
 
 // size counts the pairs of chunk and owner, and the bytes of the tables.
 func (p *partitions) size() (pairs, bytes int) {
 	for _, group := range p.all() {
-		for at := range group.shards {
-			shard := &group.shards[at]
+		for i := range group.shards {
+			shard := &group.shards[i]
 			pairs += int(shard.pairs.Load())
 			bytes += shard.table.Load().slots() * bytesPerSlot
 		}
@@ -106,8 +106,8 @@
 func (p *partitions) hashesOf(owner Owner) []ChainHash {
 	group, bit := p.partitionOf(owner)
 	var hashes []ChainHash
-	for at := range group.shards {
-		hashes = group.shards[at].appendHashesOf(hashes, bit)
+	for i := range group.shards {
+		hashes = group.shards[i].appendHashesOf(hashes, bit)
 	}
 	return hashes
 }
--- a/pkg/prefixindex/predictions.go
+++ b/pkg/prefixindex/predictions.go
@@ -77,7 +77,7 @@
 		return
 	}
 	p.expires[key] = expiry
-	p.queue.add(queuedExpiry{prediction: key, at: expiry})
+	p.queue.add(queuedExpiry{prediction: key, expiresAt: expiry})
 	p.partitions.put(key.owner, key.hash)
 }
 
@@ -138,7 +138,7 @@
 func (p *predictions) empty() bool { return p.nextExpiry.Load() == never }
 
 func (p *predictions) expireDue(now time.Duration) {
-	for len(p.queue) > 0 && p.queue[0].at <= now {
+	for len(p.queue) > 0 && p.queue[0].expiresAt <= now {
 		p.expireEarliest()
 	}
 }
@@ -147,7 +147,7 @@
 // renewed since.
 func (p *predictions) expireEarliest() {
 	first := p.queue.popEarliest()
-	if p.expires[first.prediction] == first.at {
+	if p.expires[first.prediction] == first.expiresAt {
 		p.forget(first.prediction)
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	live := p.queue[:0]
 	for _, queued := range p.queue {
-		if p.expires[queued.prediction] == queued.at {
+		if p.expires[queued.prediction] == queued.expiresAt {
 			live = append(live, queued)
 		}
 	}
@@ -182,20 +182,20 @@
 		p.nextExpiry.Store(never)
 		return
 	}
-	p.nextExpiry.Store(int64(p.queue[0].at))
+	p.nextExpiry.Store(int64(p.queue[0].expiresAt))
 }
 
 // queuedExpiry is the instant at which a prediction ends.
 type queuedExpiry struct {
 	prediction
-	at time.Duration
+	expiresAt time.Duration
 }
 
 // expiryQueue is a heap by instant, for container/heap.
 type expiryQueue []queuedExpiry
 
 func (q expiryQueue) Len() int           { return len(q) }
-func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q expiryQueue) Less(i, j int) bool { return q[i].expiresAt < q[j].expiresAt }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
 // add inserts an element, and popEarliest removes the earliest. Unlike heap.Push
--- a/pkg/prefixindex/table.go
+++ b/pkg/prefixindex/table.go
@@ -35,14 +35,14 @@
 func (t *table) slots() int { return int(t.mask) + 1 }
 
 func (t *table) load(slot uint64) (ChainHash, ownerSet) {
-	at := slot * wordsPerSlot
-	return ChainHash(atomic.LoadUint64(&t.words[at])), ownerSet(atomic.LoadUint64(&t.words[at+1]))
+	first := slot * wordsPerSlot
+	return ChainHash(atomic.LoadUint64(&t.words[first])), ownerSet(atomic.LoadUint64(&t.words[first+1]))
 }
 
 func (t *table) store(slot uint64, hash ChainHash, owners ownerSet) {
-	at := slot * wordsPerSlot
-	atomic.StoreUint64(&t.words[at], uint64(hash))
-	atomic.StoreUint64(&t.words[at+1], uint64(owners))
+	first := slot * wordsPerSlot
+	atomic.StoreUint64(&t.words[first], uint64(hash))
+	atomic.StoreUint64(&t.words[first+1], uint64(owners))
 }
 
 // home returns the slot at which the search for a hash begins.
