--- a/pkg/claims/attempt.go
+++ b/pkg/claims/attempt.go
@@ -1,70 +1,87 @@
 package claims
 
 import (
+	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// startAttempt starts a round: the first one asks, all others renew.
-func (m *Machine) startAttempt(now time.Duration, begun *claim) []Outbound {
-	begun.attempt = m.newAttempt(now, begun)
-	begun.nextSendAt = now + m.config.ResendInterval
-	return m.deliver(now, m.messages(begun, begun.requestKind()))
+// attempt is one request to all homes, to grant a claim or to renew it, with the
+// replies to it.
+type attempt struct {
+	number uint64
+	epoch  uint64
+	// sentAt is when the first message of the attempt was sent.
+	sentAt time.Duration
+	// homes are those of each set.
+	homes   [][]member.ID
+	replies map[member.ID]Kind
 }
 
-// newAttempt returns an empty round to the homes of the present directory.
-func (m *Machine) newAttempt(now time.Duration, begun *claim) attempt {
-	return attempt{
-		number:  begun.attempt.number + 1,
-		epoch:   m.directory.epoch(),
-		sentAt:  now,
-		homes:   m.directory.homes(begun.key, m.config.HomesPerKey),
-		replies: make(map[member.ID]Kind),
+// allHomes returns all homes, each once.
+func (a *attempt) allHomes() []member.ID {
+	var all []member.ID
+	for _, homes := range a.homes {
+		for _, id := range homes {
+			if !slices.Contains(all, id) {
+				all = append(all, id)
+			}
+		}
+	}
+	return all
+}
+
+// addReply records a reply. What was granted once in an attempt stays granted.
+func (a *attempt) addReply(from member.ID, reply Kind) {
+	if a.replies[from] != Granted || reply == Granted {
+		a.replies[from] = reply
 	}
 }
 
-// requestKind returns the kind of message by which a claim speaks to its homes.
-func (c *claim) requestKind() Kind {
-	if c.acquired {
-		return Renew
+// granted tells whether a majority has granted in every set.
+func (a *attempt) granted() bool {
+	for _, homes := range a.homes {
+		grants, _ := a.count(homes)
+		if grants < majority(len(homes)) {
+			return false
+		}
 	}
-	return Acquire
+	return len(a.homes) > 0
 }
 
-// resend repeats the round's message to homes that have not granted. One that
-// was not ready may be so now.
-func (m *Machine) resend(now time.Duration, silent *claim) []Outbound {
-	silent.nextSendAt = now + m.config.ResendInterval
-	var again []Outbound
-	for _, message := range m.messages(silent, silent.requestKind()) {
-		if silent.attempt.replies[message.To] != Granted {
-			again = append(again, message)
+// hopeless tells whether some set can no longer have a majority.
+func (a *attempt) hopeless() bool {
+	for _, homes := range a.homes {
+		_, rejections := a.count(homes)
+		if len(homes)-rejections < majority(len(homes)) {
+			return true
 		}
 	}
-	return m.deliver(now, again)
+	return false
 }
 
-// messages returns a message to every home of a claim's round.
-func (m *Machine) messages(about *claim, kind Kind) []Outbound {
-	var out []Outbound
-	for _, id := range about.attempt.allHomes() {
-		out = append(out, Outbound{To: id, Message: Message{
-			Kind: kind, Key: about.key, Incarnation: m.config.Incarnation, Number: about.number, Attempt: about.attempt.number, Epoch: about.attempt.epoch,
-		}})
+// count returns how many of some homes have granted, and how many have rejected.
+func (a *attempt) count(homes []member.ID) (grants, rejections int) {
+	for _, id := range homes {
+		reply, replied := a.replies[id]
+		switch {
+		case !replied:
+		case reply == Granted:
+			grants++
+		default:
+			rejections++
+		}
 	}
-	return out
+	return grants, rejections
 }
 
-// deliver takes in at once what the node sends to itself, and returns the rest.
-func (m *Machine) deliver(now time.Duration, messages []Outbound) []Outbound {
-	var out []Outbound
-	for _, message := range messages {
-		if message.To == m.config.Self {
-			out = append(out, m.Step(now, m.config.Self, message.Message)...)
-			continue
+// conflicting tells whether a home remembers another claim of the key.
+func (a *attempt) conflicting() bool {
+	for _, reply := range a.replies {
+		if reply == Conflict {
+			return true
 		}
-		out = append(out, message)
 	}
-	return out
+	return false
 }
--- a/pkg/claims/claim.go
+++ b/pkg/claims/claim.go
@@ -1,7 +1,6 @@
 package claims
 
 import (
-	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -14,80 +13,30 @@
 	acquired bool
 	// deadline is when an undecided claim is given up.
 	deadline time.Duration
-	// validUntil is when a held claim is lost.
+	// validUntil is when an acquired claim is lost.
 	validUntil time.Duration
-	// nextSendAt is when silent homes are asked again, or the next round begins.
+	// nextSendAt is when homes that have not replied are sent the message again, or the
+	// next attempt begins.
 	nextSendAt time.Duration
 	attempt    attempt
 }
 
-// attempt is one asking or renewal of all homes.
-type attempt struct {
-	number uint64
-	epoch  uint64
-	// sentAt is when the first message of the round was sent.
-	sentAt time.Duration
-	// homes are those of each set.
-	homes [][]member.ID
-	// replies are what the homes have said.
-	replies map[member.ID]Kind
-}
-
-// allHomes returns all homes, each once.
-func (r *attempt) allHomes() []member.ID {
-	var all []member.ID
-	for _, homes := range r.homes {
-		for _, id := range homes {
-			if !slices.Contains(all, id) {
-				all = append(all, id)
-			}
-		}
+// requestKind returns the kind of message that the claim sends to its homes.
+func (c *claim) requestKind() Kind {
+	if c.acquired {
+		return Renew
 	}
-	return all
+	return Acquire
 }
 
-// count returns how many of some homes have answered so.
-func (r *attempt) count(homes []member.ID, matches func(Kind) bool) int {
-	count := 0
+// messages returns a message to every home of the claim's attempt.
+func (c *claim) messages(kind Kind, incarnation member.Incarnation) []Outbound {
+	homes := c.attempt.allHomes()
+	out := make([]Outbound, 0, len(homes))
 	for _, id := range homes {
-		if answer, answered := r.replies[id]; answered && matches(answer) {
-			count++
-		}
+		out = append(out, Outbound{To: id, Message: Message{
+			Kind: kind, Key: c.key, Incarnation: incarnation, Number: c.number, Attempt: c.attempt.number, Epoch: c.attempt.epoch,
+		}})
 	}
-	return count
-}
-
-// granted tells whether a majority has granted in every set.
-func (r *attempt) granted() bool {
-	for _, homes := range r.homes {
-		if r.count(homes, isGranted) < majority(len(homes)) {
-			return false
-		}
-	}
-	return len(r.homes) > 0
-}
-
-// hopeless tells whether some set can no longer have a majority.
-func (r *attempt) hopeless() bool {
-	for _, homes := range r.homes {
-		refused := r.count(homes, func(answer Kind) bool { return !isGranted(answer) })
-		if len(homes)-refused < majority(len(homes)) {
-			return true
-		}
-	}
-	return false
-}
-
-// conflicting tells whether a home knows another claim.
-func (r *attempt) conflicting() bool {
-	for _, answer := range r.replies {
-		if answer == Conflict {
-			return true
-		}
-	}
-	return false
-}
-
-func isGranted(answer Kind) bool {
-	return answer == Granted
+	return out
 }
--- a/pkg/claims/cluster_test.go
+++ b/pkg/claims/cluster_test.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// remember is short, so that windows pass often.
-const remember = 2 * time.Second
+// retention is short, so that it passes often.
+const retention = 2 * time.Second
 
 // step is how often nodes tick.
 const step = 10 * time.Millisecond
@@ -53,11 +53,11 @@
 // peer is a node of the cluster.
 type peer struct {
 	id          member.ID
-	life        member.Incarnation
+	incarnation member.Incarnation
 	machine     *claims.Machine
 	open        map[claims.Number]*submission
 	frozenUntil time.Duration
-	// inbox holds what comes while the node is frozen.
+	// inbox has what arrives while the node is frozen.
 	inbox []packet
 	// adopted is how many directories the node has followed.
 	adopted int
@@ -65,13 +65,14 @@
 
 // run is a request that was sent to a back end.
 type run struct {
-	node    *peer
-	life    member.Incarnation
-	number  claims.Number
-	start   time.Duration
-	end     time.Duration
-	ended   bool
-	spoiled bool
+	node        *peer
+	incarnation member.Incarnation
+	number      claims.Number
+	start       time.Duration
+	end         time.Duration
+	ended       bool
+	// interrupted tells that the node was restarted or frozen meanwhile.
+	interrupted bool
 }
 
 // cluster is a deployment in virtual time.
@@ -81,11 +82,12 @@
 	wire   wire
 	order  int
 	peers  []*peer
-	// loss, late and twice are the faults of the network.
-	loss, twice float64
-	latest      time.Duration
-	// cut holds pairs of nodes that do not reach each other.
-	cut map[[2]member.ID]bool
+	// loss and duplication are the chances of a fault of a message; it takes less than
+	// maxDelay.
+	loss, duplication float64
+	maxDelay          time.Duration
+	// blocked are pairs of nodes of which the first does not reach the second.
+	blocked map[[2]member.ID]bool
 	// plans are the directories in their order; barrierAt is when the last
 	// one may be followed by one without the older set.
 	plans     [][]claims.Set
@@ -96,8 +98,8 @@
 
 func newCluster(seed uint64, size int) *cluster {
 	c := &cluster{
-		random: rand.New(rand.NewPCG(seed, 9)), latest: 20 * time.Millisecond,
-		cut: map[[2]member.ID]bool{}, runs: map[claims.Key][]*run{}, outcomes: map[claims.Outcome]int{},
+		random: rand.New(rand.NewPCG(seed, 9)), maxDelay: 20 * time.Millisecond,
+		blocked: map[[2]member.ID]bool{}, runs: map[claims.Key][]*run{}, outcomes: map[claims.Outcome]int{},
 	}
 	var members []member.ID
 	for number := range size {
@@ -112,19 +114,19 @@
 	return c
 }
 
-// restart begins a new life of a node. Its runs go on without it.
+// restart begins a new incarnation of a node. Its runs go on without it.
 func (c *cluster) restart(p *peer) {
-	p.life++
+	p.incarnation++
 	p.open = map[claims.Number]*submission{}
 	p.inbox = nil
 	p.frozenUntil = 0
 	p.adopted = len(c.plans) - 1
-	p.machine = claims.New(claims.Config{Self: p.id, Incarnation: p.life, Retention: remember}, c.now)
+	p.machine = claims.New(claims.Config{Self: p.id, Incarnation: p.incarnation, Retention: retention}, c.now)
 	p.machine.SetDirectory(c.plans[p.adopted])
 	for _, runs := range c.runs {
 		for _, running := range runs {
 			if running.node == p && !running.ended {
-				running.spoiled = true
+				running.interrupted = true
 			}
 		}
 	}
@@ -132,16 +134,16 @@
 
 func (c *cluster) send(from member.ID, out []claims.Outbound) {
 	for _, one := range out {
-		if c.random.Float64() < c.loss || c.cut[[2]member.ID{from, one.To}] {
+		if c.random.Float64() < c.loss || c.blocked[[2]member.ID{from, one.To}] {
 			continue
 		}
 		copies := 1
-		if c.random.Float64() < c.twice {
+		if c.random.Float64() < c.duplication {
 			copies = 2
 		}
 		for range copies {
 			c.order++
-			delay := time.Duration(c.random.Int64N(int64(c.latest)))
+			delay := time.Duration(c.random.Int64N(int64(c.maxDelay)))
 			heap.Push(&c.wire, packet{at: c.now + delay, order: c.order, from: from, to: one.To, message: one.Message})
 		}
 	}
@@ -161,7 +163,7 @@
 	return number
 }
 
-// collect takes a node's decisions in.
+// collect records a node's decisions.
 func (c *cluster) collect(p *peer) {
 	for _, decision := range p.machine.Decisions() {
 		c.outcomes[decision.Outcome]++
@@ -201,17 +203,17 @@
 	c.collect(p)
 }
 
-// act is what a node does at each step. One that wakes sends before it reads
-// what has come meanwhile, which is the worst that it can do.
+// act is what a node does at each step. One that wakes sends before it reads what has
+// arrived in the meantime, which is the worst that it can do.
 func (c *cluster) act(p *peer) {
 	for _, number := range sortedNumbers(p.open) {
-		if held := p.open[number]; held.decided && held.sendAt <= c.now {
+		if due := p.open[number]; due.decided && due.sendAt <= c.now {
 			delete(p.open, number)
-			c.start(p, held)
+			c.start(p, due)
 		}
 	}
-	for _, waited := range p.inbox {
-		c.send(p.id, p.machine.Step(c.now, waited.from, waited.message))
+	for _, received := range p.inbox {
+		c.send(p.id, p.machine.Step(c.now, received.from, received.message))
 	}
 	p.inbox = nil
 	c.send(p.id, p.machine.Tick(c.now))
@@ -224,22 +226,22 @@
 	}
 }
 
-// start sends a request to a back end if its claim still holds.
-func (c *cluster) start(p *peer, held *submission) {
-	if !p.machine.MayRun(c.now, held.number) {
-		c.send(p.id, p.machine.End(c.now, held.number, false))
+// start sends a request to a back end if its claim is still valid.
+func (c *cluster) start(p *peer, due *submission) {
+	if !p.machine.MayRun(c.now, due.number) {
+		c.send(p.id, p.machine.End(c.now, due.number, false))
 		return
 	}
-	lasts := time.Duration(c.random.Int64N(int64(2 * remember)))
-	begun := &run{node: p, life: p.life, number: held.number, start: c.now, end: c.now + lasts}
-	c.runs[held.key] = append(c.runs[held.key], begun)
+	duration := time.Duration(c.random.Int64N(int64(2 * retention)))
+	started := &run{node: p, incarnation: p.incarnation, number: due.number, start: c.now, end: c.now + duration}
+	c.runs[due.key] = append(c.runs[due.key], started)
 }
 
 func (c *cluster) runningOn(p *peer) []*run {
 	var running []*run
 	for _, runs := range c.runs {
 		for _, one := range runs {
-			if one.node == p && one.life == p.life && !one.ended {
+			if one.node == p && one.incarnation == p.incarnation && !one.ended {
 				running = append(running, one)
 			}
 		}
@@ -252,11 +254,11 @@
 func (c *cluster) freeze(p *peer, duration time.Duration) {
 	p.frozenUntil = c.now + duration
 	for _, running := range c.runningOn(p) {
-		running.spoiled = true
+		running.interrupted = true
 	}
 }
 
-// changeDirectory begins to replace the set, unless a change is under way.
+// changeDirectory begins to replace the set, unless a change is in progress.
 func (c *cluster) changeDirectory(members []member.ID) {
 	newest := c.plans[len(c.plans)-1]
 	if len(newest) > 1 {
@@ -284,7 +286,7 @@
 		return
 	}
 	if c.barrierAt == 0 {
-		c.barrierAt = c.now + remember
+		c.barrierAt = c.now + retention
 	}
 	if c.now >= c.barrierAt {
 		c.plans = append(c.plans, newest[1:])
@@ -293,32 +295,32 @@
 
 // checkOneMayRun checks that no two nodes may send the same request.
 func (c *cluster) checkOneMayRun() {
-	holders := map[claims.Key]member.ID{}
+	claimants := map[claims.Key]member.ID{}
 	for _, p := range c.peers {
 		for _, open := range p.open {
 			if !p.machine.MayRun(c.now, open.number) {
 				continue
 			}
-			Expect(holders).NotTo(HaveKey(open.key), "two claims hold at %v", c.now)
-			holders[open.key] = p.id
+			Expect(claimants).NotTo(HaveKey(open.key), "two claims are valid at %v", c.now)
+			claimants[open.key] = p.id
 		}
 	}
 }
 
 // checkRuns checks how far apart two runs of one request are.
-func (c *cluster) checkRuns() (twice int) {
+func (c *cluster) checkRuns() (repeated int) {
 	for _, runs := range c.runs {
 		for at := 1; at < len(runs); at++ {
 			before, after := runs[at-1], runs[at]
-			Expect(after.start-before.start).To(BeNumerically(">", remember/8), "runs that begin together")
-			if !before.spoiled {
+			Expect(after.start-before.start).To(BeNumerically(">", retention/8), "runs that begin together")
+			if !before.interrupted {
 				Expect(before.ended).To(BeTrue(), "a run beside a run that goes on")
-				Expect(after.start-before.end).To(BeNumerically(">=", remember/4), "a run soon after another")
+				Expect(after.start-before.end).To(BeNumerically(">=", retention/4), "a run soon after another")
 			}
-			twice++
+			repeated++
 		}
 	}
-	return twice
+	return repeated
 }
 
 func sortedNumbers(open map[claims.Number]*submission) []claims.Number {
--- a/pkg/claims/config.go
+++ b/pkg/claims/config.go
@@ -14,33 +14,35 @@
 	DefaultRetention = time.Minute
 	// DefaultDecisionTimeout bounds the time until a claim is decided.
 	DefaultDecisionTimeout = 250 * time.Millisecond
-	// DefaultResendInterval is the time between two askings of a silent home.
+	// DefaultResendInterval is the time between two messages to a home that does not
+	// reply.
 	DefaultResendInterval = 60 * time.Millisecond
 	// DefaultMaxEntries bounds what a home remembers.
 	DefaultMaxEntries = 1 << 18
 )
 
 const (
-	// marginDivisor is the part of Remember that allows for clocks that run at
-	// different rates.
+	// marginDivisor is the fraction of the retention that allows for clocks that run at
+	// different rates: an eighth.
 	marginDivisor = 8
-	// renewDivisor is the part of Remember after which a claim is renewed.
+	// renewDivisor is the fraction of the retention after which a claim is renewed: a
+	// quarter.
 	renewDivisor = 4
 )
 
 // Config sets up a Machine. Zero values mean the defaults, where there are any.
 type Config struct {
 	Self member.ID
-	// Incarnation tells this process from every other that bore the name.
+	// Incarnation distinguishes this process from every other that had the name.
 	Incarnation member.Incarnation
 	// HomesPerKey is the number of homes of a key. All nodes have the same.
 	HomesPerKey int
-	// Retention is how long homes remember a claim after its last sign of life,
-	// and how long they grant nothing after a start. All nodes have the same.
+	// Retention is how long homes remember a claim after its last renewal, and, but for
+	// a margin, how long they grant nothing after a start. All nodes have the same.
 	Retention time.Duration
 	// DecisionTimeout bounds the time until a claim is decided.
 	DecisionTimeout time.Duration
-	// ResendInterval is the time between two askings of a silent home.
+	// ResendInterval is the time between two messages to a home that does not reply.
 	ResendInterval time.Duration
 	// MaxEntries bounds the claims that this node remembers as a home.
 	MaxEntries int
--- a/pkg/claims/directory.go
+++ b/pkg/claims/directory.go
@@ -1,6 +1,7 @@
 package claims
 
 import (
+	"cmp"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -14,7 +15,7 @@
 	Members []member.ID
 }
 
-// directory holds the sets that have to agree to a claim, the newest last.
+// directory is the sets that have to agree to a claim, the newest last.
 type directory []Set
 
 // epoch returns the epoch of the newest set.
@@ -48,16 +49,7 @@
 		all[at] = ranked{id: id, weight: xxhash.Sum64(append(key[:len(key):len(key)], id...))}
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
-		if a.weight != b.weight {
-			if a.weight > b.weight {
-				return -1
-			}
-			return 1
-		}
-		if a.id < b.id {
-			return -1
-		}
-		return 1
+		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id))
 	})
 	homes := make([]member.ID, min(count, len(all)))
 	for at := range homes {
@@ -66,7 +58,7 @@
 	return homes
 }
 
-// majority returns how many of a number of homes have to agree.
+// majority returns how many of a number of homes are a majority.
 func majority(homes int) int {
 	return homes/2 + 1
 }
--- a/pkg/claims/home.go
+++ b/pkg/claims/home.go
@@ -13,24 +13,29 @@
 	number      Number
 }
 
+func idOf(from member.ID, message Message) claimID {
+	return claimID{claimant: from, incarnation: message.Incarnation, number: message.Number}
+}
+
 // entry is a claim that a home remembers.
 type entry struct {
 	claim     claimID
 	expiresAt time.Duration
 }
 
-// home is what a node remembers for others.
+// home is the claims that a node remembers for others, one of each key at most. An
+// entry is removed only when it has expired, or is released by its claim.
 type home struct {
 	retention  time.Duration
 	maxEntries int
-	// readyAt is when all that an earlier life granted is forgotten.
+	// readyAt is when all that an earlier incarnation granted has expired.
 	readyAt time.Duration
 	entries map[Key]entry
-	// sweepAt is when forgotten entries are next removed.
+	// sweepAt is when expired entries are next removed.
 	sweepAt time.Duration
 }
 
-// newHome returns the memory of a node that starts at the time now.
+// newHome returns the home of a node that starts at the time now.
 func newHome(config Config, now time.Duration) *home {
 	return &home{
 		retention:  config.Retention,
@@ -41,32 +46,32 @@
 	}
 }
 
-// handleRequest decides over an asking or a renewal, and remembers what it grants.
-func (h *home) handleRequest(now time.Duration, from member.ID, asked Message) Kind {
-	claim := claimID{claimant: from, incarnation: asked.Incarnation, number: asked.Number}
-	known, present := h.entries[asked.Key]
-	present = present && known.expiresAt > now
+// handleRequest decides on a request or a renewal, and remembers what it grants.
+func (h *home) handleRequest(now time.Duration, from member.ID, request Message) Kind {
+	claim := idOf(from, request)
+	remembered, present := h.entries[request.Key]
+	present = present && remembered.expiresAt > now
 	switch {
-	case present && known.claim != claim:
+	case present && remembered.claim != claim:
 		return Conflict
-	case !present && asked.Kind == Acquire && now < h.readyAt:
+	case !present && request.Kind == Acquire && now < h.readyAt:
 		return NotReady
 	case !present && h.full(now):
 		return Full
 	}
-	h.entries[asked.Key] = entry{claim: claim, expiresAt: now + h.retention}
+	h.entries[request.Key] = entry{claim: claim, expiresAt: now + h.retention}
 	return Granted
 }
 
 // release forgets a claim whose request has not run.
-func (h *home) release(from member.ID, released Message) {
-	claim := claimID{claimant: from, incarnation: released.Incarnation, number: released.Number}
-	if known, present := h.entries[released.Key]; present && known.claim == claim {
-		delete(h.entries, released.Key)
+func (h *home) release(from member.ID, message Message) {
+	if remembered, present := h.entries[message.Key]; present && remembered.claim == idOf(from, message) {
+		delete(h.entries, message.Key)
 	}
 }
 
-// full tells whether there is no room even after what is forgotten is removed.
+// full tells whether the home can remember no more claims, after it has removed those
+// that have expired.
 func (h *home) full(now time.Duration) bool {
 	if len(h.entries) < h.maxEntries {
 		return false
@@ -75,7 +80,7 @@
 	return len(h.entries) >= h.maxEntries
 }
 
-// sweep removes what is forgotten.
+// sweep removes the entries that have expired.
 func (h *home) sweep(now time.Duration) {
 	for key, remembered := range h.entries {
 		if remembered.expiresAt <= now {
@@ -84,7 +89,7 @@
 	}
 }
 
-// tick sweeps now and then.
+// tick sweeps a few times per retention.
 func (h *home) tick(now time.Duration) {
 	if now < h.sweepAt {
 		return
--- a/pkg/claims/machine.go
+++ b/pkg/claims/machine.go
@@ -12,14 +12,16 @@
 // ErrNoDirectory is returned while the node knows no set of homes.
 var ErrNoDirectory = errors.New("claims: no directory of homes is known yet: send the request to another node or try again")
 
-// Machine claims keys for its node, and is a home for other nodes' claims.
+// Machine claims keys for its node, and is a home for other nodes' claims. It is not
+// safe for concurrent use.
 type Machine struct {
 	config    Config
 	directory directory
 	home      *home
 	claims    map[Number]*claim
-	// numbers holds the numbers of the claims, ascending.
-	numbers   []Number
+	// numbers are those of claims, ascending: the order in which Tick visits them.
+	numbers []Number
+	// last is the number of the newest claim.
 	last      Number
 	decisions []Decision
 	// newestEpoch is the newest epoch that a claimant named.
@@ -32,9 +34,9 @@
 	return &Machine{config: config, home: newHome(config, now), claims: make(map[Number]*claim)}
 }
 
-// SetDirectory replaces the sets that have to agree to a claim, the newest
-// last. The package comment says when a set may be left out. Older directories
-// than the present one are ignored.
+// SetDirectory replaces the sets that have to agree to a claim, the newest last. The
+// package comment says when a set may be left out. Directories older than the present
+// one are ignored.
 func (m *Machine) SetDirectory(sets []Set) {
 	next := directory(sets)
 	if next.epoch() < m.directory.epoch() {
@@ -43,50 +45,49 @@
 	m.directory = slices.Clone(next)
 }
 
-// Claim asks for a key. The decision comes out of Decisions, at the latest
-// Config.DecisionTimeout later.
+// Claim requests a key. The decision comes out of Decisions, at the latest
+// Config.DecisionTimeout later. It fails with ErrNoDirectory.
 func (m *Machine) Claim(now time.Duration, key Key) (Number, []Outbound, error) {
 	if len(m.directory) == 0 {
 		return 0, nil, errors.WithStack(ErrNoDirectory)
 	}
 	m.last++
-	asked := &claim{number: m.last, key: key, deadline: now + m.config.DecisionTimeout}
-	m.claims[asked.number] = asked
-	m.numbers = append(m.numbers, asked.number)
-	return asked.number, m.startAttempt(now, asked), nil
+	claim := &claim{number: m.last, key: key, deadline: now + m.config.DecisionTimeout}
+	m.claims[claim.number] = claim
+	m.numbers = append(m.numbers, claim.number)
+	return claim.number, m.startAttempt(now, claim), nil
 }
 
-// MayRun tells whether a held claim is still valid, so that its request may be
+// MayRun tells whether an acquired claim is still valid, so that its request may be
 // sent to a back end now.
 func (m *Machine) MayRun(now time.Duration, number Number) bool {
-	held, present := m.claims[number]
-	return present && held.acquired && now < held.validUntil
+	claim, present := m.claims[number]
+	return present && claim.acquired && now < claim.validUntil
 }
 
-// End ends a held claim. A request that may have run is remembered from now
-// on; one that has certainly not run may be claimed again.
+// End ends a claim. The key of a request that may have run is remembered from now on;
+// that of one that has certainly not run may be claimed again.
 func (m *Machine) End(now time.Duration, number Number, mayHaveRun bool) []Outbound {
-	held, present := m.claims[number]
+	claim, present := m.claims[number]
 	if !present {
 		return nil
 	}
-	lost := held.acquired && now >= held.validUntil
 	if !mayHaveRun {
-		return m.release(now, held)
+		return m.release(now, claim)
 	}
-	m.forget(held)
-	if lost {
+	m.forget(claim)
+	if lost := claim.acquired && now >= claim.validUntil; lost {
 		return nil
 	}
-	held.attempt = m.newAttempt(now, held)
-	return m.deliver(now, m.messages(held, Renew))
+	claim.attempt = m.newAttempt(now, claim)
+	return m.send(now, claim.messages(Renew, m.config.Incarnation))
 }
 
 // Decisions returns the decisions since the last call.
 func (m *Machine) Decisions() []Decision {
-	decided := m.decisions
+	decisions := m.decisions
 	m.decisions = nil
-	return decided
+	return decisions
 }
 
 // EntryCount returns how many claims this node remembers as a home.
@@ -94,13 +95,13 @@
 	return len(m.home.entries)
 }
 
-// Step takes a message in.
+// Step handles a message from another node.
 func (m *Machine) Step(now time.Duration, from member.ID, message Message) []Outbound {
 	switch message.Kind {
 	case Acquire, Renew:
-		answer := message
-		answer.Kind = m.handleRequest(now, from, message)
-		return m.deliver(now, []Outbound{{To: from, Message: answer}})
+		reply := message
+		reply.Kind = m.handleRequest(now, from, message)
+		return m.send(now, []Outbound{{To: from, Message: reply}})
 	case Release:
 		m.home.release(from, message)
 		return nil
@@ -111,110 +112,154 @@
 	}
 }
 
-// Tick asks silent homes again, renews what is held, and gives up what was not
-// decided in time. A few ticks in Config.ResendInterval are enough.
+// Tick sends to homes again that have not replied, renews the claims that are
+// acquired, and gives up those that were not decided in time. A few ticks in
+// Config.ResendInterval are enough.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.home.tick(now)
 	var out []Outbound
 	for _, number := range slices.Clone(m.numbers) {
-		if present, open := m.claims[number]; open {
-			out = append(out, m.tickClaim(now, present)...)
+		if claim, present := m.claims[number]; present {
+			out = append(out, m.tickClaim(now, claim)...)
 		}
 	}
 	return out
 }
 
 // tickClaim does what is due for one claim.
-func (m *Machine) tickClaim(now time.Duration, due *claim) []Outbound {
+func (m *Machine) tickClaim(now time.Duration, claim *claim) []Outbound {
 	switch {
-	case !due.acquired && now >= due.deadline:
-		return m.reject(now, due)
-	case due.acquired && now >= due.validUntil:
-		// Lost for good; End finds it so, and MayRun refuses.
+	case !claim.acquired && now >= claim.deadline:
+		return m.reject(now, claim)
+	case claim.acquired && now >= claim.validUntil:
+		// Lost for good; End finds it so, and MayRun is false.
 		return nil
-	case now < due.nextSendAt:
+	case now < claim.nextSendAt:
 		return nil
-	case due.acquired && (due.attempt.granted() || due.attempt.epoch != m.directory.epoch()):
-		return m.startAttempt(now, due)
+	case claim.acquired && (claim.attempt.granted() || claim.attempt.epoch != m.directory.epoch()):
+		return m.startAttempt(now, claim)
 	default:
-		return m.resend(now, due)
+		return m.resend(now, claim)
 	}
 }
 
-// handleRequest decides as a home. A claimant whose directory is older than another's
+// handleRequest decides as a home. A claimant whose directory is older than another
 // that was seen may know too few homes.
-func (m *Machine) handleRequest(now time.Duration, from member.ID, asked Message) Kind {
-	if asked.Kind == Acquire && asked.Epoch < max(m.directory.epoch(), m.newestEpoch) {
+func (m *Machine) handleRequest(now time.Duration, from member.ID, request Message) Kind {
+	if request.Kind == Acquire && request.Epoch < max(m.directory.epoch(), m.newestEpoch) {
 		return Outdated
 	}
-	m.newestEpoch = max(m.newestEpoch, asked.Epoch)
-	return m.home.handleRequest(now, from, asked)
+	m.newestEpoch = max(m.newestEpoch, request.Epoch)
+	return m.home.handleRequest(now, from, request)
 }
 
-// handleReply takes in a home's answer to the present round of a claim.
+// handleReply handles a home's reply to the present attempt of a claim; others are
+// out of date.
 func (m *Machine) handleReply(now time.Duration, from member.ID, message Message) []Outbound {
-	asked, present := m.claims[message.Number]
-	if !present || message.Incarnation != m.config.Incarnation || message.Key != asked.key || message.Attempt != asked.attempt.number {
+	claim, present := m.claims[message.Number]
+	if !present || message.Incarnation != m.config.Incarnation || message.Key != claim.key || message.Attempt != claim.attempt.number {
 		return nil
 	}
-	// What has once been granted in a round stays so.
-	if asked.attempt.replies[from] != Granted || message.Kind == Granted {
-		asked.attempt.replies[from] = message.Kind
-	}
-	if asked.acquired {
-		m.extend(now, asked)
+	claim.attempt.addReply(from, message.Kind)
+	if claim.acquired {
+		m.extend(now, claim)
 		return nil
 	}
-	return m.decide(now, asked)
+	return m.decide(now, claim)
 }
 
-// decide ends the asking when its result is certain.
-func (m *Machine) decide(now time.Duration, asked *claim) []Outbound {
+// decide ends the request for a key when its result is certain.
+func (m *Machine) decide(now time.Duration, claim *claim) []Outbound {
 	switch {
-	case now >= asked.deadline:
-		return m.reject(now, asked)
-	case asked.attempt.granted():
-		asked.acquired = true
-		asked.validUntil = asked.attempt.sentAt + m.config.validFor()
-		asked.nextSendAt = asked.attempt.sentAt + m.config.renewInterval()
-		m.decisions = append(m.decisions, Decision{Number: asked.number, Outcome: Acquired})
+	case now >= claim.deadline:
+		return m.reject(now, claim)
+	case claim.attempt.granted():
+		claim.acquired = true
+		claim.validUntil = claim.attempt.sentAt + m.config.validFor()
+		claim.nextSendAt = claim.attempt.sentAt + m.config.renewInterval()
+		m.decisions = append(m.decisions, Decision{Number: claim.number, Outcome: Acquired})
 		return nil
-	case asked.attempt.hopeless():
-		return m.reject(now, asked)
+	case claim.attempt.hopeless():
+		return m.reject(now, claim)
 	default:
 		return nil
 	}
 }
 
-// extend extends a held claim by a renewal that a majority has acknowledged.
-// A claim that has been lost stays lost: others may have had it since.
-func (m *Machine) extend(now time.Duration, held *claim) {
-	if now < held.validUntil && held.attempt.granted() {
-		held.validUntil = max(held.validUntil, held.attempt.sentAt+m.config.validFor())
-		held.nextSendAt = max(held.nextSendAt, held.attempt.sentAt+m.config.renewInterval())
+// extend prolongs an acquired claim by a renewal that a majority has acknowledged. A
+// claim that has been lost stays lost: others may have had the key since.
+func (m *Machine) extend(now time.Duration, claim *claim) {
+	if now < claim.validUntil && claim.attempt.granted() {
+		claim.validUntil = max(claim.validUntil, claim.attempt.sentAt+m.config.validFor())
+		claim.nextSendAt = max(claim.nextSendAt, claim.attempt.sentAt+m.config.renewInterval())
 	}
 }
 
-// reject ends a claim that is not held.
-func (m *Machine) reject(now time.Duration, asked *claim) []Outbound {
+// reject decides a claim that was not acquired.
+func (m *Machine) reject(now time.Duration, claim *claim) []Outbound {
 	outcome := Undecided
-	if asked.attempt.conflicting() {
+	if claim.attempt.conflicting() {
 		outcome = AlreadyClaimed
 	}
-	m.decisions = append(m.decisions, Decision{Number: asked.number, Outcome: outcome})
-	return m.release(now, asked)
+	m.decisions = append(m.decisions, Decision{Number: claim.number, Outcome: outcome})
+	return m.release(now, claim)
 }
 
 // release tells the homes that the request of a claim does not run.
-func (m *Machine) release(now time.Duration, ended *claim) []Outbound {
-	m.forget(ended)
-	return m.deliver(now, m.messages(ended, Release))
+func (m *Machine) release(now time.Duration, claim *claim) []Outbound {
+	m.forget(claim)
+	return m.send(now, claim.messages(Release, m.config.Incarnation))
 }
 
-// forget forgets a claim of this node.
-func (m *Machine) forget(ended *claim) {
-	delete(m.claims, ended.number)
-	if at, present := slices.BinarySearch(m.numbers, ended.number); present {
+// forget removes a claim of this node.
+func (m *Machine) forget(claim *claim) {
+	delete(m.claims, claim.number)
+	if at, present := slices.BinarySearch(m.numbers, claim.number); present {
 		m.numbers = slices.Delete(m.numbers, at, at+1)
 	}
 }
+
+// startAttempt sends a message to all homes: the first attempt requests the key, all
+// others renew it.
+func (m *Machine) startAttempt(now time.Duration, claim *claim) []Outbound {
+	claim.attempt = m.newAttempt(now, claim)
+	claim.nextSendAt = now + m.config.ResendInterval
+	return m.send(now, claim.messages(claim.requestKind(), m.config.Incarnation))
+}
+
+// newAttempt returns the next attempt, to the homes of the present directory.
+func (m *Machine) newAttempt(now time.Duration, claim *claim) attempt {
+	return attempt{
+		number:  claim.attempt.number + 1,
+		epoch:   m.directory.epoch(),
+		sentAt:  now,
+		homes:   m.directory.homes(claim.key, m.config.HomesPerKey),
+		replies: make(map[member.ID]Kind),
+	}
+}
+
+// resend repeats the message of the attempt to the homes that have not granted. One
+// that was not ready may be so now.
+func (m *Machine) resend(now time.Duration, claim *claim) []Outbound {
+	claim.nextSendAt = now + m.config.ResendInterval
+	var again []Outbound
+	for _, message := range claim.messages(claim.requestKind(), m.config.Incarnation) {
+		if claim.attempt.replies[message.To] != Granted {
+			again = append(again, message)
+		}
+	}
+	return m.send(now, again)
+}
+
+// send handles at once what the node sends to itself, and returns the rest.
+func (m *Machine) send(now time.Duration, messages []Outbound) []Outbound {
+	var out []Outbound
+	for _, message := range messages {
+		if message.To == m.config.Self {
+			out = append(out, m.Step(now, m.config.Self, message.Message)...)
+			continue
+		}
+		out = append(out, message)
+	}
+	return out
+}
--- a/pkg/claims/message.go
+++ b/pkg/claims/message.go
@@ -22,18 +22,18 @@
 	return Key(digest[:keyBytes])
 }
 
-// Number names a claim among those of one life of a node.
+// Number names a claim among those of one incarnation of a node.
 type Number uint64
 
 // Kind tells what a Message says.
 type Kind int
 
-// The kinds of messages. Ask, Renew and Release go to homes, the others come
-// back from them.
+// The kinds of messages. Acquire, Renew and Release go to homes, the others come back
+// from them.
 const (
-	// Acquire asks for a grant.
+	// Acquire requests a grant.
 	Acquire Kind = iota
-	// Renew says that the claim is held, as it has been granted before.
+	// Renew says that the claim has been granted before, and is still valid.
 	Renew
 	// Release says that the request has not run and will not run.
 	Release
@@ -41,9 +41,9 @@
 	Granted
 	// Conflict says that the home remembers another claim of the key.
 	Conflict
-	// NotReady says that the home cannot tell yet, since it started lately.
+	// NotReady says that the home can't decide yet, since it started lately.
 	NotReady
-	// Full says that the home can remember no more.
+	// Full says that the home can remember no more claims.
 	Full
 	// Outdated says that the claimant's directory is older than the home's.
 	Outdated
@@ -51,7 +51,7 @@
 
 // String returns the kind's name.
 func (k Kind) String() string {
-	names := [...]string{"ask", "renew", "release", "granted", "known", "unready", "full", "outdated"}
+	names := [...]string{"acquire", "renew", "release", "granted", "conflict", "not ready", "full", "outdated"}
 	if k < 0 || int(k) >= len(names) {
 		return "invalid"
 	}
@@ -65,13 +65,13 @@
 	// Incarnation and Number name the claim, together with the claimant.
 	Incarnation member.Incarnation
 	Number      Number
-	// Attempt numbers the claim's askings and renewals. Answers repeat it.
+	// Attempt numbers the claim's requests and renewals. Replies repeat it.
 	Attempt uint64
 	// Epoch is that of the claimant's newest set.
 	Epoch uint64
 }
 
-// Outbound is a message to be sent. It may be lost, come twice or out of order.
+// Outbound is a message to be sent. It may be lost, duplicated or reordered.
 type Outbound struct {
 	To      member.ID
 	Message Message
@@ -87,21 +87,21 @@
 	// AlreadyClaimed means that there is, or was lately, another claim of the key. Its
 	// request may have run.
 	AlreadyClaimed
-	// Undecided means that too few homes answered in time. The request does not
-	// run here; whether it ran elsewhere is not known.
+	// Undecided means that too few homes replied in time. The request does not run
+	// here; whether it ran elsewhere is not known.
 	Undecided
 )
 
 // String returns the outcome's name.
 func (o Outcome) String() string {
-	names := [...]string{"held", "taken", "undecided"}
+	names := [...]string{"acquired", "claimed", "undecided"}
 	if o < 0 || int(o) >= len(names) {
 		return "invalid"
 	}
 	return names[o]
 }
 
-// Decision is the end of a claim's asking.
+// Decision is the outcome of a claim.
 type Decision struct {
 	Number  Number
 	Outcome Outcome
--- a/pkg/claims/timeline_test.go
+++ b/pkg/claims/timeline_test.go
@@ -15,13 +15,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Each file of testdata is a timeline: the first row names the columns, a node
-// each, and each further row is an instant. Homes remember for 2s, and grant
-// nothing for 2.25s after a start. A cell acts (claim(k), end(k): it may have
-// run, back(k): it has not, restart, freeze, wake, cut(b): nothing from here
-// reaches b, mend(b), adopt(1 2): the sets of these epochs agree) or checks what
-// the node's newest claim of k is (held(k), taken(k), undecided(k), asking(k)) and
-// whether its request may be sent (may(k), maynot(k)).
+// Each file of testdata is a timeline: the first row names the columns, a node each,
+// and each further row is an instant. Homes remember for 2s, and grant nothing for
+// 2.25s after a start. A cell acts (claim(k), end(k): it may have run, unrun(k): it has
+// not, restart, freeze, wake, block(b): nothing from here reaches b, unblock(b),
+// adopt(1 2): the sets of these epochs agree) or checks the outcome of the node's
+// newest claim of k (acquired(k), claimed(k), undecided(k), pending(k)) and whether its
+// request may be sent (may(k), maynot(k)).
 var _ = Describe("timelines", func() {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -40,7 +40,7 @@
 type timeline struct {
 	*cluster
 	columns []string
-	// newest are the claims of a node and key; decided is what became of them.
+	// newest are the claims of a node and key; decided are their outcomes.
 	newest  map[string]claims.Number
 	decided map[string]claims.Outcome
 }
@@ -84,36 +84,36 @@
 		l.now += step
 		for l.wire.Len() > 0 && l.wire[0].at <= l.now {
 			next := heap.Pop(&l.wire).(packet)
-			l.take(next)
+			l.receive(next)
 		}
 		for _, p := range l.peers {
 			if p.frozenUntil <= l.now {
 				l.send(p.id, p.machine.Tick(l.now))
-				l.note(p)
+				l.recordDecisions(p)
 			}
 		}
 	}
 }
 
-func (l *timeline) take(one packet) {
+func (l *timeline) receive(one packet) {
 	p := l.peer(one.to)
 	if p.frozenUntil > l.now {
 		p.inbox = append(p.inbox, one)
 		return
 	}
 	l.send(p.id, p.machine.Step(l.now, one.from, one.message))
-	l.note(p)
+	l.recordDecisions(p)
 }
 
-// note keeps a node's decisions.
-func (l *timeline) note(p *peer) {
+// recordDecisions records a node's decisions.
+func (l *timeline) recordDecisions(p *peer) {
 	for _, decision := range p.machine.Decisions() {
 		l.decided[decisionName(p, decision.Number)] = decision.Outcome
 	}
 }
 
 func decisionName(p *peer, number claims.Number) string {
-	return string(p.id) + "/" + strconv.FormatUint(uint64(p.life), 10) + "/" + strconv.FormatUint(uint64(number), 10)
+	return string(p.id) + "/" + strconv.FormatUint(uint64(p.incarnation), 10) + "/" + strconv.FormatUint(uint64(number), 10)
 }
 
 func (l *timeline) perform(name, token string, number int) {
@@ -130,12 +130,12 @@
 	reaches := [2]member.ID{p.id, member.ID(argument)}
 	switch verb {
 	case "claim":
-		begun, out, err := p.machine.Claim(l.now, claims.KeyOf("court", argument))
+		number, out, err := p.machine.Claim(l.now, claims.KeyOf("court", argument))
 		Expect(err).NotTo(HaveOccurred())
-		l.newest[claim] = begun
+		l.newest[claim] = number
 		l.send(p.id, out)
-		l.note(p)
-	case "end", "back":
+		l.recordDecisions(p)
+	case "end", "unrun":
 		l.send(p.id, p.machine.End(l.now, l.newest[claim], verb == "end"))
 	case "restart":
 		l.restart(p)
@@ -143,15 +143,15 @@
 		p.frozenUntil = time.Hour
 	case "wake":
 		p.frozenUntil = 0
-		waited := p.inbox
+		received := p.inbox
 		p.inbox = nil
-		for _, one := range waited {
-			l.take(one)
+		for _, one := range received {
+			l.receive(one)
 		}
-	case "cut":
-		l.cut[reaches] = true
-	case "mend":
-		delete(l.cut, reaches)
+	case "block":
+		l.blocked[reaches] = true
+	case "unblock":
+		delete(l.blocked, reaches)
 	case "adopt":
 		p.machine.SetDirectory(setsOf(l.columns, argument))
 	default:
@@ -184,7 +184,7 @@
 		Expect(p.machine.MayRun(l.now, number)).To(BeTrue(), where)
 	case "maynot":
 		Expect(p.machine.MayRun(l.now, number)).To(BeFalse(), where)
-	case "asking":
+	case "pending":
 		Expect(decided).To(BeFalse(), where)
 	default:
 		Expect(decided).To(BeTrue(), where)
