--- a/pkg/twoslot/crash_test.go
+++ b/pkg/twoslot/crash_test.go
@@ -21,7 +21,7 @@
 }
 
 // checkUsable opens a disk, and makes sure that what it finds is allowed and
-// that a record appended now is found behind it.
+// that a record appended now is found after it.
 func checkUsable(disk *memdisk.Disk, allowed outcome) error {
 	store, contents, err := twoslot.Open(disk, storeName)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// forEachCrash calls check for every place and manner of a crash.
+// forEachCrash calls check for every position and kind of a crash.
 func forEachCrash(check func(crash memdisk.Crash)) {
 	total := positionsOf(history)
 	Expect(total).To(BeNumerically(">", 400))
@@ -137,7 +137,7 @@
 		})
 	})
 
-	It("in the newest slot is reported, though the older slot is whole", func() {
+	It("in the newest slot is reported, though the older slot is intact", func() {
 		disk := memdisk.New()
 		runHistory(disk, history[:5])
 		Expect(disk.FlipBit(storeName+".slot0", 300)).To(BeTrue())
--- a/pkg/twoslot/doc.go
+++ b/pkg/twoslot/doc.go
@@ -1,5 +1,4 @@
-// Package twoslot keeps a payload durable on a disk that may crash at any
-// moment.
+// Package twoslot keeps a payload durable on a disk that may crash at any moment.
 //
 // A store has two slots, written in turn, and a log for each of them:
 //
@@ -7,18 +6,21 @@
 //	generation 1, 3, ...  slot 1      log 1
 //	generation 2, 4, ...  slot 0      log 0
 //
-// A checkpoint writes the next generation's payload into the slot that does
-// not hold the present one, then starts that generation's log. The present
-// slot and log stay whole until the next slot is durable, so a crash at any
-// byte leaves one generation whole.
+// A checkpoint writes the next generation's payload into the slot that does not
+// contain the present one, then starts that generation's log. The present slot and
+// log stay intact until the next slot is durable, so a crash at any byte leaves one
+// generation intact.
 //
-// The log of a generation is started only after its slot is durable. A log
-// whose slot cannot be read therefore proves that a durable slot was damaged,
-// and tells that apart from a checkpoint that a crash cut short: the former is
-// an error, the latter an older generation with its whole log.
+// The log of a generation is started only after its slot is durable. A log whose slot
+// cannot be read therefore proves that a durable slot was damaged, and distinguishes
+// that from a checkpoint that a crash interrupted: the former is an error, the latter
+// an older generation with its complete log.
 //
-// Appended records are framed with checksums over the generation. A frame that
-// a crash cut short (it misses its end, or ends in zeros where the disk had
-// extended the file) was never acknowledged and is dropped; any other
-// difference is damage, and an error rather than older state.
+// Appended records are framed with checksums over the generation. A frame that a crash
+// interrupted (its end is missing, or is zeros where the disk had extended the file)
+// was never acknowledged and is dropped; any other difference is damage, and an error
+// rather than older state.
+//
+// A Store owns the files of its name. It is not safe for concurrent use, and calls its
+// Disk from the goroutine of the caller.
 package twoslot
--- a/pkg/twoslot/error.go
+++ b/pkg/twoslot/error.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Kind tells what a store cannot do.
+// Kind tells what went wrong with a store.
 type Kind uint8
 
-// The kinds of faults.
+// The kinds of errors.
 const (
-	// KindCorrupt stores hold acknowledged data that cannot be read.
+	// KindCorrupt means that acknowledged data can't be read.
 	KindCorrupt Kind = iota + 1
-	// KindDiskFull writes did not fit; nothing changed.
+	// KindDiskFull means that a write did not fit; nothing changed.
 	KindDiskFull
-	// KindTooLarge records or payloads exceed the format; nothing changed.
+	// KindTooLarge means that records or a payload exceed the format; nothing changed.
 	KindTooLarge
-	// KindBroken stores had a write of which nobody knows how it ended.
+	// KindBroken means that an earlier write failed and may or may not be durable.
 	KindBroken
 )
 
-// Error is a fault of a store.
+// Error is the error of a store.
 type Error struct {
 	Kind Kind
-	// Name is the file or store at fault, if known.
+	// Name is the file or store concerned, if known.
 	Name string
-	// Detail says what is wrong with it, if there is more to say.
+	// Detail tells what is wrong with it, if more is known.
 	Detail string
 	// Cause is the error of the disk, if there is one.
 	Cause error
@@ -36,7 +36,7 @@
 	ErrBroken   = &Error{Kind: KindBroken}
 )
 
-// Error names the fault and its remedy.
+// Error names the store, the remedy and the details.
 func (e *Error) Error() string {
 	message := fmt.Sprintf("twoslot: %s: %s", e.Name, e.remedy())
 	if e.Detail != "" {
--- a/pkg/twoslot/format.go
+++ b/pkg/twoslot/format.go
@@ -27,8 +27,8 @@
 	recordStartBytes = 4
 	maxFrameContent  = math.MaxInt32
 
-	// frameEnd is not zero, so that a frame whose last bytes the disk never
-	// wrote, and reads as zeros, is told from one that was damaged later.
+	// frameEnd is not zero, so that a frame whose last bytes the disk never wrote, and
+	// reads as zeros, is distinguished from one that was damaged later.
 	frameEnd = 0xa5
 )
 
@@ -41,8 +41,8 @@
 	return crc32.Checksum(data, castagnoli)
 }
 
-// checksumOf covers the generation too, so that bytes of an older generation
-// are never taken for ones of this.
+// checksumOf covers the generation too, so that bytes of an older generation are never
+// taken for those of this one.
 func checksumOf(generation uint64, data []byte) uint32 {
 	var seed [numberBytes]byte
 	order.PutUint64(seed[:], generation)
@@ -57,7 +57,7 @@
 	return order.AppendUint32(buffer, checksum(buffer[start:]))
 }
 
-// readHeader tells false if data does not start with a whole header.
+// readHeader is false if data does not start with an intact header.
 func readHeader(data []byte, magic uint32) (generation, length uint64, ok bool) {
 	if len(data) < headerBytes || order.Uint32(data) != magic {
 		return 0, 0, false
@@ -73,7 +73,7 @@
 	return appendHeader(nil, logMagic, generation, 0)
 }
 
-// appendFrame adds one frame, which is read back whole or not at all.
+// appendFrame appends one frame, which is read back complete or not at all.
 func appendFrame(buffer []byte, generation uint64, records [][]byte) []byte {
 	start := len(buffer)
 	buffer = order.AppendUint32(buffer, uint32(contentBytes(records)))
--- a/pkg/twoslot/fuzz_test.go
+++ b/pkg/twoslot/fuzz_test.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// scriptPart is a run of steps that a crash ends.
-type scriptPart struct {
+// scriptSegment is a run of steps that a crash ends.
+type scriptSegment struct {
 	steps      []step
 	tear       memdisk.Tear
 	crashAfter int
@@ -85,9 +85,9 @@
 
 // splitScript reads two bits of each byte as its operation: append one record,
 // append two, checkpoint, or crash as far on as the next byte says.
-func splitScript(script []byte) []scriptPart {
+func splitScript(script []byte) []scriptSegment {
 	const operationShift, sizeMask, reach = 6, 0x3f, 8
-	var parts []scriptPart
+	var parts []scriptSegment
 	var steps []step
 	for i := 0; i < len(script); i++ {
 		size := int(script[i] & sizeMask)
@@ -105,12 +105,12 @@
 				break
 			}
 			tears := memdisk.Tears()
-			parts = append(parts, scriptPart{steps, tears[size%len(tears)], int(script[i]) * reach})
+			parts = append(parts, scriptSegment{steps, tears[size%len(tears)], int(script[i]) * reach})
 			steps = nil
 		}
 	}
 	const never = 1 << 30
-	return append(parts, scriptPart{steps, memdisk.TearShort, never})
+	return append(parts, scriptSegment{steps, memdisk.TearShort, never})
 }
 
 func runSteps(store *twoslot.Store, durable view, steps []step) outcome {
--- a/pkg/twoslot/history_test.go
+++ b/pkg/twoslot/history_test.go
@@ -45,7 +45,7 @@
 	return converted
 }
 
-// view is what a store holds, in a form that can be compared.
+// view is what a store contains, in a form that can be compared.
 type view struct {
 	payload string
 	records []string
@@ -71,7 +71,7 @@
 }
 
 // outcome is what a run of the history may have left on the disk: what was
-// acknowledged, or that and the step that was under way.
+// acknowledged, or that and the step that was in progress.
 type outcome struct {
 	acknowledged view
 	underWay     view
@@ -98,7 +98,7 @@
 	return result
 }
 
-// positionsOf returns the places at which the history can crash.
+// positionsOf returns the points at which the history can crash.
 func positionsOf(steps []step) int {
 	disk := memdisk.New()
 	runHistory(disk, steps)
--- a/pkg/twoslot/memdisk/faults.go
+++ b/pkg/twoslot/memdisk/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Tear tells what the write that a crash interrupts leaves of itself.
+// Tear tells what remains of the write that a crash interrupts.
 type Tear uint8
 
 // The ways in which a write is torn.
@@ -15,8 +15,8 @@
 	// TearZeroed leaves the bytes up to the crash, and zeros for the rest:
 	// the file was extended before its bytes were written.
 	TearZeroed
-	// TearLost leaves nothing: what was not synced is gone, and the file is
-	// as it was before the write.
+	// TearLost leaves nothing: what was not synced is gone, and the file is as it was
+	// before the write.
 	TearLost
 )
 
@@ -25,23 +25,23 @@
 	return []Tear{TearShort, TearZeroed, TearLost}
 }
 
-// Crash is a crash to come.
+// Crash is a planned crash.
 type Crash struct {
-	// Position is the place of the crash, counted as Stats.Positions is.
+	// Position is the point of the crash, counted as Stats.Positions is.
 	Position int
 	Tear     Tear
 }
 
-// CrashAt plans a crash. The write that reaches its position, and every call
-// after that, answers ErrCrashed until Restart.
+// CrashAt plans a crash. The write that reaches its position, and every call after
+// that, returns ErrCrashed until Restart.
 func (d *Disk) CrashAt(crash Crash) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.crash = &crash
 }
 
-// Restart ends a crash, and withdraws one that has not come yet. Files are as
-// the crash left them.
+// Restart ends a crash, and cancels one that has not come yet. Files are as the crash
+// left them.
 func (d *Disk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -49,7 +49,7 @@
 	d.crashed = false
 }
 
-// SetFull makes every write answer that the disk is full, or ends that.
+// SetFull makes every write return that the disk is full, or ends that.
 func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,16 +63,16 @@
 	d.capacity = bytes
 }
 
-// SetDelay makes each write count as slow. Whoever drives virtual time adds
-// the growth of Stats.Delay to it.
+// SetDelay makes each write count as slow. The driver of virtual time adds the growth
+// of Stats.Delay to it.
 func (d *Disk) SetDelay(delay time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.delay = delay
 }
 
-// FlipBit inverts one bit of a file, counted from the lowest bit of its first
-// byte. It tells false if the file has no such bit.
+// FlipBit inverts one bit of a file, counted from the lowest bit of its first byte. It
+// is false if the file has no such bit.
 func (d *Disk) FlipBit(name string, bit int) bool {
 	const bitsPerByte = 8
 	d.mutex.Lock()
@@ -114,8 +114,8 @@
 	return clone
 }
 
-// crashWithin tells whether the planned crash comes within a write of that
-// many bytes, and how many of them are written by then.
+// crashWithin tells whether the planned crash comes within a write of that many bytes,
+// and how many of them are written by then.
 func (d *Disk) crashWithin(length int) (written int, ok bool) {
 	if d.crash == nil || d.crash.Position > d.stats.Positions+length {
 		return 0, false
@@ -123,7 +123,7 @@
 	return max(0, d.crash.Position-d.stats.Positions), true
 }
 
-// leaveTorn leaves what the interrupted write made of a file.
+// leaveTorn leaves what remains of the interrupted write in a file.
 func (d *Disk) leaveTorn(name string, prefix, data []byte, written int) {
 	switch d.crash.Tear {
 	case TearShort:
--- a/pkg/twoslot/memdisk/memdisk.go
+++ b/pkg/twoslot/memdisk/memdisk.go
@@ -1,6 +1,7 @@
-// Package memdisk is a twoslot.Disk in memory that fails on request: it
-// crashes at any byte of what is written to it, runs full, rots, turns slow,
-// or loses everything. Simulators and tests use it.
+// Package memdisk is a twoslot.Disk in memory that fails on request: it crashes at any
+// byte of what is written to it, becomes full, flips bits, becomes slow, or loses
+// everything. Simulators and tests use it. A Disk owns its files and is safe for
+// concurrent use.
 package memdisk
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// ErrCrashed answers every call to a disk between its crash and Restart.
+// ErrCrashed is returned by every call to a disk between its crash and Restart.
 var ErrCrashed = errors.New("memdisk: disk has crashed; call Restart")
 
 var _ twoslot.Disk = (*Disk)(nil)
@@ -35,11 +36,11 @@
 type Stats struct {
 	// Writes counts the calls that write, and Reads those that read.
 	Writes, Reads int
-	// Positions counts the places at which a crash could have come: one
-	// before each write, and one behind each byte of it.
+	// Positions counts the points at which a crash could have come: one before each
+	// write, and one after each byte of it.
 	Positions int
-	// SlowWrites counts the writes under a delay, and Delay sums what they
-	// would have taken. The disk itself never waits.
+	// SlowWrites counts the writes while a delay was set, and Delay sums the time that
+	// they would have taken. The disk itself never waits.
 	SlowWrites int
 	Delay      time.Duration
 	// Refused counts the writes that did not fit.
@@ -73,15 +74,15 @@
 	return d.write(name, nil, data)
 }
 
-// Append adds to the end of a file.
+// Append appends to a file.
 func (d *Disk) Append(name string, data []byte) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.write(name, d.files[name], data)
 }
 
-// write leaves kept and, behind it, data in the file. The bytes of a file are
-// never changed in place, only added to.
+// write leaves prefix followed by data in the file. The bytes of a file are never
+// changed in place, only appended to.
 func (d *Disk) write(name string, prefix, data []byte) error {
 	if d.crashed {
 		return ErrCrashed
--- a/pkg/twoslot/memdisk/memdisk_test.go
+++ b/pkg/twoslot/memdisk/memdisk_test.go
@@ -47,7 +47,7 @@
 		Expect(disk.Stats().Delay).To(Equal(2 * time.Second))
 	})
 
-	It("refuses what exceeds its capacity, and takes what replaces as much", func() {
+	It("rejects what exceeds its capacity, and accepts what replaces as much", func() {
 		disk.SetCapacity(4)
 		Expect(disk.Append("file", []byte("de"))).To(MatchError(twoslot.ErrDiskFull))
 		Expect(disk.WriteFile("file", []byte("four"))).To(Succeed())
--- a/pkg/twoslot/parse.go
+++ b/pkg/twoslot/parse.go
@@ -2,15 +2,15 @@
 
 import "bytes"
 
-// slot is what a whole slot file holds.
+// slot is the content of an intact slot file.
 type slot struct {
 	generation uint64
 	payload    []byte
-	// records were carried over from the log of the generation before.
+	// records were salvaged from the log of the generation before.
 	records [][]byte
 }
 
-// parseSlot tells false if the file is not whole, be it cut short or damaged.
+// parseSlot is false if the file is truncated or damaged.
 func parseSlot(data []byte) (slot, bool) {
 	generation, length, ok := readHeader(data, slotMagic)
 	if !ok || uint64(len(data)) != headerBytes+length+checksumBytes || length < numberBytes {
@@ -31,20 +31,20 @@
 	return parsed, end == endClean && used == len(rest[payloadBytes:])
 }
 
-// frameEndKind tells how a run of frames ends.
+// frameEndKind tells how a sequence of frames ends.
 type frameEndKind uint8
 
 const (
-	// endClean runs end behind a whole frame.
+	// endClean sequences end after an intact frame.
 	endClean frameEndKind = iota + 1
-	// endTorn runs end in a frame that a crash cut short.
+	// endTorn sequences end in a frame that a crash interrupted.
 	endTorn
-	// endDamaged runs hold bytes that no crash leaves.
+	// endDamaged sequences contain bytes that no crash leaves.
 	endDamaged
 )
 
-// parseFrames returns the records of the whole frames at the start of data and
-// the bytes that these take.
+// parseFrames returns the records of the intact frames at the start of data and the
+// bytes that these take.
 func parseFrames(data []byte, generation uint64) (records [][]byte, used int, end frameEndKind) {
 	for used < len(data) {
 		content, size, kind := parseFrame(data[used:], generation)
@@ -61,8 +61,8 @@
 	return records, used, endClean
 }
 
-// parseFrame returns the content of the frame at the start of data and the
-// size of the frame.
+// parseFrame returns the content of the frame at the start of data and the size of the
+// frame.
 func parseFrame(data []byte, generation uint64) (content []byte, size int, kind frameEndKind) {
 	if len(data) < frameStartBytes {
 		return nil, 0, endTorn
@@ -107,8 +107,8 @@
 	return records, true
 }
 
-// tornStart tells whether data is what a crash leaves of a file that was to
-// begin with expected: a part of that, and zeros.
+// tornStart tells whether data is what a crash leaves of a file that was to begin with
+// expected: a prefix of that, and zeros.
 func tornStart(data, expected []byte) bool {
 	if len(data) > len(expected) && !allZero(data[len(expected):]) {
 		return false
--- a/pkg/twoslot/store.go
+++ b/pkg/twoslot/store.go
@@ -14,16 +14,16 @@
 	// logStarted tells whether the log of the generation has its header.
 	logStarted bool
 	logBytes   int
-	// salvaged is what was read in front of a torn tail, until a generation
-	// without that tail is durable.
+	// salvaged is what was read before a torn tail, until a generation without that
+	// tail is durable.
 	salvaged *Contents
-	// broken is set by a write of which nobody knows how it ended.
+	// broken is set by a write that may or may not be durable; it ends all writing.
 	broken error
 }
 
-// Append makes records durable behind those before. They are read back all or
-// none. On ErrDiskFull and ErrTooLarge nothing changed and the store can be
-// used on; after other errors it must be opened again.
+// Append makes records durable after those before. They are read back all or none. On
+// ErrDiskFull and ErrTooLarge nothing changed and the store can still be used; after
+// other errors it must be opened again.
 func (s *Store) Append(records ...[]byte) error {
 	if s.broken != nil {
 		return s.broken
@@ -41,28 +41,27 @@
 		return s.startLog(appendFrame(logHeader(s.generation), s.generation, records))
 	}
 	frame := appendFrame(nil, s.generation, records)
-	if err := s.disk.Append(s.logName(s.generation), frame); err != nil {
+	if err := s.disk.Append(logName(s.name, s.generation), frame); err != nil {
 		return s.writeError(err)
 	}
 	s.logBytes += len(frame)
 	return nil
 }
 
-// Checkpoint makes payload durable in place of the payload and all records
-// before. On ErrDiskFull and ErrTooLarge nothing changed and the store can be
-// used on; after other errors it must be opened again, and may then hold
-// either.
+// Checkpoint makes payload durable in place of the payload and all records before. On
+// ErrDiskFull and ErrTooLarge nothing changed and the store can still be used; after
+// other errors it must be opened again, and may then contain either.
 func (s *Store) Checkpoint(payload []byte) error {
 	return s.advance(payload, nil)
 }
 
-// LogBytes returns the size of the log behind the newest checkpoint.
+// LogBytes returns the size in bytes of the log after the newest checkpoint.
 func (s *Store) LogBytes() int {
 	return s.logBytes
 }
 
-// advance writes the next generation into the slot of the one before the
-// present, and starts its log.
+// advance writes the next generation into the slot of the one before the present, and
+// starts its log.
 func (s *Store) advance(payload []byte, records [][]byte) error {
 	if s.broken != nil {
 		return s.broken
@@ -71,20 +70,19 @@
 		return &Error{Kind: KindTooLarge, Name: s.name}
 	}
 	next := s.generation + 1
-	if err := s.disk.WriteFile(s.slotName(next), encodeSlot(next, payload, records)); err != nil {
+	if err := s.disk.WriteFile(slotName(s.name, next), encodeSlot(next, payload, records)); err != nil {
 		return s.writeError(err)
 	}
 	s.generation = next
 	s.salvaged = nil
 	s.logStarted = false
 	s.logBytes = 0
-	// The slot is durable, which is what was asked for: when only the log
-	// does not fit, the next Append starts it or answers that the disk is
-	// full.
+	// The slot is durable, which is what the caller needs: when only the log does not
+	// fit, the next Append starts it or returns that the disk is full.
 	return ignoreDiskFull(s.startLog(logHeader(next)))
 }
 
-// rewriteSalvaged writes what stands in front of a torn tail to a new generation.
+// rewriteSalvaged writes what was read before a torn tail to a new generation.
 func (s *Store) rewriteSalvaged() error {
 	if s.salvaged == nil {
 		return nil
@@ -94,7 +92,7 @@
 
 // startLog replaces the log of the generation before the last.
 func (s *Store) startLog(content []byte) error {
-	if err := s.disk.WriteFile(s.logName(s.generation), content); err != nil {
+	if err := s.disk.WriteFile(logName(s.name, s.generation), content); err != nil {
 		return s.writeError(err)
 	}
 	s.logStarted = true
@@ -102,7 +100,8 @@
 	return nil
 }
 
-// writeError types the error of a write.
+// writeError returns the typed error of a write. It breaks the store unless the disk is
+// full, as nobody knows then whether the write is durable.
 func (s *Store) writeError(err error) error {
 	if errors.Is(err, ErrDiskFull) {
 		return &Error{Kind: KindDiskFull, Name: s.name, Cause: err}
@@ -111,10 +110,13 @@
 	return s.broken
 }
 
-func (s *Store) slotName(generation uint64) string {
-	return s.name + ".slot" + strconv.FormatUint(generation%2, 10)
+// slotName returns the name of the slot file that a generation of a store is written
+// to.
+func slotName(store string, generation uint64) string {
+	return store + ".slot" + strconv.FormatUint(generation%2, 10)
 }
 
-func (s *Store) logName(generation uint64) string {
-	return s.name + ".log" + strconv.FormatUint(generation%2, 10)
+// logName returns the name of the log file of a generation of a store.
+func logName(store string, generation uint64) string {
+	return store + ".log" + strconv.FormatUint(generation%2, 10)
 }
--- a/pkg/twoslot/store_test.go
+++ b/pkg/twoslot/store_test.go
@@ -36,7 +36,7 @@
 		}
 	})
 
-	It("counts the bytes behind the newest checkpoint", func() {
+	It("counts the bytes after the newest checkpoint", func() {
 		store, _, err := twoslot.Open(memdisk.New(), storeName)
 		Expect(err).NotTo(HaveOccurred())
 		empty := store.LogBytes()
@@ -93,7 +93,7 @@
 		Expect(checkUsable(disk, outcome{want, want})).To(Succeed())
 	})
 
-	It("takes no write after one that failed for an unknown reason", func() {
+	It("accepts no write after one that failed for an unknown reason", func() {
 		disk := &brokenDisk{Disk: memdisk.New()}
 		store, _, err := twoslot.Open(disk, storeName)
 		Expect(err).NotTo(HaveOccurred())
