--- a/pkg/replication/fbtable/fbtable.go
+++ b/pkg/replication/fbtable/fbtable.go
@@ -22,7 +22,7 @@
 // SlotTable is a generated table of a slot, which the schemas call a place.
 type SlotTable interface {
 	~struct {
-		Id          string `json:"id"`
+		Id          string `json:"id"` //nolint:revive // The generated type names the field so.
 		Incarnation uint64 `json:"incarnation"`
 		Learner     bool   `json:"learner"`
 	}
