--- a/pkg/replication/command_lease.go
+++ b/pkg/replication/command_lease.go
@@ -8,14 +8,14 @@
 
 // commandLease is until when a leader may command. The zero commandLease may not.
 type commandLease struct {
-	// holder is the lease of this leadership, which heartbeats extend.
-	holder lease.Holder
+	// current is the lease of this leadership, which heartbeats extend.
+	current lease.Holder
 	// predecessors tells when the leases of all earlier terms have expired.
 	predecessors lease.Successor
 }
 
 func newCommandLease(timing lease.Timing, electedAt time.Duration) commandLease {
-	return commandLease{holder: lease.NewHolder(timing), predecessors: lease.NewSuccessor(timing, electedAt)}
+	return commandLease{current: lease.NewHolder(timing), predecessors: lease.NewSuccessor(timing, electedAt)}
 }
 
 // HasCommandLease tells whether the leader has the command lease at now: it has
@@ -28,7 +28,7 @@
 	if g.role != RoleLeader || g.leadership.transfer.target != "" || !g.BarrierApplied() {
 		return false
 	}
-	return g.leadership.lease.predecessors.MayAct(now) && g.leadership.lease.holder.MayAct(max(now, g.now))
+	return g.leadership.lease.predecessors.MayAct(now) && g.leadership.lease.current.MayAct(max(now, g.now))
 }
 
 // BarrierApplied tells whether this member leads the group and has applied all that
--- a/pkg/replication/heartbeat.go
+++ b/pkg/replication/heartbeat.go
@@ -75,7 +75,7 @@
 	acknowledged := g.leadership.followers.reachedByMajority(g.log.groups.latest().voters,
 		g.leadership.heartbeats.number, func(p *progress) uint64 { return p.ackedHeartbeat })
 	if sentAt, confirmed := g.leadership.heartbeats.confirm(acknowledged); confirmed {
-		g.leadership.lease.holder.Confirm(sentAt)
+		g.leadership.lease.current.Confirm(sentAt)
 	}
 	g.confirmReads(acknowledged)
 }
