--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -75,6 +75,8 @@
 	g.timer.suspected = slices.Clone(suspected)
 }
 
+// tickElection repeats the requests of a campaign, and begins one when it is due. A
+// campaign that raises no term goes on instead of beginning again.
 func (g *Group) tickElection() {
 	if g.role == RoleCandidate && g.now >= g.campaign.requestedAt+g.cfg.HeartbeatEvery {
 		g.requestVotes()
@@ -167,6 +169,8 @@
 	return g.hard.Term
 }
 
+// stepVoteRequest replies to a candidate. Only a campaign that raises the term can
+// change the vote.
 func (g *Group) stepVoteRequest(from member.ID, m Message) {
 	reply := Message{Type: MessageVoteReply, Term: m.Term, PreVote: m.PreVote}
 	switch {
@@ -225,6 +229,7 @@
 	return true
 }
 
+// stepVoteReply counts a grant or rejection of a voter.
 func (g *Group) stepVoteReply(from member.ID, m Message) {
 	if !g.recognizes(from) {
 		return
@@ -242,14 +247,12 @@
 		// another member, and knows all that it acknowledged.
 		return
 	}
-	if m.Reject {
+	switch {
+	case m.Reject:
 		g.addRejection(voter)
-		return
-	}
-	if m.Term != g.campaignTerm() || m.Learner {
-		return
+	case m.Term == g.campaignTerm() && !m.Learner:
+		g.addGrant(voter)
 	}
-	g.addGrant(voter)
 }
 
 func (g *Group) addGrant(from Voter) {
@@ -269,6 +272,8 @@
 	}
 }
 
+// countGrants goes on to the campaign, or to the leadership, with the grants of a
+// majority.
 func (g *Group) countGrants() {
 	if len(g.campaign.granted) < g.slots().quorum() {
 		return
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -8,7 +8,7 @@
 		g.rejectStaleLeader(from, m)
 		return nil
 	}
-	// Before any change, so that a message in error changes nothing.
+	// This comes first so that a message in error changes nothing.
 	if err := g.checkFromLeader(from, m); err != nil {
 		return err
 	}
@@ -29,6 +29,7 @@
 	return nil
 }
 
+// checkFromLeader finds messages that no leader can send. It changes nothing.
 func (g *Group) checkFromLeader(from member.ID, m Message) error {
 	if m.Term == 0 {
 		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
@@ -55,6 +56,7 @@
 	g.send(from, Message{Type: reply, Term: g.hard.Term, Reject: true, Learner: g.cfg.Learner})
 }
 
+// stepHeartbeat acknowledges a heartbeat, or campaigns if the leader asks for that.
 func (g *Group) stepHeartbeat(from member.ID, m Message) {
 	if m.Transfer && g.role == RoleFollower {
 		g.startCampaign(true)
@@ -69,6 +71,7 @@
 	})
 }
 
+// stepAppend appends the entries, in place of those that conflict with them.
 func (g *Group) stepAppend(from member.ID, m Message) {
 	last, ok := g.log.maybeAppend(m.Index, m.IndexTerm, m.Entries)
 	if !ok {
@@ -100,6 +103,7 @@
 	return nil
 }
 
+// rejectAppend tells the leader where the logs may begin to agree.
 func (g *Group) rejectAppend(to member.ID, m Message) {
 	hint, hintTerm := g.log.conflictHint(m.Index, m.IndexTerm)
 	g.send(to, Message{
--- a/pkg/replication/heartbeat.go
+++ b/pkg/replication/heartbeat.go
@@ -56,9 +56,13 @@
 	g.reads.assign(g.leadership.heartbeats.number)
 	g.confirmHeartbeats()
 	g.repairGroup()
+	// Only now: the search above judges members by the heartbeat before this one, which
+	// they have had time to acknowledge.
 	g.leadership.heartbeats.lastIndex = g.log.lastIndex()
 }
 
+// handleHeartbeatReply counts the acknowledgement, which may make a change of the group
+// due, and sends again what the follower lacks.
 func (g *Group) handleHeartbeatReply(from member.ID, follower *progress, m Message) {
 	if m.HeartbeatNumber <= g.leadership.heartbeats.number {
 		follower.ackedHeartbeat = max(follower.ackedHeartbeat, m.HeartbeatNumber)
--- a/pkg/replication/leader.go
+++ b/pkg/replication/leader.go
@@ -44,6 +44,7 @@
 	return g.appendEntry(EntryCommand, command), nil
 }
 
+// checkAcceptsProposals fails with a *NotLeaderError on all but a leader that stays.
 func (g *Group) checkAcceptsProposals() error {
 	if g.role != RoleLeader {
 		return &NotLeaderError{Leader: g.leader}
@@ -150,7 +151,8 @@
 	}
 }
 
-// stepToLeader handles replies of followers.
+// stepToLeader handles replies of followers. Those of an earlier term or a lost
+// incarnation are dropped.
 func (g *Group) stepToLeader(from member.ID, m Message) error {
 	if !g.recognizes(from) {
 		return nil
@@ -187,6 +189,8 @@
 	return nil
 }
 
+// handleAppendReply follows how far the follower's log matches, and sends what comes
+// next.
 func (g *Group) handleAppendReply(from member.ID, follower *progress, m Message) {
 	if m.Reject {
 		hint, _ := g.log.conflictHint(m.RejectHint, m.IndexTerm)
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -73,6 +73,27 @@
 	return term
 }
 
+// grantedBySlots tells whether the members of all slots have granted.
+func (r *quorumRecovery) grantedBySlots(group slots) bool {
+	for _, slot := range group {
+		if !r.granted.includes(slot.ID) {
+			return false
+		}
+	}
+	return true
+}
+
+// grantedByPeers tells whether all peers have granted that have not announced that
+// they stop.
+func (r *quorumRecovery) grantedByPeers(peers peerSet) bool {
+	for _, peer := range peers {
+		if !peer.Left && !r.granted.includes(peer.ID) {
+			return false
+		}
+	}
+	return true
+}
+
 // grantedByMajority tells whether the incarnations that granted are a majority of
 // those that vote.
 func (r *quorumRecovery) grantedByMajority(group slots) bool {
@@ -158,36 +179,37 @@
 	return g.recovery.term != 0 && g.recovery.term == g.hard.Term && g.role != RoleLeader
 }
 
+// recoveryTermWon tells whether all have granted the recovery term.
 func (g *Group) recoveryTermWon() bool {
 	return g.recoveryTermCurrent() && g.recoveryGrantedByAll()
 }
 
 // recoveryGrantedByAll tells whether the members of all slots have granted. A member
-// with an empty log knows the founders only, and waits for all peers: one of them
-// may be a later voter.
+// with an empty log knows the founders only, and waits for all peers: one of them may
+// be a later voter.
 func (g *Group) recoveryGrantedByAll() bool {
-	for _, slot := range g.slots() {
-		if !g.recovery.granted.includes(slot.ID) {
-			return false
-		}
+	if !g.recovery.grantedBySlots(g.slots()) {
+		return false
 	}
-	return g.log.lastIndex() > 0 || !slices.ContainsFunc(g.peers, func(peer Peer) bool {
-		return !peer.Left && !g.recovery.granted.includes(peer.ID)
-	})
+	return g.log.lastIndex() > 0 || g.recovery.grantedByPeers(g.peers)
 }
 
-// tickRecovery asks, while no leader is heard, whether the group must be recovered.
-// It is true while a recovery term of this member awaits its grants, which rules out
-// an election.
+// tickRecovery asks, while no leader is heard, whether the group must be recovered:
+// one slot after the other. It is true while a recovery term of this member awaits its
+// grants, which rules out an election.
 func (g *Group) tickRecovery() bool {
-	if !g.mayRecoverQuorum() {
+	position := g.slots().position(g.cfg.Self)
+	hasState := g.recovery.stateExpected || g.log.lastIndex() > 0
+	if g.cfg.Learner || g.hasLiveLeader() || position < 0 || !hasState {
 		g.recovery.stop()
 		return false
 	}
 	if g.recovery.term != 0 {
 		return g.tickRecoveryTerm()
 	}
-	if g.now >= g.recoveryDueAt() && g.now >= g.recovery.requestedAt+g.cfg.ElectionTimeout {
+	wait := recoveryTimeouts*g.cfg.ElectionTimeout + time.Duration(position)*g.cfg.ElectionTimeout/2
+	dueAt := max(g.timer.waitFrom+wait, g.recovery.retryAt)
+	if g.now >= dueAt && g.now >= g.recovery.requestedAt+g.cfg.ElectionTimeout {
 		// What was granted before may be untrue by now.
 		g.recovery.granted = grants{g.self()}
 		g.requestRecoveryGrants()
@@ -196,20 +218,8 @@
 	return false
 }
 
-func (g *Group) mayRecoverQuorum() bool {
-	if g.cfg.Learner || g.hasLiveLeader() || g.slots().position(g.cfg.Self) < 0 {
-		return false
-	}
-	return g.recovery.stateExpected || g.log.lastIndex() > 0
-}
-
-// recoveryDueAt is when this member may begin to ask: one slot after the other.
-func (g *Group) recoveryDueAt() time.Duration {
-	position := time.Duration(g.slots().position(g.cfg.Self))
-	wait := recoveryTimeouts*g.cfg.ElectionTimeout + position*g.cfg.ElectionTimeout/2
-	return max(g.timer.waitFrom+wait, g.recovery.retryAt)
-}
-
+// tickRecoveryTerm repeats the requests, and gives a recovery term up that another
+// term has overtaken or that is not granted in time.
 func (g *Group) tickRecoveryTerm() bool {
 	if !g.recoveryTermCurrent() || g.now >= g.recovery.startedAt+recoveryTimeouts*g.cfg.ElectionTimeout {
 		g.recovery.stopUntil(g.now + g.cfg.HeartbeatEvery)
@@ -272,13 +282,18 @@
 	g.send(from, reply)
 }
 
+// stepRecoveryReply counts a grant. A reply of a voter with a newer log leaves the
+// recovery to that voter: this member may not know the newest group, and so not all
+// whose grant is needed.
 func (g *Group) stepRecoveryReply(from member.ID, m Message) {
 	if !g.recognizes(from) {
 		return
 	}
 	g.RaiseTermFloor(m.Term)
 	if !g.log.isNewest(m.Index, m.IndexTerm) {
-		g.yieldRecovery()
+		if g.recovery.term != 0 || len(g.recovery.granted) > 0 {
+			g.recovery.stopUntil(g.now + recoveryTimeouts*g.cfg.ElectionTimeout)
+		}
 		return
 	}
 	requesting := m.PreVote == (g.recovery.term == 0) && len(g.recovery.granted) > 0
@@ -291,14 +306,6 @@
 	g.addRecoveryGrant(Voter{ID: from, Incarnation: m.Incarnation})
 }
 
-// yieldRecovery leaves it to a voter with a newer log to recover the group: this
-// member may not know the newest group, and so not all whose grant is needed.
-func (g *Group) yieldRecovery() {
-	if g.recovery.term != 0 || len(g.recovery.granted) > 0 {
-		g.recovery.stopUntil(g.now + recoveryTimeouts*g.cfg.ElectionTimeout)
-	}
-}
-
 func (g *Group) addRecoveryGrant(from Voter) {
 	if !g.recovery.granted.includes(from.ID) {
 		g.recovery.granted = append(g.recovery.granted, from)
