--- a/pkg/membership/join.go
+++ b/pkg/membership/join.go
@@ -57,7 +57,7 @@
 	}
 	m.completeJoin()
 	if msg.Stable {
-		m.markTableStable()
+		m.assumeTableStable()
 	}
 }
 
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -74,7 +74,7 @@
 	m.startIncarnation(cfg.Self.Incarnation)
 	if joiner.joined {
 		// Nobody else is expected.
-		m.markTableStable()
+		m.assumeTableStable()
 	}
 	m.maintainMonitors()
 	return m
@@ -277,8 +277,8 @@
 	return m.now-m.table.grownAt >= m.config.stabilizationWait()
 }
 
-// markTableStable spares the stabilization wait where no more members are expected.
-func (m *Machine) markTableStable() {
+// assumeTableStable spares the stabilization wait where no more members are expected.
+func (m *Machine) assumeTableStable() {
 	m.table.grownAt = m.now - m.config.stabilizationWait()
 }
 
--- a/pkg/slowstart/slowstart.go
+++ b/pkg/slowstart/slowstart.go
@@ -63,7 +63,7 @@
 	ownedSince time.Duration
 	// sentAt are the times of the requests in the last window, oldest first.
 	sentAt []time.Duration
-	// usedAt is when the replica was last asked for.
+	// usedAt is when the replica was last used in a call.
 	usedAt time.Duration
 }
 
