--- a/internal/dataplane/event_feed.go
+++ b/internal/dataplane/feeds/event_feed.go
@@ -1,4 +1,4 @@
-package dataplane
+package feeds
 
 import (
 	"context"
@@ -25,8 +25,10 @@
 // errResync ends a stream that is to be opened again from a reset on.
 var errResync = errors.New("the events are to be read again from a reset on")
 
-// eventSource follows the event stream of a back end.
-type eventSource interface {
+// Source opens the event streams of back ends of one kind.
+type Source interface {
+	// Follow passes the events of a back end after a position to handle, until the
+	// stream, handle or ctx ends. The error is never nil.
 	Follow(ctx context.Context, address string, after replica.Position, handle func(replica.Event) error) error
 }
 
@@ -34,7 +36,7 @@
 // under the supervisor for as long as the back end is listed.
 type eventFeed struct {
 	address    string
-	source     eventSource
+	source     Source
 	router     *kvrouter.Router
 	quarantine *health.Quarantine
 	health     *outlier.Detector
--- a/internal/dataplane/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -1,10 +1,11 @@
-package dataplane
+package feeds
 
 import (
 	"context"
 	"io"
 	"math/rand/v2"
 	"strconv"
+	"testing"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -21,6 +22,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
+func TestFeeds(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "Feeds Suite")
+}
+
 const (
 	feedAddress = "127.2.1.1:7400"
 	feedModel   = "large"
@@ -33,7 +39,7 @@
 	err    error
 }
 
-// Follow implements eventSource.
+// Follow implements Source.
 func (s *scriptedSource) Follow(_ context.Context, _ string, after replica.Position, handle func(replica.Event) error) error {
 	s.asked = append(s.asked, after)
 	for _, event := range s.events {
@@ -78,7 +84,7 @@
 	return decision.OverlapTokens
 }
 
-var _ = Describe("feed", func() {
+var _ = Describe("eventFeed", func() {
 	var source *scriptedSource
 	var subject *eventFeed
 	var now time.Duration
@@ -177,7 +183,7 @@
 	ended  []bool
 }
 
-// Follow implements eventSource.
+// Follow implements Source.
 func (s *resyncingSource) Follow(ctx context.Context, _ string, after replica.Position, _ func(replica.Event) error) error {
 	s.asked = append(s.asked, after)
 	s.during()
@@ -190,7 +196,7 @@
 	opened, closed chan string
 }
 
-// Follow implements eventSource.
+// Follow implements Source.
 func (s *blockingSource) Follow(ctx context.Context, address string, _ replica.Position, _ func(replica.Event) error) error {
 	s.opened <- address
 	<-ctx.Done()
@@ -198,12 +204,6 @@
 	return ctx.Err()
 }
 
-// noSource is control state without a view.
-type noSource struct{}
-
-func (noSource) View() *routing.View { return nil }
-func (noSource) Serving() error      { return nil }
-
 // viewOf lists replicas and a store.
 func viewOf(store string, addresses ...string) *routing.View {
 	pool := &routing.Pool{Config: &ridgeswitchv1.Pool{Name: "pool"}, Store: &ridgeswitchv1.Store{Address: store}}
@@ -213,26 +213,26 @@
 	return &routing.View{Pools: map[string]*routing.Pool{"pool": pool}}
 }
 
-var _ = Describe("feeds", func() {
-	It("run for what a view lists, and stop with it", func() {
+var _ = Describe("Manager", func() {
+	It("runs feeds for what a view lists, and stops them with it", func() {
 		log := logrus.New()
 		log.SetOutput(GinkgoWriter)
-		server, err := New(Options{
-			Source: noSource{}, Clock: func() time.Duration { return 0 }, Address: "127.0.0.1:0", Log: logrus.NewEntry(log),
-		})
-		Expect(err).NotTo(HaveOccurred())
 		source := &blockingSource{opened: make(chan string, 8), closed: make(chan string, 8)}
-		server.feeds.replicas, server.feeds.stores = source, source
+		quarantine := health.NewQuarantine()
+		manager := New(Options{
+			Replicas: source, Stores: source, Router: kvrouter.New(kvrouter.Options{}), Quarantine: quarantine,
+			Health: outlier.New(outlier.Options{}), Clock: func() time.Duration { return 0 }, Log: logrus.NewEntry(log),
+		})
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := server.feeds.supervisor.ServeBackground(ctx)
+		ended := manager.Supervisor().ServeBackground(ctx)
 
-		server.feeds.reconcile(viewOf("store", "one", "two"))
+		manager.Reconcile(viewOf("store", "one", "two"))
 		Expect([]string{<-source.opened, <-source.opened, <-source.opened}).To(ConsistOf("store", "one", "two"))
-		server.quarantine.Report("one", "w0")
-		server.feeds.reconcile(viewOf("store", "two", "three"))
+		quarantine.Report("one", "w0")
+		manager.Reconcile(viewOf("store", "two", "three"))
 		Expect(<-source.opened).To(Equal("three"))
 		Expect(<-source.closed).To(Equal("one"))
-		Expect(server.quarantine.Contains("one", "w1")).To(BeFalse())
+		Expect(quarantine.Contains("one", "w1")).To(BeFalse())
 		cancel()
 		Expect(<-ended).To(MatchError(context.Canceled))
 	})
--- /dev/null
+++ b/internal/dataplane/feeds/manager.go
@@ -0,0 +1,147 @@
+// Package feeds brings what back ends report of the chunks that they cache into the
+// router's prefix index.
+//
+// A Manager follows the event streams that replicas and stores push. It owns one feed
+// for each back end that the newest view lists; each feed runs in a goroutine of the
+// Manager's supervisor, and reconnects and resynchronizes by itself. The Manager's
+// methods may be called concurrently.
+package feeds
+
+import (
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/thejerf/suture/v4"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
+)
+
+// Options configure a Manager.
+type Options struct {
+	// Replicas and Stores open event streams. Nil means that back ends push no
+	// events.
+	Replicas, Stores Source
+	// Router gets the chunks and the load reports.
+	Router *kvrouter.Router
+	// Quarantine gets the weight versions that replicas report.
+	Quarantine *health.Quarantine
+	// Health learns that a back end is alive.
+	Health *outlier.Detector
+	// Clock returns the time elapsed on a clock that counts suspended time.
+	Clock func() time.Duration
+	// Log gets the messages of the supervisor.
+	Log *logrus.Entry
+}
+
+// runningFeed is a feed under the supervisor.
+type runningFeed struct {
+	eventFeed *eventFeed
+	token     suture.ServiceToken
+}
+
+// feedSpec is a feed that a view requires.
+type feedSpec struct {
+	source        Source
+	weightVersion string
+}
+
+// Manager keeps one feed running for every replica and store of a view.
+type Manager struct {
+	options    Options
+	supervisor *suture.Supervisor
+
+	mutex   sync.Mutex
+	running map[string]runningFeed // by address
+}
+
+// New returns a Manager without feeds. Its feeds run once its Supervisor does.
+func New(options Options) *Manager {
+	return &Manager{
+		options: options,
+		supervisor: suture.New("feeds", suture.Spec{
+			EventHook: func(event suture.Event) { options.Log.Warn(event.String()) },
+		}),
+		running: make(map[string]runningFeed),
+	}
+}
+
+// Supervisor returns the supervisor of the feeds, which the caller must run.
+func (m *Manager) Supervisor() *suture.Supervisor { return m.supervisor }
+
+// Reconcile starts and stops feeds so that they fit a view. A feed that stays learns
+// the weight version that control state has for its back end.
+func (m *Manager) Reconcile(view *routing.View) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	desired := m.desiredFeeds(view)
+	for address, present := range m.running {
+		if _, found := desired[address]; !found {
+			m.stop(address, present)
+		}
+	}
+	for address, spec := range desired {
+		m.ensure(address, spec)
+	}
+}
+
+// ResyncAfterGaps resynchronizes the feeds of the back ends of which the router has
+// missed events.
+func (m *Manager) ResyncAfterGaps() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	for _, address := range m.options.Router.ResyncNeeded(m.options.Clock()) {
+		if present, runs := m.running[address]; runs {
+			present.eventFeed.resync()
+		}
+	}
+}
+
+// desiredFeeds returns the feeds that a view requires, by address.
+func (m *Manager) desiredFeeds(view *routing.View) map[string]feedSpec {
+	desired := make(map[string]feedSpec)
+	if m.options.Replicas == nil {
+		return desired
+	}
+	for _, pool := range view.Pools {
+		for _, replica := range pool.Replicas {
+			desired[replica.Address] = feedSpec{source: m.options.Replicas, weightVersion: replica.WeightVersion}
+		}
+		if address := pool.Store.GetAddress(); address != "" {
+			desired[address] = feedSpec{source: m.options.Stores}
+		}
+	}
+	return desired
+}
+
+// ensure starts a feed unless it runs, and tells it the expected weight version.
+func (m *Manager) ensure(address string, spec feedSpec) {
+	present, runs := m.running[address]
+	if runs {
+		present.eventFeed.expect(spec.weightVersion)
+		return
+	}
+	present.eventFeed = &eventFeed{
+		address:    address,
+		source:     spec.source,
+		router:     m.options.Router,
+		quarantine: m.options.Quarantine,
+		health:     m.options.Health,
+		clock:      m.options.Clock,
+	}
+	present.eventFeed.expect(spec.weightVersion)
+	present.token = m.supervisor.Add(present.eventFeed)
+	m.running[address] = present
+}
+
+// stop ends the feed of a back end that is no longer listed, and forgets all that it
+// has brought.
+func (m *Manager) stop(address string, present runningFeed) {
+	_ = m.supervisor.RemoveAndWait(present.token, maxReconnectDelay)
+	delete(m.running, address)
+	m.options.Router.Forget(address)
+	m.options.Quarantine.Forget(address)
+}
--- a/internal/dataplane/report_readers.go
+++ b/internal/dataplane/report_readers.go
@@ -223,13 +223,17 @@
 func (r *reportReaders) read(ctx context.Context, address string) {
 	backoff := readBackoff
 	for ctx.Err() == nil {
+		wait := minReadInterval
 		if err := r.readOnce(ctx, address); err != nil {
-			sleep(ctx, backoff)
+			wait = backoff
 			backoff = min(2*backoff, maxReadBackoff)
-			continue
+		} else {
+			backoff = readBackoff
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(wait):
 		}
-		backoff = readBackoff
-		sleep(ctx, minReadInterval)
 	}
 }
 
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -9,11 +9,14 @@
 	"github.com/thejerf/suture/v4"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/store"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
@@ -35,7 +38,7 @@
 	quarantine   *health.Quarantine
 	stale        *health.StaleBackends
 	slowStart    *warmup.Limiter
-	feeds        *feedManager
+	feeds        *feeds.Manager
 	updates      *outgoingUpdates
 	snapshots    *snapshotExchange
 	readers      *reportReaders
@@ -90,7 +93,7 @@
 	}
 	sender.LimitConnections(server.ConnectionLimit)
 	server.snapshots = newSnapshotExchange(options, server.router)
-	server.feeds = newFeedManager(server)
+	server.feeds = server.newFeeds()
 	server.readers = newReportReaders(server)
 	if server.listener, err = listener.New(listener.Options{
 		Address: options.Address, DrainTimeout: options.DrainTimeout, Log: options.Log,
@@ -108,12 +111,27 @@
 	return server, nil
 }
 
+// newFeeds returns the feeds of the native protocol's event streams. Back ends whose
+// reports are read page by page push none.
+func (s *Server) newFeeds() *feeds.Manager {
+	options := feeds.Options{
+		Router: s.router, Quarantine: s.quarantine, Health: s.health.Detector, Clock: s.options.Clock, Log: s.options.Log,
+	}
+	if s.options.Edges.Reports == nil {
+		options.Replicas = replica.NewEventClient(s.sender, s.options.EventTimeout)
+		options.Stores = store.NewEventClient(s.sender, s.options.EventTimeout)
+	}
+	return feeds.New(options)
+}
+
 // Start binds the address and serves until Drain or Stop. It returns nil after
 // these, and otherwise why it could not serve.
 func (s *Server) Start() error {
-	supervisor := newSupervisor("traffic", s.options.Log)
-	supervisor.Add(s.feeds.supervisor)
-	supervisor.Add(s.feeds)
+	supervisor := suture.New("traffic", suture.Spec{
+		EventHook: func(event suture.Event) { s.options.Log.Warn(event.String()) },
+	})
+	supervisor.Add(s.feeds.Supervisor())
+	supervisor.Add(&viewFollower{server: s})
 	if s.options.Edges.Reports != nil {
 		supervisor.Add(s.readers)
 	}
@@ -201,5 +219,3 @@
 	}
 	return rand.New(rand.NewPCG(s.seed, s.draws.Add(1)))
 }
-
-var _ suture.Service = (*eventFeed)(nil)
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -143,3 +143,9 @@
 	<-ctx.Done()
 	return ReportPage{}, ctx.Err()
 }
+
+// noSource is control state without a view.
+type noSource struct{}
+
+func (noSource) View() *routing.View { return nil }
+func (noSource) Serving() error      { return nil }
