--- a/internal/lab/enginebench/compare.go
+++ b/internal/lab/enginebench/compare.go
@@ -25,6 +25,9 @@
 // defaultLoadExchangeInterval is the time between two load exchanges of the routers.
 const defaultLoadExchangeInterval = 30 * time.Millisecond
 
+// eventLoss is the fraction of changes that are lost in a comparison.
+const eventLoss = 0.005
+
 // Variants returns each policy as it is.
 func Variants() []Variant {
 	var variants []Variant
@@ -52,7 +55,7 @@
 				for _, seed := range seeds {
 					settings := Settings{
 						Profile: profile, Policy: variant.Policy, Seed: seed, Load: load, Duration: duration,
-						EventLoss: 0.005, LoadExchangeInterval: variant.LoadExchangeInterval, Tune: variant.Tune,
+						EventLoss: eventLoss, LoadExchangeInterval: variant.LoadExchangeInterval, Tune: variant.Tune,
 					}
 					runs = append(runs, func() {
 						result := Run(settings)
--- a/internal/lab/enginebench/feed.go
+++ b/internal/lab/enginebench/feed.go
@@ -14,6 +14,10 @@
 	batchInterval  = 100 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
 	reportAge      = 100 * time.Millisecond
+	// minBatchDelay is the shortest delay of a batch, and meanExtraDelay the mean of
+	// what is added to it.
+	minBatchDelay  = 80 * time.Millisecond
+	meanExtraDelay = 50 * time.Millisecond
 	// loadExchangeDelay is how long the load of one router takes to the others.
 	loadExchangeDelay = 3 * time.Millisecond
 )
@@ -44,9 +48,9 @@
 			})
 		}
 		position := kvrouter.FeedPosition{Incarnation: 1, From: from, Next: owner.feed.sequence}
-		late := 80*time.Millisecond + time.Duration(s.random.ExpFloat64()*float64(50*time.Millisecond))
+		delay := minBatchDelay + time.Duration(s.random.ExpFloat64()*float64(meanExtraDelay))
 		address := owner.address
-		s.timers.Add(now+late, func(now time.Duration) {
+		s.timers.Add(now+delay, func(now time.Duration) {
 			for _, node := range s.nodes {
 				node.changes(now, address, position, batch)
 			}
--- a/internal/lab/enginebench/memory.go
+++ b/internal/lab/enginebench/memory.go
@@ -14,8 +14,7 @@
 
 // cachedChunk is a chunk in memory.
 type cachedChunk struct {
-	id     string
-	tokens int
+	id string
 	// cached is how many of its tokens are left, from its beginning.
 	cached int
 	// pins counts the running requests that use the chunk.
@@ -112,7 +111,7 @@
 func (m *memory) add(id string, tokens int) bool {
 	element, present := m.chunks[id]
 	if !present {
-		m.chunks[id] = m.recent.PushFront(&cachedChunk{id: id, tokens: tokens, cached: tokens})
+		m.chunks[id] = m.recent.PushFront(&cachedChunk{id: id, cached: tokens})
 		m.changes = append(m.changes, change{id: id, cached: tokens})
 		return true
 	}
@@ -121,7 +120,7 @@
 		return false
 	}
 	m.used -= alignToBlocks(chunk.cached)
-	chunk.cached, chunk.tokens = tokens, tokens
+	chunk.cached = tokens
 	m.changes = append(m.changes, change{id: id, cached: tokens})
 	return true
 }
--- a/internal/lab/enginebench/policy.go
+++ b/internal/lab/enginebench/policy.go
@@ -69,7 +69,7 @@
 	return &simpleNode{
 		sim:     s,
 		policy:  s.settings.Policy,
-		random:  rand.New(rand.NewPCG(s.settings.Seed, uint64(number)+100)),
+		random:  rand.New(rand.NewPCG(s.settings.Seed, uint64(number)+firstNodeStream)),
 		running: make([]int, len(s.replicas)),
 	}
 }
@@ -86,7 +86,7 @@
 const boundedLoad = 1.25
 
 func (n *simpleNode) route(_ time.Duration, arrival *arrival) (placement, time.Duration) {
-	placed := placement{priority: 5}
+	placed := placement{priority: samePriority}
 	switch n.policy {
 	case Random:
 		placed.replica = n.random.IntN(len(n.running))
--- a/internal/lab/enginebench/replica.go
+++ b/internal/lab/enginebench/replica.go
@@ -14,10 +14,9 @@
 	priority uint8
 	// pinned are the chunks that it uses.
 	pinned []string
-	// reserved are its unshared tokens in memory. Read are the prompt tokens that it
-	// had to have read, each time that it was admitted, and unread those that are left.
+	// reserved are its unshared tokens in memory, and unread the tokens of its prompt
+	// that are left to be read.
 	reserved int
-	read     int
 	unread   int
 	produced int
 	running  bool
@@ -201,7 +200,7 @@
 	}
 	request.reserved = need + blockTokens
 	request.unread = prompt - cached
-	request.read += request.unread
+
 	request.running = true
 	r.sim.result.readTokens += request.unread
 	r.sim.countReread(now, request, cached)
--- a/internal/lab/enginebench/result.go
+++ b/internal/lab/enginebench/result.go
@@ -10,9 +10,9 @@
 
 // outcome is the outcome of a request.
 type outcome struct {
-	arrival   *arrival
-	first     time.Duration
-	done      bool
+	arrival *arrival
+	first   time.Duration
+
 	crossZone bool
 }
 
@@ -93,13 +93,28 @@
 	r.totals()
 }
 
-func size(o *outcome) float64 { return float64(o.arrival.promptTokens() + 10*o.arrival.out) }
+// outputWeight is how many prompt tokens an output token counts in the size of a
+// request.
+const outputWeight = 10
+
+// size returns the size of a request in prompt tokens.
+func size(o *outcome) float64 {
+	return float64(o.arrival.promptTokens() + outputWeight*o.arrival.out)
+}
+
+// The weight of a request is a fixed fraction, and the rest in proportion to its size
+// relative to the mean of its class, up to a maximum.
+const (
+	fixedWeight        = 0.3
+	proportionalWeight = 0.7
+	maxWeight          = 4
+)
 
 // weigh sums the credits of the requests of a class, and their weights by size.
 func weigh(outcomes []*outcome) (earned, owed float64) {
 	mean := lo.SumBy(outcomes, size) / float64(max(1, len(outcomes)))
 	for _, outcome := range outcomes {
-		weight := min(0.3+0.7*size(outcome)/mean, 4)
+		weight := min(fixedWeight+proportionalWeight*size(outcome)/mean, maxWeight)
 		earned += weight * outcome.credit()
 		owed += weight
 	}
--- a/internal/lab/enginebench/simulation.go
+++ b/internal/lab/enginebench/simulation.go
@@ -25,11 +25,29 @@
 	Tune func(*RouterSettings)
 }
 
-// warmUp is the time at the beginning whose requests are not counted.
-const warmUp = 2 * time.Second
+const (
+	// warmUp is the time at the beginning whose requests are not counted, and runOut
+	// the time at the end in which requests may finish.
+	warmUp = 2 * time.Second
+	runOut = 20 * time.Second
+	// maxTransferWait is the wait for a link beyond which a transfer is not started.
+	maxTransferWait = 2 * time.Second
+	// crossZoneFactor multiplies the time of transfers between zones.
+	crossZoneFactor = 2
+	// storeZone is the zone of the store.
+	storeZone = 1
 
-// maxTransferWait is the wait for a link beyond which a transfer is not started.
-const maxTransferWait = 2 * time.Second
+	bitsPerByte           = 8
+	millisecondsPerSecond = 1000
+)
+
+// The streams of random numbers of one seed, each with its own draws.
+const (
+	simulationStream = 3
+	workloadStream   = 11
+	// firstNodeStream is that of node 0; further nodes follow.
+	firstNodeStream = 100
+)
 
 type simulation struct {
 	settings Settings
@@ -48,7 +66,7 @@
 func Run(settings Settings) *Result {
 	s := &simulation{
 		settings: settings,
-		random:   rand.New(rand.NewPCG(settings.Seed, 3)),
+		random:   rand.New(rand.NewPCG(settings.Seed, simulationStream)),
 		result:   &Result{rereads: map[Reread]int{}},
 		lastUse:  map[string]time.Duration{},
 	}
@@ -62,7 +80,7 @@
 	if settings.LoadExchangeInterval > 0 {
 		s.timers.Add(0, s.exchangeLoads)
 	}
-	s.timers.Run(settings.Duration + 20*time.Second)
+	s.timers.Run(settings.Duration + runOut)
 	s.result.summarize(arrivals, &settings.Profile)
 	return s.result
 }
@@ -86,7 +104,7 @@
 		s.owners = append(s.owners, &created.owner)
 	}
 	if s.settings.Policy.usesStore() {
-		s.store = &owner{address: "store", zone: 1, memory: newMemory(engine.StoreTokens), bits: engine.StoreBits}
+		s.store = &owner{address: "store", zone: storeZone, memory: newMemory(engine.StoreTokens), bits: engine.StoreBits}
 		s.owners = append(s.owners, s.store)
 	}
 	for number := range profile.Nodes {
@@ -114,7 +132,6 @@
 			s.timers.Add(at, func(now time.Duration) { node.first(now, &placed) })
 		},
 		done: func(at time.Duration) {
-			outcome.done = true
 			s.timers.Add(at, func(now time.Duration) { node.done(now, &placed) })
 		},
 	}
@@ -148,9 +165,9 @@
 		return 0, false
 	}
 	engine := &s.settings.Profile.Engine
-	took := float64(tokens) * engine.BytesPerToken * 8 / min(from.bits, to.bits) * 1000
+	took := float64(tokens) * engine.BytesPerToken * bitsPerByte / min(from.bits, to.bits) * millisecondsPerSecond
 	if from.zone != to.zone {
-		took *= 2
+		took *= crossZoneFactor
 	}
 	end := start + milliseconds(engine.TransferSetup+took)
 	from.linkFreeAt, to.linkFreeAt = end, end
--- a/internal/lab/enginebench/workload.go
+++ b/internal/lab/enginebench/workload.go
@@ -13,7 +13,6 @@
 // arrival is one request.
 type arrival struct {
 	arrivedAt time.Duration
-	number    int
 	class     *Class
 	node      int
 	chunks    []prefixindex.Chunk
@@ -57,7 +56,7 @@
 // workload draws the arrivals of all classes in order. The load varies by a fifth
 // around its mean.
 func workload(profile *Profile, load float64, duration time.Duration, seed uint64) []*arrival {
-	random := rand.New(rand.NewPCG(seed, 11))
+	random := rand.New(rand.NewPCG(seed, workloadStream))
 	sizes := map[string]uint32{}
 	var arrivals []*arrival
 	for position := range profile.Classes {
@@ -73,7 +72,6 @@
 	}
 	slices.SortFunc(arrivals, func(a, b *arrival) int { return int(a.arrivedAt - b.arrivedAt) })
 	for number, arrival := range arrivals {
-		arrival.number = number
 		last := &arrival.chunks[len(arrival.chunks)-1]
 		last.ID = fmt.Sprint("own-", number)
 	}
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -65,11 +65,13 @@
 	// cost at any temperature.
 	Random *rand.Rand
 
+	// Select sets the fields below.
+
 	// promptTokens counts the tokens of all chunks.
 	promptTokens uint32
 	// latency is that of the model's replicas, when there is an engine profile.
 	latency *latencyModel
-	// harmWeight is HarmWeight at the present backlog.
+	// harmWeight is Settings.HarmWeight adjusted to the present backlog.
 	harmWeight float64
 }
 
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -129,10 +129,10 @@
 	r.firstToken = true
 	if r.work != nil {
 		r.state.drainBacklog(now)
-		r.router.times.learn(r, now)
+		r.router.timeModel.learn(r, now)
 		r.state.load.queue.remove(r.work)
 	} else {
-		r.router.blocks.learn(r, now)
+		r.router.blockModel.learn(r, now)
 	}
 	r.endPull()
 	r.setLoad(now, load{decodeTokens: r.load.decodeTokens, requests: r.load.requests})
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -36,10 +36,10 @@
 	scratchPool sync.Pool
 
 	// mutex guards the fields below, and all of replicaState but its feed.
-	mutex    sync.Mutex
-	replicas registry
-	blocks   blockModel
-	times    timeModel
+	mutex      sync.Mutex
+	replicas   registry
+	blockModel blockModel
+	timeModel  timeModel
 	// latest is the newest time that the router was given.
 	latest time.Duration
 }
@@ -60,8 +60,8 @@
 	r.index = prefixindex.New(r.options.Index)
 	r.pending = prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards})
 	r.replicas = registry{index: r.index, pending: r.pending, options: &r.options, byAddress: make(map[string]*replicaState)}
-	r.blocks = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: newLinkBandwidths()}
-	r.times = timeModel{
+	r.blockModel = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: newLinkBandwidths()}
+	r.timeModel = timeModel{
 		options:       &r.options,
 		replicas:      &r.replicas,
 		index:         r.index,
@@ -103,7 +103,7 @@
 func (r *Router) ObserveLinkBandwidth(fromZone, toZone string, bytesPerSecond float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.blocks.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
+	r.blockModel.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
 }
 
 // Forget drops the state of an address that the platform no longer lists.
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -90,7 +90,7 @@
 	defer r.mutex.Unlock()
 	r.observeTime(req.Now)
 	if req.Engine == nil {
-		chosen, err := r.blocks.choose(s, req, candidates)
+		chosen, err := r.blockModel.choose(s, req, candidates)
 		if err != nil {
 			return Decision{}, err
 		}
@@ -98,14 +98,14 @@
 		decision.Reservation = r.reserveByBlocks(req, chosen)
 		return decision, nil
 	}
-	chosen, err := r.times.choose(s, req, candidates)
+	chosen, err := r.timeModel.choose(s, req, candidates)
 	if err != nil {
 		return Decision{}, err
 	}
 	decision := newDecision(req, chosen)
 	decision.ExpectedDelay = fromMilliseconds(chosen.timeTerms.delay)
-	decision.Save = r.times.shouldSave(req, chosen.prompt)
-	decision.Wait = r.times.prefixWait(req, chosen)
+	decision.Save = r.timeModel.shouldSave(req, chosen.prompt)
+	decision.Wait = r.timeModel.prefixWait(req, chosen)
 	decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
 	return decision, nil
 }
