--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
 const (
@@ -151,7 +152,7 @@
 // pruneProgress drops what belongs to no row that keeps requests from a replica.
 func (r *rolloutState) pruneProgress(rows []*controlpb.ReplicaState) {
 	for address := range r.progress {
-		row := findReplica(rows, address)
+		row := shardstate.FindReplica(rows, address)
 		if row == nil || row.GetPhase() == controlpb.ReplicaPhase_SERVING {
 			delete(r.progress, address)
 		}
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
@@ -68,7 +69,7 @@
 
 const (
 	// ConfigurationShard is the shard that holds the configuration.
-	ConfigurationShard uint32 = 0
+	ConfigurationShard = shardstate.ConfigurationShard
 	// DefaultServiceShards is the number of shards that services hash to.
 	DefaultServiceShards uint32 = 4
 	// serviceGroupSize is the number of nodes that hold one service shard.
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -101,7 +101,7 @@
 // it reads the view for the last time, so that a zero read after the view was
 // published stays true.
 func (m *Machine) drainedAt(shardID uint32) bool {
-	state := m.received.services[shardID]
+	state := m.received.Service(shardID)
 	for _, replica := range state.GetReplicas() {
 		if replica.GetPhase() == controlpb.ReplicaPhase_SERVING {
 			continue
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -12,9 +12,9 @@
 
 	"github.com/pkg/errors"
 
-	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -39,12 +39,10 @@
 	endpoints      *listing.Machine
 	weightsTargets map[string]weightsTarget
 	load           routing.LoadReader
-	received       receivedState
+	received       *shardstate.Received
 	output         Output
-	// incomplete is set when a relayed state could not be decoded.
-	incomplete  bool
-	lastRequest uint64
-	lastLeaders map[uint32]member.ID
+	lastRequest    uint64
+	lastLeaders    map[uint32]member.ID
 	// challenges are the numbers that nodes are to send back to this one.
 	challenges       map[challengeKey]challenge
 	observedTerms    map[uint32]observedTerm
@@ -61,14 +59,6 @@
 	coreNodes []member.ID
 }
 
-// receivedState is the newest state of every shard that reached this node.
-type receivedState struct {
-	configuration *ridgeswitchv1.Configuration
-	services      map[uint32]*controlpb.ServiceState
-	revisions     map[uint32]uint64
-	decoders      map[uint32]*sectionDecoder
-}
-
 // New returns the machine of a node. Restored holds what the node's disk kept of
 // each shard; shards that this node's group order names are hosted even when
 // nothing was kept.
@@ -86,15 +76,10 @@
 		zones:          map[member.ID]string{},
 		weightsTargets: map[string]weightsTarget{},
 		endpoints:      newEndpointsMachine(config, now),
-		received: receivedState{
-			configuration: &ridgeswitchv1.Configuration{},
-			services:      map[uint32]*controlpb.ServiceState{},
-			revisions:     map[uint32]uint64{},
-			decoders:      map[uint32]*sectionDecoder{},
-		},
-		confirmations: newConfirmations(),
-		backends:      newBackends(),
-		requests:      newRequestTable(),
+		received:       shardstate.NewReceived(),
+		confirmations:  newConfirmations(),
+		backends:       newBackends(),
+		requests:       newRequestTable(),
 	}
 	for id := uint32(0); id <= config.ServiceShards; id++ {
 		machine.shardIDs = append(machine.shardIDs, id)
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -10,6 +10,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
@@ -49,7 +50,7 @@
 // answerReads answers the reads of the configuration for which this node's copy
 // is new enough.
 func (m *Machine) answerReads() {
-	configuration := m.received.configuration
+	configuration := m.received.Configuration()
 	for _, pending := range slices.Clone(m.requests.pending) {
 		if pending.confirmed && configuration.GetRevision() >= pending.minRevision {
 			m.completeRequest(pending, Reply{Configuration: configuration})
@@ -97,7 +98,7 @@
 }
 
 func (m *Machine) answerRead(hosted *shard, requested pendingRead) {
-	state, ok := hosted.state.(*configurationShard)
+	state, ok := hosted.state.(*shardstate.Configuration)
 	if !ok {
 		return
 	}
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -9,6 +9,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
@@ -69,7 +70,7 @@
 		if hosted == nil {
 			continue
 		}
-		if m.received.revisions[ConfigurationShard] > 0 {
+		if m.received.Revision(ConfigurationShard) > 0 {
 			hosted.group.ExpectState()
 		}
 		m.tickRecovery(hosted)
@@ -143,7 +144,7 @@
 		Type:        protocol.MessageWitnessReply,
 		Shard:       message.Shard,
 		Request:     message.Request,
-		Revision:    m.received.revisions[message.Shard],
+		Revision:    m.received.Revision(message.Shard),
 		Incarnation: m.selfIncarnation(),
 		Term:        known.previous,
 	})
@@ -176,7 +177,7 @@
 		m.processReady(hosted)
 		return
 	}
-	if m.received.revisions[hosted.id] < newest {
+	if m.received.Revision(hosted.id) < newest {
 		return
 	}
 	state, err := m.recoveredState(hosted)
@@ -211,7 +212,7 @@
 	return state.Snapshot()
 }
 
-func (m *Machine) registerAll(state shardState, search *witnessSearch) {
+func (m *Machine) registerAll(state shardstate.State, search *witnessSearch) {
 	for _, record := range m.members.Members() {
 		if record.State != membership.StateLeft {
 			registerNode(state, record.Info.ID, record.Info.Incarnation)
@@ -222,7 +223,7 @@
 	}
 }
 
-func registerNode(state shardState, id member.ID, incarnation member.Incarnation) {
+func registerNode(state shardstate.State, id member.ID, incarnation member.Incarnation) {
 	state.Apply(&controlpb.Command{Command: &controlpb.Command_RegisterNode{RegisterNode: &controlpb.RegisterNode{
 		Node:        string(id),
 		Incarnation: uint64(incarnation),
@@ -232,15 +233,15 @@
 // replay returns the state after the whole log, and whether the state that this
 // node holds as a witness is one that the log led through. What has been applied
 // is committed, as is all that was ever relayed; of the rest it is not known.
-func (m *Machine) replay(hosted *shard) (state shardState, covers bool, err error) {
+func (m *Machine) replay(hosted *shard) (state shardstate.State, covers bool, err error) {
 	snapshot, err := hosted.state.Snapshot()
 	if err != nil {
 		return nil, false, err
 	}
-	if state, err = restoreState(hosted.id, snapshot); err != nil {
+	if state, err = shardstate.Restore(hosted.id, snapshot); err != nil {
 		return nil, false, err
 	}
-	received := m.received.revisions[hosted.id]
+	received := m.received.Revision(hosted.id)
 	covers = received <= state.Revision()
 	for _, entry := range hosted.group.Unapplied() {
 		if state, err = replayEntry(hosted.id, state, entry); err != nil {
@@ -252,10 +253,10 @@
 }
 
 // replayEntry applies an entry to a copy of a shard's state.
-func replayEntry(shardID uint32, state shardState, entry replication.Entry) (shardState, error) {
+func replayEntry(shardID uint32, state shardstate.State, entry replication.Entry) (shardstate.State, error) {
 	switch entry.Kind {
 	case replication.EntryRestore:
-		return restoreState(shardID, entry.Command)
+		return shardstate.Restore(shardID, entry.Command)
 	case replication.EntryCommand:
 		command := &controlpb.Command{}
 		if err := proto.Unmarshal(entry.Command, command); err == nil {
@@ -267,50 +268,42 @@
 
 // coversReceived tells whether a state that the log led to is the one that this node
 // holds. An earlier recovery took in what witnesses held then.
-func (m *Machine) coversReceived(shardID uint32, state shardState, kind replication.EntryKind) bool {
-	received := m.received.revisions[shardID]
+func (m *Machine) coversReceived(shardID uint32, state shardstate.State, kind replication.EntryKind) bool {
+	received := m.received.Revision(shardID)
 	if kind == replication.EntryRestore {
 		return state.Revision() >= received
 	}
-	return state.Revision() == received && state.equals(m.receivedMessage(shardID))
-}
-
-// receivedMessage is the state of a shard that this node holds as a witness.
-func (m *Machine) receivedMessage(shardID uint32) proto.Message {
-	if shardID == ConfigurationShard {
-		return m.received.configuration
-	}
-	return m.received.services[shardID]
+	return state.Revision() == received && state.Equals(m.received.Message(shardID))
 }
 
 // witnessedState is the state that this node holds as a witness, with the nodes
 // and the older answers that the committed part of the log knows.
-func (m *Machine) witnessedState(hosted *shard) (shardState, error) {
+func (m *Machine) witnessedState(hosted *shard) (shardstate.State, error) {
 	if hosted.id != ConfigurationShard {
-		received := m.received.services[hosted.id]
-		return newServiceShard(&controlpb.ServiceState{
+		received := m.received.Service(hosted.id)
+		return shardstate.NewService(&controlpb.ServiceState{
 			Revision: received.GetRevision(),
 			Replicas: received.GetReplicas(),
 			Nodes:    hosted.state.Nodes(),
 		}), nil
 	}
 	_, sections := m.relay.Snapshot(relaytree.Topic(hosted.id))
-	answers, err := decodeAnswers(sections)
+	answers, err := shardstate.DecodeAnswers(sections)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the answers that a witness holds")
 	}
-	logged := hosted.state.(*configurationShard)
-	return newConfigurationShard(&controlpb.ConfigurationState{
-		Configuration: m.received.configuration,
-		Answers:       mergeAnswers(logged.AcceptedAnswers(), answers),
+	logged := hosted.state.(*shardstate.Configuration)
+	return shardstate.NewConfiguration(&controlpb.ConfigurationState{
+		Configuration: m.received.Configuration(),
+		Answers:       shardstate.MergeAnswers(logged.AcceptedAnswers(), answers),
 		Nodes:         hosted.state.Nodes(),
-		Source:        sourceOf(m.received.configuration, logged),
+		Source:        sourceOf(m.received.Configuration(), logged),
 	}), nil
 }
 
 // sourceOf is the document that a witnessed configuration was made from, if the
 // committed part of the log has it: documents are not relayed.
-func sourceOf(configuration *ridgeswitchv1.Configuration, logged *configurationShard) *ridgeswitchv1.Source {
+func sourceOf(configuration *ridgeswitchv1.Configuration, logged *shardstate.Configuration) *ridgeswitchv1.Source {
 	if configuration.GetSource().GetVersion() != logged.Configuration().GetSource().GetVersion() {
 		return nil
 	}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -10,6 +10,7 @@
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
@@ -54,7 +55,7 @@
 
 // receiveAsWitness gives the node the state of a group that evacuated zones.
 func (m *Machine) receiveAsWitness(zones ...string) {
-	state := newConfigurationShard(&controlpb.ConfigurationState{})
+	state := shardstate.NewConfiguration(&controlpb.ConfigurationState{})
 	for _, zone := range zones {
 		command := &controlpb.Command{}
 		Expect(proto.Unmarshal(evacuation(zone), command)).To(Succeed())
@@ -74,37 +75,6 @@
 	return zones
 }
 
-var _ = Describe("The answers that witnesses hold", func() {
-	It("are those that the revision implies, whatever followed it", func() {
-		answer := func(id string, revision uint64) *controlpb.Answer {
-			return &controlpb.Answer{OrderId: id, Revision: revision}
-		}
-		made := []*controlpb.Answer{answer("a", 1), answer("kept-1", 1), answer("b", 2)}
-		first, err := encodeAnswers(2, made)
-		Expect(err).NotTo(HaveOccurred())
-		later, err := encodeAnswers(2, append(made, answer("kept-2", 2)))
-		Expect(err).NotTo(HaveOccurred())
-		Expect(later).To(Equal(first))
-		held, err := decodeAnswers(first)
-		Expect(err).NotTo(HaveOccurred())
-		Expect(held).To(HaveLen(3))
-		next, err := encodeAnswers(3, append(made, answer("kept-2", 2), answer("c", 3)))
-		Expect(err).NotTo(HaveOccurred())
-		Expect(next).To(HaveLen(5))
-	})
-
-	It("are bounded to the newest", func() {
-		var answers []*controlpb.Answer
-		for revision := range uint64(relayedAnswers + 9) {
-			answers = append(answers, &controlpb.Answer{OrderId: fmt.Sprint(revision + 1), Revision: revision + 1})
-		}
-		sections, err := encodeAnswers(relayedAnswers+9, answers)
-		Expect(err).NotTo(HaveOccurred())
-		Expect(sections).To(HaveLen(relayedAnswers))
-		Expect(sections[0].Name).To(Equal(answerPrefix + "10"))
-	})
-})
-
 var _ = Describe("The state of a group that is formed anew", func() {
 	DescribeTable("covers log and witnesses",
 		func(committed int, logged, witnessed, recovered []string) {
@@ -112,9 +82,9 @@
 			machine.receiveAsWitness(witnessed...)
 			data, err := machine.recoveredState(hosted)
 			Expect(err).NotTo(HaveOccurred())
-			state, err := restoreState(ConfigurationShard, data)
+			state, err := shardstate.Restore(ConfigurationShard, data)
 			Expect(err).NotTo(HaveOccurred())
-			configuration := state.(*configurationShard)
+			configuration := state.(*shardstate.Configuration)
 			Expect(zonesOf(configuration.Configuration())).To(ConsistOf(recovered))
 			Expect(configuration.Revision()).To(BeEquivalentTo(len(recovered)))
 			for position, zone := range recovered {
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -68,7 +68,7 @@
 	incarnation := m.selfIncarnation()
 	for _, id := range m.shardIDs {
 		current := m.registrations.byShard[id]
-		if current.accepted && current.incarnation == incarnation && m.received.revisions[id] >= current.requiredRevision {
+		if current.accepted && current.incarnation == incarnation && m.received.Revision(id) >= current.requiredRevision {
 			continue
 		}
 		if m.now < current.nextAttempt {
@@ -273,7 +273,7 @@
 	if current.incarnation != m.selfIncarnation() {
 		return false
 	}
-	return m.received.revisions[shardID] >= current.requiredRevision
+	return m.received.Revision(shardID) >= current.requiredRevision
 }
 
 // followIncarnation notes the beginning of a new life of this node.
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -8,6 +8,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
 const (
@@ -73,7 +74,7 @@
 			hosted.rollout.nextPrune = m.now + m.config.Times.RetryEvery
 			m.forgetEndedIncarnations(hosted)
 		}
-		if service, ok := hosted.state.(*serviceShard); ok {
+		if service, ok := hosted.state.(*shardstate.Service); ok {
 			m.rollOutShard(hosted, service)
 		}
 	}
@@ -83,14 +84,14 @@
 // towards the version that the configuration names. It decides only from a state
 // in which everything in the log has been applied, so that no change is made from
 // rows that another change is about to replace.
-func (m *Machine) rollOutShard(hosted *shard, service *serviceShard) {
+func (m *Machine) rollOutShard(hosted *shard, service *shardstate.Service) {
 	if !m.backends.endpointsKnown || !hosted.allApplied() {
 		return
 	}
 	change := &controlpb.SetReplicas{}
 	endpoints := map[string]listing.Replica{}
-	for _, pool := range m.received.configuration.GetPools() {
-		if ShardOfService(pool.GetService(), m.config.ServiceShards) != hosted.id {
+	for _, pool := range m.received.Configuration().GetPools() {
+		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) != hosted.id {
 			continue
 		}
 		for _, replica := range m.backends.services[pool.GetService()] {
@@ -98,7 +99,7 @@
 		}
 		m.rollOutPool(hosted, service, pool, change)
 	}
-	hosted.rollout.pruneProgress(service.replicas())
+	hosted.rollout.pruneProgress(service.Replicas())
 	change.Removed = m.obsoleteRows(hosted, service, endpoints)
 	if len(change.Replicas) == 0 && len(change.Removed) == 0 {
 		return
@@ -110,9 +111,9 @@
 // obsoleteRows lists the rows that say nothing any more: of replicas that left the
 // list or came back as another incarnation, and those that the list has caught up
 // with.
-func (m *Machine) obsoleteRows(hosted *shard, service *serviceShard, endpoints map[string]listing.Replica) []string {
+func (m *Machine) obsoleteRows(hosted *shard, service *shardstate.Service, endpoints map[string]listing.Replica) []string {
 	var obsolete []string
-	for _, row := range service.replicas() {
+	for _, row := range service.Replicas() {
 		replica, found := endpoints[row.GetAddress()]
 		if !found || !sameInstance(row, replica) || m.caughtUp(hosted, row, replica) {
 			obsolete = append(obsolete, row.GetAddress())
@@ -161,10 +162,10 @@
 func (r poolRollout) target() string { return r.pool.GetWeightVersion() }
 
 // rollOutPool gathers the changes of one pool's replicas.
-func (m *Machine) rollOutPool(hosted *shard, service *serviceShard, pool *ridgeswitchv1.Pool, change *controlpb.SetReplicas) {
+func (m *Machine) rollOutPool(hosted *shard, service *shardstate.Service, pool *ridgeswitchv1.Pool, change *controlpb.SetReplicas) {
 	rolling := poolRollout{hosted: hosted, pool: pool, pace: hosted.rollout.paceFor(pool, m.now, m.config)}
 	for _, replica := range m.backends.services[pool.GetService()] {
-		row := findReplica(service.replicas(), replica.Address)
+		row := shardstate.FindReplica(service.Replicas(), replica.Address)
 		if row != nil && !sameInstance(row, replica) {
 			// The row goes first.
 			continue
@@ -201,7 +202,7 @@
 // selectForUpdate returns the replicas to take out of service now: as many as the pace
 // allows, from the zones that miss the fewest, the least busy first.
 func (m *Machine) selectForUpdate(rolling poolRollout, moved map[string]struct{}) []poolReplica {
-	evacuated := evacuatedZones(m.received.configuration)
+	evacuated := evacuatedZones(m.received.Configuration())
 	candidates := slices.DeleteFunc(slices.Clone(rolling.replicas), func(replica poolReplica) bool {
 		_, done := moved[replica.Address]
 		return done || !m.needsUpdate(rolling, replica)
--- a/internal/control/rollout_rows.go
+++ b/internal/control/rollout_rows.go
@@ -1,9 +1,6 @@
 package control
 
 import (
-	"cmp"
-	"slices"
-
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
@@ -121,17 +118,6 @@
 	return nil
 }
 
-// findReplica returns the row of a replica, or nil. Rows are sorted by address.
-func findReplica(rows []*controlpb.ReplicaState, address string) *controlpb.ReplicaState {
-	position, found := slices.BinarySearchFunc(rows, address, func(row *controlpb.ReplicaState, address string) int {
-		return cmp.Compare(row.GetAddress(), address)
-	})
-	if !found {
-		return nil
-	}
-	return rows[position]
-}
-
 // withPhase copies a row into another phase.
 func withPhase(row *controlpb.ReplicaState, phase controlpb.ReplicaPhase, version string) *controlpb.ReplicaState {
 	return &controlpb.ReplicaState{
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -10,6 +10,7 @@
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
@@ -157,7 +158,7 @@
 		Expect(node.submit(weightsOrder("v2")).GetConfirmed()).To(BeTrue())
 		node.report("v1")
 		node.run(time.Second)
-		serving := node.machine.shards[1].state.(*serviceShard).replicas()
+		serving := node.machine.shards[1].state.(*shardstate.Service).Replicas()
 		node.machine.backends.reports = map[string]ReplicaReport{}
 		hosted := node.machine.shards[1]
 		hosted.rollout = newRolloutState(hosted.rollout.term, node.now)
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -2,36 +2,17 @@
 
 import (
 	"github.com/pkg/errors"
-	"google.golang.org/protobuf/proto"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
-	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// shardState is the replicated state machine of a shard.
-type shardState interface {
-	// Apply carries out a committed command; every copy gives the same answer.
-	Apply(command *controlpb.Command) *controlpb.Answer
-	// Revision numbers the states that are relayed to all nodes.
-	Revision() uint64
-	// Nodes are the nodes that serve under this shard's state.
-	Nodes() []*controlpb.RegisterNode
-	// Snapshot encodes the whole state.
-	Snapshot() ([]byte, error)
-	// Sections encodes what is relayed to all nodes.
-	Sections() ([]relaytree.Section, error)
-	// equals tells whether a relayed state is that of this one.
-	equals(relayed proto.Message) bool
-}
-
 // shard is this node's copy of one shard.
 type shard struct {
 	id        uint32
 	group     *replication.Group
-	state     shardState
+	state     shardstate.State
 	learner   bool
 	applied   uint64
 	compacted uint64
@@ -80,7 +61,7 @@
 	hosted := &shard{
 		id:            id,
 		group:         core,
-		state:         emptyState(id),
+		state:         shardstate.New(id),
 		learner:       config.Learner,
 		maxLogEntries: uint64(config.logEntries()),
 		proposals:     map[uint64]proposal{},
@@ -95,17 +76,9 @@
 	return hosted, nil
 }
 
-// emptyState returns the state of a shard before its first command.
-func emptyState(id uint32) shardState {
-	if id == ConfigurationShard {
-		return newConfigurationShard(&controlpb.ConfigurationState{})
-	}
-	return newServiceShard(&controlpb.ServiceState{})
-}
-
 // restore replaces the state by a snapshot.
 func (s *shard) restore(snapshot *replication.Snapshot) error {
-	state, err := restoreState(s.id, snapshot.Data)
+	state, err := shardstate.Restore(s.id, snapshot.Data)
 	if err != nil {
 		return errors.Wrapf(err, "restore shard %d from its snapshot at %d", s.id, snapshot.Index)
 	}
@@ -115,24 +88,6 @@
 	return nil
 }
 
-func restoreState(id uint32, data []byte) (shardState, error) {
-	if len(data) == 0 {
-		return emptyState(id), nil
-	}
-	if id == ConfigurationShard {
-		machine, err := dynamic.RestoreMachine(data)
-		if err != nil {
-			return nil, err
-		}
-		return &configurationShard{Machine: machine}, nil
-	}
-	state := &controlpb.ServiceState{}
-	if err := proto.Unmarshal(data, state); err != nil {
-		return nil, errors.Wrap(err, "decode the state of a service shard")
-	}
-	return newServiceShard(state), nil
-}
-
 // isLeader tells whether this node leads the shard.
 func (s *shard) isLeader() bool {
 	return s.group.Status().Role == replication.RoleLeader
@@ -163,31 +118,3 @@
 	s.compacted = s.applied
 	s.checkpointDue = true
 }
-
-// configurationShard adapts the configuration's state machine.
-type configurationShard struct {
-	*dynamic.Machine
-}
-
-func newConfigurationShard(state *controlpb.ConfigurationState) *configurationShard {
-	return &configurationShard{Machine: dynamic.NewMachine(state)}
-}
-
-// Revision is the revision of the configuration.
-func (c *configurationShard) Revision() uint64 {
-	return c.Configuration().GetRevision()
-}
-
-// Sections encodes the configuration and the answers to the newest orders.
-func (c *configurationShard) Sections() ([]relaytree.Section, error) {
-	sections, err := encodeSections(c.Configuration(), configurationFields)
-	if err != nil {
-		return nil, err
-	}
-	answers, err := encodeAnswers(c.Revision(), c.AcceptedAnswers())
-	return append(sections, answers...), err
-}
-
-func (c *configurationShard) equals(relayed proto.Message) bool {
-	return proto.Equal(c.Configuration(), relayed)
-}
--- a/internal/control/shard_groups.go
+++ b/internal/control/shard_groups.go
@@ -9,14 +9,6 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ShardOfService returns the shard that holds the replicas of a service.
-func ShardOfService(service string, serviceShards uint32) uint32 {
-	if serviceShards == 0 {
-		return ConfigurationShard
-	}
-	return 1 + uint32(xxhash.Sum64String(service)%uint64(serviceShards))
-}
-
 // GroupOfShard returns the members of a shard's replica group in the order in
 // which they own it. Every node with a disk holds the configuration; a service
 // shard is held by the nodes that weigh highest for it, so that leaders spread,
--- a/internal/control/answer_sections.go
+++ b/internal/control/shardstate/answer_sections.go
@@ -1,4 +1,4 @@
-package control
+package shardstate
 
 import (
 	"cmp"
@@ -45,8 +45,8 @@
 	return sections, nil
 }
 
-// decodeAnswers returns the answers among sections, oldest first.
-func decodeAnswers(sections []relaytree.Section) ([]*controlpb.Answer, error) {
+// DecodeAnswers returns the answers among sections, oldest first.
+func DecodeAnswers(sections []relaytree.Section) ([]*controlpb.Answer, error) {
 	var answers []*controlpb.Answer
 	for _, section := range sections {
 		if !isAnswerSection(section.Name) {
@@ -64,9 +64,9 @@
 
 func isAnswerSection(name string) bool { return strings.HasPrefix(name, answerPrefix) }
 
-// mergeAnswers adds to the relayed answers those of a log that the relayed ones do
+// MergeAnswers adds to the relayed answers those of a log that the relayed ones do
 // not name, oldest first.
-func mergeAnswers(logged, relayed []*controlpb.Answer) []*controlpb.Answer {
+func MergeAnswers(logged, relayed []*controlpb.Answer) []*controlpb.Answer {
 	known := map[string]struct{}{}
 	for _, answer := range relayed {
 		known[answer.GetOrderId()] = struct{}{}
--- /dev/null
+++ b/internal/control/shardstate/answer_sections_test.go
@@ -0,0 +1,41 @@
+package shardstate
+
+import (
+	"fmt"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+)
+
+var _ = Describe("The answers that witnesses hold", func() {
+	It("are those that the revision implies, whatever followed it", func() {
+		answer := func(id string, revision uint64) *controlpb.Answer {
+			return &controlpb.Answer{OrderId: id, Revision: revision}
+		}
+		made := []*controlpb.Answer{answer("a", 1), answer("kept-1", 1), answer("b", 2)}
+		first, err := encodeAnswers(2, made)
+		Expect(err).NotTo(HaveOccurred())
+		later, err := encodeAnswers(2, append(made, answer("kept-2", 2)))
+		Expect(err).NotTo(HaveOccurred())
+		Expect(later).To(Equal(first))
+		held, err := DecodeAnswers(first)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(held).To(HaveLen(3))
+		next, err := encodeAnswers(3, append(made, answer("kept-2", 2), answer("c", 3)))
+		Expect(err).NotTo(HaveOccurred())
+		Expect(next).To(HaveLen(5))
+	})
+
+	It("are bounded to the newest", func() {
+		var answers []*controlpb.Answer
+		for revision := range uint64(relayedAnswers + 9) {
+			answers = append(answers, &controlpb.Answer{OrderId: fmt.Sprint(revision + 1), Revision: revision + 1})
+		}
+		sections, err := encodeAnswers(relayedAnswers+9, answers)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(sections).To(HaveLen(relayedAnswers))
+		Expect(sections[0].Name).To(Equal(answerPrefix + "10"))
+	})
+})
--- /dev/null
+++ b/internal/control/shardstate/configuration.go
@@ -0,0 +1,39 @@
+package shardstate
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
+	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
+)
+
+// Configuration is the state of the shard that holds the configuration.
+type Configuration struct {
+	*dynamic.Machine
+}
+
+// NewConfiguration returns the state that a message describes.
+func NewConfiguration(state *controlpb.ConfigurationState) *Configuration {
+	return &Configuration{Machine: dynamic.NewMachine(state)}
+}
+
+// Revision is the revision of the configuration.
+func (c *Configuration) Revision() uint64 {
+	return c.Configuration().GetRevision()
+}
+
+// Sections encodes the configuration and the answers to the newest orders.
+func (c *Configuration) Sections() ([]relaytree.Section, error) {
+	sections, err := encodeSections(c.Configuration(), configurationFields)
+	if err != nil {
+		return nil, err
+	}
+	answers, err := encodeAnswers(c.Revision(), c.AcceptedAnswers())
+	return append(sections, answers...), err
+}
+
+// Equals tells whether a relayed configuration is that of this state.
+func (c *Configuration) Equals(relayed proto.Message) bool {
+	return proto.Equal(c.Configuration(), relayed)
+}
--- a/internal/control/section_decoder.go
+++ b/internal/control/shardstate/section_decoder.go
@@ -1,4 +1,4 @@
-package control
+package shardstate
 
 import (
 	"strings"
@@ -13,9 +13,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// sectionDecoder makes a message of sections, and a new message of each update
+// Decoder makes a message of sections, and a new message of each update
 // to them. Messages share what has not changed: nobody may write to one.
-type sectionDecoder struct {
+type Decoder struct {
 	fields   []*decodedField
 	settings protoreflect.Message
 	// current is the message made last.
@@ -39,17 +39,17 @@
 	position    int
 }
 
-// newShardDecoder returns a decoder for the relayed state of a shard.
-func newShardDecoder(shardID uint32) *sectionDecoder {
+// NewDecoder returns a decoder for the relayed state of a shard.
+func NewDecoder(shardID uint32) *Decoder {
 	if shardID == ConfigurationShard {
-		return newSectionDecoder(&ridgeswitchv1.Configuration{}, configurationFields)
+		return newDecoder(&ridgeswitchv1.Configuration{}, configurationFields)
 	}
-	return newSectionDecoder(&controlpb.ServiceState{}, serviceFields)
+	return newDecoder(&controlpb.ServiceState{}, serviceFields)
 }
 
-// newSectionDecoder returns a decoder that begins with an empty message.
-func newSectionDecoder(empty proto.Message, fields []sectionedField) *sectionDecoder {
-	decoder := &sectionDecoder{
+// newDecoder returns a decoder that begins with an empty message.
+func newDecoder(empty proto.Message, fields []sectionedField) *Decoder {
+	decoder := &Decoder{
 		settings: empty.ProtoReflect().New(),
 		current:  empty.ProtoReflect().New(),
 	}
@@ -62,9 +62,9 @@
 	return decoder
 }
 
-// apply decodes the sections that an update changes, and no others. After an
+// Apply decodes the sections that an update changes, and no others. After an
 // error the decoder is of no more use.
-func (d *sectionDecoder) apply(update relaytree.Update) (proto.Message, error) {
+func (d *Decoder) Apply(update relaytree.Update) (proto.Message, error) {
 	for _, name := range update.Removed {
 		if field, key := d.fieldOf(name); field != nil {
 			field.remove(key)
@@ -84,7 +84,7 @@
 }
 
 // fieldOf finds the list that a section belongs to, and its key there.
-func (d *sectionDecoder) fieldOf(name string) (field *decodedField, key string) {
+func (d *Decoder) fieldOf(name string) (field *decodedField, key string) {
 	for _, field := range d.fields {
 		if key, found := strings.CutPrefix(name, field.prefix); found {
 			return field, key
@@ -94,7 +94,7 @@
 }
 
 // set decodes one section.
-func (d *sectionDecoder) set(section relaytree.Section) error {
+func (d *Decoder) set(section relaytree.Section) error {
 	if section.Name == settingsSection {
 		settings := d.settings.New()
 		if err := proto.Unmarshal(section.Content, settings.Interface()); err != nil {
@@ -142,7 +142,7 @@
 }
 
 // assemble makes the message of the present sections.
-func (d *sectionDecoder) assemble() (protoreflect.Message, error) {
+func (d *Decoder) assemble() (protoreflect.Message, error) {
 	next := d.settings.New()
 	next.SetUnknown(d.settings.GetUnknown())
 	d.settings.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
--- a/internal/control/sections.go
+++ b/internal/control/shardstate/sections.go
@@ -1,4 +1,4 @@
-package control
+package shardstate
 
 import (
 	"fmt"
--- a/internal/control/sections_test.go
+++ b/internal/control/shardstate/sections_test.go
@@ -1,4 +1,4 @@
-package control
+package shardstate
 
 import (
 	"fmt"
@@ -85,12 +85,12 @@
 		for seed := range uint64(100) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			relay := relaytree.New(relaytree.Config{Self: "root"})
-			decoder := newShardDecoder(ConfigurationShard)
+			decoder := NewDecoder(ConfigurationShard)
 			var earlier, kept proto.Message
 			for revision := range uint64(30) {
 				published := randomConfiguration(random, revision+1)
 				_, update := publish(relay, published)
-				decoded, err := decoder.apply(update)
+				decoded, err := decoder.Apply(update)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(proto.Equal(decoded, published)).To(BeTrue(), "seed %d revision %d", seed, revision+1)
 				Expect(earlier == nil || proto.Equal(earlier, kept)).To(BeTrue(), "seed %d", seed)
@@ -102,17 +102,17 @@
 	It("give exactly the replicas of a service shard", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		relay := relaytree.New(relaytree.Config{Self: "root"})
-		decoder := newShardDecoder(1)
+		decoder := NewDecoder(1)
 		for revision := range uint64(50) {
 			published := &controlpb.ServiceState{Revision: revision + 1}
 			for _, number := range random.Perm(random.IntN(9)) {
 				phase := controlpb.ReplicaPhase(random.IntN(4))
 				published.Replicas = append(published.Replicas, &controlpb.ReplicaState{Address: fmt.Sprint(number), Phase: phase})
 			}
-			sections, err := newServiceShard(published).Sections()
+			sections, err := NewService(published).Sections()
 			Expect(err).NotTo(HaveOccurred())
 			_, updates := relay.Publish(1, revision+1, sections)
-			decoded, err := decoder.apply(updates[0])
+			decoded, err := decoder.Apply(updates[0])
 			Expect(err).NotTo(HaveOccurred())
 			Expect(proto.Equal(decoded, published)).To(BeTrue())
 		}
@@ -120,15 +120,15 @@
 
 	It("decode a changed tenant alone, and cost a child less than 2 KB", func() {
 		relay := relaytree.New(relaytree.Config{Self: "root"})
-		decoder := newShardDecoder(ConfigurationShard)
+		decoder := NewDecoder(ConfigurationShard)
 		first := largeConfiguration(manyTenants)
 		_, update := publish(relay, first)
-		before, err := decoder.apply(update)
+		before, err := decoder.Apply(update)
 		Expect(err).NotTo(HaveOccurred())
 		second := withKey(first, 7)
 		_, update = publish(relay, second)
 		Expect(update.Sections).To(HaveLen(2))
-		after, err := decoder.apply(update)
+		after, err := decoder.Apply(update)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proto.Equal(after, second)).To(BeTrue())
 		for i, tenant := range after.(*ridgeswitchv1.Configuration).GetTenants() {
@@ -165,7 +165,7 @@
 	})
 
 	DescribeTable("are refused when they make no sense", func(name, content string) {
-		_, err := newShardDecoder(ConfigurationShard).apply(relaytree.Update{
+		_, err := NewDecoder(ConfigurationShard).Apply(relaytree.Update{
 			Sections: []relaytree.Section{{Name: name, Content: []byte(content)}},
 		})
 		Expect(err).To(HaveOccurred())
@@ -180,22 +180,26 @@
 
 	It("are decoded whole after an update that could not be decoded", func() {
 		relay := relaytree.New(relaytree.Config{Self: "root"})
-		node := &Machine{relay: relay, received: receivedState{
-			decoders:  map[uint32]*sectionDecoder{},
-			revisions: map[uint32]uint64{},
-		}}
+		received := NewReceived()
+		whole := func(topic relaytree.Topic) []relaytree.Section {
+			_, sections := relay.Snapshot(topic)
+			return sections
+		}
+		apply := func(update relaytree.Update) error {
+			_, err := received.Apply(update, whole)
+			return err
+		}
 		first := largeConfiguration(3)
 		_, update := publish(relay, first)
-		node.receiveUpdate(update)
+		Expect(apply(update)).To(Succeed())
 		broken := relaytree.Update{Revision: 2, Sections: []relaytree.Section{{Name: "tenant/a"}}}
-		node.receiveUpdate(broken)
-		Expect(node.incomplete).To(BeTrue())
-		Expect(proto.Equal(node.received.configuration, first)).To(BeTrue())
+		Expect(apply(broken)).NotTo(Succeed())
+		Expect(proto.Equal(received.Configuration(), first)).To(BeTrue())
 		third := withKey(withKey(first, 0), 1)
 		_, update = publish(relay, third)
-		node.receiveUpdate(update)
-		Expect(proto.Equal(node.received.configuration, third)).To(BeTrue())
-		Expect(node.received.revisions[ConfigurationShard]).To(Equal(uint64(3)))
+		Expect(apply(update)).To(Succeed())
+		Expect(proto.Equal(received.Configuration(), third)).To(BeTrue())
+		Expect(received.Revision(ConfigurationShard)).To(Equal(uint64(3)))
 	})
 })
 
@@ -212,15 +216,15 @@
 // BenchmarkDecodeOneSection is the cost of one changed tenant at every node.
 func BenchmarkDecodeOneSection(b *testing.B) {
 	relay := relaytree.New(relaytree.Config{Self: "root"})
-	decoder := newShardDecoder(ConfigurationShard)
+	decoder := NewDecoder(ConfigurationShard)
 	first := largeConfiguration(manyTenants)
 	_, whole := publish(relay, first)
-	if _, err := decoder.apply(whole); err != nil {
+	if _, err := decoder.Apply(whole); err != nil {
 		b.Fatal(err)
 	}
 	_, update := publish(relay, withKey(first, 7))
 	for b.Loop() {
-		if _, err := decoder.apply(update); err != nil {
+		if _, err := decoder.Apply(update); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/control/service_shard.go
+++ b/internal/control/shardstate/service.go
@@ -1,4 +1,4 @@
-package control
+package shardstate
 
 import (
 	"cmp"
@@ -10,20 +10,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// serviceShard is the replicated state of the services that hash to one shard:
+// Service is the state of the services that hash to one shard:
 // the phase and weight version of each replica, and the nodes that serve under
 // it.
-type serviceShard struct {
+type Service struct {
 	state *controlpb.ServiceState
 }
 
-func newServiceShard(state *controlpb.ServiceState) *serviceShard {
-	return &serviceShard{state: state}
+// NewService returns the state that a message describes.
+func NewService(state *controlpb.ServiceState) *Service {
+	return &Service{state: state}
 }
 
 // Apply carries out a committed command. A command of another kind of shard
 // changes nothing.
-func (s *serviceShard) Apply(command *controlpb.Command) *controlpb.Answer {
+func (s *Service) Apply(command *controlpb.Command) *controlpb.Answer {
 	switch change := command.GetCommand().(type) {
 	case *controlpb.Command_RegisterNode:
 		s.register(change.RegisterNode)
@@ -36,7 +37,7 @@
 }
 
 // register counts a node; a newer life of the node replaces an older one.
-func (s *serviceShard) register(node *controlpb.RegisterNode) {
+func (s *Service) register(node *controlpb.RegisterNode) {
 	for position, known := range s.state.Nodes {
 		if known.GetNode() != node.GetNode() {
 			continue
@@ -49,14 +50,14 @@
 	s.state.Nodes = append(s.state.Nodes, proto.Clone(node).(*controlpb.RegisterNode))
 }
 
-func (s *serviceShard) forget(node *controlpb.ForgetNode) {
+func (s *Service) forget(node *controlpb.ForgetNode) {
 	s.state.Nodes = slices.DeleteFunc(s.state.Nodes, func(known *controlpb.RegisterNode) bool {
 		return known.GetNode() == node.GetNode() && known.GetIncarnation() <= node.GetIncarnation()
 	})
 }
 
 // setReplicas replaces the rows of some replicas under a new revision.
-func (s *serviceShard) setReplicas(change *controlpb.SetReplicas) {
+func (s *Service) setReplicas(change *controlpb.SetReplicas) {
 	s.state.Revision++
 	replaced := map[string]struct{}{}
 	for _, address := range change.GetRemoved() {
@@ -80,28 +81,40 @@
 }
 
 // Revision grows with every change of a replica's row.
-func (s *serviceShard) Revision() uint64 { return s.state.GetRevision() }
+func (s *Service) Revision() uint64 { return s.state.GetRevision() }
 
 // Nodes are the nodes that serve under this shard.
-func (s *serviceShard) Nodes() []*controlpb.RegisterNode { return s.state.GetNodes() }
+func (s *Service) Nodes() []*controlpb.RegisterNode { return s.state.GetNodes() }
 
 // Snapshot encodes the whole state.
-func (s *serviceShard) Snapshot() ([]byte, error) {
+func (s *Service) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s.state)
 }
 
 // Sections encodes what all nodes need: the replicas and not the registry.
-func (s *serviceShard) Sections() ([]relaytree.Section, error) {
+func (s *Service) Sections() ([]relaytree.Section, error) {
 	return encodeSections(s.relayed(), serviceFields)
 }
 
-func (s *serviceShard) relayed() *controlpb.ServiceState {
+func (s *Service) relayed() *controlpb.ServiceState {
 	return &controlpb.ServiceState{Revision: s.state.GetRevision(), Replicas: s.state.GetReplicas()}
 }
 
-func (s *serviceShard) equals(relayed proto.Message) bool {
+// Equals tells whether a relayed state is that of this one.
+func (s *Service) Equals(relayed proto.Message) bool {
 	return proto.Equal(s.relayed(), relayed)
 }
 
-// replicas returns the rows, sorted by address; read only.
-func (s *serviceShard) replicas() []*controlpb.ReplicaState { return s.state.GetReplicas() }
+// Replicas returns the rows, sorted by address; read only.
+func (s *Service) Replicas() []*controlpb.ReplicaState { return s.state.GetReplicas() }
+
+// FindReplica returns the row of a replica, or nil. Rows are sorted by address.
+func FindReplica(rows []*controlpb.ReplicaState, address string) *controlpb.ReplicaState {
+	position, found := slices.BinarySearchFunc(rows, address, func(row *controlpb.ReplicaState, address string) int {
+		return cmp.Compare(row.GetAddress(), address)
+	})
+	if !found {
+		return nil
+	}
+	return rows[position]
+}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -10,6 +10,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -23,7 +24,7 @@
 // else is heard; zero while it may not admit any.
 func (m *Machine) ServeUntil() time.Duration {
 	if m.config.FailOpen {
-		if m.received.revisions[ConfigurationShard] == 0 {
+		if m.received.Revision(ConfigurationShard) == 0 {
 			return 0
 		}
 		return membership.Never
@@ -40,8 +41,8 @@
 	if !m.backends.endpointsKnown {
 		return false
 	}
-	for _, pool := range m.received.configuration.GetPools() {
-		if !m.config.ReplicasFinishFirst && !m.registered(ShardOfService(pool.GetService(), m.config.ServiceShards)) {
+	for _, pool := range m.received.Configuration().GetPools() {
+		if !m.config.ReplicasFinishFirst && !m.registered(shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)) {
 			return false
 		}
 	}
@@ -50,7 +51,7 @@
 
 // Configuration returns the newest configuration that reached this node; read
 // only.
-func (m *Machine) Configuration() *ridgeswitchv1.Configuration { return m.received.configuration }
+func (m *Machine) Configuration() *ridgeswitchv1.Configuration { return m.received.Configuration() }
 
 // Status describes this node's view of the deployment.
 func (m *Machine) Status() *ridgeswitchv1.NodeStatus {
@@ -85,7 +86,7 @@
 		Shard:    id,
 		Leader:   string(m.knownLeader(id)),
 		Term:     m.observedTerms[id].term,
-		Revision: m.received.revisions[id],
+		Revision: m.received.Revision(id),
 		Group: lo.Map(m.groupOf(id), func(id member.ID, _ int) string {
 			return string(id)
 		}),
@@ -113,7 +114,7 @@
 // Weights describes how far the roll-out of a pool has come, or returns nil when
 // there is no such pool.
 func (m *Machine) Weights(poolName string) *ridgeswitchv1.WeightsStatus {
-	for _, pool := range m.received.configuration.GetPools() {
+	for _, pool := range m.received.Configuration().GetPools() {
 		if pool.GetName() == poolName {
 			return m.poolWeights(pool)
 		}
@@ -123,9 +124,9 @@
 
 func (m *Machine) poolWeights(pool *ridgeswitchv1.Pool) *ridgeswitchv1.WeightsStatus {
 	status := &ridgeswitchv1.WeightsStatus{Pool: pool.GetName(), WeightVersion: pool.GetWeightVersion()}
-	rows := m.received.services[ShardOfService(pool.GetService(), m.config.ServiceShards)].GetReplicas()
+	rows := m.received.Service(shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)).GetReplicas()
 	for _, endpoint := range m.backends.services[pool.GetService()] {
-		row := findReplica(rows, endpoint.Address)
+		row := shardstate.FindReplica(rows, endpoint.Address)
 		status.Replicas = append(status.Replicas, &ridgeswitchv1.ReplicaStatus{
 			Address:          endpoint.Address,
 			Zone:             endpoint.Zone,
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -2,57 +2,27 @@
 
 import (
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// receiveUpdates keeps newer states of shards that the relay tree brought.
+// receiveUpdates keeps newer states of shards that the relay tree brought. One that
+// can't be decoded is skipped: the next update brings the whole state.
 func (m *Machine) receiveUpdates(updates []relaytree.Update) {
 	for _, update := range updates {
-		m.receiveUpdate(update)
-	}
-}
-
-// receiveUpdate keeps one state. A node never goes back to an older revision.
-func (m *Machine) receiveUpdate(update relaytree.Update) {
-	shardID := uint32(update.Topic)
-	if update.Revision <= m.received.revisions[shardID] {
-		return
-	}
-	if !m.decodeUpdate(shardID, update) {
-		m.incomplete = true
-		return
+		if newer, err := m.received.Apply(update, m.relayedSections); err == nil && newer {
+			m.backends.viewStale = true
+		}
 	}
-	m.received.revisions[shardID] = update.Revision
-	m.backends.viewStale = true
 }
 
-// decodeUpdate decodes what has changed in a relayed state and tells whether it
-// was sound.
-func (m *Machine) decodeUpdate(shardID uint32, update relaytree.Update) bool {
-	decoder := m.received.decoders[shardID]
-	if decoder == nil {
-		decoder = newShardDecoder(shardID)
-		m.received.decoders[shardID] = decoder
-		_, update.Sections = m.relay.Snapshot(update.Topic)
-		update.Removed = nil
-	}
-	decoded, err := decoder.apply(update)
-	if err != nil {
-		// The next update is decoded from the whole state.
-		delete(m.received.decoders, shardID)
-		return false
-	}
-	switch state := decoded.(type) {
-	case *ridgeswitchv1.Configuration:
-		m.received.configuration = state
-	case *controlpb.ServiceState:
-		m.received.services[shardID] = state
-	}
-	return true
+// relayedSections are the sections of a topic's newest state.
+func (m *Machine) relayedSections(topic relaytree.Topic) []relaytree.Section {
+	_, sections := m.relay.Snapshot(topic)
+	return sections
 }
 
 // publishView puts a new view into the output if anything in it has changed.
@@ -62,8 +32,8 @@
 	}
 	m.backends.viewStale = false
 	m.output.View = m.buildView()
-	for id, revision := range m.received.revisions {
-		m.confirmations.published[id] = revision
+	for _, id := range m.shardIDs {
+		m.confirmations.published[id] = m.received.Revision(id)
 	}
 	if m.updateLocalConfirmation() {
 		m.sendConfirmation()
@@ -72,7 +42,7 @@
 
 // buildView joins configuration, service shards and the platform's list.
 func (m *Machine) buildView() *routing.View {
-	configuration := m.received.configuration
+	configuration := m.received.Configuration()
 	view := &routing.View{
 		Revision:      configuration.GetRevision(),
 		Configuration: configuration,
@@ -159,12 +129,12 @@
 // weights, a node without a registration with the shard that holds them would not
 // be waited for, so that it admits nothing to them.
 func (m *Machine) viewPool(pool *ridgeswitchv1.Pool, evacuated zoneSet) *routing.Pool {
-	shardID := ShardOfService(pool.GetService(), m.config.ServiceShards)
+	shardID := shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)
 	registered := m.registered(shardID) || m.config.ReplicasFinishFirst
-	rows := m.received.services[shardID].GetReplicas()
-	entry := &routing.Pool{Config: pool, Store: findStore(m.received.configuration, pool.GetStore())}
+	rows := m.received.Service(shardID).GetReplicas()
+	entry := &routing.Pool{Config: pool, Store: findStore(m.received.Configuration(), pool.GetStore())}
 	for _, endpoint := range m.backends.services[pool.GetService()] {
-		row := findReplica(rows, endpoint.Address)
+		row := shardstate.FindReplica(rows, endpoint.Address)
 		version := runningVersion(row, endpoint)
 		versionKnown := version != "" || pool.GetWeightVersion() == "" && endpoint.Instance != ""
 		excluded := endpoint.Draining || outOfServiceByRollout(row, endpoint) || evacuated.has(endpoint.Zone)
--- a/internal/lab/plans/leaders.go
+++ b/internal/lab/plans/leaders.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/control"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
@@ -16,7 +16,7 @@
 
 // poolShard is the shard of the deployment's pool.
 func (run *run) poolShard() uint32 {
-	return control.ShardOfService(run.Fleet.Topology().Replicas.Service, static.DefaultServiceShards)
+	return shardstate.ShardOfService(run.Fleet.Topology().Replicas.Service, static.DefaultServiceShards)
 }
 
 // leader returns the leader of a shard as it calls itself: others may know of a
