--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -304,30 +304,3 @@
 		}
 	})
 })
-
-var _ = Describe("a new leader", func() {
-	It("waits until the last command of the one before is as old as holders must be apart", func() {
-		pool := newModelPool(3, 3, 3, time.Second)
-		hosted := pool.node.machine.shards[1]
-		hosted.rollout = newRolloutState(2, pool.node.now)
-		Expect(pool.node.machine.commandLeaseValid(hosted)).To(BeFalse())
-		pool.node.now += DefaultLeaseDuration + DefaultLeaseMargin + DefaultCommandGap - time.Millisecond
-		pool.node.machine.Tick(pool.node.now)
-		hosted.rollout = newRolloutState(2, hosted.rollout.since)
-		Expect(pool.node.machine.commandLeaseValid(hosted)).To(BeFalse())
-	})
-})
-
-var _ = Describe("versions", func() {
-	DescribeTable("are compared as numbers where they are", func(running, named string, reached bool) {
-		Expect(versionReached(running, named)).To(Equal(reached))
-	},
-		Entry("equal labels", "w1", "w1", true),
-		Entry("other labels", "w2", "w1", false),
-		Entry("newer", "10", "9", true),
-		Entry("older", "9", "10", false),
-		Entry("unknown", "", "1", false),
-		Entry("none named", "7", "", true),
-		Entry("unknown, none named", "", "", false),
-	)
-})
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -286,6 +286,17 @@
 	return true
 }
 
+// pruneNodes looks for registered incarnations that have ended, now and then in each
+// term in which this node leads a shard.
+func (m *Machine) pruneNodes(hosted *shard, term uint64) {
+	if hosted.prunedTerm == term && m.now < hosted.nextPrune {
+		return
+	}
+	hosted.prunedTerm = term
+	hosted.nextPrune = m.now + m.config.Times.RetryEvery
+	m.forgetEndedIncarnations(hosted)
+}
+
 // forgetEndedIncarnations removes registered lives that are over, while the evidence
 // is at hand, so that a later leader does not wait for them.
 func (m *Machine) forgetEndedIncarnations(hosted *shard) {
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -106,7 +106,9 @@
 		m.sendEndpoints(out)
 	}
 	if output.Changed {
-		m.backends.setReplicas(m.endpoints.Replicas())
+		m.backends.set(m.endpoints.Replicas())
+		m.rollout.ForgetAbsent(m.endpoints.Replicas())
+		m.viewStale = true
 	}
 	m.confirmFreshEndpoints()
 }
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -14,6 +14,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
@@ -26,16 +27,19 @@
 // Machine is the control state machine of one node. It is not safe for
 // concurrent use: one goroutine owns it.
 type Machine struct {
-	config         Config
-	now            time.Duration
-	members        *membership.Machine
-	relay          *relaytree.Machine
-	shards         map[uint32]*shard
-	shardIDs       []uint32
-	requests       requestTable
-	registrations  registrations
-	confirmations  confirmations
-	backends       backends
+	config        Config
+	now           time.Duration
+	members       *membership.Machine
+	relay         *relaytree.Machine
+	shards        map[uint32]*shard
+	shardIDs      []uint32
+	requests      requestTable
+	registrations registrations
+	confirmations confirmations
+	backends      backends
+	// viewStale tells that the view is to be built anew.
+	viewStale      bool
+	rollout        *rollout.Machine
 	endpoints      *listing.Machine
 	weightsTargets map[string]weightsTarget
 	load           routing.LoadReader
@@ -46,7 +50,6 @@
 	// challenges are the numbers that nodes are to send back to this one.
 	challenges       map[challengeKey]challenge
 	observedTerms    map[uint32]observedTerm
-	nextRollout      time.Duration
 	nextConfirmation time.Duration
 	// tableDigest, membersDigest, addresses and zones follow the table of members.
 	tableDigest   uint64
@@ -79,6 +82,7 @@
 		received:       shardstate.NewReceived(),
 		confirmations:  newConfirmations(),
 		backends:       newBackends(),
+		viewStale:      true,
 		requests:       newRequestTable(),
 	}
 	for id := uint32(0); id <= config.ServiceShards; id++ {
@@ -88,6 +92,7 @@
 		}
 	}
 	machine.registrations = newRegistrations(machine.shardIDs)
+	machine.rollout = newRollout(config, machine.hostedIDs(), now)
 	machine.members = newMembership(config, now)
 	machine.relay = relaytree.New(relaytree.Config{
 		Self:        config.Self.ID,
@@ -97,6 +102,11 @@
 	return machine, nil
 }
 
+// hostedIDs are the shards that this node hosts, in order.
+func (m *Machine) hostedIDs() []uint32 {
+	return slices.DeleteFunc(slices.Clone(m.shardIDs), func(id uint32) bool { return m.shards[id] == nil })
+}
+
 // newMembership returns the table of members of a node.
 func newMembership(config Config, now time.Duration) *membership.Machine {
 	return membership.New(membership.Config{
@@ -288,6 +298,8 @@
 	m.answerReads()
 	output := m.output
 	m.output = Output{}
+	moves := m.rollout.Take()
+	output.Commands, output.Reports = moves.Commands, moves.Reports
 	return output
 }
 
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -1,8 +1,6 @@
 package control
 
 import (
-	"time"
-
 	"google.golang.org/protobuf/proto"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
@@ -11,9 +9,6 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// timeStamp is elapsed time on a clock that counts suspended time.
-type timeStamp = time.Duration
-
 // proposal is a command of this node, as leader, that waits to be applied.
 type proposal struct {
 	term    uint64
@@ -67,7 +62,7 @@
 		m.confirmations.forgetOlder(hosted.id, member.ID(registered.GetNode()), member.Incarnation(registered.GetIncarnation()))
 	}
 	if command.GetSetReplicas() != nil {
-		m.nextRollout = m.now
+		m.rollout.RunSoon(m.now)
 	}
 	open, found := hosted.proposals[index]
 	if !found {
@@ -104,7 +99,7 @@
 		m.receiveWitnessReply(from, message)
 	case protocol.MessageConfirm:
 		m.confirmations.record(from, message)
-		m.scheduleRollout()
+		m.rollout.Wake(m.now)
 	case protocol.MessageConfirmRequest:
 		m.receiveConfirmationRequest(from, message)
 	case protocol.MessageEndpoints:
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -245,7 +245,7 @@
 	current.nextAttempt = m.now + requiredRevisionTimeout
 	current.target = ""
 	m.lastLeaders[message.Shard] = from
-	m.backends.viewStale = true
+	m.viewStale = true
 }
 
 // respondToChallenge sends a leader's number back, once for each question.
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -1,293 +1,137 @@
 package control
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
-	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
+// The inputs and outputs of roll-outs are part of those of the whole machine.
+type (
+	// Command orders a replica to load weights.
+	Command = rollout.Command
+	// CommandOutcome is what came of a command.
+	CommandOutcome = rollout.CommandOutcome
+	// ReportRequest asks for a replica's report.
+	ReportRequest = rollout.ReportRequest
+	// ReplicaReport is what a replica reported of itself.
+	ReplicaReport = rollout.ReplicaReport
+)
+
+// The outcomes of a command, see rollout.CommandOutcome.
 const (
-	// rolloutInterval is how often the leader of a shard looks for its next moves.
-	rolloutInterval = 100 * time.Millisecond
-	// rowRetention is for how long a row tells the version of a replica whose
-	// version the list shows. The list has caught up by then.
-	rowRetention = 10 * time.Second
+	CommandUnknown       = rollout.CommandUnknown
+	CommandAccepted      = rollout.CommandAccepted
+	CommandUpToDate      = rollout.CommandUpToDate
+	CommandBusy          = rollout.CommandBusy
+	CommandFenced        = rollout.CommandFenced
+	CommandWrongInstance = rollout.CommandWrongInstance
+	CommandNotSent       = rollout.CommandNotSent
+	CommandRefused       = rollout.CommandRefused
 )
 
-// rolloutState is what the leader of a service shard remembers of its roll-outs.
-// It may be lost: a new leader repeats a command under its own term.
-type rolloutState struct {
-	// term is the term of leadership that the rest belongs to, and since is
-	// when this node first acted in it.
-	term  uint64
-	since time.Duration
-	// progress is what goes on at each replica that a row keeps requests from.
-	progress map[string]*replicaProgress
-	// confirmedSince is when the row of each serving replica was first seen.
-	confirmedSince map[string]time.Duration
-	// paces belong to the pools.
-	paces     map[string]*rolloutPace
-	nextPrune time.Duration
+// newRollout returns the machine that rolls out weights in the shards that a node
+// hosts.
+func newRollout(config Config, shardIDs []uint32, now time.Duration) *rollout.Machine {
+	return rollout.New(rollout.Config{
+		Self:                config.Self.ID,
+		ReplicasFinishFirst: config.ReplicasFinishFirst,
+		LeaseDuration:       config.Times.LeaseDuration,
+		LeaseMargin:         config.Times.LeaseMargin,
+		CommandGap:          config.Times.CommandGap,
+		WeightsDeadline:     config.Times.WeightsDeadline,
+	}, shardIDs, now)
 }
 
-func newRolloutState(term uint64, since time.Duration) rolloutState {
-	return rolloutState{
-		term:           term,
-		since:          since,
-		progress:       map[string]*replicaProgress{},
-		confirmedSince: map[string]time.Duration{},
-		paces:          map[string]*rolloutPace{},
-	}
+// ledServices is a service shard that this node leads, as its roll-outs see it.
+type ledServices struct {
+	machine *Machine
+	hosted  *shard
+	state   *shardstate.Service
 }
 
-// scheduleRollout has the next moves looked for at the next tick, if any replica is being
-// moved: something that one may wait for has come.
-func (m *Machine) scheduleRollout() {
-	for _, hosted := range m.shards {
-		if len(hosted.rollout.progress) > 0 {
-			m.nextRollout = m.now
-			return
-		}
-	}
+// ID implements rollout.Shard.
+func (l ledServices) ID() uint32 { return l.hosted.id }
+
+// Term implements rollout.Shard.
+func (l ledServices) Term() uint64 { return l.hosted.group.Status().Term }
+
+// Rows implements rollout.Shard.
+func (l ledServices) Rows() []*controlpb.ReplicaState { return l.state.Replicas() }
+
+// ConfirmedEverywhere implements rollout.Shard.
+func (l ledServices) ConfirmedEverywhere(revision uint64) bool {
+	return l.machine.confirmedEverywhere(l.hosted, revision)
+}
+
+// DrainedEverywhere implements rollout.Shard.
+func (l ledServices) DrainedEverywhere(revision uint64) bool {
+	return l.machine.drainedEverywhere(l.hosted, revision)
+}
+
+// HasCommandLease implements rollout.Shard.
+func (l ledServices) HasCommandLease(at time.Duration) bool {
+	return l.hosted.group.HasCommandLease(at)
 }
 
 // tickRollouts lets each shard that this node leads make its next moves.
 func (m *Machine) tickRollouts() {
-	if m.now < m.nextRollout {
+	if !m.rollout.Due(m.now) {
 		return
 	}
-	m.nextRollout = m.now + rolloutInterval
 	for _, id := range m.shardIDs {
 		hosted := m.shards[id]
 		if hosted == nil || !hosted.isLeader() {
 			continue
 		}
-		if term := hosted.group.Status().Term; term != hosted.rollout.term {
-			hosted.rollout = newRolloutState(term, m.now)
-		}
-		if m.now >= hosted.rollout.nextPrune {
-			hosted.rollout.nextPrune = m.now + m.config.Times.RetryEvery
-			m.forgetEndedIncarnations(hosted)
-		}
+		term := hosted.group.Status().Term
+		m.rollout.Lead(m.now, id, term)
+		m.pruneNodes(hosted, term)
 		if service, ok := hosted.state.(*shardstate.Service); ok {
 			m.rollOutShard(hosted, service)
 		}
 	}
 }
 
-// rollOutShard moves the replicas of the pools whose service hashes to a shard
-// towards the version that the configuration names. It decides only from a state
-// in which everything in the log has been applied, so that no change is made from
-// rows that another change is about to replace.
+// rollOutShard moves the replicas of the pools whose service hashes to a shard. It
+// decides only from a state in which everything in the log has been applied.
 func (m *Machine) rollOutShard(hosted *shard, service *shardstate.Service) {
-	if !m.backends.endpointsKnown || !hosted.allApplied() {
-		return
-	}
-	change := &controlpb.SetReplicas{}
-	endpoints := map[string]listing.Replica{}
-	for _, pool := range m.received.Configuration().GetPools() {
-		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) != hosted.id {
-			continue
-		}
-		for _, replica := range m.backends.services[pool.GetService()] {
-			endpoints[replica.Address] = replica
-		}
-		m.rollOutPool(hosted, service, pool, change)
-	}
-	hosted.rollout.pruneProgress(service.Replicas())
-	change.Removed = m.obsoleteRows(hosted, service, endpoints)
-	if len(change.Replicas) == 0 && len(change.Removed) == 0 {
+	if !m.backends.known || !hosted.allApplied() {
 		return
 	}
-	command := &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}}
-	m.proposeCommand(hosted, command)
-}
-
-// obsoleteRows lists the rows that say nothing any more: of replicas that left the
-// list or came back as another incarnation, and those that the list has caught up
-// with.
-func (m *Machine) obsoleteRows(hosted *shard, service *shardstate.Service, endpoints map[string]listing.Replica) []string {
-	var obsolete []string
-	for _, row := range service.Replicas() {
-		replica, found := endpoints[row.GetAddress()]
-		if !found || !sameInstance(row, replica) || m.caughtUp(hosted, row, replica) {
-			obsolete = append(obsolete, row.GetAddress())
+	configuration := m.received.Configuration()
+	var pools []rollout.Pool
+	for _, pool := range configuration.GetPools() {
+		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) == hosted.id {
+			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.backends.services[pool.GetService()]})
 		}
 	}
-	return obsolete
-}
-
-// caughtUp tells whether the list knows as much as a row by now.
-func (m *Machine) caughtUp(hosted *shard, row *controlpb.ReplicaState, endpoint listing.Replica) bool {
-	address := row.GetAddress()
-	if endpoint.WeightVersion == "" || row.GetPhase() != controlpb.ReplicaPhase_SERVING {
-		delete(hosted.rollout.confirmedSince, address)
-		return false
-	}
-	since, seen := hosted.rollout.confirmedSince[address]
-	if !seen {
-		hosted.rollout.confirmedSince[address] = m.now
-		return false
+	led := ledServices{machine: m, hosted: hosted, state: service}
+	change := m.rollout.Advance(m.now, led, pools, shardstate.EvacuatedZones(configuration))
+	if change != nil {
+		m.proposeCommand(hosted, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
 	}
-	if m.now-since < rowRetention {
-		return false
-	}
-	delete(hosted.rollout.confirmedSince, address)
-	return true
 }
 
-// poolRollout is one look at the replicas of a pool.
-type poolRollout struct {
-	hosted *shard
-	pool   *ridgeswitchv1.Pool
-	pace   *rolloutPace
-	// replicas are those that the list does not show draining, with their rows.
-	replicas []poolReplica
+// CommandDone takes the outcome of a command.
+func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) Output {
+	m.now = now
+	m.rollout.CommandDone(now, command, outcome)
+	return m.takeOutput()
 }
 
-// poolReplica is a listed replica with its row, if it has one.
-type poolReplica struct {
-	listing.Replica
-	row *controlpb.ReplicaState
+// SetReplicaReport takes what a replica reported of itself.
+func (m *Machine) SetReplicaReport(now time.Duration, report ReplicaReport) Output {
+	m.now = now
+	m.rollout.SetReport(now, report)
+	return m.takeOutput()
 }
 
-// outOfService tells whether a row keeps requests from the replica.
-func (r poolReplica) outOfService() bool { return outOfServiceByRollout(r.row, r.Replica) }
-
-func (r poolRollout) target() string { return r.pool.GetWeightVersion() }
-
-// rollOutPool gathers the changes of one pool's replicas.
-func (m *Machine) rollOutPool(hosted *shard, service *shardstate.Service, pool *ridgeswitchv1.Pool, change *controlpb.SetReplicas) {
-	rolling := poolRollout{hosted: hosted, pool: pool, pace: hosted.rollout.paceFor(pool, m.now, m.config)}
-	for _, replica := range m.backends.services[pool.GetService()] {
-		row := shardstate.FindReplica(service.Replicas(), replica.Address)
-		if row != nil && !sameInstance(row, replica) {
-			// The row goes first.
-			continue
-		}
-		rolling.replicas = append(rolling.replicas, poolReplica{Replica: replica, row: row})
-	}
-	moved := map[string]struct{}{}
-	for _, replica := range rolling.replicas {
-		if next := m.nextRow(rolling, replica); next != nil {
-			change.Replicas = append(change.Replicas, next)
-			moved[replica.Address] = struct{}{}
-		}
-	}
-	for _, replica := range m.selectForUpdate(rolling, moved) {
-		change.Replicas = append(change.Replicas, m.beginUpdate(rolling, replica))
-	}
-}
-
-// nextRow returns the row that a replica moves to without anybody's choice, or nil
-// if it stays.
-func (m *Machine) nextRow(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
-	switch {
-	case replica.row == nil:
-		return m.firstRow(rolling, replica)
-	case replica.row.GetPhase() == controlpb.ReplicaPhase_DRAINING:
-		return m.advanceDraining(rolling, replica)
-	case replica.row.GetPhase() == controlpb.ReplicaPhase_LOADING:
-		return m.advanceLoading(rolling, replica)
-	default:
-		return m.checkServing(rolling, replica)
-	}
-}
-
-// selectForUpdate returns the replicas to take out of service now: as many as the pace
-// allows, from the zones that miss the fewest, the least busy first.
-func (m *Machine) selectForUpdate(rolling poolRollout, moved map[string]struct{}) []poolReplica {
-	evacuated := evacuatedZones(m.received.Configuration())
-	candidates := slices.DeleteFunc(slices.Clone(rolling.replicas), func(replica poolReplica) bool {
-		_, done := moved[replica.Address]
-		return done || !m.needsUpdate(rolling, replica)
-	})
-	zones := m.countZones(rolling)
-	free := m.rolloutCapacity(rolling, len(candidates))
-	var selected []poolReplica
-	for free > 0 && len(candidates) > 0 {
-		slices.SortStableFunc(candidates, func(a, b poolReplica) int {
-			return cmp.Or(
-				compareEvacuated(evacuated, a.Zone, b.Zone),
-				cmp.Compare(zones[a.Zone].out, zones[b.Zone].out),
-				cmp.Compare(m.backends.reports[a.Address].ActiveRequests, m.backends.reports[b.Address].ActiveRequests),
-			)
-		})
-		next := candidates[0]
-		candidates = candidates[1:]
-		zone := zones[next.Zone]
-		if !evacuated.has(next.Zone) && zone.serving <= 1 && zone.serving+zone.out > 1 && !rolling.pace.overdue(m.now) {
-			continue
-		}
-		zone.serving--
-		zone.out++
-		free--
-		selected = append(selected, next)
-	}
-	return selected
-}
-
-// compareEvacuated orders what serves nobody first.
-func compareEvacuated(evacuated zoneSet, a, b string) int {
-	switch {
-	case evacuated.has(a) == evacuated.has(b):
-		return 0
-	case evacuated.has(a):
-		return -1
-	default:
-		return 1
-	}
-}
-
-// zoneCount is how many replicas of a pool serve in a zone, and how many are out.
-type zoneCount struct {
-	serving, out int
-}
-
-func (m *Machine) countZones(rolling poolRollout) map[string]*zoneCount {
-	zones := map[string]*zoneCount{}
-	for _, replica := range rolling.replicas {
-		zone := zones[replica.Zone]
-		if zone == nil {
-			zone = &zoneCount{}
-			zones[replica.Zone] = zone
-		}
-		switch {
-		case replica.outOfService():
-			zone.out++
-		case !replica.Draining:
-			zone.serving++
-		}
-	}
-	return zones
-}
-
-// rolloutCapacity is how many more replicas may be taken out of service. Those that
-// do not answer count for nothing: they serve nobody.
-func (m *Machine) rolloutCapacity(rolling poolRollout, candidates int) int {
-	out := 0
-	for _, replica := range rolling.replicas {
-		if replica.outOfService() && !m.seemsUnavailable(rolling, replica) {
-			out++
-		}
-	}
-	// Those that are out are half through on average.
-	left := candidates + (out+1)/2
-	return rolling.pace.allowed(m.now, left, len(rolling.replicas)) - out
-}
-
-// seemsUnavailable tells whether a replica has not answered for long enough that
-// taking it out of service costs nothing. A leader that has only begun to ask
-// knows of none.
-func (m *Machine) seemsUnavailable(rolling poolRollout, replica poolReplica) bool {
-	if replica.WeightVersion != "" {
-		return m.unresponsive(replica.Address)
-	}
-	asked := m.now - rolling.hosted.rollout.since
-	return asked >= reportFreshness && !m.reportIsFresh(replica.Address)
+// ReplicaReportFailed tells that a replica gave no report.
+func (m *Machine) ReplicaReportFailed(now time.Duration, address string) Output {
+	m.now = now
+	m.rollout.ReportFailed(now, address)
+	return m.takeOutput()
 }
--- a/internal/control/commands.go
+++ b/internal/control/rollout/commands.go
@@ -1,4 +1,4 @@
-package control
+package rollout
 
 import (
 	"time"
@@ -111,15 +111,15 @@
 }
 
 // progressOf returns the work that belongs to a row.
-func (r *rolloutState) progressOf(row *controlpb.ReplicaState, now time.Duration) *replicaProgress {
-	progress := r.progress[row.GetAddress()]
+func (s *shardState) progressOf(row *controlpb.ReplicaState, now time.Duration) *replicaProgress {
+	progress := s.progress[row.GetAddress()]
 	if progress == nil || progress.revision != row.GetPhaseRevision() {
-		next := &replicaProgress{revision: row.GetPhaseRevision(), since: now, outOfService: r.countOutOfService(row)}
+		next := &replicaProgress{revision: row.GetPhaseRevision(), since: now, outOfService: s.countOutOfService(row)}
 		if progress != nil {
 			next.inherit(progress)
 		}
 		progress = next
-		r.progress[row.GetAddress()] = progress
+		s.progress[row.GetAddress()] = progress
 	}
 	return progress
 }
@@ -139,9 +139,9 @@
 }
 
 // countOutOfService counts the replicas that are worked on, the new one included.
-func (r *rolloutState) countOutOfService(added *controlpb.ReplicaState) int {
+func (s *shardState) countOutOfService(added *controlpb.ReplicaState) int {
 	count := 1
-	for address := range r.progress {
+	for address := range s.progress {
 		if address != added.GetAddress() {
 			count++
 		}
@@ -150,11 +150,11 @@
 }
 
 // pruneProgress drops what belongs to no row that keeps requests from a replica.
-func (r *rolloutState) pruneProgress(rows []*controlpb.ReplicaState) {
-	for address := range r.progress {
+func (s *shardState) pruneProgress(rows []*controlpb.ReplicaState) {
+	for address := range s.progress {
 		row := shardstate.FindReplica(rows, address)
 		if row == nil || row.GetPhase() == controlpb.ReplicaPhase_SERVING {
-			delete(r.progress, address)
+			delete(s.progress, address)
 		}
 	}
 }
@@ -166,12 +166,11 @@
 	if m.now < progress.nextCommand || !m.readyForCommand(rolling, replica, progress) {
 		return
 	}
-	hosted := rolling.hosted
-	if !m.commandLeaseValid(hosted) {
+	if !m.commandLeaseValid(rolling.shard, rolling.state) {
 		return
 	}
-	report, known := m.backends.reports[replica.Address]
-	progress.token = commandToken(hosted.group.Status().Term, replica.row.GetPhaseRevision())
+	report, known := m.reports[replica.Address]
+	progress.token = commandToken(rolling.shard.Term(), replica.row.GetPhaseRevision())
 	progress.inFlight = true
 	progress.sentAt = m.now
 	progress.accepted = false
@@ -181,7 +180,7 @@
 		Instance:         replica.Instance,
 		Model:            rolling.pool.GetModel(),
 		WeightVersion:    replica.row.GetWeightVersion(),
-		Leader:           string(m.config.Self.ID),
+		Leader:           string(m.config.Self),
 		Token:            progress.token,
 		ExpectedSequence: report.Sequence,
 		ExpectsSequence:  known && m.config.ReplicasFinishFirst,
@@ -215,19 +214,18 @@
 	if !m.config.ReplicasFinishFirst {
 		return true
 	}
-	return m.now >= progress.since+confirmationTimeout || m.confirmedEverywhere(rolling.hosted, replica.row.GetPhaseRevision())
+	return m.now >= progress.since+confirmationTimeout || rolling.shard.ConfirmedEverywhere(replica.row.GetPhaseRevision())
 }
 
 // commandLeaseValid tells whether this node's right to command is certain for the whole
 // window, and an earlier holder's last command is as old as two holders must be
 // apart.
-func (m *Machine) commandLeaseValid(hosted *shard) bool {
-	times := m.config.Times
-	first := hosted.rollout.since + times.LeaseDuration + times.LeaseMargin + times.CommandGap
-	if hosted.rollout.term > 1 && m.now < first {
+func (m *Machine) commandLeaseValid(shard Shard, state *shardState) bool {
+	first := state.since + m.config.LeaseDuration + m.config.LeaseMargin + m.config.CommandGap
+	if state.term > 1 && m.now < first {
 		return false
 	}
-	return hosted.group.HasCommandLease(m.now) && hosted.group.HasCommandLease(m.now+commandTimeout)
+	return shard.HasCommandLease(m.now) && shard.HasCommandLease(m.now+commandTimeout)
 }
 
 // commandToken orders all commands that a replica ever gets: first by the term
@@ -239,20 +237,16 @@
 	return term<<revisionBits | phaseRevision&(1<<revisionBits-1)
 }
 
-// CommandDone takes what came of a command.
-func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) Output {
+// CommandDone takes the outcome of a command.
+func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) {
 	m.now = now
 	for _, id := range m.shardIDs {
-		hosted := m.shards[id]
-		if hosted == nil {
-			continue
-		}
-		if progress := hosted.rollout.progress[command.Address]; progress != nil && progress.inFlight && progress.token == command.Token {
+		progress := m.shards[id].progress[command.Address]
+		if progress != nil && progress.inFlight && progress.token == command.Token {
 			m.commandDone(progress, command, outcome)
 		}
 	}
-	m.scheduleRollout()
-	return m.takeOutput()
+	m.wake()
 }
 
 func (m *Machine) commandDone(progress *replicaProgress, command Command, outcome CommandOutcome) {
@@ -264,7 +258,7 @@
 		m.recordReport(ReplicaReport{
 			Address:       command.Address,
 			Instance:      command.Instance,
-			Incarnation:   m.backends.reports[command.Address].Incarnation,
+			Incarnation:   m.reports[command.Address].Incarnation,
 			WeightVersion: command.WeightVersion,
 			MeasuredAt:    m.now,
 		})
--- /dev/null
+++ b/internal/control/rollout/commands_test.go
@@ -0,0 +1,58 @@
+package rollout
+
+import (
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+)
+
+// leasedShard is a service shard without rows, the right to command in which lasts
+// until an instant.
+type leasedShard struct {
+	term  uint64
+	until time.Duration
+}
+
+func (s leasedShard) ID() uint32                            { return 1 }
+func (s leasedShard) Term() uint64                          { return s.term }
+func (s leasedShard) Rows() []*controlpb.ReplicaState       { return nil }
+func (s leasedShard) ConfirmedEverywhere(uint64) bool       { return true }
+func (s leasedShard) DrainedEverywhere(uint64) bool         { return true }
+func (s leasedShard) HasCommandLease(at time.Duration) bool { return at < s.until }
+
+var _ = Describe("a new leader", func() {
+	const began = 3 * time.Second
+
+	config := Config{LeaseDuration: time.Second, LeaseMargin: 300 * time.Millisecond, CommandGap: 3 * time.Second}
+	gap := config.LeaseDuration + config.LeaseMargin + config.CommandGap
+
+	leading := func(term uint64) *Machine {
+		machine := New(config, []uint32{1}, 0)
+		machine.Lead(began, 1, term)
+		return machine
+	}
+	mayCommandAt := func(machine *Machine, shard Shard, now time.Duration) bool {
+		machine.now = now
+		return machine.commandLeaseValid(shard, machine.shards[1])
+	}
+
+	It("waits until the last command of the one before is as old as holders must be apart", func() {
+		machine, shard := leading(2), leasedShard{term: 2, until: time.Hour}
+		Expect(mayCommandAt(machine, shard, began)).To(BeFalse())
+		Expect(mayCommandAt(machine, shard, began+gap-time.Millisecond)).To(BeFalse())
+		Expect(mayCommandAt(machine, shard, began+gap)).To(BeTrue())
+	})
+
+	It("need not wait in the first term", func() {
+		Expect(mayCommandAt(leading(1), leasedShard{term: 1, until: time.Hour}, began)).To(BeTrue())
+	})
+
+	It("commands nothing unless its lease lasts for the whole time of a command", func() {
+		machine := leading(1)
+		Expect(mayCommandAt(machine, leasedShard{term: 1, until: began + commandTimeout}, began)).To(BeFalse())
+		Expect(mayCommandAt(machine, leasedShard{term: 1, until: began + commandTimeout + 1}, began)).To(BeTrue())
+	})
+})
--- /dev/null
+++ b/internal/control/rollout/doc.go
@@ -0,0 +1,18 @@
+// Package rollout moves the replicas of pools to the weight versions that the
+// configuration names, a few at a time, as the leader of the service shard which
+// holds their rows.
+//
+// A replica's row says in which phase it is: SERVING, DRAINING (no node sends it new
+// requests) or LOADING (it is ordered to load the version). The rows are replicated
+// state of the shard and not of this package: Machine proposes changes of them and
+// sees them again once they are committed.
+//
+// Machine owns what a leader may lose: the reports of replicas, where it stands with
+// each replica that a row keeps requests from, and the pace of each pool. A new leader
+// gathers that anew and repeats commands under its own term. Commands carry a token of
+// term and revision, and two leaders' commands to one replica are CommandGap apart,
+// so that replicas which check no tokens are safe as well.
+//
+// Machine does no I/O, reads no clock and is not safe for concurrent use. Every input
+// comes with the time; outputs are gathered until Take.
+package rollout
--- a/internal/control/rollout_pace.go
+++ b/internal/control/rollout/pace.go
@@ -1,4 +1,4 @@
-package control
+package rollout
 
 import (
 	"time"
@@ -30,8 +30,8 @@
 	urgentPoolDivisor = 2
 )
 
-// rolloutPace decides how many replicas of a pool are out of service at once.
-type rolloutPace struct {
+// pace decides how many replicas of a pool are out of service at once.
+type pace struct {
 	// target is the named version, and since when this leader first saw it.
 	target string
 	since  time.Duration
@@ -47,10 +47,10 @@
 
 // paceFor returns the pace of a pool, which begins anew with each named version but
 // keeps what was measured.
-func (r *rolloutState) paceFor(pool *ridgeswitchv1.Pool, now time.Duration, config Config) *rolloutPace {
-	current := r.paces[pool.GetName()]
+func (s *shardState) paceFor(pool *ridgeswitchv1.Pool, now time.Duration, config Config) *pace {
+	current := s.paces[pool.GetName()]
 	if current == nil {
-		current = &rolloutPace{
+		current = &pace{
 			outDurations:  map[int]time.Duration{},
 			loadDurations: map[int]time.Duration{},
 			since:         now,
@@ -58,7 +58,7 @@
 			withoutDrain:  config.ReplicasFinishFirst,
 			duration:      config.rolloutDuration(),
 		}
-		r.paces[pool.GetName()] = current
+		s.paces[pool.GetName()] = current
 	}
 	if current.target != pool.GetWeightVersion() {
 		current.target = pool.GetWeightVersion()
@@ -72,8 +72,8 @@
 	switch {
 	case !c.ReplicasFinishFirst:
 		return rolloutTarget
-	case c.Times.WeightsDeadline > 2*weightsDeadlineMargin:
-		return c.Times.WeightsDeadline - weightsDeadlineMargin
+	case c.WeightsDeadline > 2*weightsDeadlineMargin:
+		return c.WeightsDeadline - weightsDeadlineMargin
 	default:
 		return rolloutTargetWithoutDrain
 	}
@@ -81,7 +81,7 @@
 
 // measure takes in how long a replica was out while so many were, and how long of that
 // after its command.
-func (p *rolloutPace) measure(level int, out, load time.Duration) {
+func (p *pace) measure(level int, out, load time.Duration) {
 	if level <= 0 {
 		return
 	}
@@ -98,15 +98,15 @@
 }
 
 // expectedOut is how long a replica is out while so many are.
-func (p *rolloutPace) expectedOut(level int) time.Duration { return p.nearest(p.outDurations, level) }
+func (p *pace) expectedOut(level int) time.Duration { return p.nearest(p.outDurations, level) }
 
 // expectedLoad is how long a replica takes from its command on while so many are out.
 // A leader that had to wait before it could command must not take that wait for theirs:
 // it would ask late whether they are back.
-func (p *rolloutPace) expectedLoad(level int) time.Duration { return p.nearest(p.loadDurations, level) }
+func (p *pace) expectedLoad(level int) time.Duration { return p.nearest(p.loadDurations, level) }
 
 // nearest is what was measured at the nearest level, or the default.
-func (p *rolloutPace) nearest(measured map[int]time.Duration, level int) time.Duration {
+func (p *pace) nearest(measured map[int]time.Duration, level int) time.Duration {
 	nearest := 0
 	for known := range measured {
 		if nearest == 0 || distance(known, level) < distance(nearest, level) || distance(known, level) == distance(nearest, level) && known < nearest {
@@ -126,19 +126,19 @@
 func distance(a, b int) int { return max(a-b, b-a) }
 
 // deadline is when the roll-out is to be over.
-func (p *rolloutPace) deadline() time.Duration { return p.since + p.duration }
+func (p *pace) deadline() time.Duration { return p.since + p.duration }
 
 // overdue tells whether only the bound that operators count on matters any more.
 // Replicas that are drained first are never taken out all at once for it: that
 // takes as long as their requests run.
-func (p *rolloutPace) overdue(now time.Duration) bool {
+func (p *pace) overdue(now time.Duration) bool {
 	return p.withoutDrain && now >= p.deadline()+overdueAfter
 }
 
 // allowed is how many replicas of a pool may be out at once, when as much is left
 // to do as so many take. It is the fewest with which the roll-out ends in time, as
 // more at once load more slowly, and no more than a third as long as that is enough.
-func (p *rolloutPace) allowed(now time.Duration, left, pool int) int {
+func (p *pace) allowed(now time.Duration, left, pool int) int {
 	if p.overdue(now) {
 		return pool
 	}
@@ -159,6 +159,6 @@
 
 // inTime tells whether the replicas that are left get through at a level before the
 // deadline.
-func (p *rolloutPace) inTime(now time.Duration, left, level int) bool {
+func (p *pace) inTime(now time.Duration, left, level int) bool {
 	return time.Duration(left)*p.expectedOut(level)/time.Duration(level) <= p.deadline()-now
 }
--- a/internal/control/reports.go
+++ b/internal/control/rollout/reports.go
@@ -1,6 +1,34 @@
-package control
+package rollout
 
-import "time"
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+)
+
+// ReplicaReport is what a replica said of itself when it was asked.
+type ReplicaReport struct {
+	Address string
+	// Instance names the incarnation that answered, as the list does; empty if the
+	// replica does not tell it.
+	Instance string
+	// Incarnation numbers it, where replicas do that; else 0.
+	Incarnation uint64
+	// WeightVersion is empty while other weights are being loaded.
+	WeightVersion string
+	// Busy tells that a command is under way.
+	Busy bool
+	// Sequence counts the commands that the incarnation took; 0 if unknown.
+	Sequence uint64
+	// ActiveRequests counts requests that run or wait on the replica.
+	ActiveRequests int
+	// Age is how old the numbers may have been when the replica was asked. It is
+	// part of MeasuredAt.
+	Age time.Duration
+	// MeasuredAt is when the replica took the numbers, which may be well
+	// before they arrived.
+	MeasuredAt time.Duration
+}
 
 // ReportRequest asks for a replica's report.
 type ReportRequest struct {
@@ -23,8 +51,8 @@
 	maxDoublings = 8
 )
 
-// reportRequestState is where this node stands with asking one replica.
-type reportRequestState struct {
+// reportRequest is where this node stands with asking one replica.
+type reportRequest struct {
 	inFlight    bool
 	sentAt      time.Duration
 	nextAttempt time.Duration
@@ -39,10 +67,10 @@
 // requestReport asks a replica for its report, unless that is under way or was done
 // just now. One that does not answer is asked less and less often.
 func (m *Machine) requestReport(address, instance string) {
-	request := m.backends.reportRequests[address]
+	request := m.requests[address]
 	if request == nil {
-		request = &reportRequestState{}
-		m.backends.reportRequests[address] = request
+		request = &reportRequest{}
+		m.requests[address] = request
 	}
 	if request.inFlight && m.now-request.sentAt < reportTimeout || m.now < request.nextAttempt {
 		return
@@ -55,55 +83,67 @@
 // requestReportNow asks a replica that answered last time without the usual pause, since
 // only a report from now on tells what is waited for.
 func (m *Machine) requestReportNow(address, instance string) {
-	if request := m.backends.reportRequests[address]; request != nil && request.failures == 0 {
+	if request := m.requests[address]; request != nil && request.failures == 0 {
 		request.inFlight = false
 		request.nextAttempt = m.now
 	}
 	m.requestReport(address, instance)
 }
 
-// SetReplicaReport takes what a replica said of itself.
-func (m *Machine) SetReplicaReport(now time.Duration, report ReplicaReport) Output {
+// SetReport takes what a replica reported of itself.
+func (m *Machine) SetReport(now time.Duration, report ReplicaReport) {
 	m.now = now
 	m.recordReport(report)
-	if request := m.backends.reportRequests[report.Address]; request != nil {
+	if request := m.requests[report.Address]; request != nil {
 		request.inFlight = false
 		request.failures = 0
 		request.nextAttempt = request.sentAt + reportInterval
 	}
-	m.scheduleRollout()
-	return m.takeOutput()
+	m.wake()
 }
 
 // recordReport keeps the newest report of a replica.
 func (m *Machine) recordReport(report ReplicaReport) {
-	if known, found := m.backends.reports[report.Address]; found && known.MeasuredAt > report.MeasuredAt {
+	if known, found := m.reports[report.Address]; found && known.MeasuredAt > report.MeasuredAt {
 		return
 	}
-	m.backends.reports[report.Address] = report
+	m.reports[report.Address] = report
 }
 
-// ReplicaReportFailed tells that a replica gave no report.
-func (m *Machine) ReplicaReportFailed(now time.Duration, address string) Output {
+// ReportFailed tells that a replica gave no report.
+func (m *Machine) ReportFailed(now time.Duration, address string) {
 	m.now = now
-	if request := m.backends.reportRequests[address]; request != nil {
+	if request := m.requests[address]; request != nil {
 		request.inFlight = false
 		request.nextAttempt = now + backoff(reportInterval, request.failures, maxReportBackoff)
 		request.failures++
 	}
-	return m.takeOutput()
+}
+
+// ForgetAbsent drops the reports of replicas that left the platform's list.
+func (m *Machine) ForgetAbsent(replicas []listing.Replica) {
+	present := map[string]struct{}{}
+	for _, replica := range replicas {
+		present[replica.Address] = struct{}{}
+	}
+	for address := range m.requests {
+		if _, found := present[address]; !found {
+			delete(m.requests, address)
+			delete(m.reports, address)
+		}
+	}
 }
 
 // reportIsFresh tells whether a replica answered lately.
 func (m *Machine) reportIsFresh(address string) bool {
-	report, known := m.backends.reports[address]
+	report, known := m.reports[address]
 	return known && m.now-report.MeasuredAt < reportFreshness
 }
 
 // reportSince returns a replica's report if it was measured after an instant, in
 // the incarnation that the list names.
 func (m *Machine) reportSince(address, instance string, since time.Duration) (ReplicaReport, bool) {
-	report, known := m.backends.reports[address]
+	report, known := m.reports[address]
 	if !known || report.MeasuredAt < since {
 		return ReplicaReport{}, false
 	}
@@ -116,6 +156,6 @@
 // unresponsive tells whether a replica has left reports unanswered lately.
 func (m *Machine) unresponsive(address string) bool {
 	const fewFailures = 2
-	request := m.backends.reportRequests[address]
+	request := m.requests[address]
 	return request != nil && request.failures >= fewFailures
 }
--- a/internal/control/rollout_rows.go
+++ b/internal/control/rollout/rows.go
@@ -1,4 +1,4 @@
-package control
+package rollout
 
 import (
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
@@ -13,7 +13,7 @@
 		return nil
 	}
 	m.requestReport(replica.Address, replica.Instance)
-	report, known := m.backends.reports[replica.Address]
+	report, known := m.reports[replica.Address]
 	if !known || report.WeightVersion == "" || !m.reportIsFresh(replica.Address) {
 		return nil
 	}
@@ -27,7 +27,7 @@
 		return nil
 	}
 	m.requestReport(replica.Address, replica.Instance)
-	report, known := m.backends.reports[replica.Address]
+	report, known := m.reports[replica.Address]
 	versionChanged := known && m.reportIsFresh(replica.Address) && report.WeightVersion != replica.row.GetWeightVersion()
 	if !versionChanged {
 		return nil
@@ -38,8 +38,8 @@
 // needsUpdate tells whether a serving replica is to load the named version: it runs an
 // older one and answers. Its report also keeps it from a command in vain.
 func (m *Machine) needsUpdate(rolling poolRollout, replica poolReplica) bool {
-	running := runningVersion(replica.row, replica.Replica)
-	if replica.outOfService() || replica.Draining || running == "" || versionReached(running, rolling.target()) {
+	running := RunningVersion(replica.row, replica.Replica)
+	if replica.outOfService() || replica.Draining || running == "" || VersionReached(running, rolling.target()) {
 		return false
 	}
 	if replica.WeightVersion == "" {
@@ -56,14 +56,14 @@
 // beginUpdate begins to move a replica. One that has the version already, which the
 // list does not show yet, is admitted with it instead.
 func (m *Machine) beginUpdate(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
-	report := m.backends.reports[replica.Address]
+	report := m.reports[replica.Address]
 	switch {
-	case versionReached(report.WeightVersion, rolling.target()):
+	case VersionReached(report.WeightVersion, rolling.target()):
 		return rowOf(rolling, replica, controlpb.ReplicaPhase_SERVING, report.WeightVersion, report)
 	case m.config.ReplicasFinishFirst:
 		return rowOf(rolling, replica, controlpb.ReplicaPhase_LOADING, rolling.target(), report)
 	default:
-		return rowOf(rolling, replica, controlpb.ReplicaPhase_DRAINING, runningVersion(replica.row, replica.Replica), report)
+		return rowOf(rolling, replica, controlpb.ReplicaPhase_DRAINING, RunningVersion(replica.row, replica.Replica), report)
 	}
 }
 
@@ -71,8 +71,8 @@
 // request on the replica, and the replica itself says so after that.
 func (m *Machine) advanceDraining(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
 	m.requestReport(replica.Address, replica.Instance)
-	progress := rolling.hosted.rollout.progressOf(replica.row, m.now)
-	if !m.drainedEverywhere(rolling.hosted, replica.row.GetPhaseRevision()) {
+	progress := rolling.state.progressOf(replica.row, m.now)
+	if !rolling.shard.DrainedEverywhere(replica.row.GetPhaseRevision()) {
 		progress.drained = false
 		return nil
 	}
@@ -82,11 +82,11 @@
 		m.requestReportNow(replica.Address, replica.Instance)
 		return nil
 	}
-	report, known := m.backends.reports[replica.Address]
+	report, known := m.reports[replica.Address]
 	if !known || report.MeasuredAt < progress.drainedSince || report.ActiveRequests > 0 {
 		return nil
 	}
-	if versionReached(report.WeightVersion, rolling.target()) {
+	if VersionReached(report.WeightVersion, rolling.target()) {
 		return rowOf(rolling, replica, controlpb.ReplicaPhase_SERVING, report.WeightVersion, report)
 	}
 	return withPhase(replica.row, controlpb.ReplicaPhase_LOADING, rolling.target())
@@ -95,16 +95,16 @@
 // advanceLoading admits the replica once it confirms the version, and otherwise
 // orders it to load. A newer named version replaces an unfinished one.
 func (m *Machine) advanceLoading(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
-	progress := rolling.hosted.rollout.progressOf(replica.row, m.now)
+	progress := rolling.state.progressOf(replica.row, m.now)
 	if !m.config.ReplicasFinishFirst {
 		m.requestReport(replica.Address, replica.Instance)
 	}
-	report, known := m.reportSince(replica.Address, replica.Instance, rolling.hosted.rollout.since)
-	if known && m.reportIsFresh(replica.Address) && versionReached(report.WeightVersion, rolling.target()) {
+	report, known := m.reportSince(replica.Address, replica.Instance, rolling.state.since)
+	if known && m.reportIsFresh(replica.Address) && VersionReached(report.WeightVersion, rolling.target()) {
 		rolling.pace.measure(progress.outOfService, m.now-progress.since, m.now-max(progress.since, progress.sentAt))
 		return rowOf(rolling, replica, controlpb.ReplicaPhase_SERVING, report.WeightVersion, report)
 	}
-	if rolling.target() != "" && versionReached(replica.WeightVersion, rolling.target()) {
+	if rolling.target() != "" && VersionReached(replica.WeightVersion, rolling.target()) {
 		return rowOf(rolling, replica, controlpb.ReplicaPhase_SERVING, replica.WeightVersion, report)
 	}
 	if replica.row.GetWeightVersion() != rolling.target() && rolling.target() != "" {
--- a/internal/control/versions.go
+++ b/internal/control/rollout/versions.go
@@ -1,4 +1,4 @@
-package control
+package rollout
 
 import (
 	"strconv"
@@ -10,10 +10,10 @@
 // Weight versions are labels. Those that are whole numbers are compared as such, so
 // that a replica which is ahead of the named version is left as it is.
 
-// versionReached tells whether a replica that runs one version need not load the
+// VersionReached tells whether a replica that runs one version need not load the
 // named one. No version was reached by a replica of unknown weights; whatever a
 // replica runs does if none is named.
-func versionReached(running, named string) bool {
+func VersionReached(running, named string) bool {
 	if running == "" {
 		return false
 	}
@@ -35,9 +35,9 @@
 	return row.GetInstance() == "" || endpoint.Instance == "" || row.GetInstance() == endpoint.Instance
 }
 
-// runningVersion is the version of a replica that takes requests, from its row, if
+// RunningVersion is the version of a replica that takes requests, from its row, if
 // it has one, or else from the list, which lags behind rows; empty if unknown.
-func runningVersion(row *controlpb.ReplicaState, endpoint listing.Replica) string {
+func RunningVersion(row *controlpb.ReplicaState, endpoint listing.Replica) string {
 	if row == nil || !sameInstance(row, endpoint) || row.GetPhase() == controlpb.ReplicaPhase_LOADING {
 		return endpoint.WeightVersion
 	}
@@ -47,7 +47,7 @@
 	return row.GetWeightVersion()
 }
 
-// outOfServiceByRollout tells whether a row keeps requests from a replica.
-func outOfServiceByRollout(row *controlpb.ReplicaState, endpoint listing.Replica) bool {
+// OutOfService tells whether a row keeps requests from a replica.
+func OutOfService(row *controlpb.ReplicaState, endpoint listing.Replica) bool {
 	return row != nil && sameInstance(row, endpoint) && row.GetPhase() != controlpb.ReplicaPhase_SERVING
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -98,6 +98,12 @@
 	}
 }
 
+// forgetRollouts makes the node a leader that knows nothing of its roll-outs and has
+// no reports yet.
+func (n *soloNode) forgetRollouts() {
+	n.machine.rollout = newRollout(n.machine.config, n.machine.hostedIDs(), n.now)
+}
+
 // phases counts the pool's replicas by phase.
 func (n *soloNode) phases() map[string]int {
 	return lo.CountValuesBy(n.machine.Weights("pool").GetReplicas(), func(replica *ridgeswitchv1.ReplicaStatus) string {
@@ -146,9 +152,7 @@
 	})
 
 	It("takes nothing out of service on a leader that has no reports yet", func() {
-		node.machine.backends.reports = map[string]ReplicaReport{}
-		hosted := node.machine.shards[1]
-		hosted.rollout = newRolloutState(hosted.rollout.term, node.now)
+		node.forgetRollouts()
 		Expect(node.submit(weightsOrder("v2")).GetConfirmed()).To(BeTrue())
 		node.run(time.Second)
 		Expect(node.phases()).To(Equal(map[string]int{"serving": poolSize}))
@@ -159,9 +163,7 @@
 		node.report("v1")
 		node.run(time.Second)
 		serving := node.machine.shards[1].state.(*shardstate.Service).Replicas()
-		node.machine.backends.reports = map[string]ReplicaReport{}
-		hosted := node.machine.shards[1]
-		hosted.rollout = newRolloutState(hosted.rollout.term, node.now)
+		node.forgetRollouts()
 		for _, row := range serving {
 			if row.GetPhase() == controlpb.ReplicaPhase_SERVING {
 				node.perform(node.machine.SetReplicaReport(node.now, ReplicaReport{
@@ -197,14 +199,3 @@
 		Expect(node.phases()["serving"]).To(Equal(poolSize - poolSize/2))
 	})
 })
-
-var _ = Describe("The pace of a roll-out", func() {
-	It("tells the time that replicas are out from what their loads take", func() {
-		learnt := &rolloutPace{withoutDrain: true, outDurations: map[int]time.Duration{}, loadDurations: map[int]time.Duration{}}
-		Expect(learnt.expectedLoad(3)).To(Equal(replicaRolloutTimeWithoutDrain))
-		learnt.measure(3, 6*time.Second, 1600*time.Millisecond)
-		Expect(learnt.expectedOut(3)).To(Equal(6 * time.Second))
-		Expect(learnt.expectedLoad(3)).To(Equal(1600 * time.Millisecond))
-		Expect(learnt.expectedLoad(7)).To(Equal(1600 * time.Millisecond))
-	})
-})
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -1,6 +1,8 @@
 package control
 
 import (
+	"time"
+
 	"github.com/pkg/errors"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
@@ -29,20 +31,23 @@
 	// proposals are this node's commands that wait to be applied.
 	proposals map[uint64]proposal
 	// reads are those that wait for a quorum, by their numbers in the group.
-	reads   map[uint64]pendingRead
-	rollout rolloutState
+	reads map[uint64]pendingRead
 	// recovery is set while this node is to form the group anew.
 	recovery *witnessSearch
 	// awaitedRevision is what this node, as leader, waits for the nodes to confirm.
 	awaited awaitedRevision
 	// dissemination follows the newest state of a shard that this node leads.
 	dissemination dissemination
+	// prunedTerm is the term in which the registered nodes were last checked for
+	// ended incarnations, and nextPrune when they are to be checked again.
+	prunedTerm uint64
+	nextPrune  time.Duration
 	// restoredPublished tells that publishRestored has been done.
 	restoredPublished bool
 }
 
 // newShard starts a copy from what the disk kept.
-func newShard(id uint32, group []member.ID, config Config, restored replication.Restored, now timeStamp) (*shard, error) {
+func newShard(id uint32, group []member.ID, config Config, restored replication.Restored, now time.Duration) (*shard, error) {
 	core, err := replication.New(replication.Config{
 		Self:            config.Self.ID,
 		Founders:        group,
@@ -66,7 +71,6 @@
 		maxLogEntries: uint64(config.logEntries()),
 		proposals:     map[uint64]proposal{},
 		reads:         map[uint64]pendingRead{},
-		rollout:       newRolloutState(0, now),
 	}
 	if restored.Snapshot != nil {
 		if err := hosted.restore(restored.Snapshot); err != nil {
--- /dev/null
+++ b/internal/control/shardstate/zones.go
@@ -0,0 +1,21 @@
+package shardstate
+
+import ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+
+// ZoneSet is a set of zone names.
+type ZoneSet map[string]struct{}
+
+// Has tells whether a zone is in the set.
+func (z ZoneSet) Has(zone string) bool {
+	_, found := z[zone]
+	return found
+}
+
+// EvacuatedZones returns the zones to whose back ends no request goes.
+func EvacuatedZones(configuration *ridgeswitchv1.Configuration) ZoneSet {
+	zones := ZoneSet{}
+	for _, evacuation := range configuration.GetEvacuations() {
+		zones[evacuation.GetZone()] = struct{}{}
+	}
+	return zones
+}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -10,6 +10,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
@@ -38,7 +39,7 @@
 // Prepared tells whether this node can serve what the configuration promises: it
 // knows the back ends, and is registered with the shard of every pool.
 func (m *Machine) Prepared() bool {
-	if !m.backends.endpointsKnown {
+	if !m.backends.known {
 		return false
 	}
 	for _, pool := range m.received.Configuration().GetPools() {
@@ -149,10 +150,10 @@
 
 // statusVersion is what a replica runs, or is ordered to load.
 func statusVersion(row *controlpb.ReplicaState, endpoint listing.Replica) string {
-	if outOfServiceByRollout(row, endpoint) {
+	if rollout.OutOfService(row, endpoint) {
 		return row.GetWeightVersion()
 	}
-	return runningVersion(row, endpoint)
+	return rollout.RunningVersion(row, endpoint)
 }
 
 func phaseName(phase controlpb.ReplicaPhase) string {
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -3,6 +3,7 @@
 import (
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
@@ -14,7 +15,7 @@
 func (m *Machine) receiveUpdates(updates []relaytree.Update) {
 	for _, update := range updates {
 		if newer, err := m.received.Apply(update, m.relayedSections); err == nil && newer {
-			m.backends.viewStale = true
+			m.viewStale = true
 		}
 	}
 }
@@ -27,10 +28,10 @@
 
 // publishView puts a new view into the output if anything in it has changed.
 func (m *Machine) publishView() {
-	if !m.backends.viewStale {
+	if !m.viewStale {
 		return
 	}
-	m.backends.viewStale = false
+	m.viewStale = false
 	m.output.View = m.buildView()
 	for _, id := range m.shardIDs {
 		m.confirmations.published[id] = m.received.Revision(id)
@@ -51,7 +52,7 @@
 		Pools:         map[string]*routing.Pool{},
 		WebServices:   map[string]*routing.WebService{},
 	}
-	evacuated := evacuatedZones(configuration)
+	evacuated := shardstate.EvacuatedZones(configuration)
 	addTenants(view, configuration)
 	for _, pool := range configuration.GetPools() {
 		view.Pools[pool.GetName()] = m.viewPool(pool, evacuated)
@@ -64,22 +65,6 @@
 	return view
 }
 
-// zoneSet is a set of zone names.
-type zoneSet map[string]struct{}
-
-func (z zoneSet) has(zone string) bool {
-	_, found := z[zone]
-	return found
-}
-
-func evacuatedZones(configuration *ridgeswitchv1.Configuration) zoneSet {
-	zones := zoneSet{}
-	for _, evacuation := range configuration.GetEvacuations() {
-		zones[evacuation.GetZone()] = struct{}{}
-	}
-	return zones
-}
-
 func addTenants(view *routing.View, configuration *ridgeswitchv1.Configuration) {
 	for _, tenant := range configuration.GetTenants() {
 		entry := &routing.Tenant{
@@ -128,16 +113,16 @@
 // viewPool lists a pool's replicas. Where replicas are drained before they load
 // weights, a node without a registration with the shard that holds them would not
 // be waited for, so that it admits nothing to them.
-func (m *Machine) viewPool(pool *ridgeswitchv1.Pool, evacuated zoneSet) *routing.Pool {
+func (m *Machine) viewPool(pool *ridgeswitchv1.Pool, evacuated shardstate.ZoneSet) *routing.Pool {
 	shardID := shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)
 	registered := m.registered(shardID) || m.config.ReplicasFinishFirst
 	rows := m.received.Service(shardID).GetReplicas()
 	entry := &routing.Pool{Config: pool, Store: findStore(m.received.Configuration(), pool.GetStore())}
 	for _, endpoint := range m.backends.services[pool.GetService()] {
 		row := shardstate.FindReplica(rows, endpoint.Address)
-		version := runningVersion(row, endpoint)
+		version := rollout.RunningVersion(row, endpoint)
 		versionKnown := version != "" || pool.GetWeightVersion() == "" && endpoint.Instance != ""
-		excluded := endpoint.Draining || outOfServiceByRollout(row, endpoint) || evacuated.has(endpoint.Zone)
+		excluded := endpoint.Draining || rollout.OutOfService(row, endpoint) || evacuated.Has(endpoint.Zone)
 		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, version, registered && versionKnown && !excluded))
 	}
 	if target := m.followWeightsTarget(pool); m.weightsOverdue(target) {
@@ -146,10 +131,10 @@
 	return entry
 }
 
-func (m *Machine) viewWebService(service *ridgeswitchv1.WebService, evacuated zoneSet) *routing.WebService {
+func (m *Machine) viewWebService(service *ridgeswitchv1.WebService, evacuated shardstate.ZoneSet) *routing.WebService {
 	entry := &routing.WebService{Config: service}
 	for _, endpoint := range m.backends.services[service.GetService()] {
-		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, "", !endpoint.Draining && !evacuated.has(endpoint.Zone)))
+		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, "", !endpoint.Draining && !evacuated.Has(endpoint.Zone)))
 	}
 	return entry
 }
--- a/internal/control/weights_deadline.go
+++ b/internal/control/weights_deadline.go
@@ -4,6 +4,7 @@
 	"time"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
@@ -43,7 +44,7 @@
 	}
 	for _, target := range m.weightsTargets {
 		if before < target.since+deadline && m.now >= target.since+deadline {
-			m.backends.viewStale = true
+			m.viewStale = true
 		}
 	}
 }
@@ -53,7 +54,7 @@
 func excludeOutdated(pool *routing.Pool, version string) {
 	reached := 0
 	for _, replica := range pool.Replicas {
-		if replica.Admitting && versionReached(replica.WeightVersion, version) {
+		if replica.Admitting && rollout.VersionReached(replica.WeightVersion, version) {
 			reached++
 		}
 	}
@@ -62,6 +63,6 @@
 	}
 	for position := range pool.Replicas {
 		replica := &pool.Replicas[position]
-		replica.Admitting = replica.Admitting && versionReached(replica.WeightVersion, version)
+		replica.Admitting = replica.Admitting && rollout.VersionReached(replica.WeightVersion, version)
 	}
 }
