--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -141,7 +141,7 @@
 	}
 	var leaders []member.ID
 	for _, id := range m.shardIDs {
-		if leader := m.knownLeader(id); leader != "" && !contains(leaders, leader) {
+		if leader := m.leaders.Known(id); leader != "" && !contains(leaders, leader) {
 			leaders = append(leaders, leader)
 		}
 	}
--- a/internal/control/dissemination.go
+++ b/internal/control/dissemination.go
@@ -100,7 +100,7 @@
 func (m *Machine) receiveConfirmationRequest(from member.ID, message protocol.Message) {
 	if message.Term > 0 && message.Term >= m.observedTerms[message.Shard].term {
 		m.observeTerm(message.Shard, message.Term)
-		m.lastLeaders[message.Shard] = from
+		m.leaders.Learn(message.Shard, from)
 	}
 	m.sendControl(from, m.localConfirmation())
 }
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -106,8 +106,13 @@
 		return
 	}
 	for _, id := range m.shardIDs {
-		if leader := m.leaderGuess(id); leader != "" {
+		if leader := m.leaders.Guess(id); leader != "" {
 			m.relay.SetRoot(relaytree.Topic(id), leader)
 		}
 	}
 }
+
+// reachable tells whether a node is this one or is alive in the table.
+func (m *Machine) reachable(id member.ID) bool {
+	return id == m.config.Self.ID || m.members.Alive(id)
+}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -12,8 +12,10 @@
 
 	"github.com/pkg/errors"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
@@ -27,16 +29,19 @@
 // Machine is the control state machine of one node. It is not safe for
 // concurrent use: one goroutine owns it.
 type Machine struct {
-	config        Config
-	now           time.Duration
-	members       *membership.Machine
-	relay         *relaytree.Machine
-	shards        map[uint32]*shard
-	shardIDs      []uint32
-	requests      requestTable
-	registrations registrations
-	confirmations confirmations
-	backends      backends
+	config         Config
+	now            time.Duration
+	members        *membership.Machine
+	relay          *relaytree.Machine
+	shards         map[uint32]*shard
+	shardIDs       []uint32
+	requests       *requests.Client
+	leaderRequests *requests.Leader
+	leaders        *leaders.Directory
+	numbers        *protocol.Numbering
+	registrations  registrations
+	confirmations  confirmations
+	backends       backends
 	// viewStale tells that the view is to be built anew.
 	viewStale      bool
 	rollout        *rollout.Machine
@@ -45,8 +50,6 @@
 	load           routing.LoadReader
 	received       *shardstate.Received
 	output         Output
-	lastRequest    uint64
-	lastLeaders    map[uint32]member.ID
 	// challenges are the numbers that nodes are to send back to this one.
 	challenges       map[challengeKey]challenge
 	observedTerms    map[uint32]observedTerm
@@ -71,8 +74,7 @@
 		now:            now,
 		shards:         map[uint32]*shard{},
 		load:           load,
-		lastRequest:    uint64(config.Self.Incarnation) << requestBits,
-		lastLeaders:    map[uint32]member.ID{},
+		numbers:        protocol.NewNumbering(config.Self.Incarnation),
 		challenges:     map[challengeKey]challenge{},
 		observedTerms:  map[uint32]observedTerm{},
 		addresses:      map[member.ID]string{},
@@ -83,8 +85,9 @@
 		confirmations:  newConfirmations(),
 		backends:       newBackends(),
 		viewStale:      true,
-		requests:       newRequestTable(),
 	}
+	machine.leaders = leaders.NewDirectory(shardDirectory{machine})
+	machine.requests, machine.leaderRequests = machine.newRequests()
 	for id := uint32(0); id <= config.ServiceShards; id++ {
 		machine.shardIDs = append(machine.shardIDs, id)
 		if err := machine.hostShard(id, restored[id]); err != nil {
@@ -208,23 +211,6 @@
 	return m.takeOutput()
 }
 
-// Submit takes an operator's order. The Reply carries the ticket.
-func (m *Machine) Submit(now time.Duration, ticket uint64, order *controlpb.Order) Output {
-	m.now = now
-	m.submitChange(ticket, order)
-	return m.takeOutput()
-}
-
-// Cancel ends an order or a read whose answer nobody waits for any more: it is
-// not sent again. What was sent already may still take effect.
-func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
-	m.now = now
-	m.requests.pending = slices.DeleteFunc(m.requests.pending, func(pending *pendingRequest) bool {
-		return pending.ticket == ticket
-	})
-	return m.takeOutput()
-}
-
 // TransferLeadership hands the shards that this node leads over, which goes before a stop.
 func (m *Machine) TransferLeadership(now time.Duration) Output {
 	m.now = now
@@ -285,7 +271,7 @@
 		return
 	}
 	for _, id := range m.shardIDs {
-		if root := m.firstLive(id); root != "" {
+		if root := m.leaders.First(id); root != "" {
 			m.relay.SetRoot(relaytree.Topic(id), root)
 		}
 	}
@@ -295,10 +281,11 @@
 func (m *Machine) takeOutput() Output {
 	m.followIncarnation()
 	m.publishView()
-	m.answerReads()
+	m.requests.Received(m.received.Configuration())
 	output := m.output
 	m.output = Output{}
 	moves := m.rollout.Take()
+	output.Replies = m.requests.TakeReplies()
 	output.Commands, output.Reports = moves.Commands, moves.Reports
 	return output
 }
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -1,8 +1,6 @@
 package control
 
 import (
-	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -25,17 +23,6 @@
 	Checkpoint *replication.Restored
 }
 
-// Reply answers an order, or a read, that this node took.
-type Reply struct {
-	Ticket uint64
-	// Answer is set for an order, Source for a read of the document, and
-	// Configuration for a read of the configuration; read only.
-	Answer        *controlpb.Answer
-	Source        *ridgeswitchv1.Source
-	Configuration *ridgeswitchv1.Configuration
-	Err           error
-}
-
 // Output is what a node has to do after an input.
 type Output struct {
 	Sends    []Send
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -86,7 +86,7 @@
 	if hosted.recovery == nil || hosted.recovery.term != term {
 		hosted.recovery = &witnessSearch{
 			term:      term,
-			request:   m.nextRequest(),
+			request:   m.numbers.Next(),
 			startedAt: m.now,
 			replies:   map[member.ID]witnessReply{},
 		}
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -82,9 +82,9 @@
 	current.accepted = current.accepted && current.incarnation == incarnation
 	current.nextAttempt = m.now + m.config.Times.RetryEvery
 	if current.target == "" {
-		current.target = m.leaderGuess(shardID)
+		current.target = m.leaders.Guess(shardID)
 	} else {
-		current.target = m.nextLeaderGuess(shardID, current.target)
+		current.target = m.leaders.Next(shardID, current.target)
 	}
 	if current.target == "" {
 		return
@@ -93,7 +93,7 @@
 }
 
 func (m *Machine) sendRegister(shardID uint32, current *registration, incarnation member.Incarnation) {
-	current.request = m.nextRequest()
+	current.request = m.numbers.Next()
 	message := protocol.Message{
 		Type:        protocol.MessageRegister,
 		Shard:       shardID,
@@ -127,7 +127,7 @@
 	key := challengeKey{shard: message.Shard, node: from}
 	issued, found := m.challenges[key]
 	if !found || issued.incarnation != message.Incarnation {
-		issued = challenge{incarnation: message.Incarnation, number: m.nextRequest()}
+		issued = challenge{incarnation: message.Incarnation, number: m.numbers.Next()}
 		m.challenges[key] = issued
 	}
 	if message.Revision == issued.number {
@@ -151,7 +151,7 @@
 			Type:    protocol.MessageRegisterReply,
 			Shard:   message.Shard,
 			Request: message.Request,
-			Leader:  m.knownLeader(message.Shard),
+			Leader:  m.leaders.Known(message.Shard),
 		})
 		return
 	}
@@ -226,7 +226,7 @@
 		return
 	}
 	if !message.Accepted {
-		m.updateLeaderHint(message.Shard, from, message.Leader)
+		m.leaders.Redirected(message.Shard, from, message.Leader)
 		if current.request == message.Request && message.Leader != "" && message.Leader != current.target {
 			current.target = message.Leader
 			m.sendRegister(message.Shard, current, m.selfIncarnation())
@@ -244,7 +244,7 @@
 	current.term = message.Term
 	current.nextAttempt = m.now + requiredRevisionTimeout
 	current.target = ""
-	m.lastLeaders[message.Shard] = from
+	m.leaders.Learn(message.Shard, from)
 	m.viewStale = true
 }
 
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -1,251 +1,126 @@
 package control
 
 import (
-	"slices"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// pendingRequest is an order, or a read, that this node took from an operator and
-// that the leader of the configuration has not answered yet.
-type pendingRequest struct {
-	ticket      uint64
-	request     uint64
-	kind        protocol.MessageType
-	payload     []byte
-	target      member.ID
-	nextAttempt time.Duration
-	deadline    time.Duration
-	// confirmed tells that a quorum confirmed the revision wanted, for which a
-	// read of the configuration waits on this node.
-	confirmed   bool
-	minRevision uint64
+// Reply answers an order, or a read, that this node took.
+type Reply = requests.Reply
+
+// newRequests returns both sides of operators' requests at a node.
+func (m *Machine) newRequests() (*requests.Client, *requests.Leader) {
+	times := m.config.Times
+	client := requests.NewClient(requests.ClientConfig{
+		Timeout:    times.RequestTimeout,
+		RetryEvery: times.RetryEvery,
+	}, transport{m}, m.numbers, m.leaders)
+	config := requests.LeaderConfig{
+		AcknowledgeTimeout: times.AcknowledgeTimeout,
+		RequestTimeout:     times.RequestTimeout,
+	}
+	if m.config.FailOpen {
+		config.AcknowledgeUnconfirmedAfter = failOpenConfirmationTimeout
+	}
+	return client, requests.NewLeader(config, transport{m}, m.leaders)
 }
 
-// unacknowledgedChange is an accepted order at the leader, whose answer waits until
-// every serving node has confirmed its revision.
-type unacknowledgedChange struct {
-	from     member.ID
-	request  uint64
-	answer   *controlpb.Answer
-	since    time.Duration
-	deadline time.Duration
+// Submit takes an operator's order. The Reply carries the ticket.
+func (m *Machine) Submit(now time.Duration, ticket uint64, order *controlpb.Order) Output {
+	m.now = now
+	m.requests.Submit(now, ticket, order)
+	return m.takeOutput()
 }
 
-// requestTable holds both sides of the orders in progress at a node.
-type requestTable struct {
-	pending        []*pendingRequest
-	unacknowledged []unacknowledgedChange
-	// rejections are those that this node has answered as the owner.
-	rejections rejections
+// ReadSource asks for the source document in force. The Reply carries the ticket
+// and the document, which is empty if there is none.
+func (m *Machine) ReadSource(now time.Duration, ticket uint64) Output {
+	m.now = now
+	m.requests.ReadSource(now, ticket)
+	return m.takeOutput()
 }
 
-func newRequestTable() requestTable { return requestTable{rejections: newRejections()} }
-
-// submitChange takes an operator's order and asks the leader.
-func (m *Machine) submitChange(ticket uint64, order *controlpb.Order) {
-	command := &controlpb.Command{Command: &controlpb.Command_Order{Order: order}}
-	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
-	if err != nil {
-		m.output.Replies = append(m.output.Replies, Reply{Ticket: ticket, Err: err})
-		return
-	}
-	m.beginRequest(&pendingRequest{ticket: ticket, kind: protocol.MessageChange, payload: payload})
+// ReadConfiguration asks for the configuration in force. The leader tells its
+// revision, as a quorum confirms it, and the node answers by its own copy once
+// that is as new. The Reply carries the ticket and the configuration.
+func (m *Machine) ReadConfiguration(now time.Duration, ticket uint64) Output {
+	m.now = now
+	m.requests.ReadConfiguration(now, ticket)
+	return m.takeOutput()
 }
 
-// beginRequest asks the leader what an operator wants.
-func (m *Machine) beginRequest(pending *pendingRequest) {
-	pending.request = m.nextRequest()
-	pending.deadline = m.now + m.config.Times.RequestTimeout
-	m.requests.pending = append(m.requests.pending, pending)
-	m.sendToLeader(pending, m.leaderGuess(ConfigurationShard))
-}
-
-// sendToLeader sends a pending order to a node that may own the configuration.
-func (m *Machine) sendToLeader(pending *pendingRequest, target member.ID) {
-	pending.target = target
-	pending.nextAttempt = m.now + m.config.Times.RetryEvery
-	if target == "" {
-		return
-	}
-	m.sendControl(target, protocol.Message{
-		Type:    pending.kind,
-		Shard:   ConfigurationShard,
-		Request: pending.request,
-		Payload: pending.payload,
-	})
+// Cancel ends an order or a read whose reply nobody waits for any more: it is
+// not sent again. What was sent already may still take effect.
+func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
+	m.now = now
+	m.requests.Cancel(ticket)
+	return m.takeOutput()
 }
 
-// tickRequests asks again for orders without an answer, and gives up on those
-// whose time is over. The outcome of those is unknown, so that they are
-// answered as pending.
+// tickRequests repeats and ends requests on both sides.
 func (m *Machine) tickRequests() {
-	for _, pending := range slices.Clone(m.requests.pending) {
-		switch {
-		case m.now >= pending.deadline:
-			m.timeOutRequest(pending)
-		case pending.confirmed:
-		case m.now >= pending.nextAttempt:
-			m.sendToLeader(pending, m.nextLeaderGuess(ConfigurationShard, pending.target))
-		}
-	}
-	m.acknowledgeChanges()
-	m.requests.rejections.expire(m.now)
+	m.requests.Tick(m.now)
+	m.leaderRequests.Tick(m.now, m.hostedShard(ConfigurationShard))
 }
 
-// timeOutRequest answers what nobody decided in time.
-func (m *Machine) timeOutRequest(pending *pendingRequest) {
-	switch {
-	case pending.confirmed:
-		m.completeRequest(pending, Reply{Err: ErrBehind})
-	case pending.kind == protocol.MessageChange:
-		m.completeRequest(pending, Reply{Answer: &controlpb.Answer{}})
-	default:
-		m.completeRequest(pending, Reply{Err: ErrNoQuorum})
+// receiveRead begins a read if this node leads the configuration.
+func (m *Machine) receiveRead(from member.ID, message protocol.Message) {
+	if m.leaderRequests.ReceiveRead(m.hostedShard(message.Shard), from, message) {
+		m.processReady(m.shards[message.Shard])
 	}
 }
 
-// completeRequest answers the operator and ends what is pending.
-func (m *Machine) completeRequest(pending *pendingRequest, reply Reply) {
-	reply.Ticket = pending.ticket
-	m.output.Replies = append(m.output.Replies, reply)
-	m.requests.pending = slices.DeleteFunc(m.requests.pending, func(other *pendingRequest) bool {
-		return other == pending
-	})
-}
-
-// receiveChange takes an order that a node forwarded to the supposed leader.
-func (m *Machine) receiveChange(from member.ID, message protocol.Message) {
-	hosted := m.shards[message.Shard]
-	if hosted == nil || !hosted.isLeader() {
-		m.redirectToLeader(from, message)
+// finishReads answers the reads that a quorum has confirmed.
+func (m *Machine) finishReads(hosted *shard, ready replication.Ready) {
+	state, ok := hosted.state.(*shardstate.Configuration)
+	if !ok {
 		return
 	}
-	if m.changeInProgress(hosted, from, message.Request) {
-		return
+	if err := m.leaderRequests.FinishReads(state, ready); err != nil {
+		hosted.badEntries++
 	}
-	if rejection := m.requests.rejections.lookup(requestKey{from: from, request: message.Request}); rejection != nil {
-		m.replyToChange(unacknowledgedChange{from: from, request: message.Request, answer: rejection}, false)
-		return
-	}
-	m.propose(hosted, message.Payload, proposal{from: from, request: message.Request, message: message})
 }
 
-// changeInProgress tells whether the same question of the same node is already
-// being worked on, so that a repeated message does not fill the log.
-func (m *Machine) changeInProgress(hosted *shard, from member.ID, request uint64) bool {
-	proposed := hosted.hasProposal(func(open proposal) bool {
-		return open.from == from && open.request == request && open.message.Type == protocol.MessageChange
-	})
-	return proposed || slices.ContainsFunc(m.requests.unacknowledged, func(waiting unacknowledgedChange) bool {
-		return waiting.from == from && waiting.request == request
-	})
-}
-
-// redirectToLeader tells a node that this one does not own the shard.
-func (m *Machine) redirectToLeader(from member.ID, message protocol.Message) {
-	m.sendControl(from, protocol.Message{
-		Type:    replyTypes[message.Type],
-		Shard:   message.Shard,
-		Request: message.Request,
-		Leader:  m.knownLeader(message.Shard),
-	})
-}
-
-// changeApplied answers a refused order at once and lets an accepted one wait
-// for its confirmation.
-func (m *Machine) changeApplied(open proposal, answer *controlpb.Answer) {
-	waiting := unacknowledgedChange{
-		from:     open.from,
-		request:  open.request,
-		answer:   answer,
-		since:    m.now,
-		deadline: m.now + m.config.Times.AcknowledgeTimeout,
-	}
-	if answer.GetProblem() != nil {
-		rejected := requestKey{from: open.from, request: open.request}
-		m.requests.rejections.remember(rejected, answer, m.now+rejectionRetention*m.config.Times.RequestTimeout)
-		m.replyToChange(waiting, false)
-		return
+// hostedShard returns a shard as the leader's side of requests sees it, or nil if this
+// node does not host it.
+func (m *Machine) hostedShard(shardID uint32) requests.Shard {
+	if hosted := m.shards[shardID]; hosted != nil {
+		return hostedShard{machine: m, shard: hosted}
 	}
-	m.requests.unacknowledged = append(m.requests.unacknowledged, waiting)
+	return nil
 }
 
-// acknowledgeChanges answers accepted orders that are confirmed everywhere, and as
-// pending those that were not confirmed in time.
-func (m *Machine) acknowledgeChanges() {
-	hosted := m.shards[ConfigurationShard]
-	var unacknowledged []unacknowledgedChange
-	for _, waiting := range m.requests.unacknowledged {
-		switch {
-		case hosted.isLeader() && m.confirmedEverywhere(hosted, waiting.answer.GetRevision()):
-			m.replyToChange(waiting, true)
-		case m.config.FailOpen && m.now >= waiting.since+failOpenConfirmationTimeout:
-			// It is committed, whoever leads the shard by now.
-			m.replyToChange(waiting, true)
-		case m.now >= waiting.deadline:
-			m.replyToChange(waiting, false)
-		default:
-			unacknowledged = append(unacknowledged, waiting)
-		}
-	}
-	m.requests.unacknowledged = unacknowledged
+// hostedShard is a shard that this node hosts, for the machines of single concerns.
+type hostedShard struct {
+	machine *Machine
+	*shard
 }
 
-// replyToChange sends the answer to the node that took the order.
-func (m *Machine) replyToChange(waiting unacknowledgedChange, confirmed bool) {
-	answer := proto.Clone(waiting.answer).(*controlpb.Answer)
-	answer.Confirmed = confirmed
-	payload, err := proto.Marshal(answer)
-	if err != nil {
-		return
-	}
-	m.sendControl(waiting.from, protocol.Message{
-		Type:     protocol.MessageChangeReply,
-		Shard:    ConfigurationShard,
-		Request:  waiting.request,
-		Accepted: true,
-		Payload:  payload,
+// IsLeader implements requests.Shard.
+func (s hostedShard) IsLeader() bool { return s.isLeader() }
+
+// ChangeProposed implements requests.Shard.
+func (s hostedShard) ChangeProposed(from member.ID, request uint64) bool {
+	return s.hasProposal(func(open proposal) bool {
+		return open.from == from && open.request == request && open.message.Type == protocol.MessageChange
 	})
 }
 
-// replyTypes are the answers to what is asked of the leader of the configuration.
-var replyTypes = map[protocol.MessageType]protocol.MessageType{
-	protocol.MessageChange:       protocol.MessageChangeReply,
-	protocol.MessageReadSource:   protocol.MessageReadSourceReply,
-	protocol.MessageReadRevision: protocol.MessageReadRevisionReply,
+// ProposeChange implements requests.Shard.
+func (s hostedShard) ProposeChange(from member.ID, message protocol.Message) {
+	s.machine.propose(s.shard, message.Payload, proposal{from: from, request: message.Request, message: message})
 }
 
-// receiveReply handles the leader's answer, or a hint who leads the shard.
-func (m *Machine) receiveReply(from member.ID, message protocol.Message) {
-	position := slices.IndexFunc(m.requests.pending, func(pending *pendingRequest) bool {
-		return pending.request == message.Request && replyTypes[pending.kind] == message.Type
-	})
-	if position < 0 {
-		return
-	}
-	pending := m.requests.pending[position]
-	if !message.Accepted {
-		m.updateLeaderHint(message.Shard, from, message.Leader)
-		if message.Leader != "" && message.Leader != pending.target {
-			m.sendToLeader(pending, message.Leader)
-		}
-		return
-	}
-	if message.Type == protocol.MessageReadRevisionReply {
-		m.lastLeaders[message.Shard] = from
-		pending.confirmed, pending.minRevision = true, message.Revision
-		return
-	}
-	reply, err := decodeReply(message)
-	if err != nil {
-		return
-	}
-	m.lastLeaders[message.Shard] = from
-	m.completeRequest(pending, reply)
+// ConfirmedEverywhere implements requests.Shard and rollout.Shard.
+func (s hostedShard) ConfirmedEverywhere(revision uint64) bool {
+	return s.machine.confirmedEverywhere(s.shard, revision)
 }
+
+// RequestRead implements requests.Shard.
+func (s hostedShard) RequestRead() (uint64, error) { return s.group.RequestRead(s.machine.now) }
--- /dev/null
+++ b/internal/control/requests/leader.go
@@ -0,0 +1,236 @@
+package requests
+
+import (
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+)
+
+// replyTypes are the replies to what the leader of the configuration is asked.
+var replyTypes = map[protocol.MessageType]protocol.MessageType{
+	protocol.MessageChange:       protocol.MessageChangeReply,
+	protocol.MessageReadSource:   protocol.MessageReadSourceReply,
+	protocol.MessageReadRevision: protocol.MessageReadRevisionReply,
+}
+
+// Shard is what the leader's side needs of a shard that this node hosts.
+type Shard interface {
+	IsLeader() bool
+	// ChangeProposed tells whether a change waits to be committed under the present
+	// leadership.
+	ChangeProposed(from member.ID, request uint64) bool
+	// ProposeChange appends a change to the log; Leader.Applied takes its outcome.
+	ProposeChange(from member.ID, message protocol.Message)
+	// ConfirmedEverywhere tells whether no node can serve a revision below the given
+	// one any more.
+	ConfirmedEverywhere(revision uint64) bool
+	// RequestRead asks for a confirmation of the leadership, which Leader.FinishReads
+	// takes under the returned number.
+	RequestRead() (id uint64, err error)
+}
+
+// unacknowledgedChange is a committed change whose reply waits until every serving
+// node has confirmed its revision.
+type unacknowledgedChange struct {
+	requestKey
+	answer   *controlpb.Answer
+	since    time.Duration
+	deadline time.Duration
+}
+
+// pendingRead is a read that waits for a quorum.
+type pendingRead struct {
+	requestKey
+	kind protocol.MessageType
+}
+
+// LeaderConfig sets up a Leader.
+type LeaderConfig struct {
+	// AcknowledgeTimeout is how long a change waits for confirmations before it is
+	// answered as pending.
+	AcknowledgeTimeout time.Duration
+	// AcknowledgeUnconfirmedAfter is how long a change waits before it is acknowledged
+	// without confirmations; 0 means that it never is.
+	AcknowledgeUnconfirmedAfter time.Duration
+	// RequestTimeout is how long nodes wait for the reply to a request.
+	RequestTimeout time.Duration
+}
+
+// Leader answers requests at the node that leads the configuration.
+type Leader struct {
+	config         LeaderConfig
+	transport      protocol.Transport
+	leaders        *leaders.Directory
+	unacknowledged []unacknowledgedChange
+	rejections     rejections
+	// reads are those that wait for a quorum, by their numbers in the replica group.
+	reads map[uint64]pendingRead
+}
+
+// NewLeader returns the leader's side of a node that has answered nothing.
+func NewLeader(config LeaderConfig, transport protocol.Transport, directory *leaders.Directory) *Leader {
+	return &Leader{
+		config:     config,
+		transport:  transport,
+		leaders:    directory,
+		rejections: newRejections(),
+		reads:      map[uint64]pendingRead{},
+	}
+}
+
+// ReceiveChange takes a change that a node forwarded to the supposed leader. The shard
+// is nil if this node does not host it.
+func (l *Leader) ReceiveChange(shard Shard, from member.ID, message protocol.Message) {
+	if shard == nil || !shard.IsLeader() {
+		l.redirect(from, message)
+		return
+	}
+	request := requestKey{from: from, request: message.Request}
+	waiting := func(change unacknowledgedChange) bool { return change.requestKey == request }
+	if shard.ChangeProposed(from, message.Request) || slices.ContainsFunc(l.unacknowledged, waiting) {
+		// It is being worked on; a repeated message must not fill the log.
+		return
+	}
+	if rejection := l.rejections.lookup(request); rejection != nil {
+		l.reply(request, rejection, false)
+		return
+	}
+	shard.ProposeChange(from, message)
+}
+
+// redirect tells a node which one leads the shard, as far as this one knows.
+func (l *Leader) redirect(from member.ID, message protocol.Message) {
+	l.transport.Send(from, protocol.Message{
+		Type:    replyTypes[message.Type],
+		Shard:   message.Shard,
+		Request: message.Request,
+		Leader:  l.leaders.Known(message.Shard),
+	})
+}
+
+// Applied takes the outcome of a change that this node proposed. A rejected one is
+// answered at once; an accepted one waits until it is confirmed.
+func (l *Leader) Applied(now time.Duration, from member.ID, request uint64, answer *controlpb.Answer) {
+	key := requestKey{from: from, request: request}
+	if answer.GetProblem() != nil {
+		l.rejections.remember(key, answer, now+rejectionRetention*l.config.RequestTimeout)
+		l.reply(key, answer, false)
+		return
+	}
+	l.unacknowledged = append(l.unacknowledged, unacknowledgedChange{
+		requestKey: key,
+		answer:     answer,
+		since:      now,
+		deadline:   now + l.config.AcknowledgeTimeout,
+	})
+}
+
+// Tick acknowledges the changes that are confirmed everywhere, and answers as pending
+// those that were not confirmed in time.
+func (l *Leader) Tick(now time.Duration, shard Shard) {
+	var unacknowledged []unacknowledgedChange
+	unconfirmedAfter := l.config.AcknowledgeUnconfirmedAfter
+	for _, change := range l.unacknowledged {
+		switch {
+		case shard.IsLeader() && shard.ConfirmedEverywhere(change.answer.GetRevision()):
+			l.reply(change.requestKey, change.answer, true)
+		case unconfirmedAfter > 0 && now >= change.since+unconfirmedAfter:
+			// It is committed, whoever leads the shard by now.
+			l.reply(change.requestKey, change.answer, true)
+		case now >= change.deadline:
+			l.reply(change.requestKey, change.answer, false)
+		default:
+			unacknowledged = append(unacknowledged, change)
+		}
+	}
+	l.unacknowledged = unacknowledged
+	l.rejections.expire(now)
+}
+
+// reply sends the answer to the node that took the change.
+func (l *Leader) reply(to requestKey, answer *controlpb.Answer, confirmed bool) {
+	answer = proto.Clone(answer).(*controlpb.Answer)
+	answer.Confirmed = confirmed
+	payload, err := proto.Marshal(answer)
+	if err != nil {
+		return
+	}
+	l.transport.Send(to.from, protocol.Message{
+		Type:     protocol.MessageChangeReply,
+		Shard:    shardstate.ConfigurationShard,
+		Request:  to.request,
+		Accepted: true,
+		Payload:  payload,
+	})
+}
+
+// ReceiveRead begins a read if this node leads the configuration, and tells whether it
+// did. The leader's own copy may be outdated if another leader was elected, so that a
+// quorum has to confirm its leadership first. The shard is nil if this node does not
+// host it.
+func (l *Leader) ReceiveRead(shard Shard, from member.ID, message protocol.Message) bool {
+	if shard == nil || message.Shard != shardstate.ConfigurationShard || !shard.IsLeader() {
+		l.redirect(from, message)
+		return false
+	}
+	requested := pendingRead{requestKey: requestKey{from: from, request: message.Request}, kind: message.Type}
+	for _, open := range l.reads {
+		if open == requested {
+			return false
+		}
+	}
+	id, err := shard.RequestRead()
+	if err != nil {
+		l.redirect(from, message)
+		return false
+	}
+	l.reads[id] = requested
+	return true
+}
+
+// FinishReads answers the reads that a quorum has confirmed. Who asked for one that
+// failed asks again. An error tells that a reply could not be encoded.
+func (l *Leader) FinishReads(state *shardstate.Configuration, ready replication.Ready) error {
+	for _, id := range ready.ReadsFailed {
+		delete(l.reads, id)
+	}
+	var failed error
+	for _, read := range ready.Reads {
+		requested, open := l.reads[read.ID]
+		delete(l.reads, read.ID)
+		if !open {
+			continue
+		}
+		if err := l.replyToRead(state, requested); err != nil {
+			failed = err
+		}
+	}
+	return failed
+}
+
+func (l *Leader) replyToRead(state *shardstate.Configuration, requested pendingRead) error {
+	reply := protocol.Message{
+		Type:     replyTypes[requested.kind],
+		Shard:    shardstate.ConfigurationShard,
+		Request:  requested.request,
+		Accepted: true,
+		Revision: state.Revision(),
+	}
+	if requested.kind == protocol.MessageReadSource {
+		payload, err := proto.Marshal(state.Source())
+		if err != nil {
+			return err
+		}
+		reply.Payload = payload
+	}
+	l.transport.Send(requested.from, reply)
+	return nil
+}
--- a/internal/control/rejections.go
+++ b/internal/control/requests/rejections.go
@@ -1,4 +1,4 @@
-package control
+package requests
 
 import (
 	"time"
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maxRejections bounds the refusals that an owner remembers.
+	// maxRejections bounds the rejections that a leader remembers.
 	maxRejections = 4096
-	// rejectionRetention is how long it remembers one, in time-outs of an order: the node
-	// that asked has given up long before, and its last copy has come.
+	// rejectionRetention is how long it remembers one, in time-outs of a request: the
+	// node that asked has given up long before, and its last copy has come.
 	rejectionRetention = 3
 )
 
-// requestKey is one question of a node. A node asks it again, under the same number,
-// until it gets an answer.
+// requestKey names a request of a node, which repeats it under the same number until
+// it gets a reply.
 type requestKey struct {
 	from    member.ID
 	request uint64
 }
 
-// rejections are the answers to questions that were refused. Without them a copy of
-// such a question that comes late would be judged anew, and might be taken after
-// the operator was told that it was not.
+// rejections are the answers to changes that were rejected. Without them a copy of such
+// a request that comes late would be judged anew, and might be accepted after the
+// operator was told that it was not.
 type rejections struct {
 	byRequest map[requestKey]*controlpb.Answer
-	// byExpiry are the questions in the order of their answers.
+	// byExpiry are the requests in the order in which they are forgotten.
 	byExpiry []expiringRequest
 }
 
@@ -40,7 +40,8 @@
 	return rejections{byRequest: map[requestKey]*controlpb.Answer{}}
 }
 
-// remember remembers a refusal until a time.
+// remember keeps the answer to a rejected request until an instant, or until too many
+// others have followed.
 func (r *rejections) remember(rejected requestKey, answer *controlpb.Answer, until time.Duration) {
 	if len(r.byExpiry) >= maxRejections {
 		r.removeOldest()
@@ -49,10 +50,10 @@
 	r.byExpiry = append(r.byExpiry, expiringRequest{rejected, until})
 }
 
-// lookup is the refusal of a question, or nil.
+// lookup returns the answer to a rejected request, or nil.
 func (r *rejections) lookup(request requestKey) *controlpb.Answer { return r.byRequest[request] }
 
-// expire forgets what is over.
+// expire forgets the rejections whose time has passed.
 func (r *rejections) expire(now time.Duration) {
 	for len(r.byExpiry) > 0 && r.byExpiry[0].until <= now {
 		r.removeOldest()
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -47,34 +47,26 @@
 
 // ledServices is a service shard that this node leads, as its roll-outs see it.
 type ledServices struct {
-	machine *Machine
-	hosted  *shard
-	state   *shardstate.Service
+	hostedShard
+	state *shardstate.Service
 }
 
 // ID implements rollout.Shard.
-func (l ledServices) ID() uint32 { return l.hosted.id }
+func (l ledServices) ID() uint32 { return l.id }
 
 // Term implements rollout.Shard.
-func (l ledServices) Term() uint64 { return l.hosted.group.Status().Term }
+func (l ledServices) Term() uint64 { return l.group.Status().Term }
 
 // Rows implements rollout.Shard.
 func (l ledServices) Rows() []*controlpb.ReplicaState { return l.state.Replicas() }
 
-// ConfirmedEverywhere implements rollout.Shard.
-func (l ledServices) ConfirmedEverywhere(revision uint64) bool {
-	return l.machine.confirmedEverywhere(l.hosted, revision)
-}
-
 // DrainedEverywhere implements rollout.Shard.
 func (l ledServices) DrainedEverywhere(revision uint64) bool {
-	return l.machine.drainedEverywhere(l.hosted, revision)
+	return l.machine.drainedEverywhere(l.shard, revision)
 }
 
 // HasCommandLease implements rollout.Shard.
-func (l ledServices) HasCommandLease(at time.Duration) bool {
-	return l.hosted.group.HasCommandLease(at)
-}
+func (l ledServices) HasCommandLease(at time.Duration) bool { return l.group.HasCommandLease(at) }
 
 // tickRollouts lets each shard that this node leads make its next moves.
 func (m *Machine) tickRollouts() {
@@ -108,7 +100,7 @@
 			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.backends.services[pool.GetService()]})
 		}
 	}
-	led := ledServices{machine: m, hosted: hosted, state: service}
+	led := ledServices{hostedShard: hostedShard{machine: m, shard: hosted}, state: service}
 	change := m.rollout.Advance(m.now, led, pools, shardstate.EvacuatedZones(configuration))
 	if change != nil {
 		m.proposeCommand(hosted, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
--- a/internal/control/sends.go
+++ b/internal/control/sends.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -14,6 +15,35 @@
 	m.output.Sends = append(m.output.Sends, Send{To: to, Address: m.addressOf(to), Envelope: envelope})
 }
 
+// receiveControl handles a control message of a node, or of this node itself.
+func (m *Machine) receiveControl(from member.ID, message protocol.Message) {
+	switch message.Type {
+	case protocol.MessageChange:
+		m.leaderRequests.ReceiveChange(m.hostedShard(message.Shard), from, message)
+	case protocol.MessageReadSource, protocol.MessageReadRevision:
+		m.receiveRead(from, message)
+	case protocol.MessageChangeReply, protocol.MessageReadSourceReply, protocol.MessageReadRevisionReply:
+		m.requests.ReceiveReply(m.now, from, message)
+	case protocol.MessageRegister:
+		m.receiveRegister(from, message)
+	case protocol.MessageRegisterReply:
+		m.receiveRegisterReply(from, message)
+	case protocol.MessageWitnessRequest:
+		m.receiveWitnessRequest(from, message)
+	case protocol.MessageWitnessReply:
+		m.receiveWitnessReply(from, message)
+	case protocol.MessageConfirm:
+		m.confirmations.record(from, message)
+		m.rollout.Wake(m.now)
+	case protocol.MessageConfirmRequest:
+		m.receiveConfirmationRequest(from, message)
+	case protocol.MessageEndpoints:
+		m.receiveEndpoints(from, message.Payload, listing.DecodeReading)
+	case protocol.MessageEndpointsRequest:
+		m.receiveEndpoints(from, message.Payload, listing.DecodeRequest)
+	}
+}
+
 // sendControl queues a control message; one for this node itself is handled at
 // once.
 func (m *Machine) sendControl(to member.ID, message protocol.Message) {
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -30,8 +30,6 @@
 	badEntries uint64
 	// proposals are this node's commands that wait to be applied.
 	proposals map[uint64]proposal
-	// reads are those that wait for a quorum, by their numbers in the group.
-	reads map[uint64]pendingRead
 	// recovery is set while this node is to form the group anew.
 	recovery *witnessSearch
 	// awaitedRevision is what this node, as leader, waits for the nodes to confirm.
@@ -70,7 +68,6 @@
 		learner:       config.Learner,
 		maxLogEntries: uint64(config.logEntries()),
 		proposals:     map[uint64]proposal{},
-		reads:         map[uint64]pendingRead{},
 	}
 	if restored.Snapshot != nil {
 		if err := hosted.restore(restored.Snapshot); err != nil {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -85,7 +85,7 @@
 func (m *Machine) shardStatus(id uint32) *ridgeswitchv1.ShardStatus {
 	status := &ridgeswitchv1.ShardStatus{
 		Shard:    id,
-		Leader:   string(m.knownLeader(id)),
+		Leader:   string(m.leaders.Known(id)),
 		Term:     m.observedTerms[id].term,
 		Revision: m.received.Revision(id),
 		Group: lo.Map(m.groupOf(id), func(id member.ID, _ int) string {
