--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -18,6 +18,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -43,13 +44,13 @@
 	confirmations  confirmations
 	backends       backends
 	// viewStale tells that the view is to be built anew.
-	viewStale      bool
-	rollout        *rollout.Machine
-	endpoints      *listing.Machine
-	weightsTargets map[string]weightsTarget
-	load           routing.LoadReader
-	received       *shardstate.Received
-	output         Output
+	viewStale bool
+	rollout   *rollout.Machine
+	endpoints *listing.Machine
+	views     *view.Builder
+	load      routing.LoadReader
+	received  *shardstate.Received
+	output    Output
 	// challenges are the numbers that nodes are to send back to this one.
 	challenges       map[challengeKey]challenge
 	observedTerms    map[uint32]observedTerm
@@ -70,21 +71,21 @@
 // nothing was kept.
 func New(config Config, restored map[uint32]replication.Restored, load routing.LoadReader, now time.Duration) (*Machine, error) {
 	machine := &Machine{
-		config:         config,
-		now:            now,
-		shards:         map[uint32]*shard{},
-		load:           load,
-		numbers:        protocol.NewNumbering(config.Self.Incarnation),
-		challenges:     map[challengeKey]challenge{},
-		observedTerms:  map[uint32]observedTerm{},
-		addresses:      map[member.ID]string{},
-		zones:          map[member.ID]string{},
-		weightsTargets: map[string]weightsTarget{},
-		endpoints:      newEndpointsMachine(config, now),
-		received:       shardstate.NewReceived(),
-		confirmations:  newConfirmations(),
-		backends:       newBackends(),
-		viewStale:      true,
+		config:        config,
+		now:           now,
+		shards:        map[uint32]*shard{},
+		load:          load,
+		numbers:       protocol.NewNumbering(config.Self.Incarnation),
+		challenges:    map[challengeKey]challenge{},
+		observedTerms: map[uint32]observedTerm{},
+		addresses:     map[member.ID]string{},
+		zones:         map[member.ID]string{},
+		views:         newViewBuilder(config),
+		endpoints:     newEndpointsMachine(config, now),
+		received:      shardstate.NewReceived(),
+		confirmations: newConfirmations(),
+		backends:      newBackends(),
+		viewStale:     true,
 	}
 	machine.leaders = leaders.NewDirectory(shardDirectory{machine})
 	machine.requests, machine.leaderRequests = machine.newRequests()
@@ -160,7 +161,7 @@
 	m.tickRequests()
 	m.tickEndpoints()
 	m.tickRollouts()
-	m.tickWeightsDeadline(before)
+	m.viewStale = m.viewStale || m.views.DeadlinePassed(before, now)
 	return m.takeOutput()
 }
 
--- a/internal/control/view.go
+++ b/internal/control/view/builder.go
@@ -1,49 +1,52 @@
-package control
+package view
 
 import (
+	"time"
+
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
-	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// receiveUpdates keeps newer states of shards that the relay tree brought. One that
-// can't be decoded is skipped: the next update brings the whole state.
-func (m *Machine) receiveUpdates(updates []relaytree.Update) {
-	for _, update := range updates {
-		if newer, err := m.received.Apply(update, m.relayedSections); err == nil && newer {
-			m.viewStale = true
-		}
-	}
+// Config sets up a Builder.
+type Config struct {
+	// ServiceShards is the number of shards that services hash to.
+	ServiceShards uint32
+	// ReplicasFinishFirst tells that replicas need not be drained before they load
+	// weights.
+	ReplicasFinishFirst bool
+	// WeightsDeadline is how long after a version was named replicas that do not run
+	// it are given up; 0 means never.
+	WeightsDeadline time.Duration
 }
 
-// relayedSections are the sections of a topic's newest state.
-func (m *Machine) relayedSections(topic relaytree.Topic) []relaytree.Section {
-	_, sections := m.relay.Snapshot(topic)
-	return sections
+// Inputs are what a view is made from.
+type Inputs struct {
+	Received *shardstate.Received
+	// Endpoints are the back ends of each service in the platform's list.
+	Endpoints map[string][]listing.Replica
+	// Registered tells whether the node may serve under a shard.
+	Registered func(shardID uint32) bool
 }
 
-// publishView puts a new view into the output if anything in it has changed.
-func (m *Machine) publishView() {
-	if !m.viewStale {
-		return
-	}
-	m.viewStale = false
-	m.output.View = m.buildView()
-	for _, id := range m.shardIDs {
-		m.confirmations.published[id] = m.received.Revision(id)
-	}
-	if m.updateLocalConfirmation() {
-		m.sendConfirmation()
-	}
+// Builder makes views. It owns the versions that were named for pools, and since when
+// this node has known them.
+type Builder struct {
+	config  Config
+	targets map[string]weightsTarget
+}
+
+// NewBuilder returns a builder that has seen no configuration.
+func NewBuilder(config Config) *Builder {
+	return &Builder{config: config, targets: map[string]weightsTarget{}}
 }
 
-// buildView joins configuration, service shards and the platform's list.
-func (m *Machine) buildView() *routing.View {
-	configuration := m.received.Configuration()
+// Build joins configuration, service shards and the platform's list.
+func (b *Builder) Build(now time.Duration, inputs Inputs) *routing.View {
+	configuration := inputs.Received.Configuration()
 	view := &routing.View{
 		Revision:      configuration.GetRevision(),
 		Configuration: configuration,
@@ -55,10 +58,10 @@
 	evacuated := shardstate.EvacuatedZones(configuration)
 	addTenants(view, configuration)
 	for _, pool := range configuration.GetPools() {
-		view.Pools[pool.GetName()] = m.viewPool(pool, evacuated)
+		view.Pools[pool.GetName()] = b.pool(now, inputs, pool, evacuated)
 	}
 	for _, service := range configuration.GetWebServices() {
-		view.WebServices[service.GetName()] = m.viewWebService(service, evacuated)
+		view.WebServices[service.GetName()] = webService(inputs, service, evacuated)
 	}
 	addRoutes(view, configuration)
 	view.RankPriorities()
@@ -110,37 +113,37 @@
 	return choices
 }
 
-// viewPool lists a pool's replicas. Where replicas are drained before they load
+// pool lists a pool's replicas. Where replicas are drained before they load
 // weights, a node without a registration with the shard that holds them would not
 // be waited for, so that it admits nothing to them.
-func (m *Machine) viewPool(pool *ridgeswitchv1.Pool, evacuated shardstate.ZoneSet) *routing.Pool {
-	shardID := shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)
-	registered := m.registered(shardID) || m.config.ReplicasFinishFirst
-	rows := m.received.Service(shardID).GetReplicas()
-	entry := &routing.Pool{Config: pool, Store: findStore(m.received.Configuration(), pool.GetStore())}
-	for _, endpoint := range m.backends.services[pool.GetService()] {
+func (b *Builder) pool(now time.Duration, inputs Inputs, pool *ridgeswitchv1.Pool, evacuated shardstate.ZoneSet) *routing.Pool {
+	shardID := shardstate.ShardOfService(pool.GetService(), b.config.ServiceShards)
+	registered := b.config.ReplicasFinishFirst || inputs.Registered(shardID)
+	rows := inputs.Received.Service(shardID).GetReplicas()
+	entry := &routing.Pool{Config: pool, Store: findStore(inputs.Received.Configuration(), pool.GetStore())}
+	for _, endpoint := range inputs.Endpoints[pool.GetService()] {
 		row := shardstate.FindReplica(rows, endpoint.Address)
 		version := rollout.RunningVersion(row, endpoint)
 		versionKnown := version != "" || pool.GetWeightVersion() == "" && endpoint.Instance != ""
 		excluded := endpoint.Draining || rollout.OutOfService(row, endpoint) || evacuated.Has(endpoint.Zone)
-		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, version, registered && versionKnown && !excluded))
+		entry.Replicas = append(entry.Replicas, replica(endpoint, version, registered && versionKnown && !excluded))
 	}
-	if target := m.followWeightsTarget(pool); m.weightsOverdue(target) {
+	if target := b.followTarget(now, pool); b.overdue(now, target) {
 		excludeOutdated(entry, target.version)
 	}
 	return entry
 }
 
-func (m *Machine) viewWebService(service *ridgeswitchv1.WebService, evacuated shardstate.ZoneSet) *routing.WebService {
+func webService(inputs Inputs, service *ridgeswitchv1.WebService, evacuated shardstate.ZoneSet) *routing.WebService {
 	entry := &routing.WebService{Config: service}
-	for _, endpoint := range m.backends.services[service.GetService()] {
-		entry.Replicas = append(entry.Replicas, viewReplica(endpoint, "", !endpoint.Draining && !evacuated.Has(endpoint.Zone)))
+	for _, endpoint := range inputs.Endpoints[service.GetService()] {
+		entry.Replicas = append(entry.Replicas, replica(endpoint, "", !endpoint.Draining && !evacuated.Has(endpoint.Zone)))
 	}
 	return entry
 }
 
-// viewReplica is a listed back end as traffic sees it.
-func viewReplica(endpoint listing.Replica, version string, admitting bool) routing.Replica {
+// replica is a back end as traffic sees it.
+func replica(endpoint listing.Replica, version string, admitting bool) routing.Replica {
 	return routing.Replica{
 		Address:        endpoint.Address,
 		Zone:           endpoint.Zone,
--- a/internal/control/weights_deadline.go
+++ b/internal/control/view/weights_deadline.go
@@ -1,4 +1,4 @@
-package control
+package view
 
 import (
 	"time"
@@ -19,34 +19,36 @@
 	since   time.Duration
 }
 
-// followWeightsTarget follows the versions that the configuration names.
-func (m *Machine) followWeightsTarget(pool *ridgeswitchv1.Pool) weightsTarget {
-	known, found := m.weightsTargets[pool.GetName()]
+// followTarget follows the versions that the configuration names.
+func (b *Builder) followTarget(now time.Duration, pool *ridgeswitchv1.Pool) weightsTarget {
+	known, found := b.targets[pool.GetName()]
 	if !found || known.version != pool.GetWeightVersion() {
-		known = weightsTarget{version: pool.GetWeightVersion(), since: m.now}
-		m.weightsTargets[pool.GetName()] = known
+		known = weightsTarget{version: pool.GetWeightVersion(), since: now}
+		b.targets[pool.GetName()] = known
 	}
 	return known
 }
 
-// weightsOverdue tells whether the bound within which named weights are to be
+// overdue tells whether the bound within which named weights are to be
 // everywhere is about to end.
-func (m *Machine) weightsOverdue(target weightsTarget) bool {
-	deadline := m.config.Times.WeightsDeadline
-	return deadline > 0 && m.now >= target.since+deadline
+func (b *Builder) overdue(now time.Duration, target weightsTarget) bool {
+	deadline := b.config.WeightsDeadline
+	return deadline > 0 && now >= target.since+deadline
 }
 
-// tickWeightsDeadline has the view built anew when a deadline passes.
-func (m *Machine) tickWeightsDeadline(before time.Duration) {
-	deadline := m.config.Times.WeightsDeadline
+// DeadlinePassed tells whether the time of a named version ended between two instants,
+// so that the view is to be built anew.
+func (b *Builder) DeadlinePassed(before, now time.Duration) bool {
+	deadline := b.config.WeightsDeadline
 	if deadline <= 0 {
-		return
+		return false
 	}
-	for _, target := range m.weightsTargets {
-		if before < target.since+deadline && m.now >= target.since+deadline {
-			m.viewStale = true
+	for _, target := range b.targets {
+		if before < target.since+deadline && now >= target.since+deadline {
+			return true
 		}
 	}
+	return false
 }
 
 // excludeOutdated keeps requests from replicas that do not run the named weights
