--- /dev/null
+++ b/internal/control/confirmation/local.go
@@ -0,0 +1,73 @@
+package confirmation
+
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// Local is what this node itself serves.
+type Local struct {
+	shardIDs []uint32
+	// repeatEvery is the time between two confirmations that nobody asked for.
+	repeatEvery time.Duration
+	nextSend    time.Duration
+	// published are the revisions of the view that traffic uses.
+	published map[uint32]uint64
+	// confirmed are the revisions as the node tells them, in an incarnation.
+	confirmed   map[uint32]protocol.ShardRevision
+	incarnation member.Incarnation
+}
+
+// NewLocal returns the confirmations of a node that serves nothing yet. It repeats them
+// every repeatEvery.
+func NewLocal(shardIDs []uint32, repeatEvery time.Duration) *Local {
+	return &Local{
+		shardIDs:    shardIDs,
+		repeatEvery: repeatEvery,
+		published:   map[uint32]uint64{},
+		confirmed:   map[uint32]protocol.ShardRevision{},
+	}
+}
+
+// Publish notes the revision of a shard that the newest view is made from.
+func (l *Local) Publish(shardID uint32, revision uint64) { l.published[shardID] = revision }
+
+// Published returns the revision of a shard that traffic uses.
+func (l *Local) Published(shardID uint32) uint64 { return l.published[shardID] }
+
+// Update reads what traffic uses by now, and tells whether that or the incarnation has
+// changed. Drained tells whether no request of this node runs on a replica that the
+// newest state of a shard keeps requests from.
+func (l *Local) Update(incarnation member.Incarnation, drained func(shardID uint32) bool) bool {
+	changed := l.incarnation != incarnation
+	l.incarnation = incarnation
+	for _, id := range l.shardIDs {
+		previous := l.confirmed[id]
+		current := protocol.ShardRevision{Shard: id, Revision: l.published[id], Drained: previous.Drained}
+		if current.Revision > current.Drained && drained(id) {
+			current.Drained = current.Revision
+		}
+		if current != previous {
+			l.confirmed[id] = current
+			changed = true
+		}
+	}
+	return changed
+}
+
+// Due tells whether a confirmation is to be sent although nothing has changed.
+func (l *Local) Due(now time.Duration) bool { return now >= l.nextSend }
+
+// Message returns this node's confirmation as of the last Update.
+func (l *Local) Message(incarnation member.Incarnation) protocol.Message {
+	message := protocol.Message{Type: protocol.MessageConfirm, Incarnation: incarnation}
+	for _, id := range l.shardIDs {
+		message.Revisions = append(message.Revisions, l.confirmed[id])
+	}
+	return message
+}
+
+// Sent notes that the confirmation is being sent to all that need it.
+func (l *Local) Sent(now time.Duration) { l.nextSend = now + l.repeatEvery }
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -113,14 +113,43 @@
 	m.confirmFreshEndpoints()
 }
 
-// confirmFreshEndpoints lets the present life of this node serve by the list, once that is
-// known to be fresh.
+// confirmFreshEndpoints lets the present incarnation of this node serve by the list, once
+// that is known to be fresh.
 func (m *Machine) confirmFreshEndpoints() {
 	if readAt, proven := m.endpoints.ProvenAt(); proven && m.now-readAt < endpointsFreshFor {
-		m.registrations.endpointsFresh = true
+		m.freshness.fresh = true
 	}
 }
 
+// endpointsTimeout is how long a new incarnation waits for the platform's list. A node
+// that was cut off or frozen must not admit by a list from before, in which a replica
+// may stand that drains by now; but it must serve while the platform is down.
+const endpointsTimeout = 1500 * time.Millisecond
+
+// endpointFreshness tells whether the present incarnation of a node may serve by the
+// platform's list.
+type endpointFreshness struct {
+	incarnation member.Incarnation
+	// since is when the incarnation was first seen.
+	since time.Duration
+	// fresh tells that the list was read in the incarnation.
+	fresh bool
+}
+
+// follow begins anew with another incarnation, and tells whether it did.
+func (f *endpointFreshness) follow(now time.Duration, incarnation member.Incarnation) bool {
+	if incarnation == f.incarnation {
+		return false
+	}
+	*f = endpointFreshness{incarnation: incarnation, since: now}
+	return true
+}
+
+// usable tells whether the list is good enough to serve by.
+func (f *endpointFreshness) usable(now time.Duration) bool {
+	return f.fresh || now-f.since >= endpointsTimeout
+}
+
 func (m *Machine) sendEndpoints(out listing.Outbound) {
 	payload, err := out.Message.Encode()
 	if err != nil {
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -12,9 +12,12 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/control/confirmation"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/recovery"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/registration"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
@@ -40,8 +43,13 @@
 	leaderRequests *requests.Leader
 	leaders        *leaders.Directory
 	numbers        *protocol.Numbering
-	registrations  registrations
-	confirmations  confirmations
+	registration   *registration.Client
+	registrar      *registration.Registrar
+	served         *confirmation.Local
+	confirmations  *confirmation.Table
+	disseminator   *confirmation.Disseminator
+	recovery       *recovery.Machine
+	freshness      endpointFreshness
 	backends       backends
 	// viewStale tells that the view is to be built anew.
 	viewStale bool
@@ -51,10 +59,6 @@
 	load      routing.LoadReader
 	received  *shardstate.Received
 	output    Output
-	// challenges are the numbers that nodes are to send back to this one.
-	challenges       map[challengeKey]challenge
-	observedTerms    map[uint32]observedTerm
-	nextConfirmation time.Duration
 	// tableDigest, membersDigest, addresses and zones follow the table of members.
 	tableDigest   uint64
 	membersDigest uint64
@@ -71,22 +75,20 @@
 // nothing was kept.
 func New(config Config, restored map[uint32]replication.Restored, load routing.LoadReader, now time.Duration) (*Machine, error) {
 	machine := &Machine{
-		config:        config,
-		now:           now,
-		shards:        map[uint32]*shard{},
-		load:          load,
-		numbers:       protocol.NewNumbering(config.Self.Incarnation),
-		challenges:    map[challengeKey]challenge{},
-		observedTerms: map[uint32]observedTerm{},
-		addresses:     map[member.ID]string{},
-		zones:         map[member.ID]string{},
-		views:         newViewBuilder(config),
-		endpoints:     newEndpointsMachine(config, now),
-		received:      shardstate.NewReceived(),
-		confirmations: newConfirmations(),
-		backends:      newBackends(),
-		viewStale:     true,
+		config:    config,
+		now:       now,
+		shards:    map[uint32]*shard{},
+		load:      load,
+		numbers:   protocol.NewNumbering(config.Self.Incarnation),
+		addresses: map[member.ID]string{},
+		zones:     map[member.ID]string{},
+		views:     newViewBuilder(config),
+		endpoints: newEndpointsMachine(config, now),
+		received:  shardstate.NewReceived(),
+		backends:  newBackends(),
+		viewStale: true,
 	}
+	machine.members = newMembership(config, now)
 	machine.leaders = leaders.NewDirectory(shardDirectory{machine})
 	machine.requests, machine.leaderRequests = machine.newRequests()
 	for id := uint32(0); id <= config.ServiceShards; id++ {
@@ -95,9 +97,10 @@
 			return nil, err
 		}
 	}
-	machine.registrations = newRegistrations(machine.shardIDs)
+	machine.registration, machine.registrar = machine.newRegistration()
+	machine.served, machine.confirmations, machine.disseminator = machine.newConfirmations()
+	machine.recovery = machine.newRecovery()
 	machine.rollout = newRollout(config, machine.hostedIDs(), now)
-	machine.members = newMembership(config, now)
 	machine.relay = relaytree.New(relaytree.Config{
 		Self:        config.Self.ID,
 		FanOut:      relayFanOut,
@@ -280,7 +283,9 @@
 
 // takeOutput returns what has been gathered and starts anew.
 func (m *Machine) takeOutput() Output {
-	m.followIncarnation()
+	if m.freshness.follow(m.now, m.selfIncarnation()) {
+		m.endpoints.RequestProof()
+	}
 	m.publishView()
 	m.requests.Received(m.received.Configuration())
 	output := m.output
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -10,9 +10,9 @@
 
 // proposal is a command of this node, as leader, that waits to be applied.
 type proposal struct {
+	// term is that of the leadership in which the command was appended.
 	term    uint64
 	from    member.ID
-	request uint64
 	message protocol.Message
 }
 
@@ -58,7 +58,7 @@
 // asks again.
 func (m *Machine) afterApply(hosted *shard, index uint64, command *controlpb.Command, answer *controlpb.Answer) {
 	if registered := command.GetRegisterNode(); registered != nil {
-		m.confirmations.forgetOlder(hosted.id, member.ID(registered.GetNode()), member.Incarnation(registered.GetIncarnation()))
+		m.confirmations.ForgetOlder(hosted.id, member.ID(registered.GetNode()), member.Incarnation(registered.GetIncarnation()))
 	}
 	if command.GetSetReplicas() != nil {
 		m.rollout.RunSoon(m.now)
@@ -73,8 +73,8 @@
 	}
 	switch {
 	case command.GetOrder() != nil:
-		m.leaderRequests.Applied(m.now, open.from, open.request, answer)
+		m.leaderRequests.Applied(m.now, open.from, open.message.Request, answer)
 	case command.GetRegisterNode() != nil:
-		m.registrationApplied(hosted, open)
+		m.registrar.Applied(m.viewOf(hosted), open.from, open.message)
 	}
 }
--- a/internal/control/publication.go
+++ b/internal/control/publication.go
@@ -44,9 +44,52 @@
 		Registered: m.registered,
 	})
 	for _, id := range m.shardIDs {
-		m.confirmations.published[id] = m.received.Revision(id)
+		m.served.Publish(id, m.received.Revision(id))
 	}
-	if m.updateLocalConfirmation() {
+	if m.updateServed() {
 		m.sendConfirmation()
 	}
 }
+
+// publishCommitted hands a shard's newest committed state to the relay tree when
+// this node leads the shard.
+func (m *Machine) publishCommitted(hosted *shard) {
+	if !hosted.group.BarrierApplied() {
+		// What is applied until then may be about to give way to the state of a
+		// group that was formed anew.
+		return
+	}
+	revision := hosted.state.Revision()
+	topic := relaytree.Topic(hosted.id)
+	if revision <= m.relay.Revision(topic) {
+		return
+	}
+	sections, err := hosted.state.Sections()
+	if err != nil {
+		hosted.badEntries++
+		return
+	}
+	m.relay.SetRoot(topic, m.config.Self.ID)
+	sends, updates := m.relay.Publish(topic, revision, sections)
+	m.sendRelay(sends)
+	m.receiveUpdates(updates)
+}
+
+// publishRestored takes what the disk kept of a shard as a state to serve by, so
+// that a node does so also while there is no quorum.
+func (m *Machine) publishRestored(hosted *shard) {
+	topic := relaytree.Topic(hosted.id)
+	revision := hosted.state.Revision()
+	if !m.config.FailOpen || hosted.restoredPublished || revision <= m.relay.Revision(topic) {
+		return
+	}
+	hosted.restoredPublished = true
+	sections, err := hosted.state.Sections()
+	if err != nil {
+		hosted.badEntries++
+		return
+	}
+	sends, updates := m.relay.Publish(topic, revision, sections)
+	m.sendRelay(sends)
+	m.receiveUpdates(updates)
+}
--- a/internal/control/ready.go
+++ b/internal/control/ready.go
@@ -5,7 +5,6 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
-	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
@@ -81,27 +80,3 @@
 		hosted.badEntries++
 	}
 }
-
-// publishCommitted hands a shard's newest committed state to the relay tree when
-// this node leads the shard.
-func (m *Machine) publishCommitted(hosted *shard) {
-	if !hosted.group.BarrierApplied() {
-		// What is applied until then may be about to give way to the state of a
-		// group that was formed anew.
-		return
-	}
-	revision := hosted.state.Revision()
-	topic := relaytree.Topic(hosted.id)
-	if revision <= m.relay.Revision(topic) {
-		return
-	}
-	sections, err := hosted.state.Sections()
-	if err != nil {
-		hosted.badEntries++
-		return
-	}
-	m.relay.SetRoot(topic, m.config.Self.ID)
-	sends, updates := m.relay.Publish(topic, revision, sections)
-	m.sendRelay(sends)
-	m.receiveUpdates(updates)
-}
--- /dev/null
+++ b/internal/control/recovery/machine.go
@@ -0,0 +1,354 @@
+package recovery
+
+import (
+	"time"
+
+	"github.com/pkg/errors"
+	"google.golang.org/protobuf/proto"
+
+	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
+	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+)
+
+const (
+	// minWitnessSearch is how long witnesses are sought at least: a node that has
+	// just started does not know all others yet.
+	minWitnessSearch = 500 * time.Millisecond
+	// maxWitnessSearch is how long a live node that does not answer is waited for.
+	maxWitnessSearch = 1500 * time.Millisecond
+)
+
+// Shard is what a Machine needs of a shard that this node hosts.
+type Shard interface {
+	ID() uint32
+	// State is the state after all entries that have been applied; read only.
+	State() shardstate.State
+	// Unapplied returns the entries of the log that have not been applied; it is not
+	// known of these whether they are committed.
+	Unapplied() []replication.Entry
+	// RecoveryTerm returns the term under which this node is to form the group anew,
+	// and whether it is to.
+	RecoveryTerm() (term uint64, elected bool)
+	// RaiseRecoveryTerm has the election repeated above a term.
+	RaiseRecoveryTerm(term uint64)
+	// RecoverQuorum forms the group anew with a state.
+	RecoverQuorum(term uint64, state []byte) error
+}
+
+// Members is what a Machine needs of the table of members.
+type Members interface {
+	Members() []membership.Record
+}
+
+// WitnessReply is what a node said of a shard.
+type WitnessReply struct {
+	Revision    uint64
+	Term        uint64
+	Incarnation member.Incarnation
+}
+
+// witnessSearch is the search for the newest state of a shard in one term.
+type witnessSearch struct {
+	term        uint64
+	request     uint64
+	startedAt   time.Duration
+	nextAttempt time.Duration
+	replies     map[member.ID]WitnessReply
+}
+
+// observedTerm is the newest term of a shard's group that this node heard of, and
+// the request that told it, if any.
+type observedTerm struct {
+	term    uint64
+	from    member.ID
+	request uint64
+	// previous is the newest term when the request came first.
+	previous uint64
+}
+
+// Config sets up a Machine.
+type Config struct {
+	Self member.ID
+	// RetryEvery is the time between two requests to a witness that does not answer.
+	RetryEvery time.Duration
+	// RegisterNodes tells that every node that may serve is to be registered in a
+	// recovered state.
+	RegisterNodes bool
+}
+
+// Machine recovers shards on one node, and is a witness for others.
+type Machine struct {
+	config    Config
+	members   Members
+	transport protocol.Transport
+	numbers   *protocol.Numbering
+	received  *shardstate.Received
+	// sections returns those of the newest relayed state of a shard.
+	sections func(relaytree.Topic) []relaytree.Section
+	searches map[uint32]*witnessSearch
+	terms    map[uint32]observedTerm
+}
+
+// New returns the machine of a node. Sections returns the sections of the newest state
+// that the relay tree brought.
+func New(config Config, members Members, transport protocol.Transport, numbers *protocol.Numbering, received *shardstate.Received, sections func(relaytree.Topic) []relaytree.Section) *Machine {
+	return &Machine{
+		config:    config,
+		members:   members,
+		transport: transport,
+		numbers:   numbers,
+		received:  received,
+		sections:  sections,
+		searches:  map[uint32]*witnessSearch{},
+		terms:     map[uint32]observedTerm{},
+	}
+}
+
+// ObserveTerm notes a term that is in use.
+func (m *Machine) ObserveTerm(shardID uint32, term uint64) {
+	if known := m.terms[shardID]; term > known.term {
+		m.terms[shardID] = observedTerm{term: term}
+	}
+}
+
+// ObservedTerm returns the newest term of a shard's group that this node heard of.
+func (m *Machine) ObservedTerm(shardID uint32) uint64 { return m.terms[shardID].term }
+
+// Tick goes on with the recovery of a shard, if this node is to recover it, and tells
+// whether the shard's group has something to do. An error tells that the state can't be
+// decoded or encoded.
+func (m *Machine) Tick(now time.Duration, shard Shard) (changed bool, err error) {
+	term, elected := shard.RecoveryTerm()
+	if !elected {
+		delete(m.searches, shard.ID())
+		return false, nil
+	}
+	search := m.searches[shard.ID()]
+	if search == nil || search.term != term {
+		search = &witnessSearch{
+			term:      term,
+			request:   m.numbers.Next(),
+			startedAt: now,
+			replies:   map[member.ID]WitnessReply{},
+		}
+		m.searches[shard.ID()] = search
+	}
+	outstanding := m.outstandingWitnesses(search)
+	if now >= search.nextAttempt {
+		search.nextAttempt = now + m.config.RetryEvery
+		m.requestWitnesses(shard.ID(), search, outstanding)
+	}
+	elapsed := now - search.startedAt
+	if elapsed >= maxWitnessSearch || (elapsed >= minWitnessSearch && len(outstanding) == 0) {
+		return m.recoverShard(shard, search)
+	}
+	return false, nil
+}
+
+// outstandingWitnesses are the live nodes that have not answered.
+func (m *Machine) outstandingWitnesses(search *witnessSearch) []member.ID {
+	var outstanding []member.ID
+	for _, record := range m.members.Members() {
+		_, answered := search.replies[record.Info.ID]
+		live := record.State == membership.StateAlive || record.State == membership.StateSuspect
+		if live && !answered && record.Info.ID != m.config.Self {
+			outstanding = append(outstanding, record.Info.ID)
+		}
+	}
+	return outstanding
+}
+
+func (m *Machine) requestWitnesses(shardID uint32, search *witnessSearch, nodes []member.ID) {
+	for _, id := range nodes {
+		m.transport.Send(id, protocol.Message{
+			Type:    protocol.MessageWitnessRequest,
+			Shard:   shardID,
+			Request: search.request,
+			Term:    search.term,
+		})
+	}
+}
+
+// ReceiveRequest tells a node what this one holds as a witness. It remembers the term, so
+// that no later one goes below it, even if all disks are lost again.
+func (m *Machine) ReceiveRequest(from member.ID, message protocol.Message, incarnation member.Incarnation) {
+	known := m.terms[message.Shard]
+	if known.from != from || known.request != message.Request {
+		known = observedTerm{
+			term:     max(known.term, message.Term),
+			from:     from,
+			request:  message.Request,
+			previous: known.term,
+		}
+		m.terms[message.Shard] = known
+	}
+	m.transport.Send(from, protocol.Message{
+		Type:        protocol.MessageWitnessReply,
+		Shard:       message.Shard,
+		Request:     message.Request,
+		Revision:    m.received.Revision(message.Shard),
+		Incarnation: incarnation,
+		Term:        known.previous,
+	})
+}
+
+// ReceiveReply notes what a witness holds.
+func (m *Machine) ReceiveReply(from member.ID, message protocol.Message) {
+	search := m.searches[message.Shard]
+	if search == nil || search.request != message.Request {
+		return
+	}
+	search.replies[from] = WitnessReply{
+		Revision:    message.Revision,
+		Term:        message.Term,
+		Incarnation: message.Incarnation,
+	}
+}
+
+// recoverShard forms the group anew with the newest state that is known. The relay brings the
+// state of the best witness; until it has, the search goes on.
+func (m *Machine) recoverShard(shard Shard, search *witnessSearch) (changed bool, err error) {
+	newest, term := uint64(0), m.ObservedTerm(shard.ID())
+	for _, reply := range search.replies {
+		newest = max(newest, reply.Revision)
+		term = max(term, reply.Term)
+	}
+	if term >= search.term {
+		shard.RaiseRecoveryTerm(term)
+		return true, nil
+	}
+	if m.received.Revision(shard.ID()) < newest {
+		return false, nil
+	}
+	state, err := m.RecoveredState(shard, search.replies)
+	if err != nil {
+		return false, err
+	}
+	// An error tells that another member's term has overtaken this one, which leaves
+	// the recovery to that member.
+	overtaken := shard.RecoverQuorum(search.term, state) != nil
+	return !overtaken, nil
+}
+
+// RecoveredState encodes what the log leads to, unless a witness holds what the log
+// does not, or other than the log: then entries of the log that were never
+// committed must give way to it. Every node that may serve is registered, since
+// the log may have lost what it had registered.
+func (m *Machine) RecoveredState(shard Shard, replies map[member.ID]WitnessReply) ([]byte, error) {
+	state, covers, err := m.replay(shard)
+	if err != nil {
+		return nil, err
+	}
+	if !covers {
+		if state, err = m.witnessedState(shard); err != nil {
+			return nil, err
+		}
+	}
+	if m.config.RegisterNodes {
+		m.registerAll(state, replies)
+	}
+	return state.Snapshot()
+}
+
+func (m *Machine) registerAll(state shardstate.State, replies map[member.ID]WitnessReply) {
+	for _, record := range m.members.Members() {
+		if record.State != membership.StateLeft {
+			registerNode(state, record.Info.ID, record.Info.Incarnation)
+		}
+	}
+	for id, reply := range replies {
+		registerNode(state, id, reply.Incarnation)
+	}
+}
+
+func registerNode(state shardstate.State, id member.ID, incarnation member.Incarnation) {
+	state.Apply(&controlpb.Command{Command: &controlpb.Command_RegisterNode{RegisterNode: &controlpb.RegisterNode{
+		Node:        string(id),
+		Incarnation: uint64(incarnation),
+	}}})
+}
+
+// replay returns the state after the whole log, and whether the state that this
+// node holds as a witness is one that the log led through. What has been applied
+// is committed, as is all that was ever relayed; of the rest it is not known.
+func (m *Machine) replay(shard Shard) (state shardstate.State, covers bool, err error) {
+	snapshot, err := shard.State().Snapshot()
+	if err != nil {
+		return nil, false, err
+	}
+	if state, err = shardstate.Restore(shard.ID(), snapshot); err != nil {
+		return nil, false, err
+	}
+	received := m.received.Revision(shard.ID())
+	covers = received <= state.Revision()
+	for _, entry := range shard.Unapplied() {
+		if state, err = replayEntry(shard.ID(), state, entry); err != nil {
+			return nil, false, err
+		}
+		covers = covers || m.coversReceived(shard.ID(), state, entry.Kind)
+	}
+	return state, covers, nil
+}
+
+// replayEntry applies an entry to a copy of a shard's state.
+func replayEntry(shardID uint32, state shardstate.State, entry replication.Entry) (shardstate.State, error) {
+	switch entry.Kind {
+	case replication.EntryRestore:
+		return shardstate.Restore(shardID, entry.Command)
+	case replication.EntryCommand:
+		command := &controlpb.Command{}
+		if err := proto.Unmarshal(entry.Command, command); err == nil {
+			state.Apply(command)
+		}
+	}
+	return state, nil
+}
+
+// coversReceived tells whether a state that the log led to is the one that this node
+// holds. An earlier recovery took in what witnesses held then.
+func (m *Machine) coversReceived(shardID uint32, state shardstate.State, kind replication.EntryKind) bool {
+	received := m.received.Revision(shardID)
+	if kind == replication.EntryRestore {
+		return state.Revision() >= received
+	}
+	return state.Revision() == received && state.Equals(m.received.Message(shardID))
+}
+
+// witnessedState is the state that this node holds as a witness, with the nodes
+// and the older answers that the committed part of the log knows.
+func (m *Machine) witnessedState(shard Shard) (shardstate.State, error) {
+	if shard.ID() != shardstate.ConfigurationShard {
+		received := m.received.Service(shard.ID())
+		return shardstate.NewService(&controlpb.ServiceState{
+			Revision: received.GetRevision(),
+			Replicas: received.GetReplicas(),
+			Nodes:    shard.State().Nodes(),
+		}), nil
+	}
+	answers, err := shardstate.DecodeAnswers(m.sections(relaytree.Topic(shard.ID())))
+	if err != nil {
+		return nil, errors.Wrap(err, "read the answers that a witness holds")
+	}
+	logged := shard.State().(*shardstate.Configuration)
+	return shardstate.NewConfiguration(&controlpb.ConfigurationState{
+		Configuration: m.received.Configuration(),
+		Answers:       shardstate.MergeAnswers(logged.AcceptedAnswers(), answers),
+		Nodes:         shard.State().Nodes(),
+		Source:        sourceOf(m.received.Configuration(), logged),
+	}), nil
+}
+
+// sourceOf is the document that a witnessed configuration was made from, if the
+// committed part of the log has it: documents are not relayed.
+func sourceOf(configuration *ridgeswitchv1.Configuration, logged *shardstate.Configuration) *ridgeswitchv1.Source {
+	if configuration.GetSource().GetVersion() != logged.Configuration().GetSource().GetVersion() {
+		return nil
+	}
+	return logged.Source()
+}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -10,6 +10,7 @@
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/recovery"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -48,9 +49,7 @@
 	}, map[uint32]replication.Restored{0: restored}, idle{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	machine.Tick(time.Millisecond)
-	hosted := machine.shards[ConfigurationShard]
-	hosted.recovery = &witnessSearch{replies: map[member.ID]witnessReply{"router": {incarnation: 9}}}
-	return machine, hosted
+	return machine, machine.shards[ConfigurationShard]
 }
 
 // receiveAsWitness gives the node the state of a group that evacuated zones.
@@ -80,7 +79,8 @@
 		func(committed int, logged, witnessed, recovered []string) {
 			machine, hosted := survivingMember(uint64(committed), logged...)
 			machine.receiveAsWitness(witnessed...)
-			data, err := machine.recoveredState(hosted)
+			replies := map[member.ID]recovery.WitnessReply{"router": {Incarnation: 9}}
+			data, err := machine.recovery.RecoveredState(machine.viewOf(hosted), replies)
 			Expect(err).NotTo(HaveOccurred())
 			state, err := shardstate.Restore(ConfigurationShard, data)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -66,12 +66,12 @@
 // tickRequests repeats and ends requests on both sides.
 func (m *Machine) tickRequests() {
 	m.requests.Tick(m.now)
-	m.leaderRequests.Tick(m.now, m.hostedShard(ConfigurationShard))
+	m.leaderRequests.Tick(m.now, m.requestShard(ConfigurationShard))
 }
 
 // receiveRead begins a read if this node leads the configuration.
 func (m *Machine) receiveRead(from member.ID, message protocol.Message) {
-	if m.leaderRequests.ReceiveRead(m.hostedShard(message.Shard), from, message) {
+	if m.leaderRequests.ReceiveRead(m.requestShard(message.Shard), from, message) {
 		m.processReady(m.shards[message.Shard])
 	}
 }
@@ -86,41 +86,3 @@
 		hosted.badEntries++
 	}
 }
-
-// hostedShard returns a shard as the leader's side of requests sees it, or nil if this
-// node does not host it.
-func (m *Machine) hostedShard(shardID uint32) requests.Shard {
-	if hosted := m.shards[shardID]; hosted != nil {
-		return hostedShard{machine: m, shard: hosted}
-	}
-	return nil
-}
-
-// hostedShard is a shard that this node hosts, for the machines of single concerns.
-type hostedShard struct {
-	machine *Machine
-	*shard
-}
-
-// IsLeader implements requests.Shard.
-func (s hostedShard) IsLeader() bool { return s.isLeader() }
-
-// ChangeProposed implements requests.Shard.
-func (s hostedShard) ChangeProposed(from member.ID, request uint64) bool {
-	return s.hasProposal(func(open proposal) bool {
-		return open.from == from && open.request == request && open.message.Type == protocol.MessageChange
-	})
-}
-
-// ProposeChange implements requests.Shard.
-func (s hostedShard) ProposeChange(from member.ID, message protocol.Message) {
-	s.machine.propose(s.shard, message.Payload, proposal{from: from, request: message.Request, message: message})
-}
-
-// ConfirmedEverywhere implements requests.Shard and rollout.Shard.
-func (s hostedShard) ConfirmedEverywhere(revision uint64) bool {
-	return s.machine.confirmedEverywhere(s.shard, revision)
-}
-
-// RequestRead implements requests.Shard.
-func (s hostedShard) RequestRead() (uint64, error) { return s.group.RequestRead(s.machine.now) }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -45,29 +45,6 @@
 	}, shardIDs, now)
 }
 
-// ledServices is a service shard that this node leads, as its roll-outs see it.
-type ledServices struct {
-	hostedShard
-	state *shardstate.Service
-}
-
-// ID implements rollout.Shard.
-func (l ledServices) ID() uint32 { return l.id }
-
-// Term implements rollout.Shard.
-func (l ledServices) Term() uint64 { return l.group.Status().Term }
-
-// Rows implements rollout.Shard.
-func (l ledServices) Rows() []*controlpb.ReplicaState { return l.state.Replicas() }
-
-// DrainedEverywhere implements rollout.Shard.
-func (l ledServices) DrainedEverywhere(revision uint64) bool {
-	return l.machine.drainedEverywhere(l.shard, revision)
-}
-
-// HasCommandLease implements rollout.Shard.
-func (l ledServices) HasCommandLease(at time.Duration) bool { return l.group.HasCommandLease(at) }
-
 // tickRollouts lets each shard that this node leads make its next moves.
 func (m *Machine) tickRollouts() {
 	if !m.rollout.Due(m.now) {
@@ -78,9 +55,8 @@
 		if hosted == nil || !hosted.isLeader() {
 			continue
 		}
-		term := hosted.group.Status().Term
-		m.rollout.Lead(m.now, id, term)
-		m.pruneNodes(hosted, term)
+		m.rollout.Lead(m.now, id, hosted.group.Status().Term)
+		m.pruneNodes(hosted)
 		if service, ok := hosted.state.(*shardstate.Service); ok {
 			m.rollOutShard(hosted, service)
 		}
@@ -100,7 +76,7 @@
 			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.backends.services[pool.GetService()]})
 		}
 	}
-	led := ledServices{hostedShard: hostedShard{machine: m, shard: hosted}, state: service}
+	led := ledServices{hostedShard: m.viewOf(hosted), services: service}
 	change := m.rollout.Advance(m.now, led, pools, shardstate.EvacuatedZones(configuration))
 	if change != nil {
 		m.proposeCommand(hosted, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
--- a/internal/control/sends.go
+++ b/internal/control/sends.go
@@ -19,24 +19,24 @@
 func (m *Machine) receiveControl(from member.ID, message protocol.Message) {
 	switch message.Type {
 	case protocol.MessageChange:
-		m.leaderRequests.ReceiveChange(m.hostedShard(message.Shard), from, message)
+		m.leaderRequests.ReceiveChange(m.requestShard(message.Shard), from, message)
 	case protocol.MessageReadSource, protocol.MessageReadRevision:
 		m.receiveRead(from, message)
 	case protocol.MessageChangeReply, protocol.MessageReadSourceReply, protocol.MessageReadRevisionReply:
 		m.requests.ReceiveReply(m.now, from, message)
 	case protocol.MessageRegister:
-		m.receiveRegister(from, message)
+		m.registrar.Receive(m.registrationShard(message.Shard), from, message)
 	case protocol.MessageRegisterReply:
 		m.receiveRegisterReply(from, message)
 	case protocol.MessageWitnessRequest:
-		m.receiveWitnessRequest(from, message)
+		m.recovery.ReceiveRequest(from, message, m.selfIncarnation())
 	case protocol.MessageWitnessReply:
-		m.receiveWitnessReply(from, message)
+		m.recovery.ReceiveReply(from, message)
 	case protocol.MessageConfirm:
-		m.confirmations.record(from, message)
+		m.confirmations.Receive(from, message)
 		m.rollout.Wake(m.now)
 	case protocol.MessageConfirmRequest:
-		m.receiveConfirmationRequest(from, message)
+		m.receiveConfirmRequest(from, message)
 	case protocol.MessageEndpoints:
 		m.receiveEndpoints(from, message.Payload, listing.DecodeReading)
 	case protocol.MessageEndpointsRequest:
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -15,7 +15,6 @@
 	id        uint32
 	group     *replication.Group
 	state     shardstate.State
-	learner   bool
 	applied   uint64
 	compacted uint64
 	// maxLogEntries is how long the applied log may become.
@@ -30,16 +29,6 @@
 	badEntries uint64
 	// proposals are this node's commands that wait to be applied.
 	proposals map[uint64]proposal
-	// recovery is set while this node is to form the group anew.
-	recovery *witnessSearch
-	// awaitedRevision is what this node, as leader, waits for the nodes to confirm.
-	awaited awaitedRevision
-	// dissemination follows the newest state of a shard that this node leads.
-	dissemination dissemination
-	// prunedTerm is the term in which the registered nodes were last checked for
-	// ended incarnations, and nextPrune when they are to be checked again.
-	prunedTerm uint64
-	nextPrune  time.Duration
 	// restoredPublished tells that publishRestored has been done.
 	restoredPublished bool
 }
@@ -65,7 +54,6 @@
 		id:            id,
 		group:         core,
 		state:         shardstate.New(id),
-		learner:       config.Learner,
 		maxLogEntries: uint64(config.logEntries()),
 		proposals:     map[uint64]proposal{},
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -30,7 +30,7 @@
 		}
 		return membership.Never
 	}
-	if !m.registered(ConfigurationShard) || m.members.Fenced(m.now) || !m.endpointsUsable() {
+	if !m.registered(ConfigurationShard) || m.members.Fenced(m.now) || !m.freshness.usable(m.now) {
 		return 0
 	}
 	return m.members.FenceDeadline()
@@ -61,7 +61,7 @@
 		Zone:             m.config.Self.Zone,
 		HoldsState:       m.config.Self.HoldsState,
 		Fenced:           m.ServeUntil() <= m.now,
-		ServedRevision:   m.confirmations.published[ConfigurationShard],
+		ServedRevision:   m.served.Published(ConfigurationShard),
 		Fences:           m.members.FenceCount(),
 		ServeRemainingMs: m.serveRemaining(),
 	}
@@ -86,7 +86,7 @@
 	status := &ridgeswitchv1.ShardStatus{
 		Shard:    id,
 		Leader:   string(m.leaders.Known(id)),
-		Term:     m.observedTerms[id].term,
+		Term:     m.recovery.ObservedTerm(id),
 		Revision: m.received.Revision(id),
 		Group: lo.Map(m.groupOf(id), func(id member.ID, _ int) string {
 			return string(id)
