--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -79,11 +79,6 @@
 	confirmRepeat = 8
 	// relayFanOut bounds the children of a node in the relay tree.
 	relayFanOut = 4
-	// smallTable is the number of members up to which a change of the table is passed on
-	// at each message.
-	smallTable = 64
-	// monitorCount is the number of monitors that a node chooses.
-	monitorCount = 3
 	// seededMaxVoters bounds the voters of a group that follows the membership:
 	// nine bear the loss of four, and two more may stand in for machines that are
 	// about to be taken away.
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -39,7 +39,7 @@
 
 // updateServed reads what traffic uses by now and tells whether it has changed.
 func (m *Machine) updateServed() bool {
-	return m.served.Update(m.selfIncarnation(), m.drained)
+	return m.served.Update(m.members.incarnation(), m.drained)
 }
 
 // drained tells whether no request of this node runs on a replica that the newest state
@@ -58,9 +58,9 @@
 // sendConfirmation sends this node's revisions to all that need them.
 func (m *Machine) sendConfirmation() {
 	m.served.Sent(m.now)
-	message := m.served.Message(m.selfIncarnation())
+	message := m.served.Message(m.members.incarnation())
 	for _, id := range m.confirmationReceivers() {
-		if m.reachable(id) {
+		if m.members.reachable(id) {
 			m.sendControl(id, message)
 		}
 	}
@@ -87,7 +87,7 @@
 		m.recovery.ObserveTerm(message.Shard, message.Term)
 		m.leaders.Learn(message.Shard, from)
 	}
-	m.sendControl(from, m.served.Message(m.selfIncarnation()))
+	m.sendControl(from, m.served.Message(m.members.incarnation()))
 }
 
 // tickDissemination brings the newest states of shards to nodes that the relay tree did
--- a/internal/control/confirmations_test.go
+++ b/internal/control/confirmations_test.go
@@ -103,7 +103,7 @@
 		Expect(node.sends).To(HaveLen(before + 1))
 		answer := node.sends[before].send.Envelope.Control
 		Expect(answer.Type).To(Equal(protocol.MessageConfirm))
-		Expect(answer.Incarnation).To(Equal(node.machine.selfIncarnation()))
+		Expect(answer.Incarnation).To(Equal(node.machine.members.incarnation()))
 		Expect(answer.Revisions[0].Revision).To(Equal(node.machine.received.Configuration().GetRevision()))
 	})
 })
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -6,7 +6,6 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
 // Endpoint is a back end as the platform lists it.
@@ -173,19 +172,23 @@
 	m.handleEndpointsOutput(m.endpoints.Step(m.now, from, message))
 }
 
-// setEndpointReaders tells who may read the list.
-func (m *Machine) setEndpointReaders(records []membership.Record) {
-	var members []listing.Member
-	for _, record := range records {
-		if !isLive(record) {
-			continue
-		}
-		members = append(members, listing.Member{
-			ID:      record.Info.ID,
-			Zone:    record.Info.Zone,
-			HasDisk: record.Info.HoldsState,
-			Suspect: record.State == membership.StateSuspect && record.Info.ID != m.config.Self.ID,
-		})
+// backends is the platform's list of back ends as this node uses it. It changes with
+// what the list's machine puts in force, and with nothing else.
+type backends struct {
+	services map[string][]listing.Replica
+	// known tells that a list has been put in force.
+	known bool
+}
+
+func newBackends() backends {
+	return backends{services: map[string][]listing.Replica{}}
+}
+
+// set puts a list in force.
+func (b *backends) set(replicas []listing.Replica) {
+	b.services = map[string][]listing.Replica{}
+	for _, replica := range replicas {
+		b.services[replica.Service] = append(b.services[replica.Service], replica)
 	}
-	m.endpoints.SetMembers(members)
+	b.known = true
 }
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -1,12 +1,13 @@
 package control
 
 import (
-	"fmt"
+	"cmp"
+	"encoding/binary"
 	"slices"
 
+	"github.com/cespare/xxhash/v2"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
-	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
@@ -18,12 +19,12 @@
 	}
 	var group []member.ID
 	if hosted := m.shards[shardID]; hosted != nil {
-		for _, place := range hosted.group.Status().Slots {
-			group = append(group, place.ID)
+		for _, slot := range hosted.group.Status().Slots {
+			group = append(group, slot.ID)
 		}
 	}
-	for _, id := range m.coreNodes {
-		if !contains(group, id) {
+	for _, id := range m.members.coreNodes {
+		if !slices.Contains(group, id) {
 			group = append(group, id)
 		}
 	}
@@ -37,7 +38,7 @@
 	if !c.Self.HoldsState {
 		return false
 	}
-	return c.Seeded || contains(c.GroupOfShard(shardID), c.Self.ID)
+	return c.Seeded || slices.Contains(c.GroupOfShard(shardID), c.Self.ID)
 }
 
 // foundersOf returns the founding voters of a shard's group.
@@ -56,63 +57,67 @@
 	return 0
 }
 
-// followCoreNodes passes on which nodes with disks there are.
-func (m *Machine) followCoreNodes(records []membership.Record) {
-	m.coreNodes = nil
-	var peers []replication.Peer
-	for _, record := range records {
-		if !record.Info.HoldsState {
-			continue
-		}
-		if isLive(record) {
-			m.coreNodes = append(m.coreNodes, record.Info.ID)
-		}
-		if left := record.State == membership.StateLeft; left || isLive(record) {
-			peers = append(peers, replication.Peer{ID: record.Info.ID, Left: left})
-		}
+// GroupSlots tells who holds a shard and has a vote in it, as far as this node's
+// copy of the shard knows. It is false when this node leads no copy in which the
+// last change of the group is final, so that it cannot tell.
+func (m *Machine) GroupSlots(shardID uint32) ([]replication.Slot, bool) {
+	hosted := m.shards[shardID]
+	if hosted == nil {
+		return nil, false
 	}
-	if !m.config.Seeded {
-		return
-	}
-	for _, id := range m.shardIDs {
-		if hosted := m.shards[id]; hosted != nil {
-			hosted.group.SetPeers(m.now, peers)
-		}
+	status := hosted.group.Status()
+	if status.Role != replication.RoleLeader || status.ChangeIndex > status.Commit {
+		return nil, false
 	}
+	return status.Slots, true
 }
 
-// CoreNodeAddresses lists the internal addresses of the other live nodes with disks,
-// sorted by node.
-func (m *Machine) CoreNodeAddresses() []string {
-	var addresses []string
-	for _, id := range m.coreNodes {
-		if id != m.config.Self.ID {
-			addresses = append(addresses, m.addressOf(id))
-		}
+// GroupOfShard returns the members of a shard's replica group in the order in
+// which they own it. Every node with a disk holds the configuration; a service
+// shard is held by the nodes that weigh highest for it, so that leaders spread,
+// and by as many zones as there are, so that no zone takes a majority with it.
+func (c Config) GroupOfShard(shard uint32) []member.ID {
+	if shard == ConfigurationShard {
+		return slices.Clone(c.Group)
 	}
-	return addresses
-}
-
-// OrderIDPrefix begins the identities of orders that this process makes up. It is
-// safe for concurrent use, as it never changes.
-func (m *Machine) OrderIDPrefix() string {
-	return fmt.Sprintf("node/%s/%d/", m.config.Self.ID, m.config.Self.Incarnation)
+	ordered := slices.Clone(c.Group)
+	slices.SortStableFunc(ordered, func(a, b member.ID) int {
+		// The highest weight comes first.
+		return cmp.Compare(rendezvousWeight(shard, b), rendezvousWeight(shard, a))
+	})
+	ordered = c.spreadOverZones(ordered)
+	if len(ordered) > serviceGroupSize {
+		ordered = ordered[:serviceGroupSize]
+	}
+	return ordered
 }
 
-// followLeaders names the leader of each shard, as far as it is known, as the root
-// from which its states spread.
-func (m *Machine) followLeaders() {
-	if !m.config.Seeded {
-		return
-	}
-	for _, id := range m.shardIDs {
-		if leader := m.leaders.Guess(id); leader != "" {
-			m.relay.SetRoot(relaytree.Topic(id), leader)
+// spreadOverZones moves the first member of each zone to the front and keeps
+// the order otherwise. Members without a known zone count as one each.
+func (c Config) spreadOverZones(ordered []member.ID) []member.ID {
+	var first, further []member.ID
+	seen := map[string]struct{}{}
+	for _, id := range ordered {
+		zone, known := c.GroupZones[id]
+		_, taken := seen[zone]
+		if known && taken {
+			further = append(further, id)
+			continue
+		}
+		first = append(first, id)
+		if known {
+			seen[zone] = struct{}{}
 		}
 	}
+	return append(first, further...)
 }
 
-// reachable tells whether a node is this one or is alive in the table.
-func (m *Machine) reachable(id member.ID) bool {
-	return id == m.config.Self.ID || m.members.Alive(id)
+// rendezvousWeight is the weight of a node for a shard.
+func rendezvousWeight(shard uint32, id member.ID) uint64 {
+	digest := xxhash.New()
+	var prefix [4]byte
+	binary.BigEndian.PutUint32(prefix[:], shard)
+	_, _ = digest.Write(prefix[:])
+	_, _ = digest.WriteString(string(id))
+	return digest.Sum64()
 }
--- a/internal/control/listing/members.go
+++ b/internal/control/listing/members.go
@@ -71,12 +71,9 @@
 	return slices.DeleteFunc(slices.Clone(m.members), func(one Member) bool { return one.ID == m.config.Self })
 }
 
-func (m *Machine) findMember(id member.ID) (Member, bool) {
-	at := slices.IndexFunc(m.members, func(one Member) bool { return one.ID == id })
-	if at < 0 {
-		return Member{}, false
-	}
-	return m.members[at], true
+// isMember tells whether a node is a live member.
+func (m *Machine) isMember(id member.ID) bool {
+	return slices.ContainsFunc(m.members, func(one Member) bool { return one.ID == id })
 }
 
 // rank is how many members read the list before this node once the present reader
--- a/internal/control/listing/network_test.go
+++ b/internal/control/listing/network_test.go
@@ -89,10 +89,9 @@
 	return w
 }
 
-func (w *simulation) add(id, zone string, disk bool) *testNode {
+func (w *simulation) add(id, zone string, disk bool) {
 	added := &testNode{id: member.ID(id), zone: zone, disk: disk, clockOffset: w.upTo(1000 * time.Second)}
 	w.nodes = append(w.nodes, added)
-	return added
 }
 
 func (w *simulation) node(id string) *testNode {
--- a/internal/control/listing/receive.go
+++ b/internal/control/listing/receive.go
@@ -86,7 +86,7 @@
 	if version.Reader == m.current.version.Reader {
 		return
 	}
-	if _, live := m.findMember(version.Reader); !live {
+	if !m.isMember(version.Reader) {
 		return
 	}
 	if last, notified := m.notifiedAt[version.Reader]; notified && m.now-last < requestEvery {
@@ -183,8 +183,9 @@
 func (m *Machine) sendRequest() {
 	others := m.others()
 	target := others[m.requests%len(others)].ID
-	if _, live := m.findMember(m.current.version.Reader); live && m.requests == 0 && m.current.version.Reader != m.config.Self {
-		target = m.current.version.Reader
+	reader := m.current.version.Reader
+	if m.requests == 0 && reader != m.config.Self && m.isMember(reader) {
+		target = reader
 	}
 	m.requests++
 	m.request(target)
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -1,9 +1,3 @@
-// Package control is the control state of a node as one state machine. Inputs
-// are messages, elapsed time, operators' orders, finished writes and what is
-// known of back ends; the outputs are messages to send, records to write,
-// answers, commands to replicas, and a new view for traffic. The machine itself
-// does no I/O, starts no goroutine and reads no clock, so that the daemon's
-// driver and a simulator run the same code.
 package control
 
 import (
@@ -25,49 +19,56 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// Machine is the control state machine of one node. It is not safe for
-// concurrent use: one goroutine owns it.
+// Machine is the control state machine of one node. It composes the machines of single
+// concerns and owns nothing but the time of the last input, the output that it gathers,
+// and whether the view must be built anew. It is not safe for concurrent use: one
+// goroutine owns it.
 type Machine struct {
-	config         Config
-	now            time.Duration
-	members        *membership.Machine
-	relay          *relaytree.Machine
-	shards         map[uint32]*shard
-	shardIDs       []uint32
+	config Config
+	// now is the time of the last input.
+	now    time.Duration
+	output Output
+
+	members *memberTable
+	leaders *leaders.Directory
+	relay   *relaytree.Machine
+
+	// shardIDs are all shards, and shards those that this node hosts.
+	shardIDs []uint32
+	shards   map[uint32]*shard
+	recovery *recovery.Machine
+
+	// numbers are those of this node's requests to others.
+	numbers        *protocol.Numbering
 	requests       *requests.Client
 	leaderRequests *requests.Leader
-	leaders        *leaders.Directory
-	numbers        *protocol.Numbering
-	registration   *registration.Client
-	registrar      *registration.Registrar
-	served         *confirmation.Local
-	confirmations  *confirmation.Table
-	disseminator   *confirmation.Disseminator
-	recovery       *recovery.Machine
-	freshness      endpointFreshness
-	backends       backends
+
+	registration *registration.Client
+	registrar    *registration.Registrar
+
+	served        *confirmation.Local
+	confirmations *confirmation.Table
+	disseminator  *confirmation.Disseminator
+
+	rollout *rollout.Machine
+
+	// endpoints keeps the platform's list on all nodes, backends is the list that this
+	// node uses, and freshness whether it may serve by it.
+	endpoints *listing.Machine
+	backends  backends
+	freshness endpointFreshness
+
+	// received are the states that this node serves by, and load the requests of its
+	// traffic on each replica.
+	received *shardstate.Received
+	load     routing.LoadReader
+	views    *view.Builder
 	// viewStale tells that the view is to be built anew.
 	viewStale bool
-	rollout   *rollout.Machine
-	endpoints *listing.Machine
-	views     *view.Builder
-	load      routing.LoadReader
-	received  *shardstate.Received
-	output    Output
-	// tableDigest, membersDigest, addresses and zones follow the table of members.
-	tableDigest   uint64
-	membersDigest uint64
-	// membersRefreshedAt is when the table was last looked at.
-	membersRefreshedAt time.Duration
-	addresses          map[member.ID]string
-	zones              map[member.ID]string
-	// coreNodes are the live nodes with disks, sorted.
-	coreNodes []member.ID
 }
 
 // New returns the machine of a node. Restored holds what the node's disk kept of
@@ -80,15 +81,13 @@
 		shards:    map[uint32]*shard{},
 		load:      load,
 		numbers:   protocol.NewNumbering(config.Self.Incarnation),
-		addresses: map[member.ID]string{},
-		zones:     map[member.ID]string{},
 		views:     newViewBuilder(config),
 		endpoints: newEndpointsMachine(config, now),
 		received:  shardstate.NewReceived(),
 		backends:  newBackends(),
 		viewStale: true,
 	}
-	machine.members = newMembership(config, now)
+	machine.members = newMemberTable(config, now)
 	machine.leaders = leaders.NewDirectory(shardDirectory{machine})
 	machine.requests, machine.leaderRequests = machine.newRequests()
 	for id := uint32(0); id <= config.ServiceShards; id++ {
@@ -114,19 +113,6 @@
 	return slices.DeleteFunc(slices.Clone(m.shardIDs), func(id uint32) bool { return m.shards[id] == nil })
 }
 
-// newMembership returns the table of members of a node.
-func newMembership(config Config, now time.Duration) *membership.Machine {
-	return membership.New(membership.Config{
-		Self:           config.Self,
-		Seeds:          config.Seeds,
-		MonitorCount:   monitorCount,
-		HeartbeatEvery: config.Times.HeartbeatEvery,
-		FenceAfter:     config.Times.FenceAfter,
-		FenceMargin:    config.Times.FenceMargin,
-		ForgetAfter:    forgetAfter,
-	}, now)
-}
-
 // hostShard starts the replica group member of a shard, if this node is in its
 // group.
 func (m *Machine) hostShard(id uint32, restored replication.Restored) error {
@@ -147,7 +133,6 @@
 	m.now = now
 	m.sendMembership(m.members.Tick(now))
 	m.refreshMembers()
-	m.membersRefreshedAt = now
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil {
 			hosted.group.Tick(now)
@@ -174,7 +159,9 @@
 	switch {
 	case envelope.Membership != nil:
 		m.sendMembership(m.members.Step(now, *envelope.Membership))
-		m.refreshMembersSoon()
+		if m.members.refreshDue(now) {
+			m.refreshMembers()
+		}
 	case envelope.Replication != nil:
 		m.receiveReplication(envelope)
 	case envelope.Relay != nil:
@@ -242,48 +229,9 @@
 	return m.takeOutput()
 }
 
-// refreshMembersSoon passes on who is alive at once, unless the table is large and that
-// was done a moment ago: while many nodes start, nearly every message changes the table.
-func (m *Machine) refreshMembersSoon() {
-	if m.members.Size() > smallTable && m.now-m.membersRefreshedAt < DefaultTickEvery {
-		return
-	}
-	m.refreshMembers()
-	m.membersRefreshedAt = m.now
-}
-
-// refreshMembers passes on who is alive when that has changed.
-func (m *Machine) refreshMembers() {
-	if m.members.Digest() == m.tableDigest {
-		return
-	}
-	m.tableDigest = m.members.Digest()
-	records := m.members.Records()
-	m.setEndpointReaders(records)
-	digest := memberDigest(records)
-	if digest == m.membersDigest {
-		return
-	}
-	m.membersDigest = digest
-	for _, record := range records {
-		m.addresses[record.Info.ID] = record.Info.Address
-		m.zones[record.Info.ID] = record.Info.Zone
-	}
-	m.relay.SetMembers(liveMembers(records))
-	m.followCoreNodes(records)
-	if m.config.Seeded {
-		return
-	}
-	for _, id := range m.shardIDs {
-		if root := m.leaders.First(id); root != "" {
-			m.relay.SetRoot(relaytree.Topic(id), root)
-		}
-	}
-}
-
 // takeOutput returns what has been gathered and starts anew.
 func (m *Machine) takeOutput() Output {
-	if m.freshness.follow(m.now, m.selfIncarnation()) {
+	if m.freshness.follow(m.now, m.members.incarnation()) {
 		m.endpoints.RequestProof()
 	}
 	m.publishView()
@@ -296,30 +244,9 @@
 	return output
 }
 
-// SetSeeds takes over other seeds.
-func (m *Machine) SetSeeds(now time.Duration, seeds []string) Output {
-	m.now = now
-	m.sendMembership(m.members.SetSeeds(now, seeds))
-	return m.takeOutput()
-}
-
-// TableDigest summarises the table of members: nodes that hold the same records have
-// the same.
-func (m *Machine) TableDigest() uint64 { return m.members.Digest() }
-
-// Members returns the records of the table of members; read only, and until the next
-// input.
-func (m *Machine) Members() []membership.Record { return m.members.Records() }
-
 // Self describes this node. It is safe for concurrent use, as it never changes.
 func (m *Machine) Self() member.Info { return m.config.Self }
 
-// ZoneOf returns the zone of a node, or "" while it is unknown.
-func (m *Machine) ZoneOf(id member.ID) string { return m.zones[id] }
-
-// FenceCount counts how often this node has been fenced since its start.
-func (m *Machine) FenceCount() uint64 { return m.members.FenceCount() }
-
 // BadEntries counts the log entries, of all shards, that could not be decoded or
 // encoded since the start.
 func (m *Machine) BadEntries() uint64 {
--- /dev/null
+++ b/internal/control/members.go
@@ -0,0 +1,261 @@
+package control
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
+	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+)
+
+const (
+	// forgetAfter is how long the table of members keeps a row that is fenced or
+	// left.
+	forgetAfter = 10 * time.Minute
+	// monitorCount is the number of monitors that a node chooses.
+	monitorCount = 3
+	// smallTable is the number of members up to which a change of the table is passed on
+	// at each message.
+	smallTable = 64
+)
+
+// memberTable is the table of members, with what this node derives from it. It is the
+// single owner of who is alive, where, and under which address.
+type memberTable struct {
+	*membership.Machine
+	self member.ID
+	// digest is that of the table as it was refreshed last, and refreshedAt when.
+	digest      uint64
+	refreshedAt time.Duration
+	// liveDigest is that of who is where and alive.
+	liveDigest uint64
+	addresses  map[member.ID]string
+	zones      map[member.ID]string
+	// coreNodes are the live nodes with disks, sorted.
+	coreNodes []member.ID
+}
+
+func newMemberTable(config Config, now time.Duration) *memberTable {
+	return &memberTable{
+		Machine: membership.New(membership.Config{
+			Self:           config.Self,
+			Seeds:          config.Seeds,
+			MonitorCount:   monitorCount,
+			HeartbeatEvery: config.Times.HeartbeatEvery,
+			FenceAfter:     config.Times.FenceAfter,
+			FenceMargin:    config.Times.FenceMargin,
+			ForgetAfter:    forgetAfter,
+		}, now),
+		self:      config.Self.ID,
+		addresses: map[member.ID]string{},
+		zones:     map[member.ID]string{},
+	}
+}
+
+// refreshDue tells whether a change of the table is to be looked for after a message. In
+// a large table that waits for a tick: while many nodes start, nearly every message
+// changes it.
+func (t *memberTable) refreshDue(now time.Duration) bool {
+	return t.Size() <= smallTable || now-t.refreshedAt >= DefaultTickEvery
+}
+
+// refresh looks for changes of the table since the last call, and of who is where and
+// alive.
+func (t *memberTable) refresh(now time.Duration) (tableChanged, liveChanged bool) {
+	t.refreshedAt = now
+	if t.Digest() == t.digest {
+		return false, false
+	}
+	t.digest = t.Digest()
+	records := t.Records()
+	digest := liveDigestOf(records)
+	if digest == t.liveDigest {
+		return true, false
+	}
+	t.liveDigest = digest
+	t.coreNodes = nil
+	for _, record := range records {
+		t.addresses[record.Info.ID] = record.Info.Address
+		t.zones[record.Info.ID] = record.Info.Zone
+		if record.Info.HoldsState && isLive(record) {
+			t.coreNodes = append(t.coreNodes, record.Info.ID)
+		}
+	}
+	return true, true
+}
+
+// incarnation returns the present incarnation of this node.
+func (t *memberTable) incarnation() member.Incarnation {
+	incarnation, _ := t.Incarnation(t.self)
+	return incarnation
+}
+
+// reachable tells whether a node is this one or is alive in the table.
+func (t *memberTable) reachable(id member.ID) bool { return id == t.self || t.Alive(id) }
+
+// endpointReaders are the members that may read the platform's list.
+func (t *memberTable) endpointReaders() []listing.Member {
+	var readers []listing.Member
+	for _, record := range t.Records() {
+		if isLive(record) {
+			readers = append(readers, listing.Member{
+				ID:      record.Info.ID,
+				Zone:    record.Info.Zone,
+				HasDisk: record.Info.HoldsState,
+				Suspect: record.State == membership.StateSuspect && record.Info.ID != t.self,
+			})
+		}
+	}
+	return readers
+}
+
+// relayMembers are the members that the relay tree is built from.
+func (t *memberTable) relayMembers() []relaytree.Member {
+	members := []relaytree.Member{}
+	for _, record := range t.Records() {
+		if isLive(record) {
+			members = append(members, relaytree.Member{ID: record.Info.ID, Zone: record.Info.Zone})
+		}
+	}
+	return members
+}
+
+// replicationPeers are the nodes with disks that a replica group may take in, or must
+// let go.
+func (t *memberTable) replicationPeers() []replication.Peer {
+	var peers []replication.Peer
+	for _, record := range t.Records() {
+		left := record.State == membership.StateLeft
+		if record.Info.HoldsState && (left || isLive(record)) {
+			peers = append(peers, replication.Peer{ID: record.Info.ID, Left: left})
+		}
+	}
+	return peers
+}
+
+func isLive(record membership.Record) bool {
+	return record.State == membership.StateAlive || record.State == membership.StateSuspect
+}
+
+// liveDigestOf summarises who is where and alive.
+func liveDigestOf(records []membership.Record) uint64 {
+	digest := xxhash.New()
+	for _, record := range records {
+		live := "down"
+		switch {
+		case isLive(record):
+			live = "live"
+		case record.State == membership.StateLeft:
+			live = "left"
+		}
+		for _, text := range []string{string(record.Info.ID), record.Info.Address, live} {
+			_, _ = digest.WriteString(text)
+			_, _ = digest.WriteString("\n")
+		}
+	}
+	return digest.Sum64()
+}
+
+// refreshMembers passes on who is alive when that has changed.
+func (m *Machine) refreshMembers() {
+	tableChanged, liveChanged := m.members.refresh(m.now)
+	if tableChanged {
+		m.endpoints.SetMembers(m.members.endpointReaders())
+	}
+	if !liveChanged {
+		return
+	}
+	m.relay.SetMembers(m.members.relayMembers())
+	if m.config.Seeded {
+		m.followPeers()
+	} else {
+		m.followFirstMembers()
+	}
+}
+
+// followPeers passes on which nodes with disks there are, as the members of all groups
+// are chosen from them.
+func (m *Machine) followPeers() {
+	peers := m.members.replicationPeers()
+	for _, id := range m.shardIDs {
+		if hosted := m.shards[id]; hosted != nil {
+			hosted.group.SetPeers(m.now, peers)
+		}
+	}
+}
+
+// followFirstMembers names the first live member of each group as the root from which
+// the states of its shard spread.
+func (m *Machine) followFirstMembers() {
+	for _, id := range m.shardIDs {
+		if root := m.leaders.First(id); root != "" {
+			m.relay.SetRoot(relaytree.Topic(id), root)
+		}
+	}
+}
+
+// followLeaders names the leader of each shard, as far as it is known, as that root,
+// where the members of groups come and go.
+func (m *Machine) followLeaders() {
+	if !m.config.Seeded {
+		return
+	}
+	for _, id := range m.shardIDs {
+		if leader := m.leaders.Guess(id); leader != "" {
+			m.relay.SetRoot(relaytree.Topic(id), leader)
+		}
+	}
+}
+
+// SetSeeds takes over other seeds.
+func (m *Machine) SetSeeds(now time.Duration, seeds []string) Output {
+	m.now = now
+	m.sendMembership(m.members.SetSeeds(now, seeds))
+	return m.takeOutput()
+}
+
+// CoreNodeAddresses lists the internal addresses of the other live nodes with disks,
+// sorted by node.
+func (m *Machine) CoreNodeAddresses() []string {
+	var addresses []string
+	for _, id := range m.members.coreNodes {
+		if id != m.config.Self.ID {
+			addresses = append(addresses, m.members.addresses[id])
+		}
+	}
+	return addresses
+}
+
+// LivePeers returns the live nodes, this one included, sorted by ID.
+func (m *Machine) LivePeers() []member.Info {
+	var peers []member.Info
+	for _, record := range m.members.Members() {
+		if m.members.reachable(record.Info.ID) {
+			peers = append(peers, record.Info)
+		}
+	}
+	return peers
+}
+
+// PeersDigest changes whenever LivePeers may have changed. It follows the table of
+// members as it was refreshed last, so that a large table which changes with nearly
+// every message does not have the peers listed anew each time.
+func (m *Machine) PeersDigest() uint64 { return m.members.digest }
+
+// TableDigest summarises the table of members: nodes that hold the same records have
+// the same.
+func (m *Machine) TableDigest() uint64 { return m.members.Digest() }
+
+// Members returns the records of the table of members; read only, and until the next
+// input.
+func (m *Machine) Members() []membership.Record { return m.members.Records() }
+
+// ZoneOf returns the zone of a node, or "" while it is unknown.
+func (m *Machine) ZoneOf(id member.ID) string { return m.members.zones[id] }
+
+// FenceCount counts how often this node has been fenced since its start.
+func (m *Machine) FenceCount() uint64 { return m.members.FenceCount() }
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -19,13 +19,13 @@
 // be counted.
 func (m *Machine) tickRegistration() {
 	if !m.config.FailOpen && !m.members.Fenced(m.now) {
-		m.registration.Tick(m.now, m.selfIncarnation())
+		m.registration.Tick(m.now, m.members.incarnation())
 	}
 }
 
 // receiveRegisterReply handles the reply of a leader to this node's registration.
 func (m *Machine) receiveRegisterReply(from member.ID, message protocol.Message) {
-	result := m.registration.ReceiveReply(m.now, from, message, m.selfIncarnation())
+	result := m.registration.ReceiveReply(m.now, from, message, m.members.incarnation())
 	if result.LaterIncarnation != 0 {
 		m.sendMembership(m.members.AdvanceIncarnationPast(m.now, result.LaterIncarnation))
 	}
@@ -36,7 +36,7 @@
 // registered tells whether this node may serve under a shard. Where nodes go on
 // serving while cut off, nothing has to be known of a node before it serves.
 func (m *Machine) registered(shardID uint32) bool {
-	return m.config.FailOpen || m.registration.Registered(shardID, m.selfIncarnation())
+	return m.config.FailOpen || m.registration.Registered(shardID, m.members.incarnation())
 }
 
 // pruneNodes has a registered incarnation that has ended forgotten, so that a later
@@ -46,9 +46,3 @@
 		m.proposeCommand(hosted, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
 	}
 }
-
-// selfIncarnation is the present incarnation of this node.
-func (m *Machine) selfIncarnation() member.Incarnation {
-	incarnation, _ := m.members.Incarnation(m.config.Self.ID)
-	return incarnation
-}
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
@@ -86,3 +87,9 @@
 		hosted.badEntries++
 	}
 }
+
+// OrderIDPrefix begins the identities of orders that this process makes up. It is
+// safe for concurrent use, as it never changes.
+func (m *Machine) OrderIDPrefix() string {
+	return fmt.Sprintf("node/%s/%d/", m.config.Self.ID, m.config.Self.Incarnation)
+}
--- a/internal/control/rollout/moves.go
+++ b/internal/control/rollout/moves.go
@@ -103,7 +103,7 @@
 	case replica.row.GetPhase() == controlpb.ReplicaPhase_LOADING:
 		return m.advanceLoading(rolling, replica)
 	default:
-		return m.checkServing(rolling, replica)
+		return m.checkServing(replica)
 	}
 }
 
--- a/internal/control/rollout/rows.go
+++ b/internal/control/rollout/rows.go
@@ -22,7 +22,7 @@
 
 // checkServing watches a serving replica whose version the list does not show. One
 // that reports another version than it confirmed is drained at once.
-func (m *Machine) checkServing(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
+func (m *Machine) checkServing(replica poolReplica) *controlpb.ReplicaState {
 	if replica.WeightVersion != "" {
 		return nil
 	}
--- a/internal/control/commands_test.go
+++ b/internal/control/rollout_commands_test.go
@@ -40,8 +40,12 @@
 	next            time.Duration
 }
 
-func newModelPool(replicas, zones, free int, load time.Duration) *modelPool {
-	return newModelPoolWithin(12*time.Second, replicas, zones, free, load)
+// loadsAtOnce is how many replicas load weights without slowing each other down.
+const loadsAtOnce = 3
+
+// newModelPool makes a pool that runs version 1, on a leader that has taken over.
+func newModelPool(replicas, zones int, load time.Duration) *modelPool {
+	return newModelPoolWithin(12*time.Second, replicas, zones, loadsAtOnce, load)
 }
 
 // newModelPoolWithin is newModelPool with a bound on the time for new weights.
@@ -205,7 +209,7 @@
 	)
 
 	It("leaves replicas as they are that run a newer version", func() {
-		pool := newModelPool(4, 2, 3, time.Second)
+		pool := newModelPool(4, 2, time.Second)
 		pool.replicas[0].version = "9"
 		pool.run(2 * time.Second)
 		name(pool, "2")
@@ -216,7 +220,7 @@
 	})
 
 	It("goes on to a newer version that is named meanwhile, without a command in vain", func() {
-		pool := newModelPool(6, 3, 3, 1500*time.Millisecond)
+		pool := newModelPool(6, 3, 1500*time.Millisecond)
 		name(pool, "2")
 		pool.run(1500 * time.Millisecond)
 		name(pool, "3")
@@ -228,7 +232,7 @@
 	})
 
 	It("asks before it repeats a command of which nothing is known", func() {
-		pool := newModelPool(2, 2, 3, 1500*time.Millisecond)
+		pool := newModelPool(2, 2, 1500*time.Millisecond)
 		pool.replicas[0].answers = []CommandOutcome{CommandUnknown}
 		name(pool, "2")
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 12*time.Second))
@@ -236,7 +240,7 @@
 	})
 
 	It("repeats a command that did not arrive, less and less often", func() {
-		pool := newModelPool(2, 2, 3, time.Second)
+		pool := newModelPool(2, 2, time.Second)
 		pool.replicas[0].answers = []CommandOutcome{CommandNotSent, CommandNotSent, CommandNotSent}
 		name(pool, "2")
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 14*time.Second))
@@ -247,7 +251,7 @@
 	})
 
 	It("gets a greater token where a replica has seen one", func() {
-		pool := newModelPool(2, 2, 3, time.Second)
+		pool := newModelPool(2, 2, time.Second)
 		pool.replicas[0].answers = []CommandOutcome{CommandFenced}
 		name(pool, "2")
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 12*time.Second))
@@ -257,7 +261,7 @@
 	})
 
 	It("begins anew with a replica that comes back as another incarnation", func() {
-		pool := newModelPool(3, 3, 3, 1500*time.Millisecond)
+		pool := newModelPool(3, 3, 1500*time.Millisecond)
 		name(pool, "2")
 		pool.run(1200 * time.Millisecond)
 		victim, _ := lo.Find(pool.replicas, func(one *modelReplica) bool { return one.target != "" })
@@ -271,7 +275,7 @@
 	})
 
 	It("sends nothing to a replica that does not answer, and goes on with the others", func() {
-		pool := newModelPool(6, 3, 3, time.Second)
+		pool := newModelPool(6, 3, time.Second)
 		pool.replicas[2].down = true
 		name(pool, "2")
 		pool.run(9 * time.Second)
@@ -282,7 +286,7 @@
 	})
 
 	It("forgets the rows that the list has caught up with", func() {
-		pool := newModelPool(4, 2, 3, time.Second)
+		pool := newModelPool(4, 2, time.Second)
 		name(pool, "2")
 		pool.run(30 * time.Second)
 		Expect(pool.node.machine.received.Service(1).GetReplicas()).To(BeEmpty())
@@ -290,7 +294,7 @@
 	})
 
 	It("keeps the replicas of every zone from being out at once", func() {
-		pool := newModelPool(18, 9, 3, 1100*time.Millisecond)
+		pool := newModelPool(18, 9, 1100*time.Millisecond)
 		name(pool, "2")
 		for pool.node.now < 20*time.Second {
 			pool.run(DefaultTickEvery)
--- a/internal/control/sends.go
+++ b/internal/control/sends.go
@@ -12,7 +12,7 @@
 // send queues a message for a node.
 func (m *Machine) send(to member.ID, envelope wire.Envelope) {
 	envelope.From = m.config.Self.ID
-	m.output.Sends = append(m.output.Sends, Send{To: to, Address: m.addressOf(to), Envelope: envelope})
+	m.output.Sends = append(m.output.Sends, Send{To: to, Address: m.members.addresses[to], Envelope: envelope})
 }
 
 // receiveControl handles a control message of a node, or of this node itself.
@@ -29,7 +29,7 @@
 	case protocol.MessageRegisterReply:
 		m.receiveRegisterReply(from, message)
 	case protocol.MessageWitnessRequest:
-		m.recovery.ReceiveRequest(from, message, m.selfIncarnation())
+		m.recovery.ReceiveRequest(from, message, m.members.incarnation())
 	case protocol.MessageWitnessReply:
 		m.recovery.ReceiveReply(from, message)
 	case protocol.MessageConfirm:
@@ -59,7 +59,7 @@
 		message := out.Message
 		address := out.Address
 		if address == "" {
-			address = m.addressOf(out.To)
+			address = m.members.addresses[out.To]
 		}
 		envelope := wire.Envelope{From: m.config.Self.ID, Membership: &message}
 		m.output.Sends = append(m.output.Sends, Send{To: out.To, Address: address, Envelope: envelope})
@@ -72,6 +72,3 @@
 		m.send(out.To, wire.Envelope{Relay: &message})
 	}
 }
-
-// addressOf returns the internal address of a node, or "" while it is unknown.
-func (m *Machine) addressOf(id member.ID) string { return m.addresses[id] }
--- a/internal/control/shardstate/sections_test.go
+++ b/internal/control/shardstate/sections_test.go
@@ -71,13 +71,13 @@
 }
 
 // publish sends a configuration through a relay machine.
-func publish(relay *relaytree.Machine, configuration *ridgeswitchv1.Configuration) ([]relaytree.Outbound, relaytree.Update) {
+func publish(relay *relaytree.Machine, configuration *ridgeswitchv1.Configuration) relaytree.Update {
 	sections, err := encodeSections(configuration, configurationFields)
 	if err != nil {
 		panic(err)
 	}
-	sent, updates := relay.Publish(configurationTopic, configuration.GetRevision(), sections)
-	return sent, updates[0]
+	_, updates := relay.Publish(configurationTopic, configuration.GetRevision(), sections)
+	return updates[0]
 }
 
 var _ = Describe("sections", func() {
@@ -89,7 +89,7 @@
 			var earlier, kept proto.Message
 			for revision := range uint64(30) {
 				published := randomConfiguration(random, revision+1)
-				_, update := publish(relay, published)
+				update := publish(relay, published)
 				decoded, err := decoder.Apply(update)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(proto.Equal(decoded, published)).To(BeTrue(), "seed %d revision %d", seed, revision+1)
@@ -122,11 +122,11 @@
 		relay := relaytree.New(relaytree.Config{Self: "root"})
 		decoder := NewDecoder(ConfigurationShard)
 		first := largeConfiguration(manyTenants)
-		_, update := publish(relay, first)
+		update := publish(relay, first)
 		before, err := decoder.Apply(update)
 		Expect(err).NotTo(HaveOccurred())
 		second := withKey(first, 7)
-		_, update = publish(relay, second)
+		update = publish(relay, second)
 		Expect(update.Sections).To(HaveLen(2))
 		after, err := decoder.Apply(update)
 		Expect(err).NotTo(HaveOccurred())
@@ -148,7 +148,7 @@
 		next := proto.Clone(configuration).(*ridgeswitchv1.Configuration)
 		next.Revision++
 		next.Tenants = append(next.Tenants[:4], next.Tenants[5:]...)
-		_, update := publish(relay, next)
+		update := publish(relay, next)
 		Expect(update.Removed).To(Equal([]string{"tenant/tenant-00004"}))
 		Expect(update.Sections).To(HaveLen(2))
 	})
@@ -190,13 +190,13 @@
 			return err
 		}
 		first := largeConfiguration(3)
-		_, update := publish(relay, first)
+		update := publish(relay, first)
 		Expect(apply(update)).To(Succeed())
 		broken := relaytree.Update{Revision: 2, Sections: []relaytree.Section{{Name: "tenant/a"}}}
 		Expect(apply(broken)).NotTo(Succeed())
 		Expect(proto.Equal(received.Configuration(), first)).To(BeTrue())
 		third := withKey(withKey(first, 0), 1)
-		_, update = publish(relay, third)
+		update = publish(relay, third)
 		Expect(apply(update)).To(Succeed())
 		Expect(proto.Equal(received.Configuration(), third)).To(BeTrue())
 		Expect(received.Revision(ConfigurationShard)).To(Equal(uint64(3)))
@@ -218,11 +218,11 @@
 	relay := relaytree.New(relaytree.Config{Self: "root"})
 	decoder := NewDecoder(ConfigurationShard)
 	first := largeConfiguration(manyTenants)
-	_, whole := publish(relay, first)
+	whole := publish(relay, first)
 	if _, err := decoder.Apply(whole); err != nil {
 		b.Fatal(err)
 	}
-	_, update := publish(relay, withKey(first, 7))
+	update := publish(relay, withKey(first, 7))
 	for b.Loop() {
 		if _, err := decoder.Apply(update); err != nil {
 			b.Fatal(err)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -1,10 +1,8 @@
 package control
 
 import (
-	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
@@ -14,13 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
-	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// forgetAfter is how long the table of members keeps a row that is fenced or
-// left.
-const forgetAfter = 10 * time.Minute
-
 // ServeUntil is the instant until which this node may admit traffic if nothing
 // else is heard; zero while it may not admit any.
 func (m *Machine) ServeUntil() time.Duration {
@@ -183,36 +176,3 @@
 		return "unknown"
 	}
 }
-
-// liveMembers are the members that the relay tree is built from.
-func liveMembers(records []membership.Record) []relaytree.Member {
-	live := lo.Filter(records, func(record membership.Record, _ int) bool { return isLive(record) })
-	return lo.Map(live, func(record membership.Record, _ int) relaytree.Member {
-		return relaytree.Member{ID: record.Info.ID, Zone: record.Info.Zone}
-	})
-}
-
-func isLive(record membership.Record) bool {
-	return record.State == membership.StateAlive || record.State == membership.StateSuspect
-}
-
-// memberDigest summarises who is where and alive, to notice changes.
-func memberDigest(records []membership.Record) uint64 {
-	digest := xxhash.New()
-	for _, record := range records {
-		live := "down"
-		switch {
-		case isLive(record):
-			live = "live"
-		case record.State == membership.StateLeft:
-			live = "left"
-		}
-		for _, text := range []string{string(record.Info.ID), record.Info.Address, live} {
-			_, _ = digest.WriteString(text)
-			_, _ = digest.WriteString("\n")
-		}
-	}
-	return digest.Sum64()
-}
-
-func contains(ids []member.ID, id member.ID) bool { return slices.Contains(ids, id) }
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -27,4 +27,4 @@
 func (s shardDirectory) Group(shardID uint32) []member.ID { return s.machine.groupOf(shardID) }
 
 // Reachable implements leaders.Shards.
-func (s shardDirectory) Reachable(id member.ID) bool { return s.machine.reachable(id) }
+func (s shardDirectory) Reachable(id member.ID) bool { return s.machine.members.reachable(id) }
