--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -16,7 +16,7 @@
 	DefaultTickEvery = 20 * time.Millisecond
 	// DefaultHeartbeatEvery is how often leaders and members are heard from.
 	DefaultHeartbeatEvery = 100 * time.Millisecond
-	// DefaultElectionTimeout is how long a silent leader keeps its place. A
+	// DefaultElectionTimeout is how long an unresponsive leader keeps its leadership. A
 	// heartbeat and its answer may each wait for a write, so that it must exceed
 	// two slow writes, or a group whose disks all take half a second has no
 	// leader for long.
@@ -34,7 +34,7 @@
 	// node to confirm a revision before it answers that the order is pending.
 	DefaultAcknowledgeTimeout = 4 * time.Second
 	// failOpenConfirmationTimeout is how long a committed order waits for confirmations where
-	// nodes go on serving while cut off: a node that is out of reach can't be told
+	// nodes go on serving while partitioned: a node that is out of reach can't be told
 	// from one that is about to confirm.
 	failOpenConfirmationTimeout = 600 * time.Millisecond
 	// minFailOpenElectionTimeout and maxFailOpenElectionTimeout bound the ElectionTimeout of
@@ -45,7 +45,7 @@
 	// directly to nodes that the relay tree did not reach.
 	failOpenDigestEvery = 400 * time.Millisecond
 	// electionsPerContact is how many election timeouts fit into the time for
-	// which a silent node counts as in contact: one to notice that a leader is
+	// which an unresponsive node counts as in contact: one to notice that a leader is
 	// silent, and one for the voters to follow each other.
 	electionsPerContact = 3
 	// DefaultRequestTimeout is how long a node looks for a leader that takes an
@@ -130,7 +130,7 @@
 	}
 }
 
-// FailOpenTimes returns the times of nodes that go on serving while cut off. A
+// FailOpenTimes returns the times of nodes that go on serving while partitioned. A
 // silent leader is replaced within contact, and orders are answered within
 // acknowledge.
 func FailOpenTimes(contact, acknowledge time.Duration) Times {
@@ -147,11 +147,11 @@
 	Self member.Info
 	// Seeds are internal addresses of up to three other nodes.
 	Seeds []string
-	// Seeded tells that the nodes with disks are those that the membership tells
+	// Seeded means that the nodes with disks are those that the membership tells
 	// of. They follow all shards and are given a vote when they have caught up.
 	Seeded bool
 	// FailOpen lets the node serve by the newest configuration that reached it,
-	// whether or not it is cut off. An acknowledgement waits for the live nodes,
+	// whether or not it is partitioned. An acknowledgement waits for the live nodes,
 	// and for failOpenConfirmationTimeout at most.
 	FailOpen bool
 	// Group holds the IDs of all nodes with disks, in the agreed order. If Seeded
@@ -171,7 +171,7 @@
 	// Learner is set.
 	DiskIncarnation uint64
 	Times           Times
-	// ReplicasFinishFirst tells that a replica which is ordered to load weights
+	// ReplicasFinishFirst means that a replica which is ordered to load weights
 	// finishes its requests first, and refuses others until it has loaded, as not
 	// run. So it need not be drained by the nodes.
 	ReplicasFinishFirst bool
--- a/internal/control/confirmation/dissemination.go
+++ b/internal/control/confirmation/dissemination.go
@@ -23,7 +23,7 @@
 type progress struct {
 	// term is that of the leadership which the rest belongs to.
 	term uint64
-	// announcements is when each incarnation of a node was last told of the leadership.
+	// announcements is when each incarnation of a node was last informed of the leadership.
 	announcements map[member.ID]announcement
 	// revision is the newest one published, and publishedAt since when.
 	revision    uint64
@@ -40,7 +40,7 @@
 
 // Disseminator makes the leadership of shards known, and brings their newest states to
 // nodes that the relay tree did not reach in time: because their parent is down, frozen
-// or cut off, or because they see other members than their parents do.
+// or partitioned, or because they see other members than their parents do.
 type Disseminator struct {
 	self    member.ID
 	members Members
@@ -121,7 +121,7 @@
 	return behind
 }
 
-// isLiveOther tells whether a record is of another node that may serve.
+// isLiveOther reports whether a record is of another node that may serve.
 func (d *Disseminator) isLiveOther(record membership.Record) bool {
 	live := record.State == membership.StateAlive || record.State == membership.StateSuspect
 	return live && record.Info.ID != d.self
--- a/internal/control/confirmation/local.go
+++ b/internal/control/confirmation/local.go
@@ -31,14 +31,14 @@
 	}
 }
 
-// Publish notes the revision of a shard that the newest view is made from.
+// Publish records the revision of a shard that the newest view is made from.
 func (l *Local) Publish(shardID uint32, revision uint64) { l.published[shardID] = revision }
 
 // Published returns the revision of a shard that traffic uses.
 func (l *Local) Published(shardID uint32) uint64 { return l.published[shardID] }
 
-// Update reads what traffic uses by now, and tells whether that or the incarnation has
-// changed. Drained tells whether no request of this node runs on a replica that the
+// Update reads what traffic uses by now, and reports whether that or the incarnation has
+// changed. Drained reports whether no request of this node runs on a replica that the
 // newest state of a shard keeps requests from.
 func (l *Local) Update(incarnation member.Incarnation, drained func(shardID uint32) bool) bool {
 	changed := l.incarnation != incarnation
@@ -57,7 +57,7 @@
 	return changed
 }
 
-// Due tells whether a confirmation is to be sent although nothing has changed.
+// Due reports whether a confirmation is to be sent although nothing has changed.
 func (l *Local) Due(now time.Duration) bool { return now >= l.nextSend }
 
 // Message returns this node's confirmation as of the last Update.
@@ -69,5 +69,5 @@
 	return message
 }
 
-// Sent notes that the confirmation is being sent to all that need it.
+// Sent records that the confirmation is being sent to all that need it.
 func (l *Local) Sent(now time.Duration) { l.nextSend = now + l.repeatEvery }
--- a/internal/control/confirmation/table.go
+++ b/internal/control/confirmation/table.go
@@ -23,10 +23,10 @@
 type Members interface {
 	Records() []membership.Record
 	Alive(id member.ID) bool
-	// IncarnationEnded tells whether a node certainly serves nothing any more in an
+	// IncarnationEnded reports whether a node certainly serves nothing any more in an
 	// incarnation.
 	IncarnationEnded(id member.ID, incarnation member.Incarnation) bool
-	// FormerIncarnationQuiesced tells whether no request of an earlier incarnation of a
+	// FormerIncarnationQuiesced reports whether no request of an earlier incarnation of a
 	// node is on its way any more.
 	FormerIncarnationQuiesced(id member.ID) bool
 }
@@ -57,7 +57,7 @@
 	// RequestEvery is how long a leader waits before it asks the nodes that have not
 	// confirmed what it waits for.
 	RequestEvery time.Duration
-	// FailOpen tells that nodes go on serving while cut off: the live nodes are waited
+	// FailOpen means that nodes go on serving while partitioned: the live nodes are waited
 	// for, in place of the registered ones.
 	FailOpen bool
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// ConfirmedEverywhere tells whether no node can still serve a revision of the shard
+// ConfirmedEverywhere reports whether no node can still serve a revision of the shard
 // below the given one.
 func (t *Table) ConfirmedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.allNodes(shard, func(row confirmation) bool { return row.revision >= revision })
@@ -118,7 +118,7 @@
 	return everywhere
 }
 
-// DrainedEverywhere tells whether no node has a request left on a replica that the given
+// DrainedEverywhere reports whether no node has a request left on a replica that the given
 // revision keeps requests from.
 func (t *Table) DrainedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.formerIncarnationsQuiesced(shard) &&
@@ -129,7 +129,7 @@
 	return everywhere
 }
 
-// await notes that a revision was not confirmed, or not drained, everywhere. What is
+// await records that a revision was not confirmed, or not drained, everywhere. What is
 // newer than the oldest open wait has to wait for the next one, so that a node is asked
 // only for what it had the time to confirm by itself.
 func (t *Table) await(shard Shard, awaited awaitedRevision) {
@@ -138,9 +138,9 @@
 	}
 }
 
-// formerIncarnationsQuiesced tells whether no request is on its way any more that a
+// formerIncarnationsQuiesced reports whether no request is on its way any more that a
 // registered node sent in an earlier incarnation, which no confirmation tells of. Nodes
-// that go on serving while cut off promise nothing of that kind.
+// that go on serving while partitioned promise nothing of that kind.
 func (t *Table) formerIncarnationsQuiesced(shard Shard) bool {
 	if t.config.FailOpen {
 		return true
@@ -153,9 +153,9 @@
 	return true
 }
 
-// allNodes tells whether each registered node satisfies a condition in its registered
+// allNodes reports whether each registered node satisfies a condition in its registered
 // incarnation, or is certain to serve nothing in that one any more; or each live node,
-// where nodes go on serving while cut off.
+// where nodes go on serving while partitioned.
 func (t *Table) allNodes(shard Shard, satisfied func(confirmation) bool) bool {
 	if t.config.FailOpen {
 		return t.allLiveNodes(shard, satisfied)
@@ -174,7 +174,7 @@
 	return true
 }
 
-// allLiveNodes tells whether each node that nothing speaks against satisfies a condition
+// allLiveNodes reports whether each node that nothing speaks against satisfies a condition
 // in its present incarnation.
 func (t *Table) allLiveNodes(shard Shard, satisfied func(confirmation) bool) bool {
 	for _, record := range t.members.Records() {
@@ -194,13 +194,13 @@
 	return row
 }
 
-// hasConfirmed tells whether an incarnation of a node has confirmed anything.
+// hasConfirmed reports whether an incarnation of a node has confirmed anything.
 func (t *Table) hasConfirmed(shard Shard, info member.Info) bool {
 	row, found := t.byNode[key{shard: shard.ID(), node: info.ID}]
 	return found && row.incarnation >= info.Incarnation
 }
 
-// serves tells whether an incarnation of a node has confirmed a revision or a later one.
+// serves reports whether an incarnation of a node has confirmed a revision or a later one.
 func (t *Table) serves(shard Shard, info member.Info, revision uint64) bool {
 	row := t.byNode[key{shard: shard.ID(), node: info.ID}]
 	return row.incarnation >= info.Incarnation && row.revision >= revision
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -37,12 +37,12 @@
 	}
 }
 
-// updateServed reads what traffic uses by now and tells whether it has changed.
+// updateServed reads what traffic uses by now and reports whether it has changed.
 func (m *Machine) updateServed() bool {
 	return m.served.Update(m.members.incarnation(), m.drained)
 }
 
-// drained tells whether no request of this node runs on a replica that the newest state
+// drained reports whether no request of this node runs on a replica that the newest state
 // of a shard keeps requests from. Traffic counts a request before it reads the view for
 // the last time, so that a zero read after the view was published stays true.
 func (m *Machine) drained(shardID uint32) bool {
@@ -81,7 +81,7 @@
 	return receivers
 }
 
-// receiveConfirmRequest answers a leader, and notes that it is one.
+// receiveConfirmRequest answers a leader, and records that it is one.
 func (m *Machine) receiveConfirmRequest(from member.ID, message protocol.Message) {
 	if message.Term > 0 && message.Term >= m.recovery.ObservedTerm(message.Shard) {
 		m.recovery.ObserveTerm(message.Shard, message.Term)
--- a/internal/control/confirmations_test.go
+++ b/internal/control/confirmations_test.go
@@ -11,13 +11,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// silentLife is the life of a registered node that confirms only when a test says
+// silentIncarnation is the incarnation of a registered node that confirms only when a test says
 // so.
-const silentLife member.Incarnation = 7
+const silentIncarnation member.Incarnation = 7
 
 // receiveFromPeer lets the silent node send a control message.
 func (n *soloNode) receiveFromPeer(message protocol.Message) {
-	message.Incarnation = silentLife
+	message.Incarnation = silentIncarnation
 	n.perform(n.machine.Receive(n.now, wire.Envelope{From: "silent", Shard: message.Shard, Control: &message}))
 }
 
@@ -33,7 +33,7 @@
 	return number
 }
 
-// confirmationRequestTimes notes the times at which the silent node is asked to confirm.
+// confirmationRequestTimes records the times at which the silent node is asked to confirm.
 func (n *soloNode) confirmationRequestTimes() []time.Duration {
 	var asked []time.Duration
 	for _, sent := range n.sends {
@@ -56,7 +56,7 @@
 		node.run(time.Second)
 	})
 
-	It("asks the node that is late, again and again, and no earlier", func() {
+	It("requests the confirmation of a late node again and again, and no earlier", func() {
 		submitted := node.now
 		Expect(node.submit(poolConfiguration())).To(BeNil())
 		asked := node.confirmationRequestTimes()
@@ -65,7 +65,7 @@
 		Expect(asked[1] - asked[0]).To(BeNumerically(">=", DefaultConfirmEvery))
 	})
 
-	It("acknowledges as soon as the node answers, and then asks no more", func() {
+	It("acknowledges as soon as the node responds, and then requests no more", func() {
 		Expect(node.submit(poolConfiguration())).To(BeNil())
 		revision := node.machine.received.Configuration().GetRevision()
 		node.receiveFromPeer(protocol.Message{
@@ -80,11 +80,11 @@
 		Expect(node.confirmationRequestTimes()).To(HaveLen(before))
 	})
 
-	It("does not count what an earlier life confirmed", func() {
+	It("does not count what an earlier incarnation confirmed", func() {
 		Expect(node.submit(poolConfiguration())).To(BeNil())
 		earlier := protocol.Message{
 			Type:        protocol.MessageConfirm,
-			Incarnation: silentLife - 1,
+			Incarnation: silentIncarnation - 1,
 			Revisions:   []protocol.ShardRevision{{Shard: ConfigurationShard, Revision: 100}},
 		}
 		node.perform(node.machine.Receive(node.now, wire.Envelope{From: "silent", Control: &earlier}))
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,6 +1,6 @@
 // Package control is the control state of a node as one state machine: which
 // configuration and which weights are in force, which nodes serve, and what operators
-// are told of it.
+// learn of it.
 //
 // Inputs of Machine are messages of other nodes, elapsed time, operators' requests,
 // finished writes, readings of the platform's list, and what replicas report. Its Output
--- a/internal/control/driver/inputs.go
+++ b/internal/control/driver/inputs.go
@@ -49,7 +49,7 @@
 	d.post(func(now time.Duration) control.Output { return d.machine.SetReplicaReport(now, report) })
 }
 
-// ReplicaReportFailed tells that a replica gave no report.
+// ReplicaReportFailed reports that a replica gave no report.
 func (d *Driver) ReplicaReportFailed(address string) {
 	d.post(func(now time.Duration) control.Output { return d.machine.ReplicaReportFailed(now, address) })
 }
--- a/internal/control/driver/state.go
+++ b/internal/control/driver/state.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// ErrNotServing is returned for traffic while the node may be cut off, or has
+// ErrNotServing is returned for traffic while the node may be partitioned, or has
 // not learnt yet what is in force.
 var ErrNotServing = errors.New("the node is not serving: it may be cut off or has not learnt the current configuration; use another node")
 
@@ -46,7 +46,7 @@
 	return status, nil
 }
 
-// UnknownPoolError tells that no pool has the given name.
+// UnknownPoolError reports that no pool has the given name.
 type UnknownPoolError struct {
 	Pool string
 }
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -17,7 +17,7 @@
 	Instance string
 	// Slots is how many requests it works on at once; 0 if unknown.
 	Slots int
-	// WarmUpRemaining is for how much longer it is cold, as of the reading.
+	// WarmUpRemaining is how much longer its warm-up lasts, as of the reading.
 	WarmUpRemaining time.Duration
 	// WeightVersion is the version that the list shows, which may lag; empty if
 	// it shows none.
@@ -40,7 +40,7 @@
 	Err error
 }
 
-// endpointsFreshFor is how old a list may be for a new life of this node to serve by it.
+// endpointsFreshFor is how old a list may be for a new incarnation of this node to serve by it.
 // Until the next reading comes, a replica may drain that long unnoticed.
 const endpointsFreshFor = 2 * time.Second
 
@@ -88,7 +88,7 @@
 	return readAt + remaining
 }
 
-// ReadsEndpoints tells whether this node reads the platform's list for the others.
+// ReadsEndpoints reports whether this node reads the platform's list for the others.
 func (m *Machine) ReadsEndpoints() bool { return m.endpoints.Reads() }
 
 func (m *Machine) tickEndpoints() {
@@ -121,21 +121,21 @@
 }
 
 // endpointsTimeout is how long a new incarnation waits for the platform's list. A node
-// that was cut off or frozen must not admit by a list from before, in which a replica
+// that was partitioned or frozen must not admit by a list from before, in which a replica
 // may stand that drains by now; but it must serve while the platform is down.
 const endpointsTimeout = 1500 * time.Millisecond
 
-// endpointFreshness tells whether the present incarnation of a node may serve by the
+// endpointFreshness reports whether the present incarnation of a node may serve by the
 // platform's list.
 type endpointFreshness struct {
 	incarnation member.Incarnation
 	// since is when the incarnation was first seen.
 	since time.Duration
-	// fresh tells that the list was read in the incarnation.
+	// fresh means that the list was read in the incarnation.
 	fresh bool
 }
 
-// follow begins anew with another incarnation, and tells whether it did.
+// follow begins anew with another incarnation, and reports whether it did.
 func (f *endpointFreshness) follow(now time.Duration, incarnation member.Incarnation) bool {
 	if incarnation == f.incarnation {
 		return false
@@ -144,7 +144,7 @@
 	return true
 }
 
-// usable tells whether the list is good enough to serve by.
+// usable reports whether the list is good enough to serve by.
 func (f *endpointFreshness) usable(now time.Duration) bool {
 	return f.fresh || now-f.since >= endpointsTimeout
 }
@@ -176,7 +176,7 @@
 // what the list's machine puts in force, and with nothing else.
 type backends struct {
 	services map[string][]listing.Replica
-	// known tells that a list has been put in force.
+	// known means that a list has been put in force.
 	known bool
 }
 
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -31,7 +31,7 @@
 	return group
 }
 
-// hosts tells whether this node holds a copy of a shard. Where nodes with disks
+// hosts reports whether this node holds a copy of a shard. Where nodes with disks
 // find each other through seeds, each of them holds all shards, and the replicas
 // of a group are those that its log tells of.
 func (c Config) hosts(shardID uint32) bool {
--- a/internal/control/hosted_shard.go
+++ b/internal/control/hosted_shard.go
@@ -45,7 +45,7 @@
 // ID returns the number of the shard.
 func (s hostedShard) ID() uint32 { return s.shard.id }
 
-// IsLeader tells whether this node leads the shard.
+// IsLeader reports whether this node leads the shard.
 func (s hostedShard) IsLeader() bool { return s.shard.isLeader() }
 
 // Term returns the newest term of the shard's group.
@@ -60,24 +60,24 @@
 // Nodes returns the registered nodes; read only.
 func (s hostedShard) Nodes() []*controlpb.RegisterNode { return s.shard.state.Nodes() }
 
-// ConfirmedEverywhere tells whether no node can serve a revision below the given one.
+// ConfirmedEverywhere reports whether no node can serve a revision below the given one.
 func (s hostedShard) ConfirmedEverywhere(revision uint64) bool {
 	return s.machine.confirmations.ConfirmedEverywhere(s.machine.now, s, revision)
 }
 
-// DrainedEverywhere tells whether no node has a request left on a replica that the given
+// DrainedEverywhere reports whether no node has a request left on a replica that the given
 // revision keeps requests from.
 func (s hostedShard) DrainedEverywhere(revision uint64) bool {
 	return s.machine.confirmations.DrainedEverywhere(s.machine.now, s, revision)
 }
 
-// HasCommandLease tells whether this node's right to command replicas lasts at an
+// HasCommandLease reports whether this node's right to command replicas lasts at an
 // instant.
 func (s hostedShard) HasCommandLease(at time.Duration) bool {
 	return s.shard.group.HasCommandLease(at)
 }
 
-// ChangeProposed tells whether a change waits to be committed.
+// ChangeProposed reports whether a change waits to be committed.
 func (s hostedShard) ChangeProposed(from member.ID, request uint64) bool {
 	return s.shard.hasProposal(func(open proposal) bool {
 		return open.from == from && open.message.Request == request && open.message.Type == protocol.MessageChange
@@ -89,7 +89,7 @@
 	s.machine.propose(s.shard, message.Payload, proposal{from: from, message: message})
 }
 
-// RegistrationProposed tells whether the registration of an incarnation waits to be
+// RegistrationProposed reports whether the registration of an incarnation waits to be
 // committed.
 func (s hostedShard) RegistrationProposed(node member.ID, incarnation member.Incarnation) bool {
 	return s.shard.hasProposal(func(open proposal) bool {
--- a/internal/control/leaders/directory.go
+++ b/internal/control/leaders/directory.go
@@ -15,7 +15,7 @@
 	// Group returns the members of a shard's replica group, in the order in which
 	// they come to lead it.
 	Group(shardID uint32) []member.ID
-	// Reachable tells whether a node is this one or is alive for all that it knows.
+	// Reachable reports whether a node is this one or is alive for all that it knows.
 	Reachable(id member.ID) bool
 }
 
@@ -30,11 +30,11 @@
 	return &Directory{shards: shards, hints: map[uint32]member.ID{}}
 }
 
-// Learn notes the node that has acted as the leader of a shard.
+// Learn records the node that has acted as the leader of a shard.
 func (d *Directory) Learn(shardID uint32, leader member.ID) { d.hints[shardID] = leader }
 
 // Redirected takes the hint of a node that does not lead a shard itself; an empty
-// hint only tells that.
+// hint says only that.
 func (d *Directory) Redirected(shardID uint32, by, leader member.ID) {
 	switch {
 	case leader != "":
--- a/internal/control/listing/spread.go
+++ b/internal/control/listing/disseminate.go
@@ -40,7 +40,7 @@
 	return rounded
 }
 
-// stabilizeWarmUp keeps the end of a cold spell that an earlier reading of this node told,
+// stabilizeWarmUp keeps the end of a warm-up that an earlier reading of this node gave,
 // so that a list in which nothing happened is the same list.
 func (m *Machine) stabilizeWarmUp(before storedReading, replicas []Replica) []Replica {
 	if before.version.Reader != m.config.Self {
@@ -120,7 +120,7 @@
 	m.output.Sends = append(m.output.Sends, Outbound{To: to, Message: message})
 }
 
-// requestsDirectly tells whether a member had to ask this node lately.
+// requestsDirectly reports whether a member had to ask this node lately.
 func (m *Machine) requestsDirectly(id member.ID) bool {
 	requestedAt, requested := m.requestedAt[id]
 	return requested && m.now-requestedAt < directSendPeriod
--- a/internal/control/listing/doc.go
+++ b/internal/control/listing/doc.go
@@ -4,7 +4,7 @@
 // One node, the reader, reads the list every ReadEvery and passes each reading on.
 // A node whose list has not been refreshed for longer than that asks others, and
 // then reads by itself: the sooner, the fewer members precede it in the order of
-// readers. So a reader that died, froze or was cut off is replaced, and each part
+// readers. So a reader that died, froze or was partitioned is replaced, and each part
 // of a partitioned deployment has a reader of its own.
 //
 // Readings are ordered by term, reader and number. Whoever becomes the reader takes
--- a/internal/control/listing/machine.go
+++ b/internal/control/listing/machine.go
@@ -37,7 +37,7 @@
 	// suspendedAfter is the time between two ticks from which on a node takes itself
 	// to have been suspended.
 	suspendedAfter = 500 * time.Millisecond
-	// warmUpJitter is by how much two readings of one cold spell may differ.
+	// warmUpJitter is by how much two readings of one warm-up may differ.
 	warmUpJitter = 500 * time.Millisecond
 	// directSendPeriod is how long a node that had to ask gets readings directly, in
 	// case the one that should pass them on does not.
@@ -60,18 +60,18 @@
 	now     time.Duration
 	started time.Duration
 	members []Member
-	// requestedFirst tells that this node asked the first members that it learnt of.
+	// requestedFirst means that this node asked the first members that it learnt of.
 	requestedFirst bool
 	current        storedReading
 	// replicas is what the node uses, on its own clock.
 	replicas []Replica
 	changed  bool
-	// merged tells that replicas is what the lists of two readers have in common,
+	// merged means that replicas is what the lists of two readers have in common,
 	// and mergeUntil until when no list is used alone.
 	merged     bool
 	mergeUntil time.Duration
 
-	// reader tells that this node is the reader.
+	// reader means that this node is the reader.
 	reader       bool
 	readInFlight bool
 	readBegan    time.Duration
@@ -80,7 +80,7 @@
 	// notBefore is until when a failed reading keeps this node from another.
 	notBefore time.Duration
 
-	// freshnessProof is what this node asks for after its messages may have been held up.
+	// freshnessProof is what this node asks for after its messages may have been delayed.
 	proof       freshnessProof
 	nextRequest time.Duration
 	// requests counts those since the last refresh.
@@ -89,7 +89,7 @@
 	requestedAt map[member.ID]time.Duration
 	// pendingRequests are requests that this node had nothing newer for.
 	pendingRequests map[member.ID]pendingRequest
-	// notifiedAt is when each outdated reader was last told.
+	// notifiedAt is when each outdated reader was last notified.
 	notifiedAt map[member.ID]time.Duration
 	forwarded  Version
 	output     Output
@@ -132,7 +132,7 @@
 	Sends []Outbound
 	// Read asks for a reading; its outcome comes by ReadDone.
 	Read bool
-	// Changed tells that Replicas has changed.
+	// Changed means that Replicas has changed.
 	Changed bool
 }
 
@@ -166,7 +166,7 @@
 
 // RequestProof has the node ask how old its list is at the most. The times of messages
 // that arrived are no measure after this node was suspended or cut off, as they may
-// have been held up.
+// have been delayed.
 func (m *Machine) RequestProof() {
 	m.proof.pending = true
 	m.proof.sent = false
@@ -180,14 +180,14 @@
 	return m.proof.readAt, m.proof.present
 }
 
-// prove notes that the list in force was not read before an instant.
+// prove records that the list in force was not read before an instant.
 func (m *Machine) prove(readAt time.Duration) {
 	m.proof.pending = false
 	m.proof.readAt = readAt
 	m.proof.present = true
 }
 
-// Reads tells whether this node is the reader.
+// Reads reports whether this node is the reader.
 func (m *Machine) Reads() bool { return m.reader }
 
 // Tick advances time.
@@ -218,7 +218,7 @@
 	return output
 }
 
-// readingDue tells whether this node is to read now.
+// readingDue reports whether this node is to read now.
 func (m *Machine) readingDue() bool {
 	if m.now < m.notBefore {
 		return false
--- a/internal/control/listing/members.go
+++ b/internal/control/listing/members.go
@@ -48,7 +48,7 @@
 // weightOf is the weight of a member; the highest one reads first.
 func weightOf(id member.ID) uint64 { return xxhash.Sum64String("list reader " + string(id)) }
 
-// precedes tells whether one of two readers that know nothing of each other wins.
+// precedes reports whether one of two readers that know nothing of each other wins.
 func precedes(a, b member.ID) bool {
 	return cmp.Or(cmp.Compare(weightOf(b), weightOf(a)), cmp.Compare(a, b)) < 0
 }
@@ -71,13 +71,13 @@
 	return slices.DeleteFunc(slices.Clone(m.members), func(one Member) bool { return one.ID == m.config.Self })
 }
 
-// isMember tells whether a node is a live member.
+// isMember reports whether a node is a live member.
 func (m *Machine) isMember(id member.ID) bool {
 	return slices.ContainsFunc(m.members, func(one Member) bool { return one.ID == id })
 }
 
 // rank is how many members read the list before this node once the present reader
-// is silent.
+// does not respond.
 func (m *Machine) rank() int {
 	rank := 0
 	for _, one := range m.members {
--- a/internal/control/listing/message.go
+++ b/internal/control/listing/message.go
@@ -34,7 +34,7 @@
 }
 
 // newerThan orders readings: two readers of one term, which did not know of each
-// other, are ordered by their weights, so that all nodes settle on the same one.
+// other, are ordered by their weights, so that all nodes choose the same one.
 func (v Version) newerThan(other Version) bool {
 	if v.Term != other.Term {
 		return v.Term > other.Term
--- a/internal/control/listing/network_test.go
+++ b/internal/control/listing/network_test.go
@@ -24,7 +24,7 @@
 	latencySpread = 4 * time.Millisecond
 	// readSpread bounds how long one reading takes.
 	readSpread = 40 * time.Millisecond
-	// suspectedAfter is when the others suspect a node that is silent.
+	// suspectedAfter is when the others suspect a node that does not respond.
 	suspectedAfter = 1200 * time.Millisecond
 	// service is the only listed service.
 	service = "chat"
@@ -197,7 +197,7 @@
 	}
 }
 
-// admits tells whether a node would send to a replica.
+// admits reports whether a node would send to a replica.
 func admits(n *testNode, address string) bool {
 	return slices.ContainsFunc(n.machine.Replicas(), func(one Replica) bool { return one.Address == address && !one.Draining })
 }
--- a/internal/control/listing/receive.go
+++ b/internal/control/listing/receive.go
@@ -71,7 +71,7 @@
 	m.acceptProof(reading)
 }
 
-// acceptProof notes how old the list in force is at the most, if a message answers the
+// acceptProof records how old the list in force is at the most, if a message answers the
 // present requests for that: its age is counted from when the first was sent.
 func (m *Machine) acceptProof(reading Reading) {
 	if reading.AnswersRequest == 0 || reading.AnswersRequest != m.proof.number || !m.proof.pending {
@@ -112,7 +112,7 @@
 	}
 }
 
-// decode returns the whole list of a message, unless it is told as changes to one
+// decode returns the whole list of a message, unless it is sent as changes to one
 // that this node does not have.
 func (m *Machine) decode(reading Reading) ([]Replica, bool) {
 	var base []Replica
@@ -145,7 +145,7 @@
 	m.requests = 0
 	sameReader := before.version.Term == reading.Version.Term && before.version.Reader == reading.Version.Reader
 	if before.present && !sameReader && m.current.readAt-before.readAt < mergeWithin {
-		// Messages of the new reader that were held up may follow.
+		// Messages of the new reader that were delayed may follow.
 		m.mergeUntil = m.now + m.config.ReadEvery/2
 	}
 	switch {
@@ -171,7 +171,7 @@
 	m.changed = true
 }
 
-// requestDue tells whether this node's list is to be asked for.
+// requestDue reports whether this node's list is to be asked for.
 func (m *Machine) requestDue() bool {
 	if m.reader || m.readInFlight || len(m.members) <= 1 {
 		return false
--- a/internal/control/listing/list.go
+++ b/internal/control/listing/replicas.go
@@ -23,7 +23,7 @@
 	// Slots is how many requests it works on at once; 0 if unknown.
 	Slots    int
 	Draining bool
-	// WarmingUntil is until when it is cold; 0 if it is warm. Within the machine it
+	// WarmingUntil is until when it warms up; 0 if it is warm. Within the machine it
 	// is on the clock of the reader, in whole milliseconds; Machine.Replicas tells
 	// it on that of the node.
 	WarmingUntil time.Duration
@@ -137,7 +137,7 @@
 	return allowed
 }
 
-// onClock returns a list whose cold times are shifted to another clock.
+// onClock returns a list whose warm-up times are shifted to another clock.
 func onClock(replicas []Replica, shift time.Duration) []Replica {
 	shifted := slices.Clone(replicas)
 	for position := range shifted {
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -67,7 +67,7 @@
 	received *shardstate.Received
 	load     routing.LoadReader
 	views    *view.Builder
-	// viewStale tells that the view is to be built anew.
+	// viewStale means that the view is to be built anew.
 	viewStale bool
 }
 
@@ -187,7 +187,7 @@
 	m.processReady(hosted)
 }
 
-// StorageWritten tells that a shard's outstanding write is durable.
+// StorageWritten reports that a shard's outstanding write is durable.
 func (m *Machine) StorageWritten(now time.Duration, shardID uint32) Output {
 	m.now = now
 	if hosted := m.shards[shardID]; hosted != nil && hosted.writing {
@@ -212,7 +212,7 @@
 func (m *Machine) transferLeadership() {
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil {
-			// An error tells that this node does not lead the shard, or that no member
+			// An error means that this node does not lead the shard, or that no member
 			// can succeed it. There is nothing to transfer then, or the group elects a
 			// leader after its time-out.
 			_ = hosted.group.TransferLeadership(m.now)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// refreshDue tells whether a change of the table is to be looked for after a message. In
+// refreshDue reports whether a change of the table is to be looked for after a message. In
 // a large table that waits for a tick: while many nodes start, nearly every message
 // changes it.
 func (t *memberTable) refreshDue(now time.Duration) bool {
@@ -94,7 +94,7 @@
 	return incarnation
 }
 
-// reachable tells whether a node is this one or is alive in the table.
+// reachable reports whether a node is this one or is alive in the table.
 func (t *memberTable) reachable(id member.ID) bool { return id == t.self || t.Alive(id) }
 
 // endpointReaders are the members that may read the platform's list.
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -16,7 +16,7 @@
 	message protocol.Message
 }
 
-// hasProposal tells whether a proposal of the present leadership waits to be
+// hasProposal reports whether a proposal of the present leadership waits to be
 // applied. One of an earlier leadership may have been lost for good.
 func (s *shard) hasProposal(matches func(proposal) bool) bool {
 	term := s.group.Status().Term
--- a/internal/control/protocol/message.go
+++ b/internal/control/protocol/message.go
@@ -26,7 +26,7 @@
 	MessageConfirmRequest
 	// MessageWitnessRequest asks which state of a shard the receiver holds,
 	// since the shard's group lost the majority of its disks. Term is the
-	// ballot under which the group is to be formed anew.
+	// term under which the group is to be formed anew.
 	MessageWitnessRequest
 	// MessageWitnessReply tells the revision that the sender holds, and the
 	// newest term that it had heard of before.
@@ -63,7 +63,7 @@
 type Message struct {
 	Type  MessageType
 	Shard uint32
-	// Request numbers a question of the sender; replies echo it.
+	// Request numbers a request of the sender; replies echo it.
 	Request     uint64
 	Incarnation member.Incarnation
 	// Payload is an encoded controlpb.Command, controlpb.Answer or
--- a/internal/control/recovery/machine.go
+++ b/internal/control/recovery/machine.go
@@ -77,7 +77,7 @@
 	Self member.ID
 	// RetryEvery is the time between two requests to a witness that does not answer.
 	RetryEvery time.Duration
-	// RegisterNodes tells that every node that may serve is to be registered in a
+	// RegisterNodes means that every node that may serve is to be registered in a
 	// recovered state.
 	RegisterNodes bool
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// ObserveTerm notes a term that is in use.
+// ObserveTerm records a term that is in use.
 func (m *Machine) ObserveTerm(shardID uint32, term uint64) {
 	if known := m.terms[shardID]; term > known.term {
 		m.terms[shardID] = observedTerm{term: term}
@@ -121,7 +121,7 @@
 func (m *Machine) ObservedTerm(shardID uint32) uint64 { return m.terms[shardID].term }
 
 // Tick goes on with the recovery of a shard, if this node is to recover it, and tells
-// whether the shard's group has something to do. An error tells that the state can't be
+// whether the shard's group has something to do. An error means that the state can't be
 // decoded or encoded.
 func (m *Machine) Tick(now time.Duration, shard Shard) (changed bool, err error) {
 	term, elected := shard.RecoveryTerm()
@@ -198,7 +198,7 @@
 	})
 }
 
-// ReceiveReply notes what a witness holds.
+// ReceiveReply records what a witness holds.
 func (m *Machine) ReceiveReply(from member.ID, message protocol.Message) {
 	search := m.searches[message.Shard]
 	if search == nil || search.request != message.Request {
@@ -230,7 +230,7 @@
 	if err != nil {
 		return false, err
 	}
-	// An error tells that another member's term has overtaken this one, which leaves
+	// An error means that another member's term has overtaken this one, which leaves
 	// the recovery to that member.
 	overtaken := shard.RecoverQuorum(search.term, state) != nil
 	return !overtaken, nil
@@ -310,7 +310,7 @@
 	return state, nil
 }
 
-// coversReceived tells whether a state that the log led to is the one that this node
+// coversReceived reports whether a state that the log led to is the one that this node
 // holds. An earlier recovery took in what witnesses held then.
 func (m *Machine) coversReceived(shardID uint32, state shardstate.State, kind replication.EntryKind) bool {
 	received := m.received.Revision(shardID)
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -15,7 +15,7 @@
 }
 
 // tickRegistration asks the leaders to count this node. A fenced node does not ask: it
-// takes a new incarnation first. Where nodes go on serving while cut off, none needs to
+// takes a new incarnation first. Where nodes go on serving while partitioned, none needs to
 // be counted.
 func (m *Machine) tickRegistration() {
 	if !m.config.FailOpen && !m.members.Fenced(m.now) {
@@ -33,8 +33,8 @@
 	m.viewStale = m.viewStale || result.Changed
 }
 
-// registered tells whether this node may serve under a shard. Where nodes go on
-// serving while cut off, nothing has to be known of a node before it serves.
+// registered reports whether this node may serve under a shard. Where nodes go on
+// serving while partitioned, nothing has to be known of a node before it serves.
 func (m *Machine) registered(shardID uint32) bool {
 	return m.config.FailOpen || m.registration.Registered(shardID, m.members.incarnation())
 }
--- a/internal/control/registration/client.go
+++ b/internal/control/registration/client.go
@@ -110,11 +110,11 @@
 	LaterIncarnation member.Incarnation
 	// Term is that of a leader which accepted a registration; 0 if none did.
 	Term uint64
-	// Changed tells that Registered may have changed.
+	// Changed means that Registered may have changed.
 	Changed bool
 }
 
-// ReceiveReply notes an accepted registration of the present incarnation, or asks the
+// ReceiveReply records an accepted registration of the present incarnation, or asks the
 // leader that the reply names. The reply to any request of this incarnation counts, also
 // when the node has asked again meanwhile: what was committed holds for the whole
 // incarnation, and a leader with a slow disk would never be in time for the last
@@ -141,7 +141,7 @@
 	return Result{}
 }
 
-// accept notes that a leader counts the node, and tells whether that is new.
+// accept records that a leader counts the node, and reports whether that is new.
 func (c *Client) accept(now time.Duration, from member.ID, message protocol.Message, current *registration, incarnation member.Incarnation) bool {
 	known := current.accepted && current.incarnation == message.Incarnation
 	if (known && message.Term <= current.term) || message.Incarnation != incarnation {
@@ -169,7 +169,7 @@
 	c.send(message.Shard, current, incarnation)
 }
 
-// Registered tells whether the node may serve under a shard in its present incarnation.
+// Registered reports whether the node may serve under a shard in its present incarnation.
 func (c *Client) Registered(shardID uint32, incarnation member.Incarnation) bool {
 	current := c.byShard[shardID]
 	if current == nil || !current.accepted || current.incarnation != incarnation {
--- a/internal/control/registration/registrar.go
+++ b/internal/control/registration/registrar.go
@@ -17,7 +17,7 @@
 	Revision() uint64
 	// Nodes are the registered nodes; read only.
 	Nodes() []*controlpb.RegisterNode
-	// RegistrationProposed tells whether the registration of an incarnation waits to
+	// RegistrationProposed reports whether the registration of an incarnation waits to
 	// be committed under the present leadership.
 	RegistrationProposed(node member.ID, incarnation member.Incarnation) bool
 	// ProposeRegistration appends a registration to the log; Registrar.Applied takes
@@ -27,10 +27,10 @@
 
 // Members is what a Registrar needs of the table of members.
 type Members interface {
-	// IncarnationEnded tells whether a node certainly serves nothing any more in an
+	// IncarnationEnded reports whether a node certainly serves nothing any more in an
 	// incarnation.
 	IncarnationEnded(id member.ID, incarnation member.Incarnation) bool
-	// FormerIncarnationQuiesced tells whether no request of an earlier incarnation of a
+	// FormerIncarnationQuiesced reports whether no request of an earlier incarnation of a
 	// node is on its way any more.
 	FormerIncarnationQuiesced(id member.ID) bool
 }
@@ -100,7 +100,7 @@
 	}, message)
 }
 
-// passesChallenge tells whether a node has shown, in its present incarnation, that
+// passesChallenge reports whether a node has shown, in its present incarnation, that
 // messages of this node reach it. Otherwise it is sent a number to send back. A node
 // that can send but not receive would else be counted, and no acknowledgement could be
 // given until the partition ends: it never confirms, and its heartbeats, which do
@@ -127,7 +127,7 @@
 
 // Applied tells a node that its registration is committed, and the revision that it must
 // hold. A node that registered in a later incarnation before, by a wall clock that was
-// set back since, is told of that one instead: acknowledgements wait for it until a
+// set back since, is informed of that one instead: acknowledgements wait for it until a
 // still later one takes its place.
 func (r *Registrar) Applied(shard Shard, from member.ID, message protocol.Message) {
 	registered := registeredIncarnation(shard, from)
--- a/internal/control/registration_test.go
+++ b/internal/control/registration_test.go
@@ -13,20 +13,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-const strangerLife = member.Incarnation(7)
+const strangerIncarnation = member.Incarnation(7)
 
 // register hands the solo node, which leads every shard, the registration of a
 // stranger and returns the replies to it.
 func (n *soloNode) register(sentBack uint64) []protocol.Message {
 	output := n.machine.Receive(n.now, wire.Envelope{From: "stranger", Control: &protocol.Message{
-		Type: protocol.MessageRegister, Request: 1, Incarnation: strangerLife, Revision: sentBack,
+		Type: protocol.MessageRegister, Request: 1, Incarnation: strangerIncarnation, Revision: sentBack,
 	}})
 	n.perform(output)
 	replies := lo.Filter(output.Sends, func(send Send, _ int) bool { return send.To == "stranger" && send.Envelope.Control != nil })
 	return lo.Map(replies, func(send Send, _ int) protocol.Message { return *send.Envelope.Control })
 }
 
-// isRegistered tells whether acknowledgements wait for the stranger.
+// isRegistered reports whether acknowledgements wait for the stranger.
 func (n *soloNode) isRegistered(id string) bool {
 	return lo.ContainsBy(n.machine.shards[ConfigurationShard].state.Nodes(), func(node *controlpb.RegisterNode) bool {
 		return node.GetNode() == id
--- a/internal/control/requests/client.go
+++ b/internal/control/requests/client.go
@@ -43,7 +43,7 @@
 	target      member.ID
 	nextAttempt time.Duration
 	deadline    time.Duration
-	// confirmed tells that a quorum confirmed minRevision, for which a read of the
+	// confirmed means that a quorum confirmed minRevision, for which a read of the
 	// configuration waits on this node.
 	confirmed   bool
 	minRevision uint64
--- a/internal/control/requests/leader.go
+++ b/internal/control/requests/leader.go
@@ -24,12 +24,12 @@
 // Shard is what the leader's side needs of a shard that this node hosts.
 type Shard interface {
 	IsLeader() bool
-	// ChangeProposed tells whether a change waits to be committed under the present
+	// ChangeProposed reports whether a change waits to be committed under the present
 	// leadership.
 	ChangeProposed(from member.ID, request uint64) bool
 	// ProposeChange appends a change to the log; Leader.Applied takes its outcome.
 	ProposeChange(from member.ID, message protocol.Message)
-	// ConfirmedEverywhere tells whether no node can serve a revision below the given
+	// ConfirmedEverywhere reports whether no node can serve a revision below the given
 	// one any more.
 	ConfirmedEverywhere(revision uint64) bool
 	// RequestRead asks for a confirmation of the leadership, which Leader.FinishReads
@@ -172,7 +172,7 @@
 	})
 }
 
-// ReceiveRead begins a read if this node leads the configuration, and tells whether it
+// ReceiveRead begins a read if this node leads the configuration, and reports whether it
 // did. The leader's own copy may be outdated if another leader was elected, so that a
 // quorum has to confirm its leadership first. The shard is nil if this node does not
 // host it.
@@ -197,7 +197,7 @@
 }
 
 // FinishReads answers the reads that a quorum has confirmed. Who asked for one that
-// failed asks again. An error tells that a reply could not be encoded.
+// failed asks again. An error means that a reply could not be encoded.
 func (l *Leader) FinishReads(state *shardstate.Configuration, ready replication.Ready) error {
 	for _, id := range ready.ReadsFailed {
 		delete(l.reads, id)
--- a/internal/control/requests/rejections.go
+++ b/internal/control/requests/rejections.go
@@ -24,7 +24,7 @@
 
 // rejections are the answers to changes that were rejected. Without them a copy of such
 // a request that comes late would be judged anew, and might be accepted after the
-// operator was told that it was not.
+// operator was informed that it was not.
 type rejections struct {
 	byRequest map[requestKey]*controlpb.Answer
 	// byExpiry are the requests in the order in which they are forgotten.
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-var _ = Describe("an order that was refused", func() {
+var _ = Describe("a rejected change", func() {
 	var node *soloNode
 
 	// The zone can be evacuated on revision 2 alone, which is not in force at first.
@@ -62,18 +62,18 @@
 		Expect(node.submit(evacuationOf("between", "z2", true, 1)).GetRevision()).To(BeEquivalentTo(2))
 	})
 
-	It("is not taken from a copy of the same question that comes late", func() {
+	It("is not accepted from a late duplicate of the same request", func() {
 		refused := node.forward("stranger", 41, early())
 		Expect(refused.GetProblem()).NotTo(BeNil())
 		Expect(refused.GetRevision()).To(BeEquivalentTo(1), "the first answer")
 		Expect(node.machine.Configuration().GetRevision()).To(BeEquivalentTo(2))
 	})
 
-	It("may be taken when it is sent again", func() {
+	It("may be accepted when it is submitted again", func() {
 		Expect(node.forward("stranger", 42, early()).GetRevision()).To(BeEquivalentTo(3))
 	})
 
-	It("may be taken from the same number of another node", func() {
+	It("may be accepted from another node under the same number", func() {
 		node.forward("other", 41, early())
 		Expect(node.machine.Configuration().GetRevision()).To(BeEquivalentTo(3))
 	})
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -97,7 +97,7 @@
 	return m.takeOutput()
 }
 
-// ReplicaReportFailed tells that a replica gave no report.
+// ReplicaReportFailed reports that a replica gave no report.
 func (m *Machine) ReplicaReportFailed(now time.Duration, address string) Output {
 	m.now = now
 	m.rollout.ReportFailed(now, address)
--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -96,7 +96,7 @@
 	token    uint64
 	inFlight bool
 	sentAt   time.Duration
-	// accepted tells that the replica took the command, or may have; reportValidFrom is from
+	// accepted means that the replica took the command, or may have; reportValidFrom is from
 	// when on its reports tell.
 	accepted        bool
 	reportValidFrom time.Duration
@@ -104,7 +104,7 @@
 	nextReport time.Duration
 	// expectedLoad is how long the replica is thought to be out from the command on.
 	expectedLoad time.Duration
-	// fenced tells that the replica wants a greater token.
+	// fenced means that the replica wants a greater token.
 	fenced      bool
 	nextCommand time.Duration
 	failures    int
@@ -188,7 +188,7 @@
 	})
 }
 
-// readyForCommand tells whether a command would do something: the replica answers,
+// readyForCommand reports whether a command would do something: the replica answers,
 // is not at work on another command, and did not take the last one.
 func (m *Machine) readyForCommand(rolling poolRollout, replica poolReplica, progress *replicaProgress) bool {
 	if progress.inFlight && m.now < progress.sentAt+2*commandTimeout {
@@ -217,7 +217,7 @@
 	return m.now >= progress.since+confirmationTimeout || rolling.shard.ConfirmedEverywhere(replica.row.GetPhaseRevision())
 }
 
-// commandLeaseValid tells whether this node's right to command is certain for the whole
+// commandLeaseValid reports whether this node's right to command is certain for the whole
 // window, and an earlier holder's last command is as old as two holders must be
 // apart.
 func (m *Machine) commandLeaseValid(shard Shard, state *shardState) bool {
--- a/internal/control/rollout/commands_test.go
+++ b/internal/control/rollout/commands_test.go
@@ -39,7 +39,7 @@
 		return machine.commandLeaseValid(shard, machine.shards[1])
 	}
 
-	It("waits until the last command of the one before is as old as holders must be apart", func() {
+	It("waits until the last command of the one before is as old as the commands of two leaders must be apart", func() {
 		machine, shard := leading(2), leasedShard{term: 2, until: time.Hour}
 		Expect(mayCommandAt(machine, shard, began)).To(BeFalse())
 		Expect(mayCommandAt(machine, shard, began+gap-time.Millisecond)).To(BeFalse())
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -16,7 +16,7 @@
 // Config sets up a Machine.
 type Config struct {
 	Self member.ID
-	// ReplicasFinishFirst tells that replicas finish their requests by themselves
+	// ReplicasFinishFirst means that replicas finish their requests by themselves
 	// before they load weights, so that they need not be drained.
 	ReplicasFinishFirst bool
 	// LeaseDuration and LeaseMargin are those of the replica groups, see
@@ -36,13 +36,13 @@
 	Term() uint64
 	// Rows returns the rows of the replicas, sorted by address; read only.
 	Rows() []*controlpb.ReplicaState
-	// ConfirmedEverywhere tells whether no node can serve a revision below the given
+	// ConfirmedEverywhere reports whether no node can serve a revision below the given
 	// one any more.
 	ConfirmedEverywhere(revision uint64) bool
-	// DrainedEverywhere tells whether no node has a request left on a replica that
+	// DrainedEverywhere reports whether no node has a request left on a replica that
 	// the given revision keeps requests from.
 	DrainedEverywhere(revision uint64) bool
-	// HasCommandLease tells whether this node's right to command replicas lasts at an
+	// HasCommandLease reports whether this node's right to command replicas lasts at an
 	// instant.
 	HasCommandLease(at time.Duration) bool
 }
@@ -99,7 +99,7 @@
 	return machine
 }
 
-// Due tells whether the next moves are to be looked for now, and if so takes it that
+// Due reports whether the next moves are to be looked for now, and if so takes it that
 // they are.
 func (m *Machine) Due(now time.Duration) bool {
 	if now < m.nextRun {
--- a/internal/control/rollout/moves.go
+++ b/internal/control/rollout/moves.go
@@ -29,7 +29,7 @@
 	return obsolete
 }
 
-// caughtUp tells whether the list knows as much as a row by now.
+// caughtUp reports whether the list knows as much as a row by now.
 func (m *Machine) caughtUp(state *shardState, row *controlpb.ReplicaState, endpoint listing.Replica) bool {
 	address := row.GetAddress()
 	if endpoint.WeightVersion == "" || row.GetPhase() != controlpb.ReplicaPhase_SERVING {
@@ -64,7 +64,7 @@
 	row *controlpb.ReplicaState
 }
 
-// outOfService tells whether a row keeps requests from the replica.
+// outOfService reports whether a row keeps requests from the replica.
 func (r poolReplica) outOfService() bool { return OutOfService(r.row, r.Replica) }
 
 func (r poolRollout) target() string { return r.pool.GetWeightVersion() }
@@ -189,7 +189,7 @@
 	return rolling.pace.allowed(m.now, left, len(rolling.replicas)) - out
 }
 
-// seemsUnavailable tells whether a replica has not answered for long enough that
+// seemsUnavailable reports whether a replica has not answered for long enough that
 // taking it out of service costs nothing. A leader that has only begun to ask
 // knows of none.
 func (m *Machine) seemsUnavailable(rolling poolRollout, replica poolReplica) bool {
--- a/internal/control/rollout/pace.go
+++ b/internal/control/rollout/pace.go
@@ -35,7 +35,7 @@
 	// target is the named version, and since when this leader first saw it.
 	target string
 	since  time.Duration
-	// withoutDrain tells that replicas need not be drained.
+	// withoutDrain means that replicas need not be drained.
 	withoutDrain bool
 	// duration is the time in which the roll-out is to reach every replica.
 	duration time.Duration
@@ -128,7 +128,7 @@
 // deadline is when the roll-out is to be over.
 func (p *pace) deadline() time.Duration { return p.since + p.duration }
 
-// overdue tells whether only the bound that operators count on matters any more.
+// overdue reports whether only the bound that operators count on matters any more.
 // Replicas that are drained first are never taken out all at once for it: that
 // takes as long as their requests run.
 func (p *pace) overdue(now time.Duration) bool {
@@ -157,7 +157,7 @@
 	return limit
 }
 
-// inTime tells whether the replicas that are left get through at a level before the
+// inTime reports whether the replicas that are left get through at a level before the
 // deadline.
 func (p *pace) inTime(now time.Duration, left, level int) bool {
 	return time.Duration(left)*p.expectedOut(level)/time.Duration(level) <= p.deadline()-now
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -16,7 +16,7 @@
 	Incarnation uint64
 	// WeightVersion is empty while other weights are being loaded.
 	WeightVersion string
-	// Busy tells that a command is under way.
+	// Busy means that a command is under way.
 	Busy bool
 	// Sequence counts the commands that the incarnation took; 0 if unknown.
 	Sequence uint64
@@ -110,7 +110,7 @@
 	m.reports[report.Address] = report
 }
 
-// ReportFailed tells that a replica gave no report.
+// ReportFailed reports that a replica gave no report.
 func (m *Machine) ReportFailed(now time.Duration, address string) {
 	m.now = now
 	if request := m.requests[address]; request != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-// reportIsFresh tells whether a replica answered lately.
+// reportIsFresh reports whether a replica answered lately.
 func (m *Machine) reportIsFresh(address string) bool {
 	report, known := m.reports[address]
 	return known && m.now-report.MeasuredAt < reportFreshness
@@ -153,7 +153,7 @@
 	return report, true
 }
 
-// unresponsive tells whether a replica has left reports unanswered lately.
+// unresponsive reports whether a replica has left reports unanswered lately.
 func (m *Machine) unresponsive(address string) bool {
 	const fewFailures = 2
 	request := m.requests[address]
--- a/internal/control/rollout/rows.go
+++ b/internal/control/rollout/rows.go
@@ -35,7 +35,7 @@
 	return withPhase(replica.row, controlpb.ReplicaPhase_DRAINING, replica.row.GetWeightVersion())
 }
 
-// needsUpdate tells whether a serving replica is to load the named version: it runs an
+// needsUpdate reports whether a serving replica is to load the named version: it runs an
 // older one and answers. Its report also keeps it from a command in vain.
 func (m *Machine) needsUpdate(rolling poolRollout, replica poolReplica) bool {
 	running := RunningVersion(replica.row, replica.Replica)
--- a/internal/control/rollout/versions.go
+++ b/internal/control/rollout/versions.go
@@ -10,7 +10,7 @@
 // Weight versions are labels. Those that are whole numbers are compared as such, so
 // that a replica which is ahead of the named version is left as it is.
 
-// VersionReached tells whether a replica that runs one version need not load the
+// VersionReached reports whether a replica that runs one version need not load the
 // named one. No version was reached by a replica of unknown weights; whatever a
 // replica runs does if none is named.
 func VersionReached(running, named string) bool {
@@ -23,14 +23,14 @@
 	return numericallyNewer(running, named)
 }
 
-// numericallyNewer tells whether both are numbers and the first is greater.
+// numericallyNewer reports whether both are numbers and the first is greater.
 func numericallyNewer(version, than string) bool {
 	a, errA := strconv.ParseUint(version, 10, 64)
 	b, errB := strconv.ParseUint(than, 10, 64)
 	return errA == nil && errB == nil && a > b
 }
 
-// sameInstance tells whether a row is about the incarnation that the list names.
+// sameInstance reports whether a row is about the incarnation that the list names.
 func sameInstance(row *controlpb.ReplicaState, endpoint listing.Replica) bool {
 	return row.GetInstance() == "" || endpoint.Instance == "" || row.GetInstance() == endpoint.Instance
 }
@@ -47,7 +47,7 @@
 	return row.GetWeightVersion()
 }
 
-// OutOfService tells whether a row keeps requests from a replica.
+// OutOfService reports whether a row keeps requests from a replica.
 func OutOfService(row *controlpb.ReplicaState, endpoint listing.Replica) bool {
 	return row != nil && sameInstance(row, endpoint) && row.GetPhase() != controlpb.ReplicaPhase_SERVING
 }
--- a/internal/control/rollout_commands_test.go
+++ b/internal/control/rollout_commands_test.go
@@ -231,7 +231,7 @@
 		}
 	})
 
-	It("asks before it repeats a command of which nothing is known", func() {
+	It("asks for a report before it repeats a command of unknown outcome", func() {
 		pool := newModelPool(2, 2, 1500*time.Millisecond)
 		pool.replicas[0].answers = []CommandOutcome{CommandUnknown}
 		name(pool, "2")
--- a/internal/control/shard.go
+++ b/internal/control/shard.go
@@ -19,7 +19,7 @@
 	compacted uint64
 	// maxLogEntries is how long the applied log may become.
 	maxLogEntries uint64
-	// writing tells that a write is outstanding: a checkpoint if checkpointing,
+	// writing means that a write is outstanding: a checkpoint if checkpointing,
 	// else what outstanding holds.
 	writing       bool
 	checkpointing bool
@@ -29,7 +29,7 @@
 	badEntries uint64
 	// proposals are this node's commands that wait to be applied.
 	proposals map[uint64]proposal
-	// restoredPublished tells that publishRestored has been done.
+	// restoredPublished means that publishRestored has been done.
 	restoredPublished bool
 }
 
@@ -77,12 +77,12 @@
 	return nil
 }
 
-// isLeader tells whether this node leads the shard.
+// isLeader reports whether this node leads the shard.
 func (s *shard) isLeader() bool {
 	return s.group.Status().Role == replication.RoleLeader
 }
 
-// allApplied tells whether everything in the log has been applied. For a leader
+// allApplied reports whether everything in the log has been applied. For a leader
 // that includes the barrier of its own term, and so all that earlier leaders
 // committed.
 func (s *shard) allApplied() bool {
--- a/internal/control/shardstate/configuration.go
+++ b/internal/control/shardstate/configuration.go
@@ -33,7 +33,7 @@
 	return append(sections, answers...), err
 }
 
-// Equals tells whether a relayed configuration is that of this state.
+// Equals reports whether a relayed configuration is that of this state.
 func (c *Configuration) Equals(relayed proto.Message) bool {
 	return proto.Equal(c.Configuration(), relayed)
 }
--- a/internal/control/shardstate/received.go
+++ b/internal/control/shardstate/received.go
@@ -46,7 +46,7 @@
 // Revision returns the revision of a shard's newest state; 0 before the first.
 func (r *Received) Revision(shardID uint32) uint64 { return r.revisions[shardID] }
 
-// Apply takes an update and tells whether it brought a newer state: a node never goes
+// Apply takes an update and reports whether it brought a newer state: a node never goes
 // back to an older revision. The sections of the whole state are asked for when
 // there is no earlier state to apply the update to. After an error the last state
 // stays, and the next update is decoded from the whole state.
--- a/internal/control/shardstate/section_decoder.go
+++ b/internal/control/shardstate/section_decoder.go
@@ -32,7 +32,7 @@
 	reordered bool
 }
 
-// decodedElement is an element and its place.
+// decodedElement is an element and its position.
 type decodedElement struct {
 	predecessor string
 	message     protoreflect.Message
--- a/internal/control/shardstate/service.go
+++ b/internal/control/shardstate/service.go
@@ -36,7 +36,7 @@
 	return &controlpb.Answer{Revision: s.state.GetRevision()}
 }
 
-// register counts a node; a newer life of the node replaces an older one.
+// register counts a node; a newer incarnation of the node replaces an older one.
 func (s *Service) register(node *controlpb.RegisterNode) {
 	for position, known := range s.state.Nodes {
 		if known.GetNode() != node.GetNode() {
@@ -100,7 +100,7 @@
 	return &controlpb.ServiceState{Revision: s.state.GetRevision(), Replicas: s.state.GetReplicas()}
 }
 
-// Equals tells whether a relayed state is that of this one.
+// Equals reports whether a relayed state is that of this one.
 func (s *Service) Equals(relayed proto.Message) bool {
 	return proto.Equal(s.relayed(), relayed)
 }
--- a/internal/control/shardstate/state.go
+++ b/internal/control/shardstate/state.go
@@ -25,7 +25,7 @@
 	Snapshot() ([]byte, error)
 	// Sections encodes what is relayed to all nodes.
 	Sections() ([]relaytree.Section, error)
-	// Equals tells whether a relayed state is that of this one.
+	// Equals reports whether a relayed state is that of this one.
 	Equals(relayed proto.Message) bool
 }
 
--- a/internal/control/shardstate/zones.go
+++ b/internal/control/shardstate/zones.go
@@ -5,7 +5,7 @@
 // ZoneSet is a set of zone names.
 type ZoneSet map[string]struct{}
 
-// Has tells whether a zone is in the set.
+// Has reports whether a zone is in the set.
 func (z ZoneSet) Has(zone string) bool {
 	_, found := z[zone]
 	return found
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -29,7 +29,7 @@
 	return m.members.FenceDeadline()
 }
 
-// Prepared tells whether this node can serve what the configuration promises: it
+// Prepared reports whether this node can serve what the configuration promises: it
 // knows the back ends, and is registered with the shard of every pool.
 func (m *Machine) Prepared() bool {
 	if !m.backends.known {
--- a/internal/control/view/builder.go
+++ b/internal/control/view/builder.go
@@ -15,7 +15,7 @@
 type Config struct {
 	// ServiceShards is the number of shards that services hash to.
 	ServiceShards uint32
-	// ReplicasFinishFirst tells that replicas need not be drained before they load
+	// ReplicasFinishFirst means that replicas need not be drained before they load
 	// weights.
 	ReplicasFinishFirst bool
 	// WeightsDeadline is how long after a version was named replicas that do not run
@@ -28,7 +28,7 @@
 	Received *shardstate.Received
 	// Endpoints are the back ends of each service in the platform's list.
 	Endpoints map[string][]listing.Replica
-	// Registered tells whether the node may serve under a shard.
+	// Registered reports whether the node may serve under a shard.
 	Registered func(shardID uint32) bool
 }
 
--- a/internal/control/view/weights_deadline.go
+++ b/internal/control/view/weights_deadline.go
@@ -29,14 +29,14 @@
 	return known
 }
 
-// overdue tells whether the bound within which named weights are to be
+// overdue reports whether the bound within which named weights are to be
 // everywhere is about to end.
 func (b *Builder) overdue(now time.Duration, target weightsTarget) bool {
 	deadline := b.config.WeightsDeadline
 	return deadline > 0 && now >= target.since+deadline
 }
 
-// DeadlinePassed tells whether the time of a named version ended between two instants,
+// DeadlinePassed reports whether the time of a named version ended between two instants,
 // so that the view is to be built anew.
 func (b *Builder) DeadlinePassed(before, now time.Duration) bool {
 	deadline := b.config.WeightsDeadline
