--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -2,23 +2,20 @@
 
 import (
 	"time"
-
-	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
 const (
-	// commandTimeout is how long after the decision a command may be sent and its
-	// answer is waited for.
+	// commandTimeout is how long after the decision a command may be sent, and how long
+	// its response is waited for.
 	commandTimeout = 300 * time.Millisecond
 	// confirmationTimeout is how long a command waits for all nodes to know that the
 	// replica gets no more requests, where replicas refuse those by themselves.
 	confirmationTimeout = 300 * time.Millisecond
-	// reportStabilization is how long after a command's outcome a report tells what came
-	// of it.
+	// reportStabilization is how long after the outcome of a command a report may still
+	// show the replica as it was before.
 	reportStabilization = 300 * time.Millisecond
-	// minCommandBackoff and maxCommandBackoff bound the pause after a command that
-	// was not taken.
+	// minCommandBackoff and maxCommandBackoff bound the pause after a command that was
+	// not accepted.
 	minCommandBackoff = 500 * time.Millisecond
 	maxCommandBackoff = 8 * time.Second
 )
@@ -44,12 +41,12 @@
 	Deadline         time.Duration
 }
 
-// CommandOutcome is what came of a command.
+// CommandOutcome is the outcome of a command.
 type CommandOutcome uint8
 
 // The outcomes of a command.
 const (
-	// CommandUnknown means that it may have been taken.
+	// CommandUnknown means that the replica may have accepted it.
 	CommandUnknown CommandOutcome = iota
 	// CommandAccepted means that the replica loads the version, or will once its
 	// requests have ended.
@@ -79,89 +76,9 @@
 	return names[o]
 }
 
-// replicaProgress is what the leader knows of its work on one replica that a row keeps
-// requests from.
-type replicaProgress struct {
-	// revision is the one at which the row was entered, and since when this leader
-	// first saw it.
-	revision uint64
-	since    time.Duration
-	// outOfService is how many replicas of the pool were out with it.
-	outOfService int
-
-	drained      bool
-	drainedSince time.Duration
-
-	// token is that of the command under way, if sending, or of the last one.
-	token    uint64
-	inFlight bool
-	sentAt   time.Duration
-	// accepted means that the replica took the command, or may have; reportValidFrom is from
-	// when on its reports tell.
-	accepted        bool
-	reportValidFrom time.Duration
-	// nextReport is when its reports are worth their price.
-	nextReport time.Duration
-	// expectedLoad is how long the replica is thought to be out from the command on.
-	expectedLoad time.Duration
-	// fenced means that the replica wants a greater token.
-	fenced      bool
-	nextCommand time.Duration
-	failures    int
-}
-
-// progressOf returns the work that belongs to a row.
-func (s *shardState) progressOf(row *controlpb.ReplicaState, now time.Duration) *replicaProgress {
-	progress := s.progress[row.GetAddress()]
-	if progress == nil || progress.revision != row.GetPhaseRevision() {
-		next := &replicaProgress{revision: row.GetPhaseRevision(), since: now, outOfService: s.countOutOfService(row)}
-		if progress != nil {
-			next.inherit(progress)
-		}
-		progress = next
-		s.progress[row.GetAddress()] = progress
-	}
-	return progress
-}
-
-// inherit keeps what matters when a row is replaced by another: a command that is
-// under way, and the pauses after those that were not taken.
-func (w *replicaProgress) inherit(earlier *replicaProgress) {
-	w.since = earlier.since
-	w.accepted = earlier.accepted || earlier.inFlight
-	w.reportValidFrom = earlier.reportValidFrom
-	w.nextReport = earlier.nextReport
-	if earlier.inFlight {
-		w.reportValidFrom = earlier.sentAt + commandTimeout + reportStabilization
-	}
-	w.failures = earlier.failures
-	w.nextCommand = earlier.nextCommand
-}
-
-// countOutOfService counts the replicas that are worked on, the new one included.
-func (s *shardState) countOutOfService(added *controlpb.ReplicaState) int {
-	count := 1
-	for address := range s.progress {
-		if address != added.GetAddress() {
-			count++
-		}
-	}
-	return count
-}
-
-// pruneProgress drops what belongs to no row that keeps requests from a replica.
-func (s *shardState) pruneProgress(rows []*controlpb.ReplicaState) {
-	for address := range s.progress {
-		row := shardstate.FindReplica(rows, address)
-		if row == nil || row.GetPhase() == controlpb.ReplicaPhase_SERVING {
-			delete(s.progress, address)
-		}
-	}
-}
-
-// commandReplica orders a replica to load its row's version when that is not in
-// vain, no node sends it requests any more, and this node's right to command is
-// certain for the whole window in which the command is sent.
+// commandReplica orders a replica to load the version of its row, once no node sends it
+// requests any more, the command would have an effect, and this node's right to command
+// is certain for the whole time in which the command is sent.
 func (m *Machine) commandReplica(rolling poolRollout, replica poolReplica, progress *replicaProgress) {
 	if m.now < progress.nextCommand || !m.readyForCommand(rolling, replica, progress) {
 		return
@@ -188,8 +105,8 @@
 	})
 }
 
-// readyForCommand reports whether a command would do something: the replica answers,
-// is not at work on another command, and did not take the last one.
+// readyForCommand reports whether a command would have an effect: the replica responds,
+// is not busy with another command, and did not accept the last one.
 func (m *Machine) readyForCommand(rolling poolRollout, replica poolReplica, progress *replicaProgress) bool {
 	if progress.inFlight && m.now < progress.sentAt+2*commandTimeout {
 		return false
@@ -218,8 +135,8 @@
 }
 
 // commandLeaseValid reports whether this node's right to command is certain for the whole
-// window, and an earlier holder's last command is as old as two holders must be
-// apart.
+// time of a command, and the last command of an earlier leader is as old as the commands
+// of two leaders must be apart.
 func (m *Machine) commandLeaseValid(shard Shard, state *shardState) bool {
 	first := state.since + m.config.LeaseDuration + m.config.LeaseMargin + m.config.CommandGap
 	if state.term > 1 && m.now < first {
@@ -284,7 +201,7 @@
 	}
 }
 
-// backOffCommands keeps the next command back for longer and longer.
+// backOffCommands delays the next command, longer with each failure.
 func (m *Machine) backOffCommands(progress *replicaProgress) {
 	progress.nextCommand = m.now + backoff(minCommandBackoff, progress.failures, maxCommandBackoff)
 	progress.failures++
--- a/internal/control/rollout/pace.go
+++ b/internal/control/rollout/pace.go
@@ -8,24 +8,25 @@
 
 const (
 	// rolloutTarget is the time in which a roll-out is to reach every replica, and
-	// rolloutTargetWithoutDrain the same where replicas need not be drained and nobody has
-	// said when nodes give up those without the version.
+	// rolloutTargetWithoutDrain the same where replicas need not be drained and there is
+	// no deadline for weights.
 	rolloutTarget             = 12 * time.Second
 	rolloutTargetWithoutDrain = 9 * time.Second
-	// weightsDeadlineMargin is how long before that the roll-out is to be over.
+	// weightsDeadlineMargin is how long before the deadline of weights, at which nodes
+	// give up replicas without them, the roll-out is to be done.
 	weightsDeadlineMargin = 1500 * time.Millisecond
-	// replicaRolloutTime is the time that one replica is taken to need before any
-	// was measured: to finish its requests, load the weights and report them.
+	// replicaRolloutTime is the time that one replica is assumed to need before any was
+	// measured: to finish its requests, load the weights and report them.
 	replicaRolloutTime             = 5 * time.Second
 	replicaRolloutTimeWithoutDrain = 2500 * time.Millisecond
-	// overdueAfter is how long after its time a roll-out heeds nothing but the bound
-	// that operators count on.
+	// overdueAfter is how long after its deadline a roll-out takes out all replicas at
+	// once, since only the bound that operators count on matters then.
 	overdueAfter = time.Second
-	// minOutOfService is how many replicas may be out at once in any case, if that is
-	// no more than a third.
+	// minOutOfService is how many replicas may be out at once in any case, unless that
+	// is more than usualPoolDivisor allows.
 	minOutOfService = 3
-	// usualPoolDivisor of a pool, one in so many, may be out at once as a rule, and
-	// urgentPoolDivisor when time presses.
+	// usualPoolDivisor divides the size of a pool: as many of its replicas may be out at
+	// once as a rule, and by urgentPoolDivisor when the deadline is near.
 	usualPoolDivisor  = 3
 	urgentPoolDivisor = 2
 )
@@ -39,8 +40,8 @@
 	withoutDrain bool
 	// duration is the time in which the roll-out is to reach every replica.
 	duration time.Duration
-	// outDurations is how long a replica was out, by how many were out with it, and loads
-	// is how much of that was after its command.
+	// outDurations is how long a replica was out of service, by how many were out with
+	// it, and loadDurations how much of that was after its command.
 	outDurations  map[int]time.Duration
 	loadDurations map[int]time.Duration
 }
@@ -79,8 +80,8 @@
 	}
 }
 
-// measure takes in how long a replica was out while so many were, and how long of that
-// after its command.
+// measure takes in for how long a replica was out of service while level replicas were,
+// and how much of that was after its command.
 func (p *pace) measure(level int, out, load time.Duration) {
 	if level <= 0 {
 		return
@@ -89,7 +90,7 @@
 	updateMean(p.loadDurations, level, load)
 }
 
-// updateMean takes the mean of what was known at a level and a new length.
+// updateMean replaces the mean at a level by that of itself and a new duration.
 func updateMean(means map[int]time.Duration, level int, length time.Duration) {
 	if earlier, found := means[level]; found {
 		length = (earlier + length) / 2
@@ -97,15 +98,16 @@
 	means[level] = length
 }
 
-// expectedOut is how long a replica is out while so many are.
+// expectedOut is how long a replica is out of service while level replicas are.
 func (p *pace) expectedOut(level int) time.Duration { return p.nearest(p.outDurations, level) }
 
-// expectedLoad is how long a replica takes from its command on while so many are out.
-// A leader that had to wait before it could command must not take that wait for theirs:
-// it would ask late whether they are back.
+// expectedLoad is how long a replica takes from its command on while level replicas are
+// out of service. It is measured apart from expectedOut, since a leader that had to wait
+// before it could command would otherwise ask too late whether replicas are back.
 func (p *pace) expectedLoad(level int) time.Duration { return p.nearest(p.loadDurations, level) }
 
-// nearest is what was measured at the nearest level, or the default.
+// nearest returns what was measured at the nearest level, the lower of two, or the
+// default.
 func (p *pace) nearest(measured map[int]time.Duration, level int) time.Duration {
 	nearest := 0
 	for known := range measured {
@@ -129,15 +131,16 @@
 func (p *pace) deadline() time.Duration { return p.since + p.duration }
 
 // overdue reports whether only the bound that operators count on matters any more.
-// Replicas that are drained first are never taken out all at once for it: that
-// takes as long as their requests run.
+// Where replicas are drained first they are never taken out all at once, as that would
+// last as long as their requests run.
 func (p *pace) overdue(now time.Duration) bool {
 	return p.withoutDrain && now >= p.deadline()+overdueAfter
 }
 
-// allowed is how many replicas of a pool may be out at once, when as much is left
-// to do as so many take. It is the fewest with which the roll-out ends in time, as
-// more at once load more slowly, and no more than a third as long as that is enough.
+// allowed returns how many replicas of a pool may be out of service at once while the
+// work of left replicas remains. It is the fewest with which the roll-out ends in time,
+// as replicas that load at the same time slow each other down, and no more than
+// usualPoolDivisor allows as long as that is enough.
 func (p *pace) allowed(now time.Duration, left, pool int) int {
 	if p.overdue(now) {
 		return pool
@@ -157,8 +160,8 @@
 	return limit
 }
 
-// inTime reports whether the replicas that are left get through at a level before the
-// deadline.
+// inTime reports whether the remaining replicas are done before the deadline if level of
+// them are out of service at once.
 func (p *pace) inTime(now time.Duration, left, level int) bool {
 	return time.Duration(left)*p.expectedOut(level)/time.Duration(level) <= p.deadline()-now
 }
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -47,8 +47,6 @@
 	// reportFreshness is how old a report may be to tell that a replica runs
 	// now.
 	reportFreshness = 3 * time.Second
-	// maxDoublings bounds how often a pause doubles.
-	maxDoublings = 8
 )
 
 // reportRequest is where this node stands with asking one replica.
@@ -59,11 +57,6 @@
 	failures    int
 }
 
-// backoff doubles with each failure.
-func backoff(first time.Duration, failures int, limit time.Duration) time.Duration {
-	return min(first<<min(failures, maxDoublings), limit)
-}
-
 // requestReport asks a replica for its report, unless that is under way or was done
 // just now. One that does not answer is asked less and less often.
 func (m *Machine) requestReport(address, instance string) {
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -1,6 +1,11 @@
 package rollout
 
-import "time"
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+)
 
 // shardState is what the leader of a service shard remembers of its roll-outs.
 // It may be lost: a new leader repeats a command under its own term.
@@ -9,7 +14,7 @@
 	// when this node first acted in it.
 	term  uint64
 	since time.Duration
-	// progress is what goes on at each replica that a row keeps requests from.
+	// progress is that of each replica that a row keeps requests from.
 	progress map[string]*replicaProgress
 	// servingSince is when the row of each serving replica was first seen.
 	servingSince map[string]time.Duration
@@ -26,3 +31,85 @@
 		paces:        map[string]*pace{},
 	}
 }
+
+// replicaProgress is how far the leader has come with one replica that a row keeps
+// requests from.
+type replicaProgress struct {
+	// revision is the one at which the row was entered, and since when this leader
+	// first saw it.
+	revision uint64
+	since    time.Duration
+	// outOfService is how many replicas of the shard were out of service with it, this
+	// one included.
+	outOfService int
+
+	drained      bool
+	drainedSince time.Duration
+
+	// token is that of the command in flight, or of the last one.
+	token    uint64
+	inFlight bool
+	sentAt   time.Duration
+	// accepted means that the replica took the command, or may have taken it, and
+	// reportValidFrom from when on a report shows whether it did.
+	accepted        bool
+	reportValidFrom time.Duration
+	// nextReport is from when on it is worth the price to ask for a report.
+	nextReport time.Duration
+	// expectedLoad is how long the replica is thought to be out from the command on.
+	expectedLoad time.Duration
+	// fenced means that the replica has seen a greater token.
+	fenced bool
+	// nextCommand is from when on another command may be sent, after failures.
+	nextCommand time.Duration
+	failures    int
+}
+
+// progressOf returns the progress that belongs to a row.
+func (s *shardState) progressOf(row *controlpb.ReplicaState, now time.Duration) *replicaProgress {
+	progress := s.progress[row.GetAddress()]
+	if progress == nil || progress.revision != row.GetPhaseRevision() {
+		next := &replicaProgress{revision: row.GetPhaseRevision(), since: now, outOfService: s.countOutOfService(row)}
+		if progress != nil {
+			next.inherit(progress)
+		}
+		progress = next
+		s.progress[row.GetAddress()] = progress
+	}
+	return progress
+}
+
+// inherit keeps what matters when a row is replaced by another: a command that is
+// under way, and the pauses after those that were not taken.
+func (p *replicaProgress) inherit(earlier *replicaProgress) {
+	p.since = earlier.since
+	p.accepted = earlier.accepted || earlier.inFlight
+	p.reportValidFrom = earlier.reportValidFrom
+	p.nextReport = earlier.nextReport
+	if earlier.inFlight {
+		p.reportValidFrom = earlier.sentAt + commandTimeout + reportStabilization
+	}
+	p.failures = earlier.failures
+	p.nextCommand = earlier.nextCommand
+}
+
+// countOutOfService counts the replicas with progress, a new one included.
+func (s *shardState) countOutOfService(added *controlpb.ReplicaState) int {
+	count := 1
+	for address := range s.progress {
+		if address != added.GetAddress() {
+			count++
+		}
+	}
+	return count
+}
+
+// pruneProgress drops what belongs to no row that keeps requests from a replica.
+func (s *shardState) pruneProgress(rows []*controlpb.ReplicaState) {
+	for address := range s.progress {
+		row := shardstate.FindReplica(rows, address)
+		if row == nil || row.GetPhase() == controlpb.ReplicaPhase_SERVING {
+			delete(s.progress, address)
+		}
+	}
+}
