--- /dev/null
+++ b/internal/control/confirmation/suite_test.go
@@ -0,0 +1,13 @@
+package confirmation
+
+import (
+	"testing"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+func TestConfirmation(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "confirmation")
+}
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -15,7 +15,8 @@
 	Envelope wire.Envelope
 }
 
-// StorageWrite is what a shard has to write. The driver calls Saved when it is durable.
+// StorageWrite is what a shard has to write. The driver calls
+// StorageWritten when it is durable.
 type StorageWrite struct {
 	Shard uint32
 	Ready replication.Ready
--- a/internal/control/publication.go
+++ b/internal/control/publication.go
@@ -51,45 +51,49 @@
 	}
 }
 
-// publishCommitted hands a shard's newest committed state to the relay tree when
-// this node leads the shard.
+// publishCommitted spreads a shard's newest committed state when this node leads the shard.
+// Before the barrier of its term is applied, the state may be about to give way to that
+// of a group that was formed anew.
 func (m *Machine) publishCommitted(hosted *shard) {
-	if !hosted.group.BarrierApplied() {
-		// What is applied until then may be about to give way to the state of a
-		// group that was formed anew.
+	if !hosted.group.BarrierApplied() || !m.relayBehind(hosted) {
 		return
 	}
-	revision := hosted.state.Revision()
-	topic := relaytree.Topic(hosted.id)
-	if revision <= m.relay.Revision(topic) {
-		return
-	}
-	sections, err := hosted.state.Sections()
-	if err != nil {
-		hosted.badEntries++
-		return
+	if sections, ok := m.sectionsOf(hosted); ok {
+		m.relay.SetRoot(relaytree.Topic(hosted.id), m.config.Self.ID)
+		m.publishSections(hosted, sections)
 	}
-	m.relay.SetRoot(topic, m.config.Self.ID)
-	sends, updates := m.relay.Publish(topic, revision, sections)
-	m.sendRelay(sends)
-	m.receiveUpdates(updates)
 }
 
 // publishRestored takes what the disk kept of a shard as a state to serve by, so
 // that a node does so also while there is no quorum.
 func (m *Machine) publishRestored(hosted *shard) {
-	topic := relaytree.Topic(hosted.id)
-	revision := hosted.state.Revision()
-	if !m.config.FailOpen || hosted.restoredPublished || revision <= m.relay.Revision(topic) {
+	if !m.config.FailOpen || hosted.restoredPublished || !m.relayBehind(hosted) {
 		return
 	}
 	hosted.restoredPublished = true
+	if sections, ok := m.sectionsOf(hosted); ok {
+		m.publishSections(hosted, sections)
+	}
+}
+
+// relayBehind reports whether the relay tree holds an older state of a shard.
+func (m *Machine) relayBehind(hosted *shard) bool {
+	return hosted.state.Revision() > m.relay.Revision(relaytree.Topic(hosted.id))
+}
+
+// sectionsOf encodes the state of a shard; it counts what can't be encoded.
+func (m *Machine) sectionsOf(hosted *shard) ([]relaytree.Section, bool) {
 	sections, err := hosted.state.Sections()
 	if err != nil {
 		hosted.badEntries++
-		return
+		return nil, false
 	}
-	sends, updates := m.relay.Publish(topic, revision, sections)
+	return sections, true
+}
+
+// publishSections hands the state of a shard to the relay tree.
+func (m *Machine) publishSections(hosted *shard, sections []relaytree.Section) {
+	sends, updates := m.relay.Publish(relaytree.Topic(hosted.id), hosted.state.Revision(), sections)
 	m.sendRelay(sends)
 	m.receiveUpdates(updates)
 }
--- /dev/null
+++ b/internal/control/registration/client_test.go
@@ -0,0 +1,91 @@
+package registration
+
+import (
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// testShards is one shard, led by another node.
+type testShards struct{}
+
+func (testShards) HostedLeader(uint32) (member.ID, bool) { return "", false }
+func (testShards) Group(uint32) []member.ID              { return []member.ID{"a", "b"} }
+func (testShards) Reachable(member.ID) bool              { return true }
+
+// sent collects messages and their receivers.
+type sent []struct {
+	to      member.ID
+	message protocol.Message
+}
+
+func (s *sent) Send(to member.ID, message protocol.Message) {
+	*s = append(*s, struct {
+		to      member.ID
+		message protocol.Message
+	}{to, message})
+}
+
+var _ = Describe("Client", func() {
+	const retryEvery = 300 * time.Millisecond
+
+	var (
+		messages sent
+		client   *Client
+	)
+
+	BeforeEach(func() {
+		messages = nil
+		client = NewClient([]uint32{0}, retryEvery, &messages, protocol.NewNumbering(5),
+			leaders.NewDirectory(testShards{}), shardstate.NewReceived())
+		client.Tick(0, 5)
+		Expect(messages).To(HaveLen(1))
+	})
+
+	reply := func(message protocol.Message) Result {
+		message.Type = protocol.MessageRegisterReply
+		return client.ReceiveReply(0, "a", message, 5)
+	}
+
+	It("asks the next member of the group after a while, and no earlier", func() {
+		client.Tick(retryEvery-1, 5)
+		Expect(messages).To(HaveLen(1))
+		client.Tick(retryEvery, 5)
+		Expect(messages).To(HaveLen(2))
+		Expect(messages[1].to).To(Equal(member.ID("b")))
+	})
+
+	It("sends a challenge back, once for each request", func() {
+		challenge := protocol.Message{Request: messages[0].message.Request, Leader: "a", Revision: 77}
+		Expect(reply(challenge)).To(Equal(Result{}))
+		Expect(reply(challenge)).To(Equal(Result{}))
+		Expect(messages).To(HaveLen(2))
+		Expect(messages[1].message.Revision).To(BeEquivalentTo(77))
+	})
+
+	It("is registered once a leader has committed its incarnation", func() {
+		Expect(client.Registered(0, 5)).To(BeFalse())
+		accepted := protocol.Message{Accepted: true, Incarnation: 5, Term: 3}
+		Expect(reply(accepted)).To(Equal(Result{Term: 3, Changed: true}))
+		Expect(client.Registered(0, 5)).To(BeTrue())
+		Expect(client.Registered(0, 6)).To(BeFalse(), "another incarnation is another registration")
+		Expect(reply(accepted)).To(Equal(Result{Term: 3}), "nothing new")
+	})
+
+	It("is not registered before it holds the revision that the leader requires", func() {
+		Expect(reply(protocol.Message{Accepted: true, Incarnation: 5, Term: 3, Revision: 1}).Changed).To(BeTrue())
+		Expect(client.Registered(0, 5)).To(BeFalse())
+		client.Tick(requiredRevisionTimeout, 5)
+		Expect(messages).To(HaveLen(2), "it asks again")
+	})
+
+	It("learns that it is registered in a later incarnation", func() {
+		Expect(reply(protocol.Message{Incarnation: 8})).To(Equal(Result{LaterIncarnation: 8}))
+	})
+})
