--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -97,7 +97,7 @@
 		return
 	}
 	for _, id := range m.shardIDs {
-		if hosted := m.shards[id]; hosted != nil && hosted.isLeader() && hosted.group.BarrierApplied() {
+		if hosted := m.shards[id]; hosted != nil && hosted.IsLeader() && hosted.Group().BarrierApplied() {
 			m.disseminator.Tick(m.now, m.viewOf(hosted))
 		}
 	}
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -13,7 +13,8 @@
 // its own state, inputs and outputs:
 //
 //	state                                     owner
-//	replicated state of a hosted shard        shardstate.State, through replication.Group (shard)
+//	log and replicated state of a shard       shards.Shard, with its replication.Group
+//	writes and proposals of a shard           shards.Shard
 //	newest state of each shard, as relayed    shardstate.Received
 //	who is alive, and where                   memberTable (pkg/membership)
 //	which node leads a shard                  leaders.Directory
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -19,7 +19,7 @@
 	}
 	var group []member.ID
 	if hosted := m.shards[shardID]; hosted != nil {
-		for _, slot := range hosted.group.Status().Slots {
+		for _, slot := range hosted.Group().Status().Slots {
 			group = append(group, slot.ID)
 		}
 	}
@@ -65,7 +65,7 @@
 	if hosted == nil {
 		return nil, false
 	}
-	status := hosted.group.Status()
+	status := hosted.Group().Status()
 	if status.Role != replication.RoleLeader || status.ChangeIndex > status.Commit {
 		return nil, false
 	}
--- a/internal/control/hosted_shard.go
+++ b/internal/control/hosted_shard.go
@@ -3,13 +3,16 @@
 import (
 	"time"
 
+	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/registration"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
@@ -17,12 +20,14 @@
 // hostedShard is a shard that this node hosts, as the machines of single concerns see it.
 // Each of them names what it needs in an interface Shard of its own.
 type hostedShard struct {
+	*shards.Shard
 	machine *Machine
-	shard   *shard
 }
 
 // viewOf returns a shard for the machine of a single concern.
-func (m *Machine) viewOf(hosted *shard) hostedShard { return hostedShard{machine: m, shard: hosted} }
+func (m *Machine) viewOf(hosted *shards.Shard) hostedShard {
+	return hostedShard{Shard: hosted, machine: m}
+}
 
 // requestShard returns a shard for operators' requests, or nil if this node does not
 // host it.
@@ -42,24 +47,6 @@
 	return nil
 }
 
-// ID returns the number of the shard.
-func (s hostedShard) ID() uint32 { return s.shard.id }
-
-// IsLeader reports whether this node leads the shard.
-func (s hostedShard) IsLeader() bool { return s.shard.isLeader() }
-
-// Term returns the newest term of the shard's group.
-func (s hostedShard) Term() uint64 { return s.shard.group.Status().Term }
-
-// State returns the state after all entries that have been applied; read only.
-func (s hostedShard) State() shardstate.State { return s.shard.state }
-
-// Revision returns the revision of State.
-func (s hostedShard) Revision() uint64 { return s.shard.state.Revision() }
-
-// Nodes returns the registered nodes; read only.
-func (s hostedShard) Nodes() []*controlpb.RegisterNode { return s.shard.state.Nodes() }
-
 // ConfirmedEverywhere reports whether no node can serve a revision below the given one.
 func (s hostedShard) ConfirmedEverywhere(revision uint64) bool {
 	return s.machine.confirmations.ConfirmedEverywhere(s.machine.now, s, revision)
@@ -74,28 +61,28 @@
 // HasCommandLease reports whether this node's right to command replicas lasts at an
 // instant.
 func (s hostedShard) HasCommandLease(at time.Duration) bool {
-	return s.shard.group.HasCommandLease(at)
+	return s.Group().HasCommandLease(at)
 }
 
 // ChangeProposed reports whether a change waits to be committed.
 func (s hostedShard) ChangeProposed(from member.ID, request uint64) bool {
-	return s.shard.hasProposal(func(open proposal) bool {
-		return open.from == from && open.message.Request == request && open.message.Type == protocol.MessageChange
+	return s.HasProposal(func(open shards.Proposal) bool {
+		return open.From == from && open.Message.Request == request && open.Message.Type == protocol.MessageChange
 	})
 }
 
 // ProposeChange appends a change to the log.
 func (s hostedShard) ProposeChange(from member.ID, message protocol.Message) {
-	s.machine.propose(s.shard, message.Payload, proposal{from: from, message: message})
+	s.Propose(s.machine.now, message.Payload, shards.Proposal{From: from, Message: message})
 }
 
 // RegistrationProposed reports whether the registration of an incarnation waits to be
 // committed.
 func (s hostedShard) RegistrationProposed(node member.ID, incarnation member.Incarnation) bool {
-	return s.shard.hasProposal(func(open proposal) bool {
-		return open.from == node &&
-			open.message.Type == protocol.MessageRegister &&
-			open.message.Incarnation == incarnation
+	return s.HasProposal(func(open shards.Proposal) bool {
+		return open.From == node &&
+			open.Message.Type == protocol.MessageRegister &&
+			open.Message.Incarnation == incarnation
 	})
 }
 
@@ -104,30 +91,30 @@
 	command := &controlpb.Command{Command: &controlpb.Command_RegisterNode{RegisterNode: node}}
 	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
 	if err != nil {
-		s.shard.badEntries++
+		s.CountBadEntry()
 		return
 	}
-	s.machine.propose(s.shard, payload, proposal{from: member.ID(node.GetNode()), message: message})
+	s.Propose(s.machine.now, payload, shards.Proposal{From: member.ID(node.GetNode()), Message: message})
 }
 
 // RequestRead asks for a confirmation that this node still leads the shard.
 func (s hostedShard) RequestRead() (uint64, error) {
-	return s.shard.group.RequestRead(s.machine.now)
+	return s.Group().RequestRead(s.machine.now)
 }
 
 // Unapplied returns the entries of the log that have not been applied.
-func (s hostedShard) Unapplied() []replication.Entry { return s.shard.group.Unapplied() }
+func (s hostedShard) Unapplied() []replication.Entry { return s.Group().Unapplied() }
 
 // RecoveryTerm returns the term under which this node is to form the group anew, and
 // whether it is to.
-func (s hostedShard) RecoveryTerm() (uint64, bool) { return s.shard.group.RecoveryTerm() }
+func (s hostedShard) RecoveryTerm() (uint64, bool) { return s.Group().RecoveryTerm() }
 
 // RaiseRecoveryTerm has the election for a recovery repeated above a term.
-func (s hostedShard) RaiseRecoveryTerm(term uint64) { s.shard.group.RaiseRecoveryTerm(term) }
+func (s hostedShard) RaiseRecoveryTerm(term uint64) { s.Group().RaiseRecoveryTerm(term) }
 
 // RecoverQuorum forms the group anew with a state.
 func (s hostedShard) RecoverQuorum(term uint64, state []byte) error {
-	return s.shard.group.RecoverQuorum(s.machine.now, term, state)
+	return s.Group().RecoverQuorum(s.machine.now, term, state)
 }
 
 // ledServices is a service shard that this node leads, as its roll-outs see it.
@@ -138,3 +125,61 @@
 
 // Rows returns the rows of the replicas, sorted by address; read only.
 func (l ledServices) Rows() []*controlpb.ReplicaState { return l.services.Replicas() }
+
+// startShard starts this node's copy of a shard, if it is in the shard's group.
+func (m *Machine) startShard(id uint32, restored replication.Restored) error {
+	if !m.config.hosts(id) {
+		return nil
+	}
+	config := m.config
+	hosted, err := shards.New(id, shardHost{m}, replication.Config{
+		Self:            config.Self.ID,
+		Founders:        config.foundersOf(id),
+		MaxVoters:       config.maxVoters(),
+		HeartbeatEvery:  config.Times.HeartbeatEvery,
+		ElectionTimeout: config.Times.ElectionTimeout,
+		LeaseDuration:   config.Times.LeaseDuration,
+		LeaseMargin:     config.Times.LeaseMargin,
+		MaxLogEntries:   config.logEntries(),
+		Learner:         config.Learner,
+		Incarnation:     config.diskIncarnation(),
+	}, restored, m.now)
+	if err != nil {
+		return errors.Wrapf(err, "start shard %d", id)
+	}
+	m.shards[id] = hosted
+	return nil
+}
+
+// shardHost implements shards.Host.
+type shardHost struct{ machine *Machine }
+
+// SendReplication implements shards.Host.
+func (h shardHost) SendReplication(to member.ID, shardID uint32, message replication.Message) {
+	h.machine.send(to, wire.Envelope{Shard: shardID, Replication: &message})
+}
+
+// Write implements shards.Host.
+func (h shardHost) Write(write shards.Write) {
+	h.machine.output.Writes = append(h.machine.output.Writes, write)
+}
+
+// Applied implements shards.Host: it passes a committed command on to the concern that
+// waits for it.
+func (h shardHost) Applied(hosted *shards.Shard, command *controlpb.Command, answer *controlpb.Answer, proposed *shards.Proposal) {
+	m := h.machine
+	switch change := command.GetCommand().(type) {
+	case *controlpb.Command_RegisterNode:
+		node := change.RegisterNode
+		m.confirmations.ForgetOlder(hosted.ID(), member.ID(node.GetNode()), member.Incarnation(node.GetIncarnation()))
+		if proposed != nil {
+			m.registrar.Applied(m.viewOf(hosted), proposed.From, proposed.Message)
+		}
+	case *controlpb.Command_SetReplicas:
+		m.rollout.RunSoon(m.now)
+	case *controlpb.Command_Order:
+		if proposed != nil {
+			m.leaderRequests.Applied(m.now, proposed.From, proposed.Message.Request, answer)
+		}
+	}
+}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -4,8 +4,6 @@
 	"slices"
 	"time"
 
-	"github.com/pkg/errors"
-
 	"github.com/ridgeswitch/ridgeswitch/internal/control/confirmation"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
@@ -14,6 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/registration"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
@@ -39,7 +38,7 @@
 
 	// shardIDs are all shards, and shards those that this node hosts.
 	shardIDs []uint32
-	shards   map[uint32]*shard
+	shards   map[uint32]*shards.Shard
 	recovery *recovery.Machine
 
 	// numbers are those of this node's requests to others.
@@ -69,6 +68,8 @@
 	views    *view.Builder
 	// viewStale means that the view is to be built anew.
 	viewStale bool
+	// restoredPublished are the shards whose state from the disk has been published.
+	restoredPublished map[uint32]bool
 }
 
 // New returns the machine of a node. Restored holds what the node's disk kept of
@@ -76,23 +77,24 @@
 // nothing was kept.
 func New(config Config, restored map[uint32]replication.Restored, load routing.LoadReader, now time.Duration) (*Machine, error) {
 	machine := &Machine{
-		config:    config,
-		now:       now,
-		shards:    map[uint32]*shard{},
-		load:      load,
-		numbers:   protocol.NewNumbering(config.Self.Incarnation),
-		views:     newViewBuilder(config),
-		endpoints: newEndpointsMachine(config, now),
-		received:  shardstate.NewReceived(),
-		backends:  newBackends(),
-		viewStale: true,
+		config:            config,
+		now:               now,
+		shards:            map[uint32]*shards.Shard{},
+		load:              load,
+		numbers:           protocol.NewNumbering(config.Self.Incarnation),
+		views:             newViewBuilder(config),
+		endpoints:         newEndpointsMachine(config, now),
+		received:          shardstate.NewReceived(),
+		backends:          newBackends(),
+		viewStale:         true,
+		restoredPublished: map[uint32]bool{},
 	}
 	machine.members = newMemberTable(config, now)
 	machine.leaders = leaders.NewDirectory(shardDirectory{machine})
 	machine.requests, machine.leaderRequests = machine.newRequests()
 	for id := uint32(0); id <= config.ServiceShards; id++ {
 		machine.shardIDs = append(machine.shardIDs, id)
-		if err := machine.hostShard(id, restored[id]); err != nil {
+		if err := machine.startShard(id, restored[id]); err != nil {
 			return nil, err
 		}
 	}
@@ -113,20 +115,6 @@
 	return slices.DeleteFunc(slices.Clone(m.shardIDs), func(id uint32) bool { return m.shards[id] == nil })
 }
 
-// hostShard starts the replica group member of a shard, if this node is in its
-// group.
-func (m *Machine) hostShard(id uint32, restored replication.Restored) error {
-	if !m.config.hosts(id) {
-		return nil
-	}
-	hosted, err := newShard(id, m.config.foundersOf(id), m.config, restored, m.now)
-	if err != nil {
-		return errors.Wrapf(err, "start shard %d", id)
-	}
-	m.shards[id] = hosted
-	return nil
-}
-
 // Tick advances time and does what is due.
 func (m *Machine) Tick(now time.Duration) Output {
 	before := m.now
@@ -135,8 +123,7 @@
 	m.refreshMembers()
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil {
-			hosted.group.Tick(now)
-			m.processReady(hosted)
+			hosted.Tick(now)
 			m.publishRestored(hosted)
 		}
 	}
@@ -181,23 +168,17 @@
 	if hosted == nil {
 		return
 	}
-	if err := hosted.group.Step(m.now, envelope.From, *envelope.Replication); err != nil {
+	if err := hosted.Group().Step(m.now, envelope.From, *envelope.Replication); err != nil {
 		return
 	}
-	m.processReady(hosted)
+	hosted.Process()
 }
 
 // StorageWritten reports that a shard's outstanding write is durable.
 func (m *Machine) StorageWritten(now time.Duration, shardID uint32) Output {
 	m.now = now
-	if hosted := m.shards[shardID]; hosted != nil && hosted.writing {
-		hosted.writing = false
-		if hosted.checkpointing {
-			hosted.checkpointing = false
-		} else {
-			m.finishReady(hosted, hosted.outstanding)
-		}
-		m.processReady(hosted)
+	if hosted := m.shards[shardID]; hosted != nil {
+		hosted.Written()
 	}
 	return m.takeOutput()
 }
@@ -215,8 +196,8 @@
 			// An error means that this node does not lead the shard, or that no member
 			// can succeed it. There is nothing to transfer then, or the group elects a
 			// leader after its time-out.
-			_ = hosted.group.TransferLeadership(m.now)
-			m.processReady(hosted)
+			_ = hosted.Group().TransferLeadership(m.now)
+			hosted.Process()
 		}
 	}
 }
@@ -252,7 +233,7 @@
 func (m *Machine) BadEntries() uint64 {
 	var count uint64
 	for _, hosted := range m.shards {
-		count += hosted.badEntries
+		count += hosted.BadEntries()
 	}
 	return count
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -183,7 +183,7 @@
 	peers := m.members.replicationPeers()
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil {
-			hosted.group.SetPeers(m.now, peers)
+			hosted.Group().SetPeers(m.now, peers)
 		}
 	}
 }
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -1,10 +1,10 @@
 package control
 
 import (
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
 // Send is a message for another node. Address is used when To is empty, as with
@@ -15,14 +15,9 @@
 	Envelope wire.Envelope
 }
 
-// StorageWrite is what a shard has to write. The driver calls
-// StorageWritten when it is durable.
-type StorageWrite struct {
-	Shard uint32
-	Ready replication.Ready
-	// Checkpoint, if set, replaces everything written before; Ready is empty.
-	Checkpoint *replication.Restored
-}
+// StorageWrite is what a shard has to write. The driver calls StorageWritten when it is
+// durable.
+type StorageWrite = shards.Write
 
 // Output is what a node has to do after an input.
 type Output struct {
--- a/internal/control/publication.go
+++ b/internal/control/publication.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
@@ -51,49 +52,52 @@
 	}
 }
 
+// Committed implements shards.Host.
+func (h shardHost) Committed(hosted *shards.Shard) { h.machine.publishCommitted(hosted) }
+
 // publishCommitted spreads a shard's newest committed state when this node leads the shard.
 // Before the barrier of its term is applied, the state may be about to give way to that
 // of a group that was formed anew.
-func (m *Machine) publishCommitted(hosted *shard) {
-	if !hosted.group.BarrierApplied() || !m.relayBehind(hosted) {
+func (m *Machine) publishCommitted(hosted *shards.Shard) {
+	if !hosted.Group().BarrierApplied() || !m.relayBehind(hosted) {
 		return
 	}
 	if sections, ok := m.sectionsOf(hosted); ok {
-		m.relay.SetRoot(relaytree.Topic(hosted.id), m.config.Self.ID)
+		m.relay.SetRoot(relaytree.Topic(hosted.ID()), m.config.Self.ID)
 		m.publishSections(hosted, sections)
 	}
 }
 
 // publishRestored takes what the disk kept of a shard as a state to serve by, so
 // that a node does so also while there is no quorum.
-func (m *Machine) publishRestored(hosted *shard) {
-	if !m.config.FailOpen || hosted.restoredPublished || !m.relayBehind(hosted) {
+func (m *Machine) publishRestored(hosted *shards.Shard) {
+	if !m.config.FailOpen || m.restoredPublished[hosted.ID()] || !m.relayBehind(hosted) {
 		return
 	}
-	hosted.restoredPublished = true
+	m.restoredPublished[hosted.ID()] = true
 	if sections, ok := m.sectionsOf(hosted); ok {
 		m.publishSections(hosted, sections)
 	}
 }
 
 // relayBehind reports whether the relay tree holds an older state of a shard.
-func (m *Machine) relayBehind(hosted *shard) bool {
-	return hosted.state.Revision() > m.relay.Revision(relaytree.Topic(hosted.id))
+func (m *Machine) relayBehind(hosted *shards.Shard) bool {
+	return hosted.Revision() > m.relay.Revision(relaytree.Topic(hosted.ID()))
 }
 
 // sectionsOf encodes the state of a shard; it counts what can't be encoded.
-func (m *Machine) sectionsOf(hosted *shard) ([]relaytree.Section, bool) {
-	sections, err := hosted.state.Sections()
+func (m *Machine) sectionsOf(hosted *shards.Shard) ([]relaytree.Section, bool) {
+	sections, err := hosted.State().Sections()
 	if err != nil {
-		hosted.badEntries++
+		hosted.CountBadEntry()
 		return nil, false
 	}
 	return sections, true
 }
 
 // publishSections hands the state of a shard to the relay tree.
-func (m *Machine) publishSections(hosted *shard, sections []relaytree.Section) {
-	sends, updates := m.relay.Publish(relaytree.Topic(hosted.id), hosted.state.Revision(), sections)
+func (m *Machine) publishSections(hosted *shards.Shard, sections []relaytree.Section) {
+	sends, updates := m.relay.Publish(relaytree.Topic(hosted.ID()), hosted.Revision(), sections)
 	m.sendRelay(sends)
 	m.receiveUpdates(updates)
 }
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -21,14 +21,14 @@
 			continue
 		}
 		if m.received.Revision(ConfigurationShard) > 0 {
-			hosted.group.ExpectState()
+			hosted.Group().ExpectState()
 		}
 		changed, err := m.recovery.Tick(m.now, m.viewOf(hosted))
 		if err != nil {
-			hosted.badEntries++
+			hosted.CountBadEntry()
 		}
 		if changed {
-			m.processReady(hosted)
+			hosted.Process()
 		}
 	}
 }
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -11,6 +11,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/recovery"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -35,7 +36,7 @@
 }
 
 // survivingMember is a node whose log evacuates zones, the first ones for certain.
-func survivingMember(committed uint64, zones ...string) (*Machine, *shard) {
+func survivingMember(committed uint64, zones ...string) (*Machine, *shards.Shard) {
 	restored := replication.Restored{HardState: replication.HardState{Term: 1, Commit: committed}}
 	for position, zone := range zones {
 		restored.Entries = append(restored.Entries, replication.Entry{
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -4,6 +4,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/registration"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -41,8 +42,8 @@
 
 // pruneNodes has a registered incarnation that has ended forgotten, so that a later
 // leader does not wait for it.
-func (m *Machine) pruneNodes(hosted *shard) {
+func (m *Machine) pruneNodes(hosted *shards.Shard) {
 	if ended := m.registrar.Prune(m.now, m.viewOf(hosted), m.members); ended != nil {
-		m.proposeCommand(hosted, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
+		hosted.ProposeCommand(m.now, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
 	}
 }
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -7,6 +7,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
@@ -73,18 +74,18 @@
 // receiveRead begins a read if this node leads the configuration.
 func (m *Machine) receiveRead(from member.ID, message protocol.Message) {
 	if m.leaderRequests.ReceiveRead(m.requestShard(message.Shard), from, message) {
-		m.processReady(m.shards[message.Shard])
+		m.shards[message.Shard].Process()
 	}
 }
 
-// finishReads answers the reads that a quorum has confirmed.
-func (m *Machine) finishReads(hosted *shard, ready replication.Ready) {
-	state, ok := hosted.state.(*shardstate.Configuration)
+// ReadsFinished implements shards.Host: it answers the reads that a quorum has confirmed.
+func (h shardHost) ReadsFinished(hosted *shards.Shard, ready replication.Ready) {
+	state, ok := hosted.State().(*shardstate.Configuration)
 	if !ok {
 		return
 	}
-	if err := m.leaderRequests.FinishReads(state, ready); err != nil {
-		hosted.badEntries++
+	if err := h.machine.leaderRequests.FinishReads(state, ready); err != nil {
+		hosted.CountBadEntry()
 	}
 }
 
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -5,6 +5,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
@@ -52,12 +53,12 @@
 	}
 	for _, id := range m.shardIDs {
 		hosted := m.shards[id]
-		if hosted == nil || !hosted.isLeader() {
+		if hosted == nil || !hosted.IsLeader() {
 			continue
 		}
-		m.rollout.Lead(m.now, id, hosted.group.Status().Term)
+		m.rollout.Lead(m.now, id, hosted.Term())
 		m.pruneNodes(hosted)
-		if service, ok := hosted.state.(*shardstate.Service); ok {
+		if service, ok := hosted.State().(*shardstate.Service); ok {
 			m.rollOutShard(hosted, service)
 		}
 	}
@@ -65,21 +66,21 @@
 
 // rollOutShard moves the replicas of the pools whose service hashes to a shard. It
 // decides only from a state in which everything in the log has been applied.
-func (m *Machine) rollOutShard(hosted *shard, service *shardstate.Service) {
-	if !m.backends.known || !hosted.allApplied() {
+func (m *Machine) rollOutShard(hosted *shards.Shard, service *shardstate.Service) {
+	if !m.backends.known || !hosted.AllApplied() {
 		return
 	}
 	configuration := m.received.Configuration()
 	var pools []rollout.Pool
 	for _, pool := range configuration.GetPools() {
-		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) == hosted.id {
+		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) == hosted.ID() {
 			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.backends.services[pool.GetService()]})
 		}
 	}
 	led := ledServices{hostedShard: m.viewOf(hosted), services: service}
 	change := m.rollout.Advance(m.now, led, pools, shardstate.EvacuatedZones(configuration))
 	if change != nil {
-		m.proposeCommand(hosted, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
+		hosted.ProposeCommand(m.now, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
 	}
 }
 
--- /dev/null
+++ b/internal/control/shards/ready.go
@@ -0,0 +1,122 @@
+package shards
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+)
+
+// Tick advances the time of the group.
+func (s *Shard) Tick(now time.Duration) {
+	s.group.Tick(now)
+	s.Process()
+}
+
+// Process carries out what the group is ready to do.
+func (s *Shard) Process() {
+	if s.checkpointDue && !s.writing {
+		s.startCheckpoint()
+	}
+	for !s.writing && s.group.HasReady() {
+		ready := s.group.Ready()
+		if ready.MustSync() {
+			s.writing = true
+			s.outstanding = ready
+			s.host.Write(Write{Shard: s.id, Ready: ready})
+			return
+		}
+		s.finish(ready)
+	}
+}
+
+// startCheckpoint writes the compacted state in place of the whole log.
+func (s *Shard) startCheckpoint() {
+	state := s.group.Checkpoint()
+	s.checkpointDue = false
+	s.checkpointing = true
+	s.writing = true
+	s.host.Write(Write{Shard: s.id, Checkpoint: &state})
+}
+
+// Written reports that the outstanding write is durable.
+func (s *Shard) Written() {
+	if !s.writing {
+		return
+	}
+	s.writing = false
+	if s.checkpointing {
+		s.checkpointing = false
+	} else {
+		s.finish(s.outstanding)
+	}
+	s.Process()
+}
+
+// finish sends and applies what a durable Ready allows.
+func (s *Shard) finish(ready replication.Ready) {
+	for _, outbound := range ready.Messages {
+		s.host.SendReplication(outbound.To, s.id, outbound.Message)
+	}
+	if ready.Snapshot != nil {
+		s.replaceState(ready.Snapshot)
+	}
+	for _, entry := range ready.Committed {
+		s.apply(entry)
+	}
+	s.host.ReadsFinished(s, ready)
+	s.group.Advance()
+	s.compactWhenLong()
+	s.host.Committed(s)
+}
+
+// apply applies one committed entry.
+func (s *Shard) apply(entry replication.Entry) {
+	s.applied = entry.Index
+	switch entry.Kind {
+	case replication.EntryRestore:
+		s.replaceState(&replication.Snapshot{Index: entry.Index, Data: entry.Command})
+	case replication.EntryCommand:
+		s.applyCommand(entry)
+	}
+}
+
+func (s *Shard) applyCommand(entry replication.Entry) {
+	command := &controlpb.Command{}
+	if err := proto.Unmarshal(entry.Command, command); err != nil {
+		// Every member fails alike on the same bytes, so that skipping keeps
+		// the copies equal.
+		s.badEntries++
+		return
+	}
+	answer := s.state.Apply(command)
+	s.host.Applied(s, command, answer, s.takeProposal(entry.Index))
+}
+
+// replaceState replaces the state by a snapshot. One that can't be decoded is counted,
+// and the state stays.
+func (s *Shard) replaceState(snapshot *replication.Snapshot) {
+	if err := s.restore(snapshot); err != nil {
+		s.badEntries++
+	}
+}
+
+// compactWhenLong replaces the applied log by a snapshot once it is long.
+func (s *Shard) compactWhenLong() {
+	if s.applied-s.compacted < s.maxLogEntries {
+		return
+	}
+	data, err := s.state.Snapshot()
+	if err != nil {
+		s.badEntries++
+		return
+	}
+	if err := s.group.Compact(s.applied, data); err != nil {
+		s.badEntries++
+		return
+	}
+	s.compacted = s.applied
+	s.checkpointDue = true
+}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -86,11 +86,11 @@
 		}),
 	}
 	if hosted := m.shards[id]; hosted != nil {
-		core := hosted.group.Status()
+		core := hosted.Group().Status()
 		status.Term = core.Term
 		status.Commit = core.Commit
-		status.Applied = hosted.applied
-		status.BadEntries = hosted.badEntries
+		status.Applied = hosted.Applied()
+		status.BadEntries = hosted.BadEntries()
 	}
 	return status
 }
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -20,7 +20,7 @@
 	if hosted == nil {
 		return "", false
 	}
-	return hosted.group.Status().Leader, true
+	return hosted.Group().Status().Leader, true
 }
 
 // Group implements leaders.Shards.
