--- a/internal/dataplane/authenticator.go
+++ b/internal/dataplane/authenticator.go
@@ -44,8 +44,8 @@
 	return tenant != nil && tenant.Name == e.tenant.Name
 }
 
-// unauthorizedProblem is the refusal of a request without a valid key.
-func unauthorizedProblem() *caller.Error {
+// unauthorizedError is the refusal of a request without a valid key.
+func unauthorizedError() *caller.Error {
 	return caller.NewError(caller.KindUnauthorized,
 		"the request carries no valid key: send %s: Bearer KEY with a key of your tenant", caller.HeaderAuthorization)
 }
--- a/internal/dataplane/body_reader.go
+++ b/internal/dataplane/body_reader.go
@@ -35,8 +35,8 @@
 		r.readPending(e)
 	}
 	<-e.pending.done
-	if e.pending.problem != nil {
-		e.refuse(e.pending.problem)
+	if e.pending.callerError != nil {
+		e.refuse(e.pending.callerError)
 		return
 	}
 	e.body, e.bodyRead = e.pending.body, true
@@ -53,9 +53,9 @@
 type pendingBody struct {
 	// done is closed when nothing more is read. What was read, or why it could
 	// not be, stays as it is from then on.
-	done    chan struct{}
-	body    []byte
-	problem *caller.Error
+	done        chan struct{}
+	body        []byte
+	callerError *caller.Error
 }
 
 // newPendingBody returns one of which nothing has been read.
@@ -63,14 +63,14 @@
 	return &pendingBody{done: make(chan struct{})}
 }
 
-// bodyReadProblem is why the body could not be read, if that is known already.
-func (e *exchange) bodyReadProblem() *caller.Error {
+// bodyReadError is why the body could not be read, if that is known already.
+func (e *exchange) bodyReadError() *caller.Error {
 	if e.pending == nil {
 		return nil
 	}
 	select {
 	case <-e.pending.done:
-		return e.pending.problem
+		return e.pending.callerError
 	default:
 		return nil
 	}
@@ -81,7 +81,7 @@
 	defer close(e.pending.done)
 	body, err := r.read(e)
 	if err != nil {
-		e.pending.problem = bodyProblem(e, err)
+		e.pending.callerError = newBodyError(e, err)
 	}
 	e.pending.body = body
 }
@@ -137,8 +137,8 @@
 	return buffer.Bytes(), err
 }
 
-// bodyProblem is the refusal of a request whose body cannot be read.
-func bodyProblem(e *exchange, err error) *caller.Error {
+// newBodyError is the refusal of a request whose body cannot be read.
+func newBodyError(e *exchange, err error) *caller.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return caller.NewError(caller.KindBodyTooLarge, "the body is larger than %d bytes: send less", tooLarge.Limit)
@@ -146,7 +146,7 @@
 	// The error of a read that the deadline ended does not always say so, and the
 	// context may end a moment later than the read.
 	if deadline, bounded := e.ctx.Deadline(); bounded && !time.Now().Before(deadline) {
-		return deadlineProblem()
+		return deadlineError()
 	}
 	return caller.NewError(caller.KindBadRequest, "the body cannot be read (%v): send the request again", err)
 }
--- a/internal/dataplane/claims.go
+++ b/internal/dataplane/claims.go
@@ -53,7 +53,7 @@
 	claim, err := s.claims.Claim(e.ctx, e.tenant.Name, e.parsed.ID)
 	if err != nil {
 		e.notRunHere = true
-		e.refuse(claimProblem(err))
+		e.refuse(claimError(err))
 		return
 	}
 	e.claim = claim
@@ -62,21 +62,21 @@
 	next()
 }
 
-// claimProblem tells why a request could not be claimed. Whether another
+// claimError tells why a request could not be claimed. Whether another
 // submission of it has run is not known either way.
-func claimProblem(err error) *caller.Error {
+func claimError(err error) *caller.Error {
 	if errors.Is(err, ErrAlreadyClaimed) {
-		problem := caller.NewError(caller.KindDuplicateRequest,
+		callerError := caller.NewError(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on another node: send a new one under a new identity", caller.HeaderRequestID)
-		problem.MayHaveRun = true
-		return problem
+		callerError.MayHaveRun = true
+		return callerError
 	}
-	problem := caller.NewError(caller.KindClaimUndecided,
+	callerError := caller.NewError(caller.KindClaimUndecided,
 		"this submission does not run, but whether an earlier one with this %s has run cannot be told now: send it again under the same identity",
 		caller.HeaderRequestID).WithRetryAfter(claimRetryAfter)
-	problem.MayHaveRun = true
-	problem.RetryIsSafe = true
-	return problem
+	callerError.MayHaveRun = true
+	callerError.RetryIsSafe = true
+	return callerError
 }
 
 // claimValid tells whether the work may still be sent to a back end.
--- a/internal/dataplane/deadline.go
+++ b/internal/dataplane/deadline.go
@@ -64,18 +64,18 @@
 	return errors.Is(context.Cause(ctx), errDeadline)
 }
 
-// deadlineProblem is the refusal of a request that ran out of time before any
+// deadlineError is the refusal of a request that ran out of time before any
 // attempt.
-func deadlineProblem() *caller.Error {
+func deadlineError() *caller.Error {
 	return caller.NewError(caller.KindDeadlineExceeded,
 		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).WithRetryAfter(time.Second)
 }
 
-// asProblem returns the problem that an error is, or an internal one.
-func asProblem(err error) *caller.Error {
-	var problem *caller.Error
-	if errors.As(err, &problem) {
-		return problem
+// asCallerError returns the problem that an error is, or an internal one.
+func asCallerError(err error) *caller.Error {
+	var found *caller.Error
+	if errors.As(err, &found) {
+		return found
 	}
 	return caller.NewError(caller.KindInternal, "the node failed: %v", err)
 }
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -57,8 +57,8 @@
 	tracker *attempts.Tracker
 	// tried holds the back ends of earlier attempts, of which there are few.
 	tried []string
-	// problem is why the last attempt, or the last selection, failed.
-	problem *caller.Error
+	// callerError is why the last attempt, or the last selection, failed.
+	lastError *caller.Error
 	// health is that of the last attempt's back end.
 	health *health.Attempt
 	// buffered is the answer that the ledger's Relay move hands on.
@@ -113,18 +113,18 @@
 
 // dispatch runs one attempt, or enters why there can be none.
 func (d *dispatcher) dispatch(w *work, attempt int) {
-	chosen, problem := d.choose(w)
-	if problem == nil && w.ctx.Err() != nil {
+	chosen, callerError := d.choose(w)
+	if callerError == nil && w.ctx.Err() != nil {
 		// It ended while the attempt was held back.
 		d.release(chosen, false)
 		return
 	}
-	if problem == nil && !w.counters.permitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
+	if callerError == nil && !w.counters.permitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
 		d.release(chosen, false)
-		problem = budgetProblem(w.problem).WithRetryAfter(d.server.options.BackendRetry)
+		callerError = budgetError(w.lastError).WithRetryAfter(d.server.options.BackendRetry)
 	}
-	if problem != nil {
-		w.problem = problem
+	if callerError != nil {
+		w.lastError = callerError
 		w.apply(attempts.Event{Kind: attempts.AttemptsExhausted})
 		return
 	}
@@ -139,12 +139,12 @@
 // newest view again.
 func (d *dispatcher) choose(w *work) (target, *caller.Error) {
 	for range maxSelections {
-		if problem := w.revalidate(d.server); problem != nil {
-			return nil, problem
+		if callerError := w.revalidate(d.server); callerError != nil {
+			return nil, callerError
 		}
-		chosen, problem := d.backend(w).choose(w)
-		if problem != nil {
-			return nil, problem
+		chosen, callerError := d.backend(w).choose(w)
+		if callerError != nil {
+			return nil, callerError
 		}
 		chosen.waitBeforeSend(w)
 		d.server.inFlight.begin(chosen.address())
@@ -220,15 +220,15 @@
 // revalidate looks at the newest view: a key may have been revoked, or the node
 // may have been cut off, while the request waited.
 func (w *work) revalidate(server *Server) *caller.Error {
-	view, problem := servingView(server.options.Source)
-	if problem != nil {
-		return problem
+	view, callerError := servingView(server.options.Source)
+	if callerError != nil {
+		return callerError
 	}
 	if !w.keyStillValid(view) {
-		return unauthorizedProblem()
+		return unauthorizedError()
 	}
 	if !w.claimValid() {
-		return claimProblem(ErrClaimUndecided)
+		return claimError(ErrClaimUndecided)
 	}
 	return nil
 }
--- a/internal/dataplane/duplicate_checker.go
+++ b/internal/dataplane/duplicate_checker.go
@@ -24,10 +24,10 @@
 	}
 	key := duplicates.Key{Tenant: e.tenant.Name, ID: e.parsed.ID}
 	if !c.register.Begin(c.clock(), key, e.parsed.Idempotent) {
-		problem := caller.NewError(caller.KindDuplicateRequest,
+		callerError := caller.NewError(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on this node: send a new one under a new identity", caller.HeaderRequestID)
-		problem.MayHaveRun = true
-		e.refuse(problem)
+		callerError.MayHaveRun = true
+		e.refuse(callerError)
 		return
 	}
 	defer func() {
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -20,13 +20,13 @@
 	// *caller.Error.
 	Describe(request *http.Request) (caller.Request, error)
 	// WriteError answers a request with a problem of this node.
-	WriteError(writer http.ResponseWriter, problem *caller.Error)
+	WriteError(writer http.ResponseWriter, callerError *caller.Error)
 	// CompleteHeader adds what this node says in the header of a back end's
 	// answer.
 	CompleteHeader(header http.Header, requestID string)
 	// ErrorEvent returns what is written of a problem into a stream that is
 	// cut, before its connection is broken; nil for nothing.
-	ErrorEvent(problem *caller.Error) []byte
+	ErrorEvent(callerError *caller.Error) []byte
 }
 
 // BackendEdge runs attempts on back ends of one kind.
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -51,19 +51,19 @@
 
 // refuse answers with a problem at once. The caller is told to come back only
 // where sending the request again is safe.
-func (e *exchange) refuse(problem *caller.Error) {
-	problem.RequestID = e.requestID
-	if problem.MayHaveRun && !e.parsed.Idempotent && !problem.RetryIsSafe {
-		problem.RetryAfter = 0
+func (e *exchange) refuse(callerError *caller.Error) {
+	callerError.RequestID = e.requestID
+	if callerError.MayHaveRun && !e.parsed.Idempotent && !callerError.RetryIsSafe {
+		callerError.RetryAfter = 0
 	}
 	e.failed = true
-	e.certainlyNotRun = !problem.MayHaveRun
+	e.certainlyNotRun = !callerError.MayHaveRun
 	if e.counters != nil {
-		e.counters.countRefusal(problem.Kind)
+		e.counters.countRefusal(callerError.Kind)
 	}
-	e.observer.refused(problem)
+	e.observer.refused(callerError)
 	e.boundUnreadBody()
-	e.edges.Callers.WriteError(e.writer, problem)
+	e.edges.Callers.WriteError(e.writer, callerError)
 }
 
 // maxAttempts is the route's bound of attempts, or the default.
--- a/internal/dataplane/feeds/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -34,14 +34,14 @@
 
 // scriptedSource plays events and remembers how it was asked for them.
 type scriptedSource struct {
-	events []replica.Event
-	asked  []replica.Position
-	err    error
+	events    []replica.Event
+	positions []replica.Position
+	err       error
 }
 
 // Follow implements Source.
 func (s *scriptedSource) Follow(_ context.Context, _ string, after replica.Position, handle func(replica.Event) error) error {
-	s.asked = append(s.asked, after)
+	s.positions = append(s.positions, after)
 	for _, event := range s.events {
 		if s.err = handle(event); s.err != nil {
 			return s.err
@@ -55,8 +55,8 @@
 	return []prefixindex.Chunk{{ID: "case", Tokens: 320}, {ID: "question", Tokens: 160}}
 }
 
-// keeps returns an event by which the prompt is kept under a weight version.
-func keeps(kind replica.EventKind, sequence uint64, weightVersion string) replica.Event {
+// cacheEvent returns an event by which the prompt is kept under a weight version.
+func cacheEvent(kind replica.EventKind, sequence uint64, weightVersion string) replica.Event {
 	event := replica.Event{Kind: kind, Incarnation: 1, Sequence: sequence}
 	for _, link := range prefixindex.Chain(feedModel, saltOf(weightVersion), promptChunks()) {
 		event.Chunks = append(event.Chunks, replica.Chunk{Hash: strconv.FormatUint(uint64(link.Hash), 16), Tokens: link.Tokens})
@@ -64,8 +64,8 @@
 	return event
 }
 
-// reports returns a report of a weight version.
-func reports(weightVersion string) replica.Event {
+// reportEvent returns a report of a weight version.
+func reportEvent(weightVersion string) replica.Event {
 	return replica.Event{Kind: replica.EventReport, Incarnation: 1, Report: &replica.Report{Incarnation: 1, WeightVersion: weightVersion}}
 }
 
@@ -101,20 +101,20 @@
 	})
 
 	It("brings what is kept to the router, and goes on after it", func() {
-		source.events = []replica.Event{keeps(replica.EventReset, 4, "w1")}
+		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1")}
 		subject.follow(context.Background())
 		Expect(overlap(subject.router, "w1")).To(Equal(uint32(480)))
 		subject.follow(context.Background())
-		Expect(source.asked).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}}))
+		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}}))
 	})
 
 	It("starts anew when it is told that events were lost, but not while a reset is due", func() {
-		source.events = []replica.Event{keeps(replica.EventReset, 4, "w1")}
+		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1")}
 		subject.follow(context.Background())
 		subject.resync()
 		subject.follow(context.Background())
 		subject.follow(context.Background())
-		Expect(source.asked).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}, {Incarnation: 1, Sequence: 4}}), "the stream that resync ends is the open one")
+		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}, {Incarnation: 1, Sequence: 4}}), "the stream that resync ends is the open one")
 
 		source.events = nil
 		requesting := &resyncingSource{}
@@ -127,31 +127,31 @@
 	})
 
 	It("starts anew when events are missing for too long", func() {
-		source.events = []replica.Event{keeps(replica.EventReset, 4, "w1"), keeps(replica.EventStored, 6, "w1")}
+		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1"), cacheEvent(replica.EventStored, 6, "w1")}
 		subject.follow(context.Background())
 		Expect(source.err).NotTo(HaveOccurred(), "the missing event may still come")
 		now = kvrouter.DefaultReorderWait
-		source.events = []replica.Event{keeps(replica.EventStored, 7, "w1")}
+		source.events = []replica.Event{cacheEvent(replica.EventStored, 7, "w1")}
 		subject.follow(context.Background())
 		Expect(source.err).To(MatchError(errResync))
 		Expect(subject.position).To(Equal(replica.Position{}))
 	})
 
 	It("puts a replica that reports other weights in quarantine, and forgets what it keeps", func() {
-		source.events = []replica.Event{keeps(replica.EventReset, 4, "w1"), reports("w2"), keeps(replica.EventStored, 5, "w1")}
+		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1"), reportEvent("w2"), cacheEvent(replica.EventStored, 5, "w1")}
 		subject.follow(context.Background())
 		Expect(subject.quarantine.Contains(feedAddress, "w1")).To(BeTrue())
 		Expect(overlap(subject.router, "w1")).To(BeZero())
 
 		By("reading everything again once they agree")
 		subject.expect("w2")
-		source.events = []replica.Event{reports("w2")}
+		source.events = []replica.Event{reportEvent("w2")}
 		subject.follow(context.Background())
 		Expect(source.err).To(MatchError(errResync))
 		Expect(subject.quarantine.Contains(feedAddress, "w2")).To(BeFalse())
-		source.events = []replica.Event{keeps(replica.EventReset, 6, "w2")}
+		source.events = []replica.Event{cacheEvent(replica.EventReset, 6, "w2")}
 		subject.follow(context.Background())
-		Expect(source.asked[len(source.asked)-1]).To(Equal(replica.Position{}))
+		Expect(source.positions[len(source.positions)-1]).To(Equal(replica.Position{}))
 		Expect(overlap(subject.router, "w2")).To(Equal(uint32(480)))
 	})
 
@@ -159,7 +159,7 @@
 		subject.health.SetPools(map[string][]outlier.Member{"pool": {{Address: feedAddress}}})
 		subject.health.Observe(0, feedAddress, outlier.Unreached)
 		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Suspected))
-		source.events = []replica.Event{reports("w1")}
+		source.events = []replica.Event{reportEvent("w1")}
 		subject.follow(context.Background())
 		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Healthy))
 	})
--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -123,12 +123,12 @@
 })
 
 var _ = Describe("A node that is asked", func() {
-	var answers *gossip.SnapshotServer
+	var snapshots *gossip.SnapshotServer
 	var live []member.Info
 	// changes is how many parts each back end keeps.
 	var changes int
 	BeforeEach(func() {
-		answers = gossip.NewSnapshotServer("self")
+		snapshots = gossip.NewSnapshotServer("self")
 		live = []member.Info{serving("one", "a"), serving("two", "b")}
 		changes = 400
 	})
@@ -141,31 +141,31 @@
 		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == gossip.SnapshotEnd, " ", addresses)
 	}
 	tick := func() []string {
-		return lo.Map(answers.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return sent(send) })
+		return lo.Map(snapshots.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return sent(send) })
 	}
 
 	It("tells what it knows in pieces, each tick about as much as a small link carries", func() {
-		answers.HandleRequest("one", []string{"a", "b", "unknown", "c", "d"})
+		snapshots.HandleRequest("one", []string{"a", "b", "unknown", "c", "d"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
 		Expect(tick()).To(Equal([]string{"one true [d]"}))
 		Expect(tick()).To(BeEmpty())
 	})
 
 	It("tells one after the other, and from the beginning to who asks again", func() {
-		answers.HandleRequest("one", []string{"a", "b", "c", "d"})
-		answers.HandleRequest("two", []string{"a"})
+		snapshots.HandleRequest("one", []string{"a", "b", "c", "d"})
+		snapshots.HandleRequest("two", []string{"a"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
-		answers.HandleRequest("one", []string{"a"})
+		snapshots.HandleRequest("one", []string{"a"})
 		Expect(tick()).To(Equal([]string{"two true [a]", "one true [a]"}))
 	})
 
 	It("says so at once if it knows nothing", func() {
-		answers.HandleRequest("one", nil)
+		snapshots.HandleRequest("one", nil)
 		Expect(tick()).To(Equal([]string{"one true []"}))
 	})
 
 	It("tells nothing to who is not live any more", func() {
-		answers.HandleRequest("gone", []string{"a"})
+		snapshots.HandleRequest("gone", []string{"a"})
 		Expect(tick()).To(BeEmpty())
 		live = append(live, serving("gone", "a"))
 		Expect(tick()).To(BeEmpty())
@@ -175,7 +175,7 @@
 		changes = 0
 		for number := range 40 {
 			live = append(live, serving(fmt.Sprint("asker ", number), "a"))
-			answers.HandleRequest(member.ID(fmt.Sprint("asker ", number)), []string{"a"})
+			snapshots.HandleRequest(member.ID(fmt.Sprint("asker ", number)), []string{"a"})
 		}
 		Expect(tick()).To(HaveLen(16))
 	})
--- a/internal/dataplane/native_edges.go
+++ b/internal/dataplane/native_edges.go
@@ -41,8 +41,8 @@
 }
 
 // WriteError implements CallerEdge.
-func (nativeCallerEdge) WriteError(writer http.ResponseWriter, problem *caller.Error) {
-	caller.WriteError(writer, problem)
+func (nativeCallerEdge) WriteError(writer http.ResponseWriter, callerError *caller.Error) {
+	caller.WriteError(writer, callerError)
 }
 
 // CompleteHeader implements CallerEdge.
@@ -51,8 +51,8 @@
 }
 
 // ErrorEvent implements CallerEdge.
-func (nativeCallerEdge) ErrorEvent(problem *caller.Error) []byte {
-	return caller.ErrorEvent(problem)
+func (nativeCallerEdge) ErrorEvent(callerError *caller.Error) []byte {
+	return caller.ErrorEvent(callerError)
 }
 
 // nativeReplicaEdge speaks the node's own protocol with replicas.
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -28,7 +28,7 @@
 func (d *dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
 	var unsent *outbound.Error
 	if errors.As(err, &unsent) && !unsent.MayHaveBeenSent {
-		w.problem = d.unsentProblem(w, unsent)
+		w.lastError = d.unsentError(w, unsent)
 		w.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
 		return
 	}
@@ -42,7 +42,7 @@
 		if !refusal.WrongTarget && chosen.hasSpareCapacity() {
 			w.health.Failed(d.server.options.Clock(), outlier.Refused)
 		}
-		w.problem = refusedProblem(refusal, d.server.options.BackendRetry)
+		w.lastError = refusedError(refusal, d.server.options.BackendRetry)
 		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
@@ -52,9 +52,9 @@
 	d.recordLoss(w, attempt, err)
 }
 
-// unsentProblem tells why nothing was sent, and counts it against the back end
+// unsentError tells why nothing was sent, and counts it against the back end
 // unless that is this node's own bound.
-func (d *dispatcher) unsentProblem(w *work, unsent *outbound.Error) *caller.Error {
+func (d *dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
 	wait := d.server.options.BackendRetry
 	var spent *outbound.ConnectionLimitError
 	if errors.As(unsent, &spent) {
@@ -83,7 +83,7 @@
 	default:
 		d.countUnlessCancelled(w, outlier.Reset)
 	}
-	w.problem = caller.NewError(caller.KindOutcomeUnknown,
+	w.lastError = caller.NewError(caller.KindOutcomeUnknown,
 		"the back end's answer was lost (%v): find out whether the request has run before you send it again", err)
 	w.apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: attempt})
 }
@@ -96,15 +96,15 @@
 	}
 }
 
-// refusedProblem tells of a back end that promised not to run the request.
-func refusedProblem(refusal *outbound.RefusedError, wait time.Duration) *caller.Error {
+// refusedError tells of a back end that promised not to run the request.
+func refusedError(refusal *outbound.RefusedError, wait time.Duration) *caller.Error {
 	return caller.NewError(caller.KindBackendRefused,
 		"the back end did not take the request (%v): send it again later", refusal).WithRetryAfter(max(refusal.RetryAfter, wait))
 }
 
-// budgetProblem tells of a retry that the budget does not permit. It keeps
+// budgetError tells of a retry that the budget does not permit. It keeps
 // what the last attempt's problem said.
-func budgetProblem(last *caller.Error) *caller.Error {
+func budgetError(last *caller.Error) *caller.Error {
 	reason := "an earlier attempt failed"
 	if last != nil {
 		reason = last.Message
@@ -122,15 +122,15 @@
 	case attempts.AbortRelay:
 		d.abortRelay(w)
 	case attempts.RespondNotRun:
-		w.refuse(w.finalProblem())
+		w.refuse(w.finalError())
 	case attempts.RespondUnknown:
-		problem := w.finalProblem()
-		problem.Kind = caller.KindOutcomeUnknown
-		w.refuse(problem)
+		callerError := w.finalError()
+		callerError.Kind = caller.KindOutcomeUnknown
+		w.refuse(callerError)
 	case attempts.RespondDeadline:
-		problem := deadlineProblem()
-		problem.MayHaveRun = w.tracker.MayHaveRun()
-		w.refuse(problem)
+		callerError := deadlineError()
+		callerError.MayHaveRun = w.tracker.MayHaveRun()
+		w.refuse(callerError)
 	case attempts.Abandon:
 		w.counters.countAbandoned()
 		w.failed = true
@@ -141,17 +141,17 @@
 	}
 }
 
-// finalProblem returns the last problem with the ledger's word on whether the
+// finalError returns the last problem with the ledger's word on whether the
 // request may have run.
-func (w *work) finalProblem() *caller.Error {
-	problem := w.problem
-	if problem == nil {
-		problem = caller.NewError(caller.KindNoBackend, "no attempt was possible: send the request again").WithRetryAfter(DefaultBackendRetry)
+func (w *work) finalError() *caller.Error {
+	callerError := w.lastError
+	if callerError == nil {
+		callerError = caller.NewError(caller.KindNoBackend, "no attempt was possible: send the request again").WithRetryAfter(DefaultBackendRetry)
 	}
 	// A lost claim may have let another node run the request.
-	problem.MayHaveRun = problem.MayHaveRun || w.tracker.MayHaveRun()
+	callerError.MayHaveRun = callerError.MayHaveRun || w.tracker.MayHaveRun()
 	if w.tracker.MayHaveRun() {
-		problem.RetryIsSafe = false
+		callerError.RetryIsSafe = false
 	}
-	return problem
+	return callerError
 }
--- a/internal/dataplane/partial_body_test.go
+++ b/internal/dataplane/partial_body_test.go
@@ -63,7 +63,7 @@
 		grace = 500 * time.Millisecond
 	)
 
-	DescribeTable("gets its answer at the route's time, and nothing runs", func(lines []string, part string) {
+	DescribeTable("gets its answer at the route's time, and nothing runs", func(lines []string, partial string) {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
@@ -75,7 +75,7 @@
 		Expect(response.StatusCode).To(Equal(http.StatusOK), "a whole request before it, on the same connection")
 
 		began := time.Now()
-		connection.write(promptHead(lines...) + part)
+		connection.write(promptHead(lines...) + partial)
 		response, _ = connection.answer()
 		took := time.Since(began)
 		Expect(response.StatusCode).To(Equal(http.StatusGatewayTimeout))
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -44,7 +44,7 @@
 func (b *poolBackend) choose(w *work) (target, *caller.Error) {
 	pool := b.newestPool(w)
 	if pool == nil || pool.Config.GetModel() != w.destination.Pool.Config.GetModel() {
-		return nil, noReplicaProblem(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, b.server.options.BackendRetry)
+		return nil, noReplicaError(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, b.server.options.BackendRetry)
 	}
 	now := b.server.options.Clock()
 	candidates := b.candidates(now, pool)
@@ -55,7 +55,7 @@
 		return selectionResultOf(err)
 	})
 	if err != nil {
-		return nil, noReplicaProblem(err, b.server.options.BackendRetry)
+		return nil, noReplicaError(err, b.server.options.BackendRetry)
 	}
 	chosen, _ := lo.Find(pool.Replicas, func(chosen routing.Replica) bool { return chosen.Address == decision.Address })
 	return &replicaTarget{
@@ -155,8 +155,8 @@
 // anonymousDomain is the sharing domain of requests without a key.
 const anonymousDomain = "anonymous"
 
-// noReplicaProblem tells why no replica was chosen.
-func noReplicaProblem(err error, wait time.Duration) *caller.Error {
+// noReplicaError tells why no replica was chosen.
+func noReplicaError(err error, wait time.Duration) *caller.Error {
 	kind := caller.KindNoBackend
 	var none *kvrouter.NoReplicaError
 	if errors.As(err, &none) {
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -64,15 +64,15 @@
 	w.failed = true
 	w.countAbort()
 	if w.writer.Header().Get("Content-Type") == caller.StreamType {
-		w.writeStreamProblem()
+		w.writeErrorEvent()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// writeStreamProblem tells of the cut inside the stream, where the protocol has
+// writeErrorEvent tells of the cut inside the stream, where the protocol has
 // a way to say so.
-func (w *work) writeStreamProblem() {
-	event := w.edges.Callers.ErrorEvent(w.truncationProblem())
+func (w *work) writeErrorEvent() {
+	event := w.edges.Callers.ErrorEvent(w.truncationError())
 	if len(event) == 0 {
 		return
 	}
@@ -89,16 +89,16 @@
 	w.counters.countTruncated()
 }
 
-// truncationProblem tells of an answer that was cut.
-func (w *work) truncationProblem() *caller.Error {
-	problem := w.finalProblem()
-	problem.Kind = caller.KindResponseTruncated
+// truncationError tells of an answer that was cut.
+func (w *work) truncationError() *caller.Error {
+	callerError := w.finalError()
+	callerError.Kind = caller.KindResponseTruncated
 	if deadlinePassed(w.ctx) {
-		problem = deadlineProblem()
+		callerError = deadlineError()
 	}
-	problem.MayHaveRun = true
-	problem.RequestID = w.requestID
-	return problem
+	callerError.MayHaveRun = true
+	callerError.RequestID = w.requestID
+	return callerError
 }
 
 // writeBuffered hands a whole answer on. The header was written before if the
--- a/internal/dataplane/request_recorder.go
+++ b/internal/dataplane/request_recorder.go
@@ -17,7 +17,7 @@
 	clock        func() time.Duration
 	firstByteAt  time.Duration
 	status       int
-	problem      caller.Kind
+	errorKind    caller.Kind
 	reusedTokens uint64
 	attempts     int
 }
@@ -42,13 +42,13 @@
 }
 
 // refused notes an error in place of an answer.
-func (w *responseObserver) refused(problem *caller.Error) {
+func (w *responseObserver) refused(callerError *caller.Error) {
 	if w == nil {
 		return
 	}
 	w.firstByteAt = w.clock()
-	w.status = problem.Status()
-	w.problem = problem.Kind
+	w.status = callerError.Status()
+	w.errorKind = callerError.Kind
 }
 
 // requestRecorder hands a record of each request on when it has ended. It
@@ -77,7 +77,7 @@
 		Streamed:     e.parsed.Streamed,
 		DeadlineMS:   e.parsed.Deadline.Milliseconds(),
 		Outcome:      e.outcome(),
-		Problem:      string(e.observer.problem),
+		Problem:      string(e.observer.errorKind),
 		Status:       e.observer.status,
 		Attempts:     e.observer.attempts,
 		ReusedTokens: e.observer.reusedTokens,
@@ -101,7 +101,7 @@
 // outcome tells how an exchange has ended for its caller.
 func (e *exchange) outcome() recording.Outcome {
 	switch {
-	case e.observer.problem != "":
+	case e.observer.errorKind != "":
 		return recording.Refused
 	case e.observer.status != 0 && !e.failed:
 		// A caller may hang up as soon as it has the last byte.
--- a/internal/dataplane/request_recorder_internal_test.go
+++ b/internal/dataplane/request_recorder_internal_test.go
@@ -24,7 +24,7 @@
 	},
 		Entry("answered", responseObserver{status: 200}, false, false, recording.Answered),
 		Entry("answered to a caller that hangs up after the last byte", responseObserver{status: 200}, false, true, recording.Answered),
-		Entry("refused", responseObserver{status: 503, problem: caller.KindNoBackend}, true, false, recording.Refused),
+		Entry("refused", responseObserver{status: 503, errorKind: caller.KindNoBackend}, true, false, recording.Refused),
 		Entry("cut", responseObserver{status: 200}, true, false, recording.Truncated),
 		Entry("left during the answer", responseObserver{status: 200}, true, true, recording.Left),
 		Entry("left before it", responseObserver{}, true, true, recording.Left))
--- a/internal/dataplane/route_matcher.go
+++ b/internal/dataplane/route_matcher.go
@@ -26,7 +26,7 @@
 	e.destination = route.Destination(r.sampler.next(e.host, route))
 	e.counters = r.destinations.state(e.destination)
 	if e.tenant == nil && !route.Config.GetPublic() {
-		e.refuse(unauthorizedProblem())
+		e.refuse(unauthorizedError())
 		return
 	}
 	next()
@@ -39,7 +39,7 @@
 func (*requestParser) handle(e *exchange, next func()) {
 	parsed, err := e.edges.Callers.Describe(e.request)
 	if err != nil {
-		e.refuse(asProblem(err))
+		e.refuse(asCallerError(err))
 		return
 	}
 	pool := e.destination.Pool
--- a/internal/dataplane/route_timeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -34,7 +34,7 @@
 	}
 	nothing := func(http.ResponseWriter, *http.Request) {}
 	head := func(writer http.ResponseWriter, _ *http.Request) { writer.(http.Flusher).Flush() }
-	part := func(writer http.ResponseWriter, _ *http.Request) {
+	partial := func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(writer, "a part")
 		writer.(http.Flusher).Flush()
@@ -62,7 +62,7 @@
 	},
 		Entry("no answer", stuck(nothing), false, false),
 		Entry("an answer without a body", stuck(head), false, false),
-		Entry("a part of an answer", stuck(part), false, false),
+		Entry("a part of an answer", stuck(partial), false, false),
 		Entry("a stream that stands still", stuck(streaming("a")), true, false),
 		Entry("a stream that stands still and may be taken up", stuck(streaming("a")), true, true),
 		Entry("a stream that goes on for ever", func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/dataplane/serving_check.go
+++ b/internal/dataplane/serving_check.go
@@ -17,12 +17,12 @@
 
 // handle implements handler.
 func (c *servingCheck) handle(e *exchange, next func()) {
-	view, problem := servingView(c.source)
-	if problem == nil && !view.Configured() {
-		problem = unconfiguredProblem()
+	view, callerError := servingView(c.source)
+	if callerError == nil && !view.Configured() {
+		callerError = unconfiguredError()
 	}
-	if problem != nil {
-		e.refuse(problem)
+	if callerError != nil {
+		e.refuse(callerError)
 		return
 	}
 	e.view = view
@@ -37,13 +37,13 @@
 	}
 	view := source.View()
 	if view == nil {
-		return nil, unconfiguredProblem()
+		return nil, unconfiguredError()
 	}
 	return view, nil
 }
 
-// unconfiguredProblem is the refusal of a node that can't know what is allowed.
-func unconfiguredProblem() *caller.Error {
+// unconfiguredError is the refusal of a node that can't know what is allowed.
+func unconfiguredError() *caller.Error {
 	return caller.NewError(caller.KindNotServing,
 		"this node has no configuration yet: send the request to another node or try again").WithRetryAfter(notServingRetry)
 }
--- a/internal/dataplane/tenant_limiter.go
+++ b/internal/dataplane/tenant_limiter.go
@@ -41,26 +41,26 @@
 	case admission.Queued:
 		return decision.Ticket, l.wait(ctx, arrival.Tenant, decision, granted, onQueued())
 	default:
-		return 0, admissionProblem(arrival.Tenant, decision)
+		return 0, admissionError(arrival.Tenant, decision)
 	}
 }
 
-// admissionProblem tells why a request was neither admitted nor queued.
-func admissionProblem(tenant string, decision admission.Decision) *caller.Error {
-	var problem *caller.Error
+// admissionError tells why a request was neither admitted nor queued.
+func admissionError(tenant string, decision admission.Decision) *caller.Error {
+	var callerError *caller.Error
 	switch decision.Outcome {
 	case admission.RefusedRate:
-		problem = caller.NewError(caller.KindRateLimited,
+		callerError = caller.NewError(caller.KindRateLimited,
 			"tenant %q sends more requests a second than it may: slow down", tenant)
 	case admission.RefusedDeadline:
-		problem = caller.NewError(caller.KindDeadlineUnreachable,
+		callerError = caller.NewError(caller.KindDeadlineUnreachable,
 			"so many requests of tenant %q wait on this node that the deadline would pass first: come back, or send a larger %s",
 			tenant, caller.HeaderDeadline)
 	default:
-		problem = caller.NewError(caller.KindQueueFull,
+		callerError = caller.NewError(caller.KindQueueFull,
 			"tenant %q has as many requests running and waiting as it may: wait for some to finish", tenant)
 	}
-	return problem.WithRetryAfter(decision.RetryAfter)
+	return callerError.WithRetryAfter(decision.RetryAfter)
 }
 
 // arrive enters a request. The channel is nil unless the request waits.
@@ -88,7 +88,7 @@
 	case <-bodyFailed:
 	}
 	if l.abandon(tenant, decision.Ticket) {
-		return queueTimeoutProblem(ctx, tenant)
+		return queueTimeoutError(ctx, tenant)
 	}
 	// The grant came at the same moment and counts.
 	return nil
@@ -130,10 +130,10 @@
 	l.controller.Retain(func(tenant string) bool { return names[tenant] })
 }
 
-// queueTimeoutProblem is the refusal of a request that has waited in vain.
-func queueTimeoutProblem(ctx context.Context, tenant string) *caller.Error {
+// queueTimeoutError is the refusal of a request that has waited in vain.
+func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
 	if deadlinePassed(ctx) {
-		return deadlineProblem()
+		return deadlineError()
 	}
 	return caller.NewError(caller.KindQueueTimeout,
 		"no place became free for tenant %q in time: send fewer requests at a time", tenant).WithRetryAfter(time.Second)
@@ -165,9 +165,9 @@
 
 // handle implements handler.
 func (t *tenantLimiter) handle(e *exchange, next func()) {
-	ticket, problem := t.limiter.acquire(e.ctx, t.arrival(e), func() <-chan struct{} { return t.readBodyWhileQueued(e) })
-	if problem != nil {
-		e.refuse(cmp.Or(e.bodyReadProblem(), problem))
+	ticket, callerError := t.limiter.acquire(e.ctx, t.arrival(e), func() <-chan struct{} { return t.readBodyWhileQueued(e) })
+	if callerError != nil {
+		e.refuse(cmp.Or(e.bodyReadError(), callerError))
 		return
 	}
 	defer t.limiter.release(ticket)
@@ -184,7 +184,7 @@
 	e.pending = newPendingBody()
 	go func() {
 		t.bodies.readPending(e)
-		if e.pending.problem != nil {
+		if e.pending.callerError != nil {
 			close(failed)
 		}
 	}()
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -37,7 +37,7 @@
 func (b *webBackend) choose(w *work) (target, *caller.Error) {
 	service := b.newestService(w)
 	if service == nil {
-		return nil, noWebBackendProblem().WithRetryAfter(b.server.options.BackendRetry)
+		return nil, noWebBackendError().WithRetryAfter(b.server.options.BackendRetry)
 	}
 	now := b.server.options.Clock()
 	var chosen routing.Replica
@@ -52,7 +52,7 @@
 		return health.Found
 	})
 	if !found {
-		return nil, noWebBackendProblem().WithRetryAfter(b.server.options.BackendRetry)
+		return nil, noWebBackendError().WithRetryAfter(b.server.options.BackendRetry)
 	}
 	return &webTarget{backend: b, chosen: chosen, limits: service.Config.GetBackends()}, nil
 }
@@ -90,8 +90,8 @@
 	return best, found
 }
 
-// noWebBackendProblem tells that no back end admits requests.
-func noWebBackendProblem() *caller.Error {
+// noWebBackendError tells that no back end admits requests.
+func noWebBackendError() *caller.Error {
 	return caller.NewError(caller.KindNoBackend,
 		"no back end of the web service takes requests: send the request again")
 }
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -14,15 +14,15 @@
 // node is a controller with the tenants of its tickets.
 type node struct {
 	*admission.Controller
-	owners map[admission.Ticket]string
-	held   map[string][]admission.Ticket
+	owners  map[admission.Ticket]string
+	running map[string][]admission.Ticket
 }
 
 func newNode(options admission.Options) *node {
 	return &node{
 		Controller: admission.New(options),
 		owners:     map[admission.Ticket]string{},
-		held:       map[string][]admission.Ticket{},
+		running:    map[string][]admission.Ticket{},
 	}
 }
 
@@ -30,19 +30,19 @@
 	decision := n.Arrive(now, admission.Arrival{Tenant: tenant, Limits: admission.Limits{Weight: weight}})
 	n.owners[decision.Ticket] = tenant
 	if decision.Outcome == admission.Admitted {
-		n.held[tenant] = append(n.held[tenant], decision.Ticket)
+		n.running[tenant] = append(n.running[tenant], decision.Ticket)
 	}
 	return decision
 }
 
 // release ends a tenant's oldest request, and returns who got its place.
 func (n *node) release(now time.Duration, tenant string) []string {
-	ticket := n.held[tenant][0]
-	n.held[tenant] = n.held[tenant][1:]
+	ticket := n.running[tenant][0]
+	n.running[tenant] = n.running[tenant][1:]
 	var granted []string
 	for _, next := range n.Release(now, ticket) {
 		owner := n.owners[next]
-		n.held[owner] = append(n.held[owner], next)
+		n.running[owner] = append(n.running[owner], next)
 		granted = append(granted, owner)
 	}
 	return granted
@@ -74,13 +74,13 @@
 		}
 		for turn := range 40 {
 			for _, tenant := range []string{"storm", "court"} {
-				if len(full.held[tenant]) > 0 {
+				if len(full.running[tenant]) > 0 {
 					full.release(time.Duration(turn)*time.Second, tenant)
 				}
 			}
 		}
-		Expect(full.held["storm"]).To(HaveLen(2))
-		Expect(full.held["court"]).To(HaveLen(4))
+		Expect(full.running["storm"]).To(HaveLen(2))
+		Expect(full.running["court"]).To(HaveLen(4))
 	})
 
 	It("keeps the reserved places for tenants that hold less than their share", func() {
@@ -90,7 +90,7 @@
 		for range 10 {
 			full.arrive(0, "storm", 1)
 		}
-		Expect(full.held["storm"]).To(HaveLen(4))
+		Expect(full.running["storm"]).To(HaveLen(4))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Admitted))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Admitted))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Queued))
@@ -165,22 +165,22 @@
 			explored.owners[decision.Ticket] = tenant
 			switch decision.Outcome {
 			case admission.Admitted:
-				explored.held[tenant] = append(explored.held[tenant], decision.Ticket)
+				explored.running[tenant] = append(explored.running[tenant], decision.Ticket)
 			case admission.Queued:
 				Expect(decision.Until).To(BeNumerically("<=", deadline))
 				waiting[decision.Ticket] = decision.Until
 			default:
 				Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 			}
-		case action == 3 && len(explored.held[tenant]) > 0:
-			ticket := explored.held[tenant][0]
-			explored.held[tenant] = explored.held[tenant][1:]
+		case action == 3 && len(explored.running[tenant]) > 0:
+			ticket := explored.running[tenant][0]
+			explored.running[tenant] = explored.running[tenant][1:]
 			for _, next := range explored.Release(now, ticket) {
 				Expect(waiting).To(HaveKey(next))
 				Expect(waiting[next]).To(BeNumerically(">", now))
 				delete(waiting, next)
 				owner := explored.owners[next]
-				explored.held[owner] = append(explored.held[owner], next)
+				explored.running[owner] = append(explored.running[owner], next)
 			}
 		default:
 			for ticket := range waiting {
@@ -190,7 +190,7 @@
 			}
 		}
 		total := 0
-		for _, running := range explored.held {
+		for _, running := range explored.running {
 			if limits.Concurrent > 0 {
 				Expect(len(running)).To(BeNumerically("<=", int(limits.Concurrent)))
 			}
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -153,7 +153,7 @@
 
 	DescribeTable("of a stream, over every short input sequence", func(resumable bool) {
 		options := attempts.Options{Repeatable: resumable, Resumable: resumable, MaxAttempts: 2}
-		takenUp, aborted := 0, 0
+		resumed, aborted := 0, 0
 		explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
 			started, ended := false, false
 			for _, event := range events {
@@ -168,7 +168,7 @@
 			case attempts.RespondNotRun, attempts.RespondUnknown, attempts.RespondDeadline:
 				Fail("an answer of the node's own after a part of a back end's: " + describe(events))
 			case attempts.Dispatch:
-				takenUp++
+				resumed++
 				Expect(actual.running()).To(BeZero(), describe(events))
 				Expect(ended).To(BeFalse(), describe(events))
 				Expect(action.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), describe(events))
@@ -177,7 +177,7 @@
 				Expect(actual.running()).To(BeZero(), describe(events))
 			}
 		})
-		Expect(takenUp > 0).To(Equal(resumable))
+		Expect(resumed > 0).To(Equal(resumable))
 		Expect(aborted).To(BeNumerically(">", 0))
 	},
 		Entry("that may be taken up", true),
