--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -86,7 +86,7 @@
 func (d *dispatcher) handle(e *exchange, _ func()) {
 	w := &work{exchange: e}
 	w.tracker = attempts.New(attempts.Options{
-		Repeatable:  e.parsed.Idempotent,
+		Idempotent:  e.parsed.Idempotent,
 		Resumable:   e.route.Config.GetResumable(),
 		MaxAttempts: e.maxAttempts(d.server.options.MaxAttempts),
 		MaxUnsent:   d.server.options.MaxUnsent,
--- a/internal/dataplane/duplicates/register.go
+++ b/internal/dataplane/duplicates/register.go
@@ -24,8 +24,8 @@
 
 // registerEntry is the state of one key.
 type registerEntry struct {
-	// repeatable reports whether all submissions with the key may run again.
-	repeatable bool
+	// idempotent reports whether all submissions with the key may run again.
+	idempotent bool
 	// running and finished count the submissions with the key.
 	running, finished int
 }
@@ -65,15 +65,15 @@
 
 // Begin records a request that is about to run. It reports false, and records nothing,
 // if the key is known and either submission may not run again.
-func (r *Register) Begin(now time.Duration, key Key, repeatable bool) bool {
+func (r *Register) Begin(now time.Duration, key Key, idempotent bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.expire(now)
 	entry, found := r.entries[key]
-	if found && (!entry.repeatable || !repeatable) {
+	if found && (!entry.idempotent || !idempotent) {
 		return false
 	}
-	entry.repeatable = repeatable
+	entry.idempotent = idempotent
 	entry.running++
 	r.entries[key] = entry
 	return true
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -66,8 +66,8 @@
 	Remaining time.Duration
 	// Priority of the request, 0 first.
 	Priority uint32
-	// Repeatable tells whether the request may run more than once.
-	Repeatable bool
+	// Idempotent tells whether the request may run more than once.
+	Idempotent bool
 	// Streamed tells whether the caller wants a stream of events.
 	Streamed bool
 	// ResumeAfter is the identity of the last event of an earlier attempt after
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -83,7 +83,7 @@
 		AttemptID:   server.ids.next(),
 		Number:      number,
 		Priority:    w.view.Priority(w.tenant, w.route),
-		Repeatable:  w.parsed.Idempotent,
+		Idempotent:  w.parsed.Idempotent,
 		Streamed:    w.parsed.Streamed,
 		ResumeAfter: w.lastEventID,
 		Request:     w.request,
--- a/internal/dataplane/health/tracker.go
+++ b/internal/dataplane/health/tracker.go
@@ -86,7 +86,7 @@
 	settings.Node = string(options.Member)
 	log := options.Log
 	settings.Changed = func(address string, ejected bool) {
-		log.WithFields(logrus.Fields{"backend": address, "ejected": ejected}).Info("a back end has left or joined the choice by its outcomes")
+		log.WithFields(logrus.Fields{"backend": address, "ejected": ejected}).Info("a back end was ejected or readmitted by its outcomes")
 	}
 	return &Tracker{
 		Detector: outlier.New(settings),
--- a/internal/dataplane/native_edges.go
+++ b/internal/dataplane/native_edges.go
@@ -85,7 +85,7 @@
 		AttemptID:    attempt.AttemptID,
 		Attempt:      attempt.Number,
 		OutputTokens: attempt.Generation.OutputTokens,
-		Idempotent:   attempt.Repeatable,
+		Idempotent:   attempt.Idempotent,
 		Streamed:     attempt.Streamed,
 		Extra:        caller.PassThrough(attempt.Request.Header),
 		ContentType:  attempt.Request.Header.Get("Content-Type"),
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -69,7 +69,7 @@
 // and follows a ledger that was told of the request's repeatability.
 func dispatchTwice(toldRepeatable bool) *checker.Records {
 	records := &checker.Records{Requests: []checker.Request{{ID: "once"}}}
-	ledger := attempts.New(attempts.Options{Repeatable: toldRepeatable, MaxAttempts: 3})
+	ledger := attempts.New(attempts.Options{Idempotent: toldRepeatable, MaxAttempts: 3})
 	for ledger.Next().Kind == attempts.Dispatch {
 		number := ledger.Next().Attempt
 		for _, kind := range []attempts.EventKind{
--- a/pkg/attempts/event.go
+++ b/pkg/attempts/event.go
@@ -1,6 +1,6 @@
 package attempts
 
-// State is what the ledger knows of one attempt.
+// State is the state of one attempt.
 type State int
 
 // The states of an attempt. Only RefusedNotRun excludes that the back end ran
@@ -13,28 +13,28 @@
 	Connecting
 	// Sent means that at least one byte of the request may have left.
 	Sent
-	// Responded means that the back end's answer has begun or is complete.
+	// Responded means that the back end's response has started or is complete.
 	Responded
 	// RefusedNotRun means that no byte of the request left, or that the back
 	// end promised not to run it.
 	RefusedNotRun
-	// Unknown means that the attempt was sent and its end will not be learnt.
+	// Unknown means that the attempt was sent and its outcome will never be known.
 	Unknown
 )
 
 // String returns the state's name.
 func (s State) String() string {
-	names := [...]string{"planned", "connecting", "sent", "answered", "refused-not-run", "unknown"}
+	names := [...]string{"planned", "connecting", "sent", "responded", "refused-not-run", "unknown"}
 	if s < 0 || int(s) >= len(names) {
 		return "invalid"
 	}
 	return names[s]
 }
 
-// EventKind names an input of the ledger.
+// EventKind names an input of a Tracker.
 type EventKind int
 
-// The inputs of the ledger.
+// The inputs of a Tracker.
 const (
 	// AttemptPlanned opens the next attempt.
 	AttemptPlanned EventKind = iota
@@ -46,15 +46,15 @@
 	NotSent
 	// Refused says that the back end promised not to run the request.
 	Refused
-	// ResponseStarted says that the answer's first bytes go to the caller.
+	// ResponseStarted says that the first bytes of the response go to the caller.
 	ResponseStarted
-	// ResponseCompleted says that the whole answer has been received.
+	// ResponseCompleted says that the response has been received completely.
 	ResponseCompleted
-	// OutcomeLost says that the attempt's end will not be learnt.
+	// OutcomeLost says that the outcome of the attempt will never be known.
 	OutcomeLost
-	// DeadlineExceeded says that the request's time is up.
+	// DeadlineExceeded says that the deadline of the request has passed.
 	DeadlineExceeded
-	// CallerDisconnected says that nobody waits for the answer any more.
+	// CallerDisconnected says that nobody waits for the response any more.
 	CallerDisconnected
 	// AttemptsExhausted says that no further attempt is possible or permitted.
 	AttemptsExhausted
@@ -63,8 +63,8 @@
 // String returns the event's name.
 func (k EventKind) String() string {
 	names := [...]string{
-		"attempt-planned", "connect-started", "bytes-may-have-left", "not-sent", "refused", "answer-began",
-		"answer-completed", "end-lost", "deadline-passed", "caller-left", "attempts-exhausted",
+		"attempt-planned", "connect-started", "bytes-may-have-left", "not-sent", "refused", "response-started",
+		"response-completed", "outcome-lost", "deadline-exceeded", "caller-disconnected", "attempts-exhausted",
 	}
 	if k < 0 || int(k) >= len(names) {
 		return "invalid"
@@ -72,7 +72,7 @@
 	return names[k]
 }
 
-// Event is one input of the ledger.
+// Event is one input of a Tracker.
 type Event struct {
 	Kind EventKind
 	// Attempt is the number of the attempt, from 1. It is 0 for events that
@@ -82,38 +82,38 @@
 	Address string
 }
 
-// ActionKind tells what is to be done next.
+// ActionKind names what is to be done next.
 type ActionKind int
 
-// The moves that a ledger asks for.
+// The actions that a Tracker asks for.
 const (
-	// Dispatch asks for attempt number Move.Attempt.
+	// Dispatch asks for attempt number Action.Attempt.
 	Dispatch ActionKind = iota
-	// Wait says that attempt Move.Attempt is still running.
+	// Wait says that attempt Action.Attempt is still running.
 	Wait
-	// Cancel asks for the end of attempt Move.Attempt, which is still running.
+	// Cancel asks to cancel attempt Action.Attempt, which is still running.
 	Cancel
-	// Relay asks to hand on the answer of attempt Move.Attempt.
+	// Relay asks to relay the response of attempt Action.Attempt.
 	Relay
-	// AbortRelay asks to end an answer that was cut, so that it cannot be
-	// taken for a complete one.
+	// AbortRelay asks to end a truncated response, so that it cannot be mistaken
+	// for a complete one.
 	AbortRelay
 	// RespondNotRun asks for an error which says that the request has not run.
 	RespondNotRun
 	// RespondUnknown asks for an error which says that the request may have
 	// run.
 	RespondUnknown
-	// RespondDeadline asks for an error which says that the time is up.
+	// RespondDeadline asks for an error which says that the deadline has passed.
 	RespondDeadline
-	// Abandon says that nobody waits for an answer.
+	// Abandon says that nobody waits for a response.
 	Abandon
 )
 
-// String returns the move's name.
+// String returns the name of the action.
 func (k ActionKind) String() string {
 	names := [...]string{
-		"dispatch", "wait", "cancel", "relay", "abort-relay", "answer-not-run", "answer-unknown",
-		"answer-deadline", "abandon",
+		"dispatch", "wait", "cancel", "relay", "abort-relay", "respond-not-run", "respond-unknown",
+		"respond-deadline", "abandon",
 	}
 	if k < 0 || int(k) >= len(names) {
 		return "invalid"
@@ -124,6 +124,6 @@
 // Action is what is to be done next for the request.
 type Action struct {
 	Kind ActionKind
-	// Attempt is the attempt that the move concerns, from 1, or 0.
+	// Attempt is the number of the attempt that the action concerns, from 1, or 0.
 	Attempt int
 }
--- a/pkg/attempts/next_action.go
+++ b/pkg/attempts/next_action.go
@@ -1,6 +1,6 @@
 package attempts
 
-// Next derives the next move from the ledger.
+// Next returns the next action. It changes nothing.
 func (l *Tracker) Next() Action {
 	if action, decided := l.actionForAttempt(); decided {
 		return action
@@ -20,7 +20,8 @@
 	return Action{Kind: RespondNotRun}
 }
 
-// actionForAttempt returns the move that an answered or running attempt decides.
+// actionForAttempt returns the action that a completed or running attempt requires, if
+// there is one.
 func (l *Tracker) actionForAttempt() (Action, bool) {
 	for position, record := range l.records {
 		number := position + 1
@@ -37,8 +38,8 @@
 	return Action{}, false
 }
 
-// truncatedRelay returns the number of the last attempt of whose answer only a part
-// went to the caller, or 0.
+// truncatedRelay returns the number of the last attempt whose response went to the
+// caller in part only, or 0.
 func (l *Tracker) truncatedRelay() int {
 	for position := len(l.records) - 1; position >= 0; position-- {
 		if record := l.records[position]; record.State == Unknown && record.Relayed {
@@ -48,13 +49,13 @@
 	return 0
 }
 
-// mayResume tells whether another attempt may go on where a cut answer ended.
+// mayResume reports whether another attempt may resume a truncated response.
 func (l *Tracker) mayResume() bool {
 	return l.options.Resumable && !l.callerDisconnected && !l.deadlineExceeded && l.attemptsRemain()
 }
 
 // actionWhileRunning decides over an attempt that has not ended. It is cancelled
-// as soon as nobody can use its answer.
+// as soon as nobody can use its response.
 func (l *Tracker) actionWhileRunning(record Record) ActionKind {
 	if l.callerDisconnected || l.deadlineExceeded {
 		return Cancel
@@ -65,15 +66,15 @@
 	return Wait
 }
 
-// mayDispatch tells whether another attempt is permitted.
+// mayDispatch reports whether another attempt is permitted.
 func (l *Tracker) mayDispatch() bool {
 	if !l.attemptsRemain() {
 		return false
 	}
-	return l.options.Repeatable || !l.MayHaveRun()
+	return l.options.Idempotent || !l.MayHaveRun()
 }
 
-// attemptsRemain tells whether the bounds permit another attempt.
+// attemptsRemain reports whether the bounds permit another attempt.
 func (l *Tracker) attemptsRemain() bool {
 	counted := len(l.records) - min(l.unsent(), l.options.MaxUnsent)
 	return !l.exhausted && counted < l.options.MaxAttempts
--- a/pkg/attempts/tracker.go
+++ b/pkg/attempts/tracker.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Options are the rules that a request brings with it.
+// Options are the rules for the attempts of one request.
 type Options struct {
-	// Repeatable permits a further attempt after one that may have run.
-	Repeatable bool
-	// Resumable permits a further attempt after one of whose answer a part went
-	// to the caller, which goes on behind that part.
+	// Idempotent permits a further attempt after one that may have run.
+	Idempotent bool
+	// Resumable permits a further attempt after one whose response was relayed in
+	// part; it resumes after that part.
 	Resumable bool
 	// MaxAttempts bounds the attempts; at least 1.
 	MaxAttempts int
@@ -16,25 +16,25 @@
 	MaxUnsent int
 }
 
-// Record is one attempt in the ledger.
+// Record is the state of one attempt.
 type Record struct {
 	Address string
 	State   State
-	// Relayed tells that a part of this attempt's answer went to the caller.
+	// Relayed reports whether a part of the response went to the caller.
 	Relayed bool
-	// Complete tells that the whole answer has been received.
+	// Complete reports whether the response has been received completely.
 	Complete bool
-	// Unsent tells that the attempt ended before any byte could leave.
+	// Unsent reports whether the attempt ended before any byte could leave.
 	Unsent bool
 }
 
-// mayHaveRun tells whether the back end may have run the request. Connecting
+// mayHaveRun reports whether the back end may have run the request. Connecting
 // counts, because bytes may leave at any moment of it.
 func (r Record) mayHaveRun() bool {
 	return r.State != Planned && r.State != RefusedNotRun
 }
 
-// running tells whether the attempt has not ended.
+// running reports whether the attempt has not ended.
 func (r Record) running() bool {
 	switch r.State {
 	case Planned, Connecting, Sent:
@@ -55,7 +55,7 @@
 	exhausted          bool
 }
 
-// TransitionError says that an event does not fit the ledger.
+// TransitionError reports an event that does not fit the state of a Tracker.
 type TransitionError struct {
 	Event Event
 	// State is the state of the attempt that the event names, if there is one.
@@ -70,7 +70,7 @@
 		e.Event.Attempt, e.Event.Kind, e.Reason)
 }
 
-// New returns an empty ledger.
+// New returns a Tracker without attempts.
 func New(options Options) *Tracker {
 	if options.MaxAttempts < 1 {
 		options.MaxAttempts = 1
@@ -83,7 +83,7 @@
 	return append([]Record(nil), l.records...)
 }
 
-// MayHaveRun tells whether any attempt may have run the request.
+// MayHaveRun reports whether any attempt may have run the request.
 func (l *Tracker) MayHaveRun() bool {
 	for _, record := range l.records {
 		if record.mayHaveRun() {
@@ -109,12 +109,12 @@
 	return count
 }
 
-// CallerDisconnected tells whether nobody waits for the answer any more.
+// CallerDisconnected reports whether nobody waits for the response any more.
 func (l *Tracker) CallerDisconnected() bool {
 	return l.callerDisconnected
 }
 
-// Apply enters an event. A *TransitionError leaves the ledger as it was.
+// Apply applies an event. A *TransitionError leaves the Tracker as it was.
 func (l *Tracker) Apply(event Event) error {
 	switch event.Kind {
 	case DeadlineExceeded:
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// plan opens an attempt, which only the ledger's own move permits.
+// plan adds an attempt. It is permitted only where the next action is to dispatch it.
 func (l *Tracker) plan(event Event) error {
 	next := l.Next()
 	if next.Kind != Dispatch || next.Attempt != event.Attempt {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// advance moves one attempt on.
+// advance applies an event to one attempt.
 func (l *Tracker) advance(event Event) error {
 	if event.Attempt < 1 || event.Attempt > len(l.records) {
 		return &TransitionError{Event: event, Reason: "there is no such attempt"}
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -115,7 +115,7 @@
 
 var _ = Describe("Ledger", func() {
 	DescribeTable("over every short input sequence", func(repeatable bool) {
-		options := attempts.Options{Repeatable: repeatable, MaxAttempts: 3}
+		options := attempts.Options{Idempotent: repeatable, MaxAttempts: 3}
 		visited := explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
 			action := tracker.Next()
 			if tracker.MayHaveRun() != (actual.possibleRuns() > 0) {
@@ -152,7 +152,7 @@
 	)
 
 	DescribeTable("of a stream, over every short input sequence", func(resumable bool) {
-		options := attempts.Options{Repeatable: resumable, Resumable: resumable, MaxAttempts: 2}
+		options := attempts.Options{Idempotent: resumable, Resumable: resumable, MaxAttempts: 2}
 		resumed, aborted := 0, 0
 		explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
 			started, ended := false, false
@@ -185,7 +185,7 @@
 	)
 
 	It("never dispatches again once a part of an answer was handed on", func() {
-		tracker := replay(attempts.Options{Repeatable: true, MaxAttempts: 3}, []attempts.Event{
+		tracker := replay(attempts.Options{Idempotent: true, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
 			{Kind: attempts.BytesMayHaveLeft, Attempt: 1},
@@ -209,7 +209,7 @@
 	})
 
 	DescribeTable("the next move", func(repeatable bool, last attempts.EventKind, expected attempts.ActionKind) {
-		tracker := replay(attempts.Options{Repeatable: repeatable, MaxAttempts: 3}, []attempts.Event{
+		tracker := replay(attempts.Options{Idempotent: repeatable, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
 		})
 		if last != attempts.NotSent {
