--- a/pkg/replication/group_change_test.go
+++ b/pkg/replication/group_change_test.go
@@ -183,3 +183,45 @@
 		Expect(again.Status().Slots).To(Equal(slotsWithLearner()))
 	})
 })
+
+var _ = Describe("a change of an elastic group", func() {
+	It("drops a voter without a successor, and takes a new one in at the end", func() {
+		g := electedLeader()
+		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
+		Expect(problemOf(g.ProposeGroupChange(electedAt, replication.GroupChange{
+			Kind: replication.ChangeAddVoter, Voter: replication.Voter{ID: "n4", Incarnation: 1},
+		}))).To(Equal(replication.ProblemNotCaughtUp))
+		g.SetPeers(electedAt, []replication.Peer{{ID: "n4"}})
+		later := electedAt + heartbeatEvery
+		g.Tick(later)
+		drainReadies(g)
+		Expect(g.Step(later, "n4", heartbeatReply(2))).To(Succeed())
+		Expect(g.Step(later, "n4", appendReply(2, 2))).To(Succeed())
+		add := replication.GroupChange{Kind: replication.ChangeAddVoter, Voter: replication.Voter{ID: "n4", Incarnation: 1}}
+		drop := replication.GroupChange{Kind: replication.ChangeRemoveVoter, Voter: lostN3}
+		Expect(g.ProposeGroupChange(later, drop)).To(Succeed())
+		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2")))
+		Expect(problemOf(g.ProposeGroupChange(later, add))).To(Equal(replication.ProblemChangePending))
+		drainReadies(g)
+		Expect(g.Step(later, "n2", appendReply(2, 3))).To(Succeed())
+		Expect(g.Step(later, "n4", appendReply(2, 3))).To(Succeed())
+		Expect(g.ProposeGroupChange(later, add)).To(Succeed())
+		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2", "n4")))
+	})
+
+	It("drops a reserved slot whose member stays unresponsive", func() {
+		g := leaderWithCommittedBarrier()
+		Expect(problemOf(g.ProposeGroupChange(electedAt, replication.GroupChange{
+			Kind: replication.ChangeDropSlot, Voter: lostN3,
+		}))).To(Equal(replication.ProblemNoSuchSlot))
+		Expect(g.ProposeGroupChange(electedAt, removeLostN3)).To(Succeed())
+		unheard := electedAt + electionTimeout
+		acknowledgeHeartbeatsUntil(g, electedAt, unheard)
+		Expect(g.Step(unheard, "n2", appendReply(2, 3))).To(Succeed())
+		end := electedAt + replication.DefaultRemoveAfter
+		acknowledgeHeartbeatsUntil(g, unheard, end-heartbeatEvery)
+		Expect(g.Status().Slots).To(Equal(slotsWithLearner()))
+		acknowledgeHeartbeatsUntil(g, end-heartbeatEvery, end+heartbeatEvery)
+		Expect(g.Status().Slots).To(Equal(founderSlots("n1", "n2")))
+	})
+})
