--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -262,8 +262,8 @@
 			runScript(disk)
 			log, before, err := Open(disk, logName)
 			Expect(err).NotTo(HaveOccurred())
-			var refused *OrderError
-			Expect(log.Save(ready)).To(BeAssignableToTypeOf(refused))
+			var rejected *OrderError
+			Expect(log.Save(ready)).To(BeAssignableToTypeOf(rejected))
 			_, after, err := Open(disk, logName)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(after).To(Equal(before))
--- a/pkg/replication/heartbeat.go
+++ b/pkg/replication/heartbeat.go
@@ -6,8 +6,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// heartbeats are those of one leadership, numbered from 1 in the order of sending.
-// What a majority replies to one was confirmed after it was sent.
+// heartbeats are those of one leadership, numbered from 1 in the order of sending. A
+// majority that acknowledges one confirms that the leader was not replaced before it
+// was sent.
 type heartbeats struct {
 	// number and sentAt are those of the newest heartbeat.
 	number uint64
--- a/pkg/replication/invalid_input_test.go
+++ b/pkg/replication/invalid_input_test.go
@@ -11,8 +11,8 @@
 var _ = Describe("invalid input", func() {
 	It("is rejected when no correct member sends it, and changes nothing", func() {
 		g := newMember("n1", "n1", "n2", "n3")
-		var refused *replication.MessageError
-		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat})).To(BeAssignableToTypeOf(refused))
+		var rejected *replication.MessageError
+		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat})).To(BeAssignableToTypeOf(rejected))
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 2, entry(1, 1), entry(2, 1)))).To(Succeed())
 		before := g.Status()
 		for _, m := range []replication.Message{
@@ -25,11 +25,11 @@
 			appendMessage(1, 2, 1, 2, replication.Entry{Index: 3, Term: 1, Kind: replication.EntryGroupChange}),
 			appendMessage(2, 1, 1, 2, entry(2, 2)),
 		} {
-			Expect(g.Step(0, "n2", m)).To(BeAssignableToTypeOf(refused))
+			Expect(g.Step(0, "n2", m)).To(BeAssignableToTypeOf(rejected))
 		}
-		Expect(g.Step(0, "n9", appendMessage(1, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
+		Expect(g.Step(0, "n9", appendMessage(1, 2, 1, 2))).To(BeAssignableToTypeOf(rejected))
 		Expect(g.Status()).To(Equal(before))
-		Expect(g.Step(0, "n3", appendMessage(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(refused))
+		Expect(g.Step(0, "n3", appendMessage(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(rejected))
 	})
 
 	It("is answered with the name of the leader when a caller asks another member", func() {
--- a/pkg/replication/random_test.go
+++ b/pkg/replication/random_test.go
@@ -104,7 +104,7 @@
 			c.drain(n)
 		}
 	case roll < 83:
-		// Compacting twice at one index is refused, which is fine here.
+		// Compacting twice at one index is rejected, which is fine here.
 		_ = c.compact(n)
 	case roll < 84 && c.neverRepaired && !c.wiped:
 		c.wiped = true
