--- a/internal/dataplane/authenticator.go
+++ b/internal/dataplane/authenticator.go
@@ -5,13 +5,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// requestIdentifier gives every request an identity, so that each refusal names it.
+// requestIdentifier gives every request an identity, so that each refusal carries it.
 type requestIdentifier struct {
 	ids *idGenerator
 }
 
-// handle implements handler. An identity that cannot be used is replaced here
-// and refused when the headers are read.
+// handle implements handler. An identity that cannot be used is replaced here, and
+// refused when the headers are parsed.
 func (n *requestIdentifier) handle(e *exchange, next func()) {
 	e.requestID = e.edges.Callers.RequestID(e.request.Header)
 	if e.requestID == "" || len(e.requestID) > caller.MaxRequestIDBytes {
@@ -20,8 +20,8 @@
 	next()
 }
 
-// authenticator finds the tenant of the request's key. Whether a tenant is
-// needed is decided by the route.
+// authenticator finds the tenant of the request's key. Whether a tenant is required is
+// decided by the route.
 type authenticator struct{}
 
 // handle implements handler.
@@ -34,8 +34,7 @@
 	next()
 }
 
-// keyStillValid tells whether a view admits the request's key for the same
-// tenant.
+// keyStillValid reports whether a view admits the request's key for the same tenant.
 func (e *exchange) keyStillValid(view *routing.View) bool {
 	if e.tenant == nil {
 		return true
--- a/internal/dataplane/body_reader.go
+++ b/internal/dataplane/body_reader.go
@@ -14,12 +14,12 @@
 // maxPreallocatedBytes bounds the buffer that a declared length gets in advance.
 const maxPreallocatedBytes = 64 << 10
 
-// unreadBodyGrace is how long a refusal waits for the rest of a body that nobody
-// reads, so that the connection may go on.
+// unreadBodyGrace is how long a refusal waits for the rest of a body that nobody reads,
+// so that the connection can be reused.
 const unreadBodyGrace = 200 * time.Millisecond
 
-// bodyReader reads the caller's body whole, so that every attempt sends the
-// same bytes and a caller that sends slowly never holds a back end.
+// bodyReader reads the caller's body completely, so that every attempt sends the same
+// bytes and a caller that sends slowly never occupies a back end.
 type bodyReader struct {
 	maxBytes int64
 }
@@ -43,27 +43,26 @@
 	next()
 }
 
-// hasBody tells whether the caller sends a body.
+// hasBody reports whether the caller sends a body.
 func (e *exchange) hasBody() bool {
 	return e.request.Body != nil && e.request.Body != http.NoBody
 }
 
-// pendingBody is a body that is being read. Only of one that was read whole does
-// the server notice that the caller leaves.
+// pendingBody is a body that is being read. Only after a body was read completely does
+// the HTTP server notice that the caller disconnects.
 type pendingBody struct {
-	// done is closed when nothing more is read. What was read, or why it could
-	// not be, stays as it is from then on.
+	// done is closed when reading has ended. From then on the other fields don't change.
 	done        chan struct{}
 	body        []byte
 	callerError *caller.Error
 }
 
-// newPendingBody returns one of which nothing has been read.
+// newPendingBody returns a body of which nothing has been read.
 func newPendingBody() *pendingBody {
 	return &pendingBody{done: make(chan struct{})}
 }
 
-// bodyReadError is why the body could not be read, if that is known already.
+// bodyReadError returns why the body could not be read, or nil while that is not known.
 func (e *exchange) bodyReadError() *caller.Error {
 	if e.pending == nil {
 		return nil
@@ -86,10 +85,10 @@
 	e.pending.body = body
 }
 
-// read reads the body within the request's deadline. The read deadline is taken
-// back after a whole body alone: the server watches the connection for the
-// caller's leave from then on. After a part it stays, because the server tries
-// to read the rest before it writes an answer.
+// read reads the body within the request's deadline. The read deadline is cleared after a
+// complete body only: from then on the server watches the connection for the caller's
+// disconnect. After an incomplete body it stays, because the server tries to read the
+// rest before it writes a response.
 func (r *bodyReader) read(e *exchange) ([]byte, error) {
 	controller := http.NewResponseController(e.writer)
 	deadline, bounded := e.ctx.Deadline()
@@ -103,9 +102,9 @@
 	return body, err
 }
 
-// boundUnreadBody keeps an answer that is about to be written from waiting for the
-// rest of the body. What was read whole is left alone, since the server watches
-// that connection for the caller's leave.
+// boundUnreadBody keeps a response that is about to be written from waiting for the rest
+// of the body. It does nothing after a complete body, since the server watches that
+// connection for the caller's disconnect.
 func (e *exchange) boundUnreadBody() {
 	if e.bodyRead || !e.hasBody() {
 		return
@@ -120,7 +119,7 @@
 	}
 }
 
-// limit is the bound of the configuration, or the node's own.
+// limit returns the configured bound, or the default of this node.
 func (r *bodyReader) limit(e *exchange) int64 {
 	if limit := e.view.Configuration.GetCallerLimits().GetMaxBodyBytes(); limit > 0 {
 		return int64(limit)
@@ -128,8 +127,8 @@
 	return r.maxBytes
 }
 
-// readAll reads to the end. The declared length, -1 if there is none, sizes the
-// buffer, but only up to a bound: memory is not given on a caller's word.
+// readAll reads to the end. The declared length, -1 if there is none, sizes the buffer,
+// but only up to a bound: no memory is allocated on the word of a caller.
 func readAll(reader io.Reader, declared int64) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Grow(int(min(max(declared, 0), maxPreallocatedBytes)) + bytes.MinRead)
--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -20,10 +20,10 @@
 	c[0].handle(e, func() { c[1:].run(e) })
 }
 
-// newChain returns the handlers in their order. The check that the node may
-// serve comes before all that reads state, so that a node which was frozen
-// refuses before it does anything by state that may be out of date. Only the
-// name comes first, so that every refusal bears it.
+// newChain returns the handlers in their order. The check that the node may serve comes
+// before everything that reads state, so that a node which was frozen refuses before it
+// acts on stale state. Only the request's identity comes first, so that every refusal
+// carries it.
 func (s *Server) newChain() chain {
 	steps := chain{
 		&requestIdentifier{ids: s.ids},
--- a/internal/dataplane/claiming/driver.go
+++ b/internal/dataplane/claiming/driver.go
@@ -1,5 +1,13 @@
-// Package claiming drives the claims of a node: it gives the claim machine the
-// time and the messages of other nodes, and lets requests wait for decisions.
+// Package claiming runs the claims of a node: it passes the time and the messages of
+// other nodes to the state machine of pkg/claims, and lets requests wait for decisions.
+//
+// It is tested, and not wired into nodes: the frames between nodes have no message for
+// claims, and control state has no directory of homes (docs/design/duplicates.md lists
+// what is missing). Until then a node refuses only the duplicates that it has seen
+// itself. The package stays with pkg/claims, because that wiring rests on both.
+//
+// A Driver owns the state machine and the channels of the requests that wait. It may be
+// used concurrently.
 package claiming
 
 import (
@@ -12,11 +20,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ticksPerResend is how often the machine is told the time between two askings
-// of a silent home.
+// ticksPerResend is the number of ticks between two messages to a home that has not
+// responded.
 const ticksPerResend = 4
 
-// Options set up a Driver.
+// Options configure a Driver.
 type Options struct {
 	// Config sets up the machine. Its Life must never come twice, also not
 	// after the loss of a disk.
@@ -71,12 +79,12 @@
 	}
 }
 
-// Receive takes in a message of another node.
+// Receive handles a message of another node.
 func (d *Driver) Receive(from member.ID, message claims.Message) {
 	d.do(func(now time.Duration) []claims.Outbound { return d.machine.Step(now, from, message) })
 }
 
-// Tick tells the machine the time.
+// Tick passes the time to the state machine.
 func (d *Driver) Tick() {
 	d.do(d.machine.Tick)
 }
@@ -99,7 +107,7 @@
 	}
 }
 
-// begin asks for a key. The channel gets the decision.
+// begin claims a key. The channel gets the decision.
 func (d *Driver) begin(key claims.Key) (number claims.Number, decided chan claims.Outcome, err error) {
 	decided = make(chan claims.Outcome, 1)
 	d.do(func(now time.Duration) []claims.Outbound {
@@ -112,7 +120,7 @@
 	return number, decided, err
 }
 
-// result turns an outcome into what the data plane takes.
+// result converts an outcome to the data plane's.
 func (d *Driver) result(number claims.Number, outcome claims.Outcome) (dataplane.Claim, error) {
 	switch outcome {
 	case claims.Acquired:
@@ -132,7 +140,8 @@
 	})
 }
 
-// do runs a step of the machine, hands decisions out, and sends what follows.
+// do runs a step of the state machine, delivers decisions, and sends the messages that
+// follow.
 func (d *Driver) do(step func(now time.Duration) []claims.Outbound) {
 	d.mutex.Lock()
 	out := step(d.options.Clock())
--- a/internal/dataplane/connection_limit.go
+++ b/internal/dataplane/connection_limit.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// reservedNodes is how many nodes' shares are kept for those who serve no
-	// callers and command replicas, and for nodes that this one does not know yet.
+	// reservedNodes is the number of further nodes that the connections of a back end are
+	// divided among: those that serve no callers and command replicas, and nodes that
+	// this one does not know yet.
 	reservedNodes = 2
-	// minConnections is what a node takes in any case: one for requests beside
-	// that for reports.
+	// minConnections is the least limit: one connection for requests beside one for
+	// reports.
 	minConnections = 2
 )
 
-// ConnectionLimit returns how many connections this node may have to a back end:
-// its share of what the back end takes from all nodes together; 0 if that is not
+// ConnectionLimit returns how many connections this node may have to a back end, which is
+// an equal share of what the back end accepts from all nodes together; 0 if that is not
 // bounded.
 func (s *Server) ConnectionLimit(address string) int {
 	total := maxBackendConnections(s.options.Source.View(), address)
@@ -25,8 +26,8 @@
 	return max(total/(len(s.options.Peers())+reservedNodes), minConnections)
 }
 
-// maxBackendConnections returns how many connections a listed back end takes, by the
-// least of the destinations that it belongs to; 0 if none bounds them.
+// maxBackendConnections returns how many connections a listed back end accepts, by the
+// lowest limit of its destinations; 0 if none limits them.
 func maxBackendConnections(view *routing.View, address string) int {
 	lowest := 0
 	consider := func(limits *ridgeswitchv1.BackendLimits, replicas []routing.Replica) {
--- a/internal/dataplane/deadline.go
+++ b/internal/dataplane/deadline.go
@@ -14,12 +14,11 @@
 // errDeadline is the cause of a context that ends with the request's deadline.
 var errDeadline = errors.New("the request's deadline has passed")
 
-// writeGrace is how much longer than the deadline the last bytes of an answer
-// may take to be written.
+// writeGrace is how long after the deadline the last bytes of a response may be written.
 const writeGrace = time.Second
 
-// deadlineSetter bounds everything that follows by the shorter of the caller's
-// deadline and the destination's timeout.
+// deadlineSetter applies the shorter of the caller's deadline and the time-out of the
+// route or destination to the handlers that follow.
 type deadlineSetter struct {
 	fallback time.Duration
 }
@@ -44,7 +43,7 @@
 	next()
 }
 
-// destinationTimeout returns the longest time for a request of a destination.
+// destinationTimeout returns the time-out of requests to a destination.
 func destinationTimeout(destination routing.Destination, fallback time.Duration) time.Duration {
 	var milliseconds uint32
 	if destination.Pool != nil {
@@ -58,20 +57,19 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// deadlinePassed tells whether a context has ended by the request's deadline.
-// Any other end means that the caller has left.
+// deadlinePassed reports whether a context has ended with the request's deadline. Any
+// other end means that the caller has disconnected.
 func deadlinePassed(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errDeadline)
 }
 
-// deadlineError is the refusal of a request that ran out of time before any
-// attempt.
+// deadlineError is the refusal of a request whose deadline passed before any attempt.
 func deadlineError() *caller.Error {
 	return caller.NewError(caller.KindDeadlineExceeded,
 		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).WithRetryAfter(time.Second)
 }
 
-// asCallerError returns the problem that an error is, or an internal one.
+// asCallerError returns the *caller.Error that an error wraps, or an internal one.
 func asCallerError(err error) *caller.Error {
 	var found *caller.Error
 	if errors.As(err, &found) {
--- a/internal/dataplane/destination_sampler.go
+++ b/internal/dataplane/destination_sampler.go
@@ -8,33 +8,32 @@
 )
 
 const (
-	// samplingStep is the golden section of the numbers that a draw may be. Numbers
-	// that are this far apart, beyond the last one from the first one on, fill
-	// every part of the range evenly at any time.
+	// samplingStep is the golden ratio of the range of uint64. A sequence with this step,
+	// modulo the range, fills every part of the range evenly at any time.
 	samplingStep = 0x9E3779B97F4A7C15
-	// maxSampledRoutes bounds the routes that are kept in mind.
+	// maxSampledRoutes bounds the routes that are remembered.
 	maxSampledRoutes = 4096
 )
 
-// routeKey tells routes apart over views.
+// routeKey identifies a route in all views.
 type routeKey struct {
 	host, prefix string
 }
 
-// destinationSampler draws the destinations of routes that have several. Draws of one
-// route fill the range evenly, so that each destination gets its share also of a
-// few requests; where they begin is random, so that nodes don't go in step.
+// destinationSampler samples the destinations of routes with several by their weights.
+// The samples of one route are evenly spaced, so that each destination gets its fraction
+// even of a few requests; they start at random, so that nodes are not in step.
 type destinationSampler struct {
 	mutex sync.Mutex
 	last  map[routeKey]uint64
 }
 
-// newDestinationSampler returns draws that begin anywhere.
+// newDestinationSampler returns a sampler of which each route starts at random.
 func newDestinationSampler() *destinationSampler {
 	return &destinationSampler{last: make(map[routeKey]uint64)}
 }
 
-// next returns the draw for a request of a host's route.
+// next returns the sample for a request of a host's route.
 func (s *destinationSampler) next(host string, route *routing.Route) uint64 {
 	if len(route.Choices) == 1 {
 		return 0
--- a/internal/dataplane/destination_state.go
+++ b/internal/dataplane/destination_state.go
@@ -19,28 +19,28 @@
 	Count uint64
 }
 
-// DestinationStats counts what became of the requests of a pool or a web
-// service on this node.
+// DestinationStats counts the requests of a pool or a web service on this node by their
+// outcomes.
 type DestinationStats struct {
 	Name string
-	// WebService tells a web service from a pool.
+	// WebService distinguishes a web service from a pool.
 	WebService bool
 	// FirstAttempts counts requests that were sent to a back end.
 	FirstAttempts uint64
 	// Retries counts further attempts of those.
 	Retries uint64
-	// RetriesDenied counts retries that the budget did not permit.
+	// RetriesDenied counts retries that the retry budget did not permit.
 	RetriesDenied uint64
-	// Completed counts complete answers of back ends.
+	// Completed counts complete responses of back ends.
 	Completed uint64
-	// Truncated counts answers that were cut after a part had been handed on.
+	// Truncated counts responses that were truncated after a part had been relayed.
 	Truncated uint64
-	// Abandoned counts requests whose caller left.
+	// Abandoned counts requests whose caller disconnected.
 	Abandoned uint64
 	// Refusals are sorted by kind.
 	Refusals []RefusalCount
-	// Ejected and Suspected count the back ends that get next to no requests now:
-	// those that failed a share of them, and those that could not be reached.
+	// Ejected and Suspected count the back ends that get next to no requests now: those
+	// that failed a fraction of them, and those that could not be reached.
 	Ejected, Suspected int
 	// Ejections counts how often a back end was ejected.
 	Ejections uint64
@@ -48,8 +48,7 @@
 	Outcomes []OutcomeCount
 }
 
-// OutcomeCount counts the attempts of one outcome, as far as it tells of the
-// health of back ends.
+// OutcomeCount counts the attempts of one outcome, for the health of back ends.
 type OutcomeCount struct {
 	Name  string
 	Count uint64
@@ -64,14 +63,13 @@
 	slices.SortFunc(s.Outcomes, func(a, b OutcomeCount) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// destinationName tells pools from web services of the same name.
+// destinationName distinguishes pools and web services of the same name.
 type destinationName struct {
 	name       string
 	webService bool
 }
 
-// destinationState is what a node remembers of a destination: its counters and
-// its retry budget.
+// destinationState is the state of a destination: its counters and its retry budget.
 type destinationState struct {
 	budget   *retrybudget.Budget
 	mutex    sync.Mutex
@@ -79,16 +77,16 @@
 	refusals map[caller.Kind]uint64
 }
 
-// destinations holds the state of every destination that was ever routed to.
-// Its size is bounded by the names that the configuration has had.
+// destinations holds the state of every destination that was ever routed to. Its size is
+// bounded by the names that the configuration has had.
 type destinations struct {
 	budget retrybudget.Options
 	mutex  sync.Mutex
 	states map[destinationName]*destinationState
 }
 
-// newDestinations returns an empty set, in which each destination gets a retry
-// budget of its own.
+// newDestinations returns an empty set, in which each destination gets its own retry
+// budget.
 func newDestinations(budget retrybudget.Options) *destinations {
 	return &destinations{budget: budget, states: make(map[destinationName]*destinationState)}
 }
@@ -135,9 +133,9 @@
 	return all
 }
 
-// permitAttempt counts an attempt of a request, of which some may have been
-// sent, or returns false if the retry budget does not permit it. The first one
-// that is sent is always permitted.
+// permitAttempt counts an attempt of a request, of which some may have been sent, or
+// returns false if the retry budget does not permit it. The first one that is sent is
+// always permitted.
 func (s *destinationState) permitAttempt(now time.Duration, sent, attempt int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -147,8 +145,8 @@
 		return true
 	}
 	if sent == 0 {
-		// Nothing of the earlier ones left this node, so that the back end gets
-		// this one as the first.
+		// Nothing of the earlier attempts left this node, so this is the first that a
+		// back end gets.
 		s.stats.Retries++
 		return true
 	}
@@ -167,21 +165,21 @@
 	s.refusals[kind]++
 }
 
-// countCompleted counts a complete answer.
+// countCompleted counts a complete response.
 func (s *destinationState) countCompleted() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stats.Completed++
 }
 
-// countTruncated counts an answer that was cut.
+// countTruncated counts a truncated response.
 func (s *destinationState) countTruncated() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stats.Truncated++
 }
 
-// countAbandoned counts a request whose caller left.
+// countAbandoned counts a request whose caller disconnected.
 func (s *destinationState) countAbandoned() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -12,65 +12,63 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// maxSelections bounds how often one attempt selects anew because the view has
-// changed under it.
+// maxSelections bounds how often one attempt selects again because the view has changed
+// meanwhile.
 const maxSelections = 8
 
 // backend runs attempts of one kind of destination.
 type backend interface {
-	// choose selects a back end for an attempt of the work, or says why there
-	// is none.
+	// choose selects a back end for an attempt of the work, or returns why there is none.
 	choose(w *work) (target, *caller.Error)
 }
 
 // target is a back end chosen for one attempt.
 type target interface {
-	// waitBeforeSend holds the attempt back while that is better for it.
+	// waitBeforeSend delays the attempt while that makes it cheaper.
 	waitBeforeSend(w *work)
 	// address returns where the attempt goes.
 	address() string
-	// stillEligible tells whether the newest view still lets the request go there.
+	// stillEligible reports whether the newest view still lets the request go there.
 	stillEligible(w *work) bool
-	// tryAcquireSlowStart counts the attempt if the back end is cold, and returns false if
-	// that bears no more now.
+	// tryAcquireSlowStart counts the attempt if the back end is in slow start, and
+	// returns false if it takes no more now.
 	tryAcquireSlowStart() bool
-	// send runs the attempt up to the header of its answer.
+	// send runs the attempt up to the header of its response.
 	send(ctx context.Context, w *work, attempt int) (Response, error)
-	// handleRefusal says that the back end promised not to run the attempt.
+	// handleRefusal is called when the back end has refused to run the attempt.
 	handleRefusal(refusal *outbound.RefusedError)
-	// hasSpareCapacity tells whether the back end is known to have places left, so that a
-	// refusal is not for want of them.
+	// hasSpareCapacity reports whether the back end certainly has free slots, so that it
+	// did not refuse for lack of them.
 	hasSpareCapacity() bool
-	// expectedDelay is how long the first output is expected to take; 0 if that is
-	// not known.
+	// expectedDelay returns the expected time to the first output; 0 if it is not known.
 	expectedDelay() time.Duration
-	// firstOutput says that a streamed answer has begun. When a whole answer
-	// began is not known: its header may come at any time before its end.
+	// firstOutput is called when a streamed response has started. The start of other
+	// responses is not known: the header may come at any time before the end.
 	firstOutput()
 	// finish ends the attempt. It must be called once for every target.
 	finish(completed bool)
 }
 
-// work is a request in the hands of the dispatcher.
+// work is a request in the dispatcher.
 type work struct {
 	*exchange
 	tracker *attempts.Tracker
 	// tried holds the back ends of earlier attempts, of which there are few.
 	tried []string
-	// callerError is why the last attempt, or the last selection, failed.
+	// lastError is why the last attempt, or the last selection, failed.
 	lastError *caller.Error
 	// health is that of the last attempt's back end.
 	health *health.Attempt
-	// buffered is the answer that the ledger's Relay move hands on.
+	// buffered is the response that the tracker's Relay action writes.
 	buffered *bufferedResponse
-	// relaying tells that the head of an answer went to the caller, and
+	// relaying reports whether the header of a response went to the caller, and
 	// lastEventID is the last event that did.
 	relaying    bool
 	lastEventID string
 }
 
-// dispatcher is the last handler of the chain: it runs attempts as the ledger
-// asks for them, and answers.
+// dispatcher is the last handler of the chain: it runs attempts as the tracker asks for
+// them, and responds.
 type dispatcher struct {
 	server *Server
 	pools  backend
@@ -111,11 +109,11 @@
 	return d.pools
 }
 
-// dispatch runs one attempt, or enters why there can be none.
+// dispatch runs one attempt, or records why there can be none.
 func (d *dispatcher) dispatch(w *work, attempt int) {
 	chosen, callerError := d.choose(w)
 	if callerError == nil && w.ctx.Err() != nil {
-		// It ended while the attempt was held back.
+		// It ended while the attempt was delayed.
 		d.release(chosen, false)
 		return
 	}
@@ -135,8 +133,8 @@
 	completed = d.run(w, chosen, attempt)
 }
 
-// choose selects a back end, counts the attempt in, and only then looks at the
-// newest view again.
+// choose selects a back end, counts the attempt in, and only then looks at the newest
+// view again.
 func (d *dispatcher) choose(w *work) (target, *caller.Error) {
 	for range maxSelections {
 		if callerError := w.revalidate(d.server); callerError != nil {
@@ -163,8 +161,8 @@
 	d.server.inFlight.end(chosen.address())
 }
 
-// run sends an attempt, enters how it ends, and returns whether its answer is
-// complete. A streamed answer is handed on here.
+// run sends an attempt, records its outcome, and returns whether its response is
+// complete. A streamed response is relayed here.
 func (d *dispatcher) run(w *work, chosen target, attempt int) bool {
 	w.apply(attempts.Event{Kind: attempts.AttemptPlanned, Attempt: attempt, Address: chosen.address()})
 	w.apply(attempts.Event{Kind: attempts.ConnectStarted, Attempt: attempt})
@@ -190,8 +188,7 @@
 	return true
 }
 
-// receive reads an answer to its end. What need not be held back is handed on
-// at once.
+// receive reads a response to its end. What need not be buffered is relayed at once.
 func (d *dispatcher) receive(w *work, chosen target, attempt int, received Response) error {
 	if w.relaying && (!received.Streamed() || received.Status() != http.StatusOK) {
 		return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the stream was not taken up: the back end answered with status %d", received.Status())}
@@ -217,8 +214,8 @@
 	return nil
 }
 
-// revalidate looks at the newest view: a key may have been revoked, or the node
-// may have been cut off, while the request waited.
+// revalidate looks at the newest view again: a key may have been revoked, or the node may
+// have been partitioned, while the request waited.
 func (w *work) revalidate(server *Server) *caller.Error {
 	view, callerError := servingView(server.options.Source)
 	if callerError != nil {
@@ -233,7 +230,7 @@
 	return nil
 }
 
-// recordContextEnd enters the end of the request's context.
+// recordContextEnd records the end of the request's context.
 func (w *work) recordContextEnd() {
 	if w.ctx.Err() == nil {
 		return
@@ -245,8 +242,8 @@
 	w.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 }
 
-// apply enters an event. One that does not fit is a fault of this package, and
-// going on could run a request twice.
+// apply applies an event. One that does not fit is a bug of this package, and going on
+// could run a request twice.
 func (w *work) apply(event attempts.Event) {
 	if err := w.tracker.Apply(event); err != nil {
 		panic(err)
--- a/internal/dataplane/duplicate_checker.go
+++ b/internal/dataplane/duplicate_checker.go
@@ -14,9 +14,8 @@
 	clock    func() time.Duration
 }
 
-// handle implements handler. Only identities that a tenant chose are checked:
-// those made by the node are unique, and nothing tells callers without a key
-// apart.
+// handle implements handler. Only identities that a tenant chose are checked: those made
+// by the node are unique, and callers without a key cannot be distinguished.
 func (c *duplicateChecker) handle(e *exchange, next func()) {
 	if e.tenant == nil || e.parsed.ID == "" {
 		next()
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -13,26 +13,24 @@
 type CallerEdge interface {
 	// RequestID returns the identity that the caller gave its request, or "".
 	RequestID(header http.Header) string
-	// KeyDigest returns the digest of the request's key, or false if the request
-	// carries none.
+	// KeyDigest returns the digest of the request's key, or false if the request has
+	// none.
 	KeyDigest(header http.Header) (string, bool)
-	// Describe reads what the caller says of its request. The error is a
-	// *caller.Error.
+	// Describe parses the caller's headers. The error is a *caller.Error.
 	Describe(request *http.Request) (caller.Request, error)
-	// WriteError answers a request with a problem of this node.
+	// WriteError responds to a request with an error of this node.
 	WriteError(writer http.ResponseWriter, callerError *caller.Error)
-	// CompleteHeader adds what this node says in the header of a back end's
-	// answer.
+	// CompleteHeader adds this node's headers to those of a back end's response.
 	CompleteHeader(header http.Header, requestID string)
-	// ErrorEvent returns what is written of a problem into a stream that is
-	// cut, before its connection is broken; nil for nothing.
+	// ErrorEvent returns what is written of an error into a truncated stream before its
+	// connection is aborted; nil for nothing.
 	ErrorEvent(callerError *caller.Error) []byte
 }
 
 // BackendEdge runs attempts on back ends of one kind.
 type BackendEdge interface {
-	// Send runs one attempt up to the header of its answer. It sends the request
-	// once at most. The errors are *outbound.Error, *outbound.RefusedError and
+	// Send runs one attempt up to the header of its response. It sends the request at
+	// most once. The errors are *outbound.Error, *outbound.RefusedError and
 	// *outbound.InvalidResponseError; after any other one the request may have run.
 	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
@@ -51,8 +49,8 @@
 type Attempt struct {
 	// Address is where the attempt goes.
 	Address string
-	// Instance names the incarnation that it is for; empty for whichever
-	// answers at the address.
+	// Instance names the incarnation that the attempt is for; empty for any at the
+	// address.
 	Instance string
 	// RequestID is the identity of the request.
 	RequestID string
@@ -62,16 +60,16 @@
 	Number int
 	// Tenant is the name of the tenant whose key the request carried, or "".
 	Tenant string
-	// Remaining is the time that is left for the answer; 0 if it is not bounded.
+	// Remaining is the time left until the deadline; 0 if there is none.
 	Remaining time.Duration
 	// Priority of the request, 0 first.
 	Priority uint32
 	// Idempotent tells whether the request may run more than once.
 	Idempotent bool
-	// Streamed tells whether the caller wants a stream of events.
+	// Streamed reports whether the caller wants a stream of events.
 	Streamed bool
-	// ResumeAfter is the identity of the last event of an earlier attempt after
-	// which the stream is to go on, or "".
+	// ResumeAfter is the identity of the last event of an earlier attempt after which the
+	// stream is to resume, or "".
 	ResumeAfter string
 	// Request is the caller's request. Its body has been read.
 	Request *http.Request
@@ -80,7 +78,7 @@
 	Generation *Generation
 }
 
-// Generation is what a replica is told of a prompt.
+// Generation describes a prompt to a replica.
 type Generation struct {
 	Model string
 	// WeightVersion is the version that the cache salt is for.
@@ -90,12 +88,11 @@
 	OutputTokens  uint32
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
-	// SaveTo is the address of the store that the parts are to be saved to, or
-	// "".
+	// SaveTo is the address of the store that the chunks are to be saved to, or "".
 	SaveTo string
 }
 
-// Pull asks a replica to fetch parts instead of computing them.
+// Pull asks a replica to fetch chunks instead of computing them.
 type Pull struct {
 	// Source is the address to fetch from.
 	Source string
@@ -103,40 +100,40 @@
 	FirstChunk, LastChunk int
 }
 
-// Response is a back end's answer whose header has arrived.
+// Response is a back end's response whose header has arrived.
 type Response interface {
 	// Status returns the HTTP status.
 	Status() int
-	// Header returns the headers that are handed on.
+	// Header returns the headers that are relayed.
 	Header() http.Header
-	// WeightVersion returns the version that produced the answer, or "".
+	// WeightVersion returns the version that produced the response, or "".
 	WeightVersion() string
-	// Streamed tells whether the answer is to be handed on as it comes.
+	// Streamed reports whether the response is to be relayed as it arrives.
 	Streamed() bool
 	// ReadAll reads the answer, or returns false with its beginning if it
 	// is too long to be held back.
 	ReadAll() ([]byte, bool, error)
-	// Next returns the next bytes to hand on, and io.EOF after the proper end.
-	// Of a stream of events it returns whole events. The bytes are valid until
-	// the next call.
+	// Next returns the next bytes to relay, and a bare io.EOF after a complete response.
+	// Of a stream of events it returns complete events. The bytes are valid until the
+	// next call.
 	Next() ([]byte, error)
 	// LastEventID returns the identity of the last event that Next returned, or
 	// "" if events have none.
 	LastEventID() string
-	// Close ends the answer. Unless it was read to its end, the attempt ends
-	// with it, as far as the back end listens.
+	// Close ends the response. Unless it was read to its end, this cancels the attempt,
+	// as far as the back end listens.
 	Close()
 }
 
-// ReportReader reads what back ends report of the prompt parts that they keep
-// under their own names, a page at a time. Back ends that push a stream of
-// chained names are followed by the node's own feeds instead.
+// ReportReader reads what back ends report of the prompt chunks that they cache under
+// their own names, a page at a time. Back ends that push a stream of chained names are
+// followed by package feeds instead.
 type ReportReader interface {
-	// Read waits up to the given time for changes after a position; the zero
-	// position begins with the oldest that the back end still has.
+	// Read waits up to the given time for changes after a position; the zero position
+	// starts with the oldest that the back end still has.
 	Read(ctx context.Context, address string, since uint64, wait time.Duration) (ReportPage, error)
-	// List returns everything that the back end keeps. It holds the back end's
-	// work up, and is for gaps that matter.
+	// List returns everything that the back end caches. It delays the back end's work,
+	// and is for gaps that matter.
 	List(ctx context.Context, address string) (ReportPage, error)
 }
 
@@ -146,7 +143,7 @@
 	Incarnation uint64
 	// Next is the position after this page.
 	Next uint64
-	// Lost tells that changes before this page are not to be had any more.
+	// Lost reports whether changes before this page are no longer available.
 	Lost    bool
 	Changes []ChunkChange
 }
@@ -155,12 +152,12 @@
 type ChunkChange struct {
 	// Sequence numbers the changes of an incarnation; 0 in a list.
 	Sequence uint64
-	// Removed tells that the part, or some of it, was dropped.
+	// Removed reports whether the chunk, or a part of it, was evicted.
 	Removed   bool
 	CacheSalt string
 	Model     string
 	// ID is the caller's name of the part.
 	ID string
-	// Tokens is how much of the part is kept now.
+	// Tokens is how much of the chunk is cached now.
 	Tokens uint32
 }
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -8,8 +8,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// waitDivisor is the share of the time left for which a request may wait at a
-// replica that is full, if all are.
+// waitDivisor divides the time left until the deadline: the quotient is the longest wait
+// at a full replica, if all are full.
 const waitDivisor = 2
 
 // engineProfile describes a pool's engine to the router, or is nil if the
@@ -29,8 +29,8 @@
 	}
 }
 
-// routerSettings are the knobs of a pool: the configured ones, over defaults for
-// engines that are described or not.
+// routerSettings returns the router's settings of a pool: the configured ones, or the
+// defaults for engines that are described or not.
 func routerSettings(pool *routing.Pool) kvrouter.Settings {
 	if pool.Config.GetEngine() == nil || pool.Config.GetRouting() != nil {
 		return kvrouter.SettingsFrom(pool.Config.GetRouting())
@@ -47,7 +47,7 @@
 	return time.Until(deadline) / waitDivisor
 }
 
-// naming tells how the back ends name the parts of prompts.
+// naming returns how the back ends name the chunks of prompts.
 func (b *poolBackend) naming() kvrouter.Naming {
 	if b.server.options.Edges.Reports != nil {
 		return kvrouter.ByID
@@ -55,7 +55,7 @@
 	return kvrouter.Chained
 }
 
-// announceDispatch notes for the other nodes where a request's parts will be kept.
+// announceDispatch tells the other nodes where the chunks of a request will be cached.
 func (b *poolBackend) announceDispatch(attempt Attempt) {
 	if len(attempt.Generation.Chunks) == 0 {
 		return
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -9,8 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// exchange is one request on its way through the chain, with what the handlers
-// have learnt of it. It belongs to one goroutine.
+// exchange is one request on its way through the chain, with what the handlers have found
+// out about it. It belongs to one goroutine.
 type exchange struct {
 	edges   *Edges
 	writer  http.ResponseWriter
@@ -29,28 +29,28 @@
 	parsed      caller.Request
 	requestID   string
 	body        []byte
-	// pending is the reading of the body; nil before it begins.
+	// pending is the body that is being read; nil before that starts.
 	pending *pendingBody
-	// bodyRead tells that body is all that the caller sends.
+	// bodyRead reports whether body is complete.
 	bodyRead bool
 	// counters count the outcomes of the destination; nil before routing.
 	counters *destinationState
-	// certainlyNotRun tells, after the answer, that the request has not run
-	// and will not run.
+	// certainlyNotRun reports, after the response, that the request has not run and will
+	// not run.
 	certainlyNotRun bool
-	// notRunHere tells, after a refusal, that this submission does not run,
-	// although an earlier one of the same request may have.
+	// notRunHere reports, after a refusal, that this submission does not run, although an
+	// earlier one of the same request may have.
 	notRunHere bool
 	// claim is nil unless the request must not run twice.
 	claim Claim
-	// failed tells that the caller has got no complete answer of a back end.
+	// failed reports whether the caller got no complete response of a back end.
 	failed bool
 	// observer notes the answer's beginning for the recording; nil without one.
 	observer *responseObserver
 }
 
-// refuse answers with a problem at once. The caller is told to come back only
-// where sending the request again is safe.
+// refuse responds with an error at once. The caller is told to retry only where a retry
+// is safe.
 func (e *exchange) refuse(callerError *caller.Error) {
 	callerError.RequestID = e.requestID
 	if callerError.MayHaveRun && !e.parsed.Idempotent && !callerError.RetryIsSafe {
--- a/internal/dataplane/feeds/event_feed.go
+++ b/internal/dataplane/feeds/event_feed.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// minReconnectDelay is the wait before a broken stream is opened again.
+	// minReconnectDelay is the backoff before a broken stream is opened again.
 	minReconnectDelay = 100 * time.Millisecond
-	// maxReconnectDelay bounds the wait after further failures.
+	// maxReconnectDelay is its upper bound after further failures.
 	maxReconnectDelay = 2 * time.Second
-	// resetTimeout is how long a new stream may take to bring its reset.
+	// resetTimeout is how long a new stream may take until its reset arrives.
 	resetTimeout = 5 * time.Second
 )
 
-// errResync ends a stream that is to be opened again from a reset on.
+// errResync ends a stream that must be opened again from a reset on.
 var errResync = errors.New("the events are to be read again from a reset on")
 
 // Source opens the event streams of back ends of one kind.
@@ -32,8 +32,8 @@
 	Follow(ctx context.Context, address string, after replica.Position, handle func(replica.Event) error) error
 }
 
-// eventFeed brings one back end's events and load reports to the router. It runs
-// under the supervisor for as long as the back end is listed.
+// eventFeed brings one back end's events and load reports to the router. It runs under
+// the supervisor for as long as the back end is listed.
 type eventFeed struct {
 	address    string
 	source     Source
@@ -47,18 +47,18 @@
 	expected string
 	// cancelStream ends the stream that is open.
 	cancelStream context.CancelFunc
-	// resynced tells that the open stream needs no reset, or has had it.
+	// resynced reports whether the open stream needs no reset, or has had it.
 	resynced bool
 	// opened is when the open stream was opened.
 	opened time.Duration
 
 	// The fields below belong to the goroutine that runs Serve.
 
-	// position is how far the events were taken in; zero to start from a reset.
+	// position is that of the last event; zero to start from a reset.
 	position replica.Position
-	// receivedEvent tells that the stream has carried an event.
+	// receivedEvent reports whether the stream has had an event.
 	receivedEvent bool
-	// quarantined tells that the back end was in quarantine at its last report.
+	// quarantined reports whether the back end was in quarantine at its last report.
 	quarantined bool
 }
 
@@ -113,8 +113,8 @@
 	return f.expected
 }
 
-// resync ends the open stream so that it is opened again from a reset on. A
-// stream that was opened so is given time for its reset to come.
+// resync ends the open stream so that it is opened again from a reset on. A stream that
+// was opened from a reset on gets time for the reset to arrive.
 func (f *eventFeed) resync() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// handle takes one event in.
+// handle handles one event.
 func (f *eventFeed) handle(event replica.Event) error {
 	f.receivedEvent = true
 	f.health.RecordAlive(f.clock(), f.address)
@@ -133,7 +133,7 @@
 		return f.applyLoadReport(event)
 	}
 	if f.quarantined {
-		// What a replica in quarantine keeps is not to be known.
+		// The index holds no chunks of a replica in quarantine.
 		return nil
 	}
 	status, err := f.applyChunks(event)
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// advance remembers the newest event of the back end's present life.
+// advance remembers the newest event of the back end's present incarnation.
 func (f *eventFeed) advance(event replica.Event) {
 	if event.Incarnation != f.position.Incarnation {
 		f.position = replica.Position{Incarnation: event.Incarnation}
@@ -160,21 +160,21 @@
 	f.position.Sequence = max(f.position.Sequence, event.Sequence)
 }
 
-// setResynced enters that a reset has come.
+// setResynced records that a reset has arrived.
 func (f *eventFeed) setResynced() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.resynced = true
 }
 
-// wasResynced tells whether the stream has had its reset or needs none.
+// wasResynced reports whether the stream has had its reset or needs none.
 func (f *eventFeed) wasResynced() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.resynced
 }
 
-// applyChunks hands an event about kept parts to the router.
+// applyChunks passes an event about cached chunks to the router.
 func (f *eventFeed) applyChunks(event replica.Event) (kvrouter.FeedStatus, error) {
 	now := f.clock()
 	switch event.Kind {
@@ -198,7 +198,8 @@
 	}
 }
 
-// applyLoadReport takes a load report in, and enters or leaves quarantine by it.
+// applyLoadReport passes a load report to the router, and enters or leaves quarantine by
+// its weight version.
 func (f *eventFeed) applyLoadReport(event replica.Event) error {
 	report := event.Report
 	if report == nil {
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// routerReport translates a report.
+// routerReport converts a report to the router's type.
 func routerReport(report *replica.Report) kvrouter.Report {
 	return kvrouter.Report{
 		ActivePrefillTokens: report.ActivePrefillTokens,
--- a/internal/dataplane/full_read.go
+++ b/internal/dataplane/full_read.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// minFullReadInterval is the least time between two lists of one back end, since a list
-// holds its work up.
+// minFullReadInterval is the least time between two full reads of one back end, since a
+// full read delays its work.
 const minFullReadInterval = 2 * time.Second
 
-// fullReadLimiter bounds how often the reader of a back end asks it for everything that it
-// keeps: when its changes were not followed without a gap. Its history would not do:
-// back ends remember the newest changes only.
+// fullReadLimiter limits the full reads of back ends. A full read is needed when changes
+// were missed: back ends remember only the newest changes.
 type fullReadLimiter struct {
 	mutex sync.Mutex
-	// readAt is when a back end was listed last.
+	// readAt is the time of the last full read of each back end.
 	readAt map[string]time.Duration
 }
 
@@ -25,7 +24,7 @@
 	}
 }
 
-// tryAcquire tells whether a back end may be listed now, and notes that it is.
+// tryAcquire reports whether a back end may be read in full now, and counts that.
 func (l *fullReadLimiter) tryAcquire(now time.Duration, address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -36,7 +35,7 @@
 	return true
 }
 
-// retain forgets back ends that are not listed any more.
+// retain forgets back ends that are no longer listed.
 func (l *fullReadLimiter) retain(reporting map[string]string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -47,7 +46,7 @@
 	}
 }
 
-// readFull takes in everything that a back end keeps, and tells the others.
+// readFull reads everything that a back end caches, and sends it to the other nodes.
 func (r *reportReaders) readFull(ctx context.Context, address string) error {
 	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
 	defer cancel()
--- a/internal/dataplane/gossip/exchange.go
+++ b/internal/dataplane/gossip/exchange.go
@@ -10,16 +10,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxPending bounds the news that waits at a relay. What comes beyond it is
-// dropped.
+// maxPending bounds the updates that wait at a relay. What comes beyond it is dropped.
 const maxPending = 4096
 
-// Exchange passes news on at one node. It is not safe for concurrent use.
+// Exchange relays updates at one node. It must not be used concurrently.
 type Exchange struct {
 	self member.ID
 	zone string
-	// toZone waits for the nodes of the zone, and toRelays for the relays of the
-	// other zones.
+	// toZone are the pending updates for the nodes of the zone, and toRelays those for
+	// the relays of the other zones.
 	toZone   []Update
 	toRelays []Update
 }
@@ -35,14 +34,14 @@
 	return &Exchange{self: self, zone: zone}
 }
 
-// Add takes this node's own news.
+// Add adds an update of this node.
 func (e *Exchange) Add(update Update) {
 	update.Node = e.self
 	e.toZone = appendBounded(e.toZone, update)
 	e.toRelays = appendBounded(e.toRelays, update)
 }
 
-// Receive takes a batch of another node and returns the news that is new here.
+// Receive handles a batch of another node and returns the updates for this node.
 func (e *Exchange) Receive(batch Batch) []Update {
 	foreign := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == e.self })
 	switch batch.Stage {
@@ -82,14 +81,14 @@
 	return lo.FilterMap(zones, func(zone string, _ int) (member.Info, bool) { return RelayFor(zone, live) })
 }
 
-// servesCallers tells whether a node has traffic, and so a use for news of it.
+// servesCallers reports whether a node has traffic, and so a use for updates.
 func servesCallers(node member.Info) bool {
 	return node.TrafficAddress != ""
 }
 
-// RelayFor returns the relay of a zone: of the live nodes in it, the one that
-// weighs highest. A node that serves no callers is taken before any that does,
-// as it has its link and processor to spare.
+// RelayFor returns the relay of a zone: the live node in it with the highest weight.
+// Nodes that serve no callers precede those that do, as their links and processors are
+// less busy.
 func RelayFor(zone string, live []member.Info) (member.Info, bool) {
 	candidates := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone == zone })
 	if idle := lo.Reject(candidates, func(node member.Info, _ int) bool { return servesCallers(node) }); len(idle) > 0 {
@@ -108,8 +107,8 @@
 	return xxhash.Sum64String("relay\x00" + string(id))
 }
 
-// outbound returns a batch for nodes, or nothing if there is no news or nobody
-// to tell. Whose news comes back passes it over.
+// outbound returns a batch for nodes, or nothing if there are no updates or no nodes. A
+// node ignores its own updates when they come back.
 func outbound(stage Stage, updates []Update, to ...member.Info) []Outbound {
 	if len(updates) == 0 || len(to) == 0 {
 		return nil
@@ -117,7 +116,7 @@
 	return []Outbound{{To: to, Batch: Batch{Stage: stage, Updates: updates}}}
 }
 
-// appendBounded appends news up to the bound.
+// appendBounded appends updates up to the bound.
 func appendBounded(waiting []Update, added ...Update) []Update {
 	capacity := max(0, maxPending-len(waiting))
 	return append(waiting, added[:min(capacity, len(added))]...)
--- a/internal/dataplane/gossip/snapshot_client.go
+++ b/internal/dataplane/gossip/snapshot_client.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// responseTimeout is how long an asked node may be silent.
+	// responseTimeout is how long a requested peer may take until its first, or its next,
+	// response.
 	responseTimeout = time.Second
-	// maxRequested bounds the nodes that are asked in turn, since some may have
-	// started lately themselves.
+	// maxRequested bounds the peers that are requested one after the other, since some
+	// may have started lately themselves.
 	maxRequested = 6
-	// membershipKnownAfter is when a node that has started knows the others, if there
-	// are any.
+	// membershipKnownAfter is when a node that has started knows the others, if there are
+	// any.
 	membershipKnownAfter = 1500 * time.Millisecond
-	// maxTransferTime ends the asking in any case.
+	// maxTransferTime bounds the whole transfer.
 	maxTransferTime = 5 * time.Second
 )
 
-// SnapshotClient is how a node that has started takes over what another node knows of
-// the parts that back ends keep: it asks the live nodes one after the other, those
-// of its own zone first, until one has answered with something. It does no I/O and
-// reads no clock, and is not safe for concurrent use.
+// SnapshotClient transfers a peer's snapshot of the cached chunks to a node that has
+// started: it requests the live nodes one after the other, those of its zone first, until
+// one has responded with something.
 type SnapshotClient struct {
 	self member.ID
 	zone string
@@ -35,20 +35,20 @@
 	started   bool
 	startedAt time.Duration
 	done      bool
-	// requested are the nodes that were asked, and the last of them is asked now.
+	// requested are the peers that were requested; the last of them is the present one.
 	requested []member.ID
-	// lastActivity is when that one was asked, or sent a part of its answer.
+	// lastActivity is when that one was requested, or sent a part of its response.
 	lastActivity time.Duration
-	// received tells that it knows something.
+	// received reports whether the snapshot has something in it.
 	received bool
 }
 
-// NewSnapshotClient returns the adoption of a node in a zone.
+// NewSnapshotClient returns the client of a node in a zone.
 func NewSnapshotClient(self member.ID, zone string) *SnapshotClient {
 	return &SnapshotClient{self: self, zone: zone}
 }
 
-// Done tells, at a time, whether nothing more is to be waited for.
+// Done reports whether the transfer has ended, or can bring nothing any more.
 func (a *SnapshotClient) Done(now time.Duration) bool {
 	a.start(now)
 	if now-a.startedAt >= maxTransferTime {
@@ -57,7 +57,7 @@
 	return a.done
 }
 
-// Tick returns the question that is due, if there is one, given the live nodes.
+// Tick returns the request that is due, if there is one, given the live nodes.
 func (a *SnapshotClient) Tick(now time.Duration, live []member.Info) []Outbound {
 	if a.Done(now) || a.awaitingResponse(now) {
 		return nil
@@ -73,8 +73,8 @@
 	return []Outbound{{To: []member.Info{next}, Batch: Batch{Stage: SnapshotRequest, Updates: []Update{{Node: a.self}}}}}
 }
 
-// HandleResponse takes in a part of an answer, or its end. Current is false for an answer
-// that is not waited for.
+// HandleResponse handles a part of a response, or its end. Current is false for a
+// response that is not expected, and must be ignored.
 func (a *SnapshotClient) HandleResponse(now time.Duration, stage Stage, update Update) (current bool) {
 	if a.done || len(a.requested) == 0 || update.Node != a.requested[len(a.requested)-1] {
 		return false
@@ -88,8 +88,7 @@
 	return true
 }
 
-// Pending tells whether an answer that has been asked for may still come, or goes
-// on.
+// Pending reports whether a response has been requested and may still arrive.
 func (a *SnapshotClient) Pending(now time.Duration) bool {
 	return !a.Done(now) && a.awaitingResponse(now)
 }
@@ -101,14 +100,14 @@
 	}
 }
 
-// awaitingResponse tells whether the node that was asked last may still answer.
+// awaitingResponse reports whether the last requested peer may still respond.
 func (a *SnapshotClient) awaitingResponse(now time.Duration) bool {
 	return len(a.requested) > 0 && now-a.lastActivity < responseTimeout
 }
 
-// nextPeer returns the node to ask now: one in the zone before any other, and then in
-// an order of this node's own, so that nodes that start together ask different
-// ones.
+// nextPeer returns the peer to request now: those in the zone first, and then in an order
+// that differs from node to node, so that nodes that start together request different
+// peers.
 func (a *SnapshotClient) nextPeer(live []member.Info) (member.Info, bool) {
 	candidates := lo.Filter(live, func(node member.Info, _ int) bool {
 		return node.ID != a.self && servesCallers(node) && !slices.Contains(a.requested, node.ID)
--- a/internal/dataplane/gossip/snapshot_server.go
+++ b/internal/dataplane/gossip/snapshot_server.go
@@ -9,33 +9,31 @@
 )
 
 const (
-	// changesPerTick bounds the changes that are sent to those who ask in one tick,
-	// so that an answer takes a share of a small link. A change takes 24 bytes.
+	// changesPerTick bounds the changes that are sent in one tick, so that a transfer
+	// takes only a part of a small link. A change takes 24 bytes.
 	changesPerTick = 1024
-	// maxTransfers bounds the nodes that are answered at a time.
+	// maxTransfers bounds the peers that are served at a time.
 	maxTransfers = 16
 )
 
-// SnapshotServer is the other side of Adoption: it hands what this node knows to nodes
-// that have asked, a piece a tick. It does no I/O and is not safe for concurrent
-// use.
+// SnapshotServer serves snapshots to peers that have requested one, a part in each tick.
 type SnapshotServer struct {
 	self      member.ID
 	transfers []transfer
 }
 
-// transfer is a node that has asked, with the addresses of back ends that it is still
-// to be told of.
+// transfer is a peer that has requested a snapshot, with the addresses of back ends that
+// remain to be sent.
 type transfer struct {
 	id        member.ID
 	remaining []string
 }
 
-// NewSnapshotServer returns the answers of a node.
+// NewSnapshotServer returns the server of a node.
 func NewSnapshotServer(self member.ID) *SnapshotServer { return &SnapshotServer{self: self} }
 
-// HandleRequest notes that a node wants to know what is kept at the addresses. One that
-// asks again is told from the beginning.
+// HandleRequest starts the transfer of what is cached at the addresses. A peer that
+// requests again is served from the beginning.
 func (a *SnapshotServer) HandleRequest(by member.ID, addresses []string) {
 	a.transfers = slices.DeleteFunc(a.transfers, func(existing transfer) bool { return existing.id == by })
 	if len(a.transfers) < maxTransfers {
@@ -43,8 +41,8 @@
 	}
 }
 
-// Tick returns what is due, given the live nodes and what is known of a back end
-// now. Who is not live any more is told nothing.
+// Tick returns what is due, given the live nodes and the present snapshot of a back end.
+// Peers that are no longer live are dropped.
 func (a *SnapshotServer) Tick(live []member.Info, snapshot func(address string) (Report, bool)) []Outbound {
 	var due []Outbound
 	budget := changesPerTick
--- a/internal/dataplane/header_limiter.go
+++ b/internal/dataplane/header_limiter.go
@@ -6,12 +6,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// fieldOverhead is what a field of a header has beside its name and value: a colon,
-// a space and the end of the line.
+// fieldOverhead is the size of a header field beside its name and value: a colon, a space
+// and the line end.
 const fieldOverhead = 4
 
-// headerLimiter refuses headers beyond the bound of the configuration. The listener's
-// own bound is that of the largest one, and cannot change while it serves.
+// headerLimiter refuses headers beyond the configured bound. The listener's own bound is
+// that of the largest one, and cannot change while it serves.
 type headerLimiter struct{}
 
 // handle implements handler.
@@ -24,8 +24,8 @@
 	next()
 }
 
-// headerBytes is the size of the fields of a header as they are sent. The first line
-// and the host do not count.
+// headerBytes returns the size of the fields of a header as they are sent, without the
+// request line and the host.
 func headerBytes(header http.Header) uint64 {
 	size := 0
 	for name, values := range header {
--- a/internal/dataplane/health/quarantine.go
+++ b/internal/dataplane/health/quarantine.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Quarantine keeps requests away from replicas that report another weight
-// version than control state has for them. Parts that such a replica keeps may
-// have been made under either version.
+// Quarantine keeps requests away from replicas that report another weight version than
+// control state has for them. Chunks that such a replica caches may have been computed
+// under either version.
 type Quarantine struct {
 	mutex    sync.Mutex
 	reported map[string]string
 }
 
-// NewQuarantine returns a quarantine that has heard of no replica.
+// NewQuarantine returns a Quarantine without reports.
 func NewQuarantine() *Quarantine {
 	return &Quarantine{reported: make(map[string]string)}
 }
--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -101,7 +101,7 @@
 	return all
 }
 
-// Retain forgets what was said of incarnations that a view does not list.
+// Retain forgets the refusals of incarnations that a view does not list.
 func (s *StaleBackends) Retain(view *routing.View) {
 	instances := make(map[string]string)
 	for _, replica := range allReplicas(view) {
--- a/internal/dataplane/id_generator.go
+++ b/internal/dataplane/id_generator.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// incarnationBytes is the length of the part that no two processes share.
+// incarnationBytes is the length of the random number that distinguishes processes.
 const incarnationBytes = 8
 
 // idGenerator makes names that no other process and no earlier life of this one
--- a/internal/dataplane/in_flight.go
+++ b/internal/dataplane/in_flight.go
@@ -13,9 +13,9 @@
 	return &inFlight{counts: make(map[string]int)}
 }
 
-// begin counts an attempt in. It comes before the last look at the newest
-// view: control first publishes a view in which a back end does not admit and
-// then reads the count, so one of the two sees the other.
+// begin counts an attempt in. It precedes the last look at the newest view: control first
+// publishes a view in which a back end does not admit and then reads the count, so one of
+// the two sees the other.
 func (f *inFlight) begin(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/dataplane/listener/listener.go
+++ b/internal/dataplane/listener/listener.go
@@ -31,8 +31,8 @@
 	headerTimeout = 10 * time.Second
 	// idleTimeout closes a caller's connection that carries nothing.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a caller's header, which carries the prompt's
-	// parts.
+	// maxHeaderBytes bounds a caller's header, which carries the names of the prompt's
+	// chunks.
 	maxHeaderBytes = 1 << 20
 	// forcedQuitGrace is how long after the drain time go-zero ends a process
 	// that has not ended itself.
@@ -57,14 +57,14 @@
 	log  *logrus.Entry
 	// listening is closed when the address is bound.
 	listening chan struct{}
-	// ended carries the error with which the server ended.
+	// ended gets the error with which the server ended.
 	ended chan error
 
 	mutex   sync.Mutex
 	server  *http.Server
 	address net.Addr
 	started bool
-	// stopped tells that the server is to end as soon as there is one.
+	// stopped reports that the server must end as soon as there is one.
 	stopped bool
 }
 
--- a/internal/dataplane/native_edges.go
+++ b/internal/dataplane/native_edges.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/webservice"
 )
 
-// withDefaults fills in the node's own protocols.
+// withDefaults fills in the native protocols.
 func (e Edges) withDefaults(sender *outbound.Client, maxResponseBytes int64) Edges {
 	if e.Callers == nil {
 		e.Callers = nativeCallerEdge{}
@@ -24,7 +24,7 @@
 	return e
 }
 
-// nativeCallerEdge speaks the node's own protocol with callers.
+// nativeCallerEdge implements the native protocol with callers.
 type nativeCallerEdge struct{}
 
 // RequestID implements CallerEdge.
@@ -55,13 +55,13 @@
 	return caller.ErrorEvent(callerError)
 }
 
-// nativeReplicaEdge speaks the node's own protocol with replicas.
+// nativeReplicaEdge implements the native protocol with replicas.
 type nativeReplicaEdge struct {
 	client *replica.Client
 }
 
-// Send implements BackendEdge. An answer that leaves open whether the request
-// has run is an *outbound.FailedResponseError.
+// Send implements BackendEdge. A response that leaves open whether the request has run is
+// an *outbound.FailedResponseError.
 func (r *nativeReplicaEdge) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
 	if err != nil {
@@ -74,7 +74,7 @@
 	return received, nil
 }
 
-// replicaCall describes an attempt in the node's own protocol.
+// replicaCall describes an attempt in the native protocol.
 func replicaCall(attempt Attempt) replica.Call {
 	call := replica.Call{
 		Address:      attempt.Address,
@@ -97,7 +97,7 @@
 	return call
 }
 
-// nativeWebServiceEdge speaks the node's own protocol with web services.
+// nativeWebServiceEdge implements the native protocol with web services.
 type nativeWebServiceEdge struct {
 	client *webservice.Client
 }
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -13,8 +13,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 )
 
-// versionMismatchError says that an answer was made under other weights than the cache
-// salt of its request names.
+// versionMismatchError reports a response that was produced by other weights than the
+// cache salt of its request is for.
 type versionMismatchError struct {
 	expected, actual string
 }
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("the answer was made by weight version %q instead of %q", e.actual, e.expected)
 }
 
-// recordFailure enters the end of an attempt that got no answer.
+// recordFailure records the end of an attempt without a response.
 func (d *dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
 	var unsent *outbound.Error
 	if errors.As(err, &unsent) && !unsent.MayHaveBeenSent {
@@ -52,8 +52,8 @@
 	d.recordLoss(w, attempt, err)
 }
 
-// unsentError tells why nothing was sent, and counts it against the back end
-// unless that is this node's own bound.
+// unsentError returns why nothing was sent, and counts it against the back end unless it
+// is a limit of this node.
 func (d *dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
 	wait := d.server.options.BackendRetry
 	var spent *outbound.ConnectionLimitError
@@ -66,7 +66,7 @@
 		"the back end could not be reached: send the request again").WithRetryAfter(wait)
 }
 
-// recordLoss enters that an attempt which was sent has no certain end.
+// recordLoss records that the outcome of an attempt which was sent is not known.
 func (d *dispatcher) recordLoss(w *work, attempt int, err error) {
 	var failed *outbound.FailedResponseError
 	var gone *callerGoneError
@@ -75,10 +75,10 @@
 	case errors.As(err, &gone):
 		w.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 	case errors.As(err, &failed):
-		// A back end that answers is not suspected of being dead.
+		// A back end that responds is not suspected of being dead.
 		d.countUnlessCancelled(w, outlier.Errored)
 	case errors.As(err, &otherWeights):
-		// That is no fault of the back end, and passes.
+		// This is no fault of the back end, and temporary.
 		d.server.health.Suspect(d.server.options.Clock(), w.health.Address)
 	default:
 		d.countUnlessCancelled(w, outlier.Reset)
@@ -88,22 +88,22 @@
 	w.apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: attempt})
 }
 
-// countUnlessCancelled enters an outcome against the back end of an attempt, unless
-// the attempt was ended from this side.
+// countUnlessCancelled counts an outcome against the back end of an attempt, unless this
+// node has cancelled the attempt.
 func (d *dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
 	if w.ctx.Err() == nil {
 		w.health.Failed(d.server.options.Clock(), outcome)
 	}
 }
 
-// refusedError tells of a back end that promised not to run the request.
+// refusedError reports a back end that has refused to run the request.
 func refusedError(refusal *outbound.RefusedError, wait time.Duration) *caller.Error {
 	return caller.NewError(caller.KindBackendRefused,
 		"the back end did not take the request (%v): send it again later", refusal).WithRetryAfter(max(refusal.RetryAfter, wait))
 }
 
-// budgetError tells of a retry that the budget does not permit. It keeps
-// what the last attempt's problem said.
+// budgetError reports a retry that the budget does not permit. It keeps the message of
+// the last attempt's error.
 func budgetError(last *caller.Error) *caller.Error {
 	reason := "an earlier attempt failed"
 	if last != nil {
@@ -113,7 +113,7 @@
 		"the destination's share of retries is used up after this failure: %s", reason)
 }
 
-// respond does what the ledger asks for at the end.
+// respond performs the final action that the tracker asks for.
 func (d *dispatcher) respond(w *work, action attempts.Action) {
 	switch action.Kind {
 	case attempts.Relay:
@@ -141,8 +141,8 @@
 	}
 }
 
-// finalError returns the last problem with the ledger's word on whether the
-// request may have run.
+// finalError returns the last error, with the tracker's statement whether the request may
+// have run.
 func (w *work) finalError() *caller.Error {
 	callerError := w.lastError
 	if callerError == nil {
--- a/internal/dataplane/outgoing_updates.go
+++ b/internal/dataplane/outgoing_updates.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// loadRefresh is how long a load that has not changed is not told again. It
-	// is half the time for which others believe it.
+	// loadRefresh is how long an unchanged load is not sent again. It is half the time
+	// after which other nodes discard it.
 	loadRefresh = 500 * time.Millisecond
-	// maxPendingUpdates bounds the dispatches, and the pages of reports, that wait to
-	// be told; what is beyond it is not told.
+	// maxPendingUpdates bounds the pending dispatches, reports and denials, each. What
+	// comes beyond it is dropped.
 	maxPendingUpdates = 1024
 )
 
-// sentLoad is the load of a replica as the others were told it last.
+// sentLoad is the load of a replica as it was sent last.
 type sentLoad struct {
 	load   kvrouter.SharedLoad
 	sentAt time.Duration
 }
 
-// outgoingUpdates gathers what this node tells the others of its traffic.
+// outgoingUpdates collects what the other nodes are to learn of this node's traffic. It
+// may be used concurrently.
 type outgoingUpdates struct {
 	mutex      sync.Mutex
 	sentLoads  map[string]sentLoad
@@ -36,21 +37,21 @@
 	denials    []gossip.Denial
 }
 
-// newOutgoingUpdates returns a sharing that has nothing to tell.
+// newOutgoingUpdates returns an empty collection.
 func newOutgoingUpdates() *outgoingUpdates {
 	return &outgoingUpdates{sentLoads: make(map[string]sentLoad)}
 }
 
-// addDispatch notes a request that was sent to a replica.
+// addDispatch adds a request that was sent to a replica.
 func (s *outgoingUpdates) addDispatch(dispatch gossip.Dispatch) { enqueue(s, &s.dispatches, dispatch) }
 
-// addReport notes a page of reports that this node has read.
+// addReport adds a page of reports that this node has read.
 func (s *outgoingUpdates) addReport(report gossip.Report) { enqueue(s, &s.reports, report) }
 
-// addDenial notes an incarnation that was found to be gone from its address.
+// addDenial adds an incarnation that is gone from its address.
 func (s *outgoingUpdates) addDenial(denial gossip.Denial) { enqueue(s, &s.denials, denial) }
 
-// enqueue keeps a piece of news until it is taken; beyond maxPendingUpdates it is lost.
+// enqueue appends an entry unless the queue is full.
 func enqueue[T any](s *outgoingUpdates, queue *[]T, entry T) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// drain returns what is to be told now, given the present loads.
+// drain returns and removes what is to be sent now, given the present loads.
 func (s *outgoingUpdates) drain(now time.Duration, loads []kvrouter.AddressLoad) gossip.Update {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -73,9 +74,9 @@
 	return update
 }
 
-// shouldSend tells whether the others believe another load, or would cease to
-// believe this one. That a prompt is read further, and that an answer grows, they
-// expect by themselves. The lock is held.
+// shouldSend reports whether the other nodes assume another load, or would discard this
+// one. They expect by themselves that a prefill progresses and a response grows. The lock
+// is held.
 func (s *outgoingUpdates) shouldSend(now time.Duration, load kvrouter.AddressLoad) bool {
 	sent, found := s.sentLoads[load.Address]
 	idle := load.Requests == 0
@@ -90,8 +91,8 @@
 	return true
 }
 
-// sameRequests tells whether two loads of one replica are the same requests, of which none
-// has come, ended, or begun to answer between them.
+// sameRequests reports whether two loads of one replica are those of the same requests,
+// none of which has arrived, ended, or begun to respond in between.
 func sameRequests(sent, present kvrouter.SharedLoad) bool {
 	prefilling := func(load kvrouter.SharedLoad) bool {
 		return lo.SomeBy(load.PrefillTokens[:], func(tokens float64) bool { return tokens > 0 })
@@ -109,7 +110,7 @@
 	return update
 }
 
-// ApplyUpdate takes in what another node has told.
+// ApplyUpdate applies an update of another node.
 func (s *Server) ApplyUpdate(update gossip.Update) {
 	now := s.options.Clock()
 	for _, load := range update.Loads {
@@ -127,8 +128,8 @@
 	s.health.ApplyOutcomes(now, update)
 }
 
-// handleWrongTarget enters that a listed back end said that a request was for another
-// one, and tells the others if that holds for good.
+// handleWrongTarget records that a back end has refused a request as meant for another
+// one, and tells the other nodes if the incarnation is gone for good.
 func (s *Server) handleWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
 	if s.stale.RecordRefusal(s.options.Clock(), replica, refusal.Instance) {
 		s.updates.addDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
@@ -146,7 +147,7 @@
 	s.router.ChunksReported(now, report.Address, report.Feed, changes)
 }
 
-// chunkChanges are changes as the router takes them.
+// chunkChanges converts changes to the router's type.
 func chunkChanges(changes []gossip.Change) []kvrouter.ChunkChange {
 	return lo.Map(changes, func(change gossip.Change, _ int) kvrouter.ChunkChange {
 		return kvrouter.ChunkChange{
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -32,15 +32,15 @@
 	backend  *poolBackend
 	decision kvrouter.Decision
 	limits   *ridgeswitchv1.BackendLimits
-	// slowStartUntil is when the replica has warmed up.
+	// slowStartUntil is when the slow start of the replica ends.
 	slowStartUntil time.Duration
 	slots          int
-	// targetVersion is the weight version that the pool's replicas are to run.
+	// targetVersion is the weight version that the pool's replicas are to load.
 	targetVersion string
 }
 
-// chooseHealthy implements backend. Replicas that failed lately are avoided as long
-// as others take requests.
+// choose implements backend. Replicas that failed lately are avoided as long as others
+// take requests.
 func (b *poolBackend) choose(w *work) (target, *caller.Error) {
 	pool := b.newestPool(w)
 	if pool == nil || pool.Config.GetModel() != w.destination.Pool.Config.GetModel() {
@@ -68,7 +68,7 @@
 	}, nil
 }
 
-// selectionResultOf tells how a selection of the router ended.
+// selectionResultOf returns how a selection of the router ended.
 func selectionResultOf(err error) health.SelectionResult {
 	var none *kvrouter.NoReplicaError
 	switch {
@@ -90,7 +90,7 @@
 	return view.Pools[w.destination.Pool.Config.GetName()]
 }
 
-// selection is what the router needs to know of the work.
+// selection returns the router's request for the work.
 func (b *poolBackend) selection(w *work, pool *routing.Pool, now time.Duration, exclude func(string) bool) kvrouter.Request {
 	model := pool.Config.GetModel()
 	return kvrouter.Request{
@@ -118,8 +118,8 @@
 	}
 }
 
-// candidates returns the replicas of a pool that requests may go to. A replica
-// whose weight version is not confirmed gets none: no cache salt could be right.
+// candidates returns the replicas of a pool that requests may go to. A replica whose
+// weight version is not confirmed is none: no cache salt could be right.
 func (b *poolBackend) candidates(now time.Duration, pool *routing.Pool) []kvrouter.Candidate {
 	candidates := make([]kvrouter.Candidate, 0, len(pool.Replicas))
 	for _, listing := range pool.Replicas {
@@ -155,7 +155,7 @@
 // anonymousDomain is the sharing domain of requests without a key.
 const anonymousDomain = "anonymous"
 
-// noReplicaError tells why no replica was chosen.
+// noReplicaError reports why no replica was chosen.
 func noReplicaError(err error, wait time.Duration) *caller.Error {
 	kind := caller.KindNoBackend
 	var none *kvrouter.NoReplicaError
@@ -173,8 +173,8 @@
 	return t.decision.Address
 }
 
-// waitBeforeSend implements target: the replica may be about to have read what the request
-// has in common with an earlier one.
+// waitBeforeSend implements target: the replica may be about to finish the prefill of
+// chunks that the request shares with an earlier one.
 func (t *replicaTarget) waitBeforeSend(w *work) {
 	awaited := t.decision.Wait
 	if awaited == nil {
@@ -234,7 +234,7 @@
 	return received, nil
 }
 
-// attempt describes the attempt to the replica.
+// attempt describes the attempt to the replica, and announces it to the other nodes.
 func (t *replicaTarget) attempt(w *work, number int) Attempt {
 	described := w.attempt(t.backend.server, t.decision.Address, number)
 	described.Generation = &Generation{
@@ -267,14 +267,15 @@
 	return &Pull{Source: planned.Source, FirstChunk: planned.FirstChunk, LastChunk: planned.LastChunk}
 }
 
-// mayUse tells whether a replica may be pulled from under a version.
+// mayUse reports whether requests under a weight version may go to a replica, and chunks
+// be fetched from it.
 func (b *poolBackend) mayUse(pool *routing.Pool, address, weightVersion string) bool {
 	found, admits := findAdmitting(pool, address, weightVersion)
 	return admits && !b.server.quarantine.Contains(address, weightVersion) &&
 		!b.server.stale.Contains(b.server.options.Clock(), found)
 }
 
-// checkVersion refuses answers made under other weights.
+// checkVersion rejects responses that were produced by other weights.
 func (t *replicaTarget) checkVersion(received Response) error {
 	actual := received.WeightVersion()
 	if actual == "" {
@@ -299,8 +300,8 @@
 	}, refusal)
 }
 
-// hasSpareCapacity implements target. A replica that is to load other weights takes
-// nothing while it does.
+// hasSpareCapacity implements target. A replica that is to load other weights takes no
+// requests while it does.
 func (t *replicaTarget) hasSpareCapacity() bool {
 	server := t.backend.server
 	now := server.options.Clock()
@@ -312,7 +313,8 @@
 // expectedDelay implements target.
 func (t *replicaTarget) expectedDelay() time.Duration { return t.decision.ExpectedDelay }
 
-// spareCapacityFraction is the share of its slots up to which a replica has room for certain.
+// spareCapacityFraction is the fraction of its slots up to which a replica certainly has
+// free ones.
 const spareCapacityFraction = 0.5
 
 // firstOutput implements target.
--- a/internal/dataplane/recorder/recorder.go
+++ b/internal/dataplane/recorder/recorder.go
@@ -67,9 +67,9 @@
 	written atomic.Uint64
 	dropped atomic.Uint64
 	failed  atomic.Uint64
-	// dropsWritten is how many drops the recording tells of.
+	// dropsWritten is how many drops the recording reports.
 	dropsWritten uint64
-	// failureLogged tells that a failure of the disk was logged.
+	// failureLogged reports whether a failure of the disk was logged.
 	failureLogged bool
 }
 
@@ -183,8 +183,8 @@
 	r.written.Add(1)
 }
 
-// writeDropCount writes how many records were dropped since the last note, so that
-// whoever replays the recording knows that it is not whole.
+// writeDropCount writes how many records were dropped since the last call, so that
+// whoever replays the recording knows that it is incomplete.
 func (r *Recorder) writeDropCount() {
 	dropped := r.dropped.Load()
 	if dropped == r.dropsWritten {
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -9,14 +9,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// bufferedResponse is a whole answer that is known to be complete.
+// bufferedResponse is a complete response that has not been relayed.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// callerGoneError says that bytes could not be written to the caller.
+// callerGoneError reports that bytes could not be written to the caller.
 type callerGoneError struct {
 	cause error
 }
@@ -26,8 +26,8 @@
 	return "the caller takes no more of the answer: " + e.cause.Error()
 }
 
-// relay hands an answer on as it comes, beginning with what has been read. The
-// status line goes out only here, after a first part has come.
+// relay relays a response as it arrives, beginning with the chunk that has been read. The
+// status line is written only here, after a first chunk has arrived.
 func (d *dispatcher) relay(w *work, attempt int, received Response, chunk []byte, err error) error {
 	w.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
 	if !w.relaying {
@@ -51,15 +51,15 @@
 	return err
 }
 
-// isCompleteEnd tells whether Next has said that an answer is complete. Only the
-// bare io.EOF says so: an error that merely wraps one tells of a cut.
+// isCompleteEnd reports whether Next has said that a response is complete. Only the bare
+// io.EOF says so: an error that wraps one reports a truncation.
 func isCompleteEnd(err error) bool {
 	return err == io.EOF //nolint:errorlint // a wrapped io.EOF is a truncated response
 }
 
-// abortRelay ends a cut answer so that nobody takes it for a complete one: an
-// error event where the answer is a stream of events, and then an abnormal end
-// of the connection.
+// abortRelay ends a truncated response so that nobody mistakes it for a complete one:
+// with an error event where the response is a stream of events, and then by aborting the
+// connection.
 func (d *dispatcher) abortRelay(w *work) {
 	w.failed = true
 	w.countAbort()
@@ -69,8 +69,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeErrorEvent tells of the cut inside the stream, where the protocol has
-// a way to say so.
+// writeErrorEvent reports the truncation inside the stream, where the protocol has an
+// event for that.
 func (w *work) writeErrorEvent() {
 	event := w.edges.Callers.ErrorEvent(w.truncationError())
 	if len(event) == 0 {
@@ -80,7 +80,7 @@
 	_ = http.NewResponseController(w.writer).Flush()
 }
 
-// countAbort counts a cut answer, or one that nobody waits for any more.
+// countAbort counts a truncated response, or one whose caller has disconnected.
 func (w *work) countAbort() {
 	if w.tracker.CallerDisconnected() {
 		w.counters.countAbandoned()
@@ -89,7 +89,7 @@
 	w.counters.countTruncated()
 }
 
-// truncationError tells of an answer that was cut.
+// truncationError reports a truncated response.
 func (w *work) truncationError() *caller.Error {
 	callerError := w.finalError()
 	callerError.Kind = caller.KindResponseTruncated
@@ -101,8 +101,8 @@
 	return callerError
 }
 
-// writeBuffered hands a whole answer on. The header was written before if the
-// answer was handed on as it came.
+// writeBuffered writes a buffered response. There is none if the response was relayed as
+// it arrived.
 func (w *work) writeBuffered() {
 	if w.buffered == nil {
 		return
@@ -115,12 +115,12 @@
 	_, _ = w.writer.Write(w.buffered.body)
 }
 
-// permitsBody tells whether an answer of a status may have a body.
+// permitsBody reports whether a response with a status may have a body.
 func permitsBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeHeader writes the status line and header of an answer.
+// writeHeader writes the status line and header of a response.
 func (w *work) writeHeader(status int, header http.Header) {
 	w.observer.responseStarted(status, header)
 	target := w.writer.Header()
--- a/internal/dataplane/report_readers.go
+++ b/internal/dataplane/report_readers.go
@@ -18,39 +18,39 @@
 )
 
 const (
-	// readWait is how long one read waits for news.
+	// readWait is how long one read waits for changes.
 	readWait = time.Second
 	// minReadInterval is the least time between two reads of one back end, so that
-	// news is read in batches.
+	// changes are read in batches.
 	minReadInterval = 200 * time.Millisecond
-	// readBackoff is the pause after a failed read, and maxReadBackoff
-	// bounds it after further ones.
+	// readBackoff is the backoff after a failed read, and maxReadBackoff its upper bound
+	// after further ones.
 	readBackoff    = 250 * time.Millisecond
 	maxReadBackoff = 2 * time.Second
-	// readTimeoutMargin is how much longer than its wait a read may take.
+	// readTimeoutMargin is added to the wait of a read for its time-out.
 	readTimeoutMargin = time.Second
 )
 
-// reportReaders reads the reports of the replicas and stores that this node is
-// the reader of. Of all nodes one reads a back end, and tells the others.
+// reportReaders reads the reports of the replicas and stores that are assigned to this
+// node. Exactly one of the nodes reads a back end, and sends what it reads to the others.
+// Each back end is read in a goroutine of its own, which ends with Serve.
 type reportReaders struct {
 	server *Server
 	reader ReportReader
 
-	// lastView is the view that forgetRemoved looked at last. It belongs to Serve.
+	// lastView is the view of the last call of forgetRemoved. It belongs to Serve.
 	lastView *routing.View
-	// stabilizationWait belongs to Serve as well.
+	// stabilization belongs to Serve as well.
 	stabilization stabilizationWait
 	fullReads     *fullReadLimiter
-	// assigned is what this node reads by the view and the live nodes that owned
-	// looked at last. It belongs to Serve.
+	// assigned is the last assignment. It belongs to Serve.
 	assigned assignment
 
 	mutex   sync.Mutex
 	running map[string]context.CancelFunc
 }
 
-// newReportReaders returns readers that run once Serve does.
+// newReportReaders returns readers that read nothing before Serve.
 func newReportReaders(server *Server) *reportReaders {
 	return &reportReaders{
 		server:    server,
@@ -60,8 +60,8 @@
 	}
 }
 
-// Serve implements suture.Service: it compares what is read with the newest
-// view and the live nodes until ctx ends.
+// Serve implements suture.Service: it compares what is read with the newest view and the
+// live nodes until ctx ends.
 func (r *reportReaders) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(r.server.options.ViewInterval)
 	defer ticker.Stop()
@@ -80,8 +80,8 @@
 	}
 }
 
-// follow reads what this node is the reader of, once it knows the other nodes and
-// has learnt from them how far the reports were read.
+// follow reads the assigned back ends, once the membership is stable and a snapshot tells
+// up to which position their reports have been read.
 func (r *reportReaders) follow(ctx context.Context, view *routing.View) {
 	stable := r.stabilization.stable(r.server.options.Clock(), r.server.options.Peers())
 	if !stable || r.server.AwaitingSnapshot() {
@@ -95,7 +95,8 @@
 	return "report readers"
 }
 
-// forgetRemoved drops what is known of back ends that are not listed any more.
+// forgetRemoved removes back ends that are no longer listed from the index and the
+// quarantine.
 func (r *reportReaders) forgetRemoved(view *routing.View) {
 	if view == r.lastView {
 		return
@@ -111,20 +112,20 @@
 	}
 }
 
-// assignment is which back ends a node reads under a view and live nodes.
+// assignment is the set of back ends that a node reads under a view and a membership.
 type assignment struct {
 	view  *routing.View
 	peers []member.Info
 	owned map[string]bool
 }
 
-// validFor tells whether the assignment was made for a view and live nodes.
+// validFor reports whether the assignment was made for a view and a membership.
 func (a *assignment) validFor(view *routing.View, peers []member.Info) bool {
 	same := func(one, other member.Info) bool { return one.ID == other.ID && one.Zone == other.Zone }
 	return a.owned != nil && a.view == view && slices.EqualFunc(a.peers, peers, same)
 }
 
-// owned returns the addresses that this node reads.
+// owned returns the addresses that are assigned to this node.
 func (r *reportReaders) owned(view *routing.View) map[string]bool {
 	peers := r.server.options.Peers()
 	if !r.assigned.validFor(view, peers) {
@@ -133,7 +134,7 @@
 	return r.assigned.owned
 }
 
-// assign works out the addresses that this node reads.
+// assign computes the addresses that are assigned to this node.
 func (r *reportReaders) assign(view *routing.View, peers []member.Info) map[string]bool {
 	owned := make(map[string]bool)
 	for address, zone := range reportingBackends(view) {
@@ -144,7 +145,8 @@
 	return owned
 }
 
-// reportingBackends returns the zones of all back ends that report kept parts.
+// reportingBackends returns the zones of all back ends that report cached chunks, by
+// address.
 func reportingBackends(view *routing.View) map[string]string {
 	zones := make(map[string]string)
 	for _, pool := range view.Pools {
@@ -158,8 +160,8 @@
 	return zones
 }
 
-// readerFor returns the node that reads a back end: of the nodes in its zone, or
-// of all if there is none, the one that weighs highest for it.
+// readerFor returns the node that reads a back end: the one with the highest rendezvous
+// weight among the nodes in its zone, or among all if the zone has none.
 func readerFor(address, zone string, peers []member.Info) member.ID {
 	inZone, found := heaviest(address, peers, func(peer member.Info) bool { return peer.Zone == zone })
 	if found {
@@ -169,7 +171,7 @@
 	return anywhere
 }
 
-// heaviest returns the node that weighs most for a back end, among those admitted.
+// heaviest returns the node with the highest weight for a back end, among those admitted.
 func heaviest(address string, peers []member.Info, admitted func(member.Info) bool) (best member.ID, found bool) {
 	highest := uint64(0)
 	for _, peer := range peers {
@@ -189,8 +191,7 @@
 	return xxhash.Sum64String(address + "\x00" + string(id))
 }
 
-// reconcile starts and stops loops so that exactly the owned back ends are
-// read.
+// reconcile starts and stops goroutines so that exactly the owned back ends are read.
 func (r *reportReaders) reconcile(ctx context.Context, owned map[string]bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -237,9 +238,9 @@
 	}
 }
 
-// readOnce takes in what is new at a back end, and tells the others: everything
-// that it keeps when that is not known, and otherwise a page from where this node
-// stands.
+// readOnce reads a back end once and sends what it has read to the other nodes:
+// everything that the back end caches if that is not known, and otherwise the changes
+// after the present position.
 func (r *reportReaders) readOnce(ctx context.Context, address string) error {
 	if !r.server.router.ChunksComplete(address) && r.fullReads.tryAcquire(r.server.options.Clock(), address) {
 		if r.readFull(ctx, address) == nil {
@@ -249,7 +250,7 @@
 	return r.readPage(ctx, address)
 }
 
-// readPage reads a page from where this node stands.
+// readPage reads the changes after the present position.
 func (r *reportReaders) readPage(ctx context.Context, address string) error {
 	epoch, since, found := r.server.router.ChunksPosition(address)
 	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
@@ -260,7 +261,7 @@
 	}
 	report := gossipReport(address, since, page)
 	if found && page.Incarnation != epoch {
-		// The position belongs to an earlier life of the back end.
+		// The position belongs to an earlier incarnation of the back end.
 		report.Feed.From = 0
 	}
 	if found && page.Incarnation == epoch && len(report.Changes) == 0 && !page.Lost {
@@ -271,7 +272,7 @@
 	return nil
 }
 
-// gossipReport is a page as it is told to others.
+// gossipReport converts a page to what is sent to other nodes.
 func gossipReport(address string, since uint64, page ReportPage) gossip.Report {
 	return gossip.Report{
 		Address: address,
--- a/internal/dataplane/request_recorder.go
+++ b/internal/dataplane/request_recorder.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
 )
 
-// responseObserver notes when and how the answer of one request begins. A nil watch
-// notes nothing.
+// responseObserver observes when and how the response to one request starts. A nil
+// observer does nothing.
 type responseObserver struct {
 	clock        func() time.Duration
 	firstByteAt  time.Duration
@@ -22,14 +22,14 @@
 	attempts     int
 }
 
-// attempt notes that an attempt starts.
+// attempt records that an attempt starts.
 func (w *responseObserver) attempt(number int) {
 	if w != nil {
 		w.attempts = number
 	}
 }
 
-// responseStarted notes the header of a back end's answer.
+// responseStarted records the header of a back end's response.
 func (w *responseObserver) responseStarted(status int, header http.Header) {
 	if w == nil {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// refused notes an error in place of an answer.
+// refused records an error in place of a response.
 func (w *responseObserver) refused(callerError *caller.Error) {
 	if w == nil {
 		return
@@ -51,15 +51,15 @@
 	w.errorKind = callerError.Kind
 }
 
-// requestRecorder hands a record of each request on when it has ended. It
-// stands where the destination, the tenant and the headers are known.
+// requestRecorder records each request when it has ended. In the chain it follows the
+// handlers that determine destination, tenant and headers.
 type requestRecorder struct {
 	recorder *recorder.Recorder
 	clock    func() time.Duration
 	started  time.Duration
 }
 
-// handle implements handler. Cut answers end in a panic.
+// handle implements handler. Truncated responses end in a panic.
 func (r *requestRecorder) handle(e *exchange, next func()) {
 	e.observer = &responseObserver{clock: r.clock}
 	defer func() { r.recorder.Record(r.describe(e)) }()
@@ -98,13 +98,13 @@
 	return record
 }
 
-// outcome tells how an exchange has ended for its caller.
+// outcome returns how an exchange has ended for its caller.
 func (e *exchange) outcome() recording.Outcome {
 	switch {
 	case e.observer.errorKind != "":
 		return recording.Refused
 	case e.observer.status != 0 && !e.failed:
-		// A caller may hang up as soon as it has the last byte.
+		// A caller may disconnect as soon as it has the last byte.
 		return recording.Answered
 	case e.request.Context().Err() != nil:
 		return recording.Left
--- a/internal/dataplane/route_matcher.go
+++ b/internal/dataplane/route_matcher.go
@@ -32,7 +32,7 @@
 	next()
 }
 
-// requestParser reads what the caller says of its request.
+// requestParser parses the caller's headers.
 type requestParser struct{}
 
 // handle implements handler.
@@ -53,8 +53,7 @@
 	next()
 }
 
-// applyRouteKind lets the route's kind decide what the caller's headers would decide
-// otherwise.
+// applyRouteKind lets the route's kind override the caller's headers.
 func applyRouteKind(parsed caller.Request, route *routing.Route) caller.Request {
 	switch route.Config.GetKind() {
 	case ridgeswitchv1.RequestKind_REPEATABLE:
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -21,7 +21,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// clientName names the client of back ends in go-zero's registers.
+// clientName names the client of back ends in go-zero's metrics.
 const clientName = "backends"
 
 // Server serves callers on one address.
@@ -45,10 +45,9 @@
 	startup      *startupGate
 	chain        chain
 	listener     *listener.Listener
-	// recorder is nil without a recording.
+	// recorder is nil if requests are not recorded.
 	recorder *recorder.Recorder
-	// draws counts the random sources handed out, so that each has its own
-	// seed.
+	// draws counts the random sources, so that each has its own seed.
 	draws atomic.Uint64
 	seed  uint64
 
@@ -161,8 +160,8 @@
 	return s.listener.Address()
 }
 
-// Drain takes no new connection, and returns when the running requests have
-// ended, or with an error when ctx ends first. Readiness is to be off before.
+// Drain accepts no new connection, and returns when the running requests have ended, or
+// with an error when ctx ends first. The node must not be ready any more.
 func (s *Server) Drain(ctx context.Context) error {
 	err := s.listener.Shutdown(ctx)
 	if err == nil {
@@ -171,13 +170,13 @@
 	return err
 }
 
-// Stop ends everything at once. Running requests are cut.
+// Stop ends everything at once. Running requests are aborted.
 func (s *Server) Stop() {
 	s.listener.Close()
 	s.release()
 }
 
-// release gives back what a stopped server holds.
+// release frees the resources of a stopped server.
 func (s *Server) release() {
 	s.stopOnce.Do(func() {
 		close(s.stopped)
@@ -203,7 +202,7 @@
 	return stats
 }
 
-// RecordStats returns what became of the records of this node's requests.
+// RecordStats returns the counters of the recorder; zero without one.
 func (s *Server) RecordStats() recorder.Stats {
 	if s.recorder == nil {
 		return recorder.Stats{}
@@ -211,8 +210,8 @@
 	return s.recorder.Stats()
 }
 
-// random returns a source of random numbers for one selection, or nil where
-// the temperature makes it unnecessary.
+// random returns a source of random numbers for one selection, or nil where the
+// temperature makes it unnecessary.
 func (s *Server) random(temperature float64) *rand.Rand {
 	if temperature <= 0 {
 		return nil
--- a/internal/dataplane/serving_check.go
+++ b/internal/dataplane/serving_check.go
@@ -7,7 +7,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// notServingRetry is when a caller of a node that may not serve may come back.
+// notServingRetry is when a caller may retry at a node that may not serve.
 const notServingRetry = time.Second
 
 // servingCheck refuses every request while the node may not serve.
@@ -29,7 +29,7 @@
 	next()
 }
 
-// servingView returns the newest view, or why the node may not serve by it.
+// servingView returns the newest view, or why the node may not serve.
 func servingView(source routing.Source) (*routing.View, *caller.Error) {
 	if err := source.Serving(); err != nil {
 		return nil, caller.NewError(caller.KindNotServing,
@@ -42,7 +42,7 @@
 	return view, nil
 }
 
-// unconfiguredError is the refusal of a node that can't know what is allowed.
+// unconfiguredError is the refusal of a node without a configuration.
 func unconfiguredError() *caller.Error {
 	return caller.NewError(caller.KindNotServing,
 		"this node has no configuration yet: send the request to another node or try again").WithRetryAfter(notServingRetry)
--- a/internal/dataplane/snapshot_exchange.go
+++ b/internal/dataplane/snapshot_exchange.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// snapshots lets a node that has started learn from another one what back ends
-// keep, and answers those that ask this node.
+// snapshotExchange copies what a peer knows of cached chunks when this node has started,
+// and serves such snapshots to peers that have started. It may be used concurrently.
 type snapshotExchange struct {
 	router *kvrouter.Router
 
@@ -29,22 +29,22 @@
 	}
 }
 
-// done tells whether this node has learnt what it could from others.
+// done reports whether the node no longer waits for a snapshot.
 func (a *snapshotExchange) done(now time.Duration) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.client.Done(now)
 }
 
-// tick returns the question and the answers that are due.
+// tick returns the request and the responses that are due.
 func (a *snapshotExchange) tick(now time.Duration, live []member.Info) []gossip.Outbound {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return append(a.client.Tick(now, live), a.server.Tick(live, a.snapshot)...)
 }
 
-// handleRequest notes a node's question. Who has not adopted yet itself answers that it
-// knows nothing.
+// handleRequest starts a transfer to a peer. A node that still waits for its own snapshot
+// sends an empty one.
 func (a *snapshotExchange) handleRequest(now time.Duration, by member.ID) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -55,7 +55,7 @@
 	a.server.HandleRequest(by, a.router.Addresses())
 }
 
-// handleResponse takes in a part of an answer.
+// handleResponse applies a part of a peer's snapshot.
 func (a *snapshotExchange) handleResponse(now time.Duration, stage gossip.Stage, update gossip.Update) {
 	a.mutex.Lock()
 	current := a.client.HandleResponse(now, stage, update)
@@ -68,7 +68,7 @@
 	}
 }
 
-// snapshot is what this node knows of a back end, as it is told to others.
+// snapshot returns what this node knows of the chunks that a back end caches.
 func (a *snapshotExchange) snapshot(address string) (gossip.Report, bool) {
 	feed, chunks, found := a.router.ChunksSnapshot(address)
 	if !found {
@@ -80,20 +80,21 @@
 	return gossip.Report{Address: address, Feed: feed, Complete: true, Changes: changes}, true
 }
 
-// SnapshotMessages returns what this node is to ask others, or to answer them, now.
+// SnapshotMessages returns the snapshot requests and responses that are due. It is called
+// periodically, with the live nodes.
 func (s *Server) SnapshotMessages(live []member.Info) []gossip.Outbound {
 	return s.snapshots.tick(s.options.Clock(), live)
 }
 
-// AwaitingSnapshot tells whether another node is asked, or is telling, what back ends keep.
-// It is false some seconds after the start in any case.
+// AwaitingSnapshot reports whether a snapshot has been requested and may still arrive. It
+// is false a few seconds after the start in any case.
 func (s *Server) AwaitingSnapshot() bool {
 	s.snapshots.mutex.Lock()
 	defer s.snapshots.mutex.Unlock()
 	return s.snapshots.client.Pending(s.options.Clock())
 }
 
-// HandleSnapshotBatch takes in a question or an answer of another node.
+// HandleSnapshotBatch handles a snapshot request or response of another node.
 func (s *Server) HandleSnapshotBatch(batch gossip.Batch) {
 	now := s.options.Clock()
 	for _, update := range batch.Updates {
--- a/internal/dataplane/stabilization_wait.go
+++ b/internal/dataplane/stabilization_wait.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// stableFor is how long the live nodes stay the same until a node that has
-	// started believes that it knows them.
+	// stableFor is how long the membership must stay the same before a node that has
+	// started acts on it.
 	stableFor = 200 * time.Millisecond
-	// maxStabilizationWait ends that wait in any case.
+	// maxStabilizationWait bounds the wait.
 	maxStabilizationWait = 5 * time.Second
 )
 
 // stabilizationWait waits until a node that has started knows the live nodes. Before, it
-// takes itself for the only one, or for one of a few, and would do the work of the
-// others too.
+// sees itself as the only node, or as one of a few, and would do the work of others too.
 type stabilizationWait struct {
 	started   bool
 	startedAt time.Duration
@@ -28,8 +27,8 @@
 	done      bool
 }
 
-// stable tells, given the live nodes of each look, whether the node knows them.
-// Once it does that stays so.
+// stable reports, given the live nodes at each call, whether the membership is stable.
+// Once it is, it stays so.
 func (s *stabilizationWait) stable(now time.Duration, peers []member.Info) bool {
 	if s.done {
 		return true
--- a/internal/dataplane/startup_gate.go
+++ b/internal/dataplane/startup_gate.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// maxStartupWait is how long prompts are held back at most, from the first view
-	// with pools on.
+	// maxStartupWait is the longest time for which prompts wait, from the first view with
+	// pools on.
 	maxStartupWait = time.Second
-	// startupCoverage is the share of a pool's replicas whose kept parts are known when a
-	// node no longer holds prompts back.
+	// startupCoverage is the fraction of the replicas whose cached chunks are known when
+	// prompts no longer wait.
 	startupCoverage = 0.75
 )
 
-// startup holds prompts back at a node that has just started, until it knows what
-// most replicas keep. Sent before, they would be read from their beginnings where
-// other replicas keep these: after a start of all nodes, more at once than the
-// replicas read in seconds.
+// startupGate delays prompts at a node that has just started until it knows what most
+// replicas have cached. Prompts that are sent earlier would be computed from their
+// beginnings although other replicas have these cached; after a start of all nodes that
+// is more than the replicas compute in seconds.
 type startupGate struct {
 	mutex sync.Mutex
-	// deadline is when prompts are sent in any case; 0 before pools are known.
+	// deadline is when the gate opens in any case; 0 before pools are known.
 	deadline time.Duration
 	open     bool
-	// opened is closed when the warm-up is over.
+	// opened is closed when the gate opens.
 	opened chan struct{}
 }
 
 func newStartupGate() *startupGate { return &startupGate{opened: make(chan struct{})} }
 
-// update ends the warm-up if it is time, or if whole tells of enough replicas that
-// what they keep is known.
+// update opens the gate if its deadline has passed, or if the cached chunks of enough
+// replicas are known.
 func (u *startupGate) update(now time.Duration, view *routing.View, chunksComplete func(address string) bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// wait holds a prompt back until the warm-up is over or ctx ends.
+// wait blocks until the gate is open or ctx ends.
 func (u *startupGate) wait(ctx context.Context) {
 	select {
 	case <-u.opened:
@@ -67,12 +67,12 @@
 	}
 }
 
-// updateStartupGate looks whether the node knows enough of what replicas keep.
+// updateStartupGate opens the start-up gate if that is due.
 func (s *Server) updateStartupGate() {
 	s.startup.update(s.options.Clock(), s.options.Source.View(), s.router.ChunksComplete)
 }
 
-// waitForStartup holds the work's prompt back while the node warms up.
+// waitForStartup delays a prompt until the start-up gate is open.
 func (s *Server) waitForStartup(w *work) {
 	if s.options.Edges.Reports != nil && w.destination.WebService == nil {
 		s.startup.wait(w.ctx)
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -5,14 +5,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// DestinationLoad tells how many attempts run on the back ends of a destination
+// DestinationLoad is the number of attempts that run on the back ends of a destination
 // through this node.
 type DestinationLoad struct {
 	Name string
-	// WebService tells a web service from a pool.
+	// WebService distinguishes a web service from a pool.
 	WebService bool
-	// InFlight counts the attempts. Destinations that share a back end both
-	// count what runs there.
+	// InFlight counts the attempts. A back end that several destinations share is counted
+	// for each.
 	InFlight int
 }
 
@@ -41,7 +41,7 @@
 	return total
 }
 
-// IndexStats returns the size of the index of prefixes.
+// IndexStats returns the size of the prefix index.
 func (s *Server) IndexStats() prefixindex.Stats {
 	return s.router.IndexStats()
 }
--- a/internal/dataplane/tenant_limiter.go
+++ b/internal/dataplane/tenant_limiter.go
@@ -11,16 +11,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 )
 
-// limiter drives the admission controller for many goroutines.
+// limiter makes the admission controller usable by many goroutines, which wait in it for
+// their grant.
 type limiter struct {
 	clock      func() time.Duration
 	mutex      sync.Mutex
 	controller *admission.Controller
-	// onQueued holds a channel for each queued request, closed when granted.
+	// waiting holds a channel for each queued request, which is closed when the request
+	// is granted.
 	waiting map[admission.Ticket]chan struct{}
 }
 
-// newLimiter returns a limiter that has seen no request.
+// newLimiter returns a limiter of a node without requests.
 func newLimiter(clock func() time.Duration, node admission.Options) *limiter {
 	return &limiter{
 		clock:      clock,
@@ -29,10 +31,9 @@
 	}
 }
 
-// acquire admits a request, waiting in the tenant's queue if need be, or says
-// why not. The ticket of an admitted request is to be released. A request that
-// waits calls waiting first, and gives up when the channel that it returns is
-// closed.
+// acquire admits a request, which may wait in the tenant's queue, or returns why not. The
+// caller must release the ticket of an admitted request. For a request that waits
+// onQueued is called first, and the wait ends when the channel that it returns is closed.
 func (l *limiter) acquire(ctx context.Context, arrival admission.Arrival, onQueued func() <-chan struct{}) (admission.Ticket, *caller.Error) {
 	decision, granted := l.arrive(arrival)
 	switch decision.Outcome {
@@ -45,7 +46,7 @@
 	}
 }
 
-// admissionError tells why a request was neither admitted nor queued.
+// admissionError returns why a request was neither admitted nor queued.
 func admissionError(tenant string, decision admission.Decision) *caller.Error {
 	var callerError *caller.Error
 	switch decision.Outcome {
@@ -63,7 +64,8 @@
 	return callerError.WithRetryAfter(decision.RetryAfter)
 }
 
-// arrive enters a request. The channel is nil unless the request waits.
+// arrive passes a request to the controller. The channel is nil unless the request is
+// queued.
 func (l *limiter) arrive(arrival admission.Arrival) (admission.Decision, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// abandon gives a wait up. It returns false if the request was granted.
+// abandon ends the wait of a request. It returns false if the request was granted.
 func (l *limiter) abandon(tenant string, ticket admission.Ticket) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -106,7 +108,8 @@
 	return true
 }
 
-// release gives back the place of an admitted request.
+// release frees the slot of an admitted request, and wakes the requests that are granted
+// by it.
 func (l *limiter) release(ended admission.Ticket) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -130,7 +133,7 @@
 	l.controller.Retain(func(tenant string) bool { return names[tenant] })
 }
 
-// queueTimeoutError is the refusal of a request that has waited in vain.
+// queueTimeoutError is the refusal of a request that was not granted in time.
 func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
 	if deadlinePassed(ctx) {
 		return deadlineError()
@@ -151,12 +154,11 @@
 	}
 }
 
-// publicTenant is whom requests without a key count for. No tenant is called
-// so.
+// publicTenant is the tenant of requests without a key. No configured tenant has this
+// name.
 const publicTenant = ""
 
-// tenantLimiter holds each tenant to its limits, and all of them together to
-// the node's.
+// tenantLimiter enforces the limits of each tenant, and those of the node.
 type tenantLimiter struct {
 	limiter *limiter
 	bodies  *bodyReader
@@ -175,7 +177,7 @@
 }
 
 // readBodyWhileQueued reads the body of a request that waits. The channel is closed when
-// that fails: the caller has left, or what it sends cannot be taken.
+// that fails: the caller has disconnected, or its body is refused.
 func (t *tenantLimiter) readBodyWhileQueued(e *exchange) <-chan struct{} {
 	if !e.hasBody() {
 		return nil
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -32,8 +32,8 @@
 	limits  *ridgeswitchv1.BackendLimits
 }
 
-// chooseHealthy implements backend: the fewest attempts in flight win. Back ends that
-// failed lately are avoided as long as there are others.
+// choose implements backend: the fewest attempts in flight win. Back ends that failed
+// lately are avoided as long as there are others.
 func (b *webBackend) choose(w *work) (target, *caller.Error) {
 	service := b.newestService(w)
 	if service == nil {
@@ -57,7 +57,8 @@
 	return &webTarget{backend: b, chosen: chosen, limits: service.Config.GetBackends()}, nil
 }
 
-// slowStartExhausted tells whether a back end is cold and bears no more requests now.
+// slowStartExhausted reports whether a back end is in slow start and takes no more
+// requests now.
 func (b *webBackend) slowStartExhausted(now time.Duration, service *routing.WebService, candidate routing.Replica) bool {
 	return now < candidate.SlowStartUntil && !b.server.slowStart.Allowed(now, service.Config.GetBackends(), candidate.Address)
 }
@@ -90,7 +91,7 @@
 	return best, found
 }
 
-// noWebBackendError tells that no back end admits requests.
+// noWebBackendError reports that no back end admits requests.
 func noWebBackendError() *caller.Error {
 	return caller.NewError(caller.KindNoBackend,
 		"no back end of the web service takes requests: send the request again")
@@ -139,8 +140,8 @@
 	t.backend.server.handleWrongTarget(t.chosen, refusal)
 }
 
-// hasSpareCapacity implements target. What the other nodes have sent is not known; if the
-// back ends are full, all refuse.
+// hasSpareCapacity implements target. What the other nodes have sent is not known; back
+// ends at capacity refuse requests from all nodes.
 func (t *webTarget) hasSpareCapacity() bool {
 	return t.backend.server.inFlight.count(t.chosen.Address) < t.chosen.Slots
 }
