--- a/internal/lab/enginebench/batch.go
+++ b/internal/lab/enginebench/batch.go
@@ -17,11 +17,11 @@
 	ended := request.produced >= request.arrival.out
 	if !request.firstSent && (request.produced >= r.engine.Stride || ended) {
 		request.firstSent = true
-		request.first(now + milliseconds(r.engine.FirstEvent))
+		request.first(now + fromMilliseconds(r.engine.FirstEvent))
 	}
 	if ended {
 		r.remove(request)
-		request.done(now + milliseconds(r.engine.FirstEvent))
+		request.done(now + fromMilliseconds(r.engine.FirstEvent))
 	}
 }
 
--- a/internal/lab/enginebench/profile.go
+++ b/internal/lab/enginebench/profile.go
@@ -10,12 +10,15 @@
 	"github.com/samber/lo"
 )
 
-// Engine is how a replica runs requests. Times are in milliseconds.
+// Engine is how a replica runs requests. Times are in milliseconds, sizes in tokens
+// but for BytesPerToken, and rates of links in bits per second.
 type Engine struct {
+	// Slots is how many requests run at once.
 	Slots        int
 	MemoryTokens int
-	StepBase     float64
-	StepPerSlot  float64
+	// StepBase is the time of a step, and StepPerSlot what each running request adds.
+	StepBase    float64
+	StepPerSlot float64
 	// ContextPerThousand is the time per step and thousand tokens of context.
 	ContextPerThousand float64
 	// PrefillTokens are the tokens of prompts read in a millisecond.
@@ -23,14 +26,18 @@
 	// PairsPerMillion is the time for a million pairs of a read token and one
 	// before it.
 	PairsPerMillion float64
-	FirstEvent      float64
+	// FirstEvent is the time from a token to the event with it.
+	FirstEvent float64
 	// Stride is the number of tokens in an event.
-	Stride        int
+	Stride int
+	// PrefillChunk is how many tokens of prompts are read in one step.
 	PrefillChunk  int
 	BytesPerToken float64
-	LinkBits      float64
-	StoreBits     float64
-	StoreTokens   int
+	// LinkBits and StoreBits are the rates of a replica's link and of the store's.
+	LinkBits    float64
+	StoreBits   float64
+	StoreTokens int
+	// TransferSetup is added to the time of each transfer.
 	TransferSetup float64
 }
 
@@ -44,10 +51,14 @@
 	// Unshared is the mean length of the last chunk, which no other request has, in
 	// tokens, with the spread of its logarithm and the largest length.
 	Unshared, UnsharedSpread, UnsharedMax float64
-	Out, OutSpread                        float64
-	LatencyTarget, Deadline               time.Duration
-	Value, LateValue                      float64
-	Priority                              uint8
+	// Out is the mean of the output tokens, with the spread of its logarithm.
+	Out, OutSpread float64
+	// LatencyTarget and Deadline are for the first event. A request is worth Value
+	// within the target, LateValue within the deadline, and nothing after.
+	LatencyTarget, Deadline time.Duration
+	Value, LateValue        float64
+	// Priority is the rank at the replica; 0 is the most urgent.
+	Priority uint8
 }
 
 // SharedChunk is a chunk of prompts that is drawn from a number of variants. Tokens is
--- a/internal/lab/enginebench/replica.go
+++ b/internal/lab/enginebench/replica.go
@@ -162,7 +162,7 @@
 	took := r.engine.StepBase + r.engine.StepPerSlot*float64(len(r.active)) +
 		r.engine.ContextPerThousand*float64(context)/1000 +
 		float64(work)/r.engine.PrefillTokens + r.engine.PairsPerMillion*pairs/1e6
-	r.sim.timers.Add(now+milliseconds(took*r.slow), func(now time.Duration) { r.stepped(now, read) })
+	r.sim.timers.Add(now+fromMilliseconds(took*r.slow), func(now time.Duration) { r.stepped(now, read) })
 }
 
 // readSome reads the next tokens of a prompt within the budget of the step.
@@ -280,6 +280,7 @@
 	})
 }
 
-func milliseconds(value float64) time.Duration {
+// fromMilliseconds converts a number of milliseconds to a duration.
+func fromMilliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
--- a/internal/lab/enginebench/simulation.go
+++ b/internal/lab/enginebench/simulation.go
@@ -169,7 +169,7 @@
 	if from.zone != to.zone {
 		took *= crossZoneFactor
 	}
-	end := start + milliseconds(engine.TransferSetup+took)
+	end := start + fromMilliseconds(engine.TransferSetup+took)
 	from.linkFreeAt, to.linkFreeAt = end, end
 	return end, true
 }
