--- a/internal/edge/caller/request_test.go
+++ b/internal/edge/caller/request_test.go
@@ -1,6 +1,7 @@
 package caller_test
 
 import (
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -46,8 +47,8 @@
 
 	DescribeTable("refuses", func(name, value string) {
 		_, err := caller.Parse(with(http.MethodPost, name, value))
-		problem, typed := err.(*caller.Error)
-		Expect(typed).To(BeTrue())
+		var problem *caller.Error
+		Expect(errors.As(err, &problem)).To(BeTrue())
 		Expect(problem.Kind).To(Equal(caller.KindBadRequest))
 		Expect(problem.Message).To(HavePrefix(name))
 		Expect(problem.MayHaveRun).To(BeFalse())
--- a/internal/edge/operator/middleware.go
+++ b/internal/edge/operator/middleware.go
@@ -25,7 +25,7 @@
 				})
 				return
 			}
-			defer func() {
+			defer func() { //nolint:contextcheck // the context of the call is used
 				if err := running.Return(); err != nil {
 					logx.WithContext(r.Context()).Error(err)
 				}
@@ -38,7 +38,7 @@
 // recoverCalls answers a call that panicked and keeps the node running.
 func recoverCalls(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		defer func() {
+		defer func() { //nolint:contextcheck // the context of the call is used
 			if cause := recover(); cause != nil {
 				logx.WithContext(r.Context()).Errorf("call %s %s: %v\n%s", r.Method, r.URL.Path, cause, debug.Stack())
 				writeProblem(w, &ridgeswitchv1.Problem{
--- a/internal/edge/outbound/benchmark_test.go
+++ b/internal/edge/outbound/benchmark_test.go
@@ -17,6 +17,7 @@
 
 // benchmarkSender sends requests one after the other over a kept connection.
 func benchmarkSender(b *testing.B, client sender) {
+	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/edge/outbound/connection_limit_test.go
+++ b/internal/edge/outbound/connection_limit_test.go
@@ -20,22 +20,22 @@
 }
 
 var _ = Describe("Direct with a bound on connections", func() {
-	boundOnConnections(func() boundedSender { return outbound.NewDirect(outbound.DirectOptions{}) }, closeAnswer)
+	boundOnConnections(func() boundedSender { return outbound.NewDirect(outbound.DirectOptions{}) }, closeBody)
 })
 
 var _ = Describe("Client with a bound on connections", func() {
-	// Its connection is free again once the answer was read to its end.
-	boundOnConnections(func() boundedSender { return outbound.New(outbound.Options{Name: "bounded"}) }, func(answer *http.Response) {
-		_, err := io.Copy(io.Discard, answer.Body)
+	// Its connection is free again once the response was read to its end.
+	boundOnConnections(func() boundedSender { return outbound.New(outbound.Options{Name: "bounded"}) }, func(body io.ReadCloser) {
+		_, err := io.Copy(io.Discard, body)
 		Expect(err).NotTo(HaveOccurred())
-		closeAnswer(answer)
+		closeBody(body)
 	})
 })
 
-func closeAnswer(answer *http.Response) { Expect(answer.Body.Close()).To(Succeed()) }
+func closeBody(body io.ReadCloser) { Expect(body.Close()).To(Succeed()) }
 
 // boundOnConnections specifies what every client keeps to.
-func boundOnConnections(newClient func() boundedSender, finish func(answer *http.Response)) {
+func boundOnConnections(newClient func() boundedSender, finish func(body io.ReadCloser)) {
 	var client boundedSender
 
 	BeforeEach(func() {
@@ -43,9 +43,13 @@
 		DeferCleanup(client.CloseIdle)
 	})
 
-	// begin sends a request and leaves its answer unread.
-	begin := func(address string) (*http.Response, error) {
-		return client.Send(newRequest(http.MethodPost, address), nil)
+	// begin sends a request and returns the body of its response, unread.
+	begin := func(address string) (io.ReadCloser, error) {
+		response, err := client.Send(newRequest(http.MethodPost, address), nil)
+		if err != nil {
+			return nil, err
+		}
+		return response.Body, nil
 	}
 	// boundOf returns the limit that stopped a request, of which nothing was sent.
 	boundOf := func(err error) int {
@@ -97,13 +101,13 @@
 			return 0
 		})
 		for range 5 {
-			answer, err := begin(unbounded.listener.Addr().String())
+			body, err := begin(unbounded.listener.Addr().String())
 			Expect(err).NotTo(HaveOccurred())
-			defer func() { _ = answer.Body.Close() }()
+			defer func() { _ = body.Close() }()
 		}
-		answer, err := begin(bounded.listener.Addr().String())
+		body, err := begin(bounded.listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
-		defer func() { _ = answer.Body.Close() }()
+		defer func() { _ = body.Close() }()
 		_, err = begin(bounded.listener.Addr().String())
 		Expect(boundOf(err)).To(Equal(1))
 	})
--- a/internal/edge/outbound/direct_connection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -41,7 +41,7 @@
 // close may be called more than once.
 func (c *directConnection) close() {
 	if !c.closed.Swap(true) {
-		_ = c.Conn.Close()
+		_ = c.Conn.Close() //nolint:staticcheck // the embedded field tells Close from close
 		c.open.release(c.address)
 	}
 }
--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -75,8 +76,8 @@
 			writer.Header().Set("Retry-After", "4")
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		})
-		refused, typed := err.(*outbound.RefusedError)
-		Expect(typed).To(BeTrue())
+		var refused *outbound.RefusedError
+		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.RetryAfter).To(Equal(4 * time.Second))
 
 		answer, err := generate(replica.Call{}, func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -21,7 +21,7 @@
 	// HeaderAttemptID carries the identity of the attempt. A back end need not
 	// echo it, unless it refuses with HeaderNotRun.
 	HeaderAttemptID = "Attempt-Id"
-	// HeaderNotRun, with the value "true" in a refusal, promises that the
+	// HeaderNotRun with the value "true", in a rejection, promises that the
 	// request has not run and will not run.
 	HeaderNotRun = "Not-Run"
 	// headerRetryAfter tells when to come back, in seconds.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -221,7 +221,8 @@
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
 	failed := make(chan error, len(n.operators)+1)
-	finished := n.supervise(background)
+	// What is supervised outlives ctx: it has to drain.
+	finished := n.supervise(background) //nolint:contextcheck // see above
 	for _, server := range n.operators {
 		go func() { failed <- errors.Wrap(server.Start(), "operators' listener") }()
 	}
@@ -235,7 +236,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	n.drain()
+	n.drain() //nolint:contextcheck // the drain has a time of its own, see DrainTimeout
 	stop()
 	<-finished
 	return nil
@@ -254,7 +255,7 @@
 	finished := make(chan struct{})
 	ended := supervisor.ServeBackground(ctx)
 	go func() {
-		<-ended
+		<-ended //nolint:errcheck // logEvent has logged why the loops ended
 		close(finished)
 	}()
 	return finished
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -18,21 +18,19 @@
 	transport *Transport
 	address   string
 	queue     *queue
-	context   context.Context
-	cancel    context.CancelFunc
+	// cancel stops the goroutine.
+	cancel context.CancelFunc
 	// retired tells that the transport has dropped this peer as idle. It belongs to the
 	// goroutine of the peer.
 	retired bool
 }
 
-func newPeer(transport *Transport, address string) *peer {
-	peerContext, cancel := context.WithCancel(transport.context)
+func newPeer(transport *Transport, address string, cancel context.CancelFunc) *peer {
 	options := transport.options
 	return &peer{
 		transport: transport,
 		address:   address,
 		queue:     newQueue(options.MaxQueuedFrames, options.MaxQueuedBytes),
-		context:   peerContext,
 		cancel:    cancel,
 	}
 }
@@ -48,24 +46,24 @@
 
 // run connects when there is something to send, and again after each loss, until
 // nothing has been sent for IdleTimeout.
-func (p *peer) run() {
+func (p *peer) run(ctx context.Context) {
 	defer p.cancel()
 	defer p.dropQueued()
 	attempts := newDialAttempts(&p.transport.options)
-	for !p.retired && p.waitForFrames() {
-		connection, err := p.transport.dial(p.context, p.address, attempts.timeout)
+	for !p.retired && p.waitForFrames(ctx) {
+		connection, err := p.transport.dial(ctx, p.address, attempts.timeout)
 		if err != nil {
 			p.transport.counters.connectFailures.Add(1)
 		} else {
 			p.transport.counters.connectionsOpened.Add(1)
-			if p.serve(connection) {
+			if p.serve(ctx, connection) {
 				attempts.succeeded()
 				continue
 			}
 		}
 		// A peer that accepts and takes nothing must not be dialled in a loop
 		// either.
-		if !p.waitBackoff(attempts.failed(err)) {
+		if !p.waitBackoff(ctx, attempts.failed(err)) {
 			return
 		}
 	}
@@ -73,14 +71,14 @@
 
 // waitForFrames tells false when the peer was stopped. It leaves the token in
 // place, for serve to find.
-func (p *peer) waitForFrames() bool {
+func (p *peer) waitForFrames(ctx context.Context) bool {
 	for {
 		if frames, _ := p.queue.size(); frames > 0 {
-			return p.context.Err() == nil
+			return ctx.Err() == nil
 		}
 		select {
 		case <-p.queue.ready:
-		case <-p.context.Done():
+		case <-ctx.Done():
 			return false
 		}
 	}
@@ -88,7 +86,7 @@
 
 // serve sends frames until the connection is lost or the peer stopped. It
 // tells whether any frame was sent.
-func (p *peer) serve(connection net.Conn) (sentAny bool) {
+func (p *peer) serve(ctx context.Context, connection net.Conn) (sentAny bool) {
 	lost := make(chan struct{})
 	p.transport.running.Go(func() { closeOnPeerClose(connection, lost) })
 	defer func() { _ = connection.Close() }()
@@ -98,7 +96,7 @@
 	for {
 		batch := p.queue.pop(batchBytes)
 		if len(batch) > 0 {
-			if !p.write(connection, batch) {
+			if !p.write(ctx, connection, batch) {
 				return sentAny
 			}
 			sentAny = true
@@ -116,7 +114,7 @@
 			idle.Reset(max(remaining, p.transport.options.MinBackoff))
 		case <-lost:
 			return sentAny
-		case <-p.context.Done():
+		case <-ctx.Done():
 			return sentAny
 		}
 	}
@@ -132,8 +130,8 @@
 }
 
 // write sends a batch, and counts the frames that it could not.
-func (p *peer) write(connection net.Conn, batch [][]byte) bool {
-	stop := context.AfterFunc(p.context, func() { _ = connection.Close() })
+func (p *peer) write(ctx context.Context, connection net.Conn, batch [][]byte) bool {
+	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
 	buffers := make(net.Buffers, 0, 2*len(batch))
 	total := 0
@@ -157,13 +155,13 @@
 
 // waitBackoff waits before the next attempt to connect; it tells false when the peer
 // was stopped.
-func (p *peer) waitBackoff(backoff time.Duration) bool {
+func (p *peer) waitBackoff(ctx context.Context, backoff time.Duration) bool {
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-p.context.Done():
+	case <-ctx.Done():
 		return false
 	}
 }
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/binary"
 	"errors"
 	"io"
@@ -26,16 +27,16 @@
 var errFrameLength = errors.New("transport: frame length out of bounds")
 
 // accept runs until the listener is closed.
-func (t *Transport) accept() {
+func (t *Transport) accept(ctx context.Context) {
 	for {
 		connection, err := t.listener.Accept()
 		if err != nil {
-			if t.context.Err() != nil || errors.Is(err, net.ErrClosed) {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
 			select {
 			case <-time.After(acceptRetryDelay):
-			case <-t.context.Done():
+			case <-ctx.Done():
 			}
 			continue
 		}
@@ -43,7 +44,7 @@
 			_ = connection.Close()
 			continue
 		}
-		t.running.Go(func() { t.receive(connection) })
+		t.running.Go(func() { t.receive(ctx, connection) })
 	}
 }
 
@@ -61,7 +62,7 @@
 }
 
 // receive hands over the frames of one connection until it ends.
-func (t *Transport) receive(connection net.Conn) {
+func (t *Transport) receive(ctx context.Context, connection net.Conn) {
 	defer t.release(connection)
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetKeepAliveConfig(t.options.keepAlive())
@@ -70,7 +71,7 @@
 	for {
 		frame, err := t.readFrame(connection, reader)
 		if err != nil {
-			if !errors.Is(err, io.EOF) && t.context.Err() == nil {
+			if !errors.Is(err, io.EOF) && ctx.Err() == nil {
 				t.counters.badFrames.Add(1)
 			}
 			return
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -27,9 +27,11 @@
 	handler  Handler
 	dial     dialFunc
 	counters counters
-	context  context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	// peerContext returns the context in which a new peer runs.
+	peerContext func() (context.Context, context.CancelFunc)
+	// cancel ends everything that Listen or Send started, and running waits for it.
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 
 	mutex   sync.Mutex
 	closed  bool
@@ -51,12 +53,14 @@
 		listener: listener,
 		handler:  handler,
 		dial:     dialWith(newDialer(listener.Addr(), options)),
-		context:  background,
-		cancel:   cancel,
-		peers:    map[string]*peer{},
-		inbound:  map[net.Conn]struct{}{},
+		peerContext: func() (context.Context, context.CancelFunc) {
+			return context.WithCancel(background)
+		},
+		cancel:  cancel,
+		peers:   map[string]*peer{},
+		inbound: map[net.Conn]struct{}{},
 	}
-	transport.running.Go(transport.accept)
+	transport.running.Go(func() { transport.accept(background) })
 	return transport, nil
 }
 
@@ -135,9 +139,10 @@
 func (t *Transport) peer(address string) *peer {
 	existing := t.peers[address]
 	if existing == nil {
-		existing = newPeer(t, address)
+		ctx, cancel := t.peerContext()
+		existing = newPeer(t, address, cancel)
 		t.peers[address] = existing
-		t.running.Go(existing.run)
+		t.running.Go(func() { existing.run(ctx) })
 	}
 	return existing
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -102,8 +102,7 @@
 func expectClosed(connection net.Conn) {
 	_, err := connection.Read(make([]byte, 1))
 	ExpectWithOffset(1, err).To(HaveOccurred())
-	timeout, ok := err.(net.Error)
-	ExpectWithOffset(1, ok && timeout.Timeout()).To(BeFalse())
+	ExpectWithOffset(1, isTimeout(err)).To(BeFalse())
 }
 
 var _ = Describe("A connection on which nothing is sent", func() {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"errors"
 	"fmt"
 	"reflect"
 	"runtime"
@@ -83,8 +84,8 @@
 
 func kindOf(err error) Kind {
 	var refused *Error
-	ExpectWithOffset(1, err).To(BeAssignableToTypeOf(refused))
-	return err.(*Error).Kind
+	ExpectWithOffset(1, errors.As(err, &refused)).To(BeTrue())
+	return refused.Kind
 }
 
 var _ = Describe("Frames", func() {
--- a/pkg/config/dynamic/document_test.go
+++ b/pkg/config/dynamic/document_test.go
@@ -31,8 +31,9 @@
 	return &controlpb.Command{Command: &controlpb.Command_Order{Order: order}}
 }
 
-func evacuationCommand(id, zone string, evacuated bool) *controlpb.Command {
-	order, err := dynamic.EvacuationOrder(id, zone, evacuated, "")
+// evacuationCommand begins or ends the evacuation of zone a.
+func evacuationCommand(id string, evacuated bool) *controlpb.Command {
+	order, err := dynamic.EvacuationOrder(id, "a", evacuated, "")
 	Expect(err).NotTo(HaveOccurred())
 	return &controlpb.Command{Command: &controlpb.Command_Order{Order: order}}
 }
@@ -79,7 +80,7 @@
 
 	It("get their first answer again, also when superseded and after a restart", func() {
 		Expect(apply(source(4, 3, "second"))).To(Equal("2"))
-		Expect(outcome(machine.Apply(evacuationCommand("e", "a", true)))).To(Equal("3"))
+		Expect(outcome(machine.Apply(evacuationCommand("e", true)))).To(Equal("3"))
 		for range 2 {
 			Expect(apply(source(3, 0, "first"))).To(Equal("1"))
 			Expect(apply(source(4, 3, "second"))).To(Equal("2"))
@@ -94,7 +95,7 @@
 		changed.Routes = changed.Routes[:1]
 		Expect(outcome(machine.Apply(documentCommand(changed, source(3, 0, "first"))))).To(Equal("1"))
 		for i := range dynamic.MaxAnswers {
-			machine.Apply(evacuationCommand(fmt.Sprint("e", i), "a", true))
+			machine.Apply(evacuationCommand(fmt.Sprint("e", i), true))
 		}
 		Expect(apply(source(3, 0, "first"))).To(Equal("2"))
 		Expect(apply(source(3, 0, "other"))).To(Equal("base_revision_stale 2"))
@@ -102,7 +103,7 @@
 	})
 
 	It("leave evacuations and the weights of pools that stay", func() {
-		Expect(outcome(machine.Apply(evacuationCommand("e", "a", true)))).To(Equal("2"))
+		Expect(outcome(machine.Apply(evacuationCommand("e", true)))).To(Equal("2"))
 		name, err := dynamic.NameWeightsOrder("w", "summaries", "w9")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(outcome(machine.Apply(&controlpb.Command{Command: &controlpb.Command_Order{Order: name}}))).To(Equal("3"))
@@ -128,7 +129,7 @@
 		digest := sha256.Sum256([]byte("first"))
 		Expect(machine.Configuration().GetSource()).To(equalMessage(&ridgeswitchv1.SourceVersion{Version: 3, Sha256: digest[:]}))
 		By("a single change")
-		machine.Apply(evacuationCommand("e", "a", true))
+		machine.Apply(evacuationCommand("e", true))
 		Expect(machine.Source().GetVersion()).To(Equal(uint64(3)))
 		Expect(machine.Configuration().GetSource().GetVersion()).To(Equal(uint64(3)))
 		By("a whole configuration without a document")
@@ -169,10 +170,10 @@
 var _ = Describe("Orders without an identity of the operator's", func() {
 	It("are accepted again under a new identity, as the state holds already", func() {
 		machine := dynamic.NewMachine(nil)
-		Expect(outcome(machine.Apply(evacuationCommand("n1/1", "a", true)))).To(Equal("1"))
-		Expect(outcome(machine.Apply(evacuationCommand("n2/1", "a", true)))).To(Equal("1"))
-		Expect(outcome(machine.Apply(evacuationCommand("n1/2", "a", false)))).To(Equal("2"))
-		Expect(outcome(machine.Apply(evacuationCommand("n2/2", "a", false)))).To(Equal("2"))
+		Expect(outcome(machine.Apply(evacuationCommand("n1/1", true)))).To(Equal("1"))
+		Expect(outcome(machine.Apply(evacuationCommand("n2/1", true)))).To(Equal("1"))
+		Expect(outcome(machine.Apply(evacuationCommand("n1/2", false)))).To(Equal("2"))
+		Expect(outcome(machine.Apply(evacuationCommand("n2/2", false)))).To(Equal("2"))
 	})
 })
 
--- a/pkg/config/dynamic/errors.go
+++ b/pkg/config/dynamic/errors.go
@@ -1,6 +1,7 @@
 package dynamic
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 
@@ -134,14 +135,13 @@
 
 // problemOf turns an error of this package into the body that operators get.
 func problemOf(err error, revision uint64) *ridgeswitchv1.Problem {
-	var problem *ridgeswitchv1.Problem
-	switch fault := err.(type) {
-	case *Error:
-		problem = fault.Problem()
-	case Errors:
+	problem := &ridgeswitchv1.Problem{Kind: string(KindInvalid), Message: err.Error()}
+	var fault interface {
+		error
+		Problem() *ridgeswitchv1.Problem
+	}
+	if errors.As(err, &fault) {
 		problem = fault.Problem()
-	default:
-		problem = &ridgeswitchv1.Problem{Kind: string(KindInvalid), Message: err.Error()}
 	}
 	problem.Revision = revision
 	return problem
--- a/pkg/config/dynamic/parse.go
+++ b/pkg/config/dynamic/parse.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strconv"
 	"unicode/utf8"
@@ -57,7 +58,8 @@
 		return nil
 	}
 	message := err.Error()
-	if syntax, ok := err.(*json.SyntaxError); ok {
+	var syntax *json.SyntaxError
+	if errors.As(err, &syntax) {
 		message = fmt.Sprintf("%s at byte %d", message, syntax.Offset)
 	}
 	return &Error{Kind: KindMalformed, Message: message + "; write the document as JSON"}
--- a/pkg/config/dynamic/suite_test.go
+++ b/pkg/config/dynamic/suite_test.go
@@ -1,6 +1,7 @@
 package dynamic_test
 
 import (
+	"errors"
 	"os"
 	"testing"
 
@@ -35,15 +36,17 @@
 
 // faultsOf lists an error's faults as "kind field".
 func faultsOf(err error) []string {
+	var single *dynamic.Error
+	var all dynamic.Errors
 	var found []string
-	switch err := err.(type) {
-	case *dynamic.Error:
-		found = append(found, string(err.Kind)+" "+err.Field)
-	case dynamic.Errors:
-		for _, fault := range err {
+	switch {
+	case errors.As(err, &all):
+		for _, fault := range all {
 			Expect(fault.Message).NotTo(BeEmpty())
 			found = append(found, string(fault.Kind)+" "+fault.Field)
 		}
+	case errors.As(err, &single):
+		found = append(found, string(single.Kind)+" "+single.Field)
 	}
 	return found
 }
--- a/pkg/config/dynamic/validate_test.go
+++ b/pkg/config/dynamic/validate_test.go
@@ -1,6 +1,7 @@
 package dynamic_test
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strings"
@@ -130,7 +131,9 @@
 	It("puts all faults into one problem, up to a bound", func() {
 		configuration := validConfiguration()
 		configuration.Routes = repeated(29, func(int) *ridgeswitchv1.Route { return &ridgeswitchv1.Route{Host: "h"} })
-		problem := dynamic.Validate(configuration).(dynamic.Errors).Problem()
+		var faults dynamic.Errors
+		Expect(errors.As(dynamic.Validate(configuration), &faults)).To(BeTrue())
+		problem := faults.Problem()
 		Expect(problem.GetKind()).To(Equal("missing"))
 		Expect(problem.GetField()).To(Equal("routes[0]"))
 		Expect(problem.GetMessage()).To(HavePrefix("59 faults: routes[0]: has no destination"))
--- a/pkg/config/static/suite_test.go
+++ b/pkg/config/static/suite_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -44,7 +45,8 @@
 func faultsOf(faults []error) []string {
 	var found []string
 	for _, fault := range faults {
-		typed := fault.(*static.Error)
+		var typed *static.Error
+		Expect(errors.As(fault, &typed)).To(BeTrue())
 		Expect(typed.Message).NotTo(BeEmpty())
 		found = append(found, string(typed.Kind)+" "+typed.Field)
 	}
@@ -69,7 +71,9 @@
 
 	DescribeTable("report what can't be read, all at once", func(document string, faults ...string) {
 		_, err := static.Parse([]byte(document))
-		Expect(faultsOf(err.(static.Errors).Unwrap())).To(Equal(faults))
+		var found static.Errors
+		Expect(errors.As(err, &found)).To(BeTrue())
+		Expect(faultsOf(found.Unwrap())).To(Equal(faults))
 		Expect(err).To(MatchError(Not(BeEmpty())))
 	},
 		Entry("no mapping", "[]", "unreadable "),
