--- a/pkg/config/dynamic/checks.go
+++ b/pkg/config/dynamic/checks.go
@@ -17,46 +17,62 @@
 	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// checker collects faults while it walks over a configuration.
+// checker collects the faults of single values. Each check takes the path of the
+// field, which the fault names.
 type checker struct {
 	collector
 }
 
-// name checks an identifier that may stand in a path of the control interface.
-func (c *checker) name(path, value string) {
-	switch {
-	case value == "":
-		c.add(KindMissing, path, "is empty; give a name")
-	case len(value) > MaxNameBytes:
-		c.add(KindOversize, path, "has %d bytes; use at most %d", len(value), MaxNameBytes)
-	case !namePattern.MatchString(value):
-		c.add(KindInvalid, path, "%q: begin with a letter or digit and use only letters, digits, '.', '_' and '-'", value)
-	}
+// textRule is the form that a required text must have.
+type textRule struct {
+	// missing is the message about an empty text, and invalid the format of the one
+	// about a text of another form, which takes the text.
+	missing, invalid string
+	maxBytes         int
+	valid            func(value string) bool
 }
 
-// label checks an opaque text that nodes hand on, such as a model.
-func (c *checker) label(path, value string) {
-	switch {
-	case value == "":
-		c.add(KindMissing, path, "is empty; give a value")
-	case len(value) > MaxNameBytes:
-		c.add(KindOversize, path, "has %d bytes; use at most %d", len(value), MaxNameBytes)
-	case !isVisibleASCII(value):
-		c.add(KindInvalid, path, "%q: use visible ASCII characters without spaces", value)
+var (
+	nameRule = textRule{
+		missing:  "is empty; give a name",
+		invalid:  "%q: begin with a letter or digit and use only letters, digits, '.', '_' and '-'",
+		maxBytes: MaxNameBytes,
+		valid:    namePattern.MatchString,
+	}
+	labelRule = textRule{
+		missing:  "is empty; give a value",
+		invalid:  "%q: use visible ASCII characters without spaces",
+		maxBytes: MaxNameBytes,
+		valid:    isVisibleASCII,
+	}
+	hostRule = textRule{
+		missing:  "is empty; give the host name that callers use",
+		invalid:  "%q: write a lower-case host name without scheme, port or path",
+		maxBytes: MaxHostBytes,
+		valid:    hostPattern.MatchString,
 	}
-}
+)
 
-func (c *checker) host(path, value string) {
+// text checks a required text.
+func (c *checker) text(path, value string, rule textRule) {
 	switch {
 	case value == "":
-		c.add(KindMissing, path, "is empty; give the host name that callers use")
-	case len(value) > MaxHostBytes:
-		c.add(KindOversize, path, "has %d bytes; use at most %d", len(value), MaxHostBytes)
-	case !hostPattern.MatchString(value):
-		c.add(KindInvalid, path, "%q: write a lower-case host name without scheme, port or path", value)
+		c.add(KindMissing, path, "%s", rule.missing)
+	case len(value) > rule.maxBytes:
+		c.add(KindOversize, path, "has %d bytes; use at most %d", len(value), rule.maxBytes)
+	case !rule.valid(value):
+		c.add(KindInvalid, path, rule.invalid, value)
 	}
 }
 
+// name checks an identifier that may stand in a path of the control interface.
+func (c *checker) name(path, value string) { c.text(path, value, nameRule) }
+
+// label checks an opaque text that nodes pass on, such as a model.
+func (c *checker) label(path, value string) { c.text(path, value, labelRule) }
+
+func (c *checker) host(path, value string) { c.text(path, value, hostRule) }
+
 func (c *checker) digest(path, value string) {
 	switch {
 	case value == "":
@@ -86,7 +102,7 @@
 	}
 }
 
-// count checks the length of a list.
+// count checks the number of elements of a repeated field.
 func (c *checker) count(path string, length, bound int) {
 	if length > bound {
 		c.add(KindOversize, path, "has %d entries; use at most %d", length, bound)
@@ -100,20 +116,20 @@
 	}
 }
 
-// atMost checks a number for which 0 has a meaning of its own.
+// atMost checks an upper bound; 0 is valid and means the default, or no bound.
 func (c *checker) atMost(path string, value, bound uint64) {
 	if value > bound {
 		c.add(KindOutOfRange, path, "is %d; use a number from 0 to %d", value, bound)
 	}
 }
 
-// timeoutOrZero checks a time in milliseconds for which 0 has a meaning of its
-// own.
+// timeoutOrZero checks an upper bound of a time in milliseconds; 0 is valid and
+// means the default, or no bound.
 func (c *checker) timeoutOrZero(path string, milliseconds uint32, bound time.Duration) {
 	c.atMost(path, uint64(milliseconds), uint64(bound.Milliseconds()))
 }
 
-// path checks an optional path, or its beginning.
+// path checks an optional path of a URL, or the prefix of one.
 func (c *checker) path(path, value string) {
 	switch {
 	case value == "":
@@ -124,7 +140,7 @@
 	}
 }
 
-// pathPrefix checks the prefix that a route binds; empty means every path.
+// pathPrefix checks the path prefix of a route; empty means every path.
 func (c *checker) pathPrefix(path, value string) {
 	if value != "" && !strings.HasSuffix(value, "/") {
 		c.add(KindInvalid, path, "%q: begin and end with a slash", value)
@@ -138,21 +154,22 @@
 	c.positive(path, milliseconds, uint64(bound.Milliseconds()))
 }
 
-// rate checks a number that must lie above 0 and up to bound.
+// rate checks a number that must be above 0 and at most bound.
 func (c *checker) rate(path string, value, bound float64) {
 	if math.IsNaN(value) || value <= 0 || value > bound {
 		c.add(KindOutOfRange, path, "is %v; use a number above 0 and up to %v", value, bound)
 	}
 }
 
-// nonNegative checks a number for which 0 means the default.
+// nonNegative checks a number from 0 to bound; 0 means the default.
 func (c *checker) nonNegative(path string, value, bound float64) {
 	if math.IsNaN(value) || value < 0 || value > bound {
 		c.add(KindOutOfRange, path, "is %v; use a number from 0 to %v", value, bound)
 	}
 }
 
-// uniqueSet remembers where each value of a kind was first given.
+// uniqueSet holds the values of one kind that have been checked, each with the path
+// at which it was given first.
 type uniqueSet struct {
 	what  string
 	first map[string]string
@@ -162,8 +179,8 @@
 	return &uniqueSet{what: what, first: make(map[string]string)}
 }
 
-// unique adds a fault when the value was given before. Empty values are left to
-// the checks of form.
+// unique adds a fault if the value is in the set already, and adds it otherwise.
+// Empty values are skipped: the checks of their form report them.
 func (c *checker) unique(set *uniqueSet, path, value string) {
 	if value == "" {
 		return
@@ -175,7 +192,7 @@
 	set.first[value] = path
 }
 
-// reference checks that a name is among those of a set.
+// reference checks that a name is in a set.
 func (c *checker) reference(set *uniqueSet, path, value string) {
 	if _, found := set.first[value]; !found {
 		c.add(KindDanglingReference, path, "there is no %s %q; add it or correct the name", set.what, value)
@@ -191,7 +208,7 @@
 	return true
 }
 
-// itemPath is the path of one element of a list.
+// itemPath is the path of one element of a repeated field.
 func itemPath(field string, index int) string {
 	return fmt.Sprintf("%s[%d]", field, index)
 }
--- a/pkg/config/dynamic/validate.go
+++ b/pkg/config/dynamic/validate.go
@@ -6,8 +6,8 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// Validate checks every rule of a configuration and returns all faults at once,
-// up to MaxFaults, as Errors, or nil.
+// Validate checks every rule of a configuration. It returns nil, or Errors with all
+// faults up to MaxFaults; for a nil configuration it returns an *Error.
 func Validate(configuration *ridgeswitchv1.Configuration) error {
 	if configuration == nil {
 		return &Error{Kind: KindMissing, Field: "configuration", Message: "is missing; give the whole configuration"}
@@ -28,19 +28,18 @@
 	return validation.faults.orNil()
 }
 
-// nameSets hold what must be unique across a configuration.
+// nameSets are the values that must be unique in a configuration, by kind.
 type nameSets struct {
 	tenants, digests, pools, webServices, services, stores, routes, zones *uniqueSet
 }
 
-// validation is one run over a configuration.
+// validation is the state of one call of Validate.
 type validation struct {
 	checker
 	names nameSets
 }
 
-// run checks the lists in an order in which each reference comes after what it
-// refers to.
+// run checks each kind of element after those that it refers to.
 func (v *validation) run(configuration *ridgeswitchv1.Configuration) {
 	v.size(configuration)
 	v.tenants(configuration.GetTenants())
@@ -52,6 +51,12 @@
 	v.evacuations(configuration.GetEvacuations())
 }
 
+// uniqueName checks an identifier that no other element of the same kind may have.
+func (v *validation) uniqueName(set *uniqueSet, path, value string) {
+	v.name(path, value)
+	v.unique(set, path, value)
+}
+
 func (v *validation) size(configuration *ridgeswitchv1.Configuration) {
 	size := proto.Size(configuration)
 	if size > MaxConfigurationBytes {
@@ -63,8 +68,7 @@
 	v.count("tenants", len(tenants), MaxTenants)
 	for i, tenant := range tenants {
 		path := itemPath("tenants", i)
-		v.name(path+".name", tenant.GetName())
-		v.unique(v.names.tenants, path+".name", tenant.GetName())
+		v.uniqueName(v.names.tenants, path+".name", tenant.GetName())
 		v.keys(path+".keys", tenant.GetKeys())
 		v.limits(path+".limits", tenant.GetLimits())
 		v.priority(path+".priority", tenant.GetPriority())
@@ -104,8 +108,7 @@
 	v.count("stores", len(stores), MaxStores)
 	for i, store := range stores {
 		path := itemPath("stores", i)
-		v.name(path+".name", store.GetName())
-		v.unique(v.names.stores, path+".name", store.GetName())
+		v.uniqueName(v.names.stores, path+".name", store.GetName())
 		v.address(path+".address", store.GetAddress())
 		v.name(path+".zone", store.GetZone())
 		v.memory(path+".memory_tokens", store.GetMemoryTokens())
@@ -118,8 +121,7 @@
 	v.count("pools", len(pools), MaxPools)
 	for i, pool := range pools {
 		path := itemPath("pools", i)
-		v.name(path+".name", pool.GetName())
-		v.unique(v.names.pools, path+".name", pool.GetName())
+		v.uniqueName(v.names.pools, path+".name", pool.GetName())
 		v.label(path+".model", pool.GetModel())
 		v.service(path+".service", pool.GetService())
 		if pool.GetStore() != "" {
@@ -135,11 +137,11 @@
 	}
 }
 
-// service checks the platform's name of a set of back ends. Two destinations on
-// one set would order two weight versions from the same replicas.
+// service checks the name under which the platform lists the back ends of a
+// destination. It must be unique: two pools of one service could demand two weight
+// versions from the same replicas.
 func (v *validation) service(path, service string) {
-	v.name(path, service)
-	v.unique(v.names.services, path, service)
+	v.uniqueName(v.names.services, path, service)
 }
 
 func (v *validation) routing(path string, routing *ridgeswitchv1.Routing) {
@@ -154,8 +156,7 @@
 	v.count("web_services", len(services), MaxWebServices)
 	for i, service := range services {
 		path := itemPath("web_services", i)
-		v.name(path+".name", service.GetName())
-		v.unique(v.names.webServices, path+".name", service.GetName())
+		v.uniqueName(v.names.webServices, path+".name", service.GetName())
 		v.service(path+".service", service.GetService())
 		v.timeout(path+".request_timeout_ms", service.GetRequestTimeoutMs(), MaxRequestTimeout)
 		v.backends(path+".backends", service.GetBackends())
@@ -166,8 +167,7 @@
 	v.count("evacuations", len(evacuations), MaxEvacuations)
 	for i, evacuation := range evacuations {
 		path := itemPath("evacuations", i)
-		v.name(path+".zone", evacuation.GetZone())
-		v.unique(v.names.zones, path+".zone", evacuation.GetZone())
+		v.uniqueName(v.names.zones, path+".zone", evacuation.GetZone())
 		v.reason(path+".reason", evacuation.GetReason())
 	}
 }
--- a/pkg/config/dynamic/validate_backends.go
+++ b/pkg/config/dynamic/validate_backends.go
@@ -4,7 +4,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// engine checks what is told of a pool's engines; absent tells nothing.
+// engine checks the description of a pool's inference engines, which is optional.
 func (v *validation) engine(path string, engine *ridgeswitchv1.Engine) {
 	if engine == nil {
 		return
@@ -24,7 +24,7 @@
 	v.atMost(path, tokens, MaxMemoryTokens)
 }
 
-// backends checks what one back end bears; zero means that there is no bound.
+// backends checks the limits of one back end; 0 means no limit.
 func (v *validation) backends(path string, limits *ridgeswitchv1.BackendLimits) {
 	v.atMost(path+".max_connections", uint64(limits.GetMaxConnections()), MaxBackendConnections)
 	v.path(path+".health_path", limits.GetHealthPath())
--- a/pkg/config/dynamic/validate_routes.go
+++ b/pkg/config/dynamic/validate_routes.go
@@ -4,7 +4,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// everyPath is the path prefix that an empty one stands for.
+// everyPath is what an empty path prefix means.
 const everyPath = "/"
 
 func (v *validation) routes(routes []*ridgeswitchv1.Route) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// uniqueRoute adds a fault when an earlier route binds the same host and prefix.
+// uniqueRoute adds a fault if an earlier route matches the same host and path prefix.
 func (v *validation) uniqueRoute(path string, route *ridgeswitchv1.Route) {
 	if route.GetHost() == "" {
 		return
@@ -59,11 +59,11 @@
 func (v *validation) split(field string, split []*ridgeswitchv1.WeightedDestination) {
 	v.count(field, len(split), MaxSplit)
 	total := uint64(0)
-	for i, part := range split {
+	for i, destination := range split {
 		path := itemPath(field, i)
-		total += uint64(part.GetWeight())
-		v.atMost(path+".weight", uint64(part.GetWeight()), MaxWeight)
-		v.splitDestination(path, part)
+		total += uint64(destination.GetWeight())
+		v.atMost(path+".weight", uint64(destination.GetWeight()), MaxWeight)
+		v.splitDestination(path, destination)
 	}
 	if total == 0 {
 		v.add(KindOutOfRange, field, "has weights that add up to 0; give one destination a weight")
@@ -81,7 +81,8 @@
 	}
 }
 
-// handling checks how the requests of a route are to be handled.
+// handling checks how requests of a route are treated: their kind, times, attempts
+// and priority.
 func (v *validation) handling(path string, route *ridgeswitchv1.Route) {
 	if _, known := ridgeswitchv1.RequestKind_name[int32(route.GetKind())]; !known {
 		v.add(KindInvalid, path+".kind", "is %d; use a kind that the schema names", route.GetKind())
@@ -97,7 +98,8 @@
 	v.atMost(path, uint64(priority), MaxPriority)
 }
 
-// callerLimits checks the bounds for callers; zero means the nodes' default.
+// callerLimits checks the bounds on requests of callers; 0 means the default of the
+// node.
 func (v *validation) callerLimits(path string, limits *ridgeswitchv1.CallerLimits) {
 	v.atMost(path+".max_header_bytes", uint64(limits.GetMaxHeaderBytes()), MaxCallerHeaderBytes)
 	v.atMost(path+".max_body_bytes", limits.GetMaxBodyBytes(), MaxCallerBodyBytes)
