--- /dev/null
+++ b/internal/node/identity.go
@@ -0,0 +1,156 @@
+package node
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"io/fs"
+	"slices"
+
+	"github.com/pkg/errors"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/disk"
+	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
+	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
+)
+
+// identityFile marks a data folder as initialised.
+const identityFile = "identity"
+
+// identity is the content of the identity file. Folders of earlier releases must stay
+// readable, see testdata/folders.
+type identity struct {
+	Node string `json:"node"`
+	// Incarnation distinguishes the folders that the node has had; that of a
+	// founder's first folder is replication.FoundingIncarnation. The key has an
+	// older name, since a file without it would be read as a founder's.
+	Incarnation uint64 `json:"life"`
+	// Founders are the founding voters of the groups that the node has helped to
+	// form through seeds; empty on a node that joined them.
+	Founders []string `json:"founders,omitempty"`
+	// Shards is how many shards have files in the folder, from shard 0 on. It is
+	// written after the files, and before anything is sent of their shards.
+	Shards uint32 `json:"shards,omitempty"`
+}
+
+// ForeignDataError says that a data folder belongs to another node.
+type ForeignDataError struct {
+	Folder   string
+	Found    string
+	Expected string
+}
+
+// Error implements error.
+func (e *ForeignDataError) Error() string {
+	return fmt.Sprintf("data folder %s belongs to node %q and not to %q; point data_folder at this node's own folder", e.Folder, e.Found, e.Expected)
+}
+
+// Initialise marks an empty data folder as that of a founding member, which may
+// vote. It is run once on each node with a disk when a deployment is first set
+// up, and never on a machine that replaces another.
+func Initialise(settings *static.Settings) error {
+	if !settings.HasDisk() {
+		return errors.New("the settings name no data_folder; only nodes with disks are initialised")
+	}
+	if settings.Seeded() {
+		return errors.New("the settings name no group; set founding at the first start of the nodes instead of running init")
+	}
+	folder, err := disk.Open(settings.DataFolder)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = folder.Close() }()
+	stored, initialised, err := readIdentity(folder, settings)
+	if err != nil {
+		return err
+	}
+	if initialised && stored.Incarnation != replication.FoundingIncarnation {
+		return errors.Errorf("data folder %s was made by a start without init, as for a replaced disk; start the node, or empty the folder first if the deployment is new", settings.DataFolder)
+	}
+	if initialised {
+		return errors.Errorf("data folder %s is initialised already; start the node", settings.DataFolder)
+	}
+	_, err = writeIdentity(folder, settings, replication.FoundingIncarnation)
+	return err
+}
+
+// createIdentity makes a new identity durable in a folder that can't vote under a former
+// incarnation. Groups are formed only in a folder that nothing was ever written to.
+func createIdentity(folder *disk.Disk, settings *static.Settings, used bool) (identity, error) {
+	empty, err := folder.Empty()
+	if err != nil {
+		return identity{}, err
+	}
+	if settings.Founder() && !used && empty {
+		return createFounder(folder, settings)
+	}
+	return createIncarnation(folder, settings)
+}
+
+// createFounder makes the identity of a founder durable. The order of the founders
+// must not depend on that of the seeds in the settings.
+func createFounder(folder *disk.Disk, settings *static.Settings) (identity, error) {
+	made := identity{
+		Node:        settings.MemberID(),
+		Incarnation: replication.FoundingIncarnation,
+		Founders:    slices.Sorted(slices.Values(settings.Seeds)),
+	}
+	return made, made.write(folder)
+}
+
+// newIncarnation draws the incarnation of a folder that was found empty. It is random,
+// since the incarnations of lost folders are not known.
+func newIncarnation() (uint64, error) {
+	var drawn [8]byte
+	if _, err := rand.Read(drawn[:]); err != nil {
+		return 0, errors.Wrap(err, "draw an incarnation for the data folder")
+	}
+	return max(binary.BigEndian.Uint64(drawn[:]), replication.FoundingIncarnation+1), nil
+}
+
+// createIncarnation makes an identity with a new incarnation durable.
+func createIncarnation(folder *disk.Disk, settings *static.Settings) (identity, error) {
+	incarnation, err := newIncarnation()
+	if err != nil {
+		return identity{}, err
+	}
+	return writeIdentity(folder, settings, incarnation)
+}
+
+// writeIdentity makes an identity durable. Nothing may be sent under it before.
+func writeIdentity(folder *disk.Disk, settings *static.Settings, incarnation uint64) (identity, error) {
+	made := identity{Node: settings.MemberID(), Incarnation: incarnation}
+	return made, made.write(folder)
+}
+
+func (i identity) write(folder *disk.Disk) error {
+	data, err := json.Marshal(i)
+	if err != nil {
+		return errors.Wrap(err, "encode the identity")
+	}
+	return folder.WriteFile(identityFile, data)
+}
+
+// readIdentity returns the identity of a data folder. Initialised is false if the folder
+// has none. The error is a *ForeignDataError if the folder belongs to another node.
+func readIdentity(folder *disk.Disk, settings *static.Settings) (stored identity, initialised bool, err error) {
+	data, err := folder.ReadFile(identityFile)
+	if errors.Is(err, fs.ErrNotExist) {
+		return identity{}, false, nil
+	}
+	if err != nil {
+		return identity{}, false, err
+	}
+	if err := json.Unmarshal(data, &stored); err != nil {
+		return identity{}, false, errors.Wrapf(err, "read %s in %s; restore the folder or replace the node", identityFile, settings.DataFolder)
+	}
+	if stored.Node != settings.MemberID() {
+		return identity{}, false, &ForeignDataError{Folder: settings.DataFolder, Found: stored.Node, Expected: settings.MemberID()}
+	}
+	if stored.Incarnation == 0 {
+		// Written by init before incarnations were numbered.
+		stored.Incarnation = replication.FoundingIncarnation
+	}
+	return stored, true, nil
+}
