--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -74,7 +74,7 @@
 	return os.ReadFile(path)
 }
 
-// Empty tells whether the folder holds no file but the disk's own.
+// Empty reports whether the folder holds no file but the disk's own.
 func (d *Disk) Empty() (bool, error) {
 	entries, err := os.ReadDir(d.folder)
 	if err != nil {
--- a/internal/disk/error.go
+++ b/internal/disk/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LockedError tells that another process uses a data folder.
+// LockedError means that another process uses a data folder.
 type LockedError struct {
 	Folder string
 }
@@ -12,7 +12,7 @@
 	return fmt.Sprintf("disk: data folder %s is in use; stop the other process or give this one its own folder", e.Folder)
 }
 
-// NameError tells that a name cannot be that of a file in a data folder.
+// NameError means that a name cannot be that of a file in a data folder.
 type NameError struct {
 	Name string
 }
--- a/internal/edge/caller/doc.go
+++ b/internal/edge/caller/doc.go
@@ -3,16 +3,16 @@
 // and only here. docs/CALLERS.md describes them to callers.
 package caller
 
-// Headers of a caller's request and of its answer.
+// Headers of a caller's request and of its response.
 const (
 	// HeaderAuthorization carries "Bearer KEY".
 	HeaderAuthorization = "Authorization"
 	// HeaderModel names the model; the pool's model when it is missing.
 	HeaderModel = "Model"
-	// HeaderPrefix lists the prompt's parts in order: `id;tokens=N, id;tokens=N`.
+	// HeaderPrefix lists the prompt's chunks in order: `id;tokens=N, id;tokens=N`.
 	HeaderPrefix = "Prefix"
 	// HeaderRequestID identifies the request; the node makes one when it is
-	// missing. The answer echoes it.
+	// missing. The response echoes it.
 	HeaderRequestID = "Request-Id"
 	// HeaderRepeatable is "true" if the request may run more than once.
 	HeaderRepeatable = "Repeatable"
@@ -21,13 +21,13 @@
 	HeaderDeadline = "Deadline-Ms"
 	// HeaderOutputTokens bounds the generated tokens.
 	HeaderOutputTokens = "Output-Tokens"
-	// HeaderAccept asks for a streamed answer with "text/event-stream".
+	// HeaderAccept asks for a streamed response with "text/event-stream".
 	HeaderAccept = "Accept"
 	// HeaderRetryAfter, in a refusal, tells when to come back, in seconds.
 	HeaderRetryAfter = "Retry-After"
 	// PassThroughPrefix begins the headers that pass untouched both ways.
 	PassThroughPrefix = "Lab-"
-	// StreamType is the media type of a streamed answer.
+	// StreamType is the media type of a streamed response.
 	StreamType = "text/event-stream"
 )
 
--- a/internal/edge/caller/error.go
+++ b/internal/edge/caller/error.go
@@ -71,7 +71,7 @@
 	MayHaveRun bool `json:"may_have_run"`
 	// RequestID echoes the request's identity.
 	RequestID string `json:"request_id"`
-	// RetryIsSafe tells that the same request may be sent again, although an
+	// RetryIsSafe means that the same request may be sent again, although an
 	// earlier submission of it may have run.
 	RetryIsSafe bool `json:"-"`
 	// RetryAfter is when to come back; zero if coming back does not help.
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -28,7 +28,7 @@
 	Deadline time.Duration
 	// OutputTokens is zero if not given.
 	OutputTokens uint32
-	// Streamed asks for a streamed answer.
+	// Streamed asks for a streamed response.
 	Streamed bool
 }
 
@@ -95,7 +95,7 @@
 	return passed
 }
 
-// acceptsStream tells whether the caller asks for a streamed answer.
+// acceptsStream reports whether the caller asks for a streamed response.
 func acceptsStream(header http.Header) bool {
 	for _, value := range header.Values(HeaderAccept) {
 		for _, choice := range strings.Split(value, ",") {
--- a/internal/edge/operator/call.go
+++ b/internal/edge/operator/call.go
@@ -40,7 +40,7 @@
 	calls() []call
 }
 
-// submit gives an order to control and turns its answer into the result that
+// submit gives an order to control and turns its response into the result that
 // operators get. When the time is up, the order may still take effect.
 func submit(ctx context.Context, control Control, order *controlpb.Order) (*ridgeswitchv1.OrderResult, error) {
 	answer, err := control.Submit(ctx, order)
--- a/internal/edge/operator/control.go
+++ b/internal/edge/operator/control.go
@@ -10,9 +10,9 @@
 // Control is what the control interface needs of the node's control state. It
 // is safe for concurrent use.
 type Control interface {
-	// Submit orders a change and waits for its answer until the context ends.
-	// An answer that is not confirmed may take effect later. An error that
-	// carries a Problem, such as an *UnavailableError, tells that the order was
+	// Submit orders a change and waits for its response until the context ends.
+	// A response that is not confirmed may take effect later. An error that
+	// carries a Problem, such as an *UnavailableError, means that the order was
 	// not taken; after any other error it may have been.
 	Submit(ctx context.Context, order *controlpb.Order) (*controlpb.Answer, error)
 	// Configuration is the configuration that the node serves, which may be
@@ -30,7 +30,7 @@
 	Status() *ridgeswitchv1.NodeStatus
 }
 
-// Health tells whether the node is ready for traffic and whether it lives. Nil
+// Health reports whether the node is ready for traffic and whether it lives. Nil
 // means yes; an error's message tells why not.
 type Health interface {
 	Ready() error
--- a/internal/edge/operator/health.go
+++ b/internal/edge/operator/health.go
@@ -17,7 +17,7 @@
 	PathLive = "/healthz/live"
 )
 
-// healthyBody is the answer of a check that passes.
+// healthyBody is the response of a check that passes.
 const healthyBody = `{"status":"ok"}` + "\n"
 
 func healthRoutes(health Health) []rest.Route {
--- a/internal/edge/operator/middleware.go
+++ b/internal/edge/operator/middleware.go
@@ -13,7 +13,7 @@
 
 // limitCalls refuses calls beyond a number that run at once, so that a storm of
 // calls can't take up the node's memory. Go-zero's own limit does the same
-// without a problem in its answer.
+// without a problem in its response.
 func limitCalls(limit int) rest.Middleware {
 	running := syncx.NewLimit(limit)
 	return func(next http.HandlerFunc) http.HandlerFunc {
--- a/internal/edge/operator/rejection.go
+++ b/internal/edge/operator/rejection.go
@@ -34,7 +34,7 @@
 // and when to resend a pending order.
 const DefaultRetryAfter = time.Second
 
-// UnavailableError tells that a call was not taken and when to come back.
+// UnavailableError means that a call was not taken and when to come back.
 type UnavailableError struct {
 	Kind       dynamic.Kind
 	Message    string
@@ -88,7 +88,7 @@
 	problem    *ridgeswitchv1.Problem
 }
 
-// rejectionOf turns an error into an answer. An error without a Problem leaves
+// rejectionOf turns an error into a response. An error without a Problem leaves
 // open whether the call took effect, so the remedy is the identical call.
 func rejectionOf(err error) rejection {
 	var carrier problemCarrier
@@ -121,7 +121,7 @@
 	return rejected
 }
 
-// isTimeout tells whether a call ended because its time was up.
+// isTimeout reports whether a call ended because its time was up.
 func isTimeout(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/edge/operator/server.go
+++ b/internal/edge/operator/server.go
@@ -22,7 +22,7 @@
 	// maxConcurrentCalls bounds the calls that run at once; a call beyond it is
 	// refused with 503.
 	maxConcurrentCalls = 256
-	// callTimeout bounds the wait for an answer of control. An order that has
+	// callTimeout bounds the wait for a response of control. An order that has
 	// none by then is pending.
 	callTimeout = 10 * time.Second
 	// headerTimeout bounds the wait for the head of a request.
@@ -142,7 +142,7 @@
 			// Timeout buffers answers and says that a call failed which may
 			// have taken effect. Calls end by callTimeout instead.
 			Timeout: false,
-			// MaxBytes sees declared lengths alone and answers without a
+			// MaxBytes sees declared lengths alone and responses without a
 			// problem. Bodies are bounded where they are read.
 			MaxBytes: false,
 			// Gunzip would let a small body grow beyond its bound.
--- a/internal/edge/operator/suite_test.go
+++ b/internal/edge/operator/suite_test.go
@@ -28,7 +28,7 @@
 type node struct {
 	sync.Mutex
 	machine *dynamic.Machine
-	// pending leaves every answer unconfirmed.
+	// pending leaves every response unconfirmed.
 	pending bool
 	// submitError, when set, is what Submit returns.
 	submitError error
--- a/internal/edge/outbound/benchmark_test.go
+++ b/internal/edge/outbound/benchmark_test.go
@@ -15,7 +15,7 @@
 	Send(request *http.Request, body []byte) (*http.Response, error)
 }
 
-// benchmarkSender sends requests one after the other over a kept connection.
+// benchmarkSender sends requests one after the other over an idle connection.
 func benchmarkSender(b *testing.B, client sender) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/edge/outbound/client.go
+++ b/internal/edge/outbound/client.go
@@ -24,7 +24,7 @@
 	DefaultIdlePerAddress = 64
 	// keepAlivePeriod is the period of TCP keep-alive probes.
 	keepAlivePeriod = 5 * time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 256 << 10
 )
 
@@ -47,9 +47,9 @@
 	open      *connectionLimiter
 }
 
-// Error says that a request got no answer.
+// Error says that a request got no response.
 type Error struct {
-	// MayHaveBeenSent tells whether any byte of the request may have left. If it
+	// MayHaveBeenSent reports whether any byte of the request may have left. If it
 	// is false none has left, and none will.
 	MayHaveBeenSent bool
 	cause           error
@@ -104,14 +104,14 @@
 	}
 }
 
-// keepRedirect hands a redirect on as the answer that it is: following it
+// keepRedirect hands a redirect on as the response that it is: following it
 // would send the request a second time.
 func keepRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
 // Send sends a request with a body once. A returned error is an *Error. The
-// caller closes the answer's body; unless it was read to its end the
+// caller closes the response's body; unless it was read to its end the
 // connection is closed with it.
 func (c *Client) Send(request *http.Request, body []byte) (*http.Response, error) {
 	watch := &connectionTrace{}
--- a/internal/edge/outbound/direct.go
+++ b/internal/edge/outbound/direct.go
@@ -26,11 +26,11 @@
 	probeInterval = time.Second
 )
 
-// Bounds of what is taken beside the answer that is waited for.
+// Bounds of what is taken beside the response that is waited for.
 const (
-	// maxInterim bounds the interim answers before an answer.
+	// maxInterim bounds the interim responses before a response.
 	maxInterim = 8
-	// maxSurplus bounds the answers of others before an answer, and
+	// maxSurplus bounds the answers of others before a response, and
 	// maxSurplusBytes the body of one.
 	maxSurplus      = 2
 	maxSurplusBytes = 1 << 20
@@ -48,16 +48,16 @@
 	// AckTimeout is how long sent bytes may stay without the other machine's
 	// acknowledgement.
 	AckTimeout time.Duration
-	// Matches tells whether an answer is that of the request. One that is not is
-	// a surplus answer to an earlier request and is passed over. Nil takes every
+	// Matches reports whether a response is that of the request. One that is not is
+	// a surplus response to an earlier request and is passed over. Nil takes every
 	// answer.
 	Matches func(request *http.Request, response *http.Response) bool
 }
 
 // Direct sends requests on connections of its own, in place of net/http's
 // transport. It uses no goroutines of its own while a request runs, knows for
-// certain whether a byte has left, looks at a kept connection before it uses it
-// again, keeps none on which anything came behind an answer, and keeps each no
+// certain whether a byte has left, looks at an idle connection before it uses it
+// again, keeps none on which anything came behind a response, and keeps each no
 // longer than the back end said. It may be used by many goroutines.
 type Direct struct {
 	options DirectOptions
@@ -113,7 +113,7 @@
 }
 
 // Send sends a request with a body once. A returned error is an *Error. The
-// caller closes the answer's body; unless it was read to its end the connection
+// caller closes the response's body; unless it was read to its end the connection
 // is closed with it. The request's context ends the connection, until the body
 // has ended.
 func (d *Direct) Send(request *http.Request, body []byte) (*http.Response, error) {
@@ -158,7 +158,7 @@
 // CloseIdle closes the connections that carry no request.
 func (d *Direct) CloseIdle() { d.idle.closeAll() }
 
-// connect returns a kept connection that is as it was left, or a new one.
+// connect returns an idle connection that is as it was left, or a new one.
 func (d *Direct) connect(ctx context.Context, address string) (*directConnection, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/internal/edge/outbound/direct_connection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -19,7 +19,7 @@
 	net.Conn
 	// open counts the connection until it is closed.
 	open *connectionLimiter
-	// limited bounds what reader takes of the header of an answer.
+	// limited bounds what reader takes of the header of a response.
 	limited io.LimitedReader
 	reader  *bufio.Reader
 	// head is the memory for the heads of requests.
@@ -46,8 +46,8 @@
 	}
 }
 
-// idle tells whether a kept connection is open and nothing has come on it since
-// its last answer.
+// isIdle reports whether an idle connection is open and nothing has come on it since
+// its last response.
 func (c *directConnection) isIdle() bool {
 	tcp, known := c.Conn.(syscall.Conn)
 	if !known || c.reader.Buffered() > 0 {
--- a/internal/edge/outbound/direct_test.go
+++ b/internal/edge/outbound/direct_test.go
@@ -29,7 +29,7 @@
 		DeferCleanup(client.CloseIdle)
 	}
 
-	// send sends a request with an identity and reads its answer whole.
+	// send sends a request with an identity and reads its response whole.
 	send := func(server *scripted, id string, body []byte) (string, error) {
 		request := newRequest(http.MethodPost, server.listener.Addr().String())
 		request.Header.Set("Id", id)
--- a/internal/edge/outbound/exchange.go
+++ b/internal/edge/outbound/exchange.go
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-// inlineBodyBytes is the longest body that is written before the answer is read.
+// inlineBodyBytes is the longest body that is written before the response is read.
 // The back end may answer a longer one before it has read it.
 const inlineBodyBytes = 16 << 10
 
-// errNoResponse says that what came on a connection is not the answer.
+// errNoResponse says that what came on a connection is not the response.
 var errNoResponse = errors.New("no answer to the request came on its connection")
 
-// exchange is one request on its connection, and the body of its answer.
+// exchange is one request on its connection, and the body of its response.
 type exchange struct {
 	connection *directConnection
 	request    *http.Request
@@ -28,17 +28,17 @@
 	stop func() bool
 	// writing is closed when a long body has been written; nil otherwise.
 	writing chan struct{}
-	// incomplete tells that the request could not be written whole.
+	// incomplete means that the request could not be written whole.
 	incomplete bool
 	response   *http.Response
 	body       io.ReadCloser
-	// surplus tells that another answer came on the connection.
+	// surplus means that another response came on the connection.
 	surplus bool
 	ended   bool
 	failure error
 }
 
-// run writes the request and reads the head of its answer.
+// run writes the request and reads the head of its response.
 func (e *exchange) run(body []byte) (*http.Response, error) {
 	if err := e.write(body); err != nil {
 		return nil, err
@@ -53,8 +53,8 @@
 	return response, nil
 }
 
-// write writes the request, a long body beside the reading of the answer. A
-// request that was written in part may have an answer all the same.
+// write writes the request, a long body beside the reading of the response. A
+// request that was written in part may have a response all the same.
 func (e *exchange) write(body []byte) error {
 	connection := e.connection
 	connection.head = appendHead(connection.head[:0], e.request, len(body))
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// readHead reads the head of the answer, past interim answers and those of
+// readHead reads the head of the response, past interim responses and those of
 // others.
 func (e *exchange) readHead() (*http.Response, error) {
 	surplus := 0
@@ -106,7 +106,7 @@
 	return nil, errNoResponse
 }
 
-// discardResponse reads an answer of another request to its end, and returns false if
+// discardResponse reads a response of another request to its end, and returns false if
 // that cannot be done.
 func discardResponse(response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
@@ -117,12 +117,12 @@
 	return err == nil && count < maxSurplusBytes
 }
 
-// delimited tells whether the end of an answer is marked in it.
+// delimited reports whether the end of a response is marked in it.
 func delimited(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// Read implements io.Reader for the answer's body.
+// Read implements io.Reader for the response's body.
 func (e *exchange) Read(data []byte) (int, error) {
 	if e.failure != nil {
 		return 0, e.failure
@@ -139,7 +139,7 @@
 	return count, err
 }
 
-// Close implements io.Closer for the answer's body. Of an answer that was not
+// Close implements io.Closer for the response's body. Of a response that was not
 // read, the connection is kept if the rest of it has come already.
 func (e *exchange) Close() error {
 	if e.ended {
@@ -167,7 +167,7 @@
 	}
 }
 
-// finish ends the exchange after the whole answer, and keeps the connection if
+// finish ends the exchange after the whole response, and keeps the connection if
 // it may carry another request.
 func (e *exchange) finish() {
 	if e.ended {
@@ -181,13 +181,13 @@
 	e.idle.put(e.connection, e.reuseTime())
 }
 
-// reusable tells whether the connection is as it was before the request. What
-// comes behind an answer belongs to nobody.
+// reusable reports whether the connection is as it was before the request. What
+// comes behind a response belongs to nobody.
 func (e *exchange) reusable() bool {
 	return e.writeComplete() && !e.surplus && !e.response.Close && delimited(e.response) && e.connection.reader.Buffered() == 0
 }
 
-// writeComplete tells whether the whole request has been written by now.
+// writeComplete reports whether the whole request has been written by now.
 func (e *exchange) writeComplete() bool {
 	if e.writing != nil {
 		select {
--- a/internal/edge/outbound/raw_backend_test.go
+++ b/internal/edge/outbound/raw_backend_test.go
@@ -112,7 +112,7 @@
 	return request
 }
 
-// exchangeOnce sends a request and reads its answer.
+// exchangeOnce sends a request and reads its response.
 func exchangeOnce(client sender, method, address string, body []byte) error {
 	response, err := client.Send(newRequest(method, address), body)
 	if err != nil {
--- a/internal/edge/outbound/refusal.go
+++ b/internal/edge/outbound/refusal.go
@@ -11,10 +11,10 @@
 	// RetryAfter is zero if the back end named no time.
 	RetryAfter time.Duration
 	Message    string
-	// WrongTarget tells that the back end is not the one that the request was
+	// WrongTarget means that the back end is not the one that the request was
 	// for, or has other weights: what this node knows of it is out of date.
 	WrongTarget bool
-	// Instance names the incarnation that answered, if the answer tells it.
+	// Instance names the incarnation that answered, if the response tells it.
 	Instance string
 }
 
@@ -27,7 +27,7 @@
 }
 
 // FailedResponseError says that a back end answered with a failure that does not
-// tell whether the request has run.
+// report whether the request has run.
 type FailedResponseError struct {
 	Status int
 }
--- a/internal/edge/outbound/scripted_test.go
+++ b/internal/edge/outbound/scripted_test.go
@@ -78,7 +78,7 @@
 	return server
 }
 
-// answered returns an answer that repeats an identity.
+// answered returns a response that repeats an identity.
 func answered(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
--- a/internal/edge/outbound/single_send_test.go
+++ b/internal/edge/outbound/single_send_test.go
@@ -24,7 +24,7 @@
 // itself, and says so when one may have left.
 func sendsOnce(client func() clientUnderTest) {
 	// cutOnce sends a second request on a connection that is cut after some of its
-	// bytes. Kept tells whether it went out on that connection at all: a client that
+	// bytes. Kept reports whether it went out on that connection at all: a client that
 	// got no processor time to keep it has opened another one.
 	cutOnce := func(method string, body []byte, cut int) (kept bool) {
 		backend := newRawBackend(cut, len(fullAnswer))
--- a/internal/edge/replica/command.go
+++ b/internal/edge/replica/command.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// maxControlResponseBytes bounds a replica's answer to a control call.
+// maxControlResponseBytes bounds a replica's response to a control call.
 const maxControlResponseBytes = 1 << 20
 
 // CommandClient asks replicas for reports and orders them to load weights.
--- a/internal/edge/replica/events.go
+++ b/internal/edge/replica/events.go
@@ -31,7 +31,7 @@
 // Position is how far the reader of a back end's events has come. The zero
 // Position is that of a reader that knows nothing.
 type Position struct {
-	// Incarnation is the life of the back end that Sequence belongs to.
+	// Incarnation is the incarnation of the back end that Sequence belongs to.
 	Incarnation uint64
 	// Sequence is the newest sequence number seen, or 0.
 	Sequence uint64
--- a/internal/edge/replica/generate.go
+++ b/internal/edge/replica/generate.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// contentTypeStream is the media type of a streamed answer.
+// contentTypeStream is the media type of a streamed response.
 const contentTypeStream = "text/event-stream"
 
 // maxRefusalBytes bounds what is read of a refusal's body.
@@ -32,7 +32,7 @@
 	Address   string
 	Model     string
 	CacheSalt string
-	// Prefix is the prompt's parts as HeaderPrefix writes them.
+	// Prefix is the prompt's chunks as HeaderPrefix writes them.
 	Prefix    string
 	RequestID string
 	// AttemptID is unique among all attempts of all nodes.
@@ -40,7 +40,7 @@
 	// Attempt is the number of the attempt, from 1.
 	Attempt      int
 	OutputTokens uint32
-	// Idempotent tells whether the caller permits more than one run.
+	// Idempotent reports whether the caller permits more than one run.
 	Idempotent bool
 	Streamed   bool
 	// Pull is nil if nothing is to be fetched.
@@ -54,8 +54,8 @@
 // Client runs requests on replicas. It may be used by many goroutines.
 type Client struct {
 	sender *outbound.Client
-	// maxResponseBytes bounds an answer that is read whole, and one event of a
-	// streamed answer.
+	// maxResponseBytes bounds a response that is read whole, and one event of a
+	// streamed response.
 	maxResponseBytes int64
 }
 
@@ -64,7 +64,7 @@
 	return &Client{sender: sender, maxResponseBytes: maxResponseBytes}
 }
 
-// Generate runs one attempt up to the header of its answer. The errors are
+// Generate runs one attempt up to the header of its response. The errors are
 // *outbound.Error, *outbound.RefusedError and *outbound.InvalidResponseError.
 func (c *Client) Generate(ctx context.Context, call Call) (*Response, error) {
 	request, err := c.request(ctx, call)
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkEcho binds an answer to its attempt.
+// checkEcho binds a response to its attempt.
 func checkEcho(response *http.Response, call Call) error {
 	echoed := response.Header.Get(HeaderAttemptID)
 	if echoed == call.AttemptID {
--- a/internal/edge/replica/protocol.go
+++ b/internal/edge/replica/protocol.go
@@ -17,27 +17,27 @@
 	PathReport = "/v1/report"
 	// PathWeights takes a WeightsCommand.
 	PathWeights = "/v1/weights"
-	// PathChunks serves a kept part to a peer: "/v1/parts/<chain hash in hex>".
+	// PathChunks serves a cached chunk to a peer: "/v1/parts/<chain hash in hex>".
 	PathChunks = "/v1/parts/"
 )
 
-// Headers of a generate request and its answer.
+// Headers of a generate request and its response.
 const (
 	// HeaderModel names the model.
 	HeaderModel = "Model"
-	// HeaderCacheSalt separates kept parts by weight version and by tenants
+	// HeaderCacheSalt separates cached chunks by weight version and by tenants
 	// that share.
 	HeaderCacheSalt = "Cache-Salt"
-	// HeaderPrefix lists the prompt's parts in order: `id;tokens=N, id;tokens=N`.
+	// HeaderPrefix lists the prompt's chunks in order: `id;tokens=N, id;tokens=N`.
 	HeaderPrefix = "Prefix"
 	// HeaderRequestID is the caller's identity of the request.
 	HeaderRequestID = "Request-Id"
-	// HeaderAttemptID is the node's identity of one attempt. The answer echoes
+	// HeaderAttemptID is the node's identity of one attempt. The response echoes
 	// it.
 	HeaderAttemptID = "Attempt-Id"
 	// HeaderAttempt is the number of the attempt, from 1.
 	HeaderAttempt = "Attempt"
-	// HeaderRepeatable, "true" or "false", tells whether the caller permits the
+	// HeaderRepeatable, "true" or "false", reports whether the caller permits the
 	// request to run more than once.
 	HeaderRepeatable = "Repeatable"
 	// HeaderOutputTokens bounds the generated tokens.
@@ -46,9 +46,9 @@
 	HeaderPullSource = "Pull-Source"
 	// HeaderPullChunks is the range "first-last" of positions in Prefix to pull.
 	HeaderPullChunks = "Pull-Parts"
-	// HeaderWeightVersion, in an answer, is the version that produced it.
+	// HeaderWeightVersion, in a response, is the version that produced it.
 	HeaderWeightVersion = "Weight-Version"
-	// HeaderReusedTokens, in an answer, counts the tokens that were not
+	// HeaderReusedTokens, in a response, counts the tokens that were not
 	// computed again.
 	HeaderReusedTokens = "Reused-Tokens"
 	// HeaderNotRun, with the value "true" in a refusal, promises that the
@@ -84,7 +84,7 @@
 	Report   *Report `json:"report,omitempty"`
 }
 
-// Chunk is one kept part in an event.
+// Chunk is one cached chunk in an event.
 type Chunk struct {
 	// Hash is the chain hash in hexadecimal.
 	Hash string `json:"hash"`
@@ -106,7 +106,7 @@
 	LastSequence uint64 `json:"last_sequence"`
 	// AgeMS is how old the report is when sent, in milliseconds.
 	AgeMS uint64 `json:"age_ms"`
-	// Warming tells that the replica has started lately and is fragile.
+	// Warming means that the replica has started lately and is fragile.
 	Warming bool `json:"warming,omitempty"`
 }
 
@@ -120,5 +120,5 @@
 	Leader string `json:"holder"`
 }
 
-// StreamEnd is the data of the last event of a complete streamed answer.
+// StreamEnd is the data of the last event of a complete streamed response.
 const StreamEnd = "[DONE]"
--- a/internal/edge/replica/response.go
+++ b/internal/edge/replica/response.go
@@ -16,14 +16,14 @@
 // streamBufferBytes is the size of the buffer that a stream is read through.
 const streamBufferBytes = 16 << 10
 
-// maxPreallocatedBytes bounds the buffer that an answer's declared length gets in
+// maxPreallocatedBytes bounds the buffer that a response's declared length gets in
 // advance.
 const maxPreallocatedBytes = 64 << 10
 
 // passThroughPrefix begins the headers that pass untouched.
 const passThroughPrefix = "Lab-"
 
-// relayedHeaders are the headers of an answer that callers may see.
+// relayedHeaders are the headers of a response that callers may see.
 var relayedHeaders = map[string]bool{
 	"Content-Type":      true,
 	"Retry-After":       true,
@@ -31,7 +31,7 @@
 	HeaderReusedTokens:  true,
 }
 
-// Response is the answer of an attempt whose header has arrived. Close it.
+// Response is the response of an attempt whose header has arrived. Close it.
 type Response struct {
 	response *http.Response
 	maxBytes int64
@@ -44,7 +44,7 @@
 	return a.response.StatusCode
 }
 
-// Header returns the headers that are handed on to the caller.
+// Header returns the headers that are forwarded to the caller.
 func (a *Response) Header() http.Header {
 	relayed := make(http.Header, len(a.response.Header))
 	for name, values := range a.response.Header {
@@ -56,25 +56,25 @@
 	return relayed
 }
 
-// WeightVersion returns the version that produced the answer, or "".
+// WeightVersion returns the version that produced the response, or "".
 func (a *Response) WeightVersion() string {
 	return a.response.Header.Get(HeaderWeightVersion)
 }
 
-// Streamed tells whether the answer is a stream of events.
+// Streamed reports whether the response is a stream of events.
 func (a *Response) Streamed() bool {
 	mediaType, _, err := mime.ParseMediaType(a.response.Header.Get("Content-Type"))
 	return err == nil && mediaType == contentTypeStream
 }
 
-// Close ends the answer. Unless it was read to its end, the connection is
+// Close ends the response. Unless it was read to its end, the connection is
 // closed and with it, as far as the replica listens, the attempt.
 func (a *Response) Close() {
 	_ = a.response.Body.Close()
 }
 
-// ReadAll reads the whole answer; the second result is always true without
-// an error. An answer that is cut, whose end cannot be told from a cut, or that
+// ReadAll reads the whole response; the second result is always true without
+// an error. A response that is cut, whose end cannot be told from a cut, or that
 // is too large, is a *outbound.InvalidResponseError.
 func (a *Response) ReadAll() ([]byte, bool, error) {
 	if !a.delimited() {
@@ -91,12 +91,12 @@
 	return body.Bytes(), true, nil
 }
 
-// delimited tells whether the end of the answer is marked.
+// delimited reports whether the end of the response is marked.
 func (a *Response) delimited() bool {
 	return a.response.ContentLength >= 0 || isChunked(a.response.TransferEncoding)
 }
 
-// isChunked tells whether a message comes in chunks.
+// isChunked reports whether a message comes in chunks.
 func isChunked(encodings []string) bool {
 	return len(encodings) > 0 && strings.EqualFold(encodings[len(encodings)-1], "chunked")
 }
@@ -151,7 +151,7 @@
 }
 
 // checkNothingFollows returns io.EOF unless the replica sent more after the
-// end. How the connection ended does not matter any more, as the answer's own
+// end. How the connection ended does not matter any more, as the response's own
 // terminator has been seen.
 func (a *Response) checkNothingFollows() error {
 	if _, err := a.stream.ReadByte(); err == nil {
@@ -160,7 +160,7 @@
 	return io.EOF
 }
 
-// isStreamEnd tells whether an event is the one that ends a stream.
+// isStreamEnd reports whether an event is the one that ends a stream.
 func isStreamEnd(event []byte) bool {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		data, found := bytes.CutPrefix(bytes.TrimRight(line, "\r"), []byte("data:"))
--- a/internal/edge/replica/salt.go
+++ b/internal/edge/replica/salt.go
@@ -9,7 +9,7 @@
 // cacheSaltBytes is the length of a salt before it is written in hexadecimal.
 const cacheSaltBytes = 16
 
-// CacheSalt names the set of requests that may share kept parts: those of one
+// CacheSalt names the set of requests that may share cached chunks: those of one
 // model, under one weight version, in one sharing domain. A walled tenant has a
 // sharing domain of its own, and each domain changes with every epoch of a
 // wall, so that parts never cross weights or walls.
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -1,5 +1,5 @@
 // Package webservice speaks the protocol between a node and a plain web
-// service: the caller's request is handed on as it is, and so is the answer.
+// service: the caller's request is forwarded as it is, and so is the response.
 package webservice
 
 import (
@@ -29,7 +29,7 @@
 )
 
 // hopHeaders describe one connection and are not
-// handed on.
+// forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -50,18 +50,18 @@
 // Client hands requests to web services. It may be used by many goroutines.
 type Client struct {
 	sender *outbound.Client
-	// maxBufferedBytes bounds what is read of an answer before any of it is
-	// handed on.
+	// maxBufferedBytes bounds what is read of a response before any of it is
+	// forwarded.
 	maxBufferedBytes int64
 }
 
-// NewClient returns a client that reads up to maxBufferedBytes of an answer
-// before it is handed on.
+// NewClient returns a client that reads up to maxBufferedBytes of a response
+// before it is forwarded.
 func NewClient(sender *outbound.Client, maxBufferedBytes int64) *Client {
 	return &Client{sender: sender, maxBufferedBytes: maxBufferedBytes}
 }
 
-// Forward runs one attempt up to the header of its answer. The errors are
+// Forward runs one attempt up to the header of its response. The errors are
 // *outbound.Error, *outbound.RefusedError and *outbound.InvalidResponseError.
 func (c *Client) Forward(ctx context.Context, call Call) (*Response, error) {
 	target := "http://" + call.Address + call.Request.URL.RequestURI()
@@ -84,7 +84,7 @@
 	return newResponse(response, c.maxBufferedBytes), nil
 }
 
-// checkAttempt refuses an answer that names another attempt, and returns a
+// checkAttempt refuses a response that names another attempt, and returns a
 // refusal by which the back end promises not to run this one. The promise
 // counts only if it names the attempt.
 func checkAttempt(response *http.Response, call Call) error {
--- a/internal/edge/webservice/response.go
+++ b/internal/edge/webservice/response.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// copyBufferBytes is how much of an answer is handed on at a time.
+	// copyBufferBytes is how much of a response is forwarded at a time.
 	copyBufferBytes = 32 << 10
-	// streamType is the media type of answers that are handed on as they come.
+	// streamType is the media type of responses that are forwarded as they come.
 	streamType = "text/event-stream"
 )
 
-// Response is the answer of an attempt whose header has arrived. Close it.
+// Response is the response of an attempt whose header has arrived. Close it.
 type Response struct {
 	response *http.Response
 	header   http.Header
@@ -38,24 +38,24 @@
 	return a.response.StatusCode
 }
 
-// Header returns the headers that are handed on.
+// Header returns the headers that are forwarded.
 func (a *Response) Header() http.Header {
 	return a.header
 }
 
-// Streamed tells whether the answer is to be handed on as it comes.
+// Streamed reports whether the response is to be forwarded as it comes.
 func (a *Response) Streamed() bool {
 	mediaType, _, err := mime.ParseMediaType(a.header.Get("Content-Type"))
 	return err == nil && mediaType == streamType
 }
 
-// Close ends the answer.
+// Close ends the response.
 func (a *Response) Close() {
 	_ = a.response.Body.Close()
 }
 
-// ReadAll reads the answer up to the bound. It returns false if there is
-// more, which Next returns. A cut answer, or one whose end cannot be told from
+// ReadAll reads the response up to the bound. It returns false if there is
+// more, which Next returns. A cut response, or one whose end cannot be told from
 // a cut, is a *outbound.InvalidResponseError.
 func (a *Response) ReadAll() ([]byte, bool, error) {
 	if err := a.checkDelimited(); err != nil {
@@ -68,7 +68,7 @@
 	return body, int64(len(body)) <= a.maxBytes, nil
 }
 
-// Next returns the next bytes of the answer, and io.EOF after its proper end.
+// Next returns the next bytes of the response, and io.EOF after its proper end.
 // The bytes are valid until the next call.
 func (a *Response) Next() ([]byte, error) {
 	if err := a.checkDelimited(); err != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkDelimited returns a *outbound.InvalidResponseError unless the end of the answer is marked.
+// checkDelimited returns a *outbound.InvalidResponseError unless the end of the response is marked.
 func (a *Response) checkDelimited() error {
 	response := a.response
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
--- a/internal/logring/incident.go
+++ b/internal/logring/incident.go
@@ -31,7 +31,7 @@
 	return log.WithField(incidentField, kind)
 }
 
-// triggersDump tells whether an entry makes the ring write out.
+// triggersDump reports whether an entry makes the ring write out.
 func (r *Ring) triggersDump(entry *logrus.Entry) bool {
 	kind, isIncident := entry.Data[incidentField].(IncidentKind)
 	if !isIncident {
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -21,7 +21,7 @@
 	namespace = "ridgeswitch"
 	// maxScrapes bounds the answers that are put together at once.
 	maxScrapes = 4
-	// scrapeTimeout bounds one answer, for a node whose control is stuck.
+	// scrapeTimeout bounds one response, for a node whose control is stuck.
 	scrapeTimeout = 5 * time.Second
 )
 
--- a/internal/node/addresses.go
+++ b/internal/node/addresses.go
@@ -22,8 +22,8 @@
 	addressesInterval = 5 * time.Second
 )
 
-// seeds are those of the settings, and the nodes with disks that the node knew
-// before it stopped: seeds may be down, or name machines that are gone.
+// seeds returns those of the settings, followed by the nodes with disks that the node
+// knew before it stopped: seeds may be down, or name machines that are gone.
 func (s *storage) seeds(settings *static.Settings) []string {
 	if s.disk == nil || !settings.Seeded() {
 		return settings.Seeds
@@ -46,8 +46,7 @@
 	return addresses, errors.Wrap(err, "read the addresses of other nodes")
 }
 
-// addressService keeps the addresses of other nodes with disks in the data
-// folder.
+// addressService saves the addresses of other nodes with disks in the data folder.
 type addressService struct {
 	storage *storage
 	driver  *driver.Driver
@@ -69,8 +68,8 @@
 	}
 }
 
-// write brings the file up to date, and returns what it holds. A node that knows
-// nobody else keeps what it knew: it may be cut off.
+// write updates the file and returns its content. A node that knows no other one leaves
+// the file as it is: it may be partitioned.
 func (s *addressService) write(written []string) []string {
 	addresses := s.driver.CoreNodeAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, written) {
--- a/internal/node/commander.go
+++ b/internal/node/commander.go
@@ -18,7 +18,8 @@
 	maxReplicaCalls = 256
 )
 
-// commander carries out what control wants of replicas: reports and commands.
+// commander implements driver.Commander: it requests reports of replicas and sends them
+// commands, each call in a goroutine of its own.
 type commander struct {
 	replicas ReplicaCommander
 	driver   *driver.Driver
@@ -39,8 +40,8 @@
 	go func() { c.driver.CommandDone(command, c.send(command)) }()
 }
 
-// send checks the right to command again at the moment of sending, on the clock that
-// counts suspended time, and the call itself ends with that right.
+// send checks the command lease again at the moment of sending, on the clock that
+// counts suspended time, and the call itself ends with the lease.
 func (c *commander) send(command control.Command) control.CommandOutcome {
 	if !c.acquireSlot() {
 		return control.CommandNotSent
@@ -55,13 +56,13 @@
 	outcome, err := c.replicas.LoadWeights(ctx, command)
 	if err != nil {
 		c.log.WithError(err).WithField("replica", command.Address).WithField("outcome", outcome.String()).
-			Warn("a weights command was not taken; it is repeated while this node commands the replica")
+			Warn("a weights command was not accepted; it is repeated while this node commands the replica")
 	}
 	return outcome
 }
 
-// Report implements driver.Commander. The numbers of a report count as measured no
-// later than the question was sent, less the age that they may have.
+// Report implements driver.Commander. The figures of a report count as measured when
+// the request was sent, less the age that they may have.
 func (c *commander) Report(request control.ReportRequest) {
 	go func() {
 		report, err := c.report(request)
@@ -90,7 +91,7 @@
 	return report, nil
 }
 
-// acquireSlot takes one of the calls that may run at once.
+// acquireSlot reserves one of maxReplicaCalls; it returns false if all are in use.
 func (c *commander) acquireSlot() bool {
 	select {
 	case c.slots <- struct{}{}:
--- a/internal/node/edges.go
+++ b/internal/node/edges.go
@@ -9,13 +9,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-// EndpointReader reads the platform's list of back ends. An error leaves the last list in
-// force.
+// EndpointReader reads the platform's list of back ends. An error
+// leaves the last list in force.
 type EndpointReader interface {
 	Read(ctx context.Context) ([]control.ServiceEndpoints, error)
 }
 
-// ReplicaCommander speaks to replicas about their weights.
+// ReplicaCommander requests reports of replicas and commands them to load weights.
 type ReplicaCommander interface {
 	// LoadWeights sends a command and tells what came of it. The error, if any,
 	// says why it was not taken, or may not have been. Nothing may be sent after
@@ -27,8 +27,8 @@
 	Report(ctx context.Context, address, instance string) (control.ReplicaReport, error)
 }
 
-// Edges are the protocols that a node speaks to the world outside. Zero values
-// mean the node's own.
+// Edges are the protocols between a node and the world outside. Zero values mean the
+// product's own protocols.
 type Edges struct {
 	// Dataplane speaks to callers and back ends.
 	Dataplane dataplane.Edges
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,10 +11,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/driver"
 )
 
-// endpointReadTimeout bounds one reading of the platform's list with all its pages.
+// endpointReadTimeout bounds one reading of the platform's endpoint list with all its pages.
 const endpointReadTimeout = 1500 * time.Millisecond
 
-// endpointLoader reads the platform's list when control asks for it.
+// endpointLoader reads the platform's endpoint list when control asks for it.
 type endpointLoader struct {
 	reader EndpointReader
 	driver *driver.Driver
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -11,14 +11,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// gossipInterval is how often a node tells the others of its traffic, if there is
-// anything to tell.
+// gossipInterval is how often a node sends the others an update about its traffic, if
+// there is any.
 const gossipInterval = 50 * time.Millisecond
 
-// gossipService tells the other nodes of this node's traffic, and passes on what they
-// tell.
+// gossipService spreads updates about traffic: it sends those of this node and relays
+// those of others. The supervisor runs Serve; TakeBatch is called by the control driver.
 type gossipService struct {
-	// dataplane is nil on a node that serves no callers, which passes news on.
+	// dataplane is nil on a node that serves no callers, which only relays updates.
 	dataplane *dataplane.Server
 	driver    *driver.Driver
 
@@ -26,7 +26,7 @@
 	exchange *gossip.Exchange
 }
 
-// newGossipService returns the sharer of a node. The driver is set before it serves.
+// newGossipService returns the service of a node. The driver is set before it serves.
 func newGossipService(id member.ID, zone string, server *dataplane.Server) *gossipService {
 	return &gossipService{dataplane: server, exchange: gossip.NewExchange(id, zone)}
 }
@@ -59,7 +59,8 @@
 	}
 }
 
-// flush adds this node's own news to what it passes on, and takes what is due.
+// flush adds the update of this node to those that it relays, and returns the messages
+// that are due.
 func (s *gossipService) flush(local gossip.Update, live []member.Info) []gossip.Outbound {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/node/heap_growth.go
+++ b/internal/node/heap_growth.go
@@ -19,9 +19,9 @@
 	maxExtraGrowth  = 120
 )
 
-// heapGrowth lets the heap grow further where there are many nodes. What they tell of
-// their traffic is decoded and dropped again at each of them, so that garbage grows
-// with the fleet, and with it the processor time of collections, while what is kept
+// heapGrowth lets the heap grow further where there are many nodes. Their gossip about
+// traffic is decoded and dropped again at each of them, so that garbage grows
+// with the fleet, and with it the processor time of collections, while the live heap
 // grows little.
 type heapGrowth struct {
 	percent int
--- a/internal/node/native_edges.go
+++ b/internal/node/native_edges.go
@@ -14,7 +14,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// errTooManyCalls tells that a control call was not made.
+// errTooManyCalls means that a control call was not made.
 var errTooManyCalls = errors.New("too many control calls to replicas are under way")
 
 // withDefaults fills in the product's own protocols with the platform and with
@@ -30,7 +30,7 @@
 	return e
 }
 
-// nativeEndpoints reads the platform's list by the product's own protocol. One reading
+// nativeEndpoints reads the platform's endpoint list by the product's own protocol. One reading
 // runs at a time.
 type nativeEndpoints struct {
 	client    *platform.Client
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,3 @@
-// Package node wires the parts of a ridgeswitch node into one supervised tree:
-// control state, the traffic between nodes, the front for callers and the one
-// for operators.
 package node
 
 import (
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -19,7 +19,7 @@
 // errDraining is the reason why a stopping node is not ready.
 var errDraining = errors.New("the node is draining; use another one")
 
-// driverSource hands control state to the front for callers, which is built first.
+// driverSource gives the data plane the view of control, which is built after it.
 type driverSource struct {
 	driver *driver.Driver
 }
@@ -41,8 +41,8 @@
 // Serving implements routing.Source.
 func (s *driverSource) Serving() error { return s.driver.Serving() }
 
-// frameReceiver drops frames that arrive before the driver is there; the senders
-// repeat what matters.
+// frameReceiver passes frames to the driver. Frames that arrive before it is set are
+// dropped; the senders repeat what matters.
 type frameReceiver struct {
 	driver atomic.Pointer[driver.Driver]
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// health answers the platform's probes.
+// health is the health check of the node.
 type health struct {
 	driver *driver.Driver
 	// dataplane is what serves callers, or nil.
--- a/internal/node/slow_start.go
+++ b/internal/node/slow_start.go
@@ -9,9 +9,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// slowStart tells which back ends are cold where the list does not: one that appears
-// in it is cold for as long as its destination's configuration says. Those of the
-// first reading are taken for warm, since nothing tells when they started.
+// slowStart determines which back ends are warming up where the platform's list does
+// not say so: a back end that appears in the list does for as long as the configuration
+// of its destination says. Those of the first reading count as warm, since their time
+// of start is not known.
 type slowStart struct {
 	view func() *routing.View
 	// startedAt is when each listed back end started, as far as the list shows; nil
@@ -19,12 +20,12 @@
 	startedAt map[backendKey]time.Duration
 }
 
-// backendKey is a place in the list.
+// backendKey identifies a back end in the list.
 type backendKey struct {
 	service, address string
 }
 
-// setWarmUpRemaining sets for how much longer the listed back ends are cold.
+// setWarmUpRemaining sets how much longer each back end warms up.
 func (s *slowStart) setWarmUpRemaining(now time.Duration, services []control.ServiceEndpoints) {
 	appeared := now
 	if s.startedAt == nil {
@@ -46,7 +47,7 @@
 	s.startedAt = started
 }
 
-// slowStartDurations returns for how long the back ends of each service are cold.
+// slowStartDurations returns how long the back ends of each service warm up.
 func slowStartDurations(view *routing.View) map[string]time.Duration {
 	durations := map[string]time.Duration{}
 	if view == nil {
--- a/internal/reload/watcher.go
+++ b/internal/reload/watcher.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// changed tells whether the file is another than when it was last looked at. A
+// changed reports whether the file is another than when it was last looked at. A
 // file that can't be looked at counts as unchanged: what is in force stays.
 func (w *Watcher) changed() bool {
 	present, err := os.Stat(w.path)
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// dialFunc opens a connection to an address within a time.
+// dialFunc opens a connection to an address within a time-out.
 type dialFunc func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 
 // dialWith dials over TCP.
@@ -20,18 +20,19 @@
 	}
 }
 
-// isTimeout tells whether a peer gave no answer, be it a refusal.
+// isTimeout reports whether a peer did not respond at all. A refused connection is a
+// response.
 func isTimeout(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-// dialAttempts derives the time and the pauses of attempts to connect to one peer
-// from how the earlier ones ended.
+// dialAttempts determines the time-out of the next attempt to connect to one peer, and
+// the backoff before it, from the outcomes of earlier attempts.
 type dialAttempts struct {
 	options *Options
 	timeout time.Duration
-	// timedOutFor is how long the peer has given no answer.
+	// timedOutFor is the sum of the time-outs since the peer last responded.
 	timedOutFor time.Duration
 	backoff     time.Duration
 }
@@ -42,14 +43,14 @@
 	return c
 }
 
-// succeeded begins anew.
+// succeeded resets the time-out and the backoff.
 func (c *dialAttempts) succeeded() {
 	c.timeout = c.options.FirstDialTimeout
 	c.timedOutFor = 0
 	c.backoff = c.options.MinBackoff
 }
 
-// failed returns the pause before the next attempt.
+// failed returns the backoff before the next attempt.
 func (c *dialAttempts) failed(err error) time.Duration {
 	if isTimeout(err) {
 		c.timedOutFor += c.timeout
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -30,25 +30,25 @@
 
 // Options bounds what a Transport uses. Zero values mean the defaults.
 type Options struct {
-	// MaxQueuedFrames and MaxQueuedBytes bound what waits for one peer.
+	// MaxQueuedFrames and MaxQueuedBytes bound the queue of one peer.
 	MaxQueuedFrames int
 	MaxQueuedBytes  int
 	// MaxConnections bounds the connections that others opened to this node.
 	MaxConnections int
-	// FirstDialTimeout is how long each of the first attempts to connect may take,
-	// and DialTimeout the time of each one after these have got no answer for
-	// DialTimeout: the kernel sends a lost opening packet again only after a
-	// second, and a peer that was down may be back before that.
+	// FirstDialTimeout is the time-out of the first attempts to connect. Once they
+	// have timed out for DialTimeout together, that is the time-out of each further
+	// one. The kernel retransmits a lost SYN only after a second, and a peer that
+	// was down may be back before that.
 	FirstDialTimeout time.Duration
 	DialTimeout      time.Duration
 	// WriteTimeout is how long one write, of a few small frames or one large
 	// one, may take before the connection is closed, and how long bytes may
 	// stay without the peer's acknowledgement.
 	WriteTimeout time.Duration
-	// FrameTimeout is how long a sender may take over the rest of a frame
-	// that it has begun.
+	// FrameTimeout is how long a sender may take for the rest of a frame after its
+	// first byte.
 	FrameTimeout time.Duration
-	// KeepAlive is the interval of the probes on silent connections.
+	// KeepAlive is the interval of TCP keep-alive probes on idle connections.
 	KeepAlive time.Duration
 	// IdleTimeout is how long a connection stays open on which nothing is sent. Each
 	// node sends something to each other one now and then, and regularly only to a few.
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -13,14 +13,15 @@
 	batchBytes = 256 << 10
 )
 
-// peer sends the frames for one address. One goroutine runs it.
+// peer sends the frames for one address. One goroutine runs it; enqueue and stop may
+// be called from others.
 type peer struct {
 	transport *Transport
 	address   string
 	queue     *queue
 	// cancel stops the goroutine.
 	cancel context.CancelFunc
-	// retired tells that the transport has dropped this peer as idle. It belongs to the
+	// retired means that the transport has dropped this peer as idle. It belongs to the
 	// goroutine of the peer.
 	retired bool
 }
@@ -69,8 +70,8 @@
 	}
 }
 
-// waitForFrames tells false when the peer was stopped. It leaves the token in
-// place, for serve to find.
+// waitForFrames waits until the queue holds frames. It returns false when the peer was
+// stopped.
 func (p *peer) waitForFrames(ctx context.Context) bool {
 	for {
 		if frames, _ := p.queue.size(); frames > 0 {
@@ -85,7 +86,7 @@
 }
 
 // serve sends frames until the connection is lost or the peer stopped. It
-// tells whether any frame was sent.
+// reports whether any frame was sent.
 func (p *peer) serve(ctx context.Context, connection net.Conn) (sentAny bool) {
 	lost := make(chan struct{})
 	p.transport.running.Go(func() { closeOnPeerClose(connection, lost) })
@@ -129,7 +130,8 @@
 	close(lost)
 }
 
-// write sends a batch, and counts the frames that it could not.
+// write sends a batch. It returns false if the connection failed; then it counts the
+// frames of the batch as dropped.
 func (p *peer) write(ctx context.Context, connection net.Conn, batch [][]byte) bool {
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
@@ -153,7 +155,7 @@
 	return true
 }
 
-// waitBackoff waits before the next attempt to connect; it tells false when the peer
+// waitBackoff waits before the next attempt to connect; it returns false when the peer
 // was stopped.
 func (p *peer) waitBackoff(ctx context.Context, backoff time.Duration) bool {
 	timer := time.NewTimer(backoff)
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// queue holds the frames that wait for one peer. It drops the oldest when a
-// new one would exceed its bounds.
+// queue is the bounded queue of frames for one peer. It drops the oldest frames when a
+// new one would exceed its bounds. It is safe for concurrent use.
 type queue struct {
 	maxFrames int
 	maxBytes  int
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -16,11 +16,11 @@
 	// which there are as many as nodes. Most frames are smaller, and of larger ones
 	// what the buffer lacks is read past it.
 	readBufferBytes = 4 << 10
-	// maxPreallocatedBytes is how much is set aside for a frame on the word of its
-	// length alone; larger ones grow as their bytes arrive.
+	// maxPreallocatedBytes bounds what is allocated for a frame before its bytes
+	// arrive: its length alone is not trusted. Larger frames grow as they arrive.
 	maxPreallocatedBytes = 64 << 10
-	// acceptRetryDelay keeps the accept loop calm while the process is out of
-	// descriptors.
+	// acceptRetryDelay is the pause after a failed accept, as when the process is
+	// out of file descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,10 +1,3 @@
-// Package transport carries frames between nodes over TCP.
-//
-// A connection carries frames in one direction, each behind its length. A
-// sender keeps a bounded queue for each peer and drops the oldest frames when
-// it is full: the protocols above repeat what matters, and old frames matter
-// least. No peer, slow, frozen or hostile, can make a node hold more memory
-// than the bounds in Options.
 package transport
 
 import (
@@ -88,7 +81,7 @@
 	t.peer(address).enqueue(frame)
 }
 
-// retire drops a peer for which nothing waits, and tells whether it did. A later Send
+// retire drops a peer for which nothing waits, and reports whether it did. A later Send
 // starts afresh.
 func (t *Transport) retire(idle *peer) bool {
 	t.mutex.Lock()
--- a/internal/wire/error.go
+++ b/internal/wire/error.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Kind tells why a frame was refused.
+// Kind is the reason for which a frame was rejected.
 type Kind uint8
 
-// The reasons to refuse a frame.
+// The reasons to reject a frame.
 const (
 	// KindTooLarge frames exceed MaxFrameBytes.
 	KindTooLarge Kind = iota + 1
@@ -17,7 +17,7 @@
 	KindMessageCount
 )
 
-// Error tells that bytes are not a frame of a node.
+// Error means that bytes are not a frame of a node.
 type Error struct {
 	Kind       Kind
 	FrameBytes int
--- a/internal/wire/member_rows.go
+++ b/internal/wire/member_rows.go
@@ -10,12 +10,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// Records of members travel as rows that share their texts: a whole table names each
-// member in a few rows, and most addresses of a member differ in the port alone.
+// Records of members are encoded as rows that refer to a table of texts in the same
+// message: the complete membership names each member in several rows, and the
+// addresses of one member usually differ only in their ports.
 
-// maxTexts is how many texts the rows of one message may name: their indexes are
-// uint16, and 0 stands for no text. Rows beyond it are left out; the table of members
-// is repaired by digests.
+// maxTexts bounds the texts that the rows of one message may refer to: an index is a
+// uint16, and 0 means no text. Records beyond it are left out of the message; the
+// digests of the membership protocol repair the receiver's table.
 const maxTexts = math.MaxUint16
 
 // rowPacker packs the rows of one message.
@@ -39,7 +40,7 @@
 	return rows, packer.table.texts
 }
 
-// maxTextsOf is the largest number of texts that a record adds.
+// maxTextsOf returns the largest number of texts that a record adds.
 func maxTextsOf(record membership.Record) int {
 	return infoStrings + len(record.Monitors) + len(record.TimeoutReports)
 }
@@ -81,8 +82,8 @@
 	return row
 }
 
-// port returns the port of an address whose host is that of base, or else the index
-// of the whole address.
+// port returns the port of an address whose host is that of base, or else the text
+// index of the complete address.
 func (p rowPacker) port(address, base string) (port, addressIndex uint16) {
 	host, text, err := net.SplitHostPort(address)
 	if err != nil {
@@ -90,7 +91,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 16)
 	baseHost, _, baseErr := net.SplitHostPort(base)
-	// Only a port that is spelt the usual way is found again.
+	// The receiver rebuilds the address from the port: it has to get the same text.
 	same := err == nil && baseErr == nil && number > 0 && host == baseHost && len(base) <= maxBaseBytes
 	if !same || joinPort(base, uint16(number)) != address {
 		return 0, p.text(address)
@@ -98,7 +99,7 @@
 	return uint16(number), 0
 }
 
-// joinPort is an address on the host of base.
+// joinPort returns the address with the host of base and a port.
 func joinPort(base string, port uint16) string {
 	host, _, err := net.SplitHostPort(base)
 	if err != nil {
@@ -107,8 +108,8 @@
 	return net.JoinHostPort(host, strconv.FormatUint(uint64(port), 10))
 }
 
-// packBoots returns processes as differences from an incarnation, or as they are if
-// one of these is too large.
+// packBoots returns incarnations as differences from another one, or in full if one of
+// the differences does not fit.
 func packBoots(boots []member.Incarnation, from member.Incarnation) (near []int32, far []uint64) {
 	for _, boot := range boots {
 		difference := int64(boot - from)
@@ -175,12 +176,12 @@
 	}
 }
 
-// maxBaseBytes is the longest address that a port is joined to; no IP address with a
-// zone and a port is longer.
+// maxBaseBytes bounds the address that a port is joined to; no IP address with a zone
+// and a port is longer.
 const maxBaseBytes = 64
 
-// address is the other direction of rowPacker.port. A joined address is a copy of its
-// own, unlike other texts, so that it is bounded.
+// address is the inverse of rowPacker.port. A joined address allocates, unlike a shared
+// text, so that it counts against the budget of the reader.
 func (r rowReader) address(port, addressIndex uint16, base string) string {
 	if port == 0 {
 		return r.sharedText(addressIndex)
--- a/internal/wire/message_kind.go
+++ b/internal/wire/message_kind.go
@@ -9,7 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// MessageKind is a sort of message between nodes, finer than the types of messages.
+// MessageKind classifies messages between nodes for reports and metrics, more finely
+// than their types do.
 type MessageKind int
 
 // The kinds, in the order of reports.
@@ -44,7 +45,7 @@
 	KindCount
 )
 
-// String is the name of a kind in reports and metrics.
+// String returns the name of a kind in reports and metrics. The names are published.
 func (k MessageKind) String() string {
 	if k < 0 || k >= KindCount {
 		return kindNames[KindOther]
@@ -82,8 +83,8 @@
 	KindTrafficSnapshot:      "traffic news asked for",
 }
 
-// MessageKindOf reads the kind of a frame that this process has encoded, without
-// decoding all of it.
+// MessageKindOf returns the kind of a frame that this process has encoded, without
+// decoding it. It panics on bytes that are no frame.
 func MessageKindOf(frame []byte) MessageKind {
 	envelope := fb.GetRootAsEnvelope(frame, 0)
 	if message := envelope.Membership(nil); message != nil {
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -8,7 +8,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 )
 
-// textTable gives each text of a message an index.
+// textTable assigns an index to each distinct text of a message.
 type textTable struct {
 	indexes map[string]uint32
 	texts   []string
@@ -18,7 +18,7 @@
 	return &textTable{indexes: map[string]uint32{}}
 }
 
-// index returns the index of a text, which is new if it was not met before.
+// index returns the index of a text, and adds it if it is new.
 func (t *textTable) index(text string) uint32 {
 	existing, found := t.indexes[text]
 	if found {
@@ -30,16 +30,16 @@
 	return added
 }
 
-// nameTable gives each name of a Traffic message an index. Most names are IPv4
-// addresses with ports, which take 8 bytes as endpoints, and three times as much as
-// texts.
+// nameTable assigns an index to each distinct name of a Traffic message. Most names
+// are IPv4 addresses with ports: 8 bytes as an endpoint, and about 24 as a text.
 type nameTable struct {
 	indexes   map[string]uint32
 	endpoints []uint64
 	texts     *textTable
 }
 
-// newNameTable gathers the endpoints first, since indexes of texts follow them.
+// newNameTable collects the endpoints of a batch first, since the indexes of texts
+// follow theirs.
 func newNameTable(batch *gossip.Batch) *nameTable {
 	table := &nameTable{indexes: map[string]uint32{}, texts: newTextTable()}
 	for i := range batch.Updates {
@@ -67,7 +67,7 @@
 	}
 }
 
-// addEndpoint makes a name an endpoint if it can be one.
+// addEndpoint adds a name as an endpoint if it has that form.
 func (t *nameTable) addEndpoint(name string) {
 	if _, found := t.indexes[name]; found {
 		return
@@ -90,7 +90,8 @@
 
 const portBits = 16
 
-// endpointOf returns a name as an endpoint, if the name is found again from it.
+// endpointOf returns a name as an endpoint. Fits is false unless endpointName gives the
+// same name again.
 func endpointOf(name string) (endpoint uint64, fits bool) {
 	parsed, err := netip.ParseAddrPort(name)
 	if err != nil || !parsed.Addr().Is4() || parsed.String() != name {
@@ -103,17 +104,17 @@
 	return endpoint<<portBits | uint64(parsed.Port()), true
 }
 
-// maxEndpointNames bounds the names of endpoints that are kept.
+// maxEndpointNames bounds the cached names. A full cache is emptied.
 const maxEndpointNames = 16384
 
-// endpointNames keeps the names of endpoints that were met, so that the news of many
-// nodes doesn't cost a new text each time.
+// endpointNames caches the names of endpoints that were received, so that decoding the
+// updates of many nodes does not allocate them each time.
 var endpointNames = struct {
 	sync.RWMutex
 	names map[uint64]string
 }{names: map[uint64]string{}}
 
-// endpointName is the other direction of endpointOf.
+// endpointName is the inverse of endpointOf.
 func endpointName(endpoint uint64) string {
 	endpointNames.RLock()
 	name, known := endpointNames.names[endpoint]
@@ -133,10 +134,10 @@
 	return name
 }
 
-// receivedNames are those of a message that was received.
+// receivedNames are the names of a received message by their indexes.
 type receivedNames []string
 
-// at returns a name, or "" for an index that the message does not have.
+// at returns the name of an index, or "" if the message has no such index.
 func (n receivedNames) at(index uint32) string {
 	if int64(index) >= int64(len(n)) {
 		return ""
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -6,8 +6,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// The least bytes that an element of a vector takes in an honest frame: its
-// offset in the vector, and what the builder always stores for it.
+// The minimum bytes of an element of a vector in a well-formed frame: its offset in the
+// vector, and what the builder always stores for it.
 const (
 	incarnationBytes  = flatbuffers.SizeUint64
 	offsetBytes       = flatbuffers.SizeUOffsetT
@@ -23,16 +23,16 @@
 // infoStrings is how many texts the description of a member has.
 const infoStrings = 5
 
-// reader copies values out of a frame. Builders store each value once, so the
-// values of an honest frame together are no larger than the frame. A hostile
-// one can point many times at the same bytes; the budget ends that.
+// reader copies values out of a frame. A builder stores each value once, so that the
+// values of a well-formed frame together are no larger than the frame. A hostile frame
+// can refer to the same bytes many times; the budget bounds what is copied.
 type reader struct {
 	// budget is how many bytes of values may still be read.
 	budget    int
 	exhausted bool
 }
 
-// spend accounts for n bytes and tells whether they may be read.
+// spend accounts for n bytes and reports whether they may be read.
 func (r *reader) spend(n int) bool {
 	if n > r.budget {
 		r.exhausted = true
@@ -43,8 +43,8 @@
 	return true
 }
 
-// vectorLength returns the length of a vector of tables or strings that take at
-// least minElementBytes each, or 0 if the frame cannot hold that many.
+// vectorLength accounts for a vector of elements of at least minElementBytes each. It
+// returns its length, or 0 if the frame is too small for that many.
 func (r *reader) vectorLength(length, minElementBytes int) int {
 	if r.exhausted || !r.spend(length*minElementBytes) {
 		return 0
@@ -60,7 +60,7 @@
 	return string(stored)
 }
 
-// bytes copies a byte vector, and keeps nil apart from empty.
+// bytes copies a byte vector. A missing vector is nil, an empty one is not.
 func (r *reader) bytes(stored []byte) []byte {
 	if stored == nil || !r.spend(len(stored)) {
 		return nil
@@ -94,7 +94,7 @@
 	return incarnations
 }
 
-// packIncarnations is the other direction of incarnations.
+// packIncarnations is the inverse of incarnations.
 func packIncarnations(incarnations []member.Incarnation) []uint64 {
 	if len(incarnations) == 0 {
 		return nil
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -9,11 +9,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// The least bytes that an element of a vector of a Traffic message takes.
+// The minimum bytes of an element of a vector in a Traffic message.
 const (
 	chunkChangeBytes = 24
 	chunkLinkBytes   = 16
-	// A load of several priorities takes an entry for each.
+	// A load has an entry for each priority with tokens to prefill.
 	trafficLoadBytes = 20
 )
 
@@ -57,8 +57,8 @@
 	return packed
 }
 
-// packLoads returns an entry for each priority that has tokens to read, the first of
-// which holds the rest of the load.
+// packLoads returns an entry for each priority that has tokens to prefill. The first
+// one carries the rest of the load as well.
 func packLoads(table *nameTable, load kvrouter.AddressLoad) []*fb.TrafficLoadT {
 	first := &fb.TrafficLoadT{
 		Address:      table.index(load.Address),
@@ -131,7 +131,7 @@
 	return batch
 }
 
-// trafficLoads joins the entries of one replica, which follow each other.
+// trafficLoads merges the entries of one replica, which are adjacent.
 func (r *reader) trafficLoads(table *fb.TrafficNews, named receivedNames) []kvrouter.AddressLoad {
 	length := r.vectorLength(table.LoadsLength(), trafficLoadBytes)
 	loads := make([]kvrouter.AddressLoad, 0, length)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,3 @@
-// Package wire turns the messages between nodes into frames and back. A frame
-// is one FlatBuffers Envelope with exactly one message in it.
-//
-// Frames come from the network, so Decode takes any bytes: it answers bytes
-// that are no frame with an *Error and never uses more memory than a small
-// multiple of the frame.
 package wire
 
 import (
@@ -24,7 +18,7 @@
 // MaxFrameBytes is the size above which Decode refuses a frame.
 const MaxFrameBytes = 16 << 20
 
-// identifier marks the frames of this schema; it stands behind the root offset.
+// identifier marks the frames of this schema; it follows the root offset.
 const identifier = "RSW1"
 
 const (
@@ -32,7 +26,7 @@
 	smallestFrameBytes  = flatbuffers.SizeUOffsetT + len(identifier)
 )
 
-// Envelope is what one frame carries: the sender and exactly one message.
+// Envelope is the content of one frame: the sender and exactly one message.
 type Envelope struct {
 	// Deployment names the deployment that the sender belongs to.
 	Deployment  string
@@ -75,8 +69,8 @@
 	if len(frame) < smallestFrameBytes || !flatbuffers.BufferHasIdentifier(frame, identifier) {
 		return Envelope{}, &Error{Kind: KindForeign, FrameBytes: len(frame)}
 	}
-	// The accessors index the frame by the offsets in it and have no verifier:
-	// a wrong offset shows as a panic of the bounds check.
+	// The generated accessors follow the offsets in the frame without verifying
+	// them: a wrong offset panics in a bounds check.
 	defer func() {
 		if recover() != nil {
 			envelope, err = Envelope{}, &Error{Kind: KindMalformed, FrameBytes: len(frame)}
--- a/pkg/config/dynamic/bounds.go
+++ b/pkg/config/dynamic/bounds.go
@@ -74,7 +74,7 @@
 	MaxTokenBytes = 1 << 30
 	// MaxTokensPerEvent bounds the tokens of one event of a stream.
 	MaxTokensPerEvent = 1_000_000
-	// MaxLinkBitsPerSecond bounds the rate at which kept parts move.
+	// MaxLinkBitsPerSecond bounds the rate at which cached chunks move.
 	MaxLinkBitsPerSecond = 1e15
 
 	// MaxCallerHeaderBytes bounds what a caller's header may be allowed to take.
--- a/pkg/config/dynamic/document.go
+++ b/pkg/config/dynamic/document.go
@@ -100,7 +100,7 @@
 	return m.source
 }
 
-// sourceInForce tells whether a document is the one in force, so that a resend is
+// sourceInForce reports whether a document is the one in force, so that a resend is
 // accepted also when its answer is not remembered any more.
 func (m *Machine) sourceInForce(document *controlpb.ApplyDocument) bool {
 	inForce := m.configuration.GetSource()
--- a/pkg/config/dynamic/single_change.go
+++ b/pkg/config/dynamic/single_change.go
@@ -29,7 +29,7 @@
 	return newOrder(&ridgeswitchv1.OrderHeader{OrderId: orderID}, &controlpb.Order{Change: &controlpb.Order_NameWeights{NameWeights: change}})
 }
 
-// raises tells whether a version is a whole number above another, or the other is
+// raises reports whether a version is a whole number above another, or the other is
 // none.
 func raises(weightVersion, inForce string) bool {
 	before, err := strconv.ParseUint(inForce, 10, 64)
--- a/pkg/config/static/accessors.go
+++ b/pkg/config/static/accessors.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// HasDisk tells whether the node has a disk and may hold control state.
+// HasDisk reports whether the node has a disk and may hold control state.
 func (s *Settings) HasDisk() bool {
 	return s.DataFolder != ""
 }
 
-// Seeded tells whether the nodes with disks find each other through seeds instead
+// Seeded reports whether the nodes with disks find each other through seeds instead
 // of being named by a group.
 func (s *Settings) Seeded() bool {
 	return len(s.Group) == 0
@@ -24,7 +24,7 @@
 	return s.Node
 }
 
-// Founder tells whether the node is one of those that form the replica groups.
+// Founder reports whether the node is one of those that form the replica groups.
 func (s *Settings) Founder() bool {
 	return s.Founding && s.Seeded() && s.HasDisk() && slices.Contains(s.Seeds, s.Internal)
 }
@@ -52,7 +52,7 @@
 // HeartbeatEvery is the interval of heartbeats between nodes.
 func (s *Settings) HeartbeatEvery() time.Duration { return milliseconds(s.HeartbeatEveryMS) }
 
-// PlatformPollEvery is the interval between reads of the platform's list.
+// PlatformPollEvery is the interval between reads of the platform's endpoint list.
 func (s *Settings) PlatformPollEvery() time.Duration { return milliseconds(s.PlatformPollEveryMS) }
 
 // CommandGap is how far apart the commands of two nodes to one replica are.
--- a/pkg/config/static/bounds.go
+++ b/pkg/config/static/bounds.go
@@ -22,7 +22,7 @@
 	DefaultDrainTimeout = 20 * time.Second
 	// DefaultHeartbeatEvery is the interval of heartbeats between nodes.
 	DefaultHeartbeatEvery = 100 * time.Millisecond
-	// DefaultPlatformPollEvery is the interval at which the platform's list of
+	// DefaultPlatformPollEvery is the interval at which the platform's endpoint list of
 	// replicas is read.
 	DefaultPlatformPollEvery = time.Second
 	// DefaultCommandGap is how far apart the commands of two nodes to one replica
