--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -117,7 +117,7 @@
 	return syncErr
 }
 
-// lockFolder takes a lock that ends with the process.
+// lockFolder acquires a lock that ends with the process.
 func lockFolder(folder string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(folder, lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/disk/write.go
+++ b/internal/disk/write.go
@@ -19,7 +19,7 @@
 }
 
 // WriteFile replaces a file: after a crash it holds either the former content
-// or data, whole. Both are on the disk until the former is let go.
+// or all of data. Both are on the disk until the former is replaced.
 func (d *Disk) WriteFile(name string, data []byte) error {
 	path, err := d.path(name)
 	if err != nil {
@@ -34,7 +34,7 @@
 		_ = os.Remove(temporary)
 		return writeError(name, err)
 	}
-	// The rename may be done and not durable: nobody knows, so even a full
+	// The rename may be done and not durable, which cannot be found out, so even a full
 	// disk is not reported as one that left the file unchanged.
 	return errors.Wrapf(d.directory.Sync(), "disk: cannot sync the data folder after writing %s", name)
 }
@@ -89,7 +89,7 @@
 	return opened, true, err
 }
 
-// appendAndClose takes a failed write back. Only if that is durable too may a
+// appendAndClose truncates the file after a failed write. Only if that is durable may a
 // full disk be reported as one that left the file unchanged.
 func appendAndClose(name string, opened file, size int64, data []byte) error {
 	err := writeAndSync(opened, data)
--- a/internal/edge/caller/doc.go
+++ b/internal/edge/caller/doc.go
@@ -23,7 +23,7 @@
 	HeaderOutputTokens = "Output-Tokens"
 	// HeaderAccept asks for a streamed response with "text/event-stream".
 	HeaderAccept = "Accept"
-	// HeaderRetryAfter, in a refusal, tells when to come back, in seconds.
+	// HeaderRetryAfter, in a rejection, is the time to retry after, in seconds.
 	HeaderRetryAfter = "Retry-After"
 	// PassThroughPrefix begins the headers that pass untouched both ways.
 	PassThroughPrefix = "Lab-"
@@ -35,16 +35,16 @@
 const (
 	// MaxRequestIDBytes bounds Request-Id.
 	MaxRequestIDBytes = 256
-	// MaxChunks bounds the parts of one prompt.
+	// MaxChunks bounds the chunks of one prompt.
 	MaxChunks = 4096
-	// MaxChunkIDBytes bounds the name of one part.
+	// MaxChunkIDBytes bounds the ID of one chunk.
 	MaxChunkIDBytes = 256
-	// MaxChunkTokens bounds the length of one part.
+	// MaxChunkTokens bounds the length of one chunk.
 	MaxChunkTokens = 1 << 24
 	// MaxPromptTokens bounds the length of a prompt.
 	MaxPromptTokens = 1 << 27
-	// MaxOutputTokens bounds what a caller may ask for.
+	// MaxOutputTokens bounds the generated tokens that a caller may request.
 	MaxOutputTokens = 1 << 24
-	// MaxDeadlineMilliseconds bounds the deadline that a caller may ask for.
+	// MaxDeadlineMilliseconds bounds the deadline that a caller may request.
 	MaxDeadlineMilliseconds = 24 * 60 * 60 * 1000
 )
--- a/internal/edge/caller/error.go
+++ b/internal/edge/caller/error.go
@@ -61,7 +61,7 @@
 	KindInternal:            http.StatusInternalServerError,
 }
 
-// Error is an error that a caller is told of.
+// Error is an error as callers get it.
 type Error struct {
 	Kind Kind `json:"kind"`
 	// Message says what is wrong and what to do about it.
@@ -109,7 +109,7 @@
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
-// WriteError answers a request with a problem.
+// WriteError responds to a request with an error.
 func WriteError(writer http.ResponseWriter, problem *Error) {
 	body, err := json.Marshal(problem)
 	if err != nil {
@@ -132,7 +132,7 @@
 	_, _ = writer.Write(body)
 }
 
-// ErrorEvent returns the event by which a cut stream tells of its problem.
+// ErrorEvent returns the event that ends a truncated stream with its error.
 func ErrorEvent(problem *Error) []byte {
 	body, err := json.Marshal(problem)
 	if err != nil {
--- a/internal/edge/caller/prefix.go
+++ b/internal/edge/caller/prefix.go
@@ -7,7 +7,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// tokensParameter is the only parameter of a part.
+// tokensParameter is the only parameter of a chunk.
 const tokensParameter = "tokens"
 
 // ParsePrefix reads `id;tokens=N, id;tokens=N`. A returned error is a *Problem.
@@ -35,7 +35,7 @@
 	return chunks, nil
 }
 
-// FormatPrefix writes parts as ParsePrefix reads them.
+// FormatPrefix writes chunks as ParsePrefix reads them.
 func FormatPrefix(chunks []prefixindex.Chunk) string {
 	var text strings.Builder
 	text.Grow(prefixBytes(chunks))
@@ -50,7 +50,7 @@
 	return text.String()
 }
 
-// prefixBytes bounds the length of the parts as text.
+// prefixBytes bounds the length of the chunks as text.
 func prefixBytes(chunks []prefixindex.Chunk) int {
 	const besidesID = len(", ;"+tokensParameter+"=") + len("4294967295")
 	total := besidesID * len(chunks)
@@ -60,7 +60,7 @@
 	return total
 }
 
-// parseChunk reads one part.
+// parseChunk reads one chunk.
 func parseChunk(position int, field string) (prefixindex.Chunk, error) {
 	id, parameter, found := strings.Cut(field, ";")
 	id = strings.TrimSpace(id)
@@ -78,7 +78,7 @@
 	return prefixindex.Chunk{ID: id, Tokens: uint32(tokens)}, nil
 }
 
-// invalidChunk says which part cannot be read.
+// invalidChunk returns the error about a chunk that cannot be read.
 func invalidChunk(position int, field string) *Error {
 	const quoted = 80
 	if len(field) > quoted {
--- a/internal/edge/operator/codec.go
+++ b/internal/edge/operator/codec.go
@@ -36,7 +36,7 @@
 	return compact.Bytes(), nil
 }
 
-// writeMessage answers with a message. The status line is gone when writing the
+// writeMessage responds with a message. The status line is sent when writing the
 // body fails, so the error of a broken connection has no further use.
 func writeMessage(w http.ResponseWriter, status int, message proto.Message) {
 	data, err := encode(message)
@@ -49,7 +49,7 @@
 	_, _ = w.Write(data)
 }
 
-// writeRejection answers with a problem and, where it helps, when to come back.
+// writeRejection responds with a problem and, where it helps, a Retry-After.
 func writeRejection(w http.ResponseWriter, rejected rejection) {
 	if rejected.retryAfter > 0 {
 		setRetryAfter(w, rejected.retryAfter)
@@ -57,13 +57,13 @@
 	writeMessage(w, rejected.status, rejected.problem)
 }
 
-// setRetryAfter tells when to come back, in whole seconds.
+// setRetryAfter sets the time to retry after, in whole seconds.
 func setRetryAfter(w http.ResponseWriter, after time.Duration) {
 	seconds := int(math.Ceil(after.Seconds()))
 	w.Header().Set(retryAfterHeader, strconv.Itoa(seconds))
 }
 
-// writeProblem answers with a problem that the control interface itself found.
+// writeProblem responds with a problem that the control interface itself found.
 func writeProblem(w http.ResponseWriter, problem *ridgeswitchv1.Problem) {
 	writeRejection(w, rejectionFor(problem))
 }
--- a/internal/edge/operator/control.go
+++ b/internal/edge/operator/control.go
@@ -13,7 +13,7 @@
 	// Submit orders a change and waits for its response until the context ends.
 	// A response that is not confirmed may take effect later. An error that
 	// carries a Problem, such as an *UnavailableError, means that the order was
-	// not taken; after any other error it may have been.
+	// not accepted; after any other error it may have been.
 	Submit(ctx context.Context, order *controlpb.Order) (*controlpb.Answer, error)
 	// Configuration is the configuration that the node serves, which may be
 	// outdated; nil before the first one. It is read only.
@@ -24,7 +24,7 @@
 	// Source reads the source document of the configuration, as a quorum
 	// confirms it; nil if there is none.
 	Source(ctx context.Context) (*ridgeswitchv1.Source, error)
-	// Weights tells how far a pool's roll-out has come.
+	// Weights returns how far a pool's roll-out has come.
 	Weights(pool string) (*ridgeswitchv1.WeightsStatus, error)
 	// Status is the node's view of the deployment.
 	Status() *ridgeswitchv1.NodeStatus
--- a/internal/edge/operator/doc.go
+++ b/internal/edge/operator/doc.go
@@ -15,13 +15,13 @@
 //
 // A field that is given in two places must have the same value in both.
 //
-// # Answers
+// # Responses
 //
 // 200 carries the response message; for an order it means acknowledged. 202
 // carries an OrderResult whose outcome is PENDING: the order may take effect,
 // and the identical order is to be resent, to any node. Every other status
 // carries a Problem. 202 and 503 come with Retry-After.
 //
-// GET /healthz/ready and GET /healthz/live answer 200 or 503. GET /metrics
-// answers with the metrics of the node, if it has any.
+// GET /healthz/ready and GET /healthz/live return 200 or 503. GET /metrics
+// returns the metrics of the node, if it has any.
 package operator
--- a/internal/edge/operator/health.go
+++ b/internal/edge/operator/health.go
@@ -11,9 +11,9 @@
 
 // The paths of the health checks.
 const (
-	// PathReady answers 200 while the node is ready for traffic.
+	// PathReady returns 200 while the node is ready for traffic.
 	PathReady = "/healthz/ready"
-	// PathLive answers 200 while the process works.
+	// PathLive returns 200 while the process works.
 	PathLive = "/healthz/live"
 )
 
--- a/internal/edge/operator/middleware.go
+++ b/internal/edge/operator/middleware.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// recoverCalls answers a call that panicked and keeps the node running.
+// recoverCalls responds to a call that panicked, and keeps the node running.
 func recoverCalls(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		defer func() { //nolint:contextcheck // the context of the call is used
--- a/internal/edge/operator/option.go
+++ b/internal/edge/operator/option.go
@@ -6,7 +6,7 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// PathMetrics answers with the metrics of the node.
+// PathMetrics returns the metrics of the node.
 const PathMetrics = "/metrics"
 
 // Option adds to what a control interface serves.
--- a/internal/edge/operator/queries.go
+++ b/internal/edge/operator/queries.go
@@ -9,8 +9,8 @@
 const schemaPaths = "/v1/"
 
 // WithQueries returns a handler of another operator protocol with the product's own
-// questions beside it: the calls that change nothing, the health checks and the
-// metrics. Changes are the other protocol's alone, which knows what they are made from.
+// queries beside it: the calls that change nothing, the health checks and the
+// metrics. Changes go through the other protocol alone, since it keeps their source.
 func WithQueries(changes, queries http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if isQuery(request) {
--- a/internal/edge/operator/rejection.go
+++ b/internal/edge/operator/rejection.go
@@ -23,7 +23,7 @@
 	KindNoSuchCall dynamic.Kind = "no_such_call"
 	// KindMethodNotAllowed marks a path with a method that it does not have.
 	KindMethodNotAllowed dynamic.Kind = "method_not_allowed"
-	// KindNotReady and KindNotLive are the answers of health checks.
+	// KindNotReady and KindNotLive are the kinds of failed health checks.
 	KindNotReady dynamic.Kind = "not_ready"
 	KindNotLive  dynamic.Kind = "not_live"
 	// KindInternal marks a fault of the node itself.
@@ -34,7 +34,7 @@
 // and when to resend a pending order.
 const DefaultRetryAfter = time.Second
 
-// UnavailableError means that a call was not taken and when to come back.
+// UnavailableError means that a call was not accepted. It may be retried.
 type UnavailableError struct {
 	Kind       dynamic.Kind
 	Message    string
@@ -51,7 +51,7 @@
 	return &ridgeswitchv1.Problem{Kind: string(e.Kind), Message: e.Message}
 }
 
-// problemCarrier is an error that knows how operators get it.
+// problemCarrier is an error with the body that operators get.
 type problemCarrier interface {
 	error
 	Problem() *ridgeswitchv1.Problem
--- a/internal/edge/operator/resources.go
+++ b/internal/edge/operator/resources.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// configurations serves the whole configuration.
+// configurations serves the complete configuration.
 type configurations struct {
 	control Control
 }
--- a/internal/edge/operator/routes.go
+++ b/internal/edge/operator/routes.go
@@ -75,7 +75,7 @@
 	writeMessage(w, status, response)
 }
 
-// statusOf tells a pending order from everything else.
+// statusOf returns 202 for a pending order, and 200 for everything else.
 func statusOf(response proto.Message) int {
 	result, isOrder := response.(*ridgeswitchv1.OrderResult)
 	pending := isOrder && result.GetOutcome() == ridgeswitchv1.OrderResult_PENDING
--- a/internal/edge/operator/server.go
+++ b/internal/edge/operator/server.go
@@ -27,9 +27,9 @@
 	callTimeout = 10 * time.Second
 	// headerTimeout bounds the wait for the head of a request.
 	headerTimeout = 5 * time.Second
-	// readTimeout bounds the wait for a whole request.
+	// readTimeout bounds the wait for a complete request.
 	readTimeout = 30 * time.Second
-	// writeTimeout bounds a whole call, answer included.
+	// writeTimeout bounds a complete call, including the response.
 	writeTimeout = readTimeout + callTimeout + 5*time.Second
 	// idleTimeout closes connections that no call comes on.
 	idleTimeout = 2 * time.Minute
--- a/internal/edge/outbound/direct.go
+++ b/internal/edge/outbound/direct.go
@@ -26,11 +26,11 @@
 	probeInterval = time.Second
 )
 
-// Bounds of what is taken beside the response that is waited for.
+// Bounds of what is read before the awaited response.
 const (
 	// maxInterim bounds the interim responses before a response.
 	maxInterim = 8
-	// maxSurplus bounds the answers of others before a response, and
+	// maxSurplus bounds the responses to other requests before it, and
 	// maxSurplusBytes the body of one.
 	maxSurplus      = 2
 	maxSurplusBytes = 1 << 20
@@ -49,8 +49,8 @@
 	// acknowledgement.
 	AckTimeout time.Duration
 	// Matches reports whether a response is that of the request. One that is not is
-	// a surplus response to an earlier request and is passed over. Nil takes every
-	// answer.
+	// a surplus response to an earlier request and is discarded. Nil accepts every
+	// response.
 	Matches func(request *http.Request, response *http.Response) bool
 }
 
--- a/internal/edge/outbound/direct_connection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -19,12 +19,12 @@
 	net.Conn
 	// open counts the connection until it is closed.
 	open *connectionLimiter
-	// limited bounds what reader takes of the header of a response.
+	// limited bounds what reader reads of the header of a response.
 	limited io.LimitedReader
 	reader  *bufio.Reader
 	// head is the memory for the heads of requests.
 	head []byte
-	// written counts the bytes of the present request that the kernel has taken.
+	// written counts the bytes of the present request that the kernel has accepted.
 	written int
 	closed  atomic.Bool
 	// expires is when it may not be used again.
--- a/internal/edge/outbound/exchange.go
+++ b/internal/edge/outbound/exchange.go
@@ -12,7 +12,7 @@
 )
 
 // inlineBodyBytes is the longest body that is written before the response is read.
-// The back end may answer a longer one before it has read it.
+// The back end may respond to a longer one before it has read it.
 const inlineBodyBytes = 16 << 10
 
 // errNoResponse says that what came on a connection is not the response.
@@ -24,11 +24,11 @@
 	request    *http.Request
 	options    *DirectOptions
 	idle       *idleConnections
-	// stop keeps the end of the request's context from closing the connection.
+	// stop prevents the end of the request's context from closing the connection.
 	stop func() bool
 	// writing is closed when a long body has been written; nil otherwise.
 	writing chan struct{}
-	// incomplete means that the request could not be written whole.
+	// incomplete means that the request could not be written completely.
 	incomplete bool
 	response   *http.Response
 	body       io.ReadCloser
@@ -140,7 +140,7 @@
 }
 
 // Close implements io.Closer for the response's body. Of a response that was not
-// read, the connection is kept if the rest of it has come already.
+// read, the connection stays open if the rest of it has arrived already.
 func (e *exchange) Close() error {
 	if e.ended {
 		return nil
@@ -167,7 +167,7 @@
 	}
 }
 
-// finish ends the exchange after the whole response, and keeps the connection if
+// finish ends the exchange after the complete response, and keeps the connection if
 // it may carry another request.
 func (e *exchange) finish() {
 	if e.ended {
@@ -182,12 +182,12 @@
 }
 
 // reusable reports whether the connection is as it was before the request. What
-// comes behind a response belongs to nobody.
+// follows a response belongs to no request.
 func (e *exchange) reusable() bool {
 	return e.writeComplete() && !e.surplus && !e.response.Close && delimited(e.response) && e.connection.reader.Buffered() == 0
 }
 
-// writeComplete reports whether the whole request has been written by now.
+// writeComplete reports whether the complete request has been written by now.
 func (e *exchange) writeComplete() bool {
 	if e.writing != nil {
 		select {
--- a/internal/edge/outbound/invalid_response.go
+++ b/internal/edge/outbound/invalid_response.go
@@ -1,7 +1,7 @@
 package outbound
 
-// InvalidResponseError says that a response was cut, that a cut could not be noticed, or
-// that the response cannot be taken for that of the attempt. The request may have
+// InvalidResponseError says that a response is truncated, that truncation could not be
+// noticed, or that the response is not that of the attempt. The request may have
 // run.
 type InvalidResponseError struct {
 	Reason string
--- a/internal/edge/outbound/refusal.go
+++ b/internal/edge/outbound/refusal.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RefusedError says that a back end promised not to run a request.
+// RefusedError is a rejection: the back end guarantees not to run the request.
 type RefusedError struct {
 	Status int
 	// RetryAfter is zero if the back end named no time.
@@ -14,7 +14,7 @@
 	// WrongTarget means that the back end is not the one that the request was
 	// for, or has other weights: what this node knows of it is out of date.
 	WrongTarget bool
-	// Instance names the incarnation that answered, if the response tells it.
+	// Instance is the incarnation that responded, if the response names it.
 	Instance string
 }
 
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("the back end refused the request with status %d: %s", e.Status, e.Message)
 }
 
-// FailedResponseError says that a back end answered with a failure that does not
+// FailedResponseError says that a back end responded with a failure that does not
 // report whether the request has run.
 type FailedResponseError struct {
 	Status int
--- a/internal/edge/outbound/single_use_body.go
+++ b/internal/edge/outbound/single_use_body.go
@@ -25,11 +25,11 @@
 
 var _ io.ReadCloser = (*singleUseBody)(nil)
 
-// idempotencyHeaders are the headers by which net/http takes leave to send a
+// idempotencyHeaders are the headers by which net/http decides to send a
 // request again.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// preventRetries takes from the transport every way to send the request
+// preventRetries leaves the transport no way to send the request
 // twice.
 func preventRetries(request *http.Request, body []byte) {
 	request.Body = &singleUseBody{reader: bytes.NewReader(body)}
--- a/internal/edge/platform/endpoints.go
+++ b/internal/edge/platform/endpoints.go
@@ -45,12 +45,13 @@
 	Replicas []Replica `json:"replicas"`
 }
 
-// Endpoints is the platform's whole list.
+// Endpoints are all services that the platform lists.
 type Endpoints struct {
 	Services []Service `json:"services"`
 }
 
-// EndpointsError says that a list cannot be used. The last good one stays in force.
+// EndpointsError says that the platform's list cannot be used. The last valid one stays
+// in force.
 type EndpointsError struct {
 	Reason string
 }
--- a/internal/edge/replica/command.go
+++ b/internal/edge/replica/command.go
@@ -16,7 +16,7 @@
 // maxControlResponseBytes bounds a replica's response to a control call.
 const maxControlResponseBytes = 1 << 20
 
-// CommandClient asks replicas for reports and orders them to load weights.
+// CommandClient requests reports of replicas and commands them to load weights.
 type CommandClient struct {
 	sender *outbound.Client
 }
@@ -26,7 +26,7 @@
 	return &CommandClient{sender: sender}
 }
 
-// StatusError says that a replica answered a control call with an unexpected
+// StatusError says that a replica responded to a control call with an unexpected
 // status.
 type StatusError struct {
 	Path   string
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("the replica answered %s with status %d; check that it speaks this protocol", e.Path, e.Status)
 }
 
-// StaleEpochError says that the replica knows a later holder of the right to
+// StaleEpochError says that the replica has seen a later leader with the right to
 // command it.
 type StaleEpochError struct {
 	Epoch uint64
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("the replica refuses epoch %d since it has seen a later one; leave it to the later leader", e.Epoch)
 }
 
-// Report asks a replica for its state.
+// Report requests the report of a replica.
 func (c *CommandClient) Report(ctx context.Context, address string) (Report, error) {
 	response, err := c.sender.Get(ctx, "http://"+address+PathReport)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // LoadWeights orders a replica to load weights. The order has arrived when nil
-// is returned; Report tells when it is done.
+// is returned; Report shows when it is done.
 func (c *CommandClient) LoadWeights(ctx context.Context, address string, command WeightsCommand) error {
 	body, err := json.Marshal(command)
 	if err != nil {
--- a/internal/edge/replica/events.go
+++ b/internal/edge/replica/events.go
@@ -29,7 +29,7 @@
 )
 
 // Position is how far the reader of a back end's events has come. The zero
-// Position is that of a reader that knows nothing.
+// Position is that of a reader without any state.
 type Position struct {
 	// Incarnation is the incarnation of the back end that Sequence belongs to.
 	Incarnation uint64
@@ -102,7 +102,7 @@
 	return errors.WithStack(io.ErrUnexpectedEOF)
 }
 
-// Links returns the parts of an event as the index names them.
+// Links returns the chunks of an event as links of the prefix index.
 func (e Event) Links() ([]prefixindex.Link, error) {
 	links := make([]prefixindex.Link, len(e.Chunks))
 	for position, chunk := range e.Chunks {
@@ -115,7 +115,7 @@
 	return links, nil
 }
 
-// Hashes returns the names of the parts of an event.
+// Hashes returns the chain hashes of the chunks of an event.
 func (e Event) Hashes() ([]prefixindex.ChainHash, error) {
 	links, err := e.Links()
 	if err != nil {
--- a/internal/edge/replica/generate.go
+++ b/internal/edge/replica/generate.go
@@ -19,7 +19,7 @@
 // maxRefusalBytes bounds what is read of a refusal's body.
 const maxRefusalBytes = 64 << 10
 
-// Pull asks a replica to fetch parts instead of computing them.
+// Pull makes a replica fetch chunks instead of computing them.
 type Pull struct {
 	// Source is the address to fetch from.
 	Source string
@@ -59,7 +59,7 @@
 	maxResponseBytes int64
 }
 
-// NewClient returns a client that takes answers of at most maxResponseBytes.
+// NewClient returns a client that accepts responses of at most maxResponseBytes.
 func NewClient(sender *outbound.Client, maxResponseBytes int64) *Client {
 	return &Client{sender: sender, maxResponseBytes: maxResponseBytes}
 }
--- a/internal/edge/replica/protocol.go
+++ b/internal/edge/replica/protocol.go
@@ -11,11 +11,11 @@
 	// parameter "after" names the last sequence number seen, and "incarnation" the
 	// life of the replica that it was seen in. Without "after", in another life,
 	// or when the replica no longer has what follows, the stream starts with a
-	// reset that lists everything kept.
+	// reset that lists all cached chunks.
 	PathEvents = "/v1/events"
 	// PathReport returns the current Report.
 	PathReport = "/v1/report"
-	// PathWeights takes a WeightsCommand.
+	// PathWeights accepts a WeightsCommand.
 	PathWeights = "/v1/weights"
 	// PathChunks serves a cached chunk to a peer: "/v1/parts/<chain hash in hex>".
 	PathChunks = "/v1/parts/"
@@ -42,7 +42,7 @@
 	HeaderRepeatable = "Repeatable"
 	// HeaderOutputTokens bounds the generated tokens.
 	HeaderOutputTokens = "Output-Tokens"
-	// HeaderPullSource is the address that the replica is to pull parts from.
+	// HeaderPullSource is the address that the replica is to pull chunks from.
 	HeaderPullSource = "Pull-Source"
 	// HeaderPullChunks is the range "first-last" of positions in Prefix to pull.
 	HeaderPullChunks = "Pull-Parts"
@@ -51,21 +51,21 @@
 	// HeaderReusedTokens, in a response, counts the tokens that were not
 	// computed again.
 	HeaderReusedTokens = "Reused-Tokens"
-	// HeaderNotRun, with the value "true" in a refusal, promises that the
+	// HeaderNotRun, with the value "true" in a rejection, guarantees that the
 	// request has not run and will not run.
 	HeaderNotRun = "Not-Run"
 )
 
-// EventKind tells what an Event reports.
+// EventKind is what an Event reports.
 type EventKind string
 
 // The kinds of events.
 const (
-	// EventStored reports parts that the replica now keeps.
+	// EventStored reports chunks that the replica has cached.
 	EventStored EventKind = "stored"
-	// EventRemoved reports parts that the replica dropped.
+	// EventRemoved reports chunks that the replica has evicted.
 	EventRemoved EventKind = "removed"
-	// EventReset says that Parts is all that is kept; it ends doubt after
+	// EventReset means that Chunks are all that is cached; it resynchronizes after
 	// lost events and follows a restart.
 	EventReset EventKind = "reset"
 	// EventReport carries a load report and has no sequence number.
@@ -88,7 +88,7 @@
 type Chunk struct {
 	// Hash is the chain hash in hexadecimal.
 	Hash string `json:"hash"`
-	// Parent is the chain hash of the part before it.
+	// Parent is the chain hash of the chunk before it.
 	Parent string `json:"parent,omitempty"`
 	Tokens uint32 `json:"tokens,omitempty"`
 }
--- a/internal/edge/replica/response.go
+++ b/internal/edge/replica/response.go
@@ -73,8 +73,8 @@
 	_ = a.response.Body.Close()
 }
 
-// ReadAll reads the whole response; the second result is always true without
-// an error. A response that is cut, whose end cannot be told from a cut, or that
+// ReadAll reads the complete response; the second result is always true without
+// an error. A response that is truncated, whose truncation could not be noticed, or that
 // is too large, is a *outbound.InvalidResponseError.
 func (a *Response) ReadAll() ([]byte, bool, error) {
 	if !a.delimited() {
@@ -101,7 +101,7 @@
 	return len(encodings) > 0 && strings.EqualFold(encodings[len(encodings)-1], "chunked")
 }
 
-// Next returns the next whole event of a stream, with the blank line that
+// Next returns the next complete event of a stream, with the blank line that
 // ends it. After the event that ends the stream it returns io.EOF; a stream
 // that ends in any other way is a *outbound.InvalidResponseError. A part of an event is never
 // returned.
--- a/internal/edge/replica/salt.go
+++ b/internal/edge/replica/salt.go
@@ -12,7 +12,7 @@
 // CacheSalt names the set of requests that may share cached chunks: those of one
 // model, under one weight version, in one sharing domain. A walled tenant has a
 // sharing domain of its own, and each domain changes with every epoch of a
-// wall, so that parts never cross weights or walls.
+// wall, so that chunks are never shared across weights or walls.
 //
 // The salt is a digest over the three texts, each with its length before it,
 // so that no two different triples join to the same bytes.
--- a/internal/edge/store/events.go
+++ b/internal/edge/store/events.go
@@ -1,5 +1,5 @@
 // Package store speaks the protocol between a node and a KV cache store. The
-// store reports what it keeps by the same events as a replica does.
+// store reports its cached chunks by the same events as a replica does.
 package store
 
 import (
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -21,10 +21,10 @@
 	// HeaderAttemptID carries the identity of the attempt. A back end need not
 	// echo it, unless it refuses with HeaderNotRun.
 	HeaderAttemptID = "Attempt-Id"
-	// HeaderNotRun with the value "true", in a rejection, promises that the
+	// HeaderNotRun with the value "true", in a rejection, guarantees that the
 	// request has not run and will not run.
 	HeaderNotRun = "Not-Run"
-	// headerRetryAfter tells when to come back, in seconds.
+	// headerRetryAfter is the time to retry after, in seconds.
 	headerRetryAfter = "Retry-After"
 )
 
@@ -35,7 +35,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// Call is one attempt to have a web service answer a request.
+// Call is one attempt to run a request on a web service.
 type Call struct {
 	Address string
 	// Request is the caller's request; its body has been read.
@@ -85,7 +85,7 @@
 }
 
 // checkAttempt refuses a response that names another attempt, and returns a
-// refusal by which the back end promises not to run this one. The promise
+// rejection by which the back end guarantees not to run this one. The guarantee
 // counts only if it names the attempt.
 func checkAttempt(response *http.Response, call Call) error {
 	echoed := response.Header.Get(HeaderAttemptID)
--- a/internal/edge/webservice/response.go
+++ b/internal/edge/webservice/response.go
@@ -55,8 +55,8 @@
 }
 
 // ReadAll reads the response up to the bound. It returns false if there is
-// more, which Next returns. A cut response, or one whose end cannot be told from
-// a cut, is a *outbound.InvalidResponseError.
+// more, which Next returns. A truncated response, or one whose truncation could not be
+// noticed, is a *outbound.InvalidResponseError.
 func (a *Response) ReadAll() ([]byte, bool, error) {
 	if err := a.checkDelimited(); err != nil {
 		return nil, false, err
--- a/internal/metrics/doc.go
+++ b/internal/metrics/doc.go
@@ -1,5 +1,5 @@
 // Package metrics serves the counters and gauges of a node in the Prometheus
-// text format. Everything is read when it is asked for: nothing is counted here.
+// text format. Everything is read at the time of a scrape: nothing is counted here.
 //
 // The number of series is bounded. There is no label that names a tenant, a
 // replica or another node, and at most MaxDestinations destinations have series
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -19,7 +19,7 @@
 const (
 	// namespace begins the name of every metric of ridgeswitch.
 	namespace = "ridgeswitch"
-	// maxScrapes bounds the answers that are put together at once.
+	// maxScrapes bounds the scrapes that are served at once.
 	maxScrapes = 4
 	// scrapeTimeout bounds one response, for a node whose control is stuck.
 	scrapeTimeout = 5 * time.Second
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// Reload takes over what may change in the settings while the node runs: the
+// Reload applies what may change in the settings while the node runs: the
 // seeds and the level of the log. Faulty settings change nothing, and all their
 // faults are returned. What needs a restart is logged.
 func (n *Node) Reload(next *static.Settings) error {
@@ -29,6 +29,6 @@
 	}
 	n.seeds = next.Seeds
 	n.driver.SetSeeds(n.storage.seeds(next))
-	n.log.WithField("seeds", next.Seeds).Info("took over changed seeds")
+	n.log.WithField("seeds", next.Seeds).Info("applied changed seeds")
 	return nil
 }
--- a/internal/reload/watcher.go
+++ b/internal/reload/watcher.go
@@ -1,5 +1,6 @@
-// Package reload hands the settings in a file to a running node whenever they
-// have changed, with a signal or without one.
+// Package reload watches the settings file of a running node: it applies the settings
+// when the file has changed, and on SIGHUP. A Watcher owns the signal handler; one
+// goroutine calls Run.
 package reload
 
 import (
@@ -14,17 +15,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// PollEvery is how often the settings file is looked at. A change of the file
-// need not come with a signal.
+// PollEvery is the interval of checks of the settings file.
 const PollEvery = time.Second
 
-// Target is what changed settings are for.
+// Target reads and applies changed settings.
 type Target struct {
 	// Read reads the settings that the file holds now.
 	Read func() (*static.Settings, error)
-	// Apply hands them to the node, which takes all of them or none.
+	// Apply applies them to the node, all of them or none.
 	Apply func(settings *static.Settings) error
-	// Log is told of settings that can't be read or taken.
+	// Log gets an entry when settings can't be read or applied.
 	Log *logrus.Entry
 }
 
@@ -46,11 +46,11 @@
 	return w
 }
 
-// Close lets go of the signal.
+// Close stops the handling of SIGHUP.
 func (w *Watcher) Close() { signal.Stop(w.hangups) }
 
-// Run hands settings over on each hangup, and whenever their file has changed,
-// until the context ends.
+// Run applies the settings on each SIGHUP, and whenever their file has changed, until
+// the context ends.
 func (w *Watcher) Run(ctx context.Context, target Target) {
 	if w.path == "" {
 		return
@@ -69,21 +69,21 @@
 	}
 }
 
-// reloadOnHangup hands the settings over whether their file seems to have changed or not.
+// reloadOnHangup applies the settings whether their file seems to have changed or not.
 func (w *Watcher) reloadOnHangup(target Target) {
 	w.changed()
 	target.reload()
 }
 
-// poll hands the settings over if their file has changed.
+// poll applies the settings if their file has changed.
 func (w *Watcher) poll(target Target) {
 	if w.changed() {
 		target.reload()
 	}
 }
 
-// changed reports whether the file is another than when it was last looked at. A
-// file that can't be looked at counts as unchanged: what is in force stays.
+// changed reports whether the file differs from its last check. A file that can't be
+// read counts as unchanged: the settings in force stay.
 func (w *Watcher) changed() bool {
 	present, err := os.Stat(w.path)
 	if err != nil {
@@ -94,14 +94,14 @@
 	return last == nil || !os.SameFile(last, present) || last.Size() != present.Size() || !last.ModTime().Equal(present.ModTime())
 }
 
-// reload reads the settings and hands them over. What is faulty is logged, in
-// one entry with every fault, and changes nothing.
+// reload reads and applies the settings. Faulty ones are logged, in one entry with every
+// fault, and change nothing.
 func (t Target) reload() {
 	settings, err := t.Read()
 	if err == nil {
 		err = t.Apply(settings)
 	}
 	if err != nil {
-		t.Log.WithError(err).Error("the changed settings are faulty and were not taken over; correct them")
+		t.Log.WithError(err).Error("the changed settings are faulty and were not applied; correct them")
 	}
 }
--- a/pkg/config/faults/faults.go
+++ b/pkg/config/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults holds what the lists of faults of settings and of a
-// configuration have in common.
+// Package faults formats lists of faults, for the error types of settings and of the
+// configuration.
 package faults
 
 import "strings"
--- a/pkg/config/static/accessors.go
+++ b/pkg/config/static/accessors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// HasDisk reports whether the node has a disk and may hold control state.
+// HasDisk reports whether the node has a data folder and may replicate control state.
 func (s *Settings) HasDisk() bool {
 	return s.DataFolder != ""
 }
@@ -40,7 +40,7 @@
 // DrainTimeout bounds the time to finish requests after SIGTERM.
 func (s *Settings) DrainTimeout() time.Duration { return milliseconds(s.DrainTimeoutMS) }
 
-// Contact is how long a node that fell silent counts as in contact.
+// Contact is how long a node that no longer responds counts as in contact.
 func (s *Settings) Contact() time.Duration { return milliseconds(s.ContactMS) }
 
 // Acknowledge bounds the wait for the acknowledgement of an order.
@@ -62,13 +62,13 @@
 // requests; 0 means never.
 func (s *Settings) WeightsDeadline() time.Duration { return milliseconds(s.WeightsDeadlineMS) }
 
-// RetryWindow is the window in which the share of retries counts.
+// RetryWindow is the window of the retry budget.
 func (s *Settings) RetryWindow() time.Duration { return milliseconds(s.RetryWindowMS) }
 
 // BackendRetry is when a caller may come back after a failure of a back end.
 func (s *Settings) BackendRetry() time.Duration { return milliseconds(s.BackendRetryMS) }
 
-// Ejection is how long a back end that fails many requests is left out at first.
+// Ejection is how long an outlier is ejected the first time.
 func (s *Settings) Ejection() time.Duration { return milliseconds(s.EjectionMS) }
 
 func milliseconds(number int) time.Duration {
--- a/pkg/config/static/check.go
+++ b/pkg/config/static/check.go
@@ -14,8 +14,8 @@
 // logLevels are the levels that settings may name.
 var logLevels = []string{"debug", "info", "warning", "error"}
 
-// Check returns every fault of the settings at once, each an *Error; none when
-// they are sound. It touches neither disk nor network.
+// Check returns every fault of the settings at once, each an *Error, or none if they
+// are valid. It uses neither disk nor network.
 func (s *Settings) Check() []error {
 	check := &checker{}
 	check.name("node", s.Node)
@@ -51,8 +51,8 @@
 	}
 }
 
-// address checks an address that others must be able to reach as it is
-// written, since nodes tell it each other.
+// address checks an address that is passed between nodes, so that others must be able to
+// reach it as it is written.
 func (c *checker) address(field, value string) {
 	if value == "" {
 		c.add(KindMissing, field, "is empty; give IP and port, such as 127.1.1.1:7100")
@@ -79,7 +79,7 @@
 	})
 }
 
-// namedValue is a value and the field that it stands in.
+// namedValue is a value with the name of its field.
 type namedValue struct {
 	field, value string
 }
@@ -109,7 +109,7 @@
 	c.distinct(items("seeds", s.Seeds))
 }
 
-// group checks who may hold control state: the nodes that are named, or those
+// group checks which nodes may replicate control state: those that are named, or those
 // that find each other through seeds.
 func (c *checker) group(s *Settings) {
 	if s.Seeded() && len(s.Seeds) == 0 {
--- a/pkg/config/static/flags.go
+++ b/pkg/config/static/flags.go
@@ -11,7 +11,7 @@
 const FlagSettings = "settings"
 
 // Flags are the command line flags of the settings: the file, and one flag for
-// each field, which goes over the file. A flag has the field's name with dashes
+// each field, which takes precedence over the file. A flag has the field's name with dashes
 // in place of underscores; a list is given by repeating the flag.
 func Flags() []cli.Flag {
 	flags := []cli.Flag{
@@ -24,8 +24,8 @@
 	return flags
 }
 
-// FromCommand reads the settings file that the command names, if any, puts the
-// flags that are given over it, and fills in the defaults. The result is not
+// FromCommand reads the settings file that the command names, if any, overrides it by
+// the given flags, and fills in the defaults. The result is not
 // checked: see Settings.Check.
 func FromCommand(command *cli.Command) (*Settings, error) {
 	settings := &Settings{}
@@ -42,7 +42,7 @@
 	return settings, nil
 }
 
-// override takes over the flags that are given.
+// override applies the given flags.
 func (s *Settings) override(command *cli.Command) {
 	for name, field := range s.fields() {
 		flag := flagName(name)
--- a/pkg/config/static/load.go
+++ b/pkg/config/static/load.go
@@ -44,7 +44,7 @@
 	return settings, nil
 }
 
-// read takes over every field of a document.
+// read applies every field of a document.
 func (s *Settings) read(data []byte) Errors {
 	if len(data) > maxFileBytes {
 		return Errors{{
@@ -66,8 +66,8 @@
 	return s.readMapping(root)
 }
 
-// readMapping takes over every pair of a mapping, whose content alternates
-// between names and values.
+// readMapping applies every pair of a mapping, whose content alternates between names
+// and values.
 func (s *Settings) readMapping(mapping *yaml.Node) Errors {
 	var faults Errors
 	fields := s.fields()
@@ -86,7 +86,7 @@
 	return faults
 }
 
-// fields holds a pointer to every field under its name in the file.
+// fields returns a pointer to every field by its name in the file.
 func (s *Settings) fields() map[string]any {
 	value := reflect.ValueOf(s).Elem()
 	fields := make(map[string]any, value.NumField())
--- a/pkg/config/static/reload.go
+++ b/pkg/config/static/reload.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// reloaded are the settings that are taken over while a node runs, and founding,
-// which no longer matters then.
+// reloaded are the settings that are applied while a node runs, and founding, which has
+// no effect then.
 var reloaded = []string{"seeds", "log_level", "founding"}
 
-// NeedRestart names the settings in which others differ and that take effect at
-// the next start of a node only.
+// NeedRestart returns the names of the settings that differ in other and that take
+// effect only at the next start of a node.
 func (s *Settings) NeedRestart(other *Settings) []string {
 	var changed []string
 	present, next := s.fields(), other.fields()
--- a/pkg/config/static/settings.go
+++ b/pkg/config/static/settings.go
@@ -7,25 +7,25 @@
 	// Deployment names the deployment; it must be the same on every node. Nodes
 	// of other deployments are not listened to.
 	Deployment string `yaml:"deployment" usage:"name of the deployment, the same on every node"`
-	// Zone is the failure domain that the node stands in.
+	// Zone is the failure domain of the node.
 	Zone string `yaml:"zone" usage:"failure domain of the node"`
 	// Internal is the IP and port for other nodes.
 	Internal string `yaml:"internal" usage:"IP and port for other nodes"`
 	// InternalListen is the IP and port that the node listens on for other nodes
-	// where that is not Internal, which it tells them: behind a relay or an
-	// address translation. Empty stands for Internal. Connections to other nodes
+	// where that is not Internal, the address that others know: behind a relay or an
+	// address translation. Empty means Internal. Connections to other nodes
 	// come from its IP.
 	InternalListen string `yaml:"internal_listen" usage:"IP and port to listen on for other nodes, when they reach it elsewhere"`
 	// Traffic is the IP and port for callers.
 	Traffic string `yaml:"traffic" usage:"IP and port for callers"`
-	// ControlOnly nodes serve no callers: they hold state, relay it and answer
+	// ControlOnly nodes serve no callers: they replicate and relay state, and serve
 	// operators.
 	ControlOnly bool `yaml:"control_only" usage:"serve no callers"`
 	// Control is the IP and port for operators and health checks.
 	Control string `yaml:"control" usage:"IP and port for operators and health checks"`
 	// Seeds are internal addresses of nodes, at most MaxSeeds; the node's own may
 	// be among them. They may be empty on the first node of a deployment whose
-	// Group is given. Seeds are taken over while the node runs.
+	// Group is given. Changed seeds are applied while the node runs.
 	Seeds []string `yaml:"seeds" usage:"internal address of another node; at most three"`
 	// Founding is set at the first start of a whole deployment whose Group is
 	// empty, and never again: the nodes at the addresses of Seeds then form the
@@ -42,12 +42,12 @@
 	// DataFolder holds all files of the node. With a Group, it is set on its nodes
 	// alone; the others route and relay.
 	DataFolder string `yaml:"data_folder" usage:"folder of all files, on nodes with disks"`
-	// FailOpen lets a node that may be cut off go on serving by its newest
+	// FailOpen lets a node that may be partitioned go on serving by its newest
 	// configuration, and acknowledgements go on without nodes that are out of
 	// reach. Otherwise such a node refuses traffic, and is waited for until that
 	// is certain. It must be the same on every node.
 	FailOpen bool `yaml:"fail_open" usage:"go on serving while cut off, and acknowledge without nodes out of reach"`
-	// ContactMS is how long a node that fell silent counts as in contact, in
+	// ContactMS is how long a node that no longer responds counts as in contact, in
 	// milliseconds. With FailOpen, elections and the detection of failures take
 	// less.
 	ContactMS int `yaml:"contact_ms" usage:"how long a silent node counts as in contact"`
@@ -72,26 +72,25 @@
 	ServiceShards int `yaml:"service_shards" usage:"shards of service state, the same on every node"`
 	// HeartbeatEveryMS is the interval of heartbeats, in milliseconds.
 	HeartbeatEveryMS int `yaml:"heartbeat_every_ms" usage:"interval of heartbeats between nodes"`
-	// TickEveryMS is the interval at which control state looks at the clock, in
-	// milliseconds. A longer one costs less while nothing happens.
+	// TickEveryMS is the interval of the control machine's ticks, in milliseconds. A longer one costs less while nothing happens.
 	TickEveryMS int `yaml:"tick_every_ms" usage:"interval at which control state looks at the clock"`
-	// RetryPercent is the share of the requests of a destination that may be sent
-	// again, in hundredths.
+	// RetryPercent is the retry budget: the percentage of the requests of a
+	// destination that may be retried.
 	RetryPercent int `yaml:"retry_percent" usage:"share of requests that may be sent again, in hundredths"`
-	// RetryWindowMS is the window in which that share counts, in milliseconds.
+	// RetryWindowMS is the window of the retry budget, in milliseconds.
 	RetryWindowMS int `yaml:"retry_window_ms" usage:"window in which the share of retries counts"`
-	// RetrySlack is how many requests of a destination may be sent again in a
-	// window beyond that share, by all nodes together.
+	// RetrySlack is how many requests of a destination all nodes together may retry in
+	// a window beyond RetryPercent.
 	RetrySlack int `yaml:"retry_slack" usage:"retries of all nodes in a window beyond the share"`
 	// BackendRetryMS is when a caller may come back after a failure of a back
 	// end, in milliseconds.
 	BackendRetryMS int `yaml:"backend_retry_ms" usage:"when callers may come back after a failure of a back end"`
-	// EjectionMS is how long a back end that fails far more requests than others is
-	// left out before it is tried again, in milliseconds. It is left out for up to
-	// eight times as long when it goes on failing.
+	// EjectionMS is how long an outlier, a back end that fails far more requests than
+	// others, is ejected, in milliseconds. It is ejected for up to eight times as long
+	// when it goes on failing.
 	EjectionMS int `yaml:"ejection_ms" usage:"how long a back end that fails many requests is left out at first"`
-	// EjectedPercent is the largest share of a destination's back ends that is left
-	// out so, in hundredths. Where it is less than one back end, none is.
+	// EjectedPercent is the largest percentage of a destination's back ends that may
+	// be ejected. Where that is less than one back end, none is.
 	EjectedPercent int `yaml:"ejected_percent" usage:"largest share of back ends that is left out, in hundredths"`
 	// DrainTimeoutMS bounds the time to finish requests after SIGTERM, in
 	// milliseconds.
