--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -2,36 +2,29 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"github.com/pkg/errors"
-	"github.com/samber/lo"
 	"github.com/sirupsen/logrus"
 	"github.com/thejerf/suture/v4"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/clock"
-	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/driver"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/operator"
-	"github.com/ridgeswitch/ridgeswitch/internal/metrics"
 	"github.com/ridgeswitch/ridgeswitch/internal/transport"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
-	"github.com/ridgeswitch/ridgeswitch/pkg/retrybudget"
 )
 
-// leaveDelay is how long a stopping node goes on sending after it has handed its
-// shards over, so that the messages leave.
-const leaveDelay = 200 * time.Millisecond
-
-// readinessDelay is how long a stopping node still takes connections after its
-// readiness is off, so that whoever polls it can send new ones elsewhere first.
-const readinessDelay = time.Second
+const (
+	// leaveDelay is how long a stopping node goes on sending after it has left, so that
+	// its last messages are sent.
+	leaveDelay = 200 * time.Millisecond
+	// readinessDelay is how long a stopping node still accepts connections after its
+	// readiness check fails, so that load balancers can choose other nodes first.
+	readinessDelay = time.Second
+)
 
-// Node is one running node.
+// Node is one running node. New makes it, and Run ends it.
 type Node struct {
 	settings  *static.Settings
 	edges     Edges
@@ -45,7 +38,7 @@
 	health    *health
 	commander *commander
 	endpoints *endpointLoader
-	// seeds are those in use.
+	// seeds are those in use, see Reload.
 	seeds []string
 }
 
@@ -62,155 +55,6 @@
 	return node, nil
 }
 
-// build makes the parts in the order in which they need each other.
-func (n *Node) build() error {
-	var err error
-	n.storage, err = openStorage(n.settings)
-	if err != nil {
-		return err
-	}
-	source := &driverSource{}
-	n.dataplane, err = dataplane.New(dataplane.Options{
-		Node:         n.settings.Node,
-		Member:       member.ID(n.settings.MemberID()),
-		Zone:         n.settings.Zone,
-		Peers:        source.peers,
-		Address:      n.settings.Traffic,
-		Source:       source,
-		Clock:        clock.SinceBoot,
-		Log:          n.log.WithField("component", "dataplane"),
-		DrainTimeout: n.settings.DrainTimeout(),
-		RecordFile:   n.settings.RecordFile,
-		Edges:        n.edges.Dataplane,
-		RetryBudget:  n.retryBudget(source),
-		MaxUnsent:    maxUnsent,
-		BackendRetry: n.settings.BackendRetry(),
-		Outlier:      n.outlier(),
-	})
-	if err != nil {
-		return err
-	}
-	if n.edges.LimitConnections != nil {
-		n.edges.LimitConnections(n.dataplane.ConnectionLimit)
-	}
-	n.gossip = newGossipService(member.ID(n.settings.MemberID()), n.settings.Zone, n.callerServer())
-	machine, err := control.New(n.controlConfig(), n.storage.restored, n.dataplane, clock.SinceBoot())
-	if err != nil {
-		return err
-	}
-	if err := n.buildDriver(machine); err != nil {
-		return err
-	}
-	source.driver = n.driver
-	n.health.driver = n.driver
-	n.health.dataplane = n.callerServer()
-	return n.buildOperators()
-}
-
-const (
-	// maxUnsent is how many attempts that could not be sent do not count among a
-	// request's attempts.
-	maxUnsent = 3
-	// budgetMargin is how many nodes may have started without this one knowing
-	// it, when the fleet's retries are divided.
-	budgetMargin = 2
-	// percent is what shares in the settings are given in.
-	percent = 100.0
-)
-
-// retryBudget is this node's part of the fleet's retries.
-func (n *Node) retryBudget(source *driverSource) retrybudget.Options {
-	live := func() int { return max(1, len(source.peers())) }
-	return retrybudget.Options{
-		Ratio:         float64(n.settings.RetryPercent) / percent,
-		Window:        n.settings.RetryWindow(),
-		Slack:         float64(n.settings.RetrySlack),
-		SlackFraction: retrybudget.FleetSlackFraction(live, budgetMargin),
-		StartedAt:     clock.SinceBoot(),
-	}
-}
-
-// ejectionGrowth is how many times longer than at first a back end that goes on
-// failing is left out.
-const ejectionGrowth = 8
-
-// outlier is how this node leaves out back ends that fail.
-func (n *Node) outlier() outlier.Options {
-	return outlier.Options{
-		Ejection:           n.settings.Ejection(),
-		MaxEjection:        ejectionGrowth * n.settings.Ejection(),
-		MaxEjectedFraction: float64(n.settings.EjectedPercent) / percent,
-	}
-}
-
-// callerServer is what serves callers, or nil on a node that serves none.
-func (n *Node) callerServer() *dataplane.Server {
-	if n.settings.ControlOnly {
-		return nil
-	}
-	return n.dataplane
-}
-
-// buildOperators listens for operators and for whoever asks for the node's
-// health.
-func (n *Node) buildOperators() error {
-	handler, err := n.operatorHandler()
-	if err != nil {
-		return err
-	}
-	for _, address := range lo.Uniq(lo.Compact([]string{n.settings.Control, n.edges.ReadyAddress})) {
-		server, err := operator.Listen(address, handler)
-		if err != nil {
-			return err
-		}
-		n.operators = append(n.operators, server)
-	}
-	return nil
-}
-
-// operatorHandler returns what serves operators. Beside another operator protocol, the
-// product's own questions are answered.
-func (n *Node) operatorHandler() (http.Handler, error) {
-	metricsHandler, err := metrics.NewHandler(n.driver, n.dataplane, n.transport)
-	if err != nil {
-		return nil, err
-	}
-	native, err := operator.NewHandler(n.driver, n.health, operator.WithMetrics(metricsHandler))
-	if err != nil || n.edges.Operator == nil {
-		return native, err
-	}
-	return operator.WithQueries(n.edges.Operator(n), native), nil
-}
-
-// buildDriver connects the control machine to the network, the disk and the
-// replicas.
-func (n *Node) buildDriver(machine *control.Machine) error {
-	n.commander = newCommander(n.edges.Replicas, n.log.WithField("component", "commander"))
-	n.endpoints = &endpointLoader{reader: n.edges.Endpoints, log: n.log.WithField("component", "lists")}
-	frames := &frameReceiver{}
-	listening, err := transport.Listen(n.settings.InternalListener(), frames.receive, transport.Options{})
-	if err != nil {
-		return err
-	}
-	n.transport = listening
-	n.driver = driver.New(machine, driver.Options{
-		TickEvery:  n.settings.TickEvery(),
-		Deployment: n.settings.Deployment,
-		Clock:      clock.SinceBoot,
-		Sender:     listening,
-		Storage:    n.storage.shards(),
-		Commander:  n.commander,
-		Traffic:    n.gossip,
-		Endpoints:  n.endpoints,
-		Log:        n.log.WithField("component", "control"),
-	})
-	n.commander.driver = n.driver
-	n.gossip.driver = n.driver
-	n.endpoints.driver = n.driver
-	frames.driver.Store(n.driver)
-	return nil
-}
-
 // Run serves until the context ends; then it drains and leaves. It returns nil
 // after an orderly stop.
 func (n *Node) Run(ctx context.Context) error {
