--- a/internal/edge/outbound/client_test.go
+++ b/internal/edge/outbound/client_test.go
@@ -63,7 +63,7 @@
 		Expect(target.accepted.Load()).To(BeZero())
 	}, Entry("with the same method", http.StatusTemporaryRedirect), Entry("with GET", http.StatusSeeOther))
 
-	It("does not reuse the connection of an answer that was not read to its end", func() {
+	It("does not reuse the connection of a response that was not read to its end", func() {
 		long := strings.Repeat("x", 1<<20)
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
--- a/internal/edge/outbound/direct_test.go
+++ b/internal/edge/outbound/direct_test.go
@@ -92,8 +92,8 @@
 	},
 		Entry("that the back end will close", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello"),
 		Entry("that the back end keeps for no time", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=0, max=9\r\n\r\nhello"),
-		Entry("on which an answer follows the answer", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"+fullAnswer),
-		Entry("on which bytes follow the answer", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello!"),
+		Entry("on which a response follows the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"+fullAnswer),
+		Entry("on which bytes follow the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello!"),
 		Entry("on which bytes follow the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\nx"),
 	)
 
@@ -131,7 +131,7 @@
 		Expect(server.accepted.Load()).To(Equal(int32(3)))
 	})
 
-	It("passes over a late answer to an earlier request", func() {
+	It("discards a late response to an earlier request", func() {
 		use(outbound.DirectOptions{Matches: belongs})
 		server := serveScript(func(number int, connection *scriptedConnection) {
 			for request := connection.next(); request != nil; request = connection.next() {
@@ -148,7 +148,7 @@
 		Expect(server.accepted.Load()).To(Equal(int32(2)), "no connection is used again after a surplus answer")
 	})
 
-	It("takes no answer when only others come", func() {
+	It("accepts no response when only others come", func() {
 		use(outbound.DirectOptions{Matches: belongs})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
@@ -161,7 +161,7 @@
 		Expect(failed.MayHaveBeenSent).To(BeTrue())
 	})
 
-	DescribeTable("takes no answer out of what is none", func(bytes string) {
+	DescribeTable("accepts no response from bytes that are none", func(bytes string) {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("%s", bytes)
@@ -178,7 +178,7 @@
 		Entry("an endless head", "HTTP/1.1 200 OK\r\nA: "+string(bytes.Repeat([]byte("x"), 300<<10))+"\r\n\r\n"),
 	)
 
-	It("passes over interim answers", func() {
+	It("skips interim responses", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n%s", fullAnswer)
@@ -186,7 +186,7 @@
 		Expect(send(server, "", nil)).To(Equal("hello"))
 	})
 
-	It("takes an early answer to a long body, and keeps no connection with half a body on it", func() {
+	It("accepts an early response to a long body, and reuses no connection with half a body on it", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			_, _ = connection.reader.ReadString('\n')
 			connection.write("%s", fullAnswer)
@@ -214,7 +214,7 @@
 		}
 	})
 
-	It("takes an answer without a length as whole only if its connection ends cleanly", func() {
+	It("accepts a response without a length as complete only if its connection ends cleanly", func() {
 		server := serveScript(func(number int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("HTTP/1.1 200 OK\r\n\r\nhello")
--- a/internal/edge/outbound/single_send_test.go
+++ b/internal/edge/outbound/single_send_test.go
@@ -67,7 +67,7 @@
 		Entry("without a body", http.MethodGet, []byte(nil)),
 	)
 
-	DescribeTable("sends once, wherever the connection ends in the answer", func(method string) {
+	DescribeTable("sends once, wherever the connection ends in the response", func(method string) {
 		for cut := range len(fullAnswer) + 1 {
 			backend := newRawBackend(-1, cut)
 			address := backend.listener.Addr().String()
--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -70,7 +70,7 @@
 		Expect(seen.Get(replica.HeaderAttempt)).To(Equal("2"))
 	})
 
-	It("takes a refusal only with the promise not to run", func() {
+	It("accepts a rejection only with the guarantee not to run", func() {
 		_, err := generate(replica.Call{}, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderNotRun, "true")
 			writer.Header().Set("Retry-After", "4")
@@ -87,7 +87,7 @@
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("takes no answer, and no promise, of another attempt", func() {
+	It("accepts no response, and no rejection, of another attempt", func() {
 		_, err := generate(replica.Call{}, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderAttemptID, "attempt-6")
 			writer.Header().Set(replica.HeaderNotRun, "true")
@@ -96,7 +96,7 @@
 		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 	})
 
-	DescribeTable("takes no whole answer", func(script http.HandlerFunc) {
+	DescribeTable("accepts no complete response", func(script http.HandlerFunc) {
 		answer, err := generate(replica.Call{}, script)
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = answer.ReadAll()
@@ -189,7 +189,7 @@
 })
 
 var _ = Describe("CacheSalt", func() {
-	It("differs with each of its parts, however they join", func() {
+	It("differs with each of its elements, however they join", func() {
 		salts := map[string]bool{
 			replica.CacheSalt("m", "v", "d"):  true,
 			replica.CacheSalt("m2", "v", "d"): true,
--- a/internal/edge/webservice/client_test.go
+++ b/internal/edge/webservice/client_test.go
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("Client", func() {
-	It("takes a promise not to run only if it names the attempt", func() {
+	It("accepts a guarantee not to run only if it names the attempt", func() {
 		_, err := forward(echoing("a-1"))
 		Expect(err).To(Equal(&outbound.RefusedError{Status: http.StatusServiceUnavailable, RetryAfter: 2 * time.Second}))
 		_, err = forward(echoing("a-2"))
@@ -49,7 +49,7 @@
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("hands an answer on in parts if it is too long to be held back", func() {
+	It("forwards a response piece by piece if it is too long to be buffered", func() {
 		long := strings.Repeat("x", 3*maxBufferedBytes)
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, long) })
 		Expect(err).NotTo(HaveOccurred())
@@ -66,7 +66,7 @@
 		Expect(text).To(Equal(long))
 	})
 
-	DescribeTable("takes no answer", func(raw string) {
+	DescribeTable("rejects a response", func(raw string) {
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) {
 			connection, _, err := writer.(http.Hijacker).Hijack()
 			if err == nil {
--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -284,7 +284,7 @@
 	}
 }
 
-func (d *goldenDeployment) save(node *goldenNode, save driver.StorageWrite) {
+func (d *goldenDeployment) save(node *goldenNode, save control.StorageWrite) {
 	log := node.storage.logs[save.Shard]
 	if kept := save.Checkpoint; kept != nil {
 		Expect(log.Checkpoint(kept.HardState, kept.Snapshot, kept.Entries)).To(Succeed())
--- a/pkg/config/dynamic/validate_routes_test.go
+++ b/pkg/config/dynamic/validate_routes_test.go
@@ -88,7 +88,7 @@
 		Entry("part without a destination", func(r *ridgeswitchv1.Route) { r.Split[1] = nil }, "missing routes[0].split[1]"),
 		Entry("part to no pool", func(r *ridgeswitchv1.Route) { r.Split[0] = toPool("other", 1) }, "dangling_reference routes[0].split[0].pool"),
 		Entry("part to no web service", func(r *ridgeswitchv1.Route) { r.Split[1] = toWebService("", 1) }, "dangling_reference routes[0].split[1].web_service"),
-		Entry("too many parts", func(r *ridgeswitchv1.Route) {
+		Entry("too many destinations", func(r *ridgeswitchv1.Route) {
 			r.Split = repeated(dynamic.MaxSplit, func(int) *ridgeswitchv1.WeightedDestination { return toPool("summaries", 1) })
 		}, "oversize routes[0].split"),
 		Entry("unknown kind", func(r *ridgeswitchv1.Route) { r.Kind = 17 }, "invalid routes[0].kind"),
