--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 		go func() { failed <- errors.Wrap(server.Start(), "operators' listener") }()
 	}
 	if !n.settings.ControlOnly {
-		go func() { failed <- errors.Wrap(n.dataplane.Start(), "callers' listener") }()
+		go func() { failed <- errors.Wrap(n.dataplane.Start(), "callers' listener") }() //nolint:contextcheck // drain ends the data plane
 	}
 	select {
 	case err := <-failed:
