--- a/internal/routing/priority.go
+++ b/internal/routing/priority.go
@@ -2,7 +2,7 @@
 
 import ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 
-// LowestPriority is the last of the priorities that replicas tell apart.
+// LowestPriority is the last of the priorities that replicas distinguish.
 const LowestPriority = 9
 
 // priorities ranks requests by their tenant first, and by their route within a
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -23,7 +23,7 @@
 	totalWeight uint64
 }
 
-// Choice is a destination that gets a share of a route's requests.
+// Choice is a destination that gets a fraction of a route's requests.
 type Choice struct {
 	Destination Destination
 	Weight      uint32
@@ -39,8 +39,8 @@
 	return route
 }
 
-// Destination returns the destination that a draw, a number that is evenly
-// distributed over all of uint64, falls on. Each has a part of that range.
+// Destination returns the destination of a sample that is evenly distributed over all of
+// uint64. Each destination has a part of that range in proportion to its weight.
 func (r *Route) Destination(draw uint64) Destination {
 	if r.totalWeight == 0 {
 		return r.Choices[0].Destination
@@ -55,7 +55,7 @@
 	return r.Choices[len(r.Choices)-1].Destination
 }
 
-// SendsTo tells whether any share of the route's requests goes to a destination.
+// SendsTo reports whether any of the route's requests go to a destination.
 func (r *Route) SendsTo(destination Destination) bool {
 	return slices.ContainsFunc(r.Choices, func(choice Choice) bool {
 		return choice.Destination.name() == destination.name() &&
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// destinationName tells destinations apart over views.
+// destinationName identifies a destination in all views.
 type destinationName struct {
 	pool, webService string
 }
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -16,8 +16,8 @@
 type Tenant struct {
 	Name   string
 	Walled bool
-	// SharingDomain separates kept parts: equal domains may share them. It
-	// changes with every epoch of a wall.
+	// SharingDomain separates cached chunks: tenants with equal domains may share them.
+	// It changes with every epoch of a wall.
 	SharingDomain string
 	Limits        *ridgeswitchv1.Limits
 	// Priority outranks that of the route, if the tenant has one.
@@ -40,9 +40,8 @@
 	// WeightVersion is the version that the replica confirmed. Empty for the
 	// back ends of a web service.
 	WeightVersion string
-	// Admitting tells whether new requests may go to it: it is listed, not
-	// draining for the platform or for a roll-out, and its zone is not
-	// evacuated.
+	// Admitting reports whether new requests may go to it: it is listed, not draining for
+	// the platform or for a roll-out, and its zone is not evacuated.
 	Admitting bool
 }
 
@@ -81,9 +80,8 @@
 	priorities priorities
 }
 
-// Configured tells whether the view holds a configuration of the operator. One
-// that knows of evacuations or back ends alone does not say which requests are
-// allowed.
+// Configured reports whether the view has an operator's configuration. A view that has
+// only evacuations or back ends does not say which requests are allowed.
 func (v *View) Configured() bool {
 	return v != nil && (len(v.Hosts) > 0 || v.Configuration.GetSource() != nil)
 }
@@ -98,8 +96,7 @@
 	Serving() error
 }
 
-// LoadReader tells control how many requests run on a back end through this
-// node.
+// LoadReader returns how many requests run on a back end through this node.
 type LoadReader interface {
 	InFlight(address string) int
 }
--- a/pkg/admission/arrival.go
+++ b/pkg/admission/arrival.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// Options bound the node as a whole.
+// Options configure the bounds of the node as a whole.
 type Options struct {
 	// Concurrent is the number of requests of all tenants that may run at a
 	// time; zero means no bound.
 	Concurrent uint32
-	// Reserved is how many of these are kept for tenants that hold less than
-	// their fair share.
+	// Reserved is how many of these are reserved for tenants below their fair share.
 	Reserved uint32
-	// Queued is the least number of requests of a tenant that may wait for
-	// the node, while the tenant's own number at a time is not used up.
+	// Queued is the least length of a tenant's queue for the node, while the tenant's own
+	// concurrency is not exhausted.
 	Queued uint32
 	// QueueTimeout is the longest wait of those, unless the tenant's own is
 	// longer.
@@ -31,8 +30,8 @@
 	Queued uint32
 	// QueueTimeout is the longest wait.
 	QueueTimeout time.Duration
-	// Weight is the tenant's part of a node that is full, in proportion to
-	// the weights of the others; zero means 1.
+	// Weight is the tenant's weight in the fair share of a node at capacity; zero means
+	// 1.
 	Weight uint32
 }
 
@@ -41,16 +40,16 @@
 	return uint64(max(l.Weight, 1))
 }
 
-// Arrival is a request that asks to run.
+// Arrival is a request for admission.
 type Arrival struct {
 	Tenant string
 	Limits Limits
-	// Deadline is the time at which the answer is of no more use; zero if
-	// there is none.
+	// Deadline is the time from which on the response is of no use; zero if there is
+	// none.
 	Deadline time.Duration
 }
 
-// Outcome tells what became of an arrival.
+// Outcome is the decision about an arrival.
 type Outcome int
 
 // The outcomes of an arrival.
@@ -61,7 +60,7 @@
 	Queued
 	// RefusedRate means that the tenant's rate is used up.
 	RefusedRate
-	// RefusedQueueFull means that no place to run or wait is free.
+	// RefusedQueueFull means that neither a slot nor a place in the queue is free.
 	RefusedQueueFull
 	// RefusedDeadline means that the deadline would pass in the queue.
 	RefusedDeadline
@@ -70,12 +69,12 @@
 // Ticket names one arrival.
 type Ticket uint64
 
-// Decision is the answer to an arrival.
+// Decision is the response to an arrival.
 type Decision struct {
 	Outcome Outcome
 	Ticket  Ticket
 	// Until is the time at which a queued request stops waiting.
 	Until time.Duration
-	// RetryAfter is when a refused request may come back.
+	// RetryAfter is when a refused request may be retried.
 	RetryAfter time.Duration
 }
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minRetryAfter is the shortest time that a refused request is told to wait
-// for a place.
+// minRetryAfter is the least time after which a refused request may be retried when no
+// slot was free.
 const minRetryAfter = time.Second
 
 // runningRequest is a request that runs.
@@ -15,18 +15,17 @@
 	startedAt time.Duration
 }
 
-// Controller holds the gates of all tenants and the places of the node.
+// Controller holds the state of all tenants and the slots of the node.
 type Controller struct {
 	options Options
 	tenants map[string]*tenantState
 	running map[Ticket]runningRequest
-	// waiting holds the gates that have a queue, in no order.
+	// waiting holds the tenants with queued requests, in no order.
 	waiting []*tenantState
-	// activeWeight is the sum of the weights of the gates in use.
+	// activeWeight is the sum of the weights of the tenants with requests here.
 	activeWeight uint64
 	last         Ticket
-	// grants counts what was admitted; it orders tenants that hold equally
-	// much.
+	// grants counts the admitted requests; it orders tenants with equal usage.
 	grants uint64
 }
 
@@ -35,7 +34,7 @@
 	return &Controller{options: options, tenants: make(map[string]*tenantState), running: make(map[Ticket]runningRequest)}
 }
 
-// Arrive decides over a request that comes at the time now.
+// Arrive decides about a request that arrives at the time now.
 func (c *Controller) Arrive(now time.Duration, arrival Arrival) Decision {
 	state := c.tenant(now, arrival)
 	state.expireFirst(now)
@@ -47,9 +46,9 @@
 	return c.enqueue(now, state, arrival.Deadline)
 }
 
-// Release gives back the place of an admitted request, and returns the tickets
-// of waiting requests that are admitted by it, in the order of admission. A
-// ticket that holds no place releases nothing.
+// Release frees the slot of an admitted request, and returns the tickets of queued
+// requests that are admitted by it, in the order of admission. A ticket without a slot
+// releases nothing.
 func (c *Controller) Release(now time.Duration, ticket Ticket) []Ticket {
 	ended, found := c.running[ticket]
 	if !found {
@@ -62,8 +61,8 @@
 	return c.grantAll(now)
 }
 
-// Abandon takes a waiting request out of the queue. It returns false if the
-// request no longer waits; if it was granted meanwhile, it is to be released.
+// Abandon removes a request from the queue. It returns false if the request is not
+// queued; if it was admitted meanwhile, the caller must release it.
 func (c *Controller) Abandon(name string, ticket Ticket) bool {
 	state, found := c.tenants[name]
 	if !found || !state.remove(ticket) {
@@ -73,7 +72,7 @@
 	return true
 }
 
-// Retain forgets the tenants that keep refuses and that have no request here.
+// Retain forgets the tenants that keep rejects and that have no request here.
 func (c *Controller) Retain(keep func(name string) bool) {
 	for name, state := range c.tenants {
 		if !state.inUse() && !keep(name) {
@@ -82,7 +81,7 @@
 	}
 }
 
-// Tenants returns the sorted names of the tenants that have a gate.
+// Tenants returns the sorted names of the tenants that have a state.
 func (c *Controller) Tenants() []string {
 	names := make([]string, 0, len(c.tenants))
 	for tenant := range c.tenants {
@@ -97,7 +96,7 @@
 	return len(c.running)
 }
 
-// state returns the tenant's gate under its present limits.
+// tenant returns the tenant's state under its present limits.
 func (c *Controller) tenant(now time.Duration, arrival Arrival) *tenantState {
 	existing, found := c.tenants[arrival.Tenant]
 	if !found {
@@ -118,7 +117,7 @@
 	return Decision{Outcome: Admitted, Ticket: c.last}
 }
 
-// run gives a place to a request.
+// run assigns a slot to a request.
 func (c *Controller) run(now time.Duration, state *tenantState, ticket Ticket) {
 	c.grants++
 	state.lastGrant = c.grants
@@ -127,8 +126,8 @@
 	c.updateTotals(state)
 }
 
-// enqueue lets a request wait. A request that finds no place, or that would
-// wait in vain, takes no token.
+// enqueue queues a request. A request that finds the queue full, or whose deadline would
+// pass in it, takes no token.
 func (c *Controller) enqueue(now time.Duration, state *tenantState, deadline time.Duration) Decision {
 	length, timeout := c.queueLimits(state)
 	if uint32(len(state.queue)) >= length {
@@ -155,8 +154,8 @@
 	return Decision{Outcome: Queued, Ticket: c.last, Until: until}
 }
 
-// queueLimits returns the number of places in a tenant's queue and the longest
-// wait. The node's own hold for a tenant that waits for nothing but the node.
+// queueLimits returns the maximum length of a tenant's queue and the longest wait. The
+// node's own values apply to a tenant that waits for nothing but the node.
 func (c *Controller) queueLimits(state *tenantState) (length uint32, timeout time.Duration) {
 	if !state.hasCapacity() {
 		return state.limits.Queued, state.limits.QueueTimeout
--- a/pkg/admission/fair_share.go
+++ b/pkg/admission/fair_share.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// updateTotals brings the sums over all gates up to date after a change of one.
+// updateTotals updates the totals over all tenants after a change of one.
 func (c *Controller) updateTotals(state *tenantState) {
 	weight := uint64(0)
 	if state.inUse() {
@@ -26,8 +26,8 @@
 	c.waiting = slices.Delete(c.waiting, i, i+1)
 }
 
-// nodeHasCapacity tells whether the node has a place for one more request of a tenant.
-// A tenant that holds its share or more takes none of the reserved places.
+// nodeHasCapacity reports whether the node has a slot for one more request of a tenant. A
+// tenant that is at its fair share gets none of the reserved slots.
 func (c *Controller) nodeHasCapacity(state *tenantState) bool {
 	if c.options.Concurrent == 0 {
 		return true
@@ -39,15 +39,15 @@
 	return free > 0
 }
 
-// atFairShare tells whether a tenant runs as much as it may count on if one more
-// tenant comes.
+// atFairShare reports whether a tenant runs at least the requests that it could run if
+// one more tenant came.
 func (c *Controller) atFairShare(state *tenantState) bool {
 	weight := state.limits.weight()
 	others := c.activeWeight - state.countedWeight
 	return uint64(state.running)*(others+weight+1) >= uint64(c.options.Concurrent)*weight
 }
 
-// grantAll gives the free places to waiting requests.
+// grantAll assigns the free slots to queued requests.
 func (c *Controller) grantAll(now time.Duration) []Ticket {
 	var granted []Ticket
 	for {
@@ -62,9 +62,9 @@
 	}
 }
 
-// next returns the gate whose first waiting request runs next, or nil if none
-// may: of those that may, the one that holds the fewest places in proportion
-// to its weight, and among equals the one that has waited longest for a grant.
+// next returns the tenant whose first queued request runs next, or nil if none may: of
+// those that may, the one with the lowest usage in proportion to its weight, and among
+// equals the one whose last grant is the oldest.
 func (c *Controller) next(now time.Duration) *tenantState {
 	var best *tenantState
 	for _, candidate := range slices.Clone(c.waiting) {
@@ -80,8 +80,8 @@
 	return best
 }
 
-// precedes orders gates by what they hold. No two gates are equal, so that
-// the order in which they are looked at does not matter.
+// precedes orders tenants by their usage. No two tenants are equal, so that the order of
+// iteration does not matter.
 func precedes(a, b *tenantState) bool {
 	usageA := uint64(a.running) * b.limits.weight()
 	usageB := uint64(b.running) * a.limits.weight()
@@ -94,16 +94,16 @@
 	return a.name < b.name
 }
 
-// expectedWait estimates how long a request that comes now waits: those before
-// it, by the time that the tenant's requests have held their places lately and
-// by the places that it can count on.
+// expectedWait estimates how long a request that arrives now waits: from the requests
+// queued before it, the recent service times of the tenant and the slots that it can
+// expect.
 func (c *Controller) expectedWait(state *tenantState) time.Duration {
 	position := float64(len(state.queue) + 1)
 	return time.Duration(position * float64(state.serviceTime.mean) / c.expectedSlots(state))
 }
 
-// expectedSlots returns how many places a tenant can count on: those that it holds,
-// or its share of the node if that is more, but at least one.
+// expectedSlots returns how many slots a tenant can expect: those that it uses, or its
+// fair share of the node if that is more, but at least one.
 func (c *Controller) expectedSlots(state *tenantState) float64 {
 	slots := float64(max(state.running, 1))
 	if c.options.Concurrent > 0 {
--- a/pkg/admission/service_time.go
+++ b/pkg/admission/service_time.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// meanWindow is how many holdings the mean looks back, roughly.
+	// meanWindow is roughly how many requests the mean covers.
 	meanWindow = 16
 	// shortestWindow is how many it takes until a short one is forgotten,
 	// roughly.
 	shortestWindow = 64
 )
 
-// serviceTime knows how long a tenant's requests have held their places lately.
+// serviceTime estimates how long a tenant's requests occupy their slots.
 type serviceTime struct {
 	mean time.Duration
 	// shortest is what hardly any request has gone below.
@@ -18,7 +18,7 @@
 	observed bool
 }
 
-// observe takes in one holding.
+// observe adds the service time of one request.
 func (h *serviceTime) observe(duration time.Duration) {
 	if !h.observed {
 		h.mean, h.shortest, h.observed = duration, duration, true
--- a/pkg/admission/tenant_state.go
+++ b/pkg/admission/tenant_state.go
@@ -20,9 +20,9 @@
 	running     uint32
 	queue       []waiter
 	serviceTime serviceTime
-	// lastGrant orders gates by when they were last given a place.
+	// lastGrant orders tenants by their last grant.
 	lastGrant uint64
-	// countedWeight and listed are what the controller's sums hold of it.
+	// countedWeight and inWaiting are what the controller's totals contain of the tenant.
 	countedWeight uint64
 	inWaiting     bool
 }
@@ -44,7 +44,7 @@
 	g.tokens = min(g.tokens+elapsed.Seconds()*g.limits.RequestsPerSecond, burst(g.limits))
 }
 
-// takeToken takes a token, or returns the refusal that says when there is one.
+// takeToken takes a token, or returns the refusal that says when there will be one.
 func (g *tenantState) takeToken() (Decision, bool) {
 	rate := g.limits.RequestsPerSecond
 	if rate <= 0 {
@@ -58,18 +58,18 @@
 	return Decision{}, false
 }
 
-// mayRun tells whether a new request may run as far as its tenant goes: nobody
-// waits before it.
+// mayRun reports whether a new request may run as far as its tenant is concerned: none is
+// queued before it.
 func (g *tenantState) mayRun() bool {
 	return len(g.queue) == 0 && g.hasCapacity()
 }
 
-// hasCapacity tells whether one more request of the tenant may run.
+// hasCapacity reports whether one more request of the tenant may run.
 func (g *tenantState) hasCapacity() bool {
 	return g.limits.Concurrent == 0 || g.running < g.limits.Concurrent
 }
 
-// inUse tells whether the tenant has requests that run or wait.
+// inUse reports whether the tenant has running or queued requests.
 func (g *tenantState) inUse() bool {
 	return g.running > 0 || len(g.queue) > 0
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// remove takes a request out of the queue.
+// remove removes a request from the queue.
 func (g *tenantState) remove(ticket Ticket) bool {
 	i := slices.IndexFunc(g.queue, func(queued waiter) bool { return queued.ticket == ticket })
 	if i < 0 {
--- a/pkg/outlier/detector.go
+++ b/pkg/outlier/detector.go
@@ -12,7 +12,7 @@
 const (
 	// Healthy means that nothing speaks against it.
 	Healthy Verdict = iota
-	// Ejected means that the replica fails a share of its requests: it is better
+	// Ejected means that the replica fails a large fraction of its requests: it is better
 	// than none.
 	Ejected
 	// Suspected means that the replica could not be reached lately.
@@ -22,13 +22,13 @@
 // Member is a replica of a pool.
 type Member struct {
 	Address string
-	// Instance names the incarnation; another one begins without a past.
+	// Instance names the incarnation; another one starts without statistics.
 	Instance string
 }
 
-// PoolStats tells of the replicas of a pool.
+// PoolStats are the statistics of the replicas of a pool.
 type PoolStats struct {
-	// Ejected and Suspected count the replicas that are out now.
+	// Ejected and Suspected count the replicas that are avoided now.
 	Ejected, Suspected int
 	// Ejections counts how often one was ejected.
 	Ejections uint64
@@ -46,7 +46,7 @@
 	pools    map[string]*pool
 }
 
-// pool is the replicas that are compared with each other.
+// pool is a set of replicas that are compared with each other.
 type pool struct {
 	members   []*replica
 	ejections uint64
@@ -58,14 +58,13 @@
 	member Member
 	// pools are those that the replica belongs to, mostly one.
 	pools []*pool
-	// local counts what this node has seen, near what its zone has, and all what
-	// every zone has. lately is near since the replica began to be watched.
+	// local counts what this node has observed, zone what its zone has, and fleet what
+	// all zones have. recentZone is zone since the replica began to be watched.
 	local, zone, fleet, recentZone tally
-	// unreported counts this node's outcomes that the others do not know.
+	// unreported counts this node's outcomes that were not reported to other nodes.
 	unreported tally
 	reportedAt time.Duration
-	// watchedUntil is how long after a failure the others are told of good outcomes
-	// too.
+	// watchedUntil is until when, after a failure, successes are reported too.
 	watchedUntil time.Duration
 	// failedAt is when this node itself saw a failure last.
 	failedAt  time.Duration
@@ -80,8 +79,8 @@
 	return &Detector{options: options.withDefaults(), replicas: map[string]*replica{}, pools: map[string]*pool{}}
 }
 
-// SetPools makes the replicas of all pools known. What is known of those that
-// stay in the same incarnation is kept.
+// SetPools replaces the replicas of all pools. The statistics of those that stay in the
+// same incarnation are kept.
 func (d *Detector) SetPools(pools map[string][]Member) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -99,7 +98,7 @@
 	}
 }
 
-// join enters a replica into a pool. The lock is held.
+// join adds a replica to a pool. The lock is held.
 func (d *Detector) join(group *pool, member Member, previous map[string]*replica) {
 	joined := d.replicas[member.Address]
 	if joined == nil {
@@ -114,7 +113,7 @@
 	group.members = append(group.members, joined)
 }
 
-// Observe takes in how an attempt of this node on a replica went.
+// Observe records the outcome of an attempt of this node on a replica.
 func (d *Detector) Observe(now time.Duration, address string, outcome Outcome) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -143,8 +142,8 @@
 	d.count(now, target, true, failure, 1)
 }
 
-// count enters outcomes of a replica, seen in this zone if they are near, and
-// judges the replica.
+// count adds outcomes of a replica, and decides about its ejection. They come from this
+// zone if sameZone is set.
 func (d *Detector) count(now time.Duration, target *replica, sameZone bool, failures, total float64) {
 	if failures > 0 {
 		target.watch(now, &d.options)
@@ -168,8 +167,8 @@
 	}
 }
 
-// watch begins to tell the others all outcomes at a replica, or goes on. What was
-// before is not told: it would outweigh the failures.
+// watch starts, or prolongs, the reporting of all outcomes at a replica. Earlier outcomes
+// are not reported: they would outweigh the failures.
 func (r *replica) watch(now time.Duration, options *Options) {
 	if now >= r.watchedUntil {
 		r.unreported, r.recentZone = tally{updatedAt: now}, tally{updatedAt: now}
@@ -178,7 +177,7 @@
 	r.watchedUntil = now + 2*options.HalfLife
 }
 
-// readmit gives a replica a clean past, and lets the others know of it.
+// readmit readmits a replica with clean statistics, which are reported to other nodes.
 func (d *Detector) readmit(now time.Duration, target *replica) {
 	clean := tally{updatedAt: now}
 	target.local, target.zone, target.fleet = clean, clean, clean
@@ -187,16 +186,16 @@
 	d.options.Changed(target.member.Address, false)
 }
 
-// healthyWeight is the weight of outcomes in the own zone since a replica began to fail
-// somewhere, and healthyFailureRatio the share of failures among them, by which it counts as
-// well for this zone whatever others say.
+// healthyWeight is the weight of outcomes in this zone since a replica began to fail
+// somewhere, and healthyFailureRatio the ratio of failures among them below which it
+// counts as healthy for this zone, whatever other zones report.
 const (
 	healthyWeight       = 1.8
 	healthyFailureRatio = 0.1
 )
 
-// isOutlier tells whether a replica fails far more than others, by what the own zone
-// has seen or by what all have.
+// isOutlier reports whether a replica fails far more than others, by the observations of
+// this zone or by those of all zones.
 func (d *Detector) isOutlier(now time.Duration, target *replica) bool {
 	if !target.confirmed(now, &d.options) {
 		return false
@@ -211,8 +210,8 @@
 	return !healthy && d.standsOut(now, target, target.fleet)
 }
 
-// standsOut tells whether a replica stands out among its pools by the failures that
-// were seen.
+// standsOut reports whether a replica stands out among its pools by the observed
+// failures.
 func (d *Detector) standsOut(now time.Duration, target *replica, observed tally) bool {
 	if observed.failures < d.options.MinFailures || observed.failureRatio() < d.options.FailureThreshold {
 		return false
@@ -225,9 +224,9 @@
 	return true
 }
 
-// baselineFailureRatio is the share of failures of the replicas beside one that are in the
-// choice. It counts what this node has seen itself: others tell of replicas that
-// fail alone.
+// baselineFailureRatio is the failure ratio of the other replicas of the pool that are
+// not ejected. It counts what this node has observed itself: other nodes report only
+// replicas that fail.
 func (p *pool) baselineFailureRatio(now time.Duration, except *replica, halfLife time.Duration) float64 {
 	sum := tally{}
 	for _, member := range p.members {
@@ -239,7 +238,7 @@
 	return sum.failureRatio()
 }
 
-// canEject tells whether the pools of a replica can spare it.
+// canEject reports whether the pools of a replica would keep enough replicas without it.
 func (d *Detector) canEject(target *replica) bool {
 	for _, group := range target.pools {
 		if float64(group.ejected()+1) > d.options.MaxEjectedFraction*float64(len(group.members)) {
@@ -249,7 +248,7 @@
 	return true
 }
 
-// ejected counts the replicas that are out.
+// ejected counts the ejected replicas.
 func (p *pool) ejected() (count int) {
 	for _, member := range p.members {
 		if member.ejection.ejected {
@@ -259,9 +258,9 @@
 	return count
 }
 
-// Verdict tells whether a request should go to a replica. With probe, an ejected
-// one is fit for a single request when its probe is due; ProbeSent must be called
-// when that is sent.
+// Verdict returns whether a request should go to a replica. With probe, an ejected one is
+// healthy for a single request when its probe is due; ProbeSent must be called when that
+// is sent.
 func (d *Detector) Verdict(now time.Duration, address string, probe bool) Verdict {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -277,9 +276,9 @@
 	return Healthy
 }
 
-// ProbeSent says that a request has been sent to a replica. It matters only when
-// the replica is ejected: no other request goes there until this one has ended,
-// or for as long as the ejection.
+// ProbeSent records that a request was sent to a replica. It matters only when the
+// replica is ejected: no other request is a probe until this one has ended, or for as
+// long as the ejection.
 func (d *Detector) ProbeSent(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -289,8 +288,8 @@
 	}
 }
 
-// RecordMissedDeadline says that a deadline has passed at a replica without any answer. Some
-// in a row make it suspect.
+// RecordMissedDeadline records that a deadline has passed at a replica without any
+// response. Several in a row make it suspected.
 func (d *Detector) RecordMissedDeadline(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -302,7 +301,7 @@
 	}
 }
 
-// RecordResponse says that a replica has answered something, well or not.
+// RecordResponse records that a replica has sent a response of any kind.
 func (d *Detector) RecordResponse(address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -311,7 +310,7 @@
 	}
 }
 
-// Suspect makes a replica suspect without counting a failure.
+// Suspect makes a replica suspected without counting a failure.
 func (d *Detector) Suspect(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -320,8 +319,8 @@
 	}
 }
 
-// RecordAlive says that a replica has spoken by itself: it is not suspected, and if it
-// is ejected, its probe is due.
+// RecordAlive records that a replica has sent something by itself: it is not suspected,
+// and if it is ejected, its probe is due.
 func (d *Detector) RecordAlive(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -331,7 +330,7 @@
 	}
 }
 
-// Stats tells of the replicas of a pool.
+// Stats returns the statistics of the replicas of a pool.
 func (d *Detector) Stats(now time.Duration, name string) PoolStats {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/pkg/outlier/doc.go
+++ b/pkg/outlier/doc.go
@@ -1,15 +1,16 @@
-// Package outlier notices replicas that fail more than others while they claim
-// to be well, takes them out of the choice for a while, and lets single requests
-// probe whether they have recovered.
+// Package outlier detects replicas that fail more requests than others although they are
+// listed as healthy, ejects them for a while, and lets single requests probe whether they
+// have recovered.
 //
-// It tells two degrees of trouble apart. A replica that could not be reached, or
-// broke a connection, is suspected at once and for a short time, whatever its
-// past. One that fails a share of its requests, far more than the replicas
-// beside it, is ejected until some requests in a row went well.
+// It distinguishes two degrees. A replica that could not be reached, or broke a
+// connection, is suspected at once and for a short time, whatever its history. One that
+// fails a fraction of its requests that is far larger than that of the other replicas of
+// its pool is ejected, until several probes in a row have succeeded.
 //
-// A node that sends a replica little of its traffic sees little of what it does.
-// So nodes tell each other the outcomes at replicas that fail, and each judges
-// by the outcomes of its own zone, or by all of them if those are too few.
+// A node that sends a replica little of its traffic observes few outcomes. So nodes
+// report the outcomes at replicas that fail to each other, and each node decides by the
+// outcomes of its zone, or by those of all zones if these are too few.
 //
-// The package is pure: time is passed in, and there is no goroutine.
+// A Detector owns the statistics of one node. It does no I/O, reads no clock and starts
+// no goroutine, and may be used concurrently.
 package outlier
--- a/pkg/outlier/ejection.go
+++ b/pkg/outlier/ejection.go
@@ -6,26 +6,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// backoffResetFactor is how many times the last ejection a replica must have been back
-// before its next ejection counts as its first again.
+// backoffResetFactor is the multiple of the last ejection's length after which the next
+// ejection counts as the first again.
 const backoffResetFactor = 8
 
-// ejection is whether and how a replica is out of the choice.
+// ejection is the state of a replica's ejection.
 type ejection struct {
 	ejected bool
 	// until is when a probe is due.
 	until  time.Duration
 	length time.Duration
-	// successes counts the probes in a row that went well.
+	// successes counts the probes in a row that have succeeded.
 	successes int
-	// probing tells that a probe is under way, and until when it is waited for.
+	// probing reports whether a probe is in flight, which is waited for until probeUntil.
 	probing    bool
 	probeUntil time.Duration
-	// readmittedAt is when the replica came back, if it was ever ejected.
+	// readmittedAt is when the replica was readmitted, if it was ever ejected.
 	readmittedAt time.Duration
 }
 
-// start takes the replica out. One that comes and goes stays out longer each
+// start ejects the replica. One that fails again and again stays ejected longer each
 // time.
 func (e *ejection) start(now time.Duration, address string, options *Options) {
 	length := options.Ejection
@@ -36,22 +36,22 @@
 	e.scheduleProbe(now, length, address, options)
 }
 
-// scheduleProbe puts the next probe off. Nodes put it off differently, so that the first
-// one's probe tells the others.
+// scheduleProbe sets the time of the next probe. It differs from node to node, so that
+// the first node's probe informs the others.
 func (e *ejection) scheduleProbe(now, length time.Duration, address string, options *Options) {
 	const spread = 2
 	e.length = length
 	e.until = now + length + time.Duration(jitter(options.Node, address)*float64(length)/spread)
 }
 
-// jitter is a number from 0 to 1 that each node draws for each replica.
+// jitter is a number from 0 to 1, the same for a node and a replica at any time.
 func jitter(node, address string) float64 {
 	const steps = 1 << 20
 	return float64(xxhash.Sum64String(node+"\x00"+address)%steps) / steps
 }
 
-// recordProbe takes in how a request to the ejected replica went, and returns whether
-// the replica is back.
+// recordProbe records the outcome of a request to the ejected replica, and returns
+// whether the replica is readmitted.
 func (e *ejection) recordProbe(now time.Duration, address string, failed bool, options *Options) (readmitted bool) {
 	if now < e.until {
 		return false // it was sent before the ejection
@@ -70,7 +70,7 @@
 	return true
 }
 
-// admitsProbe tells whether a request may go there to probe.
+// admitsProbe reports whether a request may be a probe now.
 func (e *ejection) admitsProbe(now time.Duration) bool {
 	return now >= e.until && (!e.probing || now >= e.probeUntil)
 }
--- a/pkg/outlier/options.go
+++ b/pkg/outlier/options.go
@@ -18,30 +18,30 @@
 
 // Options configure a Detector. Zero values mean the defaults.
 type Options struct {
-	// Node sets this node's probes apart from those of the others.
+	// Node is the name of this node; it spreads the probes of the nodes.
 	Node string
-	// HalfLife is how long it takes an outcome to lose half of its weight.
+	// HalfLife is the time after which an outcome has lost half of its weight.
 	HalfLife time.Duration
-	// MinFailures is the weight of failures that it takes to eject a replica. It
-	// is a little less than a whole number, since failures lose weight.
+	// MinFailures is the weight of failures that is required to eject a replica. It is a
+	// little less than a whole number, since failures lose weight.
 	MinFailures float64
-	// FailureThreshold is the share of failures from which on a replica is ejected.
+	// FailureThreshold is the ratio of failures that is required to eject a replica.
 	FailureThreshold float64
-	// Contrast is how many times the share of failures of the other replicas of
-	// its pool that must be.
+	// Contrast is the multiple of the failure ratio of the other replicas of the pool
+	// that is required to eject a replica.
 	Contrast float64
 	// Ejection is how long the first ejection lasts until a probe; each further
 	// one in a row is twice as long, up to MaxEjection.
 	Ejection, MaxEjection time.Duration
-	// MaxEjectedFraction is the largest share of a pool that is ejected.
+	// MaxEjectedFraction is the largest fraction of a pool that may be ejected.
 	MaxEjectedFraction float64
-	// Probes is how many requests in a row must go well before a replica is back.
+	// Probes is how many probes in a row must succeed before a replica is readmitted.
 	Probes int
 	// Suspicion is how long a replica is avoided after a broken connection; each
 	// further time in a row is twice as long, up to MaxSuspicion.
 	Suspicion, MaxSuspicion time.Duration
-	// Changed, if set, is told when a replica is ejected or readmitted. It must
-	// not call the Detector.
+	// Changed, if set, is called when a replica is ejected or readmitted. It must not
+	// call the Detector.
 	Changed func(address string, ejected bool)
 }
 
--- a/pkg/outlier/outcome.go
+++ b/pkg/outlier/outcome.go
@@ -1,25 +1,25 @@
 package outlier
 
-// Outcome is how an attempt on a replica ended, or went so far.
+// Outcome is how an attempt on a replica ended, or how it has progressed.
 type Outcome int
 
 // The outcomes of attempts.
 const (
-	// Succeeded means an answer in time.
+	// Succeeded means a response in time.
 	Succeeded Outcome = iota
-	// Slow means an answer that began later than is aimed at.
+	// Slow means a response that started later than the latency target.
 	Slow
 	// Refused means that the replica did not run the request although it is not
 	// known to be full.
 	Refused
-	// Errored means an answer that tells of a fault of the replica.
+	// Errored means a response that reports a fault of the replica.
 	Errored
-	// Overdue means that nothing has come for a multiple of the time aimed at. A
-	// deadline that passes is no such outcome: it may have been too short.
+	// Overdue means no output for a multiple of the latency target. A missed deadline is
+	// not Overdue: it may have been too short.
 	Overdue
-	// Reset means that the connection broke, or carried what is no answer.
+	// Reset means that the connection broke, or carried something that is no response.
 	Reset
-	// Unreached means that no connection came about.
+	// Unreached means that no connection could be opened.
 	Unreached
 	// outcomeCount is how many there are.
 	outcomeCount
@@ -46,7 +46,7 @@
 	}
 }
 
-// breaksConnection tells whether an outcome makes a replica suspect at once.
+// breaksConnection reports whether an outcome makes a replica suspected at once.
 func (o Outcome) breaksConnection() bool {
 	return o == Reset || o == Unreached
 }
--- a/pkg/outlier/reports.go
+++ b/pkg/outlier/reports.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// reportInterval is how often the others are told of good outcomes at a replica
-	// that has failed lately. Failures are told at once.
+	// reportInterval is the time between two reports of successes at a replica that has
+	// failed lately. Failures are reported at once.
 	reportInterval = 500 * time.Millisecond
-	// minReportWeight is the weight of good outcomes from which on they are told.
+	// minReportWeight is the weight of successes below which none are reported.
 	minReportWeight = 0.1
-	// maxReportWeight bounds what one report counts.
+	// maxReportWeight bounds the weight of one report.
 	maxReportWeight = 256
-	// requiredReporters is how many other nodes must have told of failures of a replica
-	// where this one has seen none: one node alone may be cut off.
+	// requiredReporters is how many other nodes must have reported failures of a replica
+	// at which this node has observed none: a single node may be partitioned.
 	requiredReporters = 2
 )
 
-// Report tells other nodes of outcomes at a replica that they do not know.
+// Report carries outcomes at a replica to other nodes.
 type Report struct {
 	Address string
 	// Failures is the weight of the failures, and Total that of all outcomes.
 	Failures, Total float64
 }
 
-// reporterLog remembers which nodes told of failures last.
+// reporterLog remembers which nodes reported failures last.
 type reporterLog [requiredReporters]reporter
 
 type reporter struct {
@@ -30,7 +30,7 @@
 	reportedAt time.Duration
 }
 
-// record enters that a node told of a failure.
+// record records that a node has reported a failure.
 func (t *reporterLog) record(now time.Duration, node string) {
 	oldest := 0
 	for i := range t {
@@ -45,7 +45,7 @@
 	t[oldest] = reporter{node: node, reportedAt: now}
 }
 
-// confirmed tells whether the failures of a replica were seen by this node, or by
+// confirmed reports whether the failures of a replica were observed by this node, or by
 // enough others.
 func (r *replica) confirmed(now time.Duration, options *Options) bool {
 	recent := now - 2*options.HalfLife
@@ -60,7 +60,7 @@
 	return true
 }
 
-// TakeReports returns what the other nodes are to be told now.
+// TakeReports returns the reports that are due, and marks them as sent.
 func (d *Detector) TakeReports(now time.Duration) []Report {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -78,8 +78,8 @@
 	return reports
 }
 
-// shouldReport tells whether others have a use for this node's outcomes: after a
-// failure at once, and for some time more so that they know the good ones too.
+// shouldReport reports whether this node's outcomes are due: after a failure at once, and
+// for some time after that, so that other nodes learn of the successes too.
 func (r *replica) shouldReport(now time.Duration) bool {
 	if r.unreported.failures > 0 {
 		return true
@@ -90,8 +90,8 @@
 	return r.unreported.total > minReportWeight && now < r.watchedUntil && now-r.reportedAt >= reportInterval
 }
 
-// ApplyReport takes in what another node reports, which stands in the same zone if it is
-// near.
+// ApplyReport counts the report of another node, which is in the same zone if sameZone is
+// set.
 func (d *Detector) ApplyReport(now time.Duration, node string, sameZone bool, report Report) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/pkg/outlier/suspicion.go
+++ b/pkg/outlier/suspicion.go
@@ -10,13 +10,12 @@
 type suspicion struct {
 	until  time.Duration
 	length time.Duration
-	// missedDeadlines counts the deadlines that have passed since the replica was heard
-	// of.
+	// missedDeadlines counts the deadlines that have passed since the last response of
+	// the replica.
 	missedDeadlines int
 }
 
-// start begins a suspicion unless there is one. It lasts longer with each time in
-// a row.
+// start starts a suspicion unless there is one. It lasts longer each time in a row.
 func (s *suspicion) start(now time.Duration, options *Options) {
 	if now < s.until {
 		return
@@ -32,5 +31,5 @@
 // clear ends the suspicion.
 func (s *suspicion) clear() { *s = suspicion{} }
 
-// active tells whether the replica is suspected.
+// active reports whether the replica is suspected.
 func (s *suspicion) active(now time.Duration) bool { return now < s.until }
--- a/pkg/outlier/tally.go
+++ b/pkg/outlier/tally.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// maxTallyWeight is the weight of the newest outcomes that a tally counts. A busy replica
-// that begins to fail is found out as soon as one with little traffic.
+// maxTallyWeight is the largest weight of a tally: newer outcomes displace older ones. So
+// a busy replica that starts to fail is detected as soon as one with little traffic.
 const maxTallyWeight = 6
 
-// tally counts outcomes, of which old ones lose weight, by their age and by those
-// that came after them.
+// tally counts outcomes. They lose weight by their age, and by the outcomes after them.
 type tally struct {
 	failures, total float64
 	updatedAt       time.Duration
@@ -27,7 +26,7 @@
 	}
 }
 
-// decay takes weight off old outcomes.
+// decay reduces the weight of old outcomes.
 func (t *tally) decay(now, halfLife time.Duration) {
 	if elapsed := now - t.updatedAt; elapsed > 0 {
 		factor := math.Exp2(-float64(elapsed) / float64(halfLife))
@@ -42,7 +41,7 @@
 	return tally{failures: t.failures + other.failures, total: t.total + other.total, updatedAt: t.updatedAt}
 }
 
-// failureRatio is the share of failures.
+// failureRatio is the ratio of failures.
 func (t tally) failureRatio() float64 {
 	if t.total <= 0 {
 		return 0
--- a/pkg/retrybudget/budget.go
+++ b/pkg/retrybudget/budget.go
@@ -1,20 +1,21 @@
-// Package retrybudget bounds retries to a share of first attempts, on one node
-// and over a whole fleet.
+// Package retrybudget bounds retries to a ratio of first attempts, on one node and over a
+// whole fleet.
 //
-// A budget counts both in one sliding window. A retry is counted at its own
-// time, never before the first attempts that permit it, so it leaves the window
-// no sooner than they do. One first attempt therefore never pays for more than
-// its share, however long the budget runs. The first attempts that permit a retry
-// may leave the window before it: a fleet is therefore judged by the first
-// attempts of a window, of the one before it, or of the one half a window
-// before it, whichever holds the most.
+// A budget counts both in one sliding window. A retry is counted at its own time, never
+// before the first attempts that permit it, so it leaves the window no sooner than they
+// do. One first attempt therefore never permits more than its ratio, however long the
+// budget runs. The first attempts that permit a retry may leave the window before it: a
+// fleet is therefore judged by the first attempts of a window, of the one before it, or
+// of the one half a window before it, whichever has the most.
 //
-// Without Slack there is no constant minimum: a pool that has had four first
-// attempts in the window may not retry at a ratio of 0.2. With Slack, the nodes
-// of a fleet divide that number of retries in a window among them: each may use
-// the share that it is told. When the shares of all nodes add up to no more than
-// 1 in any window, the retries of the fleet in it stay below
-// Ratio x first attempts + Slack.
+// Without Slack there is no constant minimum: a pool that has had four first attempts in
+// the window may not retry at a ratio of 0.2. With Slack, the nodes of a fleet divide
+// that number of retries in a window among them by SlackFraction. When the fractions of
+// all nodes add up to no more than 1 in any window, the retries of the fleet in it stay
+// below Ratio x first attempts + Slack.
+//
+// A Budget owns the attempts of one destination on one node. It reads no clock, and may
+// be used concurrently.
 package retrybudget
 
 import (
@@ -24,7 +25,7 @@
 
 // Defaults of Options.
 const (
-	// DefaultRatio is the share of first attempts that may be retried.
+	// DefaultRatio is the ratio of retries to first attempts.
 	DefaultRatio = 0.2
 	// DefaultWindow is the length of the sliding window.
 	DefaultWindow = 10 * time.Second
@@ -36,18 +37,18 @@
 
 // Options set the bounds of a budget. Zero values mean the defaults.
 type Options struct {
-	// Ratio is the share of first attempts that may be retried.
+	// Ratio is the permitted ratio of retries to first attempts.
 	Ratio float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 	// Slack is the number of retries in a window that the whole fleet may make
 	// beyond that.
 	Slack float64
-	// SlackFraction returns the part of Slack, from 0 to 1, that this node may use now;
-	// nil means all of it. FleetSlackFraction is one.
+	// SlackFraction returns the fraction of Slack, from 0 to 1, that this node may use
+	// now; nil means all of it. FleetSlackFraction is one.
 	SlackFraction func(now time.Duration) float64
-	// StartedAt is when this node began its life. No slack is used in the first
-	// window of it, since its earlier life may have used some.
+	// StartedAt is the start of this node's incarnation. No slack is used in its first
+	// window, since the earlier incarnation may have used some.
 	StartedAt time.Duration
 }
 
@@ -98,9 +99,9 @@
 	return true
 }
 
-// slack is what this node may use of the fleet's slack. A share that has grown
-// counts only when it has lasted for a window, since the retries of the nodes
-// that had it before may still be in the window.
+// slack is what this node may use of the fleet's slack. A fraction that has grown counts
+// only after a window, since retries of the nodes that had it before may still be in the
+// window.
 func (b *Budget) slack() float64 {
 	if b.options.Slack <= 0 {
 		return 0
