--- a/internal/control/listing/disseminate.go
+++ b/internal/control/listing/disseminate.go
@@ -10,11 +10,11 @@
 // publish puts this node's own reading in force and passes it on.
 func (m *Machine) publish(startedAt time.Duration, replicas []Replica) {
 	version := Version{Term: m.current.version.Term, Reader: m.config.Self, Sequence: m.current.version.Sequence + 1}
-	if !m.reader || m.current.version.Reader != m.config.Self {
+	if !m.reader.active || m.current.version.Reader != m.config.Self {
 		version = Version{Term: m.current.version.Term + 1, Reader: m.config.Self, Sequence: 1}
 	}
 	before := m.current
-	m.reader = true
+	m.reader.succeed()
 	m.current = storedReading{
 		present:      true,
 		version:      version,
@@ -25,7 +25,7 @@
 	}
 	m.current.digest = digestOf(m.current.replicas)
 	m.requests = 0
-	m.prove(startedAt)
+	m.proof.prove(startedAt)
 	clear(m.pendingRequests)
 	m.use(m.current.replicas)
 	m.disseminate(before)
--- a/internal/control/listing/machine.go
+++ b/internal/control/listing/machine.go
@@ -24,13 +24,6 @@
 	// if it knows no other node.
 	firstReadAfter = 300 * time.Millisecond
 	soleNodeDelay  = time.Second
-	// readTimeout is how long a reading may take.
-	readTimeout = 2 * time.Second
-	// minBackoff and maxBackoff bound the pause after a failed reading.
-	minBackoff = time.Second
-	maxBackoff = 4 * time.Second
-	// maxDoublings bounds how often the pause doubles.
-	maxDoublings = 3
 	// mergeWithin is how long after the reading in force one of another reader
 	// may have begun and yet be older, since ages leave out the time on the way.
 	mergeWithin = 2 * time.Second
@@ -54,7 +47,9 @@
 	ReadEvery time.Duration
 }
 
-// Machine is the part of one node. It is not safe for concurrent use.
+// Machine is the part of one node in keeping the list. It owns the newest reading, the
+// list that the node uses, and the requests for readings on their way. It is not safe for
+// concurrent use.
 type Machine struct {
 	config  Config
 	now     time.Duration
@@ -71,20 +66,13 @@
 	merged     bool
 	mergeUntil time.Duration
 
-	// reader means that this node is the reader.
-	reader       bool
-	readInFlight bool
-	readBegan    time.Duration
-	nextRead     time.Duration
-	failures     int
-	// notBefore is until when a failed reading keeps this node from another.
-	notBefore time.Duration
+	reader readerState
+	proof  freshnessProof
 
-	// freshnessProof is what this node asks for after its messages may have been delayed.
-	proof       freshnessProof
+	// requests counts those that this node sent since the last refresh, and nextRequest is
+	// when the next may be sent.
+	requests    int
 	nextRequest time.Duration
-	// requests counts those since the last refresh.
-	requests int
 	// requestedAt is when each node that had a list last asked this one.
 	requestedAt map[member.ID]time.Duration
 	// pendingRequests are requests that this node had nothing newer for.
@@ -95,7 +83,7 @@
 	output     Output
 }
 
-// current is the newest reading that this node has.
+// storedReading is the newest reading that this node has.
 type storedReading struct {
 	present bool
 	version Version
@@ -115,18 +103,6 @@
 	request    Request
 }
 
-// freshnessProof bounds from when the list in force is at the latest.
-type freshnessProof struct {
-	pending bool
-	// number is that of the requests for it, and sentAt when the first was sent.
-	number uint64
-	sent   bool
-	sentAt time.Duration
-	// readAt is when the list was read at the earliest, as of the last proof.
-	readAt  time.Duration
-	present bool
-}
-
 // Output is what a node has to do after an input.
 type Output struct {
 	Sends []Outbound
@@ -168,9 +144,7 @@
 // that arrived are no measure after this node was suspended or cut off, as they may
 // have been delayed.
 func (m *Machine) RequestProof() {
-	m.proof.pending = true
-	m.proof.sent = false
-	m.proof.number++
+	m.proof.request()
 	m.nextRequest = m.now
 }
 
@@ -180,29 +154,23 @@
 	return m.proof.readAt, m.proof.present
 }
 
-// prove records that the list in force was not read before an instant.
-func (m *Machine) prove(readAt time.Duration) {
-	m.proof.pending = false
-	m.proof.readAt = readAt
-	m.proof.present = true
-}
-
 // Reads reports whether this node is the reader.
-func (m *Machine) Reads() bool { return m.reader }
+func (m *Machine) Reads() bool { return m.reader.active }
 
 // Tick advances time.
 func (m *Machine) Tick(now time.Duration) Output {
 	if now-m.now > suspendedAfter {
 		// Others may have taken over. What this node would read now says nothing
 		// about that, so that it waits for them like any other.
-		m.reader = false
+		m.reader.stop()
 	}
 	m.now = now
-	if m.readInFlight && now-m.readBegan >= readTimeout {
-		m.readFailed()
+	if m.reader.timedOut(now) {
+		m.reader.fail(now)
 	}
-	if !m.readInFlight && m.readingDue() {
-		m.beginReading()
+	if m.reader.due(now, m.takeOverAt) {
+		m.reader.begin(now, m.config.ReadEvery)
+		m.output.Read = true
 	}
 	if now >= m.nextRequest && (m.requestDue() || m.proof.pending && len(m.members) > 1) {
 		m.sendRequest()
@@ -218,17 +186,6 @@
 	return output
 }
 
-// readingDue reports whether this node is to read now.
-func (m *Machine) readingDue() bool {
-	if m.now < m.notBefore {
-		return false
-	}
-	if m.reader {
-		return m.now >= m.nextRead
-	}
-	return m.now >= m.takeOverAt()
-}
-
 // takeOverAt is when this node reads unless its list is refreshed.
 func (m *Machine) takeOverAt() time.Duration {
 	delay := time.Duration(takeOverSteps(m.rank())) * takeOverStep
@@ -242,21 +199,6 @@
 	}
 }
 
-func (m *Machine) beginReading() {
-	m.readInFlight = true
-	m.readBegan = m.now
-	m.nextRead = m.now + m.config.ReadEvery
-	m.output.Read = true
-}
-
-// readFailed leaves the reading to others for a while.
-func (m *Machine) readFailed() {
-	m.readInFlight = false
-	m.reader = false
-	m.notBefore = m.now + min(minBackoff<<min(m.failures, maxDoublings), maxBackoff)
-	m.failures++
-}
-
 // ReadDone takes the outcome of a reading that began at startedAt: the list with
 // WarmingUntil on this node's clock, or an error, after which the last list stays in
 // force.
@@ -264,14 +206,11 @@
 	m.now = now
 	switch {
 	case err != nil:
-		m.readFailed()
+		m.reader.fail(now)
 	case m.current.present && m.current.readAt >= startedAt:
 		// Another node read meanwhile.
-		m.readInFlight = false
+		m.reader.discard()
 	default:
-		m.readInFlight = false
-		m.failures = 0
-		m.notBefore = 0
 		m.publish(startedAt, replicas)
 	}
 	return m.takeOutput()
--- a/internal/control/listing/receive.go
+++ b/internal/control/listing/receive.go
@@ -56,7 +56,7 @@
 func (m *Machine) receiveReading(from member.ID, reading Reading) {
 	if m.current.present && !reading.Version.newerThan(m.current.version) {
 		if reading.Version == m.current.version {
-			m.acceptProof(reading)
+			m.proof.receive(reading)
 		}
 		m.notifyOutdatedReader(reading.Version)
 		return
@@ -68,25 +68,13 @@
 		return
 	}
 	m.accept(reading, replicas)
-	m.acceptProof(reading)
-}
-
-// acceptProof records how old the list in force is at the most, if a message answers the
-// present requests for that: its age is counted from when the first was sent.
-func (m *Machine) acceptProof(reading Reading) {
-	if reading.AnswersRequest == 0 || reading.AnswersRequest != m.proof.number || !m.proof.pending {
-		return
-	}
-	m.prove(m.proof.sentAt - reading.Age)
+	m.proof.receive(reading)
 }
 
 // notifyOutdatedReader shows a reader that does not know of a later one what is in
 // force, so that it stops.
 func (m *Machine) notifyOutdatedReader(version Version) {
-	if version.Reader == m.current.version.Reader {
-		return
-	}
-	if !m.isMember(version.Reader) {
+	if version.Reader == m.current.version.Reader || !m.isMember(version.Reader) {
 		return
 	}
 	if last, notified := m.notifiedAt[version.Reader]; notified && m.now-last < requestEvery {
@@ -141,7 +129,7 @@
 		replicas:     replicas,
 		digest:       reading.Digest,
 	}
-	m.reader = false
+	m.reader.stop()
 	m.requests = 0
 	sameReader := before.version.Term == reading.Version.Term && before.version.Reader == reading.Version.Reader
 	if before.present && !sameReader && m.current.readAt-before.readAt < mergeWithin {
@@ -173,7 +161,7 @@
 
 // requestDue reports whether this node's list is to be asked for.
 func (m *Machine) requestDue() bool {
-	if m.reader || m.readInFlight || len(m.members) <= 1 {
+	if m.reader.active || m.reader.inFlight || len(m.members) <= 1 {
 		return false
 	}
 	return !m.current.present || m.now-m.current.receivedAt >= m.config.ReadEvery+requestAfter
@@ -193,13 +181,10 @@
 
 func (m *Machine) request(to member.ID) {
 	m.nextRequest = m.now + requestEvery
-	request := Request{Version: m.current.version, Digest: m.current.digest}
-	if m.proof.pending {
-		if !m.proof.sent {
-			m.proof.sent = true
-			m.proof.sentAt = m.now
-		}
-		request.Number = m.proof.number
+	request := Request{
+		Version: m.current.version,
+		Digest:  m.current.digest,
+		Number:  m.proof.requestNumber(m.now),
 	}
 	m.send(to, Message{Request: &request})
 }
