--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -17,9 +17,9 @@
 	// DefaultHeartbeatEvery is how often leaders and members are heard from.
 	DefaultHeartbeatEvery = 100 * time.Millisecond
 	// DefaultElectionTimeout is how long an unresponsive leader keeps its leadership. A
-	// heartbeat and its answer may each wait for a write, so that it must exceed
-	// two slow writes, or a group whose disks all take half a second has no
-	// leader for long.
+	// heartbeat and its response may each wait for a write, so that the time-out must
+	// exceed two slow writes. Otherwise a group whose disks all take half a second
+	// would have no leader for most of the time.
 	DefaultElectionTimeout = 1500 * time.Millisecond
 	// DefaultLeaseDuration is how long a leader may command replicas after a
 	// quorum has last confirmed it.
@@ -33,9 +33,9 @@
 	// DefaultAcknowledgeTimeout is how long the leader waits for every serving
 	// node to confirm a revision before it answers that the order is pending.
 	DefaultAcknowledgeTimeout = 4 * time.Second
-	// failOpenConfirmationTimeout is how long a committed order waits for confirmations where
-	// nodes go on serving while partitioned: a node that is out of reach can't be told
-	// from one that is about to confirm.
+	// failOpenConfirmationTimeout is how long a committed change waits for confirmations
+	// where nodes go on serving while partitioned: a node that can't be reached can't be
+	// distinguished from one that is about to confirm.
 	failOpenConfirmationTimeout = 600 * time.Millisecond
 	// minFailOpenElectionTimeout and maxFailOpenElectionTimeout bound the ElectionTimeout of
 	// FailOpenTimes. It has to hold two heartbeats and two slow writes.
@@ -46,13 +46,13 @@
 	failOpenDigestEvery = 400 * time.Millisecond
 	// electionsPerContact is how many election timeouts fit into the time for
 	// which an unresponsive node counts as in contact: one to notice that a leader is
-	// silent, and one for the voters to follow each other.
+	// unresponsive, and one for the voters to follow each other.
 	electionsPerContact = 3
-	// DefaultRequestTimeout is how long a node looks for a leader that takes an
-	// order.
+	// DefaultRequestTimeout is how long a node looks for a leader that answers an
+	// operator's request.
 	DefaultRequestTimeout = 8 * time.Second
-	// DefaultRetryEvery is how long a node waits for the answer to a message
-	// before it asks the next group member.
+	// DefaultRetryEvery is how long a node waits for the response to a message before
+	// it asks the next group member.
 	DefaultRetryEvery = 300 * time.Millisecond
 	// DefaultConfirmEvery is how often a leader asks the nodes whose
 	// confirmation it waits for, in case one was lost.
@@ -83,25 +83,36 @@
 	// nine bear the loss of four, and two more may stand in for machines that are
 	// about to be taken away.
 	seededMaxVoters = 11
-	// defaultMaxLogEntries is how many applied entries a shard keeps for
-	// stragglers.
+	// defaultMaxLogEntries is how many applied entries a shard keeps for members that
+	// lag behind.
 	defaultMaxLogEntries = 1024
 )
 
 // Times groups the durations of a control machine, so that tests and
 // simulations may shorten them.
 type Times struct {
-	HeartbeatEvery     time.Duration
-	ElectionTimeout    time.Duration
-	LeaseDuration      time.Duration
-	LeaseMargin        time.Duration
-	FenceAfter         time.Duration
-	FenceMargin        time.Duration
+	// HeartbeatEvery is the time between two heartbeats of a leader or a member.
+	HeartbeatEvery time.Duration
+	// ElectionTimeout is how long an unresponsive leader keeps its leadership.
+	ElectionTimeout time.Duration
+	// LeaseDuration is how long a leader may command replicas after a quorum has last
+	// confirmed it, and LeaseMargin what others wait beyond that.
+	LeaseDuration time.Duration
+	LeaseMargin   time.Duration
+	// FenceAfter is how long a node serves without its monitors, and FenceMargin what
+	// others wait beyond that.
+	FenceAfter  time.Duration
+	FenceMargin time.Duration
+	// AcknowledgeTimeout is how long a change waits for confirmations.
 	AcknowledgeTimeout time.Duration
-	RequestTimeout     time.Duration
-	RetryEvery         time.Duration
-	ConfirmEvery       time.Duration
-	DigestEvery        time.Duration
+	// RequestTimeout is how long an operator's request waits for the leader's reply.
+	RequestTimeout time.Duration
+	// RetryEvery is how long a message waits for its response before it is sent again.
+	RetryEvery time.Duration
+	// ConfirmEvery is how often a leader asks for overdue confirmations.
+	ConfirmEvery time.Duration
+	// DigestEvery is how often relay nodes compare revisions.
+	DigestEvery time.Duration
 	// EndpointReadEvery is how often one node reads the platform's list.
 	EndpointReadEvery time.Duration
 	// CommandGap is how far apart the commands of two leaders to one replica are.
@@ -130,8 +141,8 @@
 	}
 }
 
-// FailOpenTimes returns the times of nodes that go on serving while partitioned. A
-// silent leader is replaced within contact, and orders are answered within
+// FailOpenTimes returns the times of nodes that go on serving while partitioned. An
+// unresponsive leader is replaced within contact, and requests are answered within
 // acknowledge.
 func FailOpenTimes(contact, acknowledge time.Duration) Times {
 	times := DefaultTimes()
@@ -142,13 +153,14 @@
 	return times
 }
 
-// Config is what a control machine knows when it starts.
+// Config sets up a Machine.
 type Config struct {
+	// Self describes this node, in the incarnation in which it starts.
 	Self member.Info
 	// Seeds are internal addresses of up to three other nodes.
 	Seeds []string
-	// Seeded means that the nodes with disks are those that the membership tells
-	// of. They follow all shards and are given a vote when they have caught up.
+	// Seeded means that the nodes with disks are those in the table of members, in
+	// place of Group. They follow all shards and get a vote when they have caught up.
 	Seeded bool
 	// FailOpen lets the node serve by the newest configuration that reached it,
 	// whether or not it is partitioned. An acknowledgement waits for the live nodes,
@@ -170,17 +182,18 @@
 	// stands for the founding incarnation, or for one of this process alone if
 	// Learner is set.
 	DiskIncarnation uint64
-	Times           Times
+	// Times are the durations to run with.
+	Times Times
 	// ReplicasFinishFirst means that a replica which is ordered to load weights
 	// finishes its requests first, and refuses others until it has loaded, as not
 	// run. So it need not be drained by the nodes.
 	ReplicasFinishFirst bool
-	// MaxLogEntries is how many applied entries a shard keeps for stragglers; 0
-	// means the default.
+	// MaxLogEntries is how many applied entries a shard keeps for members that lag
+	// behind; 0 means the default.
 	MaxLogEntries int
 }
 
-// diskIncarnation is DiskIncarnation or what zero stands for.
+// diskIncarnation returns DiskIncarnation, or what zero stands for.
 func (c Config) diskIncarnation() uint64 {
 	switch {
 	case c.DiskIncarnation != 0:
--- a/internal/control/driver/doc.go
+++ b/internal/control/driver/doc.go
@@ -7,6 +7,7 @@
 // through atomic values, so that a request never waits for control. Inputs are
 // posted to the control goroutine and may come from any goroutine.
 //
-// Each shard has a writer goroutine of its own, which Serve starts and which ends
-// with its context: a slow disk of one shard does not hold up the others.
+// Each shard has a writer goroutine of its own, so that a slow disk of one shard does not
+// delay the others. Serve starts the writers, and they end with its context; Serve does not
+// wait for a write that the disk has not finished.
 package driver
--- a/internal/control/driver/driver.go
+++ b/internal/control/driver/driver.go
@@ -22,7 +22,7 @@
 	Send(address string, frame []byte)
 }
 
-// Storage makes what a shard has to keep durable.
+// Storage makes durable what a shard has to write.
 type Storage interface {
 	Save(ready replication.Ready) error
 	Checkpoint(hard replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error
@@ -34,7 +34,7 @@
 	// Driver.CommandDone.
 	Command(command control.Command)
 	// Report asks a replica for its report, which is handed to
-	// Driver.SetReplicaReport; if none comes, Driver.ReplicaReportFailed tells so.
+	// Driver.SetReplicaReport; if none comes, Driver.ReplicaReportFailed is called.
 	Report(request control.ReportRequest)
 }
 
@@ -43,7 +43,7 @@
 	ReadEndpoints()
 }
 
-// Options are the surroundings of a control machine in a daemon.
+// Options connect a control machine to its daemon.
 type Options struct {
 	// TickEvery is how often the machine looks at the clock; zero stands for
 	// control.DefaultTickEvery.
@@ -56,7 +56,7 @@
 	Storage    map[uint32]Storage
 	Commander  Commander
 	Endpoints  EndpointReader
-	// Traffic takes in what other nodes tell of their traffic; nil on nodes that
+	// Traffic takes in what other nodes report of their traffic; nil on nodes that
 	// serve none.
 	Traffic TrafficReceiver
 	Log     *logrus.Entry
--- a/internal/control/driver/inputs.go
+++ b/internal/control/driver/inputs.go
@@ -39,12 +39,12 @@
 	d.post(func(now time.Duration) control.Output { return d.machine.EndpointsRead(now, reading) })
 }
 
-// CommandDone takes what came of a command.
+// CommandDone takes the outcome of a command.
 func (d *Driver) CommandDone(command control.Command, outcome control.CommandOutcome) {
 	d.post(func(now time.Duration) control.Output { return d.machine.CommandDone(now, command, outcome) })
 }
 
-// SetReplicaReport takes what a replica said of itself.
+// SetReplicaReport takes what a replica reported of itself.
 func (d *Driver) SetReplicaReport(report control.ReplicaReport) {
 	d.post(func(now time.Duration) control.Output { return d.machine.SetReplicaReport(now, report) })
 }
@@ -54,12 +54,13 @@
 	d.post(func(now time.Duration) control.Output { return d.machine.ReplicaReportFailed(now, address) })
 }
 
-// SetSeeds takes over other addresses to join through.
+// SetSeeds replaces the addresses to join through.
 func (d *Driver) SetSeeds(seeds []string) {
 	d.post(func(now time.Duration) control.Output { return d.machine.SetSeeds(now, seeds) })
 }
 
-// TransferLeadership hands over what the node leads, while it goes on running.
+// TransferLeadership hands the shards that the node leads to other members, while the
+// node goes on running.
 func (d *Driver) TransferLeadership() {
 	d.call(func(now time.Duration) control.Output { return d.machine.TransferLeadership(now) })
 }
--- a/internal/control/driver/peers.go
+++ b/internal/control/driver/peers.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// TrafficReceiver takes in what other nodes tell of their traffic. It is safe
+// TrafficReceiver takes in what other nodes report of their traffic. It is safe
 // for concurrent use.
 type TrafficReceiver interface {
 	TakeBatch(batch gossip.Batch)
--- a/internal/control/driver/requests.go
+++ b/internal/control/driver/requests.go
@@ -21,7 +21,8 @@
 	return d.machine.OrderIDPrefix() + strconv.FormatUint(d.orderIDs.Add(1), 10)
 }
 
-// Submit gives an order to the machine and waits for its answer.
+// Submit gives an order to the machine and waits for its answer. An error means that the
+// outcome is unknown: the identical order may be sent again, at any node.
 func (d *Driver) Submit(ctx context.Context, order *controlpb.Order) (*controlpb.Answer, error) {
 	answers := make(chan control.Reply, 1)
 	d.post(func(now time.Duration) control.Output {
@@ -42,8 +43,8 @@
 	return d.nextTicket
 }
 
-// awaitReply waits for a reply. One that comes after the context has ended is wanted
-// by nobody, so that the machine stops asking for it.
+// awaitReply waits for a reply. When the context ends, nobody needs the reply any more,
+// so that the request is cancelled at the machine.
 func (d *Driver) awaitReply(ctx context.Context, replies chan control.Reply) (control.Reply, error) {
 	select {
 	case reply := <-replies:
@@ -87,7 +88,7 @@
 
 // ReadConfiguration reads the configuration in force, as a quorum of the nodes with
 // disks confirms it; read only. A node that can't be sure of the newest one returns
-// an error that wraps ErrNoQuorum or ErrBehind.
+// an error that wraps requests.ErrNoQuorum or requests.ErrBehind.
 func (d *Driver) ReadConfiguration(ctx context.Context) (*ridgeswitchv1.Configuration, error) {
 	answers := make(chan control.Reply, 1)
 	d.post(func(now time.Duration) control.Output {
--- a/internal/control/driver/sent_counts.go
+++ b/internal/control/driver/sent_counts.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 )
 
-// Distance tells where the receiver of a message stands.
+// Distance is where the receiver of a message is, as seen from its sender.
 type Distance int
 
 // The distances.
--- a/internal/control/driver/storage.go
+++ b/internal/control/driver/storage.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// writeUntilDurable repeats a failed write, as a full disk may get room again.
+// writeUntilDurable repeats a failed write, as a full disk may get free space again.
 func (d *Driver) writeUntilDurable(ctx context.Context, save control.StorageWrite) bool {
 	for {
 		err := d.write(save)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -13,7 +13,7 @@
 type (
 	// Command orders a replica to load weights.
 	Command = rollout.Command
-	// CommandOutcome is what came of a command.
+	// CommandOutcome is the outcome of a command.
 	CommandOutcome = rollout.CommandOutcome
 	// ReportRequest asks for a replica's report.
 	ReportRequest = rollout.ReportRequest
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -66,8 +66,8 @@
 	shards   map[uint32]*shardState
 	// evacuated are the zones without requests, as of the last Advance.
 	evacuated shardstate.ZoneSet
-	// reports are the newest of each replica, and requests where this node stands
-	// with asking for the next.
+	// reports are the newest of each replica, and requests the state of those for the
+	// next.
 	reports  map[string]ReplicaReport
 	requests map[string]*reportRequest
 	output   Output
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 )
 
-// ReplicaReport is what a replica said of itself when it was asked.
+// ReplicaReport is what a replica reported of itself.
 type ReplicaReport struct {
 	Address string
 	// Instance names the incarnation that answered, as the list does; empty if the
@@ -42,14 +42,13 @@
 	reportInterval = 300 * time.Millisecond
 	// maxReportBackoff bounds the pause after reports that did not come.
 	maxReportBackoff = 5 * time.Second
-	// reportTimeout is when a report that was asked for is given up.
+	// reportTimeout is how long a request for a report waits for its response.
 	reportTimeout = 4 * time.Second
-	// reportFreshness is how old a report may be to tell that a replica runs
-	// now.
+	// reportFreshness is how old a report may be to show that a replica runs now.
 	reportFreshness = 3 * time.Second
 )
 
-// reportRequest is where this node stands with asking one replica.
+// reportRequest is the state of this node's requests for the report of one replica.
 type reportRequest struct {
 	inFlight    bool
 	sentAt      time.Duration
@@ -57,8 +56,8 @@
 	failures    int
 }
 
-// requestReport asks a replica for its report, unless that is under way or was done
-// just now. One that does not answer is asked less and less often.
+// requestReport asks a replica for its report, unless a request is in flight or the last
+// one was a moment ago. One that does not respond is asked less and less often.
 func (m *Machine) requestReport(address, instance string) {
 	request := m.requests[address]
 	if request == nil {
@@ -73,8 +72,8 @@
 	m.output.Reports = append(m.output.Reports, ReportRequest{Address: address, Instance: instance})
 }
 
-// requestReportNow asks a replica that answered last time without the usual pause, since
-// only a report from now on tells what is waited for.
+// requestReportNow asks a replica without the usual pause if it responded last time, since
+// only a report from now on shows what the leader waits for.
 func (m *Machine) requestReportNow(address, instance string) {
 	if request := m.requests[address]; request != nil && request.failures == 0 {
 		request.inFlight = false
