--- a/internal/control/protocol/message.go
+++ b/internal/control/protocol/message.go
@@ -1,10 +1,8 @@
-// Package protocol holds the messages that nodes send each other for control:
-// forwarded orders, registration, and confirmation of revisions.
 package protocol
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// MessageType tells what a Message asks or answers.
+// MessageType is the kind of a Message.
 type MessageType uint8
 
 // The messages between the control machines of two nodes.
@@ -13,23 +11,23 @@
 	MessageChange MessageType = iota + 1
 	// MessageChangeReply answers a forwarded order.
 	MessageChangeReply
-	// MessageRegister asks the leader of the configuration shard to count the
-	// sender among the nodes that an acknowledgement waits for.
+	// MessageRegister asks the leader of a shard to count the sender among the nodes
+	// that an acknowledgement waits for.
 	MessageRegister
-	// MessageRegisterReply tells the revision that the sender must hold
-	// before it may serve.
+	// MessageRegisterReply carries the revision that the node must hold before it may
+	// serve, a challenge, or the leader of the shard.
 	MessageRegisterReply
-	// MessageConfirm tells which revisions the sender serves and which it has
-	// no older request left under.
+	// MessageConfirm carries the revisions that the sender serves, and those under
+	// which it has no older request left.
 	MessageConfirm
 	// MessageConfirmRequest asks for a MessageConfirm that the sender waits for.
 	MessageConfirmRequest
 	// MessageWitnessRequest asks which state of a shard the receiver holds,
-	// since the shard's group lost the majority of its disks. Term is the
-	// term under which the group is to be formed anew.
+	// since the shard's group lost the majority of its disks. Term is that
+	// under which the group is to be formed anew.
 	MessageWitnessRequest
-	// MessageWitnessReply tells the revision that the sender holds, and the
-	// newest term that it had heard of before.
+	// MessageWitnessReply carries the revision that the sender holds, and the newest
+	// term that it had heard of before.
 	MessageWitnessReply
 	// MessageEndpoints passes a reading of the platform's list on; its payload is that
 	// of a listing.Message.
@@ -63,14 +61,16 @@
 type Message struct {
 	Type  MessageType
 	Shard uint32
-	// Request numbers a request of the sender; replies echo it.
+	// Request is the number of a request of the sender; replies carry it as well.
 	Request     uint64
 	Incarnation member.Incarnation
-	// Payload is an encoded controlpb.Command, controlpb.Answer or
-	// ridgeswitchv1.Source.
-	Payload   []byte
-	Revision  uint64
-	Leader    member.ID
+	// Payload is an encoded controlpb.Command, controlpb.Answer,
+	// ridgeswitchv1.Source or listing.Message.
+	Payload  []byte
+	Revision uint64
+	// Leader is the leader of the shard as the sender knows; empty if it knows none.
+	Leader member.ID
+	// Accepted means that the sender leads the shard and has done what it was asked.
 	Accepted  bool
 	Revisions []ShardRevision
 	// Term is one of the shard's group that the sender knows of.
--- a/internal/control/shardstate/received.go
+++ b/internal/control/shardstate/received.go
@@ -47,10 +47,10 @@
 func (r *Received) Revision(shardID uint32) uint64 { return r.revisions[shardID] }
 
 // Apply takes an update and reports whether it brought a newer state: a node never goes
-// back to an older revision. The sections of the whole state are asked for when
+// back to an older revision. Snapshot returns the sections of the whole state; it is called when
 // there is no earlier state to apply the update to. After an error the last state
 // stays, and the next update is decoded from the whole state.
-func (r *Received) Apply(update relaytree.Update, whole func(relaytree.Topic) []relaytree.Section) (bool, error) {
+func (r *Received) Apply(update relaytree.Update, snapshot func(relaytree.Topic) []relaytree.Section) (bool, error) {
 	shardID := uint32(update.Topic)
 	if update.Revision <= r.revisions[shardID] {
 		return false, nil
@@ -59,7 +59,7 @@
 	if decoder == nil {
 		decoder = NewDecoder(shardID)
 		r.decoders[shardID] = decoder
-		update.Sections = whole(update.Topic)
+		update.Sections = snapshot(update.Topic)
 		update.Removed = nil
 	}
 	decoded, err := decoder.Apply(update)
