--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -18,11 +18,6 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// idle is the load of a node without requests.
-type idle struct{}
-
-func (idle) InFlight(string) int { return 0 }
-
 // evacuation is the command of an order that evacuates a zone.
 func evacuation(zone string) []byte {
 	order := &controlpb.Order{
@@ -47,7 +42,7 @@
 		Self:  member.Info{ID: "a", Address: "a:1", HoldsState: true, Incarnation: 5},
 		Group: []member.ID{"a", "b", "c"},
 		Times: DefaultTimes(),
-	}, map[uint32]replication.Restored{0: restored}, idle{}, 0)
+	}, map[uint32]replication.Restored{0: restored}, idleTraffic{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	machine.Tick(time.Millisecond)
 	return machine, machine.shards[ConfigurationShard]
