--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -235,7 +235,7 @@
 		return
 	}
 	c.acknowledged = max(c.acknowledged, record.Revision)
-	c.world.recordAcknowledged(record.Revision)
+	c.world.connectivity.recordAcknowledged(record.Revision)
 	c.documentAcknowledged(sent.order)
 	if record.Change.Kind == checker.ChangeRevoke {
 		c.revoked[record.Change.Key] = max(c.revoked[record.Change.Key], record.Revision)
--- a/internal/lab/sim/connectivity.go
+++ b/internal/lab/sim/connectivity.go
@@ -9,94 +9,126 @@
 )
 
 const (
-	// observeEvery is how often the state of links and machines is looked at.
+	// observeEvery is the time between two observations of links and machines.
 	observeEvery = 25 * time.Millisecond
-	// inForceBound is how long after an acknowledgement a node in touch may serve
-	// by an older revision.
+	// inForceBound is how long after an acknowledgement a node in contact may
+	// still serve an older revision.
 	inForceBound = 2 * time.Second
 )
 
-// connectivity is what an observer knows of who may be expected to do its duty: the nodes
-// with disks of which a majority runs and is connected, and the nodes that reach
-// them.
+// connectivity is an observer outside the deployment. It knows which nodes can be
+// held to the bounds of a fail-open deployment: those that have been able to reach
+// a connected majority of the core for long enough. The core is the nodes with
+// disks. Faults report what they disturb; the rest is observed periodically.
 type connectivity struct {
-	// coreDisturbedAt is when the nodes with disks were last disturbed or without a
-	// connected majority, and disturbedAt when anything was.
+	world *simulation
+	// outOfContactAt is when each node was last seen out of contact with the core.
+	outOfContactAt map[*node]time.Duration
+	// coreDisturbedAt is when a node with a disk was last disturbed, or when the
+	// core last lacked a connected majority of some shard's voters.
 	coreDisturbedAt time.Duration
-	disturbedAt     time.Duration
-	// voters are those that the leader of each shard knew last.
+	// disturbedAt is when any node or link was last disturbed.
+	disturbedAt time.Duration
+	// voters are the voters of each shard as its leader last knew them.
 	voters map[uint32][]replication.Voter
 	// acknowledged are the acknowledged revisions in the order of time.
 	acknowledged []acknowledgement
 }
 
+// acknowledgement is the instant at which an operator learned that a revision is
+// in force.
 type acknowledgement struct {
 	at       time.Duration
 	revision uint64
 }
 
-// scheduleObservation looks at the deployment again and again.
-func (w *simulation) scheduleObservation() {
-	if !w.settings.FailOpen {
+func newConnectivity(world *simulation) *connectivity {
+	return &connectivity{
+		world:          world,
+		outOfContactAt: map[*node]time.Duration{},
+		voters:         map[uint32][]replication.Voter{},
+	}
+}
+
+// schedule observes a fail-open deployment over the whole run.
+func (c *connectivity) schedule() {
+	if !c.world.settings.FailOpen {
 		return
 	}
 	var poll func()
 	poll = func() {
-		w.observeConnectivity()
-		w.after(observeEvery, poll)
+		c.observe()
+		c.world.after(observeEvery, poll)
 	}
-	w.at(0, poll)
+	c.world.at(0, poll)
 }
 
-// recordDisturbance notes that something was done to a node.
-func (w *simulation) recordDisturbance(one *node) {
-	one.lastOutOfContact = w.now
-	w.connectivity.disturbedAt = w.now
-	if one.storage != nil {
-		w.connectivity.coreDisturbedAt = w.now
+// recordDisturbance records that a node was started, stopped, frozen, woken or
+// taken away.
+func (c *connectivity) recordDisturbance(disturbed *node) {
+	now := c.world.now
+	c.outOfContactAt[disturbed] = now
+	c.disturbedAt = now
+	if disturbed.storage != nil {
+		c.coreDisturbedAt = now
 	}
 }
 
-// recordLinkChange notes that a link was cut or joined.
-func (w *simulation) recordLinkChange(from, to *node) {
-	w.connectivity.disturbedAt = w.now
+// recordLinkChange records that a link was blocked or opened.
+func (c *connectivity) recordLinkChange(from, to *node) {
+	c.disturbedAt = c.world.now
 	if from.storage != nil && to.storage != nil && from != to {
-		w.connectivity.coreDisturbedAt = w.now
+		c.coreDisturbedAt = c.world.now
 	}
 }
 
-// observeConnectivity notes who is out of touch at this instant.
-func (w *simulation) observeConnectivity() {
-	core := w.connectedCore()
-	if len(core) == 0 || !w.hasVoterMajority(core) {
-		w.connectivity.coreDisturbedAt = w.now
-		w.connectivity.disturbedAt = w.now
+// recordAcknowledged records an acknowledged revision.
+func (c *connectivity) recordAcknowledged(revision uint64) {
+	c.acknowledged = append(c.acknowledged, acknowledgement{at: c.world.now, revision: revision})
+}
+
+// observe records which nodes are out of contact at this instant.
+func (c *connectivity) observe() {
+	world, now := c.world, c.world.now
+	core := c.connectedCore()
+	storming := len(world.network.storms) > 0
+	if len(core) == 0 || !c.hasVoterMajority(core) {
+		c.coreDisturbedAt = now
+		c.disturbedAt = now
 	}
-	if len(w.network.storms) > 0 || !lo.EveryBy(w.nodes, func(one *node) bool { return w.connected(one, w.nodes) }) {
-		w.connectivity.disturbedAt = w.now
+	if storming || !lo.EveryBy(world.nodes, func(observed *node) bool { return world.network.connected(observed, world.nodes) }) {
+		c.disturbedAt = now
 	}
-	for _, one := range w.nodes {
-		if !one.up || one.frozen || len(w.network.storms) > 0 || !w.connected(one, core) || one.hasFaultyDisk() {
-			one.lastOutOfContact = w.now
+	for _, observed := range world.nodes {
+		running := observed.up && !observed.frozen
+		if !running || storming || !world.network.connected(observed, core) || observed.hasFaultyDisk() {
+			c.outOfContactAt[observed] = now
 		}
 	}
 }
 
-// hasVoterMajority tells whether the majority of the voters of each shard, as its leader
-// knew them last, is among some nodes, has kept its disks, and can write to them.
-// Otherwise more was lost at once than a deployment bears.
-func (w *simulation) hasVoterMajority(core []*node) bool {
-	if w.connectivity.voters == nil {
-		w.connectivity.voters = map[uint32][]replication.Voter{}
-	}
-	for shard := range w.serviceShards + 1 {
-		if slots, known := w.memberSlots(shard); known {
-			w.connectivity.voters[shard] = votersOf(slots)
+// connectedCore returns the running core nodes that reach a majority of the core.
+func (c *connectivity) connectedCore() []*node {
+	disks := c.world.diskNodes()
+	running := lo.Filter(disks, func(candidate *node, _ int) bool { return candidate.up && !candidate.frozen })
+	return lo.Filter(running, func(candidate *node, _ int) bool {
+		reached := lo.CountBy(running, func(other *node) bool { return c.world.network.connected(candidate, []*node{other}) })
+		return 2*reached > len(disks)
+	})
+}
+
+// hasVoterMajority reports whether, for every shard, a majority of its voters is
+// among the given core nodes, still has the disk that it votes with, and can write
+// to it. Otherwise more was lost at once than a deployment tolerates.
+func (c *connectivity) hasVoterMajority(core []*node) bool {
+	for shard := range c.world.serviceShards + 1 {
+		if slots, known := c.world.memberSlots(shard); known {
+			c.voters[shard] = votersOf(slots)
 		}
-		voters := w.connectivity.voters[shard]
+		voters := c.voters[shard]
 		healthy := lo.CountBy(voters, func(voter replication.Voter) bool {
-			return lo.ContainsBy(core, func(one *node) bool {
-				return one.info.ID == voter.ID && one.storage.incarnation == voter.Incarnation && !one.storage.full
+			return lo.ContainsBy(core, func(candidate *node) bool {
+				return candidate.info.ID == voter.ID && candidate.storage.incarnation == voter.Incarnation && !candidate.storage.full
 			})
 		})
 		if len(voters) > 0 && 2*healthy <= len(voters) {
@@ -112,76 +144,25 @@
 	})
 }
 
-func (n *node) hasFaultyDisk() bool {
-	return n.storage != nil && (n.storage.slow > 0 || n.storage.full)
-}
-
-// connectedCore are the nodes with disks that run and reach a majority of all of
-// them.
-func (w *simulation) connectedCore() []*node {
-	disks := w.diskNodes()
-	running := lo.Filter(disks, func(one *node, _ int) bool { return one.up && !one.frozen })
-	return lo.Filter(running, func(one *node, _ int) bool {
-		reached := lo.CountBy(running, func(other *node) bool { return w.connected(one, []*node{other}) })
-		return 2*reached > len(disks)
-	})
+// inContact reports whether a node must serve what was acknowledged: it and the
+// core have been undisturbed for as long as a silent node counts as in contact.
+func (c *connectivity) inContact(observed *node) bool {
+	now := c.world.now
+	return now-c.outOfContactAt[observed] >= failOpenContact && now-c.coreDisturbedAt >= failOpenContact
 }
 
-// connected tells whether the ways between a node and others are open.
-func (w *simulation) connected(one *node, others []*node) bool {
-	return lo.EveryBy(others, func(other *node) bool {
-		return w.network.blocked[one.index][other.index] == 0 && w.network.blocked[other.index][one.index] == 0
-	})
-}
+// undisturbed reports whether no node and no link has been disturbed for as long
+// as a silent node counts as in contact.
+func (c *connectivity) undisturbed() bool { return c.world.now-c.disturbedAt >= failOpenContact }
 
-// inContact tells whether a node may be expected to serve by what was acknowledged.
-func (w *simulation) inContact(one *node) bool {
-	return w.now-one.lastOutOfContact >= failOpenContact && w.now-w.connectivity.coreDisturbedAt >= failOpenContact
-}
-
-// recordAcknowledged remembers an acknowledged revision.
-func (w *simulation) recordAcknowledged(revision uint64) {
-	w.connectivity.acknowledged = append(w.connectivity.acknowledged, acknowledgement{at: w.now, revision: revision})
-}
-
-// requiredRevision is the newest revision that a node in touch has to serve by now.
-func (w *simulation) requiredRevision() uint64 {
+// requiredRevision returns the newest revision that every node in contact must
+// serve by now.
+func (c *connectivity) requiredRevision() uint64 {
 	required := uint64(0)
-	for _, one := range w.connectivity.acknowledged {
-		if one.at+inForceBound < w.now {
-			required = max(required, one.revision)
+	for _, known := range c.acknowledged {
+		if known.at+inForceBound < c.world.now {
+			required = max(required, known.revision)
 		}
 	}
 	return required
 }
-
-// admittedFailOpen holds that nodes in touch serve by what was acknowledged, and that
-// no process goes back to an older revision.
-func (c *checks) admittedFailOpen(n *node, revision uint64) {
-	if required := c.world.requiredRevision(); revision < required && c.world.inContact(n) {
-		c.world.violate("in_force", "%s admitted under revision %d although %d was acknowledged %v ago, and it is in touch", n.info.ID, revision, required, inForceBound)
-	}
-	if last := c.servedByProcess[n]; last.process == n.process && revision < last.revision {
-		c.world.violate("served_never_back", "%s admitted under revision %d after %d", n.info.ID, revision, last.revision)
-	}
-	c.servedByProcess[n] = servedRevision{process: n.process, revision: revision}
-}
-
-// servedRevision is what a process admitted under last.
-type servedRevision struct {
-	process  uint64
-	revision uint64
-}
-
-// awaitAcknowledgement holds that an order gets its answer in time if nothing
-// disturbs the nodes with disks, and no link, from long before until then.
-func (w *simulation) awaitAcknowledgement(order *operatorOrder) {
-	if !w.settings.FailOpen || w.now-w.connectivity.disturbedAt < failOpenContact {
-		return
-	}
-	w.after(failOpenAcknowledge, func() {
-		if !order.finished && w.connectivity.disturbedAt < order.firstSent {
-			w.violate("acknowledged_in_time", "order %s has no answer after %v of calm", order.content.GetOrderId(), failOpenAcknowledge)
-		}
-	})
-}
--- a/internal/lab/sim/fail_open.go
+++ b/internal/lab/sim/fail_open.go
@@ -107,7 +107,7 @@
 	victim.logf("gone")
 	w.nodes = lo.Without(w.nodes, victim)
 	delete(w.byAddress, victim.info.Address)
-	w.recordDisturbance(victim)
+	w.connectivity.recordDisturbance(victim)
 	w.after(seedLag, w.updateSeeds)
 }
 
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -28,7 +28,7 @@
 func playWith(settings Settings, script func(*simulation)) *simulation {
 	world := newSimulation(settings)
 	world.build()
-	world.scheduleObservation()
+	world.connectivity.schedule()
 	world.at(firstOrderAt, func() { world.issue(world.applyFirst()) })
 	script(world)
 	world.scheduleRecoveryChecks()
@@ -247,7 +247,7 @@
 								victim = world.leaderOfConfiguration()
 							}
 							fault(world, victim)
-							victim.lastOutOfContact = world.now
+							world.connectivity.outOfContactAt[victim] = world.now
 							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.addKey(0)) })
 							world.after(6*second, func() { world.expectAcknowledged(world.addKey(0)) })
 							world.at(20*second, func() {
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 )
@@ -46,7 +48,7 @@
 func (n *network) changeBlocked(from, to []*node, change int) {
 	for _, source := range from {
 		for _, target := range to {
-			n.world.recordLinkChange(source, target)
+			n.world.connectivity.recordLinkChange(source, target)
 			if source != target {
 				n.blocked[source.index][target.index] += change
 			}
@@ -112,3 +114,11 @@
 	}
 	return latency
 }
+
+// connected reports whether the links between a node and others are open both
+// ways.
+func (n *network) connected(one *node, others []*node) bool {
+	return lo.EveryBy(others, func(other *node) bool {
+		return n.blocked[one.index][other.index] == 0 && n.blocked[other.index][one.index] == 0
+	})
+}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -35,8 +35,6 @@
 	gone bool
 	// leaving tells that the machine is about to be taken away.
 	leaving bool
-	// lastOutOfContact is when the node was last out of touch.
-	lastOutOfContact time.Duration
 	// tickEvery is how often the control machine looks at the clock.
 	tickEvery time.Duration
 	// storage is nil on nodes without a disk.
@@ -107,7 +105,7 @@
 	}
 	n.machine = machine
 	n.up = true
-	n.world.recordDisturbance(n)
+	n.world.connectivity.recordDisturbance(n)
 	n.inFlight = map[string]int{}
 	n.tickets = map[uint64]*submission{}
 	n.reads = map[uint64]func(control.Reply){}
@@ -224,7 +222,7 @@
 		return
 	}
 	n.logf("stop")
-	n.world.recordDisturbance(n)
+	n.world.connectivity.recordDisturbance(n)
 	n.saveAddresses()
 	n.up = false
 	n.frozen = false
@@ -248,7 +246,7 @@
 		return
 	}
 	n.logf("frozen")
-	n.world.recordDisturbance(n)
+	n.world.connectivity.recordDisturbance(n)
 	n.frozen = true
 	process := n.process
 	n.world.after(length, func() {
@@ -262,7 +260,7 @@
 func (n *node) wake(length time.Duration) {
 	n.frozen = false
 	n.logf("wakes")
-	n.world.recordDisturbance(n)
+	n.world.connectivity.recordDisturbance(n)
 	if n.world.broken(BreakLeaseIgnoresSuspend) {
 		n.clock.stoppedFor += length
 	}
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -49,7 +49,7 @@
 	// seeds are what settings name from now on, in a deployment that finds itself
 	// through seeds.
 	seeds        []string
-	connectivity connectivity
+	connectivity *connectivity
 
 	checks   *checks
 	counts   Counts
@@ -100,7 +100,7 @@
 	world.build()
 	world.scheduleStart()
 	world.scheduleFaults()
-	world.scheduleObservation()
+	world.connectivity.schedule()
 	world.scheduleOperators()
 	world.scheduleReads()
 	world.scheduleRecoveryChecks()
@@ -123,6 +123,7 @@
 	}
 	world.platform = newPlatform(world)
 	world.checks = newChecks(world)
+	world.connectivity = newConnectivity(world)
 	if settings.Timeline {
 		world.timeline = &timeline{}
 	}
--- a/internal/lab/sim/storage.go
+++ b/internal/lab/sim/storage.go
@@ -56,6 +56,10 @@
 	return &storage{disk: memdisk.New(), incarnation: replication.FoundingIncarnation, busyUntil: map[uint32]time.Duration{}}
 }
 
+func (n *node) hasFaultyDisk() bool {
+	return n.storage != nil && (n.storage.slow > 0 || n.storage.full)
+}
+
 // open reads what the disk kept of each shard.
 func (s *storage) open(serviceShards uint32) (map[uint32]replication.Restored, error) {
 	s.logs = map[uint32]*durable.Log{}
