--- a/internal/lab/sim/backend_faults.go
+++ b/internal/lab/sim/backend_faults.go
@@ -7,7 +7,7 @@
 // delayCommands holds some commands back on their way to replicas.
 func (w *simulation) delayCommands() {
 	w.delayedCommandFaults++
-	w.issue(w.nameWeights(0, pick(w, poolNames)))
+	w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
 	w.after(w.faultDuration(3*time.Second, 8*time.Second), func() { w.delayedCommandFaults-- })
 }
 
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -26,7 +26,7 @@
 	deafOne.commandsToDrop = commandsToDrop
 	world.at(2*second, func() { world.platform.change(func() { late.removed = true }) })
 	world.at(7*second, func() {
-		named := world.nameWeights(0, poolNames[0])
+		named := world.operators.nameWeights(0, poolNames[0])
 		world.expectAcknowledged(named)
 		stray := 16*second + world.upTo(second)
 		world.at(stray, func() {
@@ -81,8 +81,8 @@
 		isolate(world)
 		world.after(world.upTo(2*second), func() {
 			zone := world.nodes[0].info.Zone
-			order := world.evacuate(0, zone)
-			world.issue(order)
+			order := world.operators.evacuate(0, zone)
+			world.operators.issue(order)
 			world.awaitEvacuation(order, func() {
 				for _, one := range world.nodes {
 					world.restartAfter(one, world.upTo(second))
@@ -167,7 +167,7 @@
 				if !world.everyMemberIsVoter() {
 					world.violate("whole", "some node with a disk has no vote")
 				}
-				world.expectAcknowledged(world.addKey(0))
+				world.expectAcknowledged(world.operators.addKey(0))
 			})
 		})
 	})
--- a/internal/lab/sim/core_split.go
+++ b/internal/lab/sim/core_split.go
@@ -27,18 +27,18 @@
 	if w.inRecoveryPhase() {
 		return
 	}
-	base, read := w.readRevision(), w.readConfiguration()
+	base, read := w.operators.readRevision(), w.operators.readConfiguration()
 	for _, side := range sides {
 		running := lo.Filter(side, func(one *node, _ int) bool { return one.up })
 		if len(running) == 0 {
 			continue
 		}
-		order := w.randomChange(base)
+		order := w.operators.randomChange(base)
 		if w.settings.FailOpen {
-			order = w.changedDocumentOrder(read)
+			order = w.operators.changedDocumentOrder(read)
 		}
 		target := pick(w, running)
-		w.issueAt(target, order)
+		w.operators.issueAt(target, order)
 		w.after(w.upTo(time.Second), func() {
 			w.readConfigurationAt(target)
 			w.readDocumentAt(target)
--- a/internal/lab/sim/disk_faults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -31,8 +31,8 @@
 			one.storage.slow = 0
 		}
 	}
-	order := w.addKey(0)
-	w.issue(order)
+	order := w.operators.addKey(0)
+	w.operators.issue(order)
 	w.whenAcknowledged(order, func() {
 		for _, one := range disks {
 			w.restartAfter(one, w.faultDuration(100*time.Millisecond, 2*time.Second))
@@ -66,8 +66,8 @@
 // an acknowledgement, while all other nodes lose power at the same instant. The nodes
 // whose disks are lost come back at their addresses, at any time among the others.
 func (w *simulation) loseDisksAsPowerFails() {
-	order := w.addKey(0)
-	w.issue(order)
+	order := w.operators.addKey(0)
+	w.operators.issue(order)
 	w.whenAcknowledged(order, func() {
 		if w.majorityLost {
 			return
@@ -225,8 +225,8 @@
 	w.network.changeBlocked([]*node{late}, w.nodes, 1)
 	w.network.changeBlocked(w.nodes, []*node{late}, 1)
 	w.after(1500*time.Millisecond, func() {
-		order := w.addKey(0)
-		w.issue(order)
+		order := w.operators.addKey(0)
+		w.operators.issue(order)
 		w.whenAcknowledged(order, func() {
 			// Another disk may have been lost meanwhile.
 			if w.canLose(victim) {
--- a/internal/lab/sim/documents.go
+++ b/internal/lab/sim/documents.go
@@ -14,13 +14,13 @@
 
 // documentOrder orders a configuration under a version of the operator's, in uneven
 // steps above the one that it builds on.
-func (w *simulation) documentOrder(configuration *ridgeswitchv1.Configuration, base uint64) *operatorOrder {
+func (o *operators) documentOrder(configuration *ridgeswitchv1.Configuration, base uint64) *operatorOrder {
 	configuration.Evacuations = nil
-	w.operators.nameCount++
+	o.nameCount++
 	source := &ridgeswitchv1.Source{
-		Version:     base + 1 + w.random.Uint64N(3),
+		Version:     base + 1 + o.world.random.Uint64N(3),
 		BaseVersion: base,
-		Document:    fmt.Appendf(nil, "document %d", w.operators.nameCount),
+		Document:    fmt.Appendf(nil, "document %d", o.nameCount),
 	}
 	content, err := dynamic.DocumentOrder(configuration, source)
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
@@ -28,22 +28,22 @@
 
 // changedDocumentOrder changes what an operator has read, and applies it on top of
 // that.
-func (w *simulation) changedDocumentOrder(read *ridgeswitchv1.Configuration) *operatorOrder {
+func (o *operators) changedDocumentOrder(read *ridgeswitchv1.Configuration) *operatorOrder {
 	read = proto.CloneOf(read)
 	if len(read.GetWebServices()) > 0 {
 		read.Routes = append(read.Routes, &ridgeswitchv1.Route{
-			Host:        fmt.Sprintf("d%d.example", w.operators.nameCount),
+			Host:        fmt.Sprintf("d%d.example", o.nameCount),
 			Destination: &ridgeswitchv1.Route_WebService{WebService: webService},
 		})
 	}
-	return w.documentOrder(read, read.GetSource().GetVersion())
+	return o.documentOrder(read, read.GetSource().GetVersion())
 }
 
 // raceDocuments lets operators apply documents on top of the same one.
-func (w *simulation) raceDocuments() {
-	read := w.readConfiguration()
+func (o *operators) raceDocuments() {
+	read := o.readConfiguration()
 	for range ordersPerRace {
-		w.after(w.upTo(20*time.Millisecond), func() { w.issue(w.changedDocumentOrder(read)) })
+		o.world.after(o.world.upTo(20*time.Millisecond), func() { o.issue(o.changedDocumentOrder(read)) })
 	}
 }
 
@@ -63,9 +63,9 @@
 }
 
 // newestDocument is the acknowledged document with the highest version.
-func (w *simulation) newestDocument() *ridgeswitchv1.Source {
+func (o *operators) newestDocument() *ridgeswitchv1.Source {
 	var newest *ridgeswitchv1.Source
-	for _, order := range w.operators.orders {
+	for _, order := range o.orders {
 		source := order.content.GetApplyDocument().GetSource()
 		if order.finished && order.outcome == checker.OutcomeAcknowledged && source.GetVersion() > newest.GetVersion() {
 			newest = source
@@ -89,7 +89,7 @@
 }
 
 func (w *simulation) compareDocument(reader *node, read *ridgeswitchv1.Source) {
-	newest := w.newestDocument()
+	newest := w.operators.newestDocument()
 	switch {
 	case read.GetVersion() < newest.GetVersion():
 		w.violate("document_kept", "%s reads version %d although %d was acknowledged", reader.info.ID, read.GetVersion(), newest.GetVersion())
--- a/internal/lab/sim/fail_open.go
+++ b/internal/lab/sim/fail_open.go
@@ -258,7 +258,7 @@
 	default:
 		w.partitionFor([]*node{victim}, w.nodes, true)
 	}
-	w.after(w.upTo(200*time.Millisecond), func() { w.issue(w.addKey(0)) })
+	w.after(w.upTo(200*time.Millisecond), func() { w.operators.issue(w.operators.addKey(0)) })
 }
 
 // configuredGroupFaults are the faults of deployments whose group is named, and
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -29,7 +29,7 @@
 	world := newSimulation(settings)
 	world.build()
 	world.connectivity.schedule()
-	world.at(firstOrderAt, func() { world.issue(world.applyFirst()) })
+	world.at(firstOrderAt, func() { world.operators.issue(world.operators.applyFirst()) })
 	script(world)
 	world.scheduleRecoveryChecks()
 	world.loop()
@@ -68,7 +68,7 @@
 // expectAcknowledged issues an order that must be acknowledged within
 // failOpenAcknowledge.
 func (w *simulation) expectAcknowledged(order *operatorOrder) {
-	w.issue(order)
+	w.operators.issue(order)
 	w.checkAcknowledged(order, failOpenAcknowledge)
 }
 
@@ -104,8 +104,8 @@
 		playAll(func(world *simulation) {
 			world.startAll()
 			world.at(7*second, func() {
-				order := world.addKey(0)
-				world.issue(order)
+				order := world.operators.addKey(0)
+				world.operators.issue(order)
 				world.whenAcknowledged(order, func() {
 					for _, one := range world.nodes {
 						world.restartAfter(one, world.upTo(second))
@@ -188,7 +188,7 @@
 				added.start()
 				world.after(world.upTo(2*second), func() { world.removeMachine(added) })
 			})
-			world.at(13*second, func() { world.expectAcknowledged(world.addKey(0)) })
+			world.at(13*second, func() { world.expectAcknowledged(world.operators.addKey(0)) })
 		})
 	})
 })
@@ -203,11 +203,11 @@
 				world.network.changeBlocked([]*node{cut}, world.nodes, 1)
 				world.network.changeBlocked(world.nodes, []*node{cut}, 1)
 				for range 10 {
-					order := world.addKey(0)
+					order := world.operators.addKey(0)
 					order.firstSent = world.now
 					world.operators.orders = append(world.operators.orders, order)
 					orders = append(orders, order)
-					world.submitTo(cut, order)
+					world.operators.submitTo(cut, order)
 				}
 				world.after(failOpenAcknowledge, func() { world.reconnect(cut) })
 			})
@@ -248,8 +248,8 @@
 							}
 							fault(world, victim)
 							world.connectivity.outOfContactAt[victim] = world.now
-							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.addKey(0)) })
-							world.after(6*second, func() { world.expectAcknowledged(world.addKey(0)) })
+							world.after(world.upTo(2*second), func() { world.expectAcknowledged(world.operators.addKey(0)) })
+							world.after(6*second, func() { world.expectAcknowledged(world.operators.addKey(0)) })
 							world.at(20*second, func() {
 								victim.storage.slow = 0
 								victim.storage.disk.SetFull(false)
@@ -277,9 +277,9 @@
 					followers[1].storage.disk.SetFull(true)
 					followers[1].storage.full = true
 					world.at(11*second, func() {
-						order := world.addKey(0)
+						order := world.operators.addKey(0)
 						open = append(open, order)
-						world.issue(order)
+						world.operators.issue(order)
 					})
 					world.at(16*second, func() {
 						Expect(open[0].finished).To(BeFalse(), "a majority of the voters can't write")
@@ -306,8 +306,8 @@
 			})
 			for round := range 5 {
 				world.at(time.Duration(13+round)*second, func() {
-					order := world.addKey(0)
-					world.issueAt(pick(world, world.diskNodes()), order)
+					order := world.operators.addKey(0)
+					world.operators.issueAt(pick(world, world.diskNodes()), order)
 					world.checkAcknowledged(order, promptAcknowledge)
 				})
 			}
@@ -318,7 +318,7 @@
 	It("serves after a restart without a quorum, by what its peers hold", func() {
 		playAll(func(world *simulation) {
 			world.startAll()
-			world.at(7*second, func() { world.issue(world.addKey(0)) })
+			world.at(7*second, func() { world.operators.issue(world.operators.addKey(0)) })
 			world.at(9*second, func() {
 				disks := world.diskNodes()
 				for _, one := range disks[:len(disks)/2+1] {
@@ -367,7 +367,7 @@
 			for round := range 4 {
 				world.at(time.Duration(8+5*round)*second, func() {
 					world.loseRelayParent()
-					world.after(world.upTo(300*time.Millisecond), func() { world.issue(world.addKey(0)) })
+					world.after(world.upTo(300*time.Millisecond), func() { world.operators.issue(world.operators.addKey(0)) })
 				})
 			}
 		})
@@ -379,18 +379,18 @@
 			world.at(7*second, func() {
 				leader := world.leaderOfConfiguration()
 				world.partitionFor([]*node{leader}, world.nodes, true)
-				read := world.readConfiguration()
-				first, other := world.changedDocumentOrder(read), world.changedDocumentOrder(read)
+				read := world.operators.readConfiguration()
+				first, other := world.operators.changedDocumentOrder(read), world.operators.changedDocumentOrder(read)
 				for _, order := range []*operatorOrder{first, other} {
 					order.firstSent = world.now
 					world.operators.orders = append(world.operators.orders, order)
 				}
-				world.submitTo(leader, first)
-				world.after(world.upTo(second), func() { world.submitTo(world.router(), other) })
+				world.operators.submitTo(leader, first)
+				world.after(world.upTo(second), func() { world.operators.submitTo(world.router(), other) })
 				// The answer is lost on its way, so that the order is sent again.
 				world.after(12*second, func() {
-					world.submitTo(world.router(), first)
-					world.submitTo(world.diskNodes()[0], other)
+					world.operators.submitTo(world.router(), first)
+					world.operators.submitTo(world.diskNodes()[0], other)
 				})
 			})
 		})
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -220,7 +220,7 @@
 // freezeLeader stops a leader in the middle of its work.
 func (w *simulation) freezeLeader() {
 	if leader := w.anyLeader(); leader != nil {
-		w.issue(w.nameWeights(0, pick(w, poolNames)))
+		w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
 		w.after(w.upTo(2*time.Second), func() {
 			leader.freeze(w.faultDuration(3*time.Second, 9*time.Second))
 		})
@@ -231,7 +231,7 @@
 // the sending of the command.
 func (w *simulation) freezeAtCommand() {
 	w.freezeNextCommand = true
-	w.issue(w.nameWeights(0, pick(w, poolNames)))
+	w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
 }
 
 // anyLeader returns a node that leads a shard, or nil.
@@ -305,7 +305,7 @@
 func (w *simulation) configStorm() {
 	const orders = 25
 	for range orders {
-		w.after(w.upTo(time.Second), func() { w.issue(w.randomOrder(0)) })
+		w.after(w.upTo(time.Second), func() { w.operators.issue(w.operators.randomOrder(0)) })
 	}
 }
 
@@ -314,6 +314,6 @@
 	const namings = 4
 	pool := pick(w, poolNames)
 	for range namings {
-		w.after(w.upTo(6*time.Second), func() { w.issue(w.nameWeights(0, pool)) })
+		w.after(w.upTo(6*time.Second), func() { w.operators.issue(w.operators.nameWeights(0, pool)) })
 	}
 }
--- a/internal/lab/sim/majority_loss.go
+++ b/internal/lab/sim/majority_loss.go
@@ -47,8 +47,8 @@
 	w.network.changeBlocked([]*node{late}, w.nodes, 1)
 	w.network.changeBlocked(w.nodes, []*node{late}, 1)
 	w.after(1500*time.Millisecond, func() {
-		order := w.addKey(0)
-		w.issue(order)
+		order := w.operators.addKey(0)
+		w.operators.issue(order)
 		w.whenAcknowledged(order, func() {
 			w.loseDisksOf(positions[1:])
 			w.reconnect(late)
--- a/internal/lab/sim/majority_loss_test.go
+++ b/internal/lab/sim/majority_loss_test.go
@@ -52,16 +52,16 @@
 				var before, after, resent *operatorOrder
 				world := play(threeDisks(10*seed), func(world *simulation) {
 					world.at(6*second, func() {
-						before = world.addKey(0)
-						world.issue(before)
+						before = world.operators.addKey(0)
+						world.operators.issue(before)
 					})
 					world.at(lossAt, func() { world.loseDisksAt(positions...) })
 					world.at(backAt-2*second, func() {
 						Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
-						after = world.addKey(0)
-						world.issue(after)
+						after = world.operators.addKey(0)
+						world.operators.issue(after)
 						resent = &operatorOrder{content: before.content, change: before.change, firstSent: world.now}
-						world.submitTo(world.router(), resent)
+						world.operators.submitTo(world.router(), resent)
 					})
 				})
 				Expect(acknowledged(before) && acknowledged(after) && acknowledged(resent)).To(BeTrue(), "seed %d", seed)
@@ -88,8 +88,8 @@
 					checked = true
 				}
 				world.at(7500*time.Millisecond, func() {
-					missed := world.addKey(0)
-					world.issueAt(world.router(), missed)
+					missed := world.operators.addKey(0)
+					world.operators.issueAt(world.router(), missed)
 					world.whenAcknowledged(missed, func() {
 						Expect(late.view.Revision).To(BeNumerically("<", missed.answer.GetRevision()))
 						world.loseDisksAt(0, 1)
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -31,15 +31,16 @@
 // failOpenAttemptTimeout is how long operators wait for a node that may be cut off.
 const failOpenAttemptTimeout = time.Second
 
-func (w *simulation) attemptTimeout() time.Duration {
-	if w.settings.FailOpen {
+func (o *operators) attemptTimeout() time.Duration {
+	if o.world.settings.FailOpen {
 		return failOpenAttemptTimeout
 	}
-	return pick(w, attemptTimeouts)
+	return pick(o.world, attemptTimeouts)
 }
 
 // operators keep all orders of a run.
 type operators struct {
+	world  *simulation
 	orders []*operatorOrder
 	// nameCount counts what needs a name of its own.
 	nameCount int
@@ -85,69 +86,69 @@
 }
 
 // issue begins an order: it is submitted until its answer is final.
-func (w *simulation) issue(order *operatorOrder) {
-	order.firstSent = w.now
-	w.operators.orders = append(w.operators.orders, order)
-	w.counts.Orders++
-	w.submit(order)
-	w.awaitAcknowledgement(order)
+func (o *operators) issue(order *operatorOrder) {
+	order.firstSent = o.world.now
+	o.orders = append(o.orders, order)
+	o.world.counts.Orders++
+	o.submit(order)
+	o.world.awaitAcknowledgement(order)
 }
 
 // submit sends an order to a random node. An operator whose connection is
 // refused tries again soon.
-func (w *simulation) submit(order *operatorOrder) {
+func (o *operators) submit(order *operatorOrder) {
 	if order.finished {
 		return
 	}
-	target := pick(w, w.receivers(order))
+	target := pick(o.world, o.receivers(order))
 	if !target.up {
-		w.after(w.upTo(2*retryDelay), func() { w.submit(order) })
+		o.world.after(o.world.upTo(2*retryDelay), func() { o.submit(order) })
 		return
 	}
-	w.submitTo(target, order)
+	o.submitTo(target, order)
 }
 
 // receivers are the nodes that an order may go to next. An operator who may have
 // met a node that is cut off goes on to another one.
-func (w *simulation) receivers(order *operatorOrder) []*node {
+func (o *operators) receivers(order *operatorOrder) []*node {
 	last, sentBefore := lo.Last(order.submissions)
-	if !w.settings.FailOpen || !sentBefore {
-		return w.nodes
+	if !o.world.settings.FailOpen || !sentBefore {
+		return o.world.nodes
 	}
-	return lo.Without(w.nodes, last.node)
+	return lo.Without(o.world.nodes, last.node)
 }
 
 // submitTo sends an order to a running node.
-func (w *simulation) submitTo(target *node, order *operatorOrder) {
-	sent := &submission{order: order, node: target, sentAt: w.now}
+func (o *operators) submitTo(target *node, order *operatorOrder) {
+	sent := &submission{order: order, node: target, sentAt: o.world.now}
 	sent.record = checker.Order{
 		OrderID:      order.content.GetOrderId(),
 		Node:         string(target.info.ID),
 		BaseRevision: order.content.GetBaseRevision(),
 		Change:       order.change,
 		Invalid:      order.invalid,
-		Sent:         w.now,
+		Sent:         o.world.now,
 		Outcome:      checker.OutcomeLost,
 	}
 	order.submissions = append(order.submissions, sent)
 	if len(order.submissions) > 1 {
-		w.counts.Resends++
+		o.world.counts.Resends++
 	}
 	target.acceptSubmission(sent)
-	w.after(w.attemptTimeout(), func() {
+	o.world.after(o.attemptTimeout(), func() {
 		if !sent.replied {
-			sent.superseded = w.settings.FailOpen
-			w.submit(order)
+			sent.superseded = o.world.settings.FailOpen
+			o.submit(order)
 		}
 	})
 }
 
 // issueAt begins an order at one node.
-func (w *simulation) issueAt(target *node, order *operatorOrder) {
-	order.firstSent = w.now
-	w.operators.orders = append(w.operators.orders, order)
-	w.counts.Orders++
-	w.submitTo(target, order)
+func (o *operators) issueAt(target *node, order *operatorOrder) {
+	order.firstSent = o.world.now
+	o.orders = append(o.orders, order)
+	o.world.counts.Orders++
+	o.submitTo(target, order)
 }
 
 // acceptSubmission gives a submission to the node's control machine.
@@ -155,7 +156,7 @@
 	n.nextTicket++
 	ticket := n.nextTicket
 	n.tickets[ticket] = sent
-	content := n.world.submitted(sent)
+	content := n.world.operators.submitted(sent)
 	sent.sentID = content.GetOrderId()
 	n.logf("< %s", content.GetOrderId())
 	n.post(n.process, func(now time.Duration) control.Output {
@@ -164,15 +165,15 @@
 }
 
 // submitted is the order as it reaches the control machine.
-func (w *simulation) submitted(sent *submission) *controlpb.Order {
+func (o *operators) submitted(sent *submission) *controlpb.Order {
 	content := proto.Clone(sent.order.content).(*controlpb.Order)
-	if w.broken(BreakNoOrderDedup) {
+	if o.world.broken(BreakNoOrderDedup) {
 		content.OrderId = fmt.Sprintf("%s-%d", content.GetOrderId(), len(sent.order.submissions))
 	}
-	if w.broken(BreakNoCompareAndSet) && content.GetApply() == nil {
+	if o.world.broken(BreakNoCompareAndSet) && content.GetApply() == nil {
 		content.BaseRevision = 0
 	}
-	if source := content.GetApplyDocument().GetSource(); w.broken(BreakNoCompareAndSet) && source != nil {
+	if source := content.GetApplyDocument().GetSource(); o.world.broken(BreakNoCompareAndSet) && source != nil {
 		source.BaseVersion = sent.node.machine.Configuration().GetSource().GetVersion()
 	}
 	return content
@@ -200,7 +201,7 @@
 		sent.record.Outcome = checker.OutcomeUnavailable
 	}
 	n.logf("> %s %s r%d", sent.record.OrderID, sent.record.Outcome, sent.record.Revision)
-	n.world.handleReply(sent, reply.Answer)
+	n.world.operators.handleReply(sent, reply.Answer)
 }
 
 // mayBeAppliedLater tells whether a refusal is no last word: an earlier copy is
@@ -232,9 +233,9 @@
 }
 
 // replied settles an order, or sends it again.
-func (w *simulation) handleReply(sent *submission, answer *controlpb.Answer) {
+func (o *operators) handleReply(sent *submission, answer *controlpb.Answer) {
 	order := sent.order
-	w.checks.orderReplied(sent, answer)
+	o.world.checks.orderReplied(sent, answer)
 	if order.finished {
 		return
 	}
@@ -244,56 +245,56 @@
 		return
 	}
 	if !final && !order.ambiguous {
-		w.after(w.upTo(2*retryDelay), func() { w.submit(order) })
+		o.world.after(o.world.upTo(2*retryDelay), func() { o.submit(order) })
 		return
 	}
 	order.finished = true
-	order.finishedAt = w.now
+	order.finishedAt = o.world.now
 	order.outcome = outcome
 	order.answer = answer
 	if outcome == checker.OutcomeAcknowledged {
-		w.counts.OrdersAcked++
+		o.world.counts.OrdersAcked++
 	} else {
-		w.counts.OrdersRefused++
+		o.world.counts.OrdersRefused++
 	}
 }
 
 // scheduleOperators plans the orders of the run up to the calm.
-func (w *simulation) scheduleOperators() {
-	w.at(firstOrderAt, func() { w.issue(w.applyFirst()) })
+func (o *operators) schedule() {
+	o.world.at(firstOrderAt, func() { o.issue(o.applyFirst()) })
 	instant := formation - time.Second
-	for instant < w.settings.recoveryPhaseStart() {
-		w.at(instant, w.issueRandom)
-		instant += w.planned(2 * orderEvery)
+	for instant < o.world.settings.recoveryPhaseStart() {
+		o.world.at(instant, o.issueRandom)
+		instant += o.world.planned(2 * orderEvery)
 	}
 }
 
 // issueRandom places one order, or several that race on one base.
-func (w *simulation) issueRandom() {
+func (o *operators) issueRandom() {
 	const raceProbability = 0.25
-	if w.chance(raceProbability) {
-		w.issueRace()
+	if o.world.chance(raceProbability) {
+		o.issueRace()
 		return
 	}
-	w.issue(w.randomOrder(0))
+	o.issue(o.randomOrder(0))
 }
 
 // issueRace places orders on the same base at different nodes.
-func (w *simulation) issueRace() {
-	base := w.readRevision()
-	if w.settings.FailOpen && w.chance(0.5) {
-		w.raceDocuments()
+func (o *operators) issueRace() {
+	base := o.readRevision()
+	if o.world.settings.FailOpen && o.world.chance(0.5) {
+		o.raceDocuments()
 		return
 	}
 	for range ordersPerRace {
-		w.after(w.upTo(20*time.Millisecond), func() { w.issue(w.randomChange(base)) })
+		o.world.after(o.world.upTo(20*time.Millisecond), func() { o.issue(o.randomChange(base)) })
 	}
 }
 
 // readRevision is the revision that an operator reads at some node, which may
 // be out of date.
-func (w *simulation) readRevision() uint64 {
-	reader := pick(w, w.nodes)
+func (o *operators) readRevision() uint64 {
+	reader := pick(o.world, o.world.nodes)
 	if reader.view == nil {
 		return 0
 	}
--- a/internal/lab/sim/orders.go
+++ b/internal/lab/sim/orders.go
@@ -12,9 +12,9 @@
 )
 
 // newOrderHeader gives an order a new identity.
-func (w *simulation) newOrderHeader(base uint64) *ridgeswitchv1.OrderHeader {
-	w.operators.nameCount++
-	return &ridgeswitchv1.OrderHeader{OrderId: fmt.Sprintf("o%d", w.operators.nameCount), BaseRevision: base}
+func (o *operators) newOrderHeader(base uint64) *ridgeswitchv1.OrderHeader {
+	o.nameCount++
+	return &ridgeswitchv1.OrderHeader{OrderId: fmt.Sprintf("o%d", o.nameCount), BaseRevision: base}
 }
 
 // newOrder completes an order. The requests of the simulator are well formed, so
@@ -27,92 +27,92 @@
 }
 
 // applyFirst is the order that forms the first configuration.
-func (w *simulation) applyFirst() *operatorOrder {
-	if w.settings.FailOpen {
-		return w.documentOrder(w.firstConfiguration(), 0)
+func (o *operators) applyFirst() *operatorOrder {
+	if o.world.settings.FailOpen {
+		return o.documentOrder(o.world.firstConfiguration(), 0)
 	}
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
-		Order:         w.newOrderHeader(0),
-		Configuration: w.firstConfiguration(),
+		Order:         o.newOrderHeader(0),
+		Configuration: o.world.firstConfiguration(),
 	})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
 }
 
 // randomOrder is an order of any kind; base 0 lets it choose its own.
-func (w *simulation) randomOrder(base uint64) *operatorOrder {
-	switch w.random.IntN(10) {
+func (o *operators) randomOrder(base uint64) *operatorOrder {
+	switch o.world.random.IntN(10) {
 	case 0:
-		return w.evacuate(base, zoneName(w.random.IntN(3)))
+		return o.evacuate(base, zoneName(o.world.random.IntN(3)))
 	case 1:
-		return w.restore(zoneName(w.random.IntN(3)))
+		return o.restore(zoneName(o.world.random.IntN(3)))
 	case 2:
-		return w.setWall()
+		return o.setWall()
 	case 3:
-		return w.applyChanged()
+		return o.applyChanged()
 	case 4:
-		return w.invalidOrder()
+		return o.invalidOrder()
 	default:
-		return w.randomChange(base)
+		return o.randomChange(base)
 	}
 }
 
 // randomChange is an order that certainly changes something when it is taken.
-func (w *simulation) randomChange(base uint64) *operatorOrder {
-	switch w.random.IntN(4) {
+func (o *operators) randomChange(base uint64) *operatorOrder {
+	switch o.world.random.IntN(4) {
 	case 0:
-		return w.addKey(base)
+		return o.addKey(base)
 	case 1:
-		return w.nameWeights(base, pick(w, poolNames))
+		return o.nameWeights(base, pick(o.world, poolNames))
 	case 2:
-		return w.evacuate(base, zoneName(w.random.IntN(2)))
+		return o.evacuate(base, zoneName(o.world.random.IntN(2)))
 	default:
-		return w.revokeKey(base)
+		return o.revokeKey(base)
 	}
 }
 
-func (w *simulation) addKey(base uint64) *operatorOrder {
-	tenant := pick(w, w.keys).tenant
-	key := w.newKey(tenant)
-	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.AddKeyRequest{Order: w.newOrderHeader(base), Tenant: tenant, Key: key})
+func (o *operators) addKey(base uint64) *operatorOrder {
+	tenant := pick(o.world, o.world.keys).tenant
+	key := o.world.newKey(tenant)
+	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.AddKeyRequest{Order: o.newOrderHeader(base), Tenant: tenant, Key: key})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeAddKey, Tenant: tenant, Key: key.GetName()})
 }
 
 // revokeKey revokes a key that may be revoked already, or not in force yet.
-func (w *simulation) revokeKey(base uint64) *operatorOrder {
-	key := pick(w, w.keys)
-	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RevokeKeyRequest{Order: w.newOrderHeader(base), Tenant: key.tenant, Key: key.name})
+func (o *operators) revokeKey(base uint64) *operatorOrder {
+	key := pick(o.world, o.world.keys)
+	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RevokeKeyRequest{Order: o.newOrderHeader(base), Tenant: key.tenant, Key: key.name})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeRevoke, Tenant: key.tenant, Key: key.name})
 }
 
 // nameWeights names a version that no order named before.
-func (w *simulation) nameWeights(base uint64, pool string) *operatorOrder {
-	header := w.newOrderHeader(base)
+func (o *operators) nameWeights(base uint64, pool string) *operatorOrder {
+	header := o.newOrderHeader(base)
 	version := "w" + header.GetOrderId()
-	if w.settings.FinishFirst {
-		version = fmt.Sprint(1 + w.operators.nameCount)
+	if o.world.settings.FinishFirst {
+		version = fmt.Sprint(1 + o.nameCount)
 	}
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.NameWeightsRequest{Order: header, Pool: pool, WeightVersion: version})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeWeights, Pool: pool, WeightVersion: version})
 }
 
 // evacuate gives a reason of its own, so that each order changes something.
-func (w *simulation) evacuate(base uint64, zone string) *operatorOrder {
-	header := w.newOrderHeader(base)
+func (o *operators) evacuate(base uint64, zone string) *operatorOrder {
+	header := o.newOrderHeader(base)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.EvacuateZoneRequest{Order: header, Zone: zone, Reason: header.GetOrderId()})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeEvacuate, Zone: zone})
 }
 
-func (w *simulation) restore(zone string) *operatorOrder {
-	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RestoreZoneRequest{Order: w.newOrderHeader(0), Zone: zone})
+func (o *operators) restore(zone string) *operatorOrder {
+	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RestoreZoneRequest{Order: o.newOrderHeader(0), Zone: zone})
 	order := newOrder(content, err, checker.Change{Kind: checker.ChangeRestore, Zone: zone})
 	order.mayBeNoOp = true
 	return order
 }
 
-func (w *simulation) setWall() *operatorOrder {
-	tenant := pick(w, w.keys).tenant
-	walled := w.chance(0.5)
-	content, err := dynamic.WallOrder(&ridgeswitchv1.SetTenantWallRequest{Order: w.newOrderHeader(0), Tenant: tenant}, walled)
+func (o *operators) setWall() *operatorOrder {
+	tenant := pick(o.world, o.world.keys).tenant
+	walled := o.world.chance(0.5)
+	content, err := dynamic.WallOrder(&ridgeswitchv1.SetTenantWallRequest{Order: o.newOrderHeader(0), Tenant: tenant}, walled)
 	order := newOrder(content, err, checker.Change{Kind: checker.ChangeUnwall, Tenant: tenant})
 	if walled {
 		order.change.Kind = checker.ChangeWall
@@ -122,8 +122,8 @@
 }
 
 // readConfiguration is a copy of what an operator reads at some node.
-func (w *simulation) readConfiguration() *ridgeswitchv1.Configuration {
-	reader := pick(w, w.nodes)
+func (o *operators) readConfiguration() *ridgeswitchv1.Configuration {
+	reader := pick(o.world, o.world.nodes)
 	if reader.view == nil {
 		return &ridgeswitchv1.Configuration{}
 	}
@@ -131,12 +131,12 @@
 }
 
 // applyChanged reads the configuration, changes it and applies it whole.
-func (w *simulation) applyChanged() *operatorOrder {
-	configuration := w.readConfiguration()
-	if w.settings.FailOpen {
-		return w.changedDocumentOrder(configuration)
+func (o *operators) applyChanged() *operatorOrder {
+	configuration := o.readConfiguration()
+	if o.world.settings.FailOpen {
+		return o.changedDocumentOrder(configuration)
 	}
-	header := w.newOrderHeader(configuration.GetRevision())
+	header := o.newOrderHeader(configuration.GetRevision())
 	configuration.Routes = append(configuration.Routes, &ridgeswitchv1.Route{
 		Host:        header.GetOrderId() + ".example",
 		Destination: &ridgeswitchv1.Route_WebService{WebService: webService},
@@ -150,10 +150,10 @@
 
 // invalidOrder is a whole configuration with a route to nowhere, which got past
 // the checks of the node that took it.
-func (w *simulation) invalidOrder() *operatorOrder {
-	order := w.applyChanged()
+func (o *operators) invalidOrder() *operatorOrder {
+	order := o.applyChanged()
 	apply := order.content.GetApply()
-	if w.settings.FailOpen {
+	if o.world.settings.FailOpen {
 		apply = order.content.GetApplyDocument().GetConfiguration()
 	}
 	apply.Routes = append(apply.Routes, &ridgeswitchv1.Route{
--- a/internal/lab/sim/reads.go
+++ b/internal/lab/sim/reads.go
@@ -65,7 +65,7 @@
 	if !reader.up {
 		return &readResult{}
 	}
-	minimum := w.newestDocument().GetVersion()
+	minimum := w.operators.newestDocument().GetVersion()
 	return w.read(reader, reader.machine.ReadSource, func(read *readResult) {
 		if read.version < minimum {
 			w.violate("read_never_older", "%s shows version %d although %d was acknowledged before", reader.info.ID, read.version, minimum)
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -54,8 +54,8 @@
 		// The others may have to elect another leader first.
 		world.after(4*second, func() {
 			other := pick(world, lo.Without(world.diskNodes(), cut))
-			document := world.changedDocumentOrder(other.view.Configuration)
-			world.issueAt(other, document)
+			document := world.operators.changedDocumentOrder(other.view.Configuration)
+			world.operators.issueAt(other, document)
 			world.checkAcknowledged(document, failOpenAcknowledge)
 			world.after(failOpenAcknowledge, func() { world.expectNoRead(cut) })
 		})
@@ -114,7 +114,7 @@
 				for _, one := range world.nodes {
 					world.expectRead(one, readBackBound)
 				}
-				world.expectAcknowledged(world.addKey(0))
+				world.expectAcknowledged(world.operators.addKey(0))
 			})
 		})
 	})
@@ -147,7 +147,7 @@
 					})
 				})
 			})
-			world.at(20*second, func() { world.expectAcknowledged(world.addKey(0)) })
+			world.at(20*second, func() { world.expectAcknowledged(world.operators.addKey(0)) })
 		})
 	})
 
--- a/internal/lab/sim/recovery_checks.go
+++ b/internal/lab/sim/recovery_checks.go
@@ -20,7 +20,7 @@
 	back := w.settings.recoveryPhaseStart() + ServiceBackBound
 	w.at(back, w.checkServiceBack)
 	for number := range verificationOrders {
-		w.at(back+time.Duration(number)*verificationEvery, func() { w.verifyOrder(w.addKey(0)) })
+		w.at(back+time.Duration(number)*verificationEvery, func() { w.verifyOrder(w.operators.addKey(0)) })
 	}
 	if w.settings.FailOpen {
 		w.at(back+verificationOrders*verificationEvery+AcknowledgeBound, w.checkDocument)
@@ -117,7 +117,7 @@
 // verifyOrder places an order that must be acknowledged within the bound, and be in
 // force everywhere within the next.
 func (w *simulation) verifyOrder(order *operatorOrder) {
-	w.issue(order)
+	w.operators.issue(order)
 	w.after(AcknowledgeBound, func() {
 		if !order.finished || order.outcome != checker.OutcomeAcknowledged {
 			w.violate("acknowledged_in_calm", "order %s has no acknowledgement after %v", order.content.GetOrderId(), AcknowledgeBound)
@@ -138,7 +138,7 @@
 // verifyWeights names new weights, which must run on every replica within the
 // bound.
 func (w *simulation) verifyWeights(pool string) {
-	order := w.nameWeights(0, pool)
+	order := w.operators.nameWeights(0, pool)
 	w.verifyOrder(order)
 	w.after(AcknowledgeBound, func() {
 		if order.finished {
--- a/internal/lab/sim/scenario_test.go
+++ b/internal/lab/sim/scenario_test.go
@@ -15,7 +15,7 @@
 	world := newSimulation(Settings{Seed: seed, Virtual: DefaultVirtual})
 	world.build()
 	world.scheduleStart()
-	world.at(firstOrderAt, func() { world.issue(world.applyFirst()) })
+	world.at(firstOrderAt, func() { world.operators.issue(world.operators.applyFirst()) })
 	script(world)
 	world.scheduleRecoveryChecks()
 	world.loop()
@@ -65,11 +65,11 @@
 	It("does not go back to replaced weights by a late command of the same leader", func() {
 		var late control.Command
 		world := play(2, func(world *simulation) {
-			world.at(5*second, func() { world.issue(world.nameWeights(0, poolNames[0])) })
+			world.at(5*second, func() { world.operators.issue(world.operators.nameWeights(0, poolNames[0])) })
 			world.at(15*second, func() {
 				first := world.checks.commands[0]
 				late = control.Command{Address: first.Replica, Token: first.Epoch, WeightVersion: first.WeightVersion}
-				world.issue(world.nameWeights(0, poolNames[0]))
+				world.operators.issue(world.operators.nameWeights(0, poolNames[0]))
 			})
 			world.at(28*second, func() {
 				target := world.replicas[late.Address]
@@ -84,7 +84,7 @@
 	It("takes a replica back that came back twice with weights that nobody ordered", func() {
 		for seed := uint64(1); seed <= 6; seed++ {
 			world := play(seed, func(world *simulation) {
-				world.at(5*second, func() { world.issue(world.nameWeights(0, poolNames[0])) })
+				world.at(5*second, func() { world.operators.issue(world.operators.nameWeights(0, poolNames[0])) })
 				world.at(15*second, func() {
 					target := world.platform.entries()[0].replica
 					Expect(target.version).NotTo(Equal(firstWeights))
@@ -112,7 +112,7 @@
 				// soon as its fence ends this one.
 				world.at(6*second, func() { world.partitionFor(world.nodes, []*node{world.router()}, false) })
 				for _, pool := range poolNames {
-					world.at(6*second+10*time.Millisecond, func() { world.issue(world.nameWeights(0, pool)) })
+					world.at(6*second+10*time.Millisecond, func() { world.operators.issue(world.operators.nameWeights(0, pool)) })
 				}
 			})
 			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
@@ -123,12 +123,12 @@
 		world := play(3, func(world *simulation) {
 			taker, silent := world.router(), world.nodes[len(world.nodes)-2]
 			world.at(6*second, func() { silent.freeze(5 * second) })
-			world.at(6100*time.Millisecond, func() { world.issueAt(taker, world.addKey(0)) })
+			world.at(6100*time.Millisecond, func() { world.operators.issueAt(taker, world.operators.addKey(0)) })
 			world.at(6200*time.Millisecond, func() { world.restartAfter(taker, 10*time.Millisecond) })
 			world.at(6500*time.Millisecond, func() {
 				// One of them has the number that the first order had in its life.
 				for range 16 {
-					world.issueAt(taker, world.addKey(0))
+					world.operators.issueAt(taker, world.operators.addKey(0))
 				}
 			})
 		})
@@ -154,13 +154,13 @@
 			world := newSimulation(Settings{Seed: 3, Virtual: DefaultVirtual, FinishFirst: true})
 			world.build()
 			world.scheduleStart()
-			world.at(firstOrderAt, func() { world.issue(world.applyFirst()) })
+			world.at(firstOrderAt, func() { world.operators.issue(world.operators.applyFirst()) })
 			world.at(20*second, func() {
 				for number := range 3 {
-					world.issue(world.evacuate(0, zoneName(number+1)))
+					world.operators.issue(world.operators.evacuate(0, zoneName(number+1)))
 				}
 			})
-			world.at(namedAt, func() { world.issue(world.nameWeights(0, poolNames[0])) })
+			world.at(namedAt, func() { world.operators.issue(world.operators.nameWeights(0, poolNames[0])) })
 			// The calm names other weights while the last replica is out.
 			world.scheduleRecoveryChecks()
 			world.loop()
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -36,7 +36,7 @@
 	replicas      map[string]*replica
 	platform      *platform
 	keys          []tenantKey
-	operators     operators
+	operators     *operators
 	// delayedCommandFaults counts the active faults that hold commands back.
 	delayedCommandFaults int
 	// majorityLost tells that the disks of a majority are gone, and that the
@@ -101,7 +101,7 @@
 	world.scheduleStart()
 	world.scheduleFaults()
 	world.connectivity.schedule()
-	world.scheduleOperators()
+	world.operators.schedule()
 	world.scheduleReads()
 	world.scheduleRecoveryChecks()
 	world.loop()
@@ -123,6 +123,7 @@
 	}
 	world.platform = newPlatform(world)
 	world.checks = newChecks(world)
+	world.operators = &operators{world: world}
 	world.connectivity = newConnectivity(world)
 	if settings.Timeline {
 		world.timeline = &timeline{}
