--- a/internal/lab/sim/backend_faults.go
+++ b/internal/lab/sim/backend_faults.go
@@ -4,14 +4,15 @@
 	"time"
 )
 
-// delayCommands holds some commands back on their way to replicas.
+// delayCommands delays some commands on their way to replicas.
 func (w *simulation) delayCommands() {
 	w.delayedCommandFaults++
 	w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
 	w.after(w.faultDuration(3*time.Second, 8*time.Second), func() { w.delayedCommandFaults-- })
 }
 
-// crashReplica stops a replica, which comes back with its weights or others.
+// crashReplica stops a replica, which comes back with its weights or with older
+// ones.
 func (w *simulation) crashReplica() {
 	victim := pick(w, w.platform.entries()).replica
 	if !victim.up {
@@ -40,7 +41,7 @@
 	})
 }
 
-// lagPlatform holds the platform's list back.
+// lagPlatform delays the platform's endpoint list.
 func (w *simulation) lagPlatform() {
 	if w.platform.lagging {
 		return
--- a/internal/lab/sim/breaks.go
+++ b/internal/lab/sim/breaks.go
@@ -11,24 +11,24 @@
 // notice its absence.
 type Break string
 
-// The mechanisms that can be switched off. All of them are switched off in the
-// surroundings of the product's code, which itself stays as it is.
+// The mechanisms that can be switched off. Each is switched off in what surrounds
+// the product's code; the code itself is unchanged.
 const (
 	// BreakNone leaves everything in place.
 	BreakNone Break = ""
-	// BreakAckBeforeSync tells a node that a write is durable when it begins.
+	// BreakAckBeforeSync reports a write as durable when it begins.
 	BreakAckBeforeSync Break = "ack-before-sync"
 	// BreakAckBeforeConfirm lets nodes confirm revisions that they do not hold.
 	BreakAckBeforeConfirm Break = "ack-before-confirm"
 	// BreakEmptyDiskVotes starts a node with a lost disk as a voter.
 	BreakEmptyDiskVotes Break = "empty-disk-votes"
-	// BreakStaleConfigAfterRestart lets a restarted node admit under the view
-	// of its last life before it has registered.
+	// BreakStaleConfigAfterRestart lets a restarted node admit under the view of
+	// its former process before it has registered.
 	BreakStaleConfigAfterRestart Break = "stale-config-after-restart"
-	// BreakLeaseIgnoresSuspend gives nodes a clock that stands while they are
-	// frozen.
+	// BreakLeaseIgnoresSuspend gives nodes a clock that stands still while they
+	// are suspended.
 	BreakLeaseIgnoresSuspend Break = "lease-ignores-suspend"
-	// BreakNoEpochCheck lets replicas take commands of older epochs.
+	// BreakNoEpochCheck lets replicas accept commands with older tokens.
 	BreakNoEpochCheck Break = "no-epoch-check"
 	// BreakNoOrderDedup gives each submission of an order a new identity.
 	BreakNoOrderDedup Break = "no-order-dedup"
@@ -39,15 +39,15 @@
 	BreakRelayAcceptsOlder Break = "relay-accepts-older"
 	// BreakFenceIgnored lets nodes admit beyond their fence deadline.
 	BreakFenceIgnored Break = "fence-ignored"
-	// BreakDrainIgnoresRunning tells control that no request is running.
+	// BreakDrainIgnoresRunning reports to control that no request is in flight.
 	BreakDrainIgnoresRunning Break = "drain-ignores-running"
 	// BreakCommandAfterDeadline sends commands whose time is over.
 	BreakCommandAfterDeadline Break = "command-after-deadline"
-	// BreakNoWitnessFloor keeps what witnesses hold from the members of a group
-	// that is formed anew.
+	// BreakNoWitnessFloor hides what witnesses know from the members of a group
+	// that is formed again.
 	BreakNoWitnessFloor Break = "no-witness-floor"
-	// BreakReaderNeverReplaced gives the platform's list to the first node that read
-	// it, and to no other.
+	// BreakReaderNeverReplaced gives the endpoint list to the first node that
+	// read it, and to no other.
 	BreakReaderNeverReplaced Break = "reader-never-replaced"
 	// BreakTokenReused gives all commands the same token.
 	BreakTokenReused Break = "token-reused"
@@ -56,7 +56,8 @@
 	BreakNoCommandGap Break = "no-command-gap"
 	// BreakVersionIgnored has replicas run requests that expect other weights.
 	BreakVersionIgnored Break = "version-ignored"
-	// BreakReadsOwnView answers reads of the configuration by what the node holds.
+	// BreakReadsOwnView answers reads of the configuration from the node's own
+	// view.
 	BreakReadsOwnView Break = "reads-own-view"
 	// BreakAppendClaimed has machines that came later claim to hold every entry that
 	// their leader has sent to anybody.
@@ -66,7 +67,7 @@
 	BreakNoProbes Break = "no-probes"
 )
 
-// Breaks lists what can be switched off.
+// Breaks returns all mechanisms that can be switched off.
 func Breaks() []Break {
 	return []Break{
 		BreakAckBeforeSync,
@@ -92,18 +93,19 @@
 	}
 }
 
-// UnknownBreakError tells that no mechanism has the given name.
+// UnknownBreakError reports that no mechanism has the given name.
 type UnknownBreakError struct {
 	Name string
 }
 
-// Error names those that there are.
+// Error names the mechanisms that exist.
 func (e *UnknownBreakError) Error() string {
 	names := lo.Map(Breaks(), func(one Break, _ int) string { return string(one) })
 	return fmt.Sprintf("no mechanism is named %q; use one of %s", e.Name, strings.Join(names, ", "))
 }
 
-// ParseBreak returns the break of that name; "" is BreakNone.
+// ParseBreak returns the break of a name; "" is BreakNone. The error is an
+// *UnknownBreakError.
 func ParseBreak(name string) (Break, error) {
 	if name == "" || lo.Contains(Breaks(), Break(name)) {
 		return Break(name), nil
--- a/internal/lab/sim/campaign.go
+++ b/internal/lab/sim/campaign.go
@@ -16,13 +16,13 @@
 	Break       Break
 	// FailOpen chooses the kind of deployment, see Settings.
 	FailOpen bool
-	// Faults names the kinds of faults to choose from; none stands for all.
+	// Faults names the kinds of faults to draw from; none stands for all.
 	Faults []string
-	// FinishFirst is that of Settings.
+	// FinishFirst chooses the kind of replicas, see Settings.
 	FinishFirst bool
-	// Jobs is the number of seeds that run at once.
+	// Jobs is the number of seeds that run concurrently.
 	Jobs int
-	// StopAfter ends the campaign after that many failing seeds; 0 never does.
+	// StopAfter ends the campaign after that many failing seeds; 0 means never.
 	StopAfter int
 }
 
@@ -45,17 +45,17 @@
 	Failures   []Failure `json:"failures"`
 }
 
-// SeedsError tells that a range of seeds cannot be read.
+// SeedsError reports that a range of seeds cannot be parsed.
 type SeedsError struct {
 	Text string
 }
 
-// Error names the form that is wanted.
+// Error names the expected form.
 func (e *SeedsError) Error() string {
 	return fmt.Sprintf("%q is no range of seeds; write a seed such as 7 or a range such as 1-2000", e.Text)
 }
 
-// ParseSeeds reads a seed or a range of seeds.
+// ParseSeeds parses a seed or a range of seeds. The error is a *SeedsError.
 func ParseSeeds(text string) (first, last uint64, err error) {
 	begin, end, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -72,7 +72,8 @@
 	return first, last, nil
 }
 
-// Run runs the seeds of the campaign.
+// Run simulates the seeds of the campaign on Jobs goroutines, and returns once
+// all of them have ended.
 func (c Campaign) Run() Summary {
 	summary := Summary{
 		FirstSeed: c.First,
@@ -97,7 +98,7 @@
 	return summary
 }
 
-// Settings are those of one seed of the campaign.
+// Settings returns the settings of one seed of the campaign.
 func (c Campaign) Settings(seed uint64) Settings {
 	return Settings{
 		Seed:        seed,
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -14,47 +14,50 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// maxViolations bounds the violations that are kept of one run.
+// maxViolations bounds the violations that are recorded of one run.
 const maxViolations = 20
 
-// Violation is one place in a run where an invariant did not hold.
+// Violation is one instant of a run at which an invariant did not hold.
 type Violation = checker.Violation
 
-// checks watch a run. Those that need the whole run are applied at its end.
+// checks watch a run and own what is needed to judge it. Most invariants are
+// checked at the event that could break them; those that need the complete run
+// are checked in finish.
 type checks struct {
 	world      *simulation
 	violations []Violation
-	// digest covers what happened, so that two runs can be compared.
+	// digest covers the course of the run, so that two runs can be compared.
 	digest *xxhash.Digest
 
-	// acknowledged is the highest revision that an operator knows to be in
-	// force.
+	// acknowledged is the highest revision that an operator knows to be in force.
 	acknowledged uint64
-	// shown is the highest revision that a confirmed read has shown.
+	// shown is the highest revision that a confirmed read has returned.
 	shown uint64
 	// contents are the digests of the configurations by revision.
 	contents map[uint64]uint64
 	// checksums are those of the relayed states.
 	checksums map[relayedKey]uint64
-	// served is the highest revision that each node admitted under.
+	// served is the highest revision that each node has admitted under.
 	served map[*node]uint64
 	// revoked are the keys whose revocation was acknowledged, with its revision.
 	revoked map[string]uint64
-	// servedByProcess is what each process admitted under last, where nodes serve
-	// while cut off.
+	// servedByProcess is what each process last admitted under, in a fail-open
+	// deployment.
 	servedByProcess map[*node]servedRevision
-	// documents are the acknowledged documents by the version that they build on.
+	// documents are the acknowledged documents by the version that they replace.
 	documents map[uint64]string
-	// acceptedCommands are the newest commands that each replica took in its life.
+	// acceptedCommands are the newest commands that each replica has accepted in
+	// its incarnation.
 	acceptedCommands map[*replica]acceptedCommand
 	commands         []checker.Command
-	// arrivedCommands and named belong to replicas that finish their requests first.
+	// arrivedCommands and acknowledgedWeights are used for replicas that finish
+	// their requests first.
 	arrivedCommands     map[*replica]arrivedCommand
 	acknowledgedWeights map[string]acknowledgedWeights
 	orders              []checker.Order
 }
 
-// relayedKey names one revision of one shard.
+// relayedKey identifies one revision of one shard.
 type relayedKey struct {
 	topic    relaytree.Topic
 	revision uint64
@@ -92,13 +95,13 @@
 	}
 }
 
-// trace adds to the digest of the run.
+// trace adds an event to the digest of the run.
 func (c *checks) trace(what string, number uint64) {
 	_, _ = fmt.Fprintf(c.digest, "%d %s %d\n", c.world.now, what, number)
 }
 
-// viewPublished holds that a revision has one content everywhere and for ever,
-// and that no view admits to a zone that its own configuration evacuates.
+// viewPublished checks that a revision has the same content on all nodes at all
+// times, and that no view admits to a zone that its own configuration evacuates.
 func (c *checks) viewPublished(n *node, view *routing.View) {
 	c.trace(string(n.info.ID), view.Revision)
 	c.checkOneContent(n, view)
@@ -129,8 +132,9 @@
 	c.contents[view.Revision] = content
 }
 
-// requestAdmitted holds that no node admits under less than what was acknowledged, or
-// under less than it admitted under before, in this life or an earlier one.
+// requestAdmitted checks that no node admits under a revision older than an
+// acknowledged one, or older than one that it admitted under before, in this
+// process or an earlier one.
 func (c *checks) requestAdmitted(n *node, view *routing.View, key tenantKey) {
 	if c.world.settings.FailOpen {
 		c.admittedFailOpen(n, view.Revision)
@@ -148,7 +152,7 @@
 	c.served[n] = max(c.served[n], view.Revision)
 }
 
-// requestSent holds that a draining replica gets no request after the bound.
+// requestSent checks that a draining replica gets no request after the bound.
 func (c *checks) requestSent(sent *request) {
 	if c.world.settings.FailOpen {
 		// A node that is cut off goes on by the list that it knows.
@@ -160,11 +164,12 @@
 	}
 }
 
-// unorderedWeightsGrace is how long nodes may not know that a replica came back with
-// weights that nobody ordered.
+// unorderedWeightsGrace is how long nodes may be unaware that a replica came back
+// with weights that no command named.
 const unorderedWeightsGrace = 5 * time.Second
 
-// requestArrived holds that a request runs on the weights that it was admitted for.
+// requestArrived checks that a request runs on the weights that it was admitted
+// for.
 func (c *checks) requestArrived(arrived *request) {
 	if c.world.settings.FailOpen {
 		// A node that is cut off goes on by the weights that it knows.
@@ -182,14 +187,15 @@
 		arrived.node.info.ID, arrived.version, target.address, target.version, target.target)
 }
 
-// weightsLoadStarted holds that no request runs while a replica changes its weights.
+// weightsLoadStarted checks that no request runs while a replica changes its
+// weights.
 func (c *checks) weightsLoadStarted(target *replica, command control.Command) {
 	if target.active > 0 && !target.unorderedWeights && !c.world.settings.FailOpen {
 		c.world.violate("weights_under_requests", "%s began to load %s with %d requests running", target.address, command.WeightVersion, target.active)
 	}
 }
 
-// commandSent remembers who believed to hold the right to command.
+// commandSent records which node believed that it holds the command lease.
 func (c *checks) commandSent(n *node, command control.Command) {
 	c.world.counts.Commands++
 	c.commands = append(c.commands, checker.Command{
@@ -201,7 +207,7 @@
 	})
 }
 
-// commandAccepted holds that the epochs that a replica follows never go back.
+// commandAccepted checks that the tokens that a replica accepts never fall.
 func (c *checks) commandAccepted(target *replica, sender *node, command control.Command) {
 	last := c.acceptedCommands[target]
 	if last.incarnation == target.incarnation && command.Token < last.token {
@@ -211,7 +217,8 @@
 	c.acceptedCommands[target] = acceptedCommand{incarnation: target.incarnation, token: command.Token}
 }
 
-// relayed holds that a revision of a shard has one content, whoever sends it.
+// relayed checks that a revision of a shard has one content, whichever node sends
+// it.
 func (c *checks) relayed(message *relaytree.Message) {
 	if message == nil || message.Type != relaytree.MessageUpdate {
 		return
@@ -223,8 +230,8 @@
 	c.checksums[key] = message.Checksum
 }
 
-// orderReplied notes what operators know from now on, and holds that an answer
-// is for the order that it is given to.
+// orderReplied records what operators know from now on, and checks that a reply
+// belongs to the order that it is given to.
 func (c *checks) orderReplied(sent *submission, answer *controlpb.Answer) {
 	record := sent.record
 	if answered := answer.GetOrderId(); answered != "" && answered != sent.sentID {
--- a/internal/lab/sim/connectivity.go
+++ b/internal/lab/sim/connectivity.go
@@ -35,8 +35,8 @@
 	acknowledged []acknowledgement
 }
 
-// acknowledgement is the instant at which an operator learned that a revision is
-// in force.
+// acknowledgement is an acknowledged revision and the instant at which an
+// operator learned of it.
 type acknowledgement struct {
 	at       time.Duration
 	revision uint64
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -12,18 +12,18 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// latestWeights is the calm within which no replica keeps an older version, from
-// the naming and from its start.
+// latestWeights is the time without faults, from the naming and from its start,
+// within which no replica keeps an older version.
 const latestWeights = finishFirstBound * 3 / 2
 
 // stragglers names weights, and has a replica join late, one come back with the old
-// version after the roll-out, and one that does not do what it is told at first.
+// version after the roll-out, and one that ignores its first commands.
 func stragglers(world *simulation, commandsToDrop int) {
 	world.startAll()
 	ofPool := lo.Filter(world.platform.entries(), func(entry *endpoint, _ int) bool { return entry.replica.pool == poolNames[0] })
-	late, returns, deafOne := ofPool[0], ofPool[1].replica, ofPool[2].replica
+	late, returns, ignoring := ofPool[0], ofPool[1].replica, ofPool[2].replica
 	old := late.replica.version
-	deafOne.commandsToDrop = commandsToDrop
+	ignoring.commandsToDrop = commandsToDrop
 	world.at(2*second, func() { world.platform.change(func() { late.removed = true }) })
 	world.at(7*second, func() {
 		named := world.operators.nameWeights(0, poolNames[0])
@@ -151,7 +151,7 @@
 				}
 			})
 		})
-		// Nodes in touch admit by a revision from before it.
+		// Nodes in contact admit by a revision from before it.
 		Expect(names(world)).To(ContainElement(checker.Name("in_force")))
 	})
 })
--- a/internal/lab/sim/core_split.go
+++ b/internal/lab/sim/core_split.go
@@ -9,8 +9,8 @@
 // splitRaces is the number of pairs of changes that race during one split.
 const splitRaces = 3
 
-// splitCore cuts the nodes with disks in two halves, while all other nodes and the
-// operators reach both, and has operators race across the cut.
+// splitCore partitions the core into two halves, while all other nodes and the
+// operators reach both, and has operators race across the partition.
 func (w *simulation) splitCore() {
 	disks := w.diskNodes()
 	w.random.Shuffle(len(disks), func(i, j int) { disks[i], disks[j] = disks[j], disks[i] })
@@ -21,8 +21,8 @@
 	}
 }
 
-// raceAcross places two changes on the same base, one on each side of a cut, and
-// reads on both sides.
+// raceAcross issues two changes on the same base, one on each side of a
+// partition, and reads on both sides.
 func (w *simulation) raceAcross(sides ...[]*node) {
 	if w.inRecoveryPhase() {
 		return
--- a/internal/lab/sim/deployment.go
+++ b/internal/lab/sim/deployment.go
@@ -33,7 +33,7 @@
 // service of the same name.
 var poolNames = []string{"chat", "code"}
 
-// build makes nodes, replicas and the platform's list.
+// build makes the nodes, the replicas and the endpoint list.
 func (w *simulation) build() {
 	disks := 3
 	if w.plan.IntN(3) == 0 {
@@ -93,7 +93,7 @@
 	w.byAddress[one.info.Address] = one
 }
 
-// chooseSeeds names up to three other nodes with disks.
+// chooseSeeds returns the addresses of up to three other core nodes.
 func (w *simulation) chooseSeeds(one *node, random *rand.Rand) []string {
 	if w.settings.FailOpen {
 		return w.seeds
@@ -130,7 +130,7 @@
 	w.platform.services = append(w.platform.services, service)
 }
 
-// firstWeights is the version that all replicas run at first.
+// firstWeights is the weight version that all replicas run at first.
 func (w *simulation) firstWeights() string {
 	if w.settings.FinishFirst {
 		return "1"
@@ -138,7 +138,7 @@
 	return firstWeights
 }
 
-// firstConfiguration is what the first order applies.
+// firstConfiguration is the configuration that the first order applies.
 func (w *simulation) firstConfiguration() *ridgeswitchv1.Configuration {
 	configuration := &ridgeswitchv1.Configuration{
 		WebServices: []*ridgeswitchv1.WebService{{Name: webService, Service: webService, RequestTimeoutMs: 1000}},
@@ -190,7 +190,7 @@
 	return &ridgeswitchv1.Key{Name: name, Sha256: digest}
 }
 
-// planned returns a duration below a bound from the stream of the plan.
+// planned returns a random duration below a bound from the stream of the plan.
 func (w *simulation) planned(bound time.Duration) time.Duration {
 	return time.Duration(w.plan.Int64N(int64(bound)))
 }
--- a/internal/lab/sim/disk_faults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -18,8 +18,9 @@
 	w.after(w.faultDuration(2*time.Second, 6*time.Second), func() { victim.storage.slow = 0 })
 }
 
-// losePowerAfterAck stops all nodes with disks as soon as an operator has an
-// acknowledgement. The disks are a little slow, so that writes are under way.
+// losePowerAfterAck stops all core nodes as soon as an operator has an
+// acknowledgement. The disks are slowed a little, so that writes are pending at
+// that instant.
 func (w *simulation) losePowerAfterAck() {
 	const slow = 80 * time.Millisecond
 	disks := w.diskNodes()
@@ -53,8 +54,8 @@
 	})
 }
 
-// loseDisk replaces a machine: its disk is gone, its clock starts anew, and at
-// times its address is another one.
+// loseDisk replaces a machine: its disk is empty, its clock starts from zero, and
+// its address may change.
 func (w *simulation) loseDisk() {
 	victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return w.canLose(one) })
 	if len(victims) > 0 {
@@ -62,9 +63,10 @@
 	}
 }
 
-// loseDisksAsPowerFails takes away as many disks as the deployment bears, right after
-// an acknowledgement, while all other nodes lose power at the same instant. The nodes
-// whose disks are lost come back at their addresses, at any time among the others.
+// loseDisksAsPowerFails takes as many disks as the deployment tolerates right
+// after an acknowledgement, while all other nodes lose power at the same instant.
+// The nodes whose disks are lost come back at their addresses, at any time among
+// the others.
 func (w *simulation) loseDisksAsPowerFails() {
 	order := w.operators.addKey(0)
 	w.operators.issue(order)
@@ -87,8 +89,8 @@
 	}, func() {})
 }
 
-// tolerableLoss returns nodes whose disks may be lost at one instant, as many as there
-// may be, in no order.
+// tolerableLoss returns, in random order, as many nodes as may lose their disks
+// at one instant.
 func (w *simulation) tolerableLoss() []*node {
 	var victims []*node
 	disks := w.diskNodes()
@@ -100,9 +102,9 @@
 	return victims
 }
 
-// canLose tells whether every shard keeps a majority of its voters without the
-// disks of nodes. A voter whose disk was lost counts until it is replaced, and one
-// that is about to go is as good as lost.
+// canLose reports whether every shard keeps a majority of its voters without the
+// disks of some nodes. A voter whose disk was lost counts until it is replaced,
+// and one that is about to leave counts as lost.
 func (w *simulation) canLose(victims ...*node) bool {
 	for shard := range w.serviceShards + 1 {
 		slots, known := w.memberSlots(shard)
@@ -127,8 +129,8 @@
 	return true
 }
 
-// memberSlots returns the places of a shard as its leader of the newest term knows
-// them.
+// memberSlots returns the member slots of a shard as its leader of the newest
+// term knows them; false if no node leads the shard.
 func (w *simulation) memberSlots(shard uint32) ([]replication.Slot, bool) {
 	var newest []replication.Slot
 	term := uint64(0)
@@ -153,7 +155,7 @@
 }
 
 // loseDiskTwice takes a second disk as soon as the first loss is repaired, that
-// is, as soon as the shards could do without any one disk again.
+// is, as soon as the shards can do without any one disk again.
 func (w *simulation) loseDiskTwice() {
 	const timeout = 12 * time.Second
 	const pollInterval = 20 * time.Millisecond
@@ -174,7 +176,8 @@
 	w.after(pollInterval, poll)
 }
 
-// replaceMachine gives a node another machine, at times at another address.
+// replaceMachine replaces a node's machine, with a probability of one half at
+// another address.
 func (w *simulation) replaceMachine(victim *node) {
 	if w.settings.FailOpen {
 		w.replaceOrWipe(victim)
@@ -196,19 +199,19 @@
 	w.after(w.faultDuration(300*time.Millisecond, 2*time.Second), victim.start)
 }
 
-// newDiskIncarnation names a disk that is found empty.
+// newDiskIncarnation returns the incarnation of a disk that is found empty.
 func (w *simulation) newDiskIncarnation() uint64 { return uint64(wallEpoch + w.now.Milliseconds()) }
 
-// move gives a node another address. Seeds that name the old one are dead.
+// move gives a node another address. Seeds that name the old one are then dead.
 func (w *simulation) move(victim *node) {
 	delete(w.byAddress, victim.info.Address)
 	victim.info.Address = string(victim.info.ID) + ":7101"
 	w.byAddress[victim.info.Address] = victim
 }
 
-// loseDiskAfterAck takes away the disk of one of the two members that hold an
-// order, right after its acknowledgement, while the third member comes back
-// without it and the second is down.
+// loseDiskAfterAck takes the disk of one of the two members that hold an order,
+// right after its acknowledgement, while the third member comes back without the
+// order and the second one is down.
 func (w *simulation) loseDiskAfterAck() {
 	disks := w.diskNodes()
 	victims := lo.Filter(disks, func(one *node, _ int) bool { return w.canLose(one) && one.up })
@@ -243,7 +246,8 @@
 	w.network.changeBlocked(w.nodes, []*node{late}, -1)
 }
 
-// whenAcknowledged waits up to a few seconds for an order's acknowledgement.
+// whenAcknowledged runs then once an order is acknowledged, or otherwise if that
+// does not happen within a few seconds.
 func (w *simulation) whenAcknowledged(order *operatorOrder, then, otherwise func()) {
 	const timeout = 4 * time.Second
 	const pollInterval = 500 * time.Microsecond
--- a/internal/lab/sim/doc.go
+++ b/internal/lab/sim/doc.go
@@ -1,12 +1,24 @@
-// Package sim runs the control state machines of a whole small deployment in
-// virtual time, breaks everything around them, and checks that nothing that
-// must never happen has happened.
+// Package sim runs the control state machines of a small deployment in virtual
+// time, disturbs everything around them, and checks invariants that must hold in
+// every run.
 //
 // The nodes run the daemon's own control.Machine and its durable logs. Network,
-// disks, clocks, replicas, the platform's list, operators and traffic are
-// models. Everything that happens follows from one seed, so that a failing seed
-// can be run again and drawn as a timeline.
+// disks, clocks, replicas, the platform's endpoint list, operators and traffic
+// are models. All randomness follows from one seed, so that a failing seed can be
+// run again and drawn as a timeline, and equal settings give equal counts to the
+// last digit.
 //
-// A run has three spans: the start, in which the deployment forms; the faults;
-// and the calm, in which everything has to come back within its bounds.
+// A run has three phases: the start, in which the deployment forms; the faults;
+// and the recovery phase, in which no fault is active and service has to be back
+// within its bounds.
+//
+// State and its owners: simulation owns the clock, the event queue and the random
+// streams; network the links and the frames in flight; each node its process,
+// clock and storage; each replica its weights and requests; platform the endpoint
+// list; operators the orders; connectivity what an observer knows of
+// disturbances; checks what is needed to judge the run. One goroutine runs all
+// events of a run, and nothing is locked; several runs may run concurrently, as
+// Campaign does.
+//
+// Histories of orders are checked for linearizability with Porcupine.
 package sim
--- a/internal/lab/sim/documents.go
+++ b/internal/lab/sim/documents.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// documentOrder orders a configuration under a version of the operator's, in uneven
-// steps above the one that it builds on.
+// documentOrder applies a configuration as a document under the operator's
+// version, in uneven steps above the version that it replaces.
 func (o *operators) documentOrder(configuration *ridgeswitchv1.Configuration, base uint64) *operatorOrder {
 	configuration.Evacuations = nil
 	o.nameCount++
@@ -26,8 +26,8 @@
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
 }
 
-// changedDocumentOrder changes what an operator has read, and applies it on top of
-// that.
+// changedDocumentOrder changes the document that an operator has read, and
+// applies the result as its successor.
 func (o *operators) changedDocumentOrder(read *ridgeswitchv1.Configuration) *operatorOrder {
 	read = proto.CloneOf(read)
 	if len(read.GetWebServices()) > 0 {
@@ -39,7 +39,7 @@
 	return o.documentOrder(read, read.GetSource().GetVersion())
 }
 
-// raceDocuments lets operators apply documents on top of the same one.
+// raceDocuments lets operators apply successors of the same document.
 func (o *operators) raceDocuments() {
 	read := o.readConfiguration()
 	for range ordersPerRace {
@@ -47,8 +47,8 @@
 	}
 }
 
-// documentAcknowledged holds that of the documents on top of one version, one is
-// acknowledged at most.
+// documentAcknowledged checks that at most one successor of each version is
+// acknowledged.
 func (c *checks) documentAcknowledged(order *operatorOrder) {
 	document := order.content.GetApplyDocument()
 	if document == nil {
@@ -62,7 +62,7 @@
 	c.documents[base] = order.content.GetOrderId()
 }
 
-// newestDocument is the acknowledged document with the highest version.
+// newestDocument returns the acknowledged document with the highest version.
 func (o *operators) newestDocument() *ridgeswitchv1.Source {
 	var newest *ridgeswitchv1.Source
 	for _, order := range o.orders {
@@ -74,8 +74,8 @@
 	return newest
 }
 
-// checkDocument holds that the document in force can be read back at any node, and
-// is the newest acknowledged one, or a later one whose fate nobody told.
+// checkDocument checks that the document in force can be read at any node, and is
+// the newest acknowledged one, or a later one whose outcome is unknown.
 func (w *simulation) checkDocument() {
 	const readBound = time.Second
 	for _, reader := range w.nodes {
--- a/internal/lab/sim/endpoint_faults.go
+++ b/internal/lab/sim/endpoint_faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// endpointFaultKinds are what befalls the reader of the platform's list, and the list.
-// Runs on the product's own protocols choose them only by name.
+// endpointFaultKinds are the faults of the endpoint list and of the node that
+// reads it. Runs on the product's own protocols draw them only by name.
 var endpointFaultKinds = []faultKind{
 	{"reader-crash", 4, (*simulation).crashReader},
 	{"reader-freeze", 4, (*simulation).freezeReader},
@@ -11,10 +11,12 @@
 	{"platform-down", 2, (*simulation).stopPlatform},
 }
 
-// maxReaderFaultDelay is how long before the fault's effect a replica may leave the list.
+// maxReaderFaultDelay bounds the time from a replica's removal to the reader's
+// fault.
 const maxReaderFaultDelay = 500 * time.Millisecond
 
-// reader returns a node that reads the list, or any node if none does.
+// reader returns the node that reads the endpoint list, or a random node if none
+// does.
 func (w *simulation) reader() *node {
 	for _, one := range w.nodes {
 		if one.up && !one.frozen && one.machine.ReadsEndpoints() {
@@ -24,7 +26,7 @@
 	return pick(w, w.nodes)
 }
 
-// crashReader ends the reader about when a replica leaves the list.
+// crashReader stops the reader at about the time when a replica leaves the list.
 func (w *simulation) crashReader() {
 	w.drainOrRemoveReplica()
 	w.after(w.upTo(maxReaderFaultDelay), func() {
@@ -42,7 +44,7 @@
 	w.after(w.upTo(maxReaderFaultDelay), func() { w.partitionFor([]*node{w.reader()}, w.nodes, w.chance(0.5)) })
 }
 
-// stopPlatform has every reading fail for a while.
+// stopPlatform has every read of the list fail for a while.
 func (w *simulation) stopPlatform() {
 	w.platform.down++
 	w.logf(worldColumn, "platform down")
--- a/internal/lab/sim/fail_open.go
+++ b/internal/lab/sim/fail_open.go
@@ -19,19 +19,20 @@
 	failOpenContact = 3 * time.Second
 	// failOpenAcknowledge bounds the wait for an acknowledgement.
 	failOpenAcknowledge = 4 * time.Second
-	// slowHeartbeat and slowTick are those of nodes that save work while idle.
+	// slowHeartbeat and slowTick are the periods of nodes that save work while
+	// they are idle.
 	slowHeartbeat = 250 * time.Millisecond
 	slowTick      = 50 * time.Millisecond
-	// RecoveryBound is how long a deployment may take to serve again after all its
-	// nodes went down at once.
+	// RecoveryBound is how long a deployment may take to serve again after all
+	// its nodes went down at once.
 	RecoveryBound = 12 * time.Second
-	// promotionBound is how long a new machine may take to get a vote.
+	// promotionBound is how long a new machine may take to become a voter.
 	promotionBound = 4 * time.Second
 	// maxReplacements bounds the machines that a run adds.
 	maxReplacements = 12
 )
 
-// enableFailOpen names the node by its address.
+// enableFailOpen identifies the node by its address.
 func (n *node) enableFailOpen() {
 	n.info.ID = member.ID(n.info.Address)
 	if n.world.settings.Seed%2 == 0 {
@@ -39,7 +40,8 @@
 	}
 }
 
-// chooseFounders chooses the seeds, and founds the groups with the nodes there.
+// chooseFounders chooses the seeds, and founds the replica groups with the nodes
+// there.
 func (w *simulation) chooseFounders() {
 	disks := w.diskNodes()
 	for _, one := range disks[:min(maxSeeds, len(disks))] {
@@ -55,7 +57,8 @@
 	}
 }
 
-// applyFailOpen completes what a control machine knows when it starts.
+// applyFailOpen completes the configuration of a control machine in a fail-open
+// deployment.
 func (n *node) applyFailOpen(config *control.Config) {
 	config.Seeded = true
 	config.FailOpen = true
@@ -71,7 +74,7 @@
 	}
 }
 
-// saveAddresses is what a data folder remembers of other nodes with disks.
+// saveAddresses keeps in the data folder where other core nodes listen.
 func (n *node) saveAddresses() {
 	if n.storage == nil || !n.world.settings.FailOpen {
 		return
@@ -81,8 +84,8 @@
 	}
 }
 
-// addMachine adds a new machine with an empty disk, or none if there were many
-// already.
+// addMachine adds a new machine with an empty disk. It returns nil if the run has
+// added maxReplacements already.
 func (w *simulation) addMachine(zone string) *node {
 	if len(w.everyNode) >= len(w.network.blocked) {
 		return nil
@@ -94,13 +97,13 @@
 	return added
 }
 
-// addedDuringRun tells whether a machine was added during the run.
+// addedDuringRun reports whether a machine was added during the run.
 func (w *simulation) addedDuringRun(id member.ID) bool {
 	first := len(w.network.blocked) - maxReplacements
 	return lo.ContainsBy(w.everyNode[first:], func(one *node) bool { return one.info.ID == id })
 }
 
-// removeMachine takes a machine away for good.
+// removeMachine removes a machine for good.
 func (w *simulation) removeMachine(victim *node) {
 	victim.stop()
 	victim.gone = true
@@ -111,11 +114,11 @@
 	w.after(seedLag, w.updateSeeds)
 }
 
-// seedLag is how long the seeds in settings lag behind.
+// seedLag is how long the seeds in the settings lag behind the machines.
 const seedLag = 3 * time.Second
 
-// updateSeeds replaces the seeds that are gone in the settings. Nodes that run
-// read them anew at times.
+// updateSeeds replaces the seeds in the settings whose machines are gone. Some
+// running nodes reload them.
 func (w *simulation) updateSeeds() {
 	disks := lo.Map(w.diskNodes(), func(one *node, _ int) string { return one.info.Address })
 	w.seeds = lo.Intersect(w.seeds, disks)
@@ -137,14 +140,13 @@
 	}
 }
 
-// replaceableMachines are the machines with disks that are to stay, and without which a
-// majority of the voters of every shard stays sound.
+// replaceableMachines returns the core machines that are not about to leave, and
+// without any one of which a majority of the voters of every shard stays healthy.
 func (w *simulation) replaceableMachines() []*node {
 	return lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return !one.leaving && w.canLose(one) })
 }
 
-// replaceOrWipe takes a machine away and adds another one, or takes its disk
-// alone.
+// replaceOrWipe replaces a machine by another one, or takes its disk alone.
 func (w *simulation) replaceOrWipe(victim *node) {
 	if w.chance(0.5) {
 		w.replaceMachineAt(victim, false)
@@ -153,7 +155,7 @@
 	w.exchangeMachine(victim)
 }
 
-// exchangeMachine takes a machine away, and adds another one soon after.
+// exchangeMachine removes a machine, and adds another one soon after.
 func (w *simulation) exchangeMachine(victim *node) {
 	zone := victim.info.Zone
 	if len(w.everyNode) >= len(w.network.blocked) {
@@ -174,15 +176,15 @@
 	}
 }
 
-// replaceTwo loses two machines within the time in which the first one's successor
-// gets its vote, as far as a majority of the voters stays sound.
+// replaceTwo loses two machines within the time in which the first one's
+// successor becomes a voter, as long as a majority of the voters stays healthy.
 func (w *simulation) replaceTwo() {
 	w.replaceUnplanned()
 	w.after(w.upTo(min(promotionBound, w.settings.recoveryPhaseStart()-w.now)), w.replaceUnplanned)
 }
 
-// replacePlanned adds a machine, and takes another one away once the new one has
-// a vote.
+// replacePlanned adds a machine, and removes another one once the new one is a
+// voter.
 func (w *simulation) replacePlanned() {
 	const pollInterval = 50 * time.Millisecond
 	const timeout = 8 * time.Second
@@ -210,7 +212,8 @@
 	w.after(pollInterval, poll)
 }
 
-// shutDownThen stops a node in good order, at times, and then does what follows.
+// shutDownThen shuts a node down, in most runs gracefully, and then runs what
+// follows.
 func (w *simulation) shutDownThen(one *node, then func()) {
 	const leaveGrace = 200 * time.Millisecond
 	one.leaving = true
@@ -222,7 +225,7 @@
 	w.after(leaveGrace, then)
 }
 
-// isVoterEverywhere tells whether a node has a vote in every shard.
+// isVoterEverywhere reports whether a node is a voter in every shard.
 func (w *simulation) isVoterEverywhere(one *node) bool {
 	for shard := range w.serviceShards + 1 {
 		slots, known := w.memberSlots(shard)
@@ -234,8 +237,8 @@
 	return true
 }
 
-// changeSeeds names other nodes with disks as seeds, or addresses where nobody
-// listens.
+// changeSeeds names other core nodes as seeds, in some runs also an address at
+// which no node listens.
 func (w *simulation) changeSeeds() {
 	disks := lo.Map(w.diskNodes(), func(one *node, _ int) string { return one.info.Address })
 	w.random.Shuffle(len(disks), func(i, j int) { disks[i], disks[j] = disks[j], disks[i] })
@@ -246,8 +249,8 @@
 	w.distributeSeeds()
 }
 
-// loseRelayParent stops, freezes or cuts off a node just before an order, so that
-// its children in the relay tree have to get the new state elsewhere.
+// loseRelayParent stops, suspends or isolates a node just before an order, so
+// that its children in the relay tree have to get the new state elsewhere.
 func (w *simulation) loseRelayParent() {
 	victim := pick(w, w.nodes)
 	switch w.random.IntN(3) {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -9,16 +9,16 @@
 	"github.com/samber/lo"
 )
 
-// faultKind is one way to break the surroundings of the nodes. Begin starts the
-// fault, which has to end by itself before the calm.
+// faultKind is one way to disturb what surrounds the control machines. A fault
+// must end by itself before the recovery phase.
 type faultKind struct {
 	name string
-	// weight is how often the kind is chosen, relative to others.
+	// weight is how often the kind is drawn, relative to others.
 	weight int
 	start  func(*simulation)
 }
 
-// faultKinds lists everything that goes wrong.
+// faultKinds are all kinds that are drawn by default.
 var faultKinds = []faultKind{
 	{"crash", 4, (*simulation).crashOne},
 	{"crash-many", 3, (*simulation).crashMany},
@@ -54,15 +54,16 @@
 	{"platform-lag", 2, (*simulation).lagPlatform},
 }
 
-// Bounds of the plan of faults.
+// Bounds of the schedule of faults.
 const (
 	minFaults   = 4
 	faultSpread = 7
-	// faultFreeEnd is the span before the calm in which no fault begins.
+	// faultFreeEnd is the span before the recovery phase in which no fault
+	// begins.
 	faultFreeEnd = time.Second
 )
 
-// scheduleFaults plans the faults of the run.
+// scheduleFaults schedules the faults of the run.
 func (w *simulation) scheduleFaults() {
 	kinds := w.applicableFaultKinds()
 	weights := lo.SumBy(kinds, func(kind faultKind) int { return kind.weight })
@@ -74,7 +75,7 @@
 	w.at(w.settings.recoveryPhaseStart(), w.endFaults)
 }
 
-// applicableFaultKinds are those that the run chooses from.
+// applicableFaultKinds returns the kinds that the run draws from.
 func (w *simulation) applicableFaultKinds() []faultKind {
 	if w.settings.FailOpen {
 		return lo.Filter(selectedFaultKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
@@ -86,7 +87,7 @@
 	})
 }
 
-// selectedFaultKinds are the kinds of the given names, or all.
+// selectedFaultKinds returns the kinds of the given names, or the default ones.
 func selectedFaultKinds(names []string, finishFirst bool) []faultKind {
 	all := faultKinds
 	if finishFirst || len(names) > 0 {
@@ -98,7 +99,8 @@
 	return lo.Filter(all, func(kind faultKind, _ int) bool { return lo.Contains(names, kind.name) })
 }
 
-// weightedKind returns the kind that a share of all weights falls to.
+// weightedKind returns the kind to which a draw from the sum of all weights
+// falls.
 func weightedKind(kinds []faultKind, draw int) faultKind {
 	position := 0
 	for draw >= kinds[position].weight {
@@ -108,22 +110,22 @@
 	return kinds[position]
 }
 
-// FaultNames lists the names of all kinds of faults.
+// FaultNames returns the names of all kinds of faults.
 func FaultNames() []string {
 	return lo.Map(slices.Concat(faultKinds, endpointFaultKinds), func(kind faultKind, _ int) string { return kind.name })
 }
 
-// UnknownFaultError tells that no kind of fault has the given name.
+// UnknownFaultError reports that no kind of fault has the given name.
 type UnknownFaultError struct {
 	Name string
 }
 
-// Error names those that there are.
+// Error names the kinds that exist.
 func (e *UnknownFaultError) Error() string {
 	return fmt.Sprintf("no kind of fault is named %q; use some of %s", e.Name, strings.Join(FaultNames(), ", "))
 }
 
-// CheckFaults returns *UnknownFaultError for the first name that is none.
+// CheckFaults returns an *UnknownFaultError for the first unknown name.
 func CheckFaults(names []string) error {
 	unknown := lo.Without(names, FaultNames()...)
 	if len(unknown) > 0 {
@@ -141,13 +143,14 @@
 	kind.start(w)
 }
 
-// faultDuration returns a random length from shortest on that ends before the calm.
+// faultDuration returns a random duration of at least shortest, cut short so that
+// the fault ends before the recovery phase.
 func (w *simulation) faultDuration(shortest, spread time.Duration) time.Duration {
 	left := max(0, w.settings.recoveryPhaseStart()-w.now)
 	return min(shortest+w.upTo(spread), left)
 }
 
-// endFaults starts what does not run at the beginning of the calm.
+// endFaults restarts what is down at the beginning of the recovery phase.
 func (w *simulation) endFaults() {
 	w.logf(worldColumn, "CALM")
 	w.freezeNextCommand = false
@@ -159,12 +162,12 @@
 	}
 }
 
-// diskNodes are the nodes with disks.
+// diskNodes returns the nodes with disks, which form the core.
 func (w *simulation) diskNodes() []*node {
 	return lo.Filter(w.nodes, func(one *node, _ int) bool { return one.storage != nil })
 }
 
-// restartAfter stops a node and starts it again.
+// restartAfter stops a node and starts it again after a time.
 func (w *simulation) restartAfter(one *node, down time.Duration) {
 	one.stop()
 	w.after(down, one.start)
@@ -174,8 +177,8 @@
 	w.restartAfter(pick(w, w.nodes), w.faultDuration(100*time.Millisecond, 4*time.Second))
 }
 
-// crashMany stops a random part of the nodes at one instant; at times all with
-// disks, as when the power fails.
+// crashMany stops random nodes at one instant, with a probability of one half all
+// core nodes among them, as when the power fails.
 func (w *simulation) crashMany() {
 	victims := w.randomNodes()
 	if w.chance(0.5) {
@@ -186,14 +189,15 @@
 	}
 }
 
-// randomNodes returns a random part of the nodes, at least one.
+// randomNodes returns a random number of nodes, at least one.
 func (w *simulation) randomNodes() []*node {
 	order := w.random.Perm(len(w.nodes))
 	count := 1 + w.random.IntN(len(w.nodes))
 	return lo.Map(order[:count], func(position, _ int) *node { return w.nodes[position] })
 }
 
-// rollingRestart restarts the nodes one after the other in good order.
+// rollingRestart shuts the nodes down gracefully and starts them again, one after
+// the other.
 func (w *simulation) rollingRestart() {
 	const between = 600 * time.Millisecond
 	const leaveGrace = 200 * time.Millisecond
@@ -212,12 +216,12 @@
 	}
 }
 
-// freezeOne stops a process for long, without its end.
+// freezeOne suspends a process for long without ending it.
 func (w *simulation) freezeOne() {
 	pick(w, w.nodes).freeze(w.faultDuration(3*time.Second, 17*time.Second))
 }
 
-// freezeLeader stops a leader in the middle of its work.
+// freezeLeader suspends a leader during a roll-out.
 func (w *simulation) freezeLeader() {
 	if leader := w.anyLeader(); leader != nil {
 		w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
@@ -227,14 +231,14 @@
 	}
 }
 
-// freezeAtCommand freezes a leader between its decision to command a replica and
+// freezeAtCommand suspends a leader between its decision to command a replica and
 // the sending of the command.
 func (w *simulation) freezeAtCommand() {
 	w.freezeNextCommand = true
 	w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
 }
 
-// anyLeader returns a node that leads a shard, or nil.
+// anyLeader returns a node that leads a random shard, or nil.
 func (w *simulation) anyLeader() *node {
 	shard := w.random.IntN(int(w.serviceShards) + 1)
 	for _, one := range w.diskNodes() {
@@ -253,7 +257,7 @@
 	w.restartAfter(victim, w.faultDuration(50*time.Millisecond, time.Second))
 }
 
-// messageStorm loses, doubles and holds back frames.
+// messageStorm loses, duplicates and delays frames.
 func (w *simulation) messageStorm() {
 	active := &storm{
 		loss:      0.3 * w.random.Float64(),
@@ -287,7 +291,8 @@
 	w.partitionFor(victim, w.nodes, w.chance(0.5))
 }
 
-// partitionFor blocks the ways from one side to the other, and back if both.
+// partitionFor blocks the links from one side to the other, and back if both is
+// set, for a random time.
 func (w *simulation) partitionFor(from, to []*node, both bool) {
 	w.network.changeBlocked(from, to, 1)
 	if both {
@@ -301,7 +306,7 @@
 	})
 }
 
-// configStorm places many orders within a second.
+// configStorm issues many orders within a second.
 func (w *simulation) configStorm() {
 	const orders = 25
 	for range orders {
@@ -309,7 +314,7 @@
 	}
 }
 
-// supersedeWeights names weights again and again before they are everywhere.
+// supersedeWeights names weights several times before they run everywhere.
 func (w *simulation) supersedeWeights() {
 	const namings = 4
 	pool := pick(w, poolNames)
--- a/internal/lab/sim/final_checks.go
+++ b/internal/lab/sim/final_checks.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// finish applies the checks that need the whole run.
+// finish checks the invariants that need the complete run.
 func (c *checks) finish() {
 	for _, order := range c.world.operators.orders {
 		c.orders = append(c.orders, lo.Map(order.submissions, func(sent *submission, _ int) checker.Order { return sent.record })...)
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkNothingLost holds that at the end every node has what was acknowledged.
+// checkNothingLost checks that at the end every node has what was acknowledged.
 func (c *checks) checkNothingLost() {
 	for _, one := range c.world.nodes {
 		if one.view != nil && one.view.Revision < c.acknowledged {
--- a/internal/lab/sim/finish_first.go
+++ b/internal/lab/sim/finish_first.go
@@ -17,16 +17,16 @@
 	finishFirstSpread = 800 * time.Millisecond
 	// loadsWithoutSlowing may load at once before each further one slows all.
 	loadsWithoutSlowing = 3
-	// finishFirstBound is the calm time within which no request begins on older
-	// weights than those that were named.
+	// finishFirstBound is the time without faults within which no request begins
+	// on weights older than those that were named.
 	finishFirstBound = 12 * time.Second
-	// commandGapBound is how far apart the commands of two nodes to one replica are
-	// at least.
+	// commandGapBound is the least time between the commands of two nodes to one
+	// replica.
 	commandGapBound = 3 * time.Second
 )
 
-// weightsDeadline is a little less than the bound, as requests that were sent may
-// wait at a replica.
+// weightsDeadline is a little less than the bound, since requests that were sent
+// may wait at a replica.
 func (w *simulation) weightsDeadline() time.Duration {
 	if w.settings.FinishFirst {
 		return finishFirstBound - 1500*time.Millisecond
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// instance names the replica's incarnation.
+// instance returns the platform's name of the replica's incarnation.
 func (r *replica) instance() string {
 	if !r.world.settings.FinishFirst {
 		return ""
@@ -42,8 +42,9 @@
 	return fmt.Sprintf("%s#%d", r.address, r.incarnation)
 }
 
-// handleCommandFinishFirst handles a command of a replica that checks no tokens, refuses a
-// second command while one is under way, and loads once its requests have ended.
+// handleCommandFinishFirst handles a command of a replica that checks no tokens,
+// rejects a second command while one is in progress, and loads once its requests
+// have ended.
 func (r *replica) handleCommandFinishFirst(sender *node, command control.Command) control.CommandOutcome {
 	if command.Instance != r.instance() {
 		return control.CommandWrongInstance
@@ -80,7 +81,7 @@
 	})
 }
 
-// loadTime is longer while many load at once.
+// loadTime is longer while many replicas load concurrently.
 func (r *replica) loadTime() time.Duration {
 	loading := lo.CountBy(r.world.platform.entries(), func(entry *endpoint) bool {
 		return entry.replica.pool == r.pool && entry.replica.loading
@@ -89,8 +90,8 @@
 	return load * time.Duration(max(loading, loadsWithoutSlowing)) / loadsWithoutSlowing
 }
 
-// rejects tells whether the replica does not run a request: it loads weights, or has
-// others than the request expects.
+// rejects reports whether the replica does not run a request: it loads weights,
+// or has others than the request expects.
 func (r *replica) rejects(arrived *request) bool {
 	if !r.world.settings.FinishFirst || r.world.broken(BreakVersionIgnored) {
 		return false
@@ -98,8 +99,9 @@
 	return r.target != "" || r.version != arrived.version
 }
 
-// requestStarted holds that no request begins while weights are being loaded, or on older
-// weights than were named in the calm and acknowledged longer ago than the bound.
+// requestStarted checks that no request begins while weights are being loaded, or
+// on weights older than those that were named in the recovery phase and
+// acknowledged longer ago than the bound.
 func (c *checks) requestStarted(started *request) {
 	if started.replica.loading {
 		c.world.violate("weights_under_requests", "a request of %s began on %s, which loads weights %s",
@@ -116,20 +118,22 @@
 	}
 }
 
-// acknowledgedWeights is a version that was acknowledged in the calm.
+// acknowledgedWeights is a weight version that was acknowledged in the recovery
+// phase.
 type acknowledgedWeights struct {
 	version int
 	at      time.Duration
 }
 
-// weightsAcknowledged notes an acknowledgement in the calm.
+// weightsAcknowledged records an acknowledgement in the recovery phase.
 func (c *checks) weightsAcknowledged(pool, version string, at time.Duration) {
 	if number, err := strconv.Atoi(version); err == nil {
 		c.acknowledgedWeights[pool] = acknowledgedWeights{version: number, at: at}
 	}
 }
 
-// arrivedCommand is the newest command that reached a replica in its present life.
+// arrivedCommand is the newest command that reached a replica in its present
+// incarnation.
 type arrivedCommand struct {
 	incarnation uint64
 	sender      string
@@ -138,12 +142,12 @@
 	at          time.Duration
 }
 
-// commandArrived holds that tokens never fall and belong to one holder each, that two
-// holders keep apart, that the holder is the sender, and that nothing is commanded
-// twice in the calm.
+// commandArrived checks that tokens never fall and belong to one sender each,
+// that two senders keep commandGapBound apart, that the command names its sender,
+// and that nothing is commanded twice in the recovery phase.
 func (c *checks) commandArrived(target *replica, sender *node, command control.Command) {
 	last := c.arrivedCommands[target]
-	// A holder is one machine, whatever name its commands bear.
+	// The sender is the machine, whatever node the command names.
 	current := arrivedCommand{target.incarnation, string(sender.info.ID), command.Token, command.WeightVersion, c.world.now}
 	c.arrivedCommands[target] = current
 	if command.Leader != string(sender.info.ID) {
--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -19,14 +19,14 @@
 	Step: func(state, input, _ any) []any { return input.(*operatorOrder).nextStates(state.(registerState)) },
 }
 
-// registerState is what is in force after some orders.
+// registerState is what is in force after some of the orders.
 type registerState struct {
 	revision uint64
 	// version is that of the document in force; 0 for none.
 	version uint64
 }
 
-// applicable tells whether an order may be taken in a state.
+// applicable reports whether an order may be accepted in a state.
 func (o *operatorOrder) applicable(state registerState) bool {
 	if document := o.content.GetApplyDocument(); document != nil {
 		return document.GetSource().GetBaseVersion() == state.version
@@ -35,7 +35,7 @@
 	return base == state.revision || (base == 0 && o.content.GetApply() == nil)
 }
 
-// applied is the state after an order that changed something.
+// applied returns the state after an order that changed something.
 func (o *operatorOrder) applied(state registerState) registerState {
 	state.revision++
 	switch {
@@ -47,7 +47,8 @@
 	return state
 }
 
-// nextStates returns what may be in force after an order.
+// nextStates returns the states that may follow an order, none if its reply
+// contradicts the state.
 func (o *operatorOrder) nextStates(state registerState) []any {
 	fits := o.applicable(state)
 	answered := o.answer.GetRevision()
@@ -68,14 +69,14 @@
 	return nil
 }
 
-// outcomeKnown tells whether the operator knows what became of the order.
+// outcomeKnown reports whether the operator knows whether the order took effect.
 func (o *operatorOrder) outcomeKnown() bool { return o.finished && !o.ambiguous }
 
-// historyTimeout bounds the search for an order of the history. What takes
-// longer gives no verdict, and is counted.
+// historyTimeout bounds the search for a linearization. A history that takes
+// longer is counted as undecided.
 const historyTimeout = 5 * time.Second
 
-// checkHistory holds that the orders are linearizable.
+// checkHistory checks that the orders are linearizable.
 func (c *checks) checkHistory() {
 	history := lo.Map(c.world.operators.orders, func(order *operatorOrder, client int) porcupine.Operation {
 		operation := porcupine.Operation{
@@ -100,7 +101,7 @@
 	}
 }
 
-// tighten moves the calls of orders forward to where the answers to others show
+// tighten moves the calls of orders forward to where the replies to others show
 // that they cannot have taken effect before: revisions only grow, so that an
 // order follows every order that saw or led to a lower one, and its call may
 // count from their calls on. This changes no verdict; it spares the search most
--- a/internal/lab/sim/majority_loss.go
+++ b/internal/lab/sim/majority_loss.go
@@ -16,9 +16,9 @@
 	"replica-crash", "replica-listing", "platform-lag",
 }
 
-// loseMajority takes away the disks of a majority, or all of them, at one instant
-// when all else is well. At times a member that keeps its disk has missed the
-// last order, so that only witnesses hold it.
+// loseMajority takes the disks of a majority, or all of them, at one instant at
+// which everything else is healthy. In some runs a member that keeps its disk has
+// missed the last order, so that only witnesses hold it.
 func (w *simulation) loseMajority() {
 	const timeout = 8 * time.Second
 	w.whenHealthy(timeout, func() {
@@ -33,13 +33,13 @@
 	})
 }
 
-// lossSize is a number of disks that is a majority at least.
+// lossSize returns a random number of disks that is at least a majority.
 func (w *simulation) lossSize() int {
 	majority := len(w.group)/2 + 1
 	return majority + w.random.IntN(len(w.group)-majority+1)
 }
 
-// loseAllButStale cuts one member off, and takes the disks of all others as soon
+// loseAllButStale isolates one member, and takes the disks of all others as soon
 // as an order is acknowledged without it.
 func (w *simulation) loseAllButStale() {
 	positions := w.random.Perm(len(w.group))
@@ -59,9 +59,9 @@
 	})
 }
 
-// loseDisksOf replaces machines, at least one of them at its address: nodes
-// without disks could find none of the others else. While the groups are formed
-// anew, a member may crash, and another disk may be lost.
+// loseDisksOf replaces machines, the first of them at its address: nodes without
+// disks could not find any of the others otherwise. While the groups are formed
+// again, a member may crash, and another disk may be lost.
 func (w *simulation) loseDisksOf(positions []int) {
 	const reformationTime = 5 * time.Second
 	w.majorityLostAt = w.now
@@ -79,7 +79,8 @@
 	w.awaitAllVoters(w.now + reformationTime)
 }
 
-// awaitAllVoters waits until all members vote again in every shard.
+// awaitAllVoters ends the loss of a majority once all members vote again in every
+// shard.
 func (w *simulation) awaitAllVoters(from time.Duration) {
 	const pollInterval = 20 * time.Millisecond
 	var poll func()
@@ -95,8 +96,8 @@
 	w.at(from, poll)
 }
 
-// everyMemberIsVoter tells whether the leader of every shard knows all members as voters in
-// the incarnations of their disks.
+// everyMemberIsVoter reports whether the leader of every shard knows all members
+// as voters in the present incarnations of their disks.
 func (w *simulation) everyMemberIsVoter() bool {
 	for shard := range w.serviceShards + 1 {
 		slots, known := w.memberSlots(shard)
@@ -109,8 +110,8 @@
 	return true
 }
 
-// whenHealthy waits for an instant at which all nodes serve what was acknowledged,
-// and can reach each other.
+// whenHealthy runs an action at the first instant, up to a time-out, at which all
+// nodes serve what was acknowledged and can reach each other.
 func (w *simulation) whenHealthy(timeout time.Duration, then func()) {
 	const pollInterval = 20 * time.Millisecond
 	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart()-time.Second)
--- a/internal/lab/sim/majority_loss_test.go
+++ b/internal/lab/sim/majority_loss_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// acknowledged tells whether an operator has the acknowledgement of an order.
+// acknowledged reports whether an operator has the acknowledgement of an order.
 func acknowledged(order *operatorOrder) bool {
 	return order.finished && order.outcome == checker.OutcomeAcknowledged
 }
--- a/internal/lab/sim/message_breaks.go
+++ b/internal/lab/sim/message_breaks.go
@@ -11,11 +11,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// confirmationInflation is how far beyond its own revisions a node confirms when that is
-// broken.
+// confirmationInflation is what is added to the confirmed revision where a node
+// confirms more than it serves.
 const confirmationInflation = 1 << 20
 
-// applyBreak changes a received message, or acts on it, where a break asks for it.
+// applyBreak changes a received message, or acts on it, where the mechanism that
+// is switched off requires that.
 func (n *node) applyBreak(envelope *wire.Envelope) {
 	switch n.world.settings.Break {
 	case BreakAckBeforeConfirm:
@@ -42,7 +43,8 @@
 	}
 }
 
-// revertView puts the view of an older revision in force when one arrives.
+// revertView puts the view of an older revision in force when its update arrives
+// late.
 func (n *node) revertView(message *relaytree.Message) {
 	if message == nil || message.Type != relaytree.MessageUpdate || message.Topic != relaytree.Topic(control.ConfigurationShard) {
 		return
@@ -54,7 +56,7 @@
 	}
 }
 
-// recordAppended remembers how far the entries reach that a leader has sent.
+// recordAppended records up to which index a leader has sent entries.
 func (n *node) recordAppended(envelope wire.Envelope) {
 	message := envelope.Replication
 	if message == nil || message.Type != replication.MessageAppend {
@@ -63,8 +65,8 @@
 	n.appended[envelope.Shard] = max(n.appended[envelope.Shard], message.Index+uint64(len(message.Entries)))
 }
 
-// claimAppended makes the reply of a machine that came later claim all that this
-// leader has sent.
+// claimAppended makes the reply of a machine that was added during the run claim
+// all entries that this leader has sent.
 func (n *node) claimAppended(envelope *wire.Envelope) {
 	message := envelope.Replication
 	if message == nil || message.Type != replication.MessageAppendReply || !n.world.addedDuringRun(envelope.From) {
@@ -74,10 +76,10 @@
 	message.Index = max(message.Index, n.appended[envelope.Shard])
 }
 
-// ignoreWitnesses keeps the state of witnesses from a node with a disk while the
-// groups are to be formed anew.
+// ignoreWitnesses keeps the state of witnesses from a core node while the groups
+// are to be formed again.
 func (n *node) ignoreWitnesses(envelope *wire.Envelope) {
-	// Long enough for a member that has a log to form the groups anew.
+	// Long enough for a member that has a log to form the groups again.
 	const ignoredFor = 8 * time.Second
 	if n.storage == nil || !n.world.majorityLost || n.world.now > n.world.majorityLostAt+ignoredFor {
 		return
@@ -90,8 +92,9 @@
 	}
 }
 
-// isProbe tells whether this node looks for members that it may have lost with a
-// message: with a digest of its table, or by asking a seed although it serves already.
+// isProbe reports whether a message looks for members that this node may have
+// lost: a digest of its table, or a request to a seed although the node serves
+// already.
 func (n *node) isProbe(envelope wire.Envelope) bool {
 	message := envelope.Membership
 	if message == nil {
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -14,22 +14,22 @@
 	minLatency       = 200 * time.Microsecond
 	zoneLatency      = time.Millisecond
 	crossZoneLatency = 4 * time.Millisecond
-	// frameOverhead is the distance between the copies of a doubled frame.
+	// duplicateSpread bounds the time between the copies of a duplicated frame.
 	duplicateSpread = 50 * time.Millisecond
 )
 
-// network carries frames between nodes. Frames may overtake each other even
-// when nothing is wrong.
+// network carries frames between nodes. Frames may overtake each other also in
+// its normal state.
 type network struct {
 	world *simulation
-	// blocked counts the cuts on the way from one node to another.
+	// blocked counts the partitions on the link from one node to another.
 	blocked [][]int
 	storms  []*storm
 	// Counters of what the network did.
 	sent, lost, duplicated uint64
 }
 
-// storm is a span in which frames are lost, doubled and held back.
+// storm is a span in which frames are lost, duplicated and delayed.
 type storm struct {
 	loss      float64
 	duplicate float64
@@ -44,7 +44,8 @@
 	return &network{world: world, blocked: blocked}
 }
 
-// changeBlocked blocks (change 1) or opens (change -1) the ways from some nodes to others.
+// changeBlocked blocks (change 1) or opens (change -1) the links from some nodes
+// to others.
 func (n *network) changeBlocked(from, to []*node, change int) {
 	for _, source := range from {
 		for _, target := range to {
@@ -56,7 +57,8 @@
 	}
 }
 
-// send carries a message to whichever node listens on its address.
+// send carries a message to the node that listens at its address at the time of
+// sending.
 func (n *network) send(from *node, send control.Send) {
 	to := n.world.nodeAt(send.Address)
 	if to == nil || n.world.broken(BreakNoProbes) && from.isProbe(send.Envelope) {
@@ -75,8 +77,8 @@
 	}
 }
 
-// deliver takes one copy of a frame to a node, unless it is lost. A cut loses what
-// arrives during it as well as what is sent.
+// deliver takes one copy of a frame to a node, unless it is lost. A partition
+// loses what arrives during it as well as what is sent.
 func (n *network) deliver(from, to *node, frame []byte) {
 	if n.drops(from, to) {
 		n.lost++
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -13,6 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
+// Bounds of a simulated machine.
 const (
 	// maxBacklog bounds the inputs that wait for a frozen node.
 	maxBacklog = 4096
@@ -25,24 +26,27 @@
 	wallEpoch = 1_700_000_000_000
 )
 
-// node is one machine of the deployment with the process on it.
+// node is one machine of the deployment and the process on it. It does what the
+// daemon's driver does: it gives inputs to the control machine and carries out
+// the outputs.
 type node struct {
 	world *simulation
 	index int
 	info  member.Info
 	seeds []string
-	// gone tells that the machine was taken away for good.
+	// gone is set once the machine was removed for good.
 	gone bool
-	// leaving tells that the machine is about to be taken away.
+	// leaving is set once the machine is about to be removed.
 	leaving bool
-	// tickEvery is how often the control machine looks at the clock.
+	// tickEvery is the period at which the control machine is told the time.
 	tickEvery time.Duration
 	// storage is nil on nodes without a disk.
 	storage *storage
 	clock   nodeClock
 
 	up bool
-	// process numbers the processes; what was meant for an earlier one is dropped.
+	// process numbers the processes on the machine. An input that is meant for an
+	// earlier process is dropped.
 	process uint64
 	frozen  bool
 	backlog []func()
@@ -52,18 +56,19 @@
 	serveUntil time.Duration
 	inFlight   map[string]int
 	tickets    map[uint64]*submission
-	// reads are told what is read.
+	// reads are called with the replies to an operator's reads, by ticket.
 	reads      map[uint64]func(control.Reply)
 	nextTicket uint64
-	// appended is how far the entries of each shard reach that this life has sent.
+	// appended is the index of the last log entry of each shard that this process
+	// has sent.
 	appended map[uint32]uint64
-	// views are the views of this life by revision.
+	// views are the views of this process by revision.
 	views map[uint64]*routing.View
-	// staleView is the last view of the former life.
+	// staleView is the last view of the former process.
 	staleView *routing.View
 }
 
-// nodeClock counts the time since the machine was switched on, and keeps a wall
+// nodeClock counts the time since the machine was switched on, and has a wall
 // clock that may be wrong.
 type nodeClock struct {
 	base       time.Duration
@@ -115,7 +120,8 @@
 	n.scheduleAll()
 }
 
-// controlConfig is what the daemon makes of its settings and its data folder.
+// controlConfig is the configuration that the daemon derives from its settings
+// and its data folder.
 func (n *node) controlConfig() control.Config {
 	times := control.DefaultTimes()
 	times.WeightsDeadline = n.world.weightsDeadline()
@@ -143,14 +149,14 @@
 // maxLogEntries is small, so that snapshots are made and sent often.
 const maxLogEntries = 24
 
-// openStorage reads the disk, and tells whether the node can start from it.
+// openStorage reads the disk, and reports whether the node can start from it.
 func (n *node) openStorage() (restored map[uint32]replication.Restored, ok bool) {
 	if n.storage == nil {
 		return nil, true
 	}
 	restored, err := n.storage.open(n.world.serviceShards)
 	if errors.Is(err, twoslot.ErrDiskFull) {
-		// What a crash tore cannot be mended without room. Whoever runs the
+		// A torn log cannot be repaired while the disk is full. Whoever runs the
 		// node starts it again.
 		n.world.after(saveRetryEvery, n.start)
 		return nil, false
@@ -162,8 +168,8 @@
 	return restored, true
 }
 
-// correctSeeds has the operator write new seeds into the settings once machines
-// have moved away from all old ones.
+// correctSeeds has the operator write new seeds into the settings once no machine
+// listens at any of the old ones.
 func (n *node) correctSeeds() {
 	if n.world.settings.FailOpen {
 		n.seeds = n.world.seeds
@@ -177,7 +183,7 @@
 	n.seeds = n.world.chooseSeeds(n, n.world.random)
 }
 
-// diskIncarnation is the incarnation of the node's disk, or 0 without one.
+// diskIncarnation returns the incarnation of the node's disk, or 0 without one.
 func (n *node) diskIncarnation() uint64 {
 	switch {
 	case n.storage == nil:
@@ -188,20 +194,21 @@
 	return n.storage.incarnation
 }
 
-// incarnation is the wall clock's reading in milliseconds, as in the daemon.
+// incarnation returns the wall clock's time in milliseconds, as the daemon does.
 func (n *node) incarnation() member.Incarnation {
 	wall := n.world.now + n.clock.wallOffset
 	return member.Incarnation(wallEpoch + wall.Milliseconds())
 }
 
-// scheduleAll starts what a process does by itself.
+// scheduleAll schedules what a process does by itself: its ticks and its traffic.
 func (n *node) scheduleAll() {
 	process := n.process
 	n.every(process, n.tickEvery, func() { n.post(process, n.machine.Tick) })
 	n.scheduleTraffic(process)
 }
 
-// every repeats an action of one life from a random instant on.
+// every repeats an action of one process, beginning at a random instant of the
+// first period.
 func (n *node) every(process uint64, period time.Duration, action func()) {
 	var repeat func()
 	repeat = func() {
@@ -216,7 +223,7 @@
 	n.world.after(n.world.upTo(period), repeat)
 }
 
-// stop ends the process, as a crash does.
+// stop ends the process as a crash does.
 func (n *node) stop() {
 	if !n.up {
 		return
@@ -240,7 +247,7 @@
 	n.tickets = nil
 }
 
-// freeze stops the process without ending it, until it is woken.
+// freeze suspends the process for a time without ending it.
 func (n *node) freeze(length time.Duration) {
 	if !n.up || n.frozen {
 		return
@@ -256,7 +263,8 @@
 	})
 }
 
-// wake lets the process go on. Traffic may run before control does.
+// wake resumes the process. Traffic may run before control does, as after a real
+// suspension.
 func (n *node) wake(length time.Duration) {
 	n.frozen = false
 	n.logf("wakes")
@@ -274,7 +282,7 @@
 	}
 }
 
-// receive takes a frame for one life.
+// receive takes a frame for one process.
 func (n *node) receive(process uint64, frame []byte) {
 	envelope, err := wire.Decode(frame)
 	if err != nil {
@@ -296,7 +304,7 @@
 	n.whenAwake(func() { n.perform(input(n.now())) })
 }
 
-// whenAwake runs an action of the present life now, or once the node wakes.
+// whenAwake runs an action of the present process now, or once the node wakes.
 func (n *node) whenAwake(action func()) {
 	switch {
 	case !n.frozen:
@@ -306,7 +314,7 @@
 	}
 }
 
-// perform carries out an output in the order of the daemon's driver.
+// perform carries out an output in the same order as the daemon's driver.
 func (n *node) perform(output control.Output) {
 	if output.View != nil {
 		n.publish(output.View)
@@ -355,7 +363,7 @@
 	n.serveUntil = until
 }
 
-// serving tells whether the node admits traffic now.
+// serving reports whether the node admits traffic now.
 func (n *node) serving() bool {
 	return n.up && !n.frozen && n.view != nil && n.now() < n.serveUntil
 }
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// How operators behave.
+// Behaviour of the operators.
 const (
 	// firstOrderAt is when the first configuration is applied.
 	firstOrderAt = 1500 * time.Millisecond
@@ -24,11 +24,12 @@
 	ordersPerRace = 3
 )
 
-// attemptTimeouts are how long operators wait for an answer before they resend the
-// order to another node, while the first answer may still come.
+// attemptTimeouts are how long operators wait for a reply before they resend the
+// order to another node. The first reply may still come after that.
 var attemptTimeouts = []time.Duration{time.Second, 3 * time.Second, 9 * time.Second}
 
-// failOpenAttemptTimeout is how long operators wait for a node that may be cut off.
+// failOpenAttemptTimeout is how long operators wait for a node that may be
+// partitioned from the core.
 const failOpenAttemptTimeout = time.Second
 
 func (o *operators) attemptTimeout() time.Duration {
@@ -38,11 +39,11 @@
 	return pick(o.world, attemptTimeouts)
 }
 
-// operators keep all orders of a run.
+// operators issue the orders of a run, and own all that is known of them.
 type operators struct {
 	world  *simulation
 	orders []*operatorOrder
-	// nameCount counts what needs a name of its own.
+	// nameCount counts everything that needs a unique name.
 	nameCount int
 }
 
@@ -51,15 +52,15 @@
 	content *controlpb.Order
 	change  checker.Change
 	invalid bool
-	// mayBeNoOp tells that the order may find everything as it wants it already.
+	// mayBeNoOp is set on an order whose change may be in force already.
 	mayBeNoOp   bool
 	submissions []*submission
 	firstSent   time.Duration
-	// finishedAt is when the final answer came; the order is open until then.
+	// finished is set, and finishedAt the instant, when the final reply has come.
 	finished   bool
 	finishedAt time.Duration
-	// ambiguous tells that the order was refused while an earlier copy of it was
-	// under way, which may be taken later all the same.
+	// ambiguous is set on an order that was rejected while an earlier submission
+	// of it was in flight, which may still be accepted later.
 	ambiguous bool
 	outcome   checker.Outcome
 	answer    *controlpb.Answer
@@ -74,18 +75,18 @@
 	sentID    string
 	replied   bool
 	abandoned bool
-	// superseded tells that the operator went on to another node.
+	// superseded is set once the operator has gone on to another node.
 	superseded bool
 	record     checker.Order
 }
 
-// accepted tells whether the answer says that the order is in the log.
+// accepted reports whether the reply says that the order is in the log.
 func (s *submission) accepted() bool {
 	outcome := s.record.Outcome
 	return s.replied && (outcome == checker.OutcomeAcknowledged || outcome == checker.OutcomePending)
 }
 
-// issue begins an order: it is submitted until its answer is final.
+// issue begins an order, which is submitted until its reply is final.
 func (o *operators) issue(order *operatorOrder) {
 	order.firstSent = o.world.now
 	o.orders = append(o.orders, order)
@@ -94,8 +95,8 @@
 	o.world.awaitAcknowledgement(order)
 }
 
-// submit sends an order to a random node. An operator whose connection is
-// refused tries again soon.
+// submit sends an order to a random node. An operator whose connection is refused
+// retries soon.
 func (o *operators) submit(order *operatorOrder) {
 	if order.finished {
 		return
@@ -108,8 +109,9 @@
 	o.submitTo(target, order)
 }
 
-// receivers are the nodes that an order may go to next. An operator who may have
-// met a node that is cut off goes on to another one.
+// receivers returns the nodes to which an order may be submitted next. In a
+// fail-open deployment an operator goes on to another node, since the last one
+// may be partitioned from the core.
 func (o *operators) receivers(order *operatorOrder) []*node {
 	last, sentBefore := lo.Last(order.submissions)
 	if !o.world.settings.FailOpen || !sentBefore {
@@ -118,7 +120,8 @@
 	return lo.Without(o.world.nodes, last.node)
 }
 
-// submitTo sends an order to a running node.
+// submitTo sends an order to a running node, and submits it elsewhere if no reply
+// comes in time.
 func (o *operators) submitTo(target *node, order *operatorOrder) {
 	sent := &submission{order: order, node: target, sentAt: o.world.now}
 	sent.record = checker.Order{
@@ -164,7 +167,7 @@
 	})
 }
 
-// submitted is the order as it reaches the control machine.
+// submitted returns the order as it reaches the control machine.
 func (o *operators) submitted(sent *submission) *controlpb.Order {
 	content := proto.Clone(sent.order.content).(*controlpb.Order)
 	if o.world.broken(BreakNoOrderDedup) {
@@ -179,7 +182,7 @@
 	return content
 }
 
-// deliverReply hands an answer to the operator.
+// deliverReply hands a reply to the operator.
 func (n *node) deliverReply(reply control.Reply) {
 	if read, found := n.reads[reply.Ticket]; found {
 		delete(n.reads, reply.Ticket)
@@ -204,9 +207,9 @@
 	n.world.operators.handleReply(sent, reply.Answer)
 }
 
-// mayBeAppliedLater tells whether a refusal is no last word: an earlier copy is
-// under way, and the order names no base revision that would keep it from being
-// taken once the configuration has changed.
+// mayBeAppliedLater reports whether a rejection is not final: an earlier
+// submission is in flight, and the order names no base revision that would keep
+// it from being accepted once the configuration has changed.
 func (o *operatorOrder) mayBeAppliedLater() bool {
 	if o.content.GetBaseRevision() != 0 || o.content.GetApply() != nil || o.content.GetApplyDocument() != nil {
 		return false
@@ -232,7 +235,7 @@
 	}
 }
 
-// replied settles an order, or sends it again.
+// handleReply finishes an order, or submits it again.
 func (o *operators) handleReply(sent *submission, answer *controlpb.Answer) {
 	order := sent.order
 	o.world.checks.orderReplied(sent, answer)
@@ -259,7 +262,7 @@
 	}
 }
 
-// scheduleOperators plans the orders of the run up to the calm.
+// schedule schedules the orders of the run up to the recovery phase.
 func (o *operators) schedule() {
 	o.world.at(firstOrderAt, func() { o.issue(o.applyFirst()) })
 	instant := formation - time.Second
@@ -269,7 +272,7 @@
 	}
 }
 
-// issueRandom places one order, or several that race on one base.
+// issueRandom issues one order, or several that race on one base.
 func (o *operators) issueRandom() {
 	const raceProbability = 0.25
 	if o.world.chance(raceProbability) {
@@ -279,7 +282,7 @@
 	o.issue(o.randomOrder(0))
 }
 
-// issueRace places orders on the same base at different nodes.
+// issueRace issues orders on the same base at different nodes.
 func (o *operators) issueRace() {
 	base := o.readRevision()
 	if o.world.settings.FailOpen && o.world.chance(0.5) {
@@ -291,8 +294,8 @@
 	}
 }
 
-// readRevision is the revision that an operator reads at some node, which may
-// be out of date.
+// readRevision returns the revision that an operator reads at some node, which
+// may be stale.
 func (o *operators) readRevision() uint64 {
 	reader := pick(o.world, o.world.nodes)
 	if reader.view == nil {
--- a/internal/lab/sim/orders.go
+++ b/internal/lab/sim/orders.go
@@ -18,7 +18,7 @@
 }
 
 // newOrder completes an order. The requests of the simulator are well formed, so
-// that an error is a fault of the simulator.
+// that an error is a fault of the simulator itself.
 func newOrder(content *controlpb.Order, err error, change checker.Change) *operatorOrder {
 	if err != nil {
 		panic(err)
@@ -38,7 +38,8 @@
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
 }
 
-// randomOrder is an order of any kind; base 0 lets it choose its own.
+// randomOrder returns an order of any kind; with base 0 the kind chooses the
+// base.
 func (o *operators) randomOrder(base uint64) *operatorOrder {
 	switch o.world.random.IntN(10) {
 	case 0:
@@ -56,7 +57,7 @@
 	}
 }
 
-// randomChange is an order that certainly changes something when it is taken.
+// randomChange returns an order that changes something whenever it is accepted.
 func (o *operators) randomChange(base uint64) *operatorOrder {
 	switch o.world.random.IntN(4) {
 	case 0:
@@ -77,7 +78,7 @@
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeAddKey, Tenant: tenant, Key: key.GetName()})
 }
 
-// revokeKey revokes a key that may be revoked already, or not in force yet.
+// revokeKey revokes a key that may be revoked already, or not be in force yet.
 func (o *operators) revokeKey(base uint64) *operatorOrder {
 	key := pick(o.world, o.world.keys)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RevokeKeyRequest{Order: o.newOrderHeader(base), Tenant: key.tenant, Key: key.name})
@@ -95,7 +96,7 @@
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeWeights, Pool: pool, WeightVersion: version})
 }
 
-// evacuate gives a reason of its own, so that each order changes something.
+// evacuate gives a unique reason, so that each order changes something.
 func (o *operators) evacuate(base uint64, zone string) *operatorOrder {
 	header := o.newOrderHeader(base)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.EvacuateZoneRequest{Order: header, Zone: zone, Reason: header.GetOrderId()})
@@ -121,7 +122,8 @@
 	return order
 }
 
-// readConfiguration is a copy of what an operator reads at some node.
+// readConfiguration returns a copy of what an operator reads at some node, which
+// may be stale.
 func (o *operators) readConfiguration() *ridgeswitchv1.Configuration {
 	reader := pick(o.world, o.world.nodes)
 	if reader.view == nil {
@@ -130,7 +132,7 @@
 	return proto.Clone(reader.view.Configuration).(*ridgeswitchv1.Configuration)
 }
 
-// applyChanged reads the configuration, changes it and applies it whole.
+// applyChanged reads the configuration, changes it and applies all of it.
 func (o *operators) applyChanged() *operatorOrder {
 	configuration := o.readConfiguration()
 	if o.world.settings.FailOpen {
@@ -148,8 +150,8 @@
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
 }
 
-// invalidOrder is a whole configuration with a route to nowhere, which got past
-// the checks of the node that took it.
+// invalidOrder is a configuration with a route to an unknown destination that
+// passed the checks of the node that accepted it.
 func (o *operators) invalidOrder() *operatorOrder {
 	order := o.applyChanged()
 	apply := order.content.GetApply()
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -9,21 +9,21 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 )
 
-// platform is the list of the deployment's back ends.
+// platform is the endpoint list of the deployment's back ends.
 type platform struct {
 	world    *simulation
 	services []*platformService
-	// shown is the list that nodes read, which lags behind while lagging.
+	// shown is the list that nodes read. It does not change while lagging is set.
 	shown   []control.ServiceEndpoints
 	lagging bool
-	// down counts the faults that have readings fail, and backAt is when the last
+	// down counts the faults that have reads fail, and backAt is when the last
 	// one ended.
 	down   int
 	backAt time.Duration
 	// firstReader is the first node that read the list.
 	firstReader *node
-	// drainingSince is when the shown list first had a replica draining or no
-	// more in it.
+	// drainingSince is when the shown list first had a replica draining or
+	// removed.
 	drainingSince map[string]time.Duration
 }
 
@@ -42,7 +42,7 @@
 	return &platform{world: world, drainingSince: map[string]time.Duration{}}
 }
 
-// entries returns the entries of all services.
+// entries returns the endpoints of all services.
 func (p *platform) entries() []*endpoint {
 	return lo.FlatMap(p.services, func(service *platformService, _ int) []*endpoint { return service.replicas })
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// show makes the present state what nodes read.
+// show publishes the present state to readers.
 func (p *platform) show() {
 	p.shown = lo.Map(p.services, func(service *platformService, _ int) control.ServiceEndpoints {
 		return control.ServiceEndpoints{Name: service.name, Endpoints: service.endpoints()}
@@ -93,7 +93,7 @@
 	return entry
 }
 
-// showLater makes a change of a replica itself visible after the lag.
+// showLater publishes a change of a replica itself after a lag.
 func (p *platform) showLater() {
 	const lag = 800 * time.Millisecond
 	p.world.after(lag, func() {
@@ -105,7 +105,7 @@
 
 var errPlatformDown = errors.New("the platform does not answer")
 
-// mayRead tells whether a node gets the list.
+// mayRead reports whether a read by a node succeeds.
 func (p *platform) mayRead(n *node) bool {
 	if p.firstReader == nil {
 		p.firstReader = n
--- a/internal/lab/sim/reads.go
+++ b/internal/lab/sim/reads.go
@@ -7,9 +7,9 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 )
 
-// Operators read the configuration and its document at any node, at any time. What
-// they read must be no older than what was acknowledged before they asked; a node
-// that can't be sure of that must say so.
+// Operators read the configuration and its document at any node, at any time. The
+// result must be no older than what was acknowledged before the read began; a node
+// that cannot rule out a newer one must refuse.
 
 // readEvery is the mean time between two reads.
 const readEvery = 400 * time.Millisecond
@@ -21,12 +21,13 @@
 type readResult struct {
 	revision uint64
 	version  uint64
-	// replied tells that the node answered, and refused that it was not sure.
+	// replied is set once the node has replied, refused if it was not sure to be
+	// up to date.
 	replied bool
 	refused bool
 }
 
-// scheduleReads plans reads over the whole run.
+// scheduleReads schedules reads over the whole run.
 func (w *simulation) scheduleReads() {
 	instant := firstOrderAt
 	for instant < w.settings.Virtual-readTimeout {
@@ -45,8 +46,8 @@
 	w.readDocumentAt(reader)
 }
 
-// readConfigurationAt reads the configuration at a node. What it gets is known once
-// the patience is over.
+// readConfigurationAt reads the configuration at a node. The result is complete
+// after readTimeout.
 func (w *simulation) readConfigurationAt(reader *node) *readResult {
 	if !reader.up {
 		return &readResult{}
@@ -73,7 +74,7 @@
 	})
 }
 
-// read asks a node, and checks what it answers in time.
+// read sends a read to a node, and checks a reply that comes in time.
 func (w *simulation) read(reader *node, send func(now time.Duration, ticket uint64) control.Output, check func(*readResult)) *readResult {
 	read := &readResult{}
 	w.counts.Reads++
@@ -105,7 +106,7 @@
 	return read
 }
 
-// shownReply is the answer as the operator gets it.
+// shownReply returns the reply as the operator gets it.
 func (n *node) shownReply(reply control.Reply) control.Reply {
 	if !n.world.broken(BreakReadsOwnView) {
 		return reply
--- a/internal/lab/sim/recovery_checks.go
+++ b/internal/lab/sim/recovery_checks.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// verificationOrders is the number of orders after the service must be back.
+	// verificationOrders is the number of orders that are issued once the service
+	// must be back.
 	verificationOrders = 3
 	verificationEvery  = 400 * time.Millisecond
 )
 
-// scheduleRecoveryChecks plans what has to hold once the faults are over.
+// scheduleRecoveryChecks schedules the checks of the recovery phase.
 func (w *simulation) scheduleRecoveryChecks() {
 	back := w.settings.recoveryPhaseStart() + ServiceBackBound
 	w.at(back, w.checkServiceBack)
@@ -31,8 +32,8 @@
 	w.at(w.settings.Virtual-time.Millisecond, w.checkOrdersFinished)
 }
 
-// checkServiceBack holds that every node serves, and every pool has a replica
-// wherever one is listed, running, and not evacuated.
+// checkServiceBack checks that every node serves, and that every pool has an
+// admitting replica where one is listed, running, and not evacuated.
 func (w *simulation) checkServiceBack() {
 	for _, one := range w.nodes {
 		if !one.serving() {
@@ -45,9 +46,9 @@
 	}
 }
 
-// checkPoolBack holds that a node admits to a pool that may serve. A roll-out may
-// have taken the last of its replicas out at this instant; then the node admits
-// again within the time that one replica takes.
+// checkPoolBack checks that a node admits to a pool that may serve. A roll-out
+// may have taken the last of its replicas out of service at this instant; then
+// the node has to admit again within ReplicaOutBound.
 func (w *simulation) checkPoolBack(one *node, pool string) {
 	if !w.mayServe(one.view, pool) || admits(one.view, pool) {
 		return
@@ -59,9 +60,9 @@
 	w.awaitReplicaBack(one, pool)
 }
 
-// awaitReplicaBack holds that the last replica that a roll-out took out is back
-// within the time that it takes. If weights are named anew meanwhile, that replica
-// may load them at once, and has as long again.
+// awaitReplicaBack checks that the last replica that a roll-out took out of
+// service is back within ReplicaOutBound. If newer weights are named in the
+// meantime, the replica may load them at once, and gets the same time again.
 func (w *simulation) awaitReplicaBack(one *node, pool string) {
 	version := one.machine.Weights(pool).GetWeightVersion()
 	w.after(ReplicaOutBound, func() {
@@ -75,8 +76,8 @@
 	})
 }
 
-// rollingOut tells whether a node knows every usable replica of a pool to be out for
-// a roll-out.
+// rollingOut reports whether a node knows every usable replica of a pool to be
+// out of service for a roll-out.
 func (w *simulation) rollingOut(one *node, pool string) bool {
 	phases := map[string]string{}
 	for _, status := range one.machine.Weights(pool).GetReplicas() {
@@ -88,13 +89,13 @@
 	})
 }
 
-// mayServe tells whether the pool has a replica that nothing keeps from serving.
+// mayServe reports whether a pool has a usable replica.
 func (w *simulation) mayServe(view *routing.View, pool string) bool {
 	return view.Pools[pool] != nil && len(w.usable(view, pool)) > 0
 }
 
-// usable are the replicas of a pool that the platform lists as running in zones
-// that are not evacuated.
+// usable returns the replicas of a pool that the platform lists as running in
+// zones that are not evacuated.
 func (w *simulation) usable(view *routing.View, pool string) []*replica {
 	evacuated := map[string]bool{}
 	for _, evacuation := range view.Configuration.GetEvacuations() {
@@ -114,8 +115,8 @@
 	return lo.ContainsBy(view.Pools[pool].Replicas, func(one routing.Replica) bool { return one.Admitting })
 }
 
-// verifyOrder places an order that must be acknowledged within the bound, and be in
-// force everywhere within the next.
+// verifyOrder issues an order that must be acknowledged within AcknowledgeBound,
+// and be in force on every node within SpreadBound after that.
 func (w *simulation) verifyOrder(order *operatorOrder) {
 	w.operators.issue(order)
 	w.after(AcknowledgeBound, func() {
@@ -148,7 +149,8 @@
 	})
 }
 
-// weightsBound is the calm time within which named weights are everywhere.
+// weightsBound is the time without faults within which named weights must run
+// everywhere.
 func (w *simulation) weightsBound() time.Duration {
 	if w.settings.FinishFirst {
 		return finishFirstBound
@@ -183,7 +185,7 @@
 	}
 }
 
-// checkOrdersFinished holds that every order got its final answer.
+// checkOrdersFinished checks that every order got its final reply.
 func (w *simulation) checkOrdersFinished() {
 	for _, order := range w.operators.orders {
 		if !order.finished {
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// measureEvery is how old the numbers in the report of a slow replica may be.
+	// measureEvery is the period at which a slow replica measures what it
+	// reports.
 	measureEvery = 200 * time.Millisecond
 	// minLoad and loadSpread bound the time to load weights.
 	minLoad    = 200 * time.Millisecond
 	loadSpread = 300 * time.Millisecond
-	// replicaLatency bounds one way between a node and a replica.
+	// replicaLatency bounds the latency of one direction between a node and a
+	// replica.
 	replicaLatency = 8 * time.Millisecond
-	// callTimeout is how long a node waits for an answer of a replica.
+	// callTimeout is how long a node waits for the response of a replica.
 	callTimeout = 2 * time.Second
 	// dispatchDelay bounds the time between a command's output and its sending.
 	dispatchDelay = 30 * time.Millisecond
-	// maxCommandDelay bounds how late a command that got stuck arrives.
+	// maxCommandDelay bounds the delay of a command while delays are active.
 	maxCommandDelay = 8 * time.Second
 )
 
-// replica models what control needs of a model replica: weights, the epoch
-// check, and the requests that run.
+// replica models what control needs of a model replica: its weights, the check of
+// command tokens, and the requests that run.
 type replica struct {
 	world   *simulation
 	address string
@@ -33,36 +35,39 @@
 
 	up          bool
 	incarnation uint64
-	// loading tells that a replica that finishes its requests first has done so.
+	// loading is set while a replica that finishes its requests first loads
+	// weights.
 	loading bool
 	// version is empty while target is being loaded.
 	version string
 	target  string
-	// lastVersion is the version that was last loaded in full.
+	// lastVersion is the version that was last loaded completely.
 	lastVersion string
 	// loadNumber numbers the loads.
 	loadNumber uint64
-	// sequence counts the commands of this life.
+	// sequence counts the commands of this incarnation.
 	sequence uint64
-	// highestToken is the greatest token of a command in this life.
+	// highestToken is the highest token of a command in this incarnation.
 	highestToken uint64
 	active       int
-	// unorderedWeights tells that the replica came back with other weights, which
-	// nobody ordered, and since when.
+	// unorderedWeights is set, and unorderedWeightsAt the instant, when the
+	// replica came back with weights that no command named.
 	unorderedWeights   bool
 	unorderedWeightsAt time.Duration
 
-	// commandsToDrop is how many of the commands to come have no effect. Every other one of
-	// them is lost, and the rest are answered as if another were under way.
+	// commandsToDrop is how many of the next commands have no effect. Every
+	// second one of them is lost, and the others are answered as if another
+	// command were in progress.
 	commandsToDrop int
 
-	// measureEvery is how old the numbers in its report may be.
+	// measureEvery is how old the measurements in its report may be.
 	measureEvery time.Duration
 	measured     control.ReplicaReport
 	measuredAt   time.Duration
 }
 
-// receiveCommand takes a command unless the replica is deaf, and tells whether it answers.
+// receiveCommand handles a command unless the replica drops it, and reports
+// whether it replies.
 func (r *replica) receiveCommand(sender *node, command control.Command) (outcome control.CommandOutcome, replies bool) {
 	if r.commandsToDrop == 0 {
 		return r.handleCommand(sender, command), true
@@ -71,7 +76,7 @@
 	return control.CommandBusy, r.commandsToDrop%2 == 0
 }
 
-// handleCommand handles a command.
+// handleCommand handles a command of the product's own protocol.
 func (r *replica) handleCommand(sender *node, command control.Command) control.CommandOutcome {
 	if r.world.settings.FinishFirst {
 		return r.handleCommandFinishFirst(sender, command)
@@ -106,7 +111,7 @@
 	})
 }
 
-// report returns numbers that are a little old, with the age that they have.
+// report returns measurements that may be a little old, and their age.
 func (r *replica) report() (control.ReplicaReport, time.Duration) {
 	now := r.world.now
 	if r.measured.Incarnation != r.incarnation || now-r.measuredAt >= r.measureEvery {
@@ -131,7 +136,7 @@
 	r.world.logf(worldColumn, "%s down", r.address)
 }
 
-// restart brings the replica back, with the given weights.
+// restart brings the replica back with the given weights, in a new incarnation.
 func (r *replica) restart(version string) {
 	if r.up {
 		return
@@ -148,7 +153,8 @@
 	r.world.logf(worldColumn, "%s back on %s", r.address, version)
 }
 
-// command sends a command if the right to do so has not ended meanwhile.
+// command dispatches a command a little later, if the process has not ended by
+// then.
 func (n *node) command(command control.Command) {
 	process := n.process
 	n.world.after(n.world.upTo(dispatchDelay), func() {
@@ -162,6 +168,8 @@
 	}
 }
 
+// dispatch sends a command unless its deadline, which is that of the sender's
+// command lease, has passed.
 func (n *node) dispatch(process uint64, command control.Command) {
 	if n.world.broken(BreakTokenReused) {
 		command.Token = 1
@@ -206,8 +214,8 @@
 	n.post(process, func(now time.Duration) control.Output { return n.machine.CommandDone(now, command, outcome) })
 }
 
-// commandLatency is mostly short; while commands get stuck, some arrive long
-// after their sender's right has ended.
+// commandLatency is short in most cases; while commands are delayed, some arrive
+// long after their sender's lease has ended.
 func (w *simulation) commandLatency() time.Duration {
 	latency := minLatency + w.upTo(replicaLatency)
 	if w.delayedCommandFaults > 0 && w.chance(0.5) {
@@ -216,7 +224,7 @@
 	return latency
 }
 
-// dropsCall tells whether a call to a replica gets lost.
+// dropsCall reports whether a call to a replica gets lost.
 func (w *simulation) dropsCall() bool {
 	for _, active := range w.network.storms {
 		if w.chance(active.loss) {
@@ -226,8 +234,8 @@
 	return false
 }
 
-// requestReport counts the numbers as measured when the question was sent, less the
-// age that the replica states.
+// requestReport dates the measurements by the time at which the request was sent,
+// less the age that the replica states.
 func (n *node) requestReport(request control.ReportRequest) {
 	process := n.process
 	requestedAt := n.now()
--- a/internal/lab/sim/scenario_test.go
+++ b/internal/lab/sim/scenario_test.go
@@ -108,7 +108,7 @@
 	It("loads no weights while a request of a life that a node has just ended is on its way", func() {
 		for seed := uint64(1); seed <= 12; seed++ {
 			world := play(seed, func(world *simulation) {
-				// The node hears of no order, and its next life is known to the others as
+				// The node hears of no order, and its next process is known to the others as
 				// soon as its fence ends this one.
 				world.at(6*second, func() { world.partitionFor(world.nodes, []*node{world.router()}, false) })
 				for _, pool := range poolNames {
@@ -126,7 +126,7 @@
 			world.at(6100*time.Millisecond, func() { world.operators.issueAt(taker, world.operators.addKey(0)) })
 			world.at(6200*time.Millisecond, func() { world.restartAfter(taker, 10*time.Millisecond) })
 			world.at(6500*time.Millisecond, func() {
-				// One of them has the number that the first order had in its life.
+				// One of them has the number that the first order had in its process.
 				for range 16 {
 					world.operators.issueAt(taker, world.operators.addKey(0))
 				}
@@ -161,7 +161,7 @@
 				}
 			})
 			world.at(namedAt, func() { world.operators.issue(world.operators.nameWeights(0, poolNames[0])) })
-			// The calm names other weights while the last replica is out.
+			// The recovery phase names other weights while the last replica is out.
 			world.scheduleRecoveryChecks()
 			world.loop()
 			world.checks.finish()
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -7,25 +7,27 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// The streams of random numbers of a run.
+// The streams of random numbers of a run, each derived from its seed. They are
+// separate so that, for example, further reads do not change the faults.
 const (
 	planStream uint64 = iota + 1
 	runStream
 	readStream
 )
 
-// simulation is one run.
+// simulation is one run. A single goroutine runs all its events, so that nothing
+// is locked.
 type simulation struct {
 	settings Settings
-	// plan decides the deployment and its faults; random decides all else.
+	// plan draws the deployment and its faults, random everything else.
 	plan   *rand.Rand
 	random *rand.Rand
-	// readPlan decides who reads when.
+	// readPlan draws which operator reads when.
 	readPlan *rand.Rand
 	now      time.Duration
 	events   eventQueue
 
-	// nodes are those that there are; all holds those taken away too.
+	// nodes are the present machines; everyNode includes those that were removed.
 	nodes         []*node
 	everyNode     []*node
 	byAddress     map[string]*node
@@ -37,17 +39,17 @@
 	platform      *platform
 	keys          []tenantKey
 	operators     *operators
-	// delayedCommandFaults counts the active faults that hold commands back.
+	// delayedCommandFaults counts the active faults that delay commands.
 	delayedCommandFaults int
-	// majorityLost tells that the disks of a majority are gone, and that the
-	// groups have not been formed anew.
+	// majorityLost is set from the loss of a majority of the disks until the
+	// replica groups have been formed again.
 	majorityLost   bool
 	majorityLostAt time.Duration
-	// freezeNextCommand freezes the next node that is about to command.
+	// freezeNextCommand freezes the next node that is about to send a command.
 	freezeNextCommand bool
 
-	// seeds are what settings name from now on, in a deployment that finds itself
-	// through seeds.
+	// seeds are the seeds in the settings at present, in a deployment whose nodes
+	// find each other through seeds.
 	seeds        []string
 	connectivity *connectivity
 
@@ -56,7 +58,8 @@
 	timeline *timeline
 }
 
-// Counts are what a run did.
+// Counts are the totals of one run. The simulator is deterministic: equal
+// settings give equal counts.
 type Counts struct {
 	Frames        uint64 `json:"frames"`
 	Requests      uint64 `json:"requests"`
@@ -65,18 +68,19 @@
 	OrdersRefused uint64 `json:"orders_refused"`
 	Resends       uint64 `json:"resends"`
 	Commands      uint64 `json:"commands"`
-	// Refusals counts requests that replicas did not run, as they expected other
-	// weights.
+	// Refusals counts requests that replicas rejected since the requests expected
+	// other weights.
 	Refusals uint64 `json:"requests_refused_by_replicas"`
-	// EndpointReads counts readings of the platform's list, and Reports those of
-	// replicas' reports.
+	// EndpointReads counts reads of the platform's endpoint list, and Reports
+	// those of replicas' reports.
 	EndpointReads uint64 `json:"list_readings"`
 	Reports       uint64 `json:"reports"`
-	// Reads counts what operators asked for, and ReadsRefused what nodes were not
-	// sure of.
+	// Reads counts operators' reads, and ReadsRefused those that nodes rejected
+	// because they could not rule out a newer configuration.
 	Reads        uint64 `json:"reads"`
 	ReadsRefused uint64 `json:"reads_refused"`
-	// Undecided counts the histories of orders that were too hard to judge.
+	// Undecided counts the histories of orders whose linearizability was not
+	// decided within historyTimeout.
 	Undecided     uint64            `json:"histories_undecided"`
 	StaleCommands uint64            `json:"stale_commands_refused"`
 	Faults        map[string]uint64 `json:"faults"`
@@ -88,13 +92,13 @@
 	Virtual    time.Duration
 	Counts     Counts
 	Violations []Violation
-	// Digest is equal for equal runs.
+	// Digest covers the course of the run; it is equal for equal runs.
 	Digest uint64
-	// Timeline is the drawing of the run, if it was asked for.
+	// Timeline is the run drawn as text, if Settings.Timeline is set.
 	Timeline string
 }
 
-// Run simulates one seed.
+// Run simulates one seed to its end. It may be called concurrently.
 func Run(settings Settings) Result {
 	world := newSimulation(settings)
 	world.build()
@@ -139,7 +143,7 @@
 	}
 }
 
-// loop runs the events up to the end of the run.
+// loop runs the events in order up to the end of the run.
 func (w *simulation) loop() {
 	for {
 		next, more := w.events.next()
@@ -167,13 +171,13 @@
 	return result
 }
 
-// at plans an action for an instant.
+// at schedules an action for an instant, or for now if that has passed.
 func (w *simulation) at(instant time.Duration, run func()) { w.events.add(max(instant, w.now), run) }
 
-// after plans an action for later.
+// after schedules an action for later.
 func (w *simulation) after(delay time.Duration, run func()) { w.events.add(w.now+delay, run) }
 
-// upTo returns a random duration below a bound; 0 for no bound.
+// upTo returns a random duration below a bound; 0 if the bound is not positive.
 func (w *simulation) upTo(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
@@ -181,20 +185,22 @@
 	return time.Duration(w.random.Int64N(int64(bound)))
 }
 
-// chance tells true with a probability.
+// chance returns true with a probability.
 func (w *simulation) chance(probability float64) bool {
 	return probability > 0 && w.random.Float64() < probability
 }
 
-// pick returns a random element; there must be one.
+// pick returns a random element of a slice that is not empty.
 func pick[Element any](w *simulation, elements []Element) Element {
 	return elements[w.random.IntN(len(elements))]
 }
 
-// nodeAt returns the node that listens on an address, or nil.
+// nodeAt returns the node that listens at an address, or nil.
 func (w *simulation) nodeAt(address string) *node { return w.byAddress[address] }
 
+// broken reports whether a mechanism is switched off in this run.
 func (w *simulation) broken(mechanism Break) bool { return w.settings.Break == mechanism }
 
-// inRecoveryPhase tells whether the faults are over.
+// inRecoveryPhase reports whether the recovery phase has begun, in which no fault
+// is active.
 func (w *simulation) inRecoveryPhase() bool { return w.now >= w.settings.recoveryPhaseStart() }
--- a/internal/lab/sim/storage.go
+++ b/internal/lab/sim/storage.go
@@ -26,24 +26,24 @@
 	maxTornBytes = 512
 )
 
-// storage is the disk of a node. A write becomes durable when its time is over;
-// a crash before that loses or tears it.
+// storage is the disk of a node and the logs on it. A write becomes durable when
+// its time has passed; a crash before that loses or tears it.
 type storage struct {
 	disk *memdisk.Disk
 	logs map[uint32]*durable.Log
 	// incarnation numbers the disk, as the identity file of a data folder does.
 	incarnation uint64
 	// founders and addresses are what a data folder keeps of the founding and of
-	// other nodes, in a deployment that finds itself through seeds.
+	// other nodes, in a deployment whose nodes find each other through seeds.
 	founders  []member.ID
 	addresses []string
-	// full tells that the disk refuses all writes.
+	// full is set while the disk refuses all writes.
 	full bool
 	// slow is added to the time of each write.
 	slow    time.Duration
 	pending []*pendingSave
 	// busyUntil is when the last write of each shard ends: the writes of one
-	// shard follow each other.
+	// shard are sequential.
 	busyUntil map[uint32]time.Duration
 }
 
@@ -84,7 +84,7 @@
 	return log.Checkpoint(save.Checkpoint.HardState, save.Checkpoint.Snapshot, save.Checkpoint.Entries)
 }
 
-// finish takes a save out of the pending ones.
+// finish removes a save from the pending ones.
 func (s *storage) finish(done *pendingSave) {
 	for position, pending := range s.pending {
 		if pending == done {
@@ -94,8 +94,8 @@
 	}
 }
 
-// crash ends all writes that are under way: each is lost, torn, or durable
-// without anyone having been told.
+// crash ends all pending writes: each is lost, torn, or durable without the
+// node's knowledge.
 func (s *storage) crash(world *simulation) {
 	pending := s.pending
 	s.pending = nil
@@ -117,7 +117,7 @@
 	clear(s.busyUntil)
 }
 
-// save starts a write of a node, which ends with the machine's Saved.
+// save starts a write of a node, at whose end the machine's Saved is called.
 func (n *node) save(save control.StorageWrite) {
 	pending := &pendingSave{save: save}
 	n.storage.pending = append(n.storage.pending, pending)
@@ -138,7 +138,7 @@
 	return took
 }
 
-// sync ends a write. A full disk is tried again, as the driver does.
+// sync ends a write. A write to a full disk is retried, as the driver does.
 func (n *node) sync(process uint64, pending *pendingSave) {
 	if n.process != process || !n.up {
 		return
--- a/internal/lab/sim/timeline.go
+++ b/internal/lab/sim/timeline.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// worldColumn is the column of what happens on no node.
+// worldColumn is the column of events that belong to no node.
 const worldColumn = -1
 
 const (
@@ -14,7 +14,7 @@
 	timeWidth   = 10
 )
 
-// timeline is a drawing of a run: a line for an instant, a column a node.
+// timeline is a drawing of a run: a row for each instant, a column for each node.
 type timeline struct {
 	entries []timelineEntry
 }
@@ -25,12 +25,12 @@
 	text   string
 }
 
-// logf writes into the column of this node.
+// logf adds an entry to the column of this node.
 func (n *node) logf(format string, arguments ...any) {
 	n.world.logf(n.index, format, arguments...)
 }
 
-// logf writes into a column, if a timeline is kept.
+// logf adds an entry to a column, if a timeline is recorded.
 func (w *simulation) logf(column int, format string, arguments ...any) {
 	if w.timeline == nil {
 		return
@@ -52,8 +52,8 @@
 	return text.String()
 }
 
-// writeEntry writes one note. What is longer than its column runs on into the next
-// ones, as nothing else stands on its line.
+// writeEntry writes one entry. A text that is longer than its column runs on into
+// the next ones, since nothing else stands in its row.
 func (t *timeline) writeEntry(text *strings.Builder, entry timelineEntry, columns int) {
 	column := entry.column
 	if column == worldColumn {
--- a/internal/lab/sim/traffic.go
+++ b/internal/lab/sim/traffic.go
@@ -12,15 +12,15 @@
 const (
 	// requestEvery is the mean time between two requests at a node.
 	requestEvery = 60 * time.Millisecond
-	// shortRun and longRun bound how long requests run on a replica. Most are
-	// short, so that replicas are idle at times.
+	// minRun, shortRun and longRun bound how long requests run on a replica. Most
+	// are short, so that replicas are idle at times.
 	minRun   = 10 * time.Millisecond
 	shortRun = 50 * time.Millisecond
 	longRun  = 500 * time.Millisecond
-	// longRunProbability is the share of long requests.
+	// longRunProbability is the probability of a long request.
 	longRunProbability = 0.08
-	// admissionsOnWake is how many requests a node takes after a freeze before
-	// control runs.
+	// admissionsOnWake is how many requests a node admits after a suspension
+	// before control runs.
 	admissionsOnWake = 4
 )
 
@@ -40,7 +40,7 @@
 	view    *routing.View
 }
 
-// scheduleTraffic lets requests come at random instants.
+// scheduleTraffic lets requests arrive at random instants.
 func (n *node) scheduleTraffic(process uint64) {
 	var next func()
 	next = func() {
@@ -55,8 +55,8 @@
 	n.world.after(n.world.upTo(2*requestEvery), next)
 }
 
-// admissionView returns the view that the node admits under now, or nil while
-// it refuses traffic.
+// admissionView returns the view that the node admits under now, or nil while it
+// rejects traffic.
 func (n *node) admissionView() *routing.View {
 	switch {
 	case n.serving():
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// admit takes one request with a random key to a random admitting replica.
+// admit sends one request with a random key to a random admitting replica.
 func (n *node) admit() {
 	view := n.admissionView()
 	if view == nil || len(n.world.keys) == 0 {
@@ -99,7 +99,8 @@
 	})
 }
 
-// sendRequest counts a request as running from before it leaves until its end is known.
+// sendRequest counts a request as in flight from before it leaves until its end
+// is known.
 func (n *node) sendRequest(sent *request) {
 	n.world.counts.Requests++
 	n.world.checks.requestSent(sent)
@@ -107,9 +108,9 @@
 	n.world.after(n.world.requestLatency(), sent.arrive)
 }
 
-// requestLatency is the time from the last look at the view to the arrival at
-// the replica. Some requests are slow, by less than the margin that others add
-// before they count on a fence.
+// requestLatency is the time from the last look at the view to the arrival at the
+// replica. Some requests are slow, by less than the margin after which other
+// nodes count on a fence.
 func (w *simulation) requestLatency() time.Duration {
 	const slowProbability = 0.3
 	const slowest = control.DefaultFenceMargin - 20*time.Millisecond
