--- a/internal/lab/caller/balancer.go
+++ b/internal/lab/caller/balancer.go
@@ -16,7 +16,7 @@
 	pollTimeout = 400 * time.Millisecond
 )
 
-// readinessPath is where a node's control address tells whether it is ready.
+// readinessPath is where a node's control address reports whether it is ready.
 const readinessPath = "/healthz/ready"
 
 // Target is a front node as the balancer knows it.
--- a/internal/lab/caller/exchange.go
+++ b/internal/lab/caller/exchange.go
@@ -39,7 +39,7 @@
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext}}
 }
 
-// do sends the request and fills in the record. It tells whether any
+// do sends the request and fills in the record. It reports whether any
 // connection was made: without one nothing was sent, and another node may be
 // asked.
 func (call *exchange) do(ctx context.Context, target Target) bool {
--- a/internal/lab/caller/job.go
+++ b/internal/lab/caller/job.go
@@ -17,7 +17,7 @@
 	Secret string
 	// Service is the back end service that the host leads to.
 	Service string
-	// WebService tells that the service is a plain HTTP service.
+	// WebService is set if the service is a plain HTTP service.
 	WebService   bool
 	Method       string
 	Host         string
@@ -32,7 +32,7 @@
 	// LeaveAfter is when the caller goes away without an answer; zero if it
 	// stays.
 	LeaveAfter time.Duration
-	// ComesBack tells that the caller repeats a refused request under a new
+	// ComesBack is set if the caller repeats a refused request under a new
 	// identity once Retry-After has passed.
 	ComesBack bool
 }
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -62,7 +62,7 @@
 	running.Wait()
 }
 
-// waitUntil waits for a moment and tells whether the context outlived it.
+// waitUntil waits for a moment and reports whether the context outlived it.
 func waitUntil(ctx context.Context, moment time.Time) bool {
 	timer := time.NewTimer(time.Until(moment))
 	defer timer.Stop()
@@ -87,7 +87,7 @@
 	}
 }
 
-// returns tells whether a caller repeats a request: only one that has not run,
+// returns reports whether a caller repeats a request: only one that has not run,
 // and only when it was told when to come back.
 func returns(job Job, record checker.Request) bool {
 	refused := record.Result == checker.ResultRefused && record.Claim == checker.ClaimNotRun
--- a/internal/lab/checker/answers.go
+++ b/internal/lab/checker/answers.go
@@ -1,6 +1,6 @@
 package checker
 
-// AnswerIntegrity holds that an answer belongs to the request it was given to,
+// AnswerIntegrity requires that an answer belongs to the request it was given to,
 // and that an answer which looks complete is complete.
 type AnswerIntegrity struct{}
 
--- a/internal/lab/checker/at_most_once.go
+++ b/internal/lab/checker/at_most_once.go
@@ -1,6 +1,6 @@
 package checker
 
-// AtMostOnce holds that a request which may not be repeated runs on a back end
+// AtMostOnce requires that a request which may not be repeated runs on a back end
 // no more than once.
 type AtMostOnce struct{}
 
--- a/internal/lab/checker/bounds.go
+++ b/internal/lab/checker/bounds.go
@@ -39,7 +39,7 @@
 
 const forever = time.Duration(math.MaxInt64)
 
-// contains tells whether a moment lies in the span; To is outside.
+// contains reports whether a moment lies in the span; To is outside.
 func (span Span) contains(at time.Duration) bool {
 	return at >= span.From && at < span.To
 }
--- a/internal/lab/checker/breakage_test.go
+++ b/internal/lab/checker/breakage_test.go
@@ -42,8 +42,8 @@
 
 func unchanged(*checker.Execution) {}
 
-func reusing(part checker.Reuse) func(*checker.Execution) {
-	return func(execution *checker.Execution) { execution.Reused = []checker.Reuse{part} }
+func reusing(chunk checker.Reuse) func(*checker.Execution) {
+	return func(execution *checker.Execution) { execution.Reused = []checker.Reuse{chunk} }
 }
 
 func order(records *checker.Records, id string, change func(*checker.Order)) {
--- a/internal/lab/checker/completeness.go
+++ b/internal/lab/checker/completeness.go
@@ -1,6 +1,6 @@
 package checker
 
-// RecordsComplete holds that the records can prove something: every complete
+// RecordsComplete requires that the records can prove something: every complete
 // answer has an execution that gave it. Without this rule a run whose back
 // ends were never read would pass all the others.
 type RecordsComplete struct{}
--- a/internal/lab/checker/draining.go
+++ b/internal/lab/checker/draining.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// DrainingReplica holds that a replica gets no request once DrainingBound has
+// DrainingReplica requires that a replica gets no request once DrainingBound has
 // passed since the platform's list showed it draining.
 type DrainingReplica struct{}
 
--- a/internal/lab/checker/evacuation.go
+++ b/internal/lab/checker/evacuation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EvacuatedZone holds that the back ends of an evacuated zone get no request
+// EvacuatedZone requires that the back ends of an evacuated zone get no request
 // once EvacuationBound has passed since the acknowledgement, until the zone is
 // restored.
 type EvacuatedZone struct{}
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -54,8 +54,8 @@
 			RequestID: one.Request.RequestID, Attempt: one.Request.Attempt,
 			Replica: "replica-1", Arrived: one.ArrivedAt, Refused: !one.Started, Tenant: one.Request.Tenant,
 			WeightVersion: one.WeightVersion, FinalVersion: one.FinalWeightVersion,
-			Reused: lo.Map(one.Reused, func(part emulator.ReusedChunk, _ int) checker.Reuse {
-				return checker.Reuse{Chunk: part.Hash, Tenant: part.Tenant, WeightVersion: part.WeightVersion}
+			Reused: lo.Map(one.Reused, func(chunk emulator.ReusedChunk, _ int) checker.Reuse {
+				return checker.Reuse{Chunk: chunk.Hash, Tenant: chunk.Tenant, WeightVersion: chunk.WeightVersion}
 			}),
 		}
 	})
--- a/internal/lab/checker/not_run.go
+++ b/internal/lab/checker/not_run.go
@@ -1,6 +1,6 @@
 package checker
 
-// NotRunIsFinal holds that a request whose refusal says "not run" has not run
+// NotRunIsFinal requires that a request whose refusal says "not run" has not run
 // and does not run later.
 type NotRunIsFinal struct{}
 
--- a/internal/lab/checker/orders.go
+++ b/internal/lab/checker/orders.go
@@ -1,6 +1,6 @@
 package checker
 
-// OneOrderPerBase holds that of several orders on one base revision no more
+// OneOrderPerBase requires that of several orders on one base revision no more
 // than one is taken.
 type OneOrderPerBase struct{}
 
@@ -30,7 +30,7 @@
 	return violations
 }
 
-// ResentOrder holds that an identical order that was taken is never refused,
+// ResentOrder requires that an identical order that was taken is never refused,
 // and gets the first answer again.
 type ResentOrder struct{}
 
@@ -66,7 +66,7 @@
 	return violations
 }
 
-// InvalidRefused holds that an invalid configuration is never taken.
+// InvalidRefused requires that an invalid configuration is never taken.
 type InvalidRefused struct{}
 
 // Name returns the stable name.
--- a/internal/lab/checker/outage.go
+++ b/internal/lab/checker/outage.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ServiceReturns holds that a service never stays without a complete answer
+// ServiceReturns requires that a service never stays without a complete answer
 // for longer than OutageBound while admitted callers ask for one.
 type ServiceReturns struct{}
 
@@ -66,7 +66,7 @@
 	return all
 }
 
-// blamesService tells whether an unanswered request was due an answer: its
+// blamesService reports whether an unanswered request was due an answer: its
 // caller stayed, was admitted, and kept to its limits.
 func blamesService(request Request) bool {
 	callersOwn := request.Status == http.StatusUnauthorized || request.Status == http.StatusTooManyRequests
--- a/internal/lab/checker/records.go
+++ b/internal/lab/checker/records.go
@@ -85,7 +85,7 @@
 	RetryAfter time.Duration
 	// EchoID is the request identity inside the answer.
 	EchoID string
-	// DigestMatches tells whether the received bytes have the digest that the
+	// DigestMatches reports whether the received bytes have the digest that the
 	// answer names.
 	DigestMatches bool
 	// Follows is the refused request that this one repeats under a new
@@ -104,7 +104,7 @@
 	Zone    string
 	// Arrived is when the attempt reached the back end, past all admission.
 	Arrived time.Duration
-	// Refused tells that the back end did not and will not run the attempt.
+	// Refused is set if the back end did not and will not run the attempt.
 	Refused bool
 	Ended   time.Duration
 	Tenant  string
@@ -116,7 +116,7 @@
 	Reused        []Reuse
 }
 
-// Reuse is a kept part that an execution took over, with the truth about who
+// Reuse is a cached chunk that an execution took over, with the truth about who
 // made it.
 type Reuse struct {
 	Chunk         string `json:"Part"`
@@ -183,7 +183,7 @@
 	Node         string
 	BaseRevision uint64
 	Change       Change
-	// Invalid tells that the content breaks a rule of the configuration.
+	// Invalid is set if the content breaks a rule of the configuration.
 	Invalid  bool
 	Sent     time.Duration
 	Answered time.Duration
@@ -197,7 +197,7 @@
 type NodeRun struct {
 	Node string
 	Span
-	// Ended tells that the process ended at Span.To; else it outlived the
+	// Ended is set if the process ended at Span.To; else it outlived the
 	// records.
 	Ended bool
 }
@@ -217,7 +217,7 @@
 	Replica  string
 	Zone     string
 	Draining bool
-	// Removed tells that the list no longer shows the replica.
+	// Removed is set if the list no longer shows the replica.
 	Removed bool
 	At      time.Duration
 }
--- a/internal/lab/checker/retries.go
+++ b/internal/lab/checker/retries.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RetryRatio holds that retries to a back end service stay within
+// RetryRatio requires that retries to a back end service stay within
 // MaxRetryRatio of its first attempts: over the whole run at any size, and in
 // every window of RetryWindow that holds MinWindowAttempts first attempts.
 type RetryRatio struct{}
--- a/internal/lab/checker/reuse.go
+++ b/internal/lab/checker/reuse.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// WeightIsolation holds that no execution reuses parts made under another
+// WeightIsolation requires that no execution reuses chunks made under another
 // weight version, and that no weights change under a running execution, whose
 // own kept state would then be of two versions.
 type WeightIsolation struct{}
@@ -10,7 +10,7 @@
 // Name returns the stable name.
 func (WeightIsolation) Name() Name { return "weight_isolation" }
 
-// Check compares the version of each reused part with that of its execution.
+// Check compares the version of each reused chunk with that of its execution.
 func (rule WeightIsolation) Check(records *Records) []Violation {
 	var violations []Violation
 	for _, execution := range records.Executions {
@@ -32,14 +32,14 @@
 	return violations
 }
 
-// TenantIsolation holds that no execution reuses parts made by another tenant
+// TenantIsolation requires that no execution reuses chunks made by another tenant
 // while either of the two is walled.
 type TenantIsolation struct{}
 
 // Name returns the stable name.
 func (TenantIsolation) Name() Name { return "tenant_isolation" }
 
-// Check compares the tenant of each reused part with that of its execution.
+// Check compares the tenant of each reused chunk with that of its execution.
 func (rule TenantIsolation) Check(records *Records) []Violation {
 	walls := newWalls(records)
 	var violations []Violation
--- a/internal/lab/checker/revocation.go
+++ b/internal/lab/checker/revocation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Revocation holds that a revoked key admits nothing once RevocationBound has
+// Revocation requires that a revoked key admits nothing once RevocationBound has
 // passed since the acknowledgement.
 type Revocation struct{}
 
--- a/internal/lab/checker/served.go
+++ b/internal/lab/checker/served.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ServedInTime holds that every live node that is not fenced serves an
+// ServedInTime requires that every live node that is not fenced serves an
 // acknowledged configuration, or a newer one, within ServedBound.
 type ServedInTime struct{}
 
@@ -92,7 +92,7 @@
 	return NodeRun{}, false
 }
 
-// ServedNeverBack holds that a node never serves an older revision than it did
+// ServedNeverBack requires that a node never serves an older revision than it did
 // before, not even after a restart.
 type ServedNeverBack struct{}
 
@@ -114,7 +114,7 @@
 	return violations
 }
 
-// NodesRecover holds that every process which outlives the run serves at its
+// NodesRecover requires that every process which outlives the run serves at its
 // end: a fenced node must come back, and one that stays silent proves nothing.
 type NodesRecover struct{}
 
--- a/internal/lab/checker/weights.go
+++ b/internal/lab/checker/weights.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// WeightsConverge holds that a named weight version runs on every listed replica
+// WeightsConverge requires that a named weight version runs on every listed replica
 // of its pool within WeightsBound of calm time. A replica that the platform
 // lists as draining, or not at all, is on its way out and is not counted.
 type WeightsConverge struct{}
@@ -108,7 +108,7 @@
 	return first.WeightVersion, found
 }
 
-// runningAt tells whether the platform listed a replica as running.
+// runningAt reports whether the platform listed a replica as running.
 func runningAt(records *Records, replica string, at time.Duration) bool {
 	running := false
 	for _, sample := range endpointsByTime(records) {
--- a/internal/lab/emulator/cache.go
+++ b/internal/lab/emulator/cache.go
@@ -6,18 +6,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// CachedChunk is a prompt part in memory, with the truth about who made it.
+// CachedChunk is a chunk of a prompt in memory, with the truth about who made it.
 type CachedChunk struct {
 	Hash   prefixindex.ChainHash `json:"hash"`
 	Parent prefixindex.ChainHash `json:"parent"`
 	Tokens uint32                `json:"tokens"`
-	// Tenant is the true tenant whose request made the part.
+	// Tenant is the true tenant whose request made the chunk.
 	Tenant string `json:"tenant"`
-	// WeightVersion is the true version of the weights that made the part.
+	// WeightVersion is the true version of the weights that made the chunk.
 	WeightVersion string `json:"weight_version"`
 }
 
-// Cache keeps parts up to a number of tokens and evicts the least recently used
+// Cache keeps chunks up to a number of tokens and evicts the least recently used
 // one first. Parts of a chain are touched from the deepest to the first, so that
 // a chain loses its end before its start.
 type Cache struct {
@@ -43,10 +43,10 @@
 	}
 }
 
-// KeptTokens returns the tokens of all kept parts.
+// KeptTokens returns the tokens of all cached chunks.
 func (c *Cache) KeptTokens() uint64 { return c.kept }
 
-// Get returns a part if it is kept.
+// Get returns a chunk if it is kept.
 func (c *Cache) Get(hash prefixindex.ChainHash) (CachedChunk, bool) {
 	element, ok := c.entries[hash]
 	if !ok {
@@ -55,7 +55,7 @@
 	return element.Value.(*cacheEntry).chunk, true
 }
 
-// Leading returns the kept parts of a chain up to the first one that is missing.
+// Leading returns the cached chunks of a chain up to the first one that is missing.
 func (c *Cache) Leading(links []prefixindex.Link) []CachedChunk {
 	var chunks []CachedChunk
 	for _, link := range links {
@@ -68,7 +68,7 @@
 	return chunks
 }
 
-// Touch marks the kept parts of a chain as just used.
+// Touch marks the cached chunks of a chain as just used.
 func (c *Cache) Touch(links []prefixindex.Link) {
 	for position := len(links) - 1; position >= 0; position-- {
 		if element, ok := c.entries[links[position].Hash]; ok {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Pin keeps parts from eviction until Unpin is called as often. It returns the
+// Pin keeps chunks from eviction until Unpin is called as often. It returns the
 // hashes that are kept and so were pinned.
 func (c *Cache) Pin(links []prefixindex.Link) []prefixindex.ChainHash {
 	var pinned []prefixindex.ChainHash
@@ -92,7 +92,7 @@
 	return pinned
 }
 
-// Unpin undoes one Pin of each part.
+// Unpin undoes one Pin of each chunk.
 func (c *Cache) Unpin(hashes []prefixindex.ChainHash) {
 	for _, hash := range hashes {
 		if element, ok := c.entries[hash]; ok {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Put keeps a part as the most recently used one. A part that is kept already
-// stays as it was first made. The part is not stored when pinned parts leave no
+// Put keeps a chunk as the most recently used one. A chunk that is kept already
+// stays as it was first made. The chunk is not stored when pinned chunks leave no
 // room for it.
 func (c *Cache) Put(chunk CachedChunk) (stored bool, removed []CachedChunk) {
 	if _, ok := c.entries[chunk.Hash]; ok {
@@ -117,7 +117,7 @@
 	return true, removed
 }
 
-// PutChain keeps parts of one chain, in order, up to the first one that finds no
+// PutChain keeps chunks of one chain, in order, up to the first one that finds no
 // room. None of them makes room for another.
 func (c *Cache) PutChain(chunks []CachedChunk) (stored, removed []CachedChunk) {
 	var pinned []prefixindex.ChainHash
@@ -137,7 +137,7 @@
 	return stored, removed
 }
 
-// Reserve takes memory for the output of an active request and evicts parts for
+// Reserve takes memory for the output of an active request and evicts chunks for
 // it. Release gives it back.
 func (c *Cache) Reserve(tokens uint64) (removed []CachedChunk) {
 	removed, _ = c.evictFor(tokens)
@@ -148,7 +148,7 @@
 // Release gives back memory taken by Reserve.
 func (c *Cache) Release(tokens uint64) { c.reserved -= tokens }
 
-// All returns every kept part, the least recently used one last.
+// All returns every cached chunk, the least recently used one last.
 func (c *Cache) All() []CachedChunk {
 	chunks := make([]CachedChunk, 0, len(c.entries))
 	for element := c.recent.Front(); element != nil; element = element.Next() {
@@ -157,7 +157,7 @@
 	return chunks
 }
 
-// evictFor evicts unpinned parts until the tokens fit.
+// evictFor evicts unpinned chunks until the tokens fit.
 func (c *Cache) evictFor(tokens uint64) (removed []CachedChunk, fits bool) {
 	element := c.recent.Back()
 	for c.kept+c.reserved+tokens > c.capacity {
--- a/internal/lab/emulator/cache_test.go
+++ b/internal/lab/emulator/cache_test.go
@@ -10,8 +10,8 @@
 )
 
 func chain(ids ...string) []prefixindex.Link {
-	parts := lo.Map(ids, func(id string, _ int) prefixindex.Chunk { return prefixindex.Chunk{ID: id, Tokens: 100} })
-	return prefixindex.Chain("model", "salt", parts)
+	chunks := lo.Map(ids, func(id string, _ int) prefixindex.Chunk { return prefixindex.Chunk{ID: id, Tokens: 100} })
+	return prefixindex.Chain("model", "salt", chunks)
 }
 
 func kept(links []prefixindex.Link) []emulator.CachedChunk {
@@ -64,11 +64,11 @@
 
 	It("keeps the maker of a part that is put again", func() {
 		cache := emulator.NewCache(300)
-		part := emulator.CachedChunk{Hash: 7, Tokens: 10, Tenant: "first", WeightVersion: "v1"}
-		cache.PutChain([]emulator.CachedChunk{part})
-		again := part
+		chunk := emulator.CachedChunk{Hash: 7, Tokens: 10, Tenant: "first", WeightVersion: "v1"}
+		cache.PutChain([]emulator.CachedChunk{chunk})
+		again := chunk
 		again.Tenant = "second"
 		cache.PutChain([]emulator.CachedChunk{again})
-		Expect(cache.All()).To(Equal([]emulator.CachedChunk{part}))
+		Expect(cache.All()).To(Equal([]emulator.CachedChunk{chunk}))
 	})
 })
--- a/internal/lab/emulator/config.go
+++ b/internal/lab/emulator/config.go
@@ -16,7 +16,7 @@
 	// WeightVersion is what the replica starts with, also after a crash.
 	WeightVersion string
 
-	// CapacityTokens is the memory for kept parts and for the output of active
+	// CapacityTokens is the memory for cached chunks and for the output of active
 	// requests.
 	CapacityTokens uint64
 	// PrefillTokensPerSecond is the prefill speed of an idle machine at the
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -1,11 +1,11 @@
 // Package emulator models a replica of a language model and a store of kept
-// prompt parts, without any I/O: time comes in with each call, and what happens
+// chunks of prompts, without any I/O: time comes in with each call, and what happens
 // goes out as notices and events. The same model runs in virtual time for
 // benches and in real time behind the HTTP stand-ins.
 //
 // The model covers what matters for placing requests: prefill that is computed
-// one request at a time, decode in a shared batch, a cache of prompt parts with
-// least-recently-used eviction, transfers of parts over links, late reports,
-// weight loads, cold starts and crashes. Every kept part carries the tenant and
+// one request at a time, decode in a shared batch, a cache of chunks of prompts with
+// least-recently-used eviction, transfers of chunks over links, late reports,
+// weight loads, cold starts and crashes. Every cached chunk carries the tenant and
 // the weight version that really made it, so that a wrong reuse shows.
 package emulator
--- a/internal/lab/emulator/journal.go
+++ b/internal/lab/emulator/journal.go
@@ -7,7 +7,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Journal numbers the cache events of one holder of parts and keeps the last of
+// Journal numbers the cache events of one replica or store and keeps the last of
 // them for readers that come back.
 type Journal struct {
 	incarnation uint64
@@ -29,14 +29,14 @@
 // LastSequence returns the number of the newest event.
 func (j *Journal) LastSequence() uint64 { return j.sequence }
 
-// Stored adds an event about parts that are now kept.
+// Stored adds an event about chunks that are now kept.
 func (j *Journal) Stored(chunks []CachedChunk) {
 	if len(chunks) > 0 {
 		j.add(protocol.EventStored, EventChunks(chunks))
 	}
 }
 
-// Removed adds an event about parts that were dropped.
+// Removed adds an event about chunks that were dropped.
 func (j *Journal) Removed(chunks []CachedChunk) {
 	if len(chunks) == 0 {
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// EventChunks turns kept parts into the protocol's form, which tells neither
+// EventChunks turns cached chunks into the protocol's form, which tells neither
 // tenant nor version.
 func EventChunks(chunks []CachedChunk) []protocol.Chunk {
 	shown := make([]protocol.Chunk, len(chunks))
--- a/internal/lab/emulator/replica.go
+++ b/internal/lab/emulator/replica.go
@@ -165,7 +165,7 @@
 	return missing
 }
 
-// PullDone ends the wait of an attempt for pulled parts and keeps those that
+// PullDone ends the wait of an attempt for pulled chunks and keeps those that
 // came. A failed pull brings none.
 func (r *Replica) PullDone(now time.Duration, handle Handle, chunks []CachedChunk) {
 	r.Advance(now)
@@ -200,7 +200,7 @@
 	r.remember()
 }
 
-// Export returns the parts that a peer asked for, up to the first one that is
+// Export returns the chunks that a peer asked for, up to the first one that is
 // not kept.
 func (r *Replica) Export(now time.Duration, hashes []prefixindex.ChainHash) []CachedChunk {
 	r.Advance(now)
@@ -238,7 +238,7 @@
 	r.begin(r.journal.Incarnation()+1, now+r.config.Restart)
 }
 
-// Up tells whether the replica answers at all.
+// Up reports whether the replica answers at all.
 func (r *Replica) Up(now time.Duration) bool { return now >= r.upAt }
 
 // Executions returns the ground truth of every arrival, in order.
@@ -253,13 +253,13 @@
 // Snapshot returns a reset event that lists everything kept.
 func (r *Replica) Snapshot() protocol.Event { return r.journal.Snapshot(r.cache.All()) }
 
-// Chunk returns one kept part.
+// Chunk returns one cached chunk.
 func (r *Replica) Chunk(hash prefixindex.ChainHash) (CachedChunk, bool) { return r.cache.Get(hash) }
 
 func (r *Replica) warming() bool { return r.now < r.warmAt }
 
-// keep stores parts of one chain, in order, and reports what was stored and what
-// had to go. It ends at the first part that finds no room, since no later part
+// keep stores chunks of one chain, in order, and reports what was stored and what
+// had to go. It ends at the first chunk that finds no room, since no later chunk
 // counts without it.
 func (r *Replica) keep(chunks []CachedChunk) {
 	stored, removed := r.cache.PutChain(chunks)
--- a/internal/lab/emulator/replica_test.go
+++ b/internal/lab/emulator/replica_test.go
@@ -25,10 +25,10 @@
 	return replica
 }
 
-func request(id, tenant, salt string, parts ...prefixindex.Chunk) emulator.Request {
+func request(id, tenant, salt string, chunks ...prefixindex.Chunk) emulator.Request {
 	return emulator.Request{
 		RequestID: id, Attempt: 1, Tenant: tenant, Model: "model", CacheSalt: salt,
-		Chunks: parts, OutputTokens: 10,
+		Chunks: chunks, OutputTokens: 10,
 	}
 }
 
@@ -167,10 +167,10 @@
 
 	It("waits for pulled parts and keeps who made them", func() {
 		source, replica := newReplica(smallMachine()), newReplica(smallMachine())
-		parts := []prefixindex.Chunk{part("a", 3000), part("b", 3000)}
-		mustSubmit(source, 0, request("made", "maker", "s", parts...))
+		chunks := []prefixindex.Chunk{part("a", 3000), part("b", 3000)}
+		mustSubmit(source, 0, request("made", "maker", "s", chunks...))
 		done := finish(source)
-		pulling := request("pulled", "user", "s", parts...)
+		pulling := request("pulled", "user", "s", chunks...)
 		pulling.AwaitPull = true
 		handle := mustSubmit(replica, done, pulling)
 		_, more := replica.NextChange()
--- a/internal/lab/emulator/report.go
+++ b/internal/lab/emulator/report.go
@@ -16,7 +16,7 @@
 	report protocol.Report
 }
 
-// remember notes the present state for later readers. The report's age begins
+// remember records the present state for later readers. The report's age begins
 // here.
 func (r *Replica) remember() {
 	state := reportState{at: r.now, report: r.currentReport()}
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -96,7 +96,7 @@
 	OutcomeRefused              Outcome = "refused"
 )
 
-// ReusedChunk is a part that an attempt did not compute, with its maker.
+// ReusedChunk is a chunk that an attempt did not compute, with its maker.
 type ReusedChunk struct {
 	Hash          string `json:"hash"`
 	Tokens        uint32 `json:"tokens"`
@@ -112,7 +112,7 @@
 	Outcome   Outcome
 	Refusal   RefusalReason
 	ArrivedAt time.Duration
-	// Started tells whether any of the request has run; StartedAt is when.
+	// Started reports whether any of the request has run; StartedAt is when.
 	Started    bool
 	StartedAt  time.Duration
 	FinishedAt time.Duration
@@ -126,7 +126,7 @@
 	FinalWeightVersion string
 }
 
-// MixedReuse returns the reused parts that another weight version made, or that
+// MixedReuse returns the reused chunks that another weight version made, or that
 // another tenant made while walled says that either of the two is walled.
 func (e *Execution) MixedReuse(walled func(tenant string) bool) []ReusedChunk {
 	var mixed []ReusedChunk
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -162,7 +162,7 @@
 	attempt.allWork = attempt.prefillWork
 }
 
-// reuse notes the kept parts that the attempt starts from and holds on to them.
+// reuse records the cached chunks that the attempt starts from and holds on to them.
 func (r *Replica) reuse(attempt *sequence) {
 	execution := attempt.execution
 	leading := r.cache.Leading(attempt.links)
@@ -191,7 +191,7 @@
 	return computed * (1 + middle/r.config.AttentionTokens)
 }
 
-// finishPrefill keeps the computed parts and gives out the first token.
+// finishPrefill keeps the computed chunks and gives out the first token.
 func (r *Replica) finishPrefill() {
 	attempt := r.prefilling
 	r.prefilling = nil
--- a/internal/lab/emulator/store.go
+++ b/internal/lab/emulator/store.go
@@ -5,7 +5,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Store is the model of a store of kept parts. It is not safe for concurrent
+// Store is the model of a store of cached chunks. It is not safe for concurrent
 // use.
 type Store struct {
 	capacityTokens uint64
@@ -24,7 +24,7 @@
 	}
 }
 
-// Put keeps a part that a replica pushed.
+// Put keeps a chunk that a replica pushed.
 func (s *Store) Put(chunk CachedChunk) {
 	stored, removed := s.cache.PutChain([]CachedChunk{chunk})
 	s.cache.Touch([]prefixindex.Link{{Hash: chunk.Hash}})
@@ -32,7 +32,7 @@
 	s.journal.Stored(stored)
 }
 
-// Get returns a part and marks it as used.
+// Get returns a chunk and marks it as used.
 func (s *Store) Get(hash prefixindex.ChainHash) (CachedChunk, bool) {
 	s.cache.Touch([]prefixindex.Link{{Hash: hash}})
 	return s.cache.Get(hash)
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// weights is what the replica has loaded and is loading. Kept parts stay in
+// weights is what the replica has loaded and is loading. Cached chunks stay in
 // memory over a change of weights: only a caller's salt keeps them apart.
 type weights struct {
 	version      string
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -69,7 +69,7 @@
 	// Skipped counts requests that were not sent since too many ran.
 	Skipped int
 	// ConvergenceTime is the time from the last disturbance until every replica
-	// ran the last weights; Settled tells whether they came to.
+	// ran the last weights; Converged reports whether all of them did.
 	ConvergenceTime time.Duration
 	Converged       bool
 	// Failures are the steps of the scenario that could not be done.
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -112,7 +112,7 @@
 }
 
 // Terminate asks the process to finish, and kills it when it has not done so
-// in time. It tells whether the process ended by itself.
+// in time. It reports whether the process ended by itself.
 func (process *Process) Terminate(timeout time.Duration) bool {
 	process.signal(syscall.SIGTERM)
 	process.Thaw()
--- a/internal/lab/fleet/sampler.go
+++ b/internal/lab/fleet/sampler.go
@@ -201,7 +201,7 @@
 	return body, errors.Wrap(err, "read the answer")
 }
 
-// ReplicasRunning tells whether the newest sample of every listed replica that
+// ReplicasRunning reports whether the newest sample of every listed replica that
 // is not draining shows a weight version.
 func (sampler *Sampler) ReplicasRunning(version string) bool {
 	sampler.lock.Lock()
--- a/internal/lab/fleet/stand_ins.go
+++ b/internal/lab/fleet/stand_ins.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// modelFlags are the flags of everything that keeps parts.
+// modelFlags are the flags of everything that keeps chunks.
 func modelFlags(options Options, number int) []string {
 	links := options.Topology.Links
 	latency := time.Duration(links.CrossZoneLatencyMicroseconds) * time.Microsecond
--- a/internal/lab/fleet/topology.go
+++ b/internal/lab/fleet/topology.go
@@ -55,7 +55,7 @@
 type ReplicaGroup struct {
 	Service string `json:"service"`
 	Pool    string `json:"pool"`
-	// MachineClass is "large" or "smaller", by memory for kept parts.
+	// MachineClass is "large" or "smaller", by memory for cached chunks.
 	MachineClass  string    `json:"machine_class"`
 	WeightVersion string    `json:"weight_version"`
 	Members       []Backend `json:"members"`
--- a/internal/lab/hollow/doc.go
+++ b/internal/lab/hollow/doc.go
@@ -1,4 +1,4 @@
-// Package hollow runs the control part of many nodes in one process, to measure
+// Package hollow runs the control plane of many nodes in one process, to measure
 // what a node costs as a deployment grows.
 //
 // Real are: the control machine and its driver with their timers, membership,
--- a/internal/lab/hollow/index.go
+++ b/internal/lab/hollow/index.go
@@ -33,7 +33,7 @@
 	CachedChunks    int     `json:"kept_parts"`
 	BytesPerChunk   float64 `json:"heap_bytes_per_part"`
 	EventsPerSecond float64 `json:"events_s_one_core"`
-	// EncodedEventBytes is the length of the line that reports one stored part, and
+	// EncodedEventBytes is the length of the event that reports one stored chunk, and
 	// EventsDecodedPerSecond how many of them one core reads.
 	EncodedEventBytes      int     `json:"event_line_bytes"`
 	EventsDecodedPerSecond float64 `json:"event_lines_read_s_one_core"`
@@ -48,7 +48,7 @@
 }
 
 // indexFeed feeds the events of all replicas to one router, from one goroutine.
-// Each replica keeps a fixed number of parts: it stores a new one and drops its
+// Each replica keeps a fixed number of chunks: it stores a new one and drops its
 // oldest.
 type indexFeed struct {
 	router   *kvrouter.Router
@@ -93,7 +93,7 @@
 	return prefixindex.Link{Hash: prefixindex.ChainHash(f.random.Uint64()), Tokens: chunkTokens}
 }
 
-// replaceChunk has one replica store a part and remove another: two events.
+// replaceChunk has one replica store a chunk and remove another: two events.
 func (f *indexFeed) replaceChunk() {
 	number := f.random.IntN(len(f.cached))
 	link := f.newLink()
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -124,15 +124,15 @@
 	return view.Revision
 }
 
-// serving tells whether the node admits traffic.
+// serving reports whether the node admits traffic.
 func (n *node) serving() bool { return n.driver.Serving() == nil }
 
-// converged tells whether the node serves every replica.
+// converged reports whether the node serves every replica.
 func (n *node) converged() bool {
 	return n.serving() && admitsAll(n.driver.View(), n.fleet.settings.Replicas)
 }
 
-// admitsAll tells whether a view admits requests to so many replicas.
+// admitsAll reports whether a view admits requests to so many replicas.
 func admitsAll(view *routing.View, replicas int) bool {
 	if view == nil || view.Revision == 0 {
 		return false
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -27,10 +27,10 @@
 	Stretch  int     `json:"stretch"`
 	// Seconds is the time that was measured.
 	Seconds float64 `json:"seconds"`
-	// StableInRealTime tells whether every node served during all of that time at
+	// StableInRealTime reports whether every node served during all of that time at
 	// its own pace, and no change was pending or failed.
 	StableInRealTime bool `json:"held_real_time"`
-	// Virtual tells that the nodes ran on a virtual clock, on which inputs take
+	// Virtual is set if the nodes ran on a virtual clock, on which inputs take
 	// no time, and StableInVirtualTime that they held as above on it.
 	Virtual             bool    `json:"virtual"`
 	StableInVirtualTime bool    `json:"held_virtual_time"`
--- a/internal/lab/hollow/spread.go
+++ b/internal/lab/hollow/spread.go
@@ -15,11 +15,11 @@
 type observed interface {
 	// revision is the revision of the configuration that the node serves.
 	revision() uint64
-	// serving tells whether the node admits traffic.
+	// serving reports whether the node admits traffic.
 	serving() bool
 }
 
-// spread notes when nodes first serve a revision.
+// spread records when nodes first serve a revision.
 type spread struct {
 	nodes     []observed
 	revisions []uint64
--- a/internal/lab/hollow/start.go
+++ b/internal/lab/hollow/start.go
@@ -35,7 +35,7 @@
 	Core  int    `json:"core"`
 	Zones int    `json:"zones"`
 	Seed  uint64 `json:"seed"`
-	// Agreed tells whether all nodes came to hold one table of members, and
+	// Agreed reports whether all nodes came to hold one table of members, and
 	// AgreedSeconds when they first did for startSteady.
 	Agreed        bool    `json:"agreed"`
 	AgreedSeconds float64 `json:"agreed_seconds"`
--- a/internal/lab/hollow/traffic.go
+++ b/internal/lab/hollow/traffic.go
@@ -25,7 +25,7 @@
 
 // meter counts the messages of one node by kind.
 type meter struct {
-	// across is the part of sent that goes to other zones.
+	// crossZone counts what was sent to other zones.
 	sent, crossZone, received [wire.KindCount]struct {
 		messages, bytes atomic.Uint64
 	}
--- a/internal/lab/hollow/virtual_fleet.go
+++ b/internal/lab/hollow/virtual_fleet.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// handleReply notes the answer to a change.
+// handleReply records the answer to a change.
 func (f *virtualFleet) handleReply(now time.Duration, reply control.Reply) {
 	made, known := f.tickets[reply.Ticket]
 	if !known {
--- a/internal/lab/links/network.go
+++ b/internal/lab/links/network.go
@@ -29,7 +29,7 @@
 
 	lock       sync.Mutex
 	treatments map[Link]LinkState
-	// changed is closed and made anew whenever a treatment changes.
+	// changed is closed and made again whenever a treatment changes.
 	changed chan struct{}
 	// spoiled holds the streams that have lost bytes.
 	spoiled map[*stream]struct{}
@@ -69,7 +69,7 @@
 	return network.treatments[link], network.changed
 }
 
-// loses tells whether bytes of a stream are lost. Once some were, all that
+// loses reports whether bytes of a stream are lost. Once some were, all that
 // follow are, since the receiver must not see a stream with a gap.
 func (network *Network) loses(one *stream, bytes int) bool {
 	network.lock.Lock()
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -72,7 +72,7 @@
 	return 0, ErrNoPort
 }
 
-// unused tells whether nobody listens on a port. A listener at all addresses
+// unused reports whether nobody listens on a port. A listener at all addresses
 // conflicts with one at any address.
 func unused(port int) bool {
 	listener, err := net.Listen("tcp", net.JoinHostPort("", strconv.Itoa(port)))
--- a/internal/lab/operator/orders.go
+++ b/internal/lab/operator/orders.go
@@ -34,7 +34,7 @@
 	Call    protoreflect.Name
 	Request OrderRequest
 	Change  checker.Change
-	// Invalid tells that the content breaks a rule on purpose.
+	// Invalid is set if the content breaks a rule on purpose.
 	Invalid bool
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// UndecidedError tells that no node gave a verdict on an order in time.
+// UndecidedError reports that no node gave a verdict on an order in time.
 type UndecidedError struct {
 	OrderID string
 	Last    checker.Outcome
--- a/internal/lab/plans/background_operators.go
+++ b/internal/lab/plans/background_operators.go
@@ -31,7 +31,7 @@
 	lock sync.Mutex
 	// newest is the latest moment at which an acknowledged order was sent.
 	newest time.Duration
-	// changed is closed and made anew with every acknowledgement.
+	// changed is closed and made again with every acknowledgement.
 	changed chan struct{}
 }
 
--- a/internal/lab/plans/plan.go
+++ b/internal/lab/plans/plan.go
@@ -15,10 +15,10 @@
 	Summary string
 	// Links lets the plan cut and delay what nodes send each other.
 	Links bool
-	// SubmitsOrders tells that the plan submits its own orders, beside which no
+	// SubmitsOrders is set if the plan submits its own orders, beside which no
 	// others are to change the configuration.
 	SubmitsOrders bool
-	// injectFaults brings the faults and returns when all have been mended.
+	// injectFaults brings the faults and returns when all have been repaired.
 	injectFaults func(ctx context.Context, run *run) error
 }
 
@@ -45,7 +45,7 @@
 	return plan, nil
 }
 
-// UnknownPlanError tells that there is no plan of a name.
+// UnknownPlanError reports that there is no plan of a name.
 type UnknownPlanError struct {
 	Name string
 }
--- a/internal/lab/plans/pool.go
+++ b/internal/lab/plans/pool.go
@@ -14,12 +14,12 @@
 
 func isServing(replica *ridgeswitchv1.ReplicaStatus) bool { return replica.GetPhase() == servingPhase }
 
-// allServing tells that every replica of a pool gets requests.
+// allServing reports that every replica of a pool gets requests.
 func allServing(replicas []*ridgeswitchv1.ReplicaStatus) bool {
 	return len(replicas) > 0 && lo.EveryBy(replicas, isServing)
 }
 
-// anyServing tells that some replica of a pool gets requests.
+// anyServing reports that some replica of a pool gets requests.
 func anyServing(replicas []*ridgeswitchv1.ReplicaStatus) bool {
 	return lo.SomeBy(replicas, isServing)
 }
--- a/internal/lab/plans/recovery.go
+++ b/internal/lab/plans/recovery.go
@@ -11,9 +11,9 @@
 
 // Names of what the package judges beside the checker's invariants.
 const (
-	// OrdersReturn holds that orders are acknowledged again within the bound.
+	// OrdersReturn checks that orders are acknowledged again within the bound.
 	OrdersReturn checker.Name = "orders_return"
-	// AcknowledgedKept holds that what was acknowledged is there at the end.
+	// AcknowledgedKept checks that what was acknowledged is there at the end.
 	AcknowledgedKept checker.Name = "acknowledged_kept"
 )
 
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -114,7 +114,7 @@
 	run.failures = append(run.failures, err)
 }
 
-// disturb notes that a fault begins now.
+// disturb records that a fault begins now.
 func (run *run) disturb(name string) {
 	at := run.Clock.Now()
 	run.Log.WithField("at", at).Info(name)
@@ -123,7 +123,7 @@
 	run.disturbances = append(run.disturbances, Disturbance{Name: name, At: at})
 }
 
-// violate notes what no run may show.
+// violate records what no run may show.
 func (run *run) violate(name checker.Name, detail string) {
 	run.lock.Lock()
 	defer run.lock.Unlock()
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// checkNoneOlder holds that no replica of a pool runs an older version.
+// checkNoneOlder checks that no replica of a pool runs an older version.
 func (w *simulation) checkNoneOlder(pool, version string) {
 	wanted, err := strconv.Atoi(version)
 	Expect(err).NotTo(HaveOccurred())
@@ -110,7 +110,7 @@
 	w.after(pollInterval, func() { w.awaitEvacuation(order, then) })
 }
 
-// checkEvacuated holds that every node knows that a zone is evacuated.
+// checkEvacuated checks that every node knows that a zone is evacuated.
 func (w *simulation) checkEvacuated(zone string) {
 	for _, one := range w.nodes {
 		if one.view == nil || len(one.view.Configuration.GetEvacuations()) != 1 || one.view.Configuration.GetEvacuations()[0].GetZone() != zone {
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -72,7 +72,7 @@
 	w.checkAcknowledged(order, failOpenAcknowledge)
 }
 
-// checkAcknowledged holds that an order is acknowledged within a bound from now.
+// checkAcknowledged checks that an order is acknowledged within a bound from now.
 func (w *simulation) checkAcknowledged(order *operatorOrder, bound time.Duration) {
 	w.after(bound, func() {
 		if order.outcome != checker.OutcomeAcknowledged {
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -13,7 +13,7 @@
 // readBackBound is how long a read may take while nothing is wrong.
 const readBackBound = 100 * time.Millisecond
 
-// expectRead holds that a read has got an answer within a bound.
+// expectRead checks that a read has got an answer within a bound.
 func (w *simulation) expectRead(reader *node, bound time.Duration) {
 	configuration, document := w.readConfigurationAt(reader), w.readDocumentAt(reader)
 	w.after(bound, func() {
@@ -25,7 +25,7 @@
 	})
 }
 
-// expectNoRead holds that reads of a node that can't be sure are never answered.
+// expectNoRead checks that reads of a node that can't be sure are never answered.
 func (w *simulation) expectNoRead(reader *node) {
 	configuration, document := w.readConfigurationAt(reader), w.readDocumentAt(reader)
 	w.after(readTimeout, func() {
--- a/internal/lab/sim/rejoin_test.go
+++ b/internal/lab/sim/rejoin_test.go
@@ -8,7 +8,7 @@
 var _ = Describe("A node that is cut off while all others are restarted in turn", func() {
 	It("finds them again through its seeds", func() {
 		// It hears that each of the others has left in good order, and nothing of their
-		// return. They begin anew and do not know of it.
+		// return. They begin again and do not know of it.
 		summary := Campaign{First: 800282, Last: 800282, Virtual: DefaultVirtual, Jobs: 1, FinishFirst: true}.Run()
 		Expect(summary.Failures).To(BeEmpty())
 	})
@@ -43,7 +43,7 @@
 		// Two disks are lost with the power. The first voter in the agreed order that is left
 		// lacks the last entry, and asked for promises in vain until the turn of the fifth.
 		Entry("also if the next voter in the agreed order lacks the last entry", uint64(7200011)),
-		// The nodes with disks began anew with nobody but each other in their tables, and no
+		// The nodes with disks began again with nobody but each other in their tables, and no
 		// other node chose one of them for a probe for three seconds.
 		Entry("also if they know nobody but each other", uint64(7200014)),
 	)
--- a/internal/lab/standin/event_stream.go
+++ b/internal/lab/standin/event_stream.go
@@ -23,7 +23,7 @@
 	Sequence    uint64
 }
 
-// EventSource is what a holder of parts shows to readers of events.
+// EventSource is what a replica or store shows to readers of events.
 type EventSource interface {
 	// EventsAfter returns the events that follow a position, beginning with a
 	// reset when the position is unknown or too old. The channel is closed when
@@ -50,7 +50,7 @@
 	// Plan, in the model's time, and Seed say what goes wrong on the way.
 	Plan emulator.FeedPlan
 	Seed uint64
-	// Drop, if set, tells whether the next event is lost besides.
+	// Drop, if set, reports whether the next event is lost besides.
 	Drop func() bool
 	// ReportEvery is the real time between reports.
 	ReportEvery time.Duration
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// DropEvent tells whether the next event is to be lost.
+// DropEvent reports whether the next event is to be lost.
 func (p *FaultPlan) DropEvent() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/lab/standin/replica/chunks.go
+++ b/internal/lab/standin/replica/chunks.go
@@ -15,14 +15,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// minPushTokens is the length from which a part is worth keeping in the store.
+// minPushTokens is the length from which a chunk is worth keeping in the store.
 const minPushTokens = 256
 
-// pullTimeout, in the model's time, is how long an attempt waits for parts before
+// pullTimeout, in the model's time, is how long an attempt waits for chunks before
 // it computes them.
 const pullTimeout = 15 * time.Second
 
-// chunk serves a kept part to a peer, in the time that its transfer takes.
+// serveChunk serves a cached chunk to a peer, in the time that its transfer takes.
 func (s *Server) serveChunk(w http.ResponseWriter, r *http.Request) {
 	hash, err := emulator.ParseHash(r.PathValue("hash"))
 	if err != nil {
@@ -44,7 +44,7 @@
 	standin.WriteJSON(w, http.StatusOK, kept[0])
 }
 
-// pull fetches what an attempt lacks, up to the first part that cannot be had in
+// pull fetches what an attempt lacks, up to the first chunk that cannot be had in
 // time, and lets the attempt go on.
 func (s *Server) pull(ctx context.Context, handle emulator.Handle, wanted pullRange) {
 	ctx, cancel := context.WithTimeout(ctx, s.clock.Real(pullTimeout))
@@ -87,7 +87,7 @@
 	return chunk, nil
 }
 
-// pushNewChunks sends each long part that is newly kept to the store.
+// pushNewChunks sends each long chunk that is newly kept to the store.
 func (s *Server) pushNewChunks(ctx context.Context) {
 	var position standin.Position
 	for {
@@ -115,7 +115,7 @@
 		var chunk emulator.CachedChunk
 		var kept bool
 		s.do(func(time.Duration) { chunk, kept = s.model.Chunk(hash) })
-		// A store that is down misses the part; it is a cache.
+		// A store that is down misses the chunk; it is a cache.
 		if kept && s.push(ctx, chunk) != nil {
 			return
 		}
--- a/internal/lab/standin/replica/ground_truth.go
+++ b/internal/lab/standin/replica/ground_truth.go
@@ -24,13 +24,13 @@
 	// Outcome is one of the outcomes of package emulator.
 	Outcome string `json:"outcome"`
 	Refusal string `json:"refusal,omitempty"`
-	// Started tells whether any of the request has run.
+	// Started reports whether any of the request has run.
 	Started            bool  `json:"started"`
 	ArrivedUnixNano    int64 `json:"arrived_unix_nano"`
 	StartedUnixNano    int64 `json:"started_unix_nano"`
 	FirstTokenUnixNano int64 `json:"first_token_unix_nano"`
 	FinishedUnixNano   int64 `json:"finished_unix_nano"`
-	// Delivered tells whether the whole answer was written to the connection.
+	// Delivered reports whether the whole answer was written to the connection.
 	Delivered          bool                   `json:"delivered"`
 	PrefilledTokens    uint64                 `json:"prefilled_tokens"`
 	ReusedTokens       uint64                 `json:"reused_tokens"`
--- a/internal/lab/standin/replica/request.go
+++ b/internal/lab/standin/replica/request.go
@@ -67,7 +67,7 @@
 }
 
 // parsePrefix reads `id;tokens=N, id;tokens=N`. An absent header is a prompt
-// without parts.
+// without chunks.
 func parsePrefix(text string) ([]prefixindex.Chunk, error) {
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
--- a/internal/lab/standin/replica/settings.go
+++ b/internal/lab/standin/replica/settings.go
@@ -16,7 +16,7 @@
 	// transfers run.
 	TimeScale float64
 	Seed      uint64
-	// Store is the address of the store that made parts are pushed to; may be
+	// Store is the address of the store that made chunks are pushed to; may be
 	// empty.
 	Store string
 	Links emulator.LinkModel
--- a/internal/lab/standin/response.go
+++ b/internal/lab/standin/response.go
@@ -15,7 +15,7 @@
 const (
 	// HeaderTenant names the true tenant of a request.
 	HeaderTenant = "Lab-Tenant"
-	// HeaderZone names the zone of a machine that fetches a part.
+	// HeaderZone names the zone of a machine that fetches a chunk.
 	HeaderZone = "Lab-Zone"
 	// HeaderDigest is the hexadecimal SHA-256 digest of an answer's body.
 	HeaderDigest = "Lab-Digest"
@@ -73,7 +73,7 @@
 	return CompleteResponse{RequestID: requestID, Output: output, Digest: Digest(requestID, output)}
 }
 
-// CheckComplete tells whether a body is the complete answer to a request.
+// CheckComplete reports whether a body is the complete answer to a request.
 func CheckComplete(requestID string, body []byte) error {
 	var answer CompleteResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -82,7 +82,7 @@
 	return check(requestID, answer.RequestID, answer.Output, answer.Digest)
 }
 
-// StreamCheck follows a streamed answer and tells whether it came whole.
+// StreamCheck follows a streamed answer and reports whether it came whole.
 type StreamCheck struct {
 	requestID string
 	output    strings.Builder
@@ -116,7 +116,7 @@
 	}
 }
 
-// Ended tells whether the stream's last event has come.
+// Ended reports whether the stream's last event has come.
 func (c *StreamCheck) Ended() bool { return c.ended }
 
 // Err returns what is wrong with a stream that looks complete, or nil.
--- a/internal/lab/standin/store/server.go
+++ b/internal/lab/standin/store/server.go
@@ -1,5 +1,5 @@
-// Package store is the HTTP stand-in for a store of kept prompt parts: replicas
-// push parts to it and pull them from it, and nodes read its events and its
+// Package store is the HTTP stand-in for a store of cached chunks: replicas
+// push chunks to it and pull them from it, and nodes read its events and its
 // report as they read a replica's.
 package store
 
@@ -122,7 +122,7 @@
 	standin.WriteJSON(w, http.StatusOK, s.Report())
 }
 
-// get serves a part in the time that its transfer takes.
+// get serves a chunk in the time that its transfer takes.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	hash, err := emulator.ParseHash(r.PathValue("hash"))
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// put keeps a part that a replica pushes.
+// put keeps a chunk that a replica pushes.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	var chunk emulator.CachedChunk
 	if !standin.ReadJSON(w, r, &chunk) {
--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -37,9 +37,9 @@
 	Path             string `json:"path"`
 	StartedUnixNano  int64  `json:"started_unix_nano"`
 	FinishedUnixNano int64  `json:"finished_unix_nano"`
-	// Refused tells that the request has not run.
+	// Refused is set if the request has not run.
 	Refused bool `json:"refused"`
-	// Delivered tells whether the whole answer was written to the connection.
+	// Delivered reports whether the whole answer was written to the connection.
 	Delivered bool `json:"delivered"`
 }
 
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -103,12 +103,12 @@
 }
 
 func (g *Generator) prompt(activity activity, tenant string, documents []prefixindex.Chunk) []prefixindex.Chunk {
-	parts := []prefixindex.Chunk{
+	chunks := []prefixindex.Chunk{
 		{ID: fmt.Sprintf("%s/system", g.mix.Name), Tokens: g.mix.systemTokens},
 		{ID: fmt.Sprintf("%s/%s/instructions", tenant, activity.kind), Tokens: activity.instructions},
 	}
-	parts = append(parts, documents...)
-	return append(parts, prefixindex.Chunk{
+	chunks = append(chunks, documents...)
+	return append(chunks, prefixindex.Chunk{
 		ID:     fmt.Sprintf("%s/text-%d-%d", tenant, g.options.Seed, g.nextID+1),
 		Tokens: activity.text.draw(g.random),
 	})
--- a/internal/lab/workload/request.go
+++ b/internal/lab/workload/request.go
@@ -32,7 +32,7 @@
 	Kind Kind
 	// Tenant is empty for the public.
 	Tenant string
-	// Web tells that the request is a fetch of Path from the web service, and has
+	// Web is set if the request is a fetch of Path from the web service, and has
 	// no prompt.
 	Web  bool
 	Path string
@@ -40,7 +40,7 @@
 	Chunks       []prefixindex.Chunk
 	OutputTokens uint32
 	Streamed     bool
-	// Repeatable tells that the request may run twice.
+	// Repeatable is set if the request may run twice.
 	Repeatable bool
 	// Deadline is the longest time that the caller waits.
 	Deadline time.Duration
@@ -49,8 +49,8 @@
 // PromptTokens returns the length of the prompt.
 func (r Request) PromptTokens() uint64 {
 	var tokens uint64
-	for _, part := range r.Chunks {
-		tokens += uint64(part.Tokens)
+	for _, chunk := range r.Chunks {
+		tokens += uint64(chunk.Tokens)
 	}
 	return tokens
 }
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -46,12 +46,12 @@
 	body   []byte
 }
 
-// pending tells whether an order waits for its confirmation.
+// pending reports whether an order waits for its confirmation.
 func (a answer) pending() bool {
 	return a.status == http.StatusAccepted
 }
 
-// final tells whether asking another node can't give a better answer.
+// final reports whether asking another node can't give a better answer.
 func (a answer) final() bool {
 	return !a.pending() && a.status < http.StatusInternalServerError
 }
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -94,7 +94,7 @@
 	return usageError(err.Error() + "; see --help")
 }
 
-// isOrder tells whether a request changes the configuration.
+// isOrder reports whether a request changes the configuration.
 func isOrder(request protoreflect.MessageDescriptor) bool {
 	return request.Fields().ByName(schema.OrderField) != nil
 }
--- a/internal/operatorcli/flags.go
+++ b/internal/operatorcli/flags.go
@@ -82,17 +82,17 @@
 	return f.path[len(f.path)-1]
 }
 
-// isFile tells whether the flag names a file with the JSON of the field.
+// isFile reports whether the flag names a file with the JSON of the field.
 func (f flagField) isFile() bool {
 	return f.last().Message() != nil
 }
 
-// isBytes tells whether the flag names a file with the content of the field.
+// isBytes reports whether the flag names a file with the content of the field.
 func (f flagField) isBytes() bool {
 	return f.last().Kind() == protoreflect.BytesKind
 }
 
-// isSwitch tells whether the flag needs no value.
+// isSwitch reports whether the flag needs no value.
 func (f flagField) isSwitch() bool {
 	return f.last().Kind() == protoreflect.BoolKind
 }
@@ -172,7 +172,7 @@
 	return rand.Text()
 }
 
-// isSegment tells whether a field stands in the path of a call.
+// isSegment reports whether a field stands in the path of a call.
 func isSegment(call schema.Call, field flagField) bool {
 	for _, name := range call.Segments() {
 		if len(field.path) == 1 && string(field.last().Name()) == name {
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -121,7 +121,7 @@
 	return "-"
 }
 
-// isTabular tells whether a response has lists of rows and nothing deeper.
+// isTabular reports whether a response has lists of rows and nothing deeper.
 func isTabular(response protoreflect.MessageDescriptor) bool {
 	hasRows := false
 	for _, field := range fieldsOf(response) {
@@ -136,7 +136,7 @@
 	return hasRows
 }
 
-// isFlat tells whether a message has no nested messages.
+// isFlat reports whether a message has no nested messages.
 func isFlat(descriptor protoreflect.MessageDescriptor) bool {
 	for _, field := range fieldsOf(descriptor) {
 		if field.Message() != nil {
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -28,7 +28,7 @@
 	questionTimeout = 3 * time.Second
 )
 
-// isStatus tells whether a call is the one that runStatus serves.
+// isStatus reports whether a call is the one that runStatus serves.
 func isStatus(call schema.Call) bool {
 	return call.Method.Name() == statusCall
 }
@@ -45,7 +45,7 @@
 type survey struct {
 	// status is the view of the node that was asked first.
 	status *ridgeswitchv1.NodeStatus
-	// askedAll tells that the live members were asked, whose answers follow.
+	// askedAll is set if the live members were asked, whose answers follow.
 	askedAll bool
 	answers  []nodeAnswer
 	// weights tell how far the pools are, unless weightsError says why that is
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -76,7 +76,7 @@
 	return []check{s.checkShards(), s.checkMembers(), s.checkTraffic(), s.checkRevisions(), s.checkRollOuts()}
 }
 
-// checkShards tells whether every shard has a leader: one that says so itself
+// checkShards reports whether every shard has a leader: one that says so itself
 // if all were asked, else one that is live as far as the asked node knows.
 func (s *survey) checkShards() check {
 	shards := s.status.GetShards()
--- a/internal/replay/player/answer.go
+++ b/internal/replay/player/answer.go
@@ -46,7 +46,7 @@
 	return strings.HasPrefix(response.Header.Get("Content-Type"), caller.StreamType)
 }
 
-// tailWriter notes when the first byte came, and keeps the last ones.
+// tailWriter records when the first byte came, and keeps the last ones.
 type tailWriter struct {
 	began time.Time
 	first time.Duration
@@ -65,7 +65,7 @@
 	return len(data), nil
 }
 
-// properEnd tells whether a stream of events was complete.
+// properEnd reports whether a stream of events was complete.
 func (w *tailWriter) properEnd() bool {
 	return bytes.HasSuffix(bytes.TrimSpace(w.tail), []byte(streamEnd))
 }
--- a/internal/replay/player/play.go
+++ b/internal/replay/player/play.go
@@ -43,7 +43,7 @@
 
 // Sender sends requests.
 type Sender interface {
-	// Knows tells whether requests of a tenant can be sent.
+	// Knows reports whether requests of a tenant can be sent.
 	Knows(tenant string) bool
 	// Send returns when the answer has ended.
 	Send(ctx context.Context, attempt Attempt) Result
--- a/internal/replay/recording/check.go
+++ b/internal/replay/recording/check.go
@@ -43,7 +43,7 @@
 	return errors.Errorf("outcome %q is unknown", r.Outcome)
 }
 
-// checkChunks keeps to what a caller may send, since the parts become a header.
+// checkChunks keeps to what a caller may send, since the chunks become a header.
 func (r Record) checkChunks() error {
 	if len(r.Chunks) > caller.MaxChunks {
 		return errors.Errorf("there are more than %d parts", caller.MaxChunks)
--- a/internal/replay/recording/golden_test.go
+++ b/internal/replay/recording/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// The golden recording was written by an earlier release and is never written anew,
+// The golden recording was written by an earlier release and is never written again,
 // but where there is none and writeGolden is set.
 const (
 	goldenRecording = "testdata/golden.jsonl"
@@ -23,11 +23,11 @@
 
 // goldenRecords have every outcome, and every field in one of them.
 func goldenRecords() []recording.Record {
-	parts := recording.Chunks([]prefixindex.Chunk{{ID: "rules", Tokens: 300}, {ID: "question", Tokens: 20}})
+	chunks := recording.Chunks([]prefixindex.Chunk{{ID: "rules", Tokens: 300}, {ID: "question", Tokens: 20}})
 	return []recording.Record{
 		fullRecord(),
 		{
-			AtUS: 2000, Tenant: "court", Host: "models.example", Pool: "cases", Model: "large", Chunks: parts,
+			AtUS: 2000, Tenant: "court", Host: "models.example", Pool: "cases", Model: "large", Chunks: chunks,
 			Outcome: recording.Answered, Status: 200, Attempts: 1, FirstUS: 700, TotalUS: 80_000,
 		},
 		{AtUS: 3000, Host: "calendar.example", WebService: "calendar", Outcome: recording.Truncated, Status: 200, Attempts: 1, TotalUS: 10},
--- a/internal/replay/recording/reader.go
+++ b/internal/replay/recording/reader.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// MaxLineBytes bounds a line. A record with the most parts that a caller may
+// MaxLineBytes bounds a line. A record with the most chunks that a caller may
 // send fits.
 const MaxLineBytes = 2 << 20
 
--- a/internal/replay/recording/record.go
+++ b/internal/replay/recording/record.go
@@ -46,9 +46,9 @@
 	Left Outcome = "left"
 )
 
-// Chunk is one part of a prompt.
+// Chunk is one chunk of a prompt.
 type Chunk struct {
-	// ID is a digest of the part's name: see ChunkID.
+	// ID is a digest of the chunk's name: see ChunkID.
 	ID     string `json:"id"`
 	Tokens uint32 `json:"tokens"`
 }
@@ -96,14 +96,14 @@
 	Dropped int64 `json:"dropped"`
 }
 
-// chunkIDBytes is how much of a digest names a part. Among a million parts the
+// chunkIDBytes is how much of a digest names a chunk. Among a million chunks the
 // chance that any two have one name is below one in ten million.
 const chunkIDBytes = 8
 
 // chunkIDDomain keeps the digests apart from those of other uses.
 const chunkIDDomain = "ridgeswitch-recording-part\x00"
 
-// ChunkID returns the name under which a part is recorded. Equal parts have
+// ChunkID returns the name under which a chunk is recorded. Equal chunks have
 // equal names in the recordings of all nodes, so that reuse can be replayed.
 func ChunkID(id string) string {
 	digest := sha256.Sum256([]byte(chunkIDDomain + id))
--- a/internal/replay/recording/writer.go
+++ b/internal/replay/recording/writer.go
@@ -26,7 +26,7 @@
 	return errors.Wrap(w.encoder.Encode(record), "write a record")
 }
 
-// Drop notes that requests are missing.
+// Drop records that requests are missing.
 func (w *Writer) Drop(count int64) error {
 	return errors.Wrap(w.encoder.Encode(Dropped{Dropped: count}), "note dropped records")
 }
--- a/internal/replay/report/sample.go
+++ b/internal/replay/report/sample.go
@@ -30,7 +30,7 @@
 	Deadline time.Duration
 }
 
-// late tells whether the answer was complete only after the deadline.
+// late reports whether the answer was complete only after the deadline.
 func (s Sample) late() bool {
 	return s.Outcome == recording.Answered && s.Deadline > 0 && s.Total > s.Deadline
 }
--- a/internal/replay/report/series.go
+++ b/internal/replay/report/series.go
@@ -16,7 +16,7 @@
 	Requests int   `json:"requests"`
 	Refused  int   `json:"refused"`
 	Retries  int   `json:"retries"`
-	// Answered tells whether the figures below stand for anything.
+	// Answered reports whether the figures below stand for anything.
 	Answered      int     `json:"answered"`
 	ReuseRatio    float64 `json:"reuse_ratio"`
 	TotalP50MS    float64 `json:"total_p50_ms"`
--- a/scripts/knownred/list.go
+++ b/scripts/knownred/list.go
@@ -30,7 +30,7 @@
 	Issue string
 }
 
-// IsPlain tells whether the entry names a Go test outside ginkgo.
+// IsPlain reports whether the entry names a Go test outside ginkgo.
 func (entry Failure) IsPlain() bool {
 	return plainTest.MatchString(entry.Test)
 }
