--- a/cmd/ridgeswitch-lab/fleet_run.go
+++ b/cmd/ridgeswitch-lab/fleet_run.go
@@ -101,18 +101,18 @@
 }
 
 // fleetFolder returns the folder to use and what removes it in the end.
-func fleetFolder(given string) (string, func(), error) {
-	if given != "" {
-		return given, func() {}, errors.Wrap(os.MkdirAll(given, 0o755), "make the folder")
+func fleetFolder(flag string) (string, func(), error) {
+	if flag != "" {
+		return flag, func() {}, errors.Wrap(os.MkdirAll(flag, 0o755), "make the folder")
 	}
 	folder, err := os.MkdirTemp("", "ridgeswitch-demo-")
 	return folder, func() { _ = os.RemoveAll(folder) }, errors.Wrap(err, "make a temporary folder")
 }
 
 // nodeBinary returns the binary that is given, or builds it.
-func nodeBinary(ctx context.Context, given, folder string) (string, error) {
-	if given != "" {
-		path, err := filepath.Abs(given)
+func nodeBinary(ctx context.Context, flag, folder string) (string, error) {
+	if flag != "" {
+		path, err := filepath.Abs(flag)
 		return path, errors.Wrap(err, "find the binary")
 	}
 	ctx, cancel := context.WithTimeout(ctx, buildTimeout)
--- a/cmd/ridgeswitch-replay/run.go
+++ b/cmd/ridgeswitch-replay/run.go
@@ -128,9 +128,9 @@
 
 // keysOf reads TENANT=SECRET. Errors do not repeat what was given, since it may
 // be a secret.
-func keysOf(given []string) ([]player.Key, error) {
+func keysOf(pairs []string) ([]player.Key, error) {
 	var keys []player.Key
-	for position, text := range given {
+	for position, text := range pairs {
 		tenant, secret, found := strings.Cut(text, "=")
 		if !found || tenant == "" || secret == "" {
 			return nil, errors.Errorf("key %d is not of the form TENANT=SECRET", position+1)
--- a/internal/dataplane/recorder/recorder_internal_test.go
+++ b/internal/dataplane/recorder/recorder_internal_test.go
@@ -52,7 +52,7 @@
 }
 
 func someRecord() recording.Record {
-	return recording.Record{Host: "h", Pool: "cases", Outcome: recording.Answered}
+	return recording.Record{Host: "h", Pool: "cases", Outcome: recording.Completed}
 }
 
 var _ = Describe("The recorder", func() {
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -48,7 +48,7 @@
 		Expect(records).To(Equal([]recording.Record{{
 			AtUS: (3 * time.Second).Microseconds(), Tenant: "court", Host: poolHost, Pool: "pool", Model: poolModel,
 			Chunks:       []recording.Chunk{{ID: recording.ChunkID("case"), Tokens: 32}, {ID: recording.ChunkID("question"), Tokens: 16}},
-			OutputTokens: 8, Repeatable: true, DeadlineMS: 900, Outcome: recording.Answered, Status: http.StatusOK,
+			OutputTokens: 8, Repeatable: true, DeadlineMS: 900, Outcome: recording.Completed, Status: http.StatusOK,
 			Attempts: 1, ReusedTokens: 32, FirstUS: 7000, TotalUS: 7000,
 		}}))
 	})
--- a/internal/dataplane/request_recorder.go
+++ b/internal/dataplane/request_recorder.go
@@ -105,9 +105,9 @@
 		return recording.Refused
 	case e.observer.status != 0 && !e.failed:
 		// A caller may disconnect as soon as it has the last byte.
-		return recording.Answered
+		return recording.Completed
 	case e.request.Context().Err() != nil:
-		return recording.Left
+		return recording.Disconnected
 	default:
 		return recording.Truncated
 	}
--- a/internal/dataplane/request_recorder_internal_test.go
+++ b/internal/dataplane/request_recorder_internal_test.go
@@ -22,10 +22,10 @@
 		e := &exchange{request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), observer: &watch, failed: failed}
 		Expect(e.outcome()).To(Equal(expected))
 	},
-		Entry("answered", responseObserver{status: 200}, false, false, recording.Answered),
-		Entry("answered to a caller that hangs up after the last byte", responseObserver{status: 200}, false, true, recording.Answered),
+		Entry("answered", responseObserver{status: 200}, false, false, recording.Completed),
+		Entry("answered to a caller that hangs up after the last byte", responseObserver{status: 200}, false, true, recording.Completed),
 		Entry("refused", responseObserver{status: 503, errorKind: caller.KindNoBackend}, true, false, recording.Refused),
 		Entry("cut", responseObserver{status: 200}, true, false, recording.Truncated),
-		Entry("left during the answer", responseObserver{status: 200}, true, true, recording.Left),
-		Entry("left before it", responseObserver{}, true, true, recording.Left))
+		Entry("left during the answer", responseObserver{status: 200}, true, true, recording.Disconnected),
+		Entry("left before it", responseObserver{}, true, true, recording.Disconnected))
 })
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -133,7 +133,7 @@
 
 	It("come back under a new identity when a refusal says when", func() {
 		var calls atomic.Int32
-		records := send(caller.Job{ComesBack: true}, func(w http.ResponseWriter, r *http.Request) {
+		records := send(caller.Job{RetriesAfterRefusal: true}, func(w http.ResponseWriter, r *http.Request) {
 			if calls.Add(1) > 1 {
 				answerWhole(w, requestID(r))
 				return
@@ -150,7 +150,7 @@
 	})
 
 	It("do not take an error without a claim for not run", func() {
-		records := send(caller.Job{ComesBack: true}, func(w http.ResponseWriter, _ *http.Request) {
+		records := send(caller.Job{RetriesAfterRefusal: true}, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusBadGateway)
 			_, _ = fmt.Fprint(w, `{"kind":"outcome_unknown"}`)
@@ -166,7 +166,7 @@
 			<-r.Context().Done()
 			close(gone)
 		})
-		Expect(records[0].Result).To(Equal(checker.ResultLeft))
+		Expect(records[0].Result).To(Equal(checker.ResultDisconnected))
 		<-gone
 	})
 })
--- a/internal/lab/caller/exchange.go
+++ b/internal/lab/caller/exchange.go
@@ -19,8 +19,8 @@
 // requestBody is what a POST carries besides its headers; nodes pass it on.
 const requestBody = `{"input":"lab"}`
 
-// maxAnswerBytes bounds what a caller reads of one answer.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds what a caller reads of one answer.
+const maxResponseBytes = 64 << 20
 
 // Elapsed returns the time since the run began.
 type Elapsed func() time.Duration
@@ -107,7 +107,7 @@
 }
 
 func (call *exchange) read(ctx context.Context, response *http.Response) {
-	body := io.LimitReader(response.Body, maxAnswerBytes)
+	body := io.LimitReader(response.Body, maxResponseBytes)
 	var err error
 	switch {
 	case response.StatusCode >= http.StatusBadRequest:
@@ -139,6 +139,6 @@
 // recordDeparture marks an unfinished exchange that the caller itself gave up.
 func (call *exchange) recordDeparture(ctx context.Context) {
 	if ctx.Err() != nil {
-		call.record.Result = checker.ResultLeft
+		call.record.Result = checker.ResultDisconnected
 	}
 }
--- a/internal/lab/caller/job.go
+++ b/internal/lab/caller/job.go
@@ -32,9 +32,9 @@
 	// LeaveAfter is when the caller goes away without an answer; zero if it
 	// stays.
 	LeaveAfter time.Duration
-	// ComesBack is set if the caller repeats a refused request under a new
+	// RetriesAfterRefusal is set if the caller repeats a refused request under a new
 	// identity once Retry-After has passed.
-	ComesBack bool
+	RetriesAfterRefusal bool
 }
 
 // Load is a source of jobs in the order of their time.
--- a/internal/lab/caller/response.go
+++ b/internal/lab/caller/response.go
@@ -46,11 +46,11 @@
 		record.ErrorKind = "untyped"
 		return nil
 	}
-	takeProblem(record, problem)
+	recordProblem(record, problem)
 	return nil
 }
 
-func takeProblem(record *checker.Request, problem refusal) {
+func recordProblem(record *checker.Request, problem refusal) {
 	record.ErrorKind = problem.Kind
 	record.EchoID = problem.RequestID
 	switch {
@@ -77,9 +77,9 @@
 	if err != nil {
 		return err
 	}
-	var answer standin.CompleteResponse
-	_ = json.Unmarshal(data, &answer)
-	record.EchoID = answer.RequestID
+	var response standin.CompleteResponse
+	_ = json.Unmarshal(data, &response)
+	record.EchoID = response.RequestID
 	record.DigestMatches = standin.CheckComplete(record.ID, data) == nil
 	record.Result = checker.ResultComplete
 	return nil
@@ -123,7 +123,7 @@
 func readErrorEvent(record *checker.Request, data string) error {
 	var problem refusal
 	if err := json.Unmarshal([]byte(data), &problem); err == nil {
-		takeProblem(record, problem)
+		recordProblem(record, problem)
 	}
 	return errTruncated
 }
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -91,7 +91,7 @@
 // and only when it was told when to come back.
 func returns(job Job, record checker.Request) bool {
 	refused := record.Result == checker.ResultRefused && record.Claim == checker.ClaimNotRun
-	return job.ComesBack && refused && record.RetryAfter > 0
+	return job.RetriesAfterRefusal && refused && record.RetryAfter > 0
 }
 
 // send makes one request of a job.
--- a/internal/lab/checker/figures_test.go
+++ b/internal/lab/checker/figures_test.go
@@ -33,6 +33,6 @@
 	It("measures reuse and retries over executions that ran", func() {
 		records := healthyRecords()
 		Expect(checker.ReusedTokenRatio(records)).To(Equal(0.5))
-		Expect(checker.MaxRetriesSeen(records)).To(BeZero())
+		Expect(checker.WorstRetryRatio(records)).To(BeZero())
 	})
 })
--- a/internal/lab/checker/outage.go
+++ b/internal/lab/checker/outage.go
@@ -70,7 +70,7 @@
 // caller stayed, was admitted, and kept to its limits.
 func blamesService(request Request) bool {
 	callersOwn := request.Status == http.StatusUnauthorized || request.Status == http.StatusTooManyRequests
-	return request.Result != ResultLeft && !callersOwn
+	return request.Result != ResultDisconnected && !callersOwn
 }
 
 func requestsBySending(records *Records) []Request {
--- a/internal/lab/checker/records.go
+++ b/internal/lab/checker/records.go
@@ -45,8 +45,8 @@
 	ResultRefused Result = "refused"
 	// ResultLost is a connection that failed before any answer.
 	ResultLost Result = "lost"
-	// ResultLeft is a caller that went away on purpose.
-	ResultLeft Result = "left"
+	// ResultDisconnected is a caller that went away on purpose.
+	ResultDisconnected Result = "left"
 )
 
 // RunClaim is what a refusal told the caller about the request's execution.
--- a/internal/lab/checker/retries.go
+++ b/internal/lab/checker/retries.go
@@ -28,8 +28,8 @@
 	return violations
 }
 
-// MaxRetriesSeen returns the highest judged ratio of any service.
-func MaxRetriesSeen(records *Records) float64 {
+// WorstRetryRatio returns the highest judged retry ratio of any service.
+func WorstRetryRatio(records *Records) float64 {
 	var highest float64
 	for _, service := range serviceNames(records) {
 		highest = max(highest, worstRetries(records, service).ratio())
--- a/internal/lab/emulator/cache.go
+++ b/internal/lab/emulator/cache.go
@@ -21,10 +21,10 @@
 // one first. Parts of a chain are touched from the deepest to the first, so that
 // a chain loses its end before its start.
 type Cache struct {
-	capacity uint64
-	kept     uint64
-	reserved uint64
-	entries  map[prefixindex.ChainHash]*list.Element
+	capacity     uint64
+	cachedTokens uint64
+	reserved     uint64
+	entries      map[prefixindex.ChainHash]*list.Element
 	// recent runs from the most to the least recently used entry.
 	recent *list.List
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-// KeptTokens returns the tokens of all cached chunks.
-func (c *Cache) KeptTokens() uint64 { return c.kept }
+// CachedTokens returns the tokens of all cached chunks.
+func (c *Cache) CachedTokens() uint64 { return c.cachedTokens }
 
 // Get returns a chunk if it is kept.
 func (c *Cache) Get(hash prefixindex.ChainHash) (CachedChunk, bool) {
@@ -113,7 +113,7 @@
 		return false, removed
 	}
 	c.entries[chunk.Hash] = c.recent.PushFront(&cacheEntry{chunk: chunk})
-	c.kept += uint64(chunk.Tokens)
+	c.cachedTokens += uint64(chunk.Tokens)
 	return true, removed
 }
 
@@ -160,7 +160,7 @@
 // evictFor evicts unpinned chunks until the tokens fit.
 func (c *Cache) evictFor(tokens uint64) (removed []CachedChunk, fits bool) {
 	element := c.recent.Back()
-	for c.kept+c.reserved+tokens > c.capacity {
+	for c.cachedTokens+c.reserved+tokens > c.capacity {
 		if element == nil {
 			return removed, false
 		}
@@ -169,7 +169,7 @@
 		if entry.pins == 0 {
 			c.recent.Remove(element)
 			delete(c.entries, entry.chunk.Hash)
-			c.kept -= uint64(entry.chunk.Tokens)
+			c.cachedTokens -= uint64(entry.chunk.Tokens)
 			removed = append(removed, entry.chunk)
 		}
 		element = previous
--- a/internal/lab/emulator/cache_test.go
+++ b/internal/lab/emulator/cache_test.go
@@ -32,7 +32,7 @@
 		Expect(removed).To(Equal(kept(old[2:])))
 		Expect(cache.Leading(old)).To(HaveLen(2))
 		Expect(cache.Leading(recent)).To(HaveLen(2))
-		Expect(cache.KeptTokens()).To(Equal(uint64(600)))
+		Expect(cache.CachedTokens()).To(Equal(uint64(600)))
 	})
 
 	It("spares a chain that was touched", func() {
--- a/internal/lab/emulator/journal.go
+++ b/internal/lab/emulator/journal.go
@@ -63,12 +63,12 @@
 
 // Snapshot returns a reset that stands for everything up to the newest event.
 // It bears that event's number, so that the next event follows it without a gap.
-func (j *Journal) Snapshot(kept []CachedChunk) protocol.Event {
+func (j *Journal) Snapshot(cached []CachedChunk) protocol.Event {
 	return protocol.Event{
 		Kind:        protocol.EventReset,
 		Incarnation: j.incarnation,
 		Sequence:    j.sequence,
-		Chunks:      EventChunks(kept),
+		Chunks:      EventChunks(cached),
 	}
 }
 
--- a/internal/lab/emulator/report.go
+++ b/internal/lab/emulator/report.go
@@ -64,7 +64,7 @@
 		ActiveRequests:      uint32(len(r.active)),
 		ActivePrefillTokens: r.prefillTokens(),
 		ActiveDecodeTokens:  r.activeTokens(),
-		CachedTokens:        r.cache.KeptTokens(),
+		CachedTokens:        r.cache.CachedTokens(),
 		CapacityTokens:      r.config.CapacityTokens,
 		LastSequence:        r.journal.LastSequence(),
 	}
--- a/internal/lab/emulator/store.go
+++ b/internal/lab/emulator/store.go
@@ -54,7 +54,7 @@
 func (s *Store) Report() protocol.Report {
 	return protocol.Report{
 		Incarnation:    s.journal.Incarnation(),
-		CachedTokens:   s.cache.KeptTokens(),
+		CachedTokens:   s.cache.CachedTokens(),
 		CapacityTokens: s.capacityTokens,
 		LastSequence:   s.journal.LastSequence(),
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -220,7 +220,7 @@
 	defer cancel()
 	ticker := time.NewTicker(pollEvery)
 	defer ticker.Stop()
-	for !fleet.answers(ctx, url) {
+	for !fleet.responds(ctx, url) {
 		process := fleet.running(name)
 		if process == nil {
 			return errors.Errorf("%s ended while it started; see %s.log in %s", name, name, fleet.options.Folder)
@@ -235,7 +235,7 @@
 	return nil
 }
 
-func (fleet *Fleet) answers(ctx context.Context, url string) bool {
+func (fleet *Fleet) responds(ctx context.Context, url string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -149,14 +149,14 @@
 				{ID: "1", Service: service, Streamed: true, Result: checker.ResultComplete, EchoID: "1", DigestMatches: true, FirstByte: 10 * time.Millisecond},
 				{ID: "2", Result: checker.ResultRefused, ErrorKind: "rate_limited"},
 				{ID: "3", Result: checker.ResultTruncated},
-				{ID: "4", Result: checker.ResultLeft},
+				{ID: "4", Result: checker.ResultDisconnected},
 				{ID: "5", Result: checker.ResultLost},
 			},
 			Executions: []checker.Execution{{RequestID: "1", Attempt: 1, Service: service}},
 		}
 		summary := fleet.Summarize(topology, 1, &fleet.Outcome{Records: records})
 		Expect(summary.Err()).To(Succeed())
-		Expect([]int{summary.Requests, summary.Succeeded, summary.Refused, summary.Failed, summary.Left}).To(Equal([]int{5, 1, 1, 2, 1}))
+		Expect([]int{summary.Requests, summary.Succeeded, summary.Refused, summary.Failed, summary.Disconnected}).To(Equal([]int{5, 1, 1, 2, 1}))
 		Expect(summary.FirstByteP50).To(Equal(10.0))
 		records.Executions = append(records.Executions, records.Executions[0])
 		Expect(fleet.Summarize(topology, 1, &fleet.Outcome{Records: records}).Err()).NotTo(Succeed())
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -94,13 +94,13 @@
 		return caller.Job{}, false
 	}
 	job := caller.Job{
-		At:           request.At,
-		Chunks:       request.Chunks,
-		OutputTokens: request.OutputTokens,
-		Repeatable:   request.Repeatable,
-		Streamed:     request.Streamed,
-		Deadline:     request.Deadline,
-		ComesBack:    load.random.Float64() < returnProbability,
+		At:                  request.At,
+		Chunks:              request.Chunks,
+		OutputTokens:        request.OutputTokens,
+		Repeatable:          request.Repeatable,
+		Streamed:            request.Streamed,
+		Deadline:            request.Deadline,
+		RetriesAfterRefusal: load.random.Float64() < returnProbability,
 	}
 	if load.random.Float64() < leaveProbability {
 		job.LeaveAfter = time.Duration(load.random.Int64N(int64(longestStay))) + time.Millisecond
--- a/internal/lab/fleet/summary.go
+++ b/internal/lab/fleet/summary.go
@@ -21,8 +21,8 @@
 	Refused    int    `json:"refused"`
 	// Failed counts answers that were cut and connections without an answer.
 	Failed int `json:"failed"`
-	// Left counts callers that went away on purpose.
-	Left int `json:"left"`
+	// Disconnected counts callers that went away on purpose.
+	Disconnected int `json:"left"`
 	// Skipped counts requests that the callers could not send.
 	Skipped int `json:"skipped"`
 	// ErrorKinds counts refusals and failures by kind.
@@ -31,8 +31,8 @@
 	RetryRatioMax      float64        `json:"retry_ratio_max"`
 	FirstByteP50       float64        `json:"ttft_ms_p50"`
 	FirstByteP95       float64        `json:"ttft_ms_p95"`
-	AnswerP50          float64        `json:"answer_ms_p50"`
-	AnswerP95          float64        `json:"answer_ms_p95"`
+	ResponseP50        float64        `json:"answer_ms_p50"`
+	ResponseP95        float64        `json:"answer_ms_p95"`
 	ConfigChangesAcked int            `json:"config_changes_acked"`
 	ConfigSpreadP99    float64        `json:"config_spread_ms_p99"`
 	AcknowledgementP99 float64        `json:"ack_ms_p99"`
@@ -56,7 +56,7 @@
 		Requests:           len(records.Requests),
 		Skipped:            outcome.Skipped,
 		ReusedTokenRatio:   checker.ReusedTokenRatio(records),
-		RetryRatioMax:      checker.MaxRetriesSeen(records),
+		RetryRatioMax:      checker.WorstRetryRatio(records),
 		ConfigChangesAcked: checker.AcknowledgedChanges(records),
 		ConfigSpreadP99:    milliseconds(checker.Quantile(checker.ConfigurationSpread(records), 0.99)),
 		AcknowledgementP99: milliseconds(checker.Quantile(checker.AcknowledgementTimes(records), 0.99)),
@@ -85,8 +85,8 @@
 			summary.Succeeded++
 		case checker.ResultRefused:
 			summary.Refused++
-		case checker.ResultLeft:
-			summary.Left++
+		case checker.ResultDisconnected:
+			summary.Disconnected++
 		default:
 			summary.Failed++
 		}
@@ -99,8 +99,8 @@
 		}
 	}
 	summary.FirstByteP50 = milliseconds(checker.Quantile(waits, 0.50))
-	summary.AnswerP50 = milliseconds(checker.Quantile(answers, 0.50))
-	summary.AnswerP95 = milliseconds(checker.Quantile(answers, 0.95))
+	summary.ResponseP50 = milliseconds(checker.Quantile(answers, 0.50))
+	summary.ResponseP95 = milliseconds(checker.Quantile(answers, 0.95))
 	summary.FirstByteP95 = milliseconds(checker.Quantile(waits, 0.95))
 }
 
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -13,7 +13,7 @@
 // change is one change of the configuration.
 type change struct {
 	submittedAt time.Duration
-	answeredAt  time.Duration
+	repliedAt   time.Duration
 	revision    uint64
 	confirmed   bool
 	problem     string
@@ -71,7 +71,7 @@
 	if err != nil {
 		made.problem = err.Error()
 	}
-	made.answeredAt = c.fleet.clock()
+	made.repliedAt = c.fleet.clock()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.done = append(c.done, made)
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -104,8 +104,8 @@
 			{after: 1, revision: 3, at: 3 * second},
 		}
 		judged := watched.judge([]change{
-			{submittedAt: second, answeredAt: 2 * second, revision: 2, confirmed: true},
-			{submittedAt: 2 * second, answeredAt: 6 * second, revision: 3},
+			{submittedAt: second, repliedAt: 2 * second, revision: 2, confirmed: true},
+			{submittedAt: 2 * second, repliedAt: 6 * second, revision: 3},
 			{problem: "no leader"},
 		})
 		Expect(judged.Confirmed).To(Equal(1))
@@ -114,7 +114,7 @@
 		Expect(judged.NotEverywhere).To(Equal(1))
 		Expect(judged.ToEveryNode.Max).To(BeNumerically("~", 2000, 2))
 		Expect(judged.LateAfterAcknowledged.Max).To(BeNumerically("~", 1000, 1))
-		Expect(judged.ToOneNode.Count).To(Equal(int64(3)))
+		Expect(judged.ToEachNode.Count).To(Equal(int64(3)))
 	})
 })
 
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -36,9 +36,9 @@
 	StableInVirtualTime bool    `json:"held_virtual_time"`
 	ConvergedNodes      int     `json:"settled_nodes"`
 	ConvergenceMS       float64 `json:"settle_ms"`
-	// MostNotServing is the largest number of nodes that refused traffic at
+	// MaxNotServing is the largest number of nodes that refused traffic at
 	// one time while measured.
-	MostNotServing int `json:"most_not_serving"`
+	MaxNotServing int `json:"most_not_serving"`
 	// SamplerLateMS is the longest delay of a timer of the measurement.
 	SamplerLateMS float64       `json:"sampler_late_max_ms"`
 	FramesDropped uint64        `json:"frames_dropped"`
@@ -177,9 +177,9 @@
 // judge tells how the changes spread and whether the nodes held.
 func (r *Result) judge(watched *spread, submitted []change) {
 	r.Spread = watched.judge(submitted)
-	r.MostNotServing = watched.notServing
+	r.MaxNotServing = watched.notServing
 	r.SamplerLateMS = float64(watched.late) / float64(time.Millisecond)
-	held := r.ConvergedNodes == r.Nodes && r.MostNotServing == 0 &&
+	held := r.ConvergedNodes == r.Nodes && r.MaxNotServing == 0 &&
 		r.Spread.Failed == 0 && r.Spread.Pending == 0 && r.Spread.NotEverywhere == 0
 	r.StableInRealTime = held && !r.Virtual && r.Stretch == 1
 	r.StableInVirtualTime = held && r.Virtual
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -95,8 +95,8 @@
 	return nil
 }
 
-func outOfRange(name string, value, least, most int) error {
-	return errors.Errorf("%s is %d; use %d to %d", name, value, least, most)
+func outOfRange(name string, value, minimum, maximum int) error {
+	return errors.Errorf("%s is %d; use %d to %d", name, value, minimum, maximum)
 }
 
 // pools is the number of pools that the replicas are spread over.
--- a/internal/lab/hollow/spread.go
+++ b/internal/lab/hollow/spread.go
@@ -139,7 +139,7 @@
 	// The times, in milliseconds, from the submission of a change until its
 	// acknowledgement, until a node serves it, and until every node does.
 	ToAcknowledged Distribution `json:"submit_to_acknowledged_ms"`
-	ToOneNode      Distribution `json:"submit_to_held_by_a_node_ms"`
+	ToEachNode     Distribution `json:"submit_to_held_by_a_node_ms"`
 	ToEveryNode    Distribution `json:"submit_to_held_by_every_node_ms"`
 	// LateAfterAcknowledged is the time from the acknowledgement until every
 	// node was seen to serve the change; 0 when it did before.
@@ -162,7 +162,7 @@
 			result.Pending++
 		} else {
 			result.Confirmed++
-			acknowledged.add(one.answeredAt - one.submittedAt)
+			acknowledged.add(one.repliedAt - one.submittedAt)
 		}
 		at, reached := s.everywhere[one.revision]
 		if !reached {
@@ -171,18 +171,18 @@
 		}
 		everywhere.add(at - one.submittedAt)
 		if one.confirmed {
-			late.add(at - one.answeredAt)
+			late.add(at - one.repliedAt)
 		}
 	}
 	result.ToAcknowledged = acknowledged.distribution()
-	result.ToOneNode = s.oneNode(submitted)
+	result.ToEachNode = s.eachNode(submitted)
 	result.ToEveryNode = everywhere.distribution()
 	result.LateAfterAcknowledged = late.distribution()
 	return result
 }
 
-// oneNode is the distribution over changes and nodes.
-func (s *spread) oneNode(submitted map[uint64]time.Duration) Distribution {
+// eachNode is the distribution over changes and nodes.
+func (s *spread) eachNode(submitted map[uint64]time.Duration) Distribution {
 	times := newHistogram()
 	for _, seen := range s.arrivals {
 		for revision := seen.after + 1; revision <= seen.revision; revision++ {
--- a/internal/lab/hollow/virtual_fleet.go
+++ b/internal/lab/hollow/virtual_fleet.go
@@ -38,7 +38,7 @@
 	badFrames uint64
 	badWrites uint64
 	tickets   map[uint64]*change
-	answers   []change
+	finished  []change
 }
 
 func newVirtualFleet(settings Settings) (*virtualFleet, error) {
@@ -76,7 +76,7 @@
 // done.
 func (f *virtualFleet) runUntil(ctx context.Context, end time.Duration, done func() bool) {
 	for f.queue.Len() > 0 && f.queue.actions[0].at <= end && ctx.Err() == nil {
-		next := f.queue.takeFirst()
+		next := f.queue.popFirst()
 		f.now = next.at
 		next.run(next.at)
 		if done() {
@@ -136,7 +136,7 @@
 	f.queue.add(at, func(now time.Duration) {
 		order, err := changeOrder(f.settings, number)
 		if err != nil {
-			f.answers = append(f.answers, change{submittedAt: now, answeredAt: now, problem: err.Error()})
+			f.finished = append(f.finished, change{submittedAt: now, repliedAt: now, problem: err.Error()})
 			return
 		}
 		ticket := uint64(number) + 1
@@ -153,14 +153,14 @@
 		return
 	}
 	delete(f.tickets, reply.Ticket)
-	made.answeredAt = now
+	made.repliedAt = now
 	made.revision = reply.Answer.GetRevision()
 	made.confirmed = reply.Answer.GetConfirmed()
 	made.problem = reply.Answer.GetProblem().GetMessage()
 	if reply.Err != nil {
 		made.problem = reply.Err.Error()
 	}
-	f.answers = append(f.answers, *made)
+	f.finished = append(f.finished, *made)
 }
 
 // watch samples what the nodes serve, until an instant.
@@ -228,7 +228,7 @@
 	r.conclude(settings, settings.Duration, before, after)
 	for _, unanswered := range fleet.tickets {
 		unanswered.problem = "not answered"
-		fleet.answers = append(fleet.answers, *unanswered)
+		fleet.finished = append(fleet.finished, *unanswered)
 	}
-	r.judge(watched, fleet.answers)
+	r.judge(watched, fleet.finished)
 }
--- a/internal/lab/hollow/virtual_queue.go
+++ b/internal/lab/hollow/virtual_queue.go
@@ -24,7 +24,7 @@
 	heap.Push(q, action{at: at, order: q.added, run: run})
 }
 
-func (q *actionQueue) takeFirst() action { return heap.Pop(q).(action) }
+func (q *actionQueue) popFirst() action { return heap.Pop(q).(action) }
 
 // Len implements heap.Interface.
 func (q *actionQueue) Len() int { return len(q.actions) }
--- a/internal/lab/hollow/virtual_run_test.go
+++ b/internal/lab/hollow/virtual_run_test.go
@@ -56,7 +56,7 @@
 			queue.add(planned.at, func(time.Duration) { ran = append(ran, planned.name) })
 		}
 		for queue.Len() > 0 {
-			next := queue.takeFirst()
+			next := queue.popFirst()
 			next.run(next.at)
 		}
 		Expect(ran).To(Equal([]string{"a", "b", "c", "d"}))
--- a/internal/lab/hollow/virtual_test.go
+++ b/internal/lab/hollow/virtual_test.go
@@ -76,7 +76,7 @@
 		g.Expect(result.Seconds).To(BeNumerically("~", settings.Duration.Seconds(), 0.01))
 		g.Expect(result.Spread.Submitted).To(BeNumerically(">=", 2))
 		g.Expect(result.Spread.Confirmed).To(Equal(result.Spread.Submitted))
-		g.Expect(result.Spread.ToOneNode.Count).To(Equal(int64(settings.Nodes * result.Spread.Submitted)))
+		g.Expect(result.Spread.ToEachNode.Count).To(Equal(int64(settings.Nodes * result.Spread.Submitted)))
 		g.Expect(result.Spread.ToEveryNode.Max).To(BeNumerically("<", 1000))
 		g.Expect(result.All.SentMessages).To(BeNumerically("~", result.All.ReceivedMessages, 2))
 		g.Expect(rate(result.FrontNodes, "membership heartbeat")).To(BeNumerically("~", 30, 3))
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -28,16 +28,16 @@
 
 // Allotter allots each port once. It is safe for concurrent use.
 type Allotter struct {
-	mutex sync.Mutex
-	next  int
-	left  int
+	mutex     sync.Mutex
+	next      int
+	remaining int
 }
 
 // NewAllotter returns an allotter that begins at a place which follows from a
 // number, such as that of the process.
 func NewAllotter(number int) *Allotter {
 	const ports = LastPort - FirstPort + 1
-	return &Allotter{next: (number % ports) * processStride % ports, left: ports}
+	return &Allotter{next: (number % ports) * processStride % ports, remaining: ports}
 }
 
 // process allots the ports of this process.
@@ -61,10 +61,10 @@
 func (a *Allotter) Port() (int, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for a.left > 0 {
+	for a.remaining > 0 {
 		port := FirstPort + a.next
 		a.next = (a.next + 1) % (LastPort - FirstPort + 1)
-		a.left--
+		a.remaining--
 		if unused(port) {
 			return port, nil
 		}
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -36,7 +36,7 @@
 
 	It("run out with a typed error", func() {
 		allotter := NewAllotter(1)
-		allotter.left = 0
+		allotter.remaining = 0
 		_, err := allotter.Port()
 		Expect(err).To(MatchError(ErrNoPort))
 	})
--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	return scenario.Take(ctx, order)
+	return scenario.RequireAcknowledged(ctx, order)
 }
 
 // Race lets operators change the configuration on the same base through
--- a/internal/lab/operator/changes.go
+++ b/internal/lab/operator/changes.go
@@ -18,7 +18,7 @@
 // AddKey adds the key of the plan.
 func (scenario *Scenario) AddKey(ctx context.Context) error {
 	plan := scenario.Plan
-	return scenario.Take(ctx, Order{
+	return scenario.RequireAcknowledged(ctx, Order{
 		Call: "AddKey",
 		Request: &ridgeswitchv1.AddKeyRequest{
 			Order: scenario.header("add-key"), Tenant: plan.KeyTenant,
@@ -31,7 +31,7 @@
 // RevokeKey revokes the key of the plan.
 func (scenario *Scenario) RevokeKey(ctx context.Context) error {
 	plan := scenario.Plan
-	return scenario.Take(ctx, Order{
+	return scenario.RequireAcknowledged(ctx, Order{
 		Call: "RevokeKey",
 		Request: &ridgeswitchv1.RevokeKeyRequest{
 			Order:  scenario.header("revoke-key"),
@@ -44,7 +44,7 @@
 // NameWeights names a version of the weights of the plan's pool.
 func (scenario *Scenario) NameWeights(ctx context.Context, version string) error {
 	pool := scenario.Plan.Pool
-	return scenario.Take(ctx, Order{
+	return scenario.RequireAcknowledged(ctx, Order{
 		Call: "NameWeights",
 		Request: &ridgeswitchv1.NameWeightsRequest{
 			Order: scenario.header("weights-" + version),
@@ -56,7 +56,7 @@
 
 func (scenario *Scenario) evacuate(ctx context.Context) error {
 	zone := scenario.Plan.EvacuatedZone
-	return scenario.Take(ctx, Order{
+	return scenario.RequireAcknowledged(ctx, Order{
 		Call: "EvacuateZone",
 		Request: &ridgeswitchv1.EvacuateZoneRequest{
 			Order: scenario.header("evacuate"), Zone: zone,
@@ -68,7 +68,7 @@
 
 func (scenario *Scenario) restore(ctx context.Context) error {
 	zone := scenario.Plan.EvacuatedZone
-	return scenario.Take(ctx, Order{
+	return scenario.RequireAcknowledged(ctx, Order{
 		Call:    "RestoreZone",
 		Request: &ridgeswitchv1.RestoreZoneRequest{Order: scenario.header("restore"), Zone: zone},
 		Change:  checker.Change{Kind: checker.ChangeRestore, Zone: zone},
@@ -86,7 +86,7 @@
 // setWall raises or takes down the wall of the plan's tenant.
 func (scenario *Scenario) setWall(ctx context.Context, call protoreflect.Name, name string, kind checker.ChangeKind) error {
 	tenant := scenario.Plan.WalledTenant
-	return scenario.Take(ctx, Order{
+	return scenario.RequireAcknowledged(ctx, Order{
 		Call:    call,
 		Request: &ridgeswitchv1.SetTenantWallRequest{Order: scenario.header(name), Tenant: tenant},
 		Change:  checker.Change{Kind: kind, Tenant: tenant},
--- a/internal/lab/operator/client.go
+++ b/internal/lab/operator/client.go
@@ -98,13 +98,13 @@
 	return built, nil
 }
 
-func readReply(answer *http.Response, body []byte, response proto.Message) (Reply, error) {
-	reply := Reply{Status: answer.StatusCode}
-	seconds, err := strconv.ParseUint(answer.Header.Get("Retry-After"), 10, 16)
+func readReply(httpResponse *http.Response, body []byte, response proto.Message) (Reply, error) {
+	reply := Reply{Status: httpResponse.StatusCode}
+	seconds, err := strconv.ParseUint(httpResponse.Header.Get("Retry-After"), 10, 16)
 	if err == nil {
 		reply.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	if answer.StatusCode < http.StatusBadRequest {
+	if httpResponse.StatusCode < http.StatusBadRequest {
 		return reply, errors.Wrap(protojson.Unmarshal(body, response), "read the answer")
 	}
 	reply.Problem = &ridgeswitchv1.Problem{}
--- a/internal/lab/operator/orders.go
+++ b/internal/lab/operator/orders.go
@@ -155,17 +155,17 @@
 // Status reads what a node says of itself.
 func (recorder *Recorder) Status(ctx context.Context, target Target) (*ridgeswitchv1.NodeStatus, error) {
 	status := &ridgeswitchv1.NodeStatus{}
-	return status, recorder.ask(ctx, target, "GetStatus", &ridgeswitchv1.GetStatusRequest{}, status)
+	return status, recorder.call(ctx, target, "GetStatus", &ridgeswitchv1.GetStatusRequest{}, status)
 }
 
 // Weights reads how far a node knows the roll-out of a pool to have come.
 func (recorder *Recorder) Weights(ctx context.Context, target Target, pool string) (*ridgeswitchv1.WeightsStatus, error) {
 	status := &ridgeswitchv1.WeightsStatus{}
-	return status, recorder.ask(ctx, target, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool}, status)
+	return status, recorder.call(ctx, target, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool}, status)
 }
 
-// ask makes a call that reads.
-func (recorder *Recorder) ask(ctx context.Context, target Target, call protoreflect.Name, request, response proto.Message) error {
+// call makes a call that reads.
+func (recorder *Recorder) call(ctx context.Context, target Target, call protoreflect.Name, request, response proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	reply, err := recorder.client.Call(ctx, target.ControlAddress, call, request, response)
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -148,8 +148,8 @@
 	return fmt.Sprintf("%s-%s", scenario.Plan.Run, name)
 }
 
-// Take insists on an order and wants it to be acknowledged.
-func (scenario *Scenario) Take(ctx context.Context, order Order) error {
+// RequireAcknowledged insists on an order and wants it to be acknowledged.
+func (scenario *Scenario) RequireAcknowledged(ctx context.Context, order Order) error {
 	record, err := scenario.Recorder.Insist(ctx, scenario.Targets(), order)
 	if err != nil {
 		return err
--- a/internal/lab/plans/pool.go
+++ b/internal/lab/plans/pool.go
@@ -26,11 +26,11 @@
 
 // awaitPool returns when every node knows the pool to serve as wanted. Weights
 // that are named before the pool has begun to serve are loaded first.
-func (run *run) awaitPool(ctx context.Context, wanted func([]*ridgeswitchv1.ReplicaStatus) bool) error {
+func (run *run) awaitPool(ctx context.Context, condition func([]*ridgeswitchv1.ReplicaStatus) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if run.poolIs(ctx, wanted) {
+		if run.poolMeets(ctx, condition) {
 			return nil
 		}
 		pause(ctx, watchEvery)
@@ -38,10 +38,10 @@
 	return errors.Errorf("the pool did not serve within %v", recoveryTimeout)
 }
 
-func (run *run) poolIs(ctx context.Context, wanted func([]*ridgeswitchv1.ReplicaStatus) bool) bool {
+func (run *run) poolMeets(ctx context.Context, condition func([]*ridgeswitchv1.ReplicaStatus) bool) bool {
 	for _, target := range run.Fleet.LiveTargets() {
 		status, err := run.Recorder.Weights(ctx, target, run.Plan.Pool)
-		if err != nil || !wanted(status.GetReplicas()) {
+		if err != nil || !condition(status.GetReplicas()) {
 			return false
 		}
 	}
--- a/internal/lab/plans/votes.go
+++ b/internal/lab/plans/votes.go
@@ -94,12 +94,12 @@
 }
 
 // lastMemberSlots returns the places of a shard by the last change that is durable.
-func lastMemberSlots(kept replication.Restored) ([]replication.Slot, error) {
+func lastMemberSlots(restored replication.Restored) ([]replication.Slot, error) {
 	var slots []replication.Slot
-	if kept.Snapshot != nil {
-		slots = kept.Snapshot.Slots
+	if restored.Snapshot != nil {
+		slots = restored.Snapshot.Slots
 	}
-	for _, entry := range kept.Entries {
+	for _, entry := range restored.Entries {
 		if entry.Kind != replication.EntryGroupChange {
 			continue
 		}
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -31,8 +31,8 @@
 
 	// acknowledged is the highest revision that an operator knows to be in force.
 	acknowledged uint64
-	// shown is the highest revision that a confirmed read has returned.
-	shown uint64
+	// shownRevision is the highest revision that a confirmed read has returned.
+	shownRevision uint64
 	// contents are the digests of the configurations by revision.
 	contents map[uint64]uint64
 	// checksums are those of the relayed states.
@@ -232,9 +232,9 @@
 
 // orderReplied records what operators know from now on, and checks that a reply
 // belongs to the order that it is given to.
-func (c *checks) orderReplied(sent *submission, answer *controlpb.Answer) {
+func (c *checks) orderReplied(sent *submission, reply *controlpb.Answer) {
 	record := sent.record
-	if answered := answer.GetOrderId(); answered != "" && answered != sent.sentID {
+	if answered := reply.GetOrderId(); answered != "" && answered != sent.sentID {
 		c.world.violate("answer_of_order", "%s answered order %s with the answer to %s", record.Node, sent.sentID, answered)
 	}
 	c.trace(record.OrderID+string(record.Outcome), record.Revision)
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -188,7 +188,7 @@
 	added.start()
 	w.after(promotionBound, func() {
 		// It may have been the next one to go.
-		if !added.gone && !w.isVoterEverywhere(added) {
+		if !added.removed && !w.isVoterEverywhere(added) {
 			w.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, promotionBound)
 		}
 	})
--- a/internal/lab/sim/disk_faults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -82,7 +82,7 @@
 			switch {
 			case lo.Contains(victims, one):
 				w.replaceMachineAt(one, false)
-			case !one.gone:
+			case !one.removed:
 				w.restartAfter(one, w.faultDuration(100*time.Millisecond, 2*time.Second))
 			}
 		}
@@ -118,7 +118,7 @@
 			}
 			voters++
 			member := w.nodeNamed(slot.ID)
-			if !lo.Contains(victims, member) && !member.gone && !member.leaving && member.storage.incarnation == slot.Incarnation {
+			if !lo.Contains(victims, member) && !member.removed && !member.leaving && member.storage.incarnation == slot.Incarnation {
 				healthy++
 			}
 		}
--- a/internal/lab/sim/fail_open.go
+++ b/internal/lab/sim/fail_open.go
@@ -106,7 +106,7 @@
 // removeMachine removes a machine for good.
 func (w *simulation) removeMachine(victim *node) {
 	victim.stop()
-	victim.gone = true
+	victim.removed = true
 	victim.logf("gone")
 	w.nodes = lo.Without(w.nodes, victim)
 	delete(w.byAddress, victim.info.Address)
@@ -202,7 +202,7 @@
 	var poll func()
 	poll = func() {
 		switch {
-		case w.now >= deadline || victim.gone:
+		case w.now >= deadline || victim.removed:
 		case w.isVoterEverywhere(added) && w.canLose(victim):
 			w.shutDownThen(victim, func() { w.removeMachine(victim) })
 		default:
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -113,7 +113,7 @@
 					// All serve by then, and nothing is gone.
 					world.after(RecoveryBound, func() {
 						for _, one := range world.nodes {
-							if !one.serving() || one.view.Revision < order.answer.GetRevision() {
+							if !one.serving() || one.view.Revision < order.reply.GetRevision() {
 								world.violate("recovered", "%s does not serve what was acknowledged", one.info.ID)
 							}
 						}
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -20,7 +20,7 @@
 
 // faultKinds are all kinds that are drawn by default.
 var faultKinds = []faultKind{
-	{"crash", 4, (*simulation).crashOne},
+	{"crash", 4, (*simulation).crashNode},
 	{"crash-many", 3, (*simulation).crashMany},
 	{"rolling-restart", 2, (*simulation).rollingRestart},
 	{"disk-lost", 2, (*simulation).loseDisk},
@@ -30,7 +30,7 @@
 	{"majority-disk-loss", 3, (*simulation).loseMajority},
 	{"slow-disk", 3, (*simulation).slowDisk},
 	{"full-disk", 2, (*simulation).fullDisk},
-	{"freeze", 4, (*simulation).freezeOne},
+	{"freeze", 4, (*simulation).freezeNode},
 	{"freeze-leader", 4, (*simulation).freezeLeader},
 	{"freeze-at-command", 4, (*simulation).freezeAtCommand},
 	{"power-lost-after-ack", 3, (*simulation).losePowerAfterAck},
@@ -173,7 +173,7 @@
 	w.after(down, one.start)
 }
 
-func (w *simulation) crashOne() {
+func (w *simulation) crashNode() {
 	w.restartAfter(pick(w, w.nodes), w.faultDuration(100*time.Millisecond, 4*time.Second))
 }
 
@@ -207,7 +207,7 @@
 			return
 		}
 		w.after(start, func() {
-			if one.gone || !one.up {
+			if one.removed || !one.up {
 				return
 			}
 			one.post(one.process, one.machine.Leave)
@@ -216,8 +216,8 @@
 	}
 }
 
-// freezeOne suspends a process for long without ending it.
-func (w *simulation) freezeOne() {
+// freezeNode suspends a process for long without ending it.
+func (w *simulation) freezeNode() {
 	pick(w, w.nodes).freeze(w.faultDuration(3*time.Second, 17*time.Second))
 }
 
--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -51,7 +51,7 @@
 // contradicts the state.
 func (o *operatorOrder) nextStates(state registerState) []any {
 	fits := o.applicable(state)
-	answered := o.answer.GetRevision()
+	answered := o.reply.GetRevision()
 	switch {
 	case !o.outcomeKnown() && fits:
 		return []any{state, o.applied(state)}
@@ -110,7 +110,7 @@
 	byRevision := map[uint64][]int{}
 	for position, operation := range history {
 		if order := operation.Input.(*operatorOrder); order.outcomeKnown() {
-			revision := order.answer.GetRevision()
+			revision := order.reply.GetRevision()
 			byRevision[revision] = append(byRevision[revision], position)
 		}
 	}
--- a/internal/lab/sim/majority_loss.go
+++ b/internal/lab/sim/majority_loss.go
@@ -24,7 +24,7 @@
 	w.whenHealthy(timeout, func() {
 		w.majorityLost = true
 		// What was shown and never acknowledged may go with the disks.
-		w.checks.shown = 0
+		w.checks.shownRevision = 0
 		if w.chance(0.5) {
 			w.loseDisksOf(w.random.Perm(len(w.group))[:w.lossSize()])
 			return
--- a/internal/lab/sim/majority_loss_test.go
+++ b/internal/lab/sim/majority_loss_test.go
@@ -65,8 +65,8 @@
 					})
 				})
 				Expect(acknowledged(before) && acknowledged(after) && acknowledged(resent)).To(BeTrue(), "seed %d", seed)
-				Expect(resent.answer.GetRevision()).To(Equal(before.answer.GetRevision()))
-				Expect(after.answer.GetRevision()).To(Equal(before.answer.GetRevision() + 1))
+				Expect(resent.reply.GetRevision()).To(Equal(before.reply.GetRevision()))
+				Expect(after.reply.GetRevision()).To(Equal(before.reply.GetRevision() + 1))
 				Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
 			}
 		},
@@ -84,14 +84,14 @@
 				back := func(missed *operatorOrder) {
 					Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
 					Expect(lo.EveryBy(world.nodes, (*node).serving)).To(BeTrue(), "seed %d", seed)
-					Expect(late.view.Revision).To(Equal(missed.answer.GetRevision()), "seed %d", seed)
+					Expect(late.view.Revision).To(Equal(missed.reply.GetRevision()), "seed %d", seed)
 					checked = true
 				}
 				world.at(7500*time.Millisecond, func() {
 					missed := world.operators.addKey(0)
 					world.operators.issueAt(world.router(), missed)
 					world.whenAcknowledged(missed, func() {
-						Expect(late.view.Revision).To(BeNumerically("<", missed.answer.GetRevision()))
+						Expect(late.view.Revision).To(BeNumerically("<", missed.reply.GetRevision()))
 						world.loseDisksAt(0, 1)
 						world.reconnect(late)
 						world.after(ServiceBackBound, func() { back(missed) })
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -34,8 +34,8 @@
 	index int
 	info  member.Info
 	seeds []string
-	// gone is set once the machine was removed for good.
-	gone bool
+	// removed is set once the machine was removed for good.
+	removed bool
 	// leaving is set once the machine is about to be removed.
 	leaving bool
 	// tickEvery is the period at which the control machine is told the time.
@@ -93,7 +93,7 @@
 
 // start begins a new process from what the disk kept.
 func (n *node) start() {
-	if n.up || n.gone {
+	if n.up || n.removed {
 		return
 	}
 	restored, ok := n.openStorage()
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -63,7 +63,7 @@
 	// of it was in flight, which may still be accepted later.
 	ambiguous bool
 	outcome   checker.Outcome
-	answer    *controlpb.Answer
+	reply     *controlpb.Answer
 }
 
 // submission is one sending of an order to a node.
@@ -236,9 +236,9 @@
 }
 
 // handleReply finishes an order, or submits it again.
-func (o *operators) handleReply(sent *submission, answer *controlpb.Answer) {
+func (o *operators) handleReply(sent *submission, reply *controlpb.Answer) {
 	order := sent.order
-	o.world.checks.orderReplied(sent, answer)
+	o.world.checks.orderReplied(sent, reply)
 	if order.finished {
 		return
 	}
@@ -254,7 +254,7 @@
 	order.finished = true
 	order.finishedAt = o.world.now
 	order.outcome = outcome
-	order.answer = answer
+	order.reply = reply
 	if outcome == checker.OutcomeAcknowledged {
 		o.world.counts.OrdersAcked++
 	} else {
--- a/internal/lab/sim/reads.go
+++ b/internal/lab/sim/reads.go
@@ -52,12 +52,12 @@
 	if !reader.up {
 		return &readResult{}
 	}
-	minimum := max(w.checks.acknowledged, w.checks.shown)
+	minimum := max(w.checks.acknowledged, w.checks.shownRevision)
 	return w.read(reader, reader.machine.ReadConfiguration, func(read *readResult) {
 		if read.revision < minimum {
 			w.violate("read_never_older", "%s shows revision %d although %d was acknowledged or shown before", reader.info.ID, read.revision, minimum)
 		}
-		w.checks.shown = max(w.checks.shown, read.revision)
+		w.checks.shownRevision = max(w.checks.shownRevision, read.revision)
 	})
 }
 
--- a/internal/lab/sim/recovery_checks.go
+++ b/internal/lab/sim/recovery_checks.go
@@ -130,8 +130,8 @@
 
 func (w *simulation) checkSpread(order *operatorOrder) {
 	for _, one := range w.nodes {
-		if !one.serving() || one.view.Revision < order.answer.GetRevision() {
-			w.violate("spread_in_calm", "%s does not serve revision %d %v after its acknowledgement", one.info.ID, order.answer.GetRevision(), SpreadBound)
+		if !one.serving() || one.view.Revision < order.reply.GetRevision() {
+			w.violate("spread_in_calm", "%s does not serve revision %d %v after its acknowledgement", one.info.ID, order.reply.GetRevision(), SpreadBound)
 		}
 	}
 }
--- a/internal/lab/standin/event_stream.go
+++ b/internal/lab/standin/event_stream.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	for {
-		more := r.take()
+		more := r.readEvents()
 		wait, err := r.writeDue()
 		if err != nil {
 			return err
@@ -134,8 +134,8 @@
 	}
 }
 
-// take sends new events on their way.
-func (r *eventReader) take() <-chan struct{} {
+// readEvents reads new events from the source and schedules their delivery.
+func (r *eventReader) readEvents() <-chan struct{} {
 	events, more := r.stream.Source.EventsAfter(r.position)
 	now := r.stream.Clock.Now()
 	for _, event := range events {
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -101,7 +101,7 @@
 // ends the connection so that the client sees a broken answer.
 type TruncatingWriter struct {
 	http.ResponseWriter
-	left int
+	remaining int
 }
 
 // NewTruncatingWriter returns the writer that a fate calls for.
@@ -112,17 +112,17 @@
 	if faults.TruncateAtByte < 0 {
 		panic(http.ErrAbortHandler)
 	}
-	return &TruncatingWriter{ResponseWriter: w, left: faults.TruncateAtByte}
+	return &TruncatingWriter{ResponseWriter: w, remaining: faults.TruncateAtByte}
 }
 
 // Write sends what fits before the cut and panics with http.ErrAbortHandler when
 // it is reached.
 func (w *TruncatingWriter) Write(data []byte) (int, error) {
-	if len(data) < w.left {
-		w.left -= len(data)
+	if len(data) < w.remaining {
+		w.remaining -= len(data)
 		return w.ResponseWriter.Write(data)
 	}
-	_, _ = w.ResponseWriter.Write(data[:w.left])
+	_, _ = w.ResponseWriter.Write(data[:w.remaining])
 	w.Flush()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/lab/standin/replica/chunks.go
+++ b/internal/lab/standin/replica/chunks.go
@@ -46,14 +46,14 @@
 
 // pull fetches what an attempt lacks, up to the first chunk that cannot be had in
 // time, and lets the attempt go on.
-func (s *Server) pull(ctx context.Context, handle emulator.Handle, wanted pullRange) {
+func (s *Server) pull(ctx context.Context, handle emulator.Handle, requested pullRange) {
 	ctx, cancel := context.WithTimeout(ctx, s.clock.Real(pullTimeout))
 	defer cancel()
 	var missing []prefixindex.ChainHash
-	s.do(func(time.Duration) { missing = s.model.Missing(handle, wanted.first, wanted.last) })
+	s.do(func(time.Duration) { missing = s.model.Missing(handle, requested.first, requested.last) })
 	var chunks []emulator.CachedChunk
 	for _, hash := range missing {
-		chunk, err := s.fetch(ctx, wanted.source, hash)
+		chunk, err := s.fetch(ctx, requested.source, hash)
 		if err != nil {
 			break
 		}
--- a/internal/lab/standin/response.go
+++ b/internal/lab/standin/response.go
@@ -75,11 +75,11 @@
 
 // CheckComplete reports whether a body is the complete answer to a request.
 func CheckComplete(requestID string, body []byte) error {
-	var answer CompleteResponse
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var response CompleteResponse
+	if err := json.Unmarshal(body, &response); err != nil {
 		return errors.Wrap(err, "answer is cut or no answer")
 	}
-	return check(requestID, answer.RequestID, answer.Output, answer.Digest)
+	return check(requestID, response.RequestID, response.Output, response.Digest)
 }
 
 // StreamCheck follows a streamed answer and reports whether it came whole.
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -29,9 +29,9 @@
 	// dialTimeout bounds the wait for a connection, so that a machine that is
 	// gone is passed over soon.
 	dialTimeout = 2 * time.Second
-	// maxAnswerBytes bounds what is read of an answer: a configuration of the
+	// maxResponseBytes bounds what is read of an answer: a configuration of the
 	// largest size, with the fields that the system adds.
-	maxAnswerBytes = 2 * dynamic.MaxDocumentBytes
+	maxResponseBytes = 2 * dynamic.MaxDocumentBytes
 )
 
 // client sends calls to the first node that answers.
@@ -40,19 +40,19 @@
 	service httpc.Service
 }
 
-// answer is what a node answered.
-type answer struct {
+// nodeReply is what a node answered.
+type nodeReply struct {
 	status int
 	body   []byte
 }
 
 // pending reports whether an order waits for its confirmation.
-func (a answer) pending() bool {
+func (a nodeReply) pending() bool {
 	return a.status == http.StatusAccepted
 }
 
 // final reports whether asking another node can't give a better answer.
-func (a answer) final() bool {
+func (a nodeReply) final() bool {
 	return !a.pending() && a.status < http.StatusInternalServerError
 }
 
@@ -71,9 +71,9 @@
 
 // send gives the identical call to one node after the other until one has a
 // final answer. A refusal, and the lack of any answer, are *ExitError.
-func (c *client) send(ctx context.Context, call schema.Call, request protoreflect.Message) (answer, error) {
+func (c *client) send(ctx context.Context, call schema.Call, request protoreflect.Message) (nodeReply, error) {
 	var failures []string
-	var pending *answer
+	var pending *nodeReply
 	for _, node := range c.nodes {
 		got, err := c.sendTo(ctx, node, call, request)
 		switch {
@@ -90,7 +90,7 @@
 	if pending != nil {
 		return *pending, nil
 	}
-	return answer{}, unanswered(call, failures)
+	return nodeReply{}, unanswered(call, failures)
 }
 
 // unanswered tells what is known when no node had an answer.
@@ -103,15 +103,15 @@
 }
 
 // accept turns a final answer that is no success into a refusal.
-func accept(node string, got answer) (answer, error) {
+func accept(node string, got nodeReply) (nodeReply, error) {
 	if got.status == http.StatusOK {
 		return got, nil
 	}
-	return answer{}, &ExitError{Code: ExitRefused, Message: fmt.Sprintf("%s: %s", node, describe(got))}
+	return nodeReply{}, &ExitError{Code: ExitRefused, Message: fmt.Sprintf("%s: %s", node, describe(got))}
 }
 
 // describe spells out the problem that an answer carries.
-func describe(got answer) string {
+func describe(got nodeReply) string {
 	problem := &ridgeswitchv1.Problem{}
 	if err := protojson.Unmarshal(got.body, problem); err != nil || problem.GetKind() == "" {
 		return fmt.Sprintf("HTTP status %d", got.status)
@@ -127,24 +127,24 @@
 	return text
 }
 
-func (c *client) sendTo(ctx context.Context, node string, call schema.Call, request protoreflect.Message) (answer, error) {
+func (c *client) sendTo(ctx context.Context, node string, call schema.Call, request protoreflect.Message) (nodeReply, error) {
 	outgoing, err := newHTTPRequest(ctx, node, call, request)
 	if err != nil {
-		return answer{}, err
+		return nodeReply{}, err
 	}
 	response, err := c.service.DoRequest(outgoing)
 	if err != nil {
-		return answer{}, err
+		return nodeReply{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
-		return answer{}, errors.Wrap(err, "answer cut short")
+		return nodeReply{}, errors.Wrap(err, "answer cut short")
 	}
-	if len(body) > maxAnswerBytes {
-		return answer{}, errors.Errorf("answer above %d bytes", maxAnswerBytes)
+	if len(body) > maxResponseBytes {
+		return nodeReply{}, errors.Errorf("answer above %d bytes", maxResponseBytes)
 	}
-	return answer{status: response.StatusCode, body: body}, nil
+	return nodeReply{status: response.StatusCode, body: body}, nil
 }
 
 // newHTTPRequest puts the request into the body, or into the query where the
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -12,11 +12,11 @@
 
 // checkRevisions reports whether all nodes that answered serve the same revision.
 func (s *survey) checkRevisions() check {
-	if !s.askedAll {
+	if !s.allNodes {
 		return check{"revisions", resultUnknown, fmt.Sprintf("%d on %s; --all asks every node", s.status.GetServedRevision(), s.status.GetNode())}
 	}
 	byRevision := make(map[uint64][]string)
-	for _, given := range s.answers {
+	for _, given := range s.responses {
 		if given.err == nil {
 			revision := given.status.GetServedRevision()
 			byRevision[revision] = append(byRevision[revision], given.member.GetNode())
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -45,17 +45,17 @@
 type survey struct {
 	// status is the view of the node that was asked first.
 	status *ridgeswitchv1.NodeStatus
-	// askedAll is set if the live members were asked, whose answers follow.
-	askedAll bool
-	answers  []nodeAnswer
+	// allNodes is set if the live members were asked, whose answers follow.
+	allNodes  bool
+	responses []nodeResponse
 	// weights tell how far the pools are, unless weightsError says why that is
 	// not known.
 	weights      []*ridgeswitchv1.WeightsStatus
 	weightsError error
 }
 
-// nodeAnswer is what one member said of itself.
-type nodeAnswer struct {
+// nodeResponse is what one member said of itself.
+type nodeResponse struct {
 	member *ridgeswitchv1.MemberStatus
 	// status is nil if err says why there is no answer.
 	status *ridgeswitchv1.NodeStatus
@@ -77,30 +77,30 @@
 	if err != nil {
 		return err
 	}
-	asker := &asker{client: newClient(command.StringSlice(flagNode), command.Duration(flagTimeout))}
+	asker := &queryClient{client: newClient(command.StringSlice(flagNode), command.Duration(flagTimeout))}
 	status := &ridgeswitchv1.NodeStatus{}
-	body, err := asker.ask(ctx, statusCall, &ridgeswitchv1.GetStatusRequest{}, status)
+	body, err := asker.call(ctx, statusCall, &ridgeswitchv1.GetStatusRequest{}, status)
 	if err != nil {
 		return err
 	}
-	taken := &survey{status: status, askedAll: command.Bool(flagAll)}
-	if taken.askedAll {
-		taken.answers = asker.askMembers(ctx, call, status)
+	taken := &survey{status: status, allNodes: command.Bool(flagAll)}
+	if taken.allNodes {
+		taken.responses = asker.queryMembers(ctx, call, status)
 	}
-	taken.weights, taken.weightsError = asker.askWeights(ctx)
+	taken.weights, taken.weightsError = asker.queryWeights(ctx)
 	if err := taken.print(printer.out); err != nil {
 		return err
 	}
 	return printer.print(body)
 }
 
-// asker asks nodes questions that change nothing.
-type asker struct {
+// queryClient asks nodes questions that change nothing.
+type queryClient struct {
 	client *client
 }
 
-// ask asks the named nodes in turn and fills the response.
-func (a *asker) ask(ctx context.Context, name protoreflect.Name, request, response proto.Message) ([]byte, error) {
+// call asks the named nodes in turn and fills the response.
+func (a *queryClient) call(ctx context.Context, name protoreflect.Name, request, response proto.Message) ([]byte, error) {
 	call := lo.FindOrElse(lo.Must(schema.Calls()), schema.Call{}, func(call schema.Call) bool {
 		return call.Method.Name() == name
 	})
@@ -108,29 +108,29 @@
 	if err != nil {
 		return nil, err
 	}
-	return answer.body, parseAnswer(answer.body, response)
+	return answer.body, parseResponse(answer.body, response)
 }
 
-// parseAnswer reads an answer, of which a newer node may say more than is known
+// parseResponse reads an answer, of which a newer node may say more than is known
 // here.
-func parseAnswer(body []byte, response proto.Message) error {
+func parseResponse(body []byte, response proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, response); err != nil {
 		return &ExitError{Code: ExitRefused, Message: "the node's answer does not fit the schema; use --output json: " + err.Error()}
 	}
 	return nil
 }
 
-// askMembers asks every live member of a table for its own status, several at a
+// queryMembers asks every live member of a table for its own status, several at a
 // time. The answers are in the order of the table.
-func (a *asker) askMembers(ctx context.Context, call schema.Call, table *ridgeswitchv1.NodeStatus) []nodeAnswer {
+func (a *queryClient) queryMembers(ctx context.Context, call schema.Call, table *ridgeswitchv1.NodeStatus) []nodeResponse {
 	live := lo.Filter(table.GetMembers(), func(member *ridgeswitchv1.MemberStatus, _ int) bool { return isLive(member) })
-	answers := make([]nodeAnswer, len(live))
+	answers := make([]nodeResponse, len(live))
 	var group errgroup.Group
 	group.SetLimit(maxQuestions)
 	for position, member := range live {
 		group.Go(func() error {
-			status, err := a.askMember(ctx, call, member)
-			answers[position] = nodeAnswer{member: member, status: status, err: err}
+			status, err := a.queryMember(ctx, call, member)
+			answers[position] = nodeResponse{member: member, status: status, err: err}
 			return nil
 		})
 	}
@@ -138,7 +138,7 @@
 	return answers
 }
 
-func (a *asker) askMember(ctx context.Context, call schema.Call, member *ridgeswitchv1.MemberStatus) (*ridgeswitchv1.NodeStatus, error) {
+func (a *queryClient) queryMember(ctx context.Context, call schema.Call, member *ridgeswitchv1.MemberStatus) (*ridgeswitchv1.NodeStatus, error) {
 	bounded, cancel := context.WithTimeout(ctx, questionTimeout)
 	defer cancel()
 	request := (&ridgeswitchv1.GetStatusRequest{}).ProtoReflect()
@@ -150,13 +150,13 @@
 		return nil, err
 	}
 	status := &ridgeswitchv1.NodeStatus{}
-	return status, parseAnswer(got.body, status)
+	return status, parseResponse(got.body, status)
 }
 
-// askWeights asks how far every pool's roll-out is.
-func (a *asker) askWeights(ctx context.Context) ([]*ridgeswitchv1.WeightsStatus, error) {
+// queryWeights asks how far every pool's roll-out is.
+func (a *queryClient) queryWeights(ctx context.Context) ([]*ridgeswitchv1.WeightsStatus, error) {
 	configuration := &ridgeswitchv1.Configuration{}
-	if _, err := a.ask(ctx, "GetConfiguration", &ridgeswitchv1.GetConfigurationRequest{Local: true}, configuration); err != nil {
+	if _, err := a.call(ctx, "GetConfiguration", &ridgeswitchv1.GetConfigurationRequest{Local: true}, configuration); err != nil {
 		return nil, err
 	}
 	pools := configuration.GetPools()
@@ -166,7 +166,7 @@
 	for position, pool := range pools {
 		group.Go(func() error {
 			weights[position] = &ridgeswitchv1.WeightsStatus{}
-			_, err := a.ask(ctx, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool.GetName()}, weights[position])
+			_, err := a.call(ctx, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool.GetName()}, weights[position])
 			return err
 		})
 	}
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -49,7 +49,7 @@
 		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\n", made.name, made.result, made.detail)
 	}
 	_, _ = fmt.Fprintln(writer)
-	if s.askedAll {
+	if s.allNodes {
 		s.writeNodes(writer)
 	}
 	return writer.Flush()
@@ -58,7 +58,7 @@
 // writeNodes writes what each node said of itself.
 func (s *survey) writeNodes(writer io.Writer) {
 	_, _ = fmt.Fprintln(writer, "nodes\nNODE\tCONTROL_ADDRESS\tFENCED\tFENCES\tSERVED_REVISION\tSHARDS_LED")
-	for _, given := range s.answers {
+	for _, given := range s.responses {
 		member := given.member
 		if given.err != nil {
 			_, _ = fmt.Fprintf(writer, "%s\t%s\t-\t-\t-\tno answer: %v\n", member.GetNode(), member.GetControlAddress(), given.err)
@@ -90,7 +90,7 @@
 		return check{"shards", resultAttention, strings.Join(shortened(faults), "; ")}
 	}
 	detail := fmt.Sprintf("each of %d has a leader", len(shards))
-	if !s.askedAll {
+	if !s.allNodes {
 		detail += ", as far as " + s.status.GetNode() + " knows"
 	}
 	return check{"shards", resultOK, detail}
@@ -98,11 +98,11 @@
 
 // leaderFault tells what is wrong with the leadership of a shard.
 func (s *survey) leaderFault(shard *ridgeswitchv1.ShardStatus) string {
-	if !s.askedAll {
+	if !s.allNodes {
 		return s.knownLeaderFault(shard.GetLeader())
 	}
 	var claims []string
-	for _, given := range s.answers {
+	for _, given := range s.responses {
 		for _, led := range ledBy(given.status) {
 			if led.GetShard() == shard.GetShard() {
 				claims = append(claims, fmt.Sprintf("%s in term %d", given.member.GetNode(), led.GetTerm()))
@@ -151,14 +151,14 @@
 
 // checkTraffic names the nodes that refuse traffic, and those that are silent.
 func (s *survey) checkTraffic() check {
-	if !s.askedAll {
+	if !s.allNodes {
 		if s.status.GetFenced() {
 			return check{"traffic", resultAttention, s.status.GetNode() + " refuses traffic"}
 		}
 		return check{"traffic", resultOK, s.status.GetNode() + " serves; --all asks every node"}
 	}
 	var refusing, silent []string
-	for _, given := range s.answers {
+	for _, given := range s.responses {
 		switch {
 		case given.err != nil:
 			silent = append(silent, given.member.GetNode())
@@ -166,7 +166,7 @@
 			refusing = append(refusing, given.member.GetNode())
 		}
 	}
-	made := check{"traffic", resultOK, fmt.Sprintf("%d of %d live members serve", len(s.answers)-len(refusing)-len(silent), len(s.answers))}
+	made := check{"traffic", resultOK, fmt.Sprintf("%d of %d live members serve", len(s.responses)-len(refusing)-len(silent), len(s.responses))}
 	if len(refusing) > 0 {
 		made.result = resultAttention
 		made.detail += "; refusing: " + joinNames(refusing)
--- a/internal/replay/exampleday/generate.go
+++ b/internal/replay/exampleday/generate.go
@@ -16,10 +16,10 @@
 const (
 	// node is what the header names.
 	node = "example"
-	// answeredStatus is the status of every made-up answer.
-	answeredStatus = 200
-	// webAnswerTime is how long every made-up fetch from a web service took.
-	webAnswerTime = 20 * time.Millisecond
+	// completedStatus is the status of every made-up answer.
+	completedStatus = 200
+	// webResponseTime is how long every made-up fetch from a web service took.
+	webResponseTime = 20 * time.Millisecond
 )
 
 // Started is the beginning of every made-up day.
@@ -96,7 +96,7 @@
 		record.AtUS = warp(request.At, options.Length).Microseconds()
 		records = append(records, record)
 	}
-	return records, answer(records, options)
+	return records, fillOutcomes(records, options)
 }
 
 // destinations finds the names of what the requests go to.
@@ -127,13 +127,13 @@
 		Streamed:     request.Streamed,
 		DeadlineMS:   request.Deadline.Milliseconds(),
 		OutputTokens: request.OutputTokens,
-		Outcome:      recording.Answered,
-		Status:       answeredStatus,
+		Outcome:      recording.Completed,
+		Status:       completedStatus,
 		Attempts:     1,
 	}
 	if request.Web {
 		record.Host, record.WebService = web.host, web.name
-		record.FirstUS, record.TotalUS = webAnswerTime.Microseconds(), webAnswerTime.Microseconds()
+		record.FirstUS, record.TotalUS = webResponseTime.Microseconds(), webResponseTime.Microseconds()
 		return record
 	}
 	record.Host, record.Pool, record.Model = pool.host, pool.name, pool.model
@@ -141,8 +141,9 @@
 	return record
 }
 
-// answer enters what the emulated fleet makes of the model requests.
-func answer(records []recording.Record, options Options) error {
+// fillOutcomes sets the outcomes that the emulated fleet gives the model
+// requests.
+func fillOutcomes(records []recording.Record, options Options) error {
 	var positions []int
 	var asked []recording.Record
 	for position, record := range records {
--- a/internal/replay/player/emulator.go
+++ b/internal/replay/player/emulator.go
@@ -46,7 +46,7 @@
 	for position, record := range records {
 		outcome := outcomes[position]
 		sample := report.FromRecord(record)
-		sample.Outcome = recording.Answered
+		sample.Outcome = recording.Completed
 		sample.Retries = outcome.Refused + outcome.Deferred
 		sample.ReusedTokens = outcome.ReusedTokens
 		sample.FirstToken = outcome.FirstToken
--- a/internal/replay/player/fleet.go
+++ b/internal/replay/player/fleet.go
@@ -23,11 +23,11 @@
 	dialTimeout = time.Second
 	// idleTimeout closes unused connections before the node does.
 	idleTimeout = 30 * time.Second
-	// answerGrace is how much longer than its deadline a request is waited for,
+	// responseGrace is how much longer than its deadline a request is waited for,
 	// so that the node's own answer is heard.
-	answerGrace = 5 * time.Second
-	// answerTimeout bounds a request without a deadline.
-	answerTimeout = 2 * time.Minute
+	responseGrace = 5 * time.Second
+	// responseTimeout bounds a request without a deadline.
+	responseTimeout = 2 * time.Minute
 	// requestBody stands for the prompt, which a recording does not hold.
 	requestBody = "replayed request"
 )
@@ -92,18 +92,18 @@
 // Send implements Sender. A node that takes no connection was not sent
 // anything, so that the next one is asked.
 func (f *Fleet) Send(ctx context.Context, attempt Attempt) Result {
-	limit := answerTimeout
+	limit := responseTimeout
 	if attempt.Record.DeadlineMS > 0 {
-		limit = time.Duration(attempt.Record.DeadlineMS)*time.Millisecond + answerGrace
+		limit = time.Duration(attempt.Record.DeadlineMS)*time.Millisecond + responseGrace
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	began := time.Now()
 	for range f.nodes {
 		node := f.nodes[f.turn.Add(1)%uint64(len(f.nodes))]
-		response, err := f.client.Do(f.request(ctx, node, attempt)) //nolint:bodyclose // readAnswer closes it
+		response, err := f.client.Do(f.request(ctx, node, attempt)) //nolint:bodyclose // readResponse closes it
 		if err == nil {
-			return readAnswer(response, began)
+			return readResponse(response, began)
 		}
 		if !isDialError(err) {
 			return Result{Outcome: recording.Truncated}
--- a/internal/replay/player/fleet_test.go
+++ b/internal/replay/player/fleet_test.go
@@ -63,7 +63,7 @@
 			seen <- request
 			streaming("data: x\n\ndata: [DONE]\n\n")(writer, request)
 		}))
-		Expect(result.Outcome).To(Equal(recording.Answered))
+		Expect(result.Outcome).To(Equal(recording.Completed))
 		Expect(result.ReusedTokens).To(Equal(uint64(3)))
 		Expect(result.FirstToken).To(BeNumerically(">", 0))
 		request := <-seen
@@ -81,8 +81,8 @@
 		address := dead.Listener.Addr().String()
 		dead.Close()
 		alive := node(streaming("data: [DONE]\n\n"))
-		Expect(send(address, alive).Outcome).To(Equal(recording.Answered))
-		Expect(send(alive, address).Outcome).To(Equal(recording.Answered))
+		Expect(send(address, alive).Outcome).To(Equal(recording.Completed))
+		Expect(send(alive, address).Outcome).To(Equal(recording.Completed))
 		Expect(send(address)).To(Equal(player.Result{Outcome: recording.Refused, Problem: "unreachable"}))
 	})
 
--- a/internal/replay/player/play_test.go
+++ b/internal/replay/player/play_test.go
@@ -60,7 +60,7 @@
 	defer s.mutex.Unlock()
 	s.sent = append(s.sent, attempt)
 	if len(s.results) == 0 {
-		return player.Result{Outcome: recording.Answered}
+		return player.Result{Outcome: recording.Completed}
 	}
 	result := s.results[0]
 	s.results = s.results[1:]
@@ -124,12 +124,12 @@
 		refused := player.Result{Outcome: recording.Refused, Problem: "queue_full", Certain: true, RetryAfter: 3 * time.Second}
 		sender := &scriptedSender{unknown: "x", results: []player.Result{
 			refused, refused,
-			{Outcome: recording.Answered, ReusedTokens: 7, FirstToken: time.Second},
+			{Outcome: recording.Completed, ReusedTokens: 7, FirstToken: time.Second},
 		}}
 		played, err := player.Play(context.Background(), at(0), sender, options(&virtualClock{}, 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(played.Samples).To(ConsistOf(report.Sample{
-			Tenant: "court", Destination: "cases", Outcome: recording.Answered,
+			Tenant: "court", Destination: "cases", Outcome: recording.Completed,
 			Retries: 2, ReusedTokens: 7, FirstToken: 7 * time.Second, Total: 6 * time.Second,
 		}))
 	})
--- a/internal/replay/player/answer.go
+++ b/internal/replay/player/response.go
@@ -23,13 +23,13 @@
 	tailBytes = 64
 )
 
-// readAnswer reads an answer to its end.
-func readAnswer(response *http.Response, began time.Time) Result {
+// readResponse reads an answer to its end.
+func readResponse(response *http.Response, began time.Time) Result {
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
 		return readProblem(response)
 	}
-	result := Result{Outcome: recording.Answered}
+	result := Result{Outcome: recording.Completed}
 	if tokens, err := strconv.ParseUint(response.Header.Get(replica.HeaderReusedTokens), 10, 64); err == nil {
 		result.ReusedTokens = tokens
 	}
--- a/internal/replay/plot/scale.go
+++ b/internal/replay/plot/scale.go
@@ -15,8 +15,8 @@
 	marginBottom = 60.0
 )
 
-// wantedTicks is about how many marks an axis gets.
-const wantedTicks = 5
+// targetTicks is about how many marks an axis gets.
+const targetTicks = 5
 
 // niceTop returns a round number not below the largest value, and the step of
 // the marks up to it.
@@ -24,7 +24,7 @@
 	if largest <= 0 || math.IsInf(largest, 0) || math.IsNaN(largest) {
 		return 1, 0.2
 	}
-	rough := largest / wantedTicks
+	rough := largest / targetTicks
 	magnitude := math.Pow(10, math.Floor(math.Log10(rough)))
 	step = 10 * magnitude
 	for _, factor := range []float64{1, 2, 5} {
--- a/internal/replay/recording/check.go
+++ b/internal/replay/recording/check.go
@@ -32,7 +32,7 @@
 
 func (r Record) checkOutcome() error {
 	switch r.Outcome {
-	case Answered, Truncated, Left:
+	case Completed, Truncated, Disconnected:
 		return nil
 	case Refused:
 		if r.Problem == "" {
--- a/internal/replay/recording/golden_test.go
+++ b/internal/replay/recording/golden_test.go
@@ -28,10 +28,10 @@
 		fullRecord(),
 		{
 			AtUS: 2000, Tenant: "court", Host: "models.example", Pool: "cases", Model: "large", Chunks: chunks,
-			Outcome: recording.Answered, Status: 200, Attempts: 1, FirstUS: 700, TotalUS: 80_000,
+			Outcome: recording.Completed, Status: 200, Attempts: 1, FirstUS: 700, TotalUS: 80_000,
 		},
 		{AtUS: 3000, Host: "calendar.example", WebService: "calendar", Outcome: recording.Truncated, Status: 200, Attempts: 1, TotalUS: 10},
-		{AtUS: 4000, Host: "calendar.example", WebService: "calendar", Outcome: recording.Left, TotalUS: 1},
+		{AtUS: 4000, Host: "calendar.example", WebService: "calendar", Outcome: recording.Disconnected, TotalUS: 1},
 	}
 }
 
--- a/internal/replay/recording/record.go
+++ b/internal/replay/recording/record.go
@@ -36,14 +36,14 @@
 
 // The outcomes.
 const (
-	// Answered is an answer that was handed on to its end.
-	Answered Outcome = "answered"
+	// Completed is an answer that was handed on to its end.
+	Completed Outcome = "answered"
 	// Refused is a typed error in place of an answer.
 	Refused Outcome = "refused"
 	// Truncated is an answer that broke off, or a connection that did.
 	Truncated Outcome = "cut"
-	// Left is a caller that went away before the end.
-	Left Outcome = "left"
+	// Disconnected is a caller that went away before the end.
+	Disconnected Outcome = "left"
 )
 
 // Chunk is one chunk of a prompt.
--- a/internal/replay/report/compare.go
+++ b/internal/replay/report/compare.go
@@ -37,10 +37,10 @@
 // figures are compared in this order.
 var figures = []figure{
 	{"requests", func(g Group) float64 { return float64(g.Requests) }},
-	{"answered", func(g Group) float64 { return float64(g.Answered) }},
+	{"answered", func(g Group) float64 { return float64(g.Completed) }},
 	{"refused", func(g Group) float64 { return float64(g.Refused) }},
 	{"cut", func(g Group) float64 { return float64(g.Truncated) }},
-	{"left", func(g Group) float64 { return float64(g.Left) }},
+	{"left", func(g Group) float64 { return float64(g.Disconnected) }},
 	{"late", func(g Group) float64 { return float64(g.Late) }},
 	{"retries", func(g Group) float64 { return float64(g.Retries) }},
 	{"reuse ratio", func(g Group) float64 { return g.ReuseRatio }},
--- a/internal/replay/report/page.go
+++ b/internal/replay/report/page.go
@@ -74,7 +74,7 @@
 	models := r.Models
 	return []tile{
 		{"requests to models", strconv.Itoa(models.Requests)},
-		{"answered", strconv.Itoa(models.Answered)},
+		{"answered", strconv.Itoa(models.Completed)},
 		{"refused", strconv.Itoa(models.Refused)},
 		{"retries", strconv.Itoa(models.Retries)},
 		{"prompt tokens reused", percent(models.ReuseRatio)},
@@ -100,11 +100,11 @@
 			line("p99", func(i Interval) float64 { return orGap(i.FirstTokenP99, i.Streamed) }),
 		}},
 		{Title: "Whole answer", Unit: "ms", Labels: labels, Series: []plot.Series{
-			line("p50", func(i Interval) float64 { return orGap(i.TotalP50MS, i.Answered) }),
-			line("p99", func(i Interval) float64 { return orGap(i.TotalP99MS, i.Answered) }),
+			line("p50", func(i Interval) float64 { return orGap(i.TotalP50MS, i.Completed) }),
+			line("p99", func(i Interval) float64 { return orGap(i.TotalP99MS, i.Completed) }),
 		}},
 		{Title: "Prompt tokens reused", Unit: "%", Labels: labels, Series: []plot.Series{
-			line("reused", func(i Interval) float64 { return orGap(100*i.ReuseRatio, i.Answered) }),
+			line("reused", func(i Interval) float64 { return orGap(100*i.ReuseRatio, i.Completed) }),
 		}},
 	}
 	return lo.Map(plots, func(lines plot.Lines, _ int) template.HTML { return lines.SVG() })
--- a/internal/replay/report/report.go
+++ b/internal/replay/report/report.go
@@ -68,12 +68,12 @@
 
 // Group is the figures of some of the requests.
 type Group struct {
-	Name      string `json:"name"`
-	Requests  int    `json:"requests"`
-	Answered  int    `json:"answered"`
-	Refused   int    `json:"refused"`
-	Truncated int    `json:"cut"`
-	Left      int    `json:"left"`
+	Name         string `json:"name"`
+	Requests     int    `json:"requests"`
+	Completed    int    `json:"answered"`
+	Refused      int    `json:"refused"`
+	Truncated    int    `json:"cut"`
+	Disconnected int    `json:"left"`
 	// Late counts the answers that were complete only after the deadline.
 	Late    int `json:"late"`
 	Retries int `json:"retries"`
@@ -130,8 +130,8 @@
 	for _, sample := range samples {
 		group.Retries += sample.Retries
 		switch sample.Outcome {
-		case recording.Answered:
-			group.Answered++
+		case recording.Completed:
+			group.Completed++
 			group.PromptTokens += sample.PromptTokens
 			group.ReusedTokens += sample.ReusedTokens
 			total.add(sample.Total)
@@ -143,8 +143,8 @@
 			refused[sample.Problem]++
 		case recording.Truncated:
 			group.Truncated++
-		case recording.Left:
-			group.Left++
+		case recording.Disconnected:
+			group.Disconnected++
 		}
 		if sample.late() {
 			group.Late++
--- a/internal/replay/report/report_test.go
+++ b/internal/replay/report/report_test.go
@@ -28,11 +28,11 @@
 func samples() []report.Sample {
 	return []report.Sample{
 		{
-			At: 0, Tenant: "court", Destination: "cases", Streamed: true, Outcome: recording.Answered,
+			At: 0, Tenant: "court", Destination: "cases", Streamed: true, Outcome: recording.Completed,
 			PromptTokens: 1000, ReusedTokens: 250, FirstToken: 100 * ms, Total: 900 * ms, Deadline: time.Second,
 		},
 		{
-			At: 30 * time.Minute, Tenant: "court", Destination: "cases", Outcome: recording.Answered, Retries: 2,
+			At: 30 * time.Minute, Tenant: "court", Destination: "cases", Outcome: recording.Completed, Retries: 2,
 			PromptTokens: 1000, ReusedTokens: 750, FirstToken: 1100 * ms, Total: 1100 * ms, Deadline: time.Second,
 		},
 		{
@@ -40,18 +40,18 @@
 			PromptTokens: 5000, Total: 5 * ms,
 		},
 		{
-			At: 59 * time.Minute, Tenant: "school", Destination: "cases", Streamed: true, Outcome: recording.Answered,
+			At: 59 * time.Minute, Tenant: "school", Destination: "cases", Streamed: true, Outcome: recording.Completed,
 			PromptTokens: 2000, ReusedTokens: 0, FirstToken: 300 * ms, Total: 500 * ms,
 		},
 		{At: 59 * time.Minute, Tenant: "school", Destination: "cases", Outcome: recording.Truncated, Total: ms},
-		{At: 59 * time.Minute, Destination: "web calendar", Web: true, Outcome: recording.Answered, Total: 3 * ms},
+		{At: 59 * time.Minute, Destination: "web calendar", Web: true, Outcome: recording.Completed, Total: 3 * ms},
 	}
 }
 
 var _ = Describe("A report", func() {
 	It("has the figures that can be counted by hand", func() {
 		made := report.Build(hour, samples())
-		Expect(made.Models).To(And(HaveField("Requests", 5), HaveField("Answered", 3), HaveField("Refused", 1),
+		Expect(made.Models).To(And(HaveField("Requests", 5), HaveField("Completed", 3), HaveField("Refused", 1),
 			HaveField("Truncated", 1), HaveField("Late", 1), HaveField("Retries", 2)))
 		Expect(made.Models.PromptTokens).To(Equal(uint64(4000)))
 		Expect(made.Models.ReuseRatio).To(Equal(0.25))
@@ -87,7 +87,7 @@
 
 	It("takes what a recording tells of itself", func() {
 		record := recording.Record{
-			Tenant: "court", Pool: "cases", Streamed: true, Outcome: recording.Answered, Attempts: 3,
+			Tenant: "court", Pool: "cases", Streamed: true, Outcome: recording.Completed, Attempts: 3,
 			ReusedTokens: 5, FirstUS: 2000, TotalUS: 4000, DeadlineMS: 1, Chunks: []recording.Chunk{{ID: "a", Tokens: 10}},
 		}
 		made := report.Build(hour, report.Recorded([]recording.Record{record}))
--- a/internal/replay/report/sample.go
+++ b/internal/replay/report/sample.go
@@ -32,7 +32,7 @@
 
 // late reports whether the answer was complete only after the deadline.
 func (s Sample) late() bool {
-	return s.Outcome == recording.Answered && s.Deadline > 0 && s.Total > s.Deadline
+	return s.Outcome == recording.Completed && s.Deadline > 0 && s.Total > s.Deadline
 }
 
 // Recorded returns the samples of what the records themselves tell.
--- a/internal/replay/report/series.go
+++ b/internal/replay/report/series.go
@@ -16,8 +16,8 @@
 	Requests int   `json:"requests"`
 	Refused  int   `json:"refused"`
 	Retries  int   `json:"retries"`
-	// Answered reports whether the figures below stand for anything.
-	Answered      int     `json:"answered"`
+	// Completed reports whether the figures below stand for anything.
+	Completed     int     `json:"answered"`
 	ReuseRatio    float64 `json:"reuse_ratio"`
 	TotalP50MS    float64 `json:"total_p50_ms"`
 	TotalP99MS    float64 `json:"total_p99_ms"`
@@ -59,10 +59,10 @@
 		if sample.Outcome == recording.Refused {
 			interval.Refused++
 		}
-		if sample.Outcome != recording.Answered {
+		if sample.Outcome != recording.Completed {
 			continue
 		}
-		interval.Answered++
+		interval.Completed++
 		prompt += sample.PromptTokens
 		reused += sample.ReusedTokens
 		total.add(sample.Total)
--- a/internal/replay/report/text.go
+++ b/internal/replay/report/text.go
@@ -36,7 +36,7 @@
 }
 
 func writeGroup(target io.Writer, name string, group Group) {
-	_, _ = fmt.Fprintf(target, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", name, group.Requests, group.Answered,
-		group.Refused, group.Truncated, group.Left, group.Late, group.Retries, percent(group.ReuseRatio),
+	_, _ = fmt.Fprintf(target, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", name, group.Requests, group.Completed,
+		group.Refused, group.Truncated, group.Disconnected, group.Late, group.Retries, percent(group.ReuseRatio),
 		quantilePair(group.FirstToken), quantilePair(group.Total))
 }
