--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 
-	It("costs one refusal, until the list names who stands there", func() {
+	It("costs one refusal, until the list names the replica at the address", func() {
 		f := newNode()
 		serve(f, 0)
 		edge.standing[reused] = "i-2"
@@ -92,7 +92,7 @@
 		Expect(edge.refusals).To(Equal(1))
 	})
 
-	It("costs one refusal in all, since the nodes tell each other", func() {
+	It("costs one refusal in all, since the nodes inform each other", func() {
 		first, second := newNode(), newNode()
 		serve(first, 0)
 		serve(second, 0)
@@ -116,7 +116,7 @@
 		Expect(edge.refusals).To(Equal(1))
 	})
 
-	It("gets nothing that was on its way there when the news came", func() {
+	It("gets nothing that was on its way there when the update arrived", func() {
 		for look := int64(1); look <= 4; look++ {
 			f := newNode()
 			f.replicas[1].Admitting = false
--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -72,8 +72,8 @@
 		}
 	},
 		Entry("a refusal is repeated", refusing(), "false", http.StatusOK, false),
-		Entry("a lost answer is not", dying(), "false", http.StatusBadGateway, true),
-		Entry("a lost answer is, if repeatable", dying(), "true", http.StatusOK, false),
+		Entry("a lost response is not", dying(), "false", http.StatusBadGateway, true),
+		Entry("a lost response is, if idempotent", dying(), "true", http.StatusOK, false),
 	)
 
 	It("are not repeated beyond the budget", func() {
@@ -85,7 +85,7 @@
 		Expect(f.server.Stats()[0].RetriesDenied).To(Equal(uint64(1)))
 	})
 
-	It("hand on when the replica wants the request to come back", func() {
+	It("relay when the replica wants the request to be retried", func() {
 		got := newFixture(newReplica(refusing()).address()).generate()
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).To(Or(Equal("1"), Equal("3")))
@@ -105,7 +105,7 @@
 		Eventually(left).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
-	It("end when the caller leaves", func() {
+	It("end when the caller disconnects", func() {
 		arrived := make(chan struct{})
 		left := make(chan struct{})
 		stand := newReplica(func(_ http.ResponseWriter, request *http.Request) {
@@ -129,7 +129,7 @@
 		Eventually(left).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
-	DescribeTable("never make a cut answer look complete, wherever it is cut", func(streamed bool) {
+	DescribeTable("never make a truncated response look complete, wherever it is truncated", func(streamed bool) {
 		full := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nAttempt-Id: ATTEMPT\r\n\r\nhello"
 		if streamed {
 			full = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nAttempt-Id: ATTEMPT\r\n\r\n" +
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -88,7 +88,7 @@
 	}
 )
 
-var _ = Describe("A back end that is listed as well", func() {
+var _ = Describe("A back end that fails although it is listed as healthy", func() {
 	const count = 6
 	var edge *backends
 
@@ -152,11 +152,11 @@
 		Entry("a refusal without need", shedding),
 		Entry("a failure that may be a refusal", unclear),
 		Entry("a reset", resetting),
-		Entry("what is no answer", garbling),
+		Entry("something that is no response", garbling),
 		Entry("no connection", unreachable),
 	)
 
-	DescribeTable("is found out by what it keeps waiting", func(every, requests int) {
+	DescribeTable("is detected by the requests that wait at it", func(every, requests int) {
 		edge = newEdge(hanging)
 		f := newPool(edge, unchanged)
 		f.target = 100
@@ -182,8 +182,8 @@
 		f.server.PendingUpdate()
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 	},
-		Entry("whatever it is asked", 1, 2),
-		Entry("while it answers others", 2, 3),
+		Entry("for every request", 1, 2),
+		Entry("while it responds to others", 2, 3),
 	)
 
 	It("is found out when it fails all requests, whatever it says of its health", func() {
@@ -207,7 +207,7 @@
 		Expect(edge.count(address(0))).To(BeNumerically(">", 30))
 		Expect(f.server.Stats()[0].Ejections).To(BeZero())
 	},
-		Entry("whose number of places is not known", func(f *fixture) {
+		Entry("whose number of slots is not known", func(f *fixture) {
 			for at := range f.replicas {
 				f.replicas[at].Slots = 0
 			}
@@ -217,7 +217,7 @@
 				f.replicas[at].Slots = 1
 			}
 		}),
-		Entry("that is cold", func(f *fixture) {
+		Entry("that is in slow start", func(f *fixture) {
 			for at := range f.replicas {
 				f.replicas[at].SlowStartUntil = time.Hour
 			}
@@ -326,7 +326,7 @@
 			}
 		})
 
-		It("stays in the choice of the zone for whose callers it is well", func() {
+		It("is not ejected in the zone in which it is healthy", func() {
 			nodes, edges := newFleet(failing)
 			for _, edge := range edges[:2] {
 				edge.turnGrey(address(0), true)
--- a/internal/dataplane/caller_disconnect_test.go
+++ b/internal/dataplane/caller_disconnect_test.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-var _ = Describe("A caller that leaves while its request waits for a place", func() {
-	DescribeTable("gives its place in the queue up, and nothing is sent for it", func(body string) {
+var _ = Describe("A caller that disconnects while its request is queued", func() {
+	DescribeTable("leaves the queue, and nothing is sent for it", func(body string) {
 		arrived, proceed := make(chan struct{}, 4), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -42,11 +42,11 @@
 			Expect(request.Header.Get("Request-Id")).NotTo(Equal("left"))
 		}
 	},
-		Entry("with its whole body sent", "the prompt"),
+		Entry("with its body sent completely", "the prompt"),
 		Entry("with a part of its body sent", "the"),
 	)
 
-	It("is told of a body that is too large, before there is a place", func() {
+	It("is refused for a body that is too large, before a slot is free", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -72,7 +72,7 @@
 		Expect(granted.Valid()).To(BeFalse())
 	})
 
-	It("says in time that too few homes answer", func() {
+	It("says in time that too few homes respond", func() {
 		alone.Store(true)
 		failed := make(chan error, 1)
 		go func() {
@@ -86,7 +86,7 @@
 		Expect(<-failed).To(MatchError(dataplane.ErrClaimUndecided))
 	})
 
-	It("gives back what nobody waits for any more", func() {
+	It("releases a claim that nobody waits for any more", func() {
 		alone.Store(true)
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
@@ -97,7 +97,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("cannot tell without a directory", func() {
+	It("is undecided without a directory", func() {
 		lost := claiming.New(claiming.Options{Clock: func() time.Duration { return 0 }})
 		_, err := lost.Claim(context.Background(), "court", "r-1")
 		Expect(err).To(MatchError(dataplane.ErrClaimUndecided))
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -54,7 +54,7 @@
 		return f, stand
 	}
 
-	It("is claimed before it is sent, and held as one that may have run", func() {
+	It("is claimed before it is sent, and the claim ends as one that may have run", func() {
 		decided := &scriptedClaims{validLooks: 10}
 		f, stand := newNode(decided, respondWith("ok"))
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
@@ -64,7 +64,7 @@
 		Expect(decided.ended).To(Equal([]bool{true}))
 	})
 
-	It("is given back if it has certainly not run", func() {
+	It("is released if it has certainly not run", func() {
 		decided := &scriptedClaims{validLooks: 10}
 		f, _ := newNode(decided, refusing())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
@@ -72,7 +72,7 @@
 		Expect(decided.ended).To(Equal([]bool{false}))
 	})
 
-	It("is held if its answer was lost", func() {
+	It("ends as one that may have run if its response was lost", func() {
 		decided := &scriptedClaims{validLooks: 10}
 		f, _ := newNode(decided, dying())
 		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
@@ -90,7 +90,7 @@
 		Expect(stand.requests()).To(BeEmpty())
 	})
 
-	It("is refused while that cannot be told, and may be sent again to the same node", func() {
+	It("is refused while the claim is undecided, and may be retried at the same node", func() {
 		decided := &scriptedClaims{refusal: dataplane.ErrClaimUndecided, validLooks: 10}
 		f, stand := newNode(decided, respondWith("ok"))
 		got := f.generate(named)
@@ -111,7 +111,7 @@
 		Expect(stand.requests()).To(BeEmpty())
 	})
 
-	DescribeTable("is sent again only while its claim holds", func(validLooks, sent int) {
+	DescribeTable("is retried only while its claim is valid", func(validLooks, sent int) {
 		script := func(writer http.ResponseWriter, request *http.Request) {
 			if request.Header.Get("Request-Id") == named.value {
 				refusing()(writer, request)
@@ -131,7 +131,7 @@
 		Expect(len(first.requests()) + len(second.requests()) - before).To(Equal(sent))
 	},
 		Entry("that is lost after the first attempt", 1, 1),
-		Entry("that holds on", 10, 2),
+		Entry("that stays valid", 10, 2),
 	)
 
 	It("needs no claim if it may be repeated, or if the caller chose no identity", func() {
--- a/internal/dataplane/connection_limit_test.go
+++ b/internal/dataplane/connection_limit_test.go
@@ -43,7 +43,7 @@
 		Expect([]int{limit("pool:1"), limit("web:1"), limit("both:1")}).To(Equal([]int{33, 10, 10}))
 	})
 
-	It("are two at least, so that reports leave one for requests", func() {
+	It("are at least two, so that reports leave one for requests", func() {
 		Expect(limits(72, 40, 0)("pool:1")).To(Equal(2))
 	})
 
@@ -52,7 +52,7 @@
 		Expect([]int{limit("web:1"), limit("elsewhere:1")}).To(Equal([]int{0, 0}))
 	})
 
-	It("are bounded by the node's own protocol as well", func() {
+	It("are bounded with the native protocol as well", func() {
 		arrived, proceed := make(chan struct{}, 3), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
--- a/internal/dataplane/destination_sampler_internal_test.go
+++ b/internal/dataplane/destination_sampler_internal_test.go
@@ -22,7 +22,7 @@
 		return routing.NewRoute(&ridgeswitchv1.Route{PathPrefix: "/"}, choices...), pools
 	}
 
-	DescribeTable("gives each its share of any requests that follow each other", func(weights ...uint32) {
+	DescribeTable("gives each its fraction of any consecutive requests", func(weights ...uint32) {
 		// tolerance is how far a count may lie from its share, in requests.
 		const tolerance, requests, nodes = 3.0, 400, 50
 		route, pools := split(weights...)
@@ -54,7 +54,7 @@
 		Entry("great weights", uint32(math.MaxUint32), uint32(math.MaxUint32)),
 	)
 
-	It("keeps no more routes in mind than its bound", func() {
+	It("remembers no more routes than its bound", func() {
 		route, _ := split(1, 1)
 		draws := newDestinationSampler()
 		for number := range 2*maxSampledRoutes + 1 {
--- a/internal/dataplane/duplicates/register_internal_test.go
+++ b/internal/dataplane/duplicates/register_internal_test.go
@@ -30,7 +30,7 @@
 		Expect(register.Begin(time.Minute, keys[0], false)).To(BeFalse(), "it is running, however old")
 	})
 
-	It("keeps a key for each submission that may run again, and none beside one that may not", func() {
+	It("keeps a key for each idempotent submission, and none beside one that may not run again", func() {
 		register := New(2, time.Minute)
 		key := Key{"t", "a"}
 		Expect(register.Begin(0, key, true)).To(BeTrue())
@@ -48,7 +48,7 @@
 		Expect(register.entries).To(BeEmpty())
 	})
 
-	It("takes memory for what it holds only, and keeps the order of age while it grows", func() {
+	It("uses memory for its entries only, and keeps the order of age while it grows", func() {
 		const limit, submitted = 1 << 16, 3 * initialFinished
 		register := New(limit, time.Minute)
 		Expect(register.finished).To(HaveLen(initialFinished))
--- a/internal/dataplane/feeds/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -100,7 +100,7 @@
 		subject.expect("w1")
 	})
 
-	It("brings what is kept to the router, and goes on after it", func() {
+	It("brings cached chunks to the router, and resumes after them", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1")}
 		subject.follow(context.Background())
 		Expect(overlap(subject.router, "w1")).To(Equal(uint32(480)))
@@ -108,7 +108,7 @@
 		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}}))
 	})
 
-	It("starts anew when it is told that events were lost, but not while a reset is due", func() {
+	It("starts from a reset when events were lost, but not while a reset is due", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1")}
 		subject.follow(context.Background())
 		subject.resync()
@@ -137,7 +137,7 @@
 		Expect(subject.position).To(Equal(replica.Position{}))
 	})
 
-	It("puts a replica that reports other weights in quarantine, and forgets what it keeps", func() {
+	It("puts a replica that reports other weights in quarantine, and forgets its chunks", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1"), reportEvent("w2"), cacheEvent(replica.EventStored, 5, "w1")}
 		subject.follow(context.Background())
 		Expect(subject.quarantine.Contains(feedAddress, "w1")).To(BeTrue())
@@ -155,7 +155,7 @@
 		Expect(overlap(subject.router, "w2")).To(Equal(uint32(480)))
 	})
 
-	It("clears a suspicion once the back end speaks", func() {
+	It("clears a suspicion once the back end sends something", func() {
 		subject.health.SetPools(map[string][]outlier.Member{"pool": {{Address: feedAddress}}})
 		subject.health.Observe(0, feedAddress, outlier.Unreached)
 		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Suspected))
--- a/internal/dataplane/full_read_internal_test.go
+++ b/internal/dataplane/full_read_internal_test.go
@@ -101,11 +101,11 @@
 	return decision.OverlapTokens
 }
 
-var _ = Describe("What a back end keeps", func() {
+var _ = Describe("The cached chunks of a back end", func() {
 	var n *reportingNode
 	BeforeEach(func() { n = newReportingNode() })
 
-	It("is listed by its reader at first, and told to the others as a whole", func() {
+	It("are read in full by its reader at first, and sent to the others completely", func() {
 		n.read()
 		Expect(n.cachedTokens("oldest")).To(Equal(uint32(4000)), "its history does not go back so far")
 		reports := n.server.PendingUpdate().Reports
@@ -115,14 +115,14 @@
 		Expect(reports[0].Changes).To(HaveLen(2))
 	})
 
-	It("is followed from the list on", func() {
+	It("are followed from the full read on", func() {
 		n.read()
 		n.read()
 		Expect(n.reports.takeFullReads()).To(HaveLen(1))
 		Expect(n.server.PendingUpdate().Reports[1].Feed.From).To(Equal(uint64(41)))
 	})
 
-	It("is listed once more after a gap, but not at once again", func() {
+	It("are read in full again after a gap, but not at once a second time", func() {
 		n.read()
 		n.reports.lose = true
 		n.read()
@@ -136,7 +136,7 @@
 		Expect(n.reports.takeFullReads()).To(BeEmpty())
 	})
 
-	It("is never listed by a node that does not read it, whatever that node has missed", func() {
+	It("are never read in full by a node that is not the reader, whatever that node has missed", func() {
 		n.server.readers.stabilization.done = true
 		n.server.options.Peers = func() []member.Info { return []member.Info{{ID: "reader", Zone: "a"}} }
 		for range 20 {
@@ -147,15 +147,15 @@
 		Expect(n.reports.takeFullReads()).To(BeEmpty(), "of a large fleet, each node would hold up each back end")
 	})
 
-	It("is followed by its changes while it can not be listed", func() {
+	It("are followed by their changes while a full read fails", func() {
 		n.reports.refuse = context.DeadlineExceeded
 		n.read()
 		Expect(n.cachedTokens("newest")).To(Equal(uint32(100)))
 	})
 })
 
-var _ = Describe("listings", func() {
-	It("forgets what is not listed any more", func() {
+var _ = Describe("fullReadLimiter", func() {
+	It("forgets back ends that are no longer listed", func() {
 		l := newFullReadLimiter()
 		Expect(l.tryAcquire(0, "a")).To(BeTrue())
 		Expect(l.tryAcquire(1, "a")).To(BeFalse())
--- a/internal/dataplane/generate_test.go
+++ b/internal/dataplane/generate_test.go
@@ -45,7 +45,7 @@
 		Expect(f.server.InFlight(stand.address())).To(BeZero())
 	})
 
-	It("gives a walled tenant a salt of its own", func() {
+	It("gives a walled tenant its own salt", func() {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.generate()
@@ -102,7 +102,7 @@
 		Expect(f.send(http.MethodGet, "gone.example", "/").status).To(Equal(http.StatusServiceUnavailable))
 	},
 		Entry("and no state at all", nil),
-		Entry("but knows the back ends", &routing.View{}),
+		Entry("but has back ends", &routing.View{}),
 		Entry("but knows what is evacuated", &routing.View{Revision: 3, Configuration: &ridgeswitchv1.Configuration{
 			Revision: 3, Evacuations: []*ridgeswitchv1.ZoneEvacuation{{Zone: "south"}},
 		}}),
@@ -149,7 +149,7 @@
 		Expect(stand.requests()).To(BeEmpty())
 	})
 
-	It("takes no answer that was made under other weights", func() {
+	It("rejects a response that was produced by other weights", func() {
 		stand := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderWeightVersion, "weights-2")
 		})
@@ -162,7 +162,7 @@
 		Expect(stand.requests()).To(HaveLen(1))
 	})
 
-	It("takes no answer of another attempt", func() {
+	It("rejects a response to another attempt", func() {
 		stand := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderAttemptID, "another")
 			_, _ = writer.Write([]byte("someone else's"))
--- a/internal/dataplane/gossip/exchange_test.go
+++ b/internal/dataplane/gossip/exchange_test.go
@@ -73,7 +73,7 @@
 const zoneOfAll = "zone-0"
 
 var _ = Describe("Exchange", func() {
-	It("brings everybody's news to everybody else once", func() {
+	It("brings each node's updates to each other node once", func() {
 		n := newNetwork(4, 18)
 		for id, exchange := range n.exchanges {
 			exchange.Add(gossip.Update{Node: id})
@@ -102,7 +102,7 @@
 		Expect(n.sent).To(BeNumerically("<=", 20*(72+4*17+4*3)))
 	})
 
-	It("still brings news to everybody when nodes disagree on who is live", func() {
+	It("still brings updates to each node when nodes disagree on who is live", func() {
 		n := newNetwork(3, 3)
 		relay, _ := gossip.RelayFor("zone-0", n.peers)
 		var without []member.Info
@@ -125,7 +125,7 @@
 		}
 	})
 
-	It("relays through a node that serves no callers, and tells it nothing else", func() {
+	It("relays through a node that serves no callers, and sends it nothing else", func() {
 		n := newNetwork(2, 5)
 		idle := member.Info{ID: "idle", Zone: zoneOfAll}
 		n.peers = append(n.peers, idle)
@@ -151,7 +151,7 @@
 		Expect(n.heard["node-1-0"]).To(HaveLen(9))
 	})
 
-	It("holds no more than its bound", func() {
+	It("queues no more than its bound", func() {
 		exchange := gossip.NewExchange("relay", "zone")
 		update := make([]gossip.Update, 10000)
 		for i := range update {
@@ -164,7 +164,7 @@
 		Expect(len(sends[0].Batch.Updates)).To(Equal(4096))
 	})
 
-	It("sends nothing without news, or without live nodes", func() {
+	It("sends nothing without updates, or without live nodes", func() {
 		exchange := gossip.NewExchange("a", "zone")
 		Expect(exchange.Flush([]member.Info{{ID: "a", Zone: "zone"}, {ID: "b", Zone: "zone"}})).To(BeEmpty())
 		exchange.Add(gossip.Update{})
--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -40,7 +40,7 @@
 		return gossip.Update{Node: node, Reports: make([]gossip.Report, reports)}
 	}
 
-	It("asks a node of its zone that serves callers, and is done once that has told all", func() {
+	It("requests a node of its zone that serves callers, and is done once that has sent all", func() {
 		Expect(asks(0)).To(Equal(member.ID("near")))
 		nothingDue(900 * time.Millisecond)
 		Expect(adoption.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, sent("near", 2))).To(BeTrue())
@@ -53,7 +53,7 @@
 		nothingDue(4 * time.Second)
 	})
 
-	It("asks the next one at once if the first one knows nothing", func() {
+	It("requests the next one at once if the first one knows nothing", func() {
 		asks(0)
 		adoption.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))
 		Expect(adoption.Done(10 * time.Millisecond)).To(BeFalse())
@@ -61,14 +61,14 @@
 		Expect(asks(20 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
-	It("asks the next one if the first one is silent for a second, or falls silent", func() {
+	It("requests the next one if the first one does not respond for a second, or stops responding", func() {
 		asks(0)
 		adoption.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, sent("near", 1))
 		nothingDue(1400 * time.Millisecond)
 		Expect(asks(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
-	It("takes no answer that it does not wait for", func() {
+	It("ignores a response that it does not wait for", func() {
 		Expect(adoption.HandleResponse(0, gossip.SnapshotEnd, sent("near", 1))).To(BeFalse())
 		asks(0)
 		Expect(adoption.HandleResponse(0, gossip.SnapshotEnd, sent("far", 1))).To(BeFalse())
@@ -92,7 +92,7 @@
 		Expect(adoption.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
-	It("gives up after five seconds, whatever is still being told", func() {
+	It("gives up after five seconds, whatever is still being sent", func() {
 		sent := sent(asks(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 			Expect(adoption.Done(at)).To(BeFalse())
@@ -102,7 +102,7 @@
 		Expect(adoption.Done(5 * time.Second)).To(BeTrue())
 	})
 
-	It("is done when all have told that they know nothing, but not before it can know them all", func() {
+	It("is done when all have sent that they know nothing, but not before it can know them all", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
 			adoption.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
 		}
@@ -112,7 +112,7 @@
 		Expect(adoption.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
-	It("asks six nodes at most", func() {
+	It("requests six nodes at most", func() {
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
@@ -122,7 +122,7 @@
 	})
 })
 
-var _ = Describe("A node that is asked", func() {
+var _ = Describe("A node that is requested a snapshot", func() {
 	var snapshots *gossip.SnapshotServer
 	var live []member.Info
 	// changes is how many parts each back end keeps.
@@ -144,14 +144,14 @@
 		return lo.Map(snapshots.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return sent(send) })
 	}
 
-	It("tells what it knows in pieces, each tick about as much as a small link carries", func() {
+	It("sends what it knows in parts, each tick about as much as a small link carries", func() {
 		snapshots.HandleRequest("one", []string{"a", "b", "unknown", "c", "d"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
 		Expect(tick()).To(Equal([]string{"one true [d]"}))
 		Expect(tick()).To(BeEmpty())
 	})
 
-	It("tells one after the other, and from the beginning to who asks again", func() {
+	It("serves one after the other, and from the beginning a node that requests again", func() {
 		snapshots.HandleRequest("one", []string{"a", "b", "c", "d"})
 		snapshots.HandleRequest("two", []string{"a"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
@@ -164,14 +164,14 @@
 		Expect(tick()).To(Equal([]string{"one true []"}))
 	})
 
-	It("tells nothing to who is not live any more", func() {
+	It("sends nothing to a node that is no longer live", func() {
 		snapshots.HandleRequest("gone", []string{"a"})
 		Expect(tick()).To(BeEmpty())
 		live = append(live, serving("gone", "a"))
 		Expect(tick()).To(BeEmpty())
 	})
 
-	It("answers a bounded number of nodes at a time", func() {
+	It("serves a bounded number of nodes at a time", func() {
 		changes = 0
 		for number := range 40 {
 			live = append(live, serving(fmt.Sprint("asker ", number), "a"))
--- a/internal/dataplane/health/stale_backends_internal_test.go
+++ b/internal/dataplane/health/stale_backends_internal_test.go
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("StaleBackends", func() {
-	DescribeTable("keeps an address out", staleTimeline,
+	DescribeTable("excludes an address", staleTimeline,
 		Entry("until the list names another incarnation there", `
 			0s     list i-1 w1   free
 			1s     refused i-9   held
@@ -76,7 +76,7 @@
 			1s     told i-1      held
 			30s    wait          held
 			31s    list i-2 w1   free`),
-		Entry("but not for what is told of an earlier incarnation", `
+		Entry("but not for a denial of an earlier incarnation", `
 			0s     list i-2 w1   free
 			1s     told i-1      free`),
 		Entry("for a second when the incarnation is right, and has other weights", `
@@ -103,7 +103,7 @@
 			2s     wait          free`),
 	)
 
-	It("tells once that an incarnation is gone", func() {
+	It("reports once that an incarnation is gone", func() {
 		subject := NewStaleBackends()
 		replica := routing.Replica{Address: "a", Instance: "i-1", WeightVersion: "w1"}
 		Expect(subject.RecordRefusal(0, replica, "i-9")).To(BeTrue())
@@ -111,7 +111,7 @@
 		Expect(subject.RecordRefusal(0, replica, "i-1")).To(BeFalse(), "other weights are no news for others")
 	})
 
-	It("forgets what is not listed any more, and holds no more than its bound", func() {
+	It("forgets what is no longer listed, and remembers no more than its bound", func() {
 		subject := NewStaleBackends()
 		for number := range 2 * maxDenials {
 			subject.RecordDenial(gossip.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
--- a/internal/dataplane/hung_replica_test.go
+++ b/internal/dataplane/hung_replica_test.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-var _ = Describe("A replica that takes requests and never answers", func() {
+var _ = Describe("A replica that accepts requests and never responds", func() {
 	// hangs is a replica that hangs while it is told to.
 	type hangs struct {
 		*replicaStandIn
@@ -59,7 +59,7 @@
 		Expect(other.requests()).To(HaveLen(1))
 	})
 
-	It("is not avoided for deadlines between which it answered", func() {
+	It("is not avoided for deadlines between which it responded", func() {
 		only, spare := newHanging(), newHanging()
 		f := newFixture(only.address(), spare.address())
 		Expect(f.generate().status).To(Equal(http.StatusOK))
--- a/internal/dataplane/keep_alive_test.go
+++ b/internal/dataplane/keep_alive_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Connections that callers keep", func() {
+var _ = Describe("Connections that callers keep alive", func() {
 	// hammer sends requests on one connection, each after the answer to the one
 	// before, until the connection ends. It returns the identity of the one that
 	// was not answered, if there is one.
@@ -43,7 +43,7 @@
 		}
 	}
 
-	It("end without an answer to nothing that was passed on, when the node stops", func() {
+	It("end without dropping the response to a forwarded request, when the node stops", func() {
 		const rounds, connections = 10, 32
 		for range rounds {
 			stand := newReplica(respondWith("ok"))
--- a/internal/dataplane/partial_body_test.go
+++ b/internal/dataplane/partial_body_test.go
@@ -56,14 +56,14 @@
 		strings.Join(append(lines, "", ""), "\r\n")
 }
 
-var _ = Describe("A caller that does not send its whole body", func() {
+var _ = Describe("A caller that does not send its body completely", func() {
 	const (
 		given = 300 * time.Millisecond
 		// grace is how long after the route's time the answer may come.
 		grace = 500 * time.Millisecond
 	)
 
-	DescribeTable("gets its answer at the route's time, and nothing runs", func(lines []string, partial string) {
+	DescribeTable("gets its response at the route's time-out, and nothing runs", func(lines []string, partial string) {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
--- a/internal/dataplane/prefix_wait_test.go
+++ b/internal/dataplane/prefix_wait_test.go
@@ -89,7 +89,7 @@
 		Expect(early.Load()).To(Equal(int32(1)))
 	})
 
-	It("is never sent when its caller leaves meanwhile", func() {
+	It("is never sent when its caller disconnects meanwhile", func() {
 		ctx, leave := context.WithCancel(context.Background())
 		generate(ctx)
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
--- a/internal/dataplane/recorder/recorder_internal_test.go
+++ b/internal/dataplane/recorder/recorder_internal_test.go
@@ -56,7 +56,7 @@
 }
 
 var _ = Describe("The recorder", func() {
-	It("drops what finds the queue full, and notes it in the recording", func() {
+	It("drops what finds the queue full, and counts it in the recording", func() {
 		target := &disk{}
 		r, _ := newTestRecorder(target, 3, nil)
 		for range 10 {
@@ -73,7 +73,7 @@
 		Expect(day.Faults.Total()).To(BeZero())
 	})
 
-	It("never holds a request up while the disk does not answer", func() {
+	It("never delays a request while the disk does not respond", func() {
 		flush := make(chan time.Time)
 		target := &disk{}
 		r, _ := newTestRecorder(target, 2, flush)
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -33,7 +33,7 @@
 
 	BeforeEach(func() { file = filepath.Join(GinkgoT().TempDir(), "day.jsonl") })
 
-	It("records what was asked for and what came of it", func() {
+	It("records the request and its outcome", func() {
 		var f *fixture
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set(replica.HeaderReusedTokens, "32")
@@ -53,7 +53,7 @@
 		}}))
 	})
 
-	It("writes neither prompts nor keys nor the names of parts", func() {
+	It("writes neither prompts nor keys nor the names of chunks", func() {
 		stand := newReplica(respondWith("ok"))
 		recorded(file, func(f *fixture) { f.generate() }, stand.address())
 		text, err := os.ReadFile(file)
@@ -66,7 +66,7 @@
 		Expect(status.Mode().Perm()).To(Equal(os.FileMode(0o600)))
 	})
 
-	It("records refusals with their kind and attempts, and cut answers", func() {
+	It("records refusals with their kind and attempts, and truncated responses", func() {
 		refusal := newReplica(refusing())
 		var got outcome
 		records := recorded(file, func(f *fixture) { got = f.generate() }, refusal.address())
--- a/internal/dataplane/request_recorder_internal_test.go
+++ b/internal/dataplane/request_recorder_internal_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("The record of a request", func() {
-	DescribeTable("tells how a request has ended", func(watch responseObserver, failed, gone bool, expected recording.Outcome) {
+	DescribeTable("says how a request has ended", func(watch responseObserver, failed, gone bool, expected recording.Outcome) {
 		ctx, cancel := context.WithCancel(context.Background())
 		if gone {
 			cancel()
@@ -26,6 +26,6 @@
 		Entry("answered to a caller that hangs up after the last byte", responseObserver{status: 200}, false, true, recording.Completed),
 		Entry("refused", responseObserver{status: 503, errorKind: caller.KindNoBackend}, true, false, recording.Refused),
 		Entry("cut", responseObserver{status: 200}, true, false, recording.Truncated),
-		Entry("left during the answer", responseObserver{status: 200}, true, true, recording.Disconnected),
-		Entry("left before it", responseObserver{}, true, true, recording.Disconnected))
+		Entry("disconnected during the response", responseObserver{status: 200}, true, true, recording.Disconnected),
+		Entry("disconnected before it", responseObserver{}, true, true, recording.Disconnected))
 })
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -27,7 +27,7 @@
 		return f.generate(), stand
 	}
 
-	It("keeps a request from a replica that has stopped admitting, whenever that happens before it", func() {
+	It("sends nothing to a replica that has stopped admitting, whenever that happens before it", func() {
 		const looksBeforeSending = 5
 		for look := int64(1); look <= looksBeforeSending; look++ {
 			got, stand := changeAt(look, func(f *fixture) { f.replicas[0].Admitting = false })
@@ -62,7 +62,7 @@
 var _ = Describe("A request that comes twice", func() {
 	named := header{"Request-Id", "same"}
 
-	It("is refused after it was answered", func() {
+	It("is refused after its response", func() {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
@@ -92,7 +92,7 @@
 		Expect(stand.requests()).To(HaveLen(1))
 	})
 
-	It("is taken again after it has certainly not run", func() {
+	It("is accepted again after it has certainly not run", func() {
 		refuse := true
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if refuse {
@@ -107,7 +107,7 @@
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
 	})
 
-	It("is not taken again when it may have run", func() {
+	It("is not accepted again when it may have run", func() {
 		stand := newReplica(dying())
 		f := newFixture(stand.address())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeTrue())
@@ -117,7 +117,7 @@
 
 	repeatable, once := header{"Repeatable", "true"}, header{"Repeatable", "false"}
 
-	DescribeTable("after it was answered, of which the caller may have got nothing", func(first, second header, accepted bool) {
+	DescribeTable("after its response, of which the caller may have got nothing", func(first, second header, accepted bool) {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
@@ -130,7 +130,7 @@
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(stand.requests()).To(HaveLen(1))
 	},
-		Entry("is taken again if it may run twice", repeatable, repeatable, true),
+		Entry("is accepted again if it is idempotent", repeatable, repeatable, true),
 		Entry("is refused if the first may not", once, repeatable, false),
 		Entry("is refused if the second may not", repeatable, once, false),
 	)
@@ -162,7 +162,7 @@
 		Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&responded))
 		Expect(responded.status).To(Equal(http.StatusOK))
 	},
-		Entry("is taken if it may run twice", repeatable, repeatable, true),
+		Entry("is accepted if it is idempotent", repeatable, repeatable, true),
 		Entry("is refused if the first may not", once, repeatable, false),
 		Entry("is refused if the second may not", repeatable, once, false),
 	)
@@ -175,7 +175,7 @@
 		Expect(stand.requests()).To(HaveLen(1))
 	})
 
-	DescribeTable("of a stream that was written whole, and is taken up behind an event", func(resumable bool, runs int) {
+	DescribeTable("of a stream that was written completely, and is resumed after an event", func(resumable bool, runs int) {
 		stand := newReplica(streaming("a", "b", replica.StreamEnd))
 		f := newFixture(stand.address())
 		f.route = &ridgeswitchv1.Route{Kind: ridgeswitchv1.RequestKind_STREAMING, Resumable: resumable}
@@ -185,7 +185,7 @@
 		Expect(stand.requests()).To(HaveLen(runs))
 		Expect(again.status == http.StatusOK).To(Equal(runs == 2))
 	},
-		Entry("runs again if it may be taken up", true, 2),
+		Entry("runs again if it may be resumed", true, 2),
 		Entry("does not if it may not", false, 1),
 	)
 })
--- a/internal/dataplane/route_timeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -40,7 +40,7 @@
 		writer.(http.Flusher).Flush()
 	}
 
-	DescribeTable("ends it in time, whatever keeps it", func(script http.HandlerFunc, streamed, resumable bool) {
+	DescribeTable("ends it in time, whatever delays it", func(script http.HandlerFunc, streamed, resumable bool) {
 		stand, other := newReplica(script), newReplica(script)
 		f := newFixture(stand.address(), other.address())
 		f.timeout = destinationTimeout
@@ -60,11 +60,11 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 	},
-		Entry("no answer", stuck(nothing), false, false),
-		Entry("an answer without a body", stuck(head), false, false),
-		Entry("a part of an answer", stuck(partial), false, false),
+		Entry("no response", stuck(nothing), false, false),
+		Entry("a response without a body", stuck(head), false, false),
+		Entry("a part of a response", stuck(partial), false, false),
 		Entry("a stream that stands still", stuck(streaming("a")), true, false),
-		Entry("a stream that stands still and may be taken up", stuck(streaming("a")), true, true),
+		Entry("a stream that stalls and may be resumed", stuck(streaming("a")), true, true),
 		Entry("a stream that goes on for ever", func(writer http.ResponseWriter, request *http.Request) {
 			for number := 0; request.Context().Err() == nil; number++ {
 				streaming(fmt.Sprint(number))(writer, request)
@@ -72,7 +72,7 @@
 		}, true, false),
 	)
 
-	It("ends the wait for a place too, and says that nothing has run", func() {
+	It("ends the wait in the queue too, and says that nothing has run", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
--- a/internal/dataplane/server_test.go
+++ b/internal/dataplane/server_test.go
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("Server", func() {
-	It("finishes what runs before it ends, and takes nothing new", func() {
+	It("finishes running requests before it ends, and accepts no new ones", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if strings.HasSuffix(request.URL.Path, "events") {
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -15,7 +15,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-var _ = Describe("What a node knows of kept parts when it has started", func() {
+var _ = Describe("What a node knows of cached chunks when it has started", func() {
 	const backend = "127.0.0.1:9000"
 	var now time.Duration
 	var live []member.Info
--- a/internal/dataplane/stabilization_wait_internal_test.go
+++ b/internal/dataplane/stabilization_wait_internal_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-var _ = Describe("settling", func() {
+var _ = Describe("stabilizationWait", func() {
 	nodes := func(count int) []member.Info {
 		peers := make([]member.Info, count)
 		for number := range peers {
@@ -30,7 +30,7 @@
 		Expect(s.stable(at(2100), nodes(12))).To(BeTrue())
 	})
 
-	It("stays settled when nodes come and go", func() {
+	It("stays stable when nodes join and leave", func() {
 		var s stabilizationWait
 		s.stable(at(0), nodes(3))
 		Expect(s.stable(at(1000), nodes(3))).To(BeTrue())
--- a/internal/dataplane/startup_gate_internal_test.go
+++ b/internal/dataplane/startup_gate_internal_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-var _ = Describe("warmUp", func() {
+var _ = Describe("startupGate", func() {
 	listing := func(addresses ...string) *routing.View {
 		pool := &routing.Pool{}
 		for _, address := range addresses {
@@ -27,7 +27,7 @@
 		complete = make(map[string]bool)
 	})
 
-	It("holds prompts back until it is known what most replicas keep", func() {
+	It("delays prompts until the cached chunks of most replicas are known", func() {
 		view := listing("a", "b", "c", "d")
 		u.update(time.Hour, view, whole)
 		complete["a"], complete["b"] = true, true
@@ -38,7 +38,7 @@
 		Expect(u.opened).To(BeClosed())
 	})
 
-	It("ends after its longest time, which begins with the first pools", func() {
+	It("opens after its longest wait, which starts with the first pools", func() {
 		u.update(time.Minute, nil, whole)
 		u.update(time.Minute, &routing.View{}, whole)
 		u.update(time.Hour, listing(), whole)
@@ -48,7 +48,7 @@
 		Expect(u.opened).To(BeClosed())
 	})
 
-	It("does not begin anew", func() {
+	It("does not close again", func() {
 		complete["a"] = true
 		u.update(0, listing("a"), whole)
 		u.update(time.Hour, listing("b", "c"), whole)
--- a/internal/dataplane/startup_gate_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("A node that has just started", func() {
-	It("sends no prompt until it has heard what the replicas keep", func() {
+	It("sends no prompt until it knows what the replicas have cached", func() {
 		stand := newReplica(respondWith("done"))
 		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, stand.address())
 		f.timeout = 50
--- a/internal/dataplane/stream_test.go
+++ b/internal/dataplane/stream_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 )
 
-var _ = Describe("A streamed answer", func() {
+var _ = Describe("A streamed response", func() {
 	accept := header{"Accept", caller.StreamType}
 
 	It("passes with its end", func() {
@@ -65,7 +65,7 @@
 		Expect(got.body).NotTo(ContainSubstring("data: b"))
 	})
 
-	It("that is cut by the deadline tells so", func() {
+	It("that is truncated by the deadline says so", func() {
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			<-request.Context().Done()
--- a/internal/dataplane/tenant_limiter_test.go
+++ b/internal/dataplane/tenant_limiter_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("A tenant's limits", func() {
-	It("refuse at once what comes too fast, and say when to come back", func() {
+	It("refuse at once what comes too fast, and say when to retry", func() {
 		stand := newReplica(respondWith("ok"))
 		f := newFixture(stand.address())
 		f.limits = &ridgeswitchv1.Limits{RequestsPerSecond: 0.5, Burst: 1}
@@ -29,7 +29,7 @@
 		Expect(f.server.Stats()[0].Refusals).To(HaveLen(1))
 	})
 
-	It("queue what cannot run yet, and refuse what finds no place", func() {
+	It("queue what cannot run yet, and refuse what finds the queue full", func() {
 		arrived, proceed := make(chan struct{}, 3), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -71,7 +71,7 @@
 		<-done
 	})
 
-	It("give a place that becomes free on a full node to the tenant that holds none", func() {
+	It("give a slot that becomes free on a node at capacity to the tenant that has none", func() {
 		entered, proceed := make(chan string, 8), make(chan struct{})
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			entered <- request.Header.Get(caller.HeaderRequestID)
@@ -104,7 +104,7 @@
 		}
 	})
 
-	It("refuse at once what would miss its deadline in the queue, and say when to come back", func() {
+	It("refuse at once what would miss its deadline in the queue, and say when to retry", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		var f *fixture
 		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/dataplane/web_backend_test.go
+++ b/internal/dataplane/web_backend_test.go
@@ -31,7 +31,7 @@
 }
 
 var _ = Describe("A request to a web service", func() {
-	It("passes as it is, without the caller's key, and so does the answer", func() {
+	It("passes unchanged, without the caller's key, and so does the response", func() {
 		seen := make(chan *http.Request, 1)
 		f := newWebFixture(newWeb(func(writer http.ResponseWriter, request *http.Request) {
 			seen <- request
@@ -53,7 +53,7 @@
 		Expect(request.Header).NotTo(HaveKey("Authorization"))
 	})
 
-	It("by HEAD keeps the answer's length", func() {
+	It("by HEAD keeps the response's length", func() {
 		f := newWebFixture(newWeb(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Length", "1234")
 		}))
@@ -90,7 +90,7 @@
 		<-done
 	})
 
-	DescribeTable("whose answer is cut", func(method string, budgeted bool, expected int, mayHaveRun bool) {
+	DescribeTable("whose response is truncated", func(method string, budgeted bool, expected int, mayHaveRun bool) {
 		var cutting atomic.Bool
 		script := func(writer http.ResponseWriter, _ *http.Request) {
 			if cutting.CompareAndSwap(true, false) {
--- a/pkg/admission/controller_test.go
+++ b/pkg/admission/controller_test.go
@@ -35,7 +35,7 @@
 		Expect(arrive(500*time.Millisecond, tenant, bounded).Outcome).To(Equal(admission.Admitted))
 	})
 
-	It("queues what cannot run, refuses what finds no place, and grants in order", func() {
+	It("queues what cannot run, refuses what finds the queue full, and grants in order", func() {
 		running := arrive(0, tenant, limits)
 		Expect(running.Outcome).To(Equal(admission.Admitted))
 		first := arrive(0, tenant, limits)
@@ -72,7 +72,7 @@
 		Expect(controller.Tenants()).To(Equal([]string{tenant}))
 	})
 
-	It("never runs more than the limit, and loses no place, over random sequences", func() {
+	It("never runs more than the limit, and loses no slot, over random sequences", func() {
 		random := rand.New(rand.NewPCG(7, 7))
 		bounded := admission.Limits{Concurrent: 3, Queued: 4, QueueTimeout: time.Second}
 		now := time.Duration(0)
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -51,7 +51,7 @@
 var _ = Describe("Controller of a full node", func() {
 	options := admission.Options{Concurrent: 6, Queued: 100, QueueTimeout: time.Minute}
 
-	It("gives free places to whoever holds the fewest, not to the longest queue", func() {
+	It("gives free slots to the tenant with the lowest usage, not to the longest queue", func() {
 		full := newNode(options)
 		for range 50 {
 			full.arrive(0, "storm", 1)
@@ -83,7 +83,7 @@
 		Expect(full.running["court"]).To(HaveLen(4))
 	})
 
-	It("keeps the reserved places for tenants that hold less than their share", func() {
+	It("keeps the reserved slots for tenants below their fair share", func() {
 		reserving := options
 		reserving.Reserved = 2
 		full := newNode(reserving)
@@ -99,7 +99,7 @@
 		Expect(full.arrive(time.Second, "school", 1).Outcome).To(Equal(admission.Admitted))
 	})
 
-	It("lets a tenant wait for the node although it may not wait for its own places", func() {
+	It("lets a tenant wait for the node although it may not wait for its own slots", func() {
 		small := newNode(admission.Options{Concurrent: 1, Queued: 1, QueueTimeout: time.Second})
 		small.arrive(0, "storm", 1)
 		limits := admission.Limits{Concurrent: 1}
@@ -128,7 +128,7 @@
 		Expect(due(6 * time.Second).Outcome).To(Equal(admission.RefusedDeadline))
 	})
 
-	It("grants no place to a request that could not use it in time", func() {
+	It("grants no slot to a request that could not use it in time", func() {
 		busy := newNode(admission.Options{Concurrent: 1, Queued: 10, QueueTimeout: time.Minute})
 		busy.arrive(0, "court", 1)
 		busy.release(time.Second, "court")
@@ -138,7 +138,7 @@
 		Expect(busy.release(3500*time.Millisecond, "court")).To(BeEmpty())
 	})
 
-	It("never exceeds a bound nor leaves a place unused that somebody may take", func() {
+	It("never exceeds a bound nor leaves a slot unused that a tenant may use", func() {
 		for seed := range uint64(20) {
 			explore(seed)
 		}
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -180,11 +180,11 @@
 		Expect(resumed > 0).To(Equal(resumable))
 		Expect(aborted).To(BeNumerically(">", 0))
 	},
-		Entry("that may be taken up", true),
+		Entry("that may be resumed", true),
 		Entry("that may not", false),
 	)
 
-	It("never dispatches again once a part of an answer was handed on", func() {
+	It("never dispatches again once a part of a response was relayed", func() {
 		tracker := replay(attempts.Options{Idempotent: true, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
@@ -195,7 +195,7 @@
 		Expect(tracker.Next()).To(Equal(attempts.Action{Kind: attempts.AbortRelay, Attempt: 1}))
 	})
 
-	It("relays an answer from its first part to its end", func() {
+	It("relays a response from its first part to its end", func() {
 		tracker := replay(attempts.Options{MaxAttempts: 1}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
@@ -222,7 +222,7 @@
 		Entry("after a refusal", false, attempts.Refused, attempts.Dispatch),
 		Entry("after a lost end", false, attempts.OutcomeLost, attempts.RespondUnknown),
 		Entry("after a lost end, repeatable", true, attempts.OutcomeLost, attempts.Dispatch),
-		Entry("after an answer", false, attempts.ResponseCompleted, attempts.Relay),
+		Entry("after a response", false, attempts.ResponseCompleted, attempts.Relay),
 	)
 
 	It("names the state in which an event does not fit", func() {
--- a/pkg/outlier/detector_test.go
+++ b/pkg/outlier/detector_test.go
@@ -61,7 +61,7 @@
 }
 
 var _ = Describe("Detector", func() {
-	DescribeTable("ejects a replica that fails a share of its requests", func(outcome outlier.Outcome, times int) {
+	DescribeTable("ejects a replica that fails a fraction of its requests", func(outcome outlier.Outcome, times int) {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Succeeded, times-1)
 		repeat(d, 0, "replica-0", outcome, times-1)
@@ -77,7 +77,7 @@
 		Entry("refusals without need", outlier.Refused, 2),
 	)
 
-	It("takes answers that are always slow for a fault", func() {
+	It("counts responses that are always slow as a fault", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Slow, 3)
 		Expect(ejected(d, 0)).To(BeZero())
@@ -94,7 +94,7 @@
 		}
 	})
 
-	It("finds out soon that a busy replica has begun to fail", func() {
+	It("detects soon that a busy replica has started to fail", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Succeeded, 1000)
 		repeat(d, 0, "replica-0", outlier.Errored, 3)
@@ -118,7 +118,7 @@
 		Expect(ejected(d, 0)).To(BeZero())
 	})
 
-	It("never ejects more than its share of a pool", func() {
+	It("never ejects more than the permitted fraction of a pool", func() {
 		d := detector(7)
 		for _, member := range members(7) {
 			repeat(d, 0, member.Address, outlier.Errored, 1)
@@ -133,7 +133,7 @@
 		Expect(ejected(alone, 0)).To(BeZero())
 	})
 
-	It("probes with single requests, and readmits a replica after some in a row went well", func() {
+	It("probes with single requests, and readmits a replica after several successes in a row", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		Expect(d.Verdict(outlier.DefaultEjection-1, "replica-0", true)).To(Equal(outlier.Ejected))
@@ -151,7 +151,7 @@
 		Expect(d.Verdict(now, "replica-0", false)).To(Equal(outlier.Healthy))
 	})
 
-	It("begins the row anew after a probe that failed", func() {
+	It("starts the row again after a probe that failed", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := time.Duration(0)
@@ -177,7 +177,7 @@
 		}
 	})
 
-	It("keeps a replica that comes and goes out for longer each time", func() {
+	It("ejects a replica that fails again and again for longer each time", func() {
 		d := detector(6)
 		now, last := time.Duration(0), time.Duration(0)
 		for range 3 {
@@ -207,7 +207,7 @@
 		Expect(d.Verdict(now+outlier.DefaultEjection, "replica-0", true)).To(Equal(outlier.Healthy))
 	})
 
-	It("forgets replicas that leave, and begins anew with another incarnation", func() {
+	It("forgets replicas that leave, and starts again with another incarnation", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		repeat(d, 0, "replica-1", outlier.Errored, 2)
@@ -255,7 +255,7 @@
 })
 
 var _ = Describe("A suspicion", func() {
-	It("begins with one broken connection, and lasts longer with each in a row", func() {
+	It("starts with one broken connection, and lasts longer with each in a row", func() {
 		d := detector(6)
 		now := time.Duration(0)
 		for _, seconds := range []time.Duration{1, 2, 4, 8, 8} {
@@ -269,7 +269,7 @@
 		Expect(d.Verdict(now+time.Second, "replica-0", true)).To(Equal(outlier.Healthy))
 	})
 
-	DescribeTable("begins at once with", func(outcome outlier.Outcome, expected outlier.Verdict) {
+	DescribeTable("starts at once with", func(outcome outlier.Outcome, expected outlier.Verdict) {
 		d := detector(6)
 		d.Observe(0, "replica-0", outcome)
 		Expect(d.Verdict(0, "replica-0", true)).To(Equal(expected))
@@ -278,10 +278,10 @@
 		Entry("no connection", outlier.Unreached, outlier.Suspected),
 		Entry("but not an error", outlier.Errored, outlier.Healthy),
 		Entry("but not a refusal", outlier.Refused, outlier.Healthy),
-		Entry("but not an answer that is overdue", outlier.Overdue, outlier.Healthy),
+		Entry("but not a response that is overdue", outlier.Overdue, outlier.Healthy),
 	)
 
-	It("begins after three deadlines in a row, between which nothing came", func() {
+	It("starts after three missed deadlines in a row", func() {
 		d := detector(6)
 		missDeadlines := func(times int) {
 			for range times {
@@ -363,7 +363,7 @@
 		}
 	})
 
-	It("tell nothing while all is well", func() {
+	It("report nothing while all is well", func() {
 		f := newFleet(4)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 50)
@@ -371,7 +371,7 @@
 		Expect(f.exchangeReports(0)).To(BeZero())
 	})
 
-	It("tell the good outcomes once there are bad ones, so that a rare fault ejects nobody", func() {
+	It("report successes once there are failures, so that a rare fault ejects no replica", func() {
 		f := newFleet(4)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 3)
@@ -390,7 +390,7 @@
 		}
 	})
 
-	It("do not believe one node alone, which may be cut off", func() {
+	It("do not believe one node alone, which may be partitioned", func() {
 		f := newFleet(4)
 		for _, member := range members(18) {
 			repeat(f.sameZone[0], 0, member.Address, outlier.Unreached, 3)
@@ -415,7 +415,7 @@
 		}
 	}
 
-	It("go by their own zone when a replica fails for the callers of one zone alone", func() {
+	It("decide by their zone when a replica fails for the callers of one zone alone", func() {
 		f := newFleet(4)
 		failInSameZone(f, 8)
 		for _, node := range f.sameZone {
@@ -426,7 +426,7 @@
 		}
 	})
 
-	It("share their probes, good and bad", func() {
+	It("report their probes, failed or not", func() {
 		f := newFleet(2)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Errored, 2)
@@ -446,7 +446,7 @@
 		Expect(ejected(f.sameZone[1], now)).To(BeZero())
 	})
 
-	It("probe at times of their own", func() {
+	It("probe at different times", func() {
 		f := newFleet(8)
 		due := map[time.Duration]int{}
 		for _, node := range f.sameZone {
--- a/pkg/retrybudget/budget_test.go
+++ b/pkg/retrybudget/budget_test.go
@@ -35,7 +35,7 @@
 		Expect(budget.TryRetry(10 * time.Second)).To(BeFalse())
 	})
 
-	DescribeTable("never permits more than its share of all first attempts", func(seed uint64) {
+	DescribeTable("never permits more than its ratio of all first attempts", func(seed uint64) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		budget := retrybudget.New(retrybudget.Options{})
 		now := time.Duration(0)
--- a/pkg/retrybudget/fleet_test.go
+++ b/pkg/retrybudget/fleet_test.go
@@ -140,7 +140,7 @@
 		Expect(budget.TryRetry(0)).To(BeFalse())
 	})
 
-	It("counts a share that grows only when it has lasted for a window", func() {
+	It("counts a fraction that grows only when it has lasted for a window", func() {
 		share := 0.1
 		budget := retrybudget.New(retrybudget.Options{Slack: 10, SlackFraction: func(time.Duration) float64 { return share }})
 		Expect(budget.TryRetry(20 * time.Second)).To(BeTrue())
