--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -16,8 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// occupants is a replica edge that knows who stands at which address, and
-// refuses what is for another one.
+// occupants is a replica edge that knows the incarnation at each address, and refuses
+// requests for another one.
 type occupants struct {
 	mutex sync.Mutex
 	// standing holds the incarnation at each address.
@@ -38,7 +38,7 @@
 	return completeResponse{}, nil
 }
 
-// completeResponse is an answer without a body.
+// completeResponse is a response without a body.
 type completeResponse struct{}
 
 func (completeResponse) Status() int                    { return http.StatusOK }
--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -163,7 +163,7 @@
 	}, Entry("whole", false), Entry("streamed", true))
 })
 
-// cuttingReplica answers each request by the first bytes of a script.
+// cuttingReplica responds to each request with the first bytes of a script.
 type cuttingReplica struct {
 	listener net.Listener
 	script   string
@@ -190,8 +190,8 @@
 	}
 }
 
-// serve answers requests until the connection ends. An answer that is whole
-// keeps the connection, so that reuse is covered as well.
+// serve responds to requests until the connection ends. After a complete response the
+// connection stays open, so that reuse is covered as well.
 func (c *cuttingReplica) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -17,7 +17,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// statusResponse is a whole answer of a status.
+// statusResponse is a complete response with a status.
 type statusResponse struct {
 	completeResponse
 	status int
@@ -48,7 +48,7 @@
 	return completeResponse{}, nil
 }
 
-// turnGrey makes one back end grey, or well.
+// turnGrey makes one back end fail, or healthy again.
 func (b *backends) turnGrey(address string, grey bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -96,7 +96,7 @@
 	newEdge := func(wrong func(context.Context) (dataplane.Response, error)) *backends {
 		return &backends{wrong: wrong, every: 2, grey: map[string]bool{}, sent: map[string]int{}}
 	}
-	// newPool starts a node before a pool of which the edge answers.
+	// newPool starts a node before a pool whose edge responds.
 	newPool := func(edge dataplane.BackendEdge, change func(*dataplane.Options)) *fixture {
 		var addresses []string
 		for number := range count {
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// scriptedClaims decides as a test says, and notes what it is told.
+// scriptedClaims decides as a test says, and records its calls.
 type scriptedClaims struct {
 	mutex   sync.Mutex
 	refusal error
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges.go
@@ -64,7 +64,7 @@
 	Remaining time.Duration
 	// Priority of the request, 0 first.
 	Priority uint32
-	// Idempotent tells whether the request may run more than once.
+	// Idempotent reports whether the request may run more than once.
 	Idempotent bool
 	// Streamed reports whether the caller wants a stream of events.
 	Streamed bool
@@ -110,8 +110,8 @@
 	WeightVersion() string
 	// Streamed reports whether the response is to be relayed as it arrives.
 	Streamed() bool
-	// ReadAll reads the answer, or returns false with its beginning if it
-	// is too long to be held back.
+	// ReadAll reads the response, or returns false with its beginning if it is too long
+	// to be buffered.
 	ReadAll() ([]byte, bool, error)
 	// Next returns the next bytes to relay, and a bare io.EOF after a complete response.
 	// Of a stream of events it returns complete events. The bytes are valid until the
@@ -148,7 +148,7 @@
 	Changes []ChunkChange
 }
 
-// ChunkChange reports a kept part, or one that was dropped.
+// ChunkChange reports a cached chunk, or an evicted one.
 type ChunkChange struct {
 	// Sequence numbers the changes of an incarnation; 0 in a list.
 	Sequence uint64
@@ -156,7 +156,7 @@
 	Removed   bool
 	CacheSalt string
 	Model     string
-	// ID is the caller's name of the part.
+	// ID is the caller's name of the chunk.
 	ID string
 	// Tokens is how much of the chunk is cached now.
 	Tokens uint32
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -15,7 +15,7 @@
 	edges   *Edges
 	writer  http.ResponseWriter
 	request *http.Request
-	// ctx ends when the caller leaves or the deadline passes.
+	// ctx ends when the caller disconnects or the deadline passes.
 	ctx     context.Context //nolint:containedctx // an exchange is one request, as http.Request is
 	arrived time.Duration
 	// view is the view under which the request was admitted.
@@ -45,7 +45,7 @@
 	claim Claim
 	// failed reports whether the caller got no complete response of a back end.
 	failed bool
-	// observer notes the answer's beginning for the recording; nil without one.
+	// observer observes the start of the response for the recording; nil without one.
 	observer *responseObserver
 }
 
@@ -74,8 +74,8 @@
 	return fallback
 }
 
-// attempt describes an attempt on a back end, as far as all kinds of back ends
-// are told the same.
+// attempt describes an attempt on a back end, as far as it is the same for all kinds of
+// back ends.
 func (w *work) attempt(server *Server, address string, number int) Attempt {
 	described := Attempt{
 		Address:     address,
--- a/internal/dataplane/export_test.go
+++ b/internal/dataplane/export_test.go
@@ -1,6 +1,6 @@
 package dataplane
 
-// Waiting returns how many requests wait for a place.
+// Waiting returns how many requests are queued.
 func (s *Server) Waiting() int {
 	s.limiter.mutex.Lock()
 	defer s.limiter.mutex.Unlock()
--- a/internal/dataplane/feeds/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -32,7 +32,7 @@
 	feedModel   = "large"
 )
 
-// scriptedSource plays events and remembers how it was asked for them.
+// scriptedSource plays events and records the positions of its calls.
 type scriptedSource struct {
 	events    []replica.Event
 	positions []replica.Position
@@ -55,7 +55,7 @@
 	return []prefixindex.Chunk{{ID: "case", Tokens: 320}, {ID: "question", Tokens: 160}}
 }
 
-// cacheEvent returns an event by which the prompt is kept under a weight version.
+// cacheEvent returns an event by which the prompt is cached under a weight version.
 func cacheEvent(kind replica.EventKind, sequence uint64, weightVersion string) replica.Event {
 	event := replica.Event{Kind: kind, Incarnation: 1, Sequence: sequence}
 	for _, link := range prefixindex.Chain(feedModel, saltOf(weightVersion), promptChunks()) {
@@ -191,7 +191,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// blockingSource tells of the streams that are opened and closed.
+// blockingSource reports the streams that are opened and closed.
 type blockingSource struct {
 	opened, closed chan string
 }
--- a/internal/dataplane/full_read_internal_test.go
+++ b/internal/dataplane/full_read_internal_test.go
@@ -17,7 +17,7 @@
 // scriptedReports plays a back end that remembers its newest change only.
 type scriptedReports struct {
 	mutex sync.Mutex
-	// lose makes the next page tell of a gap.
+	// lose makes the next page report a gap.
 	lose      bool
 	refuse    error
 	fullReads []string
@@ -46,7 +46,7 @@
 	}}, nil
 }
 
-// takeFullReads returns what was listed since the last call.
+// takeFullReads returns what was read in full since the last call.
 func (s *scriptedReports) takeFullReads() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -89,7 +89,7 @@
 	Expect(n.server.readers.readOnce(context.Background(), "replica")).To(Succeed())
 }
 
-// cachedTokens tells what the router believes that the replica keeps of a part.
+// cachedTokens returns how many tokens of a chunk the router assumes to be cached.
 func (n *reportingNode) cachedTokens(id string) uint32 {
 	chunks := []prefixindex.Chunk{{ID: id, Tokens: 4000}}
 	decision, err := n.server.router.Select(kvrouter.Request{
--- a/internal/dataplane/gossip/exchange_test.go
+++ b/internal/dataplane/gossip/exchange_test.go
@@ -20,7 +20,7 @@
 type network struct {
 	peers     []member.Info
 	exchanges map[member.ID]*gossip.Exchange
-	// received counts how often each node heard the news of each.
+	// heard counts how often each node received the updates of each.
 	heard map[member.ID]map[member.ID]int
 	// crossings counts the batches between zones, and sent all batches.
 	crossings, sent int
--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -125,7 +125,7 @@
 var _ = Describe("A node that is requested a snapshot", func() {
 	var snapshots *gossip.SnapshotServer
 	var live []member.Info
-	// changes is how many parts each back end keeps.
+	// changes is how many chunks each back end caches.
 	var changes int
 	BeforeEach(func() {
 		snapshots = gossip.NewSnapshotServer("self")
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -176,14 +176,14 @@
 	header  http.Header
 	body    string
 	problem caller.Error
-	// err is what went wrong while the answer was read.
+	// err is what went wrong while the response was read.
 	err error
 }
 
 // header is one header of a test's request.
 type header struct{ name, value string }
 
-// send sends a request to a host and reads its answer.
+// send sends a request to a host and reads the response.
 func (f *fixture) send(method, host, path string, headers ...header) outcome {
 	request, err := http.NewRequest(method, f.front.URL+path, strings.NewReader(defaultBody))
 	Expect(err).NotTo(HaveOccurred())
@@ -215,7 +215,7 @@
 	return f.send(http.MethodPost, poolHost, "/v1/generate", all...)
 }
 
-// generateUntil sends a request to the pool, and leaves when the context ends.
+// generateUntil sends a request to the pool, and disconnects when the context ends.
 func (f *fixture) generateUntil(ctx context.Context) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.front.URL, strings.NewReader(defaultBody))
 	if err != nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-// replicaStandIn is a replica with a scripted answer.
+// replicaStandIn is a replica with a scripted response.
 type replicaStandIn struct {
 	server *httptest.Server
 	mutex  sync.Mutex
@@ -264,7 +264,7 @@
 	return append([]*http.Request(nil), r.seen...)
 }
 
-// respondWith returns a script that answers a whole answer.
+// respondWith returns a script that sends a complete response.
 func respondWith(text string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(replica.HeaderWeightVersion, weightsOne)
@@ -281,7 +281,7 @@
 	}
 }
 
-// dying returns a script that closes the connection without an answer.
+// dying returns a script that closes the connection without a response.
 func dying() http.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 }
@@ -312,5 +312,5 @@
 	}
 }
 
-// clockAtZero is a clock that stands still.
+// clockAtZero is a clock that does not advance.
 func clockAtZero() time.Duration { return 0 }
--- a/internal/dataplane/hung_replica_test.go
+++ b/internal/dataplane/hung_replica_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("A replica that accepts requests and never responds", func() {
-	// hangs is a replica that hangs while it is told to.
+	// hangs is a replica that hangs while hung is set.
 	type hangs struct {
 		*replicaStandIn
 		mutex sync.Mutex
--- a/internal/dataplane/id_generator.go
+++ b/internal/dataplane/id_generator.go
@@ -12,14 +12,14 @@
 // incarnationBytes is the length of the random number that distinguishes processes.
 const incarnationBytes = 8
 
-// idGenerator makes names that no other process and no earlier life of this one
+// idGenerator makes names that no other process and no earlier incarnation of this one
 // makes.
 type idGenerator struct {
 	prefix string
 	count  atomic.Uint64
 }
 
-// newIDGenerator returns a source of names for one life of a node.
+// newIDGenerator returns a generator for one incarnation of a node.
 func newIDGenerator(node string) (*idGenerator, error) {
 	var incarnation [incarnationBytes]byte
 	if _, err := rand.Read(incarnation[:]); err != nil {
--- a/internal/dataplane/keep_alive_test.go
+++ b/internal/dataplane/keep_alive_test.go
@@ -15,9 +15,9 @@
 )
 
 var _ = Describe("Connections that callers keep alive", func() {
-	// hammer sends requests on one connection, each after the answer to the one
-	// before, until the connection ends. It returns the identity of the one that
-	// was not answered, if there is one.
+	// hammer sends requests on one connection, each after the response to the one before,
+	// until the connection ends. It returns the identity of the request without a
+	// response, if there is one.
 	hammer := func(address, name string, responded func()) string {
 		connection, err := net.DialTimeout("tcp", address, waitTimeout)
 		if err != nil {
--- a/internal/dataplane/partial_body_test.go
+++ b/internal/dataplane/partial_body_test.go
@@ -23,7 +23,7 @@
 	reader *bufio.Reader
 }
 
-// connect opens a connection to the node. No read on it outlasts patience.
+// connect opens a connection to the node. No read on it takes longer than waitTimeout.
 func (f *fixture) connect() *callerConnection {
 	connection, err := net.DialTimeout("tcp", f.front.Listener.Addr().String(), waitTimeout)
 	Expect(err).NotTo(HaveOccurred())
@@ -38,7 +38,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// answer reads one answer with its body, and passes over interim ones.
+// answer reads one response with its body, and skips interim ones.
 func (c *callerConnection) answer() (*http.Response, string) {
 	response, err := http.ReadResponse(c.reader, nil)
 	for err == nil && response.StatusCode == http.StatusContinue {
@@ -59,7 +59,7 @@
 var _ = Describe("A caller that does not send its body completely", func() {
 	const (
 		given = 300 * time.Millisecond
-		// grace is how long after the route's time the answer may come.
+		// grace is how long after the route's time-out the response may come.
 		grace = 500 * time.Millisecond
 	)
 
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -54,7 +54,7 @@
 		got, stand := changeAt(3, func(f *fixture) { f.replicas[0].WeightVersion = "weights-2" })
 		Expect(stand.requests()).To(HaveLen(1))
 		Expect(stand.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, "weights-2", "shared/1")))
-		// The stand-in still answers with the first version.
+		// The stand-in still responds with the first version.
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 	})
 })
--- a/internal/dataplane/route_timeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -18,14 +18,14 @@
 	const (
 		// given is the route's time.
 		given = 300 * time.Millisecond
-		// grace is how long after it the answer may end.
+		// grace is how long after it the response may end.
 		grace = 500 * time.Millisecond
 		// destinationTimeout is the destination's own, in milliseconds: a node that ignores
 		// the route's time ends the request then, and the specs don't hang.
 		destinationTimeout = 2000
 	)
 
-	// stuck never goes on after the beginning of its answer.
+	// stuck never continues after the start of its response.
 	stuck := func(begin http.HandlerFunc) http.HandlerFunc {
 		return func(writer http.ResponseWriter, request *http.Request) {
 			begin(writer, request)
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -1,6 +1,7 @@
-// Package routing holds the immutable view of control state that traffic reads.
-// The control machine builds a new View for every change and publishes it
-// through an atomic pointer; nothing in a published View is ever written again.
+// Package routing contains the immutable view of control state that traffic reads. The
+// control machine builds a new View for every change and publishes it through an atomic
+// pointer; nothing in a published View is ever written again, so that any goroutine may
+// read it.
 package routing
 
 import (
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -35,7 +35,7 @@
 	return decision
 }
 
-// release ends a tenant's oldest request, and returns who got its place.
+// release ends a tenant's oldest request, and returns who got its slot.
 func (n *node) release(now time.Duration, tenant string) []string {
 	ticket := n.running[tenant][0]
 	n.running[tenant] = n.running[tenant][1:]
@@ -94,7 +94,7 @@
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Admitted))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Admitted))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Queued))
-		// Court now holds a third, which is its share if one more tenant comes.
+		// Court now uses a third, which is its fair share if one more tenant comes.
 		Expect(full.release(time.Second, "storm")).To(BeEmpty())
 		Expect(full.arrive(time.Second, "school", 1).Outcome).To(Equal(admission.Admitted))
 	})
@@ -118,7 +118,7 @@
 		due := func(after time.Duration) admission.Decision {
 			return busy.Arrive(now, admission.Arrival{Tenant: "court", Deadline: now + after})
 		}
-		// A request holds a place for two seconds, and one runs already.
+		// A request occupies a slot for two seconds, and one runs already.
 		late := due(4 * time.Second)
 		Expect(late.Outcome).To(Equal(admission.RefusedDeadline))
 		Expect(late.RetryAfter).To(Equal(2 * time.Second))
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -36,7 +36,7 @@
 	finished []bool
 }
 
-// after returns the truth after an event that the ledger took.
+// after returns the truth after an event that the tracker accepted.
 func (t truth) after(event attempts.Event) truth {
 	next := truth{mayRun: append([]bool(nil), t.mayRun...), finished: append([]bool(nil), t.finished...)}
 	position := event.Attempt - 1
@@ -77,7 +77,7 @@
 	return count
 }
 
-// replay builds a ledger from events that it is known to take.
+// replay builds a tracker from events that it is known to accept.
 func replay(options attempts.Options, events []attempts.Event) *attempts.Tracker {
 	tracker := attempts.New(options)
 	for _, event := range events {
@@ -86,7 +86,7 @@
 	return tracker
 }
 
-// explore visits every sequence that the ledger takes.
+// explore visits every sequence that the tracker accepts.
 func explore(options attempts.Options, events []attempts.Event, actual truth, visit func([]attempts.Event, *attempts.Tracker, truth)) int {
 	tracker := replay(options, events)
 	visit(events, tracker, actual)
--- a/pkg/outlier/detector_test.go
+++ b/pkg/outlier/detector_test.go
@@ -310,7 +310,7 @@
 	})
 })
 
-// fleet is the detectors of nodes in two zones that tell each other everything.
+// fleet is the detectors of nodes in two zones that exchange all reports.
 type fleet struct {
 	sameZone, otherZone []*outlier.Detector
 }
@@ -325,7 +325,7 @@
 	return f
 }
 
-// exchangeReports lets every node tell every other what it has to tell.
+// exchangeReports sends the reports of every node to every other one.
 func (f *fleet) exchangeReports(now time.Duration) (reported int) {
 	zones := [][]*outlier.Detector{f.sameZone, f.otherZone}
 	for zone, tellers := range zones {
