--- a/Makefile
+++ b/Makefile
@@ -22,6 +22,7 @@
 	./scripts/check-format
 	go vet ./...
 	go tool staticcheck ./...
+	$(GOLANGCI) run
 
 # golangci-lint with the linters of .golangci.yml.
 lint:
--- a/cmd/ridgeswitch/node.go
+++ b/cmd/ridgeswitch/node.go
@@ -80,7 +80,7 @@
 	// The HTTP framework ends the process on its own some time after SIGTERM;
 	// the node drains first.
 	proc.SetTimeToForceQuit(settings.DrainTimeout() + forceQuitMargin)
-	running, err := node.New(settings, node.Edges{}, logger.WithField("node", settings.Node))
+	running, err := node.New(settings, node.Edges{}, logger.WithField("node", settings.Node)) //nolint:contextcheck // the node listens until Run ends, and Run takes the context
 	if err != nil {
 		return err
 	}
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -100,7 +100,7 @@
 // measureFleet starts the nodes, waits until they serve and measures them.
 func measureFleet(ctx context.Context, settings Settings, result *Result) error {
 	usage := newUsageMeter(settings.Nodes)
-	nodes, err := newFleet(settings, clock.SinceBoot, func(receive deliver) (network, error) {
+	nodes, err := newFleet(settings, clock.SinceBoot, func(receive deliver) (network, error) { //nolint:contextcheck // the nodes listen until the fleet is closed, which this function does itself
 		return newTransportNetwork(settings, receive)
 	})
 	if err != nil {
