--- a/pkg/replication/config.go
+++ b/pkg/replication/config.go
@@ -28,7 +28,7 @@
 	// replaces a lost one has an incarnation that differs from all before it, and
 	// that must be durable before New is called.
 	Incarnation uint64
-	// Founders holds the founding voters in the agreed order, the same on every
+	// Founders are the founding voters in the agreed order, the same on every
 	// founder. Earlier members are preferred as leaders. It is empty on a member
 	// that joins a group, and may be empty on any member whose log or snapshot is
 	// not: the present voters are those that the log tells of, and its first entry
--- a/pkg/replication/leader.go
+++ b/pkg/replication/leader.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// sendAppend sends one append, or the snapshot if the log has no longer the entries
-// that the follower lacks.
+// sendAppend sends one append, or the snapshot if the log no longer has the
+// entries that the follower lacks.
 func (g *Group) sendAppend(to member.ID, follower *progress) {
 	before := follower.next - 1
 	beforeTerm, ok := g.log.termAt(before)
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// peerSet holds the other members that are known, in the order they were given in.
+// peerSet is the other members that are known, in the order they were given in.
 type peerSet []Peer
 
 // newPeerSet drops self, members without an ID, and all but the first of those
