--- a/internal/edge/outbound/benchmark_test.go
+++ b/internal/edge/outbound/benchmark_test.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return
 			}
-			go answerBlindly(connection)
+			go respondBlindly(connection)
 		}
 	}()
 	body := make([]byte, 1000)
@@ -47,14 +47,14 @@
 	}
 }
 
-// answerBlindly answers whatever comes in one piece, at next to no cost.
-func answerBlindly(connection net.Conn) {
+// respondBlindly answers whatever comes in one piece, at next to no cost.
+func respondBlindly(connection net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		if _, err := connection.Read(buffer); err != nil {
 			return
 		}
-		if _, err := io.WriteString(connection, fullAnswer); err != nil {
+		if _, err := io.WriteString(connection, fullResponse); err != nil {
 			return
 		}
 	}
--- a/internal/edge/outbound/client_test.go
+++ b/internal/edge/outbound/client_test.go
@@ -25,7 +25,7 @@
 
 	It("is needed: a plain client sends again by itself", func() {
 		plain := &http.Client{Transport: &http.Transport{}}
-		backend := newRawBackend(10, len(fullAnswer))
+		backend := newRawBackend(10, len(fullResponse))
 		address := backend.listener.Addr().String()
 		for range 2 {
 			response, err := plain.Do(newRequest(http.MethodGet, address))
@@ -35,7 +35,7 @@
 		}
 		plain.CloseIdleConnections()
 		backend.stop()
-		Expect(backend.begun.Load()).To(Equal(int32(2)))
+		Expect(backend.started.Load()).To(Equal(int32(2)))
 	})
 
 	It("knows that nothing left when the connection is refused", func() {
@@ -50,7 +50,7 @@
 	})
 
 	DescribeTable("does not follow a redirect, which would send a second time", func(status int) {
-		target := newRawBackend(-1, len(fullAnswer))
+		target := newRawBackend(-1, len(fullResponse))
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("HTTP/1.1 %d Again\r\nLocation: http://%s/\r\nContent-Length: 0\r\n\r\n", status, target.listener.Addr())
--- a/internal/edge/outbound/direct_test.go
+++ b/internal/edge/outbound/direct_test.go
@@ -50,7 +50,7 @@
 		received := make(chan *http.Request, 1)
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			received <- connection.next()
-			connection.write("%s", fullAnswer)
+			connection.write("%s", fullResponse)
 		})
 		request := newRequest(http.MethodPut, server.listener.Addr().String())
 		request.URL.Opaque, request.URL.RawQuery = "/a%2fb/{c}/../d", "x=%zz&&y"
@@ -70,7 +70,7 @@
 	It("uses a connection again", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
-				connection.write("%s", fullAnswer)
+				connection.write("%s", fullResponse)
 			}
 		})
 		for range 3 {
@@ -92,7 +92,7 @@
 	},
 		Entry("that the back end will close", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello"),
 		Entry("that the back end keeps for no time", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=0, max=9\r\n\r\nhello"),
-		Entry("on which a response follows the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"+fullAnswer),
+		Entry("on which a response follows the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"+fullResponse),
 		Entry("on which bytes follow the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello!"),
 		Entry("on which bytes follow the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\nx"),
 	)
@@ -101,10 +101,10 @@
 		written := make(chan struct{})
 		server := serveScript(func(number int, connection *scriptedConnection) {
 			connection.next()
-			connection.write("%s", fullAnswer)
+			connection.write("%s", fullResponse)
 			if number == 1 {
 				<-written
-				connection.write("%s", fullAnswer)
+				connection.write("%s", fullResponse)
 				written <- struct{}{}
 			}
 			connection.next()
@@ -120,7 +120,7 @@
 		closed := make(chan struct{})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
-			connection.write("%s", fullAnswer)
+			connection.write("%s", fullResponse)
 			_ = connection.Close()
 			closed <- struct{}{}
 		})
@@ -137,9 +137,9 @@
 			for request := connection.next(); request != nil; request = connection.next() {
 				id := request.Header.Get("Id")
 				if id == "second" {
-					connection.write("%s", answered("first"))
+					connection.write("%s", responseTo("first"))
 				}
-				connection.write("%s", answered(id))
+				connection.write("%s", responseTo(id))
 			}
 		})
 		for _, id := range []string{"first", "second", "third"} {
@@ -152,7 +152,7 @@
 		use(outbound.DirectOptions{Matches: belongs})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
-			connection.write("%s%s%s", answered("a"), answered("b"), answered("c"))
+			connection.write("%s%s%s", responseTo("a"), responseTo("b"), responseTo("c"))
 			connection.next()
 		})
 		_, err := send(server, "mine", nil)
@@ -181,7 +181,7 @@
 	It("skips interim responses", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
-			connection.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n%s", fullAnswer)
+			connection.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n%s", fullResponse)
 		})
 		Expect(send(server, "", nil)).To(Equal("hello"))
 	})
@@ -189,7 +189,7 @@
 	It("accepts an early response to a long body, and reuses no connection with half a body on it", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			_, _ = connection.reader.ReadString('\n')
-			connection.write("%s", fullAnswer)
+			connection.write("%s", fullResponse)
 			// The rest of the body waits until the other end gives up.
 			_, _ = connection.reader.Discard(1 << 10)
 			_, _ = io.Copy(io.Discard, connection.reader)
@@ -206,7 +206,7 @@
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for request := connection.next(); request != nil; request = connection.next() {
 				body, _ := io.ReadAll(request.Body)
-				connection.write("%s", answered(fmt.Sprint(bytes.Equal(body, long))))
+				connection.write("%s", responseTo(fmt.Sprint(bytes.Equal(body, long))))
 			}
 		})
 		for range 2 {
@@ -241,7 +241,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(io.ReadFull(response.Body, make([]byte, 5))).To(Equal(5))
 		cancel()
-		Eventually(left, patience).Should(Receive(HaveOccurred()))
+		Eventually(left, testTimeout).Should(Receive(HaveOccurred()))
 		_, err = response.Body.Read(make([]byte, 1))
 		Expect(err).To(And(HaveOccurred(), Not(Equal(io.EOF))))
 		Expect(response.Body.Close()).To(Succeed())
@@ -264,7 +264,7 @@
 	It("keeps the connection of a short answer that was not read", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
-				connection.write("%s", fullAnswer)
+				connection.write("%s", fullResponse)
 			}
 		})
 		for range 3 {
@@ -305,7 +305,7 @@
 		use(outbound.DirectOptions{IdleTimeout: time.Nanosecond})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
-				connection.write("%s", fullAnswer)
+				connection.write("%s", fullResponse)
 			}
 		})
 		for range 2 {
--- a/internal/edge/outbound/raw_backend_test.go
+++ b/internal/edge/outbound/raw_backend_test.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// patience bounds every wait on a socket.
-	patience = 5 * time.Second
-	// fullAnswer is what the stand-in answers.
-	fullAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nEcho: yes\r\n\r\nhello"
+	// testTimeout bounds every wait on a socket.
+	testTimeout = 5 * time.Second
+	// fullResponse is what the stand-in answers.
+	fullResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nEcho: yes\r\n\r\nhello"
 )
 
 // rawBackend is a back end made of a bare socket. The first connection answers
 // one request whole, so that it is kept alive, and then closes after reading
-// cutRequest bytes of the second; all others answer every request by their
-// first cutAnswer bytes and close.
+// truncateRequest bytes of the second; all others answer every request by their
+// first truncateResponse bytes and close.
 type rawBackend struct {
-	listener   net.Listener
-	cutRequest int
-	cutAnswer  int
-	accepted   atomic.Int32
-	// begun counts the second request's appearances, by connections that
+	listener         net.Listener
+	truncateRequest  int
+	truncateResponse int
+	accepted         atomic.Int32
+	// started counts the second request's appearances, by connections that
 	// carried a byte of it; whole counts those that carried all of it.
-	begun, whole atomic.Int32
-	handlers     sync.WaitGroup
+	started, complete atomic.Int32
+	handlers          sync.WaitGroup
 }
 
-// newRawBackend starts a back end. A negative cutRequest reads everything.
-func newRawBackend(cutRequest, cutAnswer int) *rawBackend {
+// newRawBackend starts a back end. A negative truncateRequest reads everything.
+func newRawBackend(truncateRequest, truncateResponse int) *rawBackend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	backend := &rawBackend{listener: listener, cutRequest: cutRequest, cutAnswer: cutAnswer}
+	backend := &rawBackend{listener: listener, truncateRequest: truncateRequest, truncateResponse: truncateResponse}
 	backend.handlers.Add(1)
 	go backend.accept()
 	return backend
@@ -61,30 +61,30 @@
 func (b *rawBackend) serve(connection net.Conn, first bool) {
 	defer b.handlers.Done()
 	defer func() { _ = connection.Close() }()
-	_ = connection.SetDeadline(time.Now().Add(patience))
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
 	reader := bufio.NewReader(connection)
 	if first {
 		if readRequest(reader) != nil {
 			return
 		}
-		_, _ = io.WriteString(connection, fullAnswer)
+		_, _ = io.WriteString(connection, fullResponse)
 	}
-	if first && b.cutRequest >= 0 {
-		count, _ := io.ReadFull(reader, make([]byte, b.cutRequest))
+	if first && b.truncateRequest >= 0 {
+		count, _ := io.ReadFull(reader, make([]byte, b.truncateRequest))
 		if count > 0 {
-			b.begun.Add(1)
+			b.started.Add(1)
 		}
 		return
 	}
 	if _, err := reader.Peek(1); err != nil {
 		return
 	}
-	b.begun.Add(1)
+	b.started.Add(1)
 	if readRequest(reader) != nil {
 		return
 	}
-	b.whole.Add(1)
-	_, _ = io.WriteString(connection, fullAnswer[:b.cutAnswer])
+	b.complete.Add(1)
+	_, _ = io.WriteString(connection, fullResponse[:b.truncateResponse])
 }
 
 // stop waits for every connection to end, after which nothing can come late.
--- a/internal/edge/outbound/scripted_test.go
+++ b/internal/edge/outbound/scripted_test.go
@@ -68,7 +68,7 @@
 				return
 			}
 			number := int(server.accepted.Add(1))
-			_ = connection.SetDeadline(time.Now().Add(patience))
+			_ = connection.SetDeadline(time.Now().Add(testTimeout))
 			go func() {
 				defer func() { _ = connection.Close() }()
 				run(number, &scriptedConnection{Conn: connection, reader: bufio.NewReader(connection)})
@@ -78,7 +78,7 @@
 	return server
 }
 
-// answered returns a response that repeats an identity.
-func answered(id string) string {
+// responseTo returns a response that repeats an identity.
+func responseTo(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
--- a/internal/edge/outbound/single_send_test.go
+++ b/internal/edge/outbound/single_send_test.go
@@ -16,9 +16,9 @@
 	CloseIdle()
 }
 
-// keepingTries bounds the tries to have a connection kept. The HTTP library keeps
+// reuseAttempts bounds the tries to have a connection kept. The HTTP library keeps
 // none whose writing goroutine got no processor time for 50 ms.
-const keepingTries = 10
+const reuseAttempts = 10
 
 // sendsOnce declares the specs of a client that never sends a request twice by
 // itself, and says so when one may have left.
@@ -27,20 +27,20 @@
 	// bytes. Kept reports whether it went out on that connection at all: a client that
 	// got no processor time to keep it has opened another one.
 	cutOnce := func(method string, body []byte, cut int) (kept bool) {
-		backend := newRawBackend(cut, len(fullAnswer))
+		backend := newRawBackend(cut, len(fullResponse))
 		address := backend.listener.Addr().String()
 		Expect(exchangeOnce(client(), method, address, body)).To(Succeed())
 		err := exchangeOnce(client(), method, address, body)
 		client().CloseIdle()
 		backend.stop()
 
-		Expect(backend.begun.Load()).To(BeNumerically("<=", 1), "cut after %d bytes", cut)
+		Expect(backend.started.Load()).To(BeNumerically("<=", 1), "cut after %d bytes", cut)
 		var failed *outbound.Error
 		switch {
 		case err == nil:
-			Expect(backend.whole.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
+			Expect(backend.complete.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
 		case errors.As(err, &failed) && !failed.MayHaveBeenSent:
-			Expect(backend.begun.Load()).To(BeZero(), "cut after %d bytes", cut)
+			Expect(backend.started.Load()).To(BeZero(), "cut after %d bytes", cut)
 		}
 		if cut == 0 {
 			return true
@@ -56,7 +56,7 @@
 	DescribeTable("sends once at most, wherever the connection ends in the request", func(method string, body []byte) {
 		for cut := range requestBytes(method, body) + 1 {
 			kept := false
-			for try := 0; try < keepingTries && !kept; try++ {
+			for try := 0; try < reuseAttempts && !kept; try++ {
 				kept = cutOnce(method, body, cut)
 			}
 			Expect(kept).To(BeTrue(), "no connection was kept, cut after %d bytes", cut)
@@ -68,15 +68,15 @@
 	)
 
 	DescribeTable("sends once, wherever the connection ends in the response", func(method string) {
-		for cut := range len(fullAnswer) + 1 {
+		for cut := range len(fullResponse) + 1 {
 			backend := newRawBackend(-1, cut)
 			address := backend.listener.Addr().String()
 			Expect(exchangeOnce(client(), method, address, nil)).To(Succeed())
 			err := exchangeOnce(client(), method, address, nil)
 			client().CloseIdle()
 			backend.stop()
-			Expect(backend.whole.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
-			if cut < len(fullAnswer) {
+			Expect(backend.complete.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
+			if cut < len(fullResponse) {
 				Expect(err).To(HaveOccurred(), "cut after %d bytes", cut)
 			} else {
 				Expect(err).NotTo(HaveOccurred())
--- a/internal/edge/platform/endpoints_test.go
+++ b/internal/edge/platform/endpoints_test.go
@@ -23,14 +23,14 @@
 	return platform.NewClient(sender, server.Listener.Addr().String())
 }
 
-// says answers every request with a text.
-func says(text string) http.HandlerFunc {
+// respondWith answers every request with a text.
+func respondWith(text string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, text) }
 }
 
 var _ = Describe("Client", func() {
 	It("reads the list", func() {
-		list, err := clientOf(says(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
+		list, err := clientOf(respondWith(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
 			Fetch(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(list.Services).To(Equal([]platform.Service{
@@ -39,7 +39,7 @@
 	})
 
 	DescribeTable("takes no list", func(text string) {
-		_, err := clientOf(says(text)).Fetch(context.Background())
+		_, err := clientOf(respondWith(text)).Fetch(context.Background())
 		Expect(err).To(BeAssignableToTypeOf(&platform.EndpointsError{}))
 	},
 		Entry("that is no JSON", `{`),
@@ -57,7 +57,7 @@
 				writer.WriteHeader(http.StatusInternalServerError)
 				return
 			}
-			says(`{"services":[]}`)(writer, request)
+			respondWith(`{"services":[]}`)(writer, request)
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		var outcomes []error
--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxAnswerBytes = 1 << 10
-	attemptID      = "attempt-7"
+	maxResponseBytes = 1 << 10
+	attemptID        = "attempt-7"
 )
 
 // start starts a replica with a scripted answer, and returns its address.
@@ -43,14 +43,14 @@
 		script(writer, request)
 	})
 	call.AttemptID = attemptID
-	return replica.NewClient(sender(), maxAnswerBytes).Generate(context.Background(), call)
+	return replica.NewClient(sender(), maxResponseBytes).Generate(context.Background(), call)
 }
 
 // drain reads a stream to its end.
-func drain(answer *replica.Response) (string, error) {
+func drain(response *replica.Response) (string, error) {
 	var all string
 	for {
-		event, err := answer.Next()
+		event, err := response.Next()
 		if err != nil {
 			return all, err
 		}
@@ -104,7 +104,7 @@
 		answer.Close()
 	},
 		Entry("that is too large", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-			_, _ = writer.Write(make([]byte, maxAnswerBytes+1))
+			_, _ = writer.Write(make([]byte, maxResponseBytes+1))
 		})),
 		Entry("whose end is not marked", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			connection, _, err := writer.(http.Hijacker).Hijack()
@@ -138,7 +138,7 @@
 		Entry("that ends within its end", "data: [DONE]\n", "", false),
 		Entry("that goes on after its end", "data: [DONE]\n\ndata: a\n\n", "data: [DONE]\n\n", false),
 		Entry("that speaks of its end", "data: not [DONE]\n\n", "data: not [DONE]\n\n", false),
-		Entry("with a long event", "data: "+string(make([]byte, 2*maxAnswerBytes)), "", false),
+		Entry("with a long event", "data: "+string(make([]byte, 2*maxResponseBytes)), "", false),
 	)
 })
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -27,22 +27,22 @@
 	RunSpecs(t, "metrics")
 }
 
-// standIn is a node with fixed counters.
-type standIn struct {
+// fakeNode is a node with fixed counters.
+type fakeNode struct {
 	status       *ridgeswitchv1.NodeStatus
 	destinations []dataplane.DestinationStats
 }
 
-func (s *standIn) Status() *ridgeswitchv1.NodeStatus { return s.status }
-func (s *standIn) Sent() []driver.SentCount {
+func (s *fakeNode) Status() *ridgeswitchv1.NodeStatus { return s.status }
+func (s *fakeNode) Sent() []driver.SentCount {
 	return []driver.SentCount{{Kind: wire.KindProbe, Distance: driver.OtherZone, Frames: 3, Bytes: 450}}
 }
-func (s *standIn) Stats() []dataplane.DestinationStats { return s.destinations }
-func (s *standIn) Load() []dataplane.DestinationLoad {
+func (s *fakeNode) Stats() []dataplane.DestinationStats { return s.destinations }
+func (s *fakeNode) Load() []dataplane.DestinationLoad {
 	return []dataplane.DestinationLoad{{Name: "demo", InFlight: 4}, {Name: "demo", WebService: true, InFlight: 1}}
 }
 
-func (s *standIn) IndexStats() prefixindex.Stats {
+func (s *fakeNode) IndexStats() prefixindex.Stats {
 	return prefixindex.Stats{Reported: 5, Predicted: 6, Bytes: 7}
 }
 
@@ -51,7 +51,7 @@
 func (f frames) Stats() transport.Stats { return transport.Stats(f) }
 
 // scrape returns the series of ridgeswitch, each a line, and all the names.
-func scrape(node *standIn) (lines []string, names map[string]bool) {
+func scrape(node *fakeNode) (lines []string, names map[string]bool) {
 	handler, err := NewHandler(node, node, frames{FramesSent: 1, BytesReceived: 2, DroppedFull: 3})
 	Expect(err).NotTo(HaveOccurred())
 	recorder := httptest.NewRecorder()
@@ -69,8 +69,8 @@
 	return lines, names
 }
 
-func busyNode() *standIn {
-	return &standIn{
+func busyNode() *fakeNode {
+	return &fakeNode{
 		status: &ridgeswitchv1.NodeStatus{
 			Node: "core-1", Zone: "a", HoldsState: true, ServedRevision: 12, Fences: 2, ServeRemainingMs: 750,
 			Members: []*ridgeswitchv1.MemberStatus{{State: "alive"}, {State: "alive"}, {State: "suspect"}},
--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -60,11 +60,11 @@
 type snapshotDump struct {
 	Index uint64          `json:"index"`
 	Term  uint64          `json:"term"`
-	Group []placeDump     `json:"group"`
+	Group []memberDump    `json:"group"`
 	State json.RawMessage `json:"state"`
 }
 
-type placeDump struct {
+type memberDump struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 	Learner     bool   `json:"learner"`
@@ -84,7 +84,7 @@
 	Document      json.RawMessage `json:"document"`
 	Weights       json.RawMessage `json:"weights"`
 	// Groups are the groups of the shards, as their leaders know them.
-	Groups [][]placeDump `json:"groups"`
+	Groups [][]memberDump `json:"groups"`
 }
 
 // jsonOf is the JSON of a message, in the order of its fields.
@@ -109,10 +109,10 @@
 	return decoded(data, &controlpb.ServiceState{})
 }
 
-func dumpPlaces(group []replication.Slot) []placeDump {
-	var dumped []placeDump
+func dumpGroup(group []replication.Slot) []memberDump {
+	var dumped []memberDump
 	for _, place := range group {
-		dumped = append(dumped, placeDump{Node: string(place.ID), Incarnation: place.Incarnation, Learner: place.Learner})
+		dumped = append(dumped, memberDump{Node: string(place.ID), Incarnation: place.Incarnation, Learner: place.Learner})
 	}
 	return dumped
 }
@@ -147,7 +147,7 @@
 		dumped.Snapshot = &snapshotDump{
 			Index: snapshot.Index,
 			Term:  snapshot.Term,
-			Group: dumpPlaces(snapshot.Slots),
+			Group: dumpGroup(snapshot.Slots),
 			State: stateDump(shard, snapshot.Data),
 		}
 	}
@@ -177,10 +177,10 @@
 	return dumped
 }
 
-// noRequests is traffic without a request.
-type noRequests struct{}
+// idleTraffic is traffic without a request.
+type idleTraffic struct{}
 
-func (noRequests) InFlight(string) int { return 0 }
+func (idleTraffic) InFlight(string) int { return 0 }
 
 // goldenDeployment runs core nodes on data folders.
 type goldenDeployment struct {
@@ -241,7 +241,7 @@
 	config := controlConfig(settings, opened)
 	config.Self.Incarnation = member.Incarnation(d.now/time.Millisecond) + 1
 	config.MaxLogEntries = goldenLogEntries
-	machine, err := control.New(config, opened.restored, noRequests{}, d.now)
+	machine, err := control.New(config, opened.restored, idleTraffic{}, d.now)
 	Expect(err).NotTo(HaveOccurred())
 	started := &goldenNode{settings: settings, storage: opened, machine: machine}
 	d.nodes[name] = started
@@ -359,15 +359,15 @@
 		Configuration: jsonOf(node.machine.Configuration()),
 		Document:      jsonOf(reply.Source),
 		Weights:       jsonOf(node.machine.Weights("summaries")),
-		Groups:        [][]placeDump{d.group(0), d.group(1)},
+		Groups:        [][]memberDump{d.group(0), d.group(1)},
 	}
 }
 
 // group is that of a shard.
-func (d *goldenDeployment) group(shard uint32) []placeDump {
+func (d *goldenDeployment) group(shard uint32) []memberDump {
 	for _, name := range d.names {
 		if group, leads := d.nodes[name].machine.GroupSlots(shard); leads {
-			return dumpPlaces(group)
+			return dumpGroup(group)
 		}
 	}
 	Fail(fmt.Sprintf("nobody leads shard %d", shard))
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -17,8 +17,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// patience bounds every wait on a socket.
-const patience = 10 * time.Second
+// testTimeout bounds every wait on a socket.
+const testTimeout = 10 * time.Second
 
 // freeAddress returns an address that nobody listens on.
 func freeAddress() string {
@@ -77,7 +77,7 @@
 		go func() { ended <- node.Run(ctx) }()
 		DeferCleanup(func() {
 			cancel()
-			Eventually(ended, patience).Should(Receive(Succeed()))
+			Eventually(ended, testTimeout).Should(Receive(Succeed()))
 		})
 	}
 
@@ -121,6 +121,6 @@
 		Expect(node.storage.disk.WriteFile(addressesFile, addresses)).To(Succeed())
 		asked := acceptedBy(known)
 		Expect(node.Reload(settings(func(s *static.Settings) { s.Seeds = []string{freeAddress()} }))).To(Succeed())
-		Eventually(asked, patience).Should(Receive(Succeed()))
+		Eventually(asked, testTimeout).Should(Receive(Succeed()))
 	})
 })
--- a/internal/reload/watcher_test.go
+++ b/internal/reload/watcher_test.go
@@ -22,8 +22,8 @@
 	RunSpecs(t, "reload")
 }
 
-// patience bounds every wait for a signal.
-const patience = 5 * time.Second
+// testTimeout bounds every wait for a signal.
+const testTimeout = 5 * time.Second
 
 var _ = Describe("A watcher of settings", func() {
 	var (
@@ -97,7 +97,7 @@
 
 	// runUntilApplied runs a watcher until the node takes settings.
 	runUntilApplied := func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		apply := target.Apply
 		target.Apply = func(settings *static.Settings) error {
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -51,7 +51,7 @@
 			if len(given) <= 3 {
 				return nil, silence
 			}
-			return real(ctx, address, patience)
+			return real(ctx, address, testTimeout)
 		}
 		first.Send(second.Address(), []byte("news"))
 		Expect(second.next()).To(Equal([]byte("news")))
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,8 +16,8 @@
 const (
 	firstHost  = "127.77.1.1"
 	secondHost = "127.77.1.2"
-	// patience bounds how long a test waits for what must happen.
-	patience = 20 * time.Second
+	// testTimeout bounds how long a test waits for what must happen.
+	testTimeout = 20 * time.Second
 )
 
 // node is a transport whose frames arrive on a channel.
@@ -43,7 +43,7 @@
 	select {
 	case frame := <-n.frames:
 		return frame
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		Fail("no frame arrived")
 		return nil
 	}
@@ -58,11 +58,11 @@
 }
 
 func acceptFrom(listener net.Listener) net.Conn {
-	Expect(listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	connection, err := listener.Accept()
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = connection.Close() })
-	Expect(connection.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(connection.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	return connection
 }
 
@@ -70,7 +70,7 @@
 	connection, err := net.Dial("tcp", address)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = connection.Close() })
-	Expect(connection.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(connection.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	return connection
 }
 
@@ -112,7 +112,7 @@
 		for number := range 3 {
 			first.Send(second.Address(), []byte{byte(number)})
 			Expect(second.next()).To(Equal([]byte{byte(number)}))
-			Eventually(func() uint64 { return first.Stats().ConnectionsRetired }, patience).Should(BeEquivalentTo(number + 1))
+			Eventually(func() uint64 { return first.Stats().ConnectionsRetired }, testTimeout).Should(BeEquivalentTo(number + 1))
 			Expect(first.Stats().Peers).To(BeZero())
 		}
 		Expect(first.Stats().ConnectionsOpened).To(BeEquivalentTo(3))
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -223,8 +223,8 @@
 	return goldenMessage{name: "traffic " + name, kind: kind, envelope: envelope}
 }
 
-// goldenNews is news of every sort, of a node with an IPv4 address and of one with a name.
-func goldenNews() []gossip.Update {
+// goldenUpdates is news of every sort, of a node with an IPv4 address and of one with a name.
+func goldenUpdates() []gossip.Update {
 	load := kvrouter.AddressLoad{Address: "10.1.0.1:8000"}
 	load.DecodeTokens, load.Requests = 1200, 3
 	load.PrefillTokens[0], load.PrefillTokens[4] = 512, 64
@@ -252,12 +252,12 @@
 
 func goldenTraffic() []goldenMessage {
 	return []goldenMessage{
-		trafficFrame("to the relay", KindTrafficNodeToRelay, gossip.Batch{Stage: gossip.NodeToRelay, Updates: goldenNews()}),
-		trafficFrame("between relays", KindTrafficRelayToRelay, gossip.Batch{Stage: gossip.RelayToRelay, Updates: goldenNews()}),
-		trafficFrame("from the relay", KindTrafficRelayToNodes, gossip.Batch{Stage: gossip.RelayToNodes, Updates: goldenNews()}),
-		trafficFrame("request of a started node", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotRequest, Updates: goldenNews()[1:]}),
-		trafficFrame("part of a response", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotChunk, Updates: goldenNews()}),
-		trafficFrame("end of a response", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotEnd, Updates: goldenNews()[1:]}),
+		trafficFrame("to the relay", KindTrafficNodeToRelay, gossip.Batch{Stage: gossip.NodeToRelay, Updates: goldenUpdates()}),
+		trafficFrame("between relays", KindTrafficRelayToRelay, gossip.Batch{Stage: gossip.RelayToRelay, Updates: goldenUpdates()}),
+		trafficFrame("from the relay", KindTrafficRelayToNodes, gossip.Batch{Stage: gossip.RelayToNodes, Updates: goldenUpdates()}),
+		trafficFrame("request of a started node", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotRequest, Updates: goldenUpdates()[1:]}),
+		trafficFrame("part of a response", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotChunk, Updates: goldenUpdates()}),
+		trafficFrame("end of a response", KindTrafficSnapshot, gossip.Batch{Stage: gossip.SnapshotEnd, Updates: goldenUpdates()[1:]}),
 	}
 }
 
