--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads the time that control decisions use.
+// Package clock reads the clock of control decisions: leases, time-outs and heartbeats
+// need one that never jumps and that counts the time for which a machine was suspended.
 package clock
 
 import (
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,4 +1,7 @@
-// Package disk is the twoslot.Disk on a data folder of the machine.
+// Package disk implements twoslot.Disk in a data folder of the machine. A Disk owns the
+// folder, which it locks against other processes until Close. Its methods make durable
+// what they write before they return. They may be called concurrently for different
+// files, and by one goroutine at a time for the same file.
 package disk
 
 import (
--- a/internal/edge/caller/doc.go
+++ b/internal/edge/caller/doc.go
@@ -1,6 +1,9 @@
-// Package caller speaks the protocol between callers and a node: HTTP/1.1 with
-// JSON errors. All header names and JSON shapes of that counterpart live here
-// and only here. docs/CALLERS.md describes them to callers.
+// Package caller speaks the product's own protocol with callers: HTTP/1.1 with JSON
+// errors. It parses the headers of requests and writes errors; the data plane does the
+// rest. All header names and JSON shapes of the protocol are declared here and used
+// nowhere else. docs/CALLERS.md describes them to callers.
+//
+// The package keeps no state. All functions may be called concurrently.
 package caller
 
 // Headers of a caller's request and of its response.
--- a/internal/edge/platform/endpoints.go
+++ b/internal/edge/platform/endpoints.go
@@ -1,5 +1,6 @@
-// Package platform speaks the protocol between a node and the platform that
-// starts, lists and stops back ends. The list may lag behind the truth.
+// Package platform speaks the product's own protocol with the platform that starts,
+// lists and stops back ends. The list may be out of date. A Client keeps no state but the
+// connections of its sender and may be used concurrently.
 package platform
 
 import (
--- a/internal/edge/replica/protocol.go
+++ b/internal/edge/replica/protocol.go
@@ -1,6 +1,3 @@
-// Package replica speaks the protocol between a node and a model replica:
-// HTTP/1.1 with JSON. All header names and JSON shapes of that counterpart live
-// here and only here.
 package replica
 
 // Paths of a replica's HTTP interface.
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -1,5 +1,7 @@
-// Package webservice speaks the protocol between a node and a plain web
-// service: the caller's request is forwarded as it is, and so is the response.
+// Package webservice speaks the protocol between a node and a plain web service: the
+// caller's request is forwarded as it is, and so is the response. A Client keeps no state
+// but the connections of its sender and may be used concurrently; a Response belongs to
+// one goroutine, which closes it.
 package webservice
 
 import (
--- a/pkg/config/dynamic/answers.go
+++ b/pkg/config/dynamic/answers.go
@@ -21,7 +21,7 @@
 	return log
 }
 
-// add keeps an answer and forgets the oldest one beyond the bound.
+// add appends an answer and removes the oldest one beyond the bound.
 func (l *answerLog) add(answer *controlpb.Answer) {
 	l.oldestFirst = append(l.oldestFirst, answer)
 	l.byID[answer.GetOrderId()] = answer
--- a/pkg/config/dynamic/document.go
+++ b/pkg/config/dynamic/document.go
@@ -20,10 +20,10 @@
 	documentDigestBytes = 16
 )
 
-// DocumentOrder orders a configuration that was made from a document of the
-// operator's. The document's versions take the place of base revisions, and its
-// identity follows from them and its content, so that a resend needs none of its
-// own. The error is an *Error or Errors.
+// DocumentOrder returns the order that applies a configuration which was made from a
+// document of the operator. The document's versions replace base revisions, and its
+// identity is derived from them and its content, so that a resend needs no identity of
+// its own. The error is an *Error or Errors.
 func DocumentOrder(configuration *ridgeswitchv1.Configuration, source *ridgeswitchv1.Source) (*controlpb.Order, error) {
 	if err := Validate(configuration); err != nil {
 		return nil, err
@@ -41,7 +41,8 @@
 	}, nil
 }
 
-// checkDocument checks what Validate does not see.
+// checkDocument checks what Validate does not: the size, the versions and the fields that
+// a document may not set.
 func checkDocument(configuration *ridgeswitchv1.Configuration, source *ridgeswitchv1.Source) error {
 	check := &checker{}
 	switch {
@@ -67,9 +68,8 @@
 		hex.EncodeToString(digest[:documentDigestBytes]))
 }
 
-// documentDigest covers the versions and the document. It leaves out the
-// configuration, which another release of a node may make otherwise of the same
-// document.
+// documentDigest covers the versions and the document, but not the configuration, which
+// a node of another release may translate differently.
 func documentDigest(source *ridgeswitchv1.Source) []byte {
 	digest := sha256.New()
 	// A hash never returns an error.
@@ -78,7 +78,7 @@
 	return digest.Sum(nil)
 }
 
-// documentConfiguration is the configuration that a document leads to: it leaves
+// documentConfiguration returns the configuration that a document leads to: it preserves
 // the evacuations in force, and the weight versions of pools that stay.
 func documentConfiguration(current *ridgeswitchv1.Configuration, document *controlpb.ApplyDocument) *ridgeswitchv1.Configuration {
 	next := withoutAssignedFields(document.GetConfiguration())
@@ -94,8 +94,8 @@
 	return next
 }
 
-// Source is the document that the configuration in force was made from, or nil.
-// It is shared: no one may write to it.
+// Source returns the document that the configuration in force was made from, or nil. It
+// is shared and must not be written.
 func (m *Machine) Source() *ridgeswitchv1.Source {
 	return m.source
 }
@@ -134,9 +134,8 @@
 	return nil
 }
 
-// adoptSource keeps the document of the configuration that an order has put in
-// force. A whole configuration without a document ends the one before; a single
-// change leaves it.
+// adoptSource stores the document of the configuration that an order has put in force. A
+// complete configuration without a document removes it; a single change preserves it.
 func (m *Machine) adoptSource(order *controlpb.Order) {
 	switch change := order.GetChange().(type) {
 	case *controlpb.Order_ApplyDocument:
--- a/pkg/config/dynamic/machine.go
+++ b/pkg/config/dynamic/machine.go
@@ -85,7 +85,7 @@
 }
 
 // Apply applies one command of the log and returns its answer. The answer is
-// the caller's own. A refused command changes nothing.
+// owned by the caller. A rejected command changes nothing.
 func (m *Machine) Apply(command *controlpb.Command) *controlpb.Answer {
 	switch command := command.GetCommand().(type) {
 	case *controlpb.Command_Order:
@@ -126,7 +126,7 @@
 	return m.accept(order)
 }
 
-// accept answers an order that is in force, and remembers the answer.
+// accept returns the answer to an order that is in force, and remembers it.
 func (m *Machine) accept(order *controlpb.Order) *controlpb.Answer {
 	answer := &controlpb.Answer{
 		OrderId:  order.GetOrderId(),
@@ -137,7 +137,7 @@
 	return proto.Clone(answer).(*controlpb.Answer)
 }
 
-// repeat answers an order whose identity was accepted before.
+// repeat returns the answer to an order whose identity was accepted before.
 func (m *Machine) repeat(order *controlpb.Order, first *controlpb.Answer) *controlpb.Answer {
 	if bytes.Equal(order.GetDigest(), first.GetDigest()) {
 		return first
@@ -149,9 +149,8 @@
 	})
 }
 
-// checkBase compares the revision that an order is based on with the one in
-// force. Only a single change may leave it open. A document names versions
-// instead.
+// checkBase compares the base revision of an order with the revision in force. Only a
+// single change may leave it out. A document has a base version instead.
 func (m *Machine) checkBase(order *controlpb.Order) error {
 	if document := order.GetApplyDocument(); document != nil {
 		return m.checkSourceBase(document.GetSource())
@@ -170,8 +169,8 @@
 	return &Error{Kind: KindBaseRevisionStale, Field: "order.base_revision", Message: message}
 }
 
-// adopt puts a configuration in force under the next revision, unless it is the
-// one in force already.
+// adopt puts a configuration in force under the next revision, unless it equals the one
+// in force.
 func (m *Machine) adopt(next *ridgeswitchv1.Configuration) {
 	next.Revision = m.configuration.GetRevision()
 	assignEpochs(m.configuration, next)
@@ -183,7 +182,7 @@
 	m.configuration = next
 }
 
-// refuse answers an order that changes nothing because of a fault.
+// refuse returns the answer to an order that is rejected because of a fault.
 func (m *Machine) refuse(order *controlpb.Order, fault error) *controlpb.Answer {
 	return &controlpb.Answer{
 		OrderId:  order.GetOrderId(),
--- a/pkg/config/dynamic/registry.go
+++ b/pkg/config/dynamic/registry.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// registry holds the nodes that an acknowledgement waits for, each with the
+// registry is the set of nodes that an acknowledgement waits for, each with the
 // newest incarnation that registered.
 type registry struct {
 	incarnations map[string]uint64
@@ -23,13 +23,13 @@
 	return r
 }
 
-// register counts a node. A command of an older incarnation changes nothing.
+// register adds a node. An older incarnation than the registered one changes nothing.
 func (r *registry) register(node *controlpb.RegisterNode) {
 	r.incarnations[node.GetNode()] = max(r.incarnations[node.GetNode()], node.GetIncarnation())
 }
 
 // forget ends the registration of an incarnation and of those before it. A
-// newer incarnation that has registered meanwhile stays.
+// newer incarnation that has registered since stays.
 func (r *registry) forget(node *controlpb.ForgetNode) {
 	if r.incarnations[node.GetNode()] <= node.GetIncarnation() {
 		delete(r.incarnations, node.GetNode())
