--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -85,7 +85,7 @@
 			world.operators.issue(order)
 			world.awaitEvacuation(order, func() {
 				for _, one := range world.nodes {
-					world.restartAfter(one, world.upTo(second))
+					world.faults.restartAfter(one, world.upTo(second))
 				}
 				for _, one := range world.diskNodes() {
 					one.storage.slow = 0
@@ -126,14 +126,14 @@
 	}{
 		{"the core is cut in two halves", func(world *simulation) {
 			disks := world.diskNodes()
-			world.partitionFor(disks[:len(disks)/2], disks[len(disks)/2:], true)
+			world.faults.partitionFor(disks[:len(disks)/2], disks[len(disks)/2:], true)
 		}},
 		{"the leader is cut off", func(world *simulation) {
-			world.partitionFor([]*node{world.leaderOfConfiguration()}, world.nodes, true)
+			world.faults.partitionFor([]*node{world.leaderOfConfiguration()}, world.nodes, true)
 		}},
-		{"a zone is cut off", (*simulation).isolateZone},
+		{"a zone is cut off", func(world *simulation) { world.faults.isolateZone() }},
 		{"no message of a node with a disk arrives", func(world *simulation) {
-			world.partitionFor([]*node{pick(world, world.diskNodes())}, world.nodes, false)
+			world.faults.partitionFor([]*node{pick(world, world.diskNodes())}, world.nodes, false)
 		}},
 	}
 	for _, one := range cuts {
@@ -177,7 +177,7 @@
 // without it, by one that must get its vote in time.
 func (w *simulation) replaceWhenHealthy() {
 	const pollInterval = 10 * time.Millisecond
-	victims := lo.Filter(w.replaceableMachines(), func(one *node, _ int) bool { return w.isVoterEverywhere(one) })
+	victims := lo.Filter(w.faults.replaceableMachines(), func(one *node, _ int) bool { return w.isVoterEverywhere(one) })
 	if len(victims) == 0 {
 		w.after(pollInterval, w.replaceWhenHealthy)
 		return
--- a/internal/lab/sim/disk_faults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -12,18 +12,18 @@
 )
 
 // slowDisk makes the writes of one node slow.
-func (w *simulation) slowDisk() {
-	victim := pick(w, w.diskNodes())
-	victim.storage.slow = 20*time.Millisecond + w.upTo(700*time.Millisecond)
-	w.after(w.faultDuration(2*time.Second, 6*time.Second), func() { victim.storage.slow = 0 })
+func (f *faultInjector) slowDisk() {
+	victim := pick(f.world, f.world.diskNodes())
+	victim.storage.slow = 20*time.Millisecond + f.world.upTo(700*time.Millisecond)
+	f.world.after(f.duration(2*time.Second, 6*time.Second), func() { victim.storage.slow = 0 })
 }
 
 // losePowerAfterAck stops all core nodes as soon as an operator has an
 // acknowledgement. The disks are slowed a little, so that writes are pending at
 // that instant.
-func (w *simulation) losePowerAfterAck() {
+func (f *faultInjector) losePowerAfterAck() {
 	const slow = 80 * time.Millisecond
-	disks := w.diskNodes()
+	disks := f.world.diskNodes()
 	for _, one := range disks {
 		one.storage.slow = slow
 	}
@@ -32,23 +32,23 @@
 			one.storage.slow = 0
 		}
 	}
-	order := w.operators.addKey(0)
-	w.operators.issue(order)
-	w.whenAcknowledged(order, func() {
+	order := f.world.operators.addKey(0)
+	f.world.operators.issue(order)
+	f.whenAcknowledged(order, func() {
 		for _, one := range disks {
-			w.restartAfter(one, w.faultDuration(100*time.Millisecond, 2*time.Second))
+			f.restartAfter(one, f.duration(100*time.Millisecond, 2*time.Second))
 		}
 		restoreDisks()
 	}, restoreDisks)
 }
 
 // fullDisk makes a disk refuse all writes for a while.
-func (w *simulation) fullDisk() {
-	victim := pick(w, w.diskNodes())
+func (f *faultInjector) fullDisk() {
+	victim := pick(f.world, f.world.diskNodes())
 	disk := victim.storage.disk
 	disk.SetFull(true)
 	victim.storage.full = true
-	w.after(w.faultDuration(time.Second, 4*time.Second), func() {
+	f.world.after(f.duration(time.Second, 4*time.Second), func() {
 		disk.SetFull(false)
 		victim.storage.full = false
 	})
@@ -56,10 +56,10 @@
 
 // loseDisk replaces a machine: its disk is empty, its clock starts from zero, and
 // its address may change.
-func (w *simulation) loseDisk() {
-	victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return w.canLose(one) })
+func (f *faultInjector) loseDisk() {
+	victims := lo.Filter(f.world.diskNodes(), func(one *node, _ int) bool { return f.canLose(one) })
 	if len(victims) > 0 {
-		w.replaceMachine(pick(w, victims))
+		f.replaceMachine(pick(f.world, victims))
 	}
 }
 
@@ -67,23 +67,23 @@
 // after an acknowledgement, while all other nodes lose power at the same instant.
 // The nodes whose disks are lost come back at their addresses, at any time among
 // the others.
-func (w *simulation) loseDisksAsPowerFails() {
-	order := w.operators.addKey(0)
-	w.operators.issue(order)
-	w.whenAcknowledged(order, func() {
-		if w.majorityLost {
+func (f *faultInjector) loseDisksAsPowerFails() {
+	order := f.world.operators.addKey(0)
+	f.world.operators.issue(order)
+	f.whenAcknowledged(order, func() {
+		if f.majorityLost {
 			return
 		}
-		victims := w.tolerableLoss()
+		victims := f.tolerableLoss()
 		if len(victims) > 0 {
-			w.counts.Faults["disks-lost-with-power-off"]++
+			f.world.counts.Faults["disks-lost-with-power-off"]++
 		}
-		for _, one := range w.nodes {
+		for _, one := range f.world.nodes {
 			switch {
 			case lo.Contains(victims, one):
-				w.replaceMachineAt(one, false)
+				f.replaceMachineAt(one, false)
 			case !one.removed:
-				w.restartAfter(one, w.faultDuration(100*time.Millisecond, 2*time.Second))
+				f.restartAfter(one, f.duration(100*time.Millisecond, 2*time.Second))
 			}
 		}
 	}, func() {})
@@ -91,11 +91,11 @@
 
 // tolerableLoss returns, in random order, as many nodes as may lose their disks
 // at one instant.
-func (w *simulation) tolerableLoss() []*node {
+func (f *faultInjector) tolerableLoss() []*node {
 	var victims []*node
-	disks := w.diskNodes()
-	for _, position := range w.random.Perm(len(disks)) {
-		if one := disks[position]; one.up && w.canLose(append(victims, one)...) {
+	disks := f.world.diskNodes()
+	for _, position := range f.world.random.Perm(len(disks)) {
+		if one := disks[position]; one.up && f.canLose(append(victims, one)...) {
 			victims = append(victims, one)
 		}
 	}
@@ -105,9 +105,9 @@
 // canLose reports whether every shard keeps a majority of its voters without the
 // disks of some nodes. A voter whose disk was lost counts until it is replaced,
 // and one that is about to leave counts as lost.
-func (w *simulation) canLose(victims ...*node) bool {
-	for shard := range w.serviceShards + 1 {
-		slots, known := w.memberSlots(shard)
+func (f *faultInjector) canLose(victims ...*node) bool {
+	for shard := range f.world.serviceShards + 1 {
+		slots, known := f.world.memberSlots(shard)
 		if !known {
 			return false
 		}
@@ -117,7 +117,7 @@
 				continue
 			}
 			voters++
-			member := w.nodeNamed(slot.ID)
+			member := f.world.nodeNamed(slot.ID)
 			if !lo.Contains(victims, member) && !member.removed && !member.leaving && member.storage.incarnation == slot.Incarnation {
 				healthy++
 			}
@@ -156,47 +156,47 @@
 
 // loseDiskTwice takes a second disk as soon as the first loss is repaired, that
 // is, as soon as the shards can do without any one disk again.
-func (w *simulation) loseDiskTwice() {
+func (f *faultInjector) loseDiskTwice() {
 	const timeout = 12 * time.Second
 	const pollInterval = 20 * time.Millisecond
-	w.loseDisk()
-	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart()-time.Second)
+	f.loseDisk()
+	deadline := min(f.world.now+timeout, f.world.settings.recoveryPhaseStart()-time.Second)
 	var poll func()
 	poll = func() {
-		victims := lo.Filter(w.diskNodes(), func(one *node, _ int) bool { return one.up && w.canLose(one) })
+		victims := lo.Filter(f.world.diskNodes(), func(one *node, _ int) bool { return one.up && f.canLose(one) })
 		switch {
-		case len(victims) == len(w.diskNodes()):
-			w.logf(worldColumn, "repaired")
-			w.counts.Faults["disk-lost-after-repair"]++
-			w.replaceMachine(pick(w, victims))
-		case w.now < deadline:
-			w.after(pollInterval, poll)
+		case len(victims) == len(f.world.diskNodes()):
+			f.world.logf(worldColumn, "repaired")
+			f.world.counts.Faults["disk-lost-after-repair"]++
+			f.replaceMachine(pick(f.world, victims))
+		case f.world.now < deadline:
+			f.world.after(pollInterval, poll)
 		}
 	}
-	w.after(pollInterval, poll)
+	f.world.after(pollInterval, poll)
 }
 
 // replaceMachine replaces a node's machine, with a probability of one half at
 // another address.
-func (w *simulation) replaceMachine(victim *node) {
-	if w.settings.FailOpen {
-		w.replaceOrWipe(victim)
+func (f *faultInjector) replaceMachine(victim *node) {
+	if f.world.settings.FailOpen {
+		f.replaceOrWipe(victim)
 		return
 	}
-	w.replaceMachineAt(victim, w.chance(0.5))
+	f.replaceMachineAt(victim, f.world.chance(0.5))
 }
 
-func (w *simulation) replaceMachineAt(victim *node, elsewhere bool) {
+func (f *faultInjector) replaceMachineAt(victim *node, elsewhere bool) {
 	victim.logf("disk lost")
 	victim.stop()
 	victim.storage.disk.Lose()
-	victim.storage.incarnation = w.newDiskIncarnation()
+	victim.storage.incarnation = f.world.newDiskIncarnation()
 	victim.storage.founders = nil
-	victim.clock.base = time.Second + w.upTo(maxUptime) - w.now
+	victim.clock.base = time.Second + f.world.upTo(maxUptime) - f.world.now
 	if elsewhere {
-		w.move(victim)
+		f.world.move(victim)
 	}
-	w.after(w.faultDuration(300*time.Millisecond, 2*time.Second), victim.start)
+	f.world.after(f.duration(300*time.Millisecond, 2*time.Second), victim.start)
 }
 
 // newDiskIncarnation returns the incarnation of a disk that is found empty.
@@ -212,55 +212,55 @@
 // loseDiskAfterAck takes the disk of one of the two members that hold an order,
 // right after its acknowledgement, while the third member comes back without the
 // order and the second one is down.
-func (w *simulation) loseDiskAfterAck() {
-	disks := w.diskNodes()
-	victims := lo.Filter(disks, func(one *node, _ int) bool { return w.canLose(one) && one.up })
+func (f *faultInjector) loseDiskAfterAck() {
+	disks := f.world.diskNodes()
+	victims := lo.Filter(disks, func(one *node, _ int) bool { return f.canLose(one) && one.up })
 	if len(victims) == 0 || len(disks) != 3 {
-		w.loseDisk()
+		f.loseDisk()
 		return
 	}
-	victim := pick(w, victims)
+	victim := pick(f.world, victims)
 	others := lo.Without(disks, victim)
 	late, second := others[0], others[1]
-	if w.chance(0.5) {
+	if f.world.chance(0.5) {
 		late, second = second, late
 	}
-	w.network.changeBlocked([]*node{late}, w.nodes, 1)
-	w.network.changeBlocked(w.nodes, []*node{late}, 1)
-	w.after(1500*time.Millisecond, func() {
-		order := w.operators.addKey(0)
-		w.operators.issue(order)
-		w.whenAcknowledged(order, func() {
+	f.world.network.changeBlocked([]*node{late}, f.world.nodes, 1)
+	f.world.network.changeBlocked(f.world.nodes, []*node{late}, 1)
+	f.world.after(1500*time.Millisecond, func() {
+		order := f.world.operators.addKey(0)
+		f.world.operators.issue(order)
+		f.whenAcknowledged(order, func() {
 			// Another disk may have been lost meanwhile.
-			if w.canLose(victim) {
-				w.replaceMachine(victim)
-				w.restartAfter(second, w.faultDuration(4*time.Second, 2*time.Second))
+			if f.canLose(victim) {
+				f.replaceMachine(victim)
+				f.restartAfter(second, f.duration(4*time.Second, 2*time.Second))
 			}
-			w.reconnect(late)
-		}, func() { w.reconnect(late) })
+			f.reconnect(late)
+		}, func() { f.reconnect(late) })
 	})
 }
 
-func (w *simulation) reconnect(late *node) {
-	w.network.changeBlocked([]*node{late}, w.nodes, -1)
-	w.network.changeBlocked(w.nodes, []*node{late}, -1)
+func (f *faultInjector) reconnect(late *node) {
+	f.world.network.changeBlocked([]*node{late}, f.world.nodes, -1)
+	f.world.network.changeBlocked(f.world.nodes, []*node{late}, -1)
 }
 
 // whenAcknowledged runs then once an order is acknowledged, or otherwise if that
 // does not happen within a few seconds.
-func (w *simulation) whenAcknowledged(order *operatorOrder, then, otherwise func()) {
+func (f *faultInjector) whenAcknowledged(order *operatorOrder, then, otherwise func()) {
 	const timeout = 4 * time.Second
 	const pollInterval = 500 * time.Microsecond
-	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart())
+	deadline := min(f.world.now+timeout, f.world.settings.recoveryPhaseStart())
 	var poll func()
 	poll = func() {
 		switch {
 		case order.finished && order.outcome == checker.OutcomeAcknowledged:
 			then()
-		case w.now >= deadline || order.finished:
+		case f.world.now >= deadline || order.finished:
 			otherwise()
 		default:
-			w.after(pollInterval, poll)
+			f.world.after(pollInterval, poll)
 		}
 	}
 	poll()
--- a/internal/lab/sim/endpoint_faults.go
+++ b/internal/lab/sim/endpoint_faults.go
@@ -5,10 +5,10 @@
 // endpointFaultKinds are the faults of the endpoint list and of the node that
 // reads it. Runs on the product's own protocols draw them only by name.
 var endpointFaultKinds = []faultKind{
-	{"reader-crash", 4, (*simulation).crashReader},
-	{"reader-freeze", 4, (*simulation).freezeReader},
-	{"reader-cut", 4, (*simulation).isolateReader},
-	{"platform-down", 2, (*simulation).stopPlatform},
+	{"reader-crash", 4, (*faultInjector).crashReader},
+	{"reader-freeze", 4, (*faultInjector).freezeReader},
+	{"reader-cut", 4, (*faultInjector).isolateReader},
+	{"platform-down", 2, (*faultInjector).stopPlatform},
 }
 
 // maxReaderFaultDelay bounds the time from a replica's removal to the reader's
@@ -17,40 +17,40 @@
 
 // reader returns the node that reads the endpoint list, or a random node if none
 // does.
-func (w *simulation) reader() *node {
-	for _, one := range w.nodes {
+func (f *faultInjector) reader() *node {
+	for _, one := range f.world.nodes {
 		if one.up && !one.frozen && one.machine.ReadsEndpoints() {
 			return one
 		}
 	}
-	return pick(w, w.nodes)
+	return pick(f.world, f.world.nodes)
 }
 
 // crashReader stops the reader at about the time when a replica leaves the list.
-func (w *simulation) crashReader() {
-	w.drainOrRemoveReplica()
-	w.after(w.upTo(maxReaderFaultDelay), func() {
-		w.restartAfter(w.reader(), w.faultDuration(100*time.Millisecond, 6*time.Second))
+func (f *faultInjector) crashReader() {
+	f.drainOrRemoveReplica()
+	f.world.after(f.world.upTo(maxReaderFaultDelay), func() {
+		f.restartAfter(f.reader(), f.duration(100*time.Millisecond, 6*time.Second))
 	})
 }
 
-func (w *simulation) freezeReader() {
-	w.drainOrRemoveReplica()
-	w.after(w.upTo(maxReaderFaultDelay), func() { w.reader().freeze(w.faultDuration(time.Second, 9*time.Second)) })
+func (f *faultInjector) freezeReader() {
+	f.drainOrRemoveReplica()
+	f.world.after(f.world.upTo(maxReaderFaultDelay), func() { f.reader().freeze(f.duration(time.Second, 9*time.Second)) })
 }
 
-func (w *simulation) isolateReader() {
-	w.drainOrRemoveReplica()
-	w.after(w.upTo(maxReaderFaultDelay), func() { w.partitionFor([]*node{w.reader()}, w.nodes, w.chance(0.5)) })
+func (f *faultInjector) isolateReader() {
+	f.drainOrRemoveReplica()
+	f.world.after(f.world.upTo(maxReaderFaultDelay), func() { f.partitionFor([]*node{f.reader()}, f.world.nodes, f.world.chance(0.5)) })
 }
 
 // stopPlatform has every read of the list fail for a while.
-func (w *simulation) stopPlatform() {
-	w.platform.down++
-	w.logf(worldColumn, "platform down")
-	w.after(w.faultDuration(time.Second, 6*time.Second), func() {
-		w.platform.down--
-		w.platform.backAt = w.now
-		w.logf(worldColumn, "platform back")
+func (f *faultInjector) stopPlatform() {
+	f.world.platform.down++
+	f.world.logf(worldColumn, "platform down")
+	f.world.after(f.duration(time.Second, 6*time.Second), func() {
+		f.world.platform.down--
+		f.world.platform.backAt = f.world.now
+		f.world.logf(worldColumn, "platform back")
 	})
 }
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -106,9 +106,9 @@
 			world.at(7*second, func() {
 				order := world.operators.addKey(0)
 				world.operators.issue(order)
-				world.whenAcknowledged(order, func() {
+				world.faults.whenAcknowledged(order, func() {
 					for _, one := range world.nodes {
-						world.restartAfter(one, world.upTo(second))
+						world.faults.restartAfter(one, world.upTo(second))
 					}
 					// All serve by then, and nothing is gone.
 					world.after(RecoveryBound, func() {
@@ -126,7 +126,7 @@
 	It("takes a founder that lost its disk back with a vote, and never forms a second time", func() {
 		playAll(func(world *simulation) {
 			world.startAll()
-			world.at(7*second, func() { world.replaceMachineAt(world.nodes[world.random.IntN(maxSeeds)], false) })
+			world.at(7*second, func() { world.faults.replaceMachineAt(world.nodes[world.random.IntN(maxSeeds)], false) })
 			world.at(7*second+2*second+promotionBound, func() {
 				if !world.everyMemberIsVoter() {
 					world.violate("vote_regained", "a founder has no vote in its new life")
@@ -147,7 +147,7 @@
 						added = world.addMachine(victim.info.Zone)
 					} else {
 						added = world.addMachine(victim.info.Zone)
-						world.after(promotionBound, func() { world.shutDownThen(victim, func() { world.removeMachine(victim) }) })
+						world.after(promotionBound, func() { world.faults.shutDownThen(victim, func() { world.removeMachine(victim) }) })
 					}
 					added.start()
 					world.after(promotionBound, func() {
@@ -166,10 +166,10 @@
 			world.at(7*second, func() {
 				voters := len(world.diskNodes())
 				for range (voters - 1) / 2 {
-					victim := pick(world, world.replaceableMachines())
-					world.shutDownThen(victim, func() { world.removeMachine(victim) })
+					victim := pick(world, world.faults.replaceableMachines())
+					world.faults.shutDownThen(victim, func() { world.removeMachine(victim) })
 				}
-				if victims := world.replaceableMachines(); len(victims) > 0 {
+				if victims := world.faults.replaceableMachines(); len(victims) > 0 {
 					world.violate("majority_kept", "%d of %d voters may go as well", len(victims), voters)
 				}
 				for range (voters - 1) / 2 {
@@ -209,7 +209,7 @@
 					orders = append(orders, order)
 					world.operators.submitTo(cut, order)
 				}
-				world.after(failOpenAcknowledge, func() { world.reconnect(cut) })
+				world.after(failOpenAcknowledge, func() { world.faults.reconnect(cut) })
 			})
 			world.at(12*second, func() {
 				for _, order := range orders {
@@ -232,7 +232,7 @@
 		faults := []func(world *simulation, victim *node){
 			func(_ *simulation, victim *node) { victim.stop() },
 			func(_ *simulation, victim *node) { victim.freeze(15 * second) },
-			func(world *simulation, victim *node) { world.partitionFor([]*node{victim}, world.nodes, true) },
+			func(world *simulation, victim *node) { world.faults.partitionFor([]*node{victim}, world.nodes, true) },
 			func(_ *simulation, victim *node) { victim.storage.slow = 150 * time.Millisecond },
 			func(_ *simulation, victim *node) { victim.storage.disk.SetFull(true) },
 		}
@@ -273,7 +273,7 @@
 						return
 					}
 					followers := lo.Without(world.diskNodes(), world.leaderOfConfiguration())
-					world.replaceMachineAt(followers[0], false)
+					world.faults.replaceMachineAt(followers[0], false)
 					followers[1].storage.disk.SetFull(true)
 					followers[1].storage.full = true
 					world.at(11*second, func() {
@@ -301,7 +301,7 @@
 				others := lo.Without(world.nodes, victim)
 				victim.stop()
 				for position, one := range others {
-					world.after(time.Duration(position)*50*time.Millisecond, func() { world.restartAfter(one, 10*time.Millisecond) })
+					world.after(time.Duration(position)*50*time.Millisecond, func() { world.faults.restartAfter(one, 10*time.Millisecond) })
 				}
 			})
 			for round := range 5 {
@@ -340,7 +340,7 @@
 					}
 				})
 			})
-			world.at(15*second, world.endFaults)
+			world.at(15*second, world.faults.end)
 		})
 	})
 
@@ -355,7 +355,7 @@
 					if !cut.serving() {
 						world.violate("fails_open", "%s does not serve while it is cut off", cut.info.ID)
 					}
-					world.reconnect(cut)
+					world.faults.reconnect(cut)
 				})
 			})
 		})
@@ -366,7 +366,7 @@
 			world.startAll()
 			for round := range 4 {
 				world.at(time.Duration(8+5*round)*second, func() {
-					world.loseRelayParent()
+					world.faults.loseRelayParent()
 					world.after(world.upTo(300*time.Millisecond), func() { world.operators.issue(world.operators.addKey(0)) })
 				})
 			}
@@ -378,7 +378,7 @@
 			world.startAll()
 			world.at(7*second, func() {
 				leader := world.leaderOfConfiguration()
-				world.partitionFor([]*node{leader}, world.nodes, true)
+				world.faults.partitionFor([]*node{leader}, world.nodes, true)
 				read := world.operators.readConfiguration()
 				first, other := world.operators.changedDocumentOrder(read), world.operators.changedDocumentOrder(read)
 				for _, order := range []*operatorOrder{first, other} {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -9,49 +9,63 @@
 	"github.com/samber/lo"
 )
 
+// faultInjector draws and starts the faults of a run, and owns what other parts of
+// the simulation have to know of the active ones.
+type faultInjector struct {
+	world *simulation
+	// delayedCommandFaults counts the active faults that delay commands.
+	delayedCommandFaults int
+	// majorityLost is set from the loss of a majority of the disks until the
+	// replica groups have been formed again, majorityLostAt when it began.
+	majorityLost   bool
+	majorityLostAt time.Duration
+	// freezeNextCommand suspends the next node that is about to send a command.
+	freezeNextCommand bool
+}
+
 // faultKind is one way to disturb what surrounds the control machines. A fault
 // must end by itself before the recovery phase.
 type faultKind struct {
 	name string
 	// weight is how often the kind is drawn, relative to others.
 	weight int
-	start  func(*simulation)
+	start  func(*faultInjector)
 }
 
 // faultKinds are all kinds that are drawn by default.
 var faultKinds = []faultKind{
-	{"crash", 4, (*simulation).crashNode},
-	{"crash-many", 3, (*simulation).crashMany},
-	{"rolling-restart", 2, (*simulation).rollingRestart},
-	{"disk-lost", 2, (*simulation).loseDisk},
-	{"disk-lost-twice", 3, (*simulation).loseDiskTwice},
-	{"disk-lost-after-ack", 3, (*simulation).loseDiskAfterAck},
-	{"disks-lost-in-power-cut", 3, (*simulation).loseDisksAsPowerFails},
-	{"majority-disk-loss", 3, (*simulation).loseMajority},
-	{"slow-disk", 3, (*simulation).slowDisk},
-	{"full-disk", 2, (*simulation).fullDisk},
-	{"freeze", 4, (*simulation).freezeNode},
-	{"freeze-leader", 4, (*simulation).freezeLeader},
-	{"freeze-at-command", 4, (*simulation).freezeAtCommand},
-	{"power-lost-after-ack", 3, (*simulation).losePowerAfterAck},
-	{"clock-jump", 2, (*simulation).jumpClock},
-	{"partition", 3, (*simulation).partition},
-	{"one-way-partition", 3, (*simulation).partitionOneWay},
-	{"core-split", 3, (*simulation).splitCore},
-	{"zone-cut", 3, (*simulation).isolateZone},
-	{"node-cut", 3, (*simulation).isolateNode},
-	{"message-storm", 4, (*simulation).messageStorm},
-	{"config-storm", 2, (*simulation).configStorm},
-	{"weights-overtaken", 3, (*simulation).supersedeWeights},
-	{"stuck-commands", 3, (*simulation).delayCommands},
-	{"machine-replaced", 4, (*simulation).replaceUnplanned},
-	{"machine-replaced-planned", 3, (*simulation).replacePlanned},
-	{"two-machines-replaced", 3, (*simulation).replaceTwo},
-	{"seeds-moved", 2, (*simulation).changeSeeds},
-	{"relay-parent-lost", 4, (*simulation).loseRelayParent},
-	{"replica-crash", 3, (*simulation).crashReplica},
-	{"replica-listing", 3, (*simulation).drainOrRemoveReplica},
-	{"platform-lag", 2, (*simulation).lagPlatform},
+	{"crash", 4, (*faultInjector).crashNode},
+	{"crash-many", 3, (*faultInjector).crashMany},
+	{"rolling-restart", 2, (*faultInjector).rollingRestart},
+	{"disk-lost", 2, (*faultInjector).loseDisk},
+	{"disk-lost-twice", 3, (*faultInjector).loseDiskTwice},
+	{"disk-lost-after-ack", 3, (*faultInjector).loseDiskAfterAck},
+	{"disks-lost-in-power-cut", 3, (*faultInjector).loseDisksAsPowerFails},
+	{"majority-disk-loss", 3, (*faultInjector).loseMajority},
+	{"slow-disk", 3, (*faultInjector).slowDisk},
+	{"full-disk", 2, (*faultInjector).fullDisk},
+	{"freeze", 4, (*faultInjector).freezeNode},
+	{"freeze-leader", 4, (*faultInjector).freezeLeader},
+	{"freeze-at-command", 4, (*faultInjector).freezeAtCommand},
+	{"power-lost-after-ack", 3, (*faultInjector).losePowerAfterAck},
+	{"clock-jump", 2, (*faultInjector).jumpClock},
+	{"partition", 3, (*faultInjector).partition},
+	{"one-way-partition", 3, (*faultInjector).partitionOneWay},
+	{"core-split", 3, (*faultInjector).splitCore},
+	{"zone-cut", 3, (*faultInjector).isolateZone},
+	{"node-cut", 3, (*faultInjector).isolateNode},
+	{"message-storm", 4, (*faultInjector).messageStorm},
+	{"config-storm", 2, (*faultInjector).configStorm},
+	{"weights-overtaken", 3, (*faultInjector).supersedeWeights},
+	{"stuck-commands", 3, (*faultInjector).delayCommands},
+	{"machine-replaced", 4, (*faultInjector).replaceUnplanned},
+	{"machine-replaced-planned", 3, (*faultInjector).replacePlanned},
+	{"two-machines-replaced", 3, (*faultInjector).replaceTwo},
+	{"seeds-moved", 2, (*faultInjector).changeSeeds},
+	{"relay-parent-lost", 4, (*faultInjector).loseRelayParent},
+	{"replica-crash", 3, (*faultInjector).crashReplica},
+	{"replica-listing", 3, (*faultInjector).drainOrRemoveReplica},
+	{"platform-lag", 2, (*faultInjector).lagPlatform},
 }
 
 // Bounds of the schedule of faults.
@@ -63,26 +77,26 @@
 	faultFreeEnd = time.Second
 )
 
-// scheduleFaults schedules the faults of the run.
-func (w *simulation) scheduleFaults() {
-	kinds := w.applicableFaultKinds()
+// schedule schedules the faults of the run.
+func (f *faultInjector) schedule() {
+	kinds := f.applicableKinds()
 	weights := lo.SumBy(kinds, func(kind faultKind) int { return kind.weight })
-	span := w.settings.recoveryPhaseStart() - formation - faultFreeEnd
-	for range minFaults + w.plan.IntN(faultSpread) {
-		kind := weightedKind(kinds, w.plan.IntN(weights))
-		w.at(formation+w.planned(span), func() { w.startFault(kind) })
+	span := f.world.settings.recoveryPhaseStart() - formation - faultFreeEnd
+	for range minFaults + f.world.plan.IntN(faultSpread) {
+		kind := weightedKind(kinds, f.world.plan.IntN(weights))
+		f.world.at(formation+f.world.planned(span), func() { f.start(kind) })
 	}
-	w.at(w.settings.recoveryPhaseStart(), w.endFaults)
+	f.world.at(f.world.settings.recoveryPhaseStart(), f.end)
 }
 
-// applicableFaultKinds returns the kinds that the run draws from.
-func (w *simulation) applicableFaultKinds() []faultKind {
-	if w.settings.FailOpen {
-		return lo.Filter(selectedFaultKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
+// applicableKinds returns the kinds that the run draws from.
+func (f *faultInjector) applicableKinds() []faultKind {
+	if f.world.settings.FailOpen {
+		return lo.Filter(selectedFaultKinds(f.world.settings.Faults, f.world.settings.FinishFirst), func(kind faultKind, _ int) bool {
 			return !lo.Contains(configuredGroupFaults, kind.name)
 		})
 	}
-	return lo.Filter(selectedFaultKinds(w.settings.Faults, w.settings.FinishFirst), func(kind faultKind, _ int) bool {
+	return lo.Filter(selectedFaultKinds(f.world.settings.Faults, f.world.settings.FinishFirst), func(kind faultKind, _ int) bool {
 		return !lo.Contains(seededGroupFaults, kind.name)
 	})
 }
@@ -134,30 +148,30 @@
 	return nil
 }
 
-func (w *simulation) startFault(kind faultKind) {
-	if w.majorityLost && !lo.Contains(faultsDuringMajorityLoss, kind.name) {
+func (f *faultInjector) start(kind faultKind) {
+	if f.majorityLost && !lo.Contains(faultsDuringMajorityLoss, kind.name) {
 		return
 	}
-	w.counts.Faults[kind.name]++
-	w.logf(worldColumn, "FAULT %s", kind.name)
-	kind.start(w)
+	f.world.counts.Faults[kind.name]++
+	f.world.logf(worldColumn, "FAULT %s", kind.name)
+	kind.start(f)
 }
 
-// faultDuration returns a random duration of at least shortest, cut short so that
+// duration returns a random duration of at least shortest, cut short so that
 // the fault ends before the recovery phase.
-func (w *simulation) faultDuration(shortest, spread time.Duration) time.Duration {
-	left := max(0, w.settings.recoveryPhaseStart()-w.now)
-	return min(shortest+w.upTo(spread), left)
+func (f *faultInjector) duration(shortest, spread time.Duration) time.Duration {
+	left := max(0, f.world.settings.recoveryPhaseStart()-f.world.now)
+	return min(shortest+f.world.upTo(spread), left)
 }
 
-// endFaults restarts what is down at the beginning of the recovery phase.
-func (w *simulation) endFaults() {
-	w.logf(worldColumn, "CALM")
-	w.freezeNextCommand = false
-	for _, one := range w.nodes {
+// end restarts what is down at the beginning of the recovery phase.
+func (f *faultInjector) end() {
+	f.world.logf(worldColumn, "CALM")
+	f.freezeNextCommand = false
+	for _, one := range f.world.nodes {
 		one.start()
 	}
-	for _, entry := range w.platform.entries() {
+	for _, entry := range f.world.platform.entries() {
 		entry.replica.restart(entry.replica.lastVersion)
 	}
 }
@@ -168,74 +182,74 @@
 }
 
 // restartAfter stops a node and starts it again after a time.
-func (w *simulation) restartAfter(one *node, down time.Duration) {
+func (f *faultInjector) restartAfter(one *node, down time.Duration) {
 	one.stop()
-	w.after(down, one.start)
+	f.world.after(down, one.start)
 }
 
-func (w *simulation) crashNode() {
-	w.restartAfter(pick(w, w.nodes), w.faultDuration(100*time.Millisecond, 4*time.Second))
+func (f *faultInjector) crashNode() {
+	f.restartAfter(pick(f.world, f.world.nodes), f.duration(100*time.Millisecond, 4*time.Second))
 }
 
 // crashMany stops random nodes at one instant, with a probability of one half all
 // core nodes among them, as when the power fails.
-func (w *simulation) crashMany() {
-	victims := w.randomNodes()
-	if w.chance(0.5) {
-		victims = append(victims, w.diskNodes()...)
+func (f *faultInjector) crashMany() {
+	victims := f.randomNodes()
+	if f.world.chance(0.5) {
+		victims = append(victims, f.world.diskNodes()...)
 	}
 	for _, one := range lo.Uniq(victims) {
-		w.restartAfter(one, w.faultDuration(100*time.Millisecond, 3*time.Second))
+		f.restartAfter(one, f.duration(100*time.Millisecond, 3*time.Second))
 	}
 }
 
 // randomNodes returns a random number of nodes, at least one.
-func (w *simulation) randomNodes() []*node {
-	order := w.random.Perm(len(w.nodes))
-	count := 1 + w.random.IntN(len(w.nodes))
-	return lo.Map(order[:count], func(position, _ int) *node { return w.nodes[position] })
+func (f *faultInjector) randomNodes() []*node {
+	order := f.world.random.Perm(len(f.world.nodes))
+	count := 1 + f.world.random.IntN(len(f.world.nodes))
+	return lo.Map(order[:count], func(position, _ int) *node { return f.world.nodes[position] })
 }
 
 // rollingRestart shuts the nodes down gracefully and starts them again, one after
 // the other.
-func (w *simulation) rollingRestart() {
+func (f *faultInjector) rollingRestart() {
 	const between = 600 * time.Millisecond
 	const leaveGrace = 200 * time.Millisecond
-	for position, one := range w.nodes {
+	for position, one := range f.world.nodes {
 		start := time.Duration(position) * between
-		if w.now+start+between > w.settings.recoveryPhaseStart() {
+		if f.world.now+start+between > f.world.settings.recoveryPhaseStart() {
 			return
 		}
-		w.after(start, func() {
+		f.world.after(start, func() {
 			if one.removed || !one.up {
 				return
 			}
 			one.post(one.process, one.machine.Leave)
-			w.after(leaveGrace, func() { w.restartAfter(one, w.faultDuration(50*time.Millisecond, 300*time.Millisecond)) })
+			f.world.after(leaveGrace, func() { f.restartAfter(one, f.duration(50*time.Millisecond, 300*time.Millisecond)) })
 		})
 	}
 }
 
 // freezeNode suspends a process for long without ending it.
-func (w *simulation) freezeNode() {
-	pick(w, w.nodes).freeze(w.faultDuration(3*time.Second, 17*time.Second))
+func (f *faultInjector) freezeNode() {
+	pick(f.world, f.world.nodes).freeze(f.duration(3*time.Second, 17*time.Second))
 }
 
 // freezeLeader suspends a leader during a roll-out.
-func (w *simulation) freezeLeader() {
-	if leader := w.anyLeader(); leader != nil {
-		w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
-		w.after(w.upTo(2*time.Second), func() {
-			leader.freeze(w.faultDuration(3*time.Second, 9*time.Second))
+func (f *faultInjector) freezeLeader() {
+	if leader := f.world.anyLeader(); leader != nil {
+		f.world.operators.issue(f.world.operators.nameWeights(0, pick(f.world, poolNames)))
+		f.world.after(f.world.upTo(2*time.Second), func() {
+			leader.freeze(f.duration(3*time.Second, 9*time.Second))
 		})
 	}
 }
 
 // freezeAtCommand suspends a leader between its decision to command a replica and
 // the sending of the command.
-func (w *simulation) freezeAtCommand() {
-	w.freezeNextCommand = true
-	w.operators.issue(w.operators.nameWeights(0, pick(w, poolNames)))
+func (f *faultInjector) freezeAtCommand() {
+	f.freezeNextCommand = true
+	f.world.operators.issue(f.world.operators.nameWeights(0, pick(f.world, poolNames)))
 }
 
 // anyLeader returns a node that leads a random shard, or nil.
@@ -250,75 +264,75 @@
 }
 
 // jumpClock moves a node's wall clock and restarts the node.
-func (w *simulation) jumpClock() {
+func (f *faultInjector) jumpClock() {
 	const furthest = 2 * time.Hour
-	victim := pick(w, w.nodes)
-	victim.clock.wallOffset = w.upTo(2*furthest) - furthest
-	w.restartAfter(victim, w.faultDuration(50*time.Millisecond, time.Second))
+	victim := pick(f.world, f.world.nodes)
+	victim.clock.wallOffset = f.world.upTo(2*furthest) - furthest
+	f.restartAfter(victim, f.duration(50*time.Millisecond, time.Second))
 }
 
 // messageStorm loses, duplicates and delays frames.
-func (w *simulation) messageStorm() {
+func (f *faultInjector) messageStorm() {
 	active := &storm{
-		loss:      0.3 * w.random.Float64(),
-		duplicate: 0.3 * w.random.Float64(),
-		delay:     w.upTo(400 * time.Millisecond),
+		loss:      0.3 * f.world.random.Float64(),
+		duplicate: 0.3 * f.world.random.Float64(),
+		delay:     f.world.upTo(400 * time.Millisecond),
 	}
-	w.network.storms = append(w.network.storms, active)
-	w.after(w.faultDuration(time.Second, 6*time.Second), func() {
-		w.network.storms = lo.Without(w.network.storms, active)
+	f.world.network.storms = append(f.world.network.storms, active)
+	f.world.after(f.duration(time.Second, 6*time.Second), func() {
+		f.world.network.storms = lo.Without(f.world.network.storms, active)
 	})
 }
 
-func (w *simulation) partition() {
-	side := w.randomNodes()
-	w.partitionFor(side, lo.Without(w.nodes, side...), true)
+func (f *faultInjector) partition() {
+	side := f.randomNodes()
+	f.partitionFor(side, lo.Without(f.world.nodes, side...), true)
 }
 
-func (w *simulation) partitionOneWay() {
-	side := w.randomNodes()
-	w.partitionFor(side, lo.Without(w.nodes, side...), false)
+func (f *faultInjector) partitionOneWay() {
+	side := f.randomNodes()
+	f.partitionFor(side, lo.Without(f.world.nodes, side...), false)
 }
 
-func (w *simulation) isolateZone() {
-	zone := pick(w, w.nodes).info.Zone
-	inside := lo.Filter(w.nodes, func(one *node, _ int) bool { return one.info.Zone == zone })
-	w.partitionFor(inside, lo.Without(w.nodes, inside...), true)
+func (f *faultInjector) isolateZone() {
+	zone := pick(f.world, f.world.nodes).info.Zone
+	inside := lo.Filter(f.world.nodes, func(one *node, _ int) bool { return one.info.Zone == zone })
+	f.partitionFor(inside, lo.Without(f.world.nodes, inside...), true)
 }
 
-func (w *simulation) isolateNode() {
-	victim := []*node{pick(w, w.nodes)}
-	w.partitionFor(victim, w.nodes, w.chance(0.5))
+func (f *faultInjector) isolateNode() {
+	victim := []*node{pick(f.world, f.world.nodes)}
+	f.partitionFor(victim, f.world.nodes, f.world.chance(0.5))
 }
 
 // partitionFor blocks the links from one side to the other, and back if both is
 // set, for a random time.
-func (w *simulation) partitionFor(from, to []*node, both bool) {
-	w.network.changeBlocked(from, to, 1)
+func (f *faultInjector) partitionFor(from, to []*node, both bool) {
+	f.world.network.changeBlocked(from, to, 1)
 	if both {
-		w.network.changeBlocked(to, from, 1)
+		f.world.network.changeBlocked(to, from, 1)
 	}
-	w.after(w.faultDuration(300*time.Millisecond, 8*time.Second), func() {
-		w.network.changeBlocked(from, to, -1)
+	f.world.after(f.duration(300*time.Millisecond, 8*time.Second), func() {
+		f.world.network.changeBlocked(from, to, -1)
 		if both {
-			w.network.changeBlocked(to, from, -1)
+			f.world.network.changeBlocked(to, from, -1)
 		}
 	})
 }
 
 // configStorm issues many orders within a second.
-func (w *simulation) configStorm() {
+func (f *faultInjector) configStorm() {
 	const orders = 25
 	for range orders {
-		w.after(w.upTo(time.Second), func() { w.operators.issue(w.operators.randomOrder(0)) })
+		f.world.after(f.world.upTo(time.Second), func() { f.world.operators.issue(f.world.operators.randomOrder(0)) })
 	}
 }
 
 // supersedeWeights names weights several times before they run everywhere.
-func (w *simulation) supersedeWeights() {
+func (f *faultInjector) supersedeWeights() {
 	const namings = 4
-	pool := pick(w, poolNames)
+	pool := pick(f.world, poolNames)
 	for range namings {
-		w.after(w.upTo(6*time.Second), func() { w.operators.issue(w.operators.nameWeights(0, pool)) })
+		f.world.after(f.world.upTo(6*time.Second), func() { f.world.operators.issue(f.world.operators.nameWeights(0, pool)) })
 	}
 }
--- a/internal/lab/sim/majority_loss.go
+++ b/internal/lab/sim/majority_loss.go
@@ -19,42 +19,42 @@
 // loseMajority takes the disks of a majority, or all of them, at one instant at
 // which everything else is healthy. In some runs a member that keeps its disk has
 // missed the last order, so that only witnesses hold it.
-func (w *simulation) loseMajority() {
+func (f *faultInjector) loseMajority() {
 	const timeout = 8 * time.Second
-	w.whenHealthy(timeout, func() {
-		w.majorityLost = true
+	f.whenHealthy(timeout, func() {
+		f.majorityLost = true
 		// What was shown and never acknowledged may go with the disks.
-		w.checks.shownRevision = 0
-		if w.chance(0.5) {
-			w.loseDisksOf(w.random.Perm(len(w.group))[:w.lossSize()])
+		f.world.checks.shownRevision = 0
+		if f.world.chance(0.5) {
+			f.loseDisksOf(f.world.random.Perm(len(f.world.group))[:f.lossSize()])
 			return
 		}
-		w.loseAllButStale()
+		f.loseAllButStale()
 	})
 }
 
 // lossSize returns a random number of disks that is at least a majority.
-func (w *simulation) lossSize() int {
-	majority := len(w.group)/2 + 1
-	return majority + w.random.IntN(len(w.group)-majority+1)
+func (f *faultInjector) lossSize() int {
+	majority := len(f.world.group)/2 + 1
+	return majority + f.world.random.IntN(len(f.world.group)-majority+1)
 }
 
 // loseAllButStale isolates one member, and takes the disks of all others as soon
 // as an order is acknowledged without it.
-func (w *simulation) loseAllButStale() {
-	positions := w.random.Perm(len(w.group))
-	late := w.nodes[positions[0]]
-	w.network.changeBlocked([]*node{late}, w.nodes, 1)
-	w.network.changeBlocked(w.nodes, []*node{late}, 1)
-	w.after(1500*time.Millisecond, func() {
-		order := w.operators.addKey(0)
-		w.operators.issue(order)
-		w.whenAcknowledged(order, func() {
-			w.loseDisksOf(positions[1:])
-			w.reconnect(late)
+func (f *faultInjector) loseAllButStale() {
+	positions := f.world.random.Perm(len(f.world.group))
+	late := f.world.nodes[positions[0]]
+	f.world.network.changeBlocked([]*node{late}, f.world.nodes, 1)
+	f.world.network.changeBlocked(f.world.nodes, []*node{late}, 1)
+	f.world.after(1500*time.Millisecond, func() {
+		order := f.world.operators.addKey(0)
+		f.world.operators.issue(order)
+		f.whenAcknowledged(order, func() {
+			f.loseDisksOf(positions[1:])
+			f.reconnect(late)
 		}, func() {
-			w.majorityLost = false
-			w.reconnect(late)
+			f.majorityLost = false
+			f.reconnect(late)
 		})
 	})
 }
@@ -62,38 +62,38 @@
 // loseDisksOf replaces machines, the first of them at its address: nodes without
 // disks could not find any of the others otherwise. While the groups are formed
 // again, a member may crash, and another disk may be lost.
-func (w *simulation) loseDisksOf(positions []int) {
+func (f *faultInjector) loseDisksOf(positions []int) {
 	const reformationTime = 5 * time.Second
-	w.majorityLostAt = w.now
+	f.majorityLostAt = f.world.now
 	for number, position := range positions {
-		w.replaceMachineAt(w.nodes[position], number > 0 && w.chance(0.5))
+		f.replaceMachineAt(f.world.nodes[position], number > 0 && f.world.chance(0.5))
 	}
-	victim := pick(w, w.diskNodes())
-	switch roll := w.random.IntN(3); {
-	case w.now+reformationTime > w.settings.recoveryPhaseStart():
+	victim := pick(f.world, f.world.diskNodes())
+	switch roll := f.world.random.IntN(3); {
+	case f.world.now+reformationTime > f.world.settings.recoveryPhaseStart():
 	case roll == 0:
-		w.after(w.upTo(reformationTime), func() { w.restartAfter(victim, w.faultDuration(100*time.Millisecond, time.Second)) })
+		f.world.after(f.world.upTo(reformationTime), func() { f.restartAfter(victim, f.duration(100*time.Millisecond, time.Second)) })
 	case roll == 1:
-		w.after(w.upTo(reformationTime), func() { w.replaceMachineAt(victim, false) })
+		f.world.after(f.world.upTo(reformationTime), func() { f.replaceMachineAt(victim, false) })
 	}
-	w.awaitAllVoters(w.now + reformationTime)
+	f.awaitAllVoters(f.world.now + reformationTime)
 }
 
 // awaitAllVoters ends the loss of a majority once all members vote again in every
 // shard.
-func (w *simulation) awaitAllVoters(from time.Duration) {
+func (f *faultInjector) awaitAllVoters(from time.Duration) {
 	const pollInterval = 20 * time.Millisecond
 	var poll func()
 	poll = func() {
-		if w.everyMemberIsVoter() {
-			w.logf(worldColumn, "formed anew")
-			w.majorityLost = false
-			w.counts.Faults["majority-recovered"]++
+		if f.world.everyMemberIsVoter() {
+			f.world.logf(worldColumn, "formed anew")
+			f.majorityLost = false
+			f.world.counts.Faults["majority-recovered"]++
 			return
 		}
-		w.after(pollInterval, poll)
+		f.world.after(pollInterval, poll)
 	}
-	w.at(from, poll)
+	f.world.at(from, poll)
 }
 
 // everyMemberIsVoter reports whether the leader of every shard knows all members
@@ -112,24 +112,24 @@
 
 // whenHealthy runs an action at the first instant, up to a time-out, at which all
 // nodes serve what was acknowledged and can reach each other.
-func (w *simulation) whenHealthy(timeout time.Duration, then func()) {
+func (f *faultInjector) whenHealthy(timeout time.Duration, then func()) {
 	const pollInterval = 20 * time.Millisecond
-	deadline := min(w.now+timeout, w.settings.recoveryPhaseStart()-time.Second)
+	deadline := min(f.world.now+timeout, f.world.settings.recoveryPhaseStart()-time.Second)
 	var poll func()
 	poll = func() {
 		switch {
-		case w.now >= deadline:
-		case w.healthy():
+		case f.world.now >= deadline:
+		case f.world.healthy():
 			then()
 		default:
-			w.after(pollInterval, poll)
+			f.world.after(pollInterval, poll)
 		}
 	}
 	poll()
 }
 
 func (w *simulation) healthy() bool {
-	if w.majorityLost || !w.everyMemberIsVoter() {
+	if w.faults.majorityLost || !w.everyMemberIsVoter() {
 		return false
 	}
 	for _, one := range w.nodes {
--- a/internal/lab/sim/majority_loss_test.go
+++ b/internal/lab/sim/majority_loss_test.go
@@ -13,7 +13,7 @@
 // loseDisksAt takes the disks of some members at once, which come back empty.
 func (w *simulation) loseDisksAt(positions ...int) {
 	for _, position := range positions {
-		w.replaceMachineAt(w.nodes[position], false)
+		w.faults.replaceMachineAt(w.nodes[position], false)
 	}
 }
 
@@ -90,10 +90,10 @@
 				world.at(7500*time.Millisecond, func() {
 					missed := world.operators.addKey(0)
 					world.operators.issueAt(world.router(), missed)
-					world.whenAcknowledged(missed, func() {
+					world.faults.whenAcknowledged(missed, func() {
 						Expect(late.view.Revision).To(BeNumerically("<", missed.reply.GetRevision()))
 						world.loseDisksAt(0, 1)
-						world.reconnect(late)
+						world.faults.reconnect(late)
 						world.after(ServiceBackBound, func() { back(missed) })
 					}, func() { Fail("the order was not acknowledged without the member") })
 				})
@@ -125,7 +125,7 @@
 				world.at(backAt, func() {
 					_, known := world.memberSlots(0)
 					Expect(known).To(BeFalse(), "seed %d: formed without a member that may hold more", seed)
-					world.reconnect(cut)
+					world.faults.reconnect(cut)
 				})
 				world.at(backAt+ServiceBackBound, func() {
 					Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
--- a/internal/lab/sim/message_breaks.go
+++ b/internal/lab/sim/message_breaks.go
@@ -81,7 +81,7 @@
 func (n *node) ignoreWitnesses(envelope *wire.Envelope) {
 	// Long enough for a member that has a log to form the groups again.
 	const ignoredFor = 8 * time.Second
-	if n.storage == nil || !n.world.majorityLost || n.world.now > n.world.majorityLostAt+ignoredFor {
+	if n.storage == nil || !n.world.faults.majorityLost || n.world.now > n.world.faults.majorityLostAt+ignoredFor {
 		return
 	}
 	if message := envelope.Relay; message != nil && message.Type == relaytree.MessageUpdate {
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -41,7 +41,7 @@
 func (w *simulation) isolate(one *node, length time.Duration) {
 	w.network.changeBlocked([]*node{one}, w.nodes, 1)
 	w.network.changeBlocked(w.nodes, []*node{one}, 1)
-	w.after(length, func() { w.reconnect(one) })
+	w.after(length, func() { w.faults.reconnect(one) })
 }
 
 // readsWhileCutOff has a node cut off, something acknowledged without it, and
@@ -103,7 +103,7 @@
 				world.network.changeBlocked(one, other, 1)
 				world.network.changeBlocked(other, one, 1)
 				for round := range 5 {
-					world.after(time.Duration(round)*second, func() { world.raceAcross(one, other) })
+					world.after(time.Duration(round)*second, func() { world.faults.raceAcross(one, other) })
 				}
 				world.after(6*second, func() {
 					world.network.changeBlocked(one, other, -1)
@@ -135,7 +135,7 @@
 					world.network.changeBlocked(one, other, 1)
 					world.network.changeBlocked(other, one, 1)
 					world.after(3*second, func() {
-						world.raceAcross(one, other)
+						world.faults.raceAcross(one, other)
 						acknowledged := world.checks.acknowledged
 						world.after(2500*time.Millisecond, func() {
 							if world.checks.acknowledged > acknowledged {
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -162,9 +162,9 @@
 			n.whenAwake(func() { n.dispatch(process, command) })
 		}
 	})
-	if n.world.freezeNextCommand {
-		n.world.freezeNextCommand = false
-		n.freeze(n.world.faultDuration(4*time.Second, 8*time.Second))
+	if n.world.faults.freezeNextCommand {
+		n.world.faults.freezeNextCommand = false
+		n.freeze(n.world.faults.duration(4*time.Second, 8*time.Second))
 	}
 }
 
@@ -218,7 +218,7 @@
 // long after their sender's lease has ended.
 func (w *simulation) commandLatency() time.Duration {
 	latency := minLatency + w.upTo(replicaLatency)
-	if w.delayedCommandFaults > 0 && w.chance(0.5) {
+	if w.faults.delayedCommandFaults > 0 && w.chance(0.5) {
 		latency += w.upTo(maxCommandDelay)
 	}
 	return latency
--- a/internal/lab/sim/scenario_test.go
+++ b/internal/lab/sim/scenario_test.go
@@ -37,7 +37,7 @@
 						one.storage.slow = 500 * time.Millisecond
 					}
 				})
-				world.at(6*second, func() { world.restartAfter(world.router(), 100*time.Millisecond) })
+				world.at(6*second, func() { world.faults.restartAfter(world.router(), 100*time.Millisecond) })
 				world.at(14*second, func() { Expect(world.router().serving()).To(BeTrue(), "seed %d", seed) })
 				world.at(15*second, func() {
 					for _, one := range world.diskNodes() {
@@ -110,7 +110,7 @@
 			world := play(seed, func(world *simulation) {
 				// The node hears of no order, and its next process is known to the others as
 				// soon as its fence ends this one.
-				world.at(6*second, func() { world.partitionFor(world.nodes, []*node{world.router()}, false) })
+				world.at(6*second, func() { world.faults.partitionFor(world.nodes, []*node{world.router()}, false) })
 				for _, pool := range poolNames {
 					world.at(6*second+10*time.Millisecond, func() { world.operators.issue(world.operators.nameWeights(0, pool)) })
 				}
@@ -124,7 +124,7 @@
 			taker, silent := world.router(), world.nodes[len(world.nodes)-2]
 			world.at(6*second, func() { silent.freeze(5 * second) })
 			world.at(6100*time.Millisecond, func() { world.operators.issueAt(taker, world.operators.addKey(0)) })
-			world.at(6200*time.Millisecond, func() { world.restartAfter(taker, 10*time.Millisecond) })
+			world.at(6200*time.Millisecond, func() { world.faults.restartAfter(taker, 10*time.Millisecond) })
 			world.at(6500*time.Millisecond, func() {
 				// One of them has the number that the first order had in its process.
 				for range 16 {
@@ -140,7 +140,7 @@
 			world.at(6*second, func() {
 				world.router().clock.wallOffset = -time.Hour
 				for _, one := range world.nodes {
-					world.restartAfter(one, second)
+					world.faults.restartAfter(one, second)
 				}
 			})
 		})
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -39,14 +39,7 @@
 	platform      *platform
 	keys          []tenantKey
 	operators     *operators
-	// delayedCommandFaults counts the active faults that delay commands.
-	delayedCommandFaults int
-	// majorityLost is set from the loss of a majority of the disks until the
-	// replica groups have been formed again.
-	majorityLost   bool
-	majorityLostAt time.Duration
-	// freezeNextCommand freezes the next node that is about to send a command.
-	freezeNextCommand bool
+	faults        *faultInjector
 
 	// seeds are the seeds in the settings at present, in a deployment whose nodes
 	// find each other through seeds.
@@ -103,7 +96,7 @@
 	world := newSimulation(settings)
 	world.build()
 	world.scheduleStart()
-	world.scheduleFaults()
+	world.faults.schedule()
 	world.connectivity.schedule()
 	world.operators.schedule()
 	world.scheduleReads()
@@ -128,6 +121,7 @@
 	world.platform = newPlatform(world)
 	world.checks = newChecks(world)
 	world.operators = &operators{world: world}
+	world.faults = &faultInjector{world: world}
 	world.connectivity = newConnectivity(world)
 	if settings.Timeline {
 		world.timeline = &timeline{}
