--- a/internal/lab/sim/disk_faults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -1,14 +1,11 @@
 package sim
 
 import (
-	"slices"
 	"time"
 
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
 // slowDisk makes the writes of one node slow.
@@ -129,31 +126,6 @@
 	return true
 }
 
-// memberSlots returns the member slots of a shard as its leader of the newest
-// term knows them; false if no node leads the shard.
-func (w *simulation) memberSlots(shard uint32) ([]replication.Slot, bool) {
-	var newest []replication.Slot
-	term := uint64(0)
-	for _, one := range w.diskNodes() {
-		if !one.up {
-			continue
-		}
-		slots, leads := one.machine.GroupSlots(shard)
-		if !leads {
-			continue
-		}
-		if shardTerm := one.machine.Status().GetShards()[shard].GetTerm(); shardTerm > term {
-			newest, term = slots, shardTerm
-		}
-	}
-	return newest, term > 0
-}
-
-func (w *simulation) nodeNamed(id member.ID) *node {
-	position := slices.IndexFunc(w.everyNode, func(one *node) bool { return one.info.ID == id })
-	return w.everyNode[position]
-}
-
 // loseDiskTwice takes a second disk as soon as the first loss is repaired, that
 // is, as soon as the shards can do without any one disk again.
 func (f *faultInjector) loseDiskTwice() {
@@ -199,16 +171,6 @@
 	f.world.after(f.duration(300*time.Millisecond, 2*time.Second), victim.start)
 }
 
-// newDiskIncarnation returns the incarnation of a disk that is found empty.
-func (w *simulation) newDiskIncarnation() uint64 { return uint64(wallEpoch + w.now.Milliseconds()) }
-
-// move gives a node another address. Seeds that name the old one are then dead.
-func (w *simulation) move(victim *node) {
-	delete(w.byAddress, victim.info.Address)
-	victim.info.Address = string(victim.info.ID) + ":7101"
-	w.byAddress[victim.info.Address] = victim
-}
-
 // loseDiskAfterAck takes the disk of one of the two members that hold an order,
 // right after its acknowledgement, while the third member comes back without the
 // order and the second one is down.
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -176,11 +176,6 @@
 	}
 }
 
-// diskNodes returns the nodes with disks, which form the core.
-func (w *simulation) diskNodes() []*node {
-	return lo.Filter(w.nodes, func(one *node, _ int) bool { return one.storage != nil })
-}
-
 // restartAfter stops a node and starts it again after a time.
 func (f *faultInjector) restartAfter(one *node, down time.Duration) {
 	one.stop()
@@ -252,17 +247,6 @@
 	f.world.operators.issue(f.world.operators.nameWeights(0, pick(f.world, poolNames)))
 }
 
-// anyLeader returns a node that leads a random shard, or nil.
-func (w *simulation) anyLeader() *node {
-	shard := w.random.IntN(int(w.serviceShards) + 1)
-	for _, one := range w.diskNodes() {
-		if one.up && one.machine.Status().GetShards()[shard].GetLeader() == string(one.info.ID) {
-			return one
-		}
-	}
-	return nil
-}
-
 // jumpClock moves a node's wall clock and restarts the node.
 func (f *faultInjector) jumpClock() {
 	const furthest = 2 * time.Hour
--- a/internal/lab/sim/majority_loss.go
+++ b/internal/lab/sim/majority_loss.go
@@ -2,10 +2,6 @@
 
 import (
 	"time"
-
-	"github.com/samber/lo"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
 // faultsDuringMajorityLoss are the faults that may begin while the disks of a majority are
@@ -96,20 +92,6 @@
 	f.world.at(from, poll)
 }
 
-// everyMemberIsVoter reports whether the leader of every shard knows all members
-// as voters in the present incarnations of their disks.
-func (w *simulation) everyMemberIsVoter() bool {
-	for shard := range w.serviceShards + 1 {
-		slots, known := w.memberSlots(shard)
-		if !known || !lo.EveryBy(slots, func(slot replication.Slot) bool {
-			return !slot.Learner && w.nodeNamed(slot.ID).storage.incarnation == slot.Incarnation
-		}) {
-			return false
-		}
-	}
-	return true
-}
-
 // whenHealthy runs an action at the first instant, up to a time-out, at which all
 // nodes serve what was acknowledged and can reach each other.
 func (f *faultInjector) whenHealthy(timeout time.Duration, then func()) {
@@ -127,15 +109,3 @@
 	}
 	poll()
 }
-
-func (w *simulation) healthy() bool {
-	if w.faults.majorityLost || !w.everyMemberIsVoter() {
-		return false
-	}
-	for _, one := range w.nodes {
-		if !one.serving() || one.view.Revision < w.checks.acknowledged || lo.Sum(w.network.blocked[one.index]) > 0 {
-			return false
-		}
-	}
-	return true
-}
