--- a/internal/lab/plans/acknowledged_orders.go
+++ b/internal/lab/plans/acknowledged_orders.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
 )
 
-// recordAcknowledged is an acknowledged order.
+// acknowledgedOrder is an order that was acknowledged, with its revision.
 type acknowledgedOrder struct {
 	order    operator.Order
 	revision uint64
--- a/internal/lab/proxybench/measure.go
+++ b/internal/lab/proxybench/measure.go
@@ -107,8 +107,8 @@
 	return slices.DeleteFunc(connected, func(one *series) bool { return one == nil })
 }
 
-// repetition measures every target once. The order turns with the rounds, so that
-// none always follows the same other.
+// measureAll measures every target once. The order of the targets turns with the
+// repetitions, so that none always follows the same other.
 func (b *bench) measureAll(ctx context.Context, repetition int) error {
 	order := b.all()
 	turn := repetition % len(order)
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -29,18 +29,18 @@
 	// dialTimeout bounds the wait for a connection, so that a machine that is
 	// gone is passed over soon.
 	dialTimeout = 2 * time.Second
-	// maxResponseBytes bounds what is read of an answer: a configuration of the
+	// maxResponseBytes bounds what is read of a response: a configuration of the
 	// largest size, with the fields that the system adds.
 	maxResponseBytes = 2 * dynamic.MaxDocumentBytes
 )
 
-// client sends calls to the first node that answers.
+// client sends calls to the first node that responds.
 type client struct {
 	nodes   []string
 	service httpc.Service
 }
 
-// nodeReply is what a node answered.
+// nodeReply is the response of a node to a call.
 type nodeReply struct {
 	status int
 	body   []byte
@@ -51,7 +51,7 @@
 	return a.status == http.StatusAccepted
 }
 
-// final reports whether asking another node can't give a better answer.
+// final reports whether another node could not give a better response.
 func (a nodeReply) final() bool {
 	return !a.pending() && a.status < http.StatusInternalServerError
 }
@@ -70,7 +70,7 @@
 }
 
 // send gives the identical call to one node after the other until one has a
-// final answer. A refusal, and the lack of any answer, are *ExitError.
+// final response. A refusal, and the lack of any response, are *ExitError.
 func (c *client) send(ctx context.Context, call schema.Call, request protoreflect.Message) (nodeReply, error) {
 	var failures []string
 	var pending *nodeReply
@@ -93,7 +93,7 @@
 	return nodeReply{}, unanswered(call, failures)
 }
 
-// unanswered tells what is known when no node had an answer.
+// unanswered returns the error for a call to which no node responded.
 func unanswered(call schema.Call, failures []string) error {
 	message := "no node answered: " + strings.Join(failures, "; ")
 	if isOrder(call.Method.Input()) {
@@ -102,7 +102,7 @@
 	return &ExitError{Code: ExitUnanswered, Message: message}
 }
 
-// accept turns a final answer that is no success into a refusal.
+// accept turns a final response that is no success into a refusal.
 func accept(node string, got nodeReply) (nodeReply, error) {
 	if got.status == http.StatusOK {
 		return got, nil
@@ -110,7 +110,7 @@
 	return nodeReply{}, &ExitError{Code: ExitRefused, Message: fmt.Sprintf("%s: %s", node, describe(got))}
 }
 
-// describe spells out the problem that an answer carries.
+// describe spells out the problem that a response carries.
 func describe(got nodeReply) string {
 	problem := &ridgeswitchv1.Problem{}
 	if err := protojson.Unmarshal(got.body, problem); err != nil || problem.GetKind() == "" {
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// runVerb builds the request of a call, sends it and prints the answer.
+// runVerb builds the request of a call, sends it and prints the response.
 func runVerb(ctx context.Context, command *cli.Command, call schema.Call) error {
 	if command.Args().Present() {
 		return usageError("unexpected argument " + command.Args().First() + "; give flags alone")
@@ -76,14 +76,14 @@
 		printer.printMessage("order-id: " + orderID)
 	}
 	client := newClient(command.StringSlice(flagNode), command.Duration(flagTimeout))
-	answer, err := client.send(ctx, call, request)
+	reply, err := client.send(ctx, call, request)
 	if err != nil {
 		return err
 	}
-	if err := printer.print(answer.body); err != nil {
+	if err := printer.print(reply.body); err != nil {
 		return err
 	}
-	if answer.pending() {
+	if reply.pending() {
 		return &ExitError{Code: ExitPending, Message: "pending: the order may take effect; resend it with --order-id " + orderID}
 	}
 	return nil
--- a/internal/operatorcli/flags.go
+++ b/internal/operatorcli/flags.go
@@ -26,7 +26,7 @@
 const (
 	// defaultNode is where a node on this machine listens in the examples.
 	defaultNode = "127.0.0.1:7300"
-	// defaultTimeout bounds the wait for one node's answer.
+	// defaultTimeout bounds the wait for one node's response.
 	defaultTimeout = 15 * time.Second
 	// digestField is the name of fields that hold the digest of a secret.
 	digestField protoreflect.Name = "sha256"
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 )
 
-// The layouts of an answer.
+// The layouts of a response.
 const (
 	outputJSON  = "json"
 	outputTable = "table"
@@ -24,7 +24,7 @@
 // columnGap is the space between the columns of a table.
 const columnGap = 2
 
-// printer prints the answer of a verb.
+// printer prints the response of a verb.
 type printer struct {
 	response protoreflect.MessageDescriptor
 	table    bool
@@ -48,7 +48,7 @@
 	}
 }
 
-// printMessage prints a line that is not part of the answer.
+// printMessage prints a line that is not part of the response.
 func (p *printer) printMessage(text string) {
 	_, _ = fmt.Fprintln(p.messages, text)
 }
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -10,7 +10,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// checkRevisions reports whether all nodes that answered serve the same revision.
+// checkRevisions reports whether all nodes that responded serve the same revision.
 func (s *survey) checkRevisions() check {
 	if !s.allNodes {
 		return check{"revisions", resultUnknown, fmt.Sprintf("%d on %s; --all asks every node", s.status.GetServedRevision(), s.status.GetNode())}
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -21,11 +21,11 @@
 	// statusCall is the call whose table begins with a summary.
 	statusCall protoreflect.Name = "GetStatus"
 
-	// maxQuestions bounds the calls that run at once.
-	maxQuestions = 32
-	// questionTimeout bounds one of them, so that nodes that hang do not hold up
-	// the answer of the others.
-	questionTimeout = 3 * time.Second
+	// maxConcurrentQueries bounds the calls that run at once.
+	maxConcurrentQueries = 32
+	// queryTimeout bounds one of them, so that nodes that hang do not hold up
+	// the responses of the others.
+	queryTimeout = 3 * time.Second
 )
 
 // isStatus reports whether a call is the one that runStatus serves.
@@ -43,21 +43,22 @@
 
 // survey is what the summary of a deployment is made from.
 type survey struct {
-	// status is the view of the node that was asked first.
+	// status is the view of the node that was queried first.
 	status *ridgeswitchv1.NodeStatus
-	// allNodes is set if the live members were asked, whose answers follow.
+	// allNodes is set if the live members were queried as well; their responses
+	// follow.
 	allNodes  bool
 	responses []nodeResponse
-	// weights tell how far the pools are, unless weightsError says why that is
-	// not known.
+	// weights are the states of the pools' roll-outs, unless weightsError says
+	// why they are unknown.
 	weights      []*ridgeswitchv1.WeightsStatus
 	weightsError error
 }
 
-// nodeResponse is what one member said of itself.
+// nodeResponse is the status that one member reports of itself.
 type nodeResponse struct {
 	member *ridgeswitchv1.MemberStatus
-	// status is nil if err says why there is no answer.
+	// status is nil if err says why there is no response.
 	status *ridgeswitchv1.NodeStatus
 	err    error
 }
@@ -77,42 +78,41 @@
 	if err != nil {
 		return err
 	}
-	asker := &queryClient{client: newClient(command.StringSlice(flagNode), command.Duration(flagTimeout))}
+	queries := &queryClient{client: newClient(command.StringSlice(flagNode), command.Duration(flagTimeout))}
 	status := &ridgeswitchv1.NodeStatus{}
-	body, err := asker.call(ctx, statusCall, &ridgeswitchv1.GetStatusRequest{}, status)
+	body, err := queries.call(ctx, statusCall, &ridgeswitchv1.GetStatusRequest{}, status)
 	if err != nil {
 		return err
 	}
-	taken := &survey{status: status, allNodes: command.Bool(flagAll)}
-	if taken.allNodes {
-		taken.responses = asker.queryMembers(ctx, call, status)
+	collected := &survey{status: status, allNodes: command.Bool(flagAll)}
+	if collected.allNodes {
+		collected.responses = queries.queryMembers(ctx, call, status)
 	}
-	taken.weights, taken.weightsError = asker.queryWeights(ctx)
-	if err := taken.print(printer.out); err != nil {
+	collected.weights, collected.weightsError = queries.queryWeights(ctx)
+	if err := collected.print(printer.out); err != nil {
 		return err
 	}
 	return printer.print(body)
 }
 
-// queryClient asks nodes questions that change nothing.
+// queryClient sends calls that change nothing. It is safe for concurrent use.
 type queryClient struct {
 	client *client
 }
 
-// call asks the named nodes in turn and fills the response.
+// call sends a call to the named nodes in turn and fills the response.
 func (a *queryClient) call(ctx context.Context, name protoreflect.Name, request, response proto.Message) ([]byte, error) {
 	call := lo.FindOrElse(lo.Must(schema.Calls()), schema.Call{}, func(call schema.Call) bool {
 		return call.Method.Name() == name
 	})
-	answer, err := a.client.send(ctx, call, request.ProtoReflect())
+	reply, err := a.client.send(ctx, call, request.ProtoReflect())
 	if err != nil {
 		return nil, err
 	}
-	return answer.body, parseResponse(answer.body, response)
+	return reply.body, parseResponse(reply.body, response)
 }
 
-// parseResponse reads an answer, of which a newer node may say more than is known
-// here.
+// parseResponse parses a response, which may have fields of a newer version.
 func parseResponse(body []byte, response proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, response); err != nil {
 		return &ExitError{Code: ExitRefused, Message: "the node's answer does not fit the schema; use --output json: " + err.Error()}
@@ -120,26 +120,26 @@
 	return nil
 }
 
-// queryMembers asks every live member of a table for its own status, several at a
-// time. The answers are in the order of the table.
+// queryMembers reads the status of every live member of a table, several
+// concurrently. The responses are in the order of the table.
 func (a *queryClient) queryMembers(ctx context.Context, call schema.Call, table *ridgeswitchv1.NodeStatus) []nodeResponse {
 	live := lo.Filter(table.GetMembers(), func(member *ridgeswitchv1.MemberStatus, _ int) bool { return isLive(member) })
-	answers := make([]nodeResponse, len(live))
+	responses := make([]nodeResponse, len(live))
 	var group errgroup.Group
-	group.SetLimit(maxQuestions)
+	group.SetLimit(maxConcurrentQueries)
 	for position, member := range live {
 		group.Go(func() error {
 			status, err := a.queryMember(ctx, call, member)
-			answers[position] = nodeResponse{member: member, status: status, err: err}
+			responses[position] = nodeResponse{member: member, status: status, err: err}
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return answers
+	return responses
 }
 
 func (a *queryClient) queryMember(ctx context.Context, call schema.Call, member *ridgeswitchv1.MemberStatus) (*ridgeswitchv1.NodeStatus, error) {
-	bounded, cancel := context.WithTimeout(ctx, questionTimeout)
+	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	request := (&ridgeswitchv1.GetStatusRequest{}).ProtoReflect()
 	got, err := a.client.sendTo(bounded, member.GetControlAddress(), call, request)
@@ -153,7 +153,7 @@
 	return status, parseResponse(got.body, status)
 }
 
-// queryWeights asks how far every pool's roll-out is.
+// queryWeights reads the state of every pool's roll-out.
 func (a *queryClient) queryWeights(ctx context.Context) ([]*ridgeswitchv1.WeightsStatus, error) {
 	configuration := &ridgeswitchv1.Configuration{}
 	if _, err := a.call(ctx, "GetConfiguration", &ridgeswitchv1.GetConfigurationRequest{Local: true}, configuration); err != nil {
@@ -162,7 +162,7 @@
 	pools := configuration.GetPools()
 	weights := make([]*ridgeswitchv1.WeightsStatus, len(pools))
 	var group errgroup.Group
-	group.SetLimit(maxQuestions)
+	group.SetLimit(maxConcurrentQueries)
 	for position, pool := range pools {
 		group.Go(func() error {
 			weights[position] = &ridgeswitchv1.WeightsStatus{}
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -41,7 +41,7 @@
 	detail string
 }
 
-// print writes the summary and, where all were asked, a table of the nodes.
+// print writes the summary and, where all were queried, a table of the nodes.
 func (s *survey) print(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(writer, "summary\nCHECK\tRESULT\tDETAIL")
@@ -71,13 +71,14 @@
 	_, _ = fmt.Fprintln(writer)
 }
 
-// checks answer what is asked first when something seems wrong.
+// checks returns the checks that an operator looks at first when something seems
+// wrong.
 func (s *survey) checks() []check {
 	return []check{s.checkShards(), s.checkMembers(), s.checkTraffic(), s.checkRevisions(), s.checkRollOuts()}
 }
 
 // checkShards reports whether every shard has a leader: one that says so itself
-// if all were asked, else one that is live as far as the asked node knows.
+// if all were queried, else one that is live as far as the queried node knows.
 func (s *survey) checkShards() check {
 	shards := s.status.GetShards()
 	var faults []string
@@ -119,7 +120,7 @@
 	}
 }
 
-// knownLeaderFault judges a leader by the asked node's table of members.
+// knownLeaderFault judges a leader by the queried node's table of members.
 func (s *survey) knownLeaderFault(leader string) string {
 	if leader == "" {
 		return "no known leader"
--- a/internal/replay/recording/reader.go
+++ b/internal/replay/recording/reader.go
@@ -60,7 +60,7 @@
 	return reader.day()
 }
 
-// arrivals is a record with the time of its arrival.
+// arrival is a record with the time of its arrival.
 type arrival struct {
 	at     time.Time
 	record Record
