--- a/internal/lab/links/doc.go
+++ b/internal/lab/links/doc.go
@@ -1,8 +1,9 @@
 // Package links stands for the network between machines: a forwarder at the
-// address that each machine tells others relays to the address that it listens
-// on, and cuts or delays what passes by where it comes from and goes to.
+// address that each machine tells others relays to the address at which the
+// machine listens, and blocks or delays what passes by its source and its
+// destination.
 //
-// A cut loses bytes in one direction. A stream that has lost bytes cannot go
-// on, so that its connection is closed when the cut ends, as it is when a
-// machine gives up on bytes that nobody acknowledged.
+// A blocked link loses bytes in one direction. A stream that has lost bytes
+// cannot go on, so that its connection is closed when the link opens again, as it
+// is when a machine gives up on bytes that are not acknowledged.
 package links
--- a/internal/lab/links/network.go
+++ b/internal/lab/links/network.go
@@ -16,78 +16,77 @@
 type LinkState struct {
 	// Blocked loses all bytes.
 	Blocked bool
-	// Delay holds bytes back: each by at least Delay, and by at most twice as
-	// long.
+	// Delay delays bytes: each by at least Delay, and by at most twice as long.
 	Delay time.Duration
 }
 
-// Network holds the treatment of every link. It is safe for concurrent use.
+// Network owns the state of every link. It is safe for concurrent use.
 type Network struct {
 	// OnLoss is called with the link and the number of bytes that it lost; nil
 	// for nothing. It is set before the first forwarder starts.
 	OnLoss func(link Link, bytes int)
 
-	lock       sync.Mutex
-	treatments map[Link]LinkState
-	// changed is closed and made again whenever a treatment changes.
+	lock   sync.Mutex
+	states map[Link]LinkState
+	// changed is closed and replaced whenever a state changes.
 	changed chan struct{}
-	// spoiled holds the streams that have lost bytes.
-	spoiled map[*stream]struct{}
+	// gapped are the streams that have lost bytes.
+	gapped map[*stream]struct{}
 }
 
 // NewNetwork returns a network in which everything passes at once.
 func NewNetwork() *Network {
 	return &Network{
-		treatments: make(map[Link]LinkState), changed: make(chan struct{}),
-		spoiled: make(map[*stream]struct{}),
+		states: make(map[Link]LinkState), changed: make(chan struct{}),
+		gapped: make(map[*stream]struct{}),
 	}
 }
 
-// Treat sets the treatment of links. Streams that lost bytes on a link which is
-// no longer cut are closed.
-func (network *Network) Treat(links []Link, treatment LinkState) {
+// SetState sets the state of links. Streams that lost bytes on a link which is no
+// longer blocked are closed.
+func (network *Network) SetState(links []Link, state LinkState) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	for _, link := range links {
-		network.treatments[link] = treatment
+		network.states[link] = state
 	}
-	for spoiled := range network.spoiled {
-		if !network.treatments[spoiled.link].Blocked {
-			spoiled.close()
-			delete(network.spoiled, spoiled)
+	for gapped := range network.gapped {
+		if !network.states[gapped.link].Blocked {
+			gapped.close()
+			delete(network.gapped, gapped)
 		}
 	}
 	close(network.changed)
 	network.changed = make(chan struct{})
 }
 
-// treatment returns the treatment of a link, and a channel that closes when
-// any treatment changes.
-func (network *Network) treatment(link Link) (LinkState, <-chan struct{}) {
+// state returns the state of a link, and a channel that is closed when any state
+// changes.
+func (network *Network) state(link Link) (LinkState, <-chan struct{}) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
-	return network.treatments[link], network.changed
+	return network.states[link], network.changed
 }
 
-// loses reports whether bytes of a stream are lost. Once some were, all that
+// loses reports whether bytes of a stream are lost. Once some were lost, all that
 // follow are, since the receiver must not see a stream with a gap.
-func (network *Network) loses(one *stream, bytes int) bool {
+func (network *Network) loses(s *stream, bytes int) bool {
 	network.lock.Lock()
-	_, spoiled := network.spoiled[one]
-	lost := spoiled || one.closed || network.treatments[one.link].Blocked
-	if lost && !one.closed {
-		network.spoiled[one] = struct{}{}
+	_, gapped := network.gapped[s]
+	lost := gapped || s.closed || network.states[s.link].Blocked
+	if lost && !s.closed {
+		network.gapped[s] = struct{}{}
 	}
 	network.lock.Unlock()
 	if lost && network.OnLoss != nil {
-		network.OnLoss(one.link, bytes)
+		network.OnLoss(s.link, bytes)
 	}
 	return lost
 }
 
 // forget drops a stream that has ended.
-func (network *Network) forget(one *stream) {
+func (network *Network) forget(s *stream) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
-	delete(network.spoiled, one)
+	delete(network.gapped, s)
 }
--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -115,13 +115,13 @@
 		if !forward {
 			near, far = far, near
 		}
-		made.network.Treat([]links.Link{lost}, cut)
+		made.network.SetState([]links.Link{lost}, cut)
 		write(near, "lost")
 		Expect(<-made.losses).To(Equal(loss{lost, 4}))
 		write(far, "kept")
 		Expect(read(near, 4)).To(Equal("kept"))
 
-		made.network.Treat([]links.Link{lost}, whole)
+		made.network.SetState([]links.Link{lost}, whole)
 		received, _ := io.ReadAll(far)
 		Expect(received).To(BeEmpty(), "a stream with a gap must not go on")
 		sender, target := made.connect()
@@ -137,19 +137,19 @@
 	It("keeps a stream that lost nothing during a cut", func() {
 		made := newPath()
 		sender, target := made.connect()
-		made.network.Treat([]links.Link{there, back}, cut)
-		made.network.Treat([]links.Link{there, back}, whole)
+		made.network.SetState([]links.Link{there, back}, cut)
+		made.network.SetState([]links.Link{there, back}, whole)
 		write(sender, "whole")
 		Expect(read(target, 5)).To(Equal("whole"))
 	})
 
 	It("loses what a connection carries that was made during a cut", func() {
 		made := newPath()
-		made.network.Treat([]links.Link{there}, cut)
+		made.network.SetState([]links.Link{there}, cut)
 		sender, target := made.connect()
 		write(sender, "lost")
 		Expect(<-made.losses).To(Equal(loss{there, 4}))
-		made.network.Treat([]links.Link{there}, whole)
+		made.network.SetState([]links.Link{there}, whole)
 		received, _ := io.ReadAll(target)
 		Expect(received).To(BeEmpty())
 	})
@@ -157,10 +157,10 @@
 	It("tells of a machine's end only after the cut", func() {
 		made := newPath()
 		sender, target := made.connect()
-		made.network.Treat([]links.Link{back}, cut)
+		made.network.SetState([]links.Link{back}, cut)
 		Expect(target.Close()).To(Succeed())
 		write(sender, "into the void")
-		made.network.Treat([]links.Link{back}, whole)
+		made.network.SetState([]links.Link{back}, whole)
 		_, err := sender.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 	})
@@ -169,7 +169,7 @@
 		const delay = 20 * time.Millisecond
 		made := newPath()
 		sender, target := made.connect()
-		made.network.Treat([]links.Link{there}, links.LinkState{Delay: delay})
+		made.network.SetState([]links.Link{there}, links.LinkState{Delay: delay})
 		began := time.Now()
 		write(sender, "late")
 		Expect(read(target, 4)).To(Equal("late"))
--- a/internal/lab/links/stream.go
+++ b/internal/lab/links/stream.go
@@ -17,45 +17,45 @@
 }
 
 // pump relays until the stream ends. The end passes the link as bytes do: not
-// while it is cut.
-func (one *stream) pump(ctx context.Context) {
-	defer one.network.forget(one)
+// while the link is blocked.
+func (s *stream) pump(ctx context.Context) {
+	defer s.network.forget(s)
 	buffer := make([]byte, bufferBytes)
 	for {
-		read, err := one.from.Read(buffer)
-		if read > 0 && !one.pass(ctx, buffer[:read]) {
+		read, err := s.from.Read(buffer)
+		if read > 0 && !s.pass(ctx, buffer[:read]) {
 			return
 		}
 		if err != nil {
-			one.awaitPassage(ctx)
-			_ = one.to.Close()
+			s.awaitOpen(ctx)
+			_ = s.to.Close()
 			return
 		}
 	}
 }
 
-// pass hands bytes on, unless the link loses them. It tells false when the
-// stream is over.
-func (one *stream) pass(ctx context.Context, bytes []byte) bool {
-	treatment, _ := one.network.treatment(one.link)
-	if !wait(ctx, treatment.Delay) {
+// pass hands bytes on, unless the link loses them. It returns false when the
+// stream has ended.
+func (s *stream) pass(ctx context.Context, bytes []byte) bool {
+	state, _ := s.network.state(s.link)
+	if !wait(ctx, state.Delay) {
 		return false
 	}
-	if one.network.loses(one, len(bytes)) {
+	if s.network.loses(s, len(bytes)) {
 		return true
 	}
-	if _, err := one.to.Write(bytes); err != nil {
-		_ = one.from.Close()
+	if _, err := s.to.Write(bytes); err != nil {
+		_ = s.from.Close()
 		return false
 	}
 	return true
 }
 
-// awaitPassage returns when the link is not cut.
-func (one *stream) awaitPassage(ctx context.Context) {
+// awaitOpen returns when the link is not blocked, or the context ends.
+func (s *stream) awaitOpen(ctx context.Context) {
 	for {
-		treatment, changed := one.network.treatment(one.link)
-		if !treatment.Blocked {
+		state, changed := s.network.state(s.link)
+		if !state.Blocked {
 			return
 		}
 		select {
@@ -66,11 +66,11 @@
 	}
 }
 
-// close ends both directions; the network's lock is held.
-func (one *stream) close() {
-	one.closed = true
-	_ = one.from.Close()
-	_ = one.to.Close()
+// close ends both directions. The caller holds the network's lock.
+func (s *stream) close() {
+	s.closed = true
+	_ = s.from.Close()
+	_ = s.to.Close()
 }
 
 func wait(ctx context.Context, delay time.Duration) bool {
--- a/internal/lab/plans/zone.go
+++ b/internal/lab/plans/zone.go
@@ -34,10 +34,10 @@
 		links []links.Link
 	}{{"cut off " + zone, both}, {"cut what leaves " + zone, border.out}, {"cut what enters " + zone, border.in}} {
 		run.disturb(cut.name)
-		run.network.Treat(cut.links, links.LinkState{Blocked: true})
+		run.network.SetState(cut.links, links.LinkState{Blocked: true})
 		pause(ctx, partitionTime)
 		run.disturb("end: " + cut.name)
-		run.network.Treat(cut.links, links.LinkState{})
+		run.network.SetState(cut.links, links.LinkState{})
 		if err := run.awaitService(ctx); err != nil {
 			return err
 		}
