--- a/cmd/ridgeswitch-lab/replica.go
+++ b/cmd/ridgeswitch-lab/replica.go
@@ -50,7 +50,7 @@
 	model.Address = command.String("address")
 	model.Zone = command.String("zone")
 	model.WeightVersion = command.String("weight-version")
-	// Lives are told apart over restarts of the process, too.
+	// Incarnations differ over restarts of the process, too.
 	model.Incarnation = uint64(time.Now().UnixMilli())
 	if tokens := command.Uint64("capacity-tokens"); tokens > 0 {
 		model.CapacityTokens = tokens
--- a/internal/lab/caller/balancer.go
+++ b/internal/lab/caller/balancer.go
@@ -10,7 +10,7 @@
 
 // Intervals of the balancer.
 const (
-	// pollEvery is how often the balancer asks a node whether it is ready.
+	// pollEvery is how often the balancer polls the readiness of a node.
 	pollEvery = 200 * time.Millisecond
 	// pollTimeout is when a node that does not answer counts as not ready.
 	pollTimeout = 400 * time.Millisecond
@@ -56,7 +56,7 @@
 	balancer.client.CloseIdleConnections()
 }
 
-// Poll asks every node once and returns when all have answered or failed to.
+// Poll checks the readiness of every node once.
 func (balancer *Balancer) Poll(ctx context.Context) {
 	var polls sync.WaitGroup
 	for _, target := range balancer.targets {
--- a/internal/lab/caller/response.go
+++ b/internal/lab/caller/response.go
@@ -19,10 +19,10 @@
 )
 
 // errorEvent is the name of the event by which a node tells that a streamed
-// answer is cut.
+// response is truncated.
 const errorEvent = "error"
 
-// errTruncated is the end of an answer that the node itself declared to be cut.
+// errTruncated is the end of a response that the node itself declared to be truncated.
 var errTruncated = errors.New("the answer was cut")
 
 // refusal is the body of an error. The claim is a pointer, since a body that
@@ -33,7 +33,7 @@
 	RequestID  string `json:"request_id"`
 }
 
-// readRefusal reads an error answer. An error is returned when it was cut.
+// readRefusal reads an error response. An error is returned when it was truncated.
 func readRefusal(record *checker.Request, header http.Header, body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -88,7 +88,7 @@
 }
 
 // returns reports whether a caller repeats a request: only one that has not run,
-// and only when it was told when to come back.
+// and only when the response named a time to retry.
 func returns(job Job, record checker.Request) bool {
 	refused := record.Result == checker.ResultRefused && record.Claim == checker.ClaimNotRun
 	return job.RetriesAfterRefusal && refused && record.RetryAfter > 0
--- a/internal/lab/checker/commands.go
+++ b/internal/lab/checker/commands.go
@@ -4,7 +4,7 @@
 
 // OneCommander requires that one node at a time commands a replica: once a
 // replica has received a command of one epoch, no command of an older epoch
-// and none of another holder in the same epoch reaches it. A command that the
+// and none of another sender in the same epoch reaches it. A command that the
 // replica refused breaks the rule as well, since its sender believed to hold
 // the right to command.
 type OneCommander struct{}
--- a/internal/lab/checker/records.go
+++ b/internal/lab/checker/records.go
@@ -37,7 +37,7 @@
 
 // The ways a request ends.
 const (
-	// ResultComplete is an answer that looks whole to the caller.
+	// ResultComplete is a response that looks complete to the caller.
 	ResultComplete Result = "complete"
 	// ResultTruncated is an answer that the caller saw break off.
 	ResultTruncated Result = "cut"
@@ -49,7 +49,7 @@
 	ResultDisconnected Result = "left"
 )
 
-// RunClaim is what a refusal told the caller about the request's execution.
+// RunClaim is what a refusal said about the request's execution.
 type RunClaim string
 
 // The claims of a refusal.
@@ -81,7 +81,7 @@
 	Result    Result
 	ErrorKind string
 	Claim     RunClaim
-	// RetryAfter is the wait that the refusal asked for.
+	// RetryAfter is the wait that the refusal named.
 	RetryAfter time.Duration
 	// EchoID is the request identity inside the answer.
 	EchoID string
@@ -168,9 +168,9 @@
 	OutcomeAcknowledged Outcome = "acknowledged"
 	// OutcomePending says that the change may take effect.
 	OutcomePending Outcome = "pending"
-	// OutcomeRefused is a verdict: the change was not taken.
+	// OutcomeRefused is final: the change was rejected.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeUnavailable is no verdict: nobody could decide just then.
+	// OutcomeUnavailable is not final: no node could decide at that time.
 	OutcomeUnavailable Outcome = "unavailable"
 	// OutcomeLost is a submission without an answer.
 	OutcomeLost Outcome = "lost"
--- a/internal/lab/emulator/config.go
+++ b/internal/lab/emulator/config.go
@@ -11,7 +11,7 @@
 	// Address and Zone say where the replica stands.
 	Address string
 	Zone    string
-	// Incarnation is the first life's number; each crash adds one.
+	// Incarnation is the number of the first incarnation; each crash adds one.
 	Incarnation uint64
 	// WeightVersion is what the replica starts with, also after a crash.
 	WeightVersion string
--- a/internal/lab/emulator/journal.go
+++ b/internal/lab/emulator/journal.go
@@ -16,14 +16,14 @@
 	events      []protocol.Event
 }
 
-// NewJournal starts a life with a reset that lists nothing.
+// NewJournal starts an incarnation with a reset that lists nothing.
 func NewJournal(incarnation uint64, limit int) *Journal {
 	journal := &Journal{incarnation: incarnation, limit: limit}
 	journal.add(protocol.EventReset, nil)
 	return journal
 }
 
-// Incarnation returns the number of this life.
+// Incarnation returns the number of this incarnation.
 func (j *Journal) Incarnation() uint64 { return j.incarnation }
 
 // LastSequence returns the number of the newest event.
@@ -49,7 +49,7 @@
 }
 
 // After returns the events that follow a sequence number, or false when some of
-// them are no longer kept or the number is of another life.
+// them are no longer kept or the number is of another incarnation.
 func (j *Journal) After(sequence uint64) ([]protocol.Event, bool) {
 	if sequence > j.sequence {
 		return nil, false
--- a/internal/lab/emulator/replica.go
+++ b/internal/lab/emulator/replica.go
@@ -50,7 +50,7 @@
 	prefillWork float64
 	// allWork is what prefillWork was at the start.
 	allWork float64
-	// produced counts generated tokens; reported is how many were told.
+	// produced counts generated tokens; reported is how many were announced.
 	produced float64
 	reported uint32
 }
@@ -62,12 +62,12 @@
 		return nil, err
 	}
 	r := &Replica{config: config, now: now, runs: map[string]int{}}
-	r.begin(config.Incarnation, now)
+	r.startIncarnation(config.Incarnation, now)
 	return r, nil
 }
 
-// begin starts a life with nothing in memory.
-func (r *Replica) begin(incarnation uint64, upAt time.Duration) {
+// startIncarnation starts an incarnation with nothing in memory.
+func (r *Replica) startIncarnation(incarnation uint64, upAt time.Duration) {
 	r.cache = NewCache(r.config.CapacityTokens)
 	r.journal = NewJournal(incarnation, r.config.JournalEvents)
 	r.weights = weights{version: r.config.WeightVersion}
@@ -80,10 +80,10 @@
 	r.queue = nil
 	r.prefilling = nil
 	r.decoding = nil
-	r.remember()
+	r.recordReport()
 }
 
-// Submit offers an attempt. A *Refusal promises that it has not run. Every
+// Submit offers an attempt. A *RefusedError promises that it has not run. Every
 // arrival is recorded, also a refused one.
 func (r *Replica) Submit(now time.Duration, request Request) (Handle, error) {
 	r.Advance(now)
@@ -112,7 +112,7 @@
 		r.queue = append(r.queue, attempt)
 	}
 	r.startPrefill()
-	r.remember()
+	r.recordReport()
 	return attempt.handle, nil
 }
 
@@ -149,7 +149,7 @@
 }
 
 // Missing returns the chain hashes among positions first to last of an attempt
-// that are not kept, and so are worth pulling.
+// that are not kept, and so are to be pulled.
 func (r *Replica) Missing(handle Handle, first, last int) []prefixindex.ChainHash {
 	attempt, ok := r.active[handle]
 	if !ok {
@@ -181,7 +181,7 @@
 	r.cache.Touch(attempt.links)
 	r.queue = append(r.queue, attempt)
 	r.startPrefill()
-	r.remember()
+	r.recordReport()
 }
 
 // Cancel stops an attempt and frees what it held.
@@ -197,10 +197,10 @@
 	}
 	r.release(attempt, outcome)
 	r.startPrefill()
-	r.remember()
+	r.recordReport()
 }
 
-// Export returns the chunks that a peer asked for, up to the first one that is
+// Export returns the chunks that a peer requests, up to the first one that is
 // not kept.
 func (r *Replica) Export(now time.Duration, hashes []prefixindex.ChainHash) []CachedChunk {
 	r.Advance(now)
@@ -235,7 +235,7 @@
 		attempt.execution.Outcome = OutcomeCrashed
 		attempt.execution.FinishedAt = now
 	}
-	r.begin(r.journal.Incarnation()+1, now+r.config.Restart)
+	r.startIncarnation(r.journal.Incarnation()+1, now+r.config.Restart)
 }
 
 // Up reports whether the replica answers at all.
@@ -247,7 +247,7 @@
 // Runs returns how many attempts of a request have run, at least in part.
 func (r *Replica) Runs(requestID string) int { return r.runs[requestID] }
 
-// Journal returns the numbered events of the present life.
+// Journal returns the numbered events of the present incarnation.
 func (r *Replica) Journal() *Journal { return r.journal }
 
 // Snapshot returns a reset event that lists everything kept.
--- a/internal/lab/emulator/report.go
+++ b/internal/lab/emulator/report.go
@@ -16,9 +16,9 @@
 	report protocol.Report
 }
 
-// remember records the present state for later readers. The report's age begins
+// recordReport records the present state for later readers. The report's age begins
 // here.
-func (r *Replica) remember() {
+func (r *Replica) recordReport() {
 	state := reportState{at: r.now, report: r.currentReport()}
 	states := r.reports.states
 	if last := len(states) - 1; last >= 0 && states[last].at == r.now {
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -23,7 +23,7 @@
 		}
 		r.progress(at)
 		r.applyDue()
-		r.remember()
+		r.recordReport()
 	}
 	r.progress(max(now, r.now))
 }
@@ -184,7 +184,7 @@
 }
 
 // prefillCost weighs the tokens by the context that each attends to. Even a
-// prompt that is kept whole needs one step for the first token.
+// prompt that is cached completely needs one step for the first token.
 func (r *Replica) prefillCost(context, tokens uint64) float64 {
 	computed := math.Max(float64(tokens), 1)
 	middle := float64(context) + computed/2
@@ -227,7 +227,7 @@
 	r.cache.Touch(attempt.links)
 }
 
-// nextStop is the count of tokens at which something is to be told.
+// nextStop is the count of tokens at which a notice is due.
 func (s *sequence) nextStop() float64 {
 	stop := s.execution.Request.OutputTokens
 	if chunk := s.execution.Request.ChunkTokens; chunk > 0 {
--- a/internal/lab/emulator/store.go
+++ b/internal/lab/emulator/store.go
@@ -38,13 +38,13 @@
 	return s.cache.Get(hash)
 }
 
-// Empty loses everything and starts a new life.
+// Empty loses everything and starts a new incarnation.
 func (s *Store) Empty() {
 	s.cache = NewCache(s.capacityTokens)
 	s.journal = NewJournal(s.journal.Incarnation()+1, s.journalEvents)
 }
 
-// Journal returns the numbered events of the present life.
+// Journal returns the numbered events of the present incarnation.
 func (s *Store) Journal() *Journal { return s.journal }
 
 // Snapshot returns a reset event that lists everything kept.
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -50,8 +50,8 @@
 )
 
 // Command starts to load weights, in place of any load under way. It returns a
-// *StaleEpochError for an epoch below the highest seen in this life, and a
-// *Refusal while the replica is down.
+// *StaleEpochError for an epoch below the highest seen in this incarnation, and a
+// *RefusedError while the replica is down.
 func (r *Replica) Command(now time.Duration, command protocol.WeightsCommand) (CommandOutcome, error) {
 	r.Advance(now)
 	if now < r.upAt {
@@ -69,7 +69,7 @@
 	}
 	r.weights.target = command.WeightVersion
 	r.weights.loadedAt = now + r.config.WeightLoad
-	r.remember()
+	r.recordReport()
 	return CommandLoading, nil
 }
 
--- a/internal/lab/fleet/disruption.go
+++ b/internal/lab/fleet/disruption.go
@@ -14,7 +14,7 @@
 // time, the notice to balancers before it, and a busy machine.
 const nodeStopTimeout = drainTimeoutMS*time.Millisecond + 7*time.Second
 
-// StopNode asks a node to end and returns when it has. A node that does not end
+// StopNode signals a node to end and returns when it has. A node that does not end
 // by itself in time is killed, which is an error, as a failure is.
 func (fleet *Fleet) StopNode(name string) error {
 	process := fleet.running(name)
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// ThawNode lets a frozen node go on.
+// ThawNode resumes a frozen node.
 func (fleet *Fleet) ThawNode(name string) error {
 	process := fleet.running(name)
 	if process == nil {
--- a/internal/lab/fleet/ending.go
+++ b/internal/lab/fleet/ending.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
 )
 
-// loadBeside returns the script, and the load cut off where the script ends.
+// loadBeside returns the script, and the load, which ends with the script.
 func loadBeside(script Script, load caller.Load) (Script, caller.Load) {
 	ending := &endingScript{Script: script, ended: make(chan struct{})}
 	return ending, &endingLoad{Load: load, ended: ending.ended}
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -23,7 +23,7 @@
 	convergenceTimeout = checker.WeightsBound + time.Second
 	// convergencePollEvery is how often the settling is looked at.
 	convergencePollEvery = 100 * time.Millisecond
-	// samplingAfterConvergence is how long the samples go on once all has settled, so that
+	// samplingAfterConvergence is how long the samples go on once all replicas have converged, so that
 	// the newest configuration is due everywhere before they end.
 	samplingAfterConvergence = checker.ServedBound + time.Second
 	// firstRevision is the base of the first configuration.
@@ -128,7 +128,7 @@
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	order := operator.ApplyOrder(fmt.Sprintf("%s-first", experiment.Plan.Run), firstRevision, experiment.Deployment.Configuration)
-	record, err := recorder.Insist(ctx, experiment.Fleet.LiveTargets(), order)
+	record, err := recorder.SubmitUntilDecided(ctx, experiment.Fleet.LiveTargets(), order)
 	if err != nil {
 		return errors.Wrap(err, "apply the first configuration")
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -19,7 +19,7 @@
 const (
 	// startTimeout bounds the wait for one process to answer.
 	startTimeout = 20 * time.Second
-	// pollEvery is how often a starting process is asked.
+	// pollEvery is how often a starting process is polled.
 	pollEvery = 50 * time.Millisecond
 	// stopTimeout is how long processes may take to finish by themselves.
 	stopTimeout = 5 * time.Second
@@ -248,7 +248,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// NodeRuns returns every life of every node's process.
+// NodeRuns returns every run of every node's process.
 func (fleet *Fleet) NodeRuns() []checker.NodeRun {
 	fleet.lock.Lock()
 	defer fleet.lock.Unlock()
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// host returns the host of the first route whose pool is wanted.
+// host returns the host of the first route whose pool matches.
 func (load *load) host(matches func(pool string) bool) string {
 	for _, route := range load.deployment.Configuration.GetRoutes() {
 		if matches(route.GetPool()) {
--- a/internal/lab/fleet/machines.go
+++ b/internal/lab/fleet/machines.go
@@ -50,7 +50,7 @@
 	return fleet.post(ctx, fleet.Topology().Platform.Address, changesPath, changes)
 }
 
-// DisturbReplicas lets replicas refuse requests and cut answers, or ends that.
+// DisturbReplicas lets replicas refuse requests and truncate responses, or ends that.
 func (fleet *Fleet) DisturbReplicas(ctx context.Context, addresses []string, disturbed bool) error {
 	var faults standin.Faults
 	if disturbed {
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -20,7 +20,7 @@
 	lastWeights  = "v3"
 )
 
-// disturbedReplicas is how many replicas refuse requests and cut answers.
+// disturbedReplicas is how many replicas refuse requests and truncate responses.
 const disturbedReplicas = 3
 
 // changedTenants is how many unwalled tenants the scenario needs.
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -38,7 +38,7 @@
 }
 
 // startProcess starts a program whose output goes to a file of the folder. A
-// further life of the same name appends to the same file.
+// further process of the same name appends to the same file.
 func startProcess(kind ProcessKind, name, folder, binary string, arguments ...string) (*Process, error) {
 	path := filepath.Join(folder, name+".log")
 	log, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -102,7 +102,7 @@
 // Freeze stops the process where it is, as a machine that is suspended.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (process *Process) Thaw() { process.signal(syscall.SIGCONT) }
 
 // Kill ends the process at once and returns when it is gone.
@@ -111,7 +111,7 @@
 	<-process.done
 }
 
-// Terminate asks the process to finish, and kills it when it has not done so
+// Terminate signals the process to finish, and kills it when it has not done so
 // in time. It reports whether the process ended by itself.
 func (process *Process) Terminate(timeout time.Duration) bool {
 	process.signal(syscall.SIGTERM)
--- a/internal/lab/fleet/sampler.go
+++ b/internal/lab/fleet/sampler.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// sampleStatus asks a node what it serves. The sample bears the time before
+// sampleStatus reads what a node serves. The sample bears the time before
 // the question: what a node serves at the answer it may have learnt since.
 func (sampler *Sampler) sampleStatus(ctx context.Context, name string) {
 	node, _ := sampler.machines().Node(name)
--- a/internal/lab/fleet/settings.go
+++ b/internal/lab/fleet/settings.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// drainTimeoutMS keeps a fleet that is asked to stop from lingering.
+// drainTimeoutMS keeps a fleet that is to stop from lingering.
 const drainTimeoutMS = 3000
 
 // settingsOf returns the settings of a node. The data folder of a node with a
--- a/internal/lab/fleet/summary.go
+++ b/internal/lab/fleet/summary.go
@@ -19,7 +19,7 @@
 	Requests   int    `json:"requests"`
 	Succeeded  int    `json:"succeeded"`
 	Refused    int    `json:"refused"`
-	// Failed counts answers that were cut and connections without an answer.
+	// Failed counts truncated responses and connections without an answer.
 	Failed int `json:"failed"`
 	// Disconnected counts callers that went away on purpose.
 	Disconnected int `json:"left"`
--- a/internal/lab/hollow/virtual_fleet.go
+++ b/internal/lab/hollow/virtual_fleet.go
@@ -20,7 +20,7 @@
 	virtualJitter  = time.Millisecond
 	// virtualDiskTime is the time of a write.
 	virtualDiskTime = time.Millisecond
-	// virtualIncarnation is the life that all nodes start in.
+	// virtualIncarnation is the incarnation in which all nodes start.
 	virtualIncarnation = 1
 )
 
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
 // Package loopback allots TCP ports of this machine to processes of tests and labs
-// that have to be told where to listen before they start.
+// that need to know where to listen before they start.
 package loopback
 
 import (
--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -80,7 +80,7 @@
 	var racing sync.WaitGroup
 	for number, order := range orders {
 		targets := scenario.Targets()
-		racing.Go(func() { results[number], _ = scenario.Recorder.Insist(ctx, targets, order) })
+		racing.Go(func() { results[number], _ = scenario.Recorder.SubmitUntilDecided(ctx, targets, order) })
 	}
 	racing.Wait()
 	winner := slices.IndexFunc(results, func(result checker.Order) bool {
@@ -111,7 +111,7 @@
 func (scenario *Scenario) Resend(ctx context.Context, order Order) error {
 	targets := scenario.Targets()
 	for _, target := range targets[:min(resends, len(targets))] {
-		if _, err := scenario.Recorder.Insist(ctx, []Target{target}, order); err != nil {
+		if _, err := scenario.Recorder.SubmitUntilDecided(ctx, []Target{target}, order); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 			return err
 		}
 		order.Invalid = true
-		record, err := scenario.Recorder.Insist(ctx, scenario.Targets(), order)
+		record, err := scenario.Recorder.SubmitUntilDecided(ctx, scenario.Targets(), order)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/operator/operator_test.go
+++ b/internal/lab/operator/operator_test.go
@@ -88,7 +88,7 @@
 		first, asked := node(reply{503, `{"kind":"no_leader"}`}, reply{202, `{"outcome":"PENDING"}`})
 		second, _ := node(reply{202, `{"outcome":"PENDING"}`}, reply{200, `{"outcome":"ACKNOWLEDGED","revision":"3"}`})
 		recorder := operator.NewRecorder(now)
-		record, err := recorder.Insist(context.Background(), []operator.Target{first, second}, revoke())
+		record, err := recorder.SubmitUntilDecided(context.Background(), []operator.Target{first, second}, revoke())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(record.Revision).To(BeEquivalentTo(3))
 		Expect(*asked).To(HaveLen(2))
@@ -100,7 +100,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		target, _ := node(reply{202, `{}`})
-		_, err := operator.NewRecorder(now).Insist(ctx, []operator.Target{target}, revoke())
+		_, err := operator.NewRecorder(now).SubmitUntilDecided(ctx, []operator.Target{target}, revoke())
 		Expect(err).To(BeAssignableToTypeOf(&operator.UndecidedError{}))
 	})
 })
@@ -193,7 +193,7 @@
 			Pools:   []*ridgeswitchv1.Pool{{Name: "pool", Model: "model", Service: "service", WeightVersion: "v1", RequestTimeoutMs: 1000}},
 			Routes:  []*ridgeswitchv1.Route{{Host: "pool.example", Destination: &ridgeswitchv1.Route_Pool{Pool: "pool"}}},
 		})
-		record, err := recorder.Insist(context.Background(), involved.targets, first)
+		record, err := recorder.SubmitUntilDecided(context.Background(), involved.targets, first)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(record.Outcome).To(Equal(checker.OutcomeAcknowledged), record.ProblemKind)
 		log := logrus.New()
--- a/internal/lab/operator/orders.go
+++ b/internal/lab/operator/orders.go
@@ -14,12 +14,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// resendPause is the wait before an order without a verdict is sent again,
+// resendPause is the wait before an order without a final outcome is sent again,
 // where the node names no other time.
 const resendPause = 100 * time.Millisecond
 
 // statusTimeout bounds the wait for a node's status, so that a frozen node
-// holds nobody up.
+// delays no other.
 const statusTimeout = time.Second
 
 // Target is a node that takes orders.
@@ -108,7 +108,7 @@
 	}
 }
 
-// UndecidedError reports that no node gave a verdict on an order in time.
+// UndecidedError reports that no node decided an order in time.
 type UndecidedError struct {
 	OrderID string
 	Last    checker.Outcome
@@ -121,9 +121,9 @@
 		"); resend the identical order to any node"
 }
 
-// Insist sends an order to the targets in turn until one gives a verdict: it is
+// SubmitUntilDecided sends an order to the targets in turn until one gives a final outcome: it is
 // acknowledged or refused. A context that ends before gives *UndecidedError.
-func (recorder *Recorder) Insist(ctx context.Context, targets []Target, order Order) (checker.Order, error) {
+func (recorder *Recorder) SubmitUntilDecided(ctx context.Context, targets []Target, order Order) (checker.Order, error) {
 	if len(targets) == 0 {
 		return checker.Order{}, errors.New("no node is left to take the order; start one")
 	}
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// orderTimeout bounds how long an operator insists on one order.
+// orderTimeout bounds how long an operator resends one order.
 const orderTimeout = 20 * time.Second
 
 // Machines are what a scenario does to machines rather than by orders.
@@ -20,7 +20,7 @@
 	KillNode(name string) error
 	RestartNode(name string) error
 	DrainReplica(ctx context.Context, address string) error
-	// DisturbReplicas lets replicas refuse requests and cut answers, or ends
+	// DisturbReplicas lets replicas refuse requests and truncate responses, or ends
 	// that.
 	DisturbReplicas(ctx context.Context, addresses []string, disturbed bool) error
 	// LiveTargets returns the nodes that run, in a fixed order.
@@ -39,7 +39,7 @@
 	LastWeights    string
 	EvacuatedZone  string
 	DrainedReplica string
-	// DisturbedReplicas refuse requests and cut answers for a while.
+	// DisturbedReplicas refuse requests and truncate responses for a while.
 	DisturbedReplicas []string
 	KilledFront       string
 	KilledCore        string
@@ -98,7 +98,7 @@
 }
 
 // Run does every step at its time, or as soon after it as the steps before it
-// have ended. A step that fails is noted and the others go on.
+// have ended. A step that fails is recorded and the others go on.
 func (scenario *Scenario) Run(ctx context.Context) {
 	started := scenario.Recorder.now()
 	for _, step := range scenario.steps() {
@@ -148,9 +148,9 @@
 	return fmt.Sprintf("%s-%s", scenario.Plan.Run, name)
 }
 
-// RequireAcknowledged insists on an order and wants it to be acknowledged.
+// RequireAcknowledged submits an order until it is decided, and fails unless it is acknowledged.
 func (scenario *Scenario) RequireAcknowledged(ctx context.Context, order Order) error {
-	record, err := scenario.Recorder.Insist(ctx, scenario.Targets(), order)
+	record, err := scenario.Recorder.SubmitUntilDecided(ctx, scenario.Targets(), order)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/plans/acknowledged_orders.go
+++ b/internal/lab/plans/acknowledged_orders.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, kept := range run.acknowledged {
-		record, err := run.Recorder.Insist(ctx, run.scenario.Targets(), kept.order)
+		record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), kept.order)
 		if err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// missing returns the promises that a configuration does not hold.
+// missing returns the acknowledged orders that are not in force in a configuration.
 func missing(configuration *ridgeswitchv1.Configuration, acknowledged []acknowledgedOrder) []acknowledgedOrder {
 	keys, routes := make(map[string]bool), make(map[string]bool)
 	for _, tenant := range configuration.GetTenants() {
--- a/internal/lab/plans/background_operators.go
+++ b/internal/lab/plans/background_operators.go
@@ -18,7 +18,7 @@
 const (
 	backgroundOperatorCount = 2
 	backgroundOrderPause    = 300 * time.Millisecond
-	// backgroundOrderTimeout bounds how long one of them insists on an order.
+	// backgroundOrderTimeout bounds how long one of them resends an order.
 	backgroundOrderTimeout = 45 * time.Second
 )
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// stop returns when every operator has the verdict on its last order.
+// stop returns when every operator knows the outcome of its last order.
 func (all *backgroundOperators) stop() {
 	close(all.ended)
 	all.running.Wait()
@@ -67,13 +67,13 @@
 	}
 }
 
-// submit adds a key and insists until that has a verdict.
+// submit adds a key and resends the order until it is decided.
 func (all *backgroundOperators) submit(ctx context.Context, key string, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, backgroundOrderTimeout)
 	defer cancel()
 	order := all.run.keyOrder(key, number)
 	sent := all.run.Clock.Now()
-	record, err := all.run.Recorder.Insist(ctx, all.run.scenario.Targets(), order)
+	record, err := all.run.Recorder.SubmitUntilDecided(ctx, all.run.scenario.Targets(), order)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/plans/disks.go
+++ b/internal/lab/plans/disks.go
@@ -43,7 +43,7 @@
 		victim, _ = lo.Find(run.Fleet.Topology().Group, func(member string) bool { return member != spared })
 	}
 	order := run.keyOrder("disk-loss-"+name, 0)
-	record, err := run.Recorder.Insist(ctx, run.scenario.Targets(), order)
+	record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), order)
 	if err != nil {
 		return "", err
 	}
@@ -51,7 +51,7 @@
 		return "", errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
 	}
 	run.recordAcknowledged(order, record)
-	run.disturb("lose the disk of " + victim)
+	run.recordDisturbance("lose the disk of " + victim)
 	return victim, run.replaceDisk(victim)
 }
 
--- a/internal/lab/plans/doc.go
+++ b/internal/lab/plans/doc.go
@@ -2,6 +2,6 @@
 // go through under load, and judges how long service took to come back.
 //
 // While a plan runs, operators add keys one after another through all nodes and
-// resend each order until it has a verdict. At the end everything that was
+// resend each order until it is decided. At the end everything that was
 // acknowledged must be there on every node.
 package plans
--- a/internal/lab/plans/freeze.go
+++ b/internal/lab/plans/freeze.go
@@ -48,7 +48,7 @@
 // started if the weights are to be named.
 func (run *run) freeze(ctx context.Context, names []string, nameWeights bool) error {
 	for _, name := range names {
-		run.disturb("freeze " + name)
+		run.recordDisturbance("freeze " + name)
 		if err := run.Fleet.FreezeNode(name); err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 	}
 	pause(ctx, thaw-run.Clock.Now())
 	for _, name := range names {
-		run.disturb("thaw " + name)
+		run.recordDisturbance("thaw " + name)
 		if err := run.Fleet.ThawNode(name); err != nil {
 			return err
 		}
--- a/internal/lab/plans/plan.go
+++ b/internal/lab/plans/plan.go
@@ -13,7 +13,7 @@
 	Name string
 	// Summary says in one line what happens.
 	Summary string
-	// Links lets the plan cut and delay what nodes send each other.
+	// Links lets the plan block and delay what nodes send each other.
 	Links bool
 	// SubmitsOrders is set if the plan submits its own orders, beside which no
 	// others are to change the configuration.
--- a/internal/lab/plans/pool.go
+++ b/internal/lab/plans/pool.go
@@ -24,7 +24,7 @@
 	return lo.SomeBy(replicas, isServing)
 }
 
-// awaitPool returns when every node knows the pool to serve as wanted. Weights
+// awaitPool returns when every node knows the pool to meet a condition. Weights
 // that are named before the pool has begun to serve are loaded first.
 func (run *run) awaitPool(ctx context.Context, condition func([]*ridgeswitchv1.ReplicaStatus) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
--- a/internal/lab/plans/recovery.go
+++ b/internal/lab/plans/recovery.go
@@ -69,7 +69,7 @@
 }
 
 // longestGap returns the longest span without an event, from the first
-// disturbance until the end of expectation. Later disturbances do not cut a
+// disturbance until the end of expectation. Later disturbances do not split a
 // silence in two: the end of a fault is one as well, and what is silent before
 // it is the doing of the fault.
 func longestGap(events, disturbances []time.Duration, until time.Duration) time.Duration {
--- a/internal/lab/plans/restarts.go
+++ b/internal/lab/plans/restarts.go
@@ -25,7 +25,7 @@
 
 // restart stops a node by SIGTERM, starts it again and waits until it is ready.
 func (run *run) restart(ctx context.Context, name string) error {
-	run.disturb("restart " + name)
+	run.recordDisturbance("restart " + name)
 	if err := run.Fleet.StopNode(name); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 // crash kills nodes at once, starts them again on their disks after a while,
 // and waits until all is well.
 func (run *run) crash(ctx context.Context, what string, names []string) error {
-	run.disturb("kill " + what)
+	run.recordDisturbance("kill " + what)
 	if err := run.killAll(names); err != nil {
 		return err
 	}
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -114,8 +114,8 @@
 	run.failures = append(run.failures, err)
 }
 
-// disturb records that a fault begins now.
-func (run *run) disturb(name string) {
+// recordDisturbance records that a fault begins now.
+func (run *run) recordDisturbance(name string) {
 	at := run.Clock.Now()
 	run.Log.WithField("at", at).Info(name)
 	run.lock.Lock()
--- a/internal/lab/plans/storm.go
+++ b/internal/lab/plans/storm.go
@@ -30,7 +30,7 @@
 // stormConfigurations applies configurations as fast as they are acknowledged,
 // each with one route more than the one before.
 func stormConfigurations(ctx context.Context, run *run) error {
-	run.disturb("storm of configurations")
+	run.recordDisturbance("storm of configurations")
 	for number := 1; number <= stormConfigurationCount; number++ {
 		if err := run.stormIteration(ctx, number); err != nil {
 			return errors.Wrapf(err, "configuration %d", number)
@@ -95,7 +95,7 @@
 	var racing sync.WaitGroup
 	for number, order := range orders {
 		targets := run.scenario.Targets()
-		racing.Go(func() { records[number], failures[number] = run.Recorder.Insist(ctx, targets, order) })
+		racing.Go(func() { records[number], failures[number] = run.Recorder.SubmitUntilDecided(ctx, targets, order) })
 	}
 	racing.Wait()
 	var won *operator.Order
@@ -141,7 +141,7 @@
 	changed.Routes = append(changed.Routes, run.route(name, "missing"))
 	order := operator.ApplyOrder(run.scenario.OrderID(name), present.GetRevision(), changed)
 	order.Invalid = true
-	record, err := run.Recorder.Insist(ctx, run.scenario.Targets(), order)
+	record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), order)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/plans/swap.go
+++ b/internal/lab/plans/swap.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	run.disturb("swap the machine of " + name)
+	run.recordDisturbance("swap the machine of " + name)
 	if err := run.Fleet.KillNode(name); err != nil {
 		return err
 	}
--- a/internal/lab/plans/zone.go
+++ b/internal/lab/plans/zone.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 )
 
-// partitionTime is how long a zone is cut off.
+// partitionTime is how long a zone is partitioned.
 const partitionTime = 6 * time.Second
 
 // boundary holds the links between a zone and all others.
@@ -20,7 +20,7 @@
 	in  []links.Link
 }
 
-// partitionZone cuts a zone off both ways, then each way alone.
+// partitionZone partitions a zone both ways, then each way alone.
 func partitionZone(ctx context.Context, run *run) error {
 	zones := run.Fleet.Topology().Zones()
 	zone := zones[run.random.IntN(len(zones))]
@@ -33,10 +33,10 @@
 		name  string
 		links []links.Link
 	}{{"cut off " + zone, both}, {"cut what leaves " + zone, border.out}, {"cut what enters " + zone, border.in}} {
-		run.disturb(cut.name)
+		run.recordDisturbance(cut.name)
 		run.network.SetState(cut.links, links.LinkState{Blocked: true})
 		pause(ctx, partitionTime)
-		run.disturb("end: " + cut.name)
+		run.recordDisturbance("end: " + cut.name)
 		run.network.SetState(cut.links, links.LinkState{})
 		if err := run.awaitService(ctx); err != nil {
 			return err
--- a/internal/lab/proxybench/forwarder.go
+++ b/internal/lab/proxybench/forwarder.go
@@ -7,7 +7,7 @@
 )
 
 // forwarder is the yardstick: the least that forwards HTTP by net/http. It
-// keeps none of the promises of a node.
+// gives none of the guarantees of a node.
 type forwarder struct {
 	addresses []string
 	turn      atomic.Uint64
--- a/internal/lab/standin/event_stream.go
+++ b/internal/lab/standin/event_stream.go
@@ -76,7 +76,7 @@
 }
 
 // position reads where the reader stands. Without the query parameter
-// "incarnation" a sequence number is taken to be one of the present life.
+// "incarnation" a sequence number is taken to be one of the present incarnation.
 func (s *EventStream) position(r *http.Request) (Position, error) {
 	after := r.URL.Query().Get("after")
 	if after == "" {
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -11,7 +11,7 @@
 // Faults are what a stand-in does wrong on purpose. Ratios are shares of the
 // requests, from 0 to 1.
 type Faults struct {
-	// RefuseRatio refuses requests with a promise that they did not run.
+	// RefuseRatio refuses requests with the statement that they did not run.
 	RefuseRatio float64 `json:"refuse_ratio"`
 	// TruncateRatio cuts answers after TruncateAtByte bytes of the body. A negative
 	// TruncateAtByte closes the connection with no answer at all, after the request
