--- a/internal/dataplane/claiming/driver.go
+++ b/internal/dataplane/claiming/driver.go
@@ -26,7 +26,7 @@
 
 // Options configure a Driver.
 type Options struct {
-	// Config sets up the machine. Its Life must never come twice, also not
+	// Config sets up the machine. Its Incarnation must never be used twice, also not
 	// after the loss of a disk.
 	Config claims.Config
 	// Clock returns the time elapsed on a clock that counts suspended time.
