--- a/internal/control/confirmation/doc.go
+++ b/internal/control/confirmation/doc.go
@@ -6,8 +6,9 @@
 // The node tells the leaders when that changes, and now and then.
 //
 // Table owns what all nodes have confirmed, in which incarnation, and what the leaders of
-// shards on this node wait for. Every member of a shard's group keeps a table, so that a
-// new leader need not ask.
+// shards on this node wait for. Every node with a disk keeps a table, so that a new leader
+// need not ask; where nodes go on serving while partitioned, only leaders are told, and a
+// new one asks.
 //
 // Disseminator owns how far the newest state of a shard that this node leads has come,
 // where the membership and not a registry tells which nodes there are. It announces the
--- a/internal/control/confirmation/table.go
+++ b/internal/control/confirmation/table.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// ConfirmedEverywhere reports whether no node can still serve a revision of the shard
-// below the given one.
+// ConfirmedEverywhere reports whether no node can still serve a revision of the shard below
+// the given one. If one can, the leader waits for it from now on: RequestOverdue asks.
 func (t *Table) ConfirmedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.allNodes(shard, func(row confirmation) bool { return row.revision >= revision })
 	if !everywhere {
@@ -119,7 +119,7 @@
 }
 
 // DrainedEverywhere reports whether no node has a request left on a replica that the given
-// revision keeps requests from.
+// revision keeps requests from. If one has, the leader waits for it from now on.
 func (t *Table) DrainedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.formerIncarnationsQuiesced(shard) &&
 		t.allNodes(shard, func(row confirmation) bool { return row.drained >= revision })
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -43,8 +43,9 @@
 }
 
 // drained reports whether no request of this node runs on a replica that the newest state
-// of a shard keeps requests from. Traffic counts a request before it reads the view for
-// the last time, so that a zero read after the view was published stays true.
+// of a shard keeps requests from. Traffic counts a request before it reads the view for the
+// last time, so that a zero read after the view was published stays true. (publishView
+// reads it before the driver has stored the view; docs/ROADMAP.md lists that.)
 func (m *Machine) drained(shardID uint32) bool {
 	for _, replica := range m.received.Service(shardID).GetReplicas() {
 		serving := replica.GetPhase() == controlpb.ReplicaPhase_SERVING
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -31,8 +31,9 @@
 //	deadlines of named weights                view.Builder
 //	the way of states to all nodes            relaytree.Machine
 //
-// These machines don't know each other. What one needs of a shard, it names in an
-// interface that hostedShard implements; messages go through protocol.Transport. A message
-// of the node to itself is handled at once, so that a leader treats its own node like any
-// other.
+// Few of these machines know another: leaders.Directory and shardstate.Received are shared
+// by those that need them, and Disseminator reads the Table. What one needs of a shard, it
+// names in an interface that hostedShard implements; messages go through
+// protocol.Transport. A message of the node to itself is handled at once, so that a leader
+// treats its own node like any other.
 package control
--- a/internal/control/driver/inputs.go
+++ b/internal/control/driver/inputs.go
@@ -80,7 +80,8 @@
 	d.call(func(now time.Duration) control.Output { return d.machine.Leave(now) })
 }
 
-// call runs an input and waits until its output is carried out.
+// call runs an input and waits until the machine has handled it. Its output is carried out
+// right after that, maybe not before call returns.
 func (d *Driver) call(input func(now time.Duration) control.Output) {
 	finished := make(chan struct{})
 	d.post(func(now time.Duration) control.Output {
--- a/internal/control/driver/requests.go
+++ b/internal/control/driver/requests.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// ErrStopped is returned for an order that reaches a node that stops.
+// ErrStopped is returned for an order or a read that reaches a node that stops.
 var ErrStopped = errors.New("the node is stopping; send the identical order to another node")
 
 // NewOrderID returns an identity that no other order has, for an order that its
--- a/internal/control/driver/state.go
+++ b/internal/control/driver/state.go
@@ -32,8 +32,8 @@
 	return view.Configuration
 }
 
-// Weights describes the roll-out of a pool, or returns nil when there is no such
-// pool.
+// Weights describes the roll-out of a pool. It fails with an *UnknownPoolError when there
+// is no such pool, and also when the driver has stopped.
 func (d *Driver) Weights(pool string) (*ridgeswitchv1.WeightsStatus, error) {
 	var status *ridgeswitchv1.WeightsStatus
 	d.call(func(time.Duration) control.Output {
@@ -74,7 +74,7 @@
 // View returns the newest view, or nil before the first one.
 func (d *Driver) View() *routing.View { return d.view.Load() }
 
-// Live returns an error when the control goroutine has not run for long.
+// Live returns an error when the control goroutine has handled no input for stalledAfter.
 func (d *Driver) Live() error {
 	if idle := d.options.Clock() - time.Duration(d.lastRun.Load()); idle > stalledAfter {
 		return errors.Errorf("control has not run for %s; restart the node", idle)
--- a/internal/control/driver/storage.go
+++ b/internal/control/driver/storage.go
@@ -10,9 +10,8 @@
 // writeRetryEvery is the pause before a failed write is tried again.
 const writeRetryEvery = time.Second
 
-// writeLoop writes what one shard has to keep. A shard whose disk fails stops
-// there: it sends nothing that depends on the write, so that its group goes on
-// without it.
+// writeLoop writes what one shard has to keep. While a write fails it is repeated, and the
+// shard sends nothing that depends on it: its group goes on without this member.
 func (d *Driver) writeLoop(ctx context.Context, id uint32, queue <-chan control.StorageWrite) {
 	for {
 		select {
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -23,9 +23,10 @@
 )
 
 // Machine is the control state machine of one node. It composes the machines of single
-// concerns and owns nothing but the time of the last input, the output that it gathers,
-// and whether the view must be built anew. It is not safe for concurrent use: one
-// goroutine owns it.
+// concerns. Of its own it has only the time of the last input, the output that it gathers,
+// the platform's list as the node uses it and whether that is fresh, which restored states
+// were published, and whether the view must be built anew. It is not safe for concurrent
+// use: one goroutine owns it.
 type Machine struct {
 	config Config
 	// now is the time of the last input.
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// followLeaders names the leader of each shard, as far as it is known, as that root,
-// where the members of groups come and go.
+// followLeaders names the node that most likely leads each shard as the root from which its
+// states spread, on nodes that find each other through seeds.
 func (m *Machine) followLeaders() {
 	if !m.config.Seeded {
 		return
--- a/internal/control/protocol/message.go
+++ b/internal/control/protocol/message.go
@@ -7,7 +7,7 @@
 
 // The messages between the control machines of two nodes.
 const (
-	// MessageChange forwards an operator's order to the leader of a shard.
+	// MessageChange forwards an operator's order to the leader of the configuration.
 	MessageChange MessageType = iota + 1
 	// MessageChangeReply answers a forwarded order.
 	MessageChangeReply
@@ -17,8 +17,8 @@
 	// MessageRegisterReply carries the revision that the node must hold before it may
 	// serve, a challenge, or the leader of the shard.
 	MessageRegisterReply
-	// MessageConfirm carries the revisions that the sender serves, and those under
-	// which it has no older request left.
+	// MessageConfirm carries the revisions that the sender serves, and those that it has
+	// drained (see ShardRevision).
 	MessageConfirm
 	// MessageConfirmRequest asks for a MessageConfirm that the sender waits for.
 	MessageConfirmRequest
@@ -66,9 +66,12 @@
 	Incarnation member.Incarnation
 	// Payload is an encoded controlpb.Command, controlpb.Answer,
 	// ridgeswitchv1.Source or listing.Message.
-	Payload  []byte
+	Payload []byte
+	// Revision is one of the shard's state. In a MessageRegister, and in a reply that
+	// neither accepts nor names a later incarnation, it is the challenge instead; 0 if
+	// there is none.
 	Revision uint64
-	// Leader is the leader of the shard as the sender knows; empty if it knows none.
+	// Leader is the leader of the shard as far as the sender knows; empty if it knows none.
 	Leader member.ID
 	// Accepted means that the sender leads the shard and has done what it was asked.
 	Accepted  bool
@@ -76,9 +79,3 @@
 	// Term is one of the shard's group that the sender knows of.
 	Term uint64
 }
-
-// Outbound is a message and the member it is for.
-type Outbound struct {
-	To      member.ID
-	Message Message
-}
--- a/internal/control/rollout/advance.go
+++ b/internal/control/rollout/advance.go
@@ -40,7 +40,8 @@
 	for _, replica := range pool.Endpoints {
 		row := shardstate.FindReplica(shard.Rows(), replica.Address)
 		if row != nil && !sameInstance(row, replica) {
-			// The row goes first.
+			// The row is of another incarnation: obsoleteRows removes it before a new
+			// one is made.
 			continue
 		}
 		rolling.replicas = append(rolling.replicas, poolReplica{Replica: replica, row: row})
--- a/internal/control/rollout/rows.go
+++ b/internal/control/rollout/rows.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// advanceDraining orders the new version once no node can send, or has left, a
-// request on the replica, and the replica itself says so after that.
+// advanceDraining moves the replica on to load the new version once no node can send it a
+// request or has one left on it, and a report measured after that shows none.
 func (m *Machine) advanceDraining(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
 	m.requestReport(replica.Address, replica.Instance)
 	progress := rolling.state.progressOf(replica.row, m.now)
--- a/internal/control/shards/proposals.go
+++ b/internal/control/shards/proposals.go
@@ -58,9 +58,9 @@
 	s.Process()
 }
 
-// takeProposal ends the proposal at an index and returns it, or nil if there is none. An
-// entry of another term means that the proposal was lost to a later leader; its sender
-// asks again.
+// takeProposal ends the proposal at an index and returns it, or nil if there is none or the
+// term has changed since it was appended: another leader's entry may stand at the index
+// then. Its sender asks again.
 func (s *Shard) takeProposal(index uint64) *Proposal {
 	open, found := s.proposals[index]
 	if !found {
--- a/internal/control/shards/shard.go
+++ b/internal/control/shards/shard.go
@@ -42,7 +42,8 @@
 	group   *replication.Group
 	state   shardstate.State
 	applied uint64
-	// compacted is the last index that the group's snapshot covers.
+	// compacted is the index of the last snapshot or restored state; the length of the
+	// applied log is counted from it.
 	compacted uint64
 	// maxLogEntries is how long the applied log may become.
 	maxLogEntries uint64
--- a/internal/dataplane/deadline.go
+++ b/internal/dataplane/deadline.go
@@ -63,7 +63,8 @@
 	return errors.Is(context.Cause(ctx), errDeadline)
 }
 
-// deadlineError is the refusal of a request whose deadline passed before any attempt.
+// deadlineError reports that the request's deadline has passed. The request has not run,
+// unless the caller of this function sets MayHaveRun.
 func deadlineError() *caller.Error {
 	return caller.NewError(caller.KindDeadlineExceeded,
 		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).WithRetryAfter(time.Second)
--- a/internal/dataplane/destination_state.go
+++ b/internal/dataplane/destination_state.go
@@ -25,9 +25,9 @@
 	Name string
 	// WebService distinguishes a web service from a pool.
 	WebService bool
-	// FirstAttempts counts requests that were sent to a back end.
+	// FirstAttempts counts requests for which a back end was chosen.
 	FirstAttempts uint64
-	// Retries counts further attempts of those.
+	// Retries counts their further attempts, also those after one that could not be sent.
 	Retries uint64
 	// RetriesDenied counts retries that the retry budget did not permit.
 	RetriesDenied uint64
@@ -133,9 +133,9 @@
 	return all
 }
 
-// permitAttempt counts an attempt of a request, of which some may have been sent, or
-// returns false if the retry budget does not permit it. The first one that is sent is
-// always permitted.
+// permitAttempt counts an attempt, or returns false if the retry budget does not permit it.
+// Sent is how many earlier attempts of the request may have left this node; until one has,
+// every attempt is permitted.
 func (s *destinationState) permitAttempt(now time.Duration, sent, attempt int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// maxSelections bounds how often one attempt selects again because the view has changed
-// meanwhile.
+// maxSelections bounds how often one attempt selects, since the view may have changed
+// meanwhile, or another request may have taken the last place in a slow start.
 const maxSelections = 8
 
 // backend runs attempts of one kind of destination.
@@ -133,8 +133,8 @@
 	completed = d.run(w, chosen, attempt)
 }
 
-// choose selects a back end, counts the attempt in, and only then looks at the newest
-// view again.
+// choose selects a back end, waits if that makes the attempt cheaper, counts the attempt
+// in, and only then looks at the newest view again. What it returns must be released.
 func (d *dispatcher) choose(w *work) (target, *caller.Error) {
 	for range maxSelections {
 		if callerError := w.revalidate(d.server); callerError != nil {
--- a/internal/dataplane/duplicate_checker.go
+++ b/internal/dataplane/duplicate_checker.go
@@ -7,8 +7,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// duplicateChecker refuses a request that this node is running or has run, unless
-// it may run again.
+// duplicateChecker refuses a request whose identity this node is running or ran lately,
+// unless both submissions may run more than once.
 type duplicateChecker struct {
 	register *duplicates.Register
 	clock    func() time.Duration
--- a/internal/dataplane/duplicates/register.go
+++ b/internal/dataplane/duplicates/register.go
@@ -34,9 +34,9 @@
 // may have run. Running ones are bounded by the tenants' limits, finished ones by
 // number and age.
 //
-// A completely written response does not prove that the caller got it, and a caller
-// may have disconnected long before the node notices. So a request that may run
-// again is never refused because of an earlier submission.
+// A completely written response does not prove that the caller got it, and a caller may
+// have disconnected long before the node notices. So a request that may run again is not
+// refused because of an earlier submission that may run again too.
 type Register struct {
 	mutex       sync.Mutex
 	maxFinished int
--- a/internal/dataplane/full_read.go
+++ b/internal/dataplane/full_read.go
@@ -7,7 +7,7 @@
 )
 
 // minFullReadInterval is the least time between two full reads of one back end, since a
-// full read delays its work.
+// full read delays the back end's work.
 const minFullReadInterval = 2 * time.Second
 
 // fullReadLimiter limits the full reads of back ends. A full read is needed when changes
--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// staleFor is how long a back end is avoided after it has refused a request as
-	// meant for another one, while it may be the same incarnation with other weights,
-	// unless the view changes before.
+	// staleFor is how long a back end is avoided that has refused a request as meant for
+	// another one and may be the same incarnation with other weights. It is avoided for a
+	// shorter time if the view describes it otherwise before.
 	staleFor = time.Second
 	// maxDenials bounds the incarnations that are remembered as gone.
 	maxDenials = 4096
@@ -101,7 +101,8 @@
 	return all
 }
 
-// Retain forgets the refusals of incarnations that a view does not list.
+// Retain forgets the denials of incarnations, and the refusals of addresses, that a view
+// does not list.
 func (s *StaleBackends) Retain(view *routing.View) {
 	instances := make(map[string]string)
 	for _, replica := range allReplicas(view) {
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -66,8 +66,8 @@
 	Member member.ID
 	// Zone is the zone that the node is in.
 	Zone string
-	// Peers returns the live nodes that serve callers, including this one. Nil means a
-	// node without peers.
+	// Peers returns the live nodes that serve callers, including this one. Nil means that
+	// this node is the only one.
 	Peers func() []member.Info
 	// Address is the host and port to listen on.
 	Address string
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -80,7 +80,8 @@
 	return health.NoneLeft
 }
 
-// newestPool returns the work's pool in the newest view, or nil if it is gone.
+// newestPool returns the work's pool in the newest view, or nil if it is gone. It makes the
+// back ends of that view known to the health tracker first.
 func (b *poolBackend) newestPool(w *work) *routing.Pool {
 	view := b.server.options.Source.View()
 	if view == nil {
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -26,8 +26,9 @@
 	return "the caller takes no more of the answer: " + e.cause.Error()
 }
 
-// relay relays a response as it arrives, beginning with the chunk that has been read. The
-// status line is written only here, after a first chunk has arrived.
+// relay relays a response as it arrives, beginning with the chunk that has been read, or
+// with err instead of one. A streamed response gets its status line only here, once its
+// first chunk or its end has arrived, so that an earlier loss can still be retried.
 func (d *dispatcher) relay(w *work, attempt int, received Response, chunk []byte, err error) error {
 	w.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
 	if !w.relaying {
--- a/internal/dataplane/report_readers.go
+++ b/internal/dataplane/report_readers.go
@@ -238,9 +238,9 @@
 	}
 }
 
-// readOnce reads a back end once and sends what it has read to the other nodes:
-// everything that the back end caches if that is not known, and otherwise the changes
-// after the present position.
+// readOnce reads a back end once and sends what it has read to the other nodes: everything
+// that the back end caches if that is not known and a full read is due, and otherwise, or
+// if that read fails, the changes after the present position.
 func (r *reportReaders) readOnce(ctx context.Context, address string) error {
 	if !r.server.router.ChunksComplete(address) && r.fullReads.tryAcquire(r.server.options.Clock(), address) {
 		if r.readFull(ctx, address) == nil {
--- a/internal/dataplane/startup_gate.go
+++ b/internal/dataplane/startup_gate.go
@@ -72,7 +72,8 @@
 	s.startup.update(s.options.Clock(), s.options.Source.View(), s.router.ChunksComplete)
 }
 
-// waitForStartup delays a prompt until the start-up gate is open.
+// waitForStartup delays a prompt until the start-up gate is open. Where back ends push
+// their events there is no gate.
 func (s *Server) waitForStartup(w *work) {
 	if s.options.Edges.Reports != nil && w.destination.WebService == nil {
 		s.startup.wait(w.ctx)
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -63,7 +63,8 @@
 	return now < candidate.SlowStartUntil && !b.server.slowStart.Allowed(now, service.Config.GetBackends(), candidate.Address)
 }
 
-// newestService returns the work's service in the newest view, or nil.
+// newestService returns the work's service in the newest view, or nil if it is gone. It
+// makes the back ends of that view known to the health tracker first.
 func (b *webBackend) newestService(w *work) *routing.WebService {
 	view := b.server.options.Source.View()
 	if view == nil {
--- a/pkg/claims/doc.go
+++ b/pkg/claims/doc.go
@@ -1,11 +1,12 @@
-// Package claims lets a deployment run a request that must not run twice at most
-// once, also when it is sent to several nodes.
+// Package claims is for requests that must not run twice: a deployment runs each at most
+// once, even when it is sent to several nodes.
 //
-// The package is built and tested, and not wired into nodes: what is missing is a
-// message in the frames between nodes and a directory of homes in the control state
-// (docs/design/duplicates.md lists it). Until then each node refuses only the
-// duplicates that it has seen itself. The package stays because its argument and its
-// tests are what that wiring rests on; internal/dataplane/claiming drives it.
+// The package is built and tested, and not wired into nodes: what is missing is a message
+// in the frames between nodes and a directory of homes in the control state
+// (docs/design/duplicates.md lists it). Until then each node refuses only the duplicates
+// that it has seen itself. The package stays because its argument and its tests are what
+// that wiring rests on. internal/dataplane/claiming is to drive it, and is not wired
+// either.
 //
 // A node that is about to run such a request claims its key first. The key has a few
 // homes, found by rendezvous hashing over a directory of nodes that all agree on. Each
--- a/pkg/claims/message.go
+++ b/pkg/claims/message.go
@@ -87,8 +87,9 @@
 	// AlreadyClaimed means that there is, or was lately, another claim of the key. Its
 	// request may have run.
 	AlreadyClaimed
-	// Undecided means that too few homes replied in time. The request does not run
-	// here; whether it ran elsewhere is not known.
+	// Undecided means that too few homes granted in time, and none named another claim:
+	// they did not reply, or could not grant. The request does not run here; whether it ran
+	// elsewhere is not known.
 	Undecided
 )
 
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -106,8 +106,8 @@
 	r.blockModel.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
 }
 
-// Forget drops the state of an address that the platform no longer lists.
-// Reservations on it may still be finished.
+// Forget drops the state of an address that is no longer listed, or whose reports are not
+// believed any more. Reservations on it may still be finished.
 func (r *Router) Forget(address string) {
 	r.mutex.Lock()
 	state, present := r.replicas.remove(address)
--- a/pkg/membership/config.go
+++ b/pkg/membership/config.go
@@ -26,8 +26,8 @@
 	// crossZoneFanOut is how many members of other zones the source of an update
 	// sends it to. It also bounds how many any other node passes it on to.
 	crossZoneFanOut = 2
-	// forwardsPerZone is about how many members of other zones all the nodes that
-	// aren't the source pass an update on to, for each zone.
+	// forwardsPerZone times the number of zones is about how often an update is passed on
+	// to another zone by all the nodes together that aren't its source.
 	forwardsPerZone = 4
 	// bulkUpdateThreshold is how many records may change within HeartbeatEvery before
 	// the changes are left to anti-entropy.
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -16,8 +16,9 @@
 	}
 }
 
-// onHeartbeat acknowledges a heartbeat of the sender's newest incarnation. It tells a
-// sender that has been superseded, and one that left or was removed, so by its record.
+// onHeartbeat acknowledges a heartbeat of the sender's newest incarnation. A sender that
+// has been superseded, left or was removed gets the record that this node has of it
+// instead. A node that has left itself replies with its own record.
 func (m *Machine) onHeartbeat(msg Message) {
 	if m.fence.left {
 		m.reply(msg, Message{Type: MessageGossip, Records: []Record{m.table.selfRecord().clone()}})
@@ -56,9 +57,9 @@
 	}
 }
 
-// maintainMonitors declares a monitor set, replaces it, or begins a new incarnation
-// that can. A set is replaced only by one whose members all respond, and not before
-// the replacement before it is complete.
+// maintainMonitors declares a monitor set, replaces it, or begins a new incarnation if the
+// set can't be replaced in this one. A set is replaced only by one whose members all
+// respond, and not before the replacement before it is complete.
 func (m *Machine) maintainMonitors() {
 	if !m.joiner.joined || len(m.fence.monitorSets) > 1 {
 		return
--- a/pkg/membership/message.go
+++ b/pkg/membership/message.go
@@ -33,8 +33,8 @@
 	// From describes the sender, so that a receiver that doesn't know it can reply. It
 	// contains the ID alone where the receiver knows the sender; see omitsSenderInfo.
 	From member.Info
-	// MonitorSetVersion is, in a heartbeat, the version of the sender's monitor set;
-	// in a heartbeat reply, the one in the replier's record of the receiver.
+	// MonitorSetVersion is, in a heartbeat reply, the version of the receiver's monitor set
+	// in the replier's record. Heartbeats state their sender's, which no node reads.
 	MonitorSetVersion uint64
 	// TimedOutVersion is, in a heartbeat reply, the newest monitor set version of the
 	// heartbeat's incarnation that the sender reported; 0 if none.
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -17,8 +17,8 @@
 	// StateSuspect members are reported by some monitor, or have declared none yet; they
 	// may still serve.
 	StateSuspect
-	// StateFenced members certainly refuse traffic until they have learnt the current
-	// revision again.
+	// StateFenced members certainly refuse traffic for the rest of this incarnation; only a
+	// later one may serve.
 	StateFenced
 	// StateLeft members announced that they stop, or were removed by an operator.
 	StateLeft
--- a/pkg/membership/sampler.go
+++ b/pkg/membership/sampler.go
@@ -12,8 +12,8 @@
 	random *rand.Rand
 	self   member.Info
 	table  *memberTable
-	// nextFencedProbe is the position, in the table's fenced members, of the member
-	// that nextFenced returned last.
+	// nextFencedProbe counts the fenced members that nextFenced has looked at, so that it
+	// goes on after the last one.
 	nextFencedProbe int
 }
 
--- a/pkg/relaytree/doc.go
+++ b/pkg/relaytree/doc.go
@@ -19,10 +19,11 @@
 // An update goes down the tree at once. Each node acknowledges it. While an update of a
 // topic is in flight to a node, newer ones are coalesced: only the newest is sent after the
 // acknowledgement, so that a storm of revisions costs each link one update a round trip.
-// Digests repair losses: every DigestEvery a node sends the list of its revisions to its
-// parents and to one other member in turn. A receiver with something newer sends it, and
-// one with something older replies with its own digest. So a node whose parent died, or
-// whose tree differs from the others' for a while, still converges.
+// Digests repair losses: every DigestEvery a node sends the list of its revisions to one of
+// its parents and to one other member, each in turn, and soon after a change of the trees
+// to all its parents. A receiver with something newer sends it, and one with something
+// older replies with its own digest. So a node whose parent died, or whose tree differs
+// from the others' for a while, still converges.
 //
 // # Parts and their state
 //
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -19,7 +19,8 @@
 	resendAfter time.Duration
 	store       *stateStore
 	outbox      *outbox
-	// knownRevisions are the revisions that the receivers stated.
+	// knownRevisions are the revisions that other members were last known to have; 0 for
+	// one that has nothing, or whose state differs and has to be sent whole.
 	knownRevisions map[feedKey]uint64
 	inFlight       map[feedKey]*transfer
 }
--- a/pkg/replication/command_lease.go
+++ b/pkg/replication/command_lease.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/lease"
 )
 
-// commandLease is until when a leader may command. The zero commandLease may not.
+// commandLease tells until when a leader may command. The zero value never allows it.
 type commandLease struct {
 	// current is the lease of this leadership, which heartbeats extend.
 	current lease.Holder
@@ -18,12 +18,12 @@
 	return commandLease{current: lease.NewHolder(timing), predecessors: lease.NewSuccessor(timing, electedAt)}
 }
 
-// HasCommandLease tells whether the leader has the command lease at now: it has
-// applied its own barrier, every lease of an earlier term has expired, and a
-// majority acknowledged a heartbeat sent less than LeaseDuration-LeaseMargin
-// before. The driver asks again at the instant of sending a command. A later
-// instant than the present one tells whether the lease would last until then; the
-// call changes no state.
+// HasCommandLease tells whether this member leads and has the command lease at now: it is
+// not handing the leadership over, it has applied its own barrier, every lease of an
+// earlier term has expired, and a majority acknowledged a heartbeat sent less than
+// LeaseDuration-LeaseMargin before. The driver asks again at the instant of sending a
+// command. A later instant than the present one tells whether the lease would last until
+// then; the call changes no state.
 func (g *Group) HasCommandLease(now time.Duration) bool {
 	if g.role != RoleLeader || g.leadership.transfer.target != "" || !g.BarrierApplied() {
 		return false
--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -67,7 +67,8 @@
 //     an even number of them, which tolerates as many losses without it. An odd
 //     group keeps its unresponsive voters until a new one has come. The voters that
 //     a change rests on acknowledge a heartbeat after the change became due, and
-//     before it is made.
+//     before it is made. Two changes don't wait for that: the refill of a reserved
+//     slot, which may follow any commit, and ProposeGroupChange.
 //   - A group that lost the majority of its voters' incarnations is recovered only
 //     under a recovery term that the present incarnation of every slot has granted,
 //     by the member whose log is the newest of all. The slots are those of the
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -18,8 +18,8 @@
 	lostLeader member.ID
 	// suspected are the members that are thought to be down; they get no turn.
 	suspected []member.ID
-	// candidateBehind tells that a voter with an earlier turn can't win, as its log
-	// lacks entries of this one. It is known since candidateBehindSince.
+	// candidateBehind tells that a member campaigns whose log lacks entries of this one, so
+	// that it gets no vote here. It is known since candidateBehindSince.
 	candidateBehind      bool
 	candidateBehindSince time.Duration
 }
@@ -189,9 +189,9 @@
 	g.send(from, reply)
 }
 
-// observeCandidate notices a voter with an earlier turn that requests votes which
-// it can't get, since its log lacks entries of this one. The voters that have them
-// then follow each other by HeartbeatEvery in place of their whole turns.
+// observeCandidate notices a member that requests votes which it can't get from here, since
+// its log lacks entries of this one. The voters that have them then follow each other by
+// HeartbeatEvery in place of their whole turns.
 func (g *Group) observeCandidate(m Message) {
 	behind := g.role == RoleFollower && !g.hasLiveLeader() && !g.log.isUpToDate(m.Index, m.IndexTerm)
 	if !behind || g.timer.candidateBehind {
--- a/pkg/replication/entry.go
+++ b/pkg/replication/entry.go
@@ -13,7 +13,8 @@
 	// EntryBarrier is the empty entry with which a new leader commits what earlier
 	// terms left.
 	EntryBarrier
-	// EntryGroupChange carries the group after a change of one voter.
+	// EntryGroupChange carries the whole group: the founders, the group after a
+	// GroupChange, or the one that a recovery forms.
 	EntryGroupChange
 	// EntryRestore carries the whole state of the state machine above, in place of
 	// the state that the entries before it led to.
--- a/pkg/replication/group_change.go
+++ b/pkg/replication/group_change.go
@@ -22,9 +22,9 @@
 	ChangeDropSlot
 )
 
-// GroupChange is one step of a change of the voters: it removes or adds a single
-// voter, so that each majority before it and each majority after it have a member in
-// common.
+// GroupChange is one step of a change of the group: it removes or adds a single voter, or
+// drops a slot that has no vote, so that each majority before it and each majority after it
+// have a member in common.
 type GroupChange struct {
 	Kind  GroupChangeKind
 	Voter Voter
@@ -43,8 +43,8 @@
 	// ProblemTermUncommitted means that the leader has committed nothing in its term
 	// yet.
 	ProblemTermUncommitted
-	// ProblemNoSuchSlot means that the group has no such voter, or no such reserved
-	// slot.
+	// ProblemNoSuchSlot means that the group has no such voter or reserved slot, or that
+	// the member that is to get a slot or a vote has one already or is not named.
 	ProblemNoSuchSlot
 	// ProblemNotCaughtUp means that the member that is to get the vote lacks entries.
 	ProblemNotCaughtUp
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -5,11 +5,11 @@
 // again.
 //
 // The group stops for good if the leader changes it just after another member of the
-// majority was lost for good: what it appended can't be committed any more. That a
-// voter was heard within ElectionTimeout says too little, as one loss is often what
-// makes the next change due. So the leader asks again: a change is made when those
-// that it rests on have acknowledged a heartbeat that was sent after the change
-// became due.
+// majority was lost for good: what it appended can't be committed any more. That a voter
+// was heard within ElectionTimeout says too little, as one loss is often what makes the
+// next change due. So the leader asks again: a change is made when those that it rests on
+// have acknowledged a heartbeat that was sent after the change became due. Only refillSlot
+// doesn't wait for that.
 
 // minReducibleVoters is the smallest group that tolerates a loss with one voter less.
 const minReducibleVoters = 4
@@ -42,8 +42,9 @@
 	_ = g.ProposeGroupChange(g.now, due.change)
 }
 
-// refillSlot gives the vote to a member that a slot is reserved for, as soon as a
-// removal is committed: until then the group tolerates fewer losses.
+// refillSlot gives the vote to a member that a slot is reserved for. It is called after
+// each commit, which may be that of the removal, and doesn't wait for a heartbeat: until
+// the slot has a vote again, the group tolerates fewer losses.
 func (g *Group) refillSlot() {
 	if change, due := g.changePlanner().dueRefill(); due {
 		// An error is not final: the next heartbeat finds the change again.
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -16,10 +16,10 @@
 	requestSent bool
 }
 
-// TransferLeadership asks the next live voter in the agreed order to take over at
-// once, when it has the whole log. Until then, and for ElectionTimeout at most, the
-// leader accepts no proposals and gives no commands. A transfer that is in progress
-// goes on. It fails with ErrNoSuccessor or a *NotLeaderError.
+// TransferLeadership asks the next live voter in the agreed order to take over as soon as
+// it has the whole log. Until then, and for ElectionTimeout at most, the leader accepts no
+// proposals and gives no commands. A transfer that is in progress goes on. It fails with
+// ErrNoSuccessor or a *NotLeaderError.
 func (g *Group) TransferLeadership(now time.Duration) error {
 	g.advanceClock(now)
 	if g.role != RoleLeader {
--- a/pkg/replication/slot.go
+++ b/pkg/replication/slot.go
@@ -28,8 +28,8 @@
 // stored in logs.
 type Slot struct {
 	Voter
-	// Learner tells that the slot is reserved for the member, which has no vote
-	// until it has the log.
+	// Learner tells that the slot is reserved for the member, which has no vote until it
+	// has the log. It is not Config.Learner: that member takes no vote at all.
 	Learner bool `json:"Learner"`
 }
 
--- a/pkg/twoslot/doc.go
+++ b/pkg/twoslot/doc.go
@@ -11,10 +11,11 @@
 // log stay intact until the next slot is durable, so a crash at any byte leaves one
 // generation intact.
 //
-// The log of a generation is started only after its slot is durable. A log whose slot
-// cannot be read therefore proves that a durable slot was damaged, and distinguishes
-// that from a checkpoint that a crash interrupted: the former is an error, the latter
-// an older generation with its complete log.
+// The log of a generation is started, with a header, only after its slot is durable. (The
+// file of log 1 exists from the start, but empty, which proves nothing.) A started log
+// whose slot cannot be read therefore proves that a durable slot was damaged, and
+// distinguishes that from a checkpoint that a crash interrupted: the former is an error,
+// the latter an older generation with its complete log.
 //
 // Appended records are framed with checksums over the generation. A frame that a crash
 // interrupted (its end is missing, or is zeros where the disk had extended the file)
--- a/pkg/twoslot/store.go
+++ b/pkg/twoslot/store.go
@@ -90,7 +90,8 @@
 	return s.advance(s.salvaged.Payload, s.salvaged.Records)
 }
 
-// startLog replaces the log of the generation before the last.
+// startLog writes the log of the present generation, from its header on, in place of the
+// log two generations older, if there is one.
 func (s *Store) startLog(content []byte) error {
 	if err := s.disk.WriteFile(logName(s.name, s.generation), content); err != nil {
 		return s.writeError(err)
