--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -28,7 +28,7 @@
 func (m *Machine) tickConfirmations() {
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil {
-			m.confirmations.RequestOverdue(m.now, m.viewOf(hosted))
+			m.confirmations.RequestOverdue(m.now, m.hostedOf(hosted))
 		}
 	}
 	due := m.served.Due(m.now)
@@ -99,7 +99,7 @@
 	}
 	for _, id := range m.shardIDs {
 		if hosted := m.shards[id]; hosted != nil && hosted.IsLeader() && hosted.Group().BarrierApplied() {
-			m.disseminator.Tick(m.now, m.viewOf(hosted))
+			m.disseminator.Tick(m.now, m.hostedOf(hosted))
 		}
 	}
 }
--- a/internal/control/hosted_shard.go
+++ b/internal/control/hosted_shard.go
@@ -24,8 +24,8 @@
 	machine *Machine
 }
 
-// viewOf returns a shard for the machine of a single concern.
-func (m *Machine) viewOf(hosted *shards.Shard) hostedShard {
+// hostedOf returns a shard for the machine of a single concern.
+func (m *Machine) hostedOf(hosted *shards.Shard) hostedShard {
 	return hostedShard{Shard: hosted, machine: m}
 }
 
@@ -33,7 +33,7 @@
 // host it.
 func (m *Machine) requestShard(shardID uint32) requests.Shard {
 	if hosted := m.shards[shardID]; hosted != nil {
-		return m.viewOf(hosted)
+		return m.hostedOf(hosted)
 	}
 	return nil
 }
@@ -42,7 +42,7 @@
 // it.
 func (m *Machine) registrationShard(shardID uint32) registration.Shard {
 	if hosted := m.shards[shardID]; hosted != nil {
-		return m.viewOf(hosted)
+		return m.hostedOf(hosted)
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 		node := change.RegisterNode
 		m.confirmations.ForgetOlder(hosted.ID(), member.ID(node.GetNode()), member.Incarnation(node.GetIncarnation()))
 		if proposed != nil {
-			m.registrar.Applied(m.viewOf(hosted), proposed.From, proposed.Message)
+			m.registrar.Applied(m.hostedOf(hosted), proposed.From, proposed.Message)
 		}
 	case *controlpb.Command_SetReplicas:
 		m.rollout.RunSoon(m.now)
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -23,7 +23,7 @@
 		if m.received.Revision(ConfigurationShard) > 0 {
 			hosted.Group().ExpectState()
 		}
-		changed, err := m.recovery.Tick(m.now, m.viewOf(hosted))
+		changed, err := m.recovery.Tick(m.now, m.hostedOf(hosted))
 		if err != nil {
 			hosted.CountBadEntry()
 		}
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -76,7 +76,7 @@
 			machine, hosted := survivingMember(uint64(committed), logged...)
 			machine.receiveAsWitness(witnessed...)
 			replies := map[member.ID]recovery.WitnessReply{"router": {Incarnation: 9}}
-			data, err := machine.recovery.RecoveredState(machine.viewOf(hosted), replies)
+			data, err := machine.recovery.RecoveredState(machine.hostedOf(hosted), replies)
 			Expect(err).NotTo(HaveOccurred())
 			state, err := shardstate.Restore(ConfigurationShard, data)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -43,7 +43,7 @@
 // pruneNodes has a registered incarnation that has ended forgotten, so that a later
 // leader does not wait for it.
 func (m *Machine) pruneNodes(hosted *shards.Shard) {
-	if ended := m.registrar.Prune(m.now, m.viewOf(hosted), m.members); ended != nil {
+	if ended := m.registrar.Prune(m.now, m.hostedOf(hosted), m.members); ended != nil {
 		hosted.ProposeCommand(m.now, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
 	}
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -77,7 +77,7 @@
 			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.backends.services[pool.GetService()]})
 		}
 	}
-	led := ledServices{hostedShard: m.viewOf(hosted), services: service}
+	led := ledServices{hostedShard: m.hostedOf(hosted), services: service}
 	change := m.rollout.Advance(m.now, led, pools, shardstate.EvacuatedZones(configuration))
 	if change != nil {
 		hosted.ProposeCommand(m.now, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -137,7 +137,7 @@
 		w.certainlyNotRun = !w.tracker.MayHaveRun()
 		panic(http.ErrAbortHandler)
 	default:
-		panic(fmt.Sprintf("the ledger asks for %s although no attempt is running", action.Kind))
+		panic(fmt.Sprintf("the tracker asks for %s although no attempt is running", action.Kind))
 	}
 }
 
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -91,5 +91,5 @@
 
 // String implements fmt.Stringer for the supervisor's messages.
 func (s *gossipService) String() string {
-	return "traffic sharing"
+	return "gossip"
 }
--- a/pkg/attempts/next_action.go
+++ b/pkg/attempts/next_action.go
@@ -1,20 +1,20 @@
 package attempts
 
 // Next returns the next action. It changes nothing.
-func (l *Tracker) Next() Action {
-	if action, decided := l.actionForAttempt(); decided {
+func (t *Tracker) Next() Action {
+	if action, decided := t.actionForAttempt(); decided {
 		return action
 	}
-	if l.callerDisconnected {
+	if t.callerDisconnected {
 		return Action{Kind: Abandon}
 	}
-	if l.deadlineExceeded {
+	if t.deadlineExceeded {
 		return Action{Kind: RespondDeadline}
 	}
-	if l.mayDispatch() {
-		return Action{Kind: Dispatch, Attempt: len(l.records) + 1}
+	if t.mayDispatch() {
+		return Action{Kind: Dispatch, Attempt: len(t.records) + 1}
 	}
-	if l.MayHaveRun() {
+	if t.MayHaveRun() {
 		return Action{Kind: RespondUnknown}
 	}
 	return Action{Kind: RespondNotRun}
@@ -22,17 +22,17 @@
 
 // actionForAttempt returns the action that a completed or running attempt requires, if
 // there is one.
-func (l *Tracker) actionForAttempt() (Action, bool) {
-	for position, record := range l.records {
+func (t *Tracker) actionForAttempt() (Action, bool) {
+	for position, record := range t.records {
 		number := position + 1
 		switch {
 		case record.running():
-			return Action{Kind: l.actionWhileRunning(record), Attempt: number}, true
+			return Action{Kind: t.actionWhileRunning(record), Attempt: number}, true
 		case record.State == Responded:
 			return Action{Kind: Relay, Attempt: number}, true
 		}
 	}
-	if truncated := l.truncatedRelay(); truncated > 0 && !l.mayResume() {
+	if truncated := t.truncatedRelay(); truncated > 0 && !t.mayResume() {
 		return Action{Kind: AbortRelay, Attempt: truncated}, true
 	}
 	return Action{}, false
@@ -40,9 +40,9 @@
 
 // truncatedRelay returns the number of the last attempt whose response went to the
 // caller in part only, or 0.
-func (l *Tracker) truncatedRelay() int {
-	for position := len(l.records) - 1; position >= 0; position-- {
-		if record := l.records[position]; record.State == Unknown && record.Relayed {
+func (t *Tracker) truncatedRelay() int {
+	for position := len(t.records) - 1; position >= 0; position-- {
+		if record := t.records[position]; record.State == Unknown && record.Relayed {
 			return position + 1
 		}
 	}
@@ -50,14 +50,14 @@
 }
 
 // mayResume reports whether another attempt may resume a truncated response.
-func (l *Tracker) mayResume() bool {
-	return l.options.Resumable && !l.callerDisconnected && !l.deadlineExceeded && l.attemptsRemain()
+func (t *Tracker) mayResume() bool {
+	return t.options.Resumable && !t.callerDisconnected && !t.deadlineExceeded && t.attemptsRemain()
 }
 
 // actionWhileRunning decides over an attempt that has not ended. It is cancelled
 // as soon as nobody can use its response.
-func (l *Tracker) actionWhileRunning(record Record) ActionKind {
-	if l.callerDisconnected || l.deadlineExceeded {
+func (t *Tracker) actionWhileRunning(record Record) ActionKind {
+	if t.callerDisconnected || t.deadlineExceeded {
 		return Cancel
 	}
 	if record.Relayed {
@@ -67,15 +67,15 @@
 }
 
 // mayDispatch reports whether another attempt is permitted.
-func (l *Tracker) mayDispatch() bool {
-	if !l.attemptsRemain() {
+func (t *Tracker) mayDispatch() bool {
+	if !t.attemptsRemain() {
 		return false
 	}
-	return l.options.Idempotent || !l.MayHaveRun()
+	return t.options.Idempotent || !t.MayHaveRun()
 }
 
 // attemptsRemain reports whether the bounds permit another attempt.
-func (l *Tracker) attemptsRemain() bool {
-	counted := len(l.records) - min(l.unsent(), l.options.MaxUnsent)
-	return !l.exhausted && counted < l.options.MaxAttempts
+func (t *Tracker) attemptsRemain() bool {
+	counted := len(t.records) - min(t.unsent(), t.options.MaxUnsent)
+	return !t.exhausted && counted < t.options.MaxAttempts
 }
--- a/pkg/attempts/tracker.go
+++ b/pkg/attempts/tracker.go
@@ -79,13 +79,13 @@
 }
 
 // Records returns a copy of the attempts in the order of their numbers.
-func (l *Tracker) Records() []Record {
-	return append([]Record(nil), l.records...)
+func (t *Tracker) Records() []Record {
+	return append([]Record(nil), t.records...)
 }
 
 // MayHaveRun reports whether any attempt may have run the request.
-func (l *Tracker) MayHaveRun() bool {
-	for _, record := range l.records {
+func (t *Tracker) MayHaveRun() bool {
+	for _, record := range t.records {
 		if record.mayHaveRun() {
 			return true
 		}
@@ -94,14 +94,14 @@
 }
 
 // Sent counts the attempts of which a byte may have left.
-func (l *Tracker) Sent() int {
-	return len(l.records) - l.unsent()
+func (t *Tracker) Sent() int {
+	return len(t.records) - t.unsent()
 }
 
 // unsent counts the attempts that ended before any byte could leave.
-func (l *Tracker) unsent() int {
+func (t *Tracker) unsent() int {
 	count := 0
-	for _, record := range l.records {
+	for _, record := range t.records {
 		if record.Unsent {
 			count++
 		}
@@ -110,43 +110,43 @@
 }
 
 // CallerDisconnected reports whether nobody waits for the response any more.
-func (l *Tracker) CallerDisconnected() bool {
-	return l.callerDisconnected
+func (t *Tracker) CallerDisconnected() bool {
+	return t.callerDisconnected
 }
 
 // Apply applies an event. A *TransitionError leaves the Tracker as it was.
-func (l *Tracker) Apply(event Event) error {
+func (t *Tracker) Apply(event Event) error {
 	switch event.Kind {
 	case DeadlineExceeded:
-		l.deadlineExceeded = true
+		t.deadlineExceeded = true
 	case CallerDisconnected:
-		l.callerDisconnected = true
+		t.callerDisconnected = true
 	case AttemptsExhausted:
-		l.exhausted = true
+		t.exhausted = true
 	case AttemptPlanned:
-		return l.plan(event)
+		return t.plan(event)
 	default:
-		return l.advance(event)
+		return t.advance(event)
 	}
 	return nil
 }
 
 // plan adds an attempt. It is permitted only where the next action is to dispatch it.
-func (l *Tracker) plan(event Event) error {
-	next := l.Next()
+func (t *Tracker) plan(event Event) error {
+	next := t.Next()
 	if next.Kind != Dispatch || next.Attempt != event.Attempt {
 		return &TransitionError{Event: event, Reason: "the next move is " + next.Kind.String()}
 	}
-	l.records = append(l.records, Record{Address: event.Address, State: Planned})
+	t.records = append(t.records, Record{Address: event.Address, State: Planned})
 	return nil
 }
 
 // advance applies an event to one attempt.
-func (l *Tracker) advance(event Event) error {
-	if event.Attempt < 1 || event.Attempt > len(l.records) {
+func (t *Tracker) advance(event Event) error {
+	if event.Attempt < 1 || event.Attempt > len(t.records) {
 		return &TransitionError{Event: event, Reason: "there is no such attempt"}
 	}
-	record := &l.records[event.Attempt-1]
+	record := &t.records[event.Attempt-1]
 	next, permitted := transition(*record, event.Kind)
 	if !permitted {
 		return &TransitionError{Event: event, State: record.State, Reason: "the attempt is " + record.State.String()}
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -28,7 +28,7 @@
 	return events
 }
 
-// truth is what may have happened at the back ends, kept apart from the ledger
+// truth is what may have happened at the back ends, kept apart from the tracker
 // and by rules of its own: a request may run from the first byte on, unless the
 // back end promised that it will not.
 type truth struct {
@@ -113,13 +113,13 @@
 	return strings.Join(names, " -> ")
 }
 
-var _ = Describe("Ledger", func() {
+var _ = Describe("Tracker", func() {
 	DescribeTable("over every short input sequence", func(repeatable bool) {
 		options := attempts.Options{Idempotent: repeatable, MaxAttempts: 3}
 		visited := explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
 			action := tracker.Next()
 			if tracker.MayHaveRun() != (actual.possibleRuns() > 0) {
-				// The ledger may only be the more careful of the two, while
+				// The tracker may only be the more careful of the two, while
 				// a connection is being obtained.
 				Expect(tracker.MayHaveRun()).To(BeTrue(), describe(events))
 				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
--- a/pkg/membership/fence.go
+++ b/pkg/membership/fence.go
@@ -26,8 +26,8 @@
 // and ends for good when it is fenced again.
 type localIncarnation struct {
 	number member.Incarnation
-	// startedAt is when the search for monitors began.
-	startedAt time.Duration
+	// searchStartedAt is when the search for monitors began.
+	searchStartedAt time.Duration
 	// recordVersion is the version of this incarnation's newest record.
 	recordVersion uint64
 	// monitorSets are the sets that may still fence this incarnation, oldest first.
@@ -44,7 +44,7 @@
 
 // begin replaces the present incarnation by a fenced one without monitors.
 func (f *fence) begin(now time.Duration, number member.Incarnation) {
-	f.localIncarnation = localIncarnation{number: number, startedAt: now}
+	f.localIncarnation = localIncarnation{number: number, searchStartedAt: now}
 }
 
 // leave fences the node for good.
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -77,7 +77,7 @@
 	ready := m.monitors.allResponsive(m.now, chosen)
 	switch {
 	case len(m.fence.monitorSets) == 0:
-		if ready || m.now-m.fence.startedAt >= m.config.unresponsiveAfter() {
+		if ready || m.now-m.fence.searchStartedAt >= m.config.unresponsiveAfter() {
 			m.declareMonitors(chosen)
 		}
 	case !ready || !m.monitors.needsReplacement(m.fence.newestSet(), chosen):
@@ -98,7 +98,7 @@
 		return false
 	}
 	if len(m.fence.monitorSets) == 0 {
-		return m.now-m.fence.startedAt < m.config.monitorChoiceTimeout()
+		return m.now-m.fence.searchStartedAt < m.config.monitorChoiceTimeout()
 	}
 	return !m.fence.isFenced(m.now) && m.monitors.isHealthy(m.now, m.fence.newestSet())
 }
--- a/pkg/membership/join.go
+++ b/pkg/membership/join.go
@@ -65,6 +65,6 @@
 func (m *Machine) completeJoin() {
 	if !m.joiner.joined {
 		m.joiner.joined = true
-		m.fence.startedAt = m.now
+		m.fence.searchStartedAt = m.now
 	}
 }
