--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -50,19 +50,13 @@
 }
 
 func (r *reader) shardRevisions(table *fb.Control) []protocol.ShardRevision {
-	length := r.vectorLength(table.RevisionsLength(), minTableBytes)
-	if length == 0 {
-		return nil
-	}
-	revisions := make([]protocol.ShardRevision, length)
 	var stored fb.ShardRevision
-	for i := range revisions {
+	return readVectorOrNil(r, table.RevisionsLength(), minTableBytes, func(i int) protocol.ShardRevision {
 		table.Revisions(&stored, i)
-		revisions[i] = protocol.ShardRevision{
+		return protocol.ShardRevision{
 			Shard:    stored.Shard(),
 			Revision: stored.Revision(),
 			Drained:  stored.Drained(),
 		}
-	}
-	return revisions
+	})
 }
--- a/internal/wire/member_rows.go
+++ b/internal/wire/member_rows.go
@@ -5,6 +5,8 @@
 	"net"
 	"strconv"
 
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
@@ -42,7 +44,8 @@
 
 // maxTextsOf returns the largest number of texts that a record adds.
 func maxTextsOf(record membership.Record) int {
-	return infoStrings + len(record.Monitors) + len(record.TimeoutReports)
+	const textsOfInfo = 5 // ID, zone and three addresses
+	return textsOfInfo + len(record.Monitors) + len(record.TimeoutReports)
 }
 
 // text returns the index of a text, 0 for none.
@@ -71,12 +74,12 @@
 		row.Monitors = append(row.Monitors, p.text(string(monitor)))
 	}
 	row.Boots, row.FarBoots = packBoots(record.MonitorBoots, info.Incarnation)
-	for _, silence := range record.TimeoutReports {
+	for _, report := range record.TimeoutReports {
 		row.Silences = append(row.Silences, &fb.SilenceRowT{
-			Monitor:           p.text(string(silence.Monitor)),
-			Incarnation:       uint64(silence.Incarnation),
-			MonitorSetVersion: silence.MonitorSetVersion,
-			MonitorBoot:       uint64(silence.MonitorBoot),
+			Monitor:           p.text(string(report.Monitor)),
+			Incarnation:       uint64(report.Incarnation),
+			MonitorSetVersion: report.MonitorSetVersion,
+			MonitorBoot:       uint64(report.MonitorBoot),
 		})
 	}
 	return row
@@ -108,13 +111,13 @@
 	return net.JoinHostPort(host, strconv.FormatUint(uint64(port), 10))
 }
 
-// packBoots returns incarnations as differences from another one, or in full if one of
-// the differences does not fit.
-func packBoots(boots []member.Incarnation, from member.Incarnation) (near []int32, far []uint64) {
+// packBoots returns incarnations as differences from a base, or all of them in full if
+// one of the differences does not fit.
+func packBoots(boots []member.Incarnation, base member.Incarnation) (near []int32, far []uint64) {
 	for _, boot := range boots {
-		difference := int64(boot - from)
+		difference := int64(boot - base)
 		if difference < math.MinInt32 || difference > math.MaxInt32 {
-			return nil, packIncarnations(boots)
+			return nil, lo.Map(boots, func(boot member.Incarnation, _ int) uint64 { return uint64(boot) })
 		}
 		near = append(near, int32(difference))
 	}
@@ -129,18 +132,12 @@
 
 func (r *reader) records(table *fb.Membership) []membership.Record {
 	texts := r.texts(table.TextsLength(), table.Texts)
-	length := r.vectorLength(table.RowsLength(), minTableBytes)
-	if length == 0 {
-		return nil
-	}
 	rows := rowReader{reader: r, texts: texts}
-	records := make([]membership.Record, length)
 	var stored fb.MemberRow
-	for i := range records {
+	return readVectorOrNil(r, table.RowsLength(), minTableBytes, func(i int) membership.Record {
 		table.Rows(&stored, i)
-		records[i] = rows.record(&stored)
-	}
-	return records
+		return rows.record(&stored)
+	})
 }
 
 // sharedText returns a text by its index. Rows share its memory.
@@ -194,47 +191,32 @@
 }
 
 func (r rowReader) monitors(row *fb.MemberRow) []member.ID {
-	length := r.vectorLength(row.MonitorsLength(), textIndexBytes)
-	if length == 0 {
-		return nil
-	}
-	monitors := make([]member.ID, length)
-	for i := range monitors {
-		monitors[i] = member.ID(r.sharedText(row.Monitors(i)))
-	}
-	return monitors
+	return readVectorOrNil(r.reader, row.MonitorsLength(), textIndexBytes, func(i int) member.ID {
+		return member.ID(r.sharedText(row.Monitors(i)))
+	})
 }
 
+// boots is the inverse of packBoots.
 func (r rowReader) boots(row *fb.MemberRow) []member.Incarnation {
 	if row.FarBootsLength() > 0 {
-		return r.incarnations(row.FarBootsLength(), row.FarBoots)
-	}
-	length := r.vectorLength(row.BootsLength(), bootBytes)
-	if length == 0 {
-		return nil
-	}
-	boots := make([]member.Incarnation, length)
-	for i := range boots {
-		boots[i] = member.Incarnation(row.Incarnation() + uint64(int64(row.Boots(i))))
+		return readVectorOrNil(r.reader, row.FarBootsLength(), incarnationBytes, func(i int) member.Incarnation {
+			return member.Incarnation(row.FarBoots(i))
+		})
 	}
-	return boots
+	return readVectorOrNil(r.reader, row.BootsLength(), bootBytes, func(i int) member.Incarnation {
+		return member.Incarnation(row.Incarnation() + uint64(int64(row.Boots(i))))
+	})
 }
 
 func (r rowReader) timeoutReports(row *fb.MemberRow) []membership.TimeoutReport {
-	length := r.vectorLength(row.SilencesLength(), minTableBytes)
-	if length == 0 {
-		return nil
-	}
-	silences := make([]membership.TimeoutReport, length)
 	var stored fb.SilenceRow
-	for i := range silences {
+	return readVectorOrNil(r.reader, row.SilencesLength(), minTableBytes, func(i int) membership.TimeoutReport {
 		row.Silences(&stored, i)
-		silences[i] = membership.TimeoutReport{
+		return membership.TimeoutReport{
 			Monitor:           member.ID(r.sharedText(stored.Monitor())),
 			Incarnation:       member.Incarnation(stored.Incarnation()),
 			MonitorSetVersion: stored.MonitorSetVersion(),
 			MonitorBoot:       member.Incarnation(stored.MonitorBoot()),
 		}
-	}
-	return silences
+	})
 }
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -44,8 +44,8 @@
 		return nil
 	}
 	packed := make([]*fb.MemberDigestT, len(summary))
-	for i, one := range summary {
-		packed[i] = &fb.MemberDigestT{Member: one.Member, Digest: one.Digest}
+	for i, digest := range summary {
+		packed[i] = &fb.MemberDigestT{Member: digest.Member, Digest: digest.Digest}
 	}
 	return packed
 }
@@ -80,40 +80,21 @@
 		Records:           r.records(table),
 		Boot:              member.Incarnation(table.Boot()),
 		TimedOutVersion:   table.SilencedVersion(),
-		Buckets:           r.numbers(table.BucketsLength(), table.Buckets),
+		Buckets:           readVectorOrNil(r, table.BucketsLength(), flatbuffers.SizeUint32, table.Buckets),
 		CoveredBuckets:    table.Covered(),
 		Summary:           r.summary(table),
-		Requested:         r.numbers(table.WantedLength(), table.Wanted),
+		Requested:         readVectorOrNil(r, table.WantedLength(), flatbuffers.SizeUint32, table.Wanted),
 		Deferred:          table.Held(),
 		Stable:            table.Settled(),
 	}
 }
 
 func (r *reader) summary(table *fb.Membership) []membership.RecordDigest {
-	length := r.vectorLength(table.SummaryLength(), memberDigestBytes)
-	if length == 0 {
-		return nil
-	}
-	summary := make([]membership.RecordDigest, length)
 	var stored fb.MemberDigest
-	for i := range summary {
+	return readVectorOrNil(r, table.SummaryLength(), memberDigestBytes, func(i int) membership.RecordDigest {
 		table.Summary(&stored, i)
-		summary[i] = membership.RecordDigest{Member: stored.Member(), Digest: stored.Digest()}
-	}
-	return summary
-}
-
-// numbers copies a vector of numbers.
-func (r *reader) numbers(length int, at func(int) uint32) []uint32 {
-	length = r.vectorLength(length, flatbuffers.SizeUint32)
-	if length == 0 {
-		return nil
-	}
-	numbers := make([]uint32, length)
-	for i := range numbers {
-		numbers[i] = at(i)
-	}
-	return numbers
+		return membership.RecordDigest{Member: stored.Member(), Digest: stored.Digest()}
+	})
 }
 
 func (r *reader) info(table *fb.Info) member.Info {
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -148,12 +148,12 @@
 func (r *reader) names(table *fb.Traffic) receivedNames {
 	endpoints := r.vectorLength(table.EndpointsLength(), endpointBytes)
 	texts := r.vectorLength(table.TextsLength(), minStringBytes)
-	named := make(receivedNames, 0, endpoints+texts)
+	names := make(receivedNames, 0, endpoints+texts)
 	for i := range endpoints {
-		named = append(named, endpointName(table.Endpoints(i)))
+		names = append(names, endpointName(table.Endpoints(i)))
 	}
 	for i := range texts {
-		named = append(named, r.text(table.Texts(i)))
+		names = append(names, r.text(table.Texts(i)))
 	}
-	return named
+	return names
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,10 +1,6 @@
 package wire
 
-import (
-	flatbuffers "github.com/google/flatbuffers/go"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-)
+import flatbuffers "github.com/google/flatbuffers/go"
 
 // The minimum bytes of an element of a vector in a well-formed frame: its offset in the
 // vector, and what the builder always stores for it.
@@ -20,9 +16,6 @@
 	bootBytes         = flatbuffers.SizeInt32
 )
 
-// infoStrings is how many texts the description of a member has.
-const infoStrings = 5
-
 // reader copies values out of a frame. A builder stores each value once, so that the
 // values of a well-formed frame together are no larger than the frame. A hostile frame
 // can refer to the same bytes many times; the budget bounds what is copied.
@@ -68,40 +61,30 @@
 	return append(make([]byte, 0, len(stored)), stored...)
 }
 
-// texts copies a vector of strings.
+// texts copies a vector of strings; an empty one is nil.
 func (r *reader) texts(length int, at func(int) []byte) []string {
-	length = r.vectorLength(length, minStringBytes)
-	if length == 0 {
-		return nil
-	}
-	texts := make([]string, length)
-	for i := range texts {
-		texts[i] = r.text(at(i))
-	}
-	return texts
+	return readVectorOrNil(r, length, minStringBytes, func(i int) string { return r.text(at(i)) })
 }
 
-// incarnations copies a vector of incarnations.
-func (r *reader) incarnations(length int, at func(int) uint64) []member.Incarnation {
-	length = r.vectorLength(length, incarnationBytes)
-	if length == 0 {
-		return nil
+// readVector copies a vector of the given length, whose elements take at least
+// minElementBytes each in the frame. It calls element for each index in turn. The result
+// is never nil; it is empty if the frame is too small for the vector.
+//
+// The callback takes an index, and no table to read into: passed to an unknown function,
+// such a table would be allocated for each vector.
+func readVector[T any](r *reader, length, minElementBytes int, element func(index int) T) []T {
+	elements := make([]T, r.vectorLength(length, minElementBytes))
+	for i := range elements {
+		elements[i] = element(i)
 	}
-	incarnations := make([]member.Incarnation, length)
-	for i := range incarnations {
-		incarnations[i] = member.Incarnation(at(i))
-	}
-	return incarnations
+	return elements
 }
 
-// packIncarnations is the inverse of incarnations.
-func packIncarnations(incarnations []member.Incarnation) []uint64 {
-	if len(incarnations) == 0 {
+// readVectorOrNil is readVector, but an empty vector is nil.
+func readVectorOrNil[T any](r *reader, length, minElementBytes int, element func(index int) T) []T {
+	elements := readVector(r, length, minElementBytes, element)
+	if len(elements) == 0 {
 		return nil
 	}
-	packed := make([]uint64, len(incarnations))
-	for i, incarnation := range incarnations {
-		packed[i] = uint64(incarnation)
-	}
-	return packed
+	return elements
 }
--- a/internal/wire/relay.go
+++ b/internal/wire/relay.go
@@ -64,36 +64,24 @@
 }
 
 func (r *reader) sections(table *fb.Relay) []relaytree.Section {
-	length := r.vectorLength(table.SectionsLength(), minSectionBytes)
-	if length == 0 {
-		return nil
-	}
-	sections := make([]relaytree.Section, length)
 	var stored fb.Section
-	for i := range sections {
+	return readVectorOrNil(r, table.SectionsLength(), minSectionBytes, func(i int) relaytree.Section {
 		table.Sections(&stored, i)
-		sections[i] = relaytree.Section{
+		return relaytree.Section{
 			Name:    r.text(stored.Name()),
 			Content: r.bytes(stored.ContentBytes()),
 		}
-	}
-	return sections
+	})
 }
 
 func (r *reader) topicRevisions(table *fb.Relay) []relaytree.TopicRevision {
-	length := r.vectorLength(table.KnownLength(), minTableBytes)
-	if length == 0 {
-		return nil
-	}
-	revisions := make([]relaytree.TopicRevision, length)
 	var stored fb.TopicRevision
-	for i := range revisions {
+	return readVectorOrNil(r, table.KnownLength(), minTableBytes, func(i int) relaytree.TopicRevision {
 		table.Known(&stored, i)
-		revisions[i] = relaytree.TopicRevision{
+		return relaytree.TopicRevision{
 			Topic:      relaytree.Topic(stored.Topic()),
 			Revision:   stored.Revision(),
 			Assembling: stored.Assembling(),
 		}
-	}
-	return revisions
+	})
 }
--- a/internal/wire/replication.go
+++ b/internal/wire/replication.go
@@ -67,22 +67,16 @@
 }
 
 func (r *reader) entries(table *fb.Replication) []replication.Entry {
-	length := r.vectorLength(table.EntriesLength(), minTableBytes)
-	if length == 0 {
-		return nil
-	}
-	entries := make([]replication.Entry, length)
 	var stored fb.Entry
-	for i := range entries {
+	return readVectorOrNil(r, table.EntriesLength(), minTableBytes, func(i int) replication.Entry {
 		table.Entries(&stored, i)
-		entries[i] = replication.Entry{
+		return replication.Entry{
 			Index:   stored.Index(),
 			Term:    stored.Term(),
 			Kind:    replication.EntryKind(stored.Kind()),
 			Command: r.bytes(stored.CommandBytes()),
 		}
-	}
-	return entries
+	})
 }
 
 func (r *reader) snapshot(table *fb.Snapshot) *replication.Snapshot {
@@ -98,18 +92,12 @@
 }
 
 func (r *reader) slots(table *fb.Snapshot) []replication.Slot {
-	length := r.vectorLength(table.PlacesLength(), minTableBytes)
-	if length == 0 {
-		return nil
-	}
-	group := make([]replication.Slot, length)
 	var stored fb.Place
-	for i := range group {
+	return readVectorOrNil(r, table.PlacesLength(), minTableBytes, func(i int) replication.Slot {
 		table.Places(&stored, i)
-		group[i] = replication.Slot{
+		return replication.Slot{
 			Voter:   replication.Voter{ID: member.ID(r.text(stored.Id())), Incarnation: stored.Incarnation()},
 			Learner: stored.Learner(),
 		}
-	}
-	return group
+	})
 }
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -113,26 +113,26 @@
 	if table == nil {
 		return nil
 	}
-	named := r.names(table)
-	batch := &gossip.Batch{Stage: gossip.Stage(table.Stage())}
-	batch.Updates = make([]gossip.Update, r.vectorLength(table.NewsLength(), minTableBytes))
+	names := r.names(table)
 	var stored fb.TrafficNews
-	for i := range batch.Updates {
-		table.News(&stored, i)
-		batch.Updates[i] = gossip.Update{
-			Node:       member.ID(named.at(stored.Node())),
-			Loads:      r.trafficLoads(&stored, named),
-			Dispatches: r.trafficDispatches(&stored, named),
-			Reports:    r.trafficReports(&stored, named),
-			Denials:    r.trafficDenials(&stored, named),
-			Outcomes:   r.trafficOutcomes(&stored, named),
-		}
+	return &gossip.Batch{
+		Stage: gossip.Stage(table.Stage()),
+		Updates: readVector(r, table.NewsLength(), minTableBytes, func(i int) gossip.Update {
+			table.News(&stored, i)
+			return gossip.Update{
+				Node:       member.ID(names.at(stored.Node())),
+				Loads:      r.trafficLoads(&stored, names),
+				Dispatches: r.trafficDispatches(&stored, names),
+				Reports:    r.trafficReports(&stored, names),
+				Denials:    r.trafficDenials(&stored, names),
+				Outcomes:   r.trafficOutcomes(&stored, names),
+			}
+		}),
 	}
-	return batch
 }
 
 // trafficLoads merges the entries of one replica, which are adjacent.
-func (r *reader) trafficLoads(table *fb.TrafficNews, named receivedNames) []kvrouter.AddressLoad {
+func (r *reader) trafficLoads(table *fb.TrafficNews, names receivedNames) []kvrouter.AddressLoad {
 	length := r.vectorLength(table.LoadsLength(), trafficLoadBytes)
 	loads := make([]kvrouter.AddressLoad, 0, length)
 	var stored fb.TrafficLoad
@@ -141,7 +141,7 @@
 		table.Loads(&stored, i)
 		if address := stored.Address(); i == 0 || address != last {
 			last = address
-			loads = append(loads, kvrouter.AddressLoad{Address: named.at(address)})
+			loads = append(loads, kvrouter.AddressLoad{Address: names.at(address)})
 		}
 		load := &loads[len(loads)-1]
 		load.DecodeTokens += float64(stored.DecodeTokens())
@@ -153,36 +153,31 @@
 	return loads
 }
 
-func (r *reader) trafficDispatches(table *fb.TrafficNews, named receivedNames) []gossip.Dispatch {
-	dispatches := make([]gossip.Dispatch, r.vectorLength(table.DispatchesLength(), minTableBytes))
+func (r *reader) trafficDispatches(table *fb.TrafficNews, names receivedNames) []gossip.Dispatch {
 	var stored fb.TrafficDispatch
-	for i := range dispatches {
+	return readVector(r, table.DispatchesLength(), minTableBytes, func(i int) gossip.Dispatch {
 		table.Dispatches(&stored, i)
-		dispatches[i] = gossip.Dispatch{
-			Address: named.at(stored.Address()),
+		return gossip.Dispatch{
+			Address: names.at(stored.Address()),
 			Links:   r.chunkLinks(&stored),
 		}
-	}
-	return dispatches
+	})
 }
 
-func (r *reader) chunkLinks(stored *fb.TrafficDispatch) []prefixindex.Link {
-	links := make([]prefixindex.Link, r.vectorLength(stored.LinksLength(), chunkLinkBytes))
-	var link fb.PartLink
-	for i := range links {
-		stored.Links(&link, i)
-		links[i] = prefixindex.Link{Hash: prefixindex.ChainHash(link.Name()), Tokens: link.Tokens()}
-	}
-	return links
+func (r *reader) chunkLinks(table *fb.TrafficDispatch) []prefixindex.Link {
+	var stored fb.PartLink
+	return readVector(r, table.LinksLength(), chunkLinkBytes, func(i int) prefixindex.Link {
+		table.Links(&stored, i)
+		return prefixindex.Link{Hash: prefixindex.ChainHash(stored.Name()), Tokens: stored.Tokens()}
+	})
 }
 
-func (r *reader) trafficReports(table *fb.TrafficNews, named receivedNames) []gossip.Report {
-	reports := make([]gossip.Report, r.vectorLength(table.ReportsLength(), minTableBytes))
+func (r *reader) trafficReports(table *fb.TrafficNews, names receivedNames) []gossip.Report {
 	var stored fb.TrafficReport
-	for i := range reports {
+	return readVector(r, table.ReportsLength(), minTableBytes, func(i int) gossip.Report {
 		table.Reports(&stored, i)
-		reports[i] = gossip.Report{
-			Address: named.at(stored.Address()),
+		return gossip.Report{
+			Address: names.at(stored.Address()),
 			Feed: kvrouter.FeedPosition{
 				Incarnation: stored.Incarnation(),
 				From:        stored.From(),
@@ -192,45 +187,38 @@
 			Complete: stored.Whole(),
 			Changes:  r.chunkChanges(&stored),
 		}
-	}
-	return reports
+	})
 }
 
-func (r *reader) chunkChanges(stored *fb.TrafficReport) []gossip.Change {
-	changes := make([]gossip.Change, r.vectorLength(stored.ChangesLength(), chunkChangeBytes))
-	var change fb.PartChange
-	for i := range changes {
-		stored.Changes(&change, i)
-		changes[i] = gossip.Change{
-			Sequence: change.Sequence(),
-			Name:     prefixindex.ChainHash(change.Name()),
-			Tokens:   change.Tokens(),
-			Removed:  change.Removed(),
+func (r *reader) chunkChanges(table *fb.TrafficReport) []gossip.Change {
+	var stored fb.PartChange
+	return readVector(r, table.ChangesLength(), chunkChangeBytes, func(i int) gossip.Change {
+		table.Changes(&stored, i)
+		return gossip.Change{
+			Sequence: stored.Sequence(),
+			Name:     prefixindex.ChainHash(stored.Name()),
+			Tokens:   stored.Tokens(),
+			Removed:  stored.Removed(),
 		}
-	}
-	return changes
+	})
 }
 
-func (r *reader) trafficDenials(table *fb.TrafficNews, named receivedNames) []gossip.Denial {
-	denials := make([]gossip.Denial, r.vectorLength(table.DenialsLength(), minTableBytes))
+func (r *reader) trafficDenials(table *fb.TrafficNews, names receivedNames) []gossip.Denial {
 	var stored fb.TrafficDenial
-	for i := range denials {
+	return readVector(r, table.DenialsLength(), minTableBytes, func(i int) gossip.Denial {
 		table.Denials(&stored, i)
-		denials[i] = gossip.Denial{Address: named.at(stored.Address()), Instance: named.at(stored.Instance())}
-	}
-	return denials
+		return gossip.Denial{Address: names.at(stored.Address()), Instance: names.at(stored.Instance())}
+	})
 }
 
-func (r *reader) trafficOutcomes(table *fb.TrafficNews, named receivedNames) []outlier.Report {
-	outcomes := make([]outlier.Report, r.vectorLength(table.OutcomesLength(), minTableBytes))
+func (r *reader) trafficOutcomes(table *fb.TrafficNews, names receivedNames) []outlier.Report {
 	var stored fb.TrafficOutcomes
-	for i := range outcomes {
+	return readVector(r, table.OutcomesLength(), minTableBytes, func(i int) outlier.Report {
 		table.Outcomes(&stored, i)
-		outcomes[i] = outlier.Report{
-			Address:  named.at(stored.Address()),
+		return outlier.Report{
+			Address:  names.at(stored.Address()),
 			Failures: float64(stored.Failures()),
 			Total:    float64(stored.Total()),
 		}
-	}
-	return outcomes
+	})
 }
