--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -31,34 +31,37 @@
 // the backoff before it, from the outcomes of earlier attempts.
 type dialAttempts struct {
 	options *Options
+	// timeout bounds the next attempt.
 	timeout time.Duration
-	// timedOutFor is the sum of the time-outs since the peer last responded.
+	// timedOutFor is the sum of the time-outs since frames were last sent.
 	timedOutFor time.Duration
-	backoff     time.Duration
+	// backoff is the pause after the next failure.
+	backoff time.Duration
 }
 
 func newDialAttempts(options *Options) *dialAttempts {
-	c := &dialAttempts{options: options}
-	c.succeeded()
-	return c
+	attempts := &dialAttempts{options: options}
+	attempts.succeeded()
+	return attempts
 }
 
 // succeeded resets the time-out and the backoff.
-func (c *dialAttempts) succeeded() {
-	c.timeout = c.options.FirstDialTimeout
-	c.timedOutFor = 0
-	c.backoff = c.options.MinBackoff
+func (d *dialAttempts) succeeded() {
+	d.timeout = d.options.FirstDialTimeout
+	d.timedOutFor = 0
+	d.backoff = d.options.MinBackoff
 }
 
-// failed returns the backoff before the next attempt.
-func (c *dialAttempts) failed(err error) time.Duration {
+// failed records an attempt and returns the backoff before the next one. The error is nil
+// if the peer accepted the connection and then took no frame.
+func (d *dialAttempts) failed(err error) time.Duration {
 	if isTimeout(err) {
-		c.timedOutFor += c.timeout
+		d.timedOutFor += d.timeout
 	}
-	if c.timedOutFor >= c.options.DialTimeout {
-		c.timeout = c.options.DialTimeout
+	if d.timedOutFor >= d.options.DialTimeout {
+		d.timeout = d.options.DialTimeout
 	}
-	delay := c.backoff
-	c.backoff = min(2*c.backoff, c.options.MaxBackoff)
+	delay := d.backoff
+	d.backoff = min(2*d.backoff, d.options.MaxBackoff)
 	return delay
 }
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -26,6 +26,7 @@
 	DefaultMaxBackoff       = 500 * time.Millisecond
 )
 
+// keepAliveProbes is how many unanswered keep-alive probes end a connection.
 const keepAliveProbes = 3
 
 // Options bounds what a Transport uses. Zero values mean the defaults.
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	// lengthBytes is the size of the length before each frame, a big-endian uint32.
 	lengthBytes = 4
 	// batchBytes is about how much one write takes from the queue.
 	batchBytes = 256 << 10
@@ -21,8 +22,8 @@
 	queue     *queue
 	// cancel stops the goroutine.
 	cancel context.CancelFunc
-	// retired means that the transport has dropped this peer as idle. It belongs to the
-	// goroutine of the peer.
+	// retired means that the transport has dropped this peer as idle. Only the goroutine
+	// of the peer uses it.
 	retired bool
 }
 
@@ -62,8 +63,8 @@
 				continue
 			}
 		}
-		// A peer that accepts and takes nothing must not be dialled in a loop
-		// either.
+		// A peer that accepts connections and takes no frame must not be dialled in a
+		// busy loop either.
 		if !p.waitBackoff(ctx, attempts.failed(err)) {
 			return
 		}
@@ -168,6 +169,7 @@
 	}
 }
 
+// dropQueued empties the queue and counts its frames as dropped.
 func (p *peer) dropQueued() {
 	for {
 		batch := p.queue.pop(p.transport.options.MaxQueuedBytes)
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -43,10 +43,10 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	var batch [][]byte
-	taken := 0
-	for len(q.frames) > 0 && (len(batch) == 0 || taken+len(q.frames[0]) <= maxBytes) {
+	batched := 0
+	for len(q.frames) > 0 && (len(batch) == 0 || batched+len(q.frames[0]) <= maxBytes) {
 		oldest := q.removeOldest()
-		taken += len(oldest)
+		batched += len(oldest)
 		batch = append(batch, oldest)
 	}
 	if len(q.frames) == 0 {
@@ -55,13 +55,15 @@
 	return batch
 }
 
-// size returns the frames and bytes that wait.
+// size returns the numbers of queued frames and of their bytes.
 func (q *queue) size() (frames, bytes int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return len(q.frames), q.bytes
 }
 
+// removeOldest takes the oldest frame of a queue that is not empty. The caller holds the
+// mutex.
 func (q *queue) removeOldest() []byte {
 	oldest := q.frames[0]
 	q.frames[0] = nil
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// admit registers a connection so that Close finds it.
+// admit registers a connection so that Close finds it. It returns false if the transport
+// is closed or has MaxConnections already.
 func (t *Transport) admit(connection net.Conn) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -61,7 +62,7 @@
 	return true
 }
 
-// receive hands over the frames of one connection until it ends.
+// receive passes the frames of one connection to the handler until the connection ends.
 func (t *Transport) receive(ctx context.Context, connection net.Conn) {
 	defer t.release(connection)
 	if tcp, ok := connection.(*net.TCPConn); ok {
@@ -82,6 +83,7 @@
 	}
 }
 
+// release closes a connection and takes back its registration.
 func (t *Transport) release(connection net.Conn) {
 	_ = connection.Close()
 	t.mutex.Lock()
@@ -115,6 +117,7 @@
 	return frame, connection.SetReadDeadline(time.Time{})
 }
 
+// readExactly reads length bytes. An end before that is io.ErrUnexpectedEOF.
 func readExactly(reader io.Reader, length int) ([]byte, error) {
 	if length <= maxPreallocatedBytes {
 		frame := make([]byte, length)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -20,21 +20,23 @@
 	handler  Handler
 	dial     dialFunc
 	counters counters
-	// peerContext returns the context in which a new peer runs.
+	// peerContext returns a context for a new peer, which ends with the transport.
 	peerContext func() (context.Context, context.CancelFunc)
 	// cancel ends everything that Listen or Send started, and running waits for it.
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mutex   sync.Mutex
-	closed  bool
-	peers   map[string]*peer
+	mutex  sync.Mutex
+	closed bool
+	// peers are those that frames are sent to, by address.
+	peers map[string]*peer
+	// inbound are the connections that other nodes opened.
 	inbound map[net.Conn]struct{}
 }
 
 // Listen starts to accept frames on address, a host and port, and to send from
-// the host of address. The handler gets each frame that arrives.
-func Listen(address string, handler func(frame []byte), options Options) (*Transport, error) {
+// the host of address. The handler gets each frame that arrives. Close ends the transport.
+func Listen(address string, handler Handler, options Options) (*Transport, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "transport: cannot listen on %s; check that the address is this machine's and free", address)
@@ -81,7 +83,7 @@
 	t.peer(address).enqueue(frame)
 }
 
-// retire drops a peer for which nothing waits, and reports whether it did. A later Send
+// retire drops a peer with an empty queue, and reports whether it did. A later Send
 // starts afresh.
 func (t *Transport) retire(idle *peer) bool {
 	t.mutex.Lock()
@@ -127,8 +129,8 @@
 	t.running.Wait()
 }
 
-// peer returns the peer at address and starts it if it is new. The lock is held, and
-// the transport is open.
+// peer returns the peer at address and starts it if it is new. The caller holds the
+// mutex, and the transport is not closed.
 func (t *Transport) peer(address string) *peer {
 	existing := t.peers[address]
 	if existing == nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,15 +15,18 @@
 //go:generate flatc --go --gen-object-api -o . wire.fbs
 //go:generate gofmt -w fb
 
-// MaxFrameBytes is the size above which Decode refuses a frame.
+// MaxFrameBytes is the size above which Decode rejects a frame. It is that of package
+// transport, which carries the frames.
 const MaxFrameBytes = 16 << 20
 
 // identifier marks the frames of this schema; it follows the root offset.
 const identifier = "RSW1"
 
 const (
+	// initialBuilderBytes is the first size of the buffer in which a frame is built.
 	initialBuilderBytes = 512
-	smallestFrameBytes  = flatbuffers.SizeUOffsetT + len(identifier)
+	// smallestFrameBytes is the size of the root offset and the identifier.
+	smallestFrameBytes = flatbuffers.SizeUOffsetT + len(identifier)
 )
 
 // Envelope is the content of one frame: the sender and exactly one message.
@@ -64,25 +67,25 @@
 // memory with the frame.
 func Decode(frame []byte) (envelope Envelope, err error) {
 	if len(frame) > MaxFrameBytes {
-		return Envelope{}, &Error{Kind: KindTooLarge, FrameBytes: len(frame)}
+		return Envelope{}, &Error{Kind: ErrorTooLarge, FrameBytes: len(frame)}
 	}
 	if len(frame) < smallestFrameBytes || !flatbuffers.BufferHasIdentifier(frame, identifier) {
-		return Envelope{}, &Error{Kind: KindForeign, FrameBytes: len(frame)}
+		return Envelope{}, &Error{Kind: ErrorForeign, FrameBytes: len(frame)}
 	}
 	// The generated accessors follow the offsets in the frame without verifying
 	// them: a wrong offset panics in a bounds check.
 	defer func() {
 		if recover() != nil {
-			envelope, err = Envelope{}, &Error{Kind: KindMalformed, FrameBytes: len(frame)}
+			envelope, err = Envelope{}, &Error{Kind: ErrorMalformed, FrameBytes: len(frame)}
 		}
 	}()
 	reader := &reader{budget: len(frame)}
 	envelope = reader.envelope(fb.GetRootAsEnvelope(frame, 0))
 	if reader.exhausted {
-		return Envelope{}, &Error{Kind: KindMalformed, FrameBytes: len(frame)}
+		return Envelope{}, &Error{Kind: ErrorMalformed, FrameBytes: len(frame)}
 	}
 	if envelope.messages() != 1 {
-		return Envelope{}, &Error{Kind: KindMessageCount, FrameBytes: len(frame)}
+		return Envelope{}, &Error{Kind: ErrorMessageCount, FrameBytes: len(frame)}
 	}
 	return envelope, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -82,7 +82,7 @@
 	return envelopes
 }
 
-func kindOf(err error) Kind {
+func kindOf(err error) ErrorKind {
 	var refused *Error
 	ExpectWithOffset(1, errors.As(err, &refused)).To(BeTrue())
 	return refused.Kind
@@ -182,18 +182,18 @@
 
 	It("are refused without exactly one message", func() {
 		_, err := Decode(Encode(Envelope{From: "a"}))
-		Expect(kindOf(err)).To(Equal(KindMessageCount))
+		Expect(kindOf(err)).To(Equal(ErrorMessageCount))
 		_, err = Decode(Encode(Envelope{Relay: &relaytree.Message{}, Control: &protocol.Message{}}))
-		Expect(kindOf(err)).To(Equal(KindMessageCount))
+		Expect(kindOf(err)).To(Equal(ErrorMessageCount))
 	})
 
 	It("are refused when foreign or too large", func() {
 		_, err := Decode([]byte("GET / HTTP/1.1\r\n"))
-		Expect(kindOf(err)).To(Equal(KindForeign))
+		Expect(kindOf(err)).To(Equal(ErrorForeign))
 		_, err = Decode(nil)
-		Expect(kindOf(err)).To(Equal(KindForeign))
+		Expect(kindOf(err)).To(Equal(ErrorForeign))
 		_, err = Decode(make([]byte, MaxFrameBytes+1))
-		Expect(kindOf(err)).To(Equal(KindTooLarge))
+		Expect(kindOf(err)).To(Equal(ErrorTooLarge))
 	})
 
 	It("never panic when cut or damaged at any byte", func() {
@@ -231,7 +231,7 @@
 		runtime.ReadMemStats(&before)
 		_, err := Decode(frame)
 		runtime.ReadMemStats(&after)
-		Expect(kindOf(err)).To(Equal(KindMalformed))
+		Expect(kindOf(err)).To(Equal(ErrorMalformed))
 		Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<", 4*len(frame)))
 	})
 })
