--- a/pkg/config/dynamic/change.go
+++ b/pkg/config/dynamic/change.go
@@ -11,9 +11,9 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// changed is a changed and validated copy of a configuration. The revision and
-// the epochs are left to the caller.
-func changed(current *ridgeswitchv1.Configuration, order *controlpb.Order) (*ridgeswitchv1.Configuration, error) {
+// configurationAfter returns the validated configuration that an order leads to. It is a
+// copy, whose revision and epochs are left to the caller. The error is an *Error or Errors.
+func configurationAfter(current *ridgeswitchv1.Configuration, order *controlpb.Order) (*ridgeswitchv1.Configuration, error) {
 	if err := checkChange(order); err != nil {
 		return nil, err
 	}
@@ -27,6 +27,7 @@
 	return next, nil
 }
 
+// applyChange returns a changed copy of a configuration, which is not validated.
 func applyChange(current *ridgeswitchv1.Configuration, order *controlpb.Order) (*ridgeswitchv1.Configuration, error) {
 	switch change := order.GetChange().(type) {
 	case *controlpb.Order_Apply:
@@ -52,6 +53,7 @@
 	}
 }
 
+// addKey adds a key to a tenant. A key that the tenant has already changes nothing.
 func addKey(next *ridgeswitchv1.Configuration, change *controlpb.AddKey) error {
 	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
@@ -98,6 +100,7 @@
 	return nil
 }
 
+// setEvacuation begins or ends the evacuation of a zone, or replaces its reason.
 func setEvacuation(next *ridgeswitchv1.Configuration, change *controlpb.SetEvacuation) {
 	position := slices.IndexFunc(next.GetEvacuations(), func(evacuation *ridgeswitchv1.ZoneEvacuation) bool {
 		return evacuation.GetZone() == change.GetZone()
@@ -113,6 +116,8 @@
 	}
 }
 
+// nameWeights names the weight version that the replicas of a pool are to run. A version
+// that may only rise changes nothing if it is not above the one in force.
 func nameWeights(next *ridgeswitchv1.Configuration, change *controlpb.NameWeights) error {
 	pool, found := lo.Find(next.GetPools(), func(pool *ridgeswitchv1.Pool) bool {
 		return pool.GetName() == change.GetPool()
--- a/pkg/config/dynamic/checks.go
+++ b/pkg/config/dynamic/checks.go
@@ -71,8 +71,10 @@
 // label checks an opaque text that nodes pass on, such as a model.
 func (c *checker) label(path, value string) { c.text(path, value, labelRule) }
 
+// host checks the lower-case host name of a route.
 func (c *checker) host(path, value string) { c.text(path, value, hostRule) }
 
+// digest checks a SHA-256 digest in lower-case hexadecimal digits.
 func (c *checker) digest(path, value string) {
 	switch {
 	case value == "":
@@ -82,6 +84,7 @@
 	}
 }
 
+// address checks an IP and port that nodes connect to.
 func (c *checker) address(path, value string) {
 	if value == "" {
 		c.add(KindMissing, path, "is empty; give IP and port, such as 127.3.0.1:7400")
@@ -93,6 +96,7 @@
 	}
 }
 
+// reason checks an optional text of one line.
 func (c *checker) reason(path, value string) {
 	switch {
 	case len(value) > MaxReasonBytes:
@@ -102,10 +106,14 @@
 	}
 }
 
-// count checks the number of elements of a repeated field.
-func (c *checker) count(path string, length, bound int) {
-	if length > bound {
-		c.add(KindOversize, path, "has %d entries; use at most %d", length, bound)
+// checkEach checks a repeated field: the number of its elements, at most bound, and then
+// each element with the path of it, such as "routes[3]".
+func checkEach[T any](c *checker, field string, elements []T, bound int, check func(path string, element T)) {
+	if len(elements) > bound {
+		c.add(KindOversize, field, "has %d entries; use at most %d", len(elements), bound)
+	}
+	for i, element := range elements {
+		check(fmt.Sprintf("%s[%d]", field, i), element)
 	}
 }
 
@@ -123,8 +131,7 @@
 	}
 }
 
-// timeoutOrZero checks an upper bound of a time in milliseconds; 0 is valid and
-// means the default, or no bound.
+// timeoutOrZero is atMost for a time in milliseconds.
 func (c *checker) timeoutOrZero(path string, milliseconds uint32, bound time.Duration) {
 	c.atMost(path, uint64(milliseconds), uint64(bound.Milliseconds()))
 }
@@ -199,6 +206,8 @@
 	}
 }
 
+// isVisibleASCII reports whether a text has no spaces, control characters or characters
+// beyond ASCII.
 func isVisibleASCII(value string) bool {
 	for _, character := range value {
 		if character <= ' ' || character > '~' {
@@ -207,8 +216,3 @@
 	}
 	return true
 }
-
-// itemPath is the path of one element of a repeated field.
-func itemPath(field string, index int) string {
-	return fmt.Sprintf("%s[%d]", field, index)
-}
--- a/pkg/config/dynamic/machine.go
+++ b/pkg/config/dynamic/machine.go
@@ -104,6 +104,8 @@
 	}
 }
 
+// applyOrder answers an order: an invalid one is refused, a resend gets the first answer,
+// and a change that passes all checks is put in force.
 func (m *Machine) applyOrder(order *controlpb.Order) *controlpb.Answer {
 	if err := checkOrderID(order.GetOrderId()); err != nil {
 		return m.refuse(order, err)
@@ -117,7 +119,7 @@
 	if err := m.checkBase(order); err != nil {
 		return m.refuse(order, err)
 	}
-	next, err := changed(m.configuration, order)
+	next, err := configurationAfter(m.configuration, order)
 	if err != nil {
 		return m.refuse(order, err)
 	}
@@ -137,7 +139,8 @@
 	return proto.Clone(answer).(*controlpb.Answer)
 }
 
-// repeat returns the answer to an order whose identity was accepted before.
+// repeat returns the answer to an order whose identity was accepted before: the first
+// answer to a resend, and a refusal of other content.
 func (m *Machine) repeat(order *controlpb.Order, first *controlpb.Answer) *controlpb.Answer {
 	if bytes.Equal(order.GetDigest(), first.GetDigest()) {
 		return first
--- a/pkg/config/dynamic/validate.go
+++ b/pkg/config/dynamic/validate.go
@@ -33,7 +33,8 @@
 	tenants, digests, pools, webServices, services, stores, routes, zones *uniqueSet
 }
 
-// validation is the state of one call of Validate.
+// validation is the state of one call of Validate. Its methods check one field or
+// message each; like the checks of a single value, they take the path that faults name.
 type validation struct {
 	checker
 	names nameSets
@@ -41,14 +42,16 @@
 
 // run checks each kind of element after those that it refers to.
 func (v *validation) run(configuration *ridgeswitchv1.Configuration) {
-	v.size(configuration)
-	v.tenants(configuration.GetTenants())
-	v.stores(configuration.GetStores())
-	v.pools(configuration.GetPools())
-	v.webServices(configuration.GetWebServices())
-	v.routes(configuration.GetRoutes())
+	if size := proto.Size(configuration); size > MaxConfigurationBytes {
+		v.add(KindOversize, "", "configuration takes %d bytes; reduce it to at most %d", size, MaxConfigurationBytes)
+	}
+	checkEach(&v.checker, "tenants", configuration.GetTenants(), MaxTenants, v.tenant)
+	checkEach(&v.checker, "stores", configuration.GetStores(), MaxStores, v.store)
+	checkEach(&v.checker, "pools", configuration.GetPools(), MaxPools, v.pool)
+	checkEach(&v.checker, "web_services", configuration.GetWebServices(), MaxWebServices, v.webService)
+	checkEach(&v.checker, "routes", configuration.GetRoutes(), MaxRoutes, v.route)
 	v.callerLimits("caller_limits", configuration.GetCallerLimits())
-	v.evacuations(configuration.GetEvacuations())
+	checkEach(&v.checker, "evacuations", configuration.GetEvacuations(), MaxEvacuations, v.evacuation)
 }
 
 // uniqueName checks an identifier that no other element of the same kind may have.
@@ -57,33 +60,16 @@
 	v.unique(set, path, value)
 }
 
-func (v *validation) size(configuration *ridgeswitchv1.Configuration) {
-	size := proto.Size(configuration)
-	if size > MaxConfigurationBytes {
-		v.add(KindOversize, "", "configuration takes %d bytes; reduce it to at most %d", size, MaxConfigurationBytes)
-	}
-}
-
-func (v *validation) tenants(tenants []*ridgeswitchv1.Tenant) {
-	v.count("tenants", len(tenants), MaxTenants)
-	for i, tenant := range tenants {
-		path := itemPath("tenants", i)
-		v.uniqueName(v.names.tenants, path+".name", tenant.GetName())
-		v.keys(path+".keys", tenant.GetKeys())
-		v.limits(path+".limits", tenant.GetLimits())
-		v.priority(path+".priority", tenant.GetPriority())
-	}
-}
-
-func (v *validation) keys(field string, keys []*ridgeswitchv1.Key) {
-	v.count(field, len(keys), MaxKeysPerTenant)
-	names := newUniqueSet("key name")
-	for i, key := range keys {
-		path := itemPath(field, i)
+func (v *validation) tenant(path string, tenant *ridgeswitchv1.Tenant) {
+	v.uniqueName(v.names.tenants, path+".name", tenant.GetName())
+	keyNames := newUniqueSet("key name")
+	checkEach(&v.checker, path+".keys", tenant.GetKeys(), MaxKeysPerTenant, func(path string, key *ridgeswitchv1.Key) {
 		v.key(path, key)
-		v.unique(names, path+".name", key.GetName())
+		v.unique(keyNames, path+".name", key.GetName())
 		v.unique(v.names.digests, path+".sha256", key.GetSha256())
-	}
+	})
+	v.limits(path+".limits", tenant.GetLimits())
+	v.priority(path+".priority", tenant.GetPriority())
 }
 
 // key checks the form of one key.
@@ -104,37 +90,29 @@
 	v.timeout(path+".queue_timeout_ms", limits.GetQueueTimeoutMs(), MaxQueueTimeout)
 }
 
-func (v *validation) stores(stores []*ridgeswitchv1.Store) {
-	v.count("stores", len(stores), MaxStores)
-	for i, store := range stores {
-		path := itemPath("stores", i)
-		v.uniqueName(v.names.stores, path+".name", store.GetName())
-		v.address(path+".address", store.GetAddress())
-		v.name(path+".zone", store.GetZone())
-		v.memory(path+".memory_tokens", store.GetMemoryTokens())
-		v.nonNegative(path+".link_bits_per_second", store.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
-		v.atMost(path+".max_report_readers", uint64(store.GetMaxReportReaders()), MaxReportReaders)
-	}
+func (v *validation) store(path string, store *ridgeswitchv1.Store) {
+	v.uniqueName(v.names.stores, path+".name", store.GetName())
+	v.address(path+".address", store.GetAddress())
+	v.name(path+".zone", store.GetZone())
+	v.atMost(path+".memory_tokens", store.GetMemoryTokens(), MaxMemoryTokens)
+	v.nonNegative(path+".link_bits_per_second", store.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
+	v.atMost(path+".max_report_readers", uint64(store.GetMaxReportReaders()), MaxReportReaders)
 }
 
-func (v *validation) pools(pools []*ridgeswitchv1.Pool) {
-	v.count("pools", len(pools), MaxPools)
-	for i, pool := range pools {
-		path := itemPath("pools", i)
-		v.uniqueName(v.names.pools, path+".name", pool.GetName())
-		v.label(path+".model", pool.GetModel())
-		v.service(path+".service", pool.GetService())
-		if pool.GetStore() != "" {
-			v.reference(v.names.stores, path+".store", pool.GetStore())
-		}
-		if pool.GetWeightVersion() != "" {
-			v.label(path+".weight_version", pool.GetWeightVersion())
-		}
-		v.timeout(path+".request_timeout_ms", pool.GetRequestTimeoutMs(), MaxRequestTimeout)
-		v.routing(path+".routing", pool.GetRouting())
-		v.engine(path+".engine", pool.GetEngine())
-		v.backends(path+".backends", pool.GetBackends())
+func (v *validation) pool(path string, pool *ridgeswitchv1.Pool) {
+	v.uniqueName(v.names.pools, path+".name", pool.GetName())
+	v.label(path+".model", pool.GetModel())
+	v.service(path+".service", pool.GetService())
+	if pool.GetStore() != "" {
+		v.reference(v.names.stores, path+".store", pool.GetStore())
 	}
+	if pool.GetWeightVersion() != "" {
+		v.label(path+".weight_version", pool.GetWeightVersion())
+	}
+	v.timeout(path+".request_timeout_ms", pool.GetRequestTimeoutMs(), MaxRequestTimeout)
+	v.routing(path+".routing", pool.GetRouting())
+	v.engine(path+".engine", pool.GetEngine())
+	v.backends(path+".backends", pool.GetBackends())
 }
 
 // service checks the name under which the platform lists the back ends of a
@@ -152,22 +130,14 @@
 	v.nonNegative(path+".temperature", routing.GetTemperature(), MaxRoutingKnob)
 }
 
-func (v *validation) webServices(services []*ridgeswitchv1.WebService) {
-	v.count("web_services", len(services), MaxWebServices)
-	for i, service := range services {
-		path := itemPath("web_services", i)
-		v.uniqueName(v.names.webServices, path+".name", service.GetName())
-		v.service(path+".service", service.GetService())
-		v.timeout(path+".request_timeout_ms", service.GetRequestTimeoutMs(), MaxRequestTimeout)
-		v.backends(path+".backends", service.GetBackends())
-	}
+func (v *validation) webService(path string, service *ridgeswitchv1.WebService) {
+	v.uniqueName(v.names.webServices, path+".name", service.GetName())
+	v.service(path+".service", service.GetService())
+	v.timeout(path+".request_timeout_ms", service.GetRequestTimeoutMs(), MaxRequestTimeout)
+	v.backends(path+".backends", service.GetBackends())
 }
 
-func (v *validation) evacuations(evacuations []*ridgeswitchv1.ZoneEvacuation) {
-	v.count("evacuations", len(evacuations), MaxEvacuations)
-	for i, evacuation := range evacuations {
-		path := itemPath("evacuations", i)
-		v.uniqueName(v.names.zones, path+".zone", evacuation.GetZone())
-		v.reason(path+".reason", evacuation.GetReason())
-	}
+func (v *validation) evacuation(path string, evacuation *ridgeswitchv1.ZoneEvacuation) {
+	v.uniqueName(v.names.zones, path+".zone", evacuation.GetZone())
+	v.reason(path+".reason", evacuation.GetReason())
 }
--- a/pkg/config/dynamic/validate_backends.go
+++ b/pkg/config/dynamic/validate_backends.go
@@ -13,17 +13,13 @@
 	if engine.GetMemoryTokens() == 0 {
 		v.add(KindOutOfRange, path+".memory_tokens", "is 0; give the tokens that fit into a replica's memory")
 	}
-	v.memory(path+".memory_tokens", engine.GetMemoryTokens())
+	v.atMost(path+".memory_tokens", engine.GetMemoryTokens(), MaxMemoryTokens)
 	v.atMost(path+".token_bytes", uint64(engine.GetTokenBytes()), MaxTokenBytes)
 	v.nonNegative(path+".link_bits_per_second", engine.GetLinkBitsPerSecond(), MaxLinkBitsPerSecond)
 	v.atMost(path+".tokens_per_event", uint64(engine.GetTokensPerEvent()), MaxTokensPerEvent)
 	v.atMost(path+".max_report_readers", uint64(engine.GetMaxReportReaders()), MaxReportReaders)
 }
 
-func (v *validation) memory(path string, tokens uint64) {
-	v.atMost(path, tokens, MaxMemoryTokens)
-}
-
 // backends checks the limits of one back end; 0 means no limit.
 func (v *validation) backends(path string, limits *ridgeswitchv1.BackendLimits) {
 	v.atMost(path+".max_connections", uint64(limits.GetMaxConnections()), MaxBackendConnections)
--- a/pkg/config/dynamic/validate_routes.go
+++ b/pkg/config/dynamic/validate_routes.go
@@ -7,19 +7,15 @@
 // everyPath is what an empty path prefix means.
 const everyPath = "/"
 
-func (v *validation) routes(routes []*ridgeswitchv1.Route) {
-	v.count("routes", len(routes), MaxRoutes)
-	for i, route := range routes {
-		path := itemPath("routes", i)
-		v.host(path+".host", route.GetHost())
-		if route.GetName() != "" {
-			v.label(path+".name", route.GetName())
-		}
-		v.pathPrefix(path+".path_prefix", route.GetPathPrefix())
-		v.uniqueRoute(path, route)
-		v.destinations(path, route)
-		v.handling(path, route)
+func (v *validation) route(path string, route *ridgeswitchv1.Route) {
+	v.host(path+".host", route.GetHost())
+	if route.GetName() != "" {
+		v.label(path+".name", route.GetName())
 	}
+	v.pathPrefix(path+".path_prefix", route.GetPathPrefix())
+	v.uniqueRoute(path, route)
+	v.destinations(path, route)
+	v.handling(path, route)
 }
 
 // uniqueRoute adds a fault if an earlier route matches the same host and path prefix.
@@ -57,14 +53,12 @@
 }
 
 func (v *validation) split(field string, split []*ridgeswitchv1.WeightedDestination) {
-	v.count(field, len(split), MaxSplit)
 	total := uint64(0)
-	for i, destination := range split {
-		path := itemPath(field, i)
+	checkEach(&v.checker, field, split, MaxSplit, func(path string, destination *ridgeswitchv1.WeightedDestination) {
 		total += uint64(destination.GetWeight())
 		v.atMost(path+".weight", uint64(destination.GetWeight()), MaxWeight)
 		v.splitDestination(path, destination)
-	}
+	})
 	if total == 0 {
 		v.add(KindOutOfRange, field, "has weights that add up to 0; give one destination a weight")
 	}
