--- a/internal/node/adapters.go
+++ b/internal/node/adapters.go
@@ -12,7 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// driverSource gives the data plane the view of control, which is built after it.
+// driverSource implements routing.Source by the driver, which is built after the data
+// plane. The driver is set before the node runs.
 type driverSource struct {
 	driver *driver.Driver
 }
@@ -53,11 +54,3 @@
 	}
 	return errors.Wrap(suture.ErrTerminateSupervisorTree, err.Error())
 }
-
-// view returns the routing view of the node, or nil before the driver is built.
-func (n *Node) view() *routing.View {
-	if n.driver == nil {
-		return nil
-	}
-	return n.driver.View()
-}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -24,14 +24,18 @@
 	// budgetMargin is how many nodes may have started without this one knowing it, when
 	// the slack of the retry budget is divided among the nodes.
 	budgetMargin = 2
-	// ejectionGrowth is how many times longer than at first a back end that goes on
-	// failing is ejected.
-	ejectionGrowth = 8
-	// percent divides percentages of the settings.
+	// maxEjectionFactor is the longest ejection of a back end that goes on failing, as a
+	// multiple of the first one.
+	maxEjectionFactor = 8
+	// percent turns percentages of the settings into fractions.
 	percent = 100.0
 )
 
-// build makes the parts in the order in which they need each other.
+// build makes the parts in the order in which they need each other: storage, data plane,
+// gossip, control machine, transport and driver, and the listeners of operators. Those
+// that need the driver before it exists (driverSource, health, commander, gossip,
+// endpoints, frameReceiver) get it once it is built. Of these only frameReceiver is called
+// before, and drops frames.
 func (n *Node) build() error {
 	var err error
 	n.storage, err = openStorage(n.settings)
@@ -43,7 +47,9 @@
 		return err
 	}
 	n.gossip = newGossipService(member.ID(n.settings.MemberID()), n.settings.Zone, n.callerServer())
-	machine, err := control.New(n.controlConfig(), n.storage.restored, n.dataplane, clock.SinceBoot())
+	config := controlConfig(n.settings, n.storage)
+	config.ReplicasFinishFirst = n.edges.ReplicasFinishFirst
+	machine, err := control.New(config, n.storage.restored, n.dataplane, clock.SinceBoot())
 	if err != nil {
 		return err
 	}
@@ -56,9 +62,10 @@
 	return n.buildOperators()
 }
 
-// buildDataplane makes the server for callers. A node that serves none has it as well,
-// and never starts it.
+// buildDataplane makes the server for callers. A node that serves no callers has it as
+// well, and never starts it.
 func (n *Node) buildDataplane(source *driverSource) error {
+	live := func() int { return max(1, len(source.peers())) }
 	var err error
 	n.dataplane, err = dataplane.New(dataplane.Options{
 		Node:         n.settings.Node,
@@ -72,10 +79,20 @@
 		DrainTimeout: n.settings.DrainTimeout(),
 		RecordFile:   n.settings.RecordFile,
 		Edges:        n.edges.Dataplane,
-		RetryBudget:  n.retryBudget(source),
 		MaxUnsent:    maxUnsent,
 		BackendRetry: n.settings.BackendRetry(),
-		Outlier:      n.outlier(),
+		RetryBudget: retrybudget.Options{
+			Ratio:         float64(n.settings.RetryPercent) / percent,
+			Window:        n.settings.RetryWindow(),
+			Slack:         float64(n.settings.RetrySlack),
+			SlackFraction: retrybudget.FleetSlackFraction(live, budgetMargin),
+			StartedAt:     clock.SinceBoot(),
+		},
+		Outlier: outlier.Options{
+			Ejection:           n.settings.Ejection(),
+			MaxEjection:        maxEjectionFactor * n.settings.Ejection(),
+			MaxEjectedFraction: float64(n.settings.EjectedPercent) / percent,
+		},
 	})
 	if err != nil {
 		return err
@@ -86,27 +103,6 @@
 	return nil
 }
 
-// retryBudget returns this node's part of the retry budget of all nodes.
-func (n *Node) retryBudget(source *driverSource) retrybudget.Options {
-	live := func() int { return max(1, len(source.peers())) }
-	return retrybudget.Options{
-		Ratio:         float64(n.settings.RetryPercent) / percent,
-		Window:        n.settings.RetryWindow(),
-		Slack:         float64(n.settings.RetrySlack),
-		SlackFraction: retrybudget.FleetSlackFraction(live, budgetMargin),
-		StartedAt:     clock.SinceBoot(),
-	}
-}
-
-// outlier returns how this node ejects outliers.
-func (n *Node) outlier() outlier.Options {
-	return outlier.Options{
-		Ejection:           n.settings.Ejection(),
-		MaxEjection:        ejectionGrowth * n.settings.Ejection(),
-		MaxEjectedFraction: float64(n.settings.EjectedPercent) / percent,
-	}
-}
-
 // buildDriver connects the control machine to the network, the disk and the
 // replicas.
 func (n *Node) buildDriver(machine *control.Machine) error {
@@ -152,8 +148,8 @@
 	return nil
 }
 
-// operatorHandler returns the handler for operators. With another operator protocol,
-// the product's own queries are served beside it.
+// operatorHandler returns the handler for operators: that of the product's own protocol,
+// or that of Edges.Operator with the product's queries beside it.
 func (n *Node) operatorHandler() (http.Handler, error) {
 	metricsHandler, err := metrics.NewHandler(n.driver, n.dataplane, n.transport)
 	if err != nil {
--- a/internal/node/commander.go
+++ b/internal/node/commander.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/clock"
@@ -18,13 +19,18 @@
 	maxReplicaCalls = 256
 )
 
+// errTooManyCalls means that a control call was not made.
+var errTooManyCalls = errors.New("too many control calls to replicas are under way")
+
 // commander implements driver.Commander: it requests reports of replicas and sends them
-// commands, each call in a goroutine of its own.
+// commands, each call in a goroutine of its own. Nothing waits for these goroutines: each
+// call has a time limit, and the driver ignores results after it has stopped.
 type commander struct {
 	replicas ReplicaCommander
 	driver   *driver.Driver
 	log      *logrus.Entry
-	slots    chan struct{}
+	// slots has a token for each call that runs.
+	slots chan struct{}
 }
 
 func newCommander(replicas ReplicaCommander, log *logrus.Entry) *commander {
@@ -35,13 +41,13 @@
 	}
 }
 
-// Command implements driver.Commander. The call runs beside control.
+// Command implements driver.Commander.
 func (c *commander) Command(command control.Command) {
 	go func() { c.driver.CommandDone(command, c.send(command)) }()
 }
 
-// send checks the command lease again at the moment of sending, on the clock that
-// counts suspended time, and the call itself ends with the lease.
+// send checks the command lease (command.Deadline) again at the moment of sending, on the
+// clock that counts suspended time; the call itself ends with the lease.
 func (c *commander) send(command control.Command) control.CommandOutcome {
 	if !c.acquireSlot() {
 		return control.CommandNotSent
--- a/internal/node/control_config.go
+++ b/internal/node/control_config.go
@@ -9,14 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// controlConfig is what the control machine of this node needs.
-func (n *Node) controlConfig() control.Config {
-	config := controlConfig(n.settings, n.storage)
-	config.ReplicasFinishFirst = n.edges.ReplicasFinishFirst
-	return config
-}
-
-// controlConfig turns settings into what the control machine needs.
+// controlConfig returns the configuration of the control machine, as far as it follows
+// from the settings and the data folder.
 func controlConfig(settings *static.Settings, disk *storage) control.Config {
 	config := control.Config{
 		Self: member.Info{
--- a/internal/node/edges.go
+++ b/internal/node/edges.go
@@ -5,25 +5,25 @@
 	"net/http"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/driver"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-// EndpointReader reads the platform's list of back ends. An error
-// leaves the last list in force.
+// EndpointReader reads the platform's list of back ends. After an error the last list
+// stays in force. The node makes one call of Read at a time.
 type EndpointReader interface {
 	Read(ctx context.Context) ([]control.ServiceEndpoints, error)
 }
 
-// ReplicaCommander requests reports of replicas and commands them to load weights.
+// ReplicaCommander requests reports of replicas and commands them to load weights. It is
+// called by many goroutines.
 type ReplicaCommander interface {
-	// LoadWeights sends a command and tells what came of it. The error, if any,
-	// says why it was not taken, or may not have been. Nothing may be sent after
-	// the context has ended.
+	// LoadWeights sends a command and returns its outcome. The error, if any, says why
+	// the command was not accepted, or may not have been. Nothing may be sent after the
+	// context has ended.
 	LoadWeights(ctx context.Context, command control.Command) (control.CommandOutcome, error)
-	// Report asks the incarnation of a replica that the list names for its report.
-	// Age in the result tells how old the numbers may have been when the replica was
-	// asked; Address and MeasuredAt are left zero.
+	// Report requests the report of a replica, in the incarnation that the list names.
+	// Age of the result is how old its figures may have been when the request was sent;
+	// Address and MeasuredAt are left zero.
 	Report(ctx context.Context, address, instance string) (control.ReplicaReport, error)
 }
 
@@ -37,20 +37,15 @@
 	LimitConnections func(limit func(address string) int)
 	// Endpoints reads the platform's list of back ends.
 	Endpoints EndpointReader
-	Replicas  ReplicaCommander
-	// ReplicasFinishFirst is that of control.Config.
+	// Replicas speaks to replicas about their weights.
+	Replicas ReplicaCommander
+	// ReplicasFinishFirst means that replicas finish their requests by themselves before
+	// they load weights; see control.Config.
 	ReplicasFinishFirst bool
-	// Operator returns what serves operators, and whoever asks for the node's
-	// health. The node's own questions are answered beside it, see
-	// operator.WithQueries.
+	// Operator returns the handler of operators' calls and health checks. The product's
+	// own queries are served beside it; see operator.WithQueries.
 	Operator func(node *Node) http.Handler
 	// ReadyAddress is a further IP and port at which Operator's handler is
 	// served; empty for none.
 	ReadyAddress string
 }
-
-// Control returns the control state of the node.
-func (n *Node) Control() *driver.Driver { return n.driver }
-
-// Ready returns nil while new connections may be sent to the node.
-func (n *Node) Ready() error { return n.health.Ready() }
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -14,7 +14,9 @@
 // endpointReadTimeout bounds one reading of the platform's endpoint list with all its pages.
 const endpointReadTimeout = 1500 * time.Millisecond
 
-// endpointLoader reads the platform's endpoint list when control asks for it.
+// endpointLoader implements driver.EndpointReader: it reads the platform's endpoint list
+// when control asks for it. Nothing waits for its goroutine, which ends within
+// endpointReadTimeout.
 type endpointLoader struct {
 	reader EndpointReader
 	driver *driver.Driver
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -22,6 +22,7 @@
 	dataplane *dataplane.Server
 	driver    *driver.Driver
 
+	// mutex guards the exchange, which Serve and TakeBatch use.
 	mutex    sync.Mutex
 	exchange *gossip.Exchange
 }
@@ -45,7 +46,8 @@
 	}
 }
 
-// sendDue sends what is due.
+// sendDue sends the update of this node, the updates that it relays, and the messages of
+// snapshots.
 func (s *gossipService) sendDue() {
 	live := s.driver.LiveNodes()
 	var update gossip.Update
@@ -70,7 +72,8 @@
 	return s.exchange.Flush(live)
 }
 
-// TakeBatch implements driver.TrafficReceiver.
+// TakeBatch implements driver.TrafficReceiver: a batch is a message of a snapshot, or
+// updates to apply and to relay.
 func (s *gossipService) TakeBatch(batch gossip.Batch) {
 	if batch.Stage.Direct() {
 		if s.dataplane != nil {
--- a/internal/node/heap_growth.go
+++ b/internal/node/heap_growth.go
@@ -24,6 +24,7 @@
 // with the fleet, and with it the processor time of collections, while the live heap
 // grows little.
 type heapGrowth struct {
+	// percent is the setting, which holds up to smallFleet nodes.
 	percent int
 	driver  *driver.Driver
 }
@@ -49,7 +50,8 @@
 // String implements fmt.Stringer for the supervisor's messages.
 func (h *heapGrowth) String() string { return "growth of the heap" }
 
-// growthFor is the growth of the heap, in percent, among so many live nodes.
+// growthFor returns the growth of the heap, in percent, for a number of live nodes. The
+// first argument is the setting.
 func growthFor(percent, nodes int) int {
 	return percent + min(max(nodes-smallFleet, 0)/nodesPerPercent, maxExtraGrowth)
 }
--- a/internal/node/native_edges.go
+++ b/internal/node/native_edges.go
@@ -14,11 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// errTooManyCalls means that a control call was not made.
-var errTooManyCalls = errors.New("too many control calls to replicas are under way")
-
 // withDefaults fills in the product's own protocols with the platform and with
-// replicas. The view is that of the node, or nil as long as it has none.
+// replicas. The function view returns the view of the node, or nil before the first one.
 func (e Edges) withDefaults(platformAddress string, view func() *routing.View) Edges {
 	sender := outbound.New(outbound.Options{Name: "control"})
 	if e.Endpoints == nil {
@@ -30,8 +27,8 @@
 	return e
 }
 
-// nativeEndpoints reads the platform's endpoint list by the product's own protocol. One reading
-// runs at a time.
+// nativeEndpoints reads the platform's endpoint list by the product's own protocol. One
+// goroutine at a time may use it.
 type nativeEndpoints struct {
 	client    *platform.Client
 	slowStart slowStart
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/driver"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/transport"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
@@ -24,21 +25,25 @@
 	readinessDelay = time.Second
 )
 
-// Node is one running node. New makes it, and Run ends it.
+// Node is one running node. New makes it, and Run ends it. Its fields are set by New and
+// not changed afterwards, but for seeds.
 type Node struct {
-	settings  *static.Settings
-	edges     Edges
-	log       *logrus.Entry
-	storage   *storage
+	settings *static.Settings
+	edges    Edges
+	log      *logrus.Entry
+	storage  *storage
+	// transport carries frames to and from other nodes.
 	transport *transport.Transport
+	// driver runs the control machine.
 	driver    *driver.Driver
 	dataplane *dataplane.Server
 	gossip    *gossipService
+	// operators are the listeners for operators and health checks.
 	operators []*operator.Server
 	health    *health
 	commander *commander
 	endpoints *endpointLoader
-	// seeds are those in use, see Reload.
+	// seeds are those in use. Only Reload uses them, in one goroutine.
 	seeds []string
 }
 
@@ -55,12 +60,27 @@
 	return node, nil
 }
 
-// Run serves until the context ends; then it drains and leaves. It returns nil
-// after an orderly stop.
+// Control returns the control state of the node.
+func (n *Node) Control() *driver.Driver { return n.driver }
+
+// Ready returns nil while new connections may be sent to the node.
+func (n *Node) Ready() error { return n.health.Ready() }
+
+// view returns the routing view of the node, or nil before the driver is built.
+func (n *Node) view() *routing.View {
+	if n.driver == nil {
+		return nil
+	}
+	return n.driver.View()
+}
+
+// Run serves until the context ends; then it drains and leaves. It returns nil after an
+// orderly stop, and the error of a listener that fails.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.close()
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
+	// Buffered for all listeners, so that their goroutines end without a reader.
 	failed := make(chan error, len(n.operators)+1)
 	// What is supervised outlives ctx: it has to drain.
 	finished := n.supervise(background) //nolint:contextcheck // see above
@@ -102,20 +122,23 @@
 	return finished
 }
 
+// logEvent logs that a supervised loop has ended.
 func (n *Node) logEvent(event suture.Event) {
 	n.log.WithField("event", event.Map()).Error(event.String())
 }
 
-// drain turns readiness off, hands control over, lets running requests finish
-// and ends within the drain time.
+// drain turns readiness off, transfers leadership, waits up to the drain time for running
+// requests, leaves the membership and stops the listeners.
 func (n *Node) drain() {
 	n.health.draining.Store(true)
 	n.driver.TransferLeadership()
 	time.Sleep(min(readinessDelay, n.settings.DrainTimeout()/2))
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout())
 	defer cancel()
-	if err := n.drainCallers(ctx); err != nil {
-		n.log.WithError(err).Warn("requests were still running when the drain time ended")
+	if !n.settings.ControlOnly {
+		if err := n.dataplane.Drain(ctx); err != nil {
+			n.log.WithError(err).Warn("requests were still running when the drain time ended")
+		}
 	}
 	n.driver.Leave()
 	time.Sleep(leaveDelay)
@@ -125,15 +148,7 @@
 	}
 }
 
-// drainCallers lets running requests finish.
-func (n *Node) drainCallers(ctx context.Context) error {
-	if n.settings.ControlOnly {
-		return nil
-	}
-	return n.dataplane.Drain(ctx)
-}
-
-// close releases what New took.
+// close closes the transport and the data folder, as far as New opened them.
 func (n *Node) close() {
 	if n.transport != nil {
 		n.transport.Close()
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -16,7 +16,9 @@
 // storage is the data folder of a node: its identity, and the durable log of each
 // shard. It is used by one goroutine until the control driver takes the logs.
 type storage struct {
-	disk     *disk.Disk
+	// disk is nil on a node without a data folder.
+	disk *disk.Disk
+	// logs are the durable logs of the shards, and restored what they held, by shard.
 	logs     map[uint32]*durable.Log
 	restored map[uint32]replication.Restored
 	// incarnation identifies the folder. Votes that the node gave under the
@@ -93,6 +95,7 @@
 	return log.Checkpoint(restored.HardState, restored.Snapshot, restored.Entries)
 }
 
+// shardName returns how the names of a shard's files begin.
 func shardName(shard uint32) string { return fmt.Sprintf("shard-%03d", shard) }
 
 // hasShards reports whether the folder has the files of every shard that its identity
