--- a/internal/edge/caller/error.go
+++ b/internal/edge/caller/error.go
@@ -11,7 +11,7 @@
 // Kind is the stable name of an error.
 type Kind string
 
-// The kinds of errors that callers meet.
+// The kinds of errors that callers get; docs/CALLERS.md tells what to do about each.
 const (
 	KindBadRequest          Kind = "bad_request"
 	KindHeaderTooLarge      Kind = "header_too_large"
@@ -74,29 +74,29 @@
 	// RetryIsSafe means that the same request may be sent again, although an
 	// earlier submission of it may have run.
 	RetryIsSafe bool `json:"-"`
-	// RetryAfter is when to come back; zero if coming back does not help.
+	// RetryAfter is the time after which a retry may help; zero if none does.
 	RetryAfter time.Duration `json:"-"`
 }
 
 // Error implements error.
-func (p *Error) Error() string {
-	return fmt.Sprintf("%s: %s", p.Kind, p.Message)
+func (e *Error) Error() string {
+	return fmt.Sprintf("%s: %s", e.Kind, e.Message)
 }
 
-// NewError returns a problem of a request that has not run.
+// NewError returns the error of a request that has not run.
 func NewError(kind Kind, format string, arguments ...any) *Error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// WithRetryAfter sets the time to come back, and returns the problem.
-func (p *Error) WithRetryAfter(wait time.Duration) *Error {
-	p.RetryAfter = wait
-	return p
+// WithRetryAfter sets the time to retry after, and returns the error.
+func (e *Error) WithRetryAfter(wait time.Duration) *Error {
+	e.RetryAfter = wait
+	return e
 }
 
-// Status returns the HTTP status of the problem.
-func (p *Error) Status() int {
-	if status, known := statusByKind[p.Kind]; known {
+// Status returns the HTTP status of the error.
+func (e *Error) Status() int {
+	if status, known := statusByKind[e.Kind]; known {
 		return status
 	}
 	return http.StatusInternalServerError
--- a/internal/edge/caller/prefix.go
+++ b/internal/edge/caller/prefix.go
@@ -10,7 +10,7 @@
 // tokensParameter is the only parameter of a chunk.
 const tokensParameter = "tokens"
 
-// ParsePrefix reads `id;tokens=N, id;tokens=N`. A returned error is a *Problem.
+// ParsePrefix reads `id;tokens=N, id;tokens=N`. A returned error is an *Error.
 func ParsePrefix(value string) ([]prefixindex.Chunk, error) {
 	if strings.TrimSpace(value) == "" {
 		return nil, nil
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -32,7 +32,7 @@
 	Streamed bool
 }
 
-// Parse reads the headers of a request. A returned error is a *Problem.
+// Parse reads the headers of a request. A returned error is an *Error.
 func Parse(request *http.Request) (Request, error) {
 	header := request.Header
 	parsed := Request{Model: header.Get(HeaderModel), Streamed: acceptsStream(header)}
--- a/internal/edge/outbound/client.go
+++ b/internal/edge/outbound/client.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"net/http/httptrace"
-	"sync"
 	"time"
 
 	"github.com/pkg/errors"
@@ -47,32 +45,6 @@
 	open      *connectionLimiter
 }
 
-// Error says that a request got no response.
-type Error struct {
-	// MayHaveBeenSent reports whether any byte of the request may have left. If it
-	// is false none has left, and none will.
-	MayHaveBeenSent bool
-	cause           error
-}
-
-// Error implements error.
-func (e *Error) Error() string {
-	if e.MayHaveBeenSent {
-		return fmt.Sprintf("no answer after the request was sent: %v", e.cause)
-	}
-	return fmt.Sprintf("the request was not sent: %v", e.cause)
-}
-
-// Unwrap returns the cause.
-func (e *Error) Unwrap() error {
-	return e.cause
-}
-
-// NotSent wraps the reason for which a request was not even tried.
-func NotSent(cause error) *Error {
-	return &Error{cause: errors.WithStack(cause)}
-}
-
 // New returns a client.
 func New(options Options) *Client {
 	if options.DialTimeout <= 0 {
@@ -143,41 +115,3 @@
 func (c *Client) CloseIdle() {
 	c.transport.CloseIdleConnections()
 }
-
-// connectionTrace remembers the connections that a request was given.
-type connectionTrace struct {
-	mutex       sync.Mutex
-	connections []usedConnection
-	untracked   bool
-}
-
-// usedConnection is a connection and its count of writes when it was given.
-type usedConnection struct {
-	connection   *countedConn
-	writesBefore uint64
-}
-
-// got is called before the request is written to the connection.
-func (w *connectionTrace) got(info httptrace.GotConnInfo) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	counted, known := info.Conn.(*countedConn)
-	if !known {
-		w.untracked = true
-		return
-	}
-	w.connections = append(w.connections, usedConnection{connection: counted, writesBefore: counted.writeCount()})
-}
-
-// seal ends the connections, and returns whether any byte may have left.
-func (w *connectionTrace) seal() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	mayHaveBeenSent := w.untracked
-	for _, used := range w.connections {
-		if used.connection.seal() != used.writesBefore {
-			mayHaveBeenSent = true
-		}
-	}
-	return mayHaveBeenSent
-}
--- a/internal/edge/outbound/connection_limit.go
+++ b/internal/edge/outbound/connection_limit.go
@@ -17,11 +17,12 @@
 	return fmt.Sprintf("all %d connections that this node may have to %s are in use", e.Limit, e.Address)
 }
 
-// connectionLimiter counts the connections to each back end, with and without a
-// request, and those that are coming about.
+// connectionLimiter counts the connections to each back end: those with and without a
+// request, and those that are being opened. It is safe for concurrent use.
 type connectionLimiter struct {
 	mutex sync.Mutex
-	// limit returns how many there may be; 0 for any number. Nil means no bound.
+	// limit returns how many connections there may be, 0 for any number. Nil means no
+	// bound.
 	limit  func(address string) int
 	counts map[string]int
 }
@@ -31,32 +32,32 @@
 }
 
 // setLimit replaces the bound. Connections beyond it are not closed.
-func (o *connectionLimiter) setLimit(limit func(address string) int) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.limit = limit
+func (l *connectionLimiter) setLimit(limit func(address string) int) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.limit = limit
 }
 
 // reserve counts a connection that is to be opened. The error is a
 // *ConnectionLimitError.
-func (o *connectionLimiter) reserve(address string) error {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.limit != nil {
-		if limit := o.limit(address); limit > 0 && o.counts[address] >= limit {
+func (l *connectionLimiter) reserve(address string) error {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.limit != nil {
+		if limit := l.limit(address); limit > 0 && l.counts[address] >= limit {
 			return &ConnectionLimitError{Address: address, Limit: limit}
 		}
 	}
-	o.counts[address]++
+	l.counts[address]++
 	return nil
 }
 
 // release counts a connection out.
-func (o *connectionLimiter) release(address string) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.counts[address]--
-	if o.counts[address] == 0 {
-		delete(o.counts, address)
+func (l *connectionLimiter) release(address string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.counts[address]--
+	if l.counts[address] == 0 {
+		delete(l.counts, address)
 	}
 }
--- a/internal/edge/outbound/connection.go
+++ b/internal/edge/outbound/counted_connection.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"net/http/httptrace"
 	"sync"
 	"time"
 
@@ -82,3 +83,43 @@
 		return &countedConn{Conn: connection, closed: sync.OnceFunc(func() { open.release(address) })}, nil
 	}
 }
+
+// connectionTrace remembers the connections that a request was given.
+type connectionTrace struct {
+	mutex       sync.Mutex
+	connections []usedConnection
+	// untracked means that one of them does not count its writes.
+	untracked bool
+}
+
+// usedConnection is a connection, and how many writes had begun on it when the request
+// was given it.
+type usedConnection struct {
+	connection   *countedConn
+	writesBefore uint64
+}
+
+// got is called before the request is written to the connection.
+func (t *connectionTrace) got(info httptrace.GotConnInfo) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	counted, known := info.Conn.(*countedConn)
+	if !known {
+		t.untracked = true
+		return
+	}
+	t.connections = append(t.connections, usedConnection{connection: counted, writesBefore: counted.writeCount()})
+}
+
+// seal closes the connections, and reports whether any byte of the request may have left.
+func (t *connectionTrace) seal() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	mayHaveBeenSent := t.untracked
+	for _, used := range t.connections {
+		if used.connection.seal() != used.writesBefore {
+			mayHaveBeenSent = true
+		}
+	}
+	return mayHaveBeenSent
+}
--- a/internal/edge/outbound/direct_connection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -22,12 +22,12 @@
 	// limited bounds what reader reads of the header of a response.
 	limited io.LimitedReader
 	reader  *bufio.Reader
-	// head is the memory for the heads of requests.
+	// head is the buffer for the heads of requests, kept from one to the next.
 	head []byte
 	// written counts the bytes of the present request that the kernel has accepted.
 	written int
 	closed  atomic.Bool
-	// expires is when it may not be used again.
+	// expires is the time from which on the connection is not used again.
 	expires time.Time
 }
 
@@ -38,7 +38,8 @@
 	return connection
 }
 
-// close may be called more than once.
+// close closes the connection and releases it from the limit. It may be called more than
+// once, and concurrently.
 func (c *directConnection) close() {
 	if !c.closed.Swap(true) {
 		_ = c.Conn.Close() //nolint:staticcheck // the embedded field tells Close from close
@@ -70,5 +71,5 @@
 // limitHeader bounds the bytes that are read until the bound is lifted.
 func (c *directConnection) limitHeader() { c.limited.N = maxHeaderBytes }
 
-// liftLimit lifts the bound.
+// liftLimit lifts the bound, for the body.
 func (c *directConnection) liftLimit() { c.limited.N = math.MaxInt64 }
--- a/internal/edge/outbound/exchange.go
+++ b/internal/edge/outbound/exchange.go
@@ -18,13 +18,16 @@
 // errNoResponse says that what came on a connection is not the response.
 var errNoResponse = errors.New("no answer to the request came on its connection")
 
-// exchange is one request on its connection, and the body of its response.
+// exchange is one request on its connection, and the body of its response. It belongs to
+// the goroutine of the request; while a long body is written, the goroutine that write
+// starts owns connection.written and incomplete until it closes writing.
 type exchange struct {
 	connection *directConnection
 	request    *http.Request
 	options    *DirectOptions
 	idle       *idleConnections
-	// stop prevents the end of the request's context from closing the connection.
+	// stop prevents the end of the request's context from closing the connection. It
+	// returns false if that has happened already.
 	stop func() bool
 	// writing is closed when a long body has been written; nil otherwise.
 	writing chan struct{}
@@ -34,7 +37,9 @@
 	body       io.ReadCloser
 	// surplus means that another response came on the connection.
 	surplus bool
-	ended   bool
+	// ended means that the connection was closed, or returned to idle.
+	ended bool
+	// failure is the first error of reading the body, io.EOF included.
 	failure error
 }
 
@@ -199,8 +204,8 @@
 	return !e.incomplete
 }
 
-// reuseTime returns how long the connection may be used again: not up to the very
-// moment at which the back end closes it.
+// reuseTime returns how long the connection may be used again: three quarters of the time
+// after which the back end says that it closes the connection.
 func (e *exchange) reuseTime() time.Duration {
 	const numerator, denominator = 3, 4
 	_, parameter, given := strings.Cut(strings.ToLower(e.response.Header.Get("Keep-Alive")), "timeout=")
@@ -215,12 +220,13 @@
 	return min(e.options.IdleTimeout, time.Duration(seconds)*time.Second*numerator/denominator)
 }
 
-// framingHeaders are those that the message on the connection decides.
+// framingHeaders are the headers that appendHead sets itself, or that the connection
+// determines; those of the request are left out.
 var framingHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true, "Trailer": true,
 }
 
-// appendHead writes the head of a request.
+// appendHead appends the head of a request to a buffer.
 func appendHead(head []byte, request *http.Request, bodyBytes int) []byte {
 	head = append(head, request.Method...)
 	head = append(head, ' ')
--- a/internal/edge/replica/events.go
+++ b/internal/edge/replica/events.go
@@ -44,15 +44,15 @@
 	idleTimeout time.Duration
 }
 
-// NewEventClient returns a client that gives a stream up after a silence.
+// NewEventClient returns a client that ends a stream without events for idleTimeout.
 func NewEventClient(sender *outbound.Client, idleTimeout time.Duration) *EventClient {
 	return &EventClient{sender: sender, idleTimeout: idleTimeout}
 }
 
-// Follow reads the events after a position, or from a reset on if nothing was
-// seen, and hands each to handle. It returns, always with an error, when the
-// stream ends, falls silent, cannot be read, or when handle returns an error,
-// which it hands back.
+// Follow reads the events after a position, or from a reset on for the zero Position, and
+// passes each to handle, in the caller's goroutine. It returns, always with an error, when
+// the stream ends, has no event for the idle time-out, or cannot be read, or when handle
+// returns an error, which it returns.
 func (c *EventClient) Follow(ctx context.Context, address string, after Position, handle func(Event) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/edge/replica/generate.go
+++ b/internal/edge/replica/generate.go
@@ -7,8 +7,6 @@
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
-	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
@@ -54,8 +52,7 @@
 // Client runs requests on replicas. It may be used by many goroutines.
 type Client struct {
 	sender *outbound.Client
-	// maxResponseBytes bounds a response that is read whole, and one event of a
-	// streamed response.
+	// maxResponseBytes bounds a complete response, and one event of a streamed one.
 	maxResponseBytes int64
 }
 
@@ -123,7 +120,7 @@
 	}
 }
 
-// checkEcho binds a response to its attempt.
+// checkEcho refuses a response that does not name its attempt.
 func checkEcho(response *http.Response, call Call) error {
 	echoed := response.Header.Get(HeaderAttemptID)
 	if echoed == call.AttemptID {
@@ -132,14 +129,13 @@
 	return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
 }
 
-// refusal reads a refusal and closes it.
+// refusal reads a rejection and closes the response.
 func refusal(response *http.Response) *outbound.RefusedError {
 	defer func() { _ = response.Body.Close() }()
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
-	refused := &outbound.RefusedError{Status: response.StatusCode, Message: string(bytes.TrimSpace(body))}
-	seconds, err := strconv.ParseUint(strings.TrimSpace(response.Header.Get("Retry-After")), 10, 32)
-	if err == nil {
-		refused.RetryAfter = time.Duration(seconds) * time.Second
+	return &outbound.RefusedError{
+		Status:     response.StatusCode,
+		RetryAfter: outbound.RetryAfter(response.Header),
+		Message:    string(bytes.TrimSpace(body)),
 	}
-	return refused
 }
--- a/internal/edge/replica/protocol.go
+++ b/internal/edge/replica/protocol.go
@@ -6,9 +6,9 @@
 	PathGenerate = "/v1/generate"
 	// PathEvents streams cache events and reports as JSON lines. The query
 	// parameter "after" names the last sequence number seen, and "incarnation" the
-	// life of the replica that it was seen in. Without "after", in another life,
-	// or when the replica no longer has what follows, the stream starts with a
-	// reset that lists all cached chunks.
+	// incarnation of the replica that it was seen in. Without "after", in another
+	// incarnation, or when the replica no longer has what follows, the stream starts
+	// with a reset that lists all cached chunks.
 	PathEvents = "/v1/events"
 	// PathReport returns the current Report.
 	PathReport = "/v1/report"
--- a/internal/edge/replica/response.go
+++ b/internal/edge/replica/response.go
@@ -34,20 +34,23 @@
 // Response is the response of an attempt whose header has arrived. Close it.
 type Response struct {
 	response *http.Response
+	// maxBytes bounds the response, or one event of a stream.
 	maxBytes int64
-	stream   *bufio.Reader
-	ended    bool
+	// stream reads the body; nil before the first call of Next.
+	stream *bufio.Reader
+	// ended means that Next has returned the event that ends the stream.
+	ended bool
 }
 
 // Status returns the HTTP status.
-func (a *Response) Status() int {
-	return a.response.StatusCode
+func (r *Response) Status() int {
+	return r.response.StatusCode
 }
 
 // Header returns the headers that are forwarded to the caller.
-func (a *Response) Header() http.Header {
-	relayed := make(http.Header, len(a.response.Header))
-	for name, values := range a.response.Header {
+func (r *Response) Header() http.Header {
+	relayed := make(http.Header, len(r.response.Header))
+	for name, values := range r.response.Header {
 		if relayedHeaders[name] || strings.HasPrefix(name, passThroughPrefix) {
 			// The response's own header is not used again.
 			relayed[name] = values
@@ -57,43 +60,43 @@
 }
 
 // WeightVersion returns the version that produced the response, or "".
-func (a *Response) WeightVersion() string {
-	return a.response.Header.Get(HeaderWeightVersion)
+func (r *Response) WeightVersion() string {
+	return r.response.Header.Get(HeaderWeightVersion)
 }
 
 // Streamed reports whether the response is a stream of events.
-func (a *Response) Streamed() bool {
-	mediaType, _, err := mime.ParseMediaType(a.response.Header.Get("Content-Type"))
+func (r *Response) Streamed() bool {
+	mediaType, _, err := mime.ParseMediaType(r.response.Header.Get("Content-Type"))
 	return err == nil && mediaType == contentTypeStream
 }
 
 // Close ends the response. Unless it was read to its end, the connection is
 // closed and with it, as far as the replica listens, the attempt.
-func (a *Response) Close() {
-	_ = a.response.Body.Close()
+func (r *Response) Close() {
+	_ = r.response.Body.Close()
 }
 
 // ReadAll reads the complete response; the second result is always true without
 // an error. A response that is truncated, whose truncation could not be noticed, or that
 // is too large, is a *outbound.InvalidResponseError.
-func (a *Response) ReadAll() ([]byte, bool, error) {
-	if !a.delimited() {
+func (r *Response) ReadAll() ([]byte, bool, error) {
+	if !r.delimited() {
 		return nil, false, &outbound.InvalidResponseError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
 	}
 	var body bytes.Buffer
-	body.Grow(int(min(max(a.response.ContentLength, 0), maxPreallocatedBytes)) + bytes.MinRead)
-	if _, err := body.ReadFrom(io.LimitReader(a.response.Body, a.maxBytes+1)); err != nil {
+	body.Grow(int(min(max(r.response.ContentLength, 0), maxPreallocatedBytes)) + bytes.MinRead)
+	if _, err := body.ReadFrom(io.LimitReader(r.response.Body, r.maxBytes+1)); err != nil {
 		return nil, false, &outbound.InvalidResponseError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
 	}
-	if int64(body.Len()) > a.maxBytes {
+	if int64(body.Len()) > r.maxBytes {
 		return nil, false, &outbound.InvalidResponseError{Reason: "the answer is larger than this node takes"}
 	}
 	return body.Bytes(), true, nil
 }
 
 // delimited reports whether the end of the response is marked.
-func (a *Response) delimited() bool {
-	return a.response.ContentLength >= 0 || isChunked(a.response.TransferEncoding)
+func (r *Response) delimited() bool {
+	return r.response.ContentLength >= 0 || isChunked(r.response.TransferEncoding)
 }
 
 // isChunked reports whether a message comes in chunks.
@@ -105,28 +108,28 @@
 // ends it. After the event that ends the stream it returns io.EOF; a stream
 // that ends in any other way is a *outbound.InvalidResponseError. A part of an event is never
 // returned.
-func (a *Response) Next() ([]byte, error) {
-	if a.stream == nil {
-		a.stream = bufio.NewReaderSize(a.response.Body, streamBufferBytes)
+func (r *Response) Next() ([]byte, error) {
+	if r.stream == nil {
+		r.stream = bufio.NewReaderSize(r.response.Body, streamBufferBytes)
 	}
-	if a.ended {
-		return nil, a.checkNothingFollows()
+	if r.ended {
+		return nil, r.checkNothingFollows()
 	}
-	event, err := a.readEvent()
+	event, err := r.readEvent()
 	if err != nil {
 		return nil, err
 	}
-	a.ended = isStreamEnd(event)
+	r.ended = isStreamEnd(event)
 	return event, nil
 }
 
 // readEvent reads up to and with the next blank line.
-func (a *Response) readEvent() ([]byte, error) {
+func (r *Response) readEvent() ([]byte, error) {
 	var event []byte
 	for {
-		line, err := a.stream.ReadSlice('\n')
+		line, err := r.stream.ReadSlice('\n')
 		event = append(event, line...)
-		if int64(len(event)) > a.maxBytes {
+		if int64(len(event)) > r.maxBytes {
 			return nil, &outbound.InvalidResponseError{Reason: "an event of the answer is larger than this node takes"}
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -153,8 +156,8 @@
 // checkNothingFollows returns io.EOF unless the replica sent more after the
 // end. How the connection ended does not matter any more, as the response's own
 // terminator has been seen.
-func (a *Response) checkNothingFollows() error {
-	if _, err := a.stream.ReadByte(); err == nil {
+func (r *Response) checkNothingFollows() error {
+	if _, err := r.stream.ReadByte(); err == nil {
 		return &outbound.InvalidResponseError{Reason: "the streamed answer goes on after its end"}
 	}
 	return io.EOF
@@ -172,6 +175,6 @@
 }
 
 // LastEventID returns "": the events of this protocol have no identities.
-func (a *Response) LastEventID() string {
+func (r *Response) LastEventID() string {
 	return ""
 }
--- a/internal/edge/store/events.go
+++ b/internal/edge/store/events.go
@@ -1,5 +1,6 @@
 // Package store speaks the protocol between a node and a KV cache store. The
-// store reports its cached chunks by the same events as a replica does.
+// store reports its cached chunks by the same events as a replica does. An EventClient
+// keeps no state and may be used concurrently.
 package store
 
 import (
@@ -15,7 +16,7 @@
 	events *replica.EventClient
 }
 
-// NewEventClient returns a client that gives a stream up after a silence.
+// NewEventClient returns a client that ends a stream without events for idleTimeout.
 func NewEventClient(sender *outbound.Client, idleTimeout time.Duration) *EventClient {
 	return &EventClient{events: replica.NewEventClient(sender, idleTimeout)}
 }
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -8,9 +8,7 @@
 	"context"
 	"fmt"
 	"net/http"
-	"strconv"
 	"strings"
-	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
@@ -26,12 +24,9 @@
 	// HeaderNotRun with the value "true", in a rejection, guarantees that the
 	// request has not run and will not run.
 	HeaderNotRun = "Not-Run"
-	// headerRetryAfter is the time to retry after, in seconds.
-	headerRetryAfter = "Retry-After"
 )
 
-// hopHeaders describe one connection and are not
-// forwarded.
+// hopHeaders describe one connection and are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -49,7 +44,7 @@
 	AttemptID string
 }
 
-// Client hands requests to web services. It may be used by many goroutines.
+// Client forwards requests to web services. It may be used by many goroutines.
 type Client struct {
 	sender *outbound.Client
 	// maxBufferedBytes bounds what is read of a response before any of it is
@@ -100,12 +95,7 @@
 	if response.Header.Get(HeaderNotRun) != "true" || response.StatusCode < http.StatusBadRequest {
 		return nil
 	}
-	refused := &outbound.RefusedError{Status: response.StatusCode}
-	seconds, err := strconv.ParseUint(strings.TrimSpace(response.Header.Get(headerRetryAfter)), 10, 32)
-	if err == nil {
-		refused.RetryAfter = time.Duration(seconds) * time.Second
-	}
-	return refused
+	return &outbound.RefusedError{Status: response.StatusCode, RetryAfter: outbound.RetryAfter(response.Header)}
 }
 
 // forwardedHeader returns the header without what is not for the back end.
--- a/internal/edge/webservice/response.go
+++ b/internal/edge/webservice/response.go
@@ -20,9 +20,12 @@
 // Response is the response of an attempt whose header has arrived. Close it.
 type Response struct {
 	response *http.Response
-	header   http.Header
+	// header is what is forwarded of the response's header.
+	header http.Header
+	// maxBytes bounds what ReadAll reads.
 	maxBytes int64
-	buffer   []byte
+	// buffer holds what Next returned last; nil before its first call.
+	buffer []byte
 }
 
 // newResponse wraps a response.
@@ -34,53 +37,53 @@
 }
 
 // Status returns the HTTP status.
-func (a *Response) Status() int {
-	return a.response.StatusCode
+func (r *Response) Status() int {
+	return r.response.StatusCode
 }
 
 // Header returns the headers that are forwarded.
-func (a *Response) Header() http.Header {
-	return a.header
+func (r *Response) Header() http.Header {
+	return r.header
 }
 
 // Streamed reports whether the response is to be forwarded as it comes.
-func (a *Response) Streamed() bool {
-	mediaType, _, err := mime.ParseMediaType(a.header.Get("Content-Type"))
+func (r *Response) Streamed() bool {
+	mediaType, _, err := mime.ParseMediaType(r.header.Get("Content-Type"))
 	return err == nil && mediaType == streamType
 }
 
 // Close ends the response.
-func (a *Response) Close() {
-	_ = a.response.Body.Close()
+func (r *Response) Close() {
+	_ = r.response.Body.Close()
 }
 
 // ReadAll reads the response up to the bound. It returns false if there is
 // more, which Next returns. A truncated response, or one whose truncation could not be
 // noticed, is a *outbound.InvalidResponseError.
-func (a *Response) ReadAll() ([]byte, bool, error) {
-	if err := a.checkDelimited(); err != nil {
+func (r *Response) ReadAll() ([]byte, bool, error) {
+	if err := r.checkDelimited(); err != nil {
 		return nil, false, err
 	}
-	body, err := io.ReadAll(io.LimitReader(a.response.Body, a.maxBytes+1))
+	body, err := io.ReadAll(io.LimitReader(r.response.Body, r.maxBytes+1))
 	if err != nil {
 		return nil, false, &outbound.InvalidResponseError{Reason: "the answer was cut", Cause: errors.WithStack(err)}
 	}
-	return body, int64(len(body)) <= a.maxBytes, nil
+	return body, int64(len(body)) <= r.maxBytes, nil
 }
 
 // Next returns the next bytes of the response, and io.EOF after its proper end.
 // The bytes are valid until the next call.
-func (a *Response) Next() ([]byte, error) {
-	if err := a.checkDelimited(); err != nil {
+func (r *Response) Next() ([]byte, error) {
+	if err := r.checkDelimited(); err != nil {
 		return nil, err
 	}
-	if a.buffer == nil {
-		a.buffer = make([]byte, copyBufferBytes)
+	if r.buffer == nil {
+		r.buffer = make([]byte, copyBufferBytes)
 	}
 	for {
-		count, err := a.response.Body.Read(a.buffer)
+		count, err := r.response.Body.Read(r.buffer)
 		if count > 0 {
-			return a.buffer[:count], nil
+			return r.buffer[:count], nil
 		}
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
@@ -92,8 +95,8 @@
 }
 
 // checkDelimited returns a *outbound.InvalidResponseError unless the end of the response is marked.
-func (a *Response) checkDelimited() error {
-	response := a.response
+func (r *Response) checkDelimited() error {
+	response := r.response
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
 		return nil
 	}
@@ -104,11 +107,11 @@
 }
 
 // WeightVersion returns "": a web service has no weights.
-func (a *Response) WeightVersion() string {
+func (r *Response) WeightVersion() string {
 	return ""
 }
 
 // LastEventID returns "": the events of this protocol have no identities.
-func (a *Response) LastEventID() string {
+func (r *Response) LastEventID() string {
 	return ""
 }
