--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -29,14 +29,15 @@
 // Disk keeps files in one folder, which it locks against other processes.
 type Disk struct {
 	folder string
-	// directory is the open folder, to sync what changes in it.
+	// directory is the open folder, to sync created and renamed files.
 	directory *os.File
-	lock      *os.File
+	// lock is the open lock file.
+	lock *os.File
 }
 
-// Open locks a data folder, which it creates if there is none, and removes
-// what a crash left half written. It returns *LockedError if another process
-// holds the folder.
+// Open locks a data folder, which it creates if there is none, and removes the
+// temporary files that a crash has left. It returns a *LockedError if another process
+// has locked the folder. Call Close on the Disk.
 func Open(folder string) (*Disk, error) {
 	if err := createFolder(folder); err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 	return opened, nil
 }
 
-// Close releases the folder.
+// Close closes and unlocks the folder.
 func (d *Disk) Close() error {
 	directoryErr := d.directory.Close()
 	if err := d.lock.Close(); err != nil {
@@ -108,6 +109,7 @@
 	return errors.Wrapf(syncFolder(parent), "disk: cannot sync folder %s", parent)
 }
 
+// syncFolder makes the entries of a folder durable.
 func syncFolder(folder string) error {
 	directory, err := os.Open(folder)
 	if err != nil {
@@ -136,6 +138,7 @@
 	return lock, nil
 }
 
+// removeTemporary removes files that were written and not renamed before a crash.
 func (d *Disk) removeTemporary() error {
 	left, err := filepath.Glob(filepath.Join(d.folder, "*"+temporarySuffix))
 	if err != nil {
--- a/internal/disk/write.go
+++ b/internal/disk/write.go
@@ -39,6 +39,7 @@
 	return errors.Wrapf(d.directory.Sync(), "disk: cannot sync the data folder after writing %s", name)
 }
 
+// writeTemporary writes a file anew and syncs it.
 func writeTemporary(path string, data []byte) error {
 	opened, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -80,6 +81,7 @@
 	return errors.Wrapf(d.directory.Sync(), "disk: cannot sync the data folder after creating %s", name)
 }
 
+// openAppend opens a file to append to, and creates it if there is none.
 func openAppend(path string) (opened *os.File, created bool, err error) {
 	opened, err = os.OpenFile(path, os.O_APPEND|os.O_WRONLY, fileMode)
 	if !errors.Is(err, os.ErrNotExist) {
@@ -89,8 +91,9 @@
 	return opened, true, err
 }
 
-// appendAndClose truncates the file after a failed write. Only if that is durable may a
-// full disk be reported as one that left the file unchanged.
+// appendAndClose appends data to a file of the given size, syncs it and closes it. After a
+// failed write it truncates the file to that size: only if that is durable may a full disk
+// be reported as one that left the file unchanged.
 func appendAndClose(name string, opened file, size int64, data []byte) error {
 	err := writeAndSync(opened, data)
 	if err == nil {
--- a/internal/logring/incident.go
+++ b/internal/logring/incident.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// IncidentKind names what the ring is written out for, whatever the level of the
-// entry.
+// IncidentKind is the kind of an incident: an event for which the ring is written out,
+// whatever the level of its entry.
 type IncidentKind string
 
 // The kinds of incidents.
@@ -31,16 +31,17 @@
 	return log.WithField(incidentField, kind)
 }
 
-// triggersDump reports whether an entry makes the ring write out.
+// triggersDump reports whether an entry makes the ring write out. The caller holds the
+// mutex.
 func (r *Ring) triggersDump(entry *logrus.Entry) bool {
 	kind, isIncident := entry.Data[incidentField].(IncidentKind)
 	if !isIncident {
 		return entry.Level <= logrus.ErrorLevel
 	}
-	last, before := r.incidents[kind]
+	last, dumped := r.incidents[kind]
 	elapsed := entry.Time.Sub(last)
 	// A clock that was set back must not silence the ring.
-	if before && elapsed >= 0 && elapsed < IncidentEvery {
+	if dumped && elapsed >= 0 && elapsed < IncidentEvery {
 		return false
 	}
 	r.incidents[kind] = entry.Time
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -17,10 +17,12 @@
 type Ring struct {
 	mutex     sync.Mutex
 	formatter logrus.Formatter
-	entries   [][]byte
-	next      int
-	full      bool
-	output    io.Writer
+	// entries are the formatted entries. The next one goes to index next; once the ring
+	// is full, that is the oldest one.
+	entries [][]byte
+	next    int
+	full    bool
+	output  io.Writer
 	// incidents holds when an incident of each kind was written out last.
 	incidents map[IncidentKind]time.Time
 }
@@ -70,12 +72,14 @@
 	return r.dump()
 }
 
+// add keeps an entry in place of the oldest one. The caller holds the mutex.
 func (r *Ring) add(formatted []byte) {
 	r.entries[r.next] = formatted
 	r.next = (r.next + 1) % len(r.entries)
 	r.full = r.full || r.next == 0
 }
 
+// dump is Dump for callers that hold the mutex.
 func (r *Ring) dump() error {
 	ordered := r.entries[:r.next]
 	if r.full {
@@ -99,7 +103,8 @@
 	logx.SetWriter(frameworkWriter{entry: logger.WithField("component", "http")})
 }
 
-// frameworkWriter implements logx.Writer over logrus.
+// frameworkWriter implements logx.Writer over logrus. An error of the framework is a
+// warning here, which is below the level that writes the ring out.
 type frameworkWriter struct {
 	entry *logrus.Entry
 }
--- a/internal/metrics/doc.go
+++ b/internal/metrics/doc.go
@@ -4,4 +4,7 @@
 // The number of series is bounded. There is no label that names a tenant, a
 // replica or another node, and at most MaxDestinations destinations have series
 // of their own.
+//
+// The collectors keep no state but the destinations that have series, and may be used
+// concurrently.
 package metrics
--- a/internal/metrics/messages.go
+++ b/internal/metrics/messages.go
@@ -26,8 +26,8 @@
 
 // Collect implements prometheus.Collector.
 func (c *messageCollector) Collect(into chan<- prometheus.Metric) {
-	for _, one := range c.control.Sent() {
-		c.count.send(into, float64(one.Frames), one.Kind.String(), one.Distance.String())
-		c.bytes.send(into, float64(one.Bytes), one.Kind.String(), one.Distance.String())
+	for _, messages := range c.control.Sent() {
+		c.count.send(into, float64(messages.Frames), messages.Kind.String(), messages.Distance.String())
+		c.bytes.send(into, float64(messages.Bytes), messages.Kind.String(), messages.Distance.String())
 	}
 }
--- a/internal/metrics/metric.go
+++ b/internal/metrics/metric.go
@@ -18,12 +18,13 @@
 	return describe(prometheus.GaugeValue, subsystem, name, help, labels)
 }
 
+// describe returns a metric by its name below the namespace.
 func describe(kind prometheus.ValueType, subsystem, name, help string, labels []string) metric {
 	full := prometheus.BuildFQName(namespace, subsystem, name)
 	return metric{description: prometheus.NewDesc(full, help, labels, nil), kind: kind}
 }
 
-// send hands one value on, with a value for each label in its order.
+// send sends one value to a scrape, with a value for each label in its order.
 func (m metric) send(into chan<- prometheus.Metric, value float64, labels ...string) {
 	into <- prometheus.MustNewConstMetric(m.description, m.kind, value, labels...)
 }
--- a/internal/metrics/transport.go
+++ b/internal/metrics/transport.go
@@ -3,6 +3,7 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 // The directions of frames, as values of a label.
+// The values of the label "direction".
 const (
 	sent     = "sent"
 	received = "received"
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -34,8 +34,10 @@
 	maxResponseBytes = 2 * dynamic.MaxDocumentBytes
 )
 
-// client sends calls to the first node that responds.
+// client sends calls to nodes in turn, until one has a final response. It is safe for
+// concurrent use.
 type client struct {
+	// nodes are control addresses, in the order of the attempts.
 	nodes   []string
 	service httpc.Service
 }
@@ -47,17 +49,18 @@
 }
 
 // pending reports whether an order waits for its confirmation.
-func (a nodeReply) pending() bool {
-	return a.status == http.StatusAccepted
+func (r nodeReply) pending() bool {
+	return r.status == http.StatusAccepted
 }
 
 // final reports whether another node could not give a better response.
-func (a nodeReply) final() bool {
-	return !a.pending() && a.status < http.StatusInternalServerError
+func (r nodeReply) final() bool {
+	return !r.pending() && r.status < http.StatusInternalServerError
 }
 
 // newClient builds a client without the breaker and the per-request log of
-// go-zero: both would speak up for a node that is down, which is no news here.
+// go-zero, which both report a node that is down: here that is expected. The time-out
+// bounds the call to one node.
 func newClient(nodes []string, timeout time.Duration) *client {
 	logx.Disable()
 	breaker.NoBreakerFor(serviceName)
@@ -69,22 +72,23 @@
 	}
 }
 
-// send gives the identical call to one node after the other until one has a
-// final response. A refusal, and the lack of any response, are *ExitError.
+// send sends the identical call to one node after the other until one has a final
+// response, and returns a pending one only if there is none. A rejection, and the lack of
+// any response, are an *ExitError.
 func (c *client) send(ctx context.Context, call schema.Call, request protoreflect.Message) (nodeReply, error) {
 	var failures []string
 	var pending *nodeReply
 	for _, node := range c.nodes {
-		got, err := c.sendTo(ctx, node, call, request)
+		reply, err := c.sendTo(ctx, node, call, request)
 		switch {
 		case err != nil:
 			failures = append(failures, fmt.Sprintf("%s: %v", node, err))
-		case got.pending():
-			pending = &got
-		case got.final():
-			return accept(node, got)
+		case reply.pending():
+			pending = &reply
+		case reply.final():
+			return accept(node, reply)
 		default:
-			failures = append(failures, fmt.Sprintf("%s: %s", node, describe(got)))
+			failures = append(failures, fmt.Sprintf("%s: %s", node, describe(reply)))
 		}
 	}
 	if pending != nil {
@@ -103,18 +107,18 @@
 }
 
 // accept turns a final response that is no success into a refusal.
-func accept(node string, got nodeReply) (nodeReply, error) {
-	if got.status == http.StatusOK {
-		return got, nil
+func accept(node string, reply nodeReply) (nodeReply, error) {
+	if reply.status == http.StatusOK {
+		return reply, nil
 	}
-	return nodeReply{}, &ExitError{Code: ExitRefused, Message: fmt.Sprintf("%s: %s", node, describe(got))}
+	return nodeReply{}, &ExitError{Code: ExitRefused, Message: fmt.Sprintf("%s: %s", node, describe(reply))}
 }
 
-// describe spells out the problem that a response carries.
-func describe(got nodeReply) string {
+// describe returns the problem that a response carries as text, or its HTTP status.
+func describe(reply nodeReply) string {
 	problem := &ridgeswitchv1.Problem{}
-	if err := protojson.Unmarshal(got.body, problem); err != nil || problem.GetKind() == "" {
-		return fmt.Sprintf("HTTP status %d", got.status)
+	if err := protojson.Unmarshal(reply.body, problem); err != nil || problem.GetKind() == "" {
+		return fmt.Sprintf("HTTP status %d", reply.status)
 	}
 	text := problem.GetKind() + ": "
 	if problem.GetField() != "" {
@@ -127,6 +131,7 @@
 	return text
 }
 
+// sendTo sends a call to one node.
 func (c *client) sendTo(ctx context.Context, node string, call schema.Call, request protoreflect.Message) (nodeReply, error) {
 	outgoing, err := newHTTPRequest(ctx, node, call, request)
 	if err != nil {
--- a/internal/operatorcli/flags.go
+++ b/internal/operatorcli/flags.go
@@ -97,10 +97,12 @@
 	return f.last().Kind() == protoreflect.BoolKind
 }
 
+// isDigest reports whether the field holds the digest of a secret.
 func (f flagField) isDigest() bool {
 	return f.last().Name() == digestField
 }
 
+// usage is the help text of the flag.
 func (f flagField) usage() string {
 	switch {
 	case f.isFile():
@@ -138,6 +140,8 @@
 	return fields
 }
 
+// nestedFields lists the fields of a nested message. A field called name goes by the name
+// of the message.
 func nestedFields(parent protoreflect.FieldDescriptor) []flagField {
 	var fields []flagField
 	nested := parent.Message().Fields()
@@ -156,6 +160,7 @@
 	return (&ridgeswitchv1.Configuration{}).ProtoReflect().Descriptor().FullName()
 }
 
+// dashed returns the flag for the name of a field.
 func dashed(name protoreflect.Name) string {
 	return strings.ReplaceAll(string(name), "_", "-")
 }
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -16,10 +16,10 @@
 		return check{"revisions", resultUnknown, fmt.Sprintf("%d on %s; --all asks every node", s.status.GetServedRevision(), s.status.GetNode())}
 	}
 	byRevision := make(map[uint64][]string)
-	for _, given := range s.responses {
-		if given.err == nil {
-			revision := given.status.GetServedRevision()
-			byRevision[revision] = append(byRevision[revision], given.member.GetNode())
+	for _, response := range s.responses {
+		if response.err == nil {
+			revision := response.status.GetServedRevision()
+			byRevision[revision] = append(byRevision[revision], response.member.GetNode())
 		}
 	}
 	revisions := lo.Keys(byRevision)
@@ -58,19 +58,19 @@
 	return check{name, resultUnderWay, strings.Join(shortened(underWay), "; ")}
 }
 
-// rollOutProgress tells how far a pool is, or nothing if it has arrived. A
-// replica that the platform takes away is not counted: it need not arrive.
+// rollOutProgress describes the roll-out of a pool, or returns "" if every replica serves
+// the named version. A replica that the platform is about to stop is not counted.
 func rollOutProgress(pool *ridgeswitchv1.WeightsStatus) string {
 	staying := lo.Reject(pool.GetReplicas(), func(replica *ridgeswitchv1.ReplicaStatus, _ int) bool {
 		return replica.GetPlatformDraining()
 	})
-	arrived := lo.CountBy(staying, func(replica *ridgeswitchv1.ReplicaStatus) bool {
+	updated := lo.CountBy(staying, func(replica *ridgeswitchv1.ReplicaStatus) bool {
 		return replica.GetPhase() == phaseServing && replica.GetWeightVersion() == pool.GetWeightVersion()
 	})
-	if arrived == len(staying) {
+	if updated == len(staying) {
 		return ""
 	}
-	progress := fmt.Sprintf("%s: %d of %d serve %s", pool.GetPool(), arrived, len(staying), pool.GetWeightVersion())
+	progress := fmt.Sprintf("%s: %d of %d serve %s", pool.GetPool(), updated, len(staying), pool.GetWeightVersion())
 	for _, phase := range []string{"draining", "loading", "unknown"} {
 		count := lo.CountBy(staying, func(replica *ridgeswitchv1.ReplicaStatus) bool { return replica.GetPhase() == phase })
 		if count > 0 {
--- a/internal/operatorcli/request.go
+++ b/internal/operatorcli/request.go
@@ -18,7 +18,7 @@
 // standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
-// document is a JSON object that is being put together.
+// document is a JSON object under construction, by the names of fields.
 type document map[string]any
 
 // buildRequest fills the request of a call from the flags, with the same strict
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -23,8 +23,8 @@
 
 	// maxConcurrentQueries bounds the calls that run at once.
 	maxConcurrentQueries = 32
-	// queryTimeout bounds one of them, so that nodes that hang do not hold up
-	// the responses of the others.
+	// queryTimeout bounds the query of one member, so that nodes that hang do not delay
+	// the summary.
 	queryTimeout = 3 * time.Second
 )
 
@@ -41,7 +41,7 @@
 	}}
 }
 
-// survey is what the summary of a deployment is made from.
+// survey is what was collected for the summary of a deployment; its checks make the lines.
 type survey struct {
 	// status is the view of the node that was queried first.
 	status *ridgeswitchv1.NodeStatus
@@ -95,17 +95,18 @@
 	return printer.print(body)
 }
 
-// queryClient sends calls that change nothing. It is safe for concurrent use.
+// queryClient sends calls that change nothing, of which status makes several. It is safe
+// for concurrent use.
 type queryClient struct {
 	client *client
 }
 
 // call sends a call to the named nodes in turn and fills the response.
-func (a *queryClient) call(ctx context.Context, name protoreflect.Name, request, response proto.Message) ([]byte, error) {
+func (q *queryClient) call(ctx context.Context, name protoreflect.Name, request, response proto.Message) ([]byte, error) {
 	call := lo.FindOrElse(lo.Must(schema.Calls()), schema.Call{}, func(call schema.Call) bool {
 		return call.Method.Name() == name
 	})
-	reply, err := a.client.send(ctx, call, request.ProtoReflect())
+	reply, err := q.client.send(ctx, call, request.ProtoReflect())
 	if err != nil {
 		return nil, err
 	}
@@ -122,14 +123,14 @@
 
 // queryMembers reads the status of every live member of a table, several
 // concurrently. The responses are in the order of the table.
-func (a *queryClient) queryMembers(ctx context.Context, call schema.Call, table *ridgeswitchv1.NodeStatus) []nodeResponse {
+func (q *queryClient) queryMembers(ctx context.Context, call schema.Call, table *ridgeswitchv1.NodeStatus) []nodeResponse {
 	live := lo.Filter(table.GetMembers(), func(member *ridgeswitchv1.MemberStatus, _ int) bool { return isLive(member) })
 	responses := make([]nodeResponse, len(live))
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentQueries)
 	for position, member := range live {
 		group.Go(func() error {
-			status, err := a.queryMember(ctx, call, member)
+			status, err := q.queryMember(ctx, call, member)
 			responses[position] = nodeResponse{member: member, status: status, err: err}
 			return nil
 		})
@@ -138,25 +139,26 @@
 	return responses
 }
 
-func (a *queryClient) queryMember(ctx context.Context, call schema.Call, member *ridgeswitchv1.MemberStatus) (*ridgeswitchv1.NodeStatus, error) {
+// queryMember reads the status that one member reports of itself.
+func (q *queryClient) queryMember(ctx context.Context, call schema.Call, member *ridgeswitchv1.MemberStatus) (*ridgeswitchv1.NodeStatus, error) {
 	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	request := (&ridgeswitchv1.GetStatusRequest{}).ProtoReflect()
-	got, err := a.client.sendTo(bounded, member.GetControlAddress(), call, request)
+	reply, err := q.client.sendTo(bounded, member.GetControlAddress(), call, request)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := accept(member.GetControlAddress(), got); err != nil {
+	if _, err := accept(member.GetControlAddress(), reply); err != nil {
 		return nil, err
 	}
 	status := &ridgeswitchv1.NodeStatus{}
-	return status, parseResponse(got.body, status)
+	return status, parseResponse(reply.body, status)
 }
 
 // queryWeights reads the state of every pool's roll-out.
-func (a *queryClient) queryWeights(ctx context.Context) ([]*ridgeswitchv1.WeightsStatus, error) {
+func (q *queryClient) queryWeights(ctx context.Context) ([]*ridgeswitchv1.WeightsStatus, error) {
 	configuration := &ridgeswitchv1.Configuration{}
-	if _, err := a.call(ctx, "GetConfiguration", &ridgeswitchv1.GetConfigurationRequest{Local: true}, configuration); err != nil {
+	if _, err := q.call(ctx, "GetConfiguration", &ridgeswitchv1.GetConfigurationRequest{Local: true}, configuration); err != nil {
 		return nil, err
 	}
 	pools := configuration.GetPools()
@@ -166,7 +168,7 @@
 	for position, pool := range pools {
 		group.Go(func() error {
 			weights[position] = &ridgeswitchv1.WeightsStatus{}
-			_, err := a.call(ctx, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool.GetName()}, weights[position])
+			_, err := q.call(ctx, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool.GetName()}, weights[position])
 			return err
 		})
 	}
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -11,7 +11,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// result is what a check of the summary comes to.
+// result is the verdict of a check.
 type result string
 
 const (
@@ -31,10 +31,10 @@
 // phaseServing is the phase of a replica that takes requests.
 const phaseServing = "serving"
 
-// maxNames bounds the names that a line of the summary holds.
+// maxNames bounds the names, or other texts, that a line of the summary lists.
 const maxNames = 8
 
-// check is one line of the summary.
+// check is one line of the summary: what was checked, the verdict, and the reason.
 type check struct {
 	name   string
 	result result
@@ -45,8 +45,8 @@
 func (s *survey) print(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(writer, "summary\nCHECK\tRESULT\tDETAIL")
-	for _, made := range s.checks() {
-		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\n", made.name, made.result, made.detail)
+	for _, line := range s.checks() {
+		_, _ = fmt.Fprintf(writer, "%s\t%s\t%s\n", line.name, line.result, line.detail)
 	}
 	_, _ = fmt.Fprintln(writer)
 	if s.allNodes {
@@ -58,13 +58,13 @@
 // writeNodes writes what each node said of itself.
 func (s *survey) writeNodes(writer io.Writer) {
 	_, _ = fmt.Fprintln(writer, "nodes\nNODE\tCONTROL_ADDRESS\tFENCED\tFENCES\tSERVED_REVISION\tSHARDS_LED")
-	for _, given := range s.responses {
-		member := given.member
-		if given.err != nil {
-			_, _ = fmt.Fprintf(writer, "%s\t%s\t-\t-\t-\tno answer: %v\n", member.GetNode(), member.GetControlAddress(), given.err)
+	for _, response := range s.responses {
+		member := response.member
+		if response.err != nil {
+			_, _ = fmt.Fprintf(writer, "%s\t%s\t-\t-\t-\tno answer: %v\n", member.GetNode(), member.GetControlAddress(), response.err)
 			continue
 		}
-		status := given.status
+		status := response.status
 		_, _ = fmt.Fprintf(writer, "%s\t%s\t%t\t%d\t%d\t%d\n", member.GetNode(), member.GetControlAddress(),
 			status.GetFenced(), status.GetFences(), status.GetServedRevision(), len(ledBy(status)))
 	}
@@ -103,10 +103,10 @@
 		return s.knownLeaderFault(shard.GetLeader())
 	}
 	var claims []string
-	for _, given := range s.responses {
-		for _, led := range ledBy(given.status) {
+	for _, response := range s.responses {
+		for _, led := range ledBy(response.status) {
 			if led.GetShard() == shard.GetShard() {
-				claims = append(claims, fmt.Sprintf("%s in term %d", given.member.GetNode(), led.GetTerm()))
+				claims = append(claims, fmt.Sprintf("%s in term %d", response.member.GetNode(), led.GetTerm()))
 			}
 		}
 	}
@@ -140,17 +140,17 @@
 	if left := len(byState[stateLeft]); left > 0 {
 		detail += fmt.Sprintf(", %d left", left)
 	}
-	made := check{"members", resultOK, detail}
+	members := check{"members", resultOK, detail}
 	for _, state := range []string{"fenced", stateSuspect, "unknown"} {
 		if len(byState[state]) > 0 {
-			made.result = resultAttention
-			made.detail += "; " + state + ": " + joinNames(lo.Map(byState[state], nodeOfMember))
+			members.result = resultAttention
+			members.detail += "; " + state + ": " + joinNames(lo.Map(byState[state], nodeOfMember))
 		}
 	}
-	return made
+	return members
 }
 
-// checkTraffic names the nodes that refuse traffic, and those that are silent.
+// checkTraffic names the nodes that refuse traffic, and those that did not respond.
 func (s *survey) checkTraffic() check {
 	if !s.allNodes {
 		if s.status.GetFenced() {
@@ -158,25 +158,25 @@
 		}
 		return check{"traffic", resultOK, s.status.GetNode() + " serves; --all asks every node"}
 	}
-	var refusing, silent []string
-	for _, given := range s.responses {
+	var refusing, unresponsive []string
+	for _, response := range s.responses {
 		switch {
-		case given.err != nil:
-			silent = append(silent, given.member.GetNode())
-		case given.status.GetFenced():
-			refusing = append(refusing, given.member.GetNode())
+		case response.err != nil:
+			unresponsive = append(unresponsive, response.member.GetNode())
+		case response.status.GetFenced():
+			refusing = append(refusing, response.member.GetNode())
 		}
 	}
-	made := check{"traffic", resultOK, fmt.Sprintf("%d of %d live members serve", len(s.responses)-len(refusing)-len(silent), len(s.responses))}
+	traffic := check{"traffic", resultOK, fmt.Sprintf("%d of %d live members serve", len(s.responses)-len(refusing)-len(unresponsive), len(s.responses))}
 	if len(refusing) > 0 {
-		made.result = resultAttention
-		made.detail += "; refusing: " + joinNames(refusing)
+		traffic.result = resultAttention
+		traffic.detail += "; refusing: " + joinNames(refusing)
 	}
-	if len(silent) > 0 {
-		made.result = resultAttention
-		made.detail += "; no answer: " + joinNames(silent)
+	if len(unresponsive) > 0 {
+		traffic.result = resultAttention
+		traffic.detail += "; no answer: " + joinNames(unresponsive)
 	}
-	return made
+	return traffic
 }
 
 // ledBy lists the shards that a node takes itself for the leader of.
@@ -186,6 +186,7 @@
 	})
 }
 
+// isLive reports whether a member is alive or suspect in a node's table.
 func isLive(member *ridgeswitchv1.MemberStatus) bool {
 	return member.GetState() == stateAlive || member.GetState() == stateSuspect
 }
@@ -197,6 +198,7 @@
 	return strings.Join(shortened(names), ", ")
 }
 
+// shortened returns the first maxNames texts, and how many more there are.
 func shortened(texts []string) []string {
 	if len(texts) <= maxNames {
 		return texts
--- a/internal/reload/watcher.go
+++ b/internal/reload/watcher.go
@@ -18,7 +18,8 @@
 // PollEvery is the interval of checks of the settings file.
 const PollEvery = time.Second
 
-// Target reads and applies changed settings.
+// Target is what a Watcher reloads: how settings are read, and what applies them. Run
+// calls its functions in its own goroutine.
 type Target struct {
 	// Read reads the settings that the file holds now.
 	Read func() (*static.Settings, error)
@@ -28,17 +29,18 @@
 	Log *logrus.Entry
 }
 
-// Watcher looks at a settings file. It notices what changes from the moment on
-// at which it was made.
+// Watcher notices changes of a settings file since NewWatcher.
 type Watcher struct {
-	path     string
+	path string
+	// lastInfo describes the file at the last check, or is nil if there was none.
 	lastInfo os.FileInfo
-	hangups  chan os.Signal
+	// hangups gets each SIGHUP until Close.
+	hangups chan os.Signal
 }
 
 // NewWatcher returns a watcher of a file; an empty path stands for settings that
-// are in no file. It is to be made before the settings are first read, so that no
-// change is missed. From now on a hangup does not end the process any more.
+// are in no file. Call it before the settings are first read, so that no change is missed.
+// From then on SIGHUP does not end the process, until Close.
 func NewWatcher(path string) *Watcher {
 	w := &Watcher{path: path, hangups: make(chan os.Signal, 1)}
 	signal.Notify(w.hangups, syscall.SIGHUP)
@@ -50,7 +52,7 @@
 func (w *Watcher) Close() { signal.Stop(w.hangups) }
 
 // Run applies the settings on each SIGHUP, and whenever their file has changed, until
-// the context ends.
+// the context ends. It returns at once if there is no file.
 func (w *Watcher) Run(ctx context.Context, target Target) {
 	if w.path == "" {
 		return
@@ -69,7 +71,8 @@
 	}
 }
 
-// reloadOnHangup applies the settings whether their file seems to have changed or not.
+// reloadOnHangup applies the settings whether their file has changed or not. The present
+// state of the file counts as applied, so that poll does not apply it again.
 func (w *Watcher) reloadOnHangup(target Target) {
 	w.changed()
 	target.reload()
@@ -82,8 +85,9 @@
 	}
 }
 
-// changed reports whether the file differs from its last check. A file that can't be
-// read counts as unchanged: the settings in force stay.
+// changed reports whether the file differs from its last check, by identity, size and time
+// of modification. A file that can't be read counts as unchanged: the settings in force
+// stay.
 func (w *Watcher) changed() bool {
 	present, err := os.Stat(w.path)
 	if err != nil {
@@ -94,8 +98,8 @@
 	return last == nil || !os.SameFile(last, present) || last.Size() != present.Size() || !last.ModTime().Equal(present.ModTime())
 }
 
-// reload reads and applies the settings. Faulty ones are logged, in one entry with every
-// fault, and change nothing.
+// reload reads and applies the settings. If they are faulty, it logs one entry with every
+// fault, and the settings in force stay.
 func (t Target) reload() {
 	settings, err := t.Read()
 	if err == nil {
