--- a/internal/edge/operator/doc.go
+++ b/internal/edge/operator/doc.go
@@ -24,4 +24,10 @@
 //
 // GET /healthz/ready and GET /healthz/live return 200 or 503. GET /metrics
 // returns the metrics of the node, if it has any.
+//
+// # State
+//
+// What calls read and change is the node's, behind Control. The package itself only counts
+// the calls that run. A Server owns its listener and one goroutine for each connection,
+// until Stop; handlers run concurrently.
 package operator
--- a/internal/edge/operator/schema/schema.go
+++ b/internal/edge/operator/schema/schema.go
@@ -1,6 +1,6 @@
 // Package schema lists the remote calls of the control interface as the schema
 // in api/ridgeswitch/v1 describes them. The server and the command line both
-// derive what they do from it.
+// derive what they do from it. The package keeps no state.
 package schema
 
 import (
--- a/internal/edge/outbound/direct.go
+++ b/internal/edge/outbound/direct.go
@@ -1,15 +1,16 @@
 package outbound
 
 import (
+	"cmp"
 	"context"
 	"net"
 	"net/http"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/pkg/errors"
-	"golang.org/x/sys/unix"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/socket"
 )
 
 // Defaults of DirectOptions.
@@ -46,7 +47,7 @@
 	// IdlePerAddress bounds the idle connections to one back end.
 	IdlePerAddress int
 	// AckTimeout is how long sent bytes may stay without the other machine's
-	// acknowledgement.
+	// acknowledgement, as when it has lost power. Then the connection fails.
 	AckTimeout time.Duration
 	// Matches reports whether a response is that of the request. One that is not is
 	// a surplus response to an earlier request and is discarded. Nil accepts every
@@ -68,10 +69,10 @@
 
 // NewDirect returns a client without connections.
 func NewDirect(options DirectOptions) *Direct {
-	setDefault(&options.DialTimeout, DefaultDirectDialTimeout)
-	setDefault(&options.IdleTimeout, DefaultDirectIdleTimeout)
-	setDefault(&options.IdlePerAddress, DefaultIdlePerAddress)
-	setDefault(&options.AckTimeout, DefaultAckTimeout)
+	options.DialTimeout = cmp.Or(options.DialTimeout, DefaultDirectDialTimeout)
+	options.IdleTimeout = cmp.Or(options.IdleTimeout, DefaultDirectIdleTimeout)
+	options.IdlePerAddress = cmp.Or(options.IdlePerAddress, DefaultIdlePerAddress)
+	options.AckTimeout = cmp.Or(options.AckTimeout, DefaultAckTimeout)
 	return &Direct{
 		options: options,
 		idle:    newIdleConnections(options.IdlePerAddress),
@@ -84,34 +85,11 @@
 				Interval: probeInterval,
 				Count:    max(int(options.AckTimeout/probeInterval), 1),
 			},
-			Control: ackTimeoutControl(options.AckTimeout),
+			Control: socket.UserTimeout(options.AckTimeout),
 		},
 	}
 }
 
-// setDefault replaces a zero value.
-func setDefault[T comparable](value *T, fallback T) {
-	var zero T
-	if *value == zero {
-		*value = fallback
-	}
-}
-
-// ackTimeoutControl makes a connection fail when the other machine
-// acknowledges nothing, as one without power does.
-func ackTimeoutControl(limit time.Duration) func(string, string, syscall.RawConn) error {
-	return func(_, _ string, raw syscall.RawConn) error {
-		var failure error
-		err := raw.Control(func(descriptor uintptr) {
-			failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
-		})
-		if err != nil {
-			return err
-		}
-		return failure
-	}
-}
-
 // Send sends a request with a body once. A returned error is an *Error. The
 // caller closes the response's body; unless it was read to its end the connection
 // is closed with it. The request's context ends the connection, until the body
--- a/internal/edge/outbound/doc.go
+++ b/internal/edge/outbound/doc.go
@@ -11,5 +11,10 @@
 // Client sends through go-zero's httpc, whose adaptive breaker is switched off:
 // limits and retries are decided elsewhere. Direct keeps connections of its own
 // instead, for back ends whose connections are not to be trusted between two
-// requests, and for less processor time.
+// requests, and for less processor time. Both own their connections until CloseIdle or the
+// end of the last response, and may be used concurrently; a response belongs to one
+// goroutine.
+//
+// Why a request must not be sent again unless it is known not to have run: RFC 9110,
+// section 9.2.2.
 package outbound
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -2,10 +2,9 @@
 
 import (
 	"net"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"github.com/ridgeswitch/ridgeswitch/internal/socket"
 )
 
 // MaxFrameBytes is the size above which a frame is neither sent nor accepted.
@@ -88,22 +87,13 @@
 // listens on, so that receivers and faults between machines can tell nodes
 // apart by source address.
 func newDialer(listenAddress net.Addr, options Options) *net.Dialer {
-	dialer := &net.Dialer{Timeout: options.DialTimeout, KeepAliveConfig: options.keepAlive()}
+	dialer := &net.Dialer{
+		Timeout:         options.DialTimeout,
+		KeepAliveConfig: options.keepAlive(),
+		Control:         socket.UserTimeout(options.WriteTimeout),
+	}
 	if local, ok := listenAddress.(*net.TCPAddr); ok && !local.IP.IsUnspecified() {
 		dialer.LocalAddr = &net.TCPAddr{IP: local.IP, Zone: local.Zone}
 	}
-	// Without this, bytes sent to a machine that vanished count as written
-	// until the kernel gives up after many minutes.
-	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
-		var optionErr error
-		err := raw.Control(func(descriptor uintptr) {
-			milliseconds := int(options.WriteTimeout / time.Millisecond)
-			optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
-		})
-		if err != nil {
-			return err
-		}
-		return optionErr
-	}
 	return dialer
 }
--- a/pkg/config/faults/faults.go
+++ b/pkg/config/faults/faults.go
@@ -1,5 +1,5 @@
 // Package faults formats lists of faults, for the error types of settings and of the
-// configuration.
+// configuration. It keeps no state.
 package faults
 
 import "strings"
