--- a/internal/disk/write.go
+++ b/internal/disk/write.go
@@ -45,10 +45,6 @@
 	if err != nil {
 		return err
 	}
-	return writeAndClose(opened, data)
-}
-
-func writeAndClose(opened file, data []byte) error {
 	if err := writeAndSync(opened, data); err != nil {
 		_ = opened.Close()
 		return err
--- a/internal/edge/operator/binding.go
+++ b/internal/edge/operator/binding.go
@@ -76,6 +76,7 @@
 	return nil
 }
 
+// bindParameter sets the field that a query parameter names.
 func bindParameter(request protoreflect.Message, name, value string) error {
 	if field := schema.PlainField(request.Descriptor(), name); field != nil {
 		return bindText(request, field, name, value)
--- a/internal/edge/operator/health.go
+++ b/internal/edge/operator/health.go
@@ -20,6 +20,7 @@
 // healthyBody is the response of a check that passes.
 const healthyBody = `{"status":"ok"}` + "\n"
 
+// healthRoutes returns the routes of the health checks.
 func healthRoutes(health Health) []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodGet, Path: PathReady, Handler: healthCheck(KindNotReady, health.Ready)},
@@ -27,6 +28,7 @@
 	}
 }
 
+// healthCheck returns the handler of one check; kind is that of the problem if it fails.
 func healthCheck(kind dynamic.Kind, check func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := check(); err != nil {
@@ -38,6 +40,7 @@
 	}
 }
 
+// notFound responds to a path that the control interface does not have.
 func notFound(w http.ResponseWriter, r *http.Request) {
 	writeProblem(w, &ridgeswitchv1.Problem{
 		Kind:    string(KindNoSuchCall),
@@ -45,6 +48,7 @@
 	})
 }
 
+// notAllowed responds to a path that has no such method.
 func notAllowed(w http.ResponseWriter, r *http.Request) {
 	writeProblem(w, &ridgeswitchv1.Problem{
 		Kind:    string(KindMethodNotAllowed),
--- a/internal/edge/operator/queries.go
+++ b/internal/edge/operator/queries.go
@@ -21,6 +21,7 @@
 	})
 }
 
+// isQuery reports whether a request is one of the product's own queries.
 func isQuery(request *http.Request) bool {
 	if request.Method != http.MethodGet {
 		return false
--- a/internal/edge/operator/resources.go
+++ b/internal/edge/operator/resources.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// submitRequest is the common way of all calls whose request is an order by itself.
+// submitRequest returns the method of a call whose request is an order by itself.
 func submitRequest[Request proto.Message](control Control) func(context.Context, Request) (*ridgeswitchv1.OrderResult, error) {
 	return func(ctx context.Context, request Request) (*ridgeswitchv1.OrderResult, error) {
 		order, err := dynamic.OrderFromRequest(request)
@@ -47,6 +47,7 @@
 	}
 }
 
+// source reads the document of the configuration in force.
 func (c *configurations) source(ctx context.Context, _ *ridgeswitchv1.GetSourceRequest) (*ridgeswitchv1.Source, error) {
 	source, err := c.control.Source(ctx)
 	if err != nil {
@@ -61,6 +62,8 @@
 	return source, nil
 }
 
+// get reads the configuration that this node serves, if the request says so, and otherwise
+// the one in force.
 func (c *configurations) get(ctx context.Context, request *ridgeswitchv1.GetConfigurationRequest) (*ridgeswitchv1.Configuration, error) {
 	if request.GetLocal() {
 		return requireConfiguration(c.control.Configuration())
--- a/internal/edge/operator/schema/schema.go
+++ b/internal/edge/operator/schema/schema.go
@@ -22,7 +22,8 @@
 
 // Call is one remote call.
 type Call struct {
-	Method  protoreflect.MethodDescriptor
+	Method protoreflect.MethodDescriptor
+	// Binding is the http option: the HTTP method, the path, and the operators' verb.
 	Binding *ridgeswitchv1.HttpBinding
 }
 
@@ -45,6 +46,7 @@
 	return calls, nil
 }
 
+// newCall reads and checks the http option of a method.
 func newCall(method protoreflect.MethodDescriptor) (Call, error) {
 	binding, _ := proto.GetExtension(method.Options(), ridgeswitchv1.E_Http).(*ridgeswitchv1.HttpBinding)
 	call := Call{Method: method, Binding: binding}
--- a/internal/edge/replica/command.go
+++ b/internal/edge/replica/command.go
@@ -84,6 +84,8 @@
 	return commandOutcome(response, command)
 }
 
+// commandOutcome returns nil if the replica has accepted the command. The errors are
+// *StaleEpochError and *StatusError.
 func commandOutcome(response *http.Response, command WeightsCommand) error {
 	switch {
 	case response.StatusCode == http.StatusConflict:
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -71,13 +71,14 @@
 	}
 }
 
-// destinationSum adds up the destinations that share series.
+// destinationSum is the sum of the destinations that share series.
 type destinationSum struct {
 	stats    dataplane.DestinationStats
 	refusals map[caller.Kind]uint64
 	outcomes map[string]uint64
 }
 
+// sums adds up the statistics of the destinations that share series.
 func (c *trafficCollector) sums() map[destination]*destinationSum {
 	sums := make(map[destination]*destinationSum)
 	for _, stats := range c.traffic.Stats() {
--- a/internal/node/adapters.go
+++ b/internal/node/adapters.go
@@ -33,6 +33,7 @@
 	driver atomic.Pointer[driver.Driver]
 }
 
+// receive implements transport.Handler.
 func (f *frameReceiver) receive(frame []byte) {
 	if driver := f.driver.Load(); driver != nil {
 		driver.ReceiveFrame(frame)
--- a/internal/node/addresses.go
+++ b/internal/node/addresses.go
@@ -36,6 +36,7 @@
 	return lo.Uniq(slices.Concat(settings.Seeds, stored))
 }
 
+// readAddresses reads the file of addresses.
 func readAddresses(folder *disk.Disk) ([]string, error) {
 	data, err := folder.ReadFile(addressesFile)
 	if err != nil {
--- a/internal/node/commander.go
+++ b/internal/node/commander.go
@@ -80,6 +80,7 @@
 	}()
 }
 
+// report requests the report of a replica and adds when it was measured.
 func (c *commander) report(request control.ReportRequest) (control.ReplicaReport, error) {
 	if !c.acquireSlot() {
 		return control.ReplicaReport{}, errTooManyCalls
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -28,6 +28,7 @@
 	go func() { l.driver.EndpointsRead(l.read()) }()
 }
 
+// read reads the list once. A failure is part of the result.
 func (l *endpointLoader) read() control.EndpointReading {
 	ctx, cancel := context.WithTimeout(context.Background(), endpointReadTimeout)
 	defer cancel()
--- a/internal/node/native_edges.go
+++ b/internal/node/native_edges.go
@@ -45,6 +45,7 @@
 	return services, nil
 }
 
+// serviceEndpoints returns a listed service in the terms of control.
 func serviceEndpoints(service platform.Service, _ int) control.ServiceEndpoints {
 	return control.ServiceEndpoints{
 		Name: service.Name,
--- a/internal/operatorcli/check.go
+++ b/internal/operatorcli/check.go
@@ -14,6 +14,7 @@
 // flagConfiguration names a configuration file to check.
 const flagConfiguration = "configuration"
 
+// configCommand returns the command "config check".
 func configCommand() *cli.Command {
 	flags := append(static.Flags(), &cli.StringFlag{
 		Name:  flagConfiguration,
@@ -55,6 +56,7 @@
 	return nil
 }
 
+// settingsFaults returns the faults of the node's settings, one a line.
 func settingsFaults(command *cli.Command) []string {
 	settings, err := static.FromCommand(command)
 	if err != nil {
@@ -67,6 +69,8 @@
 	return faults
 }
 
+// configurationFaults returns the faults of a configuration, one a line. The error says why
+// the file could not be read.
 func configurationFaults(command *cli.Command, path string) ([]string, error) {
 	data, err := readInput(command, path)
 	if err != nil {
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -39,6 +39,7 @@
 	return commands
 }
 
+// verbCommand returns the command of one call.
 func verbCommand(name string, call schema.Call) *cli.Command {
 	binding := call.Binding
 	flags := append(clientFlags(call.Method.Output()), requestFlags(call.Method.Input())...)
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -27,11 +27,14 @@
 // printer prints the response of a verb.
 type printer struct {
 	response protoreflect.MessageDescriptor
-	table    bool
+	// table is set for the layout as a table; otherwise it is JSON.
+	table bool
+	// out takes the response, and messages everything else.
 	out      io.Writer
 	messages io.Writer
 }
 
+// newPrinter returns a printer of responses in the layout that the flags name.
 func newPrinter(command *cli.Command, response protoreflect.MessageDescriptor) (*printer, error) {
 	p := &printer{response: response, out: command.Root().Writer, messages: command.Root().ErrWriter}
 	if !isTabular(response) {
@@ -146,6 +149,7 @@
 	return true
 }
 
+// fieldsOf lists the fields of a message in the order of the schema.
 func fieldsOf(descriptor protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
 	fields := make([]protoreflect.FieldDescriptor, 0, descriptor.Fields().Len())
 	for i := range descriptor.Fields().Len() {
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -71,7 +71,7 @@
 		return ""
 	}
 	progress := fmt.Sprintf("%s: %d of %d serve %s", pool.GetPool(), updated, len(staying), pool.GetWeightVersion())
-	for _, phase := range []string{"draining", "loading", "unknown"} {
+	for _, phase := range []string{phaseDraining, phaseLoading, phaseUnknown} {
 		count := lo.CountBy(staying, func(replica *ridgeswitchv1.ReplicaStatus) bool { return replica.GetPhase() == phase })
 		if count > 0 {
 			progress += fmt.Sprintf(", %d %s", count, phase)
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -21,15 +21,22 @@
 	resultUnknown   result = "unknown"
 )
 
-// The states of a member.
+// The states of a member, as nodes report them.
 const (
 	stateAlive   = "alive"
 	stateSuspect = "suspect"
+	stateFenced  = "fenced"
 	stateLeft    = "left"
+	stateUnknown = "unknown"
 )
 
-// phaseServing is the phase of a replica that takes requests.
-const phaseServing = "serving"
+// The phases of a replica, as nodes report them. One that serves takes requests.
+const (
+	phaseServing  = "serving"
+	phaseDraining = "draining"
+	phaseLoading  = "loading"
+	phaseUnknown  = "unknown"
+)
 
 // maxNames bounds the names, or other texts, that a line of the summary lists.
 const maxNames = 8
@@ -141,7 +148,7 @@
 		detail += fmt.Sprintf(", %d left", left)
 	}
 	members := check{"members", resultOK, detail}
-	for _, state := range []string{"fenced", stateSuspect, "unknown"} {
+	for _, state := range []string{stateFenced, stateSuspect, stateUnknown} {
 		if len(byState[state]) > 0 {
 			members.result = resultAttention
 			members.detail += "; " + state + ": " + joinNames(lo.Map(byState[state], nodeOfMember))
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// shardRevisions reads the revisions of a confirmation.
 func (r *reader) shardRevisions(table *fb.Control) []protocol.ShardRevision {
 	var stored fb.ShardRevision
 	return readVectorOrNil(r, table.RevisionsLength(), minTableBytes, func(i int) protocol.ShardRevision {
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -4,7 +4,8 @@
 // exactly one message: of replication, membership, the relay tree, control, or the
 // gossip about traffic. This package converts between the generated tables and the
 // message types of the packages that define the protocols; it has no protocol of its
-// own.
+// own. Each message has a file with two directions: functions called pack..., which make
+// the generated tables, and methods of reader, which copy values out of a frame.
 //
 // Nodes of two releases run beside each other while a deployment is upgraded, so that
 // the bytes of a frame must not change: testdata holds a frame of every kind of
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -8,8 +8,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// packMembership leaves From out when it holds no more than the sender's ID,
-// which the envelope tells already.
+// packMembership leaves From out when it holds nothing but the sender's ID, which is in the
+// envelope.
 func packMembership(message *membership.Message, sender member.ID) *fb.MembershipT {
 	if message == nil {
 		return nil
@@ -98,9 +98,6 @@
 }
 
 func (r *reader) info(table *fb.Info) member.Info {
-	if table == nil {
-		return member.Info{}
-	}
 	return member.Info{
 		ID:             member.ID(r.text(table.Id())),
 		Address:        r.text(table.Address()),
--- a/internal/wire/message_kind.go
+++ b/internal/wire/message_kind.go
@@ -122,6 +122,8 @@
 	}
 }
 
+// membershipGossipKind distinguishes the steps of the comparison of tables by the fields
+// that each has.
 func membershipGossipKind(message *fb.Membership) MessageKind {
 	switch {
 	case message.BucketsLength() > 0:
@@ -184,6 +186,7 @@
 	}
 }
 
+// trafficKind counts all messages of a snapshot as one kind.
 func trafficKind(stage gossip.Stage) MessageKind {
 	switch stage {
 	case gossip.NodeToRelay:
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -48,6 +48,7 @@
 	return table
 }
 
+// addUpdateEndpoints adds the names in an update that are endpoints.
 func (t *nameTable) addUpdateEndpoints(update *gossip.Update) {
 	t.addEndpoint(string(update.Node))
 	for i := range update.Loads {
@@ -145,6 +146,7 @@
 	return n[index]
 }
 
+// names reads the names of a Traffic message: its endpoints, followed by its texts.
 func (r *reader) names(table *fb.Traffic) receivedNames {
 	endpoints := r.vectorLength(table.EndpointsLength(), endpointBytes)
 	texts := r.vectorLength(table.TextsLength(), minStringBytes)
--- a/pkg/config/dynamic/change.go
+++ b/pkg/config/dynamic/change.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// revokeKey removes a key of a tenant by its name.
 func revokeKey(next *ridgeswitchv1.Configuration, change *controlpb.RevokeKey) error {
 	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
@@ -91,6 +92,7 @@
 	return nil
 }
 
+// setWall walls or unwalls a tenant.
 func setWall(next *ridgeswitchv1.Configuration, change *controlpb.SetWall) error {
 	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
@@ -131,6 +133,7 @@
 	return nil
 }
 
+// tenantByName returns the tenant in a configuration. The error is an *Error.
 func tenantByName(configuration *ridgeswitchv1.Configuration, name string) (*ridgeswitchv1.Tenant, error) {
 	tenant, found := lo.Find(configuration.GetTenants(), func(tenant *ridgeswitchv1.Tenant) bool {
 		return tenant.GetName() == name
@@ -141,6 +144,7 @@
 	return tenant, nil
 }
 
+// notFound returns the error for a field that names something which is not there.
 func notFound(field, what string) error {
 	return &Error{Kind: KindNotFound, Field: field, Message: "there is no " + what + "; read the configuration and correct the name"}
 }
--- a/pkg/config/dynamic/order.go
+++ b/pkg/config/dynamic/order.go
@@ -50,6 +50,8 @@
 	return newOrder(request.GetOrder(), &controlpb.Order{Change: &controlpb.Order_SetWall{SetWall: change}})
 }
 
+// applyOrder returns the order for a complete configuration: that of its document, if the
+// request has one.
 func applyOrder(request *ridgeswitchv1.ApplyConfigurationRequest) (*controlpb.Order, error) {
 	if request.GetSource() != nil {
 		return DocumentOrder(request.GetConfiguration(), request.GetSource())
--- a/pkg/config/dynamic/parse.go
+++ b/pkg/config/dynamic/parse.go
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// checkSyntax tells where a document stops being JSON.
+// checkSyntax returns an *Error that says where a document is no JSON, or nil.
 func checkSyntax(data []byte) error {
 	var document json.RawMessage
 	err := json.Unmarshal(data, &document)
@@ -179,13 +179,14 @@
 	}
 }
 
-// isPlainString spares most strings the slow way: those without escapes.
+// isPlainString reports whether JSON is a string without escapes, which needs no
+// checkScalar.
 func isPlainString(data []byte) bool {
 	return data[0] == '"' && !bytes.ContainsRune(data, '\\') && utf8.Valid(data)
 }
 
-// checkScalar has protojson read the value alone, so that exactly what it
-// accepts in the whole document is accepted here.
+// checkScalar lets protojson parse the value alone, so that exactly what it
+// accepts in the complete document is accepted here.
 func checkScalar(data []byte, field protoreflect.FieldDescriptor) error {
 	if field.IsList() {
 		data = []byte("[" + string(data) + "]")
@@ -202,6 +203,8 @@
 	return descriptor.Fields().ByTextName(name)
 }
 
+// joinPath returns the path of a field of the message at a path; that of the document is
+// empty.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
--- a/pkg/config/dynamic/validate_routes.go
+++ b/pkg/config/dynamic/validate_routes.go
@@ -52,6 +52,7 @@
 	v.split(path+".split", split)
 }
 
+// split checks the weighted destinations of a route.
 func (v *validation) split(field string, split []*ridgeswitchv1.WeightedDestination) {
 	total := uint64(0)
 	checkEach(&v.checker, field, split, MaxSplit, func(path string, destination *ridgeswitchv1.WeightedDestination) {
@@ -64,6 +65,7 @@
 	}
 }
 
+// splitDestination checks that the destination of a split exists.
 func (v *validation) splitDestination(path string, destination *ridgeswitchv1.WeightedDestination) {
 	switch target := destination.GetDestination().(type) {
 	case *ridgeswitchv1.WeightedDestination_Pool:
--- a/pkg/config/static/check.go
+++ b/pkg/config/static/check.go
@@ -33,7 +33,7 @@
 	return check.faults
 }
 
-// checker collects faults.
+// checker collects the faults of one call of Check.
 type checker struct {
 	faults []error
 }
@@ -42,6 +42,7 @@
 	c.faults = append(c.faults, &Error{Kind: kind, Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
+// name checks a required identifier.
 func (c *checker) name(field, value string) {
 	switch {
 	case value == "":
@@ -64,6 +65,7 @@
 	}
 }
 
+// listeners checks the addresses that the node listens on.
 func (c *checker) listeners(s *Settings) {
 	c.address("internal", s.Internal)
 	if s.InternalListen != "" {
@@ -99,6 +101,7 @@
 	}
 }
 
+// seeds checks the addresses of other nodes.
 func (c *checker) seeds(s *Settings) {
 	if len(s.Seeds) > MaxSeeds {
 		c.add(KindOutOfRange, "seeds", "has %d addresses; give at most %d", len(s.Seeds), MaxSeeds)
@@ -151,6 +154,7 @@
 	}
 }
 
+// numbers checks the ranges of all numbers and times.
 func (c *checker) numbers(s *Settings) {
 	c.between("service_shards", s.ServiceShards, 1, MaxServiceShards)
 	c.between("log_ring", s.LogRing, 1, MaxLogRing)
@@ -171,20 +175,24 @@
 	c.duration("weights_deadline_ms", s.WeightsDeadlineMS, 0, MaxWeightsDeadline)
 }
 
+// between checks that a number lies in low..high.
 func (c *checker) between(field string, value, low, high int) {
 	if value < low || value > high {
 		c.add(KindOutOfRange, field, "is %d; use a number from %d to %d", value, low, high)
 	}
 }
 
+// duration is between for a time in milliseconds.
 func (c *checker) duration(field string, milliseconds int, low, high time.Duration) {
 	c.between(field, milliseconds, int(low.Milliseconds()), int(high.Milliseconds()))
 }
 
+// itemField is the name of one element of a list, such as "seeds[1]".
 func itemField(field string, index int) string {
 	return fmt.Sprintf("%s[%d]", field, index)
 }
 
+// items returns the elements of a list with the names of their fields.
 func items(field string, values []string) []namedValue {
 	named := make([]namedValue, 0, len(values))
 	for i, value := range values {
--- a/pkg/config/static/load.go
+++ b/pkg/config/static/load.go
@@ -97,6 +97,7 @@
 	return fields
 }
 
+// readField decodes the value of one pair into the field of that name.
 func readField(fields map[string]any, name string, value *yaml.Node) *Error {
 	field, known := fields[name]
 	if !known {
