--- a/internal/edge/outbound/idle.go
+++ b/internal/edge/outbound/idle.go
@@ -9,20 +9,23 @@
 const sweepInterval = time.Second
 
 // idleConnections are the connections that carry no request, by address, the
-// longest idle first.
+// longest idle first. It is safe for concurrent use.
 type idleConnections struct {
+	// perAddress bounds the connections to one address.
 	perAddress int
 
 	mutex       sync.Mutex
 	connections map[string][]*directConnection
-	sweeping    bool
+	// sweeping means that a timer will call sweep. There is one as long as there are
+	// connections.
+	sweeping bool
 }
 
 func newIdleConnections(perAddress int) *idleConnections {
 	return &idleConnections{perAddress: perAddress, connections: map[string][]*directConnection{}}
 }
 
-// put keeps a connection for a time.
+// put keeps a connection for reuse within a time, or closes it if there are too many.
 func (i *idleConnections) put(connection *directConnection, reuseTime time.Duration) {
 	connection.expires = time.Now().Add(reuseTime)
 	i.mutex.Lock()
@@ -59,7 +62,7 @@
 	}
 }
 
-// sweep closes the connections that expired, as long as there are any.
+// sweep closes the connections that expired, and starts the next timer if others are left.
 func (i *idleConnections) sweep() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -76,7 +76,8 @@
 }
 
 // createIdentity makes a new identity durable in a folder that can't vote under a former
-// incarnation. Groups are formed only in a folder that nothing was ever written to.
+// incarnation. Used says that the folder had an identity before. Groups are formed only in
+// a folder that nothing was ever written to.
 func createIdentity(folder *disk.Disk, settings *static.Settings, used bool) (identity, error) {
 	empty, err := folder.Empty()
 	if err != nil {
@@ -85,18 +86,22 @@
 	if settings.Founder() && !used && empty {
 		return createFounder(folder, settings)
 	}
-	return createIncarnation(folder, settings)
+	incarnation, err := newIncarnation()
+	if err != nil {
+		return identity{}, err
+	}
+	return writeIdentity(folder, settings, incarnation)
 }
 
 // createFounder makes the identity of a founder durable. The order of the founders
 // must not depend on that of the seeds in the settings.
 func createFounder(folder *disk.Disk, settings *static.Settings) (identity, error) {
-	made := identity{
+	founder := identity{
 		Node:        settings.MemberID(),
 		Incarnation: replication.FoundingIncarnation,
 		Founders:    slices.Sorted(slices.Values(settings.Seeds)),
 	}
-	return made, made.write(folder)
+	return founder, founder.write(folder)
 }
 
 // newIncarnation draws the incarnation of a folder that was found empty. It is random,
@@ -109,21 +114,13 @@
 	return max(binary.BigEndian.Uint64(drawn[:]), replication.FoundingIncarnation+1), nil
 }
 
-// createIncarnation makes an identity with a new incarnation durable.
-func createIncarnation(folder *disk.Disk, settings *static.Settings) (identity, error) {
-	incarnation, err := newIncarnation()
-	if err != nil {
-		return identity{}, err
-	}
-	return writeIdentity(folder, settings, incarnation)
-}
-
 // writeIdentity makes an identity durable. Nothing may be sent under it before.
 func writeIdentity(folder *disk.Disk, settings *static.Settings, incarnation uint64) (identity, error) {
-	made := identity{Node: settings.MemberID(), Incarnation: incarnation}
-	return made, made.write(folder)
+	written := identity{Node: settings.MemberID(), Incarnation: incarnation}
+	return written, written.write(folder)
 }
 
+// write makes an identity durable in place of the one that the folder has.
 func (i identity) write(folder *disk.Disk) error {
 	data, err := json.Marshal(i)
 	if err != nil {
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -47,7 +47,7 @@
 	return opened, nil
 }
 
-// read takes over the identity of the folder, or creates one, and opens all shards.
+// read reads the identity of the folder, or creates one, and opens all shards.
 func (s *storage) read(settings *static.Settings) error {
 	stored, initialised, err := readIdentity(s.disk, settings)
 	if err != nil {
@@ -61,9 +61,9 @@
 		// The votes of a shard whose files are gone are lost, so that the node must
 		// not vote again under the former incarnation.
 		stored, err = createIdentity(s.disk, settings, initialised)
-	}
-	if err != nil {
-		return err
+		if err != nil {
+			return err
+		}
 	}
 	s.incarnation = stored.Incarnation
 	s.founders = stored.Founders
@@ -109,7 +109,8 @@
 	return true, nil
 }
 
-// hasShard reports whether the folder has a checkpoint of a shard.
+// hasShard reports whether the folder has a checkpoint of a shard, in either slot (package
+// twoslot names the files).
 func hasShard(folder *disk.Disk, shard uint32) (bool, error) {
 	for _, slot := range []string{".slot0", ".slot1"} {
 		_, err := folder.ReadFile(shardName(shard) + slot)
@@ -132,6 +133,7 @@
 	return shards
 }
 
+// close releases the folder, if there is one.
 func (s *storage) close() {
 	if s.disk != nil {
 		_ = s.disk.Close()
--- a/pkg/config/static/settings.go
+++ b/pkg/config/static/settings.go
@@ -70,9 +70,10 @@
 	// node. Its default is DefaultServiceShards, or DefaultSeededServiceShards
 	// without a Group.
 	ServiceShards int `yaml:"service_shards" usage:"shards of service state, the same on every node"`
-	// HeartbeatEveryMS is the interval of heartbeats, in milliseconds.
+	// HeartbeatEveryMS is the interval of heartbeats between nodes, in milliseconds.
 	HeartbeatEveryMS int `yaml:"heartbeat_every_ms" usage:"interval of heartbeats between nodes"`
-	// TickEveryMS is the interval of the control machine's ticks, in milliseconds. A longer one costs less while nothing happens.
+	// TickEveryMS is the interval of the control machine's ticks, in milliseconds. A
+	// longer one costs less while nothing happens.
 	TickEveryMS int `yaml:"tick_every_ms" usage:"interval at which control state looks at the clock"`
 	// RetryPercent is the retry budget: the percentage of the requests of a
 	// destination that may be retried.
@@ -96,8 +97,8 @@
 	// milliseconds.
 	DrainTimeoutMS int `yaml:"drain_timeout_ms" usage:"time to finish requests after SIGTERM"`
 	// HeapGrowthPercent is how far the heap may grow beyond what is in use before
-	// garbage is collected, in hundredths. A smaller one takes less memory and more
-	// processor time.
+	// garbage is collected, in hundredths of what is in use. A smaller one takes less
+	// memory and more processor time.
 	HeapGrowthPercent int `yaml:"heap_growth_percent" usage:"growth of the heap beyond what is in use until garbage is collected, in hundredths"`
 	// RecordFile is where the node records the requests that it serves, without
 	// prompts and keys; empty for no recording. See docs/REPLAY.md.
