--- a/internal/edge/platform/endpoints.go
+++ b/internal/edge/platform/endpoints.go
@@ -1,6 +1,9 @@
 // Package platform speaks the product's own protocol with the platform that starts,
 // lists and stops back ends. The list may be out of date. A Client keeps no state but the
 // connections of its sender and may be used concurrently.
+//
+// The folder platform/ at the root of the repository is another package: it speaks the
+// protocols of one particular platform in place of this one.
 package platform
 
 import (
@@ -33,7 +36,7 @@
 	StateDraining State = "draining"
 )
 
-// Replica is one listed back end.
+// Replica is one listed back end, of a pool or of a web service.
 type Replica struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -62,7 +65,7 @@
 	return "the platform's list cannot be used: " + e.Reason
 }
 
-// Client fetches the list.
+// Client reads the list.
 type Client struct {
 	sender  *outbound.Client
 	address string
@@ -73,7 +76,8 @@
 	return &Client{sender: sender, address: address}
 }
 
-// Fetch returns the present list.
+// Fetch returns the list as the platform has it now. The error is an *EndpointsError if the
+// response is no valid list.
 func (c *Client) Fetch(ctx context.Context) (*Endpoints, error) {
 	response, err := c.sender.Get(ctx, "http://"+c.address+PathServices)
 	if err != nil {
