--- a/pkg/config/static/defaults.go
+++ b/pkg/config/static/defaults.go
@@ -1,7 +1,8 @@
 package static
 
-// fillDefaults replaces zero numbers and an empty log level.
-func (s *Settings) fillDefaults() {
+// FillDefaults sets the settings that have a default and are zero. Load, Parse and
+// FromCommand do so; it is for settings that come from elsewhere.
+func (s *Settings) FillDefaults() {
 	setDefault(&s.PlatformPollEveryMS, int(DefaultPlatformPollEvery.Milliseconds()))
 	setDefault(&s.CommandGapMS, int(DefaultCommandGap.Milliseconds()))
 	if s.Seeded() {
--- a/pkg/config/static/flags.go
+++ b/pkg/config/static/flags.go
@@ -38,7 +38,7 @@
 		settings = loaded
 	}
 	settings.override(command)
-	settings.fillDefaults()
+	settings.FillDefaults()
 	return settings, nil
 }
 
--- a/pkg/config/static/load.go
+++ b/pkg/config/static/load.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings.fillDefaults()
+	settings.FillDefaults()
 	return settings, nil
 }
 
@@ -40,7 +40,7 @@
 	if faults := settings.read(data); len(faults) > 0 {
 		return nil, faults
 	}
-	settings.fillDefaults()
+	settings.FillDefaults()
 	return settings, nil
 }
 
--- a/pkg/config/static/settings.go
+++ b/pkg/config/static/settings.go
@@ -1,6 +1,6 @@
 package static
 
-// Settings are one node's settings. A zero number means its default.
+// Settings are one node's settings. A zero number means its default, see FillDefaults.
 type Settings struct {
 	// Node is the node's name, unique in the deployment and kept for life.
 	Node string `yaml:"node" usage:"unique name of the node"`
