--- a/internal/node/native_edges.go
+++ b/internal/node/native_edges.go
@@ -35,13 +35,13 @@
 }
 
 // Read implements EndpointReader.
-func (l *nativeEndpoints) Read(ctx context.Context) ([]control.ServiceEndpoints, error) {
-	endpoints, err := l.client.Fetch(ctx)
+func (e *nativeEndpoints) Read(ctx context.Context) ([]control.ServiceEndpoints, error) {
+	endpoints, err := e.client.Fetch(ctx)
 	if err != nil {
 		return nil, err
 	}
 	services := lo.Map(endpoints.Services, serviceEndpoints)
-	l.slowStart.setWarmUpRemaining(clock.SinceBoot(), services)
+	e.slowStart.setWarmUpRemaining(clock.SinceBoot(), services)
 	return services, nil
 }
 
--- a/scripts/knownred/arguments.go
+++ b/scripts/knownred/arguments.go
@@ -42,6 +42,7 @@
 	return append(aloneArguments(entry), "-ginkgo.dry-run")
 }
 
+// joinPatterns returns the regular expression that matches any of the entries.
 func joinPatterns(entries []Failure) string {
 	patterns := lo.Map(entries, func(entry Failure, _ int) string { return entry.Pattern() })
 	return strings.Join(patterns, "|")
--- a/scripts/knownred/list.go
+++ b/scripts/knownred/list.go
@@ -18,7 +18,7 @@
 // plainTest matches names of tests that are written without ginkgo.
 var plainTest = regexp.MustCompile(`^(Test|Fuzz|Example)\S*$`)
 
-// Failure is one test that is known to fail.
+// Failure is one entry of the list: a test that is known to fail.
 type Failure struct {
 	// Package is the folder of the test's package, such as ./pkg/lease.
 	Package string
@@ -75,6 +75,7 @@
 	return entries, checkUnique(entries)
 }
 
+// parseEntry reads one line of the list.
 func parseEntry(text string) (Failure, error) {
 	fields := strings.Split(text, separator)
 	if len(fields) != fieldsPerEntry {
@@ -90,6 +91,7 @@
 	return Failure{Package: fields[0], Test: fields[1], Cause: fields[2], Issue: fields[3]}, nil
 }
 
+// checkUnique returns an error if a test is listed twice.
 func checkUnique(entries []Failure) error {
 	doubled := lo.FindDuplicatesBy(entries, func(entry Failure) Failure {
 		return Failure{Package: entry.Package, Test: entry.Test}
--- a/scripts/knownred/outcome.go
+++ b/scripts/knownred/outcome.go
@@ -47,6 +47,7 @@
 	return outcome
 }
 
+// readPlainOutcome reads what go prints of a test without ginkgo.
 func readPlainOutcome(entry Failure, output string) Outcome {
 	lines := "\n" + output
 	return Outcome{
--- a/scripts/knownred/run.go
+++ b/scripts/knownred/run.go
@@ -113,6 +113,7 @@
 	return without, nil
 }
 
+// print passes on the output of a run of tests. The error is that of the run, if any.
 func (runner Runner) print(output Output, err error) error {
 	_, printErr := fmt.Fprint(runner.Out, output.All)
 	if err != nil {
@@ -121,6 +122,7 @@
 	return errors.Wrap(printErr, "print the output of the tests")
 }
 
+// sortedKeys returns the packages in the order in which they run.
 func sortedKeys(byPackage map[string][]Failure) []string {
 	keys := lo.Keys(byPackage)
 	sort.Strings(keys)
--- a/scripts/simfigures/figures.go
+++ b/scripts/simfigures/figures.go
@@ -71,6 +71,7 @@
 	return all, nil
 }
 
+// writeFigures runs the seeds of a mode and writes the figures to a file.
 func writeFigures(ctx context.Context, simulator string, m mode, path, seeds string, jobs int) error {
 	counted, err := simulate(ctx, simulator, m, seeds, jobs)
 	if err != nil {
@@ -83,6 +84,7 @@
 	return errors.Wrap(os.WriteFile(path, append(text, '\n'), 0o644), "write figures")
 }
 
+// compareFigures runs the seeds of a file of figures again and returns what differs.
 func compareFigures(ctx context.Context, simulator string, m mode, path string, jobs int) ([]difference, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
