--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -18,6 +18,7 @@
 
 // controlCollector reads a node's view of the deployment.
 type controlCollector struct {
+	metricSet
 	control Control
 
 	info, fenced, fences, serveRemaining, servedRevision metric
@@ -30,34 +31,21 @@
 }
 
 func newControlCollector(control Control) *controlCollector {
-	return &controlCollector{
-		control:          control,
-		info:             gauge("node", "info", "Always 1; the labels describe the node.", "node", "zone", "holds_state"),
-		fenced:           gauge("node", "fenced", "1 while the node refuses traffic because it may be cut off or has not learnt what is in force."),
-		fences:           counter("node", "fences_total", "Times that the node fenced itself."),
-		serveRemaining:   gauge("node", "serve_remaining_seconds", "Time for which the node serves if it hears nothing more; +Inf if nothing can fence it."),
-		servedRevision:   gauge("node", "served_revision", "Revision of the configuration that traffic uses on this node."),
-		members:          gauge("", "members", "Rows of the node's table of members by state.", "state"),
-		shardLed:         gauge("shard", "leader", "1 if this node takes itself for the leader of the shard.", shardLabel),
-		shardLeaderKnown: gauge("shard", "leader_known", "1 if this node knows a leader of the shard.", shardLabel),
-		shardRevision:    gauge("shard", "revision", "Revision of the shard's state that reached this node.", shardLabel),
-		shardTerm:        gauge("shard", "term", "Term of the shard, on nodes that hold it.", shardLabel),
-		shardCommit:      gauge("shard", "commit_index", "Newest entry of the shard that is known to be decided, on nodes that hold it.", shardLabel),
-		shardApplied:     gauge("shard", "applied_index", "Newest entry of the shard that is carried out, on nodes that hold it.", shardLabel),
-		shardBadEntries:  counter("shard", "bad_entries_total", "Entries that this node could not read or write; each is a fault of the software.", shardLabel),
-	}
-}
-
-// Describe implements prometheus.Collector.
-func (c *controlCollector) Describe(into chan<- *prometheus.Desc) {
-	all := []metric{
-		c.info, c.fenced, c.fences, c.serveRemaining, c.servedRevision, c.members,
-		c.shardLed, c.shardLeaderKnown, c.shardRevision,
-		c.shardTerm, c.shardCommit, c.shardApplied, c.shardBadEntries,
-	}
-	for _, described := range all {
-		into <- described.description
-	}
+	c := &controlCollector{control: control}
+	c.info = c.gauge("node", "info", "Always 1; the labels describe the node.", "node", "zone", "holds_state")
+	c.fenced = c.gauge("node", "fenced", "1 while the node refuses traffic because it may be cut off or has not learnt what is in force.")
+	c.fences = c.counter("node", "fences_total", "Times that the node fenced itself.")
+	c.serveRemaining = c.gauge("node", "serve_remaining_seconds", "Time for which the node serves if it hears nothing more; +Inf if nothing can fence it.")
+	c.servedRevision = c.gauge("node", "served_revision", "Revision of the configuration that traffic uses on this node.")
+	c.members = c.gauge("", "members", "Rows of the node's table of members by state.", "state")
+	c.shardLed = c.gauge("shard", "leader", "1 if this node takes itself for the leader of the shard.", shardLabel)
+	c.shardLeaderKnown = c.gauge("shard", "leader_known", "1 if this node knows a leader of the shard.", shardLabel)
+	c.shardRevision = c.gauge("shard", "revision", "Revision of the shard's state that reached this node.", shardLabel)
+	c.shardTerm = c.gauge("shard", "term", "Term of the shard, on nodes that hold it.", shardLabel)
+	c.shardCommit = c.gauge("shard", "commit_index", "Newest entry of the shard that is known to be decided, on nodes that hold it.", shardLabel)
+	c.shardApplied = c.gauge("shard", "applied_index", "Newest entry of the shard that is carried out, on nodes that hold it.", shardLabel)
+	c.shardBadEntries = c.counter("shard", "bad_entries_total", "Entries that this node could not read or write; each is a fault of the software.", shardLabel)
+	return c
 }
 
 // Collect implements prometheus.Collector.
--- a/internal/metrics/index.go
+++ b/internal/metrics/index.go
@@ -4,22 +4,16 @@
 
 // indexCollector reads the size of the index of prefixes.
 type indexCollector struct {
+	metricSet
 	traffic       Traffic
 	chunks, bytes metric
 }
 
 func newIndexCollector(traffic Traffic) *indexCollector {
-	return &indexCollector{
-		traffic: traffic,
-		chunks:  gauge("index", "parts", "Pairs of a part of a prefix and a holder of it, by how it is known.", "source"),
-		bytes:   gauge("index", "bytes", "Memory of the tables of reported parts."),
-	}
-}
-
-// Describe implements prometheus.Collector.
-func (c *indexCollector) Describe(into chan<- *prometheus.Desc) {
-	into <- c.chunks.description
-	into <- c.bytes.description
+	c := &indexCollector{traffic: traffic}
+	c.chunks = c.gauge("index", "parts", "Pairs of a part of a prefix and a holder of it, by how it is known.", "source")
+	c.bytes = c.gauge("index", "bytes", "Memory of the tables of reported parts.")
+	return c
 }
 
 // Collect implements prometheus.Collector.
--- a/internal/metrics/messages.go
+++ b/internal/metrics/messages.go
@@ -5,23 +5,17 @@
 // messageCollector reads the counters of messages to other nodes, by kind and by
 // whether they stay in the zone.
 type messageCollector struct {
+	metricSet
 	control      Control
 	count, bytes metric
 }
 
 func newMessageCollector(control Control) *messageCollector {
 	const subsystem = "messages"
-	return &messageCollector{
-		control: control,
-		count:   counter(subsystem, "sent_total", "Messages to other nodes.", "kind", "zone"),
-		bytes:   counter(subsystem, "sent_bytes_total", "Bytes of messages to other nodes, without the cost of connections.", "kind", "zone"),
-	}
-}
-
-// Describe implements prometheus.Collector.
-func (c *messageCollector) Describe(into chan<- *prometheus.Desc) {
-	into <- c.count.description
-	into <- c.bytes.description
+	c := &messageCollector{control: control}
+	c.count = c.counter(subsystem, "sent_total", "Messages to other nodes.", "kind", "zone")
+	c.bytes = c.counter(subsystem, "sent_bytes_total", "Bytes of messages to other nodes, without the cost of connections.", "kind", "zone")
+	return c
 }
 
 // Collect implements prometheus.Collector.
--- a/internal/metrics/metric.go
+++ b/internal/metrics/metric.go
@@ -8,20 +8,34 @@
 	kind        prometheus.ValueType
 }
 
-// counter describes a counter of the node since its process started.
-func counter(subsystem, name, help string, labels ...string) metric {
-	return describe(prometheus.CounterValue, subsystem, name, help, labels)
+// metricSet holds the metrics of a collector, which embeds it, and describes them.
+type metricSet struct {
+	metrics []metric
 }
 
-// gauge describes a value of the present moment.
-func gauge(subsystem, name, help string, labels ...string) metric {
-	return describe(prometheus.GaugeValue, subsystem, name, help, labels)
+// counter adds a counter of the node since its process started.
+func (s *metricSet) counter(subsystem, name, help string, labels ...string) metric {
+	return s.add(prometheus.CounterValue, subsystem, name, help, labels)
 }
 
-// describe returns a metric by its name below the namespace.
-func describe(kind prometheus.ValueType, subsystem, name, help string, labels []string) metric {
+// gauge adds a value of the present moment.
+func (s *metricSet) gauge(subsystem, name, help string, labels ...string) metric {
+	return s.add(prometheus.GaugeValue, subsystem, name, help, labels)
+}
+
+// add adds a metric by its name below the namespace.
+func (s *metricSet) add(kind prometheus.ValueType, subsystem, name, help string, labels []string) metric {
 	full := prometheus.BuildFQName(namespace, subsystem, name)
-	return metric{description: prometheus.NewDesc(full, help, labels, nil), kind: kind}
+	added := metric{description: prometheus.NewDesc(full, help, labels, nil), kind: kind}
+	s.metrics = append(s.metrics, added)
+	return added
+}
+
+// Describe implements prometheus.Collector.
+func (s *metricSet) Describe(into chan<- *prometheus.Desc) {
+	for _, described := range s.metrics {
+		into <- described.description
+	}
 }
 
 // send sends one value to a scrape, with a value for each label in its order.
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -12,6 +12,7 @@
 
 // trafficCollector reads what became of callers' requests.
 type trafficCollector struct {
+	metricSet
 	traffic Traffic
 	names   *destinationNames
 
@@ -26,35 +27,21 @@
 func newTrafficCollector(traffic Traffic) *trafficCollector {
 	refusalLabels := append(append([]string{}, destinationLabels...), "reason")
 	outcomeLabels := append(append([]string{}, destinationLabels...), "outcome")
-	return &trafficCollector{
-		traffic:       traffic,
-		names:         newDestinationNames(MaxDestinations),
-		firstAttempts: counter("", "first_attempts_total", "Requests that were sent to a back end.", destinationLabels...),
-		retries:       counter("", "retries_total", "Further attempts of these requests.", destinationLabels...),
-		retriesDenied: counter("", "retries_denied_total", "Retries that the retry budget did not permit.", destinationLabels...),
-		retryRatio:    gauge("", "retry_ratio", "Retries for each first attempt since the node started.", destinationLabels...),
-		completed:     counter("", "answered_total", "Complete answers of back ends.", destinationLabels...),
-		truncated:     counter("", "cut_answers_total", "Answers that were cut after a part had been handed on.", destinationLabels...),
-		abandoned:     counter("", "abandoned_total", "Requests whose caller left.", destinationLabels...),
-		refused:       counter("", "refusals_total", "Requests that the node refused or could not complete, by the kind of the error.", refusalLabels...),
-		ejected:       gauge("", "ejected_backends", "Back ends that this node leaves out because they failed far more requests than others.", destinationLabels...),
-		suspected:     gauge("", "suspected_backends", "Back ends that this node leaves out because they could not be reached lately.", destinationLabels...),
-		ejections:     counter("", "ejections_total", "Times that this node began to leave a back end out for its failures.", destinationLabels...),
-		outcomes:      counter("", "backend_outcomes_total", "Attempts by what they told of the health of their back end.", outcomeLabels...),
-		inFlight:      gauge("", "attempts_in_flight", "Attempts that run on the back ends of the destination through this node.", destinationLabels...),
-	}
-}
-
-// Describe implements prometheus.Collector.
-func (c *trafficCollector) Describe(into chan<- *prometheus.Desc) {
-	all := []metric{
-		c.firstAttempts, c.retries, c.retriesDenied, c.retryRatio,
-		c.completed, c.truncated, c.abandoned, c.refused, c.inFlight,
-		c.ejected, c.suspected, c.ejections, c.outcomes,
-	}
-	for _, described := range all {
-		into <- described.description
-	}
+	c := &trafficCollector{traffic: traffic, names: newDestinationNames(MaxDestinations)}
+	c.firstAttempts = c.counter("", "first_attempts_total", "Requests that were sent to a back end.", destinationLabels...)
+	c.retries = c.counter("", "retries_total", "Further attempts of these requests.", destinationLabels...)
+	c.retriesDenied = c.counter("", "retries_denied_total", "Retries that the retry budget did not permit.", destinationLabels...)
+	c.retryRatio = c.gauge("", "retry_ratio", "Retries for each first attempt since the node started.", destinationLabels...)
+	c.completed = c.counter("", "answered_total", "Complete answers of back ends.", destinationLabels...)
+	c.truncated = c.counter("", "cut_answers_total", "Answers that were cut after a part had been handed on.", destinationLabels...)
+	c.abandoned = c.counter("", "abandoned_total", "Requests whose caller left.", destinationLabels...)
+	c.refused = c.counter("", "refusals_total", "Requests that the node refused or could not complete, by the kind of the error.", refusalLabels...)
+	c.ejected = c.gauge("", "ejected_backends", "Back ends that this node leaves out because they failed far more requests than others.", destinationLabels...)
+	c.suspected = c.gauge("", "suspected_backends", "Back ends that this node leaves out because they could not be reached lately.", destinationLabels...)
+	c.ejections = c.counter("", "ejections_total", "Times that this node began to leave a back end out for its failures.", destinationLabels...)
+	c.outcomes = c.counter("", "backend_outcomes_total", "Attempts by what they told of the health of their back end.", outcomeLabels...)
+	c.inFlight = c.gauge("", "attempts_in_flight", "Attempts that run on the back ends of the destination through this node.", destinationLabels...)
+	return c
 }
 
 // Collect implements prometheus.Collector.
--- a/internal/metrics/transport.go
+++ b/internal/metrics/transport.go
@@ -2,8 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// The directions of frames, as values of a label.
-// The values of the label "direction".
+// The directions of frames: the values of the label "direction".
 const (
 	sent     = "sent"
 	received = "received"
@@ -11,6 +10,7 @@
 
 // transportCollector reads the counters of frames between nodes.
 type transportCollector struct {
+	metricSet
 	frames                           Transport
 	count, bytes, dropped, bad       metric
 	connections, connectionFailures  metric
@@ -19,29 +19,17 @@
 
 func newTransportCollector(frames Transport) *transportCollector {
 	const subsystem = "transport"
-	return &transportCollector{
-		frames:             frames,
-		count:              counter(subsystem, "frames_total", "Frames to and from other nodes.", "direction"),
-		bytes:              counter(subsystem, "bytes_total", "Bytes to and from other nodes.", "direction"),
-		dropped:            counter(subsystem, "dropped_frames_total", "Frames that were not sent, by reason.", "reason"),
-		bad:                counter(subsystem, "bad_frames_total", "Received frames that were cut, stalled or of a wrong length."),
-		connections:        counter(subsystem, "connections_total", "Connections with other nodes, by what became of them.", "outcome"),
-		connectionFailures: counter(subsystem, "connect_failures_total", "Connections to other nodes that could not be opened."),
-		peers:              gauge(subsystem, "peers", "Nodes that frames are queued or sent for."),
-		queuedFrames:       gauge(subsystem, "queued_frames", "Frames that wait to be sent."),
-		queuedBytes:        gauge(subsystem, "queued_bytes", "Bytes that wait to be sent."),
-	}
-}
-
-// Describe implements prometheus.Collector.
-func (c *transportCollector) Describe(into chan<- *prometheus.Desc) {
-	all := []metric{
-		c.count, c.bytes, c.dropped, c.bad, c.connections, c.connectionFailures,
-		c.peers, c.queuedFrames, c.queuedBytes,
-	}
-	for _, described := range all {
-		into <- described.description
-	}
+	c := &transportCollector{frames: frames}
+	c.count = c.counter(subsystem, "frames_total", "Frames to and from other nodes.", "direction")
+	c.bytes = c.counter(subsystem, "bytes_total", "Bytes to and from other nodes.", "direction")
+	c.dropped = c.counter(subsystem, "dropped_frames_total", "Frames that were not sent, by reason.", "reason")
+	c.bad = c.counter(subsystem, "bad_frames_total", "Received frames that were cut, stalled or of a wrong length.")
+	c.connections = c.counter(subsystem, "connections_total", "Connections with other nodes, by what became of them.", "outcome")
+	c.connectionFailures = c.counter(subsystem, "connect_failures_total", "Connections to other nodes that could not be opened.")
+	c.peers = c.gauge(subsystem, "peers", "Nodes that frames are queued or sent for.")
+	c.queuedFrames = c.gauge(subsystem, "queued_frames", "Frames that wait to be sent.")
+	c.queuedBytes = c.gauge(subsystem, "queued_bytes", "Bytes that wait to be sent.")
+	return c
 }
 
 // Collect implements prometheus.Collector.
