--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -14,7 +14,9 @@
 // endpointReadTimeout bounds one reading of the platform's endpoint list with all its pages.
 const endpointReadTimeout = 1500 * time.Millisecond
 
-// endpointLoader reads the platform's endpoint list when control asks for it.
+// endpointLoader implements driver.EndpointReader: it reads the platform's endpoint list
+// when control asks for it. Nothing waits for its goroutine, which ends within
+// endpointReadTimeout.
 type endpointLoader struct {
 	reader EndpointReader
 	driver *driver.Driver
@@ -26,6 +28,7 @@
 	go func() { l.driver.EndpointsRead(l.read()) }()
 }
 
+// read reads the list once. A failure is part of the result.
 func (l *endpointLoader) read() control.EndpointReading {
 	ctx, cancel := context.WithTimeout(context.Background(), endpointReadTimeout)
 	defer cancel()
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -16,7 +16,9 @@
 // storage is the data folder of a node: its identity, and the durable log of each
 // shard. It is used by one goroutine until the control driver takes the logs.
 type storage struct {
-	disk     *disk.Disk
+	// disk is nil on a node without a data folder.
+	disk *disk.Disk
+	// logs are the durable logs of the shards, and restored what they held, by shard.
 	logs     map[uint32]*durable.Log
 	restored map[uint32]replication.Restored
 	// incarnation identifies the folder. Votes that the node gave under the
@@ -45,7 +47,7 @@
 	return opened, nil
 }
 
-// read takes over the identity of the folder, or creates one, and opens all shards.
+// read reads the identity of the folder, or creates one, and opens all shards.
 func (s *storage) read(settings *static.Settings) error {
 	stored, initialised, err := readIdentity(s.disk, settings)
 	if err != nil {
@@ -59,9 +61,9 @@
 		// The votes of a shard whose files are gone are lost, so that the node must
 		// not vote again under the former incarnation.
 		stored, err = createIdentity(s.disk, settings, initialised)
-	}
-	if err != nil {
-		return err
+		if err != nil {
+			return err
+		}
 	}
 	s.incarnation = stored.Incarnation
 	s.founders = stored.Founders
@@ -93,6 +95,7 @@
 	return log.Checkpoint(restored.HardState, restored.Snapshot, restored.Entries)
 }
 
+// shardName returns how the names of a shard's files begin.
 func shardName(shard uint32) string { return fmt.Sprintf("shard-%03d", shard) }
 
 // hasShards reports whether the folder has the files of every shard that its identity
@@ -106,7 +109,8 @@
 	return true, nil
 }
 
-// hasShard reports whether the folder has a checkpoint of a shard.
+// hasShard reports whether the folder has a checkpoint of a shard, in either slot (package
+// twoslot names the files).
 func hasShard(folder *disk.Disk, shard uint32) (bool, error) {
 	for _, slot := range []string{".slot0", ".slot1"} {
 		_, err := folder.ReadFile(shardName(shard) + slot)
@@ -129,6 +133,7 @@
 	return shards
 }
 
+// close releases the folder, if there is one.
 func (s *storage) close() {
 	if s.disk != nil {
 		_ = s.disk.Close()
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -48,6 +48,7 @@
 	return table
 }
 
+// addUpdateEndpoints adds the names in an update that are endpoints.
 func (t *nameTable) addUpdateEndpoints(update *gossip.Update) {
 	t.addEndpoint(string(update.Node))
 	for i := range update.Loads {
@@ -145,15 +146,16 @@
 	return n[index]
 }
 
+// names reads the names of a Traffic message: its endpoints, followed by its texts.
 func (r *reader) names(table *fb.Traffic) receivedNames {
 	endpoints := r.vectorLength(table.EndpointsLength(), endpointBytes)
 	texts := r.vectorLength(table.TextsLength(), minStringBytes)
-	named := make(receivedNames, 0, endpoints+texts)
+	names := make(receivedNames, 0, endpoints+texts)
 	for i := range endpoints {
-		named = append(named, endpointName(table.Endpoints(i)))
+		names = append(names, endpointName(table.Endpoints(i)))
 	}
 	for i := range texts {
-		named = append(named, r.text(table.Texts(i)))
+		names = append(names, r.text(table.Texts(i)))
 	}
-	return named
+	return names
 }
--- a/pkg/config/static/load.go
+++ b/pkg/config/static/load.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings.fillDefaults()
+	settings.FillDefaults()
 	return settings, nil
 }
 
@@ -40,7 +40,7 @@
 	if faults := settings.read(data); len(faults) > 0 {
 		return nil, faults
 	}
-	settings.fillDefaults()
+	settings.FillDefaults()
 	return settings, nil
 }
 
@@ -97,6 +97,7 @@
 	return fields
 }
 
+// readField decodes the value of one pair into the field of that name.
 func readField(fields map[string]any, name string, value *yaml.Node) *Error {
 	field, known := fields[name]
 	if !known {
