--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges/edges.go
@@ -1,4 +1,11 @@
-package dataplane
+// Package edges says what the data plane needs of the protocols that it speaks to callers
+// and back ends, and implements the native ones.
+//
+// The data plane knows no header and no path of a protocol: it describes an Attempt to a
+// Backend, and gets a Response. The native protocols are those of internal/edge; a platform
+// with protocols of its own gives others in their place. Implementations are used by many
+// requests at a time.
+package edges
 
 import (
 	"context"
@@ -9,8 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// CallerEdge speaks the protocol of callers.
-type CallerEdge interface {
+// Caller speaks the protocol of callers.
+type Caller interface {
 	// RequestID returns the identity that the caller gave its request, or "".
 	RequestID(header http.Header) string
 	// KeyDigest returns the digest of the request's key, or false if the request has
@@ -27,19 +34,19 @@
 	ErrorEvent(callerError *caller.Error) []byte
 }
 
-// BackendEdge runs attempts on back ends of one kind.
-type BackendEdge interface {
+// Backend runs attempts on back ends of one kind.
+type Backend interface {
 	// Send runs one attempt up to the header of its response. It sends the request at
 	// most once. The errors are *outbound.Error, *outbound.RefusedError and
 	// *outbound.InvalidResponseError; after any other one the request may have run.
 	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
 
-// Edges are the protocols that a node speaks to callers and back ends.
-type Edges struct {
-	Callers     CallerEdge
-	Replicas    BackendEdge
-	WebServices BackendEdge
+// Set is the protocols that a node speaks to callers and back ends.
+type Set struct {
+	Callers     Caller
+	Replicas    Backend
+	WebServices Backend
 	// Reports reads the reports of replicas and stores page by page; nil if they
 	// push a stream of the node's own protocol.
 	Reports ReportReader
--- a/internal/dataplane/native_edges.go
+++ b/internal/dataplane/edges/native.go
@@ -1,4 +1,4 @@
-package dataplane
+package edges
 
 import (
 	"context"
@@ -10,59 +10,60 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/webservice"
 )
 
-// withDefaults fills in the native protocols.
-func (e Edges) withDefaults(sender *outbound.Client, maxResponseBytes int64) Edges {
-	if e.Callers == nil {
-		e.Callers = nativeCallerEdge{}
+// WithDefaults returns the set with the native protocols in place of those that are nil.
+// They send through sender, and buffer responses of at most maxResponseBytes.
+func (s Set) WithDefaults(sender *outbound.Client, maxResponseBytes int64) Set {
+	if s.Callers == nil {
+		s.Callers = nativeCaller{}
 	}
-	if e.Replicas == nil {
-		e.Replicas = &nativeReplicaEdge{client: replica.NewClient(sender, maxResponseBytes)}
+	if s.Replicas == nil {
+		s.Replicas = &nativeReplica{client: replica.NewClient(sender, maxResponseBytes)}
 	}
-	if e.WebServices == nil {
-		e.WebServices = &nativeWebServiceEdge{client: webservice.NewClient(sender, maxResponseBytes)}
+	if s.WebServices == nil {
+		s.WebServices = &nativeWebService{client: webservice.NewClient(sender, maxResponseBytes)}
 	}
-	return e
+	return s
 }
 
-// nativeCallerEdge implements the native protocol with callers.
-type nativeCallerEdge struct{}
+// nativeCaller implements the native protocol with callers.
+type nativeCaller struct{}
 
-// RequestID implements CallerEdge.
-func (nativeCallerEdge) RequestID(header http.Header) string {
+// RequestID implements Caller.
+func (nativeCaller) RequestID(header http.Header) string {
 	return header.Get(caller.HeaderRequestID)
 }
 
-// KeyDigest implements CallerEdge.
-func (nativeCallerEdge) KeyDigest(header http.Header) (string, bool) { return caller.KeyDigest(header) }
+// KeyDigest implements Caller.
+func (nativeCaller) KeyDigest(header http.Header) (string, bool) { return caller.KeyDigest(header) }
 
-// Describe implements CallerEdge.
-func (nativeCallerEdge) Describe(request *http.Request) (caller.Request, error) {
+// Describe implements Caller.
+func (nativeCaller) Describe(request *http.Request) (caller.Request, error) {
 	return caller.Parse(request)
 }
 
-// WriteError implements CallerEdge.
-func (nativeCallerEdge) WriteError(writer http.ResponseWriter, callerError *caller.Error) {
+// WriteError implements Caller.
+func (nativeCaller) WriteError(writer http.ResponseWriter, callerError *caller.Error) {
 	caller.WriteError(writer, callerError)
 }
 
-// CompleteHeader implements CallerEdge.
-func (nativeCallerEdge) CompleteHeader(header http.Header, requestID string) {
+// CompleteHeader implements Caller.
+func (nativeCaller) CompleteHeader(header http.Header, requestID string) {
 	header.Set(caller.HeaderRequestID, requestID)
 }
 
-// ErrorEvent implements CallerEdge.
-func (nativeCallerEdge) ErrorEvent(callerError *caller.Error) []byte {
+// ErrorEvent implements Caller.
+func (nativeCaller) ErrorEvent(callerError *caller.Error) []byte {
 	return caller.ErrorEvent(callerError)
 }
 
-// nativeReplicaEdge implements the native protocol with replicas.
-type nativeReplicaEdge struct {
+// nativeReplica implements the native protocol with replicas.
+type nativeReplica struct {
 	client *replica.Client
 }
 
-// Send implements BackendEdge. A response that leaves open whether the request has run is
+// Send implements Backend. A response that leaves open whether the request has run is
 // an *outbound.FailedResponseError.
-func (r *nativeReplicaEdge) Send(ctx context.Context, attempt Attempt) (Response, error) {
+func (r *nativeReplica) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
 	if err != nil {
 		return nil, err
@@ -97,13 +98,13 @@
 	return call
 }
 
-// nativeWebServiceEdge implements the native protocol with web services.
-type nativeWebServiceEdge struct {
+// nativeWebService implements the native protocol with web services.
+type nativeWebService struct {
 	client *webservice.Client
 }
 
-// Send implements BackendEdge.
-func (w *nativeWebServiceEdge) Send(ctx context.Context, attempt Attempt) (Response, error) {
+// Send implements Backend.
+func (w *nativeWebService) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := w.client.Forward(ctx, webservice.Call{
 		Address:   attempt.Address,
 		Request:   attempt.Request,
--- /dev/null
+++ b/internal/dataplane/embedding.go
@@ -0,0 +1,28 @@
+package dataplane
+
+import "github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
+
+// The names by which programs that embed a Server implement its protocols. Package edges
+// says what each must do.
+type (
+	// Edges are the protocols that a node speaks to callers and back ends.
+	Edges = edges.Set
+	// CallerEdge speaks the protocol of callers.
+	CallerEdge = edges.Caller
+	// BackendEdge runs attempts on back ends of one kind.
+	BackendEdge = edges.Backend
+	// Attempt is one attempt to have a back end run a request.
+	Attempt = edges.Attempt
+	// Generation describes a prompt to a replica.
+	Generation = edges.Generation
+	// Pull asks a replica to fetch chunks instead of computing them.
+	Pull = edges.Pull
+	// Response is a back end's response whose header has arrived.
+	Response = edges.Response
+	// ReportReader reads what back ends report of the chunks that they cache.
+	ReportReader = edges.ReportReader
+	// ReportPage is one page of a back end's reports.
+	ReportPage = edges.ReportPage
+	// ChunkChange reports a cached chunk, or an evicted one.
+	ChunkChange = edges.ChunkChange
+)
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	sender := outbound.New(outbound.Options{Name: clientName})
-	options.Edges = options.Edges.withDefaults(sender, options.MaxResponseBytes)
+	options.Edges = options.Edges.WithDefaults(sender, options.MaxResponseBytes)
 	server := &Server{
 		options:      options,
 		sender:       sender,
