--- a/internal/dataplane/authenticator.go
+++ b/internal/dataplane/authenticator.go
@@ -1,13 +1,14 @@
 package dataplane
 
 import (
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/requestid"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
 // requestIdentifier gives every request an identity, so that each refusal carries it.
 type requestIdentifier struct {
-	ids *idGenerator
+	ids *requestid.Generator
 }
 
 // handle implements handler. An identity that cannot be used is replaced here, and
@@ -15,7 +16,7 @@
 func (n *requestIdentifier) handle(e *exchange, next func()) {
 	e.requestID = e.edges.Callers.RequestID(e.request.Header)
 	if e.requestID == "" || len(e.requestID) > caller.MaxRequestIDBytes {
-		e.requestID = n.ids.next()
+		e.requestID = n.ids.Next()
 	}
 	next()
 }
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -117,7 +117,7 @@
 		d.release(chosen, false)
 		return
 	}
-	if callerError == nil && !w.counters.permitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
+	if callerError == nil && !w.counters.PermitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
 		d.release(chosen, false)
 		callerError = budgetError(w.lastError).WithRetryAfter(d.server.options.BackendRetry)
 	}
--- a/internal/dataplane/embedding.go
+++ b/internal/dataplane/embedding.go
@@ -1,9 +1,13 @@
 package dataplane
 
-import "github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
+import (
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
 
-// The names by which programs that embed a Server implement its protocols. Package edges
-// says what each must do.
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
+)
+
+// The names by which programs that embed a Server implement its protocols, which package
+// edges describes, and read its counters.
 type (
 	// Edges are the protocols that a node speaks to callers and back ends.
 	Edges = edges.Set
@@ -25,4 +29,11 @@
 	ReportPage = edges.ReportPage
 	// ChunkChange reports a cached chunk, or an evicted one.
 	ChunkChange = edges.ChunkChange
+	// DestinationStats counts the requests of a pool or a web service on this node by
+	// their outcomes.
+	DestinationStats = destinations.Stats
+	// RefusalCount counts the refusals of one kind.
+	RefusalCount = destinations.RefusalCount
+	// OutcomeCount counts the attempts of one outcome.
+	OutcomeCount = destinations.OutcomeCount
 )
--- a/internal/dataplane/exchange.go
+++ b/internal/dataplane/exchange.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
@@ -34,7 +35,7 @@
 	// bodyRead reports whether body is complete.
 	bodyRead bool
 	// counters count the outcomes of the destination; nil before routing.
-	counters *destinationState
+	counters *destinations.State
 	// certainlyNotRun reports, after the response, that the request has not run and will
 	// not run.
 	certainlyNotRun bool
@@ -59,7 +60,7 @@
 	e.failed = true
 	e.certainlyNotRun = !callerError.MayHaveRun
 	if e.counters != nil {
-		e.counters.countRefusal(callerError.Kind)
+		e.counters.CountRefusal(callerError.Kind)
 	}
 	e.observer.refused(callerError)
 	e.boundUnreadBody()
@@ -80,7 +81,7 @@
 	described := Attempt{
 		Address:     address,
 		RequestID:   w.requestID,
-		AttemptID:   server.ids.next(),
+		AttemptID:   server.ids.Next(),
 		Number:      number,
 		Priority:    w.view.Priority(w.tenant, w.route),
 		Idempotent:  w.parsed.Idempotent,
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -117,7 +117,7 @@
 func (d *dispatcher) respond(w *work, action attempts.Action) {
 	switch action.Kind {
 	case attempts.Relay:
-		w.counters.countCompleted()
+		w.counters.CountCompleted()
 		w.writeBuffered()
 	case attempts.AbortRelay:
 		d.abortRelay(w)
@@ -132,7 +132,7 @@
 		callerError.MayHaveRun = w.tracker.MayHaveRun()
 		w.refuse(callerError)
 	case attempts.Abandon:
-		w.counters.countAbandoned()
+		w.counters.CountAbandoned()
 		w.failed = true
 		w.certainlyNotRun = !w.tracker.MayHaveRun()
 		panic(http.ErrAbortHandler)
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -84,10 +84,10 @@
 // countAbort counts a truncated response, or one whose caller has disconnected.
 func (w *work) countAbort() {
 	if w.tracker.CallerDisconnected() {
-		w.counters.countAbandoned()
+		w.counters.CountAbandoned()
 		return
 	}
-	w.counters.countTruncated()
+	w.counters.CountTruncated()
 }
 
 // truncationError reports a truncated response.
--- a/internal/dataplane/route_matcher.go
+++ b/internal/dataplane/route_matcher.go
@@ -2,6 +2,7 @@
 
 import (
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
@@ -9,7 +10,7 @@
 // routeMatcher finds the route and the destination of a request by its host and
 // the longest path prefix.
 type routeMatcher struct {
-	destinations *destinations
+	destinations *destinations.Set
 	sampler      *destinationSampler
 }
 
@@ -24,7 +25,7 @@
 	}
 	e.route = route
 	e.destination = route.Destination(r.sampler.next(e.host, route))
-	e.counters = r.destinations.state(e.destination)
+	e.counters = r.destinations.State(e.destination)
 	if e.tenant == nil && !route.Config.GetPublic() {
 		e.refuse(unauthorizedError())
 		return
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -8,11 +8,13 @@
 
 	"github.com/thejerf/suture/v4"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/requestid"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
@@ -29,8 +31,8 @@
 	options      Options
 	sender       *outbound.Client
 	router       *kvrouter.Router
-	ids          *idGenerator
-	destinations *destinations
+	ids          *requestid.Generator
+	destinations *destinations.Set
 	limiter      *limiter
 	duplicates   *duplicates.Register
 	inFlight     *inFlight
@@ -64,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ids, err := newIDGenerator(options.Node)
+	ids, err := requestid.New(options.Node)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +77,7 @@
 		sender:       sender,
 		router:       kvrouter.New(options.Router),
 		ids:          ids,
-		destinations: newDestinations(options.RetryBudget),
+		destinations: destinations.New(options.RetryBudget),
 		limiter:      newLimiter(options.Clock, options.Admission),
 		duplicates:   duplicates.New(options.RememberedRequests, options.RememberFor),
 		inFlight:     newInFlight(),
@@ -195,9 +197,9 @@
 // Stats returns the counters of every destination that was routed to.
 func (s *Server) Stats() []DestinationStats {
 	now := s.options.Clock()
-	stats := s.destinations.snapshot()
+	stats := s.destinations.Stats()
 	for i := range stats {
-		stats[i].addHealth(s.health.DestinationStats(now, stats[i].Name, stats[i].WebService))
+		stats[i].AddHealth(s.health.DestinationStats(now, stats[i].Name, stats[i].WebService))
 	}
 	return stats
 }
