--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -101,6 +101,14 @@
 	}
 }
 
+// waitForStartup delays a prompt until the start-up gate is open. Where back ends push
+// their events there is no gate.
+func (s *Server) waitForStartup(w *work) {
+	if s.options.Edges.Reports != nil && w.destination.WebService == nil {
+		s.startup.Wait(w.ctx)
+	}
+}
+
 // backend returns what runs the work's attempts.
 func (d *dispatcher) backend(w *work) backend {
 	if w.destination.WebService != nil {
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -65,9 +65,9 @@
 		Address: attempt.Address,
 		Links:   b.naming().Links(generation.Model, generation.CacheSalt, generation.Chunks),
 	}
-	b.server.updates.addDispatch(dispatch)
+	b.server.updates.AddDispatch(dispatch)
 	if generation.SaveTo != "" {
 		dispatch.Address = generation.SaveTo
-		b.server.updates.addDispatch(dispatch)
+		b.server.updates.AddDispatch(dispatch)
 	}
 }
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -10,10 +10,14 @@
 // nodes there are.
 //
 // Exchange, SnapshotClient and SnapshotServer are state machines: they do no I/O, read no
-// clock, and must not be used concurrently.
+// clock, and must not be used concurrently. Outgoing collects the updates of this node,
+// and SnapshotExchange joins client and server to the node's index; they read no clock
+// either, and may be used concurrently.
 package gossip
 
 import (
+	"github.com/samber/lo"
+
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
@@ -78,6 +82,18 @@
 	Changes  []Change
 }
 
+// ChunkChanges returns the changes as the router takes them.
+func (r *Report) ChunkChanges() []kvrouter.ChunkChange {
+	return lo.Map(r.Changes, func(change Change, _ int) kvrouter.ChunkChange {
+		return kvrouter.ChunkChange{
+			Sequence: change.Sequence,
+			Hash:     change.Name,
+			Tokens:   change.Tokens,
+			Removed:  change.Removed,
+		}
+	})
+}
+
 // Change is a change of how much of a chunk a replica or store caches.
 type Change struct {
 	// Sequence is the number of the change; 0 when it is not known.
--- /dev/null
+++ b/internal/dataplane/gossip/outgoing.go
@@ -0,0 +1,98 @@
+package gossip
+
+import (
+	"sync"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+)
+
+const (
+	// loadRefresh is how long an unchanged load is not sent again. It is half the time
+	// after which other nodes discard it.
+	loadRefresh = 500 * time.Millisecond
+	// maxPendingUpdates bounds the pending dispatches, reports and denials, each. What
+	// comes beyond it is dropped.
+	maxPendingUpdates = 1024
+)
+
+// sentLoad is the load of a replica as it was sent last.
+type sentLoad struct {
+	load   kvrouter.SharedLoad
+	sentAt time.Duration
+}
+
+// Outgoing collects what the other nodes are to learn of this node's traffic. It
+// may be used concurrently.
+type Outgoing struct {
+	mutex      sync.Mutex
+	sentLoads  map[string]sentLoad
+	dispatches []Dispatch
+	reports    []Report
+	denials    []Denial
+}
+
+// NewOutgoing returns a collection without updates.
+func NewOutgoing() *Outgoing {
+	return &Outgoing{sentLoads: make(map[string]sentLoad)}
+}
+
+// AddDispatch adds a request that was sent to a replica.
+func (o *Outgoing) AddDispatch(dispatch Dispatch) { enqueue(o, &o.dispatches, dispatch) }
+
+// AddReport adds a page of reports that this node has read.
+func (o *Outgoing) AddReport(report Report) { enqueue(o, &o.reports, report) }
+
+// AddDenial adds an incarnation that is gone from its address.
+func (o *Outgoing) AddDenial(denial Denial) { enqueue(o, &o.denials, denial) }
+
+// enqueue appends an entry unless the queue is full.
+func enqueue[T any](o *Outgoing, queue *[]T, entry T) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if len(*queue) < maxPendingUpdates {
+		*queue = append(*queue, entry)
+	}
+}
+
+// Drain returns and removes what is to be sent now, given the present loads.
+func (o *Outgoing) Drain(now time.Duration, loads []kvrouter.AddressLoad) Update {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	update := Update{Dispatches: o.dispatches, Reports: o.reports, Denials: o.denials}
+	o.dispatches, o.reports, o.denials = nil, nil, nil
+	for _, load := range loads {
+		if o.shouldSend(now, load) {
+			update.Loads = append(update.Loads, load)
+		}
+	}
+	return update
+}
+
+// shouldSend reports whether the other nodes assume another load, or would discard this
+// one. They expect by themselves that a prefill progresses and a response grows. The lock
+// is held.
+func (o *Outgoing) shouldSend(now time.Duration, load kvrouter.AddressLoad) bool {
+	sent, found := o.sentLoads[load.Address]
+	idle := load.Requests == 0
+	if found && sameRequests(sent.load, load.SharedLoad) && (idle || now-sent.sentAt < loadRefresh) {
+		return false
+	}
+	if idle {
+		delete(o.sentLoads, load.Address)
+		return found
+	}
+	o.sentLoads[load.Address] = sentLoad{load: load.SharedLoad, sentAt: now}
+	return true
+}
+
+// sameRequests reports whether two loads of one replica are those of the same requests,
+// none of which has arrived, ended, or begun to respond in between.
+func sameRequests(sent, present kvrouter.SharedLoad) bool {
+	prefilling := func(load kvrouter.SharedLoad) bool {
+		return lo.SomeBy(load.PrefillTokens[:], func(tokens float64) bool { return tokens > 0 })
+	}
+	return sent.Requests == present.Requests && prefilling(sent) == prefilling(present)
+}
--- a/internal/dataplane/full_read.go
+++ b/internal/dataplane/reports/full_read.go
@@ -1,4 +1,4 @@
-package dataplane
+package reports
 
 import (
 	"context"
@@ -47,16 +47,16 @@
 }
 
 // readFull reads everything that a back end caches, and sends it to the other nodes.
-func (r *reportReaders) readFull(ctx context.Context, address string) error {
+func (r *Readers) readFull(ctx context.Context, address string) error {
 	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
 	defer cancel()
-	page, err := r.reader.List(bounded, address)
+	page, err := r.options.Reader.List(bounded, address)
 	if err != nil {
 		return err
 	}
-	report := gossipReport(address, 0, page)
+	report := reportOf(address, 0, page)
 	report.Complete = true
-	r.server.applyReport(r.server.options.Clock(), report)
-	r.server.updates.addReport(report)
+	Apply(r.options.Router, r.options.Clock(), report)
+	r.options.Publish(report)
 	return nil
 }
--- a/internal/dataplane/full_read_internal_test.go
+++ b/internal/dataplane/reports/full_read_internal_test.go
@@ -1,4 +1,4 @@
-package dataplane
+package reports
 
 import (
 	"context"
@@ -8,6 +8,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -23,24 +26,24 @@
 	fullReads []string
 }
 
-func (s *scriptedReports) Read(_ context.Context, _ string, since uint64, _ time.Duration) (ReportPage, error) {
+func (s *scriptedReports) Read(_ context.Context, _ string, since uint64, _ time.Duration) (edges.ReportPage, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	page := ReportPage{Incarnation: 7, Next: since + 1, Lost: s.lose || since == 0, Changes: []ChunkChange{
+	page := edges.ReportPage{Incarnation: 7, Next: since + 1, Lost: s.lose || since == 0, Changes: []edges.ChunkChange{
 		{Sequence: since + 1, CacheSalt: "salt", Model: "model", ID: "newest", Tokens: 100},
 	}}
 	s.lose = false
 	return page, nil
 }
 
-func (s *scriptedReports) List(_ context.Context, address string) (ReportPage, error) {
+func (s *scriptedReports) List(_ context.Context, address string) (edges.ReportPage, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fullReads = append(s.fullReads, address)
 	if s.refuse != nil {
-		return ReportPage{}, s.refuse
+		return edges.ReportPage{}, s.refuse
 	}
-	return ReportPage{Incarnation: 7, Next: 41, Changes: []ChunkChange{
+	return edges.ReportPage{Incarnation: 7, Next: 41, Changes: []edges.ChunkChange{
 		{CacheSalt: "salt", Model: "model", ID: "oldest", Tokens: 4000},
 		{CacheSalt: "salt", Model: "model", ID: "newest", Tokens: 100},
 	}}, nil
@@ -63,36 +66,50 @@
 
 // reportingNode is a node before one replica, without sockets.
 type reportingNode struct {
-	server  *Server
-	reports *scriptedReports
-	now     time.Duration
+	readers  *Readers
+	router   *kvrouter.Router
+	outgoing *gossip.Outgoing
+	reports  *scriptedReports
+	now      time.Duration
 }
 
 func newReportingNode() *reportingNode {
-	n := &reportingNode{reports: &scriptedReports{}, now: time.Hour}
+	n := &reportingNode{
+		router:   kvrouter.New(kvrouter.Options{Name: "node"}),
+		outgoing: gossip.NewOutgoing(),
+		reports:  &scriptedReports{},
+		now:      time.Hour,
+	}
 	pool := &routing.Pool{Replicas: []routing.Replica{{Address: "replica", Zone: "a"}}}
-	server, err := New(Options{
-		Node: "node", Member: "node", Zone: "a", Address: "127.0.0.1:0",
-		Source: fixedView{&routing.View{Pools: map[string]*routing.Pool{"pool": pool}}},
-		Clock:  func() time.Duration { return n.now },
-		Peers:  func() []member.Info { return []member.Info{{ID: "node", Zone: "a"}} },
-		Edges:  Edges{Reports: n.reports},
+	n.readers = New(Options{
+		Member:           "node",
+		Source:           fixedView{&routing.View{Pools: map[string]*routing.Pool{"pool": pool}}},
+		Clock:            func() time.Duration { return n.now },
+		Peers:            func() []member.Info { return []member.Info{{ID: "node", Zone: "a"}} },
+		Reader:           n.reports,
+		Router:           n.router,
+		Quarantine:       health.NewQuarantine(),
+		AwaitingSnapshot: func() bool { return false },
+		Publish:          n.outgoing.AddReport,
+		Followed:         func() {},
 	})
-	Expect(err).NotTo(HaveOccurred())
-	n.server = server
-	DeferCleanup(server.Stop)
 	return n
 }
 
+// published returns what was sent to the other nodes since the last call.
+func (n *reportingNode) published() []gossip.Report {
+	return n.outgoing.Drain(n.now, nil).Reports
+}
+
 // read reads once as the back end's reader does.
 func (n *reportingNode) read() {
-	Expect(n.server.readers.readOnce(context.Background(), "replica")).To(Succeed())
+	Expect(n.readers.readOnce(context.Background(), "replica")).To(Succeed())
 }
 
 // cachedTokens returns how many tokens of a chunk the router assumes to be cached.
 func (n *reportingNode) cachedTokens(id string) uint32 {
 	chunks := []prefixindex.Chunk{{ID: id, Tokens: 4000}}
-	decision, err := n.server.router.Select(kvrouter.Request{
+	decision, err := n.router.Select(kvrouter.Request{
 		Now: n.now, Model: "model", Chunks: chunks, Naming: kvrouter.ByID,
 		SaltFor: func(string) string { return "salt" }, Settings: kvrouter.DefaultSettings(),
 	}, []kvrouter.Candidate{{Address: "replica", Zone: "a"}})
@@ -108,7 +125,7 @@
 	It("are read in full by its reader at first, and sent to the others completely", func() {
 		n.read()
 		Expect(n.cachedTokens("oldest")).To(Equal(uint32(4000)), "its history does not go back so far")
-		reports := n.server.PendingUpdate().Reports
+		reports := n.published()
 		Expect(reports).To(HaveLen(1))
 		Expect(reports[0].Complete).To(BeTrue())
 		Expect(reports[0].Feed.Next).To(Equal(uint64(41)))
@@ -119,7 +136,7 @@
 		n.read()
 		n.read()
 		Expect(n.reports.takeFullReads()).To(HaveLen(1))
-		Expect(n.server.PendingUpdate().Reports[1].Feed.From).To(Equal(uint64(41)))
+		Expect(n.published()[1].Feed.From).To(Equal(uint64(41)))
 	})
 
 	It("are read in full again after a gap, but not at once a second time", func() {
@@ -137,13 +154,13 @@
 	})
 
 	It("are never read in full by a node that is not the reader, whatever that node has missed", func() {
-		n.server.readers.stabilization.done = true
-		n.server.options.Peers = func() []member.Info { return []member.Info{{ID: "reader", Zone: "a"}} }
+		n.readers.stabilization.done = true
+		n.readers.options.Peers = func() []member.Info { return []member.Info{{ID: "reader", Zone: "a"}} }
 		for range 20 {
 			n.now += time.Second
-			n.server.readers.follow(context.Background(), n.server.options.Source.View())
+			n.readers.Follow(context.Background(), n.readers.options.Source.View())
 		}
-		Expect(n.server.readers.running).To(BeEmpty())
+		Expect(n.readers.running).To(BeEmpty())
 		Expect(n.reports.takeFullReads()).To(BeEmpty(), "of a large fleet, each node would hold up each back end")
 	})
 
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -11,10 +11,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/reports"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/requestid"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/startupgate"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
@@ -41,10 +44,10 @@
 	stale        *health.StaleBackends
 	slowStart    *warmup.Limiter
 	feeds        *feeds.Manager
-	updates      *outgoingUpdates
-	snapshots    *snapshotExchange
-	readers      *reportReaders
-	startup      *startupGate
+	updates      *gossip.Outgoing
+	snapshots    *gossip.SnapshotExchange
+	readers      *reports.Readers
+	startup      *startupgate.Gate
 	chain        chain
 	listener     *listener.Listener
 	// recorder is nil if requests are not recorded.
@@ -87,15 +90,15 @@
 		quarantine: health.NewQuarantine(),
 		stale:      health.NewStaleBackends(),
 		slowStart:  warmup.New(options.Member),
-		updates:    newOutgoingUpdates(),
-		startup:    newStartupGate(),
+		updates:    gossip.NewOutgoing(),
+		startup:    startupgate.New(),
 		seed:       rand.Uint64(),
 		stopped:    make(chan struct{}),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
-	server.snapshots = newSnapshotExchange(options, server.router)
+	server.snapshots = gossip.NewSnapshotExchange(options.Member, options.Zone, server.router)
 	server.feeds = server.newFeeds()
-	server.readers = newReportReaders(server)
+	server.readers = server.newReaders()
 	if server.listener, err = listener.New(listener.Options{
 		Address: options.Address, DrainTimeout: options.DrainTimeout, Log: options.Log,
 	}, server); err != nil {
@@ -125,6 +128,23 @@
 	return feeds.New(options)
 }
 
+// newReaders returns the readers of reports that are read page by page.
+func (s *Server) newReaders() *reports.Readers {
+	return reports.New(reports.Options{
+		Member:           s.options.Member,
+		Peers:            s.options.Peers,
+		Source:           s.options.Source,
+		Clock:            s.options.Clock,
+		Interval:         s.options.ViewInterval,
+		Reader:           s.options.Edges.Reports,
+		Router:           s.router,
+		Quarantine:       s.quarantine,
+		AwaitingSnapshot: s.AwaitingSnapshot,
+		Publish:          s.publishReport,
+		Followed:         s.updateStartupGate,
+	})
+}
+
 // Start binds the address and serves until Drain or Stop. It returns nil after
 // these, and otherwise why it could not serve.
 func (s *Server) Start() error {
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -10,15 +10,19 @@
 	. "github.com/onsi/gomega"
 	"github.com/sirupsen/logrus"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
 var _ = Describe("What a node knows of cached chunks when it has started", func() {
 	const backend = "127.0.0.1:9000"
 	var now time.Duration
 	var live []member.Info
+	// reader is what the next node reads reports with.
+	var reader ReportReader
 
 	// newNode returns a server that runs nothing by itself.
 	newNode := func(id string) *Server {
@@ -31,6 +35,7 @@
 			Clock: func() time.Duration { return now },
 			Peers: func() []member.Info { return live },
 			Log:   logrus.NewEntry(log),
+			Edges: Edges{Reports: reader},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Stop)
@@ -54,22 +59,23 @@
 	}
 	// report tells a server of changes of the back end, from a number on.
 	report := func(server *Server, from, next uint64) {
-		page := ReportPage{Incarnation: 7, Next: next}
+		page := gossip.Report{Address: backend, Feed: kvrouter.FeedPosition{Incarnation: 7, From: from, Next: next}}
 		for sequence := from + 1; sequence <= next; sequence++ {
-			page.Changes = append(page.Changes, ChunkChange{Sequence: sequence, ID: fmt.Sprint("part ", sequence), Tokens: 100})
+			name := prefixindex.HashByID("", "", fmt.Sprint("part ", sequence))
+			page.Changes = append(page.Changes, gossip.Change{Sequence: sequence, Name: name, Tokens: 100})
 		}
-		server.applyReport(now, gossipReport(backend, from, page))
+		server.applyReport(now, page)
 	}
 	complete := func(server *Server) (int, kvrouter.FeedPosition) {
 		at, parts, _ := server.router.ChunksSnapshot(backend)
 		return len(parts), at
 	}
 
-	BeforeEach(func() { now, live = 0, nil })
+	BeforeEach(func() { now, live, reader = 0, nil, nil })
 
 	It("is what the others know, with the changes since", func() {
 		old := newNode("old")
-		Expect(old.snapshots.done(now)).To(BeFalse())
+		Expect(old.snapshots.Done(now)).To(BeFalse())
 		now = 10 * time.Second
 		report(old, 0, 5000)
 		started := newNode("started")
@@ -78,7 +84,7 @@
 		for range 20 {
 			deliver(started, old)
 		}
-		Expect(started.snapshots.done(now)).To(BeTrue())
+		Expect(started.snapshots.Done(now)).To(BeTrue())
 		parts, at := complete(started)
 		Expect(parts).To(Equal(5001))
 		Expect(at).To(Equal(kvrouter.FeedPosition{Incarnation: 7, Next: 5001}))
@@ -86,9 +92,9 @@
 
 	It("goes on from where it was read before, instead of from the beginning", func() {
 		old := newNode("old")
-		Expect(old.snapshots.done(now)).To(BeFalse())
+		Expect(old.snapshots.Done(now)).To(BeFalse())
 		now = 10 * time.Second
-		Expect(old.snapshots.done(now)).To(BeTrue())
+		Expect(old.snapshots.Done(now)).To(BeTrue())
 		report(old, 0, 50)
 		started := newNode("started")
 		for range 5 {
@@ -107,39 +113,59 @@
 		now = 1500 * time.Millisecond
 		Expect(deliver(servers...)).To(BeZero())
 		for _, server := range servers {
-			Expect(server.snapshots.done(now)).To(BeTrue())
+			Expect(server.snapshots.Done(now)).To(BeTrue())
 		}
 	})
 
 	It("is waited for before this node reads any report itself", func() {
+		readsSince := make(observedReads, 1)
 		newNode("silent")
+		reader = readsSince
 		started := newNode("started")
-		started.readers.reader = unreadable{}
 		view := &routing.View{Pools: map[string]*routing.Pool{"pool": {Replicas: []routing.Replica{{Address: backend, Zone: "a"}}}}}
 		live = []member.Info{live[1], {ID: live[0].ID, Zone: "b", TrafficAddress: "served"}}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		started.readers.follow(ctx, view)
-		now = stableFor
+		// follow looks at the view and the live nodes. What it begins to read says so.
+		follow := func(step string) {
+			started.readers.Follow(context.WithValue(ctx, followStep{}, step), view)
+		}
+		follow("as the nodes are not known")
+		now = 500 * time.Millisecond
 		Expect(started.SnapshotMessages(live)).To(HaveLen(1))
 		Expect(started.AwaitingSnapshot()).To(BeTrue())
-		started.readers.follow(ctx, view)
-		Expect(started.readers.running).To(BeEmpty())
+		follow("as the snapshot is waited for")
 		now += time.Second
-		started.readers.follow(ctx, view)
-		Expect(started.readers.running).To(HaveKey(backend))
+		follow("as it did not come")
+		Expect(<-readsSince).To(Equal("as it did not come"))
+	})
+
+	It("goes to the other nodes, where this node has read it itself", func() {
+		server := newNode("node")
+		page := gossip.Report{
+			Address: backend, Feed: kvrouter.FeedPosition{Incarnation: 7, Next: 1},
+			Changes: []gossip.Change{{Sequence: 1, Tokens: 100}},
+		}
+		server.publishReport(page)
+		Expect(server.PendingUpdate().Reports).To(ConsistOf(page))
 	})
 })
 
-// unreadable is a reader of reports that gets none.
-type unreadable struct{}
+// followStep is the key of a context's value which names the step that began a read.
+type followStep struct{}
 
-func (unreadable) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (ReportPage, error) {
-	<-ctx.Done()
-	return ReportPage{}, ctx.Err()
+// observedReads is a reader of reports that gets none. It says which step began a read.
+type observedReads chan any
+
+func (o observedReads) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (ReportPage, error) {
+	return o.List(ctx, "")
 }
 
-func (unreadable) List(ctx context.Context, _ string) (ReportPage, error) {
+func (o observedReads) List(ctx context.Context, _ string) (ReportPage, error) {
+	select {
+	case o <- ctx.Value(followStep{}):
+	default:
+	}
 	<-ctx.Done()
 	return ReportPage{}, ctx.Err()
 }
--- a/internal/dataplane/startup_gate_internal_test.go
+++ b/internal/dataplane/startupgate/gate_internal_test.go
@@ -1,4 +1,4 @@
-package dataplane
+package startupgate
 
 import (
 	"time"
@@ -18,40 +18,40 @@
 		return &routing.View{Pools: map[string]*routing.Pool{"pool": pool}}
 	}
 	var (
-		u        *startupGate
+		u        *Gate
 		complete map[string]bool
 		whole    = func(address string) bool { return complete[address] }
 	)
 	BeforeEach(func() {
-		u = newStartupGate()
+		u = New()
 		complete = make(map[string]bool)
 	})
 
 	It("delays prompts until the cached chunks of most replicas are known", func() {
 		view := listing("a", "b", "c", "d")
-		u.update(time.Hour, view, whole)
+		u.Update(time.Hour, view, whole)
 		complete["a"], complete["b"] = true, true
-		u.update(time.Hour, view, whole)
+		u.Update(time.Hour, view, whole)
 		Expect(u.opened).NotTo(BeClosed())
 		complete["c"] = true
-		u.update(time.Hour, view, whole)
+		u.Update(time.Hour, view, whole)
 		Expect(u.opened).To(BeClosed())
 	})
 
 	It("opens after its longest wait, which starts with the first pools", func() {
-		u.update(time.Minute, nil, whole)
-		u.update(time.Minute, &routing.View{}, whole)
-		u.update(time.Hour, listing(), whole)
-		u.update(time.Hour+maxStartupWait-1, listing("a"), whole)
+		u.Update(time.Minute, nil, whole)
+		u.Update(time.Minute, &routing.View{}, whole)
+		u.Update(time.Hour, listing(), whole)
+		u.Update(time.Hour+maxWait-1, listing("a"), whole)
 		Expect(u.opened).NotTo(BeClosed())
-		u.update(time.Hour+maxStartupWait, listing("a"), whole)
+		u.Update(time.Hour+maxWait, listing("a"), whole)
 		Expect(u.opened).To(BeClosed())
 	})
 
 	It("does not close again", func() {
 		complete["a"] = true
-		u.update(0, listing("a"), whole)
-		u.update(time.Hour, listing("b", "c"), whole)
+		u.Update(0, listing("a"), whole)
+		u.Update(time.Hour, listing("b", "c"), whole)
 		Expect(u.opened).To(BeClosed())
 	})
 })
