--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -2,22 +2,31 @@
 
 import (
 	"net/http"
-)
 
-// handler is one step of the chain. It refuses the exchange or calls next.
-type handler interface {
-	handle(e *exchange, next func())
-}
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/authenticator"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/bodyreader"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/duplicatechecker"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/headerlimiter"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/requestidentifier"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/requestparser"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/requestrecorder"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/routematcher"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/servingcheck"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/tenantlimiter"
+)
 
 // chain runs an exchange through its handlers in order.
-type chain []handler
+type chain []exchange.Handler
 
 // run starts the chain for an exchange.
-func (c chain) run(e *exchange) {
+func (c chain) run(e *exchange.Exchange) {
 	if len(c) == 0 {
 		return
 	}
-	c[0].handle(e, func() { c[1:].run(e) })
+	c[0].Handle(e, func() { c[1:].run(e) })
 }
 
 // newChain returns the handlers in their order. The check that the node may serve comes
@@ -25,37 +34,38 @@
 // acts on stale state. Only the request's identity comes first, so that every refusal
 // carries it.
 func (s *Server) newChain() chain {
-	steps := chain{
-		&requestIdentifier{ids: s.ids},
-		&servingCheck{source: s.options.Source},
-		headerLimiter{},
-		&authenticator{},
-		&routeMatcher{destinations: s.destinations, sampler: newDestinationSampler()},
-		&requestParser{},
+	clock := s.options.Clock
+	handlers := chain{
+		requestidentifier.New(s.ids),
+		servingcheck.New(s.options.Source),
+		headerlimiter.New(),
+		authenticator.New(),
+		routematcher.New(s.destinations),
+		requestparser.New(),
 	}
 	if s.recorder != nil {
-		steps = append(steps, &requestRecorder{recorder: s.recorder, clock: s.options.Clock, started: s.options.Clock()})
+		handlers = append(handlers, requestrecorder.New(s.recorder, clock))
 	}
-	bodies := &bodyReader{maxBytes: s.options.MaxBodyBytes}
-	steps = append(steps,
-		&deadlineSetter{fallback: s.options.RequestTimeout},
-		&tenantLimiter{limiter: s.limiter, bodies: bodies, clock: s.options.Clock},
+	bodies := bodyreader.New(s.options.MaxBodyBytes)
+	handlers = append(handlers,
+		deadline.New(s.options.RequestTimeout),
+		tenantlimiter.New(s.limiter, bodies, clock),
 		bodies,
-		&duplicateChecker{register: s.duplicates, clock: s.options.Clock},
+		duplicatechecker.New(s.duplicates, clock),
 	)
 	if s.options.Claims != nil {
-		steps = append(steps, &claimHandler{claims: s.options.Claims})
+		handlers = append(handlers, claimer.New(s.options.Claims))
 	}
-	return append(steps, s.newDispatcher())
+	return append(handlers, s.newDispatcher())
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	s.chain.run(&exchange{
-		edges:   &s.options.Edges,
-		writer:  writer,
-		request: request,
-		ctx:     request.Context(),
-		arrived: s.options.Clock(),
+	s.chain.run(&exchange.Exchange{
+		Edges:   &s.options.Edges,
+		Writer:  writer,
+		Request: request,
+		Context: request.Context(),
+		Arrived: s.options.Clock(),
 	})
 }
--- a/internal/dataplane/claiming/driver.go
+++ b/internal/dataplane/claiming/driver.go
@@ -15,7 +15,8 @@
 	"sync"
 	"time"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
 	"github.com/ridgeswitch/ridgeswitch/pkg/claims"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
@@ -36,7 +37,7 @@
 	Send func(to member.ID, message claims.Message)
 }
 
-// Driver implements dataplane.Claims. It may be used by many goroutines.
+// Driver implements claimer.Claims. It may be used by many goroutines.
 type Driver struct {
 	options Options
 	mutex   sync.Mutex
@@ -45,7 +46,7 @@
 	waiting map[claims.Number]chan claims.Outcome
 }
 
-var _ dataplane.Claims = (*Driver)(nil)
+var _ claimer.Claims = (*Driver)(nil)
 
 // New returns a driver whose homes start now.
 func New(options Options) *Driver {
@@ -64,18 +65,18 @@
 	d.machine.SetDirectory(sets)
 }
 
-// Claim implements dataplane.Claims.
-func (d *Driver) Claim(ctx context.Context, tenant, requestID string) (dataplane.Claim, error) {
+// Claim implements claimer.Claims.
+func (d *Driver) Claim(ctx context.Context, tenant, requestID string) (exchange.Claim, error) {
 	number, decided, err := d.begin(claims.KeyOf(tenant, requestID))
 	if err != nil {
-		return nil, dataplane.ErrClaimUndecided
+		return nil, claimer.ErrClaimUndecided
 	}
 	select {
 	case outcome := <-decided:
 		return d.result(number, outcome)
 	case <-ctx.Done():
 		d.end(number, false)
-		return nil, dataplane.ErrClaimUndecided
+		return nil, claimer.ErrClaimUndecided
 	}
 }
 
@@ -121,14 +122,14 @@
 }
 
 // result converts an outcome to the data plane's.
-func (d *Driver) result(number claims.Number, outcome claims.Outcome) (dataplane.Claim, error) {
+func (d *Driver) result(number claims.Number, outcome claims.Outcome) (exchange.Claim, error) {
 	switch outcome {
 	case claims.Acquired:
 		return &grantedClaim{driver: d, number: number}, nil
 	case claims.AlreadyClaimed:
-		return nil, dataplane.ErrAlreadyClaimed
+		return nil, claimer.ErrAlreadyClaimed
 	default:
-		return nil, dataplane.ErrClaimUndecided
+		return nil, claimer.ErrClaimUndecided
 	}
 }
 
@@ -163,14 +164,14 @@
 	number claims.Number
 }
 
-// Valid implements dataplane.Claim.
+// Valid implements exchange.Claim.
 func (c *grantedClaim) Valid() bool {
 	c.driver.mutex.Lock()
 	defer c.driver.mutex.Unlock()
 	return c.driver.machine.MayRun(c.driver.options.Clock(), c.number)
 }
 
-// End implements dataplane.Claim.
+// End implements exchange.Claim.
 func (c *grantedClaim) End(mayHaveRun bool) {
 	c.driver.end(c.number, mayHaveRun)
 }
--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -9,8 +9,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/claiming"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
 	"github.com/ridgeswitch/ridgeswitch/pkg/claims"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
@@ -50,7 +51,7 @@
 		clock.Store(int64(2 * claims.DefaultRetention))
 	})
 
-	claim := func(name member.ID) (dataplane.Claim, error) {
+	claim := func(name member.ID) (exchange.Claim, error) {
 		return drivers[name].Claim(context.Background(), "court", "r-1")
 	}
 
@@ -59,7 +60,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(granted.Valid()).To(BeTrue())
 		_, err = claim("b")
-		Expect(err).To(MatchError(dataplane.ErrAlreadyClaimed))
+		Expect(err).To(MatchError(claimer.ErrAlreadyClaimed))
 		granted.End(false)
 		_, err = claim("b")
 		Expect(err).NotTo(HaveOccurred())
@@ -83,7 +84,7 @@
 		<-dropped
 		clock.Add(int64(claims.DefaultDecisionTimeout))
 		drivers["a"].Tick()
-		Expect(<-failed).To(MatchError(dataplane.ErrClaimUndecided))
+		Expect(<-failed).To(MatchError(claimer.ErrClaimUndecided))
 	})
 
 	It("releases a claim that nobody waits for any more", func() {
@@ -91,7 +92,7 @@
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
 		_, err := drivers["a"].Claim(ctx, "court", "r-1")
-		Expect(err).To(MatchError(dataplane.ErrClaimUndecided))
+		Expect(err).To(MatchError(claimer.ErrClaimUndecided))
 		alone.Store(false)
 		_, err = claim("a")
 		Expect(err).NotTo(HaveOccurred())
@@ -100,6 +101,6 @@
 	It("is undecided without a directory", func() {
 		lost := claiming.New(claiming.Options{Clock: func() time.Duration { return 0 }})
 		_, err := lost.Claim(context.Background(), "court", "r-1")
-		Expect(err).To(MatchError(dataplane.ErrClaimUndecided))
+		Expect(err).To(MatchError(claimer.ErrClaimUndecided))
 	})
 })
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -9,6 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
@@ -22,7 +24,7 @@
 	ended      []bool
 }
 
-func (c *scriptedClaims) Claim(_ context.Context, tenant, requestID string) (dataplane.Claim, error) {
+func (c *scriptedClaims) Claim(_ context.Context, tenant, requestID string) (exchange.Claim, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.claimed = append(c.claimed, tenant+"/"+requestID)
@@ -81,7 +83,7 @@
 	})
 
 	It("is refused when another node has it", func() {
-		f, stand := newNode(&scriptedClaims{refusal: dataplane.ErrAlreadyClaimed}, respondWith("ok"))
+		f, stand := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusConflict))
 		Expect(got.problem.Kind).To(Equal(caller.KindDuplicateRequest))
@@ -91,7 +93,7 @@
 	})
 
 	It("is refused while the claim is undecided, and may be retried at the same node", func() {
-		decided := &scriptedClaims{refusal: dataplane.ErrClaimUndecided, validLooks: 10}
+		decided := &scriptedClaims{refusal: claimer.ErrClaimUndecided, validLooks: 10}
 		f, stand := newNode(decided, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -135,7 +137,7 @@
 	)
 
 	It("needs no claim if it may be repeated, or if the caller chose no identity", func() {
-		decided := &scriptedClaims{refusal: dataplane.ErrAlreadyClaimed}
+		decided := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
 		f, _ := newNode(decided, respondWith("ok"))
 		Expect(f.generate(named, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
--- a/internal/dataplane/dispatch.go
+++ b/internal/dataplane/dispatch.go
@@ -6,6 +6,11 @@
 	"net/http"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/authenticator"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/servingcheck"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
@@ -51,7 +56,7 @@
 
 // work is a request in the dispatcher.
 type work struct {
-	*exchange
+	*exchange.Exchange
 	tracker *attempts.Tracker
 	// tried holds the back ends of earlier attempts, of which there are few.
 	tried []string
@@ -80,13 +85,13 @@
 	return &dispatcher{server: s, pools: newPoolBackend(s), webs: newWebBackend(s)}
 }
 
-// handle implements handler.
-func (d *dispatcher) handle(e *exchange, _ func()) {
-	w := &work{exchange: e}
+// Handle implements exchange.Handler.
+func (d *dispatcher) Handle(e *exchange.Exchange, _ func()) {
+	w := &work{Exchange: e}
 	w.tracker = attempts.New(attempts.Options{
-		Idempotent:  e.parsed.Idempotent,
-		Resumable:   e.route.Config.GetResumable(),
-		MaxAttempts: e.maxAttempts(d.server.options.MaxAttempts),
+		Idempotent:  e.Parsed.Idempotent,
+		Resumable:   e.Route.Config.GetResumable(),
+		MaxAttempts: w.maxAttempts(d.server.options.MaxAttempts),
 		MaxUnsent:   d.server.options.MaxUnsent,
 	})
 	d.server.waitForStartup(w)
@@ -104,14 +109,14 @@
 // waitForStartup delays a prompt until the start-up gate is open. Where back ends push
 // their events there is no gate.
 func (s *Server) waitForStartup(w *work) {
-	if s.options.Edges.Reports != nil && w.destination.WebService == nil {
-		s.startup.Wait(w.ctx)
+	if s.options.Edges.Reports != nil && w.Destination.WebService == nil {
+		s.startup.Wait(w.Context)
 	}
 }
 
 // backend returns what runs the work's attempts.
 func (d *dispatcher) backend(w *work) backend {
-	if w.destination.WebService != nil {
+	if w.Destination.WebService != nil {
 		return d.webs
 	}
 	return d.pools
@@ -120,12 +125,12 @@
 // dispatch runs one attempt, or records why there can be none.
 func (d *dispatcher) dispatch(w *work, attempt int) {
 	chosen, callerError := d.choose(w)
-	if callerError == nil && w.ctx.Err() != nil {
+	if callerError == nil && w.Context.Err() != nil {
 		// It ended while the attempt was delayed.
 		d.release(chosen, false)
 		return
 	}
-	if callerError == nil && !w.counters.PermitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
+	if callerError == nil && !w.Counters.PermitAttempt(d.server.options.Clock(), w.tracker.Sent(), attempt) {
 		d.release(chosen, false)
 		callerError = budgetError(w.lastError).WithRetryAfter(d.server.options.BackendRetry)
 	}
@@ -134,7 +139,7 @@
 		w.apply(attempts.Event{Kind: attempts.AttemptsExhausted})
 		return
 	}
-	w.observer.attempt(attempt)
+	w.Observer.AttemptStarted(attempt)
 	w.tried = append(w.tried, chosen.address())
 	completed := false
 	defer func() { d.release(chosen, completed) }()
@@ -175,12 +180,12 @@
 	w.apply(attempts.Event{Kind: attempts.AttemptPlanned, Attempt: attempt, Address: chosen.address()})
 	w.apply(attempts.Event{Kind: attempts.ConnectStarted, Attempt: attempt})
 	w.health = d.server.health.Begin(d.server.options.Clock(), chosen.address(), health.Expectation{
-		Target:     w.route.TargetLatency(),
+		Target:     w.Route.TargetLatency(),
 		Delay:      chosen.expectedDelay(),
-		WebService: w.destination.WebService != nil,
+		WebService: w.Destination.WebService != nil,
 	})
 	defer w.health.End()
-	received, err := chosen.send(w.ctx, w, attempt)
+	received, err := chosen.send(w.Context, w, attempt)
 	if err != nil {
 		d.recordFailure(w, chosen, attempt, err)
 		return false
@@ -225,25 +230,25 @@
 // revalidate looks at the newest view again: a key may have been revoked, or the node may
 // have been partitioned, while the request waited.
 func (w *work) revalidate(server *Server) *caller.Error {
-	view, callerError := servingView(server.options.Source)
+	view, callerError := servingcheck.View(server.options.Source)
 	if callerError != nil {
 		return callerError
 	}
-	if !w.keyStillValid(view) {
-		return unauthorizedError()
+	if !authenticator.KeyStillValid(w.Exchange, view) {
+		return authenticator.UnauthorizedError()
 	}
 	if !w.claimValid() {
-		return claimError(ErrClaimUndecided)
+		return claimer.Refusal(claimer.ErrClaimUndecided)
 	}
 	return nil
 }
 
 // recordContextEnd records the end of the request's context.
 func (w *work) recordContextEnd() {
-	if w.ctx.Err() == nil {
+	if w.Context.Err() == nil {
 		return
 	}
-	if deadlinePassed(w.ctx) {
+	if deadline.Passed(w.Context) {
 		w.apply(attempts.Event{Kind: attempts.DeadlineExceeded})
 		return
 	}
@@ -257,3 +262,40 @@
 		panic(err)
 	}
 }
+
+// maxAttempts is the route's bound of attempts, or the default.
+func (w *work) maxAttempts(fallback int) int {
+	if limit := w.Route.Config.GetMaxAttempts(); limit > 0 {
+		return int(limit)
+	}
+	return fallback
+}
+
+// attempt describes an attempt on a back end, as far as it is the same for all kinds of
+// back ends.
+func (w *work) attempt(server *Server, address string, number int) Attempt {
+	described := Attempt{
+		Address:     address,
+		RequestID:   w.RequestID,
+		AttemptID:   server.ids.Next(),
+		Number:      number,
+		Priority:    w.View.Priority(w.Tenant, w.Route),
+		Idempotent:  w.Parsed.Idempotent,
+		Streamed:    w.Parsed.Streamed,
+		ResumeAfter: w.lastEventID,
+		Request:     w.Request,
+		Body:        w.Body,
+	}
+	if w.Tenant != nil {
+		described.Tenant = w.Tenant.Name
+	}
+	if deadline, bounded := w.Context.Deadline(); bounded {
+		described.Remaining = time.Until(deadline)
+	}
+	return described
+}
+
+// claimValid reports whether the request may still be sent to a back end.
+func (w *work) claimValid() bool {
+	return w.Claim == nil || w.Claim.Valid()
+}
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -40,7 +40,7 @@
 
 // maxWait is how long a request may wait at a full replica.
 func maxWait(w *work) time.Duration {
-	deadline, bounded := w.ctx.Deadline()
+	deadline, bounded := w.Context.Deadline()
 	if !bounded {
 		return 0
 	}
--- a/internal/dataplane/claims.go
+++ b/internal/dataplane/handlers/claimer/handler.go
@@ -1,4 +1,6 @@
-package dataplane
+// Package claimer claims requests that must not run twice, among all nodes, before anything
+// is sent.
+package claimer
 
 import (
 	"context"
@@ -6,6 +8,7 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
@@ -25,45 +28,41 @@
 	// Claim claims a tenant's request for this node. It takes no longer than the claim's
 	// own bound, and ends with ctx. The errors are ErrAlreadyClaimed and
 	// ErrClaimUndecided; after an error nothing needs to be released.
-	Claim(ctx context.Context, tenant, requestID string) (Claim, error)
+	Claim(ctx context.Context, tenant, requestID string) (exchange.Claim, error)
 }
 
-// Claim is the exclusive right of this node to run a request.
-type Claim interface {
-	// Valid reports whether the claim is still valid. A node that was frozen or
-	// partitioned for long has lost it.
-	Valid() bool
-	// End releases the claim. It is remembered for a while if the request may have run.
-	End(mayHaveRun bool)
+// Handler claims requests.
+type Handler struct {
+	claims Claims
 }
 
-// claimHandler claims requests that must not run twice before anything is sent.
-type claimHandler struct {
-	claims Claims
+// New returns the handler over the claims of a node.
+func New(claims Claims) *Handler {
+	return &Handler{claims: claims}
 }
 
-// handle implements handler. Identities made by the node are unique, and an idempotent
-// request needs no claim.
-func (s *claimHandler) handle(e *exchange, next func()) {
-	if e.tenant == nil || e.parsed.ID == "" || e.parsed.Idempotent {
+// Handle implements exchange.Handler. Identities made by the node are unique, and an
+// idempotent request needs no claim.
+func (h *Handler) Handle(e *exchange.Exchange, next func()) {
+	if e.Tenant == nil || e.Parsed.ID == "" || e.Parsed.Idempotent {
 		next()
 		return
 	}
-	claim, err := s.claims.Claim(e.ctx, e.tenant.Name, e.parsed.ID)
+	claim, err := h.claims.Claim(e.Context, e.Tenant.Name, e.Parsed.ID)
 	if err != nil {
-		e.notRunHere = true
-		e.refuse(claimError(err))
+		e.NotRunHere = true
+		e.Refuse(Refusal(err))
 		return
 	}
-	e.claim = claim
+	e.Claim = claim
 	// The dispatcher panics where a response is truncated.
-	defer func() { claim.End(!e.certainlyNotRun) }()
+	defer func() { claim.End(!e.CertainlyNotRun) }()
 	next()
 }
 
-// claimError returns why a request could not be claimed. Either way it is unknown whether
+// Refusal returns why a request could not be claimed. Either way it is unknown whether
 // another submission of it has run.
-func claimError(err error) *caller.Error {
+func Refusal(err error) *caller.Error {
 	if errors.Is(err, ErrAlreadyClaimed) {
 		callerError := caller.NewError(caller.KindDuplicateRequest,
 			"a request with this %s is running or has ended on another node: send a new one under a new identity", caller.HeaderRequestID)
@@ -77,8 +76,3 @@
 	callerError.RetryIsSafe = true
 	return callerError
 }
-
-// claimValid reports whether the request may still be sent to a back end.
-func (w *work) claimValid() bool {
-	return w.claim == nil || w.claim.Valid()
-}
--- a/internal/dataplane/deadline.go
+++ b/internal/dataplane/handlers/deadline/handler.go
@@ -1,4 +1,6 @@
-package dataplane
+// Package deadline bounds the time of a request by the shorter of the caller's deadline and
+// the time-out of the route or destination.
+package deadline
 
 import (
 	"context"
@@ -7,35 +9,41 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// errDeadline is the cause of a context that ends with the request's deadline.
-var errDeadline = errors.New("the request's deadline has passed")
+// errPassed is the cause of a context that ends with the request's deadline.
+var errPassed = errors.New("the request's deadline has passed")
 
 // writeGrace is how long after the deadline the last bytes of a response may be written.
 const writeGrace = time.Second
 
-// deadlineSetter applies the shorter of the caller's deadline and the time-out of the
-// route or destination to the handlers that follow.
-type deadlineSetter struct {
+// Handler sets the deadline of requests, for the handlers that follow.
+type Handler struct {
 	fallback time.Duration
 }
 
-// handle implements handler.
-func (s *deadlineSetter) handle(e *exchange, next func()) {
-	limit := e.route.Timeout()
+// New returns the handler. The fallback is the time-out of requests to a destination
+// without one.
+func New(fallback time.Duration) *Handler {
+	return &Handler{fallback: fallback}
+}
+
+// Handle implements exchange.Handler.
+func (h *Handler) Handle(e *exchange.Exchange, next func()) {
+	limit := e.Route.Timeout()
 	if limit == 0 {
-		limit = destinationTimeout(e.destination, s.fallback)
+		limit = destinationTimeout(e.Destination, h.fallback)
 	}
-	if e.parsed.Deadline > 0 {
-		limit = min(limit, e.parsed.Deadline)
+	if e.Parsed.Deadline > 0 {
+		limit = min(limit, e.Parsed.Deadline)
 	}
-	ctx, cancel := context.WithTimeoutCause(e.ctx, limit, errDeadline)
+	ctx, cancel := context.WithTimeoutCause(e.Context, limit, errPassed)
 	defer cancel()
-	e.ctx = ctx
-	controller := http.NewResponseController(e.writer)
+	e.Context = ctx
+	controller := http.NewResponseController(e.Writer)
 	// A writer that has no deadlines, as in tests, is bounded by the context
 	// alone.
 	_ = controller.SetWriteDeadline(time.Now().Add(limit + writeGrace))
@@ -57,24 +65,15 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// deadlinePassed reports whether a context has ended with the request's deadline. Any
+// Passed reports whether a context has ended with the request's deadline. Any
 // other end means that the caller has disconnected.
-func deadlinePassed(ctx context.Context) bool {
-	return errors.Is(context.Cause(ctx), errDeadline)
+func Passed(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), errPassed)
 }
 
-// deadlineError reports that the request's deadline has passed. The request has not run,
+// Error reports that the request's deadline has passed. The request has not run,
 // unless the caller of this function sets MayHaveRun.
-func deadlineError() *caller.Error {
+func Error() *caller.Error {
 	return caller.NewError(caller.KindDeadlineExceeded,
 		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).WithRetryAfter(time.Second)
 }
-
-// asCallerError returns the *caller.Error that an error wraps, or an internal one.
-func asCallerError(err error) *caller.Error {
-	var found *caller.Error
-	if errors.As(err, &found) {
-		return found
-	}
-	return caller.NewError(caller.KindInternal, "the node failed: %v", err)
-}
--- a/internal/dataplane/destination_sampler.go
+++ b/internal/dataplane/handlers/routematcher/sampler.go
@@ -1,4 +1,4 @@
-package dataplane
+package routematcher
 
 import (
 	"math/rand/v2"
--- a/internal/dataplane/tenant_limiter.go
+++ b/internal/dataplane/handlers/tenantlimiter/limiter.go
@@ -1,19 +1,19 @@
-package dataplane
+package tenantlimiter
 
 import (
-	"cmp"
 	"context"
 	"sync"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 )
 
-// limiter makes the admission controller usable by many goroutines, which wait in it for
+// Limiter makes the admission controller usable by many goroutines, which wait in it for
 // their grant.
-type limiter struct {
+type Limiter struct {
 	clock      func() time.Duration
 	mutex      sync.Mutex
 	controller *admission.Controller
@@ -22,9 +22,9 @@
 	waiting map[admission.Ticket]chan struct{}
 }
 
-// newLimiter returns a limiter of a node without requests.
-func newLimiter(clock func() time.Duration, node admission.Options) *limiter {
-	return &limiter{
+// NewLimiter returns the limiter of a node without requests.
+func NewLimiter(clock func() time.Duration, node admission.Options) *Limiter {
+	return &Limiter{
 		clock:      clock,
 		controller: admission.New(node),
 		waiting:    make(map[admission.Ticket]chan struct{}),
@@ -34,7 +34,7 @@
 // acquire admits a request, which may wait in the tenant's queue, or returns why not. The
 // caller must release the ticket of an admitted request. For a request that waits
 // onQueued is called first, and the wait ends when the channel that it returns is closed.
-func (l *limiter) acquire(ctx context.Context, arrival admission.Arrival, onQueued func() <-chan struct{}) (admission.Ticket, *caller.Error) {
+func (l *Limiter) acquire(ctx context.Context, arrival admission.Arrival, onQueued func() <-chan struct{}) (admission.Ticket, *caller.Error) {
 	decision, granted := l.arrive(arrival)
 	switch decision.Outcome {
 	case admission.Admitted:
@@ -66,7 +66,7 @@
 
 // arrive passes a request to the controller. The channel is nil unless the request is
 // queued.
-func (l *limiter) arrive(arrival admission.Arrival) (admission.Decision, chan struct{}) {
+func (l *Limiter) arrive(arrival admission.Arrival) (admission.Decision, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	decision := l.controller.Arrive(l.clock(), arrival)
@@ -79,7 +79,7 @@
 }
 
 // wait blocks until a queued request is granted or has waited long enough.
-func (l *limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Error {
+func (l *Limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Error {
 	timer := time.NewTimer(max(decision.Until-l.clock(), 0))
 	defer timer.Stop()
 	select {
@@ -97,7 +97,7 @@
 }
 
 // abandon ends the wait of a request. It returns false if the request was granted.
-func (l *limiter) abandon(tenant string, ticket admission.Ticket) bool {
+func (l *Limiter) abandon(tenant string, ticket admission.Ticket) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, found := l.waiting[ticket]; !found {
@@ -110,7 +110,7 @@
 
 // release frees the slot of an admitted request, and wakes the requests that are granted
 // by it.
-func (l *limiter) release(ended admission.Ticket) {
+func (l *Limiter) release(ended admission.Ticket) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, ticket := range l.controller.Release(l.clock(), ended) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// retain forgets idle tenants that a view does not have.
-func (l *limiter) retain(view *routing.View) {
+// Retain forgets idle tenants that a view does not have.
+func (l *Limiter) Retain(view *routing.View) {
 	names := make(map[string]bool, len(view.Tenants))
 	for _, tenant := range view.Tenants {
 		names[tenant.Name] = true
@@ -133,75 +133,18 @@
 	l.controller.Retain(func(tenant string) bool { return names[tenant] })
 }
 
+// Waiting returns how many requests are queued now.
+func (l *Limiter) Waiting() int {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return len(l.waiting)
+}
+
 // queueTimeoutError is the refusal of a request that was not granted in time.
 func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
-	if deadlinePassed(ctx) {
-		return deadlineError()
+	if deadline.Passed(ctx) {
+		return deadline.Error()
 	}
 	return caller.NewError(caller.KindQueueTimeout,
 		"no place became free for tenant %q in time: send fewer requests at a time", tenant).WithRetryAfter(time.Second)
 }
-
-// admissionLimits returns a tenant's limits as admission reads them.
-func admissionLimits(tenant *routing.Tenant) admission.Limits {
-	limits := tenant.Limits
-	return admission.Limits{
-		RequestsPerSecond: limits.GetRequestsPerSecond(),
-		Burst:             limits.GetBurst(),
-		Concurrent:        limits.GetConcurrentRequests(),
-		Queued:            limits.GetQueuedRequests(),
-		QueueTimeout:      time.Duration(limits.GetQueueTimeoutMs()) * time.Millisecond,
-	}
-}
-
-// publicTenant is the tenant of requests without a key. No configured tenant has this
-// name.
-const publicTenant = ""
-
-// tenantLimiter enforces the limits of each tenant, and those of the node.
-type tenantLimiter struct {
-	limiter *limiter
-	bodies  *bodyReader
-	clock   func() time.Duration
-}
-
-// handle implements handler.
-func (t *tenantLimiter) handle(e *exchange, next func()) {
-	ticket, callerError := t.limiter.acquire(e.ctx, t.arrival(e), func() <-chan struct{} { return t.readBodyWhileQueued(e) })
-	if callerError != nil {
-		e.refuse(cmp.Or(e.bodyReadError(), callerError))
-		return
-	}
-	defer t.limiter.release(ticket)
-	next()
-}
-
-// readBodyWhileQueued reads the body of a request that waits. The channel is closed when
-// that fails: the caller has disconnected, or its body is refused.
-func (t *tenantLimiter) readBodyWhileQueued(e *exchange) <-chan struct{} {
-	if !e.hasBody() {
-		return nil
-	}
-	failed := make(chan struct{})
-	e.pending = newPendingBody()
-	go func() {
-		t.bodies.readPending(e)
-		if e.pending.callerError != nil {
-			close(failed)
-		}
-	}()
-	return failed
-}
-
-// arrival describes a request to admission.
-func (t *tenantLimiter) arrival(e *exchange) admission.Arrival {
-	arrival := admission.Arrival{Tenant: publicTenant}
-	if e.tenant != nil {
-		arrival.Tenant = e.tenant.Name
-		arrival.Limits = admissionLimits(e.tenant)
-	}
-	if deadline, bounded := e.ctx.Deadline(); bounded {
-		arrival.Deadline = t.clock() + time.Until(deadline)
-	}
-	return arrival
-}
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -6,6 +6,7 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
@@ -94,7 +95,7 @@
 	RetryBudget retrybudget.Options
 	// Claims decide among all nodes which of them runs a request that must not run twice;
 	// nil leaves that to this node's own register.
-	Claims Claims
+	Claims claimer.Claims
 	// MaxBodyBytes bounds a caller's body.
 	MaxBodyBytes int64
 	// MaxResponseBytes bounds a response that is buffered before any of it is relayed,
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/outcome.go
@@ -7,6 +7,7 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
@@ -46,7 +47,7 @@
 		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
-	if unsent != nil && deadlinePassed(w.ctx) {
+	if unsent != nil && deadline.Passed(w.Context) {
 		d.server.health.RecordMissedDeadline(d.server.options.Clock(), chosen.address())
 	}
 	d.recordLoss(w, attempt, err)
@@ -91,7 +92,7 @@
 // countUnlessCancelled counts an outcome against the back end of an attempt, unless this
 // node has cancelled the attempt.
 func (d *dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
-	if w.ctx.Err() == nil {
+	if w.Context.Err() == nil {
 		w.health.Failed(d.server.options.Clock(), outcome)
 	}
 }
@@ -117,24 +118,24 @@
 func (d *dispatcher) respond(w *work, action attempts.Action) {
 	switch action.Kind {
 	case attempts.Relay:
-		w.counters.CountCompleted()
+		w.Counters.CountCompleted()
 		w.writeBuffered()
 	case attempts.AbortRelay:
 		d.abortRelay(w)
 	case attempts.RespondNotRun:
-		w.refuse(w.finalError())
+		w.Refuse(w.finalError())
 	case attempts.RespondUnknown:
 		callerError := w.finalError()
 		callerError.Kind = caller.KindOutcomeUnknown
-		w.refuse(callerError)
+		w.Refuse(callerError)
 	case attempts.RespondDeadline:
-		callerError := deadlineError()
+		callerError := deadline.Error()
 		callerError.MayHaveRun = w.tracker.MayHaveRun()
-		w.refuse(callerError)
+		w.Refuse(callerError)
 	case attempts.Abandon:
-		w.counters.CountAbandoned()
-		w.failed = true
-		w.certainlyNotRun = !w.tracker.MayHaveRun()
+		w.Counters.CountAbandoned()
+		w.Failed = true
+		w.CertainlyNotRun = !w.tracker.MayHaveRun()
 		panic(http.ErrAbortHandler)
 	default:
 		panic(fmt.Sprintf("the tracker asks for %s although no attempt is running", action.Kind))
--- a/internal/dataplane/pool_backend.go
+++ b/internal/dataplane/pool_backend.go
@@ -43,7 +43,7 @@
 // take requests.
 func (b *poolBackend) choose(w *work) (target, *caller.Error) {
 	pool := b.newestPool(w)
-	if pool == nil || pool.Config.GetModel() != w.destination.Pool.Config.GetModel() {
+	if pool == nil || pool.Config.GetModel() != w.Destination.Pool.Config.GetModel() {
 		return nil, noReplicaError(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, b.server.options.BackendRetry)
 	}
 	now := b.server.options.Clock()
@@ -88,7 +88,7 @@
 		return nil
 	}
 	b.server.health.Follow(view)
-	return view.Pools[w.destination.Pool.Config.GetName()]
+	return view.Pools[w.Destination.Pool.Config.GetName()]
 }
 
 // selection returns the router's request for the work.
@@ -97,12 +97,12 @@
 	return kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Chunks:       w.parsed.Chunks,
+		Chunks:       w.Parsed.Chunks,
 		Naming:       b.naming(),
-		OutputTokens: w.parsed.OutputTokens,
+		OutputTokens: w.Parsed.OutputTokens,
 		Engine:       engineProfile(pool),
-		Priority:     uint8(w.view.Priority(w.tenant, w.route)),
-		BodyBytes:    len(w.body),
+		Priority:     uint8(w.View.Priority(w.Tenant, w.Route)),
+		BodyBytes:    len(w.Body),
 		Zone:         b.server.options.Zone,
 		MaxWait:      maxWait(w),
 		SlowStartAllowed: func(address string) bool {
@@ -143,14 +143,14 @@
 // may have gone up while the request waited.
 func (w *work) sharingDomain(view *routing.View) string {
 	if view != nil {
-		if tenant := view.Tenants[w.keyDigest]; tenant != nil {
+		if tenant := view.Tenants[w.KeyDigest]; tenant != nil {
 			return tenant.SharingDomain
 		}
 	}
-	if w.tenant == nil {
+	if w.Tenant == nil {
 		return anonymousDomain
 	}
-	return w.tenant.SharingDomain
+	return w.Tenant.SharingDomain
 }
 
 // anonymousDomain is the sharing domain of requests without a key.
@@ -190,7 +190,7 @@
 			return
 		}
 		select {
-		case <-w.ctx.Done():
+		case <-w.Context.Done():
 			return
 		case <-timer.C:
 			return
@@ -239,16 +239,16 @@
 func (t *replicaTarget) attempt(w *work, number int) Attempt {
 	described := w.attempt(t.backend.server, t.decision.Address, number)
 	described.Generation = &Generation{
-		Model:         w.destination.Pool.Config.GetModel(),
+		Model:         w.Destination.Pool.Config.GetModel(),
 		WeightVersion: t.decision.WeightVersion,
 		CacheSalt:     t.decision.CacheSalt,
-		Chunks:        w.parsed.Chunks,
-		OutputTokens:  w.parsed.OutputTokens,
+		Chunks:        w.Parsed.Chunks,
+		OutputTokens:  w.Parsed.OutputTokens,
 		Pull:          t.pull(w),
 	}
 	described.Instance = t.decision.Instance
 	if t.decision.Save {
-		described.Generation.SaveTo = w.destination.Pool.Store.GetAddress()
+		described.Generation.SaveTo = w.Destination.Pool.Store.GetAddress()
 	}
 	t.backend.announceDispatch(described)
 	return described
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/relay.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"strconv"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
@@ -35,9 +36,9 @@
 		w.relaying = true
 		w.writeHeader(received.Status(), received.Header())
 	}
-	controller := http.NewResponseController(w.writer)
+	controller := http.NewResponseController(w.Writer)
 	for err == nil {
-		if _, writeError := w.writer.Write(chunk); writeError != nil {
+		if _, writeError := w.Writer.Write(chunk); writeError != nil {
 			return &callerGoneError{cause: writeError}
 		}
 		if flushError := controller.Flush(); flushError != nil {
@@ -62,9 +63,9 @@
 // with an error event where the response is a stream of events, and then by aborting the
 // connection.
 func (d *dispatcher) abortRelay(w *work) {
-	w.failed = true
+	w.Failed = true
 	w.countAbort()
-	if w.writer.Header().Get("Content-Type") == caller.StreamType {
+	if w.Writer.Header().Get("Content-Type") == caller.StreamType {
 		w.writeErrorEvent()
 	}
 	panic(http.ErrAbortHandler)
@@ -73,32 +74,32 @@
 // writeErrorEvent reports the truncation inside the stream, where the protocol has an
 // event for that.
 func (w *work) writeErrorEvent() {
-	event := w.edges.Callers.ErrorEvent(w.truncationError())
+	event := w.Edges.Callers.ErrorEvent(w.truncationError())
 	if len(event) == 0 {
 		return
 	}
-	_, _ = w.writer.Write(event)
-	_ = http.NewResponseController(w.writer).Flush()
+	_, _ = w.Writer.Write(event)
+	_ = http.NewResponseController(w.Writer).Flush()
 }
 
 // countAbort counts a truncated response, or one whose caller has disconnected.
 func (w *work) countAbort() {
 	if w.tracker.CallerDisconnected() {
-		w.counters.CountAbandoned()
+		w.Counters.CountAbandoned()
 		return
 	}
-	w.counters.CountTruncated()
+	w.Counters.CountTruncated()
 }
 
 // truncationError reports a truncated response.
 func (w *work) truncationError() *caller.Error {
 	callerError := w.finalError()
 	callerError.Kind = caller.KindResponseTruncated
-	if deadlinePassed(w.ctx) {
-		callerError = deadlineError()
+	if deadline.Passed(w.Context) {
+		callerError = deadline.Error()
 	}
 	callerError.MayHaveRun = true
-	callerError.RequestID = w.requestID
+	callerError.RequestID = w.RequestID
 	return callerError
 }
 
@@ -109,11 +110,11 @@
 		return
 	}
 	header := w.buffered.header
-	if w.request.Method != http.MethodHead && permitsBody(w.buffered.status) {
+	if w.Request.Method != http.MethodHead && permitsBody(w.buffered.status) {
 		header.Set("Content-Length", strconv.Itoa(len(w.buffered.body)))
 	}
 	w.writeHeader(w.buffered.status, header)
-	_, _ = w.writer.Write(w.buffered.body)
+	_, _ = w.Writer.Write(w.buffered.body)
 }
 
 // permitsBody reports whether a response with a status may have a body.
@@ -123,11 +124,11 @@
 
 // writeHeader writes the status line and header of a response.
 func (w *work) writeHeader(status int, header http.Header) {
-	w.observer.responseStarted(status, header)
-	target := w.writer.Header()
+	w.Observer.ResponseStarted(status, header)
+	target := w.Writer.Header()
 	for name, values := range header {
 		target[name] = values
 	}
-	w.edges.Callers.CompleteHeader(target, w.requestID)
-	w.writer.WriteHeader(status)
+	w.Edges.Callers.CompleteHeader(target, w.RequestID)
+	w.Writer.WriteHeader(status)
 }
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -12,6 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/tenantlimiter"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
@@ -36,7 +37,7 @@
 	router       *kvrouter.Router
 	ids          *requestid.Generator
 	destinations *destinations.Set
-	limiter      *limiter
+	limiter      *tenantlimiter.Limiter
 	duplicates   *duplicates.Register
 	inFlight     *inFlight
 	health       *health.Tracker
@@ -81,7 +82,7 @@
 		router:       kvrouter.New(options.Router),
 		ids:          ids,
 		destinations: destinations.New(options.RetryBudget),
-		limiter:      newLimiter(options.Clock, options.Admission),
+		limiter:      tenantlimiter.NewLimiter(options.Clock, options.Admission),
 		duplicates:   duplicates.New(options.RememberedRequests, options.RememberFor),
 		inFlight:     newInFlight(),
 		health: health.New(health.Options{
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/web_backend.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	b.server.health.Follow(view)
-	return view.WebServices[w.destination.WebService.Config.GetName()]
+	return view.WebServices[w.Destination.WebService.Config.GetName()]
 }
 
 // fewestInFlight returns the admitting back end with the fewest attempts.
