--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -56,7 +56,7 @@
 	if s.options.Claims != nil {
 		handlers = append(handlers, claimer.New(s.options.Claims))
 	}
-	return append(handlers, s.newDispatcher())
+	return append(handlers, s.dispatcher)
 }
 
 // ServeHTTP implements http.Handler.
--- a/internal/dataplane/in_flight.go
+++ b/internal/dataplane/dispatch/in_flight.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatch
 
 import "sync"
 
--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatch
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 }
 
 // recordFailure records the end of an attempt without a response.
-func (d *dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
+func (d *Dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
 	var unsent *outbound.Error
 	if errors.As(err, &unsent) && !unsent.MayHaveBeenSent {
 		w.lastError = d.unsentError(w, unsent)
@@ -35,28 +35,28 @@
 	}
 	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
 	if unsent == nil {
-		d.server.health.RecordResponse(chosen.address())
+		d.options.Health.RecordResponse(chosen.address())
 	}
 	var refusal *outbound.RefusedError
 	if errors.As(err, &refusal) {
 		chosen.handleRefusal(refusal)
 		if !refusal.WrongTarget && chosen.hasSpareCapacity() {
-			w.health.Failed(d.server.options.Clock(), outlier.Refused)
+			w.health.Failed(d.options.Clock(), outlier.Refused)
 		}
-		w.lastError = refusedError(refusal, d.server.options.BackendRetry)
+		w.lastError = refusedError(refusal, d.options.BackendRetry)
 		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
 	if unsent != nil && deadline.Passed(w.Context) {
-		d.server.health.RecordMissedDeadline(d.server.options.Clock(), chosen.address())
+		d.options.Health.RecordMissedDeadline(d.options.Clock(), chosen.address())
 	}
 	d.recordLoss(w, attempt, err)
 }
 
 // unsentError returns why nothing was sent, and counts it against the back end unless it
 // is a limit of this node.
-func (d *dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
-	wait := d.server.options.BackendRetry
+func (d *Dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
+	wait := d.options.BackendRetry
 	var spent *outbound.ConnectionLimitError
 	if errors.As(unsent, &spent) {
 		return caller.NewError(caller.KindBackendsBusy,
@@ -68,7 +68,7 @@
 }
 
 // recordLoss records that the outcome of an attempt which was sent is not known.
-func (d *dispatcher) recordLoss(w *work, attempt int, err error) {
+func (d *Dispatcher) recordLoss(w *work, attempt int, err error) {
 	var failed *outbound.FailedResponseError
 	var gone *callerGoneError
 	var otherWeights *versionMismatchError
@@ -80,7 +80,7 @@
 		d.countUnlessCancelled(w, outlier.Errored)
 	case errors.As(err, &otherWeights):
 		// This is no fault of the back end, and temporary.
-		d.server.health.Suspect(d.server.options.Clock(), w.health.Address)
+		d.options.Health.Suspect(d.options.Clock(), w.health.Address)
 	default:
 		d.countUnlessCancelled(w, outlier.Reset)
 	}
@@ -91,9 +91,9 @@
 
 // countUnlessCancelled counts an outcome against the back end of an attempt, unless this
 // node has cancelled the attempt.
-func (d *dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
+func (d *Dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
 	if w.Context.Err() == nil {
-		w.health.Failed(d.server.options.Clock(), outcome)
+		w.health.Failed(d.options.Clock(), outcome)
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 // respond performs the final action that the tracker asks for.
-func (d *dispatcher) respond(w *work, action attempts.Action) {
+func (d *Dispatcher) respond(w *work, action attempts.Action) {
 	switch action.Kind {
 	case attempts.Relay:
 		w.Counters.CountCompleted()
--- a/internal/dataplane/relay.go
+++ b/internal/dataplane/dispatch/relay.go
@@ -1,10 +1,11 @@
-package dataplane
+package dispatch
 
 import (
 	"io"
 	"net/http"
 	"strconv"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
@@ -30,7 +31,7 @@
 // relay relays a response as it arrives, beginning with the chunk that has been read, or
 // with err instead of one. A streamed response gets its status line only here, once its
 // first chunk or its end has arrived, so that an earlier loss can still be retried.
-func (d *dispatcher) relay(w *work, attempt int, received Response, chunk []byte, err error) error {
+func (d *Dispatcher) relay(w *work, attempt int, received edges.Response, chunk []byte, err error) error {
 	w.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
 	if !w.relaying {
 		w.relaying = true
@@ -62,7 +63,7 @@
 // abortRelay ends a truncated response so that nobody mistakes it for a complete one:
 // with an error event where the response is a stream of events, and then by aborting the
 // connection.
-func (d *dispatcher) abortRelay(w *work) {
+func (d *Dispatcher) abortRelay(w *work) {
 	w.Failed = true
 	w.countAbort()
 	if w.Writer.Header().Get("Content-Type") == caller.StreamType {
--- a/internal/dataplane/web_backend.go
+++ b/internal/dataplane/dispatch/web_backend.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatch
 
 import (
 	"context"
@@ -6,6 +6,7 @@
 	"time"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
@@ -14,15 +15,15 @@
 
 // webBackend runs attempts on the back ends of web services.
 type webBackend struct {
-	server *Server
-	edge   BackendEdge
+	options  *Options
+	inFlight *inFlight
 	// rotation rotates the choice among equally loaded back ends.
 	rotation atomic.Uint64
 }
 
 // newWebBackend returns the backend of all web services.
-func newWebBackend(server *Server) *webBackend {
-	return &webBackend{server: server, edge: server.options.Edges.WebServices}
+func newWebBackend(options *Options, running *inFlight) *webBackend {
+	return &webBackend{options: options, inFlight: running}
 }
 
 // webTarget is a back end chosen for one attempt.
@@ -37,14 +38,14 @@
 func (b *webBackend) choose(w *work) (target, *caller.Error) {
 	service := b.newestService(w)
 	if service == nil {
-		return nil, noWebBackendError().WithRetryAfter(b.server.options.BackendRetry)
+		return nil, noWebBackendError().WithRetryAfter(b.options.BackendRetry)
 	}
-	now := b.server.options.Clock()
+	now := b.options.Clock()
 	var chosen routing.Replica
 	found := false
-	b.server.health.Choose(now, w.tried, w.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
+	b.options.Health.Choose(now, w.tried, w.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
 		chosen, found = b.fewestInFlight(service, func(candidate routing.Replica) bool {
-			return b.server.stale.Contains(now, candidate) || b.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
+			return b.options.Stale.Contains(now, candidate) || b.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
 		})
 		if !found {
 			return health.NoneLeft
@@ -52,7 +53,7 @@
 		return health.Found
 	})
 	if !found {
-		return nil, noWebBackendError().WithRetryAfter(b.server.options.BackendRetry)
+		return nil, noWebBackendError().WithRetryAfter(b.options.BackendRetry)
 	}
 	return &webTarget{backend: b, chosen: chosen, limits: service.Config.GetBackends()}, nil
 }
@@ -60,17 +61,17 @@
 // slowStartExhausted reports whether a back end is in slow start and takes no more
 // requests now.
 func (b *webBackend) slowStartExhausted(now time.Duration, service *routing.WebService, candidate routing.Replica) bool {
-	return now < candidate.SlowStartUntil && !b.server.slowStart.Allowed(now, service.Config.GetBackends(), candidate.Address)
+	return now < candidate.SlowStartUntil && !b.options.SlowStart.Allowed(now, service.Config.GetBackends(), candidate.Address)
 }
 
 // newestService returns the work's service in the newest view, or nil if it is gone. It
 // makes the back ends of that view known to the health tracker first.
 func (b *webBackend) newestService(w *work) *routing.WebService {
-	view := b.server.options.Source.View()
+	view := b.options.Source.View()
 	if view == nil {
 		return nil
 	}
-	b.server.health.Follow(view)
+	b.options.Health.Follow(view)
 	return view.WebServices[w.Destination.WebService.Config.GetName()]
 }
 
@@ -84,7 +85,7 @@
 		if !candidate.Admitting || exclude(candidate) {
 			continue
 		}
-		count := b.server.inFlight.count(candidate.Address)
+		count := b.inFlight.count(candidate.Address)
 		if !found || count < bestCount {
 			best, bestCount, found = candidate, count, true
 		}
@@ -122,15 +123,15 @@
 
 // tryAcquireSlowStart implements target.
 func (t *webTarget) tryAcquireSlowStart() bool {
-	server := t.backend.server
-	return server.slowStart.TryAcquire(server.options.Clock(), t.limits, t.chosen.Address, t.chosen.SlowStartUntil)
+	options := t.backend.options
+	return options.SlowStart.TryAcquire(options.Clock(), t.limits, t.chosen.Address, t.chosen.SlowStartUntil)
 }
 
 // send implements target.
-func (t *webTarget) send(ctx context.Context, w *work, attempt int) (Response, error) {
-	described := w.attempt(t.backend.server, t.chosen.Address, attempt)
+func (t *webTarget) send(ctx context.Context, w *work, attempt int) (edges.Response, error) {
+	described := w.attempt(t.backend.options.IDs, t.chosen.Address, attempt)
 	described.Instance = t.chosen.Instance
-	return t.backend.edge.Send(ctx, described)
+	return t.backend.options.WebServices.Send(ctx, described)
 }
 
 // handleRefusal implements target.
@@ -138,13 +139,13 @@
 	if !refusal.WrongTarget {
 		return
 	}
-	t.backend.server.handleWrongTarget(t.chosen, refusal)
+	t.backend.options.recordWrongTarget(t.chosen, refusal)
 }
 
 // hasSpareCapacity implements target. What the other nodes have sent is not known; back
 // ends at capacity refuse requests from all nodes.
 func (t *webTarget) hasSpareCapacity() bool {
-	return t.backend.server.inFlight.count(t.chosen.Address) < t.chosen.Slots
+	return t.backend.inFlight.count(t.chosen.Address) < t.chosen.Slots
 }
 
 // expectedDelay implements target.
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -6,6 +6,7 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/dispatch"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
@@ -26,7 +27,7 @@
 	// DefaultMaxAttempts bounds the attempts of one request.
 	DefaultMaxAttempts = 4
 	// DefaultBackendRetry is when a caller may retry after a failure of a back end.
-	DefaultBackendRetry = time.Second
+	DefaultBackendRetry = dispatch.DefaultBackendRetry
 	// DefaultDrainTimeout is the longest graceful shutdown.
 	DefaultDrainTimeout = 20 * time.Second
 	// DefaultEventTimeout is the longest time without an event of a back end.
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 
 	"github.com/thejerf/suture/v4"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/dispatch"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
@@ -39,7 +38,7 @@
 	destinations *destinations.Set
 	limiter      *tenantlimiter.Limiter
 	duplicates   *duplicates.Register
-	inFlight     *inFlight
+	dispatcher   *dispatch.Dispatcher
 	health       *health.Tracker
 	quarantine   *health.Quarantine
 	stale        *health.StaleBackends
@@ -53,9 +52,6 @@
 	listener     *listener.Listener
 	// recorder is nil if requests are not recorded.
 	recorder *recorder.Recorder
-	// draws counts the random sources, so that each has its own seed.
-	draws atomic.Uint64
-	seed  uint64
 
 	// stopped is closed when the server is released.
 	stopped  chan struct{}
@@ -84,7 +80,6 @@
 		destinations: destinations.New(options.RetryBudget),
 		limiter:      tenantlimiter.NewLimiter(options.Clock, options.Admission),
 		duplicates:   duplicates.New(options.RememberedRequests, options.RememberFor),
-		inFlight:     newInFlight(),
 		health: health.New(health.Options{
 			Outlier: options.Outlier, Member: options.Member, Zone: options.Zone, Peers: options.Peers, Log: options.Log,
 		}),
@@ -93,7 +88,6 @@
 		slowStart:  warmup.New(options.Member),
 		updates:    gossip.NewOutgoing(),
 		startup:    startupgate.New(),
-		seed:       rand.Uint64(),
 		stopped:    make(chan struct{}),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
@@ -112,6 +106,7 @@
 			return nil, err
 		}
 	}
+	server.dispatcher = server.newDispatcher()
 	server.chain = server.newChain()
 	return server, nil
 }
@@ -146,6 +141,34 @@
 	})
 }
 
+// newDispatcher returns the last handler of the chain. Where reports are read page by
+// page, prompts wait for them after the start.
+func (s *Server) newDispatcher() *dispatch.Dispatcher {
+	options := dispatch.Options{
+		Source:       s.options.Source,
+		Clock:        s.options.Clock,
+		Zone:         s.options.Zone,
+		Replicas:     s.options.Edges.Replicas,
+		WebServices:  s.options.Edges.WebServices,
+		IDs:          s.ids,
+		Router:       s.router,
+		Naming:       kvrouter.Chained,
+		Health:       s.health,
+		Quarantine:   s.quarantine,
+		Stale:        s.stale,
+		SlowStart:    s.slowStart,
+		Updates:      s.updates,
+		MaxAttempts:  s.options.MaxAttempts,
+		MaxUnsent:    s.options.MaxUnsent,
+		BackendRetry: s.options.BackendRetry,
+	}
+	if s.options.Edges.Reports != nil {
+		options.Naming = kvrouter.ByID
+		options.Startup = s.startup
+	}
+	return dispatch.New(options)
+}
+
 // Start binds the address and serves until Drain or Stop. It returns nil after
 // these, and otherwise why it could not serve.
 func (s *Server) Start() error {
@@ -212,7 +235,7 @@
 
 // InFlight returns how many attempts run on a back end through this node.
 func (s *Server) InFlight(address string) int {
-	return s.inFlight.count(address)
+	return s.dispatcher.InFlight(address)
 }
 
 // Stats returns the counters of every destination that was routed to.
@@ -232,12 +255,3 @@
 	}
 	return s.recorder.Stats()
 }
-
-// random returns a source of random numbers for one selection, or nil where the
-// temperature makes it unnecessary.
-func (s *Server) random(temperature float64) *rand.Rand {
-	if temperature <= 0 {
-		return nil
-	}
-	return rand.New(rand.NewPCG(s.seed, s.draws.Add(1)))
-}
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -36,7 +36,7 @@
 func (s *Server) inFlightOn(replicas []routing.Replica) int {
 	total := 0
 	for _, replica := range replicas {
-		total += s.inFlight.count(replica.Address)
+		total += s.dispatcher.InFlight(replica.Address)
 	}
 	return total
 }
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -5,8 +5,6 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/reports"
-	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
-	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -38,14 +36,6 @@
 	s.health.ApplyOutcomes(now, update)
 }
 
-// handleWrongTarget records that a back end has refused a request as meant for another
-// one, and tells the other nodes if the incarnation is gone for good.
-func (s *Server) handleWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
-	if s.stale.RecordRefusal(s.options.Clock(), replica, refusal.Instance) {
-		s.updates.AddDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
-	}
-}
-
 // applyReport applies a page of reports of another node to the prefix index.
 func (s *Server) applyReport(now time.Duration, report gossip.Report) {
 	reports.Apply(s.router, now, report)
