--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/dispatch"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/exchange"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/authenticator"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/bodyreader"
@@ -16,6 +17,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/routematcher"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/servingcheck"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/tenantlimiter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
 // chain runs an exchange through its handlers in order.
@@ -59,6 +61,34 @@
 	return append(handlers, s.dispatcher)
 }
 
+// newDispatcher returns the last handler of the chain. Where reports are read page by
+// page, prompts wait for them after the start.
+func (s *Server) newDispatcher() *dispatch.Dispatcher {
+	options := dispatch.Options{
+		Source:       s.options.Source,
+		Clock:        s.options.Clock,
+		Zone:         s.options.Zone,
+		Replicas:     s.options.Edges.Replicas,
+		WebServices:  s.options.Edges.WebServices,
+		IDs:          s.ids,
+		Router:       s.router,
+		Naming:       kvrouter.Chained,
+		Health:       s.health,
+		Quarantine:   s.quarantine,
+		Stale:        s.stale,
+		SlowStart:    s.slowStart,
+		Updates:      s.updates,
+		MaxAttempts:  s.options.MaxAttempts,
+		MaxUnsent:    s.options.MaxUnsent,
+		BackendRetry: s.options.BackendRetry,
+	}
+	if s.options.Edges.Reports != nil {
+		options.Naming = kvrouter.ByID
+		options.Startup = s.startup
+	}
+	return dispatch.New(options)
+}
+
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.chain.run(&exchange.Exchange{
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -113,7 +113,7 @@
 }
 
 // Empty reports whether the update is empty.
-func (n *Update) Empty() bool {
-	return len(n.Loads) == 0 && len(n.Dispatches) == 0 && len(n.Reports) == 0 &&
-		len(n.Denials) == 0 && len(n.Outcomes) == 0
+func (u *Update) Empty() bool {
+	return len(u.Loads) == 0 && len(u.Dispatches) == 0 && len(u.Reports) == 0 &&
+		len(u.Denials) == 0 && len(u.Outcomes) == 0
 }
--- a/internal/dataplane/gossip/snapshot_client.go
+++ b/internal/dataplane/gossip/snapshot_client.go
@@ -49,90 +49,90 @@
 }
 
 // Done reports whether the transfer has ended, or can bring nothing any more.
-func (a *SnapshotClient) Done(now time.Duration) bool {
-	a.start(now)
-	if now-a.startedAt >= maxTransferTime {
-		a.done = true
+func (c *SnapshotClient) Done(now time.Duration) bool {
+	c.start(now)
+	if now-c.startedAt >= maxTransferTime {
+		c.done = true
 	}
-	return a.done
+	return c.done
 }
 
 // Tick returns the request that is due, if there is one, given the live nodes.
-func (a *SnapshotClient) Tick(now time.Duration, live []member.Info) []Outbound {
-	if a.Done(now) || a.awaitingResponse(now) {
+func (c *SnapshotClient) Tick(now time.Duration, live []member.Info) []Outbound {
+	if c.Done(now) || c.awaitingResponse(now) {
 		return nil
 	}
-	next, found := a.nextPeer(live)
+	next, found := c.nextPeer(live)
 	if !found {
-		a.done = now-a.startedAt >= membershipKnownAfter
+		c.done = now-c.startedAt >= membershipKnownAfter
 		return nil
 	}
-	a.requested = append(a.requested, next.ID)
-	a.lastActivity = now
-	a.received = false
-	return []Outbound{{To: []member.Info{next}, Batch: Batch{Stage: SnapshotRequest, Updates: []Update{{Node: a.self}}}}}
+	c.requested = append(c.requested, next.ID)
+	c.lastActivity = now
+	c.received = false
+	return []Outbound{{To: []member.Info{next}, Batch: Batch{Stage: SnapshotRequest, Updates: []Update{{Node: c.self}}}}}
 }
 
 // HandleResponse handles a part of a response, or its end. Current is false for a
 // response that is not expected, and must be ignored.
-func (a *SnapshotClient) HandleResponse(now time.Duration, stage Stage, update Update) (current bool) {
-	if a.done || len(a.requested) == 0 || update.Node != a.requested[len(a.requested)-1] {
+func (c *SnapshotClient) HandleResponse(now time.Duration, stage Stage, update Update) (current bool) {
+	if c.done || len(c.requested) == 0 || update.Node != c.requested[len(c.requested)-1] {
 		return false
 	}
-	a.lastActivity = now
-	a.received = a.received || len(update.Reports) > 0
+	c.lastActivity = now
+	c.received = c.received || len(update.Reports) > 0
 	if stage == SnapshotEnd {
-		a.done = a.received
-		a.lastActivity = now - responseTimeout
+		c.done = c.received
+		c.lastActivity = now - responseTimeout
 	}
 	return true
 }
 
 // Pending reports whether a response has been requested and may still arrive.
-func (a *SnapshotClient) Pending(now time.Duration) bool {
-	return !a.Done(now) && a.awaitingResponse(now)
+func (c *SnapshotClient) Pending(now time.Duration) bool {
+	return !c.Done(now) && c.awaitingResponse(now)
 }
 
-func (a *SnapshotClient) start(now time.Duration) {
-	if !a.started {
-		a.started = true
-		a.startedAt = now
+func (c *SnapshotClient) start(now time.Duration) {
+	if !c.started {
+		c.started = true
+		c.startedAt = now
 	}
 }
 
 // awaitingResponse reports whether the last requested peer may still respond.
-func (a *SnapshotClient) awaitingResponse(now time.Duration) bool {
-	return len(a.requested) > 0 && now-a.lastActivity < responseTimeout
+func (c *SnapshotClient) awaitingResponse(now time.Duration) bool {
+	return len(c.requested) > 0 && now-c.lastActivity < responseTimeout
 }
 
 // nextPeer returns the peer to request now: those in the zone first, and then in an order
 // that differs from node to node, so that nodes that start together request different
 // peers.
-func (a *SnapshotClient) nextPeer(live []member.Info) (member.Info, bool) {
+func (c *SnapshotClient) nextPeer(live []member.Info) (member.Info, bool) {
 	candidates := lo.Filter(live, func(node member.Info, _ int) bool {
-		return node.ID != a.self && servesCallers(node) && !slices.Contains(a.requested, node.ID)
+		return node.ID != c.self && servesCallers(node) && !slices.Contains(c.requested, node.ID)
 	})
-	if len(candidates) == 0 || len(a.requested) >= maxRequested {
+	if len(candidates) == 0 || len(c.requested) >= maxRequested {
 		return member.Info{}, false
 	}
 	return slices.MinFunc(candidates, func(one, other member.Info) int {
 		return cmp.Or(
-			cmp.Compare(a.distance(one), a.distance(other)),
-			cmp.Compare(a.weight(one), a.weight(other)),
+			cmp.Compare(c.distance(one), c.distance(other)),
+			cmp.Compare(c.weight(one), c.weight(other)),
 			cmp.Compare(one.ID, other.ID),
 		)
 	}), true
 }
 
 // distance is 0 for a node in the zone, and 1 for any other.
-func (a *SnapshotClient) distance(node member.Info) int {
-	if node.Zone == a.zone {
+func (c *SnapshotClient) distance(node member.Info) int {
+	if node.Zone == c.zone {
 		return 0
 	}
 	return 1
 }
 
 // weight orders the other nodes for this one.
-func (a *SnapshotClient) weight(node member.Info) uint64 {
-	return xxhash.Sum64String("adoption\x00" + string(a.self) + "\x00" + string(node.ID))
+func (c *SnapshotClient) weight(node member.Info) uint64 {
+	return xxhash.Sum64String("adoption\x00" + string(c.self) + "\x00" + string(node.ID))
 }
--- a/internal/dataplane/gossip/snapshot_server.go
+++ b/internal/dataplane/gossip/snapshot_server.go
@@ -34,33 +34,33 @@
 
 // HandleRequest starts the transfer of what is cached at the addresses. A peer that
 // requests again is served from the beginning.
-func (a *SnapshotServer) HandleRequest(by member.ID, addresses []string) {
-	a.transfers = slices.DeleteFunc(a.transfers, func(existing transfer) bool { return existing.id == by })
-	if len(a.transfers) < maxTransfers {
-		a.transfers = append(a.transfers, transfer{id: by, remaining: addresses})
+func (s *SnapshotServer) HandleRequest(by member.ID, addresses []string) {
+	s.transfers = slices.DeleteFunc(s.transfers, func(existing transfer) bool { return existing.id == by })
+	if len(s.transfers) < maxTransfers {
+		s.transfers = append(s.transfers, transfer{id: by, remaining: addresses})
 	}
 }
 
 // Tick returns what is due, given the live nodes and the present snapshot of a back end.
 // Peers that are no longer live are dropped.
-func (a *SnapshotServer) Tick(live []member.Info, snapshot func(address string) (Report, bool)) []Outbound {
+func (s *SnapshotServer) Tick(live []member.Info, snapshot func(address string) (Report, bool)) []Outbound {
 	var due []Outbound
 	budget := changesPerTick
-	a.transfers = lo.Filter(a.transfers, func(waiting transfer, _ int) bool {
+	s.transfers = lo.Filter(s.transfers, func(waiting transfer, _ int) bool {
 		return lo.ContainsBy(live, func(node member.Info) bool { return node.ID == waiting.id })
 	})
-	for len(a.transfers) > 0 && budget > 0 {
-		first := &a.transfers[0]
+	for len(s.transfers) > 0 && budget > 0 {
+		first := &s.transfers[0]
 		var reports []Report
 		reports, first.remaining, budget = nextReports(first.remaining, budget, snapshot)
-		batch := Batch{Stage: SnapshotChunk, Updates: []Update{{Node: a.self, Reports: reports}}}
+		batch := Batch{Stage: SnapshotChunk, Updates: []Update{{Node: s.self, Reports: reports}}}
 		if len(first.remaining) == 0 {
 			batch.Stage = SnapshotEnd
 		}
 		to, _ := lo.Find(live, func(node member.Info) bool { return node.ID == first.id })
 		due = append(due, Outbound{To: []member.Info{to}, Batch: batch})
 		if batch.Stage == SnapshotEnd {
-			a.transfers = a.transfers[1:]
+			s.transfers = s.transfers[1:]
 		}
 	}
 	return due
--- a/internal/dataplane/reports/full_read.go
+++ b/internal/dataplane/reports/full_read.go
@@ -18,6 +18,7 @@
 	readAt map[string]time.Duration
 }
 
+// newFullReadLimiter returns a limiter that has counted no full read.
 func newFullReadLimiter() *fullReadLimiter {
 	return &fullReadLimiter{
 		readAt: make(map[string]time.Duration),
@@ -35,7 +36,7 @@
 	return true
 }
 
-// retain forgets back ends that are no longer listed.
+// retain forgets back ends that are not among the reporting ones, by address.
 func (l *fullReadLimiter) retain(reporting map[string]string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/dataplane/reports/readers.go
+++ b/internal/dataplane/reports/readers.go
@@ -60,16 +60,18 @@
 type Readers struct {
 	options Options
 
-	// lastView is the view of the last call of forgetRemoved. It belongs to Serve.
-	lastView *routing.View
-	// stabilization belongs to Serve as well.
+	fullReads *fullReadLimiter
+
+	// The fields below belong to the goroutine that runs Serve.
+
+	// lastView is the view of the last call of forgetRemoved.
+	lastView      *routing.View
 	stabilization stabilizationWait
-	fullReads     *fullReadLimiter
-	// assigned is the last assignment. It belongs to Serve.
+	// assigned is the last assignment.
 	assigned assignment
 
 	mutex   sync.Mutex
-	running map[string]context.CancelFunc
+	running map[string]context.CancelFunc // by address
 }
 
 // New returns readers that read nothing before Serve.
@@ -101,8 +103,10 @@
 	}
 }
 
-// Follow reads the assigned back ends until ctx ends, once the membership is stable and a snapshot tells
-// up to which position their reports have been read.
+// Follow brings what is read in line with a view and the live nodes: the back ends that are
+// assigned to this node are read until ctx ends or they are assigned to another one. Before
+// the membership is stable, and while a snapshot may still tell up to which position the
+// reports have been read, it does nothing. It is called by Serve alone, once that runs.
 func (r *Readers) Follow(ctx context.Context, view *routing.View) {
 	stable := r.stabilization.stable(r.options.Clock(), r.options.Peers())
 	if !stable || r.options.AwaitingSnapshot() {
@@ -162,6 +166,7 @@
 	}
 }
 
+// stopAll ends all reads.
 func (r *Readers) stopAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -203,7 +208,7 @@
 
 // readPage reads the changes after the present position.
 func (r *Readers) readPage(ctx context.Context, address string) error {
-	epoch, since, found := r.options.Router.ChunksPosition(address)
+	incarnation, since, found := r.options.Router.ChunksPosition(address)
 	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
 	defer cancel()
 	page, err := r.options.Reader.Read(bounded, address, since, readWait)
@@ -211,11 +216,11 @@
 		return err
 	}
 	report := reportOf(address, since, page)
-	if found && page.Incarnation != epoch {
+	if found && page.Incarnation != incarnation {
 		// The position belongs to an earlier incarnation of the back end.
 		report.Feed.From = 0
 	}
-	if found && page.Incarnation == epoch && len(report.Changes) == 0 && !page.Lost {
+	if found && page.Incarnation == incarnation && len(report.Changes) == 0 && !page.Lost {
 		return nil
 	}
 	Apply(r.options.Router, r.options.Clock(), report)
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -39,13 +39,13 @@
 	return route
 }
 
-// Destination returns the destination of a sample that is evenly distributed over all of
-// uint64. Each destination has a part of that range in proportion to its weight.
-func (r *Route) Destination(draw uint64) Destination {
+// Destination returns the destination of a sample. Samples are evenly distributed over all
+// of uint64; each destination has a part of that range in proportion to its weight.
+func (r *Route) Destination(sample uint64) Destination {
 	if r.totalWeight == 0 {
 		return r.Choices[0].Destination
 	}
-	offset, _ := bits.Mul64(draw, r.totalWeight)
+	offset, _ := bits.Mul64(sample, r.totalWeight)
 	for _, choice := range r.Choices {
 		if offset < uint64(choice.Weight) {
 			return choice.Destination
@@ -78,7 +78,7 @@
 // Routes are the routes of one host, the longest prefix first.
 type Routes []*Route
 
-// Sort brings the routes into the order that Find needs.
+// Sort brings the routes into the order that Match needs.
 func (r Routes) Sort() {
 	slices.SortStableFunc(r, func(a, b *Route) int {
 		return cmp.Compare(len(b.Config.GetPathPrefix()), len(a.Config.GetPathPrefix()))
@@ -101,6 +101,7 @@
 	pool, webService string
 }
 
+// name returns the destination's identity, which outlasts the view.
 func (d Destination) name() destinationName {
 	return destinationName{
 		pool:       d.Pool.GetName(),
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -15,12 +15,14 @@
 
 // Tenant is a tenant as admission reads it.
 type Tenant struct {
-	Name   string
+	Name string
+	// Walled reports whether the tenant shares cached chunks with no other one.
 	Walled bool
 	// SharingDomain separates cached chunks: tenants with equal domains may share them.
 	// It changes with every epoch of a wall.
 	SharingDomain string
-	Limits        *ridgeswitchv1.Limits
+	// Limits are the configured limits; read only.
+	Limits *ridgeswitchv1.Limits
 	// Priority outranks that of the route, if the tenant has one.
 	Priority *uint32
 }
@@ -28,11 +30,13 @@
 // Replica is a back end of a pool or of a web service, as the platform's list
 // and the service's shard describe it together.
 type Replica struct {
+	// Address is the host and port that requests go to.
 	Address string
 	// Instance names the incarnation that the platform lists at the address;
 	// empty if it names none.
 	Instance string
-	Zone     string
+	// Zone is the zone that it is in; empty if that is not known.
+	Zone string
 	// Slots is how many requests it works on at once; 0 if that is not known.
 	Slots int
 	// SlowStartUntil is when it has warmed up after a start, on the node's clock;
@@ -48,6 +52,7 @@
 
 // Pool is a pool with its present replicas, admitting or not.
 type Pool struct {
+	// Config is the configured pool; read only.
 	Config   *ridgeswitchv1.Pool
 	Replicas []Replica
 	// Store is the pool's store, or nil.
@@ -56,6 +61,7 @@
 
 // WebService is a plain HTTP service with its present back ends.
 type WebService struct {
+	// Config is the configured service; read only.
 	Config   *ridgeswitchv1.WebService
 	Replicas []Replica
 }
@@ -72,9 +78,11 @@
 	Revision uint64
 	// Configuration is the source of the maps below; read only.
 	Configuration *ridgeswitchv1.Configuration
-	Tenants       map[KeyDigest]*Tenant
+	// Tenants holds the tenant of each key.
+	Tenants map[KeyDigest]*Tenant
 	// Hosts holds the routes of each host.
-	Hosts       map[string]Routes
+	Hosts map[string]Routes
+	// Pools and WebServices are by name.
 	Pools       map[string]*Pool
 	WebServices map[string]*WebService
 
@@ -97,7 +105,10 @@
 	Serving() error
 }
 
-// LoadReader returns how many requests run on a back end through this node.
+// LoadReader is how control learns what traffic still sends to a back end.
 type LoadReader interface {
+	// InFlight returns how many attempts run on a back end through this node. Zero tells
+	// that the back end is drained only if it is read after a view was published in which
+	// the back end does not admit: each attempt is counted before it looks at the view.
 	InFlight(address string) int
 }
