--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -51,7 +51,7 @@
 	bodies := bodyreader.New(s.options.MaxBodyBytes)
 	handlers = append(handlers,
 		deadline.New(s.options.RequestTimeout),
-		tenantlimiter.New(s.limiter, bodies, clock),
+		tenantlimiter.New(s.limiter, bodies),
 		bodies,
 		duplicatechecker.New(s.duplicates, clock),
 	)
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -35,7 +35,7 @@
 	// Zone is the zone that the node is in.
 	Zone string
 	// Replicas and WebServices send attempts.
-	Replicas, WebServices edges.Backend
+	Replicas, WebServices edges.BackendEdge
 	// IDs makes the identities of attempts.
 	IDs *requestid.Generator
 	// Router chooses replicas, and Naming is how these name the chunks of prompts.
--- a/internal/dataplane/edges/edges.go
+++ b/internal/dataplane/edges/edges.go
@@ -2,7 +2,7 @@
 // and back ends, and implements the native ones.
 //
 // The data plane knows no header and no path of a protocol: it describes an Attempt to a
-// Backend, and gets a Response. The native protocols are those of internal/edge; a platform
+// BackendEdge, and gets a Response. The native protocols are those of internal/edge; a platform
 // with protocols of its own gives others in their place. Implementations are used by many
 // requests at a time.
 package edges
@@ -16,8 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Caller speaks the protocol of callers.
-type Caller interface {
+// CallerEdge speaks the protocol of callers.
+type CallerEdge interface {
 	// RequestID returns the identity that the caller gave its request, or "".
 	RequestID(header http.Header) string
 	// KeyDigest returns the digest of the request's key, or false if the request has
@@ -34,8 +34,8 @@
 	ErrorEvent(callerError *caller.Error) []byte
 }
 
-// Backend runs attempts on back ends of one kind.
-type Backend interface {
+// BackendEdge runs attempts on back ends of one kind.
+type BackendEdge interface {
 	// Send runs one attempt up to the header of its response. It sends the request at
 	// most once. The errors are *outbound.Error, *outbound.RefusedError and
 	// *outbound.InvalidResponseError; after any other one the request may have run.
@@ -44,9 +44,9 @@
 
 // Set is the protocols that a node speaks to callers and back ends.
 type Set struct {
-	Callers     Caller
-	Replicas    Backend
-	WebServices Backend
+	Callers     CallerEdge
+	Replicas    BackendEdge
+	WebServices BackendEdge
 	// Reports reads the reports of replicas and stores page by page; nil if they
 	// push a stream of the node's own protocol.
 	Reports ReportReader
--- a/internal/dataplane/edges/native.go
+++ b/internal/dataplane/edges/native.go
@@ -28,30 +28,30 @@
 // nativeCaller implements the native protocol with callers.
 type nativeCaller struct{}
 
-// RequestID implements Caller.
+// RequestID implements CallerEdge.
 func (nativeCaller) RequestID(header http.Header) string {
 	return header.Get(caller.HeaderRequestID)
 }
 
-// KeyDigest implements Caller.
+// KeyDigest implements CallerEdge.
 func (nativeCaller) KeyDigest(header http.Header) (string, bool) { return caller.KeyDigest(header) }
 
-// Describe implements Caller.
+// Describe implements CallerEdge.
 func (nativeCaller) Describe(request *http.Request) (caller.Request, error) {
 	return caller.Parse(request)
 }
 
-// WriteError implements Caller.
+// WriteError implements CallerEdge.
 func (nativeCaller) WriteError(writer http.ResponseWriter, callerError *caller.Error) {
 	caller.WriteError(writer, callerError)
 }
 
-// CompleteHeader implements Caller.
+// CompleteHeader implements CallerEdge.
 func (nativeCaller) CompleteHeader(header http.Header, requestID string) {
 	header.Set(caller.HeaderRequestID, requestID)
 }
 
-// ErrorEvent implements Caller.
+// ErrorEvent implements CallerEdge.
 func (nativeCaller) ErrorEvent(callerError *caller.Error) []byte {
 	return caller.ErrorEvent(callerError)
 }
@@ -61,7 +61,7 @@
 	client *replica.Client
 }
 
-// Send implements Backend. A response that leaves open whether the request has run is
+// Send implements BackendEdge. A response that leaves open whether the request has run is
 // an *outbound.FailedResponseError.
 func (r *nativeReplica) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
@@ -103,7 +103,7 @@
 	client *webservice.Client
 }
 
-// Send implements Backend.
+// Send implements BackendEdge.
 func (w *nativeWebService) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := w.client.Forward(ctx, webservice.Call{
 		Address:   attempt.Address,
--- a/internal/dataplane/embedding.go
+++ b/internal/dataplane/embedding.go
@@ -12,9 +12,9 @@
 	// Edges are the protocols that a node speaks to callers and back ends.
 	Edges = edges.Set
 	// CallerEdge speaks the protocol of callers.
-	CallerEdge = edges.Caller
+	CallerEdge = edges.CallerEdge
 	// BackendEdge runs attempts on back ends of one kind.
-	BackendEdge = edges.Backend
+	BackendEdge = edges.BackendEdge
 	// Attempt is one attempt to have a back end run a request.
 	Attempt = edges.Attempt
 	// Generation describes a prompt to a replica.
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -9,7 +9,7 @@
 // each update crosses into another zone once, and a node gets few messages however many
 // nodes there are.
 //
-// Exchange, SnapshotClient and SnapshotServer are state machines: they do no I/O, read no
+// Relayer, SnapshotClient and SnapshotServer are state machines: they do no I/O, read no
 // clock, and must not be used concurrently. Outgoing collects the updates of this node,
 // and SnapshotExchange joins client and server to the node's index; they read no clock
 // either, and may be used concurrently.
--- a/internal/dataplane/gossip/exchange.go
+++ b/internal/dataplane/gossip/relayer.go
@@ -13,8 +13,8 @@
 // maxPending bounds the updates that wait at a relay. What comes beyond it is dropped.
 const maxPending = 4096
 
-// Exchange relays updates at one node. It must not be used concurrently.
-type Exchange struct {
+// Relayer relays updates at one node. It must not be used concurrently.
+type Relayer struct {
 	self member.ID
 	zone string
 	// toZone are the pending updates for the nodes of the zone, and toRelays those for
@@ -29,53 +29,53 @@
 	Batch Batch
 }
 
-// NewExchange returns the exchange of a node in a zone.
-func NewExchange(self member.ID, zone string) *Exchange {
-	return &Exchange{self: self, zone: zone}
+// NewRelayer returns the relayer of a node in a zone.
+func NewRelayer(self member.ID, zone string) *Relayer {
+	return &Relayer{self: self, zone: zone}
 }
 
 // Add adds an update of this node.
-func (e *Exchange) Add(update Update) {
-	update.Node = e.self
-	e.toZone = appendBounded(e.toZone, update)
-	e.toRelays = appendBounded(e.toRelays, update)
+func (r *Relayer) Add(update Update) {
+	update.Node = r.self
+	r.toZone = appendBounded(r.toZone, update)
+	r.toRelays = appendBounded(r.toRelays, update)
 }
 
 // Receive handles a batch of another node and returns the updates for this node.
-func (e *Exchange) Receive(batch Batch) []Update {
-	foreign := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == e.self })
+func (r *Relayer) Receive(batch Batch) []Update {
+	foreign := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == r.self })
 	switch batch.Stage {
 	case NodeToRelay:
-		e.toZone = appendBounded(e.toZone, foreign...)
-		e.toRelays = appendBounded(e.toRelays, foreign...)
+		r.toZone = appendBounded(r.toZone, foreign...)
+		r.toRelays = appendBounded(r.toRelays, foreign...)
 	case RelayToRelay:
-		e.toZone = appendBounded(e.toZone, foreign...)
+		r.toZone = appendBounded(r.toZone, foreign...)
 	}
 	return foreign
 }
 
 // Flush returns what is to be sent now, given the live nodes.
-func (e *Exchange) Flush(live []member.Info) []Outbound {
-	toZone, toRelays := e.toZone, e.toRelays
-	e.toZone, e.toRelays = nil, nil
-	relay, found := RelayFor(e.zone, live)
+func (r *Relayer) Flush(live []member.Info) []Outbound {
+	toZone, toRelays := r.toZone, r.toRelays
+	r.toZone, r.toRelays = nil, nil
+	relay, found := RelayFor(r.zone, live)
 	if !found {
 		return nil
 	}
-	if relay.ID != e.self {
+	if relay.ID != r.self {
 		return outbound(NodeToRelay, toRelays, relay)
 	}
 	listeners := lo.Filter(live, func(node member.Info, _ int) bool {
-		return node.Zone == e.zone && node.ID != e.self && servesCallers(node)
+		return node.Zone == r.zone && node.ID != r.self && servesCallers(node)
 	})
 	sends := outbound(RelayToNodes, toZone, listeners...)
-	return append(sends, outbound(RelayToRelay, toRelays, e.foreignRelays(live)...)...)
+	return append(sends, outbound(RelayToRelay, toRelays, r.foreignRelays(live)...)...)
 }
 
 // foreignRelays returns the relays of the other zones in which callers are
 // served.
-func (e *Exchange) foreignRelays(live []member.Info) []member.Info {
-	serving := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone != e.zone && servesCallers(node) })
+func (r *Relayer) foreignRelays(live []member.Info) []member.Info {
+	serving := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone != r.zone && servesCallers(node) })
 	zones := lo.Uniq(lo.Map(serving, func(node member.Info, _ int) string { return node.Zone }))
 	slices.Sort(zones)
 	return lo.FilterMap(zones, func(zone string, _ int) (member.Info, bool) { return RelayFor(zone, live) })
--- a/internal/dataplane/gossip/exchange_test.go
+++ b/internal/dataplane/gossip/relayer_test.go
@@ -16,10 +16,10 @@
 	RunSpecs(t, "Gossip Suite")
 }
 
-// network is a set of exchanges whose batches arrive at once.
+// network is a set of relayers whose batches arrive at once.
 type network struct {
-	peers     []member.Info
-	exchanges map[member.ID]*gossip.Exchange
+	peers    []member.Info
+	relayers map[member.ID]*gossip.Relayer
 	// heard counts how often each node received the updates of each.
 	heard map[member.ID]map[member.ID]int
 	// crossings counts the batches between zones, and sent all batches.
@@ -27,7 +27,7 @@
 }
 
 func newNetwork(zones, perZone int) *network {
-	n := &network{exchanges: map[member.ID]*gossip.Exchange{}, heard: map[member.ID]map[member.ID]int{}}
+	n := &network{relayers: map[member.ID]*gossip.Relayer{}, heard: map[member.ID]map[member.ID]int{}}
 	for zone := range zones {
 		for number := range perZone {
 			info := member.Info{
@@ -36,7 +36,7 @@
 				TrafficAddress: "served",
 			}
 			n.peers = append(n.peers, info)
-			n.exchanges[info.ID] = gossip.NewExchange(info.ID, info.Zone)
+			n.relayers[info.ID] = gossip.NewRelayer(info.ID, info.Zone)
 			n.heard[info.ID] = map[member.ID]int{}
 		}
 	}
@@ -50,7 +50,7 @@
 		if !given {
 			view = n.peers
 		}
-		for _, send := range n.exchanges[peer.ID].Flush(view) {
+		for _, send := range n.relayers[peer.ID].Flush(view) {
 			for _, to := range send.To {
 				n.deliver(peer, to, send.Batch)
 			}
@@ -64,7 +64,7 @@
 	if from.Zone != to.Zone {
 		n.crossings++
 	}
-	for _, update := range n.exchanges[to.ID].Receive(batch) {
+	for _, update := range n.relayers[to.ID].Receive(batch) {
 		n.heard[to.ID][update.Node]++
 	}
 }
@@ -72,11 +72,11 @@
 // zoneOfAll is the zone of the nodes that serve no callers in tests.
 const zoneOfAll = "zone-0"
 
-var _ = Describe("Exchange", func() {
+var _ = Describe("Relayer", func() {
 	It("brings each node's updates to each other node once", func() {
 		n := newNetwork(4, 18)
-		for id, exchange := range n.exchanges {
-			exchange.Add(gossip.Update{Node: id})
+		for id, relayer := range n.relayers {
+			relayer.Add(gossip.Update{Node: id})
 		}
 		for range 4 {
 			n.round(nil)
@@ -93,8 +93,8 @@
 	It("crosses zones between relays alone", func() {
 		n := newNetwork(4, 18)
 		for range 20 {
-			for _, exchange := range n.exchanges {
-				exchange.Add(gossip.Update{})
+			for _, relayer := range n.relayers {
+				relayer.Add(gossip.Update{})
 			}
 			n.round(nil)
 		}
@@ -113,7 +113,7 @@
 		}
 		sender := without[0]
 		Expect(sender.Zone).To(Equal("zone-0"))
-		n.exchanges[sender.ID].Add(gossip.Update{})
+		n.relayers[sender.ID].Add(gossip.Update{})
 		for range 4 {
 			// The teller alone has noticed that the relay is dead.
 			n.round(map[member.ID][]member.Info{sender.ID: without})
@@ -129,14 +129,14 @@
 		n := newNetwork(2, 5)
 		idle := member.Info{ID: "idle", Zone: zoneOfAll}
 		n.peers = append(n.peers, idle)
-		n.exchanges[idle.ID] = gossip.NewExchange(idle.ID, idle.Zone)
+		n.relayers[idle.ID] = gossip.NewRelayer(idle.ID, idle.Zone)
 		n.heard[idle.ID] = map[member.ID]int{}
 		relay, found := gossip.RelayFor(zoneOfAll, n.peers)
 		Expect(found).To(BeTrue())
 		Expect(relay.ID).To(Equal(idle.ID))
-		for id, exchange := range n.exchanges {
+		for id, relayer := range n.relayers {
 			if id != idle.ID {
-				exchange.Add(gossip.Update{Node: id})
+				relayer.Add(gossip.Update{Node: id})
 			}
 		}
 		for range 4 {
@@ -152,22 +152,22 @@
 	})
 
 	It("queues no more than its bound", func() {
-		exchange := gossip.NewExchange("relay", "zone")
+		relayer := gossip.NewRelayer("relay", "zone")
 		update := make([]gossip.Update, 10000)
 		for i := range update {
 			update[i].Node = "other"
 		}
-		Expect(exchange.Receive(gossip.Batch{Stage: gossip.NodeToRelay, Updates: update})).To(HaveLen(len(update)))
+		Expect(relayer.Receive(gossip.Batch{Stage: gossip.NodeToRelay, Updates: update})).To(HaveLen(len(update)))
 		peers := []member.Info{{ID: "relay", Zone: "zone"}, {ID: "listener", Zone: "zone", TrafficAddress: "served"}}
-		sends := exchange.Flush(peers)
+		sends := relayer.Flush(peers)
 		Expect(sends).To(HaveLen(1))
 		Expect(len(sends[0].Batch.Updates)).To(Equal(4096))
 	})
 
 	It("sends nothing without updates, or without live nodes", func() {
-		exchange := gossip.NewExchange("a", "zone")
-		Expect(exchange.Flush([]member.Info{{ID: "a", Zone: "zone"}, {ID: "b", Zone: "zone"}})).To(BeEmpty())
-		exchange.Add(gossip.Update{})
-		Expect(exchange.Flush(nil)).To(BeEmpty())
+		relayer := gossip.NewRelayer("a", "zone")
+		Expect(relayer.Flush([]member.Info{{ID: "a", Zone: "zone"}, {ID: "b", Zone: "zone"}})).To(BeEmpty())
+		relayer.Add(gossip.Update{})
+		Expect(relayer.Flush(nil)).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/handlers/tenantlimiter/handler.go
+++ b/internal/dataplane/handlers/tenantlimiter/handler.go
@@ -22,13 +22,12 @@
 type Handler struct {
 	limiter *Limiter
 	bodies  *bodyreader.Handler
-	clock   func() time.Duration
 }
 
 // New returns the handler over a node's limiter. The body of a request that waits is read
 // meanwhile by bodies, since only then the node notices that its caller disconnects.
-func New(limiter *Limiter, bodies *bodyreader.Handler, clock func() time.Duration) *Handler {
-	return &Handler{limiter: limiter, bodies: bodies, clock: clock}
+func New(limiter *Limiter, bodies *bodyreader.Handler) *Handler {
+	return &Handler{limiter: limiter, bodies: bodies}
 }
 
 // Handle implements exchange.Handler.
@@ -67,7 +66,7 @@
 		arrival.Limits = admissionLimits(e.Tenant)
 	}
 	if deadline, bounded := e.Context.Deadline(); bounded {
-		arrival.Deadline = h.clock() + time.Until(deadline)
+		arrival.Deadline = h.limiter.clock() + time.Until(deadline)
 	}
 	return arrival
 }
--- a/internal/dataplane/handlers/tenantlimiter/limiter.go
+++ b/internal/dataplane/handlers/tenantlimiter/limiter.go
@@ -14,7 +14,9 @@
 // Limiter makes the admission controller usable by many goroutines, which wait in it for
 // their grant.
 type Limiter struct {
-	clock      func() time.Duration
+	// clock returns the time elapsed on a clock that counts suspended time.
+	clock func() time.Duration
+
 	mutex      sync.Mutex
 	controller *admission.Controller
 	// waiting holds a channel for each queued request, which is closed when the request
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -22,13 +22,13 @@
 	dataplane *dataplane.Server
 	driver    *driver.Driver
 
-	mutex    sync.Mutex
-	exchange *gossip.Exchange
+	mutex   sync.Mutex
+	relayer *gossip.Relayer
 }
 
 // newGossipService returns the service of a node. The driver is set before it serves.
 func newGossipService(id member.ID, zone string, server *dataplane.Server) *gossipService {
-	return &gossipService{dataplane: server, exchange: gossip.NewExchange(id, zone)}
+	return &gossipService{dataplane: server, relayer: gossip.NewRelayer(id, zone)}
 }
 
 // Serve implements suture.Service.
@@ -65,9 +65,9 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !local.Empty() {
-		s.exchange.Add(local)
+		s.relayer.Add(local)
 	}
-	return s.exchange.Flush(live)
+	return s.relayer.Flush(live)
 }
 
 // TakeBatch implements driver.TrafficReceiver.
@@ -79,7 +79,7 @@
 		return
 	}
 	s.mutex.Lock()
-	updates := s.exchange.Receive(batch)
+	updates := s.relayer.Receive(batch)
 	s.mutex.Unlock()
 	if s.dataplane == nil {
 		return
