--- a/internal/dataplane/dispatch/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -25,16 +25,18 @@
 	return fmt.Sprintf("the answer was made by weight version %q instead of %q", e.actual, e.expected)
 }
 
-// recordFailure records the end of an attempt without a response.
+// recordFailure records the end of an attempt without a response: it was not sent, the back
+// end has refused to run it, or its outcome is not known.
 func (d *Dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
-	var unsent *outbound.Error
-	if errors.As(err, &unsent) && !unsent.MayHaveBeenSent {
-		w.lastError = d.unsentError(w, unsent)
+	var broken *outbound.Error
+	if errors.As(err, &broken) && !broken.MayHaveBeenSent {
+		w.lastError = d.unsentError(w, broken)
 		w.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
 		return
 	}
 	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
-	if unsent == nil {
+	if broken == nil {
+		// The back end has responded, with a refusal or with what is not relayed.
 		d.options.Health.RecordResponse(chosen.address())
 	}
 	var refusal *outbound.RefusedError
@@ -47,7 +49,7 @@
 		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
-	if unsent != nil && deadline.Passed(w.Context) {
+	if broken != nil && deadline.Passed(w.Context) {
 		d.options.Health.RecordMissedDeadline(d.options.Clock(), chosen.address())
 	}
 	d.recordLoss(w, attempt, err)
@@ -57,8 +59,8 @@
 // is a limit of this node.
 func (d *Dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
 	wait := d.options.BackendRetry
-	var spent *outbound.ConnectionLimitError
-	if errors.As(unsent, &spent) {
+	var atLimit *outbound.ConnectionLimitError
+	if errors.As(unsent, &atLimit) {
 		return caller.NewError(caller.KindBackendsBusy,
 			"the back end has as many connections as it may have: send the request again").WithRetryAfter(wait)
 	}
--- a/internal/dataplane/dispatch/work.go
+++ b/internal/dataplane/dispatch/work.go
@@ -16,7 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// work is a request in the dispatcher.
+// work is a request in the dispatcher, with what its attempts have left behind. It belongs
+// to the request's goroutine.
 type work struct {
 	*exchange.Exchange
 	tracker *attempts.Tracker
--- a/internal/dataplane/edges/edges.go
+++ b/internal/dataplane/edges/edges.go
@@ -44,7 +44,9 @@
 
 // Set is the protocols that a node speaks to callers and back ends.
 type Set struct {
-	Callers     CallerEdge
+	Callers CallerEdge
+	// Replicas runs attempts on the replicas of pools, and WebServices those on the back
+	// ends of web services.
 	Replicas    BackendEdge
 	WebServices BackendEdge
 	// Reports reads the reports of replicas and stores page by page; nil if they
@@ -80,19 +82,25 @@
 	ResumeAfter string
 	// Request is the caller's request. Its body has been read.
 	Request *http.Request
-	Body    []byte
+	// Body is the caller's body, complete. It is the same for all attempts, and read only.
+	Body []byte
 	// Generation is set for the replicas of pools.
 	Generation *Generation
 }
 
 // Generation describes a prompt to a replica.
 type Generation struct {
+	// Model is the pool's model.
 	Model string
 	// WeightVersion is the version that the cache salt is for.
 	WeightVersion string
-	CacheSalt     string
-	Chunks        []prefixindex.Chunk
-	OutputTokens  uint32
+	// CacheSalt keeps chunks apart that must not be shared: those of other weights, and of
+	// other sharing domains.
+	CacheSalt string
+	// Chunks are those of the prompt, in its order.
+	Chunks []prefixindex.Chunk
+	// OutputTokens is the caller's bound of the generated tokens; 0 if it gives none.
+	OutputTokens uint32
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
 	// SaveTo is the address of the store that the chunks are to be saved to, or "".
