--- a/internal/dataplane/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -1,4 +1,4 @@
-package dataplane
+package dispatch
 
 import (
 	"fmt"
@@ -7,6 +7,7 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/deadline"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
@@ -24,40 +25,42 @@
 	return fmt.Sprintf("the answer was made by weight version %q instead of %q", e.actual, e.expected)
 }
 
-// recordFailure records the end of an attempt without a response.
-func (d *dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
-	var unsent *outbound.Error
-	if errors.As(err, &unsent) && !unsent.MayHaveBeenSent {
-		w.lastError = d.unsentError(w, unsent)
+// recordFailure records the end of an attempt without a response: it was not sent, the back
+// end has refused to run it, or its outcome is not known.
+func (d *Dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
+	var broken *outbound.Error
+	if errors.As(err, &broken) && !broken.MayHaveBeenSent {
+		w.lastError = d.unsentError(w, broken)
 		w.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
 		return
 	}
 	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
-	if unsent == nil {
-		d.server.health.RecordResponse(chosen.address())
+	if broken == nil {
+		// The back end has responded, with a refusal or with what is not relayed.
+		d.options.Health.RecordResponse(chosen.address())
 	}
 	var refusal *outbound.RefusedError
 	if errors.As(err, &refusal) {
 		chosen.handleRefusal(refusal)
 		if !refusal.WrongTarget && chosen.hasSpareCapacity() {
-			w.health.Failed(d.server.options.Clock(), outlier.Refused)
+			w.health.Failed(d.options.Clock(), outlier.Refused)
 		}
-		w.lastError = refusedError(refusal, d.server.options.BackendRetry)
+		w.lastError = refusedError(refusal, d.options.BackendRetry)
 		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
-	if unsent != nil && deadlinePassed(w.ctx) {
-		d.server.health.RecordMissedDeadline(d.server.options.Clock(), chosen.address())
+	if broken != nil && deadline.Passed(w.Context) {
+		d.options.Health.RecordMissedDeadline(d.options.Clock(), chosen.address())
 	}
 	d.recordLoss(w, attempt, err)
 }
 
 // unsentError returns why nothing was sent, and counts it against the back end unless it
 // is a limit of this node.
-func (d *dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
-	wait := d.server.options.BackendRetry
-	var spent *outbound.ConnectionLimitError
-	if errors.As(unsent, &spent) {
+func (d *Dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
+	wait := d.options.BackendRetry
+	var atLimit *outbound.ConnectionLimitError
+	if errors.As(unsent, &atLimit) {
 		return caller.NewError(caller.KindBackendsBusy,
 			"the back end has as many connections as it may have: send the request again").WithRetryAfter(wait)
 	}
@@ -67,7 +70,7 @@
 }
 
 // recordLoss records that the outcome of an attempt which was sent is not known.
-func (d *dispatcher) recordLoss(w *work, attempt int, err error) {
+func (d *Dispatcher) recordLoss(w *work, attempt int, err error) {
 	var failed *outbound.FailedResponseError
 	var gone *callerGoneError
 	var otherWeights *versionMismatchError
@@ -79,7 +82,7 @@
 		d.countUnlessCancelled(w, outlier.Errored)
 	case errors.As(err, &otherWeights):
 		// This is no fault of the back end, and temporary.
-		d.server.health.Suspect(d.server.options.Clock(), w.health.Address)
+		d.options.Health.Suspect(d.options.Clock(), w.health.Address)
 	default:
 		d.countUnlessCancelled(w, outlier.Reset)
 	}
@@ -90,9 +93,9 @@
 
 // countUnlessCancelled counts an outcome against the back end of an attempt, unless this
 // node has cancelled the attempt.
-func (d *dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
-	if w.ctx.Err() == nil {
-		w.health.Failed(d.server.options.Clock(), outcome)
+func (d *Dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
+	if w.Context.Err() == nil {
+		w.health.Failed(d.options.Clock(), outcome)
 	}
 }
 
@@ -114,27 +117,27 @@
 }
 
 // respond performs the final action that the tracker asks for.
-func (d *dispatcher) respond(w *work, action attempts.Action) {
+func (d *Dispatcher) respond(w *work, action attempts.Action) {
 	switch action.Kind {
 	case attempts.Relay:
-		w.counters.countCompleted()
+		w.Counters.CountCompleted()
 		w.writeBuffered()
 	case attempts.AbortRelay:
 		d.abortRelay(w)
 	case attempts.RespondNotRun:
-		w.refuse(w.finalError())
+		w.Refuse(w.finalError())
 	case attempts.RespondUnknown:
 		callerError := w.finalError()
 		callerError.Kind = caller.KindOutcomeUnknown
-		w.refuse(callerError)
+		w.Refuse(callerError)
 	case attempts.RespondDeadline:
-		callerError := deadlineError()
+		callerError := deadline.Error()
 		callerError.MayHaveRun = w.tracker.MayHaveRun()
-		w.refuse(callerError)
+		w.Refuse(callerError)
 	case attempts.Abandon:
-		w.counters.countAbandoned()
-		w.failed = true
-		w.certainlyNotRun = !w.tracker.MayHaveRun()
+		w.Counters.CountAbandoned()
+		w.Failed = true
+		w.CertainlyNotRun = !w.tracker.MayHaveRun()
 		panic(http.ErrAbortHandler)
 	default:
 		panic(fmt.Sprintf("the tracker asks for %s although no attempt is running", action.Kind))
--- a/internal/dataplane/edges.go
+++ b/internal/dataplane/edges/edges.go
@@ -1,4 +1,11 @@
-package dataplane
+// Package edges says what the data plane needs of the protocols that it speaks to callers
+// and back ends, and implements the native ones.
+//
+// The data plane knows no header and no path of a protocol: it describes an Attempt to a
+// BackendEdge, and gets a Response. The native protocols are those of internal/edge; a platform
+// with protocols of its own gives others in their place. Implementations are used by many
+// requests at a time.
+package edges
 
 import (
 	"context"
@@ -35,9 +42,11 @@
 	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
 
-// Edges are the protocols that a node speaks to callers and back ends.
-type Edges struct {
-	Callers     CallerEdge
+// Set is the protocols that a node speaks to callers and back ends.
+type Set struct {
+	Callers CallerEdge
+	// Replicas runs attempts on the replicas of pools, and WebServices those on the back
+	// ends of web services.
 	Replicas    BackendEdge
 	WebServices BackendEdge
 	// Reports reads the reports of replicas and stores page by page; nil if they
@@ -73,19 +82,25 @@
 	ResumeAfter string
 	// Request is the caller's request. Its body has been read.
 	Request *http.Request
-	Body    []byte
+	// Body is the caller's body, complete. It is the same for all attempts, and read only.
+	Body []byte
 	// Generation is set for the replicas of pools.
 	Generation *Generation
 }
 
 // Generation describes a prompt to a replica.
 type Generation struct {
+	// Model is the pool's model.
 	Model string
 	// WeightVersion is the version that the cache salt is for.
 	WeightVersion string
-	CacheSalt     string
-	Chunks        []prefixindex.Chunk
-	OutputTokens  uint32
+	// CacheSalt keeps chunks apart that must not be shared: those of other weights, and of
+	// other sharing domains.
+	CacheSalt string
+	// Chunks are those of the prompt, in its order.
+	Chunks []prefixindex.Chunk
+	// OutputTokens is the caller's bound of the generated tokens; 0 if it gives none.
+	OutputTokens uint32
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
 	// SaveTo is the address of the store that the chunks are to be saved to, or "".
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -6,6 +6,8 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/dispatch"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/claimer"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
@@ -25,7 +27,7 @@
 	// DefaultMaxAttempts bounds the attempts of one request.
 	DefaultMaxAttempts = 4
 	// DefaultBackendRetry is when a caller may retry after a failure of a back end.
-	DefaultBackendRetry = time.Second
+	DefaultBackendRetry = dispatch.DefaultBackendRetry
 	// DefaultDrainTimeout is the longest graceful shutdown.
 	DefaultDrainTimeout = 20 * time.Second
 	// DefaultEventTimeout is the longest time without an event of a back end.
@@ -94,7 +96,7 @@
 	RetryBudget retrybudget.Options
 	// Claims decide among all nodes which of them runs a request that must not run twice;
 	// nil leaves that to this node's own register.
-	Claims Claims
+	Claims claimer.Claims
 	// MaxBodyBytes bounds a caller's body.
 	MaxBodyBytes int64
 	// MaxResponseBytes bounds a response that is buffered before any of it is relayed,
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -2,21 +2,24 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 
 	"github.com/thejerf/suture/v4"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/dispatch"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/duplicates"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/handlers/tenantlimiter"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/listener"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/recorder"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/reports"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/requestid"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/startupgate"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
-	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
-	"github.com/ridgeswitch/ridgeswitch/internal/edge/store"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
@@ -29,27 +32,24 @@
 	options      Options
 	sender       *outbound.Client
 	router       *kvrouter.Router
-	ids          *idGenerator
-	destinations *destinations
-	limiter      *limiter
+	ids          *requestid.Generator
+	destinations *destinations.Set
+	limiter      *tenantlimiter.Limiter
 	duplicates   *duplicates.Register
-	inFlight     *inFlight
+	dispatcher   *dispatch.Dispatcher
 	health       *health.Tracker
 	quarantine   *health.Quarantine
 	stale        *health.StaleBackends
 	slowStart    *warmup.Limiter
 	feeds        *feeds.Manager
-	updates      *outgoingUpdates
-	snapshots    *snapshotExchange
-	readers      *reportReaders
-	startup      *startupGate
+	updates      *gossip.Outgoing
+	snapshots    *gossip.SnapshotExchange
+	readers      *reports.Readers
+	startup      *startupgate.Gate
 	chain        chain
 	listener     *listener.Listener
 	// recorder is nil if requests are not recorded.
 	recorder *recorder.Recorder
-	// draws counts the random sources, so that each has its own seed.
-	draws atomic.Uint64
-	seed  uint64
 
 	// stopped is closed when the server is released.
 	stopped  chan struct{}
@@ -64,36 +64,34 @@
 	if err != nil {
 		return nil, err
 	}
-	ids, err := newIDGenerator(options.Node)
+	ids, err := requestid.New(options.Node)
 	if err != nil {
 		return nil, err
 	}
 	sender := outbound.New(outbound.Options{Name: clientName})
-	options.Edges = options.Edges.withDefaults(sender, options.MaxResponseBytes)
+	options.Edges = options.Edges.WithDefaults(sender, options.MaxResponseBytes)
 	server := &Server{
 		options:      options,
 		sender:       sender,
 		router:       kvrouter.New(options.Router),
 		ids:          ids,
-		destinations: newDestinations(options.RetryBudget),
-		limiter:      newLimiter(options.Clock, options.Admission),
+		destinations: destinations.New(options.RetryBudget),
+		limiter:      tenantlimiter.NewLimiter(options.Clock, options.Admission),
 		duplicates:   duplicates.New(options.RememberedRequests, options.RememberFor),
-		inFlight:     newInFlight(),
 		health: health.New(health.Options{
 			Outlier: options.Outlier, Member: options.Member, Zone: options.Zone, Peers: options.Peers, Log: options.Log,
 		}),
 		quarantine: health.NewQuarantine(),
 		stale:      health.NewStaleBackends(),
 		slowStart:  warmup.New(options.Member),
-		updates:    newOutgoingUpdates(),
-		startup:    newStartupGate(),
-		seed:       rand.Uint64(),
+		updates:    gossip.NewOutgoing(),
+		startup:    startupgate.New(),
 		stopped:    make(chan struct{}),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
-	server.snapshots = newSnapshotExchange(options, server.router)
+	server.snapshots = gossip.NewSnapshotExchange(options.Member, options.Zone, server.router)
 	server.feeds = server.newFeeds()
-	server.readers = newReportReaders(server)
+	server.readers = server.newReaders()
 	if server.listener, err = listener.New(listener.Options{
 		Address: options.Address, DrainTimeout: options.DrainTimeout, Log: options.Log,
 	}, server); err != nil {
@@ -106,23 +104,11 @@
 			return nil, err
 		}
 	}
+	server.dispatcher = server.newDispatcher()
 	server.chain = server.newChain()
 	return server, nil
 }
 
-// newFeeds returns the feeds of the native protocol's event streams. Back ends whose
-// reports are read page by page push none.
-func (s *Server) newFeeds() *feeds.Manager {
-	options := feeds.Options{
-		Router: s.router, Quarantine: s.quarantine, Health: s.health.Detector, Clock: s.options.Clock, Log: s.options.Log,
-	}
-	if s.options.Edges.Reports == nil {
-		options.Replicas = replica.NewEventClient(s.sender, s.options.EventTimeout)
-		options.Stores = store.NewEventClient(s.sender, s.options.EventTimeout)
-	}
-	return feeds.New(options)
-}
-
 // Start binds the address and serves until Drain or Stop. It returns nil after
 // these, and otherwise why it could not serve.
 func (s *Server) Start() error {
@@ -189,15 +175,15 @@
 
 // InFlight returns how many attempts run on a back end through this node.
 func (s *Server) InFlight(address string) int {
-	return s.inFlight.count(address)
+	return s.dispatcher.InFlight(address)
 }
 
 // Stats returns the counters of every destination that was routed to.
 func (s *Server) Stats() []DestinationStats {
 	now := s.options.Clock()
-	stats := s.destinations.snapshot()
+	stats := s.destinations.Stats()
 	for i := range stats {
-		stats[i].addHealth(s.health.DestinationStats(now, stats[i].Name, stats[i].WebService))
+		stats[i].AddHealth(s.health.DestinationStats(now, stats[i].Name, stats[i].WebService))
 	}
 	return stats
 }
@@ -209,12 +195,3 @@
 	}
 	return s.recorder.Stats()
 }
-
-// random returns a source of random numbers for one selection, or nil where the
-// temperature makes it unnecessary.
-func (s *Server) random(temperature float64) *rand.Rand {
-	if temperature <= 0 {
-		return nil
-	}
-	return rand.New(rand.NewPCG(s.seed, s.draws.Add(1)))
-}
