--- a/internal/dataplane/embedding.go
+++ b/internal/dataplane/embedding.go
@@ -1,9 +1,8 @@
 package dataplane
 
 import (
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
-
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/destinations"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
 )
 
 // The names by which programs that embed a Server implement its protocols, which package
