--- a/pkg/membership/anti_entropy.go
+++ b/pkg/membership/anti_entropy.go
@@ -7,8 +7,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// antiEntropy finds and repairs differences between two nodes' tables in three
-// messages, so that a difference costs little more than the records that differ:
+// antiEntropy finds and repairs differences between two nodes' tables by exchanges. Each
+// takes three messages, or four, so that a difference costs little more than the records
+// that differ:
 //
 //  1. One sends a digest of each of bucketCount key ranges of its table (Buckets).
 //  2. The other replies with a digest of each record in the ranges that differ
@@ -17,12 +18,16 @@
 //     that it lacks or that differ (Records, Requested). Of the named ones, the other
 //     sends those that are still newer (Records).
 //
-// It owns what this node knows of the need for an exchange.
+// It owns what this node knows of the need for an exchange. Nothing is kept of an exchange
+// that runs: each message says all that its receiver needs, so a lost one only delays the
+// repair until the digests are compared again.
 type antiEntropy struct {
 	config  Config
 	table   *memberTable
 	sampler *sampler
 	joiner  *joiner
+	gossip  *gossip
+	outbox  *outbox
 	// differing is a member whose digest differed since the last exchange; its ID is
 	// empty if there is none.
 	differing member.Info
@@ -53,33 +58,28 @@
 	}
 }
 
-// start returns the member to start an exchange with now, or false. A difference that
+// startExchange sends the first message of an exchange if one is due. A difference that
 // was seen while records still change is probably repaired by gossip on its way, so it
 // waits for a quiet instant; not so in a bulk change, or while joining nodes wait for
 // this node's table.
-func (a *antiEntropy) start(now time.Duration, bulkChange bool) (member.Info, bool) {
+func (a *antiEntropy) startExchange(now time.Duration) {
 	joinsWaiting := len(a.joiner.deferred) > 0
 	if now < a.next || a.differing.ID == "" && !joinsWaiting {
-		return member.Info{}, false
+		return
 	}
 	overdue := now >= a.next+a.config.FenceAfter
 	quiet := now-a.table.changedAt >= a.config.HeartbeatEvery/2
-	if !bulkChange && !joinsWaiting && !overdue && !quiet {
-		return member.Info{}, false
+	if !a.gossip.inBulkChange(now) && !joinsWaiting && !overdue && !quiet {
+		return
 	}
 	partner, found := a.partner()
 	if !found {
-		return member.Info{}, false
+		return
 	}
 	a.differing = member.Info{}
-	a.next = now + a.interval()
-	return partner, true
-}
-
-// interval is the least time between two exchanges that this node starts.
-func (a *antiEntropy) interval() time.Duration {
-	return a.config.HeartbeatEvery/exchangesPerHeartbeat +
+	a.next = now + a.config.HeartbeatEvery/exchangesPerHeartbeat +
 		time.Duration(len(a.table.sortedIDs))*exchangeIntervalPerRecord
+	a.outbox.sendTo(partner, Message{Type: MessageGossip, Buckets: a.table.bucketDigests()})
 }
 
 // partner draws whom to exchange records with. While joining nodes wait, it is a member
@@ -101,28 +101,26 @@
 	return a.differing, a.differing.ID != ""
 }
 
-// request is the first message of an exchange.
-func (a *antiEntropy) request() Message {
-	return Message{Type: MessageGossip, Buckets: a.table.bucketDigests()}
-}
-
 // onGossip handles a probe or a message of an exchange after its records were merged.
-// It returns the reply, or false if there is none.
-func (a *antiEntropy) onGossip(msg Message) (Message, bool) {
+func (a *antiEntropy) onGossip(msg Message) {
+	var reply Message
+	var any bool
 	switch {
 	case len(msg.Buckets) > 0:
-		return a.onBuckets(msg)
+		reply, any = a.onBuckets(msg)
 	case msg.CoveredBuckets != 0:
-		return a.onSummary(msg)
+		reply, any = a.onSummary(msg)
 	case len(msg.Requested) > 0:
-		return a.onRequested(msg)
+		reply, any = a.onRequested(msg)
 	case len(msg.Records) == 0:
 		a.compareDigest(msg)
 	}
-	return Message{}, false
+	if any {
+		a.outbox.reply(msg, reply)
+	}
 }
 
-// onBuckets replies with a summary of the key ranges that differ.
+// onBuckets replies with a summary of the key ranges that differ, or not at all if none does.
 func (a *antiEntropy) onBuckets(msg Message) (Message, bool) {
 	if msg.Digest == a.table.digest || len(msg.Buckets) != bucketCount {
 		return Message{}, false
@@ -142,7 +140,8 @@
 }
 
 // onSummary replies with the records that the sender lacks or that differ, and
-// requests those that this node lacks or that differ.
+// requests those that this node lacks or that differ. There is no reply if it would be
+// empty.
 func (a *antiEntropy) onSummary(msg Message) (Message, bool) {
 	theirs := make(map[uint32]uint32, len(msg.Summary))
 	for _, summary := range msg.Summary {
@@ -172,7 +171,7 @@
 }
 
 // onRequested replies with the requested records, except those that the sender has by
-// now: what it sent along was merged before.
+// now: what it sent along was merged before. There is no reply if that leaves none.
 func (a *antiEntropy) onRequested(msg Message) (Message, bool) {
 	received := map[member.ID]Record{}
 	for _, record := range msg.Records {
--- a/pkg/membership/doc.go
+++ b/pkg/membership/doc.go
@@ -7,17 +7,28 @@
 //
 // # Parts and their state
 //
-// Machine composes these parts; each owns its state and none sends a message itself.
-//
-//   - memberTable: the newest record of each member, indexes and digests of them.
-//   - failureDetector: this node as a monitor of others, their time-outs and its reports.
-//   - fence, heartbeatLog: this node's incarnation, its monitor sets, the heartbeats
-//     that they acknowledged, and the deadline that follows.
-//   - monitorSelector: the peers that get heartbeats, and the choice of monitors.
-//   - gossip: pending updates that are passed on to a few members.
-//   - antiEntropy: comparison of digests, and the exchange of the records that differ.
-//   - sampler: random selection of members.
-//   - joiner: seeds, retries, and replies to joining nodes.
+// Machine composes parts; each owns its state:
+//
+//	state                                            owner
+//	newest record of each member, indexes, digests   memberTable
+//	seeds, search for one, deferred replies to joins joiner
+//	this node's incarnation, its monitor sets,
+//	and the deadline of the fence                    selfMember: fence
+//	when heartbeats were sent                        selfMember: heartbeatLog
+//	peers that get heartbeats, and what they replied selfMember: monitorSelector
+//	timers of the members that this node monitors,
+//	and what it reported                             failureDetector
+//	pending updates, recognition of bulk changes     gossip
+//	members whose digest differed                    antiEntropy
+//	turns of probes                                  prober
+//	random numbers                                   sampler
+//	messages of the present input                    outbox
+//
+// A record reaches the table only through memberTable.merge, which tells failureDetector
+// and gossip what changed. Parts read each other, the table above all, and send only
+// through the outbox. None changes the state of another, except by merge, and by
+// memberTable.assumeStable when this node has joined. Machine's Tick and Step show the
+// order in which the parts act.
 //
 // # Protocol
 //
--- a/pkg/membership/failure_detector.go
+++ b/pkg/membership/failure_detector.go
@@ -6,13 +6,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// failureDetector is this node in its role as a monitor of others. It acknowledges
-// heartbeats and reports the members whose heartbeats stopped.
+// failureDetector is this node in its role as a monitor of others: it acknowledges
+// heartbeats and reports the members whose heartbeats stopped. It owns a timer for each
+// member.
 //
-// A report is a promise: after it, this process never again acknowledges that
-// incarnation under that monitor set version. Each acknowledgement states the newest
-// version reported, so that a member discounts acknowledgements that may have
-// crossed the report.
+// Its invariant is that a report is a promise: after it, this process never again
+// acknowledges that incarnation under that monitor set version. Heartbeats that come after
+// the report get replies nevertheless, since the member may have declared a later set; but
+// each reply states the newest version reported, and the member counts no reply for
+// versions up to it, also if the report itself hasn't reached it. Replies sent before the
+// report need no such mark: by then they have expired, since a report comes timeout after
+// the last of them.
 type failureDetector struct {
 	self member.ID
 	// boot identifies this process in reports, since a promise ends with it.
@@ -20,6 +24,7 @@
 	// timeout is how long a member may be silent before it is reported.
 	timeout time.Duration
 	table   *memberTable
+	outbox  *outbox
 	// timers has one timer for each member of the table.
 	timers map[member.ID]*heartbeatTimer
 }
@@ -33,19 +38,20 @@
 	timedOutVersion uint64
 }
 
-func newFailureDetector(cfg Config, table *memberTable) failureDetector {
-	return failureDetector{
+func newFailureDetector(cfg Config, table *memberTable, outbox *outbox) *failureDetector {
+	return &failureDetector{
 		self:    cfg.Self.ID,
 		boot:    cfg.Self.Incarnation,
 		timeout: cfg.monitorTimeout(),
 		table:   table,
+		outbox:  outbox,
 		timers:  map[member.ID]*heartbeatTimer{},
 	}
 }
 
-// observe restarts a member's timer for each new incarnation and each new monitor
+// recordChanged restarts a member's timer for each new incarnation and each new monitor
 // set: this node learnt of it only now, and owes the member the full time-out.
-func (d *failureDetector) observe(now time.Duration, id member.ID, change tableChange) {
+func (d *failureDetector) recordChanged(now time.Duration, id member.ID, change tableChange) {
 	switch {
 	case change.newMember || change.newIncarnation:
 		d.timers[id] = &heartbeatTimer{lastHeard: now}
@@ -66,28 +72,37 @@
 	delete(d.timers, id)
 }
 
-// acknowledge returns the reply to a heartbeat. The caller has checked that it
-// belongs to the newest incarnation of the member that record describes.
-func (d *failureDetector) acknowledge(now time.Duration, heartbeat Message, record *Record) Message {
-	timer := d.timers[heartbeat.From.ID]
+// onHeartbeat acknowledges a heartbeat of the sender's newest incarnation, and returns
+// whether it did. A sender that has been superseded, left or was removed gets the record
+// that this node has of it instead.
+func (d *failureDetector) onHeartbeat(now time.Duration, msg Message) bool {
+	e, known := d.table.entries[msg.From.ID]
+	if !known {
+		return false
+	}
+	if e.record.Info.Incarnation != msg.Incarnation || e.record.State == StateLeft {
+		d.outbox.reply(msg, Message{Type: MessageGossip, Records: []Record{e.record.clone()}})
+		return false
+	}
+	timer := d.timers[msg.From.ID]
 	timer.lastHeard = now
-	return Message{
+	d.outbox.reply(msg, Message{
 		Type:              MessageHeartbeatReply,
-		Sequence:          heartbeat.Sequence,
-		Incarnation:       heartbeat.Incarnation,
-		MonitorSetVersion: record.MonitorSetVersion,
+		Sequence:          msg.Sequence,
+		Incarnation:       msg.Incarnation,
+		MonitorSetVersion: e.record.MonitorSetVersion,
 		TimedOutVersion:   timer.timedOutVersion,
-	}
+	})
+	return true
 }
 
-// reportTimeouts returns the record, with this node's report added, of each member
-// that chose this node as a monitor and has timed out. The caller must merge all of
-// them into the table.
+// reportTimeouts adds this node's report to the record of each member that chose this
+// node as a monitor and has timed out.
 //
 // A process that the member doesn't count on, because it started after the member's
 // choice, reports too: otherwise a member that died shortly before that start would
 // be considered alive for ever.
-func (d *failureDetector) reportTimeouts(now time.Duration) []Record {
+func (d *failureDetector) reportTimeouts(now time.Duration) {
 	var reported []Record
 	for _, id := range d.table.monitored {
 		record := &d.table.entries[id].record
@@ -105,7 +120,9 @@
 		})
 		reported = append(reported, withReport)
 	}
-	return reported
+	for _, record := range reported {
+		d.table.merge(now, record)
+	}
 }
 
 // hasTimedOut tells whether a member has to be reported and hasn't been yet.
--- a/pkg/membership/fence.go
+++ b/pkg/membership/fence.go
@@ -26,8 +26,8 @@
 // and ends for good when it is fenced again.
 type localIncarnation struct {
 	number member.Incarnation
-	// searchStartedAt is when the search for monitors began.
-	searchStartedAt time.Duration
+	// startedAt is when the incarnation began.
+	startedAt time.Duration
 	// recordVersion is the version of this incarnation's newest record.
 	recordVersion uint64
 	// monitorSets are the sets that may still fence this incarnation, oldest first.
@@ -44,11 +44,11 @@
 
 // begin replaces the present incarnation by a fenced one without monitors.
 func (f *fence) begin(now time.Duration, number member.Incarnation) {
-	f.localIncarnation = localIncarnation{number: number, searchStartedAt: now}
+	f.localIncarnation = localIncarnation{number: number, startedAt: now}
 }
 
-// leave fences the node for good.
-func (f *fence) leave() {
+// close fences the node for good.
+func (f *fence) close() {
 	f.left = true
 	f.deadline = 0
 }
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -22,6 +22,7 @@
 	config  Config
 	table   *memberTable
 	sampler *sampler
+	outbox  *outbox
 	pending map[member.ID]bool
 	// next is when gossip may be sent again.
 	next time.Duration
@@ -33,8 +34,8 @@
 	recentChangesSince time.Duration
 }
 
-// add marks a member's record as changed.
-func (g *gossip) add(id member.ID) {
+// recordChanged marks a member's record to be passed on.
+func (g *gossip) recordChanged(_ time.Duration, id member.ID, _ tableChange) {
 	g.pending[id] = true
 }
 
@@ -43,24 +44,32 @@
 	clear(g.pending)
 }
 
-// due tells whether there are pending updates to send now. If urgent is set, they don't
-// wait for the next turn.
-func (g *gossip) due(now time.Duration, urgent bool) bool {
-	return len(g.pending) > 0 && (now >= g.next || urgent)
+// keepOnly drops all pending updates but that of one member, which is passed on in any
+// case.
+func (g *gossip) keepOnly(id member.ID) {
+	g.clear()
+	g.pending[id] = true
 }
 
-// take returns the records to pass on now and the members to send them to.
-func (g *gossip) take(now time.Duration) (records []Record, receivers []member.ID) {
+// sendPending passes the pending updates on if some are due. If urgent is set, they don't
+// wait for the next turn.
+func (g *gossip) sendPending(now time.Duration, urgent bool) {
+	if len(g.pending) == 0 || now < g.next && !urgent {
+		return
+	}
 	g.next = now + g.config.HeartbeatEvery/gossipsPerHeartbeat
 	ids := g.takePendingUpdates(now)
 	if len(ids) == 0 {
-		return nil, nil
+		return
 	}
+	var records []Record
 	for _, id := range ids {
 		records = append(records, g.table.entries[id].record.clone())
 	}
 	originated := slices.ContainsFunc(ids, g.originatedUpdate)
-	return records, g.receivers(originated)
+	for _, id := range g.receivers(originated) {
+		g.outbox.send(id, Message{Type: MessageGossip, Records: records})
+	}
 }
 
 // takePendingUpdates returns the members whose records are sent now. If there are more
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -1,132 +1,118 @@
 package membership
 
 import (
-	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// A process that supersedes an earlier one skips minIncarnationSkip incarnations, and
-// up to incarnationSkipJitter more, drawn at random.
-const (
-	minIncarnationSkip    = 1 << 16
-	incarnationSkipJitter = 1 << 32
-)
-
 // Machine is the membership state of one node. It does no I/O and reads no clock: each
 // input states the time, and each output lists the messages to send. It is not safe for
 // concurrent use.
 //
-// Each part owns its state and none sends a message; Machine passes inputs to them and
-// turns their outputs into messages.
+// Machine only composes: each part owns its state, and sends through the outbox. Tick and
+// Step show the order in which the parts act on an input.
 type Machine struct {
 	config Config
 
-	now      time.Duration
+	now time.Duration
+	// lastTick is the time of the newest Tick. A gap shows that this process was paused.
 	lastTick time.Duration
-	// nextHeartbeat is when heartbeats are sent next, and heartbeatRounds counts the
-	// times that they were.
-	nextHeartbeat   time.Duration
-	heartbeatRounds uint64
-	// nextIncarnationSkip is when skipIncarnationsPast may act again.
-	nextIncarnationSkip time.Duration
-
-	table   *memberTable
-	sampler *sampler
 
-	// Failure detection: this node's fence, its monitors, and its role as a monitor.
-	fence      fence
-	heartbeats heartbeatLog
-	monitors   monitorSelector
-	detector   failureDetector
+	table  *memberTable
+	outbox *outbox
 
-	// Dissemination.
-	gossip      gossip
-	antiEntropy antiEntropy
+	joiner   *joiner
+	self     *selfMember
+	detector *failureDetector
 
-	joiner *joiner
-
-	outbox []Outbound
+	// Dissemination of records.
+	gossip      *gossip
+	antiEntropy *antiEntropy
+	prober      *prober
 }
 
 // New returns the machine of a node that starts at now. The node is fenced
 // until enough monitors acknowledged it, or until it is known to be alone.
 func New(cfg Config, now time.Duration) *Machine {
 	cfg = cfg.withDefaults()
-	table := newMemberTable(cfg.Self.ID)
+	table := newMemberTable(cfg)
 	sampler := newSampler(cfg.Self, table)
-	joiner := newJoiner(cfg, now)
+	outbox := &outbox{table: table, boot: cfg.Self.Incarnation}
+	joiner := newJoiner(cfg, table, outbox, now)
+	detector := newFailureDetector(cfg, table, outbox)
+	gossip := &gossip{config: cfg, table: table, sampler: sampler, outbox: outbox, pending: map[member.ID]bool{}}
+	table.observers = []tableObserver{detector, gossip}
 	m := &Machine{
-		config:        cfg,
-		now:           now,
-		lastTick:      now,
-		nextHeartbeat: now,
-		table:         table,
-		sampler:       sampler,
-		fence:         fence{fenceAfter: cfg.FenceAfter},
-		monitors:      monitorSelector{config: cfg, table: table, peers: map[member.ID]*peer{}},
-		detector:      newFailureDetector(cfg, table),
-		gossip:        gossip{config: cfg, table: table, sampler: sampler, pending: map[member.ID]bool{}},
-		antiEntropy:   antiEntropy{config: cfg, table: table, sampler: sampler, joiner: joiner},
-		joiner:        joiner,
-	}
-	m.startIncarnation(cfg.Self.Incarnation)
+		config:      cfg,
+		now:         now,
+		lastTick:    now,
+		table:       table,
+		outbox:      outbox,
+		joiner:      joiner,
+		self:        newSelfMember(cfg, table, joiner, sampler, outbox, now),
+		detector:    detector,
+		gossip:      gossip,
+		antiEntropy: &antiEntropy{config: cfg, table: table, sampler: sampler, joiner: joiner, gossip: gossip, outbox: outbox},
+		prober:      &prober{table: table, sampler: sampler, joiner: joiner, outbox: outbox},
+	}
+	m.self.startIncarnation(now, cfg.Self.Incarnation)
 	if joiner.joined {
 		// Nobody else is expected.
-		m.assumeTableStable()
+		table.assumeStable(now)
 	}
-	m.maintainMonitors()
+	m.self.maintainMonitors(now)
 	return m
 }
 
 // Tick lets time pass. It should be called several times in HeartbeatEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.advance(now)
-	if m.fence.left {
+	if m.self.fence.left {
 		return nil
 	}
 	m.lastTick = m.now
-	m.attemptJoin()
-	m.sendDeferredJoinReplies()
-	for _, record := range m.detector.reportTimeouts(m.now) {
-		m.merge(record)
-	}
-	m.forgetFenced()
-	m.maintainMonitors()
-	if m.now >= m.nextHeartbeat {
-		m.sendHeartbeats()
+	m.joiner.tick(m.now)
+	m.detector.reportTimeouts(m.now)
+	for _, id := range m.table.forgetFenced(m.now, m.config.ForgetAfter) {
+		m.detector.forget(id)
+		m.self.monitors.forget(id)
 	}
-	m.startExchange()
+	m.self.maintainMonitors(m.now)
+	m.sendDueHeartbeats()
+	m.antiEntropy.startExchange(m.now)
 	return m.flush()
 }
 
-// Step takes one message in.
+// Step takes one message in: first its records, then what its type asks for.
 func (m *Machine) Step(now time.Duration, msg Message) []Outbound {
 	m.advance(now)
 	if msg.From.ID == m.config.Self.ID || msg.From.ID == "" {
 		return m.flush()
 	}
-	stable := m.isTableStable()
-	m.mergeMessage(msg)
+	wasStable := m.table.isStable(m.now)
+	for _, record := range msg.Records {
+		m.merge(record)
+	}
 	switch msg.Type {
 	case MessageJoin:
-		m.onJoin(msg, stable)
+		m.joiner.onJoin(m.now, msg, wasStable)
 	case MessageJoinReply:
-		m.onJoinReply(msg)
+		if !m.joiner.joined {
+			// The seed's neighbours know the table already; only this node is new.
+			m.gossip.keepOnly(m.config.Self.ID)
+		}
+		m.joiner.onJoinReply(m.now, msg)
 	case MessageHeartbeat:
 		m.onHeartbeat(msg)
 	case MessageHeartbeatReply:
-		m.onHeartbeatReply(msg)
+		m.antiEntropy.compareDigest(msg)
+		m.self.onHeartbeatReply(m.now, msg)
 	case MessageGossip:
-		if reply, any := m.antiEntropy.onGossip(msg); any {
-			m.reply(msg, reply)
-		}
-	}
-	m.maintainMonitorsAfter(msg)
-	if m.now >= m.nextHeartbeat && !m.fence.left {
-		m.sendHeartbeats()
+		m.antiEntropy.onGossip(msg)
 	}
+	m.self.maintainMonitorsAfter(m.now, msg)
+	m.sendDueHeartbeats()
 	return m.flush()
 }
 
@@ -134,16 +120,15 @@
 // on, for good.
 func (m *Machine) Leave(now time.Duration) []Outbound {
 	m.advance(now)
-	if m.fence.left {
+	if m.self.fence.left {
 		return nil
 	}
-	m.fence.leave()
-	m.publishSelfRecord()
+	m.self.leave(m.now)
 	record := m.table.selfRecord().clone()
 	m.gossip.clear()
 	for _, id := range m.table.sortedIDs {
 		if id != m.config.Self.ID && m.table.entries[id].record.State != StateLeft {
-			m.send(id, Message{Type: MessageGossip, Records: []Record{record}})
+			m.outbox.send(id, Message{Type: MessageGossip, Records: []Record{record}})
 		}
 	}
 	return m.flush()
@@ -177,10 +162,7 @@
 // only to find the other side of a partition.
 func (m *Machine) SetSeeds(now time.Duration, seeds []string) []Outbound {
 	m.advance(now)
-	m.joiner.seeds = slices.Clone(seeds)
-	for _, seed := range m.joiner.vacantSeeds(m.table) {
-		m.contactSeed(seed)
-	}
+	m.joiner.setSeeds(seeds)
 	return m.flush()
 }
 
@@ -190,8 +172,8 @@
 // member remembers that process.
 func (m *Machine) AdvanceIncarnationPast(now time.Duration, incarnation member.Incarnation) []Outbound {
 	m.advance(now)
-	if incarnation > m.fence.number {
-		m.skipIncarnationsPast(incarnation)
+	if incarnation > m.self.fence.number {
+		m.self.skipIncarnationsPast(m.now, incarnation)
 	}
 	return m.flush()
 }
@@ -204,114 +186,47 @@
 		// about others.
 		m.lastTick = m.now
 		m.detector.restartTimers(m.now)
-		m.monitors.restartTimers(m.now)
-	}
-	if m.fence.hasEnded(m.now) {
-		m.startNextIncarnation(m.fence.number + 1)
-	}
-}
-
-// mergeMessage takes in the records of a message.
-func (m *Machine) mergeMessage(msg Message) {
-	for _, record := range msg.Records {
-		m.merge(record)
-	}
-	if msg.Type == MessageJoinReply && !m.joiner.joined {
-		// The seed's neighbours know the table already; only this node is new.
-		m.gossip.clear()
-		m.gossip.add(m.config.Self.ID)
+		m.self.monitors.restartTimers(m.now)
 	}
+	m.self.endIfFenced(m.now)
 }
 
-// merge joins one record into the table, and passes on what changed.
+// merge joins a received record into the table. A record of this node that this process
+// hasn't published shows that an earlier process of the node did, or that an operator
+// removed this one: then this node goes on under a later incarnation.
 func (m *Machine) merge(record Record) {
-	id := record.Info.ID
-	if id == "" {
-		return
-	}
-	if id == m.config.Self.ID && m.fence.isSupersededBy(record) {
-		m.skipIncarnationsPast(record.Info.Incarnation)
-		return
-	}
-	if change, changed := m.table.merge(m.now, record); changed {
-		m.detector.observe(m.now, id, change)
-		m.gossip.add(id)
+	switch id := record.Info.ID; {
+	case id == "":
+	case id == m.config.Self.ID && m.self.fence.isSupersededBy(record):
+		m.self.skipIncarnationsPast(m.now, record.Info.Incarnation)
+	default:
+		m.table.merge(m.now, record)
 	}
 }
 
-// skipIncarnationsPast begins an incarnation so far after the given one that it doesn't
-// meet those of the earlier process that nobody here has heard of. If two processes
-// run under one ID, they outbid each other at most once in FenceAfter.
-func (m *Machine) skipIncarnationsPast(incarnation member.Incarnation) {
-	if m.fence.left || m.now < m.nextIncarnationSkip {
+// onHeartbeat acknowledges a heartbeat, and compares the sender's table with this node's.
+// A node that has left replies with its own record instead.
+func (m *Machine) onHeartbeat(msg Message) {
+	if m.self.fence.left {
+		m.outbox.reply(msg, Message{Type: MessageGossip, Records: []Record{m.table.selfRecord().clone()}})
 		return
 	}
-	m.nextIncarnationSkip = m.now + m.config.FenceAfter
-	skip := minIncarnationSkip + m.sampler.random.Uint64N(incarnationSkipJitter)
-	m.startNextIncarnation(incarnation + member.Incarnation(skip))
-}
-
-// startNextIncarnation ends the present incarnation and starts another.
-func (m *Machine) startNextIncarnation(number member.Incarnation) {
-	m.fence.endedCount++
-	m.startIncarnation(number)
-	m.nextHeartbeat = m.now
-}
-
-// startIncarnation starts a fenced incarnation without monitors.
-func (m *Machine) startIncarnation(number member.Incarnation) {
-	m.fence.begin(m.now, number)
-	m.heartbeats.clear()
-	m.monitors.reset(m.now)
-	m.publishSelfRecord()
-}
-
-// publishSelfRecord puts a new version of this node's record into the table.
-func (m *Machine) publishSelfRecord() {
-	m.merge(m.fence.nextRecord(m.config.Self))
-}
-
-// isTableStable tells whether no member has been added to the table lately, so that
-// this node's neighbours on the ring are likely to stay.
-func (m *Machine) isTableStable() bool {
-	return m.now-m.table.grownAt >= m.config.stabilizationWait()
-}
-
-// assumeTableStable spares the stabilization wait where no more members are expected.
-func (m *Machine) assumeTableStable() {
-	m.table.grownAt = m.now - m.config.stabilizationWait()
-}
-
-// forgetFenced drops the members that were fenced long ago, and remembers only that
-// their incarnations have ended.
-func (m *Machine) forgetFenced() {
-	for _, id := range m.table.forgetFenced(m.now, m.config.ForgetAfter) {
-		m.detector.forget(id)
-		m.monitors.forget(id)
+	if acknowledged := m.detector.onHeartbeat(m.now, msg); acknowledged {
+		m.antiEntropy.compareDigest(msg)
 	}
 }
 
-// startExchange sends the first message of an exchange if one is due.
-func (m *Machine) startExchange() {
-	partner, due := m.antiEntropy.start(m.now, m.gossip.inBulkChange(m.now))
-	if due {
-		m.sendTo(partner, m.antiEntropy.request())
+// sendDueHeartbeats sends a round of heartbeats if one is due, and probes now and then
+// after it.
+func (m *Machine) sendDueHeartbeats() {
+	if sent := m.self.sendDueHeartbeats(m.now); sent {
+		m.prober.afterHeartbeatRound()
 	}
 }
 
-// probe sends a digest to a random member and to a fenced one, and contacts a vacant
-// seed. So the two sides of a healed partition, or members that all restarted at once,
-// find each other again.
-func (m *Machine) probe() {
-	if id := m.sampler.randomMember(); id != "" {
-		m.send(id, Message{Type: MessageGossip})
-	}
-	// A fenced member that starts again may know nobody but others that did so
-	// together with it.
-	if id := m.sampler.nextFenced(); id != "" {
-		m.send(id, Message{Type: MessageGossip})
-	}
-	if seed := m.sampler.randomSeed(m.joiner.vacantSeeds(m.table)); seed != "" {
-		m.contactSeed(seed)
-	}
+// flush adds gossip if some is due, and returns all messages to send. A node that left
+// passes on at once what it still hears.
+func (m *Machine) flush() []Outbound {
+	m.gossip.sendPending(m.now, m.self.fence.left)
+	return m.outbox.take()
 }
--- a/pkg/membership/member_table.go
+++ b/pkg/membership/member_table.go
@@ -32,6 +32,15 @@
 	// added.
 	changedAt time.Duration
 	grownAt   time.Duration
+	// stabilizationWait is how long no member must have been added for the table to be
+	// stable.
+	stabilizationWait time.Duration
+	observers         []tableObserver
+}
+
+// tableObserver learns at once of each record that a merge added or changed.
+type tableObserver interface {
+	recordChanged(now time.Duration, id member.ID, change tableChange)
 }
 
 // entry is one record and what this node derived from it.
@@ -56,18 +65,30 @@
 	newMonitorSet  bool
 }
 
-func newMemberTable(self member.ID) *memberTable {
+func newMemberTable(cfg Config) *memberTable {
 	return &memberTable{
-		self:      self,
-		entries:   map[member.ID]*entry{},
-		ring:      newRing(self),
-		forgotten: map[member.ID]member.Incarnation{},
+		self:              cfg.Self.ID,
+		entries:           map[member.ID]*entry{},
+		ring:              newRing(cfg.Self.ID),
+		forgotten:         map[member.ID]member.Incarnation{},
+		stabilizationWait: cfg.stabilizationWait(),
+	}
+}
+
+// merge joins a record into the table, and tells the observers if that changed the table.
+func (t *memberTable) merge(now time.Duration, record Record) {
+	change, changed := t.join(now, record)
+	if !changed {
+		return
+	}
+	for _, observer := range t.observers {
+		observer.recordChanged(now, record.Info.ID, change)
 	}
 }
 
-// merge joins a record into the table. It returns false if the table stays the same:
-// the record is not newer, or belongs to a forgotten incarnation.
-func (t *memberTable) merge(now time.Duration, record Record) (tableChange, bool) {
+// join returns false if the table stays the same: the record is not newer, or belongs to
+// a forgotten incarnation.
+func (t *memberTable) join(now time.Duration, record Record) (tableChange, bool) {
 	id := record.Info.ID
 	if ended, forgotten := t.forgotten[id]; forgotten && record.Info.Incarnation <= ended {
 		return tableChange{}, false
@@ -154,6 +175,17 @@
 	t.ring.remove(id)
 }
 
+// isStable tells whether no member has been added lately, so that this node's neighbours
+// on the ring are likely to stay.
+func (t *memberTable) isStable(now time.Duration) bool {
+	return now-t.grownAt >= t.stabilizationWait
+}
+
+// assumeStable spares the stabilization wait where no more members are expected.
+func (t *memberTable) assumeStable(now time.Duration) {
+	t.grownAt = now - t.stabilizationWait
+}
+
 // selfRecord returns this node's record, which is present from New on.
 func (t *memberTable) selfRecord() *Record {
 	return &t.entries[t.self].record
--- a/pkg/membership/outbox.go
+++ b/pkg/membership/outbox.go
@@ -2,51 +2,60 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// send addresses a message to a member of the table.
-func (m *Machine) send(id member.ID, msg Message) {
-	if address, known := m.table.addressOf(id); known {
-		m.outbox = append(m.outbox, Outbound{To: id, Address: address, Message: m.withSender(msg)})
+// outbox owns the messages that the present input leads to, in the order in which they
+// are to be sent. All parts send through it, so that each message states the same of its
+// sender: the node's present incarnation, its process, and the digest of its table.
+type outbox struct {
+	table *memberTable
+	// boot identifies this process.
+	boot     member.Incarnation
+	messages []Outbound
+}
+
+// send addresses a message to a member of the table. It does nothing for others.
+func (o *outbox) send(id member.ID, msg Message) {
+	if address, known := o.table.addressOf(id); known {
+		o.add(id, address, msg)
 	}
 }
 
 // sendTo addresses a message to a node that the table may not have.
-func (m *Machine) sendTo(info member.Info, msg Message) {
-	m.outbox = append(m.outbox, Outbound{To: info.ID, Address: info.Address, Message: m.withSender(msg)})
+func (o *outbox) sendTo(info member.Info, msg Message) {
+	o.add(info.ID, info.Address, msg)
+}
+
+// sendToSeed addresses a message to whichever node listens on a seed's address.
+func (o *outbox) sendToSeed(address string, msg Message) {
+	o.add("", address, msg)
 }
 
 // reply addresses a message to the sender of another, which the table may not have.
-func (m *Machine) reply(received Message, msg Message) {
+func (o *outbox) reply(received, msg Message) {
 	address := received.From.Address
-	if known, found := m.table.addressOf(received.From.ID); found && address == "" {
+	if known, found := o.table.addressOf(received.From.ID); found && address == "" {
 		address = known
 	}
-	m.sendTo(member.Info{ID: received.From.ID, Address: address}, msg)
+	o.add(received.From.ID, address, msg)
 }
 
-// withSender fills in what each message states of its sender.
-func (m *Machine) withSender(msg Message) Message {
-	msg.From = m.table.selfRecord().Info
+// add completes a message by what it states of its sender. A heartbeat reply echoes the
+// incarnation of the heartbeat instead of stating the sender's.
+func (o *outbox) add(to member.ID, address string, msg Message) {
+	msg.From = o.table.selfRecord().Info
+	if msg.Type != MessageHeartbeatReply {
+		msg.Incarnation = msg.From.Incarnation
+	}
 	if msg.omitsSenderInfo() {
 		msg.From = member.Info{ID: msg.From.ID}
 	}
-	if msg.Type != MessageHeartbeatReply {
-		msg.Incarnation = m.fence.number
-	}
-	msg.Boot = m.config.Self.Incarnation
-	msg.Digest = m.table.digest
-	return msg
+	msg.Boot = o.boot
+	msg.Digest = o.table.digest
+	o.messages = append(o.messages, Outbound{To: to, Address: address, Message: msg})
 }
 
-// flush adds gossip if some is due, and returns all messages to send. A node that left
-// passes on at once what it still hears.
-func (m *Machine) flush() []Outbound {
-	if m.gossip.due(m.now, m.fence.left) {
-		records, receivers := m.gossip.take(m.now)
-		for _, id := range receivers {
-			m.send(id, Message{Type: MessageGossip, Records: records})
-		}
-	}
-	outbox := m.outbox
-	m.outbox = nil
-	return outbox
+// take returns the messages, and forgets them.
+func (o *outbox) take() []Outbound {
+	messages := o.messages
+	o.messages = nil
+	return messages
 }
--- a/pkg/membership/queries.go
+++ b/pkg/membership/queries.go
@@ -9,20 +9,20 @@
 // Fenced tells whether this node must refuse traffic at now. After the node has been
 // fenced, FenceCount has grown before Fenced is false again.
 func (m *Machine) Fenced(now time.Duration) bool {
-	return m.fence.isFenced(now)
+	return m.self.fence.isFenced(now)
 }
 
 // FenceDeadline returns the instant at which Fenced becomes true unless more
 // acknowledgements come; Never if nothing can fence this node.
 func (m *Machine) FenceDeadline() time.Duration {
-	return m.fence.deadline
+	return m.self.fence.deadline
 }
 
 // FenceCount returns how many incarnations of this process have ended. Each time that
 // the count grows, the node may serve again only after it registered its present
 // incarnation and learnt the current revision.
 func (m *Machine) FenceCount() uint64 {
-	return m.fence.endedCount
+	return m.self.fence.endedCount
 }
 
 // Members returns the records of all members sorted by ID, this node included.
--- a/pkg/membership/sampler.go
+++ b/pkg/membership/sampler.go
@@ -12,9 +12,6 @@
 	random *rand.Rand
 	self   member.Info
 	table  *memberTable
-	// nextFencedProbe counts the fenced members that nextFenced has looked at, so that it
-	// goes on after the last one.
-	nextFencedProbe int
 }
 
 // newSampler seeds the generator by the node's ID and incarnation.
@@ -57,20 +54,6 @@
 	return ""
 }
 
-// nextFenced returns the other members that are certainly fenced and haven't left, one
-// with each call, or "" if there is none.
-func (s *sampler) nextFenced() member.ID {
-	fenced := s.table.fenced
-	for range fenced {
-		s.nextFencedProbe++
-		id := fenced[s.nextFencedProbe%len(fenced)]
-		if id != s.self.ID && s.table.entries[id].record.State != StateLeft {
-			return id
-		}
-	}
-	return ""
-}
-
 // randomSeed draws one of the seeds, or returns "" if there is none.
 func (s *sampler) randomSeed(seeds []string) string {
 	if len(seeds) == 0 {
