--- a/pkg/relaytree/doc.go
+++ b/pkg/relaytree/doc.go
@@ -27,11 +27,17 @@
 //
 // # Parts and their state
 //
-//   - topology: live members, roots, and this node's positions in the trees.
-//   - stateStore: the newest state of each topic, its change log and cached updates.
-//   - sender: what other members are known to have, and the updates in flight to them.
-//   - assembler: chunks received of updates that aren't complete.
-//   - Machine: the schedule of digests, and the composition of the above.
+//	state                                                owner
+//	live members, roots, positions in the trees          topology
+//	newest state of each topic, change log, cached       stateStore
+//	updates
+//	what other members have, updates in flight to them   sender
+//	received chunks of updates that aren't complete      assembler
+//	schedule of digests                                  antiEntropy
+//	messages of the present input                        outbox
+//
+// Machine composes these. Its Step and Tick show the order in which they act; onUpdate is
+// the way of a received update.
 //
 // # Invariants
 //
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -1,7 +1,6 @@
 package relaytree
 
 import (
-	"maps"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -30,27 +29,18 @@
 }
 
 // Machine is the relay state of one node. It does no I/O and reads no clock;
-// it is not safe for concurrent use.
+// it is not safe for concurrent use. It composes the parts that doc.go lists, and moves
+// their states from one revision to the next.
 type Machine struct {
 	config Config
 	now    time.Duration
 
-	topology  topology
-	store     *stateStore
-	sender    sender
-	assembler assembler
-
-	nextDigest time.Duration
-	// digestTurn selects the parent and the other member that get the next digests.
-	digestTurn uint64
-	// parentsChanged tells that there may be new parents, and parentsNotifiedAt when
-	// all parents were last sent a digest for that reason.
-	parentsChanged    bool
-	parentsNotifiedAt time.Duration
-	// digestSentAt is when a digest was last sent to each member.
-	digestSentAt map[member.ID]time.Duration
-
-	outbox *outbox
+	topology    *topology
+	store       *stateStore
+	sender      *sender
+	assembler   *assembler
+	antiEntropy *antiEntropy
+	outbox      *outbox
 }
 
 // New returns a machine without any state that knows no other member.
@@ -64,24 +54,30 @@
 	if cfg.ChunkBytes <= 0 {
 		cfg.ChunkBytes = DefaultChunkBytes
 	}
-	store := &stateStore{chunkBytes: cfg.ChunkBytes, states: map[Topic]*state{}}
-	out := &outbox{}
 	m := &Machine{
-		config:   cfg,
-		topology: topology{self: cfg.Self, fanOut: cfg.FanOut, roots: map[Topic]member.ID{}},
-		store:    store,
-		sender: sender{
-			resendAfter:    cfg.DigestEvery,
-			store:          store,
-			outbox:         out,
-			knownRevisions: map[feedKey]uint64{},
-			inFlight:       map[feedKey]*transfer{},
-		},
-		assembler: assembler{digestEvery: cfg.DigestEvery, assemblies: map[Topic]*assembly{}},
+		config:    cfg,
+		topology:  &topology{self: cfg.Self, fanOut: cfg.FanOut, roots: map[Topic]member.ID{}},
+		store:     &stateStore{chunkBytes: cfg.ChunkBytes, states: map[Topic]*state{}},
+		assembler: &assembler{digestEvery: cfg.DigestEvery, assemblies: map[Topic]*assembly{}},
+		outbox:    &outbox{},
+	}
+	m.sender = &sender{
+		resendAfter:    cfg.DigestEvery,
+		store:          m.store,
+		outbox:         m.outbox,
+		knownRevisions: map[feedKey]uint64{},
+		inFlight:       map[feedKey]*transfer{},
+	}
+	m.antiEntropy = &antiEntropy{
+		digestEvery: cfg.DigestEvery,
+		topology:    m.topology,
+		store:       m.store,
+		assembler:   m.assembler,
+		sender:      m.sender,
+		outbox:      m.outbox,
 		// Nodes begin with different members.
-		digestTurn:   xxhash.Sum64String(string(cfg.Self)),
-		digestSentAt: map[member.ID]time.Duration{},
-		outbox:       out,
+		turn:   xxhash.Sum64String(string(cfg.Self)),
+		sentAt: map[member.ID]time.Duration{},
 	}
 	m.SetMembers(nil)
 	return m
@@ -93,19 +89,19 @@
 	if !m.topology.setMembers(members) {
 		return
 	}
-	m.scheduleParentDigests()
+	m.antiEntropy.treesChanged(m.now)
 	live := map[member.ID]bool{}
 	for _, other := range m.topology.members {
 		live[other.ID] = true
 	}
 	m.sender.forgetAllBut(live)
-	maps.DeleteFunc(m.digestSentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
+	m.antiEntropy.forgetAllBut(live)
 }
 
 // SetRoot names the node that publishes a topic.
 func (m *Machine) SetRoot(topic Topic, root member.ID) {
 	if m.topology.setRoot(topic, root) {
-		m.scheduleParentDigests()
+		m.antiEntropy.treesChanged(m.now)
 	}
 }
 
@@ -146,7 +142,7 @@
 	case MessageUpdate:
 		updates = m.onUpdate(from, msg)
 	case MessageDigest:
-		m.onDigest(from, msg.Revisions)
+		m.antiEntropy.onDigest(m.now, from, msg.Revisions)
 	case MessageAcknowledge:
 		m.sender.onAcknowledge(m.now, from, msg)
 	}
@@ -158,10 +154,7 @@
 	m.now = max(m.now, now)
 	m.sender.expire(m.now)
 	m.assembler.expire(m.now)
-	if m.now >= m.nextDigest {
-		m.nextDigest = m.now + m.config.DigestEvery
-		m.sendDigests()
-	}
+	m.antiEntropy.sendDueDigests(m.now)
 	return m.outbox.flush()
 }
 
--- a/pkg/relaytree/receive.go
+++ b/pkg/relaytree/receive.go
@@ -2,19 +2,23 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// onUpdate applies an update that leads from this node's revision to a newer one. One that
-// doesn't fit is acknowledged with this node's revision, so that the sender sends what
-// fits.
+// onUpdate applies an update that leads from this node's revision to a newer one, and feeds
+// the children. One that doesn't fit is acknowledged with this node's revision, so that the
+// sender sends what fits. A chunk is acknowledged by the position of the next one.
+//
+// An update that would lead to another state than its sender's is never applied. Instead of
+// a delta, a whole state is requested then (Mismatch). A whole state that is damaged gets
+// no reply: the next digest requests it again.
 func (m *Machine) onUpdate(from member.ID, msg Message) []Update {
 	revision := m.Revision(msg.Topic)
 	if msg.Revision <= revision {
-		m.acknowledge(from, msg)
+		m.outbox.send(from, m.acknowledgement(msg))
 		return nil
 	}
 	busy := m.assembler.isBusyWithOther(m.now, from, msg.Topic)
 	if msg.BaseRevision > revision {
 		if !busy {
-			m.acknowledge(from, msg)
+			m.outbox.send(from, m.acknowledgement(msg))
 		}
 		return nil
 	}
@@ -24,7 +28,9 @@
 			return nil
 		}
 		if next := m.assembler.add(m.now, from, msg); next < msg.ChunkCount {
-			m.acknowledgeChunks(from, msg, next)
+			reply := m.acknowledgement(msg)
+			reply.Chunk = next
+			m.outbox.send(from, reply)
 			return nil
 		}
 		change = m.assembler.changes(msg.Topic)
@@ -34,49 +40,27 @@
 		change = state.differenceTo(change.sections)
 	}
 	if state.checksumAfter(change) != msg.Checksum {
-		m.rejectUpdate(from, msg)
+		m.assembler.drop(msg.Topic)
+		if msg.BaseRevision > 0 {
+			reply := m.acknowledgement(msg)
+			reply.Mismatch = true
+			m.outbox.send(from, reply)
+		}
 		return nil
 	}
 	updates := m.apply(msg.Topic, msg.Revision, change)
-	m.sender.knownRevisions[feedKey{to: from, topic: msg.Topic}] = msg.Revision
-	m.acknowledge(from, msg)
+	m.sender.learnRevision(from, msg.Topic, msg.Revision)
+	m.outbox.send(from, m.acknowledgement(msg))
 	m.feedChildren(msg.Topic, from)
 	return updates
 }
 
-// acknowledge replies to an update with this node's revision.
-func (m *Machine) acknowledge(from member.ID, msg Message) {
-	m.outbox.send(from, Message{
-		Type:                 MessageAcknowledge,
-		Topic:                msg.Topic,
-		Revision:             m.Revision(msg.Topic),
-		AcknowledgedRevision: msg.Revision,
-	})
-}
-
-// acknowledgeChunks replies to a chunk with the position of the next one.
-func (m *Machine) acknowledgeChunks(from member.ID, msg Message, nextChunk uint32) {
-	m.outbox.send(from, Message{
+// acknowledgement is the reply to an update, with the revision that this node has now.
+func (m *Machine) acknowledgement(msg Message) Message {
+	return Message{
 		Type:                 MessageAcknowledge,
 		Topic:                msg.Topic,
 		Revision:             m.Revision(msg.Topic),
 		AcknowledgedRevision: msg.Revision,
-		Chunk:                nextChunk,
-	})
-}
-
-// rejectUpdate requests a whole state in place of a delta that leads to another state. A
-// whole state that is damaged gets no reply: the next digest requests it again.
-func (m *Machine) rejectUpdate(from member.ID, msg Message) {
-	m.assembler.drop(msg.Topic)
-	if msg.BaseRevision == 0 {
-		return
 	}
-	m.outbox.send(from, Message{
-		Type:                 MessageAcknowledge,
-		Topic:                msg.Topic,
-		Revision:             m.Revision(msg.Topic),
-		AcknowledgedRevision: msg.Revision,
-		Mismatch:             true,
-	})
 }
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -66,6 +66,11 @@
 	s.outbox.send(key.to, transfer.update.message(key.topic, transfer.chunk))
 }
 
+// learnRevision takes in which revision of a topic a member has.
+func (s *sender) learnRevision(id member.ID, topic Topic, revision uint64) {
+	s.knownRevisions[feedKey{to: id, topic: topic}] = revision
+}
+
 // onAcknowledge sends the next chunk, or what is newer than the receiver's revision.
 func (s *sender) onAcknowledge(now time.Duration, from member.ID, msg Message) {
 	key := feedKey{to: from, topic: msg.Topic}
