--- a/pkg/claims/doc.go
+++ b/pkg/claims/doc.go
@@ -28,7 +28,12 @@
 // A key is remembered for Config.Retention after the last renewal of its claim. What
 // is sent again later than that is a new request.
 //
-// The Machine is a state machine: claims, messages and the time go in, messages and
-// decisions come out. It owns the claims of its node, and as a home the entries of
-// others. It is not safe for concurrent use.
+// Machine is a state machine: claims, messages and the time go in, messages and decisions
+// come out. It does no I/O and reads no clock, and is not safe for concurrent use.
+//
+//	state                                    owner
+//	claims of this node, their decisions     Machine
+//	homes asked for a claim, their replies   attempt, of its claim
+//	the sets that have to agree              Machine: directory
+//	claims remembered as a home, of any node home
 package claims
--- a/pkg/claims/home.go
+++ b/pkg/claims/home.go
@@ -23,8 +23,9 @@
 	expiresAt time.Duration
 }
 
-// home is the claims that a node remembers for others, one of each key at most. An
-// entry is removed only when it has expired, or is released by its claim.
+// home is this node in its role as a home: it owns the claims that it remembers, of all
+// nodes. Its invariant is that it has one claim of each key at most: an entry is removed
+// only when it has expired, or is released by its claim.
 type home struct {
 	retention  time.Duration
 	maxEntries int
@@ -33,6 +34,8 @@
 	entries map[Key]entry
 	// sweepAt is when expired entries are next removed.
 	sweepAt time.Duration
+	// newestEpoch is the newest epoch that a claimant named.
+	newestEpoch uint64
 }
 
 // newHome returns the home of a node that starts at the time now.
@@ -46,8 +49,14 @@
 	}
 }
 
-// handleRequest decides on a request or a renewal, and remembers what it grants.
-func (h *home) handleRequest(now time.Duration, from member.ID, request Message) Kind {
+// handleRequest decides on a request or a renewal, and remembers what it grants. Epoch is
+// that of this node's newest set. A claimant whose directory is older than that, or than
+// one that another claimant named, may know too few homes; only its renewals are accepted.
+func (h *home) handleRequest(now time.Duration, from member.ID, request Message, epoch uint64) Kind {
+	if request.Kind == Acquire && request.Epoch < max(epoch, h.newestEpoch) {
+		return Outdated
+	}
+	h.newestEpoch = max(h.newestEpoch, request.Epoch)
 	claim := idOf(from, request)
 	remembered, present := h.entries[request.Key]
 	present = present && remembered.expiresAt > now
@@ -56,7 +65,7 @@
 		return Conflict
 	case !present && request.Kind == Acquire && now < h.readyAt:
 		return NotReady
-	case !present && h.full(now):
+	case !present && h.isFull(now):
 		return Full
 	}
 	h.entries[request.Key] = entry{claim: claim, expiresAt: now + h.retention}
@@ -70,9 +79,9 @@
 	}
 }
 
-// full tells whether the home can remember no more claims, after it has removed those
+// isFull tells whether the home can remember no more claims, after it has removed those
 // that have expired.
-func (h *home) full(now time.Duration) bool {
+func (h *home) isFull(now time.Duration) bool {
 	if len(h.entries) < h.maxEntries {
 		return false
 	}
--- a/pkg/claims/machine.go
+++ b/pkg/claims/machine.go
@@ -15,17 +15,18 @@
 // Machine claims keys for its node, and is a home for other nodes' claims. It is not
 // safe for concurrent use.
 type Machine struct {
-	config    Config
+	config Config
+	// directory is the sets that have to agree to a claim.
 	directory directory
 	home      *home
-	claims    map[Number]*claim
-	// numbers are those of claims, ascending: the order in which Tick visits them.
+	// claims are those of this node that have not ended, and numbers their numbers,
+	// ascending: the order in which Tick visits them.
+	claims  map[Number]*claim
 	numbers []Number
-	// last is the number of the newest claim.
-	last      Number
+	// lastNumber is the number of the newest claim.
+	lastNumber Number
+	// decisions were made since the last call of Decisions.
 	decisions []Decision
-	// newestEpoch is the newest epoch that a claimant named.
-	newestEpoch uint64
 }
 
 // New returns the machine of a node that starts at the time now.
@@ -51,8 +52,8 @@
 	if len(m.directory) == 0 {
 		return 0, nil, errors.WithStack(ErrNoDirectory)
 	}
-	m.last++
-	claim := &claim{number: m.last, key: key, deadline: now + m.config.DecisionTimeout}
+	m.lastNumber++
+	claim := &claim{number: m.lastNumber, key: key, deadline: now + m.config.DecisionTimeout}
 	m.claims[claim.number] = claim
 	m.numbers = append(m.numbers, claim.number)
 	return claim.number, m.startAttempt(now, claim), nil
@@ -100,7 +101,7 @@
 	switch message.Kind {
 	case Acquire, Renew:
 		reply := message
-		reply.Kind = m.handleRequest(now, from, message)
+		reply.Kind = m.home.handleRequest(now, from, message, m.directory.epoch())
 		return m.send(now, []Outbound{{To: from, Message: reply}})
 	case Release:
 		m.home.release(from, message)
@@ -132,7 +133,7 @@
 	case !claim.acquired && now >= claim.deadline:
 		return m.reject(now, claim)
 	case claim.acquired && now >= claim.validUntil:
-		// Lost for good; End finds it so, and MayRun is false.
+		// Lost for good: MayRun is false, and End renews nothing.
 		return nil
 	case now < claim.nextSendAt:
 		return nil
@@ -143,16 +144,6 @@
 	}
 }
 
-// handleRequest decides as a home. A claimant whose directory is older than another
-// that was seen may know too few homes.
-func (m *Machine) handleRequest(now time.Duration, from member.ID, request Message) Kind {
-	if request.Kind == Acquire && request.Epoch < max(m.directory.epoch(), m.newestEpoch) {
-		return Outdated
-	}
-	m.newestEpoch = max(m.newestEpoch, request.Epoch)
-	return m.home.handleRequest(now, from, request)
-}
-
 // handleReply handles a home's reply to the present attempt of a claim; others are
 // out of date.
 func (m *Machine) handleReply(now time.Duration, from member.ID, message Message) []Outbound {
--- a/pkg/twoslot/doc.go
+++ b/pkg/twoslot/doc.go
@@ -22,6 +22,12 @@
 // was never acknowledged and is dropped; any other difference is damage, and an error
 // rather than older state.
 //
-// A Store owns the files of its name. It is not safe for concurrent use, and calls its
-// Disk from the goroutine of the caller.
+// # Parts
+//
+// Open reads all files into an image, which tells the newest durable generation and the
+// records of its log, or that acknowledged data is damaged. Store then owns the files of
+// its name: it appends and checkpoints. format.go states the bytes, parse.go reads them.
+//
+// A Store is not safe for concurrent use, and calls its Disk from the goroutine of the
+// caller.
 package twoslot
--- a/pkg/twoslot/format.go
+++ b/pkg/twoslot/format.go
@@ -34,39 +34,39 @@
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	order      = binary.LittleEndian
+	byteOrder  = binary.LittleEndian
 )
 
 func checksum(data []byte) uint32 {
 	return crc32.Checksum(data, castagnoli)
 }
 
-// checksumOf covers the generation too, so that bytes of an older generation are never
+// generationChecksum covers the generation besides the data, so that bytes of an older generation are never
 // taken for those of this one.
-func checksumOf(generation uint64, data []byte) uint32 {
+func generationChecksum(generation uint64, data []byte) uint32 {
 	var seed [numberBytes]byte
-	order.PutUint64(seed[:], generation)
+	byteOrder.PutUint64(seed[:], generation)
 	return crc32.Update(checksum(seed[:]), castagnoli, data)
 }
 
 func appendHeader(buffer []byte, magic uint32, generation, length uint64) []byte {
 	start := len(buffer)
-	buffer = order.AppendUint32(buffer, magic)
-	buffer = order.AppendUint64(buffer, generation)
-	buffer = order.AppendUint64(buffer, length)
-	return order.AppendUint32(buffer, checksum(buffer[start:]))
+	buffer = byteOrder.AppendUint32(buffer, magic)
+	buffer = byteOrder.AppendUint64(buffer, generation)
+	buffer = byteOrder.AppendUint64(buffer, length)
+	return byteOrder.AppendUint32(buffer, checksum(buffer[start:]))
 }
 
 // readHeader is false if data does not start with an intact header.
 func readHeader(data []byte, magic uint32) (generation, length uint64, ok bool) {
-	if len(data) < headerBytes || order.Uint32(data) != magic {
+	if len(data) < headerBytes || byteOrder.Uint32(data) != magic {
 		return 0, 0, false
 	}
 	summed := data[:headerBytes-checksumBytes]
-	if checksum(summed) != order.Uint32(data[len(summed):]) {
+	if checksum(summed) != byteOrder.Uint32(data[len(summed):]) {
 		return 0, 0, false
 	}
-	return order.Uint64(data[4:]), order.Uint64(data[4+numberBytes:]), true
+	return byteOrder.Uint64(data[4:]), byteOrder.Uint64(data[4+numberBytes:]), true
 }
 
 func logHeader(generation uint64) []byte {
@@ -76,14 +76,14 @@
 // appendFrame appends one frame, which is read back complete or not at all.
 func appendFrame(buffer []byte, generation uint64, records [][]byte) []byte {
 	start := len(buffer)
-	buffer = order.AppendUint32(buffer, uint32(contentBytes(records)))
-	buffer = order.AppendUint32(buffer, checksumOf(generation, buffer[start:]))
+	buffer = byteOrder.AppendUint32(buffer, uint32(contentBytes(records)))
+	buffer = byteOrder.AppendUint32(buffer, generationChecksum(generation, buffer[start:]))
 	content := len(buffer)
 	for _, record := range records {
-		buffer = order.AppendUint32(buffer, uint32(len(record)))
+		buffer = byteOrder.AppendUint32(buffer, uint32(len(record)))
 		buffer = append(buffer, record...)
 	}
-	buffer = order.AppendUint32(buffer, checksumOf(generation, buffer[content:]))
+	buffer = byteOrder.AppendUint32(buffer, generationChecksum(generation, buffer[content:]))
 	return append(buffer, frameEnd)
 }
 
@@ -102,10 +102,10 @@
 	}
 	buffer := make([]byte, 0, headerBytes+bodyBytes+checksumBytes)
 	buffer = appendHeader(buffer, slotMagic, generation, uint64(bodyBytes))
-	buffer = order.AppendUint64(buffer, uint64(len(payload)))
+	buffer = byteOrder.AppendUint64(buffer, uint64(len(payload)))
 	buffer = append(buffer, payload...)
 	if len(records) > 0 {
 		buffer = appendFrame(buffer, generation, records)
 	}
-	return order.AppendUint32(buffer, checksumOf(generation, buffer[headerBytes:]))
+	return byteOrder.AppendUint32(buffer, generationChecksum(generation, buffer[headerBytes:]))
 }
--- a/pkg/twoslot/image.go
+++ b/pkg/twoslot/image.go
@@ -13,6 +13,8 @@
 
 const (
 	fileAbsent fileState = iota + 1
+	// fileIntact files have an intact header of a generation that belongs there, and
+	// slots an intact body as well.
 	fileIntact
 	// fileUnreadable files were truncated by a crash, or damaged.
 	fileUnreadable
@@ -26,57 +28,70 @@
 	logs  [2]logFile
 }
 
+// slotFile is a slot file as it was read; its slot is valid if the file is intact.
 type slotFile struct {
 	state fileState
 	slot  slot
 }
 
+// logFile is a log file as it was read; its generation is valid if the file is intact.
 type logFile struct {
 	state      fileState
 	generation uint64
 	data       []byte
 }
 
-func load(disk Disk, name string) (*image, error) {
+// readImage reads the files of a store.
+func readImage(disk Disk, name string) (*image, error) {
 	files := &image{name: name}
 	for parity := range uint64(2) {
-		data, state, err := read(disk, slotName(name, parity))
+		data, present, err := readFile(disk, slotName(name, parity))
 		if err != nil {
 			return nil, err
 		}
-		files.slots[parity] = classifySlot(data, state, parity)
-		data, state, err = read(disk, logName(name, parity))
+		files.slots[parity] = classifySlot(data, present, parity)
+		data, present, err = readFile(disk, logName(name, parity))
 		if err != nil {
 			return nil, err
 		}
-		files.logs[parity] = classifyLog(data, state, parity)
+		files.logs[parity] = classifyLog(data, present, parity)
 	}
 	return files, nil
 }
 
-func read(disk Disk, name string) ([]byte, fileState, error) {
-	data, err := disk.ReadFile(name)
+// readFile returns the content of a file, and whether there is one.
+func readFile(disk Disk, name string) (data []byte, present bool, err error) {
+	data, err = disk.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fileAbsent, nil
+		return nil, false, nil
 	}
 	if err != nil {
-		return nil, 0, pkgerrors.Wrapf(err, "twoslot: cannot read %s; check the disk and the rights of the data folder", name)
+		return nil, false, pkgerrors.Wrapf(err, "twoslot: cannot read %s; check the disk and the rights of the data folder", name)
 	}
-	return data, fileUnreadable, nil
+	return data, true, nil
 }
 
-func classifySlot(data []byte, state fileState, parity uint64) slotFile {
+// classifySlot parses a slot file. Generation 0 has no slot.
+func classifySlot(data []byte, present bool, parity uint64) slotFile {
+	if !present {
+		return slotFile{state: fileAbsent}
+	}
 	parsed, ok := parseSlot(data)
-	if state == fileAbsent || !ok || parsed.generation%2 != parity || parsed.generation == 0 {
-		return slotFile{state: state}
+	if !ok || parsed.generation%2 != parity || parsed.generation == 0 {
+		return slotFile{state: fileUnreadable}
 	}
 	return slotFile{state: fileIntact, slot: parsed}
 }
 
-func classifyLog(data []byte, state fileState, parity uint64) logFile {
+// classifyLog parses the header of a log file. Its frames are parsed only once the
+// generation is known (image.records).
+func classifyLog(data []byte, present bool, parity uint64) logFile {
+	if !present {
+		return logFile{state: fileAbsent}
+	}
 	generation, _, ok := readHeader(data, logMagic)
-	if state == fileAbsent || !ok || generation%2 != parity {
-		return logFile{state: state, data: data}
+	if !ok || generation%2 != parity {
+		return logFile{state: fileUnreadable, data: data}
 	}
 	return logFile{state: fileIntact, generation: generation, data: data}
 }
@@ -112,8 +127,9 @@
 	return f.slots[1].state == fileAbsent && second.state == fileAbsent && tornStart(first.data, logHeader(0))
 }
 
-// nextNeverStarted tells whether the other slot or log proves that no later generation
-// was ever durable, as either is still that of the generation before.
+// nextNeverStarted tells whether the other slot or log is still that of the generation
+// before. Either proves that no generation after the given one has been started, since that
+// replaces both: first the slot, then, once that is durable, the log.
 func (f *image) nextNeverStarted(generation uint64) bool {
 	if generation == 0 {
 		return true
--- a/pkg/twoslot/open.go
+++ b/pkg/twoslot/open.go
@@ -13,7 +13,7 @@
 // Open reads the store of that name, or starts an empty one. Damage to what was
 // acknowledged is an error that matches ErrCorrupt.
 func Open(disk Disk, name string) (*Store, Contents, error) {
-	files, err := load(disk, name)
+	files, err := readImage(disk, name)
 	if err != nil {
 		return nil, Contents{}, err
 	}
@@ -42,8 +42,8 @@
 	return store, contents, nil
 }
 
-// createLogs makes sure that both logs exist before anything is acknowledged, so that
-// one that is missing later was lost.
+// createLogs makes sure that both logs of a store without a checkpoint exist before
+// anything is acknowledged, so that one that is missing later was lost.
 func (s *Store) createLogs(files *image) error {
 	if s.generation > 0 {
 		return nil
--- a/pkg/twoslot/parse.go
+++ b/pkg/twoslot/parse.go
@@ -17,10 +17,10 @@
 		return slot{}, false
 	}
 	body := data[headerBytes : headerBytes+length]
-	if checksumOf(generation, body) != order.Uint32(data[headerBytes+length:]) {
+	if generationChecksum(generation, body) != byteOrder.Uint32(data[headerBytes+length:]) {
 		return slot{}, false
 	}
-	payloadBytes := order.Uint64(body)
+	payloadBytes := byteOrder.Uint64(body)
 	rest := body[numberBytes:]
 	if payloadBytes > uint64(len(rest)) {
 		return slot{}, false
@@ -67,8 +67,8 @@
 	if len(data) < frameStartBytes {
 		return nil, 0, endTorn
 	}
-	length := order.Uint32(data)
-	if checksumOf(generation, data[:4]) != order.Uint32(data[4:]) {
+	length := byteOrder.Uint32(data)
+	if generationChecksum(generation, data[:4]) != byteOrder.Uint32(data[4:]) {
 		return nil, 0, tornIf(allZero(data[frameStartBytes:]))
 	}
 	size = frameStartBytes + int(length) + frameFinishBytes
@@ -76,9 +76,9 @@
 		return nil, 0, endTorn
 	}
 	content = data[frameStartBytes : frameStartBytes+int(length)]
-	stored := order.Uint32(data[frameStartBytes+int(length):])
+	stored := byteOrder.Uint32(data[frameStartBytes+int(length):])
 	last := data[size-1]
-	if last == frameEnd && checksumOf(generation, content) == stored {
+	if last == frameEnd && generationChecksum(generation, content) == stored {
 		return content, size, endClean
 	}
 	return nil, 0, tornIf(last == 0 && allZero(data[size:]))
@@ -96,7 +96,7 @@
 		if len(content) < recordStartBytes {
 			return nil, false
 		}
-		length := uint64(order.Uint32(content))
+		length := uint64(byteOrder.Uint32(content))
 		content = content[recordStartBytes:]
 		if length > uint64(len(content)) {
 			return nil, false
