--- a/pkg/admission/arrival.go
+++ b/pkg/admission/arrival.go
@@ -9,11 +9,10 @@
 	Concurrent uint32
 	// Reserved is how many of these are reserved for tenants below their fair share.
 	Reserved uint32
-	// Queued is the least length of a tenant's queue for the node, while the tenant's own
-	// concurrency is not exhausted.
-	Queued uint32
-	// QueueTimeout is the longest wait of those, unless the tenant's own is
-	// longer.
+	// Queued is how many requests of a tenant may wait for a slot of the node, and
+	// QueueTimeout the longest wait. Each replaces the tenant's own if it is larger, for a
+	// request that arrives while the tenant could run more by its own Concurrent.
+	Queued       uint32
 	QueueTimeout time.Duration
 }
 
@@ -26,9 +25,9 @@
 	Burst uint32
 	// Concurrent is the number of requests that may run at a time.
 	Concurrent uint32
-	// Queued is the number of requests that may wait for one of those.
+	// Queued is the number of requests that may wait while Concurrent run.
 	Queued uint32
-	// QueueTimeout is the longest wait.
+	// QueueTimeout is the longest wait of these.
 	QueueTimeout time.Duration
 	// Weight is the tenant's weight in the fair share of a node at capacity; zero means
 	// 1.
@@ -60,7 +59,7 @@
 	Queued
 	// RefusedRate means that the tenant's rate is used up.
 	RefusedRate
-	// RefusedQueueFull means that neither a slot nor a place in the queue is free.
+	// RefusedQueueFull means that no slot is free and the queue is full.
 	RefusedQueueFull
 	// RefusedDeadline means that the deadline would pass in the queue.
 	RefusedDeadline
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -15,16 +15,18 @@
 	startedAt time.Duration
 }
 
-// Controller holds the state of all tenants and the slots of the node.
+// Controller owns the state of all tenants and the slots of the node. Its totals over all
+// tenants (waiting, activeWeight) follow each change of one by updateTotals.
 type Controller struct {
 	options Options
 	tenants map[string]*tenantState
+	// running holds the requests that have a slot.
 	running map[Ticket]runningRequest
 	// waiting holds the tenants with queued requests, in no order.
 	waiting []*tenantState
 	// activeWeight is the sum of the weights of the tenants with requests here.
 	activeWeight uint64
-	last         Ticket
+	lastTicket   Ticket
 	// grants counts the admitted requests; it orders tenants with equal usage.
 	grants uint64
 }
@@ -96,7 +98,7 @@
 	return len(c.running)
 }
 
-// tenant returns the tenant's state under its present limits.
+// tenant returns the state of an arrival's tenant, under the limits of the arrival.
 func (c *Controller) tenant(now time.Duration, arrival Arrival) *tenantState {
 	existing, found := c.tenants[arrival.Tenant]
 	if !found {
@@ -112,9 +114,9 @@
 	if refusal, refused := state.takeToken(); refused {
 		return refusal
 	}
-	c.last++
-	c.run(now, state, c.last)
-	return Decision{Outcome: Admitted, Ticket: c.last}
+	c.lastTicket++
+	c.run(now, state, c.lastTicket)
+	return Decision{Outcome: Admitted, Ticket: c.lastTicket}
 }
 
 // run assigns a slot to a request.
@@ -148,10 +150,10 @@
 	if refusal, refused := state.takeToken(); refused {
 		return refusal
 	}
-	c.last++
-	state.queue = append(state.queue, waiter{ticket: c.last, until: until})
+	c.lastTicket++
+	state.queue = append(state.queue, waiter{ticket: c.lastTicket, until: until})
 	c.updateTotals(state)
-	return Decision{Outcome: Queued, Ticket: c.last, Until: until}
+	return Decision{Outcome: Queued, Ticket: c.lastTicket, Until: until}
 }
 
 // queueLimits returns the maximum length of a tenant's queue and the longest wait. The
--- a/pkg/admission/doc.go
+++ b/pkg/admission/doc.go
@@ -10,7 +10,8 @@
 //
 // A request whose deadline would pass in the queue is refused when it arrives.
 //
-// The Controller is a state machine: it gets arrivals, releases and the time, and returns
-// which requests are admitted, queued or refused. It reads no clock, starts no goroutine,
-// and must not be used concurrently.
+// Controller is a state machine: it gets arrivals, releases and the time, and returns
+// which requests are admitted, queued or refused. It owns the slots of the node and, for
+// each tenant, a tenantState: tokens, running requests, queue, and recent service times.
+// It reads no clock, starts no goroutine, and must not be used concurrently.
 package admission
--- a/pkg/admission/tenant_state.go
+++ b/pkg/admission/tenant_state.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// waiter is a request in a queue.
+// waiter is a request in a queue. It stops waiting at until.
 type waiter struct {
 	ticket Ticket
 	until  time.Duration
@@ -13,16 +13,21 @@
 
 // tenantState is the state of one tenant.
 type tenantState struct {
-	name        string
-	limits      Limits
-	tokens      float64
-	refilledAt  time.Duration
+	name string
+	// limits are those of the newest arrival.
+	limits Limits
+	// tokens are those of the bucket at refilledAt.
+	tokens     float64
+	refilledAt time.Duration
+	// running is how many requests have a slot, and queue holds those that wait for one,
+	// in the order of their arrival.
 	running     uint32
 	queue       []waiter
 	serviceTime serviceTime
-	// lastGrant orders tenants by their last grant.
+	// lastGrant is the value of Controller.grants at the last grant.
 	lastGrant uint64
-	// countedWeight and inWaiting are what the controller's totals contain of the tenant.
+	// countedWeight is what Controller.activeWeight contains of the tenant, and inWaiting
+	// tells whether Controller.waiting does.
 	countedWeight uint64
 	inWaiting     bool
 }
@@ -34,65 +39,65 @@
 }
 
 // replenish adds the tokens that have become due.
-func (g *tenantState) replenish(now time.Duration) {
-	elapsed := now - g.refilledAt
+func (t *tenantState) replenish(now time.Duration) {
+	elapsed := now - t.refilledAt
 	if elapsed <= 0 {
-		g.tokens = min(g.tokens, burst(g.limits))
+		t.tokens = min(t.tokens, burst(t.limits))
 		return
 	}
-	g.refilledAt = now
-	g.tokens = min(g.tokens+elapsed.Seconds()*g.limits.RequestsPerSecond, burst(g.limits))
+	t.refilledAt = now
+	t.tokens = min(t.tokens+elapsed.Seconds()*t.limits.RequestsPerSecond, burst(t.limits))
 }
 
 // takeToken takes a token, or returns the refusal that says when there will be one.
-func (g *tenantState) takeToken() (Decision, bool) {
-	rate := g.limits.RequestsPerSecond
+func (t *tenantState) takeToken() (Decision, bool) {
+	rate := t.limits.RequestsPerSecond
 	if rate <= 0 {
 		return Decision{}, false
 	}
-	if g.tokens < 1 {
-		wait := time.Duration((1 - g.tokens) / rate * float64(time.Second))
+	if t.tokens < 1 {
+		wait := time.Duration((1 - t.tokens) / rate * float64(time.Second))
 		return Decision{Outcome: RefusedRate, RetryAfter: wait}, true
 	}
-	g.tokens--
+	t.tokens--
 	return Decision{}, false
 }
 
 // mayRun reports whether a new request may run as far as its tenant is concerned: none is
 // queued before it.
-func (g *tenantState) mayRun() bool {
-	return len(g.queue) == 0 && g.hasCapacity()
+func (t *tenantState) mayRun() bool {
+	return len(t.queue) == 0 && t.hasCapacity()
 }
 
 // hasCapacity reports whether one more request of the tenant may run.
-func (g *tenantState) hasCapacity() bool {
-	return g.limits.Concurrent == 0 || g.running < g.limits.Concurrent
+func (t *tenantState) hasCapacity() bool {
+	return t.limits.Concurrent == 0 || t.running < t.limits.Concurrent
 }
 
 // inUse reports whether the tenant has running or queued requests.
-func (g *tenantState) inUse() bool {
-	return g.running > 0 || len(g.queue) > 0
+func (t *tenantState) inUse() bool {
+	return t.running > 0 || len(t.queue) > 0
 }
 
-// expire drops the requests that have waited long enough.
-func (g *tenantState) expire(now time.Duration) {
-	g.queue = slices.DeleteFunc(g.queue, func(queued waiter) bool { return queued.until <= now })
+// expire drops the requests that have stopped waiting.
+func (t *tenantState) expire(now time.Duration) {
+	t.queue = slices.DeleteFunc(t.queue, func(queued waiter) bool { return queued.until <= now })
 }
 
-// expireFirst drops such requests from the head of the queue only, so that a
-// grant does not look at all of it.
-func (g *tenantState) expireFirst(now time.Duration) {
-	for len(g.queue) > 0 && g.queue[0].until <= now {
-		g.queue = g.queue[1:]
+// expireFirst drops them from the head of the queue only, so that a grant does not look at
+// all of it.
+func (t *tenantState) expireFirst(now time.Duration) {
+	for len(t.queue) > 0 && t.queue[0].until <= now {
+		t.queue = t.queue[1:]
 	}
 }
 
 // remove removes a request from the queue.
-func (g *tenantState) remove(ticket Ticket) bool {
-	i := slices.IndexFunc(g.queue, func(queued waiter) bool { return queued.ticket == ticket })
+func (t *tenantState) remove(ticket Ticket) bool {
+	i := slices.IndexFunc(t.queue, func(queued waiter) bool { return queued.ticket == ticket })
 	if i < 0 {
 		return false
 	}
-	g.queue = slices.Delete(g.queue, i, i+1)
+	t.queue = slices.Delete(t.queue, i, i+1)
 	return true
 }
--- a/pkg/attempts/next_action.go
+++ b/pkg/attempts/next_action.go
@@ -20,8 +20,8 @@
 	return Action{Kind: RespondNotRun}
 }
 
-// actionForAttempt returns the action that a completed or running attempt requires, if
-// there is one.
+// actionForAttempt returns the action that a running or complete attempt requires, if there
+// is one, or one whose response was relayed in part and may not be resumed.
 func (t *Tracker) actionForAttempt() (Action, bool) {
 	for position, record := range t.records {
 		number := position + 1
@@ -74,7 +74,8 @@
 	return t.options.Idempotent || !t.MayHaveRun()
 }
 
-// attemptsRemain reports whether the bounds permit another attempt.
+// attemptsRemain reports whether the bounds permit another attempt. Up to MaxUnsent attempts
+// of which no byte left do not count.
 func (t *Tracker) attemptsRemain() bool {
 	counted := len(t.records) - min(t.unsent(), t.options.MaxUnsent)
 	return !t.exhausted && counted < t.options.MaxAttempts
--- a/pkg/attempts/tracker.go
+++ b/pkg/attempts/tracker.go
@@ -1,6 +1,9 @@
 package attempts
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // Options are the rules for the attempts of one request.
 type Options struct {
@@ -46,10 +49,13 @@
 	}
 }
 
-// Tracker is the record of one request's attempts.
+// Tracker is the record of one request's attempts. Apply takes events in, and Next tells
+// what is to be done.
 type Tracker struct {
-	options            Options
-	records            []Record
+	options Options
+	// records are the attempts in the order of their numbers, which begin with 1.
+	records []Record
+	// What was told of the request as a whole. None of these is ever reset.
 	deadlineExceeded   bool
 	callerDisconnected bool
 	exhausted          bool
@@ -80,7 +86,7 @@
 
 // Records returns a copy of the attempts in the order of their numbers.
 func (t *Tracker) Records() []Record {
-	return append([]Record(nil), t.records...)
+	return slices.Clone(t.records)
 }
 
 // MayHaveRun reports whether any attempt may have run the request.
--- a/pkg/outlier/detector.go
+++ b/pkg/outlier/detector.go
@@ -41,39 +41,12 @@
 type Detector struct {
 	options Options
 
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// replicas are those of all pools, by address.
 	replicas map[string]*replica
 	pools    map[string]*pool
 }
 
-// pool is a set of replicas that are compared with each other.
-type pool struct {
-	members   []*replica
-	ejections uint64
-	outcomes  [outcomeCount]uint64
-}
-
-// replica is the statistic of one replica.
-type replica struct {
-	member Member
-	// pools are those that the replica belongs to, mostly one.
-	pools []*pool
-	// local counts what this node has observed, zone what its zone has, and fleet what
-	// all zones have. recentZone is zone since the replica began to be watched.
-	local, zone, fleet, recentZone tally
-	// unreported counts this node's outcomes that were not reported to other nodes.
-	unreported tally
-	reportedAt time.Duration
-	// watchedUntil is until when, after a failure, successes are reported too.
-	watchedUntil time.Duration
-	// failedAt is when this node itself saw a failure last.
-	failedAt  time.Duration
-	failed    bool
-	reporters reporterLog
-	suspicion suspicion
-	ejection  ejection
-}
-
 // New returns a Detector that knows no replica.
 func New(options Options) *Detector {
 	return &Detector{options: options.withDefaults(), replicas: map[string]*replica{}, pools: map[string]*pool{}}
@@ -126,7 +99,7 @@
 	}
 	if outcome.breaksConnection() {
 		target.suspicion.start(now, &d.options)
-	} else if outcome != Overdue {
+	} else if outcome != Overdue { // which is no response
 		target.suspicion.missedDeadlines = 0
 	}
 	if outcome == Succeeded || outcome == Slow {
@@ -143,7 +116,7 @@
 }
 
 // count adds outcomes of a replica, and decides about its ejection. They come from this
-// zone if sameZone is set.
+// zone if sameZone is set. Only those count as probes.
 func (d *Detector) count(now time.Duration, target *replica, sameZone bool, failures, total float64) {
 	if failures > 0 {
 		target.watch(now, &d.options)
@@ -167,16 +140,6 @@
 	}
 }
 
-// watch starts, or prolongs, the reporting of all outcomes at a replica. Earlier outcomes
-// are not reported: they would outweigh the failures.
-func (r *replica) watch(now time.Duration, options *Options) {
-	if now >= r.watchedUntil {
-		r.unreported, r.recentZone = tally{updatedAt: now}, tally{updatedAt: now}
-		r.reportedAt = now - reportInterval
-	}
-	r.watchedUntil = now + 2*options.HalfLife
-}
-
 // readmit readmits a replica with clean statistics, which are reported to other nodes.
 func (d *Detector) readmit(now time.Duration, target *replica) {
 	clean := tally{updatedAt: now}
@@ -186,78 +149,6 @@
 	d.options.Changed(target.member.Address, false)
 }
 
-// healthyWeight is the weight of outcomes in this zone since a replica began to fail
-// somewhere, and healthyFailureRatio the ratio of failures among them below which it
-// counts as healthy for this zone, whatever other zones report.
-const (
-	healthyWeight       = 1.8
-	healthyFailureRatio = 0.1
-)
-
-// isOutlier reports whether a replica fails far more than others, by the observations of
-// this zone or by those of all zones.
-func (d *Detector) isOutlier(now time.Duration, target *replica) bool {
-	if !target.confirmed(now, &d.options) {
-		return false
-	}
-	target.zone.decay(now, d.options.HalfLife)
-	target.fleet.decay(now, d.options.HalfLife)
-	if d.standsOut(now, target, target.zone) {
-		return true
-	}
-	target.recentZone.decay(now, d.options.HalfLife)
-	healthy := target.recentZone.total >= healthyWeight && target.recentZone.failureRatio() < healthyFailureRatio
-	return !healthy && d.standsOut(now, target, target.fleet)
-}
-
-// standsOut reports whether a replica stands out among its pools by the observed
-// failures.
-func (d *Detector) standsOut(now time.Duration, target *replica, observed tally) bool {
-	if observed.failures < d.options.MinFailures || observed.failureRatio() < d.options.FailureThreshold {
-		return false
-	}
-	for _, group := range target.pools {
-		if observed.failureRatio() < d.options.Contrast*group.baselineFailureRatio(now, target, d.options.HalfLife) {
-			return false
-		}
-	}
-	return true
-}
-
-// baselineFailureRatio is the failure ratio of the other replicas of the pool that are
-// not ejected. It counts what this node has observed itself: other nodes report only
-// replicas that fail.
-func (p *pool) baselineFailureRatio(now time.Duration, except *replica, halfLife time.Duration) float64 {
-	sum := tally{}
-	for _, member := range p.members {
-		if member != except && !member.ejection.ejected {
-			member.local.decay(now, halfLife)
-			sum = sum.plus(member.local)
-		}
-	}
-	return sum.failureRatio()
-}
-
-// canEject reports whether the pools of a replica would keep enough replicas without it.
-func (d *Detector) canEject(target *replica) bool {
-	for _, group := range target.pools {
-		if float64(group.ejected()+1) > d.options.MaxEjectedFraction*float64(len(group.members)) {
-			return false
-		}
-	}
-	return true
-}
-
-// ejected counts the ejected replicas.
-func (p *pool) ejected() (count int) {
-	for _, member := range p.members {
-		if member.ejection.ejected {
-			count++
-		}
-	}
-	return count
-}
-
 // Verdict returns whether a request should go to a replica. With probe, an ejected one is
 // healthy for a single request when its probe is due; ProbeSent must be called when that
 // is sent.
--- a/pkg/outlier/doc.go
+++ b/pkg/outlier/doc.go
@@ -11,6 +11,17 @@
 // report the outcomes at replicas that fail to each other, and each node decides by the
 // outcomes of its zone, or by those of all zones if these are too few.
 //
-// A Detector owns the statistics of one node. It does no I/O, reads no clock and starts
-// no goroutine, and may be used concurrently.
+// # State
+//
+// A Detector owns the statistics of one node, under one mutex:
+//
+//	state                                              owner
+//	outcomes by this node, its zone and the fleet      replica: tally
+//	outcomes that other nodes were not told of         replica: tally
+//	which nodes reported failures                      replica: reporterLog
+//	whether a replica is avoided since it broke        replica: suspicion
+//	ejection, its length, and probes                   replica: ejection
+//	replicas that are compared, counters for metrics   pool
+//
+// It does no I/O, reads no clock and starts no goroutine, and may be used concurrently.
 package outlier
--- /dev/null
+++ b/pkg/outlier/replica.go
@@ -0,0 +1,38 @@
+package outlier
+
+import "time"
+
+// replica is what a Detector knows of one replica.
+type replica struct {
+	member Member
+	// pools are those that the replica belongs to, mostly one.
+	pools []*pool
+	// local counts the outcomes that this node has observed, zone those that its zone has,
+	// and fleet those that all zones have. recentZone counts as zone does, but only since
+	// the replica began to be watched.
+	local, zone, fleet, recentZone tally
+	// unreported counts this node's outcomes that were not reported to other nodes, and
+	// reportedAt is when the last ones were.
+	unreported tally
+	reportedAt time.Duration
+	// watchedUntil is until when, after a failure, successes are reported too.
+	watchedUntil time.Duration
+	// failed tells whether this node itself has seen a failure, and failedAt when it saw
+	// the last one.
+	failed   bool
+	failedAt time.Duration
+	// reporters are the other nodes that reported failures last.
+	reporters reporterLog
+	suspicion suspicion
+	ejection  ejection
+}
+
+// watch starts, or prolongs, the reporting of all outcomes at a replica. Earlier outcomes
+// are not reported: they would outweigh the failures.
+func (r *replica) watch(now time.Duration, options *Options) {
+	if now >= r.watchedUntil {
+		r.unreported, r.recentZone = tally{updatedAt: now}, tally{updatedAt: now}
+		r.reportedAt = now - reportInterval
+	}
+	r.watchedUntil = now + 2*options.HalfLife
+}
--- a/pkg/outlier/reports.go
+++ b/pkg/outlier/reports.go
@@ -31,18 +31,18 @@
 }
 
 // record records that a node has reported a failure.
-func (t *reporterLog) record(now time.Duration, node string) {
+func (l *reporterLog) record(now time.Duration, node string) {
 	oldest := 0
-	for i := range t {
-		if t[i].node == node {
-			t[i].reportedAt = now
+	for i := range l {
+		if l[i].node == node {
+			l[i].reportedAt = now
 			return
 		}
-		if t[i].reportedAt < t[oldest].reportedAt || t[i].node == "" {
+		if l[i].reportedAt < l[oldest].reportedAt || l[i].node == "" {
 			oldest = i
 		}
 	}
-	t[oldest] = reporter{node: node, reportedAt: now}
+	l[oldest] = reporter{node: node, reportedAt: now}
 }
 
 // confirmed reports whether the failures of a replica were observed by this node, or by
--- a/pkg/retrybudget/budget.go
+++ b/pkg/retrybudget/budget.go
@@ -52,13 +52,13 @@
 	StartedAt time.Duration
 }
 
-// Budget is the retry budget of one pool. It may be used by many goroutines.
+// Budget is the retry budget of one pool. It is safe for concurrent use.
 type Budget struct {
 	mutex         sync.Mutex
 	options       Options
 	firstAttempts attemptTimes
 	retries       attemptTimes
-	// slackFractions are what Share has returned in the last window.
+	// slackFractions are what SlackFraction has returned in the last window.
 	slackFractions fractionHistory
 	// latest is the latest time seen, so that a time that is slightly older than
 	// another goroutine's does not reopen the past.
@@ -122,7 +122,7 @@
 	}
 }
 
-// attemptTimes are the times of attempts, in order.
+// attemptTimes are the times of the attempts in the window, in order.
 type attemptTimes struct {
 	times []time.Duration
 	// expired counts the times at the front that have left the window.
--- a/pkg/slowstart/slowstart.go
+++ b/pkg/slowstart/slowstart.go
@@ -6,6 +6,10 @@
 // of the live nodes differ may select different owners. An owner therefore keeps to its
 // quota, and a node that has become an owner waits, before it sends, for as long as a
 // change of the live nodes may take to reach the others.
+//
+// A Limiter owns, for each replica that it was asked about, whether its node is an owner
+// and what the node has sent lately. It does no I/O, reads no clock and starts no
+// goroutine, and is safe for concurrent use.
 package slowstart
 
 import (
