--- a/pkg/membership/doc.go
+++ b/pkg/membership/doc.go
@@ -106,4 +106,13 @@
 // A member that loses a majority of its monitors at once can't tell this from a network
 // partition. It is fenced after FenceAfter, and its next incarnation serves as soon as new
 // monitors acknowledge it.
+//
+// # Sources
+//
+// Incarnations, suspicion that a member refutes by its own act, and records that spread
+// with other traffic are as in SWIM (Das, Gupta, Motivala: SWIM, DSN 2002). Unlike SWIM,
+// a member is monitored by few fixed others instead of random probes, so that what they
+// report can be a promise, and the fence is a lease that a majority of them renews (Gray,
+// Cheriton: Leases, SOSP 1989). Gossip and anti-entropy are those of Demers et al.
+// (Epidemic algorithms for replicated database maintenance, PODC 1987).
 package membership
--- a/pkg/membership/fence.go
+++ b/pkg/membership/fence.go
@@ -14,6 +14,11 @@
 
 // fence decides from the acknowledgements of this node's monitors whether the node
 // may serve. It owns the node's present incarnation.
+//
+// Its invariant: before deadline, each set in monitorSets has acksNeeded monitors that
+// acknowledged a heartbeat sent within the last fenceAfter; a set that replaced another
+// counts as acknowledged when it was declared. In other words, the node serves under a
+// lease that a majority of each set renews. update upholds this after each change.
 type fence struct {
 	localIncarnation
 	// fenceAfter is how long an acknowledged heartbeat lets the node serve.
--- a/pkg/membership/steady_state_test.go
+++ b/pkg/membership/steady_state_test.go
@@ -41,9 +41,9 @@
 	It("sends heartbeats without records", func() {
 		net := fleetOf(1, 9, 3)
 		net.runUntil(4 * time.Second)
-		all, withRow := net.heartbeatsWithRecord("n04", 2*time.Second)
+		all, withRecord := net.heartbeatsWithRecord("n04", 2*time.Second)
 		Expect(all).To(BeNumerically(">=", 27))
-		Expect(withRow).To(BeZero())
+		Expect(withRecord).To(BeZero())
 	})
 
 	It("sends its record again to a monitor that restarted without a table, which soon acknowledges it", func() {
