--- a/pkg/claims/config.go
+++ b/pkg/claims/config.go
@@ -1,6 +1,7 @@
 package claims
 
 import (
+	"cmp"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -49,11 +50,11 @@
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.HomesPerKey, DefaultHomesPerKey)
-	setDefault(&c.Retention, DefaultRetention)
-	setDefault(&c.DecisionTimeout, DefaultDecisionTimeout)
-	setDefault(&c.ResendInterval, DefaultResendInterval)
-	setDefault(&c.MaxEntries, DefaultMaxEntries)
+	c.HomesPerKey = cmp.Or(c.HomesPerKey, DefaultHomesPerKey)
+	c.Retention = cmp.Or(c.Retention, DefaultRetention)
+	c.DecisionTimeout = cmp.Or(c.DecisionTimeout, DefaultDecisionTimeout)
+	c.ResendInterval = cmp.Or(c.ResendInterval, DefaultResendInterval)
+	c.MaxEntries = cmp.Or(c.MaxEntries, DefaultMaxEntries)
 	return c
 }
 
@@ -72,10 +73,3 @@
 func (c Config) renewInterval() time.Duration {
 	return c.Retention / renewDivisor
 }
-
-func setDefault[T comparable](value *T, fallback T) {
-	var zero T
-	if *value == zero {
-		*value = fallback
-	}
-}
--- a/pkg/membership/prober.go
+++ b/pkg/membership/prober.go
@@ -19,8 +19,8 @@
 	fencedProbes int
 }
 
-// afterHeartbeatRound sends the probes that are due.
-func (p *prober) afterHeartbeatRound() {
+// afterHeartbeats sends the probes that are due.
+func (p *prober) afterHeartbeats() {
 	p.heartbeatRounds++
 	if p.heartbeatRounds%roundsPerProbe != 0 {
 		return
--- a/pkg/outlier/options.go
+++ b/pkg/outlier/options.go
@@ -1,6 +1,9 @@
 package outlier
 
-import "time"
+import (
+	"cmp"
+	"time"
+)
 
 // Defaults of Options.
 const (
@@ -47,25 +50,18 @@
 
 // withDefaults returns the options with zero values replaced.
 func (o Options) withDefaults() Options {
-	setDefault(&o.HalfLife, DefaultHalfLife)
-	setDefault(&o.MinFailures, DefaultMinFailures)
-	setDefault(&o.FailureThreshold, DefaultFailureThreshold)
-	setDefault(&o.Contrast, DefaultContrast)
-	setDefault(&o.Ejection, DefaultEjection)
-	setDefault(&o.MaxEjection, DefaultMaxEjection)
-	setDefault(&o.MaxEjectedFraction, DefaultMaxEjectedFraction)
-	setDefault(&o.Probes, DefaultProbes)
-	setDefault(&o.Suspicion, DefaultSuspicion)
-	setDefault(&o.MaxSuspicion, DefaultMaxSuspicion)
+	o.HalfLife = cmp.Or(o.HalfLife, DefaultHalfLife)
+	o.MinFailures = cmp.Or(o.MinFailures, DefaultMinFailures)
+	o.FailureThreshold = cmp.Or(o.FailureThreshold, DefaultFailureThreshold)
+	o.Contrast = cmp.Or(o.Contrast, DefaultContrast)
+	o.Ejection = cmp.Or(o.Ejection, DefaultEjection)
+	o.MaxEjection = cmp.Or(o.MaxEjection, DefaultMaxEjection)
+	o.MaxEjectedFraction = cmp.Or(o.MaxEjectedFraction, DefaultMaxEjectedFraction)
+	o.Probes = cmp.Or(o.Probes, DefaultProbes)
+	o.Suspicion = cmp.Or(o.Suspicion, DefaultSuspicion)
+	o.MaxSuspicion = cmp.Or(o.MaxSuspicion, DefaultMaxSuspicion)
 	if o.Changed == nil {
 		o.Changed = func(string, bool) {}
 	}
 	return o
 }
-
-func setDefault[T comparable](option *T, value T) {
-	var zero T
-	if *option == zero {
-		*option = value
-	}
-}
