--- a/pkg/claims/timeline_test.go
+++ b/pkg/claims/timeline_test.go
@@ -2,37 +2,28 @@
 
 import (
 	"container/heap"
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"github.com/samber/lo"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/timelinetest"
 	"github.com/ridgeswitch/ridgeswitch/pkg/claims"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Each file of testdata is a timeline: the first row names the columns, a node each,
-// and each further row is an instant. Homes remember for 2s, and grant nothing for
-// 2.25s after a start. A cell acts (claim(k), end(k): it may have run, unrun(k): it has
+// Columns of the timelines in testdata are nodes. Homes remember for 2s, and grant nothing
+// for 2.25s after a start. A step acts (claim(k), end(k): it may have run, unrun(k): it has
 // not, restart, freeze, wake, block(b): nothing from here reaches b, unblock(b),
 // adopt(1 2): the sets of these epochs agree) or checks the outcome of the node's
 // newest claim of k (acquired(k), claimed(k), undecided(k), pending(k)) and whether its
 // request may be sent (may(k), maynot(k)).
 var _ = Describe("timelines", func() {
-	files, err := filepath.Glob("testdata/*.txt")
-	if err != nil || len(files) == 0 {
-		panic("no timelines")
-	}
-	for _, file := range files {
-		It(strings.TrimSuffix(filepath.Base(file), ".txt"), func() {
-			text, err := os.ReadFile(file)
-			Expect(err).NotTo(HaveOccurred())
-			runTimeline(string(text))
-		})
+	for _, text := range lo.Must(timelinetest.ReadAll("testdata")) {
+		It(text.Name, func() { runTimeline(text) })
 	}
 })
 
@@ -45,37 +36,20 @@
 	decided map[string]claims.Outcome
 }
 
-func runTimeline(text string) {
-	var line *timeline
-	for number, row := range strings.Split(text, "\n") {
-		if row == "" || strings.HasPrefix(row, "#") {
-			continue
-		}
-		cells := strings.Split(row, "|")
-		if line == nil {
-			line = newTimeline(cells[1:])
-			continue
-		}
-		at, err := time.ParseDuration(strings.TrimSpace(cells[0]))
-		Expect(err).NotTo(HaveOccurred())
-		line.runUntil(at)
-		for column, cell := range cells[1:] {
-			for _, token := range strings.Split(cell, ",") {
-				if token = strings.TrimSpace(token); token != "" {
-					line.perform(line.columns[column], token, number+1)
-				}
-			}
-		}
+func runTimeline(text timelinetest.Timeline) {
+	line := &timeline{
+		cluster: newCluster(1, len(text.Columns)), columns: text.Columns,
+		newest: map[string]claims.Number{}, decided: map[string]claims.Outcome{},
 	}
-}
-
-func newTimeline(cells []string) *timeline {
-	line := &timeline{cluster: newCluster(1, len(cells)), newest: map[string]claims.Number{}, decided: map[string]claims.Outcome{}}
-	for at, cell := range cells {
-		line.columns = append(line.columns, strings.TrimSpace(cell))
-		Expect(line.columns[at]).To(Equal(string(line.peers[at].id)), "columns are a, b and so on")
+	for at, column := range text.Columns {
+		Expect(column).To(Equal(string(line.peers[at].id)), "columns are a, b and so on")
+	}
+	for _, instant := range text.Instants {
+		line.runUntil(instant.At)
+		for _, step := range instant.Steps {
+			line.perform(step)
+		}
 	}
-	return line
 }
 
 // runUntil lets messages arrive and nodes tick.
@@ -116,12 +90,10 @@
 	return string(p.id) + "/" + strconv.FormatUint(uint64(p.incarnation), 10) + "/" + strconv.FormatUint(uint64(number), 10)
 }
 
-func (l *timeline) perform(name, token string, number int) {
-	verb, argument, _ := strings.Cut(strings.TrimSuffix(token, ")"), "(")
-	where := "line " + strconv.Itoa(number) + ", " + name + ": " + token
-	p := l.peer(member.ID(name))
-	if !l.act(p, verb, argument) {
-		l.check(p, verb, argument, where)
+func (l *timeline) perform(step timelinetest.Step) {
+	p := l.peers[step.Column]
+	if !l.act(p, step.Verb, step.Argument) {
+		l.check(p, step.Verb, step.Argument, step.Where)
 	}
 }
 
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -1,79 +1,46 @@
 package membership_test
 
 import (
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
-	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"github.com/samber/lo"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/timelinetest"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Each file of testdata is a timeline: the first row names the columns (node@zone), each
-// further row is an instant. A cell acts (start, start(seed seed), kill, freeze, wake,
+// Columns of the timelines in testdata are node@zone. A step acts (start, start(seed seed), kill, freeze, wake,
 // leave, remove(b), block(b): no message from here reaches b, unblock(b), isolate, rejoin)
 // or checks (serving, fenced, fences(n): FenceCount, certain(b), uncertain(b), alive(b),
 // notalive(b), unknown(b)).
 var _ = Describe("timelines", func() {
-	files, err := filepath.Glob("testdata/*.txt")
-	if err != nil || len(files) == 0 {
-		panic("no timelines")
-	}
-	for _, file := range files {
-		It(strings.TrimSuffix(filepath.Base(file), ".txt"), func() {
-			text, err := os.ReadFile(file)
-			Expect(err).NotTo(HaveOccurred())
-			runTimeline(string(text))
-		})
+	for _, timeline := range lo.Must(timelinetest.ReadAll("testdata")) {
+		It(timeline.Name, func() { runTimeline(timeline) })
 	}
 })
 
-func runTimeline(text string) {
+func runTimeline(timeline timelinetest.Timeline) {
 	net := newNetwork(7)
-	var columns []string
-	for number, line := range strings.Split(text, "\n") {
-		if line == "" || strings.HasPrefix(line, "#") {
-			continue
-		}
-		cells := strings.Split(line, "|")
-		if columns == nil {
-			columns = addColumns(net, cells)
-			continue
-		}
-		at, err := time.ParseDuration(strings.TrimSpace(cells[0]))
-		Expect(err).NotTo(HaveOccurred())
-		Expect(at).To(BeNumerically(">=", net.now))
-		net.runUntil(at)
-		for i, cell := range cells[1:] {
-			for _, token := range strings.Split(cell, ",") {
-				if token = strings.TrimSpace(token); token != "" {
-					perform(net, columns[i], token, number+1)
-				}
-			}
+	for _, column := range timeline.Columns {
+		name, zone, _ := strings.Cut(column, "@")
+		net.add(name, zone)
+	}
+	for _, instant := range timeline.Instants {
+		net.runUntil(instant.At)
+		for _, step := range instant.Steps {
+			perform(net, net.names[step.Column], step)
 		}
 	}
 	Expect(net.violations).To(BeEmpty())
 }
 
-func addColumns(net *network, cells []string) []string {
-	var columns []string
-	for _, cell := range cells[1:] {
-		name, zone, _ := strings.Cut(strings.TrimSpace(cell), "@")
-		net.add(name, zone)
-		columns = append(columns, name)
-	}
-	return columns
-}
-
-func perform(net *network, name, token string, line int) {
-	verb, argument, _ := strings.Cut(strings.TrimSuffix(token, ")"), "(")
+func perform(net *network, name string, step timelinetest.Step) {
+	verb, argument, where := step.Verb, step.Argument, step.Where
 	n := net.nodes[name]
 	other := member.ID(argument)
-	where := "line " + strconv.Itoa(line) + ", " + name + ": " + token
 	switch verb {
 	case "start":
 		seeds := strings.Fields(argument)
--- a/pkg/relaytree/timeline_test.go
+++ b/pkg/relaytree/timeline_test.go
@@ -1,14 +1,13 @@
 package relaytree_test
 
 import (
-	"os"
-	"path/filepath"
 	"strconv"
-	"strings"
-	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/timelinetest"
 )
 
 // A filled state takes 14 chunks, each a round trip of 10 ms.
@@ -17,52 +16,29 @@
 	timelineSections   = 100
 )
 
-// Each file of testdata is a timeline: the first row names the columns
-// (node@zone), each further row is an instant. A cell acts (root, publish, fill:
+// Columns of the timelines in testdata are node@zone. A step acts (root, publish, fill:
 // publishes a state that takes many chunks, restart: loses its state, kill: all learn
 // of it, crash: dies and nobody learns of it, isolate: receives nothing, rejoin) or checks
 // (revision(number)).
 var _ = Describe("timelines", func() {
-	files, err := filepath.Glob("testdata/*.txt")
-	if err != nil || len(files) == 0 {
-		panic("no timelines")
-	}
-	for _, file := range files {
-		It(strings.TrimSuffix(filepath.Base(file), ".txt"), func() {
-			text, err := os.ReadFile(file)
-			Expect(err).NotTo(HaveOccurred())
-			runTimeline(string(text))
-		})
+	for _, timeline := range lo.Must(timelinetest.ReadAll("testdata")) {
+		It(timeline.Name, func() { runTimeline(timeline) })
 	}
 })
 
-func runTimeline(text string) {
-	var net *network
-	for line := range strings.Lines(text) {
-		cells := strings.Split(strings.TrimSpace(line), "|")
-		if strings.HasPrefix(line, "#") {
-			continue
-		}
-		if net == nil {
-			net = newNetworkWithChunks(1, cells[1:], timelineChunkBytes)
-			continue
-		}
-		at, err := time.ParseDuration(strings.TrimSpace(cells[0]))
-		Expect(err).NotTo(HaveOccurred())
-		net.run(at - net.now)
-		for i, cell := range cells[1:] {
-			for token := range strings.SplitSeq(cell, ",") {
-				net.perform(net.nodes[i], strings.TrimSpace(token), line)
-			}
+func runTimeline(timeline timelinetest.Timeline) {
+	net := newNetworkWithChunks(1, timeline.Columns, timelineChunkBytes)
+	for _, instant := range timeline.Instants {
+		net.run(instant.At - net.now)
+		for _, step := range instant.Steps {
+			net.perform(net.nodes[step.Column], step)
 		}
 	}
 	Expect(net.violations).To(BeEmpty())
 }
 
-func (net *network) perform(n *node, token, line string) {
-	verb, argument, _ := strings.Cut(strings.TrimSuffix(token, ")"), "(")
-	switch verb {
-	case "":
+func (net *network) perform(n *node, step timelinetest.Step) {
+	switch step.Verb {
 	case "root":
 		net.setRoot(n.id)
 	case "publish":
@@ -77,10 +53,10 @@
 	case "crash":
 		n.dead = true
 	case "isolate", "rejoin":
-		n.isolated = verb == "isolate"
+		n.isolated = step.Verb == "isolate"
 	case "revision":
-		Expect(strconv.FormatUint(n.machine.Revision(topic), 10)).To(Equal(argument), string(n.id)+": "+line)
+		Expect(strconv.FormatUint(n.machine.Revision(topic), 10)).To(Equal(step.Argument), step.Where)
 	default:
-		Fail("unknown token " + token)
+		Fail("unknown step: " + step.Where)
 	}
 }
