--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -125,8 +125,7 @@
 	if state == nil || to == m.config.Self {
 		return nil
 	}
-	base, known := m.sender.knownRevisions[feedKey{to: to, topic: topic}]
-	if known && base == 0 && state.size > m.config.ChunkBytes {
+	if m.sender.needsWhole(to, topic) && state.size > m.config.ChunkBytes {
 		return nil
 	}
 	m.sender.feed(m.now, to, topic)
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -71,6 +71,13 @@
 	s.knownRevisions[feedKey{to: id, topic: topic}] = revision
 }
 
+// needsWhole tells whether a member is known to have nothing of a topic, or a state that
+// differs.
+func (s *sender) needsWhole(id member.ID, topic Topic) bool {
+	revision, known := s.knownRevisions[feedKey{to: id, topic: topic}]
+	return known && revision == 0
+}
+
 // onAcknowledge sends the next chunk, or what is newer than the receiver's revision.
 func (s *sender) onAcknowledge(now time.Duration, from member.ID, msg Message) {
 	key := feedKey{to: from, topic: msg.Topic}
