--- a/pkg/membership/fence.go
+++ b/pkg/membership/fence.go
@@ -14,6 +14,11 @@
 
 // fence decides from the acknowledgements of this node's monitors whether the node
 // may serve. It owns the node's present incarnation.
+//
+// Its invariant: before deadline, each set in monitorSets has acksNeeded monitors that
+// acknowledged a heartbeat sent within the last fenceAfter; a set that replaced another
+// counts as acknowledged when it was declared. In other words, the node serves under a
+// lease that a majority of each set renews. update upholds this after each change.
 type fence struct {
 	localIncarnation
 	// fenceAfter is how long an acknowledged heartbeat lets the node serve.
@@ -26,8 +31,8 @@
 // and ends for good when it is fenced again.
 type localIncarnation struct {
 	number member.Incarnation
-	// searchStartedAt is when the search for monitors began.
-	searchStartedAt time.Duration
+	// startedAt is when the incarnation began.
+	startedAt time.Duration
 	// recordVersion is the version of this incarnation's newest record.
 	recordVersion uint64
 	// monitorSets are the sets that may still fence this incarnation, oldest first.
@@ -44,11 +49,11 @@
 
 // begin replaces the present incarnation by a fenced one without monitors.
 func (f *fence) begin(now time.Duration, number member.Incarnation) {
-	f.localIncarnation = localIncarnation{number: number, searchStartedAt: now}
+	f.localIncarnation = localIncarnation{number: number, startedAt: now}
 }
 
-// leave fences the node for good.
-func (f *fence) leave() {
+// close fences the node for good.
+func (f *fence) close() {
 	f.left = true
 	f.deadline = 0
 }
