--- a/cmd/ridgeswitch/main.go
+++ b/cmd/ridgeswitch/main.go
@@ -1,5 +1,5 @@
 // Command ridgeswitch is the one binary of a deployment: the node itself and the
-// operators' verbs.
+// operators' commands.
 package main
 
 import (
@@ -34,8 +34,10 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode takes the code that a verb chose. The command line library has codes
-// of its own for misuse, which would read as other outcomes of a verb.
+// exitCode returns the exit status for an error: that which an operators' command chose,
+// or operatorcli.ExitUsage if the command line library rejected the command line. Its own
+// statuses are not used, since operators would take them for outcomes of an order. Any
+// other error, such as that of a node that can't start, ends with operatorcli.ExitRefused.
 func exitCode(err error) int {
 	var chosen *operatorcli.ExitError
 	if errors.As(err, &chosen) {
--- a/cmd/ridgeswitch/node.go
+++ b/cmd/ridgeswitch/node.go
@@ -19,6 +19,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
+// forceQuitMargin is the time beyond the drain time after which the HTTP
+// framework may end a process that hangs.
+const forceQuitMargin = 10 * time.Second
+
 func nodeCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "node",
@@ -61,8 +65,8 @@
 }
 
 func runNode(ctx context.Context, command *cli.Command) error {
-	changes := reload.NewWatcher(command.String(static.FlagSettings))
-	defer changes.Close()
+	watcher := reload.NewWatcher(command.String(static.FlagSettings))
+	defer watcher.Close()
 	settings, err := checkedSettings(command)
 	if err != nil {
 		return err
@@ -84,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	go changes.Run(ctx, reload.Target{
+	go watcher.Run(ctx, reload.Target{
 		Read:  func() (*static.Settings, error) { return static.FromCommand(command) },
 		Apply: running.Reload,
 		Log:   logger.WithField("component", "settings"),
@@ -92,11 +96,8 @@
 	return running.Run(ctx)
 }
 
-// forceQuitMargin is the time beyond the drain time after which the HTTP
-// framework may end a process that hangs.
-const forceQuitMargin = 10 * time.Second
-
-// dumpOnPanic writes the log ring out before a panic ends the process.
+// dumpOnPanic, deferred, writes the log ring out when its own goroutine panics, and lets
+// the panic go on. A panic of another goroutine ends the process without it.
 func dumpOnPanic(ring *logring.Ring) {
 	if cause := recover(); cause != nil {
 		_ = ring.Dump()
@@ -104,10 +105,10 @@
 	}
 }
 
-// dumpOnSignal writes the log ring out on every SIGUSR1 and returns the function
-// that ends this.
+// dumpOnSignal writes the log ring out on every SIGUSR1. Its goroutine runs until the
+// returned function is called.
 func dumpOnSignal(ring *logring.Ring) func() {
-	// The HTTP framework would write profiles to the temporary folder on these.
+	// On these signals the HTTP framework would write profiles to the temporary folder.
 	signal.Reset(syscall.SIGUSR1, syscall.SIGUSR2)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,7 +1,8 @@
 // Package logring keeps the newest log entries in memory and writes them out
 // when something goes wrong: on an entry of level Error or above, on an entry
-// that Incident marks, on request, and when the process ends in a panic. Otherwise a
-// node writes next to nothing. A Ring may be used concurrently.
+// that Incident marks (at most once in IncidentEvery for each kind), and when Dump is
+// called, as a node does on SIGUSR1. Otherwise a node writes next to nothing. A Ring may be
+// used concurrently.
 package logring
 
 import (
--- a/internal/node/control_config.go
+++ b/internal/node/control_config.go
@@ -10,8 +10,9 @@
 )
 
 // controlConfig returns the configuration of the control machine, as far as it follows
-// from the settings and the data folder.
-func controlConfig(settings *static.Settings, disk *storage) control.Config {
+// from the settings and the data folder. The incarnation is the wall clock in milliseconds,
+// so that it is above those of earlier processes of the node, which nothing stores.
+func controlConfig(settings *static.Settings, stored *storage) control.Config {
 	config := control.Config{
 		Self: member.Info{
 			ID:             member.ID(settings.MemberID()),
@@ -22,11 +23,11 @@
 			HoldsState:     settings.HasDisk(),
 			Incarnation:    member.Incarnation(time.Now().UnixMilli()),
 		},
-		Seeds:           disk.seeds(settings),
+		Seeds:           stored.seeds(settings),
 		Seeded:          settings.Seeded(),
 		FailOpen:        settings.FailOpen,
 		ServiceShards:   uint32(settings.ServiceShards),
-		DiskIncarnation: disk.incarnation,
+		DiskIncarnation: stored.incarnation,
 		Times:           control.DefaultTimes(),
 	}
 	if settings.FailOpen {
@@ -36,7 +37,7 @@
 	config.Times.EndpointReadEvery = settings.PlatformPollEvery()
 	config.Times.CommandGap = settings.CommandGap()
 	config.Times.WeightsDeadline = settings.WeightsDeadline()
-	for _, name := range slices.Concat(settings.Group, disk.founders) {
+	for _, name := range slices.Concat(settings.Group, stored.founders) {
 		config.Group = append(config.Group, member.ID(name))
 	}
 	config.GroupZones = groupZones(settings)
--- a/internal/node/edges.go
+++ b/internal/node/edges.go
@@ -32,8 +32,8 @@
 type Edges struct {
 	// Dataplane speaks to callers and back ends.
 	Dataplane dataplane.Edges
-	// LimitConnections, if set, is told how many connections this node may have to
-	// each back end, 0 for any number.
+	// LimitConnections, if set, is called once, before the node runs. Its argument
+	// returns how many connections this node may have to a back end, 0 for any number.
 	LimitConnections func(limit func(address string) int)
 	// Endpoints reads the platform's list of back ends.
 	Endpoints EndpointReader
--- a/internal/node/heap_growth.go
+++ b/internal/node/heap_growth.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// heapGrowthInterval is how often the growth of the heap follows the fleet.
+	// heapGrowthInterval is how often the growth of the heap is adapted to the number of
+	// live nodes.
 	heapGrowthInterval = 2 * time.Second
 	// smallFleet is the number of live nodes up to which the setting holds as it is.
 	smallFleet = 80
-	// nodesPerPercent is how many nodes beyond that let the heap grow by one percent
-	// more, and maxExtraGrowth bounds it.
+	// nodesPerPercent is how many nodes beyond smallFleet add one percent to the growth.
 	nodesPerPercent = 2
-	maxExtraGrowth  = 120
+	// maxExtraGrowth bounds what they add, in percent.
+	maxExtraGrowth = 120
 )
 
-// heapGrowth lets the heap grow further where there are many nodes. Their gossip about
+// heapGrowth is a supervised loop. It lets the heap grow further between two collections
+// (see debug.SetGCPercent) where there are many nodes. Their gossip about
 // traffic is decoded and dropped again at each of them, so that garbage grows
 // with the fleet, and with it the processor time of collections, while the live heap
 // grows little.
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -76,14 +76,14 @@
 }
 
 // createIdentity makes a new identity durable in a folder that can't vote under a former
-// incarnation. Used says that the folder had an identity before. Groups are formed only in
-// a folder that nothing was ever written to.
-func createIdentity(folder *disk.Disk, settings *static.Settings, used bool) (identity, error) {
+// incarnation. Initialised says that the folder had an identity before. Groups are formed
+// only in a folder that nothing was ever written to.
+func createIdentity(folder *disk.Disk, settings *static.Settings, initialised bool) (identity, error) {
 	empty, err := folder.Empty()
 	if err != nil {
 		return identity{}, err
 	}
-	if settings.Founder() && !used && empty {
+	if settings.Founder() && !initialised && empty {
 		return createFounder(folder, settings)
 	}
 	incarnation, err := newIncarnation()
@@ -104,8 +104,9 @@
 	return founder, founder.write(folder)
 }
 
-// newIncarnation draws the incarnation of a folder that was found empty. It is random,
-// since the incarnations of lost folders are not known.
+// newIncarnation draws the incarnation of a folder that must not vote under a former one:
+// it was found empty, or had lost files of a shard. It is random, since the incarnations of
+// lost folders are not known.
 func newIncarnation() (uint64, error) {
 	var drawn [8]byte
 	if _, err := rand.Read(drawn[:]); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,10 @@
 }
 
 // drain turns readiness off, transfers leadership, waits up to the drain time for running
-// requests, leaves the membership and stops the listeners.
+// requests, leaves the membership and stops the listeners. Leadership goes first, so that
+// its new owners command replicas and acknowledge changes while requests still finish here.
+// The node leaves only after its requests: until then it confirms which replicas it has
+// drained.
 func (n *Node) drain() {
 	n.health.draining.Store(true)
 	n.driver.TransferLeadership()
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -14,7 +14,9 @@
 )
 
 // storage is the data folder of a node: its identity, and the durable log of each
-// shard. It is used by one goroutine until the control driver takes the logs.
+// shard. New uses it in one goroutine. While the node runs, the logs belong to the control
+// driver, and the file of addresses to addressService, which writes it, and Reload, which
+// reads it; the rest stays as New left it.
 type storage struct {
 	// disk is nil on a node without a data folder.
 	disk *disk.Disk
--- a/internal/reload/watcher.go
+++ b/internal/reload/watcher.go
@@ -39,12 +39,12 @@
 }
 
 // NewWatcher returns a watcher of a file; an empty path stands for settings that
-// are in no file. Call it before the settings are first read, so that no change is missed.
+// are in no file, of which nothing is reloaded. Call it before the settings are first read, so that no change is missed.
 // From then on SIGHUP does not end the process, until Close.
 func NewWatcher(path string) *Watcher {
 	w := &Watcher{path: path, hangups: make(chan os.Signal, 1)}
 	signal.Notify(w.hangups, syscall.SIGHUP)
-	w.changed()
+	w.checkFile()
 	return w
 }
 
@@ -74,21 +74,21 @@
 // reloadOnHangup applies the settings whether their file has changed or not. The present
 // state of the file counts as applied, so that poll does not apply it again.
 func (w *Watcher) reloadOnHangup(target Target) {
-	w.changed()
+	w.checkFile()
 	target.reload()
 }
 
 // poll applies the settings if their file has changed.
 func (w *Watcher) poll(target Target) {
-	if w.changed() {
+	if w.checkFile() {
 		target.reload()
 	}
 }
 
-// changed reports whether the file differs from its last check, by identity, size and time
-// of modification. A file that can't be read counts as unchanged: the settings in force
-// stay.
-func (w *Watcher) changed() bool {
+// checkFile records the present state of the file, and reports whether it differs from that
+// of the last check, by identity, size and time of modification. A file that can't be read
+// counts as unchanged: the settings in force stay.
+func (w *Watcher) checkFile() (changed bool) {
 	present, err := os.Stat(w.path)
 	if err != nil {
 		return false
