--- a/internal/edge/operator/server.go
+++ b/internal/edge/operator/server.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a call: the largest configuration and
-	// room for the order header.
+	// maxBodyBytes bounds the body of a call: the largest configuration, and 64 KiB for
+	// the order header.
 	maxBodyBytes = dynamic.MaxDocumentBytes + 64<<10
 	// maxConcurrentCalls bounds the calls that run at once; a call beyond it is
 	// refused with 503.
@@ -133,16 +133,16 @@
 		Middlewares: rest.MiddlewaresConf{
 			// Recover is the last resort; recoverCalls comes first.
 			Recover: true,
-			// MaxConns answers without a problem; limitCalls is in its place.
+			// MaxConns responds without a problem; limitCalls stands in its place.
 			MaxConns: false,
 			// Breaker and Shedding refuse calls by guesses; an operator's call
 			// has priority, above all when the node is busy or failing.
 			Breaker:  false,
 			Shedding: false,
-			// Timeout buffers answers and says that a call failed which may
+			// Timeout buffers responses, and reports a call as failed that may
 			// have taken effect. Calls end by callTimeout instead.
 			Timeout: false,
-			// MaxBytes sees declared lengths alone and responses without a
+			// MaxBytes looks at declared lengths alone, and responds without a
 			// problem. Bodies are bounded where they are read.
 			MaxBytes: false,
 			// Gunzip would let a small body grow beyond its bound.
--- a/internal/edge/outbound/client.go
+++ b/internal/edge/outbound/client.go
@@ -28,7 +28,7 @@
 
 // Options set up a Client. Zero values mean the defaults.
 type Options struct {
-	// Name names the client in go-zero's registers.
+	// Name is what go-zero registers the client under, which is shared by the process.
 	Name string
 	// DialTimeout bounds the time to connect.
 	DialTimeout time.Duration
@@ -86,13 +86,13 @@
 // caller closes the response's body; unless it was read to its end the
 // connection is closed with it.
 func (c *Client) Send(request *http.Request, body []byte) (*http.Response, error) {
-	watch := &connectionTrace{}
-	trace := &httptrace.ClientTrace{GotConn: watch.got}
+	used := &connectionTrace{}
+	trace := &httptrace.ClientTrace{GotConn: used.add}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
 	preventRetries(request, body)
 	response, err := c.service.DoRequest(request)
 	if err != nil {
-		return nil, &Error{MayHaveBeenSent: watch.seal(), cause: errors.WithStack(err)}
+		return nil, &Error{MayHaveBeenSent: used.seal(), cause: errors.WithStack(err)}
 	}
 	return response, nil
 }
--- a/internal/edge/outbound/connection_limit.go
+++ b/internal/edge/outbound/connection_limit.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// release counts a connection out.
+// release takes a connection that was closed, or could not be opened, out of the count.
 func (l *connectionLimiter) release(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/edge/outbound/counted_connection.go
+++ b/internal/edge/outbound/counted_connection.go
@@ -20,13 +20,14 @@
 	mutex  sync.Mutex
 	writes uint64
 	sealed bool
-	// closed counts the connection out, once.
-	closed func()
+	// onClose releases the connection from the limit of its back end. Only its first call
+	// does so.
+	onClose func()
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.closed()
+	c.onClose()
 	return c.Conn.Close()
 }
 
@@ -80,11 +81,11 @@
 			open.release(address)
 			return nil, err
 		}
-		return &countedConn{Conn: connection, closed: sync.OnceFunc(func() { open.release(address) })}, nil
+		return &countedConn{Conn: connection, onClose: sync.OnceFunc(func() { open.release(address) })}, nil
 	}
 }
 
-// connectionTrace remembers the connections that a request was given.
+// connectionTrace records the connections that net/http gave to one request.
 type connectionTrace struct {
 	mutex       sync.Mutex
 	connections []usedConnection
@@ -99,8 +100,8 @@
 	writesBefore uint64
 }
 
-// got is called before the request is written to the connection.
-func (t *connectionTrace) got(info httptrace.GotConnInfo) {
+// add records a connection. It is called before the request is written to it.
+func (t *connectionTrace) add(info httptrace.GotConnInfo) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counted, known := info.Conn.(*countedConn)
--- a/internal/edge/replica/command.go
+++ b/internal/edge/replica/command.go
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("the replica answered %s with status %d; check that it speaks this protocol", e.Path, e.Status)
 }
 
-// StaleEpochError says that the replica has seen a later leader with the right to
-// command it.
+// StaleEpochError says that the replica has seen a higher fencing token, which this
+// protocol calls epoch: a later leader commands it.
 type StaleEpochError struct {
 	Epoch uint64
 }
@@ -64,8 +64,9 @@
 	return report, errors.Wrap(decoder.Decode(&report), "decode a replica's report")
 }
 
-// LoadWeights orders a replica to load weights. The order has arrived when nil
-// is returned; Report shows when it is done.
+// LoadWeights commands a replica to load weights. The replica has accepted the command
+// when nil is returned; Report shows when it has loaded them. Other errors than
+// *StaleEpochError and *StatusError leave open whether it arrived.
 func (c *CommandClient) LoadWeights(ctx context.Context, address string, command WeightsCommand) error {
 	body, err := json.Marshal(command)
 	if err != nil {
@@ -81,12 +82,12 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	return commandOutcome(response, command)
+	return checkAccepted(response, command)
 }
 
-// commandOutcome returns nil if the replica has accepted the command. The errors are
+// checkAccepted returns nil if the replica has accepted the command. The errors are
 // *StaleEpochError and *StatusError.
-func commandOutcome(response *http.Response, command WeightsCommand) error {
+func checkAccepted(response *http.Response, command WeightsCommand) error {
 	switch {
 	case response.StatusCode == http.StatusConflict:
 		return &StaleEpochError{Epoch: command.Epoch}
--- a/internal/edge/replica/protocol.go
+++ b/internal/edge/replica/protocol.go
@@ -110,8 +110,8 @@
 // WeightsCommand orders a replica to load weights.
 type WeightsCommand struct {
 	WeightVersion string `json:"weight_version"`
-	// Epoch fences the commanding node: a replica refuses an epoch below the
-	// highest it has seen.
+	// Epoch is the fencing token of the command: a replica refuses one below the
+	// highest that it has seen.
 	Epoch uint64 `json:"epoch"`
 	// Leader names the commanding node.
 	Leader string `json:"holder"`
