--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -97,7 +97,7 @@
 	return nodeReply{}, unanswered(call, failures)
 }
 
-// unanswered returns the error for a call to which no node responded.
+// unanswered returns the error for a call to which no node gave a final response.
 func unanswered(call schema.Call, failures []string) error {
 	message := "no node answered: " + strings.Join(failures, "; ")
 	if isOrder(call.Method.Input()) {
@@ -152,8 +152,8 @@
 	return nodeReply{status: response.StatusCode, body: body}, nil
 }
 
-// newHTTPRequest puts the request into the body, or into the query where the
-// method has no body by custom.
+// newHTTPRequest puts the request into the body as JSON, or into the query for GET and
+// DELETE, which have no body by custom.
 func newHTTPRequest(ctx context.Context, node string, call schema.Call, request protoreflect.Message) (*http.Request, error) {
 	method := call.Binding.GetMethod()
 	target := "http://" + node + call.URLPath(request)
@@ -183,12 +183,12 @@
 		if isSegment(call, field) {
 			continue
 		}
-		holder := request
+		message := request
 		for _, parent := range field.path[:len(field.path)-1] {
-			holder = holder.Get(parent).Message()
+			message = message.Get(parent).Message()
 		}
-		if holder.Has(field.last()) {
-			query.Set(string(field.last().Name()), holder.Get(field.last()).String())
+		if message.Has(field.last()) {
+			query.Set(string(field.last().Name()), message.Get(field.last()).String())
 		}
 	}
 	return query.Encode()
--- a/internal/operatorcli/doc.go
+++ b/internal/operatorcli/doc.go
@@ -1,6 +1,7 @@
-// Package operatorcli holds the operator verbs of the ridgeswitch command. The
-// verbs, their flags and what they send are derived from the schema in
-// api/ridgeswitch/v1; a new call of the schema is a new verb without further
+// Package operatorcli holds the operators' commands of the ridgeswitch program. Each
+// stands for one call of the control interface, and its words, such as "key add", are the
+// verb of that call in the schema (api/ridgeswitch/v1). The verbs, their flags and what
+// they send are derived from the schema; a new call of it is a new verb without further
 // code. The table of "status" begins with a summary that more calls go into:
 // those for the roll-outs and, with --all, the status of every live member.
 //
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -1,10 +1,17 @@
 package operatorcli
 
-// The exit statuses of operator verbs; see the package comment.
+// The exit statuses of operator verbs, beside 0 for success.
 const (
-	ExitRefused    = 1
-	ExitUsage      = 2
-	ExitPending    = 3
+	// ExitRefused means that a node rejected the call, or that "config check" found
+	// faults.
+	ExitRefused = 1
+	// ExitUsage means that the command line or a file is wrong. Nothing was sent.
+	ExitUsage = 2
+	// ExitPending means that an order may take effect. A resend with the same order ID is
+	// safe.
+	ExitPending = 3
+	// ExitUnanswered means that no node gave a final response. An order may take effect
+	// all the same.
 	ExitUnanswered = 4
 )
 
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -41,28 +41,6 @@
 	}}
 }
 
-// survey is what was collected for the summary of a deployment; its checks make the lines.
-type survey struct {
-	// status is the view of the node that was queried first.
-	status *ridgeswitchv1.NodeStatus
-	// allNodes is set if the live members were queried as well; their responses
-	// follow.
-	allNodes  bool
-	responses []nodeResponse
-	// weights are the states of the pools' roll-outs, unless weightsError says
-	// why they are unknown.
-	weights      []*ridgeswitchv1.WeightsStatus
-	weightsError error
-}
-
-// nodeResponse is the status that one member reports of itself.
-type nodeResponse struct {
-	member *ridgeswitchv1.MemberStatus
-	// status is nil if err says why there is no response.
-	status *ridgeswitchv1.NodeStatus
-	err    error
-}
-
 // runStatus prints the status: as JSON alone, or as tables after a summary.
 func runStatus(ctx context.Context, command *cli.Command, call schema.Call) error {
 	if command.String(flagOutput) != outputTable {
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/survey.go
@@ -48,6 +48,28 @@
 	detail string
 }
 
+// survey is what was collected for the summary of a deployment; its checks make the lines.
+type survey struct {
+	// status is the view of the node that was queried first.
+	status *ridgeswitchv1.NodeStatus
+	// allNodes is set if the live members were queried as well; their responses
+	// follow.
+	allNodes  bool
+	responses []nodeResponse
+	// weights are the states of the pools' roll-outs, unless weightsError says
+	// why they are unknown.
+	weights      []*ridgeswitchv1.WeightsStatus
+	weightsError error
+}
+
+// nodeResponse is the status that one member reports of itself.
+type nodeResponse struct {
+	member *ridgeswitchv1.MemberStatus
+	// status is nil if err says why there is no response.
+	status *ridgeswitchv1.NodeStatus
+	err    error
+}
+
 // print writes the summary and, where all were queried, a table of the nodes.
 func (s *survey) print(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
--- a/pkg/config/dynamic/bounds.go
+++ b/pkg/config/dynamic/bounds.go
@@ -59,18 +59,18 @@
 	MaxQueueTimeout = 10 * time.Minute
 	// MaxRequestTimeout bounds the time of one request.
 	MaxRequestTimeout = 24 * time.Hour
-	// MaxSlowStart bounds the time for which a back end is cold after a start.
+	// MaxSlowStart bounds the time for which a back end warms up after a start.
 	MaxSlowStart = time.Hour
-	// MaxBackendConnections bounds the connections that a back end bears.
+	// MaxBackendConnections bounds the limit on the connections to one back end.
 	MaxBackendConnections = 1_000_000
 	// MaxReportReaders bounds the readers of a back end's reports.
 	MaxReportReaders = 1_000_000
 
 	// MaxEngineSlots bounds the requests that a replica runs at once.
 	MaxEngineSlots = 100_000
-	// MaxMemoryTokens bounds the tokens that a replica or a store keeps.
+	// MaxMemoryTokens bounds the tokens that a replica or a store can cache.
 	MaxMemoryTokens = 1e12
-	// MaxTokenBytes bounds the kept state of one token.
+	// MaxTokenBytes bounds the size of the KV cache of one token.
 	MaxTokenBytes = 1 << 30
 	// MaxTokensPerEvent bounds the tokens of one event of a stream.
 	MaxTokensPerEvent = 1_000_000
--- a/pkg/config/dynamic/order.go
+++ b/pkg/config/dynamic/order.go
@@ -81,7 +81,8 @@
 	return order, nil
 }
 
-// checkOrderID checks the identity that an operator chose for an order.
+// checkOrderID checks the form of an order's identity, whether it was chosen by an operator
+// or derived from a document.
 func checkOrderID(id string) error {
 	if id == "" {
 		return &Error{
@@ -95,7 +96,8 @@
 	return check.faults.orNil()
 }
 
-// checkChosenOrderID checks an identity that was not derived from a document.
+// checkChosenOrderID checks an identity that an operator chose: it must not look like one
+// that is derived from a document.
 func checkChosenOrderID(id string) error {
 	if err := checkOrderID(id); err != nil {
 		return err
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// checkChange checks the form of a single change. A whole configuration is left
+// checkChange checks the form of a single change. A complete configuration is left
 // to Validate.
 func checkChange(order *controlpb.Order) error {
 	check := &checker{}
--- a/pkg/config/dynamic/sharing_domain.go
+++ b/pkg/config/dynamic/sharing_domain.go
@@ -8,7 +8,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// SharingDomain separates cached prompt chunks: two requests may share parts only
+// SharingDomain separates cached prompt chunks: two requests may share them only
 // when their domains are equal. All tenants that are not walled share one
 // domain, which is renewed whenever one of them leaves; each walled tenant has
 // its own, renewed whenever its wall goes up. A name that is not configured
