--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -47,7 +47,8 @@
 }
 
 // run connects when there is something to send, and again after each loss, until
-// nothing has been sent for IdleTimeout.
+// nothing has been sent for IdleTimeout, or the peer is stopped. Then it drops what is
+// queued.
 func (p *peer) run(ctx context.Context) {
 	defer p.cancel()
 	defer p.dropQueued()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -20,7 +20,8 @@
 	handler  Handler
 	dial     dialFunc
 	counters counters
-	// peerContext returns a context for a new peer, which ends with the transport.
+	// peerContext returns a context for a new peer, which ends with the transport. It is
+	// a function, since peers start in Send, and a struct is not to hold a context.
 	peerContext func() (context.Context, context.CancelFunc)
 	// cancel ends everything that Listen or Send started, and running waits for it.
 	cancel  context.CancelFunc
@@ -83,19 +84,17 @@
 	t.peer(address).enqueue(frame)
 }
 
-// retire drops a peer with an empty queue, and reports whether it did. A later Send
-// starts afresh.
-func (t *Transport) retire(idle *peer) bool {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if queued, _ := idle.queue.size(); queued > 0 {
-		return false
-	}
-	if t.peers[idle.address] == idle {
-		delete(t.peers, idle.address)
+// peer returns the peer at address and starts it if it is new. The caller holds the
+// mutex, and the transport is not closed.
+func (t *Transport) peer(address string) *peer {
+	existing := t.peers[address]
+	if existing == nil {
+		ctx, cancel := t.peerContext()
+		existing = newPeer(t, address, cancel)
+		t.peers[address] = existing
+		t.running.Go(func() { existing.run(ctx) })
 	}
-	t.counters.connectionsRetired.Add(1)
-	return true
+	return existing
 }
 
 // Forget closes the connection to a peer and drops what is queued for it. A
@@ -129,15 +128,17 @@
 	t.running.Wait()
 }
 
-// peer returns the peer at address and starts it if it is new. The caller holds the
-// mutex, and the transport is not closed.
-func (t *Transport) peer(address string) *peer {
-	existing := t.peers[address]
-	if existing == nil {
-		ctx, cancel := t.peerContext()
-		existing = newPeer(t, address, cancel)
-		t.peers[address] = existing
-		t.running.Go(func() { existing.run(ctx) })
+// retire drops a peer that has sent nothing for IdleTimeout, unless its queue has frames
+// again, and reports whether it did. A later Send starts afresh.
+func (t *Transport) retire(idle *peer) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if queued, _ := idle.queue.size(); queued > 0 {
+		return false
 	}
-	return existing
+	if t.peers[idle.address] == idle {
+		delete(t.peers, idle.address)
+	}
+	t.counters.connectionsRetired.Add(1)
+	return true
 }
--- a/internal/wire/member_rows.go
+++ b/internal/wire/member_rows.go
@@ -21,6 +21,10 @@
 // digests of the membership protocol repair the receiver's table.
 const maxTexts = math.MaxUint16
 
+// maxBaseBytes bounds the address that a port is joined to; no IP address with a zone
+// and a port is longer.
+const maxBaseBytes = 64
+
 // rowPacker packs the rows of one message.
 type rowPacker struct {
 	table *textTable
@@ -111,8 +115,8 @@
 	return net.JoinHostPort(host, strconv.FormatUint(uint64(port), 10))
 }
 
-// packBoots returns incarnations as differences from a base, or all of them in full if
-// one of the differences does not fit.
+// packBoots returns the incarnations with which the processes of monitors started, as
+// differences from a base, or all of them in full if one of the differences does not fit.
 func packBoots(boots []member.Incarnation, base member.Incarnation) (near []int32, far []uint64) {
 	for _, boot := range boots {
 		difference := int64(boot - base)
@@ -173,10 +177,6 @@
 	}
 }
 
-// maxBaseBytes bounds the address that a port is joined to; no IP address with a zone
-// and a port is longer.
-const maxBaseBytes = 64
-
 // address is the inverse of rowPacker.port. A joined address allocates, unlike a shared
 // text, so that it counts against the budget of the reader.
 func (r rowReader) address(port, addressIndex uint16, base string) string {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -13,7 +13,7 @@
 	memberDigestBytes = 2 * flatbuffers.SizeUint32
 	textIndexBytes    = flatbuffers.SizeUint16
 	endpointBytes     = flatbuffers.SizeUint64
-	bootBytes         = flatbuffers.SizeInt32
+	bootBytes         = flatbuffers.SizeInt32 // see packBoots
 )
 
 // reader copies values out of a frame. A builder stores each value once, so that the
