--- /dev/null
+++ b/pkg/replication/campaign.go
@@ -0,0 +1,67 @@
+package replication
+
+import (
+	"slices"
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// campaign is the attempt of a candidate to be elected, in one phase: the pre-vote or
+// the vote.
+type campaign struct {
+	// term is the one that votes are requested for.
+	term uint64
+	// preVote tells that the campaign raises no term: it asks whether one that
+	// does could be won.
+	preVote bool
+	// transfer tells that the leader asked for the campaign.
+	transfer    bool
+	granted     grants
+	rejected    grants
+	requestedAt time.Duration
+}
+
+// restart begins another round of requests.
+func (c *campaign) restart(self Voter, now time.Duration) {
+	c.requestedAt = now
+	c.rejected = nil
+	if c.preVote {
+		// What was granted before may be untrue by now, as a voter may hear a
+		// leader again. The vote of a term can't be taken back.
+		c.granted = grants{self}
+	}
+}
+
+// won tells whether a majority of the group has granted.
+func (c *campaign) won(group slots) bool {
+	return len(c.granted) >= group.quorum()
+}
+
+// reject records a rejection. It is true if the campaign is lost: too few voters are
+// left that could grant. A pre-vote goes on, as its rejections pass when the voters
+// miss the leader too.
+func (c *campaign) reject(from Voter, group slots) (lost bool) {
+	if c.preVote || slices.Contains(c.granted, from) {
+		return false
+	}
+	c.rejected = c.rejected.with(from)
+	return len(c.rejected) > len(group.voters())-group.quorum()
+}
+
+// grants are the members that granted (or rejected) a request, in the incarnation
+// in which they did.
+type grants []Voter
+
+// includes tells whether the member is among them in any incarnation.
+func (g grants) includes(id member.ID) bool {
+	return slices.ContainsFunc(g, func(voter Voter) bool { return voter.ID == id })
+}
+
+// with returns the grants together with that of the voter.
+func (g grants) with(voter Voter) grants {
+	if slices.Contains(g, voter) {
+		return g
+	}
+	return append(g, voter)
+}
--- a/pkg/replication/command_lease.go
+++ b/pkg/replication/command_lease.go
@@ -25,7 +25,7 @@
 // command. A later instant than the present one tells whether the lease would last until
 // then; the call changes no state.
 func (g *Group) HasCommandLease(now time.Duration) bool {
-	if g.role != RoleLeader || g.leadership.transfer.target != "" || !g.BarrierApplied() {
+	if g.election.role() != RoleLeader || g.leadership.transfer.target != "" || !g.BarrierApplied() {
 		return false
 	}
 	return g.leadership.lease.predecessors.MayAct(now) && g.leadership.lease.current.MayAct(max(now, g.now))
@@ -34,5 +34,5 @@
 // BarrierApplied tells whether this member leads the group and has applied all that
 // was there when it became the leader.
 func (g *Group) BarrierApplied() bool {
-	return g.role == RoleLeader && g.log.applied >= g.leadership.barrier
+	return g.election.role() == RoleLeader && g.log.applied >= g.leadership.barrier
 }
--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -21,9 +21,12 @@
 //
 // # State and its owners
 //
-// Group holds the term, the vote, the role and the leader, and passes messages
-// and decisions between types that each own the state of one concern:
+// Group passes messages and decisions between types that each own the state of one
+// concern:
 //
+//	replica             identity, time, known peers, messages for the next Ready
+//	termState           the term and the vote
+//	election            whom this member follows, and so its role
 //	replicaLog          entries, snapshot, and the durable, committed and applied index
 //	groupHistory        the members of the group, as the log tells them
 //	electionTimer       when this voter campaigns
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -1,304 +1,217 @@
 package replication
 
 import (
-	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// electionTimer is what decides when a voter campaigns. It has no bearing on
-// safety.
-type electionTimer struct {
-	// leaderContact is when the leader was last heard.
-	leaderContact time.Duration
-	// waitFrom is when the wait for a leader began.
-	waitFrom time.Duration
-	// lostLeader is the leader that is missed; it gets no turn.
-	lostLeader member.ID
-	// suspected are the members that are thought to be down; they get no turn.
-	suspected []member.ID
-	// candidateBehind tells that a member campaigns whose log lacks entries of this one, so
-	// that it gets no vote here. It is known since candidateBehindSince.
-	candidateBehind      bool
-	candidateBehindSince time.Duration
-}
-
-// rank counts the live voters before self in the agreed order.
-func (t *electionTimer) rank(self member.ID, voters []member.ID) int {
-	rank := 0
-	for _, id := range voters {
-		if id == self {
-			break
-		}
-		if id == t.lostLeader || slices.Contains(t.suspected, id) {
-			continue
-		}
-		rank++
+// election is this member's part in the elections of its group: whom it follows in the
+// present term, to whom it grants the term, and its own campaign. Callers that follow
+// another term or leader while this member leads go through Group.becomeFollower,
+// which ends the leadership.
+type election struct {
+	*replica
+	// leader is the member that is known to lead hard.Term, or empty. It is this
+	// member as long as it leads.
+	leader member.ID
+	timer  electionTimer
+	// campaign is nil unless this member is a candidate.
+	campaign *campaign
+}
+
+// role follows from the other state. Only a voter campaigns, as only it can win by the
+// group that it knows.
+func (e *election) role() Role {
+	switch {
+	case e.leads():
+		return RoleLeader
+	case e.campaign != nil:
+		return RoleCandidate
+	case e.isVoter():
+		return RoleFollower
+	default:
+		return RoleLearner
 	}
-	return rank
 }
 
-// campaign is the attempt of a candidate to be elected. It is zero on all others.
-type campaign struct {
-	// preVote tells that the campaign raises no term: it asks whether one that
-	// does could be won.
-	preVote bool
-	// transfer tells that the leader asked for the campaign.
-	transfer    bool
-	granted     grants
-	rejected    grants
-	requestedAt time.Duration
+func (e *election) leads() bool {
+	return e.leader == e.cfg.Self
 }
 
-// grants are the members that granted (or rejected) a request, in the incarnation
-// in which they did.
-type grants []Voter
-
-// includes tells whether the member is among them in any incarnation.
-func (g grants) includes(id member.ID) bool {
-	return slices.ContainsFunc(g, func(voter Voter) bool { return voter.ID == id })
-}
-
-// with returns the grants together with that of the voter.
-func (g grants) with(voter Voter) grants {
-	if slices.Contains(g, voter) {
-		return g
-	}
-	return append(g, voter)
+// hasLiveLeader tells whether an election would disturb a working leader.
+func (e *election) hasLiveLeader() bool {
+	return e.leads() || (e.leader != "" && e.now < e.timer.leaderContact+e.cfg.ElectionTimeout)
 }
 
-// SetSuspected tells which members are thought to be down, for instance by the
-// membership. It shortens the wait of later members in the agreed order and has
-// no bearing on safety.
-func (g *Group) SetSuspected(suspected []member.ID) {
-	g.timer.suspected = slices.Clone(suspected)
+// follow makes the member follow a leader in a term, which is the present or a later
+// one. The leader may be unknown yet. It ends a campaign.
+func (e *election) follow(term uint64, leader member.ID) {
+	e.hard.raise(term)
+	e.leader = leader
+	e.campaign = nil
+	e.timer.candidateBehind = false
 }
 
-// tickElection repeats the requests of a campaign, and begins one when it is due. A
-// campaign that raises no term goes on instead of beginning again.
-func (g *Group) tickElection() {
-	if g.role == RoleCandidate && g.now >= g.campaign.requestedAt+g.cfg.HeartbeatEvery {
-		g.requestVotes()
-	}
-	if !g.electionDue() {
-		return
+// tick repeats the requests of a campaign, and begins one when it is due. A pre-vote
+// goes on instead of beginning again.
+func (e *election) tick() {
+	if e.campaign != nil && e.now >= e.campaign.requestedAt+e.cfg.HeartbeatEvery {
+		e.requestVotes()
 	}
-	if g.role == RoleCandidate && g.campaign.preVote {
-		return
+	preVoting := e.campaign != nil && e.campaign.preVote
+	if e.campaignDue() && !preVoting {
+		e.startPreVote()
 	}
-	g.startPreVote()
 }
 
-// electionDue tells whether this voter has waited its turn, or should step in for
+// campaignDue tells whether this voter has waited its turn, or should step in for
 // a voter that can't win. The turn of the i-th live voter in the agreed order comes
 // after ElectionTimeout*(1 + i/2), so that the voters campaign one after the other.
-func (g *Group) electionDue() bool {
-	rank := time.Duration(g.timer.rank(g.cfg.Self, g.log.groups.latest().voterIDs))
-	if g.now >= g.timer.waitFrom+g.cfg.ElectionTimeout+rank*g.cfg.ElectionTimeout/2 {
+func (e *election) campaignDue() bool {
+	turn := time.Duration(e.timer.turnOf(e.cfg.Self, e.log.groups.latest().voterIDs))
+	if e.now >= e.timer.waitFrom+e.cfg.ElectionTimeout+turn*e.cfg.ElectionTimeout/2 {
 		return true
 	}
-	if !g.timer.candidateBehind || g.hasLiveLeader() {
+	if !e.timer.candidateBehind || e.hasLiveLeader() {
 		return false
 	}
-	return g.now >= g.timer.candidateBehindSince+rank*g.cfg.HeartbeatEvery
-}
-
-// hasLiveLeader tells whether an election would disturb a working leader.
-func (g *Group) hasLiveLeader() bool {
-	if g.role == RoleLeader {
-		return true
-	}
-	return g.leader != "" && g.now < g.timer.leaderContact+g.cfg.ElectionTimeout
+	return e.now >= e.timer.candidateBehindSince+turn*e.cfg.HeartbeatEvery
 }
 
 // startPreVote asks whether a campaign could be won, without raising any term. It
 // goes on until it is won or a leader is heard.
-func (g *Group) startPreVote() {
-	g.becomeFollower(g.hard.Term, "")
-	g.role = RoleCandidate
-	g.campaign.preVote = true
-	g.requestVotes()
-	g.countGrants()
+func (e *election) startPreVote() {
+	e.follow(e.hard.Term, "")
+	e.campaign = &campaign{term: e.hard.Term + 1, preVote: true}
+	e.requestVotes()
+	if e.campaign.won(e.slots()) {
+		// The only voter of its group needs nobody else.
+		e.startCampaign(false)
+	}
 }
 
 // startCampaign raises the term and votes for this member. With transfer, the
 // leader of the present term asked for it.
-func (g *Group) startCampaign(transfer bool) {
-	g.becomeFollower(g.hard.Term+1, "")
-	g.voteForSelf()
-	g.role = RoleCandidate
-	g.campaign.transfer = transfer
-	g.timer.waitFrom = g.now
+func (e *election) startCampaign(transfer bool) {
+	e.voteForSelf(e.hard.Term + 1)
+	e.campaign = &campaign{term: e.hard.Term, transfer: transfer}
 	// If this campaign fails, the members that campaign at the same time must not
 	// wait equally long again.
-	g.timer.lostLeader = ""
-	g.requestVotes()
+	e.timer.lostLeader = ""
+	e.requestVotes()
+}
+
+// voteForSelf raises the term and grants it to this member. The vote counts once it
+// is durable, see Group.acknowledgeSelf.
+func (e *election) voteForSelf(term uint64) {
+	e.follow(term, "")
+	e.hard.vote(e.self())
+	e.timer.waitFrom = e.now
 }
 
 // requestVotes sends a request to all voters that have not granted, and so repeats
 // one that was lost or premature.
-func (g *Group) requestVotes() {
-	g.campaign.requestedAt = g.now
-	g.campaign.rejected = nil
-	if g.campaign.preVote {
-		// What was granted before may be untrue by now, as a voter may hear a
-		// leader again.
-		g.campaign.granted = grants{g.self()}
-	}
-	for _, id := range g.log.groups.latest().voterIDs {
-		if id == g.cfg.Self || g.campaign.granted.includes(id) {
+func (e *election) requestVotes() {
+	e.campaign.restart(e.self(), e.now)
+	for _, id := range e.log.groups.latest().voterIDs {
+		if id == e.cfg.Self || e.campaign.granted.includes(id) {
 			continue
 		}
-		g.send(id, Message{
+		e.send(id, Message{
 			Type:      MessageVoteRequest,
-			Term:      g.campaignTerm(),
-			Index:     g.log.lastIndex(),
-			IndexTerm: g.log.lastTerm(),
-			PreVote:   g.campaign.preVote,
-			Transfer:  g.campaign.transfer,
+			Term:      e.campaign.term,
+			Index:     e.log.lastIndex(),
+			IndexTerm: e.log.lastTerm(),
+			PreVote:   e.campaign.preVote,
+			Transfer:  e.campaign.transfer,
 		})
 	}
 }
 
-// campaignTerm is the term that the candidate requests votes for.
-func (g *Group) campaignTerm() uint64 {
-	if g.campaign.preVote {
-		return g.hard.Term + 1
-	}
-	return g.hard.Term
-}
-
-// stepVoteRequest replies to a candidate. Only a campaign that raises the term can
-// change the vote.
-func (g *Group) stepVoteRequest(from member.ID, m Message) {
+// stepVoteRequest replies to a candidate. A term that is newer, and that this member
+// follows, it has adopted already.
+func (e *election) stepVoteRequest(from member.ID, m Message) {
 	reply := Message{Type: MessageVoteReply, Term: m.Term, PreVote: m.PreVote}
 	switch {
-	case g.cfg.Learner:
+	case e.cfg.Learner:
 		reply.Learner = true
 		reply.Reject = true
 	case m.PreVote:
-		reply.Reject = m.Term <= g.hard.Term || g.hasLiveLeader() || !g.log.isUpToDate(m.Index, m.IndexTerm)
-		g.observeCandidate(m)
+		upToDate := e.log.isUpToDate(m.Index, m.IndexTerm)
+		reply.Reject = m.Term <= e.hard.Term || e.hasLiveLeader() || !upToDate
+		if !upToDate && !e.hasLiveLeader() && e.role() == RoleFollower {
+			// The sender can't get the vote of this member. The voters that have what
+			// it lacks then follow each other by HeartbeatEvery, in place of their
+			// whole turns.
+			e.timer.observeCandidateBehind(e.now)
+		}
 	default:
-		reply.Reject = !g.grantVote(from, m)
+		reply.Reject = !e.grantVote(from, m)
 	}
 	if reply.Reject {
-		reply.Term = g.hard.Term
+		reply.Term = e.hard.Term
 	}
-	g.send(from, reply)
+	e.send(from, reply)
 }
 
-// observeCandidate notices a member that requests votes which it can't get from here, since
-// its log lacks entries of this one. The voters that have them then follow each other by
-// HeartbeatEvery in place of their whole turns.
-func (g *Group) observeCandidate(m Message) {
-	behind := g.role == RoleFollower && !g.hasLiveLeader() && !g.log.isUpToDate(m.Index, m.IndexTerm)
-	if !behind || g.timer.candidateBehind {
-		return
-	}
-	g.timer.candidateBehind = true
-	g.timer.candidateBehindSince = g.now
-}
-
-// grantVote grants a term to one member at most. The grant leaves in the Ready
-// that carries the vote as HardState, and so after the vote is durable.
-func (g *Group) grantVote(from member.ID, m Message) bool {
-	if m.Term < g.hard.Term {
+// grantVote grants the present term to one member at most. The grant leaves in the
+// Ready that carries the vote as HardState, and so after the vote is durable.
+func (e *election) grantVote(from member.ID, m Message) bool {
+	if m.Term != e.hard.Term {
 		return false
 	}
-	if m.Term > g.hard.Term {
-		if g.hasLiveLeader() && !m.Transfer {
-			return false
-		}
-		g.becomeFollower(m.Term, "")
-	}
-	if g.hard.VotedFor == from && g.hard.VotedForIncarnation == m.Incarnation {
+	candidate := Voter{ID: from, Incarnation: m.Incarnation}
+	if e.hard.votedFor(candidate) {
 		return true
 	}
-	if g.hard.VotedFor != "" || g.leader != "" {
+	if e.hard.VotedFor != "" || e.leader != "" {
 		return false
 	}
-	if !g.log.isUpToDate(m.Index, m.IndexTerm) {
+	if !e.log.isUpToDate(m.Index, m.IndexTerm) {
 		return false
 	}
-	g.hard.VotedFor = from
-	g.hard.VotedForIncarnation = m.Incarnation
-	g.timer.waitFrom = g.now
-	g.timer.candidateBehind = false
+	e.hard.vote(candidate)
+	e.timer.waitFrom = e.now
+	e.timer.candidateBehind = false
 	return true
 }
 
-// stepVoteReply counts a grant or rejection of a voter.
-func (g *Group) stepVoteReply(from member.ID, m Message) {
-	if !g.recognizes(from) {
-		return
-	}
-	if m.Reject && m.Term > g.hard.Term {
-		g.becomeFollower(m.Term, "")
-		return
-	}
-	if g.role != RoleCandidate || m.PreVote != g.campaign.preVote {
-		return
+// stepVoteReply counts a grant or rejection of a voter. It is true if this member has
+// won the term, and is to lead it.
+func (e *election) stepVoteReply(from member.ID, m Message) (won bool) {
+	if e.campaign == nil || m.PreVote != e.campaign.preVote {
+		return false
 	}
 	voter := Voter{ID: from, Incarnation: m.Incarnation}
-	if !g.slots().votes(voter) {
+	if !e.slots().votes(voter) {
 		// A vote counts only if the same voter can't have granted the term to
 		// another member, and knows all that it acknowledged.
-		return
+		return false
 	}
 	switch {
 	case m.Reject:
-		g.addRejection(voter)
-	case m.Term == g.campaignTerm() && !m.Learner:
-		g.addGrant(voter)
-	}
-}
-
-func (g *Group) addGrant(from Voter) {
-	g.campaign.granted = g.campaign.granted.with(from)
-	g.countGrants()
-}
-
-// addRejection ends a campaign that a majority rejects. A pre-vote goes on, as its
-// rejections pass when the voters miss the leader too.
-func (g *Group) addRejection(from Voter) {
-	if g.campaign.preVote || slices.Contains(g.campaign.granted, from) {
-		return
-	}
-	g.campaign.rejected = g.campaign.rejected.with(from)
-	if len(g.campaign.rejected) > len(g.slots().voters())-g.slots().quorum() {
-		g.becomeFollower(g.hard.Term, "")
+		if e.campaign.reject(voter, e.slots()) {
+			e.follow(e.hard.Term, "")
+		}
+		return false
+	case m.Term == e.campaign.term && !m.Learner:
+		return e.addGrant(voter)
+	default:
+		return false
 	}
 }
 
-// countGrants goes on to the campaign, or to the leadership, with the grants of a
-// majority.
-func (g *Group) countGrants() {
-	if len(g.campaign.granted) < g.slots().quorum() {
-		return
-	}
-	if g.campaign.preVote {
-		g.startCampaign(false)
-		return
+// addGrant counts a grant. With those of a majority, a pre-vote goes on to the
+// campaign, and a campaign is won.
+func (e *election) addGrant(from Voter) (won bool) {
+	e.campaign.granted = e.campaign.granted.with(from)
+	if !e.campaign.won(e.slots()) {
+		return false
 	}
-	g.becomeLeader()
-}
-
-// becomeLeader begins the leadership with a barrier entry: its commit commits all
-// entries that earlier terms left. In an empty log that entry names the founding
-// voters, so that the log alone tells of the group from then on.
-func (g *Group) becomeLeader() {
-	g.becomeFollower(g.hard.Term, g.cfg.Self)
-	g.role = RoleLeader
-	g.timer.lostLeader = ""
-	g.leadership.followers = newTracker(g.self(), g.cfg.ElectionTimeout)
-	g.trackMembers()
-	g.leadership.lease = newCommandLease(g.cfg.leaseTiming(), g.now)
-	if g.log.lastIndex() == 0 {
-		g.leadership.barrier = g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
-	} else {
-		g.leadership.barrier = g.appendEntry(EntryBarrier, nil)
+	if e.campaign.preVote {
+		e.startCampaign(false)
+		return false
 	}
-	g.broadcastHeartbeat()
+	return true
 }
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -12,12 +12,10 @@
 	if err := g.checkFromLeader(from, m); err != nil {
 		return err
 	}
-	if m.Term > g.hard.Term || g.role == RoleCandidate || g.leader == "" {
+	if m.Term > g.hard.Term || g.election.role() == RoleCandidate || g.election.leader == "" {
 		g.becomeFollower(m.Term, from)
 	}
-	g.timer.leaderContact = g.now
-	g.timer.waitFrom = g.now
-	g.timer.lostLeader = from
+	g.election.timer.heardLeader(from, g.now)
 	switch m.Type {
 	case MessageAppend:
 		g.stepAppend(from, m)
@@ -34,7 +32,7 @@
 	if m.Term == 0 {
 		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
 	}
-	if m.Term == g.hard.Term && g.leader != "" && g.leader != from {
+	if m.Term == g.hard.Term && g.election.leader != "" && g.election.leader != from {
 		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
 	}
 	switch m.Type {
@@ -58,8 +56,8 @@
 
 // stepHeartbeat acknowledges a heartbeat, or campaigns if the leader asks for that.
 func (g *Group) stepHeartbeat(from member.ID, m Message) {
-	if m.Transfer && g.role == RoleFollower {
-		g.startCampaign(true)
+	if m.Transfer && g.election.role() == RoleFollower {
+		g.election.startCampaign(true)
 		return
 	}
 	g.send(from, Message{
@@ -78,7 +76,6 @@
 		g.rejectAppend(from, m)
 		return
 	}
-	g.updateRole()
 	g.log.commitTo(min(m.Commit, last))
 	g.acknowledge(from, last)
 }
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -1,31 +1,20 @@
 package replication
 
 import (
+	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Group is one member's state machine of a replica group. Each concern keeps its
-// state in a type of its own, see the package comment. It is not safe for
-// concurrent use.
+// Group is one member's state machine of a replica group. It passes messages, time and
+// decisions between the types that each own the state of one concern, see the package
+// comment. It is not safe for concurrent use.
 type Group struct {
-	cfg Config
-	// now is the newest instant that the driver has passed in.
-	now time.Duration
-	// hard is the present term and vote. They bind this member at once, and are
-	// durable before any message that tells of them leaves.
-	hard HardState
-	log  *replicaLog
-	role Role
-	// leader is the member that is known to lead hard.Term, or empty.
-	leader member.ID
-	peers  peerSet
-
-	timer    electionTimer
-	campaign campaign
+	*replica
+	election election
 	recovery quorumRecovery
-	// leadership is zero unless role is RoleLeader.
+	// leadership is zero unless this member leads.
 	leadership leadership
 	reads      readQueue
 	output     output
@@ -42,27 +31,26 @@
 	if err := restored.check(); err != nil {
 		return nil, err
 	}
-	g := &Group{
+	member := &replica{
 		cfg:  cfg,
 		now:  now,
-		hard: restored.HardState,
+		hard: newTermState(restored.HardState),
 		log:  restoreLog(restored, foundingSlots(cfg.Founders)),
 	}
-	g.output.persisted = g.hard
-	g.role = g.followerRole()
-	g.timer.waitFrom = now
+	g := &Group{replica: member, election: election{replica: member}}
+	g.election.timer.waitFrom = now
 	return g, nil
 }
 
 // Tick advances the time. The driver calls it several times per HeartbeatEvery.
 func (g *Group) Tick(now time.Duration) {
 	g.advanceClock(now)
-	switch g.role {
+	switch g.election.role() {
 	case RoleLeader:
 		g.tickLeader()
 	case RoleFollower, RoleCandidate:
 		if !g.tickRecovery() {
-			g.tickElection()
+			g.election.tick()
 		}
 	case RoleLearner:
 		g.tickRecovery()
@@ -80,12 +68,17 @@
 	if from == g.cfg.Self || from == "" {
 		return &MessageError{From: from, Type: m.Type, Message: "the sender is not another member: check that no two members run under one ID"}
 	}
+	if m.Term > g.hard.Term && g.adoptsTerm(from, m) {
+		g.becomeFollower(m.Term, "")
+	}
 	switch m.Type {
 	case MessageVoteRequest:
-		g.stepVoteRequest(from, m)
+		g.election.stepVoteRequest(from, m)
 		return nil
 	case MessageVoteReply:
-		g.stepVoteReply(from, m)
+		if g.election.stepVoteReply(from, m) {
+			g.becomeLeader()
+		}
 		return nil
 	case MessageRecoveryRequest:
 		g.stepRecoveryRequest(from, m)
@@ -102,88 +95,56 @@
 	}
 }
 
-// advanceClock keeps the time from running backwards.
-func (g *Group) advanceClock(now time.Duration) {
-	g.now = max(g.now, now)
-}
-
-// self is this member in its present incarnation.
-func (g *Group) self() Voter {
-	return Voter{ID: g.cfg.Self, Incarnation: g.cfg.Incarnation}
-}
-
-// slots returns the group that is in effect.
-func (g *Group) slots() slots {
-	return g.log.groups.latest().slots
-}
-
-// followerRole is the role of a member that neither leads nor campaigns. Only a
-// voter campaigns, as only it can win by the group that it knows.
-func (g *Group) followerRole() Role {
-	if g.cfg.Learner || !g.slots().votes(g.self()) {
-		return RoleLearner
-	}
-	return RoleFollower
-}
-
-// updateRole follows a change of the group that entries of the leader made.
-func (g *Group) updateRole() {
-	if g.role == RoleFollower || g.role == RoleLearner {
-		g.role = g.followerRole()
+// adoptsTerm tells whether this member goes on to the newer term of the message. What a
+// leader sends is checked first, see stepFromLeader.
+func (g *Group) adoptsTerm(from member.ID, m Message) bool {
+	switch m.Type {
+	case MessageVoteRequest, MessageRecoveryRequest:
+		if m.PreVote || g.cfg.Learner || (g.election.hasLiveLeader() && !m.Transfer) {
+			return false
+		}
+		return m.Type == MessageVoteRequest || g.log.isUpToDate(m.Index, m.IndexTerm)
+	case MessageVoteReply:
+		// A grant of a pre-vote is in a term that nobody has begun.
+		return m.Reject && g.recognizes(from)
+	case MessageAppendReply, MessageHeartbeatReply:
+		return g.recognizes(from)
+	default:
+		return false
 	}
 }
 
 // becomeFollower makes the member a follower (or learner) of term. The leader may
 // be unknown yet. It ends a campaign and a leadership.
 func (g *Group) becomeFollower(term uint64, leader member.ID) {
-	if term > g.hard.Term {
-		g.hard.Term = term
-		g.hard.VotedFor = ""
-		g.hard.VotedForIncarnation = 0
-	}
-	if g.role == RoleLeader {
-		g.timer.waitFrom = g.now
+	if g.election.leads() {
+		g.election.timer.waitFrom = g.now
 		g.reads.failWaiting()
+		g.leadership = leadership{}
 	}
-	g.role = g.followerRole()
-	g.leader = leader
-	g.leadership = leadership{}
-	g.campaign = campaign{}
-	g.timer.candidateBehind = false
-}
-
-// voteForSelf makes this member the one that the present term is granted to. The
-// vote counts once it is durable, see acknowledgeSelf.
-func (g *Group) voteForSelf() {
-	g.hard.VotedFor = g.cfg.Self
-	g.hard.VotedForIncarnation = g.cfg.Incarnation
-}
-
-// recognizes tells whether the member has a slot or is a peer.
-func (g *Group) recognizes(id member.ID) bool {
-	return g.slots().position(id) >= 0 || g.peers.find(id) != nil
+	g.election.follow(term, leader)
 }
 
-// otherMembers returns the other members: those with a slot, then the peers
-// without one.
-func (g *Group) otherMembers() []member.ID {
-	group := g.slots()
-	others := make([]member.ID, 0, len(group)+len(g.peers))
-	for _, slot := range group {
-		if slot.ID != g.cfg.Self {
-			others = append(others, slot.ID)
-		}
-	}
-	for _, peer := range g.peers {
-		if group.position(peer.ID) < 0 {
-			others = append(others, peer.ID)
-		}
+// becomeLeader begins the leadership with a barrier entry: its commit commits all
+// entries that earlier terms left. In an empty log that entry names the founding
+// voters, so that the log alone tells of the group from then on.
+func (g *Group) becomeLeader() {
+	g.election.follow(g.hard.Term, g.cfg.Self)
+	g.election.timer.lostLeader = ""
+	g.leadership.followers = newTracker(g.self(), g.cfg.ElectionTimeout)
+	g.trackMembers()
+	g.leadership.lease = newCommandLease(g.cfg.leaseTiming(), g.now)
+	if g.log.lastIndex() == 0 {
+		g.leadership.barrier = g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
+	} else {
+		g.leadership.barrier = g.appendEntry(EntryBarrier, nil)
 	}
-	return others
+	g.broadcastHeartbeat()
 }
 
-// send queues a message for the next Ready.
-func (g *Group) send(to member.ID, m Message) {
-	m.Incarnation = g.cfg.Incarnation
-	g.output.queue(to, m)
+// SetSuspected tells which members are thought to be down, for instance by the
+// membership. It shortens the wait of later members in the agreed order and has
+// no bearing on safety.
+func (g *Group) SetSuspected(suspected []member.ID) {
+	g.election.timer.suspected = slices.Clone(suspected)
 }
--- a/pkg/replication/hard_state.go
+++ b/pkg/replication/hard_state.go
@@ -16,6 +16,56 @@
 	Commit uint64
 }
 
+// termState is the present term and vote. The term never decreases, and is granted to
+// one voter at most. Both bind this member at once, and are durable before any message
+// that tells of them leaves: they are part of the same Ready.
+type termState struct {
+	HardState
+	// persisted is the newest HardState handed out.
+	persisted HardState
+}
+
+func newTermState(restored HardState) termState {
+	return termState{HardState: restored, persisted: restored}
+}
+
+// raise goes on to a later term, which is granted to nobody yet. An earlier or equal
+// one changes nothing.
+func (s *termState) raise(term uint64) {
+	if term <= s.Term {
+		return
+	}
+	s.Term = term
+	s.VotedFor = ""
+	s.VotedForIncarnation = 0
+}
+
+// vote grants the term. The caller has made sure that it is granted to nobody else.
+func (s *termState) vote(candidate Voter) {
+	s.VotedFor = candidate.ID
+	s.VotedForIncarnation = candidate.Incarnation
+}
+
+// votedFor tells whether the term is granted to the candidate, in this incarnation.
+func (s *termState) votedFor(candidate Voter) bool {
+	return s.VotedFor == candidate.ID && s.VotedForIncarnation == candidate.Incarnation
+}
+
+// changed ignores the commit index, which alone is not worth a sync: the leader sends
+// it again.
+func (s *termState) changed() bool {
+	return s.Term != s.persisted.Term || !s.votedFor(Voter{ID: s.persisted.VotedFor, Incarnation: s.persisted.VotedForIncarnation})
+}
+
+// handOut returns the state that is to be made durable, together with the commit
+// index.
+func (s *termState) handOut(commit uint64) *HardState {
+	s.Commit = commit
+	s.persisted = s.HardState
+	hard := s.HardState
+	return &hard
+}
+
 // Restored is the durable state that a member is started with.
 type Restored struct {
 	HardState
--- a/pkg/replication/leader.go
+++ b/pkg/replication/leader.go
@@ -46,8 +46,8 @@
 
 // checkAcceptsProposals fails with a *NotLeaderError on all but a leader that stays.
 func (g *Group) checkAcceptsProposals() error {
-	if g.role != RoleLeader {
-		return &NotLeaderError{Leader: g.leader}
+	if g.election.role() != RoleLeader {
+		return &NotLeaderError{Leader: g.election.leader}
 	}
 	if target := g.leadership.transfer.target; target != "" {
 		return &NotLeaderError{Leader: target}
@@ -154,14 +154,7 @@
 // stepToLeader handles replies of followers. Those of an earlier term or a lost
 // incarnation are dropped.
 func (g *Group) stepToLeader(from member.ID, m Message) error {
-	if !g.recognizes(from) {
-		return nil
-	}
-	if m.Term > g.hard.Term {
-		g.becomeFollower(m.Term, "")
-		return nil
-	}
-	if g.role != RoleLeader || m.Term < g.hard.Term {
+	if !g.recognizes(from) || g.election.role() != RoleLeader || m.Term < g.hard.Term {
 		return nil
 	}
 	if m.Type == MessageAppendReply && m.Index > g.log.lastIndex() {
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -22,8 +22,8 @@
 // ErrNoSuccessor or a *NotLeaderError.
 func (g *Group) TransferLeadership(now time.Duration) error {
 	g.advanceClock(now)
-	if g.role != RoleLeader {
-		return &NotLeaderError{Leader: g.leader}
+	if g.election.role() != RoleLeader {
+		return &NotLeaderError{Leader: g.election.leader}
 	}
 	if g.leadership.transfer.target != "" {
 		return nil
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -21,7 +21,7 @@
 func (g *Group) SetPeers(now time.Duration, peers []Peer) {
 	g.advanceClock(now)
 	g.peers = newPeerSet(g.cfg.Self, peers)
-	if g.role == RoleLeader {
+	if g.election.role() == RoleLeader {
 		g.trackMembers()
 	}
 }
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -176,7 +176,7 @@
 // recoveryTermCurrent tells whether a recovery term of this member is still the
 // newest term.
 func (g *Group) recoveryTermCurrent() bool {
-	return g.recovery.term != 0 && g.recovery.term == g.hard.Term && g.role != RoleLeader
+	return g.recovery.term != 0 && g.recovery.term == g.hard.Term && g.election.role() != RoleLeader
 }
 
 // recoveryTermWon tells whether all have granted the recovery term.
@@ -200,7 +200,7 @@
 func (g *Group) tickRecovery() bool {
 	position := g.slots().position(g.cfg.Self)
 	hasState := g.recovery.stateExpected || g.log.lastIndex() > 0
-	if g.cfg.Learner || g.hasLiveLeader() || position < 0 || !hasState {
+	if g.cfg.Learner || g.election.hasLiveLeader() || position < 0 || !hasState {
 		g.recovery.stop()
 		return false
 	}
@@ -208,7 +208,7 @@
 		return g.tickRecoveryTerm()
 	}
 	wait := recoveryTimeouts*g.cfg.ElectionTimeout + time.Duration(position)*g.cfg.ElectionTimeout/2
-	dueAt := max(g.timer.waitFrom+wait, g.recovery.retryAt)
+	dueAt := max(g.election.timer.waitFrom+wait, g.recovery.retryAt)
 	if g.now >= dueAt && g.now >= g.recovery.requestedAt+g.cfg.ElectionTimeout {
 		// What was granted before may be untrue by now.
 		g.recovery.granted = grants{g.self()}
@@ -237,9 +237,7 @@
 	group := g.slots()
 	newest := max(g.hard.Term, g.recovery.termFloor)
 	term := g.recovery.nextTerm(newest, group.position(g.cfg.Self), len(group))
-	g.becomeFollower(term, "")
-	g.voteForSelf()
-	g.timer.waitFrom = g.now
+	g.election.voteForSelf(term)
 	g.recovery.term = term
 	g.recovery.lastTerm = term
 	g.recovery.startedAt = g.now
@@ -271,9 +269,9 @@
 func (g *Group) stepRecoveryRequest(from member.ID, m Message) {
 	granted := !g.cfg.Learner && g.log.isUpToDate(m.Index, m.IndexTerm)
 	if m.PreVote {
-		granted = granted && !g.hasLiveLeader()
+		granted = granted && !g.election.hasLiveLeader()
 	} else {
-		granted = granted && g.grantVote(from, m)
+		granted = granted && g.election.grantVote(from, m)
 	}
 	reply := Message{Type: MessageRecoveryReply, Term: g.hard.Term, PreVote: m.PreVote, Reject: !granted}
 	if g.slots().votes(g.self()) {
@@ -297,7 +295,7 @@
 		return
 	}
 	requesting := m.PreVote == (g.recovery.term == 0) && len(g.recovery.granted) > 0
-	if m.Reject || !requesting || g.hasLiveLeader() {
+	if m.Reject || !requesting || g.election.hasLiveLeader() {
 		return
 	}
 	if !m.PreVote && (!g.recoveryTermCurrent() || m.Term != g.recovery.term) {
--- a/pkg/replication/read_index.go
+++ b/pkg/replication/read_index.go
@@ -96,7 +96,7 @@
 // confirmReads waits also for the commit of the barrier, as the leader can't know
 // the last committed entry before.
 func (g *Group) confirmReads(acknowledged uint64) {
-	if g.role != RoleLeader || g.log.committed < g.leadership.barrier {
+	if g.election.role() != RoleLeader || g.log.committed < g.leadership.barrier {
 		return
 	}
 	g.reads.confirm(acknowledged, g.log.committed)
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -2,13 +2,8 @@
 
 import (
 	"slices"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxQueuedMessages bounds the messages that wait for a Ready.
-const maxQueuedMessages = 4096
-
 // Ready is what the driver has to do, in the order of the package comment.
 type Ready struct {
 	// HardState is nil unless it must be made durable.
@@ -36,33 +31,21 @@
 
 // output collects what the next Ready will hand out.
 type output struct {
-	messages []Outbound
 	// snapshot was received and not handed out yet.
 	snapshot *Snapshot
-	// persisted is the newest HardState handed out.
-	persisted HardState
 	// outstanding is the Ready that Advance was not called for yet.
 	outstanding *Ready
 }
 
-// queue adds a message. While a sync stalls, the queue is bounded; a message that is
-// dropped then counts as lost on the way, and is repeated.
-func (o *output) queue(to member.ID, m Message) {
-	if len(o.messages) >= maxQueuedMessages {
-		return
-	}
-	o.messages = append(o.messages, Outbound{To: to, Message: m})
-}
-
 // HasReady tells whether Ready would hand out anything. It is false while a Ready is
 // outstanding.
 func (g *Group) HasReady() bool {
 	if g.output.outstanding != nil {
 		return false
 	}
-	return g.hardStateChanged() ||
+	return g.hard.changed() ||
 		g.output.snapshot != nil ||
-		len(g.output.messages) > 0 ||
+		len(g.outbox) > 0 ||
 		g.leadership.appendPending ||
 		g.log.durable < g.log.lastIndex() ||
 		g.log.applied < g.log.committed ||
@@ -70,14 +53,6 @@
 		len(g.reads.failed) > 0
 }
 
-// hardStateChanged ignores the commit index, which alone is not worth a sync: the
-// leader sends it again.
-func (g *Group) hardStateChanged() bool {
-	persisted := g.output.persisted
-	return g.hard.Term != persisted.Term || g.hard.VotedFor != persisted.VotedFor ||
-		g.hard.VotedForIncarnation != persisted.VotedForIncarnation
-}
-
 // Ready hands out what there is to do. It is empty while a Ready is outstanding;
 // Advance ends that.
 func (g *Group) Ready() Ready {
@@ -90,18 +65,15 @@
 	ready := Ready{
 		Entries:     slices.Clone(g.log.notDurable()),
 		Snapshot:    g.output.snapshot,
-		Messages:    g.output.messages,
+		Messages:    g.outbox,
 		Committed:   g.notApplied(),
 		Reads:       g.reads.ready,
 		ReadsFailed: g.reads.failed,
 	}
-	if ready.MustSync() || g.hardStateChanged() {
-		g.hard.Commit = g.log.committed
-		hard := g.hard
-		ready.HardState = &hard
-		g.output.persisted = hard
+	if ready.MustSync() || g.hard.changed() {
+		ready.HardState = g.hard.handOut(g.log.committed)
 	}
-	g.output.messages = nil
+	g.outbox = nil
 	g.output.snapshot = nil
 	g.reads.ready = nil
 	g.reads.failed = nil
@@ -144,12 +116,12 @@
 	if votedForSelf && g.recoveryTermCurrent() {
 		g.addRecoveryGrant(g.self())
 	}
-	switch g.role {
+	switch g.election.role() {
 	case RoleLeader:
 		g.maybeCommit()
 	case RoleCandidate:
-		if votedForSelf && !g.campaign.preVote {
-			g.addGrant(g.self())
+		if votedForSelf && !g.election.campaign.preVote && g.election.addGrant(g.self()) {
+			g.becomeLeader()
 		}
 	case RoleFollower, RoleLearner:
 	}
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -48,7 +48,7 @@
 // everything that it wrote before. It must not be called while a Ready is
 // outstanding, which could hold older records that are written after it.
 func (g *Group) Checkpoint() Restored {
-	hard := g.hard
+	hard := g.hard.HardState
 	hard.Commit = g.log.committed
 	first := g.log.offset + 1
 	if g.log.snapshot != nil {
@@ -98,7 +98,6 @@
 		return
 	}
 	g.log.install(snapshot)
-	g.updateRole()
 	g.output.snapshot = snapshot
 	g.acknowledge(from, snapshot.Index)
 }
--- a/pkg/replication/status.go
+++ b/pkg/replication/status.go
@@ -47,12 +47,12 @@
 	group := g.log.groups.latest()
 	status := Status{
 		Self:        g.cfg.Self,
-		Leader:      g.leader,
+		Leader:      g.election.leader,
 		Term:        g.hard.Term,
 		Commit:      g.log.committed,
 		Applied:     g.log.applied,
 		LastIndex:   g.log.lastIndex(),
-		Role:        g.role,
+		Role:        g.election.role(),
 		Incarnation: g.cfg.Incarnation,
 		Voters:      group.voterIDs,
 		Slots:       group.slots,
@@ -61,7 +61,7 @@
 	if g.log.snapshot != nil {
 		status.SnapshotIndex = g.log.snapshot.Index
 	}
-	if g.role != RoleLeader {
+	if g.election.role() != RoleLeader {
 		return status
 	}
 	followers := &g.leadership.followers
