--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -31,12 +31,14 @@
 //	groupHistory        the members of the group, as the log tells them
 //	electionTimer       when this voter campaigns
 //	campaign            the grants and rejections of the campaign in progress
+//	leadership          the entry that began it; exists only while this member leads
+//	logReplicator       which members the leader sends the log to
 //	tracker, progress   what the leader knows of the log of each other member
 //	heartbeats          which heartbeats a quorum has not acknowledged yet
 //	commandLease        until when the leader may command
 //	readQueue           linearizable reads that wait for a heartbeat
 //	leadershipTransfer  the member that is to take the leadership over
-//	dueChange           the change of the group that the leader makes next
+//	groupRepair         the change of the group that the leader makes next
 //	quorumRecovery      the attempt to recover a group that lost its quorum
 //	output              what the next Ready hands out
 //
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -14,8 +14,8 @@
 	*replica
 	election election
 	recovery quorumRecovery
-	// leadership is zero unless this member leads.
-	leadership leadership
+	// leadership is nil unless this member leads.
+	leadership *leadership
 	reads      readQueue
 	output     output
 }
@@ -47,7 +47,11 @@
 	g.advanceClock(now)
 	switch g.election.role() {
 	case RoleLeader:
-		g.tickLeader()
+		if !g.leadership.hasLiveMajority() {
+			g.becomeFollower(g.hard.Term, "")
+			return
+		}
+		g.leadership.tick()
 	case RoleFollower, RoleCandidate:
 		if !g.tickRecovery() {
 			g.election.tick()
@@ -89,7 +93,10 @@
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return g.stepFromLeader(from, m)
 	case MessageAppendReply, MessageHeartbeatReply:
-		return g.stepToLeader(from, m)
+		if g.leadership == nil || m.Term < g.hard.Term || !g.recognizes(from) {
+			return nil
+		}
+		return g.leadership.stepReply(from, m)
 	default:
 		return &MessageError{From: from, Type: m.Type, Message: "unknown type: run the same version on all members"}
 	}
@@ -120,26 +127,17 @@
 	if g.election.leads() {
 		g.election.timer.waitFrom = g.now
 		g.reads.failWaiting()
-		g.leadership = leadership{}
+		g.leadership = nil
 	}
 	g.election.follow(term, leader)
 }
 
-// becomeLeader begins the leadership with a barrier entry: its commit commits all
-// entries that earlier terms left. In an empty log that entry names the founding
-// voters, so that the log alone tells of the group from then on.
+// becomeLeader makes this member the leader of the present term, which a majority has
+// granted to it, or all members in a recovery.
 func (g *Group) becomeLeader() {
 	g.election.follow(g.hard.Term, g.cfg.Self)
 	g.election.timer.lostLeader = ""
-	g.leadership.followers = newTracker(g.self(), g.cfg.ElectionTimeout)
-	g.trackMembers()
-	g.leadership.lease = newCommandLease(g.cfg.leaseTiming(), g.now)
-	if g.log.lastIndex() == 0 {
-		g.leadership.barrier = g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
-	} else {
-		g.leadership.barrier = g.appendEntry(EntryBarrier, nil)
-	}
-	g.broadcastHeartbeat()
+	g.leadership = newLeadership(g.replica, &g.reads)
 }
 
 // SetSuspected tells which members are thought to be down, for instance by the
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -8,48 +8,36 @@
 // majority was lost for good: what it appended can't be committed any more. That a voter
 // was heard within ElectionTimeout says too little, as one loss is often what makes the
 // next change due. So the leader asks again: a change is made when those that it rests on
-// have acknowledged a heartbeat that was sent after the change became due. Only refillSlot
-// doesn't wait for that.
+// have acknowledged a heartbeat that was sent after the change became due. Only the
+// refill of a reserved slot doesn't wait for that, see leadership.commit.
 
 // minReducibleVoters is the smallest group that tolerates a loss with one voter less.
 const minReducibleVoters = 4
 
-// dueChange is the change that the leader is about to make.
-type dueChange struct {
-	// change is zero if none is due.
-	change GroupChange
+// groupRepair is the change that the leader is about to make.
+type groupRepair struct {
+	// due is zero if no change is.
+	due GroupChange
 	// sinceHeartbeat is the heartbeat that was sent when the change became due.
 	sinceHeartbeat uint64
 }
 
-// repairGroup looks, as a heartbeat is sent, for the change that is due.
-func (g *Group) repairGroup() {
-	if first := g.changePlanner().firstDue(); first != g.leadership.due.change {
-		g.leadership.due = dueChange{change: first, sinceHeartbeat: g.leadership.heartbeats.number}
+// search looks, as a heartbeat is sent, for the change that is due.
+func (r *groupRepair) search(planner *changePlanner, heartbeat uint64) {
+	if first := planner.firstDue(); first != r.due {
+		*r = groupRepair{due: first, sinceHeartbeat: heartbeat}
 	}
-	g.proposeDueChange()
 }
 
-// proposeDueChange proposes the change that is due once it has the acknowledgements
-// that it waits for.
-func (g *Group) proposeDueChange() {
-	due := g.leadership.due
-	if due.change == (GroupChange{}) || !g.changePlanner().acknowledgedSince(due) {
-		return
-	}
-	g.leadership.due = dueChange{}
-	// An error is not final: the next heartbeat finds the change again.
-	_ = g.ProposeGroupChange(g.now, due.change)
-}
-
-// refillSlot gives the vote to a member that a slot is reserved for. It is called after
-// each commit, which may be that of the removal, and doesn't wait for a heartbeat: until
-// the slot has a vote again, the group tolerates fewer losses.
-func (g *Group) refillSlot() {
-	if change, due := g.changePlanner().dueRefill(); due {
-		// An error is not final: the next heartbeat finds the change again.
-		_ = g.ProposeGroupChange(g.now, change)
+// take returns the change that is due once it has the acknowledgements that it waits
+// for. The caller makes it.
+func (r *groupRepair) take(planner *changePlanner) (change GroupChange, due bool) {
+	if r.due == (GroupChange{}) || !planner.acknowledgedSince(r.due, r.sinceHeartbeat) {
+		return GroupChange{}, false
 	}
+	change = r.due
+	*r = groupRepair{}
+	return change, true
 }
 
 // firstDue returns the change that is due first, or zero.
@@ -72,19 +60,19 @@
 // heartbeat since the change became due. A group that grows to an even number
 // tolerates no more losses than before, and fewer while a voter is gone: there all
 // have to acknowledge.
-func (p *changePlanner) acknowledgedSince(due dueChange) bool {
-	changed, problem := p.after(due.change)
+func (p *changePlanner) acknowledgedSince(due GroupChange, heartbeat uint64) bool {
+	changed, problem := p.after(due)
 	if problem != 0 {
 		return false
 	}
 	voters := changed.voters()
 	acknowledged := 0
 	for _, voter := range voters {
-		if p.followers.hasAcknowledged(voter, due.sinceHeartbeat) {
+		if p.followers.hasAcknowledged(voter, heartbeat) {
 			acknowledged++
 		}
 	}
-	addsSlot := due.change.Kind == ChangeAddVoter && p.group.slots.position(due.change.Voter.ID) < 0
+	addsSlot := due.Kind == ChangeAddVoter && p.group.slots.position(due.Voter.ID) < 0
 	if addsSlot && len(voters)%2 == 0 {
 		return acknowledged == len(voters)
 	}
--- /dev/null
+++ b/pkg/replication/leadership.go
@@ -0,0 +1,263 @@
+package replication
+
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// maxUncommitted bounds the entries that wait for a quorum.
+const maxUncommitted = 8192
+
+// leadership is what a member keeps while it leads a term, which is the present one as
+// long as the leadership exists. It passes replies and time between the concerns of a
+// leader.
+type leadership struct {
+	*replica
+	// reads outlive the leadership, as those that wait fail after it.
+	reads      *readQueue
+	replicator logReplicator
+	heartbeats heartbeats
+	lease      commandLease
+	transfer   leadershipTransfer
+	repair     groupRepair
+	// barrier is the index of the entry that began the leadership.
+	barrier uint64
+}
+
+// newLeadership begins to lead the present term with a barrier entry: its commit
+// commits all entries that earlier terms left. In an empty log that entry names the
+// founding voters, so that the log alone tells of the group from then on.
+func newLeadership(r *replica, reads *readQueue) *leadership {
+	l := &leadership{
+		replica:    r,
+		reads:      reads,
+		replicator: logReplicator{replica: r, followers: newTracker(r.self(), r.cfg.ElectionTimeout)},
+		lease:      newCommandLease(r.cfg.leaseTiming(), r.now),
+	}
+	l.transfer = leadershipTransfer{replica: r, followers: &l.replicator.followers}
+	l.trackMembers()
+	if l.log.lastIndex() == 0 {
+		l.barrier = l.replicator.append(EntryGroupChange, encodeSlots(l.slots()))
+	} else {
+		l.barrier = l.replicator.append(EntryBarrier, nil)
+	}
+	l.broadcastHeartbeat()
+	return l
+}
+
+// hasLiveMajority tells whether a majority of the voters was heard lately. Otherwise
+// the others may have elected another leader.
+func (l *leadership) hasLiveMajority() bool {
+	return l.replicator.followers.hasLiveMajority(l.slots(), l.now)
+}
+
+// tick ends a transfer that takes too long, and sends the heartbeats.
+func (l *leadership) tick() {
+	l.transfer.tick()
+	if l.now >= l.heartbeats.sentAt+l.cfg.HeartbeatEvery {
+		l.broadcastHeartbeat()
+	}
+}
+
+// trackMembers follows a change of the group or of the peers.
+func (l *leadership) trackMembers() {
+	l.replicator.trackMembers(l.heartbeats.number)
+}
+
+// checkAccepts fails with a *NotLeaderError on a leader that hands the leadership over.
+func (l *leadership) checkAccepts() error {
+	if l.transfer.inProgress() {
+		return &NotLeaderError{Leader: l.transfer.target}
+	}
+	return nil
+}
+
+// propose appends a command.
+func (l *leadership) propose(command []byte) (index uint64, err error) {
+	if err := l.checkAccepts(); err != nil {
+		return 0, err
+	}
+	if l.log.lastIndex()-l.log.committed >= maxUncommitted {
+		return 0, ErrBacklogFull
+	}
+	return l.replicator.append(EntryCommand, command), nil
+}
+
+// requestRead lets a read wait for a heartbeat, and sends one if none is in flight.
+func (l *leadership) requestRead() (readID uint64, err error) {
+	if err := l.checkAccepts(); err != nil {
+		return 0, err
+	}
+	if len(l.reads.waiting) >= maxPendingReads {
+		return 0, ErrBacklogFull
+	}
+	id := l.reads.add()
+	if !l.reads.heartbeatInFlight() {
+		l.broadcastHeartbeat()
+	}
+	return id, nil
+}
+
+// proposeGroupChange appends a change of the group, which takes effect at once.
+func (l *leadership) proposeGroupChange(change GroupChange) error {
+	if err := l.checkAccepts(); err != nil {
+		return err
+	}
+	changed, problem := l.changePlanner().after(change)
+	if problem != 0 {
+		return &GroupChangeError{Change: change, Problem: problem}
+	}
+	l.replicator.append(EntryGroupChange, encodeSlots(changed))
+	l.trackMembers()
+	return nil
+}
+
+// stepReply handles the reply of a follower in the present term. That of a lost
+// incarnation is dropped.
+func (l *leadership) stepReply(from member.ID, m Message) error {
+	if m.Type == MessageAppendReply && m.Index > l.log.lastIndex() {
+		return &MessageError{From: from, Type: m.Type, Message: "acknowledges entries that the leader never had: check that no two groups are mixed up"}
+	}
+	follower := l.replicator.followers.get(from)
+	if follower == nil {
+		return nil
+	}
+	if m.Incarnation != follower.incarnation {
+		if !follower.isLaterIncarnation(m) {
+			// The durable state that vouched for this may be lost.
+			return nil
+		}
+		follower.beginIncarnation(m.Incarnation)
+	}
+	follower.lastContact = l.now
+	follower.contactHeartbeat = l.heartbeats.number
+	follower.learner = m.Learner
+	if m.Type == MessageHeartbeatReply {
+		l.stepHeartbeatReply(from, follower, m)
+	} else {
+		l.stepAppendReply(from, follower, m)
+	}
+	return nil
+}
+
+// stepHeartbeatReply counts the acknowledgement, which may make a change of the group
+// due, and sends again what the follower lacks.
+func (l *leadership) stepHeartbeatReply(from member.ID, follower *progress, m Message) {
+	if m.HeartbeatNumber <= l.heartbeats.number {
+		follower.ackedHeartbeat = max(follower.ackedHeartbeat, m.HeartbeatNumber)
+	}
+	l.confirmHeartbeats()
+	l.proposeDueChange()
+	l.replicator.resendLost(from, follower, m.Commit)
+	l.transfer.repeat(from)
+}
+
+// stepAppendReply follows how far the follower's log matches, and sends what comes
+// next.
+func (l *leadership) stepAppendReply(from member.ID, follower *progress, m Message) {
+	if m.Reject {
+		hint, _ := l.log.conflictHint(m.RejectHint, m.IndexTerm)
+		if follower.rejected(m.Index, hint) {
+			l.replicator.sendAppends(from, follower)
+		}
+		return
+	}
+	if follower.acknowledged(m.Index) {
+		l.commit()
+		l.transfer.proceed(from)
+	}
+	if follower.next <= l.log.lastIndex() {
+		l.replicator.sendAppends(from, follower)
+	}
+}
+
+// commit commits what a majority has, and does what waits for a commit.
+func (l *leadership) commit() {
+	if !l.replicator.commit() {
+		return
+	}
+	// Reads may have waited for the commit of the barrier.
+	l.confirmHeartbeats()
+	// The commit may be that of the removal of a voter whose slot is reserved. This
+	// doesn't wait for a heartbeat: until the slot has a vote again, the group tolerates
+	// fewer losses.
+	if change, due := l.changePlanner().dueRefill(); due {
+		// An error is not final: the next heartbeat finds the change again.
+		_ = l.proposeGroupChange(change)
+	}
+}
+
+// broadcastHeartbeat sends a heartbeat to all other members. With it begins the
+// confirmation of the reads that wait for one, and the search for a change of the
+// group that is due.
+func (l *leadership) broadcastHeartbeat() {
+	l.heartbeats.begin(l.now)
+	for _, id := range l.otherMembers() {
+		l.send(id, Message{
+			Type:            MessageHeartbeat,
+			Term:            l.hard.Term,
+			Index:           l.log.lastIndex(),
+			HeartbeatNumber: l.heartbeats.number,
+		})
+	}
+	l.reads.assign(l.heartbeats.number)
+	l.confirmHeartbeats()
+	l.repair.search(l.changePlanner(), l.heartbeats.number)
+	l.proposeDueChange()
+	// Only now: the search above judges members by the heartbeat before this one, which
+	// they have had time to acknowledge.
+	l.heartbeats.lastIndex = l.log.lastIndex()
+}
+
+// proposeDueChange proposes the change that is due once it has the acknowledgements
+// that it waits for.
+func (l *leadership) proposeDueChange() {
+	if change, due := l.repair.take(l.changePlanner()); due {
+		// An error is not final: the next heartbeat finds the change again.
+		_ = l.proposeGroupChange(change)
+	}
+}
+
+// confirmHeartbeats extends the command lease and answers reads by the heartbeats
+// that a majority has acknowledged. Reads wait also for the commit of the barrier, as
+// the leader can't know the last committed entry before.
+func (l *leadership) confirmHeartbeats() {
+	acknowledged := l.replicator.followers.reachedByMajority(l.log.groups.latest().voters,
+		l.heartbeats.number, func(p *progress) uint64 { return p.ackedHeartbeat })
+	if sentAt, confirmed := l.heartbeats.confirm(acknowledged); confirmed {
+		l.lease.current.Confirm(sentAt)
+	}
+	if l.log.committed < l.barrier {
+		return
+	}
+	l.reads.confirm(acknowledged, l.log.committed)
+	if l.reads.needHeartbeat() {
+		l.broadcastHeartbeat()
+	}
+}
+
+// barrierApplied tells whether all is applied that was there when the leadership
+// began.
+func (l *leadership) barrierApplied() bool {
+	return l.log.applied >= l.barrier
+}
+
+// mayCommand tells whether the leader has the command lease at now.
+func (l *leadership) mayCommand(now time.Duration) bool {
+	return !l.transfer.inProgress() && l.barrierApplied() && l.lease.mayAct(now, l.now)
+}
+
+// changePlanner judges changes of the group by what the leader knows at present.
+func (l *leadership) changePlanner() *changePlanner {
+	return &changePlanner{
+		cfg:           &l.cfg,
+		now:           l.now,
+		group:         l.log.groups.latest(),
+		peers:         l.peers,
+		followers:     &l.replicator.followers,
+		committed:     l.log.committed,
+		barrier:       l.barrier,
+		caughtUpIndex: l.heartbeats.lastIndex,
+	}
+}
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -6,8 +6,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// leadershipTransfer is the transfer that the leader has begun.
+// leadershipTransfer hands the leadership over to another voter. While it is in
+// progress the leader accepts nothing new, so that the target can get the whole log.
+// A transfer that fails harms nobody: the target campaigns like any other candidate.
 type leadershipTransfer struct {
+	*replica
+	followers *tracker
 	// target is the member that is to take over, or empty.
 	target    member.ID
 	startedAt time.Duration
@@ -16,35 +20,34 @@
 	requestSent bool
 }
 
-// TransferLeadership asks the next live voter in the agreed order to take over as soon as
-// it has the whole log. Until then, and for ElectionTimeout at most, the leader accepts no
-// proposals and gives no commands. A transfer that is in progress goes on. It fails with
-// ErrNoSuccessor or a *NotLeaderError.
-func (g *Group) TransferLeadership(now time.Duration) error {
-	g.advanceClock(now)
-	if g.election.role() != RoleLeader {
-		return &NotLeaderError{Leader: g.election.leader}
-	}
-	if g.leadership.transfer.target != "" {
+func (t *leadershipTransfer) inProgress() bool {
+	return t.target != ""
+}
+
+// start begins a transfer, unless one is in progress. It fails with ErrNoSuccessor.
+func (t *leadershipTransfer) start() error {
+	if t.inProgress() {
 		return nil
 	}
-	target := g.nextLiveVoter()
+	target := t.nextLiveVoter()
 	if target == "" {
 		return ErrNoSuccessor
 	}
-	g.leadership.transfer = leadershipTransfer{target: target, startedAt: g.now}
-	g.continueTransfer(target)
+	t.target = target
+	t.startedAt = t.now
+	t.requestSent = false
+	t.proceed(target)
 	return nil
 }
 
 // nextLiveVoter returns the first live voter after this member in the agreed order,
 // from whose end it goes on at the beginning, or an empty ID.
-func (g *Group) nextLiveVoter() member.ID {
+func (t *leadershipTransfer) nextLiveVoter() member.ID {
 	var before, after []Voter
 	passedSelf := false
-	for _, voter := range g.log.groups.latest().voters {
+	for _, voter := range t.log.groups.latest().voters {
 		switch {
-		case voter.ID == g.cfg.Self:
+		case voter.ID == t.cfg.Self:
 			passedSelf = true
 		case passedSelf:
 			after = append(after, voter)
@@ -53,42 +56,40 @@
 		}
 	}
 	for _, voter := range append(after, before...) {
-		if g.leadership.followers.isLiveVoter(voter, g.now) && !g.peers.hasLeft(voter.ID) {
+		if t.followers.isLiveVoter(voter, t.now) && !t.peers.hasLeft(voter.ID) {
 			return voter.ID
 		}
 	}
 	return ""
 }
 
-// continueTransfer asks the target to campaign once it has the whole log.
-func (g *Group) continueTransfer(from member.ID) {
-	transfer := &g.leadership.transfer
-	if transfer.target != from || transfer.requestSent {
+// proceed asks the follower to campaign if it is the target and has the whole log.
+func (t *leadershipTransfer) proceed(follower member.ID) {
+	if t.target != follower || t.requestSent {
 		return
 	}
-	if g.leadership.followers.get(from).match < g.log.lastIndex() {
+	if t.followers.get(follower).match < t.log.lastIndex() {
 		return
 	}
-	transfer.requestSent = true
-	g.send(from, Message{
+	t.requestSent = true
+	t.send(follower, Message{
 		Type:     MessageHeartbeat,
-		Term:     g.hard.Term,
-		Index:    g.log.lastIndex(),
+		Term:     t.hard.Term,
+		Index:    t.log.lastIndex(),
 		Transfer: true,
 	})
 }
 
-// repeatTransfer asks again, as the first request may have been lost: otherwise the
-// target would have left this term.
-func (g *Group) repeatTransfer(from member.ID) {
-	g.leadership.transfer.requestSent = false
-	g.continueTransfer(from)
+// repeat asks again at a heartbeat reply, as the first request may have been lost:
+// otherwise the target would have left this term.
+func (t *leadershipTransfer) repeat(follower member.ID) {
+	t.requestSent = false
+	t.proceed(follower)
 }
 
-// tickTransfer ends a transfer whose target did not take over in time.
-func (g *Group) tickTransfer() {
-	transfer := &g.leadership.transfer
-	if transfer.target != "" && g.now >= transfer.startedAt+g.cfg.ElectionTimeout {
-		transfer.target = ""
+// tick ends a transfer whose target did not take over in time.
+func (t *leadershipTransfer) tick() {
+	if t.inProgress() && t.now >= t.startedAt+t.cfg.ElectionTimeout {
+		t.target = ""
 	}
 }
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -107,6 +107,13 @@
 	}
 }
 
+// appendNew appends a new entry of the term after the last one.
+func (l *replicaLog) appendNew(term uint64, kind EntryKind, command []byte) (index uint64) {
+	entry := Entry{Index: l.lastIndex() + 1, Term: term, Kind: kind, Command: slices.Clone(command)}
+	l.append(entry)
+	return entry.Index
+}
+
 // maybeAppend appends entries after the entry (index, term). It is false if the log
 // does not have that entry; otherwise it returns the last new index.
 func (l *replicaLog) maybeAppend(index, term uint64, entries []Entry) (last uint64, ok bool) {
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -21,8 +21,8 @@
 func (g *Group) SetPeers(now time.Duration, peers []Peer) {
 	g.advanceClock(now)
 	g.peers = newPeerSet(g.cfg.Self, peers)
-	if g.election.role() == RoleLeader {
-		g.trackMembers()
+	if g.leadership != nil {
+		g.leadership.trackMembers()
 	}
 }
 
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -119,6 +119,17 @@
 	return true
 }
 
+// sent records that an append with a number of entries was sent.
+func (p *progress) sent(entries int) {
+	switch p.state {
+	case progressReplicate:
+		p.next += uint64(entries)
+	case progressProbe:
+		p.probing = true
+	case progressSnapshot:
+	}
+}
+
 // full tells that no append may be sent until one is acknowledged.
 func (p *progress) full() bool {
 	switch p.state {
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -163,10 +163,10 @@
 	}
 	group := g.recovery.recovered(g.slots())
 	if g.log.lastIndex() == 0 {
-		g.appendEntry(EntryGroupChange, encodeSlots(g.slots()))
+		g.log.appendNew(g.hard.Term, EntryGroupChange, encodeSlots(g.slots()))
 	}
-	g.appendEntry(EntryRestore, state)
-	g.appendEntry(EntryGroupChange, encodeSlots(group))
+	g.log.appendNew(g.hard.Term, EntryRestore, state)
+	g.log.appendNew(g.hard.Term, EntryGroupChange, encodeSlots(group))
 	// A recovery term forms one group only: the term may outlast this leadership.
 	g.recovery.stopUntil(g.now + g.cfg.HeartbeatEvery)
 	g.becomeLeader()
--- a/pkg/replication/read_index.go
+++ b/pkg/replication/read_index.go
@@ -1,7 +1,5 @@
 package replication
 
-import "time"
-
 // maxPendingReads bounds the reads that wait for a quorum.
 const maxPendingReads = 8192
 
@@ -73,34 +71,3 @@
 	}
 	q.waiting = nil
 }
-
-// RequestRead requests a linearizable read. It comes back in Ready.Reads, or in
-// Ready.ReadsFailed if the leadership is lost before. Reads that are requested
-// while a heartbeat is in flight share the next one. It fails with a
-// *NotLeaderError or ErrBacklogFull.
-func (g *Group) RequestRead(now time.Duration) (readID uint64, err error) {
-	g.advanceClock(now)
-	if err := g.checkAcceptsProposals(); err != nil {
-		return 0, err
-	}
-	if len(g.reads.waiting) >= maxPendingReads {
-		return 0, ErrBacklogFull
-	}
-	id := g.reads.add()
-	if !g.reads.heartbeatInFlight() {
-		g.broadcastHeartbeat()
-	}
-	return id, nil
-}
-
-// confirmReads waits also for the commit of the barrier, as the leader can't know
-// the last committed entry before.
-func (g *Group) confirmReads(acknowledged uint64) {
-	if g.election.role() != RoleLeader || g.log.committed < g.leadership.barrier {
-		return
-	}
-	g.reads.confirm(acknowledged, g.log.committed)
-	if g.reads.needHeartbeat() {
-		g.broadcastHeartbeat()
-	}
-}
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -46,21 +46,26 @@
 	return g.hard.changed() ||
 		g.output.snapshot != nil ||
 		len(g.outbox) > 0 ||
-		g.leadership.appendPending ||
+		g.appendPending() ||
 		g.log.durable < g.log.lastIndex() ||
 		g.log.applied < g.log.committed ||
 		len(g.reads.ready) > 0 ||
 		len(g.reads.failed) > 0
 }
 
+// appendPending tells whether this member leads and has yet to send entries.
+func (g *Group) appendPending() bool {
+	return g.leadership != nil && g.leadership.replicator.appendPending
+}
+
 // Ready hands out what there is to do. It is empty while a Ready is outstanding;
 // Advance ends that.
 func (g *Group) Ready() Ready {
 	if g.output.outstanding != nil {
 		return Ready{}
 	}
-	if g.leadership.appendPending {
-		g.broadcastAppend()
+	if g.appendPending() {
+		g.leadership.replicator.broadcast()
 	}
 	ready := Ready{
 		Entries:     slices.Clone(g.log.notDurable()),
@@ -118,7 +123,7 @@
 	}
 	switch g.election.role() {
 	case RoleLeader:
-		g.maybeCommit()
+		g.leadership.commit()
 	case RoleCandidate:
 		if votedForSelf && !g.election.campaign.preVote && g.election.addGrant(g.self()) {
 			g.becomeLeader()
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -61,19 +61,6 @@
 	}
 }
 
-// sendSnapshot sends the newest snapshot. There is one whenever entries have been
-// dropped from the log.
-func (g *Group) sendSnapshot(to member.ID, follower *progress) {
-	snapshot := g.log.snapshot
-	follower.becomeSnapshot(snapshot.Index, g.now)
-	g.send(to, Message{
-		Type:     MessageSnapshot,
-		Term:     g.hard.Term,
-		Index:    snapshot.Index,
-		Snapshot: snapshot,
-	})
-}
-
 // checkSnapshot finds a snapshot of a group that can't be.
 func checkSnapshot(from member.ID, m Message) error {
 	if m.Snapshot == nil {
--- a/pkg/replication/status.go
+++ b/pkg/replication/status.go
@@ -61,10 +61,10 @@
 	if g.log.snapshot != nil {
 		status.SnapshotIndex = g.log.snapshot.Index
 	}
-	if g.election.role() != RoleLeader {
+	if g.leadership == nil {
 		return status
 	}
-	followers := &g.leadership.followers
+	followers := &g.leadership.replicator.followers
 	for _, id := range g.otherMembers() {
 		follower := followers.get(id)
 		status.Followers = append(status.Followers, FollowerStatus{
--- a/pkg/replication/tracker.go
+++ b/pkg/replication/tracker.go
@@ -23,6 +23,27 @@
 	return tracker{self: self, liveFor: liveFor, members: map[member.ID]*progress{}}
 }
 
+// track begins to track the members that are not tracked yet, each with the initial
+// progress.
+func (t *tracker) track(members []member.ID, initial progress) {
+	for _, id := range members {
+		if t.members[id] == nil {
+			follower := initial
+			t.members[id] = &follower
+		}
+	}
+}
+
+// assumeIncarnations counts each voter that was not heard yet as in the incarnation
+// that has the vote, until it is heard in a later one.
+func (t *tracker) assumeIncarnations(voters []Voter) {
+	for _, voter := range voters {
+		if follower := t.members[voter.ID]; follower != nil && follower.incarnation == 0 {
+			follower.incarnation = voter.Incarnation
+		}
+	}
+}
+
 // get returns the progress of another member, or nil if it is not tracked.
 func (t *tracker) get(id member.ID) *progress {
 	return t.members[id]
