--- a/pkg/replication/campaign.go
+++ b/pkg/replication/campaign.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
 // campaign is the attempt of a candidate to be elected, in one phase: the pre-vote or
@@ -48,20 +46,3 @@
 	c.rejected = c.rejected.with(from)
 	return len(c.rejected) > len(group.voters())-group.quorum()
 }
-
-// grants are the members that granted (or rejected) a request, in the incarnation
-// in which they did.
-type grants []Voter
-
-// includes tells whether the member is among them in any incarnation.
-func (g grants) includes(id member.ID) bool {
-	return slices.ContainsFunc(g, func(voter Voter) bool { return voter.ID == id })
-}
-
-// with returns the grants together with that of the voter.
-func (g grants) with(voter Voter) grants {
-	if slices.Contains(g, voter) {
-		return g
-	}
-	return append(g, voter)
-}
--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -21,26 +21,37 @@
 //
 // # State and its owners
 //
-// Group passes messages and decisions between types that each own the state of one
-// concern:
+// Group only composes; each concern is a type with its own state:
 //
-//	replica             identity, time, known peers, messages for the next Ready
-//	termState           the term and the vote
-//	election            whom this member follows, and so its role
-//	replicaLog          entries, snapshot, and the durable, committed and applied index
-//	groupHistory        the members of the group, as the log tells them
-//	electionTimer       when this voter campaigns
-//	campaign            the grants and rejections of the campaign in progress
-//	leadership          the entry that began it; exists only while this member leads
-//	logReplicator       which members the leader sends the log to
-//	tracker, progress   what the leader knows of the log of each other member
-//	heartbeats          which heartbeats a quorum has not acknowledged yet
-//	commandLease        until when the leader may command
-//	readQueue           linearizable reads that wait for a heartbeat
-//	leadershipTransfer  the member that is to take the leadership over
-//	groupRepair         the change of the group that the leader makes next
-//	quorumRecovery      the attempt to recover a group that lost its quorum
-//	output              what the next Ready hands out
+//	state                                           owner
+//	term and vote                                   termState
+//	entries, snapshot; durable, committed, applied  replicaLog
+//	the groups that the log tells of                groupHistory
+//	identity, time, peers, messages to send         replica
+//	whom this member follows, and so its role       election
+//	when it campaigns                               electionTimer
+//	the votes of its campaign                       campaign
+//	a snapshot that was received                    follower
+//	the attempt to recover a lost quorum            quorumRecovery
+//	reads that wait for a heartbeat                 readQueue
+//	the entry that began a leadership               leadership
+//	which members the leader sends the log to       logReplicator
+//	what the leader knows of each of them           tracker, progress
+//	heartbeats without a quorum's acknowledgement   heartbeats
+//	until when the leader may command               commandLease
+//	who is to take the leadership over              leadershipTransfer
+//	the change of the group that is due             groupRepair
+//
+// All concerns share one replica, with the term and the log in it: what a member grants,
+// acknowledges or commits rests on both. Only one of them adds to the log at a time, by
+// the role: the follower what a leader sent, the logReplicator as the leader, and
+// quorumRecovery just before it makes this member the leader. Step, Tick, Ready and
+// Advance are Group's, as each of them reaches several concerns; so are the changes of
+// role, becomeFollower and becomeLeader.
+//
+// To read: group.go, election.go and follower.go; then leadership.go with what it joins;
+// then ready.go, for what becomes durable before what leaves. group_leader.go and
+// group_recovery.go have the remaining calls of drivers.
 //
 // # Invariants
 //
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -16,7 +16,7 @@
 	// member as long as it leads.
 	leader member.ID
 	timer  electionTimer
-	// campaign is nil unless this member is a candidate.
+	// campaign is nil unless this member is a candidate, which knows of no leader.
 	campaign *campaign
 }
 
@@ -44,6 +44,18 @@
 	return e.leads() || (e.leader != "" && e.now < e.timer.leaderContact+e.cfg.ElectionTimeout)
 }
 
+// checkLeader finds a message that can't be from the leader of its term. It changes
+// nothing.
+func (e *election) checkLeader(from member.ID, m Message) error {
+	if m.Term == 0 {
+		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
+	}
+	if m.Term == e.hard.Term && e.leader != "" && e.leader != from {
+		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
+	}
+	return nil
+}
+
 // follow makes the member follow a leader in a term, which is the present or a later
 // one. The leader may be unknown yet. It ends a campaign.
 func (e *election) follow(term uint64, leader member.ID) {
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -2,126 +2,124 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// stepFromLeader handles the messages that only the leader of their term sends.
-func (g *Group) stepFromLeader(from member.ID, m Message) error {
-	if m.Term < g.hard.Term {
-		g.rejectStaleLeader(from, m)
-		return nil
-	}
-	// This comes first so that a message in error changes nothing.
-	if err := g.checkFromLeader(from, m); err != nil {
-		return err
-	}
-	if m.Term > g.hard.Term || g.election.role() == RoleCandidate || g.election.leader == "" {
-		g.becomeFollower(m.Term, from)
-	}
-	g.election.timer.heardLeader(from, g.now)
+// follower takes the log over from the leader of the present term. An acknowledgement
+// leaves in the Ready that holds the entries, and so after they are durable; it is
+// why a leader may count it. Committed entries are never replaced: what would replace
+// them is found by check, before anything is changed.
+type follower struct {
+	*replica
+	// received is a snapshot that the log was replaced by, and that was not handed out
+	// yet.
+	received *Snapshot
+}
+
+// check finds what no leader can send. It changes nothing.
+func (f *follower) check(from member.ID, m Message) error {
 	switch m.Type {
 	case MessageAppend:
-		g.stepAppend(from, m)
+		return f.checkAppend(from, m)
 	case MessageSnapshot:
-		g.stepSnapshot(from, m)
+		return checkSnapshot(from, m)
 	default:
-		g.stepHeartbeat(from, m)
+		return nil
 	}
-	return nil
 }
 
-// checkFromLeader finds messages that no leader can send. It changes nothing.
-func (g *Group) checkFromLeader(from member.ID, m Message) error {
-	if m.Term == 0 {
-		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
+// checkAppend finds entries with gaps, or in place of entries that are committed here.
+func (f *follower) checkAppend(from member.ID, m Message) error {
+	previous := Entry{Index: m.Index, Term: m.IndexTerm}
+	for _, entry := range m.Entries {
+		if entry.Index != previous.Index+1 || entry.Term < previous.Term || entry.Term > m.Term {
+			return &MessageError{From: from, Type: m.Type, Message: "the entries are out of order"}
+		}
+		if err := entry.check(); err != nil {
+			return &MessageError{From: from, Type: m.Type, Message: err.Error()}
+		}
+		term, ok := f.log.termAt(entry.Index)
+		if ok && entry.Index <= f.log.committed && term != entry.Term {
+			return &MessageError{From: from, Type: m.Type, Message: "the entries contradict committed ones: check that no two groups are mixed up"}
+		}
+		previous = entry
 	}
-	if m.Term == g.hard.Term && g.election.leader != "" && g.election.leader != from {
-		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
+	return nil
+}
+
+// checkSnapshot finds a snapshot of a group that can't be.
+func checkSnapshot(from member.ID, m Message) error {
+	if m.Snapshot == nil {
+		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
 	}
-	switch m.Type {
-	case MessageAppend:
-		return g.checkAppend(from, m)
-	case MessageSnapshot:
-		return checkSnapshot(from, m)
-	default:
-		return nil
+	if err := slots(m.Snapshot.Slots).check(); err != nil {
+		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
 	}
+	return nil
 }
 
 // rejectStaleLeader tells a leader of an earlier term of the present one.
-func (g *Group) rejectStaleLeader(from member.ID, m Message) {
+func (f *follower) rejectStaleLeader(from member.ID, m Message) {
 	reply := MessageAppendReply
 	if m.Type == MessageHeartbeat {
 		reply = MessageHeartbeatReply
 	}
-	g.send(from, Message{Type: reply, Term: g.hard.Term, Reject: true, Learner: g.cfg.Learner})
+	f.send(from, Message{Type: reply, Term: f.hard.Term, Reject: true, Learner: f.cfg.Learner})
 }
 
-// stepHeartbeat acknowledges a heartbeat, or campaigns if the leader asks for that.
-func (g *Group) stepHeartbeat(from member.ID, m Message) {
-	if m.Transfer && g.election.role() == RoleFollower {
-		g.election.startCampaign(true)
-		return
-	}
-	g.send(from, Message{
+// stepHeartbeat acknowledges a heartbeat.
+func (f *follower) stepHeartbeat(from member.ID, m Message) {
+	f.send(from, Message{
 		Type:            MessageHeartbeatReply,
-		Term:            g.hard.Term,
+		Term:            f.hard.Term,
 		HeartbeatNumber: m.HeartbeatNumber,
-		Commit:          g.log.committed,
-		Learner:         g.cfg.Learner,
+		Commit:          f.log.committed,
+		Learner:         f.cfg.Learner,
 	})
 }
 
-// stepAppend appends the entries, in place of those that conflict with them.
-func (g *Group) stepAppend(from member.ID, m Message) {
-	last, ok := g.log.maybeAppend(m.Index, m.IndexTerm, m.Entries)
+// stepAppend appends the entries, in place of those that conflict with them. If the
+// log lacks the entry before them, the leader is told where the logs may begin to
+// agree.
+func (f *follower) stepAppend(from member.ID, m Message) {
+	last, ok := f.log.maybeAppend(m.Index, m.IndexTerm, m.Entries)
 	if !ok {
-		g.rejectAppend(from, m)
+		hint, hintTerm := f.log.conflictHint(m.Index, m.IndexTerm)
+		f.send(from, Message{
+			Type:       MessageAppendReply,
+			Term:       f.hard.Term,
+			Index:      m.Index,
+			IndexTerm:  hintTerm,
+			Reject:     true,
+			RejectHint: hint,
+			Learner:    f.cfg.Learner,
+		})
 		return
 	}
-	g.log.commitTo(min(m.Commit, last))
-	g.acknowledge(from, last)
+	f.log.commitTo(min(m.Commit, last))
+	f.acknowledge(from, last)
 }
 
-// checkAppend finds entries that no leader can send: with gaps, or in place of
-// entries that are committed here.
-func (g *Group) checkAppend(from member.ID, m Message) error {
-	previous := Entry{Index: m.Index, Term: m.IndexTerm}
-	for _, entry := range m.Entries {
-		if entry.Index != previous.Index+1 || entry.Term < previous.Term || entry.Term > m.Term {
-			return &MessageError{From: from, Type: m.Type, Message: "the entries are out of order"}
-		}
-		if err := entry.check(); err != nil {
-			return &MessageError{From: from, Type: m.Type, Message: err.Error()}
-		}
-		term, ok := g.log.termAt(entry.Index)
-		if ok && entry.Index <= g.log.committed && term != entry.Term {
-			return &MessageError{From: from, Type: m.Type, Message: "the entries contradict committed ones: check that no two groups are mixed up"}
-		}
-		previous = entry
+// stepSnapshot installs the snapshot, unless the log has the entry at its index.
+func (f *follower) stepSnapshot(from member.ID, m Message) {
+	snapshot := m.Snapshot
+	switch {
+	case snapshot.Index <= f.log.committed:
+		f.acknowledge(from, f.log.committed)
+	case f.log.matches(snapshot.Index, snapshot.Term):
+		f.log.commitTo(snapshot.Index)
+		f.acknowledge(from, snapshot.Index)
+	default:
+		f.log.install(snapshot)
+		f.received = snapshot
+		f.acknowledge(from, snapshot.Index)
 	}
-	return nil
-}
-
-// rejectAppend tells the leader where the logs may begin to agree.
-func (g *Group) rejectAppend(to member.ID, m Message) {
-	hint, hintTerm := g.log.conflictHint(m.Index, m.IndexTerm)
-	g.send(to, Message{
-		Type:       MessageAppendReply,
-		Term:       g.hard.Term,
-		Index:      m.Index,
-		IndexTerm:  hintTerm,
-		Reject:     true,
-		RejectHint: hint,
-		Learner:    g.cfg.Learner,
-	})
 }
 
-// acknowledge replies that the log matches the leader's up to index. The reply
-// leaves in the Ready that holds the entries, and so after they are durable.
-func (g *Group) acknowledge(to member.ID, index uint64) {
-	g.send(to, Message{
+// acknowledge replies that the log matches the leader's up to index.
+func (f *follower) acknowledge(to member.ID, index uint64) {
+	f.send(to, Message{
 		Type:    MessageAppendReply,
-		Term:    g.hard.Term,
+		Term:    f.hard.Term,
 		Index:   index,
-		Commit:  g.log.committed,
-		Learner: g.cfg.Learner,
+		Commit:  f.log.committed,
+		Learner: f.cfg.Learner,
 	})
 }
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -13,11 +13,14 @@
 type Group struct {
 	*replica
 	election election
+	follower follower
 	recovery quorumRecovery
 	// leadership is nil unless this member leads.
 	leadership *leadership
-	reads      readQueue
-	output     output
+	// reads outlive the leadership that they wait for.
+	reads readQueue
+	// outstanding is the Ready that Advance was not called for yet.
+	outstanding *Ready
 }
 
 // New returns the state machine of a member with its durable state; the zero
@@ -37,7 +40,12 @@
 		hard: newTermState(restored.HardState),
 		log:  restoreLog(restored, foundingSlots(cfg.Founders)),
 	}
-	g := &Group{replica: member, election: election{replica: member}}
+	g := &Group{
+		replica:  member,
+		election: election{replica: member},
+		follower: follower{replica: member},
+	}
+	g.recovery = quorumRecovery{replica: member, election: &g.election}
 	g.election.timer.waitFrom = now
 	return g, nil
 }
@@ -53,11 +61,11 @@
 		}
 		g.leadership.tick()
 	case RoleFollower, RoleCandidate:
-		if !g.tickRecovery() {
+		if !g.recovery.tick() {
 			g.election.tick()
 		}
 	case RoleLearner:
-		g.tickRecovery()
+		g.recovery.tick()
 	}
 }
 
@@ -85,10 +93,10 @@
 		}
 		return nil
 	case MessageRecoveryRequest:
-		g.stepRecoveryRequest(from, m)
+		g.recovery.stepRequest(from, m)
 		return nil
 	case MessageRecoveryReply:
-		g.stepRecoveryReply(from, m)
+		g.recovery.stepReply(from, m)
 		return nil
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return g.stepFromLeader(from, m)
@@ -121,6 +129,36 @@
 	}
 }
 
+// stepFromLeader handles the messages that only the leader of their term sends.
+func (g *Group) stepFromLeader(from member.ID, m Message) error {
+	if m.Term < g.hard.Term {
+		g.follower.rejectStaleLeader(from, m)
+		return nil
+	}
+	// The checks come first so that a message in error changes nothing.
+	if err := g.election.checkLeader(from, m); err != nil {
+		return err
+	}
+	if err := g.follower.check(from, m); err != nil {
+		return err
+	}
+	if m.Term > g.hard.Term || g.election.leader == "" {
+		g.becomeFollower(m.Term, from)
+	}
+	g.election.timer.heardLeader(from, g.now)
+	switch {
+	case m.Type == MessageAppend:
+		g.follower.stepAppend(from, m)
+	case m.Type == MessageSnapshot:
+		g.follower.stepSnapshot(from, m)
+	case m.Transfer && g.election.role() == RoleFollower:
+		g.election.startCampaign(true)
+	default:
+		g.follower.stepHeartbeat(from, m)
+	}
+	return nil
+}
+
 // becomeFollower makes the member a follower (or learner) of term. The leader may
 // be unknown yet. It ends a campaign and a leadership.
 func (g *Group) becomeFollower(term uint64, leader member.ID) {
--- a/pkg/replication/hard_state.go
+++ b/pkg/replication/hard_state.go
@@ -16,6 +16,11 @@
 	Commit uint64
 }
 
+// votedFor tells whether Term is granted to the candidate, in this incarnation.
+func (h HardState) votedFor(candidate Voter) bool {
+	return h.VotedFor == candidate.ID && h.VotedForIncarnation == candidate.Incarnation
+}
+
 // termState is the present term and vote. The term never decreases, and is granted to
 // one voter at most. Both bind this member at once, and are durable before any message
 // that tells of them leaves: they are part of the same Ready.
@@ -46,15 +51,12 @@
 	s.VotedForIncarnation = candidate.Incarnation
 }
 
-// votedFor tells whether the term is granted to the candidate, in this incarnation.
-func (s *termState) votedFor(candidate Voter) bool {
-	return s.VotedFor == candidate.ID && s.VotedForIncarnation == candidate.Incarnation
-}
-
 // changed ignores the commit index, which alone is not worth a sync: the leader sends
 // it again.
 func (s *termState) changed() bool {
-	return s.Term != s.persisted.Term || !s.votedFor(Voter{ID: s.persisted.VotedFor, Incarnation: s.persisted.VotedForIncarnation})
+	now, persisted := s.HardState, s.persisted
+	now.Commit, persisted.Commit = 0, 0
+	return now != persisted
 }
 
 // handOut returns the state that is to be made durable, together with the commit
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -1,7 +1,6 @@
 package replication
 
 import (
-	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
@@ -27,8 +26,11 @@
 
 // quorumRecovery is this member's attempt to recover a group that lost its quorum.
 // It has two phases, as an election has: with term zero the member only asks who
-// would grant a recovery term, then it requests the grants for term.
+// would grant a recovery term, then it requests the grants for term. A recovery term
+// is a term like any other, with one vote: the election keeps that.
 type quorumRecovery struct {
+	*replica
+	election *election
 	// term is the recovery term that this member has begun, or 0.
 	term uint64
 	// startedAt is when term was begun.
@@ -45,284 +47,212 @@
 	stateExpected bool
 }
 
-// stop ends the attempt.
-func (r *quorumRecovery) stop() {
-	r.term = 0
-	r.granted = nil
-}
-
-// stopUntil ends the attempt; another one follows.
-func (r *quorumRecovery) stopUntil(retryAt time.Duration) {
-	r.stop()
-	r.retryAt = retryAt
-}
-
-// nextTerm is above newest, the highest term that is known, and is one that no other
-// position among the slots chooses: of two recovery terms at a time one is higher,
-// and wins.
-func (r *quorumRecovery) nextTerm(newest uint64, position, slotCount int) uint64 {
-	term := newest + recoveryTermStep
-	if newest == r.lastTerm && newest > 0 {
-		// This member's last recovery term was not granted, and is a step above the
-		// others already.
-		term = newest + 1
-	}
-	for term%uint64(slotCount) != uint64(position) {
-		term++
-	}
-	return term
+// current tells whether the recovery term of this member is still the newest term.
+func (r *quorumRecovery) current() bool {
+	return r.term != 0 && r.term == r.hard.Term && !r.election.leads()
 }
 
-// grantedBySlots tells whether the members of all slots have granted.
-func (r *quorumRecovery) grantedBySlots(group slots) bool {
-	for _, slot := range group {
-		if !r.granted.includes(slot.ID) {
-			return false
-		}
-	}
-	return true
+// won tells whether all have granted the recovery term.
+func (r *quorumRecovery) won() bool {
+	return r.current() && r.grantedByAll()
 }
 
-// grantedByPeers tells whether all peers have granted that have not announced that
-// they stop.
-func (r *quorumRecovery) grantedByPeers(peers peerSet) bool {
-	for _, peer := range peers {
-		if !peer.Left && !r.granted.includes(peer.ID) {
-			return false
-		}
+// grantedByAll tells whether the members of all slots have granted. A member with an
+// empty log knows the founders only, and waits for all peers: one of them may be a
+// later voter.
+func (r *quorumRecovery) grantedByAll() bool {
+	if !r.granted.includeSlots(r.slots()) {
+		return false
 	}
-	return true
+	return r.log.lastIndex() > 0 || r.granted.includePeers(r.peers)
 }
 
-// grantedByMajority tells whether the incarnations that granted are a majority of
-// those that vote.
-func (r *quorumRecovery) grantedByMajority(group slots) bool {
-	granted := 0
-	for _, voter := range group.voters() {
-		if slices.Contains(r.granted, voter) {
-			granted++
-		}
+// tick asks, while no leader is heard, whether the group must be recovered: one slot
+// after the other. It is true while a recovery term of this member awaits its grants,
+// which rules out an election.
+func (r *quorumRecovery) tick() (awaitsGrants bool) {
+	position := r.slots().position(r.cfg.Self)
+	hasState := r.stateExpected || r.log.lastIndex() > 0
+	if r.cfg.Learner || r.election.hasLiveLeader() || position < 0 || !hasState {
+		r.stop()
+		return false
 	}
-	return granted >= group.quorum()
-}
-
-// recovered returns the group with each slot given to the incarnation that has
-// granted the recovery term, with a vote.
-func (r *quorumRecovery) recovered(group slots) slots {
-	recovered := slices.Clone(group)
-	for _, voter := range r.granted {
-		if position := recovered.position(voter.ID); position >= 0 {
-			recovered[position] = Slot{Voter: voter}
-		}
+	if r.term != 0 {
+		return r.tickTerm()
 	}
-	return recovered
-}
-
-// ExpectState tells that the group had a state before. Without that, members whose
-// logs are empty recover no group: they may be those of a new deployment that was
-// not set up, and a lost one would be opened as if it were new.
-func (g *Group) ExpectState() { g.recovery.stateExpected = true }
-
-// RaiseTermFloor tells that a term was in use in this group. Recovery terms lie
-// above it.
-func (g *Group) RaiseTermFloor(term uint64) {
-	g.recovery.termFloor = max(g.recovery.termFloor, term)
-}
-
-// RecoveryTerm returns the recovery term that this member has begun, or zero. It is
-// won when all members of the group have granted it, and then wait for
-// RecoverQuorum.
-func (g *Group) RecoveryTerm() (term uint64, won bool) {
-	return g.recovery.term, g.recoveryTermWon()
-}
-
-// RaiseRecoveryTerm begins another recovery term above a term that was in use, if
-// the one that this member has won does not lie above it.
-func (g *Group) RaiseRecoveryTerm(term uint64) {
-	g.RaiseTermFloor(term)
-	if g.recoveryTermWon() && g.recovery.term <= term {
-		g.recovery.lastTerm = 0
-		g.startRecoveryTerm()
+	wait := recoveryTimeouts*r.cfg.ElectionTimeout + time.Duration(position)*r.cfg.ElectionTimeout/2
+	dueAt := max(r.election.timer.waitFrom+wait, r.retryAt)
+	if r.now >= dueAt && r.now >= r.requestedAt+r.cfg.ElectionTimeout {
+		// What was granted before may be untrue by now.
+		r.granted = grants{r.self()}
+		r.requestGrants()
+		r.countGrants()
 	}
+	return false
 }
 
-// Unapplied returns the entries that the state machine above has not applied,
-// whether they are committed or not. A group that is recovered keeps them.
-func (g *Group) Unapplied() []Entry {
-	return slices.Clone(g.log.slice(g.log.applied+1, g.log.lastIndex()))
-}
-
-// RecoverQuorum makes this member the leader of a group of the present incarnations
-// of all slots, under the recovery term that it has won. State replaces that of the
-// state machine above; a member that knows the new group has the state too, as its
-// entry comes first. It fails with a *RecoveryTermError.
-func (g *Group) RecoverQuorum(now time.Duration, term uint64, state []byte) error {
-	g.advanceClock(now)
-	if !g.recoveryTermWon() || g.recovery.term != term {
-		return &RecoveryTermError{Term: term}
+// tickTerm repeats the requests, and gives a recovery term up that another term has
+// overtaken or that is not granted in time.
+func (r *quorumRecovery) tickTerm() (awaitsGrants bool) {
+	if !r.current() || r.now >= r.startedAt+recoveryTimeouts*r.cfg.ElectionTimeout {
+		r.stopUntil(r.now + r.cfg.HeartbeatEvery)
+		return false
 	}
-	group := g.recovery.recovered(g.slots())
-	if g.log.lastIndex() == 0 {
-		g.log.appendNew(g.hard.Term, EntryGroupChange, encodeSlots(g.slots()))
+	if !r.won() && r.now >= r.requestedAt+r.cfg.HeartbeatEvery {
+		r.requestGrants()
 	}
-	g.log.appendNew(g.hard.Term, EntryRestore, state)
-	g.log.appendNew(g.hard.Term, EntryGroupChange, encodeSlots(group))
-	// A recovery term forms one group only: the term may outlast this leadership.
-	g.recovery.stopUntil(g.now + g.cfg.HeartbeatEvery)
-	g.becomeLeader()
-	return nil
-}
-
-// recoveryTermCurrent tells whether a recovery term of this member is still the
-// newest term.
-func (g *Group) recoveryTermCurrent() bool {
-	return g.recovery.term != 0 && g.recovery.term == g.hard.Term && g.election.role() != RoleLeader
+	return true
 }
 
-// recoveryTermWon tells whether all have granted the recovery term.
-func (g *Group) recoveryTermWon() bool {
-	return g.recoveryTermCurrent() && g.recoveryGrantedByAll()
+// stop ends the attempt.
+func (r *quorumRecovery) stop() {
+	r.term = 0
+	r.granted = nil
 }
 
-// recoveryGrantedByAll tells whether the members of all slots have granted. A member
-// with an empty log knows the founders only, and waits for all peers: one of them may
-// be a later voter.
-func (g *Group) recoveryGrantedByAll() bool {
-	if !g.recovery.grantedBySlots(g.slots()) {
-		return false
-	}
-	return g.log.lastIndex() > 0 || g.recovery.grantedByPeers(g.peers)
+// stopUntil ends the attempt; another one follows.
+func (r *quorumRecovery) stopUntil(retryAt time.Duration) {
+	r.stop()
+	r.retryAt = retryAt
 }
 
-// tickRecovery asks, while no leader is heard, whether the group must be recovered:
-// one slot after the other. It is true while a recovery term of this member awaits its
-// grants, which rules out an election.
-func (g *Group) tickRecovery() bool {
-	position := g.slots().position(g.cfg.Self)
-	hasState := g.recovery.stateExpected || g.log.lastIndex() > 0
-	if g.cfg.Learner || g.election.hasLiveLeader() || position < 0 || !hasState {
-		g.recovery.stop()
-		return false
-	}
-	if g.recovery.term != 0 {
-		return g.tickRecoveryTerm()
-	}
-	wait := recoveryTimeouts*g.cfg.ElectionTimeout + time.Duration(position)*g.cfg.ElectionTimeout/2
-	dueAt := max(g.election.timer.waitFrom+wait, g.recovery.retryAt)
-	if g.now >= dueAt && g.now >= g.recovery.requestedAt+g.cfg.ElectionTimeout {
-		// What was granted before may be untrue by now.
-		g.recovery.granted = grants{g.self()}
-		g.requestRecoveryGrants()
-		g.countRecoveryGrants()
-	}
-	return false
+// startTerm begins a recovery term and votes for this member itself. The vote counts
+// once it is durable, see Group.acknowledgeSelf.
+func (r *quorumRecovery) startTerm() {
+	term := r.nextTerm()
+	r.election.voteForSelf(term)
+	r.term = term
+	r.lastTerm = term
+	r.startedAt = r.now
+	r.granted = nil
+	r.requestGrants()
 }
 
-// tickRecoveryTerm repeats the requests, and gives a recovery term up that another
-// term has overtaken or that is not granted in time.
-func (g *Group) tickRecoveryTerm() bool {
-	if !g.recoveryTermCurrent() || g.now >= g.recovery.startedAt+recoveryTimeouts*g.cfg.ElectionTimeout {
-		g.recovery.stopUntil(g.now + g.cfg.HeartbeatEvery)
-		return false
+// nextTerm is above the highest term that is known, and is one that no other position
+// among the slots chooses: of two recovery terms at a time one is higher, and wins.
+func (r *quorumRecovery) nextTerm() uint64 {
+	newest := max(r.hard.Term, r.termFloor)
+	term := newest + recoveryTermStep
+	if newest == r.lastTerm && newest > 0 {
+		// This member's last recovery term was not granted, and is a step above the
+		// others already.
+		term = newest + 1
 	}
-	if !g.recoveryTermWon() && g.now >= g.recovery.requestedAt+g.cfg.HeartbeatEvery {
-		g.requestRecoveryGrants()
+	group := r.slots()
+	position := uint64(group.position(r.cfg.Self))
+	for term%uint64(len(group)) != position {
+		term++
 	}
-	return true
-}
-
-// startRecoveryTerm begins a recovery term and votes for this member itself. The
-// vote counts once it is durable, see acknowledgeSelf.
-func (g *Group) startRecoveryTerm() {
-	group := g.slots()
-	newest := max(g.hard.Term, g.recovery.termFloor)
-	term := g.recovery.nextTerm(newest, group.position(g.cfg.Self), len(group))
-	g.election.voteForSelf(term)
-	g.recovery.term = term
-	g.recovery.lastTerm = term
-	g.recovery.startedAt = g.now
-	g.recovery.granted = nil
-	g.requestRecoveryGrants()
+	return term
 }
 
-// requestRecoveryGrants asks the members of all slots that have not granted, and the
-// other peers, one of which may be a voter of a newer group.
-func (g *Group) requestRecoveryGrants() {
-	g.recovery.requestedAt = g.now
-	for _, id := range g.otherMembers() {
-		if g.recovery.granted.includes(id) {
+// requestGrants asks the members of all slots that have not granted, and the other
+// peers, one of which may be a voter of a newer group.
+func (r *quorumRecovery) requestGrants() {
+	r.requestedAt = r.now
+	for _, id := range r.otherMembers() {
+		if r.granted.includes(id) {
 			continue
 		}
-		g.send(id, Message{
+		r.send(id, Message{
 			Type:      MessageRecoveryRequest,
-			Term:      g.recovery.term,
-			Index:     g.log.lastIndex(),
-			IndexTerm: g.log.lastTerm(),
-			PreVote:   g.recovery.term == 0,
+			Term:      r.term,
+			Index:     r.log.lastIndex(),
+			IndexTerm: r.log.lastTerm(),
+			PreVote:   r.term == 0,
 		})
 	}
 }
 
-// stepRecoveryRequest grants a recovery term to a log that is up to date, durably
-// before the reply leaves. The term of the reply is the highest one that was seen
-// here.
-func (g *Group) stepRecoveryRequest(from member.ID, m Message) {
-	granted := !g.cfg.Learner && g.log.isUpToDate(m.Index, m.IndexTerm)
+// stepRequest grants a recovery term to a log that is up to date, durably before the
+// reply leaves. The term of the reply is the highest one that was seen here.
+func (r *quorumRecovery) stepRequest(from member.ID, m Message) {
+	granted := !r.cfg.Learner && r.log.isUpToDate(m.Index, m.IndexTerm)
 	if m.PreVote {
-		granted = granted && !g.election.hasLiveLeader()
+		granted = granted && !r.election.hasLiveLeader()
 	} else {
-		granted = granted && g.election.grantVote(from, m)
+		granted = granted && r.election.grantVote(from, m)
 	}
-	reply := Message{Type: MessageRecoveryReply, Term: g.hard.Term, PreVote: m.PreVote, Reject: !granted}
-	if g.slots().votes(g.self()) {
-		reply.Index, reply.IndexTerm = g.log.lastIndex(), g.log.lastTerm()
+	reply := Message{Type: MessageRecoveryReply, Term: r.hard.Term, PreVote: m.PreVote, Reject: !granted}
+	if r.slots().votes(r.self()) {
+		reply.Index, reply.IndexTerm = r.log.lastIndex(), r.log.lastTerm()
 	}
-	g.send(from, reply)
+	r.send(from, reply)
 }
 
-// stepRecoveryReply counts a grant. A reply of a voter with a newer log leaves the
-// recovery to that voter: this member may not know the newest group, and so not all
-// whose grant is needed.
-func (g *Group) stepRecoveryReply(from member.ID, m Message) {
-	if !g.recognizes(from) {
+// stepReply counts a grant. A reply of a voter with a newer log leaves the recovery
+// to that voter: this member may not know the newest group, and so not all whose
+// grant is needed.
+func (r *quorumRecovery) stepReply(from member.ID, m Message) {
+	if !r.recognizes(from) {
 		return
 	}
-	g.RaiseTermFloor(m.Term)
-	if !g.log.isNewest(m.Index, m.IndexTerm) {
-		if g.recovery.term != 0 || len(g.recovery.granted) > 0 {
-			g.recovery.stopUntil(g.now + recoveryTimeouts*g.cfg.ElectionTimeout)
+	r.raiseTermFloor(m.Term)
+	if !r.log.isNewest(m.Index, m.IndexTerm) {
+		if r.term != 0 || len(r.granted) > 0 {
+			r.stopUntil(r.now + recoveryTimeouts*r.cfg.ElectionTimeout)
 		}
 		return
 	}
-	requesting := m.PreVote == (g.recovery.term == 0) && len(g.recovery.granted) > 0
-	if m.Reject || !requesting || g.election.hasLiveLeader() {
+	requesting := m.PreVote == (r.term == 0) && len(r.granted) > 0
+	if m.Reject || !requesting || r.election.hasLiveLeader() {
 		return
 	}
-	if !m.PreVote && (!g.recoveryTermCurrent() || m.Term != g.recovery.term) {
+	if !m.PreVote && (!r.current() || m.Term != r.term) {
 		return
 	}
-	g.addRecoveryGrant(Voter{ID: from, Incarnation: m.Incarnation})
+	r.addGrant(Voter{ID: from, Incarnation: m.Incarnation})
 }
 
-func (g *Group) addRecoveryGrant(from Voter) {
-	if !g.recovery.granted.includes(from.ID) {
-		g.recovery.granted = append(g.recovery.granted, from)
-		g.countRecoveryGrants()
+// addGrant counts the first grant of a member.
+func (r *quorumRecovery) addGrant(from Voter) {
+	if !r.granted.includes(from.ID) {
+		r.granted = append(r.granted, from)
+		r.countGrants()
 	}
 }
 
-// countRecoveryGrants decides, when the members of all slots have granted, whether
-// the group must be recovered. By then this member's log is known to be the newest,
-// and so is the group that it tells of.
-func (g *Group) countRecoveryGrants() {
-	if !g.recoveryGrantedByAll() {
+// countGrants decides, when the members of all slots have granted, whether the group
+// must be recovered. By then this member's log is known to be the newest, and so is
+// the group that it tells of.
+func (r *quorumRecovery) countGrants() {
+	if !r.grantedByAll() {
 		return
 	}
 	switch {
-	case g.recovery.grantedByMajority(g.slots()):
+	case r.granted.includeMajority(r.slots()):
 		// An election can do it.
-		g.recovery.stop()
-	case g.recovery.term == 0:
-		g.startRecoveryTerm()
+		r.stop()
+	case r.term == 0:
+		r.startTerm()
+	}
+}
+
+// raiseTermFloor notes a term that was in use.
+func (r *quorumRecovery) raiseTermFloor(term uint64) {
+	r.termFloor = max(r.termFloor, term)
+}
+
+// restartAbove begins another recovery term above a term that was in use, if the one
+// that this member has won does not lie above it.
+func (r *quorumRecovery) restartAbove(term uint64) {
+	r.raiseTermFloor(term)
+	if r.won() && r.term <= term {
+		r.lastTerm = 0
+		r.startTerm()
+	}
+}
+
+// appendGroup appends the entries that begin the recovered group: the state, then the
+// group of the incarnations that have granted. In this order, a member that knows the
+// new group has the state too. An empty log gets the group before that first. A
+// recovery term forms one group only, as the term may outlast the leadership.
+func (r *quorumRecovery) appendGroup(state []byte) {
+	group := r.slots()
+	if r.log.lastIndex() == 0 {
+		r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(group))
 	}
+	r.log.appendNew(r.hard.Term, EntryRestore, state)
+	r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(r.granted.regroup(group)))
+	r.stopUntil(r.now + r.cfg.HeartbeatEvery)
 }
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -1,8 +1,6 @@
 package replication
 
-import (
-	"slices"
-)
+import "slices"
 
 // Ready is what the driver has to do, in the order of the package comment.
 type Ready struct {
@@ -29,22 +27,14 @@
 	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil
 }
 
-// output collects what the next Ready will hand out.
-type output struct {
-	// snapshot was received and not handed out yet.
-	snapshot *Snapshot
-	// outstanding is the Ready that Advance was not called for yet.
-	outstanding *Ready
-}
-
 // HasReady tells whether Ready would hand out anything. It is false while a Ready is
 // outstanding.
 func (g *Group) HasReady() bool {
-	if g.output.outstanding != nil {
+	if g.outstanding != nil {
 		return false
 	}
 	return g.hard.changed() ||
-		g.output.snapshot != nil ||
+		g.follower.received != nil ||
 		len(g.outbox) > 0 ||
 		g.appendPending() ||
 		g.log.durable < g.log.lastIndex() ||
@@ -61,7 +51,7 @@
 // Ready hands out what there is to do. It is empty while a Ready is outstanding;
 // Advance ends that.
 func (g *Group) Ready() Ready {
-	if g.output.outstanding != nil {
+	if g.outstanding != nil {
 		return Ready{}
 	}
 	if g.appendPending() {
@@ -69,7 +59,7 @@
 	}
 	ready := Ready{
 		Entries:     slices.Clone(g.log.notDurable()),
-		Snapshot:    g.output.snapshot,
+		Snapshot:    g.follower.received,
 		Messages:    g.outbox,
 		Committed:   g.notApplied(),
 		Reads:       g.reads.ready,
@@ -79,18 +69,18 @@
 		ready.HardState = g.hard.handOut(g.log.committed)
 	}
 	g.outbox = nil
-	g.output.snapshot = nil
+	g.follower.received = nil
 	g.reads.ready = nil
 	g.reads.failed = nil
-	g.output.outstanding = &ready
+	g.outstanding = &ready
 	return ready
 }
 
 // notApplied returns the committed entries that the driver has not applied.
 func (g *Group) notApplied() []Entry {
 	applied := g.log.applied
-	if g.output.snapshot != nil {
-		applied = g.output.snapshot.Index
+	if g.follower.received != nil {
+		applied = g.follower.received.Index
 	}
 	return slices.Clone(g.log.slice(applied+1, g.log.committed))
 }
@@ -98,11 +88,11 @@
 // Advance tells that all of the outstanding Ready is done: it is durable, sent and
 // applied.
 func (g *Group) Advance() {
-	ready := g.output.outstanding
+	ready := g.outstanding
 	if ready == nil {
 		return
 	}
-	g.output.outstanding = nil
+	g.outstanding = nil
 	if ready.Snapshot != nil {
 		g.log.applied = max(g.log.applied, ready.Snapshot.Index)
 	}
@@ -116,10 +106,10 @@
 // acknowledgeSelf lets this member's vote and entries count, as they are durable
 // now.
 func (g *Group) acknowledgeSelf(ready *Ready) {
-	votedForSelf := ready.HardState != nil && ready.HardState.Term == g.hard.Term &&
-		ready.HardState.VotedFor == g.cfg.Self && ready.HardState.VotedForIncarnation == g.cfg.Incarnation
-	if votedForSelf && g.recoveryTermCurrent() {
-		g.addRecoveryGrant(g.self())
+	hard := ready.HardState
+	votedForSelf := hard != nil && hard.Term == g.hard.Term && hard.votedFor(g.self())
+	if votedForSelf && g.recovery.current() {
+		g.recovery.addGrant(g.self())
 	}
 	switch g.election.role() {
 	case RoleLeader:
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -1,10 +1,6 @@
 package replication
 
-import (
-	"slices"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-)
+import "slices"
 
 // Snapshot is the state after all entries up to and including Index.
 type Snapshot struct {
@@ -60,31 +56,3 @@
 		Entries:   slices.Clone(g.log.slice(first, g.log.lastIndex())),
 	}
 }
-
-// checkSnapshot finds a snapshot of a group that can't be.
-func checkSnapshot(from member.ID, m Message) error {
-	if m.Snapshot == nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
-	}
-	if err := slots(m.Snapshot.Slots).check(); err != nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
-	}
-	return nil
-}
-
-// stepSnapshot installs the snapshot, unless the log has the entry at its index.
-func (g *Group) stepSnapshot(from member.ID, m Message) {
-	snapshot := m.Snapshot
-	if snapshot.Index <= g.log.committed {
-		g.acknowledge(from, g.log.committed)
-		return
-	}
-	if g.log.matches(snapshot.Index, snapshot.Term) {
-		g.log.commitTo(snapshot.Index)
-		g.acknowledge(from, snapshot.Index)
-		return
-	}
-	g.log.install(snapshot)
-	g.output.snapshot = snapshot
-	g.acknowledge(from, snapshot.Index)
-}
