--- a/pkg/replication/change_planner.go
+++ b/pkg/replication/change_planner.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// changePlanner judges the changes of a group, and finds those that are due, by what
-// the leader knows at one instant. It changes nothing.
+// changePlanner judges the changes of a group (here), and finds those that are due
+// (group_repair.go), by what the leader knows at one instant. It changes nothing.
 type changePlanner struct {
 	cfg       *Config
 	now       time.Duration
@@ -113,8 +113,8 @@
 // caughtUp tells whether the member is live in that incarnation, takes a vote, and
 // has all that the log had when the newest heartbeat was sent.
 func (p *changePlanner) caughtUp(voter Voter) bool {
-	follower := p.followers.voter(voter)
-	if follower == nil || follower.learner {
+	follower := p.followers.getVoter(voter)
+	if follower == nil || follower.refusesVote {
 		return false
 	}
 	return p.followers.isLive(follower, p.now) && follower.match >= p.caughtUpIndex
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -119,7 +119,7 @@
 func (e *election) voteForSelf(term uint64) {
 	e.follow(term, "")
 	e.hard.vote(e.self())
-	e.timer.waitFrom = e.now
+	e.timer.restart(e.now)
 }
 
 // requestVotes sends a request to all voters that have not granted, and so repeats
@@ -141,8 +141,8 @@
 	}
 }
 
-// stepVoteRequest replies to a candidate. A term that is newer, and that this member
-// follows, it has adopted already.
+// stepVoteRequest replies to a candidate. If its term is newer and binds this member,
+// Group.Step has adopted it before.
 func (e *election) stepVoteRequest(from member.ID, m Message) {
 	reply := Message{Type: MessageVoteReply, Term: m.Term, PreVote: m.PreVote}
 	switch {
@@ -184,7 +184,7 @@
 		return false
 	}
 	e.hard.vote(candidate)
-	e.timer.waitFrom = e.now
+	e.timer.restart(e.now)
 	e.timer.candidateBehind = false
 	return true
 }
--- a/pkg/replication/election_timer.go
+++ b/pkg/replication/election_timer.go
@@ -24,10 +24,15 @@
 	candidateBehindSince time.Duration
 }
 
+// restart begins the wait for a leader.
+func (t *electionTimer) restart(now time.Duration) {
+	t.waitFrom = now
+}
+
 // heardLeader begins the wait for the leader anew.
 func (t *electionTimer) heardLeader(leader member.ID, now time.Duration) {
 	t.leaderContact = now
-	t.waitFrom = now
+	t.restart(now)
 	t.lostLeader = leader
 }
 
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -46,7 +46,7 @@
 		follower: follower{replica: member},
 	}
 	g.recovery = quorumRecovery{replica: member, election: &g.election}
-	g.election.timer.waitFrom = now
+	g.election.timer.restart(now)
 	return g, nil
 }
 
@@ -110,8 +110,31 @@
 	}
 }
 
-// adoptsTerm tells whether this member goes on to the newer term of the message. What a
-// leader sends is checked first, see stepFromLeader.
+// SetPeers tells which members with a disk are known at present, for instance by
+// gossip. The leader sends the log to all of them: those without a vote follow as
+// learners, and are given one when they have caught up. It has no bearing on
+// safety.
+func (g *Group) SetPeers(now time.Duration, peers []Peer) {
+	g.advanceClock(now)
+	g.peers = newPeerSet(g.cfg.Self, peers)
+	if g.leadership != nil {
+		g.leadership.trackMembers()
+	}
+}
+
+// SetSuspected tells which members are thought to be down, for instance by the
+// membership. It shortens the wait of later members in the agreed order and has
+// no bearing on safety.
+func (g *Group) SetSuspected(suspected []member.ID) {
+	g.election.timer.suspected = slices.Clone(suspected)
+}
+
+// adoptsTerm tells whether this member goes on to the newer term of the message. A
+// candidate's term does not bind a member that hears a live leader, unless that leader
+// asked for the campaign: a member that was cut off must not depose a leader that
+// works. A recovery term binds only who can grant it. The term of a reply binds a
+// member that asked for the reply, whatever its role is by now. What a leader sends is
+// checked first, see stepFromLeader.
 func (g *Group) adoptsTerm(from member.ID, m Message) bool {
 	switch m.Type {
 	case MessageVoteRequest, MessageRecoveryRequest:
@@ -163,7 +186,7 @@
 // be unknown yet. It ends a campaign and a leadership.
 func (g *Group) becomeFollower(term uint64, leader member.ID) {
 	if g.election.leads() {
-		g.election.timer.waitFrom = g.now
+		g.election.timer.restart(g.now)
 		g.reads.failWaiting()
 		g.leadership = nil
 	}
@@ -177,10 +200,3 @@
 	g.election.timer.lostLeader = ""
 	g.leadership = newLeadership(g.replica, &g.reads)
 }
-
-// SetSuspected tells which members are thought to be down, for instance by the
-// membership. It shortens the wait of later members in the agreed order and has
-// no bearing on safety.
-func (g *Group) SetSuspected(suspected []member.ID) {
-	g.election.timer.suspected = slices.Clone(suspected)
-}
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -82,7 +82,7 @@
 // dueRefill gives the vote back to a member that a slot is reserved for.
 func (p *changePlanner) dueRefill() (change GroupChange, due bool) {
 	for _, slot := range p.group.slots {
-		voter := p.followers.present(slot)
+		voter := p.followers.lastHeard(slot)
 		if slot.Learner && p.caughtUp(voter) {
 			return GroupChange{Kind: ChangeAddVoter, Voter: voter}, true
 		}
@@ -94,7 +94,7 @@
 // one, and reserves its slot.
 func (p *changePlanner) dueIncarnationRemoval() (change GroupChange, due bool) {
 	for _, slot := range p.group.slots {
-		successor := p.followers.present(slot)
+		successor := p.followers.lastHeard(slot)
 		if !slot.Learner && successor.Incarnation != slot.Incarnation && p.caughtUp(successor) {
 			return GroupChange{Kind: ChangeRemoveVoter, Voter: slot.Voter, Successor: successor}, true
 		}
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -65,8 +65,8 @@
 	l.replicator.trackMembers(l.heartbeats.number)
 }
 
-// checkAccepts fails with a *NotLeaderError on a leader that hands the leadership over.
-func (l *leadership) checkAccepts() error {
+// checkNotTransferring fails with a *NotLeaderError on a leader that hands the leadership over.
+func (l *leadership) checkNotTransferring() error {
 	if l.transfer.inProgress() {
 		return &NotLeaderError{Leader: l.transfer.target}
 	}
@@ -75,7 +75,7 @@
 
 // propose appends a command.
 func (l *leadership) propose(command []byte) (index uint64, err error) {
-	if err := l.checkAccepts(); err != nil {
+	if err := l.checkNotTransferring(); err != nil {
 		return 0, err
 	}
 	if l.log.lastIndex()-l.log.committed >= maxUncommitted {
@@ -86,7 +86,7 @@
 
 // requestRead lets a read wait for a heartbeat, and sends one if none is in flight.
 func (l *leadership) requestRead() (readID uint64, err error) {
-	if err := l.checkAccepts(); err != nil {
+	if err := l.checkNotTransferring(); err != nil {
 		return 0, err
 	}
 	if len(l.reads.waiting) >= maxPendingReads {
@@ -101,7 +101,7 @@
 
 // proposeGroupChange appends a change of the group, which takes effect at once.
 func (l *leadership) proposeGroupChange(change GroupChange) error {
-	if err := l.checkAccepts(); err != nil {
+	if err := l.checkNotTransferring(); err != nil {
 		return err
 	}
 	changed, problem := l.changePlanner().after(change)
@@ -130,9 +130,7 @@
 		}
 		follower.beginIncarnation(m.Incarnation)
 	}
-	follower.lastContact = l.now
-	follower.contactHeartbeat = l.heartbeats.number
-	follower.learner = m.Learner
+	follower.heard(m, l.now, l.heartbeats.number)
 	if m.Type == MessageHeartbeatReply {
 		l.stepHeartbeatReply(from, follower, m)
 	} else {
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -69,9 +69,9 @@
 	return index >= l.lastIndex()
 }
 
-// isNewest tells whether a log that ends with (index, term) is not newer than this
-// one.
-func (l *replicaLog) isNewest(index, term uint64) bool {
+// isAtLeastAsNew tells whether this log has at least what one that ends with (index,
+// term) may have committed.
+func (l *replicaLog) isAtLeastAsNew(index, term uint64) bool {
 	return term < l.lastTerm() || (term == l.lastTerm() && index <= l.lastIndex())
 }
 
@@ -174,6 +174,11 @@
 	return true
 }
 
+// applyTo records that the driver has applied everything up to index.
+func (l *replicaLog) applyTo(index uint64) {
+	l.applied = max(l.applied, index)
+}
+
 // notDurable returns the entries that the driver has yet to write.
 func (l *replicaLog) notDurable() []Entry {
 	return l.slice(l.durable+1, l.lastIndex())
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
@@ -14,18 +13,6 @@
 	Left bool
 }
 
-// SetPeers tells which members with a disk are known at present, for instance by
-// gossip. The leader sends the log to all of them: those without a vote follow as
-// learners, and are given one when they have caught up. It has no bearing on
-// safety.
-func (g *Group) SetPeers(now time.Duration, peers []Peer) {
-	g.advanceClock(now)
-	g.peers = newPeerSet(g.cfg.Self, peers)
-	if g.leadership != nil {
-		g.leadership.trackMembers()
-	}
-}
-
 // peerSet is the other members that are known, in the order they were given in.
 type peerSet []Peer
 
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -39,8 +39,8 @@
 	// incarnation is the newest incarnation in which the member was heard. match
 	// and ackedHeartbeat are those of this incarnation, and count if it has a vote.
 	incarnation uint64
-	// learner tells that the member refuses a vote.
-	learner bool
+	// refusesVote tells that the member never takes a vote, by its settings.
+	refusesVote bool
 }
 
 func (p *progress) becomeProbe() {
@@ -70,6 +70,14 @@
 	return m.HeartbeatNumber > p.contactHeartbeat && m.Incarnation != 0
 }
 
+// heard records a message that counts, when the newest heartbeat was that of the
+// number.
+func (p *progress) heard(m Message, now time.Duration, heartbeat uint64) {
+	p.lastContact = now
+	p.contactHeartbeat = heartbeat
+	p.refusesVote = m.Learner
+}
+
 // beginIncarnation forgets what the member acknowledged with the durable state that
 // it lost.
 func (p *progress) beginIncarnation(incarnation uint64) {
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -188,7 +188,7 @@
 		return
 	}
 	r.raiseTermFloor(m.Term)
-	if !r.log.isNewest(m.Index, m.IndexTerm) {
+	if !r.log.isAtLeastAsNew(m.Index, m.IndexTerm) {
 		if r.term != 0 || len(r.granted) > 0 {
 			r.stopUntil(r.now + recoveryTimeouts*r.cfg.ElectionTimeout)
 		}
--- a/pkg/replication/read_index.go
+++ b/pkg/replication/read_index.go
@@ -64,6 +64,18 @@
 	}
 }
 
+// hasResults tells whether handOut would return any read.
+func (q *readQueue) hasResults() bool {
+	return len(q.ready) > 0 || len(q.failed) > 0
+}
+
+// handOut returns the reads that may be answered and those that have failed, once.
+func (q *readQueue) handOut() (ready []Read, failed []uint64) {
+	ready, failed = q.ready, q.failed
+	q.ready, q.failed = nil, nil
+	return ready, failed
+}
+
 // failWaiting gives all reads up that this member can't confirm any more.
 func (q *readQueue) failWaiting() {
 	for _, read := range q.waiting {
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -39,8 +39,7 @@
 		g.appendPending() ||
 		g.log.durable < g.log.lastIndex() ||
 		g.log.applied < g.log.committed ||
-		len(g.reads.ready) > 0 ||
-		len(g.reads.failed) > 0
+		g.reads.hasResults()
 }
 
 // appendPending tells whether this member leads and has yet to send entries.
@@ -58,20 +57,17 @@
 		g.leadership.replicator.broadcast()
 	}
 	ready := Ready{
-		Entries:     slices.Clone(g.log.notDurable()),
-		Snapshot:    g.follower.received,
-		Messages:    g.outbox,
-		Committed:   g.notApplied(),
-		Reads:       g.reads.ready,
-		ReadsFailed: g.reads.failed,
+		Entries:   slices.Clone(g.log.notDurable()),
+		Snapshot:  g.follower.received,
+		Messages:  g.outbox,
+		Committed: g.notApplied(),
 	}
+	ready.Reads, ready.ReadsFailed = g.reads.handOut()
 	if ready.MustSync() || g.hard.changed() {
 		ready.HardState = g.hard.handOut(g.log.committed)
 	}
 	g.outbox = nil
 	g.follower.received = nil
-	g.reads.ready = nil
-	g.reads.failed = nil
 	g.outstanding = &ready
 	return ready
 }
@@ -94,17 +90,18 @@
 	}
 	g.outstanding = nil
 	if ready.Snapshot != nil {
-		g.log.applied = max(g.log.applied, ready.Snapshot.Index)
+		g.log.applyTo(ready.Snapshot.Index)
 	}
 	if count := len(ready.Committed); count > 0 {
-		g.log.applied = max(g.log.applied, ready.Committed[count-1].Index)
+		g.log.applyTo(ready.Committed[count-1].Index)
 	}
 	g.log.setDurable(ready.Entries)
 	g.acknowledgeSelf(ready)
 }
 
 // acknowledgeSelf lets this member's vote and entries count, as they are durable
-// now.
+// now. A vote counts only if it is of the present term: a later one may have begun
+// while the Ready was outstanding.
 func (g *Group) acknowledgeSelf(ready *Ready) {
 	hard := ready.HardState
 	votedForSelf := hard != nil && hard.Term == g.hard.Term && hard.votedFor(g.self())
--- a/pkg/replication/tracker.go
+++ b/pkg/replication/tracker.go
@@ -49,9 +49,9 @@
 	return t.members[id]
 }
 
-// voter returns the progress of the voter, or nil if its member is not tracked or
+// getVoter returns the progress of the voter, or nil if its member is not tracked or
 // was last heard in another incarnation.
-func (t *tracker) voter(voter Voter) *progress {
+func (t *tracker) getVoter(voter Voter) *progress {
 	follower := t.members[voter.ID]
 	if follower == nil || follower.incarnation != voter.Incarnation {
 		return nil
@@ -69,7 +69,7 @@
 	if voter == t.self {
 		return true
 	}
-	follower := t.voter(voter)
+	follower := t.getVoter(voter)
 	return follower != nil && t.isLive(follower, now)
 }
 
@@ -90,12 +90,12 @@
 	if voter == t.self {
 		return true
 	}
-	follower := t.voter(voter)
+	follower := t.getVoter(voter)
 	return follower != nil && follower.ackedHeartbeat >= heartbeat
 }
 
-// present is the incarnation in which the member of a slot was last heard.
-func (t *tracker) present(slot Slot) Voter {
+// lastHeard is the incarnation in which the member of a slot was last heard.
+func (t *tracker) lastHeard(slot Slot) Voter {
 	if follower := t.members[slot.ID]; follower != nil {
 		return Voter{ID: slot.ID, Incarnation: follower.incarnation}
 	}
@@ -107,7 +107,7 @@
 func (t *tracker) reachedByMajority(voters []Voter, self uint64, value func(*progress) uint64) uint64 {
 	values := make([]uint64, 0, len(voters))
 	for _, voter := range voters {
-		follower := t.voter(voter)
+		follower := t.getVoter(voter)
 		switch {
 		case voter == t.self:
 			values = append(values, self)
