--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -27,7 +27,7 @@
 //	term and vote                                   termState
 //	entries, snapshot; durable, committed, applied  replicaLog
 //	the groups that the log tells of                groupHistory
-//	identity, time, peers, messages to send         replica
+//	identity, time, peers, messages to send         memberState
 //	whom this member follows, and so its role       election
 //	when it campaigns                               electionTimer
 //	the votes of its campaign                       campaign
@@ -42,7 +42,7 @@
 //	who is to take the leadership over              leadershipTransfer
 //	the change of the group that is due             groupRepair
 //
-// All concerns share one replica, with the term and the log in it: what a member grants,
+// All concerns share one memberState, with the term and the log in it: what a member grants,
 // acknowledges or commits rests on both. Only one of them adds to the log at a time, by
 // the role: the follower what a leader sent, the logReplicator as the leader, and
 // quorumRecovery just before it makes this member the leader. Step, Tick, Ready and
@@ -55,23 +55,29 @@
 //
 // # Invariants
 //
-//   - A voter grants a term to one member only, and the vote is durable before
-//     the reply leaves.
+// Each with the code that upholds it:
+//
+//   - A voter grants a term to one member only (election.grantVote, voteForSelf), and the
+//     vote is durable before the reply leaves: Ready has both, and a driver syncs first.
+//   - A member leads if and only if Group.leadership is set and election.leader is the
+//     member itself (Group.becomeLeader, Group.becomeFollower).
 //   - A follower's acknowledgement leaves after the entries that it acknowledges
-//     are durable. The leader's own replica counts only after Advance.
-//   - A leader commits by counting replicas of entries of its own term only; a
-//     barrier entry commits the entries that earlier terms left.
+//     are durable (the same Ready has both). The leader's own log counts only after
+//     Advance (replicaLog.setDurable).
+//   - A leader commits by counting the voters that have an entry of its own term; a
+//     barrier entry commits the entries that earlier terms left (logReplicator.commit,
+//     newLeadership).
 //   - A voter is a member in one incarnation of its durable state. A member that
 //     lost its state goes on in a new incarnation, as a learner: neither its votes
 //     nor its acknowledgements count, and those of the lost incarnation bind
-//     nobody else.
-//   - The group follows from the log. Its first entry names the founders; until a
-//     founder has that entry, its settings name them. A member that knows of no
+//     nobody else (election.stepVoteReply, tracker.getVoter).
+//   - The group follows from the log (groupHistory). Its first entry names the founders;
+//     until a founder has that entry, its settings name them. A member that knows of no
 //     group is a learner. A change of one voter takes effect when its entry is
 //     appended, and is undone when the entry is truncated. The leader makes one
 //     change at a time: the next only after the one before it, and an entry of the
-//     leader's own term, are committed. So each majority before a change and each
-//     majority after it have a voter in common.
+//     leader's own term, are committed (changePlanner.after). So each majority before a
+//     change and each majority after it have a voter in common.
 //   - The leader repairs the group by itself: when a member in a new incarnation
 //     has the log, the lost incarnation is removed and then the new one is added in
 //     its slot. Until the removal, the lost incarnation counts in the size of the
@@ -83,11 +89,11 @@
 //     an even number of them, which tolerates as many losses without it. An odd
 //     group keeps its unresponsive voters until a new one has come. The voters that
 //     a change rests on acknowledge a heartbeat after the change became due, and
-//     before it is made. Two changes don't wait for that: the refill of a reserved
-//     slot, which may follow any commit, and ProposeGroupChange.
+//     before it is made (groupRepair). Two changes don't wait for that: the refill of a
+//     reserved slot, which may follow any commit, and ProposeGroupChange.
 //   - A group that lost the majority of its voters' incarnations is recovered only
 //     under a recovery term that the present incarnation of every slot has granted,
-//     by the member whose log is the newest of all. The slots are those of the
-//     newest group that the member knows; it yields to a voter with a newer log,
+//     by the member whose log is the newest of all (quorumRecovery). The slots are those
+//     of the newest group that the member knows; it yields to a voter with a newer log,
 //     which may know a newer group.
 package replication
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -11,7 +11,7 @@
 // another term or leader while this member leads go through Group.becomeFollower,
 // which ends the leadership.
 type election struct {
-	*replica
+	*memberState
 	// leader is the member that is known to lead hard.Term, or empty. It is this
 	// member as long as it leads.
 	leader member.ID
@@ -35,6 +35,7 @@
 	}
 }
 
+// leads tells whether this member is the leader, which it follows itself.
 func (e *election) leads() bool {
 	return e.leader == e.cfg.Self
 }
@@ -44,27 +45,6 @@
 	return e.leads() || (e.leader != "" && e.now < e.timer.leaderContact+e.cfg.ElectionTimeout)
 }
 
-// checkLeader finds a message that can't be from the leader of its term. It changes
-// nothing.
-func (e *election) checkLeader(from member.ID, m Message) error {
-	if m.Term == 0 {
-		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
-	}
-	if m.Term == e.hard.Term && e.leader != "" && e.leader != from {
-		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
-	}
-	return nil
-}
-
-// follow makes the member follow a leader in a term, which is the present or a later
-// one. The leader may be unknown yet. It ends a campaign.
-func (e *election) follow(term uint64, leader member.ID) {
-	e.hard.raise(term)
-	e.leader = leader
-	e.campaign = nil
-	e.timer.candidateBehind = false
-}
-
 // tick repeats the requests of a campaign, and begins one when it is due. A pre-vote
 // goes on instead of beginning again.
 func (e *election) tick() {
@@ -103,44 +83,6 @@
 	}
 }
 
-// startCampaign raises the term and votes for this member. With transfer, the
-// leader of the present term asked for it.
-func (e *election) startCampaign(transfer bool) {
-	e.voteForSelf(e.hard.Term + 1)
-	e.campaign = &campaign{term: e.hard.Term, transfer: transfer}
-	// If this campaign fails, the members that campaign at the same time must not
-	// wait equally long again.
-	e.timer.lostLeader = ""
-	e.requestVotes()
-}
-
-// voteForSelf raises the term and grants it to this member. The vote counts once it
-// is durable, see Group.acknowledgeSelf.
-func (e *election) voteForSelf(term uint64) {
-	e.follow(term, "")
-	e.hard.vote(e.self())
-	e.timer.restart(e.now)
-}
-
-// requestVotes sends a request to all voters that have not granted, and so repeats
-// one that was lost or premature.
-func (e *election) requestVotes() {
-	e.campaign.restart(e.self(), e.now)
-	for _, id := range e.log.groups.latest().voterIDs {
-		if id == e.cfg.Self || e.campaign.granted.includes(id) {
-			continue
-		}
-		e.send(id, Message{
-			Type:      MessageVoteRequest,
-			Term:      e.campaign.term,
-			Index:     e.log.lastIndex(),
-			IndexTerm: e.log.lastTerm(),
-			PreVote:   e.campaign.preVote,
-			Transfer:  e.campaign.transfer,
-		})
-	}
-}
-
 // stepVoteRequest replies to a candidate. If its term is newer and binds this member,
 // Group.Step has adopted it before.
 func (e *election) stepVoteRequest(from member.ID, m Message) {
@@ -227,3 +169,62 @@
 	}
 	return true
 }
+
+// startCampaign raises the term and votes for this member. With transfer, the
+// leader of the present term asked for it.
+func (e *election) startCampaign(transfer bool) {
+	e.voteForSelf(e.hard.Term + 1)
+	e.campaign = &campaign{term: e.hard.Term, transfer: transfer}
+	// If this campaign fails, the members that campaign at the same time must not
+	// wait equally long again.
+	e.timer.lostLeader = ""
+	e.requestVotes()
+}
+
+// voteForSelf raises the term and grants it to this member. The vote counts once it
+// is durable, see Group.acknowledgeSelf.
+func (e *election) voteForSelf(term uint64) {
+	e.follow(term, "")
+	e.hard.vote(e.self())
+	e.timer.restart(e.now)
+}
+
+// requestVotes sends a request to all voters that have not granted, and so repeats
+// one that was lost or premature.
+func (e *election) requestVotes() {
+	e.campaign.restart(e.self(), e.now)
+	for _, id := range e.log.groups.latest().voterIDs {
+		if id == e.cfg.Self || e.campaign.granted.includes(id) {
+			continue
+		}
+		e.send(id, Message{
+			Type:      MessageVoteRequest,
+			Term:      e.campaign.term,
+			Index:     e.log.lastIndex(),
+			IndexTerm: e.log.lastTerm(),
+			PreVote:   e.campaign.preVote,
+			Transfer:  e.campaign.transfer,
+		})
+	}
+}
+
+// checkLeader finds a message that can't be from the leader of its term. It changes
+// nothing.
+func (e *election) checkLeader(from member.ID, m Message) error {
+	if m.Term == 0 {
+		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
+	}
+	if m.Term == e.hard.Term && e.leader != "" && e.leader != from {
+		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
+	}
+	return nil
+}
+
+// follow makes the member follow a leader in a term, which is the present or a later
+// one. The leader may be unknown yet. It ends a campaign.
+func (e *election) follow(term uint64, leader member.ID) {
+	e.hard.raise(term)
+	e.leader = leader
+	e.campaign = nil
+	e.timer.candidateBehind = false
+}
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -7,7 +7,7 @@
 // why a leader may count it. Committed entries are never replaced: what would replace
 // them is found by check, before anything is changed.
 type follower struct {
-	*replica
+	*memberState
 	// received is a snapshot that the log was replaced by, and that was not handed out
 	// yet.
 	received *Snapshot
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -11,7 +11,7 @@
 // decisions between the types that each own the state of one concern, see the package
 // comment. It is not safe for concurrent use.
 type Group struct {
-	*replica
+	*memberState
 	election election
 	follower follower
 	recovery quorumRecovery
@@ -34,22 +34,41 @@
 	if err := restored.check(); err != nil {
 		return nil, err
 	}
-	member := &replica{
+	state := &memberState{
 		cfg:  cfg,
 		now:  now,
 		hard: newTermState(restored.HardState),
 		log:  restoreLog(restored, foundingSlots(cfg.Founders)),
 	}
 	g := &Group{
-		replica:  member,
-		election: election{replica: member},
-		follower: follower{replica: member},
+		memberState: state,
+		election:    election{memberState: state},
+		follower:    follower{memberState: state},
 	}
-	g.recovery = quorumRecovery{replica: member, election: &g.election}
+	g.recovery = quorumRecovery{memberState: state, election: &g.election}
 	g.election.timer.restart(now)
 	return g, nil
 }
 
+// SetPeers tells which members with a disk are known at present, for instance by
+// gossip. The leader sends the log to all of them: those without a vote follow as
+// learners, and are given one when they have caught up. It has no bearing on
+// safety.
+func (g *Group) SetPeers(now time.Duration, peers []Peer) {
+	g.advanceClock(now)
+	g.peers = newPeerSet(g.cfg.Self, peers)
+	if g.leadership != nil {
+		g.leadership.trackMembers()
+	}
+}
+
+// SetSuspected tells which members are thought to be down, for instance by the
+// membership. It shortens the wait of later members in the agreed order and has
+// no bearing on safety.
+func (g *Group) SetSuspected(suspected []member.ID) {
+	g.election.timer.suspected = slices.Clone(suspected)
+}
+
 // Tick advances the time. The driver calls it several times per HeartbeatEvery.
 func (g *Group) Tick(now time.Duration) {
 	g.advanceClock(now)
@@ -110,25 +129,6 @@
 	}
 }
 
-// SetPeers tells which members with a disk are known at present, for instance by
-// gossip. The leader sends the log to all of them: those without a vote follow as
-// learners, and are given one when they have caught up. It has no bearing on
-// safety.
-func (g *Group) SetPeers(now time.Duration, peers []Peer) {
-	g.advanceClock(now)
-	g.peers = newPeerSet(g.cfg.Self, peers)
-	if g.leadership != nil {
-		g.leadership.trackMembers()
-	}
-}
-
-// SetSuspected tells which members are thought to be down, for instance by the
-// membership. It shortens the wait of later members in the agreed order and has
-// no bearing on safety.
-func (g *Group) SetSuspected(suspected []member.ID) {
-	g.election.timer.suspected = slices.Clone(suspected)
-}
-
 // adoptsTerm tells whether this member goes on to the newer term of the message. A
 // candidate's term does not bind a member that hears a live leader, unless that leader
 // asked for the campaign: a member that was cut off must not depose a leader that
@@ -198,5 +198,5 @@
 func (g *Group) becomeLeader() {
 	g.election.follow(g.hard.Term, g.cfg.Self)
 	g.election.timer.lostLeader = ""
-	g.leadership = newLeadership(g.replica, &g.reads)
+	g.leadership = newLeadership(g.memberState, &g.reads)
 }
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -13,7 +13,7 @@
 // long as the leadership exists. It passes replies and time between the concerns of a
 // leader.
 type leadership struct {
-	*replica
+	*memberState
 	// reads outlive the leadership, as those that wait fail after it.
 	reads      *readQueue
 	replicator logReplicator
@@ -28,14 +28,14 @@
 // newLeadership begins to lead the present term with a barrier entry: its commit
 // commits all entries that earlier terms left. In an empty log that entry names the
 // founding voters, so that the log alone tells of the group from then on.
-func newLeadership(r *replica, reads *readQueue) *leadership {
+func newLeadership(r *memberState, reads *readQueue) *leadership {
 	l := &leadership{
-		replica:    r,
-		reads:      reads,
-		replicator: logReplicator{replica: r, followers: newTracker(r.self(), r.cfg.ElectionTimeout)},
-		lease:      newCommandLease(r.cfg.leaseTiming(), r.now),
+		memberState: r,
+		reads:       reads,
+		replicator:  logReplicator{memberState: r, followers: newTracker(r.self(), r.cfg.ElectionTimeout)},
+		lease:       newCommandLease(r.cfg.leaseTiming(), r.now),
 	}
-	l.transfer = leadershipTransfer{replica: r, followers: &l.replicator.followers}
+	l.transfer = leadershipTransfer{memberState: r, followers: &l.replicator.followers}
 	l.trackMembers()
 	if l.log.lastIndex() == 0 {
 		l.barrier = l.replicator.append(EntryGroupChange, encodeSlots(l.slots()))
@@ -60,19 +60,6 @@
 	}
 }
 
-// trackMembers follows a change of the group or of the peers.
-func (l *leadership) trackMembers() {
-	l.replicator.trackMembers(l.heartbeats.number)
-}
-
-// checkNotTransferring fails with a *NotLeaderError on a leader that hands the leadership over.
-func (l *leadership) checkNotTransferring() error {
-	if l.transfer.inProgress() {
-		return &NotLeaderError{Leader: l.transfer.target}
-	}
-	return nil
-}
-
 // propose appends a command.
 func (l *leadership) propose(command []byte) (index uint64, err error) {
 	if err := l.checkNotTransferring(); err != nil {
@@ -113,6 +100,25 @@
 	return nil
 }
 
+// mayCommand tells whether the leader has the command lease at now.
+func (l *leadership) mayCommand(now time.Duration) bool {
+	return !l.transfer.inProgress() && l.barrierApplied() && l.lease.mayAct(now, l.now)
+}
+
+// barrierApplied tells whether all is applied that was there when the leadership
+// began.
+func (l *leadership) barrierApplied() bool {
+	return l.log.applied >= l.barrier
+}
+
+// checkNotTransferring fails with a *NotLeaderError on a leader that hands the leadership over.
+func (l *leadership) checkNotTransferring() error {
+	if l.transfer.inProgress() {
+		return &NotLeaderError{Leader: l.transfer.target}
+	}
+	return nil
+}
+
 // stepReply handles the reply of a follower in the present term. That of a lost
 // incarnation is dropped.
 func (l *leadership) stepReply(from member.ID, m Message) error {
@@ -208,15 +214,6 @@
 	l.heartbeats.lastIndex = l.log.lastIndex()
 }
 
-// proposeDueChange proposes the change that is due once it has the acknowledgements
-// that it waits for.
-func (l *leadership) proposeDueChange() {
-	if change, due := l.repair.take(l.changePlanner()); due {
-		// An error is not final: the next heartbeat finds the change again.
-		_ = l.proposeGroupChange(change)
-	}
-}
-
 // confirmHeartbeats extends the command lease and answers reads by the heartbeats
 // that a majority has acknowledged. Reads wait also for the commit of the barrier, as
 // the leader can't know the last committed entry before.
@@ -235,15 +232,13 @@
 	}
 }
 
-// barrierApplied tells whether all is applied that was there when the leadership
-// began.
-func (l *leadership) barrierApplied() bool {
-	return l.log.applied >= l.barrier
-}
-
-// mayCommand tells whether the leader has the command lease at now.
-func (l *leadership) mayCommand(now time.Duration) bool {
-	return !l.transfer.inProgress() && l.barrierApplied() && l.lease.mayAct(now, l.now)
+// proposeDueChange proposes the change that is due once it has the acknowledgements
+// that it waits for.
+func (l *leadership) proposeDueChange() {
+	if change, due := l.repair.take(l.changePlanner()); due {
+		// An error is not final: the next heartbeat finds the change again.
+		_ = l.proposeGroupChange(change)
+	}
 }
 
 // changePlanner judges changes of the group by what the leader knows at present.
@@ -259,3 +254,8 @@
 		caughtUpIndex: l.heartbeats.lastIndex,
 	}
 }
+
+// trackMembers follows a change of the group or of the peers.
+func (l *leadership) trackMembers() {
+	l.replicator.trackMembers(l.heartbeats.number)
+}
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -10,7 +10,7 @@
 // progress the leader accepts nothing new, so that the target can get the whole log.
 // A transfer that fails harms nobody: the target campaigns like any other candidate.
 type leadershipTransfer struct {
-	*replica
+	*memberState
 	followers *tracker
 	// target is the member that is to take over, or empty.
 	target    member.ID
--- a/pkg/replication/log_replicator.go
+++ b/pkg/replication/log_replicator.go
@@ -9,7 +9,7 @@
 // logReplicator brings the leader's log to the followers, and commits what a majority
 // of the voters has. It owns which members are tracked and their progress.
 type logReplicator struct {
-	*replica
+	*memberState
 	followers tracker
 	// appendPending tells that followers have yet to be sent new entries or a new
 	// commit index.
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -29,7 +29,7 @@
 // would grant a recovery term, then it requests the grants for term. A recovery term
 // is a term like any other, with one vote: the election keeps that.
 type quorumRecovery struct {
-	*replica
+	*memberState
 	election *election
 	// term is the recovery term that this member has begun, or 0.
 	term uint64
@@ -47,26 +47,6 @@
 	stateExpected bool
 }
 
-// current tells whether the recovery term of this member is still the newest term.
-func (r *quorumRecovery) current() bool {
-	return r.term != 0 && r.term == r.hard.Term && !r.election.leads()
-}
-
-// won tells whether all have granted the recovery term.
-func (r *quorumRecovery) won() bool {
-	return r.current() && r.grantedByAll()
-}
-
-// grantedByAll tells whether the members of all slots have granted. A member with an
-// empty log knows the founders only, and waits for all peers: one of them may be a
-// later voter.
-func (r *quorumRecovery) grantedByAll() bool {
-	if !r.granted.includeSlots(r.slots()) {
-		return false
-	}
-	return r.log.lastIndex() > 0 || r.granted.includePeers(r.peers)
-}
-
 // tick asks, while no leader is heard, whether the group must be recovered: one slot
 // after the other. It is true while a recovery term of this member awaits its grants,
 // which rules out an election.
@@ -104,66 +84,6 @@
 	return true
 }
 
-// stop ends the attempt.
-func (r *quorumRecovery) stop() {
-	r.term = 0
-	r.granted = nil
-}
-
-// stopUntil ends the attempt; another one follows.
-func (r *quorumRecovery) stopUntil(retryAt time.Duration) {
-	r.stop()
-	r.retryAt = retryAt
-}
-
-// startTerm begins a recovery term and votes for this member itself. The vote counts
-// once it is durable, see Group.acknowledgeSelf.
-func (r *quorumRecovery) startTerm() {
-	term := r.nextTerm()
-	r.election.voteForSelf(term)
-	r.term = term
-	r.lastTerm = term
-	r.startedAt = r.now
-	r.granted = nil
-	r.requestGrants()
-}
-
-// nextTerm is above the highest term that is known, and is one that no other position
-// among the slots chooses: of two recovery terms at a time one is higher, and wins.
-func (r *quorumRecovery) nextTerm() uint64 {
-	newest := max(r.hard.Term, r.termFloor)
-	term := newest + recoveryTermStep
-	if newest == r.lastTerm && newest > 0 {
-		// This member's last recovery term was not granted, and is a step above the
-		// others already.
-		term = newest + 1
-	}
-	group := r.slots()
-	position := uint64(group.position(r.cfg.Self))
-	for term%uint64(len(group)) != position {
-		term++
-	}
-	return term
-}
-
-// requestGrants asks the members of all slots that have not granted, and the other
-// peers, one of which may be a voter of a newer group.
-func (r *quorumRecovery) requestGrants() {
-	r.requestedAt = r.now
-	for _, id := range r.otherMembers() {
-		if r.granted.includes(id) {
-			continue
-		}
-		r.send(id, Message{
-			Type:      MessageRecoveryRequest,
-			Term:      r.term,
-			Index:     r.log.lastIndex(),
-			IndexTerm: r.log.lastTerm(),
-			PreVote:   r.term == 0,
-		})
-	}
-}
-
 // stepRequest grants a recovery term to a log that is up to date, durably before the
 // reply leaves. The term of the reply is the highest one that was seen here.
 func (r *quorumRecovery) stepRequest(from member.ID, m Message) {
@@ -204,6 +124,30 @@
 	r.addGrant(Voter{ID: from, Incarnation: m.Incarnation})
 }
 
+// restartAbove begins another recovery term above a term that was in use, if the one
+// that this member has won does not lie above it.
+func (r *quorumRecovery) restartAbove(term uint64) {
+	r.raiseTermFloor(term)
+	if r.won() && r.term <= term {
+		r.lastTerm = 0
+		r.startTerm()
+	}
+}
+
+// appendGroup appends the entries that begin the recovered group: the state, then the
+// group of the incarnations that have granted. In this order, a member that knows the
+// new group has the state too. An empty log gets the group before that first. A
+// recovery term forms one group only, as the term may outlast the leadership.
+func (r *quorumRecovery) appendGroup(state []byte) {
+	group := r.slots()
+	if r.log.lastIndex() == 0 {
+		r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(group))
+	}
+	r.log.appendNew(r.hard.Term, EntryRestore, state)
+	r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(r.granted.regroup(group)))
+	r.stopUntil(r.now + r.cfg.HeartbeatEvery)
+}
+
 // addGrant counts the first grant of a member.
 func (r *quorumRecovery) addGrant(from Voter) {
 	if !r.granted.includes(from.ID) {
@@ -228,31 +172,87 @@
 	}
 }
 
+// startTerm begins a recovery term and votes for this member itself. The vote counts
+// once it is durable, see Group.acknowledgeSelf.
+func (r *quorumRecovery) startTerm() {
+	term := r.nextTerm()
+	r.election.voteForSelf(term)
+	r.term = term
+	r.lastTerm = term
+	r.startedAt = r.now
+	r.granted = nil
+	r.requestGrants()
+}
+
+// nextTerm is above the highest term that is known, and is one that no other position
+// among the slots chooses: of two recovery terms at a time one is higher, and wins.
+func (r *quorumRecovery) nextTerm() uint64 {
+	newest := max(r.hard.Term, r.termFloor)
+	term := newest + recoveryTermStep
+	if newest == r.lastTerm && newest > 0 {
+		// This member's last recovery term was not granted, and is a step above the
+		// others already.
+		term = newest + 1
+	}
+	group := r.slots()
+	position := uint64(group.position(r.cfg.Self))
+	for term%uint64(len(group)) != position {
+		term++
+	}
+	return term
+}
+
+// requestGrants asks the members of all slots that have not granted, and the other
+// peers, one of which may be a voter of a newer group.
+func (r *quorumRecovery) requestGrants() {
+	r.requestedAt = r.now
+	for _, id := range r.otherMembers() {
+		if r.granted.includes(id) {
+			continue
+		}
+		r.send(id, Message{
+			Type:      MessageRecoveryRequest,
+			Term:      r.term,
+			Index:     r.log.lastIndex(),
+			IndexTerm: r.log.lastTerm(),
+			PreVote:   r.term == 0,
+		})
+	}
+}
+
+// stop ends the attempt.
+func (r *quorumRecovery) stop() {
+	r.term = 0
+	r.granted = nil
+}
+
+// stopUntil ends the attempt; another one follows.
+func (r *quorumRecovery) stopUntil(retryAt time.Duration) {
+	r.stop()
+	r.retryAt = retryAt
+}
+
 // raiseTermFloor notes a term that was in use.
 func (r *quorumRecovery) raiseTermFloor(term uint64) {
 	r.termFloor = max(r.termFloor, term)
 }
 
-// restartAbove begins another recovery term above a term that was in use, if the one
-// that this member has won does not lie above it.
-func (r *quorumRecovery) restartAbove(term uint64) {
-	r.raiseTermFloor(term)
-	if r.won() && r.term <= term {
-		r.lastTerm = 0
-		r.startTerm()
-	}
+// won tells whether all have granted the recovery term.
+func (r *quorumRecovery) won() bool {
+	return r.current() && r.grantedByAll()
 }
 
-// appendGroup appends the entries that begin the recovered group: the state, then the
-// group of the incarnations that have granted. In this order, a member that knows the
-// new group has the state too. An empty log gets the group before that first. A
-// recovery term forms one group only, as the term may outlast the leadership.
-func (r *quorumRecovery) appendGroup(state []byte) {
-	group := r.slots()
-	if r.log.lastIndex() == 0 {
-		r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(group))
+// current tells whether the recovery term of this member is still the newest term.
+func (r *quorumRecovery) current() bool {
+	return r.term != 0 && r.term == r.hard.Term && !r.election.leads()
+}
+
+// grantedByAll tells whether the members of all slots have granted. A member with an
+// empty log knows the founders only, and waits for all peers: one of them may be a
+// later voter.
+func (r *quorumRecovery) grantedByAll() bool {
+	if !r.granted.includeSlots(r.slots()) {
+		return false
 	}
-	r.log.appendNew(r.hard.Term, EntryRestore, state)
-	r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(r.granted.regroup(group)))
-	r.stopUntil(r.now + r.cfg.HeartbeatEvery)
+	return r.log.lastIndex() > 0 || r.granted.includePeers(r.peers)
 }
