--- a/pkg/replication/group_recovery.go
+++ b/pkg/replication/group_recovery.go
@@ -26,7 +26,9 @@
 func (g *Group) RaiseRecoveryTerm(term uint64) { g.recovery.restartAbove(term) }
 
 // Unapplied returns the entries that the state machine above has not applied,
-// whether they are committed or not. A group that is recovered keeps them.
+// whether they are committed or not. A group that is recovered keeps them. It is for a
+// member that has won a recovery term: what it installed of a leader before is applied
+// by then, as its own vote counts only after Advance.
 func (g *Group) Unapplied() []Entry {
 	return slices.Clone(g.log.slice(g.log.applied+1, g.log.lastIndex()))
 }
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -28,14 +28,14 @@
 // newLeadership begins to lead the present term with a barrier entry: its commit
 // commits all entries that earlier terms left. In an empty log that entry names the
 // founding voters, so that the log alone tells of the group from then on.
-func newLeadership(r *memberState, reads *readQueue) *leadership {
+func newLeadership(state *memberState, reads *readQueue) *leadership {
 	l := &leadership{
-		memberState: r,
+		memberState: state,
 		reads:       reads,
-		replicator:  logReplicator{memberState: r, followers: newTracker(r.self(), r.cfg.ElectionTimeout)},
-		lease:       newCommandLease(r.cfg.leaseTiming(), r.now),
+		replicator:  logReplicator{memberState: state, followers: newTracker(state.self(), state.cfg.ElectionTimeout)},
+		lease:       newCommandLease(state.cfg.leaseTiming(), state.now),
 	}
-	l.transfer = leadershipTransfer{memberState: r, followers: &l.replicator.followers}
+	l.transfer = leadershipTransfer{memberState: state, followers: &l.replicator.followers}
 	l.trackMembers()
 	if l.log.lastIndex() == 0 {
 		l.barrier = l.replicator.append(EntryGroupChange, encodeSlots(l.slots()))
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -5,7 +5,9 @@
 // replicaLog is the part of the log that a member has: the entries after offset, and
 // the newest snapshot, which covers at least everything up to offset.
 //
-// applied <= committed <= lastIndex, and durable <= lastIndex, hold always.
+// applied <= committed <= lastIndex, and durable <= lastIndex, hold always. After a
+// snapshot of the leader was installed, applied lies before offset until the driver has
+// applied that snapshot.
 type replicaLog struct {
 	offset     uint64
 	offsetTerm uint64
@@ -69,8 +71,8 @@
 	return index >= l.lastIndex()
 }
 
-// isAtLeastAsNew tells whether this log has at least what one that ends with (index,
-// term) may have committed.
+// isAtLeastAsNew tells whether a log that ends with (index, term) is not newer than this
+// one.
 func (l *replicaLog) isAtLeastAsNew(index, term uint64) bool {
 	return term < l.lastTerm() || (term == l.lastTerm() && index <= l.lastIndex())
 }
@@ -196,7 +198,8 @@
 	}
 }
 
-// install replaces the whole log by the snapshot.
+// install replaces the whole log by the snapshot. It counts as durable at once: the next
+// Ready has it, and whatever acknowledges it.
 func (l *replicaLog) install(snapshot *Snapshot) {
 	l.snapshot = snapshot
 	l.offset = snapshot.Index
--- a/pkg/replication/message.go
+++ b/pkg/replication/message.go
@@ -33,16 +33,21 @@
 // MessageType; fields that a type does not use are zero.
 type Message struct {
 	Type MessageType
+	// Term is that of the sender, or the one that it requests or grants.
 	Term uint64
 	// Incarnation is the incarnation of the sender's durable state. What the sender
 	// grants or acknowledges counts for that incarnation only.
 	Incarnation uint64
-	// Index is the entry before Entries, the sender's last entry, or the last
-	// matching entry, by type.
+	// Index is that of an entry, by type: the sender's last one in a request of votes or
+	// of a recovery, in the reply of a voter to the latter, and in a heartbeat; the one
+	// before Entries in an append; the last matching one in a reply to it, or the one
+	// that is missing if it rejects; Snapshot.Index beside a snapshot.
 	Index uint64
-	// IndexTerm is the term of the entry at Index.
+	// IndexTerm is the term of the entry at Index, or at RejectHint in a reply that
+	// rejects an append.
 	IndexTerm uint64
-	Commit    uint64
+	// Commit is the sender's commit index.
+	Commit uint64
 	// HeartbeatNumber numbers a leader's heartbeats; replies echo it.
 	HeartbeatNumber uint64
 	// PreVote requests a grant without raising terms, so that a member that can't
@@ -53,7 +58,8 @@
 	Transfer bool
 	// Learner tells that the sender of a reply refuses a vote.
 	Learner bool
-	Reject  bool
+	// Reject tells that a reply grants or acknowledges nothing.
+	Reject bool
 	// RejectHint is the index up to which the logs may agree, in a reply that
 	// rejects an append.
 	RejectHint uint64
