--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -1,34 +1,26 @@
 package replication
 
 import (
+	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Group is one member's state machine of a replica group. Each concern keeps its
-// state in a type of its own, see the package comment. It is not safe for
-// concurrent use.
+// Group is one member's state machine of a replica group. It passes messages, time and
+// decisions between the types that each own the state of one concern, see the package
+// comment. It is not safe for concurrent use.
 type Group struct {
-	cfg Config
-	// now is the newest instant that the driver has passed in.
-	now time.Duration
-	// hard is the present term and vote. They bind this member at once, and are
-	// durable before any message that tells of them leaves.
-	hard HardState
-	log  *replicaLog
-	role Role
-	// leader is the member that is known to lead hard.Term, or empty.
-	leader member.ID
-	peers  peerSet
-
-	timer    electionTimer
-	campaign campaign
+	*memberState
+	election election
+	follower follower
 	recovery quorumRecovery
-	// leadership is zero unless role is RoleLeader.
-	leadership leadership
-	reads      readQueue
-	output     output
+	// leadership is nil unless this member leads.
+	leadership *leadership
+	// reads outlive the leadership that they wait for.
+	reads readQueue
+	// outstanding is the Ready that Advance was not called for yet.
+	outstanding *Ready
 }
 
 // New returns the state machine of a member with its durable state; the zero
@@ -42,30 +34,57 @@
 	if err := restored.check(); err != nil {
 		return nil, err
 	}
-	g := &Group{
+	state := &memberState{
 		cfg:  cfg,
 		now:  now,
-		hard: restored.HardState,
+		hard: newTermState(restored.HardState),
 		log:  restoreLog(restored, foundingSlots(cfg.Founders)),
 	}
-	g.output.persisted = g.hard
-	g.role = g.followerRole()
-	g.timer.waitFrom = now
+	g := &Group{
+		memberState: state,
+		election:    election{memberState: state},
+		follower:    follower{memberState: state},
+	}
+	g.recovery = quorumRecovery{memberState: state, election: &g.election}
+	g.election.timer.restart(now)
 	return g, nil
 }
 
+// SetPeers tells which members with a disk are known at present, for instance by
+// gossip. The leader sends the log to all of them: those without a vote follow as
+// learners, and are given one when they have caught up. It has no bearing on
+// safety.
+func (g *Group) SetPeers(now time.Duration, peers []Peer) {
+	g.advanceClock(now)
+	g.peers = newPeerSet(g.cfg.Self, peers)
+	if g.leadership != nil {
+		g.leadership.trackMembers()
+	}
+}
+
+// SetSuspected tells which members are thought to be down, for instance by the
+// membership. It shortens the wait of later members in the agreed order and has
+// no bearing on safety.
+func (g *Group) SetSuspected(suspected []member.ID) {
+	g.election.timer.suspected = slices.Clone(suspected)
+}
+
 // Tick advances the time. The driver calls it several times per HeartbeatEvery.
 func (g *Group) Tick(now time.Duration) {
 	g.advanceClock(now)
-	switch g.role {
+	switch g.election.role() {
 	case RoleLeader:
-		g.tickLeader()
+		if !g.leadership.hasLiveMajority() {
+			g.becomeFollower(g.hard.Term, "")
+			return
+		}
+		g.leadership.tick()
 	case RoleFollower, RoleCandidate:
-		if !g.tickRecovery() {
-			g.tickElection()
+		if !g.recovery.tick() {
+			g.election.tick()
 		}
 	case RoleLearner:
-		g.tickRecovery()
+		g.recovery.tick()
 	}
 }
 
@@ -80,110 +99,104 @@
 	if from == g.cfg.Self || from == "" {
 		return &MessageError{From: from, Type: m.Type, Message: "the sender is not another member: check that no two members run under one ID"}
 	}
+	if m.Term > g.hard.Term && g.adoptsTerm(from, m) {
+		g.becomeFollower(m.Term, "")
+	}
 	switch m.Type {
 	case MessageVoteRequest:
-		g.stepVoteRequest(from, m)
+		g.election.stepVoteRequest(from, m)
 		return nil
 	case MessageVoteReply:
-		g.stepVoteReply(from, m)
+		if g.election.stepVoteReply(from, m) {
+			g.becomeLeader()
+		}
 		return nil
 	case MessageRecoveryRequest:
-		g.stepRecoveryRequest(from, m)
+		g.recovery.stepRequest(from, m)
 		return nil
 	case MessageRecoveryReply:
-		g.stepRecoveryReply(from, m)
+		g.recovery.stepReply(from, m)
 		return nil
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return g.stepFromLeader(from, m)
 	case MessageAppendReply, MessageHeartbeatReply:
-		return g.stepToLeader(from, m)
+		if g.leadership == nil || m.Term < g.hard.Term || !g.recognizes(from) {
+			return nil
+		}
+		return g.leadership.stepReply(from, m)
 	default:
 		return &MessageError{From: from, Type: m.Type, Message: "unknown type: run the same version on all members"}
 	}
 }
 
-// advanceClock keeps the time from running backwards.
-func (g *Group) advanceClock(now time.Duration) {
-	g.now = max(g.now, now)
-}
-
-// self is this member in its present incarnation.
-func (g *Group) self() Voter {
-	return Voter{ID: g.cfg.Self, Incarnation: g.cfg.Incarnation}
-}
-
-// slots returns the group that is in effect.
-func (g *Group) slots() slots {
-	return g.log.groups.latest().slots
-}
-
-// followerRole is the role of a member that neither leads nor campaigns. Only a
-// voter campaigns, as only it can win by the group that it knows.
-func (g *Group) followerRole() Role {
-	if g.cfg.Learner || !g.slots().votes(g.self()) {
-		return RoleLearner
+// adoptsTerm tells whether this member goes on to the newer term of the message. A
+// candidate's term does not bind a member that hears a live leader, unless that leader
+// asked for the campaign: a member that was cut off must not depose a leader that
+// works. A recovery term binds only who can grant it. The term of a reply binds a
+// member that asked for the reply, whatever its role is by now. What a leader sends is
+// checked first, see stepFromLeader.
+func (g *Group) adoptsTerm(from member.ID, m Message) bool {
+	switch m.Type {
+	case MessageVoteRequest, MessageRecoveryRequest:
+		if m.PreVote || g.cfg.Learner || (g.election.hasLiveLeader() && !m.Transfer) {
+			return false
+		}
+		return m.Type == MessageVoteRequest || g.log.isUpToDate(m.Index, m.IndexTerm)
+	case MessageVoteReply:
+		// A grant of a pre-vote is in a term that nobody has begun.
+		return m.Reject && g.recognizes(from)
+	case MessageAppendReply, MessageHeartbeatReply:
+		return g.recognizes(from)
+	default:
+		return false
 	}
-	return RoleFollower
 }
 
-// updateRole follows a change of the group that entries of the leader made.
-func (g *Group) updateRole() {
-	if g.role == RoleFollower || g.role == RoleLearner {
-		g.role = g.followerRole()
+// stepFromLeader handles the messages that only the leader of their term sends.
+func (g *Group) stepFromLeader(from member.ID, m Message) error {
+	if m.Term < g.hard.Term {
+		g.follower.rejectStaleLeader(from, m)
+		return nil
+	}
+	// The checks come first so that a message in error changes nothing.
+	if err := g.election.checkLeader(from, m); err != nil {
+		return err
 	}
+	if err := g.follower.check(from, m); err != nil {
+		return err
+	}
+	if m.Term > g.hard.Term || g.election.leader == "" {
+		g.becomeFollower(m.Term, from)
+	}
+	g.election.timer.heardLeader(from, g.now)
+	switch {
+	case m.Type == MessageAppend:
+		g.follower.stepAppend(from, m)
+	case m.Type == MessageSnapshot:
+		g.follower.stepSnapshot(from, m)
+	case m.Transfer && g.election.role() == RoleFollower:
+		g.election.startCampaign(true)
+	default:
+		g.follower.stepHeartbeat(from, m)
+	}
+	return nil
 }
 
 // becomeFollower makes the member a follower (or learner) of term. The leader may
 // be unknown yet. It ends a campaign and a leadership.
 func (g *Group) becomeFollower(term uint64, leader member.ID) {
-	if term > g.hard.Term {
-		g.hard.Term = term
-		g.hard.VotedFor = ""
-		g.hard.VotedForIncarnation = 0
-	}
-	if g.role == RoleLeader {
-		g.timer.waitFrom = g.now
+	if g.election.leads() {
+		g.election.timer.restart(g.now)
 		g.reads.failWaiting()
+		g.leadership = nil
 	}
-	g.role = g.followerRole()
-	g.leader = leader
-	g.leadership = leadership{}
-	g.campaign = campaign{}
-	g.timer.candidateBehind = false
-}
-
-// voteForSelf makes this member the one that the present term is granted to. The
-// vote counts once it is durable, see acknowledgeSelf.
-func (g *Group) voteForSelf() {
-	g.hard.VotedFor = g.cfg.Self
-	g.hard.VotedForIncarnation = g.cfg.Incarnation
-}
-
-// recognizes tells whether the member has a slot or is a peer.
-func (g *Group) recognizes(id member.ID) bool {
-	return g.slots().position(id) >= 0 || g.peers.find(id) != nil
-}
-
-// otherMembers returns the other members: those with a slot, then the peers
-// without one.
-func (g *Group) otherMembers() []member.ID {
-	group := g.slots()
-	others := make([]member.ID, 0, len(group)+len(g.peers))
-	for _, slot := range group {
-		if slot.ID != g.cfg.Self {
-			others = append(others, slot.ID)
-		}
-	}
-	for _, peer := range g.peers {
-		if group.position(peer.ID) < 0 {
-			others = append(others, peer.ID)
-		}
-	}
-	return others
+	g.election.follow(term, leader)
 }
 
-// send queues a message for the next Ready.
-func (g *Group) send(to member.ID, m Message) {
-	m.Incarnation = g.cfg.Incarnation
-	g.output.queue(to, m)
+// becomeLeader makes this member the leader of the present term, which a majority has
+// granted to it, or all members in a recovery.
+func (g *Group) becomeLeader() {
+	g.election.follow(g.hard.Term, g.cfg.Self)
+	g.election.timer.lostLeader = ""
+	g.leadership = newLeadership(g.memberState, &g.reads)
 }
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -5,7 +5,9 @@
 // replicaLog is the part of the log that a member has: the entries after offset, and
 // the newest snapshot, which covers at least everything up to offset.
 //
-// applied <= committed <= lastIndex, and durable <= lastIndex, hold always.
+// applied <= committed <= lastIndex, and durable <= lastIndex, hold always. After a
+// snapshot of the leader was installed, applied lies before offset until the driver has
+// applied that snapshot.
 type replicaLog struct {
 	offset     uint64
 	offsetTerm uint64
@@ -69,9 +71,9 @@
 	return index >= l.lastIndex()
 }
 
-// isNewest tells whether a log that ends with (index, term) is not newer than this
+// isAtLeastAsNew tells whether a log that ends with (index, term) is not newer than this
 // one.
-func (l *replicaLog) isNewest(index, term uint64) bool {
+func (l *replicaLog) isAtLeastAsNew(index, term uint64) bool {
 	return term < l.lastTerm() || (term == l.lastTerm() && index <= l.lastIndex())
 }
 
@@ -107,6 +109,13 @@
 	}
 }
 
+// appendNew appends a new entry of the term after the last one.
+func (l *replicaLog) appendNew(term uint64, kind EntryKind, command []byte) (index uint64) {
+	entry := Entry{Index: l.lastIndex() + 1, Term: term, Kind: kind, Command: slices.Clone(command)}
+	l.append(entry)
+	return entry.Index
+}
+
 // maybeAppend appends entries after the entry (index, term). It is false if the log
 // does not have that entry; otherwise it returns the last new index.
 func (l *replicaLog) maybeAppend(index, term uint64, entries []Entry) (last uint64, ok bool) {
@@ -167,6 +176,11 @@
 	return true
 }
 
+// applyTo records that the driver has applied everything up to index.
+func (l *replicaLog) applyTo(index uint64) {
+	l.applied = max(l.applied, index)
+}
+
 // notDurable returns the entries that the driver has yet to write.
 func (l *replicaLog) notDurable() []Entry {
 	return l.slice(l.durable+1, l.lastIndex())
@@ -184,7 +198,8 @@
 	}
 }
 
-// install replaces the whole log by the snapshot.
+// install replaces the whole log by the snapshot. It counts as durable at once: the next
+// Ready has it, and whatever acknowledges it.
 func (l *replicaLog) install(snapshot *Snapshot) {
 	l.snapshot = snapshot
 	l.offset = snapshot.Index
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -1,13 +1,6 @@
 package replication
 
-import (
-	"slices"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-)
-
-// maxQueuedMessages bounds the messages that wait for a Ready.
-const maxQueuedMessages = 4096
+import "slices"
 
 // Ready is what the driver has to do, in the order of the package comment.
 type Ready struct {
@@ -34,86 +27,56 @@
 	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil
 }
 
-// output collects what the next Ready will hand out.
-type output struct {
-	messages []Outbound
-	// snapshot was received and not handed out yet.
-	snapshot *Snapshot
-	// persisted is the newest HardState handed out.
-	persisted HardState
-	// outstanding is the Ready that Advance was not called for yet.
-	outstanding *Ready
-}
-
-// queue adds a message. While a sync stalls, the queue is bounded; a message that is
-// dropped then counts as lost on the way, and is repeated.
-func (o *output) queue(to member.ID, m Message) {
-	if len(o.messages) >= maxQueuedMessages {
-		return
-	}
-	o.messages = append(o.messages, Outbound{To: to, Message: m})
-}
-
 // HasReady tells whether Ready would hand out anything. It is false while a Ready is
 // outstanding.
 func (g *Group) HasReady() bool {
-	if g.output.outstanding != nil {
+	if g.outstanding != nil {
 		return false
 	}
-	return g.hardStateChanged() ||
-		g.output.snapshot != nil ||
-		len(g.output.messages) > 0 ||
-		g.leadership.appendPending ||
+	return g.hard.changed() ||
+		g.follower.received != nil ||
+		len(g.outbox) > 0 ||
+		g.appendPending() ||
 		g.log.durable < g.log.lastIndex() ||
 		g.log.applied < g.log.committed ||
-		len(g.reads.ready) > 0 ||
-		len(g.reads.failed) > 0
+		g.reads.hasResults()
 }
 
-// hardStateChanged ignores the commit index, which alone is not worth a sync: the
-// leader sends it again.
-func (g *Group) hardStateChanged() bool {
-	persisted := g.output.persisted
-	return g.hard.Term != persisted.Term || g.hard.VotedFor != persisted.VotedFor ||
-		g.hard.VotedForIncarnation != persisted.VotedForIncarnation
+// appendPending tells whether this member leads and has yet to send entries.
+func (g *Group) appendPending() bool {
+	return g.leadership != nil && g.leadership.replicator.appendPending
 }
 
 // Ready hands out what there is to do. It is empty while a Ready is outstanding;
 // Advance ends that.
 func (g *Group) Ready() Ready {
-	if g.output.outstanding != nil {
+	if g.outstanding != nil {
 		return Ready{}
 	}
-	if g.leadership.appendPending {
-		g.broadcastAppend()
+	if g.appendPending() {
+		g.leadership.replicator.broadcast()
 	}
 	ready := Ready{
-		Entries:     slices.Clone(g.log.notDurable()),
-		Snapshot:    g.output.snapshot,
-		Messages:    g.output.messages,
-		Committed:   g.notApplied(),
-		Reads:       g.reads.ready,
-		ReadsFailed: g.reads.failed,
+		Entries:   slices.Clone(g.log.notDurable()),
+		Snapshot:  g.follower.received,
+		Messages:  g.outbox,
+		Committed: g.notApplied(),
 	}
-	if ready.MustSync() || g.hardStateChanged() {
-		g.hard.Commit = g.log.committed
-		hard := g.hard
-		ready.HardState = &hard
-		g.output.persisted = hard
+	ready.Reads, ready.ReadsFailed = g.reads.handOut()
+	if ready.MustSync() || g.hard.changed() {
+		ready.HardState = g.hard.handOut(g.log.committed)
 	}
-	g.output.messages = nil
-	g.output.snapshot = nil
-	g.reads.ready = nil
-	g.reads.failed = nil
-	g.output.outstanding = &ready
+	g.outbox = nil
+	g.follower.received = nil
+	g.outstanding = &ready
 	return ready
 }
 
 // notApplied returns the committed entries that the driver has not applied.
 func (g *Group) notApplied() []Entry {
 	applied := g.log.applied
-	if g.output.snapshot != nil {
-		applied = g.output.snapshot.Index
+	if g.follower.received != nil {
+		applied = g.follower.received.Index
 	}
 	return slices.Clone(g.log.slice(applied+1, g.log.committed))
 }
@@ -121,35 +84,36 @@
 // Advance tells that all of the outstanding Ready is done: it is durable, sent and
 // applied.
 func (g *Group) Advance() {
-	ready := g.output.outstanding
+	ready := g.outstanding
 	if ready == nil {
 		return
 	}
-	g.output.outstanding = nil
+	g.outstanding = nil
 	if ready.Snapshot != nil {
-		g.log.applied = max(g.log.applied, ready.Snapshot.Index)
+		g.log.applyTo(ready.Snapshot.Index)
 	}
 	if count := len(ready.Committed); count > 0 {
-		g.log.applied = max(g.log.applied, ready.Committed[count-1].Index)
+		g.log.applyTo(ready.Committed[count-1].Index)
 	}
 	g.log.setDurable(ready.Entries)
 	g.acknowledgeSelf(ready)
 }
 
 // acknowledgeSelf lets this member's vote and entries count, as they are durable
-// now.
+// now. A vote counts only if it is of the present term: a later one may have begun
+// while the Ready was outstanding.
 func (g *Group) acknowledgeSelf(ready *Ready) {
-	votedForSelf := ready.HardState != nil && ready.HardState.Term == g.hard.Term &&
-		ready.HardState.VotedFor == g.cfg.Self && ready.HardState.VotedForIncarnation == g.cfg.Incarnation
-	if votedForSelf && g.recoveryTermCurrent() {
-		g.addRecoveryGrant(g.self())
+	hard := ready.HardState
+	votedForSelf := hard != nil && hard.Term == g.hard.Term && hard.votedFor(g.self())
+	if votedForSelf && g.recovery.current() {
+		g.recovery.addGrant(g.self())
 	}
-	switch g.role {
+	switch g.election.role() {
 	case RoleLeader:
-		g.maybeCommit()
+		g.leadership.commit()
 	case RoleCandidate:
-		if votedForSelf && !g.campaign.preVote {
-			g.addGrant(g.self())
+		if votedForSelf && !g.election.campaign.preVote && g.election.addGrant(g.self()) {
+			g.becomeLeader()
 		}
 	case RoleFollower, RoleLearner:
 	}
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -1,10 +1,6 @@
 package replication
 
-import (
-	"slices"
-
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-)
+import "slices"
 
 // Snapshot is the state after all entries up to and including Index.
 type Snapshot struct {
@@ -48,7 +44,7 @@
 // everything that it wrote before. It must not be called while a Ready is
 // outstanding, which could hold older records that are written after it.
 func (g *Group) Checkpoint() Restored {
-	hard := g.hard
+	hard := g.hard.HardState
 	hard.Commit = g.log.committed
 	first := g.log.offset + 1
 	if g.log.snapshot != nil {
@@ -60,45 +56,3 @@
 		Entries:   slices.Clone(g.log.slice(first, g.log.lastIndex())),
 	}
 }
-
-// sendSnapshot sends the newest snapshot. There is one whenever entries have been
-// dropped from the log.
-func (g *Group) sendSnapshot(to member.ID, follower *progress) {
-	snapshot := g.log.snapshot
-	follower.becomeSnapshot(snapshot.Index, g.now)
-	g.send(to, Message{
-		Type:     MessageSnapshot,
-		Term:     g.hard.Term,
-		Index:    snapshot.Index,
-		Snapshot: snapshot,
-	})
-}
-
-// checkSnapshot finds a snapshot of a group that can't be.
-func checkSnapshot(from member.ID, m Message) error {
-	if m.Snapshot == nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
-	}
-	if err := slots(m.Snapshot.Slots).check(); err != nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
-	}
-	return nil
-}
-
-// stepSnapshot installs the snapshot, unless the log has the entry at its index.
-func (g *Group) stepSnapshot(from member.ID, m Message) {
-	snapshot := m.Snapshot
-	if snapshot.Index <= g.log.committed {
-		g.acknowledge(from, g.log.committed)
-		return
-	}
-	if g.log.matches(snapshot.Index, snapshot.Term) {
-		g.log.commitTo(snapshot.Index)
-		g.acknowledge(from, snapshot.Index)
-		return
-	}
-	g.log.install(snapshot)
-	g.updateRole()
-	g.output.snapshot = snapshot
-	g.acknowledge(from, snapshot.Index)
-}
