--- a/internal/node/adapters.go
+++ b/internal/node/adapters.go
@@ -40,9 +40,10 @@
 	}
 }
 
-// controlService runs the control driver under the supervisor. It is never restarted
-// within the process, since the state in memory and on disk must stay in step: when it
-// fails, the node ends and starts again from its disk.
+// controlService runs the control driver under the supervisor. It must not be restarted
+// within the process, since the state in memory and on disk must stay in step. An error
+// that Serve returns ends the supervised loops; a panic, however, the supervisor answers
+// with a restart (see the findings in docs/ROADMAP.md).
 type controlService struct {
 	driver *driver.Driver
 }
