--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -1,13 +1,17 @@
 package kvrouter
 
-import "time"
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+)
 
 // blockModel estimates costs in blocks, for pools without an engine profile. The
 // router's lock guards it, and the caller of its methods holds it.
 type blockModel struct {
 	options    *Options
 	replicas   *registry
-	bandwidths linkBandwidths
+	bandwidths *speed.Bandwidths
 }
 
 // choose returns the candidate to take. The result is valid until the scratch
@@ -127,7 +131,7 @@
 		}
 		state := m.replicas.state(req.Now, candidates[i].Address)
 		backlog := state.load.total(req.Now, m.options).prefillTokens
-		shortest = min(shortest, state.prefillSpeed.timeFor(backlog, m.options))
+		shortest = min(shortest, state.prefillSpeed.TimeFor(backlog, m.options.PrefillTokensPerSecond))
 	}
 	return max(shortest, minRetryAfter)
 }
@@ -138,9 +142,10 @@
 	took := now - r.startedAt
 	computed := r.backlogTokens + r.computeTokens
 	if !r.pulls {
-		r.state.prefillSpeed.learn(computed, took)
+		r.state.prefillSpeed.Learn(computed, took)
 		return
 	}
-	pulling := took - r.state.prefillSpeed.timeFor(computed, m.options)
-	m.bandwidths.observePull(now, r.pull.zones, float64(r.pull.tokens), r.pull.sharedWith, pulling, m.options)
+	pulling := took - r.state.prefillSpeed.TimeFor(computed, m.options.PrefillTokensPerSecond)
+	bytes := float64(r.pull.tokens) * m.options.BytesPerToken
+	m.bandwidths.ObserveTransfer(now, r.pull.zones, bytes, r.pull.sharedWith, pulling)
 }
--- a/pkg/kvrouter/block_pull.go
+++ b/pkg/kvrouter/block_pull.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -64,18 +65,18 @@
 func (m *blockModel) estimatePull(req *Request, source *pullSource, state *replicaState, zone string, cached prefixindex.Extent) plannedPull {
 	planned := plannedPull{
 		source:     *source,
-		zones:      zonePair{from: source.zone, to: zone},
+		zones:      speed.Zones{From: source.zone, To: zone},
 		firstChunk: cached.Chunks,
 		tokens:     source.extent.Tokens - cached.Tokens,
 		sharedWith: source.state.pullsServed,
 	}
 	tokens := float64(planned.tokens)
-	planned.transfer = m.bandwidths.transferTime(req.Now, planned.zones, tokens, planned.sharedWith, m.options)
-	weighted := float64(planned.transfer) * m.options.PullAdvantage
+	planned.transferTime = m.bandwidths.TransferTime(req.Now, planned.zones, tokens*m.options.BytesPerToken, planned.sharedWith)
+	weighted := float64(planned.transferTime) * m.options.PullAdvantage
 	if source.zone != zone {
 		weighted *= m.options.CrossZoneFactor
 	}
-	prefill := state.prefillSpeed.timeFor(tokens, m.options)
+	prefill := state.prefillSpeed.TimeFor(tokens, m.options.PrefillTokensPerSecond)
 	planned.saved = prefill - time.Duration(weighted)
 	if planned.saved > 0 {
 		planned.savedFraction = float64(planned.saved) / float64(prefill)
--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -15,7 +15,8 @@
 //     reports, and the loads that other routers sent.
 //   - blockModel and timeModel: the cost models. A request with an EngineProfile is
 //     scored in the replicas' own time, one without in blocks of tokens. Each scores
-//     candidates, plans pulls, and learns speeds from first tokens.
+//     candidates, plans pulls, and learns speeds from first tokens; the estimators of
+//     package speed have what was learned.
 //   - Reservation: the load of one attempt, from its selection to its end.
 //
 // A selection goes through Select, lookUp (the overlaps of the prompt with what
--- a/pkg/kvrouter/engine.go
+++ b/pkg/kvrouter/engine.go
@@ -1,6 +1,10 @@
 package kvrouter
 
-import "time"
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+)
 
 // Defaults of EngineProfile.
 const (
@@ -44,7 +48,7 @@
 
 func (p EngineProfile) withDefaults(options *Options) EngineProfile {
 	setDefault(&p.BytesPerToken, options.BytesPerToken)
-	setDefault(&p.LinkBitsPerSecond, options.LinkBytesPerSecond*bitsPerByte)
+	setDefault(&p.LinkBitsPerSecond, options.LinkBytesPerSecond*units.BitsPerByte)
 	setDefault(&p.StoreLinkBitsPerSecond, p.LinkBitsPerSecond)
 	setDefault(&p.PrefillTokensPerMillisecond, DefaultPrefillTokensPerMillisecond)
 	setDefault(&p.FirstEvent, DefaultFirstEvent)
--- /dev/null
+++ b/pkg/kvrouter/internal/speed/doc.go
@@ -0,0 +1,18 @@
+// Package speed learns how fast pools, replicas and links are, from the time that
+// requests take to their first event.
+//
+//	estimator    of                                              used by
+//	Prefill      the prefill speed of one replica                block cost model
+//	Bandwidths   the bandwidth between two zones                 block cost model
+//	Latency      the time of a pool's replicas to first events   time cost model
+//	Slowness     one replica compared with its pool              time cost model
+//	Link         one owner's link for transfers                  time cost model
+//
+// Each estimator owns what it has observed and knows nothing of the others. Until it has
+// learned, it answers with the values that its caller assumes. None is safe for
+// concurrent use: the router's lock guards them.
+//
+// The time to a first event is all that a router sees. It includes queues of which the
+// router has no report, so that slow observations are weighed less than fast ones, or
+// count only when several come in a row.
+package speed
--- /dev/null
+++ b/pkg/kvrouter/internal/speed/link.go
@@ -0,0 +1,73 @@
+package speed
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// minLateMilliseconds is the least excess over the expected time of a transfer
+	// that makes it late.
+	minLateMilliseconds = 150.0
+	// lateTransfersForSlowdown is how many transfers in a row have to be late until
+	// their link counts as slow.
+	lateTransfersForSlowdown = 2
+	// slowdownHalfLife is the time in which the slowdown of a link halves.
+	slowdownHalfLife = 4 * time.Second
+	maxSlowdown      = 200.0
+)
+
+// Link is the state of one owner's link for transfers of cached chunks, which run
+// one after another. The zero value is free and not slow.
+type Link struct {
+	// freeAt is when the transfers planned so far have ended.
+	freeAt time.Duration
+	// slowdown is how many times longer transfers took than expected, at slowdownAt.
+	slowdown   float64
+	slowdownAt time.Duration
+	// lateInRow counts the late transfers since the last one on time.
+	lateInRow int
+}
+
+// FreeAt returns when the transfers planned so far have ended.
+func (l *Link) FreeAt() time.Duration { return l.freeAt }
+
+// ReserveUntil reserves the link for a transfer that ends at an instant.
+func (l *Link) ReserveUntil(end time.Duration) { l.freeAt = end }
+
+// Slowdown returns how many times longer transfers take now than expected.
+func (l *Link) Slowdown(now time.Duration) float64 {
+	if l.slowdown <= 1 {
+		return 1
+	}
+	halvings := float64(now-l.slowdownAt) / float64(slowdownHalfLife)
+	return max(1, l.slowdown*math.Exp2(-halvings))
+}
+
+// ObserveTransfer records how much later than expected, in milliseconds, a request
+// had its first event whose transfer should have taken a time, in milliseconds too. It
+// reports whether the transfer counts as late at both its ends.
+func ObserveTransfer(now time.Duration, source, target *Link, expected, excess float64) (late bool) {
+	if excess <= max(minLateMilliseconds, 2*expected) {
+		source.lateInRow = 0
+		target.lateInRow = 0
+		return false
+	}
+	ratio := (excess + expected) / max(expected, 1)
+	source.recordLate(now, ratio)
+	target.recordLate(now, ratio)
+	return true
+}
+
+// recordLate records a transfer that may have taken ratio times longer than
+// expected. Its request was late, because of the link or of a queue at the replica
+// that this router has no report of. Only several in a row are attributed to the
+// link.
+func (l *Link) recordLate(now time.Duration, ratio float64) {
+	l.lateInRow++
+	if l.lateInRow < lateTransfersForSlowdown {
+		return
+	}
+	l.slowdown = min(max(ratio, l.Slowdown(now)), maxSlowdown)
+	l.slowdownAt = now
+}
--- a/pkg/kvrouter/slowness.go
+++ b/pkg/kvrouter/internal/speed/slowness.go
@@ -1,4 +1,4 @@
-package kvrouter
+package speed
 
 import "time"
 
@@ -6,27 +6,33 @@
 	// slownessDecay is the factor by which the weight of earlier observations shrinks
 	// with each new one, and slownessPrior the weight of the assumption that the
 	// replica is as fast as its pool.
-	slownessDecay    = 0.9
-	slownessPrior    = 2.0
+	slownessDecay = 0.9
+	slownessPrior = 2.0
+	// minSlowness and maxSlowness bound the estimate, and maxObservedRatio what one
+	// observation may say.
 	minSlowness      = 0.3
 	maxSlowness      = 8.0
 	maxObservedRatio = 3.0
+	// slownessHalfLife is the time in which the weight of the observations halves.
 	slownessHalfLife = 20 * time.Second
+	// negligibleWeight is the weight below which observations no longer fade.
+	negligibleWeight = 0.01
 )
 
-// slowness is how many times longer one replica takes than its pool, as a weighted
+// Slowness is how many times longer one replica takes than its pool, as a weighted
 // sum of observations and the sum of their weights. Routers do not share it: if they
-// did, one queue would make a replica seem slow to all of them.
-type slowness struct {
+// did, one queue would make a replica seem slow to all of them. The zero value says
+// that the replica is as fast as its pool.
+type Slowness struct {
 	sum, weight float64
 	updatedAt   time.Duration
 }
 
-// observe records a ratio of observed to expected time.
-func (s *slowness) observe(now time.Duration, ratio, weight float64) {
+// Observe records a ratio of observed to expected time.
+func (s *Slowness) Observe(now time.Duration, ratio, weight float64) {
 	s.fade(now)
 	ratio = min(max(ratio, minSlowness), maxObservedRatio)
-	if ratio > s.factor() {
+	if ratio > s.Factor() {
 		weight *= lateWeight
 	}
 	s.sum = s.sum*slownessDecay + ratio*weight
@@ -34,8 +40,8 @@
 }
 
 // fade halves the weight of the observations with each half-life.
-func (s *slowness) fade(now time.Duration) {
-	for now-s.updatedAt >= slownessHalfLife && s.weight > 0.01 {
+func (s *Slowness) fade(now time.Duration) {
+	for now-s.updatedAt >= slownessHalfLife && s.weight > negligibleWeight {
 		s.sum /= 2
 		s.weight /= 2
 		s.updatedAt += slownessHalfLife
@@ -43,8 +49,8 @@
 	s.updatedAt = max(s.updatedAt, now-slownessHalfLife)
 }
 
-// factor returns how many times longer the replica takes than its pool.
-func (s *slowness) factor() float64 {
+// Factor returns how many times longer the replica takes than its pool. It is above 0.
+func (s *Slowness) Factor() float64 {
 	observed := (s.sum + slownessPrior) / (s.weight + slownessPrior)
 	return min(max(observed, minSlowness), maxSlowness)
 }
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -84,8 +85,8 @@
 	if !chosen.waits {
 		return nil
 	}
-	expected := chosen.timeTerms.slowness * req.latency.perToken * chosen.timeTerms.queuedTokens
-	wait := min(fromMilliseconds(waitFactor*expected)+waitMargin, maxWait)
+	expected := chosen.timeTerms.slowness * req.latency.PerToken() * chosen.timeTerms.queuedTokens
+	wait := min(units.FromMilliseconds(waitFactor*expected)+waitMargin, maxWait)
 	if req.MaxWait > 0 {
 		wait = min(wait, req.MaxWait)
 	}
--- a/pkg/kvrouter/pull.go
+++ b/pkg/kvrouter/pull.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -21,12 +22,13 @@
 // plannedPull is a pull with what its planning was based on.
 type plannedPull struct {
 	source     pullSource
-	zones      zonePair
+	zones      speed.Zones
 	firstChunk int
 	tokens     uint32
 	// sharedWith counts the pulls that were in progress from the source.
 	sharedWith int
-	transfer   time.Duration
+	// transferTime is the estimated time of the transfer, waits for the link included.
+	transferTime time.Duration
 	// saved is how much sooner the chunks are there than by prefill.
 	saved time.Duration
 	// savedFraction is saved as a fraction of the time of prefill, from 0 to 1.
@@ -42,6 +44,6 @@
 		FirstChunk:    p.firstChunk,
 		LastChunk:     p.source.extent.Chunks - 1,
 		Tokens:        p.tokens,
-		EstimatedTime: p.transfer,
+		EstimatedTime: p.transferTime,
 	}
 }
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -20,16 +22,16 @@
 	pullsServed int
 
 	// prefillSpeed is used by the block cost model.
-	prefillSpeed prefillSpeed
+	prefillSpeed speed.Prefill
 
 	// The fields below are used by the time cost model.
 
-	slowness slowness
+	slowness speed.Slowness
 	// perToken is the pool's learned time per token of prompt, in milliseconds.
 	perToken float64
 	// meanCompute is the moving average of the tokens that requests have to compute.
 	meanCompute  float64
-	transferLink transferLink
+	transferLink speed.Link
 }
 
 // restart starts slow start anew, and discards what is true of one incarnation
@@ -37,8 +39,8 @@
 // as their connections do.
 func (s *replicaState) restart(now time.Duration) {
 	s.load.discardOthers()
-	s.slowness = slowness{}
-	s.transferLink = transferLink{}
+	s.slowness = speed.Slowness{}
+	s.transferLink = speed.Link{}
 	s.slowStart.since = now
 }
 
@@ -55,7 +57,7 @@
 	if local+others <= 0 || s.perToken <= 0 {
 		return
 	}
-	computed := milliseconds(elapsed) / (s.perToken * s.slowness.factor())
+	computed := units.Milliseconds(elapsed) / (s.perToken * s.slowness.Factor())
 	localFraction := local / (local + others)
 	s.load.queue.drain(computed * localFraction)
 	s.load.shared.drain(computed * (1 - localFraction))
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -70,7 +71,7 @@
 	// promptTokens counts the tokens of all chunks.
 	promptTokens uint32
 	// latency is that of the model's replicas, when there is an engine profile.
-	latency *latencyModel
+	latency *speed.Latency
 	// harmWeight is Settings.HarmWeight adjusted to the present backlog.
 	harmWeight float64
 }
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -28,7 +29,7 @@
 
 	// work and latency are set with an engine profile.
 	work    *prefillWork
-	latency *latencyModel
+	latency *speed.Latency
 	// waited says that the attempt was held back by a PrefixWait, so that its time
 	// tells nothing of the replica's speed.
 	waited bool
@@ -72,7 +73,9 @@
 	}
 	if chosen.pulls {
 		chosen.pull.source.state.pullsServed++
-		reservation.reserveLinks(req.Now)
+		end := req.Now + chosen.pull.transferTime
+		chosen.pull.source.state.transferLink.ReserveUntil(end)
+		chosen.state.transferLink.ReserveUntil(end)
 	}
 	state := chosen.state
 	state.load.queue.add(reservation.work)
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -6,6 +6,7 @@
 
 	"github.com/samber/lo"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -60,13 +61,13 @@
 	r.index = prefixindex.New(r.options.Index)
 	r.pending = prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards})
 	r.replicas = registry{index: r.index, pending: r.pending, options: &r.options, byAddress: make(map[string]*replicaState)}
-	r.blockModel = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: newLinkBandwidths()}
+	r.blockModel = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: speed.NewBandwidths(r.options.LinkBytesPerSecond, r.options.LinkLatency)}
 	r.timeModel = timeModel{
-		options:       &r.options,
-		replicas:      &r.replicas,
-		index:         r.index,
-		pending:       r.pending,
-		latencyModels: make(map[string]*latencyModel),
+		options:   &r.options,
+		replicas:  &r.replicas,
+		index:     r.index,
+		pending:   r.pending,
+		latencies: make(map[string]*speed.Latency),
 	}
 	return r
 }
@@ -103,7 +104,7 @@
 func (r *Router) ObserveLinkBandwidth(fromZone, toZone string, bytesPerSecond float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.blockModel.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
+	r.blockModel.bandwidths.Observe(r.latest, speed.Zones{From: fromZone, To: toZone}, bytesPerSecond)
 }
 
 // Forget drops the state of an address that is no longer listed, or whose reports are not
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -103,7 +104,7 @@
 		return Decision{}, err
 	}
 	decision := newDecision(req, chosen)
-	decision.ExpectedDelay = fromMilliseconds(chosen.timeTerms.delay)
+	decision.ExpectedDelay = units.FromMilliseconds(chosen.timeTerms.delay)
 	decision.Save = r.timeModel.shouldSave(req, chosen.prompt)
 	decision.Wait = r.timeModel.prefixWait(req, chosen)
 	decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -52,12 +53,12 @@
 	s.backlogs = s.backlogs[:0]
 	for i := range candidates {
 		state := m.replicas.state(req.Now, candidates[i].Address)
-		state.perToken = req.latency.perToken
+		state.perToken = req.latency.PerToken()
 		state.drainBacklog(req.Now)
 		s.backlogs = append(s.backlogs, state.load.unread())
 	}
 	slices.Sort(s.backlogs)
-	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.latency.perToken
+	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.latency.PerToken()
 	req.harmWeight = min(req.Settings.HarmWeight*(1+backlog/req.Settings.HarmTime), max(maxHarmWeight, req.Settings.HarmWeight))
 }
 
@@ -71,10 +72,10 @@
 		view:      state.feed.view(req.Now),
 		overlap:   p.overlaps.Of(state.owner),
 	}
-	state.perToken = req.latency.perToken
+	state.perToken = req.latency.PerToken()
 	state.drainBacklog(req.Now)
 	terms := &scored.timeTerms
-	terms.slowness = state.slowness.factor()
+	terms.slowness = state.slowness.Factor()
 	if candidate.SlowStartUntil > req.Now {
 		terms.slowness *= slowStartSlowdown
 	}
@@ -92,7 +93,7 @@
 	scored.pull, scored.pulls = m.planPull(req, p, state, candidate, cached, terms.slowness)
 	if scored.pulls {
 		terms.computeTokens -= float64(scored.pull.tokens) * retainedFraction(req, state)
-		terms.pull = milliseconds(scored.pull.transfer)
+		terms.pull = units.Milliseconds(scored.pull.transferTime)
 		terms.price = scored.pull.price
 	}
 	if req.Zone != "" && req.Zone != candidate.Zone {
@@ -129,7 +130,7 @@
 
 // zonePrice is what sending the request to another zone costs, in milliseconds.
 func (req *Request) zonePrice() float64 {
-	kilobytes := float64(req.BodyBytes) / bytesPerKilobyte
+	kilobytes := float64(req.BodyBytes) / units.BytesPerKilobyte
 	return req.Settings.ZonePrice + req.Settings.ZonePricePerKilobyte*kilobytes
 }
 
@@ -143,8 +144,8 @@
 func (m *timeModel) addDelay(req *Request, terms *timeTerms, requests float64) {
 	work := terms.queuedTokens + terms.computeTokens
 	steps := 1 + work/req.Engine.PrefillChunk
-	batch := steps * requests * milliseconds(req.Engine.StepPerRequest)
-	terms.delay = terms.slowness*(req.latency.expected(work)+batch) + terms.pull
+	batch := steps * requests * units.Milliseconds(req.Engine.StepPerRequest)
+	terms.delay = terms.slowness*(req.latency.Expected(work)+batch) + terms.pull
 }
 
 // requestMemory returns the tokens that a request adds to the memory in use.
@@ -173,8 +174,8 @@
 // requests behind it are delayed by them too.
 func (m *timeModel) cost(req *Request, terms *timeTerms, active load) float64 {
 	settings := &req.Settings
-	blockTime := req.latency.perToken * float64(m.options.BlockTokens)
-	harm := terms.slowness * req.harmWeight * req.latency.perToken * terms.computeTokens
+	blockTime := req.latency.PerToken() * float64(m.options.BlockTokens)
+	harm := terms.slowness * req.harmWeight * req.latency.PerToken() * terms.computeTokens
 	pressure := terms.slowness * (active.decodeTokens + terms.memoryTokens) / float64(m.options.BlockTokens)
 	return settings.PrefillLoadScale*(terms.delay+terms.price+harm)/blockTime +
 		settings.DecodeWeight*pressure +
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -5,11 +5,13 @@
 
 	"github.com/samber/lo"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// maxLatencyModels bounds the models whose latency is learned.
-const maxLatencyModels = 64
+// maxLatencies bounds the models whose latency is learned; beyond it all are learned anew.
+const maxLatencies = 64
 
 // timeModel estimates costs in the replicas' own time, for pools with an engine
 // profile. The router's lock guards it, and the caller of its methods holds it.
@@ -18,14 +20,14 @@
 	replicas *registry
 	// index and pending are the router's, for waits for a prefix.
 	index, pending *prefixindex.Index
-	latencyModels  map[string]*latencyModel
+	latencies      map[string]*speed.Latency
 	recentHashes   recentHashes
 }
 
 // choose returns the candidate to take. The result is valid until the scratch
 // memory is reset.
 func (m *timeModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
-	req.latency = m.latencyModelOf(req.Model, req.Engine)
+	req.latency = m.latencyOf(req.Model, req.Engine)
 	m.gatherSources(s, req, candidates)
 	m.setHarmWeight(s, req, candidates)
 	allowed := m.score(s, req, candidates)
@@ -39,17 +41,17 @@
 	return &s.scored[chooseScored(req, s.scored, s.scored[0].prompt.affinity())], nil
 }
 
-// latencyModelOf returns the learned latency of a model's replicas.
-func (m *timeModel) latencyModelOf(model string, profile *EngineProfile) *latencyModel {
-	learned, present := m.latencyModels[model]
+// latencyOf returns the learned latency of a model's replicas.
+func (m *timeModel) latencyOf(model string, profile *EngineProfile) *speed.Latency {
+	learned, present := m.latencies[model]
 	if present {
 		return learned
 	}
-	if len(m.latencyModels) >= maxLatencyModels {
-		clear(m.latencyModels)
+	if len(m.latencies) >= maxLatencies {
+		clear(m.latencies)
 	}
-	created := newLatencyModel(profile)
-	m.latencyModels[model] = created
+	created := speed.NewLatency(units.Milliseconds(profile.FirstEvent), 1/profile.PrefillTokensPerMillisecond)
+	m.latencies[model] = created
 	return created
 }
 
@@ -84,7 +86,7 @@
 func (s *scratch) dropFull(req *Request) {
 	hasCapacity := func(scored scoredCandidate, _ int) bool { return !scored.timeTerms.full }
 	withinMaxWait := func(scored scoredCandidate, _ int) bool {
-		return fromMilliseconds(scored.timeTerms.delay) <= req.MaxWait
+		return units.FromMilliseconds(scored.timeTerms.delay) <= req.MaxWait
 	}
 	free := lo.CountBy(s.scored, func(scored scoredCandidate) bool { return !scored.timeTerms.full })
 	switch {
@@ -112,24 +114,24 @@
 	if r.waited || m.options.Disabled.LearnedSpeeds {
 		return
 	}
-	took := milliseconds(now - r.startedAt)
+	took := units.Milliseconds(now - r.startedAt)
 	pull := 0.0
 	if r.pulls {
-		pull = milliseconds(r.pull.transfer)
+		pull = units.Milliseconds(r.pull.transferTime)
 	}
 	work := r.backlogTokens + r.computeTokens
-	usual := r.latency.expected(work)
-	excess := took - r.state.slowness.factor()*usual - pull
-	if r.pulls && r.observeTransfer(now, pull, excess) {
+	usual := r.latency.Expected(work)
+	excess := took - r.state.slowness.Factor()*usual - pull
+	if r.pulls && speed.ObserveTransfer(now, &r.pull.source.state.transferLink, &r.state.transferLink, pull, excess) {
 		return
 	}
 	prefill := max(took-pull, 1)
 	certainty := (r.computeTokens + 1) / (work + 1)
 	ratio := prefill / max(usual, 1)
 	if r.backlogTokens <= r.computeTokens/4 {
-		r.latency.learn(work, prefill)
+		r.latency.Learn(work, prefill)
 	}
-	r.state.slowness.observe(now, ratio, certainty)
+	r.state.slowness.Observe(now, ratio, certainty)
 }
 
 // retryAfter estimates when the first replica has capacity: when it has computed a
@@ -143,8 +145,8 @@
 		}
 		state := m.replicas.state(req.Now, candidate.Address)
 		backlog := m.queuedTokens(req, state)
-		delay := state.slowness.factor() * req.latency.expected(backlog)
-		wait := max(fromMilliseconds(delay)-req.MaxWait, 0)
+		delay := state.slowness.Factor() * req.latency.Expected(backlog)
+		wait := max(units.FromMilliseconds(delay)-req.MaxWait, 0)
 		if candidate.SlowStartUntil > req.Now {
 			wait = max(wait, candidate.SlowStartUntil-req.Now)
 		}
--- a/pkg/kvrouter/time_pull.go
+++ b/pkg/kvrouter/time_pull.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -75,7 +76,7 @@
 	slices.SortStableFunc(p.sources, func(a, b pullSource) int {
 		return cmp.Or(
 			cmp.Compare(b.extent.Tokens, a.extent.Tokens),
-			cmp.Compare(a.state.transferLink.freeAt, b.state.transferLink.freeAt))
+			cmp.Compare(a.state.transferLink.FreeAt(), b.state.transferLink.FreeAt()))
 	})
 	best := p.sources[:0]
 	for i := range p.sources {
@@ -119,22 +120,22 @@
 		firstChunk: cached.Chunks,
 		tokens:     source.extent.Tokens - cached.Tokens,
 	}
-	free := max(source.state.transferLink.freeAt, state.transferLink.freeAt)
+	free := max(source.state.transferLink.FreeAt(), state.transferLink.FreeAt())
 	wait := max(0, free-req.Now)
 	if wait > maxTransferWait {
 		return planned
 	}
 	tokens := float64(planned.tokens)
-	planned.transfer = wait + transferTime(req, source, state, candidate, tokens)
-	prefill := prefillFactor * req.latency.perToken * tokens
+	planned.transferTime = wait + transferTime(req, source, state, candidate, tokens)
+	prefill := prefillFactor * req.latency.PerToken() * tokens
 	bytes := tokens * req.Engine.BytesPerToken
-	price := req.Settings.TransferPrice * bytes / bytesPerMegabyte
-	saved := prefill - m.options.PullAdvantage*milliseconds(planned.transfer) - price
+	price := req.Settings.TransferPrice * bytes / units.BytesPerMegabyte
+	saved := prefill - m.options.PullAdvantage*units.Milliseconds(planned.transferTime) - price
 	if !source.certain {
 		saved *= m.options.GuessCredit
 	}
 	planned.price = price
-	planned.saved = fromMilliseconds(saved)
+	planned.saved = units.FromMilliseconds(saved)
 	return planned
 }
 
@@ -156,9 +157,9 @@
 	if source.isStore {
 		rate = min(rate, req.Engine.StoreLinkBitsPerSecond)
 	}
-	transfer := seconds(tokens * req.Engine.BytesPerToken * bitsPerByte / rate)
+	transfer := units.FromSeconds(tokens * req.Engine.BytesPerToken * units.BitsPerByte / rate)
 	transfer = time.Duration(float64(transfer) * distanceFactor(source, candidate))
-	slowdown := max(source.state.transferLink.slowdownFactor(req.Now), state.transferLink.slowdownFactor(req.Now))
+	slowdown := max(source.state.transferLink.Slowdown(req.Now), state.transferLink.Slowdown(req.Now))
 	return req.Engine.PullSetup + time.Duration(float64(transfer)*slowdown)
 }
 
