--- a/internal/dataplane/outgoing_updates.go
+++ b/internal/dataplane/outgoing_updates.go
@@ -10,6 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
 const (
@@ -23,7 +24,7 @@
 
 // sentLoad is the load of a replica as it was sent last.
 type sentLoad struct {
-	load   kvrouter.SharedLoad
+	load   replicaload.SharedLoad
 	sentAt time.Duration
 }
 
@@ -93,8 +94,8 @@
 
 // sameRequests reports whether two loads of one replica are those of the same requests,
 // none of which has arrived, ended, or begun to respond in between.
-func sameRequests(sent, present kvrouter.SharedLoad) bool {
-	prefilling := func(load kvrouter.SharedLoad) bool {
+func sameRequests(sent, present replicaload.SharedLoad) bool {
+	prefilling := func(load replicaload.SharedLoad) bool {
 		return lo.SomeBy(load.PrefillTokens[:], func(tokens float64) bool { return tokens > 0 })
 	}
 	return sent.Requests == present.Requests && prefilling(sent) == prefilling(present)
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -4,6 +4,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
@@ -146,7 +147,7 @@
 		load := &loads[len(loads)-1]
 		load.DecodeTokens += float64(stored.DecodeTokens())
 		load.Requests += float64(stored.Requests())
-		if priority := stored.Priority(); priority < kvrouter.Priorities {
+		if priority := stored.Priority(); priority < replicaload.Priorities {
 			load.PrefillTokens[priority] += float64(stored.PrefillTokens())
 		}
 	}
--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -51,14 +51,14 @@
 	if req.Settings.BusyThresholdBlocks <= 0 {
 		return false
 	}
-	active := m.options.blocks(state.load.total(req.Now, m.options))
+	active := m.options.blocks(state.load.Reported(req.Now))
 	return active.PrefillBlocks+active.DecodeBlocks >= req.Settings.BusyThresholdBlocks
 }
 
 // atSlowStartLimit reports whether a replica has as many reservations as its slow
 // start allows.
 func (m *blockModel) atSlowStartLimit(req *Request, state *replicaState) bool {
-	return state.load.local.present.requests >= float64(state.slowStart.limit(req.Now, m.options))
+	return state.load.Local().Requests >= float64(state.slowStart.limit(req.Now, m.options))
 }
 
 func (m *blockModel) scoreOne(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
@@ -70,9 +70,9 @@
 		overlap:   p.overlaps.Of(state.owner),
 	}
 	scored.pull, scored.pulls = m.planPull(req, p, state, candidate.Zone, scored.overlap.Likely)
-	total := state.load.total(req.Now, m.options)
+	total := state.load.Reported(req.Now)
 	active := m.options.blocks(total)
-	scored.backlogTokens = total.prefillTokens
+	scored.backlogTokens = total.PrefillTokens
 	scored.activeRequests = active.ActiveRequests
 	scored.cost = blockCost(&req.Settings, blockCostInputs{
 		activePrefill:  active.PrefillBlocks,
@@ -130,7 +130,7 @@
 			continue
 		}
 		state := m.replicas.state(req.Now, candidates[i].Address)
-		backlog := state.load.total(req.Now, m.options).prefillTokens
+		backlog := state.load.Reported(req.Now).PrefillTokens
 		shortest = min(shortest, state.prefillSpeed.TimeFor(backlog, m.options.PrefillTokensPerSecond))
 	}
 	return max(shortest, minRetryAfter)
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -10,6 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
 var _ = Describe("Router under concurrent use", func() {
@@ -124,7 +125,7 @@
 // BenchmarkSetRemoteLoad records the loads that 64 routers have on 140 replicas.
 func BenchmarkSetRemoteLoad(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
-	load := kvrouter.SharedLoad{Requests: 2, DecodeTokens: 9000}
+	load := replicaload.SharedLoad{Requests: 2, DecodeTokens: 9000}
 	load.PrefillTokens[1] = 4000
 	b.ReportAllocs()
 	for round := range b.N {
--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -11,8 +11,8 @@
 //   - feed, one for each owner: brings the owner's reports into the prefix index in
 //     order, and detects restarts and losses. eventFeed serves chained chunks,
 //     chunkFeed chunks by ID.
-//   - replicaLoad, one for each replica: this router's reservations, the replica's
-//     reports, and the loads that other routers sent.
+//   - replicaload.Tracker, one for each replica: this router's reservations, the
+//     replica's reports, and the loads that other routers sent.
 //   - blockModel and timeModel: the cost models. A request with an EngineProfile is
 //     scored in the replicas' own time, one without in blocks of tokens. Each scores
 //     candidates, plans pulls, and learns speeds from first tokens; the estimators of
--- a/pkg/kvrouter/events.go
+++ b/pkg/kvrouter/events.go
@@ -37,61 +37,6 @@
 	return status
 }
 
-// Report records what a replica reported of its load, and detects by it that the
-// replica has restarted or changed its weights. Reports that are older than an
-// earlier one are ignored.
-func (r *Router) Report(now time.Duration, address string, report Report) {
-	state := r.state(now, address)
-	describes := now - report.Age
-	if !r.isNewestReport(state, describes) {
-		return
-	}
-	current, restarted := state.feed.handleReport(now, report)
-	if !current {
-		return
-	}
-	if restarted {
-		r.handleRestart(now, state)
-	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state.load.report(describes, report.totalLoad())
-	if report.MemoryTotal > 0 {
-		state.load.memory = memoryReport{
-			used:      float64(report.MemoryUsed),
-			total:     float64(report.MemoryTotal),
-			waiting:   float64(report.Waiting),
-			describes: describes,
-			present:   true,
-		}
-	}
-	if report.Warming {
-		state.slowStart.since = now
-	}
-}
-
-// totalLoad returns the load that a report states.
-func (report *Report) totalLoad() load {
-	if report.MemoryTotal > 0 {
-		return load{
-			decodeTokens: float64(report.MemoryUsed),
-			requests:     float64(report.Waiting) + float64(report.Running),
-		}
-	}
-	return load{
-		prefillTokens: float64(report.ActivePrefillTokens),
-		decodeTokens:  float64(report.ActiveDecodeTokens),
-		requests:      float64(report.ActiveRequests),
-	}
-}
-
-// isNewestReport reports whether no report of a later instant has come yet.
-func (r *Router) isNewestReport(state *replicaState, describes time.Duration) bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return !state.load.reported || describes >= state.load.reportedAt
-}
-
 // ObserveWeightVersion records that a response of a replica came from a weight
 // version. Another version than the last one discards all that the replica
 // reported before.
--- a/pkg/kvrouter/load.go
+++ b/pkg/kvrouter/load.go
@@ -1,205 +1,130 @@
 package kvrouter
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
-)
-
-// historyResolution is the shortest time between two samples of local load.
-const historyResolution = 20 * time.Millisecond
 
-// load is the work of a replica.
-type load struct {
-	// prefillTokens are still to be computed before first tokens.
-	prefillTokens float64
-	// decodeTokens are in memory for active requests.
-	decodeTokens float64
-	requests     float64
-}
-
-func (l load) plus(other load) load {
-	return load{
-		prefillTokens: l.prefillTokens + other.prefillTokens,
-		decodeTokens:  l.decodeTokens + other.decodeTokens,
-		requests:      l.requests + other.requests,
-	}
-}
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
+)
 
-func (l load) times(factor float64) load {
-	return load{
-		prefillTokens: l.prefillTokens * factor,
-		decodeTokens:  l.decodeTokens * factor,
-		requests:      l.requests * factor,
-	}
+// Load is the load that the router assumes of a replica, in blocks.
+type Load struct {
+	PrefillBlocks  float64
+	DecodeBlocks   float64
+	ActiveRequests float64
 }
 
-// excessOver returns what l has more than other, nothing of it negative.
-func (l load) excessOver(other load) load {
-	return load{
-		prefillTokens: max(0, l.prefillTokens-other.prefillTokens),
-		decodeTokens:  max(0, l.decodeTokens-other.decodeTokens),
-		requests:      max(0, l.requests-other.requests),
-	}
+// AddressLoad is a SharedLoad of a replica.
+type AddressLoad struct {
+	Address string
+	replicaload.SharedLoad
 }
 
-// replicaLoad is the load of one replica from three sources: this router's own
-// reservations, which are exact and immediate; the replica's reports, which are
-// late and cover all routers' work; and the loads that other routers sent of theirs.
-//
-// A report is compared with the local load at the instant that it describes, not
-// with the present one. Otherwise work that was dispatched since would be
-// subtracted, and work that ended since would be attributed to other routers.
-type replicaLoad struct {
-	local loadHistory
-	// queue estimates what is unread of the prompts of this router's requests, and
-	// shared the load of other routers, both as of drainedAt.
-	queue     prefillQueue
-	shared    sharedLoads
-	drainedAt time.Duration
-	// announced is set when Router.LocalLoads last returned load here.
-	announced bool
-
-	// others is what the newest report showed in excess of the local load.
-	others load
-	// reportedAt is the instant that the newest report describes, if any.
-	reportedAt time.Duration
-	reported   bool
-	memory     memoryReport
-}
-
-// report records a report, unless one that describes a later instant came before.
-func (r *replicaLoad) report(describes time.Duration, total load) {
-	if r.reported && describes < r.reportedAt {
+// Report records what a replica reported of its load, and detects by it that the
+// replica has restarted or changed its weights. Reports that are older than an
+// earlier one are ignored.
+func (r *Router) Report(now time.Duration, address string, report Report) {
+	state := r.state(now, address)
+	describesAt := now - report.Age
+	if !r.isNewestReport(state, describesAt) {
 		return
 	}
-	r.others = total.excessOver(r.local.at(describes))
-	r.reportedAt = describes
-	r.reported = true
-}
-
-// discardOthers drops what reports showed and other routers sent, as after a
-// restart of the replica.
-func (r *replicaLoad) discardOthers() {
-	r.others = load{}
-	r.reported = false
-	r.shared = sharedLoads{}
-	r.memory = memoryReport{}
-}
-
-// total estimates the present load by reservations and reports. What others do
-// fades out as the report ages, since nothing tells when their work ends.
-func (r *replicaLoad) total(now time.Duration, options *Options) load {
-	if !r.reported {
-		return r.local.present
-	}
-	return r.local.present.plus(r.others.times(fade(now-r.reportedAt, options)))
-}
-
-// active estimates the present load by all three sources: the local load, and
-// what other routers sent or the replica reported, whichever is more.
-func (r *replicaLoad) active(now time.Duration, options *Options) load {
-	total := r.local.present
-	others := load{requests: r.shared.sum.Requests, decodeTokens: r.shared.sum.DecodeTokens}
-	if r.reported {
-		reported := r.others.times(fade(now-r.reportedAt, options))
-		others.requests = max(others.requests, reported.requests)
-		others.decodeTokens = max(others.decodeTokens, reported.decodeTokens)
+	current, restarted := state.feed.handleReport(now, report)
+	if !current {
+		return
 	}
-	total = total.plus(others)
-	if used, fresh := r.memoryInUse(now, options); fresh {
-		total.decodeTokens = used
+	if restarted {
+		r.handleRestart(now, state)
 	}
-	return total
-}
-
-// unread estimates the prompt tokens that the replica still has to compute, as of
-// drainedAt.
-func (r *replicaLoad) unread() float64 {
-	return r.queue.unread() + r.shared.sum.prefill()
-}
-
-// unannouncedRequests counts the requests that the replica reports as waiting, and
-// that no router sent load of.
-func (r *replicaLoad) unannouncedRequests(now time.Duration, options *Options) float64 {
-	if !r.reported {
-		return 0
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	state.load.Report(describesAt, report.totalLoad())
+	if report.MemoryTotal > 0 {
+		state.load.ReportMemory(replicaload.Memory{
+			Used:        float64(report.MemoryUsed),
+			Total:       float64(report.MemoryTotal),
+			Waiting:     float64(report.Waiting),
+			DescribesAt: describesAt,
+		})
 	}
-	fading := fade(now-r.reportedAt, options)
-	excess := r.others.requests*fading - r.shared.sum.Requests
-	return max(0, min(excess, r.memory.waiting))
-}
-
-// memoryReport is what a replica reported of its memory, in tokens.
-type memoryReport struct {
-	used, total float64
-	// waiting counts the requests that wait for a slot or memory.
-	waiting   float64
-	describes time.Duration
-	present   bool
-}
-
-// memoryInUse returns the tokens in use now: the reported ones, and what the local
-// requests have changed since. It returns false without a fresh report.
-func (r *replicaLoad) memoryInUse(now time.Duration, options *Options) (used float64, fresh bool) {
-	if !r.memory.present || now-r.memory.describes > options.ReportFresh {
-		return 0, false
+	if report.Warming {
+		state.slowStart.since = now
 	}
-	since := r.local.present.decodeTokens - r.local.at(r.memory.describes).decodeTokens
-	return max(0, r.memory.used+since), true
 }
 
-// fade is 1 for fresh reports and falls to 0 for useless ones.
-func fade(age time.Duration, options *Options) float64 {
-	if age <= options.ReportFresh {
-		return 1
+// totalLoad returns the load that a report states.
+func (report *Report) totalLoad() replicaload.Load {
+	if report.MemoryTotal > 0 {
+		return replicaload.Load{
+			DecodeTokens: float64(report.MemoryUsed),
+			Requests:     float64(report.Waiting) + float64(report.Running),
+		}
 	}
-	if age >= options.ReportUseless {
-		return 0
+	return replicaload.Load{
+		PrefillTokens: float64(report.ActivePrefillTokens),
+		DecodeTokens:  float64(report.ActiveDecodeTokens),
+		Requests:      float64(report.ActiveRequests),
 	}
-	return float64(options.ReportUseless-age) / float64(options.ReportUseless-options.ReportFresh)
 }
 
-// loadHistory is the load of this router's reservations at present and in the
-// recent past.
-type loadHistory struct {
-	present load
-	// samples are in order of time. Each is valid from its instant to the next.
-	samples []loadSample
+// isNewestReport reports whether no report of a later instant has come yet.
+func (r *Router) isNewestReport(state *replicaState, describesAt time.Duration) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return state.load.IsNewestReport(describesAt)
 }
 
-type loadSample struct {
-	at   time.Duration
-	load load
-}
-
-// add changes the present load, and retains samples as old as retention.
-func (h *loadHistory) add(now, retention time.Duration, change load) {
-	h.present = h.present.plus(change).excessOver(load{})
-	last := len(h.samples) - 1
-	if last >= 0 && now-h.samples[last].at < historyResolution {
-		h.samples[last].load = h.present
-		return
+// Load returns the load that the router assumes of a replica.
+func (r *Router) Load(now time.Duration, address string) Load {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	state, present := r.replicas.byAddress[address]
+	if !present {
+		return Load{}
 	}
-	h.prune(now - retention)
-	h.samples = append(h.samples, loadSample{at: now, load: h.present})
+	return r.options.blocks(state.load.Reported(now))
 }
 
-// prune drops samples that ended before the instant.
-func (h *loadHistory) prune(instant time.Duration) {
-	ended := 0
-	for ended+1 < len(h.samples) && h.samples[ended+1].at <= instant {
-		ended++
-	}
-	if ended > 0 {
-		h.samples = append(h.samples[:0], h.samples[ended:]...)
+// ActiveRequests returns how many requests the router assumes that a replica
+// works on: its own, and those that other routers sent or the replica reported,
+// whichever is more.
+func (r *Router) ActiveRequests(now time.Duration, address string) float64 {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	state, present := r.replicas.byAddress[address]
+	if !present {
+		return 0
 	}
-}
-
-// at returns the local load at an instant.
-func (h *loadHistory) at(instant time.Duration) load {
-	after := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].at > instant })
-	if after == 0 {
-		return load{}
+	return state.load.Active(now).Requests
+}
+
+// SetRemoteLoad records the load that another router has on a replica. It counts
+// until the next one of that router, or for a second.
+func (r *Router) SetRemoteLoad(now time.Duration, router, address string, received replicaload.SharedLoad) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.observeTime(now)
+	state := r.replicas.state(now, address)
+	state.drainBacklog(now)
+	state.load.Share(now, router, received)
+}
+
+// LocalLoads returns, in the order of the addresses, the load of this router's
+// reservations on each replica that has some, and once more on each that had some
+// at the last call. It is to be passed to SetRemoteLoad of the other routers.
+func (r *Router) LocalLoads(now time.Duration) []AddressLoad {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.observeTime(now)
+	var loads []AddressLoad
+	for address, state := range r.replicas.byAddress {
+		if !state.load.AnnouncementDue() {
+			continue
+		}
+		state.drainBacklog(now)
+		loads = append(loads, AddressLoad{Address: address, SharedLoad: state.load.Announce()})
 	}
-	return h.samples[after-1].load
+	slices.SortFunc(loads, func(a, b AddressLoad) int { return cmp.Compare(a.Address, b.Address) })
+	return loads
 }
--- a/pkg/kvrouter/load_test.go
+++ b/pkg/kvrouter/load_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
 var _ = Describe("Load", func() {
@@ -88,7 +89,7 @@
 			[]kvrouter.Candidate{{Address: "a:1", WeightVersion: "w"}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(router.ActiveRequests(0, "a:1")).To(Equal(1.0))
-		router.SetRemoteLoad(0, "other", "a:1", kvrouter.SharedLoad{Requests: 3})
+		router.SetRemoteLoad(0, "other", "a:1", replicaload.SharedLoad{Requests: 3})
 		Expect(router.ActiveRequests(0, "a:1")).To(Equal(4.0))
 		decision.Reservation.Finish(time.Millisecond, true)
 		Expect(router.ActiveRequests(time.Millisecond, "a:1")).To(Equal(3.0))
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -115,12 +116,12 @@
 }
 
 // blocks converts a load in tokens to blocks.
-func (o *Options) blocks(tokens load) Load {
+func (o *Options) blocks(tokens replicaload.Load) Load {
 	blockTokens := float64(o.BlockTokens)
 	return Load{
-		PrefillBlocks:  tokens.prefillTokens / blockTokens,
-		DecodeBlocks:   tokens.decodeTokens / blockTokens,
-		ActiveRequests: tokens.requests,
+		PrefillBlocks:  tokens.PrefillTokens / blockTokens,
+		DecodeBlocks:   tokens.DecodeTokens / blockTokens,
+		ActiveRequests: tokens.Requests,
 	}
 }
 
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -75,7 +75,7 @@
 	if pending.Tokens < cached.Tokens+minWaitTokens {
 		return plannedWait{}, false
 	}
-	planned = plannedWait{extent: pending, backlog: state.load.unread()}
+	planned = plannedWait{extent: pending, backlog: state.load.Unread()}
 	saved := float64(pending.Tokens - cached.Tokens)
 	return planned, planned.backlog < queuedTokens+saved
 }
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -16,7 +16,7 @@
 	feed    *feed
 	// instance is the replica's instance that candidates named last.
 	instance  string
-	load      replicaLoad
+	load      replicaload.Tracker
 	slowStart slowStart
 	// pullsServed counts the pulls in progress from here.
 	pullsServed int
@@ -38,29 +38,19 @@
 // only, the load of other routers among it. The reservations of this router end
 // as their connections do.
 func (s *replicaState) restart(now time.Duration) {
-	s.load.discardOthers()
+	s.load.DiscardOthers()
 	s.slowness = speed.Slowness{}
 	s.transferLink = speed.Link{}
 	s.slowStart.since = now
 }
 
-// drainBacklog updates the estimate of what the replica has computed until now.
-// This router's requests and those of others share the replica's time.
+// drainBacklog updates the estimate of what the replica has computed until now, at the
+// learned speed.
 func (s *replicaState) drainBacklog(now time.Duration) {
-	elapsed := now - s.load.drainedAt
-	if elapsed <= 0 {
-		return
+	// A selection asks for each candidate twice, at one instant.
+	if now > s.load.DrainedAt() {
+		s.load.Drain(now, s.perToken*s.slowness.Factor())
 	}
-	s.load.drainedAt = now
-	s.load.shared.sweep(now)
-	local, others := s.load.queue.unread(), s.load.shared.sum.prefill()
-	if local+others <= 0 || s.perToken <= 0 {
-		return
-	}
-	computed := units.Milliseconds(elapsed) / (s.perToken * s.slowness.Factor())
-	localFraction := local / (local + others)
-	s.load.queue.drain(computed * localFraction)
-	s.load.shared.drain(computed * (1 - localFraction))
 }
 
 // registry has the state of each replica and store by address, and assigns the
@@ -85,7 +75,7 @@
 		owner:     owner,
 		feed:      &feed{index: r.index, pending: r.pending, owner: owner, options: r.options},
 		slowStart: slowStart{since: now},
-		load:      replicaLoad{drainedAt: now},
+		load:      replicaload.NewTracker(now, replicaload.ReportAges{Fresh: r.options.ReportFresh, Useless: r.options.ReportUseless}),
 	}
 	r.byAddress[address] = created
 	return created
--- /dev/null
+++ b/pkg/kvrouter/replicaload/history.go
@@ -0,0 +1,53 @@
+package replicaload
+
+import (
+	"sort"
+	"time"
+)
+
+// historyResolution is the shortest time between two samples of a history.
+const historyResolution = 20 * time.Millisecond
+
+// history is the load of this router's requests at present and in the recent past.
+type history struct {
+	present Load
+	// samples are in order of time. Each is valid from its instant to the next.
+	samples []sample
+}
+
+type sample struct {
+	at   time.Duration
+	load Load
+}
+
+// add changes the present load, and retains samples as old as retention.
+func (h *history) add(now, retention time.Duration, change Load) {
+	h.present = h.present.Plus(change).excessOver(Load{})
+	last := len(h.samples) - 1
+	if last >= 0 && now-h.samples[last].at < historyResolution {
+		h.samples[last].load = h.present
+		return
+	}
+	h.prune(now - retention)
+	h.samples = append(h.samples, sample{at: now, load: h.present})
+}
+
+// prune drops samples that ended before the instant.
+func (h *history) prune(instant time.Duration) {
+	ended := 0
+	for ended+1 < len(h.samples) && h.samples[ended+1].at <= instant {
+		ended++
+	}
+	if ended > 0 {
+		h.samples = append(h.samples[:0], h.samples[ended:]...)
+	}
+}
+
+// at returns the load at an instant.
+func (h *history) at(instant time.Duration) Load {
+	after := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].at > instant })
+	if after == 0 {
+		return Load{}
+	}
+	return h.samples[after-1].load
+}
--- a/pkg/kvrouter/prefill_queue.go
+++ b/pkg/kvrouter/replicaload/prefill_queue.go
@@ -1,4 +1,4 @@
-package kvrouter
+package replicaload
 
 import "slices"
 
@@ -9,8 +9,8 @@
 // its first event has come.
 const unfinishedFraction = 0.05
 
-// prefillWork is the prompt of a request whose first event has not come yet.
-type prefillWork struct {
+// PrefillWork is the prompt of a local request whose first event has not come yet.
+type PrefillWork struct {
 	priority uint8
 	// tokens are all that the replica has to compute, and unread those that are
 	// still left of them by estimate.
@@ -18,17 +18,21 @@
 	unread float64
 }
 
-// prefillQueue estimates how much of the prompts of this router's requests a
-// replica still has to compute. The replica computes one prompt at a time, the
+// prefillQueue estimates how much of the prompts of local requests a replica still
+// has to compute. The replica computes one prompt at a time, the
 // most urgent first and otherwise in order of arrival.
 type prefillQueue struct {
-	work []*prefillWork
+	work []*PrefillWork
 }
 
-func (q *prefillQueue) add(work *prefillWork) { q.work = append(q.work, work) }
+func (q *prefillQueue) add(priority uint8, tokens float64) *PrefillWork {
+	added := &PrefillWork{priority: priority, tokens: tokens, unread: tokens}
+	q.work = append(q.work, added)
+	return added
+}
 
-func (q *prefillQueue) remove(work *prefillWork) {
-	q.work = slices.DeleteFunc(q.work, func(other *prefillWork) bool { return other == work })
+func (q *prefillQueue) remove(work *PrefillWork) {
+	q.work = slices.DeleteFunc(q.work, func(other *PrefillWork) bool { return other == work })
 }
 
 // unread sums the unread tokens.
@@ -39,8 +43,8 @@
 	return sum
 }
 
-// byPriority adds the unread tokens to the sums of each priority.
-func (q *prefillQueue) byPriority(sums *[Priorities]float64) {
+// addByPriority adds the unread tokens to the sums of each priority.
+func (q *prefillQueue) addByPriority(sums *[Priorities]float64) {
 	for _, work := range q.work {
 		sums[work.priority] += work.unread
 	}
--- a/pkg/kvrouter/shared_load.go
+++ b/pkg/kvrouter/replicaload/shared_load.go
@@ -1,10 +1,6 @@
-package kvrouter
+package replicaload
 
-import (
-	"cmp"
-	"slices"
-	"time"
-)
+import "time"
 
 const (
 	// sharedLoadTTL is how long a load that another router sent counts.
@@ -13,6 +9,8 @@
 	sweepInterval = 250 * time.Millisecond
 	// maxSharingRouters bounds the routers whose load on one replica is recorded.
 	maxSharingRouters = 512
+	// minRemaining is the fraction of unread prefill below which a generation ends.
+	minRemaining = 1e-6
 )
 
 // SharedLoad is the load of one router's requests on a replica, as routers send it
@@ -26,12 +24,6 @@
 	Requests float64
 }
 
-// AddressLoad is a SharedLoad of a replica.
-type AddressLoad struct {
-	Address string
-	SharedLoad
-}
-
 // idle reports whether there is no load.
 func (l *SharedLoad) idle() bool { return l.Requests == 0 }
 
@@ -65,9 +57,6 @@
 	sweptAt    time.Duration
 }
 
-// minRemaining is the fraction below which a generation ends.
-const minRemaining = 1e-6
-
 // set replaces the load of a router.
 func (s *sharedLoads) set(now time.Duration, router string, received SharedLoad) {
 	if s.byRouter == nil {
@@ -139,45 +128,3 @@
 		}
 	}
 }
-
-// SetRemoteLoad records the load that another router has on a replica. It counts
-// until the next one of that router, or for a second.
-func (r *Router) SetRemoteLoad(now time.Duration, router, address string, received SharedLoad) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.observeTime(now)
-	state := r.replicas.state(now, address)
-	state.drainBacklog(now)
-	state.load.shared.set(now, router, received)
-}
-
-// LocalLoads returns, in the order of the addresses, the load of this router's
-// reservations on each replica that has some, and once more on each that had some
-// at the last call. It is to be passed to SetRemoteLoad of the other routers.
-func (r *Router) LocalLoads(now time.Duration) []AddressLoad {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.observeTime(now)
-	var loads []AddressLoad
-	for address, state := range r.replicas.byAddress {
-		if state.load.local.present.requests == 0 && !state.load.announced {
-			continue
-		}
-		local := state.localLoad(now)
-		state.load.announced = !local.idle()
-		loads = append(loads, AddressLoad{Address: address, SharedLoad: local})
-	}
-	slices.SortFunc(loads, func(a, b AddressLoad) int { return cmp.Compare(a.Address, b.Address) })
-	return loads
-}
-
-// localLoad returns the load of this router's reservations.
-func (s *replicaState) localLoad(now time.Duration) SharedLoad {
-	s.drainBacklog(now)
-	local := SharedLoad{
-		DecodeTokens: s.load.local.present.decodeTokens,
-		Requests:     s.load.local.present.requests,
-	}
-	s.load.queue.byPriority(&local.PrefillTokens)
-	return local
-}
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -28,7 +29,7 @@
 	backlogTokens float64
 
 	// work and latency are set with an engine profile.
-	work    *prefillWork
+	work    *replicaload.PrefillWork
 	latency *speed.Latency
 	// waited says that the attempt was held back by a PrefixWait, so that its time
 	// tells nothing of the replica's speed.
@@ -39,7 +40,7 @@
 	// The router's lock guards the fields below. They don't change once the attempt
 	// is finished.
 
-	load       load
+	load       replicaload.Load
 	firstToken bool
 	finished   bool
 	generated  uint32
@@ -56,7 +57,7 @@
 	}
 	reservation := r.newReservation(req, chosen)
 	reservation.computeTokens = max(0, compute)
-	reservation.setLoad(req.Now, load{prefillTokens: reservation.computeTokens, decodeTokens: promptTokens, requests: 1})
+	reservation.setLoad(req.Now, replicaload.Load{PrefillTokens: reservation.computeTokens, DecodeTokens: promptTokens, Requests: 1})
 	return reservation
 }
 
@@ -65,7 +66,6 @@
 func (r *Router) reserveByTime(req *Request, chosen *scoredCandidate, saveToStore bool) *Reservation {
 	reservation := r.newReservation(req, chosen)
 	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
-	reservation.work = &prefillWork{priority: req.Priority, tokens: reservation.computeTokens, unread: reservation.computeTokens}
 	reservation.latency = req.latency
 	reservation.waited = chosen.waits
 	if saveToStore {
@@ -78,12 +78,12 @@
 		chosen.state.transferLink.ReserveUntil(end)
 	}
 	state := chosen.state
-	state.load.queue.add(reservation.work)
+	reservation.work = state.load.AddPrefill(req.Priority, reservation.computeTokens)
 	state.meanCompute += meanComputeWeight * (reservation.computeTokens - state.meanCompute)
-	reservation.setLoad(req.Now, load{
-		prefillTokens: reservation.computeTokens,
-		decodeTokens:  chosen.timeTerms.memoryTokens,
-		requests:      1,
+	reservation.setLoad(req.Now, replicaload.Load{
+		PrefillTokens: reservation.computeTokens,
+		DecodeTokens:  chosen.timeTerms.memoryTokens,
+		Requests:      1,
 	})
 	return reservation
 }
@@ -103,10 +103,10 @@
 
 // setLoad changes what the reservation adds to the replica's load. The caller holds
 // the router's lock.
-func (r *Reservation) setLoad(now time.Duration, target load) {
-	change := target.plus(r.load.times(-1))
+func (r *Reservation) setLoad(now time.Duration, target replicaload.Load) {
+	change := target.Plus(r.load.Times(-1))
 	r.load = target
-	r.state.load.local.add(now, r.router.options.ReportUseless, change)
+	r.state.load.ChangeLocal(now, change)
 }
 
 // FirstToken records that the replica has sent the first token, so that the prompt
@@ -133,12 +133,12 @@
 	if r.work != nil {
 		r.state.drainBacklog(now)
 		r.router.timeModel.learn(r, now)
-		r.state.load.queue.remove(r.work)
+		r.state.load.RemovePrefill(r.work)
 	} else {
 		r.router.blockModel.learn(r, now)
 	}
 	r.endPull()
-	r.setLoad(now, load{decodeTokens: r.load.decodeTokens, requests: r.load.requests})
+	r.setLoad(now, replicaload.Load{DecodeTokens: r.load.DecodeTokens, Requests: r.load.Requests})
 	return true
 }
 
@@ -158,7 +158,7 @@
 		return
 	}
 	target := r.load
-	target.decodeTokens += float64(generated - r.generated)
+	target.DecodeTokens += float64(generated - r.generated)
 	r.generated = generated
 	r.setLoad(now, target)
 }
@@ -201,10 +201,10 @@
 		r.endPull()
 		if r.work != nil {
 			r.state.drainBacklog(now)
-			r.state.load.queue.remove(r.work)
+			r.state.load.RemovePrefill(r.work)
 		}
 	}
-	r.setLoad(now, load{})
+	r.setLoad(now, replicaload.Load{})
 	return true
 }
 
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -45,13 +45,6 @@
 	latest time.Duration
 }
 
-// Load is the load that the router assumes of a replica, in blocks.
-type Load struct {
-	PrefillBlocks  float64
-	DecodeBlocks   float64
-	ActiveRequests float64
-}
-
 // New returns a Router without replicas.
 func New(options Options) *Router {
 	r := &Router{
@@ -72,30 +65,6 @@
 	return r
 }
 
-// Load returns the load that the router assumes of a replica.
-func (r *Router) Load(now time.Duration, address string) Load {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state, present := r.replicas.byAddress[address]
-	if !present {
-		return Load{}
-	}
-	return r.options.blocks(state.load.total(now, &r.options))
-}
-
-// ActiveRequests returns how many requests the router assumes that a replica
-// works on: its own, and those that other routers sent or the replica reported,
-// whichever is more.
-func (r *Router) ActiveRequests(now time.Duration, address string) float64 {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state, present := r.replicas.byAddress[address]
-	if !present {
-		return 0
-	}
-	return state.load.active(now, &r.options).requests
-}
-
 // IndexStats returns the size of the prefix index.
 func (r *Router) IndexStats() prefixindex.Stats { return r.index.Stats() }
 
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -48,7 +49,7 @@
 	if req.Engine != nil {
 		profile := req.Engine.withDefaults(&r.options)
 		req.Engine = &profile
-		req.Priority = min(req.Priority, Priorities-1)
+		req.Priority = min(req.Priority, replicaload.Priorities-1)
 		r.detectReplacements(req.Now, candidates)
 	}
 	r.lookUp(s, &req, candidates)
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -55,7 +56,7 @@
 		state := m.replicas.state(req.Now, candidates[i].Address)
 		state.perToken = req.latency.PerToken()
 		state.drainBacklog(req.Now)
-		s.backlogs = append(s.backlogs, state.load.unread())
+		s.backlogs = append(s.backlogs, state.load.Unread())
 	}
 	slices.Sort(s.backlogs)
 	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.latency.PerToken()
@@ -102,12 +103,12 @@
 	if spread := req.Settings.SpreadTime; spread > 0 {
 		terms.price += spread * preference(m.options.Name, candidate.Address, p.identity())
 	}
-	active := state.load.active(req.Now, m.options)
-	m.addDelay(req, terms, active.requests)
+	active := state.load.Active(req.Now)
+	m.addDelay(req, terms, active.Requests)
 	terms.memoryTokens = requestMemory(req, float64(cached.Tokens))
 	terms.full = m.isFull(req, state, terms, active)
 	scored.backlogTokens = terms.queuedTokens
-	scored.activeRequests = active.requests
+	scored.activeRequests = active.Requests
 	scored.cost = m.cost(req, terms, active)
 	return scored
 }
@@ -115,17 +116,15 @@
 // queuedTokens sums the tokens that a replica computes before the request's own.
 // Less urgent prompts count less, since only the one in progress goes first.
 func (m *timeModel) queuedTokens(req *Request, state *replicaState) float64 {
-	sums := state.load.shared.sum.PrefillTokens
-	state.load.queue.byPriority(&sums)
 	queued := 0.0
-	for priority, tokens := range sums {
+	for priority, tokens := range state.load.UnreadByPriority() {
 		if priority <= int(req.Priority) {
 			queued += tokens
 		} else {
 			queued += req.Settings.LessUrgentWeight * tokens
 		}
 	}
-	return queued + state.load.unannouncedRequests(req.Now, m.options)*state.meanCompute
+	return queued + state.load.UnannouncedRequests(req.Now)*state.meanCompute
 }
 
 // zonePrice is what sending the request to another zone costs, in milliseconds.
@@ -155,29 +154,29 @@
 
 // isFull reports whether the replica's slots are taken, its memory would overflow,
 // or its blocks exceed the busy threshold.
-func (m *timeModel) isFull(req *Request, state *replicaState, terms *timeTerms, active load) bool {
-	if req.Engine.Slots > 0 && active.requests >= float64(req.Engine.Slots) {
+func (m *timeModel) isFull(req *Request, state *replicaState, terms *timeTerms, active replicaload.Load) bool {
+	if req.Engine.Slots > 0 && active.Requests >= float64(req.Engine.Slots) {
 		return true
 	}
 	memory := req.Engine.MemoryTokens
-	if state.load.memory.total > 0 {
-		memory = state.load.memory.total
+	if reported := state.load.MemoryTotal(); reported > 0 {
+		memory = reported
 	}
-	if memory > 0 && active.decodeTokens+terms.memoryTokens > preemptionMemory*memory {
+	if memory > 0 && active.DecodeTokens+terms.memoryTokens > preemptionMemory*memory {
 		return true
 	}
-	blocks := (terms.queuedTokens + active.decodeTokens) / float64(m.options.BlockTokens)
+	blocks := (terms.queuedTokens + active.DecodeTokens) / float64(m.options.BlockTokens)
 	return req.Settings.BusyThresholdBlocks > 0 && blocks >= req.Settings.BusyThresholdBlocks
 }
 
 // cost weighs the terms. The prompt's own tokens count more than once, since the
 // requests behind it are delayed by them too.
-func (m *timeModel) cost(req *Request, terms *timeTerms, active load) float64 {
+func (m *timeModel) cost(req *Request, terms *timeTerms, active replicaload.Load) float64 {
 	settings := &req.Settings
 	blockTime := req.latency.PerToken() * float64(m.options.BlockTokens)
 	harm := terms.slowness * req.harmWeight * req.latency.PerToken() * terms.computeTokens
-	pressure := terms.slowness * (active.decodeTokens + terms.memoryTokens) / float64(m.options.BlockTokens)
+	pressure := terms.slowness * (active.DecodeTokens + terms.memoryTokens) / float64(m.options.BlockTokens)
 	return settings.PrefillLoadScale*(terms.delay+terms.price+harm)/blockTime +
 		settings.DecodeWeight*pressure +
-		settings.RequestWeight*terms.slowness*active.requests
+		settings.RequestWeight*terms.slowness*active.Requests
 }
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -9,6 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -26,7 +27,7 @@
 
 // hasBacklog makes another router tell of unread prompts.
 func (f *engineFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
-	load := kvrouter.SharedLoad{Requests: 1, DecodeTokens: tokens}
+	load := replicaload.SharedLoad{Requests: 1, DecodeTokens: tokens}
 	load.PrefillTokens[priority] = tokens
 	f.router.SetRemoteLoad(now, "other", address, load)
 }
@@ -63,7 +64,7 @@
 	It("replaces the earlier load of a router, and returns the local load", func() {
 		f := newEngineFleet("a")
 		f.hasBacklog(late, "a", 5, 8000)
-		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{})
+		f.router.SetRemoteLoad(late, "other", "a", replicaload.SharedLoad{})
 		Expect(f.router.LocalLoads(late)).To(BeEmpty())
 		decision := f.choose(late, otherPrompt("x", 4000))
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 120*time.Millisecond, time.Millisecond))
@@ -85,14 +86,14 @@
 		f := newEngineFleet("a")
 		f.choose(late, otherPrompt("first", 100)).Reservation.Cancelled(late)
 		for number := range 5 {
-			load := kvrouter.SharedLoad{Requests: 1}
+			load := replicaload.SharedLoad{Requests: 1}
 			load.PrefillTokens[0] = 4000
 			f.router.SetRemoteLoad(late, fmt.Sprint(number), "a", load)
 		}
 		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
 		at := late + 250*time.Millisecond
 		for number := range 4 {
-			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", kvrouter.SharedLoad{})
+			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", replicaload.SharedLoad{})
 		}
 		decision := f.choose(at, otherPrompt("x", 400))
 		// Half of the fifth router's 4,000 tokens were computed, then the local 400 follow.
@@ -150,11 +151,11 @@
 	It("avoids replicas whose slots or memory are full, and says when to come back if all are", func() {
 		f := newEngineFleet("a", "b")
 		f.caches("a", 4)
-		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{Requests: 4})
+		f.router.SetRemoteLoad(late, "other", "a", replicaload.SharedLoad{Requests: 4})
 		Expect(f.choose(late, longPrompt(4)).Address).To(Equal("b"))
 		f.router.Report(late, "b", kvrouter.Report{MemoryUsed: 97_500, MemoryTotal: 100_000, Running: 3})
 		f.hasBacklog(late, "a", 0, 80_000)
-		f.router.SetRemoteLoad(late, "more", "a", kvrouter.SharedLoad{Requests: 4})
+		f.router.SetRemoteLoad(late, "more", "a", replicaload.SharedLoad{Requests: 4})
 		_, err := f.trySelect(late, otherPrompt("x", 4000))
 		Expect(err).To(HaveValue(HaveField("Reason", kvrouter.AllBusy)))
 		var refused *kvrouter.NoReplicaError
