--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -15,6 +15,7 @@
 
 import (
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
@@ -72,7 +73,7 @@
 // Report is a page of a replica's or store's reports.
 type Report struct {
 	Address string
-	Feed    kvrouter.FeedPosition
+	Feed    kvevents.Position
 	// Complete reports whether the changes are everything that is cached.
 	Complete bool
 	Changes  []Change
--- a/internal/dataplane/outgoing_updates.go
+++ b/internal/dataplane/outgoing_updates.go
@@ -10,6 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
@@ -149,9 +150,9 @@
 }
 
 // chunkChanges converts changes to the router's type.
-func chunkChanges(changes []gossip.Change) []kvrouter.ChunkChange {
-	return lo.Map(changes, func(change gossip.Change, _ int) kvrouter.ChunkChange {
-		return kvrouter.ChunkChange{
+func chunkChanges(changes []gossip.Change) []kvevents.ChunkChange {
+	return lo.Map(changes, func(change gossip.Change, _ int) kvevents.ChunkChange {
+		return kvevents.ChunkChange{
 			Sequence: change.Sequence,
 			Hash:     change.Name,
 			Tokens:   change.Tokens,
--- a/internal/dataplane/report_readers.go
+++ b/internal/dataplane/report_readers.go
@@ -12,7 +12,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -276,7 +276,7 @@
 func gossipReport(address string, since uint64, page ReportPage) gossip.Report {
 	return gossip.Report{
 		Address: address,
-		Feed:    kvrouter.FeedPosition{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
+		Feed:    kvevents.Position{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
 		Changes: lo.Map(page.Changes, func(change ChunkChange, _ int) gossip.Change {
 			return gossip.Change{
 				Sequence: change.Sequence,
--- a/internal/dataplane/snapshot_exchange.go
+++ b/internal/dataplane/snapshot_exchange.go
@@ -8,6 +8,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -74,7 +75,7 @@
 	if !found {
 		return gossip.Report{}, false
 	}
-	changes := lo.Map(chunks, func(chunk kvrouter.ChunkChange, _ int) gossip.Change {
+	changes := lo.Map(chunks, func(chunk kvevents.ChunkChange, _ int) gossip.Change {
 		return gossip.Change{Name: chunk.Hash, Tokens: chunk.Tokens}
 	})
 	return gossip.Report{Address: address, Feed: feed, Complete: true, Changes: changes}, true
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -60,7 +60,7 @@
 		}
 		server.applyReport(now, gossipReport(backend, from, page))
 	}
-	complete := func(server *Server) (int, kvrouter.FeedPosition) {
+	complete := func(server *Server) (int, kvevents.Position) {
 		at, parts, _ := server.router.ChunksSnapshot(backend)
 		return len(parts), at
 	}
@@ -81,7 +81,7 @@
 		Expect(started.snapshots.done(now)).To(BeTrue())
 		parts, at := complete(started)
 		Expect(parts).To(Equal(5001))
-		Expect(at).To(Equal(kvrouter.FeedPosition{Incarnation: 7, Next: 5001}))
+		Expect(at).To(Equal(kvevents.Position{Incarnation: 7, Next: 5001}))
 	})
 
 	It("goes on from where it was read before, instead of from the beginning", func() {
--- a/internal/lab/enginebench/feed.go
+++ b/internal/lab/enginebench/feed.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 )
 
 const (
@@ -36,18 +37,18 @@
 			continue
 		}
 		from := owner.feed.sequence
-		var batch []kvrouter.ChunkChange
+		var batch []kvevents.ChunkChange
 		for _, change := range changes {
 			owner.feed.sequence++
 			if s.random.Float64() < s.settings.EventLoss {
 				continue
 			}
-			batch = append(batch, kvrouter.ChunkChange{
+			batch = append(batch, kvevents.ChunkChange{
 				Sequence: owner.feed.sequence, Salt: salt, Model: model, ID: change.id,
 				Tokens: uint32(change.cached), Removed: change.cached == 0,
 			})
 		}
-		position := kvrouter.FeedPosition{Incarnation: 1, From: from, Next: owner.feed.sequence}
+		position := kvevents.Position{Incarnation: 1, From: from, Next: owner.feed.sequence}
 		delay := minBatchDelay + time.Duration(s.random.ExpFloat64()*float64(meanExtraDelay))
 		address := owner.address
 		s.timers.Add(now+delay, func(now time.Duration) {
--- a/internal/lab/enginebench/router_node.go
+++ b/internal/lab/enginebench/router_node.go
@@ -8,6 +8,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 )
 
 // RouterSettings configure the prefix-aware router.
@@ -125,7 +126,7 @@
 	placed.reservation.Finish(now, true)
 }
 
-func (n *routerNode) changes(now time.Duration, address string, position kvrouter.FeedPosition, changes []kvrouter.ChunkChange) {
+func (n *routerNode) changes(now time.Duration, address string, position kvevents.Position, changes []kvevents.ChunkChange) {
 	n.router.ChunksReported(now, address, position, changes)
 }
 
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -4,6 +4,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
@@ -184,7 +185,7 @@
 		table.Reports(&stored, i)
 		reports[i] = gossip.Report{
 			Address: named.at(stored.Address()),
-			Feed: kvrouter.FeedPosition{
+			Feed: kvevents.Position{
 				Incarnation: stored.Incarnation(),
 				From:        stored.From(),
 				Next:        stored.Next(),
--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -66,7 +66,7 @@
 		candidate: candidate,
 		state:     state,
 		prompt:    p,
-		view:      state.feed.view(req.Now),
+		view:      state.feed.View(req.Now),
 		overlap:   p.overlaps.Of(state.owner),
 	}
 	scored.pull, scored.pulls = m.planPull(req, p, state, candidate.Zone, scored.overlap.Likely)
@@ -90,7 +90,7 @@
 func (m *blockModel) credit(settings *Settings, scored *scoredCandidate) float64 {
 	certain := m.options.tokensToBlocks(scored.overlap.Reported.Tokens)
 	guessed := m.options.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
-	if scored.view.uncertain {
+	if scored.view.Uncertain {
 		guessed += certain
 		certain = 0
 	}
--- a/pkg/kvrouter/block_pull.go
+++ b/pkg/kvrouter/block_pull.go
@@ -37,7 +37,7 @@
 	if !isStore && m.busy(req, state) {
 		return
 	}
-	if state.feed.view(req.Now).uncertain {
+	if state.feed.View(req.Now).Uncertain {
 		return
 	}
 	p.sources = append(p.sources, pullSource{state: state, zone: zone, extent: extent, isStore: isStore})
--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -8,9 +8,8 @@
 //
 //   - registry: the replicas and stores by address, and their handles (Owner) in the
 //     index. Each has a replicaState.
-//   - feed, one for each owner: brings the owner's reports into the prefix index in
-//     order, and detects restarts and losses. eventFeed serves chained chunks,
-//     chunkFeed chunks by ID.
+//   - kvevents.Feed, one for each owner: brings the owner's reports into the prefix
+//     index in order, and detects restarts and losses.
 //   - replicaload.Tracker, one for each replica: this router's reservations, the
 //     replica's reports, and the loads that other routers sent.
 //   - blockModel and timeModel: the cost models. A request with an EngineProfile is
--- /dev/null
+++ b/pkg/kvrouter/kvevents/doc.go
@@ -0,0 +1,22 @@
+// Package kvevents follows what one replica or store, the owner, caches: by the events
+// and chunk reports that it sends, and by predictions where it has not reported yet.
+//
+// An owner reports in one of two ways. Chained chunks come as events that are numbered
+// upwards from 1 in each incarnation; chunks by ID come as batches of changes between
+// two sequence numbers. Either may come doubled, late and out of order. A report that
+// comes too early is buffered until those before it have come. If they don't come within
+// the reorder window or wait, they count as lost: what is buffered is applied, and all
+// that is recorded of the owner is uncertain until a reset or snapshot.
+//
+// Feed is the only entry. It composes:
+//
+//	state                                               owner
+//	present incarnation and the last few before it      incarnations
+//	sequence and buffer of events                       eventFeed
+//	sequence and buffer of batches, changes followed    chunkFeed
+//	chunks in both indexes, waiters for their change    record
+//	weight version, epoch, whether reports were lost    Feed
+//
+// All methods of Feed may be called concurrently. Feed.View never waits for another
+// method, so that a long reset does not delay selection.
+package kvevents
--- a/pkg/kvrouter/feed_prediction.go
+++ b/pkg/kvrouter/kvevents/prediction.go
@@ -1,4 +1,4 @@
-package kvrouter
+package kvevents
 
 import (
 	"time"
@@ -6,50 +6,47 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// predict records that the owner probably caches the chunks of a request that was
+// Predict records that the owner probably caches the chunks of a request that was
 // dispatched in the given epoch of the feed.
-func (f *feed) predict(now time.Duration, epoch uint64, links []prefixindex.Link) {
+func (f *Feed) Predict(now time.Duration, epoch uint64, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
 	if f.forgotten || f.epoch != epoch {
 		return
 	}
-	defer f.notifyChange()
+	defer f.record.notifyChange()
 	if f.reportsEvents {
 		f.predictUntilReported(now, links)
 		return
 	}
-	f.index.Predict(now, f.owner, links)
+	f.record.index.Predict(now, f.record.owner, links)
 }
 
 // predictUntilReported predicts the chunks for the time until the owner's own report
 // comes.
-func (f *feed) predictUntilReported(now time.Duration, links []prefixindex.Link) {
+func (f *Feed) predictUntilReported(now time.Duration, links []prefixindex.Link) {
 	lag := f.options.PredictionLag
 	if f.chunks.inUse && lag > 0 {
 		lag = f.options.ByIDPredictionLag
 	}
 	if lag > 0 {
-		f.index.PredictFor(now, lag, f.owner, links)
+		f.record.index.PredictFor(now, lag, f.record.owner, links)
 	}
 }
 
-// addPending records that a request with the chunks was sent, so that requests behind
+// AddPending records that a request with the chunks was sent, so that requests behind
 // it will find them cached when their turn comes.
-func (f *feed) addPending(now time.Duration, links []prefixindex.Link) {
+func (f *Feed) AddPending(now time.Duration, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
 	if !f.forgotten {
-		f.pending.Predict(now, f.owner, links)
+		f.record.pending.Predict(now, f.record.owner, links)
 	}
 }
 
-// removePending withdraws addPending.
-func (f *feed) removePending(links []prefixindex.Link) {
+// RemovePending withdraws AddPending.
+func (f *Feed) RemovePending(links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
-	defer f.notifyChange()
-	for _, link := range links {
-		f.pending.Remove(f.owner, []prefixindex.ChainHash{link.Hash})
-	}
+	f.record.removePending(links)
 }
--- /dev/null
+++ b/pkg/kvrouter/kvevents/status.go
@@ -0,0 +1,33 @@
+package kvevents
+
+// Status is the outcome of an event or batch.
+type Status int
+
+// The outcomes of an event.
+const (
+	// Accepted events are in the index, or buffered until an earlier one has come.
+	Accepted Status = iota
+	// Duplicate events were seen before.
+	Duplicate
+	// Stale events are of an earlier incarnation of the replica, or older than the
+	// state that the index already has.
+	Stale
+	// Gap means that events were lost: ask the replica for a reset. What the
+	// event says is applied all the same.
+	Gap
+)
+
+// String returns the name of the status.
+func (s Status) String() string {
+	switch s {
+	case Accepted:
+		return "accepted"
+	case Duplicate:
+		return "duplicate"
+	case Stale:
+		return "stale"
+	case Gap:
+		return "gap"
+	}
+	return "unknown"
+}
--- a/pkg/kvrouter/load.go
+++ b/pkg/kvrouter/load.go
@@ -30,7 +30,7 @@
 	if !r.isNewestReport(state, describesAt) {
 		return
 	}
-	current, restarted := state.feed.handleReport(now, report)
+	current, restarted := state.feed.HandleReport(now, report.Incarnation, report.WeightVersion, report.LastSequence)
 	if !current {
 		return
 	}
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -115,6 +116,17 @@
 	return o
 }
 
+func (o *Options) feedOptions() kvevents.Options {
+	return kvevents.Options{
+		ReportLag:         o.ReportLag,
+		PredictionLag:     o.PredictionLag,
+		ByIDPredictionLag: o.ByIDPredictionLag,
+		UncertainTTL:      o.UncertainTTL,
+		ReorderWindow:     o.ReorderWindow,
+		ReorderWait:       o.ReorderWait,
+	}
+}
+
 // blocks converts a load in tokens to blocks.
 func (o *Options) blocks(tokens replicaload.Load) Load {
 	blockTokens := float64(o.BlockTokens)
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -30,7 +31,8 @@
 // methods are safe for concurrent use.
 type PrefixWait struct {
 	index, pending *prefixindex.Index
-	feed           *feed
+	feed           *kvevents.Feed
+	owner          prefixindex.Owner
 	links          []prefixindex.Link
 	tokens         uint32
 	deadline       time.Duration
@@ -41,7 +43,7 @@
 
 // Changed returns a channel that is closed when what the replica caches changes
 // after the call.
-func (w *PrefixWait) Changed() <-chan struct{} { return w.feed.nextChange() }
+func (w *PrefixWait) Changed() <-chan struct{} { return w.feed.NextChange() }
 
 // Done reports whether the request is to be sent: the replica caches the beginning,
 // or no request makes it compute that any more, or the deadline has come.
@@ -51,11 +53,11 @@
 	}
 	var cached, pending prefixindex.Overlaps
 	w.index.Overlaps(now, w.links, &cached)
-	if cached.Of(w.feed.owner).Likely.Tokens+waitTokenTolerance >= w.tokens {
+	if cached.Of(w.owner).Likely.Tokens+waitTokenTolerance >= w.tokens {
 		return true
 	}
 	w.pending.Overlaps(now, w.links, &pending)
-	return pending.Of(w.feed.owner).Likely.Tokens < w.tokens
+	return pending.Of(w.owner).Likely.Tokens < w.tokens
 }
 
 // plannedWait is what a replica would cache of a prompt after a wait.
@@ -94,6 +96,7 @@
 		index:    m.index,
 		pending:  m.pending,
 		feed:     chosen.state.feed,
+		owner:    chosen.state.owner,
 		links:    chosen.prompt.links,
 		tokens:   chosen.overlap.Likely.Tokens,
 		deadline: req.Now + wait,
--- a/pkg/kvrouter/prefix_wait_test.go
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -44,7 +45,7 @@
 		Expect(decision.Wait).NotTo(BeNil())
 		Expect(decision.Wait.Done(soon)).To(BeFalse())
 		changed := decision.Wait.Changed()
-		var changes []kvrouter.ChunkChange
+		var changes []kvevents.ChunkChange
 		for chunk := range 8 {
 			changes = append(changes, cachedChange(uint64(chunk+2), chunk, 1000))
 		}
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -95,7 +95,7 @@
 		links:         chosen.prompt.links,
 		pull:          chosen.pull,
 		pulls:         chosen.pulls,
-		feedEpoch:     chosen.view.epoch,
+		feedEpoch:     chosen.view.Epoch,
 		startedAt:     req.Now,
 		backlogTokens: chosen.backlogTokens,
 	}
@@ -115,9 +115,9 @@
 	if !r.endPrefill(now) {
 		return
 	}
-	r.state.feed.predict(now, r.feedEpoch, r.links)
+	r.state.feed.Predict(now, r.feedEpoch, r.links)
 	if r.store != nil {
-		r.store.feed.predict(now, r.store.feed.view(now).epoch, r.links)
+		r.store.feed.Predict(now, r.store.feed.View(now).Epoch, r.links)
 	}
 }
 
@@ -174,10 +174,10 @@
 		r.removePending()
 		return
 	}
-	if r.firstToken && r.state.feed.view(now).reportsEvents {
+	if r.firstToken && r.state.feed.View(now).ReportsEvents {
 		return
 	}
-	r.state.feed.predict(now, r.feedEpoch, r.links)
+	r.state.feed.Predict(now, r.feedEpoch, r.links)
 }
 
 // Cancelled records that the attempt has ended because nobody waits for it any
@@ -213,8 +213,8 @@
 	if r.work == nil || r.firstToken {
 		return
 	}
-	r.state.feed.removePending(r.links)
+	r.state.feed.RemovePending(r.links)
 	if r.store != nil {
-		r.store.feed.removePending(r.links)
+		r.store.feed.RemovePending(r.links)
 	}
 }
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -53,7 +53,13 @@
 	}
 	r.index = prefixindex.New(r.options.Index)
 	r.pending = prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards})
-	r.replicas = registry{index: r.index, pending: r.pending, options: &r.options, byAddress: make(map[string]*replicaState)}
+	r.replicas = registry{
+		index:       r.index,
+		pending:     r.pending,
+		options:     &r.options,
+		feedOptions: r.options.feedOptions(),
+		byAddress:   make(map[string]*replicaState),
+	}
 	r.blockModel = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: speed.NewBandwidths(r.options.LinkBytesPerSecond, r.options.LinkLatency)}
 	r.timeModel = timeModel{
 		options:   &r.options,
@@ -85,7 +91,7 @@
 	if !present {
 		return
 	}
-	state.feed.forget()
+	state.feed.Forget()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.replicas.releaseOwner(state.owner)
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -21,7 +22,7 @@
 	candidate *Candidate
 	state     *replicaState
 	prompt    *prompt
-	view      feedView
+	view      kvevents.View
 	overlap   prefixindex.Overlap
 	pull      plannedPull
 	pulls     bool
@@ -78,7 +79,7 @@
 	}
 	r.mutex.Unlock()
 	for _, state := range replaced {
-		state.feed.handleReplacement()
+		state.feed.HandleReplacement()
 		r.handleRestart(now, state)
 	}
 }
@@ -136,8 +137,8 @@
 		return
 	}
 	reservation := decision.Reservation
-	reservation.state.feed.addPending(req.Now, reservation.links)
+	reservation.state.feed.AddPending(req.Now, reservation.links)
 	if reservation.store != nil {
-		reservation.store.feed.addPending(req.Now, reservation.links)
+		reservation.store.feed.AddPending(req.Now, reservation.links)
 	}
 }
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -70,7 +70,7 @@
 		candidate: candidate,
 		state:     state,
 		prompt:    p,
-		view:      state.feed.view(req.Now),
+		view:      state.feed.View(req.Now),
 		overlap:   p.overlaps.Of(state.owner),
 	}
 	state.perToken = req.latency.PerToken()
