--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -4,18 +4,17 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
-// blockModel estimates costs in blocks, for pools without an engine profile. The
-// router's lock guards it, and the caller of its methods holds it.
+// blockModel is the costModel of pools without an engine profile. It estimates costs
+// in blocks.
 type blockModel struct {
 	options    *Options
 	replicas   *registry
 	bandwidths *speed.Bandwidths
 }
 
-// choose returns the candidate to take. The result is valid until the scratch
-// memory is reset.
 func (m *blockModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
 	m.gatherSources(s, req, candidates)
 	allowed := m.score(s, req, candidates)
@@ -136,9 +135,25 @@
 	return max(shortest, minRetryAfter)
 }
 
-// learn updates the replica's prefill speed by the time to the first token, or the
+func (m *blockModel) reserve(reservation *Reservation, req *Request, chosen *scoredCandidate) *PrefixWait {
+	promptTokens := float64(req.promptTokens)
+	compute := promptTokens - float64(chosen.overlap.Likely.Tokens)
+	if chosen.pulls {
+		compute -= float64(chosen.pull.tokens)
+		chosen.pull.source.state.pullsServed++
+	}
+	reservation.computeTokens = max(0, compute)
+	reservation.setLoad(req.Now, replicaload.Load{
+		PrefillTokens: reservation.computeTokens,
+		DecodeTokens:  promptTokens,
+		Requests:      1,
+	})
+	return nil
+}
+
+// endPrefill updates the replica's prefill speed by the time to the first token, or the
 // bandwidth of the link when some of that time was spent on a pull.
-func (m *blockModel) learn(r *Reservation, now time.Duration) {
+func (m *blockModel) endPrefill(r *Reservation, now time.Duration) {
 	took := now - r.startedAt
 	computed := r.backlogTokens + r.computeTokens
 	if !r.pulls {
@@ -149,3 +164,6 @@
 	bytes := float64(r.pull.tokens) * m.options.BytesPerToken
 	m.bandwidths.ObserveTransfer(now, r.pull.zones, bytes, r.pull.sharedWith, pulling)
 }
+
+// abandonPrefill does nothing: the prefill of a reservation ends with its load.
+func (m *blockModel) abandonPrefill(*Reservation, time.Duration) {}
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -8,18 +8,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
-const meanComputeWeight = 0.1
-
 // Reservation accounts for the load of one attempt on a replica: its prefill
 // until the first token, and its memory until the end. It is safe for
 // concurrent use, and Finish must be called once the attempt has ended.
 type Reservation struct {
 	router *Router
-	state  *replicaState
-	links  []prefixindex.Link
-	pull   plannedPull
-	pulls  bool
+	// model is the cost model that chose the replica.
+	model costModel
+	state *replicaState
+	links []prefixindex.Link
+	pull  plannedPull
+	pulls bool
 	// feedEpoch is the epoch of the replica's feed that the attempt belongs to.
 	feedEpoch uint64
 	// startedAt, computeTokens and backlogTokens tell how long the first token
@@ -28,7 +27,8 @@
 	computeTokens float64
 	backlogTokens float64
 
-	// work and latency are set with an engine profile.
+	// The fields below are set by the time cost model.
+
 	work    *replicaload.PrefillWork
 	latency *speed.Latency
 	// waited says that the attempt was held back by a PrefixWait, so that its time
@@ -46,51 +46,11 @@
 	generated  uint32
 }
 
-// reserveByBlocks adds the load of a request to the replica that the block cost
-// model has chosen. The caller holds the lock.
-func (r *Router) reserveByBlocks(req *Request, chosen *scoredCandidate) *Reservation {
-	promptTokens := float64(req.promptTokens)
-	compute := promptTokens - float64(chosen.overlap.Likely.Tokens)
-	if chosen.pulls {
-		compute -= float64(chosen.pull.tokens)
-		chosen.pull.source.state.pullsServed++
-	}
-	reservation := r.newReservation(req, chosen)
-	reservation.computeTokens = max(0, compute)
-	reservation.setLoad(req.Now, replicaload.Load{PrefillTokens: reservation.computeTokens, DecodeTokens: promptTokens, Requests: 1})
-	return reservation
-}
-
-// reserveByTime adds the load of a request to the replica that the time cost model
-// has chosen. The caller holds the lock.
-func (r *Router) reserveByTime(req *Request, chosen *scoredCandidate, saveToStore bool) *Reservation {
-	reservation := r.newReservation(req, chosen)
-	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
-	reservation.latency = req.latency
-	reservation.waited = chosen.waits
-	if saveToStore {
-		reservation.store = r.replicas.state(req.Now, req.Store)
-	}
-	if chosen.pulls {
-		chosen.pull.source.state.pullsServed++
-		end := req.Now + chosen.pull.transferTime
-		chosen.pull.source.state.transferLink.ReserveUntil(end)
-		chosen.state.transferLink.ReserveUntil(end)
-	}
-	state := chosen.state
-	reservation.work = state.load.AddPrefill(req.Priority, reservation.computeTokens)
-	state.meanCompute += meanComputeWeight * (reservation.computeTokens - state.meanCompute)
-	reservation.setLoad(req.Now, replicaload.Load{
-		PrefillTokens: reservation.computeTokens,
-		DecodeTokens:  chosen.timeTerms.memoryTokens,
-		Requests:      1,
-	})
-	return reservation
-}
-
-func (r *Router) newReservation(req *Request, chosen *scoredCandidate) *Reservation {
+// newReservation returns a reservation without load, which the cost model adds.
+func (r *Router) newReservation(model costModel, req *Request, chosen *scoredCandidate) *Reservation {
 	return &Reservation{
 		router:        r,
+		model:         model,
 		state:         chosen.state,
 		links:         chosen.prompt.links,
 		pull:          chosen.pull,
@@ -130,13 +90,7 @@
 		return false
 	}
 	r.firstToken = true
-	if r.work != nil {
-		r.state.drainBacklog(now)
-		r.router.timeModel.learn(r, now)
-		r.state.load.RemovePrefill(r.work)
-	} else {
-		r.router.blockModel.learn(r, now)
-	}
+	r.model.endPrefill(r, now)
 	r.endPull()
 	r.setLoad(now, replicaload.Load{DecodeTokens: r.load.DecodeTokens, Requests: r.load.Requests})
 	return true
@@ -199,15 +153,24 @@
 	r.finished = true
 	if !r.firstToken {
 		r.endPull()
-		if r.work != nil {
-			r.state.drainBacklog(now)
-			r.state.load.RemovePrefill(r.work)
-		}
+		r.model.abandonPrefill(r, now)
 	}
 	r.setLoad(now, replicaload.Load{})
 	return true
 }
 
+// addPending records that the chosen replica, and the store if the chunks are
+// saved, will cache the prompt.
+func (r *Reservation) addPending(now time.Duration) {
+	if r.work == nil || r.router.options.Disabled.PendingChunks {
+		return
+	}
+	r.state.feed.AddPending(now, r.links)
+	if r.store != nil {
+		r.store.feed.AddPending(now, r.links)
+	}
+}
+
 // removePending withdraws the pending chunks of a prompt that was not computed.
 func (r *Reservation) removePending() {
 	if r.work == nil || r.firstToken {
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -39,13 +39,13 @@
 // Select chooses the replica for a request and reserves its load. It returns a
 // *NoReplicaError when no candidate can take the request. The caller must end
 // the reservation of the decision with Finish.
-func (r *Router) Select(req Request, candidates []Candidate) (Decision, error) {
+func (r *Router) Select(request Request, candidates []Candidate) (Decision, error) {
 	if len(candidates) == 0 {
 		return Decision{}, &NoReplicaError{Reason: NoCandidates, RetryAfter: defaultRetryAfter}
 	}
 	s := r.scratchPool.Get().(*scratch)
-	defer r.scratchPool.Put(s)
-	s.reset()
+	defer r.releaseScratch(s)
+	req := s.start(request)
 	req.countTokens()
 	if req.Engine != nil {
 		profile := req.Engine.withDefaults(&r.options)
@@ -53,10 +53,10 @@
 		req.Priority = min(req.Priority, replicaload.Priorities-1)
 		r.detectReplacements(req.Now, candidates)
 	}
-	r.lookUp(s, &req, candidates)
-	decision, err := r.chooseAndReserve(s, &req, candidates)
-	if err == nil && req.Engine != nil {
-		r.addPending(&req, &decision)
+	r.lookUp(s, req, candidates)
+	decision, err := r.chooseAndReserve(s, req, candidates)
+	if err == nil {
+		decision.Reservation.addPending(req.Now)
 	}
 	return decision, err
 }
@@ -85,36 +85,18 @@
 }
 
 // chooseAndReserve has the cost model of the request choose a candidate, and
-// reserves its load, under the router's lock. It is the only place where requests
-// with and without an engine profile part. The models are called directly: behind
-// an interface the request would escape to the heap.
+// reserves its load, under the router's lock.
 func (r *Router) chooseAndReserve(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.observeTime(req.Now)
-	if req.Engine == nil {
-		chosen, err := r.blockModel.choose(s, req, candidates)
-		if err != nil {
-			return Decision{}, err
-		}
-		decision := newDecision(req, chosen)
-		decision.Reservation = r.reserveByBlocks(req, chosen)
-		return decision, nil
-	}
-	chosen, err := r.timeModel.choose(s, req, candidates)
+	model := r.costModelOf(req)
+	chosen, err := model.choose(s, req, candidates)
 	if err != nil {
 		return Decision{}, err
 	}
-	decision := newDecision(req, chosen)
-	decision.ExpectedDelay = units.FromMilliseconds(chosen.timeTerms.delay)
-	decision.Save = r.timeModel.shouldSave(req, chosen.prompt)
-	decision.Wait = r.timeModel.prefixWait(req, chosen)
-	decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
-	return decision, nil
-}
-
-// newDecision returns the decision for a candidate, but for its reservation.
-func newDecision(req *Request, chosen *scoredCandidate) Decision {
+	reservation := r.newReservation(model, req, chosen)
+	wait := model.reserve(reservation, req, chosen)
 	decision := Decision{
 		Address:       chosen.candidate.Address,
 		Instance:      chosen.candidate.Instance,
@@ -123,22 +105,13 @@
 		OverlapTokens: chosen.overlap.Likely.Tokens,
 		PromptTokens:  req.promptTokens,
 		Cost:          chosen.cost,
+		Save:          reservation.store != nil,
+		Wait:          wait,
+		ExpectedDelay: units.FromMilliseconds(chosen.timeTerms.delay),
+		Reservation:   reservation,
 	}
 	if chosen.pulls {
 		decision.Pull = chosen.pull.pull()
 	}
-	return decision
-}
-
-// addPending records that the chosen replica, and the store if the chunks are
-// saved, will cache the prompt.
-func (r *Router) addPending(req *Request, decision *Decision) {
-	if r.options.Disabled.PendingChunks {
-		return
-	}
-	reservation := decision.Reservation
-	reservation.state.feed.AddPending(req.Now, reservation.links)
-	if reservation.store != nil {
-		reservation.store.feed.AddPending(req.Now, reservation.links)
-	}
+	return decision, nil
 }
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -7,14 +7,18 @@
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
 // maxLatencies bounds the models whose latency is learned; beyond it all are learned anew.
 const maxLatencies = 64
 
-// timeModel estimates costs in the replicas' own time, for pools with an engine
-// profile. The router's lock guards it, and the caller of its methods holds it.
+// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
+const meanComputeWeight = 0.1
+
+// timeModel is the costModel of pools with an engine profile. It estimates costs in
+// the replicas' own time.
 type timeModel struct {
 	options  *Options
 	replicas *registry
@@ -24,8 +28,6 @@
 	recentHashes   recentHashes
 }
 
-// choose returns the candidate to take. The result is valid until the scratch
-// memory is reset.
 func (m *timeModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
 	req.latency = m.latencyOf(req.Model, req.Engine)
 	m.gatherSources(s, req, candidates)
@@ -108,6 +110,41 @@
 	return p.links[len(p.links)-2].Hash
 }
 
+func (m *timeModel) reserve(reservation *Reservation, req *Request, chosen *scoredCandidate) *PrefixWait {
+	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
+	reservation.latency = req.latency
+	reservation.waited = chosen.waits
+	if m.shouldSave(req, chosen.prompt) {
+		reservation.store = m.replicas.state(req.Now, req.Store)
+	}
+	if chosen.pulls {
+		chosen.pull.source.state.pullsServed++
+		end := req.Now + chosen.pull.transferTime
+		chosen.pull.source.state.transferLink.ReserveUntil(end)
+		chosen.state.transferLink.ReserveUntil(end)
+	}
+	state := chosen.state
+	reservation.work = state.load.AddPrefill(req.Priority, reservation.computeTokens)
+	state.meanCompute += meanComputeWeight * (reservation.computeTokens - state.meanCompute)
+	reservation.setLoad(req.Now, replicaload.Load{
+		PrefillTokens: reservation.computeTokens,
+		DecodeTokens:  chosen.timeTerms.memoryTokens,
+		Requests:      1,
+	})
+	return m.prefixWait(req, chosen)
+}
+
+func (m *timeModel) endPrefill(r *Reservation, now time.Duration) {
+	r.state.drainBacklog(now)
+	m.learn(r, now)
+	r.state.load.RemovePrefill(r.work)
+}
+
+func (m *timeModel) abandonPrefill(r *Reservation, now time.Duration) {
+	r.state.drainBacklog(now)
+	r.state.load.RemovePrefill(r.work)
+}
+
 // learn updates the latency of the pool and the slowness of the replica and of
 // its links by the time to the first event.
 func (m *timeModel) learn(r *Reservation, now time.Duration) {
@@ -154,29 +191,3 @@
 	}
 	return max(shortest, minRetryAfter)
 }
-
-// shouldSave reports whether the request is to save its chunks to the store: those
-// that others are likely to use again, when the store lacks some of them. These
-// are all but the last, and the last too when it has come before or is a session's.
-func (m *timeModel) shouldSave(req *Request, p *prompt) bool {
-	if req.Store == "" || len(p.links) == 0 || m.options.Disabled.SaveToStore {
-		return false
-	}
-	last := len(p.links) - 1
-	reused := m.recentHashes.add(p.links[last].Hash) || req.Session
-	saved := p.links
-	if !reused {
-		saved = p.links[:last]
-	}
-	tokens := 0.0
-	for _, link := range saved {
-		tokens += float64(link.Tokens)
-	}
-	if capacity := req.Engine.StoreTokens; capacity > 0 && float64(req.promptTokens) > maxSaveFraction*capacity {
-		return false
-	}
-	// Chunks on their way to the store count as cached.
-	owner := m.replicas.state(req.Now, req.Store).owner
-	stored := max(p.overlaps.Of(owner).Likely.Tokens, p.pending.Of(owner).Likely.Tokens)
-	return tokens >= minPullTokens && float64(stored) < tokens
-}
--- a/pkg/kvrouter/time_pull.go
+++ b/pkg/kvrouter/time_pull.go
@@ -22,8 +22,6 @@
 	maxSourcesOfZone = 1
 	// minPullTokens is the smallest pull that is planned, in tokens.
 	minPullTokens = 64
-	// maxSaveFraction is the largest fraction of the store that one prompt may take.
-	maxSaveFraction = 0.125
 )
 
 // gatherSources finds the owners that replicas may pull each prompt from: the
