--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -4,22 +4,38 @@
 //
 // # Structure
 //
-// Router is the only entry. It composes parts that each own their state:
-//
-//   - registry: the replicas and stores by address, and their handles (Owner) in the
-//     index. Each has a replicaState.
-//   - kvevents.Feed, one for each owner: brings the owner's reports into the prefix
-//     index in order, and detects restarts and losses.
-//   - replicaload.Tracker, one for each replica: this router's reservations, the
-//     replica's reports, and the loads that other routers sent.
-//   - blockModel and timeModel: the cost models. A request with an EngineProfile is
-//     scored in the replicas' own time, one without in blocks of tokens. Each scores
-//     candidates, plans pulls, and learns speeds from first tokens; the estimators of
-//     package speed have what was learned.
-//   - Reservation: the load of one attempt, from its selection to its end.
-//
-// A selection goes through Select, lookUp (the overlaps of the prompt with what
-// each owner caches) and chooseAndReserve, which calls one of the models.
+// Router is the only entry. Each part of it owns its state:
+//
+//	state                                          owner
+//	chunks that each owner caches, is predicted    prefixindex.Index
+//	to cache, or will cache soon (pending)
+//	sequence and incarnation of an owner's         kvevents.Feed
+//	reports, whether some were lost
+//	load of a replica: local requests, reports,    replicaload.Tracker
+//	loads of other routers
+//	speeds of replicas, pools and links            estimators of internal/speed, held by
+//	                                               replicaState and the cost models
+//	replicas and stores by address, their          registry, with a replicaState each
+//	handles in the index (prefixindex.Owner)
+//	when slow start began                          slowStart
+//	prompts that came lately                       recentHashes
+//	load of one attempt                            Reservation
+//	memory of one selection                        scratch
+//
+// A costModel scores the candidates, plans pulls, and learns from first tokens. There
+// are two: blockModel counts blocks of tokens; timeModel, for pools with an
+// EngineProfile, estimates the replicas' own time, and plans waits for a prefix and
+// saves to the store as well. They, their pulls (block_pull.go, time_pull.go) and
+// Reservation stay in this package: all of them work on Request, Candidate and
+// replicaState within one selection, under one lock, so that packages of their own
+// would export these for each other and nobody else.
+//
+// # A selection
+//
+// Router.Select looks up the overlaps of the prompt with what each owner caches, under
+// each weight version of the candidates, without the router's lock. Under the lock, the
+// cost model chooses, and reserves the load. FirstToken and Finish of the Reservation
+// release it, and bring what was learned and predicted.
 //
 // # Concurrency
 //
--- a/pkg/kvrouter/pull.go
+++ b/pkg/kvrouter/pull.go
@@ -7,33 +7,39 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// pullSource is an owner that a replica may pull chunks of the prompt from. Region
-// and certain are set by the time cost model.
+// pullSource is an owner that a replica may pull chunks of the prompt from.
 type pullSource struct {
-	state   *replicaState
-	zone    string
-	region  string
+	state *replicaState
+	zone  string
+	// region is set by the time cost model.
+	region string
+	// extent is what the owner caches of the prompt from its beginning.
 	extent  prefixindex.Extent
 	isStore bool
-	// certain says that the owner has reported all of the extent.
+	// certain says that the owner has reported all of the extent. The time cost model
+	// sets it; the block cost model plans no pulls of other chunks.
 	certain bool
 }
 
 // plannedPull is a pull with what its planning was based on.
 type plannedPull struct {
-	source     pullSource
+	source pullSource
+	// zones and sharedWith, the number of pulls that were in progress from the source,
+	// are set by the block cost model.
 	zones      speed.Zones
+	sharedWith int
+	// firstChunk is the first chunk that the replica lacks; the last one is that of
+	// the source's extent.
 	firstChunk int
 	tokens     uint32
-	// sharedWith counts the pulls that were in progress from the source.
-	sharedWith int
 	// transferTime is the estimated time of the transfer, waits for the link included.
 	transferTime time.Duration
 	// saved is how much sooner the chunks are there than by prefill.
 	saved time.Duration
-	// savedFraction is saved as a fraction of the time of prefill, from 0 to 1.
+	// savedFraction is saved as a fraction of the time of prefill, from 0 to 1. The
+	// block cost model sets it.
 	savedFraction float64
-	// price is what the moved bytes cost, in milliseconds.
+	// price is what the moved bytes cost, in milliseconds. The time cost model sets it.
 	price float64
 }
 
--- a/pkg/kvrouter/choose.go
+++ b/pkg/kvrouter/ranking.go
@@ -13,8 +13,8 @@
 // costTolerance is the difference, in blocks, below which costs are equal.
 const costTolerance = 1e-6
 
-// chooseScored returns the position of the candidate to take among the scored ones,
-// of which there is at least one. Hash spreads ties.
+// chooseScored returns the index of the candidate to take among the scored ones, of
+// which there is at least one. Hash stands for the prompt, to spread ties.
 func chooseScored(req *Request, scored []scoredCandidate, hash prefixindex.ChainHash) int {
 	if req.Settings.Temperature > 0 && req.Random != nil {
 		return sample(req.Settings.Temperature, scored, req.Random)
--- a/pkg/kvrouter/reports.go
+++ b/pkg/kvrouter/reports.go
@@ -140,25 +140,3 @@
 	slices.Sort(addresses)
 	return addresses
 }
-
-// state returns the state of an address, under the lock. The caller may use its
-// feed without the lock.
-func (r *Router) state(now time.Duration, address string) *replicaState {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.observeTime(now)
-	return r.replicas.state(now, address)
-}
-
-// existingState returns the state of an address, or nil when there is none.
-func (r *Router) existingState(address string) *replicaState {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.replicas.byAddress[address]
-}
-
-func (r *Router) handleRestart(now time.Duration, state *replicaState) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state.restart(now)
-}
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -1,6 +1,7 @@
 package kvrouter
 
 import (
+	"math"
 	"math/rand/v2"
 	"time"
 
@@ -76,6 +77,30 @@
 	harmWeight float64
 }
 
+// excludes reports whether the request must not go to a candidate.
+func (req *Request) excludes(address string) bool {
+	return req.Exclude != nil && req.Exclude(address)
+}
+
+// salt returns the cache salt under a weight version. Without SaltFor the
+// version itself is the salt, so that versions are kept apart in any case.
+func (req *Request) salt(version string) string {
+	if req.SaltFor == nil {
+		return version
+	}
+	return req.SaltFor(version)
+}
+
+// countTokens counts the tokens of the prompt. The count saturates instead of
+// wrapping around.
+func (req *Request) countTokens() {
+	tokens := uint64(0)
+	for _, chunk := range req.Chunks {
+		tokens += uint64(chunk.Tokens)
+	}
+	req.promptTokens = uint32(min(tokens, math.MaxUint32))
+}
+
 // Decision is the outcome of a selection.
 type Decision struct {
 	Address string
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -21,8 +21,8 @@
 	pulls bool
 	// feedEpoch is the epoch of the replica's feed that the attempt belongs to.
 	feedEpoch uint64
-	// startedAt, computeTokens and backlogTokens tell how long the first token
-	// should take.
+	// startedAt, computeTokens and backlogTokens, the tokens of other prompts that the
+	// replica computes before, tell how long the first token should take.
 	startedAt     time.Duration
 	computeTokens float64
 	backlogTokens float64
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -20,9 +20,6 @@
 
 // Router selects replicas. It is safe for concurrent use.
 //
-// It composes the registry of replicas, each with a feed and a load, and the two
-// cost models.
-//
 // Locks: mutex guards all but the feeds and the indexes. A feed has a mutex of its
 // own, under which it changes the indexes and takes their locks. No goroutine waits
 // for one of the two mutexes while it holds the other: selection reads a feed under
@@ -41,7 +38,7 @@
 	replicas   registry
 	blockModel blockModel
 	timeModel  timeModel
-	// latest is the newest time that the router was given.
+	// latest is the newest time that the router was given, for calls without a time.
 	latest time.Duration
 }
 
@@ -104,6 +101,29 @@
 	return lo.Keys(r.replicas.byAddress)
 }
 
+// state returns the state of an address, which it creates when there is none. It takes
+// the lock; the caller may use the feed of the state without it, and nothing else.
+func (r *Router) state(now time.Duration, address string) *replicaState {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.observeTime(now)
+	return r.replicas.state(now, address)
+}
+
+// existingState is state without creation: nil when there is none.
+func (r *Router) existingState(address string) *replicaState {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.replicas.byAddress[address]
+}
+
+// handleRestart discards what is true of the former incarnation of a replica.
+func (r *Router) handleRestart(now time.Duration, state *replicaState) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	state.restart(now)
+}
+
 // observeTime records the newest time. The caller holds the lock.
 func (r *Router) observeTime(now time.Duration) {
 	r.latest = max(r.latest, now)
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -23,11 +23,15 @@
 	state     *replicaState
 	prompt    *prompt
 	view      kvevents.View
-	overlap   prefixindex.Overlap
-	pull      plannedPull
-	pulls     bool
-	// waits says that the overlap is there only after a wait.
-	waits          bool
+	// overlap is what the replica caches of the prompt when the request arrives.
+	overlap prefixindex.Overlap
+	// pull is meaningful if pulls is set.
+	pull  plannedPull
+	pulls bool
+	// waits says that the overlap is there only after a PrefixWait.
+	waits bool
+	// backlogTokens are the tokens of other prompts that the replica computes before
+	// this one.
 	backlogTokens  float64
 	activeRequests float64
 	// cost is in blocks.
--- a/pkg/kvrouter/slow_start.go
+++ b/pkg/kvrouter/slow_start.go
@@ -13,9 +13,9 @@
 	since time.Duration
 }
 
-// limit returns how many reservations the replica may have.
-func (r slowStart) limit(now time.Duration, options *Options) int {
-	elapsed := max(0, now-r.since)
+// limit returns how many reservations the replica may have at once.
+func (s slowStart) limit(now time.Duration, options *Options) int {
+	elapsed := max(0, now-s.since)
 	if elapsed >= options.SlowStartDuration {
 		return math.MaxInt
 	}
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -101,15 +101,6 @@
 	}
 }
 
-// affinity returns the hash of what should draw requests to one replica when costs
-// are equal: the shared beginning of the prompt.
-func (p *prompt) affinity() prefixindex.ChainHash {
-	if len(p.links) < 2 {
-		return p.identity()
-	}
-	return p.links[len(p.links)-2].Hash
-}
-
 func (m *timeModel) reserve(reservation *Reservation, req *Request, chosen *scoredCandidate) *PrefixWait {
 	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
 	reservation.latency = req.latency
