--- a/pkg/kvrouter/replicaload/tracker.go
+++ b/pkg/kvrouter/replicaload/tracker.go
@@ -172,11 +172,10 @@
 	return t.queue.unread() + t.shared.sum.prefill()
 }
 
-// UnreadByPriority is Unread for each priority.
-func (t *Tracker) UnreadByPriority() [Priorities]float64 {
-	sums := t.shared.sum.PrefillTokens
-	t.queue.addByPriority(&sums)
-	return sums
+// UnreadByPriority is Unread for each priority. It writes to sums.
+func (t *Tracker) UnreadByPriority(sums *[Priorities]float64) {
+	*sums = t.shared.sum.PrefillTokens
+	t.queue.addByPriority(sums)
 }
 
 // UnannouncedRequests counts the requests that the replica reports as waiting, and
@@ -189,9 +188,14 @@
 	return max(0, min(excess, t.memory.Waiting))
 }
 
-// MemoryTotal returns the size of the replica's memory in tokens, or 0 when it has not
-// reported it.
-func (t *Tracker) MemoryTotal() float64 { return t.memory.Total }
+// MemoryTotal returns the size of the replica's memory in tokens, or the assumed one
+// when it has not reported it.
+func (t *Tracker) MemoryTotal(assumed float64) float64 {
+	if t.memory.Total > 0 {
+		return t.memory.Total
+	}
+	return assumed
+}
 
 // memoryInUse returns the tokens in use now: the reported ones, and what the local
 // requests have changed since. It returns false without a fresh report.
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -116,8 +116,10 @@
 // queuedTokens sums the tokens that a replica computes before the request's own.
 // Less urgent prompts count less, since only the one in progress goes first.
 func (m *timeModel) queuedTokens(req *Request, state *replicaState) float64 {
+	var sums [replicaload.Priorities]float64
+	state.load.UnreadByPriority(&sums)
 	queued := 0.0
-	for priority, tokens := range state.load.UnreadByPriority() {
+	for priority, tokens := range &sums {
 		if priority <= int(req.Priority) {
 			queued += tokens
 		} else {
@@ -158,10 +160,7 @@
 	if req.Engine.Slots > 0 && active.Requests >= float64(req.Engine.Slots) {
 		return true
 	}
-	memory := req.Engine.MemoryTokens
-	if reported := state.load.MemoryTotal(); reported > 0 {
-		memory = reported
-	}
+	memory := state.load.MemoryTotal(req.Engine.MemoryTokens)
 	if memory > 0 && active.DecodeTokens+terms.memoryTokens > preemptionMemory*memory {
 		return true
 	}
