--- a/pkg/prefixindex/chunk_sizes.go
+++ b/pkg/prefixindex/chunk_sizes.go
@@ -90,18 +90,25 @@
 	}
 }
 
-// clear removes the size of an owner's chunk; with uncertainOnly only if it is
-// uncertain.
-func (s *chunkSizes) clear(owner Owner, hash ChainHash, uncertainOnly bool) {
+// clear removes the size of an owner's chunk.
+func (s *chunkSizes) clear(owner Owner, hash ChainHash) {
+	s.clearIf(hash, func(size cachedSize) bool { return size.owner == owner })
+}
+
+// clearUncertain removes the size of an owner's chunk if it is uncertain.
+func (s *chunkSizes) clearUncertain(owner Owner, hash ChainHash) {
+	s.clearIf(hash, func(size cachedSize) bool { return size.owner == owner && size.uncertain })
+}
+
+// clearIf removes the sizes of a chunk that match.
+func (s *chunkSizes) clearIf(hash ChainHash, matches func(cachedSize) bool) {
 	if s.count.Load() == 0 {
 		return
 	}
 	shard := s.shardOf(hash)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	s.clearLocked(shard, hash, func(size cachedSize) bool {
-		return size.owner == owner && (size.uncertain || !uncertainOnly)
-	})
+	s.clearLocked(shard, hash, matches)
 }
 
 // drop removes the sizes of all chunks of an owner.
@@ -119,8 +126,7 @@
 	}
 }
 
-// clearLocked removes the sizes of a chunk that match. The caller holds the
-// shard's lock.
+// clearLocked is clearIf for callers that hold the shard's lock.
 func (s *chunkSizes) clearLocked(shard *chunkSizeShard, hash ChainHash, matches func(cachedSize) bool) {
 	sizes := shard.byHash[hash]
 	remaining := sizes[:0]
--- a/pkg/prefixindex/index.go
+++ b/pkg/prefixindex/index.go
@@ -1,6 +1,9 @@
 package prefixindex
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Owner is a dense handle of a replica or store that caches chunks, assigned by
 // the caller from 0 up. Memory grows with the largest handle in use.
@@ -78,7 +81,7 @@
 // are recorded: a lookup counts the tokens that its prompt states.
 func (x *Index) Store(owner Owner, links []Link) {
 	for _, link := range links {
-		x.sizes.clear(owner, link.Hash, false)
+		x.sizes.clear(owner, link.Hash)
 		x.reported.put(owner, link.Hash)
 	}
 }
@@ -87,7 +90,7 @@
 func (x *Index) Remove(owner Owner, hashes []ChainHash) {
 	for _, hash := range hashes {
 		x.reported.remove(owner, hash)
-		x.sizes.clear(owner, hash, false)
+		x.sizes.clear(owner, hash)
 	}
 	x.predicted.remove(owner, hashes)
 }
@@ -105,6 +108,22 @@
 	x.sizes.drop(owner)
 }
 
+// SetTokens records that an owner reported the number of tokens that it caches of
+// a chunk, from the chunk's beginning. With 0 it caches none of it any more. A
+// lookup counts no more than these tokens, and ends there for this owner if they
+// are fewer than its prompt states.
+func (x *Index) SetTokens(owner Owner, hash ChainHash, tokens uint32) {
+	if tokens == 0 {
+		x.Remove(owner, []ChainHash{hash})
+		return
+	}
+	if !x.sizes.set(owner, hash, tokens) {
+		return
+	}
+	x.reported.put(owner, hash)
+	x.predicted.remove(owner, []ChainHash{hash})
+}
+
 // Predict records that an owner probably caches the chunks, for the TTL of the
 // options. A newer prediction of the same chunk renews it.
 func (x *Index) Predict(now time.Duration, owner Owner, links []Link) {
@@ -114,11 +133,36 @@
 // PredictFor is Predict with the given TTL.
 func (x *Index) PredictFor(now, ttl time.Duration, owner Owner, links []Link) {
 	for _, link := range links {
-		x.sizes.clear(owner, link.Hash, true)
+		x.sizes.clearUncertain(owner, link.Hash)
 	}
 	x.predicted.add(now, ttl, owner, links)
 }
 
+// DemoteReported turns all that an owner reported into predictions that end after
+// ttl, because some of its reports were lost. New reports confirm them one by one.
+func (x *Index) DemoteReported(now, ttl time.Duration, owner Owner) {
+	hashes := x.reported.hashesOf(owner)
+	for _, hash := range hashes {
+		x.sizes.setUncertain(owner, hash)
+	}
+	x.predicted.addHashes(now, ttl, owner, hashes)
+	x.reported.drop(owner)
+}
+
+// ReportedChunks returns the chunks that an owner reported by SetTokens, in the
+// order of their hashes. Uncertain ones are left out.
+func (x *Index) ReportedChunks(owner Owner) []Link {
+	hashes := x.reported.hashesOf(owner)
+	slices.Sort(hashes)
+	links := make([]Link, 0, len(hashes))
+	for _, hash := range hashes {
+		if tokens, certain := x.sizes.get(owner, hash); certain {
+			links = append(links, Link{Hash: hash, Tokens: tokens})
+		}
+	}
+	return links
+}
+
 // Expire removes predictions whose TTL has ended. Overlaps does so too, so that
 // calling it is only needed to free memory while there are no lookups.
 func (x *Index) Expire(now time.Duration) { x.predicted.expire(now) }
--- a/pkg/prefixindex/overlaps.go
+++ b/pkg/prefixindex/overlaps.go
@@ -53,16 +53,16 @@
 	if !x.predicted.empty() {
 		predicted = x.predicted.partitions.all()
 	}
-	for group := range max(len(reported), len(predicted)) {
-		walk := walk{into: into, firstOwner: Owner(group * ownersPerGroup)}
+	for number := range max(len(reported), len(predicted)) {
+		walk := walk{into: into, firstOwner: Owner(number * ownersPerPartition)}
 		if x.sizes.count.Load() > 0 {
 			walk.sizes = x.sizes
 		}
-		if group < len(reported) {
-			walk.reported = reported[group]
+		if number < len(reported) {
+			walk.reported = reported[number]
 		}
-		if group < len(predicted) {
-			walk.predicted = predicted[group]
+		if number < len(predicted) {
+			walk.predicted = predicted[number]
 		}
 		walk.run(links)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// walk follows a prompt with the owners of one group. The sets of owners that
+// walk follows a prompt with the owners of one partition. The sets of owners that
 // cache all chunks so far only ever get smaller, so that each owner is looked at
 // once: where it drops out.
 type walk struct {
@@ -93,11 +93,10 @@
 	predicted  *partition
 	// sizes is nil when no owner reports sizes.
 	sizes *chunkSizes
-	// partialReported and partialLikely are the owners that cache only the
-	// beginning of the current chunk.
-	partialReported, partialLikely ownerSet
 }
 
+// run records the overlap of each owner. Reached is the extent of the chunks so far,
+// reported and likely are the owners that cache all of them.
 func (w *walk) run(links []Link) {
 	reported, likely := ^ownerSet(0), ^ownerSet(0)
 	reached := Extent{}
@@ -112,9 +111,9 @@
 			w.recordExtent(reported&^stillReported, likely&^stillLikely, reached)
 		}
 		if w.sizes != nil && stillLikely != 0 {
-			w.recordPartial(link, stillReported, stillLikely, predicted, reached)
-			stillReported &^= w.partialReported
-			stillLikely &^= w.partialLikely
+			partlyReported, partlyLikely := w.recordPartial(link, stillReported, stillLikely, predicted, reached)
+			stillReported &^= partlyReported
+			stillLikely &^= partlyLikely
 		}
 		reported, likely = stillReported, stillLikely
 		if likely == 0 {
@@ -127,26 +126,26 @@
 	}
 }
 
-// recordPartial finds the owners that cache only the beginning of a chunk, and
+// recordPartial returns the owners that cache only the beginning of a chunk, and
 // records the extents of theirs that end there. A prediction stands for the whole
 // chunk, unless it is a report that became uncertain.
-func (w *walk) recordPartial(link Link, reported, likely, predicted ownerSet, reached Extent) {
-	w.partialReported, w.partialLikely = 0, 0
+func (w *walk) recordPartial(link Link, reported, likely, predicted ownerSet, reached Extent) (partlyReported, partlyLikely ownerSet) {
 	w.sizes.visitShorter(link.Hash, link.Tokens, func(size cachedSize) {
-		if size.owner < w.firstOwner || size.owner >= w.firstOwner+ownersPerGroup {
+		if size.owner < w.firstOwner || size.owner >= w.firstOwner+ownersPerPartition {
 			return
 		}
 		bit := ownerSet(1) << (size.owner - w.firstOwner)
 		partly := Extent{Chunks: reached.Chunks, Tokens: reached.extendedBy(size.tokens).Tokens}
 		if reported&bit != 0 && !size.uncertain {
-			w.partialReported |= bit
+			partlyReported |= bit
 			w.into.byOwner[size.owner].Reported = partly
 		}
 		if likely&bit != 0 && (size.uncertain || predicted&bit == 0) {
-			w.partialLikely |= bit
+			partlyLikely |= bit
 			w.into.byOwner[size.owner].Likely = partly
 		}
 	})
+	return partlyReported, partlyLikely
 }
 
 // find returns the owners of a hash in a partition, which may be nil.
--- a/pkg/prefixindex/partition.go
+++ b/pkg/prefixindex/partition.go
@@ -6,15 +6,16 @@
 	"sync/atomic"
 )
 
-// ownersPerGroup is the number of owners that share one partition: as many
+// ownersPerPartition is the number of owners that share one partition: as many
 // as an ownerSet has bits.
-const ownersPerGroup = 64
+const ownersPerPartition = 64
 
-// partition holds the chunks of one group of owners, spread over shards by their
-// hash.
+// partition holds the chunks of the owners from ownersPerPartition times its number
+// up, spread over shards by their hash.
 type partition struct {
 	shards []shard
-	shift  uint
+	// shift reduces a mixed hash to its leading bits, the index of the shard.
+	shift uint
 }
 
 func newPartition(shards int) *partition {
@@ -30,71 +31,73 @@
 	return &p.shards[mix(hash)>>p.shift]
 }
 
-// partitions has a partition for each group of owners. Groups are only ever added,
-// and the slice of them is replaced as a whole, so that lookups read it without a
-// lock. The growth lock is held while a group is added.
+// partitions are all partitions of a kind of chunks. They are only ever added, and
+// the slice of them is replaced as a whole, so that lookups read it without a lock.
 type partitions struct {
-	shards  int
-	byGroup atomic.Pointer[[]*partition]
-	growth  sync.Mutex
+	// shards is the number of shards of each partition.
+	shards   int
+	byNumber atomic.Pointer[[]*partition]
+	// growth is held while partitions are added.
+	growth sync.Mutex
 }
 
 func newPartitions(shards int) *partitions {
 	p := &partitions{shards: shards}
-	p.byGroup.Store(&[]*partition{})
+	p.byNumber.Store(&[]*partition{})
 	return p
 }
 
-// all returns the partitions in the order of their groups.
-func (p *partitions) all() []*partition { return *p.byGroup.Load() }
+// all returns the partitions in the order of their owners.
+func (p *partitions) all() []*partition { return *p.byNumber.Load() }
 
 // partitionOf returns the partition of an owner and the owner's bit in it.
 func (p *partitions) partitionOf(owner Owner) (*partition, ownerSet) {
-	group := int(owner / ownersPerGroup)
-	groups := p.all()
-	if group >= len(groups) {
-		groups = p.grow(group)
+	number := int(owner / ownersPerPartition)
+	existing := p.all()
+	if number >= len(existing) {
+		existing = p.growTo(number)
 	}
-	return groups[group], 1 << (owner % ownersPerGroup)
+	return existing[number], 1 << (owner % ownersPerPartition)
 }
 
-func (p *partitions) grow(group int) []*partition {
+// growTo adds partitions up to a number, and returns all.
+func (p *partitions) growTo(number int) []*partition {
 	p.growth.Lock()
 	defer p.growth.Unlock()
-	groups := p.all()
-	if group < len(groups) {
-		return groups
+	existing := p.all()
+	if number < len(existing) {
+		return existing
 	}
-	longer := append([]*partition(nil), groups...)
-	for len(longer) <= group {
+	longer := append([]*partition(nil), existing...)
+	for len(longer) <= number {
 		longer = append(longer, newPartition(p.shards))
 	}
-	p.byGroup.Store(&longer)
+	p.byNumber.Store(&longer)
 	return longer
 }
 
 func (p *partitions) put(owner Owner, hash ChainHash) {
-	group, bit := p.partitionOf(owner)
-	group.shardOf(hash).put(hash, bit)
+	partition, bit := p.partitionOf(owner)
+	partition.shardOf(hash).put(hash, bit)
 }
 
 func (p *partitions) remove(owner Owner, hash ChainHash) {
-	group, bit := p.partitionOf(owner)
-	group.shardOf(hash).remove(hash, bit)
+	partition, bit := p.partitionOf(owner)
+	partition.shardOf(hash).remove(hash, bit)
 }
 
 func (p *partitions) drop(owner Owner) {
-	group, bit := p.partitionOf(owner)
-	for i := range group.shards {
-		group.shards[i].drop(bit)
+	partition, bit := p.partitionOf(owner)
+	for i := range partition.shards {
+		partition.shards[i].drop(bit)
 	}
 }
 
 // size counts the pairs of chunk and owner, and the bytes of the tables.
 func (p *partitions) size() (pairs, bytes int) {
-	for _, group := range p.all() {
-		for i := range group.shards {
-			shard := &group.shards[i]
+	for _, partition := range p.all() {
+		for i := range partition.shards {
+			shard := &partition.shards[i]
 			pairs += int(shard.pairs.Load())
 			bytes += shard.table.Load().slots() * bytesPerSlot
 		}
@@ -104,10 +107,10 @@
 
 // hashesOf returns the hashes of an owner, in no order.
 func (p *partitions) hashesOf(owner Owner) []ChainHash {
-	group, bit := p.partitionOf(owner)
+	partition, bit := p.partitionOf(owner)
 	var hashes []ChainHash
-	for i := range group.shards {
-		hashes = group.shards[i].appendHashesOf(hashes, bit)
+	for i := range partition.shards {
+		hashes = partition.shards[i].appendHashesOf(hashes, bit)
 	}
 	return hashes
 }
--- a/pkg/prefixindex/predictions.go
+++ b/pkg/prefixindex/predictions.go
@@ -70,8 +70,8 @@
 	p.enforceLimit()
 }
 
-// put adds or renews a prediction. The caller holds the lock, as it does for all
-// methods below that don't take it.
+// put adds or renews a prediction. The caller holds the mutex, here as for expireDue,
+// expireEarliest, forget, enforceLimit, compact and publishNextExpiry.
 func (p *predictions) put(key prediction, expiry time.Duration) {
 	if current, present := p.expires[key]; present && current >= expiry {
 		return
@@ -158,7 +158,7 @@
 	}
 	delete(p.expires, key)
 	p.partitions.remove(key.owner, key.hash)
-	p.sizes.clear(key.owner, key.hash, true)
+	p.sizes.clearUncertain(key.owner, key.hash)
 }
 
 // compact rebuilds the queue when superseded expiries outnumber the others, so
--- a/pkg/prefixindex/shard.go
+++ b/pkg/prefixindex/shard.go
@@ -26,10 +26,11 @@
 	version atomic.Uint64
 	table   atomic.Pointer[table]
 	// used counts the slots in use, and pairs the pairs of chunk and owner.
-	used    atomic.Int64
-	pairs   atomic.Int64
-	writers sync.Mutex
-	_       [24]byte // keeps neighbouring shards off one cache line
+	used  atomic.Int64
+	pairs atomic.Int64
+	// mutex is held by writers, and by readers that found no consistent state.
+	mutex sync.Mutex
+	_     [24]byte // keeps neighbouring shards off one cache line
 }
 
 func (s *shard) init() { s.table.Store(newTable(minimumSlots)) }
@@ -46,21 +47,21 @@
 			return owners
 		}
 	}
-	s.writers.Lock()
-	defer s.writers.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	_, owners := s.table.Load().find(hash)
 	return owners
 }
 
 // beginWrite and endWrite enclose every change of the table.
 func (s *shard) beginWrite() {
-	s.writers.Lock()
+	s.mutex.Lock()
 	s.version.Add(1)
 }
 
 func (s *shard) endWrite() {
 	s.version.Add(1)
-	s.writers.Unlock()
+	s.mutex.Unlock()
 }
 
 // put adds owners to a hash.
@@ -152,8 +153,8 @@
 	if s.used.Load() == 0 {
 		return hashes
 	}
-	s.writers.Lock()
-	defer s.writers.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	current := s.table.Load()
 	for slot := range uint64(current.slots()) {
 		if hash, owners := current.load(slot); owners&owner != 0 {
--- a/pkg/prefixindex/table.go
+++ b/pkg/prefixindex/table.go
@@ -14,7 +14,7 @@
 	mixFactor = 0x9E3779B97F4A7C15
 )
 
-// ownerSet is a set of the owners of one group, a bit each.
+// ownerSet is a set of the owners of one partition, a bit each.
 type ownerSet uint64
 
 // table is an open-addressing hash table with linear probing, which maps a
