--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -17,6 +17,7 @@
 //	                                               replicaState and the cost models
 //	replicas and stores by address, their          registry, with a replicaState each
 //	handles in the index (prefixindex.Owner)
+//	pulls in progress from an owner                replicaState
 //	when slow start began                          slowStart
 //	prompts that came lately                       recentHashes
 //	load of one attempt                            Reservation
--- a/pkg/kvrouter/internal/speed/doc.go
+++ b/pkg/kvrouter/internal/speed/doc.go
@@ -13,6 +13,6 @@
 // concurrent use: the router's lock guards them.
 //
 // The time to a first event is all that a router sees. It includes queues of which the
-// router has no report, so that slow observations are weighed less than fast ones, or
-// count only when several come in a row.
+// router has no report. Latency and Slowness therefore weigh slow observations less than
+// fast ones, and a Link counts as slow only after several late transfers in a row.
 package speed
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -27,9 +27,11 @@
 	computeTokens float64
 	backlogTokens float64
 
-	// The fields below are set by the time cost model.
+	// The fields below are set by the time cost model, and zero with the block one.
 
-	work    *replicaload.PrefillWork
+	// work is the prompt in the replica's queue, until the first token.
+	work *replicaload.PrefillWork
+	// latency is that of the pool, to learn from the first token.
 	latency *speed.Latency
 	// waited says that the attempt was held back by a PrefixWait, so that its time
 	// tells nothing of the replica's speed.
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -11,11 +11,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// maxLatencies bounds the models whose latency is learned; beyond it all are learned anew.
-const maxLatencies = 64
-
-// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
-const meanComputeWeight = 0.1
+const (
+	// maxLatencies bounds the models whose latency is learned; beyond it all are
+	// learned anew.
+	maxLatencies = 64
+	// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
+	meanComputeWeight = 0.1
+)
 
 // timeModel is the costModel of pools with an engine profile. It estimates costs in
 // the replicas' own time.
@@ -24,8 +26,9 @@
 	replicas *registry
 	// index and pending are the router's, for waits for a prefix.
 	index, pending *prefixindex.Index
-	latencies      map[string]*speed.Latency
-	recentHashes   recentHashes
+	// latencies has that of each model's replicas.
+	latencies    map[string]*speed.Latency
+	recentHashes recentHashes
 }
 
 func (m *timeModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
