--- a/internal/dataplane/gossip/outgoing.go
+++ b/internal/dataplane/gossip/outgoing.go
@@ -7,6 +7,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
 const (
@@ -20,7 +21,7 @@
 
 // sentLoad is the load of a replica as it was sent last.
 type sentLoad struct {
-	load   kvrouter.SharedLoad
+	load   replicaload.SharedLoad
 	sentAt time.Duration
 }
 
@@ -90,8 +91,8 @@
 
 // sameRequests reports whether two loads of one replica are those of the same requests,
 // none of which has arrived, ended, or begun to respond in between.
-func sameRequests(sent, present kvrouter.SharedLoad) bool {
-	prefilling := func(load kvrouter.SharedLoad) bool {
+func sameRequests(sent, present replicaload.SharedLoad) bool {
+	prefilling := func(load replicaload.SharedLoad) bool {
 		return lo.SomeBy(load.PrefillTokens[:], func(tokens float64) bool { return tokens > 0 })
 	}
 	return sent.Requests == present.Requests && prefilling(sent) == prefilling(present)
--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -1,17 +1,20 @@
 package kvrouter
 
-import "time"
+import (
+	"time"
 
-// blockModel estimates costs in blocks, for pools without an engine profile. The
-// router's lock guards it, and the caller of its methods holds it.
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
+)
+
+// blockModel is the costModel of pools without an engine profile. It estimates costs
+// in blocks.
 type blockModel struct {
 	options    *Options
 	replicas   *registry
-	bandwidths linkBandwidths
+	bandwidths *speed.Bandwidths
 }
 
-// choose returns the candidate to take. The result is valid until the scratch
-// memory is reset.
 func (m *blockModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
 	m.gatherSources(s, req, candidates)
 	allowed := m.score(s, req, candidates)
@@ -47,14 +50,14 @@
 	if req.Settings.BusyThresholdBlocks <= 0 {
 		return false
 	}
-	active := m.options.blocks(state.load.total(req.Now, m.options))
+	active := m.options.blocks(state.load.Reported(req.Now))
 	return active.PrefillBlocks+active.DecodeBlocks >= req.Settings.BusyThresholdBlocks
 }
 
 // atSlowStartLimit reports whether a replica has as many reservations as its slow
 // start allows.
 func (m *blockModel) atSlowStartLimit(req *Request, state *replicaState) bool {
-	return state.load.local.present.requests >= float64(state.slowStart.limit(req.Now, m.options))
+	return state.load.Local().Requests >= float64(state.slowStart.limit(req.Now, m.options))
 }
 
 func (m *blockModel) scoreOne(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
@@ -62,13 +65,13 @@
 		candidate: candidate,
 		state:     state,
 		prompt:    p,
-		view:      state.feed.view(req.Now),
+		view:      state.feed.View(req.Now),
 		overlap:   p.overlaps.Of(state.owner),
 	}
 	scored.pull, scored.pulls = m.planPull(req, p, state, candidate.Zone, scored.overlap.Likely)
-	total := state.load.total(req.Now, m.options)
+	total := state.load.Reported(req.Now)
 	active := m.options.blocks(total)
-	scored.backlogTokens = total.prefillTokens
+	scored.backlogTokens = total.PrefillTokens
 	scored.activeRequests = active.ActiveRequests
 	scored.cost = blockCost(&req.Settings, blockCostInputs{
 		activePrefill:  active.PrefillBlocks,
@@ -86,7 +89,7 @@
 func (m *blockModel) credit(settings *Settings, scored *scoredCandidate) float64 {
 	certain := m.options.tokensToBlocks(scored.overlap.Reported.Tokens)
 	guessed := m.options.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
-	if scored.view.uncertain {
+	if scored.view.Uncertain {
 		guessed += certain
 		certain = 0
 	}
@@ -126,21 +129,41 @@
 			continue
 		}
 		state := m.replicas.state(req.Now, candidates[i].Address)
-		backlog := state.load.total(req.Now, m.options).prefillTokens
-		shortest = min(shortest, state.prefillSpeed.timeFor(backlog, m.options))
+		backlog := state.load.Reported(req.Now).PrefillTokens
+		shortest = min(shortest, state.prefillSpeed.TimeFor(backlog, m.options.PrefillTokensPerSecond))
 	}
 	return max(shortest, minRetryAfter)
 }
 
-// learn updates the replica's prefill speed by the time to the first token, or the
+func (m *blockModel) reserve(reservation *Reservation, req *Request, chosen *scoredCandidate) *PrefixWait {
+	promptTokens := float64(req.promptTokens)
+	compute := promptTokens - float64(chosen.overlap.Likely.Tokens)
+	if chosen.pulls {
+		compute -= float64(chosen.pull.tokens)
+		chosen.pull.source.state.pullsServed++
+	}
+	reservation.computeTokens = max(0, compute)
+	reservation.setLoad(req.Now, replicaload.Load{
+		PrefillTokens: reservation.computeTokens,
+		DecodeTokens:  promptTokens,
+		Requests:      1,
+	})
+	return nil
+}
+
+// endPrefill updates the replica's prefill speed by the time to the first token, or the
 // bandwidth of the link when some of that time was spent on a pull.
-func (m *blockModel) learn(r *Reservation, now time.Duration) {
+func (m *blockModel) endPrefill(r *Reservation, now time.Duration) {
 	took := now - r.startedAt
 	computed := r.backlogTokens + r.computeTokens
 	if !r.pulls {
-		r.state.prefillSpeed.learn(computed, took)
+		r.state.prefillSpeed.Learn(computed, took)
 		return
 	}
-	pulling := took - r.state.prefillSpeed.timeFor(computed, m.options)
-	m.bandwidths.observePull(now, r.pull.zones, float64(r.pull.tokens), r.pull.sharedWith, pulling, m.options)
+	pulling := took - r.state.prefillSpeed.TimeFor(computed, m.options.PrefillTokensPerSecond)
+	bytes := float64(r.pull.tokens) * m.options.BytesPerToken
+	m.bandwidths.ObserveTransfer(now, r.pull.zones, bytes, r.pull.sharedWith, pulling)
 }
+
+// abandonPrefill does nothing: the prefill of a reservation ends with its load.
+func (m *blockModel) abandonPrefill(*Reservation, time.Duration) {}
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -114,13 +116,24 @@
 	return o
 }
 
+func (o *Options) feedOptions() kvevents.Options {
+	return kvevents.Options{
+		ReportLag:         o.ReportLag,
+		PredictionLag:     o.PredictionLag,
+		ByIDPredictionLag: o.ByIDPredictionLag,
+		UncertainTTL:      o.UncertainTTL,
+		ReorderWindow:     o.ReorderWindow,
+		ReorderWait:       o.ReorderWait,
+	}
+}
+
 // blocks converts a load in tokens to blocks.
-func (o *Options) blocks(tokens load) Load {
+func (o *Options) blocks(tokens replicaload.Load) Load {
 	blockTokens := float64(o.BlockTokens)
 	return Load{
-		PrefillBlocks:  tokens.prefillTokens / blockTokens,
-		DecodeBlocks:   tokens.decodeTokens / blockTokens,
-		ActiveRequests: tokens.requests,
+		PrefillBlocks:  tokens.PrefillTokens / blockTokens,
+		DecodeBlocks:   tokens.DecodeTokens / blockTokens,
+		ActiveRequests: tokens.Requests,
 	}
 }
 
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -3,6 +3,9 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -11,54 +14,44 @@
 type replicaState struct {
 	address string
 	owner   prefixindex.Owner
-	feed    *feed
+	feed    *kvevents.Feed
 	// instance is the replica's instance that candidates named last.
 	instance  string
-	load      replicaLoad
+	load      replicaload.Tracker
 	slowStart slowStart
 	// pullsServed counts the pulls in progress from here.
 	pullsServed int
 
 	// prefillSpeed is used by the block cost model.
-	prefillSpeed prefillSpeed
+	prefillSpeed speed.Prefill
 
 	// The fields below are used by the time cost model.
 
-	slowness slowness
+	slowness speed.Slowness
 	// perToken is the pool's learned time per token of prompt, in milliseconds.
 	perToken float64
 	// meanCompute is the moving average of the tokens that requests have to compute.
 	meanCompute  float64
-	transferLink transferLink
+	transferLink speed.Link
 }
 
 // restart starts slow start anew, and discards what is true of one incarnation
 // only, the load of other routers among it. The reservations of this router end
 // as their connections do.
 func (s *replicaState) restart(now time.Duration) {
-	s.load.discardOthers()
-	s.slowness = slowness{}
-	s.transferLink = transferLink{}
+	s.load.DiscardOthers()
+	s.slowness = speed.Slowness{}
+	s.transferLink = speed.Link{}
 	s.slowStart.since = now
 }
 
-// drainBacklog updates the estimate of what the replica has computed until now.
-// This router's requests and those of others share the replica's time.
+// drainBacklog updates the estimate of what the replica has computed until now, at the
+// learned speed.
 func (s *replicaState) drainBacklog(now time.Duration) {
-	elapsed := now - s.load.drainedAt
-	if elapsed <= 0 {
-		return
+	// A selection asks for each candidate twice, at one instant.
+	if now > s.load.DrainedAt() {
+		s.load.Drain(now, s.perToken*s.slowness.Factor())
 	}
-	s.load.drainedAt = now
-	s.load.shared.sweep(now)
-	local, others := s.load.queue.unread(), s.load.shared.sum.prefill()
-	if local+others <= 0 || s.perToken <= 0 {
-		return
-	}
-	computed := milliseconds(elapsed) / (s.perToken * s.slowness.factor())
-	localFraction := local / (local + others)
-	s.load.queue.drain(computed * localFraction)
-	s.load.shared.drain(computed * (1 - localFraction))
 }
 
 // registry has the state of each replica and store by address, and assigns the
@@ -66,6 +59,7 @@
 type registry struct {
 	index, pending *prefixindex.Index
 	options        *Options
+	feedOptions    kvevents.Options
 
 	byAddress  map[string]*replicaState
 	nextOwner  prefixindex.Owner
@@ -81,9 +75,9 @@
 	created := &replicaState{
 		address:   address,
 		owner:     owner,
-		feed:      &feed{index: r.index, pending: r.pending, owner: owner, options: r.options},
+		feed:      kvevents.New(r.index, r.pending, owner, &r.feedOptions),
 		slowStart: slowStart{since: now},
-		load:      replicaLoad{drainedAt: now},
+		load:      replicaload.NewTracker(now, replicaload.ReportAges{Fresh: r.options.ReportFresh, Useless: r.options.ReportUseless}),
 	}
 	r.byAddress[address] = created
 	return created
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -1,9 +1,11 @@
 package kvrouter
 
 import (
+	"math"
 	"math/rand/v2"
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -70,11 +72,35 @@
 	// promptTokens counts the tokens of all chunks.
 	promptTokens uint32
 	// latency is that of the model's replicas, when there is an engine profile.
-	latency *latencyModel
+	latency *speed.Latency
 	// harmWeight is Settings.HarmWeight adjusted to the present backlog.
 	harmWeight float64
 }
 
+// excludes reports whether the request must not go to a candidate.
+func (req *Request) excludes(address string) bool {
+	return req.Exclude != nil && req.Exclude(address)
+}
+
+// salt returns the cache salt under a weight version. Without SaltFor the
+// version itself is the salt, so that versions are kept apart in any case.
+func (req *Request) salt(version string) string {
+	if req.SaltFor == nil {
+		return version
+	}
+	return req.SaltFor(version)
+}
+
+// countTokens counts the tokens of the prompt. The count saturates instead of
+// wrapping around.
+func (req *Request) countTokens() {
+	tokens := uint64(0)
+	for _, chunk := range req.Chunks {
+		tokens += uint64(chunk.Tokens)
+	}
+	req.promptTokens = uint32(min(tokens, math.MaxUint32))
+}
+
 // Decision is the outcome of a selection.
 type Decision struct {
 	Address string
@@ -137,35 +163,3 @@
 	// Warming says that the replica started lately and is warming up.
 	Warming bool
 }
-
-// FeedStatus is the outcome of an event or batch.
-type FeedStatus int
-
-// The outcomes of an event.
-const (
-	// Accepted events are in the index, or buffered until an earlier one has come.
-	Accepted FeedStatus = iota
-	// Duplicate events were seen before.
-	Duplicate
-	// Stale events are of an earlier incarnation of the replica, or older than the
-	// state that the index already has.
-	Stale
-	// Gap means that events were lost: ask the replica for a reset. What the
-	// event says is applied all the same.
-	Gap
-)
-
-// String returns the name of the status.
-func (s FeedStatus) String() string {
-	switch s {
-	case Accepted:
-		return "accepted"
-	case Duplicate:
-		return "duplicate"
-	case Stale:
-		return "stale"
-	case Gap:
-		return "gap"
-	}
-	return "unknown"
-}
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -3,32 +3,36 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
-const meanComputeWeight = 0.1
-
 // Reservation accounts for the load of one attempt on a replica: its prefill
 // until the first token, and its memory until the end. It is safe for
 // concurrent use, and Finish must be called once the attempt has ended.
 type Reservation struct {
 	router *Router
-	state  *replicaState
-	links  []prefixindex.Link
-	pull   plannedPull
-	pulls  bool
+	// model is the cost model that chose the replica.
+	model costModel
+	state *replicaState
+	links []prefixindex.Link
+	pull  plannedPull
+	pulls bool
 	// feedEpoch is the epoch of the replica's feed that the attempt belongs to.
 	feedEpoch uint64
-	// startedAt, computeTokens and backlogTokens tell how long the first token
-	// should take.
+	// startedAt, computeTokens and backlogTokens, the tokens of other prompts that the
+	// replica computes before, tell how long the first token should take.
 	startedAt     time.Duration
 	computeTokens float64
 	backlogTokens float64
 
-	// work and latency are set with an engine profile.
-	work    *prefillWork
-	latency *latencyModel
+	// The fields below are set by the time cost model, and zero with the block one.
+
+	// work is the prompt in the replica's queue, until the first token.
+	work *replicaload.PrefillWork
+	// latency is that of the pool, to learn from the first token.
+	latency *speed.Latency
 	// waited says that the attempt was held back by a PrefixWait, so that its time
 	// tells nothing of the replica's speed.
 	waited bool
@@ -38,61 +42,22 @@
 	// The router's lock guards the fields below. They don't change once the attempt
 	// is finished.
 
-	load       load
+	load       replicaload.Load
 	firstToken bool
 	finished   bool
 	generated  uint32
 }
 
-// reserveByBlocks adds the load of a request to the replica that the block cost
-// model has chosen. The caller holds the lock.
-func (r *Router) reserveByBlocks(req *Request, chosen *scoredCandidate) *Reservation {
-	promptTokens := float64(req.promptTokens)
-	compute := promptTokens - float64(chosen.overlap.Likely.Tokens)
-	if chosen.pulls {
-		compute -= float64(chosen.pull.tokens)
-		chosen.pull.source.state.pullsServed++
-	}
-	reservation := r.newReservation(req, chosen)
-	reservation.computeTokens = max(0, compute)
-	reservation.setLoad(req.Now, load{prefillTokens: reservation.computeTokens, decodeTokens: promptTokens, requests: 1})
-	return reservation
-}
-
-// reserveByTime adds the load of a request to the replica that the time cost model
-// has chosen. The caller holds the lock.
-func (r *Router) reserveByTime(req *Request, chosen *scoredCandidate, saveToStore bool) *Reservation {
-	reservation := r.newReservation(req, chosen)
-	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
-	reservation.work = &prefillWork{priority: req.Priority, tokens: reservation.computeTokens, unread: reservation.computeTokens}
-	reservation.latency = req.latency
-	reservation.waited = chosen.waits
-	if saveToStore {
-		reservation.store = r.replicas.state(req.Now, req.Store)
-	}
-	if chosen.pulls {
-		chosen.pull.source.state.pullsServed++
-		reservation.reserveLinks(req.Now)
-	}
-	state := chosen.state
-	state.load.queue.add(reservation.work)
-	state.meanCompute += meanComputeWeight * (reservation.computeTokens - state.meanCompute)
-	reservation.setLoad(req.Now, load{
-		prefillTokens: reservation.computeTokens,
-		decodeTokens:  chosen.timeTerms.memoryTokens,
-		requests:      1,
-	})
-	return reservation
-}
-
-func (r *Router) newReservation(req *Request, chosen *scoredCandidate) *Reservation {
+// newReservation returns a reservation without load, which the cost model adds.
+func (r *Router) newReservation(model costModel, req *Request, chosen *scoredCandidate) *Reservation {
 	return &Reservation{
 		router:        r,
+		model:         model,
 		state:         chosen.state,
 		links:         chosen.prompt.links,
 		pull:          chosen.pull,
 		pulls:         chosen.pulls,
-		feedEpoch:     chosen.view.epoch,
+		feedEpoch:     chosen.view.Epoch,
 		startedAt:     req.Now,
 		backlogTokens: chosen.backlogTokens,
 	}
@@ -100,10 +65,10 @@
 
 // setLoad changes what the reservation adds to the replica's load. The caller holds
 // the router's lock.
-func (r *Reservation) setLoad(now time.Duration, target load) {
-	change := target.plus(r.load.times(-1))
+func (r *Reservation) setLoad(now time.Duration, target replicaload.Load) {
+	change := target.Plus(r.load.Times(-1))
 	r.load = target
-	r.state.load.local.add(now, r.router.options.ReportUseless, change)
+	r.state.load.ChangeLocal(now, change)
 }
 
 // FirstToken records that the replica has sent the first token, so that the prompt
@@ -112,9 +77,9 @@
 	if !r.endPrefill(now) {
 		return
 	}
-	r.state.feed.predict(now, r.feedEpoch, r.links)
+	r.state.feed.Predict(now, r.feedEpoch, r.links)
 	if r.store != nil {
-		r.store.feed.predict(now, r.store.feed.view(now).epoch, r.links)
+		r.store.feed.Predict(now, r.store.feed.View(now).Epoch, r.links)
 	}
 }
 
@@ -127,15 +92,9 @@
 		return false
 	}
 	r.firstToken = true
-	if r.work != nil {
-		r.state.drainBacklog(now)
-		r.router.timeModel.learn(r, now)
-		r.state.load.queue.remove(r.work)
-	} else {
-		r.router.blockModel.learn(r, now)
-	}
+	r.model.endPrefill(r, now)
 	r.endPull()
-	r.setLoad(now, load{decodeTokens: r.load.decodeTokens, requests: r.load.requests})
+	r.setLoad(now, replicaload.Load{DecodeTokens: r.load.DecodeTokens, Requests: r.load.Requests})
 	return true
 }
 
@@ -155,7 +114,7 @@
 		return
 	}
 	target := r.load
-	target.decodeTokens += float64(generated - r.generated)
+	target.DecodeTokens += float64(generated - r.generated)
 	r.generated = generated
 	r.setLoad(now, target)
 }
@@ -171,10 +130,10 @@
 		r.removePending()
 		return
 	}
-	if r.firstToken && r.state.feed.view(now).reportsEvents {
+	if r.firstToken && r.state.feed.View(now).ReportsEvents {
 		return
 	}
-	r.state.feed.predict(now, r.feedEpoch, r.links)
+	r.state.feed.Predict(now, r.feedEpoch, r.links)
 }
 
 // Cancelled records that the attempt has ended because nobody waits for it any
@@ -196,22 +155,31 @@
 	r.finished = true
 	if !r.firstToken {
 		r.endPull()
-		if r.work != nil {
-			r.state.drainBacklog(now)
-			r.state.load.queue.remove(r.work)
-		}
+		r.model.abandonPrefill(r, now)
 	}
-	r.setLoad(now, load{})
+	r.setLoad(now, replicaload.Load{})
 	return true
 }
 
+// addPending records that the chosen replica, and the store if the chunks are
+// saved, will cache the prompt.
+func (r *Reservation) addPending(now time.Duration) {
+	if r.work == nil || r.router.options.Disabled.PendingChunks {
+		return
+	}
+	r.state.feed.AddPending(now, r.links)
+	if r.store != nil {
+		r.store.feed.AddPending(now, r.links)
+	}
+}
+
 // removePending withdraws the pending chunks of a prompt that was not computed.
 func (r *Reservation) removePending() {
 	if r.work == nil || r.firstToken {
 		return
 	}
-	r.state.feed.removePending(r.links)
+	r.state.feed.RemovePending(r.links)
 	if r.store != nil {
-		r.store.feed.removePending(r.links)
+		r.store.feed.RemovePending(r.links)
 	}
 }
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -6,6 +6,7 @@
 
 	"github.com/samber/lo"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -19,9 +20,6 @@
 
 // Router selects replicas. It is safe for concurrent use.
 //
-// It composes the registry of replicas, each with a feed and a load, and the two
-// cost models.
-//
 // Locks: mutex guards all but the feeds and the indexes. A feed has a mutex of its
 // own, under which it changes the indexes and takes their locks. No goroutine waits
 // for one of the two mutexes while it holds the other: selection reads a feed under
@@ -40,17 +38,10 @@
 	replicas   registry
 	blockModel blockModel
 	timeModel  timeModel
-	// latest is the newest time that the router was given.
+	// latest is the newest time that the router was given, for calls without a time.
 	latest time.Duration
 }
 
-// Load is the load that the router assumes of a replica, in blocks.
-type Load struct {
-	PrefillBlocks  float64
-	DecodeBlocks   float64
-	ActiveRequests float64
-}
-
 // New returns a Router without replicas.
 func New(options Options) *Router {
 	r := &Router{
@@ -59,42 +50,24 @@
 	}
 	r.index = prefixindex.New(r.options.Index)
 	r.pending = prefixindex.New(prefixindex.Options{PredictionTTL: pendingTTL, MaxPredicted: maxPending, Shards: pendingShards})
-	r.replicas = registry{index: r.index, pending: r.pending, options: &r.options, byAddress: make(map[string]*replicaState)}
-	r.blockModel = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: newLinkBandwidths()}
+	r.replicas = registry{
+		index:       r.index,
+		pending:     r.pending,
+		options:     &r.options,
+		feedOptions: r.options.feedOptions(),
+		byAddress:   make(map[string]*replicaState),
+	}
+	r.blockModel = blockModel{options: &r.options, replicas: &r.replicas, bandwidths: speed.NewBandwidths(r.options.LinkBytesPerSecond, r.options.LinkLatency)}
 	r.timeModel = timeModel{
-		options:       &r.options,
-		replicas:      &r.replicas,
-		index:         r.index,
-		pending:       r.pending,
-		latencyModels: make(map[string]*latencyModel),
+		options:   &r.options,
+		replicas:  &r.replicas,
+		index:     r.index,
+		pending:   r.pending,
+		latencies: make(map[string]*speed.Latency),
 	}
 	return r
 }
 
-// Load returns the load that the router assumes of a replica.
-func (r *Router) Load(now time.Duration, address string) Load {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state, present := r.replicas.byAddress[address]
-	if !present {
-		return Load{}
-	}
-	return r.options.blocks(state.load.total(now, &r.options))
-}
-
-// ActiveRequests returns how many requests the router assumes that a replica
-// works on: its own, and those that other routers sent or the replica reported,
-// whichever is more.
-func (r *Router) ActiveRequests(now time.Duration, address string) float64 {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	state, present := r.replicas.byAddress[address]
-	if !present {
-		return 0
-	}
-	return state.load.active(now, &r.options).requests
-}
-
 // IndexStats returns the size of the prefix index.
 func (r *Router) IndexStats() prefixindex.Stats { return r.index.Stats() }
 
@@ -103,7 +76,7 @@
 func (r *Router) ObserveLinkBandwidth(fromZone, toZone string, bytesPerSecond float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.blockModel.bandwidths.observe(r.latest, zonePair{from: fromZone, to: toZone}, bytesPerSecond)
+	r.blockModel.bandwidths.Observe(r.latest, speed.Zones{From: fromZone, To: toZone}, bytesPerSecond)
 }
 
 // Forget drops the state of an address that is no longer listed, or whose reports are not
@@ -115,7 +88,7 @@
 	if !present {
 		return
 	}
-	state.feed.forget()
+	state.feed.Forget()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.replicas.releaseOwner(state.owner)
@@ -128,6 +101,29 @@
 	return lo.Keys(r.replicas.byAddress)
 }
 
+// state returns the state of an address, which it creates when there is none. It takes
+// the lock; the caller may use the feed of the state without it, and nothing else.
+func (r *Router) state(now time.Duration, address string) *replicaState {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.observeTime(now)
+	return r.replicas.state(now, address)
+}
+
+// existingState is state without creation: nil when there is none.
+func (r *Router) existingState(address string) *replicaState {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.replicas.byAddress[address]
+}
+
+// handleRestart discards what is true of the former incarnation of a replica.
+func (r *Router) handleRestart(now time.Duration, state *replicaState) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	state.restart(now)
+}
+
 // observeTime records the newest time. The caller holds the lock.
 func (r *Router) observeTime(now time.Duration) {
 	r.latest = max(r.latest, now)
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -3,6 +3,9 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -19,12 +22,16 @@
 	candidate *Candidate
 	state     *replicaState
 	prompt    *prompt
-	view      feedView
-	overlap   prefixindex.Overlap
-	pull      plannedPull
-	pulls     bool
-	// waits says that the overlap is there only after a wait.
-	waits          bool
+	view      kvevents.View
+	// overlap is what the replica caches of the prompt when the request arrives.
+	overlap prefixindex.Overlap
+	// pull is meaningful if pulls is set.
+	pull  plannedPull
+	pulls bool
+	// waits says that the overlap is there only after a PrefixWait.
+	waits bool
+	// backlogTokens are the tokens of other prompts that the replica computes before
+	// this one.
 	backlogTokens  float64
 	activeRequests float64
 	// cost is in blocks.
@@ -36,24 +43,24 @@
 // Select chooses the replica for a request and reserves its load. It returns a
 // *NoReplicaError when no candidate can take the request. The caller must end
 // the reservation of the decision with Finish.
-func (r *Router) Select(req Request, candidates []Candidate) (Decision, error) {
+func (r *Router) Select(request Request, candidates []Candidate) (Decision, error) {
 	if len(candidates) == 0 {
 		return Decision{}, &NoReplicaError{Reason: NoCandidates, RetryAfter: defaultRetryAfter}
 	}
 	s := r.scratchPool.Get().(*scratch)
-	defer r.scratchPool.Put(s)
-	s.reset()
+	defer r.releaseScratch(s)
+	req := s.start(request)
 	req.countTokens()
 	if req.Engine != nil {
 		profile := req.Engine.withDefaults(&r.options)
 		req.Engine = &profile
-		req.Priority = min(req.Priority, Priorities-1)
+		req.Priority = min(req.Priority, replicaload.Priorities-1)
 		r.detectReplacements(req.Now, candidates)
 	}
-	r.lookUp(s, &req, candidates)
-	decision, err := r.chooseAndReserve(s, &req, candidates)
-	if err == nil && req.Engine != nil {
-		r.addPending(&req, &decision)
+	r.lookUp(s, req, candidates)
+	decision, err := r.chooseAndReserve(s, req, candidates)
+	if err == nil {
+		decision.Reservation.addPending(req.Now)
 	}
 	return decision, err
 }
@@ -76,42 +83,24 @@
 	}
 	r.mutex.Unlock()
 	for _, state := range replaced {
-		state.feed.handleReplacement()
+		state.feed.HandleReplacement()
 		r.handleRestart(now, state)
 	}
 }
 
 // chooseAndReserve has the cost model of the request choose a candidate, and
-// reserves its load, under the router's lock. It is the only place where requests
-// with and without an engine profile part. The models are called directly: behind
-// an interface the request would escape to the heap.
+// reserves its load, under the router's lock.
 func (r *Router) chooseAndReserve(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.observeTime(req.Now)
-	if req.Engine == nil {
-		chosen, err := r.blockModel.choose(s, req, candidates)
-		if err != nil {
-			return Decision{}, err
-		}
-		decision := newDecision(req, chosen)
-		decision.Reservation = r.reserveByBlocks(req, chosen)
-		return decision, nil
-	}
-	chosen, err := r.timeModel.choose(s, req, candidates)
+	model := r.costModelOf(req)
+	chosen, err := model.choose(s, req, candidates)
 	if err != nil {
 		return Decision{}, err
 	}
-	decision := newDecision(req, chosen)
-	decision.ExpectedDelay = fromMilliseconds(chosen.timeTerms.delay)
-	decision.Save = r.timeModel.shouldSave(req, chosen.prompt)
-	decision.Wait = r.timeModel.prefixWait(req, chosen)
-	decision.Reservation = r.reserveByTime(req, chosen, decision.Save)
-	return decision, nil
-}
-
-// newDecision returns the decision for a candidate, but for its reservation.
-func newDecision(req *Request, chosen *scoredCandidate) Decision {
+	reservation := r.newReservation(model, req, chosen)
+	wait := model.reserve(reservation, req, chosen)
 	decision := Decision{
 		Address:       chosen.candidate.Address,
 		Instance:      chosen.candidate.Instance,
@@ -120,22 +109,13 @@
 		OverlapTokens: chosen.overlap.Likely.Tokens,
 		PromptTokens:  req.promptTokens,
 		Cost:          chosen.cost,
+		Save:          reservation.store != nil,
+		Wait:          wait,
+		ExpectedDelay: units.FromMilliseconds(chosen.timeTerms.delay),
+		Reservation:   reservation,
 	}
 	if chosen.pulls {
 		decision.Pull = chosen.pull.pull()
 	}
-	return decision
-}
-
-// addPending records that the chosen replica, and the store if the chunks are
-// saved, will cache the prompt.
-func (r *Router) addPending(req *Request, decision *Decision) {
-	if r.options.Disabled.PendingChunks {
-		return
-	}
-	reservation := decision.Reservation
-	reservation.state.feed.addPending(req.Now, reservation.links)
-	if reservation.store != nil {
-		reservation.store.feed.addPending(req.Now, reservation.links)
-	}
+	return decision, nil
 }
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -9,6 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -17,7 +19,7 @@
 }
 
 func (f *engineFleet) caches(address string, chunks int) {
-	var changes []kvrouter.ChunkChange
+	var changes []kvevents.ChunkChange
 	for chunk := range chunks {
 		changes = append(changes, cachedChange(uint64(chunk+1), chunk, 1000))
 	}
@@ -26,7 +28,7 @@
 
 // hasBacklog makes another router tell of unread prompts.
 func (f *engineFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
-	load := kvrouter.SharedLoad{Requests: 1, DecodeTokens: tokens}
+	load := replicaload.SharedLoad{Requests: 1, DecodeTokens: tokens}
 	load.PrefillTokens[priority] = tokens
 	f.router.SetRemoteLoad(now, "other", address, load)
 }
@@ -63,7 +65,7 @@
 	It("replaces the earlier load of a router, and returns the local load", func() {
 		f := newEngineFleet("a")
 		f.hasBacklog(late, "a", 5, 8000)
-		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{})
+		f.router.SetRemoteLoad(late, "other", "a", replicaload.SharedLoad{})
 		Expect(f.router.LocalLoads(late)).To(BeEmpty())
 		decision := f.choose(late, otherPrompt("x", 4000))
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 120*time.Millisecond, time.Millisecond))
@@ -85,14 +87,14 @@
 		f := newEngineFleet("a")
 		f.choose(late, otherPrompt("first", 100)).Reservation.Cancelled(late)
 		for number := range 5 {
-			load := kvrouter.SharedLoad{Requests: 1}
+			load := replicaload.SharedLoad{Requests: 1}
 			load.PrefillTokens[0] = 4000
 			f.router.SetRemoteLoad(late, fmt.Sprint(number), "a", load)
 		}
 		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
 		at := late + 250*time.Millisecond
 		for number := range 4 {
-			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", kvrouter.SharedLoad{})
+			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", replicaload.SharedLoad{})
 		}
 		decision := f.choose(at, otherPrompt("x", 400))
 		// Half of the fifth router's 4,000 tokens were computed, then the local 400 follow.
@@ -150,11 +152,11 @@
 	It("avoids replicas whose slots or memory are full, and says when to come back if all are", func() {
 		f := newEngineFleet("a", "b")
 		f.caches("a", 4)
-		f.router.SetRemoteLoad(late, "other", "a", kvrouter.SharedLoad{Requests: 4})
+		f.router.SetRemoteLoad(late, "other", "a", replicaload.SharedLoad{Requests: 4})
 		Expect(f.choose(late, longPrompt(4)).Address).To(Equal("b"))
 		f.router.Report(late, "b", kvrouter.Report{MemoryUsed: 97_500, MemoryTotal: 100_000, Running: 3})
 		f.hasBacklog(late, "a", 0, 80_000)
-		f.router.SetRemoteLoad(late, "more", "a", kvrouter.SharedLoad{Requests: 4})
+		f.router.SetRemoteLoad(late, "more", "a", replicaload.SharedLoad{Requests: 4})
 		_, err := f.trySelect(late, otherPrompt("x", 4000))
 		Expect(err).To(HaveValue(HaveField("Reason", kvrouter.AllBusy)))
 		var refused *kvrouter.NoReplicaError
@@ -246,11 +248,11 @@
 		)
 		// drops has a replica report that it caches none of the prompt any more.
 		drops := func(address string) {
-			var changes []kvrouter.ChunkChange
+			var changes []kvevents.ChunkChange
 			for chunk := range 9 {
 				changes = append(changes, cachedChange(sequence+1, chunk, 0))
 			}
-			f.router.ChunksReported(now, address, kvrouter.FeedPosition{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
+			f.router.ChunksReported(now, address, kvevents.Position{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
 			sequence++
 		}
 		// pulls has the prompt begin some time after it is sent, and reports whether it
@@ -295,10 +297,10 @@
 		Expect(g.choose(late, other).Save).To(BeFalse())
 		first.Reservation.FirstToken(late)
 		Expect(g.choose(late+15*time.Second, other).Save).To(BeTrue(), "its last chunk came before")
-		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvevents.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		again := append(longPrompt(2), prefixindex.Chunk{ID: "third", Tokens: 500})
 		Expect(g.choose(late+time.Hour, again).Save).To(BeFalse())
-		g.router.ChunksReported(late+time.Hour, "store", kvrouter.FeedPosition{Incarnation: epoch + 1, Next: 0}, nil)
+		g.router.ChunksReported(late+time.Hour, "store", kvevents.Position{Incarnation: epoch + 1, Next: 0}, nil)
 		fourth := append(longPrompt(2), prefixindex.Chunk{ID: "fourth", Tokens: 500})
 		Expect(g.choose(late+time.Hour, fourth).Save).To(BeTrue(), "the store came back empty")
 		g.engine.StoreTokens = 10_000
@@ -309,7 +311,7 @@
 		g := newEngineFleet("a")
 		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		g.engine.StoreLinkBitsPerSecond = 40e9
-		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvrouter.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvevents.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		decision := g.choose(late, longPrompt(3))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "store"), HaveField("Tokens", uint32(2000)))))
 		Expect(decision.Pull.EstimatedTime).To(BeNumerically("~", 13*time.Millisecond, 10*time.Microsecond))
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -5,27 +5,34 @@
 
 	"github.com/samber/lo"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// maxLatencyModels bounds the models whose latency is learned.
-const maxLatencyModels = 64
+const (
+	// maxLatencies bounds the models whose latency is learned; beyond it all are
+	// learned anew.
+	maxLatencies = 64
+	// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
+	meanComputeWeight = 0.1
+)
 
-// timeModel estimates costs in the replicas' own time, for pools with an engine
-// profile. The router's lock guards it, and the caller of its methods holds it.
+// timeModel is the costModel of pools with an engine profile. It estimates costs in
+// the replicas' own time.
 type timeModel struct {
 	options  *Options
 	replicas *registry
 	// index and pending are the router's, for waits for a prefix.
 	index, pending *prefixindex.Index
-	latencyModels  map[string]*latencyModel
-	recentHashes   recentHashes
+	// latencies has that of each model's replicas.
+	latencies    map[string]*speed.Latency
+	recentHashes recentHashes
 }
 
-// choose returns the candidate to take. The result is valid until the scratch
-// memory is reset.
 func (m *timeModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
-	req.latency = m.latencyModelOf(req.Model, req.Engine)
+	req.latency = m.latencyOf(req.Model, req.Engine)
 	m.gatherSources(s, req, candidates)
 	m.setHarmWeight(s, req, candidates)
 	allowed := m.score(s, req, candidates)
@@ -39,17 +46,17 @@
 	return &s.scored[chooseScored(req, s.scored, s.scored[0].prompt.affinity())], nil
 }
 
-// latencyModelOf returns the learned latency of a model's replicas.
-func (m *timeModel) latencyModelOf(model string, profile *EngineProfile) *latencyModel {
-	learned, present := m.latencyModels[model]
+// latencyOf returns the learned latency of a model's replicas.
+func (m *timeModel) latencyOf(model string, profile *EngineProfile) *speed.Latency {
+	learned, present := m.latencies[model]
 	if present {
 		return learned
 	}
-	if len(m.latencyModels) >= maxLatencyModels {
-		clear(m.latencyModels)
+	if len(m.latencies) >= maxLatencies {
+		clear(m.latencies)
 	}
-	created := newLatencyModel(profile)
-	m.latencyModels[model] = created
+	created := speed.NewLatency(units.Milliseconds(profile.FirstEvent), 1/profile.PrefillTokensPerMillisecond)
+	m.latencies[model] = created
 	return created
 }
 
@@ -84,7 +91,7 @@
 func (s *scratch) dropFull(req *Request) {
 	hasCapacity := func(scored scoredCandidate, _ int) bool { return !scored.timeTerms.full }
 	withinMaxWait := func(scored scoredCandidate, _ int) bool {
-		return fromMilliseconds(scored.timeTerms.delay) <= req.MaxWait
+		return units.FromMilliseconds(scored.timeTerms.delay) <= req.MaxWait
 	}
 	free := lo.CountBy(s.scored, func(scored scoredCandidate) bool { return !scored.timeTerms.full })
 	switch {
@@ -97,13 +104,39 @@
 	}
 }
 
-// affinity returns the hash of what should draw requests to one replica when costs
-// are equal: the shared beginning of the prompt.
-func (p *prompt) affinity() prefixindex.ChainHash {
-	if len(p.links) < 2 {
-		return p.identity()
-	}
-	return p.links[len(p.links)-2].Hash
+func (m *timeModel) reserve(reservation *Reservation, req *Request, chosen *scoredCandidate) *PrefixWait {
+	reservation.computeTokens = max(0, chosen.timeTerms.computeTokens)
+	reservation.latency = req.latency
+	reservation.waited = chosen.waits
+	if m.shouldSave(req, chosen.prompt) {
+		reservation.store = m.replicas.state(req.Now, req.Store)
+	}
+	if chosen.pulls {
+		chosen.pull.source.state.pullsServed++
+		end := req.Now + chosen.pull.transferTime
+		chosen.pull.source.state.transferLink.ReserveUntil(end)
+		chosen.state.transferLink.ReserveUntil(end)
+	}
+	state := chosen.state
+	reservation.work = state.load.AddPrefill(req.Priority, reservation.computeTokens)
+	state.meanCompute += meanComputeWeight * (reservation.computeTokens - state.meanCompute)
+	reservation.setLoad(req.Now, replicaload.Load{
+		PrefillTokens: reservation.computeTokens,
+		DecodeTokens:  chosen.timeTerms.memoryTokens,
+		Requests:      1,
+	})
+	return m.prefixWait(req, chosen)
+}
+
+func (m *timeModel) endPrefill(r *Reservation, now time.Duration) {
+	r.state.drainBacklog(now)
+	m.learn(r, now)
+	r.state.load.RemovePrefill(r.work)
+}
+
+func (m *timeModel) abandonPrefill(r *Reservation, now time.Duration) {
+	r.state.drainBacklog(now)
+	r.state.load.RemovePrefill(r.work)
 }
 
 // learn updates the latency of the pool and the slowness of the replica and of
@@ -112,24 +145,24 @@
 	if r.waited || m.options.Disabled.LearnedSpeeds {
 		return
 	}
-	took := milliseconds(now - r.startedAt)
+	took := units.Milliseconds(now - r.startedAt)
 	pull := 0.0
 	if r.pulls {
-		pull = milliseconds(r.pull.transfer)
+		pull = units.Milliseconds(r.pull.transferTime)
 	}
 	work := r.backlogTokens + r.computeTokens
-	usual := r.latency.expected(work)
-	excess := took - r.state.slowness.factor()*usual - pull
-	if r.pulls && r.observeTransfer(now, pull, excess) {
+	usual := r.latency.Expected(work)
+	excess := took - r.state.slowness.Factor()*usual - pull
+	if r.pulls && speed.ObserveTransfer(now, &r.pull.source.state.transferLink, &r.state.transferLink, pull, excess) {
 		return
 	}
 	prefill := max(took-pull, 1)
 	certainty := (r.computeTokens + 1) / (work + 1)
 	ratio := prefill / max(usual, 1)
 	if r.backlogTokens <= r.computeTokens/4 {
-		r.latency.learn(work, prefill)
+		r.latency.Learn(work, prefill)
 	}
-	r.state.slowness.observe(now, ratio, certainty)
+	r.state.slowness.Observe(now, ratio, certainty)
 }
 
 // retryAfter estimates when the first replica has capacity: when it has computed a
@@ -143,8 +176,8 @@
 		}
 		state := m.replicas.state(req.Now, candidate.Address)
 		backlog := m.queuedTokens(req, state)
-		delay := state.slowness.factor() * req.latency.expected(backlog)
-		wait := max(fromMilliseconds(delay)-req.MaxWait, 0)
+		delay := state.slowness.Factor() * req.latency.Expected(backlog)
+		wait := max(units.FromMilliseconds(delay)-req.MaxWait, 0)
 		if candidate.SlowStartUntil > req.Now {
 			wait = max(wait, candidate.SlowStartUntil-req.Now)
 		}
@@ -152,29 +185,3 @@
 	}
 	return max(shortest, minRetryAfter)
 }
-
-// shouldSave reports whether the request is to save its chunks to the store: those
-// that others are likely to use again, when the store lacks some of them. These
-// are all but the last, and the last too when it has come before or is a session's.
-func (m *timeModel) shouldSave(req *Request, p *prompt) bool {
-	if req.Store == "" || len(p.links) == 0 || m.options.Disabled.SaveToStore {
-		return false
-	}
-	last := len(p.links) - 1
-	reused := m.recentHashes.add(p.links[last].Hash) || req.Session
-	saved := p.links
-	if !reused {
-		saved = p.links[:last]
-	}
-	tokens := 0.0
-	for _, link := range saved {
-		tokens += float64(link.Tokens)
-	}
-	if capacity := req.Engine.StoreTokens; capacity > 0 && float64(req.promptTokens) > maxSaveFraction*capacity {
-		return false
-	}
-	// Chunks on their way to the store count as cached.
-	owner := m.replicas.state(req.Now, req.Store).owner
-	stored := max(p.overlaps.Of(owner).Likely.Tokens, p.pending.Of(owner).Likely.Tokens)
-	return tokens >= minPullTokens && float64(stored) < tokens
-}
