--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -19,8 +19,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// maxSelections bounds how often one attempt selects, since the view may have changed
-// meanwhile, or another request may have taken the last place in a slow start.
+// maxSelections bounds how often one attempt selects. What it has selected may be of no use
+// any more: the view may have changed meanwhile, or another request may have got the last
+// permit of a back end in slow start.
 const maxSelections = 8
 
 // DefaultBackendRetry is when a caller may retry where no attempt says it.
@@ -38,7 +39,8 @@
 	Replicas, WebServices edges.BackendEdge
 	// IDs makes the identities of attempts.
 	IDs *requestid.Generator
-	// Router chooses replicas, and Naming is how these name the chunks of prompts.
+	// Router chooses replicas, and Naming is how these name the chunks of prompts: by
+	// chain hashes, or by the caller's names.
 	Router *kvrouter.Router
 	Naming kvrouter.Naming
 	// Startup delays prompts after the start of the node; nil for no delay.
@@ -54,7 +56,8 @@
 	Updates *gossip.Outgoing
 	// MaxAttempts bounds the attempts of a request whose route does not.
 	MaxAttempts int
-	// MaxUnsent is how many attempts that could not be sent are not counted among these.
+	// MaxUnsent is how many attempts that could not be sent a request may have beyond
+	// MaxAttempts.
 	MaxUnsent int
 	// BackendRetry is when a caller may retry after a failure of a back end.
 	BackendRetry time.Duration
@@ -63,17 +66,17 @@
 // Dispatcher is the last handler of the chain: it runs attempts as the request's
 // attempts.Tracker asks for them, and responds.
 type Dispatcher struct {
-	options  Options
-	inFlight *inFlight
-	pools    backend
-	webs     backend
+	options     Options
+	inFlight    *inFlight
+	pools       selector
+	webServices selector
 }
 
 // New returns a dispatcher without attempts.
 func New(options Options) *Dispatcher {
 	d := &Dispatcher{options: options, inFlight: newInFlight()}
-	d.pools = newPoolBackend(&d.options)
-	d.webs = newWebBackend(&d.options, d.inFlight)
+	d.pools = newPoolSelector(&d.options)
+	d.webServices = newWebSelector(&d.options, d.inFlight)
 	return d
 }
 
@@ -84,73 +87,75 @@
 
 // Handle implements exchange.Handler.
 func (d *Dispatcher) Handle(e *exchange.Exchange, _ func()) {
-	w := &work{Exchange: e}
-	w.tracker = attempts.New(attempts.Options{
+	r := &pendingRequest{Exchange: e}
+	r.tracker = attempts.New(attempts.Options{
 		Idempotent:  e.Parsed.Idempotent,
 		Resumable:   e.Route.Config.GetResumable(),
-		MaxAttempts: w.maxAttempts(d.options.MaxAttempts),
+		MaxAttempts: r.maxAttempts(d.options.MaxAttempts),
 		MaxUnsent:   d.options.MaxUnsent,
 	})
 	if d.options.Startup != nil && e.Destination.WebService == nil {
 		d.options.Startup.Wait(e.Context)
 	}
 	for {
-		w.recordContextEnd()
-		action := w.tracker.Next()
+		r.recordContextEnd()
+		action := r.tracker.Next()
 		if action.Kind != attempts.Dispatch {
-			d.respond(w, action)
+			d.respond(r, action)
 			return
 		}
-		d.dispatch(w, action.Attempt)
+		d.dispatch(r, action.Attempt)
 	}
 }
 
-// backend returns what runs the work's attempts.
-func (d *Dispatcher) backend(w *work) backend {
-	if w.Destination.WebService != nil {
-		return d.webs
+// selectorFor returns what selects the back ends of a request.
+func (d *Dispatcher) selectorFor(r *pendingRequest) selector {
+	if r.Destination.WebService != nil {
+		return d.webServices
 	}
 	return d.pools
 }
 
 // dispatch runs one attempt, or records why there can be none.
-func (d *Dispatcher) dispatch(w *work, attempt int) {
-	chosen, callerError := d.choose(w)
-	if callerError == nil && w.Context.Err() != nil {
-		// It ended while the attempt was delayed.
+func (d *Dispatcher) dispatch(r *pendingRequest, attempt int) {
+	chosen, callerError := d.choose(r)
+	if callerError == nil && r.Context.Err() != nil {
+		// The deadline passed, or the caller disconnected, while the attempt was delayed.
+		// Handle records which.
 		d.release(chosen, false)
 		return
 	}
-	if callerError == nil && !w.Counters.PermitAttempt(d.options.Clock(), w.tracker.Sent(), attempt) {
+	if callerError == nil && !r.Counters.PermitAttempt(d.options.Clock(), r.tracker.Sent(), attempt) {
 		d.release(chosen, false)
-		callerError = budgetError(w.lastError).WithRetryAfter(d.options.BackendRetry)
+		callerError = budgetError(r.lastError).WithRetryAfter(d.options.BackendRetry)
 	}
 	if callerError != nil {
-		w.lastError = callerError
-		w.apply(attempts.Event{Kind: attempts.AttemptsExhausted})
+		r.lastError = callerError
+		r.apply(attempts.Event{Kind: attempts.AttemptsExhausted})
 		return
 	}
-	w.Observer.AttemptStarted(attempt)
-	w.tried = append(w.tried, chosen.address())
+	r.Observer.AttemptStarted(attempt)
+	r.tried = append(r.tried, chosen.address())
 	completed := false
 	defer func() { d.release(chosen, completed) }()
-	completed = d.run(w, chosen, attempt)
+	completed = d.run(r, chosen, attempt)
 }
 
 // choose selects a back end, waits if that makes the attempt cheaper, counts the attempt
-// in, and only then looks at the newest view again. What it returns must be released.
-func (d *Dispatcher) choose(w *work) (target, *caller.Error) {
+// in, and only then looks at the newest view again: the package comment says why in this
+// order. What it returns must be released.
+func (d *Dispatcher) choose(r *pendingRequest) (target, *caller.Error) {
 	for range maxSelections {
-		if callerError := w.revalidate(d.options.Source); callerError != nil {
+		if callerError := r.revalidate(d.options.Source); callerError != nil {
 			return nil, callerError
 		}
-		chosen, callerError := d.backend(w).choose(w)
+		chosen, callerError := d.selectorFor(r).selectTarget(r)
 		if callerError != nil {
 			return nil, callerError
 		}
-		chosen.waitBeforeSend(w)
+		chosen.waitBeforeSend(r)
 		d.inFlight.begin(chosen.address())
-		if chosen.stillEligible(w) && chosen.tryAcquireSlowStart() {
+		if chosen.stillEligible(r) && chosen.tryAcquireSlowStart() {
 			return chosen, nil
 		}
 		d.release(chosen, false)
@@ -166,54 +171,59 @@
 }
 
 // run sends an attempt, records its outcome, and returns whether its response is
-// complete. A streamed response is relayed here.
-func (d *Dispatcher) run(w *work, chosen target, attempt int) bool {
-	w.apply(attempts.Event{Kind: attempts.AttemptPlanned, Attempt: attempt, Address: chosen.address()})
-	w.apply(attempts.Event{Kind: attempts.ConnectStarted, Attempt: attempt})
-	w.health = d.options.Health.Begin(d.options.Clock(), chosen.address(), health.Expectation{
-		Target:     w.Route.TargetLatency(),
+// complete. A streamed response is relayed here, any other one by respond.
+//
+// That bytes may have left is recorded only after send, which says whether any have: the
+// tracker belongs to this goroutine, so that nobody reads it in between.
+func (d *Dispatcher) run(r *pendingRequest, chosen target, attempt int) bool {
+	r.apply(attempts.Event{Kind: attempts.AttemptPlanned, Attempt: attempt, Address: chosen.address()})
+	r.apply(attempts.Event{Kind: attempts.ConnectStarted, Attempt: attempt})
+	r.health = d.options.Health.Begin(d.options.Clock(), chosen.address(), health.Expectation{
+		Target:     r.Route.TargetLatency(),
 		Delay:      chosen.expectedDelay(),
-		WebService: w.Destination.WebService != nil,
+		WebService: r.Destination.WebService != nil,
 	})
-	defer w.health.End()
-	received, err := chosen.send(w.Context, w, attempt)
+	defer r.health.End()
+	received, err := chosen.send(r.Context, r, attempt)
 	if err != nil {
-		d.recordFailure(w, chosen, attempt, err)
+		d.recordFailure(r, chosen, attempt, err)
 		return false
 	}
 	defer received.Close()
 	d.options.Health.RecordResponse(chosen.address())
-	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
-	if err := d.receive(w, chosen, attempt, received); err != nil {
-		d.recordLoss(w, attempt, err)
+	r.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
+	if err := d.receive(r, chosen, attempt, received); err != nil {
+		d.recordLoss(r, attempt, err)
 		return false
 	}
-	w.apply(attempts.Event{Kind: attempts.ResponseCompleted, Attempt: attempt})
+	r.apply(attempts.Event{Kind: attempts.ResponseCompleted, Attempt: attempt})
 	return true
 }
 
-// receive reads a response to its end. What need not be buffered is relayed at once.
-func (d *Dispatcher) receive(w *work, chosen target, attempt int, received edges.Response) error {
-	if w.relaying && (!received.Streamed() || received.Status() != http.StatusOK) {
+// receive reads a response to its end. A stream is relayed as it arrives, and so is a
+// response that is too long to be buffered. A stream that is resumed goes on within the
+// response that the caller already gets, so only another stream can continue it.
+func (d *Dispatcher) receive(r *pendingRequest, chosen target, attempt int, received edges.Response) error {
+	if r.relaying && (!received.Streamed() || received.Status() != http.StatusOK) {
 		return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the stream was not taken up: the back end answered with status %d", received.Status())}
 	}
 	if received.Streamed() {
-		chunk, err := received.Next()
+		data, err := received.Next()
 		if err != nil && !isCompleteEnd(err) {
 			return err
 		}
 		chosen.firstOutput()
-		w.health.Responded(d.options.Clock(), received.Status())
-		return d.relay(w, attempt, received, chunk, err)
+		r.health.Responded(d.options.Clock(), received.Status())
+		return d.relay(r, attempt, received, data, err)
 	}
 	body, complete, err := received.ReadAll()
 	if err != nil {
 		return err
 	}
-	w.health.Responded(d.options.Clock(), received.Status())
+	r.health.Responded(d.options.Clock(), received.Status())
 	if !complete {
-		return d.relay(w, attempt, received, body, nil)
+		return d.relay(r, attempt, received, body, nil)
 	}
-	w.buffered = &bufferedResponse{status: received.Status(), header: received.Header(), body: body}
+	r.buffered = &bufferedResponse{status: received.Status(), header: received.Header(), body: body}
 	return nil
 }
--- a/internal/dataplane/dispatch/doc.go
+++ b/internal/dataplane/dispatch/doc.go
@@ -4,13 +4,14 @@
 // attempts.Tracker what to do next, does that, and records what came of it, until the
 // tracker asks for a response:
 //
-//	work.go            a request in the dispatcher, and what is looked at again before
+//	pending_request.go a request in the dispatcher, and what is looked at again before
 //	                   each attempt
-//	backend.go         what a kind of back end, and a back end chosen for an attempt, must do
-//	pool_backend.go    the replicas of pools: candidates, and the choice among them
-//	pool_selection.go  what the router of pkg/kvrouter is asked
-//	replica_target.go  a replica chosen for an attempt
-//	web_backend.go     the back ends of web services
+//	selector.go        what selects back ends (selector), and a back end selected for one
+//	                   attempt (target)
+//	pool_selector.go   the replicas of pools: candidates, and the choice among them
+//	router_request.go  what the router of pkg/kvrouter is asked
+//	replica_target.go  a replica selected for an attempt
+//	web_selector.go    the back ends of web services, and one selected for an attempt
 //	outcome.go         what the end of an attempt means, and the final response
 //	relay.go           how a response gets to the caller
 //	in_flight.go       attempts that are running, by back end
--- a/internal/dataplane/dispatch/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -27,14 +27,14 @@
 
 // recordFailure records the end of an attempt without a response: it was not sent, the back
 // end has refused to run it, or its outcome is not known.
-func (d *Dispatcher) recordFailure(w *work, chosen target, attempt int, err error) {
+func (d *Dispatcher) recordFailure(r *pendingRequest, chosen target, attempt int, err error) {
 	var broken *outbound.Error
 	if errors.As(err, &broken) && !broken.MayHaveBeenSent {
-		w.lastError = d.unsentError(w, broken)
-		w.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
+		r.lastError = d.recordUnsent(r, broken)
+		r.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
 		return
 	}
-	w.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
+	r.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
 	if broken == nil {
 		// The back end has responded, with a refusal or with what is not relayed.
 		d.options.Health.RecordResponse(chosen.address())
@@ -43,59 +43,61 @@
 	if errors.As(err, &refusal) {
 		chosen.handleRefusal(refusal)
 		if !refusal.WrongTarget && chosen.hasSpareCapacity() {
-			w.health.Failed(d.options.Clock(), outlier.Refused)
+			r.health.Failed(d.options.Clock(), outlier.Refused)
 		}
-		w.lastError = refusedError(refusal, d.options.BackendRetry)
-		w.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
+		r.lastError = refusedError(refusal, d.options.BackendRetry)
+		r.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
-	if broken != nil && deadline.Passed(w.Context) {
+	if broken != nil && deadline.Passed(r.Context) {
 		d.options.Health.RecordMissedDeadline(d.options.Clock(), chosen.address())
 	}
-	d.recordLoss(w, attempt, err)
+	d.recordLoss(r, attempt, err)
 }
 
-// unsentError returns why nothing was sent, and counts it against the back end unless it
-// is a limit of this node.
-func (d *Dispatcher) unsentError(w *work, unsent *outbound.Error) *caller.Error {
+// recordUnsent returns why nothing was sent. It counts that against the back end, unless
+// the cause is this node's own limit of connections.
+func (d *Dispatcher) recordUnsent(r *pendingRequest, unsent *outbound.Error) *caller.Error {
 	wait := d.options.BackendRetry
 	var atLimit *outbound.ConnectionLimitError
 	if errors.As(unsent, &atLimit) {
 		return caller.NewError(caller.KindBackendsBusy,
 			"the back end has as many connections as it may have: send the request again").WithRetryAfter(wait)
 	}
-	d.countUnlessCancelled(w, outlier.Unreached)
+	d.countUnlessCancelled(r, outlier.Unreached)
 	return caller.NewError(caller.KindNoBackend,
 		"the back end could not be reached: send the request again").WithRetryAfter(wait)
 }
 
-// recordLoss records that the outcome of an attempt which was sent is not known.
-func (d *Dispatcher) recordLoss(w *work, attempt int, err error) {
+// recordLoss records that an attempt which was sent got no complete response, so that it is
+// not known whether the request has run.
+func (d *Dispatcher) recordLoss(r *pendingRequest, attempt int, err error) {
 	var failed *outbound.FailedResponseError
 	var gone *callerGoneError
 	var otherWeights *versionMismatchError
 	switch {
 	case errors.As(err, &gone):
-		w.apply(attempts.Event{Kind: attempts.CallerDisconnected})
+		r.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 	case errors.As(err, &failed):
 		// A back end that responds is not suspected of being dead.
-		d.countUnlessCancelled(w, outlier.Errored)
+		d.countUnlessCancelled(r, outlier.Errored)
 	case errors.As(err, &otherWeights):
-		// This is no fault of the back end, and temporary.
-		d.options.Health.Suspect(d.options.Clock(), w.health.Address)
+		// The roll-out has not reached the view yet. That is no failure of the back end,
+		// and temporary, so that it is avoided for a while but not ejected.
+		d.options.Health.Suspect(d.options.Clock(), r.health.Address)
 	default:
-		d.countUnlessCancelled(w, outlier.Reset)
+		d.countUnlessCancelled(r, outlier.Reset)
 	}
-	w.lastError = caller.NewError(caller.KindOutcomeUnknown,
+	r.lastError = caller.NewError(caller.KindOutcomeUnknown,
 		"the back end's answer was lost (%v): find out whether the request has run before you send it again", err)
-	w.apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: attempt})
+	r.apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: attempt})
 }
 
 // countUnlessCancelled counts an outcome against the back end of an attempt, unless this
 // node has cancelled the attempt.
-func (d *Dispatcher) countUnlessCancelled(w *work, outcome outlier.Outcome) {
-	if w.Context.Err() == nil {
-		w.health.Failed(d.options.Clock(), outcome)
+func (d *Dispatcher) countUnlessCancelled(r *pendingRequest, outcome outlier.Outcome) {
+	if r.Context.Err() == nil {
+		r.health.Failed(d.options.Clock(), outcome)
 	}
 }
 
@@ -117,27 +119,27 @@
 }
 
 // respond performs the final action that the tracker asks for.
-func (d *Dispatcher) respond(w *work, action attempts.Action) {
+func (d *Dispatcher) respond(r *pendingRequest, action attempts.Action) {
 	switch action.Kind {
 	case attempts.Relay:
-		w.Counters.CountCompleted()
-		w.writeBuffered()
+		r.Counters.CountCompleted()
+		r.writeBuffered()
 	case attempts.AbortRelay:
-		d.abortRelay(w)
+		d.abortRelay(r)
 	case attempts.RespondNotRun:
-		w.Refuse(w.finalError())
+		r.Refuse(r.finalError())
 	case attempts.RespondUnknown:
-		callerError := w.finalError()
+		callerError := r.finalError()
 		callerError.Kind = caller.KindOutcomeUnknown
-		w.Refuse(callerError)
+		r.Refuse(callerError)
 	case attempts.RespondDeadline:
 		callerError := deadline.Error()
-		callerError.MayHaveRun = w.tracker.MayHaveRun()
-		w.Refuse(callerError)
+		callerError.MayHaveRun = r.tracker.MayHaveRun()
+		r.Refuse(callerError)
 	case attempts.Abandon:
-		w.Counters.CountAbandoned()
-		w.Failed = true
-		w.CertainlyNotRun = !w.tracker.MayHaveRun()
+		r.Counters.CountAbandoned()
+		r.Failed = true
+		r.CertainlyNotRun = !r.tracker.MayHaveRun()
 		panic(http.ErrAbortHandler)
 	default:
 		panic(fmt.Sprintf("the tracker asks for %s although no attempt is running", action.Kind))
@@ -146,14 +148,14 @@
 
 // finalError returns the last error, with the tracker's statement whether the request may
 // have run.
-func (w *work) finalError() *caller.Error {
-	callerError := w.lastError
+func (r *pendingRequest) finalError() *caller.Error {
+	callerError := r.lastError
 	if callerError == nil {
 		callerError = caller.NewError(caller.KindNoBackend, "no attempt was possible: send the request again").WithRetryAfter(DefaultBackendRetry)
 	}
 	// A lost claim may have let another node run the request.
-	callerError.MayHaveRun = callerError.MayHaveRun || w.tracker.MayHaveRun()
-	if w.tracker.MayHaveRun() {
+	callerError.MayHaveRun = callerError.MayHaveRun || r.tracker.MayHaveRun()
+	if r.tracker.MayHaveRun() {
 		callerError.RetryIsSafe = false
 	}
 	return callerError
--- a/internal/dataplane/dispatch/pool_backend.go
+++ b/internal/dataplane/dispatch/pool_selector.go
@@ -16,40 +16,40 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// poolBackend runs attempts on the replicas of pools.
-type poolBackend struct {
+// poolSelector selects replicas for the requests of pools.
+type poolSelector struct {
 	options *Options
-	// draws counts the random sources, so that each has its own seed.
-	draws atomic.Uint64
-	seed  uint64
+	// randomSources counts the sources of random numbers, so that each has its own seed.
+	randomSources atomic.Uint64
+	seed          uint64
 }
 
-// newPoolBackend returns the backend of all pools.
-func newPoolBackend(options *Options) *poolBackend {
-	return &poolBackend{options: options, seed: rand.Uint64()}
+// newPoolSelector returns the selector of all pools.
+func newPoolSelector(options *Options) *poolSelector {
+	return &poolSelector{options: options, seed: rand.Uint64()}
 }
 
-// choose implements backend. Replicas that failed lately are avoided as long as others
-// take requests.
-func (b *poolBackend) choose(w *work) (target, *caller.Error) {
-	pool := b.newestPool(w)
-	if pool == nil || pool.Config.GetModel() != w.Destination.Pool.Config.GetModel() {
-		return nil, noReplicaError(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, b.options.BackendRetry)
+// selectTarget implements selector. Replicas that failed lately are avoided as long as
+// others take requests.
+func (s *poolSelector) selectTarget(r *pendingRequest) (target, *caller.Error) {
+	pool := s.newestPool(r)
+	if pool == nil || pool.Config.GetModel() != r.Destination.Pool.Config.GetModel() {
+		return nil, noReplicaError(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, s.options.BackendRetry)
 	}
-	now := b.options.Clock()
-	candidates := b.candidates(now, pool)
+	now := s.options.Clock()
+	candidates := s.candidates(now, pool)
 	var decision kvrouter.Decision
 	var err error
-	b.options.Health.Choose(now, w.tried, w.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
-		decision, err = b.options.Router.Select(b.selection(w, pool, now, exclude), candidates)
+	s.options.Health.Choose(now, r.tried, r.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
+		decision, err = s.options.Router.Select(s.routerRequest(r, pool, now, exclude), candidates)
 		return selectionResultOf(err)
 	})
 	if err != nil {
-		return nil, noReplicaError(err, b.options.BackendRetry)
+		return nil, noReplicaError(err, s.options.BackendRetry)
 	}
-	chosen, _ := lo.Find(pool.Replicas, func(chosen routing.Replica) bool { return chosen.Address == decision.Address })
+	chosen, _ := lo.Find(pool.Replicas, func(replica routing.Replica) bool { return replica.Address == decision.Address })
 	return &replicaTarget{
-		backend:        b,
+		selector:       s,
 		decision:       decision,
 		limits:         pool.Config.GetBackends(),
 		slowStartUntil: chosen.SlowStartUntil,
@@ -70,31 +70,31 @@
 	return health.NoneLeft
 }
 
-// newestPool returns the work's pool in the newest view, or nil if it is gone. It makes the
+// newestPool returns the request's pool in the newest view, or nil if it is gone. It makes the
 // back ends of that view known to the health tracker first.
-func (b *poolBackend) newestPool(w *work) *routing.Pool {
-	view := b.options.Source.View()
+func (s *poolSelector) newestPool(r *pendingRequest) *routing.Pool {
+	view := s.options.Source.View()
 	if view == nil {
 		return nil
 	}
-	b.options.Health.Follow(view)
-	return view.Pools[w.Destination.Pool.Config.GetName()]
+	s.options.Health.Follow(view)
+	return view.Pools[r.Destination.Pool.Config.GetName()]
 }
 
 // candidates returns the replicas of a pool that requests may go to. A replica whose
 // weight version is not confirmed is none: no cache salt could be right.
-func (b *poolBackend) candidates(now time.Duration, pool *routing.Pool) []kvrouter.Candidate {
+func (s *poolSelector) candidates(now time.Duration, pool *routing.Pool) []kvrouter.Candidate {
 	candidates := make([]kvrouter.Candidate, 0, len(pool.Replicas))
-	for _, listing := range pool.Replicas {
-		confirmed := listing.WeightVersion != ""
-		if listing.Admitting && confirmed && !b.options.Quarantine.Contains(listing.Address, listing.WeightVersion) &&
-			!b.options.Stale.Contains(now, listing) {
+	for _, replica := range pool.Replicas {
+		confirmed := replica.WeightVersion != ""
+		if replica.Admitting && confirmed && !s.options.Quarantine.Contains(replica.Address, replica.WeightVersion) &&
+			!s.options.Stale.Contains(now, replica) {
 			candidates = append(candidates, kvrouter.Candidate{
-				Address:        listing.Address,
-				Zone:           listing.Zone,
-				WeightVersion:  listing.WeightVersion,
-				Instance:       listing.Instance,
-				SlowStartUntil: listing.SlowStartUntil,
+				Address:        replica.Address,
+				Zone:           replica.Zone,
+				WeightVersion:  replica.WeightVersion,
+				Instance:       replica.Instance,
+				SlowStartUntil: replica.SlowStartUntil,
 			})
 		}
 	}
@@ -114,12 +114,12 @@
 	return caller.NewError(kind, "%v", err).WithRetryAfter(wait)
 }
 
-// mayUse reports whether requests under a weight version may go to a replica, and chunks
-// be fetched from it.
-func (b *poolBackend) mayUse(pool *routing.Pool, address, weightVersion string) bool {
+// mayUse reports whether requests under a weight version may go to a replica, and whether
+// other replicas may pull chunks from it.
+func (s *poolSelector) mayUse(pool *routing.Pool, address, weightVersion string) bool {
 	found, admits := findAdmitting(pool, address, weightVersion)
-	return admits && !b.options.Quarantine.Contains(address, weightVersion) &&
-		!b.options.Stale.Contains(b.options.Clock(), found)
+	return admits && !s.options.Quarantine.Contains(address, weightVersion) &&
+		!s.options.Stale.Contains(s.options.Clock(), found)
 }
 
 // findAdmitting returns a pool's replica if it admits requests of a version.
@@ -129,19 +129,20 @@
 	})
 }
 
-// announceDispatch tells the other nodes where the chunks of a request will be cached.
-func (b *poolBackend) announceDispatch(attempt edges.Attempt) {
+// announceDispatch tells the other nodes where the chunks of a request will be cached, so
+// that they predict it as this node does.
+func (s *poolSelector) announceDispatch(attempt edges.Attempt) {
 	if len(attempt.Generation.Chunks) == 0 {
 		return
 	}
 	generation := attempt.Generation
 	dispatch := gossip.Dispatch{
 		Address: attempt.Address,
-		Links:   b.options.Naming.Links(generation.Model, generation.CacheSalt, generation.Chunks),
+		Links:   s.options.Naming.Links(generation.Model, generation.CacheSalt, generation.Chunks),
 	}
-	b.options.Updates.AddDispatch(dispatch)
+	s.options.Updates.AddDispatch(dispatch)
 	if generation.SaveTo != "" {
 		dispatch.Address = generation.SaveTo
-		b.options.Updates.AddDispatch(dispatch)
+		s.options.Updates.AddDispatch(dispatch)
 	}
 }
--- a/internal/dataplane/dispatch/relay.go
+++ b/internal/dataplane/dispatch/relay.go
@@ -18,7 +18,8 @@
 	body   []byte
 }
 
-// callerGoneError reports that bytes could not be written to the caller.
+// callerGoneError reports that bytes could not be written to the caller, who has
+// disconnected.
 type callerGoneError struct {
 	cause error
 }
@@ -28,25 +29,25 @@
 	return "the caller takes no more of the answer: " + e.cause.Error()
 }
 
-// relay relays a response as it arrives, beginning with the chunk that has been read, or
-// with err instead of one. A streamed response gets its status line only here, once its
-// first chunk or its end has arrived, so that an earlier loss can still be retried.
-func (d *Dispatcher) relay(w *work, attempt int, received edges.Response, chunk []byte, err error) error {
-	w.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
-	if !w.relaying {
-		w.relaying = true
-		w.writeHeader(received.Status(), received.Header())
+// relay relays a response as it arrives, beginning with the data that has been read, or
+// with err if there is none. A streamed response gets its status line only here, once its
+// first data or its end has arrived, so that an earlier loss can still be retried.
+func (d *Dispatcher) relay(r *pendingRequest, attempt int, received edges.Response, data []byte, err error) error {
+	r.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
+	if !r.relaying {
+		r.relaying = true
+		r.writeHeader(received.Status(), received.Header())
 	}
-	controller := http.NewResponseController(w.Writer)
+	controller := http.NewResponseController(r.Writer)
 	for err == nil {
-		if _, writeError := w.Writer.Write(chunk); writeError != nil {
+		if _, writeError := r.Writer.Write(data); writeError != nil {
 			return &callerGoneError{cause: writeError}
 		}
 		if flushError := controller.Flush(); flushError != nil {
 			return &callerGoneError{cause: flushError}
 		}
-		w.lastEventID = received.LastEventID()
-		chunk, err = received.Next()
+		r.lastEventID = received.LastEventID()
+		data, err = received.Next()
 	}
 	if isCompleteEnd(err) {
 		return nil
@@ -63,59 +64,59 @@
 // abortRelay ends a truncated response so that nobody mistakes it for a complete one:
 // with an error event where the response is a stream of events, and then by aborting the
 // connection.
-func (d *Dispatcher) abortRelay(w *work) {
-	w.Failed = true
-	w.countAbort()
-	if w.Writer.Header().Get("Content-Type") == caller.StreamType {
-		w.writeErrorEvent()
+func (d *Dispatcher) abortRelay(r *pendingRequest) {
+	r.Failed = true
+	r.countAbort()
+	if r.Writer.Header().Get("Content-Type") == caller.StreamType {
+		r.writeErrorEvent()
 	}
 	panic(http.ErrAbortHandler)
 }
 
 // writeErrorEvent reports the truncation inside the stream, where the protocol has an
 // event for that.
-func (w *work) writeErrorEvent() {
-	event := w.Edges.Callers.ErrorEvent(w.truncationError())
+func (r *pendingRequest) writeErrorEvent() {
+	event := r.Edges.Callers.ErrorEvent(r.truncationError())
 	if len(event) == 0 {
 		return
 	}
-	_, _ = w.Writer.Write(event)
-	_ = http.NewResponseController(w.Writer).Flush()
+	_, _ = r.Writer.Write(event)
+	_ = http.NewResponseController(r.Writer).Flush()
 }
 
 // countAbort counts a truncated response, or one whose caller has disconnected.
-func (w *work) countAbort() {
-	if w.tracker.CallerDisconnected() {
-		w.Counters.CountAbandoned()
+func (r *pendingRequest) countAbort() {
+	if r.tracker.CallerDisconnected() {
+		r.Counters.CountAbandoned()
 		return
 	}
-	w.Counters.CountTruncated()
+	r.Counters.CountTruncated()
 }
 
 // truncationError reports a truncated response.
-func (w *work) truncationError() *caller.Error {
-	callerError := w.finalError()
+func (r *pendingRequest) truncationError() *caller.Error {
+	callerError := r.finalError()
 	callerError.Kind = caller.KindResponseTruncated
-	if deadline.Passed(w.Context) {
+	if deadline.Passed(r.Context) {
 		callerError = deadline.Error()
 	}
 	callerError.MayHaveRun = true
-	callerError.RequestID = w.RequestID
+	callerError.RequestID = r.RequestID
 	return callerError
 }
 
 // writeBuffered writes a buffered response. There is none if the response was relayed as
 // it arrived.
-func (w *work) writeBuffered() {
-	if w.buffered == nil {
+func (r *pendingRequest) writeBuffered() {
+	if r.buffered == nil {
 		return
 	}
-	header := w.buffered.header
-	if w.Request.Method != http.MethodHead && permitsBody(w.buffered.status) {
-		header.Set("Content-Length", strconv.Itoa(len(w.buffered.body)))
+	header := r.buffered.header
+	if r.Request.Method != http.MethodHead && permitsBody(r.buffered.status) {
+		header.Set("Content-Length", strconv.Itoa(len(r.buffered.body)))
 	}
-	w.writeHeader(w.buffered.status, header)
-	_, _ = w.Writer.Write(w.buffered.body)
+	r.writeHeader(r.buffered.status, header)
+	_, _ = r.Writer.Write(r.buffered.body)
 }
 
 // permitsBody reports whether a response with a status may have a body.
@@ -124,12 +125,12 @@
 }
 
 // writeHeader writes the status line and header of a response.
-func (w *work) writeHeader(status int, header http.Header) {
-	w.Observer.ResponseStarted(status, header)
-	target := w.Writer.Header()
+func (r *pendingRequest) writeHeader(status int, header http.Header) {
+	r.Observer.ResponseStarted(status, header)
+	target := r.Writer.Header()
 	for name, values := range header {
 		target[name] = values
 	}
-	w.Edges.Callers.CompleteHeader(target, w.RequestID)
-	w.Writer.WriteHeader(status)
+	r.Edges.Callers.CompleteHeader(target, r.RequestID)
+	r.Writer.WriteHeader(status)
 }
--- a/internal/dataplane/dispatch/replica_target.go
+++ b/internal/dataplane/dispatch/replica_target.go
@@ -18,7 +18,7 @@
 
 // replicaTarget is a replica chosen for one attempt.
 type replicaTarget struct {
-	backend  *poolBackend
+	selector *poolSelector
 	decision kvrouter.Decision
 	limits   *ridgeswitchv1.BackendLimits
 	// slowStartUntil is when the slow start of the replica ends.
@@ -35,12 +35,12 @@
 
 // waitBeforeSend implements target: the replica may be about to finish the prefill of
 // chunks that the request shares with an earlier one.
-func (t *replicaTarget) waitBeforeSend(w *work) {
+func (t *replicaTarget) waitBeforeSend(r *pendingRequest) {
 	awaited := t.decision.Wait
 	if awaited == nil {
 		return
 	}
-	now := t.backend.options.Clock
+	now := t.selector.options.Clock
 	timer := time.NewTimer(awaited.Deadline() - now())
 	defer timer.Stop()
 	for {
@@ -49,7 +49,7 @@
 			return
 		}
 		select {
-		case <-w.Context.Done():
+		case <-r.Context.Done():
 			return
 		case <-timer.C:
 			return
@@ -59,24 +59,24 @@
 }
 
 // stillEligible implements target.
-func (t *replicaTarget) stillEligible(w *work) bool {
-	pool := t.backend.newestPool(w)
-	if pool == nil || !t.backend.mayUse(pool, t.decision.Address, t.decision.WeightVersion) {
+func (t *replicaTarget) stillEligible(r *pendingRequest) bool {
+	pool := t.selector.newestPool(r)
+	if pool == nil || !t.selector.mayUse(pool, t.decision.Address, t.decision.WeightVersion) {
 		return false
 	}
-	salt := replica.CacheSalt(pool.Config.GetModel(), t.decision.WeightVersion, w.sharingDomain(t.backend.options.Source.View()))
+	salt := replica.CacheSalt(pool.Config.GetModel(), t.decision.WeightVersion, r.sharingDomain(t.selector.options.Source.View()))
 	return salt == t.decision.CacheSalt
 }
 
 // tryAcquireSlowStart implements target.
 func (t *replicaTarget) tryAcquireSlowStart() bool {
-	options := t.backend.options
+	options := t.selector.options
 	return options.SlowStart.TryAcquire(options.Clock(), t.limits, t.decision.Address, t.slowStartUntil)
 }
 
 // send implements target.
-func (t *replicaTarget) send(ctx context.Context, w *work, attempt int) (edges.Response, error) {
-	received, err := t.backend.options.Replicas.Send(ctx, t.attempt(w, attempt))
+func (t *replicaTarget) send(ctx context.Context, r *pendingRequest, attempt int) (edges.Response, error) {
+	received, err := t.selector.options.Replicas.Send(ctx, t.attempt(r, attempt))
 	if err != nil {
 		return nil, err
 	}
@@ -88,33 +88,33 @@
 }
 
 // attempt describes the attempt to the replica, and announces it to the other nodes.
-func (t *replicaTarget) attempt(w *work, number int) edges.Attempt {
-	described := w.attempt(t.backend.options.IDs, t.decision.Address, number)
+func (t *replicaTarget) attempt(r *pendingRequest, number int) edges.Attempt {
+	described := r.attempt(t.selector.options.IDs, t.decision.Address, number)
 	described.Generation = &edges.Generation{
-		Model:         w.Destination.Pool.Config.GetModel(),
+		Model:         r.Destination.Pool.Config.GetModel(),
 		WeightVersion: t.decision.WeightVersion,
 		CacheSalt:     t.decision.CacheSalt,
-		Chunks:        w.Parsed.Chunks,
-		OutputTokens:  w.Parsed.OutputTokens,
-		Pull:          t.pull(w),
+		Chunks:        r.Parsed.Chunks,
+		OutputTokens:  r.Parsed.OutputTokens,
+		Pull:          t.pull(r),
 	}
 	described.Instance = t.decision.Instance
 	if t.decision.Save {
-		described.Generation.SaveTo = w.Destination.Pool.Store.GetAddress()
+		described.Generation.SaveTo = r.Destination.Pool.Store.GetAddress()
 	}
-	t.backend.announceDispatch(described)
+	t.selector.announceDispatch(described)
 	return described
 }
 
 // pull returns the planned fetch if its source may still be used: the pool's
 // store, or an admitting replica of the same version.
-func (t *replicaTarget) pull(w *work) *edges.Pull {
+func (t *replicaTarget) pull(r *pendingRequest) *edges.Pull {
 	planned := t.decision.Pull
-	pool := t.backend.newestPool(w)
+	pool := t.selector.newestPool(r)
 	if planned == nil || pool == nil {
 		return nil
 	}
-	if planned.Source != pool.Store.GetAddress() && !t.backend.mayUse(pool, planned.Source, t.decision.WeightVersion) {
+	if planned.Source != pool.Store.GetAddress() && !t.selector.mayUse(pool, planned.Source, t.decision.WeightVersion) {
 		return nil
 	}
 	return &edges.Pull{Source: planned.Source, FirstChunk: planned.FirstChunk, LastChunk: planned.LastChunk}
@@ -126,7 +126,7 @@
 	if actual == "" {
 		return nil
 	}
-	options := t.backend.options
+	options := t.selector.options
 	options.Router.ObserveWeightVersion(options.Clock(), t.decision.Address, actual)
 	if actual != t.decision.WeightVersion {
 		options.Quarantine.Report(t.decision.Address, actual)
@@ -140,7 +140,7 @@
 	if !refusal.WrongTarget {
 		return
 	}
-	t.backend.options.recordWrongTarget(routing.Replica{
+	t.selector.options.recordWrongTarget(routing.Replica{
 		Address: t.decision.Address, Instance: t.decision.Instance, WeightVersion: t.decision.WeightVersion,
 	}, refusal)
 }
@@ -148,7 +148,7 @@
 // hasSpareCapacity implements target. A replica that is to load other weights takes no
 // requests while it does.
 func (t *replicaTarget) hasSpareCapacity() bool {
-	options := t.backend.options
+	options := t.selector.options
 	now := options.Clock()
 	loadingWeights := t.targetVersion != "" && t.targetVersion != t.decision.WeightVersion
 	active := options.Router.ActiveRequests(now, t.decision.Address)
@@ -160,10 +160,10 @@
 
 // firstOutput implements target.
 func (t *replicaTarget) firstOutput() {
-	t.decision.Reservation.FirstToken(t.backend.options.Clock())
+	t.decision.Reservation.FirstToken(t.selector.options.Clock())
 }
 
 // finish implements target.
 func (t *replicaTarget) finish(completed bool) {
-	t.decision.Reservation.Finish(t.backend.options.Clock(), completed)
+	t.decision.Reservation.Finish(t.selector.options.Clock(), completed)
 }
--- a/internal/dataplane/dispatch/pool_selection.go
+++ b/internal/dataplane/dispatch/router_request.go
@@ -9,62 +9,62 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// waitDivisor divides the time left until the deadline: the quotient is the longest wait
-// at a full replica, if all are full.
+// waitDivisor divides the time left until the deadline: the quotient is the longest time
+// that a request may be queued at a replica, if all are at capacity.
 const waitDivisor = 2
 
 // anonymousDomain is the sharing domain of requests without a key.
 const anonymousDomain = "anonymous"
 
-// selection returns the router's request for the work.
-func (b *poolBackend) selection(w *work, pool *routing.Pool, now time.Duration, exclude func(string) bool) kvrouter.Request {
+// routerRequest returns what the router of pkg/kvrouter is asked for the request.
+func (s *poolSelector) routerRequest(r *pendingRequest, pool *routing.Pool, now time.Duration, exclude func(string) bool) kvrouter.Request {
 	model := pool.Config.GetModel()
 	return kvrouter.Request{
 		Now:          now,
 		Model:        model,
-		Chunks:       w.Parsed.Chunks,
-		Naming:       b.options.Naming,
-		OutputTokens: w.Parsed.OutputTokens,
+		Chunks:       r.Parsed.Chunks,
+		Naming:       s.options.Naming,
+		OutputTokens: r.Parsed.OutputTokens,
 		Engine:       engineProfile(pool),
-		Priority:     uint8(w.View.Priority(w.Tenant, w.Route)),
-		BodyBytes:    len(w.Body),
-		Zone:         b.options.Zone,
-		MaxWait:      maxWait(w),
+		Priority:     uint8(r.View.Priority(r.Tenant, r.Route)),
+		BodyBytes:    len(r.Body),
+		Zone:         s.options.Zone,
+		MaxWait:      maxWait(r),
 		SlowStartAllowed: func(address string) bool {
-			return b.options.SlowStart.Allowed(now, pool.Config.GetBackends(), address)
+			return s.options.SlowStart.Allowed(now, pool.Config.GetBackends(), address)
 		},
 		SaltFor: func(weightVersion string) string {
-			return replica.CacheSalt(model, weightVersion, w.sharingDomain(b.options.Source.View()))
+			return replica.CacheSalt(model, weightVersion, r.sharingDomain(s.options.Source.View()))
 		},
 		Settings:  routerSettings(pool),
 		Store:     pool.Store.GetAddress(),
 		StoreZone: pool.Store.GetZone(),
 		Exclude:   exclude,
-		Random:    b.random(pool.Config.GetRouting().GetTemperature()),
+		Random:    s.random(pool.Config.GetRouting().GetTemperature()),
 	}
 }
 
 // random returns a source of random numbers for one selection, or nil where the
 // temperature makes it unnecessary.
-func (b *poolBackend) random(temperature float64) *rand.Rand {
+func (s *poolSelector) random(temperature float64) *rand.Rand {
 	if temperature <= 0 {
 		return nil
 	}
-	return rand.New(rand.NewPCG(b.seed, b.draws.Add(1)))
+	return rand.New(rand.NewPCG(s.seed, s.randomSources.Add(1)))
 }
 
 // sharingDomain returns the tenant's domain in the newest view, because a wall
 // may have gone up while the request waited.
-func (w *work) sharingDomain(view *routing.View) string {
+func (r *pendingRequest) sharingDomain(view *routing.View) string {
 	if view != nil {
-		if tenant := view.Tenants[w.KeyDigest]; tenant != nil {
+		if tenant := view.Tenants[r.KeyDigest]; tenant != nil {
 			return tenant.SharingDomain
 		}
 	}
-	if w.Tenant == nil {
+	if r.Tenant == nil {
 		return anonymousDomain
 	}
-	return w.Tenant.SharingDomain
+	return r.Tenant.SharingDomain
 }
 
 // engineProfile describes a pool's engine to the router, or is nil if the
@@ -93,9 +93,10 @@
 	return kvrouter.DefaultEngineSettings()
 }
 
-// maxWait is how long a request may wait at a full replica.
-func maxWait(w *work) time.Duration {
-	deadline, bounded := w.Context.Deadline()
+// maxWait returns how long a request may be queued at a replica that is at capacity; 0 if
+// the request has no deadline.
+func maxWait(r *pendingRequest) time.Duration {
+	deadline, bounded := r.Context.Deadline()
 	if !bounded {
 		return 0
 	}
--- a/internal/dataplane/dispatch/backend.go
+++ b/internal/dataplane/dispatch/selector.go
@@ -11,25 +11,28 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// backend runs attempts of one kind of destination.
-type backend interface {
-	// choose selects a back end for an attempt of the work, or returns why there is none.
-	choose(w *work) (target, *caller.Error)
+// selector selects back ends for the requests of one kind of destination: of pools, or of
+// web services.
+type selector interface {
+	// selectTarget selects a back end for the next attempt of the request, or returns why
+	// there is none. The caller must call finish on the target.
+	selectTarget(r *pendingRequest) (target, *caller.Error)
 }
 
 // target is a back end chosen for one attempt.
 type target interface {
-	// waitBeforeSend delays the attempt while that makes it cheaper.
-	waitBeforeSend(w *work)
+	// waitBeforeSend delays the attempt while that makes it cheaper: another request may
+	// just be computing the chunks that this one needs. It ends with the request's context.
+	waitBeforeSend(r *pendingRequest)
 	// address returns where the attempt goes.
 	address() string
 	// stillEligible reports whether the newest view still lets the request go there.
-	stillEligible(w *work) bool
+	stillEligible(r *pendingRequest) bool
 	// tryAcquireSlowStart counts the attempt if the back end is in slow start, and
 	// returns false if it takes no more now.
 	tryAcquireSlowStart() bool
 	// send runs the attempt up to the header of its response.
-	send(ctx context.Context, w *work, attempt int) (edges.Response, error)
+	send(ctx context.Context, r *pendingRequest, attempt int) (edges.Response, error)
 	// handleRefusal is called when the back end has refused to run the attempt.
 	handleRefusal(refusal *outbound.RefusedError)
 	// hasSpareCapacity reports whether the back end certainly has free slots, so that it
@@ -40,7 +43,7 @@
 	// firstOutput is called when a streamed response has started. The start of other
 	// responses is not known: the header may come at any time before the end.
 	firstOutput()
-	// finish ends the attempt. It must be called once for every target.
+	// finish ends the attempt, sent or not. It must be called once for every target.
 	finish(completed bool)
 }
 
