--- a/internal/dataplane/dispatch/pool_selector.go
+++ b/internal/dataplane/dispatch/pool_selector.go
@@ -40,7 +40,7 @@
 	candidates := s.candidates(now, pool)
 	var decision kvrouter.Decision
 	var err error
-	s.options.Health.Choose(now, r.tried, r.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
+	s.options.Health.TryHealthiestFirst(now, r.tried, r.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
 		decision, err = s.options.Router.Select(s.routerRequest(r, pool, now, exclude), candidates)
 		return selectionResultOf(err)
 	})
--- a/internal/dataplane/dispatch/web_selector.go
+++ b/internal/dataplane/dispatch/web_selector.go
@@ -37,7 +37,7 @@
 	now := s.options.Clock()
 	var chosen routing.Replica
 	found := false
-	s.options.Health.Choose(now, r.tried, r.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
+	s.options.Health.TryHealthiestFirst(now, r.tried, r.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
 		chosen, found = s.fewestInFlight(service, func(candidate routing.Replica) bool {
 			return s.options.Stale.Contains(now, candidate) || s.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
 		})
--- a/internal/dataplane/feeds/event_feed.go
+++ b/internal/dataplane/feeds/event_feed.go
@@ -14,9 +14,11 @@
 )
 
 const (
-	// minReconnectDelay is the backoff before a broken stream is opened again.
+	// minReconnectDelay is how long a feed waits before it opens a stream that has ended
+	// again.
 	minReconnectDelay = 100 * time.Millisecond
-	// maxReconnectDelay is its upper bound after further failures.
+	// maxReconnectDelay is the upper bound of that after streams without any event, each of
+	// which doubles it.
 	maxReconnectDelay = 2 * time.Second
 	// resetTimeout is how long a new stream may take until its reset arrives.
 	resetTimeout = 5 * time.Second
@@ -47,10 +49,11 @@
 	expected string
 	// cancelStream ends the stream that is open.
 	cancelStream context.CancelFunc
-	// resynced reports whether the open stream needs no reset, or has had it.
+	// resynced reports whether the open stream needs no reset, since it goes on after the
+	// last event, or has had its reset.
 	resynced bool
-	// opened is when the open stream was opened.
-	opened time.Duration
+	// openedAt is when the open stream was opened.
+	openedAt time.Duration
 
 	// The fields below belong to the goroutine that runs Serve.
 
@@ -90,7 +93,7 @@
 	f.mutex.Lock()
 	f.cancelStream = cancel
 	f.resynced = f.position.Sequence > 0
-	f.opened = f.clock()
+	f.openedAt = f.clock()
 	f.mutex.Unlock()
 	f.receivedEvent = false
 	err := f.source.Follow(stream, f.address, f.position, f.handle)
@@ -99,8 +102,8 @@
 	}
 }
 
-// expect sets the weight version that control state has.
-func (f *eventFeed) expect(weightVersion string) {
+// setExpectedVersion sets the weight version that control state has.
+func (f *eventFeed) setExpectedVersion(weightVersion string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.expected = weightVersion
@@ -118,7 +121,7 @@
 func (f *eventFeed) resync() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	due := f.resynced || f.clock()-f.opened >= resetTimeout
+	due := f.resynced || f.clock()-f.openedAt >= resetTimeout
 	if due && f.cancelStream != nil {
 		f.resynced = false
 		f.cancelStream()
--- a/internal/dataplane/feeds/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -97,7 +97,7 @@
 			quarantine: health.NewQuarantine(), health: outlier.New(outlier.Options{}),
 			clock: func() time.Duration { return now },
 		}
-		subject.expect("w1")
+		subject.setExpectedVersion("w1")
 	})
 
 	It("brings cached chunks to the router, and resumes after them", func() {
@@ -144,7 +144,7 @@
 		Expect(overlap(subject.router, "w1")).To(BeZero())
 
 		By("reading everything again once they agree")
-		subject.expect("w2")
+		subject.setExpectedVersion("w2")
 		source.events = []replica.Event{reportEvent("w2")}
 		subject.follow(context.Background())
 		Expect(source.err).To(MatchError(errResync))
--- a/internal/dataplane/feeds/manager.go
+++ b/internal/dataplane/feeds/manager.go
@@ -5,6 +5,10 @@
 // for each back end that the newest view lists; each feed runs in a goroutine of the
 // Manager's supervisor, and reconnects and resynchronizes by itself. The Manager's
 // methods may be called concurrently.
+//
+// The events of a back end are numbered within its incarnation. A reset is the event that
+// carries everything which is cached. A feed opens its stream after the last event that it
+// has; where events are missing, it opens it again from a reset on.
 package feeds
 
 import (
@@ -121,7 +125,7 @@
 func (m *Manager) ensure(address string, spec feedSpec) {
 	present, runs := m.running[address]
 	if runs {
-		present.eventFeed.expect(spec.weightVersion)
+		present.eventFeed.setExpectedVersion(spec.weightVersion)
 		return
 	}
 	present.eventFeed = &eventFeed{
@@ -132,7 +136,7 @@
 		health:     m.options.Health,
 		clock:      m.options.Clock,
 	}
-	present.eventFeed.expect(spec.weightVersion)
+	present.eventFeed.setExpectedVersion(spec.weightVersion)
 	present.token = m.supervisor.Add(present.eventFeed)
 	m.running[address] = present
 }
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -24,7 +24,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Stage is how far a batch has come.
+// Stage is what a batch is for: a step of the relaying of updates, or one of the transfer of a
+// snapshot.
 type Stage uint8
 
 // The stages of a batch.
@@ -38,8 +39,8 @@
 	// SnapshotRequest batches go from a node that has started to a peer, see
 	// SnapshotClient.
 	SnapshotRequest
-	// SnapshotChunk batches carry a part of the snapshot back, and SnapshotEnd ones the
-	// rest.
+	// SnapshotChunk batches carry a piece of the snapshot back, and a SnapshotEnd batch the
+	// last piece. The pieces have nothing to do with the chunks of prompts.
 	SnapshotChunk
 	SnapshotEnd
 )
@@ -56,12 +57,15 @@
 // Update is what one node reports of its traffic at one time.
 type Update struct {
 	// Node is the node that the update is from.
-	Node       member.ID
+	Node member.ID
+	// Loads are those that the node's own requests put on replicas.
 	Loads      []kvrouter.AddressLoad
 	Dispatches []Dispatch
-	Reports    []Report
-	Denials    []Denial
-	Outcomes   []outlier.Report
+	// Reports are of the cached chunks of back ends that the node reads for all.
+	Reports []Report
+	Denials []Denial
+	// Outcomes are those of the node's attempts at back ends that fail some.
+	Outcomes []outlier.Report
 }
 
 // Dispatch reports a request that was sent to a replica.
--- a/internal/dataplane/gossip/outgoing.go
+++ b/internal/dataplane/gossip/outgoing.go
@@ -13,8 +13,8 @@
 	// loadRefresh is how long an unchanged load is not sent again. It is half the time
 	// after which other nodes discard it.
 	loadRefresh = 500 * time.Millisecond
-	// maxPendingUpdates bounds the pending dispatches, reports and denials, each. What
-	// comes beyond it is dropped.
+	// maxPendingUpdates bounds the dispatches, the reports and the denials that wait for the
+	// next Drain, each by itself. What comes beyond it is dropped.
 	maxPendingUpdates = 1024
 )
 
@@ -27,8 +27,11 @@
 // Outgoing collects what the other nodes are to learn of this node's traffic. It
 // may be used concurrently.
 type Outgoing struct {
-	mutex      sync.Mutex
-	sentLoads  map[string]sentLoad
+	mutex sync.Mutex
+	// sentLoads holds the replicas on which the other nodes assume a load of this one, by
+	// address.
+	sentLoads map[string]sentLoad
+	// The updates below wait for the next Drain.
 	dispatches []Dispatch
 	reports    []Report
 	denials    []Denial
@@ -64,17 +67,17 @@
 	update := Update{Dispatches: o.dispatches, Reports: o.reports, Denials: o.denials}
 	o.dispatches, o.reports, o.denials = nil, nil, nil
 	for _, load := range loads {
-		if o.shouldSend(now, load) {
+		if o.markSentIfDue(now, load) {
 			update.Loads = append(update.Loads, load)
 		}
 	}
 	return update
 }
 
-// shouldSend reports whether the other nodes assume another load, or would discard this
-// one. They expect by themselves that a prefill progresses and a response grows. The lock
-// is held.
-func (o *Outgoing) shouldSend(now time.Duration, load kvrouter.AddressLoad) bool {
+// markSentIfDue reports whether a load is to be sent now, and remembers it as sent if so. It
+// is due when the other nodes assume another load, or would soon discard this one. They expect
+// by themselves that a prefill progresses and a response grows. The lock is held.
+func (o *Outgoing) markSentIfDue(now time.Duration, load kvrouter.AddressLoad) bool {
 	sent, found := o.sentLoads[load.Address]
 	idle := load.Requests == 0
 	if found && sameRequests(sent.load, load.SharedLoad) && (idle || now-sent.sentAt < loadRefresh) {
--- a/internal/dataplane/gossip/relayer.go
+++ b/internal/dataplane/gossip/relayer.go
@@ -13,7 +13,8 @@
 // maxPending bounds the updates that wait at a relay. What comes beyond it is dropped.
 const maxPending = 4096
 
-// Relayer relays updates at one node. It must not be used concurrently.
+// Relayer passes updates on at one node: as the relay of its zone those of other nodes too,
+// otherwise its own to that relay. It must not be used concurrently.
 type Relayer struct {
 	self member.ID
 	zone string
@@ -86,9 +87,9 @@
 	return node.TrafficAddress != ""
 }
 
-// RelayFor returns the relay of a zone: the live node in it with the highest weight.
-// Nodes that serve no callers precede those that do, as their links and processors are
-// less busy.
+// RelayFor returns the relay of a zone: the live node in it with the highest rendezvous
+// weight, so that nodes which see the same live nodes agree without asking each other. Nodes
+// that serve no callers precede those that do, as their links and processors are less busy.
 func RelayFor(zone string, live []member.Info) (member.Info, bool) {
 	candidates := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone == zone })
 	if idle := lo.Reject(candidates, func(node member.Info, _ int) bool { return servesCallers(node) }); len(idle) > 0 {
@@ -102,7 +103,7 @@
 	}), true
 }
 
-// relayWeight orders the nodes of a zone.
+// relayWeight is the rendezvous weight of a node as the relay of its zone.
 func relayWeight(id member.ID) uint64 {
 	return xxhash.Sum64String("relay\x00" + string(id))
 }
--- a/internal/dataplane/gossip/snapshot_client.go
+++ b/internal/dataplane/gossip/snapshot_client.go
@@ -15,13 +15,13 @@
 	// responseTimeout is how long a requested peer may take until its first, or its next,
 	// response.
 	responseTimeout = time.Second
-	// maxRequested bounds the peers that are requested one after the other, since some
-	// may have started lately themselves.
+	// maxRequested bounds the peers that are requested one after the other. More than one is
+	// needed, since some may have started lately themselves and have nothing to send.
 	maxRequested = 6
-	// membershipKnownAfter is when a node that has started knows the others, if there are
-	// any.
+	// membershipKnownAfter is how long after its start a node waits to hear of a peer before
+	// it concludes that there is none.
 	membershipKnownAfter = 1500 * time.Millisecond
-	// maxTransferTime bounds the whole transfer.
+	// maxTransferTime bounds the whole transfer, from the first call on.
 	maxTransferTime = 5 * time.Second
 )
 
@@ -39,7 +39,7 @@
 	requested []member.ID
 	// lastActivity is when that one was requested, or sent a part of its response.
 	lastActivity time.Duration
-	// received reports whether the snapshot has something in it.
+	// received reports whether the present peer has sent anything in its snapshot.
 	received bool
 }
 
@@ -82,6 +82,7 @@
 	c.lastActivity = now
 	c.received = c.received || len(update.Reports) > 0
 	if stage == SnapshotEnd {
+		// After an empty snapshot the next peer is requested, without waiting for more.
 		c.done = c.received
 		c.lastActivity = now - responseTimeout
 	}
@@ -93,6 +94,7 @@
 	return !c.Done(now) && c.awaitingResponse(now)
 }
 
+// start sets the time from which the bounds of the transfer count, at the first call.
 func (c *SnapshotClient) start(now time.Duration) {
 	if !c.started {
 		c.started = true
--- a/internal/dataplane/gossip/snapshot_server.go
+++ b/internal/dataplane/gossip/snapshot_server.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// changesPerTick bounds the changes that are sent in one tick, so that a transfer
-	// takes only a part of a small link. A change takes 24 bytes.
+	// changesPerTick bounds the changes that are sent to all peers in one tick, so that
+	// transfers take only a fraction of a slow link. A change takes 24 bytes.
 	changesPerTick = 1024
 	// maxTransfers bounds the peers that are served at a time.
 	maxTransfers = 16
--- a/internal/dataplane/health/quarantine.go
+++ b/internal/dataplane/health/quarantine.go
@@ -3,10 +3,11 @@
 import "sync"
 
 // Quarantine keeps requests away from replicas that report another weight version than
-// control state has for them. Chunks that such a replica caches may have been computed
-// under either version.
+// control state has for them, for as long as the two differ. Chunks that such a replica
+// caches may have been computed under either version.
 type Quarantine struct {
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// reported holds the weight version that each replica reported last, by address.
 	reported map[string]string
 }
 
--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -17,10 +17,12 @@
 	maxDenials = 4096
 )
 
-// staleEntry is a description of a back end that the back end has denied.
+// staleEntry is what the view said of a back end when that refused a request as meant for
+// another one.
 type staleEntry struct {
 	instance, weightVersion string
-	until                   time.Duration
+	// until is when the back end is used again, on the node's clock.
+	until time.Duration
 }
 
 // StaleBackends remembers the back ends of which the view is out of date: those that
@@ -28,9 +30,11 @@
 // weights. An incarnation that is gone from its address never comes back to it,
 // so that the address gets nothing until the view names another one there.
 type StaleBackends struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// entries holds the refusals after which the same incarnation may still be there, by
+	// address.
 	entries map[string]staleEntry
-	// gone holds the incarnation that each address denied.
+	// gone holds the incarnation that is gone for good from an address, by address.
 	gone map[string]string
 }
 
@@ -68,8 +72,7 @@
 	return true
 }
 
-// Contains reports whether the view still describes a back end in a way that it has
-// denied.
+// Contains reports whether a back end has denied what the view still says of it.
 func (s *StaleBackends) Contains(now time.Duration, replica routing.Replica) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,19 +91,6 @@
 	return true
 }
 
-// allReplicas returns all back ends that a view lists. One that several
-// destinations share is returned for each.
-func allReplicas(view *routing.View) []routing.Replica {
-	var all []routing.Replica
-	for _, pool := range view.Pools {
-		all = append(all, pool.Replicas...)
-	}
-	for _, service := range view.WebServices {
-		all = append(all, service.Replicas...)
-	}
-	return all
-}
-
 // Retain forgets the denials of incarnations, and the refusals of addresses, that a view
 // does not list.
 func (s *StaleBackends) Retain(view *routing.View) {
@@ -121,3 +111,16 @@
 		}
 	}
 }
+
+// allReplicas returns all back ends that a view lists. One that several
+// destinations share is returned for each.
+func allReplicas(view *routing.View) []routing.Replica {
+	var all []routing.Replica
+	for _, pool := range view.Pools {
+		all = append(all, pool.Replicas...)
+	}
+	for _, service := range view.WebServices {
+		all = append(all, service.Replicas...)
+	}
+	return all
+}
--- a/internal/dataplane/health/tracker.go
+++ b/internal/dataplane/health/tracker.go
@@ -50,21 +50,21 @@
 	peers func() []member.Info
 
 	mutex sync.Mutex
-	// view is the one whose back ends the Detector has.
+	// view is the newest view that Follow was called with. The Detector has its back ends.
 	view *routing.View
 	// running holds the attempts without any output so far.
 	running map[*Attempt]struct{}
 }
 
-// Attempt observes one attempt for the health of its back end. Of its outcomes up to
-// the first output one counts.
+// Attempt observes one attempt for the health of its back end. It may count more than once:
+// when it becomes overdue, by its first output, and by a failure after that.
 type Attempt struct {
 	// Address is that of the back end.
 	Address string
 
 	tracker *Tracker
-	// overdueAt and slowAt are when the attempt counts as overdue, and its output
-	// as slow; 0 means never.
+	// overdueAt and slowAt are the times, on the node's clock, from which the attempt
+	// counts as overdue and its output as slow; 0 means never.
 	overdueAt, slowAt time.Duration
 	// counted reports whether it has counted as overdue.
 	counted bool
@@ -115,7 +115,7 @@
 	t.SetPools(pools)
 }
 
-// poolKey identifies a pool or a web service to the Detector.
+// poolKey identifies a pool or a web service to the Detector, which calls both pools.
 func poolKey(name string, webService bool) string {
 	if webService {
 		return "web/" + name
@@ -176,7 +176,8 @@
 	overdue := a.End()
 	switch {
 	case status == http.StatusGatewayTimeout:
-		// The deadline may have been too short.
+		// The caller's deadline may have been too short, so that this counts neither for
+		// nor against the back end; but it is alive.
 		a.tracker.RecordResponse(a.Address)
 	case status >= http.StatusInternalServerError && status != http.StatusNotImplemented:
 		a.tracker.Observe(now, a.Address, outlier.Errored)
@@ -222,12 +223,15 @@
 	NoneLeft
 )
 
-// Choose tries a selection without unhealthy back ends. If the others are at capacity
-// it tries again with those that are ejected, and if there are no others, with all.
-// Tried are the back ends of earlier attempts of the request, which are always
-// excluded. An ejected back end may be probed by the first attempt of a request only,
-// since a probe that fails is not made good by a retry.
-func (t *Tracker) Choose(now time.Duration, tried []string, probe bool, try func(exclude func(address string) bool) SelectionResult) {
+// TryHealthiestFirst calls try, which selects a back end that is not excluded, until it finds
+// one: first without unhealthy back ends; if the healthy ones are at capacity or none is left,
+// also with ejected ones; and if none is left still, also with suspected ones. Tried are the
+// back ends of earlier attempts of the request, which are always excluded. What the last call
+// of try has selected counts.
+//
+// Probe permits a probe of an ejected back end. It must be false for retries: a probe is
+// likely to fail, and would take one of the few that the retry budget permits.
+func (t *Tracker) TryHealthiestFirst(now time.Duration, tried []string, probe bool, try func(exclude func(address string) bool) SelectionResult) {
 	unhealthy := false
 	tryUpTo := func(worst outlier.Verdict) SelectionResult {
 		return try(func(address string) bool {
--- a/internal/dataplane/reports/assignment.go
+++ b/internal/dataplane/reports/assignment.go
@@ -12,26 +12,26 @@
 
 // assignment is the set of back ends that a node reads under a view and a membership.
 type assignment struct {
-	view  *routing.View
-	peers []member.Info
-	owned map[string]bool
+	view     *routing.View
+	peers    []member.Info
+	backends map[string]bool
 }
 
 // validFor reports whether the assignment was made for a view and a membership.
 func (a *assignment) validFor(view *routing.View, peers []member.Info) bool {
 	same := func(one, other member.Info) bool { return one.ID == other.ID && one.Zone == other.Zone }
-	return a.owned != nil && a.view == view && slices.EqualFunc(a.peers, peers, same)
+	return a.backends != nil && a.view == view && slices.EqualFunc(a.peers, peers, same)
 }
 
 // assign returns the assignment of a node.
 func assign(self member.ID, view *routing.View, peers []member.Info) assignment {
-	owned := make(map[string]bool)
+	backends := make(map[string]bool)
 	for address, zone := range reportingBackends(view) {
 		if readerFor(address, zone, peers) == self {
-			owned[address] = true
+			backends[address] = true
 		}
 	}
-	return assignment{view: view, peers: slices.Clone(peers), owned: owned}
+	return assignment{view: view, peers: slices.Clone(peers), backends: backends}
 }
 
 // reportingBackends returns the zones of all back ends that report cached chunks, by
@@ -60,11 +60,12 @@
 	return anywhere
 }
 
-// heaviest returns the node with the highest weight for a back end, among those admitted.
-func heaviest(address string, peers []member.Info, admitted func(member.Info) bool) (best member.ID, found bool) {
+// heaviest returns the node with the highest weight for a back end, among those that
+// may read it.
+func heaviest(address string, peers []member.Info, mayRead func(member.Info) bool) (best member.ID, found bool) {
 	highest := uint64(0)
 	for _, peer := range peers {
-		if !admitted(peer) {
+		if !mayRead(peer) {
 			continue
 		}
 		weight := readerWeight(address, peer.ID)
--- a/internal/dataplane/reports/assignment_internal_test.go
+++ b/internal/dataplane/reports/assignment_internal_test.go
@@ -21,7 +21,7 @@
 
 	It("is worked out anew when the view, a node or its zone is another one, and not before", func() {
 		view := &routing.View{}
-		assigned := assignment{view: view, peers: peers, owned: map[string]bool{}}
+		assigned := assignment{view: view, peers: peers, backends: map[string]bool{}}
 		Expect(assigned.validFor(view, peers)).To(BeTrue())
 		Expect(assigned.validFor(&routing.View{}, peers)).To(BeFalse())
 		Expect(assigned.validFor(view, peers[:2])).To(BeFalse())
--- a/internal/dataplane/reports/readers.go
+++ b/internal/dataplane/reports/readers.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// readWait is how long one read waits for changes.
+	// readWait is how long a back end may hold a read that has no changes to return (a long
+	// poll).
 	readWait = time.Second
 	// minReadInterval is the least time between two reads of one back end, so that
 	// changes are read in batches.
@@ -70,8 +71,9 @@
 	// assigned is the last assignment.
 	assigned assignment
 
-	mutex   sync.Mutex
-	running map[string]context.CancelFunc // by address
+	mutex sync.Mutex
+	// running holds what ends the read of each back end that is read now, by address.
+	running map[string]context.CancelFunc
 }
 
 // New returns readers that read nothing before Serve.
@@ -112,7 +114,7 @@
 	if !stable || r.options.AwaitingSnapshot() {
 		return
 	}
-	r.reconcile(ctx, r.owned(view))
+	r.reconcile(ctx, r.assignedBackends(view))
 }
 
 // String implements fmt.Stringer for the supervisor's messages.
@@ -137,32 +139,32 @@
 	}
 }
 
-// owned returns the addresses that are assigned to this node.
-func (r *Readers) owned(view *routing.View) map[string]bool {
+// assignedBackends returns the addresses of the back ends that are assigned to this node.
+func (r *Readers) assignedBackends(view *routing.View) map[string]bool {
 	peers := r.options.Peers()
 	if !r.assigned.validFor(view, peers) {
 		r.assigned = assign(r.options.Member, view, peers)
 	}
-	return r.assigned.owned
+	return r.assigned.backends
 }
 
-// reconcile starts and stops goroutines so that exactly the owned back ends are read.
-func (r *Readers) reconcile(ctx context.Context, owned map[string]bool) {
+// reconcile starts and stops goroutines so that exactly the assigned back ends are read.
+func (r *Readers) reconcile(ctx context.Context, assigned map[string]bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for address, stop := range r.running {
-		if !owned[address] {
+		if !assigned[address] {
 			stop()
 			delete(r.running, address)
 		}
 	}
-	for address := range owned {
+	for address := range assigned {
 		if _, runs := r.running[address]; runs {
 			continue
 		}
-		reading, stop := context.WithCancel(ctx)
+		readContext, stop := context.WithCancel(ctx)
 		r.running[address] = stop
-		go r.read(reading, address)
+		go r.read(readContext, address)
 	}
 }
 
