--- a/internal/dataplane/dispatch/web_selector.go
+++ b/internal/dataplane/dispatch/web_selector.go
@@ -144,8 +144,9 @@
 	t.selector.options.recordWrongTarget(t.chosen, refusal)
 }
 
-// hasSpareCapacity implements target. What the other nodes have sent is not known; back
-// ends at capacity refuse requests from all nodes.
+// hasSpareCapacity implements target. What the other nodes have sent is not known, so that a
+// back end may be at capacity nevertheless. Its refusals then count as failures, and only the
+// comparison with the other back ends keeps it from being ejected.
 func (t *webTarget) hasSpareCapacity() bool {
 	return t.selector.inFlight.count(t.chosen.Address) < t.chosen.Slots
 }
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -22,30 +22,30 @@
 // as a whole and never written to, whether the node may serve, and the live nodes. Control
 // reads the attempts in flight.
 //
-//	State                            Owner                          What may run concurrently
+//	State                            Owner                          Used by
 //	one request                      exchange.Exchange              its goroutine; while it is queued, one
-//	                                                                more reads the body
-//	its attempts                     dispatch (work)                its goroutine
-//	newest view                      routing.Source                 everything; immutable
-//	counters, retry budgets          destinations.Set               everything
-//	rates, queues, node's slots      tenantlimiter.Limiter          everything
-//	requests that ran lately         duplicates.Register            everything
-//	attempts in flight               dispatch.Dispatcher            everything; InFlight for control
-//	samples of weighted routes       routematcher.Handler           everything
-//	index of chunks, loads           kvrouter.Router                everything
-//	health, quarantine, stale ones   health                         everything
-//	slow start                       warmup.Limiter                 everything
-//	start-up gate                    startupgate.Gate               everything
-//	updates for other nodes          gossip.Outgoing                everything
-//	snapshots from and for others    gossip.SnapshotExchange        everything
+//	                                                                more, which reads the body
+//	its attempts                     dispatch.pendingRequest        its goroutine
+//	newest view                      routing.Source                 any goroutine; immutable
+//	counters, retry budgets          destinations.Set               any goroutine
+//	rates, queues, node's slots      tenantlimiter.Limiter          any goroutine
+//	requests that ran lately         duplicates.Register            any goroutine
+//	attempts in flight               dispatch.Dispatcher            any goroutine; control reads InFlight
+//	samples of weighted routes       routematcher.Handler           any goroutine
+//	index of chunks, loads           kvrouter.Router                any goroutine
+//	health, quarantine, stale ones   health                         any goroutine
+//	slow start                       warmup.Limiter                 any goroutine
+//	start-up gate                    startupgate.Gate               any goroutine
+//	updates for other nodes          gossip.Outgoing                any goroutine
+//	snapshots from and for others    gossip.SnapshotExchange        any goroutine
 //	event streams                    feeds.Manager                  one goroutine a back end
 //	reports                          reports.Readers                one goroutine a back end
 //	view followed last               viewFollower                   its goroutine
-//	recording                        recorder.Recorder              everything; one goroutine writes
+//	recording                        recorder.Recorder              any goroutine; one writes the file
 //	address and connections          listener.Listener              one goroutine a connection
 //
-// "Everything" is the goroutines of all requests, those of feeds and readers, and the
-// callers of the Server's exported methods, which may be called concurrently.
+// "Any goroutine" is one of a request, of a feed or of a reader, or of a caller of the
+// Server's exported methods; many of them may use the state at the same time.
 //
 // Each owner guards its state by a lock of its own. Where one calls another while it holds
 // its lock, the order is: feeds.Manager, startupgate.Gate or gossip.SnapshotExchange first;
--- a/internal/dataplane/edges/edges.go
+++ b/internal/dataplane/edges/edges.go
@@ -37,8 +37,10 @@
 // BackendEdge runs attempts on back ends of one kind.
 type BackendEdge interface {
 	// Send runs one attempt up to the header of its response. It sends the request at
-	// most once. The errors are *outbound.Error, *outbound.RefusedError and
-	// *outbound.InvalidResponseError; after any other one the request may have run.
+	// most once. The error says what is known of the request: an *outbound.Error whether
+	// any of it may have been sent, an *outbound.RefusedError that it has not run and will
+	// not run. After any other one, such as an *outbound.InvalidResponseError or an
+	// *outbound.FailedResponseError, it may have run.
 	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
 
@@ -71,7 +73,7 @@
 	Tenant string
 	// Remaining is the time left until the deadline; 0 if there is none.
 	Remaining time.Duration
-	// Priority of the request, 0 first.
+	// Priority is that of the request, from 0, the most urgent, to routing.LowestPriority.
 	Priority uint32
 	// Idempotent reports whether the request may run more than once.
 	Idempotent bool
--- a/internal/dataplane/exchange/exchange.go
+++ b/internal/dataplane/exchange/exchange.go
@@ -46,7 +46,8 @@
 	Arrived time.Duration
 	// RequestID is the identity of the request, by handlers/requestidentifier.
 	RequestID string
-	// View is the view under which the request was admitted, by handlers/servingcheck.
+	// View is the view under which the request was admitted, by handlers/servingcheck. What
+	// must hold at the time of sending is looked up in the newest view instead.
 	View *routing.View
 	// KeyDigest and Tenant are set by handlers/authenticator. The digest is empty if the
 	// caller gave no key, and the tenant nil if the key is none of the view's.
--- a/internal/dataplane/handlers/tenantlimiter/handler.go
+++ b/internal/dataplane/handlers/tenantlimiter/handler.go
@@ -34,6 +34,7 @@
 func (h *Handler) Handle(e *exchange.Exchange, next func()) {
 	ticket, callerError := h.limiter.acquire(e.Context, h.arrival(e), func() <-chan struct{} { return h.readBodyWhileQueued(e) })
 	if callerError != nil {
+		// If the body failed, that ended the wait, and is the better reason.
 		e.Refuse(cmp.Or(e.BodyError(), callerError))
 		return
 	}
@@ -58,7 +59,7 @@
 	return failed
 }
 
-// arrival describes a request to admission.
+// arrival describes a request to admission, with its deadline on the node's clock.
 func (h *Handler) arrival(e *exchange.Exchange) admission.Arrival {
 	arrival := admission.Arrival{Tenant: publicTenant}
 	if e.Tenant != nil {
--- a/internal/dataplane/handlers/tenantlimiter/limiter.go
+++ b/internal/dataplane/handlers/tenantlimiter/limiter.go
@@ -80,7 +80,8 @@
 	return decision, granted
 }
 
-// wait blocks until a queued request is granted or has waited long enough.
+// wait blocks until a queued request is granted. It gives up, and returns why, at the end of
+// the queue's time-out, of the context, or of a body that cannot be read.
 func (l *Limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Error {
 	timer := time.NewTimer(max(decision.Until-l.clock(), 0))
 	defer timer.Stop()
@@ -142,7 +143,8 @@
 	return len(l.waiting)
 }
 
-// queueTimeoutError is the refusal of a request that was not granted in time.
+// queueTimeoutError is the refusal of a request that was not granted in time. A caller that
+// has disconnected doesn't get to see it.
 func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
 	if deadline.Passed(ctx) {
 		return deadline.Error()
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -147,7 +147,8 @@
 }
 
 // Drain accepts no new connection, and returns when the running requests have ended, or
-// with an error when ctx ends first. The node must not be ready any more.
+// with an error when ctx ends first; then Stop must follow. Before it is called, the node must
+// have reported itself as not ready for long enough that load balancers send it nothing new.
 func (s *Server) Drain(ctx context.Context) error {
 	err := s.listener.Shutdown(ctx)
 	if err == nil {
--- a/internal/dataplane/startupgate/gate.go
+++ b/internal/dataplane/startupgate/gate.go
@@ -2,9 +2,12 @@
 // most replicas have cached.
 //
 // Prompts that are sent earlier would be computed from their beginnings although other
-// replicas have these cached; after a start of all nodes that is more than the replicas
-// compute in seconds. A Gate opens once and stays open. It reads no clock, and may be used
-// concurrently.
+// replicas have these cached. When all nodes start at once, that would occupy the replicas for
+// many seconds, longer than the wait takes. Prompts wait only
+// at nodes that read reports page by page: event streams begin with everything that is cached.
+//
+// A Gate opens once and stays open. It reads no clock: the start is the first Update with a
+// view that has pools. It may be used concurrently.
 package startupgate
 
 import (
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -23,7 +23,8 @@
 	totalWeight uint64
 }
 
-// Choice is a destination that gets a fraction of a route's requests.
+// Choice is a destination that gets a fraction of a route's requests: its weight, divided by
+// the sum of the route's weights.
 type Choice struct {
 	Destination Destination
 	Weight      uint32
@@ -78,7 +79,8 @@
 // Routes are the routes of one host, the longest prefix first.
 type Routes []*Route
 
-// Sort brings the routes into the order that Match needs.
+// Sort brings the routes into the order that Match needs. It is called before the view is
+// published.
 func (r Routes) Sort() {
 	slices.SortStableFunc(r, func(a, b *Route) int {
 		return cmp.Compare(len(b.Config.GetPathPrefix()), len(a.Config.GetPathPrefix()))
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -23,7 +23,7 @@
 	SharingDomain string
 	// Limits are the configured limits; read only.
 	Limits *ridgeswitchv1.Limits
-	// Priority outranks that of the route, if the tenant has one.
+	// Priority outranks that of the route; nil if the tenant has none.
 	Priority *uint32
 }
 
@@ -32,18 +32,18 @@
 type Replica struct {
 	// Address is the host and port that requests go to.
 	Address string
-	// Instance names the incarnation that the platform lists at the address;
+	// Instance is the platform's name of the incarnation that it lists at the address;
 	// empty if it names none.
 	Instance string
 	// Zone is the zone that it is in; empty if that is not known.
 	Zone string
 	// Slots is how many requests it works on at once; 0 if that is not known.
 	Slots int
-	// SlowStartUntil is when it has warmed up after a start, on the node's clock;
-	// zero if it is warm.
+	// SlowStartUntil is when its slow start ends, on the node's clock; zero if it is in
+	// none.
 	SlowStartUntil time.Duration
-	// WeightVersion is the version that the replica confirmed. Empty for the
-	// back ends of a web service.
+	// WeightVersion is the version that the replica confirmed; empty before that, when it
+	// gets no requests, and always for the back ends of a web service.
 	WeightVersion string
 	// Admitting reports whether new requests may go to it: it is listed, not draining for
 	// the platform or for a roll-out, and its zone is not evacuated.
@@ -80,7 +80,7 @@
 	Configuration *ridgeswitchv1.Configuration
 	// Tenants holds the tenant of each key.
 	Tenants map[KeyDigest]*Tenant
-	// Hosts holds the routes of each host.
+	// Hosts holds the routes of each host name, in lower case and without a port.
 	Hosts map[string]Routes
 	// Pools and WebServices are by name.
 	Pools       map[string]*Pool
@@ -99,16 +99,17 @@
 type Source interface {
 	// View returns the newest view, or nil before the first one.
 	View() *View
-	// Serving returns nil while the node may admit traffic. It reads a clock
-	// that counts suspended time, so that a node that was frozen refuses
-	// before it serves anything out of date.
+	// Serving returns nil while the node may admit traffic, and otherwise why it may not, in
+	// words for callers. Implementations must read a clock that counts suspended time, so
+	// that a node which was frozen refuses before it serves anything out of date.
 	Serving() error
 }
 
 // LoadReader is how control learns what traffic still sends to a back end.
 type LoadReader interface {
-	// InFlight returns how many attempts run on a back end through this node. Zero tells
-	// that the back end is drained only if it is read after a view was published in which
-	// the back end does not admit: each attempt is counted before it looks at the view.
+	// InFlight returns how many attempts run on a back end through this node. Zero means
+	// that the back end is drained only if it was read after the publication of a view in
+	// which the back end does not admit: each attempt is counted in before it looks at the
+	// newest view for the last time.
 	InFlight(address string) int
 }
