--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -65,26 +65,26 @@
 // page, prompts wait for them after the start.
 func (s *Server) newDispatcher() *dispatch.Dispatcher {
 	options := dispatch.Options{
-		Source:       s.options.Source,
-		Clock:        s.options.Clock,
-		Zone:         s.options.Zone,
-		Replicas:     s.options.Edges.Replicas,
-		WebServices:  s.options.Edges.WebServices,
-		IDs:          s.ids,
-		Router:       s.router,
-		Naming:       kvrouter.Chained,
-		Health:       s.health,
-		Quarantine:   s.quarantine,
-		Stale:        s.stale,
-		SlowStart:    s.slowStart,
-		Updates:      s.updates,
-		MaxAttempts:  s.options.MaxAttempts,
-		MaxUnsent:    s.options.MaxUnsent,
-		BackendRetry: s.options.BackendRetry,
+		Source:        s.options.Source,
+		Clock:         s.options.Clock,
+		Zone:          s.options.Zone,
+		Replicas:      s.options.Edges.Replicas,
+		WebServices:   s.options.Edges.WebServices,
+		IDs:           s.ids,
+		Router:        s.router,
+		Naming:        kvrouter.Chained,
+		Health:        s.health,
+		Quarantine:    s.quarantine,
+		StaleBackends: s.staleBackends,
+		SlowStart:     s.slowStart,
+		Updates:       s.updates,
+		MaxAttempts:   s.options.MaxAttempts,
+		MaxUnsent:     s.options.MaxUnsent,
+		BackendRetry:  s.options.BackendRetry,
 	}
 	if s.options.Edges.Reports != nil {
 		options.Naming = kvrouter.ByID
-		options.Startup = s.startup
+		options.StartupGate = s.startupGate
 	}
 	return dispatch.New(options)
 }
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -27,7 +27,8 @@
 // DefaultBackendRetry is when a caller may retry where no attempt says it.
 const DefaultBackendRetry = time.Second
 
-// Options configure a Dispatcher. All but Startup are required.
+// Options configure a Dispatcher. All but StartupGate are required; MaxUnsent and BackendRetry
+// may be 0.
 type Options struct {
 	// Source provides control state.
 	Source routing.Source
@@ -43,13 +44,13 @@
 	// chain hashes, or by the caller's names.
 	Router *kvrouter.Router
 	Naming kvrouter.Naming
-	// Startup delays prompts after the start of the node; nil for no delay.
-	Startup *startupgate.Gate
-	// Health learns the outcomes of attempts. Together with Quarantine and Stale it says
-	// which back ends are avoided.
-	Health     *health.Tracker
-	Quarantine *health.Quarantine
-	Stale      *health.StaleBackends
+	// StartupGate delays prompts after the start of the node; nil for no delay.
+	StartupGate *startupgate.Gate
+	// Health learns the outcomes of attempts. Together with Quarantine and StaleBackends
+	// it says which back ends are avoided.
+	Health        *health.Tracker
+	Quarantine    *health.Quarantine
+	StaleBackends *health.StaleBackends
 	// SlowStart limits the attempts on back ends that have started lately.
 	SlowStart *warmup.Limiter
 	// Updates gets what the other nodes are to learn of attempts.
@@ -94,8 +95,8 @@
 		MaxAttempts: r.maxAttempts(d.options.MaxAttempts),
 		MaxUnsent:   d.options.MaxUnsent,
 	})
-	if d.options.Startup != nil && e.Destination.WebService == nil {
-		d.options.Startup.Wait(e.Context)
+	if d.options.StartupGate != nil && e.Destination.WebService == nil {
+		d.options.StartupGate.Wait(e.Context)
 	}
 	for {
 		r.recordContextEnd()
--- a/internal/dataplane/dispatch/pool_selector.go
+++ b/internal/dataplane/dispatch/pool_selector.go
@@ -88,7 +88,7 @@
 	for _, replica := range pool.Replicas {
 		confirmed := replica.WeightVersion != ""
 		if replica.Admitting && confirmed && !s.options.Quarantine.Contains(replica.Address, replica.WeightVersion) &&
-			!s.options.Stale.Contains(now, replica) {
+			!s.options.StaleBackends.Contains(now, replica) {
 			candidates = append(candidates, kvrouter.Candidate{
 				Address:        replica.Address,
 				Zone:           replica.Zone,
@@ -119,7 +119,7 @@
 func (s *poolSelector) mayUse(pool *routing.Pool, address, weightVersion string) bool {
 	found, admits := findAdmitting(pool, address, weightVersion)
 	return admits && !s.options.Quarantine.Contains(address, weightVersion) &&
-		!s.options.Stale.Contains(s.options.Clock(), found)
+		!s.options.StaleBackends.Contains(s.options.Clock(), found)
 }
 
 // findAdmitting returns a pool's replica if it admits requests of a version.
--- a/internal/dataplane/dispatch/selector.go
+++ b/internal/dataplane/dispatch/selector.go
@@ -50,7 +50,7 @@
 // recordWrongTarget records that a back end has refused a request as meant for another
 // one, and tells the other nodes if the incarnation is gone for good.
 func (o *Options) recordWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
-	if o.Stale.RecordRefusal(o.Clock(), replica, refusal.Instance) {
+	if o.StaleBackends.RecordRefusal(o.Clock(), replica, refusal.Instance) {
 		o.Updates.AddDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
 	}
 }
--- a/internal/dataplane/dispatch/web_selector.go
+++ b/internal/dataplane/dispatch/web_selector.go
@@ -39,7 +39,7 @@
 	found := false
 	s.options.Health.TryHealthiestFirst(now, r.tried, r.tracker.Sent() == 0, func(exclude func(string) bool) health.SelectionResult {
 		chosen, found = s.fewestInFlight(service, func(candidate routing.Replica) bool {
-			return s.options.Stale.Contains(now, candidate) || s.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
+			return s.options.StaleBackends.Contains(now, candidate) || s.slowStartExhausted(now, service, candidate) || exclude(candidate.Address)
 		})
 		if !found {
 			return health.NoneLeft
--- a/internal/dataplane/knowledge.go
+++ b/internal/dataplane/knowledge.go
@@ -64,7 +64,7 @@
 		s.applyReport(now, report)
 	}
 	for _, denial := range update.Denials {
-		s.stale.RecordDenial(denial)
+		s.staleBackends.RecordDenial(denial)
 	}
 	s.health.ApplyOutcomes(now, update)
 }
@@ -83,7 +83,7 @@
 
 // updateStartupGate opens the start-up gate if that is due.
 func (s *Server) updateStartupGate() {
-	s.startup.Update(s.options.Clock(), s.options.Source.View(), s.router.ChunksComplete)
+	s.startupGate.Update(s.options.Clock(), s.options.Source.View(), s.router.ChunksComplete)
 }
 
 // SnapshotMessages returns the snapshot requests and responses that are due. It is called
--- a/internal/dataplane/recorder/recorder.go
+++ b/internal/dataplane/recorder/recorder.go
@@ -52,14 +52,18 @@
 
 // Recorder writes records to a file in a goroutine that Close ends.
 type Recorder struct {
-	log    *logrus.Entry
+	log *logrus.Entry
+	// target is the file. The writer encodes records into the buffer, which is flushed to it.
 	target io.WriteCloser
 	buffer *bufio.Writer
 	writer *recording.Writer
 	queue  chan recording.Record
+	// flush gets the times at which the buffer is flushed; ticker is what sends them, nil in
+	// tests.
 	flush  <-chan time.Time
 	ticker *time.Ticker
 
+	// stop tells the goroutine to end, and done is closed when it has.
 	stopOnce sync.Once
 	stop     chan struct{}
 	done     chan struct{}
@@ -143,7 +147,7 @@
 	return Stats{Written: r.written.Load(), Dropped: r.dropped.Load(), Failed: r.failed.Load()}
 }
 
-// run writes records until close.
+// run writes records until Close.
 func (r *Recorder) run() {
 	defer close(r.done)
 	for {
@@ -159,7 +163,7 @@
 	}
 }
 
-// finish writes what waits and closes the file.
+// finish writes the records that are still queued, and closes the file.
 func (r *Recorder) finish() {
 	if r.ticker != nil {
 		r.ticker.Stop()
@@ -173,6 +177,7 @@
 	}
 }
 
+// write writes a record to the buffer, after the number of records dropped before it.
 func (r *Recorder) write(record recording.Record) {
 	r.writeDropCount()
 	if err := r.writer.Write(record); err != nil {
@@ -197,6 +202,7 @@
 	r.dropsWritten = dropped
 }
 
+// flushNow writes the buffer to the file.
 func (r *Recorder) flushNow() {
 	r.writeDropCount()
 	if err := r.buffer.Flush(); err != nil {
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -29,25 +29,25 @@
 
 // Server serves callers on one address.
 type Server struct {
-	options      Options
-	sender       *outbound.Client
-	router       *kvrouter.Router
-	ids          *requestid.Generator
-	destinations *destinations.Set
-	limiter      *tenantlimiter.Limiter
-	duplicates   *duplicates.Register
-	dispatcher   *dispatch.Dispatcher
-	health       *health.Tracker
-	quarantine   *health.Quarantine
-	stale        *health.StaleBackends
-	slowStart    *warmup.Limiter
-	feeds        *feeds.Manager
-	updates      *gossip.Outgoing
-	snapshots    *gossip.SnapshotExchange
-	readers      *reports.Readers
-	startup      *startupgate.Gate
-	chain        chain
-	listener     *listener.Listener
+	options       Options
+	sender        *outbound.Client
+	router        *kvrouter.Router
+	ids           *requestid.Generator
+	destinations  *destinations.Set
+	limiter       *tenantlimiter.Limiter
+	duplicates    *duplicates.Register
+	dispatcher    *dispatch.Dispatcher
+	health        *health.Tracker
+	quarantine    *health.Quarantine
+	staleBackends *health.StaleBackends
+	slowStart     *warmup.Limiter
+	feeds         *feeds.Manager
+	updates       *gossip.Outgoing
+	snapshots     *gossip.SnapshotExchange
+	readers       *reports.Readers
+	startupGate   *startupgate.Gate
+	chain         chain
+	listener      *listener.Listener
 	// recorder is nil if requests are not recorded.
 	recorder *recorder.Recorder
 
@@ -81,12 +81,12 @@
 		health: health.New(health.Options{
 			Outlier: options.Outlier, Member: options.Member, Zone: options.Zone, Peers: options.Peers, Log: options.Log,
 		}),
-		quarantine: health.NewQuarantine(),
-		stale:      health.NewStaleBackends(),
-		slowStart:  warmup.New(options.Member),
-		updates:    gossip.NewOutgoing(),
-		startup:    startupgate.New(),
-		stopped:    make(chan struct{}),
+		quarantine:    health.NewQuarantine(),
+		staleBackends: health.NewStaleBackends(),
+		slowStart:     warmup.New(options.Member),
+		updates:       gossip.NewOutgoing(),
+		startupGate:   startupgate.New(),
+		stopped:       make(chan struct{}),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
 	server.snapshots = gossip.NewSnapshotExchange(options.Member, options.Zone, server.router)
--- a/internal/dataplane/view_follower.go
+++ b/internal/dataplane/view_follower.go
@@ -44,6 +44,6 @@
 	f.last = view
 	f.server.feeds.Reconcile(view)
 	f.server.limiter.Retain(view)
-	f.server.stale.Retain(view)
+	f.server.staleBackends.Retain(view)
 	f.server.health.Follow(view)
 }
