--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -98,7 +98,7 @@
 		serve(second, 0)
 		edge.standing[reused] = "i-2"
 		serve(first, time.Minute)
-		second.server.ApplyUpdate(first.server.PendingUpdate())
+		second.server.ApplyUpdate(first.server.TakeUpdate())
 		serve(second, time.Minute)
 		Expect(edge.refusals).To(Equal(1))
 	})
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -176,10 +176,10 @@
 			go f.generateUntil(ctx)
 			Eventually(func() int { return edge.count(address(0)) }).WithTimeout(waitTimeout).Should(Equal(number + 1))
 		}
-		f.server.PendingUpdate()
+		f.server.TakeUpdate()
 		Expect(f.server.Stats()[0].Ejected).To(BeZero(), "the time that is aimed at is not over")
 		f.clock.Add(int64(2 * time.Second))
-		f.server.PendingUpdate()
+		f.server.TakeUpdate()
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 	},
 		Entry("for every request", 1, 2),
@@ -296,7 +296,7 @@
 		}
 		share := func(nodes []*fixture) {
 			for number, from := range nodes {
-				update := from.server.PendingUpdate()
+				update := from.server.TakeUpdate()
 				update.Node = peers[number].ID
 				for other, to := range nodes {
 					if other != number {
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -13,8 +13,9 @@
 // # What a node knows of back ends
 //
 // Cached chunks come from the back ends' event streams (feeds) or from their reports
-// (reports), and from other nodes (gossip); knowledge.go joins these with the router's
-// index, and viewFollower keeps them in line with the newest view.
+// (reports), and from other nodes (gossip), into the router's index. updates.go exchanges
+// them, loads and outcomes with the other nodes; viewFollower keeps all in line with the
+// newest view.
 //
 // # State
 //
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -54,6 +54,12 @@
 	Updates []Update
 }
 
+// Outbound is a batch for other nodes.
+type Outbound struct {
+	To    []member.Info
+	Batch Batch
+}
+
 // Update is what one node reports of its traffic at one time.
 type Update struct {
 	// Node is the node that the update is from.
--- a/internal/dataplane/gossip/relayer.go
+++ b/internal/dataplane/gossip/relayer.go
@@ -24,12 +24,6 @@
 	toRelays []Update
 }
 
-// Outbound is a batch for other nodes.
-type Outbound struct {
-	To    []member.Info
-	Batch Batch
-}
-
 // NewRelayer returns the relayer of a node in a zone.
 func NewRelayer(self member.ID, zone string) *Relayer {
 	return &Relayer{self: self, zone: zone}
--- a/internal/dataplane/handlers/tenantlimiter/limiter.go
+++ b/internal/dataplane/handlers/tenantlimiter/limiter.go
@@ -48,6 +48,20 @@
 	}
 }
 
+// arrive passes a request to the controller. The channel is nil unless the request is
+// queued.
+func (l *Limiter) arrive(arrival admission.Arrival) (admission.Decision, chan struct{}) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	decision := l.controller.Arrive(l.clock(), arrival)
+	if decision.Outcome != admission.Queued {
+		return decision, nil
+	}
+	granted := make(chan struct{})
+	l.waiting[decision.Ticket] = granted
+	return decision, granted
+}
+
 // admissionError returns why a request was neither admitted nor queued.
 func admissionError(tenant string, decision admission.Decision) *caller.Error {
 	var callerError *caller.Error
@@ -66,20 +80,6 @@
 	return callerError.WithRetryAfter(decision.RetryAfter)
 }
 
-// arrive passes a request to the controller. The channel is nil unless the request is
-// queued.
-func (l *Limiter) arrive(arrival admission.Arrival) (admission.Decision, chan struct{}) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	decision := l.controller.Arrive(l.clock(), arrival)
-	if decision.Outcome != admission.Queued {
-		return decision, nil
-	}
-	granted := make(chan struct{})
-	l.waiting[decision.Ticket] = granted
-	return decision, granted
-}
-
 // wait blocks until a queued request is granted. It gives up, and returns why, at the end of
 // the queue's time-out, of the context, or of a body that cannot be read.
 func (l *Limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Error {
@@ -99,6 +99,16 @@
 	return nil
 }
 
+// queueTimeoutError is the refusal of a request that was not granted in time. A caller that
+// has disconnected doesn't get to see it.
+func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
+	if deadline.Passed(ctx) {
+		return deadline.Error()
+	}
+	return caller.NewError(caller.KindQueueTimeout,
+		"no place became free for tenant %q in time: send fewer requests at a time", tenant).WithRetryAfter(time.Second)
+}
+
 // abandon ends the wait of a request. It returns false if the request was granted.
 func (l *Limiter) abandon(tenant string, ticket admission.Ticket) bool {
 	l.mutex.Lock()
@@ -142,13 +152,3 @@
 	defer l.mutex.Unlock()
 	return len(l.waiting)
 }
-
-// queueTimeoutError is the refusal of a request that was not granted in time. A caller that
-// has disconnected doesn't get to see it.
-func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
-	if deadline.Passed(ctx) {
-		return deadline.Error()
-	}
-	return caller.NewError(caller.KindQueueTimeout,
-		"no place became free for tenant %q in time: send fewer requests at a time", tenant).WithRetryAfter(time.Second)
-}
--- a/internal/dataplane/prefix_wait_test.go
+++ b/internal/dataplane/prefix_wait_test.go
@@ -30,7 +30,7 @@
 		ended    chan int
 		requests = func() float64 {
 			sum := 0.0
-			for _, load := range f.server.PendingUpdate().Loads {
+			for _, load := range f.server.TakeUpdate().Loads {
 				sum += load.Requests
 			}
 			return sum
--- a/internal/dataplane/reports/assignment.go
+++ b/internal/dataplane/reports/assignment.go
@@ -26,7 +26,7 @@
 // assign returns the assignment of a node.
 func assign(self member.ID, view *routing.View, peers []member.Info) assignment {
 	backends := make(map[string]bool)
-	for address, zone := range reportingBackends(view) {
+	for address, zone := range reportingZones(view) {
 		if readerFor(address, zone, peers) == self {
 			backends[address] = true
 		}
@@ -34,9 +34,8 @@
 	return assignment{view: view, peers: slices.Clone(peers), backends: backends}
 }
 
-// reportingBackends returns the zones of all back ends that report cached chunks, by
-// address.
-func reportingBackends(view *routing.View) map[string]string {
+// reportingZones returns the zone of each back end that reports cached chunks, by address.
+func reportingZones(view *routing.View) map[string]string {
 	zones := make(map[string]string)
 	for _, pool := range view.Pools {
 		for _, replica := range pool.Replicas {
--- a/internal/dataplane/reports/readers.go
+++ b/internal/dataplane/reports/readers.go
@@ -129,7 +129,7 @@
 		return
 	}
 	r.lastView = view
-	reporting := reportingBackends(view)
+	reporting := reportingZones(view)
 	r.fullReads.retain(reporting)
 	for _, address := range r.options.Router.Addresses() {
 		if _, found := reporting[address]; !found {
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -20,6 +20,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/startupgate"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/store"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
@@ -109,6 +111,36 @@
 	return server, nil
 }
 
+// newFeeds returns the feeds of the native protocol's event streams. Back ends whose
+// reports are read page by page push none.
+func (s *Server) newFeeds() *feeds.Manager {
+	options := feeds.Options{
+		Router: s.router, Quarantine: s.quarantine, Health: s.health.Detector, Clock: s.options.Clock, Log: s.options.Log,
+	}
+	if s.options.Edges.Reports == nil {
+		options.Replicas = replica.NewEventClient(s.sender, s.options.EventTimeout)
+		options.Stores = store.NewEventClient(s.sender, s.options.EventTimeout)
+	}
+	return feeds.New(options)
+}
+
+// newReaders returns the readers of reports that are read page by page.
+func (s *Server) newReaders() *reports.Readers {
+	return reports.New(reports.Options{
+		Member:           s.options.Member,
+		Peers:            s.options.Peers,
+		Source:           s.options.Source,
+		Clock:            s.options.Clock,
+		Interval:         s.options.ViewInterval,
+		Reader:           s.options.Edges.Reports,
+		Router:           s.router,
+		Quarantine:       s.quarantine,
+		AwaitingSnapshot: s.AwaitingSnapshot,
+		Publish:          s.publishReport,
+		Followed:         s.updateStartupGate,
+	})
+}
+
 // Start binds the address and serves until Drain or Stop. It returns nil after
 // these, and otherwise why it could not serve.
 func (s *Server) Start() error {
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -147,7 +147,7 @@
 			Changes: []gossip.Change{{Sequence: 1, Tokens: 100}},
 		}
 		server.publishReport(page)
-		Expect(server.PendingUpdate().Reports).To(ConsistOf(page))
+		Expect(server.TakeUpdate().Reports).To(ConsistOf(page))
 	})
 })
 
--- a/internal/dataplane/knowledge.go
+++ b/internal/dataplane/updates.go
@@ -3,47 +3,15 @@
 import (
 	"time"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/feeds"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/reports"
-	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
-	"github.com/ridgeswitch/ridgeswitch/internal/edge/store"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// newFeeds returns the feeds of the native protocol's event streams. Back ends whose
-// reports are read page by page push none.
-func (s *Server) newFeeds() *feeds.Manager {
-	options := feeds.Options{
-		Router: s.router, Quarantine: s.quarantine, Health: s.health.Detector, Clock: s.options.Clock, Log: s.options.Log,
-	}
-	if s.options.Edges.Reports == nil {
-		options.Replicas = replica.NewEventClient(s.sender, s.options.EventTimeout)
-		options.Stores = store.NewEventClient(s.sender, s.options.EventTimeout)
-	}
-	return feeds.New(options)
-}
-
-// newReaders returns the readers of reports that are read page by page.
-func (s *Server) newReaders() *reports.Readers {
-	return reports.New(reports.Options{
-		Member:           s.options.Member,
-		Peers:            s.options.Peers,
-		Source:           s.options.Source,
-		Clock:            s.options.Clock,
-		Interval:         s.options.ViewInterval,
-		Reader:           s.options.Edges.Reports,
-		Router:           s.router,
-		Quarantine:       s.quarantine,
-		AwaitingSnapshot: s.AwaitingSnapshot,
-		Publish:          s.publishReport,
-		Followed:         s.updateStartupGate,
-	})
-}
-
-// PendingUpdate returns what other nodes are to learn of this node's traffic since the
-// last call. It also counts overdue attempts, and is called periodically.
-func (s *Server) PendingUpdate() gossip.Update {
+// TakeUpdate returns, and forgets, what the other nodes are to learn of this node's traffic
+// since the last call. It also counts overdue attempts. A node calls it each 50 ms,
+// and sends what it returns.
+func (s *Server) TakeUpdate() gossip.Update {
 	now := s.options.Clock()
 	s.health.CountOverdue(now)
 	update := s.updates.Drain(now, s.router.LocalLoads(now))
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -53,7 +53,7 @@
 	var update gossip.Update
 	var direct []gossip.Outbound
 	if s.dataplane != nil {
-		update = s.dataplane.PendingUpdate()
+		update = s.dataplane.TakeUpdate()
 		direct = s.dataplane.SnapshotMessages(live)
 	}
 	for _, send := range append(direct, s.flush(update, live)...) {
