--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -19,23 +19,23 @@
 
 var _ = Describe("A node that has started", func() {
 	const self = member.ID("self")
-	var adoption *gossip.SnapshotClient
+	var client *gossip.SnapshotClient
 	var live []member.Info
 	BeforeEach(func() {
-		adoption = gossip.NewSnapshotClient(self, "a")
+		client = gossip.NewSnapshotClient(self, "a")
 		live = []member.Info{serving("self", "a"), serving("far", "b"), serving("near", "a"), {ID: "core", Zone: "a"}}
 	})
 
 	// asks expects a question to one node at a time, and returns whom.
 	asks := func(at time.Duration) member.ID {
-		sends := adoption.Tick(at, live)
+		sends := client.Tick(at, live)
 		ExpectWithOffset(1, sends).To(HaveLen(1))
 		ExpectWithOffset(1, sends[0].To).To(HaveLen(1))
 		ExpectWithOffset(1, sends[0].Batch.Stage).To(Equal(gossip.SnapshotRequest))
 		ExpectWithOffset(1, sends[0].Batch.Updates).To(Equal([]gossip.Update{{Node: self}}))
 		return sends[0].To[0].ID
 	}
-	nothingDue := func(at time.Duration) { ExpectWithOffset(1, adoption.Tick(at, live)).To(BeEmpty()) }
+	nothingDue := func(at time.Duration) { ExpectWithOffset(1, client.Tick(at, live)).To(BeEmpty()) }
 	sent := func(node member.ID, reports int) gossip.Update {
 		return gossip.Update{Node: node, Reports: make([]gossip.Report, reports)}
 	}
@@ -43,36 +43,36 @@
 	It("requests a node of its zone that serves callers, and is done once that has sent all", func() {
 		Expect(asks(0)).To(Equal(member.ID("near")))
 		nothingDue(900 * time.Millisecond)
-		Expect(adoption.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, sent("near", 2))).To(BeTrue())
+		Expect(client.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, sent("near", 2))).To(BeTrue())
 		nothingDue(1800 * time.Millisecond)
-		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeTrue())
-		Expect(adoption.Done(1800 * time.Millisecond)).To(BeFalse())
-		Expect(adoption.HandleResponse(1800*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))).To(BeTrue())
-		Expect(adoption.Done(1800 * time.Millisecond)).To(BeTrue())
-		Expect(adoption.Pending(1800 * time.Millisecond)).To(BeFalse())
+		Expect(client.Pending(1800 * time.Millisecond)).To(BeTrue())
+		Expect(client.Done(1800 * time.Millisecond)).To(BeFalse())
+		Expect(client.HandleResponse(1800*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))).To(BeTrue())
+		Expect(client.Done(1800 * time.Millisecond)).To(BeTrue())
+		Expect(client.Pending(1800 * time.Millisecond)).To(BeFalse())
 		nothingDue(4 * time.Second)
 	})
 
 	It("requests the next one at once if the first one knows nothing", func() {
 		asks(0)
-		adoption.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))
-		Expect(adoption.Done(10 * time.Millisecond)).To(BeFalse())
-		Expect(adoption.Pending(10 * time.Millisecond)).To(BeFalse())
+		client.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))
+		Expect(client.Done(10 * time.Millisecond)).To(BeFalse())
+		Expect(client.Pending(10 * time.Millisecond)).To(BeFalse())
 		Expect(asks(20 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("requests the next one if the first one does not respond for a second, or stops responding", func() {
 		asks(0)
-		adoption.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, sent("near", 1))
+		client.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, sent("near", 1))
 		nothingDue(1400 * time.Millisecond)
 		Expect(asks(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("ignores a response that it does not wait for", func() {
-		Expect(adoption.HandleResponse(0, gossip.SnapshotEnd, sent("near", 1))).To(BeFalse())
+		Expect(client.HandleResponse(0, gossip.SnapshotEnd, sent("near", 1))).To(BeFalse())
 		asks(0)
-		Expect(adoption.HandleResponse(0, gossip.SnapshotEnd, sent("far", 1))).To(BeFalse())
-		Expect(adoption.Done(0)).To(BeFalse())
+		Expect(client.HandleResponse(0, gossip.SnapshotEnd, sent("far", 1))).To(BeFalse())
+		Expect(client.Done(0)).To(BeFalse())
 	})
 
 	It("waits a while for others to become known", func() {
@@ -80,7 +80,7 @@
 		live = live[:1]
 		nothingDue(0)
 		nothingDue(1400 * time.Millisecond)
-		Expect(adoption.Done(1400 * time.Millisecond)).To(BeFalse())
+		Expect(client.Done(1400 * time.Millisecond)).To(BeFalse())
 		live = all
 		asks(1450 * time.Millisecond)
 	})
@@ -89,34 +89,34 @@
 		live = live[:1]
 		nothingDue(0)
 		nothingDue(1500 * time.Millisecond)
-		Expect(adoption.Done(1500 * time.Millisecond)).To(BeTrue())
+		Expect(client.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
 	It("gives up after five seconds, whatever is still being sent", func() {
 		sent := sent(asks(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
-			Expect(adoption.Done(at)).To(BeFalse())
-			adoption.HandleResponse(at, gossip.SnapshotChunk, sent)
+			Expect(client.Done(at)).To(BeFalse())
+			client.HandleResponse(at, gossip.SnapshotChunk, sent)
 			nothingDue(at)
 		}
-		Expect(adoption.Done(5 * time.Second)).To(BeTrue())
+		Expect(client.Done(5 * time.Second)).To(BeTrue())
 	})
 
 	It("is done when all have sent that they know nothing, but not before it can know them all", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
-			adoption.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
+			client.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
 		}
 		nothingDue(time.Second)
-		Expect(adoption.Done(time.Second)).To(BeFalse())
+		Expect(client.Done(time.Second)).To(BeFalse())
 		nothingDue(1500 * time.Millisecond)
-		Expect(adoption.Done(1500 * time.Millisecond)).To(BeTrue())
+		Expect(client.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
 	It("requests six nodes at most", func() {
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
-			adoption.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
+			client.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
 		}
 		nothingDue(10 * time.Millisecond)
 	})
--- a/internal/dataplane/health/quarantine.go
+++ b/internal/dataplane/health/quarantine.go
@@ -5,6 +5,11 @@
 // Quarantine keeps requests away from replicas that report another weight version than
 // control state has for them, for as long as the two differ. Chunks that such a replica
 // caches may have been computed under either version.
+//
+// A replica leaves when control state has the version that it reported last, when it reports
+// the one that control state has, or when it is no longer listed. Since it gets no requests,
+// such a report can only come from its event stream (package feeds): where reports are read
+// page by page there is none.
 type Quarantine struct {
 	mutex sync.Mutex
 	// reported holds the weight version that each replica reported last, by address.
