--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -20,6 +20,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/startupgate"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/warmup"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
+	"github.com/ridgeswitch/ridgeswitch/internal/edge/store"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
@@ -29,25 +31,25 @@
 
 // Server serves callers on one address.
 type Server struct {
-	options      Options
-	sender       *outbound.Client
-	router       *kvrouter.Router
-	ids          *requestid.Generator
-	destinations *destinations.Set
-	limiter      *tenantlimiter.Limiter
-	duplicates   *duplicates.Register
-	dispatcher   *dispatch.Dispatcher
-	health       *health.Tracker
-	quarantine   *health.Quarantine
-	stale        *health.StaleBackends
-	slowStart    *warmup.Limiter
-	feeds        *feeds.Manager
-	updates      *gossip.Outgoing
-	snapshots    *gossip.SnapshotExchange
-	readers      *reports.Readers
-	startup      *startupgate.Gate
-	chain        chain
-	listener     *listener.Listener
+	options       Options
+	sender        *outbound.Client
+	router        *kvrouter.Router
+	ids           *requestid.Generator
+	destinations  *destinations.Set
+	limiter       *tenantlimiter.Limiter
+	duplicates    *duplicates.Register
+	dispatcher    *dispatch.Dispatcher
+	health        *health.Tracker
+	quarantine    *health.Quarantine
+	staleBackends *health.StaleBackends
+	slowStart     *warmup.Limiter
+	feeds         *feeds.Manager
+	updates       *gossip.Outgoing
+	snapshots     *gossip.SnapshotExchange
+	readers       *reports.Readers
+	startupGate   *startupgate.Gate
+	chain         chain
+	listener      *listener.Listener
 	// recorder is nil if requests are not recorded.
 	recorder *recorder.Recorder
 
@@ -81,12 +83,12 @@
 		health: health.New(health.Options{
 			Outlier: options.Outlier, Member: options.Member, Zone: options.Zone, Peers: options.Peers, Log: options.Log,
 		}),
-		quarantine: health.NewQuarantine(),
-		stale:      health.NewStaleBackends(),
-		slowStart:  warmup.New(options.Member),
-		updates:    gossip.NewOutgoing(),
-		startup:    startupgate.New(),
-		stopped:    make(chan struct{}),
+		quarantine:    health.NewQuarantine(),
+		staleBackends: health.NewStaleBackends(),
+		slowStart:     warmup.New(options.Member),
+		updates:       gossip.NewOutgoing(),
+		startupGate:   startupgate.New(),
+		stopped:       make(chan struct{}),
 	}
 	sender.LimitConnections(server.ConnectionLimit)
 	server.snapshots = gossip.NewSnapshotExchange(options.Member, options.Zone, server.router)
@@ -109,6 +111,36 @@
 	return server, nil
 }
 
+// newFeeds returns the feeds of the native protocol's event streams. Back ends whose
+// reports are read page by page push none.
+func (s *Server) newFeeds() *feeds.Manager {
+	options := feeds.Options{
+		Router: s.router, Quarantine: s.quarantine, Health: s.health.Detector, Clock: s.options.Clock, Log: s.options.Log,
+	}
+	if s.options.Edges.Reports == nil {
+		options.Replicas = replica.NewEventClient(s.sender, s.options.EventTimeout)
+		options.Stores = store.NewEventClient(s.sender, s.options.EventTimeout)
+	}
+	return feeds.New(options)
+}
+
+// newReaders returns the readers of reports that are read page by page.
+func (s *Server) newReaders() *reports.Readers {
+	return reports.New(reports.Options{
+		Member:           s.options.Member,
+		Peers:            s.options.Peers,
+		Source:           s.options.Source,
+		Clock:            s.options.Clock,
+		Interval:         s.options.ViewInterval,
+		Reader:           s.options.Edges.Reports,
+		Router:           s.router,
+		Quarantine:       s.quarantine,
+		AwaitingSnapshot: s.AwaitingSnapshot,
+		Publish:          s.publishReport,
+		Followed:         s.updateStartupGate,
+	})
+}
+
 // Start binds the address and serves until Drain or Stop. It returns nil after
 // these, and otherwise why it could not serve.
 func (s *Server) Start() error {
@@ -147,7 +179,8 @@
 }
 
 // Drain accepts no new connection, and returns when the running requests have ended, or
-// with an error when ctx ends first. The node must not be ready any more.
+// with an error when ctx ends first; then Stop must follow. Before it is called, the node must
+// have reported itself as not ready for long enough that load balancers send it nothing new.
 func (s *Server) Drain(ctx context.Context) error {
 	err := s.listener.Shutdown(ctx)
 	if err == nil {
