--- a/internal/control/confirmations_test.go
+++ b/internal/control/confirmations_test.go
@@ -67,7 +67,7 @@
 
 	It("acknowledges as soon as the node responds, and then requests no more", func() {
 		Expect(node.submit(poolConfiguration())).To(BeNil())
-		revision := node.machine.received.Configuration().GetRevision()
+		revision := node.machine.Configuration().GetRevision()
 		node.receiveFromPeer(protocol.Message{
 			Type:      protocol.MessageConfirm,
 			Revisions: []protocol.ShardRevision{{Shard: ConfigurationShard, Revision: revision}},
@@ -104,6 +104,6 @@
 		answer := node.sends[before].send.Envelope.Control
 		Expect(answer.Type).To(Equal(protocol.MessageConfirm))
 		Expect(answer.Incarnation).To(Equal(node.machine.members.incarnation()))
-		Expect(answer.Revisions[0].Revision).To(Equal(node.machine.received.Configuration().GetRevision()))
+		Expect(answer.Revisions[0].Revision).To(Equal(node.machine.Configuration().GetRevision()))
 	})
 })
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -5,6 +5,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -40,24 +41,95 @@
 	Err error
 }
 
-// endpointsFreshFor is how old a list may be for a new incarnation of this node to serve by it.
-// Until the next reading comes, a replica may drain that long unnoticed.
-const endpointsFreshFor = 2 * time.Second
+// endpointList is the platform's list of back ends on this node. It owns the machine that
+// keeps the list on all nodes, the list as this node uses it, and whether the node may serve
+// by it.
+type endpointList struct {
+	outbox  *outbox
+	rollout *rollout.Machine
+	views   *viewRefresher
+
+	listing   *listing.Machine
+	inUse     backends
+	freshness endpointFreshness
+	// readRequested means that this node is to read the list.
+	readRequested bool
+}
+
+func newEndpointList(config Config, outbox *outbox, rollout *rollout.Machine, views *viewRefresher, now time.Duration) *endpointList {
+	return &endpointList{
+		outbox:  outbox,
+		rollout: rollout,
+		views:   views,
+		listing: listing.New(listing.Config{
+			Self:      config.Self.ID,
+			Zone:      config.Self.Zone,
+			ReadEvery: config.Times.EndpointReadEvery,
+		}, now),
+		inUse: newBackends(),
+	}
+}
+
+func (l *endpointList) tick(now time.Duration) { l.perform(now, l.listing.Tick(now)) }
 
-// newEndpointsMachine starts this node's part in reading and spreading the list.
-func newEndpointsMachine(config Config, now time.Duration) *listing.Machine {
-	return listing.New(listing.Config{
-		Self:      config.Self.ID,
-		Zone:      config.Self.Zone,
-		ReadEvery: config.Times.EndpointReadEvery,
-	}, now)
+// readDone takes the outcome of a reading by this node.
+func (l *endpointList) readDone(now time.Duration, reading EndpointReading) {
+	l.perform(now, l.listing.ReadDone(now, reading.StartedAt, endpointsOf(reading), reading.Err))
 }
 
-// EndpointsRead takes the outcome of a reading that an Output asked for.
-func (m *Machine) EndpointsRead(now time.Duration, reading EndpointReading) Output {
-	m.now = now
-	m.handleEndpointsOutput(m.endpoints.ReadDone(now, reading.StartedAt, endpointsOf(reading), reading.Err))
-	return m.takeOutput()
+// receive takes another node's message about the list. One that can't be read is dropped:
+// the next reading comes soon.
+func (l *endpointList) receive(now time.Duration, from member.ID, message protocol.Message) {
+	decode := listing.DecodeReading
+	if message.Type == protocol.MessageEndpointsRequest {
+		decode = listing.DecodeRequest
+	}
+	if decoded, err := decode(message.Payload); err == nil {
+		l.perform(now, l.listing.Step(now, from, decoded))
+	}
+}
+
+// perform carries out what the list's machine wants.
+func (l *endpointList) perform(now time.Duration, output listing.Output) {
+	l.readRequested = l.readRequested || output.Read
+	for _, out := range output.Sends {
+		l.send(out)
+	}
+	if output.Changed {
+		l.inUse.set(l.listing.Replicas())
+		l.rollout.ForgetAbsent(l.listing.Replicas())
+		l.views.invalidate()
+	}
+	if readAt, proven := l.listing.ProvenAt(); proven {
+		l.freshness.prove(now, readAt)
+	}
+}
+
+func (l *endpointList) send(out listing.Outbound) {
+	payload, err := out.Message.Encode()
+	if err != nil {
+		// Nothing of the platform's is unencodable but text that is not UTF-8.
+		return
+	}
+	kind := protocol.MessageEndpoints
+	if out.Message.Request != nil {
+		kind = protocol.MessageEndpointsRequest
+	}
+	l.outbox.Send(out.To, protocol.Message{Type: kind, Payload: payload})
+}
+
+// followIncarnation has the list proven fresh anew for another incarnation of this node.
+func (l *endpointList) followIncarnation(now time.Duration, incarnation member.Incarnation) {
+	if l.freshness.follow(now, incarnation) {
+		l.listing.RequestProof()
+	}
+}
+
+// takeReadRequest reports whether this node is to read the list, once for each reading.
+func (l *endpointList) takeReadRequest() bool {
+	requested := l.readRequested
+	l.readRequested = false
+	return requested
 }
 
 // endpointsOf turns a reading into a list with times of this node's clock.
@@ -88,38 +160,31 @@
 	return readAt + remaining
 }
 
-// ReadsEndpoints reports whether this node reads the platform's list for the others.
-func (m *Machine) ReadsEndpoints() bool { return m.endpoints.Reads() }
-
-func (m *Machine) tickEndpoints() {
-	m.handleEndpointsOutput(m.endpoints.Tick(m.now))
-	m.confirmFreshEndpoints()
+// backends is the platform's list of back ends as this node uses it. It changes with
+// what the list's machine puts in force, and with nothing else.
+type backends struct {
+	services map[string][]listing.Replica
+	// known means that a list has been put in force.
+	known bool
 }
 
-// handleEndpointsOutput carries out what the list's machine wants.
-func (m *Machine) handleEndpointsOutput(output listing.Output) {
-	if output.Read {
-		m.output.ReadEndpoints = true
-	}
-	for _, out := range output.Sends {
-		m.sendEndpoints(out)
-	}
-	if output.Changed {
-		m.backends.set(m.endpoints.Replicas())
-		m.rollout.ForgetAbsent(m.endpoints.Replicas())
-		m.viewStale = true
-	}
-	m.confirmFreshEndpoints()
+func newBackends() backends {
+	return backends{services: map[string][]listing.Replica{}}
 }
 
-// confirmFreshEndpoints lets the present incarnation of this node serve by the list, once
-// that is known to be fresh.
-func (m *Machine) confirmFreshEndpoints() {
-	if readAt, proven := m.endpoints.ProvenAt(); proven && m.now-readAt < endpointsFreshFor {
-		m.freshness.fresh = true
+// set puts a list in force.
+func (b *backends) set(replicas []listing.Replica) {
+	b.services = map[string][]listing.Replica{}
+	for _, replica := range replicas {
+		b.services[replica.Service] = append(b.services[replica.Service], replica)
 	}
+	b.known = true
 }
 
+// endpointsFreshFor is how old a list may be for a new incarnation of this node to serve by it.
+// Until the next reading comes, a replica may drain that long unnoticed.
+const endpointsFreshFor = 2 * time.Second
+
 // endpointsTimeout is how long a new incarnation waits for the platform's list. A node
 // that was partitioned or frozen must not admit by a list from before, in which a replica
 // may stand that drains by now; but it must serve while the platform is down.
@@ -144,51 +209,12 @@
 	return true
 }
 
+// prove lets the incarnation serve by the list if that was read not long before now.
+func (f *endpointFreshness) prove(now, readAt time.Duration) {
+	f.fresh = f.fresh || now-readAt < endpointsFreshFor
+}
+
 // usable reports whether the list is good enough to serve by.
 func (f *endpointFreshness) usable(now time.Duration) bool {
 	return f.fresh || now-f.since >= endpointsTimeout
 }
-
-func (m *Machine) sendEndpoints(out listing.Outbound) {
-	payload, err := out.Message.Encode()
-	if err != nil {
-		// Nothing of the platform's is unencodable but text that is not UTF-8.
-		return
-	}
-	kind := protocol.MessageEndpoints
-	if out.Message.Request != nil {
-		kind = protocol.MessageEndpointsRequest
-	}
-	m.sendControl(out.To, protocol.Message{Type: kind, Payload: payload})
-}
-
-// receiveEndpoints takes another node's message about the list. One that can't be
-// read is dropped: the next reading comes soon.
-func (m *Machine) receiveEndpoints(from member.ID, payload []byte, decode func([]byte) (listing.Message, error)) {
-	message, err := decode(payload)
-	if err != nil {
-		return
-	}
-	m.handleEndpointsOutput(m.endpoints.Step(m.now, from, message))
-}
-
-// backends is the platform's list of back ends as this node uses it. It changes with
-// what the list's machine puts in force, and with nothing else.
-type backends struct {
-	services map[string][]listing.Replica
-	// known means that a list has been put in force.
-	known bool
-}
-
-func newBackends() backends {
-	return backends{services: map[string][]listing.Replica{}}
-}
-
-// set puts a list in force.
-func (b *backends) set(replicas []listing.Replica) {
-	b.services = map[string][]listing.Replica{}
-	for _, replica := range replicas {
-		b.services[replica.Service] = append(b.services[replica.Service], replica)
-	}
-	b.known = true
-}
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -8,27 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// groupOf returns those that hold a shard, as far as this node can tell, in the
-// order in which they own it.
-func (m *Machine) groupOf(shardID uint32) []member.ID {
-	if !m.config.Seeded {
-		return m.config.GroupOfShard(shardID)
+// shardIDs are all shards, in order.
+func (c Config) shardIDs() []uint32 {
+	var ids []uint32
+	for id := range c.ServiceShards + 1 {
+		ids = append(ids, id)
 	}
-	var group []member.ID
-	if hosted := m.shards[shardID]; hosted != nil {
-		for _, slot := range hosted.Group().Status().Slots {
-			group = append(group, slot.ID)
-		}
-	}
-	for _, id := range m.members.coreNodes {
-		if !slices.Contains(group, id) {
-			group = append(group, id)
-		}
-	}
-	return group
+	return ids
+}
+
+// hostedIDs are the shards that this node hosts, in order.
+func (c Config) hostedIDs() []uint32 {
+	return slices.DeleteFunc(c.shardIDs(), func(id uint32) bool { return !c.hosts(id) })
 }
 
 // hosts reports whether this node holds a copy of a shard. Where nodes with disks
@@ -57,21 +50,6 @@
 	return 0
 }
 
-// GroupSlots tells who holds a shard and has a vote in it, as far as this node's
-// copy of the shard knows. It is false when this node leads no copy in which the
-// last change of the group is final, so that it cannot tell.
-func (m *Machine) GroupSlots(shardID uint32) ([]replication.Slot, bool) {
-	hosted := m.shards[shardID]
-	if hosted == nil {
-		return nil, false
-	}
-	status := hosted.Group().Status()
-	if status.Role != replication.RoleLeader || status.ChangeIndex > status.Commit {
-		return nil, false
-	}
-	return status.Slots, true
-}
-
 // GroupOfShard returns the members of a shard's replica group in the order in
 // which they own it. Every node with a disk holds the configuration; a service
 // shard is held by the nodes that weigh highest for it, so that leaders spread,
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -1,243 +1,300 @@
 package control
 
 import (
-	"slices"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/confirmation"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/recovery"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/registration"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
-	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
 // Machine is the control state machine of one node. It composes the machines of single
-// concerns. Of its own it has only the time of the last input, the output that it gathers,
-// the platform's list as the node uses it and whether that is fresh, which restored states
-// were published, and whether the view must be built anew. It is not safe for concurrent
+// concerns: an input goes to those that it concerns, and collect gathers what all of them
+// want done. Machine owns no state but the time of the input. It is not safe for concurrent
 // use: one goroutine owns it.
 type Machine struct {
 	config Config
-	// now is the time of the last input.
-	now    time.Duration
-	output Output
+	clock  *clock
+	outbox *outbox
 
+	// members is who is alive and where, shards this node's copies of shards, leaders who
+	// leads each of them, and states the newest state of each.
 	members *memberTable
+	shards  *hostedShards
+	host    *shardHost
 	leaders *leaders.Directory
-	relay   *relaytree.Machine
+	states  *stateRelay
 
-	// shardIDs are all shards, and shards those that this node hosts.
-	shardIDs []uint32
-	shards   map[uint32]*shards.Shard
-	recovery *recovery.Machine
-
-	// numbers are those of this node's requests to others.
-	numbers        *protocol.Numbering
+	// requests and registration are this node's towards the leaders of shards, and
+	// leaderRequests and registrar the other side of them.
 	requests       *requests.Client
 	leaderRequests *requests.Leader
+	registration   *localRegistration
+	registrar      *registration.Registrar
 
-	registration *registration.Client
-	registrar    *registration.Registrar
-
-	served        *confirmation.Local
+	// served is what this node confirms, confirmations what all nodes have, and
+	// disseminator brings states to those that have not.
+	served        *localConfirmations
 	confirmations *confirmation.Table
 	disseminator  *confirmation.Disseminator
 
-	rollout *rollout.Machine
-
-	// endpoints keeps the platform's list on all nodes, backends is the list that this
-	// node uses, and freshness whether it may serve by it.
-	endpoints *listing.Machine
-	backends  backends
-	freshness endpointFreshness
-
-	// received are the states that this node serves by, and load the requests of its
-	// traffic on each replica.
-	received *shardstate.Received
-	load     routing.LoadReader
-	views    *view.Builder
-	// viewStale means that the view is to be built anew.
-	viewStale bool
-	// restoredPublished are the shards whose state from the disk has been published.
-	restoredPublished map[uint32]bool
-}
-
-// New returns the machine of a node. Restored holds what the node's disk kept of
-// each shard; shards that this node's group order names are hosted even when
-// nothing was kept.
-func New(config Config, restored map[uint32]replication.Restored, load routing.LoadReader, now time.Duration) (*Machine, error) {
-	machine := &Machine{
-		config:            config,
-		now:               now,
-		shards:            map[uint32]*shards.Shard{},
-		load:              load,
-		numbers:           protocol.NewNumbering(config.Self.Incarnation),
-		views:             newViewBuilder(config),
-		endpoints:         newEndpointsMachine(config, now),
-		received:          shardstate.NewReceived(),
-		backends:          newBackends(),
-		viewStale:         true,
-		restoredPublished: map[uint32]bool{},
-	}
-	machine.members = newMemberTable(config, now)
-	machine.leaders = leaders.NewDirectory(shardDirectory{machine})
-	machine.requests, machine.leaderRequests = machine.newRequests()
-	for id := uint32(0); id <= config.ServiceShards; id++ {
-		machine.shardIDs = append(machine.shardIDs, id)
-		if err := machine.startShard(id, restored[id]); err != nil {
-			return nil, err
-		}
-	}
-	machine.registration, machine.registrar = machine.newRegistration()
-	machine.served, machine.confirmations, machine.disseminator = machine.newConfirmations()
-	machine.recovery = machine.newRecovery()
-	machine.rollout = newRollout(config, machine.hostedIDs(), now)
-	machine.relay = relaytree.New(relaytree.Config{
-		Self:        config.Self.ID,
-		FanOut:      relayFanOut,
-		DigestEvery: config.Times.DigestEvery,
-	})
-	return machine, nil
+	recovery  *recovery.Machine
+	rollout   *rollout.Machine
+	endpoints *endpointList
+	views     *viewRefresher
 }
 
-// hostedIDs are the shards that this node hosts, in order.
-func (m *Machine) hostedIDs() []uint32 {
-	return slices.DeleteFunc(slices.Clone(m.shardIDs), func(id uint32) bool { return m.shards[id] == nil })
-}
+// clock is the time of the input that is being handled, for those that are called without
+// one. Machine sets it.
+type clock struct{ now time.Duration }
 
 // Tick advances time and does what is due.
 func (m *Machine) Tick(now time.Duration) Output {
-	before := m.now
-	m.now = now
-	m.sendMembership(m.members.Tick(now))
-	m.refreshMembers()
-	for _, id := range m.shardIDs {
-		if hosted := m.shards[id]; hosted != nil {
-			hosted.Tick(now)
-			m.publishRestored(hosted)
+	before := m.clock.now
+	return m.handle(now, func() {
+		m.outbox.sendMembership(m.members.Tick(now))
+		m.refreshMembers()
+		for shard := range m.shards.all() {
+			shard.Tick(now)
+			m.states.publishRestored(shard.Shard)
 		}
-	}
-	m.followLeaders()
-	m.sendRelay(m.relay.Tick(now))
-	m.tickRecoveries()
-	m.tickRegistration()
-	m.tickConfirmations()
-	m.tickDissemination()
-	m.tickRequests()
-	m.tickEndpoints()
-	m.tickRollouts()
-	m.viewStale = m.viewStale || m.views.DeadlinePassed(before, now)
-	return m.takeOutput()
+		m.states.followLeaders()
+		m.states.tick(now)
+		m.recoverShards()
+		m.registration.tick(now)
+		m.requestConfirmations()
+		m.served.tick(now)
+		m.disseminate()
+		m.requests.Tick(now)
+		m.leaderRequests.Tick(now, m.shards.forRequests(ConfigurationShard))
+		m.endpoints.tick(now)
+		m.advanceRollouts()
+		m.views.advance(before, now)
+	})
 }
 
 // Receive handles a message of another node.
 func (m *Machine) Receive(now time.Duration, envelope wire.Envelope) Output {
-	m.now = now
-	switch {
-	case envelope.Membership != nil:
-		m.sendMembership(m.members.Step(now, *envelope.Membership))
-		if m.members.refreshDue(now) {
-			m.refreshMembers()
+	return m.handle(now, func() {
+		switch {
+		case envelope.Membership != nil:
+			m.outbox.sendMembership(m.members.Step(now, *envelope.Membership))
+			if m.members.refreshDue(now) {
+				m.refreshMembers()
+			}
+		case envelope.Replication != nil:
+			m.shards.receive(envelope)
+		case envelope.Relay != nil:
+			m.states.receive(now, envelope.From, *envelope.Relay)
+		case envelope.Control != nil:
+			m.receiveControl(envelope.From, *envelope.Control)
 		}
-	case envelope.Replication != nil:
-		m.receiveReplication(envelope)
-	case envelope.Relay != nil:
-		sends, updates := m.relay.Step(now, envelope.From, *envelope.Relay)
-		m.sendRelay(sends)
-		m.receiveUpdates(updates)
-	case envelope.Control != nil:
-		m.receiveControl(envelope.From, *envelope.Control)
-	}
-	return m.takeOutput()
-}
-
-// receiveReplication passes a message to the group member it is for. A message
-// that the group refuses is dropped: the sender repeats what matters.
-func (m *Machine) receiveReplication(envelope wire.Envelope) {
-	hosted := m.shards[envelope.Shard]
-	if hosted == nil {
-		return
-	}
-	if err := hosted.Group().Step(m.now, envelope.From, *envelope.Replication); err != nil {
-		return
-	}
-	hosted.Process()
+	})
 }
 
 // StorageWritten reports that a shard's outstanding write is durable.
 func (m *Machine) StorageWritten(now time.Duration, shardID uint32) Output {
-	m.now = now
-	if hosted := m.shards[shardID]; hosted != nil {
-		hosted.Written()
-	}
-	return m.takeOutput()
+	return m.handle(now, func() {
+		if shard, hosted := m.shards.find(shardID); hosted {
+			shard.Written()
+		}
+	})
+}
+
+// Submit takes an operator's order. The Reply carries the ticket.
+func (m *Machine) Submit(now time.Duration, ticket uint64, order *controlpb.Order) Output {
+	return m.handle(now, func() { m.requests.Submit(now, ticket, order) })
+}
+
+// ReadSource asks for the source document in force. The Reply carries the ticket
+// and the document, which is empty if there is none.
+func (m *Machine) ReadSource(now time.Duration, ticket uint64) Output {
+	return m.handle(now, func() { m.requests.ReadSource(now, ticket) })
+}
+
+// ReadConfiguration asks for the configuration in force. The leader tells its
+// revision, as a quorum confirms it, and the node answers by its own copy once
+// that is as new. The Reply carries the ticket and the configuration.
+func (m *Machine) ReadConfiguration(now time.Duration, ticket uint64) Output {
+	return m.handle(now, func() { m.requests.ReadConfiguration(now, ticket) })
+}
+
+// Cancel ends an order or a read whose reply nobody waits for any more: it is
+// not sent again. What was sent already may still take effect.
+func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
+	return m.handle(now, func() { m.requests.Cancel(ticket) })
+}
+
+// EndpointsRead takes the outcome of a reading that an Output asked for.
+func (m *Machine) EndpointsRead(now time.Duration, reading EndpointReading) Output {
+	return m.handle(now, func() { m.endpoints.readDone(now, reading) })
+}
+
+// CommandDone takes the outcome of a command.
+func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) Output {
+	return m.handle(now, func() { m.rollout.CommandDone(now, command, outcome) })
+}
+
+// SetReplicaReport takes what a replica reported of itself.
+func (m *Machine) SetReplicaReport(now time.Duration, report ReplicaReport) Output {
+	return m.handle(now, func() { m.rollout.SetReport(now, report) })
+}
+
+// ReplicaReportFailed reports that a replica gave no report.
+func (m *Machine) ReplicaReportFailed(now time.Duration, address string) Output {
+	return m.handle(now, func() { m.rollout.ReportFailed(now, address) })
+}
+
+// SetSeeds takes over other seeds.
+func (m *Machine) SetSeeds(now time.Duration, seeds []string) Output {
+	return m.handle(now, func() { m.outbox.sendMembership(m.members.SetSeeds(now, seeds)) })
 }
 
 // TransferLeadership hands the shards that this node leads over, which goes before a stop.
 func (m *Machine) TransferLeadership(now time.Duration) Output {
-	m.now = now
-	m.transferLeadership()
-	return m.takeOutput()
-}
-
-func (m *Machine) transferLeadership() {
-	for _, id := range m.shardIDs {
-		if hosted := m.shards[id]; hosted != nil {
-			// An error means that this node does not lead the shard, or that no member
-			// can succeed it. There is nothing to transfer then, or the group elects a
-			// leader after its time-out.
-			_ = hosted.Group().TransferLeadership(m.now)
-			hosted.Process()
-		}
-	}
+	return m.handle(now, func() { m.shards.transferLeadership(now) })
 }
 
 // Leave tells the others that this node stops, and hands its shards over.
 func (m *Machine) Leave(now time.Duration) Output {
-	m.now = now
-	m.transferLeadership()
-	m.sendMembership(m.members.Leave(now))
-	return m.takeOutput()
+	return m.handle(now, func() {
+		m.shards.transferLeadership(now)
+		m.outbox.sendMembership(m.members.Leave(now))
+	})
 }
 
-// takeOutput returns what has been gathered and starts anew.
-func (m *Machine) takeOutput() Output {
-	if m.freshness.follow(m.now, m.members.incarnation()) {
-		m.endpoints.RequestProof()
-	}
-	m.publishView()
-	m.requests.Received(m.received.Configuration())
-	output := m.output
-	m.output = Output{}
+// handle has an input handled at its time, and collects what follows from it.
+func (m *Machine) handle(now time.Duration, input func()) Output {
+	m.clock.now = now
+	input()
+	return m.collect()
+}
+
+// collect gathers what the node has to do after an input. The driver publishes the view
+// before it sends the messages, and so the confirmation that follows from the view: nothing
+// is confirmed to others before it is in force here.
+func (m *Machine) collect() Output {
+	now := m.clock.now
+	m.endpoints.followIncarnation(now, m.members.incarnation())
+	refreshed := m.refreshView()
+	m.requests.Received(m.Configuration())
 	moves := m.rollout.Take()
-	output.Replies = m.requests.TakeReplies()
-	output.Commands, output.Reports = moves.Commands, moves.Reports
-	return output
+	return Output{
+		Sends:         m.outbox.take(),
+		Writes:        m.host.takeWrites(),
+		Replies:       m.requests.TakeReplies(),
+		Commands:      moves.Commands,
+		Reports:       moves.Reports,
+		ReadEndpoints: m.endpoints.takeReadRequest(),
+		View:          refreshed,
+	}
 }
 
-// Self describes this node. It is safe for concurrent use, as it never changes.
-func (m *Machine) Self() member.Info { return m.config.Self }
+// refreshView returns a new view, whose revisions this node confirms, or nil if nothing in
+// the newest one has changed.
+func (m *Machine) refreshView() *routing.View {
+	refreshed := m.views.refresh(m.clock.now, view.Inputs{
+		Received:   m.states.received,
+		Endpoints:  m.endpoints.inUse.services,
+		Registered: m.registration.registered,
+	})
+	if refreshed != nil {
+		m.served.publish(m.clock.now)
+	}
+	return refreshed
+}
 
-// BadEntries counts the log entries, of all shards, that could not be decoded or
-// encoded since the start.
-func (m *Machine) BadEntries() uint64 {
-	var count uint64
-	for _, hosted := range m.shards {
-		count += hosted.BadEntries()
+// receiveControl hands a control message of a node, or of this node itself, to the machine
+// that it is for.
+func (m *Machine) receiveControl(from member.ID, message protocol.Message) {
+	now := m.clock.now
+	switch message.Type {
+	case protocol.MessageChange:
+		m.leaderRequests.ReceiveChange(m.shards.forRequests(message.Shard), from, message)
+	case protocol.MessageReadSource, protocol.MessageReadRevision:
+		if m.leaderRequests.ReceiveRead(m.shards.forRequests(message.Shard), from, message) {
+			m.shards.byID[message.Shard].Process()
+		}
+	case protocol.MessageChangeReply, protocol.MessageReadSourceReply, protocol.MessageReadRevisionReply:
+		m.requests.ReceiveReply(now, from, message)
+	case protocol.MessageRegister:
+		m.registrar.Receive(m.shards.forRegistration(message.Shard), from, message)
+	case protocol.MessageRegisterReply:
+		m.registration.receiveReply(now, from, message)
+	case protocol.MessageWitnessRequest:
+		m.recovery.ReceiveRequest(from, message, m.members.incarnation())
+	case protocol.MessageWitnessReply:
+		m.recovery.ReceiveReply(from, message)
+	case protocol.MessageConfirm:
+		m.confirmations.Receive(from, message)
+		m.rollout.Wake(now)
+	case protocol.MessageConfirmRequest:
+		m.served.receiveRequest(from, message)
+	case protocol.MessageEndpoints, protocol.MessageEndpointsRequest:
+		m.endpoints.receive(now, from, message)
 	}
-	return count
 }
 
-// Now returns the time of the last input.
-func (m *Machine) Now() time.Duration { return m.now }
+// refreshMembers passes on who is alive when that has changed.
+func (m *Machine) refreshMembers() {
+	now := m.clock.now
+	tableChanged, liveChanged := m.members.refresh(now)
+	if tableChanged {
+		m.endpoints.listing.SetMembers(m.members.endpointReaders())
+	}
+	if !liveChanged {
+		return
+	}
+	m.states.setMembers(m.members.relayMembers())
+	if m.config.Seeded {
+		peers := m.members.replicationPeers()
+		for shard := range m.shards.all() {
+			shard.Group().SetPeers(now, peers)
+		}
+	}
+}
+
+// recoverShards goes on with the shards that this node is to form anew.
+func (m *Machine) recoverShards() {
+	for shard := range m.shards.all() {
+		if m.states.received.Revision(ConfigurationShard) > 0 {
+			shard.Group().ExpectState()
+		}
+		changed, err := m.recovery.Tick(m.clock.now, shard)
+		if err != nil {
+			shard.CountBadEntry()
+		}
+		if changed {
+			shard.Process()
+		}
+	}
+}
+
+// requestConfirmations asks for confirmations that are overdue.
+func (m *Machine) requestConfirmations() {
+	for shard := range m.shards.all() {
+		m.confirmations.RequestOverdue(m.clock.now, shard)
+	}
+}
+
+// disseminate brings the newest states of shards to nodes that the relay tree did not reach
+// in time, where no registry tells which nodes there are.
+func (m *Machine) disseminate() {
+	if !m.config.FailOpen {
+		return
+	}
+	for shard := range m.shards.all() {
+		if shard.IsLeader() && shard.Group().BarrierApplied() {
+			m.disseminator.Tick(m.clock.now, shard)
+		}
+	}
+}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -160,102 +160,25 @@
 	return digest.Sum64()
 }
 
-// refreshMembers passes on who is alive when that has changed.
-func (m *Machine) refreshMembers() {
-	tableChanged, liveChanged := m.members.refresh(m.now)
-	if tableChanged {
-		m.endpoints.SetMembers(m.members.endpointReaders())
-	}
-	if !liveChanged {
-		return
-	}
-	m.relay.SetMembers(m.members.relayMembers())
-	if m.config.Seeded {
-		m.followPeers()
-	} else {
-		m.followFirstMembers()
-	}
-}
-
-// followPeers passes on which nodes with disks there are, as the members of all groups
-// are chosen from them.
-func (m *Machine) followPeers() {
-	peers := m.members.replicationPeers()
-	for _, id := range m.shardIDs {
-		if hosted := m.shards[id]; hosted != nil {
-			hosted.Group().SetPeers(m.now, peers)
-		}
-	}
-}
-
-// followFirstMembers names the first live member of each group as the root from which
-// the states of its shard spread.
-func (m *Machine) followFirstMembers() {
-	for _, id := range m.shardIDs {
-		if root := m.leaders.First(id); root != "" {
-			m.relay.SetRoot(relaytree.Topic(id), root)
-		}
-	}
-}
-
-// followLeaders names the node that most likely leads each shard as the root from which its
-// states spread, on nodes that find each other through seeds.
-func (m *Machine) followLeaders() {
-	if !m.config.Seeded {
-		return
-	}
-	for _, id := range m.shardIDs {
-		if leader := m.leaders.Guess(id); leader != "" {
-			m.relay.SetRoot(relaytree.Topic(id), leader)
-		}
-	}
-}
-
-// SetSeeds takes over other seeds.
-func (m *Machine) SetSeeds(now time.Duration, seeds []string) Output {
-	m.now = now
-	m.sendMembership(m.members.SetSeeds(now, seeds))
-	return m.takeOutput()
-}
-
-// CoreNodeAddresses lists the internal addresses of the other live nodes with disks,
-// sorted by node.
-func (m *Machine) CoreNodeAddresses() []string {
+// coreNodeAddresses lists the internal addresses of the other live nodes with disks, sorted
+// by node.
+func (t *memberTable) coreNodeAddresses() []string {
 	var addresses []string
-	for _, id := range m.members.coreNodes {
-		if id != m.config.Self.ID {
-			addresses = append(addresses, m.members.addresses[id])
+	for _, id := range t.coreNodes {
+		if id != t.self {
+			addresses = append(addresses, t.addresses[id])
 		}
 	}
 	return addresses
 }
 
-// LivePeers returns the live nodes, this one included, sorted by ID.
-func (m *Machine) LivePeers() []member.Info {
+// livePeers are the live nodes, this one included, sorted by ID.
+func (t *memberTable) livePeers() []member.Info {
 	var peers []member.Info
-	for _, record := range m.members.Members() {
-		if m.members.reachable(record.Info.ID) {
+	for _, record := range t.Members() {
+		if t.reachable(record.Info.ID) {
 			peers = append(peers, record.Info)
 		}
 	}
 	return peers
 }
-
-// PeersDigest changes whenever LivePeers may have changed. It follows the table of
-// members as it was refreshed last, so that a large table which changes with nearly
-// every message does not have the peers listed anew each time.
-func (m *Machine) PeersDigest() uint64 { return m.members.digest }
-
-// TableDigest summarises the table of members: nodes that hold the same records have
-// the same.
-func (m *Machine) TableDigest() uint64 { return m.members.Digest() }
-
-// Members returns the records of the table of members; read only, and until the next
-// input.
-func (m *Machine) Members() []membership.Record { return m.members.Records() }
-
-// ZoneOf returns the zone of a node, or "" while it is unknown.
-func (m *Machine) ZoneOf(id member.ID) string { return m.members.zones[id] }
-
-// FenceCount counts how often this node has been fenced since its start.
-func (m *Machine) FenceCount() uint64 { return m.members.FenceCount() }
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"github.com/ridgeswitch/ridgeswitch/internal/control/requests"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
@@ -19,6 +20,9 @@
 // durable.
 type StorageWrite = shards.Write
 
+// Reply answers an order, or a read, that this node took.
+type Reply = requests.Reply
+
 // Output is what a node has to do after an input.
 type Output struct {
 	Sends    []Send
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -11,7 +11,6 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/recovery"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -31,7 +30,7 @@
 }
 
 // survivingMember is a node whose log evacuates zones, the first ones for certain.
-func survivingMember(committed uint64, zones ...string) (*Machine, *shards.Shard) {
+func survivingMember(committed uint64, zones ...string) (*Machine, hostedShard) {
 	restored := replication.Restored{HardState: replication.HardState{Term: 1, Commit: committed}}
 	for position, zone := range zones {
 		restored.Entries = append(restored.Entries, replication.Entry{
@@ -45,7 +44,9 @@
 	}, map[uint32]replication.Restored{0: restored}, idleTraffic{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	machine.Tick(time.Millisecond)
-	return machine, machine.shards[ConfigurationShard]
+	shard, hosted := machine.shards.find(ConfigurationShard)
+	Expect(hosted).To(BeTrue())
+	return machine, shard
 }
 
 // receiveAsWitness gives the node the state of a group that evacuated zones.
@@ -58,8 +59,8 @@
 	}
 	sections, err := state.Sections()
 	Expect(err).NotTo(HaveOccurred())
-	_, updates := m.relay.Publish(relaytree.Topic(ConfigurationShard), state.Revision(), sections)
-	m.receiveUpdates(updates)
+	_, updates := m.states.tree.Publish(relaytree.Topic(ConfigurationShard), state.Revision(), sections)
+	m.states.apply(updates)
 }
 
 func zonesOf(configuration *ridgeswitchv1.Configuration) []string {
@@ -73,10 +74,10 @@
 var _ = Describe("The state of a group that is formed anew", func() {
 	DescribeTable("covers log and witnesses",
 		func(committed int, logged, witnessed, recovered []string) {
-			machine, hosted := survivingMember(uint64(committed), logged...)
+			machine, shard := survivingMember(uint64(committed), logged...)
 			machine.receiveAsWitness(witnessed...)
 			replies := map[member.ID]recovery.WitnessReply{"router": {Incarnation: 9}}
-			data, err := machine.recovery.RecoveredState(machine.hostedOf(hosted), replies)
+			data, err := machine.recovery.RecoveredState(shard, replies)
 			Expect(err).NotTo(HaveOccurred())
 			state, err := shardstate.Restore(ConfigurationShard, data)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/control/registration_test.go
+++ b/internal/control/registration_test.go
@@ -28,7 +28,7 @@
 
 // isRegistered reports whether acknowledgements wait for the stranger.
 func (n *soloNode) isRegistered(id string) bool {
-	return lo.ContainsBy(n.machine.shards[ConfigurationShard].Nodes(), func(node *controlpb.RegisterNode) bool {
+	return lo.ContainsBy(n.machine.shards.byID[ConfigurationShard].Nodes(), func(node *controlpb.RegisterNode) bool {
 		return node.GetNode() == id
 	})
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -1,11 +1,8 @@
 package control
 
 import (
-	"time"
-
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/rollout"
-	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
@@ -33,74 +30,44 @@
 	CommandRefused       = rollout.CommandRefused
 )
 
-// newRollout returns the machine that rolls out weights in the shards that a node
-// hosts.
-func newRollout(config Config, shardIDs []uint32, now time.Duration) *rollout.Machine {
-	return rollout.New(rollout.Config{
-		Self:                config.Self.ID,
-		ReplicasFinishFirst: config.ReplicasFinishFirst,
-		LeaseDuration:       config.Times.LeaseDuration,
-		LeaseMargin:         config.Times.LeaseMargin,
-		CommandGap:          config.Times.CommandGap,
-		WeightsDeadline:     config.Times.WeightsDeadline,
-	}, shardIDs, now)
-}
-
-// tickRollouts lets each shard that this node leads make its next moves.
-func (m *Machine) tickRollouts() {
-	if !m.rollout.Due(m.now) {
+// advanceRollouts lets each shard that this node leads make its next moves.
+func (m *Machine) advanceRollouts() {
+	now := m.clock.now
+	if !m.rollout.Due(now) {
 		return
 	}
-	for _, id := range m.shardIDs {
-		hosted := m.shards[id]
-		if hosted == nil || !hosted.IsLeader() {
+	for shard := range m.shards.all() {
+		if !shard.IsLeader() {
 			continue
 		}
-		m.rollout.Lead(m.now, id, hosted.Term())
-		m.pruneNodes(hosted)
-		if service, ok := hosted.State().(*shardstate.Service); ok {
-			m.rollOutShard(hosted, service)
+		m.rollout.Lead(now, shard.ID(), shard.Term())
+		// A registered incarnation that has ended is forgotten, so that a later leader
+		// does not wait for it.
+		if ended := m.registrar.Prune(now, shard, m.members); ended != nil {
+			shard.ProposeCommand(now, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
+		}
+		if service, ok := shard.State().(*shardstate.Service); ok {
+			m.rollOut(shard, service)
 		}
 	}
 }
 
-// rollOutShard moves the replicas of the pools whose service hashes to a shard. It
-// decides only from a state in which everything in the log has been applied.
-func (m *Machine) rollOutShard(hosted *shards.Shard, service *shardstate.Service) {
-	if !m.backends.known || !hosted.AllApplied() {
+// rollOut moves the replicas of the pools whose service hashes to a shard. It decides only
+// from a state in which everything in the log has been applied.
+func (m *Machine) rollOut(shard hostedShard, service *shardstate.Service) {
+	if !m.endpoints.inUse.known || !shard.AllApplied() {
 		return
 	}
-	configuration := m.received.Configuration()
+	configuration := m.Configuration()
 	var pools []rollout.Pool
 	for _, pool := range configuration.GetPools() {
-		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) == hosted.ID() {
-			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.backends.services[pool.GetService()]})
+		if shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards) == shard.ID() {
+			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.endpoints.inUse.services[pool.GetService()]})
 		}
 	}
-	led := ledServices{hostedShard: m.hostedOf(hosted), services: service}
-	change := m.rollout.Advance(m.now, led, pools, shardstate.EvacuatedZones(configuration))
+	led := ledServices{hostedShard: shard, services: service}
+	change := m.rollout.Advance(m.clock.now, led, pools, shardstate.EvacuatedZones(configuration))
 	if change != nil {
-		hosted.ProposeCommand(m.now, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
+		shard.ProposeCommand(m.clock.now, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
 	}
 }
-
-// CommandDone takes the outcome of a command.
-func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) Output {
-	m.now = now
-	m.rollout.CommandDone(now, command, outcome)
-	return m.takeOutput()
-}
-
-// SetReplicaReport takes what a replica reported of itself.
-func (m *Machine) SetReplicaReport(now time.Duration, report ReplicaReport) Output {
-	m.now = now
-	m.rollout.SetReport(now, report)
-	return m.takeOutput()
-}
-
-// ReplicaReportFailed reports that a replica gave no report.
-func (m *Machine) ReplicaReportFailed(now time.Duration, address string) Output {
-	m.now = now
-	m.rollout.ReportFailed(now, address)
-	return m.takeOutput()
-}
--- a/internal/control/rollout_commands_test.go
+++ b/internal/control/rollout_commands_test.go
@@ -289,7 +289,7 @@
 		pool := newModelPool(4, 2, time.Second)
 		name(pool, "2")
 		pool.run(30 * time.Second)
-		Expect(pool.node.machine.received.Service(1).GetReplicas()).To(BeEmpty())
+		Expect(pool.node.machine.states.received.Service(1).GetReplicas()).To(BeEmpty())
 		Expect(pool.node.phases()).To(Equal(map[string]int{"serving": 4}))
 	})
 
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -41,7 +41,7 @@
 		Expect(node.submit(weightsOrder("v2")).GetConfirmed()).To(BeTrue())
 		node.report("v1")
 		node.run(time.Second)
-		serving := node.machine.shards[1].State().(*shardstate.Service).Replicas()
+		serving := node.machine.shards.byID[1].State().(*shardstate.Service).Replicas()
 		node.forgetRollouts()
 		for _, row := range serving {
 			if row.GetPhase() == controlpb.ReplicaPhase_SERVING {
--- a/internal/control/solo_node_test.go
+++ b/internal/control/solo_node_test.go
@@ -99,7 +99,7 @@
 // forgetRollouts makes the node a leader that knows nothing of its roll-outs and has
 // no reports yet.
 func (n *soloNode) forgetRollouts() {
-	n.machine.rollout = newRollout(n.machine.config, n.machine.hostedIDs(), n.now)
+	*n.machine.rollout = *newRollout(n.machine.config, n.now)
 }
 
 // phases counts the pool's replicas by phase.
--- /dev/null
+++ b/internal/control/state_relay.go
@@ -0,0 +1,149 @@
+package control
+
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/leaders"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shards"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
+)
+
+// stateRelay brings the newest state of each shard to all nodes. It owns this node's part
+// of the relay tree, the states that the tree brought, by which the node serves, and which
+// states of the node's own disk it has published.
+type stateRelay struct {
+	config   Config
+	shardIDs []uint32
+	outbox   *outbox
+	leaders  *leaders.Directory
+	views    *viewRefresher
+
+	tree     *relaytree.Machine
+	received *shardstate.Received
+	// restored are the shards whose state from the disk has been published.
+	restored map[uint32]bool
+}
+
+func newStateRelay(config Config, outbox *outbox, directory *leaders.Directory, views *viewRefresher) *stateRelay {
+	return &stateRelay{
+		config:   config,
+		shardIDs: config.shardIDs(),
+		outbox:   outbox,
+		leaders:  directory,
+		views:    views,
+		tree: relaytree.New(relaytree.Config{
+			Self:        config.Self.ID,
+			FanOut:      relayFanOut,
+			DigestEvery: config.Times.DigestEvery,
+		}),
+		received: shardstate.NewReceived(),
+		restored: map[uint32]bool{},
+	}
+}
+
+// tick advances the time of the relay tree.
+func (r *stateRelay) tick(now time.Duration) { r.outbox.sendRelay(r.tree.Tick(now)) }
+
+// receive handles another node's message of the relay tree.
+func (r *stateRelay) receive(now time.Duration, from member.ID, message relaytree.Message) {
+	sends, updates := r.tree.Step(now, from, message)
+	r.outbox.sendRelay(sends)
+	r.apply(updates)
+}
+
+// apply keeps newer states of shards that the relay tree brought. One that can't be decoded
+// is skipped: the next update brings the whole state.
+func (r *stateRelay) apply(updates []relaytree.Update) {
+	for _, update := range updates {
+		if newer, err := r.received.Apply(update, r.sections); err == nil && newer {
+			r.views.invalidate()
+		}
+	}
+}
+
+// sections are those of a topic's newest state.
+func (r *stateRelay) sections(topic relaytree.Topic) []relaytree.Section {
+	_, sections := r.tree.Snapshot(topic)
+	return sections
+}
+
+// sendDirectly sends the newest state of a shard to a node that the tree did not reach in
+// time.
+func (r *stateRelay) sendDirectly(to member.ID, shardID uint32) {
+	r.outbox.sendRelay(r.tree.Feed(to, relaytree.Topic(shardID)))
+}
+
+// publishCommitted spreads a shard's newest committed state when this node leads the shard.
+// Before the barrier of its term is applied, the state may be about to give way to that
+// of a group that was formed anew.
+func (r *stateRelay) publishCommitted(shard *shards.Shard) {
+	if !shard.Group().BarrierApplied() || !r.behind(shard) {
+		return
+	}
+	if sections, ok := encodeSections(shard); ok {
+		r.tree.SetRoot(relaytree.Topic(shard.ID()), r.config.Self.ID)
+		r.publish(shard, sections)
+	}
+}
+
+// publishRestored takes what the disk kept of a shard as a state to serve by, so that a
+// node does so also while there is no quorum.
+func (r *stateRelay) publishRestored(shard *shards.Shard) {
+	if !r.config.FailOpen || r.restored[shard.ID()] || !r.behind(shard) {
+		return
+	}
+	r.restored[shard.ID()] = true
+	if sections, ok := encodeSections(shard); ok {
+		r.publish(shard, sections)
+	}
+}
+
+// behind reports whether the relay tree has an older state of a shard than its copy here.
+func (r *stateRelay) behind(shard *shards.Shard) bool {
+	return shard.Revision() > r.tree.Revision(relaytree.Topic(shard.ID()))
+}
+
+// publish hands the state of a shard to the relay tree.
+func (r *stateRelay) publish(shard *shards.Shard, sections []relaytree.Section) {
+	sends, updates := r.tree.Publish(relaytree.Topic(shard.ID()), shard.Revision(), sections)
+	r.outbox.sendRelay(sends)
+	r.apply(updates)
+}
+
+// encodeSections encodes the state of a shard; it counts what can't be encoded.
+func encodeSections(shard *shards.Shard) ([]relaytree.Section, bool) {
+	sections, err := shard.State().Sections()
+	if err != nil {
+		shard.CountBadEntry()
+		return nil, false
+	}
+	return sections, true
+}
+
+// setMembers builds the tree from the live members. Where groups are fixed, the first live
+// member of each one is the root from which the states of its shard spread.
+func (r *stateRelay) setMembers(members []relaytree.Member) {
+	r.tree.SetMembers(members)
+	if !r.config.Seeded {
+		r.setRoots(r.leaders.First)
+	}
+}
+
+// followLeaders names the node that most likely leads each shard as the root from which its
+// states spread, on nodes that find each other through seeds.
+func (r *stateRelay) followLeaders() {
+	if r.config.Seeded {
+		r.setRoots(r.leaders.Guess)
+	}
+}
+
+// setRoots names the root of each shard, and leaves those as they are that are not known.
+func (r *stateRelay) setRoots(rootOf func(shardID uint32) member.ID) {
+	for _, id := range r.shardIDs {
+		if root := rootOf(id); root != "" {
+			r.tree.SetRoot(relaytree.Topic(id), root)
+		}
+	}
+}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -1,8 +1,6 @@
 package control
 
 import (
-	"time"
-
 	"github.com/samber/lo"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
@@ -14,47 +12,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// ServeUntil is the instant until which this node may admit traffic if nothing
-// else is heard; zero while it may not admit any.
-func (m *Machine) ServeUntil() time.Duration {
-	if m.config.FailOpen {
-		if m.received.Revision(ConfigurationShard) == 0 {
-			return 0
-		}
-		return membership.Never
-	}
-	if !m.registered(ConfigurationShard) || m.members.Fenced(m.now) || !m.freshness.usable(m.now) {
-		return 0
-	}
-	return m.members.FenceDeadline()
-}
-
-// Prepared reports whether this node can serve what the configuration promises: it
-// knows the back ends, and is registered with the shard of every pool.
-func (m *Machine) Prepared() bool {
-	if !m.backends.known {
-		return false
-	}
-	for _, pool := range m.received.Configuration().GetPools() {
-		if !m.config.ReplicasFinishFirst && !m.registered(shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)) {
-			return false
-		}
-	}
-	return true
-}
-
-// Configuration returns the newest configuration that reached this node; read
-// only.
-func (m *Machine) Configuration() *ridgeswitchv1.Configuration { return m.received.Configuration() }
-
 // Status describes this node's view of the deployment.
 func (m *Machine) Status() *ridgeswitchv1.NodeStatus {
 	status := &ridgeswitchv1.NodeStatus{
 		Node:             string(m.config.Self.ID),
 		Zone:             m.config.Self.Zone,
 		HoldsState:       m.config.Self.HoldsState,
-		Fenced:           m.ServeUntil() <= m.now,
-		ServedRevision:   m.served.Published(ConfigurationShard),
+		Fenced:           m.ServeUntil() <= m.clock.now,
+		ServedRevision:   m.served.local.Published(ConfigurationShard),
 		Fences:           m.members.FenceCount(),
 		ServeRemainingMs: m.serveRemaining(),
 	}
@@ -69,7 +34,7 @@
 			ControlAddress: record.Info.ControlAddress,
 		})
 	}
-	for _, id := range m.shardIDs {
+	for _, id := range m.shards.ids {
 		status.Shards = append(status.Shards, m.shardStatus(id))
 	}
 	return status
@@ -80,17 +45,17 @@
 		Shard:    id,
 		Leader:   string(m.leaders.Known(id)),
 		Term:     m.recovery.ObservedTerm(id),
-		Revision: m.received.Revision(id),
-		Group: lo.Map(m.groupOf(id), func(id member.ID, _ int) string {
+		Revision: m.states.received.Revision(id),
+		Group: lo.Map(m.shards.Group(id), func(id member.ID, _ int) string {
 			return string(id)
 		}),
 	}
-	if hosted := m.shards[id]; hosted != nil {
-		core := hosted.Group().Status()
+	if shard, hosted := m.shards.find(id); hosted {
+		core := shard.Group().Status()
 		status.Term = core.Term
 		status.Commit = core.Commit
-		status.Applied = hosted.Applied()
-		status.BadEntries = hosted.BadEntries()
+		status.Applied = shard.Applied()
+		status.BadEntries = shard.BadEntries()
 	}
 	return status
 }
@@ -102,24 +67,25 @@
 	if until == membership.Never {
 		return -1
 	}
-	return max(0, until-m.now).Milliseconds()
+	return max(0, until-m.clock.now).Milliseconds()
 }
 
 // Weights describes how far the roll-out of a pool has come, or returns nil when
 // there is no such pool.
 func (m *Machine) Weights(poolName string) *ridgeswitchv1.WeightsStatus {
-	for _, pool := range m.received.Configuration().GetPools() {
+	for _, pool := range m.Configuration().GetPools() {
 		if pool.GetName() == poolName {
-			return m.poolWeights(pool)
+			shardID := shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)
+			return poolWeights(pool, m.states.received.Service(shardID).GetReplicas(), m.endpoints.inUse.services[pool.GetService()])
 		}
 	}
 	return nil
 }
 
-func (m *Machine) poolWeights(pool *ridgeswitchv1.Pool) *ridgeswitchv1.WeightsStatus {
+// poolWeights describes the replicas of a pool, by their rows and the platform's list.
+func poolWeights(pool *ridgeswitchv1.Pool, rows []*controlpb.ReplicaState, endpoints []listing.Replica) *ridgeswitchv1.WeightsStatus {
 	status := &ridgeswitchv1.WeightsStatus{Pool: pool.GetName(), WeightVersion: pool.GetWeightVersion()}
-	rows := m.received.Service(shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)).GetReplicas()
-	for _, endpoint := range m.backends.services[pool.GetService()] {
+	for _, endpoint := range endpoints {
 		row := shardstate.FindReplica(rows, endpoint.Address)
 		status.Replicas = append(status.Replicas, &ridgeswitchv1.ReplicaStatus{
 			Address:          endpoint.Address,
--- /dev/null
+++ b/internal/control/view_refresher.go
@@ -0,0 +1,40 @@
+package control
+
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+)
+
+// viewRefresher owns the builder of views, and whether the newest view is stale.
+type viewRefresher struct {
+	builder *view.Builder
+	stale   bool
+}
+
+func newViewRefresher(config Config) *viewRefresher {
+	builder := view.NewBuilder(view.Config{
+		ServiceShards:       config.ServiceShards,
+		ReplicasFinishFirst: config.ReplicasFinishFirst,
+		WeightsDeadline:     config.Times.WeightsDeadline,
+	})
+	return &viewRefresher{builder: builder, stale: true}
+}
+
+// invalidate has the view built anew at the end of the input.
+func (v *viewRefresher) invalidate() { v.stale = true }
+
+// advance invalidates the view if a deadline of weights has passed between two ticks.
+func (v *viewRefresher) advance(before, now time.Duration) {
+	v.stale = v.stale || v.builder.DeadlinePassed(before, now)
+}
+
+// refresh returns a new view, or nil if the newest one is not stale.
+func (v *viewRefresher) refresh(now time.Duration, inputs view.Inputs) *routing.View {
+	if !v.stale {
+		return nil
+	}
+	v.stale = false
+	return v.builder.Build(now, inputs)
+}
