--- a/internal/control/listing/doc.go
+++ b/internal/control/listing/doc.go
@@ -17,5 +17,14 @@
 // the time on the way; the list that a node uses is older than it takes it to be by
 // that much.
 //
-// Machine does no I/O and reads no clock.
+// Machine does no I/O and reads no clock. It composes these parts:
+//
+//	state                                              owner
+//	live members, in the order of readers              memberList
+//	newest reading, list that the node uses            table
+//	whether this node reads; pause after failures      reader
+//	who gets readings directly; what was forwarded     disseminator
+//	requests for readings, proof of freshness          follower
+//	requests of others that wait; notified readers     responder
+//	messages to send                                   outbox
 package listing
--- a/internal/control/listing/members.go
+++ b/internal/control/listing/members.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math/bits"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -53,40 +52,45 @@
 	return cmp.Or(cmp.Compare(weightOf(b), weightOf(a)), cmp.Compare(a, b)) < 0
 }
 
-// SetMembers takes the live members of the deployment.
-func (m *Machine) SetMembers(members []Member) {
-	m.members = slices.Clone(members)
-	for position := range m.members {
-		m.members[position].weight = weightOf(m.members[position].ID)
-	}
-	slices.SortFunc(m.members, compareReaders)
-	if !m.current.present && !m.requestedFirst && len(m.others()) > 0 {
-		m.requestedFirst = true
-		m.nextRequest = m.now
+// memberList owns the live members of the deployment, in the order of readers.
+type memberList struct {
+	self    member.ID
+	zone    string
+	members []Member
+}
+
+// set takes the live members.
+func (l *memberList) set(members []Member) {
+	l.members = slices.Clone(members)
+	for position := range l.members {
+		l.members[position].weight = weightOf(l.members[position].ID)
 	}
+	slices.SortFunc(l.members, compareReaders)
 }
 
-// others are the members without this node, in the order of readers.
-func (m *Machine) others() []Member {
-	return slices.DeleteFunc(slices.Clone(m.members), func(one Member) bool { return one.ID == m.config.Self })
+// alone reports whether no other member is known.
+func (l *memberList) alone() bool { return len(l.members) <= 1 }
+
+// others are the members without this node.
+func (l *memberList) others() []Member {
+	return slices.DeleteFunc(slices.Clone(l.members), func(one Member) bool { return one.ID == l.self })
 }
 
-// isMember reports whether a node is a live member.
-func (m *Machine) isMember(id member.ID) bool {
-	return slices.ContainsFunc(m.members, func(one Member) bool { return one.ID == id })
+// has reports whether a node is a live member.
+func (l *memberList) has(id member.ID) bool {
+	return slices.ContainsFunc(l.members, func(one Member) bool { return one.ID == id })
 }
 
-// rank is how many members read the list before this node once the present reader
-// does not respond.
-func (m *Machine) rank() int {
+// rank is how many members read the list before this node once a reader does not respond.
+func (l *memberList) rank(reader member.ID) int {
 	rank := 0
-	for _, one := range m.members {
+	for _, one := range l.members {
 		switch one.ID {
-		case m.config.Self:
-			if m.current.version.Reader != m.config.Self {
+		case l.self:
+			if reader != l.self {
 				return rank
 			}
-		case m.current.version.Reader:
+		case reader:
 		default:
 			rank++
 		}
@@ -94,7 +98,24 @@
 	return rank
 }
 
-// takeOverSteps is after how many steps of patience a node of a rank reads. The steps
-// hold one, one, two, four nodes and so on, so that the last of many nodes does
-// not wait for long, and few read in vain while the first are gone.
-func takeOverSteps(rank int) int { return bits.Len(uint(rank)) }
+// otherZones are the zones of the members that are not in this node's, sorted.
+func (l *memberList) otherZones() []string {
+	var zones []string
+	for _, one := range l.members {
+		if one.Zone != l.zone {
+			zones = append(zones, one.Zone)
+		}
+	}
+	slices.Sort(zones)
+	return slices.Compact(zones)
+}
+
+// firstOfZone is the member of a zone that passes readings on there.
+func (l *memberList) firstOfZone(zone string) member.ID {
+	for _, one := range l.members {
+		if one.Zone == zone {
+			return one.ID
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/control/listing/outbox.go
@@ -0,0 +1,22 @@
+package listing
+
+import "github.com/ridgeswitch/ridgeswitch/pkg/member"
+
+// outbox owns the messages that an input has caused, in the order in which they are to be
+// sent.
+type outbox struct{ sends []Outbound }
+
+func (o *outbox) sendReading(to member.ID, reading Reading) {
+	o.sends = append(o.sends, Outbound{To: to, Message: Message{Reading: &reading}})
+}
+
+func (o *outbox) sendRequest(to member.ID, request Request) {
+	o.sends = append(o.sends, Outbound{To: to, Message: Message{Request: &request}})
+}
+
+// take returns what has been queued and starts anew.
+func (o *outbox) take() []Outbound {
+	sends := o.sends
+	o.sends = nil
+	return sends
+}
--- a/internal/control/listing/reader.go
+++ b/internal/control/listing/reader.go
@@ -1,6 +1,10 @@
 package listing
 
-import "time"
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
 
 const (
 	// readTimeout is how long a reading may take.
@@ -12,8 +16,11 @@
 	maxDoublings = 3
 )
 
-// readerState is this node's own part in reading the platform's list.
-type readerState struct {
+// reader is this node's own part in reading the platform's list. It owns whether the node
+// is the reader, the reading under way and the pause after failures.
+type reader struct {
+	self      member.ID
+	readEvery time.Duration
 	// active means that this node is the reader.
 	active bool
 	// inFlight means that a reading is under way, since startedAt.
@@ -25,9 +32,23 @@
 	notBefore time.Duration
 }
 
-// due reports whether this node is to begin a reading now: every so often as the reader,
-// else when the list was not refreshed until takeOverAt, which is asked for only then.
-func (r *readerState) due(now time.Duration, takeOverAt func() time.Duration) bool {
+// tick ends a reading that takes too long, and reports whether another one begins now.
+func (r *reader) tick(now time.Duration, takeOverAt func() time.Duration) bool {
+	if r.inFlight && now-r.startedAt >= readTimeout {
+		r.fail(now)
+	}
+	if !r.due(now, takeOverAt) {
+		return false
+	}
+	r.inFlight = true
+	r.startedAt = now
+	r.next = now + r.readEvery
+	return true
+}
+
+// due reports whether this node is to begin a reading: every so often as the reader, else
+// when the list was not refreshed until takeOverAt, which is asked for only then.
+func (r *reader) due(now time.Duration, takeOverAt func() time.Duration) bool {
 	switch {
 	case r.inFlight || now < r.notBefore:
 		return false
@@ -38,36 +59,30 @@
 	}
 }
 
-// begin begins a reading.
-func (r *readerState) begin(now, readEvery time.Duration) {
-	r.inFlight = true
-	r.startedAt = now
-	r.next = now + readEvery
-}
-
-// timedOut reports whether the reading under way has taken too long.
-func (r *readerState) timedOut(now time.Duration) bool {
-	return r.inFlight && now-r.startedAt >= readTimeout
-}
-
 // fail leaves the reading to others for a while, longer with each failure.
-func (r *readerState) fail(now time.Duration) {
+func (r *reader) fail(now time.Duration) {
 	r.inFlight = false
 	r.active = false
 	r.notBefore = now + min(minBackoff<<min(r.failures, maxDoublings), maxBackoff)
 	r.failures++
 }
 
-// succeed makes this node the reader.
-func (r *readerState) succeed() {
+// succeed makes this node the reader, and returns the version of its reading: the next one
+// in its term, or the first one in a term of its own if another node read last.
+func (r *reader) succeed(last Version) Version {
+	version := Version{Term: last.Term, Reader: r.self, Sequence: last.Sequence + 1}
+	if !r.active || last.Reader != r.self {
+		version = Version{Term: last.Term + 1, Reader: r.self, Sequence: 1}
+	}
+	r.active = true
 	r.inFlight = false
 	r.failures = 0
 	r.notBefore = 0
-	r.active = true
+	return version
 }
 
 // discard ends a reading whose outcome is not used.
-func (r *readerState) discard() { r.inFlight = false }
+func (r *reader) discard() { r.inFlight = false }
 
 // stop leaves the reading to another node.
-func (r *readerState) stop() { r.active = false }
+func (r *reader) stop() { r.active = false }
