--- a/internal/control/rollout/advance.go
+++ b/internal/control/rollout/advance.go
@@ -9,18 +9,21 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
-// rowRetention is how long a row is kept for a serving replica whose version the list
-// shows. The list has caught up with the row by then.
-const rowRetention = 10 * time.Second
-
-// poolRollout is what one call of Advance knows of a pool.
+// poolRollout decides the next moves of one pool's replicas, during one call of Advance. It
+// owns the commands that it has decided on.
 type poolRollout struct {
-	shard Shard
-	state *shardState
-	pool  *ridgeswitchv1.Pool
-	pace  *pace
+	config  Config
+	now     time.Duration
+	shard   Shard
+	state   *shardState
+	reports *replicaReports
+	pool    *ridgeswitchv1.Pool
+	pace    *pace
+	// evacuated are the zones without requests.
+	evacuated shardstate.ZoneSet
 	// replicas are the pool's, but for those whose row is about another incarnation.
 	replicas []poolReplica
+	commands []Command
 }
 
 // poolReplica is a listed replica with its row, if it has one.
@@ -32,76 +35,48 @@
 // outOfService reports whether a row keeps requests from the replica.
 func (r poolReplica) outOfService() bool { return OutOfService(r.row, r.Replica) }
 
-func (r poolRollout) target() string { return r.pool.GetWeightVersion() }
+func (p *poolRollout) target() string { return p.pool.GetWeightVersion() }
 
-// advancePool gathers the changes of one pool's replicas.
-func (m *Machine) advancePool(shard Shard, state *shardState, pool Pool, change *controlpb.SetReplicas) {
-	rolling := poolRollout{shard: shard, state: state, pool: pool.Config, pace: state.paceFor(pool.Config, m.now, m.config)}
-	for _, replica := range pool.Endpoints {
-		row := shardstate.FindReplica(shard.Rows(), replica.Address)
+// addReplicas adds the listed replicas with their rows.
+func (p *poolRollout) addReplicas(endpoints []listing.Replica) {
+	for _, replica := range endpoints {
+		row := shardstate.FindReplica(p.shard.Rows(), replica.Address)
 		if row != nil && !sameInstance(row, replica) {
-			// The row is of another incarnation: obsoleteRows removes it before a new
-			// one is made.
+			// The row is of another incarnation: obsoleteRows has it removed before a
+			// new one is made.
 			continue
 		}
-		rolling.replicas = append(rolling.replicas, poolReplica{Replica: replica, row: row})
+		p.replicas = append(p.replicas, poolReplica{Replica: replica, row: row})
 	}
+}
+
+// advance returns the rows that change.
+func (p *poolRollout) advance() []*controlpb.ReplicaState {
+	var rows []*controlpb.ReplicaState
 	moved := map[string]struct{}{}
-	for _, replica := range rolling.replicas {
-		if next := m.nextRow(rolling, replica); next != nil {
-			change.Replicas = append(change.Replicas, next)
+	for _, replica := range p.replicas {
+		if next := p.nextRow(replica); next != nil {
+			rows = append(rows, next)
 			moved[replica.Address] = struct{}{}
 		}
 	}
-	for _, replica := range m.selectForUpdate(rolling, moved) {
-		change.Replicas = append(change.Replicas, m.beginUpdate(rolling, replica))
+	for _, replica := range p.selectForUpdate(moved) {
+		rows = append(rows, p.beginUpdate(replica))
 	}
+	return rows
 }
 
 // nextRow returns the row that a replica moves to by itself, which is any but the step out
 // of service, or nil if it stays.
-func (m *Machine) nextRow(rolling poolRollout, replica poolReplica) *controlpb.ReplicaState {
+func (p *poolRollout) nextRow(replica poolReplica) *controlpb.ReplicaState {
 	switch {
 	case replica.row == nil:
-		return m.firstRow(rolling, replica)
+		return p.firstRow(replica)
 	case replica.row.GetPhase() == controlpb.ReplicaPhase_DRAINING:
-		return m.advanceDraining(rolling, replica)
+		return p.advanceDraining(replica)
 	case replica.row.GetPhase() == controlpb.ReplicaPhase_LOADING:
-		return m.advanceLoading(rolling, replica)
+		return p.advanceLoading(replica)
 	default:
-		return m.checkServing(replica)
-	}
-}
-
-// obsoleteRows lists the addresses of rows that are no longer needed: those of replicas
-// that left the list or came back as another incarnation, and those that the list has
-// caught up with.
-func (m *Machine) obsoleteRows(state *shardState, rows []*controlpb.ReplicaState, endpoints map[string]listing.Replica) []string {
-	var obsolete []string
-	for _, row := range rows {
-		replica, found := endpoints[row.GetAddress()]
-		if !found || !sameInstance(row, replica) || m.caughtUp(state, row, replica) {
-			obsolete = append(obsolete, row.GetAddress())
-		}
-	}
-	return obsolete
-}
-
-// caughtUp reports whether the list knows as much as a row by now.
-func (m *Machine) caughtUp(state *shardState, row *controlpb.ReplicaState, endpoint listing.Replica) bool {
-	address := row.GetAddress()
-	if endpoint.WeightVersion == "" || row.GetPhase() != controlpb.ReplicaPhase_SERVING {
-		delete(state.servingSince, address)
-		return false
-	}
-	since, seen := state.servingSince[address]
-	if !seen {
-		state.servingSince[address] = m.now
-		return false
-	}
-	if m.now-since < rowRetention {
-		return false
+		return p.checkServing(replica)
 	}
-	delete(state.servingSince, address)
-	return true
 }
--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -79,70 +79,70 @@
 // commandReplica orders a replica to load the version of its row, once no node sends it
 // requests any more, the command would have an effect, and this node's right to command
 // is certain for the whole time in which the command is sent.
-func (m *Machine) commandReplica(rolling poolRollout, replica poolReplica, progress *replicaProgress) {
-	if m.now < progress.nextCommand || !m.readyForCommand(rolling, replica, progress) {
+func (p *poolRollout) commandReplica(replica poolReplica, progress *replicaProgress) {
+	if p.now < progress.nextCommand || !p.readyForCommand(replica, progress) {
 		return
 	}
-	if !m.commandLeaseValid(rolling.shard, rolling.state) {
+	if !p.state.commandLeaseValid(p.now, p.config, p.shard) {
 		return
 	}
-	report, known := m.reports[replica.Address]
-	progress.token = commandToken(rolling.shard.Term(), replica.row.GetPhaseRevision())
+	report, known := p.reports.newest[replica.Address]
+	progress.token = commandToken(p.shard.Term(), replica.row.GetPhaseRevision())
 	progress.inFlight = true
-	progress.sentAt = m.now
+	progress.sentAt = p.now
 	progress.accepted = false
-	progress.expectedLoad = rolling.pace.expectedLoad(progress.outOfService)
-	m.output.Commands = append(m.output.Commands, Command{
+	progress.expectedLoad = p.pace.expectedLoad(progress.outOfService)
+	p.commands = append(p.commands, Command{
 		Address:          replica.Address,
 		Instance:         replica.Instance,
-		Model:            rolling.pool.GetModel(),
+		Model:            p.pool.GetModel(),
 		WeightVersion:    replica.row.GetWeightVersion(),
-		Leader:           string(m.config.Self),
+		Leader:           string(p.config.Self),
 		Token:            progress.token,
 		ExpectedSequence: report.Sequence,
-		ExpectsSequence:  known && m.config.ReplicasFinishFirst,
-		Deadline:         m.now + commandTimeout,
+		ExpectsSequence:  known && p.config.ReplicasFinishFirst,
+		Deadline:         p.now + commandTimeout,
 	})
 }
 
 // readyForCommand reports whether a command would have an effect: the replica responds,
 // is not busy with another command, and did not accept the last one.
-func (m *Machine) readyForCommand(rolling poolRollout, replica poolReplica, progress *replicaProgress) bool {
-	if progress.inFlight && m.now < progress.sentAt+2*commandTimeout {
+func (p *poolRollout) readyForCommand(replica poolReplica, progress *replicaProgress) bool {
+	if progress.inFlight && p.now < progress.sentAt+2*commandTimeout {
 		return false
 	}
 	if progress.inFlight {
 		// Its outcome got lost.
 		progress.inFlight = false
 		progress.accepted = true
-		progress.reportValidFrom = m.now
+		progress.reportValidFrom = p.now
 	}
-	measuredFrom := rolling.pace.since
+	measuredFrom := p.pace.since
 	if progress.accepted {
 		measuredFrom = progress.reportValidFrom
 	}
-	report, known := m.reportSince(replica.Address, replica.Instance, measuredFrom)
+	report, known := p.reports.since(replica.Replica, measuredFrom)
 	if !known || report.Busy || report.WeightVersion == "" {
-		if m.now >= progress.nextReport {
-			m.requestReport(replica.Address, replica.Instance)
+		if p.now >= progress.nextReport {
+			p.reports.request(p.now, replica.Replica)
 		}
 		return false
 	}
-	if !m.config.ReplicasFinishFirst {
+	if !p.config.ReplicasFinishFirst {
 		return true
 	}
-	return m.now >= progress.since+confirmationTimeout || rolling.shard.ConfirmedEverywhere(replica.row.GetPhaseRevision())
+	return p.now >= progress.since+confirmationTimeout || p.shard.ConfirmedEverywhere(replica.row.GetPhaseRevision())
 }
 
 // commandLeaseValid reports whether this node's right to command is certain for the whole
 // time of a command, and the last command of an earlier leader is as old as the commands
 // of two leaders must be apart.
-func (m *Machine) commandLeaseValid(shard Shard, state *shardState) bool {
-	first := state.since + m.config.LeaseDuration + m.config.LeaseMargin + m.config.CommandGap
-	if state.term > 1 && m.now < first {
+func (s *shardState) commandLeaseValid(now time.Duration, config Config, shard Shard) bool {
+	first := s.since + config.LeaseDuration + config.LeaseMargin + config.CommandGap
+	if s.term > 1 && now < first {
 		return false
 	}
-	return shard.HasCommandLease(m.now) && shard.HasCommandLease(m.now+commandTimeout)
+	return shard.HasCommandLease(now) && shard.HasCommandLease(now+commandTimeout)
 }
 
 // commandToken orders all commands that a replica ever gets: first by the term
@@ -154,55 +154,37 @@
 	return term<<revisionBits | phaseRevision&(1<<revisionBits-1)
 }
 
-// CommandDone takes the outcome of a command.
-func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) {
-	m.now = now
-	for _, id := range m.shardIDs {
-		progress := m.shards[id].progress[command.Address]
-		if progress != nil && progress.inFlight && progress.token == command.Token {
-			m.commandDone(progress, command, outcome)
-		}
-	}
-	m.wake()
-}
-
-func (m *Machine) commandDone(progress *replicaProgress, command Command, outcome CommandOutcome) {
-	progress.inFlight = false
+// commandDone takes the outcome of the command in flight.
+func (p *replicaProgress) commandDone(now time.Duration, outcome CommandOutcome) {
+	p.inFlight = false
 	switch outcome {
 	case CommandUpToDate:
-		progress.accepted = true
-		progress.reportValidFrom = m.now
-		m.recordReport(ReplicaReport{
-			Address:       command.Address,
-			Instance:      command.Instance,
-			Incarnation:   m.reports[command.Address].Incarnation,
-			WeightVersion: command.WeightVersion,
-			MeasuredAt:    m.now,
-		})
+		p.accepted = true
+		p.reportValidFrom = now
 	case CommandAccepted:
-		progress.accepted = true
-		progress.failures = 0
-		progress.reportValidFrom = m.now + reportStabilization
-		progress.nextReport = max(progress.reportValidFrom, progress.sentAt+progress.expectedLoad/2)
+		p.accepted = true
+		p.failures = 0
+		p.reportValidFrom = now + reportStabilization
+		p.nextReport = max(p.reportValidFrom, p.sentAt+p.expectedLoad/2)
 	case CommandUnknown:
-		progress.accepted = true
-		progress.reportValidFrom = m.now + reportStabilization
-		progress.nextReport = progress.reportValidFrom
-		m.backOffCommands(progress)
+		p.accepted = true
+		p.reportValidFrom = now + reportStabilization
+		p.nextReport = p.reportValidFrom
+		p.backOff(now)
 	case CommandBusy:
-		progress.accepted = true
-		progress.reportValidFrom = m.now + reportStabilization
-		progress.nextReport = progress.reportValidFrom
+		p.accepted = true
+		p.reportValidFrom = now + reportStabilization
+		p.nextReport = p.reportValidFrom
 	case CommandFenced:
-		progress.fenced = true
-		m.backOffCommands(progress)
+		p.fenced = true
+		p.backOff(now)
 	default:
-		m.backOffCommands(progress)
+		p.backOff(now)
 	}
 }
 
-// backOffCommands delays the next command, longer with each failure.
-func (m *Machine) backOffCommands(progress *replicaProgress) {
-	progress.nextCommand = m.now + backoff(minCommandBackoff, progress.failures, maxCommandBackoff)
-	progress.failures++
+// backOff delays the next command, longer with each failure.
+func (p *replicaProgress) backOff(now time.Duration) {
+	p.nextCommand = now + backoff(minCommandBackoff, p.failures, maxCommandBackoff)
+	p.failures++
 }
--- a/internal/control/rollout/commands_test.go
+++ b/internal/control/rollout/commands_test.go
@@ -35,8 +35,7 @@
 		return machine
 	}
 	mayCommandAt := func(machine *Machine, shard Shard, now time.Duration) bool {
-		machine.now = now
-		return machine.commandLeaseValid(shard, machine.shards[1])
+		return machine.shards[1].commandLeaseValid(now, config, shard)
 	}
 
 	It("waits until the last command of the one before is as old as the commands of two leaders must be apart", func() {
--- a/internal/control/rollout/doc.go
+++ b/internal/control/rollout/doc.go
@@ -7,11 +7,13 @@
 // state of the shard and not of this package: Machine proposes changes of them and
 // sees them again once they are committed.
 //
-// Machine owns what a leader may lose: the reports of replicas, where it stands with
-// each replica that a row keeps requests from, and the pace of each pool. A new leader
-// gathers that anew and repeats commands under its own term. Commands carry a token of
-// term and revision, and two leaders' commands to one replica are CommandGap apart,
-// so that replicas which check no tokens are safe as well.
+// Machine owns what a leader may lose: shardState is where it stands with each replica
+// that a row keeps requests from, and the pace of each pool; replicaReports are the
+// reports of replicas and the requests for them. A new leader gathers that anew and
+// repeats commands under its own term. poolRollout decides the next moves of one pool.
+//
+// Commands carry a token of term and revision, and two leaders' commands to one replica
+// are CommandGap apart, so that replicas which check no tokens are safe as well.
 //
 // Machine does no I/O, reads no clock and is not safe for concurrent use. Every input
 // comes with the time; outputs are gathered until Take.
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -53,24 +53,19 @@
 	Endpoints []listing.Replica
 }
 
-// Machine rolls out weights in the service shards that a node leads. It owns the
-// reports of replicas and the progress of each roll-out. It is not safe for
-// concurrent use.
+// Machine rolls out weights in the service shards that a node leads. It owns what the
+// leader remembers of each shard, the reports of replicas, and when the next moves are
+// looked for. It is not safe for concurrent use.
 type Machine struct {
 	config  Config
-	now     time.Duration
 	nextRun time.Duration
 	// shardIDs are the shards that this node hosts, and shards what it remembers of
 	// each.
 	shardIDs []uint32
 	shards   map[uint32]*shardState
-	// evacuated are the zones without requests, as of the last Advance.
-	evacuated shardstate.ZoneSet
-	// reports are the newest of each replica, and requests the state of those for the
-	// next.
-	reports  map[string]ReplicaReport
-	requests map[string]*reportRequest
-	output   Output
+	reports  *replicaReports
+	// commands are those to send.
+	commands []Command
 }
 
 // Output is what a node has to do for its roll-outs.
@@ -87,11 +82,9 @@
 func New(config Config, shardIDs []uint32, now time.Duration) *Machine {
 	machine := &Machine{
 		config:   config,
-		now:      now,
 		shardIDs: shardIDs,
 		shards:   map[uint32]*shardState{},
-		reports:  map[string]ReplicaReport{},
-		requests: map[string]*reportRequest{},
+		reports:  newReplicaReports(),
 	}
 	for _, id := range shardIDs {
 		machine.shards[id] = newShardState(0, now)
@@ -115,14 +108,9 @@
 // Wake has the next moves looked for at the next tick, if any replica is being moved:
 // something has come that one may wait for.
 func (m *Machine) Wake(now time.Duration) {
-	m.now = now
-	m.wake()
-}
-
-func (m *Machine) wake() {
 	for _, id := range m.shardIDs {
 		if len(m.shards[id].progress) > 0 {
-			m.nextRun = m.now
+			m.nextRun = now
 			return
 		}
 	}
@@ -140,8 +128,6 @@
 // node must have applied everything in the shard's log, so that no change is made
 // from rows that another change is about to replace.
 func (m *Machine) Advance(now time.Duration, shard Shard, pools []Pool, evacuated shardstate.ZoneSet) *controlpb.SetReplicas {
-	m.now = now
-	m.evacuated = evacuated
 	state := m.shards[shard.ID()]
 	change := &controlpb.SetReplicas{}
 	endpoints := map[string]listing.Replica{}
@@ -149,19 +135,64 @@
 		for _, replica := range pool.Endpoints {
 			endpoints[replica.Address] = replica
 		}
-		m.advancePool(shard, state, pool, change)
+		rolling := &poolRollout{
+			config:    m.config,
+			now:       now,
+			shard:     shard,
+			state:     state,
+			reports:   m.reports,
+			pool:      pool.Config,
+			pace:      state.paceFor(pool.Config, now, m.config),
+			evacuated: evacuated,
+		}
+		rolling.addReplicas(pool.Endpoints)
+		change.Replicas = append(change.Replicas, rolling.advance()...)
+		m.commands = append(m.commands, rolling.commands...)
 	}
 	state.pruneProgress(shard.Rows())
-	change.Removed = m.obsoleteRows(state, shard.Rows(), endpoints)
+	change.Removed = state.obsoleteRows(now, shard.Rows(), endpoints)
 	if len(change.Replicas) == 0 && len(change.Removed) == 0 {
 		return nil
 	}
 	return change
 }
 
+// CommandDone takes the outcome of a command.
+func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) {
+	for _, id := range m.shardIDs {
+		progress := m.shards[id].progress[command.Address]
+		if progress == nil || !progress.inFlight || progress.token != command.Token {
+			continue
+		}
+		progress.commandDone(now, outcome)
+		if outcome == CommandUpToDate {
+			m.reports.record(ReplicaReport{
+				Address:       command.Address,
+				Instance:      command.Instance,
+				Incarnation:   m.reports.newest[command.Address].Incarnation,
+				WeightVersion: command.WeightVersion,
+				MeasuredAt:    now,
+			})
+		}
+	}
+	m.Wake(now)
+}
+
+// SetReport takes what a replica reported of itself.
+func (m *Machine) SetReport(now time.Duration, report ReplicaReport) {
+	m.reports.receive(report)
+	m.Wake(now)
+}
+
+// ReportFailed reports that a replica gave no report.
+func (m *Machine) ReportFailed(now time.Duration, address string) { m.reports.fail(now, address) }
+
+// ForgetAbsent drops the reports of replicas that left the platform's list.
+func (m *Machine) ForgetAbsent(replicas []listing.Replica) { m.reports.forgetAbsent(replicas) }
+
 // Take returns what has been gathered since the last call.
 func (m *Machine) Take() Output {
-	output := m.output
-	m.output = Output{}
+	output := Output{Commands: m.commands, Reports: m.reports.takeDue()}
+	m.commands = nil
 	return output
 }
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -56,98 +56,115 @@
 	failures    int
 }
 
-// requestReport asks a replica for its report, unless a request is in flight or the last
-// one was a moment ago. One that does not respond is asked less and less often.
-func (m *Machine) requestReport(address, instance string) {
-	request := m.requests[address]
+// replicaReports owns the newest report of each replica and this node's requests for the
+// next.
+type replicaReports struct {
+	newest   map[string]ReplicaReport
+	requests map[string]*reportRequest
+	// due are the requests to send.
+	due []ReportRequest
+}
+
+func newReplicaReports() *replicaReports {
+	return &replicaReports{newest: map[string]ReplicaReport{}, requests: map[string]*reportRequest{}}
+}
+
+// request asks a replica for its report, unless a request is in flight or the last one was
+// a moment ago. One that does not respond is asked less and less often.
+func (r *replicaReports) request(now time.Duration, replica listing.Replica) {
+	request := r.requests[replica.Address]
 	if request == nil {
 		request = &reportRequest{}
-		m.requests[address] = request
+		r.requests[replica.Address] = request
 	}
-	if request.inFlight && m.now-request.sentAt < reportTimeout || m.now < request.nextAttempt {
+	if request.inFlight && now-request.sentAt < reportTimeout || now < request.nextAttempt {
 		return
 	}
 	request.inFlight = true
-	request.sentAt = m.now
-	m.output.Reports = append(m.output.Reports, ReportRequest{Address: address, Instance: instance})
+	request.sentAt = now
+	r.due = append(r.due, ReportRequest{Address: replica.Address, Instance: replica.Instance})
 }
 
-// requestReportNow asks a replica without the usual pause if it responded last time, since
-// only a report from now on shows what the leader waits for.
-func (m *Machine) requestReportNow(address, instance string) {
-	if request := m.requests[address]; request != nil && request.failures == 0 {
+// requestNow asks a replica without the usual pause if it responded last time, since only a
+// report from now on shows what the leader waits for.
+func (r *replicaReports) requestNow(now time.Duration, replica listing.Replica) {
+	if request := r.requests[replica.Address]; request != nil && request.failures == 0 {
 		request.inFlight = false
-		request.nextAttempt = m.now
+		request.nextAttempt = now
 	}
-	m.requestReport(address, instance)
+	r.request(now, replica)
 }
 
-// SetReport takes what a replica reported of itself.
-func (m *Machine) SetReport(now time.Duration, report ReplicaReport) {
-	m.now = now
-	m.recordReport(report)
-	if request := m.requests[report.Address]; request != nil {
+// receive takes what a replica reported of itself.
+func (r *replicaReports) receive(report ReplicaReport) {
+	r.record(report)
+	if request := r.requests[report.Address]; request != nil {
 		request.inFlight = false
 		request.failures = 0
 		request.nextAttempt = request.sentAt + reportInterval
 	}
-	m.wake()
 }
 
-// recordReport keeps the newest report of a replica.
-func (m *Machine) recordReport(report ReplicaReport) {
-	if known, found := m.reports[report.Address]; found && known.MeasuredAt > report.MeasuredAt {
+// record keeps the newest report of a replica.
+func (r *replicaReports) record(report ReplicaReport) {
+	if known, found := r.newest[report.Address]; found && known.MeasuredAt > report.MeasuredAt {
 		return
 	}
-	m.reports[report.Address] = report
+	r.newest[report.Address] = report
 }
 
-// ReportFailed reports that a replica gave no report.
-func (m *Machine) ReportFailed(now time.Duration, address string) {
-	m.now = now
-	if request := m.requests[address]; request != nil {
+// fail records that a replica gave no report.
+func (r *replicaReports) fail(now time.Duration, address string) {
+	if request := r.requests[address]; request != nil {
 		request.inFlight = false
 		request.nextAttempt = now + backoff(reportInterval, request.failures, maxReportBackoff)
 		request.failures++
 	}
 }
 
-// ForgetAbsent drops the reports of replicas that left the platform's list.
-func (m *Machine) ForgetAbsent(replicas []listing.Replica) {
+// forgetAbsent drops the reports of replicas that left the platform's list.
+func (r *replicaReports) forgetAbsent(replicas []listing.Replica) {
 	present := map[string]struct{}{}
 	for _, replica := range replicas {
 		present[replica.Address] = struct{}{}
 	}
-	for address := range m.requests {
+	for address := range r.requests {
 		if _, found := present[address]; !found {
-			delete(m.requests, address)
-			delete(m.reports, address)
+			delete(r.requests, address)
+			delete(r.newest, address)
 		}
 	}
 }
 
-// reportIsFresh reports whether a replica answered lately.
-func (m *Machine) reportIsFresh(address string) bool {
-	report, known := m.reports[address]
-	return known && m.now-report.MeasuredAt < reportFreshness
+// fresh returns a replica's report if the replica answered lately.
+func (r *replicaReports) fresh(now time.Duration, address string) (ReplicaReport, bool) {
+	report, known := r.newest[address]
+	return report, known && now-report.MeasuredAt < reportFreshness
 }
 
-// reportSince returns a replica's report if it was measured after an instant, in
-// the incarnation that the list names.
-func (m *Machine) reportSince(address, instance string, since time.Duration) (ReplicaReport, bool) {
-	report, known := m.reports[address]
+// since returns a replica's report if it was measured after an instant, in the incarnation
+// that the list names.
+func (r *replicaReports) since(replica listing.Replica, since time.Duration) (ReplicaReport, bool) {
+	report, known := r.newest[replica.Address]
 	if !known || report.MeasuredAt < since {
 		return ReplicaReport{}, false
 	}
-	if instance != "" && report.Instance != "" && report.Instance != instance {
+	if replica.Instance != "" && report.Instance != "" && report.Instance != replica.Instance {
 		return ReplicaReport{}, false
 	}
 	return report, true
 }
 
 // unresponsive reports whether a replica has left reports unanswered lately.
-func (m *Machine) unresponsive(address string) bool {
+func (r *replicaReports) unresponsive(address string) bool {
 	const fewFailures = 2
-	request := m.requests[address]
+	request := r.requests[address]
 	return request != nil && request.failures >= fewFailures
 }
+
+// takeDue returns the requests to send and starts anew.
+func (r *replicaReports) takeDue() []ReportRequest {
+	due := r.due
+	r.due = nil
+	return due
+}
--- a/internal/control/rollout/selection.go
+++ b/internal/control/rollout/selection.go
@@ -10,26 +10,26 @@
 // selectForUpdate returns the replicas to take out of service now: as many as the pace
 // allows, from the zones with the fewest out of service, the least busy first. The last
 // serving replica of a zone stays until the roll-out is overdue.
-func (m *Machine) selectForUpdate(rolling poolRollout, moved map[string]struct{}) []poolReplica {
-	candidates := slices.DeleteFunc(slices.Clone(rolling.replicas), func(replica poolReplica) bool {
+func (p *poolRollout) selectForUpdate(moved map[string]struct{}) []poolReplica {
+	candidates := slices.DeleteFunc(slices.Clone(p.replicas), func(replica poolReplica) bool {
 		_, done := moved[replica.Address]
-		return done || !m.needsUpdate(rolling, replica)
+		return done || !p.needsUpdate(replica)
 	})
-	zones := m.countZones(rolling)
-	free := m.rolloutCapacity(rolling, len(candidates))
+	zones := p.countZones()
+	free := p.rolloutCapacity(len(candidates))
 	var selected []poolReplica
 	for free > 0 && len(candidates) > 0 {
 		slices.SortStableFunc(candidates, func(a, b poolReplica) int {
 			return cmp.Or(
-				compareEvacuated(m.evacuated, a.Zone, b.Zone),
+				compareEvacuated(p.evacuated, a.Zone, b.Zone),
 				cmp.Compare(zones[a.Zone].out, zones[b.Zone].out),
-				cmp.Compare(m.reports[a.Address].ActiveRequests, m.reports[b.Address].ActiveRequests),
+				cmp.Compare(p.reports.newest[a.Address].ActiveRequests, p.reports.newest[b.Address].ActiveRequests),
 			)
 		})
 		next := candidates[0]
 		candidates = candidates[1:]
 		zone := zones[next.Zone]
-		if !m.evacuated.Has(next.Zone) && zone.serving <= 1 && zone.serving+zone.out > 1 && !rolling.pace.overdue(m.now) {
+		if !p.evacuated.Has(next.Zone) && zone.serving <= 1 && zone.serving+zone.out > 1 && !p.pace.overdue(p.now) {
 			continue
 		}
 		zone.serving--
@@ -57,9 +57,9 @@
 	serving, out int
 }
 
-func (m *Machine) countZones(rolling poolRollout) map[string]*zoneCount {
+func (p *poolRollout) countZones() map[string]*zoneCount {
 	zones := map[string]*zoneCount{}
-	for _, replica := range rolling.replicas {
+	for _, replica := range p.replicas {
 		zone := zones[replica.Zone]
 		if zone == nil {
 			zone = &zoneCount{}
@@ -77,24 +77,25 @@
 
 // rolloutCapacity returns how many more replicas may be taken out of service. Those that
 // do not respond don't count: they serve nobody.
-func (m *Machine) rolloutCapacity(rolling poolRollout, candidates int) int {
+func (p *poolRollout) rolloutCapacity(candidates int) int {
 	out := 0
-	for _, replica := range rolling.replicas {
-		if replica.outOfService() && !m.seemsUnavailable(rolling, replica) {
+	for _, replica := range p.replicas {
+		if replica.outOfService() && !p.seemsUnavailable(replica) {
 			out++
 		}
 	}
 	// Those that are out are half through on average.
 	left := candidates + (out+1)/2
-	return rolling.pace.allowed(m.now, left, len(rolling.replicas)) - out
+	return p.pace.allowed(p.now, left, len(p.replicas)) - out
 }
 
 // seemsUnavailable reports whether a replica has not responded for so long that taking it
 // out of service costs nothing. A leader that has only begun to ask knows of none.
-func (m *Machine) seemsUnavailable(rolling poolRollout, replica poolReplica) bool {
+func (p *poolRollout) seemsUnavailable(replica poolReplica) bool {
 	if replica.WeightVersion != "" {
-		return m.unresponsive(replica.Address)
+		return p.reports.unresponsive(replica.Address)
 	}
-	leading := m.now - rolling.state.since
-	return leading >= reportFreshness && !m.reportIsFresh(replica.Address)
+	leading := p.now - p.state.since
+	_, fresh := p.reports.fresh(p.now, replica.Address)
+	return leading >= reportFreshness && !fresh
 }
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -4,9 +4,14 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
+	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
+// rowRetention is how long a row is kept for a serving replica whose version the list
+// shows. The list has caught up with the row by then.
+const rowRetention = 10 * time.Second
+
 // shardState is what the leader of a service shard remembers of its roll-outs.
 // It may be lost: a new leader repeats a command under its own term.
 type shardState struct {
@@ -113,3 +118,36 @@
 		}
 	}
 }
+
+// obsoleteRows lists the addresses of rows that are no longer needed: those of replicas
+// that left the list or came back as another incarnation, and those that the list has
+// caught up with.
+func (s *shardState) obsoleteRows(now time.Duration, rows []*controlpb.ReplicaState, endpoints map[string]listing.Replica) []string {
+	var obsolete []string
+	for _, row := range rows {
+		replica, found := endpoints[row.GetAddress()]
+		if !found || !sameInstance(row, replica) || s.caughtUp(now, row, replica) {
+			obsolete = append(obsolete, row.GetAddress())
+		}
+	}
+	return obsolete
+}
+
+// caughtUp reports whether the list knows as much as a row by now.
+func (s *shardState) caughtUp(now time.Duration, row *controlpb.ReplicaState, endpoint listing.Replica) bool {
+	address := row.GetAddress()
+	if endpoint.WeightVersion == "" || row.GetPhase() != controlpb.ReplicaPhase_SERVING {
+		delete(s.servingSince, address)
+		return false
+	}
+	since, seen := s.servingSince[address]
+	if !seen {
+		s.servingSince[address] = now
+		return false
+	}
+	if now-since < rowRetention {
+		return false
+	}
+	delete(s.servingSince, address)
+	return true
+}
