--- a/internal/control/driver/driver.go
+++ b/internal/control/driver/driver.go
@@ -8,9 +8,8 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/logring"
-	"github.com/ridgeswitch/ridgeswitch/internal/routing"
-	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
@@ -43,6 +42,12 @@
 	ReadEndpoints()
 }
 
+// TrafficReceiver takes in what other nodes report of their traffic. It is safe
+// for concurrent use.
+type TrafficReceiver interface {
+	TakeBatch(batch gossip.Batch)
+}
+
 // Options connect a control machine to its daemon.
 type Options struct {
 	// TickEvery is how often the machine looks at the clock; zero stands for
@@ -63,26 +68,21 @@
 }
 
 // Driver runs a Machine: one goroutine owns it, feeds it inputs and carries out
-// its outputs. Traffic reads the newest view without waiting for it.
+// its outputs. Traffic reads what is Published without waiting for it.
 type Driver struct {
-	machine     *control.Machine
-	options     Options
-	inputs      chan func(now time.Duration) control.Output
-	writeQueues map[uint32]chan control.StorageWrite
-	done        chan struct{}
-
-	view       atomic.Pointer[routing.View]
-	serveUntil atomic.Int64
-	lastRun    atomic.Int64
-	prepared   atomic.Bool
-	peers      livePeers
-	sent       sentCounts
+	Published
+
+	machine *control.Machine
+	options Options
+	inputs  chan func(now time.Duration) control.Output
+	done    chan struct{}
+	writers map[uint32]*shardWriter
+	frames  frameSender
 	// orderIDs counts the identities that NewOrderID has given.
 	orderIDs atomic.Uint64
 
-	// replyChannels belongs to the control goroutine.
-	replyChannels map[uint64]chan control.Reply
-	nextTicket    uint64
+	// replies belongs to the control goroutine.
+	replies replies
 	// loggedFences and loggedBadEntries are what logIncidents saw last.
 	loggedFences     uint64
 	loggedBadEntries uint64
@@ -91,15 +91,24 @@
 // New returns a driver that is not running yet.
 func New(machine *control.Machine, options Options) *Driver {
 	driver := &Driver{
-		machine:       machine,
-		options:       options,
-		inputs:        make(chan func(time.Duration) control.Output, inputBacklog),
-		writeQueues:   map[uint32]chan control.StorageWrite{},
-		done:          make(chan struct{}),
-		replyChannels: map[uint64]chan control.Reply{},
+		Published: Published{clock: options.Clock},
+		machine:   machine,
+		options:   options,
+		inputs:    make(chan func(time.Duration) control.Output, inputBacklog),
+		done:      make(chan struct{}),
+		writers:   map[uint32]*shardWriter{},
+		frames:    frameSender{deployment: options.Deployment, self: machine.Self(), sender: options.Sender},
+		replies:   replies{channels: map[uint64]chan control.Reply{}},
 	}
-	for id := range options.Storage {
-		driver.writeQueues[id] = make(chan control.StorageWrite, 1)
+	for id, storage := range options.Storage {
+		driver.writers[id] = &shardWriter{
+			storage: storage,
+			log:     options.Log,
+			queue:   make(chan control.StorageWrite, 1),
+			written: func() {
+				driver.post(func(now time.Duration) control.Output { return machine.StorageWritten(now, id) })
+			},
+		}
 	}
 	return driver
 }
@@ -107,8 +116,8 @@
 // Serve runs the machine until the context ends.
 func (d *Driver) Serve(ctx context.Context) error {
 	defer close(d.done)
-	for id, queue := range d.writeQueues {
-		go d.writeLoop(ctx, id, queue)
+	for _, writer := range d.writers {
+		go writer.run(ctx)
 	}
 	ticker := time.NewTicker(d.tickEvery())
 	defer ticker.Stop()
@@ -135,24 +144,17 @@
 // perform carries out an output. What traffic may see changes first, so that
 // nothing is confirmed to others before it is in force here.
 func (d *Driver) perform(output control.Output) {
-	if output.View != nil {
-		d.view.Store(output.View)
-	}
-	d.serveUntil.Store(int64(d.machine.ServeUntil()))
-	d.lastRun.Store(int64(d.machine.Now()))
-	d.prepared.Store(d.machine.Prepared())
-	d.peers.follow(d.machine)
-	for _, save := range output.Writes {
-		d.writeQueues[save.Shard] <- save
+	d.publish(d.machine, output.View)
+	for _, write := range output.Writes {
+		d.writers[write.Shard].queue <- write
 	}
 	for _, send := range output.Sends {
 		if send.Address != "" {
-			send.Envelope.Deployment = d.options.Deployment
-			d.sendFrame(send.Address, d.machine.ZoneOf(send.To), wire.Encode(send.Envelope))
+			d.frames.send(send.Address, d.machine.ZoneOf(send.To), send.Envelope)
 		}
 	}
 	for _, reply := range output.Replies {
-		d.deliver(reply)
+		d.replies.deliver(reply)
 	}
 	for _, command := range output.Commands {
 		d.options.Commander.Command(command)
@@ -165,11 +167,11 @@
 	}
 }
 
-// sendFrame sends a frame to an address in a zone, "" if that is not known.
-func (d *Driver) sendFrame(address, zone string, frame []byte) {
-	d.sent.add(frame, distanceBetween(d.machine.Self().Zone, zone))
-	d.options.Sender.Send(address, frame)
-}
+// SendTraffic sends a batch of updates about traffic to other nodes. It may get lost.
+func (d *Driver) SendTraffic(send gossip.Outbound) { d.frames.sendTraffic(send) }
+
+// Sent returns the counts of all kinds of messages that have been sent.
+func (d *Driver) Sent() []SentCount { return d.frames.sent.all() }
 
 // logIncidents logs the counters whose growth has the log ring written out.
 func (d *Driver) logIncidents() {
--- a/internal/control/driver/sent_counts.go
+++ b/internal/control/driver/frame_sender.go
@@ -3,7 +3,9 @@
 import (
 	"sync/atomic"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
 // Distance is where the receiver of a message is, as seen from its sender.
@@ -61,12 +63,12 @@
 	}
 }
 
-// Sent returns the counts of all kinds of messages that have been sent.
-func (d *Driver) Sent() []SentCount {
+// all returns the counts of all kinds of messages that have been sent.
+func (c *sentCounts) all() []SentCount {
 	var counts []SentCount
 	for kind := range wire.KindCount {
 		for to := range distanceCount {
-			one := &d.sent[kind][to]
+			one := &c[kind][to]
 			if frames := one.frames.Load(); frames > 0 {
 				counts = append(counts, SentCount{Kind: kind, Distance: to, Frames: frames, Bytes: one.bytes.Load()})
 			}
@@ -74,3 +76,31 @@
 	}
 	return counts
 }
+
+// frameSender encodes and sends the messages of this node, and owns the counts of them. It
+// is safe for concurrent use.
+type frameSender struct {
+	deployment string
+	self       member.Info
+	sender     Sender
+	sent       sentCounts
+}
+
+// send sends a message to an address in a zone, "" if that is not known.
+func (s *frameSender) send(address, zone string, envelope wire.Envelope) {
+	envelope.Deployment = s.deployment
+	s.sendFrame(address, zone, wire.Encode(envelope))
+}
+
+func (s *frameSender) sendFrame(address, zone string, frame []byte) {
+	s.sent.add(frame, distanceBetween(s.self.Zone, zone))
+	s.sender.Send(address, frame)
+}
+
+// sendTraffic sends a batch of updates about traffic, encoded once for all receivers.
+func (s *frameSender) sendTraffic(send gossip.Outbound) {
+	frame := wire.Encode(wire.Envelope{Deployment: s.deployment, From: s.self.ID, Traffic: &send.Batch})
+	for _, to := range send.To {
+		s.sendFrame(to.Address, to.Zone, frame)
+	}
+}
--- a/internal/control/driver/inputs.go
+++ b/internal/control/driver/inputs.go
@@ -3,8 +3,10 @@
 import (
 	"time"
 
+	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
+	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
 // post hands an input to the control goroutine and drops it once the driver has
@@ -28,7 +30,11 @@
 		return
 	}
 	if envelope.Traffic != nil {
-		d.receiveTraffic(envelope)
+		// Updates about traffic do not go through the control goroutine, as they change
+		// no control state.
+		if d.options.Traffic != nil {
+			d.options.Traffic.TakeBatch(*envelope.Traffic)
+		}
 		return
 	}
 	d.post(func(now time.Duration) control.Output { return d.machine.Receive(now, envelope) })
@@ -75,6 +81,30 @@
 	return addresses
 }
 
+// Weights describes the roll-out of a pool. It fails with an *UnknownPoolError when there
+// is no such pool, and also when the driver has stopped.
+func (d *Driver) Weights(pool string) (*ridgeswitchv1.WeightsStatus, error) {
+	var status *ridgeswitchv1.WeightsStatus
+	d.call(func(time.Duration) control.Output {
+		status = d.machine.Weights(pool)
+		return control.Output{}
+	})
+	if status == nil {
+		return nil, &UnknownPoolError{Pool: pool}
+	}
+	return status, nil
+}
+
+// Status describes this node's view of the deployment.
+func (d *Driver) Status() *ridgeswitchv1.NodeStatus {
+	status := &ridgeswitchv1.NodeStatus{}
+	d.call(func(time.Duration) control.Output {
+		status = d.machine.Status()
+		return control.Output{}
+	})
+	return status
+}
+
 // Leave announces that the node stops and hands over what it leads.
 func (d *Driver) Leave() {
 	d.call(func(now time.Duration) control.Output { return d.machine.Leave(now) })
@@ -93,3 +123,18 @@
 	case <-d.done:
 	}
 }
+
+// UnknownPoolError reports that no pool has the given name.
+type UnknownPoolError struct {
+	Pool string
+}
+
+// Error implements error.
+func (e *UnknownPoolError) Error() string {
+	return "no pool is named " + e.Pool + "; list the pools with `ridgeswitch get`"
+}
+
+// Problem is the error as operators get it.
+func (e *UnknownPoolError) Problem() *ridgeswitchv1.Problem {
+	return &ridgeswitchv1.Problem{Kind: string(dynamic.KindNotFound), Message: e.Error(), Field: "pool"}
+}
--- a/internal/control/driver/peers.go
+++ b/internal/control/driver/peers.go
@@ -4,17 +4,9 @@
 	"sync/atomic"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
-	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
-	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// TrafficReceiver takes in what other nodes report of their traffic. It is safe
-// for concurrent use.
-type TrafficReceiver interface {
-	TakeBatch(batch gossip.Batch)
-}
-
 // livePeers are the live nodes, for traffic to read without waiting for
 // control.
 type livePeers struct {
@@ -48,41 +40,3 @@
 	}
 	return peers
 }
-
-// Peers returns the live nodes that serve callers; read only.
-func (d *Driver) Peers() []member.Info {
-	if published := d.peers.published.Load(); published != nil {
-		return published.serving
-	}
-	return nil
-}
-
-// LiveNodes returns all live nodes; read only.
-func (d *Driver) LiveNodes() []member.Info {
-	if published := d.peers.published.Load(); published != nil {
-		return published.all
-	}
-	return nil
-}
-
-// SendTraffic sends a batch of updates about traffic to other nodes. It may get
-// lost.
-func (d *Driver) SendTraffic(send gossip.Outbound) {
-	envelope := wire.Envelope{
-		Deployment: d.options.Deployment,
-		From:       d.machine.Self().ID,
-		Traffic:    &send.Batch,
-	}
-	frame := wire.Encode(envelope)
-	for _, to := range send.To {
-		d.sendFrame(to.Address, to.Zone, frame)
-	}
-}
-
-// receiveTraffic passes updates about traffic on. It does not go through the
-// control goroutine, as it changes no control state.
-func (d *Driver) receiveTraffic(envelope wire.Envelope) {
-	if d.options.Traffic != nil {
-		d.options.Traffic.TakeBatch(*envelope.Traffic)
-	}
-}
--- /dev/null
+++ b/internal/control/driver/published.go
@@ -0,0 +1,103 @@
+package driver
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+
+	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+	"github.com/ridgeswitch/ridgeswitch/internal/control"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+	"github.com/ridgeswitch/ridgeswitch/pkg/member"
+)
+
+// ErrNotServing is returned for traffic while the node may be partitioned, or has
+// not learnt yet what is in force.
+var ErrNotServing = errors.New("the node is not serving: it may be cut off or has not learnt the current configuration; use another node")
+
+// ErrNotPrepared is returned while a node does not know the back ends yet.
+var ErrNotPrepared = errors.New("the node has not learnt all back ends yet; use another node")
+
+// stalledAfter is how long the control goroutine may be busy before the node
+// counts as stuck.
+const stalledAfter = 5 * time.Second
+
+// Published is what the control goroutine publishes after each input, for traffic and others
+// to read without waiting for control. It is safe for concurrent use.
+type Published struct {
+	clock      func() time.Duration
+	view       atomic.Pointer[routing.View]
+	serveUntil atomic.Int64
+	lastRun    atomic.Int64
+	prepared   atomic.Bool
+	peers      livePeers
+}
+
+// publish publishes what may have changed with an input. It is called on the control
+// goroutine.
+func (p *Published) publish(machine *control.Machine, view *routing.View) {
+	if view != nil {
+		p.view.Store(view)
+	}
+	p.serveUntil.Store(int64(machine.ServeUntil()))
+	p.lastRun.Store(int64(machine.Now()))
+	p.prepared.Store(machine.Prepared())
+	p.peers.follow(machine)
+}
+
+// Configuration returns the configuration in force on this node, or nil before
+// the first view. It may be older than the newest one; see ReadConfiguration.
+func (p *Published) Configuration() *ridgeswitchv1.Configuration {
+	view := p.view.Load()
+	if view == nil {
+		return nil
+	}
+	return view.Configuration
+}
+
+// View returns the newest view, or nil before the first one.
+func (p *Published) View() *routing.View { return p.view.Load() }
+
+// Live returns an error when the control goroutine has handled no input for stalledAfter.
+func (p *Published) Live() error {
+	if idle := p.clock() - time.Duration(p.lastRun.Load()); idle > stalledAfter {
+		return errors.Errorf("control has not run for %s; restart the node", idle)
+	}
+	return nil
+}
+
+// Ready returns nil while new connections may be sent to the node.
+func (p *Published) Ready() error {
+	if err := p.Serving(); err != nil {
+		return err
+	}
+	if !p.prepared.Load() {
+		return ErrNotPrepared
+	}
+	return nil
+}
+
+// Serving returns nil while the node may admit traffic.
+func (p *Published) Serving() error {
+	if p.view.Load() == nil || p.clock() >= time.Duration(p.serveUntil.Load()) {
+		return ErrNotServing
+	}
+	return nil
+}
+
+// Peers returns the live nodes that serve callers; read only.
+func (p *Published) Peers() []member.Info {
+	if published := p.peers.published.Load(); published != nil {
+		return published.serving
+	}
+	return nil
+}
+
+// LiveNodes returns all live nodes; read only.
+func (p *Published) LiveNodes() []member.Info {
+	if published := p.peers.published.Load(); published != nil {
+		return published.all
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/control/driver/shard_writer.go
@@ -0,0 +1,62 @@
+package driver
+
+import (
+	"context"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/control"
+)
+
+// writeRetryEvery is the pause before a failed write is tried again.
+const writeRetryEvery = time.Second
+
+// shardWriter makes durable what one shard has to keep, in a goroutine of its own.
+type shardWriter struct {
+	storage Storage
+	log     *logrus.Entry
+	// queue holds the outstanding write: a shard has one at the most.
+	queue chan control.StorageWrite
+	// written is called after each write that is durable.
+	written func()
+}
+
+// run writes until the context ends. While a write fails it is repeated, and the shard
+// sends nothing that depends on it: its group goes on without this member.
+func (w *shardWriter) run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case write := <-w.queue:
+			if !w.writeUntilDurable(ctx, write) {
+				return
+			}
+			w.written()
+		}
+	}
+}
+
+// writeUntilDurable repeats a failed write, as a full disk may get free space again.
+func (w *shardWriter) writeUntilDurable(ctx context.Context, write control.StorageWrite) bool {
+	for {
+		err := w.write(write)
+		if err == nil {
+			return true
+		}
+		w.log.WithError(err).WithField("shard", write.Shard).Error("cannot write control state; free space in the data folder or replace the disk")
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(writeRetryEvery):
+		}
+	}
+}
+
+func (w *shardWriter) write(write control.StorageWrite) error {
+	if write.Checkpoint == nil {
+		return w.storage.Save(write.Ready)
+	}
+	return w.storage.Checkpoint(write.Checkpoint.HardState, write.Checkpoint.Snapshot, write.Checkpoint.Entries)
+}
