--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -24,7 +24,7 @@
 	machine.outbox = &outbox{self: config.Self.ID, members: machine.members, receive: machine.receiveControl}
 	machine.views = newViewRefresher(config)
 	machine.rollout = newRollout(config, now)
-	machine.endpoints = newEndpointList(config, machine.outbox, machine.rollout, machine.views, now)
+	machine.endpoints = newLocalEndpoints(config, machine.outbox, machine.rollout, machine.views, now)
 
 	machine.confirmations = confirmation.NewTable(confirmation.TableConfig{
 		RequestEvery: config.Times.ConfirmEvery,
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// publish confirms the received states, which the view that this input makes serves.
+// publish records that the view which is about to be published serves the received states,
+// and confirms that.
 func (c *localConfirmations) publish(now time.Duration) {
 	for _, id := range c.shards.ids {
 		c.local.Publish(id, c.received.Revision(id))
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -32,8 +32,8 @@
 //	how far the newest states have come       confirmation.Disseminator
 //	searches for lost shards, observed terms  recovery.Machine
 //	roll-outs, commands, replicas' reports    rollout.Machine
-//	the platform's list                       endpointList: listing.Machine
-//	the list as the node uses it              endpointList: backends, endpointFreshness
+//	the platform's list                       localEndpoints: listing.Machine
+//	the list as the node uses it              localEndpoints: backends, endpointFreshness
 //	deadlines of named weights                viewRefresher: view.Builder
 //	whether the view is stale                 viewRefresher
 //
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -41,27 +41,27 @@
 	Err error
 }
 
-// endpointList is the platform's list of back ends on this node. It owns the machine that
-// keeps the list on all nodes, the list as this node uses it, and whether the node may serve
-// by it.
-type endpointList struct {
+// localEndpoints are the back ends of the platform's list on this node. It owns the machine
+// that keeps the list on all nodes, the list as this node uses it, and whether the node may
+// serve by it.
+type localEndpoints struct {
 	outbox  *outbox
 	rollout *rollout.Machine
 	views   *viewRefresher
 
-	listing   *listing.Machine
+	machine   *listing.Machine
 	inUse     backends
 	freshness endpointFreshness
 	// readRequested means that this node is to read the list.
 	readRequested bool
 }
 
-func newEndpointList(config Config, outbox *outbox, rollout *rollout.Machine, views *viewRefresher, now time.Duration) *endpointList {
-	return &endpointList{
+func newLocalEndpoints(config Config, outbox *outbox, rollout *rollout.Machine, views *viewRefresher, now time.Duration) *localEndpoints {
+	return &localEndpoints{
 		outbox:  outbox,
 		rollout: rollout,
 		views:   views,
-		listing: listing.New(listing.Config{
+		machine: listing.New(listing.Config{
 			Self:      config.Self.ID,
 			Zone:      config.Self.Zone,
 			ReadEvery: config.Times.EndpointReadEvery,
@@ -70,42 +70,42 @@
 	}
 }
 
-func (l *endpointList) tick(now time.Duration) { l.perform(now, l.listing.Tick(now)) }
+func (e *localEndpoints) tick(now time.Duration) { e.perform(now, e.machine.Tick(now)) }
 
 // readDone takes the outcome of a reading by this node.
-func (l *endpointList) readDone(now time.Duration, reading EndpointReading) {
-	l.perform(now, l.listing.ReadDone(now, reading.StartedAt, endpointsOf(reading), reading.Err))
+func (e *localEndpoints) readDone(now time.Duration, reading EndpointReading) {
+	e.perform(now, e.machine.ReadDone(now, reading.StartedAt, endpointsOf(reading), reading.Err))
 }
 
 // receive takes another node's message about the list. One that can't be read is dropped:
 // the next reading comes soon.
-func (l *endpointList) receive(now time.Duration, from member.ID, message protocol.Message) {
+func (e *localEndpoints) receive(now time.Duration, from member.ID, message protocol.Message) {
 	decode := listing.DecodeReading
 	if message.Type == protocol.MessageEndpointsRequest {
 		decode = listing.DecodeRequest
 	}
 	if decoded, err := decode(message.Payload); err == nil {
-		l.perform(now, l.listing.Step(now, from, decoded))
+		e.perform(now, e.machine.Step(now, from, decoded))
 	}
 }
 
 // perform carries out what the list's machine wants.
-func (l *endpointList) perform(now time.Duration, output listing.Output) {
-	l.readRequested = l.readRequested || output.Read
+func (e *localEndpoints) perform(now time.Duration, output listing.Output) {
+	e.readRequested = e.readRequested || output.Read
 	for _, out := range output.Sends {
-		l.send(out)
+		e.send(out)
 	}
 	if output.Changed {
-		l.inUse.set(l.listing.Replicas())
-		l.rollout.ForgetAbsent(l.listing.Replicas())
-		l.views.invalidate()
+		e.inUse.set(e.machine.Replicas())
+		e.rollout.ForgetAbsent(e.machine.Replicas())
+		e.views.invalidate()
 	}
-	if readAt, proven := l.listing.ProvenAt(); proven {
-		l.freshness.prove(now, readAt)
+	if readAt, proven := e.machine.ProvenAt(); proven {
+		e.freshness.prove(now, readAt)
 	}
 }
 
-func (l *endpointList) send(out listing.Outbound) {
+func (e *localEndpoints) send(out listing.Outbound) {
 	payload, err := out.Message.Encode()
 	if err != nil {
 		// Nothing of the platform's is unencodable but text that is not UTF-8.
@@ -115,20 +115,20 @@
 	if out.Message.Request != nil {
 		kind = protocol.MessageEndpointsRequest
 	}
-	l.outbox.Send(out.To, protocol.Message{Type: kind, Payload: payload})
+	e.outbox.Send(out.To, protocol.Message{Type: kind, Payload: payload})
 }
 
 // followIncarnation has the list proven fresh anew for another incarnation of this node.
-func (l *endpointList) followIncarnation(now time.Duration, incarnation member.Incarnation) {
-	if l.freshness.follow(now, incarnation) {
-		l.listing.RequestProof()
+func (e *localEndpoints) followIncarnation(now time.Duration, incarnation member.Incarnation) {
+	if e.freshness.follow(now, incarnation) {
+		e.machine.RequestProof()
 	}
 }
 
 // takeReadRequest reports whether this node is to read the list, once for each reading.
-func (l *endpointList) takeReadRequest() bool {
-	requested := l.readRequested
-	l.readRequested = false
+func (e *localEndpoints) takeReadRequest() bool {
+	requested := e.readRequested
+	e.readRequested = false
 	return requested
 }
 
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -24,9 +24,9 @@
 	return slices.DeleteFunc(c.shardIDs(), func(id uint32) bool { return !c.hosts(id) })
 }
 
-// hosts reports whether this node holds a copy of a shard. Where nodes with disks
-// find each other through seeds, each of them holds all shards, and the replicas
-// of a group are those that its log tells of.
+// hosts reports whether this node has a copy of a shard. Where nodes with disks find each
+// other through seeds, each of them has a copy of all shards, and the members of a group
+// are those that its log names.
 func (c Config) hosts(shardID uint32) bool {
 	if !c.Self.HoldsState {
 		return false
@@ -51,9 +51,9 @@
 }
 
 // GroupOfShard returns the members of a shard's replica group in the order in
-// which they own it. Every node with a disk holds the configuration; a service
-// shard is held by the nodes that weigh highest for it, so that leaders spread,
-// and by as many zones as there are, so that no zone takes a majority with it.
+// which they become its leader. Every node with a disk replicates the configuration; a
+// service shard is replicated by the nodes of the highest weight, so that leaders spread,
+// in as many zones as there are, so that no zone takes a majority with it.
 func (c Config) GroupOfShard(shard uint32) []member.ID {
 	if shard == ConfigurationShard {
 		return slices.Clone(c.Group)
--- a/internal/control/listing/disseminator.go
+++ b/internal/control/listing/disseminator.go
@@ -13,7 +13,7 @@
 // disseminator passes readings on: this node's own to all members, and those of another
 // zone's reader within the zone. It owns what it has to remember for that.
 type disseminator struct {
-	members *memberList
+	members *readerOrder
 	table   *table
 	outbox  *outbox
 	// requestedAt is when each node that had a list last asked this one.
--- a/internal/control/listing/doc.go
+++ b/internal/control/listing/doc.go
@@ -20,7 +20,7 @@
 // Machine does no I/O and reads no clock. It composes these parts:
 //
 //	state                                              owner
-//	live members, in the order of readers              memberList
+//	live members, in the order of readers              readerOrder
 //	newest reading, list that the node uses            table
 //	whether this node reads; pause after failures      reader
 //	who gets readings directly; what was forwarded     disseminator
--- a/internal/control/listing/follower.go
+++ b/internal/control/listing/follower.go
@@ -30,7 +30,7 @@
 type follower struct {
 	readEvery time.Duration
 	started   time.Duration
-	members   *memberList
+	members   *readerOrder
 	table     *table
 	outbox    *outbox
 	proof     freshnessProof
--- a/internal/control/listing/machine.go
+++ b/internal/control/listing/machine.go
@@ -35,7 +35,7 @@
 // package page names. It is not safe for concurrent use.
 type Machine struct {
 	now          time.Duration
-	members      *memberList
+	members      *readerOrder
 	table        *table
 	reader       reader
 	disseminator disseminator
@@ -49,7 +49,7 @@
 	if config.ReadEvery <= 0 {
 		config.ReadEvery = DefaultReadEvery
 	}
-	members := &memberList{self: config.Self, zone: config.Zone, members: []Member{{ID: config.Self, Zone: config.Zone}}}
+	members := &readerOrder{self: config.Self, zone: config.Zone, members: []Member{{ID: config.Self, Zone: config.Zone}}}
 	table := &table{self: config.Self, readEvery: config.ReadEvery}
 	outbox := &outbox{}
 	return &Machine{
--- a/internal/control/listing/members.go
+++ b/internal/control/listing/members.go
@@ -52,42 +52,42 @@
 	return cmp.Or(cmp.Compare(weightOf(b), weightOf(a)), cmp.Compare(a, b)) < 0
 }
 
-// memberList owns the live members of the deployment, in the order of readers.
-type memberList struct {
+// readerOrder owns the live members of the deployment, in the order of readers.
+type readerOrder struct {
 	self    member.ID
 	zone    string
 	members []Member
 }
 
 // set takes the live members.
-func (l *memberList) set(members []Member) {
-	l.members = slices.Clone(members)
-	for position := range l.members {
-		l.members[position].weight = weightOf(l.members[position].ID)
+func (o *readerOrder) set(members []Member) {
+	o.members = slices.Clone(members)
+	for position := range o.members {
+		o.members[position].weight = weightOf(o.members[position].ID)
 	}
-	slices.SortFunc(l.members, compareReaders)
+	slices.SortFunc(o.members, compareReaders)
 }
 
 // alone reports whether no other member is known.
-func (l *memberList) alone() bool { return len(l.members) <= 1 }
+func (o *readerOrder) alone() bool { return len(o.members) <= 1 }
 
 // others are the members without this node.
-func (l *memberList) others() []Member {
-	return slices.DeleteFunc(slices.Clone(l.members), func(one Member) bool { return one.ID == l.self })
+func (o *readerOrder) others() []Member {
+	return slices.DeleteFunc(slices.Clone(o.members), func(one Member) bool { return one.ID == o.self })
 }
 
 // has reports whether a node is a live member.
-func (l *memberList) has(id member.ID) bool {
-	return slices.ContainsFunc(l.members, func(one Member) bool { return one.ID == id })
+func (o *readerOrder) has(id member.ID) bool {
+	return slices.ContainsFunc(o.members, func(one Member) bool { return one.ID == id })
 }
 
 // rank is how many members read the list before this node once a reader does not respond.
-func (l *memberList) rank(reader member.ID) int {
+func (o *readerOrder) rank(reader member.ID) int {
 	rank := 0
-	for _, one := range l.members {
+	for _, one := range o.members {
 		switch one.ID {
-		case l.self:
-			if reader != l.self {
+		case o.self:
+			if reader != o.self {
 				return rank
 			}
 		case reader:
@@ -99,10 +99,10 @@
 }
 
 // otherZones are the zones of the members that are not in this node's, sorted.
-func (l *memberList) otherZones() []string {
+func (o *readerOrder) otherZones() []string {
 	var zones []string
-	for _, one := range l.members {
-		if one.Zone != l.zone {
+	for _, one := range o.members {
+		if one.Zone != o.zone {
 			zones = append(zones, one.Zone)
 		}
 	}
@@ -111,8 +111,8 @@
 }
 
 // firstOfZone is the member of a zone that passes readings on there.
-func (l *memberList) firstOfZone(zone string) member.ID {
-	for _, one := range l.members {
+func (o *readerOrder) firstOfZone(zone string) member.ID {
+	for _, one := range o.members {
 		if one.Zone == zone {
 			return one.ID
 		}
--- a/internal/control/listing/responder.go
+++ b/internal/control/listing/responder.go
@@ -16,7 +16,7 @@
 // responder answers other nodes. It owns the requests that wait for a newer reading, and
 // which outdated readers were notified.
 type responder struct {
-	members *memberList
+	members *readerOrder
 	table   *table
 	outbox  *outbox
 	// pending are requests that this node had nothing newer for.
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -49,7 +49,7 @@
 
 	recovery  *recovery.Machine
 	rollout   *rollout.Machine
-	endpoints *endpointList
+	endpoints *localEndpoints
 	views     *viewRefresher
 }
 
@@ -249,7 +249,7 @@
 	now := m.clock.now
 	tableChanged, liveChanged := m.members.refresh(now)
 	if tableChanged {
-		m.endpoints.listing.SetMembers(m.members.endpointReaders())
+		m.endpoints.machine.SetMembers(m.members.endpointReaders())
 	}
 	if !liveChanged {
 		return
--- a/internal/control/protocol/message.go
+++ b/internal/control/protocol/message.go
@@ -11,8 +11,8 @@
 	MessageChange MessageType = iota + 1
 	// MessageChangeReply answers a forwarded order.
 	MessageChangeReply
-	// MessageRegister asks the leader of a shard to count the sender among the nodes
-	// that an acknowledgement waits for.
+	// MessageRegister asks the leader of a shard to register the sender, so that
+	// acknowledgements wait for it.
 	MessageRegister
 	// MessageRegisterReply carries the revision that the node must hold before it may
 	// serve, a challenge, or the leader of the shard.
--- a/internal/control/queries.go
+++ b/internal/control/queries.go
@@ -63,7 +63,7 @@
 }
 
 // ReadsEndpoints reports whether this node reads the platform's list for the others.
-func (m *Machine) ReadsEndpoints() bool { return m.endpoints.listing.Reads() }
+func (m *Machine) ReadsEndpoints() bool { return m.endpoints.machine.Reads() }
 
 // GroupSlots returns the slots of a shard's group, as far as this node's copy of the shard
 // knows. It is false when this node leads no copy in which the last change of the group is
--- a/internal/control/registration/client.go
+++ b/internal/control/registration/client.go
@@ -60,8 +60,8 @@
 	return client
 }
 
-// Tick asks the leaders to count the node, as long as its present incarnation is not
-// registered. A fenced node must not ask: it takes a new incarnation first, since
+// Tick asks the leaders to register the node, as long as its present incarnation is not.
+// A fenced node must not ask: it takes a new incarnation first, since
 // others may have counted on the end of the old one.
 func (c *Client) Tick(now time.Duration, incarnation member.Incarnation) {
 	for _, id := range c.shardIDs {
@@ -141,7 +141,7 @@
 	return Result{}
 }
 
-// accept records that a leader counts the node, and reports whether that is new.
+// accept records that a leader has registered the node, and reports whether that is new.
 func (c *Client) accept(now time.Duration, from member.ID, message protocol.Message, current *registration, incarnation member.Incarnation) bool {
 	known := current.accepted && current.incarnation == message.Incarnation
 	if (known && message.Term <= current.term) || message.Incarnation != incarnation {
--- a/internal/control/registration/registrar.go
+++ b/internal/control/registration/registrar.go
@@ -35,7 +35,7 @@
 	FormerIncarnationQuiesced(id member.ID) bool
 }
 
-// challenge is a number that a node must send back before its incarnation counts.
+// challenge is a number that a node must send back before its incarnation is registered.
 type challenge struct {
 	incarnation member.Incarnation
 	number      uint64
@@ -53,7 +53,7 @@
 	next time.Duration
 }
 
-// Registrar counts nodes as the leader of shards.
+// Registrar registers nodes with the shards that this node leads.
 type Registrar struct {
 	self       member.ID
 	pruneEvery time.Duration
@@ -102,7 +102,7 @@
 
 // passesChallenge reports whether a node has shown, in its present incarnation, that
 // messages of this node reach it. Otherwise it is sent a number to send back. A node
-// that can send but not receive would else be counted, and no acknowledgement could be
+// that can send but not receive would be registered otherwise, and no acknowledgement could be
 // given until the partition ends: it never confirms, and its heartbeats, which do
 // arrive, keep it from being certainly fenced.
 func (r *Registrar) passesChallenge(from member.ID, message protocol.Message) bool {
--- a/internal/control/shardstate/service.go
+++ b/internal/control/shardstate/service.go
@@ -36,7 +36,7 @@
 	return &controlpb.Answer{Revision: s.state.GetRevision()}
 }
 
-// register counts a node; a newer incarnation of the node replaces an older one.
+// register adds a node; a newer incarnation of the node replaces an older one.
 func (s *Service) register(node *controlpb.RegisterNode) {
 	for position, known := range s.state.Nodes {
 		if known.GetNode() != node.GetNode() {
