--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -26,8 +26,9 @@
 	clock  *clock
 	outbox *outbox
 
-	// members is who is alive and where, shards this node's copies of shards, leaders who
-	// leads each of them, and states the newest state of each.
+	// members is who is alive and where, shards this node's copies of shards, host what
+	// carries out what these are ready to do, leaders who leads each shard, and states the
+	// newest state of each.
 	members *memberTable
 	shards  *hostedShards
 	host    *shardHost
@@ -47,6 +48,8 @@
 	confirmations *confirmation.Table
 	disseminator  *confirmation.Disseminator
 
+	// recovery forms groups anew, rollout moves replicas to other weights, endpoints is
+	// the platform's list, and views makes what traffic is routed by of all that.
 	recovery  *recovery.Machine
 	rollout   *rollout.Machine
 	endpoints *localEndpoints
--- a/internal/control/shardstate/section_decoder.go
+++ b/internal/control/shardstate/section_decoder.go
@@ -13,8 +13,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// Decoder makes a message of sections, and a new message of each update
-// to them. Messages share what has not changed: nobody may write to one.
+// Decoder decodes a message from sections, and a new message from each update to them.
+// Messages share what has not changed, so that callers must not write to one.
 type Decoder struct {
 	fields   []*decodedField
 	settings protoreflect.Message
@@ -26,8 +26,8 @@
 type decodedField struct {
 	sectionedField
 	elements map[string]*decodedElement
-	// changed are the elements replaced since the last message; reordered tells
-	// that the order may be another.
+	// changed are the elements replaced since the last message; reordered means that
+	// their order may have changed.
 	changed   []*decodedElement
 	reordered bool
 }
@@ -123,22 +123,22 @@
 	return nil
 }
 
-func (l *decodedField) set(key, predecessor string, message protoreflect.Message) {
-	element := l.elements[key]
+func (f *decodedField) set(key, predecessor string, message protoreflect.Message) {
+	element := f.elements[key]
 	if element == nil {
 		element = &decodedElement{}
-		l.elements[key] = element
-		l.reordered = true
+		f.elements[key] = element
+		f.reordered = true
 	}
-	l.reordered = l.reordered || element.predecessor != predecessor
+	f.reordered = f.reordered || element.predecessor != predecessor
 	element.predecessor = predecessor
 	element.message = message
-	l.changed = append(l.changed, element)
+	f.changed = append(f.changed, element)
 }
 
-func (l *decodedField) remove(key string) {
-	delete(l.elements, key)
-	l.reordered = true
+func (f *decodedField) remove(key string) {
+	delete(f.elements, key)
+	f.reordered = true
 }
 
 // assemble makes the message of the present sections.
@@ -158,11 +158,11 @@
 }
 
 // assemble gives the next message its list. An unchanged one is shared.
-func (l *decodedField) assemble(next, current protoreflect.Message) error {
-	field := l.descriptor(next)
+func (f *decodedField) assemble(next, current protoreflect.Message) error {
+	field := f.descriptor(next)
 	switch {
-	case l.reordered:
-		ordered, err := l.inOrder()
+	case f.reordered:
+		ordered, err := f.inOrder()
 		if err != nil {
 			return err
 		}
@@ -170,33 +170,33 @@
 		for _, element := range ordered {
 			elements.Append(element)
 		}
-	case len(l.changed) > 0:
-		l.copy(next.Interface(), current.Interface())
+	case len(f.changed) > 0:
+		f.copy(next.Interface(), current.Interface())
 		elements := next.Mutable(field).List()
-		for _, element := range l.changed {
+		for _, element := range f.changed {
 			elements.Set(element.position, protoreflect.ValueOfMessage(element.message))
 		}
 	case current.Has(field):
 		next.Set(field, current.Get(field))
 	}
-	l.changed, l.reordered = nil, false
+	f.changed, f.reordered = nil, false
 	return nil
 }
 
 // inOrder follows the elements from the first one, which has none before it.
-func (l *decodedField) inOrder() ([]protoreflect.Value, error) {
-	following := make(map[string]string, len(l.elements))
-	for key, element := range l.elements {
+func (f *decodedField) inOrder() ([]protoreflect.Value, error) {
+	following := make(map[string]string, len(f.elements))
+	for key, element := range f.elements {
 		following[element.predecessor] = key
 	}
-	values := make([]protoreflect.Value, 0, len(l.elements))
-	for key := following[""]; key != "" && len(values) < len(l.elements); key = following[key] {
-		element := l.elements[key]
+	values := make([]protoreflect.Value, 0, len(f.elements))
+	for key := following[""]; key != "" && len(values) < len(f.elements); key = following[key] {
+		element := f.elements[key]
 		element.position = len(values)
 		values = append(values, protoreflect.ValueOfMessage(element.message))
 	}
-	if len(values) != len(l.elements) {
-		return nil, &sectionError{section: l.prefix, reason: "elements are in no order; they are asked for again with the next revision"}
+	if len(values) != len(f.elements) {
+		return nil, &sectionError{section: f.prefix, reason: "elements are in no order; they are asked for again with the next revision"}
 	}
 	return values, nil
 }
--- a/internal/control/shardstate/sections.go
+++ b/internal/control/shardstate/sections.go
@@ -73,17 +73,17 @@
 func replicasOf(s *controlpb.ServiceState) *[]*controlpb.ReplicaState { return &s.Replicas }
 
 // descriptor is the list's field in a message.
-func (l sectionedField) descriptor(message protoreflect.Message) protoreflect.FieldDescriptor {
-	return message.Descriptor().Fields().ByName(l.name)
+func (f sectionedField) descriptor(message protoreflect.Message) protoreflect.FieldDescriptor {
+	return message.Descriptor().Fields().ByName(f.name)
 }
 
 func keyedBy(fields ...protoreflect.Name) []protoreflect.Name { return fields }
 
 // keyOf joins an element's values of the key fields.
-func (l sectionedField) keyOf(element protoreflect.Message) string {
+func (f sectionedField) keyOf(element protoreflect.Message) string {
 	fields := element.Descriptor().Fields()
 	key := ""
-	for _, name := range l.keys {
+	for _, name := range f.keys {
 		key += element.Get(fields.ByName(name)).String()
 	}
 	return key
@@ -100,8 +100,8 @@
 	return fmt.Sprintf("section %q %s", e.section, e.reason)
 }
 
-// encodeSections cuts a message into sections. Equal messages give equal
-// sections. Elements of a sectioned list need a key that is unique in it.
+// encodeSections splits a message into sections. Equal messages give equal sections.
+// It fails if an element of a sectioned list has no key that is unique in the list.
 func encodeSections(message proto.Message, sectioned []sectionedField) ([]relaytree.Section, error) {
 	source := message.ProtoReflect()
 	settings, err := encodeSettings(source, sectioned)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -1,6 +1,8 @@
 package control
 
 import (
+	"time"
+
 	"github.com/samber/lo"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
@@ -14,14 +16,15 @@
 
 // Status describes this node's view of the deployment.
 func (m *Machine) Status() *ridgeswitchv1.NodeStatus {
+	now, until := m.clock.now, m.ServeUntil()
 	status := &ridgeswitchv1.NodeStatus{
 		Node:             string(m.config.Self.ID),
 		Zone:             m.config.Self.Zone,
 		HoldsState:       m.config.Self.HoldsState,
-		Fenced:           m.ServeUntil() <= m.clock.now,
+		Fenced:           until <= now,
 		ServedRevision:   m.served.local.Published(ConfigurationShard),
 		Fences:           m.members.FenceCount(),
-		ServeRemainingMs: m.serveRemaining(),
+		ServeRemainingMs: remainingMilliseconds(now, until),
 	}
 	for _, record := range m.members.Members() {
 		status.Members = append(status.Members, &ridgeswitchv1.MemberStatus{
@@ -60,14 +63,13 @@
 	return status
 }
 
-// serveRemaining is how long this node may still serve, in milliseconds; -1 if
-// nothing can fence it.
-func (m *Machine) serveRemaining() int64 {
-	until := m.ServeUntil()
+// remainingMilliseconds is how long a node may still serve that may do so until an instant;
+// -1 if nothing can fence it.
+func remainingMilliseconds(now, until time.Duration) int64 {
 	if until == membership.Never {
 		return -1
 	}
-	return max(0, until-m.clock.now).Milliseconds()
+	return max(0, until-now).Milliseconds()
 }
 
 // Weights describes how far the roll-out of a pool has come, or returns nil when
--- a/internal/control/view/weights_deadline.go
+++ b/internal/control/view/weights_deadline.go
@@ -8,8 +8,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// requiredPoolDivisor of a pool, one in so many, must run the named version before a node
-// gives up the replicas that do not.
+// requiredPoolDivisor is the share of a pool, one in so many replicas, that must run the
+// named version before a node gives up the replicas that do not.
 const requiredPoolDivisor = 4
 
 // weightsTarget is the version that the configuration names for a pool, and since
@@ -29,8 +29,8 @@
 	return known
 }
 
-// overdue reports whether the bound within which named weights are to be
-// everywhere is about to end.
+// overdue reports whether replicas that do not run a named version are to be given up:
+// the time within which operators count on it is about to end.
 func (b *Builder) overdue(now time.Duration, target weightsTarget) bool {
 	deadline := b.config.WeightsDeadline
 	return deadline > 0 && now >= target.since+deadline
