--- a/internal/control/driver/frame_sender_test.go
+++ b/internal/control/driver/frame_sender_test.go
@@ -10,15 +10,15 @@
 
 var _ = Describe("Counts of sent messages", func() {
 	It("tell kinds and zones apart", func() {
-		var sent sentCounts
+		driver := &Driver{}
 		probe := wire.Encode(wire.Envelope{From: "a", Membership: &membership.Message{Type: membership.MessageGossip}})
 		beat := wire.Encode(wire.Envelope{From: "a", Membership: &membership.Message{Type: membership.MessageHeartbeat}})
-		sent.add(probe, distanceBetween("north", "north"))
-		sent.add(probe, distanceBetween("north", "south"))
-		sent.add(probe, distanceBetween("north", "south"))
-		sent.add(beat, distanceBetween("north", ""))
+		driver.frames.sent.add(probe, distanceBetween("north", "north"))
+		driver.frames.sent.add(probe, distanceBetween("north", "south"))
+		driver.frames.sent.add(probe, distanceBetween("north", "south"))
+		driver.frames.sent.add(beat, distanceBetween("north", ""))
 		size := uint64(len(probe))
-		Expect(sent.all()).To(ConsistOf(
+		Expect(driver.Sent()).To(ConsistOf(
 			SentCount{Kind: wire.KindProbe, Distance: SameZone, Frames: 1, Bytes: size},
 			SentCount{Kind: wire.KindProbe, Distance: OtherZone, Frames: 2, Bytes: 2 * size},
 			SentCount{Kind: wire.KindMemberHeartbeat, Distance: UnknownZone, Frames: 1, Bytes: uint64(len(beat))},
