--- a/pkg/kvrouter/kvevents/changes.go
+++ b/pkg/kvrouter/kvevents/changes.go
@@ -2,15 +2,16 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 
-// Position is the position of a batch of chunk changes among all that a replica
-// or store has reported.
+// Position is the position of a batch of chunk changes, or of a snapshot, among all
+// that a replica or store has reported.
 type Position struct {
 	// Incarnation changes with each start of the owner. Incarnations have no order.
 	Incarnation uint64
 	// From is the sequence number after which the batch begins, and Next the last
-	// one that it covers, after which the next batch begins.
+	// one that it covers, after which the next batch begins. A snapshot has no From.
 	From, Next uint64
-	// Lost says that changes before this batch are gone for good.
+	// Lost says of a batch that changes before it are gone for good, and of a snapshot
+	// that the owner may cache more than it states.
 	Lost bool
 }
 
--- a/pkg/kvrouter/kvevents/chunk_feed.go
+++ b/pkg/kvrouter/kvevents/chunk_feed.go
@@ -23,15 +23,17 @@
 	options *Options
 	// inUse says that the owner reports chunks by ID.
 	inUse bool
-	// position is the sequence number of the newest change applied.
-	position uint64
-	// buffered are the batches beyond position, in order.
+	// appliedThrough is the sequence number up to which changes are applied.
+	appliedThrough uint64
+	// buffered are the batches that begin after appliedThrough, in order.
 	buffered      []batch
 	bufferedSince time.Duration
-	// followedFrom is the sequence number after which the changes were followed.
+	// followedFrom is the sequence number after which the feed began, if it began in
+	// the middle: changes up to it are missing until a snapshot fills the gap.
 	followedFrom uint64
-	// changedHashes are the chunks that changed since followedFrom. It is nil when
-	// nothing is missing from before, or when too many changed.
+	// changedHashes are the chunks that changed since followedFrom, of which a snapshot
+	// must not overwrite the newer reports. It is nil when no snapshot can fill the gap
+	// before followedFrom: there is none, changes were lost, or too many chunks changed.
 	changedHashes map[prefixindex.ChainHash]struct{}
 }
 
@@ -43,7 +45,7 @@
 // owner cached before is missing; complete reports that nothing is.
 func (c *chunkFeed) start(from uint64) (complete bool) {
 	c.inUse = true
-	c.position = from
+	c.appliedThrough = from
 	if from == 0 {
 		return true
 	}
@@ -56,10 +58,10 @@
 // that the batch said that changes are lost.
 func (c *chunkFeed) receive(now time.Duration, received batch) Status {
 	position := received.position
-	if position.Next <= c.position && position.From < position.Next {
+	if position.Next <= c.appliedThrough && position.From < position.Next {
 		return Duplicate
 	}
-	if position.From > c.position && !position.Lost {
+	if position.From > c.appliedThrough && !position.Lost {
 		c.buffer(now, received)
 		return Accepted
 	}
@@ -76,10 +78,10 @@
 	if len(c.buffered) == 0 {
 		c.bufferedSince = now
 	}
-	position, _ := slices.BinarySearchFunc(c.buffered, received, func(buffered, target batch) int {
+	index, _ := slices.BinarySearchFunc(c.buffered, received, func(buffered, target batch) int {
 		return int(int64(buffered.position.From) - int64(target.position.From))
 	})
-	c.buffered = slices.Insert(c.buffered, position, received)
+	c.buffered = slices.Insert(c.buffered, index, received)
 }
 
 // applyBatch applies the changes of a batch that were not applied yet.
@@ -88,11 +90,11 @@
 		c.demoteReported(now)
 	}
 	for _, change := range received.changes {
-		if change.Sequence == 0 || change.Sequence > c.position {
+		if change.Sequence == 0 || change.Sequence > c.appliedThrough {
 			c.applyChange(change)
 		}
 	}
-	c.position = max(c.position, received.position.Next)
+	c.appliedThrough = max(c.appliedThrough, received.position.Next)
 	c.record.notifyChange()
 }
 
@@ -121,7 +123,7 @@
 
 // applyBuffered applies the buffered batches whose turn has come.
 func (c *chunkFeed) applyBuffered(now time.Duration) {
-	for len(c.buffered) > 0 && c.buffered[0].position.From <= c.position {
+	for len(c.buffered) > 0 && c.buffered[0].position.From <= c.appliedThrough {
 		next := c.buffered[0]
 		c.buffered = slices.Delete(c.buffered, 0, 1)
 		c.bufferedSince = now
@@ -151,7 +153,7 @@
 // replace replaces everything by what was cached at a sequence number.
 func (c *chunkFeed) replace(now time.Duration, sequence uint64, chunks []ChunkChange) {
 	c.inUse = true
-	c.position = sequence
+	c.appliedThrough = sequence
 	c.changedHashes = nil
 	c.record.dropCached()
 	for _, chunk := range chunks {
--- a/pkg/kvrouter/kvevents/doc.go
+++ b/pkg/kvrouter/kvevents/doc.go
@@ -5,8 +5,10 @@
 // upwards from 1 in each incarnation; chunks by ID come as batches of changes between
 // two sequence numbers. Either may come doubled, late and out of order. A report that
 // comes too early is buffered until those before it have come. If they don't come within
-// the reorder window or wait, they count as lost: what is buffered is applied, and all
-// that is recorded of the owner is uncertain until a reset or snapshot.
+// the reorder window or wait, they count as lost, and what is buffered is applied. What
+// was recorded of the owner before is uncertain then: chained chunks until a reset;
+// chunks by ID, which become predictions, until they are reported again or a snapshot
+// comes.
 //
 // Feed is the only entry. It composes:
 //
@@ -15,7 +17,7 @@
 //	sequence and buffer of events                       eventFeed
 //	sequence and buffer of batches, changes followed    chunkFeed
 //	chunks in both indexes, waiters for their change    record
-//	weight version, epoch, whether reports were lost    Feed
+//	weight version, epoch, whether chunks are missing   Feed
 //
 // All methods of Feed may be called concurrently. Feed.View never waits for another
 // method, so that a long reset does not delay selection.
--- a/pkg/kvrouter/kvevents/event_feed.go
+++ b/pkg/kvrouter/kvevents/event_feed.go
@@ -60,20 +60,20 @@
 	if received.Sequence < e.next {
 		return Duplicate
 	}
-	position, buffered := e.find(received.Sequence)
+	index, buffered := e.find(received.Sequence)
 	if buffered {
 		return Duplicate
 	}
 	if len(e.buffered) == 0 {
 		e.bufferedSince = now
 	}
-	e.buffered = slices.Insert(e.buffered, position, received)
+	e.buffered = slices.Insert(e.buffered, index, received)
 	e.applyBuffered(now)
 	return Accepted
 }
 
-// applyReset applies a reset. It makes all events up to its own number
-// superfluous, so it need not wait for them.
+// applyReset applies a reset at once, since it replaces all that the events up to its
+// own number have done.
 func (e *eventFeed) applyReset(now time.Duration, received Event) Status {
 	if received.Sequence+1 < e.next {
 		return Stale
@@ -104,8 +104,8 @@
 	}
 }
 
-// find returns the position of an event among the buffered ones, or where it belongs.
-func (e *eventFeed) find(sequence uint64) (position int, found bool) {
+// find returns the index of an event among the buffered ones, or where it belongs.
+func (e *eventFeed) find(sequence uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(e.buffered, sequence, func(buffered Event, target uint64) int {
 		return cmp.Compare(buffered.Sequence, target)
 	})
--- a/pkg/kvrouter/kvevents/feed.go
+++ b/pkg/kvrouter/kvevents/feed.go
@@ -28,8 +28,9 @@
 
 // Feed follows what one owner caches. It is safe for concurrent use.
 //
-// Exported methods but View take the mutex and end with unlock; the caller of all
-// others holds it.
+// Exported methods take the mutex, and View only if it is free. Those that may change
+// the feed release it with unlock, which publishes the new state. The caller of all
+// other methods holds the mutex.
 type Feed struct {
 	options   *Options
 	published atomic.Pointer[View]
@@ -47,9 +48,12 @@
 	// epoch counts how often everything was dropped.
 	epoch         uint64
 	weightVersion string
-	// eventsLost says that reports were lost, and only a reset or snapshot helps.
-	eventsLost bool
-	// reportsEvents says that the owner does report what it caches.
+	// incomplete says that the owner may cache chunks that are not recorded, because
+	// reports were lost, the feed began in the middle of them, or the weight version
+	// has changed. Only a reset or snapshot helps.
+	incomplete bool
+	// reportsEvents says that the owner does report what it caches, by events or
+	// batches.
 	reportsEvents bool
 }
 
@@ -74,16 +78,18 @@
 	f.reportsEvents = true
 	status = f.events.receive(now, received)
 	if received.Kind == ResetEvent && status == Accepted {
-		f.eventsLost = false
+		f.incomplete = false
 	}
 	f.giveUpOnMissingEvents(now)
-	if status == Accepted && f.eventsLost {
+	if status == Accepted && f.incomplete {
 		status = Gap
 	}
 	return status, restarted
 }
 
-// HandleBatch applies a batch of changes of chunks by ID.
+// HandleBatch applies a batch of changes of chunks by ID. The status is Gap only if
+// the batch itself says that changes are lost. A batch that is given up on because it
+// has been missing for too long shows in View.ResyncNeeded and Complete.
 func (f *Feed) HandleBatch(now time.Duration, position Position, changes []ChunkChange) (status Status, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -93,11 +99,11 @@
 	}
 	f.reportsEvents = true
 	if !f.chunks.inUse && !f.chunks.start(position.From) {
-		f.eventsLost = true
+		f.incomplete = true
 	}
 	status = f.chunks.receive(now, batch{position: position, changes: changes})
 	if status == Gap {
-		f.eventsLost = true
+		f.incomplete = true
 	}
 	f.giveUpOnMissingBatch(now)
 	return status, restarted
@@ -196,7 +202,7 @@
 }
 
 func (f *Feed) startIncarnation() {
-	f.eventsLost = false
+	f.incomplete = false
 	f.events = newEventFeed(&f.record, f.options)
 	f.chunks = newChunkFeed(&f.record, f.options)
 }
@@ -211,7 +217,7 @@
 	f.weightVersion = version
 	if changed {
 		f.dropAll()
-		f.eventsLost = f.reportsEvents
+		f.incomplete = f.reportsEvents
 	}
 }
 
@@ -222,12 +228,12 @@
 
 func (f *Feed) giveUpOnMissingEvents(now time.Duration) {
 	if f.events.giveUpOnMissing(now) {
-		f.eventsLost = true
+		f.incomplete = true
 	}
 }
 
 func (f *Feed) giveUpOnMissingBatch(now time.Duration) {
 	if f.chunks.giveUpOnMissing(now) {
-		f.eventsLost = true
+		f.incomplete = true
 	}
 }
--- a/pkg/kvrouter/kvevents/snapshot.go
+++ b/pkg/kvrouter/kvevents/snapshot.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HandleSnapshot replaces everything by what the owner reported to cache after the
-// change with the given sequence number.
+// HandleSnapshot replaces everything by what the owner itself reported to cache after
+// the change with the given sequence number. Restarted is that of HandleEvent.
 func (f *Feed) HandleSnapshot(now time.Duration, incarnation, sequence uint64, chunks []ChunkChange) (status Status, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -11,7 +11,7 @@
 	if !current {
 		return Stale, false
 	}
-	if f.chunks.inUse && sequence < f.chunks.position {
+	if f.chunks.inUse && sequence < f.chunks.appliedThrough {
 		return Stale, restarted
 	}
 	f.replaceChunks(now, sequence, chunks)
@@ -25,13 +25,14 @@
 	f.mutex.Lock()
 	defer f.unlock()
 	if f.forgotten || (f.incarnations.started && position.Incarnation != f.incarnations.present) {
-		// A snapshot is no sign of a new start: it may be an old one.
+		// A snapshot of another incarnation is no sign of a restart: the other router
+		// may not have heard of the present one yet.
 		return Stale
 	}
 	if current, _ := f.checkUnordered(now, position.Incarnation); !current {
 		return Stale
 	}
-	newer := !f.chunks.inUse || (f.eventsLost && !position.Lost && position.Next >= f.chunks.position)
+	newer := !f.chunks.inUse || (f.incomplete && !position.Lost && position.Next >= f.chunks.appliedThrough)
 	switch {
 	case newer:
 		f.replaceChunks(now, position.Next, chunks)
@@ -40,13 +41,13 @@
 	default:
 		return Stale
 	}
-	f.eventsLost = position.Lost
+	f.incomplete = position.Lost
 	return Accepted
 }
 
 func (f *Feed) replaceChunks(now time.Duration, sequence uint64, chunks []ChunkChange) {
 	f.reportsEvents = true
-	f.eventsLost = false
+	f.incomplete = false
 	f.chunks.replace(now, sequence, chunks)
 }
 
@@ -59,7 +60,7 @@
 	if f.forgotten || !f.chunks.inUse {
 		return Position{}, nil, false
 	}
-	position = Position{Incarnation: f.incarnations.present, Next: f.chunks.position, Lost: f.eventsLost}
+	position = Position{Incarnation: f.incarnations.present, Next: f.chunks.appliedThrough, Lost: f.incomplete}
 	return position, f.record.reported(), true
 }
 
@@ -68,7 +69,7 @@
 func (f *Feed) Position() (incarnation, sequence uint64, found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.incarnations.present, f.chunks.position, f.chunks.inUse
+	return f.incarnations.present, f.chunks.appliedThrough, f.chunks.inUse
 }
 
 // Complete reports whether all that the owner caches is recorded: its changes were
@@ -76,5 +77,5 @@
 func (f *Feed) Complete() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.chunks.inUse && !f.eventsLost
+	return f.chunks.inUse && !f.incomplete
 }
--- a/pkg/kvrouter/kvevents/status.go
+++ b/pkg/kvrouter/kvevents/status.go
@@ -3,7 +3,7 @@
 // Status is the outcome of an event or batch.
 type Status int
 
-// The outcomes of an event.
+// The outcomes of an event or batch.
 const (
 	// Accepted events are in the index, or buffered until an earlier one has come.
 	Accepted Status = iota
@@ -12,8 +12,8 @@
 	// Stale events are of an earlier incarnation of the replica, or older than the
 	// state that the index already has.
 	Stale
-	// Gap means that events were lost: ask the replica for a reset. What the
-	// event says is applied all the same.
+	// Gap means that earlier events or changes were lost: ask the replica for a reset or
+	// snapshot. What this one says is applied all the same.
 	Gap
 )
 
--- a/pkg/kvrouter/kvevents/view.go
+++ b/pkg/kvrouter/kvevents/view.go
@@ -7,9 +7,11 @@
 	// Epoch is to be given back to Feed.Predict, which ignores requests of an earlier
 	// one: it changes whenever everything was dropped.
 	Epoch uint64
-	// Uncertain says that events are missing, so that overlaps are guesses.
+	// Uncertain says that events of chained chunks are missing, so that overlaps are
+	// guesses. Chunks by ID become predictions instead, one by one.
 	Uncertain bool
-	// ResyncNeeded says that they are lost, and only a reset helps.
+	// ResyncNeeded says that the owner may cache chunks that are not recorded, and only
+	// a reset or snapshot helps.
 	ResyncNeeded bool
 	// ReportsEvents says that the owner does report what it caches.
 	ReportsEvents bool
@@ -34,8 +36,8 @@
 func (f *Feed) unlock() {
 	state := View{
 		Epoch:         f.epoch,
-		Uncertain:     !f.chunks.inUse && (f.eventsLost || len(f.events.buffered) > 0),
-		ResyncNeeded:  f.eventsLost,
+		Uncertain:     !f.chunks.inUse && (f.incomplete || len(f.events.buffered) > 0),
+		ResyncNeeded:  f.incomplete,
 		ReportsEvents: f.reportsEvents,
 	}
 	if published := f.published.Load(); published == nil || *published != state {
