--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -77,7 +77,7 @@
 	if pending.Tokens < cached.Tokens+minWaitTokens {
 		return plannedWait{}, false
 	}
-	planned = plannedWait{extent: pending, backlog: state.load.Unread()}
+	planned = plannedWait{extent: pending, backlog: state.load.RemainingPrefill()}
 	saved := float64(pending.Tokens - cached.Tokens)
 	return planned, planned.backlog < queuedTokens+saved
 }
--- a/pkg/kvrouter/replicaload/doc.go
+++ b/pkg/kvrouter/replicaload/doc.go
@@ -3,7 +3,7 @@
 //
 //	source                                  owner         what it is
 //	requests of this router                 history       exact and immediate
-//	unread prompts of these requests        prefillQueue  an estimate that shrinks with time
+//	prompts of these still to be computed   prefillQueue  an estimate that shrinks with time
 //	loads that other routers sent           sharedLoads   at most a second old
 //	what the replica reported               Tracker       late, and of all routers' work
 //
--- a/pkg/kvrouter/replicaload/prefill_queue.go
+++ b/pkg/kvrouter/replicaload/prefill_queue.go
@@ -5,17 +5,17 @@
 // Priorities is the number of priorities of requests, 0 being the most urgent.
 const Priorities = 10
 
-// unfinishedFraction is the least fraction of a prompt that counts as unread until
-// its first event has come.
+// unfinishedFraction is the least fraction of a prompt that counts as still to be
+// computed until its first event has come.
 const unfinishedFraction = 0.05
 
 // PrefillWork is the prompt of a local request whose first event has not come yet.
 type PrefillWork struct {
 	priority uint8
-	// tokens are all that the replica has to compute, and unread those that are
+	// tokens are all that the replica has to compute, and remaining those that are
 	// still left of them by estimate.
-	tokens float64
-	unread float64
+	tokens    float64
+	remaining float64
 }
 
 // prefillQueue estimates how much of the prompts of local requests a replica still
@@ -26,7 +26,7 @@
 }
 
 func (q *prefillQueue) add(priority uint8, tokens float64) *PrefillWork {
-	added := &PrefillWork{priority: priority, tokens: tokens, unread: tokens}
+	added := &PrefillWork{priority: priority, tokens: tokens, remaining: tokens}
 	q.work = append(q.work, added)
 	return added
 }
@@ -35,18 +35,18 @@
 	q.work = slices.DeleteFunc(q.work, func(other *PrefillWork) bool { return other == work })
 }
 
-// unread sums the unread tokens.
-func (q *prefillQueue) unread() (sum float64) {
+// remaining sums the tokens that are still to be computed.
+func (q *prefillQueue) remaining() (sum float64) {
 	for _, work := range q.work {
-		sum += work.unread
+		sum += work.remaining
 	}
 	return sum
 }
 
-// addByPriority adds the unread tokens to the sums of each priority.
+// addByPriority adds the remaining tokens to the sums of each priority.
 func (q *prefillQueue) addByPriority(sums *[Priorities]float64) {
 	for _, work := range q.work {
-		sums[work.priority] += work.unread
+		sums[work.priority] += work.remaining
 	}
 }
 
@@ -62,8 +62,8 @@
 		if work.priority != priority {
 			continue
 		}
-		computed := min(max(work.unread-unfinishedFraction*work.tokens, 0), tokens)
-		work.unread -= computed
+		computed := min(max(work.remaining-unfinishedFraction*work.tokens, 0), tokens)
+		work.remaining -= computed
 		tokens -= computed
 	}
 	return tokens
--- a/pkg/kvrouter/replicaload/shared_load.go
+++ b/pkg/kvrouter/replicaload/shared_load.go
@@ -9,14 +9,14 @@
 	sweepInterval = 250 * time.Millisecond
 	// maxSharingRouters bounds the routers whose load on one replica is recorded.
 	maxSharingRouters = 512
-	// minRemaining is the fraction of unread prefill below which a generation ends.
+	// minRemaining is the value of sharedLoads.remaining below which a generation ends.
 	minRemaining = 1e-6
 )
 
 // SharedLoad is the load of one router's requests on a replica, as routers send it
 // to each other.
 type SharedLoad struct {
-	// PrefillTokens are the unread prompt tokens by priority.
+	// PrefillTokens are the prompt tokens that are still to be computed, by priority.
 	PrefillTokens [Priorities]float64
 	// DecodeTokens are the tokens that its requests occupy in memory.
 	DecodeTokens float64
@@ -50,8 +50,9 @@
 type sharedLoads struct {
 	byRouter map[string]sharedEntry
 	sum      SharedLoad
-	// remaining is the fraction that is still unread of the prefill received at the
-	// start of the generation. A new generation begins when it falls near 0.
+	// remaining is the fraction that is still to be computed of the prefill received at
+	// the start of the generation. A new generation begins when it falls near 0, so that
+	// no entry is divided by 0.
 	remaining  float64
 	generation uint64
 	sweptAt    time.Duration
@@ -71,7 +72,7 @@
 	s.add(&received, 1, 1)
 }
 
-// remove subtracts the load of a router, as far as it is unread.
+// remove subtracts the load of a router: of its prefill what is still to be computed.
 func (s *sharedLoads) remove(router string) {
 	entry, present := s.byRouter[router]
 	if !present {
@@ -82,16 +83,18 @@
 		s.sum = SharedLoad{}
 		return
 	}
-	unread := 0.0
+	remaining := 0.0
 	if entry.generation == s.generation {
-		unread = s.remaining / entry.remaining
+		remaining = s.remaining / entry.remaining
 	}
-	s.add(&entry.load, -1, unread)
+	s.add(&entry.load, -1, remaining)
 }
 
-func (s *sharedLoads) add(load *SharedLoad, sign, unread float64) {
+// add adds a load to the sum, or subtracts it with the sign -1. Of its prefill it counts
+// the fraction that is still to be computed.
+func (s *sharedLoads) add(load *SharedLoad, sign, remaining float64) {
 	for priority := range load.PrefillTokens {
-		changed := s.sum.PrefillTokens[priority] + sign*unread*load.PrefillTokens[priority]
+		changed := s.sum.PrefillTokens[priority] + sign*remaining*load.PrefillTokens[priority]
 		s.sum.PrefillTokens[priority] = max(0, changed)
 	}
 	s.sum.DecodeTokens = max(0, s.sum.DecodeTokens+sign*load.DecodeTokens)
--- a/pkg/kvrouter/replicaload/tracker.go
+++ b/pkg/kvrouter/replicaload/tracker.go
@@ -39,8 +39,8 @@
 type Tracker struct {
 	ages  ReportAges
 	local history
-	// queue estimates what is unread of the prompts of local requests, and shared the
-	// load of other routers, both as of drainedAt.
+	// queue estimates what is still to be computed of the prompts of local requests, and
+	// shared the load of other routers, both as of drainedAt.
 	queue     prefillQueue
 	shared    sharedLoads
 	drainedAt time.Duration
@@ -129,7 +129,7 @@
 	}
 	t.drainedAt = now
 	t.shared.sweep(now)
-	local, others := t.queue.unread(), t.shared.sum.prefill()
+	local, others := t.queue.remaining(), t.shared.sum.prefill()
 	if local+others <= 0 || perToken <= 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 
 // Active estimates the present load by all sources: the local load, and what other
 // routers sent or the replica reported, whichever is more. Of prefill it counts the
-// local load alone; Unread has the rest.
+// local load alone; RemainingPrefill has all of it.
 func (t *Tracker) Active(now time.Duration) Load {
 	total := t.local.present
 	others := Load{Requests: t.shared.sum.Requests, DecodeTokens: t.shared.sum.DecodeTokens}
@@ -166,14 +166,14 @@
 	return total
 }
 
-// Unread estimates the prompt tokens that the replica still has to compute, as of the
-// last Drain.
-func (t *Tracker) Unread() float64 {
-	return t.queue.unread() + t.shared.sum.prefill()
+// RemainingPrefill estimates the prompt tokens that the replica still has to compute, as
+// of the last Drain: those of local requests and of other routers.
+func (t *Tracker) RemainingPrefill() float64 {
+	return t.queue.remaining() + t.shared.sum.prefill()
 }
 
-// UnreadByPriority is Unread for each priority. It writes to sums.
-func (t *Tracker) UnreadByPriority(sums *[Priorities]float64) {
+// RemainingPrefillByPriority is RemainingPrefill for each priority. It writes to sums.
+func (t *Tracker) RemainingPrefillByPriority(sums *[Priorities]float64) {
 	*sums = t.shared.sum.PrefillTokens
 	t.queue.addByPriority(sums)
 }
--- a/pkg/kvrouter/scratch.go
+++ b/pkg/kvrouter/scratch.go
@@ -5,10 +5,12 @@
 	// request is here so that it is not allocated for each selection: what is passed
 	// to a costModel escapes to the heap.
 	request Request
+	// prompts has room for the prompt under each weight version; the first used ones are
+	// of this selection.
 	prompts []prompt
 	used    int
 	scored  []scoredCandidate
-	// backlogs are the unread tokens of the candidates.
+	// backlogs are the prompt tokens that each candidate still has to compute.
 	backlogs []float64
 }
 
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -56,7 +56,7 @@
 		state := m.replicas.state(req.Now, candidates[i].Address)
 		state.perToken = req.latency.PerToken()
 		state.drainBacklog(req.Now)
-		s.backlogs = append(s.backlogs, state.load.Unread())
+		s.backlogs = append(s.backlogs, state.load.RemainingPrefill())
 	}
 	slices.Sort(s.backlogs)
 	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.latency.PerToken()
@@ -117,7 +117,7 @@
 // Less urgent prompts count less, since only the one in progress goes first.
 func (m *timeModel) queuedTokens(req *Request, state *replicaState) float64 {
 	var sums [replicaload.Priorities]float64
-	state.load.UnreadByPriority(&sums)
+	state.load.RemainingPrefillByPriority(&sums)
 	queued := 0.0
 	for priority, tokens := range &sums {
 		if priority <= int(req.Priority) {
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -26,7 +26,7 @@
 	f.router.ChunksReported(late, address, feedPosition(0, uint64(chunks)), changes)
 }
 
-// hasBacklog makes another router tell of unread prompts.
+// hasBacklog makes another router announce prompts that are not computed yet.
 func (f *engineFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
 	load := replicaload.SharedLoad{Requests: 1, DecodeTokens: tokens}
 	load.PrefillTokens[priority] = tokens
--- a/pkg/kvrouter/time_pull.go
+++ b/pkg/kvrouter/time_pull.go
@@ -145,7 +145,7 @@
 	if capacity <= 0 {
 		return 1
 	}
-	return max(0, 1-state.load.Unread()/capacity)
+	return max(0, 1-state.load.RemainingPrefill()/capacity)
 }
 
 // transferTime estimates how long the transfer of tokens from a source takes,
