--- a/internal/dataplane/dispatch/pool_selector.go
+++ b/internal/dataplane/dispatch/pool_selector.go
@@ -19,7 +19,8 @@
 // poolSelector selects replicas for the requests of pools.
 type poolSelector struct {
 	options *Options
-	// randomSources counts the sources of random numbers, so that each has its own seed.
+	// randomSources counts the sources of random numbers. Each draws its own sequence
+	// under the common seed.
 	randomSources atomic.Uint64
 	seed          uint64
 }
@@ -33,6 +34,7 @@
 // others take requests.
 func (s *poolSelector) selectTarget(r *pendingRequest) (target, *caller.Error) {
 	pool := s.newestPool(r)
+	// The pool may be gone since the request came, or run another model than the caller's.
 	if pool == nil || pool.Config.GetModel() != r.Destination.Pool.Config.GetModel() {
 		return nil, noReplicaError(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, s.options.BackendRetry)
 	}
--- a/internal/dataplane/dispatch/replica_target.go
+++ b/internal/dataplane/dispatch/replica_target.go
@@ -20,10 +20,12 @@
 type replicaTarget struct {
 	selector *poolSelector
 	decision kvrouter.Decision
-	limits   *ridgeswitchv1.BackendLimits
+	// limits are those of the pool's back ends, in slow start among others.
+	limits *ridgeswitchv1.BackendLimits
 	// slowStartUntil is when the slow start of the replica ends.
 	slowStartUntil time.Duration
-	slots          int
+	// slots is how many requests the replica runs at a time; 0 when that is not known.
+	slots int
 	// targetVersion is the weight version that the pool's replicas are to load.
 	targetVersion string
 }
@@ -76,7 +78,9 @@
 
 // send implements target.
 func (t *replicaTarget) send(ctx context.Context, r *pendingRequest, attempt int) (edges.Response, error) {
-	received, err := t.selector.options.Replicas.Send(ctx, t.attempt(r, attempt))
+	described := t.attempt(r, attempt)
+	t.selector.announceDispatch(described)
+	received, err := t.selector.options.Replicas.Send(ctx, described)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +91,7 @@
 	return received, nil
 }
 
-// attempt describes the attempt to the replica, and announces it to the other nodes.
+// attempt describes the attempt to the replica.
 func (t *replicaTarget) attempt(r *pendingRequest, number int) edges.Attempt {
 	described := r.attempt(t.selector.options.IDs, t.decision.Address, number)
 	described.Generation = &edges.Generation{
@@ -102,12 +106,11 @@
 	if t.decision.Save {
 		described.Generation.SaveTo = r.Destination.Pool.Store.GetAddress()
 	}
-	t.selector.announceDispatch(described)
 	return described
 }
 
-// pull returns the planned fetch if its source may still be used: the pool's
-// store, or an admitting replica of the same version.
+// pull returns the planned pull if its source may still be used: the pool's store, or an
+// admitting replica of the same version. It returns nil if nothing is to be pulled.
 func (t *replicaTarget) pull(r *pendingRequest) *edges.Pull {
 	planned := t.decision.Pull
 	pool := t.selector.newestPool(r)
--- a/internal/lab/bench/policy.go
+++ b/internal/lab/bench/policy.go
@@ -33,8 +33,8 @@
 type placement struct {
 	replica int
 	salt    string
-	// pull is what the replica fetches first, or nil; source is the peer's
-	// number.
+	// pull is what the replica pulls first, or nil; source is the number of the peer or
+	// the store that it pulls from.
 	pull   *kvrouter.Pull
 	source int
 
--- a/internal/lab/bench/prefix_aware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -26,7 +26,8 @@
 	router     *kvrouter.Router
 	salts      salts
 	candidates []kvrouter.Candidate
-	// addresses are those of the replicas, and of the store behind them.
+	// addresses are those of the replicas by their numbers, and of the store after them;
+	// numbers is the inverse.
 	addresses []string
 	numbers   map[string]int
 	routing   kvrouter.Settings
--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -121,7 +121,8 @@
 		settings.RequestWeight*inputs.activeRequests
 }
 
-// retryAfter estimates when the first of the candidates has completed its prefill.
+// retryAfter estimates when the first of the candidates has computed the prompts that are
+// queued there.
 func (m *blockModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
 	shortest := maxRetryAfter
 	for i := range candidates {
--- a/pkg/kvrouter/errors.go
+++ b/pkg/kvrouter/errors.go
@@ -14,8 +14,8 @@
 	NoCandidates Reason = "none_listed"
 	// AllExcluded means that the request must not go to any candidate.
 	AllExcluded Reason = "all_excluded"
-	// AllBusy means that the allowed candidates are over the busy threshold or
-	// at the limit of their slow start.
+	// AllBusy means that the allowed candidates are over the busy threshold, at the
+	// limit of their slow start, or full for longer than the request may wait.
 	AllBusy Reason = "all_busy"
 )
 
--- a/pkg/kvrouter/kvevents/feed.go
+++ b/pkg/kvrouter/kvevents/feed.go
@@ -58,8 +58,8 @@
 }
 
 // New returns the feed of an owner, which becomes the only writer of the owner in both
-// indexes: index has what owners cache, pending the chunks of requests whose first
-// event has not come yet. The options must not change.
+// indexes: index has what owners cache, pending the chunks of requests that were sent
+// lately. The options must not change.
 func New(index, pending *prefixindex.Index, owner prefixindex.Owner, options *Options) *Feed {
 	f := &Feed{options: options, record: record{index: index, pending: pending, owner: owner}}
 	f.startIncarnation()
--- a/pkg/kvrouter/kvevents/prediction.go
+++ b/pkg/kvrouter/kvevents/prediction.go
@@ -35,7 +35,9 @@
 }
 
 // AddPending records that a request with the chunks was sent, so that requests behind
-// it will find them cached when their turn comes.
+// it will find them cached when their turn comes. They stay for the PredictionTTL of the
+// pending index, beyond the first event too, unless RemovePending withdraws them or the
+// owner reports that it removed them by ID.
 func (f *Feed) AddPending(now time.Duration, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -44,7 +46,7 @@
 	}
 }
 
-// RemovePending withdraws AddPending.
+// RemovePending withdraws AddPending for a request that did not have its prompt computed.
 func (f *Feed) RemovePending(links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
--- a/pkg/kvrouter/kvevents/record.go
+++ b/pkg/kvrouter/kvevents/record.go
@@ -13,7 +13,7 @@
 type record struct {
 	// index has the chunks that the owner reported, and predictions of them.
 	index *prefixindex.Index
-	// pending has the chunks of requests whose first event has not come yet.
+	// pending has the chunks of requests that were sent lately, see Feed.AddPending.
 	pending *prefixindex.Index
 	owner   prefixindex.Owner
 	// changed is closed at the next change of what the owner caches; nil when
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -53,7 +53,8 @@
 	ByIDPredictionLag time.Duration
 	// Disabled are the mechanisms that are disabled.
 	Disabled Mechanisms
-	// Name distinguishes this router from others that send to the same replicas.
+	// Name distinguishes this router from others that send to the same replicas, so that
+	// each has preferences of its own, see Settings.SpreadTime.
 	Name string
 	// UncertainTTL is how long chunks count as predicted that were reported before
 	// some reports were lost.
@@ -75,16 +76,21 @@
 	MaxPullsPerSource int
 	// PrefillTokensPerSecond is assumed of replicas until their speed is learned.
 	PrefillTokensPerSecond float64
-	// ReorderWindow is how many events of a replica are buffered for a missing one.
+	// ReorderWindow is how many events or batches of a replica are buffered for a
+	// missing one.
 	ReorderWindow int
 	// ReorderWait is how long they are buffered.
 	ReorderWait time.Duration
+	// The slow start below is that of the block cost model. For the time cost model the
+	// caller bounds it, by Candidate.SlowStartUntil and Request.SlowStartAllowed.
+
 	// SlowStartDuration is how long slow start lasts.
 	SlowStartDuration time.Duration
 	// SlowStartInitial is how many reservations a replica takes at the start of it.
 	SlowStartInitial int
 	// SlowStartPerSecond is how many more it takes with each second.
 	SlowStartPerSecond float64
+
 	// ReportFresh is the age up to which a load report counts in full.
 	ReportFresh time.Duration
 	// ReportUseless is the age from which on it does not count. In between its weight
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -19,8 +19,8 @@
 	// time, and a margin.
 	waitFactor = 1.5
 	waitMargin = 100 * time.Millisecond
-	// maxWait bounds it in any case: a request that is held back has no place in
-	// the replica's queue.
+	// maxWait bounds it in any case: a request that is held back is not in the replica's
+	// queue yet, and later ones get ahead of it.
 	maxWait = 2 * time.Second
 )
 
@@ -34,8 +34,9 @@
 	feed           *kvevents.Feed
 	owner          prefixindex.Owner
 	links          []prefixindex.Link
-	tokens         uint32
-	deadline       time.Duration
+	// tokens is the length of the beginning that is waited for.
+	tokens   uint32
+	deadline time.Duration
 }
 
 // Deadline returns when to send the request in any case, on the router's clock.
@@ -63,7 +64,7 @@
 // plannedWait is what a replica would cache of a prompt after a wait.
 type plannedWait struct {
 	extent prefixindex.Extent
-	// backlog are the tokens that the replica computes until then, at most.
+	// backlog are the prompt tokens that the replica computes until then, at most.
 	backlog float64
 }
 
--- a/pkg/kvrouter/prompt.go
+++ b/pkg/kvrouter/prompt.go
@@ -12,7 +12,7 @@
 	links    []prefixindex.Link
 	overlaps prefixindex.Overlaps
 	// pending is what owners will cache when the requests before have their first
-	// events.
+	// events. Chunks of which these have come may still be in it.
 	pending prefixindex.Overlaps
 	sources []pullSource
 }
--- a/pkg/kvrouter/pull.go
+++ b/pkg/kvrouter/pull.go
@@ -34,7 +34,8 @@
 	tokens     uint32
 	// transferTime is the estimated time of the transfer, waits for the link included.
 	transferTime time.Duration
-	// saved is how much sooner the chunks are there than by prefill.
+	// saved is how much sooner the chunks are there than by prefill, less the margin and
+	// the price that the cost model demands. A pull is planned only if it is above 0.
 	saved time.Duration
 	// savedFraction is saved as a fraction of the time of prefill, from 0 to 1. The
 	// block cost model sets it.
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -48,7 +48,7 @@
 // drainBacklog updates the estimate of what the replica has computed until now, at the
 // learned speed.
 func (s *replicaState) drainBacklog(now time.Duration) {
-	// A selection asks for each candidate twice, at one instant.
+	// A selection calls this up to twice for each candidate, at one instant.
 	if now > s.load.DrainedAt() {
 		s.load.Drain(now, s.perToken*s.slowness.Factor())
 	}
--- a/pkg/kvrouter/reports.go
+++ b/pkg/kvrouter/reports.go
@@ -41,7 +41,8 @@
 // ChunksReported records a batch of changes that a replica or store reported of
 // chunks by their IDs. Batches may come doubled, late and out of order. Where some
 // are lost, everything that the owner reported before becomes a prediction, which
-// ends after the UncertainTTL unless it is reported again.
+// ends after the UncertainTTL unless it is reported again, and ResyncNeeded names the
+// owner until ChunksReplaced.
 func (r *Router) ChunksReported(now time.Duration, address string, batch kvevents.Position, changes []kvevents.ChunkChange) kvevents.Status {
 	state := r.state(now, address)
 	status, restarted := state.feed.HandleBatch(now, batch, changes)
@@ -125,8 +126,8 @@
 	r.state(now, address).feed.ObserveWeightVersion(version)
 }
 
-// ResyncNeeded returns, in order, the addresses whose events were lost, and that
-// should be asked for a reset.
+// ResyncNeeded returns, in order, the addresses of which reports were lost or are
+// missing from before the first one, and that should be asked for all that they cache.
 func (r *Router) ResyncNeeded(now time.Duration) []string {
 	r.mutex.Lock()
 	states := lo.Values(r.replicas.byAddress)
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -19,7 +19,7 @@
 	// change discards the router's state of the address.
 	Instance string
 	// SlowStartUntil is when the replica's slow start ends, on the router's clock; 0
-	// when it is not in slow start.
+	// when it is not in slow start. The block cost model has a slow start of its own.
 	SlowStartUntil time.Duration
 }
 
@@ -145,7 +145,7 @@
 	// still to be computed.
 	ActivePrefillTokens uint64
 	// ActiveDecodeTokens counts the tokens, prompt and generated, that the
-	// accepted requests hold in memory.
+	// accepted requests occupy in memory.
 	ActiveDecodeTokens uint64
 	ActiveRequests     uint32
 	WeightVersion      string
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -17,12 +17,14 @@
 	model costModel
 	state *replicaState
 	links []prefixindex.Link
+	// pull is meaningful if pulls is set.
 	pull  plannedPull
 	pulls bool
 	// feedEpoch is the epoch of the replica's feed that the attempt belongs to.
 	feedEpoch uint64
-	// startedAt, computeTokens and backlogTokens, the tokens of other prompts that the
-	// replica computes before, tell how long the first token should take.
+	// startedAt is the time of the selection. With it, computeTokens, the tokens of the
+	// prompt that the replica has to compute, and backlogTokens, those of other prompts
+	// that it computes before, the cost model learns from the time to the first token.
 	startedAt     time.Duration
 	computeTokens float64
 	backlogTokens float64
@@ -120,8 +122,9 @@
 }
 
 // Finish records that the attempt has ended, completed or not, and releases its
-// load. Only the first call counts. A completed attempt renews the prediction
-// of what the replica caches, unless the replica reports that itself.
+// load. Only the first call counts. A completed attempt renews the prediction of what
+// the replica caches, unless FirstToken has predicted it and the replica reports it
+// itself by now.
 func (r *Reservation) Finish(now time.Duration, completed bool) {
 	if !r.release(now) {
 		return
@@ -136,8 +139,8 @@
 	r.state.feed.Predict(now, r.feedEpoch, r.links)
 }
 
-// Cancelled records that the attempt has ended because nobody waits for it any
-// more, or that it has not run. Nothing is learned from it.
+// Cancelled is Finish for an attempt that nobody waits for any more, or that has not
+// run. Nothing is learned from it.
 func (r *Reservation) Cancelled(now time.Duration) {
 	if r.release(now) {
 		r.removePending()
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// pendingTTL ends the pending chunks of a request that never answers.
+	// pendingTTL is how long the chunks of a request count as pending, unless it fails
+	// before.
 	pendingTTL = 10 * time.Second
 	// maxPending bounds the pending chunks.
 	maxPending    = 1 << 16
@@ -28,8 +29,9 @@
 	options Options
 	// index has the chunks that owners cache, by their reports and predictions.
 	index *prefixindex.Index
-	// pending has the chunks of requests whose first event has not come yet. They
-	// can't be pulled, but a request behind will find them cached.
+	// pending has the chunks of requests that were sent within the pendingTTL and did not
+	// fail. They can't be pulled before the first event, but a request behind will find
+	// them cached. After it they are in index too, as predicted or reported.
 	pending     *prefixindex.Index
 	scratchPool sync.Pool
 
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -22,8 +22,10 @@
 	candidate *Candidate
 	state     *replicaState
 	prompt    *prompt
-	view      kvevents.View
-	// overlap is what the replica caches of the prompt when the request arrives.
+	// view is the replica's feed as of the selection.
+	view kvevents.View
+	// overlap is what the replica caches of the prompt when the request arrives there,
+	// after the wait if waits is set.
 	overlap prefixindex.Overlap
 	// pull is meaningful if pulls is set.
 	pull  plannedPull
@@ -42,7 +44,8 @@
 
 // Select chooses the replica for a request and reserves its load. It returns a
 // *NoReplicaError when no candidate can take the request. The caller must end
-// the reservation of the decision with Finish.
+// the reservation of the decision with Finish. The prompt is looked up without the
+// router's lock, so what it finds may be older than the feeds that are read after.
 func (r *Router) Select(request Request, candidates []Candidate) (Decision, error) {
 	if len(candidates) == 0 {
 		return Decision{}, &NoReplicaError{Reason: NoCandidates, RetryAfter: defaultRetryAfter}
--- a/pkg/kvrouter/settings.go
+++ b/pkg/kvrouter/settings.go
@@ -24,43 +24,51 @@
 	DefaultZonePricePerKilobyte = 4.0
 )
 
-// Settings are the knobs of selection for one pool.
+// Settings are the knobs of selection for one pool. Those that name no cost model apply
+// to both.
 type Settings struct {
 	// PrefillLoadScale is the weight of the prefill term in the cost.
 	PrefillLoadScale float64
 	// RequestWeight is a flat cost, in blocks, per active request.
 	RequestWeight float64
-	// LocalCredit is the credit per block that the replica caches itself.
-	LocalCredit float64
-	// PeerCredit is the credit per block that it would pull from a peer.
-	PeerCredit float64
-	// StoreCredit is the credit per block that it would pull from the store.
-	StoreCredit float64
 	// BusyThresholdBlocks is the number of active blocks, prefill and decode
 	// together, from which on a replica takes no further request. 0 means that
 	// none is ever busy.
 	BusyThresholdBlocks float64
-	// The weights that follow apply to pools with an engine profile.
+	// Temperature of the softmax over the costs; 0 selects the lowest cost.
+	Temperature float64
+
+	// The block cost model alone, that of pools without an engine profile, uses the
+	// three credits.
+
+	// LocalCredit is the credit per block that the replica caches itself.
+	LocalCredit float64
+	// PeerCredit is the most credit per block that it would pull from a peer.
+	PeerCredit float64
+	// StoreCredit is the most credit per block that it would pull from the store.
+	StoreCredit float64
+
+	// The time cost model alone, that of pools with an engine profile, uses the rest.
 
 	// DecodeWeight is the weight of a block of memory in use.
 	DecodeWeight float64
-	// HarmWeight is how often the request's own prefill counts beyond its own delay,
-	// for the delay that it causes to the requests behind it.
+	// HarmWeight is the weight of harm: how many times the request's own prefill counts
+	// beyond its own delay, for the delay that it causes to the requests behind it.
 	HarmWeight float64
 	// HarmTime is the median backlog of the replicas, in milliseconds, at which
-	// HarmWeight doubles, and so on: the more prompts are queued, the more of them wait
-	// for this one. With 0 HarmWeight does not depend on the backlog.
+	// HarmWeight has doubled; it grows linearly, up to maxHarmWeight. The more
+	// prompts are queued, the more of them wait for this one. With 0 HarmWeight does not depend on the backlog.
 	HarmTime float64
 	// LessUrgentWeight is the fraction of less urgent prompts that counts as queued
 	// before the request.
 	LessUrgentWeight float64
 	// ChurnFraction is the backlog, as a fraction of a replica's memory, from which on
-	// pulled chunks count as evicted by the time that they are used. 0 means that
-	// they are never evicted before.
+	// all pulled chunks count as evicted by the time that they are used; below it, a
+	// part of them in proportion. 0 means that they never are.
 	ChurnFraction float64
 	// SpreadTime bounds the preference, in milliseconds, that each router has of its
-	// own for each replica. It keeps routers whose load updates of each other are as
-	// old as that from all choosing the same replica.
+	// own for each replica. Load updates of other routers are old by about as much, and
+	// without the preference all would choose the same idle replica.
 	SpreadTime float64
 	// ZonePrice is what a request to a replica in another zone costs, in
 	// milliseconds.
@@ -69,8 +77,6 @@
 	ZonePricePerKilobyte float64
 	// TransferPrice is what the transfer of a megabyte costs, in milliseconds.
 	TransferPrice float64
-	// Temperature of the softmax over the costs; 0 selects the lowest cost.
-	Temperature float64
 }
 
 // DefaultSettings returns the settings of a pool that configures none.
--- a/pkg/kvrouter/slow_start.go
+++ b/pkg/kvrouter/slow_start.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// slowStart bounds the reservations of a replica that may have started lately. It
+// slowStart bounds the reservations of a replica that may have started lately, in the
+// block cost model. It
 // begins when the replica is first seen, again when it restarts, and again with each
 // report that says that it is warming up, so that the bound starts to rise only when
 // the replica has stopped saying so.
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -139,8 +139,10 @@
 	r.state.load.RemovePrefill(r.work)
 }
 
-// learn updates the latency of the pool and the slowness of the replica and of
-// its links by the time to the first event.
+// learn updates the latency of the pool and the slowness of the replica and of its links
+// by the time to the first event. When a pull was late, the links alone are updated: the
+// time tells nothing of the replica's speed then. The pool learns only from requests
+// with little queued before them, since a backlog is an estimate.
 func (m *timeModel) learn(r *Reservation, now time.Duration) {
 	if r.waited || m.options.Disabled.LearnedSpeeds {
 		return
@@ -165,8 +167,9 @@
 	r.state.slowness.Observe(now, ratio, certainty)
 }
 
-// retryAfter estimates when the first replica has capacity: when it has computed a
-// good part of what is queued there.
+// retryAfter estimates when the first of the candidates may take the request: when so
+// much of its backlog is computed that the rest delays the request for no longer than
+// MaxWait, and its slow start has ended.
 func (m *timeModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
 	shortest := maxRetryAfter
 	for i := range candidates {
--- a/pkg/kvrouter/time_pull.go
+++ b/pkg/kvrouter/time_pull.go
@@ -16,8 +16,8 @@
 	regionFactor = 10.0
 	// maxTransferWait is the wait for a link beyond which no pull is planned.
 	maxTransferWait = time.Second
-	// maxSources and maxSourcesOfZone bound the sources that are considered for
-	// each candidate.
+	// maxSources is the number of sources up to which all are considered. Of more, the
+	// best maxSourcesOfZone of each zone are, up to maxSources, and the store.
 	maxSources       = 4
 	maxSourcesOfZone = 1
 	// minPullTokens is the smallest pull that is planned, in tokens.
@@ -49,7 +49,7 @@
 }
 
 // addSource adds an owner that caches the beginning of the prompt, or probably
-// does: a pull in vain costs little.
+// does: a pull in vain costs little, and estimatePull discounts what it saves.
 func (p *prompt) addSource(state *replicaState, zone, region string, isStore bool) {
 	overlap := p.overlaps.Of(state.owner)
 	if overlap.Likely.Tokens < minPullTokens {
@@ -66,7 +66,8 @@
 }
 
 // keepBestSources reduces many sources to a few: those that cache the most, and of
-// those that cache as much the ones whose link is free first, some in each zone.
+// those that cache as much the ones whose link is free first, one in each zone. The
+// store always stays.
 func (p *prompt) keepBestSources() {
 	if len(p.sources) <= maxSources {
 		return
