--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -158,7 +158,7 @@
 	took := now - r.startedAt
 	computed := r.backlogTokens + r.computeTokens
 	if !r.pulls {
-		r.state.prefillSpeed.Learn(computed, took)
+		r.state.prefillSpeed.Observe(computed, took)
 		return
 	}
 	pulling := took - r.state.prefillSpeed.TimeFor(computed, m.options.PrefillTokensPerSecond)
--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -33,10 +33,19 @@
 //
 // # A selection
 //
-// Router.Select looks up the overlaps of the prompt with what each owner caches, under
-// each weight version of the candidates, without the router's lock. Under the lock, the
-// cost model chooses, and reserves the load. FirstToken and Finish of the Reservation
-// release it, and bring what was learned and predicted.
+// Router.Select (select.go) looks up the overlaps of the prompt with what each owner
+// caches, under each weight version of the candidates, without the router's lock
+// (prompt.go). Under the lock, the cost model of the request
+//
+//  1. gathers the owners that chunks may be pulled from (gatherSources),
+//  2. scores each candidate, with the pull and the wait that would be best for it
+//     (score, scoreOne, planPull, planWait),
+//  3. takes the one with the lowest cost (ranking.go),
+//  4. reserves its load (reserve).
+//
+// FirstToken and Finish of the Reservation (reservation.go) release the load. At the first
+// token the cost model learns from the time it took (endPrefill), and the replica is
+// predicted to cache the prompt until its report comes (reports.go).
 //
 // # Concurrency
 //
--- a/pkg/kvrouter/internal/speed/doc.go
+++ b/pkg/kvrouter/internal/speed/doc.go
@@ -1,12 +1,12 @@
 // Package speed learns how fast pools, replicas and links are, from the time that
 // requests take to their first event.
 //
-//	estimator    of                                              used by
-//	Prefill      the prefill speed of one replica                block cost model
-//	Bandwidths   the bandwidth between two zones                 block cost model
-//	Latency      the time of a pool's replicas to first events   time cost model
-//	Slowness     one replica compared with its pool              time cost model
-//	Link         one owner's link for transfers                  time cost model
+//	estimator      of                                              used by
+//	Prefill        the prefill speed of one replica                block cost model
+//	Bandwidths     the bandwidth between two zones                 block cost model
+//	Latency        the time of a pool's replicas to first events   time cost model
+//	Slowness       one replica compared with its pool              time cost model
+//	TransferLink   one owner's link for transfers                  time cost model
 //
 // Each estimator owns what it has observed and knows nothing of the others. Until it has
 // learned, it answers with the values that its caller assumes. None is safe for
@@ -14,5 +14,5 @@
 //
 // The time to a first event is all that a router sees. It includes queues of which the
 // router has no report. Latency and Slowness therefore weigh slow observations less than
-// fast ones, and a Link counts as slow only after several late transfers in a row.
+// fast ones, and a TransferLink counts as slow only after several late transfers in a row.
 package speed
--- a/pkg/kvrouter/internal/speed/latency.go
+++ b/pkg/kvrouter/internal/speed/latency.go
@@ -40,9 +40,9 @@
 	return l
 }
 
-// Learn records that a replica of usual speed took a time, in milliseconds, to
+// Observe records that a replica of usual speed took a time, in milliseconds, to
 // compute tokens.
-func (l *Latency) Learn(tokens, took float64) {
+func (l *Latency) Observe(tokens, took float64) {
 	l.count *= latencyDecay
 	l.sumX *= latencyDecay
 	l.sumY *= latencyDecay
--- a/pkg/kvrouter/internal/speed/prefill.go
+++ b/pkg/kvrouter/internal/speed/prefill.go
@@ -20,9 +20,9 @@
 	tokensPerSecond float64
 }
 
-// Learn records that the replica computed tokens, those queued before included, in
+// Observe records that the replica computed tokens, those queued before included, in
 // a time.
-func (p *Prefill) Learn(tokens float64, took time.Duration) {
+func (p *Prefill) Observe(tokens float64, took time.Duration) {
 	if tokens < minTokensToLearn || took <= 0 {
 		return
 	}
--- a/pkg/kvrouter/internal/speed/link.go
+++ b/pkg/kvrouter/internal/speed/transfer_link.go
@@ -17,9 +17,9 @@
 	maxSlowdown      = 200.0
 )
 
-// Link is the state of one owner's link for transfers of cached chunks, which run
+// TransferLink is the state of one owner's link for transfers of cached chunks, which run
 // one after another. The zero value is free and not slow.
-type Link struct {
+type TransferLink struct {
 	// freeAt is when the transfers planned so far have ended.
 	freeAt time.Duration
 	// slowdown is how many times longer transfers took than expected, at slowdownAt.
@@ -30,13 +30,13 @@
 }
 
 // FreeAt returns when the transfers planned so far have ended.
-func (l *Link) FreeAt() time.Duration { return l.freeAt }
+func (l *TransferLink) FreeAt() time.Duration { return l.freeAt }
 
 // ReserveUntil reserves the link for a transfer that ends at an instant.
-func (l *Link) ReserveUntil(end time.Duration) { l.freeAt = end }
+func (l *TransferLink) ReserveUntil(end time.Duration) { l.freeAt = end }
 
 // Slowdown returns how many times longer transfers take now than expected.
-func (l *Link) Slowdown(now time.Duration) float64 {
+func (l *TransferLink) Slowdown(now time.Duration) float64 {
 	if l.slowdown <= 1 {
 		return 1
 	}
@@ -47,7 +47,7 @@
 // ObserveTransfer records how much later than expected, in milliseconds, a request
 // had its first event whose transfer should have taken a time, in milliseconds too. It
 // reports whether the transfer counts as late at both its ends.
-func ObserveTransfer(now time.Duration, source, target *Link, expected, excess float64) (late bool) {
+func ObserveTransfer(now time.Duration, source, target *TransferLink, expected, excess float64) (late bool) {
 	if excess <= max(minLateMilliseconds, 2*expected) {
 		source.lateInRow = 0
 		target.lateInRow = 0
@@ -63,7 +63,7 @@
 // expected. Its request was late, because of the link or of a queue at the replica
 // that this router has no report of. Only several in a row are attributed to the
 // link.
-func (l *Link) recordLate(now time.Duration, ratio float64) {
+func (l *TransferLink) recordLate(now time.Duration, ratio float64) {
 	l.lateInRow++
 	if l.lateInRow < lateTransfersForSlowdown {
 		return
--- a/pkg/kvrouter/load.go
+++ b/pkg/kvrouter/load.go
@@ -8,14 +8,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
-// Load is the load that the router assumes of a replica, in blocks.
+// Load is a load of a replica in blocks, the unit of cost. replicaload.Load is the same in
+// tokens.
 type Load struct {
 	PrefillBlocks  float64
 	DecodeBlocks   float64
 	ActiveRequests float64
 }
 
-// AddressLoad is a SharedLoad of a replica.
+// AddressLoad is the load of this router's requests on the replica at an address, for the
+// other routers.
 type AddressLoad struct {
 	Address string
 	replicaload.SharedLoad
@@ -75,7 +77,8 @@
 	return state.load.IsNewestReport(describesAt)
 }
 
-// Load returns the load that the router assumes of a replica.
+// Load returns the load that the router assumes of a replica by its own requests and the
+// replica's reports. What other routers sent is not in it.
 func (r *Router) Load(now time.Duration, address string) Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -107,7 +110,7 @@
 	r.observeTime(now)
 	state := r.replicas.state(now, address)
 	state.drainBacklog(now)
-	state.load.Share(now, router, received)
+	state.load.SetShared(now, router, received)
 }
 
 // LocalLoads returns, in the order of the addresses, the load of this router's
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -32,7 +32,7 @@
 	perToken float64
 	// meanCompute is the moving average of the tokens that requests have to compute.
 	meanCompute  float64
-	transferLink speed.Link
+	transferLink speed.TransferLink
 }
 
 // restart starts slow start anew, and discards what is true of one incarnation
@@ -41,7 +41,7 @@
 func (s *replicaState) restart(now time.Duration) {
 	s.load.DiscardOthers()
 	s.slowness = speed.Slowness{}
-	s.transferLink = speed.Link{}
+	s.transferLink = speed.TransferLink{}
 	s.slowStart.since = now
 }
 
--- a/pkg/kvrouter/replicaload/tracker.go
+++ b/pkg/kvrouter/replicaload/tracker.go
@@ -101,8 +101,8 @@
 	t.memoryReported = true
 }
 
-// Share replaces the load that another router sent.
-func (t *Tracker) Share(now time.Duration, router string, received SharedLoad) {
+// SetShared replaces the load that another router sent.
+func (t *Tracker) SetShared(now time.Duration, router string, received SharedLoad) {
 	t.shared.set(now, router, received)
 }
 
@@ -213,7 +213,8 @@
 	return t.local.present.Requests != 0 || t.announced
 }
 
-// Announce returns the local load for other routers.
+// Announce returns the local load for other routers, and remembers for AnnouncementDue
+// whether there was some.
 func (t *Tracker) Announce() SharedLoad {
 	announcement := SharedLoad{
 		DecodeTokens: t.local.present.DecodeTokens,
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -162,7 +162,7 @@
 	certainty := (r.computeTokens + 1) / (work + 1)
 	ratio := prefill / max(usual, 1)
 	if r.backlogTokens <= r.computeTokens/4 {
-		r.latency.Learn(work, prefill)
+		r.latency.Observe(work, prefill)
 	}
 	r.state.slowness.Observe(now, ratio, certainty)
 }
--- a/pkg/prefixindex/overlaps.go
+++ b/pkg/prefixindex/overlaps.go
@@ -101,6 +101,7 @@
 	reported, likely := ^ownerSet(0), ^ownerSet(0)
 	reached := Extent{}
 	for position, link := range links {
+		// reporting and predicted are the owners of this chunk alone.
 		reporting := find(w.reported, link.Hash)
 		predicted := find(w.predicted, link.Hash)
 		stillReported := reported & reporting
--- a/pkg/prefixindex/shard.go
+++ b/pkg/prefixindex/shard.go
@@ -19,7 +19,7 @@
 
 // shard holds the chunks of a partition whose hashes have the same leading bits.
 //
-// Invariant: version is odd exactly while a writer changes the table. A reader
+// It is a sequence lock. Invariant: version is odd exactly while a writer changes the table. A reader
 // that saw the same even version before and after its reads has read one
 // consistent state, without having written to memory that other readers share.
 type shard struct {
--- a/pkg/prefixindex/table.go
+++ b/pkg/prefixindex/table.go
@@ -10,7 +10,8 @@
 	bytesPerSlot = wordsPerSlot * 8
 	// minimumSlots is the smallest capacity of a table.
 	minimumSlots = 16
-	// mixFactor is odd and has its bits well spread: 2^64 by the golden ratio.
+	// mixFactor is that of Fibonacci hashing: 2^64 divided by the golden ratio, which is
+	// odd and has its bits well spread.
 	mixFactor = 0x9E3779B97F4A7C15
 )
 
@@ -63,8 +64,8 @@
 	return slot, 0
 }
 
-// erase frees a slot and moves later slots back, so that no search ends at the
-// free slot before it has reached its hash.
+// erase frees a slot by backward-shift deletion: it moves later slots back, so that no
+// search ends at the free slot before it has reached its hash.
 func (t *table) erase(hole uint64) {
 	next := hole
 	for {
