--- a/internal/lab/bench/reporting.go
+++ b/internal/lab/bench/reporting.go
@@ -50,6 +50,8 @@
 	return events
 }
 
+// carry sends an event over the network of its sender, which may delay, lose, double or
+// reorder it.
 func (s *simulation) carry(now time.Duration, from *reporter, event replica.Event) {
 	for _, delivery := range from.feed.Carry(now, event) {
 		if delivery.At <= now {
--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -32,7 +32,8 @@
 type simulation struct {
 	settings Settings
 	policy   policy
-	reader   feedReader
+	// reader is the policy if it uses the reports of replicas, else nil.
+	reader feedReader
 	// reportLoss draws which load reports are lost.
 	reportLoss *rand.Rand
 	machines   []*machine
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -15,8 +15,9 @@
 	Zone          string
 	Region        string
 	WeightVersion string
-	// Instance identifies the replica's process, or is "" when the caller can't tell. A
-	// change discards the router's state of the address.
+	// Instance identifies the replica's process, or is "" when the caller can't tell. In
+	// pools with an engine profile a change discards what was true of the former process;
+	// in others only the incarnations in reports tell of a restart.
 	Instance string
 	// SlowStartUntil is when the replica's slow start ends, on the router's clock; 0
 	// when it is not in slow start. The block cost model has a slow start of its own.
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -68,8 +68,8 @@
 	return decision, err
 }
 
-// detectReplacements discards the state of addresses whose replica is another
-// instance than the last one.
+// detectReplacements discards what is true of one process of a replica only, for the
+// addresses whose replica is another instance than the last one.
 func (r *Router) detectReplacements(now time.Duration, candidates []Candidate) {
 	r.mutex.Lock()
 	var replaced []*replicaState
