--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -121,7 +121,8 @@
 		settings.RequestWeight*inputs.activeRequests
 }
 
-// retryAfter estimates when the first of the candidates has completed its prefill.
+// retryAfter estimates when the first of the candidates has computed the prompts that are
+// queued there.
 func (m *blockModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
 	shortest := maxRetryAfter
 	for i := range candidates {
@@ -157,7 +158,7 @@
 	took := now - r.startedAt
 	computed := r.backlogTokens + r.computeTokens
 	if !r.pulls {
-		r.state.prefillSpeed.Learn(computed, took)
+		r.state.prefillSpeed.Observe(computed, took)
 		return
 	}
 	pulling := took - r.state.prefillSpeed.TimeFor(computed, m.options.PrefillTokensPerSecond)
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -32,7 +32,7 @@
 	perToken float64
 	// meanCompute is the moving average of the tokens that requests have to compute.
 	meanCompute  float64
-	transferLink speed.Link
+	transferLink speed.TransferLink
 }
 
 // restart starts slow start anew, and discards what is true of one incarnation
@@ -41,14 +41,14 @@
 func (s *replicaState) restart(now time.Duration) {
 	s.load.DiscardOthers()
 	s.slowness = speed.Slowness{}
-	s.transferLink = speed.Link{}
+	s.transferLink = speed.TransferLink{}
 	s.slowStart.since = now
 }
 
 // drainBacklog updates the estimate of what the replica has computed until now, at the
 // learned speed.
 func (s *replicaState) drainBacklog(now time.Duration) {
-	// A selection asks for each candidate twice, at one instant.
+	// A selection calls this up to twice for each candidate, at one instant.
 	if now > s.load.DrainedAt() {
 		s.load.Drain(now, s.perToken*s.slowness.Factor())
 	}
