--- a/pkg/membership/config.go
+++ b/pkg/membership/config.go
@@ -19,34 +19,9 @@
 // Never is the fence deadline of a member that nothing can fence.
 const Never = time.Duration(math.MaxInt64)
 
-// The reach of gossip; see gossip.receivers.
-const (
-	// zoneFanOut is how many members of its own zone a node passes an update to.
-	zoneFanOut = 3
-	// crossZoneFanOut is how many members of other zones the source of an update
-	// sends it to. It also bounds how many any other node passes it on to.
-	crossZoneFanOut = 2
-	// forwardsPerZone times the number of zones is about how often an update is passed on
-	// to another zone by all the nodes together that aren't its source.
-	forwardsPerZone = 4
-	// bulkUpdateThreshold is how many records may change within HeartbeatEvery before
-	// the changes are left to anti-entropy.
-	bulkUpdateThreshold = 16
-)
-
-const (
-	// minHeartbeatsPerFence heartbeats must fit into FenceAfter, so that one may be
-	// lost before other monitors are tried, and there is time to replace the set.
-	minHeartbeatsPerFence = 4
-	// recordResendRounds is for how many heartbeat rounds a peer may leave heartbeats
-	// unanswered before they contain this node's record again.
-	recordResendRounds = 2
-	// roundsPerProbe is the number of heartbeat rounds from one probe to the next.
-	roundsPerProbe = 5
-	// joinTimeoutFences is for how many FenceAfter periods a starting node waits for
-	// some seed before it considers itself alone.
-	joinTimeoutFences = 3
-)
+// minHeartbeatsPerFence heartbeats must fit into FenceAfter, so that one may be lost before
+// other monitors are tried, and there is time to replace the set.
+const minHeartbeatsPerFence = 4
 
 // Config sets up a Machine. Zero values take the defaults.
 type Config struct {
@@ -109,7 +84,9 @@
 }
 
 // unresponsiveAfter is how long a node may leave heartbeats unanswered before others
-// are preferred as monitors. It leaves half of FenceAfter to replace the set.
+// are preferred as monitors. It leaves half of FenceAfter to replace the set. For the same
+// time an incarnation without monitors waits for those that it chose to respond, and a node
+// that gets no Tick for longer counts itself as paused: what it timed meanwhile is void.
 func (c Config) unresponsiveAfter() time.Duration {
 	return c.FenceAfter / 2
 }
--- a/pkg/membership/failure_detector.go
+++ b/pkg/membership/failure_detector.go
@@ -14,7 +14,7 @@
 // acknowledges that incarnation under that monitor set version. Heartbeats that come after
 // the report get replies nevertheless, since the member may have declared a later set; but
 // each reply states the newest version reported, and the member counts no reply for
-// versions up to it, also if the report itself hasn't reached it. Replies sent before the
+// versions up to it, even before the report itself has reached it. Replies sent before the
 // report need no such mark: by then they have expired, since a report comes timeout after
 // the last of them.
 type failureDetector struct {
@@ -67,7 +67,7 @@
 	}
 }
 
-// forget drops the timer of a member that left the table.
+// forget drops the timer of a member whose record was dropped from the table.
 func (d *failureDetector) forget(id member.ID) {
 	delete(d.timers, id)
 }
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -16,6 +16,22 @@
 	maxGossipRecords    = 128
 )
 
+// bulkUpdateThreshold is how many records may change within HeartbeatEvery before the
+// changes are left to anti-entropy.
+const bulkUpdateThreshold = 16
+
+// The reach of gossip; see gossip.receivers.
+const (
+	// zoneFanOut is how many members of its own zone a node passes an update to.
+	zoneFanOut = 3
+	// crossZoneFanOut is how many members of other zones the source of an update
+	// sends it to. It also bounds how many any other node passes it on to.
+	crossZoneFanOut = 2
+	// forwardsPerZone times the number of zones is about how often an update is passed on
+	// to another zone by all the nodes together that aren't its source.
+	forwardsPerZone = 4
+)
+
 // gossip passes changed records on to a few members. It owns the pending updates: the
 // members whose records changed since they were last passed on.
 type gossip struct {
--- a/pkg/membership/heartbeat_log.go
+++ b/pkg/membership/heartbeat_log.go
@@ -10,7 +10,8 @@
 type heartbeatLog struct {
 	// sequence numbers the heartbeats of this process.
 	sequence uint64
-	sent     []sentHeartbeat
+	// sent are the heartbeats that may still be acknowledged in time, oldest first.
+	sent []sentHeartbeat
 }
 
 // sentHeartbeat is one heartbeat, which went to all monitors at once.
@@ -19,8 +20,8 @@
 	at       time.Duration
 }
 
-// add records that the next heartbeat is sent now, and drops those older than
-// maxAge, whose acknowledgement would come too late.
+// add records that the next heartbeat is sent now, and drops those of maxAge or
+// more, whose acknowledgement would come too late.
 func (l *heartbeatLog) add(now, maxAge time.Duration) (sequence uint64) {
 	l.sequence++
 	l.sent = append(l.sent, sentHeartbeat{sequence: l.sequence, at: now})
--- a/pkg/membership/joiner.go
+++ b/pkg/membership/joiner.go
@@ -7,6 +7,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
+// joinTimeoutFences is for how many FenceAfter periods a starting node waits for some seed
+// before it considers itself alone.
+const joinTimeoutFences = 3
+
 // joiner lets this node join through a seed, and lets others join through this node. It
 // owns the seeds, the progress of the search, and the replies that it defers.
 //
--- a/pkg/membership/member_table.go
+++ b/pkg/membership/member_table.go
@@ -98,7 +98,7 @@
 		t.insert(now, mergeRecords(record, record))
 		return tableChange{newMember: true}, true
 	}
-	if len(record.TimeoutReports) == 0 && compareOwnerState(record, e.record) <= 0 {
+	if len(record.TimeoutReports) == 0 && compareStatements(record, e.record) <= 0 {
 		return tableChange{}, false
 	}
 	merged := mergeRecords(e.record, record)
--- a/pkg/membership/message.go
+++ b/pkg/membership/message.go
@@ -47,10 +47,11 @@
 	// Buckets are the digests of the sender's table by key range. They ask the receiver
 	// for a summary of the ranges that differ.
 	Buckets []uint32
-	// CoveredBuckets has a bit for each key range that Summary covers. Summary may be
-	// empty.
+	// CoveredBuckets has a bit for each key range that Summary covers.
 	CoveredBuckets uint64
-	Summary        []RecordDigest
+	// Summary has the digest of each record in these ranges. It is empty if the sender
+	// has none there.
+	Summary []RecordDigest
 	// Requested are the keys of the members whose records the sender requests, sorted.
 	Requested []uint32
 
--- a/pkg/membership/monitor_selector.go
+++ b/pkg/membership/monitor_selector.go
@@ -11,6 +11,10 @@
 // heartbeats unanswered isn't tried again as a monitor.
 const unresponsiveBackoffFences = 5
 
+// recordResendRounds is for how many heartbeat rounds a peer may leave heartbeats
+// unanswered before they contain this node's record again.
+const recordResendRounds = 2
+
 // monitorSelector chooses this node's monitors: the successors on the ring that
 // respond to heartbeats, spread over the zones. It owns what this node knows of the
 // peers that it sends heartbeats to.
@@ -72,7 +76,7 @@
 	}
 }
 
-// forget drops a peer that left the table.
+// forget drops a peer whose record was dropped from the table.
 func (s *monitorSelector) forget(id member.ID) {
 	delete(s.peers, id)
 }
--- a/pkg/membership/prober.go
+++ b/pkg/membership/prober.go
@@ -2,6 +2,9 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
+// roundsPerProbe is the number of heartbeat rounds from one probe to the next.
+const roundsPerProbe = 5
+
 // prober compares this node's table now and then with nodes that neither heartbeats nor
 // gossip reach: a random member, a fenced one, and a vacant seed. So the two sides of a
 // healed partition, or members that all restarted at once, find each other again. It owns
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -63,9 +63,9 @@
 	return r
 }
 
-// compareOwnerState orders two records of one member by what the member itself stated:
+// compareStatements orders two records of one member by what the member itself stated:
 // incarnation, then version, then whether it left.
-func compareOwnerState(a, b Record) int {
+func compareStatements(a, b Record) int {
 	return cmp.Or(
 		cmp.Compare(a.Info.Incarnation, b.Info.Incarnation),
 		cmp.Compare(a.Version, b.Version),
@@ -86,7 +86,7 @@
 // reports, without those of earlier incarnations and monitor sets.
 func mergeRecords(a, b Record) Record {
 	newer := a
-	if compareOwnerState(a, b) < 0 {
+	if compareStatements(a, b) < 0 {
 		newer = b
 	}
 	merged := newer.clone()
