--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -2,14 +2,13 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// follower takes the log over from the leader of the present term. An acknowledgement
-// leaves in the Ready that holds the entries, and so after they are durable; it is
-// why a leader may count it. Committed entries are never replaced: what would replace
-// them is found by check, before anything is changed.
+// follower copies the log of the leader of the present term. An acknowledgement leaves in
+// the Ready that has the entries, so after they are durable: that is why a leader may count
+// it. Committed entries are never replaced: check rejects a message that would replace one,
+// before anything is changed.
 type follower struct {
 	*memberState
-	// received is a snapshot that the log was replaced by, and that was not handed out
-	// yet.
+	// received is the snapshot that has replaced the log, until Ready hands it out.
 	received *Snapshot
 }
 
@@ -44,7 +43,7 @@
 	return nil
 }
 
-// checkSnapshot finds a snapshot of a group that can't be.
+// checkSnapshot finds a snapshot that is missing, or whose group can't exist.
 func checkSnapshot(from member.ID, m Message) error {
 	if m.Snapshot == nil {
 		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
--- a/pkg/replication/grants.go
+++ b/pkg/replication/grants.go
@@ -15,7 +15,7 @@
 	return slices.ContainsFunc(g, func(voter Voter) bool { return voter.ID == id })
 }
 
-// with returns the grants together with that of the voter.
+// with returns the grants and that of the voter, which counts once.
 func (g grants) with(voter Voter) grants {
 	if slices.Contains(g, voter) {
 		return g
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -1,8 +1,7 @@
 package replication
 
-// The leader keeps its group whole by itself: one change at a time, and each only if
-// it leaves a live majority. A rejection is not final, as the next heartbeat looks
-// again.
+// The leader repairs its group by itself: one change at a time, and each only if it leaves a
+// live majority. A change that can't be made now is looked for again at the next heartbeat.
 //
 // The group stops for good if the leader changes it just after another member of the
 // majority was lost for good: what it appended can't be committed any more. That a voter
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -9,9 +9,8 @@
 // maxUncommitted bounds the entries that wait for a quorum.
 const maxUncommitted = 8192
 
-// leadership is what a member keeps while it leads a term, which is the present one as
-// long as the leadership exists. It passes replies and time between the concerns of a
-// leader.
+// leadership is the state of a leader. It exists while the member leads the present term,
+// and is dropped with the term. It passes replies and time between the concerns of a leader.
 type leadership struct {
 	*memberState
 	// reads outlive the leadership, as those that wait fail after it.
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -9,6 +9,8 @@
 // snapshot of the leader was installed, applied lies before offset until the driver has
 // applied that snapshot.
 type replicaLog struct {
+	// offset is the index before the first of entries, and offsetTerm the term of the
+	// entry there.
 	offset     uint64
 	offsetTerm uint64
 	entries    []Entry
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -39,17 +39,18 @@
 	// retryAt is when the next attempt may begin.
 	retryAt time.Duration
 	granted grants
-	// termFloor is the highest term that was heard of.
+	// termFloor is the highest term that was heard of; recovery terms lie above it.
 	termFloor uint64
-	// lastTerm is the newest recovery term that this process has begun.
-	lastTerm uint64
+	// lastBegunTerm is the newest recovery term that this process has begun; 0 if none, or
+	// if that turned out to be no step above all terms that were in use.
+	lastBegunTerm uint64
 	// stateExpected tells that the group had a state, whatever the disks contain.
 	stateExpected bool
 }
 
-// tick asks, while no leader is heard, whether the group must be recovered: one slot
-// after the other. It is true while a recovery term of this member awaits its grants,
-// which rules out an election.
+// tick asks, once no leader has been heard for some time, whether the group must be
+// recovered. The members begin one after the other, in the order of their slots. It is true
+// while a recovery term of this member awaits its grants, which rules out an election.
 func (r *quorumRecovery) tick() (awaitsGrants bool) {
 	position := r.slots().position(r.cfg.Self)
 	hasState := r.stateExpected || r.log.lastIndex() > 0
@@ -71,8 +72,9 @@
 	return false
 }
 
-// tickTerm repeats the requests, and gives a recovery term up that another term has
-// overtaken or that is not granted in time.
+// tickTerm repeats the requests of a recovery term, and gives the term up if a later one
+// was adopted since, or if it isn't granted in time. A term that is granted by all lapses
+// as well unless RecoverQuorum uses it by then.
 func (r *quorumRecovery) tickTerm() (awaitsGrants bool) {
 	if !r.current() || r.now >= r.startedAt+recoveryTimeouts*r.cfg.ElectionTimeout {
 		r.stopUntil(r.now + r.cfg.HeartbeatEvery)
@@ -85,7 +87,8 @@
 }
 
 // stepRequest grants a recovery term to a log that is up to date, durably before the
-// reply leaves. The term of the reply is the highest one that was seen here.
+// reply leaves. The term of the reply is the highest one that was seen here. A voter states
+// its log as well: the sender gives way to one whose log is newer (stepReply).
 func (r *quorumRecovery) stepRequest(from member.ID, m Message) {
 	granted := !r.cfg.Learner && r.log.isUpToDate(m.Index, m.IndexTerm)
 	if m.PreVote {
@@ -129,7 +132,7 @@
 func (r *quorumRecovery) restartAbove(term uint64) {
 	r.raiseTermFloor(term)
 	if r.won() && r.term <= term {
-		r.lastTerm = 0
+		r.lastBegunTerm = 0
 		r.startTerm()
 	}
 }
@@ -178,7 +181,7 @@
 	term := r.nextTerm()
 	r.election.voteForSelf(term)
 	r.term = term
-	r.lastTerm = term
+	r.lastBegunTerm = term
 	r.startedAt = r.now
 	r.granted = nil
 	r.requestGrants()
@@ -189,7 +192,7 @@
 func (r *quorumRecovery) nextTerm() uint64 {
 	newest := max(r.hard.Term, r.termFloor)
 	term := newest + recoveryTermStep
-	if newest == r.lastTerm && newest > 0 {
+	if newest == r.lastBegunTerm && newest > 0 {
 		// This member's last recovery term was not granted, and is a step above the
 		// others already.
 		term = newest + 1
--- a/pkg/replication/tracker.go
+++ b/pkg/replication/tracker.go
@@ -103,14 +103,14 @@
 }
 
 // reachedByMajority returns the greatest value that a majority of the voters has
-// reached; self is that of the leader.
-func (t *tracker) reachedByMajority(voters []Voter, self uint64, value func(*progress) uint64) uint64 {
+// reached; leaderValue is that of the leader itself.
+func (t *tracker) reachedByMajority(voters []Voter, leaderValue uint64, value func(*progress) uint64) uint64 {
 	values := make([]uint64, 0, len(voters))
 	for _, voter := range voters {
 		follower := t.getVoter(voter)
 		switch {
 		case voter == t.self:
-			values = append(values, self)
+			values = append(values, leaderValue)
 		case follower != nil:
 			values = append(values, value(follower))
 		default:
