--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxResends is how often a chunk of a large update is sent again.
+// maxResends is how often a chunk of an update in several chunks is sent again.
 const maxResends = 8
 
 // sender brings other members to the newest revisions. It owns what they are known to
@@ -90,8 +90,8 @@
 	s.knownRevisions[key] = msg.Revision
 	if msg.Mismatch {
 		s.knownRevisions[key] = 0
-		// A snapshot may be no newer than the receiver's revision.
-		s.store.get(msg.Topic).snapshot = nil
+		// The whole state that is cached may be no newer than the receiver's revision.
+		s.store.get(msg.Topic).wholeUpdate = nil
 	}
 	if transfer != nil && !matchesTransfer {
 		return
@@ -114,9 +114,9 @@
 	s.sendChunk(now, key)
 }
 
-// expire sends the unacknowledged chunks of large updates again, and stops waiting for
-// other acknowledgements. If such an update was lost, the receiver's next digest shows it;
-// a newer revision is sent now.
+// expire sends the unacknowledged chunks of updates in several chunks again, up to
+// maxResends times, and gives all other overdue transfers up. If such an update was lost,
+// the receiver's next digest shows it; a newer revision is sent now.
 func (s *sender) expire(now time.Duration) {
 	for _, key := range s.overdue(now) {
 		transfer := s.inFlight[key]
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// state is the newest revision of a topic, and a log of which sections changed lately.
+// state is the state of a topic at its newest revision here, and a log of which sections changed lately.
 type state struct {
 	// chunkBytes is the size, in bytes, from which an update is split into chunks.
 	chunkBytes int
@@ -29,9 +29,9 @@
 	// latestUpdate caches the update built last, since all children usually need the
 	// same one.
 	latestUpdate *update
-	// snapshot is a whole state in several chunks that is still sent to receivers. It
-	// may be older than the state.
-	snapshot *update
+	// wholeUpdate is the newest update with a whole state in several chunks; nil if there is
+	// none that may still be sent. It may lead to an older revision than this one.
+	wholeUpdate *update
 }
 
 // storedSection is the content of a section and the hash that it adds to the checksum.
@@ -136,8 +136,8 @@
 	s.previous = s.revision
 	s.revision = revision
 	s.latestUpdate = nil
-	if s.snapshot != nil && !s.log.reaches(s.snapshot.revision, maxSnapshotLag) {
-		s.snapshot = nil
+	if s.wholeUpdate != nil && !s.log.reaches(s.wholeUpdate.revision, maxWholeUpdateLag) {
+		s.wholeUpdate = nil
 	}
 }
 
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -1,8 +1,8 @@
 package relaytree
 
-// maxSnapshotLag is how many changes a snapshot may lag behind and still be sent to
-// another receiver, which gets the rest as a delta.
-const maxSnapshotLag = 1024
+// maxWholeUpdateLag is how many changed sections a whole state in several chunks may lag
+// behind and still be sent to another receiver, which gets the rest as a delta.
+const maxWholeUpdateLag = 1024
 
 // update leads a receiver to a revision. It is immutable, and is shared by the transfers
 // to several receivers.
@@ -23,15 +23,15 @@
 	if revision == 0 || revision < s.log.oldest {
 		base = 0
 	}
-	if base == 0 && s.snapshot != nil && s.snapshot.revision > revision {
-		return s.snapshot
+	if base == 0 && s.wholeUpdate != nil && s.wholeUpdate.revision > revision {
+		return s.wholeUpdate
 	}
 	if s.latestUpdate != nil && s.latestUpdate.base == base {
 		return s.latestUpdate
 	}
 	s.latestUpdate = s.build(base)
 	if base == 0 && len(s.latestUpdate.chunks) > 1 {
-		s.snapshot = s.latestUpdate
+		s.wholeUpdate = s.latestUpdate
 	}
 	return s.latestUpdate
 }
@@ -48,8 +48,9 @@
 }
 
 // guessBase returns the base for a receiver whose revision isn't known. A small state is
-// sent whole. A large one isn't sent on a guess: a receiver that isn't at the guessed
-// revision replies with its own.
+// sent whole. Of a large one, only the changes since the previous revision are sent, or none
+// if the log doesn't reach back to it: a receiver that such a delta doesn't fit replies with
+// its own revision.
 func (s *state) guessBase() uint64 {
 	switch {
 	case s.size <= s.chunkBytes:
