--- a/pkg/twoslot/format.go
+++ b/pkg/twoslot/format.go
@@ -41,8 +41,8 @@
 	return crc32.Checksum(data, castagnoli)
 }
 
-// generationChecksum covers the generation besides the data, so that bytes of an older generation are never
-// taken for those of this one.
+// generationChecksum covers the generation besides the data, so that bytes of an older
+// generation are never taken for those of this one.
 func generationChecksum(generation uint64, data []byte) uint32 {
 	var seed [numberBytes]byte
 	byteOrder.PutUint64(seed[:], generation)
--- a/pkg/twoslot/image.go
+++ b/pkg/twoslot/image.go
@@ -91,6 +91,8 @@
 	}
 	generation, _, ok := readHeader(data, logMagic)
 	if !ok || generation%2 != parity {
+		// It may be the start of a header that a crash interrupted: checkNeverStarted
+		// looks at the bytes.
 		return logFile{state: fileUnreadable, data: data}
 	}
 	return logFile{state: fileIntact, generation: generation, data: data}
@@ -148,18 +150,19 @@
 const (
 	logClean logEndKind = iota + 1
 	logTorn
-	// logMissing logs had not been started at the crash.
-	logMissing
+	// logNotStarted logs had not been started at the crash, so that no record was appended
+	// in their generation.
+	logNotStarted
 )
 
 // records reads the log of a generation whose slot is durable.
 func (f *image) records(generation uint64) ([][]byte, logEndKind, error) {
 	log := f.logs[generation%2]
 	if log.state != fileIntact {
-		return nil, logMissing, f.checkMissing(generation, log)
+		return nil, logNotStarted, f.checkNeverStarted(generation, log)
 	}
 	if log.generation != generation {
-		return nil, logMissing, nil
+		return nil, logNotStarted, nil
 	}
 	records, _, end := parseFrames(log.data[headerBytes:], generation)
 	switch end {
@@ -172,9 +175,9 @@
 	}
 }
 
-// checkMissing makes sure that the log was never started: one that was, and can't be
-// read, may have contained acknowledged records.
-func (f *image) checkMissing(generation uint64, log logFile) error {
+// checkNeverStarted returns an error unless the file shows that the log was never started:
+// one that was, and can't be read, may have contained acknowledged records.
+func (f *image) checkNeverStarted(generation uint64, log logFile) error {
 	if log.state == fileAbsent && generation > 0 {
 		return f.corrupt(fmt.Sprintf("log of generation %d has vanished", generation))
 	}
--- a/pkg/twoslot/open.go
+++ b/pkg/twoslot/open.go
@@ -30,7 +30,7 @@
 		disk:       disk,
 		name:       name,
 		generation: newest.generation,
-		logStarted: logEnd != logMissing,
+		logStarted: logEnd != logNotStarted,
 		logBytes:   len(files.logs[newest.generation%2].data),
 	}
 	if err := store.createLogs(files); err != nil {
--- a/pkg/twoslot/parse.go
+++ b/pkg/twoslot/parse.go
@@ -31,21 +31,21 @@
 	return parsed, end == endClean && used == len(rest[payloadBytes:])
 }
 
-// frameEndKind tells how a sequence of frames ends.
-type frameEndKind uint8
+// framesEnd tells how a sequence of frames ends.
+type framesEnd uint8
 
 const (
 	// endClean sequences end after an intact frame.
-	endClean frameEndKind = iota + 1
+	endClean framesEnd = iota + 1
 	// endTorn sequences end in a frame that a crash interrupted.
 	endTorn
 	// endDamaged sequences contain bytes that no crash leaves.
 	endDamaged
 )
 
-// parseFrames returns the records of the intact frames at the start of data and the
-// bytes that these take.
-func parseFrames(data []byte, generation uint64) (records [][]byte, used int, end frameEndKind) {
+// parseFrames returns the records of the intact frames at the start of data, the bytes that
+// these take, and what follows them.
+func parseFrames(data []byte, generation uint64) (records [][]byte, used int, end framesEnd) {
 	for used < len(data) {
 		content, size, kind := parseFrame(data[used:], generation)
 		if kind != endClean {
@@ -62,8 +62,11 @@
 }
 
 // parseFrame returns the content of the frame at the start of data and the size of the
-// frame.
-func parseFrame(data []byte, generation uint64) (content []byte, size int, kind frameEndKind) {
+// frame in bytes. A frame that isn't intact is torn if a crash may have left it so. Either
+// the file ends within it, or the disk had extended the file by zeros and did not write all
+// of the frame: then its last byte and all bytes of the file after it are zeros, and if the
+// start of the frame isn't intact, all bytes after the start.
+func parseFrame(data []byte, generation uint64) (content []byte, size int, kind framesEnd) {
 	if len(data) < frameStartBytes {
 		return nil, 0, endTorn
 	}
@@ -84,7 +87,7 @@
 	return nil, 0, tornIf(last == 0 && allZero(data[size:]))
 }
 
-func tornIf(torn bool) frameEndKind {
+func tornIf(torn bool) framesEnd {
 	if torn {
 		return endTorn
 	}
--- a/pkg/twoslot/store.go
+++ b/pkg/twoslot/store.go
@@ -13,9 +13,10 @@
 	generation uint64
 	// logStarted tells whether the log of the generation has its header.
 	logStarted bool
-	logBytes   int
-	// salvaged is what was read before a torn tail, until a generation without that
-	// tail is durable.
+	// logBytes is the size of that log in bytes.
+	logBytes int
+	// salvaged is what was read before a torn tail, until a generation without that tail
+	// is durable; nil otherwise.
 	salvaged *Contents
 	// broken is set by a write that may or may not be durable; it ends all writing.
 	broken error
