--- a/pkg/admission/arrival.go
+++ b/pkg/admission/arrival.go
@@ -59,13 +59,14 @@
 	Queued
 	// RefusedRate means that the tenant's rate is used up.
 	RefusedRate
-	// RefusedQueueFull means that no slot is free and the queue is full.
+	// RefusedQueueFull means that no slot is free, and that the queue is full or that no
+	// waiting is permitted.
 	RefusedQueueFull
 	// RefusedDeadline means that the deadline would pass in the queue.
 	RefusedDeadline
 )
 
-// Ticket names one arrival.
+// Ticket names one arrival that was admitted or queued.
 type Ticket uint64
 
 // Decision is the response to an arrival.
@@ -74,6 +75,7 @@
 	Ticket  Ticket
 	// Until is the time at which a queued request stops waiting.
 	Until time.Duration
-	// RetryAfter is when a refused request may be retried.
+	// RetryAfter is how long a refused request should wait before it is retried. Unlike
+	// Until it is no time of the clock.
 	RetryAfter time.Duration
 }
--- a/pkg/admission/fair_share.go
+++ b/pkg/admission/fair_share.go
@@ -39,8 +39,8 @@
 	return free > 0
 }
 
-// atFairShare reports whether a tenant runs at least the requests that it could run if
-// one more tenant came.
+// atFairShare reports whether a tenant runs at least its fair share of the node's slots.
+// The share is that which would remain if one more tenant, of weight 1, had requests here.
 func (c *Controller) atFairShare(state *tenantState) bool {
 	weight := state.limits.weight()
 	others := c.activeWeight - state.countedWeight
--- a/pkg/claims/attempt.go
+++ b/pkg/claims/attempt.go
@@ -7,8 +7,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// attempt is one request to all homes, to grant a claim or to renew it, with the
-// replies to it.
+// attempt is one round of messages to all homes of a claim, which ask to grant or to renew
+// it, with the replies to them.
 type attempt struct {
 	number uint64
 	epoch  uint64
@@ -50,8 +50,8 @@
 	return len(a.homes) > 0
 }
 
-// hopeless tells whether some set can no longer have a majority.
-func (a *attempt) hopeless() bool {
+// unwinnable tells whether some set can no longer have a majority.
+func (a *attempt) unwinnable() bool {
 	for _, homes := range a.homes {
 		_, rejections := a.count(homes)
 		if len(homes)-rejections < majority(len(homes)) {
--- a/pkg/claims/machine.go
+++ b/pkg/claims/machine.go
@@ -16,7 +16,7 @@
 // safe for concurrent use.
 type Machine struct {
 	config Config
-	// directory is the sets that have to agree to a claim.
+	// directory has the sets that have to agree to a claim, the newest last.
 	directory directory
 	home      *home
 	// claims are those of this node that have not ended, and numbers their numbers,
@@ -170,7 +170,7 @@
 		claim.nextSendAt = claim.attempt.sentAt + m.config.renewInterval()
 		m.decisions = append(m.decisions, Decision{Number: claim.number, Outcome: Acquired})
 		return nil
-	case claim.attempt.hopeless():
+	case claim.attempt.unwinnable():
 		return m.reject(now, claim)
 	default:
 		return nil
@@ -210,8 +210,8 @@
 	}
 }
 
-// startAttempt sends a message to all homes: the first attempt requests the key, all
-// others renew it.
+// startAttempt sends a message to all homes: it requests the key until the claim is
+// acquired, and renews the claim from then on.
 func (m *Machine) startAttempt(now time.Duration, claim *claim) []Outbound {
 	claim.attempt = m.newAttempt(now, claim)
 	claim.nextSendAt = now + m.config.ResendInterval
--- a/pkg/outlier/ejection.go
+++ b/pkg/outlier/ejection.go
@@ -39,6 +39,7 @@
 // scheduleProbe sets the time of the next probe. It differs from node to node, so that
 // the first node's probe informs the others.
 func (e *ejection) scheduleProbe(now, length time.Duration, address string, options *Options) {
+	// The jitter delays the probe by up to half of the length.
 	const spread = 2
 	e.length = length
 	e.until = now + length + time.Duration(jitter(options.Node, address)*float64(length)/spread)
@@ -54,7 +55,7 @@
 // whether the replica is readmitted.
 func (e *ejection) recordProbe(now time.Duration, address string, failed bool, options *Options) (readmitted bool) {
 	if now < e.until {
-		return false // it was sent before the ejection
+		return false // no probe was due yet: the request was sent before the ejection
 	}
 	e.probing = false
 	if failed {
--- a/pkg/outlier/reports.go
+++ b/pkg/outlier/reports.go
@@ -52,8 +52,8 @@
 	if r.failed && r.failedAt >= recent {
 		return true
 	}
-	for _, report := range r.reporters {
-		if report.node == "" || report.reportedAt < recent {
+	for _, other := range r.reporters {
+		if other.node == "" || other.reportedAt < recent {
 			return false
 		}
 	}
--- a/pkg/retrybudget/budget.go
+++ b/pkg/retrybudget/budget.go
@@ -8,7 +8,7 @@
 // fleet is therefore judged by the first attempts of a window, of the one before it, or
 // of the one half a window before it, whichever has the most.
 //
-// Without Slack there is no constant minimum: a pool that has had four first attempts in
+// Without Slack there is no constant minimum: a destination that has had four first attempts in
 // the window may not retry at a ratio of 0.2. With Slack, the nodes of a fleet divide
 // that number of retries in a window among them by SlackFraction. When the fractions of
 // all nodes add up to no more than 1 in any window, the retries of the fleet in it stay
@@ -52,7 +52,7 @@
 	StartedAt time.Duration
 }
 
-// Budget is the retry budget of one pool. It is safe for concurrent use.
+// Budget is the retry budget of one destination: a pool or a web service. It is safe for concurrent use.
 type Budget struct {
 	mutex         sync.Mutex
 	options       Options
--- a/pkg/retrybudget/slack_fraction.go
+++ b/pkg/retrybudget/slack_fraction.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// fractionChange is a fraction and the time from which on it is valid.
+// fractionChange is a fraction of the slack and the time from which on it is valid.
 type fractionChange struct {
 	since    time.Duration
 	fraction float64
 }
 
-// fractionHistory is the fraction of this node over the last window.
+// fractionHistory is which fractions of the slack this node had in the last window.
 type fractionHistory struct {
+	// startedAt is Options.StartedAt.
 	startedAt time.Duration
 	// changes are in order of time, and each holds until the next.
 	changes []fractionChange
--- a/pkg/slowstart/slowstart.go
+++ b/pkg/slowstart/slowstart.go
@@ -39,7 +39,8 @@
 	// Node is the name of this node.
 	Node string
 	// PerSecond is how many requests a replica in slow start may receive in a second
-	// from all nodes together.
+	// from all nodes together. It is rounded down to a multiple of the number of owners;
+	// below 1, no request is allowed.
 	PerSecond float64
 	// Owners is how many nodes may send to one such replica.
 	Owners int
@@ -124,7 +125,8 @@
 	return len(replica.sentAt) < l.quotaPerOwner()
 }
 
-// quotaPerOwner returns how many requests each owner may send in a second.
+// quotaPerOwner returns how many requests each owner may send in a second; 0 if PerSecond
+// is below 1.
 func (l *Limiter) quotaPerOwner() int { return int(l.options.PerSecond) / l.owners() }
 
 // owners returns how many nodes own a replica: no more than requests are allowed in a
