--- a/pkg/replication/timeline_test.go
+++ b/pkg/replication/timeline_test.go
@@ -18,8 +18,18 @@
 
 var updateTimelines = flag.Bool("update-timelines", false, "write the timelines again instead of comparing them")
 
-// A timeline has a line an event and a column a node, which shows the node
-// after the event. Lines that begin with # are remarks.
+// A timeline has a line an event, a column a node, and the time after the event in the last
+// column. A cell shows the node after the event: its role, then
+//
+//	t2      its term
+//	7/8     the last committed index, and the last index of the log
+//	s5      the last index that its snapshot covers, if it has one
+//	lease   it has the command lease
+//	v3@5    the group is no longer that of the founders: 3 voters since the entry 5
+//
+// Lines that begin with # are remarks. runEvent and runNodeEvent perform the events: wipe
+// starts the node at once on an empty disk, lose leaves it down until start, and end takes it
+// away for good.
 var _ = DescribeTable("timelines", func(path string) {
 	content, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
