--- a/pkg/attempts/tracker.go
+++ b/pkg/attempts/tracker.go
@@ -1,9 +1,6 @@
 package attempts
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
 // Options are the rules for the attempts of one request.
 type Options struct {
@@ -55,27 +52,12 @@
 	options Options
 	// records are the attempts in the order of their numbers, which begin with 1.
 	records []Record
-	// What was told of the request as a whole. None of these is ever reset.
+	// Events of the request as a whole, which stay set.
 	deadlineExceeded   bool
 	callerDisconnected bool
 	exhausted          bool
 }
 
-// TransitionError reports an event that does not fit the state of a Tracker.
-type TransitionError struct {
-	Event Event
-	// State is the state of the attempt that the event names, if there is one.
-	State State
-	// Reason says why the event does not fit.
-	Reason string
-}
-
-// Error implements error.
-func (e *TransitionError) Error() string {
-	return fmt.Sprintf("attempt %d: event %s does not fit (%s): apply events in the order in which they happen",
-		e.Event.Attempt, e.Event.Kind, e.Reason)
-}
-
 // New returns a Tracker without attempts.
 func New(options Options) *Tracker {
 	if options.MaxAttempts < 1 {
--- a/pkg/membership/member_table.go
+++ b/pkg/membership/member_table.go
@@ -77,7 +77,7 @@
 
 // merge joins a record into the table, and tells the observers if that changed the table.
 func (t *memberTable) merge(now time.Duration, record Record) {
-	change, changed := t.update(now, record)
+	change, changed := t.mergeUnobserved(now, record)
 	if !changed {
 		return
 	}
@@ -86,9 +86,9 @@
 	}
 }
 
-// update is merge without observers. It returns false if the table stays the same: the
+// mergeUnobserved is merge without the observers. It returns false if the table stays the same: the
 // record is not newer, or belongs to a forgotten incarnation.
-func (t *memberTable) update(now time.Duration, record Record) (tableChange, bool) {
+func (t *memberTable) mergeUnobserved(now time.Duration, record Record) (tableChange, bool) {
 	id := record.Info.ID
 	if ended, forgotten := t.forgotten[id]; forgotten && record.Info.Incarnation <= ended {
 		return tableChange{}, false
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -33,7 +33,7 @@
 
 // transfer is an update of which a chunk was sent and isn't acknowledged yet.
 type transfer struct {
-	update *update
+	update *outgoingUpdate
 	// chunk is the position of the chunk that was sent last, at sentAt.
 	chunk  int
 	sentAt time.Duration
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -28,10 +28,10 @@
 
 	// latestUpdate caches the update built last, since all children usually need the
 	// same one.
-	latestUpdate *update
+	latestUpdate *outgoingUpdate
 	// wholeUpdate is the newest update with a whole state in several chunks; nil if there is
 	// none that may still be sent. It may lead to an older revision than this one.
-	wholeUpdate *update
+	wholeUpdate *outgoingUpdate
 }
 
 // storedSection is the content of a section and the hash that it adds to the checksum.
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -4,9 +4,10 @@
 // behind and still be sent to another receiver, which gets the rest as a delta.
 const maxWholeUpdateLag = 1024
 
-// update leads a receiver to a revision. It is immutable, and is shared by the transfers
-// to several receivers.
-type update struct {
+// outgoingUpdate leads a receiver to a revision: a delta or a whole state, in chunks. It is
+// immutable, and is shared by the transfers to several receivers. (An Update is what the
+// caller of this node's Machine gets.)
+type outgoingUpdate struct {
 	revision uint64
 	// base is 0 for a whole state.
 	base     uint64
@@ -18,7 +19,7 @@
 // if the log doesn't reach back. A whole state in several chunks may lag behind:
 // otherwise a storm of revisions would restart the transfer again and again, and each
 // receiver's version would take memory.
-func (s *state) updateFrom(revision uint64) *update {
+func (s *state) updateFrom(revision uint64) *outgoingUpdate {
 	base := revision
 	if revision == 0 || revision < s.log.oldest {
 		base = 0
@@ -37,8 +38,8 @@
 }
 
 // build returns the update from a base, or the whole state if the base is 0.
-func (s *state) build(base uint64) *update {
-	built := &update{revision: s.revision, base: base, checksum: s.checksum}
+func (s *state) build(base uint64) *outgoingUpdate {
+	built := &outgoingUpdate{revision: s.revision, base: base, checksum: s.checksum}
 	if base == 0 {
 		built.chunks = split(changes{sections: s.sortedSections()}, s.chunkBytes)
 	} else {
@@ -86,7 +87,7 @@
 }
 
 // message returns the message with one chunk of the update.
-func (u *update) message(topic Topic, chunk int) Message {
+func (u *outgoingUpdate) message(topic Topic, chunk int) Message {
 	return Message{
 		Type:         MessageUpdate,
 		Topic:        topic,
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -64,8 +64,8 @@
 	return ok && localTerm == term
 }
 
-// isUpToDate tells whether a log that ends with (index, term) has at least what this
-// log may have committed.
+// isUpToDate tells whether another log, which ends with (index, term), has at least what
+// this log may have committed, so that its member may be granted a term.
 func (l *replicaLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -73,8 +73,8 @@
 	return index >= l.lastIndex()
 }
 
-// isAtLeastAsNew tells whether a log that ends with (index, term) is not newer than this
-// one.
+// isAtLeastAsNew tells the reverse: whether this log is at least as new as another one, which
+// ends with (index, term).
 func (l *replicaLog) isAtLeastAsNew(index, term uint64) bool {
 	return term < l.lastTerm() || (term == l.lastTerm() && index <= l.lastIndex())
 }
