--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -1,12 +1,13 @@
 package relaytree
 
-// maxSnapshotLag is how many changes a snapshot may lag behind and still be sent to
-// another receiver, which gets the rest as a delta.
-const maxSnapshotLag = 1024
+// maxWholeUpdateLag is how many changed sections a whole state in several chunks may lag
+// behind and still be sent to another receiver, which gets the rest as a delta.
+const maxWholeUpdateLag = 1024
 
-// update leads a receiver to a revision. It is immutable, and is shared by the transfers
-// to several receivers.
-type update struct {
+// outgoingUpdate leads a receiver to a revision: a delta or a whole state, in chunks. It is
+// immutable, and is shared by the transfers to several receivers. (An Update is what the
+// caller of this node's Machine gets.)
+type outgoingUpdate struct {
 	revision uint64
 	// base is 0 for a whole state.
 	base     uint64
@@ -18,27 +19,27 @@
 // if the log doesn't reach back. A whole state in several chunks may lag behind:
 // otherwise a storm of revisions would restart the transfer again and again, and each
 // receiver's version would take memory.
-func (s *state) updateFrom(revision uint64) *update {
+func (s *state) updateFrom(revision uint64) *outgoingUpdate {
 	base := revision
 	if revision == 0 || revision < s.log.oldest {
 		base = 0
 	}
-	if base == 0 && s.snapshot != nil && s.snapshot.revision > revision {
-		return s.snapshot
+	if base == 0 && s.wholeUpdate != nil && s.wholeUpdate.revision > revision {
+		return s.wholeUpdate
 	}
 	if s.latestUpdate != nil && s.latestUpdate.base == base {
 		return s.latestUpdate
 	}
 	s.latestUpdate = s.build(base)
 	if base == 0 && len(s.latestUpdate.chunks) > 1 {
-		s.snapshot = s.latestUpdate
+		s.wholeUpdate = s.latestUpdate
 	}
 	return s.latestUpdate
 }
 
 // build returns the update from a base, or the whole state if the base is 0.
-func (s *state) build(base uint64) *update {
-	built := &update{revision: s.revision, base: base, checksum: s.checksum}
+func (s *state) build(base uint64) *outgoingUpdate {
+	built := &outgoingUpdate{revision: s.revision, base: base, checksum: s.checksum}
 	if base == 0 {
 		built.chunks = split(changes{sections: s.sortedSections()}, s.chunkBytes)
 	} else {
@@ -48,8 +49,9 @@
 }
 
 // guessBase returns the base for a receiver whose revision isn't known. A small state is
-// sent whole. A large one isn't sent on a guess: a receiver that isn't at the guessed
-// revision replies with its own.
+// sent whole. Of a large one, only the changes since the previous revision are sent, or none
+// if the log doesn't reach back to it: a receiver that such a delta doesn't fit replies with
+// its own revision.
 func (s *state) guessBase() uint64 {
 	switch {
 	case s.size <= s.chunkBytes:
@@ -85,7 +87,7 @@
 }
 
 // message returns the message with one chunk of the update.
-func (u *update) message(topic Topic, chunk int) Message {
+func (u *outgoingUpdate) message(topic Topic, chunk int) Message {
 	return Message{
 		Type:         MessageUpdate,
 		Topic:        topic,
