--- a/pkg/kvrouter/kvevents/incarnations.go
+++ b/pkg/kvrouter/kvevents/incarnations.go
@@ -38,13 +38,13 @@
 
 // observeNumbered records a report of an owner that numbers its incarnations upwards,
 // so that anything but a higher number is a late report of an earlier one. Only if the
-// present incarnation has been silent for maxSilence is it taken for the newest all
+// present incarnation has been silent for the time-out is it taken for the newest all
 // the same, so that a replica which numbers its incarnations in another way is
 // believed in the end.
-func (i *incarnations) observeNumbered(now time.Duration, incarnation uint64, maxSilence time.Duration) arrival {
+func (i *incarnations) observeNumbered(now time.Duration, incarnation uint64, timeout time.Duration) arrival {
 	if i.started && incarnation != i.present {
 		newer := incarnation > i.present && !slices.Contains(i.retired, incarnation)
-		silent := now-i.lastHeardAt >= maxSilence
+		silent := now-i.lastHeardAt >= timeout
 		if !newer && !silent {
 			return staleArrival
 		}
--- a/pkg/relaytree/doc.go
+++ b/pkg/relaytree/doc.go
@@ -10,9 +10,9 @@
 // A state is a set of named sections. Each node stores the newest state of each topic and
 // a bounded log of which sections changed at which revision, so that it can send a
 // receiver a delta from the receiver's revision. A receiver whose revision isn't known, or
-// is too old, gets the whole state, in chunks if it is large. Every update carries the
+// is too old, gets the complete state, in chunks if it is large. Every update carries the
 // checksum of all sections: a receiver that would end in another state applies nothing and
-// requests a whole one.
+// requests a complete one.
 //
 // # Protocol
 //
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -125,7 +125,7 @@
 	if state == nil || to == m.config.Self {
 		return nil
 	}
-	if m.sender.needsWhole(to, topic) && state.size > m.config.ChunkBytes {
+	if m.sender.needsCompleteState(to, topic) && state.size > m.config.ChunkBytes {
 		return nil
 	}
 	m.sender.feed(m.now, to, topic)
--- a/pkg/relaytree/message.go
+++ b/pkg/relaytree/message.go
@@ -44,10 +44,10 @@
 	// Revision is, in an update, the one that it leads to; in an acknowledgement, the
 	// one that the sender has.
 	Revision uint64
-	// BaseRevision is the revision that a delta is based on; 0 marks a whole state. A
+	// BaseRevision is the revision that a delta is based on; 0 marks a complete state. A
 	// delta fits any state from its base on that is older than its Revision.
 	BaseRevision uint64
-	// Checksum is the checksum of the whole state at Revision.
+	// Checksum is the checksum of the complete state at Revision.
 	Checksum uint64
 	// Chunk is, in an update, the position of this chunk from 0 on; in an
 	// acknowledgement, how many chunks were received so far, or 0 once the update was
@@ -62,7 +62,7 @@
 	// AcknowledgedRevision is, in an acknowledgement, the Revision of the update.
 	AcknowledgedRevision uint64
 	// Mismatch tells, in an acknowledgement, that the delta would have led to another
-	// state than that of its sender, and requests a whole one.
+	// state than that of its sender, and requests a complete one.
 	Mismatch bool
 	// Revisions are the contents of a digest, sorted by topic.
 	Revisions []TopicRevision
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -71,9 +71,9 @@
 	s.knownRevisions[feedKey{to: id, topic: topic}] = revision
 }
 
-// needsWhole tells whether a member is known to have nothing of a topic, or a state that
+// needsCompleteState tells whether a member is known to have nothing of a topic, or a state that
 // differs.
-func (s *sender) needsWhole(id member.ID, topic Topic) bool {
+func (s *sender) needsCompleteState(id member.ID, topic Topic) bool {
 	revision, known := s.knownRevisions[feedKey{to: id, topic: topic}]
 	return known && revision == 0
 }
@@ -91,7 +91,7 @@
 	if msg.Mismatch {
 		s.knownRevisions[key] = 0
 		// The whole state that is cached may be no newer than the receiver's revision.
-		s.store.get(msg.Topic).wholeUpdate = nil
+		s.store.get(msg.Topic).completeUpdate = nil
 	}
 	if transfer != nil && !matchesTransfer {
 		return
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -29,9 +29,9 @@
 	// latestUpdate caches the update built last, since all children usually need the
 	// same one.
 	latestUpdate *outgoingUpdate
-	// wholeUpdate is the newest update with a whole state in several chunks; nil if there is
+	// completeUpdate is the newest update with a complete state in several chunks; nil if there is
 	// none that may still be sent. It may lead to an older revision than this one.
-	wholeUpdate *outgoingUpdate
+	completeUpdate *outgoingUpdate
 }
 
 // storedSection is the content of a section and the hash that it adds to the checksum.
@@ -136,8 +136,8 @@
 	s.previous = s.revision
 	s.revision = revision
 	s.latestUpdate = nil
-	if s.wholeUpdate != nil && !s.log.reaches(s.wholeUpdate.revision, maxWholeUpdateLag) {
-		s.wholeUpdate = nil
+	if s.completeUpdate != nil && !s.log.reaches(s.completeUpdate.revision, maxCompleteUpdateLag) {
+		s.completeUpdate = nil
 	}
 }
 
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -1,21 +1,21 @@
 package relaytree
 
-// maxWholeUpdateLag is how many changed sections a whole state in several chunks may lag
+// maxCompleteUpdateLag is how many changed sections a complete state in several chunks may lag
 // behind and still be sent to another receiver, which gets the rest as a delta.
-const maxWholeUpdateLag = 1024
+const maxCompleteUpdateLag = 1024
 
-// outgoingUpdate leads a receiver to a revision: a delta or a whole state, in chunks. It is
+// outgoingUpdate leads a receiver to a revision: a delta or a complete state, in chunks. It is
 // immutable, and is shared by the transfers to several receivers. (An Update is what the
 // caller of this node's Machine gets.)
 type outgoingUpdate struct {
 	revision uint64
-	// base is 0 for a whole state.
+	// base is 0 for a complete state.
 	base     uint64
 	checksum uint64
 	chunks   []changes
 }
 
-// updateFrom returns the update for a receiver at a revision: a delta, or the whole state
+// updateFrom returns the update for a receiver at a revision: a delta, or the complete state
 // if the log doesn't reach back. A whole state in several chunks may lag behind:
 // otherwise a storm of revisions would restart the transfer again and again, and each
 // receiver's version would take memory.
@@ -24,20 +24,20 @@
 	if revision == 0 || revision < s.log.oldest {
 		base = 0
 	}
-	if base == 0 && s.wholeUpdate != nil && s.wholeUpdate.revision > revision {
-		return s.wholeUpdate
+	if base == 0 && s.completeUpdate != nil && s.completeUpdate.revision > revision {
+		return s.completeUpdate
 	}
 	if s.latestUpdate != nil && s.latestUpdate.base == base {
 		return s.latestUpdate
 	}
 	s.latestUpdate = s.build(base)
 	if base == 0 && len(s.latestUpdate.chunks) > 1 {
-		s.wholeUpdate = s.latestUpdate
+		s.completeUpdate = s.latestUpdate
 	}
 	return s.latestUpdate
 }
 
-// build returns the update from a base, or the whole state if the base is 0.
+// build returns the update from a base, or the complete state if the base is 0.
 func (s *state) build(base uint64) *outgoingUpdate {
 	built := &outgoingUpdate{revision: s.revision, base: base, checksum: s.checksum}
 	if base == 0 {
