--- a/internal/lab/sim/backend_faults.go
+++ b/internal/lab/sim/backend_faults.go
@@ -1,54 +1,60 @@
 package sim
 
-import (
-	"time"
-)
+import "time"
+
+// backendFaults disturb replicas, the calls to them, and the platform's list.
+type backendFaults struct {
+	env      *environment
+	platform *platform
+	backends *backendCalls
+	orders   faultOrders
+}
 
 // delayCommands delays some commands on their way to replicas.
-func (f *faultInjector) delayCommands() {
-	f.delayedCommandFaults++
-	f.world.operators.issue(f.world.operators.nameWeights(0, pick(f.world, poolNames)))
-	f.world.after(f.duration(3*time.Second, 8*time.Second), func() { f.delayedCommandFaults-- })
+func (f *backendFaults) delayCommands() {
+	f.backends.delays++
+	f.orders.issue(f.orders.nameWeights(0, pick(f.env.randomness, poolNames)))
+	f.env.after(f.env.faultDuration(3*time.Second, 8*time.Second), func() { f.backends.delays-- })
 }
 
 // crashReplica stops a replica, which comes back with its weights or with older
 // ones.
-func (f *faultInjector) crashReplica() {
-	victim := pick(f.world, f.world.platform.entries()).replica
+func (f *backendFaults) crashReplica() {
+	victim := pick(f.env.randomness, f.platform.entries()).replica
 	if !victim.up {
 		return
 	}
 	victim.crash()
 	version := victim.lastVersion
-	if f.world.chance(0.5) && !f.world.settings.FinishFirst {
+	if f.env.chance(0.5) && !f.env.settings.FinishFirst {
 		version = firstWeights
 	}
-	f.world.after(f.duration(500*time.Millisecond, 4*time.Second), func() { victim.restart(version) })
+	f.env.after(f.env.faultDuration(500*time.Millisecond, 4*time.Second), func() { victim.restart(version) })
 }
 
 // drainOrRemoveReplica has the platform drain or remove a replica for a while.
-func (f *faultInjector) drainOrRemoveReplica() {
-	entry := pick(f.world, f.world.platform.entries())
-	remove := f.world.chance(0.3)
-	f.world.platform.change(func() {
+func (f *backendFaults) drainOrRemoveReplica() {
+	entry := pick(f.env.randomness, f.platform.entries())
+	remove := f.env.chance(0.3)
+	f.platform.change(func() {
 		entry.draining = true
 		entry.removed = remove
 	})
-	f.world.logf(worldColumn, "%s leaves the list", entry.replica.address)
-	f.world.after(f.duration(time.Second, 10*time.Second), func() {
-		f.world.platform.change(func() { entry.draining, entry.removed = false, false })
-		f.world.logf(worldColumn, "%s is listed", entry.replica.address)
+	f.env.logf(worldColumn, "%s leaves the list", entry.replica.address)
+	f.env.after(f.env.faultDuration(time.Second, 10*time.Second), func() {
+		f.platform.change(func() { entry.draining, entry.removed = false, false })
+		f.env.logf(worldColumn, "%s is listed", entry.replica.address)
 	})
 }
 
 // lagPlatform delays the platform's endpoint list.
-func (f *faultInjector) lagPlatform() {
-	if f.world.platform.lagging {
+func (f *backendFaults) lagPlatform() {
+	if f.platform.lagging {
 		return
 	}
-	f.world.platform.lagging = true
-	f.world.after(f.duration(time.Second, 4*time.Second), func() {
-		f.world.platform.lagging = false
-		f.world.platform.show()
+	f.platform.lagging = true
+	f.env.after(f.env.faultDuration(time.Second, 4*time.Second), func() {
+		f.platform.lagging = false
+		f.platform.show()
 	})
 }
--- a/internal/lab/sim/connectivity.go
+++ b/internal/lab/sim/connectivity.go
@@ -21,7 +21,10 @@
 // a connected majority of the core for long enough. The core is the nodes with
 // disks. Faults report what they disturb; the rest is observed periodically.
 type connectivity struct {
-	world *simulation
+	env      *environment
+	machines *machines
+	network  *network
+	groups   *shardGroups
 	// outOfContactAt is when each node was last seen out of contact with the core.
 	outOfContactAt map[*node]time.Duration
 	// coreDisturbedAt is when a node with a disk was last disturbed, or when the
@@ -42,9 +45,12 @@
 	revision uint64
 }
 
-func newConnectivity(world *simulation) *connectivity {
+func newConnectivity(env *environment, machines *machines, network *network, groups *shardGroups) *connectivity {
 	return &connectivity{
-		world:          world,
+		env:            env,
+		machines:       machines,
+		network:        network,
+		groups:         groups,
 		outOfContactAt: map[*node]time.Duration{},
 		voters:         map[uint32][]replication.Voter{},
 	}
@@ -52,21 +58,21 @@
 
 // schedule observes a fail-open deployment over the whole run.
 func (c *connectivity) schedule() {
-	if !c.world.settings.FailOpen {
+	if !c.env.settings.FailOpen {
 		return
 	}
 	var poll func()
 	poll = func() {
 		c.observe()
-		c.world.after(observeEvery, poll)
+		c.env.after(observeEvery, poll)
 	}
-	c.world.at(0, poll)
+	c.env.at(0, poll)
 }
 
 // recordDisturbance records that a node was started, stopped, frozen, woken or
 // taken away.
 func (c *connectivity) recordDisturbance(disturbed *node) {
-	now := c.world.now
+	now := c.env.now
 	c.outOfContactAt[disturbed] = now
 	c.disturbedAt = now
 	if disturbed.storage != nil {
@@ -76,32 +82,32 @@
 
 // recordLinkChange records that a link was blocked or opened.
 func (c *connectivity) recordLinkChange(from, to *node) {
-	c.disturbedAt = c.world.now
+	c.disturbedAt = c.env.now
 	if from.storage != nil && to.storage != nil && from != to {
-		c.coreDisturbedAt = c.world.now
+		c.coreDisturbedAt = c.env.now
 	}
 }
 
 // recordAcknowledged records an acknowledged revision.
 func (c *connectivity) recordAcknowledged(revision uint64) {
-	c.acknowledged = append(c.acknowledged, acknowledgement{at: c.world.now, revision: revision})
+	c.acknowledged = append(c.acknowledged, acknowledgement{at: c.env.now, revision: revision})
 }
 
 // observe records which nodes are out of contact at this instant.
 func (c *connectivity) observe() {
-	world, now := c.world, c.world.now
+	nodes, now := c.machines.nodes, c.env.now
 	core := c.connectedCore()
-	storming := len(world.network.storms) > 0
+	storming := len(c.network.storms) > 0
 	if len(core) == 0 || !c.hasVoterMajority(core) {
 		c.coreDisturbedAt = now
 		c.disturbedAt = now
 	}
-	if storming || !lo.EveryBy(world.nodes, func(observed *node) bool { return world.network.connected(observed, world.nodes) }) {
+	if storming || !lo.EveryBy(nodes, func(observed *node) bool { return c.network.connected(observed, nodes) }) {
 		c.disturbedAt = now
 	}
-	for _, observed := range world.nodes {
+	for _, observed := range nodes {
 		running := observed.up && !observed.frozen
-		if !running || storming || !world.network.connected(observed, core) || observed.hasFaultyDisk() {
+		if !running || storming || !c.network.connected(observed, core) || observed.storage != nil && observed.storage.faulty() {
 			c.outOfContactAt[observed] = now
 		}
 	}
@@ -109,10 +115,10 @@
 
 // connectedCore returns the running core nodes that reach a majority of the core.
 func (c *connectivity) connectedCore() []*node {
-	disks := c.world.diskNodes()
+	disks := c.machines.withDisks()
 	running := lo.Filter(disks, func(candidate *node, _ int) bool { return candidate.up && !candidate.frozen })
 	return lo.Filter(running, func(candidate *node, _ int) bool {
-		reached := lo.CountBy(running, func(other *node) bool { return c.world.network.connected(candidate, []*node{other}) })
+		reached := lo.CountBy(running, func(other *node) bool { return c.network.connected(candidate, []*node{other}) })
 		return 2*reached > len(disks)
 	})
 }
@@ -121,8 +127,8 @@
 // among the given core nodes, still has the disk that it votes with, and can write
 // to it. Otherwise more was lost at once than a deployment tolerates.
 func (c *connectivity) hasVoterMajority(core []*node) bool {
-	for shard := range c.world.serviceShards + 1 {
-		if slots, known := c.world.memberSlots(shard); known {
+	for shard := range c.groups.serviceShards + 1 {
+		if slots, known := c.groups.memberSlots(shard); known {
 			c.voters[shard] = votersOf(slots)
 		}
 		voters := c.voters[shard]
@@ -147,20 +153,20 @@
 // inContact reports whether a node must serve what was acknowledged: it and the
 // core have been undisturbed for as long as a silent node counts as in contact.
 func (c *connectivity) inContact(observed *node) bool {
-	now := c.world.now
+	now := c.env.now
 	return now-c.outOfContactAt[observed] >= failOpenContact && now-c.coreDisturbedAt >= failOpenContact
 }
 
 // undisturbed reports whether no node and no link has been disturbed for as long
 // as a silent node counts as in contact.
-func (c *connectivity) undisturbed() bool { return c.world.now-c.disturbedAt >= failOpenContact }
+func (c *connectivity) undisturbed() bool { return c.env.now-c.disturbedAt >= failOpenContact }
 
 // requiredRevision returns the newest revision that every node in contact must
 // serve by now.
 func (c *connectivity) requiredRevision() uint64 {
 	required := uint64(0)
 	for _, known := range c.acknowledged {
-		if known.at+inForceBound < c.world.now {
+		if known.at+inForceBound < c.env.now {
 			required = max(required, known.revision)
 		}
 	}
--- a/internal/lab/sim/control_test.go
+++ b/internal/lab/sim/control_test.go
@@ -52,7 +52,7 @@
 
 // names are the names of the invariants that did not hold.
 func names(world *simulation) []checker.Name {
-	return lo.Map(world.checks.violations, func(one Violation, _ int) checker.Name { return one.Invariant })
+	return lo.Map(world.violations, func(one Violation, _ int) checker.Name { return one.Invariant })
 }
 
 var _ = Describe("Weights that were named", func() {
@@ -61,7 +61,7 @@
 			for seed := uint64(1); seed <= 6; seed++ {
 				world := playWith(Settings{Seed: seed, Virtual: DefaultVirtual, FinishFirst: true, FailOpen: failOpen},
 					func(world *simulation) { stragglers(world, 4) })
-				Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+				Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 			}
 		})
 	}
@@ -80,14 +80,14 @@
 	world.at(7*second, func() {
 		isolate(world)
 		world.after(world.upTo(2*second), func() {
-			zone := world.nodes[0].info.Zone
+			zone := world.machines.nodes[0].info.Zone
 			order := world.operators.evacuate(0, zone)
 			world.operators.issue(order)
 			world.awaitEvacuation(order, func() {
-				for _, one := range world.nodes {
-					world.faults.restartAfter(one, world.upTo(second))
+				for _, one := range world.machines.nodes {
+					one.restartAfter(world.upTo(second))
 				}
-				for _, one := range world.diskNodes() {
+				for _, one := range world.machines.withDisks() {
 					one.storage.slow = 0
 				}
 				world.after(RecoveryBound, func() { world.checkEvacuated(zone) })
@@ -112,7 +112,7 @@
 
 // checkEvacuated checks that every node knows that a zone is evacuated.
 func (w *simulation) checkEvacuated(zone string) {
-	for _, one := range w.nodes {
+	for _, one := range w.machines.nodes {
 		if one.view == nil || len(one.view.Configuration.GetEvacuations()) != 1 || one.view.Configuration.GetEvacuations()[0].GetZone() != zone {
 			w.violate("evacuation_kept", "%s does not evacuate %s", one.info.ID, zone)
 		}
@@ -125,15 +125,15 @@
 		cut  func(*simulation)
 	}{
 		{"the core is cut in two halves", func(world *simulation) {
-			disks := world.diskNodes()
-			world.faults.partitionFor(disks[:len(disks)/2], disks[len(disks)/2:], true)
+			disks := world.machines.withDisks()
+			world.faults.network.partitionFor(disks[:len(disks)/2], disks[len(disks)/2:], true)
 		}},
 		{"the leader is cut off", func(world *simulation) {
-			world.faults.partitionFor([]*node{world.leaderOfConfiguration()}, world.nodes, true)
+			world.faults.network.partitionFor([]*node{world.leaderOfConfiguration()}, world.machines.nodes, true)
 		}},
-		{"a zone is cut off", func(world *simulation) { world.faults.isolateZone() }},
+		{"a zone is cut off", func(world *simulation) { world.faults.network.isolateZone() }},
 		{"no message of a node with a disk arrives", func(world *simulation) {
-			world.faults.partitionFor([]*node{pick(world, world.diskNodes())}, world.nodes, false)
+			world.faults.network.partitionFor([]*node{pick(world.randomness, world.machines.withDisks())}, world.machines.nodes, false)
 		}},
 	}
 	for _, one := range cuts {
@@ -146,7 +146,7 @@
 		world := playFailOpenWithout(BreakAckBeforeSync, 1, func(world *simulation) {
 			evacuateUnder(world, func(world *simulation) {
 				cuts[0].cut(world)
-				for _, one := range world.diskNodes() {
+				for _, one := range world.machines.withDisks() {
 					one.storage.slow = 5 * second
 				}
 			})
@@ -164,7 +164,7 @@
 				world.at(7*second+time.Duration(round)*world.planned(promotionBound), func() { world.replaceWhenHealthy() })
 			}
 			world.at(20*second, func() {
-				if !world.everyMemberIsVoter() {
+				if !world.groups.everyMemberIsVoter() {
 					world.violate("whole", "some node with a disk has no vote")
 				}
 				world.expectAcknowledged(world.operators.addKey(0))
@@ -177,18 +177,18 @@
 // without it, by one that must get its vote in time.
 func (w *simulation) replaceWhenHealthy() {
 	const pollInterval = 10 * time.Millisecond
-	victims := lo.Filter(w.faults.replaceableMachines(), func(one *node, _ int) bool { return w.isVoterEverywhere(one) })
+	victims := lo.Filter(w.faults.replacements.candidates(), func(one *node, _ int) bool { return w.groups.isVoterEverywhere(one) })
 	if len(victims) == 0 {
 		w.after(pollInterval, w.replaceWhenHealthy)
 		return
 	}
-	victim := pick(w, victims)
-	w.removeMachine(victim)
-	added := w.addMachine(victim.info.Zone)
+	victim := pick(w.randomness, victims)
+	w.machines.remove(victim)
+	added := w.machines.add(victim.info.Zone)
 	added.start()
 	w.after(promotionBound, func() {
 		// It may have been the next one to go.
-		if !added.removed && !w.isVoterEverywhere(added) {
+		if !added.removed && !w.groups.isVoterEverywhere(added) {
 			w.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, promotionBound)
 		}
 	})
--- a/internal/lab/sim/endpoint_faults.go
+++ b/internal/lab/sim/endpoint_faults.go
@@ -2,55 +2,60 @@
 
 import "time"
 
-// endpointFaultKinds are the faults of the endpoint list and of the node that
-// reads it. Runs on the product's own protocols draw them only by name.
-var endpointFaultKinds = []faultKind{
-	{"reader-crash", 4, (*faultInjector).crashReader},
-	{"reader-freeze", 4, (*faultInjector).freezeReader},
-	{"reader-cut", 4, (*faultInjector).isolateReader},
-	{"platform-down", 2, (*faultInjector).stopPlatform},
-}
-
 // maxReaderFaultDelay bounds the time from a replica's removal to the reader's
 // fault.
 const maxReaderFaultDelay = 500 * time.Millisecond
 
+// endpointFaults disturb the node that reads the endpoint list at about the time
+// when a replica leaves it, or have all reads fail.
+type endpointFaults struct {
+	env      *environment
+	machines *machines
+	platform *platform
+	backends *backendFaults
+	network  *networkFaults
+}
+
 // reader returns the node that reads the endpoint list, or a random node if none
 // does.
-func (f *faultInjector) reader() *node {
-	for _, one := range f.world.nodes {
+func (f *endpointFaults) reader() *node {
+	for _, one := range f.machines.nodes {
 		if one.up && !one.frozen && one.machine.ReadsEndpoints() {
 			return one
 		}
 	}
-	return pick(f.world, f.world.nodes)
+	return pick(f.env.randomness, f.machines.nodes)
 }
 
-// crashReader stops the reader at about the time when a replica leaves the list.
-func (f *faultInjector) crashReader() {
-	f.drainOrRemoveReplica()
-	f.world.after(f.world.upTo(maxReaderFaultDelay), func() {
-		f.restartAfter(f.reader(), f.duration(100*time.Millisecond, 6*time.Second))
+// disturbReader has a replica leave the list, and the reader disturbed soon after.
+func (f *endpointFaults) disturbReader(disturb func(reader *node)) {
+	f.backends.drainOrRemoveReplica()
+	f.env.after(f.env.upTo(maxReaderFaultDelay), func() { disturb(f.reader()) })
+}
+
+func (f *endpointFaults) crashReader() {
+	f.disturbReader(func(reader *node) {
+		reader.restartAfter(f.env.faultDuration(100*time.Millisecond, 6*time.Second))
 	})
 }
 
-func (f *faultInjector) freezeReader() {
-	f.drainOrRemoveReplica()
-	f.world.after(f.world.upTo(maxReaderFaultDelay), func() { f.reader().freeze(f.duration(time.Second, 9*time.Second)) })
+func (f *endpointFaults) freezeReader() {
+	f.disturbReader(func(reader *node) { reader.freeze(f.env.faultDuration(time.Second, 9*time.Second)) })
 }
 
-func (f *faultInjector) isolateReader() {
-	f.drainOrRemoveReplica()
-	f.world.after(f.world.upTo(maxReaderFaultDelay), func() { f.partitionFor([]*node{f.reader()}, f.world.nodes, f.world.chance(0.5)) })
+func (f *endpointFaults) isolateReader() {
+	f.disturbReader(func(reader *node) {
+		f.network.partitionFor([]*node{reader}, f.machines.nodes, f.env.chance(0.5))
+	})
 }
 
 // stopPlatform has every read of the list fail for a while.
-func (f *faultInjector) stopPlatform() {
-	f.world.platform.down++
-	f.world.logf(worldColumn, "platform down")
-	f.world.after(f.duration(time.Second, 6*time.Second), func() {
-		f.world.platform.down--
-		f.world.platform.backAt = f.world.now
-		f.world.logf(worldColumn, "platform back")
+func (f *endpointFaults) stopPlatform() {
+	f.platform.down++
+	f.env.logf(worldColumn, "platform down")
+	f.env.after(f.env.faultDuration(time.Second, 6*time.Second), func() {
+		f.platform.down--
+		f.platform.backAt = f.env.now
+		f.env.logf(worldColumn, "platform back")
 	})
 }
--- a/internal/lab/sim/fail_open_test.go
+++ b/internal/lab/sim/fail_open_test.go
@@ -31,8 +31,8 @@
 	world.connectivity.schedule()
 	world.at(firstOrderAt, func() { world.operators.issue(world.operators.applyFirst()) })
 	script(world)
-	world.scheduleRecoveryChecks()
-	world.loop()
+	world.recovery.schedule()
+	world.runUntil(world.settings.Virtual)
 	world.checks.finish()
 	return world
 }
@@ -41,13 +41,13 @@
 func playAll(script func(*simulation)) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		world := playFailOpen(seed, script)
-		ExpectWithOffset(1, world.checks.violations).To(BeEmpty(), "seed %d", seed)
+		ExpectWithOffset(1, world.violations).To(BeEmpty(), "seed %d", seed)
 	}
 }
 
 // startAll starts all nodes in any order.
 func (w *simulation) startAll() {
-	for _, one := range w.nodes {
+	for _, one := range w.machines.nodes {
 		w.at(w.planned(startSpread), one.start)
 	}
 }
@@ -57,7 +57,7 @@
 
 // leaderOfConfiguration is the node that leads the configuration, or nil.
 func (w *simulation) leaderOfConfiguration() *node {
-	for _, one := range w.diskNodes() {
+	for _, one := range w.machines.withDisks() {
 		if _, leads := one.machine.GroupSlots(0); one.up && leads {
 			return one
 		}
@@ -87,7 +87,7 @@
 			playAll(func(world *simulation) {
 				world.startAll()
 				if late > 0 {
-					one := world.nodes[world.plan.IntN(maxSeeds)]
+					one := world.machines.nodes[world.plan.IntN(maxSeeds)]
 					world.at(startSpread+time.Millisecond, one.stop)
 					world.at(late, one.start)
 				}
@@ -106,13 +106,13 @@
 			world.at(7*second, func() {
 				order := world.operators.addKey(0)
 				world.operators.issue(order)
-				world.faults.whenAcknowledged(order, func() {
-					for _, one := range world.nodes {
-						world.faults.restartAfter(one, world.upTo(second))
+				world.operators.whenAcknowledged(order, func() {
+					for _, one := range world.machines.nodes {
+						one.restartAfter(world.upTo(second))
 					}
 					// All serve by then, and nothing is gone.
 					world.after(RecoveryBound, func() {
-						for _, one := range world.nodes {
+						for _, one := range world.machines.nodes {
 							if !one.serving() || one.view.Revision < order.reply.GetRevision() {
 								world.violate("recovered", "%s does not serve what was acknowledged", one.info.ID)
 							}
@@ -126,9 +126,9 @@
 	It("takes a founder that lost its disk back with a vote, and never forms a second time", func() {
 		playAll(func(world *simulation) {
 			world.startAll()
-			world.at(7*second, func() { world.faults.replaceMachineAt(world.nodes[world.random.IntN(maxSeeds)], false) })
+			world.at(7*second, func() { world.faults.disks.replaceAt(world.machines.nodes[world.random.IntN(maxSeeds)], false) })
 			world.at(7*second+2*second+promotionBound, func() {
-				if !world.everyMemberIsVoter() {
+				if !world.groups.everyMemberIsVoter() {
 					world.violate("vote_regained", "a founder has no vote in its new life")
 				}
 			})
@@ -140,18 +140,18 @@
 			world.startAll()
 			for round := range 3 {
 				world.at(time.Duration(7+6*round)*second, func() {
-					victim := pick(world, world.diskNodes())
+					victim := pick(world.randomness, world.machines.withDisks())
 					var added *node
 					if world.chance(0.5) {
-						world.removeMachine(victim)
-						added = world.addMachine(victim.info.Zone)
+						world.machines.remove(victim)
+						added = world.machines.add(victim.info.Zone)
 					} else {
-						added = world.addMachine(victim.info.Zone)
-						world.after(promotionBound, func() { world.faults.shutDownThen(victim, func() { world.removeMachine(victim) }) })
+						added = world.machines.add(victim.info.Zone)
+						world.after(promotionBound, func() { world.faults.replacements.shutDownThen(victim, func() { world.machines.remove(victim) }) })
 					}
 					added.start()
 					world.after(promotionBound, func() {
-						if !world.isVoterEverywhere(added) {
+						if !world.groups.isVoterEverywhere(added) {
 							world.violate("vote_in_time", "%s has no vote %v after its start", added.info.ID, promotionBound)
 						}
 					})
@@ -164,16 +164,16 @@
 		playAll(func(world *simulation) {
 			world.startAll()
 			world.at(7*second, func() {
-				voters := len(world.diskNodes())
+				voters := len(world.machines.withDisks())
 				for range (voters - 1) / 2 {
-					victim := pick(world, world.faults.replaceableMachines())
-					world.faults.shutDownThen(victim, func() { world.removeMachine(victim) })
+					victim := pick(world.randomness, world.faults.replacements.candidates())
+					world.faults.replacements.shutDownThen(victim, func() { world.machines.remove(victim) })
 				}
-				if victims := world.faults.replaceableMachines(); len(victims) > 0 {
+				if victims := world.faults.replacements.candidates(); len(victims) > 0 {
 					world.violate("majority_kept", "%d of %d voters may go as well", len(victims), voters)
 				}
 				for range (voters - 1) / 2 {
-					world.after(second, world.addMachine(zoneName(0)).start)
+					world.after(second, world.machines.add(zoneName(0)).start)
 				}
 			})
 		})
@@ -183,10 +183,10 @@
 		playAll(func(world *simulation) {
 			world.startAll()
 			world.at(7*second, func() {
-				world.removeMachine(pick(world, world.diskNodes()))
-				added := world.addMachine("z1")
+				world.machines.remove(pick(world.randomness, world.machines.withDisks()))
+				added := world.machines.add("z1")
 				added.start()
-				world.after(world.upTo(2*second), func() { world.removeMachine(added) })
+				world.after(world.upTo(2*second), func() { world.machines.remove(added) })
 			})
 			world.at(13*second, func() { world.expectAcknowledged(world.operators.addKey(0)) })
 		})
@@ -200,8 +200,7 @@
 			var orders []*operatorOrder
 			world.at(7*second, func() {
 				cut := world.router()
-				world.network.changeBlocked([]*node{cut}, world.nodes, 1)
-				world.network.changeBlocked(world.nodes, []*node{cut}, 1)
+				world.network.isolate(cut)
 				for range 10 {
 					order := world.operators.addKey(0)
 					order.firstSent = world.now
@@ -209,7 +208,7 @@
 					orders = append(orders, order)
 					world.operators.submitTo(cut, order)
 				}
-				world.after(failOpenAcknowledge, func() { world.faults.reconnect(cut) })
+				world.after(failOpenAcknowledge, func() { world.network.reconnect(cut) })
 			})
 			world.at(12*second, func() {
 				for _, order := range orders {
@@ -232,7 +231,9 @@
 		faults := []func(world *simulation, victim *node){
 			func(_ *simulation, victim *node) { victim.stop() },
 			func(_ *simulation, victim *node) { victim.freeze(15 * second) },
-			func(world *simulation, victim *node) { world.faults.partitionFor([]*node{victim}, world.nodes, true) },
+			func(world *simulation, victim *node) {
+				world.faults.network.partitionFor([]*node{victim}, world.machines.nodes, true)
+			},
 			func(_ *simulation, victim *node) { victim.storage.slow = 150 * time.Millisecond },
 			func(_ *simulation, victim *node) { victim.storage.disk.SetFull(true) },
 		}
@@ -242,7 +243,7 @@
 					world := playFailOpen(seed, func(world *simulation) {
 						world.startAll()
 						world.at(7*second, func() {
-							victim := pick(world, world.diskNodes())
+							victim := pick(world.randomness, world.machines.withDisks())
 							if ofLeader {
 								victim = world.leaderOfConfiguration()
 							}
@@ -257,7 +258,7 @@
 							})
 						})
 					})
-					Expect(world.checks.violations).To(BeEmpty(), "fault %d leader %v seed %d", kind, ofLeader, seed)
+					Expect(world.violations).To(BeEmpty(), "fault %d leader %v seed %d", kind, ofLeader, seed)
 				}
 			}
 		}
@@ -269,11 +270,11 @@
 			world := playFailOpen(seed, func(world *simulation) {
 				world.startAll()
 				world.at(7*second, func() {
-					if len(world.diskNodes()) > 3 {
+					if len(world.machines.withDisks()) > 3 {
 						return
 					}
-					followers := lo.Without(world.diskNodes(), world.leaderOfConfiguration())
-					world.faults.replaceMachineAt(followers[0], false)
+					followers := lo.Without(world.machines.withDisks(), world.leaderOfConfiguration())
+					world.faults.disks.replaceAt(followers[0], false)
 					followers[1].storage.disk.SetFull(true)
 					followers[1].storage.full = true
 					world.at(11*second, func() {
@@ -289,7 +290,7 @@
 					})
 				})
 			})
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
@@ -298,16 +299,16 @@
 			world.startAll()
 			world.at(7*second, func() {
 				victim := world.router()
-				others := lo.Without(world.nodes, victim)
+				others := lo.Without(world.machines.nodes, victim)
 				victim.stop()
 				for position, one := range others {
-					world.after(time.Duration(position)*50*time.Millisecond, func() { world.faults.restartAfter(one, 10*time.Millisecond) })
+					world.after(time.Duration(position)*50*time.Millisecond, func() { one.restartAfter(10 * time.Millisecond) })
 				}
 			})
 			for round := range 5 {
 				world.at(time.Duration(13+round)*second, func() {
 					order := world.operators.addKey(0)
-					world.operators.issueAt(pick(world, world.diskNodes()), order)
+					world.operators.issueAt(pick(world.randomness, world.machines.withDisks()), order)
 					world.checkAcknowledged(order, promptAcknowledge)
 				})
 			}
@@ -320,14 +321,14 @@
 			world.startAll()
 			world.at(7*second, func() { world.operators.issue(world.operators.addKey(0)) })
 			world.at(9*second, func() {
-				disks := world.diskNodes()
+				disks := world.machines.withDisks()
 				for _, one := range disks[:len(disks)/2+1] {
 					one.stop()
 				}
 			})
 			world.at(13*second, func() {
 				newest := world.checks.acknowledged
-				restarted := []*node{world.nodes[len(world.nodes)-1], world.diskNodes()[len(world.diskNodes())-1]}
+				restarted := []*node{world.machines.nodes[len(world.machines.nodes)-1], world.machines.withDisks()[len(world.machines.withDisks())-1]}
 				for _, one := range restarted {
 					one.stop()
 					one.start()
@@ -349,13 +350,12 @@
 			world.startAll()
 			world.at(7*second, func() {
 				cut := world.router()
-				world.network.changeBlocked([]*node{cut}, world.nodes, 1)
-				world.network.changeBlocked(world.nodes, []*node{cut}, 1)
+				world.network.isolate(cut)
 				world.after(5*second, func() {
 					if !cut.serving() {
 						world.violate("fails_open", "%s does not serve while it is cut off", cut.info.ID)
 					}
-					world.faults.reconnect(cut)
+					world.network.reconnect(cut)
 				})
 			})
 		})
@@ -366,7 +366,7 @@
 			world.startAll()
 			for round := range 4 {
 				world.at(time.Duration(8+5*round)*second, func() {
-					world.faults.loseRelayParent()
+					world.faults.processes.loseRelayParent()
 					world.after(world.upTo(300*time.Millisecond), func() { world.operators.issue(world.operators.addKey(0)) })
 				})
 			}
@@ -378,7 +378,7 @@
 			world.startAll()
 			world.at(7*second, func() {
 				leader := world.leaderOfConfiguration()
-				world.faults.partitionFor([]*node{leader}, world.nodes, true)
+				world.faults.network.partitionFor([]*node{leader}, world.machines.nodes, true)
 				read := world.operators.readConfiguration()
 				first, other := world.operators.changedDocumentOrder(read), world.operators.changedDocumentOrder(read)
 				for _, order := range []*operatorOrder{first, other} {
@@ -390,7 +390,7 @@
 				// The answer is lost on its way, so that the order is sent again.
 				world.after(12*second, func() {
 					world.operators.submitTo(world.router(), first)
-					world.operators.submitTo(world.diskNodes()[0], other)
+					world.operators.submitTo(world.machines.withDisks()[0], other)
 				})
 			})
 		})
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -9,18 +9,55 @@
 	"github.com/samber/lo"
 )
 
-// faultInjector draws and starts the faults of a run, and owns what other parts of
-// the simulation have to know of the active ones.
+// faultInjector draws and starts the faults of a run. They are grouped by what they
+// break; each group names the parts of the run that it needs.
 type faultInjector struct {
-	world *simulation
-	// delayedCommandFaults counts the active faults that delay commands.
-	delayedCommandFaults int
-	// majorityLost is set from the loss of a majority of the disks until the
-	// replica groups have been formed again, majorityLostAt when it began.
-	majorityLost   bool
-	majorityLostAt time.Duration
-	// freezeNextCommand suspends the next node that is about to send a command.
-	freezeNextCommand bool
+	env      *environment
+	machines *machines
+	platform *platform
+	backends *backendCalls
+	loss     *majorityLoss
+
+	processes    *machineFaults
+	replacements *replacementFaults
+	disks        *diskFaults
+	network      *networkFaults
+	core         *coreFaults
+	replicas     *backendFaults
+	endpoints    *endpointFaults
+	orders       *orderFaults
+}
+
+// faultOrders is what faults need of the operators: orders that move something at
+// the instant of the fault, and the instant of their acknowledgement.
+type faultOrders interface {
+	addKey(base uint64) *operatorOrder
+	nameWeights(base uint64, pool string) *operatorOrder
+	issue(order *operatorOrder)
+	whenAcknowledged(order *operatorOrder, then, otherwise func())
+}
+
+func newFaultInjector(w *simulation) *faultInjector {
+	f := &faultInjector{env: w.environment, machines: w.machines, platform: w.platform, backends: w.backends, loss: w.majorityLoss}
+	f.network = &networkFaults{env: f.env, machines: w.machines, network: w.network}
+	f.processes = &machineFaults{
+		env: f.env, machines: w.machines, groups: w.groups, orders: w.operators, backends: w.backends, network: f.network,
+	}
+	f.replacements = &replacementFaults{env: f.env, machines: w.machines, groups: w.groups}
+	f.disks = &diskFaults{
+		env: f.env, machines: w.machines, groups: w.groups, network: w.network, orders: w.operators,
+		replacements: f.replacements, loss: w.majorityLoss,
+	}
+	f.core = &coreFaults{
+		env: f.env, machines: w.machines, groups: w.groups, network: w.network, operators: w.operators,
+		reads: w.reads, checks: w.checks, partition: f.network, disks: f.disks, loss: w.majorityLoss,
+	}
+	f.replicas = &backendFaults{env: f.env, platform: w.platform, backends: w.backends, orders: w.operators}
+	f.endpoints = &endpointFaults{
+		env: f.env, machines: w.machines, platform: w.platform, backends: f.replicas, network: f.network,
+	}
+	f.orders = &orderFaults{env: f.env, operators: w.operators}
+	return f
 }
 
 // faultKind is one way to disturb what surrounds the control machines. A fault
@@ -32,41 +69,66 @@
 	start  func(*faultInjector)
 }
 
-// faultKinds are all kinds that are drawn by default.
+// faultKinds are all kinds that are drawn by default. Their order is part of what a
+// seed stands for.
 var faultKinds = []faultKind{
-	{"crash", 4, (*faultInjector).crashNode},
-	{"crash-many", 3, (*faultInjector).crashMany},
-	{"rolling-restart", 2, (*faultInjector).rollingRestart},
-	{"disk-lost", 2, (*faultInjector).loseDisk},
-	{"disk-lost-twice", 3, (*faultInjector).loseDiskTwice},
-	{"disk-lost-after-ack", 3, (*faultInjector).loseDiskAfterAck},
-	{"disks-lost-in-power-cut", 3, (*faultInjector).loseDisksAsPowerFails},
-	{"majority-disk-loss", 3, (*faultInjector).loseMajority},
-	{"slow-disk", 3, (*faultInjector).slowDisk},
-	{"full-disk", 2, (*faultInjector).fullDisk},
-	{"freeze", 4, (*faultInjector).freezeNode},
-	{"freeze-leader", 4, (*faultInjector).freezeLeader},
-	{"freeze-at-command", 4, (*faultInjector).freezeAtCommand},
-	{"power-lost-after-ack", 3, (*faultInjector).losePowerAfterAck},
-	{"clock-jump", 2, (*faultInjector).jumpClock},
-	{"partition", 3, (*faultInjector).partition},
-	{"one-way-partition", 3, (*faultInjector).partitionOneWay},
-	{"core-split", 3, (*faultInjector).splitCore},
-	{"zone-cut", 3, (*faultInjector).isolateZone},
-	{"node-cut", 3, (*faultInjector).isolateNode},
-	{"message-storm", 4, (*faultInjector).messageStorm},
-	{"config-storm", 2, (*faultInjector).configStorm},
-	{"weights-overtaken", 3, (*faultInjector).supersedeWeights},
-	{"stuck-commands", 3, (*faultInjector).delayCommands},
-	{"machine-replaced", 4, (*faultInjector).replaceUnplanned},
-	{"machine-replaced-planned", 3, (*faultInjector).replacePlanned},
-	{"two-machines-replaced", 3, (*faultInjector).replaceTwo},
-	{"seeds-moved", 2, (*faultInjector).changeSeeds},
-	{"relay-parent-lost", 4, (*faultInjector).loseRelayParent},
-	{"replica-crash", 3, (*faultInjector).crashReplica},
-	{"replica-listing", 3, (*faultInjector).drainOrRemoveReplica},
-	{"platform-lag", 2, (*faultInjector).lagPlatform},
-}
+	{"crash", 4, func(f *faultInjector) { f.processes.crash() }},
+	{"crash-many", 3, func(f *faultInjector) { f.processes.crashMany() }},
+	{"rolling-restart", 2, func(f *faultInjector) { f.processes.rollingRestart() }},
+	{"disk-lost", 2, func(f *faultInjector) { f.disks.lose() }},
+	{"disk-lost-twice", 3, func(f *faultInjector) { f.disks.loseTwice() }},
+	{"disk-lost-after-ack", 3, func(f *faultInjector) { f.disks.loseAfterAck() }},
+	{"disks-lost-in-power-cut", 3, func(f *faultInjector) { f.disks.loseAsPowerFails() }},
+	{"majority-disk-loss", 3, func(f *faultInjector) { f.core.loseMajority() }},
+	{"slow-disk", 3, func(f *faultInjector) { f.disks.slow() }},
+	{"full-disk", 2, func(f *faultInjector) { f.disks.fill() }},
+	{"freeze", 4, func(f *faultInjector) { f.processes.freeze() }},
+	{"freeze-leader", 4, func(f *faultInjector) { f.processes.freezeLeader() }},
+	{"freeze-at-command", 4, func(f *faultInjector) { f.processes.freezeAtCommand() }},
+	{"power-lost-after-ack", 3, func(f *faultInjector) { f.disks.losePowerAfterAck() }},
+	{"clock-jump", 2, func(f *faultInjector) { f.processes.jumpClock() }},
+	{"partition", 3, func(f *faultInjector) { f.network.partition(true) }},
+	{"one-way-partition", 3, func(f *faultInjector) { f.network.partition(false) }},
+	{"core-split", 3, func(f *faultInjector) { f.core.split() }},
+	{"zone-cut", 3, func(f *faultInjector) { f.network.isolateZone() }},
+	{"node-cut", 3, func(f *faultInjector) { f.network.isolateNode() }},
+	{"message-storm", 4, func(f *faultInjector) { f.network.messageStorm() }},
+	{"config-storm", 2, func(f *faultInjector) { f.orders.configStorm() }},
+	{"weights-overtaken", 3, func(f *faultInjector) { f.orders.supersedeWeights() }},
+	{"stuck-commands", 3, func(f *faultInjector) { f.replicas.delayCommands() }},
+	{"machine-replaced", 4, func(f *faultInjector) { f.replacements.replaceUnplanned() }},
+	{"machine-replaced-planned", 3, func(f *faultInjector) { f.replacements.replacePlanned() }},
+	{"two-machines-replaced", 3, func(f *faultInjector) { f.replacements.replaceTwo() }},
+	{"seeds-moved", 2, func(f *faultInjector) { f.replacements.moveSeeds() }},
+	{"relay-parent-lost", 4, func(f *faultInjector) { f.processes.loseRelayParent() }},
+	{"replica-crash", 3, func(f *faultInjector) { f.replicas.crashReplica() }},
+	{"replica-listing", 3, func(f *faultInjector) { f.replicas.drainOrRemoveReplica() }},
+	{"platform-lag", 2, func(f *faultInjector) { f.replicas.lagPlatform() }},
+}
+
+// endpointFaultKinds are the faults of the endpoint list and of the node that
+// reads it. Runs on the product's own protocols draw them only by name.
+var endpointFaultKinds = []faultKind{
+	{"reader-crash", 4, func(f *faultInjector) { f.endpoints.crashReader() }},
+	{"reader-freeze", 4, func(f *faultInjector) { f.endpoints.freezeReader() }},
+	{"reader-cut", 4, func(f *faultInjector) { f.endpoints.isolateReader() }},
+	{"platform-down", 2, func(f *faultInjector) { f.endpoints.stopPlatform() }},
+}
+
+// Where and when a kind may be drawn.
+var (
+	// configuredGroupFaults are the faults of deployments whose group is named, and
+	// seededGroupFaults those of deployments that find themselves through seeds.
+	configuredGroupFaults = []string{"majority-disk-loss"}
+	seededGroupFaults     = []string{"machine-replaced", "machine-replaced-planned", "two-machines-replaced", "seeds-moved", "relay-parent-lost"}
+	// faultsDuringMajorityLoss are the faults that may begin while the disks of a
+	// majority are lost. The others might take away the last node that holds what
+	// was acknowledged, after which nobody could bring it back.
+	faultsDuringMajorityLoss = []string{
+		"slow-disk", "message-storm", "config-storm", "weights-overtaken", "stuck-commands",
+		"replica-crash", "replica-listing", "platform-lag",
+	}
+)
 
 // Bounds of the schedule of faults.
 const (
@@ -81,23 +143,22 @@
 func (f *faultInjector) schedule() {
 	kinds := f.applicableKinds()
 	weights := lo.SumBy(kinds, func(kind faultKind) int { return kind.weight })
-	span := f.world.settings.recoveryPhaseStart() - formation - faultFreeEnd
-	for range minFaults + f.world.plan.IntN(faultSpread) {
-		kind := weightedKind(kinds, f.world.plan.IntN(weights))
-		f.world.at(formation+f.world.planned(span), func() { f.start(kind) })
+	span := f.env.settings.recoveryPhaseStart() - formation - faultFreeEnd
+	for range minFaults + f.env.plan.IntN(faultSpread) {
+		kind := weightedKind(kinds, f.env.plan.IntN(weights))
+		f.env.at(formation+f.env.planned(span), func() { f.start(kind) })
 	}
-	f.world.at(f.world.settings.recoveryPhaseStart(), f.end)
+	f.env.at(f.env.settings.recoveryPhaseStart(), f.end)
 }
 
 // applicableKinds returns the kinds that the run draws from.
 func (f *faultInjector) applicableKinds() []faultKind {
-	if f.world.settings.FailOpen {
-		return lo.Filter(selectedFaultKinds(f.world.settings.Faults, f.world.settings.FinishFirst), func(kind faultKind, _ int) bool {
-			return !lo.Contains(configuredGroupFaults, kind.name)
-		})
+	excluded := seededGroupFaults
+	if f.env.settings.FailOpen {
+		excluded = configuredGroupFaults
 	}
-	return lo.Filter(selectedFaultKinds(f.world.settings.Faults, f.world.settings.FinishFirst), func(kind faultKind, _ int) bool {
-		return !lo.Contains(seededGroupFaults, kind.name)
+	return lo.Reject(selectedFaultKinds(f.env.settings.Faults, f.env.settings.FinishFirst), func(kind faultKind, _ int) bool {
+		return lo.Contains(excluded, kind.name)
 	})
 }
 
@@ -148,175 +209,24 @@
 	return nil
 }
 
+// start starts a fault, unless it might destroy what a lost majority needs.
 func (f *faultInjector) start(kind faultKind) {
-	if f.majorityLost && !lo.Contains(faultsDuringMajorityLoss, kind.name) {
+	if f.loss.active && !lo.Contains(faultsDuringMajorityLoss, kind.name) {
 		return
 	}
-	f.world.counts.Faults[kind.name]++
-	f.world.logf(worldColumn, "FAULT %s", kind.name)
+	f.env.counts.Faults[kind.name]++
+	f.env.logf(worldColumn, "FAULT %s", kind.name)
 	kind.start(f)
 }
 
-// duration returns a random duration of at least shortest, cut short so that
-// the fault ends before the recovery phase.
-func (f *faultInjector) duration(shortest, spread time.Duration) time.Duration {
-	left := max(0, f.world.settings.recoveryPhaseStart()-f.world.now)
-	return min(shortest+f.world.upTo(spread), left)
-}
-
 // end restarts what is down at the beginning of the recovery phase.
 func (f *faultInjector) end() {
-	f.world.logf(worldColumn, "CALM")
-	f.freezeNextCommand = false
-	for _, one := range f.world.nodes {
+	f.env.logf(worldColumn, "CALM")
+	f.backends.freezeNextSender = false
+	for _, one := range f.machines.nodes {
 		one.start()
 	}
-	for _, entry := range f.world.platform.entries() {
+	for _, entry := range f.platform.entries() {
 		entry.replica.restart(entry.replica.lastVersion)
 	}
 }
-
-// restartAfter stops a node and starts it again after a time.
-func (f *faultInjector) restartAfter(one *node, down time.Duration) {
-	one.stop()
-	f.world.after(down, one.start)
-}
-
-func (f *faultInjector) crashNode() {
-	f.restartAfter(pick(f.world, f.world.nodes), f.duration(100*time.Millisecond, 4*time.Second))
-}
-
-// crashMany stops random nodes at one instant, with a probability of one half all
-// core nodes among them, as when the power fails.
-func (f *faultInjector) crashMany() {
-	victims := f.randomNodes()
-	if f.world.chance(0.5) {
-		victims = append(victims, f.world.diskNodes()...)
-	}
-	for _, one := range lo.Uniq(victims) {
-		f.restartAfter(one, f.duration(100*time.Millisecond, 3*time.Second))
-	}
-}
-
-// randomNodes returns a random number of nodes, at least one.
-func (f *faultInjector) randomNodes() []*node {
-	order := f.world.random.Perm(len(f.world.nodes))
-	count := 1 + f.world.random.IntN(len(f.world.nodes))
-	return lo.Map(order[:count], func(position, _ int) *node { return f.world.nodes[position] })
-}
-
-// rollingRestart shuts the nodes down gracefully and starts them again, one after
-// the other.
-func (f *faultInjector) rollingRestart() {
-	const between = 600 * time.Millisecond
-	const leaveGrace = 200 * time.Millisecond
-	for position, one := range f.world.nodes {
-		start := time.Duration(position) * between
-		if f.world.now+start+between > f.world.settings.recoveryPhaseStart() {
-			return
-		}
-		f.world.after(start, func() {
-			if one.removed || !one.up {
-				return
-			}
-			one.post(one.process, one.machine.Leave)
-			f.world.after(leaveGrace, func() { f.restartAfter(one, f.duration(50*time.Millisecond, 300*time.Millisecond)) })
-		})
-	}
-}
-
-// freezeNode suspends a process for long without ending it.
-func (f *faultInjector) freezeNode() {
-	pick(f.world, f.world.nodes).freeze(f.duration(3*time.Second, 17*time.Second))
-}
-
-// freezeLeader suspends a leader during a roll-out.
-func (f *faultInjector) freezeLeader() {
-	if leader := f.world.anyLeader(); leader != nil {
-		f.world.operators.issue(f.world.operators.nameWeights(0, pick(f.world, poolNames)))
-		f.world.after(f.world.upTo(2*time.Second), func() {
-			leader.freeze(f.duration(3*time.Second, 9*time.Second))
-		})
-	}
-}
-
-// freezeAtCommand suspends a leader between its decision to command a replica and
-// the sending of the command.
-func (f *faultInjector) freezeAtCommand() {
-	f.freezeNextCommand = true
-	f.world.operators.issue(f.world.operators.nameWeights(0, pick(f.world, poolNames)))
-}
-
-// jumpClock moves a node's wall clock and restarts the node.
-func (f *faultInjector) jumpClock() {
-	const furthest = 2 * time.Hour
-	victim := pick(f.world, f.world.nodes)
-	victim.clock.wallOffset = f.world.upTo(2*furthest) - furthest
-	f.restartAfter(victim, f.duration(50*time.Millisecond, time.Second))
-}
-
-// messageStorm loses, duplicates and delays frames.
-func (f *faultInjector) messageStorm() {
-	active := &storm{
-		loss:      0.3 * f.world.random.Float64(),
-		duplicate: 0.3 * f.world.random.Float64(),
-		delay:     f.world.upTo(400 * time.Millisecond),
-	}
-	f.world.network.storms = append(f.world.network.storms, active)
-	f.world.after(f.duration(time.Second, 6*time.Second), func() {
-		f.world.network.storms = lo.Without(f.world.network.storms, active)
-	})
-}
-
-func (f *faultInjector) partition() {
-	side := f.randomNodes()
-	f.partitionFor(side, lo.Without(f.world.nodes, side...), true)
-}
-
-func (f *faultInjector) partitionOneWay() {
-	side := f.randomNodes()
-	f.partitionFor(side, lo.Without(f.world.nodes, side...), false)
-}
-
-func (f *faultInjector) isolateZone() {
-	zone := pick(f.world, f.world.nodes).info.Zone
-	inside := lo.Filter(f.world.nodes, func(one *node, _ int) bool { return one.info.Zone == zone })
-	f.partitionFor(inside, lo.Without(f.world.nodes, inside...), true)
-}
-
-func (f *faultInjector) isolateNode() {
-	victim := []*node{pick(f.world, f.world.nodes)}
-	f.partitionFor(victim, f.world.nodes, f.world.chance(0.5))
-}
-
-// partitionFor blocks the links from one side to the other, and back if both is
-// set, for a random time.
-func (f *faultInjector) partitionFor(from, to []*node, both bool) {
-	f.world.network.changeBlocked(from, to, 1)
-	if both {
-		f.world.network.changeBlocked(to, from, 1)
-	}
-	f.world.after(f.duration(300*time.Millisecond, 8*time.Second), func() {
-		f.world.network.changeBlocked(from, to, -1)
-		if both {
-			f.world.network.changeBlocked(to, from, -1)
-		}
-	})
-}
-
-// configStorm issues many orders within a second.
-func (f *faultInjector) configStorm() {
-	const orders = 25
-	for range orders {
-		f.world.after(f.world.upTo(time.Second), func() { f.world.operators.issue(f.world.operators.randomOrder(0)) })
-	}
-}
-
-// supersedeWeights names weights several times before they run everywhere.
-func (f *faultInjector) supersedeWeights() {
-	const namings = 4
-	pool := pick(f.world, poolNames)
-	for range namings {
-		f.world.after(f.world.upTo(6*time.Second), func() { f.world.operators.issue(f.world.operators.nameWeights(0, pool)) })
-	}
-}
--- a/internal/lab/sim/groups.go
+++ b/internal/lab/sim/groups.go
@@ -1,31 +1,26 @@
 package sim
 
 import (
-	"slices"
-
 	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// diskNodes returns the nodes with disks, which form the core.
-func (w *simulation) diskNodes() []*node {
-	return lo.Filter(w.nodes, func(one *node, _ int) bool { return one.storage != nil })
-}
-
-// nodeNamed returns the node of an ID, which may have been removed.
-func (w *simulation) nodeNamed(id member.ID) *node {
-	position := slices.IndexFunc(w.everyNode, func(one *node) bool { return one.info.ID == id })
-	return w.everyNode[position]
+// shardGroups tells how the replica groups stand, as their leaders know it. It has
+// no state but the machines'.
+type shardGroups struct {
+	env      *environment
+	machines *machines
+	// serviceShards is the number of shards beside the configuration's.
+	serviceShards uint32
 }
 
 // memberSlots returns the member slots of a shard as its leader of the newest
 // term knows them; false if no node leads the shard.
-func (w *simulation) memberSlots(shard uint32) ([]replication.Slot, bool) {
+func (g *shardGroups) memberSlots(shard uint32) ([]replication.Slot, bool) {
 	var newest []replication.Slot
 	term := uint64(0)
-	for _, one := range w.diskNodes() {
+	for _, one := range g.machines.withDisks() {
 		if !one.up {
 			continue
 		}
@@ -41,9 +36,9 @@
 }
 
 // anyLeader returns a node that leads a random shard, or nil.
-func (w *simulation) anyLeader() *node {
-	shard := w.random.IntN(int(w.serviceShards) + 1)
-	for _, one := range w.diskNodes() {
+func (g *shardGroups) anyLeader() *node {
+	shard := g.env.random.IntN(int(g.serviceShards) + 1)
+	for _, one := range g.machines.withDisks() {
 		if one.up && one.machine.Status().GetShards()[shard].GetLeader() == string(one.info.ID) {
 			return one
 		}
@@ -53,11 +48,11 @@
 
 // everyMemberIsVoter reports whether the leader of every shard knows all members
 // as voters in the present incarnations of their disks.
-func (w *simulation) everyMemberIsVoter() bool {
-	for shard := range w.serviceShards + 1 {
-		slots, known := w.memberSlots(shard)
+func (g *shardGroups) everyMemberIsVoter() bool {
+	for shard := range g.serviceShards + 1 {
+		slots, known := g.memberSlots(shard)
 		if !known || !lo.EveryBy(slots, func(slot replication.Slot) bool {
-			return !slot.Learner && w.nodeNamed(slot.ID).storage.incarnation == slot.Incarnation
+			return !slot.Learner && g.machines.named(slot.ID).storage.incarnation == slot.Incarnation
 		}) {
 			return false
 		}
@@ -66,9 +61,9 @@
 }
 
 // isVoterEverywhere reports whether a node is a voter in every shard.
-func (w *simulation) isVoterEverywhere(one *node) bool {
-	for shard := range w.serviceShards + 1 {
-		slots, known := w.memberSlots(shard)
+func (g *shardGroups) isVoterEverywhere(one *node) bool {
+	for shard := range g.serviceShards + 1 {
+		slots, known := g.memberSlots(shard)
 		voter := replication.Voter{ID: one.info.ID, Incarnation: one.storage.incarnation}
 		if !known || !lo.Contains(slots, replication.Slot{Voter: voter}) {
 			return false
@@ -77,16 +72,35 @@
 	return true
 }
 
-// healthy reports whether all members vote, and all nodes serve what was
-// acknowledged and can reach each other.
-func (w *simulation) healthy() bool {
-	if w.faults.majorityLost || !w.everyMemberIsVoter() {
-		return false
-	}
-	for _, one := range w.nodes {
-		if !one.serving() || one.view.Revision < w.checks.acknowledged || lo.Sum(w.network.blocked[one.index]) > 0 {
+// canLose reports whether every shard keeps a majority of its voters without the
+// disks of some nodes. A voter whose disk was lost counts until it is replaced,
+// and one that is about to leave counts as lost.
+func (g *shardGroups) canLose(victims ...*node) bool {
+	for shard := range g.serviceShards + 1 {
+		slots, known := g.memberSlots(shard)
+		if !known {
+			return false
+		}
+		voters, healthy := 0, 0
+		for _, slot := range slots {
+			if slot.Learner {
+				continue
+			}
+			voters++
+			member := g.machines.named(slot.ID)
+			if !lo.Contains(victims, member) && !member.removed && !member.leaving && member.storage.incarnation == slot.Incarnation {
+				healthy++
+			}
+		}
+		if 2*healthy <= voters {
 			return false
 		}
 	}
 	return true
 }
+
+// expendable returns the nodes with disks that fulfil a condition, and any one of
+// which the shards can lose.
+func (g *shardGroups) expendable(condition func(*node) bool) []*node {
+	return lo.Filter(g.machines.withDisks(), func(one *node, _ int) bool { return condition(one) && g.canLose(one) })
+}
--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -77,8 +77,8 @@
 const historyTimeout = 5 * time.Second
 
 // checkHistory checks that the orders are linearizable.
-func (c *checks) checkHistory() {
-	history := lo.Map(c.world.operators.orders, func(order *operatorOrder, client int) porcupine.Operation {
+func (c *orderChecks) checkHistory() {
+	history := lo.Map(c.operators.orders, func(order *operatorOrder, client int) porcupine.Operation {
 		operation := porcupine.Operation{
 			ClientId: client,
 			Input:    order,
@@ -94,9 +94,9 @@
 	tighten(history)
 	switch porcupine.CheckOperationsTimeout(revisionRegister.ToModel(), history, historyTimeout) {
 	case porcupine.Illegal:
-		c.world.violate("linearizable", "the answers to the %d orders fit no sequence of changes", len(history))
+		c.env.violate("linearizable", "the answers to the %d orders fit no sequence of changes", len(history))
 	case porcupine.Unknown:
-		c.world.counts.Undecided++
+		c.env.counts.Undecided++
 	case porcupine.Ok:
 	}
 }
--- a/internal/lab/sim/majority_loss_test.go
+++ b/internal/lab/sim/majority_loss_test.go
@@ -6,40 +6,27 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 	"github.com/samber/lo"
-
-	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
 // loseDisksAt takes the disks of some members at once, which come back empty.
 func (w *simulation) loseDisksAt(positions ...int) {
 	for _, position := range positions {
-		w.faults.replaceMachineAt(w.nodes[position], false)
+		w.faults.disks.replaceAt(w.machines.nodes[position], false)
 	}
 }
 
-// isolateNodeForGood separates a node from all others.
-func (w *simulation) isolateNodeForGood(victim *node) {
-	w.network.changeBlocked([]*node{victim}, w.nodes, 1)
-	w.network.changeBlocked(w.nodes, []*node{victim}, 1)
-}
-
 // threeDisks is the first seed from one on whose deployment has three disks.
 func threeDisks(seed uint64) uint64 {
 	for {
 		world := newSimulation(Settings{Seed: seed, Virtual: DefaultVirtual})
 		world.build()
-		if len(world.group) == 3 {
+		if len(world.machines.group) == 3 {
 			return seed
 		}
 		seed++
 	}
 }
 
-// acknowledged reports whether an operator has the acknowledgement of an order.
-func acknowledged(order *operatorOrder) bool {
-	return order.finished && order.outcome == checker.OutcomeAcknowledged
-}
-
 var _ = Describe("A deployment that lost the majority of its disks", func() {
 	const (
 		lossAt = 8 * second
@@ -57,17 +44,17 @@
 					})
 					world.at(lossAt, func() { world.loseDisksAt(positions...) })
 					world.at(backAt-2*second, func() {
-						Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
+						Expect(world.groups.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
 						after = world.operators.addKey(0)
 						world.operators.issue(after)
 						resent = &operatorOrder{content: before.content, change: before.change, firstSent: world.now}
 						world.operators.submitTo(world.router(), resent)
 					})
 				})
-				Expect(acknowledged(before) && acknowledged(after) && acknowledged(resent)).To(BeTrue(), "seed %d", seed)
+				Expect(before.acknowledged() && after.acknowledged() && resent.acknowledged()).To(BeTrue(), "seed %d", seed)
 				Expect(resent.reply.GetRevision()).To(Equal(before.reply.GetRevision()))
 				Expect(after.reply.GetRevision()).To(Equal(before.reply.GetRevision() + 1))
-				Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+				Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 			}
 		},
 		Entry("two of three", 0, 1),
@@ -79,27 +66,27 @@
 		for seed := uint64(1); seed <= 6; seed++ {
 			checked := false
 			world := play(threeDisks(10*seed), func(world *simulation) {
-				late := world.nodes[2]
-				world.at(6*second, func() { world.isolateNodeForGood(late) })
+				late := world.machines.nodes[2]
+				world.at(6*second, func() { world.network.isolate(late) })
 				back := func(missed *operatorOrder) {
-					Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
-					Expect(lo.EveryBy(world.nodes, (*node).serving)).To(BeTrue(), "seed %d", seed)
+					Expect(world.groups.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
+					Expect(lo.EveryBy(world.machines.nodes, (*node).serving)).To(BeTrue(), "seed %d", seed)
 					Expect(late.view.Revision).To(Equal(missed.reply.GetRevision()), "seed %d", seed)
 					checked = true
 				}
 				world.at(7500*time.Millisecond, func() {
 					missed := world.operators.addKey(0)
 					world.operators.issueAt(world.router(), missed)
-					world.faults.whenAcknowledged(missed, func() {
+					world.operators.whenAcknowledged(missed, func() {
 						Expect(late.view.Revision).To(BeNumerically("<", missed.reply.GetRevision()))
 						world.loseDisksAt(0, 1)
-						world.faults.reconnect(late)
+						world.network.reconnect(late)
 						world.after(ServiceBackBound, func() { back(missed) })
 					}, func() { Fail("the order was not acknowledged without the member") })
 				})
 			})
 			Expect(checked).To(BeTrue(), "seed %d", seed)
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
@@ -119,28 +106,28 @@
 	It("waits for a member that is cut off, and for one that is powered down", func() {
 		for seed := uint64(1); seed <= 3; seed++ {
 			world := play(threeDisks(10*seed), func(world *simulation) {
-				cut, down := world.nodes[2], world.nodes[1]
-				world.at(lossAt-second, func() { world.isolateNodeForGood(cut) })
+				cut, down := world.machines.nodes[2], world.machines.nodes[1]
+				world.at(lossAt-second, func() { world.network.isolate(cut) })
 				world.at(lossAt, func() { world.loseDisksAt(0, 1) })
 				world.at(backAt, func() {
-					_, known := world.memberSlots(0)
+					_, known := world.groups.memberSlots(0)
 					Expect(known).To(BeFalse(), "seed %d: formed without a member that may hold more", seed)
-					world.faults.reconnect(cut)
+					world.network.reconnect(cut)
 				})
 				world.at(backAt+ServiceBackBound, func() {
-					Expect(world.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
+					Expect(world.groups.everyMemberIsVoter()).To(BeTrue(), "seed %d", seed)
 					world.loseDisksAt(0)
 					down.stop()
 					cut.stop()
 				})
 				world.at(backAt+ServiceBackBound+4*second, func() {
-					_, known := world.memberSlots(0)
+					_, known := world.groups.memberSlots(0)
 					Expect(known).To(BeFalse(), "seed %d: formed without those that still have disks", seed)
 					down.start()
 					cut.start()
 				})
 			})
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 })
--- a/internal/lab/sim/message_breaks.go
+++ b/internal/lab/sim/message_breaks.go
@@ -5,6 +5,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -15,18 +16,35 @@
 // confirms more than it serves.
 const confirmationInflation = 1 << 20
 
-// applyBreak changes a received message, or acts on it, where the mechanism that
+// messageBreaks changes the messages of a node where the mechanism that is
+// switched off requires that. It keeps what it needs to claim too much.
+type messageBreaks struct {
+	node *node
+	// appended is the index of the last log entry of each shard that this process
+	// has sent.
+	appended map[uint32]uint64
+	// views are the views of this process by revision.
+	views map[uint64]*routing.View
+}
+
+// reset forgets the former process.
+func (b *messageBreaks) reset() {
+	b.appended = map[uint32]uint64{}
+	b.views = map[uint64]*routing.View{}
+}
+
+// apply changes a received message, or acts on it, where the mechanism that
 // is switched off requires that.
-func (n *node) applyBreak(envelope *wire.Envelope) {
-	switch n.world.settings.Break {
+func (b *messageBreaks) apply(envelope *wire.Envelope) {
+	switch b.node.env.settings.Break {
 	case BreakAckBeforeConfirm:
 		inflateConfirmation(envelope.Control)
 	case BreakRelayAcceptsOlder:
-		n.revertView(envelope.Relay)
+		b.revertView(envelope.Relay)
 	case BreakNoWitnessFloor:
-		n.ignoreWitnesses(envelope)
+		b.ignoreWitnesses(envelope)
 	case BreakAppendClaimed:
-		n.claimAppended(envelope)
+		b.claimAppended(envelope)
 	default:
 	}
 }
@@ -45,11 +63,12 @@
 
 // revertView puts the view of an older revision in force when its update arrives
 // late.
-func (n *node) revertView(message *relaytree.Message) {
+func (b *messageBreaks) revertView(message *relaytree.Message) {
 	if message == nil || message.Type != relaytree.MessageUpdate || message.Topic != relaytree.Topic(control.ConfigurationShard) {
 		return
 	}
-	older, known := n.views[message.Revision]
+	older, known := b.views[message.Revision]
+	n := b.node
 	if known && n.view != nil && message.Revision < n.view.Revision {
 		n.view = older
 		n.logf("back to r%d", older.Revision)
@@ -57,31 +76,32 @@
 }
 
 // recordAppended records up to which index a leader has sent entries.
-func (n *node) recordAppended(envelope wire.Envelope) {
+func (b *messageBreaks) recordAppended(envelope wire.Envelope) {
 	message := envelope.Replication
 	if message == nil || message.Type != replication.MessageAppend {
 		return
 	}
-	n.appended[envelope.Shard] = max(n.appended[envelope.Shard], message.Index+uint64(len(message.Entries)))
+	b.appended[envelope.Shard] = max(b.appended[envelope.Shard], message.Index+uint64(len(message.Entries)))
 }
 
 // claimAppended makes the reply of a machine that was added during the run claim
 // all entries that this leader has sent.
-func (n *node) claimAppended(envelope *wire.Envelope) {
+func (b *messageBreaks) claimAppended(envelope *wire.Envelope) {
 	message := envelope.Replication
-	if message == nil || message.Type != replication.MessageAppendReply || !n.world.addedDuringRun(envelope.From) {
+	if message == nil || message.Type != replication.MessageAppendReply || !b.node.machines.addedDuringRun(envelope.From) {
 		return
 	}
 	message.Reject = false
-	message.Index = max(message.Index, n.appended[envelope.Shard])
+	message.Index = max(message.Index, b.appended[envelope.Shard])
 }
 
 // ignoreWitnesses keeps the state of witnesses from a core node while the groups
 // are to be formed again.
-func (n *node) ignoreWitnesses(envelope *wire.Envelope) {
+func (b *messageBreaks) ignoreWitnesses(envelope *wire.Envelope) {
 	// Long enough for a member that has a log to form the groups again.
 	const ignoredFor = 8 * time.Second
-	if n.storage == nil || !n.world.faults.majorityLost || n.world.now > n.world.faults.majorityLostAt+ignoredFor {
+	loss := b.node.majorityLoss
+	if b.node.storage == nil || !loss.active || b.node.env.now > loss.since+ignoredFor {
 		return
 	}
 	if message := envelope.Relay; message != nil && message.Type == relaytree.MessageUpdate {
@@ -95,11 +115,11 @@
 // isProbe reports whether a message looks for members that this node may have
 // lost: a digest of its table, or a request to a seed although the node serves
 // already.
-func (n *node) isProbe(envelope wire.Envelope) bool {
+func (b *messageBreaks) isProbe(envelope wire.Envelope) bool {
 	message := envelope.Membership
 	if message == nil {
 		return false
 	}
 	digest := message.Type == membership.MessageGossip && len(message.Records) == 0
-	return digest || message.Type == membership.MessageJoin && n.view != nil
+	return digest || message.Type == membership.MessageJoin && b.node.view != nil
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -21,7 +21,11 @@
 // network carries frames between nodes. Frames may overtake each other also in
 // its normal state.
 type network struct {
-	world *simulation
+	env          *environment
+	machines     *machines
+	connectivity *connectivity
+	checks       *checks
+
 	// blocked counts the partitions on the link from one node to another.
 	blocked [][]int
 	storms  []*storm
@@ -36,12 +40,12 @@
 	delay     time.Duration
 }
 
-func newNetwork(world *simulation, nodes int) *network {
-	blocked := make([][]int, nodes)
-	for from := range blocked {
-		blocked[from] = make([]int, nodes)
+// connect opens the links between as many nodes as a run may have.
+func (n *network) connect(nodes int) {
+	n.blocked = make([][]int, nodes)
+	for from := range n.blocked {
+		n.blocked[from] = make([]int, nodes)
 	}
-	return &network{world: world, blocked: blocked}
 }
 
 // changeBlocked blocks (change 1) or opens (change -1) the links from some nodes
@@ -49,7 +53,7 @@
 func (n *network) changeBlocked(from, to []*node, change int) {
 	for _, source := range from {
 		for _, target := range to {
-			n.world.connectivity.recordLinkChange(source, target)
+			n.connectivity.recordLinkChange(source, target)
 			if source != target {
 				n.blocked[source.index][target.index] += change
 			}
@@ -57,22 +61,34 @@
 	}
 }
 
+// isolate blocks all links of a node, both ways.
+func (n *network) isolate(one *node) {
+	n.changeBlocked([]*node{one}, n.machines.nodes, 1)
+	n.changeBlocked(n.machines.nodes, []*node{one}, 1)
+}
+
+// reconnect ends an isolation.
+func (n *network) reconnect(one *node) {
+	n.changeBlocked([]*node{one}, n.machines.nodes, -1)
+	n.changeBlocked(n.machines.nodes, []*node{one}, -1)
+}
+
 // send carries a message to the node that listens at its address at the time of
 // sending.
 func (n *network) send(from *node, send control.Send) {
-	to := n.world.nodeAt(send.Address)
-	if to == nil || n.world.broken(BreakNoProbes) && from.isProbe(send.Envelope) {
+	to := n.machines.listeningAt(send.Address)
+	if to == nil || n.env.broken(BreakNoProbes) && from.breaks.isProbe(send.Envelope) {
 		return
 	}
 	n.sent++
-	from.recordAppended(send.Envelope)
-	n.world.checks.relayed(send.Envelope.Relay)
+	from.breaks.recordAppended(send.Envelope)
+	n.checks.relayed(send.Envelope.Relay)
 	frame := wire.Encode(send.Envelope)
 	n.deliver(from, to, frame)
 	for _, active := range n.storms {
-		if n.world.chance(active.duplicate) {
+		if n.env.chance(active.duplicate) {
 			n.duplicated++
-			n.world.after(n.world.upTo(duplicateSpread), func() { n.deliver(from, to, frame) })
+			n.env.after(n.env.upTo(duplicateSpread), func() { n.deliver(from, to, frame) })
 		}
 	}
 }
@@ -85,7 +101,7 @@
 		return
 	}
 	process := to.process
-	n.world.after(n.latency(from, to), func() {
+	n.env.after(n.latency(from, to), func() {
 		if n.blocked[from.index][to.index] > 0 {
 			n.lost++
 			return
@@ -98,8 +114,13 @@
 	if n.blocked[from.index][to.index] > 0 {
 		return true
 	}
+	return n.stormLoses()
+}
+
+// stormLoses reports whether a storm loses one frame, or one call to a replica.
+func (n *network) stormLoses() bool {
 	for _, active := range n.storms {
-		if n.world.chance(active.loss) {
+		if n.env.chance(active.loss) {
 			return true
 		}
 	}
@@ -107,12 +128,12 @@
 }
 
 func (n *network) latency(from, to *node) time.Duration {
-	latency := minLatency + n.world.upTo(zoneLatency)
+	latency := minLatency + n.env.upTo(zoneLatency)
 	if from.info.Zone != to.info.Zone {
-		latency += n.world.upTo(crossZoneLatency)
+		latency += n.env.upTo(crossZoneLatency)
 	}
 	for _, active := range n.storms {
-		latency += n.world.upTo(active.delay)
+		latency += n.env.upTo(active.delay)
 	}
 	return latency
 }
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -1,9 +1,11 @@
 package sim
 
 import (
+	"slices"
 	"time"
 
 	"github.com/pkg/errors"
+	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
@@ -17,79 +19,86 @@
 const (
 	// maxBacklog bounds the inputs that wait for a frozen node.
 	maxBacklog = 4096
-	// maxClockRate bounds how much faster or slower than true time the clock of
-	// a node runs.
-	maxClockRate = 0.005
-	// maxUptime is the largest reading of a clock at the start of a run.
-	maxUptime = 1000 * time.Second
-	// wallEpoch is the wall time in milliseconds at the start of a run.
-	wallEpoch = 1_700_000_000_000
+	// maxLogEntries is small, so that snapshots are made and sent often.
+	maxLogEntries = 24
+	// slowHeartbeat and slowTick are the periods of nodes that save work while
+	// they are idle.
+	slowHeartbeat = 250 * time.Millisecond
+	slowTick      = 50 * time.Millisecond
 )
 
+// surroundings are the parts of a run that every node talks to.
+type surroundings struct {
+	env          *environment
+	machines     *machines
+	groups       *shardGroups
+	network      *network
+	platform     *platform
+	backends     *backendCalls
+	keys         *keyring
+	operators    *operators
+	connectivity *connectivity
+	checks       *checks
+	majorityLoss *majorityLoss
+}
+
 // node is one machine of the deployment and the process on it. It does what the
 // daemon's driver does: it gives inputs to the control machine and carries out
-// the outputs.
+// the outputs. What belongs to one kind of input and output has a type of its own.
 type node struct {
-	world *simulation
+	*surroundings
 	index int
 	info  member.Info
 	seeds []string
-	// removed is set once the machine was removed for good.
+	// removed is set once the machine was removed for good, and leaving once it is
+	// about to be.
 	removed bool
-	// leaving is set once the machine is about to be removed.
 	leaving bool
 	// tickEvery is the period at which the control machine is told the time.
 	tickEvery time.Duration
+	clock     nodeClock
 	// storage is nil on nodes without a disk.
 	storage *storage
-	clock   nodeClock
 
 	up bool
 	// process numbers the processes on the machine. An input that is meant for an
 	// earlier process is dropped.
 	process uint64
 	frozen  bool
+	// backlog are the inputs that wait until the node wakes.
 	backlog []func()
 
-	machine    *control.Machine
-	view       *routing.View
+	machine *control.Machine
+	view    *routing.View
+	// serveUntil is when the node stops to admit traffic, by its own clock.
 	serveUntil time.Duration
-	inFlight   map[string]int
-	tickets    map[uint64]*submission
-	// reads are called with the replies to an operator's reads, by ticket.
-	reads      map[uint64]func(control.Reply)
-	nextTicket uint64
-	// appended is the index of the last log entry of each shard that this process
-	// has sent.
-	appended map[uint32]uint64
-	// views are the views of this process by revision.
-	views map[uint64]*routing.View
-	// staleView is the last view of the former process.
-	staleView *routing.View
+	traffic    *traffic
+	calls      *operatorCalls
+	breaks     *messageBreaks
 }
 
-// nodeClock counts the time since the machine was switched on, and has a wall
-// clock that may be wrong.
-type nodeClock struct {
-	base       time.Duration
-	rate       float64
-	wallOffset time.Duration
-	// stoppedFor is how long the clock stood still.
-	stoppedFor time.Duration
+func newNode(around *surroundings, index int, info member.Info) *node {
+	n := &node{surroundings: around, index: index, info: info, tickEvery: control.DefaultTickEvery, clock: newNodeClock(around.env)}
+	n.traffic = &traffic{node: n}
+	n.calls = &operatorCalls{node: n}
+	n.breaks = &messageBreaks{node: n}
+	if info.HoldsState {
+		n.storage = newStorage(n)
+	}
+	if n.env.settings.FailOpen {
+		n.info.ID = member.ID(info.Address)
+		if n.env.settings.Seed%2 == 0 {
+			n.tickEvery = slowTick
+		}
+	}
+	return n
 }
 
-func (n *node) now() time.Duration {
-	elapsed := time.Duration(float64(n.world.now) * (1 + n.clock.rate))
-	return n.clock.base + elapsed - n.clock.stoppedFor
-}
+// now returns the time by the node's clock.
+func (n *node) now() time.Duration { return n.clock.read() }
 
-// InFlight implements routing.LoadReader.
-func (n *node) InFlight(address string) int {
-	if n.world.broken(BreakDrainIgnoresRunning) {
-		return 0
-	}
-	return n.inFlight[address]
-}
+// logf adds an entry to the column of this node.
+func (n *node) logf(format string, arguments ...any) { n.env.logf(n.index, format, arguments...) }
 
 // start begins a new process from what the disk kept.
 func (n *node) start() {
@@ -102,67 +111,81 @@
 	}
 	n.process++
 	n.correctSeeds()
-	n.info.Incarnation = n.incarnation()
-	machine, err := control.New(n.controlConfig(), restored, n, n.now())
+	n.info.Incarnation = n.clock.incarnation()
+	machine, err := control.New(n.controlConfig(), restored, n.traffic, n.now())
 	if err != nil {
-		n.world.violate("restart", "%s cannot start from its disk: %v", n.info.ID, err)
+		n.env.violate("restart", "%s cannot start from its disk: %v", n.info.ID, err)
 		return
 	}
 	n.machine = machine
 	n.up = true
-	n.world.connectivity.recordDisturbance(n)
-	n.inFlight = map[string]int{}
-	n.tickets = map[uint64]*submission{}
-	n.reads = map[uint64]func(control.Reply){}
-	n.views = map[uint64]*routing.View{}
-	n.appended = map[uint32]uint64{}
+	n.connectivity.recordDisturbance(n)
+	n.traffic.reset()
+	n.calls.reset()
+	n.breaks.reset()
 	n.logf("start")
-	n.scheduleAll()
+	process := n.process
+	n.every(process, n.tickEvery, func() { n.post(process, n.machine.Tick) })
+	n.traffic.schedule(process)
 }
 
 // controlConfig is the configuration that the daemon derives from its settings
 // and its data folder.
 func (n *node) controlConfig() control.Config {
 	times := control.DefaultTimes()
-	times.WeightsDeadline = n.world.weightsDeadline()
-	if n.world.broken(BreakNoCommandGap) {
+	times.WeightsDeadline = n.env.settings.weightsDeadline()
+	if n.env.broken(BreakNoCommandGap) {
 		times.CommandGap = 0
 	}
 	config := control.Config{
 		Self:            n.info,
 		Seeds:           n.seeds,
-		Group:           n.world.group,
-		ServiceShards:   n.world.serviceShards,
-		GroupZones:      n.world.groupZones,
+		Group:           n.machines.group,
+		ServiceShards:   n.groups.serviceShards,
+		GroupZones:      n.machines.groupZones,
 		DiskIncarnation: n.diskIncarnation(),
 		Times:           times,
 		MaxLogEntries:   maxLogEntries,
 
-		ReplicasFinishFirst: n.world.settings.FinishFirst,
+		ReplicasFinishFirst: n.env.settings.FinishFirst,
 	}
-	if n.world.settings.FailOpen {
+	if n.env.settings.FailOpen {
 		n.applyFailOpen(&config)
 	}
 	return config
 }
 
-// maxLogEntries is small, so that snapshots are made and sent often.
-const maxLogEntries = 24
+// applyFailOpen completes the configuration of a control machine in a fail-open
+// deployment.
+func (n *node) applyFailOpen(config *control.Config) {
+	config.Seeded = true
+	config.FailOpen = true
+	config.Group = nil
+	config.GroupZones = nil
+	config.Times = control.FailOpenTimes(failOpenContact, failOpenAcknowledge)
+	if n.tickEvery == slowTick {
+		config.Times.HeartbeatEvery = slowHeartbeat
+	}
+	if n.storage != nil {
+		config.Group = n.storage.founders
+		config.Seeds = lo.Uniq(slices.Concat(n.seeds, n.storage.addresses))
+	}
+}
 
 // openStorage reads the disk, and reports whether the node can start from it.
 func (n *node) openStorage() (restored map[uint32]replication.Restored, ok bool) {
 	if n.storage == nil {
 		return nil, true
 	}
-	restored, err := n.storage.open(n.world.serviceShards)
+	restored, err := n.storage.open(n.groups.serviceShards)
 	if errors.Is(err, twoslot.ErrDiskFull) {
 		// A torn log cannot be repaired while the disk is full. Whoever runs the
 		// node starts it again.
-		n.world.after(saveRetryEvery, n.start)
+		n.env.after(saveRetryEvery, n.start)
 		return nil, false
 	}
 	if err != nil {
-		n.world.violate("restart", "%s cannot read its disk: %v", n.info.ID, err)
+		n.env.violate("restart", "%s cannot read its disk: %v", n.info.ID, err)
 		return nil, false
 	}
 	return restored, true
@@ -171,16 +194,16 @@
 // correctSeeds has the operator write new seeds into the settings once no machine
 // listens at any of the old ones.
 func (n *node) correctSeeds() {
-	if n.world.settings.FailOpen {
-		n.seeds = n.world.seeds
+	if n.env.settings.FailOpen {
+		n.seeds = n.machines.seeds
 		return
 	}
 	for _, seed := range n.seeds {
-		if n.world.nodeAt(seed) != nil {
+		if n.machines.listeningAt(seed) != nil {
 			return
 		}
 	}
-	n.seeds = n.world.chooseSeeds(n, n.world.random)
+	n.seeds = n.machines.chooseSeeds(n, n.env.random)
 }
 
 // diskIncarnation returns the incarnation of the node's disk, or 0 without one.
@@ -188,25 +211,12 @@
 	switch {
 	case n.storage == nil:
 		return 0
-	case n.world.broken(BreakEmptyDiskVotes):
+	case n.env.broken(BreakEmptyDiskVotes):
 		return replication.FoundingIncarnation
 	}
 	return n.storage.incarnation
 }
 
-// incarnation returns the wall clock's time in milliseconds, as the daemon does.
-func (n *node) incarnation() member.Incarnation {
-	wall := n.world.now + n.clock.wallOffset
-	return member.Incarnation(wallEpoch + wall.Milliseconds())
-}
-
-// scheduleAll schedules what a process does by itself: its ticks and its traffic.
-func (n *node) scheduleAll() {
-	process := n.process
-	n.every(process, n.tickEvery, func() { n.post(process, n.machine.Tick) })
-	n.scheduleTraffic(process)
-}
-
 // every repeats an action of one process, beginning at a random instant of the
 // first period.
 func (n *node) every(process uint64, period time.Duration, action func()) {
@@ -215,12 +225,12 @@
 		if n.process != process || !n.up {
 			return
 		}
-		n.world.after(period, repeat)
+		n.env.after(period, repeat)
 		if !n.frozen {
 			action()
 		}
 	}
-	n.world.after(n.world.upTo(period), repeat)
+	n.env.after(n.env.upTo(period), repeat)
 }
 
 // stop ends the process as a crash does.
@@ -229,22 +239,35 @@
 		return
 	}
 	n.logf("stop")
-	n.world.connectivity.recordDisturbance(n)
+	n.connectivity.recordDisturbance(n)
 	n.saveAddresses()
 	n.up = false
 	n.frozen = false
 	n.process++
 	n.backlog = nil
-	n.staleView = n.view
+	n.traffic.staleView = n.view
 	n.view = nil
 	n.serveUntil = 0
 	if n.storage != nil {
-		n.storage.crash(n.world)
+		n.storage.crash()
 	}
-	for _, open := range n.tickets {
-		open.abandoned = true
+	n.calls.abandon()
+}
+
+// saveAddresses keeps in the data folder where other core nodes listen.
+func (n *node) saveAddresses() {
+	if n.storage == nil || !n.env.settings.FailOpen {
+		return
 	}
-	n.tickets = nil
+	if known := n.machine.CoreNodeAddresses(); len(known) > 0 {
+		n.storage.addresses = known
+	}
+}
+
+// restartAfter stops the node and starts it again after a time.
+func (n *node) restartAfter(down time.Duration) {
+	n.stop()
+	n.env.after(down, n.start)
 }
 
 // freeze suspends the process for a time without ending it.
@@ -253,10 +276,10 @@
 		return
 	}
 	n.logf("frozen")
-	n.world.connectivity.recordDisturbance(n)
+	n.connectivity.recordDisturbance(n)
 	n.frozen = true
 	process := n.process
-	n.world.after(length, func() {
+	n.env.after(length, func() {
 		if n.process == process {
 			n.wake(length)
 		}
@@ -268,12 +291,12 @@
 func (n *node) wake(length time.Duration) {
 	n.frozen = false
 	n.logf("wakes")
-	n.world.connectivity.recordDisturbance(n)
-	if n.world.broken(BreakLeaseIgnoresSuspend) {
+	n.connectivity.recordDisturbance(n)
+	if n.env.broken(BreakLeaseIgnoresSuspend) {
 		n.clock.stoppedFor += length
 	}
 	for range admissionsOnWake {
-		n.admit()
+		n.traffic.admit()
 	}
 	backlog := n.backlog
 	n.backlog = nil
@@ -286,11 +309,11 @@
 func (n *node) receive(process uint64, frame []byte) {
 	envelope, err := wire.Decode(frame)
 	if err != nil {
-		n.world.violate("frame", "%s got a frame that it cannot decode: %v", n.info.ID, err)
+		n.env.violate("frame", "%s got a frame that it cannot decode: %v", n.info.ID, err)
 		return
 	}
 	n.post(process, func(now time.Duration) control.Output {
-		n.applyBreak(&envelope)
+		n.breaks.apply(&envelope)
 		return n.machine.Receive(now, envelope)
 	})
 }
@@ -321,22 +344,22 @@
 	}
 	n.setServeUntil(n.machine.ServeUntil())
 	for _, save := range output.Writes {
-		n.save(save)
+		n.storage.save(save)
 	}
 	for _, send := range output.Sends {
-		n.world.network.send(n, send)
+		n.network.send(n, send)
 	}
 	for _, reply := range output.Replies {
-		n.deliverReply(reply)
+		n.calls.deliverReply(reply)
 	}
 	for _, command := range output.Commands {
-		n.command(command)
+		n.backends.command(n, command)
 	}
 	for _, request := range output.Reports {
-		n.requestReport(request)
+		n.backends.requestReport(n, request)
 	}
 	if output.ReadEndpoints {
-		n.readEndpoints()
+		n.backends.readEndpoints(n)
 	}
 }
 
@@ -346,8 +369,8 @@
 		n.logf("r%d", view.Revision)
 	}
 	n.view = view
-	n.views[view.Revision] = view
-	n.world.checks.viewPublished(n, view)
+	n.breaks.views[view.Revision] = view
+	n.checks.viewPublished(n, view)
 }
 
 func (n *node) setServeUntil(until time.Duration) {
@@ -355,7 +378,7 @@
 	if serving := until > now; serving != (n.serveUntil > now) {
 		if serving {
 			n.logf("serving")
-			n.staleView = nil
+			n.traffic.staleView = nil
 		} else {
 			n.logf("fenced")
 		}
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -33,18 +33,18 @@
 const failOpenAttemptTimeout = time.Second
 
 func (o *operators) attemptTimeout() time.Duration {
-	if o.world.settings.FailOpen {
+	if o.env.settings.FailOpen {
 		return failOpenAttemptTimeout
 	}
-	return pick(o.world, attemptTimeouts)
+	return pick(o.env.randomness, attemptTimeouts)
 }
 
 // operators issue the orders of a run, and own all that is known of them.
 type operators struct {
-	world  *simulation
+	*orderFactory
+	checks *checks
+
 	orders []*operatorOrder
-	// nameCount counts everything that needs a unique name.
-	nameCount int
 }
 
 // operatorOrder is one order with all its submissions.
@@ -66,6 +66,11 @@
 	reply     *controlpb.Answer
 }
 
+// acknowledged reports whether the operator has the acknowledgement.
+func (o *operatorOrder) acknowledged() bool {
+	return o.finished && o.outcome == checker.OutcomeAcknowledged
+}
+
 // submission is one sending of an order to a node.
 type submission struct {
 	order  *operatorOrder
@@ -88,11 +93,11 @@
 
 // issue begins an order, which is submitted until its reply is final.
 func (o *operators) issue(order *operatorOrder) {
-	order.firstSent = o.world.now
+	order.firstSent = o.env.now
 	o.orders = append(o.orders, order)
-	o.world.counts.Orders++
+	o.env.counts.Orders++
 	o.submit(order)
-	o.world.awaitAcknowledgement(order)
+	o.checks.awaitAcknowledgement(order)
 }
 
 // submit sends an order to a random node. An operator whose connection is refused
@@ -101,9 +106,9 @@
 	if order.finished {
 		return
 	}
-	target := pick(o.world, o.receivers(order))
+	target := pick(o.env.randomness, o.receivers(order))
 	if !target.up {
-		o.world.after(o.world.upTo(2*retryDelay), func() { o.submit(order) })
+		o.env.after(o.env.upTo(2*retryDelay), func() { o.submit(order) })
 		return
 	}
 	o.submitTo(target, order)
@@ -114,33 +119,33 @@
 // may be partitioned from the core.
 func (o *operators) receivers(order *operatorOrder) []*node {
 	last, sentBefore := lo.Last(order.submissions)
-	if !o.world.settings.FailOpen || !sentBefore {
-		return o.world.nodes
+	if !o.env.settings.FailOpen || !sentBefore {
+		return o.machines.nodes
 	}
-	return lo.Without(o.world.nodes, last.node)
+	return lo.Without(o.machines.nodes, last.node)
 }
 
 // submitTo sends an order to a running node, and submits it elsewhere if no reply
 // comes in time.
 func (o *operators) submitTo(target *node, order *operatorOrder) {
-	sent := &submission{order: order, node: target, sentAt: o.world.now}
+	sent := &submission{order: order, node: target, sentAt: o.env.now}
 	sent.record = checker.Order{
 		OrderID:      order.content.GetOrderId(),
 		Node:         string(target.info.ID),
 		BaseRevision: order.content.GetBaseRevision(),
 		Change:       order.change,
 		Invalid:      order.invalid,
-		Sent:         o.world.now,
+		Sent:         o.env.now,
 		Outcome:      checker.OutcomeLost,
 	}
 	order.submissions = append(order.submissions, sent)
 	if len(order.submissions) > 1 {
-		o.world.counts.Resends++
+		o.env.counts.Resends++
 	}
-	target.acceptSubmission(sent)
-	o.world.after(o.attemptTimeout(), func() {
+	target.calls.submit(sent)
+	o.env.after(o.attemptTimeout(), func() {
 		if !sent.replied {
-			sent.superseded = o.world.settings.FailOpen
+			sent.superseded = o.env.settings.FailOpen
 			o.submit(order)
 		}
 	})
@@ -148,65 +153,27 @@
 
 // issueAt begins an order at one node.
 func (o *operators) issueAt(target *node, order *operatorOrder) {
-	order.firstSent = o.world.now
+	order.firstSent = o.env.now
 	o.orders = append(o.orders, order)
-	o.world.counts.Orders++
+	o.env.counts.Orders++
 	o.submitTo(target, order)
 }
 
-// acceptSubmission gives a submission to the node's control machine.
-func (n *node) acceptSubmission(sent *submission) {
-	n.nextTicket++
-	ticket := n.nextTicket
-	n.tickets[ticket] = sent
-	content := n.world.operators.submitted(sent)
-	sent.sentID = content.GetOrderId()
-	n.logf("< %s", content.GetOrderId())
-	n.post(n.process, func(now time.Duration) control.Output {
-		return n.machine.Submit(now, ticket, content)
-	})
-}
-
 // submitted returns the order as it reaches the control machine.
 func (o *operators) submitted(sent *submission) *controlpb.Order {
 	content := proto.Clone(sent.order.content).(*controlpb.Order)
-	if o.world.broken(BreakNoOrderDedup) {
+	if o.env.broken(BreakNoOrderDedup) {
 		content.OrderId = fmt.Sprintf("%s-%d", content.GetOrderId(), len(sent.order.submissions))
 	}
-	if o.world.broken(BreakNoCompareAndSet) && content.GetApply() == nil {
+	if o.env.broken(BreakNoCompareAndSet) && content.GetApply() == nil {
 		content.BaseRevision = 0
 	}
-	if source := content.GetApplyDocument().GetSource(); o.world.broken(BreakNoCompareAndSet) && source != nil {
+	if source := content.GetApplyDocument().GetSource(); o.env.broken(BreakNoCompareAndSet) && source != nil {
 		source.BaseVersion = sent.node.machine.Configuration().GetSource().GetVersion()
 	}
 	return content
 }
 
-// deliverReply hands a reply to the operator.
-func (n *node) deliverReply(reply control.Reply) {
-	if read, found := n.reads[reply.Ticket]; found {
-		delete(n.reads, reply.Ticket)
-		read(reply)
-		return
-	}
-	sent, known := n.tickets[reply.Ticket]
-	if !known {
-		return
-	}
-	delete(n.tickets, reply.Ticket)
-	sent.replied = true
-	sent.record.Answered = n.world.now
-	sent.record.Outcome = outcomeOf(reply)
-	sent.record.Revision = reply.Answer.GetRevision()
-	sent.record.ProblemKind = reply.Answer.GetProblem().GetKind()
-	if sent.record.Outcome == checker.OutcomeRefused && sent.order.mayBeAppliedLater() {
-		sent.order.ambiguous = true
-		sent.record.Outcome = checker.OutcomeUnavailable
-	}
-	n.logf("> %s %s r%d", sent.record.OrderID, sent.record.Outcome, sent.record.Revision)
-	n.world.operators.handleReply(sent, reply.Answer)
-}
-
 // mayBeAppliedLater reports whether a rejection is not final: an earlier
 // submission is in flight, and the order names no base revision that would keep
 // it from being accepted once the configuration has changed.
@@ -238,7 +205,7 @@
 // handleReply finishes an order, or submits it again.
 func (o *operators) handleReply(sent *submission, reply *controlpb.Answer) {
 	order := sent.order
-	o.world.checks.orderReplied(sent, reply)
+	o.checks.orderReplied(sent, reply)
 	if order.finished {
 		return
 	}
@@ -248,34 +215,34 @@
 		return
 	}
 	if !final && !order.ambiguous {
-		o.world.after(o.world.upTo(2*retryDelay), func() { o.submit(order) })
+		o.env.after(o.env.upTo(2*retryDelay), func() { o.submit(order) })
 		return
 	}
 	order.finished = true
-	order.finishedAt = o.world.now
+	order.finishedAt = o.env.now
 	order.outcome = outcome
 	order.reply = reply
 	if outcome == checker.OutcomeAcknowledged {
-		o.world.counts.OrdersAcked++
+		o.env.counts.OrdersAcked++
 	} else {
-		o.world.counts.OrdersRefused++
+		o.env.counts.OrdersRefused++
 	}
 }
 
 // schedule schedules the orders of the run up to the recovery phase.
 func (o *operators) schedule() {
-	o.world.at(firstOrderAt, func() { o.issue(o.applyFirst()) })
+	o.env.at(firstOrderAt, func() { o.issue(o.applyFirst()) })
 	instant := formation - time.Second
-	for instant < o.world.settings.recoveryPhaseStart() {
-		o.world.at(instant, o.issueRandom)
-		instant += o.world.planned(2 * orderEvery)
+	for instant < o.env.settings.recoveryPhaseStart() {
+		o.env.at(instant, o.issueRandom)
+		instant += o.env.planned(2 * orderEvery)
 	}
 }
 
 // issueRandom issues one order, or several that race on one base.
 func (o *operators) issueRandom() {
 	const raceProbability = 0.25
-	if o.world.chance(raceProbability) {
+	if o.env.chance(raceProbability) {
 		o.issueRace()
 		return
 	}
@@ -285,21 +252,31 @@
 // issueRace issues orders on the same base at different nodes.
 func (o *operators) issueRace() {
 	base := o.readRevision()
-	if o.world.settings.FailOpen && o.world.chance(0.5) {
+	if o.env.settings.FailOpen && o.env.chance(0.5) {
 		o.raceDocuments()
 		return
 	}
 	for range ordersPerRace {
-		o.world.after(o.world.upTo(20*time.Millisecond), func() { o.issue(o.randomChange(base)) })
+		o.env.after(o.env.upTo(20*time.Millisecond), func() { o.issue(o.randomChange(base)) })
 	}
 }
 
-// readRevision returns the revision that an operator reads at some node, which
-// may be stale.
-func (o *operators) readRevision() uint64 {
-	reader := pick(o.world, o.world.nodes)
-	if reader.view == nil {
-		return 0
+// whenAcknowledged runs then once an order is acknowledged, or otherwise if that
+// does not happen within a few seconds.
+func (o *operators) whenAcknowledged(order *operatorOrder, then, otherwise func()) {
+	const timeout = 4 * time.Second
+	const pollInterval = 500 * time.Microsecond
+	deadline := min(o.env.now+timeout, o.env.settings.recoveryPhaseStart())
+	var poll func()
+	poll = func() {
+		switch {
+		case order.acknowledged():
+			then()
+		case o.env.now >= deadline || order.finished:
+			otherwise()
+		default:
+			o.env.after(pollInterval, poll)
+		}
 	}
-	return reader.view.Revision
+	poll()
 }
--- a/internal/lab/sim/orders.go
+++ b/internal/lab/sim/orders.go
@@ -11,8 +11,25 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
+// Contents of the simulated configurations.
+const (
+	tenantCount   = 3
+	keysPerTenant = 2
+	webService    = "calendar"
+)
+
+// orderFactory makes the orders of operators, from what they read at some node and
+// from the keys that callers use.
+type orderFactory struct {
+	env      *environment
+	machines *machines
+	keys     *keyring
+	// nameCount counts everything that needs a unique name.
+	nameCount int
+}
+
 // newOrderHeader gives an order a new identity.
-func (o *operators) newOrderHeader(base uint64) *ridgeswitchv1.OrderHeader {
+func (o *orderFactory) newOrderHeader(base uint64) *ridgeswitchv1.OrderHeader {
 	o.nameCount++
 	return &ridgeswitchv1.OrderHeader{OrderId: fmt.Sprintf("o%d", o.nameCount), BaseRevision: base}
 }
@@ -27,25 +44,68 @@
 }
 
 // applyFirst is the order that forms the first configuration.
-func (o *operators) applyFirst() *operatorOrder {
-	if o.world.settings.FailOpen {
-		return o.documentOrder(o.world.firstConfiguration(), 0)
+func (o *orderFactory) applyFirst() *operatorOrder {
+	if o.env.settings.FailOpen {
+		return o.documentOrder(o.firstConfiguration(), 0)
 	}
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
 		Order:         o.newOrderHeader(0),
-		Configuration: o.world.firstConfiguration(),
+		Configuration: o.firstConfiguration(),
 	})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeApply})
 }
 
+// firstConfiguration is the configuration that the first order applies.
+func (o *orderFactory) firstConfiguration() *ridgeswitchv1.Configuration {
+	configuration := &ridgeswitchv1.Configuration{
+		WebServices: []*ridgeswitchv1.WebService{{Name: webService, Service: webService, RequestTimeoutMs: 1000}},
+		Routes: []*ridgeswitchv1.Route{{
+			Host:        webService + ".example",
+			Destination: &ridgeswitchv1.Route_WebService{WebService: webService},
+			Public:      true,
+		}},
+	}
+	for number := range tenantCount {
+		configuration.Tenants = append(configuration.Tenants, o.newTenant(fmt.Sprintf("t%d", number)))
+	}
+	for _, pool := range poolNames {
+		configuration.Pools = append(configuration.Pools, &ridgeswitchv1.Pool{
+			Name:             pool,
+			Model:            pool,
+			Service:          pool,
+			WeightVersion:    o.env.settings.firstWeights(),
+			RequestTimeoutMs: 60000,
+		})
+		configuration.Routes = append(configuration.Routes, &ridgeswitchv1.Route{
+			Host:        pool + ".example",
+			Destination: &ridgeswitchv1.Route_Pool{Pool: pool},
+		})
+	}
+	return configuration
+}
+
+func (o *orderFactory) newTenant(name string) *ridgeswitchv1.Tenant {
+	tenant := &ridgeswitchv1.Tenant{Name: name, Limits: &ridgeswitchv1.Limits{
+		RequestsPerSecond:  100,
+		Burst:              10,
+		ConcurrentRequests: 10,
+		QueuedRequests:     10,
+		QueueTimeoutMs:     1000,
+	}}
+	for range keysPerTenant {
+		tenant.Keys = append(tenant.Keys, o.keys.add(name))
+	}
+	return tenant
+}
+
 // randomOrder returns an order of any kind; with base 0 the kind chooses the
 // base.
-func (o *operators) randomOrder(base uint64) *operatorOrder {
-	switch o.world.random.IntN(10) {
+func (o *orderFactory) randomOrder(base uint64) *operatorOrder {
+	switch o.env.random.IntN(10) {
 	case 0:
-		return o.evacuate(base, zoneName(o.world.random.IntN(3)))
+		return o.evacuate(base, zoneName(o.env.random.IntN(3)))
 	case 1:
-		return o.restore(zoneName(o.world.random.IntN(3)))
+		return o.restore(zoneName(o.env.random.IntN(3)))
 	case 2:
 		return o.setWall()
 	case 3:
@@ -58,38 +118,38 @@
 }
 
 // randomChange returns an order that changes something whenever it is accepted.
-func (o *operators) randomChange(base uint64) *operatorOrder {
-	switch o.world.random.IntN(4) {
+func (o *orderFactory) randomChange(base uint64) *operatorOrder {
+	switch o.env.random.IntN(4) {
 	case 0:
 		return o.addKey(base)
 	case 1:
-		return o.nameWeights(base, pick(o.world, poolNames))
+		return o.nameWeights(base, pick(o.env.randomness, poolNames))
 	case 2:
-		return o.evacuate(base, zoneName(o.world.random.IntN(2)))
+		return o.evacuate(base, zoneName(o.env.random.IntN(2)))
 	default:
 		return o.revokeKey(base)
 	}
 }
 
-func (o *operators) addKey(base uint64) *operatorOrder {
-	tenant := pick(o.world, o.world.keys).tenant
-	key := o.world.newKey(tenant)
+func (o *orderFactory) addKey(base uint64) *operatorOrder {
+	tenant := pick(o.env.randomness, o.keys.keys).tenant
+	key := o.keys.add(tenant)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.AddKeyRequest{Order: o.newOrderHeader(base), Tenant: tenant, Key: key})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeAddKey, Tenant: tenant, Key: key.GetName()})
 }
 
 // revokeKey revokes a key that may be revoked already, or not be in force yet.
-func (o *operators) revokeKey(base uint64) *operatorOrder {
-	key := pick(o.world, o.world.keys)
+func (o *orderFactory) revokeKey(base uint64) *operatorOrder {
+	key := pick(o.env.randomness, o.keys.keys)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RevokeKeyRequest{Order: o.newOrderHeader(base), Tenant: key.tenant, Key: key.name})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeRevoke, Tenant: key.tenant, Key: key.name})
 }
 
 // nameWeights names a version that no order named before.
-func (o *operators) nameWeights(base uint64, pool string) *operatorOrder {
+func (o *orderFactory) nameWeights(base uint64, pool string) *operatorOrder {
 	header := o.newOrderHeader(base)
 	version := "w" + header.GetOrderId()
-	if o.world.settings.FinishFirst {
+	if o.env.settings.FinishFirst {
 		version = fmt.Sprint(1 + o.nameCount)
 	}
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.NameWeightsRequest{Order: header, Pool: pool, WeightVersion: version})
@@ -97,22 +157,22 @@
 }
 
 // evacuate gives a unique reason, so that each order changes something.
-func (o *operators) evacuate(base uint64, zone string) *operatorOrder {
+func (o *orderFactory) evacuate(base uint64, zone string) *operatorOrder {
 	header := o.newOrderHeader(base)
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.EvacuateZoneRequest{Order: header, Zone: zone, Reason: header.GetOrderId()})
 	return newOrder(content, err, checker.Change{Kind: checker.ChangeEvacuate, Zone: zone})
 }
 
-func (o *operators) restore(zone string) *operatorOrder {
+func (o *orderFactory) restore(zone string) *operatorOrder {
 	content, err := dynamic.OrderFromRequest(&ridgeswitchv1.RestoreZoneRequest{Order: o.newOrderHeader(0), Zone: zone})
 	order := newOrder(content, err, checker.Change{Kind: checker.ChangeRestore, Zone: zone})
 	order.mayBeNoOp = true
 	return order
 }
 
-func (o *operators) setWall() *operatorOrder {
-	tenant := pick(o.world, o.world.keys).tenant
-	walled := o.world.chance(0.5)
+func (o *orderFactory) setWall() *operatorOrder {
+	tenant := pick(o.env.randomness, o.keys.keys).tenant
+	walled := o.env.chance(0.5)
 	content, err := dynamic.WallOrder(&ridgeswitchv1.SetTenantWallRequest{Order: o.newOrderHeader(0), Tenant: tenant}, walled)
 	order := newOrder(content, err, checker.Change{Kind: checker.ChangeUnwall, Tenant: tenant})
 	if walled {
@@ -124,8 +184,8 @@
 
 // readConfiguration returns a copy of what an operator reads at some node, which
 // may be stale.
-func (o *operators) readConfiguration() *ridgeswitchv1.Configuration {
-	reader := pick(o.world, o.world.nodes)
+func (o *orderFactory) readConfiguration() *ridgeswitchv1.Configuration {
+	reader := pick(o.env.randomness, o.machines.nodes)
 	if reader.view == nil {
 		return &ridgeswitchv1.Configuration{}
 	}
@@ -133,9 +193,9 @@
 }
 
 // applyChanged reads the configuration, changes it and applies all of it.
-func (o *operators) applyChanged() *operatorOrder {
+func (o *orderFactory) applyChanged() *operatorOrder {
 	configuration := o.readConfiguration()
-	if o.world.settings.FailOpen {
+	if o.env.settings.FailOpen {
 		return o.changedDocumentOrder(configuration)
 	}
 	header := o.newOrderHeader(configuration.GetRevision())
@@ -152,10 +212,10 @@
 
 // invalidOrder is a configuration with a route to an unknown destination that
 // passed the checks of the node that accepted it.
-func (o *operators) invalidOrder() *operatorOrder {
+func (o *orderFactory) invalidOrder() *operatorOrder {
 	order := o.applyChanged()
 	apply := order.content.GetApply()
-	if o.world.settings.FailOpen {
+	if o.env.settings.FailOpen {
 		apply = order.content.GetApplyDocument().GetConfiguration()
 	}
 	apply.Routes = append(apply.Routes, &ridgeswitchv1.Route{
@@ -165,3 +225,13 @@
 	order.invalid = true
 	return order
 }
+
+// readRevision returns the revision that an operator reads at some node, which
+// may be stale.
+func (o *orderFactory) readRevision() uint64 {
+	reader := pick(o.env.randomness, o.machines.nodes)
+	if reader.view == nil {
+		return 0
+	}
+	return reader.view.Revision
+}
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"fmt"
 	"time"
 
 	"github.com/pkg/errors"
@@ -11,8 +12,11 @@
 
 // platform is the endpoint list of the deployment's back ends.
 type platform struct {
-	world    *simulation
+	env      *environment
+	checks   *checks
 	services []*platformService
+	// replicas are the replicas of all services by address.
+	replicas map[string]*replica
 	// shown is the list that nodes read. It does not change while lagging is set.
 	shown   []control.ServiceEndpoints
 	lagging bool
@@ -38,8 +42,34 @@
 	removed  bool
 }
 
-func newPlatform(world *simulation) *platform {
-	return &platform{world: world, drainingSince: map[string]time.Duration{}}
+func newPlatform(env *environment) *platform {
+	return &platform{env: env, replicas: map[string]*replica{}, drainingSince: map[string]time.Duration{}}
+}
+
+// addPool adds a service with the replicas of a pool.
+func (p *platform) addPool(pool string, replicas, zones int) {
+	service := &platformService{name: pool}
+	for number := range replicas {
+		one := &replica{
+			env:         p.env,
+			platform:    p,
+			checks:      p.checks,
+			address:     fmt.Sprintf("%s-%d", pool, number),
+			zone:        zoneName(number % zones),
+			service:     pool,
+			pool:        pool,
+			up:          true,
+			incarnation: 1,
+			version:     p.env.settings.firstWeights(),
+			lastVersion: p.env.settings.firstWeights(),
+		}
+		if number%2 == 1 {
+			one.measureEvery = measureEvery
+		}
+		p.replicas[one.address] = one
+		service.replicas = append(service.replicas, &endpoint{replica: one})
+	}
+	p.services = append(p.services, service)
 }
 
 // entries returns the endpoints of all services.
@@ -65,7 +95,7 @@
 		_, known := p.drainingSince[address]
 		switch gone := entry.draining || entry.removed; {
 		case gone && !known:
-			p.drainingSince[address] = p.world.now
+			p.drainingSince[address] = p.env.now
 		case !gone:
 			delete(p.drainingSince, address)
 		}
@@ -85,7 +115,7 @@
 // snapshot is the entry as the list shows it.
 func (e *endpoint) snapshot() control.Endpoint {
 	entry := control.Endpoint{Address: e.replica.address, Zone: e.replica.zone, Draining: e.draining}
-	if e.replica.world.settings.FinishFirst {
+	if e.replica.env.settings.FinishFirst {
 		entry.Instance = e.replica.instance()
 		entry.WeightVersion = e.replica.version
 		entry.Slots = 8
@@ -96,7 +126,7 @@
 // showLater publishes a change of a replica itself after a lag.
 func (p *platform) showLater() {
 	const lag = 800 * time.Millisecond
-	p.world.after(lag, func() {
+	p.env.after(lag, func() {
 		if !p.lagging {
 			p.show()
 		}
@@ -110,21 +140,5 @@
 	if p.firstReader == nil {
 		p.firstReader = n
 	}
-	return p.down == 0 && (p.firstReader == n || !p.world.broken(BreakReaderNeverReplaced))
-}
-
-// readEndpoints reads the list and hands it to the node.
-func (n *node) readEndpoints() {
-	process := n.process
-	reading := control.EndpointReading{StartedAt: n.now()}
-	n.world.counts.EndpointReads++
-	n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
-		reading.Services = n.world.platform.shown
-		if !n.world.platform.mayRead(n) {
-			reading.Services, reading.Err = nil, errPlatformDown
-		}
-		n.world.after(minLatency+n.world.upTo(replicaLatency), func() {
-			n.post(process, func(now time.Duration) control.Output { return n.machine.EndpointsRead(now, reading) })
-		})
-	})
+	return p.down == 0 && (p.firstReader == n || !p.env.broken(BreakReaderNeverReplaced))
 }
--- a/internal/lab/sim/reads_test.go
+++ b/internal/lab/sim/reads_test.go
@@ -15,7 +15,7 @@
 
 // expectRead checks that a read has got an answer within a bound.
 func (w *simulation) expectRead(reader *node, bound time.Duration) {
-	configuration, document := w.readConfigurationAt(reader), w.readDocumentAt(reader)
+	configuration, document := w.reads.configurationAt(reader), w.reads.documentAt(reader)
 	w.after(bound, func() {
 		for _, read := range []*readResult{configuration, document} {
 			if !read.replied || read.refused {
@@ -27,7 +27,7 @@
 
 // expectNoRead checks that reads of a node that can't be sure are never answered.
 func (w *simulation) expectNoRead(reader *node) {
-	configuration, document := w.readConfigurationAt(reader), w.readDocumentAt(reader)
+	configuration, document := w.reads.configurationAt(reader), w.reads.documentAt(reader)
 	w.after(readTimeout, func() {
 		for _, read := range []*readResult{configuration, document} {
 			if read.replied && !read.refused {
@@ -39,9 +39,8 @@
 
 // isolate cuts a node off from all others for a while.
 func (w *simulation) isolate(one *node, length time.Duration) {
-	w.network.changeBlocked([]*node{one}, w.nodes, 1)
-	w.network.changeBlocked(w.nodes, []*node{one}, 1)
-	w.after(length, func() { w.faults.reconnect(one) })
+	w.network.isolate(one)
+	w.after(length, func() { w.network.reconnect(one) })
 }
 
 // readsWhileCutOff has a node cut off, something acknowledged without it, and
@@ -53,7 +52,7 @@
 		world.isolate(cut, 14*second)
 		// The others may have to elect another leader first.
 		world.after(4*second, func() {
-			other := pick(world, lo.Without(world.diskNodes(), cut))
+			other := pick(world.randomness, lo.Without(world.machines.withDisks(), cut))
 			document := world.operators.changedDocumentOrder(other.view.Configuration)
 			world.operators.issueAt(other, document)
 			world.checkAcknowledged(document, failOpenAcknowledge)
@@ -61,7 +60,7 @@
 		})
 	})
 	world.at(21*second+failOpenContact, func() {
-		for _, one := range world.nodes {
+		for _, one := range world.machines.nodes {
 			world.expectRead(one, readBackBound)
 		}
 	})
@@ -75,7 +74,7 @@
 		{"a node without a disk", (*simulation).router},
 		{"the leader", (*simulation).leaderOfConfiguration},
 		{"a follower", func(world *simulation) *node {
-			return pick(world, lo.Without(world.diskNodes(), world.leaderOfConfiguration()))
+			return pick(world.randomness, lo.Without(world.machines.withDisks(), world.leaderOfConfiguration()))
 		}},
 	}
 	for _, victim := range victims {
@@ -87,7 +86,7 @@
 			world := playFailOpenWithout(BreakReadsOwnView, 1, func(world *simulation) {
 				readsWhileCutOff(world, func() *node { return victim.of(world) })
 			})
-			Expect(lo.Map(world.checks.violations, func(one Violation, _ int) checker.Name { return one.Invariant })).
+			Expect(lo.Map(world.violations, func(one Violation, _ int) checker.Name { return one.Invariant })).
 				To(ContainElements(checker.Name("read_never_older"), checker.Name("read_refused")))
 		})
 	}
@@ -98,12 +97,12 @@
 		playAll(func(world *simulation) {
 			world.startAll()
 			world.at(7*second, func() {
-				disks := world.diskNodes()
+				disks := world.machines.withDisks()
 				one, other := disks[:len(disks)/2], disks[len(disks)/2:]
 				world.network.changeBlocked(one, other, 1)
 				world.network.changeBlocked(other, one, 1)
 				for round := range 5 {
-					world.after(time.Duration(round)*second, func() { world.faults.raceAcross(one, other) })
+					world.after(time.Duration(round)*second, func() { world.faults.core.raceAcross(one, other) })
 				}
 				world.after(6*second, func() {
 					world.network.changeBlocked(one, other, -1)
@@ -111,7 +110,7 @@
 				})
 			})
 			world.at(13*second+failOpenContact, func() {
-				for _, one := range world.nodes {
+				for _, one := range world.machines.nodes {
 					world.expectRead(one, readBackBound)
 				}
 				world.expectAcknowledged(world.operators.addKey(0))
@@ -124,18 +123,18 @@
 			world.startAll()
 			world.at(6*second, func() {
 				// Another voter makes their number even.
-				added := world.addMachine(zoneName(0))
+				added := world.machines.add(zoneName(0))
 				added.start()
 				world.after(promotionBound, func() {
-					disks := world.diskNodes()
-					if !world.isVoterEverywhere(added) || len(disks)%2 != 0 {
+					disks := world.machines.withDisks()
+					if !world.groups.isVoterEverywhere(added) || len(disks)%2 != 0 {
 						world.violate("even", "%d nodes with disks", len(disks))
 					}
 					one, other := disks[:len(disks)/2], disks[len(disks)/2:]
 					world.network.changeBlocked(one, other, 1)
 					world.network.changeBlocked(other, one, 1)
 					world.after(3*second, func() {
-						world.faults.raceAcross(one, other)
+						world.faults.core.raceAcross(one, other)
 						acknowledged := world.checks.acknowledged
 						world.after(2500*time.Millisecond, func() {
 							if world.checks.acknowledged > acknowledged {
--- a/internal/lab/sim/scenario_test.go
+++ b/internal/lab/sim/scenario_test.go
@@ -17,14 +17,14 @@
 	world.scheduleStart()
 	world.at(firstOrderAt, func() { world.operators.issue(world.operators.applyFirst()) })
 	script(world)
-	world.scheduleRecoveryChecks()
-	world.loop()
+	world.recovery.schedule()
+	world.runUntil(world.settings.Virtual)
 	world.checks.finish()
 	return world
 }
 
 // router is a node without a disk.
-func (w *simulation) router() *node { return w.nodes[len(w.nodes)-1] }
+func (w *simulation) router() *node { return w.machines.nodes[len(w.machines.nodes)-1] }
 
 const second = time.Second
 
@@ -33,19 +33,19 @@
 		for seed := uint64(1); seed <= 8; seed++ {
 			world := play(seed, func(world *simulation) {
 				world.at(5*second, func() {
-					for _, one := range world.diskNodes() {
+					for _, one := range world.machines.withDisks() {
 						one.storage.slow = 500 * time.Millisecond
 					}
 				})
-				world.at(6*second, func() { world.faults.restartAfter(world.router(), 100*time.Millisecond) })
+				world.at(6*second, func() { world.router().restartAfter(100 * time.Millisecond) })
 				world.at(14*second, func() { Expect(world.router().serving()).To(BeTrue(), "seed %d", seed) })
 				world.at(15*second, func() {
-					for _, one := range world.diskNodes() {
+					for _, one := range world.machines.withDisks() {
 						one.storage.slow = 0
 					}
 				})
 			})
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
@@ -58,7 +58,7 @@
 					world.platform.change(func() { drained.draining = true })
 				})
 			})
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
@@ -72,13 +72,13 @@
 				world.operators.issue(world.operators.nameWeights(0, poolNames[0]))
 			})
 			world.at(28*second, func() {
-				target := world.replicas[late.Address]
+				target := world.platform.replicas[late.Address]
 				Expect(target.version).NotTo(Equal(late.WeightVersion))
-				target.handleCommand(world.nodes[0], late)
+				target.handleCommand(world.machines.nodes[0], late)
 			})
 		})
 		Expect(world.counts.StaleCommands).To(BeEquivalentTo(1))
-		Expect(world.checks.violations).To(BeEmpty())
+		Expect(world.violations).To(BeEmpty())
 	})
 
 	It("takes a replica back that came back twice with weights that nobody ordered", func() {
@@ -101,7 +101,7 @@
 					Expect(target.unorderedWeights).To(BeFalse(), "seed %d: ordered weights", seed)
 				})
 			})
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
@@ -110,21 +110,21 @@
 			world := play(seed, func(world *simulation) {
 				// The node hears of no order, and its next process is known to the others as
 				// soon as its fence ends this one.
-				world.at(6*second, func() { world.faults.partitionFor(world.nodes, []*node{world.router()}, false) })
+				world.at(6*second, func() { world.faults.network.partitionFor(world.machines.nodes, []*node{world.router()}, false) })
 				for _, pool := range poolNames {
 					world.at(6*second+10*time.Millisecond, func() { world.operators.issue(world.operators.nameWeights(0, pool)) })
 				}
 			})
-			Expect(world.checks.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(world.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
 	It("never gives the answer to an order of an earlier life to a new one", func() {
 		world := play(3, func(world *simulation) {
-			taker, silent := world.router(), world.nodes[len(world.nodes)-2]
+			taker, silent := world.router(), world.machines.nodes[len(world.machines.nodes)-2]
 			world.at(6*second, func() { silent.freeze(5 * second) })
 			world.at(6100*time.Millisecond, func() { world.operators.issueAt(taker, world.operators.addKey(0)) })
-			world.at(6200*time.Millisecond, func() { world.faults.restartAfter(taker, 10*time.Millisecond) })
+			world.at(6200*time.Millisecond, func() { taker.restartAfter(10 * time.Millisecond) })
 			world.at(6500*time.Millisecond, func() {
 				// One of them has the number that the first order had in its process.
 				for range 16 {
@@ -132,19 +132,19 @@
 				}
 			})
 		})
-		Expect(world.checks.violations).To(BeEmpty())
+		Expect(world.violations).To(BeEmpty())
 	})
 
 	It("acknowledges again after a power loss from which one wall clock came back early", func() {
 		world := play(4, func(world *simulation) {
 			world.at(6*second, func() {
 				world.router().clock.wallOffset = -time.Hour
-				for _, one := range world.nodes {
-					world.faults.restartAfter(one, second)
+				for _, one := range world.machines.nodes {
+					one.restartAfter(second)
 				}
 			})
 		})
-		Expect(world.checks.violations).To(BeEmpty())
+		Expect(world.violations).To(BeEmpty())
 	})
 })
 
@@ -162,10 +162,10 @@
 			})
 			world.at(namedAt, func() { world.operators.issue(world.operators.nameWeights(0, poolNames[0])) })
 			// The recovery phase names other weights while the last replica is out.
-			world.scheduleRecoveryChecks()
-			world.loop()
+			world.recovery.schedule()
+			world.runUntil(world.settings.Virtual)
 			world.checks.finish()
-			Expect(world.checks.violations).To(BeEmpty(), "named at %v", namedAt)
+			Expect(world.violations).To(BeEmpty(), "named at %v", namedAt)
 		}
 	})
 })
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -1,6 +1,10 @@
 package sim
 
-import "time"
+import (
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
+)
 
 // DefaultVirtual is the virtual time of one run.
 const DefaultVirtual = 60 * time.Second
@@ -24,10 +28,24 @@
 	// SpreadBound is how long after its acknowledgement a revision may take to be
 	// in force on every node.
 	SpreadBound = 2 * time.Second
+	// RecoveryBound is how long a deployment may take to serve again after all
+	// its nodes went down at once.
+	RecoveryBound = 12 * time.Second
+	// promotionBound is how long a new machine may take to become a voter.
+	promotionBound = 4 * time.Second
+	// failOpenContact is how long a node that fell silent counts as in contact, in
+	// a fail-open deployment.
+	failOpenContact = 3 * time.Second
+	// failOpenAcknowledge bounds the wait for an acknowledgement there.
+	failOpenAcknowledge = 4 * time.Second
 	// MinVirtual is the shortest run that leaves time for faults.
 	MinVirtual = formation + recoveryPhaseLength + 5*time.Second
 )
 
+// firstWeights is the weight version that replicas of the product's own protocol run
+// at first.
+const firstWeights = "w0"
+
 // Settings choose one run.
 type Settings struct {
 	Seed uint64
@@ -49,3 +67,29 @@
 
 // recoveryPhaseStart is the instant at which all faults have ended.
 func (s Settings) recoveryPhaseStart() time.Duration { return s.Virtual - recoveryPhaseLength }
+
+// firstWeights is the weight version that all replicas run at first.
+func (s Settings) firstWeights() string {
+	if s.FinishFirst {
+		return "1"
+	}
+	return firstWeights
+}
+
+// weightsDeadline is what control gets as the time for a roll-out: a little less
+// than the bound, since requests that were sent may wait at a replica. 0 sets none.
+func (s Settings) weightsDeadline() time.Duration {
+	if s.FinishFirst {
+		return finishFirstBound - 1500*time.Millisecond
+	}
+	return 0
+}
+
+// weightsBound is the time without faults within which named weights must run
+// everywhere.
+func (s Settings) weightsBound() time.Duration {
+	if s.FinishFirst {
+		return finishFirstBound
+	}
+	return checker.WeightsBound
+}
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -1,54 +1,28 @@
 package sim
 
-import (
-	"math/rand/v2"
-	"time"
+import "time"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/member"
-)
-
-// The streams of random numbers of a run, each derived from its seed. They are
-// separate so that, for example, further reads do not change the faults.
-const (
-	planStream uint64 = iota + 1
-	runStream
-	readStream
-)
-
-// simulation is one run. A single goroutine runs all its events, so that nothing
-// is locked.
+// simulation is one run: the parts of a deployment, what disturbs them, and what
+// watches them. A single goroutine runs all its events, so that nothing is locked.
 type simulation struct {
-	settings Settings
-	// plan draws the deployment and its faults, random everything else.
-	plan   *rand.Rand
-	random *rand.Rand
-	// readPlan draws which operator reads when.
-	readPlan *rand.Rand
-	now      time.Duration
-	events   eventQueue
+	*environment
 
-	// nodes are the present machines; everyNode includes those that were removed.
-	nodes         []*node
-	everyNode     []*node
-	byAddress     map[string]*node
-	group         []member.ID
-	groupZones    map[member.ID]string
-	serviceShards uint32
-	network       *network
-	replicas      map[string]*replica
-	platform      *platform
-	keys          []tenantKey
-	operators     *operators
-	faults        *faultInjector
+	machines *machines
+	groups   *shardGroups
+	network  *network
+	platform *platform
+	backends *backendCalls
+	keys     *keyring
 
-	// seeds are the seeds in the settings at present, in a deployment whose nodes
-	// find each other through seeds.
-	seeds        []string
-	connectivity *connectivity
+	operators *operators
+	reads     *operatorReads
+	faults    *faultInjector
+	// majorityLoss is set by the faults, which must not take more then.
+	majorityLoss *majorityLoss
 
-	checks   *checks
-	counts   Counts
-	timeline *timeline
+	connectivity *connectivity
+	checks       *checks
+	recovery     *recoveryChecks
 }
 
 // Counts are the totals of one run. The simulator is deterministic: equal
@@ -95,106 +69,76 @@
 func Run(settings Settings) Result {
 	world := newSimulation(settings)
 	world.build()
+
+	// What is to happen. The order of these calls is part of what a seed stands
+	// for: events of one instant run in the order in which they were scheduled.
 	world.scheduleStart()
 	world.faults.schedule()
 	world.connectivity.schedule()
 	world.operators.schedule()
-	world.scheduleReads()
-	world.scheduleRecoveryChecks()
-	world.loop()
+	world.reads.schedule()
+	world.recovery.schedule()
+
+	world.runUntil(settings.Virtual)
 	world.checks.finish()
 	return world.result()
 }
 
+// newSimulation returns a run whose parts know each other, without machines or
+// replicas.
 func newSimulation(settings Settings) *simulation {
-	world := &simulation{
-		settings:      settings,
-		plan:          rand.New(rand.NewPCG(settings.Seed, planStream)),
-		random:        rand.New(rand.NewPCG(settings.Seed, runStream)),
-		readPlan:      rand.New(rand.NewPCG(settings.Seed, readStream)),
-		byAddress:     map[string]*node{},
-		groupZones:    map[member.ID]string{},
-		serviceShards: simulatedShards,
-		replicas:      map[string]*replica{},
-		counts:        Counts{Faults: map[string]uint64{}},
-	}
-	world.platform = newPlatform(world)
+	env := newEnvironment(settings)
+	world := &simulation{environment: env, majorityLoss: &majorityLoss{}}
+	world.keys = &keyring{}
+	world.platform = newPlatform(env)
+	world.machines = newMachines(env)
+	world.groups = &shardGroups{env: env, machines: world.machines, serviceShards: simulatedShards}
+	world.network = &network{env: env, machines: world.machines}
+	world.backends = &backendCalls{env: env, network: world.network, platform: world.platform}
+	world.connectivity = newConnectivity(env, world.machines, world.network, world.groups)
+	world.operators = &operators{orderFactory: &orderFactory{env: env, machines: world.machines, keys: world.keys}}
 	world.checks = newChecks(world)
-	world.operators = &operators{world: world}
-	world.faults = &faultInjector{world: world}
-	world.connectivity = newConnectivity(world)
-	if settings.Timeline {
-		world.timeline = &timeline{}
+	world.reads = &operatorReads{env: env, machines: world.machines, operators: world.operators, checks: world.checks}
+	world.recovery = &recoveryChecks{
+		env: env, machines: world.machines, platform: world.platform, operators: world.operators, checks: world.checks,
 	}
+	world.faults = newFaultInjector(world)
+
+	world.machines.surroundings = &surroundings{
+		env: env, machines: world.machines, groups: world.groups, network: world.network, platform: world.platform,
+		backends: world.backends, keys: world.keys, operators: world.operators, connectivity: world.connectivity,
+		checks: world.checks, majorityLoss: world.majorityLoss,
+	}
+
+	// The other direction: who is told of what happens.
+	world.machines.connectivity = world.connectivity
+	world.network.connectivity = world.connectivity
+	world.network.checks = world.checks
+	world.platform.checks = world.checks
+	world.backends.checks = world.checks
+	world.operators.checks = world.checks
 	return world
 }
 
 // scheduleStart starts all nodes within the first half second.
 func (w *simulation) scheduleStart() {
 	const within = 500 * time.Millisecond
-	for _, one := range w.nodes {
+	for _, one := range w.machines.nodes {
 		w.at(w.planned(within), one.start)
 	}
 }
 
-// loop runs the events in order up to the end of the run.
-func (w *simulation) loop() {
-	for {
-		next, more := w.events.next()
-		if !more || next.at > w.settings.Virtual {
-			w.now = w.settings.Virtual
-			return
-		}
-		w.now = next.at
-		next.run()
-	}
-}
-
 func (w *simulation) result() Result {
 	w.counts.Frames = w.network.sent
 	result := Result{
 		Seed:       w.settings.Seed,
 		Virtual:    w.settings.Virtual,
 		Counts:     w.counts,
-		Violations: w.checks.violations,
-		Digest:     w.checks.digest.Sum64(),
+		Violations: w.violations,
+		Digest:     w.digest.Sum64(),
 	}
 	if w.timeline != nil {
-		result.Timeline = w.timeline.draw(w)
+		result.Timeline = w.timeline.draw(w.machines.all)
 	}
 	return result
 }
-
-// at schedules an action for an instant, or for now if that has passed.
-func (w *simulation) at(instant time.Duration, run func()) { w.events.add(max(instant, w.now), run) }
-
-// after schedules an action for later.
-func (w *simulation) after(delay time.Duration, run func()) { w.events.add(w.now+delay, run) }
-
-// upTo returns a random duration below a bound; 0 if the bound is not positive.
-func (w *simulation) upTo(bound time.Duration) time.Duration {
-	if bound <= 0 {
-		return 0
-	}
-	return time.Duration(w.random.Int64N(int64(bound)))
-}
-
-// chance returns true with a probability.
-func (w *simulation) chance(probability float64) bool {
-	return probability > 0 && w.random.Float64() < probability
-}
-
-// pick returns a random element of a slice that is not empty.
-func pick[Element any](w *simulation, elements []Element) Element {
-	return elements[w.random.IntN(len(elements))]
-}
-
-// nodeAt returns the node that listens at an address, or nil.
-func (w *simulation) nodeAt(address string) *node { return w.byAddress[address] }
-
-// broken reports whether a mechanism is switched off in this run.
-func (w *simulation) broken(mechanism Break) bool { return w.settings.Break == mechanism }
-
-// inRecoveryPhase reports whether the recovery phase has begun, in which no fault
-// is active.
-func (w *simulation) inRecoveryPhase() bool { return w.now >= w.settings.recoveryPhaseStart() }
--- a/internal/lab/sim/storage.go
+++ b/internal/lab/sim/storage.go
@@ -29,6 +29,8 @@
 // storage is the disk of a node and the logs on it. A write becomes durable when
 // its time has passed; a crash before that loses or tears it.
 type storage struct {
+	node *node
+	env  *environment
 	disk *memdisk.Disk
 	logs map[uint32]*durable.Log
 	// incarnation numbers the disk, as the identity file of a data folder does.
@@ -52,12 +54,30 @@
 	save control.StorageWrite
 }
 
-func newStorage() *storage {
-	return &storage{disk: memdisk.New(), incarnation: replication.FoundingIncarnation, busyUntil: map[uint32]time.Duration{}}
+func newStorage(owner *node) *storage {
+	return &storage{
+		node:        owner,
+		env:         owner.env,
+		disk:        memdisk.New(),
+		incarnation: replication.FoundingIncarnation,
+		busyUntil:   map[uint32]time.Duration{},
+	}
+}
+
+// faulty reports whether the disk is slow or full.
+func (s *storage) faulty() bool { return s.slow > 0 || s.full }
+
+// setFull makes the disk refuse all writes, or accept them again.
+func (s *storage) setFull(full bool) {
+	s.disk.SetFull(full)
+	s.full = full
 }
 
-func (n *node) hasFaultyDisk() bool {
-	return n.storage != nil && (n.storage.slow > 0 || n.storage.full)
+// lose empties the disk, as that of another machine is.
+func (s *storage) lose() {
+	s.disk.Lose()
+	s.incarnation = s.env.newDiskIncarnation()
+	s.founders = nil
 }
 
 // open reads what the disk kept of each shard.
@@ -96,17 +116,17 @@
 
 // crash ends all pending writes: each is lost, torn, or durable without the
 // node's knowledge.
-func (s *storage) crash(world *simulation) {
+func (s *storage) crash() {
 	pending := s.pending
 	s.pending = nil
 	for _, one := range pending {
-		if world.chance(0.5) {
+		if s.env.chance(0.5) {
 			continue
 		}
 		tears := memdisk.Tears()
 		s.disk.CrashAt(memdisk.Crash{
-			Position: s.disk.Stats().Positions + world.random.IntN(maxTornBytes),
-			Tear:     tears[world.random.IntN(len(tears))],
+			Position: s.disk.Stats().Positions + s.env.random.IntN(maxTornBytes),
+			Tear:     tears[s.env.random.IntN(len(tears))],
 		})
 		err := s.write(one.save)
 		s.disk.Restart()
@@ -117,51 +137,51 @@
 	clear(s.busyUntil)
 }
 
-// save starts a write of a node, at whose end the machine's Saved is called.
-func (n *node) save(save control.StorageWrite) {
+// save starts a write, at whose end the machine's StorageWritten is called.
+func (s *storage) save(save control.StorageWrite) {
 	pending := &pendingSave{save: save}
-	n.storage.pending = append(n.storage.pending, pending)
-	process := n.process
-	if n.world.broken(BreakAckBeforeSync) {
-		n.world.after(0, func() { n.saved(process, save.Shard) })
+	s.pending = append(s.pending, pending)
+	process := s.node.process
+	if s.env.broken(BreakAckBeforeSync) {
+		s.env.after(0, func() { s.saved(process, save.Shard) })
 	}
-	ends := max(n.world.now, n.storage.busyUntil[save.Shard]) + n.syncTime()
-	n.storage.busyUntil[save.Shard] = ends
-	n.world.after(ends-n.world.now, func() { n.sync(process, pending) })
+	ends := max(s.env.now, s.busyUntil[save.Shard]) + s.syncTime()
+	s.busyUntil[save.Shard] = ends
+	s.env.after(ends-s.env.now, func() { s.sync(process, pending) })
 }
 
-func (n *node) syncTime() time.Duration {
-	took := minSync + n.world.upTo(syncSpread)
-	if n.storage.slow > 0 {
-		took += n.storage.slow/2 + n.world.upTo(n.storage.slow)
+func (s *storage) syncTime() time.Duration {
+	took := minSync + s.env.upTo(syncSpread)
+	if s.slow > 0 {
+		took += s.slow/2 + s.env.upTo(s.slow)
 	}
 	return took
 }
 
 // sync ends a write. A write to a full disk is retried, as the driver does.
-func (n *node) sync(process uint64, pending *pendingSave) {
-	if n.process != process || !n.up {
+func (s *storage) sync(process uint64, pending *pendingSave) {
+	if s.node.process != process || !s.node.up {
 		return
 	}
-	err := n.storage.write(pending.save)
+	err := s.write(pending.save)
 	switch {
 	case errors.Is(err, twoslot.ErrDiskFull):
-		n.world.after(saveRetryEvery, func() { n.sync(process, pending) })
+		s.env.after(saveRetryEvery, func() { s.sync(process, pending) })
 		return
-	case err != nil && n.world.broken(BreakAckBeforeSync):
+	case err != nil && s.env.broken(BreakAckBeforeSync):
 		// The node went on as if an earlier write had succeeded.
-		n.storage.finish(pending)
+		s.finish(pending)
 		return
 	case err != nil:
-		n.world.violate("durable_write", "%s could not write shard %d: %v", n.info.ID, pending.save.Shard, err)
+		s.env.violate("durable_write", "%s could not write shard %d: %v", s.node.info.ID, pending.save.Shard, err)
 		return
 	}
-	n.storage.finish(pending)
-	if !n.world.broken(BreakAckBeforeSync) {
-		n.saved(process, pending.save.Shard)
+	s.finish(pending)
+	if !s.env.broken(BreakAckBeforeSync) {
+		s.saved(process, pending.save.Shard)
 	}
 }
 
-func (n *node) saved(process uint64, shard uint32) {
-	n.post(process, func(now time.Duration) control.Output { return n.machine.StorageWritten(now, shard) })
+func (s *storage) saved(process uint64, shard uint32) {
+	s.node.post(process, func(now time.Duration) control.Output { return s.node.machine.StorageWritten(now, shard) })
 }
--- a/internal/lab/sim/timeline.go
+++ b/internal/lab/sim/timeline.go
@@ -25,29 +25,16 @@
 	text   string
 }
 
-// logf adds an entry to the column of this node.
-func (n *node) logf(format string, arguments ...any) {
-	n.world.logf(n.index, format, arguments...)
-}
-
-// logf adds an entry to a column, if a timeline is recorded.
-func (w *simulation) logf(column int, format string, arguments ...any) {
-	if w.timeline == nil {
-		return
-	}
-	w.timeline.entries = append(w.timeline.entries, timelineEntry{at: w.now, column: column, text: fmt.Sprintf(format, arguments...)})
-}
-
-// draw returns the timeline as text.
-func (t *timeline) draw(w *simulation) string {
+// draw returns the timeline as text, with the columns of the given nodes.
+func (t *timeline) draw(nodes []*node) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-*s", timeWidth, "time")
-	for _, one := range w.everyNode {
+	for _, one := range nodes {
 		fmt.Fprintf(&text, "%-*s", columnWidth, fmt.Sprintf("%s/%s", one.info.ID, one.info.Zone))
 	}
 	text.WriteString("deployment\n")
 	for _, entry := range t.entries {
-		t.writeEntry(&text, entry, len(w.everyNode))
+		t.writeEntry(&text, entry, len(nodes))
 	}
 	return text.String()
 }
--- a/internal/lab/sim/traffic.go
+++ b/internal/lab/sim/traffic.go
@@ -24,13 +24,6 @@
 	admissionsOnWake = 4
 )
 
-// tenantKey is a key that callers use, in force or not.
-type tenantKey struct {
-	tenant string
-	name   string
-	digest routing.KeyDigest
-}
-
 // request is one admitted request.
 type request struct {
 	node    *node
@@ -40,48 +33,71 @@
 	view    *routing.View
 }
 
-// scheduleTraffic lets requests arrive at random instants.
-func (n *node) scheduleTraffic(process uint64) {
+// traffic is what a node admits: the requests of callers, with random keys.
+type traffic struct {
+	node *node
+	// inFlight counts the requests of this process by the address of their replica.
+	inFlight map[string]int
+	// staleView is the last view of the former process.
+	staleView *routing.View
+}
+
+// reset begins the traffic of a new process.
+func (t *traffic) reset() { t.inFlight = map[string]int{} }
+
+// InFlight implements routing.LoadReader.
+func (t *traffic) InFlight(address string) int {
+	if t.node.env.broken(BreakDrainIgnoresRunning) {
+		return 0
+	}
+	return t.inFlight[address]
+}
+
+// schedule lets requests arrive at random instants.
+func (t *traffic) schedule(process uint64) {
+	n := t.node
 	var next func()
 	next = func() {
 		if n.process != process || !n.up {
 			return
 		}
 		if !n.frozen {
-			n.admit()
+			t.admit()
 		}
-		n.world.after(n.world.upTo(2*requestEvery), next)
+		n.env.after(n.env.upTo(2*requestEvery), next)
 	}
-	n.world.after(n.world.upTo(2*requestEvery), next)
+	n.env.after(n.env.upTo(2*requestEvery), next)
 }
 
 // admissionView returns the view that the node admits under now, or nil while it
 // rejects traffic.
-func (n *node) admissionView() *routing.View {
+func (t *traffic) admissionView() *routing.View {
+	n := t.node
 	switch {
 	case n.serving():
 		return n.view
-	case n.world.broken(BreakFenceIgnored) && n.view != nil && n.serveUntil > 0:
+	case n.env.broken(BreakFenceIgnored) && n.view != nil && n.serveUntil > 0:
 		return n.view
-	case n.world.broken(BreakStaleConfigAfterRestart):
-		return n.staleView
+	case n.env.broken(BreakStaleConfigAfterRestart):
+		return t.staleView
 	}
 	return nil
 }
 
 // admit sends one request with a random key to a random admitting replica.
-func (n *node) admit() {
-	view := n.admissionView()
-	if view == nil || len(n.world.keys) == 0 {
+func (t *traffic) admit() {
+	n := t.node
+	view := t.admissionView()
+	if view == nil || len(n.keys.keys) == 0 {
 		return
 	}
-	key := pick(n.world, n.world.keys)
+	key := pick(n.env.randomness, n.keys.keys)
 	tenant := view.Tenants[key.digest]
 	if tenant == nil {
 		return
 	}
-	n.world.checks.requestAdmitted(n, view, key)
-	pool := view.Pools[pick(n.world, poolNames)]
+	n.checks.requestAdmitted(n, view, key)
+	pool := view.Pools[pick(n.env.randomness, poolNames)]
 	if pool == nil {
 		return
 	}
@@ -89,34 +105,34 @@
 	if len(admitting) == 0 {
 		return
 	}
-	chosen := pick(n.world, admitting)
-	n.sendRequest(&request{
+	chosen := pick(n.env.randomness, admitting)
+	t.send(&request{
 		node:    n,
 		process: n.process,
-		replica: n.world.replicas[chosen.Address],
+		replica: n.platform.replicas[chosen.Address],
 		version: chosen.WeightVersion,
 		view:    view,
 	})
 }
 
-// sendRequest counts a request as in flight from before it leaves until its end
-// is known.
-func (n *node) sendRequest(sent *request) {
-	n.world.counts.Requests++
-	n.world.checks.requestSent(sent)
-	n.inFlight[sent.replica.address]++
-	n.world.after(n.world.requestLatency(), sent.arrive)
+// send counts a request as in flight from before it leaves until its end is known.
+func (t *traffic) send(sent *request) {
+	n := t.node
+	n.env.counts.Requests++
+	n.checks.requestSent(sent)
+	t.inFlight[sent.replica.address]++
+	n.env.after(requestLatency(n.env), sent.arrive)
 }
 
 // requestLatency is the time from the last look at the view to the arrival at the
 // replica. Some requests are slow, by less than the margin after which other
 // nodes count on a fence.
-func (w *simulation) requestLatency() time.Duration {
+func requestLatency(env *environment) time.Duration {
 	const slowProbability = 0.3
 	const slowest = control.DefaultFenceMargin - 20*time.Millisecond
-	latency := minLatency + w.upTo(replicaLatency)
-	if w.chance(slowProbability) {
-		latency += slowest/2 + w.upTo(slowest/2)
+	latency := minLatency + env.upTo(replicaLatency)
+	if env.chance(slowProbability) {
+		latency += slowest/2 + env.upTo(slowest/2)
 	}
 	return latency
 }
@@ -129,33 +145,33 @@
 		return
 	}
 	if target.rejects(r) {
-		r.node.world.counts.Refusals++
+		r.node.env.counts.Refusals++
 		r.end()
 		return
 	}
-	r.node.world.checks.requestArrived(r)
-	r.node.world.checks.requestStarted(r)
+	r.node.checks.requestArrived(r)
+	r.node.checks.requestStarted(r)
 	target.active++
 	incarnation := target.incarnation
-	world := r.node.world
-	world.after(world.runTime(), func() {
+	env := r.node.env
+	env.after(runTime(env), func() {
 		if target.incarnation == incarnation && target.up {
 			target.active--
 			target.loadWhenIdle()
 		}
-		world.after(minLatency+world.upTo(replicaLatency), r.end)
+		env.after(minLatency+env.upTo(replicaLatency), r.end)
 	})
 }
 
-func (w *simulation) runTime() time.Duration {
-	if w.chance(longRunProbability) {
-		return minRun + w.upTo(longRun)
+func runTime(env *environment) time.Duration {
+	if env.chance(longRunProbability) {
+		return minRun + env.upTo(longRun)
 	}
-	return minRun + w.upTo(shortRun)
+	return minRun + env.upTo(shortRun)
 }
 
 func (r *request) end() {
 	if r.node.process == r.process {
-		r.node.inFlight[r.replica.address]--
+		r.node.traffic.inFlight[r.replica.address]--
 	}
 }
