--- a/internal/lab/emulator/replica.go
+++ b/internal/lab/emulator/replica.go
@@ -1,6 +1,8 @@
 package emulator
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	protocol "github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
@@ -11,12 +13,16 @@
 // Replica is the model of one replica. It is not safe for concurrent use; its
 // driver calls it with times that never go back.
 type Replica struct {
-	config  Config
-	now     time.Duration
-	cache   *Cache
-	journal *Journal
-	reports reportHistory
+	config Config
+	now    time.Duration
+
+	// memory, engine, weights and reports are those of the present incarnation;
+	// truth is of all.
+	memory  memory
+	engine  engine
 	weights weights
+	reports reportHistory
+	truth   groundTruth
 
 	draining bool
 	// upAt is when the replica answers again after a crash, warmAt when it is at
@@ -25,34 +31,12 @@
 	warmAt time.Duration
 
 	nextHandle Handle
-	active     map[Handle]*sequence
-	pulling    int
-	queue      []*sequence
-	prefilling *sequence
-	decoding   []*sequence
-
-	notices    []Notice
-	executions []*Execution
-	runs       map[string]int
-}
-
-// sequence is one active attempt.
-type sequence struct {
-	handle    Handle
-	links     []prefixindex.Link
-	prompt    uint64
-	execution *Execution
-	pinned    []prefixindex.ChainHash
-	reserved  uint64
-	pulling   bool
-
-	// prefillWork is what is left of prefill, in tokens of an empty context.
-	prefillWork float64
-	// allWork is what prefillWork was at the start.
-	allWork float64
-	// produced counts generated tokens; reported is how many were announced.
-	produced float64
-	reported uint32
+	// active are the accepted attempts; pulling counts those that wait for chunks
+	// from elsewhere. All others are in the engine.
+	active  map[Handle]*sequence
+	pulling int
+	// notices are those that the driver has not taken yet.
+	notices []Notice
 }
 
 // New returns a replica that starts at the given time. The config must have
@@ -61,15 +45,15 @@
 	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	r := &Replica{config: config, now: now, runs: map[string]int{}}
+	r := &Replica{config: config, now: now, truth: groundTruth{runs: map[string]int{}}}
 	r.startIncarnation(config.Incarnation, now)
 	return r, nil
 }
 
 // startIncarnation starts an incarnation with nothing in memory.
 func (r *Replica) startIncarnation(incarnation uint64, upAt time.Duration) {
-	r.cache = NewCache(r.config.CapacityTokens)
-	r.journal = NewJournal(incarnation, r.config.JournalEvents)
+	r.memory = newMemory(r.config.CapacityTokens, incarnation, r.config.JournalEvents)
+	r.engine = engine{config: r.config}
 	r.weights = weights{version: r.config.WeightVersion}
 	r.reports = reportHistory{}
 	r.draining = false
@@ -77,9 +61,6 @@
 	r.warmAt = upAt + r.config.Warming
 	r.active = map[Handle]*sequence{}
 	r.pulling = 0
-	r.queue = nil
-	r.prefilling = nil
-	r.decoding = nil
 	r.recordReport()
 }
 
@@ -88,28 +69,19 @@
 func (r *Replica) Submit(now time.Duration, request Request) (Handle, error) {
 	r.Advance(now)
 	request.OutputTokens = max(request.OutputTokens, 1)
-	execution := &Execution{Request: request, Outcome: OutcomeRunning, ArrivedAt: now}
-	r.executions = append(r.executions, execution)
+	execution := r.truth.arrived(now, request)
 	if reason, refused := r.refusal(); refused {
-		r.refuse(execution, reason)
+		r.truth.refused(r.now, execution, reason)
 		return 0, &RefusedError{Reason: reason}
 	}
 	r.nextHandle++
 	execution.Handle = r.nextHandle
-	attempt := &sequence{
-		handle:    r.nextHandle,
-		links:     prefixindex.Chain(request.Model, request.CacheSalt, request.Chunks),
-		execution: execution,
-		pulling:   request.AwaitPull,
-	}
-	for _, link := range attempt.links {
-		attempt.prompt += uint64(link.Tokens)
-	}
+	attempt := newSequence(r.nextHandle, execution)
 	r.active[attempt.handle] = attempt
 	if attempt.pulling {
 		r.pulling++
 	} else {
-		r.queue = append(r.queue, attempt)
+		r.engine.queue = append(r.engine.queue, attempt)
 	}
 	r.startPrefill()
 	r.recordReport()
@@ -120,19 +92,12 @@
 // it.
 func (r *Replica) RecordRefusal(now time.Duration, request Request, reason RefusalReason) {
 	r.Advance(now)
-	execution := &Execution{Request: request, ArrivedAt: now}
-	r.refuse(execution, reason)
-	r.executions = append(r.executions, execution)
-}
-
-func (r *Replica) refuse(execution *Execution, reason RefusalReason) {
-	execution.Outcome = OutcomeRefused
-	execution.Refusal = reason
-	execution.FinishedAt = r.now
+	r.truth.refused(r.now, r.truth.arrived(now, request), reason)
 }
 
+// refusal returns why the replica takes no request now, if it takes none.
 func (r *Replica) refusal() (RefusalReason, bool) {
-	waiting := len(r.queue) + r.pulling
+	waiting := len(r.engine.queue) + r.pulling
 	switch {
 	case r.now < r.upAt:
 		return RefusedDown, true
@@ -155,14 +120,7 @@
 	if !ok {
 		return nil
 	}
-	var missing []prefixindex.ChainHash
-	for position := max(first, 0); position <= last && position < len(attempt.links); position++ {
-		hash := attempt.links[position].Hash
-		if _, kept := r.cache.Get(hash); !kept {
-			missing = append(missing, hash)
-		}
-	}
-	return missing
+	return r.memory.missing(attempt.links, first, last)
 }
 
 // PullDone ends the wait of an attempt for pulled chunks and keeps those that
@@ -175,11 +133,11 @@
 	}
 	attempt.pulling = false
 	r.pulling--
-	pinned := r.cache.Pin(attempt.links)
-	r.keep(chunks)
-	r.cache.Unpin(pinned)
-	r.cache.Touch(attempt.links)
-	r.queue = append(r.queue, attempt)
+	pinned := r.memory.Pin(attempt.links)
+	r.memory.keep(chunks)
+	r.memory.Unpin(pinned)
+	r.memory.Touch(attempt.links)
+	r.engine.queue = append(r.engine.queue, attempt)
 	r.startPrefill()
 	r.recordReport()
 }
@@ -209,7 +167,7 @@
 	}
 	var chunks []CachedChunk
 	for _, hash := range hashes {
-		chunk, ok := r.cache.Get(hash)
+		chunk, ok := r.memory.Get(hash)
 		if !ok {
 			break
 		}
@@ -229,40 +187,42 @@
 // nothing kept.
 func (r *Replica) Crash(now time.Duration) {
 	r.Advance(now)
-	for _, handle := range sortedHandles(r.active) {
+	for _, handle := range slices.Sorted(maps.Keys(r.active)) {
 		attempt := r.active[handle]
 		r.addNotice(NoticeCrashed, attempt)
 		attempt.execution.Outcome = OutcomeCrashed
 		attempt.execution.FinishedAt = now
 	}
-	r.startIncarnation(r.journal.Incarnation()+1, now+r.config.Restart)
+	r.startIncarnation(r.memory.journal.Incarnation()+1, now+r.config.Restart)
 }
 
 // Up reports whether the replica answers at all.
 func (r *Replica) Up(now time.Duration) bool { return now >= r.upAt }
 
 // Executions returns the ground truth of every arrival, in order.
-func (r *Replica) Executions() []*Execution { return r.executions }
+func (r *Replica) Executions() []*Execution { return r.truth.executions }
 
 // Runs returns how many attempts of a request have run, at least in part.
-func (r *Replica) Runs(requestID string) int { return r.runs[requestID] }
+func (r *Replica) Runs(requestID string) int { return r.truth.runs[requestID] }
 
 // Journal returns the numbered events of the present incarnation.
-func (r *Replica) Journal() *Journal { return r.journal }
+func (r *Replica) Journal() *Journal { return r.memory.journal }
 
 // Snapshot returns a reset event that lists everything kept.
-func (r *Replica) Snapshot() protocol.Event { return r.journal.Snapshot(r.cache.All()) }
+func (r *Replica) Snapshot() protocol.Event { return r.memory.snapshot() }
 
 // Chunk returns one cached chunk.
-func (r *Replica) Chunk(hash prefixindex.ChainHash) (CachedChunk, bool) { return r.cache.Get(hash) }
+func (r *Replica) Chunk(hash prefixindex.ChainHash) (CachedChunk, bool) { return r.memory.Get(hash) }
 
 func (r *Replica) warming() bool { return r.now < r.warmAt }
 
-// keep stores chunks of one chain, in order, and reports what was stored and what
-// had to go. It ends at the first chunk that finds no room, since no later chunk
-// counts without it.
-func (r *Replica) keep(chunks []CachedChunk) {
-	stored, removed := r.cache.PutChain(chunks)
-	r.journal.Removed(removed)
-	r.journal.Stored(stored)
+// speed is the engine's share of its full speed.
+func (r *Replica) speed() float64 {
+	switch {
+	case r.weights.loading():
+		return 0
+	case r.warming():
+		return r.config.WarmingSpeed
+	}
+	return 1
 }
--- a/internal/lab/emulator/report.go
+++ b/internal/lab/emulator/report.go
@@ -59,14 +59,14 @@
 
 func (r *Replica) currentReport() protocol.Report {
 	return protocol.Report{
-		Incarnation:         r.journal.Incarnation(),
+		Incarnation:         r.memory.journal.Incarnation(),
 		WeightVersion:       r.WeightVersion(),
 		ActiveRequests:      uint32(len(r.active)),
 		ActivePrefillTokens: r.prefillTokens(),
 		ActiveDecodeTokens:  r.activeTokens(),
-		CachedTokens:        r.cache.CachedTokens(),
+		CachedTokens:        r.memory.CachedTokens(),
 		CapacityTokens:      r.config.CapacityTokens,
-		LastSequence:        r.journal.LastSequence(),
+		LastSequence:        r.memory.journal.LastSequence(),
 	}
 }
 
@@ -76,26 +76,15 @@
 	var tokens uint64
 	for _, attempt := range r.active {
 		switch {
-		case attempt == r.prefilling:
+		case attempt == r.engine.prefilling:
 			tokens += attempt.uncomputed()
 		case !attempt.execution.Started:
-			tokens += attempt.prompt - r.leadingTokens(attempt)
+			tokens += attempt.prompt - r.memory.leadingTokens(attempt.links)
 		}
 	}
 	return tokens
 }
 
-func (r *Replica) leadingTokens(attempt *sequence) uint64 {
-	var tokens uint64
-	for _, link := range attempt.links {
-		if _, kept := r.cache.Get(link.Hash); !kept {
-			break
-		}
-		tokens += uint64(link.Tokens)
-	}
-	return tokens
-}
-
 // activeTokens counts the tokens, prompt and generated, of all accepted attempts.
 func (r *Replica) activeTokens() uint64 {
 	var tokens uint64
--- a/internal/lab/emulator/store.go
+++ b/internal/lab/emulator/store.go
@@ -10,8 +10,7 @@
 type Store struct {
 	capacityTokens uint64
 	journalEvents  int
-	cache          *Cache
-	journal        *Journal
+	memory         memory
 }
 
 // NewStore returns an empty store.
@@ -19,43 +18,39 @@
 	return &Store{
 		capacityTokens: capacityTokens,
 		journalEvents:  journalEvents,
-		cache:          NewCache(capacityTokens),
-		journal:        NewJournal(incarnation, journalEvents),
+		memory:         newMemory(capacityTokens, incarnation, journalEvents),
 	}
 }
 
 // Put keeps a chunk that a replica pushed.
 func (s *Store) Put(chunk CachedChunk) {
-	stored, removed := s.cache.PutChain([]CachedChunk{chunk})
-	s.cache.Touch([]prefixindex.Link{{Hash: chunk.Hash}})
-	s.journal.Removed(removed)
-	s.journal.Stored(stored)
+	s.memory.keep([]CachedChunk{chunk})
+	s.memory.Touch([]prefixindex.Link{{Hash: chunk.Hash}})
 }
 
 // Get returns a chunk and marks it as used.
 func (s *Store) Get(hash prefixindex.ChainHash) (CachedChunk, bool) {
-	s.cache.Touch([]prefixindex.Link{{Hash: hash}})
-	return s.cache.Get(hash)
+	s.memory.Touch([]prefixindex.Link{{Hash: hash}})
+	return s.memory.Get(hash)
 }
 
 // Empty loses everything and starts a new incarnation.
 func (s *Store) Empty() {
-	s.cache = NewCache(s.capacityTokens)
-	s.journal = NewJournal(s.journal.Incarnation()+1, s.journalEvents)
+	s.memory = newMemory(s.capacityTokens, s.memory.journal.Incarnation()+1, s.journalEvents)
 }
 
 // Journal returns the numbered events of the present incarnation.
-func (s *Store) Journal() *Journal { return s.journal }
+func (s *Store) Journal() *Journal { return s.memory.journal }
 
 // Snapshot returns a reset event that lists everything kept.
-func (s *Store) Snapshot() protocol.Event { return s.journal.Snapshot(s.cache.All()) }
+func (s *Store) Snapshot() protocol.Event { return s.memory.snapshot() }
 
 // Report returns the store's account of what it keeps.
 func (s *Store) Report() protocol.Report {
 	return protocol.Report{
-		Incarnation:    s.journal.Incarnation(),
-		CachedTokens:   s.cache.CachedTokens(),
+		Incarnation:    s.memory.journal.Incarnation(),
+		CachedTokens:   s.memory.CachedTokens(),
 		CapacityTokens: s.capacityTokens,
-		LastSequence:   s.journal.LastSequence(),
+		LastSequence:   s.memory.journal.LastSequence(),
 	}
 }
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	protocol "github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
-	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
 // weights is what the replica has loaded and is loading. Cached chunks stay in
@@ -80,16 +78,3 @@
 	}
 	return r.weights.version
 }
-
-func rootOf(request Request) prefixindex.ChainHash {
-	return prefixindex.RootHash(request.Model, request.CacheSalt)
-}
-
-func sortedHandles(active map[Handle]*sequence) []Handle {
-	handles := make([]Handle, 0, len(active))
-	for handle := range active {
-		handles = append(handles, handle)
-	}
-	slices.Sort(handles)
-	return handles
-}
