--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -43,6 +43,20 @@
 	return nil
 }
 
+// ReadFaults reads faults from a request's body. When they are malformed or out of
+// range, it answers with a Problem and returns false.
+func ReadFaults(w http.ResponseWriter, r *http.Request) (Faults, bool) {
+	var faults Faults
+	if !ReadJSON(w, r, &faults) {
+		return Faults{}, false
+	}
+	if err := faults.Check(); err != nil {
+		WriteJSON(w, http.StatusBadRequest, Problem{Kind: "bad_faults", Message: err.Error()})
+		return Faults{}, false
+	}
+	return faults, true
+}
+
 // FaultPlan draws from the present faults. It is safe for concurrent use.
 type FaultPlan struct {
 	mutex  sync.Mutex
--- a/internal/lab/standin/replica/control.go
+++ b/internal/lab/standin/replica/control.go
@@ -63,12 +63,8 @@
 
 // setFaults replaces the faults, and crashes the replica when they say so.
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
-	var faults standin.Faults
-	if !standin.ReadJSON(w, r, &faults) {
-		return
-	}
-	if err := faults.Check(); err != nil {
-		standin.WriteJSON(w, http.StatusBadRequest, standin.Problem{Kind: "bad_faults", Message: err.Error()})
+	faults, ok := standin.ReadFaults(w, r)
+	if !ok {
 		return
 	}
 	crash := faults.Crash
--- a/internal/lab/standin/store/server.go
+++ b/internal/lab/standin/store/server.go
@@ -175,12 +175,8 @@
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
-	var faults standin.Faults
-	if !standin.ReadJSON(w, r, &faults) {
-		return
-	}
-	if err := faults.Check(); err != nil {
-		standin.WriteJSON(w, http.StatusBadRequest, standin.Problem{Kind: "bad_faults", Message: err.Error()})
+	faults, ok := standin.ReadFaults(w, r)
+	if !ok {
 		return
 	}
 	if faults.Crash {
