--- a/internal/lab/sim/message_breaks.go
+++ b/internal/lab/sim/message_breaks.go
@@ -5,7 +5,6 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
-	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
@@ -23,15 +22,10 @@
 	// appended is the index of the last log entry of each shard that this process
 	// has sent.
 	appended map[uint32]uint64
-	// views are the views of this process by revision.
-	views map[uint64]*routing.View
 }
 
 // reset forgets the former process.
-func (b *messageBreaks) reset() {
-	b.appended = map[uint32]uint64{}
-	b.views = map[uint64]*routing.View{}
-}
+func (b *messageBreaks) reset() { b.appended = map[uint32]uint64{} }
 
 // apply changes a received message, or acts on it, where the mechanism that
 // is switched off requires that.
@@ -67,8 +61,8 @@
 	if message == nil || message.Type != relaytree.MessageUpdate || message.Topic != relaytree.Topic(control.ConfigurationShard) {
 		return
 	}
-	older, known := b.views[message.Revision]
 	n := b.node
+	older, known := n.views[message.Revision]
 	if known && n.view != nil && message.Revision < n.view.Revision {
 		n.view = older
 		n.logf("back to r%d", older.Revision)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -69,7 +69,10 @@
 	backlog []func()
 
 	machine *control.Machine
-	view    *routing.View
+	// view is the one in force for traffic; views are all of this process by
+	// revision.
+	view  *routing.View
+	views map[uint64]*routing.View
 	// serveUntil is when the node stops to admit traffic, by its own clock.
 	serveUntil time.Duration
 	traffic    *traffic
@@ -123,6 +126,7 @@
 	n.traffic.reset()
 	n.calls.reset()
 	n.breaks.reset()
+	n.views = map[uint64]*routing.View{}
 	n.logf("start")
 	process := n.process
 	n.every(process, n.tickEvery, func() { n.post(process, n.machine.Tick) })
@@ -369,7 +373,7 @@
 		n.logf("r%d", view.Revision)
 	}
 	n.view = view
-	n.breaks.views[view.Revision] = view
+	n.views[view.Revision] = view
 	n.checks.viewPublished(n, view)
 }
 
--- a/internal/lab/sim/revision_checks.go
+++ b/internal/lab/sim/revision_checks.go
@@ -72,7 +72,7 @@
 }
 
 func (c *revisionChecks) checkOneContent(n *node, view *routing.View) {
-	if previous := n.breaks.views[view.Revision]; previous != nil && previous.Configuration == view.Configuration && previous != view {
+	if previous := n.views[view.Revision]; previous != nil && previous.Configuration == view.Configuration && previous != view {
 		return
 	}
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(view.Configuration)
