--- a/internal/lab/hollow/start.go
+++ b/internal/lab/hollow/start.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	for _, one := range fleet.nodes {
-		fleet.queue.add(time.Duration(fleet.random.Int64N(int64(startWindow))), one.start)
+		fleet.queue.Add(time.Duration(fleet.random.Int64N(int64(startWindow))), one.start)
 	}
 	figures := &StartFigures{Nodes: settings.Nodes, Core: settings.Core, Zones: settings.Zones, Seed: settings.Seed}
 	figures.awaitAgreement(ctx, fleet)
--- a/internal/lab/hollow/virtual_fleet.go
+++ b/internal/lab/hollow/virtual_fleet.go
@@ -10,6 +10,7 @@
 	"github.com/pkg/errors"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/timers"
 )
 
 // The surroundings of nodes on the virtual clock.
@@ -29,7 +30,7 @@
 type virtualFleet struct {
 	settings  Settings
 	now       time.Duration
-	queue     actionQueue
+	queue     timers.Queue
 	random    *rand.Rand
 	topology  *topology
 	numbers   map[string]int
@@ -69,16 +70,15 @@
 // deliver brings a frame to a node.
 func (f *virtualFleet) deliver(now time.Duration, target int, frame []byte) {
 	delay := virtualLatency + time.Duration(f.random.Int64N(int64(virtualJitter)))
-	f.queue.add(now+delay, func(now time.Duration) { f.nodes[target].receive(now, frame) })
+	f.queue.Add(now+delay, func(now time.Duration) { f.nodes[target].receive(now, frame) })
 }
 
 // runUntil lets virtual time pass until an instant, the context's end, or until
 // done.
 func (f *virtualFleet) runUntil(ctx context.Context, end time.Duration, done func() bool) {
-	for f.queue.Len() > 0 && f.queue.actions[0].at <= end && ctx.Err() == nil {
-		next := f.queue.popFirst()
-		f.now = next.at
-		next.run(next.at)
+	for at, more := f.queue.Next(); more && at <= end && ctx.Err() == nil; at, more = f.queue.Next() {
+		f.now = at
+		f.queue.RunNext()
 		if done() {
 			return
 		}
@@ -98,14 +98,14 @@
 	end := f.settings.ConvergenceTimeout
 	core := f.settings.Core
 	for number, one := range f.nodes[:core] {
-		f.queue.add(time.Duration(number)*f.settings.StartEvery, one.start)
+		f.queue.Add(time.Duration(number)*f.settings.StartEvery, one.start)
 	}
 	f.runUntil(ctx, virtualElection, never)
 	const firstTicket = 0
 	f.nodes[0].process(f.now, func() control.Output { return f.nodes[0].machine.Submit(f.now, firstTicket, order) })
 	f.runUntil(ctx, end, func() bool { return f.nodes[0].revision() > 0 })
 	for number, one := range f.nodes[core:] {
-		f.queue.add(f.now+time.Duration(number)*f.settings.StartEvery, one.start)
+		f.queue.Add(f.now+time.Duration(number)*f.settings.StartEvery, one.start)
 	}
 	check := f.now
 	f.runUntil(ctx, end, func() bool {
@@ -133,7 +133,7 @@
 
 // changeAt submits a change at an instant, through a node drawn at random.
 func (f *virtualFleet) changeAt(at time.Duration, number int) {
-	f.queue.add(at, func(now time.Duration) {
+	f.queue.Add(at, func(now time.Duration) {
 		order, err := changeOrder(f.settings, number)
 		if err != nil {
 			f.finished = append(f.finished, change{submittedAt: now, repliedAt: now, problem: err.Error()})
@@ -165,7 +165,7 @@
 
 // watch samples what the nodes serve, until an instant.
 func (f *virtualFleet) watch(watched *spread, until time.Duration) {
-	f.queue.add(f.now+sampleEvery, func(now time.Duration) {
+	f.queue.Add(f.now+sampleEvery, func(now time.Duration) {
 		watched.sample(now)
 		if now < until {
 			f.watch(watched, until)
--- a/internal/lab/hollow/virtual_node.go
+++ b/internal/lab/hollow/virtual_node.go
@@ -54,7 +54,7 @@
 
 // every repeats an action from an instant on.
 func (n *virtualNode) every(at, period time.Duration, run func(now time.Duration)) {
-	n.fleet.queue.add(at, func(now time.Duration) {
+	n.fleet.queue.Add(at, func(now time.Duration) {
 		run(now)
 		n.every(now+period, period, run)
 	})
@@ -66,7 +66,7 @@
 
 // call runs an input that a call to the platform or to a replica leads to.
 func (n *virtualNode) call(now time.Duration, input func(now time.Duration) control.Output) {
-	n.fleet.queue.add(now+virtualCallTime, func(now time.Duration) {
+	n.fleet.queue.Add(now+virtualCallTime, func(now time.Duration) {
 		n.process(now, func() control.Output { return input(now) })
 	})
 }
@@ -140,7 +140,7 @@
 		n.fleet.badWrites++
 		return
 	}
-	n.fleet.queue.add(now+virtualDiskTime, func(now time.Duration) {
+	n.fleet.queue.Add(now+virtualDiskTime, func(now time.Duration) {
 		n.process(now, func() control.Output { return n.machine.StorageWritten(now, save.Shard) })
 	})
 }
--- a/internal/lab/hollow/virtual_run_test.go
+++ b/internal/lab/hollow/virtual_run_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -39,26 +38,8 @@
 		settings.ConvergenceTimeout = 2 * second
 		fleet, err := newVirtualFleet(settings)
 		Expect(err).NotTo(HaveOccurred())
-		fleet.queue.add(0, fleet.nodes[0].start)
+		fleet.queue.Add(0, fleet.nodes[0].start)
 		fleet.runUntil(context.Background(), settings.ConvergenceTimeout, never)
 		Expect(fleet.convergedNodes()).To(BeZero())
 	})
 })
-
-var _ = Describe("The queue of actions", func() {
-	It("keeps to time, and to the order of adding within an instant", func() {
-		queue := &actionQueue{}
-		var ran []string
-		for _, planned := range []struct {
-			at   time.Duration
-			name string
-		}{{2, "c"}, {1, "a"}, {2, "d"}, {1, "b"}} {
-			queue.add(planned.at, func(time.Duration) { ran = append(ran, planned.name) })
-		}
-		for queue.Len() > 0 {
-			next := queue.popFirst()
-			next.run(next.at)
-		}
-		Expect(ran).To(Equal([]string{"a", "b", "c", "d"}))
-	})
-})
--- a/internal/lab/sim/doc.go
+++ b/internal/lab/sim/doc.go
@@ -19,7 +19,7 @@
 //
 //	State                                                 Owner
 //	settings, what is switched off                        environment
-//	virtual time, events to come                          clock, eventQueue
+//	virtual time, events to come                          clock
 //	streams of random numbers                             randomness
 //	counts, violations, digest, timeline                  record
 //	present and removed machines, addresses, seeds        machines
--- a/internal/lab/timers/timers_test.go
+++ b/internal/lab/timers/timers_test.go
@@ -1,6 +1,9 @@
 package timers_test
 
 import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -52,4 +55,65 @@
 		_, found := queue.Next()
 		Expect(found).To(BeFalse())
 	})
+
+	It("keeps to time, and to the order of adding within an instant, one action at a time", func() {
+		queue, ran, at = timers.Queue{}, nil, nil
+		for _, planned := range []struct {
+			at   time.Duration
+			name string
+		}{{2, "c"}, {1, "a"}, {2, "d"}, {1, "b"}} {
+			queue.Add(planned.at, note(planned.name))
+		}
+		for range 4 {
+			queue.RunNext()
+		}
+		Expect(ran).To(Equal([]string{"a", "b", "c", "d"}))
+		Expect(at).To(Equal([]time.Duration{1, 1, 2, 2}))
+	})
+})
+
+var _ = Describe("Ordered values", func() {
+	It("come out by time, and by the order of adding when times are equal", func() {
+		random := rand.New(rand.NewPCG(1, 2))
+		var ordered timers.Ordered[int]
+		type added struct {
+			at     time.Duration
+			number int
+		}
+		var expected, taken []added
+		pop := func() {
+			next, found := ordered.Next()
+			Expect(found).To(BeTrue())
+			at, number := ordered.Pop()
+			Expect(at).To(Equal(next))
+			taken = append(taken, added{at, number})
+		}
+		for number := range 500 {
+			at := time.Duration(random.IntN(40))
+			ordered.Add(at, number)
+			expected = append(expected, added{at, number})
+		}
+		slices.SortStableFunc(expected, func(a, b added) int { return cmp.Compare(a.at, b.at) })
+		for range 500 {
+			pop()
+		}
+		Expect(taken).To(Equal(expected))
+		_, found := ordered.Next()
+		Expect(found).To(BeFalse())
+	})
+
+	It("come out in order also when they are added in between", func() {
+		random := rand.New(rand.NewPCG(3, 4))
+		var ordered timers.Ordered[int]
+		now := time.Duration(0)
+		ordered.Add(0, 0)
+		for number := range 1000 {
+			at, _ := ordered.Pop()
+			Expect(at).To(BeNumerically(">=", now))
+			now = at
+			for range 1 + random.IntN(2) {
+				ordered.Add(now+time.Duration(random.IntN(10)), number)
+			}
+		}
+	})
 })
