--- a/internal/lab/checker/bounds.go
+++ b/internal/lab/checker/bounds.go
@@ -1,9 +1,6 @@
 package checker
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // Bounds of the rules.
 const (
@@ -36,10 +33,3 @@
 	// bound. The whole run is judged at any size.
 	MinWindowAttempts = 50
 )
-
-const forever = time.Duration(math.MaxInt64)
-
-// contains reports whether a moment lies in the span; To is outside.
-func (span Span) contains(at time.Duration) bool {
-	return at >= span.From && at < span.To
-}
--- a/internal/lab/checker/draining.go
+++ b/internal/lab/checker/draining.go
@@ -1,7 +1,5 @@
 package checker
 
-import "time"
-
 // DrainingReplica requires that a replica gets no request once DrainingBound has
 // passed since the platform's list showed it draining.
 type DrainingReplica struct{}
@@ -29,7 +27,7 @@
 
 // arrivalsWithin returns the executions that arrived within a span of their key,
 // once for each such span, in the order of the records.
-func arrivalsWithin(records *Records, spans map[string][]Span, keyOf func(Execution) string) []arrival {
+func arrivalsWithin(records *Records, spans spansByName, keyOf func(Execution) string) []arrival {
 	var arrivals []arrival
 	for _, execution := range records.Executions {
 		for _, span := range spans[keyOf(execution)] {
@@ -42,21 +40,18 @@
 }
 
 // drainingSpans returns when each replica must get nothing.
-func drainingSpans(records *Records) map[string][]Span {
-	since := make(map[string]time.Duration)
-	spans := make(map[string][]Span)
+func drainingSpans(records *Records) spansByName {
+	spans := spansByName{}
+	draining := make(map[string]bool)
 	for _, sample := range endpointsByTime(records) {
-		from, draining := since[sample.Replica]
 		switch {
-		case sample.Draining && !sample.Removed && !draining:
-			since[sample.Replica] = sample.At + DrainingBound
-		case draining && !sample.Draining && !sample.Removed:
-			spans[sample.Replica] = append(spans[sample.Replica], Span{From: from, To: sample.At})
-			delete(since, sample.Replica)
+		case sample.Draining && !sample.Removed && !draining[sample.Replica]:
+			spans.open(sample.Replica, sample.At+DrainingBound)
+			draining[sample.Replica] = true
+		case draining[sample.Replica] && !sample.Draining && !sample.Removed:
+			spans.close(sample.Replica, sample.At)
+			draining[sample.Replica] = false
 		}
 	}
-	for replica, from := range since {
-		spans[replica] = append(spans[replica], Span{From: from, To: forever})
-	}
 	return spans
 }
--- a/internal/lab/checker/evacuation.go
+++ b/internal/lab/checker/evacuation.go
@@ -1,7 +1,5 @@
 package checker
 
-import "time"
-
 // EvacuatedZone requires that the back ends of an evacuated zone get no request
 // once EvacuationBound has passed since the acknowledgement, until the zone is
 // restored.
@@ -24,22 +22,16 @@
 
 // evacuatedSpans returns when each zone must get nothing. A restoration counts
 // from its sending, since it may take effect from then on.
-func evacuatedSpans(records *Records) map[string][]Span {
-	spans := make(map[string][]Span)
+func evacuatedSpans(records *Records) spansByName {
+	spans := spansByName{}
 	for _, order := range ordersBySending(records) {
 		zone := order.Change.Zone
 		switch {
 		case order.Change.Kind == ChangeRestore:
-			closeSpans(spans[zone], order.Sent)
+			spans.close(zone, order.Sent)
 		case order.Change.Kind == ChangeEvacuate && order.Outcome == OutcomeAcknowledged:
-			spans[zone] = append(spans[zone], Span{From: order.Answered + EvacuationBound, To: forever})
+			spans.open(zone, order.Answered+EvacuationBound)
 		}
 	}
 	return spans
 }
-
-func closeSpans(spans []Span, at time.Duration) {
-	for position := range spans {
-		spans[position].To = min(spans[position].To, at)
-	}
-}
--- a/internal/lab/checker/reuse.go
+++ b/internal/lab/checker/reuse.go
@@ -1,7 +1,5 @@
 package checker
 
-import "time"
-
 // WeightIsolation requires that no execution reuses chunks made under another
 // weight version, and that no weights change under a running execution, whose
 // own kept state would then be of two versions.
@@ -41,16 +39,14 @@
 
 // Check compares the tenant of each reused chunk with that of its execution.
 func (rule TenantIsolation) Check(records *Records) []Violation {
-	walls := newWalls(records)
+	walled := walledSpans(records)
 	var violations []Violation
 	for _, execution := range records.Executions {
 		for _, reuse := range execution.Reused {
 			if reuse.Tenant == execution.Tenant {
 				continue
 			}
-			walled := walls.walled(execution.Tenant, execution.Arrived) ||
-				walls.walled(reuse.Tenant, execution.Arrived)
-			if !walled {
+			if !walled.contains(execution.Tenant, execution.Arrived) && !walled.contains(reuse.Tenant, execution.Arrived) {
 				continue
 			}
 			violations = append(violations, violation(rule.Name(), execution.Arrived,
@@ -62,47 +58,23 @@
 	return violations
 }
 
-// walls knows at which times a tenant is certainly walled.
-type walls struct {
-	spans map[string][]Span
-}
-
-// newWalls reads the walls of a run. A tenant is certainly walled from
-// ServedBound after the acknowledgement until an order to unwall it was sent.
-func newWalls(records *Records) *walls {
-	known := &walls{spans: make(map[string][]Span)}
+// walledSpans returns when each tenant is certainly walled: from ServedBound after
+// the acknowledgement until an order to unwall it was sent.
+func walledSpans(records *Records) spansByName {
+	spans := spansByName{}
 	for _, tenant := range records.Tenants {
 		if tenant.Walled {
-			known.open(tenant.Name, 0)
+			spans.open(tenant.Name, 0)
 		}
 	}
 	for _, order := range ordersBySending(records) {
+		tenant := order.Change.Tenant
 		switch {
 		case order.Change.Kind == ChangeUnwall:
-			known.shut(order.Change.Tenant, order.Sent)
+			spans.close(tenant, order.Sent)
 		case order.Change.Kind == ChangeWall && order.Outcome == OutcomeAcknowledged:
-			known.open(order.Change.Tenant, order.Answered+ServedBound)
-		}
-	}
-	return known
-}
-
-func (known *walls) open(tenant string, from time.Duration) {
-	known.spans[tenant] = append(known.spans[tenant], Span{From: from, To: forever})
-}
-
-func (known *walls) shut(tenant string, at time.Duration) {
-	for position := range known.spans[tenant] {
-		span := &known.spans[tenant][position]
-		span.To = min(span.To, at)
-	}
-}
-
-func (known *walls) walled(tenant string, at time.Duration) bool {
-	for _, span := range known.spans[tenant] {
-		if span.contains(at) {
-			return true
+			spans.open(tenant, order.Answered+ServedBound)
 		}
 	}
-	return false
+	return spans
 }
