--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // Bounds of the load.
@@ -45,7 +46,7 @@
 	var running sync.WaitGroup
 	for number := 0; ; number++ {
 		job, more := load.Next()
-		if !more || !waitUntil(ctx, started.Add(job.At)) {
+		if !more || !pause.For(ctx, time.Until(started.Add(job.At))) {
 			break
 		}
 		select {
@@ -62,25 +63,13 @@
 	running.Wait()
 }
 
-// waitUntil waits for a moment and reports whether the context outlived it.
-func waitUntil(ctx context.Context, moment time.Time) bool {
-	timer := time.NewTimer(time.Until(moment))
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return ctx.Err() == nil
-	}
-}
-
 // serve sends one job, and again under new identities while it is refused and
 // its caller comes back.
 func (runner *Runner) serve(ctx context.Context, id string, job Job) {
 	record := runner.send(ctx, id, "", job)
 	for number := 1; number <= maxReturns && returns(job, record); number++ {
 		wait := min(max(record.RetryAfter, time.Millisecond), maxReturnWait)
-		if !waitUntil(ctx, time.Now().Add(wait)) {
+		if !pause.For(ctx, wait) {
 			return
 		}
 		record = runner.send(ctx, fmt.Sprintf("%s-again-%d", id, number), record.ID, job)
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -12,6 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // Bounds of an experiment beside its load.
@@ -158,19 +159,10 @@
 		if sampler.ReplicasRunning(experiment.Plan.LastWeights) {
 			outcome.Converged = true
 			outcome.ConvergenceTime = max(0, experiment.Clock.Now()-calmSince)
-			wait(ctx, calmSince+samplingAfterConvergence-experiment.Clock.Now())
+			pause.For(ctx, calmSince+samplingAfterConvergence-experiment.Clock.Now())
 			return
 		}
-		wait(ctx, convergencePollEvery)
-	}
-}
-
-func wait(ctx context.Context, duration time.Duration) {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
+		pause.For(ctx, convergencePollEvery)
 	}
 }
 
--- a/internal/lab/links/stream.go
+++ b/internal/lab/links/stream.go
@@ -3,7 +3,8 @@
 import (
 	"context"
 	"net"
-	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // stream is one direction of a relayed connection.
@@ -38,7 +39,7 @@
 // stream has ended.
 func (s *stream) pass(ctx context.Context, bytes []byte) bool {
 	state, _ := s.network.state(s.link)
-	if !wait(ctx, state.Delay) {
+	if !pause.For(ctx, state.Delay) {
 		return false
 	}
 	if s.network.loses(s, len(bytes)) {
@@ -72,17 +73,3 @@
 	_ = s.from.Close()
 	_ = s.to.Close()
 }
-
-func wait(ctx context.Context, delay time.Duration) bool {
-	if delay <= 0 {
-		return ctx.Err() == nil
-	}
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
--- a/internal/lab/operator/orders.go
+++ b/internal/lab/operator/orders.go
@@ -12,6 +12,7 @@
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // resendPause is the wait before an order without a final outcome is sent again,
@@ -133,7 +134,7 @@
 		if last.Outcome == checker.OutcomeAcknowledged || last.Outcome == checker.OutcomeRefused {
 			return last, nil
 		}
-		pause(ctx, resendPause)
+		pause.For(ctx, resendPause)
 	}
 	return last, &UndecidedError{OrderID: last.OrderID, Last: last.Outcome, Kind: last.ProblemKind}
 }
@@ -184,13 +185,3 @@
 	defer recorder.lock.Unlock()
 	return append([]checker.Order(nil), recorder.records...)
 }
-
-// pause waits, or less when the context ends.
-func pause(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // orderTimeout bounds how long an operator resends one order.
@@ -103,7 +104,7 @@
 	started := scenario.Recorder.now()
 	for _, step := range scenario.steps() {
 		due := started + time.Duration(step.at*float64(scenario.Plan.Duration))
-		pause(ctx, due-scenario.Recorder.now())
+		pause.For(ctx, due-scenario.Recorder.now())
 		if ctx.Err() != nil {
 			scenario.fail(step.name, ctx.Err())
 			return
--- a/internal/lab/plans/acknowledged_orders.go
+++ b/internal/lab/plans/acknowledged_orders.go
@@ -10,6 +10,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // acknowledgedOrder is an order that was acknowledged, with its revision.
@@ -31,7 +32,7 @@
 	if len(run.acknowledged) == 0 {
 		return errors.New("no order was acknowledged, so that there is nothing to look for")
 	}
-	pause(ctx, checker.ServedBound+100*time.Millisecond)
+	pause.For(ctx, checker.ServedBound+100*time.Millisecond)
 	for _, target := range run.Fleet.LiveTargets() {
 		configuration, err := run.Recorder.Configuration(ctx, target)
 		if err != nil {
--- a/internal/lab/plans/background_operators.go
+++ b/internal/lab/plans/background_operators.go
@@ -11,6 +11,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
@@ -63,7 +64,7 @@
 		if err := all.submit(ctx, fmt.Sprintf("kept-%d-%d", operatorNumber, number), number); err != nil {
 			all.run.fail(err)
 		}
-		pause(ctx, backgroundOrderPause)
+		pause.For(ctx, backgroundOrderPause)
 	}
 }
 
--- a/internal/lab/plans/freeze.go
+++ b/internal/lab/plans/freeze.go
@@ -7,6 +7,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 const (
@@ -55,11 +56,11 @@
 		defer func() { _ = run.Fleet.ThawNode(name) }()
 	}
 	thaw := run.Clock.Now() + freezeTime
-	pause(ctx, newerWeightsAfter)
+	pause.For(ctx, newerWeightsAfter)
 	if nameWeights {
 		run.step("name newer weights", func() error { return run.scenario.NameWeights(ctx, run.Plan.LastWeights) })
 	}
-	pause(ctx, thaw-run.Clock.Now())
+	pause.For(ctx, thaw-run.Clock.Now())
 	for _, name := range names {
 		run.recordDisturbance("thaw " + name)
 		if err := run.Fleet.ThawNode(name); err != nil {
@@ -69,6 +70,6 @@
 	if err := run.awaitService(ctx); err != nil {
 		return err
 	}
-	pause(ctx, faultFreeStart)
+	pause.For(ctx, faultFreeStart)
 	return nil
 }
--- a/internal/lab/plans/leaders.go
+++ b/internal/lab/plans/leaders.go
@@ -8,6 +8,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
@@ -30,7 +31,7 @@
 				return target.Node, nil
 			}
 		}
-		pause(ctx, watchEvery)
+		pause.For(ctx, watchEvery)
 	}
 	return "", errors.Errorf("no node led shard %d in time", shard)
 }
--- a/internal/lab/plans/pool.go
+++ b/internal/lab/plans/pool.go
@@ -7,6 +7,8 @@
 	"github.com/samber/lo"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // servingPhase is the phase of replicas that get requests.
@@ -33,7 +35,7 @@
 		if run.poolMeets(ctx, condition) {
 			return nil
 		}
-		pause(ctx, watchEvery)
+		pause.For(ctx, watchEvery)
 	}
 	return errors.Errorf("the pool did not serve within %v", recoveryTimeout)
 }
--- a/internal/lab/plans/restarts.go
+++ b/internal/lab/plans/restarts.go
@@ -8,6 +8,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/fleet"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // downTime is how long killed machines stay away.
@@ -69,7 +70,7 @@
 	if err := run.killAll(names); err != nil {
 		return err
 	}
-	pause(ctx, downTime)
+	pause.For(ctx, downTime)
 	for _, name := range names {
 		if err := run.Fleet.RestartNode(name); err != nil {
 			return err
@@ -78,7 +79,7 @@
 	if err := run.awaitService(ctx); err != nil {
 		return err
 	}
-	pause(ctx, faultFreeStart)
+	pause.For(ctx, faultFreeStart)
 	return nil
 }
 
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -12,6 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/fleet"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // Times of every run.
@@ -73,14 +74,14 @@
 	if !run.plan.SubmitsOrders {
 		run.backgroundOperators.start(ctx)
 	}
-	pause(ctx, faultFreeStart)
+	pause.For(ctx, faultFreeStart)
 	run.step(run.plan.Name, func() error { return run.plan.injectFaults(ctx, run) })
 	if run.plan.SubmitsOrders {
 		run.submitted = run.Clock.Now()
 	}
 	run.step("wait for all nodes", func() error { return run.Fleet.AwaitReady(ctx) })
 	run.step("name newer weights", func() error { return run.scenario.NameWeights(ctx, run.Plan.LastWeights) })
-	pause(ctx, began+run.duration-run.Clock.Now())
+	pause.For(ctx, began+run.duration-run.Clock.Now())
 	if !run.plan.SubmitsOrders {
 		run.submitted = run.Clock.Now()
 	}
@@ -143,16 +144,3 @@
 	}
 	return run.Fleet.AwaitReady(ctx)
 }
-
-// pause waits, or less when the context ends.
-func pause(ctx context.Context, wait time.Duration) {
-	if wait <= 0 {
-		return
-	}
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/lab/plans/votes.go
+++ b/internal/lab/plans/votes.go
@@ -11,6 +11,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication/durable"
@@ -35,7 +36,7 @@
 			run.Log.WithField("after", run.Clock.Now()-began).Info(name + " has its votes")
 			return nil
 		}
-		pause(ctx, watchEvery)
+		pause.For(ctx, watchEvery)
 	}
 	return errors.Wrapf(last, "%s did not get its votes within %v", name, recoveryTimeout)
 }
--- a/internal/lab/plans/zone.go
+++ b/internal/lab/plans/zone.go
@@ -9,6 +9,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/fleet"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
 // partitionTime is how long a zone is partitioned.
@@ -35,13 +36,13 @@
 	}{{"cut off " + zone, both}, {"cut what leaves " + zone, border.out}, {"cut what enters " + zone, border.in}} {
 		run.recordDisturbance(cut.name)
 		run.network.SetState(cut.links, links.LinkState{Blocked: true})
-		pause(ctx, partitionTime)
+		pause.For(ctx, partitionTime)
 		run.recordDisturbance("end: " + cut.name)
 		run.network.SetState(cut.links, links.LinkState{})
 		if err := run.awaitService(ctx); err != nil {
 			return err
 		}
-		pause(ctx, faultFreeStart)
+		pause.For(ctx, faultFreeStart)
 	}
 	return nil
 }
