--- a/internal/lab/fleet/disruption.go
+++ b/internal/lab/fleet/disruption.go
@@ -7,19 +7,40 @@
 	"time"
 
 	"github.com/pkg/errors"
-	"github.com/samber/lo"
 )
 
 // nodeStopTimeout is how long a node may take to end after SIGTERM: its drain
 // time, the notice to balancers before it, and a busy machine.
 const nodeStopTimeout = drainTimeoutMS*time.Millisecond + 7*time.Second
 
+// KillNode ends a node at once, as a power loss would.
+func (fleet *Fleet) KillNode(name string) error {
+	process, err := fleet.processes.runningNode(name)
+	if err != nil {
+		return err
+	}
+	process.Kill()
+	return nil
+}
+
+// RestartNode starts a node again on the data that it left.
+func (fleet *Fleet) RestartNode(name string) error {
+	node, known := fleet.Topology().Node(name)
+	if !known {
+		return errors.Errorf("the topology has no node %s", name)
+	}
+	if fleet.processes.running(name) != nil {
+		return errors.Errorf("node %s runs already", name)
+	}
+	return fleet.StartNode(node)
+}
+
 // StopNode signals a node to end and returns when it has. A node that does not end
 // by itself in time is killed, which is an error, as a failure is.
 func (fleet *Fleet) StopNode(name string) error {
-	process := fleet.running(name)
-	if process == nil {
-		return errors.Errorf("node %s does not run", name)
+	process, err := fleet.processes.runningNode(name)
+	if err != nil {
+		return err
 	}
 	if !process.Terminate(nodeStopTimeout) {
 		return errors.Errorf("node %s did not end by itself within %v", name, nodeStopTimeout)
@@ -29,9 +50,9 @@
 
 // FreezeNode stops a node's process where it is.
 func (fleet *Fleet) FreezeNode(name string) error {
-	process := fleet.running(name)
-	if process == nil {
-		return errors.Errorf("node %s does not run", name)
+	process, err := fleet.processes.runningNode(name)
+	if err != nil {
+		return err
 	}
 	process.Freeze()
 	return nil
@@ -39,9 +60,9 @@
 
 // ThawNode resumes a frozen node.
 func (fleet *Fleet) ThawNode(name string) error {
-	process := fleet.running(name)
-	if process == nil {
-		return errors.Errorf("node %s does not run", name)
+	process, err := fleet.processes.runningNode(name)
+	if err != nil {
+		return err
 	}
 	process.Thaw()
 	return nil
@@ -53,7 +74,7 @@
 	if !known || !node.Disk {
 		return errors.Errorf("the topology has no node %s with a disk", name)
 	}
-	if fleet.running(name) != nil {
+	if fleet.processes.running(name) != nil {
 		return errors.Errorf("node %s runs; kill it first", name)
 	}
 	return errors.Wrap(os.RemoveAll(dataFolder(node, fleet.options.Folder)), "remove a data folder")
@@ -67,7 +88,7 @@
 // MoveNode gives a node, which must not run, a machine at another address. It
 // is the seed that it was.
 func (fleet *Fleet) MoveNode(name, address string) error {
-	if fleet.running(name) != nil {
+	if fleet.processes.running(name) != nil {
 		return errors.Errorf("node %s runs; kill it first", name)
 	}
 	if fleet.options.Network != nil {
@@ -110,8 +131,3 @@
 	}
 	return fleet.await(ctx, name, "http://"+node.ControlAddress()+readyPath)
 }
-
-// Zones returns the zones in which nodes stand, in the order of the nodes.
-func (topology *Topology) Zones() []string {
-	return lo.Uniq(lo.Map(topology.Nodes, func(node Node, _ int) string { return node.Zone }))
-}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -56,16 +55,14 @@
 	// topology is replaced as a whole when machines change.
 	topology atomic.Pointer[Topology]
 
-	lock       sync.Mutex
+	processes  *processTable
 	claimed    net.Listener
 	forwarders []*links.Forwarder
-	processes  []*Process
-	stopped    bool
 }
 
 // New returns a fleet of which nothing runs yet.
 func New(options Options) *Fleet {
-	fleet := &Fleet{options: options, probe: &http.Client{Timeout: time.Second}}
+	fleet := &Fleet{options: options, probe: &http.Client{Timeout: time.Second}, processes: &processTable{folder: options.Folder}}
 	fleet.topology.Store(options.Topology)
 	return fleet
 }
@@ -86,7 +83,7 @@
 		return err
 	}
 	for _, standIn := range standIns(fleet.options) {
-		if _, err := fleet.launch(KindStandIn, standIn.name, fleet.options.LabBinary, standIn.arguments...); err != nil {
+		if _, err := fleet.processes.launch(KindStandIn, standIn.name, fleet.options.LabBinary, standIn.arguments...); err != nil {
 			return err
 		}
 	}
@@ -120,7 +117,7 @@
 		if err != nil {
 			return err
 		}
-		process, err := fleet.launch(KindTool, node.Name+"-init", fleet.options.NodeBinary, "init", "--settings", path)
+		process, err := fleet.processes.launch(KindTool, node.Name+"-init", fleet.options.NodeBinary, "init", "--settings", path)
 		if err != nil {
 			return err
 		}
@@ -157,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fleet.launch(KindNode, node.Name, fleet.options.NodeBinary, "node", "--settings", path)
+	_, err = fleet.processes.launch(KindNode, node.Name, fleet.options.NodeBinary, "node", "--settings", path)
 	return err
 }
 
@@ -168,7 +165,7 @@
 
 func (fleet *Fleet) awaitNodes(ctx context.Context, path string) error {
 	for _, node := range fleet.Topology().Nodes {
-		if fleet.running(node.Name) == nil {
+		if fleet.processes.running(node.Name) == nil {
 			continue
 		}
 		if err := fleet.await(ctx, node.Name, "http://"+node.ControlAddress()+path); err != nil {
@@ -178,42 +175,6 @@
 	return nil
 }
 
-// KillNode ends a node at once, as a power loss would.
-func (fleet *Fleet) KillNode(name string) error {
-	process := fleet.running(name)
-	if process == nil {
-		return errors.Errorf("node %s does not run", name)
-	}
-	process.Kill()
-	return nil
-}
-
-// running returns the process of a name that has not ended, or nil.
-func (fleet *Fleet) running(name string) *Process {
-	fleet.lock.Lock()
-	defer fleet.lock.Unlock()
-	for _, process := range fleet.processes {
-		if _, ended := process.Ended(); process.Name == name && !ended {
-			return process
-		}
-	}
-	return nil
-}
-
-func (fleet *Fleet) launch(kind ProcessKind, name, binary string, arguments ...string) (*Process, error) {
-	fleet.lock.Lock()
-	defer fleet.lock.Unlock()
-	if fleet.stopped {
-		return nil, errors.New("the fleet has been stopped")
-	}
-	process, err := startProcess(kind, name, fleet.options.Folder, binary, arguments...)
-	if err != nil {
-		return nil, err
-	}
-	fleet.processes = append(fleet.processes, process)
-	return process, nil
-}
-
 // await polls an address until it answers with success.
 func (fleet *Fleet) await(ctx context.Context, name, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
@@ -221,7 +182,7 @@
 	ticker := time.NewTicker(pollEvery)
 	defer ticker.Stop()
 	for !fleet.responds(ctx, url) {
-		process := fleet.running(name)
+		process := fleet.processes.running(name)
 		if process == nil {
 			return errors.Errorf("%s ended while it started; see %s.log in %s", name, name, fleet.options.Folder)
 		}
@@ -248,22 +209,21 @@
 	return response.StatusCode == http.StatusOK
 }
 
+// Stop ends every process, nodes first. It returns the names of nodes that had to
+// be killed.
+func (fleet *Fleet) Stop() []string {
+	late := fleet.processes.stop()
+	for _, forwarder := range fleet.forwarders {
+		forwarder.Close()
+	}
+	fleet.probe.CloseIdleConnections()
+	if fleet.claimed != nil {
+		_ = fleet.claimed.Close()
+	}
+	return late
+}
+
 // NodeRuns returns every run of every node's process.
 func (fleet *Fleet) NodeRuns() []checker.NodeRun {
-	fleet.lock.Lock()
-	defer fleet.lock.Unlock()
-	var runs []checker.NodeRun
-	for _, process := range fleet.processes {
-		if process.Kind != KindNode {
-			continue
-		}
-		run := checker.NodeRun{Node: process.Name}
-		run.From = fleet.options.Clock.At(process.Started)
-		if ended, done := process.Ended(); done {
-			run.To = fleet.options.Clock.At(ended)
-			run.Ended = true
-		}
-		runs = append(runs, run)
-	}
-	return runs
+	return fleet.processes.nodeRuns(fleet.options.Clock)
 }
--- a/internal/lab/fleet/machines.go
+++ b/internal/lab/fleet/stand_in_changes.go
@@ -7,10 +7,7 @@
 	"net/http"
 
 	"github.com/pkg/errors"
-	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
-	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/platform"
 )
@@ -28,18 +25,6 @@
 	truncateAtByte = 400
 )
 
-// RestartNode starts a node again on the data that it left.
-func (fleet *Fleet) RestartNode(name string) error {
-	node, known := fleet.Topology().Node(name)
-	if !known {
-		return errors.Errorf("the topology has no node %s", name)
-	}
-	if fleet.running(name) != nil {
-		return errors.Errorf("node %s runs already", name)
-	}
-	return fleet.StartNode(node)
-}
-
 // DrainReplica lets the platform list a model replica as draining.
 func (fleet *Fleet) DrainReplica(ctx context.Context, address string) error {
 	changes := platform.Changes{Changes: []platform.Change{{
@@ -85,18 +70,3 @@
 	}
 	return nil
 }
-
-// LiveTargets returns the nodes that run, as operators reach them.
-func (fleet *Fleet) LiveTargets() []operator.Target {
-	return lo.FilterMap(fleet.Topology().Nodes, func(node Node, _ int) (operator.Target, bool) {
-		target := operator.Target{Node: node.Name, ControlAddress: node.ControlAddress()}
-		return target, fleet.running(node.Name) != nil
-	})
-}
-
-// trafficTargets returns the front nodes, as callers reach them.
-func trafficTargets(topology *Topology) []caller.Target {
-	return lo.Map(topology.Front(), func(node Node, _ int) caller.Target {
-		return caller.Target{Node: node.Name, TrafficAddress: node.TrafficAddress(), ControlAddress: node.ControlAddress()}
-	})
-}
--- /dev/null
+++ b/internal/lab/fleet/targets.go
@@ -0,0 +1,23 @@
+package fleet
+
+import (
+	"github.com/samber/lo"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
+	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
+)
+
+// LiveTargets returns the nodes that run, as operators reach them.
+func (fleet *Fleet) LiveTargets() []operator.Target {
+	return lo.FilterMap(fleet.Topology().Nodes, func(node Node, _ int) (operator.Target, bool) {
+		target := operator.Target{Node: node.Name, ControlAddress: node.ControlAddress()}
+		return target, fleet.processes.running(node.Name) != nil
+	})
+}
+
+// trafficTargets returns the front nodes, as callers reach them.
+func trafficTargets(topology *Topology) []caller.Target {
+	return lo.Map(topology.Front(), func(node Node, _ int) caller.Target {
+		return caller.Target{Node: node.Name, TrafficAddress: node.TrafficAddress(), ControlAddress: node.ControlAddress()}
+	})
+}
--- a/internal/lab/fleet/topology.go
+++ b/internal/lab/fleet/topology.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 
 	"github.com/pkg/errors"
+	"github.com/samber/lo"
 	"google.golang.org/protobuf/encoding/protojson"
 
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
@@ -215,3 +216,8 @@
 func withPort(address string, port int) string {
 	return fmt.Sprintf("%s:%d", address, port)
 }
+
+// Zones returns the zones in which nodes stand, in the order of the nodes.
+func (topology *Topology) Zones() []string {
+	return lo.Uniq(lo.Map(topology.Nodes, func(node Node, _ int) string { return node.Zone }))
+}
