--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -19,6 +19,14 @@
 // after schedules an action for later.
 func (c *clock) after(delay time.Duration, run func()) { c.events.Add(c.now+delay, run) }
 
+// poll runs a check now, and again after each interval, until it reports that it is
+// done.
+func (c *clock) poll(interval time.Duration, check func() (done bool)) {
+	if !check() {
+		c.after(interval, func() { c.poll(interval, check) })
+	}
+}
+
 // runUntil runs the events in order up to an instant.
 func (c *clock) runUntil(end time.Duration) {
 	for at, more := c.events.Next(); more && at <= end; at, more = c.events.Next() {
--- a/internal/lab/sim/connectivity.go
+++ b/internal/lab/sim/connectivity.go
@@ -61,12 +61,12 @@
 	if !c.env.settings.FailOpen {
 		return
 	}
-	var poll func()
-	poll = func() {
-		c.observe()
-		c.env.after(observeEvery, poll)
-	}
-	c.env.at(0, poll)
+	c.env.at(0, func() {
+		c.env.poll(observeEvery, func() bool {
+			c.observe()
+			return false
+		})
+	})
 }
 
 // recordDisturbance records that a node was started, stopped, frozen, woken or
--- a/internal/lab/sim/core_faults.go
+++ b/internal/lab/sim/core_faults.go
@@ -134,17 +134,16 @@
 // shard.
 func (f *coreFaults) awaitAllVoters(from time.Duration) {
 	const pollInterval = 20 * time.Millisecond
-	var poll func()
-	poll = func() {
-		if f.groups.everyMemberIsVoter() {
-			f.env.logf(worldColumn, "formed anew")
-			f.loss.active = false
-			f.env.counts.Faults["majority-recovered"]++
-			return
+	formedAnew := func() bool {
+		if !f.groups.everyMemberIsVoter() {
+			return false
 		}
-		f.env.after(pollInterval, poll)
+		f.env.logf(worldColumn, "formed anew")
+		f.loss.active = false
+		f.env.counts.Faults["majority-recovered"]++
+		return true
 	}
-	f.env.at(from, poll)
+	f.env.at(from, func() { f.env.poll(pollInterval, formedAnew) })
 }
 
 // whenHealthy runs an action at the first instant, up to a time-out, at which all
@@ -152,17 +151,16 @@
 func (f *coreFaults) whenHealthy(timeout time.Duration, then func()) {
 	const pollInterval = 20 * time.Millisecond
 	deadline := min(f.env.now+timeout, f.env.settings.recoveryPhaseStart()-time.Second)
-	var poll func()
-	poll = func() {
+	f.env.poll(pollInterval, func() bool {
 		switch {
 		case f.env.now >= deadline:
 		case f.healthy():
 			then()
 		default:
-			f.env.after(pollInterval, poll)
+			return false
 		}
-	}
-	poll()
+		return true
+	})
 }
 
 // healthy reports whether all members vote, and all nodes serve what was
--- a/internal/lab/sim/disk_faults.go
+++ b/internal/lab/sim/disk_faults.go
@@ -110,19 +110,17 @@
 	const pollInterval = 20 * time.Millisecond
 	f.lose()
 	deadline := min(f.env.now+timeout, f.env.settings.recoveryPhaseStart()-time.Second)
-	var poll func()
-	poll = func() {
+	loseAgain := func() bool {
 		victims := f.groups.expendable(func(one *node) bool { return one.up })
-		switch {
-		case len(victims) == len(f.machines.withDisks()):
-			f.env.logf(worldColumn, "repaired")
-			f.env.counts.Faults["disk-lost-after-repair"]++
-			f.replace(pick(f.env.randomness, victims))
-		case f.env.now < deadline:
-			f.env.after(pollInterval, poll)
+		if len(victims) < len(f.machines.withDisks()) {
+			return f.env.now >= deadline
 		}
+		f.env.logf(worldColumn, "repaired")
+		f.env.counts.Faults["disk-lost-after-repair"]++
+		f.replace(pick(f.env.randomness, victims))
+		return true
 	}
-	f.env.after(pollInterval, poll)
+	f.env.after(pollInterval, func() { f.env.poll(pollInterval, loseAgain) })
 }
 
 // replace replaces a node's machine. In a deployment with a configured group the
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -267,16 +267,15 @@
 	const timeout = 4 * time.Second
 	const pollInterval = 500 * time.Microsecond
 	deadline := min(o.env.now+timeout, o.env.settings.recoveryPhaseStart())
-	var poll func()
-	poll = func() {
+	o.env.poll(pollInterval, func() bool {
 		switch {
 		case order.acknowledged():
 			then()
 		case o.env.now >= deadline || order.finished:
 			otherwise()
 		default:
-			o.env.after(pollInterval, poll)
+			return false
 		}
-	}
-	poll()
+		return true
+	})
 }
--- a/internal/lab/sim/replacement_faults.go
+++ b/internal/lab/sim/replacement_faults.go
@@ -64,17 +64,17 @@
 	}
 	added.start()
 	deadline := min(f.env.now+timeout, f.env.settings.recoveryPhaseStart()-time.Second)
-	var poll func()
-	poll = func() {
+	removeOnceReplaced := func() bool {
 		switch {
 		case f.env.now >= deadline || victim.removed:
 		case f.groups.isVoterEverywhere(added) && f.groups.canLose(victim):
 			f.shutDownThen(victim, func() { f.machines.remove(victim) })
 		default:
-			f.env.after(pollInterval, poll)
+			return false
 		}
+		return true
 	}
-	f.env.after(pollInterval, poll)
+	f.env.after(pollInterval, func() { f.env.poll(pollInterval, removeOnceReplaced) })
 }
 
 // shutDownThen shuts a node down, in most runs gracefully, and then runs what
