--- a/internal/control/confirmation/table.go
+++ b/internal/control/confirmation/table.go
@@ -44,8 +44,8 @@
 	node  member.ID
 }
 
-// awaitedRevision is what a leader waits for since some time: that the nodes serve a
-// revision, or have drained it.
+// awaitedRevision is what a leader has waited for since an instant: that the nodes serve a
+// revision, or that they have drained it; the other one is 0.
 type awaitedRevision struct {
 	revision uint64
 	drained  uint64
@@ -224,7 +224,9 @@
 	}
 }
 
-// requestRegistered asks each node that may still serve without what is overdue.
+// requestRegistered asks each node that may still serve without what is overdue. Where nodes
+// register they confirm to all nodes with disks and need not learn who leads, so that the
+// request carries no term.
 func (t *Table) requestRegistered(shard Shard, overdue awaitedRevision) {
 	for _, node := range shard.Nodes() {
 		id := member.ID(node.GetNode())
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -17,7 +17,7 @@
 //	messages to send                          outbox
 //	log and replicated state of a shard       shards.Shard, with its replication.Group
 //	writes and proposals of a shard           shards.Shard
-//	which shards the node hosts; their groups hostedShards
+//	hosted shards; groups of all shards       hostedShards
 //	writes to make                            shardHost
 //	newest state of each shard, as relayed    stateRelay: shardstate.Received
 //	the way of states to all nodes            stateRelay: relaytree.Machine
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -190,13 +190,14 @@
 // may stand that drains by now; but it must serve while the platform is down.
 const endpointsTimeout = 1500 * time.Millisecond
 
-// endpointFreshness reports whether the present incarnation of a node may serve by the
+// endpointFreshness decides whether the present incarnation of a node may serve by the
 // platform's list.
 type endpointFreshness struct {
 	incarnation member.Incarnation
 	// since is when the incarnation was first seen.
 	since time.Duration
-	// fresh means that the list was read in the incarnation.
+	// fresh means that, within the incarnation, the list was proven younger than
+	// endpointsFreshFor.
 	fresh bool
 }
 
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -26,30 +26,31 @@
 	clock  *clock
 	outbox *outbox
 
-	// members is who is alive and where, shards this node's copies of shards, host what
-	// carries out what these are ready to do, leaders who leads each shard, and states the
-	// newest state of each.
+	// members knows who is alive and where, and leaders which node leads each shard. shards
+	// are this node's copies of shards, and host carries out what they are ready to do.
+	// states has the newest state of every shard, hosted or not.
 	members *memberTable
 	shards  *hostedShards
 	host    *shardHost
 	leaders *leaders.Directory
 	states  *stateRelay
 
-	// requests and registration are this node's towards the leaders of shards, and
-	// leaderRequests and registrar the other side of them.
+	// requests and registration ask the leaders of shards on behalf of this node.
+	// leaderRequests and registrar answer the same for the shards that this node leads.
 	requests       *requests.Client
 	leaderRequests *requests.Leader
 	registration   *localRegistration
 	registrar      *registration.Registrar
 
-	// served is what this node confirms, confirmations what all nodes have, and
-	// disseminator brings states to those that have not.
+	// served tells the leaders what this node serves, confirmations records what all nodes
+	// serve, and disseminator brings the newest states to those that lag behind.
 	served        *localConfirmations
 	confirmations *confirmation.Table
 	disseminator  *confirmation.Disseminator
 
-	// recovery forms groups anew, rollout moves replicas to other weights, endpoints is
-	// the platform's list, and views makes what traffic is routed by of all that.
+	// recovery forms groups anew that lost most of their disks, rollout moves replicas to
+	// other weights, and endpoints has the platform's list. views builds what traffic is
+	// routed by.
 	recovery  *recovery.Machine
 	rollout   *rollout.Machine
 	endpoints *localEndpoints
@@ -269,6 +270,8 @@
 // recoverShards goes on with the shards that this node is to form anew.
 func (m *Machine) recoverShards() {
 	for shard := range m.shards.all() {
+		// A configuration shows that the deployment was set up, so that a group whose
+		// logs are all empty has lost a state.
 		if m.states.received.Revision(ConfigurationShard) > 0 {
 			shard.Group().ExpectState()
 		}
--- a/internal/control/queries.go
+++ b/internal/control/queries.go
@@ -43,7 +43,8 @@
 }
 
 // Prepared reports whether this node can serve what the configuration promises: it
-// knows the back ends, and is registered with the shard of every pool.
+// knows the back ends and, where nodes drain replicas, is registered with the shard of
+// every pool (see view.Builder).
 func (m *Machine) Prepared() bool {
 	if !m.endpoints.inUse.known {
 		return false
--- a/internal/control/recovery/machine.go
+++ b/internal/control/recovery/machine.go
@@ -20,7 +20,8 @@
 	// minWitnessSearch is how long witnesses are sought at least: a node that has
 	// just started does not know all others yet.
 	minWitnessSearch = 500 * time.Millisecond
-	// maxWitnessSearch is how long a live node that does not answer is waited for.
+	// maxWitnessSearch is how long a live node that does not answer is waited for; then
+	// the group is formed without it.
 	maxWitnessSearch = 1500 * time.Millisecond
 )
 
@@ -68,7 +69,8 @@
 	term    uint64
 	from    member.ID
 	request uint64
-	// previous is the newest term when the request came first.
+	// previous is the newest term from before that request. It is what the reply tells,
+	// as the request's own term must not seem to be in use already.
 	previous uint64
 }
 
@@ -211,8 +213,8 @@
 	}
 }
 
-// recoverShard forms the group anew with the newest state that is known. The relay brings the
-// state of the best witness; until it has, the search goes on.
+// recoverShard forms the group anew with the newest state that is known. The relay tree brings
+// the state of the best witness; until it has, the search goes on.
 func (m *Machine) recoverShard(shard Shard, search *witnessSearch) (changed bool, err error) {
 	newest, term := uint64(0), m.ObservedTerm(shard.ID())
 	for _, reply := range search.replies {
@@ -220,6 +222,7 @@
 		term = max(term, reply.Term)
 	}
 	if term >= search.term {
+		// The group must open above it, so that no former leader is taken for the new one.
 		shard.RaiseRecoveryTerm(term)
 		return true, nil
 	}
@@ -236,9 +239,9 @@
 	return !overtaken, nil
 }
 
-// RecoveredState encodes what the log leads to, unless a witness holds what the log
-// does not, or other than the log: then entries of the log that were never
-// committed must give way to it. Every node that may serve is registered, since
+// RecoveredState encodes what the log leads to, unless a witness holds a state that the
+// log did not lead through: then entries of the log that were never committed must
+// give way to it. Every node that may serve is registered, since
 // the log may have lost what it had registered.
 func (m *Machine) RecoveredState(shard Shard, replies map[member.ID]WitnessReply) ([]byte, error) {
 	state, covers, err := m.replay(shard)
--- a/internal/control/registration/client.go
+++ b/internal/control/registration/client.go
@@ -21,7 +21,9 @@
 	incarnation      member.Incarnation
 	requiredRevision uint64
 	// term is the one in which the leader told requiredRevision.
-	term        uint64
+	term uint64
+	// target is the node asked last, by the numbered request; empty after an accepted
+	// registration.
 	target      member.ID
 	request     uint64
 	nextAttempt time.Duration
@@ -61,8 +63,8 @@
 }
 
 // Tick asks the leaders to register the node, as long as its present incarnation is not.
-// A fenced node must not ask: it takes a new incarnation first, since
-// others may have counted on the end of the old one.
+// A fenced node must not ask: it takes a new incarnation first, since others may have
+// counted on the end of the old one.
 func (c *Client) Tick(now time.Duration, incarnation member.Incarnation) {
 	for _, id := range c.shardIDs {
 		current := c.byShard[id]
@@ -130,6 +132,7 @@
 	case message.Incarnation > incarnation:
 		return Result{LaterIncarnation: message.Incarnation}
 	case message.Revision != 0:
+		// A challenge, see protocol.Message.
 		c.answerChallenge(from, message, current, incarnation)
 		return Result{}
 	}
@@ -141,7 +144,8 @@
 	return Result{}
 }
 
-// accept records that a leader has registered the node, and reports whether that is new.
+// accept records that a leader has registered the node, and reports whether that is new. The
+// leader of a later term may tell another revision, see requiredRevisionTimeout.
 func (c *Client) accept(now time.Duration, from member.ID, message protocol.Message, current *registration, incarnation member.Incarnation) bool {
 	known := current.accepted && current.incarnation == message.Incarnation
 	if (known && message.Term <= current.term) || message.Incarnation != incarnation {
--- a/internal/control/requests/client.go
+++ b/internal/control/requests/client.go
@@ -136,7 +136,8 @@
 }
 
 // timeOut answers a request that nobody decided in time. The outcome of a change is
-// unknown then, so that it is answered as pending.
+// unknown then: it gets the empty answer, which is neither confirmed nor a problem, and
+// which operators are shown as pending.
 func (c *Client) timeOut(pending *pendingRequest) {
 	switch {
 	case pending.confirmed:
--- a/internal/control/requests/doc.go
+++ b/internal/control/requests/doc.go
@@ -10,7 +10,10 @@
 //
 // A change is acknowledged only when no node can serve an older revision any more; one
 // that is not confirmed in time is answered as pending, since it may still take effect.
-// A request keeps its number when it is repeated, so that the leader works on it once.
+// A request keeps its number when it is repeated, so that one leader works on it once. If
+// the leader is lost meanwhile, the next one gets the repeated request and appends the order
+// again. The replicated state knows an order by its identity, so that it takes effect once
+// and gets its first answer.
 //
 // Neither type does I/O, reads a clock or is safe for concurrent use.
 package requests
--- a/internal/control/requests/leader.go
+++ b/internal/control/requests/leader.go
@@ -134,7 +134,8 @@
 }
 
 // Tick acknowledges the changes that are confirmed everywhere, and answers as pending
-// those that were not confirmed in time.
+// those that were not confirmed in time. The shard is nil if this node does not host it, so
+// that no change waits here.
 func (l *Leader) Tick(now time.Duration, shard Shard) {
 	var unacknowledged []unacknowledgedChange
 	unconfirmedAfter := l.config.AcknowledgeUnconfirmedAfter
@@ -143,7 +144,7 @@
 		case shard.IsLeader() && shard.ConfirmedEverywhere(change.answer.GetRevision()):
 			l.reply(change.requestKey, change.answer, true)
 		case unconfirmedAfter > 0 && now >= change.since+unconfirmedAfter:
-			// It is committed, whoever leads the shard by now.
+			// The change is committed, whoever leads the shard by now.
 			l.reply(change.requestKey, change.answer, true)
 		case now >= change.deadline:
 			l.reply(change.requestKey, change.answer, false)
--- a/internal/control/rollout/advance.go
+++ b/internal/control/rollout/advance.go
@@ -19,7 +19,7 @@
 	reports *replicaReports
 	pool    *ridgeswitchv1.Pool
 	pace    *pace
-	// evacuated are the zones without requests.
+	// evacuated are the zones to whose replicas no request goes.
 	evacuated shardstate.ZoneSet
 	// replicas are the pool's, but for those whose row is about another incarnation.
 	replicas []poolReplica
@@ -66,8 +66,8 @@
 	return rows
 }
 
-// nextRow returns the row that a replica moves to by itself, which is any but the step out
-// of service, or nil if it stays.
+// nextRow returns the row that a replica moves to whatever the pace allows, or nil if it
+// stays. To be taken out of service for an update, it waits for selectForUpdate.
 func (p *poolRollout) nextRow(replica poolReplica) *controlpb.ReplicaState {
 	switch {
 	case replica.row == nil:
--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -108,6 +108,8 @@
 // readyForCommand reports whether a command would have an effect: the replica responds,
 // is not busy with another command, and did not accept the last one.
 func (p *poolRollout) readyForCommand(replica poolReplica, progress *replicaProgress) bool {
+	// The command may have been sent until commandTimeout had passed, and its response
+	// may have taken as long again.
 	if progress.inFlight && p.now < progress.sentAt+2*commandTimeout {
 		return false
 	}
@@ -136,7 +138,7 @@
 
 // commandLeaseValid reports whether this node's right to command is certain for the whole
 // time of a command, and the last command of an earlier leader is as old as the commands
-// of two leaders must be apart.
+// of two leaders must be apart. In the first term there was no earlier leader.
 func (s *shardState) commandLeaseValid(now time.Duration, config Config, shard Shard) bool {
 	first := s.since + config.LeaseDuration + config.LeaseMargin + config.CommandGap
 	if s.term > 1 && now < first {
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -22,8 +22,8 @@
 	Sequence uint64
 	// ActiveRequests counts requests that run or wait on the replica.
 	ActiveRequests int
-	// Age is how old the numbers may have been when the replica was asked. It is
-	// part of MeasuredAt.
+	// Age is how old the numbers may have been when the replica was asked. MeasuredAt
+	// allows for it already.
 	Age time.Duration
 	// MeasuredAt is when the replica took the numbers, which may be well
 	// before they arrived.
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -59,7 +59,8 @@
 	// reportValidFrom from when on a report shows whether it did.
 	accepted        bool
 	reportValidFrom time.Duration
-	// nextReport is from when on it is worth the price to ask for a report.
+	// nextReport is from when on a report is asked for. Each report has a cost, and an
+	// earlier one would hardly show an effect of the command.
 	nextReport time.Duration
 	// expectedLoad is how long the replica is thought to be out from the command on.
 	expectedLoad time.Duration
@@ -133,7 +134,8 @@
 	return obsolete
 }
 
-// caughtUp reports whether the list knows as much as a row by now.
+// caughtUp reports whether the list has shown a version of a serving replica for
+// rowRetention, so that the row is needed no more. It records when that began.
 func (s *shardState) caughtUp(now time.Duration, row *controlpb.ReplicaState, endpoint listing.Replica) bool {
 	address := row.GetAddress()
 	if endpoint.WeightVersion == "" || row.GetPhase() != controlpb.ReplicaPhase_SERVING {
--- a/internal/control/state_relay.go
+++ b/internal/control/state_relay.go
@@ -75,9 +75,9 @@
 	r.outbox.sendRelay(r.tree.Feed(to, relaytree.Topic(shardID)))
 }
 
-// publishCommitted spreads a shard's newest committed state when this node leads the shard.
-// Before the barrier of its term is applied, the state may be about to give way to that
-// of a group that was formed anew.
+// publishCommitted spreads a shard's newest committed state if this node leads the shard and
+// has applied the barrier of its term. Before that, the state may be about to give way to
+// that of a group that was formed anew.
 func (r *stateRelay) publishCommitted(shard *shards.Shard) {
 	if !shard.Group().BarrierApplied() || !r.behind(shard) {
 		return
@@ -88,8 +88,9 @@
 	}
 }
 
-// publishRestored takes what the disk kept of a shard as a state to serve by, so that a
-// node does so also while there is no quorum.
+// publishRestored has a node that serves while partitioned serve by what its disk kept of a
+// shard, once after the start, so that it need not wait for a quorum. Other nodes wait for
+// their registration anyway.
 func (r *stateRelay) publishRestored(shard *shards.Shard) {
 	if !r.config.FailOpen || r.restored[shard.ID()] || !r.behind(shard) {
 		return
@@ -139,7 +140,7 @@
 	}
 }
 
-// setRoots names the root of each shard, and leaves those as they are that are not known.
+// setRoots names the root of each shard. Where none is known, the last one stays.
 func (r *stateRelay) setRoots(rootOf func(shardID uint32) member.ID) {
 	for _, id := range r.shardIDs {
 		if root := rootOf(id); root != "" {
