--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -88,7 +88,7 @@
 		client:   registration.NewClient(m.shards.ids, times.RetryEvery, m.outbox, numbers, m.leaders, m.states.received),
 	}
 	m.registrar = registration.NewRegistrar(config.Self.ID, times.RetryEvery, m.outbox, numbers, m.leaders)
-	m.served = &localConfirmations{
+	m.localConfirmations = &localConfirmations{
 		config:   config,
 		members:  m.members,
 		shards:   m.shards,
--- a/internal/control/driver/frame_sender.go
+++ b/internal/control/driver/frame_sender.go
@@ -52,11 +52,11 @@
 }
 
 // distanceBetween compares two zones; an unknown one is "".
-func distanceBetween(own, other string) Distance {
+func distanceBetween(self, other string) Distance {
 	switch other {
 	case "":
 		return UnknownZone
-	case own:
+	case self:
 		return SameZone
 	default:
 		return OtherZone
--- a/internal/control/hosted_shard.go
+++ b/internal/control/hosted_shard.go
@@ -93,11 +93,11 @@
 	return s.Group().RecoverQuorum(s.now, term, state)
 }
 
-// ledServices is a service shard that this node leads, as its roll-outs see it.
-type ledServices struct {
+// ledServiceShard is a service shard that this node leads, as its roll-outs see it.
+type ledServiceShard struct {
 	hostedShard
-	services *shardstate.Service
+	state *shardstate.Service
 }
 
 // Rows returns the rows of the replicas, sorted by address; read only.
-func (l ledServices) Rows() []*controlpb.ReplicaState { return l.services.Replicas() }
+func (l ledServiceShard) Rows() []*controlpb.ReplicaState { return l.state.Replicas() }
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -42,11 +42,11 @@
 	registration   *localRegistration
 	registrar      *registration.Registrar
 
-	// served tells the leaders what this node serves, confirmations records what all nodes
-	// serve, and disseminator brings the newest states to those that lag behind.
-	served        *localConfirmations
-	confirmations *confirmation.Table
-	disseminator  *confirmation.Disseminator
+	// localConfirmations tells the leaders what this node serves, confirmations records what
+	// all nodes serve, and disseminator brings the newest states to those that lag behind.
+	localConfirmations *localConfirmations
+	confirmations      *confirmation.Table
+	disseminator       *confirmation.Disseminator
 
 	// recovery forms groups anew that lost most of their disks, rollout moves replicas to
 	// other weights, and endpoints has the platform's list. views builds what traffic is
@@ -76,13 +76,13 @@
 		m.recoverShards()
 		m.registration.tick(now)
 		m.requestConfirmations()
-		m.served.tick(now)
+		m.localConfirmations.tick(now)
 		m.disseminate()
 		m.requests.Tick(now)
 		m.leaderRequests.Tick(now, m.shards.forRequests(ConfigurationShard))
 		m.endpoints.tick(now)
 		m.advanceRollouts()
-		m.views.advance(before, now)
+		m.views.checkDeadlines(before, now)
 	})
 }
 
@@ -190,7 +190,7 @@
 	now := m.clock.now
 	m.endpoints.followIncarnation(now, m.members.incarnation())
 	refreshed := m.refreshView()
-	m.requests.Received(m.Configuration())
+	m.requests.AnswerReads(m.Configuration())
 	moves := m.rollout.Take()
 	return Output{
 		Sends:         m.outbox.take(),
@@ -212,7 +212,7 @@
 		Registered: m.registration.registered,
 	})
 	if refreshed != nil {
-		m.served.publish(m.clock.now)
+		m.localConfirmations.publish(m.clock.now)
 	}
 	return refreshed
 }
@@ -242,7 +242,7 @@
 		m.confirmations.Receive(from, message)
 		m.rollout.Wake(now)
 	case protocol.MessageConfirmRequest:
-		m.served.receiveRequest(from, message)
+		m.localConfirmations.receiveRequest(from, message)
 	case protocol.MessageEndpoints, protocol.MessageEndpointsRequest:
 		m.endpoints.receive(now, from, message)
 	}
--- a/internal/control/registration.go
+++ b/internal/control/registration.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/recovery"
 	"github.com/ridgeswitch/ridgeswitch/internal/control/registration"
@@ -45,3 +46,12 @@
 func (r *localRegistration) registered(shardID uint32) bool {
 	return r.failOpen || r.client.Registered(shardID, r.members.incarnation())
 }
+
+// forgetEndedNode proposes that a shard which this node leads forgets a registered
+// incarnation that has ended, so that no later leader waits for it.
+func (m *Machine) forgetEndedNode(shard hostedShard) {
+	now := m.clock.now
+	if ended := m.registrar.Prune(now, shard, m.members); ended != nil {
+		shard.ProposeCommand(now, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
+	}
+}
--- a/internal/control/requests/client.go
+++ b/internal/control/requests/client.go
@@ -43,10 +43,10 @@
 	target      member.ID
 	nextAttempt time.Duration
 	deadline    time.Duration
-	// confirmed means that a quorum confirmed minRevision, for which a read of the
+	// revisionConfirmed means that a quorum confirmed minRevision, for which a read of the
 	// configuration waits on this node.
-	confirmed   bool
-	minRevision uint64
+	revisionConfirmed bool
+	minRevision       uint64
 }
 
 // ClientConfig sets up a Client.
@@ -91,7 +91,7 @@
 }
 
 // ReadConfiguration asks for the configuration in force. The leader tells its revision,
-// as a quorum confirms it, and Received answers by the node's own copy once that is as
+// as a quorum confirms it, and AnswerReads answers by the node's own copy once that is as
 // new. The Reply carries the ticket and the configuration.
 func (c *Client) ReadConfiguration(now time.Duration, ticket uint64) {
 	c.begin(now, &pendingRequest{ticket: ticket, kind: protocol.MessageReadRevision})
@@ -128,7 +128,7 @@
 		switch {
 		case now >= pending.deadline:
 			c.timeOut(pending)
-		case pending.confirmed:
+		case pending.revisionConfirmed:
 		case now >= pending.nextAttempt:
 			c.send(pending, c.leaders.Next(shardstate.ConfigurationShard, pending.target))
 		}
@@ -140,7 +140,7 @@
 // which operators are shown as pending.
 func (c *Client) timeOut(pending *pendingRequest) {
 	switch {
-	case pending.confirmed:
+	case pending.revisionConfirmed:
 		c.complete(pending, Reply{Err: ErrBehind})
 	case pending.kind == protocol.MessageChange:
 		c.complete(pending, Reply{Answer: &controlpb.Answer{}})
@@ -181,7 +181,7 @@
 	}
 	if message.Type == protocol.MessageReadRevisionReply {
 		c.leaders.Learn(message.Shard, from)
-		pending.confirmed, pending.minRevision = true, message.Revision
+		pending.revisionConfirmed, pending.minRevision = true, message.Revision
 		return
 	}
 	reply, err := decodeReply(message)
@@ -192,11 +192,11 @@
 	c.complete(pending, reply)
 }
 
-// Received answers the reads of the configuration for which the node's copy is new
+// AnswerReads answers the reads of the configuration for which the node's copy is new
 // enough.
-func (c *Client) Received(configuration *ridgeswitchv1.Configuration) {
+func (c *Client) AnswerReads(configuration *ridgeswitchv1.Configuration) {
 	for _, pending := range slices.Clone(c.pending) {
-		if pending.confirmed && configuration.GetRevision() >= pending.minRevision {
+		if pending.revisionConfirmed && configuration.GetRevision() >= pending.minRevision {
 			c.complete(pending, Reply{Configuration: configuration})
 		}
 	}
--- a/internal/control/requests/requests_test.go
+++ b/internal/control/requests/requests_test.go
@@ -92,9 +92,9 @@
 		client.ReceiveReply(0, "a", protocol.Message{
 			Type: protocol.MessageReadRevisionReply, Request: sent[0].message.Request, Accepted: true, Revision: 3,
 		})
-		client.Received(&ridgeswitchv1.Configuration{Revision: 2})
+		client.AnswerReads(&ridgeswitchv1.Configuration{Revision: 2})
 		Expect(client.TakeReplies()).To(BeEmpty())
-		client.Received(&ridgeswitchv1.Configuration{Revision: 3})
+		client.AnswerReads(&ridgeswitchv1.Configuration{Revision: 3})
 		Expect(client.TakeReplies()).To(HaveLen(1))
 	})
 
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -30,10 +30,11 @@
 	CommandRefused       = rollout.CommandRefused
 )
 
-// advanceRollouts lets each shard that this node leads make its next moves.
+// advanceRollouts lets each shard that this node leads make its next moves: it forgets a
+// node that has ended, and moves replicas.
 func (m *Machine) advanceRollouts() {
 	now := m.clock.now
-	if !m.rollout.Due(now) {
+	if !m.rollout.BeginRun(now) {
 		return
 	}
 	for shard := range m.shards.all() {
@@ -41,11 +42,7 @@
 			continue
 		}
 		m.rollout.Lead(now, shard.ID(), shard.Term())
-		// A registered incarnation that has ended is forgotten, so that a later leader
-		// does not wait for it.
-		if ended := m.registrar.Prune(now, shard, m.members); ended != nil {
-			shard.ProposeCommand(now, &controlpb.Command{Command: &controlpb.Command_ForgetNode{ForgetNode: ended}})
-		}
+		m.forgetEndedNode(shard)
 		if service, ok := shard.State().(*shardstate.Service); ok {
 			m.rollOut(shard, service)
 		}
@@ -65,7 +62,7 @@
 			pools = append(pools, rollout.Pool{Config: pool, Endpoints: m.endpoints.inUse.services[pool.GetService()]})
 		}
 	}
-	led := ledServices{hostedShard: shard, services: service}
+	led := ledServiceShard{hostedShard: shard, state: service}
 	change := m.rollout.Advance(m.clock.now, led, pools, shardstate.EvacuatedZones(configuration))
 	if change != nil {
 		shard.ProposeCommand(m.clock.now, &controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -140,8 +140,8 @@
 // time of a command, and the last command of an earlier leader is as old as the commands
 // of two leaders must be apart. In the first term there was no earlier leader.
 func (s *shardState) commandLeaseValid(now time.Duration, config Config, shard Shard) bool {
-	first := s.since + config.LeaseDuration + config.LeaseMargin + config.CommandGap
-	if s.term > 1 && now < first {
+	earliest := s.since + config.LeaseDuration + config.LeaseMargin + config.CommandGap
+	if s.term > 1 && now < earliest {
 		return false
 	}
 	return shard.HasCommandLease(now) && shard.HasCommandLease(now+commandTimeout)
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -92,9 +92,9 @@
 	return machine
 }
 
-// Due reports whether the next moves are to be looked for now, and if so takes it that
-// they are.
-func (m *Machine) Due(now time.Duration) bool {
+// BeginRun reports whether it is time to look for the next moves. If so, the caller must do
+// it now: the time of the next run is counted from this call.
+func (m *Machine) BeginRun(now time.Duration) bool {
 	if now < m.nextRun {
 		return false
 	}
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -46,6 +46,9 @@
 	reportTimeout = 4 * time.Second
 	// reportFreshness is how old a report may be to show that a replica runs now.
 	reportFreshness = 3 * time.Second
+	// unresponsiveFailures is how many requests in a row without a report show that a replica
+	// does not respond.
+	unresponsiveFailures = 2
 )
 
 // reportRequest is the state of this node's requests for the report of one replica.
@@ -157,9 +160,8 @@
 
 // unresponsive reports whether a replica has left reports unanswered lately.
 func (r *replicaReports) unresponsive(address string) bool {
-	const fewFailures = 2
 	request := r.requests[address]
-	return request != nil && request.failures >= fewFailures
+	return request != nil && request.failures >= unresponsiveFailures
 }
 
 // takeDue returns the requests to send and starts anew.
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -22,7 +22,7 @@
 		Zone:             m.config.Self.Zone,
 		HoldsState:       m.config.Self.HoldsState,
 		Fenced:           until <= now,
-		ServedRevision:   m.served.local.Published(ConfigurationShard),
+		ServedRevision:   m.localConfirmations.local.Published(ConfigurationShard),
 		Fences:           m.members.FenceCount(),
 		ServeRemainingMs: remainingMilliseconds(now, until),
 	}
@@ -49,14 +49,14 @@
 		Leader:   string(m.leaders.Known(id)),
 		Term:     m.recovery.ObservedTerm(id),
 		Revision: m.states.received.Revision(id),
-		Group: lo.Map(m.shards.Group(id), func(id member.ID, _ int) string {
-			return string(id)
+		Group: lo.Map(m.shards.Group(id), func(node member.ID, _ int) string {
+			return string(node)
 		}),
 	}
 	if shard, hosted := m.shards.find(id); hosted {
-		core := shard.Group().Status()
-		status.Term = core.Term
-		status.Commit = core.Commit
+		group := shard.Group().Status()
+		status.Term = group.Term
+		status.Commit = group.Commit
 		status.Applied = shard.Applied()
 		status.BadEntries = shard.BadEntries()
 	}
--- a/internal/control/view_refresher.go
+++ b/internal/control/view_refresher.go
@@ -25,8 +25,8 @@
 // invalidate has the view built anew at the end of the input.
 func (v *viewRefresher) invalidate() { v.stale = true }
 
-// advance invalidates the view if a deadline of weights has passed between two ticks.
-func (v *viewRefresher) advance(before, now time.Duration) {
+// checkDeadlines invalidates the view if a deadline of weights has passed between two ticks.
+func (v *viewRefresher) checkDeadlines(before, now time.Duration) {
 	v.stale = v.stale || v.builder.DeadlinePassed(before, now)
 }
 
