--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -137,29 +137,6 @@
 	return peers
 }
 
-func isLive(record membership.Record) bool {
-	return record.State == membership.StateAlive || record.State == membership.StateSuspect
-}
-
-// liveDigestOf summarises who is where and alive.
-func liveDigestOf(records []membership.Record) uint64 {
-	digest := xxhash.New()
-	for _, record := range records {
-		live := "down"
-		switch {
-		case isLive(record):
-			live = "live"
-		case record.State == membership.StateLeft:
-			live = "left"
-		}
-		for _, text := range []string{string(record.Info.ID), record.Info.Address, live} {
-			_, _ = digest.WriteString(text)
-			_, _ = digest.WriteString("\n")
-		}
-	}
-	return digest.Sum64()
-}
-
 // coreNodeAddresses lists the internal addresses of the other live nodes with disks, sorted
 // by node.
 func (t *memberTable) coreNodeAddresses() []string {
@@ -182,3 +159,27 @@
 	}
 	return peers
 }
+
+// isLive reports whether a member may be serving for all that the table knows.
+func isLive(record membership.Record) bool {
+	return record.State == membership.StateAlive || record.State == membership.StateSuspect
+}
+
+// liveDigestOf summarises who is where and alive.
+func liveDigestOf(records []membership.Record) uint64 {
+	digest := xxhash.New()
+	for _, record := range records {
+		live := "down"
+		switch {
+		case isLive(record):
+			live = "live"
+		case record.State == membership.StateLeft:
+			live = "left"
+		}
+		for _, text := range []string{string(record.Info.ID), record.Info.Address, live} {
+			_, _ = digest.WriteString(text)
+			_, _ = digest.WriteString("\n")
+		}
+	}
+	return digest.Sum64()
+}
--- a/internal/control/state_relay.go
+++ b/internal/control/state_relay.go
@@ -89,8 +89,9 @@
 }
 
 // publishRestored has a node that serves while partitioned serve by what its disk kept of a
-// shard, once after the start, so that it need not wait for a quorum. Other nodes wait for
-// their registration anyway.
+// shard, once after the start, so that it need not wait for a quorum. A copy whose disk kept
+// nothing does so with the first state that is committed here before the tree brings it.
+// Other nodes wait for their registration anyway.
 func (r *stateRelay) publishRestored(shard *shards.Shard) {
 	if !r.config.FailOpen || r.restored[shard.ID()] || !r.behind(shard) {
 		return
