--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -26,30 +26,31 @@
 	clock  *clock
 	outbox *outbox
 
-	// members is who is alive and where, shards this node's copies of shards, host what
-	// carries out what these are ready to do, leaders who leads each shard, and states the
-	// newest state of each.
+	// members knows who is alive and where, and leaders which node leads each shard. shards
+	// are this node's copies of shards, and host carries out what they are ready to do.
+	// states has the newest state of every shard, hosted or not.
 	members *memberTable
 	shards  *hostedShards
 	host    *shardHost
 	leaders *leaders.Directory
 	states  *stateRelay
 
-	// requests and registration are this node's towards the leaders of shards, and
-	// leaderRequests and registrar the other side of them.
+	// requests and registration ask the leaders of shards on behalf of this node.
+	// leaderRequests and registrar answer the same for the shards that this node leads.
 	requests       *requests.Client
 	leaderRequests *requests.Leader
 	registration   *localRegistration
 	registrar      *registration.Registrar
 
-	// served is what this node confirms, confirmations what all nodes have, and
-	// disseminator brings states to those that have not.
-	served        *localConfirmations
-	confirmations *confirmation.Table
-	disseminator  *confirmation.Disseminator
+	// localConfirmations tells the leaders what this node serves, confirmations records what
+	// all nodes serve, and disseminator brings the newest states to those that lag behind.
+	localConfirmations *localConfirmations
+	confirmations      *confirmation.Table
+	disseminator       *confirmation.Disseminator
 
-	// recovery forms groups anew, rollout moves replicas to other weights, endpoints is
-	// the platform's list, and views makes what traffic is routed by of all that.
+	// recovery forms groups anew that lost most of their disks, rollout moves replicas to
+	// other weights, and endpoints has the platform's list. views builds what traffic is
+	// routed by.
 	recovery  *recovery.Machine
 	rollout   *rollout.Machine
 	endpoints *localEndpoints
@@ -75,13 +76,13 @@
 		m.recoverShards()
 		m.registration.tick(now)
 		m.requestConfirmations()
-		m.served.tick(now)
+		m.localConfirmations.tick(now)
 		m.disseminate()
 		m.requests.Tick(now)
 		m.leaderRequests.Tick(now, m.shards.forRequests(ConfigurationShard))
 		m.endpoints.tick(now)
 		m.advanceRollouts()
-		m.views.advance(before, now)
+		m.views.checkDeadlines(before, now)
 	})
 }
 
@@ -189,7 +190,7 @@
 	now := m.clock.now
 	m.endpoints.followIncarnation(now, m.members.incarnation())
 	refreshed := m.refreshView()
-	m.requests.Received(m.Configuration())
+	m.requests.AnswerReads(m.Configuration())
 	moves := m.rollout.Take()
 	return Output{
 		Sends:         m.outbox.take(),
@@ -211,7 +212,7 @@
 		Registered: m.registration.registered,
 	})
 	if refreshed != nil {
-		m.served.publish(m.clock.now)
+		m.localConfirmations.publish(m.clock.now)
 	}
 	return refreshed
 }
@@ -241,7 +242,7 @@
 		m.confirmations.Receive(from, message)
 		m.rollout.Wake(now)
 	case protocol.MessageConfirmRequest:
-		m.served.receiveRequest(from, message)
+		m.localConfirmations.receiveRequest(from, message)
 	case protocol.MessageEndpoints, protocol.MessageEndpointsRequest:
 		m.endpoints.receive(now, from, message)
 	}
@@ -269,6 +270,8 @@
 // recoverShards goes on with the shards that this node is to form anew.
 func (m *Machine) recoverShards() {
 	for shard := range m.shards.all() {
+		// A configuration shows that the deployment was set up, so that a group whose
+		// logs are all empty has lost a state.
 		if m.states.received.Revision(ConfigurationShard) > 0 {
 			shard.Group().ExpectState()
 		}
