--- a/internal/dataplane/feeds/event_feed.go
+++ b/internal/dataplane/feeds/event_feed.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/health"
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 )
 
@@ -150,7 +150,7 @@
 		f.setResynced()
 		return nil
 	}
-	if status == kvevents.Gap && f.wasResynced() {
+	if status == cachefeed.Gap && f.wasResynced() {
 		return errResync
 	}
 	return nil
@@ -179,7 +179,7 @@
 }
 
 // applyChunks passes an event about cached chunks to the router.
-func (f *eventFeed) applyChunks(event replica.Event) (kvevents.Status, error) {
+func (f *eventFeed) applyChunks(event replica.Event) (cachefeed.Status, error) {
 	now := f.clock()
 	switch event.Kind {
 	case replica.EventStored, replica.EventReset:
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -19,7 +19,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
@@ -87,16 +87,16 @@
 // Report is a page of a replica's or store's reports.
 type Report struct {
 	Address string
-	Feed    kvevents.Position
+	Feed    cachefeed.Position
 	// Complete reports whether the changes are everything that is cached.
 	Complete bool
 	Changes  []Change
 }
 
 // ChunkChanges returns the changes as the router takes them.
-func (r *Report) ChunkChanges() []kvevents.ChunkChange {
-	return lo.Map(r.Changes, func(change Change, _ int) kvevents.ChunkChange {
-		return kvevents.ChunkChange{
+func (r *Report) ChunkChanges() []cachefeed.ChunkChange {
+	return lo.Map(r.Changes, func(change Change, _ int) cachefeed.ChunkChange {
+		return cachefeed.ChunkChange{
 			Sequence: change.Sequence,
 			Hash:     change.Name,
 			Tokens:   change.Tokens,
--- a/internal/dataplane/gossip/snapshot_exchange.go
+++ b/internal/dataplane/gossip/snapshot_exchange.go
@@ -7,7 +7,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
@@ -95,7 +95,7 @@
 	if !found {
 		return Report{}, false
 	}
-	changes := lo.Map(chunks, func(chunk kvevents.ChunkChange, _ int) Change {
+	changes := lo.Map(chunks, func(chunk cachefeed.ChunkChange, _ int) Change {
 		return Change{Name: chunk.Hash, Tokens: chunk.Tokens}
 	})
 	return Report{Address: address, Feed: feed, Complete: true, Changes: changes}, true
--- a/internal/dataplane/reports/page.go
+++ b/internal/dataplane/reports/page.go
@@ -8,7 +8,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -27,7 +27,7 @@
 func reportOf(address string, since uint64, page edges.ReportPage) gossip.Report {
 	return gossip.Report{
 		Address: address,
-		Feed:    kvevents.Position{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
+		Feed:    cachefeed.Position{Incarnation: page.Incarnation, From: since, Next: page.Next, Lost: page.Lost},
 		Changes: lo.Map(page.Changes, func(change edges.ChunkChange, _ int) gossip.Change {
 			return gossip.Change{
 				Sequence: change.Sequence,
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -59,14 +59,14 @@
 	}
 	// report tells a server of changes of the back end, from a number on.
 	report := func(server *Server, from, next uint64) {
-		page := gossip.Report{Address: backend, Feed: kvevents.Position{Incarnation: 7, From: from, Next: next}}
+		page := gossip.Report{Address: backend, Feed: cachefeed.Position{Incarnation: 7, From: from, Next: next}}
 		for sequence := from + 1; sequence <= next; sequence++ {
 			name := prefixindex.HashByID("", "", fmt.Sprint("part ", sequence))
 			page.Changes = append(page.Changes, gossip.Change{Sequence: sequence, Name: name, Tokens: 100})
 		}
 		server.applyReport(now, page)
 	}
-	complete := func(server *Server) (int, kvevents.Position) {
+	complete := func(server *Server) (int, cachefeed.Position) {
 		at, parts, _ := server.router.ChunksSnapshot(backend)
 		return len(parts), at
 	}
@@ -87,7 +87,7 @@
 		Expect(started.snapshots.Done(now)).To(BeTrue())
 		parts, at := complete(started)
 		Expect(parts).To(Equal(5001))
-		Expect(at).To(Equal(kvevents.Position{Incarnation: 7, Next: 5001}))
+		Expect(at).To(Equal(cachefeed.Position{Incarnation: 7, Next: 5001}))
 	})
 
 	It("goes on from where it was read before, instead of from the beginning", func() {
@@ -143,7 +143,7 @@
 	It("goes to the other nodes, where this node has read it itself", func() {
 		server := newNode("node")
 		page := gossip.Report{
-			Address: backend, Feed: kvevents.Position{Incarnation: 7, Next: 1},
+			Address: backend, Feed: cachefeed.Position{Incarnation: 7, Next: 1},
 			Changes: []gossip.Change{{Sequence: 1, Tokens: 100}},
 		}
 		server.publishReport(page)
--- a/internal/dataplane/startup_gate_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
 // unresponsiveReports are replicas that this node does not read.
@@ -36,7 +36,7 @@
 		Expect(stand.requests()).To(BeEmpty())
 
 		f.server.ApplyUpdate(gossip.Update{Node: "other", Reports: []gossip.Report{
-			{Address: stand.address(), Feed: kvevents.Position{Incarnation: 1, Next: 1}, Complete: true},
+			{Address: stand.address(), Feed: cachefeed.Position{Incarnation: 1, Next: 1}, Complete: true},
 		}})
 		f.timeout = 10000
 		f.publish()
--- a/internal/lab/bench/prefix_aware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/emulator"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/workload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -114,11 +114,11 @@
 	address := p.addresses[number]
 	switch event.Kind {
 	case replica.EventStored:
-		return p.router.Stored(now, address, event.Incarnation, event.Sequence, links(event.Chunks)) == kvevents.Gap
+		return p.router.Stored(now, address, event.Incarnation, event.Sequence, links(event.Chunks)) == cachefeed.Gap
 	case replica.EventRemoved:
-		return p.router.Removed(now, address, event.Incarnation, event.Sequence, hashes(event.Chunks)) == kvevents.Gap
+		return p.router.Removed(now, address, event.Incarnation, event.Sequence, hashes(event.Chunks)) == cachefeed.Gap
 	default:
-		return p.router.Reset(now, address, event.Incarnation, event.Sequence, links(event.Chunks)) == kvevents.Gap
+		return p.router.Reset(now, address, event.Incarnation, event.Sequence, links(event.Chunks)) == cachefeed.Gap
 	}
 }
 
--- a/internal/lab/enginebench/feed.go
+++ b/internal/lab/enginebench/feed.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
 const (
@@ -37,18 +37,18 @@
 			continue
 		}
 		from := owner.feed.sequence
-		var batch []kvevents.ChunkChange
+		var batch []cachefeed.ChunkChange
 		for _, change := range changes {
 			owner.feed.sequence++
 			if s.random.Float64() < s.settings.EventLoss {
 				continue
 			}
-			batch = append(batch, kvevents.ChunkChange{
+			batch = append(batch, cachefeed.ChunkChange{
 				Sequence: owner.feed.sequence, Salt: salt, Model: model, ID: change.id,
 				Tokens: uint32(change.cached), Removed: change.cached == 0,
 			})
 		}
-		position := kvevents.Position{Incarnation: 1, From: from, Next: owner.feed.sequence}
+		position := cachefeed.Position{Incarnation: 1, From: from, Next: owner.feed.sequence}
 		delay := minBatchDelay + time.Duration(s.random.ExpFloat64()*float64(meanExtraDelay))
 		address := owner.address
 		s.timers.Add(now+delay, func(now time.Duration) {
--- a/internal/lab/enginebench/policy.go
+++ b/internal/lab/enginebench/policy.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
 // Policy names a way to choose replicas.
@@ -57,7 +57,7 @@
 	first(now time.Duration, placed *placement)
 	done(now time.Duration, placed *placement)
 	// changes, report and remoteLoads deliver what owners report and other routers send.
-	changes(now time.Duration, address string, position kvevents.Position, changes []kvevents.ChunkChange)
+	changes(now time.Duration, address string, position cachefeed.Position, changes []cachefeed.ChunkChange)
 	report(now time.Duration, address string, report kvrouter.Report)
 	loads(now time.Duration) []kvrouter.AddressLoad
 	remoteLoads(now time.Duration, from int, loads []kvrouter.AddressLoad)
@@ -146,7 +146,7 @@
 
 func (n *simpleNode) done(_ time.Duration, placed *placement) { n.running[placed.replica]-- }
 
-func (n *simpleNode) changes(time.Duration, string, kvevents.Position, []kvevents.ChunkChange) {}
+func (n *simpleNode) changes(time.Duration, string, cachefeed.Position, []cachefeed.ChunkChange) {}
 
 func (n *simpleNode) report(time.Duration, string, kvrouter.Report) {}
 
--- a/internal/lab/enginebench/router_node.go
+++ b/internal/lab/enginebench/router_node.go
@@ -8,7 +8,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
 // RouterSettings configure the prefix-aware router.
@@ -126,7 +126,7 @@
 	placed.reservation.Finish(now, true)
 }
 
-func (n *routerNode) changes(now time.Duration, address string, position kvevents.Position, changes []kvevents.ChunkChange) {
+func (n *routerNode) changes(now time.Duration, address string, position cachefeed.Position, changes []cachefeed.ChunkChange) {
 	n.router.ChunksReported(now, address, position, changes)
 }
 
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/protocol"
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
@@ -237,7 +237,7 @@
 			Dispatches: []gossip.Dispatch{{Address: "10.1.0.1:8000", Links: []prefixindex.Link{{Hash: 1 << 63, Tokens: 512}, {Hash: 2, Tokens: 16}}}},
 			Reports: []gossip.Report{{
 				Address:  "replica-2",
-				Feed:     kvevents.Position{Incarnation: 5, From: 10, Next: 12, Lost: true},
+				Feed:     cachefeed.Position{Incarnation: 5, From: 10, Next: 12, Lost: true},
 				Complete: true,
 				Changes:  []gossip.Change{{Sequence: 10, Name: 1 << 62, Tokens: 64}, {Sequence: 11, Name: 3, Removed: true}},
 			}},
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -4,7 +4,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/gossip"
 	"github.com/ridgeswitch/ridgeswitch/internal/wire/fb"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
@@ -180,7 +180,7 @@
 		table.Reports(&stored, i)
 		return gossip.Report{
 			Address: names.at(stored.Address()),
-			Feed: kvevents.Position{
+			Feed: cachefeed.Position{
 				Incarnation: stored.Incarnation(),
 				From:        stored.From(),
 				Next:        stored.Next(),
--- a/pkg/kvrouter/kvevents/doc.go
+++ b/pkg/kvrouter/cachefeed/doc.go
@@ -1,4 +1,4 @@
-// Package kvevents follows what one replica or store, the owner, caches: by the events
+// Package cachefeed follows what one replica or store, the owner, caches: by the events
 // and chunk reports that it sends, and by predictions where it has not reported yet.
 //
 // An owner reports in one of two ways. Chained chunks come as events that are numbered
@@ -21,4 +21,4 @@
 //
 // All methods of Feed may be called concurrently. Feed.View never waits for another
 // method, so that a long reset does not delay selection.
-package kvevents
+package cachefeed
--- a/pkg/kvrouter/kvevents/snapshot.go
+++ b/pkg/kvrouter/cachefeed/snapshot.go
@@ -1,4 +1,4 @@
-package kvevents
+package cachefeed
 
 import "time"
 
--- a/pkg/kvrouter/kvevents/status.go
+++ b/pkg/kvrouter/cachefeed/status.go
@@ -1,4 +1,4 @@
-package kvevents
+package cachefeed
 
 // Status is the outcome of an event or batch.
 type Status int
--- a/pkg/kvrouter/chunk_reports_test.go
+++ b/pkg/kvrouter/chunk_reports_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -77,15 +77,15 @@
 	return decision.OverlapTokens
 }
 
-func cachedChange(sequence uint64, chunk, tokens int) kvevents.ChunkChange {
-	return kvevents.ChunkChange{
+func cachedChange(sequence uint64, chunk, tokens int) cachefeed.ChunkChange {
+	return cachefeed.ChunkChange{
 		Sequence: sequence, Salt: salt(version), Model: model,
 		ID: fmt.Sprint("chunk ", chunk), Tokens: uint32(tokens), Removed: tokens < 1000,
 	}
 }
 
-func feedPosition(from, next uint64) kvevents.Position {
-	return kvevents.Position{Incarnation: epoch, From: from, Next: next}
+func feedPosition(from, next uint64) cachefeed.Position {
+	return cachefeed.Position{Incarnation: epoch, From: from, Next: next}
 }
 
 var _ = Describe("Reports of chunks by ID", func() {
@@ -93,60 +93,60 @@
 
 	BeforeEach(func() {
 		f = newEngineFleet("a", "b")
-		first := []kvevents.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)}
-		Expect(f.router.ChunksReported(late, "a", feedPosition(0, 3), first)).To(Equal(kvevents.Accepted))
+		first := []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)}
+		Expect(f.router.ChunksReported(late, "a", feedPosition(0, 3), first)).To(Equal(cachefeed.Accepted))
 	})
 
 	overlap := func(now time.Duration) int { return int(f.overlap(now, "a", longPrompt(4))) }
 
 	It("make the overlap of a prompt, up to what is evicted", func() {
 		Expect(overlap(late)).To(Equal(3000))
-		f.router.ChunksReported(late, "a", feedPosition(3, 4), []kvevents.ChunkChange{cachedChange(4, 1, 480)})
+		f.router.ChunksReported(late, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 480)})
 		Expect(overlap(late)).To(Equal(1480))
 	})
 
 	It("count once, in whatever order and how often they come", func() {
-		removal := []kvevents.ChunkChange{cachedChange(4, 2, 0)}
-		again := []kvevents.ChunkChange{cachedChange(5, 2, 1000), cachedChange(6, 3, 1000)}
-		Expect(f.router.ChunksReported(late, "a", feedPosition(4, 6), again)).To(Equal(kvevents.Accepted))
+		removal := []cachefeed.ChunkChange{cachedChange(4, 2, 0)}
+		again := []cachefeed.ChunkChange{cachedChange(5, 2, 1000), cachedChange(6, 3, 1000)}
+		Expect(f.router.ChunksReported(late, "a", feedPosition(4, 6), again)).To(Equal(cachefeed.Accepted))
 		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(kvevents.Accepted))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(cachefeed.Accepted))
 		Expect(overlap(late)).To(Equal(4000))
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(kvevents.Duplicate))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(cachefeed.Duplicate))
 		Expect(overlap(late)).To(Equal(4000))
 		both := append(removal, again...)
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 6), both)).To(Equal(kvevents.Duplicate))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 6), both)).To(Equal(cachefeed.Duplicate))
 		Expect(overlap(late)).To(Equal(4000))
 	})
 
 	It("become predictions when some are lost, and a resync is needed", func() {
-		lost := kvevents.Position{Incarnation: epoch, From: 9, Next: 10, Lost: true}
-		Expect(f.router.ChunksReported(late, "a", lost, []kvevents.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(kvevents.Gap))
+		lost := cachefeed.Position{Incarnation: epoch, From: 9, Next: 10, Lost: true}
+		Expect(f.router.ChunksReported(late, "a", lost, []cachefeed.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(cachefeed.Gap))
 		Expect(overlap(late)).To(Equal(3000))
 		Expect(f.router.ResyncNeeded(late)).To(Equal([]string{"a"}))
 		Expect(overlap(late + kvrouter.DefaultUncertainTTL)).To(Equal(1000))
-		f.router.ChunksReplaced(late, "a", epoch, 12, []kvevents.ChunkChange{cachedChange(0, 0, 1000), cachedChange(0, 1, 1000)})
+		f.router.ChunksReplaced(late, "a", epoch, 12, []cachefeed.ChunkChange{cachedChange(0, 0, 1000), cachedChange(0, 1, 1000)})
 		Expect(f.router.ResyncNeeded(late)).To(BeEmpty())
 		Expect(overlap(2 * late)).To(Equal(2000))
 	})
 
 	It("are applied without the missing ones after a while", func() {
-		f.router.ChunksReported(late, "a", feedPosition(4, 5), []kvevents.ChunkChange{cachedChange(5, 3, 1000)})
+		f.router.ChunksReported(late, "a", feedPosition(4, 5), []cachefeed.ChunkChange{cachedChange(5, 3, 1000)})
 		Expect(overlap(late)).To(Equal(3000))
 		Expect(f.router.ResyncNeeded(late + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
 		Expect(overlap(late + kvrouter.DefaultReorderWait)).To(Equal(4000))
 	})
 
 	It("end with the incarnation of the replica, and those of an earlier incarnation are ignored", func() {
-		restarted := kvevents.Position{Incarnation: epoch + 1, Next: 1}
-		Expect(f.router.ChunksReported(late, "a", restarted, []kvevents.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(kvevents.Accepted))
+		restarted := cachefeed.Position{Incarnation: epoch + 1, Next: 1}
+		Expect(f.router.ChunksReported(late, "a", restarted, []cachefeed.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(cachefeed.Accepted))
 		Expect(overlap(late)).To(Equal(1000))
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), []kvevents.ChunkChange{cachedChange(4, 1, 1000)})).To(Equal(kvevents.Stale))
+		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 1000)})).To(Equal(cachefeed.Stale))
 		Expect(overlap(late)).To(Equal(1000))
 	})
 
 	It("are ignored when a snapshot is older than the recorded state", func() {
-		Expect(f.router.ChunksReplaced(late, "a", epoch, 2, nil)).To(Equal(kvevents.Stale))
+		Expect(f.router.ChunksReplaced(late, "a", epoch, 2, nil)).To(Equal(cachefeed.Stale))
 		Expect(overlap(late)).To(Equal(3000))
 		incarnation, sequence, snapshotOf := f.router.ChunksPosition("a")
 		Expect([]any{incarnation, sequence, snapshotOf}).To(Equal([]any{uint64(epoch), uint64(3), true}))
@@ -177,7 +177,7 @@
 		Expect(overlap(late)).To(Equal(3000))
 		decision := f.choose(late, longPrompt(4))
 		decision.Reservation.FirstToken(late)
-		f.router.ChunksReported(late, "a", feedPosition(3, 4), []kvevents.ChunkChange{cachedChange(4, 3, 0)})
+		f.router.ChunksReported(late, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 3, 0)})
 		Expect(overlap(late)).To(Equal(3000))
 	})
 
@@ -187,8 +187,8 @@
 		cached := make([]int, chunks)
 		copy(cached, []int{1000, 1000, 1000})
 		type message struct {
-			position kvevents.Position
-			changes  []kvevents.ChunkChange
+			position cachefeed.Position
+			changes  []cachefeed.ChunkChange
 		}
 		var underway []message
 		sequence := uint64(3)
@@ -196,7 +196,7 @@
 		for range 3000 {
 			now += 10 * time.Millisecond
 			from := sequence
-			var changes []kvevents.ChunkChange
+			var changes []cachefeed.ChunkChange
 			for range 1 + random.IntN(3) {
 				sequence++
 				chunk := random.IntN(chunks)
@@ -219,11 +219,11 @@
 		}
 		now += time.Second
 		if len(f.router.ResyncNeeded(now)) > 0 {
-			var all []kvevents.ChunkChange
+			var all []cachefeed.ChunkChange
 			for chunk, tokens := range cached {
 				all = append(all, cachedChange(0, chunk, tokens))
 			}
-			Expect(f.router.ChunksReplaced(now, "a", epoch, sequence, all)).To(Equal(kvevents.Accepted))
+			Expect(f.router.ChunksReplaced(now, "a", epoch, sequence, all)).To(Equal(cachefeed.Accepted))
 		}
 		want := 0
 		for _, tokens := range cached {
--- a/pkg/kvrouter/chunk_snapshot_test.go
+++ b/pkg/kvrouter/chunk_snapshot_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
 var _ = Describe("A snapshot of what a replica caches", func() {
@@ -23,8 +23,8 @@
 
 	// report reports the change with a number to a router.
 	report := func(router *kvrouter.Router, sequence uint64, chunk, tokens int) {
-		router.ChunksReported(0, address, kvevents.Position{Incarnation: incarnation, From: sequence - 1, Next: sequence},
-			[]kvevents.ChunkChange{{Sequence: sequence, ID: fmt.Sprint(chunk), Tokens: uint32(tokens), Removed: tokens == 0}})
+		router.ChunksReported(0, address, cachefeed.Position{Incarnation: incarnation, From: sequence - 1, Next: sequence},
+			[]cachefeed.ChunkChange{{Sequence: sequence, ID: fmt.Sprint(chunk), Tokens: uint32(tokens), Removed: tokens == 0}})
 	}
 	// snapshotOf returns what a router has recorded, and whether that is all.
 	snapshotOf := func(router *kvrouter.Router) (map[uint64]uint32, bool) {
@@ -43,7 +43,7 @@
 		ExpectWithOffset(1, got).To(Equal(wanted))
 		ExpectWithOffset(1, complete).To(BeTrue())
 	}
-	adopt := func(router *kvrouter.Router, at kvevents.Position, chunks []kvevents.ChunkChange) kvevents.Status {
+	adopt := func(router *kvrouter.Router, at cachefeed.Position, chunks []cachefeed.ChunkChange) cachefeed.Status {
 		return router.AdoptChunks(0, address, at, chunks)
 	}
 
@@ -56,7 +56,7 @@
 		report(full, 1, 1, 10)
 		report(full, 2, 2, 20)
 		at, chunks, _ := full.ChunksSnapshot(address)
-		Expect(adopt(started, at, chunks)).To(Equal(kvevents.Accepted))
+		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Accepted))
 		same()
 		for _, router := range []*kvrouter.Router{full, started} {
 			report(router, 3, 1, 0)
@@ -73,8 +73,8 @@
 			begins := 2 + random.IntN(changes-2)
 			made := begins - 1 + random.IntN(changes-begins+1)
 			adoptedAt := max(begins, made) + random.IntN(changes-max(begins, made)+1)
-			var at kvevents.Position
-			var chunks []kvevents.ChunkChange
+			var at cachefeed.Position
+			var chunks []cachefeed.ChunkChange
 			for sequence := 1; sequence <= changes; sequence++ {
 				chunk, tokens := random.IntN(8), random.IntN(3)*50
 				report(full, uint64(sequence), chunk, tokens)
@@ -85,7 +85,7 @@
 					report(started, uint64(sequence), chunk, tokens)
 				}
 				if sequence == adoptedAt {
-					Expect(adopt(started, at, chunks)).To(Equal(kvevents.Accepted), "begins %d, made %d, adopted at %d", begins, made, adoptedAt)
+					Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Accepted), "begins %d, made %d, adopted at %d", begins, made, adoptedAt)
 				}
 			}
 			same()
@@ -96,7 +96,7 @@
 		report(full, 1, 1, 10)
 		at, chunks, _ := full.ChunksSnapshot(address)
 		report(started, 3, 2, 20)
-		Expect(adopt(started, at, chunks)).To(Equal(kvevents.Stale))
+		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
 		cached, complete := snapshotOf(started)
 		Expect(cached).To(HaveLen(1))
 		Expect(complete).To(BeFalse())
@@ -107,7 +107,7 @@
 		at, chunks, _ := full.ChunksSnapshot(address)
 		report(started, 1, 1, 10)
 		report(started, 2, 1, 0)
-		Expect(adopt(started, at, chunks)).To(Equal(kvevents.Stale))
+		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
 		cached, _ := snapshotOf(started)
 		Expect(cached).To(BeEmpty())
 	})
@@ -117,15 +117,15 @@
 		at, chunks, _ := full.ChunksSnapshot(address)
 		at.Incarnation++
 		report(started, 3, 2, 20)
-		Expect(adopt(started, at, chunks)).To(Equal(kvevents.Stale))
-		Expect(adopt(started, kvevents.Position{Incarnation: incarnation, Next: 3}, chunks)).To(Equal(kvevents.Accepted))
+		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
+		Expect(adopt(started, cachefeed.Position{Incarnation: incarnation, Next: 3}, chunks)).To(Equal(cachefeed.Accepted))
 	})
 
 	It("stays incomplete if the router that made it has missed something", func() {
 		report(full, 5, 1, 10)
 		at, chunks, _ := full.ChunksSnapshot(address)
 		Expect(at.Lost).To(BeTrue())
-		Expect(adopt(started, at, chunks)).To(Equal(kvevents.Accepted))
+		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Accepted))
 		cached, complete := snapshotOf(started)
 		Expect(cached).To(HaveLen(1))
 		Expect(complete).To(BeFalse())
@@ -136,7 +136,7 @@
 		report(full, 2, 2, 10)
 		at, chunks, _ := full.ChunksSnapshot(address)
 		report(started, 2, 2, 10)
-		started.ChunksReported(time.Second, address, kvevents.Position{Incarnation: incarnation, From: 5, Next: 6, Lost: true}, nil)
-		Expect(adopt(started, at, chunks)).To(Equal(kvevents.Stale))
+		started.ChunksReported(time.Second, address, cachefeed.Position{Incarnation: incarnation, From: 5, Next: 6, Lost: true}, nil)
+		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
 	})
 })
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
@@ -105,7 +105,7 @@
 		address := fmt.Sprint("replica-", number)
 		candidates = append(candidates, kvrouter.Candidate{Address: address, Zone: fmt.Sprint(number % 4), WeightVersion: version})
 		if number%3 == 0 {
-			router.ChunksReported(0, address, feedPosition(0, 3), []kvevents.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)})
+			router.ChunksReported(0, address, feedPosition(0, 3), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)})
 		}
 	}
 	engine := kvrouter.EngineProfile{Slots: 64, MemoryTokens: 160_000, BytesPerToken: 20_000, LinkBitsPerSecond: 400e9}
--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -9,7 +9,7 @@
 //	state                                          owner
 //	chunks that each owner caches, is predicted    prefixindex.Index
 //	to cache, or will cache soon (pending)
-//	sequence and incarnation of an owner's         kvevents.Feed
+//	sequence and incarnation of an owner's         cachefeed.Feed
 //	reports, whether some were lost
 //	load of a replica: local requests, reports,    replicaload.Tracker
 //	loads of other routers
--- a/pkg/kvrouter/feed_test.go
+++ b/pkg/kvrouter/feed_test.go
@@ -9,7 +9,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -22,42 +22,42 @@
 	keptBlocks := func(now time.Duration) int {
 		return int(f.overlap(now, "a", prompt(10)) / blockTokens)
 	}
-	stored := func(now time.Duration, sequence uint64, first, last int) kvevents.Status {
+	stored := func(now time.Duration, sequence uint64, first, last int) cachefeed.Status {
 		return f.router.Stored(now, "a", firstIncarnation, sequence, whole[first:last+1])
 	}
-	removed := func(now time.Duration, sequence uint64, first, last int) kvevents.Status {
+	removed := func(now time.Duration, sequence uint64, first, last int) cachefeed.Status {
 		return f.router.Removed(now, "a", firstIncarnation, sequence, hashes(whole[first:last+1]))
 	}
 
 	It("takes events in once and in order, whatever order they come in", func() {
-		Expect(stored(late, 1, 0, 9)).To(Equal(kvevents.Accepted))
-		Expect(stored(late, 3, 5, 5)).To(Equal(kvevents.Accepted))
-		Expect(stored(late, 3, 5, 5)).To(Equal(kvevents.Duplicate))
-		Expect(removed(late, 2, 5, 5)).To(Equal(kvevents.Accepted))
+		Expect(stored(late, 1, 0, 9)).To(Equal(cachefeed.Accepted))
+		Expect(stored(late, 3, 5, 5)).To(Equal(cachefeed.Accepted))
+		Expect(stored(late, 3, 5, 5)).To(Equal(cachefeed.Duplicate))
+		Expect(removed(late, 2, 5, 5)).To(Equal(cachefeed.Accepted))
 		Expect(keptBlocks(late)).To(Equal(10))
-		Expect(removed(late, 2, 5, 5)).To(Equal(kvevents.Duplicate))
-		Expect(stored(late, 0, 0, 0)).To(Equal(kvevents.Stale))
+		Expect(removed(late, 2, 5, 5)).To(Equal(cachefeed.Duplicate))
+		Expect(stored(late, 0, 0, 0)).To(Equal(cachefeed.Stale))
 		Expect(keptBlocks(late)).To(Equal(10))
 		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
 	})
 
 	It("asks for a reset when a missing event does not come in time", func() {
 		stored(late, 1, 0, 3)
-		Expect(stored(late, 3, 6, 9)).To(Equal(kvevents.Accepted))
+		Expect(stored(late, 3, 6, 9)).To(Equal(cachefeed.Accepted))
 		Expect(f.router.ResyncNeeded(late + 499*time.Millisecond)).To(BeEmpty())
 		Expect(f.router.ResyncNeeded(late + 500*time.Millisecond)).To(Equal([]string{"a"}))
-		Expect(stored(late+time.Second, 4, 4, 4)).To(Equal(kvevents.Gap))
+		Expect(stored(late+time.Second, 4, 4, 4)).To(Equal(cachefeed.Gap))
 		Expect(keptBlocks(late + time.Second)).To(Equal(5))
-		Expect(f.router.Reset(late+time.Second, "a", firstIncarnation, 4, whole)).To(Equal(kvevents.Accepted))
+		Expect(f.router.Reset(late+time.Second, "a", firstIncarnation, 4, whole)).To(Equal(cachefeed.Accepted))
 		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
 		Expect(keptBlocks(late + time.Second)).To(Equal(10))
 	})
 
 	It("asks for a reset when too many events wait for a missing one", func() {
 		for sequence := range uint64(kvrouter.DefaultReorderWindow) {
-			Expect(stored(late, sequence+2, 0, 0)).To(Equal(kvevents.Accepted))
+			Expect(stored(late, sequence+2, 0, 0)).To(Equal(cachefeed.Accepted))
 		}
-		Expect(stored(late, kvrouter.DefaultReorderWindow+2, 0, 0)).To(Equal(kvevents.Gap))
+		Expect(stored(late, kvrouter.DefaultReorderWindow+2, 0, 0)).To(Equal(cachefeed.Gap))
 	})
 
 	It("notices from a load report that the newest events were lost", func() {
@@ -86,10 +86,10 @@
 	It("drops everything on a new incarnation, and ignores late events of the old one", func() {
 		stored(late, 1, 0, 9)
 		stored(late, 3, 0, 9)
-		Expect(f.router.Stored(late, "a", firstIncarnation+1, 1, whole[:2])).To(Equal(kvevents.Accepted))
+		Expect(f.router.Stored(late, "a", firstIncarnation+1, 1, whole[:2])).To(Equal(cachefeed.Accepted))
 		Expect(keptBlocks(late)).To(Equal(2))
-		Expect(stored(late, 2, 0, 9)).To(Equal(kvevents.Stale))
-		Expect(f.router.Reset(late, "a", firstIncarnation, 9, whole)).To(Equal(kvevents.Stale))
+		Expect(stored(late, 2, 0, 9)).To(Equal(cachefeed.Stale))
+		Expect(f.router.Reset(late, "a", firstIncarnation, 9, whole)).To(Equal(cachefeed.Stale))
 		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, ActiveRequests: 5})
 		Expect(f.router.Load(late, "a").ActiveRequests).To(BeZero())
 		Expect(keptBlocks(late)).To(Equal(2))
@@ -97,14 +97,14 @@
 
 	It("takes a lower incarnation for a late event, unless the present one has fallen silent", func() {
 		stored(late, 1, 0, 9)
-		lower := func(now time.Duration) kvevents.Status {
+		lower := func(now time.Duration) cachefeed.Status {
 			return f.router.Reset(now, "a", firstIncarnation-1, 1, whole[:2])
 		}
-		Expect(lower(late + 4*time.Second)).To(Equal(kvevents.Stale))
+		Expect(lower(late + 4*time.Second)).To(Equal(cachefeed.Stale))
 		f.isBusyWith(late+4*time.Second, "a", 0, 0, 0)
-		Expect(lower(late + 8*time.Second)).To(Equal(kvevents.Stale))
+		Expect(lower(late + 8*time.Second)).To(Equal(cachefeed.Stale))
 		Expect(keptBlocks(late)).To(Equal(10))
-		Expect(lower(late + 9*time.Second)).To(Equal(kvevents.Accepted))
+		Expect(lower(late + 9*time.Second)).To(Equal(cachefeed.Accepted))
 		Expect(keptBlocks(late)).To(Equal(2))
 	})
 
@@ -122,7 +122,7 @@
 	It("ignores a reset that is older than its state", func() {
 		stored(late, 1, 0, 9)
 		removed(late, 2, 3, 3)
-		Expect(f.router.Reset(late, "a", firstIncarnation, 1, whole)).To(Equal(kvevents.Stale))
+		Expect(f.router.Reset(late, "a", firstIncarnation, 1, whole)).To(Equal(cachefeed.Stale))
 		Expect(keptBlocks(late)).To(Equal(3))
 	})
 
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -122,8 +122,8 @@
 	return o
 }
 
-func (o *Options) feedOptions() kvevents.Options {
-	return kvevents.Options{
+func (o *Options) feedOptions() cachefeed.Options {
+	return cachefeed.Options{
 		ReportLag:         o.ReportLag,
 		PredictionLag:     o.PredictionLag,
 		ByIDPredictionLag: o.ByIDPredictionLag,
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -31,7 +31,7 @@
 // methods are safe for concurrent use.
 type PrefixWait struct {
 	index, pending *prefixindex.Index
-	feed           *kvevents.Feed
+	feed           *cachefeed.Feed
 	owner          prefixindex.Owner
 	links          []prefixindex.Link
 	// tokens is the length of the beginning that is waited for.
--- a/pkg/kvrouter/prefix_wait_test.go
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -45,7 +45,7 @@
 		Expect(decision.Wait).NotTo(BeNil())
 		Expect(decision.Wait.Done(soon)).To(BeFalse())
 		changed := decision.Wait.Changed()
-		var changes []kvevents.ChunkChange
+		var changes []cachefeed.ChunkChange
 		for chunk := range 8 {
 			changes = append(changes, cachedChange(uint64(chunk+2), chunk, 1000))
 		}
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/speed"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -14,7 +14,7 @@
 type replicaState struct {
 	address string
 	owner   prefixindex.Owner
-	feed    *kvevents.Feed
+	feed    *cachefeed.Feed
 	// instance is the replica's instance that candidates named last.
 	instance  string
 	load      replicaload.Tracker
@@ -59,7 +59,7 @@
 type registry struct {
 	index, pending *prefixindex.Index
 	options        *Options
-	feedOptions    kvevents.Options
+	feedOptions    cachefeed.Options
 
 	byAddress  map[string]*replicaState
 	nextOwner  prefixindex.Owner
@@ -75,7 +75,7 @@
 	created := &replicaState{
 		address:   address,
 		owner:     owner,
-		feed:      kvevents.New(r.index, r.pending, owner, &r.feedOptions),
+		feed:      cachefeed.New(r.index, r.pending, owner, &r.feedOptions),
 		slowStart: slowStart{since: now},
 		load:      replicaload.NewTracker(now, replicaload.ReportAges{Fresh: r.options.ReportFresh, Useless: r.options.ReportUseless}),
 	}
--- a/pkg/kvrouter/reports.go
+++ b/pkg/kvrouter/reports.go
@@ -6,30 +6,30 @@
 
 	"github.com/samber/lo"
 
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
 // Stored records that a replica or store reported chunks that it now caches, under
 // chained names. The caller must not change the slice afterwards, here as for
 // Removed and Reset: an event may be buffered until an earlier one has come.
-func (r *Router) Stored(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) kvevents.Status {
-	return r.handleEvent(now, address, incarnation, kvevents.Event{Kind: kvevents.StoredEvent, Sequence: sequence, Links: links})
+func (r *Router) Stored(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) cachefeed.Status {
+	return r.handleEvent(now, address, incarnation, cachefeed.Event{Kind: cachefeed.StoredEvent, Sequence: sequence, Links: links})
 }
 
 // Removed records that a replica or store reported chunks that it evicted.
-func (r *Router) Removed(now time.Duration, address string, incarnation, sequence uint64, hashes []prefixindex.ChainHash) kvevents.Status {
-	return r.handleEvent(now, address, incarnation, kvevents.Event{Kind: kvevents.RemovedEvent, Sequence: sequence, Hashes: hashes})
+func (r *Router) Removed(now time.Duration, address string, incarnation, sequence uint64, hashes []prefixindex.ChainHash) cachefeed.Status {
+	return r.handleEvent(now, address, incarnation, cachefeed.Event{Kind: cachefeed.RemovedEvent, Sequence: sequence, Hashes: hashes})
 }
 
 // Reset records that links is all that a replica or store cached when it had sent
 // the events up to sequence. It makes the chunks certain again after lost events.
-func (r *Router) Reset(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) kvevents.Status {
-	return r.handleEvent(now, address, incarnation, kvevents.Event{Kind: kvevents.ResetEvent, Sequence: sequence, Links: links})
+func (r *Router) Reset(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) cachefeed.Status {
+	return r.handleEvent(now, address, incarnation, cachefeed.Event{Kind: cachefeed.ResetEvent, Sequence: sequence, Links: links})
 }
 
 // handleEvent passes an event to the feed of its owner.
-func (r *Router) handleEvent(now time.Duration, address string, incarnation uint64, received kvevents.Event) kvevents.Status {
+func (r *Router) handleEvent(now time.Duration, address string, incarnation uint64, received cachefeed.Event) cachefeed.Status {
 	state := r.state(now, address)
 	status, restarted := state.feed.HandleEvent(now, incarnation, received)
 	if restarted {
@@ -43,7 +43,7 @@
 // are lost, everything that the owner reported before becomes a prediction, which
 // ends after the UncertainTTL unless it is reported again, and ResyncNeeded names the
 // owner until ChunksReplaced.
-func (r *Router) ChunksReported(now time.Duration, address string, batch kvevents.Position, changes []kvevents.ChunkChange) kvevents.Status {
+func (r *Router) ChunksReported(now time.Duration, address string, batch cachefeed.Position, changes []cachefeed.ChunkChange) cachefeed.Status {
 	state := r.state(now, address)
 	status, restarted := state.feed.HandleBatch(now, batch, changes)
 	if restarted {
@@ -54,7 +54,7 @@
 
 // ChunksReplaced records all that a replica or store caches after the change with
 // the given sequence number. It replaces everything that was recorded.
-func (r *Router) ChunksReplaced(now time.Duration, address string, incarnation, sequence uint64, chunks []kvevents.ChunkChange) kvevents.Status {
+func (r *Router) ChunksReplaced(now time.Duration, address string, incarnation, sequence uint64, chunks []cachefeed.ChunkChange) cachefeed.Status {
 	state := r.state(now, address)
 	status, restarted := state.feed.HandleSnapshot(now, incarnation, sequence, chunks)
 	if restarted {
@@ -83,10 +83,10 @@
 // ChunksSnapshot returns all that a replica or store is recorded to cache, as of the
 // change Position.Next. Position.Lost says that it may cache more. Found is
 // false for an owner that has reported nothing.
-func (r *Router) ChunksSnapshot(address string) (position kvevents.Position, chunks []kvevents.ChunkChange, found bool) {
+func (r *Router) ChunksSnapshot(address string) (position cachefeed.Position, chunks []cachefeed.ChunkChange, found bool) {
 	state := r.existingState(address)
 	if state == nil {
-		return kvevents.Position{}, nil, false
+		return cachefeed.Position{}, nil, false
 	}
 	return state.feed.Snapshot()
 }
@@ -95,7 +95,7 @@
 // The changes that this router has followed itself are newer than the snapshot and
 // stay. A snapshot without anything new, or that leaves a gap before those changes,
 // is Stale and changes nothing.
-func (r *Router) AdoptChunks(now time.Duration, address string, position kvevents.Position, chunks []kvevents.ChunkChange) kvevents.Status {
+func (r *Router) AdoptChunks(now time.Duration, address string, position cachefeed.Position, chunks []cachefeed.ChunkChange) cachefeed.Status {
 	return r.state(now, address).feed.AdoptSnapshot(now, position, chunks)
 }
 
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -23,7 +23,7 @@
 	state     *replicaState
 	prompt    *prompt
 	// view is the replica's feed as of the selection.
-	view kvevents.View
+	view cachefeed.View
 	// overlap is what the replica caches of the prompt when the request arrives there,
 	// after the wait if waits is set.
 	overlap prefixindex.Overlap
--- a/pkg/kvrouter/suite_test.go
+++ b/pkg/kvrouter/suite_test.go
@@ -10,7 +10,7 @@
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
@@ -71,7 +71,7 @@
 // caches makes a replica report chunks of the prompt.
 func (f *fleet) caches(address string, cached []prefixindex.Link) {
 	f.sequences[address]++
-	Expect(f.router.Stored(0, address, firstIncarnation, f.sequences[address], cached)).To(Equal(kvevents.Accepted))
+	Expect(f.router.Stored(0, address, firstIncarnation, f.sequences[address], cached)).To(Equal(cachefeed.Accepted))
 }
 
 // isBusyWith makes a replica report load, in blocks.
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
-	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/kvevents"
+	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
@@ -19,7 +19,7 @@
 }
 
 func (f *engineFleet) caches(address string, chunks int) {
-	var changes []kvevents.ChunkChange
+	var changes []cachefeed.ChunkChange
 	for chunk := range chunks {
 		changes = append(changes, cachedChange(uint64(chunk+1), chunk, 1000))
 	}
@@ -248,11 +248,11 @@
 		)
 		// drops has a replica report that it caches none of the prompt any more.
 		drops := func(address string) {
-			var changes []kvevents.ChunkChange
+			var changes []cachefeed.ChunkChange
 			for chunk := range 9 {
 				changes = append(changes, cachedChange(sequence+1, chunk, 0))
 			}
-			f.router.ChunksReported(now, address, kvevents.Position{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
+			f.router.ChunksReported(now, address, cachefeed.Position{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
 			sequence++
 		}
 		// pulls has the prompt begin some time after it is sent, and reports whether it
@@ -297,10 +297,10 @@
 		Expect(g.choose(late, other).Save).To(BeFalse())
 		first.Reservation.FirstToken(late)
 		Expect(g.choose(late+15*time.Second, other).Save).To(BeTrue(), "its last chunk came before")
-		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvevents.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		g.router.ChunksReported(late, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		again := append(longPrompt(2), prefixindex.Chunk{ID: "third", Tokens: 500})
 		Expect(g.choose(late+time.Hour, again).Save).To(BeFalse())
-		g.router.ChunksReported(late+time.Hour, "store", kvevents.Position{Incarnation: epoch + 1, Next: 0}, nil)
+		g.router.ChunksReported(late+time.Hour, "store", cachefeed.Position{Incarnation: epoch + 1, Next: 0}, nil)
 		fourth := append(longPrompt(2), prefixindex.Chunk{ID: "fourth", Tokens: 500})
 		Expect(g.choose(late+time.Hour, fourth).Save).To(BeTrue(), "the store came back empty")
 		g.engine.StoreTokens = 10_000
@@ -311,7 +311,7 @@
 		g := newEngineFleet("a")
 		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		g.engine.StoreLinkBitsPerSecond = 40e9
-		g.router.ChunksReported(late, "store", feedPosition(0, 2), []kvevents.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		g.router.ChunksReported(late, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		decision := g.choose(late, longPrompt(3))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "store"), HaveField("Tokens", uint32(2000)))))
 		Expect(decision.Pull.EstimatedTime).To(BeNumerically("~", 13*time.Millisecond, 10*time.Microsecond))
