--- a/internal/lab/bench/policy.go
+++ b/internal/lab/bench/policy.go
@@ -62,6 +62,9 @@
 	resyncNeeded(now time.Duration) []int
 }
 
+// uniformStream separates the draws of the uniform policy from others of the same seed.
+const uniformStream = 0x9a2d
+
 func newPolicy(name PolicyName, settings Settings) policy {
 	salts := newSalts(settings.Mix)
 	switch name {
@@ -76,7 +79,7 @@
 	case PolicyRoundRobin:
 		return &roundRobin{salts: salts, replicas: settings.Replicas}
 	default:
-		random := rand.New(rand.NewPCG(settings.Seed, 0x9a2d))
+		random := rand.New(rand.NewPCG(settings.Seed, uniformStream))
 		return &uniform{salts: salts, replicas: settings.Replicas, random: random}
 	}
 }
--- a/internal/lab/bench/prefix_aware.go
+++ b/internal/lab/bench/prefix_aware.go
@@ -38,13 +38,17 @@
 	random *rand.Rand
 }
 
+// temperatureStream separates the draws of a choice by temperature
+// from others of the same seed.
+const temperatureStream = 0x7e39
+
 func newPrefixAware(settings Settings, salts salts) *prefixAware {
 	p := &prefixAware{
 		router:  kvrouter.New(settings.Router),
 		routing: settings.Routing,
 		salts:   salts,
 		numbers: map[string]int{},
-		random:  rand.New(rand.NewPCG(settings.Seed, 0x7e39)),
+		random:  rand.New(rand.NewPCG(settings.Seed, temperatureStream)),
 	}
 	for number := range settings.Replicas {
 		address := settings.address(number)
--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -47,10 +47,14 @@
 	outcomes map[*workload.Request]*Outcome
 }
 
+// reportLossStream is the stream of the lost load reports. It has the number of the stream
+// from which package workload draws the requests of the trace.
+const reportLossStream = 0x10ad
+
 func newSimulation(name PolicyName, settings Settings) (*simulation, error) {
 	settings = settings.forPolicy(name)
 	s := &simulation{settings: settings, policy: newPolicy(name, settings)}
-	s.reportLoss = rand.New(rand.NewPCG(settings.Seed, 0x10ad))
+	s.reportLoss = rand.New(rand.NewPCG(settings.Seed, reportLossStream))
 	s.reader, _ = s.policy.(feedReader)
 	for number := range settings.Replicas {
 		config := settings.Machine
--- a/internal/lab/emulator/feed_plan.go
+++ b/internal/lab/emulator/feed_plan.go
@@ -52,9 +52,12 @@
 	inOrderAt time.Duration
 }
 
+// feedStream separates the draws of a feed from others of the same seed.
+const feedStream = 0xfeed
+
 // NewFeed returns a feed. Equal plans, seeds and inputs give equal deliveries.
 func NewFeed(plan FeedPlan, seed uint64) *Feed {
-	return &Feed{plan: plan, random: rand.New(rand.NewPCG(seed, 0xfeed))}
+	return &Feed{plan: plan, random: rand.New(rand.NewPCG(seed, feedStream))}
 }
 
 // Carry returns the deliveries of one event: none when it is lost, two when it
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -64,6 +64,9 @@
 	random     *rand.Rand
 }
 
+// callerStream separates the draws of the callers from others of the same seed.
+const callerStream = 0xca11
+
 // NewLoad returns the load of a deployment. The plan says which keys change
 // while it runs.
 func NewLoad(deployment *Deployment, plan operator.Plan, options LoadOptions) (caller.Load, error) {
@@ -83,7 +86,7 @@
 	}
 	return &load{
 		deployment: deployment, plan: plan, options: options, stream: stream,
-		random: rand.New(rand.NewPCG(options.Seed, 0xca11)),
+		random: rand.New(rand.NewPCG(options.Seed, callerStream)),
 	}, nil
 }
 
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -26,6 +26,9 @@
 // changedTenants is how many unwalled tenants the scenario needs.
 const changedTenants = 3
 
+// planStream separates the draws of the scenario's choices from others of the same seed.
+const planStream = 0x91a4
+
 // NewPlan chooses by a seed what the scenario acts on.
 func NewPlan(deployment *Deployment, seed uint64, duration time.Duration) (operator.Plan, error) {
 	topology := deployment.Topology
@@ -37,7 +40,7 @@
 	if len(open) < changedTenants || len(front) == 0 || len(topology.Group) == 0 || len(members) == 0 {
 		return operator.Plan{}, errors.Errorf("a scenario needs %d unwalled tenants, front nodes, a group and replicas", changedTenants)
 	}
-	random := rand.New(rand.NewPCG(seed, 0x91a4))
+	random := rand.New(rand.NewPCG(seed, planStream))
 	evacuated := members[len(members)-1].Zone
 	staying := lo.Filter(members, func(member Backend, _ int) bool { return member.Zone != evacuated })
 	if len(staying) == 0 {
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -48,11 +48,14 @@
 	ended     time.Duration
 }
 
+// runStream separates the draws of a run of a plan from others of the same seed.
+const runStream = 0x91a5
+
 func newRun(stage fleet.Stage, options Options, network *links.Network) *run {
 	stage.Recorder.AttemptTimeout = attemptTimeout
 	made := &run{
 		Stage: stage, plan: options.Plan, network: network, duration: options.Duration,
-		random: rand.New(rand.NewPCG(options.Seed, 0x91a5)),
+		random: rand.New(rand.NewPCG(options.Seed, runStream)),
 		scenario: &operator.Scenario{
 			Plan: stage.Plan, Recorder: stage.Recorder,
 			Machines: stage.Fleet, Log: stage.Log,
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -64,9 +64,12 @@
 	faults Faults
 }
 
+// faultStream separates the draws of the faults from others of the same seed.
+const faultStream = 0xfa01
+
 // NewFaultPlan returns a plan without faults.
 func NewFaultPlan(seed uint64) *FaultPlan {
-	return &FaultPlan{random: rand.New(rand.NewPCG(seed, 0xfa01))}
+	return &FaultPlan{random: rand.New(rand.NewPCG(seed, faultStream))}
 }
 
 // Set replaces the faults.
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -34,6 +34,9 @@
 	nextWeb   time.Duration
 }
 
+// requestStream separates the draws of the requests from others of the same seed.
+const requestStream = 0x10ad
+
 // New returns a stream that begins with its first arrival.
 func New(mix Mix, options Options) (*Generator, error) {
 	if options.ModelRate == 0 {
@@ -45,7 +48,7 @@
 	if options.ModelRate < 0 && options.WebRate < 0 {
 		return nil, errors.New("workload: one of ModelRate and WebRate must be positive")
 	}
-	g := &Generator{mix: mix, options: options, random: rand.New(rand.NewPCG(options.Seed, 0x10ad))}
+	g := &Generator{mix: mix, options: options, random: rand.New(rand.NewPCG(options.Seed, requestStream))}
 	for _, activity := range mix.activities {
 		g.dossiers = append(g.dossiers, newDossiers(activity.dossiers, activity.kind, g.random, g.pickTenant))
 	}
