--- a/internal/lab/checker/commands.go
+++ b/internal/lab/checker/commands.go
@@ -1,7 +1,5 @@
 package checker
 
-import "slices"
-
 // OneCommander requires that one node at a time commands a replica: once a
 // replica has received a command of one epoch, no command of an older epoch
 // and none of another sender in the same epoch reaches it. A command that the
@@ -33,11 +31,3 @@
 	}
 	return violations
 }
-
-func commandsByTime(records *Records) []Command {
-	sorted := slices.Clone(records.Commands)
-	slices.SortStableFunc(sorted, func(left, right Command) int {
-		return compareTimes(left.At, right.At)
-	})
-	return sorted
-}
--- a/internal/lab/checker/figures.go
+++ b/internal/lab/checker/figures.go
@@ -5,6 +5,11 @@
 	"time"
 )
 
+// roundUp is added before a number is truncated, so that it is rounded up. It is a
+// little less than 1, so that the error of a product that should be whole does not
+// count as the next number.
+const roundUp = 0.999999
+
 // Quantile returns the q-quantile (0 to 1) of durations by the nearest rank,
 // or 0 without any.
 func Quantile(durations []time.Duration, q float64) time.Duration {
@@ -13,12 +18,12 @@
 	}
 	sorted := slices.Clone(durations)
 	slices.Sort(sorted)
-	rank := int(q*float64(len(sorted))+0.999999) - 1
+	rank := int(q*float64(len(sorted))+roundUp) - 1
 	return sorted[min(max(rank, 0), len(sorted)-1)]
 }
 
-// ConfigurationSpread returns, for every acknowledged order and every node
-// that lived through it, the time from the order's first sending until a
+// ConfigurationSpread returns, for every acknowledged order and every node whose
+// process ran throughout, the time from the order's first sending until a
 // sample shows the node serving it.
 func ConfigurationSpread(records *Records) []time.Duration {
 	samples := servingSamples(records)
@@ -67,6 +72,7 @@
 	return found
 }
 
+// servedSince returns when a node was first seen to serve an order, since it was sent.
 func servedSince(samples []ServedSample, node string, order Order) (time.Duration, bool) {
 	for _, sample := range samples {
 		if sample.Node == node && sample.At >= order.Sent && sample.Revision >= order.Revision {
@@ -81,8 +87,8 @@
 	return len(firstAcknowledgements(records))
 }
 
-// ReusedTokenRatio returns the share of prompt tokens that executions did not
-// compute again.
+// ReusedTokenRatio returns the fraction of prompt tokens, from 0 to 1, that
+// executions did not compute again.
 func ReusedTokenRatio(records *Records) float64 {
 	var prompt, reused uint64
 	for _, execution := range records.Executions {
--- a/internal/lab/checker/outage.go
+++ b/internal/lab/checker/outage.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"slices"
 	"time"
 )
 
@@ -43,6 +42,7 @@
 	service string
 }
 
+// outages returns all outages, in the order in which they began.
 func outages(records *Records) []outage {
 	open := make(map[string]*outage)
 	var found []*outage
@@ -72,11 +72,3 @@
 	callersOwn := request.Status == http.StatusUnauthorized || request.Status == http.StatusTooManyRequests
 	return request.Result != ResultDisconnected && !callersOwn
 }
-
-func requestsBySending(records *Records) []Request {
-	sorted := slices.Clone(records.Requests)
-	slices.SortStableFunc(sorted, func(left, right Request) int {
-		return compareTimes(left.Sent, right.Sent)
-	})
-	return sorted
-}
--- a/internal/lab/checker/retries.go
+++ b/internal/lab/checker/retries.go
@@ -37,7 +37,8 @@
 	return highest
 }
 
-// retryCount counts the attempts of one service in one window.
+// retryCount counts the attempts of one service in one window, which has the given
+// length and ends at until.
 type retryCount struct {
 	first   int
 	retries int
@@ -51,6 +52,7 @@
 	return float64(count.retries) / float64(max(count.first, 1))
 }
 
+// add counts an execution in with a change of 1, and out again with -1.
 func (count *retryCount) add(execution Execution, change int) {
 	if execution.Attempt > 1 {
 		count.retries += change
@@ -59,7 +61,8 @@
 	count.first += change
 }
 
-// worstRetries returns the judged window with the highest ratio.
+// worstRetries returns the judged window of a service with the highest ratio; the
+// whole run is one of them.
 func worstRetries(records *Records, service string) retryCount {
 	whole := retryCount{length: records.End, until: records.End}
 	window := retryCount{length: RetryWindow}
--- a/internal/lab/checker/revocation.go
+++ b/internal/lab/checker/revocation.go
@@ -1,7 +1,5 @@
 package checker
 
-import "time"
-
 // Revocation requires that a revoked key admits nothing once RevocationBound has
 // passed since the acknowledgement.
 type Revocation struct{}
@@ -36,6 +34,7 @@
 	return violations
 }
 
+// keyName identifies a key among those of all tenants.
 type keyName struct {
 	tenant string
 	key    string
@@ -53,16 +52,12 @@
 			span.To = min(span.To, order.Sent)
 			spans[name] = span
 		case order.Change.Kind == ChangeRevoke && order.Outcome == OutcomeAcknowledged:
-			spans[name] = openedAt(span, known, order.Answered+RevocationBound)
+			from := order.Answered + RevocationBound
+			if known && span.To == forever {
+				from = min(from, span.From)
+			}
+			spans[name] = Span{From: from, To: forever}
 		}
 	}
 	return spans
 }
-
-func openedAt(span Span, known bool, from time.Duration) Span {
-	if known && span.To == forever {
-		span.From = min(span.From, from)
-		return span
-	}
-	return Span{From: from, To: forever}
-}
--- a/internal/lab/checker/served.go
+++ b/internal/lab/checker/served.go
@@ -29,13 +29,14 @@
 	return violations
 }
 
-// reportedLag keeps a node that lags from being reported once a sample.
+// reportedLag is a node that lags behind a revision: it is reported once, and not
+// again for each sample.
 type reportedLag struct {
 	node     string
 	revision uint64
 }
 
-// acknowledgement is the first acknowledgement of a revision.
+// acknowledgement is one acknowledgement of a revision.
 type acknowledgement struct {
 	at       time.Duration
 	revision uint64
@@ -53,12 +54,13 @@
 	return acknowledged
 }
 
-// dueAt returns the newest revision that every node must serve at a moment.
-func (acknowledged acknowledgements) dueAt(at time.Duration) uint64 {
+// dueAt returns the newest revision that every node must serve at a moment, or 0 if
+// there is none.
+func (all acknowledgements) dueAt(at time.Duration) uint64 {
 	var due uint64
-	for _, one := range acknowledged {
-		if one.at+ServedBound < at {
-			due = max(due, one.revision)
+	for _, acknowledged := range all {
+		if acknowledged.at+ServedBound < at {
+			due = max(due, acknowledged.revision)
 		}
 	}
 	return due
@@ -83,6 +85,7 @@
 	return serving
 }
 
+// nodeRunAt returns the run of a node's process at a moment, or false if none ran.
 func nodeRunAt(records *Records, node string, at time.Duration) (NodeRun, bool) {
 	for _, run := range records.Nodes {
 		if run.Node == node && at >= run.From && (!run.Ended || at < run.To) {
--- a/internal/lab/checker/sorting.go
+++ b/internal/lab/checker/sorting.go
@@ -1,44 +1,44 @@
 package checker
 
 import (
+	"cmp"
 	"slices"
 	"time"
 )
 
-// executionsByArrival returns a sorted copy of the executions.
-func executionsByArrival(records *Records) []Execution {
-	sorted := slices.Clone(records.Executions)
-	slices.SortStableFunc(sorted, func(left, right Execution) int {
-		return compareTimes(left.Arrived, right.Arrived)
+// sortedByTime returns a copy of records, sorted by the time that timeOf reads of
+// each. Records of one time keep their order.
+func sortedByTime[Record any](records []Record, timeOf func(Record) time.Duration) []Record {
+	sorted := slices.Clone(records)
+	slices.SortStableFunc(sorted, func(left, right Record) int {
+		return cmp.Compare(timeOf(left), timeOf(right))
 	})
 	return sorted
 }
 
-// ordersBySending returns a sorted copy of the submissions.
+func requestsBySending(records *Records) []Request {
+	return sortedByTime(records.Requests, func(request Request) time.Duration { return request.Sent })
+}
+
+func executionsByArrival(records *Records) []Execution {
+	return sortedByTime(records.Executions, func(execution Execution) time.Duration { return execution.Arrived })
+}
+
+func commandsByTime(records *Records) []Command {
+	return sortedByTime(records.Commands, func(command Command) time.Duration { return command.At })
+}
+
+// ordersBySending returns the submissions of all orders, resends among them.
 func ordersBySending(records *Records) []Order {
-	sorted := slices.Clone(records.Orders)
-	slices.SortStableFunc(sorted, func(left, right Order) int {
-		return compareTimes(left.Sent, right.Sent)
-	})
-	return sorted
+	return sortedByTime(records.Orders, func(order Order) time.Duration { return order.Sent })
 }
 
-// samplesByTime returns a sorted copy of the samples of what nodes serve.
+// samplesByTime returns the samples of what nodes serve.
 func samplesByTime(records *Records) []ServedSample {
-	sorted := slices.Clone(records.Served)
-	slices.SortStableFunc(sorted, func(left, right ServedSample) int {
-		return compareTimes(left.At, right.At)
-	})
-	return sorted
+	return sortedByTime(records.Served, func(sample ServedSample) time.Duration { return sample.At })
 }
 
-func compareTimes(left, right time.Duration) int {
-	switch {
-	case left < right:
-		return -1
-	case left > right:
-		return 1
-	default:
-		return 0
-	}
+// endpointsByTime returns the history of the platform's list.
+func endpointsByTime(records *Records) []EndpointSample {
+	return sortedByTime(records.Listings, func(sample EndpointSample) time.Duration { return sample.At })
 }
--- a/internal/lab/checker/spans.go
+++ b/internal/lab/checker/spans.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// forever is the end of a span that is still open.
 const forever = time.Duration(math.MaxInt64)
 
 // contains reports whether a moment lies in the span; To is outside.
--- a/internal/lab/checker/violation.go
+++ b/internal/lab/checker/violation.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"sort"
 	"time"
 )
 
@@ -56,10 +55,7 @@
 	for _, invariant := range Invariants() {
 		violations = append(violations, invariant.Check(records)...)
 	}
-	sort.SliceStable(violations, func(i, j int) bool {
-		return violations[i].At < violations[j].At
-	})
-	return violations
+	return sortedByTime(violations, func(violation Violation) time.Duration { return violation.At })
 }
 
 // violation builds a Violation with a formatted detail.
--- a/internal/lab/checker/weights.go
+++ b/internal/lab/checker/weights.go
@@ -13,39 +13,39 @@
 // Name returns the stable name.
 func (WeightsConverge) Name() Name { return "weights_settle" }
 
-// Check judges every naming that was followed by enough calm time.
+// Check judges every order of weights that was followed by enough calm time.
 func (rule WeightsConverge) Check(records *Records) []Violation {
 	var violations []Violation
-	namings := namings(records)
-	for position, naming := range namings {
-		deadline, calm := convergenceDeadline(records, naming, replacedAt(namings, position))
+	orders := weightOrders(records)
+	for position, order := range orders {
+		deadline, calm := convergenceDeadline(records, order, replacedAt(orders, position))
 		if !calm {
 			continue
 		}
-		violations = append(violations, rule.checkNaming(records, naming, deadline)...)
+		violations = append(violations, rule.checkOrder(records, order, deadline)...)
 	}
 	return violations
 }
 
-func (rule WeightsConverge) checkNaming(records *Records, naming Order, deadline time.Duration) []Violation {
+func (rule WeightsConverge) checkOrder(records *Records, order Order, deadline time.Duration) []Violation {
 	var violations []Violation
-	for _, replica := range poolReplicas(records, naming.Change.Pool) {
+	for _, replica := range poolReplicas(records, order.Change.Pool) {
 		if !runningAt(records, replica, deadline) {
 			continue
 		}
 		version, seen := versionAfter(records, replica, deadline)
-		if seen && version == naming.Change.WeightVersion {
+		if seen && version == order.Change.WeightVersion {
 			continue
 		}
 		violations = append(violations, violation(rule.Name(), deadline,
 			"replica %s of pool %s runs weights %q instead of %q after %v of calm",
-			replica, naming.Change.Pool, version, naming.Change.WeightVersion, WeightsBound))
+			replica, order.Change.Pool, version, order.Change.WeightVersion, WeightsBound))
 	}
 	return violations
 }
 
-// namings returns the first acknowledgement of each order that names weights.
-func namings(records *Records) []Order {
+// weightOrders returns the first acknowledgement of each order that names weights.
+func weightOrders(records *Records) []Order {
 	seen := make(map[string]bool)
 	var found []Order
 	for _, order := range ordersBySending(records) {
@@ -58,10 +58,11 @@
 	return found
 }
 
-// replacedAt returns when a later naming for the same pool was sent.
-func replacedAt(namings []Order, position int) time.Duration {
-	pool := namings[position].Change.Pool
-	for _, later := range namings[position+1:] {
+// replacedAt returns when the next order of weights for the same pool was sent, or
+// forever if there is none.
+func replacedAt(orders []Order, position int) time.Duration {
+	pool := orders[position].Change.Pool
+	for _, later := range orders[position+1:] {
 		if later.Change.Pool == pool {
 			return later.Sent
 		}
@@ -69,11 +70,11 @@
 	return forever
 }
 
-// convergenceDeadline returns the first moment at which a naming has had
-// WeightsBound of calm time without being replaced.
-func convergenceDeadline(records *Records, naming Order, replaced time.Duration) (time.Duration, bool) {
+// convergenceDeadline returns the first moment at which an order of weights has
+// had WeightsBound of calm time without being replaced. It returns false if there is none.
+func convergenceDeadline(records *Records, order Order, replaced time.Duration) (time.Duration, bool) {
 	for _, calm := range records.Calm {
-		deadline := max(calm.From, naming.Answered) + WeightsBound
+		deadline := max(calm.From, order.Answered) + WeightsBound
 		if deadline <= calm.To && deadline < replaced {
 			return deadline, true
 		}
@@ -108,7 +109,7 @@
 	return first.WeightVersion, found
 }
 
-// runningAt reports whether the platform listed a replica as running.
+// runningAt reports whether the platform listed a replica as running at a moment.
 func runningAt(records *Records, replica string, at time.Duration) bool {
 	running := false
 	for _, sample := range endpointsByTime(records) {
@@ -118,12 +119,3 @@
 	}
 	return running
 }
-
-// endpointsByTime returns a sorted copy of the platform's history.
-func endpointsByTime(records *Records) []EndpointSample {
-	sorted := slices.Clone(records.Listings)
-	slices.SortStableFunc(sorted, func(left, right EndpointSample) int {
-		return compareTimes(left.At, right.At)
-	})
-	return sorted
-}
