--- a/internal/lab/enginebench/batch.go
+++ b/internal/lab/enginebench/batch.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// produce adds a token to the output of a request, unless it is preempted for lack of
+// decodeToken adds a token to the output of a request, unless it is preempted for lack of
 // memory.
-func (r *replica) produce(now time.Duration, request *run) {
+func (r *replica) decodeToken(now time.Duration, request *replicaRequest) {
 	if request.produced > 0 && request.produced%blockTokens == 0 {
-		if !r.grow(request) {
+		if !r.reserveNextBlock(request) {
 			return
 		}
 	}
 	request.produced++
-	ended := request.produced >= request.arrival.out
-	if !request.firstSent && (request.produced >= r.engine.Stride || ended) {
-		request.firstSent = true
-		request.first(now + fromMilliseconds(r.engine.FirstEvent))
+	ended := request.produced >= request.arrival.outputTokens
+	if !request.firstEventSent && (request.produced >= r.engine.Stride || ended) {
+		request.firstEventSent = true
+		request.onFirstEvent(now + fromMilliseconds(r.engine.FirstEvent))
 	}
 	if ended {
 		r.remove(request)
-		request.done(now + fromMilliseconds(r.engine.FirstEvent))
+		request.onDone(now + fromMilliseconds(r.engine.FirstEvent))
 	}
 }
 
-// grow reserves the next block of a request, and preempts others for it. It returns
+// reserveNextBlock reserves the next block of a request, and preempts others for it. It returns
 // false when the request itself was preempted.
-func (r *replica) grow(request *run) bool {
+func (r *replica) reserveNextBlock(request *replicaRequest) bool {
 	for !r.memory.reserve(blockTokens) {
 		victim := r.victim()
 		r.preempt(victim)
@@ -40,22 +40,22 @@
 }
 
 // victim returns the request to preempt: the newest of the least urgent ones.
-func (r *replica) victim() *run {
+func (r *replica) victim() *replicaRequest {
 	return slices.MaxFunc(r.active, compareUrgency)
 }
 
 // preempt returns a request to the queue, without its output.
-func (r *replica) preempt(request *run) {
+func (r *replica) preempt(request *replicaRequest) {
 	r.sim.result.preempted++
 	r.remove(request)
 	request.produced = 0
-	r.queue(request)
+	r.insertWaiting(request)
 }
 
 // remove removes a request from the batch.
-func (r *replica) remove(request *run) {
+func (r *replica) remove(request *replicaRequest) {
 	request.running = false
-	r.active = slices.DeleteFunc(r.active, func(other *run) bool { return other == request })
+	r.active = slices.DeleteFunc(r.active, func(other *replicaRequest) bool { return other == request })
 	r.memory.release(request.reserved)
 	request.reserved = 0
 	for _, id := range request.pinned {
--- a/internal/lab/enginebench/compare.go
+++ b/internal/lab/enginebench/compare.go
@@ -19,7 +19,14 @@
 	Name                 string
 	Policy               Policy
 	LoadExchangeInterval time.Duration
-	Tune                 func(*RouterSettings)
+	// Tune changes the prefix-aware router's settings; may be nil.
+	Tune func(*RouterSettings)
+}
+
+// tuned returns a copy under another name with other settings of the router.
+func (v Variant) tuned(name string, tune func(*RouterSettings)) Variant {
+	v.Name, v.Tune = name, tune
+	return v
 }
 
 // defaultLoadExchangeInterval is the time between two load exchanges of the routers.
@@ -41,8 +48,9 @@
 	return variants
 }
 
-// Compare runs each variant on each fleet under each load, with the same
-// requests, some runs at a time.
+// Compare runs each variant on each fleet under each load and each seed, with the same
+// requests for all variants, and returns a row for each of the first three. It runs
+// jobs simulations at a time and returns when all have ended.
 func Compare(profiles []Profile, loads []float64, variants []Variant, seeds []uint64, duration time.Duration, jobs int) []Row {
 	var rows []Row
 	var runs []func()
@@ -71,6 +79,7 @@
 	return rows
 }
 
+// inParallel calls all functions, jobs of them at a time.
 func inParallel(runs []func(), jobs int) {
 	var workers sync.WaitGroup
 	queue := make(chan func())
--- a/internal/lab/enginebench/feed.go
+++ b/internal/lab/enginebench/feed.go
@@ -23,11 +23,6 @@
 	loadExchangeDelay = 3 * time.Millisecond
 )
 
-// feedLog has the sequence number of an owner's last change.
-type feedLog struct {
-	sequence uint64
-}
-
 // sendChanges sends the changes of all owners to the routers. Each batch is late, and
 // some changes are lost.
 func (s *simulation) sendChanges(now time.Duration) {
@@ -36,19 +31,19 @@
 		if len(changes) == 0 {
 			continue
 		}
-		from := owner.feed.sequence
+		from := owner.sequence
 		var batch []kvevents.ChunkChange
 		for _, change := range changes {
-			owner.feed.sequence++
+			owner.sequence++
 			if s.random.Float64() < s.settings.EventLoss {
 				continue
 			}
 			batch = append(batch, kvevents.ChunkChange{
-				Sequence: owner.feed.sequence, Salt: salt, Model: model, ID: change.id,
+				Sequence: owner.sequence, Salt: salt, Model: model, ID: change.id,
 				Tokens: uint32(change.cached), Removed: change.cached == 0,
 			})
 		}
-		position := kvevents.Position{Incarnation: 1, From: from, Next: owner.feed.sequence}
+		position := kvevents.Position{Incarnation: 1, From: from, Next: owner.sequence}
 		delay := minBatchDelay + time.Duration(s.random.ExpFloat64()*float64(meanExtraDelay))
 		address := owner.address
 		s.timers.Add(now+delay, func(now time.Duration) {
--- a/internal/lab/enginebench/knobs.go
+++ b/internal/lab/enginebench/knobs.go
@@ -7,14 +7,12 @@
 	base := Variant{Name: "none moved", Policy: Router, LoadExchangeInterval: defaultLoadExchangeInterval}
 	variants := []Variant{base}
 	knob := func(name string, tune func(*RouterSettings)) {
-		moved := base
-		moved.Name, moved.Tune = name, tune
-		variants = append(variants, moved)
+		variants = append(variants, base.tuned(name, tune))
 	}
 	loadExchange := func(name string, interval time.Duration) {
-		moved := base
-		moved.Name, moved.LoadExchangeInterval = name, interval
-		variants = append(variants, moved)
+		changed := base
+		changed.Name, changed.LoadExchangeInterval = name, interval
+		variants = append(variants, changed)
 	}
 	loadExchange("load shared every 10 ms", 10*time.Millisecond)
 	loadExchange("load shared every 100 ms", 100*time.Millisecond)
@@ -45,9 +43,7 @@
 	base := Variant{Name: "all mechanisms", Policy: Router, LoadExchangeInterval: defaultLoadExchangeInterval}
 	variants := []Variant{base}
 	without := func(name string, tune func(*RouterSettings)) {
-		moved := base
-		moved.Name, moved.Tune = "without "+name, tune
-		variants = append(variants, moved)
+		variants = append(variants, base.tuned("without "+name, tune))
 	}
 	without("prefix credit", func(s *RouterSettings) { s.Options.Disabled.Overlap = true })
 	without("own and others' expectations", func(s *RouterSettings) { s.Options.Disabled.PendingChunks = true })
@@ -61,7 +57,7 @@
 	without("price of zones", func(s *RouterSettings) { s.Settings.ZonePrice, s.Settings.ZonePricePerKilobyte = 0, 0 })
 	without("harm weight", func(s *RouterSettings) { s.Settings.HarmWeight = 0 })
 	without("price of memory in use", func(s *RouterSettings) { s.Settings.DecodeWeight = 0 })
-	alone := base
-	alone.Name, alone.LoadExchangeInterval = "without shared load", 0
-	return append(variants, alone)
+	withoutLoadExchange := base
+	withoutLoadExchange.Name, withoutLoadExchange.LoadExchangeInterval = "without shared load", 0
+	return append(variants, withoutLoadExchange)
 }
--- a/internal/lab/enginebench/memory.go
+++ b/internal/lab/enginebench/memory.go
@@ -31,11 +31,13 @@
 // that no running request uses can be evicted, the least recently used first and from
 // their end. Sizes are in tokens.
 type memory struct {
-	total  int
-	used   int
+	total int
+	used  int
+	// chunks are the elements of recent by the ID of their chunk.
 	chunks map[string]*list.Element
 	// recent has the most recently used chunk in front.
-	recent  *list.List
+	recent *list.List
+	// changes are those since takeChanges.
 	changes []change
 }
 
@@ -55,7 +57,7 @@
 }
 
 // leading counts the tokens that are cached from the beginning of a prompt, and
-// the whole chunks among them.
+// the complete chunks among them.
 func (m *memory) leading(chunks []prefixindex.Chunk) (tokens, complete int) {
 	for _, chunk := range chunks {
 		element, present := m.chunks[chunk.ID]
@@ -88,6 +90,7 @@
 	return true
 }
 
+// release gives back what reserve reserved for tokens.
 func (m *memory) release(tokens int) { m.used -= alignToBlocks(tokens) }
 
 // evict evicts tokens from the end of a chunk that is not in use.
@@ -106,7 +109,7 @@
 	}
 }
 
-// add adds a whole chunk, whose tokens the caller has reserved. It returns false when
+// add adds a complete chunk, whose tokens the caller has reserved. It returns false when
 // the chunk was cached before, so that the caller must release them.
 func (m *memory) add(id string, tokens int) bool {
 	element, present := m.chunks[id]
@@ -133,6 +136,7 @@
 	}
 }
 
+// unpin ends one pin of a chunk.
 func (m *memory) unpin(id string) {
 	if element, present := m.chunks[id]; present {
 		element.Value.(*cachedChunk).pins--
--- a/internal/lab/enginebench/policy.go
+++ b/internal/lab/enginebench/policy.go
@@ -39,26 +39,33 @@
 
 // placement is where a node sends a request.
 type placement struct {
-	replica     int
-	priority    uint8
-	source      *owner
-	save        bool
+	// replica is the number of the chosen replica.
+	replica  int
+	priority uint8
+	// source is what the replica pulls from before, or nil, and save says whether it
+	// saves its chunks to the store.
+	source *owner
+	save   bool
+	// reservation is the request's load in the product's router; nil in others.
 	reservation *kvrouter.Reservation
-	// believed are the leading tokens that the router assumes to be cached.
-	believed int
+	// assumedTokens are the leading tokens that the router assumes to be cached.
+	assumedTokens int
 	// wait is what the request is held back for, or nil.
 	wait *kvrouter.PrefixWait
 }
 
 // node is a router that receives a fraction of the requests.
 type node interface {
-	// route chooses a replica, or returns when to try again.
+	// route chooses a replica, or returns the time after which to try again.
 	route(now time.Duration, arrival *arrival) (placed placement, retryAfter time.Duration)
-	first(now time.Duration, placed *placement)
-	done(now time.Duration, placed *placement)
+	// firstEvent and finished tell that a request that route placed has sent its first
+	// event, and that it has ended.
+	firstEvent(now time.Duration, placed *placement)
+	finished(now time.Duration, placed *placement)
 	// changes, report and remoteLoads deliver what owners report and other routers send.
 	changes(now time.Duration, address string, position kvevents.Position, changes []kvevents.ChunkChange)
 	report(now time.Duration, address string, report kvrouter.Report)
+	// loads returns the load that this router has put on each replica.
 	loads(now time.Duration) []kvrouter.AddressLoad
 	remoteLoads(now time.Duration, from int, loads []kvrouter.AddressLoad)
 }
@@ -77,15 +84,19 @@
 
 // simpleNode chooses by its own requests only.
 type simpleNode struct {
-	sim     *simulation
-	policy  Policy
-	random  *rand.Rand
+	sim    *simulation
+	policy Policy
+	random *rand.Rand
+	// running counts this node's requests on each replica.
 	running []int
 }
 
 // boundedLoad bounds the requests of a replica relative to the mean.
 const boundedLoad = 1.25
 
+// hashMultiplier spreads hashes over all bits: 2^64 divided by the golden ratio.
+const hashMultiplier = 0x9E3779B97F4A7C15
+
 func (n *simpleNode) route(_ time.Duration, arrival *arrival) (placement, time.Duration) {
 	placed := placement{priority: samePriority}
 	switch n.policy {
@@ -105,6 +116,8 @@
 	return placed, 0
 }
 
+// least returns the replica with the fewest of this node's requests, one of several
+// at random.
 func (n *simpleNode) least() int {
 	offset := n.random.IntN(len(n.running))
 	best := offset
@@ -117,6 +130,8 @@
 	return best
 }
 
+// rendezvous returns the replica with the highest hash together with a chunk, of those
+// within the bounded load.
 func (n *simpleNode) rendezvous(chunk string) int {
 	total := 1
 	for _, running := range n.running {
@@ -131,7 +146,7 @@
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(chunk))
 		_, _ = hash.Write([]byte(n.sim.replicas[number].address))
-		mixed := hash.Sum64() * 0x9E3779B97F4A7C15
+		mixed := hash.Sum64() * hashMultiplier
 		if best < 0 || mixed > highest {
 			best, highest = number, mixed
 		}
@@ -142,9 +157,9 @@
 	return best
 }
 
-func (n *simpleNode) first(time.Duration, *placement) {}
+func (n *simpleNode) firstEvent(time.Duration, *placement) {}
 
-func (n *simpleNode) done(_ time.Duration, placed *placement) { n.running[placed.replica]-- }
+func (n *simpleNode) finished(_ time.Duration, placed *placement) { n.running[placed.replica]-- }
 
 func (n *simpleNode) changes(time.Duration, string, kvevents.Position, []kvevents.ChunkChange) {}
 
--- a/internal/lab/enginebench/profile.go
+++ b/internal/lab/enginebench/profile.go
@@ -21,7 +21,7 @@
 	StepPerSlot float64
 	// ContextPerThousand is the time per step and thousand tokens of context.
 	ContextPerThousand float64
-	// PrefillTokens are the tokens of prompts read in a millisecond.
+	// PrefillTokens is the number of tokens of prompts that are read in a millisecond.
 	PrefillTokens float64
 	// PairsPerMillion is the time for a million pairs of a read token and one
 	// before it.
@@ -33,10 +33,10 @@
 	// PrefillChunk is how many tokens of prompts are read in one step.
 	PrefillChunk  int
 	BytesPerToken float64
-	// LinkBits and StoreBits are the rates of a replica's link and of the store's.
-	LinkBits    float64
-	StoreBits   float64
-	StoreTokens int
+	// LinkBitsPerSecond and StoreBitsPerSecond are the rates of a replica's link and of the store's.
+	LinkBitsPerSecond  float64
+	StoreBitsPerSecond float64
+	StoreTokens        int
 	// TransferSetup is added to the time of each transfer.
 	TransferSetup float64
 }
@@ -44,15 +44,15 @@
 // Class is a class of requests.
 type Class struct {
 	Name string
-	// PerSecond is the rate at a load of 1.
-	PerSecond float64
+	// RequestsPerSecond is the rate at a load of 1.
+	RequestsPerSecond float64
 	// Shared are the chunks that requests share.
 	Shared []SharedChunk
 	// Unshared is the mean length of the last chunk, which no other request has, in
 	// tokens, with the spread of its logarithm and the largest length.
 	Unshared, UnsharedSpread, UnsharedMax float64
-	// Out is the mean of the output tokens, with the spread of its logarithm.
-	Out, OutSpread float64
+	// OutputTokens is the mean length of the output, with the spread of its logarithm.
+	OutputTokens, OutputSpread float64
 	// LatencyTarget and Deadline are for the first event. A request is worth Value
 	// within the target, LateValue within the deadline, and nothing after.
 	LatencyTarget, Deadline time.Duration
@@ -64,7 +64,8 @@
 // SharedChunk is a chunk of prompts that is drawn from a number of variants. Tokens is
 // its mean length, with the spread of its logarithm and the largest length.
 type SharedChunk struct {
-	Variants            int
+	Variants int
+	// Skew is the exponent of the Zipf law by which a variant is drawn.
 	Skew                float64
 	Tokens, Spread, Max float64
 }
@@ -75,7 +76,7 @@
 	Engine   Engine
 	Replicas int
 	Zones    int
-	// Slowness are the speeds that replicas get in turn.
+	// Slowness are the factors by which steps take longer; each replica draws one.
 	Slowness []float64
 	Nodes    int
 	Classes  []Class
@@ -85,7 +86,7 @@
 	return Engine{
 		Slots: 64, MemoryTokens: 164044, StepBase: 4.63, StepPerSlot: 0.153,
 		ContextPerThousand: 0.00275, PrefillTokens: 37.9, PairsPerMillion: 0.248, FirstEvent: 19,
-		Stride: 5, PrefillChunk: 2048, BytesPerToken: 18432, LinkBits: 370e9, StoreBits: 37e9,
+		Stride: 5, PrefillChunk: 2048, BytesPerToken: 18432, LinkBitsPerSecond: 370e9, StoreBitsPerSecond: 37e9,
 		StoreTokens: 2_309_790, TransferSetup: 5,
 	}
 }
@@ -116,13 +117,13 @@
 		Engine: Engine{
 			Slots: 48, MemoryTokens: 168_384, StepBase: 3.29, ContextPerThousand: 0.0262,
 			PrefillTokens: 93, PairsPerMillion: 0.442, FirstEvent: 80,
-			Stride: 8, PrefillChunk: 2048, BytesPerToken: 131072, LinkBits: 69e9, StoreBits: 670e9,
+			Stride: 8, PrefillChunk: 2048, BytesPerToken: 131072, LinkBitsPerSecond: 69e9, StoreBitsPerSecond: 670e9,
 			StoreTokens: 4_047_750, TransferSetup: 4,
 		},
 		Classes: []Class{
-			{Name: "long", PerSecond: 70, Shared: oneLongChunk(428), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, Out: 15, OutSpread: 1.4, LatencyTarget: 800 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
-			{Name: "middle", PerSecond: 63, Shared: twoChunks(587), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, Out: 7, OutSpread: 1.4, LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
-			{Name: "short", PerSecond: 131, Shared: shortChunks(16, 1220), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, Out: 22, OutSpread: 0.9, LatencyTarget: 500 * time.Millisecond, Deadline: 8 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
+			{Name: "long", RequestsPerSecond: 70, Shared: oneLongChunk(428), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, OutputTokens: 15, OutputSpread: 1.4, LatencyTarget: 800 * time.Millisecond, Deadline: 8 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
+			{Name: "middle", RequestsPerSecond: 63, Shared: twoChunks(587), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, OutputTokens: 7, OutputSpread: 1.4, LatencyTarget: 600 * time.Millisecond, Deadline: 4 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
+			{Name: "short", RequestsPerSecond: 131, Shared: shortChunks(16, 1220), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, OutputTokens: 22, OutputSpread: 0.9, LatencyTarget: 500 * time.Millisecond, Deadline: 8 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
 		},
 	}
 }
@@ -134,23 +135,23 @@
 	large.MemoryTokens = 188_939
 	large.StepBase, large.StepPerSlot = 6.55, 0.2
 	large.PrefillTokens, large.BytesPerToken = 62.4, 35136
-	large.LinkBits, large.StoreBits = 740e9, 74e9
+	large.LinkBitsPerSecond, large.StoreBitsPerSecond = 740e9, 74e9
 	large.StoreTokens = 2_600_000
 	return []Profile{
 		{
 			Name: "large", Engine: large, Replicas: 18, Zones: 4, Nodes: 9, Slowness: []float64{1, 1, 1.3},
 			Classes: []Class{
-				{Name: "long", PerSecond: 18.9, Shared: oneLongChunk(94), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, Out: 40, OutSpread: 1.4, LatencyTarget: time.Second, Deadline: 12 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
-				{Name: "middle", PerSecond: 15.3, Shared: twoChunks(66), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, Out: 17, OutSpread: 1.4, LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
-				{Name: "short", PerSecond: 20.5, Shared: shortChunks(40, 155), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, Out: 57, OutSpread: 0.9, LatencyTarget: 2 * time.Second, Deadline: 15 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
+				{Name: "long", RequestsPerSecond: 18.9, Shared: oneLongChunk(94), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, OutputTokens: 40, OutputSpread: 1.4, LatencyTarget: time.Second, Deadline: 12 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
+				{Name: "middle", RequestsPerSecond: 15.3, Shared: twoChunks(66), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, OutputTokens: 17, OutputSpread: 1.4, LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
+				{Name: "short", RequestsPerSecond: 20.5, Shared: shortChunks(40, 155), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, OutputTokens: 57, OutputSpread: 0.9, LatencyTarget: 2 * time.Second, Deadline: 15 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
 			},
 		},
 		{
 			Name: "small", Engine: harborEngine(), Replicas: 18, Zones: 3, Nodes: 8, Slowness: []float64{1, 1, 1.3},
 			Classes: []Class{
-				{Name: "long", PerSecond: 13.3, Shared: oneLongChunk(94), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, Out: 24, OutSpread: 1.4, LatencyTarget: time.Second, Deadline: 10 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
-				{Name: "middle", PerSecond: 9.4, Shared: twoChunks(66), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, Out: 10, OutSpread: 1.4, LatencyTarget: 800 * time.Millisecond, Deadline: 5 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
-				{Name: "short", PerSecond: 14.7, Shared: shortChunks(40, 155), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, Out: 34, OutSpread: 0.9, LatencyTarget: 600 * time.Millisecond, Deadline: 10 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
+				{Name: "long", RequestsPerSecond: 13.3, Shared: oneLongChunk(94), Unshared: 3720, UnsharedSpread: 1.1, UnsharedMax: 53200, OutputTokens: 24, OutputSpread: 1.4, LatencyTarget: time.Second, Deadline: 10 * time.Second, Value: 2, LateValue: 0.6, Priority: 1},
+				{Name: "middle", RequestsPerSecond: 9.4, Shared: twoChunks(66), Unshared: 2890, UnsharedSpread: 1, UnsharedMax: 39600, OutputTokens: 10, OutputSpread: 1.4, LatencyTarget: 800 * time.Millisecond, Deadline: 5 * time.Second, Value: 3, LateValue: 0.9, Priority: 0},
+				{Name: "short", RequestsPerSecond: 14.7, Shared: shortChunks(40, 155), Unshared: 1110, UnsharedSpread: 1, UnsharedMax: 3790, OutputTokens: 34, OutputSpread: 0.9, LatencyTarget: 600 * time.Millisecond, Deadline: 10 * time.Second, Value: 1, LateValue: 0.3, Priority: 2},
 			},
 		},
 		wideProfile(),
@@ -176,16 +177,16 @@
 		engine.Slots = int(between(16, 96))
 		engine.MemoryTokens = int(between(100_000, 300_000))
 		engine.BytesPerToken = between(10_000, 160_000)
-		engine.LinkBits = between(30e9, 800e9)
-		engine.StoreBits = between(0.1, 8) * engine.LinkBits
+		engine.LinkBitsPerSecond = between(30e9, 800e9)
+		engine.StoreBitsPerSecond = between(0.1, 8) * engine.LinkBitsPerSecond
 		engine.StoreTokens = int(between(0.5, 30) * float64(engine.MemoryTokens))
 		scaleOfFleet := float64(drawn.Replicas) / drawnReplicas * scale
 		drawn.Classes = slices.Clone(drawn.Classes)
 		perReplica := between(1.5, 2.5)
-		sum := lo.SumBy(drawn.Classes, func(class Class) float64 { return class.PerSecond })
+		sum := lo.SumBy(drawn.Classes, func(class Class) float64 { return class.RequestsPerSecond })
 		for position := range drawn.Classes {
 			class := &drawn.Classes[position]
-			class.PerSecond *= perReplica * drawnReplicas * scaleOfFleet / sum
+			class.RequestsPerSecond *= perReplica * drawnReplicas * scaleOfFleet / sum
 		}
 		profiles = append(profiles, drawn)
 	}
--- a/internal/lab/enginebench/reread.go
+++ b/internal/lab/enginebench/reread.go
@@ -32,7 +32,7 @@
 
 // countReread counts the shared tokens that a request has to read although some
 // replica had read them before, by reason.
-func (s *simulation) countReread(now time.Duration, request *run, cached int) {
+func (s *simulation) countReread(now time.Duration, request *replicaRequest, cached int) {
 	chunks := request.arrival.chunks
 	position := 0
 	for _, chunk := range chunks[:len(chunks)-1] {
@@ -49,9 +49,9 @@
 }
 
 // reasonOf returns why a chunk that ends at a position of the prompt is read again.
-func (s *simulation) reasonOf(request *run, chunk prefixindex.Chunk, position int) Reread {
+func (s *simulation) reasonOf(request *replicaRequest, chunk prefixindex.Chunk, position int) Reread {
 	switch {
-	case request.believed >= position:
+	case request.assumedTokens >= position:
 		return RereadBelieved
 	case request.source != nil:
 		return RereadPulled
--- a/internal/lab/enginebench/result.go
+++ b/internal/lab/enginebench/result.go
@@ -11,13 +11,15 @@
 // outcome is the outcome of a request.
 type outcome struct {
 	arrival *arrival
-	first   time.Duration
-
+	// firstEvent is the time from the arrival to the first event; 0 if none came.
+	firstEvent time.Duration
+	// crossZone says that the replica was in another zone than the router.
 	crossZone bool
 }
 
 // Result is the result of a run.
 type Result struct {
+	// What is counted while the run goes on; the numbers of tokens are sums.
 	outcomes     []*outcome
 	movedTokens  int
 	readTokens   int
@@ -36,8 +38,11 @@
 	// MovedTokens, ReadTokens and RereadTokens count tokens per request.
 	MovedTokens, ReadTokens, RereadTokens float64
 	// Rereads divides RereadTokens by reason.
-	Rereads                map[Reread]float64
-	Refused, Preempted     int
+	Rereads map[Reread]float64
+	// Refused counts the attempts for which a router found no replica, and Preempted
+	// the requests that a replica put back into its queue.
+	Refused, Preempted int
+	// TTFT50, TTFT95 and TTFT99 are quantiles of the time to the first event.
 	TTFT50, TTFT95, TTFT99 time.Duration
 }
 
@@ -51,15 +56,17 @@
 // credit returns the fraction of its value that a request earned.
 func (o *outcome) credit() float64 {
 	class := o.arrival.class
-	if o.first == 0 || o.first > class.Deadline {
+	if o.firstEvent == 0 || o.firstEvent > class.Deadline {
 		return 0
 	}
-	if o.first <= class.LatencyTarget {
+	if o.firstEvent <= class.LatencyTarget {
 		return 1
 	}
 	return class.LateValue / class.Value
 }
 
+// summarize computes the published figures from what was counted. Requests without an
+// outcome earned nothing; those that arrived during the warm-up don't count.
 func (r *Result) summarize(arrivals []*arrival, profile *Profile) {
 	byArrival := map[*arrival]*outcome{}
 	for _, outcome := range r.outcomes {
@@ -81,9 +88,9 @@
 				outcomes = append(outcomes, &outcome{arrival: arrival})
 			}
 		}
-		got, of := weigh(outcomes)
-		earned += got * class.Value
-		owed += of * class.Value
+		classEarned, classOwed := weigh(outcomes)
+		earned += classEarned * class.Value
+		owed += classOwed * class.Value
 		r.ByClass[class.Name] = r.classResult(outcomes)
 	}
 	r.Credit = earned / owed
@@ -99,7 +106,7 @@
 
 // size returns the size of a request in prompt tokens.
 func size(o *outcome) float64 {
-	return float64(o.arrival.promptTokens() + outputWeight*o.arrival.out)
+	return float64(o.arrival.promptTokens() + outputWeight*o.arrival.outputTokens)
 }
 
 // The weight of a request is a fixed fraction, and the rest in proportion to its size
@@ -121,6 +128,8 @@
 	return earned, owed
 }
 
+// creditRatio returns the fraction of the owed value that requests earned, or NaN
+// without requests.
 func creditRatio(outcomes []*outcome) float64 {
 	earned, owed := weigh(outcomes)
 	if owed == 0 {
@@ -129,10 +138,12 @@
 	return earned / owed
 }
 
+// classResult returns the figures of one class. It sorts the outcomes by size, the
+// largest first.
 func (r *Result) classResult(outcomes []*outcome) ClassResult {
 	slices.SortFunc(outcomes, func(a, b *outcome) int { return int(size(b) - size(a)) })
 	tenth := len(outcomes) / 10
-	inTime := lo.CountBy(outcomes, func(o *outcome) bool { return o.first > 0 && o.first <= o.arrival.class.LatencyTarget })
+	inTime := lo.CountBy(outcomes, func(o *outcome) bool { return o.firstEvent > 0 && o.firstEvent <= o.arrival.class.LatencyTarget })
 	return ClassResult{
 		All:          creditRatio(outcomes),
 		LargestTenth: creditRatio(outcomes[:tenth]),
@@ -141,6 +152,7 @@
 	}
 }
 
+// totals computes the figures that concern all classes together.
 func (r *Result) totals() {
 	count := float64(max(1, len(r.outcomes)))
 	r.CrossZone = float64(lo.CountBy(r.outcomes, func(o *outcome) bool { return o.crossZone })) / count
@@ -151,8 +163,8 @@
 	r.Refused, r.Preempted = r.refused, r.preempted
 	var times []time.Duration
 	for _, outcome := range r.outcomes {
-		if outcome.first > 0 && outcome.arrival.arrivedAt >= warmUp {
-			times = append(times, outcome.first)
+		if outcome.firstEvent > 0 && outcome.arrival.arrivedAt >= warmUp {
+			times = append(times, outcome.firstEvent)
 		}
 	}
 	slices.Sort(times)
--- a/internal/lab/enginebench/router_node.go
+++ b/internal/lab/enginebench/router_node.go
@@ -31,8 +31,11 @@
 // samePriority is the priority of requests without one.
 const samePriority = 5
 
+// maxNodes bounds the number of routers of a fleet.
+const maxNodes = 2000
+
 // nodeNames are the names of the routers.
-var nodeNames = lo.Times(2000, func(number int) string { return fmt.Sprint("node-", number) })
+var nodeNames = lo.Times(maxNodes, func(number int) string { return fmt.Sprint("node-", number) })
 
 // routerNode is a node with the router of the product.
 type routerNode struct {
@@ -40,8 +43,9 @@
 	number     int
 	router     *kvrouter.Router
 	candidates []kvrouter.Candidate
-	numbers    map[string]int
-	settings   RouterSettings
+	// numbers are the numbers of the replicas by address.
+	numbers  map[string]int
+	settings RouterSettings
 }
 
 func newRouterNode(s *simulation, nodeNumber int) *routerNode {
@@ -50,7 +54,7 @@
 		Settings: kvrouter.DefaultEngineSettings(),
 		Engine: kvrouter.EngineProfile{
 			Slots: engine.Slots, MemoryTokens: float64(engine.MemoryTokens), BytesPerToken: engine.BytesPerToken,
-			LinkBitsPerSecond: engine.LinkBits, StoreLinkBitsPerSecond: engine.StoreBits, StoreTokens: float64(engine.StoreTokens),
+			LinkBitsPerSecond: engine.LinkBitsPerSecond, StoreLinkBitsPerSecond: engine.StoreBitsPerSecond, StoreTokens: float64(engine.StoreTokens),
 		},
 	}
 	if s.settings.Tune != nil {
@@ -69,7 +73,7 @@
 
 func (n *routerNode) route(now time.Duration, arrival *arrival) (placement, time.Duration) {
 	request := kvrouter.Request{
-		Now: now, Model: model, Chunks: arrival.chunks, Naming: kvrouter.ByID, OutputTokens: uint32(4 * arrival.class.Out),
+		Now: now, Model: model, Chunks: arrival.chunks, Naming: kvrouter.ByID, OutputTokens: uint32(4 * arrival.class.OutputTokens),
 		SaltFor: func(string) string { return salt }, Settings: n.settings.Settings, Engine: &n.settings.Engine,
 		Priority: n.settings.priority(arrival.class), MaxWait: arrival.class.Deadline / 2, Zone: fmt.Sprint(n.sim.zoneOf(n.number)),
 	}
@@ -83,7 +87,7 @@
 	}
 	placed := placement{
 		replica: n.numbers[decision.Address], priority: n.settings.priority(arrival.class), save: decision.Save, reservation: decision.Reservation,
-		wait: decision.Wait, believed: int(decision.OverlapTokens),
+		wait: decision.Wait, assumedTokens: int(decision.OverlapTokens),
 	}
 	if decision.Pull != nil {
 		placed.source = n.ownerAt(decision.Pull.Source)
@@ -113,6 +117,7 @@
 	})
 }
 
+// ownerAt returns the replica at an address, or else the store.
 func (n *routerNode) ownerAt(address string) *owner {
 	if number, found := n.numbers[address]; found {
 		return &n.sim.replicas[number].owner
@@ -120,9 +125,11 @@
 	return n.sim.store
 }
 
-func (n *routerNode) first(now time.Duration, placed *placement) { placed.reservation.FirstToken(now) }
+func (n *routerNode) firstEvent(now time.Duration, placed *placement) {
+	placed.reservation.FirstToken(now)
+}
 
-func (n *routerNode) done(now time.Duration, placed *placement) {
+func (n *routerNode) finished(now time.Duration, placed *placement) {
 	placed.reservation.Finish(now, true)
 }
 
--- a/internal/lab/enginebench/simulation.go
+++ b/internal/lab/enginebench/simulation.go
@@ -11,10 +11,12 @@
 
 // Settings describe one run.
 type Settings struct {
-	Profile  Profile
-	Policy   Policy
-	Seed     uint64
-	Load     float64
+	Profile Profile
+	Policy  Policy
+	Seed    uint64
+	// Load multiplies the rates of the classes of requests.
+	Load float64
+	// Duration is the virtual time during which requests arrive.
 	Duration time.Duration
 	// EventLoss is the fraction of changes that are lost.
 	EventLoss float64
@@ -49,15 +51,17 @@
 	firstNodeStream = 100
 )
 
+// simulation is one run, with all that it changes.
 type simulation struct {
 	settings Settings
 	random   *rand.Rand
 	timers   timers.Queue
 	replicas []*replica
-	store    *owner
-	owners   []*owner
-	nodes    []node
-	result   *Result
+	// store is nil under policies without one. owners are the replicas and the store.
+	store  *owner
+	owners []*owner
+	nodes  []node
+	result *Result
 	// lastUse is when a shared chunk was last used, by ID.
 	lastUse map[string]time.Duration
 }
@@ -85,26 +89,27 @@
 	return s.result
 }
 
+// build creates replicas, store and routers.
 func (s *simulation) build() {
 	profile := &s.settings.Profile
 	engine := &profile.Engine
 	for number := range profile.Replicas {
 		created := &replica{
 			owner: owner{
-				address: fmt.Sprint("replica-", number),
-				zone:    number * profile.Zones / profile.Replicas,
-				memory:  newMemory(engine.MemoryTokens),
-				bits:    engine.LinkBits,
+				address:           fmt.Sprint("replica-", number),
+				zone:              number * profile.Zones / profile.Replicas,
+				memory:            newMemory(engine.MemoryTokens),
+				linkBitsPerSecond: engine.LinkBitsPerSecond,
 			},
-			engine: engine,
-			slow:   profile.Slowness[s.random.IntN(len(profile.Slowness))],
-			sim:    s,
+			engine:   engine,
+			slowness: profile.Slowness[s.random.IntN(len(profile.Slowness))],
+			sim:      s,
 		}
 		s.replicas = append(s.replicas, created)
 		s.owners = append(s.owners, &created.owner)
 	}
 	if s.settings.Policy.usesStore() {
-		s.store = &owner{address: "store", zone: storeZone, memory: newMemory(engine.StoreTokens), bits: engine.StoreBits}
+		s.store = &owner{address: "store", zone: storeZone, memory: newMemory(engine.StoreTokens), linkBitsPerSecond: engine.StoreBitsPerSecond}
 		s.owners = append(s.owners, s.store)
 	}
 	for number := range profile.Nodes {
@@ -112,7 +117,8 @@
 	}
 }
 
-// arrive has the node of a request route it.
+// arrive has the node of a request route it. A request that is refused comes back
+// once, if its deadline allows that.
 func (s *simulation) arrive(now time.Duration, arrival *arrival, attempt int) {
 	node := s.nodes[arrival.node]
 	placed, retryAfter := node.route(now, arrival)
@@ -125,14 +131,14 @@
 	}
 	outcome := &outcome{arrival: arrival, crossZone: s.replicas[placed.replica].zone != s.zoneOf(arrival.node)}
 	s.result.outcomes = append(s.result.outcomes, outcome)
-	request := &run{
-		arrival: arrival, priority: placed.priority, source: placed.source, save: placed.save, believed: placed.believed,
-		first: func(at time.Duration) {
-			outcome.first = at - arrival.arrivedAt
-			s.timers.Add(at, func(now time.Duration) { node.first(now, &placed) })
+	request := &replicaRequest{
+		arrival: arrival, priority: placed.priority, source: placed.source, save: placed.save, assumedTokens: placed.assumedTokens,
+		onFirstEvent: func(at time.Duration) {
+			outcome.firstEvent = at - arrival.arrivedAt
+			s.timers.Add(at, func(now time.Duration) { node.firstEvent(now, &placed) })
 		},
-		done: func(at time.Duration) {
-			s.timers.Add(at, func(now time.Duration) { node.done(now, &placed) })
+		onDone: func(at time.Duration) {
+			s.timers.Add(at, func(now time.Duration) { node.finished(now, &placed) })
 		},
 	}
 	s.sendWhenReady(now, placed.wait, func(now time.Duration) {
@@ -154,8 +160,8 @@
 
 func (s *simulation) zoneOf(node int) int { return node % s.settings.Profile.Zones }
 
-// transfer reserves the links of both ends, and returns when the transfer has ended.
-// It returns false when a link is busy for too long.
+// transfer reserves the links of both ends for a number of tokens, and returns when the
+// transfer ends. It returns false when a link is busy for too long.
 func (s *simulation) transfer(now time.Duration, from, to *owner, tokens int) (time.Duration, bool) {
 	start := max(now, from.linkFreeAt, to.linkFreeAt)
 	if from == s.store || to == s.store {
@@ -165,7 +171,7 @@
 		return 0, false
 	}
 	engine := &s.settings.Profile.Engine
-	took := float64(tokens) * engine.BytesPerToken * bitsPerByte / min(from.bits, to.bits) * millisecondsPerSecond
+	took := float64(tokens) * engine.BytesPerToken * bitsPerByte / min(from.linkBitsPerSecond, to.linkBitsPerSecond) * millisecondsPerSecond
 	if from.zone != to.zone {
 		took *= crossZoneFactor
 	}
--- a/internal/lab/enginebench/workload.go
+++ b/internal/lab/enginebench/workload.go
@@ -10,13 +10,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// arrival is one request.
+// arrival is one request as it arrives at a router.
 type arrival struct {
 	arrivedAt time.Duration
 	class     *Class
-	node      int
-	chunks    []prefixindex.Chunk
-	out       int
+	// node is the number of the router that it arrives at.
+	node int
+	// chunks are its prompt; the last one belongs to it alone.
+	chunks       []prefixindex.Chunk
+	outputTokens int
 }
 
 func (a *arrival) promptTokens() int {
@@ -27,8 +29,9 @@
 	return tokens
 }
 
-// logNormal draws from a log-normal distribution by its mean, and the spread of its
-// logarithm.
+// logNormal draws from a log-normal distribution with a mean, and the standard deviation
+// spread of its logarithm. What it draws is at least 1 and at most highest; without a
+// spread it is the mean.
 func logNormal(random *rand.Rand, mean, spread, highest float64) int {
 	if spread == 0 {
 		return int(mean)
@@ -37,7 +40,7 @@
 	return int(max(1, min(value, highest)))
 }
 
-// drawVariant draws one of a number of variants, the first ones more often by the skew.
+// drawVariant draws one of a number of variants, by a Zipf law with the exponent skew.
 func drawVariant(random *rand.Rand, variants int, skew float64) int {
 	sum := 0.0
 	for variant := range variants {
@@ -53,8 +56,14 @@
 	return variants - 1
 }
 
-// workload draws the arrivals of all classes in order. The load varies by a fifth
-// around its mean.
+// The load of each class varies around its mean as a sine does: by waveHeight of the
+// mean, once in wavePeriod, with classes out of phase.
+const (
+	waveHeight = 0.2
+	wavePeriod = 11 * time.Second
+)
+
+// workload draws the arrivals of all classes, in the order of their times.
 func workload(profile *Profile, load float64, duration time.Duration, seed uint64) []*arrival {
 	random := rand.New(rand.NewPCG(seed, workloadStream))
 	sizes := map[string]uint32{}
@@ -62,8 +71,8 @@
 	for position := range profile.Classes {
 		class := &profile.Classes[position]
 		for at := time.Duration(0); ; {
-			wave := 1 + 0.2*math.Sin(2*math.Pi*at.Seconds()/11+float64(position))
-			at += time.Duration(random.ExpFloat64() / (class.PerSecond * load * wave) * float64(time.Second))
+			wave := 1 + waveHeight*math.Sin(2*math.Pi*at.Seconds()/wavePeriod.Seconds()+float64(position))
+			at += time.Duration(random.ExpFloat64() / (class.RequestsPerSecond * load * wave) * float64(time.Second))
 			if at >= duration {
 				break
 			}
@@ -78,6 +87,8 @@
 	return arrivals
 }
 
+// draw draws one request of a class. sizes are the lengths of the shared chunks that
+// were drawn so far, by ID.
 func draw(random *rand.Rand, class *Class, at time.Duration, nodes int, sizes map[string]uint32) *arrival {
 	drawn := &arrival{arrivedAt: at, class: class, node: random.IntN(nodes)}
 	// The variant of the last shared chunk determines those before it.
@@ -92,6 +103,6 @@
 	}
 	unshared := logNormal(random, class.Unshared, class.UnsharedSpread, class.UnsharedMax)
 	drawn.chunks = append(drawn.chunks, prefixindex.Chunk{Tokens: uint32(unshared)})
-	drawn.out = logNormal(random, class.Out, class.OutSpread, 4*class.Out)
+	drawn.outputTokens = logNormal(random, class.OutputTokens, class.OutputSpread, 4*class.OutputTokens)
 	return drawn
 }
