--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -14,23 +14,28 @@
 type change struct {
 	submittedAt time.Duration
 	repliedAt   time.Duration
-	revision    uint64
-	confirmed   bool
-	problem     string
+	// revision is that of the configuration with the change; 0 without one.
+	revision uint64
+	// confirmed says that the change was acknowledged as in force on every node.
+	confirmed bool
+	// problem is why it failed; empty if it did not.
+	problem string
 }
 
 // changes submits changes at a steady rate, each through some node.
 type changes struct {
-	fleet   *fleet
+	fleet *fleet
+	// random draws the nodes. The number of nodes selects its stream.
 	random  *rand.Rand
 	running sync.WaitGroup
 
+	// mutex guards done, the changes that were answered or given up.
 	mutex sync.Mutex
 	done  []change
 }
 
-func newChanges(of *fleet) *changes {
-	return &changes{fleet: of, random: rand.New(rand.NewPCG(of.settings.Seed, uint64(of.settings.Nodes)))}
+func newChanges(fleet *fleet) *changes {
+	return &changes{fleet: fleet, random: rand.New(rand.NewPCG(fleet.settings.Seed, uint64(fleet.settings.Nodes)))}
 }
 
 // run submits until the context ends and then waits for the answers.
--- a/internal/lab/hollow/configuration.go
+++ b/internal/lab/hollow/configuration.go
@@ -16,12 +16,12 @@
 
 // configuration is what the operators of a hollow deployment apply first.
 func configuration(settings Settings) *ridgeswitchv1.Configuration {
-	whole := &ridgeswitchv1.Configuration{}
+	complete := &ridgeswitchv1.Configuration{}
 	for number := range settings.Tenants {
-		whole.Tenants = append(whole.Tenants, tenant(number))
+		complete.Tenants = append(complete.Tenants, tenant(number))
 	}
 	for pool := range settings.pools() {
-		whole.Pools = append(whole.Pools, &ridgeswitchv1.Pool{
+		complete.Pools = append(complete.Pools, &ridgeswitchv1.Pool{
 			Name:             serviceName(pool),
 			Model:            serviceName(pool),
 			Service:          serviceName(pool),
@@ -29,16 +29,17 @@
 			RequestTimeoutMs: requestTimeoutMS,
 			Routing:          &ridgeswitchv1.Routing{},
 		})
-		whole.Routes = append(whole.Routes, &ridgeswitchv1.Route{
+		complete.Routes = append(complete.Routes, &ridgeswitchv1.Route{
 			Host:        serviceName(pool) + ".hollow.example",
 			Destination: &ridgeswitchv1.Route_Pool{Pool: serviceName(pool)},
 		})
 	}
-	return whole
+	return complete
 }
 
 func tenantName(number int) string { return fmt.Sprintf("tenant-%05d", number) }
 
+// tenant returns a tenant with its keys; one in four is walled.
 func tenant(number int) *ridgeswitchv1.Tenant {
 	name := tenantName(number)
 	entry := &ridgeswitchv1.Tenant{
@@ -62,7 +63,7 @@
 	return &ridgeswitchv1.Key{Name: name, Sha256: dynamic.KeyDigest(tenant + "/" + name)}
 }
 
-// firstOrder applies the whole configuration.
+// firstOrder is the order that applies the complete configuration.
 func firstOrder(settings Settings) (*controlpb.Order, error) {
 	return dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
 		Order:         &ridgeswitchv1.OrderHeader{OrderId: "hollow-first"},
@@ -70,7 +71,7 @@
 	})
 }
 
-// changeOrder is one of the changes at a steady rate: one more key of a tenant.
+// changeOrder is the order of a numbered change: one more key of a tenant.
 func changeOrder(settings Settings, number int) (*controlpb.Order, error) {
 	name := tenantName(number % settings.Tenants)
 	return dynamic.OrderFromRequest(&ridgeswitchv1.AddKeyRequest{
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/pkg/errors"
+	"github.com/samber/lo"
 	"github.com/sirupsen/logrus"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
@@ -15,9 +16,9 @@
 )
 
 const (
-	// convergenceCheckEvery is the time between two looks at the nodes that start.
+	// convergenceCheckEvery is the time between two checks whether all nodes serve.
 	convergenceCheckEvery = 50 * time.Millisecond
-	// firstOrderTimeout bounds one try to apply the first configuration.
+	// firstOrderTimeout bounds one attempt to apply the first configuration.
 	firstOrderTimeout = 10 * time.Second
 )
 
@@ -36,8 +37,8 @@
 	stopAll context.CancelFunc
 }
 
-// newFleet builds all nodes and starts none. The network is built by connect,
-// which gets the way to the nodes.
+// newFleet builds all nodes and starts none. connect builds the network, which is to
+// hand frames to the function that connect gets.
 func newFleet(settings Settings, clock func() time.Duration, connect func(deliver) (network, error)) (*fleet, error) {
 	built := &fleet{settings: settings, clock: clock, replicas: newReplicas(), log: quietLog()}
 	var err error
@@ -143,21 +144,13 @@
 	}
 }
 
-func (f *fleet) convergedNodes() int {
-	count := 0
-	for _, one := range f.nodes {
-		if one.converged() {
-			count++
-		}
-	}
-	return count
-}
+func (f *fleet) convergedNodes() int { return lo.CountBy(f.nodes, (*node).converged) }
 
 // readings reads all meters.
 func (f *fleet) readings() []reading {
 	all := make([]reading, len(f.nodes))
-	for number, one := range f.nodes {
-		all[number] = one.meter.read()
+	for number, node := range f.nodes {
+		all[number] = node.meter.read()
 	}
 	return all
 }
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -84,9 +84,9 @@
 var _ = Describe("Rates", func() {
 	It("are means a node and name the busiest one", func() {
 		quiet, busy := &meter{}, &meter{}
-		quiet.addSent(wire.KindConfirm, make([]byte, 6))
-		busy.addReceived(wire.KindConfirm, make([]byte, 16))
-		busy.addReceived(wire.KindConfirm, make([]byte, 16))
+		quiet.sent[wire.KindConfirm].add(make([]byte, 6))
+		busy.received[wire.KindConfirm].add(make([]byte, 16))
+		busy.received[wire.KindConfirm].add(make([]byte, 16))
 		rates := ratesOf([]reading{quiet.read(), busy.read()}, 2*second)
 		Expect(rates.SentMessages).To(Equal(0.25))
 		Expect(rates.SentBytes).To(Equal(2.5))
@@ -100,8 +100,8 @@
 	It("counts a change as everywhere only when the last node serves it", func() {
 		watched := &spread{everywhere: map[uint64]time.Duration{2: 3 * second}}
 		watched.arrivals = []arrival{
-			{after: 1, revision: 2, at: 2 * second},
-			{after: 1, revision: 3, at: 3 * second},
+			{before: 1, revision: 2, at: 2 * second},
+			{before: 1, revision: 3, at: 3 * second},
 		}
 		judged := watched.judge([]change{
 			{submittedAt: second, repliedAt: 2 * second, revision: 2, confirmed: true},
--- a/internal/lab/hollow/index.go
+++ b/internal/lab/hollow/index.go
@@ -15,26 +15,29 @@
 )
 
 const (
+	// indexStream separates the draws of the index from others of the same seed.
+	indexStream = 1
+	// chunkTokens is the length of a chunk, and of the output of a request.
 	chunkTokens = 256
 	// promptChunks is the length of the prompts that are placed.
 	promptChunks = 32
-	// eventsBetweenChecks is how many events pass between two looks at the
-	// clock.
+	// eventsBetweenChecks is the number of events between two readings of the clock.
 	eventsBetweenChecks = 1024
-	// placements is how many requests are placed.
+	// placements is the number of requests that are placed.
 	placements = 2000
-	// decodedEvents is how many lines of events are read.
+	// decodedEvents is the number of encoded events that are decoded.
 	decodedEvents = 100_000
 )
 
-// IndexFigures say what one node's index takes, on one core.
+// IndexFigures are the memory and the processor time that one node's index takes, on
+// one core.
 type IndexFigures struct {
 	Replicas        int     `json:"replicas"`
 	CachedChunks    int     `json:"kept_parts"`
 	BytesPerChunk   float64 `json:"heap_bytes_per_part"`
 	EventsPerSecond float64 `json:"events_s_one_core"`
-	// EncodedEventBytes is the length of the event that reports one stored chunk, and
-	// EventsDecodedPerSecond how many of them one core reads.
+	// EncodedEventBytes is the length of the event that reports one stored chunk, with
+	// the end of its line, and EventsDecodedPerSecond how many of them one core decodes.
 	EncodedEventBytes      int     `json:"event_line_bytes"`
 	EventsDecodedPerSecond float64 `json:"event_lines_read_s_one_core"`
 	// PlacementMicroseconds is the mean time to place a request over the
@@ -54,24 +57,25 @@
 	router   *kvrouter.Router
 	settings Settings
 	random   *rand.Rand
-	// sequences and kept are by replica; kept is a ring whose start is next.
+	// Of each replica, by number: the sequence number of its last event; its cached
+	// chunks, as a ring whose oldest one is at next; its address.
 	sequences []uint64
 	cached    [][]prefixindex.ChainHash
 	next      []int
-	names     []string
+	addresses []string
 }
 
 func newIndexFeed(settings Settings) *indexFeed {
 	feed := &indexFeed{
 		router:    kvrouter.New(kvrouter.Options{}),
 		settings:  settings,
-		random:    rand.New(rand.NewPCG(settings.Seed, 1)),
+		random:    rand.New(rand.NewPCG(settings.Seed, indexStream)),
 		sequences: make([]uint64, settings.Replicas),
 		cached:    make([][]prefixindex.ChainHash, settings.Replicas),
 		next:      make([]int, settings.Replicas),
 	}
 	for number := range settings.Replicas {
-		feed.names = append(feed.names, replicaAddress(number))
+		feed.addresses = append(feed.addresses, replicaAddress(number))
 	}
 	return feed
 }
@@ -85,7 +89,7 @@
 			f.cached[number] = append(f.cached[number], links[at].Hash)
 		}
 		f.sequences[number]++
-		f.router.Stored(0, f.names[number], 1, f.sequences[number], links)
+		f.router.Stored(0, f.addresses[number], 1, f.sequences[number], links)
 	}
 }
 
@@ -102,8 +106,8 @@
 	f.cached[number][at] = link.Hash
 	f.next[number] = (at + 1) % len(f.cached[number])
 	f.sequences[number] += 2
-	f.router.Stored(0, f.names[number], 1, f.sequences[number]-1, []prefixindex.Link{link})
-	f.router.Removed(0, f.names[number], 1, f.sequences[number], []prefixindex.ChainHash{oldest})
+	f.router.Stored(0, f.addresses[number], 1, f.sequences[number]-1, []prefixindex.Link{link})
+	f.router.Removed(0, f.addresses[number], 1, f.sequences[number], []prefixindex.ChainHash{oldest})
 }
 
 // run feeds for the given time and returns the events a second.
@@ -141,11 +145,12 @@
 	return time.Since(started) / placements, len(pool)
 }
 
+// candidates returns the replicas of the first pool.
 func (f *indexFeed) candidates() []kvrouter.Candidate {
 	var pool []kvrouter.Candidate
 	for number := 0; number < f.settings.Replicas; number += f.settings.pools() {
 		pool = append(pool, kvrouter.Candidate{
-			Address:       f.names[number],
+			Address:       f.addresses[number],
 			Zone:          zoneName(f.settings.zoneOf(number)),
 			WeightVersion: weightVersion,
 		})
@@ -164,7 +169,7 @@
 	endpointsBytes := endpointsBytes(settings)
 	eventBytes, decodedPerSecond := measureEventDecoding()
 	kept := feed.router.IndexStats().Reported
-	// What stands in for the replicas is not the node's.
+	// The replicas' own record of their chunks is no part of a node.
 	feed.cached = nil
 	after, _ := memoryInUse()
 	runtime.KeepAlive(feed)
@@ -182,8 +187,8 @@
 	}
 }
 
-// measureEventDecoding reads lines as a node reads the events of a replica, and returns the
-// length of one and how many it reads in a second.
+// measureEventDecoding decodes an event of a replica as a node does, and returns the
+// length of its line and how many one core decodes a second.
 func measureEventDecoding() (bytes int, perSecond float64) {
 	encoded, err := json.Marshal(replica.Event{
 		Kind:        replica.EventStored,
@@ -207,7 +212,7 @@
 	return len(encoded) + 1, decodedEvents / time.Since(started).Seconds()
 }
 
-// endpointsBytes is the size of the platform's answer.
+// endpointsBytes returns the size of the platform's list, as it encodes it.
 func endpointsBytes(settings Settings) int {
 	encoded := platform.Endpoints{}
 	for _, service := range platformEndpoints(settings) {
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for number := range settings.Nodes {
-		address := net.JoinHostPort(settings.hostOf(number), "7100")
+		address := net.JoinHostPort(settings.hostOf(number), internalPort)
 		if settings.Sockets == PerNodeSockets {
 			address = carrier.transports[number].Address()
 		}
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -51,38 +51,38 @@
 }
 
 // newNode builds a node.
-func newNode(number int, of *fleet, incarnation member.Incarnation) (*node, error) {
-	config := of.topology.controlConfig(number, incarnation)
-	machine, storage, err := newMachine(config, of.clock())
+func newNode(number int, fleet *fleet, incarnation member.Incarnation) (*node, error) {
+	config := fleet.topology.controlConfig(number, incarnation)
+	machine, storage, err := newMachine(config, fleet.clock())
 	if err != nil {
 		return nil, err
 	}
-	built := &node{number: number, fleet: of}
+	built := &node{number: number, fleet: fleet}
 	built.driver = driver.New(machine, driver.Options{
 		Deployment: deployment,
-		Clock:      of.clock,
+		Clock:      fleet.clock,
 		Sender:     built,
 		Storage:    storage,
 		Commander:  built,
 		Endpoints:  built,
-		Log:        of.log.WithFields(logrus.Fields{"node": config.Self.ID}),
+		Log:        fleet.log.WithFields(logrus.Fields{"node": config.Self.ID}),
 	})
 	return built, nil
 }
 
 // Send implements driver.Sender.
 func (n *node) Send(address string, frame []byte) {
-	n.meter.addSent(wire.MessageKindOf(frame), frame)
+	n.meter.sent[wire.MessageKindOf(frame)].add(frame)
 	n.fleet.network.send(n.number, address, frame)
 }
 
 // receive takes a frame from the network.
 func (n *node) receive(frame []byte) {
-	n.meter.addReceived(wire.MessageKindOf(frame), frame)
+	n.meter.received[wire.MessageKindOf(frame)].add(frame)
 	n.driver.ReceiveFrame(frame)
 }
 
-// role is what a profile tells the node's processor time by.
+// role is the label of the node's goroutines in a processor profile.
 func (n *node) role() string {
 	if n.number < n.fleet.settings.Core {
 		return "core"
@@ -90,7 +90,7 @@
 	return "front"
 }
 
-// run serves until the context ends.
+// run starts to serve, until the context ends.
 func (n *node) run(ctx context.Context, running *sync.WaitGroup) {
 	running.Go(func() {
 		pprof.Do(ctx, pprof.Labels("role", n.role()), func(ctx context.Context) {
--- a/internal/lab/hollow/replicas.go
+++ b/internal/lab/hollow/replicas.go
@@ -11,25 +11,26 @@
 // in no time.
 type replicas struct {
 	mutex sync.Mutex
-	// versions are the weights of the replicas that were ordered to load some.
+	// versions are the weights of the replicas that were commanded to load some, by
+	// address. All others have weightVersion.
 	versions map[string]string
 }
 
 func newReplicas() *replicas { return &replicas{versions: map[string]string{}} }
 
-// load is what a command leads to.
+// load loads the weights that a command names.
 func (r *replicas) load(command control.Command) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.versions[command.Address] = command.WeightVersion
 }
 
-// report is what a replica says of itself.
+// report returns what a replica reports of itself.
 func (r *replicas) report(address string, now time.Duration) control.ReplicaReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	version, ordered := r.versions[address]
-	if !ordered {
+	version, commanded := r.versions[address]
+	if !commanded {
 		version = weightVersion
 	}
 	return control.ReplicaReport{Address: address, Incarnation: 1, WeightVersion: version, MeasuredAt: now}
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -13,7 +13,7 @@
 // last changes can be seen to arrive.
 const trailTime = 2 * time.Second
 
-// Result is what a run measured. Rates and usage are means a node over the time
+// Result is what a run measured. Rates and usage are means of the nodes, over the time
 // that was measured.
 type Result struct {
 	Conditions
@@ -31,7 +31,7 @@
 	// its own pace, and no change was pending or failed.
 	StableInRealTime bool `json:"held_real_time"`
 	// Virtual is set if the nodes ran on a virtual clock, on which inputs take
-	// no time, and StableInVirtualTime that they held as above on it.
+	// no time, and StableInVirtualTime that they were stable as above on it.
 	Virtual             bool    `json:"virtual"`
 	StableInVirtualTime bool    `json:"held_virtual_time"`
 	ConvergedNodes      int     `json:"settled_nodes"`
@@ -64,7 +64,7 @@
 	result := newResult(settings)
 	measureNodes := measureFleet
 	if settings.Virtual {
-		measureNodes = measureVirtually
+		measureNodes = measureVirtualFleet
 	}
 	if err := measureNodes(ctx, settings, result); err != nil {
 		return nil, err
@@ -108,12 +108,12 @@
 	}
 	defer nodes.stop()
 	started := time.Now()
-	settling, cancel := context.WithTimeout(ctx, settings.ConvergenceTimeout)
+	starting, cancel := context.WithTimeout(ctx, settings.ConvergenceTimeout)
 	defer cancel()
-	if err := nodes.startUntil(ctx, settling); err != nil {
-		return result.notStarted(ctx, err)
+	if err := nodes.startUntil(ctx, starting); err != nil {
+		return result.startFailure(ctx, err)
 	}
-	result.ConvergedNodes = nodes.awaitConvergence(settling)
+	result.ConvergedNodes = nodes.awaitConvergence(starting)
 	result.ConvergenceMS = float64(time.Since(started).Milliseconds())
 	if ctx.Err() == nil {
 		result.measure(ctx, nodes, usage)
@@ -121,8 +121,9 @@
 	return nil
 }
 
-// notStarted keeps the result of a run that the memory limit ended early.
-func (r *Result) notStarted(ctx context.Context, err error) error {
+// startFailure returns the error of a start, or nil if the memory limit ended the run:
+// its result is kept.
+func (r *Result) startFailure(ctx context.Context, err error) error {
 	if errors.Is(context.Cause(ctx), ErrMemory) {
 		return nil
 	}
@@ -163,7 +164,7 @@
 	r.judge(watched, submitted)
 }
 
-// conclude works out the rates of each role.
+// conclude sets the rates of each role, from the readings before and after.
 func (r *Result) conclude(settings Settings, elapsed time.Duration, before, after []reading) {
 	for number := range after {
 		after[number] = after[number].minus(before[number])
@@ -174,13 +175,13 @@
 	r.FrontNodes = ratesOf(after[settings.Core:], elapsed)
 }
 
-// judge tells how the changes spread and whether the nodes held.
+// judge sets how the changes spread, and whether the nodes were stable.
 func (r *Result) judge(watched *spread, submitted []change) {
 	r.Spread = watched.judge(submitted)
 	r.MaxNotServing = watched.notServing
 	r.SamplerLateMS = float64(watched.late) / float64(time.Millisecond)
-	held := r.ConvergedNodes == r.Nodes && r.MaxNotServing == 0 &&
+	stable := r.ConvergedNodes == r.Nodes && r.MaxNotServing == 0 &&
 		r.Spread.Failed == 0 && r.Spread.Pending == 0 && r.Spread.NotEverywhere == 0
-	r.StableInRealTime = held && !r.Virtual && r.Stretch == 1
-	r.StableInVirtualTime = held && r.Virtual
+	r.StableInRealTime = stable && !r.Virtual && r.Stretch == 1
+	r.StableInVirtualTime = stable && r.Virtual
 }
--- a/internal/lab/hollow/spread.go
+++ b/internal/lab/hollow/spread.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sampleEvery is the time between two looks at what the nodes hold, and so the
+// sampleEvery is the time between two samples of what the nodes serve, and so the
 // error of each time of spreading.
 const sampleEvery = 5 * time.Millisecond
 
@@ -21,9 +21,11 @@
 
 // spread records when nodes first serve a revision.
 type spread struct {
-	nodes     []observed
+	nodes []observed
+	// revisions are the newest ones seen at each node.
 	revisions []uint64
-	// everywhere is when every node served a revision or a newer one.
+	// everywhere is when every node first served a revision or a newer one, and
+	// complete the newest such revision.
 	everywhere map[uint64]time.Duration
 	complete   uint64
 	// arrivals are when single nodes did.
@@ -35,18 +37,19 @@
 	late time.Duration
 }
 
-// arrival is a revision at a node. It stands for those it skipped as well.
+// arrival is when a node was first seen to serve a revision, and with it all others
+// after the one before.
 type arrival struct {
-	after, revision uint64
-	at              time.Duration
+	before, revision uint64
+	at               time.Duration
 }
 
 func newSpread[Node observed](nodes []Node) *spread {
 	watched := &spread{revisions: make([]uint64, len(nodes)), everywhere: map[uint64]time.Duration{}}
 	watched.complete = ^uint64(0)
-	for number, one := range nodes {
-		watched.nodes = append(watched.nodes, one)
-		watched.revisions[number] = one.revision()
+	for number, node := range nodes {
+		watched.nodes = append(watched.nodes, node)
+		watched.revisions[number] = node.revision()
 		watched.complete = min(watched.complete, watched.revisions[number])
 	}
 	return watched
@@ -70,17 +73,17 @@
 	}
 }
 
-// sample takes in what each node serves now.
+// sample records what each node serves now.
 func (s *spread) sample(now time.Duration) {
 	oldest := ^uint64(0)
 	refusing := 0
-	for number, one := range s.nodes {
-		if !one.serving() {
+	for number, node := range s.nodes {
+		if !node.serving() {
 			refusing++
 		}
-		revision := one.revision()
+		revision := node.revision()
 		if revision > s.revisions[number] {
-			s.arrivals = append(s.arrivals, arrival{after: s.revisions[number], revision: revision, at: now})
+			s.arrivals = append(s.arrivals, arrival{before: s.revisions[number], revision: revision, at: now})
 			s.revisions[number] = revision
 		}
 		oldest = min(oldest, revision)
@@ -100,7 +103,8 @@
 	Max    float64 `json:"max"`
 }
 
-// histogram gathers times from a microsecond to a minute.
+// histogram gathers times from a microsecond to a minute; others count as the nearest
+// of the two.
 type histogram struct {
 	recorded *hdrhistogram.Histogram
 }
@@ -146,32 +150,32 @@
 	LateAfterAcknowledged Distribution `json:"acknowledged_to_held_by_every_node_ms"`
 }
 
-// judge joins changes with what was seen of their revisions.
+// judge returns how fast changes spread, from what was seen of their revisions.
 func (s *spread) judge(made []change) Spreading {
 	result := Spreading{Submitted: len(made)}
 	acknowledged, everywhere, late := newHistogram(), newHistogram(), newHistogram()
 	submitted := map[uint64]time.Duration{}
-	for _, one := range made {
-		if one.revision == 0 || one.problem != "" {
+	for _, change := range made {
+		if change.revision == 0 || change.problem != "" {
 			result.Failed++
-			result.Problems = append(result.Problems, one.problem)
+			result.Problems = append(result.Problems, change.problem)
 			continue
 		}
-		submitted[one.revision] = one.submittedAt
-		if !one.confirmed {
+		submitted[change.revision] = change.submittedAt
+		if !change.confirmed {
 			result.Pending++
 		} else {
 			result.Confirmed++
-			acknowledged.add(one.repliedAt - one.submittedAt)
+			acknowledged.add(change.repliedAt - change.submittedAt)
 		}
-		at, reached := s.everywhere[one.revision]
+		at, reached := s.everywhere[change.revision]
 		if !reached {
 			result.NotEverywhere++
 			continue
 		}
-		everywhere.add(at - one.submittedAt)
-		if one.confirmed {
-			late.add(at - one.repliedAt)
+		everywhere.add(at - change.submittedAt)
+		if change.confirmed {
+			late.add(at - change.repliedAt)
 		}
 	}
 	result.ToAcknowledged = acknowledged.distribution()
@@ -181,11 +185,12 @@
 	return result
 }
 
-// eachNode is the distribution over changes and nodes.
+// eachNode returns the distribution, over changes and nodes, of the time from the
+// submission until the node served the change.
 func (s *spread) eachNode(submitted map[uint64]time.Duration) Distribution {
 	times := newHistogram()
 	for _, seen := range s.arrivals {
-		for revision := seen.after + 1; revision <= seen.revision; revision++ {
+		for revision := seen.before + 1; revision <= seen.revision; revision++ {
 			if at, known := submitted[revision]; known {
 				times.add(seen.at - at)
 			}
--- a/internal/lab/hollow/start.go
+++ b/internal/lab/hollow/start.go
@@ -73,8 +73,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, one := range fleet.nodes {
-		fleet.queue.Add(time.Duration(fleet.random.Int64N(int64(startWindow))), one.start)
+	for _, node := range fleet.nodes {
+		fleet.queue.Add(time.Duration(fleet.random.Int64N(int64(startWindow))), node.start)
 	}
 	figures := &StartFigures{Nodes: settings.Nodes, Core: settings.Core, Zones: settings.Zones, Seed: settings.Seed}
 	figures.awaitAgreement(ctx, fleet)
@@ -105,21 +105,22 @@
 // with all nodes in it.
 func (f *virtualFleet) commonTable() (digest uint64, agreed bool) {
 	digest = f.nodes[0].machine.TableDigest()
-	agreed = len(f.nodes[0].machine.Members()) == len(f.nodes) && lo.EveryBy(f.nodes, func(one *virtualNode) bool {
-		return one.machine.TableDigest() == digest
+	agreed = len(f.nodes[0].machine.Members()) == len(f.nodes) && lo.EveryBy(f.nodes, func(node *virtualNode) bool {
+		return node.machine.TableDigest() == digest
 	})
 	return digest, agreed
 }
 
+// count sums up what all nodes sent and used.
 func (f *StartFigures) count(fleet *virtualFleet) {
 	f.FramesRefused = fleet.badFrames
 	var all reading
-	for _, one := range fleet.nodes {
-		all = all.plus(one.meter.read())
-		f.ProcessorSeconds += one.used.Seconds()
+	for _, node := range fleet.nodes {
+		all = all.plus(node.meter.read())
+		f.ProcessorSeconds += node.used.Seconds()
 	}
-	for of := range wire.KindCount {
-		sent, across := all.sent[of], all.crossZone[of]
+	for kind := range wire.KindCount {
+		sent, across := all.sent[kind], all.crossZone[kind]
 		if sent.messages == 0 {
 			continue
 		}
@@ -127,7 +128,7 @@
 		f.Megabytes += megabytes(sent.bytes)
 		f.MegabytesAcross += megabytes(across.bytes)
 		f.Kinds = append(f.Kinds, StartKind{
-			Kind:            of.String(),
+			Kind:            kind.String(),
 			Frames:          sent.messages,
 			Megabytes:       megabytes(sent.bytes),
 			MegabytesAcross: megabytes(across.bytes),
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net"
 	"time"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
@@ -11,12 +12,21 @@
 // seedCount is how many nodes others join through.
 const seedCount = 3
 
-// topology says where nodes and replicas stand. The first nodes hold state.
+// Ports of each node. With a transport for each node, its internal port is a free one.
+const (
+	internalPort = "7100"
+	trafficPort  = "7200"
+	controlPort  = "7300"
+)
+
+// topology is the layout of a deployment: addresses, zones, the group and the list of
+// replicas. The first nodes hold state. It never changes.
 type topology struct {
 	settings Settings
 	// addresses are the internal addresses of the nodes.
 	addresses []string
-	group     []member.ID
+	// group are the nodes that hold state.
+	group []member.ID
 	// endpoints is what the platform lists. Nodes only read it.
 	endpoints []control.ServiceEndpoints
 }
@@ -35,7 +45,8 @@
 // zoneOf spreads nodes and replicas over the zones in turn.
 func (s Settings) zoneOf(number int) int { return number % s.Zones }
 
-// hostOf is the host of a node: an IP number of its own on the loopback.
+// hostOf returns the host of a node: an IP number of its own on the loopback. The third
+// byte tells the zone, of which there are 64 at the most, and every 250 nodes of it.
 func (s Settings) hostOf(number int) string {
 	within := number / s.Zones
 	return fmt.Sprintf("127.9.%d.%d", 1+s.zoneOf(number)+64*(within/250), 1+within%250)
@@ -51,8 +62,8 @@
 	return member.Info{
 		ID:             id,
 		Address:        t.addresses[number],
-		TrafficAddress: host + ":7200",
-		ControlAddress: host + ":7300",
+		TrafficAddress: net.JoinHostPort(host, trafficPort),
+		ControlAddress: net.JoinHostPort(host, controlPort),
 		Zone:           zoneName(t.settings.zoneOf(number)),
 		HoldsState:     number < t.settings.Core,
 		Incarnation:    incarnation,
@@ -74,7 +85,7 @@
 	}
 }
 
-// times are those that daemons run with, stretched.
+// times are the product's defaults, stretched.
 func (s Settings) times() control.Times {
 	times := control.DefaultTimes()
 	for _, length := range []*time.Duration{
--- a/internal/lab/hollow/traffic.go
+++ b/internal/lab/hollow/traffic.go
@@ -7,7 +7,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/wire"
 )
 
-// lengthBytes is what the transport adds to a frame.
+// lengthBytes is the length of the prefix that the transport adds to a frame.
 const lengthBytes = 4
 
 // count is a number of messages and their bytes on the wire.
@@ -23,27 +23,24 @@
 	return count{messages: c.messages - other.messages, bytes: c.bytes - other.bytes}
 }
 
-// meter counts the messages of one node by kind.
-type meter struct {
-	// crossZone counts what was sent to other zones.
-	sent, crossZone, received [wire.KindCount]struct {
-		messages, bytes atomic.Uint64
-	}
+// counter counts messages and their bytes on the wire. It is safe for concurrent use.
+type counter struct {
+	messages, bytes atomic.Uint64
 }
 
-func (m *meter) addSent(of wire.MessageKind, frame []byte) {
-	m.sent[of].messages.Add(1)
-	m.sent[of].bytes.Add(uint64(lengthBytes + len(frame)))
+func (c *counter) add(frame []byte) {
+	c.messages.Add(1)
+	c.bytes.Add(uint64(lengthBytes + len(frame)))
 }
 
-func (m *meter) addCrossZone(of wire.MessageKind, frame []byte) {
-	m.crossZone[of].messages.Add(1)
-	m.crossZone[of].bytes.Add(uint64(lengthBytes + len(frame)))
+func (c *counter) read() count {
+	return count{messages: c.messages.Load(), bytes: c.bytes.Load()}
 }
 
-func (m *meter) addReceived(of wire.MessageKind, frame []byte) {
-	m.received[of].messages.Add(1)
-	m.received[of].bytes.Add(uint64(lengthBytes + len(frame)))
+// meter counts the messages of one node by kind. It is safe for concurrent use.
+type meter struct {
+	// crossZone counts those of sent that went to other zones.
+	sent, crossZone, received [wire.KindCount]counter
 }
 
 // reading is what one node's meter showed at an instant.
@@ -53,42 +50,38 @@
 
 func (m *meter) read() reading {
 	var now reading
-	for of := range wire.KindCount {
-		now.sent[of] = count{messages: m.sent[of].messages.Load(), bytes: m.sent[of].bytes.Load()}
-		now.crossZone[of] = count{messages: m.crossZone[of].messages.Load(), bytes: m.crossZone[of].bytes.Load()}
-		now.received[of] = count{messages: m.received[of].messages.Load(), bytes: m.received[of].bytes.Load()}
+	for kind := range wire.KindCount {
+		now.sent[kind] = m.sent[kind].read()
+		now.crossZone[kind] = m.crossZone[kind].read()
+		now.received[kind] = m.received[kind].read()
 	}
 	return now
 }
 
-func (r reading) plus(other reading) reading {
-	for of := range wire.KindCount {
-		r.sent[of] = r.sent[of].plus(other.sent[of])
-		r.crossZone[of] = r.crossZone[of].plus(other.crossZone[of])
-		r.received[of] = r.received[of].plus(other.received[of])
-	}
-	return r
-}
+func (r reading) plus(other reading) reading { return r.combine(other, count.plus) }
+
+func (r reading) minus(earlier reading) reading { return r.combine(earlier, count.minus) }
 
-func (r reading) minus(earlier reading) reading {
-	for of := range wire.KindCount {
-		r.sent[of] = r.sent[of].minus(earlier.sent[of])
-		r.crossZone[of] = r.crossZone[of].minus(earlier.crossZone[of])
-		r.received[of] = r.received[of].minus(earlier.received[of])
+// combine combines each count with that of another reading.
+func (r reading) combine(other reading, operation func(a, b count) count) reading {
+	for kind := range wire.KindCount {
+		r.sent[kind] = operation(r.sent[kind], other.sent[kind])
+		r.crossZone[kind] = operation(r.crossZone[kind], other.crossZone[kind])
+		r.received[kind] = operation(r.received[kind], other.received[kind])
 	}
 	return r
 }
 
 // total is all that was sent and received.
 func (r reading) total() (sent, received count) {
-	for of := range wire.KindCount {
-		sent = sent.plus(r.sent[of])
-		received = received.plus(r.received[of])
+	for kind := range wire.KindCount {
+		sent = sent.plus(r.sent[kind])
+		received = received.plus(r.received[kind])
 	}
 	return sent, received
 }
 
-// KindRate is the rate of one kind of message, a node.
+// KindRate is the rate of one kind of message, as the mean of the nodes of a role.
 type KindRate struct {
 	Kind             string  `json:"kind"`
 	SentMessages     float64 `json:"sent_messages_s"`
@@ -97,7 +90,7 @@
 	ReceivedBytes    float64 `json:"received_bytes_s"`
 }
 
-// Rates are what the nodes of one role send and receive, a node.
+// Rates are what the nodes of one role send and receive a second, as means of the nodes.
 type Rates struct {
 	Nodes            int     `json:"nodes"`
 	SentMessages     float64 `json:"sent_messages_s"`
@@ -109,16 +102,16 @@
 	Kinds        []KindRate `json:"kinds"`
 }
 
-// ratesOf works out the rates of some nodes from what each did in a time.
+// ratesOf returns the rates of some nodes, from what each sent and received in a time.
 func ratesOf(nodes []reading, elapsed time.Duration) Rates {
 	rates := Rates{Nodes: len(nodes)}
 	if len(nodes) == 0 {
 		return rates
 	}
 	var all reading
-	for _, one := range nodes {
-		all = all.plus(one)
-		sent, received := one.total()
+	for _, node := range nodes {
+		all = all.plus(node)
+		sent, received := node.total()
 		rates.BusiestBytes = max(rates.BusiestBytes, float64(sent.bytes+received.bytes)/elapsed.Seconds())
 	}
 	perNode := 1 / (elapsed.Seconds() * float64(len(nodes)))
@@ -127,20 +120,22 @@
 	rates.SentBytes = float64(sent.bytes) * perNode
 	rates.ReceivedMessages = float64(received.messages) * perNode
 	rates.ReceivedBytes = float64(received.bytes) * perNode
-	for of := range wire.KindCount {
-		if all.sent[of].messages+all.received[of].messages > 0 {
-			rates.Kinds = append(rates.Kinds, kindRate(of, all, perNode))
+	for kind := range wire.KindCount {
+		if all.sent[kind].messages+all.received[kind].messages > 0 {
+			rates.Kinds = append(rates.Kinds, kindRate(kind, all, perNode))
 		}
 	}
 	return rates
 }
 
-func kindRate(of wire.MessageKind, all reading, perNode float64) KindRate {
+// kindRate returns the rate of one kind; perNode turns a sum of all nodes into a rate
+// of one.
+func kindRate(kind wire.MessageKind, all reading, perNode float64) KindRate {
 	return KindRate{
-		Kind:             of.String(),
-		SentMessages:     float64(all.sent[of].messages) * perNode,
-		SentBytes:        float64(all.sent[of].bytes) * perNode,
-		ReceivedMessages: float64(all.received[of].messages) * perNode,
-		ReceivedBytes:    float64(all.received[of].bytes) * perNode,
+		Kind:             kind.String(),
+		SentMessages:     float64(all.sent[kind].messages) * perNode,
+		SentBytes:        float64(all.sent[kind].bytes) * perNode,
+		ReceivedMessages: float64(all.received[kind].messages) * perNode,
+		ReceivedBytes:    float64(all.received[kind].bytes) * perNode,
 	}
 }
--- a/internal/lab/hollow/usage.go
+++ b/internal/lab/hollow/usage.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// guardEvery is the time between two looks at the memory of the process.
+// guardEvery is the time between two readings of the memory of the process.
 const guardEvery = 200 * time.Millisecond
 
 // loadScale is the fixed point of the load averages of the kernel.
@@ -74,7 +74,7 @@
 	}
 }
 
-// Usage is what the process used, a node.
+// Usage is what the process used, divided by the number of nodes.
 type Usage struct {
 	// ProcessorPercent is of one core.
 	ProcessorPercent float64 `json:"processor_percent_of_a_core"`
@@ -87,17 +87,19 @@
 	ProcessCores float64 `json:"process_cores"`
 }
 
-// usageMeter measures from an instant on.
+// usageMeter measures what nodes add to the usage of the process.
 type usageMeter struct {
-	nodes           int
-	heap, stacks    uint64
-	user, system    time.Duration
-	goroutinesSoFar int
+	nodes int
+	// heap and stacks, in bytes, and goroutinesBefore are from before the nodes were made.
+	heap, stacks     uint64
+	goroutinesBefore int
+	// user and system are the processor times at begin.
+	user, system time.Duration
 }
 
 // newUsageMeter is made before the nodes are.
 func newUsageMeter(nodes int) *usageMeter {
-	meter := &usageMeter{nodes: nodes, goroutinesSoFar: runtime.NumGoroutine()}
+	meter := &usageMeter{nodes: nodes, goroutinesBefore: runtime.NumGoroutine()}
 	meter.heap, meter.stacks = memoryInUse()
 	return meter
 }
@@ -107,17 +109,17 @@
 	m.user, m.system = processorTime()
 }
 
-// processor ends the measurement of processor time, as a share of a time of the
-// nodes' clock.
+// processor ends the measurement of processor time. elapsed is the time since begin on
+// the nodes' clock.
 func (m *usageMeter) processor(elapsed time.Duration) Usage {
 	user, system := processorTime()
-	share := func(used time.Duration) float64 { return used.Seconds() / elapsed.Seconds() }
+	cores := func(used time.Duration) float64 { return used.Seconds() / elapsed.Seconds() }
 	perNode := 100 / float64(m.nodes)
 	return Usage{
-		UserPercent:      share(user-m.user) * perNode,
-		SystemPercent:    share(system-m.system) * perNode,
-		ProcessorPercent: share(user-m.user+system-m.system) * perNode,
-		ProcessCores:     share(user - m.user + system - m.system),
+		UserPercent:      cores(user-m.user) * perNode,
+		SystemPercent:    cores(system-m.system) * perNode,
+		ProcessorPercent: cores(user-m.user+system-m.system) * perNode,
+		ProcessCores:     cores(user - m.user + system - m.system),
 	}
 }
 
@@ -127,6 +129,6 @@
 	nodes := float64(m.nodes)
 	usage.HeapBytes = (float64(heap) - float64(m.heap)) / nodes
 	usage.StackBytes = (float64(stacks) - float64(m.stacks)) / nodes
-	usage.Goroutines = float64(runtime.NumGoroutine()-m.goroutinesSoFar) / nodes
+	usage.Goroutines = float64(runtime.NumGoroutine()-m.goroutinesBefore) / nodes
 	return usage
 }
--- a/internal/lab/hollow/virtual_fleet.go
+++ b/internal/lab/hollow/virtual_fleet.go
@@ -8,15 +8,16 @@
 	"time"
 
 	"github.com/pkg/errors"
+	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/timers"
 )
 
-// The surroundings of nodes on the virtual clock.
+// The network and the disks of nodes on the virtual clock.
 const (
-	// virtualLatency is the time of a frame on its way, of which up to
-	// virtualJitter more is drawn at random.
+	// virtualLatency is the shortest time of a frame on its way, to which up to
+	// virtualJitter is added at random.
 	virtualLatency = 500 * time.Microsecond
 	virtualJitter  = time.Millisecond
 	// virtualDiskTime is the time of a write.
@@ -28,18 +29,24 @@
 // virtualFleet is all nodes of a run on the virtual clock. One goroutine owns
 // it. The same settings give the same run.
 type virtualFleet struct {
-	settings  Settings
-	now       time.Duration
-	queue     timers.Queue
-	random    *rand.Rand
-	topology  *topology
-	numbers   map[string]int
-	replicas  *replicas
-	nodes     []*virtualNode
+	settings Settings
+	now      time.Duration
+	queue    timers.Queue
+	// random draws delays, starts and the nodes of changes. The number of nodes selects
+	// its stream.
+	random   *rand.Rand
+	topology *topology
+	// numbers are the nodes by address.
+	numbers  map[string]int
+	replicas *replicas
+	nodes    []*virtualNode
+	// badFrames counts the frames that could not be decoded, badWrites the writes that
+	// failed.
 	badFrames uint64
 	badWrites uint64
-	tickets   map[uint64]*change
-	finished  []change
+	// tickets are the changes without an answer, finished the others.
+	tickets  map[uint64]*change
+	finished []change
 }
 
 func newVirtualFleet(settings Settings) (*virtualFleet, error) {
@@ -52,7 +59,7 @@
 	}
 	var addresses []string
 	for number := range settings.Nodes {
-		address := net.JoinHostPort(settings.hostOf(number), "7100")
+		address := net.JoinHostPort(settings.hostOf(number), internalPort)
 		addresses = append(addresses, address)
 		fleet.numbers[address] = number
 	}
@@ -97,15 +104,15 @@
 	}
 	end := f.settings.ConvergenceTimeout
 	core := f.settings.Core
-	for number, one := range f.nodes[:core] {
-		f.queue.Add(time.Duration(number)*f.settings.StartEvery, one.start)
+	for number, node := range f.nodes[:core] {
+		f.queue.Add(time.Duration(number)*f.settings.StartEvery, node.start)
 	}
 	f.runUntil(ctx, virtualElection, never)
 	const firstTicket = 0
 	f.nodes[0].process(f.now, func() control.Output { return f.nodes[0].machine.Submit(f.now, firstTicket, order) })
 	f.runUntil(ctx, end, func() bool { return f.nodes[0].revision() > 0 })
-	for number, one := range f.nodes[core:] {
-		f.queue.Add(f.now+time.Duration(number)*f.settings.StartEvery, one.start)
+	for number, node := range f.nodes[core:] {
+		f.queue.Add(f.now+time.Duration(number)*f.settings.StartEvery, node.start)
 	}
 	check := f.now
 	f.runUntil(ctx, end, func() bool {
@@ -121,15 +128,7 @@
 // virtualElection is enough for the nodes with state to have a leader.
 const virtualElection = 5 * time.Second
 
-func (f *virtualFleet) convergedNodes() int {
-	count := 0
-	for _, one := range f.nodes {
-		if one.converged() {
-			count++
-		}
-	}
-	return count
-}
+func (f *virtualFleet) convergedNodes() int { return lo.CountBy(f.nodes, (*virtualNode).converged) }
 
 // changeAt submits a change at an instant, through a node drawn at random.
 func (f *virtualFleet) changeAt(at time.Duration, number int) {
@@ -175,14 +174,14 @@
 
 func (f *virtualFleet) readings() []reading {
 	all := make([]reading, len(f.nodes))
-	for number, one := range f.nodes {
-		all[number] = one.meter.read()
+	for number, node := range f.nodes {
+		all[number] = node.meter.read()
 	}
 	return all
 }
 
-// measureVirtually runs the nodes on the virtual clock and measures them.
-func measureVirtually(ctx context.Context, settings Settings, result *Result) error {
+// measureVirtualFleet runs the nodes on the virtual clock and measures them.
+func measureVirtualFleet(ctx context.Context, settings Settings, result *Result) error {
 	// The processor time of inputs is read from this thread.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -215,11 +214,11 @@
 		}
 	}
 	before := fleet.readings()
-	usedBefore := fleet.roleTimes()
+	usedBefore := fleet.processorTimes()
 	usage.begin()
 	fleet.runUntil(ctx, end, never)
 	r.Usage = usage.processor(settings.Duration)
-	r.Roles = fleet.roleTimes().since(usedBefore, settings)
+	r.Roles = fleet.processorTimes().since(usedBefore, settings)
 	after := fleet.readings()
 	fleet.runUntil(ctx, end+trailTime+changeTimeout, func() bool { return len(fleet.tickets) == 0 && fleet.now > end+trailTime })
 	r.Usage = usage.memory(r.Usage)
--- a/internal/lab/hollow/virtual_node.go
+++ b/internal/lab/hollow/virtual_node.go
@@ -23,15 +23,16 @@
 	view    *routing.View
 	// serveUntil is until when the node admits traffic.
 	serveUntil time.Duration
-	// used is the processor time of the node's inputs.
+	// used is the processor time of the node's inputs, usedTick that of ticks alone, and
+	// usedKind that of received messages by kind.
 	used     time.Duration
 	usedTick time.Duration
 	usedKind [wire.KindCount]time.Duration
 }
 
-func newVirtualNode(number int, of *virtualFleet, incarnation member.Incarnation) (*virtualNode, error) {
-	machine, storage, err := newMachine(of.topology.controlConfig(number, incarnation), 0)
-	return &virtualNode{number: number, machine: machine, storage: storage, fleet: of}, err
+func newVirtualNode(number int, fleet *virtualFleet, incarnation member.Incarnation) (*virtualNode, error) {
+	machine, storage, err := newMachine(fleet.topology.controlConfig(number, incarnation), 0)
+	return &virtualNode{number: number, machine: machine, storage: storage, fleet: fleet}, err
 }
 
 func (n *virtualNode) revision() uint64 {
@@ -64,7 +65,8 @@
 	n.usedTick += n.process(now, func() control.Output { return n.machine.Tick(now) })
 }
 
-// call runs an input that a call to the platform or to a replica leads to.
+// call gives the machine the result of a call to the platform or to a replica, once the
+// call has taken its time.
 func (n *virtualNode) call(now time.Duration, input func(now time.Duration) control.Output) {
 	n.fleet.queue.Add(now+virtualCallTime, func(now time.Duration) {
 		n.process(now, func() control.Output { return input(now) })
@@ -73,9 +75,9 @@
 
 // receive takes a frame of another node.
 func (n *virtualNode) receive(now time.Duration, frame []byte) {
-	of := wire.MessageKindOf(frame)
-	n.meter.addReceived(of, frame)
-	n.usedKind[of] += n.process(now, func() control.Output {
+	kind := wire.MessageKindOf(frame)
+	n.meter.received[kind].add(frame)
+	n.usedKind[kind] += n.process(now, func() control.Output {
 		envelope, err := wire.Decode(frame)
 		if err != nil {
 			n.fleet.badFrames++
@@ -85,7 +87,7 @@
 	})
 }
 
-// process gives an input to the machine, carries the output out, and returns the
+// process gives an input to the machine, performs its output, and returns the
 // processor time of both.
 func (n *virtualNode) process(now time.Duration, input func() control.Output) time.Duration {
 	before := threadTime()
@@ -131,10 +133,10 @@
 	}
 }
 
-// virtualCallTime is how long a call takes.
+// virtualCallTime is how long a call to the platform or to a replica takes.
 const virtualCallTime = 2 * time.Millisecond
 
-// save writes at once and tells so a little later.
+// save writes at once, and tells the machine so after virtualDiskTime.
 func (n *virtualNode) save(now time.Duration, save control.StorageWrite) {
 	if err := write(n.storage[save.Shard], save); err != nil {
 		n.fleet.badWrites++
@@ -145,6 +147,7 @@
 	})
 }
 
+// write writes to a shard's log, as the driver does.
 func write(storage driver.Storage, save control.StorageWrite) error {
 	if save.Checkpoint == nil {
 		return storage.Save(save.Ready)
@@ -152,6 +155,7 @@
 	return storage.Checkpoint(save.Checkpoint.HardState, save.Checkpoint.Snapshot, save.Checkpoint.Entries)
 }
 
+// send encodes a message and gives it to the fleet; one for an unknown address is lost.
 func (n *virtualNode) send(now time.Duration, send control.Send) {
 	target, known := n.fleet.numbers[send.Address]
 	if !known {
@@ -159,14 +163,16 @@
 	}
 	send.Envelope.Deployment = deployment
 	frame := wire.Encode(send.Envelope)
-	n.meter.addSent(wire.MessageKindOf(frame), frame)
+	kind := wire.MessageKindOf(frame)
+	n.meter.sent[kind].add(frame)
 	if n.fleet.settings.zoneOf(n.number) != n.fleet.settings.zoneOf(target) {
-		n.meter.addCrossZone(wire.MessageKindOf(frame), frame)
+		n.meter.crossZone[kind].add(frame)
 	}
 	n.fleet.deliver(now, target, frame)
 }
 
-// threadTime is the processor time of this thread.
+// threadTime returns the processor time of this thread, so that the caller must be
+// locked to it.
 func threadTime() time.Duration {
 	var reading unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &reading) != nil {
