--- a/internal/lab/workload/dossier.go
+++ b/internal/lab/workload/dossier.go
@@ -15,21 +15,23 @@
 	documents []prefixindex.Chunk
 }
 
-// dossiers are those of one activity, in the order of their use.
+// dossiers are those of one activity that are in use, the most used ones first.
 type dossiers struct {
 	plan   dossierPlan
 	kind   Kind
 	random *rand.Rand
 	active []*dossier
-	// weights are cumulative.
+	// weights are the cumulative weights of the active dossiers, by a Zipf law.
 	weights []float64
-	opened  int
-	pick    func() string
+	// opened counts the dossiers so far.
+	opened int
+	// drawTenant draws the tenant of a new dossier.
+	drawTenant func() string
 }
 
-// newDossiers opens the first dossiers; pick chooses the tenant of a new one.
-func newDossiers(plan dossierPlan, kind Kind, random *rand.Rand, pick func() string) *dossiers {
-	d := &dossiers{plan: plan, kind: kind, random: random, pick: pick}
+// newDossiers opens the first dossiers; drawTenant draws the tenant of each.
+func newDossiers(plan dossierPlan, kind Kind, random *rand.Rand, drawTenant func() string) *dossiers {
+	d := &dossiers{plan: plan, kind: kind, random: random, drawTenant: drawTenant}
 	total := 0.0
 	for rank := range plan.active {
 		total += 1 / math.Pow(float64(rank+1), plan.skew)
@@ -39,9 +41,10 @@
 	return d
 }
 
+// open returns a new dossier with its first documents.
 func (d *dossiers) open() *dossier {
 	d.opened++
-	opened := &dossier{tenant: d.pick()}
+	opened := &dossier{tenant: d.drawTenant()}
 	opened.name = fmt.Sprintf("%s/%s-%d", opened.tenant, d.kind, d.opened)
 	for range d.plan.documents.draw(d.random) {
 		d.grow(opened)
@@ -49,6 +52,7 @@
 	return opened
 }
 
+// grow adds a document to a dossier.
 func (d *dossiers) grow(grown *dossier) {
 	grown.documents = append(grown.documents, prefixindex.Chunk{
 		ID:     fmt.Sprintf("%s/document-%d", grown.name, len(grown.documents)+1),
@@ -56,7 +60,8 @@
 	})
 }
 
-// use returns the tenant and the documents of one request.
+// use returns the tenant and the documents of one request, which may come with one more
+// document, or be the last one of its dossier.
 func (d *dossiers) use() (tenant string, documents []prefixindex.Chunk) {
 	rank := d.rank()
 	used := d.active[rank]
@@ -69,6 +74,7 @@
 	return used.tenant, used.documents
 }
 
+// rank draws an active dossier by its weight.
 func (d *dossiers) rank() int {
 	at := d.random.Float64() * d.weights[len(d.weights)-1]
 	for rank, weight := range d.weights {
@@ -79,6 +85,7 @@
 	return len(d.weights) - 1
 }
 
+// draw draws a size of the span, each with the same chance.
 func (s span) draw(random *rand.Rand) uint32 {
 	return s.min + random.Uint32N(s.max-s.min+1)
 }
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -15,20 +15,22 @@
 	Seed uint64
 	// Duration bounds the stream; 0 means that it does not end.
 	Duration time.Duration
-	// ModelRate and WebRate are requests per second. 0 means the mix's own, and a
-	// negative rate means none.
+	// ModelRate and WebRate are requests per second. 0 means the rate of the mix, and
+	// a negative rate means none.
 	ModelRate float64
 	WebRate   float64
 }
 
-// Generator makes a stream of requests.
+// Generator makes a stream of requests. It isn't safe for concurrent use.
 type Generator struct {
 	mix     Mix
 	options Options
 	random  *rand.Rand
 
+	// dossiers are those of each activity of the mix.
 	dossiers []*dossiers
-	nextID   int
+	// requests counts the requests so far.
+	requests int
 	// nextModel and nextWeb are the times of the next requests.
 	nextModel time.Duration
 	nextWeb   time.Duration
@@ -50,7 +52,7 @@
 	}
 	g := &Generator{mix: mix, options: options, random: rand.New(rand.NewPCG(options.Seed, requestStream))}
 	for _, activity := range mix.activities {
-		g.dossiers = append(g.dossiers, newDossiers(activity.dossiers, activity.kind, g.random, g.pickTenant))
+		g.dossiers = append(g.dossiers, newDossiers(activity.dossiers, activity.kind, g.random, g.drawTenant))
 	}
 	g.nextModel = g.after(0, options.ModelRate)
 	g.nextWeb = g.after(0, options.WebRate)
@@ -60,7 +62,8 @@
 // never is later than any arrival.
 const never = time.Duration(1<<63 - 1)
 
-// after draws the time of the next arrival of a Poisson stream.
+// after draws the time of the next arrival of a Poisson process with a rate a second.
+// A negative rate has none.
 func (g *Generator) after(at time.Duration, rate float64) time.Duration {
 	if rate < 0 {
 		return never
@@ -82,16 +85,16 @@
 		request = g.webRequest()
 		g.nextWeb = g.after(at, g.options.WebRate)
 	}
-	g.nextID++
-	request.ID = fmt.Sprintf("%s-%d-%d", g.mix.Name, g.options.Seed, g.nextID)
+	g.requests++
+	request.ID = fmt.Sprintf("%s-%d-%d", g.mix.Name, g.options.Seed, g.requests)
 	request.At = at
 	return request, true
 }
 
 func (g *Generator) modelRequest() Request {
-	position := g.pickActivity()
+	position := g.drawActivity()
 	activity := g.mix.activities[position]
-	tenant, documents := g.pickDossier(position)
+	tenant, documents := g.useDossier(position)
 	streamed := g.random.Float64() < activity.streamed
 	unrepeatable := g.random.Float64() < activity.unrepeatable
 	return Request{
@@ -105,6 +108,7 @@
 	}
 }
 
+// prompt returns the chunks of a prompt, the most shared ones first.
 func (g *Generator) prompt(activity activity, tenant string, documents []prefixindex.Chunk) []prefixindex.Chunk {
 	chunks := []prefixindex.Chunk{
 		{ID: fmt.Sprintf("%s/system", g.mix.Name), Tokens: g.mix.systemTokens},
@@ -112,38 +116,42 @@
 	}
 	chunks = append(chunks, documents...)
 	return append(chunks, prefixindex.Chunk{
-		ID:     fmt.Sprintf("%s/text-%d-%d", tenant, g.options.Seed, g.nextID+1),
+		ID:     fmt.Sprintf("%s/text-%d-%d", tenant, g.options.Seed, g.requests+1),
 		Tokens: activity.text.draw(g.random),
 	})
 }
 
-func (g *Generator) pickDossier(position int) (tenant string, documents []prefixindex.Chunk) {
+// useDossier returns the tenant and the documents of a request of an activity. One
+// without dossiers has no documents, and any tenant.
+func (g *Generator) useDossier(position int) (tenant string, documents []prefixindex.Chunk) {
 	if g.mix.activities[position].dossiers.active == 0 {
-		return g.pickTenant(), nil
+		return g.drawTenant(), nil
 	}
 	return g.dossiers[position].use()
 }
 
-func (g *Generator) pickActivity() int {
-	at := g.random.Float64()
-	for position, activity := range g.mix.activities {
-		if at < activity.fraction {
-			return position
-		}
-		at -= activity.fraction
-	}
-	return len(g.mix.activities) - 1
+// drawActivity returns the number of an activity, drawn by the fractions of the mix.
+func (g *Generator) drawActivity() int {
+	return drawByFraction(g.random, g.mix.activities, func(activity activity) float64 { return activity.fraction })
 }
 
-func (g *Generator) pickTenant() string {
-	at := g.random.Float64()
-	for _, tenant := range g.mix.Tenants {
-		if at < tenant.Fraction {
-			return tenant.Name
+// drawTenant returns the name of a tenant, drawn by the fractions of the mix.
+func (g *Generator) drawTenant() string {
+	position := drawByFraction(g.random, g.mix.Tenants, func(tenant Tenant) float64 { return tenant.Fraction })
+	return g.mix.Tenants[position].Name
+}
+
+// drawByFraction draws the position of one of several items, whose fractions make 1.
+func drawByFraction[Item any](random *rand.Rand, items []Item, fractionOf func(Item) float64) int {
+	remaining := random.Float64()
+	for position, item := range items {
+		fraction := fractionOf(item)
+		if remaining < fraction {
+			return position
 		}
-		at -= tenant.Fraction
+		remaining -= fraction
 	}
-	return g.mix.Tenants[len(g.mix.Tenants)-1].Name
+	return len(items) - 1
 }
 
 func (g *Generator) webRequest() Request {
--- a/internal/lab/workload/mix.go
+++ b/internal/lab/workload/mix.go
@@ -23,12 +23,13 @@
 	ModelRate float64
 	WebRate   float64
 
+	// systemTokens is the length of the system prompt, which all model requests share.
 	systemTokens uint32
 	activities   []activity
 	web          webActivity
 }
 
-// span is a range of sizes, both ends included.
+// span is a range of counts, or of lengths in tokens, both ends included.
 type span struct {
 	min uint32
 	max uint32
@@ -39,19 +40,21 @@
 // caller's own text.
 type activity struct {
 	kind Kind
-	// fraction is the activity's share of the model requests.
+	// fraction is that of the model requests which the activity makes; all make 1.
 	fraction float64
-	// instructions is the length of what a tenant tells the model each time.
+	// instructions is the length of what a tenant tells the model each time, in tokens.
 	instructions uint32
 	dossiers     dossierPlan
-	// text is the length of the caller's own words, which differ each time.
+	// text is the length of the caller's own words, which differ each time, and output
+	// that of the response, in tokens.
 	text   span
 	output span
-	// streamed is the share of streamed requests, unrepeatable the share of
-	// those that must not run twice.
+	// streamed is the fraction of streamed requests, and unrepeatable the fraction of
+	// those which must not run twice.
 	streamed     float64
 	unrepeatable float64
-	deadline     time.Duration
+	// deadline is the longest time that a caller waits.
+	deadline time.Duration
 }
 
 // dossierPlan describes the documents that requests of an activity share.
@@ -74,9 +77,11 @@
 
 // webActivity is the fetches from the web service.
 type webActivity struct {
-	kind     Kind
-	pages    int
-	prefix   string
+	kind Kind
+	// pages is the number of pages, whose paths begin with prefix. Each is also a file.
+	pages  int
+	prefix string
+	// fileRate is the fraction of fetches that are for a file.
 	fileRate float64
 	deadline time.Duration
 }
--- a/internal/lab/workload/request.go
+++ b/internal/lab/workload/request.go
@@ -25,7 +25,7 @@
 
 // Request is one request of a stream.
 type Request struct {
-	// At is when it is sent, since the start of the stream.
+	// At is when it is sent: the time since the start of the stream.
 	At time.Duration
 	// ID is unique in the stream.
 	ID   string
@@ -46,7 +46,7 @@
 	Deadline time.Duration
 }
 
-// PromptTokens returns the length of the prompt.
+// PromptTokens returns the length of the prompt, in tokens.
 func (r Request) PromptTokens() uint64 {
 	var tokens uint64
 	for _, chunk := range r.Chunks {
@@ -58,7 +58,8 @@
 // Tenant is a tenant of a mix.
 type Tenant struct {
 	Name string
-	// Fraction is the tenant's share of the model requests; all shares make 1.
+	// Fraction is that of the model requests which the tenant makes; all make 1.
 	Fraction float64
-	Walled   bool
+	// Walled tenants share no cached chunks with others.
+	Walled bool
 }
