--- a/internal/lab/caller/balancer.go
+++ b/internal/lab/caller/balancer.go
@@ -28,11 +28,12 @@
 }
 
 // Balancer stands for the platform's connection balancer: it hands out ready
-// front nodes in turn.
+// front nodes in turn. It is safe for concurrent use.
 type Balancer struct {
 	targets []Target
 	client  *http.Client
 
+	// lock guards ready, by node, and next, which counts the nodes considered.
 	lock  sync.Mutex
 	ready map[string]bool
 	next  int
@@ -65,6 +66,7 @@
 	polls.Wait()
 }
 
+// follow polls a node until the context ends.
 func (balancer *Balancer) follow(ctx context.Context, target Target) {
 	ticker := time.NewTicker(pollEvery)
 	defer ticker.Stop()
@@ -78,6 +80,7 @@
 	}
 }
 
+// poll reports whether a node says that it is ready.
 func (balancer *Balancer) poll(ctx context.Context, target Target) bool {
 	url := "http://" + target.ControlAddress + readinessPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/lab/caller/doc.go
+++ b/internal/lab/caller/doc.go
@@ -4,4 +4,7 @@
 //
 // It uses net/http directly and a connection of its own for each request, so
 // that nothing between it and the node sends a request a second time.
+//
+// A Runner has one goroutine for each request, up to a bound, and a Balancer one for
+// each node that it polls; both guard what these share by a lock.
 package caller
--- a/internal/lab/caller/exchange.go
+++ b/internal/lab/caller/exchange.go
@@ -61,6 +61,7 @@
 	return true
 }
 
+// isDialError reports whether no connection was made, so that nothing was sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
@@ -106,6 +107,7 @@
 	}
 }
 
+// read reads a response to its end and records it.
 func (call *exchange) read(ctx context.Context, response *http.Response) {
 	body := io.LimitReader(response.Body, maxResponseBytes)
 	var err error
@@ -126,6 +128,7 @@
 	}
 }
 
+// fail records that no response came.
 func (call *exchange) fail(ctx context.Context, err error) {
 	call.record.Ended = call.now()
 	call.record.Result = checker.ResultLost
--- a/internal/lab/caller/response.go
+++ b/internal/lab/caller/response.go
@@ -50,6 +50,7 @@
 	return nil
 }
 
+// recordProblem records the kind of an error and what it claims of the execution.
 func recordProblem(record *checker.Request, problem refusal) {
 	record.ErrorKind = problem.Kind
 	record.EchoID = problem.RequestID
@@ -112,7 +113,7 @@
 		if event.name == errorEvent {
 			return readErrorEvent(record, event.data)
 		}
-		recordOwner(record, event)
+		recordEcho(record, event)
 		check.Event(event.name, event.data)
 	}
 	record.DigestMatches = check.Err() == nil
@@ -128,9 +129,9 @@
 	return errTruncated
 }
 
-// recordOwner keeps the identity that an event names; one that is not the
-// caller's stays, whatever follows.
-func recordOwner(record *checker.Request, event serverEvent) {
+// recordEcho records the identity of the request that an event names. One that is not
+// the caller's stays, whatever follows.
+func recordEcho(record *checker.Request, event serverEvent) {
 	var chunk standin.ChunkResponse
 	if json.Unmarshal([]byte(event.data), &chunk) != nil || chunk.RequestID == "" {
 		return
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -17,13 +17,14 @@
 	maxInFlight = 1024
 	// maxDials bounds the nodes that one request tries to connect to.
 	maxDials = 3
-	// maxReturns bounds how often a caller repeats a refused request.
-	maxReturns = 2
-	// maxReturnWait bounds the wait before that.
-	maxReturnWait = 5 * time.Second
+	// maxRetries bounds the retries of a refused request.
+	maxRetries = 2
+	// maxRetryWait bounds the wait before each.
+	maxRetryWait = 5 * time.Second
 )
 
-// Runner sends the jobs of a load and records them.
+// Runner sends the jobs of a load and records them. Records and Skipped may be called
+// while Do runs; Do runs once.
 type Runner struct {
 	// Run names the run in the identities of its requests.
 	Run      string
@@ -31,7 +32,8 @@
 	// Now is the clock of the records.
 	Now Elapsed
 
-	client  *http.Client
+	client *http.Client
+	// lock guards records and skipped.
 	lock    sync.Mutex
 	records []checker.Request
 	skipped int
@@ -67,8 +69,8 @@
 // its caller comes back.
 func (runner *Runner) serve(ctx context.Context, id string, job Job) {
 	record := runner.send(ctx, id, "", job)
-	for number := 1; number <= maxReturns && returns(job, record); number++ {
-		wait := min(max(record.RetryAfter, time.Millisecond), maxReturnWait)
+	for number := 1; number <= maxRetries && retries(job, record); number++ {
+		wait := min(max(record.RetryAfter, time.Millisecond), maxRetryWait)
 		if !pause.For(ctx, wait) {
 			return
 		}
@@ -76,9 +78,9 @@
 	}
 }
 
-// returns reports whether a caller repeats a request: only one that has not run,
+// retries reports whether a caller repeats a request: only one that has not run,
 // and only when the response named a time to retry.
-func returns(job Job, record checker.Request) bool {
+func retries(job Job, record checker.Request) bool {
 	refused := record.Result == checker.ResultRefused && record.Claim == checker.ClaimNotRun
 	return job.RetriesAfterRefusal && refused && record.RetryAfter > 0
 }
--- a/internal/replay/player/emulator.go
+++ b/internal/replay/player/emulator.go
@@ -37,6 +37,7 @@
 	return played, nil
 }
 
+// emulatePool replays the records of one pool.
 func emulatePool(records []recording.Record, selection Selection, settings bench.Settings, policy bench.PolicyName) ([]report.Sample, error) {
 	outcomes, err := bench.Replay(settings, policy, trace(records, selection))
 	if err != nil {
@@ -56,7 +57,7 @@
 	return samples, nil
 }
 
-// trace returns the records as the emulated fleet takes them.
+// trace returns the records as requests to the emulated fleet, in the same order.
 func trace(records []recording.Record, selection Selection) []workload.Request {
 	requests := make([]workload.Request, len(records))
 	for position, record := range records {
--- a/internal/replay/player/fleet.go
+++ b/internal/replay/player/fleet.go
@@ -32,7 +32,7 @@
 	requestBody = "replayed request"
 )
 
-// Problems that the replay itself tells of.
+// Kinds of problems that no node names, but the replay.
 const (
 	// problemUnreachable is a fleet of which no node takes a connection.
 	problemUnreachable = "unreachable"
@@ -46,13 +46,15 @@
 	Secret string
 }
 
-// Fleet sends requests to running nodes in turn.
+// Fleet sends requests to running nodes in turn. It is safe for concurrent use.
 type Fleet struct {
-	nodes  []string
+	nodes []string
+	// keys are the secrets of the tenants' keys, by tenant.
 	keys   map[string]string
 	client *http.Client
 	// run makes the identities of its requests differ from other replays'.
-	run  string
+	run string
+	// turn counts the nodes that were asked.
 	turn atomic.Uint64
 }
 
@@ -92,11 +94,11 @@
 // Send implements Sender. A node that takes no connection was not sent
 // anything, so that the next one is asked.
 func (f *Fleet) Send(ctx context.Context, attempt Attempt) Result {
-	limit := responseTimeout
+	timeout := responseTimeout
 	if attempt.Record.DeadlineMS > 0 {
-		limit = time.Duration(attempt.Record.DeadlineMS)*time.Millisecond + responseGrace
+		timeout = time.Duration(attempt.Record.DeadlineMS)*time.Millisecond + responseGrace
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	began := time.Now()
 	for range f.nodes {
@@ -112,6 +114,7 @@
 	return Result{Outcome: recording.Refused, Problem: problemUnreachable}
 }
 
+// isDialError reports whether no connection was made, so that nothing was sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
@@ -132,7 +135,7 @@
 	}
 	request.Host = record.Host
 	header := request.Header
-	header.Set(caller.HeaderRequestID, fmt.Sprintf("replay-%s-%d-%d", f.run, attempt.Number, attempt.Return))
+	header.Set(caller.HeaderRequestID, fmt.Sprintf("replay-%s-%d-%d", f.run, attempt.Number, attempt.Retry))
 	header.Set(caller.HeaderRepeatable, strconv.FormatBool(record.Repeatable))
 	setIfAny(header, caller.HeaderModel, record.Model)
 	setIfAny(header, caller.HeaderPrefix, caller.FormatPrefix(record.Prompt()))
--- a/internal/replay/player/play.go
+++ b/internal/replay/player/play.go
@@ -9,12 +9,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/report"
 )
 
-// Bounds of how a caller comes back after a refusal.
+// Bounds of the retries after a refusal.
 const (
-	// maxReturns bounds how often it does.
-	maxReturns = 2
-	// maxReturnWait bounds the wait before that.
-	maxReturnWait = 10 * time.Second
+	// maxRetries bounds the retries of a request.
+	maxRetries = 2
+	// maxRetryWait bounds the wait before each.
+	maxRetryWait = 10 * time.Second
 )
 
 // DefaultMaxInFlight bounds the requests that run at once.
@@ -23,25 +23,27 @@
 // Attempt is one sending of a recorded request.
 type Attempt struct {
 	Record recording.Record
-	// Number is the record's position in the replay, Return how often it was
-	// sent before.
+	// Number is the record's position in the replay, Retry how often it was sent
+	// before.
 	Number int
-	Return int
+	Retry  int
 }
 
-// Result is what a caller got for one sending. Times count from it.
+// Result is what a caller got for one attempt. Times count from its sending.
 type Result struct {
 	Outcome recording.Outcome
-	// Problem is the kind of the error, Certain that the request has not run.
+	// Problem is the kind of the error of a refused request. Certain is set if the
+	// request has certainly not run.
 	Problem    string
 	Certain    bool
 	RetryAfter time.Duration
-	// ReusedTokens is what the answer tells.
+	// ReusedTokens is the number that the response names; 0 if it names none.
 	ReusedTokens uint64
-	FirstToken   time.Duration
+	// FirstToken is when the first byte of the response's body came.
+	FirstToken time.Duration
 }
 
-// Sender sends requests.
+// Sender sends requests. Play calls it from several goroutines at once.
 type Sender interface {
 	// Knows reports whether requests of a tenant can be sent.
 	Knows(tenant string) bool
@@ -62,7 +64,7 @@
 type Played struct {
 	Samples []report.Sample
 	Skipped report.Skipped
-	// MaxLag is how late, at worst, a request was sent.
+	// MaxLag is the longest delay with which a request was sent.
 	MaxLag time.Duration
 }
 
@@ -70,10 +72,12 @@
 type player struct {
 	options Options
 	sender  Sender
+	// slots has an element for each request that runs.
 	slots   chan struct{}
 	running sync.WaitGroup
-	lock    sync.Mutex
-	played  Played
+	// lock guards played.
+	lock   sync.Mutex
+	played Played
 }
 
 // Play sends every record at its time and returns when all have ended. When the
@@ -104,7 +108,8 @@
 	return nil
 }
 
-// start sends a request beside those that run, if there is a place for it.
+// start sends a request beside those that run, or skips it if there are too many. due
+// is when it was to be sent.
 func (p *player) start(ctx context.Context, attempt Attempt, due time.Duration) {
 	select {
 	case p.slots <- struct{}{}:
@@ -131,24 +136,25 @@
 	clock := p.options.Clock
 	sentAt := began
 	result := p.sender.Send(ctx, attempt)
-	for attempt.Return < maxReturns && result.Outcome == recording.Refused && result.Certain && result.RetryAfter > 0 {
-		if clock.WaitUntil(ctx, clock.Now()+min(result.RetryAfter, maxReturnWait)) != nil {
+	for attempt.Retry < maxRetries && result.Outcome == recording.Refused && result.Certain && result.RetryAfter > 0 {
+		if clock.WaitUntil(ctx, clock.Now()+min(result.RetryAfter, maxRetryWait)) != nil {
 			break
 		}
-		attempt.Return++
+		attempt.Retry++
 		sentAt = clock.Now()
 		result = p.sender.Send(ctx, attempt)
 	}
 	sample := report.FromRecord(attempt.Record)
 	sample.Outcome = result.Outcome
 	sample.Problem = result.Problem
-	sample.Retries = attempt.Return
+	sample.Retries = attempt.Retry
 	sample.ReusedTokens = result.ReusedTokens
 	sample.FirstToken = sentAt - began + result.FirstToken
 	sample.Total = clock.Now() - began
 	return sample
 }
 
+// skip counts a record that is not sent, by its cause.
 func (p *player) skip(count func(*report.Skipped)) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/replay/player/response.go
+++ b/internal/replay/player/response.go
@@ -19,7 +19,7 @@
 	maxProblemBytes = 64 << 10
 	// streamEnd is what a complete stream of events ends with.
 	streamEnd = "data: [DONE]"
-	// tailBytes is how much of a stream's end is looked at.
+	// tailBytes is how much of the end of a stream is kept, to find streamEnd in it.
 	tailBytes = 64
 )
 
@@ -36,7 +36,7 @@
 	tail := &tailWriter{began: began}
 	_, err := io.Copy(tail, response.Body)
 	result.FirstToken = tail.first
-	if err != nil || isStream(response) && !tail.properEnd() {
+	if err != nil || isStream(response) && !tail.endedStream() {
 		result.Outcome = recording.Truncated
 	}
 	return result
@@ -49,6 +49,7 @@
 // tailWriter records when the first byte came, and keeps the last ones.
 type tailWriter struct {
 	began time.Time
+	// first is the time from began to the first byte; 0 before it.
 	first time.Duration
 	tail  []byte
 }
@@ -65,13 +66,13 @@
 	return len(data), nil
 }
 
-// properEnd reports whether a stream of events was complete.
-func (w *tailWriter) properEnd() bool {
+// endedStream reports whether a complete stream of events was written.
+func (w *tailWriter) endedStream() bool {
 	return bytes.HasSuffix(bytes.TrimSpace(w.tail), []byte(streamEnd))
 }
 
-// problem is the body of an error. A body without the claim must not be read as
-// "has not run".
+// problem is the body of an error. MayHaveRun is a pointer, since a body without it
+// must not be read as "has not run".
 type problem struct {
 	Kind       string `json:"kind"`
 	MayHaveRun *bool  `json:"may_have_run"`
--- a/internal/replay/player/selection.go
+++ b/internal/replay/player/selection.go
@@ -68,6 +68,7 @@
 	return time.Duration(float64(arrival(record)-s.From) / s.Speed)
 }
 
+// arrival returns when a request arrived, from the beginning of the day.
 func arrival(record recording.Record) time.Duration {
 	return time.Duration(record.AtUS) * time.Microsecond
 }
