--- a/internal/lab/fleet/doc.go
+++ b/internal/lab/fleet/doc.go
@@ -5,4 +5,8 @@
 //
 // A fleet ends only processes that it started, by their identity, and ends all
 // of them when it stops.
+//
+// A Fleet may be used from several goroutines once it has started: its processes are
+// behind a lock, and its topology is replaced as a whole. Only one goroutine at a time
+// may move machines or seeds.
 package fleet
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -22,7 +22,7 @@
 	// convergenceTimeout is how long the deployment gets after the last change. It
 	// exceeds the bound on a roll-out, so that a late one is seen as such.
 	convergenceTimeout = checker.WeightsBound + time.Second
-	// convergencePollEvery is how often the settling is looked at.
+	// convergencePollEvery is the time between two checks whether the replicas converged.
 	convergencePollEvery = 100 * time.Millisecond
 	// samplingAfterConvergence is how long the samples go on once all replicas have converged, so that
 	// the newest configuration is due everywhere before they end.
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -22,22 +22,23 @@
 	addedKey = "added"
 )
 
-// Shares of the callers, from 0 to 1.
+// Probabilities of what a caller does, from 0 to 1.
 const (
-	// spareKeyProbability use the tenant's spare key, also after it was revoked.
+	// spareKeyProbability is that of using the tenant's spare key, also after it was
+	// revoked.
 	spareKeyProbability = 0.4
-	// addedKeyProbability use the added key.
+	// addedKeyProbability is that of using the added key.
 	addedKeyProbability = 0.2
-	// leaveProbability go away before their answer is complete.
+	// leaveProbability is that of going away before the response is complete.
 	leaveProbability = 0.03
-	// returnProbability come back after a refusal.
-	returnProbability = 0.5
+	// retryProbability is that of a retry after a refusal.
+	retryProbability = 0.5
 )
 
 // longestStay is the longest time after which a caller goes away.
 const longestStay = 400 * time.Millisecond
 
-// addedKeyUse is the share of the load's duration after which callers know the
+// addedKeyUse is the fraction of the load's duration after which callers know the
 // added key. The order that adds it was acknowledged by then.
 const addedKeyUse = 0.3
 
@@ -103,7 +104,7 @@
 		Repeatable:          request.Repeatable,
 		Streamed:            request.Streamed,
 		Deadline:            request.Deadline,
-		RetriesAfterRefusal: load.random.Float64() < returnProbability,
+		RetriesAfterRefusal: load.random.Float64() < retryProbability,
 	}
 	if load.random.Float64() < leaveProbability {
 		job.LeaveAfter = time.Duration(load.random.Int64N(int64(longestStay))) + time.Millisecond
--- a/internal/lab/fleet/sampler.go
+++ b/internal/lab/fleet/sampler.go
@@ -34,17 +34,21 @@
 	servicesPath = "/v1/services"
 )
 
-// Sampler watches a fleet from outside.
+// Sampler watches a fleet from outside: it polls each node, each replica and the
+// platform in a goroutine of its own. It is safe for concurrent use.
 type Sampler struct {
 	// machines returns the machines as they are now.
 	machines func() *Topology
 	clock    *Clock
 	client   *http.Client
 
-	lock             sync.Mutex
-	served           []checker.ServedSample
-	versions         []checker.VersionSample
-	endpoints        []checker.EndpointSample
+	// lock guards the samples.
+	lock      sync.Mutex
+	served    []checker.ServedSample
+	versions  []checker.VersionSample
+	endpoints []checker.EndpointSample
+	// currentEndpoints are the last samples of each replica, by address, with a time
+	// of 0.
 	currentEndpoints map[string]checker.EndpointSample
 }
 
@@ -71,6 +75,7 @@
 	sampler.client.CloseIdleConnections()
 }
 
+// repeat samples at once, and then periodically until the context ends.
 func repeat(ctx context.Context, every time.Duration, sample func()) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -83,8 +88,8 @@
 	}
 }
 
-// sampleStatus reads what a node serves. The sample bears the time before
-// the question: what a node serves at the answer it may have learnt since.
+// sampleStatus reads what a node serves. The sample has the time before the request:
+// the node may have learnt of what it serves after that.
 func (sampler *Sampler) sampleStatus(ctx context.Context, name string) {
 	node, _ := sampler.machines().Node(name)
 	at := sampler.clock.Now()
@@ -104,6 +109,7 @@
 	})
 }
 
+// sampleVersion reads the weight version of a replica.
 func (sampler *Sampler) sampleVersion(ctx context.Context, member Backend) {
 	at := sampler.clock.Now()
 	body, err := sampler.get(ctx, member.Address, replica.PathReport)
@@ -137,8 +143,8 @@
 // stateDraining is how the list marks a replica that is to go.
 const stateDraining = "draining"
 
-// sampleEndpoints reads the list and keeps what changed. An entry bears the time
-// after the answer, by which the list certainly showed it.
+// sampleEndpoints reads the list and records what changed. An entry has the time
+// after the response, by which the list certainly showed it.
 func (sampler *Sampler) sampleEndpoints(ctx context.Context) {
 	body, err := sampler.get(ctx, sampler.machines().Platform.Address, servicesPath)
 	if err != nil {
@@ -184,6 +190,7 @@
 	return get(ctx, sampler.client, address, path, maxSampleBytes)
 }
 
+// get returns the body of a successful response, up to a number of bytes.
 func get(ctx context.Context, client *http.Client, address, path string, maxBytes int64) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
--- a/internal/lab/plans/acknowledged_orders.go
+++ b/internal/lab/plans/acknowledged_orders.go
@@ -19,20 +19,38 @@
 	revision uint64
 }
 
-// recordAcknowledged keeps an acknowledged order for the end.
+// requireAcknowledged submits an order until it is decided, and records it. It fails
+// unless the order is acknowledged.
+func (run *run) requireAcknowledged(ctx context.Context, order operator.Order) error {
+	record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), order)
+	if err != nil {
+		return err
+	}
+	if record.Outcome != checker.OutcomeAcknowledged {
+		return errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
+	}
+	run.recordAcknowledged(order, record)
+	return nil
+}
+
+// recordAcknowledged keeps an acknowledged order, for verify.
 func (run *run) recordAcknowledged(order operator.Order, record checker.Order) {
 	run.lock.Lock()
 	defer run.lock.Unlock()
 	run.acknowledged = append(run.acknowledged, acknowledgedOrder{order: order, revision: record.Revision})
 }
 
-// verify looks on every node for what was acknowledged, and sends every order
-// again: a resend must be answered as the first time, which the checker holds.
+// verifyMargin is how much longer than the bound verify waits until all nodes serve
+// what was acknowledged.
+const verifyMargin = 100 * time.Millisecond
+
+// verify checks that every node has all that was acknowledged, and sends every order
+// again: a resend must be answered as the first time.
 func (run *run) verify(ctx context.Context) error {
 	if len(run.acknowledged) == 0 {
 		return errors.New("no order was acknowledged, so that there is nothing to look for")
 	}
-	pause.For(ctx, checker.ServedBound+100*time.Millisecond)
+	pause.For(ctx, checker.ServedBound+verifyMargin)
 	for _, target := range run.Fleet.LiveTargets() {
 		configuration, err := run.Recorder.Configuration(ctx, target)
 		if err != nil {
@@ -43,14 +61,14 @@
 				target.Node, missing.order.Request.GetOrder().GetOrderId(), missing.revision))
 		}
 	}
-	for _, kept := range run.acknowledged {
-		record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), kept.order)
+	for _, acknowledged := range run.acknowledged {
+		record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), acknowledged.order)
 		if err != nil {
 			return err
 		}
-		if record.Outcome != checker.OutcomeAcknowledged || record.Revision != kept.revision {
+		if record.Outcome != checker.OutcomeAcknowledged || record.Revision != acknowledged.revision {
 			run.violate(AcknowledgedKept, fmt.Sprintf("order %s, acknowledged as revision %d, was answered %s %d when resent",
-				record.OrderID, kept.revision, record.Outcome, record.Revision))
+				record.OrderID, acknowledged.revision, record.Outcome, record.Revision))
 		}
 	}
 	return nil
@@ -68,14 +86,16 @@
 		routes[route.GetHost()] = true
 	}
 	var found []acknowledgedOrder
-	for _, one := range acknowledged {
-		if !isInForce(one.order, keys, routes) {
-			found = append(found, one)
+	for _, candidate := range acknowledged {
+		if !isInForce(candidate.order, keys, routes) {
+			found = append(found, candidate)
 		}
 	}
 	return found
 }
 
+// isInForce reports whether an order is in force where these keys and hosts of routes
+// are.
 func isInForce(order operator.Order, keys, routes map[string]bool) bool {
 	switch request := order.Request.(type) {
 	case *ridgeswitchv1.AddKeyRequest:
--- a/internal/lab/plans/background_operators.go
+++ b/internal/lab/plans/background_operators.go
@@ -23,14 +23,17 @@
 	backgroundOrderTimeout = 45 * time.Second
 )
 
-// backgroundOperators are operators that add keys one after another.
+// backgroundOperators are operators that add keys one after another, each in a
+// goroutine of its own.
 type backgroundOperators struct {
-	run     *run
+	run *run
+	// ended is closed when no further order is to be submitted.
 	ended   chan struct{}
 	running sync.WaitGroup
 
+	// lock guards what follows.
 	lock sync.Mutex
-	// newest is the latest moment at which an acknowledged order was sent.
+	// newest is the latest moment at which an acknowledged order was sent; -1 before one.
 	newest time.Duration
 	// changed is closed and made again with every acknowledgement.
 	changed chan struct{}
@@ -40,49 +43,45 @@
 	return &backgroundOperators{run: run, ended: make(chan struct{}), changed: make(chan struct{}), newest: -1}
 }
 
-func (all *backgroundOperators) start(ctx context.Context) {
+func (operators *backgroundOperators) start(ctx context.Context) {
 	for number := range backgroundOperatorCount {
-		all.running.Go(func() { all.apply(ctx, number) })
+		operators.running.Go(func() { operators.submitAll(ctx, number) })
 	}
 }
 
 // stop returns when every operator knows the outcome of its last order.
-func (all *backgroundOperators) stop() {
-	close(all.ended)
-	all.running.Wait()
+func (operators *backgroundOperators) stop() {
+	close(operators.ended)
+	operators.running.Wait()
 }
 
-func (all *backgroundOperators) apply(ctx context.Context, operatorNumber int) {
+// submitAll is one operator: it submits orders until it is stopped.
+func (operators *backgroundOperators) submitAll(ctx context.Context, operatorNumber int) {
 	for number := 0; ; number++ {
 		select {
-		case <-all.ended:
+		case <-operators.ended:
 			return
 		case <-ctx.Done():
 			return
 		default:
 		}
-		if err := all.submit(ctx, fmt.Sprintf("kept-%d-%d", operatorNumber, number), number); err != nil {
-			all.run.fail(err)
+		if err := operators.submit(ctx, fmt.Sprintf("kept-%d-%d", operatorNumber, number), number); err != nil {
+			operators.run.fail(err)
 		}
 		pause.For(ctx, backgroundOrderPause)
 	}
 }
 
 // submit adds a key and resends the order until it is decided.
-func (all *backgroundOperators) submit(ctx context.Context, key string, number int) error {
+func (operators *backgroundOperators) submit(ctx context.Context, key string, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, backgroundOrderTimeout)
 	defer cancel()
-	order := all.run.keyOrder(key, number)
-	sent := all.run.Clock.Now()
-	record, err := all.run.Recorder.SubmitUntilDecided(ctx, all.run.scenario.Targets(), order)
-	if err != nil {
+	order := operators.run.keyOrder(key, number)
+	sent := operators.run.Clock.Now()
+	if err := operators.run.requireAcknowledged(ctx, order); err != nil {
 		return err
 	}
-	if record.Outcome != checker.OutcomeAcknowledged {
-		return errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
-	}
-	all.run.recordAcknowledged(order, record)
-	all.recordAcknowledged(sent)
+	operators.recordAcknowledged(sent)
 	return nil
 }
 
@@ -101,20 +100,20 @@
 	}
 }
 
-func (all *backgroundOperators) recordAcknowledged(sent time.Duration) {
-	all.lock.Lock()
-	defer all.lock.Unlock()
-	all.newest = max(all.newest, sent)
-	close(all.changed)
-	all.changed = make(chan struct{})
+func (operators *backgroundOperators) recordAcknowledged(sent time.Duration) {
+	operators.lock.Lock()
+	defer operators.lock.Unlock()
+	operators.newest = max(operators.newest, sent)
+	close(operators.changed)
+	operators.changed = make(chan struct{})
 }
 
 // await returns when an order that was sent after a moment was acknowledged.
-func (all *backgroundOperators) await(ctx context.Context, moment time.Duration) error {
+func (operators *backgroundOperators) await(ctx context.Context, moment time.Duration) error {
 	for {
-		all.lock.Lock()
-		newest, changed := all.newest, all.changed
-		all.lock.Unlock()
+		operators.lock.Lock()
+		newest, changed := operators.newest, operators.changed
+		operators.lock.Unlock()
 		if newest >= moment {
 			return nil
 		}
--- a/internal/lab/plans/disks.go
+++ b/internal/lab/plans/disks.go
@@ -3,11 +3,9 @@
 import (
 	"context"
 
-	"github.com/pkg/errors"
 	"github.com/samber/lo"
 
 	"github.com/ridgeswitch/ridgeswitch/internal/control"
-	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
 // loseDiskTwice takes the disk of the configuration's leader right after it has
@@ -43,18 +41,14 @@
 		victim, _ = lo.Find(run.Fleet.Topology().Group, func(member string) bool { return member != spared })
 	}
 	order := run.keyOrder("disk-loss-"+name, 0)
-	record, err := run.Recorder.SubmitUntilDecided(ctx, run.scenario.Targets(), order)
-	if err != nil {
+	if err := run.requireAcknowledged(ctx, order); err != nil {
 		return "", err
 	}
-	if record.Outcome != checker.OutcomeAcknowledged {
-		return "", errors.Errorf("order %s was refused: %s", record.OrderID, record.ProblemKind)
-	}
-	run.recordAcknowledged(order, record)
 	run.recordDisturbance("lose the disk of " + victim)
 	return victim, run.replaceDisk(victim)
 }
 
+// replaceDisk kills a node and starts it again on an empty disk.
 func (run *run) replaceDisk(name string) error {
 	if err := run.Fleet.KillNode(name); err != nil {
 		return err
--- a/internal/lab/plans/freeze.go
+++ b/internal/lab/plans/freeze.go
@@ -67,9 +67,5 @@
 			return err
 		}
 	}
-	if err := run.awaitService(ctx); err != nil {
-		return err
-	}
-	pause.For(ctx, faultFreeStart)
-	return nil
+	return run.awaitCalm(ctx)
 }
--- a/internal/lab/plans/leaders.go
+++ b/internal/lab/plans/leaders.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// watchEvery is how often the state of nodes is looked at.
+// watchEvery is the time between two readings of the state of nodes.
 const watchEvery = 100 * time.Millisecond
 
 // poolShard is the shard of the deployment's pool.
--- a/internal/lab/plans/recovery.go
+++ b/internal/lab/plans/recovery.go
@@ -34,8 +34,8 @@
 // Longest is the longer of both.
 func (recovery Recovery) Longest() time.Duration { return max(recovery.Orders, recovery.Callers) }
 
-// MeasureRecovery finds the longest silences since the first disturbance.
-// Orders were submitted until submitted, without a longer pause.
+// MeasureRecovery returns the longest times without service since the first
+// disturbance. Orders were submitted without a longer pause until submitted.
 func MeasureRecovery(records *checker.Records, disturbances []Disturbance, submitted time.Duration) Recovery {
 	starts := lo.Map(disturbances, func(one Disturbance, _ int) time.Duration { return one.At })
 	recovery := Recovery{Orders: longestGap(acknowledgements(records), starts, submitted)}
@@ -68,10 +68,10 @@
 	return lo.Values(first)
 }
 
-// longestGap returns the longest span without an event, from the first
-// disturbance until the end of expectation. Later disturbances do not split a
-// silence in two: the end of a fault is one as well, and what is silent before
-// it is the doing of the fault.
+// longestGap returns the longest span without an event, from the first disturbance
+// until the last moment at which events were due. Later disturbances do not split a
+// gap in two: the end of a fault is recorded as one as well, and the gap before it is
+// caused by the fault.
 func longestGap(events, disturbances []time.Duration, until time.Duration) time.Duration {
 	if len(disturbances) == 0 {
 		return 0
--- a/internal/lab/plans/restarts.go
+++ b/internal/lab/plans/restarts.go
@@ -76,11 +76,7 @@
 			return err
 		}
 	}
-	if err := run.awaitService(ctx); err != nil {
-		return err
-	}
-	pause.For(ctx, faultFreeStart)
-	return nil
+	return run.awaitCalm(ctx)
 }
 
 // killAll kills nodes at the same time.
--- a/internal/lab/plans/run.go
+++ b/internal/lab/plans/run.go
@@ -17,8 +17,9 @@
 
 // Times of every run.
 const (
-	// faultFreeStart is how long orders go through before the first fault.
-	faultFreeStart = 2 * time.Second
+	// calmTime is how long there are orders without a fault, before the first fault and
+	// between two.
+	calmTime = 2 * time.Second
 	// recoveryTimeout bounds the wait for service after a fault. It exceeds the
 	// rule's bound, so that a late return is measured.
 	recoveryTimeout = 30 * time.Second
@@ -38,6 +39,7 @@
 	scenario            *operator.Scenario
 	backgroundOperators *backgroundOperators
 
+	// lock guards what the plan and the background operators both record.
 	lock         sync.Mutex
 	disturbances []Disturbance
 	failures     []error
@@ -45,7 +47,8 @@
 	acknowledged []acknowledgedOrder
 	// submitted is until when orders were submitted without a pause.
 	submitted time.Duration
-	ended     time.Duration
+	// ended is when the run was over.
+	ended time.Duration
 }
 
 // runStream separates the draws of a run of a plan from others of the same seed.
@@ -53,7 +56,7 @@
 
 func newRun(stage fleet.Stage, options Options, network *links.Network) *run {
 	stage.Recorder.AttemptTimeout = attemptTimeout
-	made := &run{
+	created := &run{
 		Stage: stage, plan: options.Plan, network: network, duration: options.Duration,
 		random: rand.New(rand.NewPCG(options.Seed, runStream)),
 		scenario: &operator.Scenario{
@@ -61,8 +64,8 @@
 			Machines: stage.Fleet, Log: stage.Log,
 		},
 	}
-	made.backgroundOperators = newBackgroundOperators(made)
-	return made
+	created.backgroundOperators = newBackgroundOperators(created)
+	return created
 }
 
 // Run implements fleet.Script.
@@ -77,7 +80,7 @@
 	if !run.plan.SubmitsOrders {
 		run.backgroundOperators.start(ctx)
 	}
-	pause.For(ctx, faultFreeStart)
+	pause.For(ctx, calmTime)
 	run.step(run.plan.Name, func() error { return run.plan.injectFaults(ctx, run) })
 	if run.plan.SubmitsOrders {
 		run.submitted = run.Clock.Now()
@@ -103,7 +106,7 @@
 	return run.failures
 }
 
-// step does one thing; others go on when it fails.
+// step does one thing of the run, and records it if it fails; the run goes on.
 func (run *run) step(name string, do func() error) {
 	run.Log.WithField("at", run.Clock.Now()).Info(name)
 	if err := do(); err != nil {
@@ -111,6 +114,7 @@
 	}
 }
 
+// fail records what could not be done.
 func (run *run) fail(err error) {
 	run.Log.WithError(err).Warn("failed")
 	run.lock.Lock()
@@ -134,6 +138,15 @@
 	run.violations = append(run.violations, checker.Violation{Invariant: name, Detail: detail, At: run.Clock.Now()})
 }
 
+// awaitCalm returns when service is back after a fault, and calmTime has passed since.
+func (run *run) awaitCalm(ctx context.Context) error {
+	if err := run.awaitService(ctx); err != nil {
+		return err
+	}
+	pause.For(ctx, calmTime)
+	return nil
+}
+
 // awaitService returns when an order that was sent after now is acknowledged, the pool
 // serves and all nodes are ready.
 func (run *run) awaitService(ctx context.Context) error {
--- a/internal/lab/plans/storm.go
+++ b/internal/lab/plans/storm.go
@@ -16,7 +16,7 @@
 // Numbers of the storm.
 const (
 	stormConfigurationCount = 200
-	// Every so many configurations there is one of another kind.
+	// One of so many configurations is invalid, is raced for, or is sent again.
 	invalidEvery = 7
 	raceEvery    = 10
 	resendEvery  = 5
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// stormIteration applies one configuration, or an invalid one.
 func (run *run) stormIteration(ctx context.Context, number int) error {
 	if number%invalidEvery == 0 {
 		return run.applyInvalid(ctx, number)
@@ -73,20 +74,16 @@
 			orders[rival] = run.routeOrder(present, fmt.Sprintf("storm-%d-%d-%d", number, attempt, rival))
 		}
 		won, err := run.raceOrders(ctx, orders)
-		if won != nil || err != nil {
-			return lastOrder(won), err
+		if err != nil {
+			return operator.Order{}, err
+		}
+		if won != nil {
+			return *won, nil
 		}
 	}
 	return operator.Order{}, errors.Errorf("no operator won in %d attempts", stormAttempts)
 }
 
-func lastOrder(won *operator.Order) operator.Order {
-	if won == nil {
-		return operator.Order{}
-	}
-	return *won
-}
-
 // raceOrders submits orders at the same time through different nodes and
 // returns the one that won, or nil if all were refused as stale.
 func (run *run) raceOrders(ctx context.Context, orders []operator.Order) (*operator.Order, error) {
@@ -123,6 +120,7 @@
 	return operator.ApplyOrder(run.scenario.OrderID(name), present.GetRevision(), changed)
 }
 
+// route returns a public route from a host of its own to a web service.
 func (run *run) route(name, webService string) *ridgeswitchv1.Route {
 	return &ridgeswitchv1.Route{
 		Host: name + ".example", Public: true,
--- a/internal/lab/plans/votes.go
+++ b/internal/lab/plans/votes.go
@@ -41,6 +41,7 @@
 	return errors.Wrapf(last, "%s did not get its votes within %v", name, recoveryTimeout)
 }
 
+// votesEverywhere returns nil if all of these disks show the vote of a node.
 func (run *run) votesEverywhere(ctx context.Context, name string) error {
 	node, _ := run.Fleet.Topology().Node(name)
 	status, err := run.Recorder.Status(ctx, operator.Target{Node: name, ControlAddress: node.ControlAddress()})
@@ -94,7 +95,7 @@
 	return identity.Incarnation, errors.Wrap(json.Unmarshal(data, &identity), "parse the identity of a data folder")
 }
 
-// lastMemberSlots returns the places of a shard by the last change that is durable.
+// lastMemberSlots returns the slots of a shard's group by the last change that is durable.
 func lastMemberSlots(restored replication.Restored) ([]replication.Slot, error) {
 	var slots []replication.Slot
 	if restored.Snapshot != nil {
--- a/internal/lab/plans/zone.go
+++ b/internal/lab/plans/zone.go
@@ -39,14 +39,14 @@
 		pause.For(ctx, partitionTime)
 		run.recordDisturbance("end: " + cut.name)
 		run.network.SetState(cut.links, links.LinkState{})
-		if err := run.awaitService(ctx); err != nil {
+		if err := run.awaitCalm(ctx); err != nil {
 			return err
 		}
-		pause.For(ctx, faultFreeStart)
 	}
 	return nil
 }
 
+// boundaryOf returns the boundary of a zone.
 func boundaryOf(topology *fleet.Topology, zone string) (boundary, error) {
 	var border boundary
 	for _, inner := range topology.Nodes {
