--- a/internal/lab/links/forwarder.go
+++ b/internal/lab/links/forwarder.go
@@ -11,16 +11,19 @@
 )
 
 const (
-	// dialTimeout bounds the connection to the machine behind a forwarder.
+	// dialTimeout bounds the time to connect to the machine behind a forwarder.
 	dialTimeout = time.Second
+	// bufferBytes is the most that a stream reads at once.
 	bufferBytes = 64 << 10
 )
 
 // Forwarder accepts connections at one machine's address and relays them to
 // where the machine listens.
 type Forwarder struct {
-	network  *Network
-	machine  netip.Addr
+	network *Network
+	// machine is the IP number of the address, by which links name the machine.
+	machine netip.Addr
+	// target is where the machine listens, IP number and port.
 	target   string
 	listener net.Listener
 	cancel   context.CancelFunc
@@ -82,27 +85,29 @@
 		_ = outbound.Close()
 	})
 	defer stop()
-	there := &stream{
+	request := &stream{
 		network: forwarder.network, link: Link{From: from, To: forwarder.machine},
 		from: inbound, to: outbound,
 	}
-	back := &stream{
+	response := &stream{
 		network: forwarder.network, link: Link{From: forwarder.machine, To: from},
 		from: outbound, to: inbound,
 	}
 	var pumping sync.WaitGroup
-	pumping.Go(func() { there.pump(ctx) })
-	pumping.Go(func() { back.pump(ctx) })
+	pumping.Go(func() { request.pump(ctx) })
+	pumping.Go(func() { response.pump(ctx) })
 	pumping.Wait()
 }
 
-// reset lets the other side see that nobody listens here.
+// reset has a connection closed by a reset, so that the other side sees that nobody
+// listens here.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
+// ipOf returns the IP number of a TCP address, an IPv4 one in its short form.
 func ipOf(address net.Addr) netip.Addr {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
--- a/internal/lab/links/network.go
+++ b/internal/lab/links/network.go
@@ -26,6 +26,7 @@
 	// for nothing. It is set before the first forwarder starts.
 	OnLoss func(link Link, bytes int)
 
+	// lock guards what follows, and the streams' closed.
 	lock   sync.Mutex
 	states map[Link]LinkState
 	// changed is closed and replaced whenever a state changes.
--- a/internal/lab/proxybench/caller.go
+++ b/internal/lab/proxybench/caller.go
@@ -16,7 +16,7 @@
 // callTimeout bounds a request.
 const callTimeout = 10 * time.Second
 
-// requestFormat is a request up to the number in its identity. Three parts are
+// requestFormat is a request up to the number in its identity. Three chunks are
 // what a short conversation has; each connection has a case of its own, so that
 // a node spreads them over the replicas.
 const requestFormat = "POST /v1/generate HTTP/1.1\r\nHost: " + host + "\r\nAuthorization: Bearer " + tenantKey +
@@ -27,10 +27,13 @@
 type connection struct {
 	socket net.Conn
 	reader *bufio.Reader
-	head   []byte
-	body   string
+	// head is a request up to the number in its identity.
+	head []byte
+	body string
+	// buffer is used again for each request.
 	buffer []byte
-	count  uint64
+	// count counts the requests so far.
+	count uint64
 }
 
 // dial opens a connection whose requests bear identities that begin with name.
--- a/internal/lab/proxybench/doc.go
+++ b/internal/lab/proxybench/doc.go
@@ -6,4 +6,7 @@
 // Callers and replicas take processor time as well. The processor time for
 // each request is therefore reported too, and the time without any proxy is
 // taken off it, which leaves what the two proxies cost by themselves.
+//
+// One goroutine runs the measurement and owns its results. Each connection of callers has
+// a goroutine while its target is measured, and every server those of net/http.
 package proxybench
--- a/internal/lab/proxybench/forwarder.go
+++ b/internal/lab/proxybench/forwarder.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// forwarder is the yardstick: the least that forwards HTTP by net/http. It
-// gives none of the guarantees of a node.
+// forwarder is what the node is compared with: the least that forwards HTTP by
+// net/http. It gives none of the guarantees of a node.
 type forwarder struct {
 	addresses []string
 	turn      atomic.Uint64
--- a/internal/lab/proxybench/load.go
+++ b/internal/lab/proxybench/load.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// longestLatency is the top of the histograms, in microseconds.
+	// longestLatency is the upper bound of the histograms, in microseconds.
 	longestLatency = int64(callTimeout / time.Microsecond)
-	// latencyDigits is the precision of the histograms.
+	// latencyDigits is the precision of the histograms, in significant digits.
 	latencyDigits = 3
 )
 
@@ -46,17 +46,17 @@
 	}
 }
 
-// throughput is what one saturation has shown.
+// throughput is what was measured at one saturation.
 type throughput struct {
 	requests uint64
-	took     time.Duration
+	elapsed  time.Duration
 	// processor is the processor time of the whole process.
 	processor time.Duration
 }
 
 // perSecond returns the requests a second.
 func (t throughput) perSecond() float64 {
-	return float64(t.requests) / t.took.Seconds()
+	return float64(t.requests) / t.elapsed.Seconds()
 }
 
 // processorPerRequest returns the processor time of one request in
@@ -73,7 +73,7 @@
 	}
 	start := time.Now()
 	counts := make([]uint64, len(t.connections))
-	err = t.each(ctx, func(ctx context.Context, number int, connection *connection) error {
+	err = t.forEachConnection(ctx, func(ctx context.Context, number int, connection *connection) error {
 		for time.Since(start) < duration && ctx.Err() == nil {
 			if err := connection.call(); err != nil {
 				return err
@@ -86,21 +86,21 @@
 		return throughput{}, err
 	}
 	processorAfter, err := processorTime()
-	measured := throughput{took: time.Since(start), processor: processorAfter - processorBefore}
+	measured := throughput{elapsed: time.Since(start), processor: processorAfter - processorBefore}
 	for _, count := range counts {
 		measured.requests += count
 	}
 	return measured, err
 }
 
-// paced sends at a fixed rate, in turn over the connections. A latency runs
-// from the time at which the request was due, so that waiting behind a slow one
-// counts.
+// paced sends at a fixed rate, in turn over the connections, and returns the latencies
+// in microseconds. A latency counts from the time at which the request was due, so
+// that waiting behind a slow one counts.
 func (t *target) paced(ctx context.Context, perSecond float64, duration time.Duration) (*hdrhistogram.Histogram, error) {
 	histograms := make([]*hdrhistogram.Histogram, len(t.connections))
 	interval := time.Duration(float64(len(t.connections)) / perSecond * float64(time.Second))
 	start := time.Now()
-	err := t.each(ctx, func(ctx context.Context, number int, connection *connection) error {
+	err := t.forEachConnection(ctx, func(ctx context.Context, number int, connection *connection) error {
 		histogram := hdrhistogram.New(1, longestLatency, latencyDigits)
 		histograms[number] = histogram
 		due := start.Add(interval * time.Duration(number) / time.Duration(len(t.connections)))
@@ -125,8 +125,9 @@
 	return merged, nil
 }
 
-// each runs a function on every connection at once.
-func (t *target) each(ctx context.Context, run func(ctx context.Context, number int, connection *connection) error) error {
+// forEachConnection calls a function for every connection at once, and returns when all
+// calls have. The first error ends the context of the others.
+func (t *target) forEachConnection(ctx context.Context, run func(ctx context.Context, number int, connection *connection) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for number, connection := range t.connections {
 		group.Go(func() error { return run(ctx, number, connection) })
--- a/internal/lab/proxybench/measure.go
+++ b/internal/lab/proxybench/measure.go
@@ -13,35 +13,43 @@
 const (
 	// warmUp is how long each target is saturated before anything counts.
 	warmUp = 100 * time.Millisecond
-	// halfLoad is the share of the saturation under which latencies are taken.
+	// halfLoad is the fraction of the saturation under which latencies are measured.
 	halfLoad = 0.5
 	// microsecondsPerMillisecond turns the histograms' unit into the reports'.
 	microsecondsPerMillisecond = 1000
 )
 
-// series is what one target has shown, a value a round.
+// series is what was measured of one target, with one value for each round.
 type series struct {
-	target    *target
+	target *target
+	// rates are the requests a second at saturation, and processor the microseconds of
+	// processor time of one request then.
 	rates     []float64
 	processor []float64
+	// halfRates are the requests a second at half load, and latencies those of all
+	// rounds then, in microseconds.
 	halfRates []float64
 	latencies *hdrhistogram.Histogram
 }
 
-// bench holds everything that runs during a measurement.
+// bench has everything that runs during a measurement.
 type bench struct {
-	settings  Settings
-	replicas  []*endpoint
-	front     *endpoint
-	node      *dataplane.Server
+	settings Settings
+	replicas []*endpoint
+	// forwarderEndpoint and node are the two proxies.
+	forwarderEndpoint *endpoint
+	node              *dataplane.Server
+	// direct is what was measured without a proxy, the others with one of them.
 	direct    *series
 	forwarder *series
 	proxied   *series
-	addedP50  []float64
-	addedP99  []float64
+	// addedP50 and addedP99 are the node's latencies beyond the forwarder's, in
+	// milliseconds, with one value for each round.
+	addedP50 []float64
+	addedP99 []float64
 }
 
-// Measure runs all rounds.
+// Measure runs all rounds, and stops all that it started before it returns.
 func Measure(ctx context.Context, settings Settings) (Report, error) {
 	if err := settings.check(); err != nil {
 		return Report{}, err
@@ -76,7 +84,7 @@
 		addresses = append(addresses, started.address)
 	}
 	var err error
-	if b.front, err = serve(newForwarder(addresses, b.settings.Connections)); err != nil {
+	if b.forwarderEndpoint, err = serve(newForwarder(addresses, b.settings.Connections)); err != nil {
 		return err
 	}
 	if b.node, err = startNode(addresses, b.settings.Connections); err != nil {
@@ -85,7 +93,7 @@
 	if b.direct, err = b.connect(TargetDirect, addresses[0]); err != nil {
 		return err
 	}
-	if b.forwarder, err = b.connect(TargetForwarder, b.front.address); err != nil {
+	if b.forwarder, err = b.connect(TargetForwarder, b.forwarderEndpoint.address); err != nil {
 		return err
 	}
 	b.proxied, err = b.connect(TargetNode, b.node.Address())
@@ -108,7 +116,7 @@
 }
 
 // measureAll measures every target once. The order of the targets turns with the
-// repetitions, so that none always follows the same other.
+// rounds, so that none always follows the same other.
 func (b *bench) measureAll(ctx context.Context, repetition int) error {
 	order := b.all()
 	turn := repetition % len(order)
@@ -132,31 +140,32 @@
 
 // saturate adds one saturation to a series.
 func (b *bench) saturate(ctx context.Context, measured *series) error {
-	shown, err := measured.target.saturate(ctx, b.settings.SaturationTime)
+	measurement, err := measured.target.saturate(ctx, b.settings.SaturationTime)
 	if err != nil {
 		return err
 	}
-	measured.rates = append(measured.rates, shown.perSecond())
-	measured.processor = append(measured.processor, shown.processorPerRequest())
+	measured.rates = append(measured.rates, measurement.perSecond())
+	measured.processor = append(measured.processor, measurement.processorPerRequest())
 	return nil
 }
 
-// compareLatencies puts forwarder and node under one rate, one after the other.
+// compareLatencies measures the latencies of forwarder and node at the same rate, one
+// after the other, and records the difference.
 func (b *bench) compareLatencies(ctx context.Context, rate float64, repetition int) error {
 	order := []*series{b.forwarder, b.proxied}
 	if repetition%2 == 1 {
 		slices.Reverse(order)
 	}
-	shown := make(map[*series]*hdrhistogram.Histogram, len(order))
+	histograms := make(map[*series]*hdrhistogram.Histogram, len(order))
 	for _, measured := range order {
 		histogram, err := measured.target.paced(ctx, rate, b.settings.HalfLoadTime)
 		if err != nil {
 			return err
 		}
-		shown[measured] = histogram
+		histograms[measured] = histogram
 	}
 	added := func(percentile float64) float64 {
-		return milliseconds(shown[b.proxied], percentile) - milliseconds(shown[b.forwarder], percentile)
+		return milliseconds(histograms[b.proxied], percentile) - milliseconds(histograms[b.forwarder], percentile)
 	}
 	b.addedP50 = append(b.addedP50, added(50))
 	b.addedP99 = append(b.addedP99, added(99))
@@ -212,15 +221,15 @@
 	if b.node != nil {
 		b.node.Stop()
 	}
-	if b.front != nil {
-		b.front.close()
+	if b.forwarderEndpoint != nil {
+		b.forwarderEndpoint.close()
 	}
 	for _, started := range b.replicas {
 		started.close()
 	}
 }
 
-// median returns the middle value.
+// median returns the median of at least one value.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	middle := len(sorted) / 2
@@ -230,7 +239,7 @@
 	return (sorted[middle-1] + sorted[middle]) / 2
 }
 
-// milliseconds returns a percentile of a histogram.
+// milliseconds returns a percentile of a histogram, in milliseconds.
 func milliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(histogram.ValueAtQuantile(percentile)) / microsecondsPerMillisecond
 }
--- a/internal/lab/proxybench/result.go
+++ b/internal/lab/proxybench/result.go
@@ -13,7 +13,7 @@
 	TargetNode TargetName = "node"
 )
 
-// TargetResult is what one target has shown over all rounds.
+// TargetResult is what was measured of one target, over all rounds.
 type TargetResult struct {
 	Target TargetName `json:"target"`
 	// RequestsPerSecond is the median over the rounds at saturation.
