--- a/internal/replay/report/latency.go
+++ b/internal/replay/report/latency.go
@@ -6,11 +6,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds and precision of the histograms, in microseconds.
+// Bounds of the histograms, in microseconds, and their precision in significant digits.
 const (
-	shortestUS  = 1
-	longestUS   = int64(24 * time.Hour / time.Microsecond)
-	significant = 3
+	shortestUS        = 1
+	longestUS         = int64(24 * time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 // firstBucketMS is the upper bound of the first bucket of a report; each
@@ -43,14 +43,15 @@
 }
 
 func newDistribution() distribution {
-	return distribution{histogram: hdrhistogram.New(shortestUS, longestUS, significant)}
+	return distribution{histogram: hdrhistogram.New(shortestUS, longestUS, significantDigits)}
 }
 
-// add enters a time. One beyond the bounds is entered as the bound.
+// add adds a time; one above the bound counts as the bound.
 func (d distribution) add(span time.Duration) {
 	_ = d.histogram.RecordValue(min(max(span.Microseconds(), 0), longestUS))
 }
 
+// quantileMS returns a quantile, given from 0 to 1, in milliseconds.
 func (d distribution) quantileMS(quantile float64) float64 {
 	return milliseconds(d.histogram.ValueAtQuantile(100 * quantile))
 }
@@ -70,7 +71,7 @@
 	}
 }
 
-// buckets sums the histogram up into buckets that double.
+// buckets returns the histogram in buckets, each twice as wide as the one before.
 func (d distribution) buckets() []Bucket {
 	buckets := []Bucket{{UpToMS: firstBucketMS}}
 	for _, bar := range d.histogram.Distribution() {
--- a/internal/replay/report/report.go
+++ b/internal/replay/report/report.go
@@ -77,7 +77,7 @@
 	// Late counts the answers that were complete only after the deadline.
 	Late    int `json:"late"`
 	Retries int `json:"retries"`
-	// RefusedBy splits Refused.
+	// RefusedBy divides Refused by kind, the most frequent first.
 	RefusedBy []Refusals `json:"refused_by"`
 	// PromptTokens and ReusedTokens are those of answered requests, ReuseRatio
 	// is their quotient.
@@ -115,7 +115,7 @@
 	}
 }
 
-// groupBy returns the groups in the order of their names.
+// groupBy returns the groups of samples with the same name, in the order of the names.
 func groupBy(samples []Sample, name func(Sample) string) []Group {
 	named := lo.GroupBy(samples, name)
 	names := lo.Keys(named)
@@ -165,6 +165,7 @@
 	return group
 }
 
+// ratio returns a quotient, or 0 if the denominator is 0.
 func ratio(numerator, denominator uint64) float64 {
 	if denominator == 0 {
 		return 0
--- a/internal/replay/report/series.go
+++ b/internal/replay/report/series.go
@@ -6,7 +6,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
 )
 
-// intervals is how many intervals the replayed part of the day is cut into.
+// intervals is the number of intervals into which the replayed part of the day is
+// divided.
 const intervals = 48
 
 // Interval is the figures of one part of the day.
@@ -16,7 +17,8 @@
 	Requests int   `json:"requests"`
 	Refused  int   `json:"refused"`
 	Retries  int   `json:"retries"`
-	// Completed reports whether the figures below stand for anything.
+	// Completed counts the complete responses. The figures below are over these alone,
+	// and 0 without any.
 	Completed     int     `json:"answered"`
 	ReuseRatio    float64 `json:"reuse_ratio"`
 	TotalP50MS    float64 `json:"total_p50_ms"`
@@ -32,20 +34,21 @@
 	return max(span/intervals, time.Millisecond)
 }
 
-// newSeries cuts the replayed part of the day into equal intervals by arrival.
+// newSeries divides the samples by arrival into equal intervals of the replayed part of
+// the day.
 func newSeries(run Run, samples []Sample) []Interval {
 	length := intervalLength(run)
 	from := time.Duration(run.FromMS) * time.Millisecond
-	parts := make([][]Sample, intervals)
+	byInterval := make([][]Sample, intervals)
 	for _, sample := range samples {
 		position := int((sample.At - from) / length)
 		position = min(max(position, 0), intervals-1)
-		parts[position] = append(parts[position], sample)
+		byInterval[position] = append(byInterval[position], sample)
 	}
 	series := make([]Interval, 0, intervals)
-	for position, part := range parts {
+	for position, arrived := range byInterval {
 		start := from + time.Duration(position)*length
-		series = append(series, newInterval(start, part))
+		series = append(series, newInterval(start, arrived))
 	}
 	return series
 }
