--- a/internal/lab/bench/simulation.go
+++ b/internal/lab/bench/simulation.go
@@ -166,7 +166,7 @@
 // were asked for.
 func (s *simulation) export(now time.Duration, source int, missing []prefixindex.ChainHash) (*reporter, []emulator.CachedChunk) {
 	if source == s.settings.storeNumber() {
-		return &s.store.reporter, s.store.export(missing)
+		return &s.store.reporter, s.store.model.Export(missing)
 	}
 	from := s.machines[source]
 	chunks := from.model.Export(now, missing)
--- a/internal/lab/bench/store.go
+++ b/internal/lab/bench/store.go
@@ -32,19 +32,6 @@
 	return added
 }
 
-// export returns the chunks that are cached up to the first one that is not.
-func (s *store) export(hashes []prefixindex.ChainHash) []emulator.CachedChunk {
-	var chunks []emulator.CachedChunk
-	for _, hash := range hashes {
-		chunk, found := s.model.Get(hash)
-		if !found {
-			break
-		}
-		chunks = append(chunks, chunk)
-	}
-	return chunks
-}
-
 // push sends the chunks that a replica has newly cached to the store, one after the
 // other, in parallel to the transfers that requests wait for.
 func (s *simulation) push(now time.Duration, from *machine, events []replica.Event) {
--- a/internal/lab/emulator/memory.go
+++ b/internal/lab/emulator/memory.go
@@ -47,5 +47,18 @@
 	return lo.SumBy(m.Leading(links), func(chunk CachedChunk) uint64 { return uint64(chunk.Tokens) })
 }
 
+// leadingChunks returns the chunks that get finds, up to the first hash without one.
+func leadingChunks(hashes []prefixindex.ChainHash, get func(prefixindex.ChainHash) (CachedChunk, bool)) []CachedChunk {
+	var chunks []CachedChunk
+	for _, hash := range hashes {
+		chunk, found := get(hash)
+		if !found {
+			break
+		}
+		chunks = append(chunks, chunk)
+	}
+	return chunks
+}
+
 // snapshot returns a reset event that lists everything kept.
 func (m memory) snapshot() protocol.Event { return m.journal.Snapshot(m.All()) }
--- a/internal/lab/emulator/replica.go
+++ b/internal/lab/emulator/replica.go
@@ -165,15 +165,7 @@
 	if now < r.upAt {
 		return nil
 	}
-	var chunks []CachedChunk
-	for _, hash := range hashes {
-		chunk, ok := r.memory.Get(hash)
-		if !ok {
-			break
-		}
-		chunks = append(chunks, chunk)
-	}
-	return chunks
+	return leadingChunks(hashes, r.memory.Get)
 }
 
 // Drain makes the replica refuse new requests, or take them again.
--- a/internal/lab/emulator/store.go
+++ b/internal/lab/emulator/store.go
@@ -34,6 +34,12 @@
 	return s.memory.Get(hash)
 }
 
+// Export returns the chunks that a replica requests, up to the first one that is not
+// cached, and marks them as used.
+func (s *Store) Export(hashes []prefixindex.ChainHash) []CachedChunk {
+	return leadingChunks(hashes, s.Get)
+}
+
 // Empty loses everything and starts a new incarnation.
 func (s *Store) Empty() {
 	s.memory = newMemory(s.capacityTokens, s.memory.journal.Incarnation()+1, s.journalEvents)
