--- a/internal/lab/fleet/claim.go
+++ b/internal/lab/fleet/claim.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// claimPort is held on the platform's address while a fleet runs. Deployments
+// claimPort is listened on at the platform's address while a fleet runs. Deployments
 // use fixed loopback addresses, so that two fleets at once would mix.
 const claimPort = "7599"
 
--- a/internal/lab/fleet/demonstration.go
+++ b/internal/lab/fleet/demonstration.go
@@ -68,7 +68,7 @@
 	return outcome, writeRecords(outcome.Records, options.Folder)
 }
 
-// recordsFile keeps what was seen of a run, for a closer look at a violation.
+// recordsFile is the file with the records of a run, for the analysis of a violation.
 const recordsFile = "records.json"
 
 func writeRecords(records *checker.Records, folder string) error {
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -139,7 +139,7 @@
 	return errors.Wrap(experiment.Fleet.AwaitReady(ctx), "wait for the nodes to serve the first configuration")
 }
 
-// watch samples while act runs.
+// watch has the sampler and the balancer run while act does.
 func (experiment *Experiment) watch(ctx context.Context, sampler *Sampler, balancer *caller.Balancer, act func()) {
 	balancer.Poll(ctx)
 	ctx, stop := context.WithCancel(ctx)
@@ -166,6 +166,7 @@
 	}
 }
 
+// records returns what was recorded of the run, but for the ground truth.
 func (experiment *Experiment) records(recorder *operator.Recorder, runner *caller.Runner, sampler *Sampler, script Script) *checker.Records {
 	end := experiment.Clock.Now()
 	records := &checker.Records{
--- a/internal/lab/fleet/ground_truth.go
+++ b/internal/lab/fleet/ground_truth.go
@@ -25,7 +25,8 @@
 // Bounds of the collection.
 const (
 	// collectTimeout bounds the whole collection.
-	collectTimeout  = 5 * time.Second
+	collectTimeout = 5 * time.Second
+	// maxCollectBytes bounds what is read of one stand-in.
 	maxCollectBytes = 256 << 20
 )
 
@@ -47,6 +48,7 @@
 	return nil
 }
 
+// collectReplica reads the executions and the commands of one replica.
 func (fleet *Fleet) collectReplica(ctx context.Context, client *http.Client, member Backend, records *checker.Records) error {
 	executions, err := lines[replica.ExecutionRecord](ctx, client, member.Address, executionsPath)
 	if err != nil {
@@ -94,8 +96,8 @@
 	}
 }
 
-// collectPages reads the requests to one back end of a web service. Pages are
-// kept from nobody, so that only the attempts matter.
+// collectPages reads the requests to one back end of a web service. Pages belong to
+// no tenant, so that only the attempts matter.
 func (fleet *Fleet) collectPages(ctx context.Context, client *http.Client, group WebGroup, member Backend, records *checker.Records) error {
 	visits, err := lines[webservice.VisitRecord](ctx, client, member.Address, executionsPath)
 	if err != nil {
@@ -117,6 +119,7 @@
 	return nil
 }
 
+// at returns the time since the run began, of a time since 1970 in nanoseconds.
 func (fleet *Fleet) at(unixNano int64) time.Duration {
 	return fleet.options.Clock.At(time.Unix(0, unixNano))
 }
--- a/internal/lab/fleet/settings.go
+++ b/internal/lab/fleet/settings.go
@@ -49,6 +49,7 @@
 	})
 }
 
+// groupZones returns the zones of the group, in the same order.
 func groupZones(topology *Topology) []string {
 	return lo.Map(topology.Group, func(name string, _ int) string {
 		node, _ := topology.Node(name)
--- a/internal/lab/fleet/stand_in_changes.go
+++ b/internal/lab/fleet/stand_in_changes.go
@@ -18,7 +18,8 @@
 // faultsPath is where a replica's stand-in takes its faults.
 const faultsPath = "/lab/faults"
 
-// What disturbed replicas do.
+// What disturbed replicas do: the fractions of requests that they refuse and of
+// responses that they truncate, and after how many bytes.
 const (
 	refuseRatio    = 0.3
 	truncateRatio  = 0.15
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// post tells a stand-in what to do.
+// post sends a change to a stand-in as JSON.
 func (fleet *Fleet) post(ctx context.Context, address, path string, content any) error {
 	body, err := json.Marshal(content)
 	if err != nil {
--- a/internal/lab/fleet/stand_ins.go
+++ b/internal/lab/fleet/stand_ins.go
@@ -79,7 +79,11 @@
 	}
 }
 
-// modelFlags are the flags of everything that keeps chunks.
+// eventFaultRatio is the fraction of cache events that are lost, that come twice, and
+// that come out of order.
+const eventFaultRatio = "0.01"
+
+// modelFlags are the flags of replicas and the store. The number tells their seeds apart.
 func modelFlags(options Options, number int) []string {
 	links := options.Topology.Links
 	latency := time.Duration(links.CrossZoneLatencyMicroseconds) * time.Microsecond
@@ -88,7 +92,7 @@
 		"--seed", strconv.FormatUint(options.Seed+uint64(number), 10),
 		"--cross-zone-latency", latency.String(),
 		"--cross-zone-bandwidth", strconv.FormatFloat(links.CrossZoneBytesPerSecond, 'g', -1, 64),
-		"--event-loss", "0.01", "--event-duplicates", "0.01", "--event-reorder", "0.01",
+		"--event-loss", eventFaultRatio, "--event-duplicates", eventFaultRatio, "--event-reorder", eventFaultRatio,
 	}
 }
 
@@ -118,6 +122,7 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(folder, servicesFile), data, 0o644), "write the platform's list")
 }
 
+// runningService lists all members of a service as running.
 func runningService(service string, members []Backend) platform.Service {
 	return platform.Service{Name: service, Replicas: lo.Map(members, func(member Backend, _ int) platform.Replica {
 		return platform.Replica{Address: member.Address, Zone: member.Zone, State: platform.StateRunning}
--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -16,10 +16,11 @@
 // raceOperators is how many operators change the configuration on one base.
 const raceOperators = 2
 
-// resends is to how many nodes a taken order is sent again.
+// resends is the number of nodes to which an acknowledged order is sent again.
 const resends = 3
 
-// ApplyOrder is the order to apply a whole configuration.
+// ApplyOrder is the order to apply a complete configuration on a base revision; 0 means
+// any.
 func ApplyOrder(orderID string, base uint64, configuration *ridgeswitchv1.Configuration) Order {
 	return Order{
 		Call: "ApplyConfiguration",
@@ -31,8 +32,8 @@
 	}
 }
 
-// edited returns an order to apply the present configuration with an edit.
-func (scenario *Scenario) edited(ctx context.Context, name string, edit func(*ridgeswitchv1.Configuration)) (Order, error) {
+// editOrder returns the order to apply the present configuration with an edit.
+func (scenario *Scenario) editOrder(ctx context.Context, name string, edit func(*ridgeswitchv1.Configuration)) (Order, error) {
 	present, err := scenario.Present(ctx)
 	if err != nil {
 		return Order{}, err
@@ -57,7 +58,7 @@
 
 // changeLimits applies a configuration in which every tenant has another burst.
 func (scenario *Scenario) changeLimits(ctx context.Context) error {
-	order, err := scenario.edited(ctx, "limits", func(configuration *ridgeswitchv1.Configuration) {
+	order, err := scenario.editOrder(ctx, "limits", func(configuration *ridgeswitchv1.Configuration) {
 		for _, tenant := range configuration.GetTenants() {
 			tenant.Limits.Burst++
 		}
@@ -72,7 +73,7 @@
 // different nodes at the same time. One must win; its order is then sent again
 // to other nodes, as if the answer had been lost.
 func (scenario *Scenario) Race(ctx context.Context) error {
-	orders, err := scenario.rivals(ctx)
+	orders, err := scenario.rivalOrders(ctx)
 	if err != nil {
 		return err
 	}
@@ -92,8 +93,8 @@
 	return scenario.Resend(ctx, orders[winner])
 }
 
-// rivals returns orders on one base that differ in content.
-func (scenario *Scenario) rivals(ctx context.Context) ([]Order, error) {
+// rivalOrders returns orders on one base that differ in content.
+func (scenario *Scenario) rivalOrders(ctx context.Context) ([]Order, error) {
 	present, err := scenario.Present(ctx)
 	if err != nil {
 		return nil, err
@@ -121,7 +122,7 @@
 // SendInvalid sends configurations that break a rule each. All must be refused.
 func (scenario *Scenario) SendInvalid(ctx context.Context) error {
 	for _, fault := range invalidEdits {
-		order, err := scenario.edited(ctx, "invalid-"+fault.name, fault.edit)
+		order, err := scenario.editOrder(ctx, "invalid-"+fault.name, fault.edit)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/operator/client.go
+++ b/internal/lab/operator/client.go
@@ -23,7 +23,7 @@
 // maxReplyBytes bounds what is read of one reply.
 const maxReplyBytes = 32 << 20
 
-// Client makes the remote calls of the schema.
+// Client makes the remote calls of the schema. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
--- a/internal/lab/operator/doc.go
+++ b/internal/lab/operator/doc.go
@@ -4,4 +4,7 @@
 //
 // Paths and bodies follow from the schema, so that a call is described only
 // there.
+//
+// A Recorder is shared by all operators of a run and guards its records by a lock; a
+// Scenario belongs to the goroutine that runs it, but for Targets.
 package operator
--- a/internal/lab/operator/orders.go
+++ b/internal/lab/operator/orders.go
@@ -16,7 +16,7 @@
 )
 
 // resendPause is the wait before an order without a final outcome is sent again,
-// where the node names no other time.
+// whatever time the node named.
 const resendPause = 100 * time.Millisecond
 
 // statusTimeout bounds the wait for a node's status, so that a frozen node
@@ -45,7 +45,7 @@
 	GetOrder() *ridgeswitchv1.OrderHeader
 }
 
-// Recorder submits orders and records every submission.
+// Recorder submits orders and records every submission. It is safe for concurrent use.
 type Recorder struct {
 	// AttemptTimeout is how long an operator waits for one node before the order
 	// goes to another; zero stands for the client's own bound. It is set before
@@ -55,6 +55,7 @@
 	client *Client
 	now    func() time.Duration
 
+	// lock guards records.
 	lock    sync.Mutex
 	records []checker.Order
 }
@@ -91,6 +92,8 @@
 	return record
 }
 
+// outcomeOf returns the outcome of a submission by the reply, its result, or the error
+// that came in place of both.
 func outcomeOf(reply Reply, result *ridgeswitchv1.OrderResult, err error) checker.Outcome {
 	switch {
 	case err != nil:
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -32,7 +32,7 @@
 type Plan struct {
 	// Run names the run in the identities of its orders.
 	Run string
-	// Duration is the length of the load; every step has its share of it.
+	// Duration is the length of the load, over which the steps are distributed.
 	Duration time.Duration
 	Pool     string
 	// FirstWeights is named first, and LastWeights before it has rolled out.
@@ -54,7 +54,8 @@
 	WalledTenant  string
 }
 
-// Scenario drives a plan.
+// Scenario drives a plan: Run does the steps one after the other, and is the only one to
+// change the scenario, but for Targets, which any goroutine may call.
 type Scenario struct {
 	Plan     Plan
 	Recorder *Recorder
@@ -62,12 +63,13 @@
 	Log      *logrus.Entry
 
 	failures []error
-	next     atomic.Int64
+	// next counts the calls of Targets.
+	next atomic.Int64
 	// disturbed is when the last fault or change ended.
 	disturbed time.Duration
 }
 
-// step is one happening, at a share of the plan's duration.
+// step is one action of the scenario, at a fraction of the plan's duration.
 type step struct {
 	at   float64
 	name string
@@ -123,6 +125,7 @@
 	return step.do(ctx)
 }
 
+// fail records a step that could not be done.
 func (scenario *Scenario) fail(name string, err error) {
 	scenario.Log.WithError(err).Warn(name + " failed")
 	scenario.failures = append(scenario.failures, errors.Wrap(err, name))
