--- a/cmd/ridgeswitch-lab/bench_engine.go
+++ b/cmd/ridgeswitch-lab/bench_engine.go
@@ -39,8 +39,8 @@
 	}
 	seeds := lo.RangeFrom(command.Uint64("seed"), command.Int("seeds"))
 	profiles := enginebench.Profiles()
-	if wanted := command.StringSlice("fleet"); len(wanted) > 0 {
-		profiles = lo.Filter(profiles, func(profile enginebench.Profile, _ int) bool { return slices.Contains(wanted, profile.Name) })
+	if names := command.StringSlice("fleet"); len(names) > 0 {
+		profiles = lo.Filter(profiles, func(profile enginebench.Profile, _ int) bool { return slices.Contains(names, profile.Name) })
 	}
 	if count := command.Int("drawn"); count > 0 {
 		profiles = enginebench.DrawnProfiles(command.Uint64("drawn-seed"), count)
@@ -50,7 +50,7 @@
 	return err
 }
 
-// variantsOf returns the variants of a name.
+// variantsOf returns the variants that a value of --variants names.
 func variantsOf(name string) ([]enginebench.Variant, error) {
 	switch name {
 	case "policies":
--- a/cmd/ridgeswitch-lab/demo.go
+++ b/cmd/ridgeswitch-lab/demo.go
@@ -11,7 +11,7 @@
 
 // Bounds of a demonstration.
 const (
-	// runMargin is how long the start, the settling and the checks may take
+	// runMargin is how long the start, the convergence and the checks may take
 	// beside the load. What is left of a minute is for the collection and the end.
 	runMargin = 44 * time.Second
 	// demoModelRate is the requests to the model per second.
--- a/cmd/ridgeswitch-lab/flags.go
+++ b/cmd/ridgeswitch-lab/flags.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"slices"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -8,6 +9,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/emulator"
 )
 
+// standInFlags returns the flags of a stand-in with cached chunks: its own, and those
+// of the clock, of its events and of its links.
+func standInFlags(own ...cli.Flag) []cli.Flag {
+	return slices.Concat(own, timeFlags(), feedFlags(), linkFlags())
+}
+
 // timeFlags are the flags of every stand-in that runs on a scaled clock.
 func timeFlags() []cli.Flag {
 	return []cli.Flag{
@@ -28,6 +35,7 @@
 	}
 }
 
+// feedPlan returns the plan that the flags describe.
 func feedPlan(command *cli.Command) emulator.FeedPlan {
 	return emulator.FeedPlan{
 		Delay:          command.Duration("event-delay"),
@@ -49,7 +57,8 @@
 	}
 }
 
-func links(command *cli.Command) emulator.LinkModel {
+// linkModel returns the links that the flags describe.
+func linkModel(command *cli.Command) emulator.LinkModel {
 	model := emulator.DefaultLinks(command.Duration("cross-zone-latency"))
 	model.SameZone.BytesPerSecond = command.Float64("same-zone-bandwidth")
 	model.CrossZone.BytesPerSecond = command.Float64("cross-zone-bandwidth")
--- a/cmd/ridgeswitch-lab/fleet_run.go
+++ b/cmd/ridgeswitch-lab/fleet_run.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// summary is what a run of a fleet came to.
+// summary is the result of a run of a fleet, printed as JSON.
 type summary interface {
 	// Err is the failure of the run, or nil.
 	Err() error
@@ -53,9 +53,9 @@
 	log        *logrus.Entry
 }
 
-// runFleet has a whole fleet run as the flags say, and prints the summary as the
-// last line. The time bounds the run, and not the build of the binary before it.
-func runFleet(ctx context.Context, command *cli.Command, longest time.Duration, run func(context.Context, fleetRun) (summary, error)) error {
+// runFleet runs a fleet by the flags, and prints the summary as the last line. The
+// timeout bounds the run, and not the build of the binary before it.
+func runFleet(ctx context.Context, command *cli.Command, timeout time.Duration, run func(context.Context, fleetRun) (summary, error)) error {
 	folder, cleanUp, err := fleetFolder(command.String("folder"))
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, longest)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	prepared, err := prepareFleet(command, folder, binary)
 	if err != nil {
@@ -100,7 +100,8 @@
 	return fleetRun{deployment: deployment, options: options, log: logrus.NewEntry(fleetLog())}, nil
 }
 
-// fleetFolder returns the folder to use and what removes it in the end.
+// fleetFolder returns the folder to use, and a function that removes it if it is a
+// temporary one.
 func fleetFolder(flag string) (string, func(), error) {
 	if flag != "" {
 		return flag, func() {}, errors.Wrap(os.MkdirAll(flag, 0o755), "make the folder")
--- a/cmd/ridgeswitch-lab/replica.go
+++ b/cmd/ridgeswitch-lab/replica.go
@@ -18,7 +18,7 @@
 )
 
 func replicaCommand() *cli.Command {
-	flags := []cli.Flag{
+	flags := standInFlags(
 		&cli.StringFlag{Name: "address", Usage: "address to listen on", Required: true},
 		&cli.StringFlag{Name: "zone", Usage: "zone of the replica", Required: true},
 		&cli.StringFlag{Name: "class", Usage: "machine class: large or smaller", Value: classLargeMemory},
@@ -31,13 +31,11 @@
 		&cli.DurationFlag{Name: "warming", Usage: "real time of slow running after a start", Value: 5 * time.Second},
 		&cli.DurationFlag{Name: "report-delay", Usage: "real age of reports", Value: 200 * time.Millisecond},
 		&cli.DurationFlag{Name: "report-every", Usage: "real time between reports in the event stream", Value: 250 * time.Millisecond},
-	}
-	flags = append(flags, timeFlags()...)
-	flags = append(flags, feedFlags()...)
+	)
 	return &cli.Command{
 		Name:   "replica",
 		Usage:  "run a stand-in model replica",
-		Flags:  append(flags, linkFlags()...),
+		Flags:  flags,
 		Action: runReplica,
 	}
 }
@@ -59,7 +57,7 @@
 	settings.TimeScale = command.Float64("time-scale")
 	settings.Seed = command.Uint64("seed")
 	settings.Store = command.String("store")
-	settings.Links = links(command)
+	settings.Links = linkModel(command)
 	settings.Feed = feedPlan(command)
 	settings.WeightLoad = command.Duration("weight-load")
 	settings.Restart = command.Duration("restart")
--- a/cmd/ridgeswitch-lab/sim.go
+++ b/cmd/ridgeswitch-lab/sim.go
@@ -16,10 +16,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/sim"
 )
 
-// simGCPercent trades memory for speed.
+// simGCPercent is the percentage by which the heap grows before a garbage collection:
+// more than the default of 100, for speed.
 const simGCPercent = 400
 
-// showBreaks is the value of --break that lists the values that there are.
+// showBreaks is the value of --break by which all other values are listed.
 const showBreaks = "list"
 
 func simCommand() *cli.Command {
@@ -69,6 +70,7 @@
 	return nil
 }
 
+// campaignOf returns the campaign that the flags describe.
 func campaignOf(command *cli.Command) (sim.Campaign, error) {
 	first, last, err := sim.ParseSeeds(command.String("seeds"))
 	if err != nil {
--- a/cmd/ridgeswitch-lab/store.go
+++ b/cmd/ridgeswitch-lab/store.go
@@ -13,18 +13,16 @@
 const storeCapacityTokens = 6_400_000
 
 func storeCommand() *cli.Command {
-	flags := []cli.Flag{
+	flags := standInFlags(
 		&cli.StringFlag{Name: "address", Usage: "address to listen on", Required: true},
 		&cli.StringFlag{Name: "zone", Usage: "zone of the store", Required: true},
 		&cli.Uint64Flag{Name: "capacity-tokens", Usage: "size of the store, in tokens", Value: storeCapacityTokens},
 		&cli.DurationFlag{Name: "report-every", Usage: "real time between reports in the event stream", Value: 250 * time.Millisecond},
-	}
-	flags = append(flags, timeFlags()...)
-	flags = append(flags, feedFlags()...)
+	)
 	return &cli.Command{
 		Name:   "store",
 		Usage:  "run a stand-in store of kept parts",
-		Flags:  append(flags, linkFlags()...),
+		Flags:  flags,
 		Action: runStore,
 	}
 }
@@ -37,7 +35,7 @@
 		CapacityTokens: command.Uint64("capacity-tokens"),
 		TimeScale:      command.Float64("time-scale"),
 		Seed:           command.Uint64("seed"),
-		Links:          links(command),
+		Links:          linkModel(command),
 		Feed:           feedPlan(command),
 		ReportEvery:    command.Duration("report-every"),
 	})
--- a/cmd/ridgeswitch-replay/run.go
+++ b/cmd/ridgeswitch-replay/run.go
@@ -91,10 +91,12 @@
 	return nil
 }
 
+// selectionOf returns the part of the day that the flags choose, at a speed.
 func selectionOf(command *cli.Command, speed float64) player.Selection {
 	return player.Selection{Speed: speed, From: command.Duration("from"), Until: command.Duration("until")}
 }
 
+// describeRun returns the description of a report, without target and skipped records.
 func describeRun(command *cli.Command, source report.Source, day *recording.Day, selection player.Selection) report.Run {
 	return report.Run{
 		Source:         source,
--- a/internal/replay/exampleday/curve.go
+++ b/internal/replay/exampleday/curve.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// hourlyWeights are the shares of a working day's requests by hour, with a peak
+// hourlyWeights are the relative numbers of requests of a working day by hour, with a peak
 // before noon and a lower one in the afternoon.
 var hourlyWeights = [...]float64{1, 1, 1, 1, 1, 2, 4, 9, 16, 20, 20, 17, 11, 14, 17, 16, 12, 8, 5, 4, 3, 2, 2, 1}
 
--- a/internal/replay/exampleday/generate.go
+++ b/internal/replay/exampleday/generate.go
@@ -145,15 +145,15 @@
 // requests.
 func fillOutcomes(records []recording.Record, options Options) error {
 	var positions []int
-	var asked []recording.Record
+	var modelRecords []recording.Record
 	for position, record := range records {
 		if record.Pool != "" {
 			positions = append(positions, position)
-			asked = append(asked, record)
+			modelRecords = append(modelRecords, record)
 		}
 	}
 	settings := bench.DefaultSettings(options.Mix, options.Seed)
-	played, err := player.Emulate(asked, player.Selection{Speed: options.Speed}, settings, bench.PolicyKV)
+	played, err := player.Emulate(modelRecords, player.Selection{Speed: options.Speed}, settings, bench.PolicyKV)
 	if err != nil {
 		return err
 	}
--- a/internal/replay/recording/check.go
+++ b/internal/replay/recording/check.go
@@ -8,7 +8,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// check tells why a record cannot be replayed.
+// check returns an error for a record that cannot be replayed.
 func (r Record) check() error {
 	switch {
 	case r.AtUS < 0 || r.FirstUS < 0 || r.TotalUS < 0 || r.DeadlineMS < 0:
@@ -43,7 +43,8 @@
 	return errors.Errorf("outcome %q is unknown", r.Outcome)
 }
 
-// checkChunks keeps to what a caller may send, since the chunks become a header.
+// checkChunks applies the bounds on what a caller may send, since the chunks become a
+// header.
 func (r Record) checkChunks() error {
 	if len(r.Chunks) > caller.MaxChunks {
 		return errors.Errorf("there are more than %d parts", caller.MaxChunks)
--- a/internal/replay/recording/reader.go
+++ b/internal/replay/recording/reader.go
@@ -69,16 +69,19 @@
 // reader reads lines one after the other.
 type reader struct {
 	source *bufio.Reader
-	line   int
+	// line is the number of the last line that was read, from 1.
+	line int
 	// header is the one that the records belong to; nil before the first and
 	// after one of an unknown version.
 	header *Header
 	// skipping is set below a header of an unknown version.
 	skipping bool
+	// started is the earliest time of a header.
 	started  time.Time
 	arrivals []arrival
-	dropped  int64
-	faults   Faults
+	// dropped sums the requests that nodes could not record.
+	dropped int64
+	faults  Faults
 }
 
 func (r *reader) readAll() error {
@@ -134,7 +137,7 @@
 	Dropped *int64  `json:"dropped"`
 }
 
-// parseLine uses one line.
+// parseLine reads one line by its kind. What can't be used is counted among the faults.
 func (r *reader) parseLine(text []byte) {
 	var kind recordKind
 	if err := json.Unmarshal(text, &kind); err != nil {
@@ -155,8 +158,8 @@
 	}
 }
 
-// syntaxFault tells a line that ends before its JSON does from one that was
-// never JSON.
+// syntaxFault returns FaultTorn for a line that ends before its JSON does, and
+// FaultInvalid for any other.
 func syntaxFault(text []byte) FaultKind {
 	var value json.RawMessage
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&value); errors.Is(err, io.ErrUnexpectedEOF) {
@@ -165,6 +168,7 @@
 	return FaultInvalid
 }
 
+// fault counts the present line among the faults.
 func (r *reader) fault(kind FaultKind, err error) {
 	r.faults.add(r.line, kind, err.Error())
 }
@@ -243,9 +247,9 @@
 	}
 	slices.SortStableFunc(r.arrivals, func(a, b arrival) int { return cmp.Compare(a.at.UnixMicro(), b.at.UnixMicro()) })
 	day := &Day{Started: r.started, Dropped: r.dropped, Faults: r.faults}
-	for _, each := range r.arrivals {
-		each.record.AtUS = each.at.Sub(r.started).Microseconds()
-		day.Records = append(day.Records, each.record)
+	for _, arrived := range r.arrivals {
+		arrived.record.AtUS = arrived.at.Sub(r.started).Microseconds()
+		day.Records = append(day.Records, arrived.record)
 	}
 	return day, nil
 }
--- a/internal/replay/recording/record.go
+++ b/internal/replay/recording/record.go
@@ -96,7 +96,7 @@
 	Dropped int64 `json:"dropped"`
 }
 
-// chunkIDBytes is how much of a digest names a chunk. Among a million chunks the
+// chunkIDBytes is the number of bytes of a digest that name a chunk. Among a million chunks the
 // chance that any two have one name is below one in ten million.
 const chunkIDBytes = 8
 
@@ -119,7 +119,7 @@
 	return recorded
 }
 
-// PromptTokens returns the length of the prompt.
+// PromptTokens returns the length of the prompt, in tokens.
 func (r Record) PromptTokens() uint64 {
 	var tokens uint64
 	for _, chunk := range r.Chunks {
--- a/internal/replay/recording/writer.go
+++ b/internal/replay/recording/writer.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Writer writes a recording line by line.
+// Writer writes a recording line by line. It isn't safe for concurrent use.
 type Writer struct {
 	encoder *json.Encoder
 }
