--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -22,7 +22,7 @@
 	// convergenceTimeout is how long the deployment gets after the last change. It
 	// exceeds the bound on a roll-out, so that a late one is seen as such.
 	convergenceTimeout = checker.WeightsBound + time.Second
-	// convergencePollEvery is how often the settling is looked at.
+	// convergencePollEvery is the time between two checks whether the replicas converged.
 	convergencePollEvery = 100 * time.Millisecond
 	// samplingAfterConvergence is how long the samples go on once all replicas have converged, so that
 	// the newest configuration is due everywhere before they end.
@@ -139,7 +139,7 @@
 	return errors.Wrap(experiment.Fleet.AwaitReady(ctx), "wait for the nodes to serve the first configuration")
 }
 
-// watch samples while act runs.
+// watch has the sampler and the balancer run while act does.
 func (experiment *Experiment) watch(ctx context.Context, sampler *Sampler, balancer *caller.Balancer, act func()) {
 	balancer.Poll(ctx)
 	ctx, stop := context.WithCancel(ctx)
@@ -166,6 +166,7 @@
 	}
 }
 
+// records returns what was recorded of the run, but for the ground truth.
 func (experiment *Experiment) records(recorder *operator.Recorder, runner *caller.Runner, sampler *Sampler, script Script) *checker.Records {
 	end := experiment.Clock.Now()
 	records := &checker.Records{
