--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -88,12 +88,12 @@
 // how certain and how near it is.
 func (m *blockModel) credit(settings *Settings, scored *scoredCandidate) float64 {
 	certain := m.options.tokensToBlocks(scored.overlap.Reported.Tokens)
-	guessed := m.options.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
+	uncertain := m.options.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
 	if scored.view.Uncertain {
-		guessed += certain
+		uncertain += certain
 		certain = 0
 	}
-	credit := settings.LocalCredit * (certain + m.options.GuessCredit*guessed)
+	credit := settings.LocalCredit * (certain + m.options.GuessCredit*uncertain)
 	if scored.pulls {
 		credit += scored.pull.credit(settings) * m.options.tokensToBlocks(scored.pull.tokens)
 	}
--- a/pkg/kvrouter/chunk_reports_test.go
+++ b/pkg/kvrouter/chunk_reports_test.go
@@ -13,16 +13,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-const epoch = 77
+const chunkIncarnation = 77
 
 // engineFleet is a router of a pool with an engine profile, whose replicas report
 // chunks by ID.
 type engineFleet struct {
-	router     *kvrouter.Router
-	candidates []kvrouter.Candidate
-	engine     kvrouter.EngineProfile
-	settings   kvrouter.Settings
-	change     func(*kvrouter.Request)
+	router        *kvrouter.Router
+	candidates    []kvrouter.Candidate
+	engine        kvrouter.EngineProfile
+	settings      kvrouter.Settings
+	modifyRequest func(*kvrouter.Request)
 }
 
 func newEngineFleet(addresses ...string) *engineFleet {
@@ -55,8 +55,8 @@
 		Now: now, Model: model, Chunks: chunks, Naming: kvrouter.ByID, OutputTokens: 10,
 		SaltFor: salt, Settings: f.settings, Engine: &f.engine, Priority: 5,
 	}
-	if f.change != nil {
-		f.change(&request)
+	if f.modifyRequest != nil {
+		f.modifyRequest(&request)
 	}
 	return f.router.Select(request, f.candidates)
 }
@@ -85,7 +85,7 @@
 }
 
 func feedPosition(from, next uint64) cachefeed.Position {
-	return cachefeed.Position{Incarnation: epoch, From: from, Next: next}
+	return cachefeed.Position{Incarnation: chunkIncarnation, From: from, Next: next}
 }
 
 var _ = Describe("Reports of chunks by ID", func() {
@@ -94,91 +94,91 @@
 	BeforeEach(func() {
 		f = newEngineFleet("a", "b")
 		first := []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000), cachedChange(3, 2, 1000)}
-		Expect(f.router.ChunksReported(late, "a", feedPosition(0, 3), first)).To(Equal(cachefeed.Accepted))
+		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(0, 3), first)).To(Equal(cachefeed.Accepted))
 	})
 
 	overlap := func(now time.Duration) int { return int(f.overlap(now, "a", longPrompt(4))) }
 
 	It("make the overlap of a prompt, up to what is evicted", func() {
-		Expect(overlap(late)).To(Equal(3000))
-		f.router.ChunksReported(late, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 480)})
-		Expect(overlap(late)).To(Equal(1480))
+		Expect(overlap(baseTime)).To(Equal(3000))
+		f.router.ChunksReported(baseTime, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 480)})
+		Expect(overlap(baseTime)).To(Equal(1480))
 	})
 
 	It("count once, in whatever order and how often they come", func() {
 		removal := []cachefeed.ChunkChange{cachedChange(4, 2, 0)}
 		again := []cachefeed.ChunkChange{cachedChange(5, 2, 1000), cachedChange(6, 3, 1000)}
-		Expect(f.router.ChunksReported(late, "a", feedPosition(4, 6), again)).To(Equal(cachefeed.Accepted))
-		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(cachefeed.Accepted))
-		Expect(overlap(late)).To(Equal(4000))
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), removal)).To(Equal(cachefeed.Duplicate))
-		Expect(overlap(late)).To(Equal(4000))
+		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(4, 6), again)).To(Equal(cachefeed.Accepted))
+		Expect(overlap(baseTime)).To(Equal(3000))
+		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(3, 4), removal)).To(Equal(cachefeed.Accepted))
+		Expect(overlap(baseTime)).To(Equal(4000))
+		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(3, 4), removal)).To(Equal(cachefeed.Duplicate))
+		Expect(overlap(baseTime)).To(Equal(4000))
 		both := append(removal, again...)
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 6), both)).To(Equal(cachefeed.Duplicate))
-		Expect(overlap(late)).To(Equal(4000))
+		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(3, 6), both)).To(Equal(cachefeed.Duplicate))
+		Expect(overlap(baseTime)).To(Equal(4000))
 	})
 
 	It("become predictions when some are lost, and a resync is needed", func() {
-		lost := cachefeed.Position{Incarnation: epoch, From: 9, Next: 10, Lost: true}
-		Expect(f.router.ChunksReported(late, "a", lost, []cachefeed.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(cachefeed.Gap))
-		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.ResyncNeeded(late)).To(Equal([]string{"a"}))
-		Expect(overlap(late + kvrouter.DefaultUncertainTTL)).To(Equal(1000))
-		f.router.ChunksReplaced(late, "a", epoch, 12, []cachefeed.ChunkChange{cachedChange(0, 0, 1000), cachedChange(0, 1, 1000)})
-		Expect(f.router.ResyncNeeded(late)).To(BeEmpty())
-		Expect(overlap(2 * late)).To(Equal(2000))
+		lost := cachefeed.Position{Incarnation: chunkIncarnation, From: 9, Next: 10, Lost: true}
+		Expect(f.router.ChunksReported(baseTime, "a", lost, []cachefeed.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(cachefeed.Gap))
+		Expect(overlap(baseTime)).To(Equal(3000))
+		Expect(f.router.ResyncNeeded(baseTime)).To(Equal([]string{"a"}))
+		Expect(overlap(baseTime + kvrouter.DefaultUncertainTTL)).To(Equal(1000))
+		f.router.ChunksReplaced(baseTime, "a", chunkIncarnation, 12, []cachefeed.ChunkChange{cachedChange(0, 0, 1000), cachedChange(0, 1, 1000)})
+		Expect(f.router.ResyncNeeded(baseTime)).To(BeEmpty())
+		Expect(overlap(2 * baseTime)).To(Equal(2000))
 	})
 
 	It("are applied without the missing ones after a while", func() {
-		f.router.ChunksReported(late, "a", feedPosition(4, 5), []cachefeed.ChunkChange{cachedChange(5, 3, 1000)})
-		Expect(overlap(late)).To(Equal(3000))
-		Expect(f.router.ResyncNeeded(late + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
-		Expect(overlap(late + kvrouter.DefaultReorderWait)).To(Equal(4000))
+		f.router.ChunksReported(baseTime, "a", feedPosition(4, 5), []cachefeed.ChunkChange{cachedChange(5, 3, 1000)})
+		Expect(overlap(baseTime)).To(Equal(3000))
+		Expect(f.router.ResyncNeeded(baseTime + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
+		Expect(overlap(baseTime + kvrouter.DefaultReorderWait)).To(Equal(4000))
 	})
 
 	It("end with the incarnation of the replica, and those of an earlier incarnation are ignored", func() {
-		restarted := cachefeed.Position{Incarnation: epoch + 1, Next: 1}
-		Expect(f.router.ChunksReported(late, "a", restarted, []cachefeed.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(cachefeed.Accepted))
-		Expect(overlap(late)).To(Equal(1000))
-		Expect(f.router.ChunksReported(late, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 1000)})).To(Equal(cachefeed.Stale))
-		Expect(overlap(late)).To(Equal(1000))
+		restarted := cachefeed.Position{Incarnation: chunkIncarnation + 1, Next: 1}
+		Expect(f.router.ChunksReported(baseTime, "a", restarted, []cachefeed.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(cachefeed.Accepted))
+		Expect(overlap(baseTime)).To(Equal(1000))
+		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 1000)})).To(Equal(cachefeed.Stale))
+		Expect(overlap(baseTime)).To(Equal(1000))
 	})
 
 	It("are ignored when a snapshot is older than the recorded state", func() {
-		Expect(f.router.ChunksReplaced(late, "a", epoch, 2, nil)).To(Equal(cachefeed.Stale))
-		Expect(overlap(late)).To(Equal(3000))
-		incarnation, sequence, snapshotOf := f.router.ChunksPosition("a")
-		Expect([]any{incarnation, sequence, snapshotOf}).To(Equal([]any{uint64(epoch), uint64(3), true}))
+		Expect(f.router.ChunksReplaced(baseTime, "a", chunkIncarnation, 2, nil)).To(Equal(cachefeed.Stale))
+		Expect(overlap(baseTime)).To(Equal(3000))
+		incarnation, sequence, found := f.router.ChunksPosition("a")
+		Expect([]any{incarnation, sequence, found}).To(Equal([]any{uint64(chunkIncarnation), uint64(3), true}))
 	})
 
 	It("end when another replica takes over the address", func() {
-		f.choose(late, longPrompt(1)).Reservation.Finish(late, false)
+		f.choose(baseTime, longPrompt(1)).Reservation.Finish(baseTime, false)
 		f.candidates[0].Instance = "second"
-		f.choose(late, longPrompt(1)).Reservation.Finish(late, false)
-		Expect(overlap(late)).To(BeZero())
+		f.choose(baseTime, longPrompt(1)).Reservation.Finish(baseTime, false)
+		Expect(overlap(baseTime)).To(BeZero())
 	})
 
 	It("are bridged by predictions, of other routers too", func() {
 		f.candidates = f.candidates[:1]
-		decision := f.choose(late, longPrompt(4))
-		Expect(overlap(late)).To(Equal(4000))
-		decision.Reservation.FirstToken(late + time.Second)
-		decision.Reservation.Finish(late+time.Second, true)
-		Expect(overlap(late + 15*time.Second)).To(Equal(4000))
-		Expect(overlap(late + time.Second + kvrouter.DefaultByIDPredictionLag)).To(Equal(3000))
-		f.router.ObserveDispatch(2*late, "a", model, salt(version), kvrouter.ByID, longPrompt(4))
-		Expect(overlap(2 * late)).To(Equal(4000))
+		decision := f.choose(baseTime, longPrompt(4))
+		Expect(overlap(baseTime)).To(Equal(4000))
+		decision.Reservation.FirstToken(baseTime + time.Second)
+		decision.Reservation.Finish(baseTime+time.Second, true)
+		Expect(overlap(baseTime + 15*time.Second)).To(Equal(4000))
+		Expect(overlap(baseTime + time.Second + kvrouter.DefaultByIDPredictionLag)).To(Equal(3000))
+		f.router.ObserveDispatch(2*baseTime, "a", model, salt(version), kvrouter.ByID, longPrompt(4))
+		Expect(overlap(2 * baseTime)).To(Equal(4000))
 	})
 
 	It("withdraw a prediction when the chunk is evicted or the attempt was cancelled", func() {
 		f.candidates = f.candidates[:1]
-		f.choose(late, longPrompt(4)).Reservation.Cancelled(late)
-		Expect(overlap(late)).To(Equal(3000))
-		decision := f.choose(late, longPrompt(4))
-		decision.Reservation.FirstToken(late)
-		f.router.ChunksReported(late, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 3, 0)})
-		Expect(overlap(late)).To(Equal(3000))
+		f.choose(baseTime, longPrompt(4)).Reservation.Cancelled(baseTime)
+		Expect(overlap(baseTime)).To(Equal(3000))
+		decision := f.choose(baseTime, longPrompt(4))
+		decision.Reservation.FirstToken(baseTime)
+		f.router.ChunksReported(baseTime, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 3, 0)})
+		Expect(overlap(baseTime)).To(Equal(3000))
 	})
 
 	It("follow the replica under loss, doubling and reordering", func() {
@@ -190,9 +190,9 @@
 			position cachefeed.Position
 			changes  []cachefeed.ChunkChange
 		}
-		var underway []message
+		var inFlight []message
 		sequence := uint64(3)
-		now := late
+		now := baseTime
 		for range 3000 {
 			now += 10 * time.Millisecond
 			from := sequence
@@ -204,18 +204,18 @@
 				changes = append(changes, cachedChange(sequence, chunk, cached[chunk]))
 			}
 			if random.IntN(200) > 0 {
-				underway = append(underway, message{feedPosition(from, sequence), changes})
+				inFlight = append(inFlight, message{feedPosition(from, sequence), changes})
 			}
-			for len(underway) > random.IntN(5) {
-				at := random.IntN(len(underway))
-				f.router.ChunksReported(now, "a", underway[at].position, underway[at].changes)
+			for len(inFlight) > random.IntN(5) {
+				at := random.IntN(len(inFlight))
+				f.router.ChunksReported(now, "a", inFlight[at].position, inFlight[at].changes)
 				if random.IntN(5) > 0 {
-					underway = append(underway[:at], underway[at+1:]...)
+					inFlight = append(inFlight[:at], inFlight[at+1:]...)
 				}
 			}
 		}
-		for _, late := range underway {
-			f.router.ChunksReported(now, "a", late.position, late.changes)
+		for _, remaining := range inFlight {
+			f.router.ChunksReported(now, "a", remaining.position, remaining.changes)
 		}
 		now += time.Second
 		if len(f.router.ResyncNeeded(now)) > 0 {
@@ -223,7 +223,7 @@
 			for chunk, tokens := range cached {
 				all = append(all, cachedChange(0, chunk, tokens))
 			}
-			Expect(f.router.ChunksReplaced(now, "a", epoch, sequence, all)).To(Equal(cachefeed.Accepted))
+			Expect(f.router.ChunksReplaced(now, "a", chunkIncarnation, sequence, all)).To(Equal(cachefeed.Accepted))
 		}
 		want := 0
 		for _, tokens := range cached {
--- a/pkg/kvrouter/chunk_snapshot_test.go
+++ b/pkg/kvrouter/chunk_snapshot_test.go
@@ -15,10 +15,10 @@
 var _ = Describe("A snapshot of what a replica caches", func() {
 	const address = "replica"
 	const incarnation = 77
-	var full, started *kvrouter.Router
+	var followingRouter, newRouter *kvrouter.Router
 	BeforeEach(func() {
-		full = kvrouter.New(kvrouter.Options{})
-		started = kvrouter.New(kvrouter.Options{})
+		followingRouter = kvrouter.New(kvrouter.Options{})
+		newRouter = kvrouter.New(kvrouter.Options{})
 	})
 
 	// report reports the change with a number to a router.
@@ -36,10 +36,10 @@
 		}
 		return cached, !at.Lost
 	}
-	// same expects that the started router has recorded the same as the other one.
-	same := func() {
-		wanted, _ := snapshotOf(full)
-		got, complete := snapshotOf(started)
+	// expectSameChunks expects that the started router has recorded the same chunks as the other one.
+	expectSameChunks := func() {
+		wanted, _ := snapshotOf(followingRouter)
+		got, complete := snapshotOf(newRouter)
 		ExpectWithOffset(1, got).To(Equal(wanted))
 		ExpectWithOffset(1, complete).To(BeTrue())
 	}
@@ -48,95 +48,95 @@
 	}
 
 	It("is unknown for a replica that has reported nothing", func() {
-		_, _, present := full.ChunksSnapshot(address)
+		_, _, present := followingRouter.ChunksSnapshot(address)
 		Expect(present).To(BeFalse())
 	})
 
 	It("is all that a router without reports has, and later changes follow it", func() {
-		report(full, 1, 1, 10)
-		report(full, 2, 2, 20)
-		at, chunks, _ := full.ChunksSnapshot(address)
-		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Accepted))
-		same()
-		for _, router := range []*kvrouter.Router{full, started} {
+		report(followingRouter, 1, 1, 10)
+		report(followingRouter, 2, 2, 20)
+		at, chunks, _ := followingRouter.ChunksSnapshot(address)
+		Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Accepted))
+		expectSameChunks()
+		for _, router := range []*kvrouter.Router{followingRouter, newRouter} {
 			report(router, 3, 1, 0)
 			report(router, 4, 3, 30)
 		}
-		same()
+		expectSameChunks()
 	})
 
 	It("fits before the changes that a started router has followed, at whatever time it is made", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 300 {
-			full, started = kvrouter.New(kvrouter.Options{}), kvrouter.New(kvrouter.Options{})
+			followingRouter, newRouter = kvrouter.New(kvrouter.Options{}), kvrouter.New(kvrouter.Options{})
 			const changes = 60
-			begins := 2 + random.IntN(changes-2)
-			made := begins - 1 + random.IntN(changes-begins+1)
-			adoptedAt := max(begins, made) + random.IntN(changes-max(begins, made)+1)
+			followedFrom := 2 + random.IntN(changes-2)
+			snapshotAt := followedFrom - 1 + random.IntN(changes-followedFrom+1)
+			adoptedAt := max(followedFrom, snapshotAt) + random.IntN(changes-max(followedFrom, snapshotAt)+1)
 			var at cachefeed.Position
 			var chunks []cachefeed.ChunkChange
 			for sequence := 1; sequence <= changes; sequence++ {
 				chunk, tokens := random.IntN(8), random.IntN(3)*50
-				report(full, uint64(sequence), chunk, tokens)
-				if sequence == made {
-					at, chunks, _ = full.ChunksSnapshot(address)
+				report(followingRouter, uint64(sequence), chunk, tokens)
+				if sequence == snapshotAt {
+					at, chunks, _ = followingRouter.ChunksSnapshot(address)
 				}
-				if sequence >= begins {
-					report(started, uint64(sequence), chunk, tokens)
+				if sequence >= followedFrom {
+					report(newRouter, uint64(sequence), chunk, tokens)
 				}
 				if sequence == adoptedAt {
-					Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Accepted), "begins %d, made %d, adopted at %d", begins, made, adoptedAt)
+					Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Accepted), "begins %d, made %d, adopted at %d", followedFrom, snapshotAt, adoptedAt)
 				}
 			}
-			same()
+			expectSameChunks()
 		}
 	})
 
 	It("is stale if changes between it and those that were followed are missing", func() {
-		report(full, 1, 1, 10)
-		at, chunks, _ := full.ChunksSnapshot(address)
-		report(started, 3, 2, 20)
-		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
-		cached, complete := snapshotOf(started)
+		report(followingRouter, 1, 1, 10)
+		at, chunks, _ := followingRouter.ChunksSnapshot(address)
+		report(newRouter, 3, 2, 20)
+		Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Stale))
+		cached, complete := snapshotOf(newRouter)
 		Expect(cached).To(HaveLen(1))
 		Expect(complete).To(BeFalse())
 	})
 
 	It("is stale for a router that has followed every change", func() {
-		report(full, 1, 1, 10)
-		at, chunks, _ := full.ChunksSnapshot(address)
-		report(started, 1, 1, 10)
-		report(started, 2, 1, 0)
-		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
-		cached, _ := snapshotOf(started)
+		report(followingRouter, 1, 1, 10)
+		at, chunks, _ := followingRouter.ChunksSnapshot(address)
+		report(newRouter, 1, 1, 10)
+		report(newRouter, 2, 1, 0)
+		Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Stale))
+		cached, _ := snapshotOf(newRouter)
 		Expect(cached).To(BeEmpty())
 	})
 
 	It("is stale if it is of another start of the replica", func() {
-		report(full, 1, 1, 10)
-		at, chunks, _ := full.ChunksSnapshot(address)
+		report(followingRouter, 1, 1, 10)
+		at, chunks, _ := followingRouter.ChunksSnapshot(address)
 		at.Incarnation++
-		report(started, 3, 2, 20)
-		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
-		Expect(adopt(started, cachefeed.Position{Incarnation: incarnation, Next: 3}, chunks)).To(Equal(cachefeed.Accepted))
+		report(newRouter, 3, 2, 20)
+		Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Stale))
+		Expect(adopt(newRouter, cachefeed.Position{Incarnation: incarnation, Next: 3}, chunks)).To(Equal(cachefeed.Accepted))
 	})
 
 	It("stays incomplete if the router that made it has missed something", func() {
-		report(full, 5, 1, 10)
-		at, chunks, _ := full.ChunksSnapshot(address)
+		report(followingRouter, 5, 1, 10)
+		at, chunks, _ := followingRouter.ChunksSnapshot(address)
 		Expect(at.Lost).To(BeTrue())
-		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Accepted))
-		cached, complete := snapshotOf(started)
+		Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Accepted))
+		cached, complete := snapshotOf(newRouter)
 		Expect(cached).To(HaveLen(1))
 		Expect(complete).To(BeFalse())
 	})
 
 	It("cannot be adopted before changes of which some were lost", func() {
-		report(full, 1, 1, 10)
-		report(full, 2, 2, 10)
-		at, chunks, _ := full.ChunksSnapshot(address)
-		report(started, 2, 2, 10)
-		started.ChunksReported(time.Second, address, cachefeed.Position{Incarnation: incarnation, From: 5, Next: 6, Lost: true}, nil)
-		Expect(adopt(started, at, chunks)).To(Equal(cachefeed.Stale))
+		report(followingRouter, 1, 1, 10)
+		report(followingRouter, 2, 2, 10)
+		at, chunks, _ := followingRouter.ChunksSnapshot(address)
+		report(newRouter, 2, 2, 10)
+		newRouter.ChunksReported(time.Second, address, cachefeed.Position{Incarnation: incarnation, From: 5, Next: 6, Lost: true}, nil)
+		Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Stale))
 	})
 })
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -22,7 +22,7 @@
 		for worker := range 4 {
 			workers.Go(func() {
 				for round := range 300 {
-					now := late + time.Duration(round)*time.Millisecond
+					now := baseTime + time.Duration(round)*time.Millisecond
 					decision, err := f.router.Select(f.request(now, prompt(round%20)), f.candidates)
 					if err != nil || len(decision.Address) != 1 {
 						failures.Store(fmt.Sprint(worker, " ", round), decision.Address)
@@ -35,7 +35,7 @@
 			})
 		}
 		for _, candidate := range f.candidates {
-			workers.Go(func() { f.disturb(candidate.Address) })
+			workers.Go(func() { f.reportAndForget(candidate.Address) })
 		}
 		workers.Wait()
 		failures.Range(func(key, value any) bool {
@@ -43,15 +43,15 @@
 			return false
 		})
 		for _, candidate := range f.candidates {
-			Expect(f.router.Load(late+time.Hour, candidate.Address)).To(BeZero())
+			Expect(f.router.Load(baseTime+time.Hour, candidate.Address)).To(BeZero())
 		}
 	})
 })
 
-// disturb feeds events and reports of a replica, and forgets it at times.
-func (f *fleet) disturb(address string) {
+// reportAndForget feeds events and reports of a replica, and forgets it at times.
+func (f *fleet) reportAndForget(address string) {
 	for round := range uint64(200) {
-		now := late + time.Duration(round)*time.Millisecond
+		now := baseTime + time.Duration(round)*time.Millisecond
 		f.router.Stored(now, address, firstIncarnation, 2*round+1, links(prompt(10)))
 		f.router.Removed(now, address, firstIncarnation, 2*round+2, hashes(links(prompt(10))[5:]))
 		f.isBusyWith(now, address, round, round, 1)
@@ -84,12 +84,12 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			decision, err := router.Select(kvrouter.Request{
-				Now: late, Model: model, Chunks: chunks, SaltFor: salt, Settings: settings,
+				Now: baseTime, Model: model, Chunks: chunks, SaltFor: salt, Settings: settings,
 			}, candidates)
 			if err != nil {
 				b.Fatal(err)
 			}
-			decision.Reservation.Finish(late, false)
+			decision.Reservation.Finish(baseTime, false)
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "selections/s")
@@ -114,12 +114,12 @@
 	b.ResetTimer()
 	for range b.N {
 		decision, err := router.Select(kvrouter.Request{
-			Now: late, Model: model, Chunks: chunks, Naming: kvrouter.ByID, SaltFor: salt, Settings: settings, Engine: &engine,
+			Now: baseTime, Model: model, Chunks: chunks, Naming: kvrouter.ByID, SaltFor: salt, Settings: settings, Engine: &engine,
 		}, candidates)
 		if err != nil {
 			b.Fatal(err)
 		}
-		decision.Reservation.Finish(late, false)
+		decision.Reservation.Finish(baseTime, false)
 	}
 }
 
@@ -130,7 +130,7 @@
 	load.PrefillTokens[1] = 4000
 	b.ReportAllocs()
 	for round := range b.N {
-		now := late + time.Duration(round)*20*time.Microsecond
+		now := baseTime + time.Duration(round)*20*time.Microsecond
 		router.SetRemoteLoad(now, fmt.Sprint(round%64), fmt.Sprint("replica-", round/64%140), load)
 	}
 }
--- a/pkg/kvrouter/feed_prediction_test.go
+++ b/pkg/kvrouter/feed_prediction_test.go
@@ -12,39 +12,39 @@
 var _ = Describe("Predictions", func() {
 	It("stand for 120 s in for a replica that never reports what it caches", func() {
 		f := newFleet(slowLinks, "a")
-		f.choose(late, prompt(10)).Reservation.Finish(late, true)
-		Expect(f.overlap(late+119*time.Second, "a", prompt(10))).To(BeEquivalentTo(10 * blockTokens))
-		Expect(f.overlap(late+120*time.Second, "a", prompt(10))).To(BeZero())
+		f.choose(baseTime, prompt(10)).Reservation.Finish(baseTime, true)
+		Expect(f.overlap(baseTime+119*time.Second, "a", prompt(10))).To(BeEquivalentTo(10 * blockTokens))
+		Expect(f.overlap(baseTime+120*time.Second, "a", prompt(10))).To(BeZero())
 	})
 
 	It("bridge the lag of a replica that does report", func() {
 		f := newFleet(slowLinks, "a")
 		f.caches("a", nil)
-		reservation := f.choose(late, prompt(10)).Reservation
-		Expect(f.overlap(late, "a", prompt(10))).To(BeZero())
-		reservation.FirstToken(late)
-		Expect(f.overlap(late+4*time.Second, "a", prompt(10))).To(BeEquivalentTo(10 * blockTokens))
-		reservation.Finish(late+4*time.Second, true)
-		Expect(f.overlap(late+5*time.Second, "a", prompt(10))).To(BeZero())
+		reservation := f.choose(baseTime, prompt(10)).Reservation
+		Expect(f.overlap(baseTime, "a", prompt(10))).To(BeZero())
+		reservation.FirstToken(baseTime)
+		Expect(f.overlap(baseTime+4*time.Second, "a", prompt(10))).To(BeEquivalentTo(10 * blockTokens))
+		reservation.Finish(baseTime+4*time.Second, true)
+		Expect(f.overlap(baseTime+5*time.Second, "a", prompt(10))).To(BeZero())
 	})
 
 	It("are not made for attempts that failed or that a restart has overtaken", func() {
 		f := newFleet(slowLinks, "a")
-		f.choose(late, prompt(10)).Reservation.Finish(late, false)
-		Expect(f.overlap(late, "a", prompt(10))).To(BeZero())
-		reservation := f.choose(late, prompt(10)).Reservation
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation + 1})
-		reservation.Finish(late, true)
-		Expect(f.overlap(2*late, "a", prompt(10))).To(BeZero())
+		f.choose(baseTime, prompt(10)).Reservation.Finish(baseTime, false)
+		Expect(f.overlap(baseTime, "a", prompt(10))).To(BeZero())
+		reservation := f.choose(baseTime, prompt(10)).Reservation
+		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation + 1})
+		reservation.Finish(baseTime, true)
+		Expect(f.overlap(2*baseTime, "a", prompt(10))).To(BeZero())
 	})
 
 	It("earn less credit than reports", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.candidates = f.candidates[:1]
-		f.choose(late, prompt(10)).Reservation.Finish(late, true)
+		f.choose(baseTime, prompt(10)).Reservation.Finish(baseTime, true)
 		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "b", Zone: "zone", WeightVersion: version})
 		f.caches("b", links(prompt(10))[:8])
-		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
+		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("b"))
 	})
 })
 
@@ -53,11 +53,11 @@
 		const blocks = 10
 		f := newFleet(kvrouter.Options{PredictionLag: lag}, "a")
 		f.caches("a", links(prompt(1)))
-		reservation := f.choose(late, prompt(blocks)).Reservation
-		reservation.FirstToken(late)
-		reservation.Finish(late, true)
-		Expect(f.overlap(late, "a", prompt(blocks))).To(Equal(atFirstToken * blockTokens))
-		Expect(f.overlap(late+kvrouter.DefaultReportLag, "a", prompt(blocks))).To(Equal(atLag * blockTokens))
+		reservation := f.choose(baseTime, prompt(blocks)).Reservation
+		reservation.FirstToken(baseTime)
+		reservation.Finish(baseTime, true)
+		Expect(f.overlap(baseTime, "a", prompt(blocks))).To(Equal(atFirstToken * blockTokens))
+		Expect(f.overlap(baseTime+kvrouter.DefaultReportLag, "a", prompt(blocks))).To(Equal(atLag * blockTokens))
 	},
 	Entry("lasts as long as reports may be late", time.Duration(0), uint32(10), uint32(1)),
 	Entry("lasts as long as configured", time.Minute, uint32(10), uint32(10)),
--- a/pkg/kvrouter/feed_test.go
+++ b/pkg/kvrouter/feed_test.go
@@ -15,115 +15,115 @@
 
 var _ = Describe("Feed", func() {
 	var f *fleet
-	whole := links(prompt(10))
+	allLinks := links(prompt(10))
 
 	BeforeEach(func() { f = newFleet(slowLinks, "a") })
 
-	keptBlocks := func(now time.Duration) int {
+	cachedBlocks := func(now time.Duration) int {
 		return int(f.overlap(now, "a", prompt(10)) / blockTokens)
 	}
 	stored := func(now time.Duration, sequence uint64, first, last int) cachefeed.Status {
-		return f.router.Stored(now, "a", firstIncarnation, sequence, whole[first:last+1])
+		return f.router.Stored(now, "a", firstIncarnation, sequence, allLinks[first:last+1])
 	}
 	removed := func(now time.Duration, sequence uint64, first, last int) cachefeed.Status {
-		return f.router.Removed(now, "a", firstIncarnation, sequence, hashes(whole[first:last+1]))
+		return f.router.Removed(now, "a", firstIncarnation, sequence, hashes(allLinks[first:last+1]))
 	}
 
 	It("takes events in once and in order, whatever order they come in", func() {
-		Expect(stored(late, 1, 0, 9)).To(Equal(cachefeed.Accepted))
-		Expect(stored(late, 3, 5, 5)).To(Equal(cachefeed.Accepted))
-		Expect(stored(late, 3, 5, 5)).To(Equal(cachefeed.Duplicate))
-		Expect(removed(late, 2, 5, 5)).To(Equal(cachefeed.Accepted))
-		Expect(keptBlocks(late)).To(Equal(10))
-		Expect(removed(late, 2, 5, 5)).To(Equal(cachefeed.Duplicate))
-		Expect(stored(late, 0, 0, 0)).To(Equal(cachefeed.Stale))
-		Expect(keptBlocks(late)).To(Equal(10))
-		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
+		Expect(stored(baseTime, 1, 0, 9)).To(Equal(cachefeed.Accepted))
+		Expect(stored(baseTime, 3, 5, 5)).To(Equal(cachefeed.Accepted))
+		Expect(stored(baseTime, 3, 5, 5)).To(Equal(cachefeed.Duplicate))
+		Expect(removed(baseTime, 2, 5, 5)).To(Equal(cachefeed.Accepted))
+		Expect(cachedBlocks(baseTime)).To(Equal(10))
+		Expect(removed(baseTime, 2, 5, 5)).To(Equal(cachefeed.Duplicate))
+		Expect(stored(baseTime, 0, 0, 0)).To(Equal(cachefeed.Stale))
+		Expect(cachedBlocks(baseTime)).To(Equal(10))
+		Expect(f.router.ResyncNeeded(baseTime + time.Minute)).To(BeEmpty())
 	})
 
 	It("asks for a reset when a missing event does not come in time", func() {
-		stored(late, 1, 0, 3)
-		Expect(stored(late, 3, 6, 9)).To(Equal(cachefeed.Accepted))
-		Expect(f.router.ResyncNeeded(late + 499*time.Millisecond)).To(BeEmpty())
-		Expect(f.router.ResyncNeeded(late + 500*time.Millisecond)).To(Equal([]string{"a"}))
-		Expect(stored(late+time.Second, 4, 4, 4)).To(Equal(cachefeed.Gap))
-		Expect(keptBlocks(late + time.Second)).To(Equal(5))
-		Expect(f.router.Reset(late+time.Second, "a", firstIncarnation, 4, whole)).To(Equal(cachefeed.Accepted))
-		Expect(f.router.ResyncNeeded(late + time.Minute)).To(BeEmpty())
-		Expect(keptBlocks(late + time.Second)).To(Equal(10))
+		stored(baseTime, 1, 0, 3)
+		Expect(stored(baseTime, 3, 6, 9)).To(Equal(cachefeed.Accepted))
+		Expect(f.router.ResyncNeeded(baseTime + 499*time.Millisecond)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(baseTime + 500*time.Millisecond)).To(Equal([]string{"a"}))
+		Expect(stored(baseTime+time.Second, 4, 4, 4)).To(Equal(cachefeed.Gap))
+		Expect(cachedBlocks(baseTime + time.Second)).To(Equal(5))
+		Expect(f.router.Reset(baseTime+time.Second, "a", firstIncarnation, 4, allLinks)).To(Equal(cachefeed.Accepted))
+		Expect(f.router.ResyncNeeded(baseTime + time.Minute)).To(BeEmpty())
+		Expect(cachedBlocks(baseTime + time.Second)).To(Equal(10))
 	})
 
 	It("asks for a reset when too many events wait for a missing one", func() {
 		for sequence := range uint64(kvrouter.DefaultReorderWindow) {
-			Expect(stored(late, sequence+2, 0, 0)).To(Equal(cachefeed.Accepted))
+			Expect(stored(baseTime, sequence+2, 0, 0)).To(Equal(cachefeed.Accepted))
 		}
-		Expect(stored(late, kvrouter.DefaultReorderWindow+2, 0, 0)).To(Equal(cachefeed.Gap))
+		Expect(stored(baseTime, kvrouter.DefaultReorderWindow+2, 0, 0)).To(Equal(cachefeed.Gap))
 	})
 
 	It("notices from a load report that the newest events were lost", func() {
-		stored(late, 1, 0, 3)
+		stored(baseTime, 1, 0, 3)
 		report := kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, LastSequence: 3}
-		f.router.Report(late, "a", report)
-		Expect(f.router.ResyncNeeded(late + 4*time.Second)).To(BeEmpty())
-		Expect(f.router.ResyncNeeded(late + 5*time.Second)).To(Equal([]string{"a"}))
-		f.router.Reset(late+5*time.Second, "a", firstIncarnation, 3, nil)
-		f.router.Report(late+5*time.Second, "a", report)
-		Expect(f.router.ResyncNeeded(late + time.Hour)).To(BeEmpty())
+		f.router.Report(baseTime, "a", report)
+		Expect(f.router.ResyncNeeded(baseTime + 4*time.Second)).To(BeEmpty())
+		Expect(f.router.ResyncNeeded(baseTime + 5*time.Second)).To(Equal([]string{"a"}))
+		f.router.Reset(baseTime+5*time.Second, "a", firstIncarnation, 3, nil)
+		f.router.Report(baseTime+5*time.Second, "a", report)
+		Expect(f.router.ResyncNeeded(baseTime + time.Hour)).To(BeEmpty())
 	})
 
 	It("gives uncertain chunks less credit until a reset", func() {
 		f.settings.LocalCredit = 1
-		stored(late, 1, 0, 9)
-		certain := f.choose(late, prompt(10))
-		certain.Reservation.Finish(late, false)
-		stored(late, 3, 0, 0)
-		doubtful := f.choose(late, prompt(10))
-		doubtful.Reservation.Finish(late, false)
-		Expect(doubtful.Cost - certain.Cost).To(BeNumerically("~", 10*(1-kvrouter.DefaultGuessCredit)))
-		Expect(doubtful.OverlapTokens).To(Equal(certain.OverlapTokens))
+		stored(baseTime, 1, 0, 9)
+		certain := f.choose(baseTime, prompt(10))
+		certain.Reservation.Finish(baseTime, false)
+		stored(baseTime, 3, 0, 0)
+		uncertain := f.choose(baseTime, prompt(10))
+		uncertain.Reservation.Finish(baseTime, false)
+		Expect(uncertain.Cost - certain.Cost).To(BeNumerically("~", 10*(1-kvrouter.DefaultGuessCredit)))
+		Expect(uncertain.OverlapTokens).To(Equal(certain.OverlapTokens))
 	})
 
 	It("drops everything on a new incarnation, and ignores late events of the old one", func() {
-		stored(late, 1, 0, 9)
-		stored(late, 3, 0, 9)
-		Expect(f.router.Stored(late, "a", firstIncarnation+1, 1, whole[:2])).To(Equal(cachefeed.Accepted))
-		Expect(keptBlocks(late)).To(Equal(2))
-		Expect(stored(late, 2, 0, 9)).To(Equal(cachefeed.Stale))
-		Expect(f.router.Reset(late, "a", firstIncarnation, 9, whole)).To(Equal(cachefeed.Stale))
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, ActiveRequests: 5})
-		Expect(f.router.Load(late, "a").ActiveRequests).To(BeZero())
-		Expect(keptBlocks(late)).To(Equal(2))
+		stored(baseTime, 1, 0, 9)
+		stored(baseTime, 3, 0, 9)
+		Expect(f.router.Stored(baseTime, "a", firstIncarnation+1, 1, allLinks[:2])).To(Equal(cachefeed.Accepted))
+		Expect(cachedBlocks(baseTime)).To(Equal(2))
+		Expect(stored(baseTime, 2, 0, 9)).To(Equal(cachefeed.Stale))
+		Expect(f.router.Reset(baseTime, "a", firstIncarnation, 9, allLinks)).To(Equal(cachefeed.Stale))
+		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, ActiveRequests: 5})
+		Expect(f.router.Load(baseTime, "a").ActiveRequests).To(BeZero())
+		Expect(cachedBlocks(baseTime)).To(Equal(2))
 	})
 
 	It("takes a lower incarnation for a late event, unless the present one has fallen silent", func() {
-		stored(late, 1, 0, 9)
+		stored(baseTime, 1, 0, 9)
 		lower := func(now time.Duration) cachefeed.Status {
-			return f.router.Reset(now, "a", firstIncarnation-1, 1, whole[:2])
+			return f.router.Reset(now, "a", firstIncarnation-1, 1, allLinks[:2])
 		}
-		Expect(lower(late + 4*time.Second)).To(Equal(cachefeed.Stale))
-		f.isBusyWith(late+4*time.Second, "a", 0, 0, 0)
-		Expect(lower(late + 8*time.Second)).To(Equal(cachefeed.Stale))
-		Expect(keptBlocks(late)).To(Equal(10))
-		Expect(lower(late + 9*time.Second)).To(Equal(cachefeed.Accepted))
-		Expect(keptBlocks(late)).To(Equal(2))
+		Expect(lower(baseTime + 4*time.Second)).To(Equal(cachefeed.Stale))
+		f.isBusyWith(baseTime+4*time.Second, "a", 0, 0, 0)
+		Expect(lower(baseTime + 8*time.Second)).To(Equal(cachefeed.Stale))
+		Expect(cachedBlocks(baseTime)).To(Equal(10))
+		Expect(lower(baseTime + 9*time.Second)).To(Equal(cachefeed.Accepted))
+		Expect(cachedBlocks(baseTime)).To(Equal(2))
 	})
 
 	It("drops everything when the weight version changes, by a report or an answer", func() {
-		stored(late, 1, 0, 9)
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: "v2", Incarnation: firstIncarnation})
-		Expect(keptBlocks(late)).To(BeZero())
-		Expect(f.router.ResyncNeeded(late)).To(Equal([]string{"a"}))
-		f.router.Reset(late, "a", firstIncarnation, 2, whole)
-		Expect(keptBlocks(late)).To(Equal(10))
-		f.router.ObserveWeightVersion(late, "a", "v3")
-		Expect(keptBlocks(late)).To(BeZero())
+		stored(baseTime, 1, 0, 9)
+		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: "v2", Incarnation: firstIncarnation})
+		Expect(cachedBlocks(baseTime)).To(BeZero())
+		Expect(f.router.ResyncNeeded(baseTime)).To(Equal([]string{"a"}))
+		f.router.Reset(baseTime, "a", firstIncarnation, 2, allLinks)
+		Expect(cachedBlocks(baseTime)).To(Equal(10))
+		f.router.ObserveWeightVersion(baseTime, "a", "v3")
+		Expect(cachedBlocks(baseTime)).To(BeZero())
 	})
 
 	It("ignores a reset that is older than its state", func() {
-		stored(late, 1, 0, 9)
-		removed(late, 2, 3, 3)
-		Expect(f.router.Reset(late, "a", firstIncarnation, 1, whole)).To(Equal(cachefeed.Stale))
-		Expect(keptBlocks(late)).To(Equal(3))
+		stored(baseTime, 1, 0, 9)
+		removed(baseTime, 2, 3, 3)
+		Expect(f.router.Reset(baseTime, "a", firstIncarnation, 1, allLinks)).To(Equal(cachefeed.Stale))
+		Expect(cachedBlocks(baseTime)).To(Equal(3))
 	})
 
 	DescribeTable("agrees with the replica over random streams", func(loss float64) {
@@ -136,7 +136,7 @@
 			}
 			stream.deliverAll()
 			Expect(f.router.ResyncNeeded(stream.now)).To(BeEmpty(), "seed %d", seed)
-			Expect(keptBlocks(stream.now)).To(Equal(stream.leading()), "seed %d", seed)
+			Expect(cachedBlocks(stream.now)).To(Equal(stream.leadingChunks()), "seed %d", seed)
 			Expect(f.router.IndexStats().Reported).To(Equal(len(stream.cached)), "seed %d", seed)
 		}
 	},
@@ -163,7 +163,7 @@
 	prompt                []prefixindex.Link
 	cached                map[prefixindex.ChainHash]prefixindex.Link
 	incarnation, sequence uint64
-	underway              []streamEvent
+	inFlight              []streamEvent
 }
 
 func newReplicaStream(random *rand.Rand, router *kvrouter.Router, loss float64) *replicaStream {
@@ -171,7 +171,7 @@
 		random:      random,
 		router:      router,
 		loss:        loss,
-		now:         late,
+		now:         baseTime,
 		prompt:      links(prompt(10)),
 		cached:      map[prefixindex.ChainHash]prefixindex.Link{},
 		incarnation: firstIncarnation,
@@ -195,8 +195,8 @@
 		clear(s.cached)
 	}
 	// Up to five events are under way and overtake each other.
-	for len(s.underway) > 0 && s.random.IntN(6) < len(s.underway) {
-		s.deliver(s.random.IntN(len(s.underway)))
+	for len(s.inFlight) > 0 && s.random.IntN(6) < len(s.inFlight) {
+		s.deliver(s.random.IntN(len(s.inFlight)))
 	}
 	if len(s.router.ResyncNeeded(s.now)) > 0 {
 		s.sendReset()
@@ -207,17 +207,17 @@
 	s.sequence++
 	sent.incarnation, sent.sequence = s.incarnation, s.sequence
 	if s.random.Float64() >= s.loss {
-		s.underway = append(s.underway, sent)
+		s.inFlight = append(s.inFlight, sent)
 	}
 	if s.random.IntN(10) == 0 {
-		s.underway = append(s.underway, sent)
+		s.inFlight = append(s.inFlight, sent)
 	}
 }
 
 // sendReset lists what is cached now; like on the wire, it bears the number of
 // the newest event.
 func (s *replicaStream) sendReset() {
-	s.underway = append(s.underway, streamEvent{
+	s.inFlight = append(s.inFlight, streamEvent{
 		incarnation: s.incarnation,
 		sequence:    s.sequence,
 		reset:       true,
@@ -226,8 +226,8 @@
 }
 
 func (s *replicaStream) deliver(position int) {
-	arrived := s.underway[position]
-	s.underway = append(s.underway[:position], s.underway[position+1:]...)
+	arrived := s.inFlight[position]
+	s.inFlight = append(s.inFlight[:position], s.inFlight[position+1:]...)
 	switch {
 	case arrived.reset:
 		s.router.Reset(s.now, "a", arrived.incarnation, arrived.sequence, arrived.stored)
@@ -243,8 +243,8 @@
 	s.send(streamEvent{stored: s.prompt[:1]})
 	s.cached[s.prompt[0].Hash] = s.prompt[0]
 	s.router.Report(s.now, "a", kvrouter.Report{Incarnation: s.incarnation, LastSequence: s.sequence})
-	for round := 0; round == 0 || len(s.underway) > 0; round++ {
-		for len(s.underway) > 0 {
+	for round := 0; round == 0 || len(s.inFlight) > 0; round++ {
+		for len(s.inFlight) > 0 {
 			s.deliver(0)
 		}
 		s.now += time.Minute
@@ -254,8 +254,8 @@
 	}
 }
 
-// leading counts the chunks that the replica caches without a gap.
-func (s *replicaStream) leading() int {
+// leadingChunks counts the chunks that the replica caches without a gap.
+func (s *replicaStream) leadingChunks() int {
 	for position, link := range s.prompt {
 		if _, present := s.cached[link.Hash]; !present {
 			return position
--- a/pkg/kvrouter/load_test.go
+++ b/pkg/kvrouter/load_test.go
@@ -18,29 +18,29 @@
 	It("follows the reservations of the router itself", func() {
 		f := newFleet(slowLinks, "a")
 		f.caches("a", links(prompt(10))[:4])
-		reservation := f.choose(late, prompt(10)).Reservation
-		Expect(f.router.Load(late, "a")).To(Equal(blocks(6, 10, 1)))
-		reservation.FirstToken(late + time.Second)
-		reservation.FirstToken(late + time.Second)
-		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 10, 1)))
-		reservation.Progress(late+2*time.Second, 3*blockTokens)
-		reservation.Progress(late+2*time.Second, 2*blockTokens)
-		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 13, 1)))
-		reservation.Finish(late+3*time.Second, true)
-		reservation.Finish(late+3*time.Second, true)
-		reservation.FirstToken(late + 3*time.Second)
-		reservation.Progress(late+3*time.Second, 100)
-		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 0, 0)))
+		reservation := f.choose(baseTime, prompt(10)).Reservation
+		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(6, 10, 1)))
+		reservation.FirstToken(baseTime + time.Second)
+		reservation.FirstToken(baseTime + time.Second)
+		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(0, 10, 1)))
+		reservation.Progress(baseTime+2*time.Second, 3*blockTokens)
+		reservation.Progress(baseTime+2*time.Second, 2*blockTokens)
+		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(0, 13, 1)))
+		reservation.Finish(baseTime+3*time.Second, true)
+		reservation.Finish(baseTime+3*time.Second, true)
+		reservation.FirstToken(baseTime + 3*time.Second)
+		reservation.Progress(baseTime+3*time.Second, 100)
+		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
 	It("adds what a late report shows in excess of the local load of its time", func() {
 		f := newFleet(slowLinks, "a")
-		first := f.choose(late, prompt(10)).Reservation
-		f.choose(late+2*time.Second, prompt(20))
-		first.Finish(late+3*time.Second, false)
+		first := f.choose(baseTime, prompt(10)).Reservation
+		f.choose(baseTime+2*time.Second, prompt(20))
+		first.Finish(baseTime+3*time.Second, false)
 		// The report describes the time when only the first request was there,
 		// together with 30 blocks of another router.
-		f.router.Report(late+4*time.Second, "a", kvrouter.Report{
+		f.router.Report(baseTime+4*time.Second, "a", kvrouter.Report{
 			ActivePrefillTokens: 10 * blockTokens,
 			ActiveDecodeTokens:  (10 + 30) * blockTokens,
 			ActiveRequests:      2,
@@ -48,36 +48,36 @@
 			Incarnation:         firstIncarnation,
 			Age:                 3 * time.Second,
 		})
-		Expect(f.router.Load(late+2*time.Second, "a")).To(Equal(blocks(20, 20+30, 2)))
+		Expect(f.router.Load(baseTime+2*time.Second, "a")).To(Equal(blocks(20, 20+30, 2)))
 	})
 
 	It("lets the work of others fade as the report ages, and ignores older reports", func() {
 		f := newFleet(slowLinks, "a")
-		f.isBusyWith(late, "a", 0, 80, 4)
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Age: time.Second})
-		Expect(f.router.Load(late+2*time.Second, "a")).To(Equal(blocks(0, 80, 4)))
-		Expect(f.router.Load(late+6*time.Second, "a")).To(Equal(blocks(0, 40, 2)))
-		Expect(f.router.Load(late+10*time.Second, "a")).To(Equal(blocks(0, 0, 0)))
+		f.isBusyWith(baseTime, "a", 0, 80, 4)
+		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Age: time.Second})
+		Expect(f.router.Load(baseTime+2*time.Second, "a")).To(Equal(blocks(0, 80, 4)))
+		Expect(f.router.Load(baseTime+6*time.Second, "a")).To(Equal(blocks(0, 40, 2)))
+		Expect(f.router.Load(baseTime+10*time.Second, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
 	It("adopts the load that a new router finds", func() {
 		f := newFleet(slowLinks, "a", "b")
-		f.isBusyWith(late, "a", 50, 90, 3)
-		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
-		f.router.Stored(late, "a", firstIncarnation+1, 1, nil)
-		Expect(f.router.Load(late, "a")).To(Equal(blocks(0, 0, 0)))
+		f.isBusyWith(baseTime, "a", 50, 90, 3)
+		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("b"))
+		f.router.Stored(baseTime, "a", firstIncarnation+1, 1, nil)
+		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
 	It("separates the load of a replica that was forgotten from its successor's", func() {
 		f := newFleet(slowLinks, "a")
-		reservation := f.choose(late, prompt(10)).Reservation
+		reservation := f.choose(baseTime, prompt(10)).Reservation
 		f.router.Forget("a")
 		f.router.Forget("a")
 		Expect(f.router.Addresses()).To(BeEmpty())
-		f.router.Report(late, "b", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation})
-		reservation.Finish(late, true)
+		f.router.Report(baseTime, "b", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation})
+		reservation.Finish(baseTime, true)
 		f.candidates[0].Address = "b"
-		Expect(f.overlap(late, "b", prompt(10))).To(BeZero())
+		Expect(f.overlap(baseTime, "b", prompt(10))).To(BeZero())
 	})
 })
 
--- a/pkg/kvrouter/prefix_wait_test.go
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -17,11 +17,11 @@
 }
 
 var _ = Describe("A prompt whose beginning is being read", func() {
-	soon := late + 50*time.Millisecond
+	soon := baseTime + 50*time.Millisecond
 
 	It("waits until the replica has read it", func() {
 		f := newEngineFleet("a")
-		first := f.choose(late, withSuffix(8, "first"))
+		first := f.choose(baseTime, withSuffix(8, "first"))
 		Expect(first.Wait).To(BeNil())
 		second := f.choose(soon, withSuffix(8, "second"))
 		Expect(second.Wait).NotTo(BeNil())
@@ -29,18 +29,18 @@
 		Expect(second.Wait.Done(soon)).To(BeFalse())
 		changed := second.Wait.Changed()
 		Expect(changed).NotTo(BeClosed())
-		read := late + 250*time.Millisecond
-		first.Reservation.FirstToken(read)
+		firstTokenAt := baseTime + 250*time.Millisecond
+		first.Reservation.FirstToken(firstTokenAt)
 		Expect(changed).To(BeClosed())
-		Expect(second.Wait.Done(read)).To(BeTrue())
-		Expect(f.choose(read, withSuffix(8, "third")).Wait).To(BeNil())
+		Expect(second.Wait.Done(firstTokenAt)).To(BeTrue())
+		Expect(f.choose(firstTokenAt, withSuffix(8, "third")).Wait).To(BeNil())
 	})
 
 	It("waits for prompts that other routers announced, until the replica reports the chunks", func() {
 		f := newEngineFleet("a")
 		f.caches("a", 1)
 		links := kvrouter.ByID.Links(model, salt(version), longPrompt(8))
-		f.router.ObserveDispatchLinks(late, "a", links)
+		f.router.ObserveDispatchLinks(baseTime, "a", links)
 		decision := f.choose(soon, withSuffix(8, "own"))
 		Expect(decision.Wait).NotTo(BeNil())
 		Expect(decision.Wait.Done(soon)).To(BeFalse())
@@ -56,7 +56,7 @@
 
 	It("goes on when the earlier request ends without having been read", func() {
 		f := newEngineFleet("a")
-		first := f.choose(late, withSuffix(8, "first"))
+		first := f.choose(baseTime, withSuffix(8, "first"))
 		second := f.choose(soon, withSuffix(8, "second"))
 		changed := second.Wait.Changed()
 		first.Reservation.Cancelled(soon)
@@ -66,7 +66,7 @@
 
 	It("goes on when the replica begins a new incarnation", func() {
 		f := newEngineFleet("a")
-		f.choose(late, withSuffix(8, "first"))
+		f.choose(baseTime, withSuffix(8, "first"))
 		second := f.choose(soon, withSuffix(8, "second"))
 		changed := second.Wait.Changed()
 		f.candidates[0].Instance = "second"
@@ -77,37 +77,37 @@
 
 	It("waits no longer than half as long again as expected, nor than the request may", func() {
 		f := newEngineFleet("a")
-		f.choose(late, withSuffix(8, "first"))
-		second := f.choose(late, withSuffix(8, "second"))
-		Expect(second.Wait.Deadline() - late).To(BeNumerically("~", 420*time.Millisecond, 10*time.Millisecond))
+		f.choose(baseTime, withSuffix(8, "first"))
+		second := f.choose(baseTime, withSuffix(8, "second"))
+		Expect(second.Wait.Deadline() - baseTime).To(BeNumerically("~", 420*time.Millisecond, 10*time.Millisecond))
 		Expect(second.Wait.Done(second.Wait.Deadline())).To(BeTrue())
-		f.change = func(request *kvrouter.Request) { request.MaxWait = 30 * time.Millisecond }
-		third := f.choose(late, withSuffix(8, "third"))
-		Expect(third.Wait.Deadline() - late).To(Equal(30 * time.Millisecond))
+		f.modifyRequest = func(request *kvrouter.Request) { request.MaxWait = 30 * time.Millisecond }
+		third := f.choose(baseTime, withSuffix(8, "third"))
+		Expect(third.Wait.Deadline() - baseTime).To(Equal(30 * time.Millisecond))
 	})
 
 	It("waits no longer than two seconds, however much the replica has to read", func() {
 		f := newEngineFleet("a")
-		f.choose(late, append(longPrompt(60), prefixindex.Chunk{ID: "first", Tokens: 500}))
-		f.hasBacklog(late, "a", 5, 20_000)
-		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
-		second := f.choose(late, append(longPrompt(60), prefixindex.Chunk{ID: "second", Tokens: 500}))
-		Expect(second.Wait.Deadline() - late).To(Equal(2 * time.Second))
+		f.choose(baseTime, append(longPrompt(60), prefixindex.Chunk{ID: "first", Tokens: 500}))
+		f.hasBacklog(baseTime, "a", 5, 20_000)
+		f.modifyRequest = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
+		second := f.choose(baseTime, append(longPrompt(60), prefixindex.Chunk{ID: "second", Tokens: 500}))
+		Expect(second.Wait.Deadline() - baseTime).To(Equal(2 * time.Second))
 	})
 
 	It("does not wait when the chunks have little in common", func() {
 		f := newEngineFleet("a")
-		f.choose(late, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "x", Tokens: 8000}})
+		f.choose(baseTime, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "x", Tokens: 8000}})
 		Expect(f.choose(soon, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "y", Tokens: 8000}}).Wait).To(BeNil())
 	})
 
 	It("does not wait for less urgent prompts that take longer than the wait saves", func() {
 		f := newEngineFleet("a")
-		f.change = func(request *kvrouter.Request) { request.Priority = 7 }
-		f.choose(late, append(longPrompt(2), prefixindex.Chunk{ID: "long", Tokens: 40_000}))
-		f.change = func(request *kvrouter.Request) { request.Priority = 0 }
+		f.modifyRequest = func(request *kvrouter.Request) { request.Priority = 7 }
+		f.choose(baseTime, append(longPrompt(2), prefixindex.Chunk{ID: "long", Tokens: 40_000}))
+		f.modifyRequest = func(request *kvrouter.Request) { request.Priority = 0 }
 		f.settings.LessUrgentWeight = 0.1
-		urgent := f.choose(late, withSuffix(2, "urgent"))
+		urgent := f.choose(baseTime, withSuffix(2, "urgent"))
 		Expect(urgent.Wait).To(BeNil())
 		Expect(urgent.OverlapTokens).To(BeZero())
 	})
@@ -115,7 +115,7 @@
 	It("does not wait at a replica that caches the beginning already", func() {
 		f := newEngineFleet("a")
 		f.caches("a", 8)
-		f.choose(late, withSuffix(8, "first"))
+		f.choose(baseTime, withSuffix(8, "first"))
 		Expect(f.choose(soon, withSuffix(8, "second")).Wait).To(BeNil())
 	})
 })
--- a/pkg/kvrouter/pull_test.go
+++ b/pkg/kvrouter/pull_test.go
@@ -36,16 +36,16 @@
 		f.caches("source", links(prompt(blocks)))
 	})
 
-	// measure tells the router a bandwidth at the time of the requests.
-	measure := func(from string, bytesPerSecond float64) {
-		f.isBusyWith(late, "target", 0, 0, 0)
+	// observeBandwidth tells the router a bandwidth at the time of the requests.
+	observeBandwidth := func(from string, bytesPerSecond float64) {
+		f.isBusyWith(baseTime, "target", 0, 0, 0)
 		f.router.ObserveLinkBandwidth(from, "zone", bytesPerSecond)
 	}
 
 	// taken selects for the target although the source is a candidate.
 	selectTarget := func() kvrouter.Decision {
-		req := f.request(late, prompt(blocks))
-		f.isBusyWith(late, "source", 0, 10*blocks, 1)
+		req := f.request(baseTime, prompt(blocks))
+		f.isBusyWith(baseTime, "source", 0, 10*blocks, 1)
 		decision, err := f.router.Select(req, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decision.Address).To(Equal("target"))
@@ -53,7 +53,7 @@
 	}
 
 	DescribeTable("credits a pull with no more than the fraction of prefill that it saves", func(speedup, credited float64) {
-		measure("zone", speedup*slowLink)
+		observeBandwidth("zone", speedup*slowLink)
 		const promptAndMemory = 2 * blocks
 		Expect(selectTarget().Cost).To(BeNumerically("~", promptAndMemory-credited*blocks, 0.2))
 	},
@@ -78,23 +78,23 @@
 	It("counts the fetched chunks with the peer's credit, and not as prefill", func() {
 		decision := selectTarget()
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultPeerCredit*blocks+blocks))
-		Expect(f.router.Load(late, "target").PrefillBlocks).To(BeZero())
+		Expect(f.router.Load(baseTime, "target").PrefillBlocks).To(BeZero())
 	})
 
 	It("prefills when the link is too slow, as measured", func() {
-		measure("zone", slowLink)
+		observeBandwidth("zone", slowLink)
 		decision := selectTarget()
 		Expect(decision.Pull).To(BeNil())
-		Expect(f.router.Load(late, "target").PrefillBlocks).To(BeEquivalentTo(blocks))
-		measure("zone", 20*fastLink)
+		Expect(f.router.Load(baseTime, "target").PrefillBlocks).To(BeEquivalentTo(blocks))
+		observeBandwidth("zone", 20*fastLink)
 		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
 
 	It("tries a link that was slow again after a while", func() {
-		measure("zone", slowLink)
+		observeBandwidth("zone", slowLink)
 		Expect(selectTarget().Pull).To(BeNil())
-		f.isBusyWith(late+31*time.Second, "source", 0, 10*blocks, 1)
-		Expect(f.choose(late+31*time.Second, prompt(blocks)).Pull).NotTo(BeNil())
+		f.isBusyWith(baseTime+31*time.Second, "source", 0, 10*blocks, 1)
+		Expect(f.choose(baseTime+31*time.Second, prompt(blocks)).Pull).NotTo(BeNil())
 	})
 
 	It("learns from a first token that came late that the link is slow", func() {
@@ -103,10 +103,10 @@
 			if decision.Pull == nil {
 				return
 			}
-			decision.Reservation.FirstToken(late + 4*time.Duration(prefillSeconds*float64(time.Second)))
-			decision.Reservation.Finish(late, false)
-			f.router.Removed(late, "target", firstIncarnation, 1, nil)
-			f.router.Reset(late, "target", firstIncarnation, 2, nil)
+			decision.Reservation.FirstToken(baseTime + 4*time.Duration(prefillSeconds*float64(time.Second)))
+			decision.Reservation.Finish(baseTime, false)
+			f.router.Removed(baseTime, "target", firstIncarnation, 1, nil)
+			f.router.Reset(baseTime, "target", firstIncarnation, 2, nil)
 		}
 		Fail("the router went on pulling over a slow link")
 	})
@@ -114,17 +114,17 @@
 	It("prefills where the replica is learned to be fast", func() {
 		f.candidates = f.candidates[1:]
 		other := []prefixindex.Chunk{{ID: "other", Tokens: 10_000}}
-		f.choose(late, other).Reservation.FirstToken(late + 100*time.Millisecond)
+		f.choose(baseTime, other).Reservation.FirstToken(baseTime + 100*time.Millisecond)
 		f.candidates = append(f.candidates, kvrouter.Candidate{Address: "source", Zone: "zone", WeightVersion: version})
 		Expect(selectTarget().Pull).To(BeNil())
 	})
 
 	It("pulls from another zone only for a greater gain", func() {
 		f.candidates[0].Zone = "far"
-		measure("far", 1.6*slowLink)
+		observeBandwidth("far", 1.6*slowLink)
 		Expect(selectTarget().Pull).To(BeNil())
 		f.candidates[0].Zone = "zone"
-		measure("zone", 1.6*slowLink)
+		observeBandwidth("zone", 1.6*slowLink)
 		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
 
@@ -142,7 +142,7 @@
 
 		f = newFleet(options, "source", "target")
 		f.caches("source", links(prompt(blocks)))
-		f.router.Stored(late, "source", firstIncarnation, 3, nil)
+		f.router.Stored(baseTime, "source", firstIncarnation, 3, nil)
 		Expect(selectTarget().Pull).To(BeNil())
 	})
 
@@ -150,20 +150,20 @@
 		for round := range 3 * kvrouter.DefaultMaxPullsPerSource {
 			decision := selectTarget()
 			Expect(decision.Pull).NotTo(BeNil(), "round %d", round)
-			decision.Reservation.Finish(late, false)
+			decision.Reservation.Finish(baseTime, false)
 		}
 		for range kvrouter.DefaultMaxPullsPerSource + 1 {
-			f.router.Reset(late, "target", firstIncarnation, 1, nil)
+			f.router.Reset(baseTime, "target", firstIncarnation, 1, nil)
 			decision := selectTarget()
 			Expect(decision.Pull).NotTo(BeNil())
-			decision.Reservation.FirstToken(late + decision.Pull.EstimatedTime)
+			decision.Reservation.FirstToken(baseTime + decision.Pull.EstimatedTime)
 		}
 	})
 
 	It("pulls from the store, which is never chosen to run the request", func() {
 		f = newFleet(options, "target")
 		f.router.Stored(0, "store", 1, 1, links(prompt(blocks)))
-		req := f.request(late, prompt(blocks))
+		req := f.request(baseTime, prompt(blocks))
 		req.Store, req.StoreZone = "store", "zone"
 		decision, err := f.router.Select(req, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
@@ -171,7 +171,7 @@
 		Expect(decision.Pull).To(HaveValue(HaveField("Source", "store")))
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultStoreCredit*blocks+blocks))
 		// A store that comes back empty has a new incarnation.
-		f.router.Reset(late, "store", 2, 1, nil)
+		f.router.Reset(baseTime, "store", 2, 1, nil)
 		decision, err = f.router.Select(req, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(decision.Pull).To(BeNil())
--- a/pkg/kvrouter/select_test.go
+++ b/pkg/kvrouter/select_test.go
@@ -21,27 +21,27 @@
 	It("scores the three workers of the paper's figure as the paper does", func() {
 		f := newFleet(slowLinks, "worker-1", "worker-2", "worker-3")
 		f.settings.BusyThresholdBlocks = 100
-		whole := links(prompt(60))
-		f.caches("worker-1", whole[:48])
-		f.caches("worker-2", whole[:20])
-		f.caches("worker-3", whole)
-		f.isBusyWith(late, "worker-1", 0, 46, 1)
-		f.isBusyWith(late, "worker-2", 0, 8, 1)
-		f.isBusyWith(late, "worker-3", 0, 100, 1)
-		chosen := f.choose(late, prompt(60))
+		allLinks := links(prompt(60))
+		f.caches("worker-1", allLinks[:48])
+		f.caches("worker-2", allLinks[:20])
+		f.caches("worker-3", allLinks)
+		f.isBusyWith(baseTime, "worker-1", 0, 46, 1)
+		f.isBusyWith(baseTime, "worker-2", 0, 8, 1)
+		f.isBusyWith(baseTime, "worker-3", 0, 100, 1)
+		chosen := f.choose(baseTime, prompt(60))
 		Expect(chosen.Address).To(Equal("worker-2"))
 		// The figure leaves out the 60 blocks that the request will occupy
 		// wherever it goes.
 		Expect(chosen.Cost).To(BeNumerically("~", 48+60))
-		chosen.Reservation.Finish(late, false)
+		chosen.Reservation.Finish(baseTime, false)
 		f.candidates = f.candidates[:1]
-		Expect(f.choose(late, prompt(60)).Cost).To(BeNumerically("~", 58+60))
+		Expect(f.choose(baseTime, prompt(60)).Cost).To(BeNumerically("~", 58+60))
 	})
 
 	It("gives the deepest overlap the request when loads are equal", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.caches("b", links(prompt(10))[:4])
-		chosen := f.choose(late, prompt(10))
+		chosen := f.choose(baseTime, prompt(10))
 		Expect(chosen.Address).To(Equal("b"))
 		Expect(chosen.OverlapTokens).To(BeEquivalentTo(4 * blockTokens))
 		Expect(chosen.PromptTokens).To(BeEquivalentTo(10 * blockTokens))
@@ -52,20 +52,20 @@
 	It("weighs the prefill term and the requests as configured", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.caches("a", links(prompt(10)))
-		f.isBusyWith(late, "a", 0, 12, 2)
-		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
+		f.isBusyWith(baseTime, "a", 0, 12, 2)
+		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("b"))
 		f.settings.PrefillLoadScale = 2
-		Expect(f.choose(late, prompt(10)).Address).To(Equal("a"))
+		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("a"))
 		f.settings.RequestWeight = 20
-		Expect(f.choose(late, prompt(10)).Address).To(Equal("b"))
+		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("b"))
 	})
 
 	It("never lets a credit make the prefill term negative", func() {
 		f := newFleet(slowLinks, "a")
 		f.caches("a", links(prompt(10)))
 		f.settings.LocalCredit = 3
-		f.isBusyWith(late, "a", 5, 7, 1)
-		Expect(f.choose(late, prompt(10)).Cost).To(BeNumerically("~", 7+10))
+		f.isBusyWith(baseTime, "a", 5, 7, 1)
+		Expect(f.choose(baseTime, prompt(10)).Cost).To(BeNumerically("~", 7+10))
 	})
 
 	It("reads a pool's configuration, with defaults for what is not set", func() {
@@ -80,12 +80,12 @@
 		f.add("old", "zone", "v1")
 		f.add("new", "zone", "v2")
 		f.caches("old", links(prompt(10)))
-		chosen := f.choose(late, prompt(10))
+		chosen := f.choose(baseTime, prompt(10))
 		Expect(chosen.Address).To(Equal("old"))
-		chosen.Reservation.Finish(late, false)
+		chosen.Reservation.Finish(baseTime, false)
 
 		f.candidates = f.candidates[1:]
-		chosen = f.choose(late, prompt(10))
+		chosen = f.choose(baseTime, prompt(10))
 		Expect(chosen.Address).To(Equal("new"))
 		Expect(chosen.CacheSalt).To(Equal(salt("v2")))
 		Expect(chosen.OverlapTokens).To(BeZero())
@@ -93,7 +93,7 @@
 
 		f = newFleet(kvrouter.Options{}, "a")
 		f.caches("a", links(prompt(10)))
-		walled := f.request(late, prompt(10))
+		walled := f.request(baseTime, prompt(10))
 		walled.SaltFor = func(weightVersion string) string { return "walled/" + weightVersion }
 		decision, err := f.router.Select(walled, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
@@ -102,19 +102,19 @@
 
 	It("breaks ties by active requests, then spreads them by the prompt", func() {
 		f := newFleet(slowLinks, "a", "b", "c")
-		f.isBusyWith(late, "a", 0, 0, 2)
-		f.isBusyWith(late, "b", 0, 0, 1)
-		f.isBusyWith(late, "c", 0, 0, 2)
-		Expect(f.choose(late, nil).Address).To(Equal("b"))
+		f.isBusyWith(baseTime, "a", 0, 0, 2)
+		f.isBusyWith(baseTime, "b", 0, 0, 1)
+		f.isBusyWith(baseTime, "c", 0, 0, 2)
+		Expect(f.choose(baseTime, nil).Address).To(Equal("b"))
 
 		counts := map[string]int{}
 		f = newFleet(slowLinks, "a", "b", "c")
 		for number := range 300 {
 			other := []prefixindex.Chunk{{ID: fmt.Sprint(number), Tokens: 1}}
-			chosen := f.choose(late, other)
-			chosen.Reservation.Finish(late, false)
-			again := f.choose(late, other)
-			again.Reservation.Finish(late, false)
+			chosen := f.choose(baseTime, other)
+			chosen.Reservation.Finish(baseTime, false)
+			again := f.choose(baseTime, other)
+			again.Reservation.Finish(baseTime, false)
 			Expect(again.Address).To(Equal(chosen.Address))
 			counts[chosen.Address]++
 		}
@@ -126,17 +126,17 @@
 
 	It("draws by the seeded random numbers when the temperature is above 0", func() {
 		f := newFleet(slowLinks, "a", "b", "c")
-		f.isBusyWith(late, "b", 0, 50, 0)
-		f.isBusyWith(late, "c", 0, 100, 0)
+		f.isBusyWith(baseTime, "b", 0, 50, 0)
+		f.isBusyWith(baseTime, "c", 0, 100, 0)
 		draw := func(temperature float64, seed uint64) (counts map[string]int, order string) {
 			counts = map[string]int{}
-			req := f.request(late, prompt(1))
+			req := f.request(baseTime, prompt(1))
 			req.Settings.Temperature = temperature
 			req.Random = rand.New(rand.NewPCG(seed, 0))
 			for range 600 {
 				decision, err := f.router.Select(req, f.candidates)
 				Expect(err).NotTo(HaveOccurred())
-				decision.Reservation.Finish(late, false)
+				decision.Reservation.Finish(baseTime, false)
 				counts[decision.Address]++
 				order += decision.Address
 			}
@@ -164,16 +164,16 @@
 			Expect(refused.Error()).To(ContainSubstring("again after"))
 			return refused.Reason
 		}
-		req := f.request(late, prompt(1))
+		req := f.request(baseTime, prompt(1))
 		Expect(refusal(req, nil)).To(Equal(kvrouter.NoCandidates))
 		req.Exclude = func(string) bool { return true }
 		Expect(refusal(req, f.candidates)).To(Equal(kvrouter.AllExcluded))
 		f.settings.BusyThresholdBlocks = 10
-		f.isBusyWith(late, "a", 4, 6, 1)
-		req = f.request(late, prompt(1))
+		f.isBusyWith(baseTime, "a", 4, 6, 1)
+		req = f.request(baseTime, prompt(1))
 		req.Exclude = func(address string) bool { return address == "b" }
 		Expect(refusal(req, f.candidates)).To(Equal(kvrouter.AllBusy))
-		Expect(f.choose(late, prompt(1)).Address).To(Equal("b"))
+		Expect(f.choose(baseTime, prompt(1)).Address).To(Equal("b"))
 	})
 })
 
@@ -201,11 +201,11 @@
 		Expect(admitted(f, 5*time.Second)).To(Equal(24))
 		Expect(admitted(f, 10*time.Second)).To(Equal(1000))
 
-		f.router.Report(late, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Warming: true})
-		Expect(admitted(f, late)).To(Equal(4))
-		Expect(admitted(f, late+10*time.Second)).To(Equal(1000))
+		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Warming: true})
+		Expect(admitted(f, baseTime)).To(Equal(4))
+		Expect(admitted(f, baseTime+10*time.Second)).To(Equal(1000))
 
-		f.router.Reset(2*late, "a", firstIncarnation+1, 1, nil)
-		Expect(admitted(f, 2*late)).To(Equal(4))
+		f.router.Reset(2*baseTime, "a", firstIncarnation+1, 1, nil)
+		Expect(admitted(f, 2*baseTime)).To(Equal(4))
 	})
 })
--- a/pkg/kvrouter/suite_test.go
+++ b/pkg/kvrouter/suite_test.go
@@ -23,8 +23,8 @@
 	model       = "model"
 	version     = "v1"
 	blockTokens = kvrouter.DefaultBlockTokens
-	// late is a time at which slow start is over for replicas first seen at 0.
-	late = time.Minute
+	// baseTime is a time at which slow start is over for replicas first seen at 0.
+	baseTime = time.Minute
 	// firstIncarnation is the incarnation that replicas start with.
 	firstIncarnation = 7
 )
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -13,14 +13,14 @@
 	// slowStartSlowdown is how many times longer a replica in slow start is assumed
 	// to take.
 	slowStartSlowdown = 1.5
-	// preemptionMemory is the fraction of memory in use from which on requests are
+	// preemptionMemoryFraction is the fraction of memory in use from which on requests are
 	// preempted.
-	preemptionMemory = 0.97
-	// sharedMemory is the fraction of a cached overlap that a request adds to the
+	preemptionMemoryFraction = 0.97
+	// overlapMemoryFraction is the fraction of a cached overlap that a request adds to the
 	// memory in use: other requests may occupy it already.
-	sharedMemory = 0.5
-	// outputMemory is the fraction of its bound of output tokens that a request uses.
-	outputMemory = 0.5
+	overlapMemoryFraction = 0.5
+	// outputUseFraction is the fraction of its bound of output tokens that a request uses.
+	outputUseFraction = 0.5
 	// maxHarmWeight is the largest harm weight that a backlog leads to.
 	maxHarmWeight = 16
 )
@@ -151,7 +151,7 @@
 
 // requestMemory returns the tokens that a request adds to the memory in use.
 func requestMemory(req *Request, overlap float64) float64 {
-	return float64(req.promptTokens) - overlap*(1-sharedMemory) + outputMemory*float64(req.OutputTokens)
+	return float64(req.promptTokens) - overlap*(1-overlapMemoryFraction) + outputUseFraction*float64(req.OutputTokens)
 }
 
 // isFull reports whether the replica's slots are taken, its memory would overflow,
@@ -161,7 +161,7 @@
 		return true
 	}
 	memory := state.load.MemoryTotal(req.Engine.MemoryTokens)
-	if memory > 0 && active.DecodeTokens+terms.memoryTokens > preemptionMemory*memory {
+	if memory > 0 && active.DecodeTokens+terms.memoryTokens > preemptionMemoryFraction*memory {
 		return true
 	}
 	blocks := (terms.queuedTokens + active.DecodeTokens) / float64(m.options.BlockTokens)
@@ -173,9 +173,9 @@
 func (m *timeModel) cost(req *Request, terms *timeTerms, active replicaload.Load) float64 {
 	settings := &req.Settings
 	blockTime := req.latency.PerToken() * float64(m.options.BlockTokens)
-	harm := terms.slowness * req.harmWeight * req.latency.PerToken() * terms.computeTokens
+	congestion := terms.slowness * req.harmWeight * req.latency.PerToken() * terms.computeTokens
 	pressure := terms.slowness * (active.DecodeTokens + terms.memoryTokens) / float64(m.options.BlockTokens)
-	return settings.PrefillLoadScale*(terms.delay+terms.price+harm)/blockTime +
+	return settings.PrefillLoadScale*(terms.delay+terms.price+congestion)/blockTime +
 		settings.DecodeWeight*pressure +
 		settings.RequestWeight*terms.slowness*active.Requests
 }
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -23,7 +23,7 @@
 	for chunk := range chunks {
 		changes = append(changes, cachedChange(uint64(chunk+1), chunk, 1000))
 	}
-	f.router.ChunksReported(late, address, feedPosition(0, uint64(chunks)), changes)
+	f.router.ChunksReported(baseTime, address, feedPosition(0, uint64(chunks)), changes)
 }
 
 // hasBacklog makes another router announce prompts that are not computed yet.
@@ -38,61 +38,61 @@
 		f := newEngineFleet("a", "b")
 		f.engine.LinkBitsPerSecond = 1e6
 		f.caches("b", 4)
-		decision := f.choose(late, longPrompt(5))
+		decision := f.choose(baseTime, longPrompt(5))
 		Expect(decision.Address).To(Equal("b"))
 		Expect(decision.Instance).To(Equal("first"))
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 45*time.Millisecond, time.Millisecond))
-		decision.Reservation.Cancelled(late)
-		f.hasBacklog(late, "b", 5, 20_000)
-		Expect(f.choose(late, longPrompt(5)).Address).To(Equal("a"))
+		decision.Reservation.Cancelled(baseTime)
+		f.hasBacklog(baseTime, "b", 5, 20_000)
+		Expect(f.choose(baseTime, longPrompt(5)).Address).To(Equal("a"))
 	})
 
 	It("counts the load that other routers sent for a second, less what was computed since", func() {
 		f := newEngineFleet("a", "b")
-		f.hasBacklog(late, "a", 5, 8000)
-		Expect(f.choose(late, otherPrompt("x", 100)).Address).To(Equal("b"))
+		f.hasBacklog(baseTime, "a", 5, 8000)
+		Expect(f.choose(baseTime, otherPrompt("x", 100)).Address).To(Equal("b"))
 		f.candidates = f.candidates[:1]
 		delay := func(now time.Duration) time.Duration {
 			decision := f.choose(now, otherPrompt(fmt.Sprint(now), 40))
 			decision.Reservation.Cancelled(now)
 			return decision.ExpectedDelay
 		}
-		before := delay(late)
-		Expect(delay(late + 100*time.Millisecond)).To(BeNumerically("~", before-100*time.Millisecond, 5*time.Millisecond))
-		Expect(delay(late + time.Second)).To(BeNumerically("~", 21*time.Millisecond, time.Millisecond))
+		before := delay(baseTime)
+		Expect(delay(baseTime + 100*time.Millisecond)).To(BeNumerically("~", before-100*time.Millisecond, 5*time.Millisecond))
+		Expect(delay(baseTime + time.Second)).To(BeNumerically("~", 21*time.Millisecond, time.Millisecond))
 	})
 
 	It("replaces the earlier load of a router, and returns the local load", func() {
 		f := newEngineFleet("a")
-		f.hasBacklog(late, "a", 5, 8000)
-		f.router.SetRemoteLoad(late, "other", "a", replicaload.SharedLoad{})
-		Expect(f.router.LocalLoads(late)).To(BeEmpty())
-		decision := f.choose(late, otherPrompt("x", 4000))
+		f.hasBacklog(baseTime, "a", 5, 8000)
+		f.router.SetRemoteLoad(baseTime, "other", "a", replicaload.SharedLoad{})
+		Expect(f.router.LocalLoads(baseTime)).To(BeEmpty())
+		decision := f.choose(baseTime, otherPrompt("x", 4000))
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 120*time.Millisecond, time.Millisecond))
-		loads := f.router.LocalLoads(late + 50*time.Millisecond)
+		loads := f.router.LocalLoads(baseTime + 50*time.Millisecond)
 		Expect(loads).To(HaveLen(1))
 		Expect(loads[0].Address).To(Equal("a"))
 		Expect(loads[0].PrefillTokens[5]).To(BeNumerically("~", 2000, 1))
 		Expect(loads[0].Requests).To(Equal(1.0))
-		decision.Reservation.FirstToken(late + 120*time.Millisecond)
-		loads = f.router.LocalLoads(late + 120*time.Millisecond)
+		decision.Reservation.FirstToken(baseTime + 120*time.Millisecond)
+		loads = f.router.LocalLoads(baseTime + 120*time.Millisecond)
 		Expect(loads[0].PrefillTokens[5]).To(BeZero())
 		Expect(loads[0].DecodeTokens).To(BeNumerically(">", 4000))
-		decision.Reservation.Finish(late+time.Second, true)
-		Expect(f.router.LocalLoads(late + time.Second)).To(Equal([]kvrouter.AddressLoad{{Address: "a"}}))
-		Expect(f.router.LocalLoads(late + time.Second)).To(BeEmpty())
+		decision.Reservation.Finish(baseTime+time.Second, true)
+		Expect(f.router.LocalLoads(baseTime + time.Second)).To(Equal([]kvrouter.AddressLoad{{Address: "a"}}))
+		Expect(f.router.LocalLoads(baseTime + time.Second)).To(BeEmpty())
 	})
 
 	It("sums the loads of many routers, whatever was computed in between", func() {
 		f := newEngineFleet("a")
-		f.choose(late, otherPrompt("first", 100)).Reservation.Cancelled(late)
+		f.choose(baseTime, otherPrompt("first", 100)).Reservation.Cancelled(baseTime)
 		for number := range 5 {
 			load := replicaload.SharedLoad{Requests: 1}
 			load.PrefillTokens[0] = 4000
-			f.router.SetRemoteLoad(late, fmt.Sprint(number), "a", load)
+			f.router.SetRemoteLoad(baseTime, fmt.Sprint(number), "a", load)
 		}
-		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
-		at := late + 250*time.Millisecond
+		f.modifyRequest = func(request *kvrouter.Request) { request.MaxWait = time.Minute }
+		at := baseTime + 250*time.Millisecond
 		for number := range 4 {
 			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", replicaload.SharedLoad{})
 		}
@@ -103,11 +103,11 @@
 
 	It("waits behind less urgent prompts only in part", func() {
 		f := newEngineFleet("a")
-		f.hasBacklog(late, "a", 7, 8000)
+		f.hasBacklog(baseTime, "a", 7, 8000)
 		delayAt := func(priority uint8) time.Duration {
-			f.change = func(request *kvrouter.Request) { request.Priority = priority }
-			decision := f.choose(late, otherPrompt("x", 100))
-			decision.Reservation.Cancelled(late)
+			f.modifyRequest = func(request *kvrouter.Request) { request.Priority = priority }
+			decision := f.choose(baseTime, otherPrompt("x", 100))
+			decision.Reservation.Cancelled(baseTime)
 			return decision.ExpectedDelay
 		}
 		Expect(delayAt(7) - delayAt(3)).To(BeNumerically("~", 40*time.Millisecond, time.Millisecond))
@@ -116,11 +116,11 @@
 	It("sends large bodies to another zone for a longer wait only than small ones", func() {
 		f := newEngineFleet("near", "far")
 		f.candidates[1].Zone = "another"
-		f.hasBacklog(late, "near", 5, 2000)
+		f.hasBacklog(baseTime, "near", 5, 2000)
 		addressOf := func(bodyBytes int) string {
-			f.change = func(request *kvrouter.Request) { request.Zone, request.BodyBytes = "zone", bodyBytes }
-			decision := f.choose(late, otherPrompt("x", 1000))
-			decision.Reservation.Cancelled(late)
+			f.modifyRequest = func(request *kvrouter.Request) { request.Zone, request.BodyBytes = "zone", bodyBytes }
+			decision := f.choose(baseTime, otherPrompt("x", 1000))
+			decision.Reservation.Cancelled(baseTime)
 			return decision.Address
 		}
 		Expect(addressOf(1000)).To(Equal("far"))
@@ -130,7 +130,7 @@
 	It("learns that a replica is slow", func() {
 		f := newEngineFleet("a", "b")
 		all := f.candidates
-		now := late
+		now := baseTime
 		for round := range 30 {
 			for at := range all {
 				f.candidates = all[at : at+1]
@@ -152,39 +152,39 @@
 	It("avoids replicas whose slots or memory are full, and says when to come back if all are", func() {
 		f := newEngineFleet("a", "b")
 		f.caches("a", 4)
-		f.router.SetRemoteLoad(late, "other", "a", replicaload.SharedLoad{Requests: 4})
-		Expect(f.choose(late, longPrompt(4)).Address).To(Equal("b"))
-		f.router.Report(late, "b", kvrouter.Report{MemoryUsed: 97_500, MemoryTotal: 100_000, Running: 3})
-		f.hasBacklog(late, "a", 0, 80_000)
-		f.router.SetRemoteLoad(late, "more", "a", replicaload.SharedLoad{Requests: 4})
-		_, err := f.trySelect(late, otherPrompt("x", 4000))
+		f.router.SetRemoteLoad(baseTime, "other", "a", replicaload.SharedLoad{Requests: 4})
+		Expect(f.choose(baseTime, longPrompt(4)).Address).To(Equal("b"))
+		f.router.Report(baseTime, "b", kvrouter.Report{MemoryUsed: 97_500, MemoryTotal: 100_000, Running: 3})
+		f.hasBacklog(baseTime, "a", 0, 80_000)
+		f.router.SetRemoteLoad(baseTime, "more", "a", replicaload.SharedLoad{Requests: 4})
+		_, err := f.trySelect(baseTime, otherPrompt("x", 4000))
 		Expect(err).To(HaveValue(HaveField("Reason", kvrouter.AllBusy)))
 		var refused *kvrouter.NoReplicaError
 		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.RetryAfter).To(BeNumerically("<", time.Second))
-		f.change = func(request *kvrouter.Request) { request.MaxWait = time.Second }
-		Expect(f.choose(late, otherPrompt("x", 4000)).Address).To(Equal("b"))
+		f.modifyRequest = func(request *kvrouter.Request) { request.MaxWait = time.Second }
+		Expect(f.choose(baseTime, otherPrompt("x", 4000)).Address).To(Equal("b"))
 	})
 
 	It("goes to replicas in slow start only where the caller permits it", func() {
 		f := newEngineFleet("a")
-		f.candidates[0].SlowStartUntil = late + time.Second
-		_, err := f.trySelect(late, longPrompt(1))
+		f.candidates[0].SlowStartUntil = baseTime + time.Second
+		_, err := f.trySelect(baseTime, longPrompt(1))
 		Expect(err).To(HaveValue(And(
 			HaveField("Reason", kvrouter.AllBusy), HaveField("RetryAfter", time.Second))))
-		f.change = func(request *kvrouter.Request) {
+		f.modifyRequest = func(request *kvrouter.Request) {
 			request.SlowStartAllowed = func(address string) bool { return address == "a" }
 		}
-		f.choose(late, longPrompt(1)).Reservation.Cancelled(late)
-		f.change = nil
-		f.choose(late+time.Second, longPrompt(1))
+		f.choose(baseTime, longPrompt(1)).Reservation.Cancelled(baseTime)
+		f.modifyRequest = nil
+		f.choose(baseTime+time.Second, longPrompt(1))
 	})
 
 	It("prefers its own zone when nothing else differs", func() {
 		f := newEngineFleet("a", "b", "c")
 		f.candidates[1].Zone = "near"
-		f.change = func(request *kvrouter.Request) { request.Zone = "near" }
-		Expect(f.choose(late, longPrompt(2)).Address).To(Equal("b"))
+		f.modifyRequest = func(request *kvrouter.Request) { request.Zone = "near" }
+		Expect(f.choose(baseTime, longPrompt(2)).Address).To(Equal("b"))
 	})
 
 	It("keeps routers with old updates from choosing the same replica", func() {
@@ -193,7 +193,7 @@
 			f := newEngineFleet("a", "b", "c", "d")
 			f.router = kvrouter.New(kvrouter.Options{Name: fmt.Sprint(number)})
 			f.settings.SpreadTime = 20
-			chosen[f.choose(late, longPrompt(2)).Address]++
+			chosen[f.choose(baseTime, longPrompt(2)).Address]++
 		}
 		Expect(chosen).To(HaveLen(4))
 	})
@@ -205,27 +205,27 @@
 	BeforeEach(func() {
 		f = newEngineFleet("a", "b")
 		f.caches("b", 8)
-		f.hasBacklog(late, "b", 0, 40_000)
+		f.hasBacklog(baseTime, "b", 0, 40_000)
 	})
 
 	It("pulls what a peer caches when that is sooner than reading it", func() {
-		decision := f.choose(late, longPrompt(9))
+		decision := f.choose(baseTime, longPrompt(9))
 		Expect(decision.Address).To(Equal("a"))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "b"), HaveField("Tokens", uint32(8000)))))
 		// 5 ms and 8,000 tokens of 20 kB at 400 Gbit/s.
 		Expect(decision.Pull.EstimatedTime).To(BeNumerically("~", 8200*time.Microsecond, 10*time.Microsecond))
-		Expect(f.router.Load(late, "a").PrefillBlocks).To(BeNumerically("~", 1000.0/blockTokens))
+		Expect(f.router.Load(baseTime, "a").PrefillBlocks).To(BeNumerically("~", 1000.0/blockTokens))
 	})
 
 	It("takes twice as long between zones, and ten times between regions", func() {
 		f.candidates[1].Zone = "other"
-		Expect(f.choose(late, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 11400*time.Microsecond, 10*time.Microsecond))
+		Expect(f.choose(baseTime, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 11400*time.Microsecond, 10*time.Microsecond))
 		f.candidates[1].Region = "other"
 		g := newEngineFleet("a", "b")
 		g.candidates = f.candidates
 		g.caches("b", 8)
-		g.hasBacklog(late, "b", 0, 40_000)
-		Expect(g.choose(late, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 37*time.Millisecond, 10*time.Microsecond))
+		g.hasBacklog(baseTime, "b", 0, 40_000)
+		Expect(g.choose(baseTime, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 37*time.Millisecond, 10*time.Microsecond))
 	})
 
 	It("waits for earlier transfers of either end, and starts none that would wait long", func() {
@@ -233,9 +233,9 @@
 		f.engine.PrefillTokensPerMillisecond = 1
 		f.engine.Slots = 0
 		f.candidates = f.candidates[:]
-		first := f.choose(late, longPrompt(9))
+		first := f.choose(baseTime, longPrompt(9))
 		Expect(first.Pull.EstimatedTime).To(BeNumerically("~", 165*time.Millisecond, time.Millisecond))
-		second := f.choose(late, longPrompt(9)[:8])
+		second := f.choose(baseTime, longPrompt(9)[:8])
 		if second.Pull != nil {
 			Expect(second.Pull.EstimatedTime).To(BeNumerically(">", 165*time.Millisecond))
 		}
@@ -246,19 +246,19 @@
 			now      time.Duration
 			sequence uint64
 		)
-		// drops has a replica report that it caches none of the prompt any more.
-		drops := func(address string) {
+		// reportEvicted has a replica report that it caches none of the prompt any more.
+		reportEvicted := func(address string) {
 			var changes []cachefeed.ChunkChange
 			for chunk := range 9 {
 				changes = append(changes, cachedChange(sequence+1, chunk, 0))
 			}
-			f.router.ChunksReported(now, address, cachefeed.Position{Incarnation: epoch, From: sequence, Next: sequence + 1}, changes)
+			f.router.ChunksReported(now, address, cachefeed.Position{Incarnation: chunkIncarnation, From: sequence, Next: sequence + 1}, changes)
 			sequence++
 		}
-		// pulls has the prompt begin some time after it is sent, and reports whether it
+		// runRequest has the prompt begin some time after it is sent, and reports whether it
 		// pulled.
-		pulls := func(after time.Duration) bool {
-			drops("a")
+		runRequest := func(after time.Duration) bool {
+			reportEvicted("a")
 			f.hasBacklog(now, "b", 0, 40_000)
 			decision := f.choose(now, longPrompt(9))
 			Expect(decision.Address).To(Equal("a"))
@@ -268,20 +268,20 @@
 			decision.Reservation.Finish(now, true)
 			return decision.Pull != nil
 		}
-		BeforeEach(func() { now, sequence = late, 0 })
+		BeforeEach(func() { now, sequence = baseTime, 0 })
 
 		It("notices that by two late pulls in a row, and tries it again later", func() {
-			Expect(pulls(3 * time.Second)).To(BeTrue())
-			Expect(pulls(3*time.Second)).To(BeTrue(), "a single one may have been late for another reason")
-			Expect(pulls(time.Second)).To(BeFalse())
+			Expect(runRequest(3 * time.Second)).To(BeTrue())
+			Expect(runRequest(3*time.Second)).To(BeTrue(), "a single one may have been late for another reason")
+			Expect(runRequest(time.Second)).To(BeFalse())
 			now += time.Minute
-			Expect(pulls(time.Second)).To(BeTrue())
+			Expect(runRequest(time.Second)).To(BeTrue())
 		})
 
 		It("does not attribute late pulls to it with others in time between them", func() {
 			for range 4 {
-				Expect(pulls(3 * time.Second)).To(BeTrue())
-				Expect(pulls(20 * time.Millisecond)).To(BeTrue())
+				Expect(runRequest(3 * time.Second)).To(BeTrue())
+				Expect(runRequest(20 * time.Millisecond)).To(BeTrue())
 			}
 		})
 	})
@@ -289,30 +289,30 @@
 	It("saves shared chunks that the store lacks, once", func() {
 		g := newEngineFleet("a")
 		g.engine.StoreTokens, g.engine.Slots, g.engine.MemoryTokens = 1_000_000, 0, 0
-		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
-		Expect(g.choose(late, otherPrompt("own", 5000)).Save).To(BeFalse())
-		first := g.choose(late, longPrompt(3))
+		g.modifyRequest = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
+		Expect(g.choose(baseTime, otherPrompt("own", 5000)).Save).To(BeFalse())
+		first := g.choose(baseTime, longPrompt(3))
 		Expect(first.Save).To(BeTrue())
 		other := append(longPrompt(2), prefixindex.Chunk{ID: "other", Tokens: 500})
-		Expect(g.choose(late, other).Save).To(BeFalse())
-		first.Reservation.FirstToken(late)
-		Expect(g.choose(late+15*time.Second, other).Save).To(BeTrue(), "its last chunk came before")
-		g.router.ChunksReported(late, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		Expect(g.choose(baseTime, other).Save).To(BeFalse())
+		first.Reservation.FirstToken(baseTime)
+		Expect(g.choose(baseTime+15*time.Second, other).Save).To(BeTrue(), "its last chunk came before")
+		g.router.ChunksReported(baseTime, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		again := append(longPrompt(2), prefixindex.Chunk{ID: "third", Tokens: 500})
-		Expect(g.choose(late+time.Hour, again).Save).To(BeFalse())
-		g.router.ChunksReported(late+time.Hour, "store", cachefeed.Position{Incarnation: epoch + 1, Next: 0}, nil)
+		Expect(g.choose(baseTime+time.Hour, again).Save).To(BeFalse())
+		g.router.ChunksReported(baseTime+time.Hour, "store", cachefeed.Position{Incarnation: chunkIncarnation + 1, Next: 0}, nil)
 		fourth := append(longPrompt(2), prefixindex.Chunk{ID: "fourth", Tokens: 500})
-		Expect(g.choose(late+time.Hour, fourth).Save).To(BeTrue(), "the store came back empty")
+		Expect(g.choose(baseTime+time.Hour, fourth).Save).To(BeTrue(), "the store came back empty")
 		g.engine.StoreTokens = 10_000
-		Expect(g.choose(late+time.Hour, longPrompt(5)).Save).To(BeFalse(), "it would fill the store")
+		Expect(g.choose(baseTime+time.Hour, longPrompt(5)).Save).To(BeFalse(), "it would fill the store")
 	})
 
 	It("pulls from the store what no replica caches", func() {
 		g := newEngineFleet("a")
-		g.change = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
+		g.modifyRequest = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		g.engine.StoreLinkBitsPerSecond = 40e9
-		g.router.ChunksReported(late, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
-		decision := g.choose(late, longPrompt(3))
+		g.router.ChunksReported(baseTime, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
+		decision := g.choose(baseTime, longPrompt(3))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "store"), HaveField("Tokens", uint32(2000)))))
 		Expect(decision.Pull.EstimatedTime).To(BeNumerically("~", 13*time.Millisecond, 10*time.Microsecond))
 	})
