--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -27,8 +27,8 @@
 	return &s.scored[chooseScored(req, s.scored, s.scored[0].prompt.identity())], nil
 }
 
-// score adds the candidates that may take the request to the scratch memory, and
-// returns how many the request doesn't exclude.
+// score appends the candidates that may take the request to s.scored, and returns the number
+// of candidates that the request does not exclude.
 func (m *blockModel) score(s *scratch, req *Request, candidates []Candidate) (allowed int) {
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -54,8 +54,8 @@
 	return active.PrefillBlocks+active.DecodeBlocks >= req.Settings.BusyThresholdBlocks
 }
 
-// atSlowStartLimit reports whether a replica has as many reservations as its slow
-// start allows.
+// atSlowStartLimit reports whether a replica has reached the limit of reservations of its
+// slow start.
 func (m *blockModel) atSlowStartLimit(req *Request, state *replicaState) bool {
 	return state.load.Local().Requests >= float64(state.slowStart.limit(req.Now, m.options))
 }
@@ -84,8 +84,8 @@
 	return scored
 }
 
-// credit returns the blocks that the replica need not compute, each weighted by
-// how certain and how near it is.
+// credit returns the number of blocks that the replica need not compute, each weighted by
+// whether it is certainly cached, and by whether the replica caches it or pulls it.
 func (m *blockModel) credit(settings *Settings, scored *scoredCandidate) float64 {
 	certain := m.options.tokensToBlocks(scored.overlap.Reported.Tokens)
 	uncertain := m.options.tokensToBlocks(scored.overlap.Likely.Tokens) - certain
@@ -110,9 +110,9 @@
 	activeRequests float64
 }
 
-// blockCost estimates, in blocks, what it costs the fleet to run a request on a
-// replica: the prompt work that is left after the credit for cached chunks, the
-// memory that active requests occupy, and a flat cost per active request.
+// blockCost returns the cost of a request on a replica, in blocks: the prefill that remains
+// after the credit for cached chunks, the memory that the active requests and this one
+// occupy, and a fixed cost per active request.
 func blockCost(settings *Settings, inputs blockCostInputs) float64 {
 	prefill := max(0, inputs.activePrefill+inputs.incomingPrompt-inputs.overlapCredit)
 	potentialDecode := inputs.activeDecode + inputs.incomingDecode
@@ -121,8 +121,8 @@
 		settings.RequestWeight*inputs.activeRequests
 }
 
-// retryAfter estimates when the first of the candidates has computed the prompts that are
-// queued there.
+// retryAfter estimates the shortest time in which one of the candidates computes all prompts
+// that are queued on it, within minRetryAfter and maxRetryAfter.
 func (m *blockModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
 	shortest := maxRetryAfter
 	for i := range candidates {
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// endPrefill updates the replica's prefill speed by the time to the first token, or the
-// bandwidth of the link when some of that time was spent on a pull.
+// endPrefill updates the replica's prefill speed from the time to the first token. If part of
+// that time was spent on a pull, it updates the bandwidth of the link instead.
 func (m *blockModel) endPrefill(r *Reservation, now time.Duration) {
 	took := now - r.startedAt
 	computed := r.backlogTokens + r.computeTokens
@@ -166,5 +166,6 @@
 	m.bandwidths.ObserveTransfer(now, r.pull.zones, bytes, r.pull.sharedWith, pulling)
 }
 
-// abandonPrefill does nothing: the prefill of a reservation ends with its load.
+// abandonPrefill does nothing: the block cost model keeps no prefill state beside the
+// reservation's load, which the caller releases.
 func (m *blockModel) abandonPrefill(*Reservation, time.Duration) {}
--- a/pkg/kvrouter/block_pull.go
+++ b/pkg/kvrouter/block_pull.go
@@ -7,8 +7,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// gatherSources finds the owners that replicas may pull each prompt from: the
-// candidates on the same weight version, and the store.
+// gatherSources collects, for each weight version, the owners that chunks of the prompt may be
+// pulled from: the candidates with this version, and the store.
 func (m *blockModel) gatherSources(s *scratch, req *Request, candidates []Candidate) {
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -25,9 +25,9 @@
 	}
 }
 
-// addSource adds an owner that certainly caches the beginning of the prompt and
-// has capacity to serve it. Only chunks that it reported count: a guess would let
-// the replica ask in vain.
+// addSource adds an owner that certainly caches the beginning of the prompt and has capacity
+// to serve a pull. Only chunks that the owner reported count: a pull of a predicted chunk may
+// find nothing.
 func (m *blockModel) addSource(req *Request, p *prompt, address, zone string, isStore bool) {
 	state := m.replicas.state(req.Now, address)
 	extent := p.overlaps.Of(state.owner).Reported
@@ -43,9 +43,8 @@
 	p.sources = append(p.sources, pullSource{state: state, zone: zone, extent: extent, isStore: isStore})
 }
 
-// planPull finds the pull that saves a replica the most time; planned is false
-// when prefill is about as fast as any. The pull begins where the replica's own
-// overlap ends.
+// planPull finds the pull that saves the replica the most time. The pull begins where the
+// replica's own overlap ends. Planned is false if no pull is clearly faster than prefill.
 func (m *blockModel) planPull(req *Request, p *prompt, state *replicaState, zone string, cached prefixindex.Extent) (best plannedPull, planned bool) {
 	for i := range p.sources {
 		source := &p.sources[i]
@@ -60,8 +59,8 @@
 	return best, best.saved > 0
 }
 
-// estimatePull compares a pull with prefill. Its saved time is 0 or less when
-// the pull is not clearly faster.
+// estimatePull compares a pull with the prefill of the same tokens. The saved time is 0 or
+// less if the pull is not clearly faster.
 func (m *blockModel) estimatePull(req *Request, source *pullSource, state *replicaState, zone string, cached prefixindex.Extent) plannedPull {
 	planned := plannedPull{
 		source:     *source,
@@ -84,10 +83,9 @@
 	return planned
 }
 
-// credit returns the credit per block of a pull: that of the settings, but no
-// more than the fraction of prefill that the pull saves. Over a slow link a pull
-// saves little, and a replica must not win by it against one that caches the
-// chunks itself.
+// credit returns the credit per pulled block: the credit in the settings, but at most the
+// fraction of prefill time that the pull saves. A pull over a slow link saves little, and must
+// not make its replica cheaper than one that caches the chunks itself.
 func (p *plannedPull) credit(settings *Settings) float64 {
 	if p.source.isStore {
 		return min(settings.StoreCredit, p.savedFraction)
--- a/pkg/kvrouter/doc.go
+++ b/pkg/kvrouter/doc.go
@@ -1,12 +1,13 @@
-// Package kvrouter chooses the replica that a request runs on, by what the
-// replicas already cache of its prompt and by how loaded they are, and plans what
-// the replica pulls from a peer or the store instead of computing it.
+// Package kvrouter selects the replica that runs a request, by how much of the prompt's
+// KV state each replica already caches and by the replicas' load. It also plans the
+// chunks that the replica pulls from a peer or from the store instead of computing them.
 //
 // # Structure
 //
-// Router is the only entry. Each part of it owns its state:
+// Router is the entry point of the package. An owner is a replica or store that caches
+// chunks of prompts. The state is divided as follows:
 //
-//	state                                          owner
+//	state                                          held by
 //	chunks that each owner caches, is predicted    prefixindex.Index
 //	to cache, or will cache soon (pending)
 //	sequence and incarnation of an owner's         cachefeed.Feed
@@ -18,43 +19,44 @@
 //	replicas and stores by address, their          registry, with a replicaState each
 //	handles in the index (prefixindex.Owner)
 //	pulls in progress from an owner                replicaState
-//	when slow start began                          slowStart
-//	prompts that came lately                       recentHashes
+//	start of the slow start                        slowStart
+//	recently requested prompts                     recentHashes
 //	load of one attempt                            Reservation
 //	memory of one selection                        scratch
 //
-// A costModel scores the candidates, plans pulls, and learns from first tokens. There
-// are two: blockModel counts blocks of tokens; timeModel, for pools with an
-// EngineProfile, estimates the replicas' own time, and plans waits for a prefix and
-// saves to the store as well. They, their pulls (block_pull.go, time_pull.go) and
-// Reservation stay in this package: all of them work on Request, Candidate and
-// replicaState within one selection, under one lock, so that packages of their own
-// would export these for each other and nobody else.
+// A costModel scores the candidates, plans pulls, and updates its speed estimates at first
+// tokens. There are two implementations: blockModel counts blocks of tokens; timeModel, for
+// pools with an EngineProfile, estimates times at the replicas, and also plans waits for a
+// prefix and saves to the store. The cost models, their pull planning (block_pull.go,
+// time_pull.go) and Reservation are in one package because all of them work on Request,
+// Candidate and replicaState within one selection, under one lock: separate packages would
+// have to export these types only for each other.
 //
 // # A selection
 //
-// Router.Select (select.go) looks up the overlaps of the prompt with what each owner
-// caches, under each weight version of the candidates, without the router's lock
-// (prompt.go). Under the lock, the cost model of the request
+// Router.Select (select.go) first hashes the prompt under each weight version of the
+// candidates and looks up how much of it each owner caches. This needs no lock of the
+// router (prompt.go). Then, under the router's lock, the cost model of the request
 //
-//  1. gathers the owners that chunks may be pulled from (gatherSources),
-//  2. scores each candidate, with the pull and the wait that would be best for it
+//  1. collects the owners that chunks may be pulled from (gatherSources),
+//  2. scores each candidate with the best pull and wait for it
 //     (score, scoreOne, planPull, planWait),
-//  3. takes the one with the lowest cost (ranking.go),
-//  4. reserves its load (reserve).
+//  3. takes the candidate with the lowest cost (ranking.go),
+//  4. reserves the request's load on it (reserve).
 //
 // FirstToken and Finish of the Reservation (reservation.go) release the load. At the first
-// token the cost model learns from the time it took (endPrefill), and the replica is
-// predicted to cache the prompt until its report comes (reports.go).
+// token the cost model updates its speed estimates from the elapsed time (endPrefill), and
+// the router predicts that the replica caches the prompt until the replica's own report
+// arrives (reports.go).
 //
 // # Concurrency
 //
 // All methods of Router, Reservation and PrefixWait may be called concurrently.
-// Router states which lock guards what.
+// The comment of Router states which lock guards which state.
 //
-// The package reads no clock, starts no goroutine and does no I/O. Time comes in as
-// the time elapsed on a clock that counts suspended time.
+// The package reads no clock, starts no goroutine and does no I/O. Callers pass the current
+// time as the time elapsed on a clock that also runs while the machine is suspended.
 //
-// The method is that of "Dynamo's KV Router"; docs/KV_ROUTING.md says what is kept
-// of it, what differs, and why.
+// The method follows "Dynamo's KV Router"; docs/KV_ROUTING.md states what was adopted,
+// what differs, and why.
 package kvrouter
--- a/pkg/kvrouter/engine.go
+++ b/pkg/kvrouter/engine.go
@@ -15,34 +15,34 @@
 	DefaultPrefillChunk                = 2048
 )
 
-// EngineProfile says how the replicas of a pool run requests. With one, the
-// router estimates costs in the replicas' own time and learns how long they take;
-// without one it counts blocks only. Zero values of the times and rates mean the
-// defaults, which are used until better values are learned.
+// EngineProfile describes the inference engine of a pool's replicas. With a profile, the
+// router estimates costs as time at the replica and learns the replicas' speed from
+// observed requests; without one it counts blocks only. Zero fields stand for the defaults,
+// except Slots, MemoryTokens and StoreTokens, where 0 means no limit.
 type EngineProfile struct {
-	// Slots is how many requests a replica runs at once; 0 means no bound.
+	// Slots is the number of requests that a replica runs at once.
 	Slots int
-	// MemoryTokens is how many tokens fit into a replica's memory; 0 means no
-	// bound.
+	// MemoryTokens is the number of tokens that fit into a replica's memory.
 	MemoryTokens float64
-	// BytesPerToken is the size of the cached state of one token.
+	// BytesPerToken is the size of the KV state of one token.
 	BytesPerToken float64
 	// LinkBitsPerSecond is the rate of a replica's link for transfers of cached chunks.
 	LinkBitsPerSecond float64
-	// StoreLinkBitsPerSecond is that of the store.
+	// StoreLinkBitsPerSecond is the rate of the store's link.
 	StoreLinkBitsPerSecond float64
-	// StoreTokens is how many tokens fit into the store.
+	// StoreTokens is the capacity of the store, in tokens.
 	StoreTokens float64
-	// PrefillTokensPerMillisecond is assumed until the pool's speed is learned.
+	// PrefillTokensPerMillisecond is the assumed prefill speed until the pool's speed is
+	// learned.
 	PrefillTokensPerMillisecond float64
-	// FirstEvent is the time from the end of prefill to the first event, assumed until
-	// it is learned.
+	// FirstEvent is the assumed time from the end of prefill to the first event, until it
+	// is learned.
 	FirstEvent time.Duration
-	// PullSetup is added to the time of each transfer.
+	// PullSetup is a fixed time that is added to each transfer.
 	PullSetup time.Duration
-	// StepPerRequest is how much longer each step takes for each running request.
+	// StepPerRequest is the time that each running request adds to an engine step.
 	StepPerRequest time.Duration
-	// PrefillChunk is how many tokens of prompts are computed in one step.
+	// PrefillChunk is the number of prompt tokens that are computed in one engine step.
 	PrefillChunk float64
 }
 
--- a/pkg/kvrouter/errors.go
+++ b/pkg/kvrouter/errors.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Reason is why no replica was chosen.
+// Reason states why no replica was selected.
 type Reason string
 
 // The reasons of a NoReplicaError.
 const (
-	// NoCandidates means that there were no candidates at all.
+	// NoCandidates means that the list of candidates was empty.
 	NoCandidates Reason = "none_listed"
-	// AllExcluded means that the request must not go to any candidate.
+	// AllExcluded means that Request.Exclude excluded every candidate.
 	AllExcluded Reason = "all_excluded"
-	// AllBusy means that the allowed candidates are over the busy threshold, at the
-	// limit of their slow start, or full for longer than the request may wait.
+	// AllBusy means that each candidate that was not excluded has reached the busy
+	// threshold or the limit of its slow start, or is full for longer than the request may
+	// wait.
 	AllBusy Reason = "all_busy"
 )
 
-// NoReplicaError is returned when no replica can take a request.
+// NoReplicaError is returned by Router.Select if no replica can take the request.
 type NoReplicaError struct {
 	Reason Reason
-	// RetryAfter is when a new attempt may succeed.
+	// RetryAfter is the time after which a new attempt may succeed.
 	RetryAfter time.Duration
 }
 
-// Error returns the cause and what to do about it.
+// Error returns the reason and the remedy.
 func (e *NoReplicaError) Error() string {
 	switch e.Reason {
 	case AllExcluded:
--- a/pkg/kvrouter/load.go
+++ b/pkg/kvrouter/load.go
@@ -8,7 +8,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/replicaload"
 )
 
-// Load is a load of a replica in blocks, the unit of cost. replicaload.Load is the same in
+// Load is the load of a replica in blocks, the unit of cost. replicaload.Load is the same in
 // tokens.
 type Load struct {
 	PrefillBlocks  float64
@@ -16,16 +16,16 @@
 	ActiveRequests float64
 }
 
-// AddressLoad is the load of this router's requests on the replica at an address, for the
-// other routers.
+// AddressLoad is the load of one router's requests on the replica at an address, as it is sent
+// to other routers.
 type AddressLoad struct {
 	Address string
 	replicaload.SharedLoad
 }
 
-// Report records what a replica reported of its load, and detects by it that the
-// replica has restarted or changed its weights. Reports that are older than an
-// earlier one are ignored.
+// Report records a load report of a replica. It detects from the report whether the replica
+// has restarted or changed its weight version. A report that describes an earlier state than
+// a previous report is ignored.
 func (r *Router) Report(now time.Duration, address string, report Report) {
 	state := r.state(now, address)
 	describesAt := now - report.Age
@@ -55,7 +55,7 @@
 	}
 }
 
-// totalLoad returns the load that a report states.
+// totalLoad returns the replica's whole load according to a report.
 func (report *Report) totalLoad() replicaload.Load {
 	if report.MemoryTotal > 0 {
 		return replicaload.Load{
@@ -70,15 +70,15 @@
 	}
 }
 
-// isNewestReport reports whether no report of a later instant has come yet.
+// isNewestReport reports whether no report that describes a later instant has been recorded.
 func (r *Router) isNewestReport(state *replicaState, describesAt time.Duration) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return state.load.IsNewestReport(describesAt)
 }
 
-// Load returns the load that the router assumes of a replica by its own requests and the
-// replica's reports. What other routers sent is not in it.
+// Load returns the load of a replica that the router estimates from its own requests and the
+// replica's reports. It does not include the loads received by SetRemoteLoad.
 func (r *Router) Load(now time.Duration, address string) Load {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,9 +89,9 @@
 	return r.options.blocks(state.load.Reported(now))
 }
 
-// ActiveRequests returns how many requests the router assumes that a replica
-// works on: its own, and those that other routers sent or the replica reported,
-// whichever is more.
+// ActiveRequests estimates how many requests are active on a replica: this router's own, plus
+// the larger of the number that other routers announced by SetRemoteLoad and the number that
+// the replica reported in excess of this router's.
 func (r *Router) ActiveRequests(now time.Duration, address string) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -102,8 +102,8 @@
 	return state.load.Active(now).Requests
 }
 
-// SetRemoteLoad records the load that another router has on a replica. It counts
-// until the next one of that router, or for a second.
+// SetRemoteLoad records the load that another router has on a replica. The load is valid until
+// that router's next one, or for about a second.
 func (r *Router) SetRemoteLoad(now time.Duration, router, address string, received replicaload.SharedLoad) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -113,9 +113,9 @@
 	state.load.SetShared(now, router, received)
 }
 
-// LocalLoads returns, in the order of the addresses, the load of this router's
-// reservations on each replica that has some, and once more on each that had some
-// at the last call. It is to be passed to SetRemoteLoad of the other routers.
+// LocalLoads returns the load of this router's reservations, sorted by address, for
+// SetRemoteLoad of the other routers. It contains each replica that has load, and each one that
+// had load at the last call, so that the other routers learn that the load is gone.
 func (r *Router) LocalLoads(now time.Duration) []AddressLoad {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/pkg/kvrouter/mechanisms.go
+++ b/pkg/kvrouter/mechanisms.go
@@ -1,20 +1,21 @@
 package kvrouter
 
-// Mechanisms are parts of the choice that pools with an engine profile can do
-// without. Options.Disabled disables them, to measure what each contributes;
-// nodes disable none.
+// Mechanisms are the parts of the time cost model that Options.Disabled can disable, to
+// measure what each of them contributes. Production nodes disable none.
 type Mechanisms struct {
-	// Overlap counts what replicas cache of a prompt.
+	// Overlap credits a replica for the part of the prompt that it caches.
 	Overlap bool
-	// PendingChunks assume that a replica caches a prompt as soon as it was sent
-	// there, by this router or by another one.
+	// PendingChunks assumes that a replica will cache a prompt as soon as this router or
+	// another one has sent the prompt there. Disabling it also makes ObserveDispatch do
+	// nothing, with either cost model.
 	PendingChunks bool
-	// LearnedSpeeds follow the speeds of pools, replicas and links.
+	// LearnedSpeeds updates the assumed speeds of pools, replicas and links by observation.
 	LearnedSpeeds bool
-	// PrefixWaits hold requests back for earlier ones with the same beginning.
+	// PrefixWaits delays a request while its replica computes the same prefix for an earlier
+	// request.
 	PrefixWaits bool
 	// PeerPulls and StorePulls transfer chunks from other replicas and from the store.
 	PeerPulls, StorePulls bool
-	// SaveToStore saves chunks to the store.
+	// SaveToStore makes replicas save chunks to the store.
 	SaveToStore bool
 }
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -31,70 +31,72 @@
 	DefaultReportUseless          = 10 * time.Second
 )
 
-// Options configure a Router. Zero values mean the defaults.
+// Options configure a Router. Zero values stand for the defaults.
 type Options struct {
 	// Index configures the prefix index.
 	Index prefixindex.Options
 	// BlockTokens is the size of a block, the unit of load and cost.
 	BlockTokens uint32
-	// GuessCredit multiplies the credit of chunks that are predicted, or that a
-	// replica reported before some of its reports were lost.
+	// GuessCredit multiplies the credit of chunks that are only probably cached: those that
+	// are predicted, or that a replica reported before some of its reports were lost.
 	GuessCredit float64
-	// ReportLag is how late reports of a replica may be: events that a load report
-	// states are lost, and an incarnation has ended, when nothing came for so long.
+	// ReportLag is the longest delay of a replica's reports. An event whose number a load
+	// report stated is lost if it has not arrived within ReportLag, and an incarnation from
+	// which no report has come for ReportLag may be replaced by one with a lower number.
 	ReportLag time.Duration
-	// PredictionLag is how long a chunk counts as predicted on a replica that does
-	// report, from the first token until its report should have come. The default
-	// is ReportLag; a negative one disables these predictions.
+	// PredictionLag is how long a chunk counts as predicted on a replica that reports what
+	// it caches, from the first token until the replica's report should have arrived. The
+	// default is ReportLag; a negative value disables these predictions.
 	PredictionLag time.Duration
-	// ByIDPredictionLag is PredictionLag for replicas that report chunks by ID. It
-	// may be longer than their reports take, since a report that the chunk was
-	// evicted ends the prediction.
+	// ByIDPredictionLag is PredictionLag for replicas that report chunks by ID. It may
+	// exceed the delay of their reports, since a report that the chunk was evicted ends the
+	// prediction.
 	ByIDPredictionLag time.Duration
-	// Disabled are the mechanisms that are disabled.
+	// Disabled selects the mechanisms that are disabled.
 	Disabled Mechanisms
-	// Name distinguishes this router from others that send to the same replicas, so that
-	// each has preferences of its own, see Settings.SpreadTime.
+	// Name distinguishes this router from others that send to the same replicas. It enters
+	// the pseudo-random part of the cost, see Settings.SpreadTime.
 	Name string
-	// UncertainTTL is how long chunks count as predicted that were reported before
-	// some reports were lost.
+	// UncertainTTL is how long chunks by ID count as predicted after a loss of reports, if
+	// they were reported before the loss.
 	UncertainTTL time.Duration
-	// BytesPerToken is the size of the cached state of one token. The default is
-	// that of a model with 80 layers of 8 key-value heads of 128 in 16 bits.
+	// BytesPerToken is the size of the KV state of one token. The default is that of a model
+	// with 80 layers of 8 key-value heads of dimension 128 in 16 bits.
 	BytesPerToken float64
-	// LinkBytesPerSecond is assumed of links without a measurement.
+	// LinkBytesPerSecond is the assumed bandwidth of links without a measurement.
 	LinkBytesPerSecond float64
-	// LinkLatency is added to the time of each pull.
+	// LinkLatency is a fixed time that is added to each pull.
 	LinkLatency time.Duration
-	// CrossZoneFactor multiplies the time of pulls between zones, so that
-	// they are planned only where they save much. At least 1.
+	// CrossZoneFactor multiplies the estimated time of pulls between zones, so that such
+	// pulls are planned only if they save much. It is at least 1.
 	CrossZoneFactor float64
-	// PullAdvantage is how many times faster than prefill a pull must be.
+	// PullAdvantage is how many times faster than prefill a pull must be to be planned.
 	PullAdvantage float64
-	// MaxPullsPerSource bounds the pulls in progress from one source that this
-	// router planned.
+	// MaxPullsPerSource limits the pulls in progress from one source that this router
+	// planned. The block cost model uses it.
 	MaxPullsPerSource int
-	// PrefillTokensPerSecond is assumed of replicas until their speed is learned.
+	// PrefillTokensPerSecond is the assumed prefill speed of replicas until it is learned.
 	PrefillTokensPerSecond float64
-	// ReorderWindow is how many events or batches of a replica are buffered for a
-	// missing one.
+	// ReorderWindow is how many events or batches of a replica are buffered while an earlier
+	// one is missing.
 	ReorderWindow int
-	// ReorderWait is how long they are buffered.
+	// ReorderWait is how long events or batches are buffered while an earlier one is missing.
 	ReorderWait time.Duration
-	// The slow start below is that of the block cost model. For the time cost model the
-	// caller bounds it, by Candidate.SlowStartUntil and Request.SlowStartAllowed.
+
+	// The slow start fields below configure the block cost model. With the time cost model,
+	// the caller limits slow start by Candidate.SlowStartUntil and Request.SlowStartAllowed.
 
 	// SlowStartDuration is how long slow start lasts.
 	SlowStartDuration time.Duration
-	// SlowStartInitial is how many reservations a replica takes at the start of it.
+	// SlowStartInitial is the limit of reservations of a replica when slow start begins.
 	SlowStartInitial int
-	// SlowStartPerSecond is how many more it takes with each second.
+	// SlowStartPerSecond is how much the limit rises per second.
 	SlowStartPerSecond float64
 
-	// ReportFresh is the age up to which a load report counts in full.
+	// ReportFresh is the age up to which a load report has full weight.
 	ReportFresh time.Duration
-	// ReportUseless is the age from which on it does not count. In between its weight
-	// falls in proportion.
+	// ReportUseless is the age from which a load report has no weight. Between ReportFresh
+	// and ReportUseless the weight falls linearly.
 	ReportUseless time.Duration
 }
 
@@ -147,7 +149,7 @@
 	return float64(tokens) / float64(o.BlockTokens)
 }
 
-// setDefault replaces the zero value of an option.
+// setDefault sets an option to value if it is zero.
 func setDefault[T comparable](option *T, value T) {
 	var zero T
 	if *option == zero {
--- a/pkg/kvrouter/prefix_wait.go
+++ b/pkg/kvrouter/prefix_wait.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// minWaitTokens is the smallest beginning of a prompt, in tokens, that a request
-	// waits for.
+	// minWaitTokens is the smallest number of pending prefix tokens, beyond those that the
+	// replica caches already, that a request waits for.
 	minWaitTokens = 256
-	// waitTokenTolerance is how many of these tokens a replica may lack at the end of
-	// the wait, as it caches whole blocks.
+	// waitTokenTolerance is how many tokens of the prefix may be missing at the end of the
+	// wait, since the replica caches whole blocks only.
 	waitTokenTolerance = 64
-	// waitFactor and waitMargin bound a wait: it ends at so many times the expected
-	// time, and a margin.
+	// A wait ends at the latest after waitFactor times its expected time plus waitMargin.
 	waitFactor = 1.5
 	waitMargin = 100 * time.Millisecond
-	// maxWait bounds it in any case: a request that is held back is not in the replica's
-	// queue yet, and later ones get ahead of it.
+	// maxWait is the upper bound of every wait: a request that is held back is not in the
+	// replica's queue yet, so that later requests overtake it.
 	maxWait = 2 * time.Second
 )
 
-// PrefixWait is a wait for the beginning of a prompt, which a replica computes for
-// an earlier request. A replica looks up what it caches when a request arrives:
-// sent before the earlier one has its first event, the request would compute the
-// beginning once more, and take longer than if it is held back until then. Its
-// methods are safe for concurrent use.
+// PrefixWait is a wait until a replica has computed, for an earlier request, a prefix that
+// the prompts share. A replica looks up its cache when a request arrives. A request that is
+// sent before the earlier one has its first event computes the shared prefix once more, which
+// takes longer than holding the request back until that event. The methods of PrefixWait are
+// safe for concurrent use.
 type PrefixWait struct {
 	index, pending *prefixindex.Index
 	feed           *cachefeed.Feed
 	owner          prefixindex.Owner
 	links          []prefixindex.Link
-	// tokens is the length of the beginning that is waited for.
+	// tokens is the length of the prefix.
 	tokens   uint32
 	deadline time.Duration
 }
 
-// Deadline returns when to send the request in any case, on the router's clock.
+// Deadline returns the time on the router's clock at which the request is to be sent even if
+// the prefix is not cached.
 func (w *PrefixWait) Deadline() time.Duration { return w.deadline }
 
-// Changed returns a channel that is closed when what the replica caches changes
-// after the call.
+// Changed returns a channel that is closed at the next change of the replica's recorded cache
+// contents.
 func (w *PrefixWait) Changed() <-chan struct{} { return w.feed.NextChange() }
 
-// Done reports whether the request is to be sent: the replica caches the beginning,
-// or no request makes it compute that any more, or the deadline has come.
+// Done reports whether the request is to be sent: the replica caches the prefix, no pending
+// request computes the prefix any more, or the deadline has passed.
 func (w *PrefixWait) Done(now time.Duration) bool {
 	if now >= w.deadline {
 		return true
@@ -61,15 +61,17 @@
 	return pending.Of(w.owner).Likely.Tokens < w.tokens
 }
 
-// plannedWait is what a replica would cache of a prompt after a wait.
+// plannedWait is the expected result of a wait at a replica.
 type plannedWait struct {
+	// extent is the part of the prompt that the replica will cache after the wait.
 	extent prefixindex.Extent
-	// backlog are the prompt tokens that the replica computes until then, at most.
+	// backlog is the largest number of prompt tokens that the replica computes before the
+	// wait ends.
 	backlog float64
 }
 
-// planWait reports whether the request had better wait until the replica has
-// computed the beginning of its prompt for an earlier one.
+// planWait reports whether it is faster to hold the request back until the replica has
+// computed the beginning of its prompt for an earlier request.
 func (m *timeModel) planWait(p *prompt, state *replicaState, cached prefixindex.Extent, queuedTokens float64) (planned plannedWait, beneficial bool) {
 	if m.options.Disabled.PrefixWaits {
 		return plannedWait{}, false
@@ -83,7 +85,7 @@
 	return planned, planned.backlog < queuedTokens+saved
 }
 
-// prefixWait returns the wait of the chosen candidate, or nil.
+// prefixWait returns the wait of the chosen candidate, or nil if there is none.
 func (m *timeModel) prefixWait(req *Request, chosen *scoredCandidate) *PrefixWait {
 	if !chosen.waits {
 		return nil
--- a/pkg/kvrouter/prompt.go
+++ b/pkg/kvrouter/prompt.go
@@ -2,23 +2,23 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 
-// prompt is a request's prompt under one weight version, with what the owners cache
-// of it. Each weight version has hashes of its own, because the cache salt contains
-// the version; so nothing cached under one version is ever found for a replica on
+// prompt is a request's prompt under one weight version, with the overlaps that the owners
+// cache. The hashes differ between weight versions because the cache salt contains the
+// version; chunks cached under one version are therefore never found for a replica that runs
 // another.
 type prompt struct {
 	version  string
 	salt     string
 	links    []prefixindex.Link
 	overlaps prefixindex.Overlaps
-	// pending is what owners will cache when the requests before have their first
-	// events. Chunks of which these have come may still be in it.
+	// pending is what owners will cache when earlier requests have their first events. It
+	// may still contain chunks of requests that already had theirs.
 	pending prefixindex.Overlaps
 	sources []pullSource
 }
 
-// lookUp hashes the request's chunks under each weight version of the candidates,
-// and looks up the owners that cache them.
+// lookUp hashes the request's chunks under each weight version of the candidates and looks up
+// the owners that cache them.
 func (r *Router) lookUp(s *scratch, req *Request, candidates []Candidate) {
 	for i := range candidates {
 		version := candidates[i].WeightVersion
@@ -41,7 +41,8 @@
 	}
 }
 
-// identity identifies the prompt, to spread ties.
+// identity returns the hash of the last chunk, which spreads ties over the replicas. With
+// Chained naming it covers the whole prompt.
 func (p *prompt) identity() prefixindex.ChainHash {
 	if len(p.links) == 0 {
 		return 0
@@ -49,8 +50,8 @@
 	return p.links[len(p.links)-1].Hash
 }
 
-// affinity returns the hash of what should draw requests to one replica when costs
-// are equal: the shared beginning of the prompt.
+// affinity returns the hash of the last chunk but one, so that at equal costs prompts that
+// differ only in their last chunk go to the same replica.
 func (p *prompt) affinity() prefixindex.ChainHash {
 	if len(p.links) < 2 {
 		return p.identity()
--- a/pkg/kvrouter/pull.go
+++ b/pkg/kvrouter/pull.go
@@ -13,38 +13,40 @@
 	zone  string
 	// region is set by the time cost model.
 	region string
-	// extent is what the owner caches of the prompt from its beginning.
+	// extent is the leading part of the prompt that the owner caches.
 	extent  prefixindex.Extent
 	isStore bool
-	// certain says that the owner has reported all of the extent. The time cost model
-	// sets it; the block cost model plans no pulls of other chunks.
+	// certain reports whether the owner has reported the whole extent. The time cost model
+	// sets it; the block cost model plans pulls of reported chunks only.
 	certain bool
 }
 
-// plannedPull is a pull with what its planning was based on.
+// plannedPull is a planned pull with the estimates that it is based on.
 type plannedPull struct {
 	source pullSource
-	// zones and sharedWith, the number of pulls that were in progress from the source,
-	// are set by the block cost model.
+	// zones and sharedWith, the number of pulls in progress from the source when the pull
+	// was planned, are set by the block cost model.
 	zones      speed.Zones
 	sharedWith int
-	// firstChunk is the first chunk that the replica lacks; the last one is that of
-	// the source's extent.
+	// firstChunk is the position of the first chunk that the replica lacks or caches only in
+	// part. The pull ends with the last whole chunk of the source's extent.
 	firstChunk int
-	tokens     uint32
-	// transferTime is the estimated time of the transfer, waits for the link included.
+	// tokens is the number of tokens of the source's extent beyond the replica's.
+	tokens uint32
+	// transferTime is the estimated time of the transfer, including waits for the link.
 	transferTime time.Duration
-	// saved is how much sooner the chunks are there than by prefill, less the margin and
-	// the price that the cost model demands. A pull is planned only if it is above 0.
+	// saved is the time that the pull saves over prefill, less the margin and the price that
+	// the cost model demands. A pull is planned only if saved is above 0.
 	saved time.Duration
-	// savedFraction is saved as a fraction of the time of prefill, from 0 to 1. The
-	// block cost model sets it.
+	// savedFraction is saved as a fraction of the prefill time, from 0 to 1. The block cost
+	// model sets it.
 	savedFraction float64
-	// price is what the moved bytes cost, in milliseconds. The time cost model sets it.
+	// price is the cost of the transferred bytes, in milliseconds. The time cost model sets
+	// it.
 	price float64
 }
 
-// pull returns the instruction for the replica.
+// pull returns the pull instruction for the replica.
 func (p *plannedPull) pull() *Pull {
 	return &Pull{
 		Source:        p.source.state.address,
--- a/pkg/kvrouter/ranking.go
+++ b/pkg/kvrouter/ranking.go
@@ -10,11 +10,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// costTolerance is the difference, in blocks, below which costs are equal.
+// costTolerance is the difference, in blocks, up to which costs count as equal.
 const costTolerance = 1e-6
 
-// chooseScored returns the index of the candidate to take among the scored ones, of
-// which there is at least one. Hash stands for the prompt, to spread ties.
+// chooseScored returns the index of the selected candidate. There is at least one scored
+// candidate. The hash identifies the prompt and breaks ties.
 func chooseScored(req *Request, scored []scoredCandidate, hash prefixindex.ChainHash) int {
 	if req.Settings.Temperature > 0 && req.Random != nil {
 		return sample(req.Settings.Temperature, scored, req.Random)
@@ -28,9 +28,10 @@
 	return best
 }
 
-// better reports whether a goes before b. Equal costs are decided by the active
-// requests, and those by a hash of address and prompt, so that ties spread over
-// the replicas but one prompt goes to the same replica on every router.
+// better reports whether a is to be preferred to b: the candidate with the lower cost, at equal
+// cost the one with fewer active requests, and then the one with the lower hash of address and
+// prompt. The hash spreads ties over the replicas but sends one prompt to the same replica on
+// every router.
 func better(a, b *scoredCandidate, hash prefixindex.ChainHash) bool {
 	if math.Abs(a.cost-b.cost) > costTolerance {
 		return a.cost < b.cost
@@ -47,8 +48,9 @@
 	return xxhash.Sum64(append(buffer[:8], address...))
 }
 
-// sample draws by a softmax over the costs, scaled to the range from the lowest
-// to the highest so that the temperature means the same at any load.
+// sample draws a candidate by a softmax over the negated costs. The costs are scaled to the
+// range from the lowest to the highest, so that the temperature has the same effect at any
+// load.
 func sample(temperature float64, scored []scoredCandidate, random *rand.Rand) int {
 	lowest, highest := costRange(scored)
 	if highest-lowest <= costTolerance {
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -9,17 +9,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// replicaState is the router's state of one replica or store. All but the feed,
-// which has a lock of its own, is guarded by the router's lock.
+// replicaState is the router's state of one replica or store. The router's lock guards all
+// fields except the feed, which has its own lock.
 type replicaState struct {
 	address string
 	owner   prefixindex.Owner
 	feed    *cachefeed.Feed
-	// instance is the replica's instance that candidates named last.
+	// instance is the Candidate.Instance of the last selection that stated one. It is set in
+	// pools with an engine profile.
 	instance  string
 	load      replicaload.Tracker
 	slowStart slowStart
-	// pullsServed counts the pulls in progress from here.
+	// pullsServed is the number of pulls in progress from this owner.
 	pullsServed int
 
 	// prefillSpeed is used by the block cost model.
@@ -28,16 +29,18 @@
 	// The fields below are used by the time cost model.
 
 	slowness speed.Slowness
-	// perToken is the pool's learned time per token of prompt, in milliseconds.
+	// perToken is the learned time per prompt token, in milliseconds, of the model's
+	// replicas.
 	perToken float64
-	// meanCompute is the moving average of the tokens that requests have to compute.
+	// meanCompute is the moving average of the number of prompt tokens that the replica has
+	// to compute for a request.
 	meanCompute  float64
 	transferLink speed.TransferLink
 }
 
-// restart starts slow start anew, and discards what is true of one incarnation
-// only, the load of other routers among it. The reservations of this router end
-// as their connections do.
+// restart begins a new slow start and discards the state that belongs to the former
+// incarnation, including the load reported by other routers. This router's reservations stay:
+// they are finished when the connections of their requests fail.
 func (s *replicaState) restart(now time.Duration) {
 	s.load.DiscardOthers()
 	s.slowness = speed.Slowness{}
@@ -45,17 +48,17 @@
 	s.slowStart.since = now
 }
 
-// drainBacklog updates the estimate of what the replica has computed until now, at the
-// learned speed.
+// drainBacklog subtracts from the backlog the tokens that the replica has computed until now
+// at the learned speed.
 func (s *replicaState) drainBacklog(now time.Duration) {
-	// A selection calls this up to twice for each candidate, at one instant.
+	// A selection calls drainBacklog up to twice for each candidate, with the same time.
 	if now > s.load.DrainedAt() {
 		s.load.Drain(now, s.perToken*s.slowness.Factor())
 	}
 }
 
-// registry has the state of each replica and store by address, and assigns the
-// owners of the index. The router's lock guards it.
+// registry contains the state of each replica and store by address, and assigns the owner
+// numbers in the index. The router's lock guards it.
 type registry struct {
 	index, pending *prefixindex.Index
 	options        *Options
@@ -66,7 +69,7 @@
 	freeOwners []prefixindex.Owner
 }
 
-// state returns the state of an address, which it creates when there is none.
+// state returns the state of an address and creates it if there is none.
 func (r *registry) state(now time.Duration, address string) *replicaState {
 	if state, present := r.byAddress[address]; present {
 		return state
@@ -83,8 +86,8 @@
 	return created
 }
 
-// remove removes the state of an address, and returns it. The owner is not free
-// until releaseOwner.
+// remove removes the state of an address and returns it. The owner number stays in use until
+// releaseOwner.
 func (r *registry) remove(address string) (removed *replicaState, present bool) {
 	removed, present = r.byAddress[address]
 	delete(r.byAddress, address)
@@ -102,8 +105,9 @@
 	return owner
 }
 
-// releaseOwner lets another address have the owner. The caller must have ended the
-// feed of the old one, so that none of its events is written for the new one.
+// releaseOwner makes an owner number available for another address. The caller must have
+// called Forget on the former feed, so that no late event of the former address is recorded
+// for the new one.
 func (r *registry) releaseOwner(owner prefixindex.Owner) {
 	r.freeOwners = append(r.freeOwners, owner)
 }
--- a/pkg/kvrouter/reports.go
+++ b/pkg/kvrouter/reports.go
@@ -10,20 +10,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Stored records that a replica or store reported chunks that it now caches, under
-// chained names. The caller must not change the slice afterwards, here as for
-// Removed and Reset: an event may be buffered until an earlier one has come.
+// Stored records an event in which a replica or store reported chained chunks that it now
+// caches. The caller must not change the slice passed to Stored, Removed or Reset afterwards:
+// an event may be buffered until an earlier one has arrived.
 func (r *Router) Stored(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) cachefeed.Status {
 	return r.handleEvent(now, address, incarnation, cachefeed.Event{Kind: cachefeed.StoredEvent, Sequence: sequence, Links: links})
 }
 
-// Removed records that a replica or store reported chunks that it evicted.
+// Removed records an event in which a replica or store reported chunks that it evicted.
 func (r *Router) Removed(now time.Duration, address string, incarnation, sequence uint64, hashes []prefixindex.ChainHash) cachefeed.Status {
 	return r.handleEvent(now, address, incarnation, cachefeed.Event{Kind: cachefeed.RemovedEvent, Sequence: sequence, Hashes: hashes})
 }
 
-// Reset records that links is all that a replica or store cached when it had sent
-// the events up to sequence. It makes the chunks certain again after lost events.
+// Reset replaces all chunks recorded for a replica or store: links are all that it cached
+// after the events up to sequence. After lost events, Reset makes the recorded chunks certain
+// again.
 func (r *Router) Reset(now time.Duration, address string, incarnation, sequence uint64, links []prefixindex.Link) cachefeed.Status {
 	return r.handleEvent(now, address, incarnation, cachefeed.Event{Kind: cachefeed.ResetEvent, Sequence: sequence, Links: links})
 }
@@ -38,11 +39,11 @@
 	return status
 }
 
-// ChunksReported records a batch of changes that a replica or store reported of
-// chunks by their IDs. Batches may come doubled, late and out of order. Where some
-// are lost, everything that the owner reported before becomes a prediction, which
-// ends after the UncertainTTL unless it is reported again, and ResyncNeeded names the
-// owner until ChunksReplaced.
+// ChunksReported records a batch of changes that a replica or store reported for chunks by
+// ID. Batches may arrive duplicated, late and out of order. If a batch is lost, all chunks
+// that the owner reported before become predictions, which expire after the UncertainTTL
+// unless they are reported again, and ResyncNeeded returns the owner until a snapshot is
+// recorded by ChunksReplaced or AdoptChunks.
 func (r *Router) ChunksReported(now time.Duration, address string, batch cachefeed.Position, changes []cachefeed.ChunkChange) cachefeed.Status {
 	state := r.state(now, address)
 	status, restarted := state.feed.HandleBatch(now, batch, changes)
@@ -52,8 +53,9 @@
 	return status
 }
 
-// ChunksReplaced records all that a replica or store caches after the change with
-// the given sequence number. It replaces everything that was recorded.
+// ChunksReplaced replaces all chunks recorded for a replica or store by a snapshot from the
+// owner itself: chunks are all that it caches after the change with the given sequence
+// number.
 func (r *Router) ChunksReplaced(now time.Duration, address string, incarnation, sequence uint64, chunks []cachefeed.ChunkChange) cachefeed.Status {
 	state := r.state(now, address)
 	status, restarted := state.feed.HandleSnapshot(now, incarnation, sequence, chunks)
@@ -63,8 +65,8 @@
 	return status
 }
 
-// ChunksPosition returns the incarnation of an owner and the sequence number of its
-// newest change that was recorded. Found is false when there was none.
+// ChunksPosition returns the incarnation of an owner and the sequence number of its newest
+// recorded change. Found is false for an owner that has not reported chunks by ID.
 func (r *Router) ChunksPosition(address string) (incarnation, sequence uint64, found bool) {
 	state := r.existingState(address)
 	if state == nil {
@@ -73,16 +75,16 @@
 	return state.feed.Position()
 }
 
-// ChunksComplete reports whether all that an owner caches is recorded: its changes
-// were followed from its start or from a snapshot on, without a gap.
+// ChunksComplete reports whether all chunks by ID that an owner caches are recorded: its
+// changes were recorded without a gap since its start or since a snapshot.
 func (r *Router) ChunksComplete(address string) bool {
 	state := r.existingState(address)
 	return state != nil && state.feed.Complete()
 }
 
-// ChunksSnapshot returns all that a replica or store is recorded to cache, as of the
-// change Position.Next. Position.Lost says that it may cache more. Found is
-// false for an owner that has reported nothing.
+// ChunksSnapshot returns all chunks by ID that a replica or store is recorded to cache, as of
+// the change Position.Next. If Position.Lost is set, the owner may cache more. Found is false
+// for an owner that has not reported chunks by ID.
 func (r *Router) ChunksSnapshot(address string) (position cachefeed.Position, chunks []cachefeed.ChunkChange, found bool) {
 	state := r.existingState(address)
 	if state == nil {
@@ -91,22 +93,22 @@
 	return state.feed.Snapshot()
 }
 
-// AdoptChunks records a snapshot that another router has made by ChunksSnapshot.
-// The changes that this router has followed itself are newer than the snapshot and
-// stay. A snapshot without anything new, or that leaves a gap before those changes,
-// is Stale and changes nothing.
+// AdoptChunks records a snapshot that another router took with ChunksSnapshot. Changes that
+// this router has recorded since the snapshot take precedence over it. A snapshot changes
+// nothing and the status is Stale if it contains nothing new, ends before the changes that
+// this router has recorded, with a gap in between, or belongs to another incarnation.
 func (r *Router) AdoptChunks(now time.Duration, address string, position cachefeed.Position, chunks []cachefeed.ChunkChange) cachefeed.Status {
 	return r.state(now, address).feed.AdoptSnapshot(now, position, chunks)
 }
 
-// ObserveDispatch records that another router has sent a request to a replica, which
-// therefore probably caches the chunks soon. A request that saves chunks to a store
-// is to be observed for the store as well.
+// ObserveDispatch records that another router has sent a request to a replica, which will
+// therefore probably cache the chunks soon. For a request that saves chunks to a store, the
+// caller calls ObserveDispatch for the store as well.
 func (r *Router) ObserveDispatch(now time.Duration, address, model, cacheSalt string, naming Naming, chunks []prefixindex.Chunk) {
 	r.ObserveDispatchLinks(now, address, naming.Links(model, cacheSalt, chunks))
 }
 
-// ObserveDispatchLinks is ObserveDispatch for a prompt whose links are available.
+// ObserveDispatchLinks is ObserveDispatch for a prompt whose links are already computed.
 func (r *Router) ObserveDispatchLinks(now time.Duration, address string, links []prefixindex.Link) {
 	state := r.state(now, address)
 	view := state.feed.View(now)
@@ -119,15 +121,16 @@
 	}
 }
 
-// ObserveWeightVersion records that a response of a replica came from a weight
-// version. Another version than the last one discards all that the replica
-// reported before.
+// ObserveWeightVersion records the weight version that a replica's response was computed
+// with. If it differs from the last known version, all chunks recorded for the replica are
+// discarded.
 func (r *Router) ObserveWeightVersion(now time.Duration, address, version string) {
 	r.state(now, address).feed.ObserveWeightVersion(version)
 }
 
-// ResyncNeeded returns, in order, the addresses of which reports were lost or are
-// missing from before the first one, and that should be asked for all that they cache.
+// ResyncNeeded returns, in ascending order, the addresses that the caller should ask for all
+// that they cache, because some of their reports were lost, the first recorded report was not
+// their first one, or their weight version has changed.
 func (r *Router) ResyncNeeded(now time.Duration) []string {
 	r.mutex.Lock()
 	states := lo.Values(r.replicas.byAddress)
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -8,41 +8,44 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Reservation accounts for the load of one attempt on a replica: its prefill
-// until the first token, and its memory until the end. It is safe for
-// concurrent use, and Finish must be called once the attempt has ended.
+// Reservation accounts for the load of one attempt on a replica: its prefill until the first
+// token, and its memory until the end. It is safe for concurrent use. The caller must call
+// Finish or Cancelled when the attempt has ended.
 type Reservation struct {
 	router *Router
 	// model is the cost model that chose the replica.
 	model costModel
 	state *replicaState
 	links []prefixindex.Link
-	// pull is meaningful if pulls is set.
+	// pull is valid only if pulls is set.
 	pull  plannedPull
 	pulls bool
-	// feedEpoch is the epoch of the replica's feed that the attempt belongs to.
+	// feedEpoch is the epoch of the replica's feed at the selection. A prediction for an
+	// earlier epoch than the present one is ignored.
 	feedEpoch uint64
-	// startedAt is the time of the selection. With it, computeTokens, the tokens of the
-	// prompt that the replica has to compute, and backlogTokens, those of other prompts
-	// that it computes before, the cost model learns from the time to the first token.
+	// startedAt is the time of the selection, computeTokens the number of prompt tokens that
+	// the replica has to compute, and backlogTokens the number of tokens of other prompts
+	// that it computes before. At the first token, the cost model updates its speed
+	// estimates from the three.
 	startedAt     time.Duration
 	computeTokens float64
 	backlogTokens float64
 
-	// The fields below are set by the time cost model, and zero with the block one.
+	// The fields below are set by the time cost model, and zero with the block cost model.
 
-	// work is the prompt in the replica's queue, until the first token.
+	// work is the entry of the prompt in the replica's prefill queue, where it stays until
+	// the first token.
 	work *replicaload.PrefillWork
-	// latency is that of the pool, to learn from the first token.
+	// latency is the latency estimate of the model's replicas, which the first token updates.
 	latency *speed.Latency
-	// waited says that the attempt was held back by a PrefixWait, so that its time
-	// tells nothing of the replica's speed.
+	// waited reports whether the attempt was held back by a PrefixWait. Its time to the first
+	// token then includes the wait and does not show the replica's speed.
 	waited bool
 	// store is the store that the chunks are saved to, or nil.
 	store *replicaState
 
-	// The router's lock guards the fields below. They don't change once the attempt
-	// is finished.
+	// The router's lock guards the fields below. They do not change after the attempt is
+	// finished.
 
 	load       replicaload.Load
 	firstToken bool
@@ -50,7 +53,7 @@
 	generated  uint32
 }
 
-// newReservation returns a reservation without load, which the cost model adds.
+// newReservation returns a reservation without load. The cost model adds the load.
 func (r *Router) newReservation(model costModel, req *Request, chosen *scoredCandidate) *Reservation {
 	return &Reservation{
 		router:        r,
@@ -65,16 +68,16 @@
 	}
 }
 
-// setLoad changes what the reservation adds to the replica's load. The caller holds
-// the router's lock.
+// setLoad sets the reservation's contribution to the replica's load. The caller holds the
+// router's lock.
 func (r *Reservation) setLoad(now time.Duration, target replicaload.Load) {
 	change := target.Plus(r.load.Times(-1))
 	r.load = target
 	r.state.load.ChangeLocal(now, change)
 }
 
-// FirstToken records that the replica has sent the first token, so that the prompt
-// has been computed. Only the first call counts.
+// FirstToken records that the replica has sent the first token, which means that it has
+// computed the prompt. Only the first call has an effect.
 func (r *Reservation) FirstToken(now time.Duration) {
 	if !r.endPrefill(now) {
 		return
@@ -85,7 +88,8 @@
 	}
 }
 
-// endPrefill releases the prefill load, and learns from the time it took.
+// endPrefill releases the prefill load and updates the speed estimates of the cost model. It
+// returns false if the prefill had ended before.
 func (r *Reservation) endPrefill(now time.Duration) (ended bool) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -106,8 +110,8 @@
 	}
 }
 
-// Progress records how many tokens have been generated so far. Smaller numbers
-// than before are ignored.
+// Progress records how many tokens have been generated so far. A number that is not larger
+// than the last one is ignored.
 func (r *Reservation) Progress(now time.Duration, generated uint32) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -121,10 +125,10 @@
 	r.setLoad(now, target)
 }
 
-// Finish records that the attempt has ended, completed or not, and releases its
-// load. Only the first call counts. A completed attempt renews the prediction of what
-// the replica caches, unless FirstToken has predicted it and the replica reports it
-// itself by now.
+// Finish records that the attempt has ended, completed or not, and releases its load. Only the
+// first call has an effect. After a completed attempt, Finish renews the prediction that the
+// replica caches the prompt, unless FirstToken made this prediction and the replica reports
+// what it caches.
 func (r *Reservation) Finish(now time.Duration, completed bool) {
 	if !r.release(now) {
 		return
@@ -139,15 +143,15 @@
 	r.state.feed.Predict(now, r.feedEpoch, r.links)
 }
 
-// Cancelled is Finish for an attempt that nobody waits for any more, or that has not
-// run. Nothing is learned from it.
+// Cancelled replaces Finish for an attempt that the caller has abandoned or that was not run.
+// It releases the load and predicts nothing.
 func (r *Reservation) Cancelled(now time.Duration) {
 	if r.release(now) {
 		r.removePending()
 	}
 }
 
-// release ends the load, and reports whether it had not ended before.
+// release releases the load. It returns false if the load was released before.
 func (r *Reservation) release(now time.Duration) bool {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -164,8 +168,8 @@
 	return true
 }
 
-// addPending records that the chosen replica, and the store if the chunks are
-// saved, will cache the prompt.
+// addPending records that the chosen replica will cache the prompt, and the store too if the
+// chunks are saved. With the block cost model it does nothing.
 func (r *Reservation) addPending(now time.Duration) {
 	if r.work == nil || r.router.options.Disabled.PendingChunks {
 		return
@@ -176,7 +180,7 @@
 	}
 }
 
-// removePending withdraws the pending chunks of a prompt that was not computed.
+// removePending removes the pending chunks of a prompt whose prefill did not end.
 func (r *Reservation) removePending() {
 	if r.work == nil || r.firstToken {
 		return
--- a/pkg/kvrouter/router.go
+++ b/pkg/kvrouter/router.go
@@ -11,36 +11,38 @@
 )
 
 const (
-	// pendingTTL is how long the chunks of a request count as pending, unless it fails
-	// before.
+	// pendingTTL is how long the chunks of a request count as pending, unless the request
+	// fails earlier.
 	pendingTTL = 10 * time.Second
-	// maxPending bounds the pending chunks.
+	// maxPending is the largest number of pending chunks.
 	maxPending    = 1 << 16
 	pendingShards = 16
 )
 
-// Router selects replicas. It is safe for concurrent use.
+// Router selects replicas for requests. It is safe for concurrent use.
 //
-// Locks: mutex guards all but the feeds and the indexes. A feed has a mutex of its
-// own, under which it changes the indexes and takes their locks. No goroutine waits
-// for one of the two mutexes while it holds the other: selection reads a feed under
-// the router's mutex by TryLock alone, and a feed never calls the router.
+// Locks: mutex guards everything except the feeds and the indexes. Each feed has its own
+// mutex, under which it changes the indexes and takes their locks. No goroutine blocks on a
+// feed's mutex while it holds the router's, or the other way round: a selection, which holds
+// the router's mutex, reads a feed with TryLock only, and a feed never calls the router.
 type Router struct {
 	options Options
-	// index has the chunks that owners cache, by their reports and predictions.
+	// index contains the chunks that owners cache according to reports and predictions.
 	index *prefixindex.Index
-	// pending has the chunks of requests that were sent within the pendingTTL and did not
-	// fail. They can't be pulled before the first event, but a request behind will find
-	// them cached. After it they are in index too, as predicted or reported.
+	// pending contains the chunks of requests that were sent within the last pendingTTL and
+	// have not failed. Before the first event of their request these chunks can't be pulled,
+	// but a request that is queued behind it will find them cached. After the first event
+	// they are in index as well, as predicted or reported.
 	pending     *prefixindex.Index
 	scratchPool sync.Pool
 
-	// mutex guards the fields below, and all of replicaState but its feed.
+	// mutex guards the fields below, and all of replicaState except its feed.
 	mutex      sync.Mutex
 	replicas   registry
 	blockModel blockModel
 	timeModel  timeModel
-	// latest is the newest time that the router was given, for calls without a time.
+	// latest is the newest time that a caller has passed. Methods without a time parameter
+	// use it.
 	latest time.Duration
 }
 
@@ -73,7 +75,7 @@
 // IndexStats returns the size of the prefix index.
 func (r *Router) IndexStats() prefixindex.Stats { return r.index.Stats() }
 
-// ObserveLinkBandwidth records the bandwidth of pulls from one zone to another, in
+// ObserveLinkBandwidth records the measured bandwidth of pulls from one zone to another, in
 // bytes per second.
 func (r *Router) ObserveLinkBandwidth(fromZone, toZone string, bytesPerSecond float64) {
 	r.mutex.Lock()
@@ -81,8 +83,8 @@
 	r.blockModel.bandwidths.Observe(r.latest, speed.Zones{From: fromZone, To: toZone}, bytesPerSecond)
 }
 
-// Forget drops the state of an address that is no longer listed, or whose reports are not
-// believed any more. Reservations on it may still be finished.
+// Forget drops the state of an address that is no longer listed, or whose reports are no
+// longer trusted. Reservations on it may still be finished.
 func (r *Router) Forget(address string) {
 	r.mutex.Lock()
 	state, present := r.replicas.remove(address)
@@ -96,15 +98,16 @@
 	r.replicas.releaseOwner(state.owner)
 }
 
-// Addresses returns, in no order, the addresses that the router has state of.
+// Addresses returns, in no particular order, the addresses that the router holds state for.
 func (r *Router) Addresses() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return lo.Keys(r.replicas.byAddress)
 }
 
-// state returns the state of an address, which it creates when there is none. It takes
-// the lock; the caller may use the feed of the state without it, and nothing else.
+// state returns the state of an address and creates it if there is none. It takes the
+// router's lock only for the lookup; without the lock, the caller may use only the feed of
+// the state.
 func (r *Router) state(now time.Duration, address string) *replicaState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -112,21 +115,22 @@
 	return r.replicas.state(now, address)
 }
 
-// existingState is state without creation: nil when there is none.
+// existingState returns the state of an address, or nil if there is none.
 func (r *Router) existingState(address string) *replicaState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.replicas.byAddress[address]
 }
 
-// handleRestart discards what is true of the former incarnation of a replica.
+// handleRestart discards the state that belongs to the former incarnation of a replica.
 func (r *Router) handleRestart(now time.Duration, state *replicaState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	state.restart(now)
 }
 
-// observeTime records the newest time. The caller holds the lock.
+// observeTime records a time that a caller passed. The caller of observeTime holds the
+// router's lock.
 func (r *Router) observeTime(now time.Duration) {
 	r.latest = max(r.latest, now)
 }
--- a/pkg/kvrouter/scratch.go
+++ b/pkg/kvrouter/scratch.go
@@ -1,12 +1,12 @@
 package kvrouter
 
-// scratch is the memory of one selection, reused by later ones.
+// scratch is the working memory of one selection, which later selections reuse.
 type scratch struct {
-	// request is here so that it is not allocated for each selection: what is passed
-	// to a costModel escapes to the heap.
+	// request is part of scratch so that a selection does not allocate it: arguments of a
+	// costModel's methods escape to the heap.
 	request Request
-	// prompts has room for the prompt under each weight version; the first used ones are
-	// of this selection.
+	// prompts contains the prompt under each weight version. Only the first used elements
+	// belong to this selection.
 	prompts []prompt
 	used    int
 	scored  []scoredCandidate
@@ -14,7 +14,7 @@
 	backlogs []float64
 }
 
-// start begins the selection for a request, and returns the copy to work on.
+// start begins the selection for a request and returns the copy that the selection uses.
 func (s *scratch) start(request Request) *Request {
 	s.request = request
 	s.used = 0
@@ -23,14 +23,14 @@
 	return &s.request
 }
 
-// releaseScratch ends a selection. The request is not retained, since it refers to
-// memory of the caller's.
+// releaseScratch returns the memory of a selection to the pool. It clears the request, which
+// refers to the caller's memory.
 func (r *Router) releaseScratch(s *scratch) {
 	s.request = Request{}
 	r.scratchPool.Put(s)
 }
 
-// prompt returns the prompt under a weight version, if it was looked up.
+// prompt returns the prompt under a weight version, or nil if it was not looked up.
 func (s *scratch) prompt(version string) *prompt {
 	for i := range s.used {
 		if s.prompts[i].version == version {
--- a/pkg/kvrouter/select.go
+++ b/pkg/kvrouter/select.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// defaultRetryAfter is the advice to callers when no estimate is available.
+	// defaultRetryAfter is NoReplicaError.RetryAfter when no estimate is available.
 	defaultRetryAfter = time.Second
-	// minRetryAfter and maxRetryAfter bound the advice.
+	// minRetryAfter and maxRetryAfter bound an estimated RetryAfter.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
@@ -22,18 +22,18 @@
 	candidate *Candidate
 	state     *replicaState
 	prompt    *prompt
-	// view is the replica's feed as of the selection.
+	// view is the state of the replica's feed at the time of the selection.
 	view cachefeed.View
-	// overlap is what the replica caches of the prompt when the request arrives there,
+	// overlap is the part of the prompt that the replica caches when the request arrives,
 	// after the wait if waits is set.
 	overlap prefixindex.Overlap
-	// pull is meaningful if pulls is set.
+	// pull is valid only if pulls is set.
 	pull  plannedPull
 	pulls bool
-	// waits says that the overlap is there only after a PrefixWait.
+	// waits reports whether the replica will cache the overlap only after a PrefixWait.
 	waits bool
-	// backlogTokens are the tokens of other prompts that the replica computes before
-	// this one.
+	// backlogTokens is the number of tokens of other prompts that the replica computes
+	// before this prompt.
 	backlogTokens  float64
 	activeRequests float64
 	// cost is in blocks.
@@ -42,10 +42,10 @@
 	timeTerms timeTerms
 }
 
-// Select chooses the replica for a request and reserves its load. It returns a
-// *NoReplicaError when no candidate can take the request. The caller must end
-// the reservation of the decision with Finish. The prompt is looked up without the
-// router's lock, so what it finds may be older than the feeds that are read after.
+// Select chooses the replica for a request and reserves the request's load on it. It returns
+// a *NoReplicaError if no candidate can take the request. The caller must end the decision's
+// reservation with Finish or Cancelled. Select looks up the prompt without the router's lock,
+// so that the overlaps may be older than the state of the feeds, which is read afterwards.
 func (r *Router) Select(request Request, candidates []Candidate) (Decision, error) {
 	if len(candidates) == 0 {
 		return Decision{}, &NoReplicaError{Reason: NoCandidates, RetryAfter: defaultRetryAfter}
@@ -68,8 +68,8 @@
 	return decision, err
 }
 
-// detectReplacements discards what is true of one process of a replica only, for the
-// addresses whose replica is another instance than the last one.
+// detectReplacements finds the addresses whose candidate has another instance than in earlier
+// selections, and discards the state that belongs to the former process.
 func (r *Router) detectReplacements(now time.Duration, candidates []Candidate) {
 	r.mutex.Lock()
 	var replaced []*replicaState
@@ -91,8 +91,8 @@
 	}
 }
 
-// chooseAndReserve has the cost model of the request choose a candidate, and
-// reserves its load, under the router's lock.
+// chooseAndReserve lets the request's cost model choose a candidate and reserves the request's
+// load on it, under the router's lock.
 func (r *Router) chooseAndReserve(s *scratch, req *Request, candidates []Candidate) (Decision, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/pkg/kvrouter/settings.go
+++ b/pkg/kvrouter/settings.go
@@ -4,9 +4,9 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// Defaults of Settings. The busy threshold lies above the blocks that fit into
-// a replica's memory, since requests that share a prefix share its blocks there
-// but count them each.
+// Defaults of Settings. The busy threshold exceeds the number of blocks that fit into a
+// replica's memory: requests with a common prefix share its blocks in memory, but the
+// router's load counts these blocks once per request.
 const (
 	DefaultPrefillLoadScale     = 1.0
 	DefaultLocalCredit          = 1.0
@@ -24,62 +24,63 @@
 	DefaultZonePricePerKilobyte = 4.0
 )
 
-// Settings are the knobs of selection for one pool. Those that name no cost model apply
-// to both.
+// Settings are the selection parameters of one pool. Fields that are not listed under one
+// cost model apply to both.
 type Settings struct {
 	// PrefillLoadScale is the weight of the prefill term in the cost.
 	PrefillLoadScale float64
-	// RequestWeight is a flat cost, in blocks, per active request.
+	// RequestWeight is a fixed cost, in blocks, per active request.
 	RequestWeight float64
-	// BusyThresholdBlocks is the number of active blocks, prefill and decode
-	// together, from which on a replica takes no further request. 0 means that
-	// none is ever busy.
+	// BusyThresholdBlocks is the number of active blocks, prefill and decode together, at
+	// which a replica counts as busy, or as full with the time cost model. 0 disables the
+	// threshold.
 	BusyThresholdBlocks float64
 	// Temperature of the softmax over the costs; 0 selects the lowest cost.
 	Temperature float64
 
-	// The block cost model alone, that of pools without an engine profile, uses the
-	// three credits.
+	// Only the block cost model, that of pools without an engine profile, uses the three
+	// credits below.
 
-	// LocalCredit is the credit per block that the replica caches itself.
+	// LocalCredit is the credit per block that the replica itself caches.
 	LocalCredit float64
-	// PeerCredit is the most credit per block that it would pull from a peer.
+	// PeerCredit is the largest credit per block that the replica would pull from a peer.
 	PeerCredit float64
-	// StoreCredit is the most credit per block that it would pull from the store.
+	// StoreCredit is the largest credit per block that the replica would pull from the store.
 	StoreCredit float64
 
-	// The time cost model alone, that of pools with an engine profile, uses the rest.
+	// Only the time cost model, that of pools with an engine profile, uses the fields below.
 
-	// DecodeWeight is the weight of a block of memory in use.
+	// DecodeWeight is the cost weight per block of memory in use.
 	DecodeWeight float64
-	// HarmWeight is the weight of harm: how many times the request's own prefill counts
-	// beyond its own delay, for the delay that it causes to the requests behind it.
+	// HarmWeight is the weight of congestion, the delay that the request's prefill causes to
+	// the requests queued behind it: the cost contains the time of the request's own prefill
+	// once more, multiplied by HarmWeight.
 	HarmWeight float64
-	// HarmTime is the median backlog of the replicas, in milliseconds, at which
-	// HarmWeight has doubled; it grows linearly, up to maxHarmWeight. The more
-	// prompts are queued, the more of them wait for this one. With 0 HarmWeight does not depend on the backlog.
+	// HarmTime is the median backlog of the replicas, in milliseconds, at which the effective
+	// weight is twice HarmWeight: the more prompts are queued, the more of them wait for this
+	// one. The effective weight grows linearly with the backlog, up to maxHarmWeight. With 0
+	// it does not depend on the backlog.
 	HarmTime float64
-	// LessUrgentWeight is the fraction of less urgent prompts that counts as queued
-	// before the request.
+	// LessUrgentWeight is the fraction of the queued tokens of less urgent prompts that
+	// counts as queued before the request.
 	LessUrgentWeight float64
-	// ChurnFraction is the backlog, as a fraction of a replica's memory, from which on
-	// all pulled chunks count as evicted by the time that they are used; below it, a
-	// part of them in proportion. 0 means that they never are.
+	// ChurnFraction is the backlog, as a fraction of a replica's memory, at which all pulled
+	// chunks count as evicted before they are used. With a smaller backlog a proportional part
+	// of them counts as evicted. With 0 none do.
 	ChurnFraction float64
-	// SpreadTime bounds the preference, in milliseconds, that each router has of its
-	// own for each replica. Load updates of other routers are old by about as much, and
-	// without the preference all would choose the same idle replica.
+	// SpreadTime is the upper bound, in milliseconds, of a pseudo-random cost that depends on
+	// the router, the replica and the prompt. Load updates of other routers are about this
+	// old, and without the pseudo-random cost all routers would select the same idle replica.
 	SpreadTime float64
-	// ZonePrice is what a request to a replica in another zone costs, in
-	// milliseconds.
+	// ZonePrice is the cost of a request to a replica in another zone, in milliseconds.
 	ZonePrice float64
-	// ZonePricePerKilobyte is added to it for each kilobyte of the request's body.
+	// ZonePricePerKilobyte is added to ZonePrice for each kilobyte of the request's body.
 	ZonePricePerKilobyte float64
-	// TransferPrice is what the transfer of a megabyte costs, in milliseconds.
+	// TransferPrice is the cost of the transfer of a megabyte, in milliseconds.
 	TransferPrice float64
 }
 
-// DefaultSettings returns the settings of a pool that configures none.
+// DefaultSettings returns the settings of a pool without routing configuration.
 func DefaultSettings() Settings {
 	return Settings{
 		PrefillLoadScale:     DefaultPrefillLoadScale,
@@ -109,8 +110,8 @@
 	return settings
 }
 
-// SettingsFrom reads a pool's configuration, which may be nil. Zero values
-// mean the defaults.
+// SettingsFrom returns the settings of a pool's routing configuration, which may be nil. Zero
+// values stand for the defaults.
 func SettingsFrom(routing *ridgeswitchv1.Routing) Settings {
 	settings := DefaultSettings()
 	replaceIfSet(&settings.PrefillLoadScale, routing.GetPrefillLoadScale())
--- a/pkg/kvrouter/slow_start.go
+++ b/pkg/kvrouter/slow_start.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// slowStart bounds the reservations of a replica that may have started lately, in the
-// block cost model. It
-// begins when the replica is first seen, again when it restarts, and again with each
-// report that says that it is warming up, so that the bound starts to rise only when
-// the replica has stopped saying so.
+// slowStart limits the reservations of a replica that may have started recently, in the block
+// cost model. It begins when the replica is first seen, and again at each restart and at each
+// report with Warming set, so that the limit starts to rise only when the replica no longer
+// reports that it is warming up.
 type slowStart struct {
 	since time.Duration
 }
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -10,42 +10,44 @@
 )
 
 const (
-	// slowStartSlowdown is how many times longer a replica in slow start is assumed
-	// to take.
+	// slowStartSlowdown is the factor by which a replica in slow start is assumed to be
+	// slower.
 	slowStartSlowdown = 1.5
-	// preemptionMemoryFraction is the fraction of memory in use from which on requests are
-	// preempted.
+	// preemptionMemoryFraction is the fraction of memory in use above which replicas preempt
+	// requests.
 	preemptionMemoryFraction = 0.97
-	// overlapMemoryFraction is the fraction of a cached overlap that a request adds to the
-	// memory in use: other requests may occupy it already.
+	// overlapMemoryFraction is the assumed fraction of a cached overlap that a request adds
+	// to the memory in use; other requests may occupy the rest already.
 	overlapMemoryFraction = 0.5
-	// outputUseFraction is the fraction of its bound of output tokens that a request uses.
+	// outputUseFraction is the assumed fraction of OutputTokens that a request generates.
 	outputUseFraction = 0.5
-	// maxHarmWeight is the largest harm weight that a backlog leads to.
+	// maxHarmWeight is the largest value to which a backlog raises Request.harmWeight.
 	maxHarmWeight = 16
 )
 
-// timeTerms are the terms of the cost in the replica's own time.
+// timeTerms are the terms of the cost of a request on one replica.
 type timeTerms struct {
-	// computeTokens are the tokens of the prompt that the replica has to compute,
-	// and queuedTokens those of other prompts that it computes before, weighted.
+	// computeTokens is the number of prompt tokens that the replica has to compute.
+	// queuedTokens is the number of tokens of other prompts that it computes before, weighted
+	// by priority.
 	computeTokens, queuedTokens float64
-	// slowness is how many times longer the replica takes than its pool.
+	// slowness is the replica's time for a prefill relative to the average of its pool.
 	slowness float64
-	// pull and delay are in milliseconds; delay is the expected time to the first
-	// event.
+	// pull is the estimated time of the pull and delay the expected time to the first event,
+	// both in milliseconds.
 	pull, delay float64
-	// memoryTokens are the tokens that the request adds to those in use.
+	// memoryTokens is the number of tokens that the request adds to the memory in use.
 	memoryTokens float64
-	// price is what the transfer and the distance cost, in milliseconds.
+	// price is the cost of the transfer, of another zone and of SpreadTime, in milliseconds.
 	price float64
-	// full says that the replica's slots or memory are full.
+	// full reports whether the replica's slots or memory are full or its blocks exceed the
+	// busy threshold.
 	full bool
 }
 
-// setHarmWeight sets the weight of harm by the median backlog of the candidates.
-// Harm is the delay that a prompt causes to the requests behind it: as long as half
-// of the candidates are idle, hardly any request waits for this prompt.
+// setHarmWeight sets the request's weight of congestion, the delay that its prefill causes to
+// the requests queued behind it. The weight grows with the median backlog of the candidates:
+// as long as half of the candidates are idle, hardly any request waits for this prefill.
 func (m *timeModel) setHarmWeight(s *scratch, req *Request, candidates []Candidate) {
 	req.harmWeight = req.Settings.HarmWeight
 	if req.Settings.HarmTime <= 0 || len(candidates) == 0 {
@@ -63,8 +65,8 @@
 	req.harmWeight = min(req.Settings.HarmWeight*(1+backlog/req.Settings.HarmTime), max(maxHarmWeight, req.Settings.HarmWeight))
 }
 
-// scoreOne estimates what the request costs on a replica, in blocks of the time
-// that a usual replica takes to compute them.
+// scoreOne estimates the cost of the request on a replica. The unit is the time that an average
+// replica of the pool takes to compute one block.
 func (m *timeModel) scoreOne(req *Request, candidate *Candidate, state *replicaState, p *prompt) scoredCandidate {
 	scored := scoredCandidate{
 		candidate: candidate,
@@ -113,8 +115,10 @@
 	return scored
 }
 
-// queuedTokens sums the tokens that a replica computes before the request's own.
-// Less urgent prompts count less, since only the one in progress goes first.
+// queuedTokens returns the number of tokens that a replica computes before the request's own.
+// Less urgent prompts are weighted by LessUrgentWeight, since only the one in progress is
+// computed before the request. Requests that the replica reports as waiting and that no router
+// announced count with the mean number of tokens to compute.
 func (m *timeModel) queuedTokens(req *Request, state *replicaState) float64 {
 	var sums [replicaload.Priorities]float64
 	state.load.RemainingPrefillByPriority(&sums)
@@ -129,19 +133,19 @@
 	return queued + state.load.UnannouncedRequests(req.Now)*state.meanCompute
 }
 
-// zonePrice is what sending the request to another zone costs, in milliseconds.
+// zonePrice returns the cost of sending the request to another zone, in milliseconds.
 func (req *Request) zonePrice() float64 {
 	kilobytes := float64(req.BodyBytes) / units.BytesPerKilobyte
 	return req.Settings.ZonePrice + req.Settings.ZonePricePerKilobyte*kilobytes
 }
 
-// preference is a number from 0 to 1 that each router draws for each replica
-// and prompt.
+// preference returns a pseudo-random number from 0 to 1 that is fixed for a router, a replica
+// and a prompt.
 func preference(router, address string, prompt prefixindex.ChainHash) float64 {
 	return float64(tieHash(router+address, prompt)) / math.MaxUint64
 }
 
-// addDelay estimates the time to the first event.
+// addDelay sets terms.delay, the estimated time to the first event.
 func (m *timeModel) addDelay(req *Request, terms *timeTerms, requests float64) {
 	work := terms.queuedTokens + terms.computeTokens
 	steps := 1 + work/req.Engine.PrefillChunk
@@ -149,7 +153,7 @@
 	terms.delay = terms.slowness*(req.latency.Expected(work)+batch) + terms.pull
 }
 
-// requestMemory returns the tokens that a request adds to the memory in use.
+// requestMemory estimates the number of tokens that a request adds to the memory in use.
 func requestMemory(req *Request, overlap float64) float64 {
 	return float64(req.promptTokens) - overlap*(1-overlapMemoryFraction) + outputUseFraction*float64(req.OutputTokens)
 }
@@ -168,8 +172,9 @@
 	return req.Settings.BusyThresholdBlocks > 0 && blocks >= req.Settings.BusyThresholdBlocks
 }
 
-// cost weighs the terms. The prompt's own tokens count more than once, since the
-// requests behind it are delayed by them too.
+// cost returns the weighted sum of the terms. The time to compute the prompt is part of the
+// delay, and is added once more with the factor harmWeight, since it also delays the requests
+// that are queued behind this one.
 func (m *timeModel) cost(req *Request, terms *timeTerms, active replicaload.Load) float64 {
 	settings := &req.Settings
 	blockTime := req.latency.PerToken() * float64(m.options.BlockTokens)
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// maxLatencies bounds the models whose latency is learned; beyond it all are
-	// learned anew.
+	// maxLatencies is the largest number of models whose latency is stored. A further model
+	// discards all stored latencies, which are then learned again.
 	maxLatencies = 64
-	// meanComputeWeight is the weight of a new request in replicaState.meanCompute.
+	// meanComputeWeight is the weight of a new request in the moving average
+	// replicaState.meanCompute.
 	meanComputeWeight = 0.1
 )
 
-// timeModel is the costModel of pools with an engine profile. It estimates costs in
-// the replicas' own time.
+// timeModel is the costModel of pools with an engine profile. It estimates costs as time at
+// the replica.
 type timeModel struct {
 	options  *Options
 	replicas *registry
-	// index and pending are the router's, for waits for a prefix.
+	// index and pending are the indexes of the router. PrefixWait uses them.
 	index, pending *prefixindex.Index
-	// latencies has that of each model's replicas.
+	// latencies contains the learned latency of the replicas of each model.
 	latencies    map[string]*speed.Latency
 	recentHashes recentHashes
 }
@@ -60,8 +61,8 @@
 	return created
 }
 
-// score adds the candidates that may take the request to the scratch memory, and
-// returns how many the request doesn't exclude.
+// score appends the candidates that may take the request to s.scored, and returns the number
+// of candidates that the request does not exclude.
 func (m *timeModel) score(s *scratch, req *Request, candidates []Candidate) (allowed int) {
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -86,8 +87,8 @@
 	return req.SlowStartAllowed != nil && req.SlowStartAllowed(candidate.Address)
 }
 
-// dropFull leaves out replicas that are full. When all are, those are left whose
-// first event would come within the request's longest wait.
+// dropFull removes the scored replicas that are full. If all are full, it keeps those whose
+// first event is expected within MaxWait.
 func (s *scratch) dropFull(req *Request) {
 	hasCapacity := func(scored scoredCandidate, _ int) bool { return !scored.timeTerms.full }
 	withinMaxWait := func(scored scoredCandidate, _ int) bool {
@@ -139,10 +140,11 @@
 	r.state.load.RemovePrefill(r.work)
 }
 
-// learn updates the latency of the pool and the slowness of the replica and of its links
-// by the time to the first event. When a pull was late, the links alone are updated: the
-// time tells nothing of the replica's speed then. The pool learns only from requests
-// with little queued before them, since a backlog is an estimate.
+// learn updates the latency of the model's replicas, the slowness of this replica, and the
+// transfer links of both ends of a pull, from the time to the first event. After a late pull it
+// updates only the links, since the time does not show the replica's speed. The latency is
+// updated only by requests with little queued before them, since the backlog is itself an
+// estimate.
 func (m *timeModel) learn(r *Reservation, now time.Duration) {
 	if r.waited || m.options.Disabled.LearnedSpeeds {
 		return
@@ -167,9 +169,9 @@
 	r.state.slowness.Observe(now, ratio, certainty)
 }
 
-// retryAfter estimates when the first of the candidates may take the request: when so
-// much of its backlog is computed that the rest delays the request for no longer than
-// MaxWait, and its slow start has ended.
+// retryAfter estimates the shortest time until one of the candidates can take the request. A
+// candidate can take it when its remaining backlog delays the request by no more than MaxWait
+// and its slow start has ended. The result is within minRetryAfter and maxRetryAfter.
 func (m *timeModel) retryAfter(req *Request, candidates []Candidate) time.Duration {
 	shortest := maxRetryAfter
 	for i := range candidates {
--- a/pkg/kvrouter/time_pull.go
+++ b/pkg/kvrouter/time_pull.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// zoneFactor and regionFactor multiply the time of transfers between zones and
+	// zoneFactor and regionFactor multiply the estimated time of transfers between zones and
 	// between regions.
 	zoneFactor   = 2.0
 	regionFactor = 10.0
-	// maxTransferWait is the wait for a link beyond which no pull is planned.
+	// maxTransferWait is the longest wait for a link with which a pull is planned.
 	maxTransferWait = time.Second
-	// maxSources is the number of sources up to which all are considered. Of more, the
-	// best maxSourcesOfZone of each zone are, up to maxSources, and the store.
+	// Up to maxSources sources are all considered. Of a larger number, the best
+	// maxSourcesOfZone of each zone are considered, up to maxSources in total, and the store.
 	maxSources       = 4
 	maxSourcesOfZone = 1
-	// minPullTokens is the smallest pull that is planned, in tokens.
+	// minPullTokens is the smallest number of tokens for which a pull or a save is planned.
 	minPullTokens = 64
 )
 
-// gatherSources finds the owners that replicas may pull each prompt from: the
-// candidates on the same weight version, and the store.
+// gatherSources collects, for each weight version, the owners that chunks of the prompt may be
+// pulled from: the candidates with this version, and the store.
 func (m *timeModel) gatherSources(s *scratch, req *Request, candidates []Candidate) {
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -48,8 +48,9 @@
 	}
 }
 
-// addSource adds an owner that caches the beginning of the prompt, or probably
-// does: a pull in vain costs little, and estimatePull discounts what it saves.
+// addSource adds an owner that caches the beginning of the prompt, or probably does. A pull
+// that finds nothing costs little, and estimatePull discounts the saved time of pulls of
+// chunks that are not certainly cached.
 func (p *prompt) addSource(state *replicaState, zone, region string, isStore bool) {
 	overlap := p.overlaps.Of(state.owner)
 	if overlap.Likely.Tokens < minPullTokens {
@@ -65,9 +66,9 @@
 	})
 }
 
-// keepBestSources reduces many sources to a few: those that cache the most, and of
-// those that cache as much the ones whose link is free first, one in each zone. The
-// store always stays.
+// keepBestSources reduces the sources to at most maxSourcesOfZone in each zone and maxSources
+// in total, if there are more than maxSources. It prefers sources that cache more tokens, and
+// at equal tokens those whose link is free earlier. The store is always kept.
 func (p *prompt) keepBestSources() {
 	if len(p.sources) <= maxSources {
 		return
@@ -93,8 +94,8 @@
 	p.sources = best
 }
 
-// planPull finds the pull that saves the most time over computing the prompt;
-// planned is false when none does.
+// planPull finds the pull that saves the most time compared with prefill. Planned is false if
+// no pull saves time.
 func (m *timeModel) planPull(req *Request, p *prompt, state *replicaState, candidate *Candidate, cached prefixindex.Extent, slowness float64) (best plannedPull, planned bool) {
 	prefillFactor := slowness * retainedFraction(req, state)
 	for i := range p.sources {
@@ -110,9 +111,9 @@
 	return best, best.saved > 0
 }
 
-// estimatePull compares a pull with the prefill that it saves, which takes
-// prefillFactor times longer than on a usual replica. Its saved time is 0 or less
-// when it is not worth its price.
+// estimatePull compares a pull with the prefill that it replaces. That prefill takes
+// prefillFactor times as long as on an average replica. The saved time is 0 or less if the pull
+// is not worth its price.
 func (m *timeModel) estimatePull(req *Request, source *pullSource, state *replicaState, candidate *Candidate, cached prefixindex.Extent, prefillFactor float64) plannedPull {
 	planned := plannedPull{
 		source:     *source,
@@ -138,9 +139,9 @@
 	return planned
 }
 
-// retainedFraction is the fraction of pulled chunks that will still be cached when
-// the request's turn comes. Requests that are queued before it bring chunks of
-// their own into memory.
+// retainedFraction estimates the fraction of pulled chunks that will still be cached when the
+// replica computes the request. The prompts that are queued before it occupy memory and may
+// evict pulled chunks.
 func retainedFraction(req *Request, state *replicaState) float64 {
 	capacity := req.Settings.ChurnFraction * req.Engine.MemoryTokens
 	if capacity <= 0 {
@@ -149,8 +150,8 @@
 	return max(0, 1-state.load.RemainingPrefill()/capacity)
 }
 
-// transferTime estimates how long the transfer of tokens from a source takes,
-// without a wait.
+// transferTime estimates how long the transfer of tokens from a source takes, without waits
+// for the links.
 func transferTime(req *Request, source *pullSource, state *replicaState, candidate *Candidate, tokens float64) time.Duration {
 	rate := req.Engine.LinkBitsPerSecond
 	if source.isStore {
@@ -162,8 +163,8 @@
 	return req.Engine.PullSetup + time.Duration(float64(transfer)*slowdown)
 }
 
-// distanceFactor returns how many times longer transfers from a source take than
-// within a zone.
+// distanceFactor returns the time of a transfer from a source to a candidate relative to a
+// transfer within a zone.
 func distanceFactor(source *pullSource, candidate *Candidate) float64 {
 	switch {
 	case source.region != candidate.Region:
--- a/pkg/kvrouter/time_save.go
+++ b/pkg/kvrouter/time_save.go
@@ -3,15 +3,16 @@
 import "github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 
 const (
-	// maxSaveFraction is the largest fraction of the store that one prompt may take.
+	// maxSaveFraction is the largest fraction of the store that one prompt may occupy.
 	maxSaveFraction = 0.125
-	// maxRecentHashes bounds each of the two generations of recentHashes.
+	// maxRecentHashes is the capacity of each of the two generations of recentHashes.
 	maxRecentHashes = 1 << 15
 )
 
-// shouldSave reports whether the request is to save its chunks to the store: those
-// that others are likely to use again, when the store lacks some of them. These
-// are all but the last, and the last too when it has come before or is a session's.
+// shouldSave reports whether the replica is to save the chunks of the prompt to the store. It
+// does so if the store lacks some of the chunks that later requests are likely to reuse. These
+// are all chunks but the last, and also the last one if it was requested before or belongs to a
+// session.
 func (m *timeModel) shouldSave(req *Request, p *prompt) bool {
 	if req.Store == "" || len(p.links) == 0 || m.options.Disabled.SaveToStore {
 		return false
@@ -29,19 +30,19 @@
 	if capacity := req.Engine.StoreTokens; capacity > 0 && float64(req.promptTokens) > maxSaveFraction*capacity {
 		return false
 	}
-	// Chunks on their way to the store count as cached.
+	// Chunks that earlier requests are about to save count as cached.
 	owner := m.replicas.state(req.Now, req.Store).owner
 	stored := max(p.overlaps.Of(owner).Likely.Tokens, p.pending.Of(owner).Likely.Tokens)
 	return tokens >= minPullTokens && float64(stored) < tokens
 }
 
-// recentHashes is the set of chunks that came lately, in two generations: when the
-// newer one is full it replaces the older one.
+// recentHashes is the set of recently requested last chunks, in two generations: when the newer
+// generation is full, it replaces the older one.
 type recentHashes struct {
 	newer, older map[prefixindex.ChainHash]struct{}
 }
 
-// add reports whether a chunk is in the set, and adds it.
+// add adds a chunk to the set and reports whether the set contained it before.
 func (s *recentHashes) add(hash prefixindex.ChainHash) bool {
 	_, inNewer := s.newer[hash]
 	_, inOlder := s.older[hash]
