--- a/pkg/kvrouter/chunk_reports_test.go
+++ b/pkg/kvrouter/chunk_reports_test.go
@@ -15,7 +15,7 @@
 
 const chunkIncarnation = 77
 
-// engineFleet is a router of a pool with an engine profile, whose replicas report
+// engineFleet is a router and the replicas of a pool with an engine profile, which report
 // chunks by ID.
 type engineFleet struct {
 	router        *kvrouter.Router
@@ -41,7 +41,7 @@
 	return f
 }
 
-// longPrompt is a prompt of chunks of 1,000 tokens each.
+// longPrompt returns a prompt of chunks of 1,000 tokens each.
 func longPrompt(chunks int) []prefixindex.Chunk {
 	var prompt []prefixindex.Chunk
 	for number := range chunks {
@@ -67,7 +67,8 @@
 	return decision
 }
 
-// overlap returns how much of a prompt the router thinks that a replica caches.
+// overlap returns the number of tokens of the prompt that the router expects a replica to
+// cache.
 func (f *engineFleet) overlap(now time.Duration, address string, chunks []prefixindex.Chunk) uint32 {
 	all := f.candidates
 	defer func() { f.candidates = all }()
@@ -99,13 +100,13 @@
 
 	overlap := func(now time.Duration) int { return int(f.overlap(now, "a", longPrompt(4))) }
 
-	It("make the overlap of a prompt, up to what is evicted", func() {
+	It("determine the overlap of a prompt, up to the first evicted tokens", func() {
 		Expect(overlap(baseTime)).To(Equal(3000))
 		f.router.ChunksReported(baseTime, "a", feedPosition(3, 4), []cachefeed.ChunkChange{cachedChange(4, 1, 480)})
 		Expect(overlap(baseTime)).To(Equal(1480))
 	})
 
-	It("count once, in whatever order and how often they come", func() {
+	It("are applied once and in order, in whatever order and however often they arrive", func() {
 		removal := []cachefeed.ChunkChange{cachedChange(4, 2, 0)}
 		again := []cachefeed.ChunkChange{cachedChange(5, 2, 1000), cachedChange(6, 3, 1000)}
 		Expect(f.router.ChunksReported(baseTime, "a", feedPosition(4, 6), again)).To(Equal(cachefeed.Accepted))
@@ -119,7 +120,7 @@
 		Expect(overlap(baseTime)).To(Equal(4000))
 	})
 
-	It("become predictions when some are lost, and a resync is needed", func() {
+	It("become predictions and require a resync when some are lost", func() {
 		lost := cachefeed.Position{Incarnation: chunkIncarnation, From: 9, Next: 10, Lost: true}
 		Expect(f.router.ChunksReported(baseTime, "a", lost, []cachefeed.ChunkChange{cachedChange(10, 0, 1000)})).To(Equal(cachefeed.Gap))
 		Expect(overlap(baseTime)).To(Equal(3000))
@@ -130,14 +131,14 @@
 		Expect(overlap(2 * baseTime)).To(Equal(2000))
 	})
 
-	It("are applied without the missing ones after a while", func() {
+	It("are applied without a missing one after ReorderWait", func() {
 		f.router.ChunksReported(baseTime, "a", feedPosition(4, 5), []cachefeed.ChunkChange{cachedChange(5, 3, 1000)})
 		Expect(overlap(baseTime)).To(Equal(3000))
 		Expect(f.router.ResyncNeeded(baseTime + kvrouter.DefaultReorderWait)).To(Equal([]string{"a"}))
 		Expect(overlap(baseTime + kvrouter.DefaultReorderWait)).To(Equal(4000))
 	})
 
-	It("end with the incarnation of the replica, and those of an earlier incarnation are ignored", func() {
+	It("are dropped when the replica restarts, and ignored when they belong to an earlier incarnation", func() {
 		restarted := cachefeed.Position{Incarnation: chunkIncarnation + 1, Next: 1}
 		Expect(f.router.ChunksReported(baseTime, "a", restarted, []cachefeed.ChunkChange{cachedChange(1, 0, 1000)})).To(Equal(cachefeed.Accepted))
 		Expect(overlap(baseTime)).To(Equal(1000))
@@ -145,21 +146,21 @@
 		Expect(overlap(baseTime)).To(Equal(1000))
 	})
 
-	It("are ignored when a snapshot is older than the recorded state", func() {
+	It("are not replaced by a snapshot that is older than the recorded state", func() {
 		Expect(f.router.ChunksReplaced(baseTime, "a", chunkIncarnation, 2, nil)).To(Equal(cachefeed.Stale))
 		Expect(overlap(baseTime)).To(Equal(3000))
 		incarnation, sequence, found := f.router.ChunksPosition("a")
 		Expect([]any{incarnation, sequence, found}).To(Equal([]any{uint64(chunkIncarnation), uint64(3), true}))
 	})
 
-	It("end when another replica takes over the address", func() {
+	It("are dropped when another instance takes over the address", func() {
 		f.choose(baseTime, longPrompt(1)).Reservation.Finish(baseTime, false)
 		f.candidates[0].Instance = "second"
 		f.choose(baseTime, longPrompt(1)).Reservation.Finish(baseTime, false)
 		Expect(overlap(baseTime)).To(BeZero())
 	})
 
-	It("are bridged by predictions, of other routers too", func() {
+	It("are preceded by predictions for requests of this router and of others", func() {
 		f.candidates = f.candidates[:1]
 		decision := f.choose(baseTime, longPrompt(4))
 		Expect(overlap(baseTime)).To(Equal(4000))
@@ -171,7 +172,7 @@
 		Expect(overlap(2 * baseTime)).To(Equal(4000))
 	})
 
-	It("withdraw a prediction when the chunk is evicted or the attempt was cancelled", func() {
+	It("end the prediction of an evicted chunk, as does the cancellation of the attempt", func() {
 		f.candidates = f.candidates[:1]
 		f.choose(baseTime, longPrompt(4)).Reservation.Cancelled(baseTime)
 		Expect(overlap(baseTime)).To(Equal(3000))
@@ -181,7 +182,7 @@
 		Expect(overlap(baseTime)).To(Equal(3000))
 	})
 
-	It("follow the replica under loss, doubling and reordering", func() {
+	It("match the replica's cache contents under loss, duplication and reordering", func() {
 		random := rand.New(rand.NewPCG(3, 3))
 		const chunks = 8
 		cached := make([]int, chunks)
--- a/pkg/kvrouter/chunk_snapshot_test.go
+++ b/pkg/kvrouter/chunk_snapshot_test.go
@@ -21,12 +21,13 @@
 		newRouter = kvrouter.New(kvrouter.Options{})
 	})
 
-	// report reports the change with a number to a router.
+	// report reports one change of a chunk to a router.
 	report := func(router *kvrouter.Router, sequence uint64, chunk, tokens int) {
 		router.ChunksReported(0, address, cachefeed.Position{Incarnation: incarnation, From: sequence - 1, Next: sequence},
 			[]cachefeed.ChunkChange{{Sequence: sequence, ID: fmt.Sprint(chunk), Tokens: uint32(tokens), Removed: tokens == 0}})
 	}
-	// snapshotOf returns what a router has recorded, and whether that is all.
+	// snapshotOf returns the chunks that a router has recorded, and whether the record is
+	// complete.
 	snapshotOf := func(router *kvrouter.Router) (map[uint64]uint32, bool) {
 		at, chunks, present := router.ChunksSnapshot(address)
 		Expect(present).To(BeTrue())
@@ -36,7 +37,8 @@
 		}
 		return cached, !at.Lost
 	}
-	// expectSameChunks expects that the started router has recorded the same chunks as the other one.
+	// expectSameChunks expects that both routers have recorded the same chunks and that the
+	// record of newRouter is complete.
 	expectSameChunks := func() {
 		wanted, _ := snapshotOf(followingRouter)
 		got, complete := snapshotOf(newRouter)
@@ -47,12 +49,12 @@
 		return router.AdoptChunks(0, address, at, chunks)
 	}
 
-	It("is unknown for a replica that has reported nothing", func() {
+	It("is not found for a replica that has reported nothing", func() {
 		_, _, present := followingRouter.ChunksSnapshot(address)
 		Expect(present).To(BeFalse())
 	})
 
-	It("is all that a router without reports has, and later changes follow it", func() {
+	It("becomes the record of a router without reports, which then applies later changes", func() {
 		report(followingRouter, 1, 1, 10)
 		report(followingRouter, 2, 2, 20)
 		at, chunks, _ := followingRouter.ChunksSnapshot(address)
@@ -65,7 +67,7 @@
 		expectSameChunks()
 	})
 
-	It("fits before the changes that a started router has followed, at whatever time it is made", func() {
+	It("is combined with the later changes that a new router has recorded, whenever it is taken", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 300 {
 			followingRouter, newRouter = kvrouter.New(kvrouter.Options{}), kvrouter.New(kvrouter.Options{})
@@ -85,14 +87,14 @@
 					report(newRouter, uint64(sequence), chunk, tokens)
 				}
 				if sequence == adoptedAt {
-					Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Accepted), "begins %d, made %d, adopted at %d", followedFrom, snapshotAt, adoptedAt)
+					Expect(adopt(newRouter, at, chunks)).To(Equal(cachefeed.Accepted), "changes recorded from %d, snapshot taken at %d, adopted at %d", followedFrom, snapshotAt, adoptedAt)
 				}
 			}
 			expectSameChunks()
 		}
 	})
 
-	It("is stale if changes between it and those that were followed are missing", func() {
+	It("is stale if changes between it and the recorded changes are missing", func() {
 		report(followingRouter, 1, 1, 10)
 		at, chunks, _ := followingRouter.ChunksSnapshot(address)
 		report(newRouter, 3, 2, 20)
@@ -102,7 +104,7 @@
 		Expect(complete).To(BeFalse())
 	})
 
-	It("is stale for a router that has followed every change", func() {
+	It("is stale for a router that has recorded every change", func() {
 		report(followingRouter, 1, 1, 10)
 		at, chunks, _ := followingRouter.ChunksSnapshot(address)
 		report(newRouter, 1, 1, 10)
@@ -112,7 +114,7 @@
 		Expect(cached).To(BeEmpty())
 	})
 
-	It("is stale if it is of another start of the replica", func() {
+	It("is stale if it belongs to another incarnation of the replica", func() {
 		report(followingRouter, 1, 1, 10)
 		at, chunks, _ := followingRouter.ChunksSnapshot(address)
 		at.Incarnation++
@@ -121,7 +123,7 @@
 		Expect(adopt(newRouter, cachefeed.Position{Incarnation: incarnation, Next: 3}, chunks)).To(Equal(cachefeed.Accepted))
 	})
 
-	It("stays incomplete if the router that made it has missed something", func() {
+	It("stays incomplete if the router that took it has missed changes", func() {
 		report(followingRouter, 5, 1, 10)
 		at, chunks, _ := followingRouter.ChunksSnapshot(address)
 		Expect(at.Lost).To(BeTrue())
@@ -131,7 +133,7 @@
 		Expect(complete).To(BeFalse())
 	})
 
-	It("cannot be adopted before changes of which some were lost", func() {
+	It("is stale if the router has lost some of the later changes", func() {
 		report(followingRouter, 1, 1, 10)
 		report(followingRouter, 2, 2, 10)
 		at, chunks, _ := followingRouter.ChunksSnapshot(address)
--- a/pkg/kvrouter/concurrency_test.go
+++ b/pkg/kvrouter/concurrency_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("Router under concurrent use", func() {
-	It("keeps its load consistent and never chooses a replica that is no candidate", func() {
+	It("keeps the load consistent and selects only candidates", func() {
 		f := newFleet(kvrouter.Options{}, "a", "b", "c", "d")
 		var workers sync.WaitGroup
 		var failures sync.Map
@@ -39,7 +39,7 @@
 		}
 		workers.Wait()
 		failures.Range(func(key, value any) bool {
-			Fail(fmt.Sprint("selection ", key, " gave ", value))
+			Fail(fmt.Sprint("selection ", key, " returned an error or the unexpected address ", value))
 			return false
 		})
 		for _, candidate := range f.candidates {
@@ -48,7 +48,7 @@
 	})
 })
 
-// reportAndForget feeds events and reports of a replica, and forgets it at times.
+// reportAndForget records events and reports of a replica, and forgets it in between.
 func (f *fleet) reportAndForget(address string) {
 	for round := range uint64(200) {
 		now := baseTime + time.Duration(round)*time.Millisecond
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkSelect selects for prompts of 32 chunks among 18 replicas, on all
-// cores at once.
+// BenchmarkSelect measures selections for prompts of 32 chunks among 18 replicas, on all cores
+// at once.
 func BenchmarkSelect(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
 	var candidates []kvrouter.Candidate
@@ -95,8 +95,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "selections/s")
 }
 
-// BenchmarkSelectByTime selects for prompts of three chunks among 140 replicas
-// with an engine profile, one of three keeping the prompt.
+// BenchmarkSelectByTime measures selections for prompts of three chunks among 140 replicas with
+// an engine profile, every third of which caches the prompt.
 func BenchmarkSelectByTime(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
 	var candidates []kvrouter.Candidate
@@ -123,7 +123,7 @@
 	}
 }
 
-// BenchmarkSetRemoteLoad records the loads that 64 routers have on 140 replicas.
+// BenchmarkSetRemoteLoad measures recording the loads that 64 routers have on 140 replicas.
 func BenchmarkSetRemoteLoad(b *testing.B) {
 	router := kvrouter.New(kvrouter.Options{})
 	load := replicaload.SharedLoad{Requests: 2, DecodeTokens: 9000}
--- a/pkg/kvrouter/feed_prediction_test.go
+++ b/pkg/kvrouter/feed_prediction_test.go
@@ -10,14 +10,14 @@
 )
 
 var _ = Describe("Predictions", func() {
-	It("stand for 120 s in for a replica that never reports what it caches", func() {
+	It("last 120 s on a replica that never reports what it caches", func() {
 		f := newFleet(slowLinks, "a")
 		f.choose(baseTime, prompt(10)).Reservation.Finish(baseTime, true)
 		Expect(f.overlap(baseTime+119*time.Second, "a", prompt(10))).To(BeEquivalentTo(10 * blockTokens))
 		Expect(f.overlap(baseTime+120*time.Second, "a", prompt(10))).To(BeZero())
 	})
 
-	It("bridge the lag of a replica that does report", func() {
+	It("last from the first token until a report is due on a replica that reports what it caches", func() {
 		f := newFleet(slowLinks, "a")
 		f.caches("a", nil)
 		reservation := f.choose(baseTime, prompt(10)).Reservation
@@ -28,7 +28,7 @@
 		Expect(f.overlap(baseTime+5*time.Second, "a", prompt(10))).To(BeZero())
 	})
 
-	It("are not made for attempts that failed or that a restart has overtaken", func() {
+	It("are not made for attempts that failed or that began before a restart of the replica", func() {
 		f := newFleet(slowLinks, "a")
 		f.choose(baseTime, prompt(10)).Reservation.Finish(baseTime, false)
 		Expect(f.overlap(baseTime, "a", prompt(10))).To(BeZero())
@@ -38,7 +38,7 @@
 		Expect(f.overlap(2*baseTime, "a", prompt(10))).To(BeZero())
 	})
 
-	It("earn less credit than reports", func() {
+	It("receive less credit than reports", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.candidates = f.candidates[:1]
 		f.choose(baseTime, prompt(10)).Reservation.Finish(baseTime, true)
@@ -59,6 +59,6 @@
 		Expect(f.overlap(baseTime, "a", prompt(blocks))).To(Equal(atFirstToken * blockTokens))
 		Expect(f.overlap(baseTime+kvrouter.DefaultReportLag, "a", prompt(blocks))).To(Equal(atLag * blockTokens))
 	},
-	Entry("lasts as long as reports may be late", time.Duration(0), uint32(10), uint32(1)),
+	Entry("lasts for ReportLag by default", time.Duration(0), uint32(10), uint32(1)),
 	Entry("lasts as long as configured", time.Minute, uint32(10), uint32(10)),
 	Entry("is not made when disabled", -time.Second, uint32(1), uint32(1)))
--- a/pkg/kvrouter/feed_test.go
+++ b/pkg/kvrouter/feed_test.go
@@ -29,7 +29,7 @@
 		return f.router.Removed(now, "a", firstIncarnation, sequence, hashes(allLinks[first:last+1]))
 	}
 
-	It("takes events in once and in order, whatever order they come in", func() {
+	It("applies each event once and in order, in whatever order the events arrive", func() {
 		Expect(stored(baseTime, 1, 0, 9)).To(Equal(cachefeed.Accepted))
 		Expect(stored(baseTime, 3, 5, 5)).To(Equal(cachefeed.Accepted))
 		Expect(stored(baseTime, 3, 5, 5)).To(Equal(cachefeed.Duplicate))
@@ -41,7 +41,7 @@
 		Expect(f.router.ResyncNeeded(baseTime + time.Minute)).To(BeEmpty())
 	})
 
-	It("asks for a reset when a missing event does not come in time", func() {
+	It("requests a resync when a missing event does not arrive in time", func() {
 		stored(baseTime, 1, 0, 3)
 		Expect(stored(baseTime, 3, 6, 9)).To(Equal(cachefeed.Accepted))
 		Expect(f.router.ResyncNeeded(baseTime + 499*time.Millisecond)).To(BeEmpty())
@@ -53,14 +53,14 @@
 		Expect(cachedBlocks(baseTime + time.Second)).To(Equal(10))
 	})
 
-	It("asks for a reset when too many events wait for a missing one", func() {
+	It("reports a gap when too many events are buffered for a missing one", func() {
 		for sequence := range uint64(kvrouter.DefaultReorderWindow) {
 			Expect(stored(baseTime, sequence+2, 0, 0)).To(Equal(cachefeed.Accepted))
 		}
 		Expect(stored(baseTime, kvrouter.DefaultReorderWindow+2, 0, 0)).To(Equal(cachefeed.Gap))
 	})
 
-	It("notices from a load report that the newest events were lost", func() {
+	It("detects from a load report that the newest events were lost", func() {
 		stored(baseTime, 1, 0, 3)
 		report := kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, LastSequence: 3}
 		f.router.Report(baseTime, "a", report)
@@ -83,7 +83,7 @@
 		Expect(uncertain.OverlapTokens).To(Equal(certain.OverlapTokens))
 	})
 
-	It("drops everything on a new incarnation, and ignores late events of the old one", func() {
+	It("drops all state on a new incarnation, and ignores delayed events of the old one", func() {
 		stored(baseTime, 1, 0, 9)
 		stored(baseTime, 3, 0, 9)
 		Expect(f.router.Stored(baseTime, "a", firstIncarnation+1, 1, allLinks[:2])).To(Equal(cachefeed.Accepted))
@@ -95,7 +95,7 @@
 		Expect(cachedBlocks(baseTime)).To(Equal(2))
 	})
 
-	It("takes a lower incarnation for a late event, unless the present one has fallen silent", func() {
+	It("treats an event of a lower incarnation as stale, unless the present one has not reported for ReportLag", func() {
 		stored(baseTime, 1, 0, 9)
 		lower := func(now time.Duration) cachefeed.Status {
 			return f.router.Reset(now, "a", firstIncarnation-1, 1, allLinks[:2])
@@ -108,7 +108,7 @@
 		Expect(cachedBlocks(baseTime)).To(Equal(2))
 	})
 
-	It("drops everything when the weight version changes, by a report or an answer", func() {
+	It("drops all chunks when a report or a response shows another weight version", func() {
 		stored(baseTime, 1, 0, 9)
 		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: "v2", Incarnation: firstIncarnation})
 		Expect(cachedBlocks(baseTime)).To(BeZero())
@@ -119,14 +119,14 @@
 		Expect(cachedBlocks(baseTime)).To(BeZero())
 	})
 
-	It("ignores a reset that is older than its state", func() {
+	It("ignores a reset that is older than the recorded state", func() {
 		stored(baseTime, 1, 0, 9)
 		removed(baseTime, 2, 3, 3)
 		Expect(f.router.Reset(baseTime, "a", firstIncarnation, 1, allLinks)).To(Equal(cachefeed.Stale))
 		Expect(cachedBlocks(baseTime)).To(Equal(3))
 	})
 
-	DescribeTable("agrees with the replica over random streams", func(loss float64) {
+	DescribeTable("records the replica's cache contents from random event streams", func(loss float64) {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			f = newFleet(slowLinks, "a")
@@ -140,12 +140,12 @@
 			Expect(f.router.IndexStats().Reported).To(Equal(len(stream.cached)), "seed %d", seed)
 		}
 	},
-		Entry("doubled and reordered", 0.0),
-		Entry("doubled, reordered and lost", 0.1),
+		Entry("with duplicated and reordered events", 0.0),
+		Entry("with duplicated, reordered and lost events", 0.1),
 	)
 })
 
-// streamEvent is an event on its way from a replica to the router.
+// streamEvent is an event in flight from a replica to the router.
 type streamEvent struct {
 	incarnation, sequence uint64
 	reset                 bool
@@ -153,8 +153,8 @@
 	removed               []prefixindex.ChainHash
 }
 
-// replicaStream is a replica that caches chunks of one prompt at random, and the
-// disorderly way of its events to a router.
+// replicaStream simulates a replica that caches random chunks of one prompt, and a network
+// that duplicates, reorders and loses the replica's events to a router.
 type replicaStream struct {
 	random                *rand.Rand
 	router                *kvrouter.Router
@@ -194,7 +194,7 @@
 		s.sequence = 0
 		clear(s.cached)
 	}
-	// Up to five events are under way and overtake each other.
+	// Up to five events are in flight and arrive in random order.
 	for len(s.inFlight) > 0 && s.random.IntN(6) < len(s.inFlight) {
 		s.deliver(s.random.IntN(len(s.inFlight)))
 	}
@@ -214,8 +214,8 @@
 	}
 }
 
-// sendReset lists what is cached now; like on the wire, it bears the number of
-// the newest event.
+// sendReset sends a reset with all chunks that the replica caches now. As in the protocol, the
+// reset carries the sequence number of the newest event.
 func (s *replicaStream) sendReset() {
 	s.inFlight = append(s.inFlight, streamEvent{
 		incarnation: s.incarnation,
@@ -238,7 +238,7 @@
 	}
 }
 
-// deliverAll lets all events arrive, and the router ask for what it misses.
+// deliverAll delivers all events in flight, and sends resets until the router needs none.
 func (s *replicaStream) deliverAll() {
 	s.send(streamEvent{stored: s.prompt[:1]})
 	s.cached[s.prompt[0].Hash] = s.prompt[0]
@@ -254,7 +254,7 @@
 	}
 }
 
-// leadingChunks counts the chunks that the replica caches without a gap.
+// leadingChunks returns the number of leading chunks that the replica caches without a gap.
 func (s *replicaStream) leadingChunks() int {
 	for position, link := range s.prompt {
 		if _, present := s.cached[link.Hash]; !present {
--- a/pkg/kvrouter/load_test.go
+++ b/pkg/kvrouter/load_test.go
@@ -15,7 +15,7 @@
 		return kvrouter.Load{PrefillBlocks: prefill, DecodeBlocks: decode, ActiveRequests: requests}
 	}
 
-	It("follows the reservations of the router itself", func() {
+	It("contains the load of the router's own reservations", func() {
 		f := newFleet(slowLinks, "a")
 		f.caches("a", links(prompt(10))[:4])
 		reservation := f.choose(baseTime, prompt(10)).Reservation
@@ -33,13 +33,13 @@
 		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("adds what a late report shows in excess of the local load of its time", func() {
+	It("adds the load that a delayed report shows beyond the local load at the reported instant", func() {
 		f := newFleet(slowLinks, "a")
 		first := f.choose(baseTime, prompt(10)).Reservation
 		f.choose(baseTime+2*time.Second, prompt(20))
 		first.Finish(baseTime+3*time.Second, false)
-		// The report describes the time when only the first request was there,
-		// together with 30 blocks of another router.
+		// The report describes an instant when the replica had only the first request of this
+		// router, and 30 blocks of another router.
 		f.router.Report(baseTime+4*time.Second, "a", kvrouter.Report{
 			ActivePrefillTokens: 10 * blockTokens,
 			ActiveDecodeTokens:  (10 + 30) * blockTokens,
@@ -51,7 +51,7 @@
 		Expect(f.router.Load(baseTime+2*time.Second, "a")).To(Equal(blocks(20, 20+30, 2)))
 	})
 
-	It("lets the work of others fade as the report ages, and ignores older reports", func() {
+	It("reduces the reported load of others as the report ages, and ignores older reports", func() {
 		f := newFleet(slowLinks, "a")
 		f.isBusyWith(baseTime, "a", 0, 80, 4)
 		f.router.Report(baseTime, "a", kvrouter.Report{WeightVersion: version, Incarnation: firstIncarnation, Age: time.Second})
@@ -60,7 +60,7 @@
 		Expect(f.router.Load(baseTime+10*time.Second, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("adopts the load that a new router finds", func() {
+	It("contains the load that a replica reported to a new router, until the replica restarts", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.isBusyWith(baseTime, "a", 50, 90, 3)
 		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("b"))
@@ -68,7 +68,7 @@
 		Expect(f.router.Load(baseTime, "a")).To(Equal(blocks(0, 0, 0)))
 	})
 
-	It("separates the load of a replica that was forgotten from its successor's", func() {
+	It("does not mix the state of a forgotten replica with that of its successor", func() {
 		f := newFleet(slowLinks, "a")
 		reservation := f.choose(baseTime, prompt(10)).Reservation
 		f.router.Forget("a")
@@ -82,7 +82,7 @@
 })
 
 var _ = Describe("Active requests", func() {
-	It("are the local ones and those that other routers sent, together", func() {
+	It("are the sum of the local ones and those announced by other routers", func() {
 		router := kvrouter.New(kvrouter.Options{})
 		Expect(router.ActiveRequests(0, "a:1")).To(BeZero())
 		decision, err := router.Select(kvrouter.Request{Model: "m", SaltFor: func(string) string { return "salt" }, Settings: kvrouter.DefaultSettings()},
--- a/pkg/kvrouter/prefix_wait_test.go
+++ b/pkg/kvrouter/prefix_wait_test.go
@@ -11,15 +11,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// withSuffix is a prompt of shared chunks with one of its own at the end.
+// withSuffix returns a prompt of shared chunks followed by a chunk of its own.
 func withSuffix(shared int, suffix string) []prefixindex.Chunk {
 	return append(longPrompt(shared), prefixindex.Chunk{ID: suffix, Tokens: 500})
 }
 
-var _ = Describe("A prompt whose beginning is being read", func() {
+var _ = Describe("A prompt whose prefix a replica is computing for an earlier request", func() {
 	soon := baseTime + 50*time.Millisecond
 
-	It("waits until the replica has read it", func() {
+	It("waits until the replica has computed the prefix", func() {
 		f := newEngineFleet("a")
 		first := f.choose(baseTime, withSuffix(8, "first"))
 		Expect(first.Wait).To(BeNil())
@@ -36,7 +36,7 @@
 		Expect(f.choose(firstTokenAt, withSuffix(8, "third")).Wait).To(BeNil())
 	})
 
-	It("waits for prompts that other routers announced, until the replica reports the chunks", func() {
+	It("waits for a prompt that another router has sent, until the replica reports the chunks", func() {
 		f := newEngineFleet("a")
 		f.caches("a", 1)
 		links := kvrouter.ByID.Links(model, salt(version), longPrompt(8))
@@ -54,7 +54,7 @@
 		Expect(decision.Wait.Done(soon)).To(BeTrue())
 	})
 
-	It("goes on when the earlier request ends without having been read", func() {
+	It("stops waiting when the earlier request is cancelled before its first token", func() {
 		f := newEngineFleet("a")
 		first := f.choose(baseTime, withSuffix(8, "first"))
 		second := f.choose(soon, withSuffix(8, "second"))
@@ -64,7 +64,7 @@
 		Expect(second.Wait.Done(soon)).To(BeTrue())
 	})
 
-	It("goes on when the replica begins a new incarnation", func() {
+	It("stops waiting when another instance takes over the replica's address", func() {
 		f := newEngineFleet("a")
 		f.choose(baseTime, withSuffix(8, "first"))
 		second := f.choose(soon, withSuffix(8, "second"))
@@ -75,7 +75,7 @@
 		Expect(second.Wait.Done(soon)).To(BeTrue())
 	})
 
-	It("waits no longer than half as long again as expected, nor than the request may", func() {
+	It("waits no longer than 1.5 times the expected time plus a margin, nor than MaxWait", func() {
 		f := newEngineFleet("a")
 		f.choose(baseTime, withSuffix(8, "first"))
 		second := f.choose(baseTime, withSuffix(8, "second"))
@@ -86,7 +86,7 @@
 		Expect(third.Wait.Deadline() - baseTime).To(Equal(30 * time.Millisecond))
 	})
 
-	It("waits no longer than two seconds, however much the replica has to read", func() {
+	It("waits no longer than two seconds, regardless of the replica's backlog", func() {
 		f := newEngineFleet("a")
 		f.choose(baseTime, append(longPrompt(60), prefixindex.Chunk{ID: "first", Tokens: 500}))
 		f.hasBacklog(baseTime, "a", 5, 20_000)
@@ -95,13 +95,13 @@
 		Expect(second.Wait.Deadline() - baseTime).To(Equal(2 * time.Second))
 	})
 
-	It("does not wait when the chunks have little in common", func() {
+	It("does not wait for a short common prefix", func() {
 		f := newEngineFleet("a")
 		f.choose(baseTime, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "x", Tokens: 8000}})
 		Expect(f.choose(soon, []prefixindex.Chunk{{ID: "short", Tokens: 200}, {ID: "y", Tokens: 8000}}).Wait).To(BeNil())
 	})
 
-	It("does not wait for less urgent prompts that take longer than the wait saves", func() {
+	It("does not wait for a less urgent prompt that takes longer than the wait saves", func() {
 		f := newEngineFleet("a")
 		f.modifyRequest = func(request *kvrouter.Request) { request.Priority = 7 }
 		f.choose(baseTime, append(longPrompt(2), prefixindex.Chunk{ID: "long", Tokens: 40_000}))
@@ -112,7 +112,7 @@
 		Expect(urgent.OverlapTokens).To(BeZero())
 	})
 
-	It("does not wait at a replica that caches the beginning already", func() {
+	It("does not wait for a replica that already caches the prefix", func() {
 		f := newEngineFleet("a")
 		f.caches("a", 8)
 		f.choose(baseTime, withSuffix(8, "first"))
--- a/pkg/kvrouter/pull_test.go
+++ b/pkg/kvrouter/pull_test.go
@@ -36,13 +36,14 @@
 		f.caches("source", links(prompt(blocks)))
 	})
 
-	// observeBandwidth tells the router a bandwidth at the time of the requests.
+	// observeBandwidth records a bandwidth in the router at the time of the requests.
 	observeBandwidth := func(from string, bytesPerSecond float64) {
 		f.isBusyWith(baseTime, "target", 0, 0, 0)
 		f.router.ObserveLinkBandwidth(from, "zone", bytesPerSecond)
 	}
 
-	// taken selects for the target although the source is a candidate.
+	// selectTarget puts load on the source, so that the target is selected although the source
+	// caches the prompt.
 	selectTarget := func() kvrouter.Decision {
 		req := f.request(baseTime, prompt(blocks))
 		f.isBusyWith(baseTime, "source", 0, 10*blocks, 1)
@@ -52,16 +53,16 @@
 		return decision
 	}
 
-	DescribeTable("credits a pull with no more than the fraction of prefill that it saves", func(speedup, credited float64) {
+	DescribeTable("limits the credit of a pull to the fraction of prefill time that it saves", func(speedup, credited float64) {
 		observeBandwidth("zone", speedup*slowLink)
 		const promptAndMemory = 2 * blocks
 		Expect(selectTarget().Cost).To(BeNumerically("~", promptAndMemory-credited*blocks, 0.2))
 	},
-		Entry("half the time, weighted 1.25 times", 2.0, 1-1.25/2),
-		Entry("a quarter of the time, weighted 1.25 times", 4.0, 1-1.25/4),
-		Entry("a tenth of the time: the credit of a peer", 10.0, kvrouter.DefaultPeerCredit))
+		Entry("for half the prefill time, multiplied by the pull advantage 1.25", 2.0, 1-1.25/2),
+		Entry("for a quarter of the prefill time, multiplied by the pull advantage 1.25", 4.0, 1-1.25/4),
+		Entry("for a tenth of the prefill time, where the peer credit is the limit", 10.0, kvrouter.DefaultPeerCredit))
 
-	It("fetches what is missing behind the replica's overlap, up to where the source ends", func() {
+	It("fetches the chunks after the replica's overlap, up to the end of the source's overlap", func() {
 		f.caches("target", links(prompt(blocks))[:30])
 		f.router.Removed(0, "source", firstIncarnation, 2, hashes(links(prompt(blocks))[90:91]))
 		pull := selectTarget().Pull
@@ -75,13 +76,13 @@
 		Expect(pull.EstimatedTime.Seconds()).To(BeNumerically("~", seconds+0.001, 1e-6))
 	})
 
-	It("counts the fetched chunks with the peer's credit, and not as prefill", func() {
+	It("counts the fetched chunks with the peer credit, and not as prefill load", func() {
 		decision := selectTarget()
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultPeerCredit*blocks+blocks))
 		Expect(f.router.Load(baseTime, "target").PrefillBlocks).To(BeZero())
 	})
 
-	It("prefills when the link is too slow, as measured", func() {
+	It("plans prefill when the measured bandwidth of the link is too low", func() {
 		observeBandwidth("zone", slowLink)
 		decision := selectTarget()
 		Expect(decision.Pull).To(BeNil())
@@ -90,14 +91,14 @@
 		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
 
-	It("tries a link that was slow again after a while", func() {
+	It("tries a slow link again when its measurement has expired", func() {
 		observeBandwidth("zone", slowLink)
 		Expect(selectTarget().Pull).To(BeNil())
 		f.isBusyWith(baseTime+31*time.Second, "source", 0, 10*blocks, 1)
 		Expect(f.choose(baseTime+31*time.Second, prompt(blocks)).Pull).NotTo(BeNil())
 	})
 
-	It("learns from a first token that came late that the link is slow", func() {
+	It("infers from late first tokens that the link is slow, and stops pulling", func() {
 		for range 8 {
 			decision := selectTarget()
 			if decision.Pull == nil {
@@ -108,10 +109,10 @@
 			f.router.Removed(baseTime, "target", firstIncarnation, 1, nil)
 			f.router.Reset(baseTime, "target", firstIncarnation, 2, nil)
 		}
-		Fail("the router went on pulling over a slow link")
+		Fail("the router still plans pulls over a slow link after 8 late first tokens")
 	})
 
-	It("prefills where the replica is learned to be fast", func() {
+	It("plans prefill when the replica's learned prefill speed is high", func() {
 		f.candidates = f.candidates[1:]
 		other := []prefixindex.Chunk{{ID: "other", Tokens: 10_000}}
 		f.choose(baseTime, other).Reservation.FirstToken(baseTime + 100*time.Millisecond)
@@ -119,7 +120,7 @@
 		Expect(selectTarget().Pull).To(BeNil())
 	})
 
-	It("pulls from another zone only for a greater gain", func() {
+	It("pulls from another zone only if the pull saves more time", func() {
 		f.candidates[0].Zone = "far"
 		observeBandwidth("far", 1.6*slowLink)
 		Expect(selectTarget().Pull).To(BeNil())
@@ -128,7 +129,7 @@
 		Expect(selectTarget().Pull).NotTo(BeNil())
 	})
 
-	It("spares sources that are busy, uncertain, or serve many pulls already", func() {
+	It("does not pull from sources that are busy, uncertain, or at their limit of pulls", func() {
 		for range kvrouter.DefaultMaxPullsPerSource {
 			Expect(selectTarget().Pull).NotTo(BeNil())
 		}
@@ -146,7 +147,7 @@
 		Expect(selectTarget().Pull).To(BeNil())
 	})
 
-	It("releases the source at the first token or at the end", func() {
+	It("no longer counts a pull at its source after the first token or the end of the attempt", func() {
 		for round := range 3 * kvrouter.DefaultMaxPullsPerSource {
 			decision := selectTarget()
 			Expect(decision.Pull).NotTo(BeNil(), "round %d", round)
@@ -160,7 +161,7 @@
 		}
 	})
 
-	It("pulls from the store, which is never chosen to run the request", func() {
+	It("pulls from the store, but does not select the store to run the request", func() {
 		f = newFleet(options, "target")
 		f.router.Stored(0, "store", 1, 1, links(prompt(blocks)))
 		req := f.request(baseTime, prompt(blocks))
@@ -170,7 +171,7 @@
 		Expect(decision.Address).To(Equal("target"))
 		Expect(decision.Pull).To(HaveValue(HaveField("Source", "store")))
 		Expect(decision.Cost).To(BeNumerically("~", blocks-kvrouter.DefaultStoreCredit*blocks+blocks))
-		// A store that comes back empty has a new incarnation.
+		// A store that restarts without chunks has a new incarnation.
 		f.router.Reset(baseTime, "store", 2, 1, nil)
 		decision, err = f.router.Select(req, f.candidates)
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/kvrouter/select_test.go
+++ b/pkg/kvrouter/select_test.go
@@ -14,11 +14,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// slowLinks make every pull slower than prefill.
+// slowLinks is a configuration with which every pull is slower than prefill.
 var slowLinks = kvrouter.Options{LinkBytesPerSecond: 1}
 
 var _ = Describe("Select", func() {
-	It("scores the three workers of the paper's figure as the paper does", func() {
+	It("reproduces the costs and the selection of the paper's figure with three workers", func() {
 		f := newFleet(slowLinks, "worker-1", "worker-2", "worker-3")
 		f.settings.BusyThresholdBlocks = 100
 		allLinks := links(prompt(60))
@@ -30,15 +30,14 @@
 		f.isBusyWith(baseTime, "worker-3", 0, 100, 1)
 		chosen := f.choose(baseTime, prompt(60))
 		Expect(chosen.Address).To(Equal("worker-2"))
-		// The figure leaves out the 60 blocks that the request will occupy
-		// wherever it goes.
+		// The figure omits the 60 blocks that the request occupies on any worker.
 		Expect(chosen.Cost).To(BeNumerically("~", 48+60))
 		chosen.Reservation.Finish(baseTime, false)
 		f.candidates = f.candidates[:1]
 		Expect(f.choose(baseTime, prompt(60)).Cost).To(BeNumerically("~", 58+60))
 	})
 
-	It("gives the deepest overlap the request when loads are equal", func() {
+	It("selects the replica with the largest overlap when loads are equal", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.caches("b", links(prompt(10))[:4])
 		chosen := f.choose(baseTime, prompt(10))
@@ -49,7 +48,7 @@
 		Expect(chosen.Pull).To(BeNil())
 	})
 
-	It("weighs the prefill term and the requests as configured", func() {
+	It("weights the prefill term and the active requests as configured", func() {
 		f := newFleet(slowLinks, "a", "b")
 		f.caches("a", links(prompt(10)))
 		f.isBusyWith(baseTime, "a", 0, 12, 2)
@@ -60,7 +59,7 @@
 		Expect(f.choose(baseTime, prompt(10)).Address).To(Equal("b"))
 	})
 
-	It("never lets a credit make the prefill term negative", func() {
+	It("limits the credit so that the prefill term does not become negative", func() {
 		f := newFleet(slowLinks, "a")
 		f.caches("a", links(prompt(10)))
 		f.settings.LocalCredit = 3
@@ -68,7 +67,7 @@
 		Expect(f.choose(baseTime, prompt(10)).Cost).To(BeNumerically("~", 7+10))
 	})
 
-	It("reads a pool's configuration, with defaults for what is not set", func() {
+	It("reads a pool's configuration, with defaults for unset fields", func() {
 		Expect(kvrouter.SettingsFrom(nil)).To(Equal(kvrouter.DefaultSettings()))
 		wanted := kvrouter.DefaultSettings()
 		wanted.PeerCredit, wanted.BusyThresholdBlocks, wanted.Temperature = 0.5, 100, 0.1
@@ -100,7 +99,7 @@
 		Expect(decision.OverlapTokens).To(BeZero())
 	})
 
-	It("breaks ties by active requests, then spreads them by the prompt", func() {
+	It("breaks ties by active requests, then by a hash of address and prompt", func() {
 		f := newFleet(slowLinks, "a", "b", "c")
 		f.isBusyWith(baseTime, "a", 0, 0, 2)
 		f.isBusyWith(baseTime, "b", 0, 0, 1)
@@ -124,7 +123,7 @@
 		}
 	})
 
-	It("draws by the seeded random numbers when the temperature is above 0", func() {
+	It("samples with the given source of random numbers when the temperature is above 0", func() {
 		f := newFleet(slowLinks, "a", "b", "c")
 		f.isBusyWith(baseTime, "b", 0, 50, 0)
 		f.isBusyWith(baseTime, "c", 0, 100, 0)
@@ -142,7 +141,7 @@
 			}
 			return counts, order
 		}
-		// The normalized costs are 0, 0.5 and 1: weights 1, e^-1 and e^-2.
+		// The normalized costs are 0, 0.5 and 1, so that the weights are 1, e^-1 and e^-2.
 		counts, order := draw(0.5, 1)
 		Expect(counts["a"]).To(BeNumerically("~", 399, 40))
 		Expect(counts["b"]).To(BeNumerically("~", 147, 40))
@@ -153,7 +152,7 @@
 		Expect(counts).To(Equal(map[string]int{"a": 600}))
 	})
 
-	It("says why no replica can take a request", func() {
+	It("returns the reason why no replica can take a request", func() {
 		f := newFleet(slowLinks, "a", "b")
 		refusal := func(req kvrouter.Request, candidates []kvrouter.Candidate) kvrouter.Reason {
 			_, err := f.router.Select(req, candidates)
@@ -178,7 +177,7 @@
 })
 
 var _ = Describe("Slow start", func() {
-	// admitted counts the requests that a replica takes at once.
+	// admitted returns the number of requests that the replicas take at once, up to 1,000.
 	admitted := func(f *fleet, now time.Duration) (count int) {
 		var reservations []*kvrouter.Reservation
 		for count < 1000 {
@@ -195,7 +194,7 @@
 		return count
 	}
 
-	It("ramps up the requests of a replica that is new, restarted or warming", func() {
+	It("limits the requests of a replica that is new, restarted or warming, and raises the limit with time", func() {
 		f := newFleet(kvrouter.Options{}, "a")
 		Expect(admitted(f, 0)).To(Equal(4))
 		Expect(admitted(f, 5*time.Second)).To(Equal(24))
--- a/pkg/kvrouter/suite_test.go
+++ b/pkg/kvrouter/suite_test.go
@@ -23,13 +23,14 @@
 	model       = "model"
 	version     = "v1"
 	blockTokens = kvrouter.DefaultBlockTokens
-	// baseTime is a time at which slow start is over for replicas first seen at 0.
+	// baseTime is the time at which most specs begin. Replicas first seen at 0 are no longer
+	// in slow start then.
 	baseTime = time.Minute
-	// firstIncarnation is the incarnation that replicas start with.
+	// firstIncarnation is the incarnation in the first reports of the replicas.
 	firstIncarnation = 7
 )
 
-// fleet is a router with replicas a, b and so on in one zone each by choice.
+// fleet is a router and its replicas, which report chained chunks.
 type fleet struct {
 	router     *kvrouter.Router
 	candidates []kvrouter.Candidate
@@ -51,7 +52,7 @@
 	f.router.Report(0, address, kvrouter.Report{WeightVersion: weightVersion, Incarnation: firstIncarnation})
 }
 
-// prompt is a prompt of chunks of one block each, named by position.
+// prompt returns a prompt of chunks of one block each, whose IDs state the position.
 func prompt(blocks int) []prefixindex.Chunk {
 	return lo.Times(blocks, func(position int) prefixindex.Chunk {
 		return prefixindex.Chunk{ID: fmt.Sprint("chunk ", position), Tokens: blockTokens}
@@ -68,13 +69,13 @@
 	return lo.Map(links, func(link prefixindex.Link, _ int) prefixindex.ChainHash { return link.Hash })
 }
 
-// caches makes a replica report chunks of the prompt.
+// caches makes a replica report that it caches chunks.
 func (f *fleet) caches(address string, cached []prefixindex.Link) {
 	f.sequences[address]++
 	Expect(f.router.Stored(0, address, firstIncarnation, f.sequences[address], cached)).To(Equal(cachefeed.Accepted))
 }
 
-// isBusyWith makes a replica report load, in blocks.
+// isBusyWith makes a replica report load. Prefill and decode are in blocks.
 func (f *fleet) isBusyWith(now time.Duration, address string, prefill, decode uint64, requests uint32) {
 	f.router.Report(now, address, kvrouter.Report{
 		ActivePrefillTokens: prefill * blockTokens,
@@ -95,7 +96,8 @@
 	return decision
 }
 
-// overlap returns how many tokens the router thinks that a replica caches.
+// overlap returns the number of tokens of the prompt that the router expects a replica to
+// cache.
 func (f *fleet) overlap(now time.Duration, address string, chunks []prefixindex.Chunk) uint32 {
 	only := lo.Filter(f.candidates, func(candidate kvrouter.Candidate, _ int) bool { return candidate.Address == address })
 	decision, err := f.router.Select(f.request(now, chunks), only)
--- a/pkg/kvrouter/time_cost_test.go
+++ b/pkg/kvrouter/time_cost_test.go
@@ -26,15 +26,15 @@
 	f.router.ChunksReported(baseTime, address, feedPosition(0, uint64(chunks)), changes)
 }
 
-// hasBacklog makes another router announce prompts that are not computed yet.
+// hasBacklog records a load of another router with prompt tokens that are not computed yet.
 func (f *engineFleet) hasBacklog(now time.Duration, address string, priority int, tokens float64) {
 	load := replicaload.SharedLoad{Requests: 1, DecodeTokens: tokens}
 	load.PrefillTokens[priority] = tokens
 	f.router.SetRemoteLoad(now, "other", address, load)
 }
 
-var _ = Describe("Cost in the replica's own time", func() {
-	It("goes where the prompt is cached, and elsewhere when that replica is behind", func() {
+var _ = Describe("The time cost model", func() {
+	It("selects the replica that caches the prompt, unless its backlog is too long", func() {
 		f := newEngineFleet("a", "b")
 		f.engine.LinkBitsPerSecond = 1e6
 		f.caches("b", 4)
@@ -47,7 +47,7 @@
 		Expect(f.choose(baseTime, longPrompt(5)).Address).To(Equal("a"))
 	})
 
-	It("counts the load that other routers sent for a second, less what was computed since", func() {
+	It("counts the load announced by other routers for a second, minus the tokens computed since", func() {
 		f := newEngineFleet("a", "b")
 		f.hasBacklog(baseTime, "a", 5, 8000)
 		Expect(f.choose(baseTime, otherPrompt("x", 100)).Address).To(Equal("b"))
@@ -62,7 +62,7 @@
 		Expect(delay(baseTime + time.Second)).To(BeNumerically("~", 21*time.Millisecond, time.Millisecond))
 	})
 
-	It("replaces the earlier load of a router, and returns the local load", func() {
+	It("replaces the earlier load of another router, and returns the local load", func() {
 		f := newEngineFleet("a")
 		f.hasBacklog(baseTime, "a", 5, 8000)
 		f.router.SetRemoteLoad(baseTime, "other", "a", replicaload.SharedLoad{})
@@ -83,7 +83,7 @@
 		Expect(f.router.LocalLoads(baseTime + time.Second)).To(BeEmpty())
 	})
 
-	It("sums the loads of many routers, whatever was computed in between", func() {
+	It("sums the loads of several routers, minus the tokens computed in between", func() {
 		f := newEngineFleet("a")
 		f.choose(baseTime, otherPrompt("first", 100)).Reservation.Cancelled(baseTime)
 		for number := range 5 {
@@ -97,11 +97,12 @@
 			f.router.SetRemoteLoad(at, fmt.Sprint(number), "a", replicaload.SharedLoad{})
 		}
 		decision := f.choose(at, otherPrompt("x", 400))
-		// Half of the fifth router's 4,000 tokens were computed, then the local 400 follow.
+		// Half of the fifth router's 4,000 tokens have been computed; the local 400 are queued
+		// after the other half.
 		Expect(decision.ExpectedDelay).To(BeNumerically("~", 80*time.Millisecond, 3*time.Millisecond))
 	})
 
-	It("waits behind less urgent prompts only in part", func() {
+	It("counts less urgent prompts only in part as queued before the request", func() {
 		f := newEngineFleet("a")
 		f.hasBacklog(baseTime, "a", 7, 8000)
 		delayAt := func(priority uint8) time.Duration {
@@ -113,7 +114,7 @@
 		Expect(delayAt(7) - delayAt(3)).To(BeNumerically("~", 40*time.Millisecond, time.Millisecond))
 	})
 
-	It("sends large bodies to another zone for a longer wait only than small ones", func() {
+	It("requires a longer local backlog to send a large body to another zone than a small one", func() {
 		f := newEngineFleet("near", "far")
 		f.candidates[1].Zone = "another"
 		f.hasBacklog(baseTime, "near", 5, 2000)
@@ -127,7 +128,7 @@
 		Expect(addressOf(40_000)).To(Equal("near"))
 	})
 
-	It("learns that a replica is slow", func() {
+	It("learns that a replica is slow, and avoids it", func() {
 		f := newEngineFleet("a", "b")
 		all := f.candidates
 		now := baseTime
@@ -149,7 +150,7 @@
 		}
 	})
 
-	It("avoids replicas whose slots or memory are full, and says when to come back if all are", func() {
+	It("avoids replicas whose slots or memory are full, and returns RetryAfter if all are", func() {
 		f := newEngineFleet("a", "b")
 		f.caches("a", 4)
 		f.router.SetRemoteLoad(baseTime, "other", "a", replicaload.SharedLoad{Requests: 4})
@@ -166,7 +167,7 @@
 		Expect(f.choose(baseTime, otherPrompt("x", 4000)).Address).To(Equal("b"))
 	})
 
-	It("goes to replicas in slow start only where the caller permits it", func() {
+	It("selects replicas in slow start only if the caller permits it", func() {
 		f := newEngineFleet("a")
 		f.candidates[0].SlowStartUntil = baseTime + time.Second
 		_, err := f.trySelect(baseTime, longPrompt(1))
@@ -180,14 +181,14 @@
 		f.choose(baseTime+time.Second, longPrompt(1))
 	})
 
-	It("prefers its own zone when nothing else differs", func() {
+	It("prefers the request's own zone when nothing else differs", func() {
 		f := newEngineFleet("a", "b", "c")
 		f.candidates[1].Zone = "near"
 		f.modifyRequest = func(request *kvrouter.Request) { request.Zone = "near" }
 		Expect(f.choose(baseTime, longPrompt(2)).Address).To(Equal("b"))
 	})
 
-	It("keeps routers with old updates from choosing the same replica", func() {
+	It("makes routers that do not know each other's load select different replicas", func() {
 		chosen := map[string]int{}
 		for number := range 30 {
 			f := newEngineFleet("a", "b", "c", "d")
@@ -208,16 +209,16 @@
 		f.hasBacklog(baseTime, "b", 0, 40_000)
 	})
 
-	It("pulls what a peer caches when that is sooner than reading it", func() {
+	It("pulls chunks from a peer when that is faster than prefill", func() {
 		decision := f.choose(baseTime, longPrompt(9))
 		Expect(decision.Address).To(Equal("a"))
 		Expect(decision.Pull).To(HaveValue(And(HaveField("Source", "b"), HaveField("Tokens", uint32(8000)))))
-		// 5 ms and 8,000 tokens of 20 kB at 400 Gbit/s.
+		// The setup of 5 ms, and 8,000 tokens of 20 kB at 400 Gbit/s.
 		Expect(decision.Pull.EstimatedTime).To(BeNumerically("~", 8200*time.Microsecond, 10*time.Microsecond))
 		Expect(f.router.Load(baseTime, "a").PrefillBlocks).To(BeNumerically("~", 1000.0/blockTokens))
 	})
 
-	It("takes twice as long between zones, and ten times between regions", func() {
+	It("estimates twice the transfer time between zones, and ten times between regions", func() {
 		f.candidates[1].Zone = "other"
 		Expect(f.choose(baseTime, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 11400*time.Microsecond, 10*time.Microsecond))
 		f.candidates[1].Region = "other"
@@ -228,7 +229,7 @@
 		Expect(g.choose(baseTime, longPrompt(9)).Pull.EstimatedTime).To(BeNumerically("~", 37*time.Millisecond, 10*time.Microsecond))
 	})
 
-	It("waits for earlier transfers of either end, and starts none that would wait long", func() {
+	It("includes the wait for an earlier transfer in the time of a further pull, if it plans one", func() {
 		f.engine.LinkBitsPerSecond = 8e9
 		f.engine.PrefillTokensPerMillisecond = 1
 		f.engine.Slots = 0
@@ -241,12 +242,12 @@
 		}
 	})
 
-	Describe("whose link turns slow", func() {
+	Describe("over a link that becomes slow", func() {
 		var (
 			now      time.Duration
 			sequence uint64
 		)
-		// reportEvicted has a replica report that it caches none of the prompt any more.
+		// reportEvicted makes a replica report that it has evicted all chunks of the prompt.
 		reportEvicted := func(address string) {
 			var changes []cachefeed.ChunkChange
 			for chunk := range 9 {
@@ -255,8 +256,8 @@
 			f.router.ChunksReported(now, address, cachefeed.Position{Incarnation: chunkIncarnation, From: sequence, Next: sequence + 1}, changes)
 			sequence++
 		}
-		// runRequest has the prompt begin some time after it is sent, and reports whether it
-		// pulled.
+		// runRequest selects for the prompt, sends the first token some time after that, and
+		// reports whether a pull was planned.
 		runRequest := func(after time.Duration) bool {
 			reportEvicted("a")
 			f.hasBacklog(now, "b", 0, 40_000)
@@ -270,15 +271,15 @@
 		}
 		BeforeEach(func() { now, sequence = baseTime, 0 })
 
-		It("notices that by two late pulls in a row, and tries it again later", func() {
+		It("stops pulling after two late pulls in a row, and tries again later", func() {
 			Expect(runRequest(3 * time.Second)).To(BeTrue())
-			Expect(runRequest(3*time.Second)).To(BeTrue(), "a single one may have been late for another reason")
+			Expect(runRequest(3*time.Second)).To(BeTrue(), "a single late pull may have another cause than the link")
 			Expect(runRequest(time.Second)).To(BeFalse())
 			now += time.Minute
 			Expect(runRequest(time.Second)).To(BeTrue())
 		})
 
-		It("does not attribute late pulls to it with others in time between them", func() {
+		It("continues to pull if late pulls alternate with pulls in time", func() {
 			for range 4 {
 				Expect(runRequest(3 * time.Second)).To(BeTrue())
 				Expect(runRequest(20 * time.Millisecond)).To(BeTrue())
@@ -286,7 +287,7 @@
 		})
 	})
 
-	It("saves shared chunks that the store lacks, once", func() {
+	It("saves reusable chunks that the store lacks, and saves them once", func() {
 		g := newEngineFleet("a")
 		g.engine.StoreTokens, g.engine.Slots, g.engine.MemoryTokens = 1_000_000, 0, 0
 		g.modifyRequest = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
@@ -296,18 +297,18 @@
 		other := append(longPrompt(2), prefixindex.Chunk{ID: "other", Tokens: 500})
 		Expect(g.choose(baseTime, other).Save).To(BeFalse())
 		first.Reservation.FirstToken(baseTime)
-		Expect(g.choose(baseTime+15*time.Second, other).Save).To(BeTrue(), "its last chunk came before")
+		Expect(g.choose(baseTime+15*time.Second, other).Save).To(BeTrue(), "its last chunk was requested before")
 		g.router.ChunksReported(baseTime, "store", feedPosition(0, 2), []cachefeed.ChunkChange{cachedChange(1, 0, 1000), cachedChange(2, 1, 1000)})
 		again := append(longPrompt(2), prefixindex.Chunk{ID: "third", Tokens: 500})
 		Expect(g.choose(baseTime+time.Hour, again).Save).To(BeFalse())
 		g.router.ChunksReported(baseTime+time.Hour, "store", cachefeed.Position{Incarnation: chunkIncarnation + 1, Next: 0}, nil)
 		fourth := append(longPrompt(2), prefixindex.Chunk{ID: "fourth", Tokens: 500})
-		Expect(g.choose(baseTime+time.Hour, fourth).Save).To(BeTrue(), "the store came back empty")
+		Expect(g.choose(baseTime+time.Hour, fourth).Save).To(BeTrue(), "the store has restarted without chunks")
 		g.engine.StoreTokens = 10_000
-		Expect(g.choose(baseTime+time.Hour, longPrompt(5)).Save).To(BeFalse(), "it would fill the store")
+		Expect(g.choose(baseTime+time.Hour, longPrompt(5)).Save).To(BeFalse(), "the prompt exceeds the fraction of the store that one prompt may occupy")
 	})
 
-	It("pulls from the store what no replica caches", func() {
+	It("pulls chunks from the store that no replica caches", func() {
 		g := newEngineFleet("a")
 		g.modifyRequest = func(request *kvrouter.Request) { request.Store, request.StoreZone = "store", "zone" }
 		g.engine.StoreLinkBitsPerSecond = 40e9
