--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -39,8 +39,8 @@
 }
 
 // restart begins a new slow start and discards the state that belongs to the former
-// incarnation, including the load reported by other routers. This router's reservations stay:
-// they are finished when the connections of their requests fail.
+// incarnation, including its load reports and the loads announced by other routers. This
+// router's reservations stay: they are finished when the connections of their requests fail.
 func (s *replicaState) restart(now time.Duration) {
 	s.load.DiscardOthers()
 	s.slowness = speed.Slowness{}
