--- a/pkg/kvrouter/cachefeed/chunk_feed.go
+++ b/pkg/kvrouter/cachefeed/chunk_feed.go
@@ -28,12 +28,12 @@
 	// buffered are the batches that begin after appliedThrough, in order.
 	buffered      []batch
 	bufferedSince time.Duration
-	// followedFrom is the sequence number after which the feed began, if it began in
+	// startedAfter is the sequence number after which the feed began, if it began in
 	// the middle: changes up to it are missing until a snapshot fills the gap.
-	followedFrom uint64
-	// changedHashes are the chunks that changed since followedFrom, of which a snapshot
+	startedAfter uint64
+	// changedHashes are the chunks that changed since startedAfter, of which a snapshot
 	// must not overwrite the newer reports. It is nil when no snapshot can fill the gap
-	// before followedFrom: there is none, changes were lost, or too many chunks changed.
+	// before startedAfter: there is none, changes were lost, or too many chunks changed.
 	changedHashes map[prefixindex.ChainHash]struct{}
 }
 
@@ -49,7 +49,7 @@
 	if from == 0 {
 		return true
 	}
-	c.followedFrom = from
+	c.startedAfter = from
 	c.changedHashes = make(map[prefixindex.ChainHash]struct{})
 	return false
 }
@@ -166,10 +166,10 @@
 	c.record.notifyChange()
 }
 
-// fitsBefore reports whether what was cached at a sequence number fills the gap before
+// fillsGap reports whether what was cached at a sequence number fills the gap before
 // the changes that were followed.
-func (c *chunkFeed) fitsBefore(sequence uint64) bool {
-	return c.changedHashes != nil && sequence >= c.followedFrom
+func (c *chunkFeed) fillsGap(sequence uint64) bool {
+	return c.changedHashes != nil && sequence >= c.startedAfter
 }
 
 // addUnchanged adds what was cached when the feed began. Of the chunks that have
--- a/pkg/kvrouter/cachefeed/feed.go
+++ b/pkg/kvrouter/cachefeed/feed.go
@@ -174,11 +174,11 @@
 	if f.forgotten {
 		return false, false
 	}
-	arrived := f.incarnations.observeNumbered(now, incarnation, f.options.ReportLag)
-	if arrived.starts() {
+	status := f.incarnations.observeNumbered(now, incarnation, f.options.ReportLag)
+	if status.isStart() {
 		f.weightVersion = ""
 	}
-	return f.follow(arrived)
+	return f.applyIncarnation(status)
 }
 
 // checkUnordered is checkNumbered for owners whose incarnations have no order. The
@@ -187,18 +187,18 @@
 	if f.forgotten {
 		return false, false
 	}
-	return f.follow(f.incarnations.observeUnordered(now, incarnation))
+	return f.applyIncarnation(f.incarnations.observeUnordered(now, incarnation))
 }
 
-// follow starts anew with a new incarnation.
-func (f *Feed) follow(arrived arrival) (current, restarted bool) {
-	if arrived.starts() {
+// applyIncarnation starts anew with a new incarnation.
+func (f *Feed) applyIncarnation(status incarnationStatus) (current, restarted bool) {
+	if status.isStart() {
 		f.startIncarnation()
 	}
-	if arrived == restartArrival {
+	if status == restartedIncarnation {
 		f.dropAll()
 	}
-	return arrived != staleArrival, arrived == restartArrival
+	return status != staleIncarnation, status == restartedIncarnation
 }
 
 func (f *Feed) startIncarnation() {
--- a/pkg/kvrouter/cachefeed/incarnations.go
+++ b/pkg/kvrouter/cachefeed/incarnations.go
@@ -9,31 +9,31 @@
 // their late reports from those of a new one.
 const maxRetired = 8
 
-// arrival is what a report says of its sender's incarnation.
-type arrival int
+// incarnationStatus is what a report says of its sender's incarnation.
+type incarnationStatus int
 
 const (
-	// staleArrival is a late report of an earlier incarnation.
-	staleArrival arrival = iota
-	// presentArrival is a report of the present incarnation.
-	presentArrival
-	// firstArrival is the first report of the owner at all.
-	firstArrival
-	// restartArrival is the first report of a new incarnation.
-	restartArrival
+	// staleIncarnation is a late report of an earlier incarnation.
+	staleIncarnation incarnationStatus = iota
+	// currentIncarnation is a report of the present incarnation.
+	currentIncarnation
+	// firstIncarnation is the first report of the owner at all.
+	firstIncarnation
+	// restartedIncarnation is the first report of a new incarnation.
+	restartedIncarnation
 )
 
-// starts reports whether the report is the first of its incarnation.
-func (a arrival) starts() bool { return a == firstArrival || a == restartArrival }
+// isStart reports whether the report is the first of its incarnation.
+func (s incarnationStatus) isStart() bool { return s == firstIncarnation || s == restartedIncarnation }
 
 // incarnations has the present incarnation of an owner, and the last few before it.
 type incarnations struct {
 	// started is set once an incarnation was seen.
 	started bool
-	present uint64
+	current uint64
 	retired []uint64
-	// lastHeardAt is when the present incarnation last reported.
-	lastHeardAt time.Duration
+	// lastReportAt is when the present incarnation last reported.
+	lastReportAt time.Duration
 }
 
 // observeNumbered records a report of an owner that numbers its incarnations upwards,
@@ -41,12 +41,12 @@
 // present incarnation has been silent for the time-out is it taken for the newest all
 // the same, so that a replica which numbers its incarnations in another way is
 // believed in the end.
-func (i *incarnations) observeNumbered(now time.Duration, incarnation uint64, timeout time.Duration) arrival {
-	if i.started && incarnation != i.present {
-		newer := incarnation > i.present && !slices.Contains(i.retired, incarnation)
-		silent := now-i.lastHeardAt >= timeout
+func (i *incarnations) observeNumbered(now time.Duration, incarnation uint64, timeout time.Duration) incarnationStatus {
+	if i.started && incarnation != i.current {
+		newer := incarnation > i.current && !slices.Contains(i.retired, incarnation)
+		silent := now-i.lastReportAt >= timeout
 		if !newer && !silent {
-			return staleArrival
+			return staleIncarnation
 		}
 	}
 	return i.record(now, incarnation)
@@ -54,27 +54,27 @@
 
 // observeUnordered records a report of an owner whose incarnations have no order: one
 // that is neither the present one nor one of the last few is a new start.
-func (i *incarnations) observeUnordered(now time.Duration, incarnation uint64) arrival {
+func (i *incarnations) observeUnordered(now time.Duration, incarnation uint64) incarnationStatus {
 	if slices.Contains(i.retired, incarnation) {
-		return staleArrival
+		return staleIncarnation
 	}
 	return i.record(now, incarnation)
 }
 
 // record records a report of the present incarnation, or of a new one.
-func (i *incarnations) record(now time.Duration, incarnation uint64) arrival {
-	i.lastHeardAt = max(i.lastHeardAt, now)
+func (i *incarnations) record(now time.Duration, incarnation uint64) incarnationStatus {
+	i.lastReportAt = max(i.lastReportAt, now)
 	switch {
 	case !i.started:
 		i.started = true
-		i.present = incarnation
-		return firstArrival
-	case incarnation != i.present:
-		i.retire(i.present)
-		i.present = incarnation
-		return restartArrival
+		i.current = incarnation
+		return firstIncarnation
+	case incarnation != i.current:
+		i.retire(i.current)
+		i.current = incarnation
+		return restartedIncarnation
 	}
-	return presentArrival
+	return currentIncarnation
 }
 
 func (i *incarnations) retire(incarnation uint64) {
--- a/pkg/kvrouter/cachefeed/snapshot.go
+++ b/pkg/kvrouter/cachefeed/snapshot.go
@@ -24,7 +24,7 @@
 func (f *Feed) AdoptSnapshot(now time.Duration, position Position, chunks []ChunkChange) Status {
 	f.mutex.Lock()
 	defer f.unlock()
-	if f.forgotten || (f.incarnations.started && position.Incarnation != f.incarnations.present) {
+	if f.forgotten || (f.incarnations.started && position.Incarnation != f.incarnations.current) {
 		// A snapshot of another incarnation is no sign of a restart: the other router
 		// may not have heard of the present one yet.
 		return Stale
@@ -36,7 +36,7 @@
 	switch {
 	case newer:
 		f.replaceChunks(now, position.Next, chunks)
-	case f.chunks.fitsBefore(position.Next):
+	case f.chunks.fillsGap(position.Next):
 		f.chunks.addUnchanged(chunks)
 	default:
 		return Stale
@@ -60,7 +60,7 @@
 	if f.forgotten || !f.chunks.inUse {
 		return Position{}, nil, false
 	}
-	position = Position{Incarnation: f.incarnations.present, Next: f.chunks.appliedThrough, Lost: f.incomplete}
+	position = Position{Incarnation: f.incarnations.current, Next: f.chunks.appliedThrough, Lost: f.incomplete}
 	return position, f.record.reported(), true
 }
 
@@ -69,7 +69,7 @@
 func (f *Feed) Position() (incarnation, sequence uint64, found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.incarnations.present, f.chunks.appliedThrough, f.chunks.inUse
+	return f.incarnations.current, f.chunks.appliedThrough, f.chunks.inUse
 }
 
 // Complete reports whether all that the owner caches is recorded: its changes were
--- a/pkg/kvrouter/internal/speed/slowness.go
+++ b/pkg/kvrouter/internal/speed/slowness.go
@@ -30,7 +30,7 @@
 
 // Observe records a ratio of observed to expected time.
 func (s *Slowness) Observe(now time.Duration, ratio, weight float64) {
-	s.fade(now)
+	s.decay(now)
 	ratio = min(max(ratio, minSlowness), maxObservedRatio)
 	if ratio > s.Factor() {
 		weight *= lateWeight
@@ -39,8 +39,8 @@
 	s.weight = s.weight*slownessDecay + weight
 }
 
-// fade halves the weight of the observations with each half-life.
-func (s *Slowness) fade(now time.Duration) {
+// decay halves the weight of the observations with each half-life.
+func (s *Slowness) decay(now time.Duration) {
 	for now-s.updatedAt >= slownessHalfLife && s.weight > negligibleWeight {
 		s.sum /= 2
 		s.weight /= 2
--- a/pkg/kvrouter/internal/speed/transfer_link.go
+++ b/pkg/kvrouter/internal/speed/transfer_link.go
@@ -25,8 +25,8 @@
 	// slowdown is how many times longer transfers took than expected, at slowdownAt.
 	slowdown   float64
 	slowdownAt time.Duration
-	// lateInRow counts the late transfers since the last one on time.
-	lateInRow int
+	// consecutiveLate counts the late transfers since the last one on time.
+	consecutiveLate int
 }
 
 // FreeAt returns when the transfers planned so far have ended.
@@ -49,8 +49,8 @@
 // reports whether the transfer counts as late at both its ends.
 func ObserveTransfer(now time.Duration, source, target *TransferLink, expected, excess float64) (late bool) {
 	if excess <= max(minLateMilliseconds, 2*expected) {
-		source.lateInRow = 0
-		target.lateInRow = 0
+		source.consecutiveLate = 0
+		target.consecutiveLate = 0
 		return false
 	}
 	ratio := (excess + expected) / max(expected, 1)
@@ -64,8 +64,8 @@
 // that this router has no report of. Only several in a row are attributed to the
 // link.
 func (l *TransferLink) recordLate(now time.Duration, ratio float64) {
-	l.lateInRow++
-	if l.lateInRow < lateTransfersForSlowdown {
+	l.consecutiveLate++
+	if l.consecutiveLate < lateTransfersForSlowdown {
 		return
 	}
 	l.slowdown = min(max(ratio, l.Slowdown(now)), maxSlowdown)
--- a/pkg/kvrouter/replicaload/history.go
+++ b/pkg/kvrouter/replicaload/history.go
@@ -10,7 +10,7 @@
 
 // history is the load of this router's requests at present and in the recent past.
 type history struct {
-	present Load
+	current Load
 	// samples are in order of time. Each is valid from its instant to the next.
 	samples []sample
 }
@@ -22,14 +22,14 @@
 
 // add changes the present load, and retains samples as old as retention.
 func (h *history) add(now, retention time.Duration, change Load) {
-	h.present = h.present.Plus(change).excessOver(Load{})
+	h.current = h.current.Plus(change).excessOver(Load{})
 	last := len(h.samples) - 1
 	if last >= 0 && now-h.samples[last].at < historyResolution {
-		h.samples[last].load = h.present
+		h.samples[last].load = h.current
 		return
 	}
 	h.prune(now - retention)
-	h.samples = append(h.samples, sample{at: now, load: h.present})
+	h.samples = append(h.samples, sample{at: now, load: h.current})
 }
 
 // prune drops samples that ended before the instant.
--- a/pkg/kvrouter/replicaload/prefill_queue.go
+++ b/pkg/kvrouter/replicaload/prefill_queue.go
@@ -5,9 +5,9 @@
 // Priorities is the number of priorities of requests, 0 being the most urgent.
 const Priorities = 10
 
-// unfinishedFraction is the least fraction of a prompt that counts as still to be
+// minRemainingFraction is the least fraction of a prompt that counts as still to be
 // computed until its first event has come.
-const unfinishedFraction = 0.05
+const minRemainingFraction = 0.05
 
 // PrefillWork is the prompt of a local request whose first event has not come yet.
 type PrefillWork struct {
@@ -62,7 +62,7 @@
 		if work.priority != priority {
 			continue
 		}
-		computed := min(max(work.remaining-unfinishedFraction*work.tokens, 0), tokens)
+		computed := min(max(work.remaining-minRemainingFraction*work.tokens, 0), tokens)
 		work.remaining -= computed
 		tokens -= computed
 	}
--- a/pkg/kvrouter/replicaload/tracker.go
+++ b/pkg/kvrouter/replicaload/tracker.go
@@ -47,8 +47,8 @@
 	// announced is set when the last announcement stated some load.
 	announced bool
 
-	// others is what the newest report showed in excess of the local load.
-	others Load
+	// reportedRemote is what the newest report showed in excess of the local load.
+	reportedRemote Load
 	// reportedAt is the instant that the newest report describes, if any.
 	reportedAt time.Duration
 	reported   bool
@@ -68,7 +68,7 @@
 }
 
 // Local returns the local load.
-func (t *Tracker) Local() Load { return t.local.present }
+func (t *Tracker) Local() Load { return t.local.current }
 
 // AddPrefill records that a prompt was sent of which the replica has to compute
 // tokens. The caller must end it with RemovePrefill.
@@ -90,7 +90,7 @@
 	if !t.IsNewestReport(describesAt) {
 		return
 	}
-	t.others = total.excessOver(t.local.at(describesAt))
+	t.reportedRemote = total.excessOver(t.local.at(describesAt))
 	t.reportedAt = describesAt
 	t.reported = true
 }
@@ -109,7 +109,7 @@
 // DiscardOthers drops what reports showed and other routers sent, as after a
 // restart of the replica.
 func (t *Tracker) DiscardOthers() {
-	t.others = Load{}
+	t.reportedRemote = Load{}
 	t.reported = false
 	t.shared = sharedLoads{}
 	t.memory = Memory{}
@@ -143,19 +143,19 @@
 // fades out as the report ages, since nothing tells when their work ends.
 func (t *Tracker) Reported(now time.Duration) Load {
 	if !t.reported {
-		return t.local.present
+		return t.local.current
 	}
-	return t.local.present.Plus(t.others.Times(t.ages.weight(now - t.reportedAt)))
+	return t.local.current.Plus(t.reportedRemote.Times(t.ages.weight(now - t.reportedAt)))
 }
 
 // Active estimates the present load by all sources: the local load, and what other
 // routers sent or the replica reported, whichever is more. Of prefill it counts the
 // local load alone; RemainingPrefill has all of it.
 func (t *Tracker) Active(now time.Duration) Load {
-	total := t.local.present
+	total := t.local.current
 	others := Load{Requests: t.shared.sum.Requests, DecodeTokens: t.shared.sum.DecodeTokens}
 	if t.reported {
-		reported := t.others.Times(t.ages.weight(now - t.reportedAt))
+		reported := t.reportedRemote.Times(t.ages.weight(now - t.reportedAt))
 		others.Requests = max(others.Requests, reported.Requests)
 		others.DecodeTokens = max(others.DecodeTokens, reported.DecodeTokens)
 	}
@@ -184,7 +184,7 @@
 	if !t.reported {
 		return 0
 	}
-	excess := t.others.Requests*t.ages.weight(now-t.reportedAt) - t.shared.sum.Requests
+	excess := t.reportedRemote.Requests*t.ages.weight(now-t.reportedAt) - t.shared.sum.Requests
 	return max(0, min(excess, t.memory.Waiting))
 }
 
@@ -203,22 +203,22 @@
 	if !t.memoryReported || now-t.memory.DescribesAt > t.ages.Fresh {
 		return 0, false
 	}
-	since := t.local.present.DecodeTokens - t.local.at(t.memory.DescribesAt).DecodeTokens
+	since := t.local.current.DecodeTokens - t.local.at(t.memory.DescribesAt).DecodeTokens
 	return max(0, t.memory.Used+since), true
 }
 
 // AnnouncementDue reports whether other routers are to be sent the local load: there is
 // some, or there was some at the last announcement.
 func (t *Tracker) AnnouncementDue() bool {
-	return t.local.present.Requests != 0 || t.announced
+	return t.local.current.Requests != 0 || t.announced
 }
 
 // Announce returns the local load for other routers, and remembers for AnnouncementDue
 // whether there was some.
 func (t *Tracker) Announce() SharedLoad {
 	announcement := SharedLoad{
-		DecodeTokens: t.local.present.DecodeTokens,
-		Requests:     t.local.present.Requests,
+		DecodeTokens: t.local.current.DecodeTokens,
+		Requests:     t.local.current.Requests,
 	}
 	t.queue.addByPriority(&announcement.PrefillTokens)
 	t.announced = !announcement.idle()
--- a/pkg/outlier/comparison.go
+++ b/pkg/outlier/comparison.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	for _, group := range target.pools {
-		if observed.failureRatio() < d.options.Contrast*group.baselineFailureRatio(now, target, d.options.HalfLife) {
+		if observed.failureRatio() < d.options.BaselineFactor*group.baselineFailureRatio(now, target, d.options.HalfLife) {
 			return false
 		}
 	}
--- a/pkg/outlier/detector.go
+++ b/pkg/outlier/detector.go
@@ -107,7 +107,7 @@
 	}
 	failure := outcome.failureWeight()
 	if failure > 0 {
-		target.watch(now, &d.options)
+		target.enableReporting(now, &d.options)
 		target.failed, target.failedAt = true, now
 	}
 	target.unreported.add(now, d.options.HalfLife, failure, 1)
@@ -119,7 +119,7 @@
 // zone if sameZone is set. Only those count as probes.
 func (d *Detector) count(now time.Duration, target *replica, sameZone bool, failures, total float64) {
 	if failures > 0 {
-		target.watch(now, &d.options)
+		target.enableReporting(now, &d.options)
 	}
 	target.fleet.add(now, d.options.HalfLife, failures, total)
 	if sameZone {
@@ -144,7 +144,7 @@
 func (d *Detector) readmit(now time.Duration, target *replica) {
 	clean := tally{updatedAt: now}
 	target.local, target.zone, target.fleet = clean, clean, clean
-	target.watchedUntil = now + 2*d.options.HalfLife
+	target.reportingUntil = now + 2*d.options.HalfLife
 	target.reportedAt = now - reportInterval
 	d.options.Changed(target.member.Address, false)
 }
--- a/pkg/outlier/detector_test.go
+++ b/pkg/outlier/detector_test.go
@@ -328,12 +328,12 @@
 // exchangeReports sends the reports of every node to every other one.
 func (f *fleet) exchangeReports(now time.Duration) (reported int) {
 	zones := [][]*outlier.Detector{f.sameZone, f.otherZone}
-	for zone, tellers := range zones {
-		for number, from := range tellers {
+	for zone, senders := range zones {
+		for number, from := range senders {
 			reports := from.TakeReports(now)
 			reported += len(reports)
-			for otherZone, listeners := range zones {
-				for _, to := range listeners {
+			for otherZone, receivers := range zones {
+				for _, to := range receivers {
 					if to == from {
 						continue
 					}
--- a/pkg/outlier/options.go
+++ b/pkg/outlier/options.go
@@ -10,7 +10,7 @@
 	DefaultHalfLife           = 5 * time.Second
 	DefaultMinFailures        = 1.8
 	DefaultFailureThreshold   = 0.3
-	DefaultContrast           = 2.0
+	DefaultBaselineFactor     = 2.0
 	DefaultEjection           = time.Second
 	DefaultMaxEjection        = 8 * time.Second
 	DefaultMaxEjectedFraction = 0.5
@@ -30,9 +30,9 @@
 	MinFailures float64
 	// FailureThreshold is the ratio of failures that is required to eject a replica.
 	FailureThreshold float64
-	// Contrast is the multiple of the failure ratio of the other replicas of the pool
+	// BaselineFactor is the multiple of the failure ratio of the other replicas of the pool
 	// that is required to eject a replica.
-	Contrast float64
+	BaselineFactor float64
 	// Ejection is how long the first ejection lasts until a probe; each further
 	// one in a row is twice as long, up to MaxEjection.
 	Ejection, MaxEjection time.Duration
@@ -53,7 +53,7 @@
 	o.HalfLife = cmp.Or(o.HalfLife, DefaultHalfLife)
 	o.MinFailures = cmp.Or(o.MinFailures, DefaultMinFailures)
 	o.FailureThreshold = cmp.Or(o.FailureThreshold, DefaultFailureThreshold)
-	o.Contrast = cmp.Or(o.Contrast, DefaultContrast)
+	o.BaselineFactor = cmp.Or(o.BaselineFactor, DefaultBaselineFactor)
 	o.Ejection = cmp.Or(o.Ejection, DefaultEjection)
 	o.MaxEjection = cmp.Or(o.MaxEjection, DefaultMaxEjection)
 	o.MaxEjectedFraction = cmp.Or(o.MaxEjectedFraction, DefaultMaxEjectedFraction)
--- a/pkg/outlier/replica.go
+++ b/pkg/outlier/replica.go
@@ -15,8 +15,8 @@
 	// reportedAt is when the last ones were.
 	unreported tally
 	reportedAt time.Duration
-	// watchedUntil is until when, after a failure, successes are reported too.
-	watchedUntil time.Duration
+	// reportingUntil is until when, after a failure, successes are reported too.
+	reportingUntil time.Duration
 	// failed tells whether this node itself has seen a failure, and failedAt when it saw
 	// the last one.
 	failed   bool
@@ -27,12 +27,12 @@
 	ejection  ejection
 }
 
-// watch starts, or prolongs, the reporting of all outcomes at a replica. Earlier outcomes
+// enableReporting starts, or prolongs, the reporting of all outcomes at a replica. Earlier outcomes
 // are not reported: they would outweigh the failures.
-func (r *replica) watch(now time.Duration, options *Options) {
-	if now >= r.watchedUntil {
+func (r *replica) enableReporting(now time.Duration, options *Options) {
+	if now >= r.reportingUntil {
 		r.unreported, r.recentZone = tally{updatedAt: now}, tally{updatedAt: now}
 		r.reportedAt = now - reportInterval
 	}
-	r.watchedUntil = now + 2*options.HalfLife
+	r.reportingUntil = now + 2*options.HalfLife
 }
--- a/pkg/outlier/reports.go
+++ b/pkg/outlier/reports.go
@@ -87,7 +87,7 @@
 	if r.ejection.ejected {
 		return r.unreported.total > minReportWeight
 	}
-	return r.unreported.total > minReportWeight && now < r.watchedUntil && now-r.reportedAt >= reportInterval
+	return r.unreported.total > minReportWeight && now < r.reportingUntil && now-r.reportedAt >= reportInterval
 }
 
 // ApplyReport counts the report of another node, which is in the same zone if sameZone is
