--- a/pkg/kvrouter/cachefeed/changes.go
+++ b/pkg/kvrouter/cachefeed/changes.go
@@ -2,31 +2,32 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 
-// Position is the position of a batch of chunk changes, or of a snapshot, among all
-// that a replica or store has reported.
+// Position locates a batch of chunk changes, or a snapshot, in the sequence of changes
+// that a replica or store reports.
 type Position struct {
 	// Incarnation changes with each start of the owner. Incarnations have no order.
 	Incarnation uint64
-	// From is the sequence number after which the batch begins, and Next the last
-	// one that it covers, after which the next batch begins. A snapshot has no From.
+	// A batch covers the sequence numbers after From, up to and including Next; the next
+	// batch begins after Next. A snapshot has no From.
 	From, Next uint64
-	// Lost says of a batch that changes before it are gone for good, and of a snapshot
-	// that the owner may cache more than it states.
+	// Lost means for a batch that changes before it can't be reported any more, and for
+	// a snapshot that the owner may cache chunks that the snapshot lacks.
 	Lost bool
 }
 
-// ChunkChange is what an owner reported of one chunk, by the chunk's ID.
+// ChunkChange is the new state of one chunk, as an owner that reports chunks by ID states
+// it.
 type ChunkChange struct {
-	// Sequence is the number of the change; 0 when there is none.
+	// Sequence is the sequence number of the change; 0 if it has none.
 	Sequence uint64
-	// Hash is that of prefixindex.HashByID; with 0 it is derived from Model, Salt
-	// and ID.
+	// Hash is the result of prefixindex.HashByID. If it is 0, IndexHash derives the hash
+	// from Model, Salt and ID.
 	Hash  prefixindex.ChainHash
 	Salt  string
 	Model string
 	ID    string
-	// Tokens is how many tokens of the chunk the owner caches now, from its
-	// beginning. It may be less than the chunk, and more than 0 for a removal.
+	// Tokens is the number of tokens, from the chunk's beginning, that the owner caches
+	// after the change. It may be less than the chunk's length, and above 0 for a removal.
 	Tokens  uint32
 	Removed bool
 }
--- a/pkg/kvrouter/cachefeed/chunk_feed.go
+++ b/pkg/kvrouter/cachefeed/chunk_feed.go
@@ -16,24 +16,26 @@
 	changes  []ChunkChange
 }
 
-// chunkFeed applies the batches of an owner's present incarnation in order, each change
+// chunkFeed applies the batches of an owner's current incarnation in order, each change
 // once.
 type chunkFeed struct {
 	record  *record
 	options *Options
-	// inUse says that the owner reports chunks by ID.
+	// inUse is set when the owner reports chunks by ID.
 	inUse bool
 	// appliedThrough is the sequence number up to which changes are applied.
 	appliedThrough uint64
 	// buffered are the batches that begin after appliedThrough, in order.
+	// bufferedSince is when the wait for the missing batch before them began.
 	buffered      []batch
 	bufferedSince time.Duration
-	// startedAfter is the sequence number after which the feed began, if it began in
-	// the middle: changes up to it are missing until a snapshot fills the gap.
+	// startedAfter is the sequence number after which the feed began, if the owner had
+	// reported changes before: changes up to that number are missing until a snapshot
+	// fills the gap.
 	startedAfter uint64
-	// changedHashes are the chunks that changed since startedAfter, of which a snapshot
-	// must not overwrite the newer reports. It is nil when no snapshot can fill the gap
-	// before startedAfter: there is none, changes were lost, or too many chunks changed.
+	// changedHashes are the chunks that changed since startedAfter: a snapshot that fills
+	// the gap must not overwrite their newer reports. It is nil if there is no gap, or if
+	// no snapshot can fill it because changes were lost or too many chunks changed.
 	changedHashes map[prefixindex.ChainHash]struct{}
 }
 
@@ -41,8 +43,8 @@
 	return chunkFeed{record: record, options: options}
 }
 
-// start starts to follow the changes after a sequence number. Unless it is 0, what the
-// owner cached before is missing; complete reports that nothing is.
+// start begins the feed with the changes after a sequence number. Complete is true if
+// that number is 0; otherwise the chunks that the owner cached before are missing.
 func (c *chunkFeed) start(from uint64) (complete bool) {
 	c.inUse = true
 	c.appliedThrough = from
@@ -54,8 +56,8 @@
 	return false
 }
 
-// receive applies a batch, or buffers it until the one before it has come. Gap means
-// that the batch said that changes are lost.
+// receive applies a batch, or buffers it until the one before it has arrived. It returns
+// Gap if the batch states that changes before it are lost.
 func (c *chunkFeed) receive(now time.Duration, received batch) Status {
 	position := received.position
 	if position.Next <= c.appliedThrough && position.From < position.Next {
@@ -73,7 +75,7 @@
 	return Accepted
 }
 
-// buffer inserts a batch in order.
+// buffer inserts a batch into the buffered ones, which are in order of From.
 func (c *chunkFeed) buffer(now time.Duration, received batch) {
 	if len(c.buffered) == 0 {
 		c.bufferedSince = now
@@ -115,13 +117,13 @@
 	}
 }
 
-// demoteReported turns everything reported into predictions, since changes were lost.
+// demoteReported turns all reported chunks into predictions after a loss of changes.
 func (c *chunkFeed) demoteReported(now time.Duration) {
 	c.record.demoteReported(now, c.options.UncertainTTL)
 	c.changedHashes = nil
 }
 
-// applyBuffered applies the buffered batches whose turn has come.
+// applyBuffered applies the buffered batches up to the next gap.
 func (c *chunkFeed) applyBuffered(now time.Duration) {
 	for len(c.buffered) > 0 && c.buffered[0].position.From <= c.appliedThrough {
 		next := c.buffered[0]
@@ -131,8 +133,8 @@
 	}
 }
 
-// giveUpOnMissing gives up on a batch that has been missing for too long, and reports
-// whether one is lost.
+// giveUpOnMissing stops waiting for a missing batch once the reorder window or wait is
+// exceeded, and applies the buffered batches. It reports whether a batch was lost.
 func (c *chunkFeed) giveUpOnMissing(now time.Duration) (lost bool) {
 	if len(c.buffered) == 0 {
 		return false
@@ -150,7 +152,8 @@
 	return true
 }
 
-// replace replaces everything by what was cached at a sequence number.
+// replace replaces all recorded chunks by those that the owner cached at a sequence
+// number.
 func (c *chunkFeed) replace(now time.Duration, sequence uint64, chunks []ChunkChange) {
 	c.inUse = true
 	c.appliedThrough = sequence
@@ -166,14 +169,14 @@
 	c.record.notifyChange()
 }
 
-// fillsGap reports whether what was cached at a sequence number fills the gap before
-// the changes that were followed.
+// fillsGap reports whether a snapshot as of a sequence number fills the gap before
+// startedAfter.
 func (c *chunkFeed) fillsGap(sequence uint64) bool {
 	return c.changedHashes != nil && sequence >= c.startedAfter
 }
 
-// addUnchanged adds what was cached when the feed began. Of the chunks that have
-// changed since, the feed has newer reports.
+// addUnchanged adds the chunks of a snapshot that fills the gap before startedAfter,
+// except those that have changed since: the feed has newer reports of them.
 func (c *chunkFeed) addUnchanged(chunks []ChunkChange) {
 	changedHashes := c.changedHashes
 	c.changedHashes = nil
--- a/pkg/kvrouter/cachefeed/event_feed.go
+++ b/pkg/kvrouter/cachefeed/event_feed.go
@@ -19,7 +19,7 @@
 	Hashes []prefixindex.ChainHash
 }
 
-// EventKind says what an event does.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
@@ -28,22 +28,23 @@
 	StoredEvent EventKind = iota
 	// RemovedEvent removes chunks.
 	RemovedEvent
-	// ResetEvent replaces everything.
+	// ResetEvent replaces all chunks.
 	ResetEvent
 )
 
-// eventFeed applies the events of an owner's present incarnation, each once and in
+// eventFeed applies the events of an owner's current incarnation, each once and in
 // order.
 type eventFeed struct {
 	record  *record
 	options *Options
-	// next is the sequence number that is expected.
+	// next is the sequence number of the next event to apply.
 	next uint64
 	// buffered are the events beyond next, in the order of their sequence numbers.
+	// bufferedSince is when the wait for the missing event before them began.
 	buffered      []Event
 	bufferedSince time.Duration
-	// reportedSequence is the newest sequence number that a load report stated and
-	// that has not come yet, or 0.
+	// reportedSequence is the number of the owner's newest event by a load report that
+	// arrived at reportedSequenceAt, until that event arrives or is lost; otherwise 0.
 	reportedSequence   uint64
 	reportedSequenceAt time.Duration
 }
@@ -52,7 +53,7 @@
 	return eventFeed{record: record, options: options, next: 1}
 }
 
-// receive applies an event, or buffers it until those before it have come.
+// receive applies an event, or buffers it until those before it have arrived.
 func (e *eventFeed) receive(now time.Duration, received Event) Status {
 	if received.Kind == ResetEvent {
 		return e.applyReset(now, received)
@@ -72,8 +73,8 @@
 	return Accepted
 }
 
-// applyReset applies a reset at once, since it replaces all that the events up to its
-// own number have done.
+// applyReset applies a reset without waiting for missing events, since it replaces the
+// effect of all events up to its own number.
 func (e *eventFeed) applyReset(now time.Duration, received Event) Status {
 	if received.Sequence+1 < e.next {
 		return Stale
@@ -90,7 +91,7 @@
 	return Accepted
 }
 
-// applyBuffered applies the buffered events whose turn has come.
+// applyBuffered applies the buffered events up to the next gap.
 func (e *eventFeed) applyBuffered(now time.Duration) {
 	applied := 0
 	for applied < len(e.buffered) && e.buffered[applied].Sequence == e.next {
@@ -104,14 +105,16 @@
 	}
 }
 
-// find returns the index of an event among the buffered ones, or where it belongs.
+// find returns the index of an event among the buffered ones, or the index at which to
+// insert it.
 func (e *eventFeed) find(sequence uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(e.buffered, sequence, func(buffered Event, target uint64) int {
 		return cmp.Compare(buffered.Sequence, target)
 	})
 }
 
-// expect records that a load report has stated a newest sequence number.
+// expect records the number of the owner's newest event, which a load report states. It
+// does nothing if that event was applied, or while an earlier number is recorded.
 func (e *eventFeed) expect(now time.Duration, sequence uint64) {
 	if e.reportedSequence == 0 && sequence >= e.next {
 		e.reportedSequence = sequence
@@ -119,8 +122,9 @@
 	}
 }
 
-// giveUpOnMissing gives up on events that have been missing for too long, and reports
-// whether some are lost.
+// giveUpOnMissing stops waiting for events that a load report stated ReportLag ago, and
+// for events before the buffered ones once the reorder window or wait is exceeded; it then
+// applies the buffered ones. It reports whether events were lost.
 func (e *eventFeed) giveUpOnMissing(now time.Duration) (lost bool) {
 	if e.reportedSequence != 0 && e.next > e.reportedSequence {
 		e.reportedSequence = 0
--- a/pkg/kvrouter/cachefeed/feed.go
+++ b/pkg/kvrouter/cachefeed/feed.go
@@ -10,34 +10,35 @@
 
 // Options configure the feeds of a router.
 type Options struct {
-	// ReportLag is how late reports may be: events that a load report states are
-	// lost, and an incarnation has ended, when nothing came for so long.
+	// ReportLag is the longest delay of reports. Events that a load report stated count
+	// as lost if they have not arrived for this long. An incarnation that has sent nothing
+	// for this long counts as ended.
 	ReportLag time.Duration
-	// PredictionLag is how long a chunk counts as predicted on an owner that does
-	// report chained chunks, and ByIDPredictionLag on one that reports chunks by ID.
-	// Unless PredictionLag is above 0, nothing is predicted of either.
+	// PredictionLag is how long a chunk counts as predicted on an owner that reports
+	// chained chunks, and ByIDPredictionLag on one that reports chunks by ID. Unless
+	// PredictionLag is above 0, no chunks are predicted on either kind of owner.
 	PredictionLag, ByIDPredictionLag time.Duration
-	// UncertainTTL is how long chunks by ID count as predicted that were reported
-	// before some reports were lost.
+	// UncertainTTL is how long chunks by ID that were reported before a loss of reports
+	// count as predicted.
 	UncertainTTL time.Duration
-	// ReorderWindow is how many reports are buffered for a missing one, and
-	// ReorderWait for how long.
+	// ReorderWindow is how many reports may be buffered while an earlier one is missing,
+	// and ReorderWait for how long.
 	ReorderWindow int
 	ReorderWait   time.Duration
 }
 
-// Feed follows what one owner caches. It is safe for concurrent use.
+// Feed tracks which chunks one owner caches. It is safe for concurrent use.
 //
-// Exported methods take the mutex, and View only if it is free. Those that may change
-// the feed release it with unlock, which publishes the new state. The caller of all
-// other methods holds the mutex.
+// Exported methods lock the mutex; View does so only if the mutex is free. Methods that
+// may change the feed release the mutex with unlock, which publishes the new state. The
+// caller of an unexported method must hold the mutex.
 type Feed struct {
 	options   *Options
 	published atomic.Pointer[View]
 
 	mutex sync.Mutex
-	// forgotten is set for good when the address was dropped. The feed writes nothing
-	// any more, since the owner may be assigned again.
+	// forgotten is set by Forget and never cleared. The feed records no chunks any more,
+	// since the owner may be assigned to another address.
 	forgotten    bool
 	incarnations incarnations
 	record       record
@@ -45,29 +46,29 @@
 	// report chunks by ID.
 	events eventFeed
 	chunks chunkFeed
-	// epoch counts how often everything was dropped.
+	// epoch counts how often all chunks were dropped.
 	epoch         uint64
 	weightVersion string
-	// incomplete says that the owner may cache chunks that are not recorded, because
-	// reports were lost, the feed began in the middle of them, or the weight version
-	// has changed. Only a reset or snapshot helps.
+	// incomplete is set when the owner may cache chunks that are not recorded, because
+	// reports were lost, the feed did not begin with the owner's first change, or the
+	// weight version has changed. Only a reset or snapshot adds the missing chunks.
 	incomplete bool
-	// reportsEvents says that the owner does report what it caches, by events or
-	// batches.
+	// reportsEvents is set once the owner has reported what it caches, by events, batches
+	// or a snapshot.
 	reportsEvents bool
 }
 
-// New returns the feed of an owner, which becomes the only writer of the owner in both
-// indexes: index has what owners cache, pending the chunks of requests that were sent
-// lately. The options must not change.
+// New returns the feed of an owner. The feed becomes the only writer of the owner's
+// chunks in both indexes: index contains the chunks that owners cache, and pending the
+// chunks of requests that were sent recently. The options must not change.
 func New(index, pending *prefixindex.Index, owner prefixindex.Owner, options *Options) *Feed {
 	f := &Feed{options: options, record: record{index: index, pending: pending, owner: owner}}
 	f.startIncarnation()
 	return f
 }
 
-// HandleEvent applies an event. Restarted says that it was the first sign of a
-// new incarnation of the owner.
+// HandleEvent applies an event. Restarted reports whether the event was the first report
+// of a new incarnation of the owner.
 func (f *Feed) HandleEvent(now time.Duration, incarnation uint64, received Event) (status Status, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -88,8 +89,9 @@
 }
 
 // HandleBatch applies a batch of changes of chunks by ID. The status is Gap only if
-// the batch itself says that changes are lost. A batch that is given up on because it
-// has been missing for too long shows in View.ResyncNeeded and Complete.
+// the batch itself states that changes before it are lost. The loss of a batch that did
+// not arrive within the reorder window or wait shows in View.ResyncNeeded and Complete.
+// Restarted has the meaning that it has for HandleEvent.
 func (f *Feed) HandleBatch(now time.Duration, position Position, changes []ChunkChange) (status Status, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -109,9 +111,9 @@
 	return status, restarted
 }
 
-// HandleReport records what a load report says of the owner: its incarnation, or 0; its
-// weight version, or ""; and the sequence number of its newest event, or 0. Current is
-// false for a report of an earlier incarnation.
+// HandleReport records the state of the owner that a load report states: its incarnation,
+// or 0; its weight version, or ""; and the sequence number of its newest event, or 0.
+// Current is false for a report of an earlier incarnation, and after Forget.
 func (f *Feed) HandleReport(now time.Duration, incarnation uint64, weightVersion string, lastSequence uint64) (current, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -129,7 +131,7 @@
 	return !f.forgotten, restarted
 }
 
-// ObserveWeightVersion records that a response came from a weight version.
+// ObserveWeightVersion records the weight version that computed a response of the owner.
 func (f *Feed) ObserveWeightVersion(version string) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -138,7 +140,8 @@
 	}
 }
 
-// HandleReplacement drops everything, since another replica has the address now.
+// HandleReplacement drops all chunks. The caller calls it when another replica has taken
+// over the address.
 func (f *Feed) HandleReplacement() {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -149,8 +152,8 @@
 	f.chunks = newChunkFeed(&f.record, f.options)
 }
 
-// Forget drops everything and writes nothing from now on, so that the owner may be
-// assigned again.
+// Forget drops all chunks and ends the feed, so that the owner may be assigned to another
+// address.
 func (f *Feed) Forget() {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -160,16 +163,15 @@
 	f.dropAll()
 }
 
-// NextChange returns a channel that is closed at the next change of what the owner
-// caches.
+// NextChange returns a channel that is closed at the next change of the recorded chunks.
 func (f *Feed) NextChange() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.unlock()
 	return f.record.nextChange()
 }
 
-// checkNumbered checks the incarnation of a report, which the owner numbers upwards, and
-// follows it if it is a new one.
+// checkNumbered checks the incarnation of a report of an owner that numbers its
+// incarnations upwards, and resets the feed for a new one.
 func (f *Feed) checkNumbered(now time.Duration, incarnation uint64) (current, restarted bool) {
 	if f.forgotten {
 		return false, false
@@ -181,8 +183,8 @@
 	return f.applyIncarnation(status)
 }
 
-// checkUnordered is checkNumbered for owners whose incarnations have no order. The
-// weight version stays.
+// checkUnordered is checkNumbered for owners whose incarnations have no order. It keeps
+// the weight version.
 func (f *Feed) checkUnordered(now time.Duration, incarnation uint64) (current, restarted bool) {
 	if f.forgotten {
 		return false, false
@@ -190,7 +192,8 @@
 	return f.applyIncarnation(f.incarnations.observeUnordered(now, incarnation))
 }
 
-// applyIncarnation starts anew with a new incarnation.
+// applyIncarnation resets the feed at the first report of an incarnation, and drops the
+// chunks of the one before.
 func (f *Feed) applyIncarnation(status incarnationStatus) (current, restarted bool) {
 	if status.isStart() {
 		f.startIncarnation()
@@ -207,8 +210,9 @@
 	f.chunks = newChunkFeed(&f.record, f.options)
 }
 
-// setWeightVersion drops everything when the weight version has changed. What the
-// owner has cached since then comes with the reset that is asked for.
+// setWeightVersion drops all chunks when the weight version has changed. The chunks that
+// the owner has cached since then are added by the reset or snapshot that
+// View.ResyncNeeded requests.
 func (f *Feed) setWeightVersion(version string) {
 	if version == "" || version == f.weightVersion {
 		return
--- a/pkg/kvrouter/cachefeed/incarnations.go
+++ b/pkg/kvrouter/cachefeed/incarnations.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// maxRetired is how many earlier incarnations of an owner are remembered, to tell
-// their late reports from those of a new one.
+// maxRetired is how many earlier incarnations of an owner are remembered, to distinguish
+// their late reports from those of a new incarnation.
 const maxRetired = 8
 
-// incarnationStatus is what a report says of its sender's incarnation.
+// incarnationStatus is the status of the incarnation that sent a report.
 type incarnationStatus int
 
 const (
-	// staleIncarnation is a late report of an earlier incarnation.
+	// staleIncarnation means that the report is a late one of an earlier incarnation.
 	staleIncarnation incarnationStatus = iota
-	// currentIncarnation is a report of the present incarnation.
+	// currentIncarnation means that the report is of the current incarnation.
 	currentIncarnation
-	// firstIncarnation is the first report of the owner at all.
+	// firstIncarnation means that the report is the first one of the owner.
 	firstIncarnation
-	// restartedIncarnation is the first report of a new incarnation.
+	// restartedIncarnation means that the report is the first one since a restart of the
+	// owner.
 	restartedIncarnation
 )
 
 // isStart reports whether the report is the first of its incarnation.
 func (s incarnationStatus) isStart() bool { return s == firstIncarnation || s == restartedIncarnation }
 
-// incarnations has the present incarnation of an owner, and the last few before it.
+// incarnations holds the current incarnation of an owner, and the last few before it.
 type incarnations struct {
-	// started is set once an incarnation was seen.
+	// started is set by the first report of the owner.
 	started bool
 	current uint64
 	retired []uint64
-	// lastReportAt is when the present incarnation last reported.
+	// lastReportAt is when the current incarnation last reported.
 	lastReportAt time.Duration
 }
 
-// observeNumbered records a report of an owner that numbers its incarnations upwards,
-// so that anything but a higher number is a late report of an earlier one. Only if the
-// present incarnation has been silent for the time-out is it taken for the newest all
-// the same, so that a replica which numbers its incarnations in another way is
-// believed in the end.
+// observeNumbered records a report of an owner that numbers its incarnations upwards: a
+// number that differs from the current one, and is not a new and higher one, means a late
+// report of an earlier incarnation. But once the current incarnation has not reported for
+// the time-out, any other number counts as a restart, so that the reports of a replica that
+// numbers its incarnations in another way are accepted eventually.
 func (i *incarnations) observeNumbered(now time.Duration, incarnation uint64, timeout time.Duration) incarnationStatus {
 	if i.started && incarnation != i.current {
 		newer := incarnation > i.current && !slices.Contains(i.retired, incarnation)
@@ -52,8 +53,8 @@
 	return i.record(now, incarnation)
 }
 
-// observeUnordered records a report of an owner whose incarnations have no order: one
-// that is neither the present one nor one of the last few is a new start.
+// observeUnordered records a report of an owner whose incarnations have no order: an
+// incarnation that is neither the current one nor a remembered earlier one is new.
 func (i *incarnations) observeUnordered(now time.Duration, incarnation uint64) incarnationStatus {
 	if slices.Contains(i.retired, incarnation) {
 		return staleIncarnation
@@ -61,7 +62,7 @@
 	return i.record(now, incarnation)
 }
 
-// record records a report of the present incarnation, or of a new one.
+// record records a report of the current incarnation, or of a new one.
 func (i *incarnations) record(now time.Duration, incarnation uint64) incarnationStatus {
 	i.lastReportAt = max(i.lastReportAt, now)
 	switch {
--- a/pkg/kvrouter/cachefeed/prediction.go
+++ b/pkg/kvrouter/cachefeed/prediction.go
@@ -22,8 +22,8 @@
 	f.record.index.Predict(now, f.record.owner, links)
 }
 
-// predictUntilReported predicts the chunks for the time until the owner's own report
-// comes.
+// predictUntilReported predicts the chunks for as long as the owner's own report of them
+// may take to arrive.
 func (f *Feed) predictUntilReported(now time.Duration, links []prefixindex.Link) {
 	lag := f.options.PredictionLag
 	if f.chunks.inUse && lag > 0 {
@@ -34,10 +34,10 @@
 	}
 }
 
-// AddPending records that a request with the chunks was sent, so that requests behind
-// it will find them cached when their turn comes. They stay for the PredictionTTL of the
-// pending index, beyond the first event too, unless RemovePending withdraws them or the
-// owner reports that it removed them by ID.
+// AddPending records that a request with the chunks was sent: the owner will cache them
+// by the time that it computes later requests. They stay pending for the PredictionTTL of
+// the pending index, also after the first event of the request, unless RemovePending
+// removes them, the owner reports by ID that it removed them, or all chunks are dropped.
 func (f *Feed) AddPending(now time.Duration, links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -46,7 +46,8 @@
 	}
 }
 
-// RemovePending withdraws AddPending for a request that did not have its prompt computed.
+// RemovePending removes the chunks that AddPending recorded for a request whose prompt was
+// not computed.
 func (f *Feed) RemovePending(links []prefixindex.Link) {
 	f.mutex.Lock()
 	defer f.unlock()
--- a/pkg/kvrouter/cachefeed/record.go
+++ b/pkg/kvrouter/cachefeed/record.go
@@ -8,20 +8,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// record is what one owner is recorded to cache. It is the only writer of the owner in
-// both indexes.
+// record holds the chunks that one owner is recorded to cache. It is the only writer of
+// the owner's chunks in both indexes.
 type record struct {
-	// index has the chunks that the owner reported, and predictions of them.
+	// index contains reported and predicted chunks.
 	index *prefixindex.Index
-	// pending has the chunks of requests that were sent lately, see Feed.AddPending.
+	// pending contains the chunks of requests that were sent recently, see
+	// Feed.AddPending.
 	pending *prefixindex.Index
 	owner   prefixindex.Owner
-	// changed is closed at the next change of what the owner caches; nil when
-	// nobody waits for it.
+	// changed is closed at the next change of the recorded chunks. It is nil while no
+	// caller waits for a change.
 	changed chan struct{}
 }
 
-// apply applies an event.
+// apply applies an event to the index.
 func (r *record) apply(received Event) {
 	defer r.notifyChange()
 	switch received.Kind {
@@ -34,8 +35,8 @@
 	}
 }
 
-// setTokens applies a change of a chunk by ID. The caller notifies of all changes of a
-// batch at once.
+// setTokens applies a change of a chunk by ID. The caller must call notifyChange, once
+// for all changes of a batch.
 func (r *record) setTokens(hash prefixindex.ChainHash, tokens uint32, removed bool) {
 	r.index.SetTokens(r.owner, hash, tokens)
 	if removed {
@@ -50,15 +51,15 @@
 	})
 }
 
-// demoteReported turns all that the owner reported into predictions that end after ttl.
+// demoteReported turns all reported chunks into predictions that end after ttl.
 func (r *record) demoteReported(now, ttl time.Duration) {
 	r.index.DemoteReported(now, ttl, r.owner)
 }
 
-// dropCached drops the chunks that the owner reported, and predictions of them.
+// dropCached drops the reported and predicted chunks, but not the pending ones.
 func (r *record) dropCached() { r.index.Drop(r.owner) }
 
-// dropAll drops everything, pending chunks included.
+// dropAll drops all chunks, including the pending ones.
 func (r *record) dropAll() {
 	r.index.Drop(r.owner)
 	r.pending.Drop(r.owner)
--- a/pkg/kvrouter/cachefeed/snapshot.go
+++ b/pkg/kvrouter/cachefeed/snapshot.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// HandleSnapshot replaces everything by what the owner itself reported to cache after
-// the change with the given sequence number. Restarted is that of HandleEvent.
+// HandleSnapshot replaces all recorded chunks by a snapshot that the owner itself reported,
+// of the chunks that it caches after the change with the given sequence number. Restarted
+// has the meaning that it has for HandleEvent.
 func (f *Feed) HandleSnapshot(now time.Duration, incarnation, sequence uint64, chunks []ChunkChange) (status Status, restarted bool) {
 	f.mutex.Lock()
 	defer f.unlock()
@@ -18,15 +19,15 @@
 	return Accepted, restarted
 }
 
-// AdoptSnapshot records a snapshot of another router. Changes that this feed has
-// followed itself are newer and stay. Stale says that the snapshot has nothing new, or
-// leaves a gap before those changes.
+// AdoptSnapshot records a snapshot that another router made. Newer changes that this feed
+// has received itself are kept. The status is Stale if the snapshot contains nothing new,
+// leaves a gap before those changes, or is of another incarnation.
 func (f *Feed) AdoptSnapshot(now time.Duration, position Position, chunks []ChunkChange) Status {
 	f.mutex.Lock()
 	defer f.unlock()
 	if f.forgotten || (f.incarnations.started && position.Incarnation != f.incarnations.current) {
-		// A snapshot of another incarnation is no sign of a restart: the other router
-		// may not have heard of the present one yet.
+		// A snapshot of another incarnation does not imply a restart: the other router
+		// may not have received a report of the current incarnation yet.
 		return Stale
 	}
 	if current, _ := f.checkUnordered(now, position.Incarnation); !current {
@@ -51,9 +52,9 @@
 	f.chunks.replace(now, sequence, chunks)
 }
 
-// Snapshot returns what the owner is recorded to cache, as of the change Position.Next.
-// Position.Lost says that it may cache more. Found is false for an owner that has not
-// reported chunks by ID.
+// Snapshot returns the chunks that the owner has reported, as of the change with the
+// sequence number Position.Next. If Position.Lost is set, the owner may cache more. Found
+// is false for an owner that has not reported chunks by ID.
 func (f *Feed) Snapshot() (position Position, chunks []ChunkChange, found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -65,15 +66,15 @@
 }
 
 // Position returns the incarnation of the owner and the sequence number of its newest
-// change that was recorded. Found is false when there was none.
+// change that was recorded. Found is false for an owner that has not reported chunks by ID.
 func (f *Feed) Position() (incarnation, sequence uint64, found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.incarnations.current, f.chunks.appliedThrough, f.chunks.inUse
 }
 
-// Complete reports whether all that the owner caches is recorded: its changes were
-// followed from its start or from a snapshot on, without a gap.
+// Complete reports whether all chunks by ID that the owner caches are recorded: its
+// changes were received without a gap, from its start or from a snapshot on.
 func (f *Feed) Complete() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/pkg/kvrouter/cachefeed/status.go
+++ b/pkg/kvrouter/cachefeed/status.go
@@ -1,19 +1,20 @@
 package cachefeed
 
-// Status is the outcome of an event or batch.
+// Status is the outcome of an event, batch or snapshot.
 type Status int
 
-// The outcomes of an event or batch.
+// The outcomes of an event, batch or snapshot.
 const (
-	// Accepted events are in the index, or buffered until an earlier one has come.
+	// Accepted means that it was applied, or buffered until an earlier one arrives.
 	Accepted Status = iota
-	// Duplicate events were seen before.
+	// Duplicate means that all of it was received before.
 	Duplicate
-	// Stale events are of an earlier incarnation of the replica, or older than the
+	// Stale means that it is of an earlier incarnation of the owner, or older than the
 	// state that the index already has.
 	Stale
-	// Gap means that earlier events or changes were lost: ask the replica for a reset or
-	// snapshot. What this one says is applied all the same.
+	// Gap means that earlier events or changes were lost, so that the caller should
+	// request a reset or snapshot from the owner. The event or batch itself was accepted
+	// nevertheless.
 	Gap
 )
 
--- a/pkg/kvrouter/cachefeed/view.go
+++ b/pkg/kvrouter/cachefeed/view.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// View is what selection reads of a feed.
+// View is the state of a feed that selection reads.
 type View struct {
-	// Epoch is to be given back to Feed.Predict, which ignores requests of an earlier
-	// one: it changes whenever everything was dropped.
+	// Epoch must be passed to Feed.Predict, which ignores requests of an earlier epoch.
+	// It changes whenever all chunks are dropped.
 	Epoch uint64
-	// Uncertain says that events of chained chunks are missing, so that overlaps are
-	// guesses. Chunks by ID become predictions instead, one by one.
+	// Uncertain is set when events of chained chunks are missing, so that overlaps are
+	// estimates. It is not set for chunks by ID, each of which becomes a prediction
+	// instead.
 	Uncertain bool
-	// ResyncNeeded says that the owner may cache chunks that are not recorded, and only
-	// a reset or snapshot helps.
+	// ResyncNeeded is set when the owner may cache chunks that are not recorded, which
+	// only a reset or snapshot adds.
 	ResyncNeeded bool
-	// ReportsEvents says that the owner does report what it caches.
+	// ReportsEvents is set once the owner has reported what it caches.
 	ReportsEvents bool
 }
 
-// View returns the published state, which it updates unless another goroutine has
-// the mutex: a long reset does not delay selection.
+// View returns the published state. Before that it updates the state, unless another
+// goroutine holds the mutex: so a long reset does not delay selection.
 func (f *Feed) View(now time.Duration) View {
 	if f.mutex.TryLock() {
 		f.giveUpOnMissingEvents(now)
@@ -31,8 +32,8 @@
 	return View{}
 }
 
-// unlock publishes the state for View and unlocks the mutex. Every change of the
-// feed ends with it.
+// unlock publishes the state for View and unlocks the mutex. Every method that changes
+// the feed ends with unlock.
 func (f *Feed) unlock() {
 	state := View{
 		Epoch:         f.epoch,
