--- a/pkg/kvrouter/replicaload/history.go
+++ b/pkg/kvrouter/replicaload/history.go
@@ -11,7 +11,7 @@
 // history is the load of this router's requests at present and in the recent past.
 type history struct {
 	current Load
-	// samples are in order of time. Each is valid from its instant to the next.
+	// samples are in order of time. Each is valid until the instant of the next one.
 	samples []sample
 }
 
@@ -20,7 +20,7 @@
 	load Load
 }
 
-// add changes the present load, and retains samples as old as retention.
+// add adds a change to the current load. Samples are retained for at least retention.
 func (h *history) add(now, retention time.Duration, change Load) {
 	h.current = h.current.Plus(change).excessOver(Load{})
 	last := len(h.samples) - 1
@@ -32,7 +32,7 @@
 	h.samples = append(h.samples, sample{at: now, load: h.current})
 }
 
-// prune drops samples that ended before the instant.
+// prune drops the samples that were no longer valid at an instant.
 func (h *history) prune(instant time.Duration) {
 	ended := 0
 	for ended+1 < len(h.samples) && h.samples[ended+1].at <= instant {
@@ -43,7 +43,7 @@
 	}
 }
 
-// at returns the load at an instant.
+// at returns the load at an instant; none before the first sample.
 func (h *history) at(instant time.Duration) Load {
 	after := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].at > instant })
 	if after == 0 {
--- a/pkg/kvrouter/replicaload/load.go
+++ b/pkg/kvrouter/replicaload/load.go
@@ -1,10 +1,10 @@
 package replicaload
 
-// Load is the work of a replica.
+// Load is an amount of work of a replica.
 type Load struct {
-	// PrefillTokens are still to be computed before first tokens.
+	// PrefillTokens are the prompt tokens that are still to be computed.
 	PrefillTokens float64
-	// DecodeTokens are in memory for active requests.
+	// DecodeTokens are the tokens that active requests occupy in memory.
 	DecodeTokens float64
 	// Requests counts the active requests.
 	Requests float64
@@ -28,7 +28,7 @@
 	}
 }
 
-// excessOver returns what l has more than other, nothing of it negative.
+// excessOver returns by how much l exceeds other: in each field, 0 or more.
 func (l Load) excessOver(other Load) Load {
 	return Load{
 		PrefillTokens: max(0, l.PrefillTokens-other.PrefillTokens),
--- a/pkg/kvrouter/replicaload/prefill_queue.go
+++ b/pkg/kvrouter/replicaload/prefill_queue.go
@@ -6,21 +6,21 @@
 const Priorities = 10
 
 // minRemainingFraction is the least fraction of a prompt that counts as still to be
-// computed until its first event has come.
+// computed until the first event of its request has arrived.
 const minRemainingFraction = 0.05
 
-// PrefillWork is the prompt of a local request whose first event has not come yet.
+// PrefillWork is the prompt of a local request whose first event has not arrived yet.
 type PrefillWork struct {
 	priority uint8
-	// tokens are all that the replica has to compute, and remaining those that are
-	// still left of them by estimate.
+	// tokens is the number of tokens that the replica has to compute, and remaining the
+	// estimate of how many of them are not computed yet.
 	tokens    float64
 	remaining float64
 }
 
 // prefillQueue estimates how much of the prompts of local requests a replica still
-// has to compute. The replica computes one prompt at a time, the
-// most urgent first and otherwise in order of arrival.
+// has to compute. The replica is assumed to compute one prompt at a time, the most urgent
+// first, and those of equal priority in order of arrival.
 type prefillQueue struct {
 	work []*PrefillWork
 }
@@ -43,14 +43,15 @@
 	return sum
 }
 
-// addByPriority adds the remaining tokens to the sums of each priority.
+// addByPriority adds the remaining tokens of each priority to its sum.
 func (q *prefillQueue) addByPriority(sums *[Priorities]float64) {
 	for _, work := range q.work {
 		sums[work.priority] += work.remaining
 	}
 }
 
-// drain subtracts tokens that the replica has computed meanwhile.
+// drain subtracts tokens that the replica has computed since the last call, from the most
+// urgent prompts first.
 func (q *prefillQueue) drain(tokens float64) {
 	for priority := uint8(0); priority < Priorities && tokens > 0; priority++ {
 		tokens = q.drainPriority(priority, tokens)
--- a/pkg/kvrouter/replicaload/shared_load.go
+++ b/pkg/kvrouter/replicaload/shared_load.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// sharedLoadTTL is how long a load that another router sent counts.
+	// sharedLoadTTL is how long a load that another router sent is valid.
 	sharedLoadTTL = time.Second
-	// sweepInterval is the time between two searches for loads that have ended.
+	// sweepInterval is the time between two searches for expired loads.
 	sweepInterval = 250 * time.Millisecond
 	// maxSharingRouters bounds the routers whose load on one replica is recorded.
 	maxSharingRouters = 512
@@ -18,9 +18,9 @@
 type SharedLoad struct {
 	// PrefillTokens are the prompt tokens that are still to be computed, by priority.
 	PrefillTokens [Priorities]float64
-	// DecodeTokens are the tokens that its requests occupy in memory.
+	// DecodeTokens are the tokens that the router's requests occupy in memory.
 	DecodeTokens float64
-	// Requests counts its active requests.
+	// Requests counts the router's active requests.
 	Requests float64
 }
 
@@ -43,22 +43,22 @@
 	generation uint64
 }
 
-// sharedLoads sums the loads that other routers sent of one replica. Their prefill
-// shrinks as the replica computes it. So that a new load changes the sum at
-// constant cost, all prefill shrinks by one common factor, and an entry remembers
-// the factor that held when it was received.
+// sharedLoads sums the loads on one replica that other routers sent. Their prefill
+// shrinks as the replica computes it. All prefill shrinks by one common factor, and an
+// entry stores the value of that factor at the time when the entry was received, so that
+// a new load changes the sum at constant cost.
 type sharedLoads struct {
 	byRouter map[string]sharedEntry
 	sum      SharedLoad
 	// remaining is the fraction that is still to be computed of the prefill received at
-	// the start of the generation. A new generation begins when it falls near 0, so that
-	// no entry is divided by 0.
+	// the start of the generation. A new generation begins when remaining falls near 0, so
+	// that remove never divides by 0.
 	remaining  float64
 	generation uint64
 	sweptAt    time.Duration
 }
 
-// set replaces the load of a router.
+// set replaces the load of a router. Beyond maxSharingRouters, it ignores further routers.
 func (s *sharedLoads) set(now time.Duration, router string, received SharedLoad) {
 	if s.byRouter == nil {
 		s.byRouter = make(map[string]sharedEntry)
@@ -72,7 +72,8 @@
 	s.add(&received, 1, 1)
 }
 
-// remove subtracts the load of a router: of its prefill what is still to be computed.
+// remove subtracts the load of a router, with the part of its prefill that is still to be
+// computed.
 func (s *sharedLoads) remove(router string) {
 	entry, present := s.byRouter[router]
 	if !present {
@@ -90,8 +91,8 @@
 	s.add(&entry.load, -1, remaining)
 }
 
-// add adds a load to the sum, or subtracts it with the sign -1. Of its prefill it counts
-// the fraction that is still to be computed.
+// add adds a load to the sum, or subtracts it with the sign -1. Remaining is the fraction
+// of its prefill that is still to be computed; only this fraction counts.
 func (s *sharedLoads) add(load *SharedLoad, sign, remaining float64) {
 	for priority := range load.PrefillTokens {
 		changed := s.sum.PrefillTokens[priority] + sign*remaining*load.PrefillTokens[priority]
@@ -101,7 +102,7 @@
 	s.sum.Requests = max(0, s.sum.Requests+sign*load.Requests)
 }
 
-// drain subtracts tokens that the replica has computed meanwhile.
+// drain subtracts tokens that the replica has computed since the last call.
 func (s *sharedLoads) drain(tokens float64) {
 	prefill := s.sum.prefill()
 	if prefill <= 0 || tokens <= 0 {
@@ -119,7 +120,7 @@
 	}
 }
 
-// sweep removes the loads that were not renewed in time.
+// sweep removes the loads that were not renewed within sharedLoadTTL.
 func (s *sharedLoads) sweep(now time.Duration) {
 	if len(s.byRouter) == 0 || now-s.sweptAt < sweepInterval {
 		return
--- a/pkg/kvrouter/replicaload/tracker.go
+++ b/pkg/kvrouter/replicaload/tracker.go
@@ -6,16 +6,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/internal/units"
 )
 
-// ReportAges says how load reports lose weight with age.
+// ReportAges defines how load reports lose weight with age.
 type ReportAges struct {
-	// Fresh is the age up to which a report counts in full.
+	// Fresh is the age up to which a report has full weight.
 	Fresh time.Duration
-	// Useless is the age from which on it does not count. In between its weight falls
-	// in proportion.
+	// Useless is the age from which on a report has no weight. Between Fresh and Useless
+	// the weight falls linearly.
 	Useless time.Duration
 }
 
-// weight is 1 for fresh reports and falls to 0 for useless ones.
+// weight returns the weight of a report of an age, from 1 for full weight to 0.
 func (a ReportAges) weight(age time.Duration) float64 {
 	if age <= a.Fresh {
 		return 1
@@ -26,7 +26,7 @@
 	return float64(a.Useless-age) / float64(a.Useless-a.Fresh)
 }
 
-// Memory is what a replica reported of its memory, in tokens.
+// Memory is the state of its memory that a replica reported, in tokens.
 type Memory struct {
 	Used, Total float64
 	// Waiting counts the requests that wait for a slot or memory.
@@ -35,19 +35,21 @@
 	DescribesAt time.Duration
 }
 
-// Tracker is the load of one replica. Loads of this router's requests are called local.
+// Tracker estimates the load of one replica. The load of this router's own requests is
+// called local.
 type Tracker struct {
 	ages  ReportAges
 	local history
-	// queue estimates what is still to be computed of the prompts of local requests, and
-	// shared the load of other routers, both as of drainedAt.
+	// queue estimates how much of the prompts of local requests is still to be computed,
+	// and shared the load of other routers, both as of drainedAt.
 	queue     prefillQueue
 	shared    sharedLoads
 	drainedAt time.Duration
-	// announced is set when the last announcement stated some load.
+	// announced is set when the local load was not zero at the last announcement.
 	announced bool
 
-	// reportedRemote is what the newest report showed in excess of the local load.
+	// reportedRemote is the load of other routers by the newest report: the excess of the
+	// reported load over the local one.
 	reportedRemote Load
 	// reportedAt is the instant that the newest report describes, if any.
 	reportedAt time.Duration
@@ -70,22 +72,22 @@
 // Local returns the local load.
 func (t *Tracker) Local() Load { return t.local.current }
 
-// AddPrefill records that a prompt was sent of which the replica has to compute
-// tokens. The caller must end it with RemovePrefill.
+// AddPrefill records a prompt that was sent, and how many tokens of it the replica has to
+// compute. The caller must pass the result to RemovePrefill in the end.
 func (t *Tracker) AddPrefill(priority uint8, tokens float64) *PrefillWork {
 	return t.queue.add(priority, tokens)
 }
 
-// RemovePrefill records that a prompt has been computed or given up.
+// RemovePrefill records that a prompt has been computed or abandoned.
 func (t *Tracker) RemovePrefill(work *PrefillWork) { t.queue.remove(work) }
 
-// IsNewestReport reports whether no report of a later instant has come yet.
+// IsNewestReport reports whether no report that describes a later instant was recorded.
 func (t *Tracker) IsNewestReport(describesAt time.Duration) bool {
 	return !t.reported || describesAt >= t.reportedAt
 }
 
 // Report records the load that a replica reported, unless a report that describes a
-// later instant came before.
+// later instant was recorded before.
 func (t *Tracker) Report(describesAt time.Duration, total Load) {
 	if !t.IsNewestReport(describesAt) {
 		return
@@ -95,7 +97,7 @@
 	t.reported = true
 }
 
-// ReportMemory records what a replica reported of its memory.
+// ReportMemory records the state of its memory that a replica reported.
 func (t *Tracker) ReportMemory(memory Memory) {
 	t.memory = memory
 	t.memoryReported = true
@@ -106,8 +108,8 @@
 	t.shared.set(now, router, received)
 }
 
-// DiscardOthers drops what reports showed and other routers sent, as after a
-// restart of the replica.
+// DiscardOthers drops the replica's reports and the loads that other routers sent, none
+// of which apply after a restart of the replica.
 func (t *Tracker) DiscardOthers() {
 	t.reportedRemote = Load{}
 	t.reported = false
@@ -119,9 +121,10 @@
 // DrainedAt returns the time of the last Drain.
 func (t *Tracker) DrainedAt() time.Duration { return t.drainedAt }
 
-// Drain updates the estimate of what the replica has computed until now, at a speed in
-// milliseconds per token; with 0, which stands for an unknown speed, it has computed
-// nothing. Local requests and those of other routers share the replica's time.
+// Drain subtracts the tokens that the replica is estimated to have computed until now, at
+// perToken milliseconds per token; none if perToken is 0, which means that the speed is
+// unknown. Local requests and those of other routers share the replica's time in proportion
+// to their remaining tokens.
 func (t *Tracker) Drain(now time.Duration, perToken float64) {
 	elapsed := now - t.drainedAt
 	if elapsed <= 0 {
@@ -139,8 +142,8 @@
 	t.shared.drain(computed * (1 - localFraction))
 }
 
-// Reported estimates the present load by local requests and reports. What others do
-// fades out as the report ages, since nothing tells when their work ends.
+// Reported estimates the present load from local requests and reports. The load of other
+// routers loses weight as the report ages, since the end of their requests is not known.
 func (t *Tracker) Reported(now time.Duration) Load {
 	if !t.reported {
 		return t.local.current
@@ -148,9 +151,10 @@
 	return t.local.current.Plus(t.reportedRemote.Times(t.ages.weight(now - t.reportedAt)))
 }
 
-// Active estimates the present load by all sources: the local load, and what other
-// routers sent or the replica reported, whichever is more. Of prefill it counts the
-// local load alone; RemainingPrefill has all of it.
+// Active estimates the present load from all sources: the local load, and the load of other
+// routers as they sent it or as the replica reported it, whichever is more. A fresh report
+// of memory replaces the estimate of DecodeTokens. PrefillTokens counts the local load only;
+// RemainingPrefill includes the other routers.
 func (t *Tracker) Active(now time.Duration) Load {
 	total := t.local.current
 	others := Load{Requests: t.shared.sum.Requests, DecodeTokens: t.shared.sum.DecodeTokens}
@@ -172,14 +176,14 @@
 	return t.queue.remaining() + t.shared.sum.prefill()
 }
 
-// RemainingPrefillByPriority is RemainingPrefill for each priority. It writes to sums.
+// RemainingPrefillByPriority writes RemainingPrefill for each priority to sums.
 func (t *Tracker) RemainingPrefillByPriority(sums *[Priorities]float64) {
 	*sums = t.shared.sum.PrefillTokens
 	t.queue.addByPriority(sums)
 }
 
-// UnannouncedRequests counts the requests that the replica reports as waiting, and
-// that no router sent load of.
+// UnannouncedRequests estimates the number of requests that the replica reported as waiting
+// and that are in no load which a router sent.
 func (t *Tracker) UnannouncedRequests(now time.Duration) float64 {
 	if !t.reported {
 		return 0
@@ -197,8 +201,8 @@
 	return assumed
 }
 
-// memoryInUse returns the tokens in use now: the reported ones, and what the local
-// requests have changed since. It returns false without a fresh report.
+// memoryInUse returns the tokens in use now: the reported ones plus the change by local
+// requests since. Fresh is false if there is no fresh report.
 func (t *Tracker) memoryInUse(now time.Duration) (used float64, fresh bool) {
 	if !t.memoryReported || now-t.memory.DescribesAt > t.ages.Fresh {
 		return 0, false
@@ -207,14 +211,14 @@
 	return max(0, t.memory.Used+since), true
 }
 
-// AnnouncementDue reports whether other routers are to be sent the local load: there is
-// some, or there was some at the last announcement.
+// AnnouncementDue reports whether the local load is to be sent to other routers: it is not
+// zero, or was not zero at the last announcement.
 func (t *Tracker) AnnouncementDue() bool {
 	return t.local.current.Requests != 0 || t.announced
 }
 
-// Announce returns the local load for other routers, and remembers for AnnouncementDue
-// whether there was some.
+// Announce returns the local load for other routers, and records for AnnouncementDue
+// whether it is zero.
 func (t *Tracker) Announce() SharedLoad {
 	announcement := SharedLoad{
 		DecodeTokens: t.local.current.DecodeTokens,
