--- a/pkg/kvrouter/internal/speed/bandwidths.go
+++ b/pkg/kvrouter/internal/speed/bandwidths.go
@@ -9,20 +9,20 @@
 const (
 	// bandwidthWeight is the weight of a new measurement in the moving average.
 	bandwidthWeight = 0.3
-	// bandwidthTTL is how long a measurement counts. After it the assumed bandwidth
-	// is used again, so that a link that was slow is tried again.
+	// bandwidthTTL is how long a measurement is used. Afterwards the assumed bandwidth is
+	// used again, so that a link that was slow is tried again.
 	bandwidthTTL = 30 * time.Second
-	// maxSpeedup bounds how much faster than expected one pull may make
-	// a link look, since its time is inferred from the first token.
+	// maxSpeedup bounds how many times faster than expected one pull counts as, since the
+	// time of a pull is only inferred from the time to the first token.
 	maxSpeedup = 2
 )
 
-// Zones identifies a direction between two zones.
+// Zones identifies the direction of transfers between two zones.
 type Zones struct {
 	From, To string
 }
 
-// Bandwidths has the measured bandwidths between zones.
+// Bandwidths holds the measured bandwidths between zones.
 type Bandwidths struct {
 	// assumed is the bandwidth of links without a measurement, in bytes per second.
 	assumed float64
@@ -31,7 +31,7 @@
 	byZones map[Zones]measuredBandwidth
 }
 
-// measuredBandwidth is the measured bandwidth of a direction.
+// measuredBandwidth is the moving average of a direction's bandwidth.
 type measuredBandwidth struct {
 	bytesPerSecond float64
 	measuredAt     time.Duration
@@ -54,7 +54,8 @@
 	b.byZones[zones] = measuredBandwidth{bytesPerSecond: bytesPerSecond, measuredAt: now}
 }
 
-// ObserveTransfer infers a bandwidth from the estimated time of a transfer.
+// ObserveTransfer records the bandwidth that follows from the estimated time of a transfer,
+// which shared its link with sharedWith other pulls from the same source.
 func (b *Bandwidths) ObserveTransfer(now time.Duration, zones Zones, bytes float64, sharedWith int, took time.Duration) {
 	expected := b.TransferTime(now, zones, bytes, sharedWith) - b.latency
 	inferred := max(took-b.latency, expected/maxSpeedup)
@@ -64,14 +65,14 @@
 	b.Observe(now, zones, linkBytes(bytes, sharedWith)/inferred.Seconds())
 }
 
-// TransferTime estimates how long a transfer of bytes takes over a link that other
-// pulls from the same source share.
+// TransferTime estimates how long a transfer of bytes takes over a link that it shares with
+// sharedWith other pulls from the same source.
 func (b *Bandwidths) TransferTime(now time.Duration, zones Zones, bytes float64, sharedWith int) time.Duration {
 	return b.latency + units.FromSeconds(linkBytes(bytes, sharedWith)/b.bytesPerSecond(now, zones))
 }
 
-// linkBytes counts the bytes that pass a link until a transfer has ended: pulls that
-// share the link come in turn with it.
+// linkBytes returns the bytes that pass a link until a transfer has ended: each pull that
+// shares the link is assumed to transfer as much meanwhile.
 func linkBytes(bytes float64, sharedWith int) float64 { return bytes * float64(1+sharedWith) }
 
 func (b *Bandwidths) bytesPerSecond(now time.Duration, zones Zones) float64 {
--- a/pkg/kvrouter/internal/speed/doc.go
+++ b/pkg/kvrouter/internal/speed/doc.go
@@ -1,5 +1,5 @@
-// Package speed learns how fast pools, replicas and links are, from the time that
-// requests take to their first event.
+// Package speed estimates how fast pools, replicas and links are, from the time between
+// requests and their first events.
 //
 //	estimator      of                                              used by
 //	Prefill        the prefill speed of one replica                block cost model
@@ -8,11 +8,12 @@
 //	Slowness       one replica compared with its pool              time cost model
 //	TransferLink   one owner's link for transfers                  time cost model
 //
-// Each estimator owns what it has observed and knows nothing of the others. Until it has
-// learned, it answers with the values that its caller assumes. None is safe for
-// concurrent use: the router's lock guards them.
+// Each estimator has its own observations and does not depend on the others. Without
+// observations it returns the values that its caller assumes. None is safe for concurrent
+// use: the router's lock guards them.
 //
-// The time to a first event is all that a router sees. It includes queues of which the
-// router has no report. Latency and Slowness therefore weigh slow observations less than
-// fast ones, and a TransferLink counts as slow only after several late transfers in a row.
+// The time to a first event is all that a router can measure. It includes the wait in
+// queues that are not reported to the router. Latency and Slowness therefore weigh slow
+// observations less than fast ones, and a TransferLink counts as slow only after several
+// late transfers in a row.
 package speed
--- a/pkg/kvrouter/internal/speed/latency.go
+++ b/pkg/kvrouter/internal/speed/latency.go
@@ -6,11 +6,11 @@
 	latencyDecay = 0.995
 	// priorObservations is the weight of the assumed values, in observations.
 	priorObservations = 4
-	// lateWeight is the weight of an observation that took longer than expected.
-	// Most of those waited behind work that this router had no report of, so that the
-	// early ones tell more of the replica's speed.
+	// lateWeight is the weight of an observation that took longer than expected. Most of
+	// these requests waited behind work that was not reported to this router, so that
+	// shorter times are better evidence of the replica's speed.
 	lateWeight = 0.1
-	// shortTokens and longTokens are the lengths of prompt of the assumed observations.
+	// shortTokens and longTokens are the prompt lengths of the assumed observations.
 	shortTokens = 1000
 	longTokens  = 8000
 	// minPerToken and maxPerToken bound the learned speed, in milliseconds per token.
@@ -19,10 +19,10 @@
 )
 
 // Latency is the time that the replicas of a pool take to the first event, as a fixed
-// time and a time per token of prompt. Both are learned by least squares, with
-// observations that lose weight as new ones come.
+// time and a time per token of prompt. Both are fitted by least squares to observations
+// that lose weight with each newer one.
 type Latency struct {
-	// The sums of the least squares, X being tokens and Y milliseconds.
+	// The weighted sums of the least-squares fit, where X is tokens and Y milliseconds.
 	count, sumX, sumY, sumXX, sumXY float64
 	// fixed and perToken are in milliseconds.
 	fixed, perToken float64
@@ -40,8 +40,8 @@
 	return l
 }
 
-// Observe records that a replica of usual speed took a time, in milliseconds, to
-// compute tokens.
+// Observe records the time, in milliseconds, that a replica of the pool took to compute
+// tokens and send the first event.
 func (l *Latency) Observe(tokens, took float64) {
 	l.count *= latencyDecay
 	l.sumX *= latencyDecay
@@ -74,8 +74,8 @@
 	l.fixed = max(0, (l.sumY-l.perToken*l.sumX)/l.count)
 }
 
-// Expected returns the time until tokens are computed and the first event has come,
-// in milliseconds.
+// Expected returns the expected time, in milliseconds, until tokens are computed and the
+// first event has arrived.
 func (l *Latency) Expected(tokens float64) float64 { return l.fixed + l.perToken*tokens }
 
 // PerToken returns the time per token of prompt, in milliseconds. It is above 0.
--- a/pkg/kvrouter/internal/speed/prefill.go
+++ b/pkg/kvrouter/internal/speed/prefill.go
@@ -20,8 +20,8 @@
 	tokensPerSecond float64
 }
 
-// Observe records that the replica computed tokens, those queued before included, in
-// a time.
+// Observe records the time that the replica took to compute tokens, which include those
+// that were queued before the request.
 func (p *Prefill) Observe(tokens float64, took time.Duration) {
 	if tokens < minTokensToLearn || took <= 0 {
 		return
@@ -34,8 +34,8 @@
 	p.tokensPerSecond += prefillWeight * (observed - p.tokensPerSecond)
 }
 
-// TimeFor estimates how long tokens take to compute, at an assumed speed, in tokens per
-// second, while none has been observed.
+// TimeFor estimates how long tokens take to compute. Until a speed has been observed, it
+// uses the assumed one, in tokens per second.
 func (p *Prefill) TimeFor(tokens, assumed float64) time.Duration {
 	speed := p.tokensPerSecond
 	if speed == 0 {
--- a/pkg/kvrouter/internal/speed/transfer_link.go
+++ b/pkg/kvrouter/internal/speed/transfer_link.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minLateMilliseconds is the least excess over the expected time of a transfer
-	// that makes it late.
+	// minLateMilliseconds is the excess over the expected time up to which a transfer never
+	// counts as late.
 	minLateMilliseconds = 150.0
 	// lateTransfersForSlowdown is how many transfers in a row have to be late until
 	// their link counts as slow.
@@ -20,7 +20,7 @@
 // TransferLink is the state of one owner's link for transfers of cached chunks, which run
 // one after another. The zero value is free and not slow.
 type TransferLink struct {
-	// freeAt is when the transfers planned so far have ended.
+	// freeAt is when the last planned transfer ends.
 	freeAt time.Duration
 	// slowdown is how many times longer transfers took than expected, at slowdownAt.
 	slowdown   float64
@@ -29,7 +29,7 @@
 	consecutiveLate int
 }
 
-// FreeAt returns when the transfers planned so far have ended.
+// FreeAt returns when the last planned transfer ends.
 func (l *TransferLink) FreeAt() time.Duration { return l.freeAt }
 
 // ReserveUntil reserves the link for a transfer that ends at an instant.
@@ -44,9 +44,11 @@
 	return max(1, l.slowdown*math.Exp2(-halvings))
 }
 
-// ObserveTransfer records how much later than expected, in milliseconds, a request
-// had its first event whose transfer should have taken a time, in milliseconds too. It
-// reports whether the transfer counts as late at both its ends.
+// ObserveTransfer records a transfer by the first event of the request that it was for.
+// Expected is the expected time of the transfer, and excess how much later than expected
+// the first event arrived, both in milliseconds. It reports whether the transfer counts as
+// late, on the links at both of its ends: the excess is above minLateMilliseconds and above
+// twice the expected time.
 func ObserveTransfer(now time.Duration, source, target *TransferLink, expected, excess float64) (late bool) {
 	if excess <= max(minLateMilliseconds, 2*expected) {
 		source.consecutiveLate = 0
@@ -59,10 +61,9 @@
 	return true
 }
 
-// recordLate records a transfer that may have taken ratio times longer than
-// expected. Its request was late, because of the link or of a queue at the replica
-// that this router has no report of. Only several in a row are attributed to the
-// link.
+// recordLate records a late transfer, which may have taken ratio times longer than
+// expected. The delay comes from the link, or from a queue at the replica that is not
+// reported to this router. Only several late transfers in a row are attributed to the link.
 func (l *TransferLink) recordLate(now time.Duration, ratio float64) {
 	l.consecutiveLate++
 	if l.consecutiveLate < lateTransfersForSlowdown {
