--- a/pkg/outlier/comparison.go
+++ b/pkg/outlier/comparison.go
@@ -9,16 +9,16 @@
 	outcomes  [outcomeCount]uint64
 }
 
-// healthyWeight is the weight of outcomes in this zone since a replica began to fail
-// somewhere, and healthyFailureRatio the ratio of failures among them below which it
-// counts as healthy for this zone, whatever other zones report.
+// A replica counts as healthy for this zone, whatever other zones report, if the outcomes
+// in this zone since the replica began to fail in any zone have a weight of at least
+// healthyWeight, and the ratio of failures among them is below healthyFailureRatio.
 const (
 	healthyWeight       = 1.8
 	healthyFailureRatio = 0.1
 )
 
-// isOutlier reports whether a replica fails far more than others, by the observations of
-// this zone or by those of all zones.
+// isOutlier reports whether a replica fails far more often than others, by the outcomes of
+// this zone, or by those of all zones if the replica does not count as healthy for this one.
 func (d *Detector) isOutlier(now time.Duration, target *replica) bool {
 	if !target.confirmed(now, &d.options) {
 		return false
@@ -33,8 +33,8 @@
 	return !healthy && d.standsOut(now, target, target.fleet)
 }
 
-// standsOut reports whether a replica stands out among its pools by the observed
-// failures.
+// standsOut reports whether the observed failures of a replica reach the minimum weight and
+// ratio, and BaselineFactor times the failure ratio of the others in each of its pools.
 func (d *Detector) standsOut(now time.Duration, target *replica, observed tally) bool {
 	if observed.failures < d.options.MinFailures || observed.failureRatio() < d.options.FailureThreshold {
 		return false
@@ -47,9 +47,9 @@
 	return true
 }
 
-// baselineFailureRatio is the failure ratio of the other replicas of the pool that are
-// not ejected. It counts what this node has observed itself: other nodes report only
-// replicas that fail.
+// baselineFailureRatio returns the failure ratio of the other replicas of the pool that are
+// not ejected. It counts only the outcomes that this node has observed itself, since other
+// nodes report only replicas that fail.
 func (p *pool) baselineFailureRatio(now time.Duration, except *replica, halfLife time.Duration) float64 {
 	sum := tally{}
 	for _, member := range p.members {
@@ -61,7 +61,8 @@
 	return sum.failureRatio()
 }
 
-// canEject reports whether the pools of a replica would keep enough replicas without it.
+// canEject reports whether the ejection of a replica exceeds the MaxEjectedFraction of none
+// of its pools.
 func (d *Detector) canEject(target *replica) bool {
 	for _, group := range target.pools {
 		if float64(group.ejected()+1) > d.options.MaxEjectedFraction*float64(len(group.members)) {
--- a/pkg/outlier/detector.go
+++ b/pkg/outlier/detector.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Verdict is whether a request should go to a replica.
+// Verdict tells whether a request should be sent to a replica.
 type Verdict int
 
 // The verdicts, from the best to the worst.
 const (
-	// Healthy means that nothing speaks against it.
+	// Healthy means that the replica is neither ejected nor suspected.
 	Healthy Verdict = iota
-	// Ejected means that the replica fails a large fraction of its requests: it is better
-	// than none.
+	// Ejected means that the replica fails a large fraction of its requests. It is still
+	// preferable to a suspected one.
 	Ejected
-	// Suspected means that the replica could not be reached lately.
+	// Suspected means that the replica could not be reached recently.
 	Suspected
 )
 
 // Member is a replica of a pool.
 type Member struct {
 	Address string
-	// Instance names the incarnation; another one starts without statistics.
+	// Instance identifies the incarnation; a new one starts without statistics.
 	Instance string
 }
 
@@ -30,7 +30,7 @@
 type PoolStats struct {
 	// Ejected and Suspected count the replicas that are avoided now.
 	Ejected, Suspected int
-	// Ejections counts how often one was ejected.
+	// Ejections counts how often a replica was ejected.
 	Ejections uint64
 	// Outcomes counts this node's attempts by their outcome.
 	Outcomes map[Outcome]uint64
@@ -71,7 +71,7 @@
 	}
 }
 
-// join adds a replica to a pool. The lock is held.
+// join adds a replica to a pool. The caller must hold the mutex.
 func (d *Detector) join(group *pool, member Member, previous map[string]*replica) {
 	joined := d.replicas[member.Address]
 	if joined == nil {
@@ -99,7 +99,7 @@
 	}
 	if outcome.breaksConnection() {
 		target.suspicion.start(now, &d.options)
-	} else if outcome != Overdue { // which is no response
+	} else if outcome != Overdue { // all others are responses
 		target.suspicion.missedDeadlines = 0
 	}
 	if outcome == Succeeded || outcome == Slow {
@@ -115,8 +115,8 @@
 	d.count(now, target, true, failure, 1)
 }
 
-// count adds outcomes of a replica, and decides about its ejection. They come from this
-// zone if sameZone is set. Only those count as probes.
+// count adds outcomes of a replica, and ejects or readmits the replica if they require it.
+// SameZone is set for outcomes of this zone; only these count as probes.
 func (d *Detector) count(now time.Duration, target *replica, sameZone bool, failures, total float64) {
 	if failures > 0 {
 		target.enableReporting(now, &d.options)
@@ -140,7 +140,8 @@
 	}
 }
 
-// readmit readmits a replica with clean statistics, which are reported to other nodes.
+// readmit clears the statistics of a replica that has been readmitted. The outcomes that
+// follow are reported to other nodes for some time.
 func (d *Detector) readmit(now time.Duration, target *replica) {
 	clean := tally{updatedAt: now}
 	target.local, target.zone, target.fleet = clean, clean, clean
@@ -149,9 +150,9 @@
 	d.options.Changed(target.member.Address, false)
 }
 
-// Verdict returns whether a request should go to a replica. With probe, an ejected one is
-// healthy for a single request when its probe is due; ProbeSent must be called when that
-// is sent.
+// Verdict returns whether a request should be sent to a replica. If probe is set and a
+// probe of an ejected replica is due, the replica counts as Healthy for a single request;
+// the caller must call ProbeSent when it sends that request.
 func (d *Detector) Verdict(now time.Duration, address string, probe bool) Verdict {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -167,9 +168,9 @@
 	return Healthy
 }
 
-// ProbeSent records that a request was sent to a replica. It matters only when the
-// replica is ejected: no other request is a probe until this one has ended, or for as
-// long as the ejection.
+// ProbeSent records that a request was sent to a replica. It has an effect only if the
+// replica is ejected: no other request may be a probe until the outcome of a due probe is
+// recorded, or for at most the length of the ejection.
 func (d *Detector) ProbeSent(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -179,8 +180,8 @@
 	}
 }
 
-// RecordMissedDeadline records that a deadline has passed at a replica without any
-// response. Several in a row make it suspected.
+// RecordMissedDeadline records that a request's deadline has passed without any response of
+// the replica. Several missed deadlines in a row make the replica suspected.
 func (d *Detector) RecordMissedDeadline(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -210,8 +211,8 @@
 	}
 }
 
-// RecordAlive records that a replica has sent something by itself: it is not suspected,
-// and if it is ejected, its probe is due.
+// RecordAlive records that a replica has sent data other than a response. This ends its
+// suspicion and, if the replica is ejected, makes its probe due.
 func (d *Detector) RecordAlive(now time.Duration, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/pkg/outlier/detector_test.go
+++ b/pkg/outlier/detector_test.go
@@ -48,7 +48,8 @@
 	return d.Stats(now, pool).Ejected
 }
 
-// probeDue returns when the probe of replica-0, which is ejected, is due, from a time on.
+// probeDue returns the first time, beginning with from, at which a probe of the ejected
+// replica-0 is due.
 func probeDue(d *outlier.Detector, from time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	for now := from; now < from+time.Minute; now += step {
@@ -56,7 +57,7 @@
 			return now
 		}
 	}
-	Fail("no probe is ever due")
+	Fail("no probe of replica-0 was due within a minute")
 	return 0
 }
 
@@ -72,12 +73,12 @@
 	},
 		Entry("errors", outlier.Errored, 2),
 		Entry("resets", outlier.Reset, 2),
-		Entry("nothing for long", outlier.Overdue, 2),
-		Entry("no connection", outlier.Unreached, 2),
-		Entry("refusals without need", outlier.Refused, 2),
+		Entry("overdue responses", outlier.Overdue, 2),
+		Entry("failures to connect", outlier.Unreached, 2),
+		Entry("refusals", outlier.Refused, 2),
 	)
 
-	It("counts responses that are always slow as a fault", func() {
+	It("ejects a replica whose responses are always slow", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Slow, 3)
 		Expect(ejected(d, 0)).To(BeZero())
@@ -85,7 +86,7 @@
 		Expect(ejected(d, 0)).To(Equal(1))
 	})
 
-	It("does not eject a replica that fails now and then", func() {
+	It("does not eject a replica that fails a fifth of its requests", func() {
 		d := detector(6)
 		for range 50 {
 			repeat(d, 0, "replica-0", outlier.Succeeded, 4)
@@ -94,21 +95,21 @@
 		}
 	})
 
-	It("detects soon that a busy replica has started to fail", func() {
+	It("ejects a busy replica after few failures", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Succeeded, 1000)
 		repeat(d, 0, "replica-0", outlier.Errored, 3)
 		Expect(d.Verdict(0, "replica-0", false)).To(Equal(outlier.Ejected))
 	})
 
-	It("forgets what is long past", func() {
+	It("does not eject a replica whose first failure is many half-lives old", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 1)
 		repeat(d, 30*time.Second, "replica-0", outlier.Errored, 1)
 		Expect(d.Verdict(30*time.Second, "replica-0", false)).To(Equal(outlier.Healthy))
 	})
 
-	It("does not eject for what all replicas do", func() {
+	It("does not eject replicas when all replicas of the pool fail alike", func() {
 		d := detector(7)
 		for range 10 {
 			for _, member := range members(7) {
@@ -138,12 +139,12 @@
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		Expect(d.Verdict(outlier.DefaultEjection-1, "replica-0", true)).To(Equal(outlier.Ejected))
 		now := probeDue(d, outlier.DefaultEjection)
-		Expect(d.Verdict(now, "replica-0", false)).To(Equal(outlier.Ejected), "what is no probe does not go there")
+		Expect(d.Verdict(now, "replica-0", false)).To(Equal(outlier.Ejected), "a request that is not a probe is not sent to the replica")
 		for range outlier.DefaultProbes {
 			Expect(ejected(d, now)).To(Equal(1))
 			Expect(d.Verdict(now, "replica-0", true)).To(Equal(outlier.Healthy))
 			d.ProbeSent(now, "replica-0")
-			Expect(d.Verdict(now, "replica-0", true)).To(Equal(outlier.Ejected), "one at a time")
+			Expect(d.Verdict(now, "replica-0", true)).To(Equal(outlier.Ejected), "only one probe at a time")
 			now += 100 * time.Millisecond
 			d.Observe(now, "replica-0", outlier.Succeeded)
 		}
@@ -151,7 +152,7 @@
 		Expect(d.Verdict(now, "replica-0", false)).To(Equal(outlier.Healthy))
 	})
 
-	It("starts the row again after a probe that failed", func() {
+	It("restarts the count of successful probes after a failed probe", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := time.Duration(0)
@@ -163,7 +164,7 @@
 		}
 	})
 
-	It("waits twice as long after each probe that fails, up to a bound", func() {
+	It("doubles the time to the next probe after each failed probe, up to a bound", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := probeDue(d, 0)
@@ -177,7 +178,7 @@
 		}
 	})
 
-	It("ejects a replica that fails again and again for longer each time", func() {
+	It("ejects a replica that fails repeatedly for longer each time", func() {
 		d := detector(6)
 		now, last := time.Duration(0), time.Duration(0)
 		for range 3 {
@@ -192,13 +193,13 @@
 			}
 			Expect(ejected(d, now)).To(BeZero())
 		}
-		By("forgetting it when the replica has been well for long")
+		By("ejecting it for the initial time again after a minute without failures")
 		now += time.Minute
 		repeat(d, now, "replica-0", outlier.Errored, 2)
 		Expect(probeDue(d, now) - now).To(BeNumerically("<=", 2*outlier.DefaultEjection))
 	})
 
-	It("lets another probe go when the first never ends", func() {
+	It("admits another probe when the first one never ends", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		now := probeDue(d, 0)
@@ -207,7 +208,7 @@
 		Expect(d.Verdict(now+outlier.DefaultEjection, "replica-0", true)).To(Equal(outlier.Healthy))
 	})
 
-	It("forgets replicas that leave, and starts again with another incarnation", func() {
+	It("drops the statistics of replicas that leave or have a new incarnation", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Errored, 2)
 		repeat(d, 0, "replica-1", outlier.Errored, 2)
@@ -219,20 +220,20 @@
 		Expect(d.Verdict(0, "replica-0", false)).To(Equal(outlier.Healthy))
 		d.SetPools(map[string][]outlier.Member{pool: staying[2:]})
 		Expect(ejected(d, 0)).To(BeZero())
-		Expect(d.Stats(0, pool).Ejections).To(Equal(uint64(2)), "counters stay")
+		Expect(d.Stats(0, pool).Ejections).To(Equal(uint64(2)), "the pool's counters are kept")
 	})
 
-	It("judges a replica of several pools for all of them", func() {
+	It("ejects a replica of several pools only if all of them permit it", func() {
 		d := outlier.New(outlier.Options{})
 		d.SetPools(map[string][]outlier.Member{"one": members(4), "two": members(1)})
 		repeat(d, 0, "replica-0", outlier.Errored, 5)
-		Expect(d.Verdict(0, "replica-0", false)).To(Equal(outlier.Healthy), "the second pool cannot spare it")
+		Expect(d.Verdict(0, "replica-0", false)).To(Equal(outlier.Healthy), "the second pool would have no replica left")
 		repeat(d, 0, "replica-2", outlier.Succeeded, 9)
 		repeat(d, 0, "replica-1", outlier.Errored, 5)
 		Expect(d.Verdict(0, "replica-1", false)).To(Equal(outlier.Ejected))
 	})
 
-	It("says when a replica is ejected and readmitted", func() {
+	It("calls Changed when a replica is ejected and readmitted", func() {
 		var changes []string
 		d := detectorOf(outlier.Options{Probes: 1, Changed: func(address string, out bool) {
 			changes = append(changes, fmt.Sprint(address, " ", out))
@@ -244,7 +245,7 @@
 		Expect(changes).To(Equal([]string{"replica-0 true", "replica-0 false"}))
 	})
 
-	It("counts the outcomes of the node", func() {
+	It("counts the outcomes that the node has observed", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Succeeded, 3)
 		repeat(d, 0, "replica-1", outlier.Errored, 1)
@@ -254,8 +255,8 @@
 	})
 })
 
-var _ = Describe("A suspicion", func() {
-	It("starts with one broken connection, and lasts longer with each in a row", func() {
+var _ = Describe("Suspicion", func() {
+	It("lasts longer each time in a row, until a request succeeds", func() {
 		d := detector(6)
 		now := time.Duration(0)
 		for _, seconds := range []time.Duration{1, 2, 4, 8, 8} {
@@ -269,16 +270,16 @@
 		Expect(d.Verdict(now+time.Second, "replica-0", true)).To(Equal(outlier.Healthy))
 	})
 
-	DescribeTable("starts at once with", func(outcome outlier.Outcome, expected outlier.Verdict) {
+	DescribeTable("starts at once only after a broken connection", func(outcome outlier.Outcome, expected outlier.Verdict) {
 		d := detector(6)
 		d.Observe(0, "replica-0", outcome)
 		Expect(d.Verdict(0, "replica-0", true)).To(Equal(expected))
 	},
 		Entry("a reset", outlier.Reset, outlier.Suspected),
-		Entry("no connection", outlier.Unreached, outlier.Suspected),
-		Entry("but not an error", outlier.Errored, outlier.Healthy),
-		Entry("but not a refusal", outlier.Refused, outlier.Healthy),
-		Entry("but not a response that is overdue", outlier.Overdue, outlier.Healthy),
+		Entry("a failure to connect", outlier.Unreached, outlier.Suspected),
+		Entry("an error", outlier.Errored, outlier.Healthy),
+		Entry("a refusal", outlier.Refused, outlier.Healthy),
+		Entry("an overdue response", outlier.Overdue, outlier.Healthy),
 	)
 
 	It("starts after three missed deadlines in a row", func() {
@@ -298,7 +299,7 @@
 		Expect(d.Verdict(0, "replica-0", true)).To(Equal(outlier.Suspected))
 	})
 
-	It("ends when the replica speaks, and then a probe is due", func() {
+	It("ends when the replica sends data, which also makes a probe due", func() {
 		d := detector(6)
 		repeat(d, 0, "replica-0", outlier.Unreached, 2)
 		Expect(ejected(d, 0)).To(Equal(1))
@@ -310,7 +311,7 @@
 	})
 })
 
-// fleet is the detectors of nodes in two zones that exchange all reports.
+// fleet contains the detectors of nodes in two zones that exchange all reports.
 type fleet struct {
 	sameZone, otherZone []*outlier.Detector
 }
@@ -347,8 +348,8 @@
 	return reported
 }
 
-var _ = Describe("Nodes that see a trickle each", func() {
-	It("eject together what none of them could eject alone", func() {
+var _ = Describe("Nodes that each observe little traffic", func() {
+	It("eject a replica by reports that none of them could eject alone", func() {
 		f := newFleet(4)
 		for _, node := range f.sameZone[:2] {
 			node.Observe(0, "replica-0", outlier.Errored)
@@ -357,13 +358,13 @@
 		for _, node := range f.sameZone {
 			Expect(ejected(node, 0)).To(Equal(1))
 		}
-		By("and so do those of other zones, which have seen nothing else of it")
+		By("ejecting it in the other zone, which has observed no outcomes of its own")
 		for _, node := range f.otherZone {
 			Expect(ejected(node, 0)).To(Equal(1))
 		}
 	})
 
-	It("report nothing while all is well", func() {
+	It("report nothing while no request fails", func() {
 		f := newFleet(4)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 50)
@@ -371,7 +372,7 @@
 		Expect(f.exchangeReports(0)).To(BeZero())
 	})
 
-	It("report successes once there are failures, so that a rare fault ejects no replica", func() {
+	It("report successes once there are failures, so that rare failures eject no replica", func() {
 		f := newFleet(4)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Succeeded, 3)
@@ -390,7 +391,7 @@
 		}
 	})
 
-	It("do not believe one node alone, which may be partitioned", func() {
+	It("do not eject replicas by reports of a single node, which may be partitioned", func() {
 		f := newFleet(4)
 		for _, member := range members(18) {
 			repeat(f.sameZone[0], 0, member.Address, outlier.Unreached, 3)
@@ -401,8 +402,8 @@
 		}
 	})
 
-	// failInSameZone lets a replica fail the nodes of one zone in turn, while it is well
-	// for the others.
+	// failInSameZone records failures of a replica by the nodes of one zone in turn, and
+	// successes by the nodes of the other zone.
 	failInSameZone := func(f *fleet, rounds int) {
 		for round := range rounds {
 			now := time.Duration(round) * time.Second
@@ -415,7 +416,7 @@
 		}
 	}
 
-	It("decide by their zone when a replica fails for the callers of one zone alone", func() {
+	It("eject a replica that fails in one zone only in that zone", func() {
 		f := newFleet(4)
 		failInSameZone(f, 8)
 		for _, node := range f.sameZone {
@@ -426,7 +427,7 @@
 		}
 	})
 
-	It("report their probes, failed or not", func() {
+	It("report the outcomes of their probes, failed or not", func() {
 		f := newFleet(2)
 		for _, node := range f.sameZone {
 			repeat(node, 0, "replica-0", outlier.Errored, 2)
@@ -436,7 +437,7 @@
 		f.sameZone[0].ProbeSent(now, "replica-0")
 		f.sameZone[0].Observe(now, "replica-0", outlier.Errored)
 		f.exchangeReports(now)
-		Expect(f.sameZone[1].Verdict(now, "replica-0", true)).To(Equal(outlier.Ejected), "the other's probe is put off")
+		Expect(f.sameZone[1].Verdict(now, "replica-0", true)).To(Equal(outlier.Ejected), "the probe of the second node is postponed")
 		for range outlier.DefaultProbes {
 			now += 8 * outlier.DefaultEjection
 			f.sameZone[0].ProbeSent(now, "replica-0")
@@ -456,7 +457,7 @@
 		Expect(len(due)).To(BeNumerically(">", 4))
 	})
 
-	DescribeTable("do not believe what cannot be", func(report outlier.Report) {
+	DescribeTable("ignore invalid reports", func(report outlier.Report) {
 		d := detector(6)
 		for _, node := range []string{"a", "b", "c"} {
 			d.ApplyReport(0, node, true, report)
@@ -464,9 +465,9 @@
 		Expect(ejected(d, 0)).To(BeZero())
 	},
 		Entry("more failures than outcomes", outlier.Report{Address: "replica-0", Failures: 9, Total: 1}),
-		Entry("too many", outlier.Report{Address: "replica-0", Failures: 1e9, Total: 1e9}),
-		Entry("less than nothing", outlier.Report{Address: "replica-0", Failures: -1, Total: -1}),
-		Entry("no number", outlier.Report{Address: "replica-0", Failures: math.NaN(), Total: math.NaN()}),
+		Entry("a weight above the maximum", outlier.Report{Address: "replica-0", Failures: 1e9, Total: 1e9}),
+		Entry("negative weights", outlier.Report{Address: "replica-0", Failures: -1, Total: -1}),
+		Entry("weights that are not numbers", outlier.Report{Address: "replica-0", Failures: math.NaN(), Total: math.NaN()}),
 		Entry("a replica that is not listed", outlier.Report{Address: "other", Failures: 9, Total: 9}),
 	)
 })
--- a/pkg/outlier/doc.go
+++ b/pkg/outlier/doc.go
@@ -3,23 +3,24 @@
 // have recovered.
 //
 // It distinguishes two degrees. A replica that could not be reached, or broke a
-// connection, is suspected at once and for a short time, whatever its history. One that
-// fails a fraction of its requests that is far larger than that of the other replicas of
-// its pool is ejected, until several probes in a row have succeeded.
+// connection, is suspected at once and for a short time, whatever its history. A replica
+// whose fraction of failed requests is far larger than that of the other replicas of its
+// pool is ejected, until several probes in a row have succeeded.
 //
 // A node that sends a replica little of its traffic observes few outcomes. So nodes
-// report the outcomes at replicas that fail to each other, and each node decides by the
-// outcomes of its zone, or by those of all zones if these are too few.
+// report the outcomes at replicas that fail to each other. Each node ejects a replica by
+// the outcomes of its own zone, or by those of all zones unless its own zone has enough
+// outcomes to count the replica as healthy.
 //
 // # State
 //
 // A Detector owns the statistics of one node, under one mutex:
 //
-//	state                                              owner
+//	state                                              type
 //	outcomes by this node, its zone and the fleet      replica: tally
-//	outcomes that other nodes were not told of         replica: tally
+//	outcomes not reported to other nodes yet           replica: tally
 //	which nodes reported failures                      replica: reporterLog
-//	whether a replica is avoided since it broke        replica: suspicion
+//	whether a replica is avoided as unreachable        replica: suspicion
 //	ejection, its length, and probes                   replica: ejection
 //	replicas that are compared, counters for metrics   pool
 //
--- a/pkg/outlier/options.go
+++ b/pkg/outlier/options.go
@@ -21,7 +21,8 @@
 
 // Options configure a Detector. Zero values mean the defaults.
 type Options struct {
-	// Node is the name of this node; it spreads the probes of the nodes.
+	// Node is the name of this node. The times of its probes depend on the name, so that
+	// nodes probe at different times.
 	Node string
 	// HalfLife is the time after which an outcome has lost half of its weight.
 	HalfLife time.Duration
@@ -30,18 +31,18 @@
 	MinFailures float64
 	// FailureThreshold is the ratio of failures that is required to eject a replica.
 	FailureThreshold float64
-	// BaselineFactor is the multiple of the failure ratio of the other replicas of the pool
-	// that is required to eject a replica.
+	// BaselineFactor is how many times higher than that of the other replicas of the pool
+	// the failure ratio of a replica must be to eject it.
 	BaselineFactor float64
 	// Ejection is how long the first ejection lasts until a probe; each further
-	// one in a row is twice as long, up to MaxEjection.
+	// ejection in a row is twice as long, up to MaxEjection.
 	Ejection, MaxEjection time.Duration
 	// MaxEjectedFraction is the largest fraction of a pool that may be ejected.
 	MaxEjectedFraction float64
 	// Probes is how many probes in a row must succeed before a replica is readmitted.
 	Probes int
 	// Suspicion is how long a replica is avoided after a broken connection; each
-	// further time in a row is twice as long, up to MaxSuspicion.
+	// further suspicion in a row is twice as long, up to MaxSuspicion.
 	Suspicion, MaxSuspicion time.Duration
 	// Changed, if set, is called when a replica is ejected or readmitted. It must not
 	// call the Detector.
--- a/pkg/outlier/outcome.go
+++ b/pkg/outlier/outcome.go
@@ -15,13 +15,13 @@
 	// Errored means a response that reports a fault of the replica.
 	Errored
 	// Overdue means no output for a multiple of the latency target. A missed deadline is
-	// not Overdue: it may have been too short.
+	// not Overdue: the deadline may have been too short.
 	Overdue
-	// Reset means that the connection broke, or carried something that is no response.
+	// Reset means that the connection broke, or carried data that is not a response.
 	Reset
 	// Unreached means that no connection could be opened.
 	Unreached
-	// outcomeCount is how many there are.
+	// outcomeCount is the number of outcomes.
 	outcomeCount
 )
 
@@ -34,7 +34,8 @@
 	return names[o]
 }
 
-// failureWeight returns how much an outcome, which counts as 1, counts as a failure.
+// failureWeight returns the weight of an outcome as a failure, from 0 to 1. Among all
+// outcomes each has a weight of 1.
 func (o Outcome) failureWeight() float64 {
 	switch o {
 	case Succeeded:
--- a/pkg/outlier/reports.go
+++ b/pkg/outlier/reports.go
@@ -15,14 +15,14 @@
 	requiredReporters = 2
 )
 
-// Report carries outcomes at a replica to other nodes.
+// Report contains outcomes at a replica, for other nodes.
 type Report struct {
 	Address string
 	// Failures is the weight of the failures, and Total that of all outcomes.
 	Failures, Total float64
 }
 
-// reporterLog remembers which nodes reported failures last.
+// reporterLog records which nodes reported failures most recently.
 type reporterLog [requiredReporters]reporter
 
 type reporter struct {
@@ -78,8 +78,9 @@
 	return reports
 }
 
-// shouldReport reports whether this node's outcomes are due: after a failure at once, and
-// for some time after that, so that other nodes learn of the successes too.
+// shouldReport reports whether this node's outcomes are due to be reported: at once after a
+// failure or while the replica is ejected, and at intervals for some time after a failure,
+// so that other nodes receive the successes too.
 func (r *replica) shouldReport(now time.Duration) bool {
 	if r.unreported.failures > 0 {
 		return true
@@ -90,8 +91,8 @@
 	return r.unreported.total > minReportWeight && now < r.reportingUntil && now-r.reportedAt >= reportInterval
 }
 
-// ApplyReport counts the report of another node, which is in the same zone if sameZone is
-// set.
+// ApplyReport counts the outcomes that another node reports; sameZone is set if that node is
+// in this node's zone. An invalid report, or one of an unknown replica, is ignored.
 func (d *Detector) ApplyReport(now time.Duration, node string, sameZone bool, report Report) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/pkg/outlier/suspicion.go
+++ b/pkg/outlier/suspicion.go
@@ -6,7 +6,7 @@
 // as a broken connection. One alone may have been too short.
 const suspectAfterMissed = 3
 
-// suspicion is the state of a replica that could not be reached lately.
+// suspicion is the state of a replica that could not be reached recently.
 type suspicion struct {
 	until  time.Duration
 	length time.Duration
@@ -15,7 +15,8 @@
 	missedDeadlines int
 }
 
-// start starts a suspicion unless there is one. It lasts longer each time in a row.
+// start makes the replica suspected, unless it is already. Each suspicion in a row lasts
+// longer than the one before.
 func (s *suspicion) start(now time.Duration, options *Options) {
 	if now < s.until {
 		return
--- a/pkg/outlier/tally.go
+++ b/pkg/outlier/tally.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// maxTallyWeight is the largest weight of a tally: newer outcomes displace older ones. So
-// a busy replica that starts to fail is detected as soon as one with little traffic.
+// maxTallyWeight is the largest weight of a tally: beyond it, newer outcomes displace older
+// ones, so that a busy replica that starts to fail is detected as soon as one with little
+// traffic.
 const maxTallyWeight = 6
 
-// tally counts outcomes. They lose weight by their age, and by the outcomes after them.
+// tally counts outcomes. Outcomes lose weight with age, and as newer ones displace them.
 type tally struct {
 	failures, total float64
 	updatedAt       time.Duration
@@ -41,7 +42,7 @@
 	return tally{failures: t.failures + other.failures, total: t.total + other.total, updatedAt: t.updatedAt}
 }
 
-// failureRatio is the ratio of failures.
+// failureRatio returns the ratio of failures to all outcomes; 0 if there are none.
 func (t tally) failureRatio() float64 {
 	if t.total <= 0 {
 		return 0
