--- a/pkg/replication/campaign.go
+++ b/pkg/replication/campaign.go
@@ -20,8 +20,8 @@
 	requestedAt time.Duration
 }
 
-// restart begins another round of requests.
-func (c *campaign) restart(self Voter, now time.Duration) {
+// startRound begins another round of requests.
+func (c *campaign) startRound(self Voter, now time.Duration) {
 	c.requestedAt = now
 	c.rejected = nil
 	if c.preVote {
--- a/pkg/replication/campaign_test.go
+++ b/pkg/replication/campaign_test.go
@@ -52,10 +52,10 @@
 	ginkgo.It("asks everybody again in a pre-vote, but keeps the votes of a term", func() {
 		granted := grants{voterOf("a"), voterOf("b")}
 		preVote := campaign{preVote: true, granted: granted}
-		preVote.restart(voterOf("a"), time.Second)
+		preVote.startRound(voterOf("a"), time.Second)
 		Expect(preVote.granted).To(Equal(grants{voterOf("a")}))
 		vote := campaign{granted: granted, rejected: grants{voterOf("c")}}
-		vote.restart(voterOf("a"), time.Second)
+		vote.startRound(voterOf("a"), time.Second)
 		Expect(vote.granted).To(Equal(granted))
 		Expect(vote.rejected).To(BeEmpty())
 		Expect(vote.requestedAt).To(Equal(time.Second))
@@ -84,8 +84,8 @@
 
 	ginkgo.It("give each slot to the incarnation that has granted, with a vote", func() {
 		waiting := group.with(2, Slot{Voter: voterOf("c"), Learner: true})
-		regrouped := grants{voterOf("a"), newB, voterOf("c"), voterOf("x")}.regroup(waiting)
-		Expect(regrouped).To(Equal(slots{{Voter: voterOf("a")}, {Voter: newB}, {Voter: voterOf("c")}}))
+		recovered := grants{voterOf("a"), newB, voterOf("c"), voterOf("x")}.recoveredGroup(waiting)
+		Expect(recovered).To(Equal(slots{{Voter: voterOf("a")}, {Voter: newB}, {Voter: voterOf("c")}}))
 		Expect(waiting[1].Incarnation).To(Equal(uint64(FoundingIncarnation)), "the former group is unchanged")
 	})
 })
--- a/pkg/replication/cluster_elastic_test.go
+++ b/pkg/replication/cluster_elastic_test.go
@@ -42,9 +42,9 @@
 func newElasticSchedule(seed uint64) *elasticSchedule {
 	random := rand.New(rand.NewPCG(seed, 11))
 	c := newCluster(random, "n1", "n2", "n3")
-	c.elastic, c.forgetful = true, true
+	c.elastic, c.withoutFounders = true, true
 	c.config.RemoveAfter = elasticRemoveAfter
-	c.faults = faults{lose: 0.05, double: 0.05, stall: 0.05, maxDelay: 20 * time.Millisecond}
+	c.faults = faults{lose: 0.05, duplicate: 0.05, stall: 0.05, maxDelay: 20 * time.Millisecond}
 	for _, n := range c.nodes {
 		n.offset = time.Duration(random.Int64N(int64(time.Hour)))
 		n.drift = time.Duration(random.IntN(21) - 10)
--- a/pkg/replication/cluster_incarnations_test.go
+++ b/pkg/replication/cluster_incarnations_test.go
@@ -14,7 +14,7 @@
 	config.Self = n.id
 	config.Learner = n.learner
 	config.Incarnation = n.incarnation
-	if !n.founder || (c.forgetful && n.startCount%2 == 1 && n.diskKnowsGroup()) {
+	if !n.founder || (c.withoutFounders && n.startCount%2 == 1 && n.diskKnowsGroup()) {
 		config.Founders = nil
 	}
 	group, err := replication.New(config, n.disk, c.clock(n))
--- a/pkg/replication/cluster_network_test.go
+++ b/pkg/replication/cluster_network_test.go
@@ -13,8 +13,8 @@
 
 // faults are the chances of what can happen to a message or a sync.
 type faults struct {
-	lose, double, stall float64
-	maxDelay            time.Duration
+	lose, duplicate, stall float64
+	maxDelay               time.Duration
 }
 
 type link struct{ from, to member.ID }
@@ -30,7 +30,7 @@
 	copies := 1
 	if c.random.Float64() < c.faults.lose {
 		copies = 0
-	} else if c.random.Float64() < c.faults.double {
+	} else if c.random.Float64() < c.faults.duplicate {
 		copies = 2
 	}
 	for range copies {
--- a/pkg/replication/cluster_test.go
+++ b/pkg/replication/cluster_test.go
@@ -80,9 +80,9 @@
 	// that, as if the state could not be found.
 	recoveries      int
 	recoveryBlocked bool
-	// forgetful restarts founders without the names of the founders, once their
+	// withoutFounders restarts founders without the names of the founders, once their
 	// disks tell of the group.
-	forgetful bool
+	withoutFounders bool
 	// elastic tells that nodes come and go.
 	elastic bool
 }
--- a/pkg/replication/elastic_test.go
+++ b/pkg/replication/elastic_test.go
@@ -170,13 +170,13 @@
 	})
 
 	It("keeps what any disk has when it has grown and loses any number of disks", func() {
-		var reformed int
+		var recoveries int
 		for seed := range uint64(*elasticSchedules) {
 			c := newCluster(rand.New(rand.NewPCG(seed, 13)), "n1", "n2", "n3", "+n4", "+n5")
 			c.majorityLost = true
 			c.config.RemoveAfter = time.Hour
 			c.advanceBy(time.Second)
-			c.faults = faults{lose: 0.1, double: 0.1, stall: 0.1, maxDelay: 20 * time.Millisecond}
+			c.faults = faults{lose: 0.1, duplicate: 0.1, stall: 0.1, maxDelay: 20 * time.Millisecond}
 			for range faultyTicks {
 				randomEvent(c)
 				c.advance()
@@ -184,14 +184,14 @@
 			healAll(c)
 			c.elastic = true
 			expectAgreement(c, seed)
-			reformed += c.recoveries
+			recoveries += c.recoveries
 		}
-		Expect(reformed).To(BeNumerically(">", *elasticSchedules/4))
+		Expect(recoveries).To(BeNumerically(">", *elasticSchedules/4))
 	})
 
 	It("survives that all go down, with founders that are not told who founded it", func() {
 		c := stableCluster("n1", "n2", "n3")
-		c.forgetful = true
+		c.withoutFounders = true
 		c.propose("kept")
 		for _, n := range c.nodes {
 			c.crash(n, true)
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -12,7 +12,7 @@
 // which ends the leadership.
 type election struct {
 	*memberState
-	// leader is the member that is known to lead hard.Term, or empty. It is this
+	// leader is the member that is known to lead hardState.Term, or empty. It is this
 	// member as long as it leads.
 	leader member.ID
 	timer  electionTimer
@@ -61,21 +61,21 @@
 // a voter that can't win. The turn of the i-th live voter in the agreed order comes
 // after ElectionTimeout*(1 + i/2), so that the voters campaign one after the other.
 func (e *election) campaignDue() bool {
-	turn := time.Duration(e.timer.turnOf(e.cfg.Self, e.log.groups.latest().voterIDs))
-	if e.now >= e.timer.waitFrom+e.cfg.ElectionTimeout+turn*e.cfg.ElectionTimeout/2 {
+	rank := time.Duration(e.timer.rankOf(e.cfg.Self, e.log.groups.latest().voterIDs))
+	if e.now >= e.timer.waitFrom+e.cfg.ElectionTimeout+rank*e.cfg.ElectionTimeout/2 {
 		return true
 	}
 	if !e.timer.candidateBehind || e.hasLiveLeader() {
 		return false
 	}
-	return e.now >= e.timer.candidateBehindSince+turn*e.cfg.HeartbeatEvery
+	return e.now >= e.timer.candidateBehindSince+rank*e.cfg.HeartbeatEvery
 }
 
 // startPreVote asks whether a campaign could be won, without raising any term. It
 // goes on until it is won or a leader is heard.
 func (e *election) startPreVote() {
-	e.follow(e.hard.Term, "")
-	e.campaign = &campaign{term: e.hard.Term + 1, preVote: true}
+	e.follow(e.hardState.Term, "")
+	e.campaign = &campaign{term: e.hardState.Term + 1, preVote: true}
 	e.requestVotes()
 	if e.campaign.won(e.slots()) {
 		// The only voter of its group needs nobody else.
@@ -93,7 +93,7 @@
 		reply.Reject = true
 	case m.PreVote:
 		upToDate := e.log.isUpToDate(m.Index, m.IndexTerm)
-		reply.Reject = m.Term <= e.hard.Term || e.hasLiveLeader() || !upToDate
+		reply.Reject = m.Term <= e.hardState.Term || e.hasLiveLeader() || !upToDate
 		if !upToDate && !e.hasLiveLeader() && e.role() == RoleFollower {
 			// The sender can't get the vote of this member. The voters that have what
 			// it lacks then follow each other by HeartbeatEvery, in place of their
@@ -104,7 +104,7 @@
 		reply.Reject = !e.grantVote(from, m)
 	}
 	if reply.Reject {
-		reply.Term = e.hard.Term
+		reply.Term = e.hardState.Term
 	}
 	e.send(from, reply)
 }
@@ -112,20 +112,20 @@
 // grantVote grants the present term to one member at most. The grant leaves in the
 // Ready that carries the vote as HardState, and so after the vote is durable.
 func (e *election) grantVote(from member.ID, m Message) bool {
-	if m.Term != e.hard.Term {
+	if m.Term != e.hardState.Term {
 		return false
 	}
 	candidate := Voter{ID: from, Incarnation: m.Incarnation}
-	if e.hard.votedFor(candidate) {
+	if e.hardState.votedFor(candidate) {
 		return true
 	}
-	if e.hard.VotedFor != "" || e.leader != "" {
+	if e.hardState.VotedFor != "" || e.leader != "" {
 		return false
 	}
 	if !e.log.isUpToDate(m.Index, m.IndexTerm) {
 		return false
 	}
-	e.hard.vote(candidate)
+	e.hardState.vote(candidate)
 	e.timer.restart(e.now)
 	e.timer.candidateBehind = false
 	return true
@@ -146,7 +146,7 @@
 	switch {
 	case m.Reject:
 		if e.campaign.reject(voter, e.slots()) {
-			e.follow(e.hard.Term, "")
+			e.follow(e.hardState.Term, "")
 		}
 		return false
 	case m.Term == e.campaign.term && !m.Learner:
@@ -173,8 +173,8 @@
 // startCampaign raises the term and votes for this member. With transfer, the
 // leader of the present term asked for it.
 func (e *election) startCampaign(transfer bool) {
-	e.voteForSelf(e.hard.Term + 1)
-	e.campaign = &campaign{term: e.hard.Term, transfer: transfer}
+	e.voteForSelf(e.hardState.Term + 1)
+	e.campaign = &campaign{term: e.hardState.Term, transfer: transfer}
 	// If this campaign fails, the members that campaign at the same time must not
 	// wait equally long again.
 	e.timer.lostLeader = ""
@@ -185,14 +185,14 @@
 // is durable, see Group.acknowledgeSelf.
 func (e *election) voteForSelf(term uint64) {
 	e.follow(term, "")
-	e.hard.vote(e.self())
+	e.hardState.vote(e.self())
 	e.timer.restart(e.now)
 }
 
 // requestVotes sends a request to all voters that have not granted, and so repeats
 // one that was lost or premature.
 func (e *election) requestVotes() {
-	e.campaign.restart(e.self(), e.now)
+	e.campaign.startRound(e.self(), e.now)
 	for _, id := range e.log.groups.latest().voterIDs {
 		if id == e.cfg.Self || e.campaign.granted.includes(id) {
 			continue
@@ -214,7 +214,7 @@
 	if m.Term == 0 {
 		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
 	}
-	if m.Term == e.hard.Term && e.leader != "" && e.leader != from {
+	if m.Term == e.hardState.Term && e.leader != "" && e.leader != from {
 		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
 	}
 	return nil
@@ -223,7 +223,7 @@
 // follow makes the member follow a leader in a term, which is the present or a later
 // one. The leader may be unknown yet. It ends a campaign.
 func (e *election) follow(term uint64, leader member.ID) {
-	e.hard.raise(term)
+	e.hardState.raise(term)
 	e.leader = leader
 	e.campaign = nil
 	e.timer.candidateBehind = false
--- a/pkg/replication/election_timer.go
+++ b/pkg/replication/election_timer.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// turnOf returns how many live voters come before the member in the agreed order.
-func (t *electionTimer) turnOf(id member.ID, voters []member.ID) int {
-	turn := 0
+// rankOf returns how many live voters come before the member in the agreed order.
+func (t *electionTimer) rankOf(id member.ID, voters []member.ID) int {
+	rank := 0
 	for _, earlier := range voters {
 		if earlier == id {
 			break
@@ -54,7 +54,7 @@
 		if earlier == t.lostLeader || slices.Contains(t.suspected, earlier) {
 			continue
 		}
-		turn++
+		rank++
 	}
-	return turn
+	return rank
 }
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -60,14 +60,14 @@
 	if m.Type == MessageHeartbeat {
 		reply = MessageHeartbeatReply
 	}
-	f.send(from, Message{Type: reply, Term: f.hard.Term, Reject: true, Learner: f.cfg.Learner})
+	f.send(from, Message{Type: reply, Term: f.hardState.Term, Reject: true, Learner: f.cfg.Learner})
 }
 
 // stepHeartbeat acknowledges a heartbeat.
 func (f *follower) stepHeartbeat(from member.ID, m Message) {
 	f.send(from, Message{
 		Type:            MessageHeartbeatReply,
-		Term:            f.hard.Term,
+		Term:            f.hardState.Term,
 		HeartbeatNumber: m.HeartbeatNumber,
 		Commit:          f.log.committed,
 		Learner:         f.cfg.Learner,
@@ -83,7 +83,7 @@
 		hint, hintTerm := f.log.conflictHint(m.Index, m.IndexTerm)
 		f.send(from, Message{
 			Type:       MessageAppendReply,
-			Term:       f.hard.Term,
+			Term:       f.hardState.Term,
 			Index:      m.Index,
 			IndexTerm:  hintTerm,
 			Reject:     true,
@@ -116,7 +116,7 @@
 func (f *follower) acknowledge(to member.ID, index uint64) {
 	f.send(to, Message{
 		Type:    MessageAppendReply,
-		Term:    f.hard.Term,
+		Term:    f.hardState.Term,
 		Index:   index,
 		Commit:  f.log.committed,
 		Learner: f.cfg.Learner,
--- a/pkg/replication/founders_test.go
+++ b/pkg/replication/founders_test.go
@@ -40,12 +40,12 @@
 		founder := newMember("n2", "n1", "n2", "n3")
 		Expect(founder.Step(0, "n1", appendMessage(1, 0, 0, 1, first...))).To(Succeed())
 		drainReadies(founder)
-		again, err := replication.New(replication.Config{
+		restarted, err := replication.New(replication.Config{
 			Self: "n2", Incarnation: replication.FoundingIncarnation, HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
 		}, founder.Checkpoint(), 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again.Status().Slots).To(Equal(founderSlots("n1", "n2", "n3")))
-		Expect(again.Status().Role).To(Equal(replication.RoleFollower))
+		Expect(restarted.Status().Slots).To(Equal(founderSlots("n1", "n2", "n3")))
+		Expect(restarted.Status().Role).To(Equal(replication.RoleFollower))
 	})
 
 	It("are not invented by a member that knows of no group", func() {
--- a/pkg/replication/grants.go
+++ b/pkg/replication/grants.go
@@ -55,14 +55,14 @@
 	return true
 }
 
-// regroup returns the group with each slot given to the incarnation that has granted,
+// recoveredGroup returns the group with each slot given to the incarnation that has granted,
 // with a vote.
-func (g grants) regroup(group slots) slots {
-	regrouped := slices.Clone(group)
+func (g grants) recoveredGroup(group slots) slots {
+	recovered := slices.Clone(group)
 	for _, voter := range g {
-		if position := regrouped.position(voter.ID); position >= 0 {
-			regrouped[position] = Slot{Voter: voter}
+		if position := recovered.position(voter.ID); position >= 0 {
+			recovered[position] = Slot{Voter: voter}
 		}
 	}
-	return regrouped
+	return recovered
 }
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -35,10 +35,10 @@
 		return nil, err
 	}
 	state := &memberState{
-		cfg:  cfg,
-		now:  now,
-		hard: newTermState(restored.HardState),
-		log:  restoreLog(restored, foundingSlots(cfg.Founders)),
+		cfg:       cfg,
+		now:       now,
+		hardState: newTermState(restored.HardState),
+		log:       restoreLog(restored, foundingSlots(cfg.Founders)),
 	}
 	g := &Group{
 		memberState: state,
@@ -75,7 +75,7 @@
 	switch g.election.role() {
 	case RoleLeader:
 		if !g.leadership.hasLiveMajority() {
-			g.becomeFollower(g.hard.Term, "")
+			g.becomeFollower(g.hardState.Term, "")
 			return
 		}
 		g.leadership.tick()
@@ -99,7 +99,7 @@
 	if from == g.cfg.Self || from == "" {
 		return &MessageError{From: from, Type: m.Type, Message: "the sender is not another member: check that no two members run under one ID"}
 	}
-	if m.Term > g.hard.Term && g.adoptsTerm(from, m) {
+	if m.Term > g.hardState.Term && g.adoptsTerm(from, m) {
 		g.becomeFollower(m.Term, "")
 	}
 	switch m.Type {
@@ -120,7 +120,7 @@
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return g.stepFromLeader(from, m)
 	case MessageAppendReply, MessageHeartbeatReply:
-		if g.leadership == nil || m.Term < g.hard.Term || !g.recognizes(from) {
+		if g.leadership == nil || m.Term < g.hardState.Term || !g.recognizes(from) {
 			return nil
 		}
 		return g.leadership.stepReply(from, m)
@@ -154,7 +154,7 @@
 
 // stepFromLeader handles the messages that only the leader of their term sends.
 func (g *Group) stepFromLeader(from member.ID, m Message) error {
-	if m.Term < g.hard.Term {
+	if m.Term < g.hardState.Term {
 		g.follower.rejectStaleLeader(from, m)
 		return nil
 	}
@@ -165,7 +165,7 @@
 	if err := g.follower.check(from, m); err != nil {
 		return err
 	}
-	if m.Term > g.hard.Term || g.election.leader == "" {
+	if m.Term > g.hardState.Term || g.election.leader == "" {
 		g.becomeFollower(m.Term, from)
 	}
 	g.election.timer.heardLeader(from, g.now)
@@ -196,7 +196,7 @@
 // becomeLeader makes this member the leader of the present term, which a majority has
 // granted to it, or all members in a recovery.
 func (g *Group) becomeLeader() {
-	g.election.follow(g.hard.Term, g.cfg.Self)
+	g.election.follow(g.hardState.Term, g.cfg.Self)
 	g.election.timer.lostLeader = ""
 	g.leadership = newLeadership(g.memberState, &g.reads)
 }
--- a/pkg/replication/group_change_test.go
+++ b/pkg/replication/group_change_test.go
@@ -169,18 +169,18 @@
 			Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2", "n3"},
 			HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
 		}
-		again, err := replication.New(config, kept, 0)
+		restarted, err := replication.New(config, kept, 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again.Status().Slots).To(Equal(slotsWithLearner()))
-		Expect(again.Step(time.Second, "n3", appendMessage(2, 1, 1, 1, entry(2, 2)))).To(Succeed())
-		Expect(again.Status().Slots).To(Equal(founderSlots("n1", "n2", "n3")))
+		Expect(restarted.Status().Slots).To(Equal(slotsWithLearner()))
+		Expect(restarted.Step(time.Second, "n3", appendMessage(2, 1, 1, 1, entry(2, 2)))).To(Succeed())
+		Expect(restarted.Status().Slots).To(Equal(founderSlots("n1", "n2", "n3")))
 
 		Expect(g.Step(0, "n2", appendMessage(1, 3, 1, 3))).To(Succeed())
 		drainReadies(g)
 		Expect(g.Compact(3, nil)).To(Succeed())
-		again, err = replication.New(config, g.Checkpoint(), 0)
+		restarted, err = replication.New(config, g.Checkpoint(), 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again.Status().Slots).To(Equal(slotsWithLearner()))
+		Expect(restarted.Status().Slots).To(Equal(slotsWithLearner()))
 	})
 })
 
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -42,7 +42,7 @@
 // firstDue returns the change that is due first, or zero.
 func (p *changePlanner) firstDue() GroupChange {
 	for _, findDue := range []func() (GroupChange, bool){
-		p.dueRefill, p.dueIncarnationRemoval, p.dueReduction, p.dueReplacement, p.dueGrowth, p.dueDrop,
+		p.duePromotion, p.dueIncarnationRemoval, p.dueReduction, p.dueReplacement, p.dueGrowth, p.dueDrop,
 	} {
 		change, due := findDue()
 		if !due {
@@ -78,8 +78,8 @@
 	return acknowledged >= changed.quorum()
 }
 
-// dueRefill gives the vote back to a member that a slot is reserved for.
-func (p *changePlanner) dueRefill() (change GroupChange, due bool) {
+// duePromotion gives the vote back to a member that a slot is reserved for.
+func (p *changePlanner) duePromotion() (change GroupChange, due bool) {
 	for _, slot := range p.group.slots {
 		voter := p.followers.lastHeard(slot)
 		if slot.Learner && p.caughtUp(voter) {
--- a/pkg/replication/hard_state.go
+++ b/pkg/replication/hard_state.go
@@ -59,13 +59,13 @@
 	return now != persisted
 }
 
-// handOut returns the state that is to be made durable, together with the commit
+// takeHardState returns the state that is to be made durable, together with the commit
 // index.
-func (s *termState) handOut(commit uint64) *HardState {
+func (s *termState) takeHardState(commit uint64) *HardState {
 	s.Commit = commit
 	s.persisted = s.HardState
-	hard := s.HardState
-	return &hard
+	hardState := s.HardState
+	return &hardState
 }
 
 // Restored is the durable state that a member is started with.
--- a/pkg/replication/hard_state_test.go
+++ b/pkg/replication/hard_state_test.go
@@ -30,7 +30,7 @@
 		Expect(state.changed()).To(BeFalse())
 		state.raise(4)
 		Expect(state.changed()).To(BeTrue())
-		Expect(*state.handOut(10)).To(Equal(HardState{Term: 4, Commit: 10}))
+		Expect(*state.takeHardState(10)).To(Equal(HardState{Term: 4, Commit: 10}))
 		Expect(state.changed()).To(BeFalse())
 		state.vote(Voter{ID: "a", Incarnation: 1})
 		Expect(state.changed()).To(BeTrue())
--- a/pkg/replication/in_flight_test.go
+++ b/pkg/replication/in_flight_test.go
@@ -49,8 +49,8 @@
 	return carrying, heartbeat
 }
 
-// heartbeatOf lets a leader send its next heartbeat, and returns its number.
-func heartbeatOf(g *replication.Group, now time.Duration) uint64 {
+// sendHeartbeat lets a leader send its next heartbeat, and returns its number.
+func sendHeartbeat(g *replication.Group, now time.Duration) uint64 {
 	g.Tick(now)
 	carrying, heartbeat := sentTo("n2", g)
 	Expect(carrying).To(BeEmpty())
@@ -58,7 +58,7 @@
 	return heartbeat
 }
 
-func answeredHeartbeat(number uint64) replication.Message {
+func firstTermHeartbeatReply(number uint64) replication.Message {
 	return replication.Message{Type: replication.MessageHeartbeatReply, Incarnation: 1, Term: 1, HeartbeatNumber: number}
 }
 
@@ -69,18 +69,18 @@
 	It("is sent once, unless a later heartbeat was answered before it", func() {
 		g := boundedLeader(4 * large)
 		now := electedAt + heartbeatEvery
-		before := heartbeatOf(g, now)
+		before := sendHeartbeat(g, now)
 		_, err := g.Propose(now, make([]byte, large))
 		Expect(err).NotTo(HaveOccurred())
 		sent, _ := sentTo("n2", g)
 		Expect(sent).To(HaveLen(1))
 		By("a reply that was sent before the entry arrived")
-		Expect(g.Step(now, "n2", answeredHeartbeat(before))).To(Succeed())
+		Expect(g.Step(now, "n2", firstTermHeartbeatReply(before))).To(Succeed())
 		sent, _ = sentTo("n2", g)
 		Expect(sent).To(BeEmpty())
 		By("a reply that overtakes the acknowledgement of an entry that was lost")
-		after := heartbeatOf(g, now+heartbeatEvery)
-		Expect(g.Step(now+heartbeatEvery, "n2", answeredHeartbeat(after))).To(Succeed())
+		after := sendHeartbeat(g, now+heartbeatEvery)
+		Expect(g.Step(now+heartbeatEvery, "n2", firstTermHeartbeatReply(after))).To(Succeed())
 		reject := appendReply(1, 2)
 		reject.Reject, reject.RejectHint, reject.IndexTerm = true, 1, 1
 		Expect(g.Step(now+heartbeatEvery, "n2", reject)).To(Succeed())
@@ -130,19 +130,19 @@
 		Expect(g.Compact(2, make([]byte, large))).To(Succeed())
 		snapshots := func(from time.Duration, number uint64) int {
 			Expect(g.Step(from, "n2", appendReply(1, 2))).To(Succeed())
-			Expect(g.Step(from, "n3", answeredHeartbeat(number))).To(Succeed())
+			Expect(g.Step(from, "n3", firstTermHeartbeatReply(number))).To(Succeed())
 			sent, _ := sentTo("n3", g)
 			return len(sent)
 		}
 		reject := appendReply(1, 0)
 		reject.Reject = true
-		Expect(g.Step(now, "n3", answeredHeartbeat(1))).To(Succeed())
+		Expect(g.Step(now, "n3", firstTermHeartbeatReply(1))).To(Succeed())
 		Expect(g.Step(now, "n3", reject)).To(Succeed())
 		sent, _ := sentTo("n3", g)
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].Snapshot).NotTo(BeNil())
-		under := heartbeatOf(g, now+heartbeatEvery) - 1
-		Expect(snapshots(now+electionTimeout, under)).To(BeZero(), "it may be under way")
-		Expect(snapshots(now+electionTimeout, under+1)).To(Equal(1), "a later heartbeat was answered")
+		beforeSnapshot := sendHeartbeat(g, now+heartbeatEvery) - 1
+		Expect(snapshots(now+electionTimeout, beforeSnapshot)).To(BeZero(), "it may be under way")
+		Expect(snapshots(now+electionTimeout, beforeSnapshot+1)).To(Equal(1), "a later heartbeat was answered")
 	})
 })
--- a/pkg/replication/invalid_input_test.go
+++ b/pkg/replication/invalid_input_test.go
@@ -61,17 +61,17 @@
 			_, err := replication.New(config, replication.Restored{}, 0)
 			Expect(err).To(BeAssignableToTypeOf(&replication.ConfigError{}))
 		}
-		hard := replication.HardState{Term: 1}
+		hardState := replication.HardState{Term: 1}
 		for _, restored := range []replication.Restored{
-			{HardState: hard, Entries: []replication.Entry{entry(2, 1)}},
-			{HardState: hard, Entries: []replication.Entry{entry(1, 2)}},
+			{HardState: hardState, Entries: []replication.Entry{entry(2, 1)}},
+			{HardState: hardState, Entries: []replication.Entry{entry(1, 2)}},
 			{HardState: replication.HardState{Term: 1, Commit: 1}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "n1")}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "")}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: slotsWithLearner()[2:]}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: make([]replication.Slot, 2)}},
-			{HardState: hard, Entries: []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryGroupChange, Command: []byte("[]")}}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "n1")}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "")}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: slotsWithLearner()[2:]}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: make([]replication.Slot, 2)}},
+			{HardState: hardState, Entries: []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryGroupChange, Command: []byte("[]")}}},
 		} {
 			_, err := replication.New(good, restored, 0)
 			Expect(err).To(BeAssignableToTypeOf(&replication.RestoredError{}))
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -186,7 +186,7 @@
 	// The commit may be that of the removal of a voter whose slot is reserved. This
 	// doesn't wait for a heartbeat: until the slot has a vote again, the group tolerates
 	// fewer losses.
-	if change, due := l.changePlanner().dueRefill(); due {
+	if change, due := l.changePlanner().duePromotion(); due {
 		// An error is not final: the next heartbeat finds the change again.
 		_ = l.proposeGroupChange(change)
 	}
@@ -200,7 +200,7 @@
 	for _, id := range l.otherMembers() {
 		l.send(id, Message{
 			Type:            MessageHeartbeat,
-			Term:            l.hard.Term,
+			Term:            l.hardState.Term,
 			Index:           l.log.lastIndex(),
 			HeartbeatNumber: l.heartbeats.number,
 		})
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -74,7 +74,7 @@
 	t.requestSent = true
 	t.send(follower, Message{
 		Type:     MessageHeartbeat,
-		Term:     t.hard.Term,
+		Term:     t.hardState.Term,
 		Index:    t.log.lastIndex(),
 		Transfer: true,
 	})
--- a/pkg/replication/log_replicator.go
+++ b/pkg/replication/log_replicator.go
@@ -26,7 +26,7 @@
 // next Ready, together with others appended until then.
 func (r *logReplicator) append(kind EntryKind, command []byte) (index uint64) {
 	r.appendPending = true
-	return r.log.appendNew(r.hard.Term, kind, command)
+	return r.log.appendNew(r.hardState.Term, kind, command)
 }
 
 // trackMembers begins to track the members that the leader does not track yet, as
@@ -48,7 +48,7 @@
 func (r *logReplicator) commit() bool {
 	index := r.followers.reachedByMajority(r.log.groups.latest().voters,
 		r.log.durable, func(p *progress) uint64 { return p.match })
-	if term, ok := r.log.termAt(index); !ok || term != r.hard.Term {
+	if term, ok := r.log.termAt(index); !ok || term != r.hardState.Term {
 		return false
 	}
 	if !r.log.commitTo(index) {
@@ -71,7 +71,7 @@
 // its reply to a heartbeat shows. What is large is sent again only if it was lost, however
 // long it takes on its way.
 func (r *logReplicator) resendLost(to member.ID, follower *progress, reply Message) {
-	lost := follower.lostBefore(reply.HeartbeatNumber)
+	lost := follower.lastSendLost(reply.HeartbeatNumber)
 	if follower.state == progressSnapshot {
 		if lost && r.now >= follower.snapshotSentAt+r.cfg.ElectionTimeout {
 			r.sendSnapshot(to, follower)
@@ -84,8 +84,8 @@
 	if !lost && follower.inFlight.bytes >= largeAppendBytes {
 		return
 	}
-	follower.probing = false
-	if follower.full() {
+	follower.probeSent = false
+	if follower.isPaused() {
 		// All that may be in flight was sent, and nothing was acknowledged since the
 		// last heartbeat: find out which entries the follower has.
 		follower.becomeProbe()
@@ -96,11 +96,11 @@
 // sendAppends sends as many entries as may be in flight; it is at least one append,
 // which may be empty but for the commit index.
 func (r *logReplicator) sendAppends(to member.ID, follower *progress) {
-	if follower.full() {
+	if follower.isPaused() {
 		return
 	}
 	r.sendAppend(to, follower)
-	for follower.next <= r.log.lastIndex() && !follower.full() {
+	for follower.next <= r.log.lastIndex() && !follower.isPaused() {
 		r.sendAppend(to, follower)
 	}
 }
@@ -117,7 +117,7 @@
 	entries := r.log.entriesFrom(follower.next, maxAppendBytes)
 	r.send(to, Message{
 		Type:      MessageAppend,
-		Term:      r.hard.Term,
+		Term:      r.hardState.Term,
 		Index:     before,
 		IndexTerm: beforeTerm,
 		Commit:    r.log.committed,
@@ -133,7 +133,7 @@
 	follower.becomeSnapshot(snapshot.Index, r.now, r.heartbeats.number)
 	r.send(to, Message{
 		Type:     MessageSnapshot,
-		Term:     r.hard.Term,
+		Term:     r.hardState.Term,
 		Index:    snapshot.Index,
 		Snapshot: snapshot,
 	})
--- a/pkg/replication/member_state.go
+++ b/pkg/replication/member_state.go
@@ -17,10 +17,10 @@
 	cfg Config
 	// now is the newest instant that the driver has passed in.
 	now time.Duration
-	// hard is the present term and vote.
-	hard  termState
-	log   *replicaLog
-	peers peerSet
+	// hardState is the present term and vote.
+	hardState termState
+	log       *replicaLog
+	peers     peerSet
 	// outbox are the messages for the next Ready.
 	outbox []Outbound
 }
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxInFlight is how many entries the leader sends to a follower before their
+// maxInFlightEntries is how many entries the leader sends to a follower before their
 // acknowledgements.
-const maxInFlight = 1024
+const maxInFlightEntries = 1024
 
 // progressState tells how the leader sends the log to a follower.
 type progressState uint8
@@ -25,8 +25,8 @@
 	match uint64
 	// next is the first index to send.
 	next uint64
-	// probing tells that an append is in flight in progressProbe.
-	probing bool
+	// probeSent tells that an append is in flight in progressProbe.
+	probeSent bool
 	// snapshotIndex and snapshotSentAt are valid in progressSnapshot.
 	snapshotIndex  uint64
 	snapshotSentAt time.Duration
@@ -53,7 +53,7 @@
 func (p *progress) becomeProbe() {
 	p.state = progressProbe
 	p.next = p.match + 1
-	p.probing = false
+	p.probeSent = false
 	p.inFlight = inFlightAppends{}
 }
 
@@ -72,10 +72,10 @@
 	p.inFlight = inFlightAppends{}
 }
 
-// lostBefore tells whether the last append or snapshot was lost, as the follower has
+// lastSendLost tells whether the last append or snapshot was lost, as the follower has
 // acknowledged that heartbeat and not what was sent before it: a connection keeps the
 // order, and a follower acknowledges in it.
-func (p *progress) lostBefore(heartbeat uint64) bool {
+func (p *progress) lastSendLost(heartbeat uint64) bool {
 	return heartbeat > p.sentHeartbeat
 }
 
@@ -159,19 +159,19 @@
 	case progressReplicate:
 		p.next += uint64(len(entries))
 	case progressProbe:
-		p.probing = true
+		p.probeSent = true
 	case progressSnapshot:
 	}
 }
 
-// full tells that no append may be sent until one is acknowledged.
-func (p *progress) full() bool {
+// isPaused tells that no append may be sent until one is acknowledged.
+func (p *progress) isPaused() bool {
 	switch p.state {
 	case progressProbe:
-		return p.probing
+		return p.probeSent
 	case progressReplicate:
 		tooManyBytes := p.maxInFlightBytes > 0 && p.inFlight.bytes >= p.maxInFlightBytes
-		return tooManyBytes || p.next > p.match+maxInFlight
+		return tooManyBytes || p.next > p.match+maxInFlightEntries
 	default:
 		return true
 	}
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -96,7 +96,7 @@
 	} else {
 		granted = granted && r.election.grantVote(from, m)
 	}
-	reply := Message{Type: MessageRecoveryReply, Term: r.hard.Term, PreVote: m.PreVote, Reject: !granted}
+	reply := Message{Type: MessageRecoveryReply, Term: r.hardState.Term, PreVote: m.PreVote, Reject: !granted}
 	if r.slots().votes(r.self()) {
 		reply.Index, reply.IndexTerm = r.log.lastIndex(), r.log.lastTerm()
 	}
@@ -144,10 +144,10 @@
 func (r *quorumRecovery) appendGroup(state []byte) {
 	group := r.slots()
 	if r.log.lastIndex() == 0 {
-		r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(group))
+		r.log.appendNew(r.hardState.Term, EntryGroupChange, encodeSlots(group))
 	}
-	r.log.appendNew(r.hard.Term, EntryRestore, state)
-	r.log.appendNew(r.hard.Term, EntryGroupChange, encodeSlots(r.granted.regroup(group)))
+	r.log.appendNew(r.hardState.Term, EntryRestore, state)
+	r.log.appendNew(r.hardState.Term, EntryGroupChange, encodeSlots(r.granted.recoveredGroup(group)))
 	r.stopUntil(r.now + r.cfg.HeartbeatEvery)
 }
 
@@ -190,7 +190,7 @@
 // nextTerm is above the highest term that is known, and is one that no other position
 // among the slots chooses: of two recovery terms at a time one is higher, and wins.
 func (r *quorumRecovery) nextTerm() uint64 {
-	newest := max(r.hard.Term, r.termFloor)
+	newest := max(r.hardState.Term, r.termFloor)
 	term := newest + recoveryTermStep
 	if newest == r.lastBegunTerm && newest > 0 {
 		// This member's last recovery term was not granted, and is a step above the
@@ -247,7 +247,7 @@
 
 // current tells whether the recovery term of this member is still the newest term.
 func (r *quorumRecovery) current() bool {
-	return r.term != 0 && r.term == r.hard.Term && !r.election.leads()
+	return r.term != 0 && r.term == r.hardState.Term && !r.election.leads()
 }
 
 // grantedByAll tells whether the members of all slots have granted. A member with an
--- a/pkg/replication/random_test.go
+++ b/pkg/replication/random_test.go
@@ -26,7 +26,7 @@
 
 var _ = Describe("random schedules", func() {
 	It("keep one history, one leader per term and one lease holder, and end in agreement", func() {
-		var committed, terms, reads, leases, lost, reformed int
+		var committed, terms, reads, leases, lost, recoveries int
 		for seed := range uint64(*schedules) {
 			c := randomCluster(seed)
 			for range faultyTicks {
@@ -38,7 +38,7 @@
 			expectAgreement(c, seed)
 			committed += int(c.highestApplied)
 			lost += c.disksLost
-			reformed += c.recoveries
+			recoveries += c.recoveries
 			terms += len(c.leaders)
 			for _, n := range c.nodes {
 				reads += n.readsServed
@@ -50,7 +50,7 @@
 		Expect(reads).To(BeNumerically(">", *schedules))
 		Expect(leases).To(BeNumerically(">", *schedules))
 		Expect(lost).To(BeNumerically(">", 2**schedules))
-		Expect(reformed).To(BeNumerically(">", *schedules/10))
+		Expect(recoveries).To(BeNumerically(">", *schedules/10))
 	})
 })
 
@@ -62,7 +62,7 @@
 	c.majorityLost = seed%neverRepairedEvery == 1
 	// Unresponsive members are not removed here: the elastic schedules do that.
 	c.config.RemoveAfter = time.Hour
-	c.faults = faults{lose: 0.1, double: 0.1, stall: 0.1, maxDelay: 20 * time.Millisecond}
+	c.faults = faults{lose: 0.1, duplicate: 0.1, stall: 0.1, maxDelay: 20 * time.Millisecond}
 	for _, n := range c.nodes {
 		n.offset = time.Duration(random.Int64N(int64(time.Hour)))
 		// Clocks differ by a tenth of what the margin covers over the lease.
--- a/pkg/replication/read_index.go
+++ b/pkg/replication/read_index.go
@@ -64,13 +64,13 @@
 	}
 }
 
-// hasResults tells whether handOut would return any read.
+// hasResults tells whether takeResults would return any read.
 func (q *readQueue) hasResults() bool {
 	return len(q.ready) > 0 || len(q.failed) > 0
 }
 
-// handOut returns the reads that may be answered and those that have failed, once.
-func (q *readQueue) handOut() (ready []Read, failed []uint64) {
+// takeResults returns the reads that may be answered and those that have failed, once.
+func (q *readQueue) takeResults() (ready []Read, failed []uint64) {
 	ready, failed = q.ready, q.failed
 	q.ready, q.failed = nil, nil
 	return ready, failed
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -33,7 +33,7 @@
 	if g.outstanding != nil {
 		return false
 	}
-	return g.hard.changed() ||
+	return g.hardState.changed() ||
 		g.follower.received != nil ||
 		len(g.outbox) > 0 ||
 		g.appendPending() ||
@@ -62,9 +62,9 @@
 		Messages:  g.outbox,
 		Committed: g.notApplied(),
 	}
-	ready.Reads, ready.ReadsFailed = g.reads.handOut()
-	if ready.MustSync() || g.hard.changed() {
-		ready.HardState = g.hard.handOut(g.log.committed)
+	ready.Reads, ready.ReadsFailed = g.reads.takeResults()
+	if ready.MustSync() || g.hardState.changed() {
+		ready.HardState = g.hardState.takeHardState(g.log.committed)
 	}
 	g.outbox = nil
 	g.follower.received = nil
@@ -103,8 +103,8 @@
 // now. A vote counts only if it is of the present term: a later one may have begun
 // while the Ready was outstanding.
 func (g *Group) acknowledgeSelf(ready *Ready) {
-	hard := ready.HardState
-	votedForSelf := hard != nil && hard.Term == g.hard.Term && hard.votedFor(g.self())
+	hardState := ready.HardState
+	votedForSelf := hardState != nil && hardState.Term == g.hardState.Term && hardState.votedFor(g.self())
 	if votedForSelf && g.recovery.current() {
 		g.recovery.addGrant(g.self())
 	}
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -45,14 +45,14 @@
 // everything that it wrote before. It must not be called while a Ready is
 // outstanding, which could hold older records that are written after it.
 func (g *Group) Checkpoint() Restored {
-	hard := g.hard.HardState
-	hard.Commit = g.log.committed
+	hardState := g.hardState.HardState
+	hardState.Commit = g.log.committed
 	first := g.log.offset + 1
 	if g.log.snapshot != nil {
 		first = g.log.snapshot.Index + 1
 	}
 	return Restored{
-		HardState: hard,
+		HardState: hardState,
 		Snapshot:  g.log.snapshot,
 		Entries:   slices.Clone(g.log.slice(first, g.log.lastIndex())),
 	}
--- a/pkg/replication/status.go
+++ b/pkg/replication/status.go
@@ -48,7 +48,7 @@
 	status := Status{
 		Self:        g.cfg.Self,
 		Leader:      g.election.leader,
-		Term:        g.hard.Term,
+		Term:        g.hardState.Term,
 		Commit:      g.log.committed,
 		Applied:     g.log.applied,
 		LastIndex:   g.log.lastIndex(),
--- a/pkg/replication/timeline_test.go
+++ b/pkg/replication/timeline_test.go
@@ -33,11 +33,11 @@
 var _ = DescribeTable("timelines", func(path string) {
 	content, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
-	drawn := runTimeline(string(content))
+	rendered := runTimeline(string(content))
 	if *updateTimelines {
-		Expect(os.WriteFile(path, []byte(drawn), 0o644)).To(Succeed())
+		Expect(os.WriteFile(path, []byte(rendered), 0o644)).To(Succeed())
 	}
-	Expect(drawn).To(Equal(string(content)))
+	Expect(rendered).To(Equal(string(content)))
 }, timelineEntries())
 
 func timelineEntries() []TableEntry {
@@ -54,25 +54,25 @@
 
 func runTimeline(content string) string {
 	var c *cluster
-	var drawn strings.Builder
+	var rendered strings.Builder
 	for _, line := range strings.Split(strings.TrimRight(content, "\n"), "\n") {
 		event := strings.TrimSpace(strings.Split(line, "|")[0])
 		switch {
 		case strings.HasPrefix(line, "#") || event == "":
-			fmt.Fprintln(&drawn, line)
+			fmt.Fprintln(&rendered, line)
 			continue
 		case c == nil:
 			c = newCluster(rand.New(rand.NewPCG(1, 1)), parseIDs(event)...)
 		default:
 			runEvent(c, strings.Fields(event))
 		}
-		fmt.Fprintf(&drawn, "%-18s", event)
+		fmt.Fprintf(&rendered, "%-18s", event)
 		for _, n := range c.nodes {
-			fmt.Fprintf(&drawn, "| %-26s", c.cell(n))
+			fmt.Fprintf(&rendered, "| %-26s", c.cell(n))
 		}
-		fmt.Fprintf(&drawn, "| %s\n", c.now)
+		fmt.Fprintf(&rendered, "| %s\n", c.now)
 	}
-	return drawn.String()
+	return rendered.String()
 }
 
 func parseIDs(event string) []member.ID {
--- a/pkg/replication/tracker_test.go
+++ b/pkg/replication/tracker_test.go
@@ -56,7 +56,7 @@
 	ginkgo.It("goes from probing to replicating with an acknowledgement, and back with a rejection", func() {
 		follower := progress{next: 10}
 		follower.sent(make([]Entry, 3), 1)
-		Expect(follower.full()).To(BeTrue(), "one append at a time")
+		Expect(follower.isPaused()).To(BeTrue(), "one append at a time")
 		Expect(follower.rejected(9, 4)).To(BeTrue())
 		Expect(follower.next).To(Equal(uint64(5)))
 		Expect(follower.acknowledged(6)).To(BeTrue())
@@ -71,7 +71,7 @@
 	ginkgo.It("waits for a snapshot until it is installed", func() {
 		follower := progress{next: 1}
 		follower.becomeSnapshot(20, time.Second, 1)
-		Expect(follower.full()).To(BeTrue())
+		Expect(follower.isPaused()).To(BeTrue())
 		Expect(follower.rejected(19, 0)).To(BeFalse())
 		follower.acknowledged(5)
 		Expect(follower.state).To(Equal(progressSnapshot))
