--- a/pkg/replication/campaign.go
+++ b/pkg/replication/campaign.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// campaign is the attempt of a candidate to be elected, in one phase: the pre-vote or
-// the vote.
+// campaign is one phase of a candidate's attempt to be elected: the pre-vote or the vote.
 type campaign struct {
-	// term is the one that votes are requested for.
+	// term is the term that votes are requested for.
 	term uint64
-	// preVote tells that the campaign raises no term: it asks whether one that
-	// does could be won.
+	// preVote marks a pre-vote, which raises no term: it asks whether a campaign that raises
+	// the term could be won.
 	preVote bool
-	// transfer tells that the leader asked for the campaign.
+	// transfer is true if the leader asked for the campaign.
 	transfer    bool
 	granted     grants
 	rejected    grants
@@ -25,20 +24,20 @@
 	c.requestedAt = now
 	c.rejected = nil
 	if c.preVote {
-		// What was granted before may be untrue by now, as a voter may hear a
-		// leader again. The vote of a term can't be taken back.
+		// Earlier grants of a pre-vote may be out of date, as a voter may have heard from a
+		// leader again. The vote of a term can't be withdrawn.
 		c.granted = grants{self}
 	}
 }
 
-// won tells whether a majority of the group has granted.
+// won reports whether a majority of the group has granted.
 func (c *campaign) won(group slots) bool {
 	return len(c.granted) >= group.quorum()
 }
 
-// reject records a rejection. It is true if the campaign is lost: too few voters are
-// left that could grant. A pre-vote goes on, as its rejections pass when the voters
-// miss the leader too.
+// reject records a rejection. It returns true if the campaign is lost because too few voters
+// are left that could grant. A pre-vote is never lost by rejections, as the voters may grant
+// it once they miss the leader too.
 func (c *campaign) reject(from Voter, group slots) (lost bool) {
 	if c.preVote || slices.Contains(c.granted, from) {
 		return false
--- a/pkg/replication/campaign_test.go
+++ b/pkg/replication/campaign_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// voterOf is a member in the incarnation that a group is founded with.
+// voterOf returns a member in the founding incarnation.
 func voterOf(id member.ID) Voter {
 	return Voter{ID: id, Incarnation: FoundingIncarnation}
 }
@@ -42,14 +42,14 @@
 		Expect(c.rejected).To(BeEmpty())
 	})
 
-	ginkgo.It("goes on as a pre-vote, whatever is rejected", func() {
+	ginkgo.It("is not lost by rejections in a pre-vote", func() {
 		c := campaign{preVote: true}
 		for _, voter := range group.voters() {
 			Expect(c.reject(voter, group)).To(BeFalse())
 		}
 	})
 
-	ginkgo.It("asks everybody again in a pre-vote, but keeps the votes of a term", func() {
+	ginkgo.It("discards earlier grants in each round of a pre-vote, and keeps those of a vote", func() {
 		granted := grants{voterOf("a"), voterOf("b")}
 		preVote := campaign{preVote: true, granted: granted}
 		preVote.startRound(voterOf("a"), time.Second)
@@ -66,17 +66,17 @@
 	group := foundingSlots([]member.ID{"a", "b", "c"})
 	newB := Voter{ID: "b", Incarnation: 7}
 
-	ginkgo.It("are a majority by the incarnations that vote only", func() {
+	ginkgo.It("form a majority only if they are of the incarnations that have a vote", func() {
 		Expect(grants{voterOf("a"), newB}.includeMajority(group)).To(BeFalse())
 		Expect(grants{voterOf("a"), voterOf("b")}.includeMajority(group)).To(BeTrue())
 	})
 
-	ginkgo.It("cover the slots in whatever incarnation", func() {
+	ginkgo.It("cover the slots in any incarnation", func() {
 		Expect(grants{voterOf("a"), newB}.includeSlots(group)).To(BeFalse())
 		Expect(grants{voterOf("a"), newB, voterOf("c")}.includeSlots(group)).To(BeTrue())
 	})
 
-	ginkgo.It("cover the peers but for those that stop", func() {
+	ginkgo.It("cover the peers except those that stop", func() {
 		peers := peerSet{{ID: "x"}, {ID: "y", Left: true}}
 		Expect(grants{voterOf("a")}.includePeers(peers)).To(BeFalse())
 		Expect(grants{voterOf("x")}.includePeers(peers)).To(BeTrue())
@@ -86,6 +86,6 @@
 		waiting := group.with(2, Slot{Voter: voterOf("c"), Learner: true})
 		recovered := grants{voterOf("a"), newB, voterOf("c"), voterOf("x")}.recoveredGroup(waiting)
 		Expect(recovered).To(Equal(slots{{Voter: voterOf("a")}, {Voter: newB}, {Voter: voterOf("c")}}))
-		Expect(waiting[1].Incarnation).To(Equal(uint64(FoundingIncarnation)), "the former group is unchanged")
+		Expect(waiting[1].Incarnation).To(Equal(uint64(FoundingIncarnation)), "the given group must not be modified")
 	})
 })
--- a/pkg/replication/change_planner.go
+++ b/pkg/replication/change_planner.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// changePlanner judges the changes of a group (here), and finds those that are due
-// (group_repair.go), by what the leader knows at one instant. It changes nothing.
+// changePlanner checks whether changes of a group are possible (here), and finds those that
+// are due (group_repair.go), based on the leader's state at one instant. It changes nothing.
 type changePlanner struct {
 	cfg       *Config
 	now       time.Duration
@@ -14,17 +14,17 @@
 	peers     peerSet
 	followers *tracker
 	committed uint64
-	// barrier is the index of the entry that began the leadership.
+	// barrier is the index of the barrier entry of the leadership.
 	barrier uint64
-	// caughtUpIndex is the last index that the log had when the newest heartbeat was
-	// sent. A member that has it has caught up.
+	// caughtUpIndex is the last index of the log when the newest heartbeat was sent. A member
+	// that has this entry has caught up.
 	caughtUpIndex uint64
 }
 
-// after returns the group after the change, or why it can't be made.
+// after returns the group after the change, or the reason why the change can't be made.
 func (p *changePlanner) after(change GroupChange) (slots, GroupChangeProblem) {
 	if p.committed < p.barrier {
-		// A change that an earlier term left could be in effect elsewhere.
+		// A change from an earlier term could still be in effect on other members.
 		return nil, ProblemTermUncommitted
 	}
 	if p.group.index > p.committed {
@@ -64,7 +64,8 @@
 	return changed, 0
 }
 
-// successorProblem tells why a slot can't be reserved for the successor.
+// successorProblem returns the reason why a slot can't be reserved for the successor, or
+// zero.
 func (p *changePlanner) successorProblem(change GroupChange) GroupChangeProblem {
 	successor := change.Successor
 	if successor.ID == change.Voter.ID {
@@ -100,7 +101,8 @@
 	return changed, 0
 }
 
-// afterDrop changes no majority, as a reserved slot has no vote.
+// afterDrop does not check for a live majority: a reserved slot has no vote, and so dropping
+// it changes no majority.
 func (p *changePlanner) afterDrop(change GroupChange) (slots, GroupChangeProblem) {
 	group := p.group.slots
 	position := group.position(change.Voter.ID)
@@ -110,8 +112,8 @@
 	return group.without(position), 0
 }
 
-// caughtUp tells whether the member is live in that incarnation, takes a vote, and
-// has all that the log had when the newest heartbeat was sent.
+// caughtUp reports whether the member is live in that incarnation, accepts a vote, and has
+// all entries that the log had when the newest heartbeat was sent.
 func (p *changePlanner) caughtUp(voter Voter) bool {
 	follower := p.followers.getVoter(voter)
 	if follower == nil || follower.refusesVote {
--- a/pkg/replication/cluster_check_test.go
+++ b/pkg/replication/cluster_check_test.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// check holds at every instant: a term has one leader ever, one member at
-// most may command, and learners never lead.
+// check verifies the invariants that hold at every instant: a term only ever has one leader,
+// at most one member has the command lease, and a permanent learner never leads.
 func (c *cluster) check() {
 	var holders []member.ID
 	for _, n := range c.nodes {
@@ -22,7 +22,7 @@
 		status := n.group.Status()
 		if status.Role == replication.RoleLeader {
 			if n.learner {
-				Fail("a learner leads")
+				Fail("a permanent learner became the leader")
 			}
 			if leader, known := c.leaders[status.Term]; known && leader != n.voter() {
 				Expect(n.voter()).To(Equal(leader), "term %d has two leaders", status.Term)
@@ -35,12 +35,12 @@
 		}
 	}
 	if len(holders) > 1 {
-		Fail(fmt.Sprintf("two hold the command lease: %v", holders))
+		Fail(fmt.Sprintf("more than one member has the command lease: %v", holders))
 	}
 }
 
-// cell draws a node: role, term, commit/last, and flags. A group that is not
-// the founding one shows as the number of voters @ the index of the change.
+// cell renders a node: role, term, commit/last, and flags. A group other than the founding
+// one is shown as v, the number of voters, @ and the index of the change.
 func (c *cluster) cell(n *node) string {
 	if n.group == nil {
 		return "down"
--- a/pkg/replication/cluster_driver_test.go
+++ b/pkg/replication/cluster_driver_test.go
@@ -23,7 +23,7 @@
 			covered = n.disk.Snapshot.Index
 		}
 		if first <= covered || first > covered+uint64(len(n.disk.Entries))+1 {
-			Fail(fmt.Sprintf("%s: entry %d does not follow on the disk", n.id, first))
+			Fail(fmt.Sprintf("%s: entry %d leaves a gap on the disk or replaces an entry of the snapshot", n.id, first))
 		}
 		kept := slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e replication.Entry) bool { return e.Index >= first })
 		n.disk.Entries = append(kept, ready.Entries...)
@@ -33,7 +33,7 @@
 	}
 }
 
-// drain does what a driver does, until the node has nothing more to do.
+// drain handles Readies as a driver does, until the node has no more work or a sync stalls.
 func (c *cluster) drain(n *node) {
 	for n.group != nil && n.pendingReady == nil && n.group.HasReady() {
 		ready := n.group.Ready()
@@ -66,7 +66,7 @@
 	n.group.Advance()
 }
 
-// release ends the sync of the pending Ready.
+// release completes the sync of the pending Ready.
 func (c *cluster) release(n *node) {
 	if n.pendingReady == nil {
 		return
@@ -82,7 +82,7 @@
 	n.applied = digestAfter(n.applied, entry)
 	n.appliedIndex = entry.Index
 	if agreed, known := c.digests[entry.Index]; known {
-		Expect(n.applied).To(Equal(agreed), "%s: another history at %d", n.id, entry.Index)
+		Expect(n.applied).To(Equal(agreed), "%s: applied different entries up to %d", n.id, entry.Index)
 	}
 	c.digests[entry.Index] = n.applied
 	c.highestApplied = max(c.highestApplied, entry.Index)
@@ -91,7 +91,7 @@
 func (c *cluster) restore(n *node, snapshot *replication.Snapshot) {
 	n.applied = binary.BigEndian.Uint64(snapshot.Data)
 	n.appliedIndex = snapshot.Index
-	Expect(n.applied).To(Equal(c.digests[snapshot.Index]), "%s: another snapshot", n.id)
+	Expect(n.applied).To(Equal(c.digests[snapshot.Index]), "%s: the snapshot differs from the applied entries", n.id)
 }
 
 func (c *cluster) compact(n *node) error {
@@ -105,15 +105,16 @@
 	return err
 }
 
-// recoverQuorum recovers the group once a node has won a recovery term. What no
-// member knows any more was lost with the disks.
+// recoverQuorum recovers the group once a node has won a recovery term. State that no member
+// knows any more was lost with the disks, and is no longer expected.
 func (c *cluster) recoverQuorum(n *node) {
 	term, won := n.group.RecoveryTerm()
 	if !won || c.recoveryBlocked {
 		return
 	}
 	if used := slices.Max(append(slices.Collect(maps.Keys(c.leaders)), 0)); used >= term {
-		// All who knew the term may have lost their disks; witnesses have not.
+		// All members that knew the term may have lost their disks. c.leaders represents the
+		// witnesses, which are nodes outside of the group that still know it.
 		n.group.RaiseRecoveryTerm(used)
 		c.drain(n)
 		return
--- a/pkg/replication/cluster_elastic_test.go
+++ b/pkg/replication/cluster_elastic_test.go
@@ -16,26 +16,27 @@
 const (
 	elasticTicks = 600
 	stableTicks  = 100
-	// elasticRemoveAfter lets a schedule see many removals.
+	// elasticRemoveAfter is short so that a schedule contains many removals.
 	elasticRemoveAfter = 300 * time.Millisecond
 	maxNodes           = 9
 )
 
-// replacement is a node that comes because another goes.
+// replacement is a node that joins because another one leaves.
 type replacement struct {
 	old *node
-	// at is when the next step is due: a new node for one that is gone, or the
-	// end of one that a new node stands in for.
+	// at is when the next step is due: if planned, the end of old, which a new node has
+	// replaced; otherwise the start of a new node for one that is gone.
 	at      time.Duration
 	planned bool
 }
 
-// elasticSchedule is a cluster whose nodes come and go.
+// elasticSchedule is a cluster in which nodes join and leave.
 type elasticSchedule struct {
 	*cluster
 	replacements []replacement
 	started      int
-	// killed counts how often all nodes went down at once.
+	// killed counts how often all nodes crashed at once; planned and unplanned count the
+	// replacements of each kind.
 	killed, planned, unplanned int
 }
 
@@ -53,7 +54,7 @@
 	return &elasticSchedule{cluster: c, started: len(c.nodes)}
 }
 
-// join starts a node that nobody knew before.
+// join starts a node that no other node knew before.
 func (s *elasticSchedule) join() {
 	if len(s.present()) >= maxNodes {
 		return
@@ -66,7 +67,7 @@
 	s.start(n)
 }
 
-// event is one of those of a fixed group, or one of an elastic group.
+// event performs a random event: one of a fixed group, or one of an elastic group.
 func (s *elasticSchedule) event() {
 	s.replace()
 	s.restart()
@@ -76,13 +77,13 @@
 	case roll < 2:
 		s.join()
 	case roll < 4 && !n.left:
-		// Planned: the new one comes first.
+		// Planned: the new node starts first.
 		s.join()
 		n.left = true
 		s.gossip()
 		s.replacements = append(s.replacements, replacement{old: n, at: s.now, planned: true})
 	case roll < 7 && !n.left && s.intactAfter(n):
-		// Unplanned: the new one comes 1 to 2 s later.
+		// Unplanned: the new node starts 1 to 2 s later.
 		s.end(n)
 		s.unplanned++
 		wait := time.Second + time.Duration(s.random.Int64N(int64(time.Second)))
@@ -106,7 +107,7 @@
 	}
 }
 
-// restart starts nodes that are down, some time later.
+// restart starts the nodes that are down, each after a random delay.
 func (s *elasticSchedule) restart() {
 	for _, n := range s.present() {
 		if n.group == nil && s.random.IntN(30) == 0 {
@@ -115,7 +116,7 @@
 	}
 }
 
-// replace goes on with the replacements that are due.
+// replace performs the replacements that are due.
 func (s *elasticSchedule) replace() {
 	s.replacements = slices.DeleteFunc(s.replacements, func(r replacement) bool {
 		switch {
@@ -134,8 +135,8 @@
 	})
 }
 
-// endAndVerify ends what was begun, lets the nodes come to rest, and has the group
-// prove that it goes on.
+// endAndVerify cancels the open replacements, heals the cluster, and verifies that the group
+// commits a new command and that all members agree.
 func (s *elasticSchedule) endAndVerify(seed uint64) {
 	for _, n := range s.present() {
 		n.left = false
@@ -155,7 +156,7 @@
 	for range stableTicks {
 		s.advance()
 	}
-	Expect(s.highestApplied).To(BeNumerically(">", before), "seed %d: nothing is committed", seed)
+	Expect(s.highestApplied).To(BeNumerically(">", before), "seed %d: the last command was not committed", seed)
 	expectAgreement(s.cluster, seed)
 }
 
@@ -173,9 +174,9 @@
 	return leader
 }
 
-// expectAllMembersVote expects every node that is there to vote in the incarnation of its
-// disk, on all nodes and finally, and of those that are gone only what an odd
-// group keeps.
+// expectAllMembersVote expects every present node to have a vote in the incarnation of its
+// disk, in a committed group that is the same on all nodes. Of the nodes that are gone, only
+// a group with an odd number of voters may keep some.
 func expectAllMembersVote(c *cluster, seed uint64) {
 	var fullGroup []replication.Slot
 	for _, n := range c.present() {
@@ -187,24 +188,24 @@
 		Expect(slot.Learner).To(BeFalse(), "seed %d: a slot is reserved for %s", seed, slot.ID)
 	}
 	if len(group) > len(fullGroup) {
-		Expect(len(group)%2).To(Equal(1), "seed %d: an even group keeps an unresponsive voter", seed)
+		Expect(len(group)%2).To(Equal(1), "seed %d: a group with an even number of voters keeps an unresponsive voter", seed)
 	}
 	for _, n := range c.present() {
 		status := n.group.Status()
-		Expect(status.Slots).To(Equal(group), "seed %d: %s has another group", seed, n.id)
+		Expect(status.Slots).To(Equal(group), "seed %d: the group of %s differs from the leader's", seed, n.id)
 		Expect(status.ChangeIndex).To(BeNumerically("<=", status.Commit), "seed %d: %s", seed, n.id)
 		Expect(status.Role).NotTo(Equal(replication.RoleLearner), "seed %d: %s", seed, n.id)
 	}
 }
 
-// advanceBy lets time pass.
+// advanceBy advances the simulated time.
 func (c *cluster) advanceBy(length time.Duration) {
 	for end := c.now + length; c.now < end; {
 		c.advance()
 	}
 }
 
-// propose has the present leader commit a command.
+// propose commits a command through the present leader.
 func (c *cluster) propose(command string) {
 	leader := c.leader()
 	ExpectWithOffset(1, leader).NotTo(BeNil())
--- a/pkg/replication/cluster_incarnations_test.go
+++ b/pkg/replication/cluster_incarnations_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// crash loses the pending Ready, or only what follows its sync.
+// crash stops the node and discards the pending Ready; with synced, its write has reached the
+// disk.
 func (c *cluster) crash(n *node, synced bool) {
 	if n.pendingReady != nil && synced {
 		n.write(*n.pendingReady)
@@ -51,14 +52,14 @@
 	n.learner = true
 }
 
-// nextIncarnation never comes back to an earlier incarnation, and orders them
-// in no way.
+// nextIncarnation returns an incarnation that was not used before. The numbers are in no
+// particular order.
 func nextIncarnation(incarnation uint64) uint64 {
 	const multiplier, increment = 2862933555777941757, 3037000493
 	return incarnation*multiplier + increment
 }
 
-// loseDisk ends the node; it starts again under a new incarnation.
+// loseDisk stops the node, which starts again with an empty disk in a new incarnation.
 func (c *cluster) loseDisk(n *node) {
 	c.wipe(n)
 	n.learner = false
@@ -67,7 +68,7 @@
 	c.disksLost++
 }
 
-// end ends the node and its disk for good.
+// end stops the node permanently, and its disk is lost.
 func (c *cluster) end(n *node) {
 	c.loseDisk(n)
 	n.gone = true
@@ -81,8 +82,8 @@
 	return replication.Voter{ID: n.id, Incarnation: n.incarnation}
 }
 
-// intactAfter tells whether each group that any node goes by keeps a majority
-// when the disk of the node is lost too.
+// intactAfter reports whether each group that any node uses keeps a majority of intact voters
+// when the disk of the given node is lost as well.
 func (c *cluster) intactAfter(loss *node) bool {
 	for _, n := range c.nodes {
 		voters, intact := 0, 0
@@ -105,13 +106,12 @@
 	return true
 }
 
-// lateContact is how long after its end a node may still count as heard, also by
-// one that was paused.
+// lateContact is how long after its end a node may still count as heard from, also by a node
+// that was paused.
 const lateContact = time.Second
 
-// maybeAdded counts the incarnations without a vote in the group that the node
-// goes by, which may be given one although they are lost, as the leader has not
-// missed them yet.
+// maybeAdded counts the recently lost incarnations without a vote in the group that the node
+// uses. The leader may still give them a vote, as it has not noticed their loss yet.
 func (c *cluster) maybeAdded(n, loss *node) int {
 	added := 0
 	for _, lost := range c.nodes {
--- a/pkg/replication/cluster_network_test.go
+++ b/pkg/replication/cluster_network_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// faults are the chances of what can happen to a message or a sync.
+// faults are the probabilities of faults of a message or a sync.
 type faults struct {
 	lose, duplicate, stall float64
 	maxDelay               time.Duration
@@ -41,7 +41,7 @@
 	}
 }
 
-// enqueue keeps the packets in the order of their arrival.
+// enqueue inserts the packet in the order of arrival.
 func (c *cluster) enqueue(p packet) {
 	index, _ := slices.BinarySearchFunc(c.packets, p, func(a, b packet) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), -1)
@@ -49,7 +49,7 @@
 	c.packets = slices.Insert(c.packets, index, p)
 }
 
-// advance lets time pass by one tick and delivers what is due.
+// advance advances the simulated time by one tick and delivers the packets that are due.
 func (c *cluster) advance() {
 	end := c.now + tickEvery
 	for len(c.packets) > 0 && c.packets[0].at <= end {
@@ -70,7 +70,8 @@
 
 func (c *cluster) deliver(p packet) {
 	n := c.node(p.link.to)
-	// A connection does not outlive a lost disk; it may outlive all else here.
+	// Packets sent before the restart of a permanent learner, whose disk was lost, are
+	// dropped. To any other node, packets sent before its restart may still arrive.
 	stale := n.learner && p.startCount != n.startCount
 	if n.group == nil || c.blocked[p.link] || stale {
 		return
--- a/pkg/replication/cluster_test.go
+++ b/pkg/replication/cluster_test.go
@@ -19,43 +19,42 @@
 	tickEvery       = 10 * time.Millisecond
 )
 
-// node is one member with its disk. What was not written to the disk is
-// lost in a crash.
+// node is one member with its disk. State that was not written to the disk is lost in a
+// crash.
 type node struct {
 	id         member.ID
 	group      *replication.Group
 	disk       replication.Restored
 	learner    bool
 	startCount int
-	// founder tells that the settings of the node name the founders.
+	// founder is true if the settings of the node contain the founders.
 	founder bool
-	// announced, left and gone are what gossip tells: the node has started once, it
-	// is about to stop, or it stopped for good and its disk with it.
+	// announced, left and gone are what gossip reports: the node has started at least once,
+	// it is about to stop, or it has stopped permanently and its disk is lost.
 	announced, left, gone bool
-	// incarnation numbers the disks that the node has had.
+	// incarnation identifies the present disk of the node.
 	incarnation uint64
-	// diskLostAt is when the node lost a disk last.
+	// diskLostAt is when the node last lost a disk.
 	diskLostAt time.Duration
-	// slots is the newest group that the node was seen with on this disk.
+	// slots is the group that the node last reported with its present disk.
 	slots []replication.Slot
-	// pendingReady is a Ready whose sync has not ended.
+	// pendingReady is a Ready whose sync has not completed.
 	pendingReady *replication.Ready
-	// stalled keeps every sync from ending.
+	// stalled prevents all syncs from completing.
 	stalled bool
-	// pausedUntil is when the process runs on; its clock does not stop.
+	// pausedUntil is when the paused process continues; its clock runs on during the pause.
 	pausedUntil time.Duration
-	// applied is the chain digest of all applied entries, at appliedIndex.
+	// applied is the hash over all applied entries up to appliedIndex.
 	applied      uint64
 	appliedIndex uint64
-	// reads maps a read to the index that its result must cover.
+	// reads maps the ID of a read to the index that its result must cover.
 	reads         map[uint64]uint64
 	readsServed   int
 	readsFailed   int
 	offset, drift time.Duration
 }
 
-// cluster runs a group over a simulated network and checks, after each event,
-// what must hold whatever happens.
+// cluster runs a group over a simulated network and checks the invariants after each event.
 type cluster struct {
 	config  replication.Config
 	nodes   []*node
@@ -64,31 +63,32 @@
 	faults  faults
 	blocked map[link]bool
 	packets []packet
-	// digests and leaders are what the whole cluster has ever agreed on.
+	// digests and leaders record, for the whole cluster, the state at each applied index and
+	// the leader of each term.
 	digests        map[uint64]uint64
 	leaders        map[uint64]replication.Voter
 	highestApplied uint64
-	// wiped tells that a disk was lost whose member gets no vote again; in
-	// schedules with neverRepaired there is one such loss at most.
+	// wiped is true if a disk was lost whose member gets no vote again; in schedules with
+	// neverRepaired there is at most one such loss.
 	wiped         bool
 	neverRepaired bool
-	// majorityLost allows losses of any number of disks at once.
+	// majorityLost allows any number of disks to be lost at once.
 	majorityLost bool
-	// disksLost counts the disks that were lost and are to be repaired.
+	// disksLost counts the lost disks whose members are to be given their vote again.
 	disksLost int
-	// recoveries counts how often the group was recovered; recoveryBlocked prevents
-	// that, as if the state could not be found.
+	// recoveries counts how often the group was recovered. recoveryBlocked prevents
+	// recoveries, as if the state had not been found yet.
 	recoveries      int
 	recoveryBlocked bool
-	// withoutFounders restarts founders without the names of the founders, once their
-	// disks tell of the group.
+	// withoutFounders omits the founders from the settings at every second start of a founder
+	// whose disk contains the group.
 	withoutFounders bool
-	// elastic tells that nodes come and go.
+	// elastic is true if nodes join and leave.
 	elastic bool
 }
 
-// Prefixes of the IDs of members that are no founders: one is there from the
-// start, the other starts later. A bound on the voters stands among the IDs.
+// Prefixes in the list of IDs. "+" marks a member that is not a founder and is present from
+// the start, "-" one that starts later, and "max=" sets MaxVoters.
 const (
 	peerPrefix      = "+"
 	laterPrefix     = "-"
@@ -135,12 +135,12 @@
 	c.nodes = append(c.nodes, n)
 }
 
-// present are the nodes that are not gone for good.
+// present returns the nodes that are not permanently gone.
 func (c *cluster) present() []*node {
 	return slices.DeleteFunc(slices.Clone(c.nodes), func(n *node) bool { return n.gone })
 }
 
-// gossip tells all nodes which others there are.
+// gossip updates the list of peers on all running nodes.
 func (c *cluster) gossip() {
 	for _, n := range c.nodes {
 		if n.group != nil {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// clock is the node's own: it differs in zero and in rate.
+// clock returns the time of the node's own clock, which has its own offset and rate.
 func (c *cluster) clock(n *node) time.Duration {
 	return n.offset + c.now + c.now/1000*n.drift
 }
--- a/pkg/replication/command_lease.go
+++ b/pkg/replication/command_lease.go
@@ -6,11 +6,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/lease"
 )
 
-// commandLease tells until when a leader may command.
+// commandLease determines when a leader holds the command lease.
 type commandLease struct {
 	// current is the lease of this leadership, which heartbeats extend.
 	current lease.Holder
-	// predecessors tells when the leases of all earlier terms have expired.
+	// predecessors determines when the leases of all earlier terms have expired.
 	predecessors lease.Successor
 }
 
@@ -18,8 +18,8 @@
 	return commandLease{current: lease.NewHolder(timing), predecessors: lease.NewSuccessor(timing, electedAt)}
 }
 
-// mayAct tells whether the lease is valid at now. If now lies before newest, the newest
-// instant that is known, the lease must not have expired by then either.
+// mayAct reports whether the lease is valid at now. If now is before newest, the latest known
+// time, the lease must not have expired by newest either.
 func (l *commandLease) mayAct(now, newest time.Duration) bool {
 	return l.predecessors.MayAct(now) && l.current.MayAct(max(now, newest))
 }
--- a/pkg/replication/config.go
+++ b/pkg/replication/config.go
@@ -8,56 +8,56 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// minHeartbeatsPerElection is how many heartbeats a leader must be able to send
-// within one ElectionTimeout, so that one lost heartbeat does no harm.
+// minHeartbeatsPerElection is how many heartbeats a leader must be able to send within one
+// ElectionTimeout, so that the loss of one heartbeat does not cause an election.
 const minHeartbeatsPerElection = 2
 
 const (
 	// DefaultMaxVoters tolerates the loss of four voters at once.
 	DefaultMaxVoters = 9
-	// DefaultRemoveAfter outlasts the restart of a process.
+	// DefaultRemoveAfter is longer than the restart of a process takes.
 	DefaultRemoveAfter = 1500 * time.Millisecond
 )
 
-// Config is what a member of a group is started with.
+// Config contains the settings of a member of a group.
 type Config struct {
 	// Self is the member that runs this state machine.
 	Self member.ID
-	// Incarnation names the durable state that Self is started with. It is
-	// FoundingIncarnation on the disks that the group is founded with. A disk that
-	// replaces a lost one has an incarnation that differs from all before it, and
-	// that must be durable before New is called.
+	// Incarnation identifies the durable state that Self is started with. It is
+	// FoundingIncarnation on the disks that the group is founded with. A disk that replaces a
+	// lost one needs an incarnation that differs from all earlier ones of the member; it must
+	// be durable before New is called.
 	Incarnation uint64
-	// Founders are the founding voters in the agreed order, the same on every
-	// founder. Earlier members are preferred as leaders. It is empty on a member
-	// that joins a group, and may be empty on any member whose log or snapshot is
-	// not: the present voters are those that the log tells of, and its first entry
-	// names the founders. A member that knows of no group is a learner.
+	// Founders are the founding voters in slot order, which must be the same on every
+	// founder. Earlier members are preferred as leaders. It is empty on a member that joins a
+	// group, and may be empty on any member whose log or snapshot is not empty: the log
+	// determines the present voters, and its first entry contains the founders. A member that
+	// knows no group is a learner.
 	Founders []member.ID
-	// MaxVoters bounds how far the leader lets the group grow by itself; zero
-	// stands for DefaultMaxVoters.
+	// MaxVoters is the number of voters up to which the leader adds voters automatically;
+	// zero means DefaultMaxVoters.
 	MaxVoters int
-	// RemoveAfter is how long a voter is not heard before the leader removes it from
-	// a group with an even number of voters; zero stands for DefaultRemoveAfter.
+	// RemoveAfter is how long a voter must have been silent before the leader removes it from
+	// a group with an even number of voters; zero means DefaultRemoveAfter.
 	RemoveAfter time.Duration
-	// HeartbeatEvery is the time between two heartbeats of a leader.
+	// HeartbeatEvery is the interval between two heartbeats of a leader.
 	HeartbeatEvery time.Duration
-	// ElectionTimeout is how long a voter waits for a leader before the first
-	// live voter campaigns, and how long a leader stays without a majority.
+	// ElectionTimeout is how long voters wait for a leader before the first live voter
+	// campaigns, and how long a leader that hears from no majority stays the leader.
 	ElectionTimeout time.Duration
 	// LeaseDuration is the length of the command lease; zero disables it.
 	LeaseDuration time.Duration
-	// LeaseMargin covers differing rates of clocks, see package lease.
+	// LeaseMargin covers the difference of the rates of two clocks, see package lease.
 	LeaseMargin time.Duration
-	// MaxLogEntries is how many of the entries that the snapshot covers are kept,
-	// for followers that are a little behind.
+	// MaxLogEntries is how many of the entries covered by the snapshot are kept, so that
+	// slightly lagging followers need no snapshot.
 	MaxLogEntries int
-	// MaxLogBytes bounds the commands of these entries together, in bytes; zero is no
-	// bound.
+	// MaxLogBytes limits the total size of the commands in these entries, in bytes; zero
+	// means no limit. It also limits the size of the commands in flight to one follower.
 	MaxLogBytes int
-	// Learner starts a member that never votes, and that is given no vote. A member
-	// whose durable state was lost needs only another Incarnation: the leader gives
-	// it the vote back when that is safe.
+	// Learner makes the member a permanent learner, which never votes and is never given a
+	// vote. It is not needed for a member that lost its durable state: such a member needs
+	// only a new Incarnation, and the leader gives it its vote back when that is safe.
 	Learner bool
 }
 
@@ -65,7 +65,7 @@
 	return lease.Timing{Duration: c.LeaseDuration, Margin: c.LeaseMargin}
 }
 
-// withDefaults returns the settings with the defaults of those that are zero.
+// withDefaults returns the settings with defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	c.Founders = slices.Clone(c.Founders)
 	if c.MaxVoters == 0 {
@@ -79,10 +79,10 @@
 
 func (c Config) check() error {
 	if c.Self == "" {
-		return &ConfigError{Field: "Self", Message: "is empty: name the member"}
+		return &ConfigError{Field: "Self", Message: "is empty: set the ID of this member"}
 	}
 	if c.Incarnation == 0 {
-		return &ConfigError{Field: "Incarnation", Message: "is zero: name the durable state, FoundingIncarnation on a founder"}
+		return &ConfigError{Field: "Incarnation", Message: "is zero: set the incarnation of the durable state, FoundingIncarnation on a founder"}
 	}
 	if err := checkDistinct(c.Founders); err != nil {
 		return err
@@ -117,7 +117,7 @@
 		return &ConfigError{Field: "Founders", Message: "lists a member twice: list each once"}
 	}
 	if slices.Contains(group, "") {
-		return &ConfigError{Field: "Founders", Message: "lists an empty ID: name every member"}
+		return &ConfigError{Field: "Founders", Message: "lists an empty ID: set the ID of every member"}
 	}
 	return nil
 }
--- a/pkg/replication/durability_test.go
+++ b/pkg/replication/durability_test.go
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("durability", func() {
-	It("lets a member's vote for itself and its own entries count after Advance only", func() {
+	It("counts a member's vote for itself and its own entries only after Advance", func() {
 		g := newMember("n1", "n1")
 		g.Tick(electionTimeout)
 		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 1, VotedFor: "n1", VotedForIncarnation: replication.FoundingIncarnation}))
@@ -53,7 +53,7 @@
 		Expect(g.Ready().Committed).To(Equal(barrier.Entries))
 	})
 
-	It("hands a vote out to be durable in the Ready of the reply, also in a known term", func() {
+	It("returns a vote as HardState in the Ready of the reply, also if the term was durable before", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageVoteReply, Term: 4, Reject: true})).To(Succeed())
 		Expect(g.Ready().HardState).To(Equal(&replication.HardState{Term: 4}))
@@ -70,7 +70,7 @@
 		Expect(g.Ready().Messages[0].Message.Reject).To(BeTrue())
 	})
 
-	It("acknowledges what came during a sync with the next Ready", func() {
+	It("acknowledges entries received during a sync in the next Ready", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
 		Expect(g.Ready().Messages).To(HaveLen(1))
@@ -83,7 +83,7 @@
 		Expect(ready.Messages[0].Message.Index).To(Equal(uint64(2)))
 	})
 
-	It("bounds the messages that wait while a sync stalls", func() {
+	It("limits the queued messages while a sync stalls", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0, entry(1, 1)))).To(Succeed())
 		g.Ready()
@@ -94,7 +94,7 @@
 		Expect(len(g.Ready().Messages)).To(BeNumerically("<", 5000))
 	})
 
-	It("keeps what was durable of a sync whose end was truncated meanwhile", func() {
+	It("keeps the durable part of a sync whose last entries were truncated in the meantime", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 2, entry(1, 1), entry(2, 1), entry(3, 1)))).To(Succeed())
 		Expect(g.Ready().Committed).To(HaveLen(2))
@@ -104,7 +104,7 @@
 		Expect(g.Ready().Entries).To(Equal([]replication.Entry{entry(3, 2)}))
 	})
 
-	It("commits no further than the leader's message vouches for", func() {
+	It("commits no further than the last entry that the leader's message confirms", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0, entry(1, 1), entry(2, 1)))).To(Succeed())
 		Expect(g.Step(0, "n3", appendMessage(2, 1, 1, 2))).To(Succeed())
--- a/pkg/replication/elastic_test.go
+++ b/pkg/replication/elastic_test.go
@@ -13,10 +13,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-var elasticSchedules = flag.Int("elastic", 120, "how many random schedules are run in which members come and go")
+var elasticSchedules = flag.Int("elastic", 120, "number of random schedules in which members join and leave")
 
 var _ = Describe("an elastic group", func() {
-	It("keeps one history and one leader per term in random schedules, and ends with a vote for every member", func() {
+	It("applies one sequence of entries and has one leader per term in random schedules, and ends with a vote for every member", func() {
 		var committed, lost, killed, planned, unplanned, started int
 		for seed := range uint64(*elasticSchedules) {
 			s := newElasticSchedule(seed)
@@ -57,7 +57,7 @@
 		Expect(c.nodes[9].appliedIndex).To(Equal(c.highestApplied))
 	})
 
-	It("goes on with the old voters as they go one after the other, each after a new one came", func() {
+	It("keeps committing while its voters leave one after the other, each after a new one has joined", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4", "-n5", "-n6")
 		for i := range 3 {
 			c.propose("before")
@@ -79,7 +79,7 @@
 		expectAgreement(c, 0)
 	})
 
-	It("takes a new member in for one of a full group that is gone", func() {
+	It("replaces a lost voter of a group of MaxVoters by a new member", func() {
 		c := stableCluster("max=3", "n1", "n2", "n3", "+n4")
 		Expect(c.leader().group.Status().Voters).To(HaveLen(3))
 		c.end(c.node("n3"))
@@ -87,7 +87,7 @@
 		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4"}))
 	})
 
-	It("keeps the unresponsive voter of an odd group, and that of an even one for a while", func() {
+	It("keeps an unresponsive voter if the number of voters is odd, and until RemoveAfter if it is even", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4")
 		c.crash(c.node("n3"), true)
 		c.advanceBy(2 * replication.DefaultRemoveAfter)
@@ -102,7 +102,7 @@
 		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4"}))
 		c.start(c.node("n3"))
 		c.advanceBy(10 * heartbeatEvery)
-		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4", "n3"}), "in its old incarnation")
+		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n4", "n3"}), "n3 is added again in its old incarnation")
 	})
 
 	It("is recovered by the voters of the newest known group", func() {
@@ -121,7 +121,7 @@
 			c.start(c.node(id))
 		}
 		c.advanceBy(3 * time.Second)
-		Expect(c.recoveries).To(BeZero(), "without a voter of the newest group")
+		Expect(c.recoveries).To(BeZero(), "recovered without n5, a voter of the newest group")
 		c.start(c.node("n5"))
 		c.advanceBy(2 * time.Second)
 		Expect(c.recoveries).To(Equal(1))
@@ -147,7 +147,7 @@
 		expectAgreement(c, 0)
 	})
 
-	It("is not recovered by founders with new disks while another member that had joined is down", func() {
+	It("is not recovered by founders with new disks while members that had joined are down", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.start(c.node("n4"))
 		c.start(c.node("n5"))
@@ -169,7 +169,7 @@
 		expectAgreement(c, 0)
 	})
 
-	It("keeps what any disk has when it has grown and loses any number of disks", func() {
+	It("keeps everything that a disk still contains when it has grown and loses any number of disks", func() {
 		var recoveries int
 		for seed := range uint64(*elasticSchedules) {
 			c := newCluster(rand.New(rand.NewPCG(seed, 13)), "n1", "n2", "n3", "+n4", "+n5")
@@ -189,7 +189,7 @@
 		Expect(recoveries).To(BeNumerically(">", *elasticSchedules/4))
 	})
 
-	It("survives that all go down, with founders that are not told who founded it", func() {
+	It("continues after all members crashed and restart without the founders in their settings", func() {
 		c := stableCluster("n1", "n2", "n3")
 		c.withoutFounders = true
 		c.propose("kept")
--- a/pkg/replication/election.go
+++ b/pkg/replication/election.go
@@ -6,22 +6,22 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// election is this member's part in the elections of its group: whom it follows in the
-// present term, to whom it grants the term, and its own campaign. Callers that follow
-// another term or leader while this member leads go through Group.becomeFollower,
-// which ends the leadership.
+// election is this member's part in the elections of its group: the leader that it follows in
+// the present term, the candidate that it grants the term, and its own campaign. While this
+// member leads, callers must go through Group.becomeFollower to follow another term or
+// leader, as that also ends the leadership.
 type election struct {
 	*memberState
-	// leader is the member that is known to lead hardState.Term, or empty. It is this
-	// member as long as it leads.
+	// leader is the member known to lead the present term, or empty. It is this member as
+	// long as this member leads.
 	leader member.ID
 	timer  electionTimer
-	// campaign is nil unless this member is a candidate, which knows of no leader.
+	// campaign is nil unless this member is a candidate. A candidate knows no leader.
 	campaign *campaign
 }
 
-// role follows from the other state. Only a voter campaigns, as only it can win by the
-// group that it knows.
+// role is derived from the rest of the state. Only a voter campaigns, as only a voter can win
+// in the group that this member knows.
 func (e *election) role() Role {
 	switch {
 	case e.leads():
@@ -35,18 +35,19 @@
 	}
 }
 
-// leads tells whether this member is the leader, which it follows itself.
+// leads reports whether this member is the leader.
 func (e *election) leads() bool {
 	return e.leader == e.cfg.Self
 }
 
-// hasLiveLeader tells whether an election would disturb a working leader.
+// hasLiveLeader reports whether this member has a working leader, which an election would
+// disturb.
 func (e *election) hasLiveLeader() bool {
 	return e.leads() || (e.leader != "" && e.now < e.timer.leaderContact+e.cfg.ElectionTimeout)
 }
 
-// tick repeats the requests of a campaign, and begins one when it is due. A pre-vote
-// goes on instead of beginning again.
+// tick repeats the requests of a campaign, and starts a pre-vote when one is due. A pre-vote
+// that is in progress continues and is not started again.
 func (e *election) tick() {
 	if e.campaign != nil && e.now >= e.campaign.requestedAt+e.cfg.HeartbeatEvery {
 		e.requestVotes()
@@ -57,9 +58,10 @@
 	}
 }
 
-// campaignDue tells whether this voter has waited its turn, or should step in for
-// a voter that can't win. The turn of the i-th live voter in the agreed order comes
-// after ElectionTimeout*(1 + i/2), so that the voters campaign one after the other.
+// campaignDue reports whether this voter must campaign. The live voter with rank i in slot
+// order waits for ElectionTimeout*(1 + i/2), so that the voters campaign one after the other.
+// If a candidate that can't win is known and there is no live leader, the wait is only
+// i*HeartbeatEvery.
 func (e *election) campaignDue() bool {
 	rank := time.Duration(e.timer.rankOf(e.cfg.Self, e.log.groups.latest().voterIDs))
 	if e.now >= e.timer.waitFrom+e.cfg.ElectionTimeout+rank*e.cfg.ElectionTimeout/2 {
@@ -71,20 +73,20 @@
 	return e.now >= e.timer.candidateBehindSince+rank*e.cfg.HeartbeatEvery
 }
 
-// startPreVote asks whether a campaign could be won, without raising any term. It
-// goes on until it is won or a leader is heard.
+// startPreVote asks the voters whether a campaign could be won, without raising any term. The
+// pre-vote continues until it is won or a leader is heard from.
 func (e *election) startPreVote() {
 	e.follow(e.hardState.Term, "")
 	e.campaign = &campaign{term: e.hardState.Term + 1, preVote: true}
 	e.requestVotes()
 	if e.campaign.won(e.slots()) {
-		// The only voter of its group needs nobody else.
+		// The only voter of a group needs no other grant.
 		e.startCampaign(false)
 	}
 }
 
-// stepVoteRequest replies to a candidate. If its term is newer and binds this member,
-// Group.Step has adopted it before.
+// stepVoteRequest replies to a candidate. If the candidate's term is newer and applies to
+// this member, Group.Step has adopted it before.
 func (e *election) stepVoteRequest(from member.ID, m Message) {
 	reply := Message{Type: MessageVoteReply, Term: m.Term, PreVote: m.PreVote}
 	switch {
@@ -95,9 +97,9 @@
 		upToDate := e.log.isUpToDate(m.Index, m.IndexTerm)
 		reply.Reject = m.Term <= e.hardState.Term || e.hasLiveLeader() || !upToDate
 		if !upToDate && !e.hasLiveLeader() && e.role() == RoleFollower {
-			// The sender can't get the vote of this member. The voters that have what
-			// it lacks then follow each other by HeartbeatEvery, in place of their
-			// whole turns.
+			// The sender can't get the vote of this member. The voters whose logs are more
+			// complete than the sender's then campaign at intervals of HeartbeatEvery,
+			// instead of the longer waits by rank.
 			e.timer.observeCandidateBehind(e.now)
 		}
 	default:
@@ -109,8 +111,8 @@
 	e.send(from, reply)
 }
 
-// grantVote grants the present term to one member at most. The grant leaves in the
-// Ready that carries the vote as HardState, and so after the vote is durable.
+// grantVote grants the present term to at most one member. The grant is sent in the Ready
+// that contains the vote as HardState, and so after the vote is durable.
 func (e *election) grantVote(from member.ID, m Message) bool {
 	if m.Term != e.hardState.Term {
 		return false
@@ -131,16 +133,17 @@
 	return true
 }
 
-// stepVoteReply counts a grant or rejection of a voter. It is true if this member has
-// won the term, and is to lead it.
+// stepVoteReply counts a voter's grant or rejection. It returns true if this member has won
+// the term and must become its leader.
 func (e *election) stepVoteReply(from member.ID, m Message) (won bool) {
 	if e.campaign == nil || m.PreVote != e.campaign.preVote {
 		return false
 	}
 	voter := Voter{ID: from, Incarnation: m.Incarnation}
 	if !e.slots().votes(voter) {
-		// A vote counts only if the same voter can't have granted the term to
-		// another member, and knows all that it acknowledged.
+		// A vote counts only from the incarnation that has the vote. Another incarnation may
+		// lack entries that its member acknowledged, and its member may have granted the term
+		// to another candidate before.
 		return false
 	}
 	switch {
@@ -156,8 +159,8 @@
 	}
 }
 
-// addGrant counts a grant. With those of a majority, a pre-vote goes on to the
-// campaign, and a campaign is won.
+// addGrant counts a grant. When a majority has granted, a pre-vote becomes a campaign, and a
+// campaign is won.
 func (e *election) addGrant(from Voter) (won bool) {
 	e.campaign.granted = e.campaign.granted.with(from)
 	if !e.campaign.won(e.slots()) {
@@ -170,27 +173,27 @@
 	return true
 }
 
-// startCampaign raises the term and votes for this member. With transfer, the
-// leader of the present term asked for it.
+// startCampaign raises the term and votes for this member. With transfer, the leader of the
+// present term asked for the campaign.
 func (e *election) startCampaign(transfer bool) {
 	e.voteForSelf(e.hardState.Term + 1)
 	e.campaign = &campaign{term: e.hardState.Term, transfer: transfer}
-	// If this campaign fails, the members that campaign at the same time must not
-	// wait equally long again.
+	// If this campaign fails, the candidates must wait for different times by rank. Excluding
+	// the lost leader from the ranks could give simultaneous candidates equal ranks again.
 	e.timer.lostLeader = ""
 	e.requestVotes()
 }
 
-// voteForSelf raises the term and grants it to this member. The vote counts once it
-// is durable, see Group.acknowledgeSelf.
+// voteForSelf raises the term and grants it to this member. The vote counts once it is
+// durable, see Group.acknowledgeSelf.
 func (e *election) voteForSelf(term uint64) {
 	e.follow(term, "")
 	e.hardState.vote(e.self())
 	e.timer.restart(e.now)
 }
 
-// requestVotes sends a request to all voters that have not granted, and so repeats
-// one that was lost or premature.
+// requestVotes sends a request to all voters that have not granted. Repeating it covers
+// requests that were lost or that came too early to be granted.
 func (e *election) requestVotes() {
 	e.campaign.startRound(e.self(), e.now)
 	for _, id := range e.log.groups.latest().voterIDs {
@@ -208,11 +211,11 @@
 	}
 }
 
-// checkLeader finds a message that can't be from the leader of its term. It changes
-// nothing.
+// checkLeader returns an error for a message that can't be from the leader of its term. It
+// changes nothing.
 func (e *election) checkLeader(from member.ID, m Message) error {
 	if m.Term == 0 {
-		return &MessageError{From: from, Type: m.Type, Message: "no leader has term zero"}
+		return &MessageError{From: from, Type: m.Type, Message: "the message of a leader has term zero"}
 	}
 	if m.Term == e.hardState.Term && e.leader != "" && e.leader != from {
 		return &MessageError{From: from, Type: m.Type, Message: "the term has another leader already: check that no two members run under one ID"}
@@ -220,8 +223,8 @@
 	return nil
 }
 
-// follow makes the member follow a leader in a term, which is the present or a later
-// one. The leader may be unknown yet. It ends a campaign.
+// follow makes the member follow a leader in a term, which is the present or a later one, and
+// ends its campaign. An empty leader means that the leader is unknown.
 func (e *election) follow(term uint64, leader member.ID) {
 	e.hardState.raise(term)
 	e.leader = leader
--- a/pkg/replication/entry.go
+++ b/pkg/replication/entry.go
@@ -2,22 +2,22 @@
 
 import "github.com/pkg/errors"
 
-// EntryKind tells how an entry is applied. The numbers are those of the wire and of
+// EntryKind determines how an entry is applied. The numbers are used on the wire and in
 // stored logs.
 type EntryKind uint8
 
 // The kinds of log entries.
 const (
-	// EntryCommand carries a command of the state machine above.
+	// EntryCommand carries a command of the application's state machine.
 	EntryCommand EntryKind = iota + 1
-	// EntryBarrier is the empty entry with which a new leader commits what earlier
-	// terms left.
+	// EntryBarrier is an empty entry that a new leader appends. Its commit commits the
+	// entries of earlier terms.
 	EntryBarrier
-	// EntryGroupChange carries the whole group: the founders, the group after a
-	// GroupChange, or the one that a recovery forms.
+	// EntryGroupChange carries the whole group: the founders, the group after a GroupChange,
+	// or the group that a quorum recovery forms.
 	EntryGroupChange
-	// EntryRestore carries the whole state of the state machine above, in place of
-	// the state that the entries before it led to.
+	// EntryRestore carries the whole state of the application's state machine, which replaces
+	// the state after the entries before it.
 	EntryRestore
 )
 
@@ -29,8 +29,8 @@
 	Command []byte
 }
 
-// check finds kinds that this member doesn't know, and groups that it can't follow:
-// to skip them would be unsafe.
+// check returns an error for an entry of an unknown kind or with an invalid group. Skipping
+// such an entry would be unsafe.
 func (e Entry) check() error {
 	switch e.Kind {
 	case EntryCommand, EntryBarrier, EntryRestore:
@@ -39,6 +39,6 @@
 		_, err := decodeSlots(e.Command)
 		return err
 	default:
-		return errors.New("an entry is of a kind that this member can't follow: run the same version on all members")
+		return errors.Errorf("entry %d is of the unknown kind %d: run the same version on all members", e.Index, e.Kind)
 	}
 }
--- a/pkg/replication/follower.go
+++ b/pkg/replication/follower.go
@@ -2,17 +2,17 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// follower copies the log of the leader of the present term. An acknowledgement leaves in
-// the Ready that has the entries, so after they are durable: that is why a leader may count
-// it. Committed entries are never replaced: check rejects a message that would replace one,
-// before anything is changed.
+// follower replicates the log of the leader of the present term. An acknowledgement is sent
+// in the same Ready as the entries, and so after they are durable; the leader may count it
+// for that reason. Committed entries are never replaced: check rejects a message that would
+// replace one, before anything is changed.
 type follower struct {
 	*memberState
-	// received is the snapshot that has replaced the log, until Ready hands it out.
+	// received is the snapshot that has replaced the log, until Ready returns it.
 	received *Snapshot
 }
 
-// check finds what no leader can send. It changes nothing.
+// check returns an error for a message that no correct leader can send. It changes nothing.
 func (f *follower) check(from member.ID, m Message) error {
 	switch m.Type {
 	case MessageAppend:
@@ -24,37 +24,38 @@
 	}
 }
 
-// checkAppend finds entries with gaps, or in place of entries that are committed here.
+// checkAppend returns an error if the entries have gaps, or conflict with entries that are
+// committed here.
 func (f *follower) checkAppend(from member.ID, m Message) error {
 	previous := Entry{Index: m.Index, Term: m.IndexTerm}
 	for _, entry := range m.Entries {
 		if entry.Index != previous.Index+1 || entry.Term < previous.Term || entry.Term > m.Term {
-			return &MessageError{From: from, Type: m.Type, Message: "the entries are out of order"}
+			return &MessageError{From: from, Type: m.Type, Message: "the indexes or terms of the entries are out of order"}
 		}
 		if err := entry.check(); err != nil {
 			return &MessageError{From: from, Type: m.Type, Message: err.Error()}
 		}
 		term, ok := f.log.termAt(entry.Index)
 		if ok && entry.Index <= f.log.committed && term != entry.Term {
-			return &MessageError{From: from, Type: m.Type, Message: "the entries contradict committed ones: check that no two groups are mixed up"}
+			return &MessageError{From: from, Type: m.Type, Message: "the entries conflict with committed ones: check that the sender belongs to the same group"}
 		}
 		previous = entry
 	}
 	return nil
 }
 
-// checkSnapshot finds a snapshot that is missing, or whose group can't exist.
+// checkSnapshot returns an error if the snapshot is missing or its group is invalid.
 func checkSnapshot(from member.ID, m Message) error {
 	if m.Snapshot == nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is missing"}
+		return &MessageError{From: from, Type: m.Type, Message: "the message contains no snapshot"}
 	}
 	if err := slots(m.Snapshot.Slots).check(); err != nil {
-		return &MessageError{From: from, Type: m.Type, Message: "the snapshot is of no possible group: " + err.Error()}
+		return &MessageError{From: from, Type: m.Type, Message: "the group of the snapshot is invalid: " + err.Error()}
 	}
 	return nil
 }
 
-// rejectStaleLeader tells a leader of an earlier term of the present one.
+// rejectStaleLeader replies with the present term to a leader of an earlier term.
 func (f *follower) rejectStaleLeader(from member.ID, m Message) {
 	reply := MessageAppendReply
 	if m.Type == MessageHeartbeat {
@@ -74,8 +75,8 @@
 	})
 }
 
-// stepAppend appends the entries, in place of those that conflict with them. If the
-// log lacks the entry before them, the leader is told where the logs may begin to
+// stepAppend appends the entries, in place of those that conflict with them. If the log lacks
+// the entry before them, the reply tells the leader the highest index at which the logs may
 // agree.
 func (f *follower) stepAppend(from member.ID, m Message) {
 	last, ok := f.log.maybeAppend(m.Index, m.IndexTerm, m.Entries)
@@ -96,7 +97,7 @@
 	f.acknowledge(from, last)
 }
 
-// stepSnapshot installs the snapshot, unless the log has the entry at its index.
+// stepSnapshot installs the snapshot, unless the log already contains the entry at its index.
 func (f *follower) stepSnapshot(from member.ID, m Message) {
 	snapshot := m.Snapshot
 	switch {
--- a/pkg/replication/founders_test.go
+++ b/pkg/replication/founders_test.go
@@ -24,8 +24,8 @@
 	return g
 }
 
-var _ = Describe("the founders", func() {
-	It("are told by the first entry to whoever does not know them", func() {
+var _ = Describe("the founders of a group", func() {
+	It("are read from the first entry by members whose settings do not contain them", func() {
 		leader := firstLeader()
 		first := leader.Checkpoint().Entries
 		Expect(first).To(Equal([]replication.Entry{changeEntry(1, 1, founderSlots("n1", "n2", "n3"))}))
@@ -48,7 +48,7 @@
 		Expect(restarted.Status().Role).To(Equal(replication.RoleFollower))
 	})
 
-	It("are not invented by a member that knows of no group", func() {
+	It("are not made up by a member that knows no group", func() {
 		g := newMember("n4")
 		g.ExpectState()
 		g.SetPeers(0, []replication.Peer{{ID: "n1"}, {ID: "n2"}})
@@ -59,7 +59,7 @@
 		Expect(g.Status().Role).To(Equal(replication.RoleLearner))
 	})
 
-	It("stay in doubt in a log that does not tell of them, which is not compacted", func() {
+	It("are required for compaction: a log that does not contain them is not compacted", func() {
 		g := newMember("n4")
 		Expect(g.Step(0, "n1", appendMessage(1, 0, 0, 1, entry(1, 1)))).To(Succeed())
 		drainReadies(g)
--- a/pkg/replication/golden_group_test.go
+++ b/pkg/replication/golden_group_test.go
@@ -6,11 +6,11 @@
 )
 
 var _ = ginkgo.Describe("The command of a group change", func() {
-	// Logs and members of earlier releases contain it in this form.
+	// Existing logs and members of earlier releases use this encoding.
 	const golden = `[{"ID":"10.0.0.1:7100","Incarnation":1,"Learner":false},` +
 		`{"ID":"10.0.0.2:7100","Incarnation":14841536834309578040,"Learner":true}]`
 
-	ginkgo.It("is written and read as by earlier releases", func() {
+	ginkgo.It("has the same encoding as in earlier releases", func() {
 		group := slots{
 			{Voter: Voter{ID: "10.0.0.1:7100", Incarnation: 1}},
 			{Voter: Voter{ID: "10.0.0.2:7100", Incarnation: 14841536834309578040}, Learner: true},
--- a/pkg/replication/grants.go
+++ b/pkg/replication/grants.go
@@ -6,16 +6,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// grants are the members that granted (or rejected) a request, in the incarnation
-// in which they did.
+// grants is a set of members that granted (or rejected) a request, each in the incarnation in
+// which it did so.
 type grants []Voter
 
-// includes tells whether the member is among them in any incarnation.
+// includes reports whether the set contains the member in any incarnation.
 func (g grants) includes(id member.ID) bool {
 	return slices.ContainsFunc(g, func(voter Voter) bool { return voter.ID == id })
 }
 
-// with returns the grants and that of the voter, which counts once.
+// with returns the set with the voter added, unless the set already contains it.
 func (g grants) with(voter Voter) grants {
 	if slices.Contains(g, voter) {
 		return g
@@ -23,7 +23,7 @@
 	return append(g, voter)
 }
 
-// includeMajority tells whether they are those of a majority of the group's voters.
+// includeMajority reports whether the set contains a majority of the group's voters.
 func (g grants) includeMajority(group slots) bool {
 	granted := 0
 	for _, voter := range group.voters() {
@@ -34,7 +34,7 @@
 	return granted >= group.quorum()
 }
 
-// includeSlots tells whether the members of all slots are among them.
+// includeSlots reports whether the set contains the members of all slots, in any incarnation.
 func (g grants) includeSlots(group slots) bool {
 	for _, slot := range group {
 		if !g.includes(slot.ID) {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// includePeers tells whether all peers are among them that have not announced that
+// includePeers reports whether the set contains all peers except those that announced that
 // they stop.
 func (g grants) includePeers(peers peerSet) bool {
 	for _, peer := range peers {
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -7,9 +7,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Group is one member's state machine of a replica group. It passes messages, time and
-// decisions between the types that each own the state of one concern, see the package
-// comment. It is not safe for concurrent use.
+// Group is the replication state machine of one member of a replica group. It passes
+// messages, time and decisions between the types that each own the state of one concern, see
+// the package comment. It is not safe for concurrent use.
 type Group struct {
 	*memberState
 	election election
@@ -17,15 +17,15 @@
 	recovery quorumRecovery
 	// leadership is nil unless this member leads.
 	leadership *leadership
-	// reads outlive the leadership that they wait for.
+	// reads is kept when a leadership ends, so that the waiting reads can be reported as
+	// failed.
 	reads readQueue
-	// outstanding is the Ready that Advance was not called for yet.
+	// outstanding is the Ready for which Advance has not been called yet.
 	outstanding *Ready
 }
 
-// New returns the state machine of a member with its durable state; the zero
-// Restored is that of an empty disk. It fails with a *ConfigError or a
-// *RestoredError.
+// New returns a member with the given durable state; the zero Restored is that of an empty
+// disk. It fails with a *ConfigError or a *RestoredError.
 func New(cfg Config, restored Restored, now time.Duration) (*Group, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -50,10 +50,10 @@
 	return g, nil
 }
 
-// SetPeers tells which members with a disk are known at present, for instance by
-// gossip. The leader sends the log to all of them: those without a vote follow as
-// learners, and are given one when they have caught up. It has no bearing on
-// safety.
+// SetPeers sets the other members with a disk that are known at present, for instance from
+// gossip. The leader sends the log to all of them: those without a vote follow as learners,
+// and are given a vote when they have caught up. The safety of the protocol does not depend
+// on this list.
 func (g *Group) SetPeers(now time.Duration, peers []Peer) {
 	g.advanceClock(now)
 	g.peers = newPeerSet(g.cfg.Self, peers)
@@ -62,9 +62,9 @@
 	}
 }
 
-// SetSuspected tells which members are thought to be down, for instance by the
-// membership. It shortens the wait of later members in the agreed order and has
-// no bearing on safety.
+// SetSuspected sets the members that are assumed to be down, for instance by a failure
+// detector. It shortens the time that later members in slot order wait before they campaign.
+// The safety of the protocol does not depend on this list.
 func (g *Group) SetSuspected(suspected []member.ID) {
 	g.election.timer.suspected = slices.Clone(suspected)
 }
@@ -88,12 +88,12 @@
 	}
 }
 
-// Step handles a message from another member, whether that member is known here
-// or not: a new voter may be heard before the entry or the gossip that tells of
-// it. What a member without a vote sends binds nobody. Messages may be lost,
-// duplicated, delayed and reordered. A *MessageError means that the message was
-// dropped. The clock must be read after the message arrived: the wait until the
-// command lease of an earlier term has expired counts from there.
+// Step handles a message from another member. The sender may be unknown here, as a message of
+// a new voter may arrive before the entry or the gossip that announces the voter. The votes
+// and acknowledgements of a member without a vote don't count. Messages may be lost,
+// duplicated, delayed and reordered. A *MessageError means that the message was dropped. The
+// driver must read the clock after the message has arrived, because the new leader's wait for
+// the expiry of earlier command leases starts at now.
 func (g *Group) Step(now time.Duration, from member.ID, m Message) error {
 	g.advanceClock(now)
 	if from == g.cfg.Self || from == "" {
@@ -129,12 +129,12 @@
 	}
 }
 
-// adoptsTerm tells whether this member goes on to the newer term of the message. A
-// candidate's term does not bind a member that hears a live leader, unless that leader
-// asked for the campaign: a member that was cut off must not depose a leader that
-// works. A recovery term binds only who can grant it. The term of a reply binds a
-// member that asked for the reply, whatever its role is by now. What a leader sends is
-// checked first, see stepFromLeader.
+// adoptsTerm reports whether this member adopts the newer term of the message. A candidate's
+// term is ignored by a permanent learner, and by a member that has a live leader, unless that
+// leader asked for the campaign: a candidate that was partitioned must not depose a working
+// leader. A recovery term is adopted only by a member that can grant it. The term of a known
+// member's reply is adopted in any role, as this member asked for the reply. Messages of a
+// leader are checked first and adopted in stepFromLeader.
 func (g *Group) adoptsTerm(from member.ID, m Message) bool {
 	switch m.Type {
 	case MessageVoteRequest, MessageRecoveryRequest:
@@ -143,7 +143,7 @@
 		}
 		return m.Type == MessageVoteRequest || g.log.isUpToDate(m.Index, m.IndexTerm)
 	case MessageVoteReply:
-		// A grant of a pre-vote is in a term that nobody has begun.
+		// A granted pre-vote carries a term that no member has begun.
 		return m.Reject && g.recognizes(from)
 	case MessageAppendReply, MessageHeartbeatReply:
 		return g.recognizes(from)
@@ -152,13 +152,13 @@
 	}
 }
 
-// stepFromLeader handles the messages that only the leader of their term sends.
+// stepFromLeader handles the message types that only the leader of a term sends.
 func (g *Group) stepFromLeader(from member.ID, m Message) error {
 	if m.Term < g.hardState.Term {
 		g.follower.rejectStaleLeader(from, m)
 		return nil
 	}
-	// The checks come first so that a message in error changes nothing.
+	// Check first, so that an invalid message changes nothing.
 	if err := g.election.checkLeader(from, m); err != nil {
 		return err
 	}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// becomeFollower makes the member a follower (or learner) of term. The leader may
-// be unknown yet. It ends a campaign and a leadership.
+// becomeFollower makes the member a follower (or learner) of term, and ends its campaign or
+// leadership. An empty leader means that the leader is unknown.
 func (g *Group) becomeFollower(term uint64, leader member.ID) {
 	if g.election.leads() {
 		g.election.timer.restart(g.now)
@@ -193,8 +193,8 @@
 	g.election.follow(term, leader)
 }
 
-// becomeLeader makes this member the leader of the present term, which a majority has
-// granted to it, or all members in a recovery.
+// becomeLeader makes this member the leader of the present term, which was granted by a
+// majority, or by all members in a quorum recovery.
 func (g *Group) becomeLeader() {
 	g.election.follow(g.hardState.Term, g.cfg.Self)
 	g.election.timer.lostLeader = ""
--- a/pkg/replication/group_change_test.go
+++ b/pkg/replication/group_change_test.go
@@ -19,8 +19,8 @@
 	addNewN3     = replication.GroupChange{Kind: replication.ChangeAddVoter, Voter: newN3}
 )
 
-// slotsWithLearner is the group of n1, n2 and the slot that is reserved for the new
-// n3.
+// slotsWithLearner returns the group of n1, n2 and the slot that is reserved for the new
+// incarnation of n3.
 func slotsWithLearner() []replication.Slot {
 	return append(founderSlots("n1", "n2"), replication.Slot{Voter: newN3, Learner: true})
 }
@@ -36,8 +36,8 @@
 	return m
 }
 
-// leaderWithCommittedBarrier is electedLeader after its barrier is committed, with
-// the new n3 caught up.
+// leaderWithCommittedBarrier returns electedLeader after its barrier is committed and the new
+// incarnation of n3 has caught up.
 func leaderWithCommittedBarrier() *replication.Group {
 	g := electedLeader()
 	Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
@@ -46,12 +46,13 @@
 	return g
 }
 
-// heartbeatReply acknowledges a heartbeat of term 2.
+// heartbeatReply returns the acknowledgement of a heartbeat of term 2.
 func heartbeatReply(heartbeat uint64) replication.Message {
 	return replication.Message{Type: replication.MessageHeartbeatReply, Incarnation: replication.FoundingIncarnation, Term: 2, HeartbeatNumber: heartbeat}
 }
 
-// newIncarnationMatches has the new n3 acknowledge the first heartbeat and the log.
+// newIncarnationMatches makes the new incarnation of n3 acknowledge the first heartbeat and
+// the whole log.
 func newIncarnationMatches(g *replication.Group, now time.Duration) {
 	Expect(g.Step(now, "n3", inIncarnation(newN3.Incarnation, heartbeatReply(1)))).To(Succeed())
 	Expect(g.Step(now, "n3", inIncarnation(newN3.Incarnation, appendReply(2, 2)))).To(Succeed())
@@ -65,7 +66,7 @@
 }
 
 var _ = Describe("a change of the group", func() {
-	It("waits for the leader's own barrier, and for the change before it", func() {
+	It("requires that the leader's own barrier and the previous change are committed", func() {
 		g := electedLeader()
 		newIncarnationMatches(g, electedAt)
 		Expect(problemOf(g.ProposeGroupChange(electedAt, removeLostN3))).To(Equal(replication.ProblemTermUncommitted))
@@ -76,7 +77,7 @@
 		drainReadies(g)
 		Expect(g.Step(electedAt, "n2", appendReply(2, 3))).To(Succeed())
 		fullGroup := append(founderSlots("n1", "n2"), replication.Slot{Voter: newN3})
-		Expect(g.Status().Slots).To(Equal(fullGroup), "the slot was not filled at once")
+		Expect(g.Status().Slots).To(Equal(fullGroup), "the reserved slot must get its vote at the commit of the removal")
 		Expect(g.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n3"}))
 		Expect(problemOf(g.ProposeGroupChange(electedAt, addNewN3))).To(Equal(replication.ProblemChangePending))
 	})
@@ -102,7 +103,7 @@
 		Expect(follower.ProposeGroupChange(0, removeLostN3)).To(Equal(&replication.NotLeaderError{}))
 	})
 
-	It("is rejected while the successor lacks entries, or the others are not heard", func() {
+	It("is rejected while the successor lacks entries, or no majority is live", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
 		Expect(problemOf(g.ProposeGroupChange(electedAt, removeLostN3))).To(Equal(replication.ProblemNotCaughtUp))
@@ -111,14 +112,14 @@
 		Expect(problemOf(g.ProposeGroupChange(late, removeLostN3))).To(Equal(replication.ProblemNoMajority))
 	})
 
-	It("counts neither a lost incarnation nor a new one without a vote", func() {
+	It("does not let a lost incarnation or a new one without a vote count for commits", func() {
 		g := electedLeader()
 		newIncarnationMatches(g, electedAt)
 		Expect(g.Step(electedAt, "n3", inIncarnation(lostN3.Incarnation, appendReply(2, 2)))).To(Succeed())
 		Expect(g.Status().Commit).To(BeZero())
 	})
 
-	It("forgets what the lost incarnation acknowledged, also when that arrives late", func() {
+	It("discards the acknowledgements of the lost incarnation, also those that arrive late", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n3", appendReply(2, 1))).To(Succeed())
 		Expect(g.Status().Followers[1].Match).To(Equal(uint64(1)))
@@ -132,7 +133,7 @@
 		Expect(g.Status().Followers[1].Incarnation).To(Equal(newN3.Incarnation))
 	})
 
-	It("takes an incarnation for a later one only if it acknowledges a heartbeat that was sent after the other was heard", func() {
+	It("accepts an incarnation as a later one only if it acknowledges a heartbeat sent after the last contact with the other", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n3", appendReply(2, 1))).To(Succeed())
 		for _, late := range []replication.Message{heartbeatReply(1), appendReply(2, 2)} {
@@ -145,7 +146,7 @@
 		Expect(g.Status().Followers[1].Incarnation).To(Equal(newN3.Incarnation))
 	})
 
-	It("does not repeat a vote for another incarnation", func() {
+	It("does not grant a term again to another incarnation of the candidate", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		request := replication.Message{Type: replication.MessageVoteRequest, Incarnation: lostN3.Incarnation, Term: 4}
 		Expect(g.Step(0, "n3", request)).To(Succeed())
@@ -155,7 +156,7 @@
 		Expect(messages[1].Message.Reject).To(BeTrue())
 	})
 
-	It("is part of snapshots from its index on, and is undone with its entry", func() {
+	It("is part of snapshots from its index on, and is undone when its entry is truncated", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		change := changeEntry(2, 1, slotsWithLearner())
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 1, entry(1, 1), change, entry(3, 1)))).To(Succeed())
@@ -184,8 +185,8 @@
 	})
 })
 
-var _ = Describe("a change of an elastic group", func() {
-	It("drops a voter without a successor, and takes a new one in at the end", func() {
+var _ = Describe("a change that adds or removes a slot", func() {
+	It("removes a voter without a successor, and adds a new one at the end", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
 		Expect(problemOf(g.ProposeGroupChange(electedAt, replication.GroupChange{
--- a/pkg/replication/group_history.go
+++ b/pkg/replication/group_history.go
@@ -2,12 +2,12 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// groupState is a group and the index of the entry with which it began. It is
-// never changed in place, and so may be shared.
+// groupState is a group and the index of the entry that defines it. It is never modified, and
+// so may be shared.
 type groupState struct {
 	index uint64
 	slots slots
-	// voters and voterIDs follow from slots.
+	// voters and voterIDs are derived from slots.
 	voters   []Voter
 	voterIDs []member.ID
 }
@@ -20,17 +20,16 @@
 	return state
 }
 
-// groupHistory is the groups that a log tells of, oldest first and at least one. A
-// change takes effect when its entry is appended, and is undone when the entry is
-// truncated.
+// groupHistory contains the groups that a log defines, oldest first, and is never empty. A
+// change takes effect when its entry is appended, and is undone when the entry is truncated.
 type groupHistory []groupState
 
-// latest returns the group that is in effect.
+// latest returns the group in effect.
 func (h groupHistory) latest() groupState {
 	return h[len(h)-1]
 }
 
-// at returns the group after the entry at index.
+// at returns the group in effect after the entry at index.
 func (h groupHistory) at(index uint64) slots {
 	for i := len(h) - 1; i > 0; i-- {
 		if h[i].index <= index {
@@ -40,7 +39,7 @@
 	return h[0].slots
 }
 
-// appended returns the history after an entry, which Entry.check has accepted.
+// appended returns the history after appending an entry that has passed Entry.check.
 func (h groupHistory) appended(entry Entry) groupHistory {
 	if entry.Kind != EntryGroupChange {
 		return h
@@ -52,7 +51,7 @@
 	return append(h, newGroupState(entry.Index, changed))
 }
 
-// truncated returns the history without the changes from index on.
+// truncated returns the history without the changes at index and later.
 func (h groupHistory) truncated(index uint64) groupHistory {
 	for len(h) > 1 && h[len(h)-1].index >= index {
 		h = h[:len(h)-1]
@@ -60,7 +59,7 @@
 	return h
 }
 
-// compacted returns the history without the groups that ended at or before index.
+// compacted returns the history without the groups that were replaced at or before index.
 func (h groupHistory) compacted(index uint64) groupHistory {
 	for len(h) > 1 && h[1].index <= index {
 		h = h[1:]
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -1,35 +1,38 @@
 package replication
 
-// The leader repairs its group by itself: one change at a time, and each only if it leaves a
-// live majority. A change that can't be made now is looked for again at the next heartbeat.
+// The leader changes its group automatically: one change at a time, and only if the change
+// leaves a live majority. A change that can't be made now is considered again at the next
+// heartbeat.
 //
-// The group stops for good if the leader changes it just after another member of the
-// majority was lost for good: what it appended can't be committed any more. That a voter
-// was heard within ElectionTimeout says too little, as one loss is often what makes the
-// next change due. So the leader asks again: a change is made when those that it rests on
-// have acknowledged a heartbeat that was sent after the change became due. Only the
-// refill of a reserved slot doesn't wait for that, see leadership.commit.
-
-// minReducibleVoters is the smallest group that tolerates a loss with one voter less.
+// If the leader changes the group just after another member of the majority was lost for
+// good, the group stops permanently, because the entry of the change can't be committed any
+// more. That a voter was heard from within ElectionTimeout is too weak a check, as the loss
+// of one member is often what makes the next change due. Therefore a change is made only
+// after the members that it depends on have acknowledged a heartbeat that was sent when the
+// change became due or later. Only the promotion of the member that a slot is reserved for
+// doesn't wait for that, see leadership.commit.
+
+// minReducibleVoters is the smallest number of voters that still tolerates a loss with one
+// voter less.
 const minReducibleVoters = 4
 
-// groupRepair is the change that the leader is about to make.
+// groupRepair is the change that the leader will make next.
 type groupRepair struct {
-	// due is zero if no change is.
+	// due is the zero GroupChange if no change is due.
 	due GroupChange
-	// sinceHeartbeat is the heartbeat that was sent when the change became due.
+	// sinceHeartbeat is the number of the heartbeat that was sent when the change became due.
 	sinceHeartbeat uint64
 }
 
-// search looks, as a heartbeat is sent, for the change that is due.
+// search looks for the change that is due. It is called when a heartbeat is sent.
 func (r *groupRepair) search(planner *changePlanner, heartbeat uint64) {
 	if first := planner.firstDue(); first != r.due {
 		*r = groupRepair{due: first, sinceHeartbeat: heartbeat}
 	}
 }
 
-// take returns the change that is due once it has the acknowledgements that it waits
-// for. The caller makes it.
+// take returns the change that is due once the required members have acknowledged a heartbeat
+// sent since it became due. The caller then makes the change.
 func (r *groupRepair) take(planner *changePlanner) (change GroupChange, due bool) {
 	if r.due == (GroupChange{}) || !planner.acknowledgedSince(r.due, r.sinceHeartbeat) {
 		return GroupChange{}, false
@@ -39,7 +42,7 @@
 	return change, true
 }
 
-// firstDue returns the change that is due first, or zero.
+// firstDue returns the first change that is due and possible, or the zero GroupChange.
 func (p *changePlanner) firstDue() GroupChange {
 	for _, findDue := range []func() (GroupChange, bool){
 		p.duePromotion, p.dueIncarnationRemoval, p.dueReduction, p.dueReplacement, p.dueGrowth, p.dueDrop,
@@ -55,10 +58,10 @@
 	return GroupChange{}
 }
 
-// acknowledgedSince tells whether a majority of the changed group has acknowledged a
-// heartbeat since the change became due. A group that grows to an even number
-// tolerates no more losses than before, and fewer while a voter is gone: there all
-// have to acknowledge.
+// acknowledgedSince reports whether a majority of the voters after the change has
+// acknowledged the heartbeat or a later one. If the change adds a slot and makes the number
+// of voters even, all voters must have acknowledged it: such a group tolerates no more losses
+// than before, and fewer while a voter is down.
 func (p *changePlanner) acknowledgedSince(due GroupChange, heartbeat uint64) bool {
 	changed, problem := p.after(due)
 	if problem != 0 {
@@ -78,7 +81,7 @@
 	return acknowledged >= changed.quorum()
 }
 
-// duePromotion gives the vote back to a member that a slot is reserved for.
+// duePromotion gives the vote to a member that a slot is reserved for.
 func (p *changePlanner) duePromotion() (change GroupChange, due bool) {
 	for _, slot := range p.group.slots {
 		voter := p.followers.lastHeard(slot)
@@ -89,8 +92,8 @@
 	return GroupChange{}, false
 }
 
-// dueIncarnationRemoval removes a lost incarnation whose member has the log in a new
-// one, and reserves its slot.
+// dueIncarnationRemoval removes a lost incarnation whose member has caught up in a new
+// incarnation, and reserves the slot for the new incarnation.
 func (p *changePlanner) dueIncarnationRemoval() (change GroupChange, due bool) {
 	for _, slot := range p.group.slots {
 		successor := p.followers.lastHeard(slot)
@@ -101,9 +104,9 @@
 	return GroupChange{}, false
 }
 
-// dueReduction removes an unresponsive voter from a group with an even number of
-// voters: without it the group tolerates as many losses. A group with an odd number
-// keeps its unresponsive voters, which may come back with their disks.
+// dueReduction removes an unresponsive voter from a group with an even number of voters,
+// which tolerates as many losses without that voter. A group with an odd number keeps its
+// unresponsive voters, which may come back with their disks.
 func (p *changePlanner) dueReduction() (change GroupChange, due bool) {
 	voters := p.group.voters
 	if len(voters) < minReducibleVoters || len(voters)%2 != 0 {
@@ -117,10 +120,10 @@
 	return GroupChange{}, false
 }
 
-// dueReplacement removes an unresponsive voter from a group with an odd number of
-// voters in favour of a peer that has caught up. The vote is given only after it was
-// taken: a peer that took one in addition would raise the majority, which could not
-// be reached any more if the peer were lost at once as well.
+// dueReplacement removes an unresponsive voter from a group with an odd number of voters in
+// favour of a peer that has caught up. The peer is given the vote only after the removal: an
+// additional vote would raise the majority, which could not be reached any more if the peer
+// were lost immediately as well.
 func (p *changePlanner) dueReplacement() (change GroupChange, due bool) {
 	successor, found := p.caughtUpPeer()
 	if !found {
@@ -143,7 +146,7 @@
 	return GroupChange{Kind: ChangeAddVoter, Voter: voter}, true
 }
 
-// dueDrop drops a reserved slot whose member does not come back for it.
+// dueDrop drops a reserved slot whose member has become unresponsive.
 func (p *changePlanner) dueDrop() (change GroupChange, due bool) {
 	for _, slot := range p.group.slots {
 		if slot.Learner && p.isUnresponsive(slot.Voter) {
@@ -153,7 +156,8 @@
 	return GroupChange{}, false
 }
 
-// caughtUpPeer returns the first peer without a slot that has caught up and stays.
+// caughtUpPeer returns the first peer without a slot that has caught up and has not announced
+// that it stops.
 func (p *changePlanner) caughtUpPeer() (voter Voter, found bool) {
 	for _, peer := range p.peers {
 		follower := p.followers.get(peer.ID)
@@ -167,8 +171,9 @@
 	return Voter{}, false
 }
 
-// mayGrow tells whether the group may have another voter. One voter more raises the
-// majority of an odd group, which then tolerates less while a voter is not heard.
+// mayGrow reports whether another voter may be added. One more voter raises the majority of a
+// group with an odd number of voters, which then tolerates fewer losses while a voter is
+// down.
 func (p *changePlanner) mayGrow() bool {
 	group := p.group.slots
 	if len(group) >= p.cfg.MaxVoters {
@@ -185,8 +190,9 @@
 	return true
 }
 
-// isUnresponsive tells whether nothing was heard of the member, in any incarnation,
-// for long enough to go on without it.
+// isUnresponsive reports whether the leader has not heard from the member, in any
+// incarnation, for RemoveAfter. A member that announced that it stops is unresponsive as soon
+// as it is not live.
 func (p *changePlanner) isUnresponsive(voter Voter) bool {
 	follower := p.followers.get(voter.ID)
 	if follower == nil || p.followers.isLive(follower, p.now) {
--- a/pkg/replication/hard_state.go
+++ b/pkg/replication/hard_state.go
@@ -2,31 +2,31 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// HardState is what a member must never forget.
+// HardState is the state that a member must keep durably, besides its log and snapshot.
 type HardState struct {
-	// Term is the highest term that the member has seen.
+	// Term is the highest term that the member has adopted.
 	Term uint64
-	// VotedFor is the member that Term is granted to, or empty.
+	// VotedFor is the member that was granted Term, or empty.
 	VotedFor member.ID
-	// VotedForIncarnation is the incarnation of VotedFor. In another incarnation the
-	// member would be another candidate.
+	// VotedForIncarnation is the incarnation of VotedFor. The same member in another
+	// incarnation is another candidate.
 	VotedForIncarnation uint64
-	// Commit is the highest index known to be committed when the state was written.
-	// It may be out of date without harm, as the leader sends it again.
+	// Commit is the highest index known to be committed when the state was written. An
+	// outdated value does no harm, as the leader sends the commit index again.
 	Commit uint64
 }
 
-// votedFor tells whether Term is granted to the candidate, in this incarnation.
+// votedFor reports whether Term is granted to the candidate, in this incarnation.
 func (h HardState) votedFor(candidate Voter) bool {
 	return h.VotedFor == candidate.ID && h.VotedForIncarnation == candidate.Incarnation
 }
 
-// termState is the present term and vote. The term never decreases, and is granted to
-// one voter at most. Both bind this member at once, and are durable before any message
-// that tells of them leaves: they are part of the same Ready.
+// termState is the present term and vote. The term never decreases, and is granted to one
+// voter at most. Both take effect on this member at once, and are durable before any message
+// that reveals them is sent: they are part of the same Ready.
 type termState struct {
 	HardState
-	// persisted is the newest HardState handed out.
+	// persisted is the newest HardState that was returned in a Ready.
 	persisted HardState
 }
 
@@ -34,8 +34,8 @@
 	return termState{HardState: restored, persisted: restored}
 }
 
-// raise goes on to a later term, which is granted to nobody yet. An earlier or equal
-// one changes nothing.
+// raise adopts a later term, which is granted to nobody yet. It ignores an earlier or equal
+// term.
 func (s *termState) raise(term uint64) {
 	if term <= s.Term {
 		return
@@ -45,22 +45,22 @@
 	s.VotedForIncarnation = 0
 }
 
-// vote grants the term. The caller has made sure that it is granted to nobody else.
+// vote grants the term. The caller must make sure that it is granted to nobody else.
 func (s *termState) vote(candidate Voter) {
 	s.VotedFor = candidate.ID
 	s.VotedForIncarnation = candidate.Incarnation
 }
 
-// changed ignores the commit index, which alone is not worth a sync: the leader sends
-// it again.
+// changed reports whether the term or vote has changed since the last takeHardState. It
+// ignores the commit index, which alone is not worth a sync as the leader sends it again.
 func (s *termState) changed() bool {
 	now, persisted := s.HardState, s.persisted
 	now.Commit, persisted.Commit = 0, 0
 	return now != persisted
 }
 
-// takeHardState returns the state that is to be made durable, together with the commit
-// index.
+// takeHardState returns the state that must be made durable, together with the commit index,
+// and records it as persisted.
 func (s *termState) takeHardState(commit uint64) *HardState {
 	s.Commit = commit
 	s.persisted = s.HardState
@@ -73,16 +73,16 @@
 	HardState
 	// Snapshot is the newest durable snapshot, or nil.
 	Snapshot *Snapshot
-	// Entries are the durable entries without gaps. Those that the snapshot covers
-	// are skipped.
+	// Entries are the durable entries without gaps. Entries that the snapshot covers are
+	// skipped.
 	Entries []Entry
 }
 
-// check finds durable state that no member can have written.
+// check returns an error for durable state that no correct member can have written.
 func (r Restored) check() error {
 	if r.Snapshot != nil {
 		if err := slots(r.Snapshot.Slots).check(); err != nil {
-			return &RestoredError{Message: "the snapshot is of no possible group: " + err.Error()}
+			return &RestoredError{Message: "the group of the snapshot is invalid: " + err.Error()}
 		}
 	}
 	previous := Entry{}
@@ -100,7 +100,7 @@
 			return &RestoredError{Message: err.Error()}
 		}
 		if entry.Term < previous.Term || entry.Term > r.Term {
-			return &RestoredError{Message: "the log's terms are out of order: restore the member as a learner with an empty disk"}
+			return &RestoredError{Message: "the terms of the log are out of order: restore the member as a learner with an empty disk"}
 		}
 		previous = entry
 	}
--- a/pkg/replication/hard_state_test.go
+++ b/pkg/replication/hard_state_test.go
@@ -8,7 +8,7 @@
 var _ = ginkgo.Describe("The term and vote", func() {
 	restored := HardState{Term: 3, VotedFor: "b", VotedForIncarnation: 1, Commit: 5}
 
-	ginkgo.It("forget the vote in a later term only", func() {
+	ginkgo.It("reset the vote only when a later term begins", func() {
 		state := newTermState(restored)
 		state.raise(3)
 		state.raise(2)
@@ -17,7 +17,7 @@
 		Expect(state.HardState).To(Equal(HardState{Term: 4, Commit: 5}))
 	})
 
-	ginkgo.It("are granted to a member in one incarnation", func() {
+	ginkgo.It("grant the term to one incarnation of a member only", func() {
 		state := newTermState(restored)
 		Expect(state.votedFor(Voter{ID: "b", Incarnation: 1})).To(BeTrue())
 		Expect(state.votedFor(Voter{ID: "b", Incarnation: 2})).To(BeFalse())
--- a/pkg/replication/heartbeat.go
+++ b/pkg/replication/heartbeat.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// heartbeats are those of one leadership, numbered from 1 in the order of sending. A
-// majority that acknowledges one confirms that the leader was not replaced before it
-// was sent.
+// heartbeats contains the heartbeats of one leadership, numbered from 1 in the order of
+// sending. When a majority acknowledges a heartbeat, the leader had not been replaced before
+// it was sent.
 type heartbeats struct {
-	// number and sentAt are those of the newest heartbeat.
+	// number and sentAt belong to the newest heartbeat.
 	number uint64
 	sentAt time.Duration
 	// lastIndex is the last index of the log when the newest heartbeat was sent.
 	lastIndex uint64
-	// unconfirmed are those that no majority has acknowledged yet, oldest first.
+	// unconfirmed are the heartbeats that no majority has acknowledged yet, oldest first.
 	unconfirmed []sentHeartbeat
 }
 
@@ -20,15 +20,15 @@
 	sentAt time.Duration
 }
 
-// begin numbers a heartbeat that is sent now.
+// begin records a new heartbeat that is sent now.
 func (h *heartbeats) begin(now time.Duration) {
 	h.number++
 	h.sentAt = now
 	h.unconfirmed = append(h.unconfirmed, sentHeartbeat{number: h.number, sentAt: now})
 }
 
-// confirm removes the heartbeats up to the number that a majority has acknowledged,
-// and returns when the newest of them was sent. It is false if there are none.
+// confirm removes the heartbeats up to the number that a majority has acknowledged, and
+// returns when the newest of them was sent. It returns false if there are none.
 func (h *heartbeats) confirm(acknowledged uint64) (sentAt time.Duration, confirmed bool) {
 	for len(h.unconfirmed) > 0 && h.unconfirmed[0].number <= acknowledged {
 		sentAt, confirmed = h.unconfirmed[0].sentAt, true
--- a/pkg/replication/in_flight.go
+++ b/pkg/replication/in_flight.go
@@ -1,21 +1,21 @@
 package replication
 
-// inFlightAppends are the appends that a follower was sent and has not acknowledged, in the
-// order of their entries.
+// inFlightAppends are the appends that were sent to a follower and are not acknowledged, in
+// the order of their entries.
 type inFlightAppends struct {
 	appends []inFlightAppend
-	// bytes is the size of their commands together.
+	// bytes is the total size of their commands.
 	bytes int
 }
 
-// inFlightAppend is an append by the index of its last entry and the size of its commands in
+// inFlightAppend is the index of an append's last entry and the size of its commands in
 // bytes.
 type inFlightAppend struct {
 	last  uint64
 	bytes int
 }
 
-// add records an append that was sent after all others.
+// add records an append that is sent after all others.
 func (f *inFlightAppends) add(entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -25,7 +25,8 @@
 	f.bytes += size
 }
 
-// acknowledged drops the appends whose entries the follower has, up to an index.
+// acknowledged removes the appends whose entries are all at or before index, which the
+// follower has acknowledged.
 func (f *inFlightAppends) acknowledged(index uint64) {
 	for len(f.appends) > 0 && f.appends[0].last <= index {
 		f.bytes -= f.appends[0].bytes
@@ -33,7 +34,7 @@
 	}
 }
 
-// commandBytes is the size of the commands of entries together.
+// commandBytes returns the total size of the commands of the entries.
 func commandBytes(entries []Entry) int {
 	size := 0
 	for _, entry := range entries {
--- a/pkg/replication/in_flight_test.go
+++ b/pkg/replication/in_flight_test.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// boundedLeader returns the leader n1 of a group of three that keeps few bytes of its log,
-// after n2 has acknowledged all of it.
+// boundedLeader returns the leader n1 of a group of three whose MaxLogBytes is maxLogBytes,
+// after n2 has acknowledged its whole log.
 func boundedLeader(maxLogBytes int) *replication.Group {
 	g, err := replication.New(replication.Config{
 		Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2", "n3"},
@@ -30,7 +30,7 @@
 	return g
 }
 
-// sentTo passes all Readies and returns the messages to a member that carry commands or a
+// sentTo handles all Readies. It returns the messages to a member that carry entries or a
 // snapshot, and the number of the last heartbeat to it.
 func sentTo(to member.ID, g *replication.Group) (carrying []replication.Message, heartbeat uint64) {
 	for g.HasReady() {
@@ -49,7 +49,8 @@
 	return carrying, heartbeat
 }
 
-// sendHeartbeat lets a leader send its next heartbeat, and returns its number.
+// sendHeartbeat lets a leader send its next heartbeat, and returns the number of the
+// heartbeat.
 func sendHeartbeat(g *replication.Group, now time.Duration) uint64 {
 	g.Tick(now)
 	carrying, heartbeat := sentTo("n2", g)
@@ -62,11 +63,12 @@
 	return replication.Message{Type: replication.MessageHeartbeatReply, Incarnation: 1, Term: 1, HeartbeatNumber: number}
 }
 
-var _ = Describe("What a leader sends of a large log", func() {
+var _ = Describe("The transfer of a large log", func() {
 	const large = 256 << 10
 
-	// Guards against a document that is sent whole again while it is under way (issue 37).
-	It("is sent once, unless a later heartbeat was answered before it", func() {
+	// Guards against sending a large document again while the first transfer is in progress
+	// (issue 37).
+	It("sends an entry once, unless a heartbeat sent after it is acknowledged first", func() {
 		g := boundedLeader(4 * large)
 		now := electedAt + heartbeatEvery
 		before := sendHeartbeat(g, now)
@@ -74,11 +76,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		sent, _ := sentTo("n2", g)
 		Expect(sent).To(HaveLen(1))
-		By("a reply that was sent before the entry arrived")
+		By("receiving a heartbeat reply that was sent before the entry arrived")
 		Expect(g.Step(now, "n2", firstTermHeartbeatReply(before))).To(Succeed())
 		sent, _ = sentTo("n2", g)
 		Expect(sent).To(BeEmpty())
-		By("a reply that overtakes the acknowledgement of an entry that was lost")
+		By("receiving a reply to a later heartbeat, which shows that the entry was lost")
 		after := sendHeartbeat(g, now+heartbeatEvery)
 		Expect(g.Step(now+heartbeatEvery, "n2", firstTermHeartbeatReply(after))).To(Succeed())
 		reject := appendReply(1, 2)
@@ -88,9 +90,9 @@
 		Expect(sent).To(HaveLen(1))
 	})
 
-	// Guards against a member that was held up by its disk and is sent all that came
-	// meanwhile at once, which it can neither hold in memory nor write (issue 37).
-	It("is in flight in bounded bytes, and goes on with each acknowledgement", func() {
+	// Guards against sending a member that was delayed by its disk everything that was
+	// appended meanwhile at once, which it can neither hold in memory nor write (issue 37).
+	It("limits the bytes in flight, and continues with each acknowledgement", func() {
 		const entries, inFlight = 20, 3
 		g := boundedLeader(inFlight * large)
 		unacknowledged := 0
@@ -112,14 +114,14 @@
 				unacknowledged += len(message.Entries)
 			}
 			unacknowledged--
-			Expect(unacknowledged).To(BeNumerically("<=", inFlight+3), "an append has up to a mebibyte")
+			Expect(unacknowledged).To(BeNumerically("<=", inFlight+3), "the last append, of up to 1 MiB, may exceed the limit")
 		}
 		Expect(g.Status().Commit).To(BeEquivalentTo(last))
 	})
 
-	// Guards against a snapshot that is sent whole again each election timeout while the
-	// first one is under way (issue 37).
-	It("is a snapshot that is sent again only when it was lost", func() {
+	// Guards against sending the whole snapshot again at each election timeout while the
+	// first transfer is in progress (issue 37).
+	It("sends a snapshot again only when it was lost", func() {
 		g := boundedLeader(large / 2)
 		now := electedAt
 		_, err := g.Propose(now, make([]byte, large))
@@ -142,7 +144,7 @@
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].Snapshot).NotTo(BeNil())
 		beforeSnapshot := sendHeartbeat(g, now+heartbeatEvery) - 1
-		Expect(snapshots(now+electionTimeout, beforeSnapshot)).To(BeZero(), "it may be under way")
-		Expect(snapshots(now+electionTimeout, beforeSnapshot+1)).To(Equal(1), "a later heartbeat was answered")
+		Expect(snapshots(now+electionTimeout, beforeSnapshot)).To(BeZero(), "the snapshot may still be in transit")
+		Expect(snapshots(now+electionTimeout, beforeSnapshot+1)).To(Equal(1), "a heartbeat sent after the snapshot was acknowledged")
 	})
 })
--- a/pkg/replication/invalid_input_test.go
+++ b/pkg/replication/invalid_input_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("invalid input", func() {
-	It("is rejected when no correct member sends it, and changes nothing", func() {
+	It("is rejected when no correct member could have sent it, and changes nothing", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		var rejected *replication.MessageError
 		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat})).To(BeAssignableToTypeOf(rejected))
@@ -32,7 +32,7 @@
 		Expect(g.Step(0, "n3", appendMessage(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(rejected))
 	})
 
-	It("is answered with the name of the leader when a caller asks another member", func() {
+	It("is answered with the ID of the leader when a caller asks another member", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0))).To(Succeed())
 		_, err := g.Propose(0, nil)
@@ -42,7 +42,7 @@
 		Expect(g.TransferLeadership(0)).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
 	})
 
-	It("is found in settings and durable state that can't be right", func() {
+	It("is rejected in settings and durable state", func() {
 		good := replication.Config{Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2"}, HeartbeatEvery: 1, ElectionTimeout: 3}
 		for _, invalidate := range []func(*replication.Config){
 			func(c *replication.Config) { c.Self = "" },
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -6,14 +6,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxUncommitted bounds the entries that wait for a quorum.
+// maxUncommitted limits the number of entries that wait for a quorum.
 const maxUncommitted = 8192
 
-// leadership is the state of a leader. It exists while the member leads the present term,
-// and is dropped with the term. It passes replies and time between the concerns of a leader.
+// leadership is the state of a leader. It exists while the member leads the present term, and
+// is discarded with that term. It passes replies and time between the types that own the
+// leader's state.
 type leadership struct {
 	*memberState
-	// reads outlive the leadership, as those that wait fail after it.
+	// reads is kept when the leadership ends, as the waiting reads then fail.
 	reads      *readQueue
 	replicator logReplicator
 	heartbeats heartbeats
@@ -24,9 +25,9 @@
 	barrier uint64
 }
 
-// newLeadership begins to lead the present term with a barrier entry: its commit
-// commits all entries that earlier terms left. In an empty log that entry names the
-// founding voters, so that the log alone tells of the group from then on.
+// newLeadership begins to lead the present term with a barrier entry, whose commit commits
+// all entries of earlier terms. In an empty log that entry contains the founding voters, so
+// that from then on the log alone determines the group.
 func newLeadership(state *memberState, reads *readQueue) *leadership {
 	l := &leadership{
 		memberState: state,
@@ -46,13 +47,13 @@
 	return l
 }
 
-// hasLiveMajority tells whether a majority of the voters was heard lately. Otherwise
-// the others may have elected another leader.
+// hasLiveMajority reports whether the leader has recently heard from a majority of the
+// voters. If it has not, the other voters may have elected another leader.
 func (l *leadership) hasLiveMajority() bool {
 	return l.replicator.followers.hasLiveMajority(l.slots(), l.now)
 }
 
-// tick ends a transfer that takes too long, and sends the heartbeats.
+// tick ends a transfer that has timed out, and sends the heartbeats that are due.
 func (l *leadership) tick() {
 	l.transfer.tick()
 	if l.now >= l.heartbeats.sentAt+l.cfg.HeartbeatEvery {
@@ -71,7 +72,8 @@
 	return l.replicator.append(EntryCommand, command), nil
 }
 
-// requestRead lets a read wait for a heartbeat, and sends one if none is in flight.
+// requestRead queues a read until a heartbeat confirms it, and sends a heartbeat if none is
+// in flight.
 func (l *leadership) requestRead() (readID uint64, err error) {
 	if err := l.checkNotTransferring(); err != nil {
 		return 0, err
@@ -100,18 +102,18 @@
 	return nil
 }
 
-// mayCommand tells whether the leader has the command lease at now.
+// mayCommand reports whether the leader has the command lease at now.
 func (l *leadership) mayCommand(now time.Duration) bool {
 	return !l.transfer.inProgress() && l.barrierApplied() && l.lease.mayAct(now, l.now)
 }
 
-// barrierApplied tells whether all is applied that was there when the leadership
-// began.
+// barrierApplied reports whether all entries up to the barrier are applied.
 func (l *leadership) barrierApplied() bool {
 	return l.log.applied >= l.barrier
 }
 
-// checkNotTransferring fails with a *NotLeaderError on a leader that hands the leadership over.
+// checkNotTransferring fails with a *NotLeaderError while a leadership transfer is in
+// progress.
 func (l *leadership) checkNotTransferring() error {
 	if l.transfer.inProgress() {
 		return &NotLeaderError{Leader: l.transfer.target}
@@ -119,11 +121,11 @@
 	return nil
 }
 
-// stepReply handles the reply of a follower in the present term. That of a lost
-// incarnation is dropped.
+// stepReply handles a follower's reply of the present term. Replies of a lost incarnation are
+// dropped.
 func (l *leadership) stepReply(from member.ID, m Message) error {
 	if m.Type == MessageAppendReply && m.Index > l.log.lastIndex() {
-		return &MessageError{From: from, Type: m.Type, Message: "acknowledges entries that the leader never had: check that no two groups are mixed up"}
+		return &MessageError{From: from, Type: m.Type, Message: "acknowledges entries beyond the end of the leader's log: check that the sender belongs to the same group"}
 	}
 	follower := l.replicator.followers.get(from)
 	if follower == nil {
@@ -131,7 +133,7 @@
 	}
 	if m.Incarnation != follower.incarnation {
 		if !follower.isLaterIncarnation(m) {
-			// The durable state that vouched for this may be lost.
+			// The durable state on which this reply is based may be lost.
 			return nil
 		}
 		follower.beginIncarnation(m.Incarnation)
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// stepHeartbeatReply counts the acknowledgement, which may make a change of the group
-// due, and sends again what the follower lacks.
+// stepHeartbeatReply counts the acknowledgement, makes the group change that was waiting for
+// it, and sends again what the follower lacks.
 func (l *leadership) stepHeartbeatReply(from member.ID, follower *progress, m Message) {
 	if m.HeartbeatNumber <= l.heartbeats.number {
 		follower.ackedHeartbeat = max(follower.ackedHeartbeat, m.HeartbeatNumber)
@@ -157,7 +159,7 @@
 	l.transfer.repeat(from)
 }
 
-// stepAppendReply follows how far the follower's log matches, and sends what comes
+// stepAppendReply updates how far the follower's log matches, and sends the entries that come
 // next.
 func (l *leadership) stepAppendReply(from member.ID, follower *progress, m Message) {
 	if m.Reject {
@@ -176,25 +178,25 @@
 	}
 }
 
-// commit commits what a majority has, and does what waits for a commit.
+// commit advances the commit index to what a majority has, and then does what waits for a
+// commit.
 func (l *leadership) commit() {
 	if !l.replicator.commit() {
 		return
 	}
 	// Reads may have waited for the commit of the barrier.
 	l.confirmHeartbeats()
-	// The commit may be that of the removal of a voter whose slot is reserved. This
-	// doesn't wait for a heartbeat: until the slot has a vote again, the group tolerates
-	// fewer losses.
+	// The commit may be that of the removal of a voter whose slot is reserved. The promotion
+	// in that slot doesn't wait for a heartbeat: until the slot has a vote again, the group
+	// tolerates fewer losses.
 	if change, due := l.changePlanner().duePromotion(); due {
 		// An error is not final: the next heartbeat finds the change again.
 		_ = l.proposeGroupChange(change)
 	}
 }
 
-// broadcastHeartbeat sends a heartbeat to all other members. With it begins the
-// confirmation of the reads that wait for one, and the search for a change of the
-// group that is due.
+// broadcastHeartbeat sends a heartbeat to all other members. It assigns the heartbeat to the
+// reads that wait for one, and searches for a group change that is due.
 func (l *leadership) broadcastHeartbeat() {
 	l.heartbeats.begin(l.now)
 	for _, id := range l.otherMembers() {
@@ -209,14 +211,14 @@
 	l.confirmHeartbeats()
 	l.repair.search(l.changePlanner(), l.heartbeats.number)
 	l.proposeDueChange()
-	// Only now: the search above judges members by the heartbeat before this one, which
-	// they have had time to acknowledge.
+	// This must follow the search above, which judges members by the log at the previous
+	// heartbeat: they have had time to acknowledge that one.
 	l.heartbeats.lastIndex = l.log.lastIndex()
 }
 
-// confirmHeartbeats extends the command lease and answers reads by the heartbeats
-// that a majority has acknowledged. Reads wait also for the commit of the barrier, as
-// the leader can't know the last committed entry before.
+// confirmHeartbeats extends the command lease and confirms reads by the heartbeats that a
+// majority has acknowledged. Reads also wait for the commit of the barrier, as the leader
+// can't know the last committed entry before that.
 func (l *leadership) confirmHeartbeats() {
 	acknowledged := l.replicator.followers.reachedByMajority(l.log.groups.latest().voters,
 		l.heartbeats.number, func(p *progress) uint64 { return p.ackedHeartbeat })
@@ -232,8 +234,8 @@
 	}
 }
 
-// proposeDueChange proposes the change that is due once it has the acknowledgements
-// that it waits for.
+// proposeDueChange proposes the group change that is due, once the required members have
+// acknowledged a heartbeat sent since it became due.
 func (l *leadership) proposeDueChange() {
 	if change, due := l.repair.take(l.changePlanner()); due {
 		// An error is not final: the next heartbeat finds the change again.
@@ -241,7 +243,7 @@
 	}
 }
 
-// changePlanner judges changes of the group by what the leader knows at present.
+// changePlanner returns a planner with the leader's present state.
 func (l *leadership) changePlanner() *changePlanner {
 	return &changePlanner{
 		cfg:           &l.cfg,
@@ -255,7 +257,7 @@
 	}
 }
 
-// trackMembers follows a change of the group or of the peers.
+// trackMembers starts tracking new members after a change of the group or of the peers.
 func (l *leadership) trackMembers() {
 	l.replicator.trackMembers(l.heartbeats.number)
 }
--- a/pkg/replication/leadership_test.go
+++ b/pkg/replication/leadership_test.go
@@ -10,11 +10,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// electedAt is when electedLeader becomes the leader of term 2.
+// electedAt is the time at which electedLeader becomes the leader of term 2.
 const electedAt = electionTimeout
 
-// electedLeader returns the leader n1 of a group of three, whose log has an
-// entry of term 1 and its own barrier, both durable here only.
+// electedLeader returns the leader n1 of a group of three. Its log contains an entry of term
+// 1 and its own barrier, which are durable on n1 only.
 func electedLeader() *replication.Group {
 	g, err := replication.New(replication.Config{
 		Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2", "n3"},
@@ -36,7 +36,7 @@
 	return g
 }
 
-// drainReadies passes all Readies and returns the numbers of the heartbeats to n2.
+// drainReadies handles all Readies and returns the numbers of the heartbeats to n2.
 func drainReadies(g *replication.Group) (heartbeats []uint64) {
 	for g.HasReady() {
 		for _, outbound := range g.Ready().Messages {
@@ -53,7 +53,8 @@
 	return replication.Message{Type: replication.MessageAppendReply, Incarnation: 1, Term: term, Index: index}
 }
 
-// acknowledgeHeartbeatsUntil acknowledges every heartbeat at once until then.
+// acknowledgeHeartbeatsUntil advances the time to until, and acknowledges every heartbeat at
+// once.
 func acknowledgeHeartbeatsUntil(g *replication.Group, from, until time.Duration) {
 	for now := from; now <= until; now += tickEvery {
 		g.Tick(now)
@@ -69,7 +70,7 @@
 }
 
 var _ = Describe("pre-votes", func() {
-	It("are won by grants of one round of requests only", func() {
+	It("are won only by grants of the same round of requests", func() {
 		g := newMember("n1", "n1", "n2", "n3", "n4", "n5")
 		granted := replication.Message{Type: replication.MessageVoteReply, Incarnation: 1, Term: 1, PreVote: true}
 		g.Tick(electionTimeout)
@@ -83,18 +84,18 @@
 })
 
 var _ = Describe("leadership", func() {
-	It("commits an entry of an earlier term only together with its barrier", func() {
+	It("commits an entry of an earlier term only together with the leader's barrier", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 1))).To(Succeed())
 		Expect(g.Step(electedAt, "n3", appendReply(2, 1))).To(Succeed())
 		Expect(g.Status().Commit).To(BeZero())
 		Expect(g.Step(electedAt, "n3", appendReply(1, 2))).To(Succeed())
-		Expect(g.Status().Commit).To(BeZero(), "a reply in an earlier term counted")
+		Expect(g.Status().Commit).To(BeZero(), "a reply of an earlier term was counted")
 		Expect(g.Step(electedAt, "n3", appendReply(2, 2))).To(Succeed())
 		Expect(g.Status().Commit).To(Equal(uint64(2)))
 	})
 
-	It("does not command before its barrier is applied", func() {
+	It("has no command lease before the leader's barrier is applied", func() {
 		g := electedLeader()
 		late := electedAt + leaseDuration + leaseMargin
 		acknowledgeHeartbeatsUntil(g, electedAt, late)
@@ -105,7 +106,7 @@
 		Expect(g.HasCommandLease(late)).To(BeTrue())
 	})
 
-	It("counts the lease from the sending of the heartbeat, not from its acknowledgement", func() {
+	It("starts the command lease when the heartbeat is sent, not when it is acknowledged", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
 		sent := electedAt + leaseDuration + leaseMargin
@@ -124,14 +125,14 @@
 		Expect(g.HasCommandLease(end)).To(BeFalse())
 	})
 
-	It("does not advance its clock for a query about a later instant", func() {
+	It("does not advance its clock when it is asked about a future time", func() {
 		g := electedLeader()
 		Expect(g.HasCommandLease(time.Hour)).To(BeFalse())
 		g.Tick(electedAt + heartbeatEvery)
 		Expect(g.Status().Role).To(Equal(replication.RoleLeader))
 	})
 
-	It("rejects work that can't be bounded, and tells which reads failed", func() {
+	It("rejects proposals beyond the limit of uncommitted entries, and reports which reads failed", func() {
 		g := electedLeader()
 		read, err := g.RequestRead(electedAt)
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/replication/leadership_transfer.go
+++ b/pkg/replication/leadership_transfer.go
@@ -6,17 +6,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// leadershipTransfer hands the leadership over to another voter. While it is in
-// progress the leader accepts nothing new, so that the target can get the whole log.
-// A transfer that fails harms nobody: the target campaigns like any other candidate.
+// leadershipTransfer transfers the leadership to another voter. While it is in progress the
+// leader accepts neither proposals nor reads, so that the target can catch up with the whole
+// log. A transfer that fails does no harm: the target campaigns like any other candidate.
 type leadershipTransfer struct {
 	*memberState
 	followers *tracker
-	// target is the member that is to take over, or empty.
+	// target is the member that must take over, or empty.
 	target    member.ID
 	startedAt time.Duration
-	// requestSent tells that the target was asked to campaign, which it is once it
-	// has the whole log.
+	// requestSent is true if the target was asked to campaign, which happens once it has the
+	// whole log.
 	requestSent bool
 }
 
@@ -40,8 +40,9 @@
 	return nil
 }
 
-// nextLiveVoter returns the first live voter after this member in the agreed order,
-// from whose end it goes on at the beginning, or an empty ID.
+// nextLiveVoter returns the first live voter after this member in slot order, continuing at
+// the beginning after the last slot, or an empty ID. Voters that announced that they stop are
+// skipped.
 func (t *leadershipTransfer) nextLiveVoter() member.ID {
 	var before, after []Voter
 	passedSelf := false
@@ -80,14 +81,14 @@
 	})
 }
 
-// repeat asks again at a heartbeat reply, as the first request may have been lost:
-// otherwise the target would have left this term.
+// repeat asks the target again when it replies to a heartbeat. The first request may have
+// been lost, as the target would otherwise have left this term.
 func (t *leadershipTransfer) repeat(follower member.ID) {
 	t.requestSent = false
 	t.proceed(follower)
 }
 
-// tick ends a transfer whose target did not take over in time.
+// tick ends a transfer whose target did not take over within ElectionTimeout.
 func (t *leadershipTransfer) tick() {
 	if t.inProgress() && t.now >= t.startedAt+t.cfg.ElectionTimeout {
 		t.target = ""
--- a/pkg/replication/learners_test.go
+++ b/pkg/replication/learners_test.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// recipientsOf passes all Readies and returns who was sent messages of that type.
+// recipientsOf handles all Readies and returns the recipients of messages of that type.
 func recipientsOf(g *replication.Group, kind replication.MessageType) []member.ID {
 	var ids []member.ID
 	for g.HasReady() {
@@ -24,8 +24,8 @@
 	return ids
 }
 
-var _ = Describe("members without a vote, or about to lose it", func() {
-	It("are sent the log and the heartbeats, and are not asked for votes", func() {
+var _ = Describe("members without a vote, or about to leave", func() {
+	It("are sent heartbeats, and are not asked for votes", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		g.SetPeers(0, []replication.Peer{{ID: "n4"}, {ID: "n1"}, {ID: "n4"}, {ID: "n2"}, {ID: ""}})
 		g.Tick(electionTimeout)
@@ -37,7 +37,7 @@
 		Expect(recipientsOf(leader, replication.MessageHeartbeat)).To(Equal([]member.ID{"n2", "n3", "n4"}))
 	})
 
-	It("disturb no live leader, whatever term they tell of", func() {
+	It("do not disturb a live leader, whatever the term of their messages", func() {
 		leader := electedLeader()
 		follower := newMember("n2", "n1", "n2", "n3")
 		Expect(follower.Step(0, "n1", appendMessage(1, 0, 0, 0))).To(Succeed())
@@ -67,7 +67,7 @@
 		}
 	})
 
-	It("take nothing over when they leave, though they still vote", func() {
+	It("are not chosen as the target of a leadership transfer when they are about to leave", func() {
 		g := electedLeader()
 		Expect(g.Step(electedAt, "n2", appendReply(2, 2))).To(Succeed())
 		g.SetPeers(electedAt, []replication.Peer{{ID: "n2", Left: true}, {ID: "n3"}})
@@ -76,7 +76,7 @@
 		Expect(err).To(Equal(&replication.NotLeaderError{Leader: "n3"}))
 	})
 
-	It("do not count when they grant votes", func() {
+	It("have no effect on an election when they grant a vote", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		g.SetPeers(0, []replication.Peer{{ID: "n4"}})
 		g.Tick(electionTimeout)
@@ -87,7 +87,7 @@
 		Expect(g.Status().Term).To(BeZero())
 	})
 
-	It("get one when they have caught up, unless they leave", func() {
+	It("get a vote when they have caught up, unless they are about to leave", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4", "-n5")
 		c.node("n4").left = true
 		c.start(c.node("n4"))
@@ -96,7 +96,7 @@
 		Expect(c.leader().group.Status().Voters).To(Equal([]member.ID{"n1", "n2", "n3", "n5"}))
 	})
 
-	It("get none while an unresponsive voter of an odd group may yet be back", func() {
+	It("get no vote while an unresponsive voter of a group with an odd number of voters may return", func() {
 		c := stableCluster("n1", "n2", "n3", "-n4")
 		c.crash(c.node("n3"), true)
 		c.advanceBy(electionTimeout + tickEvery)
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// replicaLog is the part of the log that a member has: the entries after offset, and
-// the newest snapshot, which covers at least everything up to offset.
+// replicaLog is the part of the log that a member has: the entries after offset, and the
+// newest snapshot, which covers at least everything up to offset.
 //
-// applied <= committed <= lastIndex, and durable <= lastIndex, hold always. After a
-// snapshot of the leader was installed, applied lies before offset until the driver has
-// applied that snapshot.
+// applied <= committed <= lastIndex and durable <= lastIndex always hold. After a snapshot of
+// the leader was installed, applied is less than offset until the driver has applied that
+// snapshot.
 type replicaLog struct {
-	// offset is the index before the first of entries, and offsetTerm the term of the
-	// entry there.
+	// offset is the index before the first entry of entries, and offsetTerm is the term at
+	// offset.
 	offset     uint64
 	offsetTerm uint64
 	entries    []Entry
@@ -19,7 +19,7 @@
 	durable   uint64
 	committed uint64
 	applied   uint64
-	// groups follows from the snapshot and the entries.
+	// groups is derived from the snapshot and the entries.
 	groups groupHistory
 }
 
@@ -48,7 +48,7 @@
 	return term
 }
 
-// termAt is false for indexes that the log does not have.
+// termAt returns the term of the entry at index, or false if the log does not have the index.
 func (l *replicaLog) termAt(index uint64) (term uint64, ok bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -64,8 +64,8 @@
 	return ok && localTerm == term
 }
 
-// isUpToDate tells whether another log, which ends with (index, term), has at least what
-// this log may have committed, so that its member may be granted a term.
+// isUpToDate reports whether another log, which ends with (index, term), contains at least
+// what this log may have committed, so that its member may be granted a term.
 func (l *replicaLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -73,14 +73,14 @@
 	return index >= l.lastIndex()
 }
 
-// isAtLeastAsNew tells the reverse: whether this log is at least as new as another one, which
-// ends with (index, term).
+// isAtLeastAsNew is the reverse of isUpToDate: it reports whether this log is at least as new
+// as another log, which ends with (index, term).
 func (l *replicaLog) isAtLeastAsNew(index, term uint64) bool {
 	return term < l.lastTerm() || (term == l.lastTerm() && index <= l.lastIndex())
 }
 
-// slice returns the entries first..last. Its capacity is limited so that no later
-// append to the log can be seen through it.
+// slice returns the entries first..last. Its capacity is limited so that appending to the
+// result can't overwrite the log.
 func (l *replicaLog) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -90,8 +90,8 @@
 	return l.entries[from:to:to]
 }
 
-// entriesFrom returns entries from first on, of about maxBytes together and at least
-// one if there is any.
+// entriesFrom returns entries from first on, limited to maxBytes of commands, but at least
+// one entry if there is any.
 func (l *replicaLog) entriesFrom(first uint64, maxBytes int) []Entry {
 	entries := l.slice(first, l.lastIndex())
 	size := 0
@@ -111,19 +111,19 @@
 	}
 }
 
-// appendNew appends a new entry of the term after the last one.
+// appendNew appends a new entry of the given term to the end of the log.
 func (l *replicaLog) appendNew(term uint64, kind EntryKind, command []byte) (index uint64) {
 	entry := Entry{Index: l.lastIndex() + 1, Term: term, Kind: kind, Command: slices.Clone(command)}
 	l.append(entry)
 	return entry.Index
 }
 
-// maybeAppend appends entries after the entry (index, term). It is false if the log
-// does not have that entry; otherwise it returns the last new index.
+// maybeAppend appends entries after the entry (index, term) and returns the index of the last
+// one. It returns false if the log does not have the entry (index, term).
 func (l *replicaLog) maybeAppend(index, term uint64, entries []Entry) (last uint64, ok bool) {
 	last = index + uint64(len(entries))
 	if index < l.offset {
-		// What the offset covers is committed, and so the same everywhere.
+		// Entries up to offset are committed, and so the same on all members.
 		skip := min(l.offset-index, uint64(len(entries)))
 		entries = entries[skip:]
 	} else if !l.matches(index, term) {
@@ -140,8 +140,7 @@
 	return last, true
 }
 
-// truncateFrom drops the entries from index on, which conflict with the leader's
-// log.
+// truncateFrom removes the entries at index and later, which conflict with the leader's log.
 func (l *replicaLog) truncateFrom(index uint64) {
 	remaining := index - l.offset - 1
 	if remaining >= uint64(len(l.entries)) {
@@ -152,8 +151,8 @@
 	l.groups = l.groups.truncated(index)
 }
 
-// conflictHint returns the last index at or before index whose term is not above
-// term, which is where the logs may begin to agree.
+// conflictHint returns the last index at or before index whose term is not greater than term,
+// which is where the logs may begin to agree.
 func (l *replicaLog) conflictHint(index, term uint64) (hint, hintTerm uint64) {
 	hint = min(index, l.lastIndex())
 	for hint > l.offset {
@@ -169,7 +168,7 @@
 	return l.offset, l.offsetTerm
 }
 
-// commitTo is true if the commit index advanced.
+// commitTo advances the commit index, and returns whether it advanced.
 func (l *replicaLog) commitTo(index uint64) bool {
 	if index <= l.committed {
 		return false
@@ -183,14 +182,13 @@
 	l.applied = max(l.applied, index)
 }
 
-// notDurable returns the entries that the driver has yet to write.
+// notDurable returns the entries that the driver has not made durable yet.
 func (l *replicaLog) notDurable() []Entry {
 	return l.slice(l.durable+1, l.lastIndex())
 }
 
-// setDurable records that the entries are durable. Those that were truncated in the
-// meantime don't count; an entry that is still the same has the same entries before
-// it.
+// setDurable records that the entries are durable. Entries that were truncated in the
+// meantime don't count. If an entry still matches, all entries before it match as well.
 func (l *replicaLog) setDurable(entries []Entry) {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if l.matches(entries[i].Index, entries[i].Term) {
@@ -200,8 +198,8 @@
 	}
 }
 
-// install replaces the whole log by the snapshot. It counts as durable at once: the next
-// Ready has it, and whatever acknowledges it.
+// install replaces the whole log with the snapshot. The snapshot counts as durable at once,
+// because the next Ready contains it together with any message that acknowledges it.
 func (l *replicaLog) install(snapshot *Snapshot) {
 	l.snapshot = snapshot
 	l.offset = snapshot.Index
@@ -212,9 +210,8 @@
 	l.groups = groupHistory{newGroupState(snapshot.Index, snapshot.Slots)}
 }
 
-// compact makes the snapshot the newest one, and keeps of the entries that it covers the
-// newest: up to maxEntries of them, with commands of up to maxBytes together, or of any size
-// if that is zero.
+// compact sets the newest snapshot, and keeps the newest of the entries that it covers: up to
+// maxEntries of them, and up to maxBytes of commands. A maxBytes of zero means no limit.
 func (l *replicaLog) compact(snapshot *Snapshot, maxEntries uint64, maxBytes int) {
 	l.snapshot = snapshot
 	l.groups = l.groups.compacted(snapshot.Index)
@@ -234,8 +231,8 @@
 	l.offsetTerm = term
 }
 
-// offsetWithin returns the lowest offset, from first on, with commands of up to maxBytes
-// together between it and last.
+// offsetWithin returns the lowest offset that is not less than first, and for which the
+// commands of the entries after it, up to last, have a total size of at most maxBytes.
 func (l *replicaLog) offsetWithin(first, last uint64, maxBytes int) uint64 {
 	size := 0
 	for offset := last; offset > first; offset-- {
--- a/pkg/replication/log_test.go
+++ b/pkg/replication/log_test.go
@@ -8,7 +8,7 @@
 var _ = ginkgo.Describe("A compacted log", func() {
 	const commandBytes = 100
 
-	// logOf returns a log of entries 1 to last, all applied.
+	// logOf returns a log with entries 1 to last, all applied.
 	logOf := func(last uint64) *replicaLog {
 		log := restoreLog(Restored{}, slots{{Voter: Voter{ID: "a", Incarnation: 1}}})
 		for range last {
@@ -18,8 +18,9 @@
 		return log
 	}
 
-	// Guards against entries that are counted and not measured (issue 37, review/1).
-	ginkgo.DescribeTable("keeps what both bounds allow",
+	// Guards against limiting a compacted log by the number of entries only, whatever their
+	// size (issue 37, review/1).
+	ginkgo.DescribeTable("keeps the entries that both limits allow",
 		func(maxEntries uint64, maxBytes int, wantOffset uint64) {
 			log := logOf(20)
 			log.compact(&Snapshot{Index: 18, Term: 1}, maxEntries, maxBytes)
@@ -27,10 +28,10 @@
 			Expect(log.lastIndex()).To(BeEquivalentTo(20))
 			Expect(log.matches(wantOffset+1, 1)).To(BeTrue())
 		},
-		ginkgo.Entry("entries alone", uint64(5), 0, uint64(13)),
-		ginkgo.Entry("fewer bytes than entries", uint64(5), 3*commandBytes, uint64(15)),
-		ginkgo.Entry("fewer entries than bytes", uint64(2), 3*commandBytes, uint64(16)),
-		ginkgo.Entry("no whole entry", uint64(5), commandBytes-1, uint64(18)),
-		ginkgo.Entry("all of them", uint64(50), 50*commandBytes, uint64(0)),
+		ginkgo.Entry("limited by entries, without a limit of bytes", uint64(5), 0, uint64(13)),
+		ginkgo.Entry("limited by bytes", uint64(5), 3*commandBytes, uint64(15)),
+		ginkgo.Entry("limited by entries", uint64(2), 3*commandBytes, uint64(16)),
+		ginkgo.Entry("limited to less than one entry", uint64(5), commandBytes-1, uint64(18)),
+		ginkgo.Entry("within both limits", uint64(50), 50*commandBytes, uint64(0)),
 	)
 })
--- a/pkg/replication/member_state.go
+++ b/pkg/replication/member_state.go
@@ -6,31 +6,31 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxQueuedMessages bounds the messages that wait for a Ready.
+// maxQueuedMessages limits the number of messages that wait for a Ready.
 const maxQueuedMessages = 4096
 
-// memberState is what a member has in every role: its identity, the time, its term and
-// log, the members that it knows of, and the messages that it sends. The concerns of
-// a Group share one. What has an invariant in it (the term and vote, the log) is changed
-// only through methods that keep it.
+// memberState is the state that a member has in every role: its identity, the time, its term
+// and log, the members that it knows, and its outgoing messages. All parts of a Group share
+// one memberState. The term, the vote and the log have invariants and are changed only
+// through methods that maintain them.
 type memberState struct {
 	cfg Config
-	// now is the newest instant that the driver has passed in.
+	// now is the latest time that the driver has passed in.
 	now time.Duration
 	// hardState is the present term and vote.
 	hardState termState
 	log       *replicaLog
 	peers     peerSet
-	// outbox are the messages for the next Ready.
+	// outbox contains the messages for the next Ready.
 	outbox []Outbound
 }
 
-// advanceClock keeps the time from running backwards.
+// advanceClock sets the time, which never goes backwards.
 func (s *memberState) advanceClock(now time.Duration) {
 	s.now = max(s.now, now)
 }
 
-// self is this member in its present incarnation.
+// self returns this member in its present incarnation.
 func (s *memberState) self() Voter {
 	return Voter{ID: s.cfg.Self, Incarnation: s.cfg.Incarnation}
 }
@@ -40,17 +40,17 @@
 	return s.log.groups.latest().slots
 }
 
-// isVoter tells whether this member has a vote, by the group that it knows.
+// isVoter reports whether this member has a vote in the group that it knows.
 func (s *memberState) isVoter() bool {
 	return !s.cfg.Learner && s.slots().votes(s.self())
 }
 
-// recognizes tells whether the member has a slot or is a peer.
+// recognizes reports whether the member has a slot or is a known peer.
 func (s *memberState) recognizes(id member.ID) bool {
 	return s.slots().position(id) >= 0 || s.peers.find(id) != nil
 }
 
-// otherMembers returns the other members: those with a slot, then the peers
+// otherMembers returns the IDs of the other members: first those with a slot, then the peers
 // without one.
 func (s *memberState) otherMembers() []member.ID {
 	group := s.slots()
@@ -68,9 +68,9 @@
 	return others
 }
 
-// send queues a message for the next Ready. While a sync stalls, the queue is
-// bounded; a message that is dropped then counts as lost on the way, and is
-// repeated.
+// send queues a message for the next Ready. The queue is bounded, as it grows while a sync
+// stalls. A message that does not fit is dropped like one that is lost on the network, and is
+// sent again later.
 func (s *memberState) send(to member.ID, m Message) {
 	if len(s.outbox) >= maxQueuedMessages {
 		return
--- a/pkg/replication/peers.go
+++ b/pkg/replication/peers.go
@@ -6,18 +6,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Peer is another member with a disk, whether it votes or not.
+// Peer is another member with a disk, with or without a vote.
 type Peer struct {
 	ID member.ID
-	// Left tells that the member announced that it stops.
+	// Left is true if the member announced that it stops.
 	Left bool
 }
 
-// peerSet is the other members that are known, in the order they were given in.
+// peerSet contains the other known members, in the order in which the driver gave them.
 type peerSet []Peer
 
-// newPeerSet drops self, members without an ID, and all but the first of those
-// that are listed twice.
+// newPeerSet removes self, members with an empty ID, and all but the first occurrence of an
+// ID.
 func newPeerSet(self member.ID, peers []Peer) peerSet {
 	set := make(peerSet, 0, len(peers))
 	for _, peer := range peers {
@@ -37,7 +37,7 @@
 	return &s[index]
 }
 
-// hasLeft tells whether the member announced that it stops.
+// hasLeft reports whether the member announced that it stops.
 func (s peerSet) hasLeft(id member.ID) bool {
 	peer := s.find(id)
 	return peer != nil && peer.Left
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// maxInFlightEntries is how many entries the leader sends to a follower before their
-// acknowledgements.
+// maxInFlightEntries is how many entries the leader sends to a follower before it waits for
+// an acknowledgement.
 const maxInFlightEntries = 1024
 
-// progressState tells how the leader sends the log to a follower.
+// progressState is how the leader sends the log to a follower.
 type progressState uint8
 
 const (
-	// progressProbe looks for the last matching entry, one append at a time.
+	// progressProbe searches for the last matching entry, one append at a time.
 	progressProbe progressState = iota
-	// progressReplicate sends entries before those sent earlier are acknowledged.
+	// progressReplicate sends entries without waiting for acknowledgements of earlier ones.
 	progressReplicate
 	// progressSnapshot waits for the follower to install a snapshot.
 	progressSnapshot
 )
 
-// progress is what a leader knows of a follower. match < next holds always.
+// progress is the leader's view of a follower. match < next always holds.
 type progress struct {
 	state progressState
-	// match is the last index known to be durable there and the same as here.
+	// match is the last index known to be durable on the follower and the same as on the
+	// leader.
 	match uint64
-	// next is the first index to send.
+	// next is the index of the first entry to send.
 	next uint64
-	// probeSent tells that an append is in flight in progressProbe.
+	// probeSent is true if an append is in flight in progressProbe.
 	probeSent bool
 	// snapshotIndex and snapshotSentAt are valid in progressSnapshot.
 	snapshotIndex  uint64
 	snapshotSentAt time.Duration
-	// inFlight are the appends that were sent and are not acknowledged: in
-	// progressReplicate of up to about maxInFlightBytes together, where zero is no bound.
+	// inFlight are the appends that were sent and are not acknowledged. In progressReplicate,
+	// no more are sent once their size reaches maxInFlightBytes; zero means no limit.
 	inFlight         inFlightAppends
 	maxInFlightBytes int
-	// sentHeartbeat is the newest heartbeat that had been sent before the last append or
-	// snapshot.
+	// sentHeartbeat is the number of the newest heartbeat that was sent before the last
+	// append with entries or the last snapshot.
 	sentHeartbeat uint64
-	// lastContact is when the member was last heard in this term.
+	// lastContact is when the leader last heard from the member in this term.
 	lastContact time.Duration
-	// ackedHeartbeat is the newest heartbeat that the member acknowledged.
+	// ackedHeartbeat is the number of the newest heartbeat that the member acknowledged.
 	ackedHeartbeat uint64
-	// contactHeartbeat is the newest heartbeat that had been sent at lastContact.
+	// contactHeartbeat is the number of the newest heartbeat that was sent before
+	// lastContact.
 	contactHeartbeat uint64
-	// incarnation is the newest incarnation in which the member was heard. match
-	// and ackedHeartbeat are those of this incarnation, and count if it has a vote.
+	// incarnation is the newest incarnation in which the leader heard from the member. match
+	// and ackedHeartbeat belong to this incarnation, and count only if it has a vote.
 	incarnation uint64
-	// refusesVote tells that the member never takes a vote, by its settings.
+	// refusesVote is true if the member never takes a vote (Config.Learner).
 	refusesVote bool
 }
 
@@ -72,23 +74,23 @@
 	p.inFlight = inFlightAppends{}
 }
 
-// lastSendLost tells whether the last append or snapshot was lost, as the follower has
-// acknowledged that heartbeat and not what was sent before it: a connection keeps the
-// order, and a follower acknowledges in it.
+// lastSendLost reports whether the last append or snapshot was lost, given that the follower
+// has acknowledged the heartbeat but not what was sent before it. A connection preserves the
+// order of messages, and a follower acknowledges them in that order.
 func (p *progress) lastSendLost(heartbeat uint64) bool {
 	return heartbeat > p.sentHeartbeat
 }
 
-// isLaterIncarnation tells whether the message proves that its incarnation is later
-// than the one that the member was heard in: it acknowledges a heartbeat that was
-// sent after that one was heard, and the incarnations of a member follow each
-// other. So the numbers of incarnations need no order, and no late message of a
-// lost incarnation counts.
+// isLaterIncarnation reports whether the message proves that its incarnation is later than
+// the one in which the leader last heard from the member. It does if it acknowledges a
+// heartbeat that was sent after that contact, as a member runs in only one incarnation at a
+// time. So the numbers of incarnations need no order, and no late message of a lost
+// incarnation counts.
 func (p *progress) isLaterIncarnation(m Message) bool {
 	return m.HeartbeatNumber > p.contactHeartbeat && m.Incarnation != 0
 }
 
-// heard records a message that counts, when the newest heartbeat was that of the
+// heard records a message that counts, received when the newest heartbeat had the given
 // number.
 func (p *progress) heard(m Message, now time.Duration, heartbeat uint64) {
 	p.lastContact = now
@@ -96,8 +98,8 @@
 	p.refusesVote = m.Learner
 }
 
-// beginIncarnation forgets what the member acknowledged with the durable state that
-// it lost.
+// beginIncarnation switches to a new incarnation, and discards what the member acknowledged
+// with the durable state that it lost.
 func (p *progress) beginIncarnation(incarnation uint64) {
 	p.incarnation = incarnation
 	p.match = 0
@@ -105,8 +107,8 @@
 	p.becomeProbe()
 }
 
-// acknowledged records that the follower has everything up to index. It is true if
-// match advanced.
+// acknowledged records that the follower has everything up to index. It returns whether match
+// advanced.
 func (p *progress) acknowledged(index uint64) bool {
 	advanced := index > p.match
 	p.match = max(p.match, index)
@@ -124,9 +126,8 @@
 	return advanced
 }
 
-// rejected records that the follower lacks the entry at index, and that the logs may
-// agree at hint. It is true if the leader must send again, and false for a reply
-// that is out of date.
+// rejected records that the follower lacks the entry at index, and that the logs may agree up
+// to hint. It returns true if the leader must send again, and false for an outdated reply.
 func (p *progress) rejected(index, hint uint64) bool {
 	if index <= p.match {
 		return false
@@ -146,7 +147,7 @@
 	return true
 }
 
-// sent records that an append was sent after that heartbeat.
+// sent records that an append was sent when the newest heartbeat had the given number.
 func (p *progress) sent(entries []Entry, heartbeat uint64) {
 	if len(entries) > 0 {
 		p.sentHeartbeat = heartbeat
@@ -164,7 +165,7 @@
 	}
 }
 
-// isPaused tells that no append may be sent until one is acknowledged.
+// isPaused reports whether no append may be sent until the follower acknowledges one.
 func (p *progress) isPaused() bool {
 	switch p.state {
 	case progressProbe:
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -6,51 +6,53 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// A group that lost the durable state of a majority of its voters can elect nobody
-// any more. It is recovered under a recovery term, which is granted not by a
-// majority but by the present incarnation of every slot. Then each incarnation that
-// may ever have voted either has granted the recovery term, and takes no part in
-// lower terms, or is one that its member has replaced, and is gone for good. Since
-// each grant is given only to a log that is up to date, the member that wins the
-// recovery term has all that survived.
+// A group that lost the durable state of a majority of its voters can't elect a leader any
+// more. It is recovered under a recovery term, which is granted not by a majority but by the
+// present incarnation of every slot. Each incarnation that may ever have voted then either
+// has granted the recovery term, and takes no part in lower terms, or has been replaced by
+// its member and is permanently gone. As a member grants only to a log that is up to date,
+// the member that wins the recovery term has everything that survived.
 
 const (
-	// recoveryTimeouts is how many election timeouts pass without a leader before a
-	// member asks whether the group must be recovered, and how many a recovery term
-	// may take to be granted.
+	// recoveryTimeouts is how many election timeouts pass without a leader before a member
+	// asks whether the group must be recovered, and how many it waits for the grants of a
+	// recovery term.
 	recoveryTimeouts = 3
-	// recoveryTermStep is how far a recovery term lies above all terms that are
-	// known, so that it is above those too that only lost disks knew.
+	// recoveryTermStep is the distance of a recovery term from the highest known term, so
+	// that the recovery term is also above terms that were recorded only on lost disks.
 	recoveryTermStep = 1 << 16
 )
 
-// quorumRecovery is this member's attempt to recover a group that lost its quorum.
-// It has two phases, as an election has: with term zero the member only asks who
-// would grant a recovery term, then it requests the grants for term. A recovery term
-// is a term like any other, with one vote: the election keeps that.
+// quorumRecovery is this member's attempt to recover a group that lost its quorum. Like an
+// election, it has two phases: while term is zero, the member only asks which members would
+// grant a recovery term; then it requests grants for term. A recovery term is an ordinary
+// term in which a member has one vote, which the election maintains.
 type quorumRecovery struct {
 	*memberState
 	election *election
-	// term is the recovery term that this member has begun, or 0.
+	// term is the recovery term that this member has begun, or zero.
 	term uint64
-	// startedAt is when term was begun.
+	// startedAt is when this member began term.
 	startedAt   time.Duration
 	requestedAt time.Duration
 	// retryAt is when the next attempt may begin.
 	retryAt time.Duration
 	granted grants
-	// termFloor is the highest term that was heard of; recovery terms lie above it.
+	// termFloor is the highest term that is known to have been in use; recovery terms are
+	// above it.
 	termFloor uint64
-	// lastBegunTerm is the newest recovery term that this process has begun; 0 if none, or
-	// if that turned out to be no step above all terms that were in use.
+	// lastBegunTerm is the newest recovery term that this process has begun. It is zero if
+	// there is none, or if that term turned out to be less than a step above all terms that
+	// were in use.
 	lastBegunTerm uint64
-	// stateExpected tells that the group had a state, whatever the disks contain.
+	// stateExpected is true if the group had state before, even if this member's log is
+	// empty.
 	stateExpected bool
 }
 
-// tick asks, once no leader has been heard for some time, whether the group must be
-// recovered. The members begin one after the other, in the order of their slots. It is true
-// while a recovery term of this member awaits its grants, which rules out an election.
+// tick asks, once no leader has been heard from for some time, whether the group must be
+// recovered. The members begin one after the other, in slot order. It returns true while a
+// recovery term of this member waits for its grants, which rules out an election.
 func (r *quorumRecovery) tick() (awaitsGrants bool) {
 	position := r.slots().position(r.cfg.Self)
 	hasState := r.stateExpected || r.log.lastIndex() > 0
@@ -64,7 +66,7 @@
 	wait := recoveryTimeouts*r.cfg.ElectionTimeout + time.Duration(position)*r.cfg.ElectionTimeout/2
 	dueAt := max(r.election.timer.waitFrom+wait, r.retryAt)
 	if r.now >= dueAt && r.now >= r.requestedAt+r.cfg.ElectionTimeout {
-		// What was granted before may be untrue by now.
+		// Earlier grants may be out of date.
 		r.granted = grants{r.self()}
 		r.requestGrants()
 		r.countGrants()
@@ -72,9 +74,9 @@
 	return false
 }
 
-// tickTerm repeats the requests of a recovery term, and gives the term up if a later one
-// was adopted since, or if it isn't granted in time. A term that is granted by all lapses
-// as well unless RecoverQuorum uses it by then.
+// tickTerm repeats the requests of a recovery term. It gives the term up if a later one was
+// adopted since, or if recoveryTimeouts election timeouts have passed. That includes a term
+// that all members have granted but for which RecoverQuorum was not called in time.
 func (r *quorumRecovery) tickTerm() (awaitsGrants bool) {
 	if !r.current() || r.now >= r.startedAt+recoveryTimeouts*r.cfg.ElectionTimeout {
 		r.stopUntil(r.now + r.cfg.HeartbeatEvery)
@@ -86,9 +88,10 @@
 	return true
 }
 
-// stepRequest grants a recovery term to a log that is up to date, durably before the
-// reply leaves. The term of the reply is the highest one that was seen here. A voter states
-// its log as well: the sender gives way to one whose log is newer (stepReply).
+// stepRequest grants a recovery term to a member whose log is up to date. The grant is
+// durable before the reply is sent. The term of the reply is the highest one that this member
+// knows. A voter also reports its last entry, as the sender gives way to a voter with a newer
+// log (stepReply).
 func (r *quorumRecovery) stepRequest(from member.ID, m Message) {
 	granted := !r.cfg.Learner && r.log.isUpToDate(m.Index, m.IndexTerm)
 	if m.PreVote {
@@ -103,9 +106,9 @@
 	r.send(from, reply)
 }
 
-// stepReply counts a grant. A reply of a voter with a newer log leaves the recovery
-// to that voter: this member may not know the newest group, and so not all whose
-// grant is needed.
+// stepReply counts a grant. If the reply is from a voter with a newer log, this member leaves
+// the recovery to that voter: this member may not know the newest group, and so may not know
+// all members whose grant is needed.
 func (r *quorumRecovery) stepReply(from member.ID, m Message) {
 	if !r.recognizes(from) {
 		return
@@ -127,8 +130,8 @@
 	r.addGrant(Voter{ID: from, Incarnation: m.Incarnation})
 }
 
-// restartAbove begins another recovery term above a term that was in use, if the one
-// that this member has won does not lie above it.
+// restartAbove records that term was in use. If this member has won a recovery term that is
+// not above it, this begins another recovery term.
 func (r *quorumRecovery) restartAbove(term uint64) {
 	r.raiseTermFloor(term)
 	if r.won() && r.term <= term {
@@ -137,10 +140,11 @@
 	}
 }
 
-// appendGroup appends the entries that begin the recovered group: the state, then the
-// group of the incarnations that have granted. In this order, a member that knows the
-// new group has the state too. An empty log gets the group before that first. A
-// recovery term forms one group only, as the term may outlast the leadership.
+// appendGroup appends the entries that begin the recovered group: the state, then the group
+// of the incarnations that have granted. In this order, every member that knows the new group
+// has the state too. In an empty log, the previous group is appended before them. The attempt
+// then ends, so that a recovery term forms only one group even if the term outlasts the
+// leadership.
 func (r *quorumRecovery) appendGroup(state []byte) {
 	group := r.slots()
 	if r.log.lastIndex() == 0 {
@@ -151,7 +155,7 @@
 	r.stopUntil(r.now + r.cfg.HeartbeatEvery)
 }
 
-// addGrant counts the first grant of a member.
+// addGrant counts the first grant of each member.
 func (r *quorumRecovery) addGrant(from Voter) {
 	if !r.granted.includes(from.ID) {
 		r.granted = append(r.granted, from)
@@ -159,24 +163,24 @@
 	}
 }
 
-// countGrants decides, when the members of all slots have granted, whether the group
-// must be recovered. By then this member's log is known to be the newest, and so is
-// the group that it tells of.
+// countGrants decides, once the members of all slots have granted, whether the group must be
+// recovered. By then this member's log is known to be the newest, and so is the group that it
+// defines.
 func (r *quorumRecovery) countGrants() {
 	if !r.grantedByAll() {
 		return
 	}
 	switch {
 	case r.granted.includeMajority(r.slots()):
-		// An election can do it.
+		// The voters that granted can elect a leader.
 		r.stop()
 	case r.term == 0:
 		r.startTerm()
 	}
 }
 
-// startTerm begins a recovery term and votes for this member itself. The vote counts
-// once it is durable, see Group.acknowledgeSelf.
+// startTerm begins a recovery term and votes for this member. The vote counts once it is
+// durable, see Group.acknowledgeSelf.
 func (r *quorumRecovery) startTerm() {
 	term := r.nextTerm()
 	r.election.voteForSelf(term)
@@ -187,14 +191,15 @@
 	r.requestGrants()
 }
 
-// nextTerm is above the highest term that is known, and is one that no other position
-// among the slots chooses: of two recovery terms at a time one is higher, and wins.
+// nextTerm returns a term above the highest known term. Members at different slot positions
+// of a group choose different terms, so that of two concurrent recovery terms the higher one
+// wins.
 func (r *quorumRecovery) nextTerm() uint64 {
 	newest := max(r.hardState.Term, r.termFloor)
 	term := newest + recoveryTermStep
 	if newest == r.lastBegunTerm && newest > 0 {
-		// This member's last recovery term was not granted, and is a step above the
-		// others already.
+		// This member's last recovery term was not granted, and is already a step above the
+		// others.
 		term = newest + 1
 	}
 	group := r.slots()
@@ -205,8 +210,8 @@
 	return term
 }
 
-// requestGrants asks the members of all slots that have not granted, and the other
-// peers, one of which may be a voter of a newer group.
+// requestGrants sends requests to the members of all slots that have not granted, and to the
+// other peers, one of which may be a voter of a newer group.
 func (r *quorumRecovery) requestGrants() {
 	r.requestedAt = r.now
 	for _, id := range r.otherMembers() {
@@ -223,36 +228,36 @@
 	}
 }
 
-// stop ends the attempt.
 func (r *quorumRecovery) stop() {
 	r.term = 0
 	r.granted = nil
 }
 
-// stopUntil ends the attempt; another one follows.
+// stopUntil ends the attempt; another one may begin at retryAt.
 func (r *quorumRecovery) stopUntil(retryAt time.Duration) {
 	r.stop()
 	r.retryAt = retryAt
 }
 
-// raiseTermFloor notes a term that was in use.
+// raiseTermFloor records a term that was in use.
 func (r *quorumRecovery) raiseTermFloor(term uint64) {
 	r.termFloor = max(r.termFloor, term)
 }
 
-// won tells whether all have granted the recovery term.
+// won reports whether all required members have granted the recovery term.
 func (r *quorumRecovery) won() bool {
 	return r.current() && r.grantedByAll()
 }
 
-// current tells whether the recovery term of this member is still the newest term.
+// current reports whether the recovery term of this member is still the newest term that it
+// knows.
 func (r *quorumRecovery) current() bool {
 	return r.term != 0 && r.term == r.hardState.Term && !r.election.leads()
 }
 
-// grantedByAll tells whether the members of all slots have granted. A member with an
-// empty log knows the founders only, and waits for all peers: one of them may be a
-// later voter.
+// grantedByAll reports whether the members of all slots have granted. A member with an empty
+// log knows only the founders, and therefore also waits for all peers: one of them may be a
+// voter that was added later.
 func (r *quorumRecovery) grantedByAll() bool {
 	if !r.granted.includeSlots(r.slots()) {
 		return false
--- a/pkg/replication/random_test.go
+++ b/pkg/replication/random_test.go
@@ -13,19 +13,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-var schedules = flag.Int("schedules", randomSchedules, "how many random schedules are run")
+var schedules = flag.Int("schedules", randomSchedules, "number of random schedules")
 
 const (
 	randomSchedules = 2000
 	faultyTicks     = 200
 	healedTicks     = 200
-	// neverRepairedEvery is how often a schedule has a lost disk whose member
-	// stays a learner, in place of several that are repaired.
+	// neverRepairedEvery means that in one of so many schedules a disk is lost whose member
+	// stays a learner, instead of several losses after which the members get their votes
+	// again.
 	neverRepairedEvery = 4
 )
 
 var _ = Describe("random schedules", func() {
-	It("keep one history, one leader per term and one lease holder, and end in agreement", func() {
+	It("apply one sequence of entries, have one leader per term and one lease holder, and end in agreement", func() {
 		var committed, terms, reads, leases, lost, recoveries int
 		for seed := range uint64(*schedules) {
 			c := randomCluster(seed)
@@ -44,7 +45,7 @@
 				reads += n.readsServed
 			}
 		}
-		// The schedules would prove nothing if they never came to the point.
+		// The test is only meaningful if the schedules reach these situations often enough.
 		Expect(terms).To(BeNumerically(">", 2**schedules))
 		Expect(committed).To(BeNumerically(">", 10**schedules))
 		Expect(reads).To(BeNumerically(">", *schedules))
@@ -60,12 +61,13 @@
 	c := newCluster(random, ids...)
 	c.neverRepaired = seed%neverRepairedEvery == 0
 	c.majorityLost = seed%neverRepairedEvery == 1
-	// Unresponsive members are not removed here: the elastic schedules do that.
+	// Unresponsive members are not removed here; the elastic schedules cover that.
 	c.config.RemoveAfter = time.Hour
 	c.faults = faults{lose: 0.1, duplicate: 0.1, stall: 0.1, maxDelay: 20 * time.Millisecond}
 	for _, n := range c.nodes {
 		n.offset = time.Duration(random.Int64N(int64(time.Hour)))
-		// Clocks differ by a tenth of what the margin covers over the lease.
+		// Each clock deviates by at most 1 %, a tenth of what the margin covers over the
+		// lease.
 		n.drift = time.Duration(random.IntN(21) - 10)
 		c.start(n)
 	}
@@ -85,7 +87,8 @@
 			c.drain(n)
 		}
 	case roll < 60:
-		// Also a process that was paused till now, before it sees the time.
+		// This includes a process that was paused until now and has not yet been told the
+		// time.
 		n.pausedUntil = c.now
 		c.read(n)
 	case roll < 64:
@@ -104,13 +107,13 @@
 			c.drain(n)
 		}
 	case roll < 83:
-		// Compacting twice at one index is rejected, which is fine here.
+		// Compacting again at the same index is rejected, which is harmless here.
 		_ = c.compact(n)
 	case roll < 84 && c.neverRepaired && !c.wiped:
 		c.wiped = true
 		c.wipe(n)
 	case roll < 86 && !c.neverRepaired && c.intactAfter(n):
-		// More lost disks than this could have had all replicas of an entry.
+		// Losing more disks than intactAfter allows could lose all replicas of an entry.
 		c.loseDisk(n)
 	case roll < 87 && c.majorityLost && c.random.IntN(4) == 0:
 		for range 1 + c.random.IntN(len(c.nodes)) {
@@ -148,8 +151,8 @@
 	}
 }
 
-// expectRepaired expects every member to vote in the incarnation of its disk,
-// on all members and finally.
+// expectRepaired expects every member to have a vote in the incarnation of its disk, in a
+// committed group that is the same on all members.
 func expectRepaired(c *cluster, seed uint64) {
 	var fullGroup []replication.Slot
 	for _, n := range c.nodes {
@@ -157,14 +160,14 @@
 	}
 	for _, n := range c.nodes {
 		status := n.group.Status()
-		Expect(status.Slots).To(Equal(fullGroup), "seed %d: %s has another group", seed, n.id)
+		Expect(status.Slots).To(Equal(fullGroup), "seed %d: the group of %s is not that of all nodes", seed, n.id)
 		Expect(status.ChangeIndex).To(BeNumerically("<=", status.Commit), "seed %d: %s", seed, n.id)
 		Expect(status.Role).NotTo(Equal(replication.RoleLearner), "seed %d: %s", seed, n.id)
 	}
 }
 
-// expectAgreement expects one leader, and all that anyone ever applied to be
-// applied everywhere.
+// expectAgreement expects one leader, and that every node has applied everything that any
+// node has applied.
 func expectAgreement(c *cluster, seed uint64) {
 	leaders := 0
 	for _, n := range c.present() {
@@ -172,15 +175,15 @@
 		if status.Role == replication.RoleLeader {
 			leaders++
 		}
-		Expect(status.Applied).To(Equal(c.highestApplied), "seed %d: %s lags", seed, n.id)
-		Expect(n.applied).To(Equal(c.digests[c.highestApplied]), "seed %d: %s differs", seed, n.id)
+		Expect(status.Applied).To(Equal(c.highestApplied), "seed %d: %s has not applied all entries", seed, n.id)
+		Expect(n.applied).To(Equal(c.digests[c.highestApplied]), "seed %d: the state of %s differs", seed, n.id)
 	}
-	Expect(leaders).To(Equal(1), "seed %d: leaders", seed)
+	Expect(leaders).To(Equal(1), "seed %d: number of leaders", seed)
 	switch {
 	case c.elastic:
 		expectAllMembersVote(c, seed)
 	case !c.neverRepaired:
 		expectRepaired(c, seed)
 	}
-	Expect(c.leaseHolders()).To(Equal(1), "seed %d: lease holders", seed)
+	Expect(c.leaseHolders()).To(Equal(1), "seed %d: number of lease holders", seed)
 }
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -2,32 +2,33 @@
 
 import "slices"
 
-// Ready is what the driver has to do, in the order of the package comment.
+// Ready contains the work that the driver must do next, in the order given in the package
+// comment.
 type Ready struct {
-	// HardState is nil unless it must be made durable.
+	// HardState must be made durable, unless it is nil.
 	HardState *HardState
-	// Entries must be made durable. They replace all durable entries from the index
-	// of the first one on.
+	// Entries must be made durable. They replace all durable entries with an index equal to
+	// or greater than that of the first entry.
 	Entries []Entry
 	// Snapshot replaces the whole durable log and the application's state.
 	Snapshot *Snapshot
-	// Messages may leave when all of the above is durable.
+	// Messages may be sent once HardState, Entries and Snapshot are durable.
 	Messages []Outbound
-	// Committed are to be applied, in order.
+	// Committed contains the entries to apply, in order.
 	Committed []Entry
-	// Reads may be answered when Committed is applied.
+	// Reads may be answered once Committed is applied.
 	Reads []Read
-	// ReadsFailed are the IDs of reads that this member can't answer any more.
+	// ReadsFailed contains the IDs of reads that this member can't answer any more.
 	ReadsFailed []uint64
 }
 
-// MustSync tells whether anything has to be durable before Messages are sent and
-// Committed is applied.
+// MustSync reports whether anything must be durable before Messages are sent and Committed is
+// applied.
 func (r Ready) MustSync() bool {
 	return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil
 }
 
-// HasReady tells whether Ready would hand out anything. It is false while a Ready is
+// HasReady reports whether Ready would return any work. It returns false while a Ready is
 // outstanding.
 func (g *Group) HasReady() bool {
 	if g.outstanding != nil {
@@ -42,13 +43,14 @@
 		g.reads.hasResults()
 }
 
-// appendPending tells whether this member leads and has yet to send entries.
+// appendPending reports whether this member leads and has not yet sent new entries or a new
+// commit index.
 func (g *Group) appendPending() bool {
 	return g.leadership != nil && g.leadership.replicator.appendPending
 }
 
-// Ready hands out what there is to do. It is empty while a Ready is outstanding;
-// Advance ends that.
+// Ready returns the work that is due. It returns an empty Ready while the previous one is
+// outstanding, until the driver calls Advance.
 func (g *Group) Ready() Ready {
 	if g.outstanding != nil {
 		return Ready{}
@@ -81,8 +83,8 @@
 	return slices.Clone(g.log.slice(applied+1, g.log.committed))
 }
 
-// Advance tells that all of the outstanding Ready is done: it is durable, sent and
-// applied.
+// Advance reports that the driver has finished the outstanding Ready: everything in it is
+// durable, sent and applied.
 func (g *Group) Advance() {
 	ready := g.outstanding
 	if ready == nil {
@@ -99,9 +101,9 @@
 	g.acknowledgeSelf(ready)
 }
 
-// acknowledgeSelf lets this member's vote and entries count, as they are durable
-// now. A vote counts only if it is of the present term: a later one may have begun
-// while the Ready was outstanding.
+// acknowledgeSelf counts this member's own vote and entries, which are durable now. A vote
+// counts only if it is of the present term: a later term may have begun while the Ready was
+// outstanding.
 func (g *Group) acknowledgeSelf(ready *Ready) {
 	hardState := ready.HardState
 	votedForSelf := hardState != nil && hardState.Term == g.hardState.Term && hardState.votedFor(g.self())
--- a/pkg/replication/role.go
+++ b/pkg/replication/role.go
@@ -1,21 +1,21 @@
 package replication
 
-// Role is the part that a member plays in its group at present.
+// Role is the present role of a member in its group.
 type Role uint8
 
 // The roles of a member.
 const (
-	// RoleFollower follows the leader's log and votes.
+	// RoleFollower replicates the leader's log and votes.
 	RoleFollower Role = iota + 1
 	// RoleCandidate requests votes.
 	RoleCandidate
-	// RoleLeader orders the log.
+	// RoleLeader appends to the log and replicates it to the other members.
 	RoleLeader
-	// RoleLearner follows the leader's log and has no vote.
+	// RoleLearner replicates the leader's log and has no vote.
 	RoleLearner
 )
 
-// String names the role.
+// String returns the name of the role.
 func (r Role) String() string {
 	switch r {
 	case RoleFollower:
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// Snapshot is the state after all entries up to and including Index.
+// Snapshot is the state after applying all entries up to and including Index.
 type Snapshot struct {
 	Index uint64
 	Term  uint64
-	// Slots are those of the group after Index, in the agreed order.
+	// Slots are the slots of the group after Index, in slot order.
 	Slots []Slot
-	// Data is the state of the state machine above.
+	// Data is the state of the application's state machine.
 	Data []byte
 }
 
-// Compact makes the application's state after index the newest snapshot and drops
-// the entries before it but for MaxLogEntries and MaxLogBytes. The index must be applied
-// (Advance was called) and newer than the last snapshot. The data must not be changed
-// afterwards. It fails with a *CompactError.
+// Compact sets data, the application's state after index, as the newest snapshot. It removes
+// the entries that the snapshot covers, except as many as MaxLogEntries and MaxLogBytes
+// allow. The entry at index must be applied (Advance was called) and newer than the last
+// snapshot. The caller must not modify data afterwards. It fails with a *CompactError.
 func (g *Group) Compact(index uint64, data []byte) error {
 	if index > g.log.applied {
-		return &CompactError{Index: index, Message: "is not applied yet: call Advance first"}
+		return &CompactError{Index: index, Message: "the entry is not applied yet: call Advance first"}
 	}
 	if g.log.snapshot != nil && index <= g.log.snapshot.Index {
-		return &CompactError{Index: index, Message: "is covered by a snapshot already: compact at a newer index"}
+		return &CompactError{Index: index, Message: "a snapshot already covers the entry: compact at a newer index"}
 	}
 	term, ok := g.log.termAt(index)
 	if !ok || index == 0 {
-		return &CompactError{Index: index, Message: "is not in the log: compact at an applied index"}
+		return &CompactError{Index: index, Message: "the entry is not in the log: compact at an applied index"}
 	}
 	group := g.log.groups.at(index)
 	if len(group) == 0 {
-		return &CompactError{Index: index, Message: "is of a log that tells of no group yet: compact at a later index"}
+		return &CompactError{Index: index, Message: "the log up to the entry does not define a group yet: compact at a later index"}
 	}
 	snapshot := &Snapshot{
 		Index: index,
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// Checkpoint returns the whole durable state, with which the driver may replace
-// everything that it wrote before. It must not be called while a Ready is
-// outstanding, which could hold older records that are written after it.
+// Checkpoint returns the whole durable state. The driver may replace everything that it wrote
+// before with this state. It must not be called while a Ready is outstanding, as that Ready
+// could contain older records that would be written after the checkpoint.
 func (g *Group) Checkpoint() Restored {
 	hardState := g.hardState.HardState
 	hardState.Commit = g.log.committed
--- a/pkg/replication/status.go
+++ b/pkg/replication/status.go
@@ -2,10 +2,10 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// Status is a view of a member at one instant.
+// Status is a snapshot of a member's state.
 type Status struct {
 	Self member.ID
-	// Leader is the leader of Term as far as known, or empty.
+	// Leader is the leader of Term, or empty if it is unknown.
 	Leader    member.ID
 	Term      uint64
 	Commit    uint64
@@ -14,31 +14,30 @@
 	// SnapshotIndex is the last index that the newest snapshot covers.
 	SnapshotIndex uint64
 	Role          Role
-	// Incarnation is that of Self's durable state.
+	// Incarnation is the incarnation of Self's durable state.
 	Incarnation uint64
-	// Voters are in the agreed order. They must not be changed, like Slots.
+	// Voters are in slot order. The caller must not modify Voters or Slots.
 	Voters []member.ID
-	// Slots are all slots in the agreed order, with those of members that wait for a
-	// vote.
+	// Slots are all slots in slot order, including those reserved for members without a vote.
 	Slots []Slot
-	// ChangeIndex is the index of the entry that began this group; the change is
-	// final when it is committed.
+	// ChangeIndex is the index of the entry that defines this group. The group is final once
+	// that entry is committed.
 	ChangeIndex uint64
-	// Followers is set on the leader only: the members with a slot in the agreed
+	// Followers is set on the leader only. It contains the other members with a slot, in slot
 	// order, then the peers without one.
 	Followers []FollowerStatus
 }
 
-// FollowerStatus is what the leader knows of another member.
+// FollowerStatus is the leader's view of another member.
 type FollowerStatus struct {
 	ID member.ID
-	// Match is the last index that is known to be durable there.
+	// Match is the last index that is known to be durable on the member.
 	Match uint64
-	// Live tells whether the member was heard within ElectionTimeout.
+	// Live is true if the leader heard from the member within the last ElectionTimeout.
 	Live bool
-	// Learner tells that the member has no vote.
+	// Learner is true if the member has no vote.
 	Learner bool
-	// Incarnation is that of the member's durable state when it was last heard.
+	// Incarnation is the incarnation in which the member was last heard from.
 	Incarnation uint64
 }
 
--- a/pkg/replication/timeline_test.go
+++ b/pkg/replication/timeline_test.go
@@ -16,20 +16,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-var updateTimelines = flag.Bool("update-timelines", false, "write the timelines again instead of comparing them")
+var updateTimelines = flag.Bool("update-timelines", false, "overwrite the timelines instead of comparing them")
 
-// A timeline has a line an event, a column a node, and the time after the event in the last
-// column. A cell shows the node after the event: its role, then
+// A timeline has one line per event, one column per node, and the time after the event in the
+// last column. A cell shows the state of the node after the event: its role, then
 //
 //	t2      its term
 //	7/8     the last committed index, and the last index of the log
 //	s5      the last index that its snapshot covers, if it has one
 //	lease   it has the command lease
-//	v3@5    the group is no longer that of the founders: 3 voters since the entry 5
+//	v3@5    the group differs from that of the founders: 3 voters since entry 5
 //
-// Lines that begin with # are remarks. runEvent and runNodeEvent perform the events: wipe
-// starts the node at once on an empty disk, lose leaves it down until start, and end takes it
-// away for good.
+// Lines that begin with # are comments. runEvent and runNodeEvent perform the events: wipe
+// starts the node at once on an empty disk, where it never votes again; lose stops the node
+// and removes its disk until start; end removes the node permanently.
 var _ = DescribeTable("timelines", func(path string) {
 	content, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
@@ -93,7 +93,8 @@
 		return
 	}
 	if words[0] == "seek" || words[0] == "found" {
-		// While the state is sought, a recovery term that is won leads to nothing.
+		// From "seek" to "found", a won recovery term is not used, as if the state were still
+		// missing.
 		c.recoveryBlocked = words[0] == "seek"
 		return
 	}
--- a/pkg/replication/tracker.go
+++ b/pkg/replication/tracker.go
@@ -7,14 +7,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// tracker is what a leader knows of the logs of the other members, and what a
-// majority of the voters has reached. A voter counts only in the incarnation that
-// has the vote. It forgets no member while the leadership lasts: a late message of
-// a lost incarnation must not count as one of a new incarnation.
+// tracker contains the leader's view of the logs of the other members, and computes what a
+// majority of the voters has reached. A voter counts only in the incarnation that has the
+// vote. No member is removed while the leadership lasts: a late message of a lost incarnation
+// must not be counted for a new incarnation.
 type tracker struct {
-	// self is the leader. It counts as live, and as having acknowledged everything.
+	// self is the leader, which always counts as live and as having acknowledged every
+	// heartbeat.
 	self Voter
-	// liveFor is how long a member counts as live after it was heard.
+	// liveFor is how long a member counts as live after the leader heard from it.
 	liveFor time.Duration
 	members map[member.ID]*progress
 }
@@ -34,8 +35,8 @@
 	}
 }
 
-// assumeIncarnations counts each voter that was not heard yet as in the incarnation
-// that has the vote, until it is heard in a later one.
+// assumeIncarnations sets the incarnation of each voter that the leader has not heard from to
+// the one that has the vote, until the leader hears from the voter in a later one.
 func (t *tracker) assumeIncarnations(voters []Voter) {
 	for _, voter := range voters {
 		if follower := t.members[voter.ID]; follower != nil && follower.incarnation == 0 {
@@ -49,8 +50,8 @@
 	return t.members[id]
 }
 
-// getVoter returns the progress of the voter, or nil if its member is not tracked or
-// was last heard in another incarnation.
+// getVoter returns the progress of the voter, or nil if its member is not tracked or was last
+// heard from in another incarnation.
 func (t *tracker) getVoter(voter Voter) *progress {
 	follower := t.members[voter.ID]
 	if follower == nil || follower.incarnation != voter.Incarnation {
@@ -59,12 +60,12 @@
 	return follower
 }
 
-// isLive tells whether the member was heard lately, in whatever incarnation.
+// isLive reports whether the leader recently heard from the member, in any incarnation.
 func (t *tracker) isLive(follower *progress, now time.Duration) bool {
 	return now < follower.lastContact+t.liveFor
 }
 
-// isLiveVoter tells whether the voter was heard lately.
+// isLiveVoter reports whether the leader recently heard from the voter.
 func (t *tracker) isLiveVoter(voter Voter, now time.Duration) bool {
 	if voter == t.self {
 		return true
@@ -73,7 +74,7 @@
 	return follower != nil && t.isLive(follower, now)
 }
 
-// hasLiveMajority tells whether a majority of the group was heard lately.
+// hasLiveMajority reports whether the leader recently heard from a majority of the group.
 func (t *tracker) hasLiveMajority(group slots, now time.Duration) bool {
 	live := 0
 	for _, voter := range group.voters() {
@@ -84,8 +85,7 @@
 	return live >= group.quorum()
 }
 
-// hasAcknowledged tells whether the voter has acknowledged that heartbeat or a
-// later one.
+// hasAcknowledged reports whether the voter has acknowledged the heartbeat or a later one.
 func (t *tracker) hasAcknowledged(voter Voter, heartbeat uint64) bool {
 	if voter == t.self {
 		return true
@@ -94,7 +94,7 @@
 	return follower != nil && follower.ackedHeartbeat >= heartbeat
 }
 
-// lastHeard is the incarnation in which the member of a slot was last heard.
+// lastHeard returns the member of a slot in the incarnation in which it was last heard from.
 func (t *tracker) lastHeard(slot Slot) Voter {
 	if follower := t.members[slot.ID]; follower != nil {
 		return Voter{ID: slot.ID, Incarnation: follower.incarnation}
@@ -102,8 +102,8 @@
 	return slot.Voter
 }
 
-// reachedByMajority returns the greatest value that a majority of the voters has
-// reached; leaderValue is that of the leader itself.
+// reachedByMajority returns the greatest value that a majority of the voters has reached;
+// leaderValue is the value of the leader itself.
 func (t *tracker) reachedByMajority(voters []Voter, leaderValue uint64, value func(*progress) uint64) uint64 {
 	values := make([]uint64, 0, len(voters))
 	for _, voter := range voters {
--- a/pkg/replication/tracker_test.go
+++ b/pkg/replication/tracker_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-var _ = ginkgo.Describe("What a leader knows of its followers", func() {
+var _ = ginkgo.Describe("The tracker of a leader", func() {
 	group := foundingSlots([]member.ID{"a", "b", "c"})
 	match := func(p *progress) uint64 { return p.match }
 
@@ -20,14 +20,14 @@
 		return followers
 	}
 
-	ginkgo.It("has a majority with the leader, which has its own durable log", func() {
+	ginkgo.It("counts the leader with its own value in a majority", func() {
 		followers := newFollowers()
 		followers.get("b").match = 4
 		Expect(followers.reachedByMajority(group.voters(), 9, match)).To(Equal(uint64(4)))
 		Expect(followers.reachedByMajority(group.voters(), 3, match)).To(Equal(uint64(3)))
 	})
 
-	ginkgo.It("does not count a voter that was heard in another incarnation", func() {
+	ginkgo.It("does not count a voter that was last heard from in another incarnation", func() {
 		followers := newFollowers()
 		followers.get("b").beginIncarnation(7)
 		followers.get("b").match = 4
@@ -36,7 +36,7 @@
 		Expect(followers.lastHeard(group[1])).To(Equal(Voter{ID: "b", Incarnation: 7}))
 	})
 
-	ginkgo.It("keeps what it knows of a member that is tracked already", func() {
+	ginkgo.It("keeps the progress of a member that is tracked already", func() {
 		followers := newFollowers()
 		followers.get("b").match = 4
 		followers.track([]member.ID{"b", "d"}, progress{next: 9})
@@ -44,7 +44,7 @@
 		Expect(followers.get("d").next).To(Equal(uint64(9)))
 	})
 
-	ginkgo.It("has a live majority until too few were heard for long enough", func() {
+	ginkgo.It("has a live majority until the last contact with too many voters is too old", func() {
 		followers := newFollowers()
 		followers.get("b").heard(Message{}, 500*time.Millisecond, 1)
 		Expect(followers.hasLiveMajority(group, 1400*time.Millisecond)).To(BeTrue())
@@ -53,17 +53,17 @@
 })
 
 var _ = ginkgo.Describe("The progress of a follower", func() {
-	ginkgo.It("goes from probing to replicating with an acknowledgement, and back with a rejection", func() {
+	ginkgo.It("changes from probing to replicating at an acknowledgement, and back at a rejection", func() {
 		follower := progress{next: 10}
 		follower.sent(make([]Entry, 3), 1)
-		Expect(follower.isPaused()).To(BeTrue(), "one append at a time")
+		Expect(follower.isPaused()).To(BeTrue(), "a probe sends one append at a time")
 		Expect(follower.rejected(9, 4)).To(BeTrue())
 		Expect(follower.next).To(Equal(uint64(5)))
 		Expect(follower.acknowledged(6)).To(BeTrue())
 		Expect(follower.state).To(Equal(progressReplicate))
 		follower.sent(make([]Entry, 3), 1)
 		Expect(follower.next).To(Equal(uint64(10)))
-		Expect(follower.rejected(6, 2)).To(BeFalse(), "it is known to have that entry")
+		Expect(follower.rejected(6, 2)).To(BeFalse(), "the follower is known to have that entry")
 		Expect(follower.rejected(9, 8)).To(BeTrue())
 		Expect(follower.state).To(Equal(progressProbe))
 	})
@@ -80,7 +80,7 @@
 		Expect(follower.next).To(Equal(uint64(21)))
 	})
 
-	ginkgo.It("believes a later incarnation only if it acknowledges a newer heartbeat", func() {
+	ginkgo.It("accepts a later incarnation only if it acknowledges a newer heartbeat", func() {
 		follower := progress{incarnation: 1}
 		follower.heard(Message{Incarnation: 1}, time.Second, 5)
 		Expect(follower.isLaterIncarnation(Message{Incarnation: 7, HeartbeatNumber: 5})).To(BeFalse())
