--- a/pkg/replication/change_planner.go
+++ b/pkg/replication/change_planner.go
@@ -21,8 +21,8 @@
 	caughtUpIndex uint64
 }
 
-// after returns the group after the change, or the reason why the change can't be made.
-func (p *changePlanner) after(change GroupChange) (slots, GroupChangeProblem) {
+// groupAfter returns the group after the change, or the reason why the change can't be made.
+func (p *changePlanner) groupAfter(change GroupChange) (slots, GroupChangeProblem) {
 	if p.committed < p.barrier {
 		// A change from an earlier term could still be in effect on other members.
 		return nil, ProblemTermUncommitted
--- a/pkg/replication/doc.go
+++ b/pkg/replication/doc.go
@@ -91,7 +91,7 @@
 //     knows no group is a learner. A change of one voter takes effect when its entry is
 //     appended, and is undone when the entry is truncated. The leader makes one change at a
 //     time: the previous change, and an entry of the leader's own term, must be committed
-//     before the next change (changePlanner.after). So each majority before a change and
+//     before the next change (changePlanner.groupAfter). So each majority before a change and
 //     each majority after it have a voter in common.
 //   - The leader replaces lost incarnations automatically: when a member has caught up in a
 //     new incarnation, the leader removes the lost incarnation and then adds the new one in
--- a/pkg/replication/group_repair.go
+++ b/pkg/replication/group_repair.go
@@ -51,7 +51,7 @@
 		if !due {
 			continue
 		}
-		if _, problem := p.after(change); problem == 0 {
+		if _, problem := p.groupAfter(change); problem == 0 {
 			return change
 		}
 	}
@@ -63,7 +63,7 @@
 // of voters even, all voters must have acknowledged it: such a group tolerates no more losses
 // than before, and fewer while a voter is down.
 func (p *changePlanner) acknowledgedSince(due GroupChange, heartbeat uint64) bool {
-	changed, problem := p.after(due)
+	changed, problem := p.groupAfter(due)
 	if problem != 0 {
 		return false
 	}
--- a/pkg/replication/leadership.go
+++ b/pkg/replication/leadership.go
@@ -93,7 +93,7 @@
 	if err := l.checkNotTransferring(); err != nil {
 		return err
 	}
-	changed, problem := l.changePlanner().after(change)
+	changed, problem := l.changePlanner().groupAfter(change)
 	if problem != 0 {
 		return &GroupChangeError{Change: change, Problem: problem}
 	}
@@ -138,7 +138,7 @@
 		}
 		follower.beginIncarnation(m.Incarnation)
 	}
-	follower.heard(m, l.now, l.heartbeats.number)
+	follower.recordContact(m, l.now, l.heartbeats.number)
 	if m.Type == MessageHeartbeatReply {
 		l.stepHeartbeatReply(from, follower, m)
 	} else {
--- a/pkg/replication/progress.go
+++ b/pkg/replication/progress.go
@@ -90,9 +90,9 @@
 	return m.HeartbeatNumber > p.contactHeartbeat && m.Incarnation != 0
 }
 
-// heard records a message that counts, received when the newest heartbeat had the given
-// number.
-func (p *progress) heard(m Message, now time.Duration, heartbeat uint64) {
+// recordContact records that a message that counts was received when the newest heartbeat had
+// the given number.
+func (p *progress) recordContact(m Message, now time.Duration, heartbeat uint64) {
 	p.lastContact = now
 	p.contactHeartbeat = heartbeat
 	p.refusesVote = m.Learner
--- a/pkg/replication/quorum_recovery.go
+++ b/pkg/replication/quorum_recovery.go
@@ -78,7 +78,7 @@
 // adopted since, or if recoveryTimeouts election timeouts have passed. That includes a term
 // that all members have granted but for which RecoverQuorum was not called in time.
 func (r *quorumRecovery) tickTerm() (awaitsGrants bool) {
-	if !r.current() || r.now >= r.startedAt+recoveryTimeouts*r.cfg.ElectionTimeout {
+	if !r.isCurrent() || r.now >= r.startedAt+recoveryTimeouts*r.cfg.ElectionTimeout {
 		r.stopUntil(r.now + r.cfg.HeartbeatEvery)
 		return false
 	}
@@ -124,7 +124,7 @@
 	if m.Reject || !requesting || r.election.hasLiveLeader() {
 		return
 	}
-	if !m.PreVote && (!r.current() || m.Term != r.term) {
+	if !m.PreVote && (!r.isCurrent() || m.Term != r.term) {
 		return
 	}
 	r.addGrant(Voter{ID: from, Incarnation: m.Incarnation})
@@ -246,12 +246,12 @@
 
 // won reports whether all required members have granted the recovery term.
 func (r *quorumRecovery) won() bool {
-	return r.current() && r.grantedByAll()
+	return r.isCurrent() && r.grantedByAll()
 }
 
-// current reports whether the recovery term of this member is still the newest term that it
+// isCurrent reports whether the recovery term of this member is still the newest term that it
 // knows.
-func (r *quorumRecovery) current() bool {
+func (r *quorumRecovery) isCurrent() bool {
 	return r.term != 0 && r.term == r.hardState.Term && !r.election.leads()
 }
 
--- a/pkg/replication/ready.go
+++ b/pkg/replication/ready.go
@@ -107,7 +107,7 @@
 func (g *Group) acknowledgeSelf(ready *Ready) {
 	hardState := ready.HardState
 	votedForSelf := hardState != nil && hardState.Term == g.hardState.Term && hardState.votedFor(g.self())
-	if votedForSelf && g.recovery.current() {
+	if votedForSelf && g.recovery.isCurrent() {
 		g.recovery.addGrant(g.self())
 	}
 	switch g.election.role() {
--- a/pkg/replication/tracker_test.go
+++ b/pkg/replication/tracker_test.go
@@ -46,7 +46,7 @@
 
 	ginkgo.It("has a live majority until the last contact with too many voters is too old", func() {
 		followers := newFollowers()
-		followers.get("b").heard(Message{}, 500*time.Millisecond, 1)
+		followers.get("b").recordContact(Message{}, 500*time.Millisecond, 1)
 		Expect(followers.hasLiveMajority(group, 1400*time.Millisecond)).To(BeTrue())
 		Expect(followers.hasLiveMajority(group, 1500*time.Millisecond)).To(BeFalse())
 	})
@@ -82,7 +82,7 @@
 
 	ginkgo.It("accepts a later incarnation only if it acknowledges a newer heartbeat", func() {
 		follower := progress{incarnation: 1}
-		follower.heard(Message{Incarnation: 1}, time.Second, 5)
+		follower.recordContact(Message{Incarnation: 1}, time.Second, 5)
 		Expect(follower.isLaterIncarnation(Message{Incarnation: 7, HeartbeatNumber: 5})).To(BeFalse())
 		Expect(follower.isLaterIncarnation(Message{Incarnation: 7, HeartbeatNumber: 6})).To(BeTrue())
 	})
