--- a/pkg/replication/in_flight_test.go
+++ b/pkg/replication/in_flight_test.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// boundedLeader returns the leader n1 of a group of three that keeps few bytes of its log,
-// after n2 has acknowledged all of it.
+// boundedLeader returns the leader n1 of a group of three whose MaxLogBytes is maxLogBytes,
+// after n2 has acknowledged its whole log.
 func boundedLeader(maxLogBytes int) *replication.Group {
 	g, err := replication.New(replication.Config{
 		Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2", "n3"},
@@ -30,7 +30,7 @@
 	return g
 }
 
-// sentTo passes all Readies and returns the messages to a member that carry commands or a
+// sentTo handles all Readies. It returns the messages to a member that carry entries or a
 // snapshot, and the number of the last heartbeat to it.
 func sentTo(to member.ID, g *replication.Group) (carrying []replication.Message, heartbeat uint64) {
 	for g.HasReady() {
@@ -49,8 +49,9 @@
 	return carrying, heartbeat
 }
 
-// heartbeatOf lets a leader send its next heartbeat, and returns its number.
-func heartbeatOf(g *replication.Group, now time.Duration) uint64 {
+// sendHeartbeat lets a leader send its next heartbeat, and returns the number of the
+// heartbeat.
+func sendHeartbeat(g *replication.Group, now time.Duration) uint64 {
 	g.Tick(now)
 	carrying, heartbeat := sentTo("n2", g)
 	Expect(carrying).To(BeEmpty())
@@ -58,29 +59,30 @@
 	return heartbeat
 }
 
-func answeredHeartbeat(number uint64) replication.Message {
+func firstTermHeartbeatReply(number uint64) replication.Message {
 	return replication.Message{Type: replication.MessageHeartbeatReply, Incarnation: 1, Term: 1, HeartbeatNumber: number}
 }
 
-var _ = Describe("What a leader sends of a large log", func() {
+var _ = Describe("The transfer of a large log", func() {
 	const large = 256 << 10
 
-	// Guards against a document that is sent whole again while it is under way (issue 37).
-	It("is sent once, unless a later heartbeat was answered before it", func() {
+	// Guards against sending a large document again while the first transfer is in progress
+	// (issue 37).
+	It("sends an entry once, unless a heartbeat sent after it is acknowledged first", func() {
 		g := boundedLeader(4 * large)
 		now := electedAt + heartbeatEvery
-		before := heartbeatOf(g, now)
+		before := sendHeartbeat(g, now)
 		_, err := g.Propose(now, make([]byte, large))
 		Expect(err).NotTo(HaveOccurred())
 		sent, _ := sentTo("n2", g)
 		Expect(sent).To(HaveLen(1))
-		By("a reply that was sent before the entry arrived")
-		Expect(g.Step(now, "n2", answeredHeartbeat(before))).To(Succeed())
+		By("receiving a heartbeat reply that was sent before the entry arrived")
+		Expect(g.Step(now, "n2", firstTermHeartbeatReply(before))).To(Succeed())
 		sent, _ = sentTo("n2", g)
 		Expect(sent).To(BeEmpty())
-		By("a reply that overtakes the acknowledgement of an entry that was lost")
-		after := heartbeatOf(g, now+heartbeatEvery)
-		Expect(g.Step(now+heartbeatEvery, "n2", answeredHeartbeat(after))).To(Succeed())
+		By("receiving a reply to a later heartbeat, which shows that the entry was lost")
+		after := sendHeartbeat(g, now+heartbeatEvery)
+		Expect(g.Step(now+heartbeatEvery, "n2", firstTermHeartbeatReply(after))).To(Succeed())
 		reject := appendReply(1, 2)
 		reject.Reject, reject.RejectHint, reject.IndexTerm = true, 1, 1
 		Expect(g.Step(now+heartbeatEvery, "n2", reject)).To(Succeed())
@@ -88,9 +90,9 @@
 		Expect(sent).To(HaveLen(1))
 	})
 
-	// Guards against a member that was held up by its disk and is sent all that came
-	// meanwhile at once, which it can neither hold in memory nor write (issue 37).
-	It("is in flight in bounded bytes, and goes on with each acknowledgement", func() {
+	// Guards against sending a member that was delayed by its disk everything that was
+	// appended meanwhile at once, which it can neither hold in memory nor write (issue 37).
+	It("limits the bytes in flight, and continues with each acknowledgement", func() {
 		const entries, inFlight = 20, 3
 		g := boundedLeader(inFlight * large)
 		unacknowledged := 0
@@ -112,14 +114,14 @@
 				unacknowledged += len(message.Entries)
 			}
 			unacknowledged--
-			Expect(unacknowledged).To(BeNumerically("<=", inFlight+3), "an append has up to a mebibyte")
+			Expect(unacknowledged).To(BeNumerically("<=", inFlight+3), "the last append, of up to 1 MiB, may exceed the limit")
 		}
 		Expect(g.Status().Commit).To(BeEquivalentTo(last))
 	})
 
-	// Guards against a snapshot that is sent whole again each election timeout while the
-	// first one is under way (issue 37).
-	It("is a snapshot that is sent again only when it was lost", func() {
+	// Guards against sending the whole snapshot again at each election timeout while the
+	// first transfer is in progress (issue 37).
+	It("sends a snapshot again only when it was lost", func() {
 		g := boundedLeader(large / 2)
 		now := electedAt
 		_, err := g.Propose(now, make([]byte, large))
@@ -130,19 +132,19 @@
 		Expect(g.Compact(2, make([]byte, large))).To(Succeed())
 		snapshots := func(from time.Duration, number uint64) int {
 			Expect(g.Step(from, "n2", appendReply(1, 2))).To(Succeed())
-			Expect(g.Step(from, "n3", answeredHeartbeat(number))).To(Succeed())
+			Expect(g.Step(from, "n3", firstTermHeartbeatReply(number))).To(Succeed())
 			sent, _ := sentTo("n3", g)
 			return len(sent)
 		}
 		reject := appendReply(1, 0)
 		reject.Reject = true
-		Expect(g.Step(now, "n3", answeredHeartbeat(1))).To(Succeed())
+		Expect(g.Step(now, "n3", firstTermHeartbeatReply(1))).To(Succeed())
 		Expect(g.Step(now, "n3", reject)).To(Succeed())
 		sent, _ := sentTo("n3", g)
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].Snapshot).NotTo(BeNil())
-		under := heartbeatOf(g, now+heartbeatEvery) - 1
-		Expect(snapshots(now+electionTimeout, under)).To(BeZero(), "it may be under way")
-		Expect(snapshots(now+electionTimeout, under+1)).To(Equal(1), "a later heartbeat was answered")
+		beforeSnapshot := sendHeartbeat(g, now+heartbeatEvery) - 1
+		Expect(snapshots(now+electionTimeout, beforeSnapshot)).To(BeZero(), "the snapshot may still be in transit")
+		Expect(snapshots(now+electionTimeout, beforeSnapshot+1)).To(Equal(1), "a heartbeat sent after the snapshot was acknowledged")
 	})
 })
--- a/pkg/replication/invalid_input_test.go
+++ b/pkg/replication/invalid_input_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("invalid input", func() {
-	It("is rejected when no correct member sends it, and changes nothing", func() {
+	It("is rejected when no correct member could have sent it, and changes nothing", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		var rejected *replication.MessageError
 		Expect(g.Step(0, "n2", replication.Message{Type: replication.MessageHeartbeat})).To(BeAssignableToTypeOf(rejected))
@@ -32,7 +32,7 @@
 		Expect(g.Step(0, "n3", appendMessage(before.Term, 2, 1, 2))).To(BeAssignableToTypeOf(rejected))
 	})
 
-	It("is answered with the name of the leader when a caller asks another member", func() {
+	It("is answered with the ID of the leader when a caller asks another member", func() {
 		g := newMember("n1", "n1", "n2", "n3")
 		Expect(g.Step(0, "n2", appendMessage(1, 0, 0, 0))).To(Succeed())
 		_, err := g.Propose(0, nil)
@@ -42,7 +42,7 @@
 		Expect(g.TransferLeadership(0)).To(Equal(&replication.NotLeaderError{Leader: "n2"}))
 	})
 
-	It("is found in settings and durable state that can't be right", func() {
+	It("is rejected in settings and durable state", func() {
 		good := replication.Config{Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2"}, HeartbeatEvery: 1, ElectionTimeout: 3}
 		for _, invalidate := range []func(*replication.Config){
 			func(c *replication.Config) { c.Self = "" },
@@ -61,17 +61,17 @@
 			_, err := replication.New(config, replication.Restored{}, 0)
 			Expect(err).To(BeAssignableToTypeOf(&replication.ConfigError{}))
 		}
-		hard := replication.HardState{Term: 1}
+		hardState := replication.HardState{Term: 1}
 		for _, restored := range []replication.Restored{
-			{HardState: hard, Entries: []replication.Entry{entry(2, 1)}},
-			{HardState: hard, Entries: []replication.Entry{entry(1, 2)}},
+			{HardState: hardState, Entries: []replication.Entry{entry(2, 1)}},
+			{HardState: hardState, Entries: []replication.Entry{entry(1, 2)}},
 			{HardState: replication.HardState{Term: 1, Commit: 1}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "n1")}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "")}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: slotsWithLearner()[2:]}},
-			{HardState: hard, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: make([]replication.Slot, 2)}},
-			{HardState: hard, Entries: []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryGroupChange, Command: []byte("[]")}}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "n1")}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: founderSlots("n1", "")}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: slotsWithLearner()[2:]}},
+			{HardState: hardState, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Slots: make([]replication.Slot, 2)}},
+			{HardState: hardState, Entries: []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryGroupChange, Command: []byte("[]")}}},
 		} {
 			_, err := replication.New(good, restored, 0)
 			Expect(err).To(BeAssignableToTypeOf(&replication.RestoredError{}))
