--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -98,7 +98,7 @@
 		recovery: m.recovery,
 		received: m.states.received,
 		load:     load,
-		local:    confirmation.NewLocal(m.shards.ids, confirmRepeat*times.ConfirmEvery),
+		local:    confirmation.NewLocal(m.shards.ids, confirmRepeatPeriods*times.ConfirmEvery),
 	}
 }
 
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -45,10 +45,10 @@
 	// failOpenDigestEvery may be longer than DefaultDigestEvery, as leaders send states
 	// directly to nodes that the relay tree did not reach.
 	failOpenDigestEvery = 400 * time.Millisecond
-	// electionsPerContact is how many election timeouts fit into the time for
+	// electionTimeoutsPerContact is how many election timeouts fit into the time for
 	// which an unresponsive node counts as in contact: one to notice that a leader is
 	// unresponsive, and one for the voters to follow each other.
-	electionsPerContact = 3
+	electionTimeoutsPerContact = 3
 	// DefaultRequestTimeout is how long a node looks for a leader that answers an
 	// operator's request.
 	DefaultRequestTimeout = 8 * time.Second
@@ -75,9 +75,9 @@
 	DefaultServiceShards uint32 = 4
 	// serviceGroupSize is the number of nodes that hold one service shard.
 	serviceGroupSize = 3
-	// confirmRepeat is how many ConfirmEvery periods lie between two
+	// confirmRepeatPeriods is how many ConfirmEvery periods lie between two
 	// confirmations that nobody asked for.
-	confirmRepeat = 8
+	confirmRepeatPeriods = 8
 	// relayFanOut bounds the children of a node in the relay tree.
 	relayFanOut = 4
 	// seededMaxVoters bounds the voters of a group that follows the membership:
@@ -147,7 +147,7 @@
 // acknowledge.
 func FailOpenTimes(contact, acknowledge time.Duration) Times {
 	times := DefaultTimes()
-	times.ElectionTimeout = min(max(contact/electionsPerContact, minFailOpenElectionTimeout), maxFailOpenElectionTimeout)
+	times.ElectionTimeout = min(max(contact/electionTimeoutsPerContact, minFailOpenElectionTimeout), maxFailOpenElectionTimeout)
 	times.DigestEvery = failOpenDigestEvery
 	times.AcknowledgeTimeout = acknowledge
 	times.RequestTimeout = acknowledge
--- a/internal/control/confirmations_test.go
+++ b/internal/control/confirmations_test.go
@@ -21,8 +21,8 @@
 	n.perform(n.machine.Receive(n.now, wire.Envelope{From: "silent", Shard: message.Shard, Control: &message}))
 }
 
-// numberSentTo is the number that a node is to send back with its registration.
-func (n *soloNode) numberSentTo(id member.ID) uint64 {
+// challengeSentTo is the number that a node is to send back with its registration.
+func (n *soloNode) challengeSentTo(id member.ID) uint64 {
 	var number uint64
 	for _, sent := range n.sends {
 		control := sent.send.Envelope.Control
@@ -52,7 +52,7 @@
 		node = newSoloNode()
 		node.run(3 * time.Second)
 		node.receiveFromPeer(protocol.Message{Type: protocol.MessageRegister, Shard: ConfigurationShard, Request: 1})
-		node.receiveFromPeer(protocol.Message{Type: protocol.MessageRegister, Shard: ConfigurationShard, Request: 2, Revision: node.numberSentTo("silent")})
+		node.receiveFromPeer(protocol.Message{Type: protocol.MessageRegister, Shard: ConfigurationShard, Request: 2, Revision: node.challengeSentTo("silent")})
 		node.run(time.Second)
 	})
 
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -120,7 +120,7 @@
 
 // followIncarnation has the list proven fresh anew for another incarnation of this node.
 func (e *localEndpoints) followIncarnation(now time.Duration, incarnation member.Incarnation) {
-	if e.freshness.follow(now, incarnation) {
+	if e.freshness.setIncarnation(now, incarnation) {
 		e.machine.RequestProof()
 	}
 }
@@ -181,9 +181,9 @@
 	b.known = true
 }
 
-// endpointsFreshFor is how old a list may be for a new incarnation of this node to serve by it.
+// maxEndpointsAge is how old a list may be for a new incarnation of this node to serve by it.
 // Until the next reading comes, a replica may drain that long unnoticed.
-const endpointsFreshFor = 2 * time.Second
+const maxEndpointsAge = 2 * time.Second
 
 // endpointsTimeout is how long a new incarnation waits for the platform's list. A node
 // that was partitioned or frozen must not admit by a list from before, in which a replica
@@ -197,12 +197,12 @@
 	// since is when the incarnation was first seen.
 	since time.Duration
 	// fresh means that, within the incarnation, the list was proven younger than
-	// endpointsFreshFor.
+	// maxEndpointsAge.
 	fresh bool
 }
 
-// follow begins anew with another incarnation, and reports whether it did.
-func (f *endpointFreshness) follow(now time.Duration, incarnation member.Incarnation) bool {
+// setIncarnation begins anew with another incarnation, and reports whether it did.
+func (f *endpointFreshness) setIncarnation(now time.Duration, incarnation member.Incarnation) bool {
 	if incarnation == f.incarnation {
 		return false
 	}
@@ -212,7 +212,7 @@
 
 // prove lets the incarnation serve by the list if that was read not long before now.
 func (f *endpointFreshness) prove(now, readAt time.Duration) {
-	f.fresh = f.fresh || now-readAt < endpointsFreshFor
+	f.fresh = f.fresh || now-readAt < maxEndpointsAge
 }
 
 // usable reports whether the list is good enough to serve by.
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,9 +18,9 @@
 	forgetAfter = 10 * time.Minute
 	// monitorCount is the number of monitors that a node chooses.
 	monitorCount = 3
-	// smallTable is the number of members up to which a change of the table is passed on
+	// maxSmallTableSize is the number of members up to which a change of the table is passed on
 	// at each message.
-	smallTable = 64
+	maxSmallTableSize = 64
 )
 
 // memberTable is the table of members, with what this node derives from it. It is the
@@ -60,7 +60,7 @@
 // a large table that waits for a tick: while many nodes start, nearly every message
 // changes it.
 func (t *memberTable) refreshDue(now time.Duration) bool {
-	return t.Size() <= smallTable || now-t.refreshedAt >= DefaultTickEvery
+	return t.Size() <= maxSmallTableSize || now-t.refreshedAt >= DefaultTickEvery
 }
 
 // refresh looks for changes of the table since the last call, and of who is where and
--- a/internal/control/registration_test.go
+++ b/internal/control/registration_test.go
@@ -17,9 +17,9 @@
 
 // register hands the solo node, which leads every shard, the registration of a
 // stranger and returns the replies to it.
-func (n *soloNode) register(sentBack uint64) []protocol.Message {
+func (n *soloNode) register(challenge uint64) []protocol.Message {
 	output := n.machine.Receive(n.now, wire.Envelope{From: "stranger", Control: &protocol.Message{
-		Type: protocol.MessageRegister, Request: 1, Incarnation: strangerIncarnation, Revision: sentBack,
+		Type: protocol.MessageRegister, Request: 1, Incarnation: strangerIncarnation, Revision: challenge,
 	}})
 	n.perform(output)
 	replies := lo.Filter(output.Sends, func(send Send, _ int) bool { return send.To == "stranger" && send.Envelope.Control != nil })
--- a/internal/control/rollout_commands_test.go
+++ b/internal/control/rollout_commands_test.go
@@ -30,27 +30,27 @@
 type modelPool struct {
 	node     *soloNode
 	replicas []*modelReplica
-	// load is how long weights take while no more than free load at once.
-	load     time.Duration
-	free     int
-	reports  int
-	commands int
+	// loadTime is how long weights take while no more than fullSpeedLoads replicas load at once.
+	loadTime       time.Duration
+	fullSpeedLoads int
+	reports        int
+	commands       int
 	// maxOutOfService is how many were out of service at once.
 	maxOutOfService int
-	next            time.Duration
+	nextReadAt      time.Duration
 }
 
-// loadsAtOnce is how many replicas load weights without slowing each other down.
-const loadsAtOnce = 3
+// defaultFullSpeedLoads is how many replicas load weights without slowing each other down.
+const defaultFullSpeedLoads = 3
 
 // newModelPool makes a pool that runs version 1, on a leader that has taken over.
 func newModelPool(replicas, zones int, load time.Duration) *modelPool {
-	return newModelPoolWithin(12*time.Second, replicas, zones, loadsAtOnce, load)
+	return newModelPoolWithDeadline(12*time.Second, replicas, zones, defaultFullSpeedLoads, load)
 }
 
-// newModelPoolWithin is newModelPool with a bound on the time for new weights.
-func newModelPoolWithin(bound time.Duration, replicas, zones, free int, load time.Duration) *modelPool {
-	pool := &modelPool{load: load, free: free}
+// newModelPoolWithDeadline is newModelPool with a bound on the time for new weights.
+func newModelPoolWithDeadline(bound time.Duration, replicas, zones, fullSpeedLoads int, load time.Duration) *modelPool {
+	pool := &modelPool{loadTime: load, fullSpeedLoads: fullSpeedLoads}
 	pool.node = newSoloNodeWith(func(config *Config) {
 		config.ReplicasFinishFirst = true
 		config.Times.WeightsDeadline = bound - 1500*time.Millisecond
@@ -87,7 +87,7 @@
 	return p.node.machine.EndpointsRead(p.node.now, reading)
 }
 
-func (p *modelPool) at(address string) *modelReplica {
+func (p *modelPool) replicaAt(address string) *modelReplica {
 	found, _ := lo.Find(p.replicas, func(one *modelReplica) bool { return one.listed.Address == address })
 	return found
 }
@@ -97,8 +97,8 @@
 	for end := p.node.now + length; p.node.now < end; p.node.now += DefaultTickEvery {
 		p.advance()
 		p.perform(p.node.machine.Tick(p.node.now))
-		if p.node.now >= p.next {
-			p.next = p.node.now + time.Second
+		if p.node.now >= p.nextReadAt {
+			p.nextReadAt = p.node.now + time.Second
 			p.perform(p.readEndpoints())
 		}
 		out := len(p.replicas) - p.node.phases()["serving"]
@@ -110,7 +110,7 @@
 	p.node.perform(output)
 	for _, request := range output.Reports {
 		p.reports++
-		one := p.at(request.Address)
+		one := p.replicaAt(request.Address)
 		if one.down {
 			p.perform(p.node.machine.ReplicaReportFailed(p.node.now, request.Address))
 			continue
@@ -119,7 +119,7 @@
 	}
 	for _, command := range output.Commands {
 		p.commands++
-		one := p.at(command.Address)
+		one := p.replicaAt(command.Address)
 		p.perform(p.node.machine.CommandDone(p.node.now, command, one.receiveCommand(p.node.now, command)))
 	}
 }
@@ -168,7 +168,7 @@
 		case !one.loading && p.node.now >= one.loadsAt:
 			loading++
 			one.loading = true
-			one.doneAt = p.node.now + p.load*time.Duration(max(loading, p.free))/time.Duration(p.free)
+			one.doneAt = p.node.now + p.loadTime*time.Duration(max(loading, p.fullSpeedLoads))/time.Duration(p.fullSpeedLoads)
 		}
 	}
 }
@@ -187,19 +187,19 @@
 }
 
 var _ = Describe("a roll-out by commands", func() {
-	name := func(pool *modelPool, version string) {
+	nameWeights := func(pool *modelPool, version string) {
 		pool.node.ticket++
 		pool.perform(pool.node.machine.Submit(pool.node.now, pool.node.ticket, weightsOrder(version)))
 	}
 
-	DescribeTable("is over in time, with one command a replica", func(replicas, zones, free int, load, within time.Duration, most int) {
-		pool := newModelPoolWithin(within, replicas, zones, free, load)
-		name(pool, "2")
+	DescribeTable("is over in time, with one command a replica", func(replicas, zones, fullSpeedLoads int, load, within time.Duration, maxOutOfService int) {
+		pool := newModelPoolWithDeadline(within, replicas, zones, fullSpeedLoads, load)
+		nameWeights(pool, "2")
 		length := pool.rolloutTime("2")
 		AddReportEntry("roll-out", fmt.Sprintf("%d replicas: %v, %d commands, %d reports, at most %d out", replicas, length, pool.commands, pool.reports, pool.maxOutOfService))
 		Expect(length).To(BeNumerically("<", within))
 		Expect(pool.commands).To(Equal(replicas))
-		Expect(pool.maxOutOfService).To(BeNumerically("<=", most))
+		Expect(pool.maxOutOfService).To(BeNumerically("<=", maxOutOfService))
 	},
 		Entry("of a small pool", 18, 3, 3, 1100*time.Millisecond, 12*time.Second, 6),
 		Entry("of one that loads slowly", 18, 4, 3, 1900*time.Millisecond, 15*time.Second, 9),
@@ -212,7 +212,7 @@
 		pool := newModelPool(4, 2, time.Second)
 		pool.replicas[0].version = "9"
 		pool.run(2 * time.Second)
-		name(pool, "2")
+		nameWeights(pool, "2")
 		pool.run(12 * time.Second)
 		Expect(pool.replicas[0].commands).To(BeEmpty())
 		Expect(pool.commands).To(Equal(3))
@@ -221,9 +221,9 @@
 
 	It("goes on to a newer version that is named meanwhile, without a command in vain", func() {
 		pool := newModelPool(6, 3, 1500*time.Millisecond)
-		name(pool, "2")
+		nameWeights(pool, "2")
 		pool.run(1500 * time.Millisecond)
-		name(pool, "3")
+		nameWeights(pool, "3")
 		Expect(pool.rolloutTime("3")).To(BeNumerically("<", 12*time.Second))
 		for _, one := range pool.replicas {
 			Expect(len(one.commands)).To(BeNumerically("<=", 2))
@@ -234,7 +234,7 @@
 	It("asks for a report before it repeats a command of unknown outcome", func() {
 		pool := newModelPool(2, 2, 1500*time.Millisecond)
 		pool.replicas[0].answers = []CommandOutcome{CommandUnknown}
-		name(pool, "2")
+		nameWeights(pool, "2")
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 12*time.Second))
 		Expect(pool.commands).To(Equal(2))
 	})
@@ -242,7 +242,7 @@
 	It("repeats a command that did not arrive, less and less often", func() {
 		pool := newModelPool(2, 2, time.Second)
 		pool.replicas[0].answers = []CommandOutcome{CommandNotSent, CommandNotSent, CommandNotSent}
-		name(pool, "2")
+		nameWeights(pool, "2")
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 14*time.Second))
 		sent := pool.replicas[0].commands
 		Expect(sent).To(HaveLen(4))
@@ -253,7 +253,7 @@
 	It("gets a greater token where a replica has seen one", func() {
 		pool := newModelPool(2, 2, time.Second)
 		pool.replicas[0].answers = []CommandOutcome{CommandFenced}
-		name(pool, "2")
+		nameWeights(pool, "2")
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 12*time.Second))
 		sent := pool.replicas[0].commands
 		Expect(sent).To(HaveLen(2))
@@ -262,7 +262,7 @@
 
 	It("begins anew with a replica that comes back as another incarnation", func() {
 		pool := newModelPool(3, 3, 1500*time.Millisecond)
-		name(pool, "2")
+		nameWeights(pool, "2")
 		pool.run(1200 * time.Millisecond)
 		victim, _ := lo.Find(pool.replicas, func(one *modelReplica) bool { return one.target != "" })
 		Expect(victim).NotTo(BeNil())
@@ -277,7 +277,7 @@
 	It("sends nothing to a replica that does not answer, and goes on with the others", func() {
 		pool := newModelPool(6, 3, time.Second)
 		pool.replicas[2].down = true
-		name(pool, "2")
+		nameWeights(pool, "2")
 		pool.run(9 * time.Second)
 		Expect(pool.replicas[2].commands).To(BeEmpty())
 		Expect(lo.CountBy(pool.replicas, func(one *modelReplica) bool { return one.version == "2" })).To(Equal(5))
@@ -287,7 +287,7 @@
 
 	It("forgets the rows that the list has caught up with", func() {
 		pool := newModelPool(4, 2, time.Second)
-		name(pool, "2")
+		nameWeights(pool, "2")
 		pool.run(30 * time.Second)
 		Expect(pool.node.machine.states.received.Service(1).GetReplicas()).To(BeEmpty())
 		Expect(pool.node.phases()).To(Equal(map[string]int{"serving": 4}))
@@ -295,7 +295,7 @@
 
 	It("keeps the replicas of every zone from being out at once", func() {
 		pool := newModelPool(18, 9, 1100*time.Millisecond)
-		name(pool, "2")
+		nameWeights(pool, "2")
 		for pool.node.now < 20*time.Second {
 			pool.run(DefaultTickEvery)
 			zones := map[string]int{}
