--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -15,9 +15,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// New returns the machine of a node. Restored holds what the node's disk kept of
-// each shard; shards that this node's group order names are hosted even when
-// nothing was kept.
+// New returns the control machine of a node. Restored holds the durable state of each shard
+// that was read from the node's disk. The node hosts all shards in whose groups it is, also
+// those that have no entry in restored.
 func New(config Config, restored map[uint32]replication.Restored, load routing.LoadReader, now time.Duration) (*Machine, error) {
 	machine := &Machine{config: config, clock: &clock{now: now}}
 	machine.members = newMemberTable(config, now)
@@ -60,10 +60,11 @@
 	return machine, nil
 }
 
-// connectLeaders makes the machines by which this node and the leaders of shards speak.
+// connectLeaders creates the machines through which this node exchanges messages with the
+// leaders of shards, or acts as a leader itself.
 func (m *Machine) connectLeaders(load routing.LoadReader) {
 	config, times := m.config, m.config.Times
-	// All requests of this node to others share their numbers.
+	// All requests of this node draw their numbers from one sequence.
 	numbers := protocol.NewNumbering(config.Self.Incarnation)
 	m.requests = requests.NewClient(requests.ClientConfig{
 		Timeout:    times.RequestTimeout,
@@ -114,8 +115,8 @@
 	}, config.hostedIDs(), now)
 }
 
-// acknowledgeUnconfirmedAfter is how long a committed change waits for confirmations at the
-// most; 0 means for as long as it takes.
+// acknowledgeUnconfirmedAfter returns how long a committed change waits for confirmations
+// before it is acknowledged without them; 0 means that it never is.
 func (c Config) acknowledgeUnconfirmedAfter() time.Duration {
 	if c.FailOpen {
 		return failOpenConfirmationTimeout
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -10,61 +10,66 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// Times of the control machine. They are chosen so that an order is
-// acknowledged well within two seconds while nodes come and go.
+// Durations of the control machine. They are chosen so that an operator's order is
+// acknowledged well within two seconds while nodes join, leave and fail.
 const (
 	// DefaultTickEvery is how often a driver calls Tick.
 	DefaultTickEvery = 20 * time.Millisecond
-	// DefaultHeartbeatEvery is how often leaders and members are heard from.
+	// DefaultHeartbeatEvery is the time between two heartbeats of a leader or a member.
 	DefaultHeartbeatEvery = 100 * time.Millisecond
 	// DefaultElectionTimeout is how long an unresponsive leader keeps its leadership. A
 	// heartbeat and its response may each wait for a write, so that the time-out must
-	// exceed two slow writes. Otherwise a group whose disks all take half a second
-	// would have no leader for most of the time.
+	// exceed two slow writes. Otherwise a group whose disks all take half a second for a
+	// write would have no leader for most of the time.
 	DefaultElectionTimeout = 1500 * time.Millisecond
-	// DefaultLeaseDuration is how long a leader may command replicas after a
-	// quorum has last confirmed it.
+	// DefaultLeaseDuration is the nominal length of the lease under which a leader
+	// commands replicas, counted from when a quorum last confirmed its leadership.
 	DefaultLeaseDuration = time.Second
 	// DefaultLeaseMargin covers clocks that run at slightly different rates.
 	DefaultLeaseMargin = 300 * time.Millisecond
-	// DefaultFenceAfter is how long a node serves without its monitors.
+	// DefaultFenceAfter is how long a node goes on serving without acknowledgements from
+	// its monitors.
 	DefaultFenceAfter = time.Second
-	// DefaultFenceMargin is added before others count on the fence.
+	// DefaultFenceMargin is how much longer than the fence time-out other nodes wait
+	// before they rely on a node having stopped serving.
 	DefaultFenceMargin = 200 * time.Millisecond
 	// DefaultAcknowledgeTimeout is how long the leader waits for every serving
-	// node to confirm a revision before it answers that the order is pending.
+	// node to confirm a revision before it answers that the operator's order is pending.
 	DefaultAcknowledgeTimeout = 4 * time.Second
-	// failOpenConfirmationTimeout is how long a committed change waits for confirmations
-	// where nodes go on serving while partitioned: a node that can't be reached can't be
-	// distinguished from one that is about to confirm.
+	// failOpenConfirmationTimeout is how long a committed change waits for confirmations if
+	// nodes go on serving while partitioned (Config.FailOpen). The wait must be bounded,
+	// because an unreachable node can't be distinguished from one that is about to confirm.
 	failOpenConfirmationTimeout = 600 * time.Millisecond
 	// minFailOpenElectionTimeout and maxFailOpenElectionTimeout bound the ElectionTimeout of
-	// FailOpenTimes. It has to hold two heartbeats and two slow writes.
+	// FailOpenTimes. The time-out must be long enough for two heartbeats and two slow
+	// writes.
 	minFailOpenElectionTimeout = 600 * time.Millisecond
 	maxFailOpenElectionTimeout = DefaultElectionTimeout
-	// failOpenDigestEvery may be longer than DefaultDigestEvery, as leaders send states
-	// directly to nodes that the relay tree did not reach.
+	// failOpenDigestEvery is the DigestEvery of FailOpenTimes. It may be longer than
+	// DefaultDigestEvery, because leaders send states directly to nodes that the relay tree
+	// did not reach.
 	failOpenDigestEvery = 400 * time.Millisecond
-	// electionTimeoutsPerContact is how many election timeouts fit into the time for
-	// which an unresponsive node counts as in contact: one to notice that a leader is
-	// unresponsive, and one for the voters to follow each other.
+	// electionTimeoutsPerContact is how many election time-outs fit into the time for
+	// which an unresponsive node still counts as in contact. One passes until the voters
+	// notice that the leader is unresponsive, and one while they campaign one after the
+	// other.
 	electionTimeoutsPerContact = 3
-	// DefaultRequestTimeout is how long a node looks for a leader that answers an
+	// DefaultRequestTimeout is how long a node tries to get the answer of a leader to an
 	// operator's request.
 	DefaultRequestTimeout = 8 * time.Second
 	// DefaultRetryEvery is how long a node waits for the response to a message before
 	// it asks the next group member.
 	DefaultRetryEvery = 300 * time.Millisecond
-	// DefaultConfirmEvery is how often a leader asks the nodes whose
-	// confirmation it waits for, in case one was lost.
+	// DefaultConfirmEvery is how often a leader requests the confirmations that it still
+	// waits for, in case a message was lost.
 	DefaultConfirmEvery = 250 * time.Millisecond
-	// DefaultDigestEvery is how often relay nodes compare revisions.
+	// DefaultDigestEvery is how often the nodes of the relay tree compare revisions.
 	DefaultDigestEvery = 200 * time.Millisecond
-	// DefaultEndpointReadEvery is how often the platform's list is read, by one node
-	// for all.
+	// DefaultEndpointReadEvery is how often the platform's endpoint list is read. One node
+	// reads it and passes it on to all others.
 	DefaultEndpointReadEvery = listing.DefaultReadEvery
-	// DefaultCommandGap is how far apart the commands of two leaders to one replica
-	// are.
+	// DefaultCommandGap is the minimum time between the commands of two successive leaders
+	// to the same replica.
 	DefaultCommandGap = 3 * time.Second
 )
 
@@ -73,57 +78,63 @@
 	ConfigurationShard = shardstate.ConfigurationShard
 	// DefaultServiceShards is the number of shards that services hash to.
 	DefaultServiceShards uint32 = 4
-	// serviceGroupSize is the number of nodes that hold one service shard.
+	// serviceGroupSize is the number of nodes that replicate one service shard.
 	serviceGroupSize = 3
-	// confirmRepeatPeriods is how many ConfirmEvery periods lie between two
-	// confirmations that nobody asked for.
+	// confirmRepeatPeriods is the interval, in ConfirmEvery periods, at which a node
+	// repeats its confirmation although nothing has changed and no leader has asked.
 	confirmRepeatPeriods = 8
-	// relayFanOut bounds the children of a node in the relay tree.
+	// relayFanOut is the maximum number of children of a node in the relay tree.
 	relayFanOut = 4
-	// seededMaxVoters bounds the voters of a group that follows the membership:
-	// nine bear the loss of four, and two more may stand in for machines that are
-	// about to be taken away.
+	// seededMaxVoters is the maximum number of voters of a group whose members are taken
+	// from the table of members. Nine voters tolerate the loss of four, and two more may
+	// take the place of voters on machines that are about to be removed.
 	seededMaxVoters = 11
-	// defaultMaxLogEntries is how many applied entries a shard keeps for members that
-	// lag behind.
+	// defaultMaxLogEntries is how many applied entries a shard keeps in its log for members
+	// that lag behind.
 	defaultMaxLogEntries = 1024
 )
 
 // Times groups the durations of a control machine, so that tests and
-// simulations may shorten them.
+// simulations can shorten them.
 type Times struct {
 	// HeartbeatEvery is the time between two heartbeats of a leader or a member.
 	HeartbeatEvery time.Duration
 	// ElectionTimeout is how long an unresponsive leader keeps its leadership.
 	ElectionTimeout time.Duration
-	// LeaseDuration is how long a leader may command replicas after a quorum has last
-	// confirmed it, and LeaseMargin what others wait beyond that.
+	// LeaseDuration is the nominal length of the lease under which a leader commands
+	// replicas, counted from when a quorum last confirmed its leadership. The leader stops
+	// LeaseMargin before the end of the lease. A later leader waits for LeaseDuration and
+	// LeaseMargin after its election.
 	LeaseDuration time.Duration
 	LeaseMargin   time.Duration
-	// FenceAfter is how long a node serves without its monitors, and FenceMargin what
-	// others wait beyond that.
+	// FenceAfter is how long a node goes on serving without acknowledgements from its
+	// monitors, and FenceMargin how much longer others wait before they rely on the node
+	// having stopped.
 	FenceAfter  time.Duration
 	FenceMargin time.Duration
-	// AcknowledgeTimeout is how long a change waits for confirmations.
+	// AcknowledgeTimeout is how long a change waits for confirmations before it is answered
+	// as pending.
 	AcknowledgeTimeout time.Duration
 	// RequestTimeout is how long an operator's request waits for the leader's reply.
 	RequestTimeout time.Duration
 	// RetryEvery is how long a message waits for its response before it is sent again.
 	RetryEvery time.Duration
-	// ConfirmEvery is how often a leader asks for overdue confirmations.
+	// ConfirmEvery is how often a leader requests overdue confirmations.
 	ConfirmEvery time.Duration
-	// DigestEvery is how often relay nodes compare revisions.
+	// DigestEvery is how often the nodes of the relay tree compare revisions.
 	DigestEvery time.Duration
-	// EndpointReadEvery is how often one node reads the platform's list.
+	// EndpointReadEvery is how often one node reads the platform's endpoint list for all.
 	EndpointReadEvery time.Duration
-	// CommandGap is how far apart the commands of two leaders to one replica are.
+	// CommandGap is the minimum time between the commands of two successive leaders to the
+	// same replica.
 	CommandGap time.Duration
-	// WeightsDeadline is how long after a version was named nodes give up the
-	// replicas that do not run it; 0 means never.
+	// WeightsDeadline is how long after a weight version was named for a pool nodes stop
+	// sending requests to replicas that do not run it; 0 means never.
 	WeightsDeadline time.Duration
 }
 
-// DefaultTimes returns the times that nodes run with.
+// DefaultTimes returns the default durations. Nodes that go on serving while partitioned use
+// FailOpenTimes instead.
 func DefaultTimes() Times {
 	return Times{
 		HeartbeatEvery:     DefaultHeartbeatEvery,
@@ -142,9 +153,9 @@
 	}
 }
 
-// FailOpenTimes returns the times of nodes that go on serving while partitioned. An
-// unresponsive leader is replaced within contact, and requests are answered within
-// acknowledge.
+// FailOpenTimes returns the durations of nodes that go on serving while partitioned
+// (Config.FailOpen). Contact is the time within which an unresponsive leader is to be
+// replaced, and acknowledge the time within which requests are answered.
 func FailOpenTimes(contact, acknowledge time.Duration) Times {
 	times := DefaultTimes()
 	times.ElectionTimeout = min(max(contact/electionTimeoutsPerContact, minFailOpenElectionTimeout), maxFailOpenElectionTimeout)
@@ -156,20 +167,21 @@
 
 // Config sets up a Machine.
 type Config struct {
-	// Self describes this node, in the incarnation in which it starts.
+	// Self describes this node, with the incarnation that it starts with.
 	Self member.Info
 	// Seeds are internal addresses of up to three other nodes.
 	Seeds []string
-	// Seeded means that the nodes with disks are those in the table of members, in
-	// place of Group. They follow all shards and get a vote when they have caught up.
+	// Seeded means that the core nodes (the nodes with disks) are taken from the table of
+	// members instead of Group. Each of them follows all shards and gets a vote when it has
+	// caught up.
 	Seeded bool
-	// FailOpen lets the node serve by the newest configuration that reached it,
-	// whether or not it is partitioned. An acknowledgement waits for the live nodes,
-	// and for failOpenConfirmationTimeout at most.
+	// FailOpen lets the node serve with the newest configuration that reached it,
+	// whether or not it is partitioned. An acknowledgement then waits only for the live
+	// nodes, and for failOpenConfirmationTimeout at most.
 	FailOpen bool
-	// Group holds the IDs of all nodes with disks, in the agreed order. If Seeded
-	// is set, it holds the founding voters on nodes that were founders, and
-	// nobody on others.
+	// Group holds the IDs of all core nodes, in the order that all nodes agree on. If
+	// Seeded is set, it holds the founding voters on nodes that were founders, and is
+	// empty on others.
 	Group []member.ID
 	// GroupZones holds the zones of the nodes in Group, as far as known. It must
 	// be the same on every node.
@@ -179,25 +191,25 @@
 	// Learner is set on a node whose disk has never been initialised: it
 	// follows the shards and must not vote.
 	Learner bool
-	// DiskIncarnation names the data folder, see replication.Config. Zero
-	// stands for the founding incarnation, or for one of this process alone if
-	// Learner is set.
+	// DiskIncarnation identifies the contents of the data folder, see
+	// replication.Config.Incarnation. Zero means the founding incarnation, or the
+	// incarnation of this process if Learner is set.
 	DiskIncarnation uint64
-	// Times are the durations to run with.
+	// Times are the durations that the machine uses.
 	Times Times
-	// ReplicasFinishFirst means that a replica which is ordered to load weights
-	// finishes its requests first, and refuses others until it has loaded, as not
-	// run. So it need not be drained by the nodes.
+	// ReplicasFinishFirst means that a replica that is commanded to load weights first
+	// finishes its running requests. Until it has loaded the weights, it refuses new
+	// requests as not run. Nodes therefore need not drain it.
 	ReplicasFinishFirst bool
-	// MaxLogEntries is how many applied entries a shard keeps for members that lag
-	// behind; 0 means the default.
+	// MaxLogEntries is how many applied entries a shard keeps in its log for members that
+	// lag behind; 0 means the default.
 	MaxLogEntries int
-	// Limits bound the state and the log of a shard in bytes; the zero value stands for
-	// those of a machine that gives more than they need.
+	// Limits bound the state and the log of a shard in bytes. The zero value means the
+	// limits of a machine with more disk and memory than they need (storagelimit.For).
 	Limits storagelimit.Limits
 }
 
-// diskIncarnation returns DiskIncarnation, or what zero stands for.
+// diskIncarnation returns DiskIncarnation, or its default if it is zero.
 func (c Config) diskIncarnation() uint64 {
 	switch {
 	case c.DiskIncarnation != 0:
@@ -209,7 +221,7 @@
 	}
 }
 
-// limits is Limits or its default.
+// limits returns Limits, or the default if Limits is the zero value.
 func (c Config) limits() storagelimit.Limits {
 	if c.Limits == (storagelimit.Limits{}) {
 		return storagelimit.For(storagelimit.Machine{})
@@ -217,7 +229,7 @@
 	return c.Limits
 }
 
-// logEntries is MaxLogEntries or its default.
+// logEntries returns MaxLogEntries, or the default if it is not positive.
 func (c Config) logEntries() int {
 	if c.MaxLogEntries <= 0 {
 		return defaultMaxLogEntries
--- a/internal/control/confirmations.go
+++ b/internal/control/confirmations.go
@@ -14,8 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// localConfirmations tells others which revisions this node serves and has drained. It owns
-// what the node has confirmed.
+// localConfirmations confirms to other nodes which revisions this node serves and has
+// drained. It owns the record of these revisions.
 type localConfirmations struct {
 	config   Config
 	members  *memberTable
@@ -29,7 +29,8 @@
 	local *confirmation.Local
 }
 
-// tick sends a confirmation when what this node serves has changed, and now and then.
+// tick sends a confirmation when the served or drained revisions have changed, and otherwise
+// at regular intervals.
 func (c *localConfirmations) tick(now time.Duration) {
 	due := c.local.Due(now)
 	if c.update() || due {
@@ -37,8 +38,8 @@
 	}
 }
 
-// publish records that the view which is about to be published serves the received states,
-// and confirms that.
+// publish records that traffic is served with the received states, from which the view that
+// is about to be published was built, and confirms their revisions to other nodes.
 func (c *localConfirmations) publish(now time.Duration) {
 	for _, id := range c.shards.ids {
 		c.local.Publish(id, c.received.Revision(id))
@@ -48,15 +49,17 @@
 	}
 }
 
-// update reads what traffic uses by now and reports whether it has changed.
+// update recomputes the revisions that traffic uses and has drained, and reports whether
+// they have changed.
 func (c *localConfirmations) update() bool {
 	return c.local.Update(c.members.incarnation(), c.drained)
 }
 
 // drained reports whether no request of this node runs on a replica that the newest state
-// of a shard keeps requests from. Traffic counts a request before it reads the view for the
-// last time, so that a zero read after the view was published stays true. (publish is
-// called before the driver has stored the view; docs/ROADMAP.md lists that.)
+// of a shard takes out of service. Traffic counts a request before it reads the view for
+// the last time. If the count is zero after the view was published, no later request
+// therefore runs on the replica. However, publish is called before the driver has stored the
+// view; docs/ROADMAP.md lists this.
 func (c *localConfirmations) drained(shardID uint32) bool {
 	for _, replica := range c.received.Service(shardID).GetReplicas() {
 		serving := replica.GetPhase() == controlpb.ReplicaPhase_SERVING
@@ -67,7 +70,7 @@
 	return true
 }
 
-// send sends this node's revisions to all that need them.
+// send sends this node's revisions to all nodes that need them.
 func (c *localConfirmations) send(now time.Duration) {
 	c.local.Sent(now)
 	message := c.local.Message(c.members.incarnation())
@@ -78,8 +81,9 @@
 	}
 }
 
-// receivers are the nodes with disks; or the leaders of shards alone, where leaders ask
-// every node when they begin.
+// receivers returns the nodes with disks, which form the group of the configuration. If
+// FailOpen is set, it returns only the leaders of shards, because each new leader then asks
+// every node.
 func (c *localConfirmations) receivers() []member.ID {
 	if !c.config.FailOpen {
 		return c.shards.Group(ConfigurationShard)
@@ -93,7 +97,8 @@
 	return receivers
 }
 
-// receiveRequest answers a leader, and records that it is one.
+// receiveRequest answers a leader's request for this node's confirmation, and records that
+// the sender leads the shard unless a later term was observed.
 func (c *localConfirmations) receiveRequest(from member.ID, message protocol.Message) {
 	if message.Term > 0 && message.Term >= c.recovery.ObservedTerm(message.Shard) {
 		c.recovery.ObserveTerm(message.Shard, message.Term)
--- a/internal/control/confirmations_test.go
+++ b/internal/control/confirmations_test.go
@@ -11,17 +11,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// silentIncarnation is the incarnation of a registered node that confirms only when a test says
-// so.
+// silentIncarnation is the incarnation of the node "silent", which is registered but sends
+// confirmations only when a test makes it.
 const silentIncarnation member.Incarnation = 7
 
-// receiveFromPeer lets the silent node send a control message.
+// receiveFromPeer delivers a control message of the node "silent".
 func (n *soloNode) receiveFromPeer(message protocol.Message) {
 	message.Incarnation = silentIncarnation
 	n.perform(n.machine.Receive(n.now, wire.Envelope{From: "silent", Shard: message.Shard, Control: &message}))
 }
 
-// challengeSentTo is the number that a node is to send back with its registration.
+// challengeSentTo returns the newest challenge that was sent to a node, which the node must
+// send back with its registration.
 func (n *soloNode) challengeSentTo(id member.ID) uint64 {
 	var number uint64
 	for _, sent := range n.sends {
@@ -33,7 +34,7 @@
 	return number
 }
 
-// confirmationRequestTimes records the times at which the silent node is asked to confirm.
+// confirmationRequestTimes returns the times at which the node "silent" was asked to confirm.
 func (n *soloNode) confirmationRequestTimes() []time.Duration {
 	var asked []time.Duration
 	for _, sent := range n.sends {
@@ -56,7 +57,7 @@
 		node.run(time.Second)
 	})
 
-	It("requests the confirmation of a late node again and again, and no earlier", func() {
+	It("requests an overdue confirmation repeatedly, but not before DefaultConfirmEvery has passed", func() {
 		submitted := node.now
 		Expect(node.submit(poolConfiguration())).To(BeNil())
 		asked := node.confirmationRequestTimes()
@@ -65,7 +66,7 @@
 		Expect(asked[1] - asked[0]).To(BeNumerically(">=", DefaultConfirmEvery))
 	})
 
-	It("acknowledges as soon as the node responds, and then requests no more", func() {
+	It("acknowledges the change as soon as the node confirms, and then stops requesting", func() {
 		Expect(node.submit(poolConfiguration())).To(BeNil())
 		revision := node.machine.Configuration().GetRevision()
 		node.receiveFromPeer(protocol.Message{
@@ -80,7 +81,7 @@
 		Expect(node.confirmationRequestTimes()).To(HaveLen(before))
 	})
 
-	It("does not count what an earlier incarnation confirmed", func() {
+	It("does not count a confirmation by an earlier incarnation of the node", func() {
 		Expect(node.submit(poolConfiguration())).To(BeNil())
 		earlier := protocol.Message{
 			Type:        protocol.MessageConfirm,
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -9,41 +9,41 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Endpoint is a back end as the platform lists it.
+// Endpoint is a back end in the platform's endpoint list.
 type Endpoint struct {
 	Address string
 	Zone    string
-	// Instance is the platform's name of the back end's incarnation; empty if it
-	// gives none.
+	// Instance is the platform's name for the present incarnation of the back end; empty
+	// if the platform gives none.
 	Instance string
-	// Slots is how many requests it works on at once; 0 if unknown.
+	// Slots is the number of requests that the back end processes at once; 0 if unknown.
 	Slots int
-	// WarmUpRemaining is how much longer its warm-up lasts, as of the reading.
+	// WarmUpRemaining is how much longer the warm-up lasted when the list was read.
 	WarmUpRemaining time.Duration
-	// WeightVersion is the version that the list shows, which may lag; empty if
-	// it shows none.
+	// WeightVersion is the version that the list shows, which may be outdated; empty if
+	// the list shows none.
 	WeightVersion string
 	Draining      bool
 }
 
-// ServiceEndpoints is a service with its back ends as the platform lists them.
+// ServiceEndpoints is a service with its back ends in the platform's endpoint list.
 type ServiceEndpoints struct {
 	Name      string
 	Endpoints []Endpoint
 }
 
-// EndpointReading is the outcome of one reading of the platform's list by this node.
+// EndpointReading is the result of reading the platform's endpoint list on this node.
 type EndpointReading struct {
-	// StartedAt is when the reading began: the list is no older.
+	// StartedAt is when the reading began, so that the list is no older than that.
 	StartedAt time.Duration
 	Services  []ServiceEndpoints
-	// Err is set if the reading failed; the last list stays in force.
+	// Err is set if the reading failed. The last list then stays in force.
 	Err error
 }
 
-// localEndpoints are the back ends of the platform's list on this node. It owns the machine
-// that keeps the list on all nodes, the list as this node uses it, and whether the node may
-// serve by it.
+// localEndpoints manages the platform's endpoint list on this node. It owns the machine that
+// distributes the list to all nodes, the list in use, and whether it is recent enough for
+// this node to serve with.
 type localEndpoints struct {
 	outbox  *outbox
 	rollout *rollout.Machine
@@ -52,7 +52,7 @@
 	machine   *listing.Machine
 	inUse     backends
 	freshness endpointFreshness
-	// readRequested means that this node is to read the list.
+	// readRequested means that the next Output asks for a reading of the list.
 	readRequested bool
 }
 
@@ -72,13 +72,13 @@
 
 func (e *localEndpoints) tick(now time.Duration) { e.perform(now, e.machine.Tick(now)) }
 
-// readDone takes the outcome of a reading by this node.
+// readDone handles the result of a reading by this node.
 func (e *localEndpoints) readDone(now time.Duration, reading EndpointReading) {
 	e.perform(now, e.machine.ReadDone(now, reading.StartedAt, endpointsOf(reading), reading.Err))
 }
 
-// receive takes another node's message about the list. One that can't be read is dropped:
-// the next reading comes soon.
+// receive handles another node's message about the list. A message that can't be decoded is
+// dropped, because the next reading follows soon.
 func (e *localEndpoints) receive(now time.Duration, from member.ID, message protocol.Message) {
 	decode := listing.DecodeReading
 	if message.Type == protocol.MessageEndpointsRequest {
@@ -89,7 +89,7 @@
 	}
 }
 
-// perform carries out what the list's machine wants.
+// perform carries out an output of the machine that distributes the list.
 func (e *localEndpoints) perform(now time.Duration, output listing.Output) {
 	e.readRequested = e.readRequested || output.Read
 	for _, out := range output.Sends {
@@ -108,7 +108,7 @@
 func (e *localEndpoints) send(out listing.Outbound) {
 	payload, err := out.Message.Encode()
 	if err != nil {
-		// Nothing of the platform's is unencodable but text that is not UTF-8.
+		// Encoding fails only if the platform's list contains text that is not UTF-8.
 		return
 	}
 	kind := protocol.MessageEndpoints
@@ -118,21 +118,22 @@
 	e.outbox.Send(out.To, protocol.Message{Type: kind, Payload: payload})
 }
 
-// followIncarnation has the list proven fresh anew for another incarnation of this node.
+// followIncarnation requests a new proof that the list is recent if the incarnation of this
+// node has changed.
 func (e *localEndpoints) followIncarnation(now time.Duration, incarnation member.Incarnation) {
 	if e.freshness.setIncarnation(now, incarnation) {
 		e.machine.RequestProof()
 	}
 }
 
-// takeReadRequest reports whether this node is to read the list, once for each reading.
+// takeReadRequest reports whether this node is to read the list, and clears the request.
 func (e *localEndpoints) takeReadRequest() bool {
 	requested := e.readRequested
 	e.readRequested = false
 	return requested
 }
 
-// endpointsOf turns a reading into a list with times of this node's clock.
+// endpointsOf converts a reading to a list whose times are those of this node's clock.
 func endpointsOf(reading EndpointReading) []listing.Replica {
 	var replicas []listing.Replica
 	for _, service := range reading.Services {
@@ -152,7 +153,7 @@
 	return replicas
 }
 
-// warmingUntil is 0 for a warm replica.
+// warmingUntil returns when the warm-up of a replica ends; 0 for a warm replica.
 func warmingUntil(readAt, remaining time.Duration) time.Duration {
 	if remaining <= 0 {
 		return 0
@@ -160,8 +161,8 @@
 	return readAt + remaining
 }
 
-// backends is the platform's list of back ends as this node uses it. It changes with
-// what the list's machine puts in force, and with nothing else.
+// backends is the endpoint list that this node uses. It changes only when listing.Machine
+// puts a new list in force.
 type backends struct {
 	services map[string][]listing.Replica
 	// known means that a list has been put in force.
@@ -181,27 +182,30 @@
 	b.known = true
 }
 
-// maxEndpointsAge is how old a list may be for a new incarnation of this node to serve by it.
-// Until the next reading comes, a replica may drain that long unnoticed.
+// maxEndpointsAge is the maximum age of a list with which a new incarnation of this node may
+// begin to serve. A replica that began to drain within that time stays unnoticed until the
+// next reading.
 const maxEndpointsAge = 2 * time.Second
 
-// endpointsTimeout is how long a new incarnation waits for the platform's list. A node
-// that was partitioned or frozen must not admit by a list from before, in which a replica
-// may stand that drains by now; but it must serve while the platform is down.
+// endpointsTimeout is how long a new incarnation waits for a recent endpoint list before it
+// serves with the one it has. A node that was partitioned or frozen must not admit requests
+// with an older list, which may contain a replica that is draining by now. The wait is
+// bounded because the node must serve while the platform is down.
 const endpointsTimeout = 1500 * time.Millisecond
 
-// endpointFreshness decides whether the present incarnation of a node may serve by the
-// platform's list.
+// endpointFreshness decides whether the present incarnation of a node may serve with the
+// endpoint list that it has.
 type endpointFreshness struct {
 	incarnation member.Incarnation
 	// since is when the incarnation was first seen.
 	since time.Duration
-	// fresh means that, within the incarnation, the list was proven younger than
-	// maxEndpointsAge.
+	// fresh means that the list was proven younger than maxEndpointsAge at some time within
+	// the incarnation.
 	fresh bool
 }
 
-// setIncarnation begins anew with another incarnation, and reports whether it did.
+// setIncarnation resets the state if the incarnation has changed, and reports whether it
+// has.
 func (f *endpointFreshness) setIncarnation(now time.Duration, incarnation member.Incarnation) bool {
 	if incarnation == f.incarnation {
 		return false
@@ -210,12 +214,14 @@
 	return true
 }
 
-// prove lets the incarnation serve by the list if that was read not long before now.
+// prove records that the list was read at readAt or later, and lets the incarnation serve if
+// that is less than maxEndpointsAge ago.
 func (f *endpointFreshness) prove(now, readAt time.Duration) {
 	f.fresh = f.fresh || now-readAt < maxEndpointsAge
 }
 
-// usable reports whether the list is good enough to serve by.
+// usable reports whether the node may serve with the list: it was proven recent, or the wait
+// for a recent one has timed out.
 func (f *endpointFreshness) usable(now time.Duration) bool {
 	return f.fresh || now-f.since >= endpointsTimeout
 }
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// shardIDs are all shards, in order.
+// shardIDs returns the IDs of all shards in ascending order.
 func (c Config) shardIDs() []uint32 {
 	var ids []uint32
 	for id := range c.ServiceShards + 1 {
@@ -19,14 +19,13 @@
 	return ids
 }
 
-// hostedIDs are the shards that this node hosts, in order.
+// hostedIDs returns the IDs of the shards that this node hosts, in ascending order.
 func (c Config) hostedIDs() []uint32 {
 	return slices.DeleteFunc(c.shardIDs(), func(id uint32) bool { return !c.hosts(id) })
 }
 
-// hosts reports whether this node has a copy of a shard. Where nodes with disks find each
-// other through seeds, each of them has a copy of all shards, and the members of a group
-// are those that its log names.
+// hosts reports whether this node has a copy of a shard. If Seeded is set, each node with a
+// disk has a copy of all shards, and the members of a group are those that its log names.
 func (c Config) hosts(shardID uint32) bool {
 	if !c.Self.HoldsState {
 		return false
@@ -42,7 +41,8 @@
 	return c.GroupOfShard(shardID)
 }
 
-// maxVoters bounds how far the leader lets a group grow; zero is the default.
+// maxVoters returns the number of voters up to which the leader lets a group grow; zero
+// means the default of package replication.
 func (c Config) maxVoters() int {
 	if c.Seeded {
 		return seededMaxVoters
@@ -50,10 +50,11 @@
 	return 0
 }
 
-// GroupOfShard returns the members of a shard's replica group in the order in
-// which they become its leader. Every node with a disk replicates the configuration; a
-// service shard is replicated by the nodes of the highest weight, so that leaders spread,
-// in as many zones as there are, so that no zone takes a majority with it.
+// GroupOfShard returns the members of a shard's replica group in the order in which they
+// become its leader. Every node with a disk replicates the configuration. A service shard is
+// replicated by the nodes with the highest rendezvous weights, which spreads the leaders over
+// the nodes. They are taken from as many zones as possible, so that the loss of one zone
+// does not take a majority with it.
 func (c Config) GroupOfShard(shard uint32) []member.ID {
 	if shard == ConfigurationShard {
 		return slices.Clone(c.Group)
@@ -71,7 +72,7 @@
 }
 
 // spreadOverZones moves the first member of each zone to the front and keeps
-// the order otherwise. Members without a known zone count as one each.
+// the order otherwise. Each member without a known zone counts as a zone of its own.
 func (c Config) spreadOverZones(ordered []member.ID) []member.ID {
 	var first, further []member.ID
 	seen := map[string]struct{}{}
@@ -90,7 +91,7 @@
 	return append(first, further...)
 }
 
-// rendezvousWeight is the weight of a node for a shard.
+// rendezvousWeight returns the weight of a node for a shard in rendezvous hashing.
 func rendezvousWeight(shard uint32, id member.ID) uint64 {
 	digest := xxhash.New()
 	var prefix [4]byte
--- a/internal/control/hosted_shards.go
+++ b/internal/control/hosted_shards.go
@@ -16,19 +16,19 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// hostedShards owns this node's copies of shards, and knows the groups of all shards. It
+// hostedShards owns this node's copies of shards, and returns the groups of all shards. It
 // implements leaders.Shards.
 type hostedShards struct {
 	config        Config
 	clock         *clock
 	members       *memberTable
 	confirmations *confirmation.Table
-	// ids are all shards, and byID those that this node hosts.
+	// ids are the IDs of all shards; byID contains only the shards that this node hosts.
 	ids  []uint32
 	byID map[uint32]*shards.Shard
 }
 
-// start starts this node's copies of the shards in whose groups it is.
+// start starts this node's copies of the shards that it hosts.
 func (s *hostedShards) start(host shards.Host, restored map[uint32]replication.Restored) error {
 	config := s.config
 	for _, id := range config.hostedIDs() {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// all are the shards that this node hosts, in order.
+// all iterates over the shards that this node hosts, in ascending order of their IDs.
 func (s *hostedShards) all() iter.Seq[hostedShard] {
 	return func(yield func(hostedShard) bool) {
 		for _, id := range s.ids {
@@ -73,7 +73,7 @@
 	return s.bind(shard), true
 }
 
-// bind returns a shard as the machines of single concerns see it during this input.
+// bind binds a shard to the time of this input and to the table of confirmations.
 func (s *hostedShards) bind(shard *shards.Shard) hostedShard {
 	return hostedShard{Shard: shard, confirmations: s.confirmations, now: s.clock.now}
 }
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// receive passes a message to the group member that it is for. A message that the group
-// refuses is dropped: the sender repeats what matters.
+// receive passes a replication message to this node's member of the shard's group. A message
+// that the group rejects is dropped, because its sender repeats what is still needed.
 func (s *hostedShards) receive(envelope wire.Envelope) {
 	shard, hosted := s.find(envelope.Shard)
 	if !hosted {
@@ -108,12 +108,13 @@
 	shard.Process()
 }
 
-// transferLeadership hands the shards that this node leads to other members.
+// transferLeadership transfers the leadership of all shards that this node leads to other
+// members.
 func (s *hostedShards) transferLeadership(now time.Duration) {
 	for shard := range s.all() {
-		// An error means that this node does not lead the shard, or that no member
-		// can succeed it. There is nothing to transfer then, or the group elects a
-		// leader after its time-out.
+		// An error means that this node does not lead the shard, so that there is nothing
+		// to transfer, or that no member can succeed it. In that case the group elects a
+		// leader after the election time-out.
 		_ = shard.Group().TransferLeadership(now)
 		shard.Process()
 	}
@@ -129,7 +130,7 @@
 }
 
 // Group implements leaders.Shards. It returns the members of a shard's group, as far as
-// this node can tell, in the order in which they become its leader.
+// known to this node, in the order in which they become its leader.
 func (s *hostedShards) Group(shardID uint32) []member.ID {
 	if !s.config.Seeded {
 		return s.config.GroupOfShard(shardID)
@@ -151,8 +152,9 @@
 // Reachable implements leaders.Shards.
 func (s *hostedShards) Reachable(id member.ID) bool { return s.members.reachable(id) }
 
-// slots returns the slots of a shard's group. It is false when this node leads no copy in
-// which the last change of the group is final, so that it cannot tell.
+// slots returns the slots of a shard's group. It returns false unless this node leads the
+// shard and the last change of the group is committed, because otherwise the slots are not
+// known for certain.
 func (s *hostedShards) slots(shardID uint32) ([]replication.Slot, bool) {
 	shard, hosted := s.find(shardID)
 	if !hosted {
@@ -165,7 +167,8 @@
 	return status.Slots, true
 }
 
-// badEntries counts the log entries that could not be decoded or encoded.
+// badEntries returns the number of log entries, of all hosted shards, that could not be
+// decoded or encoded.
 func (s *hostedShards) badEntries() uint64 {
 	var count uint64
 	for _, shard := range s.byID {
--- a/internal/control/large_configurations_test.go
+++ b/internal/control/large_configurations_test.go
@@ -20,7 +20,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// boundedNode is the only node of a deployment, on a disk of bounded size.
+// boundedNode is the only node of a deployment, with a disk of limited capacity.
 type boundedNode struct {
 	limits  storagelimit.Limits
 	disk    *memdisk.Disk
@@ -29,7 +29,7 @@
 	now     time.Duration
 	ticket  uint64
 	answers map[uint64]*controlpb.Answer
-	// unwritten are the writes that the disk has refused.
+	// unwritten are the writes that failed because the disk was full.
 	unwritten []StorageWrite
 }
 
@@ -40,7 +40,7 @@
 	return node
 }
 
-// start starts a process on what the disk holds.
+// start starts a process from the data on the disk.
 func (n *boundedNode) start() {
 	n.logs = map[uint32]*durable.Log{}
 	n.unwritten = nil
@@ -86,7 +86,8 @@
 	}
 }
 
-// run lets time pass. What the disk has refused is written again.
+// run advances the time. Writes that failed because the disk was full are repeated at each
+// tick.
 func (n *boundedNode) run(duration time.Duration) {
 	for end := n.now + duration; n.now < end; n.now += DefaultTickEvery {
 		refused := n.unwritten
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// largeDocument returns an order with a document of about that many bytes, which no encoding
-// makes smaller.
+// largeDocument returns an order with a document of the given size, which consists of random
+// bytes so that it can't be compressed.
 func largeDocument(version, base uint64, bytes int) *controlpb.Order {
 	document := make([]byte, bytes)
 	_, err := rand.NewChaCha8([32]byte{byte(version), byte(version >> 8), byte(base), byte(base >> 8)}).Read(document)
@@ -126,10 +127,10 @@
 	const mebibyte = 1 << 20
 	machine := storagelimit.Machine{DiskBytes: 8 * mebibyte, MemoryBytes: 20 * mebibyte}
 
-	// Guards against a log that outgrows the disk, by entries that are counted and not
-	// measured, and by refused changes (issue 37, review/1).
-	It("take bounded space of the disk over thousands of changes, accepted and refused", func() {
-		// The answers to accepted orders are remembered, up to dynamic.MaxAnswers of them.
+	// Guards against a log that outgrows the disk because its entries are limited by number
+	// and not by size, and because refused changes enter it (issue 37, review/1).
+	It("take bounded disk space while many changes are accepted, refused and resent", func() {
+		// The state keeps the answers to accepted orders, up to dynamic.MaxAnswers of them.
 		const changes, documentBytes, documentsOnDisk, answerBytes = 1000, 500 << 10, 8, 256
 		node := newBoundedNode(machine)
 		peak := 0
@@ -142,18 +143,18 @@
 			before := node.disk.Used()
 			lost := node.submit(largeDocument(version+changes, version-1, documentBytes))
 			Expect(lost.GetProblem().GetKind()).To(BeEquivalentTo(dynamic.KindBaseRevisionStale))
-			Expect(node.disk.Used()-before).To(BeNumerically("<", documentBytes/10), "a refused document is stored")
-			Expect(node.submit(largeDocument(version, version-1, documentBytes)).GetConfirmed()).To(BeTrue(), "a resend")
-			Expect(node.disk.Used()-before).To(BeNumerically("<", documentBytes/10), "a resent document is stored")
+			Expect(node.disk.Used()-before).To(BeNumerically("<", documentBytes/10), "a refused document must not be stored")
+			Expect(node.submit(largeDocument(version, version-1, documentBytes)).GetConfirmed()).To(BeTrue(), "a resent order must be confirmed")
+			Expect(node.disk.Used()-before).To(BeNumerically("<", documentBytes/10), "a resent document must not be stored again")
 		}
 		Expect(node.disk.Stats().Refused).To(BeZero())
-		Expect(node.disk.Stats().PeakBytes-peak).To(BeNumerically("<", changes*answerBytes), "the second half takes more")
+		Expect(node.disk.Stats().PeakBytes-peak).To(BeNumerically("<", changes*answerBytes), "the peak must not grow by more than the answers in the second half")
 		Expect(peak).To(BeNumerically("<", documentsOnDisk*documentBytes))
 		node.start()
 		Expect(node.machine.Configuration().GetSource().GetVersion()).To(BeEquivalentTo(changes))
 	})
 
-	It("are refused where the machine has no room for them, and up to there have room", func() {
+	It("are accepted up to the size limit of the machine, and refused beyond it", func() {
 		node := newBoundedNode(machine)
 		const overheadBytes = 1 << 10
 		largest := node.limits.Command - overheadBytes
@@ -166,8 +167,9 @@
 		Expect(node.disk.Stats().PeakBytes).To(BeNumerically("<", machine.DiskBytes))
 	})
 
-	// Guards against a start from the log of an earlier release that stays as long as it was.
-	It("of a log that had no bound in bytes are compacted after a start", func() {
+	// Guards against a log that was written by an earlier release, without a limit in bytes,
+	// and that keeps its size after a start.
+	It("are compacted after a start if their log was written without a limit in bytes", func() {
 		const documents, documentBytes = 30, 200 << 10
 		node := newBoundedNode(storagelimit.Machine{})
 		node.limits.Log, node.limits.CheckpointLog = 1<<40, 1<<40
@@ -182,7 +184,7 @@
 		Expect(node.disk.Used()).To(BeNumerically("<", 4*documentBytes))
 	})
 
-	It("are taken again once a full disk has room, and nothing acknowledged is lost", func() {
+	It("are accepted again once a full disk has space, and no acknowledged one is lost", func() {
 		const documentBytes = 300 << 10
 		node := newBoundedNode(machine)
 		for version := range uint64(40) {
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -17,51 +17,52 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Machine is the control state machine of one node. It composes the machines of single
-// concerns: an input goes to those that it concerns, and collect gathers what all of them
-// want done. Machine owns no state but the time of the input. It is not safe for concurrent
-// use: one goroutine owns it.
+// Machine is the control state machine of one node. It composes the machines of the
+// individual concerns: it passes each input to the machines that handle it, and collect
+// gathers the outputs of all of them. The only state that Machine itself owns is the time of
+// the input. It is not safe for concurrent use: one goroutine owns it.
 type Machine struct {
 	config Config
 	clock  *clock
 	outbox *outbox
 
-	// members knows who is alive and where, and leaders which node leads each shard. shards
-	// are this node's copies of shards, and host carries out what they are ready to do.
-	// states has the newest state of every shard, hosted or not.
+	// members holds the live nodes and their addresses, and leaders the known leader of each
+	// shard. shards holds this node's copies of shards, and host carries out their outputs.
+	// states holds the newest state of every shard that reached this node, hosted or not.
 	members *memberTable
 	shards  *hostedShards
 	host    *shardHost
 	leaders *leaders.Directory
 	states  *stateRelay
 
-	// requests and registration ask the leaders of shards on behalf of this node.
-	// leaderRequests and registrar answer the same for the shards that this node leads.
+	// requests and registration send requests to the leaders of shards. leaderRequests and
+	// registrar answer such requests for the shards that this node leads.
 	requests       *requests.Client
 	leaderRequests *requests.Leader
 	registration   *localRegistration
 	registrar      *registration.Registrar
 
-	// localConfirmations tells the leaders what this node serves, confirmations records what
-	// all nodes serve, and disseminator brings the newest states to those that lag behind.
+	// localConfirmations confirms to other nodes which revisions this node serves,
+	// confirmations records which revisions all nodes serve, and disseminator sends the
+	// newest states to nodes that lag behind.
 	localConfirmations *localConfirmations
 	confirmations      *confirmation.Table
 	disseminator       *confirmation.Disseminator
 
-	// recovery forms groups anew that lost most of their disks, rollout moves replicas to
-	// other weights, and endpoints has the platform's list. views builds what traffic is
-	// routed by.
+	// recovery recovers groups that lost the majority of their disks, rollout moves replicas
+	// to other weights, endpoints holds the platform's endpoint list, and views builds the
+	// view by which traffic is routed.
 	recovery  *recovery.Machine
 	rollout   *rollout.Machine
 	endpoints *localEndpoints
 	views     *viewRefresher
 }
 
-// clock is the time of the input that is being handled, for those that are called without
-// one. Machine sets it.
+// clock holds the time of the input that is being handled, for methods that don't take the
+// time as a parameter. Machine sets it.
 type clock struct{ now time.Duration }
 
-// Tick advances time and does what is due.
+// Tick advances the time and performs the actions that are due.
 func (m *Machine) Tick(now time.Duration) Output {
 	before := m.clock.now
 	return m.handle(now, func() {
@@ -113,31 +114,31 @@
 	})
 }
 
-// Submit takes an operator's order. The Reply carries the ticket.
+// Submit takes an operator's order. The Reply to it carries the ticket.
 func (m *Machine) Submit(now time.Duration, ticket uint64, order *controlpb.Order) Output {
 	return m.handle(now, func() { m.requests.Submit(now, ticket, order) })
 }
 
-// ReadSource asks for the source document in force. The Reply carries the ticket
+// ReadSource requests the source document in force. The Reply carries the ticket
 // and the document, which is empty if there is none.
 func (m *Machine) ReadSource(now time.Duration, ticket uint64) Output {
 	return m.handle(now, func() { m.requests.ReadSource(now, ticket) })
 }
 
-// ReadConfiguration asks for the configuration in force. The leader tells its
-// revision, as a quorum confirms it, and the node answers by its own copy once
-// that is as new. The Reply carries the ticket and the configuration.
+// ReadConfiguration requests the configuration in force. The leader returns its revision
+// after a quorum has confirmed its leadership, and this node answers with its own copy once
+// that has reached this revision. The Reply carries the ticket and the configuration.
 func (m *Machine) ReadConfiguration(now time.Duration, ticket uint64) Output {
 	return m.handle(now, func() { m.requests.ReadConfiguration(now, ticket) })
 }
 
-// Cancel ends an order or a read whose reply nobody waits for any more: it is
-// not sent again. What was sent already may still take effect.
+// Cancel ends an order or a read whose reply is no longer needed. It is not sent again, but
+// may still take effect if it was sent already.
 func (m *Machine) Cancel(now time.Duration, ticket uint64) Output {
 	return m.handle(now, func() { m.requests.Cancel(ticket) })
 }
 
-// EndpointsRead takes the outcome of a reading that an Output asked for.
+// EndpointsRead takes the result of a reading of the endpoint list that an Output asked for.
 func (m *Machine) EndpointsRead(now time.Duration, reading EndpointReading) Output {
 	return m.handle(now, func() { m.endpoints.readDone(now, reading) })
 }
@@ -147,27 +148,29 @@
 	return m.handle(now, func() { m.rollout.CommandDone(now, command, outcome) })
 }
 
-// SetReplicaReport takes what a replica reported of itself.
+// SetReplicaReport takes the report of a replica.
 func (m *Machine) SetReplicaReport(now time.Duration, report ReplicaReport) Output {
 	return m.handle(now, func() { m.rollout.SetReport(now, report) })
 }
 
-// ReplicaReportFailed reports that a replica gave no report.
+// ReplicaReportFailed records that a replica that was asked for its report gave none.
 func (m *Machine) ReplicaReportFailed(now time.Duration, address string) Output {
 	return m.handle(now, func() { m.rollout.ReportFailed(now, address) })
 }
 
-// SetSeeds takes over other seeds.
+// SetSeeds replaces the seeds of this node.
 func (m *Machine) SetSeeds(now time.Duration, seeds []string) Output {
 	return m.handle(now, func() { m.outbox.sendMembership(m.members.SetSeeds(now, seeds)) })
 }
 
-// TransferLeadership hands the shards that this node leads over, which goes before a stop.
+// TransferLeadership transfers the leadership of the shards that this node leads to other
+// nodes. The driver calls it before the node stops.
 func (m *Machine) TransferLeadership(now time.Duration) Output {
 	return m.handle(now, func() { m.shards.transferLeadership(now) })
 }
 
-// Leave tells the others that this node stops, and hands its shards over.
+// Leave announces to other nodes that this node stops, and transfers the leadership of the
+// shards that it leads.
 func (m *Machine) Leave(now time.Duration) Output {
 	return m.handle(now, func() {
 		m.shards.transferLeadership(now)
@@ -175,7 +178,7 @@
 	})
 }
 
-// handle has an input handled at its time, and collects what follows from it.
+// handle sets the time of an input, handles the input and collects the resulting output.
 func (m *Machine) handle(now time.Duration, input func()) Output {
 	m.clock.now = now
 	input()
@@ -183,8 +186,8 @@
 }
 
 // collect gathers what the node has to do after an input. The driver publishes the view
-// before it sends the messages, and so the confirmation that follows from the view: nothing
-// is confirmed to others before it is in force here.
+// before it sends the messages, which include the confirmation of the view's revisions.
+// Nothing is therefore confirmed to other nodes before it is in force on this one.
 func (m *Machine) collect() Output {
 	now := m.clock.now
 	m.endpoints.followIncarnation(now, m.members.incarnation())
@@ -202,8 +205,8 @@
 	}
 }
 
-// refreshView returns a new view, whose revisions this node confirms, or nil if nothing in
-// the newest one has changed.
+// refreshView returns a new view and confirms its revisions, or returns nil if the newest
+// view is not stale.
 func (m *Machine) refreshView() *routing.View {
 	refreshed := m.views.refresh(m.clock.now, view.Inputs{
 		Received:   m.states.received,
@@ -216,8 +219,8 @@
 	return refreshed
 }
 
-// receiveControl hands a control message of a node, or of this node itself, to the machine
-// that it is for.
+// receiveControl passes a control message, from another node or from this node itself, to
+// the machine that handles its type.
 func (m *Machine) receiveControl(from member.ID, message protocol.Message) {
 	now := m.clock.now
 	switch message.Type {
@@ -247,7 +250,8 @@
 	}
 }
 
-// refreshMembers passes on who is alive when that has changed.
+// refreshMembers passes changes of the table of members on to the machines that depend on
+// it.
 func (m *Machine) refreshMembers() {
 	now := m.clock.now
 	tableChanged, liveChanged := m.members.refresh(now)
@@ -266,11 +270,11 @@
 	}
 }
 
-// recoverShards goes on with the shards that this node is to form anew.
+// recoverShards continues the recovery of the shards that this node is to recover.
 func (m *Machine) recoverShards() {
 	for shard := range m.shards.all() {
-		// A configuration shows that the deployment was set up, so that a group whose
-		// logs are all empty has lost a state.
+		// If a configuration exists, the deployment was set up. A group whose logs are all
+		// empty has then lost its state, and is not a new one.
 		if m.states.received.Revision(ConfigurationShard) > 0 {
 			shard.Group().ExpectState()
 		}
@@ -284,15 +288,16 @@
 	}
 }
 
-// requestConfirmations asks for confirmations that are overdue.
+// requestConfirmations requests the confirmations that are overdue.
 func (m *Machine) requestConfirmations() {
 	for shard := range m.shards.all() {
 		m.confirmations.RequestOverdue(m.clock.now, shard)
 	}
 }
 
-// disseminate brings the newest states of shards to nodes that the relay tree did not reach
-// in time, where no registry tells which nodes there are.
+// disseminate sends the newest states of the shards that this node leads to nodes that the
+// relay tree did not reach in time. It is needed only if FailOpen is set: nodes do not
+// register then, so that no registry lists the nodes to reach.
 func (m *Machine) disseminate() {
 	if !m.config.FailOpen {
 		return
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// forgetAfter is how long the table of members keeps a row that is fenced or
-	// left.
+	// forgetAfter is how long the table of members keeps the record of a member that is
+	// fenced or has left.
 	forgetAfter = 10 * time.Minute
 	// monitorCount is the number of monitors that a node chooses.
 	monitorCount = 3
-	// maxSmallTableSize is the number of members up to which a change of the table is passed on
-	// at each message.
+	// maxSmallTableSize is the number of members up to which changes of the table are looked
+	// for after each message, and not only at ticks.
 	maxSmallTableSize = 64
 )
 
-// memberTable is the table of members, with what this node derives from it. It is the
-// single owner of who is alive, where, and under which address.
+// memberTable is the table of members, with the data that this node derives from it. It is
+// the single owner of which nodes are alive, in which zone, and at which address.
 type memberTable struct {
 	*membership.Machine
 	self member.ID
-	// digest is that of the table as it was refreshed last, and refreshedAt when.
+	// digest is the digest of the table at the last refresh, and refreshedAt the time of
+	// that refresh.
 	digest      uint64
 	refreshedAt time.Duration
-	// liveDigest is that of who is where and alive.
+	// liveDigest is the digest of the members' addresses and of which of them are live.
 	liveDigest uint64
 	addresses  map[member.ID]string
 	zones      map[member.ID]string
@@ -56,15 +57,15 @@
 	}
 }
 
-// refreshDue reports whether a change of the table is to be looked for after a message. In
-// a large table that waits for a tick: while many nodes start, nearly every message
-// changes it.
+// refreshDue reports whether to look for changes of the table after a message. For a large
+// table it is true once per tick at the most: while many nodes start, nearly every message
+// changes the table.
 func (t *memberTable) refreshDue(now time.Duration) bool {
 	return t.Size() <= maxSmallTableSize || now-t.refreshedAt >= DefaultTickEvery
 }
 
-// refresh looks for changes of the table since the last call, and of who is where and
-// alive.
+// refresh reports whether the table has changed since the last call, and whether the
+// addresses of members or the set of live members have. It updates the derived data.
 func (t *memberTable) refresh(now time.Duration) (tableChanged, liveChanged bool) {
 	t.refreshedAt = now
 	if t.Digest() == t.digest {
@@ -97,7 +98,7 @@
 // reachable reports whether a node is this one or is alive in the table.
 func (t *memberTable) reachable(id member.ID) bool { return id == t.self || t.Alive(id) }
 
-// endpointReaders are the members that may read the platform's list.
+// endpointReaders returns the members that may read the platform's endpoint list.
 func (t *memberTable) endpointReaders() []listing.Member {
 	var readers []listing.Member
 	for _, record := range t.Records() {
@@ -113,7 +114,7 @@
 	return readers
 }
 
-// relayMembers are the members that the relay tree is built from.
+// relayMembers returns the members from which the relay tree is built.
 func (t *memberTable) relayMembers() []relaytree.Member {
 	members := []relaytree.Member{}
 	for _, record := range t.Records() {
@@ -124,8 +125,8 @@
 	return members
 }
 
-// replicationPeers are the nodes with disks that a replica group may take in, or must
-// let go.
+// replicationPeers returns the nodes with disks that a replica group may add, and those that
+// have left and that it must remove.
 func (t *memberTable) replicationPeers() []replication.Peer {
 	var peers []replication.Peer
 	for _, record := range t.Records() {
@@ -137,8 +138,8 @@
 	return peers
 }
 
-// coreNodeAddresses lists the internal addresses of the other live nodes with disks, sorted
-// by node.
+// coreNodeAddresses returns the internal addresses of the other live nodes with disks, sorted
+// by node ID.
 func (t *memberTable) coreNodeAddresses() []string {
 	var addresses []string
 	for _, id := range t.coreNodes {
@@ -149,7 +150,7 @@
 	return addresses
 }
 
-// livePeers are the live nodes, this one included, sorted by ID.
+// livePeers returns the live nodes, including this one, sorted by ID.
 func (t *memberTable) livePeers() []member.Info {
 	var peers []member.Info
 	for _, record := range t.Members() {
@@ -160,12 +161,14 @@
 	return peers
 }
 
-// isLive reports whether a member may be serving for all that the table knows.
+// isLive reports whether a member may be serving according to the table: it is alive or only
+// suspected.
 func isLive(record membership.Record) bool {
 	return record.State == membership.StateAlive || record.State == membership.StateSuspect
 }
 
-// liveDigestOf summarises who is where and alive.
+// liveDigestOf returns a digest of the members' addresses and of which of them are live or
+// have left.
 func liveDigestOf(records []membership.Record) uint64 {
 	digest := xxhash.New()
 	for _, record := range records {
--- a/internal/control/outbox.go
+++ b/internal/control/outbox.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// outbox owns the messages that an input has caused, in the order in which they are to be
+// outbox owns the messages that result from an input, in the order in which they are to be
 // sent. It implements protocol.Transport.
 type outbox struct {
 	self    member.ID
@@ -40,8 +40,8 @@
 	}
 }
 
-// sendMembership queues messages between members, which name the address themselves where
-// the receiver's ID is not known yet.
+// sendMembership queues messages of the membership protocol. Such a message carries the
+// address itself if the ID of its receiver is not known yet.
 func (o *outbox) sendMembership(outbound []membership.Outbound) {
 	for _, out := range outbound {
 		message := out.Message
@@ -57,7 +57,7 @@
 	o.sends = append(o.sends, Send{To: to, Address: o.members.addresses[to], Envelope: envelope})
 }
 
-// take returns what has been queued and starts anew.
+// take returns the queued messages and empties the queue.
 func (o *outbox) take() []Send {
 	sends := o.sends
 	o.sends = nil
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -8,32 +8,33 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Send is a message for another node. Address is used when To is empty, as with
-// seeds whose ID is not known.
+// Send is a message for another node. To is empty if the ID of the receiver is not known, as
+// for seeds; Address is empty if its address is not known.
 type Send struct {
 	To       member.ID
 	Address  string
 	Envelope wire.Envelope
 }
 
-// StorageWrite is what a shard has to write. The driver calls StorageWritten when it is
+// StorageWrite is a write of a shard to the disk. The driver calls StorageWritten when it is
 // durable.
 type StorageWrite = shards.Write
 
-// Reply answers an order, or a read, that this node took.
+// Reply answers an order or a read that an operator sent to this node.
 type Reply = requests.Reply
 
-// Output is what a node has to do after an input.
+// Output describes what a node has to do after an input.
 type Output struct {
 	Sends    []Send
 	Writes   []StorageWrite
 	Replies  []Reply
 	Commands []Command
-	// Reports are the replicas that are to be asked for their reports. Each is
-	// answered by SetReplicaReport or ReplicaReportFailed.
+	// Reports lists the replicas to ask for their reports. The driver answers each request
+	// by SetReplicaReport or ReplicaReportFailed.
 	Reports []ReportRequest
-	// ReadEndpoints asks for the platform's list, which is answered by EndpointsRead.
+	// ReadEndpoints asks for a reading of the platform's endpoint list. The driver answers
+	// by EndpointsRead.
 	ReadEndpoints bool
-	// View is set when traffic is to use a new view.
+	// View is the new view that traffic is to use, or nil if the view has not changed.
 	View *routing.View
 }
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -17,7 +17,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// evacuation is the command of an order that evacuates a zone.
+// evacuation returns the encoded command of an order that evacuates a zone.
 func evacuation(zone string) []byte {
 	order := &controlpb.Order{
 		OrderId: "order-" + zone,
@@ -29,7 +29,9 @@
 	return payload
 }
 
-// survivingMember is a node whose log evacuates zones, the first ones for certain.
+// survivingMember returns a node whose log evacuates one zone in each entry, and its
+// configuration shard. The first entries, up to the index committed, are known to be
+// committed.
 func survivingMember(committed uint64, zones ...string) (*Machine, hostedShard) {
 	restored := replication.Restored{HardState: replication.HardState{Term: 1, Commit: committed}}
 	for position, zone := range zones {
@@ -49,7 +51,8 @@
 	return machine, shard
 }
 
-// receiveAsWitness gives the node the state of a group that evacuated zones.
+// receiveAsWitness gives the node, through the relay tree, the state of a group that evacuated
+// the zones.
 func (m *Machine) receiveAsWitness(zones ...string) {
 	state := shardstate.NewConfiguration(&controlpb.ConfigurationState{})
 	for _, zone := range zones {
@@ -71,8 +74,8 @@
 	return zones
 }
 
-var _ = Describe("The state of a group that is formed anew", func() {
-	DescribeTable("covers log and witnesses",
+var _ = Describe("the state of a recovered group", func() {
+	DescribeTable("covers the log of the surviving member and the state of the witnesses",
 		func(committed int, logged, witnessed, recovered []string) {
 			machine, shard := survivingMember(uint64(committed), logged...)
 			machine.receiveAsWitness(witnessed...)
@@ -89,12 +92,12 @@
 			}
 			Expect(fmt.Sprint(state.Nodes())).To(And(ContainSubstring("router"), ContainSubstring("incarnation:5")))
 		},
-		Entry("no witness: the whole log", 1, []string{"n", "s"}, nil, []string{"n", "s"}),
-		Entry("a witness of less than the log", 1, []string{"n", "s"}, []string{"n"}, []string{"n", "s"}),
-		Entry("a witness of what the log only may have committed", 0, []string{"n", "s", "w"}, []string{"n", "s"}, []string{"n", "s", "w"}),
-		Entry("a witness of more than the log", 1, []string{"n"}, []string{"n", "s", "w"}, []string{"n", "s", "w"}),
-		Entry("an empty log", 0, nil, []string{"n", "s"}, []string{"n", "s"}),
-		Entry("a log whose last entry another one was committed in place of", 1, []string{"n", "s"}, []string{"n", "w"}, []string{"n", "w"}),
-		Entry("a longer log that went another way", 1, []string{"n", "s", "e"}, []string{"n", "w"}, []string{"n", "w"}),
+		Entry("without a witness: the whole log", 1, []string{"n", "s"}, nil, []string{"n", "s"}),
+		Entry("with a witness of an earlier state than the log's", 1, []string{"n", "s"}, []string{"n"}, []string{"n", "s"}),
+		Entry("with a witness of entries that are not known to be committed", 0, []string{"n", "s", "w"}, []string{"n", "s"}, []string{"n", "s", "w"}),
+		Entry("with a witness of a later state than the log's", 1, []string{"n"}, []string{"n", "s", "w"}, []string{"n", "s", "w"}),
+		Entry("with an empty log: the state of the witness", 0, nil, []string{"n", "s"}, []string{"n", "s"}),
+		Entry("with a log whose last entry was superseded by another committed one", 1, []string{"n", "s"}, []string{"n", "w"}, []string{"n", "w"}),
+		Entry("with a longer log that diverges from the state of the witness", 1, []string{"n", "s", "e"}, []string{"n", "w"}, []string{"n", "w"}),
 	)
 })
--- a/internal/control/registration_test.go
+++ b/internal/control/registration_test.go
@@ -13,10 +13,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
+// strangerIncarnation is the incarnation of the node "stranger", which wants to register.
 const strangerIncarnation = member.Incarnation(7)
 
-// register hands the solo node, which leads every shard, the registration of a
-// stranger and returns the replies to it.
+// register delivers a registration of the node "stranger", with a challenge that it sends
+// back, to the solo node, which leads every shard. It returns the replies.
 func (n *soloNode) register(challenge uint64) []protocol.Message {
 	output := n.machine.Receive(n.now, wire.Envelope{From: "stranger", Control: &protocol.Message{
 		Type: protocol.MessageRegister, Request: 1, Incarnation: strangerIncarnation, Revision: challenge,
@@ -26,7 +27,7 @@
 	return lo.Map(replies, func(send Send, _ int) protocol.Message { return *send.Envelope.Control })
 }
 
-// isRegistered reports whether acknowledgements wait for the stranger.
+// isRegistered reports whether a node is registered, so that acknowledgements wait for it.
 func (n *soloNode) isRegistered(id string) bool {
 	return lo.ContainsBy(n.machine.shards.byID[ConfigurationShard].Nodes(), func(node *controlpb.RegisterNode) bool {
 		return node.GetNode() == id
@@ -34,7 +35,7 @@
 }
 
 var _ = Describe("a registration", func() {
-	It("does not count before the node has shown that it receives", func() {
+	It("is accepted only after the node has sent back the challenge that it received", func() {
 		node := newSoloNode()
 		node.run(3 * time.Second)
 		replies := node.register(0)
--- a/internal/control/requests_test.go
+++ b/internal/control/requests_test.go
@@ -15,7 +15,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// evacuationOf orders that a zone is evacuated, or no longer is.
+// evacuationOf returns an order that evacuates a zone, or that restores it.
 func evacuationOf(identity, zone string, evacuated bool, base uint64) *controlpb.Order {
 	header := &ridgeswitchv1.OrderHeader{OrderId: identity, BaseRevision: base}
 	var request proto.Message = &ridgeswitchv1.RestoreZoneRequest{Order: header, Zone: zone}
@@ -27,8 +27,8 @@
 	return order
 }
 
-// forward hands the solo node, which owns every shard, a copy of an order that
-// another node took, and returns the answer to it, or nil.
+// forward delivers a copy of an order that another node took to the solo node, which leads
+// every shard. It returns the answer, or nil if there is none.
 func (n *soloNode) forward(from member.ID, request uint64, order *controlpb.Order) *controlpb.Answer {
 	payload, err := proto.Marshal(&controlpb.Command{Command: &controlpb.Command_Order{Order: order}})
 	Expect(err).NotTo(HaveOccurred())
@@ -51,7 +51,8 @@
 var _ = Describe("a rejected change", func() {
 	var node *soloNode
 
-	// The zone can be evacuated on revision 2 alone, which is not in force at first.
+	// The order is based on revision 2, so that it is rejected as long as revision 1 is in
+	// force.
 	early := func() *controlpb.Order { return evacuationOf("early", "z1", true, 2) }
 
 	BeforeEach(func() {
@@ -62,25 +63,25 @@
 		Expect(node.submit(evacuationOf("between", "z2", true, 1)).GetRevision()).To(BeEquivalentTo(2))
 	})
 
-	It("is not accepted from a late duplicate of the same request", func() {
+	It("is not accepted when a late duplicate of the same request arrives", func() {
 		refused := node.forward("stranger", 41, early())
 		Expect(refused.GetProblem()).NotTo(BeNil())
-		Expect(refused.GetRevision()).To(BeEquivalentTo(1), "the first answer")
+		Expect(refused.GetRevision()).To(BeEquivalentTo(1), "the first answer must be repeated")
 		Expect(node.machine.Configuration().GetRevision()).To(BeEquivalentTo(2))
 	})
 
-	It("may be accepted when it is submitted again", func() {
+	It("is accepted when it is submitted again and valid by then", func() {
 		Expect(node.forward("stranger", 42, early()).GetRevision()).To(BeEquivalentTo(3))
 	})
 
-	It("may be accepted from another node under the same number", func() {
+	It("is accepted from another node under the same request number", func() {
 		node.forward("other", 41, early())
 		Expect(node.machine.Configuration().GetRevision()).To(BeEquivalentTo(3))
 	})
 
-	It("is forgotten once nobody can wait for it any more", func() {
-		const retention = 3 // in time-outs of a request
+	It("is forgotten once no node can still wait for the answer", func() {
+		const retention = 3 // in request time-outs
 		node.run(retention * node.machine.config.Times.RequestTimeout)
-		Expect(node.forward("stranger", 41, early()).GetRevision()).To(BeEquivalentTo(3), "it is judged anew")
+		Expect(node.forward("stranger", 41, early()).GetRevision()).To(BeEquivalentTo(3), "the order must be evaluated again")
 	})
 })
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -6,15 +6,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
-// The inputs and outputs of roll-outs are part of those of the whole machine.
+// The inputs and outputs of roll-outs are part of the inputs and outputs of Machine.
 type (
-	// Command orders a replica to load weights.
+	// Command instructs a replica to load weights.
 	Command = rollout.Command
 	// CommandOutcome is the outcome of a command.
 	CommandOutcome = rollout.CommandOutcome
 	// ReportRequest asks for a replica's report.
 	ReportRequest = rollout.ReportRequest
-	// ReplicaReport is what a replica reported of itself.
+	// ReplicaReport is the report of a replica about its own state.
 	ReplicaReport = rollout.ReplicaReport
 )
 
@@ -30,8 +30,8 @@
 	CommandRefused       = rollout.CommandRefused
 )
 
-// advanceRollouts lets each shard that this node leads make its next moves: it forgets a
-// node that has ended, and moves replicas.
+// advanceRollouts performs the next steps for each shard that this node leads: it drops a
+// registered incarnation that has ended, and moves replicas to other weights.
 func (m *Machine) advanceRollouts() {
 	now := m.clock.now
 	if !m.rollout.BeginRun(now) {
@@ -49,8 +49,9 @@
 	}
 }
 
-// rollOut moves the replicas of the pools whose service hashes to a shard. It decides only
-// from a state in which everything in the log has been applied.
+// rollOut moves the replicas of the pools whose service hashes to a shard. It does nothing
+// before an endpoint list is known, and until all entries of the shard's log have been
+// applied: otherwise it would decide from rows that another change is about to replace.
 func (m *Machine) rollOut(shard hostedShard, service *shardstate.Service) {
 	if !m.endpoints.inUse.known || !shard.AllApplied() {
 		return
--- a/internal/control/rollout_commands_test.go
+++ b/internal/control/rollout_commands_test.go
@@ -9,33 +9,35 @@
 	"github.com/samber/lo"
 )
 
-// modelReplica is a replica that finishes its requests before it loads weights.
+// modelReplica models a replica that finishes its running requests before it loads weights.
 type modelReplica struct {
 	listed  Endpoint
 	version string
 	target  string
-	// requestsEnd is how long its requests run on after a command.
+	// requestsEnd is how long the running requests take to finish after a command.
 	requestsEnd time.Duration
 	loadsAt     time.Duration
 	doneAt      time.Duration
 	loading     bool
 	sequence    uint64
 	commands    []Command
-	// answers are given in place of what the replica would say, one a command.
+	// answers replace the answers of the replica to its next commands, one for each command.
+	// The replica begins to load only if the answer is CommandUnknown.
 	answers []CommandOutcome
 	down    bool
 }
 
-// modelPool is the only pool of a solo node, with its replicas.
+// modelPool models the only pool of a solo node, with its replicas.
 type modelPool struct {
 	node     *soloNode
 	replicas []*modelReplica
-	// loadTime is how long weights take while no more than fullSpeedLoads replicas load at once.
+	// loadTime is how long a replica takes to load weights while no more than fullSpeedLoads
+	// replicas load at once.
 	loadTime       time.Duration
 	fullSpeedLoads int
 	reports        int
 	commands       int
-	// maxOutOfService is how many were out of service at once.
+	// maxOutOfService is the highest number of replicas that were out of service at once.
 	maxOutOfService int
 	nextReadAt      time.Duration
 }
@@ -43,12 +45,13 @@
 // defaultFullSpeedLoads is how many replicas load weights without slowing each other down.
 const defaultFullSpeedLoads = 3
 
-// newModelPool makes a pool that runs version 1, on a leader that has taken over.
+// newModelPool returns a pool that runs version 1, on a node that has become the leader.
 func newModelPool(replicas, zones int, load time.Duration) *modelPool {
 	return newModelPoolWithDeadline(12*time.Second, replicas, zones, defaultFullSpeedLoads, load)
 }
 
-// newModelPoolWithDeadline is newModelPool with a bound on the time for new weights.
+// newModelPoolWithDeadline does the same as newModelPool, with a bound on the time of a
+// roll-out. The deadline of weights is 1.5 s shorter than the bound.
 func newModelPoolWithDeadline(bound time.Duration, replicas, zones, fullSpeedLoads int, load time.Duration) *modelPool {
 	pool := &modelPool{loadTime: load, fullSpeedLoads: fullSpeedLoads}
 	pool.node = newSoloNodeWith(func(config *Config) {
@@ -76,7 +79,8 @@
 	return pool
 }
 
-// readEndpoints is a reading of the list, which shows versions as they are.
+// readEndpoints has the node read an endpoint list that shows the present versions of the
+// replicas.
 func (p *modelPool) readEndpoints() Output {
 	listed := lo.Map(p.replicas, func(one *modelReplica, _ int) Endpoint {
 		shown := one.listed
@@ -92,7 +96,7 @@
 	return found
 }
 
-// run advances the node with its replicas. The list is read each second.
+// run advances the time of the node and its replicas. The endpoint list is read once a second.
 func (p *modelPool) run(length time.Duration) {
 	for end := p.node.now + length; p.node.now < end; p.node.now += DefaultTickEvery {
 		p.advance()
@@ -173,7 +177,8 @@
 	}
 }
 
-// rolloutTime is how long it takes until all replicas run a version and serve.
+// rolloutTime runs the pool until all replicas run a version and serve, for 30 s at the most,
+// and returns how long that took.
 func (p *modelPool) rolloutTime(version string) time.Duration {
 	begun := p.node.now
 	for p.node.now < begun+30*time.Second {
@@ -192,7 +197,7 @@
 		pool.perform(pool.node.machine.Submit(pool.node.now, pool.node.ticket, weightsOrder(version)))
 	}
 
-	DescribeTable("is over in time, with one command a replica", func(replicas, zones, fullSpeedLoads int, load, within time.Duration, maxOutOfService int) {
+	DescribeTable("finishes in time with one command for each replica", func(replicas, zones, fullSpeedLoads int, load, within time.Duration, maxOutOfService int) {
 		pool := newModelPoolWithDeadline(within, replicas, zones, fullSpeedLoads, load)
 		nameWeights(pool, "2")
 		length := pool.rolloutTime("2")
@@ -201,14 +206,14 @@
 		Expect(pool.commands).To(Equal(replicas))
 		Expect(pool.maxOutOfService).To(BeNumerically("<=", maxOutOfService))
 	},
-		Entry("of a small pool", 18, 3, 3, 1100*time.Millisecond, 12*time.Second, 6),
-		Entry("of one that loads slowly", 18, 4, 3, 1900*time.Millisecond, 15*time.Second, 9),
-		Entry("of a large one", 140, 4, 28, 1500*time.Millisecond, 12*time.Second, 47),
-		Entry("of three", 3, 3, 3, 1500*time.Millisecond, 12*time.Second, 1),
-		Entry("of one", 1, 1, 3, 1500*time.Millisecond, 5*time.Second, 1),
+		Entry("for a small pool", 18, 3, 3, 1100*time.Millisecond, 12*time.Second, 6),
+		Entry("for a small pool whose replicas load slowly", 18, 4, 3, 1900*time.Millisecond, 15*time.Second, 9),
+		Entry("for a large pool", 140, 4, 28, 1500*time.Millisecond, 12*time.Second, 47),
+		Entry("for a pool of three replicas", 3, 3, 3, 1500*time.Millisecond, 12*time.Second, 1),
+		Entry("for a pool of one replica", 1, 1, 3, 1500*time.Millisecond, 5*time.Second, 1),
 	)
 
-	It("leaves replicas as they are that run a newer version", func() {
+	It("sends no command to a replica that already runs a newer version", func() {
 		pool := newModelPool(4, 2, time.Second)
 		pool.replicas[0].version = "9"
 		pool.run(2 * time.Second)
@@ -219,7 +224,7 @@
 		Expect(pool.node.phases()["serving"]).To(Equal(4))
 	})
 
-	It("goes on to a newer version that is named meanwhile, without a command in vain", func() {
+	It("continues with a newer version that is named meanwhile, without unnecessary commands", func() {
 		pool := newModelPool(6, 3, 1500*time.Millisecond)
 		nameWeights(pool, "2")
 		pool.run(1500 * time.Millisecond)
@@ -231,7 +236,7 @@
 		}
 	})
 
-	It("asks for a report before it repeats a command of unknown outcome", func() {
+	It("does not repeat a command with an unknown outcome if the replica's report shows that it was carried out", func() {
 		pool := newModelPool(2, 2, 1500*time.Millisecond)
 		pool.replicas[0].answers = []CommandOutcome{CommandUnknown}
 		nameWeights(pool, "2")
@@ -239,7 +244,7 @@
 		Expect(pool.commands).To(Equal(2))
 	})
 
-	It("repeats a command that did not arrive, less and less often", func() {
+	It("repeats a command that did not arrive, with the same token and increasing delays", func() {
 		pool := newModelPool(2, 2, time.Second)
 		pool.replicas[0].answers = []CommandOutcome{CommandNotSent, CommandNotSent, CommandNotSent}
 		nameWeights(pool, "2")
@@ -250,7 +255,7 @@
 		Expect(sent[3].Deadline - sent[2].Deadline).To(BeNumerically(">=", 2*time.Second))
 	})
 
-	It("gets a greater token where a replica has seen one", func() {
+	It("uses a greater token after a replica has rejected the token of a command", func() {
 		pool := newModelPool(2, 2, time.Second)
 		pool.replicas[0].answers = []CommandOutcome{CommandFenced}
 		nameWeights(pool, "2")
@@ -260,7 +265,7 @@
 		Expect(sent[1].Token).To(BeNumerically(">", sent[0].Token))
 	})
 
-	It("begins anew with a replica that comes back as another incarnation", func() {
+	It("sends the command again to a replica that comes back as another incarnation", func() {
 		pool := newModelPool(3, 3, 1500*time.Millisecond)
 		nameWeights(pool, "2")
 		pool.run(1200 * time.Millisecond)
@@ -274,7 +279,7 @@
 		Expect(victim.commands).To(HaveLen(2))
 	})
 
-	It("sends nothing to a replica that does not answer, and goes on with the others", func() {
+	It("sends no command to a replica that does not report, and continues with the others", func() {
 		pool := newModelPool(6, 3, time.Second)
 		pool.replicas[2].down = true
 		nameWeights(pool, "2")
@@ -285,7 +290,7 @@
 		Expect(pool.rolloutTime("2")).To(BeNumerically("<", 9*time.Second))
 	})
 
-	It("forgets the rows that the list has caught up with", func() {
+	It("removes the rows of replicas whose new version the endpoint list shows", func() {
 		pool := newModelPool(4, 2, time.Second)
 		nameWeights(pool, "2")
 		pool.run(30 * time.Second)
@@ -293,7 +298,7 @@
 		Expect(pool.node.phases()).To(Equal(map[string]int{"serving": 4}))
 	})
 
-	It("keeps the replicas of every zone from being out at once", func() {
+	It("keeps at least one replica of each zone in service", func() {
 		pool := newModelPool(18, 9, 1100*time.Millisecond)
 		nameWeights(pool, "2")
 		for pool.node.now < 20*time.Second {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -30,14 +30,14 @@
 		Expect(node.phases()["serving"]).To(Equal(poolSize - poolSize/2))
 	})
 
-	It("takes nothing out of service on a leader that has no reports yet", func() {
+	It("takes no replica out of service on a leader that has no reports yet", func() {
 		node.forgetRollouts()
 		Expect(node.submit(weightsOrder("v2")).GetConfirmed()).To(BeTrue())
 		node.run(time.Second)
 		Expect(node.phases()).To(Equal(map[string]int{"serving": poolSize}))
 	})
 
-	It("counts replicas that an earlier leader took out, before it has reports of its own", func() {
+	It("counts replicas that an earlier leader took out of service, without reports from them", func() {
 		Expect(node.submit(weightsOrder("v2")).GetConfirmed()).To(BeTrue())
 		node.report("v1")
 		node.run(time.Second)
@@ -66,8 +66,8 @@
 	})
 })
 
-var _ = Describe("the first admission", func() {
-	It("serves with the version that runs when a newer one is named already", func() {
+var _ = Describe("the first admission of replicas", func() {
+	It("admits them with the version that they run even if a newer one is already named", func() {
 		node := newSoloNode()
 		node.readEndpoints(poolReplicas())
 		node.run(3 * time.Second)
--- a/internal/control/shard_host.go
+++ b/internal/control/shard_host.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// shardHost implements shards.Host: it owns the writes that an input has caused, and passes
-// what a shard has committed on to the concern that waits for it.
+// shardHost implements shards.Host. It owns the writes that result from an input, and passes
+// committed commands and finished reads on to the machines that wait for them.
 type shardHost struct {
 	clock  *clock
 	outbox *outbox
@@ -35,7 +35,7 @@
 // Write implements shards.Host.
 func (h *shardHost) Write(write shards.Write) { h.writes = append(h.writes, write) }
 
-// takeWrites returns what has been gathered and starts anew.
+// takeWrites returns the gathered writes and removes them.
 func (h *shardHost) takeWrites() []StorageWrite {
 	writes := h.writes
 	h.writes = nil
@@ -60,7 +60,8 @@
 	}
 }
 
-// ReadsFinished implements shards.Host: it answers the reads that a quorum has confirmed.
+// ReadsFinished implements shards.Host. It answers the reads of the configuration that a
+// quorum has confirmed.
 func (h *shardHost) ReadsFinished(shard *shards.Shard, ready replication.Ready) {
 	state, ok := shard.State().(*shardstate.Configuration)
 	if !ok {
--- a/internal/control/solo_node_test.go
+++ b/internal/control/solo_node_test.go
@@ -15,25 +15,25 @@
 
 const poolSize = 6
 
-// idleTraffic is traffic without a request.
+// idleTraffic is a routing.LoadReader that reports no running requests.
 type idleTraffic struct{}
 
 func (idleTraffic) InFlight(string) int { return 0 }
 
-// soloNode runs the only node of a deployment in virtual time, with a disk that
-// is durable at once.
+// soloNode runs the only node of a deployment in virtual time. Its writes are durable
+// immediately.
 type soloNode struct {
 	machine *Machine
 	now     time.Duration
 	ticket  uint64
 	answers map[uint64]*controlpb.Answer
-	// commands are the weights commands since the start.
+	// commands are all commands to replicas since the start.
 	commands []Command
-	// sends are the messages to other nodes.
+	// sends are the messages to other nodes since the start, or since a test emptied it.
 	sends []sentAt
 }
 
-// sentAt is a message and when it was sent.
+// sentAt is a message with the time at which it was sent.
 type sentAt struct {
 	at   time.Duration
 	send Send
@@ -82,7 +82,7 @@
 	return n.answers[n.ticket]
 }
 
-// readEndpoints has the node read a list with one service.
+// readEndpoints has the node read an endpoint list with one service.
 func (n *soloNode) readEndpoints(replicas []Endpoint) {
 	reading := EndpointReading{StartedAt: n.now, Services: []ServiceEndpoints{{Name: "s", Endpoints: replicas}}}
 	n.perform(n.machine.EndpointsRead(n.now, reading))
@@ -96,8 +96,8 @@
 	}
 }
 
-// forgetRollouts makes the node a leader that knows nothing of its roll-outs and has
-// no reports yet.
+// forgetRollouts replaces the roll-out machine of the node, so that the node resembles a new
+// leader that has no reports and no record of earlier roll-outs.
 func (n *soloNode) forgetRollouts() {
 	*n.machine.rollout = *newRollout(n.machine.config, n.now)
 }
--- a/internal/control/state_relay.go
+++ b/internal/control/state_relay.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// stateRelay brings the newest state of each shard to all nodes. It owns this node's part
-// of the relay tree, and the states that the tree brought, by which the node serves.
+// stateRelay distributes the newest state of each shard to all nodes. It owns this node's
+// part of the relay tree, and the received states, with which the node serves.
 type stateRelay struct {
 	config   Config
 	shardIDs []uint32
@@ -49,8 +49,8 @@
 	r.apply(updates)
 }
 
-// apply keeps newer states of shards that the relay tree brought. One that can't be decoded
-// is skipped: the next update brings the whole state.
+// apply stores newer states of shards that were received through the relay tree. A state that
+// can't be decoded is skipped; the next update is then decoded from the whole state.
 func (r *stateRelay) apply(updates []relaytree.Update) {
 	for _, update := range updates {
 		if newer, err := r.received.Apply(update, r.sections); err == nil && newer {
@@ -59,21 +59,21 @@
 	}
 }
 
-// sections are those of a topic's newest state.
+// sections returns all sections of a topic's newest state.
 func (r *stateRelay) sections(topic relaytree.Topic) []relaytree.Section {
 	_, sections := r.tree.Snapshot(topic)
 	return sections
 }
 
-// sendDirectly sends the newest state of a shard to a node that the tree did not reach in
-// time.
+// sendDirectly sends the newest state of a shard to a node that it did not reach in time
+// through the tree.
 func (r *stateRelay) sendDirectly(to member.ID, shardID uint32) {
 	r.outbox.sendRelay(r.tree.Feed(to, relaytree.Topic(shardID)))
 }
 
-// publishCommitted spreads a shard's newest committed state if this node leads the shard and
-// has applied the barrier of its term. Before that, the state may be about to give way to
-// that of a group that was formed anew.
+// publishCommitted publishes a shard's newest committed state if this node leads the shard and
+// has applied the barrier of its term. Before that, the state may still be replaced by that
+// of a recovered group.
 func (r *stateRelay) publishCommitted(shard *shards.Shard) {
 	if !shard.Group().BarrierApplied() || !r.behind(shard) {
 		return
@@ -84,19 +84,21 @@
 	}
 }
 
-// behind reports whether the relay tree has an older state of a shard than its copy here.
+// behind reports whether the relay tree has an older state of a shard than this node's copy of
+// the shard.
 func (r *stateRelay) behind(shard *shards.Shard) bool {
 	return shard.Revision() > r.tree.Revision(relaytree.Topic(shard.ID()))
 }
 
-// publish hands the state of a shard to the relay tree.
+// publish publishes the state of a shard in the relay tree.
 func (r *stateRelay) publish(shard *shards.Shard, sections []relaytree.Section) {
 	sends, updates := r.tree.Publish(relaytree.Topic(shard.ID()), shard.Revision(), sections)
 	r.outbox.sendRelay(sends)
 	r.apply(updates)
 }
 
-// encodeSections encodes the state of a shard; it counts what can't be encoded.
+// encodeSections encodes the state of a shard. It returns false, and counts a bad entry, if
+// the state can't be encoded.
 func encodeSections(shard *shards.Shard) ([]relaytree.Section, bool) {
 	sections, err := shard.State().Sections()
 	if err != nil {
@@ -106,8 +108,8 @@
 	return sections, true
 }
 
-// setMembers builds the tree from the live members. Where groups are fixed, the first live
-// member of each one is the root from which the states of its shard spread.
+// setMembers builds the tree from the live members. If groups are fixed (Seeded is not set),
+// the first reachable member of each group becomes the root for the states of its shard.
 func (r *stateRelay) setMembers(members []relaytree.Member) {
 	r.tree.SetMembers(members)
 	if !r.config.Seeded {
@@ -115,15 +117,15 @@
 	}
 }
 
-// followLeaders names the node that most likely leads each shard as the root from which its
-// states spread, on nodes that find each other through seeds.
+// followLeaders makes the node that most likely leads each shard the root for the states of
+// that shard, if Seeded is set.
 func (r *stateRelay) followLeaders() {
 	if r.config.Seeded {
 		r.setRoots(r.leaders.Guess)
 	}
 }
 
-// setRoots names the root of each shard. Where none is known, the last one stays.
+// setRoots sets the root of each shard. A shard whose root is not known keeps its last one.
 func (r *stateRelay) setRoots(rootOf func(shardID uint32) member.ID) {
 	for _, id := range r.shardIDs {
 		if root := rootOf(id); root != "" {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -79,8 +79,8 @@
 	return status
 }
 
-// remainingMilliseconds is how long a node may still serve that may do so until an instant;
-// -1 if nothing can fence it.
+// remainingMilliseconds returns how much longer a node that may serve until the given time may
+// do so; -1 if nothing can fence the node.
 func remainingMilliseconds(now, until time.Duration) int64 {
 	if until == membership.Never {
 		return -1
@@ -88,8 +88,7 @@
 	return max(0, until-now).Milliseconds()
 }
 
-// Weights describes how far the roll-out of a pool has come, or returns nil when
-// there is no such pool.
+// Weights returns the progress of the roll-out of a pool, or nil if there is no such pool.
 func (m *Machine) Weights(poolName string) *ridgeswitchv1.WeightsStatus {
 	for _, pool := range m.Configuration().GetPools() {
 		if pool.GetName() == poolName {
@@ -100,7 +99,8 @@
 	return nil
 }
 
-// poolWeights describes the replicas of a pool, by their rows and the platform's list.
+// poolWeights returns the status of the replicas of a pool, from their state rows and the
+// platform's endpoint list.
 func poolWeights(pool *ridgeswitchv1.Pool, rows []*controlpb.ReplicaState, endpoints []listing.Replica) *ridgeswitchv1.WeightsStatus {
 	status := &ridgeswitchv1.WeightsStatus{Pool: pool.GetName(), WeightVersion: pool.GetWeightVersion()}
 	for _, endpoint := range endpoints {
@@ -116,8 +116,8 @@
 	return status
 }
 
-// phaseOf is the phase of a replica; one without a row serves if the list shows its
-// version.
+// phaseOf returns the name of the phase of a replica. A replica without a row counts as serving
+// if the endpoint list shows its version.
 func phaseOf(row *controlpb.ReplicaState, endpoint listing.Replica) string {
 	if row == nil && endpoint.WeightVersion != "" {
 		return phaseName(controlpb.ReplicaPhase_SERVING)
@@ -125,7 +125,8 @@
 	return phaseName(row.GetPhase())
 }
 
-// statusVersion is what a replica runs, or is ordered to load.
+// statusVersion returns the version that a replica runs. For a replica that is out of service,
+// it is the version of its row, which the replica is to load.
 func statusVersion(row *controlpb.ReplicaState, endpoint listing.Replica) string {
 	if rollout.OutOfService(row, endpoint) {
 		return row.GetWeightVersion()
--- a/internal/control/view_refresher.go
+++ b/internal/control/view_refresher.go
@@ -7,7 +7,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// viewRefresher owns the builder of views, and whether the newest view is stale.
+// viewRefresher owns the builder of views, and records whether the newest view is stale.
 type viewRefresher struct {
 	builder *view.Builder
 	stale   bool
@@ -22,10 +22,11 @@
 	return &viewRefresher{builder: builder, stale: true}
 }
 
-// invalidate has the view built anew at the end of the input.
+// invalidate marks the view as stale, so that it is rebuilt at the end of the input.
 func (v *viewRefresher) invalidate() { v.stale = true }
 
-// checkDeadlines invalidates the view if a deadline of weights has passed between two ticks.
+// checkDeadlines invalidates the view if the deadline of a weight version has passed between
+// two ticks.
 func (v *viewRefresher) checkDeadlines(before, now time.Duration) {
 	v.stale = v.stale || v.builder.DeadlinePassed(before, now)
 }
