--- a/pkg/prefixindex/benchmark_test.go
+++ b/pkg/prefixindex/benchmark_test.go
@@ -18,7 +18,7 @@
 	// benchmarkPrompts are the prompts that the index is filled with. The first
 	// half of the chunks of each are shared by the prompts of a family.
 	benchmarkPrompts = 4096
-	benchmarkFamily  = 64
+	benchmarkFamilySize  = 64
 )
 
 // benchmarkChains are the prompts of the benchmarks.
@@ -27,20 +27,20 @@
 	for prompt := range chains {
 		chunks := make([]prefixindex.Chunk, benchmarkDepth)
 		for position := range chunks {
-			owner := prompt
+			source := prompt
 			if position < benchmarkDepth/2 {
-				owner = prompt / benchmarkFamily
+				source = prompt / benchmarkFamilySize
 			}
-			chunks[position] = prefixindex.Chunk{ID: fmt.Sprint(owner, "/", position), Tokens: 512}
+			chunks[position] = prefixindex.Chunk{ID: fmt.Sprint(source, "/", position), Tokens: 512}
 		}
 		chains[prompt] = prefixindex.Chain("model", "salt", chunks)
 	}
 	return chains
 }
 
-// filled returns an index in which each prompt is cached by a third of the
+// newFilledIndex returns an index in which each prompt is cached by a third of the
 // owners.
-func filled(chains [][]prefixindex.Link) *prefixindex.Index {
+func newFilledIndex(chains [][]prefixindex.Link) *prefixindex.Index {
 	index := prefixindex.New(prefixindex.Options{})
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, links := range chains {
@@ -54,7 +54,7 @@
 // BenchmarkLookup looks up prompts of 32 chunks on all cores.
 func BenchmarkLookup(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -71,7 +71,7 @@
 // BenchmarkLookupHotPrompt looks up one prompt on all cores.
 func BenchmarkLookupHotPrompt(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -87,7 +87,7 @@
 // owner of its own.
 func BenchmarkEvents(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	var owners atomic.Uint32
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -117,7 +117,7 @@
 // One operation is a lookup or an event.
 func BenchmarkMixed(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	var workers atomic.Uint32
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -153,17 +153,17 @@
 	for at := range links {
 		links[at] = prefixindex.Link{Hash: prefixindex.ChainHash(random.Uint64()), Tokens: 512}
 	}
-	grown := uint64(0)
+	heapGrowth := uint64(0)
 	for range b.N {
 		before := heapInUse()
 		index := prefixindex.New(prefixindex.Options{})
 		for owner := range prefixindex.Owner(ownersPerChunk) {
 			index.Store(owner, links)
 		}
-		grown = heapInUse() - before
+		heapGrowth = heapInUse() - before
 		runtime.KeepAlive(index)
 	}
-	b.ReportMetric(float64(grown)/pairs, "bytes/block")
+	b.ReportMetric(float64(heapGrowth)/pairs, "bytes/block")
 }
 
 func heapInUse() uint64 {
--- a/pkg/prefixindex/by_id_test.go
+++ b/pkg/prefixindex/by_id_test.go
@@ -33,7 +33,7 @@
 		links = promptByID("a", "b", "c")
 	})
 
-	of := func(now time.Duration) prefixindex.Overlap {
+	overlapAt := func(now time.Duration) prefixindex.Overlap {
 		index.Overlaps(now, links, &overlaps)
 		return overlaps.Of(owner)
 	}
@@ -53,11 +53,11 @@
 	It("count only when all before them are cached", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner, links[2].Hash, 100)
-		Expect(of(0).Reported).To(Equal(extent(1, 100)))
+		Expect(overlapAt(0).Reported).To(Equal(extent(1, 100)))
 		index.SetTokens(owner, links[1].Hash, 100)
-		Expect(of(0).Reported).To(Equal(extent(3, 300)))
+		Expect(overlapAt(0).Reported).To(Equal(extent(3, 300)))
 		index.SetTokens(owner, links[0].Hash, 0)
-		Expect(of(0)).To(BeZero())
+		Expect(overlapAt(0)).To(BeZero())
 	})
 
 	It("count the tokens that are left when their end was evicted, and end the walk", func() {
@@ -65,26 +65,26 @@
 			index.SetTokens(owner, link.Hash, 100)
 		}
 		index.SetTokens(owner, links[1].Hash, 48)
-		Expect(of(0)).To(Equal(prefixindex.Overlap{Reported: extent(1, 148), Likely: extent(1, 148)}))
+		Expect(overlapAt(0)).To(Equal(prefixindex.Overlap{Reported: extent(1, 148), Likely: extent(1, 148)}))
 		index.SetTokens(owner, links[0].Hash, 16)
-		Expect(of(0).Reported).To(Equal(extent(0, 16)))
+		Expect(overlapAt(0).Reported).To(Equal(extent(0, 16)))
 	})
 
 	It("count as complete when they are predicted", func() {
 		index.SetTokens(owner, links[0].Hash, 16)
 		index.PredictFor(0, time.Second, owner, links[:2])
-		Expect(of(0)).To(Equal(prefixindex.Overlap{Reported: extent(0, 16), Likely: extent(2, 200)}))
-		Expect(of(time.Second).Likely).To(Equal(extent(0, 16)))
+		Expect(overlapAt(0)).To(Equal(prefixindex.Overlap{Reported: extent(0, 16), Likely: extent(2, 200)}))
+		Expect(overlapAt(time.Second).Likely).To(Equal(extent(0, 16)))
 	})
 
 	It("become predictions when reports were lost, until they are reported again or the TTL ends", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner, links[1].Hash, 32)
 		index.DemoteReported(0, 10*time.Second, owner)
-		Expect(of(0)).To(Equal(prefixindex.Overlap{Likely: extent(1, 132)}))
+		Expect(overlapAt(0)).To(Equal(prefixindex.Overlap{Likely: extent(1, 132)}))
 		index.SetTokens(owner, links[0].Hash, 100)
-		Expect(of(0)).To(Equal(prefixindex.Overlap{Reported: extent(1, 100), Likely: extent(1, 132)}))
-		Expect(of(10 * time.Second)).To(Equal(prefixindex.Overlap{Reported: extent(1, 100), Likely: extent(1, 100)}))
+		Expect(overlapAt(0)).To(Equal(prefixindex.Overlap{Reported: extent(1, 100), Likely: extent(1, 132)}))
+		Expect(overlapAt(10 * time.Second)).To(Equal(prefixindex.Overlap{Reported: extent(1, 100), Likely: extent(1, 100)}))
 		Expect(index.Stats().Sized).To(Equal(1))
 	})
 
@@ -93,7 +93,7 @@
 		index.SetTokens(owner+1, links[0].Hash, 50)
 		index.DemoteReported(0, time.Second, owner)
 		index.Drop(owner)
-		Expect(of(0)).To(BeZero())
+		Expect(overlapAt(0)).To(BeZero())
 		Expect(index.Stats().Sized).To(Equal(1))
 	})
 
@@ -103,7 +103,7 @@
 			index.SetTokens(owner, link.Hash, 100)
 		}
 		Expect(index.Stats()).To(And(HaveField("Sized", 2), HaveField("Reported", 2)))
-		Expect(of(0).Reported).To(Equal(extent(2, 200)))
+		Expect(overlapAt(0).Reported).To(Equal(extent(2, 200)))
 	})
 
 	It("follow a simple model under random changes", func() {
@@ -120,9 +120,9 @@
 			tokens := uint32(random.IntN(3) * 50)
 			cached[changed][chunk] = tokens
 			index.SetTokens(prefixindex.Owner(changed), links[chunk].Hash, tokens)
-			asked := random.IntN(owners)
+			queried := random.IntN(owners)
 			want := prefixindex.Extent{}
-			for _, tokens := range cached[asked] {
+			for _, tokens := range cached[queried] {
 				want.Tokens += tokens
 				if tokens < 100 {
 					break
@@ -130,7 +130,7 @@
 				want.Chunks++
 			}
 			index.Overlaps(0, links, &overlaps)
-			Expect(overlaps.Of(prefixindex.Owner(asked)).Reported).To(Equal(want))
+			Expect(overlaps.Of(prefixindex.Owner(queried)).Reported).To(Equal(want))
 		}
 	})
 })
--- a/pkg/prefixindex/concurrency_test.go
+++ b/pkg/prefixindex/concurrency_test.go
@@ -15,19 +15,19 @@
 	It("always shows what does not change, and never more than was stored", func() {
 		// One shard makes writers and readers meet on the same table.
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
-		const steady, lastChurning, never = prefixindex.Owner(0), prefixindex.Owner(4), prefixindex.Owner(5)
+		const stableOwner, lastChurning, absentOwner = prefixindex.Owner(0), prefixindex.Owner(4), prefixindex.Owner(5)
 		stable := chain(strings.Repeat("abcdefgh", 8))
-		index.Store(steady, stable)
+		index.Store(stableOwner, stable)
 
 		var writers, readers sync.WaitGroup
 		done := make(chan struct{})
-		for owner := steady + 1; owner <= lastChurning; owner++ {
+		for owner := stableOwner + 1; owner <= lastChurning; owner++ {
 			writers.Go(func() { churn(index, owner, stable) })
 		}
 		wrong := make([]int, 4)
 		for reader := range wrong {
 			readers.Go(func() {
-				wrong[reader] = watch(index, done, stable, steady, never)
+				wrong[reader] = countWrongLookups(index, done, stable, stableOwner, absentOwner)
 			})
 		}
 		writers.Wait()
@@ -39,21 +39,21 @@
 
 	It("never shows the owner of a chunk for another chunk that takes over its slot", func() {
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
-		const oneHolder, otherHolder = prefixindex.Owner(1), prefixindex.Owner(2)
-		one := []prefixindex.Link{{Hash: prefixindex.CollidingHash(1), Tokens: 1}}
-		other := []prefixindex.Link{{Hash: prefixindex.CollidingHash(2), Tokens: 1}}
+		const firstOwner, secondOwner = prefixindex.Owner(1), prefixindex.Owner(2)
+		firstChunk := []prefixindex.Link{{Hash: prefixindex.CollidingHash(1), Tokens: 1}}
+		secondChunk := []prefixindex.Link{{Hash: prefixindex.CollidingHash(2), Tokens: 1}}
 		done := make(chan struct{})
 		wrong := make([]int, 3)
 		var readers sync.WaitGroup
 		for reader := range wrong {
-			readers.Go(func() { wrong[reader] = watch(index, done, other, nobody, oneHolder) })
+			readers.Go(func() { wrong[reader] = countWrongLookups(index, done, secondChunk, noOwner, firstOwner) })
 		}
 		for range 100_000 {
-			index.Store(oneHolder, one)
-			index.Store(otherHolder, other)
+			index.Store(firstOwner, firstChunk)
+			index.Store(secondOwner, secondChunk)
 			// The other chunk moves to the slot of the first.
-			index.Remove(oneHolder, hashes(one))
-			index.Remove(otherHolder, hashes(other))
+			index.Remove(firstOwner, hashes(firstChunk))
+			index.Remove(secondOwner, hashes(secondChunk))
 		}
 		close(done)
 		readers.Wait()
@@ -61,22 +61,22 @@
 	})
 })
 
-// nobody stands for no owner.
-const nobody = prefixindex.Owner(1 << 20)
+// noOwner stands for no owner.
+const noOwner = prefixindex.Owner(1 << 20)
 
 // churn stores, removes, resets and drops chunks of one owner, and ends with
 // none. The removals move the slots of other chunks.
 func churn(index *prefixindex.Index, owner prefixindex.Owner, links []prefixindex.Link) {
 	random := rand.New(rand.NewPCG(uint64(owner), 1))
-	others := make([]prefixindex.Link, 64)
+	randomChunks := make([]prefixindex.Link, 64)
 	for round := range 600 {
-		for at := range others {
-			others[at] = prefixindex.Link{Hash: prefixindex.ChainHash(random.Uint64()), Tokens: 1}
+		for at := range randomChunks {
+			randomChunks[at] = prefixindex.Link{Hash: prefixindex.ChainHash(random.Uint64()), Tokens: 1}
 		}
-		index.Store(owner, others)
+		index.Store(owner, randomChunks)
 		index.Store(owner, links)
-		index.Predict(0, owner, others[:8])
-		index.Remove(owner, hashes(others))
+		index.Predict(0, owner, randomChunks[:8])
+		index.Remove(owner, hashes(randomChunks))
 		index.Remove(owner, hashes(links[:4]))
 		if round%100 == 0 {
 			index.Reset(owner, links[:2])
@@ -85,9 +85,9 @@
 	index.Drop(owner)
 }
 
-// watch counts lookups that miss the steady owner or find the one that never
+// countWrongLookups counts lookups that miss the steady owner or find the one that never
 // stored anything.
-func watch(index *prefixindex.Index, done <-chan struct{}, links []prefixindex.Link, steady, never prefixindex.Owner) int {
+func countWrongLookups(index *prefixindex.Index, done <-chan struct{}, links []prefixindex.Link, stable, absent prefixindex.Owner) int {
 	var overlaps prefixindex.Overlaps
 	wrong := 0
 	for {
@@ -97,8 +97,8 @@
 		default:
 		}
 		index.Overlaps(0, links, &overlaps)
-		missing := steady != nobody && overlaps.Of(steady).Reported.Chunks != len(links)
-		if missing || overlaps.Of(never).Likely.Chunks != 0 {
+		missing := stable != noOwner && overlaps.Of(stable).Reported.Chunks != len(links)
+		if missing || overlaps.Of(absent).Likely.Chunks != 0 {
 			wrong++
 		}
 	}
--- a/pkg/prefixindex/model_test.go
+++ b/pkg/prefixindex/model_test.go
@@ -137,7 +137,7 @@
 		const count = 50_000
 		links := make([]prefixindex.Link, count)
 		for at := range links {
-			links[at] = prefixindex.Link{Hash: prefixindex.ChainHash(at), Tokens: partTokens}
+			links[at] = prefixindex.Link{Hash: prefixindex.ChainHash(at), Tokens: chunkTokens}
 		}
 		index.Store(1, links)
 		Expect(index.Stats().Bytes).To(BeNumerically(">", count*16))
--- a/pkg/prefixindex/overlaps_test.go
+++ b/pkg/prefixindex/overlaps_test.go
@@ -11,12 +11,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-const partTokens = 16
+const chunkTokens = 16
 
 // chunks names a prompt by one letter a chunk.
 func chunks(ids string) []prefixindex.Chunk {
 	return lo.Map([]rune(ids), func(id rune, _ int) prefixindex.Chunk {
-		return prefixindex.Chunk{ID: string(id), Tokens: partTokens}
+		return prefixindex.Chunk{ID: string(id), Tokens: chunkTokens}
 	})
 }
 
@@ -36,7 +36,7 @@
 }
 
 func extent(leading int) prefixindex.Extent {
-	return prefixindex.Extent{Chunks: leading, Tokens: uint32(leading) * partTokens}
+	return prefixindex.Extent{Chunks: leading, Tokens: uint32(leading) * chunkTokens}
 }
 
 var _ = Describe("Overlaps", func() {
--- a/pkg/prefixindex/partition.go
+++ b/pkg/prefixindex/partition.go
@@ -37,8 +37,8 @@
 	// shards is the number of shards of each partition.
 	shards   int
 	byNumber atomic.Pointer[[]*partition]
-	// growth is held while partitions are added.
-	growth sync.Mutex
+	// growMutex is held while partitions are added.
+	growMutex sync.Mutex
 }
 
 func newPartitions(shards int) *partitions {
@@ -62,8 +62,8 @@
 
 // growTo adds partitions up to a number, and returns all.
 func (p *partitions) growTo(number int) []*partition {
-	p.growth.Lock()
-	defer p.growth.Unlock()
+	p.growMutex.Lock()
+	defer p.growMutex.Unlock()
 	existing := p.all()
 	if number < len(existing) {
 		return existing
