--- a/pkg/prefixindex/benchmark_test.go
+++ b/pkg/prefixindex/benchmark_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// benchmarkOwners are the replicas and the store of one pool.
+	// benchmarkOwners is the number of owners: the replicas and the store of one pool.
 	benchmarkOwners = 19
 	// benchmarkDepth is the number of chunks of a prompt.
 	benchmarkDepth = 32
-	// benchmarkPrompts are the prompts that the index is filled with. The first
-	// half of the chunks of each are shared by the prompts of a family.
-	benchmarkPrompts = 4096
-	benchmarkFamilySize  = 64
+	// benchmarkPrompts is the number of prompts in the index. The benchmarkFamilySize
+	// prompts of one family share the first half of their chunks.
+	benchmarkPrompts    = 4096
+	benchmarkFamilySize = 64
 )
 
-// benchmarkChains are the prompts of the benchmarks.
+// benchmarkChains returns the prompts of the benchmarks.
 func benchmarkChains() [][]prefixindex.Link {
 	chains := make([][]prefixindex.Link, benchmarkPrompts)
 	for prompt := range chains {
@@ -38,8 +38,8 @@
 	return chains
 }
 
-// newFilledIndex returns an index in which each prompt is cached by a third of the
-// owners.
+// newFilledIndex returns an index in which each prompt is stored for randomly drawn
+// owners, a third of their number.
 func newFilledIndex(chains [][]prefixindex.Link) *prefixindex.Index {
 	index := prefixindex.New(prefixindex.Options{})
 	random := rand.New(rand.NewPCG(1, 2))
@@ -83,8 +83,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "lookups/s")
 }
 
-// BenchmarkEvents stores and removes chunks, one at a time, each core as a
-// owner of its own.
+// BenchmarkEvents stores and removes chunks, one at a time. Each worker changes the
+// chunks of its own owner.
 func BenchmarkEvents(b *testing.B) {
 	chains := benchmarkChains()
 	index := newFilledIndex(chains)
@@ -113,8 +113,8 @@
 	}
 }
 
-// BenchmarkMixed has one core in four write events while the others look up.
-// One operation is a lookup or an event.
+// BenchmarkMixed writes events on one worker in four and looks up prompts on the
+// others. One operation is a lookup or an event.
 func BenchmarkMixed(b *testing.B) {
 	chains := benchmarkChains()
 	index := newFilledIndex(chains)
@@ -136,9 +136,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "operations/s")
 }
 
-// BenchmarkMemory fills an index with a million pairs of a chunk and an owner,
-// and reports the growth of the heap for each pair. The case of one owner a
-// chunk costs most, since owners of one chunk share its slot.
+// BenchmarkMemory fills an index with a million pairs of a chunk and an owner, and
+// reports the growth of the heap per pair. With one owner per chunk a pair takes the
+// most memory, since the owners of one chunk share its slot.
 func BenchmarkMemory(b *testing.B) {
 	for _, owners := range []int{1, 4, 16} {
 		b.Run(fmt.Sprint("owners=", owners), func(b *testing.B) { measureMemory(b, owners) })
--- a/pkg/prefixindex/by_id_test.go
+++ b/pkg/prefixindex/by_id_test.go
@@ -11,7 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// promptByID is a prompt of chunks of 100 tokens each.
+// promptByID returns the links of a prompt by the given chunk IDs, with 100 tokens per
+// chunk.
 func promptByID(ids ...string) []prefixindex.Link {
 	var chunks []prefixindex.Chunk
 	for _, id := range ids {
@@ -41,7 +42,7 @@
 		return prefixindex.Extent{Chunks: chunks, Tokens: tokens}
 	}
 
-	It("have the same hash at each position, under one model and salt", func() {
+	It("have hashes that depend on model, salt and ID but not on the position", func() {
 		Expect(promptByID("x", "a")[1]).To(Equal(promptByID("a")[0]))
 		Expect(promptByID("a")[0].Hash).To(Equal(prefixindex.HashByID("model", "salt", "a")))
 		Expect(promptByID("a")[0].Hash).NotTo(Equal(prefixindex.HashByID("model", "other", "a")))
@@ -50,7 +51,7 @@
 		Expect(promptByID("a")[0].Hash).NotTo(Equal(chained[0].Hash))
 	})
 
-	It("count only when all before them are cached", func() {
+	It("count only when all chunks before them are cached", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner, links[2].Hash, 100)
 		Expect(overlapAt(0).Reported).To(Equal(extent(1, 100)))
@@ -60,7 +61,7 @@
 		Expect(overlapAt(0)).To(BeZero())
 	})
 
-	It("count the tokens that are left when their end was evicted, and end the walk", func() {
+	It("count the remaining tokens when their end was evicted, and end the overlap there", func() {
 		for _, link := range links {
 			index.SetTokens(owner, link.Hash, 100)
 		}
@@ -77,7 +78,7 @@
 		Expect(overlapAt(time.Second).Likely).To(Equal(extent(0, 16)))
 	})
 
-	It("become predictions when reports were lost, until they are reported again or the TTL ends", func() {
+	It("become predictions when reports were lost, until they are reported again or the TTL expires", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner, links[1].Hash, 32)
 		index.DemoteReported(0, 10*time.Second, owner)
@@ -88,7 +89,7 @@
 		Expect(index.Stats().Sized).To(Equal(1))
 	})
 
-	It("leave nothing behind when their owner is dropped", func() {
+	It("are removed with their sizes when their owner is dropped", func() {
 		index.SetTokens(owner, links[0].Hash, 100)
 		index.SetTokens(owner+1, links[0].Hash, 50)
 		index.DemoteReported(0, time.Second, owner)
@@ -97,7 +98,7 @@
 		Expect(index.Stats().Sized).To(Equal(1))
 	})
 
-	It("are bounded", func() {
+	It("are ignored beyond MaxSized", func() {
 		index = prefixindex.New(prefixindex.Options{MaxSized: 2})
 		for _, link := range links {
 			index.SetTokens(owner, link.Hash, 100)
@@ -106,7 +107,7 @@
 		Expect(overlapAt(0).Reported).To(Equal(extent(2, 200)))
 	})
 
-	It("follow a simple model under random changes", func() {
+	It("give the same overlaps as a reference model under random changes", func() {
 		random := rand.New(rand.NewPCG(7, 7))
 		const owners, chunks = 70, 6
 		var ids []string
--- a/pkg/prefixindex/chain.go
+++ b/pkg/prefixindex/chain.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChainHash identifies a chunk of a prompt together with everything before it, or
-// by its ID alone where it comes from HashByID.
+// ChainHash identifies a chunk of a prompt together with everything before it. A
+// ChainHash from HashByID identifies the chunk alone.
 type ChainHash uint64
 
-// Chunk is a named piece of a prompt, as the caller states it.
+// Chunk is a named part of a prompt, as stated by the caller.
 type Chunk struct {
 	// ID is the caller's name of the chunk's content.
 	ID string
@@ -18,13 +18,13 @@
 	Tokens uint32
 }
 
-// Link is one chunk of a prompt, by the hash that owners and the index use.
+// Link is one chunk of a prompt, identified by its hash in the index.
 type Link struct {
 	Hash   ChainHash
 	Tokens uint32
 }
 
-// RootHash returns the hash that the chain of a prompt starts from.
+// RootHash returns the hash from which the chain of a prompt starts.
 func RootHash(model, cacheSalt string) ChainHash {
 	digest := xxhash.New()
 	writeDelimited(digest, model)
@@ -34,7 +34,7 @@
 
 // NextHash returns the hash of the chunk that follows previous.
 func NextHash(previous ChainHash, chunkID string) ChainHash {
-	// The array keeps IDs of usual length off the heap.
+	// The array on the stack avoids a heap allocation for IDs of usual length.
 	var buffer [128]byte
 	data := binary.BigEndian.AppendUint64(buffer[:0], uint64(previous))
 	data = append(data, chunkID...)
@@ -53,8 +53,8 @@
 	return links
 }
 
-// writeDelimited writes text with its length before it, so that two texts that
-// join to the same bytes still differ.
+// writeDelimited writes text preceded by its length, so that two pairs of texts with
+// the same concatenation are written differently.
 func writeDelimited(digest *xxhash.Digest, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
--- a/pkg/prefixindex/chunk_sizes.go
+++ b/pkg/prefixindex/chunk_sizes.go
@@ -13,13 +13,13 @@
 type cachedSize struct {
 	owner  Owner
 	tokens uint32
-	// uncertain is set once reports of the owner were lost: the chunk counts as
-	// predicted from then on, see Index.DemoteReported.
+	// uncertain is set when reports of the owner were lost: from then on the chunk counts
+	// as predicted, see Index.DemoteReported.
 	uncertain bool
 }
 
-// chunkSizes holds the cached tokens of chunks whose owners report them. Owners
-// that report whole chunks only have no entries.
+// chunkSizes holds the number of cached tokens of chunks whose owners report it. An
+// owner that reports only whole chunks has no entries.
 type chunkSizes struct {
 	maximum int64
 	count   atomic.Int64
@@ -57,8 +57,8 @@
 	return 0, false
 }
 
-// set records the reported tokens of a chunk. It returns false when the table is
-// full.
+// set records the reported tokens of a chunk. It returns false without recording them
+// if the chunk has no entry for the owner and the table is full.
 func (s *chunkSizes) set(owner Owner, hash ChainHash, tokens uint32) bool {
 	shard := s.shardOf(hash)
 	shard.mutex.Lock()
@@ -78,7 +78,8 @@
 	return true
 }
 
-// setUncertain records that the chunk counts as predicted from now on.
+// setUncertain marks the size of an owner's chunk as uncertain, so that the chunk counts
+// as predicted.
 func (s *chunkSizes) setUncertain(owner Owner, hash ChainHash) {
 	shard := s.shardOf(hash)
 	shard.mutex.Lock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// clearLocked is clearIf for callers that hold the shard's lock.
+// clearLocked does the same as clearIf; the caller must hold the shard's lock.
 func (s *chunkSizes) clearLocked(shard *chunkSizeShard, hash ChainHash, matches func(cachedSize) bool) {
 	sizes := shard.byHash[hash]
 	remaining := sizes[:0]
@@ -143,8 +144,8 @@
 	shard.byHash[hash] = remaining
 }
 
-// visitShorter calls visit for each owner that caches fewer tokens of a chunk than
-// the prompt states. The shard's lock is held meanwhile.
+// visitShorter calls visit for each owner that caches fewer tokens of a chunk than the
+// given number. It holds the shard's read lock during the calls.
 func (s *chunkSizes) visitShorter(hash ChainHash, tokens uint32, visit func(cachedSize)) {
 	shard := s.shardOf(hash)
 	shard.mutex.RLock()
--- a/pkg/prefixindex/concurrency_test.go
+++ b/pkg/prefixindex/concurrency_test.go
@@ -12,8 +12,8 @@
 )
 
 var _ = Describe("Index under concurrent use", func() {
-	It("always shows what does not change, and never more than was stored", func() {
-		// One shard makes writers and readers meet on the same table.
+	It("always finds chunks that do not change, and never an owner that stored nothing", func() {
+		// With one shard, all writers and readers access the same table.
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
 		const stableOwner, lastChurning, absentOwner = prefixindex.Owner(0), prefixindex.Owner(4), prefixindex.Owner(5)
 		stable := chain(strings.Repeat("abcdefgh", 8))
@@ -37,7 +37,7 @@
 		Expect(index.Stats().Reported).To(Equal(len(stable)))
 	})
 
-	It("never shows the owner of a chunk for another chunk that takes over its slot", func() {
+	It("never reports the owner of a chunk for another chunk that moves to its slot", func() {
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
 		const firstOwner, secondOwner = prefixindex.Owner(1), prefixindex.Owner(2)
 		firstChunk := []prefixindex.Link{{Hash: prefixindex.CollidingHash(1), Tokens: 1}}
@@ -51,7 +51,7 @@
 		for range 100_000 {
 			index.Store(firstOwner, firstChunk)
 			index.Store(secondOwner, secondChunk)
-			// The other chunk moves to the slot of the first.
+			// The second chunk moves to the slot of the first.
 			index.Remove(firstOwner, hashes(firstChunk))
 			index.Remove(secondOwner, hashes(secondChunk))
 		}
@@ -61,11 +61,11 @@
 	})
 })
 
-// noOwner stands for no owner.
+// noOwner is passed to countWrongLookups when no owner caches all chunks throughout.
 const noOwner = prefixindex.Owner(1 << 20)
 
-// churn stores, removes, resets and drops chunks of one owner, and ends with
-// none. The removals move the slots of other chunks.
+// churn stores, removes, resets and drops chunks of one owner, and ends with none.
+// Removals move other chunks to other slots.
 func churn(index *prefixindex.Index, owner prefixindex.Owner, links []prefixindex.Link) {
 	random := rand.New(rand.NewPCG(uint64(owner), 1))
 	randomChunks := make([]prefixindex.Link, 64)
@@ -85,8 +85,8 @@
 	index.Drop(owner)
 }
 
-// countWrongLookups counts lookups that miss the steady owner or find the one that never
-// stored anything.
+// countWrongLookups looks up links until done is closed, and counts the lookups that miss
+// a chunk of the stable owner or find the absent owner.
 func countWrongLookups(index *prefixindex.Index, done <-chan struct{}, links []prefixindex.Link, stable, absent prefixindex.Owner) int {
 	var overlaps prefixindex.Overlaps
 	wrong := 0
--- a/pkg/prefixindex/doc.go
+++ b/pkg/prefixindex/doc.go
@@ -4,32 +4,35 @@
 //
 // A chunk is identified by its chain hash, which covers the chunk and everything
 // before it: chain[i] = hash(chain[i-1] || chunk[i]), where chain[-1] is the hash
-// of the model and the cache salt. One hash therefore stands for one exact prefix
-// under one model, one weight version and one sharing domain. Owners that report
-// chunks by ID and without a position have hashes of their own kind, see HashByID;
-// the lookup is the same.
+// of the model and the cache salt. The cache salt covers the weight version and the
+// sharing domain, so that one hash identifies one exact prefix under one model, one
+// weight version and one sharing domain. Chunks that owners report by ID and without
+// a position are identified by HashByID instead; the lookup is the same.
 //
 // # State
 //
 // An Index owns three tables, each with its own locks:
 //
-//   - reported: hash to set of owners, for chunks that owners reported. A partition
-//     serves 64 owners, a shard of it the hashes with the same leading bits.
-//   - predicted: the same for chunks that owners probably cache, with an expiry for
-//     each pair of chunk and owner.
-//   - sizes: the tokens that an owner caches of a chunk, where it reports them.
+//   - reported maps a hash to the set of owners that reported the chunk. It is split
+//     into partitions of 64 owners each, and a partition into shards by the leading
+//     bits of the mixed hash.
+//   - predicted has the same structure for chunks that owners probably cache, and an
+//     expiry for each pair of chunk and owner.
+//   - sizes contains how many tokens of a chunk an owner caches, if the owner reports
+//     that number.
 //
 // # Concurrency
 //
 // All methods of Index may be called concurrently. A lookup takes no lock of the
 // reported and predicted tables unless a writer changes the same shard at that
-// moment; shard states the invariant. Changes of one owner should come from one
-// goroutine at a time, since the last one wins. Locks of different tables are
-// never held together, except predictions.mutex, under which the locks of its
-// partitions and of the sizes are taken.
+// moment or a prediction has expired; the comment of shard states the invariant. If
+// any sizes are recorded, a lookup takes read locks of their table. Changes of one
+// owner should come from one goroutine at a time, since the last change wins. Locks
+// of different tables are never held together, with one exception: the locks of the
+// predicted partitions and of sizes are taken while predictions.mutex is held.
 //
-// The package reads no clock: time comes in as the time elapsed on the caller's.
+// The package reads no clock: callers pass the time elapsed on their own clock.
 //
-// The method is that of the indexer in "Dynamo's KV Router"; docs/KV_ROUTING.md
-// says what differs.
+// The algorithm follows the indexer in "Dynamo's KV Router"; docs/KV_ROUTING.md lists
+// the differences.
 package prefixindex
--- a/pkg/prefixindex/index.go
+++ b/pkg/prefixindex/index.go
@@ -25,17 +25,16 @@
 	// that would expire first are dropped.
 	MaxPredicted int
 	// MaxSized bounds the pairs of a chunk and an owner with a reported size, of
-	// all owners together. Beyond it, further chunks are ignored.
+	// all owners together. Beyond it, SetTokens ignores pairs that have no entry.
 	MaxSized int
 	// Shards is the number of separately locked shards of each partition; rounded
 	// up to a power of two.
 	Shards int
 }
 
-// Index records which owners cache which chunks. It is safe for concurrent use:
-// lookups take no lock unless a writer changes the same shard at that moment.
-// Changes of one owner should come from one writer at a time, since the last one
-// wins.
+// Index records which owners cache which chunks. It is safe for concurrent use; the
+// package comment says which locks a lookup takes. Changes of one owner should come
+// from one goroutine at a time, since the last change wins.
 type Index struct {
 	reported  *partitions
 	predicted *predictions
@@ -109,9 +108,9 @@
 }
 
 // SetTokens records that an owner reported the number of tokens that it caches of
-// a chunk, from the chunk's beginning. With 0 it caches none of it any more. A
-// lookup counts no more than these tokens, and ends there for this owner if they
-// are fewer than its prompt states.
+// a chunk, from the chunk's beginning; 0 removes the chunk. A lookup counts no more
+// tokens of the chunk than this number. If the prompt states more tokens, the overlap
+// of this owner ends in this chunk.
 func (x *Index) SetTokens(owner Owner, hash ChainHash, tokens uint32) {
 	if tokens == 0 {
 		x.Remove(owner, []ChainHash{hash})
@@ -138,8 +137,9 @@
 	x.predicted.add(now, ttl, owner, links)
 }
 
-// DemoteReported turns all that an owner reported into predictions that end after
-// ttl, because some of its reports were lost. New reports confirm them one by one.
+// DemoteReported turns all chunks that an owner reported into predictions that expire
+// after ttl. It is called when some reports of the owner were lost. A new report of a
+// chunk makes that chunk reported again.
 func (x *Index) DemoteReported(now, ttl time.Duration, owner Owner) {
 	hashes := x.reported.hashesOf(owner)
 	for _, hash := range hashes {
@@ -150,7 +150,7 @@
 }
 
 // ReportedChunks returns the chunks that an owner reported by SetTokens, in the
-// order of their hashes. Uncertain ones are left out.
+// order of their hashes. Chunks whose size is uncertain are left out.
 func (x *Index) ReportedChunks(owner Owner) []Link {
 	hashes := x.reported.hashesOf(owner)
 	slices.Sort(hashes)
--- a/pkg/prefixindex/model_test.go
+++ b/pkg/prefixindex/model_test.go
@@ -10,13 +10,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// modelIndex is the plainest index that is right: a set of hashes an owner.
+// modelIndex is a reference implementation of the index, with a set of hashes for each
+// owner.
 type modelIndex struct {
 	reported  map[prefixindex.Owner]map[prefixindex.ChainHash]bool
 	predicted map[prefixindex.Owner]map[prefixindex.ChainHash]time.Duration
 }
 
-// modelOwners are spread so that they belong to two groups.
+// modelOwners belong to two partitions.
 var modelOwners = []prefixindex.Owner{0, 1, 2, 63, 64}
 
 func newModelIndex() *modelIndex {
@@ -69,7 +70,8 @@
 	return overlap
 }
 
-// randomPrompt draws from a small tree of prompts, so that prefixes are shared.
+// randomPrompt returns a prompt of 1 to 12 chunks with two possible IDs, so that many
+// prompts share a prefix.
 func randomPrompt(random *rand.Rand) []prefixindex.Link {
 	ids := make([]byte, 1+random.IntN(12))
 	for at := range ids {
@@ -104,7 +106,7 @@
 }
 
 var _ = Describe("Index", func() {
-	DescribeTable("agrees with a plain model over random changes", func(shards int) {
+	DescribeTable("gives the same overlaps as a reference model under random changes", func(shards int) {
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, uint64(shards)))
 			index := prefixindex.New(prefixindex.Options{Shards: shards})
@@ -125,12 +127,12 @@
 			Expect(index.Stats().Reported).To(Equal(pairs))
 		}
 	},
-		Entry("in one table, where runs are long", 1),
-		Entry("in four tables", 4),
-		Entry("in many tables", 256),
+		Entry("with one shard, where probe sequences are long", 1),
+		Entry("with 4 shards", 4),
+		Entry("with 256 shards", 256),
 	)
 
-	It("releases memory and keeps what is left", func() {
+	It("releases the memory of removed chunks and keeps the others", func() {
 		index := prefixindex.New(prefixindex.Options{Shards: 1})
 		index.Store(2, chain("a"))
 		small := index.Stats().Bytes
--- a/pkg/prefixindex/overlaps.go
+++ b/pkg/prefixindex/overlaps.go
@@ -10,8 +10,8 @@
 type Extent struct {
 	// Chunks counts the leading chunks.
 	Chunks int
-	// Tokens is the sum of their tokens, and of what is cached of the next chunk
-	// if its end was evicted.
+	// Tokens is the sum of the tokens of these chunks, and of the cached tokens of the
+	// next chunk if only its beginning is cached.
 	Tokens uint32
 }
 
@@ -39,12 +39,12 @@
 	return o.byOwner[owner]
 }
 
-// Owners returns, in ascending order, the owners that cache at least the
-// first chunk. The slice is valid until the next lookup.
+// Owners returns, in ascending order, the owners that cache at least the beginning of
+// the first chunk, reported or predicted. The slice is valid until the next lookup.
 func (o *Overlaps) Owners() []Owner { return o.owners }
 
-// Overlaps finds for every owner how much of a prompt it caches. A chunk counts
-// only when the owner caches all chunks before it.
+// Overlaps replaces the content of into by the overlaps of all owners with a prompt. A
+// chunk counts only when the owner caches all chunks before it.
 func (x *Index) Overlaps(now time.Duration, links []Link, into *Overlaps) {
 	into.clear()
 	x.predicted.expire(now)
@@ -83,9 +83,9 @@
 	}
 }
 
-// walk follows a prompt with the owners of one partition. The sets of owners that
-// cache all chunks so far only ever get smaller, so that each owner is looked at
-// once: where it drops out.
+// walk determines the overlaps of the owners of one partition, chunk by chunk. The sets
+// of owners that cache all chunks so far only shrink, so that the extent of an owner is
+// recorded once: at the first chunk that the owner does not cache completely.
 type walk struct {
 	into       *Overlaps
 	firstOwner Owner
@@ -95,13 +95,14 @@
 	sizes *chunkSizes
 }
 
-// run records the overlap of each owner. Reached is the extent of the chunks so far,
-// reported and likely are the owners that cache all of them.
+// run records the overlap of each owner. The variable reached is the extent of the
+// chunks so far; reported and likely are the sets of owners that cache all of them.
 func (w *walk) run(links []Link) {
 	reported, likely := ^ownerSet(0), ^ownerSet(0)
 	reached := Extent{}
 	for position, link := range links {
-		// reporting and predicted are the owners of this chunk alone.
+		// reporting and predicted are the owners of this chunk, whatever they cache
+		// before it.
 		reporting := find(w.reported, link.Hash)
 		predicted := find(w.predicted, link.Hash)
 		stillReported := reported & reporting
@@ -128,8 +129,8 @@
 }
 
 // recordPartial returns the owners that cache only the beginning of a chunk, and
-// records the extents of theirs that end there. A prediction stands for the whole
-// chunk, unless it is a report that became uncertain.
+// records their extents, which end in that chunk. A predicted chunk counts in whole,
+// unless its prediction comes from a report that became uncertain.
 func (w *walk) recordPartial(link Link, reported, likely, predicted ownerSet, reached Extent) (partlyReported, partlyLikely ownerSet) {
 	w.sizes.visitShorter(link.Hash, link.Tokens, func(size cachedSize) {
 		if size.owner < w.firstOwner || size.owner >= w.firstOwner+ownersPerPartition {
@@ -157,14 +158,14 @@
 	return p.shardOf(hash).find(hash)
 }
 
-// addOwners adds the owners of the first chunk.
+// addOwners adds the owners of the first chunk to the result.
 func (w *walk) addOwners(owners ownerSet) {
 	for ; owners != 0; owners &= owners - 1 {
 		w.into.add(w.lowestOwner(owners))
 	}
 }
 
-// recordExtent records the extent that was reached by owners that drop out.
+// recordExtent records the extent that the given owners reached.
 func (w *walk) recordExtent(reported, likely ownerSet, reached Extent) {
 	for ; reported != 0; reported &= reported - 1 {
 		w.into.byOwner[w.lowestOwner(reported)].Reported = reached
@@ -179,7 +180,7 @@
 	return w.firstOwner + Owner(bits.TrailingZeros64(uint64(owners)))
 }
 
-// extendedBy returns the extent that is longer by one chunk. Its tokens saturate
+// extendedBy returns the extent extended by one chunk. The sum of the tokens saturates
 // instead of wrapping around.
 func (e Extent) extendedBy(tokens uint32) Extent {
 	sum := min(uint64(e.Tokens)+uint64(tokens), math.MaxUint32)
--- a/pkg/prefixindex/overlaps_test.go
+++ b/pkg/prefixindex/overlaps_test.go
@@ -13,14 +13,14 @@
 
 const chunkTokens = 16
 
-// chunks names a prompt by one letter a chunk.
+// chunks returns a prompt whose chunks have the letters of ids as their IDs.
 func chunks(ids string) []prefixindex.Chunk {
 	return lo.Map([]rune(ids), func(id rune, _ int) prefixindex.Chunk {
 		return prefixindex.Chunk{ID: string(id), Tokens: chunkTokens}
 	})
 }
 
-// chain is the prompt under one model and salt.
+// chain returns the links of such a prompt under one model and salt.
 func chain(ids string) []prefixindex.Link {
 	return prefixindex.Chain("model", "salt", chunks(ids))
 }
@@ -60,7 +60,7 @@
 		Expect(overlaps.Of(4)).To(BeZero())
 	})
 
-	It("tells equal chunks at other positions apart", func() {
+	It("distinguishes equal chunks at different positions", func() {
 		index.Store(1, chain("ab"))
 		Expect(reported(1, chain("aba"))).To(Equal(extent(2)))
 		Expect(reported(1, chain("ba"))).To(BeZero())
@@ -69,7 +69,7 @@
 		Expect(reported(2, chain("aba"))).To(BeZero())
 	})
 
-	It("stops at the first gap of each owner", func() {
+	It("ends the overlap of each owner at its first missing chunk", func() {
 		links := chain("abcde")
 		index.Store(1, links)
 		index.Store(2, links)
@@ -80,7 +80,7 @@
 		Expect(reported(1, links)).To(Equal(extent(5)))
 	})
 
-	It("takes chunks in any order and doubled", func() {
+	It("accepts chunks in any order and more than once", func() {
 		links := chain("abcd")
 		index.Store(1, links[2:])
 		index.Store(1, links[:2])
@@ -96,14 +96,14 @@
 		Expect(reported(1, prefixindex.Chain("models", "alt", chunks("abc")))).To(BeZero())
 	})
 
-	It("counts the tokens that the prompt states, without wrapping around", func() {
+	It("sums the tokens that the prompt states, without integer overflow", func() {
 		links := chain("abc")
 		index.Store(1, links)
 		links[1].Tokens = 1<<32 - 1
 		Expect(reported(1, links)).To(Equal(prefixindex.Extent{Chunks: 3, Tokens: 1<<32 - 1}))
 	})
 
-	It("has room for many owners", func() {
+	It("holds chunks of 200 owners", func() {
 		for owner := range prefixindex.Owner(200) {
 			index.Store(owner, chain("abcd")[:1+owner%4])
 		}
@@ -114,7 +114,7 @@
 		}
 	})
 
-	It("replaces what an owner caches on a reset, and forgets it on a drop", func() {
+	It("replaces the chunks of an owner on Reset, and removes them on Drop", func() {
 		index.Store(1, chain("abc"))
 		index.Store(2, chain("abc"))
 		index.Reset(1, chain("ax"))
@@ -125,7 +125,7 @@
 		Expect(index.Stats().Reported).To(Equal(3))
 	})
 
-	It("leaves nothing of one lookup in the next", func() {
+	It("clears the result of the previous lookup", func() {
 		index.Store(7, chain("abc"))
 		var overlaps prefixindex.Overlaps
 		index.Overlaps(0, chain("abc"), &overlaps)
@@ -136,7 +136,7 @@
 		Expect(overlaps.Owners()).To(BeEmpty())
 	})
 
-	It("allocates nothing when its answer is reused", func() {
+	It("allocates no memory when the result is reused", func() {
 		links := chain("abcdefgh")
 		for owner := range prefixindex.Owner(18) {
 			index.Store(owner, links)
@@ -153,7 +153,7 @@
 	const ttl = 120 * time.Second
 	links := chain("abcd")
 
-	It("lengthen the likely overlap but not the reported one", func() {
+	It("extend the likely overlap but not the reported one", func() {
 		index := prefixindex.New(prefixindex.Options{})
 		index.Store(1, links[:1])
 		index.Predict(0, 1, links[:3])
@@ -164,7 +164,7 @@
 		Expect(index.Stats()).To(HaveField("Reported", 1))
 	})
 
-	It("end with their time, counted from the last renewal", func() {
+	It("expire after their TTL, counted from the last renewal", func() {
 		index := prefixindex.New(prefixindex.Options{})
 		index.Predict(0, 1, links)
 		index.Predict(60*time.Second, 1, links[:2])
@@ -174,14 +174,14 @@
 		Expect(index.Stats().Predicted).To(BeZero())
 	})
 
-	It("keep the longer of two times", func() {
+	It("keep the later of two expiries", func() {
 		index := prefixindex.New(prefixindex.Options{})
 		index.Predict(0, 1, links)
 		index.PredictFor(0, time.Second, 1, links)
 		Expect(lookUp(index, 2*time.Second, links).Of(1).Likely).To(Equal(extent(4)))
 	})
 
-	It("stay under the cap by dropping those that end first", func() {
+	It("stay within MaxPredicted by dropping those that expire first, with a bounded queue", func() {
 		index := prefixindex.New(prefixindex.Options{MaxPredicted: 4})
 		index.Predict(0, 1, chain("wxyz"))
 		index.Predict(time.Second, 2, links)
@@ -194,7 +194,7 @@
 		Expect(prefixindex.QueuedExpiries(index)).To(BeNumerically("<", 30))
 	})
 
-	It("go with a report that the chunk was dropped, with a reset and with a drop", func() {
+	It("end when the chunk is removed, and on Reset and Drop of the owner", func() {
 		index := prefixindex.New(prefixindex.Options{})
 		index.Predict(0, 1, links)
 		index.Remove(1, hashes(links[2:3]))
--- a/pkg/prefixindex/partition.go
+++ b/pkg/prefixindex/partition.go
@@ -10,11 +10,11 @@
 // as an ownerSet has bits.
 const ownersPerPartition = 64
 
-// partition holds the chunks of the owners from ownersPerPartition times its number
-// up, spread over shards by their hash.
+// partition holds the chunks of ownersPerPartition consecutive owners, distributed over
+// shards by their hash. Partition n begins with the owner n*ownersPerPartition.
 type partition struct {
 	shards []shard
-	// shift reduces a mixed hash to its leading bits, the index of the shard.
+	// shift reduces a mixed hash to its leading bits, which are the index of the shard.
 	shift uint
 }
 
@@ -31,13 +31,14 @@
 	return &p.shards[mix(hash)>>p.shift]
 }
 
-// partitions are all partitions of a kind of chunks. They are only ever added, and
-// the slice of them is replaced as a whole, so that lookups read it without a lock.
+// partitions contains all partitions of the reported or of the predicted chunks. A
+// partition is never removed, and the slice is replaced as a whole when partitions are
+// added, so that lookups read it without a lock.
 type partitions struct {
 	// shards is the number of shards of each partition.
 	shards   int
 	byNumber atomic.Pointer[[]*partition]
-	// growMutex is held while partitions are added.
+	// growMutex is held while partitions are added to byNumber.
 	growMutex sync.Mutex
 }
 
@@ -60,7 +61,8 @@
 	return existing[number], 1 << (owner % ownersPerPartition)
 }
 
-// growTo adds partitions up to a number, and returns all.
+// growTo adds partitions until there is one with the given number, and returns all
+// partitions.
 func (p *partitions) growTo(number int) []*partition {
 	p.growMutex.Lock()
 	defer p.growMutex.Unlock()
--- a/pkg/prefixindex/predictions.go
+++ b/pkg/prefixindex/predictions.go
@@ -17,11 +17,11 @@
 	ttl        time.Duration
 	maximum    int
 	partitions *partitions
-	// sizes has the cached tokens of predictions that were reported before, see
+	// sizes contains the cached tokens of predicted chunks that were reported before, see
 	// Index.DemoteReported.
 	sizes *chunkSizes
-	// nextExpiry is the earliest instant in queue, in nanoseconds, or never. It
-	// lets lookups skip the lock while nothing is due.
+	// nextExpiry is the earliest instant in queue, in nanoseconds, or never. Lookups
+	// read it to skip the lock while no prediction has expired.
 	nextExpiry atomic.Int64
 
 	mutex   sync.Mutex
@@ -59,7 +59,7 @@
 	p.enforceLimit()
 }
 
-// addHashes is add for chunks of which only the hashes are available.
+// addHashes does the same as add for chunks of which only the hashes are known.
 func (p *predictions) addHashes(now, ttl time.Duration, owner Owner, hashes []ChainHash) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -70,7 +70,7 @@
 	p.enforceLimit()
 }
 
-// put adds or renews a prediction. The caller holds the mutex, here as for expireDue,
+// put adds or renews a prediction. The caller must hold the mutex, as for expireDue,
 // expireEarliest, forget, enforceLimit, compact and publishNextExpiry.
 func (p *predictions) put(key prediction, expiry time.Duration) {
 	if current, present := p.expires[key]; present && current >= expiry {
@@ -81,7 +81,8 @@
 	p.partitions.put(key.owner, key.hash)
 }
 
-// enforceLimit drops the predictions beyond the maximum that expire first.
+// enforceLimit drops those predictions that expire first while there are more than the
+// maximum.
 func (p *predictions) enforceLimit() {
 	for len(p.expires) > p.maximum {
 		p.expireEarliest()
@@ -134,7 +135,7 @@
 	return len(p.expires)
 }
 
-// empty reports whether nothing is predicted, without taking the lock.
+// empty reports whether there are no predictions, without taking the lock.
 func (p *predictions) empty() bool { return p.nextExpiry.Load() == never }
 
 func (p *predictions) expireDue(now time.Duration) {
@@ -143,8 +144,8 @@
 	}
 }
 
-// expireEarliest removes the earliest expiry, and its prediction unless that was
-// renewed since.
+// expireEarliest removes the earliest expiry from the queue, and its prediction unless
+// the prediction was renewed since.
 func (p *predictions) expireEarliest() {
 	first := p.queue.popEarliest()
 	if p.expires[first.prediction] == first.expiresAt {
@@ -185,13 +186,13 @@
 	p.nextExpiry.Store(int64(p.queue[0].expiresAt))
 }
 
-// queuedExpiry is the instant at which a prediction ends.
+// queuedExpiry is the instant at which a prediction expires.
 type queuedExpiry struct {
 	prediction
 	expiresAt time.Duration
 }
 
-// expiryQueue is a heap by instant, for container/heap.
+// expiryQueue is a heap ordered by expiry, for container/heap.
 type expiryQueue []queuedExpiry
 
 func (q expiryQueue) Len() int           { return len(q) }
@@ -215,7 +216,7 @@
 	return first
 }
 
-// Push inserts an element. It is there for heap.Interface alone, like Pop.
+// Push inserts an element. Push and Pop exist only to implement heap.Interface.
 func (q *expiryQueue) Push(queued any) { q.add(queued.(queuedExpiry)) }
 
 // Pop removes the earliest element.
--- a/pkg/prefixindex/shard.go
+++ b/pkg/prefixindex/shard.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// optimisticReads is how often a lookup reads without the lock before it
-	// waits for the writer.
+	// optimisticReads is how often a lookup tries to read without the lock before it
+	// takes the lock.
 	optimisticReads = 4
 	// A table grows when more than growNumerator/growDenominator of its slots
 	// are in use, and shrinks when fewer than one in shrinkDivisor are.
@@ -17,20 +17,21 @@
 	shrinkDivisor   = 8
 )
 
-// shard holds the chunks of a partition whose hashes have the same leading bits.
+// shard holds the chunks of a partition whose mixed hashes have the same leading bits.
 //
-// It is a sequence lock. Invariant: version is odd exactly while a writer changes the table. A reader
-// that saw the same even version before and after its reads has read one
-// consistent state, without having written to memory that other readers share.
+// It is a sequence lock. Invariant: version is odd exactly while a writer changes the
+// table. A reader that loads the same even version before and after its reads has read
+// one consistent state, without a write to memory that it shares with other readers.
 type shard struct {
 	version atomic.Uint64
 	table   atomic.Pointer[table]
-	// used counts the slots in use, and pairs the pairs of chunk and owner.
+	// used counts the slots in use; pairs counts the pairs of chunk and owner.
 	used  atomic.Int64
 	pairs atomic.Int64
-	// mutex is held by writers, and by readers that found no consistent state.
+	// mutex is held by writers, by lookups that found no consistent state, and while
+	// the whole table is read.
 	mutex sync.Mutex
-	_     [24]byte // keeps neighbouring shards off one cache line
+	_     [24]byte // pads a shard to 64 bytes, so that two shards don't share a cache line
 }
 
 func (s *shard) init() { s.table.Store(newTable(minimumSlots)) }
@@ -53,7 +54,7 @@
 	return owners
 }
 
-// beginWrite and endWrite enclose every change of the table.
+// beginWrite is called before every change of the table, and endWrite after it.
 func (s *shard) beginWrite() {
 	s.mutex.Lock()
 	s.version.Add(1)
@@ -106,7 +107,7 @@
 	defer s.endWrite()
 	current := s.table.Load()
 	for slot := range uint64(current.slots()) {
-		// Freeing the slot may move a later one here.
+		// When the slot is freed, a later entry may move into it.
 		for s.removeAt(current, slot, removed) {
 		}
 	}
@@ -130,7 +131,8 @@
 	return true
 }
 
-// shrink releases memory after many removals.
+// shrink halves the table as often as the used slots permit, to release memory after
+// many removals.
 func (s *shard) shrink() {
 	slots := s.table.Load().slots()
 	smaller := slots
@@ -148,7 +150,7 @@
 	s.table.Store(resized)
 }
 
-// appendHashesOf appends the hashes that have the given owner.
+// appendHashesOf appends the hashes of the chunks that the given owner caches.
 func (s *shard) appendHashesOf(hashes []ChainHash, owner ownerSet) []ChainHash {
 	if s.used.Load() == 0 {
 		return hashes
--- a/pkg/prefixindex/table.go
+++ b/pkg/prefixindex/table.go
@@ -10,20 +10,20 @@
 	bytesPerSlot = wordsPerSlot * 8
 	// minimumSlots is the smallest capacity of a table.
 	minimumSlots = 16
-	// mixFactor is that of Fibonacci hashing: 2^64 divided by the golden ratio, which is
-	// odd and has its bits well spread.
+	// mixFactor is the multiplier of Fibonacci hashing, 2^64 divided by the golden ratio:
+	// it is odd and its bits are well distributed.
 	mixFactor = 0x9E3779B97F4A7C15
 )
 
-// ownerSet is a set of the owners of one partition, a bit each.
+// ownerSet is a set of owners of one partition, with one bit for each owner.
 type ownerSet uint64
 
 // table is an open-addressing hash table with linear probing, which maps a
 // chain hash to the set of its owners. A slot with an empty set is free.
 //
-// The words are written under the lock of the table's shard and read without
-// it, hence the atomic access. A reader may see a slot half written; the
-// shard's version tells it so.
+// Writers hold the lock of the table's shard, but readers may not, so the words are
+// accessed atomically. A reader may load a slot that is only half written; it
+// detects this by the shard's version.
 type table struct {
 	words []uint64
 	mask  uint64
@@ -46,12 +46,12 @@
 	atomic.StoreUint64(&t.words[first+1], uint64(owners))
 }
 
-// home returns the slot at which the search for a hash begins.
+// home returns the slot at which the probe sequence of a hash begins.
 func (t *table) home(hash ChainHash) uint64 { return mix(hash) & t.mask }
 
-// find returns the slot of a hash and its owners, or a free slot where the
-// hash belongs. The search is bounded by the size of the table also when a
-// writer changes it meanwhile.
+// find returns the slot of a hash and its owners, or the free slot at which the
+// hash is to be inserted. It probes each slot at most once, so that it ends even if
+// a writer changes the table concurrently.
 func (t *table) find(hash ChainHash) (slot uint64, owners ownerSet) {
 	slot = t.home(hash)
 	for range t.slots() {
@@ -64,8 +64,8 @@
 	return slot, 0
 }
 
-// erase frees a slot by backward-shift deletion: it moves later slots back, so that no
-// search ends at the free slot before it has reached its hash.
+// erase frees a slot by backward-shift deletion: it moves later entries back, so that
+// the free slot does not end a probe sequence before its hash is reached.
 func (t *table) erase(hole uint64) {
 	next := hole
 	for {
@@ -84,7 +84,7 @@
 	t.store(hole, 0, 0)
 }
 
-// copyTo inserts every slot into an empty table.
+// copyTo inserts all entries into an empty table.
 func (t *table) copyTo(target *table) {
 	for slot := range uint64(t.slots()) {
 		hash, owners := t.load(slot)
@@ -96,8 +96,9 @@
 	}
 }
 
-// mix spreads a hash over all bits, since the hashes come from other processes and
-// the table and the choice of the shard use different bits of the result.
+// mix distributes a hash over all bits of the result. Hashes come from other processes,
+// so that their distribution is not known, and the table and the choice of the shard use
+// different bits of the result.
 func mix(hash ChainHash) uint64 {
 	mixed := uint64(hash) * mixFactor
 	return mixed ^ mixed>>32
