--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -39,7 +39,7 @@
 // Arrive decides about a request that arrives at the time now.
 func (c *Controller) Arrive(now time.Duration, arrival Arrival) Decision {
 	state := c.tenant(now, arrival)
-	state.expireFirst(now)
+	state.expireFromHead(now)
 	c.updateTotals(state)
 	state.replenish(now)
 	if state.mayRun() && c.nodeHasCapacity(state) {
--- a/pkg/admission/fair_share.go
+++ b/pkg/admission/fair_share.go
@@ -68,7 +68,7 @@
 func (c *Controller) next(now time.Duration) *tenantState {
 	var best *tenantState
 	for _, candidate := range slices.Clone(c.waiting) {
-		candidate.expireFirst(now)
+		candidate.expireFromHead(now)
 		c.updateTotals(candidate)
 		if len(candidate.queue) == 0 || !candidate.hasCapacity() || !c.nodeHasCapacity(candidate) {
 			continue
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -14,21 +14,21 @@
 // node is a controller with the tenants of its tickets.
 type node struct {
 	*admission.Controller
-	owners  map[admission.Ticket]string
+	tenants map[admission.Ticket]string
 	running map[string][]admission.Ticket
 }
 
 func newNode(options admission.Options) *node {
 	return &node{
 		Controller: admission.New(options),
-		owners:     map[admission.Ticket]string{},
+		tenants:    map[admission.Ticket]string{},
 		running:    map[string][]admission.Ticket{},
 	}
 }
 
 func (n *node) arrive(now time.Duration, tenant string, weight uint32) admission.Decision {
 	decision := n.Arrive(now, admission.Arrival{Tenant: tenant, Limits: admission.Limits{Weight: weight}})
-	n.owners[decision.Ticket] = tenant
+	n.tenants[decision.Ticket] = tenant
 	if decision.Outcome == admission.Admitted {
 		n.running[tenant] = append(n.running[tenant], decision.Ticket)
 	}
@@ -41,9 +41,9 @@
 	n.running[tenant] = n.running[tenant][1:]
 	var granted []string
 	for _, next := range n.Release(now, ticket) {
-		owner := n.owners[next]
-		n.running[owner] = append(n.running[owner], next)
-		granted = append(granted, owner)
+		grantedTenant := n.tenants[next]
+		n.running[grantedTenant] = append(n.running[grantedTenant], next)
+		granted = append(granted, grantedTenant)
 	}
 	return granted
 }
@@ -115,17 +115,17 @@
 		busy.release(2*time.Second, "court")
 		now := 2 * time.Second
 		busy.arrive(now, "court", 1)
-		due := func(after time.Duration) admission.Decision {
+		arriveWithDeadline := func(after time.Duration) admission.Decision {
 			return busy.Arrive(now, admission.Arrival{Tenant: "court", Deadline: now + after})
 		}
 		// A request occupies a slot for two seconds, and one runs already.
-		late := due(4 * time.Second)
+		late := arriveWithDeadline(4 * time.Second)
 		Expect(late.Outcome).To(Equal(admission.RefusedDeadline))
 		Expect(late.RetryAfter).To(Equal(2 * time.Second))
-		inTime := due(4*time.Second + time.Millisecond)
+		inTime := arriveWithDeadline(4*time.Second + time.Millisecond)
 		Expect(inTime.Outcome).To(Equal(admission.Queued))
 		Expect(inTime.Until).To(Equal(now + 2*time.Second + time.Millisecond))
-		Expect(due(6 * time.Second).Outcome).To(Equal(admission.RefusedDeadline))
+		Expect(arriveWithDeadline(6 * time.Second).Outcome).To(Equal(admission.RefusedDeadline))
 	})
 
 	It("grants no slot to a request that could not use it in time", func() {
@@ -140,19 +140,19 @@
 
 	It("never exceeds a bound nor leaves a slot unused that a tenant may use", func() {
 		for seed := range uint64(20) {
-			explore(seed)
+			runRandomSequence(seed)
 		}
 	})
 })
 
-// explore runs a random sequence and checks every bound after each step.
-func explore(seed uint64) {
+// runRandomSequence runs a random sequence and checks every bound after each step.
+func runRandomSequence(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	options := admission.Options{
 		Concurrent: 1 + random.Uint32N(6), Reserved: random.Uint32N(3), Queued: random.Uint32N(5), QueueTimeout: 3 * time.Second,
 	}
 	limits := admission.Limits{Concurrent: random.Uint32N(4), Queued: random.Uint32N(4), QueueTimeout: 2 * time.Second}
-	explored := newNode(options)
+	tested := newNode(options)
 	now := time.Duration(0)
 	waiting := map[admission.Ticket]time.Duration{}
 	for range 3000 {
@@ -161,51 +161,51 @@
 		switch action := random.IntN(5); {
 		case action < 3:
 			deadline := now + time.Duration(1+random.IntN(4000))*time.Millisecond
-			decision := explored.Arrive(now, admission.Arrival{Tenant: tenant, Limits: limits, Deadline: deadline})
-			explored.owners[decision.Ticket] = tenant
+			decision := tested.Arrive(now, admission.Arrival{Tenant: tenant, Limits: limits, Deadline: deadline})
+			tested.tenants[decision.Ticket] = tenant
 			switch decision.Outcome {
 			case admission.Admitted:
-				explored.running[tenant] = append(explored.running[tenant], decision.Ticket)
+				tested.running[tenant] = append(tested.running[tenant], decision.Ticket)
 			case admission.Queued:
 				Expect(decision.Until).To(BeNumerically("<=", deadline))
 				waiting[decision.Ticket] = decision.Until
 			default:
 				Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 			}
-		case action == 3 && len(explored.running[tenant]) > 0:
-			ticket := explored.running[tenant][0]
-			explored.running[tenant] = explored.running[tenant][1:]
-			for _, next := range explored.Release(now, ticket) {
+		case action == 3 && len(tested.running[tenant]) > 0:
+			ticket := tested.running[tenant][0]
+			tested.running[tenant] = tested.running[tenant][1:]
+			for _, next := range tested.Release(now, ticket) {
 				Expect(waiting).To(HaveKey(next))
 				Expect(waiting[next]).To(BeNumerically(">", now))
 				delete(waiting, next)
-				owner := explored.owners[next]
-				explored.running[owner] = append(explored.running[owner], next)
+				grantedTenant := tested.tenants[next]
+				tested.running[grantedTenant] = append(tested.running[grantedTenant], next)
 			}
 		default:
 			for ticket := range waiting {
-				explored.Abandon(explored.owners[ticket], ticket)
+				tested.Abandon(tested.tenants[ticket], ticket)
 				delete(waiting, ticket)
 				break
 			}
 		}
 		total := 0
-		for _, running := range explored.running {
+		for _, running := range tested.running {
 			if limits.Concurrent > 0 {
 				Expect(len(running)).To(BeNumerically("<=", int(limits.Concurrent)))
 			}
 			total += len(running)
 		}
-		Expect(explored.Running()).To(Equal(total))
+		Expect(tested.Running()).To(Equal(total))
 		Expect(total).To(BeNumerically("<=", int(options.Concurrent)))
 		if total == 0 {
-			Expect(stillValid(waiting, now)).To(BeZero(), "an idle node lets nobody wait")
+			Expect(countUnexpired(waiting, now)).To(BeZero(), "an idle node lets nobody wait")
 		}
 	}
 }
 
-// stillValid counts the requests that have not waited long enough.
-func stillValid(waiting map[admission.Ticket]time.Duration, now time.Duration) int {
+// countUnexpired counts the requests that have not waited long enough.
+func countUnexpired(waiting map[admission.Ticket]time.Duration, now time.Duration) int {
 	count := 0
 	for _, until := range waiting {
 		if until > now {
--- a/pkg/admission/tenant_state.go
+++ b/pkg/admission/tenant_state.go
@@ -84,9 +84,9 @@
 	t.queue = slices.DeleteFunc(t.queue, func(queued waiter) bool { return queued.until <= now })
 }
 
-// expireFirst drops them from the head of the queue only, so that a grant does not look at
+// expireFromHead drops them from the head of the queue only, so that a grant does not look at
 // all of it.
-func (t *tenantState) expireFirst(now time.Duration) {
+func (t *tenantState) expireFromHead(now time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].until <= now {
 		t.queue = t.queue[1:]
 	}
