--- a/pkg/admission/arrival.go
+++ b/pkg/admission/arrival.go
@@ -7,11 +7,13 @@
 	// Concurrent is the number of requests of all tenants that may run at a
 	// time; zero means no bound.
 	Concurrent uint32
-	// Reserved is how many of these are reserved for tenants below their fair share.
+	// Reserved is how many of the Concurrent slots are reserved for tenants below their
+	// fair share.
 	Reserved uint32
 	// Queued is how many requests of a tenant may wait for a slot of the node, and
-	// QueueTimeout the longest wait. Each replaces the tenant's own if it is larger, for a
-	// request that arrives while the tenant could run more by its own Concurrent.
+	// QueueTimeout is the longest wait. They apply to a request that arrives while its
+	// tenant runs fewer requests than Limits.Concurrent permits; each of them then replaces
+	// the tenant's own value if that is smaller.
 	Queued       uint32
 	QueueTimeout time.Duration
 }
@@ -19,22 +21,22 @@
 // Limits bound one tenant on one node. A zero rate or number of concurrent
 // requests means no bound.
 type Limits struct {
-	// RequestsPerSecond refills the tenant's tokens.
+	// RequestsPerSecond is the refill rate of the tenant's token bucket.
 	RequestsPerSecond float64
-	// Burst is the number of tokens that may be saved up.
+	// Burst is the capacity of the token bucket.
 	Burst uint32
 	// Concurrent is the number of requests that may run at a time.
 	Concurrent uint32
-	// Queued is the number of requests that may wait while Concurrent run.
+	// Queued is the number of requests that may wait while Concurrent requests run.
 	Queued uint32
-	// QueueTimeout is the longest wait of these.
+	// QueueTimeout is the longest wait of a queued request.
 	QueueTimeout time.Duration
-	// Weight is the tenant's weight in the fair share of a node at capacity; zero means
+	// Weight is the tenant's weight in the fair sharing of a node at capacity; zero means
 	// 1.
 	Weight uint32
 }
 
-// weight returns the weight, which is at least 1.
+// weight returns Weight, but at least 1.
 func (l Limits) weight() uint64 {
 	return uint64(max(l.Weight, 1))
 }
@@ -43,8 +45,8 @@
 type Arrival struct {
 	Tenant string
 	Limits Limits
-	// Deadline is the time from which on the response is of no use; zero if there is
-	// none.
+	// Deadline is the time at which the response becomes useless; zero means that there is
+	// no deadline.
 	Deadline time.Duration
 }
 
@@ -53,20 +55,20 @@
 
 // The outcomes of an arrival.
 const (
-	// Admitted means that the request may go on, and is to be released.
+	// Admitted means that the request may run. The caller must release it afterwards.
 	Admitted Outcome = iota
-	// Queued means that the request waits for a Release to grant it.
+	// Queued means that the request waits until a Release returns its ticket.
 	Queued
-	// RefusedRate means that the tenant's rate is used up.
+	// RefusedRate means that the tenant's token bucket is empty.
 	RefusedRate
 	// RefusedQueueFull means that no slot is free, and that the queue is full or that no
 	// waiting is permitted.
 	RefusedQueueFull
-	// RefusedDeadline means that the deadline would pass in the queue.
+	// RefusedDeadline means that the request is expected to miss its deadline in the queue.
 	RefusedDeadline
 )
 
-// Ticket names one arrival that was admitted or queued.
+// Ticket identifies an arrival that was admitted or queued.
 type Ticket uint64
 
 // Decision is the response to an arrival.
@@ -75,7 +77,7 @@
 	Ticket  Ticket
 	// Until is the time at which a queued request stops waiting.
 	Until time.Duration
-	// RetryAfter is how long a refused request should wait before it is retried. Unlike
-	// Until it is no time of the clock.
+	// RetryAfter is how long a refused request should wait before it is retried. It is a
+	// duration, whereas Until is a time on the caller's clock.
 	RetryAfter time.Duration
 }
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// minRetryAfter is the least time after which a refused request may be retried when no
-// slot was free.
+// minRetryAfter is the minimum of Decision.RetryAfter for a request that is refused because
+// no slot is free.
 const minRetryAfter = time.Second
 
-// runningRequest is a request that runs.
+// runningRequest is a request that has a slot.
 type runningRequest struct {
 	tenant    *tenantState
 	startedAt time.Duration
 }
 
-// Controller owns the state of all tenants and the slots of the node. Its totals over all
-// tenants (waiting, activeWeight) follow each change of one by updateTotals.
+// Controller owns the state of all tenants and the slots of the node. After each change of
+// a tenant, updateTotals updates the fields waiting and activeWeight.
 type Controller struct {
 	options Options
 	tenants map[string]*tenantState
@@ -24,10 +24,10 @@
 	running map[Ticket]runningRequest
 	// waiting holds the tenants with queued requests, in no order.
 	waiting []*tenantState
-	// activeWeight is the sum of the weights of the tenants with requests here.
+	// activeWeight is the sum of the weights of the tenants with running or queued requests.
 	activeWeight uint64
 	lastTicket   Ticket
-	// grants counts the admitted requests; it orders tenants with equal usage.
+	// grants counts the requests that got a slot; it orders tenants with equal usage.
 	grants uint64
 }
 
@@ -36,7 +36,7 @@
 	return &Controller{options: options, tenants: make(map[string]*tenantState), running: make(map[Ticket]runningRequest)}
 }
 
-// Arrive decides about a request that arrives at the time now.
+// Arrive admits, queues or refuses a request that arrives at the time now.
 func (c *Controller) Arrive(now time.Duration, arrival Arrival) Decision {
 	state := c.tenant(now, arrival)
 	state.expireFromHead(now)
@@ -48,9 +48,9 @@
 	return c.enqueue(now, state, arrival.Deadline)
 }
 
-// Release frees the slot of an admitted request, and returns the tickets of queued
-// requests that are admitted by it, in the order of admission. A ticket without a slot
-// releases nothing.
+// Release frees the slot of an admitted request, and returns the tickets of the queued
+// requests that are admitted as a result, in the order of admission. It does nothing if the
+// ticket has no slot.
 func (c *Controller) Release(now time.Duration, ticket Ticket) []Ticket {
 	ended, found := c.running[ticket]
 	if !found {
@@ -63,8 +63,9 @@
 	return c.grantAll(now)
 }
 
-// Abandon removes a request from the queue. It returns false if the request is not
-// queued; if it was admitted meanwhile, the caller must release it.
+// Abandon removes a request from the queue of the named tenant. It returns false if the
+// request is not queued; if that is because it has been admitted, the caller must release
+// it.
 func (c *Controller) Abandon(name string, ticket Ticket) bool {
 	state, found := c.tenants[name]
 	if !found || !state.remove(ticket) {
@@ -74,7 +75,8 @@
 	return true
 }
 
-// Retain forgets the tenants that keep rejects and that have no request here.
+// Retain deletes the state of each tenant for which keep returns false, unless the tenant
+// has running or queued requests.
 func (c *Controller) Retain(keep func(name string) bool) {
 	for name, state := range c.tenants {
 		if !state.inUse() && !keep(name) {
@@ -93,12 +95,13 @@
 	return names
 }
 
-// Running returns how many requests of all tenants run.
+// Running returns the number of running requests of all tenants.
 func (c *Controller) Running() int {
 	return len(c.running)
 }
 
-// tenant returns the state of an arrival's tenant, under the limits of the arrival.
+// tenant returns the state of an arrival's tenant, with the limits of the arrival. It
+// creates the state if there is none.
 func (c *Controller) tenant(now time.Duration, arrival Arrival) *tenantState {
 	existing, found := c.tenants[arrival.Tenant]
 	if !found {
@@ -109,7 +112,7 @@
 	return existing
 }
 
-// admit lets a request run.
+// admit assigns a slot to a request, or refuses the request if there is no token for it.
 func (c *Controller) admit(now time.Duration, state *tenantState) Decision {
 	if refusal, refused := state.takeToken(); refused {
 		return refusal
@@ -128,8 +131,8 @@
 	c.updateTotals(state)
 }
 
-// enqueue queues a request. A request that finds the queue full, or whose deadline would
-// pass in it, takes no token.
+// enqueue queues or refuses a request. A request that is refused because the queue is full,
+// or because it would miss its deadline in the queue, takes no token.
 func (c *Controller) enqueue(now time.Duration, state *tenantState, deadline time.Duration) Decision {
 	length, timeout := c.queueLimits(state)
 	if uint32(len(state.queue)) >= length {
@@ -156,8 +159,10 @@
 	return Decision{Outcome: Queued, Ticket: c.lastTicket, Until: until}
 }
 
-// queueLimits returns the maximum length of a tenant's queue and the longest wait. The
-// node's own values apply to a tenant that waits for nothing but the node.
+// queueLimits returns the maximum length of a tenant's queue and the longest wait. While
+// the tenant runs as many requests as its own limit permits, these are its own values.
+// Otherwise its requests wait only for a slot of the node, and the larger ones of its own
+// values and those of Options apply.
 func (c *Controller) queueLimits(state *tenantState) (length uint32, timeout time.Duration) {
 	if !state.hasCapacity() {
 		return state.limits.Queued, state.limits.QueueTimeout
--- a/pkg/admission/controller_test.go
+++ b/pkg/admission/controller_test.go
@@ -24,7 +24,7 @@
 		return controller.Arrive(now, admission.Arrival{Tenant: tenant, Limits: limits})
 	}
 
-	It("admits up to the burst, and says when the next token comes", func() {
+	It("admits up to the burst, and returns when the next token is available", func() {
 		bounded := admission.Limits{RequestsPerSecond: 2, Burst: 3}
 		for range 3 {
 			Expect(arrive(0, tenant, bounded).Outcome).To(Equal(admission.Admitted))
@@ -35,7 +35,7 @@
 		Expect(arrive(500*time.Millisecond, tenant, bounded).Outcome).To(Equal(admission.Admitted))
 	})
 
-	It("queues what cannot run, refuses what finds the queue full, and grants in order", func() {
+	It("queues requests that cannot run, refuses requests when the queue is full, and grants in order", func() {
 		running := arrive(0, tenant, limits)
 		Expect(running.Outcome).To(Equal(admission.Admitted))
 		first := arrive(0, tenant, limits)
@@ -51,7 +51,7 @@
 		Expect(controller.Release(0, second.Ticket)).To(BeEmpty())
 	})
 
-	It("grants nothing to a request that has waited long enough or was abandoned", func() {
+	It("grants no slot to a request whose wait has ended or that was abandoned", func() {
 		running := arrive(0, tenant, limits)
 		abandoned := arrive(0, tenant, limits)
 		arrive(0, tenant, limits)
@@ -60,19 +60,19 @@
 		Expect(controller.Release(time.Second, running.Ticket)).To(BeEmpty())
 	})
 
-	It("keeps tenants apart", func() {
+	It("applies limits to each tenant separately", func() {
 		arrive(0, tenant, limits)
 		Expect(arrive(0, "school", limits).Outcome).To(Equal(admission.Admitted))
 	})
 
-	It("forgets idle tenants only", func() {
+	It("deletes the state of idle tenants only", func() {
 		arrive(0, tenant, limits)
 		controller.Release(0, arrive(0, "school", limits).Ticket)
 		controller.Retain(func(string) bool { return false })
 		Expect(controller.Tenants()).To(Equal([]string{tenant}))
 	})
 
-	It("never runs more than the limit, and loses no slot, over random sequences", func() {
+	It("never runs more requests than the limit, and loses no slot, over random sequences", func() {
 		random := rand.New(rand.NewPCG(7, 7))
 		bounded := admission.Limits{Concurrent: 3, Queued: 4, QueueTimeout: time.Second}
 		now := time.Duration(0)
--- a/pkg/admission/fair_share.go
+++ b/pkg/admission/fair_share.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// updateTotals updates the totals over all tenants after a change of one.
+// updateTotals updates activeWeight and waiting after a change of a tenant.
 func (c *Controller) updateTotals(state *tenantState) {
 	weight := uint64(0)
 	if state.inUse() {
@@ -27,7 +27,7 @@
 }
 
 // nodeHasCapacity reports whether the node has a slot for one more request of a tenant. A
-// tenant that is at its fair share gets none of the reserved slots.
+// tenant that has its fair share of slots or more gets none of the reserved slots.
 func (c *Controller) nodeHasCapacity(state *tenantState) bool {
 	if c.options.Concurrent == 0 {
 		return true
@@ -39,8 +39,8 @@
 	return free > 0
 }
 
-// atFairShare reports whether a tenant runs at least its fair share of the node's slots.
-// The share is that which would remain if one more tenant, of weight 1, had requests here.
+// atFairShare reports whether a tenant uses at least its fair share of the node's slots.
+// The share is computed as if one more tenant, of weight 1, had requests.
 func (c *Controller) atFairShare(state *tenantState) bool {
 	weight := state.limits.weight()
 	others := c.activeWeight - state.countedWeight
@@ -62,9 +62,9 @@
 	}
 }
 
-// next returns the tenant whose first queued request runs next, or nil if none may: of
-// those that may, the one with the lowest usage in proportion to its weight, and among
-// equals the one whose last grant is the oldest.
+// next returns the tenant whose first queued request gets the next slot, or nil if no
+// queued request may run. It returns the tenant with the lowest usage in proportion to its
+// weight, and among tenants of equal usage the one whose last grant is the oldest.
 func (c *Controller) next(now time.Duration) *tenantState {
 	var best *tenantState
 	for _, candidate := range slices.Clone(c.waiting) {
@@ -80,8 +80,8 @@
 	return best
 }
 
-// precedes orders tenants by their usage. No two tenants are equal, so that the order of
-// iteration does not matter.
+// precedes reports whether tenant a gets a slot before tenant b. Of two tenants one always
+// precedes the other, so that the order of iteration does not matter.
 func precedes(a, b *tenantState) bool {
 	usageA := uint64(a.running) * b.limits.weight()
 	usageB := uint64(b.running) * a.limits.weight()
@@ -94,16 +94,16 @@
 	return a.name < b.name
 }
 
-// expectedWait estimates how long a request that arrives now waits: from the requests
-// queued before it, the recent service times of the tenant and the slots that it can
-// expect.
+// expectedWait estimates how long a request that arrives now waits. The estimate is based
+// on the requests queued before it, the mean of the tenant's recent service times, and the
+// slots that the tenant can expect.
 func (c *Controller) expectedWait(state *tenantState) time.Duration {
 	position := float64(len(state.queue) + 1)
 	return time.Duration(position * float64(state.serviceTime.mean) / c.expectedSlots(state))
 }
 
-// expectedSlots returns how many slots a tenant can expect: those that it uses, or its
-// fair share of the node if that is more, but at least one.
+// expectedSlots returns how many slots a tenant can expect: as many as it uses or its fair
+// share of the node, whichever is more, but at least one and no more than its own limit.
 func (c *Controller) expectedSlots(state *tenantState) float64 {
 	slots := float64(max(state.running, 1))
 	if c.options.Concurrent > 0 {
--- a/pkg/admission/fair_share_test.go
+++ b/pkg/admission/fair_share_test.go
@@ -11,7 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 )
 
-// node is a controller with the tenants of its tickets.
+// node is a controller with a record of the tenant of each ticket, and of the running
+// requests of each tenant.
 type node struct {
 	*admission.Controller
 	tenants map[admission.Ticket]string
@@ -35,7 +36,8 @@
 	return decision
 }
 
-// release ends a tenant's oldest request, and returns who got its slot.
+// release ends a tenant's oldest request, and returns the tenants that got slots as a
+// result.
 func (n *node) release(now time.Duration, tenant string) []string {
 	ticket := n.running[tenant][0]
 	n.running[tenant] = n.running[tenant][1:]
@@ -51,7 +53,7 @@
 var _ = Describe("Controller of a full node", func() {
 	options := admission.Options{Concurrent: 6, Queued: 100, QueueTimeout: time.Minute}
 
-	It("gives free slots to the tenant with the lowest usage, not to the longest queue", func() {
+	It("gives free slots to the tenant with the lowest usage, not to the one with the longest queue", func() {
 		full := newNode(options)
 		for range 50 {
 			full.arrive(0, "storm", 1)
@@ -66,7 +68,7 @@
 		Expect(order).To(Equal([]string{"court", "school", "court", "storm", "storm", "storm"}))
 	})
 
-	It("shares in proportion to the weights while all have enough to do", func() {
+	It("divides the slots in proportion to the weights while all tenants have queued requests", func() {
 		full := newNode(options)
 		for range 50 {
 			full.arrive(0, "storm", 1)
@@ -94,12 +96,13 @@
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Admitted))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Admitted))
 		Expect(full.arrive(0, "court", 1).Outcome).To(Equal(admission.Queued))
-		// Court now uses a third, which is its fair share if one more tenant comes.
+		// The tenant court now uses a third of the slots, which is its fair share if there is one
+		// more tenant.
 		Expect(full.release(time.Second, "storm")).To(BeEmpty())
 		Expect(full.arrive(time.Second, "school", 1).Outcome).To(Equal(admission.Admitted))
 	})
 
-	It("lets a tenant wait for the node although it may not wait for its own slots", func() {
+	It("queues a request for a slot of the node although its tenant has no queue of its own", func() {
 		small := newNode(admission.Options{Concurrent: 1, Queued: 1, QueueTimeout: time.Second})
 		small.arrive(0, "storm", 1)
 		limits := admission.Limits{Concurrent: 1}
@@ -109,7 +112,7 @@
 		Expect(small.Arrive(0, admission.Arrival{Tenant: "court", Limits: limits}).Outcome).To(Equal(admission.RefusedQueueFull))
 	})
 
-	It("refuses at once what would miss its deadline in the queue", func() {
+	It("refuses on arrival a request that would miss its deadline in the queue", func() {
 		busy := newNode(admission.Options{Concurrent: 1, Queued: 10, QueueTimeout: time.Minute})
 		busy.arrive(0, "court", 1)
 		busy.release(2*time.Second, "court")
@@ -118,7 +121,7 @@
 		arriveWithDeadline := func(after time.Duration) admission.Decision {
 			return busy.Arrive(now, admission.Arrival{Tenant: "court", Deadline: now + after})
 		}
-		// A request occupies a slot for two seconds, and one runs already.
+		// Service times are two seconds, and one request is running.
 		late := arriveWithDeadline(4 * time.Second)
 		Expect(late.Outcome).To(Equal(admission.RefusedDeadline))
 		Expect(late.RetryAfter).To(Equal(2 * time.Second))
@@ -138,14 +141,15 @@
 		Expect(busy.release(3500*time.Millisecond, "court")).To(BeEmpty())
 	})
 
-	It("never exceeds a bound nor leaves a slot unused that a tenant may use", func() {
+	It("never exceeds a limit, and queues no request while the node is idle", func() {
 		for seed := range uint64(20) {
 			runRandomSequence(seed)
 		}
 	})
 })
 
-// runRandomSequence runs a random sequence and checks every bound after each step.
+// runRandomSequence applies a random sequence of arrivals, releases and abandonments, and
+// checks all limits after each step.
 func runRandomSequence(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	options := admission.Options{
@@ -199,12 +203,12 @@
 		Expect(tested.Running()).To(Equal(total))
 		Expect(total).To(BeNumerically("<=", int(options.Concurrent)))
 		if total == 0 {
-			Expect(countUnexpired(waiting, now)).To(BeZero(), "an idle node lets nobody wait")
+			Expect(countUnexpired(waiting, now)).To(BeZero(), "requests wait although the node is idle")
 		}
 	}
 }
 
-// countUnexpired counts the requests that have not waited long enough.
+// countUnexpired counts the requests whose wait has not ended.
 func countUnexpired(waiting map[admission.Ticket]time.Duration, now time.Duration) int {
 	count := 0
 	for _, until := range waiting {
--- a/pkg/admission/noisy_tenant_test.go
+++ b/pkg/admission/noisy_tenant_test.go
@@ -22,23 +22,24 @@
 	quietMeanServiceTime   = 2 * time.Second
 )
 
-// noisyLoad is what one tenant does beside the quiet ones.
+// noisyLoad is the load of one tenant besides that of the quiet tenants.
 type noisyLoad struct {
 	requestsPerSecond float64
-	// burst requests come at once, every burstEvery.
+	// burst is the number of requests that arrive at once, every burstEvery.
 	burst           int
 	burstEvery      time.Duration
 	meanServiceTime time.Duration
 }
 
-// job is a request of the measurement.
+// job is a simulated request.
 type job struct {
 	tenant      int
 	arrived     time.Duration
 	serviceTime time.Duration
 }
 
-// event is an arrival, the end of a running request, or the end of a wait.
+// event is an arrival, the end of a running request, or the end of the wait of a queued
+// one.
 type event struct {
 	at       time.Duration
 	order    int
@@ -47,7 +48,7 @@
 	timedOut bool
 }
 
-// eventQueue is a heap of happenings.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
 func (a eventQueue) Len() int { return len(a) }
@@ -62,10 +63,10 @@
 	return last
 }
 
-// simulation runs tenants on one node in virtual time.
+// simulation runs the requests of several tenants on one node in virtual time.
 type simulation struct {
 	controller *admission.Controller
-	// shared puts all requests into one queue, as a node without fair sharing.
+	// shared makes all requests those of one tenant, as on a node without fair sharing.
 	shared         bool
 	events         eventQueue
 	order          int
@@ -73,8 +74,8 @@
 	waiting        map[admission.Ticket]bool
 	quietLatencies []time.Duration
 	quietRefused   int
-	// noisyCompleted counts what was done for the storm, noisyRefused what it was
-	// refused.
+	// noisyCompleted and noisyRefused count the completed and the refused requests of the
+	// noisy tenant.
 	noisyCompleted, noisyRefused int
 }
 
@@ -84,7 +85,8 @@
 	heap.Push(&t.events, next)
 }
 
-// scheduleArrivals returns arrivals of one tenant with exponential gaps and run times.
+// scheduleArrivals schedules the arrivals of one tenant, with exponentially distributed gaps
+// and service times; a quarter of the mean service time is fixed.
 func (t *simulation) scheduleArrivals(random *rand.Rand, tenant int, perSecond float64, mean time.Duration) {
 	for at := time.Duration(0); at < arrivalPeriod; {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
@@ -97,7 +99,7 @@
 	t.push(event{at: at, job: &job{tenant: tenant, arrived: at, serviceTime: serviceTime}})
 }
 
-// run returns the p95 of the quiet tenants' latencies.
+// run simulates all requests and returns the p95 of the quiet tenants' latencies.
 func (t *simulation) run(seed uint64, load *noisyLoad) time.Duration {
 	t.jobs, t.waiting = map[admission.Ticket]*job{}, map[admission.Ticket]bool{}
 	for tenant := range quietTenantCount {
@@ -182,30 +184,30 @@
 	return string(rune('a' + tenant))
 }
 
-var _ = Describe("A storm of one tenant", func() {
+var _ = Describe("Controller with a noisy tenant", func() {
 	options := admission.Options{Concurrent: 64, Reserved: 8, Queued: 1024, QueueTimeout: 30 * time.Second}
 	measure := func(seed uint64, shared bool, load *noisyLoad) (*simulation, time.Duration) {
 		simulated := &simulation{controller: admission.New(options), shared: shared}
 		return simulated, simulated.run(seed, load)
 	}
 
-	DescribeTable("leaves the others' p95 within 1.3 of quiet", func(load noisyLoad) {
+	DescribeTable("keeps the p95 of the quiet tenants within 1.3 times that without a noisy tenant", func(load noisyLoad) {
 		for seed := uint64(1); seed <= 3; seed++ {
 			_, quiet := measure(seed, false, nil)
 			fair, noisy := measure(seed, false, &load)
 			unfair, queued := measure(seed, true, &load)
 			ratio := float64(noisy) / float64(quiet)
-			GinkgoWriter.Printf("seed %d: p95 quiet %v, storm %v (ratio %.3f), one queue for all %v (ratio %.1f, %d refused); storm: %d done, %d shed\n",
+			GinkgoWriter.Printf("seed %d: p95 of the quiet tenants: alone %v, with a noisy tenant %v (ratio %.3f), without fair sharing %v (ratio %.1f, %d refused); noisy tenant: %d completed, %d refused\n",
 				seed, quiet, noisy, ratio, queued, float64(queued)/float64(quiet), unfair.quietRefused, fair.noisyCompleted, fair.noisyRefused)
 			Expect(ratio).To(BeNumerically("<=", 1.3))
 			Expect(fair.quietRefused).To(BeZero())
 			Expect(fair.noisyCompleted).To(BeNumerically(">", 0))
 			Expect(fair.noisyRefused).To(BeNumerically(">", 0))
-			Expect(float64(queued)).To(BeNumerically(">", 1.3*float64(quiet)), "without fair sharing the storm is felt")
+			Expect(float64(queued)).To(BeNumerically(">", 1.3*float64(quiet)), "without fair sharing, the noisy tenant should raise the p95 of the quiet tenants")
 		}
 	},
-		Entry("of many short requests", noisyLoad{requestsPerSecond: 200, meanServiceTime: 500 * time.Millisecond}),
-		Entry("of requests like the others'", noisyLoad{requestsPerSecond: 100, meanServiceTime: quietMeanServiceTime}),
-		Entry("of long requests that come at once", noisyLoad{burst: 500, burstEvery: time.Minute, meanServiceTime: 40 * time.Second}),
+		Entry("that sends many short requests", noisyLoad{requestsPerSecond: 200, meanServiceTime: 500 * time.Millisecond}),
+		Entry("whose requests take as long as those of the quiet tenants", noisyLoad{requestsPerSecond: 100, meanServiceTime: quietMeanServiceTime}),
+		Entry("that sends bursts of long requests", noisyLoad{burst: 500, burstEvery: time.Minute, meanServiceTime: 40 * time.Second}),
 	)
 })
--- a/pkg/admission/service_time.go
+++ b/pkg/admission/service_time.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// meanWindow is roughly how many requests the mean covers.
+	// meanWindow is roughly the number of requests over which the mean is taken.
 	meanWindow = 16
-	// shortestWindow is roughly how many requests it takes until a short one is
-	// forgotten.
+	// shortestWindow is roughly the number of longer requests after which a short one no
+	// longer affects the value of shortest.
 	shortestWindow = 64
 )
 
 // serviceTime estimates how long a tenant's requests occupy their slots.
 type serviceTime struct {
 	mean time.Duration
-	// shortest follows a shorter service time at once and a longer one slowly, so that
-	// hardly any request takes less.
+	// shortest falls to a shorter service time at once and rises slowly with longer ones,
+	// so that hardly any request takes less.
 	shortest time.Duration
 	observed bool
 }
