--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -12,8 +12,8 @@
 // sequenceLength bounds the input sequences that are explored exhaustively.
 const sequenceLength = 7
 
-// inputs returns every event that could come next, fitting or not.
-func inputs(planned int) []attempts.Event {
+// possibleEvents returns every event that could come next, fitting or not.
+func possibleEvents(planned int) []attempts.Event {
 	events := []attempts.Event{
 		{Kind: attempts.DeadlineExceeded},
 		{Kind: attempts.CallerDisconnected},
@@ -28,35 +28,35 @@
 	return events
 }
 
-// truth is what may have happened at the back ends, kept apart from the tracker
+// backendModel is what may have happened at the back ends, kept apart from the tracker
 // and by rules of its own: a request may run from the first byte on, unless the
 // back end promised that it will not.
-type truth struct {
-	mayRun   []bool
-	finished []bool
+type backendModel struct {
+	mayRun []bool
+	ended  []bool
 }
 
-// after returns the truth after an event that the tracker accepted.
-func (t truth) after(event attempts.Event) truth {
-	next := truth{mayRun: append([]bool(nil), t.mayRun...), finished: append([]bool(nil), t.finished...)}
+// apply returns the truth apply an event that the tracker accepted.
+func (t backendModel) apply(event attempts.Event) backendModel {
+	next := backendModel{mayRun: append([]bool(nil), t.mayRun...), ended: append([]bool(nil), t.ended...)}
 	position := event.Attempt - 1
 	switch event.Kind {
 	case attempts.AttemptPlanned:
 		next.mayRun = append(next.mayRun, false)
-		next.finished = append(next.finished, false)
+		next.ended = append(next.ended, false)
 	case attempts.BytesMayHaveLeft:
 		next.mayRun[position] = true
 	case attempts.Refused:
 		next.mayRun[position] = false
-		next.finished[position] = true
+		next.ended[position] = true
 	case attempts.NotSent, attempts.ResponseCompleted, attempts.OutcomeLost:
-		next.finished[position] = true
+		next.ended[position] = true
 	}
 	return next
 }
 
 // possibleRuns counts the attempts that may have run the request.
-func (t truth) possibleRuns() int {
+func (t backendModel) possibleRuns() int {
 	runs := 0
 	for _, ran := range t.mayRun {
 		if ran {
@@ -67,9 +67,9 @@
 }
 
 // running counts the attempts that have not ended.
-func (t truth) running() int {
+func (t backendModel) running() int {
 	count := 0
-	for _, finished := range t.finished {
+	for _, finished := range t.ended {
 		if !finished {
 			count++
 		}
@@ -86,26 +86,26 @@
 	return tracker
 }
 
-// explore visits every sequence that the tracker accepts.
-func explore(options attempts.Options, events []attempts.Event, actual truth, visit func([]attempts.Event, *attempts.Tracker, truth)) int {
+// visitSequences visits every sequence that the tracker accepts.
+func visitSequences(options attempts.Options, events []attempts.Event, model backendModel, visit func([]attempts.Event, *attempts.Tracker, backendModel)) int {
 	tracker := replay(options, events)
-	visit(events, tracker, actual)
+	visit(events, tracker, model)
 	visited := 1
 	if len(events) == sequenceLength {
 		return visited
 	}
-	for _, event := range inputs(len(actual.mayRun)) {
+	for _, event := range possibleEvents(len(model.mayRun)) {
 		if replay(options, events).Apply(event) != nil {
 			continue
 		}
 		longer := append(append([]attempts.Event(nil), events...), event)
-		visited += explore(options, longer, actual.after(event), visit)
+		visited += visitSequences(options, longer, model.apply(event), visit)
 	}
 	return visited
 }
 
-// describe draws a sequence for a failure message.
-func describe(events []attempts.Event) string {
+// formatEvents draws a sequence for a failure message.
+func formatEvents(events []attempts.Event) string {
 	names := make([]string, len(events))
 	for position, event := range events {
 		names[position] = event.Kind.String()
@@ -114,35 +114,35 @@
 }
 
 var _ = Describe("Tracker", func() {
-	DescribeTable("over every short input sequence", func(repeatable bool) {
-		options := attempts.Options{Idempotent: repeatable, MaxAttempts: 3}
-		visited := explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
+	DescribeTable("over every short input sequence", func(idempotent bool) {
+		options := attempts.Options{Idempotent: idempotent, MaxAttempts: 3}
+		visited := visitSequences(options, nil, backendModel{}, func(events []attempts.Event, tracker *attempts.Tracker, model backendModel) {
 			action := tracker.Next()
-			if tracker.MayHaveRun() != (actual.possibleRuns() > 0) {
+			if tracker.MayHaveRun() != (model.possibleRuns() > 0) {
 				// The tracker may only be the more careful of the two, while
 				// a connection is being obtained.
-				Expect(tracker.MayHaveRun()).To(BeTrue(), describe(events))
-				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
+				Expect(tracker.MayHaveRun()).To(BeTrue(), formatEvents(events))
+				Expect(model.running()).To(BeNumerically(">", 0), formatEvents(events))
 			}
-			if !repeatable && actual.possibleRuns() > 1 {
-				Fail("a second run was possible: " + describe(events))
+			if !idempotent && model.possibleRuns() > 1 {
+				Fail("a second run was possible: " + formatEvents(events))
 			}
 			switch action.Kind {
 			case attempts.Dispatch:
-				Expect(actual.running()).To(BeZero(), describe(events))
-				if !repeatable {
-					Expect(actual.possibleRuns()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				if !idempotent {
+					Expect(model.possibleRuns()).To(BeZero(), formatEvents(events))
 				}
 			case attempts.RespondNotRun:
-				Expect(actual.running()).To(BeZero(), describe(events))
-				Expect(actual.possibleRuns()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				Expect(model.possibleRuns()).To(BeZero(), formatEvents(events))
 			case attempts.RespondUnknown:
-				Expect(actual.running()).To(BeZero(), describe(events))
-				Expect(actual.possibleRuns()).To(BeNumerically(">", 0), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				Expect(model.possibleRuns()).To(BeNumerically(">", 0), formatEvents(events))
 			case attempts.RespondDeadline, attempts.Abandon:
-				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
 			case attempts.Wait, attempts.Cancel:
-				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
+				Expect(model.running()).To(BeNumerically(">", 0), formatEvents(events))
 			}
 		})
 		Expect(visited).To(BeNumerically(">", 1000))
@@ -154,7 +154,7 @@
 	DescribeTable("of a stream, over every short input sequence", func(resumable bool) {
 		options := attempts.Options{Idempotent: resumable, Resumable: resumable, MaxAttempts: 2}
 		resumed, aborted := 0, 0
-		explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
+		visitSequences(options, nil, backendModel{}, func(events []attempts.Event, tracker *attempts.Tracker, model backendModel) {
 			started, ended := false, false
 			for _, event := range events {
 				started = started || event.Kind == attempts.ResponseStarted
@@ -166,15 +166,15 @@
 			}
 			switch action.Kind {
 			case attempts.RespondNotRun, attempts.RespondUnknown, attempts.RespondDeadline:
-				Fail("an answer of the node's own after a part of a back end's: " + describe(events))
+				Fail("an answer of the node's own after a part of a back end's: " + formatEvents(events))
 			case attempts.Dispatch:
 				resumed++
-				Expect(actual.running()).To(BeZero(), describe(events))
-				Expect(ended).To(BeFalse(), describe(events))
-				Expect(action.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				Expect(ended).To(BeFalse(), formatEvents(events))
+				Expect(action.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), formatEvents(events))
 			case attempts.AbortRelay:
 				aborted++
-				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
 			}
 		})
 		Expect(resumed > 0).To(Equal(resumable))
@@ -208,8 +208,8 @@
 		Expect(tracker.Apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: 1})).NotTo(Succeed())
 	})
 
-	DescribeTable("the next move", func(repeatable bool, last attempts.EventKind, expected attempts.ActionKind) {
-		tracker := replay(attempts.Options{Idempotent: repeatable, MaxAttempts: 3}, []attempts.Event{
+	DescribeTable("the next move", func(idempotent bool, last attempts.EventKind, expected attempts.ActionKind) {
+		tracker := replay(attempts.Options{Idempotent: idempotent, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
 		})
 		if last != attempts.NotSent {
