--- a/pkg/attempts/event.go
+++ b/pkg/attempts/event.go
@@ -3,13 +3,13 @@
 // State is the state of one attempt.
 type State int
 
-// The states of an attempt. Only RefusedNotRun excludes that the back end ran
-// the request.
+// The states of an attempt. The back end may have run the request in every state but
+// Planned and RefusedNotRun.
 const (
 	// Planned means that a back end has been chosen.
 	Planned State = iota
-	// Connecting means that a connection is being obtained. Bytes may leave at
-	// any moment from here on.
+	// Connecting means that a connection is being obtained. From this state on, bytes of
+	// the request may leave at any time.
 	Connecting
 	// Sent means that at least one byte of the request may have left.
 	Sent
@@ -31,12 +31,12 @@
 	return names[s]
 }
 
-// EventKind names an input of a Tracker.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The inputs of a Tracker.
+// The kinds of events.
 const (
-	// AttemptPlanned opens the next attempt.
+	// AttemptPlanned adds the next attempt.
 	AttemptPlanned EventKind = iota
 	// ConnectStarted says that a connection is being obtained.
 	ConnectStarted
@@ -54,7 +54,7 @@
 	OutcomeLost
 	// DeadlineExceeded says that the deadline of the request has passed.
 	DeadlineExceeded
-	// CallerDisconnected says that nobody waits for the response any more.
+	// CallerDisconnected says that the caller no longer waits for the response.
 	CallerDisconnected
 	// AttemptsExhausted says that no further attempt is possible or permitted.
 	AttemptsExhausted
@@ -82,12 +82,12 @@
 	Address string
 }
 
-// ActionKind names what is to be done next.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions that a Tracker asks for.
+// The kinds of actions.
 const (
-	// Dispatch asks for attempt number Action.Attempt.
+	// Dispatch asks to send the request as attempt number Action.Attempt.
 	Dispatch ActionKind = iota
 	// Wait says that attempt Action.Attempt is still running.
 	Wait
@@ -105,7 +105,7 @@
 	RespondUnknown
 	// RespondDeadline asks for an error which says that the deadline has passed.
 	RespondDeadline
-	// Abandon says that nobody waits for a response.
+	// Abandon says that the caller has disconnected and no response is needed.
 	Abandon
 )
 
--- a/pkg/attempts/next_action.go
+++ b/pkg/attempts/next_action.go
@@ -20,8 +20,9 @@
 	return Action{Kind: RespondNotRun}
 }
 
-// actionForAttempt returns the action that a running or complete attempt requires, if there
-// is one, or one whose response was relayed in part and may not be resumed.
+// actionForAttempt returns the action that one of the attempts requires, if any: an attempt
+// that is running, that has a complete response, or whose response was relayed in part and
+// may not be resumed.
 func (t *Tracker) actionForAttempt() (Action, bool) {
 	for position, record := range t.records {
 		number := position + 1
@@ -54,8 +55,8 @@
 	return t.options.Resumable && !t.callerDisconnected && !t.deadlineExceeded && t.attemptsRemain()
 }
 
-// actionWhileRunning decides over an attempt that has not ended. It is cancelled
-// as soon as nobody can use its response.
+// actionWhileRunning returns the action for an attempt that has not ended. The attempt is
+// cancelled if its response is of no use any more.
 func (t *Tracker) actionWhileRunning(record Record) ActionKind {
 	if t.callerDisconnected || t.deadlineExceeded {
 		return Cancel
@@ -74,8 +75,8 @@
 	return t.options.Idempotent || !t.MayHaveRun()
 }
 
-// attemptsRemain reports whether the bounds permit another attempt. Up to MaxUnsent attempts
-// of which no byte left do not count.
+// attemptsRemain reports whether MaxAttempts permits another attempt and no event has ruled
+// it out. Up to MaxUnsent unsent attempts do not count.
 func (t *Tracker) attemptsRemain() bool {
 	counted := len(t.records) - min(t.unsent(), t.options.MaxUnsent)
 	return !t.exhausted && counted < t.options.MaxAttempts
--- a/pkg/attempts/tracker.go
+++ b/pkg/attempts/tracker.go
@@ -7,12 +7,12 @@
 	// Idempotent permits a further attempt after one that may have run.
 	Idempotent bool
 	// Resumable permits a further attempt after one whose response was relayed in
-	// part; it resumes after that part.
+	// part; the further attempt resumes the response after that part.
 	Resumable bool
-	// MaxAttempts bounds the attempts; at least 1.
+	// MaxAttempts is the maximum number of attempts; at least 1.
 	MaxAttempts int
-	// MaxUnsent is how many attempts that ended before any byte could leave do
-	// not count.
+	// MaxUnsent is how many attempts that ended before any byte could leave do not
+	// count towards MaxAttempts.
 	MaxUnsent int
 }
 
@@ -28,8 +28,8 @@
 	Unsent bool
 }
 
-// mayHaveRun reports whether the back end may have run the request. Connecting
-// counts, because bytes may leave at any moment of it.
+// mayHaveRun reports whether the back end may have run the request. It returns true for
+// Connecting, because bytes may leave at any time in that state.
 func (r Record) mayHaveRun() bool {
 	return r.State != Planned && r.State != RefusedNotRun
 }
@@ -46,13 +46,13 @@
 	}
 }
 
-// Tracker is the record of one request's attempts. Apply takes events in, and Next tells
-// what is to be done.
+// Tracker is the record of the attempts of one request. Apply adds events to it, and Next
+// returns the next action.
 type Tracker struct {
 	options Options
 	// records are the attempts in the order of their numbers, which begin with 1.
 	records []Record
-	// Events of the request as a whole, which stay set.
+	// The events of the request as a whole that have occurred.
 	deadlineExceeded   bool
 	callerDisconnected bool
 	exhausted          bool
@@ -97,12 +97,13 @@
 	return count
 }
 
-// CallerDisconnected reports whether nobody waits for the response any more.
+// CallerDisconnected reports whether the caller no longer waits for the response.
 func (t *Tracker) CallerDisconnected() bool {
 	return t.callerDisconnected
 }
 
-// Apply applies an event. A *TransitionError leaves the Tracker as it was.
+// Apply applies an event. If the event is not permitted, Apply returns a *TransitionError
+// and changes nothing.
 func (t *Tracker) Apply(event Event) error {
 	switch event.Kind {
 	case DeadlineExceeded:
@@ -119,11 +120,11 @@
 	return nil
 }
 
-// plan adds an attempt. It is permitted only where the next action is to dispatch it.
+// plan adds an attempt. It is permitted only if the next action is to dispatch that attempt.
 func (t *Tracker) plan(event Event) error {
 	next := t.Next()
 	if next.Kind != Dispatch || next.Attempt != event.Attempt {
-		return &TransitionError{Event: event, Reason: "the next move is " + next.Kind.String()}
+		return &TransitionError{Event: event, Reason: "the next action is " + next.Kind.String()}
 	}
 	t.records = append(t.records, Record{Address: event.Address, State: Planned})
 	return nil
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// transition returns what an event makes of an attempt, and whether the event
-// is permitted. An attempt that was sent never becomes one that was not.
+// transition returns the record of an attempt after an event, and whether the event is
+// permitted. No event turns an attempt that was sent into an unsent one.
 func transition(record Record, kind EventKind) (Record, bool) {
 	from := record.State
 	partial := from == Responded && !record.Complete
--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -9,10 +9,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// sequenceLength bounds the input sequences that are explored exhaustively.
+// sequenceLength is the maximum length of the event sequences that are tested exhaustively.
 const sequenceLength = 7
 
-// possibleEvents returns every event that could come next, fitting or not.
+// possibleEvents returns every event that could come next, permitted or not.
 func possibleEvents(planned int) []attempts.Event {
 	events := []attempts.Event{
 		{Kind: attempts.DeadlineExceeded},
@@ -28,15 +28,15 @@
 	return events
 }
 
-// backendModel is what may have happened at the back ends, kept apart from the tracker
-// and by rules of its own: a request may run from the first byte on, unless the
-// back end promised that it will not.
+// backendModel is what may have happened at the back ends, independently of the tracker and
+// by its own rules: a request may run once its first byte may have left, unless the back
+// end promised not to run it.
 type backendModel struct {
 	mayRun []bool
 	ended  []bool
 }
 
-// apply returns the truth apply an event that the tracker accepted.
+// apply returns the model after an event that the tracker accepted.
 func (t backendModel) apply(event attempts.Event) backendModel {
 	next := backendModel{mayRun: append([]bool(nil), t.mayRun...), ended: append([]bool(nil), t.ended...)}
 	position := event.Attempt - 1
@@ -77,7 +77,7 @@
 	return count
 }
 
-// replay builds a tracker from events that it is known to accept.
+// replay returns a tracker to which events were applied, all of which it must accept.
 func replay(options attempts.Options, events []attempts.Event) *attempts.Tracker {
 	tracker := attempts.New(options)
 	for _, event := range events {
@@ -86,7 +86,8 @@
 	return tracker
 }
 
-// visitSequences visits every sequence that the tracker accepts.
+// visitSequences calls visit for every sequence that begins with events, that the tracker
+// accepts and that has at most sequenceLength events. It returns the number of calls.
 func visitSequences(options attempts.Options, events []attempts.Event, model backendModel, visit func([]attempts.Event, *attempts.Tracker, backendModel)) int {
 	tracker := replay(options, events)
 	visit(events, tracker, model)
@@ -104,7 +105,7 @@
 	return visited
 }
 
-// formatEvents draws a sequence for a failure message.
+// formatEvents formats a sequence for a failure message.
 func formatEvents(events []attempts.Event) string {
 	names := make([]string, len(events))
 	for position, event := range events {
@@ -114,18 +115,18 @@
 }
 
 var _ = Describe("Tracker", func() {
-	DescribeTable("over every short input sequence", func(idempotent bool) {
+	DescribeTable("dispatches and responds correctly in every short event sequence", func(idempotent bool) {
 		options := attempts.Options{Idempotent: idempotent, MaxAttempts: 3}
 		visited := visitSequences(options, nil, backendModel{}, func(events []attempts.Event, tracker *attempts.Tracker, model backendModel) {
 			action := tracker.Next()
 			if tracker.MayHaveRun() != (model.possibleRuns() > 0) {
-				// The tracker may only be the more careful of the two, while
-				// a connection is being obtained.
+				// They may differ only while a connection is being obtained: the tracker
+				// then reports that the request may have run.
 				Expect(tracker.MayHaveRun()).To(BeTrue(), formatEvents(events))
 				Expect(model.running()).To(BeNumerically(">", 0), formatEvents(events))
 			}
 			if !idempotent && model.possibleRuns() > 1 {
-				Fail("a second run was possible: " + formatEvents(events))
+				Fail("the request may have run twice: " + formatEvents(events))
 			}
 			switch action.Kind {
 			case attempts.Dispatch:
@@ -147,11 +148,11 @@
 		})
 		Expect(visited).To(BeNumerically(">", 1000))
 	},
-		Entry("of a request that may not be repeated", false),
-		Entry("of a repeatable request", true),
+		Entry("of a request that is not idempotent", false),
+		Entry("of an idempotent request", true),
 	)
 
-	DescribeTable("of a stream, over every short input sequence", func(resumable bool) {
+	DescribeTable("resumes or aborts a truncated response in every short event sequence", func(resumable bool) {
 		options := attempts.Options{Idempotent: resumable, Resumable: resumable, MaxAttempts: 2}
 		resumed, aborted := 0, 0
 		visitSequences(options, nil, backendModel{}, func(events []attempts.Event, tracker *attempts.Tracker, model backendModel) {
@@ -166,7 +167,7 @@
 			}
 			switch action.Kind {
 			case attempts.RespondNotRun, attempts.RespondUnknown, attempts.RespondDeadline:
-				Fail("an answer of the node's own after a part of a back end's: " + formatEvents(events))
+				Fail("the node responds itself after a part of a back end's response was relayed: " + formatEvents(events))
 			case attempts.Dispatch:
 				resumed++
 				Expect(model.running()).To(BeZero(), formatEvents(events))
@@ -180,11 +181,11 @@
 		Expect(resumed > 0).To(Equal(resumable))
 		Expect(aborted).To(BeNumerically(">", 0))
 	},
-		Entry("that may be resumed", true),
-		Entry("that may not", false),
+		Entry("of a resumable request", true),
+		Entry("of a request that is not resumable", false),
 	)
 
-	It("never dispatches again once a part of a response was relayed", func() {
+	It("never dispatches again after a part of a response was relayed, unless the request is resumable", func() {
 		tracker := replay(attempts.Options{Idempotent: true, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
@@ -195,7 +196,7 @@
 		Expect(tracker.Next()).To(Equal(attempts.Action{Kind: attempts.AbortRelay, Attempt: 1}))
 	})
 
-	It("relays a response from its first part to its end", func() {
+	It("relays a response until it is complete", func() {
 		tracker := replay(attempts.Options{MaxAttempts: 1}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
@@ -208,7 +209,7 @@
 		Expect(tracker.Apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: 1})).NotTo(Succeed())
 	})
 
-	DescribeTable("the next move", func(idempotent bool, last attempts.EventKind, expected attempts.ActionKind) {
+	DescribeTable("returns the next action", func(idempotent bool, last attempts.EventKind, expected attempts.ActionKind) {
 		tracker := replay(attempts.Options{Idempotent: idempotent, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
 		})
@@ -220,12 +221,12 @@
 	},
 		Entry("after an unsent attempt", false, attempts.NotSent, attempts.Dispatch),
 		Entry("after a refusal", false, attempts.Refused, attempts.Dispatch),
-		Entry("after a lost end", false, attempts.OutcomeLost, attempts.RespondUnknown),
-		Entry("after a lost end, repeatable", true, attempts.OutcomeLost, attempts.Dispatch),
+		Entry("after a lost outcome", false, attempts.OutcomeLost, attempts.RespondUnknown),
+		Entry("after a lost outcome of an idempotent request", true, attempts.OutcomeLost, attempts.Dispatch),
 		Entry("after a response", false, attempts.ResponseCompleted, attempts.Relay),
 	)
 
-	It("names the state in which an event does not fit", func() {
+	It("names the state in an error about an event that is not permitted", func() {
 		tracker := replay(attempts.Options{}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
