--- a/pkg/retrybudget/budget.go
+++ b/pkg/retrybudget/budget.go
@@ -29,10 +29,10 @@
 	DefaultRatio = 0.2
 	// DefaultWindow is the length of the sliding window.
 	DefaultWindow = 10 * time.Second
-	// maxRemembered bounds the attempts of each kind that are remembered. Older ones
+	// maxAttemptTimes bounds the attempts of each kind that are remembered. Older ones
 	// are forgotten: first attempts then permit fewer retries, and no retry is
 	// permitted while so many are in the window.
-	maxRemembered = 1 << 16
+	maxAttemptTimes = 1 << 16
 )
 
 // Options set the bounds of a budget. Zero values mean the defaults.
@@ -92,7 +92,7 @@
 	b.advance(now)
 	retries := b.retries.count()
 	permitted := b.options.Ratio*float64(b.firstAttempts.count()) + b.slack()
-	if float64(retries+1) > permitted || retries >= maxRemembered {
+	if float64(retries+1) > permitted || retries >= maxAttemptTimes {
 		return false
 	}
 	b.retries.add(b.latest)
@@ -132,7 +132,7 @@
 func (a *attemptTimes) count() int { return len(a.times) - a.expired }
 
 func (a *attemptTimes) add(now time.Duration) {
-	if a.count() >= maxRemembered {
+	if a.count() >= maxAttemptTimes {
 		a.expired++
 	}
 	if a.expired > len(a.times)/2 {
--- a/pkg/retrybudget/budget_test.go
+++ b/pkg/retrybudget/budget_test.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/retrybudget"
 )
 
-// firsts counts a number of first attempts.
-func firsts(budget *retrybudget.Budget, now time.Duration, count int) {
+// addFirstAttempts counts a number of first attempts.
+func addFirstAttempts(budget *retrybudget.Budget, now time.Duration, count int) {
 	for range count {
 		budget.First(now)
 	}
@@ -21,16 +21,16 @@
 	It("has no constant minimum", func() {
 		budget := retrybudget.New(retrybudget.Options{})
 		Expect(budget.TryRetry(0)).To(BeFalse())
-		firsts(budget, 0, 4)
+		addFirstAttempts(budget, 0, 4)
 		Expect(budget.TryRetry(0)).To(BeFalse())
-		firsts(budget, 0, 1)
+		addFirstAttempts(budget, 0, 1)
 		Expect(budget.TryRetry(0)).To(BeTrue())
 		Expect(budget.TryRetry(0)).To(BeFalse())
 	})
 
 	It("forgets first attempts that leave the window", func() {
 		budget := retrybudget.New(retrybudget.Options{Window: 10 * time.Second})
-		firsts(budget, 0, 100)
+		addFirstAttempts(budget, 0, 100)
 		Expect(budget.TryRetry(9 * time.Second)).To(BeTrue())
 		Expect(budget.TryRetry(10 * time.Second)).To(BeFalse())
 	})
--- a/pkg/retrybudget/fleet_test.go
+++ b/pkg/retrybudget/fleet_test.go
@@ -13,32 +13,32 @@
 const (
 	fleetWindow = 10 * time.Second
 	fleetSlack  = 56.0
-	// viewDelay is how late a node hears that another has come or gone.
-	viewDelay = 2 * time.Second
+	// membershipDelay is how late a node hears that another has come or gone.
+	membershipDelay = 2 * time.Second
 )
 
 // member is one node of a fleet whose nodes come and go.
 type member struct {
-	budget *retrybudget.Budget
-	from   time.Duration
-	until  time.Duration
+	budget   *retrybudget.Budget
+	joinedAt time.Duration
+	leavesAt time.Duration
 }
 
 // testFleet counts the first attempts and retries of all nodes in a sliding
 // window.
 type testFleet struct {
-	now             time.Duration
-	members         []*member
-	firsts, retries []time.Duration
+	now                           time.Duration
+	members                       []*member
+	firstAttemptTimes, retryTimes []time.Duration
 }
 
-// known counts the nodes that a node knows: those that came and have not gone
+// knownNodes counts the nodes that a node knows: those that came and have not gone
 // until a while ago.
-func (f *testFleet) known() int {
+func (f *testFleet) knownNodes() int {
 	count := 0
-	seenAt := f.now - viewDelay
+	seenAt := f.now - membershipDelay
 	for _, one := range f.members {
-		if one.from <= seenAt && one.until > seenAt {
+		if one.joinedAt <= seenAt && one.leavesAt > seenAt {
 			count++
 		}
 	}
@@ -47,10 +47,10 @@
 
 func (f *testFleet) join(until time.Duration) {
 	f.members = append(f.members, &member{
-		from:  f.now,
-		until: until,
+		joinedAt: f.now,
+		leavesAt: until,
 		budget: retrybudget.New(retrybudget.Options{
-			Window: fleetWindow, Slack: fleetSlack, StartedAt: f.now, SlackFraction: retrybudget.FleetSlackFraction(f.known, 0),
+			Window: fleetWindow, Slack: fleetSlack, StartedAt: f.now, SlackFraction: retrybudget.FleetSlackFraction(f.knownNodes, 0),
 		}),
 	})
 }
@@ -58,27 +58,27 @@
 func (f *testFleet) live() []*member {
 	var live []*member
 	for _, one := range f.members {
-		if one.from <= f.now && one.until > f.now {
+		if one.joinedAt <= f.now && one.leavesAt > f.now {
 			live = append(live, one)
 		}
 	}
 	return live
 }
 
-func (f *testFleet) forget(times []time.Duration, windows time.Duration) []time.Duration {
+func (f *testFleet) dropExpired(times []time.Duration, windows time.Duration) []time.Duration {
 	for len(times) > 0 && times[0] <= f.now-windows*fleetWindow {
 		times = times[1:]
 	}
 	return times
 }
 
-// firstAttempts counts those of the window that ends now, of the one before it
+// maxFirstAttempts counts those of the window that ends now, of the one before it
 // or of the one half a window before it, whichever holds the most.
-func (f *testFleet) firstAttempts() float64 {
+func (f *testFleet) maxFirstAttempts() float64 {
 	maximum := 0
 	for _, end := range []time.Duration{f.now, f.now - fleetWindow/2, f.now - fleetWindow} {
 		count := 0
-		for _, at := range f.firsts {
+		for _, at := range f.firstAttemptTimes {
 			if at > end-fleetWindow && at <= end {
 				count++
 			}
@@ -106,17 +106,17 @@
 				fleet.join(fleet.now + time.Minute)
 				continue
 			}
-			one := live[random.IntN(len(live))]
+			node := live[random.IntN(len(live))]
 			if random.IntN(3) == 0 {
-				one.budget.First(fleet.now)
-				fleet.firsts = append(fleet.firsts, fleet.now)
-			} else if one.budget.TryRetry(fleet.now) {
-				fleet.retries = append(fleet.retries, fleet.now)
+				node.budget.First(fleet.now)
+				fleet.firstAttemptTimes = append(fleet.firstAttemptTimes, fleet.now)
+			} else if node.budget.TryRetry(fleet.now) {
+				fleet.retryTimes = append(fleet.retryTimes, fleet.now)
 			}
-			fleet.firsts, fleet.retries = fleet.forget(fleet.firsts, 2), fleet.forget(fleet.retries, 1)
-			permitted := retrybudget.DefaultRatio * fleet.firstAttempts()
-			Expect(float64(len(fleet.retries))).To(BeNumerically("<=", permitted+fleetSlack))
-			maximum = max(maximum, len(fleet.retries)-int(permitted))
+			fleet.firstAttemptTimes, fleet.retryTimes = fleet.dropExpired(fleet.firstAttemptTimes, 2), fleet.dropExpired(fleet.retryTimes, 1)
+			permitted := retrybudget.DefaultRatio * fleet.maxFirstAttempts()
+			Expect(float64(len(fleet.retryTimes))).To(BeNumerically("<=", permitted+fleetSlack))
+			maximum = max(maximum, len(fleet.retryTimes)-int(permitted))
 		}
 		Expect(maximum).To(BeNumerically(">", fleetSlack/4))
 	},
@@ -141,11 +141,11 @@
 	})
 
 	It("counts a fraction that grows only when it has lasted for a window", func() {
-		share := 0.1
-		budget := retrybudget.New(retrybudget.Options{Slack: 10, SlackFraction: func(time.Duration) float64 { return share }})
+		fraction := 0.1
+		budget := retrybudget.New(retrybudget.Options{Slack: 10, SlackFraction: func(time.Duration) float64 { return fraction }})
 		Expect(budget.TryRetry(20 * time.Second)).To(BeTrue())
 		Expect(budget.TryRetry(20 * time.Second)).To(BeFalse())
-		share = 1
+		fraction = 1
 		Expect(budget.TryRetry(21 * time.Second)).To(BeFalse())
 		Expect(budget.TryRetry(30 * time.Second)).To(BeTrue())
 		Expect(budget.TryRetry(30*time.Second + 1)).To(BeFalse())
