--- a/pkg/slowstart/slowstart_test.go
+++ b/pkg/slowstart/slowstart_test.go
@@ -17,32 +17,32 @@
 	RunSpecs(t, "slowstart")
 }
 
-const perSecond = 5.0
+const requestsPerSecond = 5.0
 
-// trial sends one replica as many requests as its nodes allow.
-type trial struct {
+// simulation sends one replica as many requests as its nodes allow.
+type simulation struct {
 	random   *rand.Rand
 	names    []string
 	limiters map[string]*slowstart.Limiter
 	sent     []time.Duration
-	// peak is the largest number of requests in any second.
-	peak int
+	// maxPerSecond is the largest number of requests in any second.
+	maxPerSecond int
 }
 
-func newTrial(seed uint64, nodes int) *trial {
-	t := &trial{random: rand.New(rand.NewPCG(seed, 1)), limiters: map[string]*slowstart.Limiter{}}
+func newSimulation(seed uint64, nodes int) *simulation {
+	t := &simulation{random: rand.New(rand.NewPCG(seed, 1)), limiters: map[string]*slowstart.Limiter{}}
 	for number := range nodes {
 		t.names = append(t.names, fmt.Sprint("node-", number))
 	}
 	for _, name := range t.names {
-		t.limiters[name] = slowstart.New(slowstart.Options{Node: name, PerSecond: perSecond})
+		t.limiters[name] = slowstart.New(slowstart.Options{Node: name, PerSecond: requestsPerSecond})
 		t.limiters[name].SetNodes(0, t.names)
 		t.limiters[name].Allowed(0, "replica")
 	}
 	return t
 }
 
-func (t *trial) send(now time.Duration) {
+func (t *simulation) send(now time.Duration) {
 	for _, name := range t.names {
 		for t.limiters[name].TryAcquire(now, "replica") {
 			t.sent = append(t.sent, now)
@@ -51,11 +51,11 @@
 	for len(t.sent) > 0 && t.sent[0] <= now-time.Second {
 		t.sent = t.sent[1:]
 	}
-	t.peak = max(t.peak, len(t.sent))
+	t.maxPerSecond = max(t.maxPerSecond, len(t.sent))
 }
 
 // namesWithout returns the names except a number of random ones.
-func (t *trial) namesWithout(missing int) []string {
+func (t *simulation) namesWithout(missing int) []string {
 	names := append([]string(nil), t.names...)
 	t.random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	return names[missing:]
@@ -63,19 +63,19 @@
 
 var _ = Describe("Limiter", func() {
 	It("lets the fleet send the whole rate, and no more, when views agree", func() {
-		t := newTrial(1, 9)
+		t := newSimulation(1, 9)
 		total := 0
 		for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
 			before := len(t.sent)
 			t.send(now)
 			total += max(0, len(t.sent)-before)
 		}
-		Expect(t.peak).To(BeNumerically("<=", perSecond))
-		Expect(t.peak).To(BeNumerically(">=", 4))
+		Expect(t.maxPerSecond).To(BeNumerically("<=", requestsPerSecond))
+		Expect(t.maxPerSecond).To(BeNumerically(">=", 4))
 	})
 
 	DescribeTable("stays below one and a half times the rate and five while views differ", func(seed uint64, nodes, missing int) {
-		t := newTrial(seed, nodes)
+		t := newSimulation(seed, nodes)
 		for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 			if t.random.IntN(50) == 0 {
 				name := t.names[t.random.IntN(nodes)]
@@ -83,16 +83,16 @@
 			}
 			t.send(now)
 		}
-		Expect(t.peak).To(BeNumerically("<=", perSecond*1.5+5))
+		Expect(t.maxPerSecond).To(BeNumerically("<=", requestsPerSecond*1.5+5))
 	},
 		Entry("nine nodes, one of which others miss", uint64(1), 9, 1),
 		Entry("nine nodes, two of which others miss", uint64(2), 9, 2),
 		Entry("seventy-two nodes, six of which others miss", uint64(3), 72, 6))
 
 	It("makes a node that becomes an owner wait until the others know", func() {
-		limiter := slowstart.New(slowstart.Options{Node: "a", PerSecond: perSecond, Owners: 1})
-		others := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-		limiter.SetNodes(0, others)
+		limiter := slowstart.New(slowstart.Options{Node: "a", PerSecond: requestsPerSecond, Owners: 1})
+		nodes := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+		limiter.SetNodes(0, nodes)
 		address := ""
 		for number := 0; ; number++ {
 			address = fmt.Sprint("replica-", number)
@@ -102,7 +102,7 @@
 		}
 		limiter.SetNodes(3*time.Hour, []string{"a"})
 		Expect(limiter.TryAcquire(3*time.Hour+999*time.Millisecond, address)).To(BeFalse())
-		for range int(perSecond) {
+		for range int(requestsPerSecond) {
 			Expect(limiter.TryAcquire(3*time.Hour+time.Second, address)).To(BeTrue())
 		}
 		Expect(limiter.TryAcquire(3*time.Hour+time.Second, address)).To(BeFalse())
