--- a/pkg/retrybudget/budget.go
+++ b/pkg/retrybudget/budget.go
@@ -1,21 +1,23 @@
-// Package retrybudget bounds retries to a ratio of first attempts, on one node and over a
+// Package retrybudget limits retries to a ratio of first attempts, on one node and over a
 // whole fleet.
 //
-// A budget counts both in one sliding window. A retry is counted at its own time, never
-// before the first attempts that permit it, so it leaves the window no sooner than they
-// do. One first attempt therefore never permits more than its ratio, however long the
-// budget runs. The first attempts that permit a retry may leave the window before it: a
-// fleet is therefore judged by the first attempts of a window, of the one before it, or
-// of the one half a window before it, whichever has the most.
+// A budget counts first attempts and retries in one sliding window. A retry is counted at
+// the time at which it is made, which is never before the first attempts that permit it,
+// so that it leaves the window no sooner than they do. One first attempt therefore never
+// permits more retries than the ratio, however long the budget is in use. The first
+// attempts that permit a retry may leave the window before the retry does. The guaranteed
+// limit for the retries of a fleet in a window therefore refers to the first attempts of
+// that window, of the window before it, or of the window half a length earlier, whichever
+// has the most.
 //
-// Without Slack there is no constant minimum: a destination that has had four first attempts in
-// the window may not retry at a ratio of 0.2. With Slack, the nodes of a fleet divide
-// that number of retries in a window among them by SlackFraction. When the fractions of
-// all nodes add up to no more than 1 in any window, the retries of the fleet in it stay
+// Without Slack there is no constant minimum: with a ratio of 0.2, a destination that has
+// had four first attempts in the window may not retry. With Slack, SlackFraction divides
+// that number of retries in a window among the nodes of a fleet. When the fractions of all
+// nodes add up to no more than 1 in any window, the retries of the fleet in a window stay
 // below Ratio x first attempts + Slack.
 //
-// A Budget owns the attempts of one destination on one node. It reads no clock, and may
-// be used concurrently.
+// A Budget contains the attempts of one destination on one node. It reads no clock, and
+// may be used concurrently.
 package retrybudget
 
 import (
@@ -29,43 +31,45 @@
 	DefaultRatio = 0.2
 	// DefaultWindow is the length of the sliding window.
 	DefaultWindow = 10 * time.Second
-	// maxAttemptTimes bounds the attempts of each kind that are remembered. Older ones
-	// are forgotten: first attempts then permit fewer retries, and no retry is
-	// permitted while so many are in the window.
+	// maxAttemptTimes is the maximum number of first attempts, and of retries, that are
+	// kept. Beyond it, the oldest first attempts are dropped, so that fewer retries are
+	// permitted. No retry is permitted while the window contains so many retries.
 	maxAttemptTimes = 1 << 16
 )
 
-// Options set the bounds of a budget. Zero values mean the defaults.
+// Options configure a Budget. Zero values of Ratio and Window mean the defaults.
 type Options struct {
 	// Ratio is the permitted ratio of retries to first attempts.
 	Ratio float64
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Slack is the number of retries in a window that the whole fleet may make
-	// beyond that.
+	// Slack is the number of retries in a window that the whole fleet may make in
+	// addition to those that Ratio permits.
 	Slack float64
 	// SlackFraction returns the fraction of Slack, from 0 to 1, that this node may use
-	// now; nil means all of it. FleetSlackFraction is one.
+	// now; nil means all of it. FleetSlackFraction returns such a function.
 	SlackFraction func(now time.Duration) float64
-	// StartedAt is the start of this node's incarnation. No slack is used in its first
-	// window, since the earlier incarnation may have used some.
+	// StartedAt is the time at which this incarnation of the node started. With
+	// SlackFraction, no slack is used until a window later, since the earlier incarnation
+	// may have used some.
 	StartedAt time.Duration
 }
 
-// Budget is the retry budget of one destination: a pool or a web service. It is safe for concurrent use.
+// Budget is the retry budget of one destination, which is a pool or a web service. It is
+// safe for concurrent use.
 type Budget struct {
 	mutex         sync.Mutex
 	options       Options
 	firstAttempts attemptTimes
 	retries       attemptTimes
-	// slackFractions are what SlackFraction has returned in the last window.
+	// slackFractions holds the results of SlackFraction in the last window.
 	slackFractions fractionHistory
-	// latest is the latest time seen, so that a time that is slightly older than
-	// another goroutine's does not reopen the past.
+	// latest is the latest time passed to the budget. Attempts are counted at that time,
+	// because a goroutine may pass a slightly earlier time than another goroutine has.
 	latest time.Duration
 }
 
-// New returns a budget that has seen no attempt.
+// New returns a budget without attempts.
 func New(options Options) *Budget {
 	if options.Ratio <= 0 {
 		options.Ratio = DefaultRatio
@@ -99,9 +103,9 @@
 	return true
 }
 
-// slack is what this node may use of the fleet's slack. A fraction that has grown counts
-// only after a window, since retries of the nodes that had it before may still be in the
-// window.
+// slack returns the part of the fleet's slack that this node may use. When the node's
+// fraction grows, the new fraction applies only a window later, since the window may still
+// contain retries of the nodes that used that part of the slack before.
 func (b *Budget) slack() float64 {
 	if b.options.Slack <= 0 {
 		return 0
@@ -112,7 +116,8 @@
 	return b.options.Slack * b.slackFractions.minimum(b.latest, b.options.Window)
 }
 
-// advance forgets what has left the window.
+// advance drops the attempts that have left the window, and records the current slack
+// fraction.
 func (b *Budget) advance(now time.Duration) {
 	b.latest = max(b.latest, now)
 	b.firstAttempts.expire(b.latest - b.options.Window)
@@ -122,7 +127,7 @@
 	}
 }
 
-// attemptTimes are the times of the attempts in the window, in order.
+// attemptTimes holds the times of the attempts in the window, in order.
 type attemptTimes struct {
 	times []time.Duration
 	// expired counts the times at the front that have left the window.
@@ -142,7 +147,7 @@
 	a.times = append(a.times, now)
 }
 
-// expire drops the attempts up to an instant.
+// expire drops the attempts up to and including the time until.
 func (a *attemptTimes) expire(until time.Duration) {
 	for a.expired < len(a.times) && a.times[a.expired] <= until {
 		a.expired++
--- a/pkg/retrybudget/budget_test.go
+++ b/pkg/retrybudget/budget_test.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/retrybudget"
 )
 
-// addFirstAttempts counts a number of first attempts.
+// addFirstAttempts adds a number of first attempts to a budget.
 func addFirstAttempts(budget *retrybudget.Budget, now time.Duration, count int) {
 	for range count {
 		budget.First(now)
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("Budget", func() {
-	It("has no constant minimum", func() {
+	It("permits no retry without enough first attempts", func() {
 		budget := retrybudget.New(retrybudget.Options{})
 		Expect(budget.TryRetry(0)).To(BeFalse())
 		addFirstAttempts(budget, 0, 4)
@@ -28,14 +28,14 @@
 		Expect(budget.TryRetry(0)).To(BeFalse())
 	})
 
-	It("forgets first attempts that leave the window", func() {
+	It("drops first attempts that leave the window", func() {
 		budget := retrybudget.New(retrybudget.Options{Window: 10 * time.Second})
 		addFirstAttempts(budget, 0, 100)
 		Expect(budget.TryRetry(9 * time.Second)).To(BeTrue())
 		Expect(budget.TryRetry(10 * time.Second)).To(BeFalse())
 	})
 
-	DescribeTable("never permits more than its ratio of all first attempts", func(seed uint64) {
+	DescribeTable("never permits more retries than its ratio of all first attempts", func(seed uint64) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		budget := retrybudget.New(retrybudget.Options{})
 		now := time.Duration(0)
--- a/pkg/retrybudget/fleet_test.go
+++ b/pkg/retrybudget/fleet_test.go
@@ -13,27 +13,26 @@
 const (
 	fleetWindow = 10 * time.Second
 	fleetSlack  = 56.0
-	// membershipDelay is how late a node hears that another has come or gone.
+	// membershipDelay is the delay after which a node knows that another has joined or left.
 	membershipDelay = 2 * time.Second
 )
 
-// member is one node of a fleet whose nodes come and go.
+// member is one node of a fleet whose nodes join and leave.
 type member struct {
 	budget   *retrybudget.Budget
 	joinedAt time.Duration
 	leavesAt time.Duration
 }
 
-// testFleet counts the first attempts and retries of all nodes in a sliding
-// window.
+// testFleet records the first attempts and retries of all nodes in a sliding window.
 type testFleet struct {
 	now                           time.Duration
 	members                       []*member
 	firstAttemptTimes, retryTimes []time.Duration
 }
 
-// knownNodes counts the nodes that a node knows: those that came and have not gone
-// until a while ago.
+// knownNodes counts the nodes that a node knows to be live: those that were live a
+// membershipDelay ago.
 func (f *testFleet) knownNodes() int {
 	count := 0
 	seenAt := f.now - membershipDelay
@@ -72,8 +71,8 @@
 	return times
 }
 
-// maxFirstAttempts counts those of the window that ends now, of the one before it
-// or of the one half a window before it, whichever holds the most.
+// maxFirstAttempts returns the number of first attempts in the window that ends now, in the
+// window before it, or in the window half a length earlier, whichever has the most.
 func (f *testFleet) maxFirstAttempts() float64 {
 	maximum := 0
 	for _, end := range []time.Duration{f.now, f.now - fleetWindow/2, f.now - fleetWindow} {
@@ -89,7 +88,7 @@
 }
 
 var _ = Describe("Budget of a fleet", func() {
-	DescribeTable("stays below ratio and slack in any window while nodes come and go", func(seed uint64, nodes int) {
+	DescribeTable("permits no more retries than ratio and slack in any window while nodes join and leave", func(seed uint64, nodes int) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		fleet := &testFleet{}
 		for range nodes {
@@ -121,11 +120,11 @@
 		Expect(maximum).To(BeNumerically(">", fleetSlack/4))
 	},
 		Entry("9 nodes", uint64(1), 9),
-		Entry("8 nodes, other luck", uint64(2), 8),
+		Entry("8 nodes, with another seed", uint64(2), 8),
 		Entry("72 nodes", uint64(3), 72),
 		Entry("one node", uint64(4), 1))
 
-	It("uses no slack before the node has lived for a window", func() {
+	It("uses no slack until the node has been running for a window", func() {
 		budget := retrybudget.New(retrybudget.Options{
 			Slack: 10, StartedAt: 5 * time.Second, SlackFraction: func(time.Duration) float64 { return 1 },
 		})
@@ -133,14 +132,14 @@
 		Expect(budget.TryRetry(15 * time.Second)).To(BeTrue())
 	})
 
-	It("uses all slack where there is no other node", func() {
+	It("uses all slack without SlackFraction", func() {
 		budget := retrybudget.New(retrybudget.Options{Slack: 2})
 		Expect(budget.TryRetry(0)).To(BeTrue())
 		Expect(budget.TryRetry(0)).To(BeTrue())
 		Expect(budget.TryRetry(0)).To(BeFalse())
 	})
 
-	It("counts a fraction that grows only when it has lasted for a window", func() {
+	It("applies a larger fraction only a window after the increase", func() {
 		fraction := 0.1
 		budget := retrybudget.New(retrybudget.Options{Slack: 10, SlackFraction: func(time.Duration) float64 { return fraction }})
 		Expect(budget.TryRetry(20 * time.Second)).To(BeTrue())
--- a/pkg/retrybudget/slack_fraction.go
+++ b/pkg/retrybudget/slack_fraction.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// fractionChange is a fraction of the slack and the time from which on it is valid.
+// fractionChange is a fraction of the slack and the time at which it became valid.
 type fractionChange struct {
 	since    time.Duration
 	fraction float64
 }
 
-// fractionHistory is which fractions of the slack this node had in the last window.
+// fractionHistory holds the fractions of the slack that this node had in the last window.
 type fractionHistory struct {
 	// startedAt is Options.StartedAt.
 	startedAt time.Duration
-	// changes are in order of time, and each holds until the next.
+	// changes are in order of time, and each is valid until the next one.
 	changes []fractionChange
 }
 
-// add records the present fraction. Only the smallest fraction after an instant matters,
-// so larger ones before a smaller one are dropped: the fractions in the history increase,
-// and there are no more of them than increases in a window.
+// add records the current fraction. Only the smallest fraction since a given time is ever
+// needed, so earlier fractions that are no smaller than the new one are dropped. The
+// fractions in the history therefore increase, and there are no more of them than increases
+// in a window.
 func (h *fractionHistory) add(now time.Duration, fraction float64) {
 	since := now
 	if len(h.changes) == 0 {
@@ -31,8 +32,8 @@
 	h.changes = append(h.changes, fractionChange{since: since, fraction: fraction})
 }
 
-// minimum returns the smallest fraction in the window that ends now, and 0 while the node
-// has not run for a window.
+// minimum returns the smallest fraction in the window that ends now, or 0 if the node has
+// been running for less than a window.
 func (h *fractionHistory) minimum(now, window time.Duration) float64 {
 	windowStart := now - window
 	if len(h.changes) == 0 || h.startedAt > windowStart {
@@ -44,18 +45,20 @@
 	return h.changes[0].fraction
 }
 
-// usedSlackFraction is the fraction of the slack that a fleet uses. The rest is for
-// bursts: the first attempts that permit the retries of several nodes may fall half into
-// each of two of the windows that the fleet is judged by.
+// usedSlackFraction is the fraction of the slack that a fleet uses. The rest is a reserve
+// for bursts: of the first attempts that permit the retries of several nodes, one half may
+// fall into one of the windows to which the limit for the fleet refers (see the package
+// comment), and the other half into another.
 const usedSlackFraction = 0.7
 
-// FleetSlackFraction returns a SlackFraction for a fleet whose membership changes. Live
-// returns how many nodes this node knows to be live. Margin is how many more may be live
-// at the same time without this node knowing it.
+// FleetSlackFraction returns a function for Options.SlackFraction in a fleet whose
+// membership changes. The function live returns how many nodes this node knows to be live,
+// and margin is how many more nodes may be live without this node knowing it.
 //
-// Nodes that have left need no margin: a fraction that grows when they do counts only
-// after a window, when their retries have left it. Nodes that join use no slack for a
-// window, and by then are known.
+// Nodes that have left need no margin: when they leave, the fractions of the others grow,
+// but the larger fractions apply only a window later, when the window no longer contains
+// retries of the nodes that left. Nodes that join use no slack for a window, and the other
+// nodes know them by then.
 func FleetSlackFraction(live func() int, margin int) func(now time.Duration) float64 {
 	return func(time.Duration) float64 {
 		return usedSlackFraction / float64(max(live(), 1)+max(margin, 0))
