--- a/pkg/slowstart/slowstart.go
+++ b/pkg/slowstart/slowstart.go
@@ -2,13 +2,13 @@
 // second from all nodes together, without communication between the nodes.
 //
 // For each such replica, rendezvous hashing over the live nodes selects a few owners.
-// Only these may send to it, and each at most its quota in any second. Nodes whose views
-// of the live nodes differ may select different owners. An owner therefore keeps to its
-// quota, and a node that has become an owner waits, before it sends, for as long as a
-// change of the live nodes may take to reach the others.
+// Only the owners may send to the replica, and each owner sends at most its quota in any
+// second. Nodes with different views of the live nodes may select different owners. This is
+// why each owner has a fixed quota, and why a node that becomes an owner waits before it
+// sends, for as long as a change of the live nodes may take to reach the other nodes.
 //
-// A Limiter owns, for each replica that it was asked about, whether its node is an owner
-// and what the node has sent lately. It does no I/O, reads no clock and starts no
+// A Limiter records, for each replica that it was asked about, whether its node is an owner
+// and when the node has sent requests lately. It does no I/O, reads no clock and starts no
 // goroutine, and is safe for concurrent use.
 package slowstart
 
@@ -42,7 +42,7 @@
 	// from all nodes together. It is rounded down to a multiple of the number of owners;
 	// below 1, no request is allowed.
 	PerSecond float64
-	// Owners is how many nodes may send to one such replica.
+	// Owners is how many nodes may send to one replica in slow start.
 	Owners int
 	// OwnershipDelay is how long a node waits, after it has become an owner, before it
 	// sends.
@@ -63,16 +63,17 @@
 
 // replicaState is what a limiter tracks of one replica.
 type replicaState struct {
-	// owned tells whether this node is an owner, and ownedSince since when.
+	// owned reports whether this node is an owner, and ownedSince is when it last became
+	// one.
 	owned      bool
 	ownedSince time.Duration
 	// sentAt are the times of the requests in the last window, oldest first.
 	sentAt []time.Duration
-	// usedAt is when the replica was last used in a call.
+	// usedAt is the time of the last call of Allowed or TryAcquire for the replica.
 	usedAt time.Duration
 }
 
-// New returns the limiter of a node that knows of no other node.
+// New returns the limiter of a node that knows no other node.
 func New(options Options) *Limiter {
 	if options.Owners <= 0 {
 		options.Owners = DefaultOwners
@@ -93,7 +94,7 @@
 	}
 }
 
-// Allowed tells whether one more request may go to the replica at an address now. It
+// Allowed reports whether one more request may be sent to the replica at an address now. It
 // counts no request.
 func (l *Limiter) Allowed(now time.Duration, address string) bool {
 	l.mutex.Lock()
@@ -102,7 +103,7 @@
 }
 
 // TryAcquire counts a request to the replica at an address and returns true, or returns
-// false if none may go there now.
+// false if no request may be sent to the replica now.
 func (l *Limiter) TryAcquire(now time.Duration, address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,7 +115,7 @@
 	return true
 }
 
-// allowed is Allowed for a caller that holds the mutex.
+// allowed does the same as Allowed; the caller must hold the mutex.
 func (l *Limiter) allowed(now time.Duration, replica *replicaState) bool {
 	if !replica.owned || now-replica.ownedSince < l.options.OwnershipDelay {
 		return false
@@ -129,11 +130,12 @@
 // is below 1.
 func (l *Limiter) quotaPerOwner() int { return int(l.options.PerSecond) / l.owners() }
 
-// owners returns how many nodes own a replica: no more than requests are allowed in a
-// second, so that each owner may send one at least.
+// owners returns how many nodes own a replica. It is at most the number of requests that
+// are allowed in a second, so that each owner may send at least one.
 func (l *Limiter) owners() int { return max(1, min(l.options.Owners, int(l.options.PerSecond))) }
 
-// trackedReplica returns the state of a replica, which is tracked from now on.
+// trackedReplica returns the state of a replica, and starts to track the replica if
+// necessary.
 func (l *Limiter) trackedReplica(now time.Duration, address string) *replicaState {
 	tracked, present := l.replicas[address]
 	if !present {
@@ -169,7 +171,7 @@
 	replica.owned = owned
 }
 
-// rank returns how many nodes precede this one as owners of a replica.
+// rank returns how many live nodes precede this one in the order of ownership of a replica.
 func (l *Limiter) rank(address string) int {
 	self := weight(l.options.Node, address)
 	rank := 0
@@ -185,7 +187,8 @@
 	return rank
 }
 
-// weight is the rendezvous hash of a node and a replica; the highest ones own it.
+// weight returns the rendezvous hash of a node and a replica. The nodes with the highest
+// weights own the replica.
 func weight(node, address string) uint64 {
 	return xxhash.Sum64String(node + "\x00" + address)
 }
--- a/pkg/slowstart/slowstart_test.go
+++ b/pkg/slowstart/slowstart_test.go
@@ -19,7 +19,7 @@
 
 const requestsPerSecond = 5.0
 
-// simulation sends one replica as many requests as its nodes allow.
+// simulation sends one replica as many requests as the limiters of all nodes allow.
 type simulation struct {
 	random   *rand.Rand
 	names    []string
@@ -54,7 +54,7 @@
 	t.maxPerSecond = max(t.maxPerSecond, len(t.sent))
 }
 
-// namesWithout returns the names except a number of random ones.
+// namesWithout returns all names but a number of randomly drawn ones.
 func (t *simulation) namesWithout(missing int) []string {
 	names := append([]string(nil), t.names...)
 	t.random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("Limiter", func() {
-	It("lets the fleet send the whole rate, and no more, when views agree", func() {
+	It("lets the nodes send up to the rate when they agree on the live nodes", func() {
 		t := newSimulation(1, 9)
 		total := 0
 		for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
@@ -74,7 +74,7 @@
 		Expect(t.maxPerSecond).To(BeNumerically(">=", 4))
 	})
 
-	DescribeTable("stays below one and a half times the rate and five while views differ", func(seed uint64, nodes, missing int) {
+	DescribeTable("sends at most 1.5 times the rate plus 5 while the nodes disagree on the live nodes", func(seed uint64, nodes, missing int) {
 		t := newSimulation(seed, nodes)
 		for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 			if t.random.IntN(50) == 0 {
@@ -85,11 +85,11 @@
 		}
 		Expect(t.maxPerSecond).To(BeNumerically("<=", requestsPerSecond*1.5+5))
 	},
-		Entry("nine nodes, one of which others miss", uint64(1), 9, 1),
-		Entry("nine nodes, two of which others miss", uint64(2), 9, 2),
-		Entry("seventy-two nodes, six of which others miss", uint64(3), 72, 6))
+		Entry("9 nodes, each of which misses 1 node", uint64(1), 9, 1),
+		Entry("9 nodes, each of which misses 2 nodes", uint64(2), 9, 2),
+		Entry("72 nodes, each of which misses 6 nodes", uint64(3), 72, 6))
 
-	It("makes a node that becomes an owner wait until the others know", func() {
+	It("makes a node that becomes an owner wait for the ownership delay before it sends", func() {
 		limiter := slowstart.New(slowstart.Options{Node: "a", PerSecond: requestsPerSecond, Owners: 1})
 		nodes := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		limiter.SetNodes(0, nodes)
@@ -109,7 +109,7 @@
 		Expect(limiter.TryAcquire(3*time.Hour+2*time.Second, address)).To(BeTrue())
 	})
 
-	It("gives all to one node where the rate is below one for each owner", func() {
+	It("selects a single owner if the rate is below one request for each owner", func() {
 		limiter := slowstart.New(slowstart.Options{Node: "a", PerSecond: 1})
 		limiter.Allowed(0, "replica")
 		Expect(limiter.TryAcquire(time.Second, "replica")).To(BeTrue())
