--- a/pkg/prefixindex/predictions.go
+++ b/pkg/prefixindex/predictions.go
@@ -71,7 +71,7 @@
 }
 
 // put adds or renews a prediction. The caller must hold the mutex, as for expireDue,
-// expireEarliest, forget, enforceLimit, compact and publishNextExpiry.
+// expireEarliest, removeLocked, enforceLimit, compact and publishNextExpiry.
 func (p *predictions) put(key prediction, expiry time.Duration) {
 	if current, present := p.expires[key]; present && current >= expiry {
 		return
@@ -98,7 +98,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, hash := range hashes {
-		p.forget(prediction{hash: hash, owner: owner})
+		p.removeLocked(prediction{hash: hash, owner: owner})
 	}
 	p.compact()
 	p.publishNextExpiry()
@@ -112,7 +112,7 @@
 	defer p.mutex.Unlock()
 	for key := range p.expires {
 		if key.owner == owner {
-			p.forget(key)
+			p.removeLocked(key)
 		}
 	}
 	p.compact()
@@ -149,11 +149,11 @@
 func (p *predictions) expireEarliest() {
 	first := p.queue.popEarliest()
 	if p.expires[first.prediction] == first.expiresAt {
-		p.forget(first.prediction)
+		p.removeLocked(first.prediction)
 	}
 }
 
-func (p *predictions) forget(key prediction) {
+func (p *predictions) removeLocked(key prediction) {
 	if _, present := p.expires[key]; !present {
 		return
 	}
