--- a/pkg/attempts/tracker.go
+++ b/pkg/attempts/tracker.go
@@ -52,7 +52,7 @@
 	options Options
 	// records are the attempts in the order of their numbers, which begin with 1.
 	records []Record
-	// The events of the request as a whole that have occurred.
+	// The events of the request as a whole that have occurred; they are never reset.
 	deadlineExceeded   bool
 	callerDisconnected bool
 	exhausted          bool
