--- a/pkg/prefixindex/benchmark_test.go
+++ b/pkg/prefixindex/benchmark_test.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// benchmarkOwners are the replicas and the store of one pool.
+	// benchmarkOwners is the number of owners: the replicas and the store of one pool.
 	benchmarkOwners = 19
 	// benchmarkDepth is the number of chunks of a prompt.
 	benchmarkDepth = 32
-	// benchmarkPrompts are the prompts that the index is filled with. The first
-	// half of the chunks of each are shared by the prompts of a family.
-	benchmarkPrompts = 4096
-	benchmarkFamily  = 64
+	// benchmarkPrompts is the number of prompts in the index. The benchmarkFamilySize
+	// prompts of one family share the first half of their chunks.
+	benchmarkPrompts    = 4096
+	benchmarkFamilySize = 64
 )
 
-// benchmarkChains are the prompts of the benchmarks.
+// benchmarkChains returns the prompts of the benchmarks.
 func benchmarkChains() [][]prefixindex.Link {
 	chains := make([][]prefixindex.Link, benchmarkPrompts)
 	for prompt := range chains {
 		chunks := make([]prefixindex.Chunk, benchmarkDepth)
 		for position := range chunks {
-			owner := prompt
+			source := prompt
 			if position < benchmarkDepth/2 {
-				owner = prompt / benchmarkFamily
+				source = prompt / benchmarkFamilySize
 			}
-			chunks[position] = prefixindex.Chunk{ID: fmt.Sprint(owner, "/", position), Tokens: 512}
+			chunks[position] = prefixindex.Chunk{ID: fmt.Sprint(source, "/", position), Tokens: 512}
 		}
 		chains[prompt] = prefixindex.Chain("model", "salt", chunks)
 	}
 	return chains
 }
 
-// filled returns an index in which each prompt is cached by a third of the
-// owners.
-func filled(chains [][]prefixindex.Link) *prefixindex.Index {
+// newFilledIndex returns an index in which each prompt is stored for randomly drawn
+// owners, a third of their number.
+func newFilledIndex(chains [][]prefixindex.Link) *prefixindex.Index {
 	index := prefixindex.New(prefixindex.Options{})
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, links := range chains {
@@ -54,7 +54,7 @@
 // BenchmarkLookup looks up prompts of 32 chunks on all cores.
 func BenchmarkLookup(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -71,7 +71,7 @@
 // BenchmarkLookupHotPrompt looks up one prompt on all cores.
 func BenchmarkLookupHotPrompt(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -83,11 +83,11 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "lookups/s")
 }
 
-// BenchmarkEvents stores and removes chunks, one at a time, each core as a
-// owner of its own.
+// BenchmarkEvents stores and removes chunks, one at a time. Each worker changes the
+// chunks of its own owner.
 func BenchmarkEvents(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	var owners atomic.Uint32
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -113,11 +113,11 @@
 	}
 }
 
-// BenchmarkMixed has one core in four write events while the others look up.
-// One operation is a lookup or an event.
+// BenchmarkMixed writes events on one worker in four and looks up prompts on the
+// others. One operation is a lookup or an event.
 func BenchmarkMixed(b *testing.B) {
 	chains := benchmarkChains()
-	index := filled(chains)
+	index := newFilledIndex(chains)
 	var workers atomic.Uint32
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -136,9 +136,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "operations/s")
 }
 
-// BenchmarkMemory fills an index with a million pairs of a chunk and an owner,
-// and reports the growth of the heap for each pair. The case of one owner a
-// chunk costs most, since owners of one chunk share its slot.
+// BenchmarkMemory fills an index with a million pairs of a chunk and an owner, and
+// reports the growth of the heap per pair. With one owner per chunk a pair takes the
+// most memory, since the owners of one chunk share its slot.
 func BenchmarkMemory(b *testing.B) {
 	for _, owners := range []int{1, 4, 16} {
 		b.Run(fmt.Sprint("owners=", owners), func(b *testing.B) { measureMemory(b, owners) })
@@ -153,17 +153,17 @@
 	for at := range links {
 		links[at] = prefixindex.Link{Hash: prefixindex.ChainHash(random.Uint64()), Tokens: 512}
 	}
-	grown := uint64(0)
+	heapGrowth := uint64(0)
 	for range b.N {
 		before := heapInUse()
 		index := prefixindex.New(prefixindex.Options{})
 		for owner := range prefixindex.Owner(ownersPerChunk) {
 			index.Store(owner, links)
 		}
-		grown = heapInUse() - before
+		heapGrowth = heapInUse() - before
 		runtime.KeepAlive(index)
 	}
-	b.ReportMetric(float64(grown)/pairs, "bytes/block")
+	b.ReportMetric(float64(heapGrowth)/pairs, "bytes/block")
 }
 
 func heapInUse() uint64 {
--- a/pkg/retrybudget/fleet_test.go
+++ b/pkg/retrybudget/fleet_test.go
@@ -13,32 +13,31 @@
 const (
 	fleetWindow = 10 * time.Second
 	fleetSlack  = 56.0
-	// viewDelay is how late a node hears that another has come or gone.
-	viewDelay = 2 * time.Second
+	// membershipDelay is the delay after which a node knows that another has joined or left.
+	membershipDelay = 2 * time.Second
 )
 
-// member is one node of a fleet whose nodes come and go.
+// member is one node of a fleet whose nodes join and leave.
 type member struct {
-	budget *retrybudget.Budget
-	from   time.Duration
-	until  time.Duration
+	budget   *retrybudget.Budget
+	joinedAt time.Duration
+	leavesAt time.Duration
 }
 
-// testFleet counts the first attempts and retries of all nodes in a sliding
-// window.
+// testFleet records the first attempts and retries of all nodes in a sliding window.
 type testFleet struct {
-	now             time.Duration
-	members         []*member
-	firsts, retries []time.Duration
+	now                           time.Duration
+	members                       []*member
+	firstAttemptTimes, retryTimes []time.Duration
 }
 
-// known counts the nodes that a node knows: those that came and have not gone
-// until a while ago.
-func (f *testFleet) known() int {
+// knownNodes counts the nodes that a node knows to be live: those that were live a
+// membershipDelay ago.
+func (f *testFleet) knownNodes() int {
 	count := 0
-	seenAt := f.now - viewDelay
+	seenAt := f.now - membershipDelay
 	for _, one := range f.members {
-		if one.from <= seenAt && one.until > seenAt {
+		if one.joinedAt <= seenAt && one.leavesAt > seenAt {
 			count++
 		}
 	}
@@ -47,10 +46,10 @@
 
 func (f *testFleet) join(until time.Duration) {
 	f.members = append(f.members, &member{
-		from:  f.now,
-		until: until,
+		joinedAt: f.now,
+		leavesAt: until,
 		budget: retrybudget.New(retrybudget.Options{
-			Window: fleetWindow, Slack: fleetSlack, StartedAt: f.now, SlackFraction: retrybudget.FleetSlackFraction(f.known, 0),
+			Window: fleetWindow, Slack: fleetSlack, StartedAt: f.now, SlackFraction: retrybudget.FleetSlackFraction(f.knownNodes, 0),
 		}),
 	})
 }
@@ -58,27 +57,27 @@
 func (f *testFleet) live() []*member {
 	var live []*member
 	for _, one := range f.members {
-		if one.from <= f.now && one.until > f.now {
+		if one.joinedAt <= f.now && one.leavesAt > f.now {
 			live = append(live, one)
 		}
 	}
 	return live
 }
 
-func (f *testFleet) forget(times []time.Duration, windows time.Duration) []time.Duration {
+func (f *testFleet) dropExpired(times []time.Duration, windows time.Duration) []time.Duration {
 	for len(times) > 0 && times[0] <= f.now-windows*fleetWindow {
 		times = times[1:]
 	}
 	return times
 }
 
-// firstAttempts counts those of the window that ends now, of the one before it
-// or of the one half a window before it, whichever holds the most.
-func (f *testFleet) firstAttempts() float64 {
+// maxFirstAttempts returns the number of first attempts in the window that ends now, in the
+// window before it, or in the window half a length earlier, whichever has the most.
+func (f *testFleet) maxFirstAttempts() float64 {
 	maximum := 0
 	for _, end := range []time.Duration{f.now, f.now - fleetWindow/2, f.now - fleetWindow} {
 		count := 0
-		for _, at := range f.firsts {
+		for _, at := range f.firstAttemptTimes {
 			if at > end-fleetWindow && at <= end {
 				count++
 			}
@@ -89,7 +88,7 @@
 }
 
 var _ = Describe("Budget of a fleet", func() {
-	DescribeTable("stays below ratio and slack in any window while nodes come and go", func(seed uint64, nodes int) {
+	DescribeTable("permits no more retries than ratio and slack in any window while nodes join and leave", func(seed uint64, nodes int) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		fleet := &testFleet{}
 		for range nodes {
@@ -106,26 +105,26 @@
 				fleet.join(fleet.now + time.Minute)
 				continue
 			}
-			one := live[random.IntN(len(live))]
+			node := live[random.IntN(len(live))]
 			if random.IntN(3) == 0 {
-				one.budget.First(fleet.now)
-				fleet.firsts = append(fleet.firsts, fleet.now)
-			} else if one.budget.TryRetry(fleet.now) {
-				fleet.retries = append(fleet.retries, fleet.now)
+				node.budget.First(fleet.now)
+				fleet.firstAttemptTimes = append(fleet.firstAttemptTimes, fleet.now)
+			} else if node.budget.TryRetry(fleet.now) {
+				fleet.retryTimes = append(fleet.retryTimes, fleet.now)
 			}
-			fleet.firsts, fleet.retries = fleet.forget(fleet.firsts, 2), fleet.forget(fleet.retries, 1)
-			permitted := retrybudget.DefaultRatio * fleet.firstAttempts()
-			Expect(float64(len(fleet.retries))).To(BeNumerically("<=", permitted+fleetSlack))
-			maximum = max(maximum, len(fleet.retries)-int(permitted))
+			fleet.firstAttemptTimes, fleet.retryTimes = fleet.dropExpired(fleet.firstAttemptTimes, 2), fleet.dropExpired(fleet.retryTimes, 1)
+			permitted := retrybudget.DefaultRatio * fleet.maxFirstAttempts()
+			Expect(float64(len(fleet.retryTimes))).To(BeNumerically("<=", permitted+fleetSlack))
+			maximum = max(maximum, len(fleet.retryTimes)-int(permitted))
 		}
 		Expect(maximum).To(BeNumerically(">", fleetSlack/4))
 	},
 		Entry("9 nodes", uint64(1), 9),
-		Entry("8 nodes, other luck", uint64(2), 8),
+		Entry("8 nodes, with another seed", uint64(2), 8),
 		Entry("72 nodes", uint64(3), 72),
 		Entry("one node", uint64(4), 1))
 
-	It("uses no slack before the node has lived for a window", func() {
+	It("uses no slack until the node has been running for a window", func() {
 		budget := retrybudget.New(retrybudget.Options{
 			Slack: 10, StartedAt: 5 * time.Second, SlackFraction: func(time.Duration) float64 { return 1 },
 		})
@@ -133,19 +132,19 @@
 		Expect(budget.TryRetry(15 * time.Second)).To(BeTrue())
 	})
 
-	It("uses all slack where there is no other node", func() {
+	It("uses all slack without SlackFraction", func() {
 		budget := retrybudget.New(retrybudget.Options{Slack: 2})
 		Expect(budget.TryRetry(0)).To(BeTrue())
 		Expect(budget.TryRetry(0)).To(BeTrue())
 		Expect(budget.TryRetry(0)).To(BeFalse())
 	})
 
-	It("counts a fraction that grows only when it has lasted for a window", func() {
-		share := 0.1
-		budget := retrybudget.New(retrybudget.Options{Slack: 10, SlackFraction: func(time.Duration) float64 { return share }})
+	It("applies a larger fraction only a window after the increase", func() {
+		fraction := 0.1
+		budget := retrybudget.New(retrybudget.Options{Slack: 10, SlackFraction: func(time.Duration) float64 { return fraction }})
 		Expect(budget.TryRetry(20 * time.Second)).To(BeTrue())
 		Expect(budget.TryRetry(20 * time.Second)).To(BeFalse())
-		share = 1
+		fraction = 1
 		Expect(budget.TryRetry(21 * time.Second)).To(BeFalse())
 		Expect(budget.TryRetry(30 * time.Second)).To(BeTrue())
 		Expect(budget.TryRetry(30*time.Second + 1)).To(BeFalse())
