--- a/internal/control/shardstate/answer_sections.go
+++ b/internal/control/shardstate/answer_sections.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// answerPrefix stands before the order's ID in the name of an answer's
-	// section.
+	// answerPrefix precedes the order's ID in the name of an answer's section.
 	answerPrefix = "answer/"
-	// relayedAnswers is how many answers are relayed with the configuration, so
-	// that a resent order gets its first answer also from a group that was
-	// formed anew with a witness's state.
+	// relayedAnswers bounds the answers that are relayed with the configuration. A group
+	// that lost the majority of its disks, and was formed anew from a state that was
+	// relayed to a node, needs them to return the first answer to a resent order.
 	relayedAnswers = 256
 )
 
-// encodeAnswers makes sections of the newest answers that a revision implies: up
-// to that of the order which made it. Answers to later orders, which changed
-// nothing, follow with the next revision: so all copies relay the same with one
-// revision. Until then such an order changes nothing when it is resent either.
+// encodeAnswers encodes the newest answers as sections, up to the answer to the order that
+// led to the given revision. Answers to later orders, which were accepted without changing
+// anything, are relayed with the next revision, so that all copies relay the same sections
+// for one revision. Until then a resend of such an order changes nothing either.
 func encodeAnswers(revision uint64, oldestFirst []*controlpb.Answer) ([]relaytree.Section, error) {
 	implied := slices.IndexFunc(oldestFirst, func(answer *controlpb.Answer) bool {
 		return answer.GetRevision() >= revision
@@ -64,8 +63,8 @@
 
 func isAnswerSection(name string) bool { return strings.HasPrefix(name, answerPrefix) }
 
-// MergeAnswers adds to the relayed answers those of a log that the relayed ones do
-// not name, oldest first.
+// MergeAnswers returns the relayed answers, and those of the log to other orders, oldest
+// first.
 func MergeAnswers(logged, relayed []*controlpb.Answer) []*controlpb.Answer {
 	known := map[string]struct{}{}
 	for _, answer := range relayed {
--- a/internal/control/shardstate/answer_sections_test.go
+++ b/internal/control/shardstate/answer_sections_test.go
@@ -9,8 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-var _ = Describe("The answers that witnesses hold", func() {
-	It("are those that the revision implies, whatever followed it", func() {
+var _ = Describe("The relayed answers", func() {
+	It("end with the answer to the order that led to the revision, whatever is accepted later", func() {
 		answer := func(id string, revision uint64) *controlpb.Answer {
 			return &controlpb.Answer{OrderId: id, Revision: revision}
 		}
@@ -28,7 +28,7 @@
 		Expect(next).To(HaveLen(5))
 	})
 
-	It("are bounded to the newest", func() {
+	It("are the newest ones where there are too many", func() {
 		var answers []*controlpb.Answer
 		for revision := range uint64(relayedAnswers + 9) {
 			answers = append(answers, &controlpb.Answer{OrderId: fmt.Sprint(revision + 1), Revision: revision + 1})
--- a/internal/control/shardstate/configuration.go
+++ b/internal/control/shardstate/configuration.go
@@ -8,17 +8,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// Configuration is the state of the shard that holds the configuration.
+// Configuration is the state of the configuration shard.
 type Configuration struct {
 	*dynamic.Machine
 }
 
-// NewConfiguration returns the state that a message describes.
+// NewConfiguration returns a state that begins with a copy of the encoded one.
 func NewConfiguration(state *controlpb.ConfigurationState) *Configuration {
 	return &Configuration{Machine: dynamic.NewMachine(state)}
 }
 
-// Revision is the revision of the configuration.
+// Revision returns the revision of the configuration.
 func (c *Configuration) Revision() uint64 {
 	return c.Configuration().GetRevision()
 }
@@ -33,7 +33,7 @@
 	return append(sections, answers...), err
 }
 
-// Equals reports whether a relayed configuration is that of this state.
+// Equals reports whether a relayed configuration equals the configuration of this state.
 func (c *Configuration) Equals(relayed proto.Message) bool {
 	return proto.Equal(c.Configuration(), relayed)
 }
--- a/internal/control/shardstate/received.go
+++ b/internal/control/shardstate/received.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// Received is the newest state of every shard that reached a node.
+// Received contains the newest state of every shard that reached a node.
 type Received struct {
 	configuration *ridgeswitchv1.Configuration
 	services      map[uint32]*controlpb.ServiceState
@@ -17,7 +17,7 @@
 	decoders      map[uint32]*Decoder
 }
 
-// NewReceived returns the states of a node that has received none.
+// NewReceived returns a Received without states.
 func NewReceived() *Received {
 	return &Received{
 		configuration: &ridgeswitchv1.Configuration{},
@@ -27,15 +27,15 @@
 	}
 }
 
-// Configuration returns the newest configuration, which is empty before the first;
+// Configuration returns the newest configuration, or an empty one if none was received;
 // read only.
 func (r *Received) Configuration() *ridgeswitchv1.Configuration { return r.configuration }
 
-// Service returns the newest state of a service shard, or nil before the first; read
+// Service returns the newest state of a service shard, or nil if none was received; read
 // only.
 func (r *Received) Service(shardID uint32) *controlpb.ServiceState { return r.services[shardID] }
 
-// Message returns the newest state of any shard; read only.
+// Message returns the newest state of a shard of either kind; read only.
 func (r *Received) Message(shardID uint32) proto.Message {
 	if shardID == ConfigurationShard {
 		return r.configuration
@@ -43,13 +43,14 @@
 	return r.services[shardID]
 }
 
-// Revision returns the revision of a shard's newest state; 0 before the first.
+// Revision returns the revision of a shard's newest state, or 0 if none was received.
 func (r *Received) Revision(shardID uint32) uint64 { return r.revisions[shardID] }
 
-// Apply takes an update and reports whether it brought a newer state: a node never goes
-// back to an older revision. Snapshot returns the sections of the whole state; it is called when
-// there is no earlier state to apply the update to. After an error the last state
-// stays, and the next update is decoded from the whole state.
+// Apply applies an update and reports whether the state of the shard is newer now. It
+// ignores an update that is not newer, so that a node never returns to an older revision.
+// If the shard has no decoder, as at first and after an error, Apply calls snapshot and
+// decodes the sections of the whole state in place of those of the update. After an error
+// the previous state stays in use.
 func (r *Received) Apply(update relaytree.Update, snapshot func(relaytree.Topic) []relaytree.Section) (bool, error) {
 	shardID := uint32(update.Topic)
 	if update.Revision <= r.revisions[shardID] {
--- a/internal/control/shardstate/section_decoder.go
+++ b/internal/control/shardstate/section_decoder.go
@@ -13,30 +13,32 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// Decoder decodes a message from sections, and a new message from each update to them.
-// Messages share what has not changed, so that callers must not write to one.
+// Decoder decodes a message from sections, and a new message from each update of them.
+// Successive messages share unchanged elements, so that callers must not modify a message.
 type Decoder struct {
 	fields   []*decodedField
 	settings protoreflect.Message
-	// current is the message made last.
+	// current is the newest decoded message.
 	current protoreflect.Message
 }
 
-// decodedField is the elements of one sectioned list.
+// decodedField contains the decoded elements of one sectioned list.
 type decodedField struct {
 	sectionedField
 	elements map[string]*decodedElement
-	// changed are the elements replaced since the last message; reordered means that
-	// their order may have changed.
+	// changed are the elements that were decoded since the newest message; reordered
+	// means that the order of the list may have changed since then.
 	changed   []*decodedElement
 	reordered bool
 }
 
-// decodedElement is an element and its position.
+// decodedElement is an element of a list.
 type decodedElement struct {
+	// predecessor is the key of the preceding element; empty for the first one.
 	predecessor string
 	message     protoreflect.Message
-	position    int
+	// position is the index in the list of the newest message.
+	position int
 }
 
 // NewDecoder returns a decoder for the relayed state of a shard.
@@ -47,7 +49,7 @@
 	return newDecoder(&controlpb.ServiceState{}, serviceFields)
 }
 
-// newDecoder returns a decoder that begins with an empty message.
+// newDecoder returns a decoder for messages of the type of an empty message.
 func newDecoder(empty proto.Message, fields []sectionedField) *Decoder {
 	decoder := &Decoder{
 		settings: empty.ProtoReflect().New(),
@@ -62,8 +64,8 @@
 	return decoder
 }
 
-// Apply decodes the sections that an update changes, and no others. After an
-// error the decoder is of no more use.
+// Apply decodes the sections that an update contains, and no others. After an error the
+// decoder must not be used again.
 func (d *Decoder) Apply(update relaytree.Update) (proto.Message, error) {
 	for _, name := range update.Removed {
 		if field, key := d.fieldOf(name); field != nil {
@@ -83,7 +85,8 @@
 	return next.Interface(), nil
 }
 
-// fieldOf finds the list that a section belongs to, and its key there.
+// fieldOf returns the list that a section belongs to and the key of its element, or nil if
+// the section belongs to none.
 func (d *Decoder) fieldOf(name string) (field *decodedField, key string) {
 	for _, field := range d.fields {
 		if key, found := strings.CutPrefix(name, field.prefix); found {
@@ -104,16 +107,17 @@
 		return nil
 	}
 	if isAnswerSection(section.Name) {
-		// Read only when a group is formed anew.
+		// Answers are read by DecodeAnswers, when a group has lost the majority of its
+		// disks and is formed anew from a relayed state.
 		return nil
 	}
 	field, key := d.fieldOf(section.Name)
 	if field == nil {
-		return &sectionError{section: section.Name, reason: "is of no known kind; let all nodes run one version"}
+		return &sectionError{section: section.Name, reason: "is of an unknown kind; run the same release on all nodes"}
 	}
 	predecessor, length := protowire.ConsumeString(section.Content)
 	if length < 0 {
-		return &sectionError{section: section.Name, reason: "is cut short; it is asked for again with the next revision"}
+		return &sectionError{section: section.Name, reason: "is truncated; the next update is decoded from the complete state"}
 	}
 	message := d.current.NewField(field.descriptor(d.current)).List().NewElement().Message()
 	if err := proto.Unmarshal(section.Content[length:], message.Interface()); err != nil {
@@ -141,7 +145,7 @@
 	f.reordered = true
 }
 
-// assemble makes the message of the present sections.
+// assemble builds the message that the sections encode.
 func (d *Decoder) assemble() (protoreflect.Message, error) {
 	next := d.settings.New()
 	next.SetUnknown(d.settings.GetUnknown())
@@ -157,7 +161,8 @@
 	return next, nil
 }
 
-// assemble gives the next message its list. An unchanged one is shared.
+// assemble sets the list of the next message. It shares an unchanged list with the
+// current message.
 func (f *decodedField) assemble(next, current protoreflect.Message) error {
 	field := f.descriptor(next)
 	switch {
@@ -183,7 +188,8 @@
 	return nil
 }
 
-// inOrder follows the elements from the first one, which has none before it.
+// inOrder returns the elements in the order of the list, which it finds by following the
+// predecessors from the first element on.
 func (f *decodedField) inOrder() ([]protoreflect.Value, error) {
 	following := make(map[string]string, len(f.elements))
 	for key, element := range f.elements {
@@ -196,7 +202,7 @@
 		values = append(values, protoreflect.ValueOfMessage(element.message))
 	}
 	if len(values) != len(f.elements) {
-		return nil, &sectionError{section: f.prefix, reason: "elements are in no order; they are asked for again with the next revision"}
+		return nil, &sectionError{section: f.prefix, reason: "has elements whose predecessors form no list; the next update is decoded from the complete state"}
 	}
 	return values, nil
 }
--- a/internal/control/shardstate/sections.go
+++ b/internal/control/shardstate/sections.go
@@ -14,32 +14,32 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// settingsSection holds every field that isn't a sectioned list.
+// settingsSection is the name of the section with all fields that aren't sectioned lists.
 const settingsSection = "settings"
 
-// sectionedField is a repeated field that is relayed as one section an element,
-// so that a change of one element is relayed alone.
+// sectionedField is a repeated field that is relayed as one section for each element, so
+// that a change of one element is sent without the others.
 type sectionedField struct {
 	name protoreflect.Name
-	// prefix stands before the element's key in the name of its section.
+	// prefix precedes the element's key in the name of its section.
 	prefix string
-	// keys are the element's fields whose values together are unique in the
-	// list. The first one holds no slash, and a further one begins with a slash
-	// or is empty.
+	// keys are the element's fields whose concatenated values are unique in the list.
+	// That is unambiguous because the value of the first one contains no slash, and the
+	// value of a further one begins with a slash or is empty.
 	keys []protoreflect.Name
-	// copy gives a message a list of its own with another's elements. It stands
-	// in for reflection, which would take milliseconds for a large list.
+	// copy replaces the list of the message to by a shallow copy of the list of the
+	// message from. Reflection would take milliseconds for a large list.
 	copy func(to, from proto.Message)
 }
 
-// copyOf makes the copy function of a list.
+// copyOf returns the copy function of the list that elements returns a pointer to.
 func copyOf[M proto.Message, E proto.Message](elements func(M) *[]E) func(to, from proto.Message) {
 	return func(to, from proto.Message) {
 		*elements(to.(M)) = slices.Clone(*elements(from.(M)))
 	}
 }
 
-// configurationFields are the lists of a Configuration.
+// configurationFields are the sectioned lists of a Configuration.
 var configurationFields = []sectionedField{
 	{name: "tenants", prefix: "tenant/", keys: keyedBy("name"), copy: copyOf(tenantsOf)},
 	{name: "pools", prefix: "pool/", keys: keyedBy("name"), copy: copyOf(poolsOf)},
@@ -49,7 +49,7 @@
 	{name: "evacuations", prefix: "evacuation/", keys: keyedBy("zone"), copy: copyOf(evacuationsOf)},
 }
 
-// serviceFields are the lists of a ServiceState that all nodes need.
+// serviceFields are the sectioned lists of a ServiceState.
 var serviceFields = []sectionedField{
 	{name: "replicas", prefix: "replica/", keys: keyedBy("address"), copy: copyOf(replicasOf)},
 }
@@ -72,14 +72,14 @@
 
 func replicasOf(s *controlpb.ServiceState) *[]*controlpb.ReplicaState { return &s.Replicas }
 
-// descriptor is the list's field in a message.
+// descriptor returns the descriptor of the list in a message.
 func (f sectionedField) descriptor(message protoreflect.Message) protoreflect.FieldDescriptor {
 	return message.Descriptor().Fields().ByName(f.name)
 }
 
 func keyedBy(fields ...protoreflect.Name) []protoreflect.Name { return fields }
 
-// keyOf joins an element's values of the key fields.
+// keyOf concatenates the values of an element's key fields.
 func (f sectionedField) keyOf(element protoreflect.Message) string {
 	fields := element.Descriptor().Fields()
 	key := ""
@@ -89,19 +89,19 @@
 	return key
 }
 
-// sectionError tells why a state cannot be relayed in sections.
+// sectionError reports a section that cannot be encoded or decoded.
 type sectionError struct {
 	section string
 	reason  string
 }
 
-// Error names the section and the remedy.
+// Error returns the section, the reason and the remedy.
 func (e *sectionError) Error() string {
 	return fmt.Sprintf("section %q %s", e.section, e.reason)
 }
 
-// encodeSections splits a message into sections. Equal messages give equal sections.
-// It fails if an element of a sectioned list has no key that is unique in the list.
+// encodeSections splits a message into sections. Equal messages result in equal sections.
+// It fails if the key of an element is empty or not unique in its list.
 func encodeSections(message proto.Message, sectioned []sectionedField) ([]relaytree.Section, error) {
 	source := message.ProtoReflect()
 	settings, err := encodeSettings(source, sectioned)
@@ -136,9 +136,9 @@
 	return content, errors.Wrap(err, "encode the settings section")
 }
 
-// encodeElements makes a section of each element. Its content begins with the key of
-// the element before it, empty for the first: so the order is kept, and adding
-// or removing an element changes one other section at most.
+// encodeElements encodes each element of a list as a section. Its content begins with the
+// key of the preceding element, which is empty for the first one. That preserves the order
+// of the list, and adding or removing an element changes at most one other section.
 func encodeElements(source protoreflect.Message, field sectionedField) ([]relaytree.Section, error) {
 	elements := source.Get(field.descriptor(source)).List()
 	sections := make([]relaytree.Section, 0, elements.Len())
@@ -148,7 +148,7 @@
 		element := elements.Get(i).Message()
 		key := field.keyOf(element)
 		if _, duplicate := keys[key]; duplicate || key == "" {
-			return nil, &sectionError{section: field.prefix + key, reason: "needs a key of its own; refuse such a state when it is ordered"}
+			return nil, &sectionError{section: field.prefix + key, reason: "has an empty or duplicate key; the validation of orders must refuse such a state"}
 		}
 		keys[key] = struct{}{}
 		content := protowire.AppendString(nil, predecessor)
--- a/internal/control/shardstate/sections_test.go
+++ b/internal/control/shardstate/sections_test.go
@@ -20,8 +20,8 @@
 	manyTenants        = 22_000
 )
 
-// randomConfiguration changes a configuration at random: it fills the lists with
-// elements of random keys, in random order.
+// randomConfiguration returns a configuration whose lists contain elements with random
+// keys in random order.
 func randomConfiguration(random *rand.Rand, revision uint64) *ridgeswitchv1.Configuration {
 	configuration := &ridgeswitchv1.Configuration{Revision: revision, SharedEpoch: random.Uint64N(3)}
 	for _, number := range random.Perm(random.IntN(12)) {
@@ -49,7 +49,8 @@
 	return configuration
 }
 
-// largeConfiguration has tenants with a key each.
+// largeConfiguration returns a configuration with a number of tenants that have one key
+// each.
 func largeConfiguration(tenants int) *ridgeswitchv1.Configuration {
 	configuration := &ridgeswitchv1.Configuration{Revision: 1}
 	for i := range tenants {
@@ -62,7 +63,8 @@
 	return configuration
 }
 
-// withKey is a copy with one tenant's key changed, under the next revision.
+// withKey returns a copy of a configuration with the next revision and a new key of one
+// tenant.
 func withKey(configuration *ridgeswitchv1.Configuration, tenant int) *ridgeswitchv1.Configuration {
 	next := proto.Clone(configuration).(*ridgeswitchv1.Configuration)
 	next.Revision++
@@ -70,7 +72,7 @@
 	return next
 }
 
-// publish sends a configuration through a relay machine.
+// publish publishes a configuration in the relay tree and returns the update.
 func publish(relay *relaytree.Machine, configuration *ridgeswitchv1.Configuration) relaytree.Update {
 	sections, err := encodeSections(configuration, configurationFields)
 	if err != nil {
@@ -81,7 +83,7 @@
 }
 
 var _ = Describe("sections", func() {
-	It("give exactly the published configurations, and leave the earlier ones alone", func() {
+	It("decode to exactly the published configurations, and don't modify the earlier ones", func() {
 		for seed := range uint64(100) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			relay := relaytree.New(relaytree.Config{Self: "root"})
@@ -99,7 +101,7 @@
 		}
 	})
 
-	It("give exactly the replicas of a service shard", func() {
+	It("decode to exactly the replicas of a service shard", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		relay := relaytree.New(relaytree.Config{Self: "root"})
 		decoder := NewDecoder(1)
@@ -118,7 +120,7 @@
 		}
 	})
 
-	It("decode a changed tenant alone, and cost a child less than 2 KB", func() {
+	It("are decoded for a changed tenant alone, and take less than 2 KB on the wire", func() {
 		relay := relaytree.New(relaytree.Config{Self: "root"})
 		decoder := NewDecoder(ConfigurationShard)
 		first := largeConfiguration(manyTenants)
@@ -141,7 +143,7 @@
 		Expect(bytes).To(BeNumerically("<", 2<<10))
 	})
 
-	It("change one other section when an element comes or goes", func() {
+	It("of one other element change when an element is removed", func() {
 		relay := relaytree.New(relaytree.Config{Self: "root"})
 		configuration := largeConfiguration(9)
 		publish(relay, configuration)
@@ -153,7 +155,7 @@
 		Expect(update.Sections).To(HaveLen(2))
 	})
 
-	It("are refused without keys of their own", func() {
+	It("are not encoded for an empty or duplicate key", func() {
 		for _, names := range [][]string{{"a", "a"}, {""}} {
 			configuration := &ridgeswitchv1.Configuration{}
 			for _, name := range names {
@@ -164,21 +166,21 @@
 		}
 	})
 
-	DescribeTable("are refused when they make no sense", func(name, content string) {
+	DescribeTable("are not decoded if they are malformed", func(name, content string) {
 		_, err := NewDecoder(ConfigurationShard).Apply(relaytree.Update{
 			Sections: []relaytree.Section{{Name: name, Content: []byte(content)}},
 		})
 		Expect(err).To(HaveOccurred())
 	},
-		Entry("of no known kind", "planet/mars", ""),
-		Entry("cut short", "tenant/a", "\x05ab"),
-		Entry("broken element", "tenant/a", "\x00\x0a"),
-		Entry("broken settings", "settings", "\x08"),
-		Entry("after an element that isn't there", "tenant/a", "\x01b"),
-		Entry("after itself", "tenant/a", "\x01a"),
+		Entry("unknown kind", "planet/mars", ""),
+		Entry("truncated predecessor", "tenant/a", "\x05ab"),
+		Entry("malformed element", "tenant/a", "\x00\x0a"),
+		Entry("malformed settings", "settings", "\x08"),
+		Entry("missing predecessor", "tenant/a", "\x01b"),
+		Entry("element that is its own predecessor", "tenant/a", "\x01a"),
 	)
 
-	It("are decoded whole after an update that could not be decoded", func() {
+	It("are all decoded again after an update that could not be decoded", func() {
 		relay := relaytree.New(relaytree.Config{Self: "root"})
 		received := NewReceived()
 		whole := func(topic relaytree.Topic) []relaytree.Section {
@@ -203,7 +205,7 @@
 	})
 })
 
-// BenchmarkEncodeSections is the leader's cost of a change among 22,000 tenants.
+// BenchmarkEncodeSections measures what a change costs the leader with 22,000 tenants.
 func BenchmarkEncodeSections(b *testing.B) {
 	configuration := largeConfiguration(manyTenants)
 	for b.Loop() {
@@ -213,7 +215,7 @@
 	}
 }
 
-// BenchmarkDecodeOneSection is the cost of one changed tenant at every node.
+// BenchmarkDecodeOneSection measures what one changed tenant costs every node.
 func BenchmarkDecodeOneSection(b *testing.B) {
 	relay := relaytree.New(relaytree.Config{Self: "root"})
 	decoder := NewDecoder(ConfigurationShard)
@@ -230,8 +232,8 @@
 	}
 }
 
-// BenchmarkDecodeWhole is the cost of a whole configuration in one piece, to
-// compare.
+// BenchmarkDecodeWhole measures, for comparison, the decoding of a complete configuration
+// that is not split into sections.
 func BenchmarkDecodeWhole(b *testing.B) {
 	data, err := proto.Marshal(largeConfiguration(manyTenants))
 	if err != nil {
--- a/internal/control/shardstate/service.go
+++ b/internal/control/shardstate/service.go
@@ -10,20 +10,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// Service is the state of the services that hash to one shard:
-// the phase and weight version of each replica, and the nodes that serve under
-// it.
+// Service is the state of the services that hash to one shard: the phase and weight
+// version of their replicas, the ages of their weight versions, and the nodes that are
+// registered with the shard.
 type Service struct {
 	state *controlpb.ServiceState
 }
 
-// NewService returns the state that a message describes.
+// NewService returns a state that begins with the given message and owns it.
 func NewService(state *controlpb.ServiceState) *Service {
 	return &Service{state: state}
 }
 
-// Apply carries out a committed command. A command of another kind of shard
-// changes nothing.
+// Apply executes a committed command. A command for the configuration shard changes
+// nothing.
 func (s *Service) Apply(command *controlpb.Command) *controlpb.Answer {
 	switch change := command.GetCommand().(type) {
 	case *controlpb.Command_RegisterNode:
@@ -36,7 +36,8 @@
 	return &controlpb.Answer{Revision: s.state.GetRevision()}
 }
 
-// register adds a node; a newer incarnation of the node replaces an older one.
+// register adds a node, or replaces its registration unless that is of a later
+// incarnation.
 func (s *Service) register(node *controlpb.RegisterNode) {
 	for position, known := range s.state.Nodes {
 		if known.GetNode() != node.GetNode() {
@@ -56,8 +57,8 @@
 	})
 }
 
-// setReplicas replaces the rows of some replicas, and the ages of weights, under a new
-// revision.
+// setReplicas removes, adds and replaces rows of replicas under a new revision. It
+// replaces the ages of weight versions only if the change contains any.
 func (s *Service) setReplicas(change *controlpb.SetReplicas) {
 	s.state.Revision++
 	replaced := map[string]struct{}{}
@@ -84,10 +85,10 @@
 	})
 }
 
-// Revision grows with every change of a replica's row.
+// Revision returns the revision of the replicas, which every SetReplicas command increases.
 func (s *Service) Revision() uint64 { return s.state.GetRevision() }
 
-// Nodes are the nodes that serve under this shard.
+// Nodes returns the nodes that are registered with the shard.
 func (s *Service) Nodes() []*controlpb.RegisterNode { return s.state.GetNodes() }
 
 // Snapshot encodes the whole state.
@@ -95,7 +96,8 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s.state)
 }
 
-// Sections encodes what all nodes need: the replicas and not the registry.
+// Sections encodes the part of the state that all nodes need, which is everything but
+// the registered nodes.
 func (s *Service) Sections() ([]relaytree.Section, error) {
 	return encodeSections(s.relayed(), serviceFields)
 }
@@ -108,15 +110,15 @@
 	}
 }
 
-// Equals reports whether a relayed state is that of this one.
+// Equals reports whether a relayed message equals the relayed part of this state.
 func (s *Service) Equals(relayed proto.Message) bool {
 	return proto.Equal(s.relayed(), relayed)
 }
 
-// Replicas returns the rows, sorted by address; read only.
+// Replicas returns the rows of the replicas, sorted by address; read only.
 func (s *Service) Replicas() []*controlpb.ReplicaState { return s.state.GetReplicas() }
 
-// FindReplica returns the row of a replica, or nil. Rows are sorted by address.
+// FindReplica returns the row with an address, or nil. The rows must be sorted by address.
 func FindReplica(rows []*controlpb.ReplicaState, address string) *controlpb.ReplicaState {
 	position, found := slices.BinarySearchFunc(rows, address, func(row *controlpb.ReplicaState, address string) int {
 		return cmp.Compare(row.GetAddress(), address)
--- a/internal/control/shardstate/service_test.go
+++ b/internal/control/shardstate/service_test.go
@@ -8,7 +8,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-var _ = Describe("The ages of weights", func() {
+var _ = Describe("The ages of weight versions", func() {
 	ages := func(version string, milliseconds uint64) []*controlpb.WeightsAge {
 		return []*controlpb.WeightsAge{{Pool: "chat", WeightVersion: version, AgeMs: milliseconds}}
 	}
@@ -16,7 +16,7 @@
 		service.Apply(&controlpb.Command{Command: &controlpb.Command_SetReplicas{SetReplicas: change}})
 	}
 
-	It("are replaced together, stay when a change has none, survive a snapshot, and reach all nodes", func() {
+	It("are replaced together, stay if a change contains none, survive a snapshot, and are relayed", func() {
 		service := NewService(&controlpb.ServiceState{})
 		set(service, &controlpb.SetReplicas{WeightsAges: ages("2", 1000)})
 		set(service, &controlpb.SetReplicas{WeightsAges: ages("3", 2000)})
--- a/internal/control/shardstate/state.go
+++ b/internal/control/shardstate/state.go
@@ -15,17 +15,17 @@
 
 // State is the replicated state machine of a shard.
 type State interface {
-	// Apply carries out a committed command; every copy gives the same answer.
+	// Apply executes a committed command and returns the same answer on every copy.
 	Apply(command *controlpb.Command) *controlpb.Answer
-	// Revision numbers the states that are relayed to all nodes.
+	// Revision returns the revision of the part of the state that Sections encodes.
 	Revision() uint64
-	// Nodes are the nodes that serve under this shard's state.
+	// Nodes returns the nodes that are registered with the shard.
 	Nodes() []*controlpb.RegisterNode
 	// Snapshot encodes the whole state.
 	Snapshot() ([]byte, error)
-	// Sections encodes what is relayed to all nodes.
+	// Sections encodes the part of the state that is relayed to all nodes.
 	Sections() ([]relaytree.Section, error)
-	// Equals reports whether a relayed state is that of this one.
+	// Equals reports whether a relayed message equals the relayed part of this state.
 	Equals(relayed proto.Message) bool
 }
 
@@ -37,8 +37,8 @@
 	return NewService(&controlpb.ServiceState{})
 }
 
-// Restore decodes what Snapshot encoded; no data stands for the state before the first
-// command.
+// Restore decodes data that State.Snapshot encoded. Empty data is the state before the
+// first command.
 func Restore(id uint32, data []byte) (State, error) {
 	if len(data) == 0 {
 		return New(id), nil
@@ -57,7 +57,8 @@
 	return NewService(state), nil
 }
 
-// ShardOfService returns the shard that holds the replicas of a service.
+// ShardOfService returns the shard that contains the replicas of a service: the
+// configuration shard if there are no service shards.
 func ShardOfService(service string, serviceShards uint32) uint32 {
 	if serviceShards == 0 {
 		return ConfigurationShard
--- a/internal/control/shardstate/zones.go
+++ b/internal/control/shardstate/zones.go
@@ -11,7 +11,7 @@
 	return found
 }
 
-// EvacuatedZones returns the zones to whose back ends no request goes.
+// EvacuatedZones returns the zones whose back ends receive no requests.
 func EvacuatedZones(configuration *ridgeswitchv1.Configuration) ZoneSet {
 	zones := ZoneSet{}
 	for _, evacuation := range configuration.GetEvacuations() {
