--- a/internal/control/shardstate/answer_sections.go
+++ b/internal/control/shardstate/answer_sections.go
@@ -15,10 +15,10 @@
 const (
 	// answerPrefix precedes the order's ID in the name of an answer's section.
 	answerPrefix = "answer/"
-	// relayedAnswers bounds the answers that are relayed with the configuration. A group
+	// maxRelayedAnswers bounds the answers that are relayed with the configuration. A group
 	// that lost the majority of its disks, and was formed anew from a state that was
 	// relayed to a node, needs them to return the first answer to a resent order.
-	relayedAnswers = 256
+	maxRelayedAnswers = 256
 )
 
 // encodeAnswers encodes the newest answers as sections, up to the answer to the order that
@@ -26,15 +26,15 @@
 // anything, are relayed with the next revision, so that all copies relay the same sections
 // for one revision. Until then a resend of such an order changes nothing either.
 func encodeAnswers(revision uint64, oldestFirst []*controlpb.Answer) ([]relaytree.Section, error) {
-	implied := slices.IndexFunc(oldestFirst, func(answer *controlpb.Answer) bool {
+	end := slices.IndexFunc(oldestFirst, func(answer *controlpb.Answer) bool {
 		return answer.GetRevision() >= revision
 	})
-	implied++
-	if implied == 0 {
-		implied = len(oldestFirst)
+	end++
+	if end == 0 {
+		end = len(oldestFirst)
 	}
 	var sections []relaytree.Section
-	for _, answer := range oldestFirst[max(0, implied-relayedAnswers):implied] {
+	for _, answer := range oldestFirst[max(0, end-maxRelayedAnswers):end] {
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(answer)
 		if err != nil {
 			return nil, errors.Wrap(err, "encode an answer")
--- a/internal/control/shardstate/answer_sections_test.go
+++ b/internal/control/shardstate/answer_sections_test.go
@@ -14,28 +14,28 @@
 		answer := func(id string, revision uint64) *controlpb.Answer {
 			return &controlpb.Answer{OrderId: id, Revision: revision}
 		}
-		made := []*controlpb.Answer{answer("a", 1), answer("kept-1", 1), answer("b", 2)}
-		first, err := encodeAnswers(2, made)
+		accepted := []*controlpb.Answer{answer("a", 1), answer("kept-1", 1), answer("b", 2)}
+		first, err := encodeAnswers(2, accepted)
 		Expect(err).NotTo(HaveOccurred())
-		later, err := encodeAnswers(2, append(made, answer("kept-2", 2)))
+		later, err := encodeAnswers(2, append(accepted, answer("kept-2", 2)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(later).To(Equal(first))
-		held, err := DecodeAnswers(first)
+		decoded, err := DecodeAnswers(first)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held).To(HaveLen(3))
-		next, err := encodeAnswers(3, append(made, answer("kept-2", 2), answer("c", 3)))
+		Expect(decoded).To(HaveLen(3))
+		next, err := encodeAnswers(3, append(accepted, answer("kept-2", 2), answer("c", 3)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next).To(HaveLen(5))
 	})
 
 	It("are the newest ones where there are too many", func() {
 		var answers []*controlpb.Answer
-		for revision := range uint64(relayedAnswers + 9) {
+		for revision := range uint64(maxRelayedAnswers + 9) {
 			answers = append(answers, &controlpb.Answer{OrderId: fmt.Sprint(revision + 1), Revision: revision + 1})
 		}
-		sections, err := encodeAnswers(relayedAnswers+9, answers)
+		sections, err := encodeAnswers(maxRelayedAnswers+9, answers)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(sections).To(HaveLen(relayedAnswers))
+		Expect(sections).To(HaveLen(maxRelayedAnswers))
 		Expect(sections[0].Name).To(Equal(answerPrefix + "10"))
 	})
 })
--- a/internal/control/shardstate/sections_test.go
+++ b/internal/control/shardstate/sections_test.go
@@ -40,9 +40,9 @@
 		route := &ridgeswitchv1.Route{Host: name, Destination: &ridgeswitchv1.Route_Pool{Pool: name}}
 		configuration.Routes = append(configuration.Routes, route)
 		for _, prefix := range random.Perm(random.IntN(3)) {
-			below := proto.CloneOf(route)
-			below.PathPrefix = fmt.Sprintf("/%d/", prefix)
-			configuration.Routes = append(configuration.Routes, below)
+			pathRoute := proto.CloneOf(route)
+			pathRoute.PathPrefix = fmt.Sprintf("/%d/", prefix)
+			configuration.Routes = append(configuration.Routes, pathRoute)
 		}
 		configuration.Evacuations = append(configuration.Evacuations, &ridgeswitchv1.ZoneEvacuation{Zone: name})
 	}
