--- a/internal/control/shards/proposals.go
+++ b/internal/control/shards/proposals.go
@@ -10,18 +10,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Proposal is a command of this node, as leader, that a node waits for until it is
-// applied.
+// Proposal is a command that this node appended to the log as the leader, on behalf of a
+// node that waits until the command is applied.
 type Proposal struct {
-	// term is that of the leadership in which the command was appended.
+	// term is the term in which the command was appended.
 	term uint64
-	// From is the node that waits, and Message what it asked for.
+	// From is the node that waits, and Message its request.
 	From    member.ID
 	Message protocol.Message
 }
 
-// HasProposal reports whether a proposal of the present leadership waits to be
-// applied. One of an earlier leadership may have been lost for good.
+// HasProposal reports whether a matching proposal of the present term waits to be applied.
+// It ignores proposals of earlier terms, as a later leader may have replaced their entries.
 func (s *Shard) HasProposal(matches func(Proposal) bool) bool {
 	term := s.Term()
 	for _, open := range s.proposals {
@@ -32,8 +32,9 @@
 	return false
 }
 
-// Propose appends an encoded command that a node waits for. If this node does not lead
-// the shard any more the command is dropped, and the node asks again.
+// Propose appends an encoded command that a node waits for. If the group refuses it, as
+// when this node no longer leads the shard, the command is dropped, and the waiting node
+// has to repeat its request.
 func (s *Shard) Propose(now time.Duration, payload []byte, proposed Proposal) {
 	index, err := s.group.Propose(now, payload)
 	if err != nil {
@@ -44,7 +45,7 @@
 	s.Process()
 }
 
-// ProposeCommand encodes and appends a command that nobody waits for.
+// ProposeCommand encodes and appends a command that no node waits for.
 func (s *Shard) ProposeCommand(now time.Duration, command *controlpb.Command) {
 	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
 	if err != nil {
@@ -52,15 +53,16 @@
 		return
 	}
 	if _, err := s.group.Propose(now, payload); err != nil {
-		// Leadership was lost; the next leader decides anew.
+		// This node no longer leads the shard, or too many entries are uncommitted. The
+		// leader derives the command again from a later state.
 		return
 	}
 	s.Process()
 }
 
-// takeProposal ends the proposal at an index and returns it, or nil if there is none or the
-// term has changed since it was appended: another leader's entry may stand at the index
-// then. Its sender asks again.
+// takeProposal removes and returns the proposal at an index. It returns nil if there is
+// none, or if the term has changed since the command was appended: the entry at the index
+// may be another leader's then, and the waiting node has to repeat its request.
 func (s *Shard) takeProposal(index uint64) *Proposal {
 	open, found := s.proposals[index]
 	if !found {
--- a/internal/control/shards/ready.go
+++ b/internal/control/shards/ready.go
@@ -15,7 +15,8 @@
 	s.Process()
 }
 
-// Process carries out what the group is ready to do.
+// Process handles everything that the group has ready, up to the next write that has to
+// become durable. It does nothing while a write is outstanding.
 func (s *Shard) Process() {
 	if s.checkpointDue && !s.writing {
 		s.startCheckpoint()
@@ -32,7 +33,7 @@
 	}
 }
 
-// startCheckpoint writes the compacted state in place of the whole log.
+// startCheckpoint writes a checkpoint, which replaces the whole durable log.
 func (s *Shard) startCheckpoint() {
 	state := s.group.Checkpoint()
 	s.checkpointDue = false
@@ -41,7 +42,7 @@
 	s.host.Write(Write{Shard: s.id, Checkpoint: &state})
 }
 
-// Written reports that the outstanding write is durable.
+// Written must be called when the outstanding write is durable.
 func (s *Shard) Written() {
 	if !s.writing {
 		return
@@ -55,7 +56,8 @@
 	s.Process()
 }
 
-// finish sends and applies what a durable Ready allows.
+// finish sends the messages and applies the entries of a Ready. Whatever the Ready
+// requires to be durable is durable.
 func (s *Shard) finish(ready replication.Ready) {
 	for _, outbound := range ready.Messages {
 		s.host.SendReplication(outbound.To, s.id, outbound.Message)
@@ -87,8 +89,8 @@
 func (s *Shard) applyCommand(entry replication.Entry) {
 	command := &controlpb.Command{}
 	if err := proto.Unmarshal(entry.Command, command); err != nil {
-		// Every member fails alike on the same bytes, so that skipping keeps
-		// the copies equal.
+		// Every member fails to decode the same bytes, so that skipping the entry
+		// keeps the copies equal.
 		s.badEntries++
 		return
 	}
@@ -96,15 +98,16 @@
 	s.host.Applied(s, command, answer, s.takeProposal(entry.Index))
 }
 
-// replaceState replaces the state by a snapshot. One that can't be decoded is counted,
-// and the state stays.
+// replaceState replaces the state by a snapshot. It counts a snapshot that can't be
+// decoded, and keeps the present state.
 func (s *Shard) replaceState(snapshot *replication.Snapshot) {
 	if err := s.restore(snapshot); err != nil {
 		s.badEntries++
 	}
 }
 
-// isLong reports whether the applied log has become long, by its entries or their bytes.
+// isLong reports whether the log that was applied since the last compaction has reached the
+// bound on its entries or on their bytes.
 func (s *Shard) isLong() bool {
 	if s.applied == s.compacted {
 		return false
@@ -112,7 +115,8 @@
 	return s.applied-s.compacted >= s.maxLogEntries || (s.maxLogBytes > 0 && s.appliedBytes >= s.maxLogBytes)
 }
 
-// compactWhenLong replaces the applied log by a snapshot once it is long.
+// compactWhenLong replaces the applied log by a snapshot if it is long. The next Process
+// writes the checkpoint.
 func (s *Shard) compactWhenLong() {
 	if !s.isLong() {
 		return
--- a/internal/control/shards/shard.go
+++ b/internal/control/shards/shard.go
@@ -12,59 +12,64 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// Write is what a shard has to write. Shard.Written is to be called when it is durable.
+// Write is data that a shard requires to be durable. Shard.Written must be called when it
+// is.
 type Write struct {
 	Shard uint32
 	Ready replication.Ready
-	// Checkpoint, if set, replaces everything written before; Ready is empty.
+	// Checkpoint, if set, replaces everything that was written before; Ready is empty then.
 	Checkpoint *replication.Restored
 }
 
-// Host carries out what a shard is ready to do.
+// Host sends, writes and uses the results of a shard.
 type Host interface {
 	// SendReplication sends a message to another member of a shard's group.
 	SendReplication(to member.ID, shardID uint32, message replication.Message)
-	// Write has something made durable.
+	// Write requests that data be made durable.
 	Write(write Write)
-	// Applied is called after each committed command. The proposal is that of this
-	// node which the command comes from, if it still leads in the same term; else nil.
+	// Applied is called after each command that was applied. The proposal is the one with
+	// which this node appended the command, or nil if there is none or the term has changed
+	// since.
 	Applied(shard *Shard, command *controlpb.Command, answer *controlpb.Answer, proposed *Proposal)
-	// ReadsFinished is called with the reads that a quorum has confirmed, or that have
-	// failed.
+	// ReadsFinished is called with each Ready after its commands were applied. It contains
+	// the reads that a quorum has confirmed and those that have failed, if any.
 	ReadsFinished(shard *Shard, ready replication.Ready)
-	// Committed is called after the state may have changed.
+	// Committed is called last for each Ready. The state may have changed.
 	Committed(shard *Shard)
 }
 
 // Shard is this node's copy of one shard.
 type Shard struct {
-	id      uint32
-	host    Host
-	group   *replication.Group
-	state   shardstate.State
+	id    uint32
+	host  Host
+	group *replication.Group
+	state shardstate.State
+	// applied is the index of the last applied entry.
 	applied uint64
 	// compacted is the index of the last snapshot or restored state; the length of the
 	// applied log is counted from it.
 	compacted uint64
-	// appliedBytes is the size of the commands applied since then.
+	// appliedBytes is the size of the commands that were applied after compacted.
 	appliedBytes int
-	// maxLogEntries and maxLogBytes are how long the applied log may become; zero bytes
-	// are no bound.
+	// maxLogEntries and maxLogBytes bound the applied log; if maxLogBytes is 0, its size
+	// in bytes is not bounded.
 	maxLogEntries uint64
 	maxLogBytes   int
-	// writing means that a write is outstanding: a checkpoint if checkpointing,
-	// else what outstanding holds.
+	// writing means that a write is outstanding: a checkpoint if checkpointing is set,
+	// otherwise the Ready in outstanding. checkpointDue means that a checkpoint is to be
+	// written next.
 	writing       bool
 	checkpointing bool
 	checkpointDue bool
 	outstanding   replication.Ready
-	// badEntries counts entries that could not be decoded or encoded.
+	// badEntries counts the failures to decode or encode data of the shard, to compact its
+	// log and to recover its group.
 	badEntries uint64
-	// proposals are this node's commands that wait to be applied, by their index.
+	// proposals are this node's commands that wait to be applied, by their log index.
 	proposals map[uint64]Proposal
 }
 
-// New starts a copy from what the disk kept.
+// New returns a copy of a shard that begins with the restored durable state.
 func New(id uint32, host Host, config replication.Config, restored replication.Restored, now time.Duration) (*Shard, error) {
 	group, err := replication.New(config, restored, now)
 	if err != nil {
@@ -97,7 +102,7 @@
 	s.applied = snapshot.Index
 	s.compacted = snapshot.Index
 	s.appliedBytes = 0
-	// The entries up to there are not applied one by one any more.
+	// The snapshot includes these entries, so that Applied will not be called for them.
 	maps.DeleteFunc(s.proposals, func(index uint64, _ Proposal) bool { return index <= snapshot.Index })
 	return nil
 }
@@ -114,7 +119,7 @@
 // Term returns the newest term of the shard's group.
 func (s *Shard) Term() uint64 { return s.group.Status().Term }
 
-// State returns the state after all entries that have been applied; read only.
+// State returns the state after the last applied entry; read only.
 func (s *Shard) State() shardstate.State { return s.state }
 
 // Revision returns the revision of State.
@@ -123,19 +128,20 @@
 // Nodes returns the registered nodes; read only.
 func (s *Shard) Nodes() []*controlpb.RegisterNode { return s.state.Nodes() }
 
-// Applied returns the index of the last entry that has been applied.
+// Applied returns the index of the last applied entry.
 func (s *Shard) Applied() uint64 { return s.applied }
 
-// AllApplied reports whether everything in the log has been applied. For a leader
-// that includes the barrier of its own term, and so all that earlier leaders
-// committed.
+// AllApplied reports whether every entry of the log has been applied. For a leader that
+// includes the barrier entry of its own term, and therefore all entries that earlier
+// leaders committed.
 func (s *Shard) AllApplied() bool {
 	status := s.group.Status()
 	return status.Applied == status.LastIndex
 }
 
-// BadEntries returns how many entries could not be decoded or encoded.
+// BadEntries returns the number of failures to decode or encode data of the shard, to
+// compact its log and to recover its group.
 func (s *Shard) BadEntries() uint64 { return s.badEntries }
 
-// CountBadEntry counts what could not be decoded or encoded.
+// CountBadEntry counts a failure that BadEntries reports.
 func (s *Shard) CountBadEntry() { s.badEntries++ }
--- a/internal/control/shards/shard_test.go
+++ b/internal/control/shards/shard_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "shards")
 }
 
-// silentHost carries out nothing.
+// silentHost is a Host that does nothing.
 type silentHost struct{}
 
 func (silentHost) SendReplication(member.ID, uint32, replication.Message)           {}
@@ -28,8 +28,10 @@
 func (silentHost) Committed(*Shard)                                                 {}
 
 var _ = Describe("A shard", func() {
-	// Guards against proposals of a lost leadership that are kept for good (issue 37).
-	It("keeps no proposal whose entry a snapshot covers", func() {
+	// A member that lost the leadership and restored a snapshot must not retain its proposals
+	// for the entries before it forever: those entries are never applied one by one
+	// (issue 37).
+	It("drops the proposals whose entries a snapshot includes", func() {
 		shard, err := New(shardstate.ConfigurationShard, silentHost{}, replication.Config{
 			Self: "a", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"a", "b", "c"},
 			HeartbeatEvery: time.Second, ElectionTimeout: 3 * time.Second,
