--- a/internal/control/shards/proposals.go
+++ b/internal/control/shards/proposals.go
@@ -24,8 +24,8 @@
 // It ignores proposals of earlier terms, as a later leader may have replaced their entries.
 func (s *Shard) HasProposal(matches func(Proposal) bool) bool {
 	term := s.Term()
-	for _, open := range s.proposals {
-		if open.term == term && matches(open) {
+	for _, pending := range s.proposals {
+		if pending.term == term && matches(pending) {
 			return true
 		}
 	}
@@ -64,13 +64,13 @@
 // none, or if the term has changed since the command was appended: the entry at the index
 // may be another leader's then, and the waiting node has to repeat its request.
 func (s *Shard) takeProposal(index uint64) *Proposal {
-	open, found := s.proposals[index]
+	pending, found := s.proposals[index]
 	if !found {
 		return nil
 	}
 	delete(s.proposals, index)
-	if s.Term() != open.term {
+	if s.Term() != pending.term {
 		return nil
 	}
-	return &open
+	return &pending
 }
--- a/internal/control/shards/ready.go
+++ b/internal/control/shards/ready.go
@@ -70,7 +70,7 @@
 	}
 	s.host.ReadsFinished(s, ready)
 	s.group.Advance()
-	s.compactWhenLong()
+	s.compactIfDue()
 	s.host.Committed(s)
 }
 
@@ -106,19 +106,19 @@
 	}
 }
 
-// isLong reports whether the log that was applied since the last compaction has reached the
-// bound on its entries or on their bytes.
-func (s *Shard) isLong() bool {
+// compactionDue reports whether the log that was applied since the last compaction has
+// reached the bound on its entries or on their bytes.
+func (s *Shard) compactionDue() bool {
 	if s.applied == s.compacted {
 		return false
 	}
 	return s.applied-s.compacted >= s.maxLogEntries || (s.maxLogBytes > 0 && s.appliedBytes >= s.maxLogBytes)
 }
 
-// compactWhenLong replaces the applied log by a snapshot if it is long. The next Process
-// writes the checkpoint.
-func (s *Shard) compactWhenLong() {
-	if !s.isLong() {
+// compactIfDue replaces the applied log by a snapshot if a compaction is due. The next
+// Process writes the checkpoint.
+func (s *Shard) compactIfDue() {
+	if !s.compactionDue() {
 		return
 	}
 	data, err := s.state.Snapshot()
--- a/internal/control/shards/shard_test.go
+++ b/internal/control/shards/shard_test.go
@@ -18,21 +18,21 @@
 	RunSpecs(t, "shards")
 }
 
-// silentHost is a Host that does nothing.
-type silentHost struct{}
+// noopHost is a Host that does nothing.
+type noopHost struct{}
 
-func (silentHost) SendReplication(member.ID, uint32, replication.Message)           {}
-func (silentHost) Write(Write)                                                      {}
-func (silentHost) Applied(*Shard, *controlpb.Command, *controlpb.Answer, *Proposal) {}
-func (silentHost) ReadsFinished(*Shard, replication.Ready)                          {}
-func (silentHost) Committed(*Shard)                                                 {}
+func (noopHost) SendReplication(member.ID, uint32, replication.Message)           {}
+func (noopHost) Write(Write)                                                      {}
+func (noopHost) Applied(*Shard, *controlpb.Command, *controlpb.Answer, *Proposal) {}
+func (noopHost) ReadsFinished(*Shard, replication.Ready)                          {}
+func (noopHost) Committed(*Shard)                                                 {}
 
 var _ = Describe("A shard", func() {
 	// A member that lost the leadership and restored a snapshot must not retain its proposals
 	// for the entries before it forever: those entries are never applied one by one
 	// (issue 37).
 	It("drops the proposals whose entries a snapshot includes", func() {
-		shard, err := New(shardstate.ConfigurationShard, silentHost{}, replication.Config{
+		shard, err := New(shardstate.ConfigurationShard, noopHost{}, replication.Config{
 			Self: "a", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"a", "b", "c"},
 			HeartbeatEvery: time.Second, ElectionTimeout: 3 * time.Second,
 		}, replication.Restored{}, 0)
