--- a/internal/control/view/builder.go
+++ b/internal/control/view/builder.go
@@ -16,32 +16,32 @@
 type Config struct {
 	// ServiceShards is the number of shards that services hash to.
 	ServiceShards uint32
-	// ReplicasFinishFirst means that replicas need not be drained before they load
-	// weights.
+	// ReplicasFinishFirst means that replicas finish their requests by themselves before
+	// they load weights, so that nodes need not drain them.
 	ReplicasFinishFirst bool
-	// WeightsDeadline is how long after a version was named replicas that do not run
-	// it are given up; 0 means never.
+	// WeightsDeadline is the time after the naming of a weight version at which the node
+	// stops using replicas that do not run it; 0 means never.
 	WeightsDeadline time.Duration
 }
 
-// Inputs are what a view is made from.
+// Inputs are the inputs of Builder.Build.
 type Inputs struct {
 	Received *shardstate.Received
 	// Endpoints are the back ends of each service in the platform's list.
 	Endpoints map[string][]listing.Replica
-	// Registered reports whether the node may serve under a shard.
+	// Registered reports whether the node may send requests to the replicas of a shard.
 	Registered func(shardID uint32) bool
 }
 
-// Builder makes views. It owns for how long the weight versions of pools have been named.
+// Builder builds views, and tracks how long the weight versions of pools have been named.
 type Builder struct {
 	config  Config
 	weights *namedweights.Tracker
-	// rollouts are those of the newest view.
+	// rollouts are the roll-outs in the newest view.
 	rollouts []RolloutProgress
 }
 
-// NewBuilder returns a builder that has seen no configuration.
+// NewBuilder returns a builder that has built no view.
 func NewBuilder(config Config) *Builder {
 	return &Builder{config: config, weights: namedweights.New(config.WeightsDeadline)}
 }
@@ -50,7 +50,7 @@
 // only.
 func (b *Builder) NamedWeights(pool string) []namedweights.Version { return b.weights.Versions(pool) }
 
-// Build joins configuration, service shards and the platform's list.
+// Build builds a view from the configuration, the service shards and the platform's list.
 func (b *Builder) Build(now time.Duration, inputs Inputs) *routing.View {
 	configuration := inputs.Received.Configuration()
 	b.rollouts = nil
@@ -102,8 +102,8 @@
 	}
 }
 
-// choicesOf resolves the destinations of a route. The configuration was checked:
-// a name that is not found is one of a later configuration.
+// choicesOf resolves the destinations of a route. It omits a destination that the view does
+// not contain; the validation of the configuration refuses such a route.
 func choicesOf(view *routing.View, route *ridgeswitchv1.Route) []routing.Choice {
 	var choices []routing.Choice
 	add := func(pool, webService string, weight uint32) {
@@ -121,9 +121,9 @@
 	return choices
 }
 
-// pool lists a pool's replicas. Where replicas are drained before they load
-// weights, a node without a registration with the shard that holds them would not
-// be waited for, so that it admits nothing to them.
+// pool returns a pool with its replicas. Where nodes drain replicas before these load
+// weights, the leader of the service's shard waits only for registered nodes to drain a
+// replica, so that a node that isn't registered with the shard must not send any requests.
 func (b *Builder) pool(now time.Duration, inputs Inputs, pool *ridgeswitchv1.Pool, evacuated shardstate.ZoneSet) *routing.Pool {
 	shardID := shardstate.ShardOfService(pool.GetService(), b.config.ServiceShards)
 	registered := b.config.ReplicasFinishFirst || inputs.Registered(shardID)
@@ -152,7 +152,7 @@
 	return entry
 }
 
-// replica is a back end as traffic sees it.
+// replica returns the entry of a back end in a view.
 func replica(endpoint listing.Replica, version string, admitting bool) routing.Replica {
 	return routing.Replica{
 		Address:        endpoint.Address,
--- a/internal/control/view/rollout_progress.go
+++ b/internal/control/view/rollout_progress.go
@@ -10,24 +10,25 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// RolloutProgress is how far the weights that were named for a pool have come, by the
-// newest view.
+// RolloutProgress is the progress of the roll-out of the weight version that is named for a
+// pool, as of the newest view.
 type RolloutProgress struct {
 	Pool    string
 	Version string
-	// NamedAt is since when this node has counted the version as named.
+	// NamedAt is when the version was named, on this node's clock.
 	NamedAt time.Duration
-	// Overdue means that the deadline of the version, or of one before it, has passed.
+	// Overdue means that the deadline of the version, or of an earlier one, has passed.
 	Overdue bool
-	// Replicas counts those of the pool, Outdated those that don't run the version, and
-	// OutdatedAdmitting those of them that get requests.
+	// Replicas is the number of replicas of the pool, Outdated the number of those that have
+	// not reached the version, and OutdatedAdmitting the number of outdated ones that get
+	// requests.
 	Replicas          int
 	Outdated          int
 	OutdatedAdmitting int
 }
 
 // Rollouts returns the progress of all pools with named weights, in the order of the
-// configuration; read only, and until the next view is built.
+// configuration. The result is read only, and valid until the next view is built.
 func (b *Builder) Rollouts() []RolloutProgress { return b.rollouts }
 
 // recordProgress records the progress of a pool in the view that is being built.
--- a/internal/control/view/rollout_progress_test.go
+++ b/internal/control/view/rollout_progress_test.go
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("The progress of a roll-out", func() {
-	It("counts the replicas without the named version, and those of them that get requests", func() {
+	It("counts the replicas that have not reached the named version, and those of them that get requests", func() {
 		builder := NewBuilder(Config{})
 		builder.recordProgress(&routing.Pool{
 			Config: &ridgeswitchv1.Pool{Name: "chat"},
@@ -34,7 +34,7 @@
 		}}))
 	})
 
-	It("has nothing of a pool without named weights", func() {
+	It("contains no pool without named weights", func() {
 		builder := NewBuilder(Config{})
 		builder.recordProgress(&routing.Pool{Config: &ridgeswitchv1.Pool{Name: "chat"}}, nil, false)
 		Expect(builder.Rollouts()).To(BeEmpty())
--- a/internal/control/view/weights_deadline.go
+++ b/internal/control/view/weights_deadline.go
@@ -8,22 +8,24 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// requiredPoolDivisor is the share of a pool, one in so many replicas, that must run a named
-// version before a node gives up the replicas that do not by its own clock alone.
+// requiredPoolDivisor determines the part of a pool, one in requiredPoolDivisor replicas, that
+// must have reached a named version before a node excludes the other replicas by its own
+// clock alone.
 const requiredPoolDivisor = 4
 
 // DeadlinePassed reports whether the deadline of a named version lies between two instants,
-// so that the view is to be built anew.
+// so that the view must be rebuilt.
 func (b *Builder) DeadlinePassed(before, now time.Duration) bool {
 	return b.weights.DeadlinePassed(before, now)
 }
 
-// excludeOutdated keeps requests from replicas that do not run named weights although the
-// deadline has passed. It returns whether there is such a version.
+// excludeOutdated stops admitting requests to the replicas that have not reached a named
+// version by its deadline. It returns whether the deadline of a version has passed.
 //
-// If the leader of the shard has replicated that, control has worked for all that time, and
-// nothing excuses an outdated replica. By the clock of this node alone there may have been
-// nobody to command the replicas: they are given up once enough others run the version.
+// If the leader of the shard has replicated an age beyond the deadline, leaders were able to
+// command the replicas for all that time, and every outdated replica is excluded. If the
+// deadline has passed only by the clock of this node, there may have been no leader to
+// command the replicas: they are excluded once enough others have reached the version.
 func (b *Builder) excludeOutdated(now time.Duration, pool *routing.Pool, versions []namedweights.Version) (overdue bool) {
 	deadline := b.config.WeightsDeadline
 	if deadline <= 0 {
@@ -43,8 +45,8 @@
 	return overdue
 }
 
-// enoughReached reports whether enough replicas of a pool run the first of some versions, or
-// a later one.
+// enoughReached reports whether enough replicas of a pool admit requests and have reached the
+// first of some versions, or run one that was named later.
 func enoughReached(pool *routing.Pool, required []namedweights.Version) bool {
 	reached := 0
 	for _, replica := range pool.Replicas {
@@ -55,7 +57,8 @@
 	return reached > 0 && reached*requiredPoolDivisor >= len(pool.Replicas)
 }
 
-// excludeBefore keeps requests from replicas that run none of some versions.
+// excludeBefore stops admitting requests to the replicas that have not reached the first of
+// some versions, and run none that was named later.
 func excludeBefore(pool *routing.Pool, required []namedweights.Version) {
 	for position := range pool.Replicas {
 		replica := &pool.Replicas[position]
--- a/internal/control/view/weights_deadline_test.go
+++ b/internal/control/view/weights_deadline_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-var _ = Describe("The deadline of weights", func() {
+var _ = Describe("The deadline of a weight version", func() {
 	const (
 		deadline = 10 * time.Second
 		now      = 30 * time.Second
@@ -29,31 +29,31 @@
 	}
 	passed, pending := now-deadline, now-deadline+time.Millisecond
 
-	DescribeTable("takes outdated replicas out of use",
+	DescribeTable("excludes outdated replicas",
 		func(pool *routing.Pool, versions []namedweights.Version, overdue bool, expected []string) {
 			builder := NewBuilder(Config{WeightsDeadline: deadline})
 			Expect(builder.excludeOutdated(now, pool, versions)).To(Equal(overdue))
 			Expect(admitting(pool)).To(Equal(expected))
 		},
-		Entry("not before it has passed",
+		Entry("only after it has passed",
 			poolOf("1", "2"), []namedweights.Version{{Name: "2", Since: pending}}, false, []string{"1", "2"}),
-		Entry("once a quarter of the pool runs the version, by the node's own clock",
+		Entry("if a quarter of the pool runs the version, by the node's own clock",
 			poolOf("1", "2", "1", "1"), []namedweights.Version{{Name: "2", Since: passed}}, true, []string{"2"}),
-		Entry("not while fewer do, by the node's own clock",
+		Entry("not if less than a quarter of the pool runs the version, by the node's own clock",
 			poolOf("1", "2", "1", "1", "1"), []namedweights.Version{{Name: "2", Since: passed}}, true, []string{"1", "2", "1", "1", "1"}),
 		Entry("whatever the rest of the pool runs, if the leader has replicated that it passed",
 			poolOf("1", "1"), []namedweights.Version{{Name: "2", Since: passed, ReplicatedAge: deadline}}, true, []string{}),
-		Entry("of each version by itself, also if another one was named since",
+		Entry("for each version separately, even if another one was named since",
 			poolOf("1", "2", "3"),
 			[]namedweights.Version{{Name: "2", Since: passed, ReplicatedAge: deadline}, {Name: "3", Since: pending}},
 			true, []string{"2", "3"}),
-		Entry("but none that runs a version which was named later, whatever its name",
+		Entry("except those that run a version that was named later, whatever its name",
 			poolOf("b", "a", "c"),
 			[]namedweights.Version{{Name: "b", Since: passed, ReplicatedAge: deadline}, {Name: "a", Since: pending}},
 			true, []string{"b", "a"}),
 	)
 
-	It("is none without a setting", func() {
+	It("excludes nothing if it is not configured", func() {
 		pool := poolOf("1", "2")
 		Expect(NewBuilder(Config{}).excludeOutdated(now, pool, []namedweights.Version{{Name: "2"}})).To(BeFalse())
 		Expect(admitting(pool)).To(HaveLen(2))
