--- a/internal/control/confirmation/disseminator.go
+++ b/internal/control/confirmation/disseminator.go
@@ -8,39 +8,42 @@
 )
 
 const (
-	// announceEvery is how often a leader tells a node which has not confirmed
-	// anything that it leads the shard.
+	// announceEvery is the interval at which a leader repeats the announcement of its
+	// leadership to a node that has not confirmed anything.
 	announceEvery = time.Second
-	// directSendDelay is how long the relay tree may take before the leader of a
-	// shard sends a new state directly to nodes that have not confirmed it, and
-	// how often it does.
+	// directSendDelay is how long the leader of a shard waits for the relay tree before
+	// it sends a new state directly to nodes that have not confirmed it, and the interval
+	// at which it repeats that.
 	directSendDelay = 200 * time.Millisecond
-	// maxDirectSends bounds the nodes that a leader sends to at once.
+	// maxDirectSends bounds the nodes that a leader sends a state to at once.
 	maxDirectSends = 16
 )
 
-// progress is how far the newest state of a shard has come that this node leads.
+// progress is how far the newest state of a shard that this node leads has been distributed.
 type progress struct {
-	// term is that of the leadership which the rest belongs to.
+	// term is the term of the leadership that the other fields belong to.
 	term uint64
-	// announcements is when each incarnation of a node was last informed of the leadership.
+	// announcements are the last announcements of the leadership to each node.
 	announcements map[member.ID]announcement
-	// revision is the newest one published, and publishedAt since when.
+	// revision is the newest revision of the shard, and publishedAt when it was first seen.
 	revision    uint64
 	publishedAt time.Duration
-	nextSend    time.Duration
-	// nextReceiver chooses whom to send to first.
+	// nextSend is when the newest state is next sent directly.
+	nextSend time.Duration
+	// nextReceiver selects the first of the nodes that are sent to, so that all nodes that
+	// are behind get their turn.
 	nextReceiver int
 }
 
+// announcement is an announcement to one incarnation of a node.
 type announcement struct {
 	incarnation member.Incarnation
 	at          time.Duration
 }
 
-// Disseminator makes the leadership of shards known, and brings their newest states to
-// nodes that the relay tree did not reach in time: because their parent is down, frozen
-// or partitioned, or because they see other members than their parents do.
+// Disseminator announces the leadership of shards, and sends their newest states to nodes
+// that the relay tree did not reach in time: because their parent is down, suspended or
+// partitioned, or because their table of members differs from their parent's.
 type Disseminator struct {
 	self    member.ID
 	members Members
@@ -50,7 +53,7 @@
 	shards    map[uint32]*progress
 }
 
-// NewDisseminator returns the disseminator of a node that has led nothing yet.
+// NewDisseminator returns the Disseminator of a node that has led no shard yet.
 func NewDisseminator(self member.ID, members Members, table *Table, sendState func(to member.ID, shardID uint32)) *Disseminator {
 	return &Disseminator{
 		self:      self,
@@ -61,7 +64,8 @@
 	}
 }
 
-// Tick goes on with a shard that this node leads and in which it has committed an entry.
+// Tick announces the leadership of a shard and sends its newest state where that is due. This
+// node must lead the shard and have committed an entry in the present term.
 func (d *Disseminator) Tick(now time.Duration, shard Shard) {
 	state := d.shards[shard.ID()]
 	if state == nil || state.term != shard.Term() {
@@ -72,8 +76,8 @@
 	d.sendDirectly(now, shard, state)
 }
 
-// announce tells nodes that this one leads the shard, and asks what they serve. Those
-// that answer confirm what they serve from then on by themselves.
+// announce tells the live nodes that this one leads the shard, and asks which revisions they
+// serve. A node that knows the leader sends it later confirmations without being asked.
 func (d *Disseminator) announce(now time.Duration, shard Shard, state *progress) {
 	for _, record := range d.members.Records() {
 		if !d.isLiveOther(record) {
@@ -110,7 +114,7 @@
 	state.nextReceiver += maxDirectSends
 }
 
-// nodesBehind lists the live nodes that have not confirmed the newest revision.
+// nodesBehind returns the live nodes that have not confirmed the newest revision.
 func (d *Disseminator) nodesBehind(shard Shard, state *progress) []member.ID {
 	var behind []member.ID
 	for _, record := range d.members.Records() {
@@ -121,7 +125,7 @@
 	return behind
 }
 
-// isLiveOther reports whether a record is of another node that may serve.
+// isLiveOther reports whether a record is of another node that may be serving.
 func (d *Disseminator) isLiveOther(record membership.Record) bool {
 	live := record.State == membership.StateAlive || record.State == membership.StateSuspect
 	return live && record.Info.ID != d.self
--- a/internal/control/confirmation/local.go
+++ b/internal/control/confirmation/local.go
@@ -7,20 +7,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Local is what this node itself serves.
+// Local tracks the revisions that this node serves and has drained.
 type Local struct {
 	shardIDs []uint32
-	// repeatEvery is the time between two confirmations that nobody asked for.
+	// repeatEvery is the interval at which an unchanged confirmation is sent again.
 	repeatEvery time.Duration
 	nextSend    time.Duration
-	// published are the revisions of the view that traffic uses.
+	// published are the revisions of the view that traffic uses, by shard.
 	published map[uint32]uint64
-	// confirmed are the revisions as the node tells them, in an incarnation.
+	// confirmed are the revisions that the node confirms, by shard, and incarnation is its
+	// incarnation as of the last Update.
 	confirmed   map[uint32]protocol.ShardRevision
 	incarnation member.Incarnation
 }
 
-// NewLocal returns the confirmations of a node that serves nothing yet. It repeats them
+// NewLocal returns the Local of a node that serves no revision yet. Its confirmation is due
 // every repeatEvery.
 func NewLocal(shardIDs []uint32, repeatEvery time.Duration) *Local {
 	return &Local{
@@ -31,15 +32,15 @@
 	}
 }
 
-// Publish records the revision of a shard that the newest view is made from.
+// Publish records the revision of a shard that the newest view is built from.
 func (l *Local) Publish(shardID uint32, revision uint64) { l.published[shardID] = revision }
 
-// Published returns the revision of a shard that traffic uses.
+// Published returns the revision of a shard that the newest view is built from.
 func (l *Local) Published(shardID uint32) uint64 { return l.published[shardID] }
 
-// Update reads what traffic uses by now, and reports whether that or the incarnation has
-// changed. Drained reports whether no request of this node runs on a replica that the
-// newest state of a shard keeps requests from.
+// Update determines which revisions this node serves and has drained, and reports whether
+// these or the incarnation have changed. The parameter drained reports whether no request of
+// this node runs on a replica that the newest state of a shard excludes.
 func (l *Local) Update(incarnation member.Incarnation, drained func(shardID uint32) bool) bool {
 	changed := l.incarnation != incarnation
 	l.incarnation = incarnation
@@ -57,7 +58,7 @@
 	return changed
 }
 
-// Due reports whether a confirmation is to be sent although nothing has changed.
+// Due reports whether the confirmation must be sent even if it has not changed.
 func (l *Local) Due(now time.Duration) bool { return now >= l.nextSend }
 
 // Message returns this node's confirmation as of the last Update.
@@ -69,5 +70,5 @@
 	return message
 }
 
-// Sent records that the confirmation is being sent to all that need it.
+// Sent records that the confirmation was sent to all nodes that need it.
 func (l *Local) Sent(now time.Duration) { l.nextSend = now + l.repeatEvery }
--- a/internal/control/confirmation/table.go
+++ b/internal/control/confirmation/table.go
@@ -15,60 +15,63 @@
 	IsLeader() bool
 	Term() uint64
 	Revision() uint64
-	// Nodes are the registered nodes; read only.
+	// Nodes returns the registered nodes; read only.
 	Nodes() []*controlpb.RegisterNode
 }
 
-// Members is what a Table needs of the table of members.
+// Members is what a Table and a Disseminator need of the table of members.
 type Members interface {
 	Records() []membership.Record
 	Alive(id member.ID) bool
-	// IncarnationEnded reports whether a node certainly serves nothing any more in an
-	// incarnation.
+	// IncarnationEnded reports whether an incarnation of a node has certainly stopped
+	// serving.
 	IncarnationEnded(id member.ID, incarnation member.Incarnation) bool
-	// FormerIncarnationQuiesced reports whether no request of an earlier incarnation of a
-	// node is on its way any more.
+	// FormerIncarnationQuiesced reports whether all requests that earlier incarnations of a
+	// node sent have arrived.
 	FormerIncarnationQuiesced(id member.ID) bool
 }
 
-// confirmation is what a node confirmed of one shard in one incarnation.
+// confirmation contains the newest revision of a shard that an incarnation of a node serves,
+// and the newest one that it has drained.
 type confirmation struct {
 	incarnation member.Incarnation
 	revision    uint64
 	drained     uint64
 }
 
-// key names a confirmation.
+// key identifies a confirmation in a Table.
 type key struct {
 	shard uint32
 	node  member.ID
 }
 
-// awaitedRevision is what a leader has waited for since an instant: that the nodes serve a
-// revision, or that they have drained it; the other one is 0.
+// awaitedRevision is a revision that a leader waits for: either revision is set and the nodes
+// have to serve it, or drained is set and they have to drain it.
 type awaitedRevision struct {
 	revision uint64
 	drained  uint64
-	since    time.Duration
+	// since is when the wait began.
+	since time.Duration
 }
 
-// TableConfig sets up a Table.
+// TableConfig configures a Table.
 type TableConfig struct {
-	// RequestEvery is how long a leader waits before it asks the nodes that have not
-	// confirmed what it waits for.
+	// RequestEvery is how long a leader waits for confirmations before it requests the
+	// missing ones.
 	RequestEvery time.Duration
-	// FailOpen means that nodes go on serving while partitioned: the live nodes are waited
-	// for, in place of the registered ones.
+	// FailOpen means that nodes go on serving while partitioned: the leader waits for the
+	// live nodes, in place of the registered ones.
 	FailOpen bool
 }
 
-// Table is what the nodes have confirmed, and what leaders on this node wait for.
+// Table contains what the nodes have confirmed, and the revisions that the leaders on this
+// node wait for.
 type Table struct {
 	config    TableConfig
 	members   Members
 	transport protocol.Transport
 	byNode    map[key]confirmation
-	// awaited is what this node, as the leader of a shard, waits for.
+	// awaited are the open waits of this node as a leader, by shard.
 	awaited map[uint32]awaitedRevision
 }
 
@@ -83,7 +86,8 @@
 	}
 }
 
-// Receive keeps the highest revisions of a node's newest incarnation.
+// Receive records a confirmation of a node. The table keeps the highest revisions of the
+// node's newest incarnation.
 func (t *Table) Receive(from member.ID, message protocol.Message) {
 	for _, revision := range message.Revisions {
 		name := key{shard: revision.Shard, node: from}
@@ -100,7 +104,7 @@
 	}
 }
 
-// ForgetOlder drops what an earlier incarnation of a node confirmed.
+// ForgetOlder removes what earlier incarnations of a node confirmed.
 func (t *Table) ForgetOlder(shardID uint32, node member.ID, incarnation member.Incarnation) {
 	name := key{shard: shardID, node: node}
 	if known, found := t.byNode[name]; found && known.incarnation < incarnation {
@@ -109,7 +113,8 @@
 }
 
 // ConfirmedEverywhere reports whether no node can still serve a revision of the shard below
-// the given one. If one can, the leader waits for it from now on: RequestOverdue asks.
+// the given one. Otherwise it starts a wait, so that RequestOverdue requests the missing
+// confirmations.
 func (t *Table) ConfirmedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.allNodes(shard, func(row confirmation) bool { return row.revision >= revision })
 	if !everywhere {
@@ -119,7 +124,7 @@
 }
 
 // DrainedEverywhere reports whether no node has a request left on a replica that the given
-// revision keeps requests from. If one has, the leader waits for it from now on.
+// revision excludes. Otherwise it starts a wait, as ConfirmedEverywhere does.
 func (t *Table) DrainedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.formerIncarnationsQuiesced(shard) &&
 		t.allNodes(shard, func(row confirmation) bool { return row.drained >= revision })
@@ -129,18 +134,19 @@
 	return everywhere
 }
 
-// await records that a revision was not confirmed, or not drained, everywhere. What is
-// newer than the oldest open wait has to wait for the next one, so that a node is asked
-// only for what it had the time to confirm by itself.
+// await starts a wait for a revision that was not confirmed, or not drained, everywhere. It
+// does nothing if a wait of the shard is open: the leader waits for a newer revision after
+// that, so that it requests only confirmations that nodes had the time to send by themselves.
 func (t *Table) await(shard Shard, awaited awaitedRevision) {
 	if _, open := t.awaited[shard.ID()]; !open {
 		t.awaited[shard.ID()] = awaited
 	}
 }
 
-// formerIncarnationsQuiesced reports whether no request is on its way any more that a
-// registered node sent in an earlier incarnation, which no confirmation tells of. Nodes
-// that go on serving while partitioned promise nothing of that kind.
+// formerIncarnationsQuiesced reports whether all requests that registered nodes sent in
+// earlier incarnations have arrived: a confirmation covers only the requests of its own
+// incarnation. Where nodes go on serving while partitioned there is no such guarantee, and the
+// check is skipped.
 func (t *Table) formerIncarnationsQuiesced(shard Shard) bool {
 	if t.config.FailOpen {
 		return true
@@ -153,9 +159,9 @@
 	return true
 }
 
-// allNodes reports whether each registered node satisfies a condition in its registered
-// incarnation, or is certain to serve nothing in that one any more; or each live node,
-// where nodes go on serving while partitioned.
+// allNodes reports whether the confirmation of each registered node in its registered
+// incarnation satisfies a condition, or that incarnation has certainly stopped serving. Where
+// nodes go on serving while partitioned, the live nodes have to satisfy the condition.
 func (t *Table) allNodes(shard Shard, satisfied func(confirmation) bool) bool {
 	if t.config.FailOpen {
 		return t.allLiveNodes(shard, satisfied)
@@ -174,8 +180,8 @@
 	return true
 }
 
-// allLiveNodes reports whether each node that nothing speaks against satisfies a condition
-// in its present incarnation.
+// allLiveNodes reports whether the confirmation of each node that is not suspected to have
+// failed satisfies a condition in the node's present incarnation.
 func (t *Table) allLiveNodes(shard Shard, satisfied func(confirmation) bool) bool {
 	for _, record := range t.members.Records() {
 		if t.members.Alive(record.Info.ID) && !satisfied(t.ofIncarnation(shard, record.Info)) {
@@ -185,7 +191,7 @@
 	return true
 }
 
-// ofIncarnation is what the present incarnation of a node has confirmed.
+// ofIncarnation returns what the present incarnation of a node has confirmed.
 func (t *Table) ofIncarnation(shard Shard, info member.Info) confirmation {
 	row := t.byNode[key{shard: shard.ID(), node: info.ID}]
 	if row.incarnation < info.Incarnation {
@@ -194,21 +200,22 @@
 	return row
 }
 
-// hasConfirmed reports whether an incarnation of a node has confirmed anything.
+// hasConfirmed reports whether the present incarnation of a node has sent a confirmation.
 func (t *Table) hasConfirmed(shard Shard, info member.Info) bool {
 	row, found := t.byNode[key{shard: shard.ID(), node: info.ID}]
 	return found && row.incarnation >= info.Incarnation
 }
 
-// serves reports whether an incarnation of a node has confirmed a revision or a later one.
+// serves reports whether the present incarnation of a node has confirmed a revision or a later
+// one.
 func (t *Table) serves(shard Shard, info member.Info, revision uint64) bool {
 	row := t.byNode[key{shard: shard.ID(), node: info.ID}]
 	return row.incarnation >= info.Incarnation && row.revision >= revision
 }
 
-// RequestOverdue asks the nodes that have not confirmed for a while what the leader of a
-// shard waits for. So a lost message costs little time, as does a new leader that was
-// not there when the nodes confirmed.
+// RequestOverdue ends the wait of a shard after RequestEvery, and requests the missing
+// confirmations if this node leads the shard. That bounds the delay if a confirmation was
+// lost, or was sent before this node became the leader.
 func (t *Table) RequestOverdue(now time.Duration, shard Shard) {
 	overdue, open := t.awaited[shard.ID()]
 	if !open || now-overdue.since < t.config.RequestEvery {
@@ -224,9 +231,9 @@
 	}
 }
 
-// requestRegistered asks each node that may still serve without what is overdue. Where nodes
-// register they confirm to all nodes with disks and need not learn who leads, so that the
-// request carries no term.
+// requestRegistered asks each registered node that may still be serving and has not confirmed
+// the overdue revision. Registered nodes send their confirmations to all nodes with disks and
+// need not know the leader, so that the request contains no term.
 func (t *Table) requestRegistered(shard Shard, overdue awaitedRevision) {
 	for _, node := range shard.Nodes() {
 		id := member.ID(node.GetNode())
@@ -239,7 +246,7 @@
 	}
 }
 
-// requestLive asks each live node that has not confirmed what is overdue.
+// requestLive asks each live node that has not confirmed the overdue revision.
 func (t *Table) requestLive(shard Shard, overdue awaitedRevision) {
 	for _, record := range t.members.Records() {
 		row := t.ofIncarnation(shard, record.Info)
@@ -249,7 +256,7 @@
 	}
 }
 
-// request asks a node what it serves, and tells it who leads the shard.
+// request asks a node which revisions it serves, and tells it that this node leads the shard.
 func (t *Table) request(shard Shard, id member.ID) {
 	t.transport.Send(id, protocol.Message{
 		Type:  protocol.MessageConfirmRequest,
--- a/internal/control/confirmation/table_test.go
+++ b/internal/control/confirmation/table_test.go
@@ -24,7 +24,8 @@
 func (s *testShard) Revision() uint64                 { return 9 }
 func (s *testShard) Nodes() []*controlpb.RegisterNode { return s.registered }
 
-// testMembers are live nodes in incarnation 2, of whose earlier ones all have ended.
+// testMembers has live nodes in incarnation 2. All registered incarnations have ended, or
+// none; all former incarnations are quiesced, or none.
 type testMembers struct {
 	live     []member.ID
 	ended    bool
@@ -41,7 +42,7 @@
 func (m *testMembers) IncarnationEnded(member.ID, member.Incarnation) bool { return m.ended }
 func (m *testMembers) FormerIncarnationQuiesced(member.ID) bool            { return m.quiesced }
 
-// sentTo collects the receivers of requests for confirmations.
+// sentTo records the nodes that confirmations were requested from.
 type sentTo []member.ID
 
 func (s *sentTo) Send(to member.ID, message protocol.Message) {
@@ -91,10 +92,10 @@
 		members.ended = true
 		Expect(table.ConfirmedEverywhere(0, shard, 9)).To(BeTrue())
 		members.quiesced = false
-		Expect(table.DrainedEverywhere(0, shard, 9)).To(BeFalse(), "a request of it may be on its way")
+		Expect(table.DrainedEverywhere(0, shard, 9)).To(BeFalse(), "a request of a former incarnation may not have arrived")
 	})
 
-	It("never takes a confirmation back", func() {
+	It("ignores lower revisions and earlier incarnations of a node", func() {
 		table := newTable(false)
 		shard.registered = shard.registered[:1]
 		table.Receive("a", confirms(2, 9, 9))
@@ -103,7 +104,7 @@
 		Expect(table.DrainedEverywhere(0, shard, 9)).To(BeTrue())
 	})
 
-	It("asks those that are overdue, once for each wait", func() {
+	It("asks the nodes that have not confirmed in time, once for each wait", func() {
 		table := newTable(false)
 		table.Receive("a", confirms(2, 9, 9))
 		Expect(table.ConfirmedEverywhere(time.Second, shard, 9)).To(BeFalse())
@@ -114,7 +115,7 @@
 		Expect(sent).To(Equal(sentTo{"b"}))
 	})
 
-	It("waits for the live nodes alone where nodes serve while partitioned", func() {
+	It("waits only for the live nodes where nodes go on serving while partitioned", func() {
 		members.live = []member.ID{"c"}
 		table := newTable(true)
 		Expect(table.ConfirmedEverywhere(time.Second, shard, 9)).To(BeFalse())
