--- a/internal/control/confirmation/table.go
+++ b/internal/control/confirmation/table.go
@@ -184,15 +184,15 @@
 // failed satisfies a condition in the node's present incarnation.
 func (t *Table) allLiveNodes(shard Shard, satisfied func(confirmation) bool) bool {
 	for _, record := range t.members.Records() {
-		if t.members.Alive(record.Info.ID) && !satisfied(t.ofIncarnation(shard, record.Info)) {
+		if t.members.Alive(record.Info.ID) && !satisfied(t.currentConfirmation(shard, record.Info)) {
 			return false
 		}
 	}
 	return true
 }
 
-// ofIncarnation returns what the present incarnation of a node has confirmed.
-func (t *Table) ofIncarnation(shard Shard, info member.Info) confirmation {
+// currentConfirmation returns what the present incarnation of a node has confirmed.
+func (t *Table) currentConfirmation(shard Shard, info member.Info) confirmation {
 	row := t.byNode[key{shard: shard.ID(), node: info.ID}]
 	if row.incarnation < info.Incarnation {
 		return confirmation{}
@@ -249,7 +249,7 @@
 // requestLive asks each live node that has not confirmed the overdue revision.
 func (t *Table) requestLive(shard Shard, overdue awaitedRevision) {
 	for _, record := range t.members.Records() {
-		row := t.ofIncarnation(shard, record.Info)
+		row := t.currentConfirmation(shard, record.Info)
 		if t.members.Alive(record.Info.ID) && (row.revision < overdue.revision || row.drained < overdue.drained) {
 			t.request(shard, record.Info.ID)
 		}
