--- a/internal/control/leaders/directory.go
+++ b/internal/control/leaders/directory.go
@@ -4,20 +4,21 @@
 
 // Shards is what a Directory needs of the shards and members of its node.
 type Shards interface {
-	// HostedLeader returns the leader of a shard as the node's copy of it knows, or
-	// "", and whether the node hosts a copy.
+	// HostedLeader returns whether this node hosts a copy of a shard, and the leader that
+	// the copy knows, or "" if it knows none.
 	HostedLeader(shardID uint32) (leader member.ID, hosted bool)
 	// Group returns the members of a shard's replica group, in the order in which
-	// they come to lead it.
+	// they become its leader.
 	Group(shardID uint32) []member.ID
-	// Reachable reports whether a node is this one or is alive for all that it knows.
+	// Reachable reports whether a node is this one or is alive in its table of members.
 	Reachable(id member.ID) bool
 }
 
-// Directory names the leaders of shards. It is not safe for concurrent use.
+// Directory knows the leaders of shards. It is not safe for concurrent use.
 type Directory struct {
 	shards Shards
-	hints  map[uint32]member.ID
+	// hints are the leaders that other nodes told, by shard.
+	hints map[uint32]member.ID
 }
 
 // NewDirectory returns a directory without hints.
@@ -25,11 +26,11 @@
 	return &Directory{shards: shards, hints: map[uint32]member.ID{}}
 }
 
-// Learn records the node that has acted as the leader of a shard.
+// Learn records a node that acted as the leader of a shard.
 func (d *Directory) Learn(shardID uint32, leader member.ID) { d.hints[shardID] = leader }
 
-// Redirected takes the hint of a node that does not lead a shard itself; an empty
-// hint says only that.
+// Redirected records the reply of the node by, which does not lead a shard: leader is the
+// leader that it knows, or "" if it knows none. An empty leader removes a hint that names by.
 func (d *Directory) Redirected(shardID uint32, by, leader member.ID) {
 	switch {
 	case leader != "":
@@ -39,7 +40,7 @@
 	}
 }
 
-// Known returns the leader of a shard, or "" if the node knows of none.
+// Known returns the leader of a shard, or "" if this node knows none.
 func (d *Directory) Known(shardID uint32) member.ID {
 	if leader, hosted := d.shards.HostedLeader(shardID); hosted {
 		return leader
@@ -66,8 +67,9 @@
 	return ""
 }
 
-// Next returns the member of a shard's group that is to be tried after one that did
-// not answer, or "" if none can be reached.
+// Next returns the first member of a shard's group that can be reached and follows a member
+// that did not answer, or "" if no member can be reached. The last member, or a node outside
+// the group, is followed by the first member.
 func (d *Directory) Next(shardID uint32, previous member.ID) member.ID {
 	group := d.shards.Group(shardID)
 	start := 0
--- a/internal/control/leaders/directory_test.go
+++ b/internal/control/leaders/directory_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// testShards is a group of three, of which some can't be reached.
+// testShards has one group of three members, some of which can't be reached.
 type testShards struct {
 	hosted      bool
 	leader      member.ID
@@ -44,7 +44,7 @@
 		directory.Redirected(1, "a", "c")
 		Expect(directory.Guess(1)).To(Equal(member.ID("c")))
 		directory.Redirected(1, "b", "")
-		Expect(directory.Known(1)).To(Equal(member.ID("c")), "b says nothing of c")
+		Expect(directory.Known(1)).To(Equal(member.ID("c")), "the reply of b does not concern c")
 		directory.Redirected(1, "c", "")
 		Expect(directory.Known(1)).To(BeEmpty())
 	})
@@ -56,18 +56,18 @@
 		Expect(directory.Guess(1)).To(Equal(member.ID("a")))
 	})
 
-	It("prefers what the hosted copy of the shard knows", func() {
+	It("prefers the leader that the hosted copy of the shard knows to a hint", func() {
 		directory.Learn(1, "c")
 		shards.hosted, shards.leader = true, "b"
 		Expect(directory.Known(1)).To(Equal(member.ID("b")))
 	})
 
-	DescribeTable("goes round the group", func(previous string, next string) {
+	DescribeTable("returns the members of the group in turn", func(previous string, next string) {
 		shards.unreachable = []member.ID{"b"}
 		Expect(directory.Next(1, member.ID(previous))).To(Equal(member.ID(next)))
 	},
-		Entry("after the first, past one that can't be reached", "a", "c"),
+		Entry("after the first, without one that can't be reached", "a", "c"),
 		Entry("after the last", "c", "a"),
-		Entry("after a stranger", "x", "a"),
+		Entry("after a node outside the group", "x", "a"),
 	)
 })
--- a/internal/control/leaders/doc.go
+++ b/internal/control/leaders/doc.go
@@ -1,6 +1,6 @@
-// Package leaders tells a node which node leads each shard, as far as it can know.
+// Package leaders finds the node that leads each shard.
 //
-// Directory owns the hints that the node got from replies. Where the node hosts a
-// copy of the shard, the copy's replica group knows better than any hint. A wrong
-// guess costs a message: who does not lead a shard answers with a hint.
+// Directory owns the hints that this node got from other nodes. Where this node hosts a copy
+// of the shard, it uses the leader that the copy's replica group knows in place of hints. A
+// wrong guess costs one message: a node that does not lead a shard replies with a hint.
 package leaders
