--- a/internal/control/protocol/transport.go
+++ b/internal/control/protocol/transport.go
@@ -2,18 +2,19 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// Transport sends control messages. A message for the node itself is handled before
-// Send returns, so that the sender must be in a state that can take the reply.
+// Transport sends control messages. A message to the node itself is handled before Send
+// returns, so that the sender must be ready to receive the reply before it calls Send.
 type Transport interface {
 	Send(to member.ID, message Message)
 }
 
-// requestBits leave room for the requests of one process.
+// requestBits is the number of low bits of a request's number that count the requests of one
+// process. The bits above contain the incarnation.
 const requestBits = 20
 
-// Numbering gives the requests of a process their numbers. Another process of the same
-// node gives others, so that no late reply to a request of an earlier incarnation is
-// taken for the reply to a new one.
+// Numbering assigns numbers to the requests of a process. Processes of one node use different
+// numbers, so that a late reply to a request of an earlier process is not mistaken for the
+// reply to a new one.
 type Numbering struct {
 	last uint64
 }
@@ -23,7 +24,7 @@
 	return &Numbering{last: uint64(incarnation) << requestBits}
 }
 
-// Next returns a number that no request before had.
+// Next returns the number of the next request.
 func (n *Numbering) Next() uint64 {
 	n.last++
 	return n.last
