--- a/internal/control/storagelimit/doc.go
+++ b/internal/control/storagelimit/doc.go
@@ -1,5 +1,5 @@
-// Package storagelimit derives from what a machine gives how large control state and its log
-// may become there.
+// Package storagelimit derives bounds on the size of control state and of its log from the
+// disk and memory of a machine.
 //
-// For is a pure function; its Limits may be used concurrently.
+// For is a pure function; its result is a value that may be used concurrently.
 package storagelimit
--- a/internal/control/storagelimit/limits.go
+++ b/internal/control/storagelimit/limits.go
@@ -3,47 +3,51 @@
 import "math"
 
 const (
-	// diskPerCommand and memoryPerCommand are how many times the largest command fits the
-	// disk of a machine, and its memory beyond what a node takes without configuration.
-	// While a checkpoint is written the disk holds the former one, its log and the new one.
-	// Memory holds the state as objects, in sections and as a snapshot, the log, and frames
-	// for each member of the group.
+	// diskPerCommand and memoryPerCommand are how many times the largest command fits into
+	// the disk of a machine, and into its memory without nodeMemoryBytes. While a checkpoint
+	// is written, the disk contains the previous checkpoint, the log after it and the new
+	// checkpoint. Memory contains the state as objects, as sections and as a snapshot, the
+	// log, and frames for each member of the group.
 	diskPerCommand   = 10
 	memoryPerCommand = 20
-	nodeMemoryBytes  = 64 << 20
-	// diskPerLog is the share of the disk that the log behind a checkpoint may take before
-	// the next checkpoint, whatever it holds.
+	// nodeMemoryBytes is the memory that a node takes without a configuration.
+	nodeMemoryBytes = 64 << 20
+	// diskPerLog is how many times the largest log after a checkpoint fits into the disk,
+	// however large the checkpoint is. A log of that size leads to the next checkpoint.
 	diskPerLog = 5
-	// maxCommandBytes leaves room for a snapshot in one frame between nodes, and
-	// minCommandBytes takes the configuration of a small deployment on any machine.
+	// maxCommandBytes leaves room for a snapshot in one frame between nodes.
+	// minCommandBytes is enough for the configuration of a small deployment, and is allowed
+	// on any machine.
 	maxCommandBytes = 14<<20 + 512<<10
 	minCommandBytes = 512 << 10
 	// maxLogBytes bounds the applied log that is kept for members that lag behind.
 	maxLogBytes = 4 << 20
 )
 
-// Machine is what a machine gives to control, in bytes; 0 where it is not known.
+// Machine contains the resources that a machine provides for control state, in bytes; 0 where
+// a resource is not known.
 type Machine struct {
 	DiskBytes   int64
 	MemoryBytes int64
 }
 
-// Limits bound control state and its log on a machine, in bytes.
+// Limits are the bounds on control state and its log on a machine, in bytes.
 type Limits struct {
-	// Command is the largest command of the replicated log. An order that takes more is
-	// refused before it enters the log.
+	// Command is the size of the largest command of the replicated log. An order that needs
+	// a larger command is refused before it enters the log.
 	Command int
-	// Log is how many bytes of applied commands a shard keeps in memory before it compacts
-	// its log, and again how many it keeps beyond that for members that lag behind.
+	// Log is the size of the applied commands that a shard keeps in memory before it
+	// compacts its log, and also the size of the older commands that it keeps after that for
+	// members that lag behind.
 	Log int
-	// CheckpointLog bounds the log behind a checkpoint on the disk: one that has become
-	// larger leads to the next checkpoint.
+	// CheckpointLog is the size of the log after a checkpoint on the disk at which the next
+	// checkpoint is written.
 	CheckpointLog int
-	// Disk is the capacity of the disk; 0 where it is not known.
+	// Disk is the capacity of the disk; 0 if it is not known.
 	Disk int64
 }
 
-// For returns the limits that follow from a machine.
+// For returns the limits for a machine.
 func For(machine Machine) Limits {
 	command := min(part(machine.DiskBytes, diskPerCommand), memoryForCommand(machine.MemoryBytes), maxCommandBytes)
 	command = max(command, minCommandBytes)
@@ -63,7 +67,8 @@
 	return max(memoryBytes-nodeMemoryBytes, 0) / memoryPerCommand
 }
 
-// part returns a share of what a machine gives, or no bound where that is not known.
+// part divides the bytes of a resource by a number of parts. It returns math.MaxInt64, which
+// is no bound, if the resource is not known.
 func part(bytes int64, parts int64) int64 {
 	if bytes <= 0 {
 		return math.MaxInt64
--- a/internal/control/storagelimit/limits_test.go
+++ b/internal/control/storagelimit/limits_test.go
@@ -18,28 +18,29 @@
 const mebibyte = 1 << 20
 
 var _ = Describe("Limits", func() {
-	// peakBytes is what the disk holds while a checkpoint is written: the former one, its
-	// log up to its bound with the entry that took it there, and the new one. A checkpoint
-	// holds the state and a command that is not applied.
+	// peakBytes returns the size of the data on the disk while a checkpoint is written: the
+	// previous checkpoint, the log after it at its bound with the entry that exceeded the
+	// bound, and the new checkpoint. A checkpoint contains the state and one command that is
+	// not applied.
 	peakBytes := func(limits storagelimit.Limits) int {
 		checkpoint := 2 * limits.Command
 		return checkpoint + limits.CheckpointLog + limits.Command + checkpoint
 	}
 
-	DescribeTable("leave room on the disk while a checkpoint is written", func(diskMebibytes int64) {
+	DescribeTable("leave a tenth of the disk free while a checkpoint is written", func(diskMebibytes int64) {
 		machine := storagelimit.Machine{DiskBytes: diskMebibytes * mebibyte}
 		Expect(peakBytes(storagelimit.For(machine))).To(BeNumerically("<", machine.DiskBytes*9/10))
 	},
 		Entry(nil, int64(8)), Entry(nil, int64(32)), Entry(nil, int64(64)), Entry(nil, int64(128)), Entry(nil, int64(1024)),
 	)
 
-	It("take the largest document and configuration where a machine gives enough, or is not known", func() {
+	It("allow the largest document and configuration if the machine is large enough or not known", func() {
 		const largest = dynamic.MaxSourceBytes + dynamic.MaxConfigurationBytes
 		Expect(storagelimit.For(storagelimit.Machine{}).Command).To(BeNumerically(">", largest))
 		Expect(storagelimit.For(storagelimit.Machine{DiskBytes: 1 << 40, MemoryBytes: 1 << 40}).Command).To(BeNumerically(">", largest))
 	})
 
-	It("are those of what the machine gives least of", func() {
+	It("follow from the scarcer one of disk and memory", func() {
 		disk := storagelimit.For(storagelimit.Machine{DiskBytes: 64 * mebibyte, MemoryBytes: 1 << 40})
 		memory := storagelimit.For(storagelimit.Machine{DiskBytes: 1 << 40, MemoryBytes: 144 * mebibyte})
 		Expect(disk.Command).To(Equal(64 * mebibyte / 10))
