--- a/internal/control/storagelimit/limits.go
+++ b/internal/control/storagelimit/limits.go
@@ -3,18 +3,19 @@
 import "math"
 
 const (
-	// diskPerCommand and memoryPerCommand are how many times the largest command fits into
+	// commandsPerDisk and commandsPerMemory are how many times the largest command fits into
 	// the disk of a machine, and into its memory without nodeMemoryBytes. While a checkpoint
 	// is written, the disk contains the previous checkpoint, the log after it and the new
 	// checkpoint. Memory contains the state as objects, as sections and as a snapshot, the
 	// log, and frames for each member of the group.
-	diskPerCommand   = 10
-	memoryPerCommand = 20
+	commandsPerDisk   = 10
+	commandsPerMemory = 20
 	// nodeMemoryBytes is the memory that a node takes without a configuration.
 	nodeMemoryBytes = 64 << 20
-	// diskPerLog is how many times the largest log after a checkpoint fits into the disk,
-	// however large the checkpoint is. A log of that size leads to the next checkpoint.
-	diskPerLog = 5
+	// checkpointLogsPerDisk is how many times the largest log after a checkpoint fits into
+	// the disk, however large the checkpoint is. A log of that size leads to the next
+	// checkpoint.
+	checkpointLogsPerDisk = 5
 	// maxCommandBytes leaves room for a snapshot in one frame between nodes.
 	// minCommandBytes is enough for the configuration of a small deployment, and is allowed
 	// on any machine.
@@ -49,12 +50,12 @@
 
 // For returns the limits for a machine.
 func For(machine Machine) Limits {
-	command := min(part(machine.DiskBytes, diskPerCommand), memoryForCommand(machine.MemoryBytes), maxCommandBytes)
+	command := min(part(machine.DiskBytes, commandsPerDisk), memoryForCommand(machine.MemoryBytes), maxCommandBytes)
 	command = max(command, minCommandBytes)
 	return Limits{
 		Command:       int(command),
 		Log:           int(min(command, maxLogBytes)),
-		CheckpointLog: int(max(min(part(machine.DiskBytes, diskPerLog), math.MaxInt32), minCommandBytes)),
+		CheckpointLog: int(max(min(part(machine.DiskBytes, checkpointLogsPerDisk), math.MaxInt32), minCommandBytes)),
 		Disk:          machine.DiskBytes,
 	}
 }
@@ -64,7 +65,7 @@
 	if memoryBytes <= 0 {
 		return math.MaxInt64
 	}
-	return max(memoryBytes-nodeMemoryBytes, 0) / memoryPerCommand
+	return max(memoryBytes-nodeMemoryBytes, 0) / commandsPerMemory
 }
 
 // part divides the bytes of a resource by a number of parts. It returns math.MaxInt64, which
