--- a/internal/control/view/rollout_progress.go
+++ b/internal/control/view/rollout_progress.go
@@ -15,7 +15,7 @@
 type RolloutProgress struct {
 	Pool    string
 	Version string
-	// NamedAt is when the version was named, on this node's clock.
+	// NamedAt is the time, on this node's clock, from which the age of the version counts.
 	NamedAt time.Duration
 	// Overdue means that the deadline of the version, or of an earlier one, has passed.
 	Overdue bool
