--- a/internal/control/protocol/message.go
+++ b/internal/control/protocol/message.go
@@ -21,7 +21,8 @@
 	// MessageConfirm contains the revisions that the sender serves, and those that it has
 	// drained (see ShardRevision).
 	MessageConfirm
-	// MessageConfirmRequest asks for a MessageConfirm.
+	// MessageConfirmRequest asks for a MessageConfirm that the sender waits for. If Term is
+	// set, the sender leads the shard in that term.
 	MessageConfirmRequest
 	// MessageWitnessRequest asks for the revision of the newest state of a shard that was
 	// relayed to the receiver, because the shard's group lost the majority of its disks.
@@ -53,7 +54,7 @@
 	// Revision is the newest revision that the node serves.
 	Revision uint64
 	// Drained is the newest revision for which the node has no request left on any
-	// replica that the revision excludes.
+	// replica that is out of service in the revision.
 	Drained uint64
 }
 
