--- a/internal/control/confirmation/doc.go
+++ b/internal/control/confirmation/doc.go
@@ -3,7 +3,8 @@
 //
 // Local owns what this node itself confirms: for each shard the revision that its traffic
 // uses, and the newest drained revision, for which none of its requests is left on a replica
-// that the revision excludes. The node sends both when they change, and periodically.
+// that is out of service in the revision. The node sends both when they change, and
+// periodically.
 //
 // Table owns what all nodes have confirmed, in which incarnation, and the revisions that
 // the leaders of shards on this node wait for. Every node with a disk receives all
--- a/internal/control/confirmation/local.go
+++ b/internal/control/confirmation/local.go
@@ -40,7 +40,7 @@
 
 // Update determines which revisions this node serves and has drained, and reports whether
 // these or the incarnation have changed. The parameter drained reports whether no request of
-// this node runs on a replica that the newest state of a shard excludes.
+// this node runs on a replica that is out of service in the newest state of a shard.
 func (l *Local) Update(incarnation member.Incarnation, drained func(shardID uint32) bool) bool {
 	changed := l.incarnation != incarnation
 	l.incarnation = incarnation
--- a/internal/control/confirmation/table.go
+++ b/internal/control/confirmation/table.go
@@ -123,8 +123,8 @@
 	return everywhere
 }
 
-// DrainedEverywhere reports whether no node has a request left on a replica that the given
-// revision excludes. Otherwise it starts a wait, as ConfirmedEverywhere does.
+// DrainedEverywhere reports whether no node has a request left on a replica that is out of
+// service in the given revision. Otherwise it starts a wait, as ConfirmedEverywhere does.
 func (t *Table) DrainedEverywhere(now time.Duration, shard Shard, revision uint64) bool {
 	everywhere := t.formerIncarnationsQuiesced(shard) &&
 		t.allNodes(shard, func(row confirmation) bool { return row.drained >= revision })
