--- a/internal/control/listing/follower.go
+++ b/internal/control/listing/follower.go
@@ -34,8 +34,8 @@
 	table     *table
 	outbox    *outbox
 	proof     freshnessProof
-	// requestedFirst means that this node asked the first members that it learnt of.
-	requestedFirst bool
+	// firstRequestScheduled means that this node asked the first members that it learnt of.
+	firstRequestScheduled bool
 	// requests counts those sent since the last refresh, and nextRequest is when the next
 	// may be sent.
 	requests    int
@@ -44,8 +44,8 @@
 
 // membersChanged has a node without a list ask the first other member that it learns of.
 func (f *follower) membersChanged(now time.Duration) {
-	if !f.table.current.present && !f.requestedFirst && len(f.members.others()) > 0 {
-		f.requestedFirst = true
+	if !f.table.current.present && !f.firstRequestScheduled && len(f.members.others()) > 0 {
+		f.firstRequestScheduled = true
 		f.nextRequest = now
 	}
 }
--- a/internal/control/listing/message.go
+++ b/internal/control/listing/message.go
@@ -204,6 +204,6 @@
 // milliseconds converts a number of them, within bounds that keep sums of times
 // from overflowing.
 func milliseconds(count uint64) time.Duration {
-	const most = uint64(1) << 40
-	return time.Duration(min(count, most)) * time.Millisecond
+	const maxCount = uint64(1) << 40
+	return time.Duration(min(count, maxCount)) * time.Millisecond
 }
--- a/internal/control/listing/network_test.go
+++ b/internal/control/listing/network_test.go
@@ -19,8 +19,8 @@
 	stepEvery = 2 * time.Millisecond
 	// membersEvery is how often a node learns who is there.
 	membersEvery = 100 * time.Millisecond
-	// leastLatency and latencySpread bound one way between two nodes.
-	leastLatency  = time.Millisecond
+	// minLatency and latencySpread bound one way between two nodes.
+	minLatency    = time.Millisecond
 	latencySpread = 4 * time.Millisecond
 	// readSpread bounds how long one reading takes.
 	readSpread = 40 * time.Millisecond
@@ -42,12 +42,12 @@
 	clockOffset time.Duration
 	up          bool
 	frozen      bool
-	life        int
-	next        time.Duration
-	// nextMembers is when the node learns again who is there.
-	nextMembers time.Duration
-	silent      time.Duration
-	waiting     []func()
+	incarnation int
+	nextTick    time.Duration
+	// nextMembersUpdate is when the node learns again who is there.
+	nextMembersUpdate time.Duration
+	silentSince       time.Duration
+	waiting           []func()
 	// failing makes the node's readings fail.
 	failing bool
 	// excluded are the replicas that the node excluded once, as their drain asks.
@@ -78,119 +78,119 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		random:        rand.New(rand.NewPCG(seed, 1)),
 		cut:           map[[2]member.ID]bool{},
 		drainingSince: map[string]time.Duration{},
 	}
 	for _, address := range []string{"x", "y", "z"} {
-		w.replicas = append(w.replicas, Replica{Service: service, Address: address, Zone: "z1", Instance: "i-" + address, Slots: 8})
+		s.replicas = append(s.replicas, Replica{Service: service, Address: address, Zone: "z1", Instance: "i-" + address, Slots: 8})
 	}
-	return w
+	return s
 }
 
-func (w *simulation) add(id, zone string, disk bool) {
-	added := &testNode{id: member.ID(id), zone: zone, disk: disk, clockOffset: w.upTo(1000 * time.Second)}
-	w.nodes = append(w.nodes, added)
+func (s *simulation) add(id, zone string, disk bool) {
+	added := &testNode{id: member.ID(id), zone: zone, disk: disk, clockOffset: s.randomDuration(1000 * time.Second)}
+	s.nodes = append(s.nodes, added)
 }
 
-func (w *simulation) node(id string) *testNode {
-	at := slices.IndexFunc(w.nodes, func(one *testNode) bool { return one.id == member.ID(id) })
+func (s *simulation) node(id string) *testNode {
+	at := slices.IndexFunc(s.nodes, func(one *testNode) bool { return one.id == member.ID(id) })
 	Expect(at).To(BeNumerically(">=", 0), id)
-	return w.nodes[at]
+	return s.nodes[at]
 }
 
-func (w *simulation) upTo(bound time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(bound)))
+func (s *simulation) randomDuration(bound time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(bound)))
 }
 
-func (w *simulation) clock(n *testNode) time.Duration { return w.now + n.clockOffset }
+func (s *simulation) clock(n *testNode) time.Duration { return s.now + n.clockOffset }
 
-func (w *simulation) after(delay time.Duration, run func()) {
-	w.events = append(w.events, event{at: w.now + delay, run: run})
+func (s *simulation) after(delay time.Duration, run func()) {
+	s.events = append(s.events, event{at: s.now + delay, run: run})
 }
 
-func (w *simulation) start(n *testNode) {
-	n.life++
+func (s *simulation) start(n *testNode) {
+	n.incarnation++
 	n.up = true
 	n.frozen = false
 	n.waiting = nil
 	n.excluded = map[string]bool{}
-	n.next = w.now
-	n.nextMembers = w.now
-	n.machine = New(Config{Self: n.id, Zone: n.zone}, w.clock(n))
+	n.nextTick = s.now
+	n.nextMembersUpdate = s.now
+	n.machine = New(Config{Self: n.id, Zone: n.zone}, s.clock(n))
 }
 
-func (w *simulation) kill(n *testNode) {
+func (s *simulation) kill(n *testNode) {
 	n.up = false
-	n.silent = w.now
+	n.silentSince = s.now
 }
 
 // setReplica changes one entry of the platform's list.
-func (w *simulation) setReplica(address string, change func(*Replica)) {
-	at := slices.IndexFunc(w.replicas, func(one Replica) bool { return one.Address == address })
-	w.replicas = slices.Clone(w.replicas)
-	change(&w.replicas[at])
-	if w.replicas[at].Draining {
-		w.drainingSince[address] = w.now
+func (s *simulation) setReplica(address string, change func(*Replica)) {
+	at := slices.IndexFunc(s.replicas, func(one Replica) bool { return one.Address == address })
+	s.replicas = slices.Clone(s.replicas)
+	change(&s.replicas[at])
+	if s.replicas[at].Draining {
+		s.drainingSince[address] = s.now
 	}
 }
 
-func (w *simulation) removeReplica(address string) {
-	w.replicas = slices.DeleteFunc(slices.Clone(w.replicas), func(one Replica) bool { return one.Address == address })
-	w.drainingSince[address] = w.now
+func (s *simulation) removeReplica(address string) {
+	s.replicas = slices.DeleteFunc(slices.Clone(s.replicas), func(one Replica) bool { return one.Address == address })
+	s.drainingSince[address] = s.now
 }
 
-func (w *simulation) runUntil(end time.Duration) {
-	for ; w.now < end; w.now += stepEvery {
-		due := lo.Filter(w.events, func(one event, _ int) bool { return one.at <= w.now })
-		w.events = lo.Reject(w.events, func(one event, _ int) bool { return one.at <= w.now })
+func (s *simulation) runUntil(end time.Duration) {
+	for ; s.now < end; s.now += stepEvery {
+		due := lo.Filter(s.events, func(one event, _ int) bool { return one.at <= s.now })
+		s.events = lo.Reject(s.events, func(one event, _ int) bool { return one.at <= s.now })
 		for _, one := range due {
 			one.run()
 		}
-		for _, one := range w.nodes {
-			w.tick(one)
+		for _, one := range s.nodes {
+			s.tick(one)
 		}
 	}
 }
 
-func (w *simulation) tick(n *testNode) {
-	if !n.up || n.frozen || w.now < n.next {
+func (s *simulation) tick(n *testNode) {
+	if !n.up || n.frozen || s.now < n.nextTick {
 		return
 	}
-	n.next = w.now + tickEvery
-	if w.now >= n.nextMembers {
-		n.nextMembers = w.now + membersEvery
-		n.machine.SetMembers(w.membersSeenBy(n))
+	n.nextTick = s.now + tickEvery
+	if s.now >= n.nextMembersUpdate {
+		n.nextMembersUpdate = s.now + membersEvery
+		n.machine.SetMembers(s.membersSeenBy(n))
 	}
-	w.perform(n, n.machine.Tick(w.clock(n)))
+	s.perform(n, n.machine.Tick(s.clock(n)))
 }
 
 // membersSeenBy are all nodes that ever started; those that have been silent for
 // this node are suspects.
-func (w *simulation) membersSeenBy(n *testNode) []Member {
+func (s *simulation) membersSeenBy(n *testNode) []Member {
 	var members []Member
-	for _, one := range w.nodes {
-		if one.life == 0 {
+	for _, one := range s.nodes {
+		if one.incarnation == 0 {
 			continue
 		}
-		gone := !one.up || one.frozen || w.cut[[2]member.ID{one.id, n.id}]
+		gone := !one.up || one.frozen || s.cut[[2]member.ID{one.id, n.id}]
 		members = append(members, Member{
 			ID: one.id, Zone: one.zone, HasDisk: one.disk,
-			Suspect: gone && w.now-one.silent >= suspectedAfter,
+			Suspect: gone && s.now-one.silentSince >= suspectedAfter,
 		})
 	}
 	return members
 }
 
-func (w *simulation) perform(n *testNode, output Output) {
+func (s *simulation) perform(n *testNode, output Output) {
 	for _, out := range output.Sends {
-		w.carry(n, out)
+		s.send(n, out)
 	}
 	if output.Read {
-		w.read(n)
+		s.read(n)
 	}
-	for address := range w.drainingSince {
+	for address := range s.drainingSince {
 		if !admits(n, address) {
 			n.excluded[address] = true
 		}
@@ -202,33 +202,33 @@
 	return slices.ContainsFunc(n.machine.Replicas(), func(one Replica) bool { return one.Address == address && !one.Draining })
 }
 
-func (w *simulation) carry(n *testNode, out Outbound) {
+func (s *simulation) send(n *testNode, out Outbound) {
 	payload, err := out.Message.Encode()
 	Expect(err).NotTo(HaveOccurred())
-	w.bytes += len(payload)
-	w.messages++
-	if w.cut[[2]member.ID{n.id, out.To}] || w.random.Float64() < w.loss {
+	s.bytes += len(payload)
+	s.messages++
+	if s.cut[[2]member.ID{n.id, out.To}] || s.random.Float64() < s.loss {
 		return
 	}
-	to := w.node(string(out.To))
-	life := to.life
+	to := s.node(string(out.To))
+	incarnation := to.incarnation
 	decode := DecodeReading
 	if out.Message.Request != nil {
 		decode = DecodeRequest
 	}
-	w.after(leastLatency+w.upTo(latencySpread), func() {
-		if !to.up || to.life != life {
+	s.after(minLatency+s.randomDuration(latencySpread), func() {
+		if !to.up || to.incarnation != incarnation {
 			return
 		}
-		w.whenAwake(to, func() {
+		s.whenAwake(to, func() {
 			message, err := decode(payload)
 			Expect(err).NotTo(HaveOccurred())
-			w.perform(to, to.machine.Step(w.clock(to), n.id, message))
+			s.perform(to, to.machine.Step(s.clock(to), n.id, message))
 		})
 	})
 }
 
-func (w *simulation) whenAwake(n *testNode, run func()) {
+func (s *simulation) whenAwake(n *testNode, run func()) {
 	if n.frozen {
 		n.waiting = append(n.waiting, run)
 		return
@@ -236,7 +236,7 @@
 	run()
 }
 
-func (w *simulation) wake(n *testNode) {
+func (s *simulation) wake(n *testNode) {
 	n.frozen = false
 	waiting := n.waiting
 	n.waiting = nil
@@ -246,43 +246,43 @@
 }
 
 // read reads the platform's list as it is somewhere on the way.
-func (w *simulation) read(n *testNode) {
-	w.calls++
-	startedAt := w.clock(n)
-	life := n.life
-	half := w.upTo(readSpread / 2)
-	w.after(half, func() {
-		list := w.replicas
+func (s *simulation) read(n *testNode) {
+	s.calls++
+	startedAt := s.clock(n)
+	incarnation := n.incarnation
+	half := s.randomDuration(readSpread / 2)
+	s.after(half, func() {
+		list := s.replicas
 		failed := n.failing
-		w.after(half, func() {
-			if !n.up || n.life != life {
+		s.after(half, func() {
+			if !n.up || n.incarnation != incarnation {
 				return
 			}
-			w.whenAwake(n, func() {
+			s.whenAwake(n, func() {
 				var err error
 				if failed {
 					err = errPlatform
 				}
-				w.perform(n, n.machine.ReadDone(w.clock(n), startedAt, list, err))
+				s.perform(n, n.machine.ReadDone(s.clock(n), startedAt, list, err))
 			})
 		})
 	})
 }
 
 // setPartitioned cuts a node from all others, or ends that.
-func (w *simulation) setPartitioned(n *testNode, cut bool) {
-	n.silent = w.now
-	for _, other := range w.nodes {
+func (s *simulation) setPartitioned(n *testNode, cut bool) {
+	n.silentSince = s.now
+	for _, other := range s.nodes {
 		if other != n {
-			w.cut[[2]member.ID{n.id, other.id}] = cut
-			w.cut[[2]member.ID{other.id, n.id}] = cut
+			s.cut[[2]member.ID{n.id, other.id}] = cut
+			s.cut[[2]member.ID{other.id, n.id}] = cut
 		}
 	}
 }
 
 // reader returns a running node that reads, or nil.
-func (w *simulation) reader() *testNode {
-	for _, one := range w.nodes {
+func (s *simulation) reader() *testNode {
+	for _, one := range s.nodes {
 		if one.up && !one.frozen && one.machine.Reads() {
 			return one
 		}
@@ -290,9 +290,9 @@
 	return nil
 }
 
-func (w *simulation) readers() int {
+func (s *simulation) readers() int {
 	count := 0
-	for _, one := range w.nodes {
+	for _, one := range s.nodes {
 		if one.up && !one.frozen && one.machine.Reads() {
 			count++
 		}
@@ -301,15 +301,15 @@
 }
 
 // deployment adds and starts nodes over three zones.
-func (w *simulation) deployment(disks, others int) {
+func (s *simulation) deployment(disks, others int) {
 	for number := range disks + others {
 		kind := "f"
 		if number < disks {
 			kind = "d"
 		}
-		w.add(fmt.Sprintf("%s%d", kind, number), fmt.Sprintf("z%d", number%3+1), number < disks)
+		s.add(fmt.Sprintf("%s%d", kind, number), fmt.Sprintf("z%d", number%3+1), number < disks)
 	}
-	for _, one := range w.nodes {
-		w.after(w.upTo(300*time.Millisecond), func() { w.start(one) })
+	for _, one := range s.nodes {
+		s.after(s.randomDuration(300*time.Millisecond), func() { s.start(one) })
 	}
 }
--- a/internal/control/listing/reader.go
+++ b/internal/control/listing/reader.go
@@ -24,10 +24,10 @@
 	// active means that this node is the reader.
 	active bool
 	// inFlight means that a reading is under way, since startedAt.
-	inFlight  bool
-	startedAt time.Duration
-	next      time.Duration
-	failures  int
+	inFlight   bool
+	startedAt  time.Duration
+	nextReadAt time.Duration
+	failures   int
 	// notBefore is until when a failed reading keeps this node from another.
 	notBefore time.Duration
 }
@@ -42,7 +42,7 @@
 	}
 	r.inFlight = true
 	r.startedAt = now
-	r.next = now + r.readEvery
+	r.nextReadAt = now + r.readEvery
 	return true
 }
 
@@ -53,7 +53,7 @@
 	case r.inFlight || now < r.notBefore:
 		return false
 	case r.active:
-		return now >= r.next
+		return now >= r.nextReadAt
 	default:
 		return now >= takeOverAt()
 	}
--- a/internal/control/listing/timeline_test.go
+++ b/internal/control/listing/timeline_test.go
@@ -35,7 +35,7 @@
 })
 
 func runTimeline(text string) {
-	w := newSimulation(7)
+	s := newSimulation(7)
 	var columns []string
 	for number, line := range strings.Split(text, "\n") {
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -43,56 +43,56 @@
 		}
 		cells := strings.Split(line, "|")
 		if columns == nil {
-			columns = addColumns(w, cells)
+			columns = addColumns(s, cells)
 			continue
 		}
 		at, err := time.ParseDuration(strings.TrimSpace(cells[0]))
 		Expect(err).NotTo(HaveOccurred())
-		w.runUntil(at)
+		s.runUntil(at)
 		for i, cell := range cells[1:] {
 			for _, token := range strings.Split(cell, ",") {
 				if token = strings.TrimSpace(token); token != "" {
-					perform(w, columns[i], token, number+1)
+					perform(s, columns[i], token, number+1)
 				}
 			}
 		}
 	}
 }
 
-func addColumns(w *simulation, cells []string) []string {
+func addColumns(s *simulation, cells []string) []string {
 	var columns []string
 	for _, cell := range cells[1:] {
 		name, zone, isNode := strings.Cut(strings.TrimSpace(cell), "@")
 		if isNode {
-			w.add(name, zone, strings.HasPrefix(name, "d"))
+			s.add(name, zone, strings.HasPrefix(name, "d"))
 		}
 		columns = append(columns, name)
 	}
 	return columns
 }
 
-func perform(w *simulation, column, token string, line int) {
+func perform(s *simulation, column, token string, line int) {
 	verb, argument, _ := strings.Cut(strings.TrimSuffix(token, ")"), "(")
 	where := "line " + strconv.Itoa(line) + ", " + column + ": " + token
 	if column == "platform" {
-		performOnPlatform(w, verb, argument, where)
+		performOnPlatform(s, verb, argument, where)
 		return
 	}
-	n := w.node(column)
+	n := s.node(column)
 	switch verb {
 	case "start":
-		w.start(n)
+		s.start(n)
 	case "kill":
-		w.kill(n)
+		s.kill(n)
 	case "freeze":
 		n.frozen = true
-		n.silent = w.now
+		n.silentSince = s.now
 	case "wake":
-		w.wake(n)
+		s.wake(n)
 	case "isolate", "rejoin":
-		w.setPartitioned(n, verb == "isolate")
+		s.setPartitioned(n, verb == "isolate")
 	case "cut", "mend":
-		w.cut[[2]member.ID{n.id, member.ID(argument)}] = verb == "cut"
+		s.cut[[2]member.ID{n.id, member.ID(argument)}] = verb == "cut"
 	case "fail", "mended":
 		n.failing = verb == "fail"
 	case "reads", "follows":
@@ -104,20 +104,20 @@
 	}
 }
 
-func performOnPlatform(w *simulation, verb, argument, where string) {
+func performOnPlatform(s *simulation, verb, argument, where string) {
 	switch verb {
 	case "drain", "ready":
-		w.setReplica(argument, func(one *Replica) { one.Draining = verb == "drain" })
+		s.setReplica(argument, func(one *Replica) { one.Draining = verb == "drain" })
 	case "remove":
-		w.removeReplica(argument)
+		s.removeReplica(argument)
 	case "version":
 		address, version, _ := strings.Cut(argument, " ")
-		w.setReplica(address, func(one *Replica) { one.WeightVersion = version })
+		s.setReplica(address, func(one *Replica) { one.WeightVersion = version })
 	case "calls":
 		most, err := strconv.Atoi(argument)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(w.calls).To(BeNumerically("<=", most), where)
-		w.calls = 0
+		Expect(s.calls).To(BeNumerically("<=", most), where)
+		s.calls = 0
 	default:
 		Fail("unknown token: " + where)
 	}
