--- a/internal/control/listing/disseminator.go
+++ b/internal/control/listing/disseminator.go
@@ -6,33 +6,36 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// directSendPeriod is how long a node that had to ask gets readings directly, in case the
-// one that should pass them on does not.
+// directSendPeriod is how long after a request a node gets readings directly, in case the
+// node that should forward them has failed.
 const directSendPeriod = 10 * time.Second
 
-// disseminator passes readings on: this node's own to all members, and those of another
-// zone's reader within the zone. It owns what it has to remember for that.
+// disseminator sends this node's own readings to all members, and forwards those of a
+// reader in another zone within this node's zone. It owns the state that this requires.
 type disseminator struct {
 	members *readerOrder
 	table   *table
 	outbox  *outbox
-	// requestedAt is when each node that had a list last asked this one.
+	// requestedAt is when this node last received a request from each node that had a
+	// list.
 	requestedAt map[member.ID]time.Duration
-	// forwarded is the reading that was forwarded last.
+	// forwarded is the version of the reading that was forwarded last.
 	forwarded Version
 }
 
-// requested records that a node which has a list had to ask for a newer one.
+// requested records that a node which has a list requested a newer one.
 func (d *disseminator) requested(now time.Duration, from member.ID) { d.requestedAt[from] = now }
 
-// requestsDirectly reports whether a member had to ask this node lately.
+// requestsDirectly reports whether a member has sent this node a request within
+// directSendPeriod.
 func (d *disseminator) requestsDirectly(now time.Duration, id member.ID) bool {
 	requestedAt, requested := d.requestedAt[id]
 	return requested && now-requestedAt < directSendPeriod
 }
 
-// disseminate sends the newest reading to all members: to each one of this zone, and to
-// one of every other zone, which passes it on.
+// disseminate sends the newest reading to each member of this zone and to one member of
+// every other zone, which forwards it there. Members that requested a reading lately also
+// get it directly.
 func (d *disseminator) disseminate(now time.Duration, before storedReading) {
 	reading := d.table.changesSince(now, before)
 	sent := map[member.ID]struct{}{d.members.self: {}}
@@ -54,7 +57,8 @@
 	}
 }
 
-// forward passes a reading on within the zone, each reading once.
+// forward sends a reading to the other members of the zone if its sender asked for that.
+// It forwards each reading once.
 func (d *disseminator) forward(from member.ID, reading Reading) {
 	if !reading.Forward || reading.Version == d.forwarded {
 		return
--- a/internal/control/listing/doc.go
+++ b/internal/control/listing/doc.go
@@ -1,30 +1,32 @@
-// Package listing keeps the platform's list of back ends on every node while few
-// nodes read it.
+// Package listing distributes the platform's list of back ends to every node, so that
+// only a few nodes call the platform. A reading is the list as one call returned it.
 //
-// One node, the reader, reads the list every ReadEvery and passes each reading on.
-// A node whose list has not been refreshed for longer than that asks others, and
-// then reads by itself: the sooner, the fewer members precede it in the order of
-// readers. So a reader that died, froze or was partitioned is replaced, and each part
-// of a partitioned deployment has a reader of its own.
+// One node, the reader, reads the list every ReadEvery and sends each reading to the
+// other nodes. A node whose list has not been refreshed for longer than ReadEvery
+// requests a reading from other nodes, and if none arrives, reads the list itself. The
+// fewer members precede a node in the order of readers, the shorter it waits. A reader
+// that crashed, was suspended or was partitioned is therefore replaced, and each side of
+// a network partition has a reader of its own.
 //
-// Readings are ordered by term, reader and number. Whoever becomes the reader takes
-// a greater term than any it knows, and whoever hears of a later reading than its
-// own stops reading. A node never goes back to an earlier one. The order says
-// nothing about which of two readers read last: where a list takes the place of one
-// by another reader, a node uses what both allow until the next reading.
+// Readings are ordered by term, reader and sequence number. A node that becomes the
+// reader uses a greater term than any it knows, and a reader that receives a later
+// reading than its own stops reading. A node never replaces a reading by an earlier one.
+// The order does not tell which of two readers called the platform last. A node that
+// replaces the list of one reader by that of another therefore uses the intersection of
+// both lists until a later reading arrives.
 //
-// A reading travels with its age, so that clocks need not agree. The age leaves out
-// the time on the way; the list that a node uses is older than it takes it to be by
-// that much.
+// A message contains the age of its reading instead of a time, so that clocks need not be
+// synchronized. The age does not include the network delay, so a node underestimates the
+// age of its list by that delay.
 //
-// Machine does no I/O and reads no clock. It composes these parts:
+// Machine does no I/O and reads no clock. It consists of these components:
 //
-//	state                                              owner
-//	live members, in the order of readers              readerOrder
-//	newest reading, list that the node uses            table
-//	whether this node reads; pause after failures      reader
-//	who gets readings directly; what was forwarded     disseminator
-//	requests for readings, proof of freshness          follower
-//	requests of others that wait; notified readers     responder
-//	messages to send                                   outbox
+//	state                                                    owner
+//	live members, in the order of readers                    readerOrder
+//	newest reading, list that the node uses                  table
+//	whether this node is the reader, pause after failures    reader
+//	direct recipients of readings, last forwarded reading    disseminator
+//	requests for readings, proof of freshness                follower
+//	pending requests of other nodes, notified readers        responder
+//	messages to send                                         outbox
 package listing
--- a/internal/control/listing/follower.go
+++ b/internal/control/listing/follower.go
@@ -9,24 +9,24 @@
 
 const (
 	// requestAfter is how much longer than ReadEvery a node waits for a refresh
-	// before it asks another node, which repairs a lost message.
+	// before it sends a request to another node. A request makes up for a lost message.
 	requestAfter = 350 * time.Millisecond
-	// requestEvery is the time between two such requests.
+	// requestEvery is the time between two requests.
 	requestEvery = 200 * time.Millisecond
-	// takeOverAfter is how much longer than ReadEvery the first in the order of
-	// readers waits for a refresh before it reads by itself, and takeOverStep how
-	// much longer each further step of the order waits.
+	// takeOverAfter is how much longer than ReadEvery the first node in the order of
+	// readers waits for a refresh before it reads the list itself. takeOverStep is how
+	// much longer the nodes of each further step wait, see takeOverSteps.
 	takeOverAfter = 500 * time.Millisecond
 	takeOverStep  = 350 * time.Millisecond
-	// firstReadAfter is how long a starting node waits for the list of another
-	// node before the first in the order reads, and soleNodeDelay how long it waits
-	// if it knows no other node.
+	// firstReadAfter is how long after its start the first node in the order of
+	// readers waits for the list of another node before it reads the list itself.
+	// soleNodeDelay is how long a node waits that knows no other node.
 	firstReadAfter = 300 * time.Millisecond
 	soleNodeDelay  = time.Second
 )
 
-// follower waits for the readings of another node. It owns this node's requests for them,
-// and the proof that the list in force is fresh.
+// follower requests readings of other nodes when they are overdue. It owns this node's
+// requests, and the proof that the current list is fresh.
 type follower struct {
 	readEvery time.Duration
 	started   time.Duration
@@ -34,15 +34,16 @@
 	table     *table
 	outbox    *outbox
 	proof     freshnessProof
-	// firstRequestScheduled means that this node asked the first members that it learnt of.
+	// firstRequestScheduled means that membersChanged has already scheduled the first request.
 	firstRequestScheduled bool
-	// requests counts those sent since the last refresh, and nextRequest is when the next
-	// may be sent.
+	// requests counts the requests that requestNext has sent since the last refresh.
+	// nextRequest is the earliest time of the next one.
 	requests    int
 	nextRequest time.Duration
 }
 
-// membersChanged has a node without a list ask the first other member that it learns of.
+// membersChanged schedules the first request of a node without a list for the next tick, as
+// soon as it knows another member.
 func (f *follower) membersChanged(now time.Duration) {
 	if !f.table.current.present && !f.firstRequestScheduled && len(f.members.others()) > 0 {
 		f.firstRequestScheduled = true
@@ -50,17 +51,17 @@
 	}
 }
 
-// requestProof has the node ask how old its list is at the most.
+// requestProof schedules a request for a proof of how old the node's list is at most.
 func (f *follower) requestProof(now time.Duration) {
 	f.proof.request()
 	f.nextRequest = now
 }
 
-// refreshed records that a newer reading is in force.
+// refreshed records that the node has a newer reading.
 func (f *follower) refreshed() { f.requests = 0 }
 
-// tick asks for a reading if a refresh, or a proof, is overdue. A node that reads by itself
-// asks for a proof alone.
+// tick sends a request if a refresh is overdue or a proof is pending. A node that reads the
+// list itself sends requests only for a proof.
 func (f *follower) tick(now time.Duration, reading bool) {
 	if now < f.nextRequest || f.members.alone() {
 		return
@@ -75,7 +76,8 @@
 	return !current.present || now-current.receivedAt >= f.readEvery+requestAfter
 }
 
-// requestNext asks the reader first, and then one member after the other.
+// requestNext sends a request to the current reader first, and to the other members in turn
+// if no refresh follows.
 func (f *follower) requestNext(now time.Duration) {
 	others := f.members.others()
 	target := others[f.requests%len(others)].ID
@@ -87,7 +89,7 @@
 	f.request(now, target)
 }
 
-// request asks a node for a reading newer than the one in force.
+// request asks a node for a newer reading than the current one.
 func (f *follower) request(now time.Duration, to member.ID) {
 	f.nextRequest = now + requestEvery
 	f.outbox.sendRequest(to, Request{
@@ -97,7 +99,8 @@
 	})
 }
 
-// takeOverAt is when this node reads by itself unless its list is refreshed.
+// takeOverAt returns when this node reads the list itself unless the list is refreshed
+// before.
 func (f *follower) takeOverAt() time.Duration {
 	current := f.table.current
 	delay := time.Duration(takeOverSteps(f.members.rank(current.version.Reader))) * takeOverStep
@@ -111,7 +114,7 @@
 	}
 }
 
-// takeOverSteps is how many steps a node of a rank waits before it takes over. The steps
-// hold one, one, two, four nodes and so on, so that the last of many nodes does
-// not wait for long, and few read in vain while the first are gone.
+// takeOverSteps returns how many steps a node of a rank waits before it takes over. The
+// steps contain one, one, two, four nodes and so on. The last of many nodes therefore does
+// not wait long, and few nodes read the list needlessly while the first ones are down.
 func takeOverSteps(rank int) int { return bits.Len(uint(rank)) }
--- a/internal/control/listing/freshness_proof.go
+++ b/internal/control/listing/freshness_proof.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// freshnessProof bounds how old the list in force is. The times at which messages arrived
-// are no measure after this node was suspended or partitioned, as messages may have been
-// delayed. A reading that answers a numbered request is younger than the request plus the
-// age that it travels with.
+// freshnessProof bounds the age of the current list. After this node was suspended or
+// partitioned, the times at which messages arrived prove nothing, since messages may have
+// been delayed. An answer to a numbered request is a proof: it was sent after the request,
+// so its reading began no earlier than the time of the request minus the age in the answer.
 type freshnessProof struct {
-	// pending means that a proof is asked for.
+	// pending means that a proof is wanted and has not arrived.
 	pending bool
-	// number is that of the requests for it, and sentAt when the first was sent.
+	// number is the number of the requests for the wanted proof. sent is set once the
+	// first of them was sent, at sentAt.
 	number uint64
 	sent   bool
 	sentAt time.Duration
-	// readAt is when the list was read at the earliest, as of the last proof.
+	// readAt is the earliest time at which the list may have been read, according to
+	// the last proof. It is valid if present is set.
 	readAt  time.Duration
 	present bool
 }
 
-// request asks for a new proof.
+// request records that a new proof is wanted.
 func (p *freshnessProof) request() {
 	p.pending = true
 	p.sent = false
 	p.number++
 }
 
-// requestNumber returns the number of a request that is about to be sent, or 0 if no proof
-// is asked for.
+// requestNumber returns the number for a request that is sent now, or 0 if no proof is
+// pending.
 func (p *freshnessProof) requestNumber(now time.Duration) uint64 {
 	if !p.pending {
 		return 0
@@ -38,15 +40,15 @@
 	return p.number
 }
 
-// receive takes a reading that is in force, and is a proof if it answers the present
-// requests.
+// receive handles a message with the current reading. The message is a proof if it answers
+// one of the pending requests.
 func (p *freshnessProof) receive(reading Reading) {
 	if reading.AnswersRequest != 0 && reading.AnswersRequest == p.number && p.pending {
 		p.prove(p.sentAt - reading.Age)
 	}
 }
 
-// prove records that the list in force was not read before an instant.
+// prove records that the current list was not read before readAt.
 func (p *freshnessProof) prove(readAt time.Duration) {
 	p.pending = false
 	p.readAt = readAt
--- a/internal/control/listing/machine.go
+++ b/internal/control/listing/machine.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// DefaultReadEvery is the time between two readings of the list.
+	// DefaultReadEvery is the default time between two readings of the list.
 	DefaultReadEvery = time.Second
-	// suspendedAfter is the time between two ticks from which on a node takes itself
-	// to have been suspended.
+	// suspendedAfter is the time since the last input above which a tick assumes that
+	// the node was suspended.
 	suspendedAfter = 500 * time.Millisecond
 )
 
@@ -18,21 +18,22 @@
 type Config struct {
 	Self member.ID
 	Zone string
-	// ReadEvery is the time between two readings; 0 means the default.
+	// ReadEvery is the time between two readings; 0 means DefaultReadEvery.
 	ReadEvery time.Duration
 }
 
 // Output is what a node has to do after an input.
 type Output struct {
 	Sends []Outbound
-	// Read asks for a reading; its outcome comes by ReadDone.
+	// Read asks the caller to read the platform's list and to pass the result to
+	// ReadDone.
 	Read bool
-	// Changed means that Replicas has changed.
+	// Changed means that Machine.Replicas returns a new list.
 	Changed bool
 }
 
-// Machine is the part of one node in keeping the list. It composes the parts that the
-// package page names. It is not safe for concurrent use.
+// Machine implements the distribution of the list on one node. The package comment lists
+// its components. It is not safe for concurrent use.
 type Machine struct {
 	now          time.Duration
 	members      *readerOrder
@@ -44,7 +45,7 @@
 	outbox       *outbox
 }
 
-// New returns the machine of a node that starts.
+// New returns the machine of a node that starts now.
 func New(config Config, now time.Duration) *Machine {
 	if config.ReadEvery <= 0 {
 		config.ReadEvery = DefaultReadEvery
@@ -73,17 +74,17 @@
 	}
 }
 
-// SetMembers takes the live members of the deployment.
+// SetMembers replaces the live members of the deployment, this node included.
 func (m *Machine) SetMembers(members []Member) {
 	m.members.set(members)
 	m.follower.membersChanged(m.now)
 }
 
-// Tick advances time.
+// Tick runs the periodic work: reading the list, and requesting readings of other nodes.
 func (m *Machine) Tick(now time.Duration) Output {
 	if now-m.now > suspendedAfter {
-		// Others may have taken over. What this node would read now says nothing
-		// about that, so that it waits for them like any other.
+		// Another node may have become the reader meanwhile, which a reading would not
+		// reveal. This node therefore waits for readings of others first.
 		m.reader.stop()
 	}
 	m.now = now
@@ -94,9 +95,9 @@
 	return output
 }
 
-// ReadDone takes the outcome of a reading that began at startedAt: the list with
-// WarmingUntil on this node's clock, or an error, after which the last list stays in
-// force.
+// ReadDone handles the outcome of a reading that began at startedAt: the list with
+// WarmingUntil on this node's clock, or an error. After an error the node keeps its
+// current list.
 func (m *Machine) ReadDone(now, startedAt time.Duration, replicas []Replica, err error) Output {
 	m.now = now
 	current := m.table.current
@@ -104,7 +105,7 @@
 	case err != nil:
 		m.reader.fail(now)
 	case current.present && current.readAt >= startedAt:
-		// Another node read meanwhile.
+		// A later reading by another node has arrived meanwhile.
 		m.reader.discard()
 	default:
 		m.publish(startedAt, replicas)
@@ -112,7 +113,7 @@
 	return m.collect()
 }
 
-// publish puts this node's own reading in force and passes it on.
+// publish makes this node's own reading the current one and sends it to the other members.
 func (m *Machine) publish(startedAt time.Duration, replicas []Replica) {
 	before := m.table.current
 	m.table.publish(m.now, startedAt, m.reader.succeed(before.version), replicas)
@@ -122,7 +123,7 @@
 	m.disseminator.disseminate(m.now, before)
 }
 
-// Step takes a message of another node.
+// Step handles a message of another node.
 func (m *Machine) Step(now time.Duration, from member.ID, message Message) Output {
 	m.now = now
 	switch {
@@ -137,8 +138,9 @@
 	return m.collect()
 }
 
-// receiveReading puts a reading in force that is newer than the present one. Else it is a
-// proof at the most, or comes from a reader that does not know of a later one.
+// receiveReading accepts a reading that is newer than the current one. The current reading
+// itself may be a proof of freshness. Any other reading comes from an outdated reader, which
+// is notified.
 func (m *Machine) receiveReading(from member.ID, reading Reading) {
 	current := m.table.current
 	if current.present && !reading.Version.newerThan(current.version) {
@@ -161,32 +163,32 @@
 	m.follower.proof.receive(reading)
 }
 
-// collect gathers what the node has to do after an input.
+// collect returns what the node has to do after an input.
 func (m *Machine) collect() Output {
 	return Output{Sends: m.outbox.take(), Changed: m.table.takeChanged()}
 }
 
-// RequestProof has the node ask how old its list is at the most. The times of messages
-// that arrived are no measure after this node was suspended or cut off, as they may
-// have been delayed.
+// RequestProof makes the node request a proof of how old its list is at most. After the
+// node was suspended or partitioned, the times at which messages arrived prove nothing,
+// since messages may have been delayed.
 func (m *Machine) RequestProof() { m.follower.requestProof(m.now) }
 
-// ProvenAt returns an instant before which the list in force was certainly not read,
-// as of the last proof; false before the first.
+// ProvenAt returns a time before which the current list was certainly not read, according
+// to the last proof; proven is false before the first proof.
 func (m *Machine) ProvenAt() (readAt time.Duration, proven bool) {
 	return m.follower.proof.readAt, m.follower.proof.present
 }
 
-// Replicas returns the list that the node uses, sorted by service and address;
-// read only. WarmingUntil is on the node's clock.
+// Replicas returns the list that the node uses, sorted by service and address, with
+// WarmingUntil on the node's clock. Callers must not modify it.
 func (m *Machine) Replicas() []Replica { return m.table.replicas }
 
-// ReadAt returns when the list that the node uses was read; false before the first.
+// ReadAt returns when the newest reading began; present is false before the first reading.
 func (m *Machine) ReadAt() (readAt time.Duration, present bool) {
 	return m.table.current.readAt, m.table.current.present
 }
 
-// Version names the newest reading.
+// Version returns the version of the newest reading.
 func (m *Machine) Version() Version { return m.table.current.version }
 
 // Reads reports whether this node is the reader.
--- a/internal/control/listing/machine_test.go
+++ b/internal/control/listing/machine_test.go
@@ -8,11 +8,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// excludedWithin is how soon after the list shows it every node in touch stops
-// sending to a replica.
+// excludedWithin is the time after the platform's list first shows a replica draining within
+// which every connected node stops sending requests to it.
 const excludedWithin = 2 * time.Second
 
-// injectFault does something to one node, and tells what.
+// injectFault injects a fault into one node and returns the name of the fault.
 func (s *simulation) injectFault(kind int, target *testNode) string {
 	switch kind {
 	case 0:
@@ -31,8 +31,8 @@
 	}
 }
 
-var _ = Describe("the list", func() {
-	It("leaves every node in touch within two seconds, whatever happens to the reader", func() {
+var _ = Describe("the distribution of the platform's list", func() {
+	It("excludes a draining replica on every connected node within two seconds, whatever fault the reader has", func() {
 		for seed := range uint64(160) {
 			s := newSimulation(seed)
 			s.deployment(3+2*int(seed%2), 2+int(seed%20))
@@ -52,7 +52,7 @@
 		}
 	})
 
-	It("never comes back once it excluded a replica, with readers that come and go", func() {
+	It("never admits an excluded replica again, although partitions change the reader", func() {
 		for seed := range uint64(80) {
 			s := newSimulation(1000 + seed)
 			s.deployment(3, 3+int(seed%8))
@@ -85,7 +85,7 @@
 		}
 	})
 
-	It("costs one call a second and few bytes while nothing changes", func() {
+	It("calls the platform once a second and sends few bytes while the list does not change", func() {
 		for _, nodes := range []int{12, 80} {
 			s := newSimulation(uint64(nodes))
 			for number := range 140 {
@@ -111,7 +111,7 @@
 		}
 	})
 
-	It("goes on with the last one while the platform is down, and calls it less often", func() {
+	It("keeps the last list while the platform is down, and calls the platform less often", func() {
 		s := newSimulation(5)
 		s.deployment(3, 9)
 		s.runUntil(4 * time.Second)
--- a/internal/control/listing/members.go
+++ b/internal/control/listing/members.go
@@ -13,16 +13,16 @@
 type Member struct {
 	ID   member.ID
 	Zone string
-	// HasDisk members read the list before others.
+	// HasDisk members precede others in the order of readers.
 	HasDisk bool
-	// Suspect members may be gone; others are preferred to them.
+	// Suspect members may have failed; members that are not suspect precede them.
 	Suspect bool
-	// weight orders members that are alike otherwise.
+	// weight orders members that are equal in HasDisk and Suspect.
 	weight uint64
 }
 
-// compareReaders orders members as readers of the list: those that nobody
-// suspects first, then those with a disk, then by weight.
+// compareReaders orders members as readers of the list: members that are not suspect
+// first, then members with a disk, then by descending weight.
 func compareReaders(a, b Member) int {
 	return cmp.Or(
 		compareBools(b.Suspect, a.Suspect),
@@ -44,10 +44,12 @@
 	}
 }
 
-// weightOf is the weight of a member; the highest one reads first.
+// weightOf returns the weight of a member: a hash of its ID, so that all nodes compute the
+// same order. The member with the highest weight reads first.
 func weightOf(id member.ID) uint64 { return xxhash.Sum64String("list reader " + string(id)) }
 
-// precedes reports whether one of two readers that know nothing of each other wins.
+// precedes reports whether the readings of a replace those of b when both nodes became the
+// reader in the same term.
 func precedes(a, b member.ID) bool {
 	return cmp.Or(cmp.Compare(weightOf(b), weightOf(a)), cmp.Compare(a, b)) < 0
 }
@@ -59,7 +61,7 @@
 	members []Member
 }
 
-// set takes the live members.
+// set replaces the live members.
 func (o *readerOrder) set(members []Member) {
 	o.members = slices.Clone(members)
 	for position := range o.members {
@@ -71,7 +73,7 @@
 // alone reports whether no other member is known.
 func (o *readerOrder) alone() bool { return len(o.members) <= 1 }
 
-// others are the members without this node.
+// others returns the members other than this node.
 func (o *readerOrder) others() []Member {
 	return slices.DeleteFunc(slices.Clone(o.members), func(one Member) bool { return one.ID == o.self })
 }
@@ -81,7 +83,9 @@
 	return slices.ContainsFunc(o.members, func(one Member) bool { return one.ID == id })
 }
 
-// rank is how many members read the list before this node once a reader does not respond.
+// rank returns how many members precede this node in the order of readers, not counting
+// the given reader, which is assumed to have stopped responding. If this node is the given
+// reader, all other members precede it.
 func (o *readerOrder) rank(reader member.ID) int {
 	rank := 0
 	for _, one := range o.members {
@@ -98,7 +102,7 @@
 	return rank
 }
 
-// otherZones are the zones of the members that are not in this node's, sorted.
+// otherZones returns the zones of the members outside this node's zone, sorted.
 func (o *readerOrder) otherZones() []string {
 	var zones []string
 	for _, one := range o.members {
@@ -110,7 +114,8 @@
 	return slices.Compact(zones)
 }
 
-// firstOfZone is the member of a zone that passes readings on there.
+// firstOfZone returns the member that forwards readings within a zone: the first one of
+// the zone in the order of readers.
 func (o *readerOrder) firstOfZone(zone string) member.ID {
 	for _, one := range o.members {
 		if one.Zone == zone {
--- a/internal/control/listing/message.go
+++ b/internal/control/listing/message.go
@@ -10,31 +10,30 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Message is what nodes send each other: exactly one field is set.
+// Message is a message between nodes. Exactly one field is set.
 type Message struct {
-	// Reading is a reading.
 	Reading *Reading
-	// Request asks for the receiver's reading.
 	Request *Request
 }
 
-// Outbound is a message and the member it is for.
+// Outbound is a message and its recipient.
 type Outbound struct {
 	To      member.ID
 	Message Message
 }
 
-// Version orders readings.
+// Version identifies and orders readings.
 type Version struct {
-	// Term grows with each change of the reader.
+	// Term increases with each change of the reader.
 	Term   uint64
 	Reader member.ID
 	// Sequence numbers the readings of one reader in one term.
 	Sequence uint64
 }
 
-// newerThan orders readings: two readers of one term, which did not know of each
-// other, are ordered by their weights, so that all nodes choose the same one.
+// newerThan reports whether a reading follows another one. Two nodes that did not know of
+// each other may both have become the reader in one term; they are ordered by their
+// weights, so that all nodes choose the same reading.
 func (v Version) newerThan(other Version) bool {
 	if v.Term != other.Term {
 		return v.Term > other.Term
@@ -45,35 +44,37 @@
 	return precedes(v.Reader, other.Reader)
 }
 
-// Reading is one reading as it travels.
+// Reading is one reading as nodes send it to each other.
 type Reading struct {
 	Version Version
-	// Age is how long ago the reading began when the message was sent.
+	// Age is the time from the start of the reading until the message was sent.
 	Age time.Duration
-	// ReadAt is when it began on the reader's clock.
+	// ReadAt is when the reading began, on the reader's clock.
 	ReadAt time.Duration
-	// Digest is that of the whole list.
+	// Digest is the digest of the whole list.
 	Digest uint64
-	// Base is the digest of the list that Changes apply to; 0 when Changes are the
+	// Base is the digest of the list that Changes apply to; 0 if Changes contains the
 	// whole list.
 	Base    uint64
 	Changes []change
 	// AnswersRequest is the number of the request that the message answers; 0 if it
-	// answers none.
+	// answers no numbered request.
 	AnswersRequest uint64
-	// Forward tells the receiver to pass the message on within its zone.
+	// Forward tells the receiver to forward the message within its zone.
 	Forward bool
 }
 
-// Request asks for a list that is newer than the sender's.
+// Request asks the receiver for a reading that is newer than the sender's.
 type Request struct {
+	// Version and Digest are those of the sender's newest reading.
 	Version Version
 	Digest  uint64
-	// Number is set when an answer is wanted in any case.
+	// Number identifies a request for a proof of freshness, which the receiver answers
+	// even without a newer reading; 0 in other requests.
 	Number uint64
 }
 
-// Encode returns the payload of a message.
+// Encode returns the message in its wire format.
 func (m Message) Encode() ([]byte, error) {
 	if m.Request != nil {
 		return proto.Marshal(&listingpb.Request{
@@ -87,11 +88,11 @@
 	return proto.Marshal(m.Reading.pack())
 }
 
-// DecodeRequest reads the payload of a request.
+// DecodeRequest decodes a request that Encode has encoded.
 func DecodeRequest(payload []byte) (Message, error) {
 	packed := &listingpb.Request{}
 	if err := proto.Unmarshal(payload, packed); err != nil {
-		return Message{}, errors.Wrap(err, "decode a request for the platform's list")
+		return Message{}, errors.Wrap(err, "decode another node's request for the platform's list")
 	}
 	return Message{Request: &Request{
 		Version: Version{Term: packed.GetTerm(), Reader: member.ID(packed.GetReader()), Sequence: packed.GetSequence()},
@@ -100,11 +101,11 @@
 	}}, nil
 }
 
-// DecodeReading reads the payload of a list.
+// DecodeReading decodes a reading that Encode has encoded.
 func DecodeReading(payload []byte) (Message, error) {
 	packed := &listingpb.List{}
 	if err := proto.Unmarshal(payload, packed); err != nil {
-		return Message{}, errors.Wrap(err, "decode the platform's list of another node")
+		return Message{}, errors.Wrap(err, "decode the platform's list sent by another node")
 	}
 	reading := &Reading{
 		Version:        Version{Term: packed.GetTerm(), Reader: member.ID(packed.GetReader()), Sequence: packed.GetSequence()},
@@ -175,7 +176,8 @@
 	}
 }
 
-// nameTable numbers names from 1; 0 stands for the empty name.
+// nameTable assigns numbers from 1 to names, so that a message contains each name once. 0
+// stands for the empty name.
 type nameTable struct {
 	names   []string
 	numbers map[string]uint32
@@ -193,7 +195,7 @@
 	return t.numbers[name]
 }
 
-// nameAt is the name of a number; a number without one stands for none.
+// nameAt returns the name with a number, or the empty name if the table has no such number.
 func nameAt(names []string, number uint32) string {
 	if number == 0 || int64(number) > int64(len(names)) {
 		return ""
@@ -201,8 +203,8 @@
 	return names[number-1]
 }
 
-// milliseconds converts a number of them, within bounds that keep sums of times
-// from overflowing.
+// milliseconds converts a number of milliseconds to a duration. It caps the duration at
+// 2^40 ms, so that sums of durations do not overflow.
 func milliseconds(count uint64) time.Duration {
 	const maxCount = uint64(1) << 40
 	return time.Duration(min(count, maxCount)) * time.Millisecond
--- a/internal/control/listing/network_test.go
+++ b/internal/control/listing/network_test.go
@@ -15,42 +15,43 @@
 
 const (
 	tickEvery = 20 * time.Millisecond
-	// stepEvery is the grain of the virtual clock.
+	// stepEvery is the step of the virtual clock.
 	stepEvery = 2 * time.Millisecond
-	// membersEvery is how often a node learns who is there.
+	// membersEvery is how often the simulation updates a node's members.
 	membersEvery = 100 * time.Millisecond
-	// minLatency and latencySpread bound one way between two nodes.
+	// minLatency and latencySpread bound the one-way latency between two nodes.
 	minLatency    = time.Millisecond
 	latencySpread = 4 * time.Millisecond
-	// readSpread bounds how long one reading takes.
+	// readSpread is the upper bound of the duration of a reading.
 	readSpread = 40 * time.Millisecond
-	// suspectedAfter is when the others suspect a node that does not respond.
+	// suspectedAfter is how long a node must be silent before the others suspect it.
 	suspectedAfter = 1200 * time.Millisecond
 	// service is the only listed service.
 	service = "chat"
 )
 
-var errPlatform = errors.New("the platform refuses")
+var errPlatform = errors.New("the platform refuses the request")
 
-// testNode is one node with its own clock.
+// testNode is a node with a clock of its own.
 type testNode struct {
 	id      member.ID
 	zone    string
 	disk    bool
 	machine *Machine
-	// clockOffset is how much the clock is ahead of the world's.
+	// clockOffset is how far the node's clock is ahead of the virtual clock.
 	clockOffset time.Duration
 	up          bool
 	frozen      bool
 	incarnation int
 	nextTick    time.Duration
-	// nextMembersUpdate is when the node learns again who is there.
+	// nextMembersUpdate is when the simulation next updates the node's members.
 	nextMembersUpdate time.Duration
 	silentSince       time.Duration
 	waiting           []func()
 	// failing makes the node's readings fail.
 	failing bool
-	// excluded are the replicas that the node excluded once, as their drain asks.
+	// excluded contains the draining and removed replicas that the node has stopped
+	// admitting.
 	excluded map[string]bool
 }
 
@@ -59,21 +60,21 @@
 	run func()
 }
 
-// simulation is a deployment in virtual time.
+// simulation runs a deployment in virtual time.
 type simulation struct {
 	now    time.Duration
 	random *rand.Rand
 	nodes  []*testNode
 	events []event
 	cut    map[[2]member.ID]bool
-	// replicas is the platform's list, and drainingSince when it first showed each
-	// replica draining or gone.
+	// replicas is the platform's list. drainingSince is when each replica began to drain
+	// or was removed from it.
 	replicas      []Replica
 	drainingSince map[string]time.Duration
 	calls         int
 	bytes         int
 	messages      int
-	// loss is the share of messages that get lost.
+	// loss is the probability that a message is lost.
 	loss float64
 }
 
@@ -166,8 +167,8 @@
 	s.perform(n, n.machine.Tick(s.clock(n)))
 }
 
-// membersSeenBy are all nodes that ever started; those that have been silent for
-// this node are suspects.
+// membersSeenBy returns all nodes that have ever started. Nodes that n has not heard from
+// for suspectedAfter are suspect.
 func (s *simulation) membersSeenBy(n *testNode) []Member {
 	var members []Member
 	for _, one := range s.nodes {
@@ -197,7 +198,7 @@
 	}
 }
 
-// admits reports whether a node would send to a replica.
+// admits reports whether a node would send requests to a replica.
 func admits(n *testNode, address string) bool {
 	return slices.ContainsFunc(n.machine.Replicas(), func(one Replica) bool { return one.Address == address && !one.Draining })
 }
@@ -245,7 +246,8 @@
 	}
 }
 
-// read reads the platform's list as it is somewhere on the way.
+// read starts a reading. Its outcome is the platform's list as of halfway through the
+// reading, or errPlatform if the node's readings failed at that time.
 func (s *simulation) read(n *testNode) {
 	s.calls++
 	startedAt := s.clock(n)
@@ -269,7 +271,7 @@
 	})
 }
 
-// setPartitioned cuts a node from all others, or ends that.
+// setPartitioned cuts a node off from all other nodes, or reconnects it.
 func (s *simulation) setPartitioned(n *testNode, cut bool) {
 	n.silentSince = s.now
 	for _, other := range s.nodes {
@@ -280,7 +282,7 @@
 	}
 }
 
-// reader returns a running node that reads, or nil.
+// reader returns the first running node that is the reader, or nil.
 func (s *simulation) reader() *testNode {
 	for _, one := range s.nodes {
 		if one.up && !one.frozen && one.machine.Reads() {
@@ -300,7 +302,8 @@
 	return count
 }
 
-// deployment adds and starts nodes over three zones.
+// deployment adds nodes in three zones and starts them: disks nodes with a disk, and others
+// without.
 func (s *simulation) deployment(disks, others int) {
 	for number := range disks + others {
 		kind := "f"
--- a/internal/control/listing/outbox.go
+++ b/internal/control/listing/outbox.go
@@ -2,8 +2,7 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// outbox owns the messages that an input has caused, in the order in which they are to be
-// sent.
+// outbox owns the messages to send after an input, in sending order.
 type outbox struct{ sends []Outbound }
 
 func (o *outbox) sendReading(to member.ID, reading Reading) {
@@ -14,7 +13,7 @@
 	o.sends = append(o.sends, Outbound{To: to, Message: Message{Request: &request}})
 }
 
-// take returns what has been queued and starts anew.
+// take returns and removes the queued messages.
 func (o *outbox) take() []Outbound {
 	sends := o.sends
 	o.sends = nil
--- a/internal/control/listing/reader.go
+++ b/internal/control/listing/reader.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// readTimeout is how long a reading may take.
+	// readTimeout is how long a reading may take before it counts as failed.
 	readTimeout = 2 * time.Second
 	// minBackoff and maxBackoff bound the pause after a failed reading.
 	minBackoff = time.Second
@@ -16,23 +16,25 @@
 	maxDoublings = 3
 )
 
-// reader is this node's own part in reading the platform's list. It owns whether the node
-// is the reader, the reading under way and the pause after failures.
+// reader decides when this node reads the platform's list. It owns whether the node is the
+// reader, the reading in flight and the pause after failures.
 type reader struct {
 	self      member.ID
 	readEvery time.Duration
 	// active means that this node is the reader.
 	active bool
-	// inFlight means that a reading is under way, since startedAt.
-	inFlight   bool
-	startedAt  time.Duration
+	// inFlight means that a reading is in flight, which began at startedAt.
+	inFlight  bool
+	startedAt time.Duration
+	// nextReadAt is when the reader begins its next reading.
 	nextReadAt time.Duration
-	failures   int
-	// notBefore is until when a failed reading keeps this node from another.
+	// failures counts the consecutive failed readings.
+	failures int
+	// notBefore is the end of the pause after a failed reading.
 	notBefore time.Duration
 }
 
-// tick ends a reading that takes too long, and reports whether another one begins now.
+// tick fails a reading that has timed out, and reports whether another one begins now.
 func (r *reader) tick(now time.Duration, takeOverAt func() time.Duration) bool {
 	if r.inFlight && now-r.startedAt >= readTimeout {
 		r.fail(now)
@@ -46,8 +48,9 @@
 	return true
 }
 
-// due reports whether this node is to begin a reading: every so often as the reader, else
-// when the list was not refreshed until takeOverAt, which is asked for only then.
+// due reports whether this node is to begin a reading: every readEvery if it is the reader,
+// else if the list was not refreshed before takeOverAt. takeOverAt is called only in the
+// latter case.
 func (r *reader) due(now time.Duration, takeOverAt func() time.Duration) bool {
 	switch {
 	case r.inFlight || now < r.notBefore:
@@ -59,7 +62,8 @@
 	}
 }
 
-// fail leaves the reading to others for a while, longer with each failure.
+// fail handles a failed reading: this node is no longer the reader, and does not read the
+// list again before a pause, which doubles with each consecutive failure up to maxBackoff.
 func (r *reader) fail(now time.Duration) {
 	r.inFlight = false
 	r.active = false
@@ -67,8 +71,9 @@
 	r.failures++
 }
 
-// succeed makes this node the reader, and returns the version of its reading: the next one
-// in its term, or the first one in a term of its own if another node read last.
+// succeed makes this node the reader and returns the version of its reading: the next
+// sequence number in the current term, or the first one in a new term if this node was not
+// the reader.
 func (r *reader) succeed(last Version) Version {
 	version := Version{Term: last.Term, Reader: r.self, Sequence: last.Sequence + 1}
 	if !r.active || last.Reader != r.self {
@@ -81,8 +86,8 @@
 	return version
 }
 
-// discard ends a reading whose outcome is not used.
+// discard handles a finished reading whose outcome is not used.
 func (r *reader) discard() { r.inFlight = false }
 
-// stop leaves the reading to another node.
+// stop makes this node no longer the reader.
 func (r *reader) stop() { r.active = false }
--- a/internal/control/listing/replicas.go
+++ b/internal/control/listing/replicas.go
@@ -9,46 +9,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Replica is one listed back end.
+// Replica is one back end in the platform's list.
 type Replica struct {
 	Service string
 	Address string
 	Zone    string
-	// Instance names the incarnation of the back end; empty if the platform has no
-	// such name.
+	// Instance identifies the incarnation of the back end; empty if the platform does
+	// not tell.
 	Instance string
-	// WeightVersion is the version that the list shows, which may lag; empty if it
-	// shows none.
+	// WeightVersion is the version that the platform's list shows, which may be
+	// outdated; empty if the list shows none.
 	WeightVersion string
-	// Slots is how many requests it works on at once; 0 if unknown.
+	// Slots is how many requests the back end processes concurrently; 0 if unknown.
 	Slots    int
 	Draining bool
-	// WarmingUntil is until when it warms up; 0 if it is warm. Within the machine it
-	// is on the clock of the reader, in whole milliseconds; Machine.Replicas tells
-	// it on that of the node.
+	// WarmingUntil is when the warm-up of the back end ends; 0 if it is warm. In
+	// readings it is on the clock of the reader, in whole milliseconds; the list that
+	// Machine.Replicas returns has it on the clock of the node.
 	WarmingUntil time.Duration
 }
 
-// key names a back end within a list.
+// key identifies a back end within a list.
 type key struct {
 	service, address string
 }
 
 func (r Replica) key() key { return key{service: r.Service, address: r.Address} }
 
-// compareReplicas orders a list.
+// compareReplicas orders a list by service and address.
 func compareReplicas(a, b Replica) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Address, b.Address))
 }
 
-// sorted returns a copy in order, without double entries.
+// sorted returns a sorted copy of a list without duplicates.
 func sorted(replicas []Replica) []Replica {
 	ordered := slices.Clone(replicas)
 	slices.SortStableFunc(ordered, compareReplicas)
 	return slices.CompactFunc(ordered, func(a, b Replica) bool { return a.key() == b.key() })
 }
 
-// digestOf is the digest of a sorted list; never 0.
+// digestOf returns the digest of a sorted list. It is never 0, which as Reading.Base means
+// that there is no base.
 func digestOf(replicas []Replica) uint64 {
 	digest := xxhash.New()
 	for _, replica := range replicas {
@@ -71,13 +72,14 @@
 	_, _ = digest.Write(encoded[:])
 }
 
-// change is a replica that a list has in another form than its base, or no more.
+// change is a replica that is new or different in a list compared to its base, or that is
+// gone from the list.
 type change struct {
 	replica Replica
 	gone    bool
 }
 
-// changesBetween lists what makes one sorted list into another.
+// changesBetween returns the changes that lead from one sorted list to another.
 func changesBetween(before, after []Replica) []change {
 	known := byKey(before)
 	var changes []change
@@ -95,7 +97,7 @@
 	return changes
 }
 
-// apply returns a sorted list with changes made.
+// apply returns the sorted list that results from applying changes to base.
 func apply(base []Replica, changes []change) []Replica {
 	known := byKey(base)
 	for _, one := range changes {
@@ -121,8 +123,9 @@
 	return known
 }
 
-// intersect is what two lists of unknown order agree on: the replicas that
-// both have in the same incarnation, draining if either says so.
+// intersect combines two lists of which either may be the later one. It returns the
+// replicas that both lists contain in the same incarnation; a replica that drains in either
+// list is draining in the result. The other attributes are those of the second list.
 func intersect(one, other []Replica) []Replica {
 	known := byKey(one)
 	var allowed []Replica
@@ -137,7 +140,7 @@
 	return allowed
 }
 
-// onClock returns a list whose warm-up times are shifted to another clock.
+// onClock returns a copy of a list with its warm-up times shifted to another clock.
 func onClock(replicas []Replica, shift time.Duration) []Replica {
 	shifted := slices.Clone(replicas)
 	for position := range shifted {
--- a/internal/control/listing/responder.go
+++ b/internal/control/listing/responder.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// pendingRequestTimeout is how long a request waits for a reading to answer it with.
+	// pendingRequestTimeout is how long a request may wait for a newer reading.
 	pendingRequestTimeout = 500 * time.Millisecond
-	// notifyEvery is the time between two replies to an outdated reader.
+	// notifyEvery is the least time between two notifications of an outdated reader.
 	notifyEvery = requestEvery
 )
 
-// responder answers other nodes. It owns the requests that wait for a newer reading, and
-// which outdated readers were notified.
+// responder answers requests of other nodes and notifies outdated readers. It owns the
+// requests that wait for a newer reading, and the times of notifications.
 type responder struct {
 	members *readerOrder
 	table   *table
 	outbox  *outbox
-	// pending are requests that this node had nothing newer for.
+	// pending contains the last request of each node that this node had no newer reading
+	// for.
 	pending map[member.ID]pendingRequest
 	// notifiedAt is when each outdated reader was last notified.
 	notifiedAt map[member.ID]time.Duration
 }
 
-// pendingRequest is a request that a later reading answers.
+// pendingRequest is a request that waits for a newer reading.
 type pendingRequest struct {
 	receivedAt time.Duration
 	request    Request
 }
 
-// receive answers a request with this node's list if it is newer, at once or as soon as it
-// is.
+// receive handles a request. It answers at once if this node's reading is newer than that of
+// the request, or if the request is numbered; else when this node gets a newer reading.
 func (r *responder) receive(now time.Duration, from member.ID, request Request) {
 	current := r.table.current
 	if current.present && (request.Number > 0 || current.version.newerThan(request.Version)) {
@@ -42,7 +43,7 @@
 	r.pending[from] = pendingRequest{receivedAt: now, request: request}
 }
 
-// answerPending answers the requests that waited for a newer reading.
+// answerPending answers the pending requests that have not timed out.
 func (r *responder) answerPending(now time.Duration) {
 	for _, one := range r.members.members {
 		request, pending := r.pending[one.ID]
@@ -53,11 +54,11 @@
 	r.dropPending()
 }
 
-// dropPending forgets the requests that wait, as the reading that answers them is sent to
-// all members.
+// dropPending drops the pending requests. Requests need no answer after this node's own
+// reading, which is sent to all members.
 func (r *responder) dropPending() { clear(r.pending) }
 
-// reply sends the newest reading, without its replicas if the other node has them.
+// reply sends the newest reading, without replicas if the other node has the same list.
 func (r *responder) reply(now time.Duration, to member.ID, request Request) {
 	reading := r.table.fullReading(now)
 	if request.Digest == r.table.current.digest {
@@ -67,8 +68,8 @@
 	r.outbox.sendReading(to, reading)
 }
 
-// notifyOutdatedReader shows a reader that does not know of a later one what is in
-// force, so that it stops.
+// notifyOutdatedReader sends the current reading to a reader that does not know of it, so
+// that it stops reading.
 func (r *responder) notifyOutdatedReader(now time.Duration, reader member.ID) {
 	if reader == r.table.current.version.Reader || !r.members.has(reader) {
 		return
--- a/internal/control/listing/table.go
+++ b/internal/control/listing/table.go
@@ -8,10 +8,12 @@
 )
 
 const (
-	// mergeWithin is how long after the reading in force one of another reader
-	// may have begun and yet be older, since ages leave out the time on the way.
+	// mergeWithin is the difference of start times below which a reading by another
+	// reader may be older than the current one although it seems later: ages do not
+	// include network delay.
 	mergeWithin = 2 * time.Second
-	// warmUpJitter is by how much two readings of one warm-up may differ.
+	// warmUpJitter is the difference up to which two readings are taken to show the
+	// same end of a warm-up.
 	warmUpJitter = 500 * time.Millisecond
 )
 
@@ -19,33 +21,34 @@
 type storedReading struct {
 	present bool
 	version Version
-	// readAt is when the reading began, on this node's clock, or a little before
-	// the message with it arrived; readerReadAt is the same on the reader's clock.
+	// readAt is when the reading began, on this node's clock. For a reading by another
+	// node, it is too late by the network delay of the message. readerReadAt is when the
+	// reading began, on the reader's clock.
 	readAt       time.Duration
 	readerReadAt time.Duration
-	// receivedAt is when the reading reached this node.
+	// receivedAt is when this node received or finished the reading.
 	receivedAt time.Duration
 	replicas   []Replica
 	digest     uint64
 }
 
-// table is the table of replicas: it owns the newest reading and the list that the node
+// table is the table of replicas. It owns the newest reading and the list that the node
 // uses.
 type table struct {
 	self      member.ID
 	readEvery time.Duration
 	current   storedReading
-	// replicas is what the node uses, on its own clock, and changed whether that has
-	// changed since it was last asked.
+	// replicas is the list that the node uses, with times on the node's clock. changed
+	// is set if the list has changed since the last call of takeChanged.
 	replicas []Replica
 	changed  bool
-	// merged means that replicas is what the lists of two readers have in common,
-	// and mergeUntil until when no list is used alone.
+	// merged means that replicas is an intersection of lists. Lists that are accepted
+	// before mergeUntil are intersected with replicas.
 	merged     bool
 	mergeUntil time.Duration
 }
 
-// publish puts this node's own reading in force.
+// publish makes this node's own reading the current one.
 func (t *table) publish(now, startedAt time.Duration, version Version, replicas []Replica) {
 	listed := t.stabilizeWarmUp(sorted(inMilliseconds(replicas)))
 	t.current = storedReading{
@@ -60,7 +63,7 @@
 	t.use(listed)
 }
 
-// inMilliseconds rounds times to what travels.
+// inMilliseconds truncates times to milliseconds, the precision of messages.
 func inMilliseconds(replicas []Replica) []Replica {
 	rounded := slices.Clone(replicas)
 	for position := range rounded {
@@ -69,8 +72,9 @@
 	return rounded
 }
 
-// stabilizeWarmUp keeps the end of a warm-up that an earlier reading of this node gave,
-// so that a list in which nothing happened is the same list.
+// stabilizeWarmUp replaces the end of a warm-up by that of this node's previous reading if
+// the two differ by less than warmUpJitter, so that the digest of an unchanged list stays
+// the same.
 func (t *table) stabilizeWarmUp(replicas []Replica) []Replica {
 	if t.current.version.Reader != t.self {
 		return replicas
@@ -86,7 +90,7 @@
 	return replicas
 }
 
-// accept puts a reading of another node in force.
+// accept makes a reading of another node the current one.
 func (t *table) accept(now time.Duration, reading Reading, replicas []Replica) {
 	before := t.current
 	t.current = storedReading{
@@ -100,7 +104,7 @@
 	}
 	sameReader := before.version.Term == reading.Version.Term && before.version.Reader == reading.Version.Reader
 	if before.present && !sameReader && t.current.readAt-before.readAt < mergeWithin {
-		// Messages of the new reader that were delayed may follow.
+		// Delayed messages of the new reader may still arrive.
 		t.mergeUntil = now + t.readEvery/2
 	}
 	switch {
@@ -111,14 +115,14 @@
 	}
 }
 
-// use puts a list in force as it is.
+// use makes a list the one that the node uses.
 func (t *table) use(replicas []Replica) {
 	t.merged = false
 	t.replicas = onClock(replicas, t.current.readAt-t.current.readerReadAt)
 	t.changed = true
 }
 
-// useMerged puts in force what a list and the one in force both allow.
+// useMerged replaces the list that the node uses by its intersection with another one.
 func (t *table) useMerged(replicas []Replica) {
 	t.merged = true
 	t.replicas = intersect(t.replicas, onClock(replicas, t.current.readAt-t.current.readerReadAt))
@@ -132,8 +136,9 @@
 	return changed
 }
 
-// expand returns the whole list of a message, unless it is sent as changes to one
-// that this node does not have.
+// expand returns the whole list of a reading. known is false if the reading contains
+// changes to a list that this node does not have, or if the result does not match the
+// digest.
 func (t *table) expand(reading Reading) (replicas []Replica, known bool) {
 	var base []Replica
 	if reading.Base != 0 {
@@ -149,7 +154,8 @@
 	return replicas, digestOf(replicas) == reading.Digest
 }
 
-// unchangedReading tells those who have the same list when it was read.
+// unchangedReading returns the newest reading without replicas, for nodes that already have
+// its list.
 func (t *table) unchangedReading(now time.Duration) Reading {
 	return Reading{
 		Version: t.current.version,
@@ -160,7 +166,7 @@
 	}
 }
 
-// fullReading is the newest reading with all replicas.
+// fullReading returns the newest reading with all replicas.
 func (t *table) fullReading(now time.Duration) Reading {
 	reading := t.unchangedReading(now)
 	reading.Base = 0
@@ -168,8 +174,8 @@
 	return reading
 }
 
-// changesSince is the newest reading as changes to an earlier one, or as a whole if
-// that is no longer.
+// changesSince returns the newest reading as changes to an earlier one, or with all
+// replicas if there is no earlier one or if that is no longer than the changes.
 func (t *table) changesSince(now time.Duration, before storedReading) Reading {
 	reading := t.fullReading(now)
 	if !before.present {
--- a/internal/control/listing/timeline_test.go
+++ b/internal/control/listing/timeline_test.go
@@ -13,17 +13,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Each file of testdata is a timeline: the first row names the columns (node@zone;
-// nodes that begin with d have disks), each further row is an instant. A cell acts
-// (start, kill, freeze, wake, isolate, rejoin, cut(b): nothing from here reaches b,
-// mend(b), fail, mended: readings of this node fail, or no more) or checks (reads,
-// follows, admits(x), excludes(x)). The platform's column acts (drain(x), ready(x),
-// remove(x), version(x v)) or checks (calls(n): at most so many since the last such
-// check).
+// Each file of testdata is a timeline. Its first row names the columns: nodes as node@zone,
+// and the platform. Nodes whose names begin with d have disks. Each further row is a point
+// in time. A node's cell contains actions and checks. The actions are start, kill, freeze,
+// wake, isolate and rejoin; cut(b) drops all messages to node b until mend(b); fail makes
+// the node's readings fail until mended. The checks are reads, follows, admits(x) and
+// excludes(x). The actions of the platform's column are drain(x), ready(x), remove(x) and
+// version(x v); its check calls(n) allows at most n calls since the previous such check.
 var _ = Describe("timelines", func() {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		panic("no timelines")
+		panic("testdata contains no timelines")
 	}
 	for _, file := range files {
 		It(strings.TrimSuffix(filepath.Base(file), ".txt"), func() {
