--- a/internal/control/namedweights/tracker.go
+++ b/internal/control/namedweights/tracker.go
@@ -51,7 +51,7 @@
 		versions = appendNamed(versions, named, now)
 	}
 	versions = adoptAges(versions, now, lo.Filter(ages, func(age *controlpb.WeightsAge, _ int) bool { return age.GetPool() == name }))
-	versions = WithoutImplied(versions, t.deadline, func(version Version) time.Duration { return version.ReplicatedAge })
+	versions = WithoutSuperseded(versions, t.deadline, func(version Version) time.Duration { return version.ReplicatedAge })
 	t.pools[name] = mergeExcess(versions)
 }
 
@@ -125,9 +125,9 @@
 	return version
 }
 
-// WithoutImplied drops the versions before the newest whose deadline has passed by an age:
+// WithoutSuperseded drops the versions before the newest whose deadline has passed by an age:
 // a replica that has reached that one is not held to any earlier.
-func WithoutImplied(versions []Version, deadline time.Duration, age func(Version) time.Duration) []Version {
+func WithoutSuperseded(versions []Version, deadline time.Duration, age func(Version) time.Duration) []Version {
 	if deadline <= 0 {
 		return versions
 	}
--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -148,7 +148,7 @@
 // commandedBefore reports whether an earlier leader may have commanded a replica lately. A
 // row is kept for rowRetention after the last command at least.
 func (s *shardState) commandedBefore(address string, config Config) bool {
-	_, moved := s.movedBefore[address]
+	_, moved := s.rowsAtStart[address]
 	return moved || config.LeaseDuration+config.LeaseMargin+config.CommandGap >= rowRetention
 }
 
--- a/internal/control/rollout/commands_test.go
+++ b/internal/control/rollout/commands_test.go
@@ -25,14 +25,14 @@
 func (s leasedShard) HasCommandLease(at time.Duration) bool { return at < s.until }
 
 var _ = Describe("a new leader", func() {
-	const began = 3 * time.Second
+	const leaderSince = 3 * time.Second
 
 	config := Config{LeaseDuration: time.Second, LeaseMargin: 300 * time.Millisecond, CommandGap: 3 * time.Second}
 	gap := config.LeaseDuration + config.LeaseMargin + config.CommandGap
 
-	leading := func(term uint64) *Machine {
+	newLeader := func(term uint64) *Machine {
 		machine := New(config, []uint32{1}, 0)
-		machine.Lead(began, 1, term)
+		machine.Lead(leaderSince, 1, term)
 		return machine
 	}
 	mayCommandAt := func(machine *Machine, shard Shard, now time.Duration) bool {
@@ -40,50 +40,50 @@
 	}
 
 	It("waits until the last command of the one before is as old as the commands of two leaders must be apart", func() {
-		machine, shard := leading(2), leasedShard{term: 2, until: time.Hour}
-		Expect(mayCommandAt(machine, shard, began)).To(BeFalse())
-		Expect(mayCommandAt(machine, shard, began+gap-time.Millisecond)).To(BeFalse())
-		Expect(mayCommandAt(machine, shard, began+gap)).To(BeTrue())
+		machine, shard := newLeader(2), leasedShard{term: 2, until: time.Hour}
+		Expect(mayCommandAt(machine, shard, leaderSince)).To(BeFalse())
+		Expect(mayCommandAt(machine, shard, leaderSince+gap-time.Millisecond)).To(BeFalse())
+		Expect(mayCommandAt(machine, shard, leaderSince+gap)).To(BeTrue())
 	})
 
 	It("need not wait in the first term", func() {
-		Expect(mayCommandAt(leading(1), leasedShard{term: 1, until: time.Hour}, began)).To(BeTrue())
+		Expect(mayCommandAt(newLeader(1), leasedShard{term: 1, until: time.Hour}, leaderSince)).To(BeTrue())
 	})
 
 	It("need not wait for a replica that no earlier leader has moved lately", func() {
 		shard := leasedShard{term: 2, until: time.Hour}
-		may := func(address string, config Config) bool {
+		mayCommand := func(address string, config Config) bool {
 			machine := New(config, []uint32{1}, 0)
-			machine.Lead(began, 1, 2)
-			machine.shards[1].recordMoved([]*controlpb.ReplicaState{{Address: "moved"}})
-			machine.shards[1].recordMoved([]*controlpb.ReplicaState{{Address: "other"}})
-			rolling := &poolRollout{config: config, now: began, shard: shard, state: machine.shards[1]}
+			machine.Lead(leaderSince, 1, 2)
+			machine.shards[1].recordRowsAtStart([]*controlpb.ReplicaState{{Address: "moved"}})
+			machine.shards[1].recordRowsAtStart([]*controlpb.ReplicaState{{Address: "other"}})
+			rolling := &poolRollout{config: config, now: leaderSince, shard: shard, state: machine.shards[1]}
 			return rolling.mayCommand(address)
 		}
-		Expect(may("moved", config)).To(BeFalse())
-		Expect(may("other", config)).To(BeTrue())
-		long := config
-		long.CommandGap = rowRetention
-		Expect(may("other", long)).To(BeFalse())
+		Expect(mayCommand("moved", config)).To(BeFalse())
+		Expect(mayCommand("other", config)).To(BeTrue())
+		longGap := config
+		longGap.CommandGap = rowRetention
+		Expect(mayCommand("other", longGap)).To(BeFalse())
 	})
 
 	It("takes nothing out of service that it may not command soon", func() {
 		finishFirst := config
 		finishFirst.ReplicasFinishFirst = true
-		machine := leading(2)
-		machine.shards[1].recordMoved([]*controlpb.ReplicaState{{Address: "moved"}})
-		soon := func(address string, now time.Duration) bool {
+		machine := newLeader(2)
+		machine.shards[1].recordRowsAtStart([]*controlpb.ReplicaState{{Address: "moved"}})
+		commandableSoon := func(address string, now time.Duration) bool {
 			rolling := &poolRollout{config: finishFirst, now: now, state: machine.shards[1]}
 			return rolling.commandableSoon(poolReplica{Replica: listing.Replica{Address: address}})
 		}
-		Expect(soon("moved", began+gap-confirmationTimeout-time.Millisecond)).To(BeFalse())
-		Expect(soon("moved", began+gap-confirmationTimeout)).To(BeTrue())
-		Expect(soon("other", began)).To(BeTrue())
+		Expect(commandableSoon("moved", leaderSince+gap-confirmationTimeout-time.Millisecond)).To(BeFalse())
+		Expect(commandableSoon("moved", leaderSince+gap-confirmationTimeout)).To(BeTrue())
+		Expect(commandableSoon("other", leaderSince)).To(BeTrue())
 	})
 
 	It("commands nothing unless its lease lasts for the whole time of a command", func() {
-		machine := leading(1)
-		Expect(mayCommandAt(machine, leasedShard{term: 1, until: began + commandTimeout}, began)).To(BeFalse())
-		Expect(mayCommandAt(machine, leasedShard{term: 1, until: began + commandTimeout + 1}, began)).To(BeTrue())
+		machine := newLeader(1)
+		Expect(mayCommandAt(machine, leasedShard{term: 1, until: leaderSince + commandTimeout}, leaderSince)).To(BeFalse())
+		Expect(mayCommandAt(machine, leasedShard{term: 1, until: leaderSince + commandTimeout + 1}, leaderSince)).To(BeTrue())
 	})
 })
--- a/internal/control/rollout/deadlines.go
+++ b/internal/control/rollout/deadlines.go
@@ -28,8 +28,8 @@
 	return &weightsAges{uncounted: map[string]map[string]time.Duration{}}
 }
 
-// follow takes the versions of a pool as the node knows them.
-func (a *weightsAges) follow(now time.Duration, pool string, versions []namedweights.Version) {
+// update takes the versions of a pool as the node knows them.
+func (a *weightsAges) update(now time.Duration, pool string, versions []namedweights.Version) {
 	next := make(map[string]time.Duration, len(versions))
 	for _, version := range versions {
 		uncounted, known := a.uncounted[pool][version.Name]
@@ -68,7 +68,7 @@
 	for _, pool := range pools {
 		name := pool.Config.GetName()
 		ageOf := func(version namedweights.Version) time.Duration { return now - a.since(name, version) }
-		for _, version := range namedweights.WithoutImplied(pool.Named, deadline, ageOf) {
+		for _, version := range namedweights.WithoutSuperseded(pool.Named, deadline, ageOf) {
 			age := min(ageOf(version), deadline)
 			due = due || age > version.ReplicatedAge && (age == deadline || age >= version.ReplicatedAge+ageInterval)
 			ages = append(ages, &controlpb.WeightsAge{
--- a/internal/control/rollout/deadlines_test.go
+++ b/internal/control/rollout/deadlines_test.go
@@ -20,22 +20,22 @@
 	BeforeEach(func() { ages = newWeightsAges() })
 
 	replicated := func(now time.Duration, versions ...namedweights.Version) []*controlpb.WeightsAge {
-		ages.follow(now, "chat", versions)
+		ages.update(now, "chat", versions)
 		return ages.toReplicate(now, []Pool{{Config: chat, Named: versions}}, deadline)
 	}
 
 	It("go on from the earlier leader's, with a short time without a leader", func() {
 		version := namedweights.Version{Name: "2", Since: 0, ReplicatedAge: 5 * time.Second}
-		ages.follow(7*time.Second, "chat", []namedweights.Version{version})
+		ages.update(7*time.Second, "chat", []namedweights.Version{version})
 		Expect(ages.since("chat", version)).To(BeZero())
 	})
 
 	It("do not count a long time without a leader", func() {
 		version := namedweights.Version{Name: "2", Since: 0, ReplicatedAge: 5 * time.Second}
-		ages.follow(30*time.Second, "chat", []namedweights.Version{version})
+		ages.update(30*time.Second, "chat", []namedweights.Version{version})
 		Expect(30*time.Second - ages.since("chat", version)).To(Equal(5*time.Second + maxLeaderGap))
 		version.ReplicatedAge = 9 * time.Second
-		ages.follow(31*time.Second, "chat", []namedweights.Version{version})
+		ages.update(31*time.Second, "chat", []namedweights.Version{version})
 		Expect(31*time.Second - ages.since("chat", version)).To(Equal(6*time.Second + maxLeaderGap))
 	})
 
@@ -52,7 +52,7 @@
 
 	It("are replicated of all versions that no later one makes needless", func() {
 		versions := []namedweights.Version{{Name: "2", Since: 0}, {Name: "3", Since: 2 * time.Second}, {Name: "4", Since: 9 * time.Second}}
-		ages.follow(0, "chat", versions)
+		ages.update(0, "chat", versions)
 		var names []string
 		for _, age := range replicated(13*time.Second, versions...) {
 			names = append(names, age.GetWeightVersion())
@@ -62,7 +62,7 @@
 
 	It("tell which version a replica has to reach first", func() {
 		versions := []namedweights.Version{{Name: "2", Since: time.Second}, {Name: "3", Since: 2 * time.Second}}
-		ages.follow(3*time.Second, "chat", versions)
+		ages.update(3*time.Second, "chat", versions)
 		since, found := ages.firstUnreached("chat", "1", versions)
 		Expect(found).To(BeTrue())
 		Expect(since).To(Equal(time.Second))
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -132,11 +132,11 @@
 // from rows that another change is about to replace.
 func (m *Machine) Advance(now time.Duration, shard Shard, pools []Pool, evacuated shardstate.ZoneSet) *controlpb.SetReplicas {
 	state := m.shards[shard.ID()]
-	state.recordMoved(shard.Rows())
+	state.recordRowsAtStart(shard.Rows())
 	change := &controlpb.SetReplicas{}
 	endpoints := map[string]listing.Replica{}
 	for _, pool := range pools {
-		state.ages.follow(now, pool.Config.GetName(), pool.Named)
+		state.ages.update(now, pool.Config.GetName(), pool.Named)
 		for _, replica := range pool.Endpoints {
 			endpoints[replica.Address] = replica
 		}
--- a/internal/control/rollout/rows.go
+++ b/internal/control/rollout/rows.go
@@ -111,7 +111,7 @@
 		return p.rowOf(replica, controlpb.ReplicaPhase_SERVING, replica.WeightVersion, report)
 	}
 	if replica.row.GetWeightVersion() != p.target() && p.target() != "" {
-		if p.loadUnderWay(replica, progress) {
+		if p.loadInProgress(replica, progress) {
 			return nil
 		}
 		return withPhase(replica.row, controlpb.ReplicaPhase_LOADING, p.target())
@@ -132,9 +132,9 @@
 	return p.target()
 }
 
-// loadUnderWay reports whether a replica that need not be drained has got the command of its
+// loadInProgress reports whether a replica that need not be drained has got the command of its
 // row, and may still carry it out.
-func (p *poolRollout) loadUnderWay(replica poolReplica, progress *replicaProgress) bool {
+func (p *poolRollout) loadInProgress(replica poolReplica, progress *replicaProgress) bool {
 	commanded := progress.inFlight || progress.accepted
 	return p.config.ReplicasFinishFirst && commanded && !p.readyForCommand(replica, progress)
 }
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -19,9 +19,9 @@
 	// when this node first acted in it.
 	term  uint64
 	since time.Duration
-	// movedBefore are the addresses that had a row when this leadership began; nil until
+	// rowsAtStart are the addresses that had a row when this leadership began; nil until
 	// these are known.
-	movedBefore map[string]struct{}
+	rowsAtStart map[string]struct{}
 	// progress is that of each replica that a row keeps requests from.
 	progress map[string]*replicaProgress
 	// servingSince is when the row of each serving replica was first seen.
@@ -125,14 +125,14 @@
 	}
 }
 
-// recordMoved records the rows that earlier leaders have left, once.
-func (s *shardState) recordMoved(rows []*controlpb.ReplicaState) {
-	if s.movedBefore != nil {
+// recordRowsAtStart records the rows that earlier leaders have left, once.
+func (s *shardState) recordRowsAtStart(rows []*controlpb.ReplicaState) {
+	if s.rowsAtStart != nil {
 		return
 	}
-	s.movedBefore = make(map[string]struct{}, len(rows))
+	s.rowsAtStart = make(map[string]struct{}, len(rows))
 	for _, row := range rows {
-		s.movedBefore[row.GetAddress()] = struct{}{}
+		s.rowsAtStart[row.GetAddress()] = struct{}{}
 	}
 }
 
