--- a/internal/control/rollout/advance.go
+++ b/internal/control/rollout/advance.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
-// poolRollout decides the next moves of one pool's replicas, during one call of Advance. It
-// owns the commands that it has decided on.
+// poolRollout decides the next steps of one pool's replicas during one call of Advance. It
+// owns the resulting commands.
 type poolRollout struct {
 	config  Config
 	now     time.Duration
@@ -19,34 +19,36 @@
 	state   *shardState
 	reports *replicaReports
 	pool    *ridgeswitchv1.Pool
-	// named are the versions that were named for the pool, in that order.
+	// named contains the versions that were named for the pool, in the order in which
+	// they were named.
 	named []namedweights.Version
 	pace  *pace
-	// evacuated are the zones to whose replicas no request goes.
+	// evacuated contains the zones whose replicas get no requests.
 	evacuated shardstate.ZoneSet
-	// replicas are the pool's, but for those whose row is about another incarnation.
+	// replicas contains the pool's replicas except those whose row belongs to another
+	// incarnation.
 	replicas []poolReplica
 	commands []Command
 }
 
-// poolReplica is a listed replica with its row, if it has one.
+// poolReplica is a replica in the platform's list with its row, which is nil if it has none.
 type poolReplica struct {
 	listing.Replica
 	row *controlpb.ReplicaState
 }
 
-// outOfService reports whether a row keeps requests from the replica.
+// outOfService reports whether the replica gets no requests because of its row.
 func (r poolReplica) outOfService() bool { return OutOfService(r.row, r.Replica) }
 
 func (p *poolRollout) target() string { return p.pool.GetWeightVersion() }
 
-// addReplicas adds the listed replicas with their rows.
+// addReplicas adds replicas of the platform's list with their rows.
 func (p *poolRollout) addReplicas(endpoints []listing.Replica) {
 	for _, replica := range endpoints {
 		row := shardstate.FindReplica(p.shard.Rows(), replica.Address)
 		if row != nil && !sameInstance(row, replica) {
-			// The row is of another incarnation: obsoleteRows has it removed before a
-			// new one is made.
+			// The row belongs to another incarnation. Since obsoleteRows returns it,
+			// it is removed before the replica gets a new row.
 			continue
 		}
 		p.replicas = append(p.replicas, poolReplica{Replica: replica, row: row})
@@ -69,8 +71,9 @@
 	return rows
 }
 
-// nextRow returns the row that a replica moves to whatever the pace allows, or nil if it
-// stays. To be taken out of service for an update, it waits for selectForUpdate.
+// nextRow returns the next row of a replica, or nil if its row does not change. It makes the
+// changes that do not depend on the pace; selectForUpdate selects the replicas to take out of
+// service for an update.
 func (p *poolRollout) nextRow(replica poolReplica) *controlpb.ReplicaState {
 	switch {
 	case replica.row == nil:
--- a/internal/control/rollout/commands.go
+++ b/internal/control/rollout/commands.go
@@ -5,14 +5,15 @@
 )
 
 const (
-	// commandTimeout is how long after the decision a command may be sent, and how long
-	// its response is waited for.
+	// commandTimeout is how long after the decision a command may be sent, and also the
+	// time limit for its response.
 	commandTimeout = 300 * time.Millisecond
-	// confirmationTimeout is how long a command waits for all nodes to know that the
-	// replica gets no more requests, where replicas refuse those by themselves.
+	// confirmationTimeout is how long a command waits until all nodes have confirmed
+	// that they send the replica no more requests. It applies if replicas finish their
+	// requests first, since such replicas refuse further requests themselves.
 	confirmationTimeout = 300 * time.Millisecond
 	// reportStabilization is how long after the outcome of a command a report may still
-	// show the replica as it was before.
+	// show the state before the command.
 	reportStabilization = 300 * time.Millisecond
 	// minCommandBackoff and maxCommandBackoff bound the pause after a command that was
 	// not accepted.
@@ -20,22 +21,23 @@
 	maxCommandBackoff = 8 * time.Second
 )
 
-// Command orders a replica to load weights. The driver sends it only if the
-// clock still reads less than Deadline, since the right to command ends then.
+// Command tells a replica to load weights. The driver must not send it at or after Deadline,
+// when this node may no longer be entitled to command the replica.
 type Command struct {
 	Address string
-	// Instance is the incarnation that is meant; empty if the list names none.
+	// Instance is the incarnation that the command is for; empty if the platform's list
+	// names none.
 	Instance      string
 	Model         string
 	WeightVersion string
-	// Leader names the node that commands; it is the same for all processes of the
-	// node.
+	// Leader identifies the node that sends the command; it stays the same when the
+	// process of the node restarts.
 	Leader string
-	// Token grows with every later right to command, and with every later
-	// decision under the same right. It is the same in repetitions.
+	// Token increases with each term of leadership, and with each later decision in the
+	// same term. A repeated command has the same token.
 	Token uint64
-	// ExpectedSequence is how many commands the replica has taken as far as this
-	// node knows; it counts only if ExpectsSequence is set.
+	// ExpectedSequence is how many commands the replica has accepted as far as this node
+	// knows. It is valid only if ExpectsSequence is set.
 	ExpectedSequence uint64
 	ExpectsSequence  bool
 	Deadline         time.Duration
@@ -46,28 +48,28 @@
 
 // The outcomes of a command.
 const (
-	// CommandUnknown means that the replica may have accepted it.
+	// CommandUnknown means that it is unknown whether the replica accepted the command.
 	CommandUnknown CommandOutcome = iota
-	// CommandAccepted means that the replica loads the version, or will once its
+	// CommandAccepted means that the replica loads the version, or will do so once its
 	// requests have ended.
 	CommandAccepted
-	// CommandUpToDate means that the replica runs the version already.
+	// CommandUpToDate means that the replica already runs the version.
 	CommandUpToDate
-	// CommandBusy means that another command is under way, or that the replica
-	// has taken others than expected.
+	// CommandBusy means that the replica executes another command, or that it has
+	// accepted other commands than ExpectedSequence counts.
 	CommandBusy
-	// CommandFenced means that the replica has seen a greater token.
+	// CommandFenced means that the replica has received a command with a greater token.
 	CommandFenced
-	// CommandWrongInstance means that another incarnation answered, which did
-	// nothing.
+	// CommandWrongInstance means that another incarnation answered and ignored the
+	// command.
 	CommandWrongInstance
-	// CommandNotSent means that it certainly did not reach the replica.
+	// CommandNotSent means that the command certainly did not reach the replica.
 	CommandNotSent
-	// CommandRefused means that the replica will not do it, for another reason.
+	// CommandRefused means that the replica refused the command for another reason.
 	CommandRefused
 )
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o CommandOutcome) String() string {
 	names := []string{"unknown", "accepted", "holds", "busy", "fenced", "wrong instance", "not sent", "refused"}
 	if int(o) >= len(names) {
@@ -76,9 +78,9 @@
 	return names[o]
 }
 
-// commandReplica orders a replica to load the version of its row, once no node sends it
-// requests any more, the command would have an effect, and this node's right to command
-// is certain for the whole time in which the command is sent.
+// commandReplica tells a replica to load the version of its row, if the replica is ready
+// and this node is entitled to command it during the whole time in which the command may be
+// sent.
 func (p *poolRollout) commandReplica(replica poolReplica, progress *replicaProgress) {
 	if p.now < progress.nextCommand || !p.readyForCommand(replica, progress) {
 		return
@@ -105,16 +107,19 @@
 	})
 }
 
-// readyForCommand reports whether a command would have an effect: the replica responds,
-// is not busy with another command, and did not accept the last one.
+// readyForCommand reports whether a command would have an effect: a report shows that the
+// replica executes no command and loads no weights. The report must be measured after the
+// version was named, and after the last command if the replica may have accepted it. If the
+// replica is not drained first, all nodes must also have stopped sending requests to it, or
+// confirmationTimeout must have passed.
 func (p *poolRollout) readyForCommand(replica poolReplica, progress *replicaProgress) bool {
-	// The command may have been sent until commandTimeout had passed, and its response
-	// may have taken as long again.
+	// The last command may have been sent up to commandTimeout after the decision, and
+	// its response may have taken as long again.
 	if progress.inFlight && p.now < progress.sentAt+2*commandTimeout {
 		return false
 	}
 	if progress.inFlight {
-		// Its outcome got lost.
+		// The outcome of the command was lost.
 		progress.inFlight = false
 		progress.accepted = true
 		progress.reportValidFrom = p.now
@@ -136,8 +141,9 @@
 	return p.now >= progress.since+confirmationTimeout || p.shard.ConfirmedEverywhere(replica.row.GetPhaseRevision())
 }
 
-// mayCommand reports whether this node's right to command a replica is certain for the whole
-// time of a command. One that no earlier leader can have commanded lately need not wait.
+// mayCommand reports whether this node is entitled to command a replica during the whole time
+// of a command. If an earlier leader may have commanded the replica lately, CommandGap must
+// have passed as well.
 func (p *poolRollout) mayCommand(address string) bool {
 	if p.state.commandedBefore(address, p.config) {
 		return p.state.commandLeaseValid(p.now, p.config, p.shard)
@@ -146,21 +152,23 @@
 }
 
 // commandedBefore reports whether an earlier leader may have commanded a replica lately. A
-// row is kept for rowRetention after the last command at least.
+// row is kept for at least rowRetention after the last command. A replica without a row at
+// the start of this leadership was therefore not commanded within rowRetention before. That
+// is not enough if the commands of two leaders must be further apart.
 func (s *shardState) commandedBefore(address string, config Config) bool {
 	_, moved := s.rowsAtStart[address]
 	return moved || config.LeaseDuration+config.LeaseMargin+config.CommandGap >= rowRetention
 }
 
-// commandLeaseValid reports whether this node's right to command is certain for the whole
-// time of a command, and the last command of an earlier leader is as old as the commands
-// of two leaders must be apart.
+// commandLeaseValid reports whether this node is entitled to command replicas during the whole
+// time of a command, and the last command of an earlier leader is at least CommandGap old.
 func (s *shardState) commandLeaseValid(now time.Duration, config Config, shard Shard) bool {
 	return now >= s.commandGapEnd(config) && holdsCommandLease(now, shard)
 }
 
-// commandGapEnd is when the last command of an earlier leader is as old as the commands of
-// two leaders must be apart. In the first term there was no earlier leader.
+// commandGapEnd returns when the last command of an earlier leader is certainly CommandGap
+// old: CommandGap after the lease of that leader has expired. In the first term there was no
+// earlier leader.
 func (s *shardState) commandGapEnd(config Config) time.Duration {
 	if s.term <= 1 {
 		return s.since
@@ -173,16 +181,16 @@
 	return shard.HasCommandLease(now) && shard.HasCommandLease(now+commandTimeout)
 }
 
-// commandToken orders all commands that a replica ever gets: first by the term
-// of the leadership, then by the revision at which the ordered phase was entered.
-// So a replica also refuses a late command of the same leader for a version that
-// has been replaced since.
+// commandToken returns the token of a command. Tokens order all commands to a replica, first
+// by the term of the leader, then by the revision at which the LOADING phase was entered. A
+// replica therefore also refuses a delayed command of the same leader for a version that
+// another one has replaced since.
 func commandToken(term, phaseRevision uint64) uint64 {
 	const revisionBits = 32
 	return term<<revisionBits | phaseRevision&(1<<revisionBits-1)
 }
 
-// commandDone takes the outcome of the command in flight.
+// commandDone handles the outcome of the command in flight.
 func (p *replicaProgress) commandDone(now time.Duration, outcome CommandOutcome) {
 	p.inFlight = false
 	switch outcome {
@@ -211,7 +219,7 @@
 	}
 }
 
-// backOff delays the next command, longer with each failure.
+// backOff delays the next command by a pause that doubles with each consecutive failure.
 func (p *replicaProgress) backOff(now time.Duration) {
 	p.nextCommand = now + backoff(minCommandBackoff, p.failures, maxCommandBackoff)
 	p.failures++
--- a/internal/control/rollout/commands_test.go
+++ b/internal/control/rollout/commands_test.go
@@ -10,8 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 )
 
-// leasedShard is a service shard without rows, the right to command in which lasts
-// until an instant.
+// leasedShard is a service shard without rows, whose command lease expires at until.
 type leasedShard struct {
 	term  uint64
 	until time.Duration
@@ -39,18 +38,18 @@
 		return machine.shards[1].commandLeaseValid(now, config, shard)
 	}
 
-	It("waits until the last command of the one before is as old as the commands of two leaders must be apart", func() {
+	It("waits until the last command of an earlier leader is at least CommandGap old", func() {
 		machine, shard := newLeader(2), leasedShard{term: 2, until: time.Hour}
 		Expect(mayCommandAt(machine, shard, leaderSince)).To(BeFalse())
 		Expect(mayCommandAt(machine, shard, leaderSince+gap-time.Millisecond)).To(BeFalse())
 		Expect(mayCommandAt(machine, shard, leaderSince+gap)).To(BeTrue())
 	})
 
-	It("need not wait in the first term", func() {
+	It("does not wait in the first term", func() {
 		Expect(mayCommandAt(newLeader(1), leasedShard{term: 1, until: time.Hour}, leaderSince)).To(BeTrue())
 	})
 
-	It("need not wait for a replica that no earlier leader has moved lately", func() {
+	It("does not wait for a replica that no earlier leader has commanded lately", func() {
 		shard := leasedShard{term: 2, until: time.Hour}
 		mayCommand := func(address string, config Config) bool {
 			machine := New(config, []uint32{1}, 0)
@@ -67,7 +66,7 @@
 		Expect(mayCommand("other", longGap)).To(BeFalse())
 	})
 
-	It("takes nothing out of service that it may not command soon", func() {
+	It("takes no replica out of service until it may command that replica soon", func() {
 		finishFirst := config
 		finishFirst.ReplicasFinishFirst = true
 		machine := newLeader(2)
@@ -81,7 +80,7 @@
 		Expect(commandableSoon("other", leaderSince)).To(BeTrue())
 	})
 
-	It("commands nothing unless its lease lasts for the whole time of a command", func() {
+	It("is not entitled to command if its lease expires during the time of a command", func() {
 		machine := newLeader(1)
 		Expect(mayCommandAt(machine, leasedShard{term: 1, until: leaderSince + commandTimeout}, leaderSince)).To(BeFalse())
 		Expect(mayCommandAt(machine, leasedShard{term: 1, until: leaderSince + commandTimeout + 1}, leaderSince)).To(BeTrue())
--- a/internal/control/rollout/deadlines.go
+++ b/internal/control/rollout/deadlines.go
@@ -10,17 +10,18 @@
 const (
 	// ageInterval is how often the leader replicates the ages of weights.
 	ageInterval = time.Second
-	// maxLeaderGap is the longest time between two leaders, with what the earlier one had
-	// not replicated, that counts towards the age of a version. A shard that had no leader
-	// for longer was disturbed, and its replicas could not be commanded.
+	// maxLeaderGap is how much of the time without a leader counts at most towards the
+	// age of a version. It includes the time whose ages the earlier leader had not
+	// replicated. A longer time without a leader means a failure during which the
+	// replicas could not be commanded.
 	maxLeaderGap = 3 * time.Second
 )
 
-// weightsAges is how the leader of a shard counts the ages of the versions of its pools. It
-// begins with each leadership.
+// weightsAges computes the ages of the versions of a shard's pools on the leader. A new one
+// is created for each term of leadership.
 type weightsAges struct {
-	// uncounted is how much of the time that the node has known a version does not count,
-	// by pool and version.
+	// uncounted is how much of the age of a version on this node does not count, by pool
+	// and version.
 	uncounted map[string]map[string]time.Duration
 }
 
@@ -28,7 +29,7 @@
 	return &weightsAges{uncounted: map[string]map[string]time.Duration{}}
 }
 
-// update takes the versions of a pool as the node knows them.
+// update replaces the versions of a pool by those that the node knows now.
 func (a *weightsAges) update(now time.Duration, pool string, versions []namedweights.Version) {
 	next := make(map[string]time.Duration, len(versions))
 	for _, version := range versions {
@@ -41,13 +42,13 @@
 	a.uncounted[pool] = next
 }
 
-// since returns from when on a version counts as named.
+// since returns the time from which the age of a version counts.
 func (a *weightsAges) since(pool string, version namedweights.Version) time.Duration {
 	return version.Since + a.uncounted[pool][version.Name]
 }
 
-// firstUnreached returns from when on the oldest version counts as named that a replica has
-// not reached; false if it has reached all of them.
+// firstUnreached returns the time from which the age of the oldest version counts that a
+// replica has not reached; false if the replica has reached all versions.
 func (a *weightsAges) firstUnreached(pool, running string, versions []namedweights.Version) (time.Duration, bool) {
 	for position, version := range versions {
 		if !VersionReachedAnyOf(running, versions[position:]) {
@@ -57,8 +58,9 @@
 	return 0, false
 }
 
-// toReplicate returns the ages of the versions of some pools, if those that were replicated
-// last are too old, or nil.
+// toReplicate returns the ages of the versions of pools, or nil if none of them has to be
+// replicated now. An age is due ageInterval after the last one that was replicated, and when
+// it reaches the deadline.
 func (a *weightsAges) toReplicate(now time.Duration, pools []Pool, deadline time.Duration) []*controlpb.WeightsAge {
 	if deadline <= 0 {
 		return nil
--- a/internal/control/rollout/deadlines_test.go
+++ b/internal/control/rollout/deadlines_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/namedweights"
 )
 
-var _ = Describe("The ages of weights on a leader", func() {
+var _ = Describe("The ages of weight versions on a leader", func() {
 	const deadline = 10 * time.Second
 
 	var ages *weightsAges
@@ -24,13 +24,13 @@
 		return ages.toReplicate(now, []Pool{{Config: chat, Named: versions}}, deadline)
 	}
 
-	It("go on from the earlier leader's, with a short time without a leader", func() {
+	It("continue from the ages of the earlier leader and include a short time without a leader", func() {
 		version := namedweights.Version{Name: "2", Since: 0, ReplicatedAge: 5 * time.Second}
 		ages.update(7*time.Second, "chat", []namedweights.Version{version})
 		Expect(ages.since("chat", version)).To(BeZero())
 	})
 
-	It("do not count a long time without a leader", func() {
+	It("include at most maxLeaderGap of a long time without a leader", func() {
 		version := namedweights.Version{Name: "2", Since: 0, ReplicatedAge: 5 * time.Second}
 		ages.update(30*time.Second, "chat", []namedweights.Version{version})
 		Expect(30*time.Second - ages.since("chat", version)).To(Equal(5*time.Second + maxLeaderGap))
@@ -39,7 +39,7 @@
 		Expect(31*time.Second - ages.since("chat", version)).To(Equal(6*time.Second + maxLeaderGap))
 	})
 
-	It("are replicated once in an interval, and when the deadline passes, but not after that", func() {
+	It("are replicated every ageInterval and when the deadline passes, but not after that", func() {
 		version := namedweights.Version{Name: "2", Since: time.Second}
 		Expect(replicated(time.Second+ageInterval-time.Millisecond, version)).To(BeNil())
 		Expect(replicated(time.Second+ageInterval, version)).To(HaveLen(1))
@@ -50,7 +50,7 @@
 		Expect(replicated(time.Hour, version)).To(BeNil())
 	})
 
-	It("are replicated of all versions that no later one makes needless", func() {
+	It("are replicated for the newest version whose deadline has passed and for all later versions", func() {
 		versions := []namedweights.Version{{Name: "2", Since: 0}, {Name: "3", Since: 2 * time.Second}, {Name: "4", Since: 9 * time.Second}}
 		ages.update(0, "chat", versions)
 		var names []string
@@ -60,7 +60,7 @@
 		Expect(names).To(Equal([]string{"3", "4"}))
 	})
 
-	It("tell which version a replica has to reach first", func() {
+	It("determine the oldest version that a replica has not reached", func() {
 		versions := []namedweights.Version{{Name: "2", Since: time.Second}, {Name: "3", Since: 2 * time.Second}}
 		ages.update(3*time.Second, "chat", versions)
 		since, found := ages.firstUnreached("chat", "1", versions)
--- a/internal/control/rollout/doc.go
+++ b/internal/control/rollout/doc.go
@@ -1,24 +1,25 @@
-// Package rollout moves the replicas of pools to the weight versions that the
-// configuration names, a few at a time, as the leader of the service shard which
-// holds their rows.
+// Package rollout updates the replicas of pools to the weight versions that the
+// configuration names, a few replicas at a time. It runs on the leader of the service
+// shard that contains the rows of the replicas.
 //
-// A replica's row says in which phase it is: SERVING, DRAINING (no node sends it new
-// requests) or LOADING (it is ordered to load the version). The rows are replicated
-// state of the shard and not of this package: Machine proposes changes of them and
-// sees them again once they are committed.
+// A replica's row contains its phase: SERVING, DRAINING (no node sends it new requests) or
+// LOADING (it is commanded to load a version). A replica is out of service in the phases
+// DRAINING and LOADING. The rows are replicated state of the shard, which this package
+// does not own: Machine proposes changes and sees them once they are committed.
 //
-// Machine owns what a leader may lose: shardState is where it stands with each replica
-// that a row keeps requests from, and the pace of each pool; replicaReports are the
-// reports of replicas and the requests for them. A new leader gathers that anew and
-// repeats commands under its own term. poolRollout decides the next moves of one pool.
+// Machine owns the volatile state of a leader. shardState contains the progress of each
+// replica that is out of service and the pace of each pool. replicaReports contains the
+// reports of replicas and the requests for them. A new leader collects this state again
+// and repeats commands under its own term. poolRollout decides the next steps of one pool.
 //
-// The roll-out of each version has a time of its own, which weightsAges counts: from the
-// ages that earlier leaders replicated, so that another leader has no more time than the one
-// before. Advance has the ages replicated until the deadline of nodes has passed.
+// Each version has a deadline of its own, which counts from when the version was named.
+// weightsAges continues from the ages that earlier leaders replicated, so that a change of
+// the leader does not extend the deadline. Advance replicates the ages until
+// Config.WeightsDeadline has passed.
 //
-// Commands carry a token of term and revision, and two leaders' commands to one replica
-// are CommandGap apart, so that replicas which check no tokens are safe as well.
+// Commands contain a token of term and revision. The commands of two leaders to one replica
+// are at least CommandGap apart, so that replicas which do not check tokens are safe too.
 //
-// Machine does no I/O, reads no clock and is not safe for concurrent use. Every input
-// comes with the time; outputs are gathered until Take.
+// Machine does no I/O, reads no clock and is not safe for concurrent use. Each input has
+// the current time as an argument; Take returns the outputs.
 package rollout
--- a/internal/control/rollout/machine.go
+++ b/internal/control/rollout/machine.go
@@ -11,40 +11,41 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// rolloutInterval is how often the leader of a shard looks for its next moves.
+// rolloutInterval is the time between two runs of the roll-outs.
 const rolloutInterval = 100 * time.Millisecond
 
 // Config sets up a Machine.
 type Config struct {
 	Self member.ID
-	// ReplicasFinishFirst means that replicas finish their requests by themselves
-	// before they load weights, so that they need not be drained.
+	// ReplicasFinishFirst means that replicas complete their running requests before
+	// they load weights, so that they need not be drained.
 	ReplicasFinishFirst bool
-	// LeaseDuration and LeaseMargin are those of the replica groups, see
-	// replication.Config.
+	// LeaseDuration and LeaseMargin are the settings of the replication groups of the
+	// same names, see replication.Config.
 	LeaseDuration time.Duration
 	LeaseMargin   time.Duration
-	// CommandGap is how far apart the commands of two leaders to one replica are.
+	// CommandGap is the least time between the commands of two leaders to one replica.
 	CommandGap time.Duration
-	// WeightsDeadline is how long after a version was named nodes give up the
-	// replicas that do not run it; 0 means never.
+	// WeightsDeadline is how long after a version was named nodes stop sending requests
+	// to the replicas that do not run it; 0 means never.
 	WeightsDeadline time.Duration
 }
 
-// Shard is what a roll-out needs of a service shard that this node leads.
+// Shard is a service shard that this node leads.
 type Shard interface {
 	ID() uint32
 	Term() uint64
-	// Rows returns the rows of the replicas, sorted by address; read only.
+	// Rows returns the rows of the replicas, sorted by address. Callers must not modify
+	// them.
 	Rows() []*controlpb.ReplicaState
 	// ConfirmedEverywhere reports whether no node can serve a revision below the given
 	// one any more.
 	ConfirmedEverywhere(revision uint64) bool
-	// DrainedEverywhere reports whether no node has a request left on a replica that
-	// the given revision keeps requests from.
+	// DrainedEverywhere reports whether no node has a running request on a replica that
+	// the given revision takes out of service.
 	DrainedEverywhere(revision uint64) bool
-	// HasCommandLease reports whether this node's right to command replicas lasts at an
-	// instant.
+	// HasCommandLease reports whether this node is entitled to command replicas at the
+	// given time.
 	HasCommandLease(at time.Duration) bool
 }
 
@@ -52,36 +53,36 @@
 type Pool struct {
 	Config    *ridgeswitchv1.Pool
 	Endpoints []listing.Replica
-	// Named are the versions that were named for the pool, in that order; read only.
+	// Named contains the versions that were named for the pool, in the order in which
+	// they were named. Machine does not modify it.
 	Named []namedweights.Version
 }
 
-// Machine rolls out weights in the service shards that a node leads. It owns what the
-// leader remembers of each shard, the reports of replicas, and when the next moves are
-// looked for. It is not safe for concurrent use.
+// Machine rolls out weights in the service shards that a node leads. It owns the volatile
+// state of the leader of each shard, the reports of replicas and the time of the next run.
+// It is not safe for concurrent use.
 type Machine struct {
 	config  Config
 	nextRun time.Duration
-	// shardIDs are the shards that this node hosts, and shards what it remembers of
-	// each.
+	// shardIDs contains the shards that this node hosts, and shards the state of each.
 	shardIDs []uint32
 	shards   map[uint32]*shardState
 	reports  *replicaReports
-	// commands are those to send.
+	// commands contains the commands to send.
 	commands []Command
 }
 
 // Output is what a node has to do for its roll-outs.
 type Output struct {
-	// Commands are the orders to replicas; the outcome of each is passed to
-	// CommandDone.
+	// Commands contains the commands to send to replicas. The caller passes the outcome
+	// of each one to CommandDone.
 	Commands []Command
-	// Reports are the replicas that are to be asked for their reports. Each request
-	// is answered by SetReport or ReportFailed.
+	// Reports contains the requests for reports to send to replicas. The caller calls
+	// SetReport or ReportFailed for each one.
 	Reports []ReportRequest
 }
 
-// New returns the machine of a node that hosts some shards.
+// New returns the machine of a node that hosts the given shards.
 func New(config Config, shardIDs []uint32, now time.Duration) *Machine {
 	machine := &Machine{
 		config:   config,
@@ -95,8 +96,8 @@
 	return machine
 }
 
-// BeginRun reports whether it is time to look for the next moves. If so, the caller must do
-// it now: the time of the next run is counted from this call.
+// BeginRun reports whether a run is due. If so, the caller must call Lead and Advance for
+// the shards that it leads; the time of the next run counts from this call.
 func (m *Machine) BeginRun(now time.Duration) bool {
 	if now < m.nextRun {
 		return false
@@ -105,11 +106,11 @@
 	return true
 }
 
-// RunSoon has the next moves looked for at the next tick.
+// RunSoon makes the next run due now.
 func (m *Machine) RunSoon(now time.Duration) { m.nextRun = now }
 
-// Wake has the next moves looked for at the next tick, if any replica is being moved:
-// something has come that one may wait for.
+// Wake makes the next run due now if any replica is out of service, since the progress of
+// such a replica may depend on the input that the node has just received.
 func (m *Machine) Wake(now time.Duration) {
 	for _, id := range m.shardIDs {
 		if len(m.shards[id].progress) > 0 {
@@ -119,17 +120,17 @@
 	}
 }
 
-// Lead begins anew with a shard that this node has come to lead in another term.
+// Lead resets the state of a shard if this node leads it in another term than before.
 func (m *Machine) Lead(now time.Duration, shardID uint32, term uint64) {
 	if m.shards[shardID].term != term {
 		m.shards[shardID] = newShardState(term, now)
 	}
 }
 
-// Advance moves the replicas of a shard's pools towards the versions that the
-// configuration names, and returns the rows that change and the ages of weights that are to
-// be replicated, or nil if there is nothing of that. The node must have applied everything in the shard's log, so that no change is made
-// from rows that another change is about to replace.
+// Advance takes the next steps towards the versions that the configuration names for a
+// shard's pools. It returns the changes of rows and the ages of weights to replicate, or nil
+// if there are none. The node must have applied all entries of the shard's log, so that
+// Advance does not decide from rows that a pending change replaces.
 func (m *Machine) Advance(now time.Duration, shard Shard, pools []Pool, evacuated shardstate.ZoneSet) *controlpb.SetReplicas {
 	state := m.shards[shard.ID()]
 	state.recordRowsAtStart(shard.Rows())
@@ -164,7 +165,7 @@
 	return change
 }
 
-// CommandDone takes the outcome of a command.
+// CommandDone handles the outcome of a command.
 func (m *Machine) CommandDone(now time.Duration, command Command, outcome CommandOutcome) {
 	for _, id := range m.shardIDs {
 		progress := m.shards[id].progress[command.Address]
@@ -185,19 +186,19 @@
 	m.Wake(now)
 }
 
-// SetReport takes what a replica reported of itself.
+// SetReport handles the report of a replica.
 func (m *Machine) SetReport(now time.Duration, report ReplicaReport) {
 	m.reports.receive(report)
 	m.Wake(now)
 }
 
-// ReportFailed reports that a replica gave no report.
+// ReportFailed records that a request for a replica's report failed.
 func (m *Machine) ReportFailed(now time.Duration, address string) { m.reports.fail(now, address) }
 
 // ForgetAbsent drops the reports of replicas that left the platform's list.
 func (m *Machine) ForgetAbsent(replicas []listing.Replica) { m.reports.forgetAbsent(replicas) }
 
-// Take returns what has been gathered since the last call.
+// Take returns and removes the commands and requests to send.
 func (m *Machine) Take() Output {
 	output := Output{Commands: m.commands, Reports: m.reports.takeDue()}
 	m.commands = nil
--- a/internal/control/rollout/pace.go
+++ b/internal/control/rollout/pace.go
@@ -7,47 +7,50 @@
 )
 
 const (
-	// rolloutTarget is the time in which a roll-out is to reach every replica, and
-	// rolloutTargetWithoutDrain the same where replicas need not be drained and there is
-	// no deadline for weights.
+	// rolloutTarget is the time in which a roll-out is to update all replicas if they
+	// must be drained. rolloutTargetWithoutDrain applies if they need not be drained
+	// and Config.WeightsDeadline is unset or too short to derive the time from.
 	rolloutTarget             = 12 * time.Second
 	rolloutTargetWithoutDrain = 9 * time.Second
-	// weightsDeadlineMargin is how long before the deadline of weights, at which nodes
-	// give up replicas without them, the roll-out is to be done.
+	// weightsDeadlineMargin is how long before Config.WeightsDeadline, after which nodes
+	// stop sending requests to replicas without the version, a roll-out is to end.
 	weightsDeadlineMargin = 1500 * time.Millisecond
-	// replicaRolloutTime is the time that one replica is assumed to need before any was
-	// measured: to finish its requests, load the weights and report them.
+	// replicaRolloutTime is the assumed time that a replica needs to finish its
+	// requests, load the weights and report them. It applies until a time was measured.
 	replicaRolloutTime             = 5 * time.Second
 	replicaRolloutTimeWithoutDrain = 2500 * time.Millisecond
-	// overdueAfter is how long after its deadline a roll-out takes out all replicas at
-	// once, since only the bound that operators count on matters then.
+	// overdueAfter is how long after its deadline a replica is taken out of service
+	// regardless of how many others are. By then, updating all replicas within the time
+	// that operators rely on has priority over capacity.
 	overdueAfter = time.Second
-	// minOutOfService is how many replicas may be out at once in any case, unless that
-	// is more than usualPoolDivisor allows.
+	// minOutOfService is how many replicas of a pool may be out of service at once
+	// even if fewer would meet the deadline. usualPoolDivisor takes precedence.
 	minOutOfService = 3
-	// usualPoolDivisor divides the size of a pool: as many of its replicas may be out at
-	// once as a rule, and by urgentPoolDivisor when the deadline is near.
+	// usualPoolDivisor bounds how many replicas are out of service at once to the size
+	// of the pool divided by it. urgentPoolDivisor replaces it if the deadline cannot be
+	// met otherwise.
 	usualPoolDivisor  = 3
 	urgentPoolDivisor = 2
 )
 
 // pace decides how many replicas of a pool are out of service at once.
 type pace struct {
-	// target is the named version, and targetSince when this leader first saw it.
+	// target is the named version. targetSince is when this leader first saw it.
 	target      string
 	targetSince time.Duration
 	// withoutDrain means that replicas need not be drained.
 	withoutDrain bool
-	// duration is the time in which the roll-out is to reach every replica.
+	// duration is the time in which the roll-out is to update all replicas.
 	duration time.Duration
-	// outDurations is how long a replica was out of service, by how many were out with
-	// it, and loadDurations how much of that was after its command.
+	// outDurations contains the mean time that a replica was out of service, by the
+	// number of replicas that were out of service at that time. loadDurations contains
+	// the part of that time after the command.
 	outDurations  map[int]time.Duration
 	loadDurations map[int]time.Duration
 }
 
-// paceFor returns the pace of a pool, which begins anew with each named version but
-// keeps what was measured.
+// paceFor returns the pace of a pool. A newly named version replaces the target of the pace;
+// the measured times stay.
 func (s *shardState) paceFor(pool *ridgeswitchv1.Pool, now time.Duration, config Config) *pace {
 	current := s.paces[pool.GetName()]
 	if current == nil {
@@ -68,7 +71,7 @@
 	return current
 }
 
-// rolloutDuration is the time in which a roll-out is to reach every replica.
+// rolloutDuration returns the time in which a roll-out is to update all replicas.
 func (c Config) rolloutDuration() time.Duration {
 	switch {
 	case !c.ReplicasFinishFirst:
@@ -80,8 +83,8 @@
 	}
 }
 
-// measure takes in for how long a replica was out of service while level replicas were,
-// and how much of that was after its command.
+// measure records how long a replica was out of service while level replicas were, and how
+// much of that time was after its command.
 func (p *pace) measure(level int, out, load time.Duration) {
 	if level <= 0 {
 		return
@@ -90,7 +93,7 @@
 	updateMean(p.loadDurations, level, load)
 }
 
-// updateMean replaces the mean at a level by that of itself and a new duration.
+// updateMean replaces the mean at a level by the mean of the old value and length.
 func updateMean(means map[int]time.Duration, level int, length time.Duration) {
 	if earlier, found := means[level]; found {
 		length = (earlier + length) / 2
@@ -98,16 +101,18 @@
 	means[level] = length
 }
 
-// expectedOut is how long a replica is out of service while level replicas are.
+// expectedOut returns how long a replica is expected to be out of service while level
+// replicas are.
 func (p *pace) expectedOut(level int) time.Duration { return p.nearest(p.outDurations, level) }
 
-// expectedLoad is how long a replica takes from its command on while level replicas are
-// out of service. It is measured apart from expectedOut, since a leader that had to wait
-// before it could command would otherwise ask too late whether replicas are back.
+// expectedLoad returns how long a replica is expected to be out of service after its command
+// while level replicas are. It is measured separately from expectedOut: the latter includes
+// the time that a leader had to wait before it was entitled to command, which would make the
+// leader request reports too late.
 func (p *pace) expectedLoad(level int) time.Duration { return p.nearest(p.loadDurations, level) }
 
-// nearest returns what was measured at the nearest level, the lower of two, or the
-// default.
+// nearest returns the duration that was measured at the nearest level, or the default if
+// there is none. Of two equally near levels it uses the lower one.
 func (p *pace) nearest(measured map[int]time.Duration, level int) time.Duration {
 	nearest := 0
 	for known := range measured {
@@ -127,17 +132,17 @@
 
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// overdue reports whether only the bound that operators count on matters any more.
-// Where replicas are drained first they are never taken out all at once, as that would
-// last as long as their requests run.
+// overdue reports whether a replica with a deadline is taken out of service regardless of
+// the pace. Replicas that must be drained never are, since all of them might then be out of
+// service for as long as their requests run.
 func (p *pace) overdue(now, deadline time.Duration) bool {
 	return p.withoutDrain && now >= deadline+overdueAfter
 }
 
-// allowed returns how many replicas of a pool may be out of service at once while the
-// work of left replicas remains, which is to be done by the deadline. It is the fewest with
-// which it is, as replicas that load at the same time slow each other down, and no more than
-// usualPoolDivisor allows as long as that is enough.
+// allowed returns how many replicas of a pool may be out of service at once if left replicas
+// have to be updated before the deadline. It returns the smallest number that meets the
+// deadline, since replicas that load at the same time slow each other down. It exceeds the
+// limit of usualPoolDivisor only if that limit does not meet the deadline.
 func (p *pace) allowed(now, deadline time.Duration, left, pool int) int {
 	usual := max(1, pool/usualPoolDivisor)
 	for level := min(minOutOfService, usual); level <= usual; level++ {
@@ -154,8 +159,8 @@
 	return limit
 }
 
-// inTime reports whether the remaining replicas are done before the deadline if level of
-// them are out of service at once.
+// inTime reports whether left replicas are updated before the deadline if level of them are
+// out of service at once.
 func (p *pace) inTime(now, deadline time.Duration, left, level int) bool {
 	return time.Duration(left)*p.expectedOut(level)/time.Duration(level) <= deadline-now
 }
--- a/internal/control/rollout/pace_test.go
+++ b/internal/control/rollout/pace_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("The pace of a roll-out", func() {
-	It("tells the time that replicas are out from what their loads take", func() {
+	It("measures the time out of service and the time of the load separately", func() {
 		measured := &pace{withoutDrain: true, outDurations: map[int]time.Duration{}, loadDurations: map[int]time.Duration{}}
 		Expect(measured.expectedLoad(3)).To(Equal(replicaRolloutTimeWithoutDrain))
 		measured.measure(3, 6*time.Second, 1600*time.Millisecond)
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -6,52 +6,54 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/listing"
 )
 
-// ReplicaReport is what a replica reported of itself.
+// ReplicaReport is a replica's report of its state.
 type ReplicaReport struct {
 	Address string
-	// Instance names the incarnation that answered, as the list does; empty if the
-	// replica does not tell it.
+	// Instance identifies the incarnation that answered, by the name that the platform's
+	// list uses; empty if the replica does not report it.
 	Instance string
-	// Incarnation numbers it, where replicas do that; else 0.
+	// Incarnation is the number of the incarnation; 0 if the replica does not report it.
 	Incarnation uint64
-	// WeightVersion is empty while other weights are being loaded.
+	// WeightVersion is the version that the replica runs; empty while it loads another
+	// one.
 	WeightVersion string
-	// Busy means that a command is under way.
+	// Busy means that the replica executes a command.
 	Busy bool
-	// Sequence counts the commands that the incarnation took; 0 if unknown.
+	// Sequence counts the commands that the incarnation has accepted; 0 if unknown.
 	Sequence uint64
-	// ActiveRequests counts requests that run or wait on the replica.
+	// ActiveRequests counts the running and queued requests on the replica.
 	ActiveRequests int
-	// Age is how old the numbers may have been when the replica was asked. MeasuredAt
-	// allows for it already.
+	// Age is how old the values may have been when the request was sent. MeasuredAt
+	// already accounts for it.
 	Age time.Duration
-	// MeasuredAt is when the replica took the numbers, which may be well
-	// before they arrived.
+	// MeasuredAt is when the replica measured the values, which may be well before the
+	// report arrived.
 	MeasuredAt time.Duration
 }
 
-// ReportRequest asks for a replica's report.
+// ReportRequest is a request for a replica's report.
 type ReportRequest struct {
 	Address string
-	// Instance is the incarnation that is meant; empty if the list names none.
+	// Instance is the incarnation that the request is for; empty if the platform's list
+	// names none.
 	Instance string
 }
 
 const (
-	// reportInterval is the time between two reports of a replica that is waited for.
+	// reportInterval is the least time between two requests for reports of a replica.
 	reportInterval = 300 * time.Millisecond
-	// maxReportBackoff bounds the pause after reports that did not come.
+	// maxReportBackoff bounds the pause after failed requests for reports.
 	maxReportBackoff = 5 * time.Second
-	// reportTimeout is how long a request for a report waits for its response.
+	// reportTimeout is the time limit for the response to a request for a report.
 	reportTimeout = 4 * time.Second
-	// reportFreshness is how old a report may be to show that a replica runs now.
+	// reportFreshness is the age up to which a report shows that a replica is running.
 	reportFreshness = 3 * time.Second
-	// unresponsiveFailures is how many requests in a row without a report show that a replica
-	// does not respond.
+	// unresponsiveFailures is the number of consecutive failed requests for reports from
+	// which on a replica counts as unresponsive.
 	unresponsiveFailures = 2
 )
 
-// reportRequest is the state of this node's requests for the report of one replica.
+// reportRequest is the state of this node's requests for reports of one replica.
 type reportRequest struct {
 	inFlight    bool
 	sentAt      time.Duration
@@ -59,12 +61,12 @@
 	failures    int
 }
 
-// replicaReports owns the newest report of each replica and this node's requests for the
-// next.
+// replicaReports owns the newest report of each replica and this node's requests for
+// reports.
 type replicaReports struct {
 	newest   map[string]ReplicaReport
 	requests map[string]*reportRequest
-	// due are the requests to send.
+	// due contains the requests to send.
 	due []ReportRequest
 }
 
@@ -72,8 +74,8 @@
 	return &replicaReports{newest: map[string]ReplicaReport{}, requests: map[string]*reportRequest{}}
 }
 
-// request asks a replica for its report, unless a request is in flight or the last one was
-// a moment ago. One that does not respond is asked less and less often.
+// request requests a replica's report, unless a request is in flight or the pause after the
+// last one has not ended. The pause doubles with each consecutive failure.
 func (r *replicaReports) request(now time.Duration, replica listing.Replica) {
 	request := r.requests[replica.Address]
 	if request == nil {
@@ -88,8 +90,8 @@
 	r.due = append(r.due, ReportRequest{Address: replica.Address, Instance: replica.Instance})
 }
 
-// requestNow asks a replica without the usual pause if it responded last time, since only a
-// report from now on shows what the leader waits for.
+// requestNow requests a replica's report at once if the last request did not fail. The leader
+// uses it for a report that must be measured from now on.
 func (r *replicaReports) requestNow(now time.Duration, replica listing.Replica) {
 	if request := r.requests[replica.Address]; request != nil && request.failures == 0 {
 		request.inFlight = false
@@ -98,7 +100,7 @@
 	r.request(now, replica)
 }
 
-// receive takes what a replica reported of itself.
+// receive handles the response to a request for a report.
 func (r *replicaReports) receive(report ReplicaReport) {
 	r.record(report)
 	if request := r.requests[report.Address]; request != nil {
@@ -108,7 +110,7 @@
 	}
 }
 
-// record keeps the newest report of a replica.
+// record stores a report unless a later one is known.
 func (r *replicaReports) record(report ReplicaReport) {
 	if known, found := r.newest[report.Address]; found && known.MeasuredAt > report.MeasuredAt {
 		return
@@ -116,7 +118,7 @@
 	r.newest[report.Address] = report
 }
 
-// fail records that a replica gave no report.
+// fail records that a request for a replica's report failed.
 func (r *replicaReports) fail(now time.Duration, address string) {
 	if request := r.requests[address]; request != nil {
 		request.inFlight = false
@@ -139,14 +141,15 @@
 	}
 }
 
-// fresh returns a replica's report if the replica answered lately.
+// fresh returns a replica's newest report; false if there is none that is younger than
+// reportFreshness.
 func (r *replicaReports) fresh(now time.Duration, address string) (ReplicaReport, bool) {
 	report, known := r.newest[address]
 	return report, known && now-report.MeasuredAt < reportFreshness
 }
 
-// since returns a replica's report if it was measured after an instant, in the incarnation
-// that the list names.
+// since returns a replica's newest report; false if there is none, or if it was measured
+// before the given time or by another incarnation than the platform's list names.
 func (r *replicaReports) since(replica listing.Replica, since time.Duration) (ReplicaReport, bool) {
 	report, known := r.newest[replica.Address]
 	if !known || report.MeasuredAt < since {
@@ -158,13 +161,14 @@
 	return report, true
 }
 
-// unresponsive reports whether a replica has left reports unanswered lately.
+// unresponsive reports whether the last unresponsiveFailures requests for a replica's reports
+// have failed.
 func (r *replicaReports) unresponsive(address string) bool {
 	request := r.requests[address]
 	return request != nil && request.failures >= unresponsiveFailures
 }
 
-// takeDue returns the requests to send and starts anew.
+// takeDue returns and removes the requests to send.
 func (r *replicaReports) takeDue() []ReportRequest {
 	due := r.due
 	r.due = nil
--- a/internal/control/rollout/rows.go
+++ b/internal/control/rollout/rows.go
@@ -4,10 +4,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// firstRow makes the row of a replica whose version the list does not show, from
-// its own report: it is admitted with what it runs, and moved on like all others,
-// so that a version named before the first admission does not keep the whole pool
-// out of service. Others need no row until they are moved.
+// firstRow returns the first row of a replica whose version the platform's list does not
+// show, from the replica's report. The row admits the replica with the version that it runs,
+// even if that is not the named one, so that a version that is named before the first
+// admission does not keep the whole pool out of service. The replica is updated like any
+// other later. A replica whose version the list shows needs no row before its update.
 func (p *poolRollout) firstRow(replica poolReplica) *controlpb.ReplicaState {
 	if replica.WeightVersion != "" {
 		return nil
@@ -20,8 +21,9 @@
 	return p.rowOf(replica, controlpb.ReplicaPhase_SERVING, report.WeightVersion, report)
 }
 
-// checkServing watches a serving replica whose version the list does not show. One
-// that reports another version than it confirmed is drained at once.
+// checkServing requests reports of a serving replica whose version the platform's list does
+// not show. It returns a DRAINING row if the replica reports another version than that of
+// its row.
 func (p *poolRollout) checkServing(replica poolReplica) *controlpb.ReplicaState {
 	if replica.WeightVersion != "" {
 		return nil
@@ -34,15 +36,16 @@
 	return withPhase(replica.row, controlpb.ReplicaPhase_DRAINING, replica.row.GetWeightVersion())
 }
 
-// needsUpdate reports whether a serving replica is to load the named version: it runs an
-// older one and answers. Its report also keeps it from a command in vain.
+// needsUpdate reports whether a serving replica is to load the named version: it has not
+// reached that version, and it has responded. Its report also shows beginUpdate whether the
+// replica already has the version, so that a command would be useless.
 func (p *poolRollout) needsUpdate(replica poolReplica) bool {
 	running := RunningVersion(replica.row, replica.Replica)
 	if replica.outOfService() || replica.Draining || running == "" || VersionReached(running, p.target()) {
 		return false
 	}
 	if replica.WeightVersion == "" {
-		// It is asked all the time.
+		// firstRow and checkServing request reports of the replica continuously.
 		_, fresh := p.reports.fresh(p.now, replica.Address)
 		return fresh
 	}
@@ -53,8 +56,9 @@
 	return true
 }
 
-// beginUpdate begins to move a replica. One that has the version already, which the
-// list does not show yet, is admitted with it instead.
+// beginUpdate returns the row that takes a replica out of service for its update. If the
+// replica already runs the named version, which the list does not show yet, the row admits
+// the replica with that version instead.
 func (p *poolRollout) beginUpdate(replica poolReplica) *controlpb.ReplicaState {
 	report := p.reports.newest[replica.Address]
 	switch {
@@ -67,8 +71,10 @@
 	}
 }
 
-// advanceDraining moves the replica on to load the new version once no node can send it a
-// request or has one left on it, and a report measured after that shows none.
+// advanceDraining returns the row in which a draining replica loads the named version, once no
+// node can send requests to the replica or has a request left on it, and a report measured
+// after that shows no requests. If the replica already runs the named version, the row admits
+// it instead.
 func (p *poolRollout) advanceDraining(replica poolReplica) *controlpb.ReplicaState {
 	p.reports.request(p.now, replica.Replica)
 	progress := p.state.progressOf(replica.row, p.now)
@@ -92,10 +98,11 @@
 	return withPhase(replica.row, controlpb.ReplicaPhase_LOADING, p.target())
 }
 
-// advanceLoading admits the replica once it confirms the version, and otherwise
-// orders it to load. A newer named version replaces an unfinished one; where replicas need
-// not be drained, it does so only until the command is sent. Such a replica is admitted with
-// what it has loaded, so that versions that are named in a row do not keep it out of service.
+// advanceLoading returns the row that admits a loading replica once it has confirmed the
+// version, and commands the replica until then. A newly named version replaces an unfinished
+// one. If replicas need not be drained, it does so only until the command is sent: the
+// replica is then admitted with the version that it has loaded, so that versions which are
+// named in quick succession do not keep it out of service.
 func (p *poolRollout) advanceLoading(replica poolReplica) *controlpb.ReplicaState {
 	progress := p.state.progressOf(replica.row, p.now)
 	if !p.config.ReplicasFinishFirst {
@@ -117,14 +124,14 @@
 		return withPhase(replica.row, controlpb.ReplicaPhase_LOADING, p.target())
 	}
 	if progress.fenced {
-		// A greater number is needed, which the revision of a new row gives.
+		// The command needs a greater token, which the revision of a new row provides.
 		return withPhase(replica.row, controlpb.ReplicaPhase_LOADING, replica.row.GetWeightVersion())
 	}
 	p.commandReplica(replica, progress)
 	return nil
 }
 
-// admittedFrom is the version from which on a loading replica is admitted.
+// admittedFrom returns the version that a loading replica must reach to be admitted.
 func (p *poolRollout) admittedFrom(replica poolReplica) string {
 	if p.config.ReplicasFinishFirst {
 		return replica.row.GetWeightVersion()
@@ -132,14 +139,14 @@
 	return p.target()
 }
 
-// loadInProgress reports whether a replica that need not be drained has got the command of its
-// row, and may still carry it out.
+// loadInProgress reports whether a replica that need not be drained may be executing the command
+// of its row.
 func (p *poolRollout) loadInProgress(replica poolReplica, progress *replicaProgress) bool {
 	commanded := progress.inFlight || progress.accepted
 	return p.config.ReplicasFinishFirst && commanded && !p.readyForCommand(replica, progress)
 }
 
-// withPhase copies a row into another phase.
+// withPhase returns a copy of a row with another phase and version.
 func withPhase(row *controlpb.ReplicaState, phase controlpb.ReplicaPhase, version string) *controlpb.ReplicaState {
 	return &controlpb.ReplicaState{
 		Address:       row.GetAddress(),
@@ -152,7 +159,7 @@
 	}
 }
 
-// rowOf makes the row of a replica from what it reported.
+// rowOf returns a row of a replica with the incarnation that the replica has reported.
 func (p *poolRollout) rowOf(replica poolReplica, phase controlpb.ReplicaPhase, version string, report ReplicaReport) *controlpb.ReplicaState {
 	return &controlpb.ReplicaState{
 		Address:       replica.Address,
--- a/internal/control/rollout/selection.go
+++ b/internal/control/rollout/selection.go
@@ -11,12 +11,12 @@
 // candidate is a replica that is to be updated.
 type candidate struct {
 	poolReplica
-	// deadline is when it is to have reached the oldest named version that it has not.
+	// deadline is that of the oldest named version that the replica has not reached.
 	deadline time.Duration
 }
 
-// selectForUpdate returns the replicas to take out of service now: all that are overdue, and
-// of the others as many as the pace allows.
+// selectForUpdate returns the replicas to take out of service now: all overdue replicas, and
+// as many of the others as the pace allows.
 func (p *poolRollout) selectForUpdate(moved map[string]struct{}) []poolReplica {
 	candidates := p.candidates(moved)
 	zones := p.countZones()
@@ -32,7 +32,8 @@
 	return append(selected, p.selectPending(pending, zones, len(selected))...)
 }
 
-// candidates returns the replicas that are to be updated and do not move otherwise.
+// candidates returns the replicas that are to be updated, except those in moved, whose rows
+// change already.
 func (p *poolRollout) candidates(moved map[string]struct{}) []candidate {
 	var candidates []candidate
 	for _, replica := range p.replicas {
@@ -43,15 +44,16 @@
 	return candidates
 }
 
-// commandableSoon reports whether a replica can be commanded about when it is out of service.
-// A leader that still has to wait would only keep it from serving.
+// commandableSoon reports whether this node is entitled to command a replica by the time that
+// the replica is out of service. A replica that is taken out earlier would only be idle. The
+// check applies only to replicas that need not be drained.
 func (p *poolRollout) commandableSoon(replica poolReplica) bool {
 	waits := p.config.ReplicasFinishFirst && p.state.commandedBefore(replica.Address, p.config)
 	return !waits || p.now+confirmationTimeout >= p.state.commandGapEnd(p.config)
 }
 
-// deadlineOf is when a replica is to have reached the oldest named version that it has not:
-// one that is named later gives no more time.
+// deadlineOf returns the deadline of the oldest named version that a replica has not reached.
+// A version that is named later does not extend that deadline.
 func (p *poolRollout) deadlineOf(replica poolReplica) time.Duration {
 	running := RunningVersion(replica.row, replica.Replica)
 	since, found := p.state.ages.firstUnreached(p.pool.GetName(), running, p.named)
@@ -61,9 +63,11 @@
 	return since + p.pace.duration
 }
 
-// selectPending returns as many replicas as the pace allows beside those that are selected
-// already: those with the earliest deadline, from the zones with the fewest out of service,
-// the least busy first. The last serving replica of a zone stays.
+// selectPending returns as many replicas as the pace allows in addition to the taken ones that
+// are already selected. It prefers replicas of evacuated zones, then those with the earliest
+// deadline, then those in zones with the fewest replicas out of service, then those with the
+// fewest requests. The last serving replica of a zone that is not evacuated stays in service
+// while other replicas of the zone are out of service.
 func (p *poolRollout) selectPending(pending []candidate, zones map[string]*zoneCount, taken int) []poolReplica {
 	free := p.rolloutCapacity(pending, taken)
 	var selected []poolReplica
@@ -89,7 +93,7 @@
 	return selected
 }
 
-// compareEvacuated orders evacuated zones first, as their replicas serve nobody.
+// compareEvacuated orders evacuated zones first, since their replicas get no requests.
 func compareEvacuated(evacuated shardstate.ZoneSet, a, b string) int {
 	switch {
 	case evacuated.Has(a) == evacuated.Has(b):
@@ -101,7 +105,7 @@
 	}
 }
 
-// zoneCount is how many replicas of a pool serve in a zone, and how many are out.
+// zoneCount counts the replicas of a pool in a zone that serve and that are out of service.
 type zoneCount struct {
 	serving, out int
 }
@@ -130,9 +134,10 @@
 	return zones
 }
 
-// rolloutCapacity returns how many more replicas may be taken out of service, so that all are
-// done by their deadlines, while taken ones are being taken out. Those that do not respond
-// don't count: they serve nobody.
+// rolloutCapacity returns how many replicas may be taken out of service in addition to the
+// taken ones that are already selected, so that all are updated by their deadlines. Replicas
+// that are out of service and do not respond do not count, since they would serve no requests
+// anyway.
 func (p *poolRollout) rolloutCapacity(pending []candidate, taken int) int {
 	out := taken
 	for _, replica := range p.replicas {
@@ -140,7 +145,7 @@
 			out++
 		}
 	}
-	// Those that are out are half through on average.
+	// Replicas that are out of service have done half of their update on average.
 	left := (out + 1) / 2
 	allowed := 0
 	byDeadline := slices.SortedFunc(slices.Values(pending), func(a, b candidate) int { return cmp.Compare(a.deadline, b.deadline) })
@@ -154,8 +159,9 @@
 	return allowed - out
 }
 
-// seemsUnavailable reports whether a replica has not responded for so long that taking it
-// out of service costs nothing. A leader that has only begun to ask knows of none.
+// seemsUnavailable reports whether a replica has not responded for so long that it counts as
+// unavailable, so that taking it out of service costs no capacity. A leader that has just
+// begun to request reports does not know that of any replica.
 func (p *poolRollout) seemsUnavailable(replica poolReplica) bool {
 	if replica.WeightVersion != "" {
 		return p.reports.unresponsive(replica.Address)
--- a/internal/control/rollout/state.go
+++ b/internal/control/rollout/state.go
@@ -8,25 +8,26 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/shardstate"
 )
 
-// rowRetention is how long a row is kept for a serving replica whose version the list
-// shows. The list has caught up with the row by then.
+// rowRetention is how long the row of a serving replica is kept once the platform's list
+// shows a version of the replica. The list reflects the version of the row by then.
 const rowRetention = 10 * time.Second
 
-// shardState is what the leader of a service shard remembers of its roll-outs.
-// It may be lost: a new leader repeats a command under its own term.
+// shardState is the volatile state of the leader of a service shard. A new leader does not
+// have it and repeats commands under its own term.
 type shardState struct {
-	// term is the term of leadership that the rest belongs to, and since is
-	// when this node first acted in it.
+	// term is the term of leadership that the state belongs to. since is when this node
+	// first acted as the leader in it.
 	term  uint64
 	since time.Duration
-	// rowsAtStart are the addresses that had a row when this leadership began; nil until
-	// these are known.
+	// rowsAtStart contains the addresses that had a row when this leadership began; nil
+	// until the rows are known.
 	rowsAtStart map[string]struct{}
-	// progress is that of each replica that a row keeps requests from.
+	// progress contains the progress of each replica that is out of service, by address.
 	progress map[string]*replicaProgress
-	// servingSince is when the row of each serving replica was first seen.
+	// servingSince is when this leader first saw each replica, by address, with a
+	// SERVING row and a version in the platform's list.
 	servingSince map[string]time.Duration
-	// paces belong to the pools.
+	// paces contains the pace of each pool, by name.
 	paces map[string]*pace
 	ages  *weightsAges
 }
@@ -42,41 +43,44 @@
 	}
 }
 
-// replicaProgress is how far the leader has come with one replica that a row keeps
-// requests from.
+// replicaProgress is the progress of one replica that is out of service.
 type replicaProgress struct {
-	// revision is the one at which the row was entered, and since when this leader
-	// first saw it.
+	// revision is the revision at which the phase of the row was entered. since is when
+	// this leader first saw the row, or the first of the rows that it replaced.
 	revision uint64
 	since    time.Duration
-	// outOfService is how many replicas of the shard were out of service with it, this
-	// one included.
+	// outOfService is how many replicas of the shard were out of service when this
+	// progress began, including this replica.
 	outOfService int
 
+	// drained means that the replica has no requests left on any node, since
+	// drainedSince.
 	drained      bool
 	drainedSince time.Duration
 
-	// token is that of the command in flight, or of the last one.
+	// token is the token of the command in flight, or of the last one.
 	token    uint64
 	inFlight bool
 	sentAt   time.Duration
-	// accepted means that the replica took the command, or may have taken it, and
-	// reportValidFrom from when on a report shows whether it did.
+	// accepted means that the replica accepted the command or may have accepted it. A
+	// report measured from reportValidFrom on shows whether it did.
 	accepted        bool
 	reportValidFrom time.Duration
-	// nextReport is from when on a report is asked for. Each report has a cost, and an
+	// nextReport is when the next report may be requested. A report has a cost, and an
 	// earlier one would hardly show an effect of the command.
 	nextReport time.Duration
-	// expectedLoad is how long the replica is thought to be out from the command on.
+	// expectedLoad is how long the replica is expected to be out of service after the
+	// command.
 	expectedLoad time.Duration
-	// fenced means that the replica has seen a greater token.
+	// fenced means that the replica has received a command with a greater token.
 	fenced bool
-	// nextCommand is from when on another command may be sent, after failures.
+	// nextCommand is when the next command may be sent after failures.
 	nextCommand time.Duration
 	failures    int
 }
 
-// progressOf returns the progress that belongs to a row.
+// progressOf returns the progress of a row's replica. If the row is new, a new progress
+// replaces that of the previous row.
 func (s *shardState) progressOf(row *controlpb.ReplicaState, now time.Duration) *replicaProgress {
 	progress := s.progress[row.GetAddress()]
 	if progress == nil || progress.revision != row.GetPhaseRevision() {
@@ -90,8 +94,9 @@
 	return progress
 }
 
-// inherit keeps what matters when a row is replaced by another: a command that is
-// under way, and the pauses after those that were not taken.
+// inherit takes over the state that stays valid when another row replaces that of the
+// replica: the start, a command that the replica may be executing, and the pause after
+// failed commands.
 func (p *replicaProgress) inherit(earlier *replicaProgress) {
 	p.since = earlier.since
 	p.accepted = earlier.accepted || earlier.inFlight
@@ -104,7 +109,8 @@
 	p.nextCommand = earlier.nextCommand
 }
 
-// countOutOfService counts the replicas with progress, a new one included.
+// countOutOfService returns the number of replicas with progress, including that of the
+// added row.
 func (s *shardState) countOutOfService(added *controlpb.ReplicaState) int {
 	count := 1
 	for address := range s.progress {
@@ -115,7 +121,7 @@
 	return count
 }
 
-// pruneProgress drops what belongs to no row that keeps requests from a replica.
+// pruneProgress drops the progress of replicas that are not out of service any more.
 func (s *shardState) pruneProgress(rows []*controlpb.ReplicaState) {
 	for address := range s.progress {
 		row := shardstate.FindReplica(rows, address)
@@ -125,7 +131,8 @@
 	}
 }
 
-// recordRowsAtStart records the rows that earlier leaders have left, once.
+// recordRowsAtStart records the addresses of the rows that earlier leaders left. Only the
+// first call has an effect.
 func (s *shardState) recordRowsAtStart(rows []*controlpb.ReplicaState) {
 	if s.rowsAtStart != nil {
 		return
@@ -136,9 +143,9 @@
 	}
 }
 
-// obsoleteRows lists the addresses of rows that are no longer needed: those of replicas
-// that left the list or came back as another incarnation, and those that the list has
-// caught up with.
+// obsoleteRows returns the addresses of rows that are no longer needed: those of replicas
+// that left the platform's list or have another incarnation now, and those whose version
+// the list reflects.
 func (s *shardState) obsoleteRows(now time.Duration, rows []*controlpb.ReplicaState, endpoints map[string]listing.Replica) []string {
 	var obsolete []string
 	for _, row := range rows {
@@ -150,8 +157,8 @@
 	return obsolete
 }
 
-// caughtUp reports whether the list has shown a version of a serving replica for
-// rowRetention, so that the row is needed no more. It records when that began.
+// caughtUp reports whether a replica has been serving, with a version in the platform's
+// list, for rowRetention, so that its row is no longer needed. It records when that began.
 func (s *shardState) caughtUp(now time.Duration, row *controlpb.ReplicaState, endpoint listing.Replica) bool {
 	address := row.GetAddress()
 	if endpoint.WeightVersion == "" || row.GetPhase() != controlpb.ReplicaPhase_SERVING {
