--- a/internal/control/namedweights/doc.go
+++ b/internal/control/namedweights/doc.go
@@ -1,14 +1,16 @@
-// Package namedweights tracks for how long the weight versions of pools have been named.
+// Package namedweights tracks how long ago the configuration named the weight versions of
+// pools.
 //
-// Each version has a deadline of its own: one that is named later gives no more time for
-// an earlier one. So Tracker keeps the versions of a pool in the order of their naming,
-// up to the newest whose deadline has passed for the leader of the service's shard; the
-// ones before that follow from it.
+// Each version has a deadline of its own: a version that is named later does not extend the
+// deadline of an earlier one. Tracker therefore keeps the versions of a pool in the order in
+// which they were named. Once the deadline of a version has passed according to the leader
+// of the service's shard, that version supersedes the earlier ones, which Tracker drops.
 //
-// A process can know a version no longer than it runs. The leader therefore replicates
-// the age of each version (controlpb.WeightsAge) until its deadline has passed. A node
-// that starts, and a new leader, count on from there. The age that is replicated never
-// decreases, and Tracker never forgets what it has adopted of a version that it keeps.
+// A process knows a version only since the process started. The leader therefore replicates
+// the age of each version (controlpb.WeightsAge) until the deadline of the version has
+// passed. A starting node and a new leader continue from the replicated age. The replicated
+// age never decreases, and Tracker retains the age that it has adopted for a version as long
+// as it keeps the version.
 //
 // Tracker does no I/O, reads no clock and is not safe for concurrent use.
 package namedweights
--- a/internal/control/namedweights/tracker.go
+++ b/internal/control/namedweights/tracker.go
@@ -10,40 +10,41 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// maxVersions bounds the versions that are kept of a pool.
+// maxVersions is the maximum number of versions that are kept for a pool.
 const maxVersions = 16
 
 // Version is a weight version that was named for a pool.
 type Version struct {
 	Name string
-	// Since is from when on this node counts the version as named; it may lie before the
-	// start of the process.
+	// Since is when the version was named, as far as this node knows. It may be before
+	// the start of the process.
 	Since time.Duration
 	// ReplicatedAge is the age that the leader of the shard has replicated.
 	ReplicatedAge time.Duration
 }
 
-// Age returns for how long this node counts the version as named.
+// Age returns how long ago the version was named, as far as this node knows.
 func (v Version) Age(now time.Duration) time.Duration { return now - v.Since }
 
 // Tracker keeps the versions that were named for pools.
 type Tracker struct {
-	// deadline is how long after the naming of a version replicas without it are given
-	// up; 0 means never.
+	// deadline is how long after a version was named nodes stop sending requests to
+	// replicas that do not run it; 0 means never.
 	deadline time.Duration
 	pools    map[string][]Version
 }
 
-// New returns a tracker that has seen no version.
+// New returns a tracker without versions.
 func New(deadline time.Duration) *Tracker {
 	return &Tracker{deadline: deadline, pools: map[string][]Version{}}
 }
 
-// Versions returns the versions of a pool in the order of their naming; read only.
+// Versions returns the versions of a pool in the order in which they were named. Callers must
+// not modify them.
 func (t *Tracker) Versions(pool string) []Version { return t.pools[pool] }
 
-// Follow takes the version that the configuration names for a pool, and the ages that the
-// leader of the pool's shard has replicated.
+// Follow updates the versions of a pool from the version that the configuration names and the
+// ages that the leader of the pool's shard has replicated.
 func (t *Tracker) Follow(now time.Duration, pool *ridgeswitchv1.Pool, ages []*controlpb.WeightsAge) {
 	name := pool.GetName()
 	versions := t.pools[name]
@@ -55,7 +56,7 @@
 	t.pools[name] = mergeExcess(versions)
 }
 
-// Retain forgets all pools but those of the configuration.
+// Retain drops the versions of all pools except the given ones.
 func (t *Tracker) Retain(pools []*ridgeswitchv1.Pool) {
 	present := lo.KeyBy(pools, (*ridgeswitchv1.Pool).GetName)
 	for name := range t.pools {
@@ -65,7 +66,7 @@
 	}
 }
 
-// DeadlinePassed reports whether the deadline of a version lies between two instants.
+// DeadlinePassed reports whether the deadline of a version is after before and not after now.
 func (t *Tracker) DeadlinePassed(before, now time.Duration) bool {
 	if t.deadline <= 0 {
 		return false
@@ -80,8 +81,8 @@
 	return false
 }
 
-// appendNamed adds the version in force as the last one. One that is named again after
-// others is a new naming.
+// appendNamed adds the version that the configuration names as the last one. A version that
+// is named again after other versions starts with age 0.
 func appendNamed(versions []Version, named string, now time.Duration) []Version {
 	if last, found := lo.Last(versions); found && last.Name == named {
 		return versions
@@ -90,9 +91,10 @@
 	return append(others, Version{Name: named, Since: now})
 }
 
-// adoptAges takes over replicated ages. They may name versions from before this process.
-// What the leader names no more is implied by a later version; what it does not name yet is
-// newer than the rest.
+// adoptAges updates versions from the replicated ages, which may include versions from before
+// the start of this process. Versions without a replicated age are dropped if a version with
+// one follows, since they are superseded; otherwise they are newer than the replicated ones
+// and kept.
 func adoptAges(versions []Version, now time.Duration, ages []*controlpb.WeightsAge) []Version {
 	if len(versions) == 0 || len(ages) == 0 {
 		return versions
@@ -101,7 +103,7 @@
 	var adopted []Version
 	for position, replicated := range ages {
 		if replicated.GetWeightVersion() == inForce.Name && position < len(ages)-1 {
-			// This is the age of an earlier naming.
+			// The current version was named before as well; this is its age from then.
 			continue
 		}
 		adopted = append(adopted, adoptAge(versions, now, replicated))
@@ -125,8 +127,8 @@
 	return version
 }
 
-// WithoutSuperseded drops the versions before the newest whose deadline has passed by an age:
-// a replica that has reached that one is not held to any earlier.
+// WithoutSuperseded drops the versions before the newest one whose age has reached the deadline: a
+// replica that has reached that version need not reach earlier ones.
 func WithoutSuperseded(versions []Version, deadline time.Duration, age func(Version) time.Duration) []Version {
 	if deadline <= 0 {
 		return versions
@@ -138,8 +140,9 @@
 	return versions[newest:]
 }
 
-// mergeExcess bounds the versions: where there are too many, the one that was named soonest
-// after another takes over that one's time. The first one may be overdue, and stays.
+// mergeExcess limits the versions to maxVersions. It removes the version whose successor was
+// named soonest after it; the successor takes over its time of naming, so that no deadline is
+// extended. The first version stays, since its deadline may have passed.
 func mergeExcess(versions []Version) []Version {
 	for len(versions) > maxVersions {
 		merged := 1
@@ -156,7 +159,7 @@
 	return versions
 }
 
-// gapAfter is the time between the naming of a version and that of the next one.
+// gapAfter returns the time from the naming of a version to that of the next one.
 func gapAfter(versions []Version, position int) time.Duration {
 	return versions[position+1].Since - versions[position].Since
 }
--- a/internal/control/namedweights/tracker_test.go
+++ b/internal/control/namedweights/tracker_test.go
@@ -40,7 +40,7 @@
 		return lo.Map(tracker.Versions(chat), func(version Version, _ int) string { return version.Name })
 	}
 
-	It("keeps the time of a version when another one is named", func() {
+	It("keeps the time and deadline of a version when another one is named", func() {
 		tracker.Follow(time.Second, pool("2"), nil)
 		tracker.Follow(4*time.Second, pool("3"), nil)
 		Expect(tracker.Versions(chat)).To(Equal([]Version{{Name: "2", Since: time.Second}, {Name: "3", Since: 4 * time.Second}}))
@@ -49,18 +49,18 @@
 		Expect(tracker.DeadlinePassed(13*time.Second, 14*time.Second)).To(BeTrue())
 	})
 
-	It("counts on from the replicated ages after a start, of versions that it never saw in force too", func() {
+	It("continues from the replicated ages after a start, including those of earlier versions", func() {
 		tracker.Follow(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", 8*time.Second), age("3", 3*time.Second)})
 		Expect(tracker.Versions(chat)).To(Equal([]Version{
 			{Name: "2", Since: -7 * time.Second, ReplicatedAge: 8 * time.Second},
 			{Name: "3", Since: -2 * time.Second, ReplicatedAge: 3 * time.Second},
 		}))
-		// The same ages, read later, make nothing younger.
+		// The same replicated ages do not make a version younger when they are read later.
 		tracker.Follow(5*time.Second, pool("3"), []*controlpb.WeightsAge{age("2", 8*time.Second), age("3", 3*time.Second)})
 		Expect(tracker.Versions(chat)[0].Since).To(Equal(-7 * time.Second))
 	})
 
-	It("drops what a version whose deadline has passed implies, and never takes it for newer", func() {
+	It("drops the versions that one whose deadline has passed supersedes, and does not append them again", func() {
 		tracker.Follow(0, pool("2"), nil)
 		tracker.Follow(time.Second, pool("3"), nil)
 		tracker.Follow(2*time.Second, pool("4"), nil)
@@ -68,14 +68,14 @@
 		Expect(names()).To(Equal([]string{"3", "4"}))
 	})
 
-	It("keeps a version in force that the leader has not replicated yet as the last one", func() {
+	It("keeps the current version last while the leader has not replicated its age", func() {
 		tracker.Follow(0, pool("2"), nil)
 		tracker.Follow(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", time.Second)})
 		Expect(names()).To(Equal([]string{"2", "3"}))
 		Expect(tracker.Versions(chat)[1].ReplicatedAge).To(BeZero())
 	})
 
-	It("takes a version that is named again for a new naming", func() {
+	It("starts with age 0 for a version that is named again after another one", func() {
 		tracker.Follow(0, pool("a"), nil)
 		tracker.Follow(time.Second, pool("b"), []*controlpb.WeightsAge{age("a", deadline), age("b", 0)})
 		tracker.Follow(20*time.Second, pool("a"), []*controlpb.WeightsAge{age("a", deadline), age("b", deadline)})
@@ -83,7 +83,7 @@
 		Expect(tracker.Versions(chat)[1]).To(Equal(Version{Name: "a", Since: 20 * time.Second}))
 	})
 
-	It("is bounded, and gives no version more time when it drops another", func() {
+	It("limits the number of versions, and extends no deadline when it drops a version", func() {
 		for number := range 100 {
 			tracker.Follow(time.Duration(number)*10*time.Millisecond, pool(fmt.Sprint(number+1)), nil)
 		}
@@ -93,13 +93,13 @@
 		Expect(tracker.Versions(chat)[1].Since).To(Equal(10 * time.Millisecond))
 	})
 
-	It("forgets pools that left the configuration", func() {
+	It("drops pools that left the configuration", func() {
 		tracker.Follow(0, pool("2"), nil)
 		tracker.Retain(nil)
 		Expect(tracker.Versions(chat)).To(BeEmpty())
 	})
 
-	It("knows no versions of a pool without any, and drops none where there is no deadline", func() {
+	It("has no versions of a pool that names none, and drops no versions without a deadline", func() {
 		tracker.Follow(0, pool(""), nil)
 		Expect(tracker.Versions(chat)).To(BeEmpty())
 		withoutDeadline := New(0)
