--- a/internal/control/listing/doc.go
+++ b/internal/control/listing/doc.go
@@ -1,5 +1,6 @@
 // Package listing distributes the platform's list of back ends to every node, so that
-// only a few nodes call the platform. A reading is the list as one call returned it.
+// only a few nodes call the platform. A reading is one call that reads the list, and the
+// list that it returned.
 //
 // One node, the reader, reads the list every ReadEvery and sends each reading to the
 // other nodes. A node whose list has not been refreshed for longer than ReadEvery
@@ -12,8 +13,9 @@
 // reader uses a greater term than any it knows, and a reader that receives a later
 // reading than its own stops reading. A node never replaces a reading by an earlier one.
 // The order does not tell which of two readers called the platform last. A node that
-// replaces the list of one reader by that of another therefore uses the intersection of
-// both lists until a later reading arrives.
+// replaces the list of one reader by one that it received from another reader therefore
+// uses the intersection of both lists until a later reading arrives, unless the second
+// list was read at least mergeWithin after the first one.
 //
 // A message contains the age of its reading instead of a time, so that clocks need not be
 // synchronized. The age does not include the network delay, so a node underestimates the
--- a/internal/control/namedweights/tracker.go
+++ b/internal/control/namedweights/tracker.go
@@ -127,8 +127,8 @@
 	return version
 }
 
-// WithoutSuperseded drops the versions before the newest one whose age has reached the deadline: a
-// replica that has reached that version need not reach earlier ones.
+// WithoutSuperseded drops the versions before the newest one whose age has reached the
+// deadline: a replica that has reached that version need not reach earlier ones.
 func WithoutSuperseded(versions []Version, deadline time.Duration, age func(Version) time.Duration) []Version {
 	if deadline <= 0 {
 		return versions
--- a/internal/control/rollout/reports.go
+++ b/internal/control/rollout/reports.go
@@ -74,8 +74,9 @@
 	return &replicaReports{newest: map[string]ReplicaReport{}, requests: map[string]*reportRequest{}}
 }
 
-// request requests a replica's report, unless a request is in flight or the pause after the
-// last one has not ended. The pause doubles with each consecutive failure.
+// request requests a replica's report, unless a request is in flight that has not timed out,
+// or the pause after the last one has not ended. The pause doubles with each consecutive
+// failure.
 func (r *replicaReports) request(now time.Duration, replica listing.Replica) {
 	request := r.requests[replica.Address]
 	if request == nil {
@@ -90,8 +91,8 @@
 	r.due = append(r.due, ReportRequest{Address: replica.Address, Instance: replica.Instance})
 }
 
-// requestNow requests a replica's report at once if the last request did not fail. The leader
-// uses it for a report that must be measured from now on.
+// requestNow requests a replica's report without a pause, even if a request is in flight, if
+// the last request did not fail: the leader waits for a report that is measured from now on.
 func (r *replicaReports) requestNow(now time.Duration, replica listing.Replica) {
 	if request := r.requests[replica.Address]; request != nil && request.failures == 0 {
 		request.inFlight = false
