--- a/internal/control/rollout/deadlines_test.go
+++ b/internal/control/rollout/deadlines_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/namedweights"
 )
 
-var _ = Describe("The ages of weights on a leader", func() {
+var _ = Describe("The ages of weight versions on a leader", func() {
 	const deadline = 10 * time.Second
 
 	var ages *weightsAges
@@ -20,26 +20,26 @@
 	BeforeEach(func() { ages = newWeightsAges() })
 
 	replicated := func(now time.Duration, versions ...namedweights.Version) []*controlpb.WeightsAge {
-		ages.follow(now, "chat", versions)
+		ages.update(now, "chat", versions)
 		return ages.toReplicate(now, []Pool{{Config: chat, Named: versions}}, deadline)
 	}
 
-	It("go on from the earlier leader's, with a short time without a leader", func() {
+	It("continue from the ages of the earlier leader and include a short time without a leader", func() {
 		version := namedweights.Version{Name: "2", Since: 0, ReplicatedAge: 5 * time.Second}
-		ages.follow(7*time.Second, "chat", []namedweights.Version{version})
+		ages.update(7*time.Second, "chat", []namedweights.Version{version})
 		Expect(ages.since("chat", version)).To(BeZero())
 	})
 
-	It("do not count a long time without a leader", func() {
+	It("include at most maxLeaderGap of a long time without a leader", func() {
 		version := namedweights.Version{Name: "2", Since: 0, ReplicatedAge: 5 * time.Second}
-		ages.follow(30*time.Second, "chat", []namedweights.Version{version})
+		ages.update(30*time.Second, "chat", []namedweights.Version{version})
 		Expect(30*time.Second - ages.since("chat", version)).To(Equal(5*time.Second + maxLeaderGap))
 		version.ReplicatedAge = 9 * time.Second
-		ages.follow(31*time.Second, "chat", []namedweights.Version{version})
+		ages.update(31*time.Second, "chat", []namedweights.Version{version})
 		Expect(31*time.Second - ages.since("chat", version)).To(Equal(6*time.Second + maxLeaderGap))
 	})
 
-	It("are replicated once in an interval, and when the deadline passes, but not after that", func() {
+	It("are replicated every ageInterval and when the deadline passes, but not after that", func() {
 		version := namedweights.Version{Name: "2", Since: time.Second}
 		Expect(replicated(time.Second+ageInterval-time.Millisecond, version)).To(BeNil())
 		Expect(replicated(time.Second+ageInterval, version)).To(HaveLen(1))
@@ -50,9 +50,9 @@
 		Expect(replicated(time.Hour, version)).To(BeNil())
 	})
 
-	It("are replicated of all versions that no later one makes needless", func() {
+	It("are replicated for the newest version whose deadline has passed and for all later versions", func() {
 		versions := []namedweights.Version{{Name: "2", Since: 0}, {Name: "3", Since: 2 * time.Second}, {Name: "4", Since: 9 * time.Second}}
-		ages.follow(0, "chat", versions)
+		ages.update(0, "chat", versions)
 		var names []string
 		for _, age := range replicated(13*time.Second, versions...) {
 			names = append(names, age.GetWeightVersion())
@@ -60,9 +60,9 @@
 		Expect(names).To(Equal([]string{"3", "4"}))
 	})
 
-	It("tell which version a replica has to reach first", func() {
+	It("determine the oldest version that a replica has not reached", func() {
 		versions := []namedweights.Version{{Name: "2", Since: time.Second}, {Name: "3", Since: 2 * time.Second}}
-		ages.follow(3*time.Second, "chat", versions)
+		ages.update(3*time.Second, "chat", versions)
 		since, found := ages.firstUnreached("chat", "1", versions)
 		Expect(found).To(BeTrue())
 		Expect(since).To(Equal(time.Second))
