--- a/internal/control/driver/control_log.go
+++ b/internal/control/driver/control_log.go
@@ -18,8 +18,8 @@
 // roll-out of weights begins, ends or becomes overdue. It belongs to the control goroutine.
 type controlLog struct {
 	log *logrus.Entry
-	// nextLook is when changes are looked for again.
-	nextLook time.Duration
+	// nextCheck is when changes are looked for again.
+	nextCheck time.Duration
 	// ledTerms holds the term of each shard that the node led at the last call.
 	ledTerms map[uint32]uint64
 	// rollouts holds the progress of each pool at the last call.
@@ -30,21 +30,21 @@
 	return &controlLog{log: log, ledTerms: map[uint32]uint64{}, rollouts: map[string]view.RolloutProgress{}}
 }
 
-// follow logs what has changed since it last looked, at most once in logInterval.
-func (c *controlLog) follow(machine *control.Machine) {
-	if machine.Now() < c.nextLook {
+// logChanges logs what has changed since it last looked, at most once in logInterval.
+func (c *controlLog) logChanges(machine *control.Machine) {
+	if machine.Now() < c.nextCheck {
 		return
 	}
-	c.nextLook = machine.Now() + logInterval
-	c.followLeaderships(machine.LedTerms())
+	c.nextCheck = machine.Now() + logInterval
+	c.logLeaderships(machine.LedTerms())
 	for _, progress := range machine.Rollouts() {
-		c.followRollout(machine, progress)
+		c.logRollout(machine, progress)
 	}
-	c.forgetAbsent(machine.Rollouts())
+	c.removeAbsentPools(machine.Rollouts())
 }
 
-// forgetAbsent drops the progress of pools without a roll-out.
-func (c *controlLog) forgetAbsent(rollouts []view.RolloutProgress) {
+// removeAbsentPools drops the progress of pools without a roll-out.
+func (c *controlLog) removeAbsentPools(rollouts []view.RolloutProgress) {
 	if len(c.rollouts) == len(rollouts) {
 		return
 	}
@@ -53,7 +53,7 @@
 	})
 }
 
-func (c *controlLog) followLeaderships(led map[uint32]uint64) {
+func (c *controlLog) logLeaderships(led map[uint32]uint64) {
 	for shard, term := range led {
 		if c.ledTerms[shard] != term {
 			c.log.WithField("shard", shard).WithField("term", term).Info("leads a shard")
@@ -67,7 +67,7 @@
 	c.ledTerms = led
 }
 
-func (c *controlLog) followRollout(machine *control.Machine, progress view.RolloutProgress) {
+func (c *controlLog) logRollout(machine *control.Machine, progress view.RolloutProgress) {
 	before, known := c.rollouts[progress.Pool]
 	if known && before == progress {
 		return
--- a/internal/control/driver/control_log_test.go
+++ b/internal/control/driver/control_log_test.go
@@ -12,13 +12,13 @@
 )
 
 var _ = Describe("The log of control", func() {
-	var written *bytes.Buffer
+	var output *bytes.Buffer
 	var log *controlLog
 
 	BeforeEach(func() {
-		written = &bytes.Buffer{}
+		output = &bytes.Buffer{}
 		logger := logrus.New()
-		logger.SetOutput(written)
+		logger.SetOutput(output)
 		logger.SetFormatter(&logrus.JSONFormatter{})
 		log = newControlLog(logrus.NewEntry(logger))
 	})
@@ -27,28 +27,28 @@
 		machine := newSoloMachine(nil)
 		progress := view.RolloutProgress{Pool: "chat", Version: "2", Replicas: 4, Outdated: 4, OutdatedAdmitting: 4}
 		for range 2 {
-			log.followRollout(machine, progress)
+			log.logRollout(machine, progress)
 		}
-		Expect(written.String()).To(ContainSubstring(`"msg":"weights were named"`))
-		Expect(bytes.Count(written.Bytes(), []byte("\n"))).To(Equal(1))
+		Expect(output.String()).To(ContainSubstring(`"msg":"weights were named"`))
+		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(1))
 		progress.Overdue = true
 		for range 2 {
-			log.followRollout(machine, progress)
+			log.logRollout(machine, progress)
 		}
-		Expect(written.String()).To(ContainSubstring(`"outdated_admitting":4`))
-		Expect(bytes.Count(written.Bytes(), []byte("\n"))).To(Equal(2))
+		Expect(output.String()).To(ContainSubstring(`"outdated_admitting":4`))
+		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(2))
 		progress.Outdated = 0
 		for range 2 {
-			log.followRollout(machine, progress)
+			log.logRollout(machine, progress)
 		}
-		Expect(written.String()).To(ContainSubstring("all replicas run the named weights"))
-		Expect(bytes.Count(written.Bytes(), []byte("\n"))).To(Equal(3))
+		Expect(output.String()).To(ContainSubstring("all replicas run the named weights"))
+		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(3))
 	})
 
 	It("forgets pools that are gone", func() {
-		log.followRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "chat", Version: "2"})
-		log.followRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "code", Version: "2"})
-		log.forgetAbsent([]view.RolloutProgress{{Pool: "code"}})
+		log.logRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "chat", Version: "2"})
+		log.logRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "code", Version: "2"})
+		log.removeAbsentPools([]view.RolloutProgress{{Pool: "code"}})
 		Expect(log.rollouts).To(HaveLen(1))
 		Expect(log.rollouts).To(HaveKey("code"))
 	})
@@ -56,11 +56,11 @@
 	It("tells of the shards that the node leads", func() {
 		machine := newSoloMachine(nil)
 		run(machine, 3*time.Second)
-		log.follow(machine)
-		log.follow(machine)
-		Expect(written.String()).To(ContainSubstring("leads a shard"))
-		Expect(bytes.Count(written.Bytes(), []byte("leads a shard\""))).To(Equal(len(machine.LedTerms())))
-		log.followLeaderships(nil)
-		Expect(written.String()).To(ContainSubstring("leads a shard no more"))
+		log.logChanges(machine)
+		log.logChanges(machine)
+		Expect(output.String()).To(ContainSubstring("leads a shard"))
+		Expect(bytes.Count(output.Bytes(), []byte("leads a shard\""))).To(Equal(len(machine.LedTerms())))
+		log.logLeaderships(nil)
+		Expect(output.String()).To(ContainSubstring("leads a shard no more"))
 	})
 })
--- a/internal/control/driver/doc.go
+++ b/internal/control/driver/doc.go
@@ -3,7 +3,7 @@
 //
 // Driver owns the machine and the replies that callers wait for; both belong to the
 // goroutine of Serve. What traffic reads (the view, the time until which the node may
-// serve, the live peers) is Published through atomic values, so that a request never
+// serve, the live peers) is in PublishedState and read through atomic values, so that a request never
 // waits for control. Inputs are posted to the control goroutine and may come from any
 // goroutine.
 //
@@ -13,7 +13,7 @@
 //
 //	state                                              owner
 //	machine; queue of inputs                           Driver
-//	view, fence deadline, live peers, as published     Published
+//	view, fence deadline, live peers, as published     PublishedState
 //	channels of those who wait for a reply             replies
 //	outstanding write of a shard                       shardWriter
 //	counts of sent messages                            frameSender
--- a/internal/control/driver/driver.go
+++ b/internal/control/driver/driver.go
@@ -71,9 +71,9 @@
 }
 
 // Driver runs a Machine: one goroutine owns it, feeds it inputs and carries out
-// its outputs. Traffic reads what is Published without waiting for it.
+// its outputs. Traffic reads PublishedState without waiting for it.
 type Driver struct {
-	Published
+	PublishedState
 
 	machine *control.Machine
 	options Options
@@ -97,24 +97,24 @@
 // New returns a driver that is not running yet.
 func New(machine *control.Machine, options Options) *Driver {
 	driver := &Driver{
-		Published: Published{clock: options.Clock},
-		machine:   machine,
-		options:   options,
-		inputs:    make(chan func(time.Duration) control.Output, inputBacklog),
-		done:      make(chan struct{}),
-		writers:   map[uint32]*shardWriter{},
-		frames:    frameSender{deployment: options.Deployment, self: machine.Self(), sender: options.Sender},
-		replies:   replies{channels: map[uint64]chan control.Reply{}},
+		PublishedState: PublishedState{clock: options.Clock},
+		machine:        machine,
+		options:        options,
+		inputs:         make(chan func(time.Duration) control.Output, inputBacklog),
+		done:           make(chan struct{}),
+		writers:        map[uint32]*shardWriter{},
+		frames:         frameSender{deployment: options.Deployment, self: machine.Self(), sender: options.Sender},
+		replies:        replies{channels: map[uint64]chan control.Reply{}},
 
 		controlLog: newControlLog(options.Log),
 		storage:    newStorageMonitor(machine, options.Storage, options.Log),
 	}
 	for id, storage := range options.Storage {
 		driver.writers[id] = &shardWriter{
-			storage:  storage,
-			log:      options.Log,
-			refusing: &driver.storage.refusing,
-			queue:    make(chan control.StorageWrite, 1),
+			storage:         storage,
+			log:             options.Log,
+			diskFullWriters: &driver.storage.diskFullWriters,
+			queue:           make(chan control.StorageWrite, 1),
 			written: func() {
 				driver.post(func(now time.Duration) control.Output { return machine.StorageWritten(now, id) })
 			},
@@ -138,8 +138,8 @@
 		case <-ticker.C:
 			d.perform(d.machine.Tick(d.options.Clock()))
 			d.logIncidents()
-			d.controlLog.follow(d.machine)
-			d.storage.follow(d.machine)
+			d.controlLog.logChanges(d.machine)
+			d.storage.update(d.machine)
 		case input := <-d.inputs:
 			d.perform(input(d.options.Clock()))
 		}
--- a/internal/control/driver/frame_sender.go
+++ b/internal/control/driver/frame_sender.go
@@ -68,9 +68,9 @@
 	var counts []SentCount
 	for kind := range wire.KindCount {
 		for to := range distanceCount {
-			one := &c[kind][to]
-			if frames := one.frames.Load(); frames > 0 {
-				counts = append(counts, SentCount{Kind: kind, Distance: to, Frames: frames, Bytes: one.bytes.Load()})
+			count := &c[kind][to]
+			if frames := count.frames.Load(); frames > 0 {
+				counts = append(counts, SentCount{Kind: kind, Distance: to, Frames: frames, Bytes: count.bytes.Load()})
 			}
 		}
 	}
--- a/internal/control/driver/peers.go
+++ b/internal/control/driver/peers.go
@@ -22,8 +22,8 @@
 	serving []member.Info
 }
 
-// follow publishes the peers again when the table of members has changed.
-func (p *livePeers) follow(machine *control.Machine) {
+// update publishes the peers again when the table of members has changed.
+func (p *livePeers) update(machine *control.Machine) {
 	if p.published.Load() != nil && machine.PeersDigest() == p.digest {
 		return
 	}
--- a/internal/control/driver/peers_test.go
+++ b/internal/control/driver/peers_test.go
@@ -16,7 +16,7 @@
 	It("are published again when a record tells of other monitors, and nothing else has changed", func() {
 		machine := newSoloMachine(nil)
 		var peers livePeers
-		hear := func(id member.ID, version uint64, monitors ...member.ID) []member.ID {
+		receiveRecord := func(id member.ID, version uint64, monitors ...member.ID) []member.ID {
 			other := member.Info{ID: id, Address: "127.0.0.1:2", TrafficAddress: "127.0.0.1:3", Incarnation: 1}
 			machine.Receive(time.Second, wire.Envelope{Membership: &membership.Message{
 				Type: membership.MessageGossip,
@@ -25,12 +25,12 @@
 					Info: other, Version: version, Monitors: monitors, MonitorSetVersion: version,
 				}},
 			}})
-			peers.follow(machine)
+			peers.update(machine)
 			return lo.Map(peers.published.Load().all, func(info member.Info, _ int) member.ID { return info.ID })
 		}
 		self := machine.Self().ID
-		Expect(hear("c", 1, "b")).To(ConsistOf(self), "its monitor is not known")
-		Expect(hear("b", 1, "x")).To(ConsistOf(self, member.ID("c")), "nor is that of b")
+		Expect(receiveRecord("c", 1, "b")).To(ConsistOf(self), "its monitor is not known")
+		Expect(receiveRecord("b", 1, "x")).To(ConsistOf(self, member.ID("c")), "nor is that of b")
 		infos := func() []member.Info {
 			return lo.Map(machine.Members(), func(record membership.Record, _ int) member.Info { return record.Info })
 		}
@@ -38,7 +38,7 @@
 			return lo.Map(machine.Members(), func(record membership.Record, _ int) membership.State { return record.State })
 		}
 		infosBefore, statesBefore := infos(), states()
-		Expect(hear("b", 2, "c")).To(ConsistOf(self, member.ID("b"), member.ID("c")))
+		Expect(receiveRecord("b", 2, "c")).To(ConsistOf(self, member.ID("b"), member.ID("c")))
 		Expect(infos()).To(Equal(infosBefore))
 		Expect(states()).To(Equal(statesBefore))
 		Expect(peers.published.Load().serving).To(HaveLen(2))
--- a/internal/control/driver/published.go
+++ b/internal/control/driver/published.go
@@ -23,9 +23,9 @@
 // counts as stuck.
 const stalledAfter = 5 * time.Second
 
-// Published is what the control goroutine publishes after each input, for traffic and others
+// PublishedState is what the control goroutine publishes after each input, for traffic and others
 // to read without waiting for control. It is safe for concurrent use.
-type Published struct {
+type PublishedState struct {
 	clock      func() time.Duration
 	view       atomic.Pointer[routing.View]
 	serveUntil atomic.Int64
@@ -36,19 +36,19 @@
 
 // publish publishes what may have changed with an input. It is called on the control
 // goroutine.
-func (p *Published) publish(machine *control.Machine, view *routing.View) {
+func (p *PublishedState) publish(machine *control.Machine, view *routing.View) {
 	if view != nil {
 		p.view.Store(view)
 	}
 	p.serveUntil.Store(int64(machine.ServeUntil()))
 	p.lastRun.Store(int64(machine.Now()))
 	p.prepared.Store(machine.Prepared())
-	p.peers.follow(machine)
+	p.peers.update(machine)
 }
 
 // Configuration returns the configuration in force on this node, or nil before
 // the first view. It may be older than the newest one; see ReadConfiguration.
-func (p *Published) Configuration() *ridgeswitchv1.Configuration {
+func (p *PublishedState) Configuration() *ridgeswitchv1.Configuration {
 	view := p.view.Load()
 	if view == nil {
 		return nil
@@ -57,10 +57,10 @@
 }
 
 // View returns the newest view, or nil before the first one.
-func (p *Published) View() *routing.View { return p.view.Load() }
+func (p *PublishedState) View() *routing.View { return p.view.Load() }
 
 // Live returns an error when the control goroutine has handled no input for stalledAfter.
-func (p *Published) Live() error {
+func (p *PublishedState) Live() error {
 	if idle := p.clock() - time.Duration(p.lastRun.Load()); idle > stalledAfter {
 		return errors.Errorf("control has not run for %s; restart the node", idle)
 	}
@@ -68,7 +68,7 @@
 }
 
 // Ready returns nil while new connections may be sent to the node.
-func (p *Published) Ready() error {
+func (p *PublishedState) Ready() error {
 	if err := p.Serving(); err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 }
 
 // Serving returns nil while the node may admit traffic.
-func (p *Published) Serving() error {
+func (p *PublishedState) Serving() error {
 	if p.view.Load() == nil || p.clock() >= time.Duration(p.serveUntil.Load()) {
 		return ErrNotServing
 	}
@@ -87,7 +87,7 @@
 }
 
 // Peers returns the live nodes that serve callers; read only.
-func (p *Published) Peers() []member.Info {
+func (p *PublishedState) Peers() []member.Info {
 	if published := p.peers.published.Load(); published != nil {
 		return published.serving
 	}
@@ -95,7 +95,7 @@
 }
 
 // LiveNodes returns all live nodes; read only.
-func (p *Published) LiveNodes() []member.Info {
+func (p *PublishedState) LiveNodes() []member.Info {
 	if published := p.peers.published.Load(); published != nil {
 		return published.all
 	}
--- a/internal/control/driver/replies.go
+++ b/internal/control/driver/replies.go
@@ -10,16 +10,16 @@
 	lastTicket uint64
 }
 
-// expect returns the ticket of a request whose reply goes to a channel with room for it.
-func (r *replies) expect(channel chan control.Reply) uint64 {
+// register returns the ticket of a request whose reply goes to a channel with room for it.
+func (r *replies) register(channel chan control.Reply) uint64 {
 	r.lastTicket++
 	r.channels[r.lastTicket] = channel
 	return r.lastTicket
 }
 
-// forget returns the ticket of the request whose reply a channel waits for, and waits for
+// remove returns the ticket of the request whose reply a channel waits for, and waits for
 // it no more. It is false if the reply has been delivered.
-func (r *replies) forget(channel chan control.Reply) (ticket uint64, waiting bool) {
+func (r *replies) remove(channel chan control.Reply) (ticket uint64, waiting bool) {
 	for ticket, other := range r.channels {
 		if other == channel {
 			delete(r.channels, ticket)
--- a/internal/control/driver/requests.go
+++ b/internal/control/driver/requests.go
@@ -62,13 +62,13 @@
 // nobody needs the reply any more, so that the request is cancelled at the machine.
 func (d *Driver) request(ctx context.Context, input func(now time.Duration, ticket uint64) control.Output) (control.Reply, error) {
 	channel := make(chan control.Reply, 1)
-	d.post(func(now time.Duration) control.Output { return input(now, d.replies.expect(channel)) })
+	d.post(func(now time.Duration) control.Output { return input(now, d.replies.register(channel)) })
 	select {
 	case reply := <-channel:
 		return reply, reply.Err
 	case <-ctx.Done():
 		d.post(func(now time.Duration) control.Output {
-			if ticket, waiting := d.replies.forget(channel); waiting {
+			if ticket, waiting := d.replies.remove(channel); waiting {
 				return d.machine.Cancel(now, ticket)
 			}
 			return control.Output{}
--- a/internal/control/driver/shard_writer.go
+++ b/internal/control/driver/shard_writer.go
@@ -19,8 +19,8 @@
 type shardWriter struct {
 	storage Storage
 	log     *logrus.Entry
-	// refusing counts the writers whose disk refuses a write for lack of space.
-	refusing *atomic.Int64
+	// diskFullWriters counts the writers whose disk refuses a write for lack of space.
+	diskFullWriters *atomic.Int64
 	// queue holds the outstanding write: a shard has one at the most.
 	queue chan control.StorageWrite
 	// written is called after each write that is durable.
@@ -45,15 +45,15 @@
 
 // writeUntilDurable repeats a failed write, as a full disk may get free space again.
 func (w *shardWriter) writeUntilDurable(ctx context.Context, write control.StorageWrite) bool {
-	refused := false
-	defer func() { w.countRefusal(refused, false) }()
+	diskFull := false
+	defer func() { w.updateDiskFullWriters(diskFull, false) }()
 	for {
 		err := w.write(write)
 		if err == nil {
 			return true
 		}
-		w.countRefusal(refused, errors.Is(err, twoslot.ErrDiskFull))
-		refused = errors.Is(err, twoslot.ErrDiskFull)
+		w.updateDiskFullWriters(diskFull, errors.Is(err, twoslot.ErrDiskFull))
+		diskFull = errors.Is(err, twoslot.ErrDiskFull)
 		w.log.WithError(err).WithField("shard", write.Shard).Error("cannot write control state; free space in the data folder or replace the disk")
 		select {
 		case <-ctx.Done():
@@ -70,12 +70,12 @@
 	return w.storage.Checkpoint(write.Checkpoint.HardState, write.Checkpoint.Snapshot, write.Checkpoint.Entries)
 }
 
-// countRefusal counts this writer among those that are refused, or no longer.
-func (w *shardWriter) countRefusal(before, now bool) {
+// updateDiskFullWriters counts this writer among those that are refused, or no longer.
+func (w *shardWriter) updateDiskFullWriters(before, now bool) {
 	switch {
 	case now && !before:
-		w.refusing.Add(1)
+		w.diskFullWriters.Add(1)
 	case before && !now:
-		w.refusing.Add(-1)
+		w.diskFullWriters.Add(-1)
 	}
 }
--- a/internal/control/driver/storage_status.go
+++ b/internal/control/driver/storage_status.go
@@ -20,11 +20,11 @@
 	DiskFull bool
 }
 
-// nearLimit is the share of a limit, in hundredths, from which on operators are warned.
-const nearLimit = 75
+// warnPercent is the share of a limit, in hundredths, from which on operators are warned.
+const warnPercent = 75
 
-// near reports whether a size is near its limit.
-func near(bytes, limit int64) bool { return limit > 0 && bytes >= limit/100*nearLimit }
+// nearLimit reports whether a size is near its limit.
+func nearLimit(bytes, limit int64) bool { return limit > 0 && bytes >= limit/100*warnPercent }
 
 // storageMonitor measures what control state takes. The control goroutine follows the
 // configuration, and the writers report refused writes; Status may be called concurrently.
@@ -34,13 +34,13 @@
 	diskLimit          int64
 	configurationLimit int64
 	configuration      atomic.Int64
-	// refusing counts the shards whose outstanding write the disk refuses.
-	refusing atomic.Int64
+	// diskFullWriters counts the shards whose outstanding write the disk refuses.
+	diskFullWriters atomic.Int64
 
 	// revision is the configuration that was measured last, and the others tell what was
 	// near its limit then. They belong to the control goroutine.
-	revision                    uint64
-	diskNear, configurationNear bool
+	revision                              uint64
+	diskNearLimit, configurationNearLimit bool
 }
 
 func newStorageMonitor(machine *control.Machine, storage map[uint32]Storage, log *logrus.Entry) *storageMonitor {
@@ -54,7 +54,7 @@
 		DiskLimit:          m.diskLimit,
 		Configuration:      m.configuration.Load(),
 		ConfigurationLimit: m.configurationLimit,
-		DiskFull:           m.refusing.Load() > 0,
+		DiskFull:           m.diskFullWriters.Load() > 0,
 	}
 	for _, shard := range m.storage {
 		status.Disk += shard.DiskBytes()
@@ -62,9 +62,9 @@
 	return status
 }
 
-// follow measures the configuration when it has changed, and logs what has come near its
+// update measures the configuration when it has changed, and logs what has come near its
 // limit, once each time.
-func (m *storageMonitor) follow(machine *control.Machine) {
+func (m *storageMonitor) update(machine *control.Machine) {
 	if len(m.storage) == 0 {
 		return
 	}
@@ -73,16 +73,16 @@
 		m.configuration.Store(int64(machine.ConfigurationBytes()))
 	}
 	status := m.Status()
-	diskNear := near(status.Disk, status.DiskLimit)
-	if diskNear && !m.diskNear {
+	diskNearLimit := nearLimit(status.Disk, status.DiskLimit)
+	if diskNearLimit && !m.diskNearLimit {
 		m.warn(status, "control state takes most of the disk; give the node more disk")
 	}
-	m.diskNear = diskNear
-	configurationNear := near(status.Configuration, status.ConfigurationLimit)
-	if configurationNear && !m.configurationNear {
+	m.diskNearLimit = diskNearLimit
+	configurationNearLimit := nearLimit(status.Configuration, status.ConfigurationLimit)
+	if configurationNearLimit && !m.configurationNearLimit {
 		m.warn(status, "the configuration is near the size above which one is refused; reduce it, or give the nodes with disks more disk and memory")
 	}
-	m.configurationNear = configurationNear
+	m.configurationNearLimit = configurationNearLimit
 }
 
 func (m *storageMonitor) warn(status StorageStatus, message string) {
--- a/internal/control/driver/storage_status_test.go
+++ b/internal/control/driver/storage_status_test.go
@@ -48,21 +48,21 @@
 		monitor, written := newMonitor(shard)
 		monitor.diskLimit = 1000
 		machine := newSoloMachine(nil)
-		monitor.follow(machine)
+		monitor.update(machine)
 		Expect(written.String()).To(BeEmpty())
 		Expect(monitor.Status().Disk).To(BeEquivalentTo(10))
 		Expect(monitor.Status().ConfigurationLimit).To(BeEquivalentTo(machine.StorageLimits().Command))
 		for range 2 {
 			for _, size := range []int64{800, 900, 10} {
 				shard.bytes = size
-				monitor.follow(machine)
+				monitor.update(machine)
 			}
 		}
 		Expect(bytes.Count(written.Bytes(), []byte("most of the disk"))).To(Equal(2))
 		Expect(written.String()).To(ContainSubstring(`"disk_limit_bytes":1000`))
 		monitor.configuration.Store(monitor.configurationLimit)
-		monitor.follow(machine)
-		monitor.follow(machine)
+		monitor.update(machine)
+		monitor.update(machine)
 		Expect(bytes.Count(written.Bytes(), []byte("near the size above which one is refused"))).To(Equal(1))
 	})
 
@@ -72,7 +72,7 @@
 		monitor, _ := newMonitor(shard)
 		done := make(chan struct{})
 		writer := &shardWriter{
-			storage: shard, log: monitor.log, refusing: &monitor.refusing,
+			storage: shard, log: monitor.log, diskFullWriters: &monitor.diskFullWriters,
 			queue: make(chan control.StorageWrite, 1), written: func() { close(done) },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
