--- a/internal/control/requests/configuration_changes.go
+++ b/internal/control/requests/configuration_changes.go
@@ -14,9 +14,9 @@
 
 const (
 	// maxQueuedChanges bounds the changes that wait for their turn, and
-	// queuedCommands their bytes, in commands of the largest size.
-	maxQueuedChanges = 16
-	queuedCommands   = 2
+	// queuedBytesFactor their bytes, in commands of the largest size.
+	maxQueuedChanges  = 16
+	queuedBytesFactor = 2
 )
 
 // configurationChange is a change that carries a whole configuration. It waits until the
@@ -41,8 +41,8 @@
 	maxCommandBytes int
 }
 
-// wholeConfiguration returns the order in a command if it carries a whole configuration.
-func wholeConfiguration(payload []byte) *controlpb.Order {
+// wholeConfigurationOrder returns the order in a command if it carries a whole configuration.
+func wholeConfigurationOrder(payload []byte) *controlpb.Order {
 	command := &controlpb.Command{}
 	if err := proto.Unmarshal(payload, command); err != nil {
 		return nil
@@ -70,7 +70,7 @@
 	for _, waiting := range c.waiting {
 		queued += len(waiting.message.Payload)
 	}
-	tooMany := len(c.waiting) >= maxQueuedChanges || queued > queuedCommands*c.maxCommandBytes
+	tooMany := len(c.waiting) >= maxQueuedChanges || queued > queuedBytesFactor*c.maxCommandBytes
 	if len(c.waiting) > 0 && tooMany {
 		return
 	}
@@ -116,7 +116,7 @@
 			shard.ProposeChange(change.from, change.message)
 		case change.confirmed:
 			l.changes.removeFirst()
-			l.conclude(change.requestKey, answer)
+			l.handleOutcome(change.requestKey, answer)
 		case !l.confirmLeadership(shard, change):
 			return
 		}
--- a/internal/control/requests/configuration_changes_test.go
+++ b/internal/control/requests/configuration_changes_test.go
@@ -131,7 +131,7 @@
 		for request := range uint64(100) {
 			leader.ReceiveChange(shard, "n", documentOfBytes(1+request, maxCommandBytes/2))
 		}
-		Expect(len(leader.changes.waiting)).To(BeNumerically("<=", 2*queuedCommands))
+		Expect(len(leader.changes.waiting)).To(BeNumerically("<=", 2*queuedBytesFactor))
 		leader.Tick(requestTimeout, shard)
 		Expect(leader.changes.waiting).To(BeEmpty())
 		for request := range uint64(100) {
--- a/internal/control/requests/leader.go
+++ b/internal/control/requests/leader.go
@@ -118,7 +118,7 @@
 		l.reply(request, rejection, false)
 		return
 	}
-	if order := wholeConfiguration(message.Payload); order != nil {
+	if order := wholeConfigurationOrder(message.Payload); order != nil {
 		l.enqueue(shard, from, message, order)
 		return
 	}
@@ -138,14 +138,14 @@
 // Applied takes the outcome of a change that this node proposed.
 func (l *Leader) Applied(now time.Duration, from member.ID, request uint64, answer *controlpb.Answer) {
 	l.now = now
-	l.conclude(requestKey{from: from, request: request}, answer)
+	l.handleOutcome(requestKey{from: from, request: request}, answer)
 }
 
-// conclude takes the outcome of a change. A rejected one is answered at once; an accepted
+// handleOutcome takes the outcome of a change. A rejected one is answered at once; an accepted
 // one waits until it is confirmed.
-func (l *Leader) conclude(request requestKey, answer *controlpb.Answer) {
+func (l *Leader) handleOutcome(request requestKey, answer *controlpb.Answer) {
 	if answer.GetProblem() != nil {
-		l.rejections.remember(request, answer, l.now+rejectionRetention*l.config.RequestTimeout)
+		l.rejections.add(request, answer, l.now+rejectionRetentionTimeouts*l.config.RequestTimeout)
 		l.reply(request, answer, false)
 		return
 	}
--- a/internal/control/requests/rejections.go
+++ b/internal/control/requests/rejections.go
@@ -10,9 +10,9 @@
 const (
 	// maxRejections bounds the rejections that a leader remembers.
 	maxRejections = 4096
-	// rejectionRetention is how long it remembers one, in time-outs of a request: the
+	// rejectionRetentionTimeouts is how long it remembers one, in time-outs of a request: the
 	// node that asked has given up long before, and its last copy has come.
-	rejectionRetention = 3
+	rejectionRetentionTimeouts = 3
 )
 
 // requestKey names a request of a node, which repeats it under the same number until
@@ -40,9 +40,9 @@
 	return rejections{byRequest: map[requestKey]*controlpb.Answer{}}
 }
 
-// remember keeps the answer to a rejected request until an instant, or until too many
+// add keeps the answer to a rejected request until an instant, or until too many
 // others have followed.
-func (r *rejections) remember(rejected requestKey, answer *controlpb.Answer, until time.Duration) {
+func (r *rejections) add(rejected requestKey, answer *controlpb.Answer, until time.Duration) {
 	if len(r.byExpiry) >= maxRejections {
 		r.removeOldest()
 	}
--- a/internal/control/requests/rejections_test.go
+++ b/internal/control/requests/rejections_test.go
@@ -13,7 +13,7 @@
 	It("keep the newest within their bound", func() {
 		kept := newRejections()
 		for number := range uint64(maxRejections + 10) {
-			kept.remember(requestKey{from: "n", request: number}, &controlpb.Answer{Revision: number}, time.Hour)
+			kept.add(requestKey{from: "n", request: number}, &controlpb.Answer{Revision: number}, time.Hour)
 		}
 		Expect(kept.byRequest).To(HaveLen(maxRejections))
 		Expect(kept.lookup(requestKey{from: "n", request: 9})).To(BeNil())
@@ -25,7 +25,7 @@
 	It("is forgotten when its time has passed, and not before", func() {
 		kept := newRejections()
 		key := requestKey{from: "n", request: 1}
-		kept.remember(key, &controlpb.Answer{Revision: 1}, time.Second)
+		kept.add(key, &controlpb.Answer{Revision: 1}, time.Second)
 		kept.expire(time.Second - 1)
 		Expect(kept.lookup(key)).NotTo(BeNil())
 		kept.expire(time.Second)
