--- a/internal/control/registration/client_test.go
+++ b/internal/control/registration/client_test.go
@@ -19,13 +19,13 @@
 func (testShards) Group(uint32) []member.ID              { return []member.ID{"a", "b"} }
 func (testShards) Reachable(member.ID) bool              { return true }
 
-// sent collects messages and their receivers.
-type sent []struct {
+// sentMessages collects messages and their receivers.
+type sentMessages []struct {
 	to      member.ID
 	message protocol.Message
 }
 
-func (s *sent) Send(to member.ID, message protocol.Message) {
+func (s *sentMessages) Send(to member.ID, message protocol.Message) {
 	*s = append(*s, struct {
 		to      member.ID
 		message protocol.Message
@@ -36,16 +36,16 @@
 	const retryEvery = 300 * time.Millisecond
 
 	var (
-		messages sent
-		client   *Client
+		sent   sentMessages
+		client *Client
 	)
 
 	BeforeEach(func() {
-		messages = nil
-		client = NewClient([]uint32{0}, retryEvery, &messages, protocol.NewNumbering(5),
+		sent = nil
+		client = NewClient([]uint32{0}, retryEvery, &sent, protocol.NewNumbering(5),
 			leaders.NewDirectory(testShards{}), shardstate.NewReceived())
 		client.Tick(0, 5)
-		Expect(messages).To(HaveLen(1))
+		Expect(sent).To(HaveLen(1))
 	})
 
 	reply := func(message protocol.Message) Result {
@@ -55,18 +55,18 @@
 
 	It("asks the next member of the group after a while, and no earlier", func() {
 		client.Tick(retryEvery-1, 5)
-		Expect(messages).To(HaveLen(1))
+		Expect(sent).To(HaveLen(1))
 		client.Tick(retryEvery, 5)
-		Expect(messages).To(HaveLen(2))
-		Expect(messages[1].to).To(Equal(member.ID("b")))
+		Expect(sent).To(HaveLen(2))
+		Expect(sent[1].to).To(Equal(member.ID("b")))
 	})
 
 	It("sends a challenge back, once for each request", func() {
-		challenge := protocol.Message{Request: messages[0].message.Request, Leader: "a", Revision: 77}
+		challenge := protocol.Message{Request: sent[0].message.Request, Leader: "a", Revision: 77}
 		Expect(reply(challenge)).To(Equal(Result{}))
 		Expect(reply(challenge)).To(Equal(Result{}))
-		Expect(messages).To(HaveLen(2))
-		Expect(messages[1].message.Revision).To(BeEquivalentTo(77))
+		Expect(sent).To(HaveLen(2))
+		Expect(sent[1].message.Revision).To(BeEquivalentTo(77))
 	})
 
 	It("is registered once a leader has committed its incarnation", func() {
@@ -82,7 +82,7 @@
 		Expect(reply(protocol.Message{Accepted: true, Incarnation: 5, Term: 3, Revision: 1}).Changed).To(BeTrue())
 		Expect(client.Registered(0, 5)).To(BeFalse())
 		client.Tick(requiredRevisionTimeout, 5)
-		Expect(messages).To(HaveLen(2), "it asks again")
+		Expect(sent).To(HaveLen(2), "it asks again")
 	})
 
 	It("learns that it is registered in a later incarnation", func() {
--- a/internal/control/registration/registrar.go
+++ b/internal/control/registration/registrar.go
@@ -47,34 +47,34 @@
 	node  member.ID
 }
 
-// pruning is when a leader looks for ended incarnations again.
-type pruning struct {
+// pruneSchedule is when a leader looks for ended incarnations again.
+type pruneSchedule struct {
 	term uint64
 	next time.Duration
 }
 
 // Registrar registers nodes with the shards that this node leads.
 type Registrar struct {
-	self       member.ID
-	pruneEvery time.Duration
-	transport  protocol.Transport
-	numbers    *protocol.Numbering
-	leaders    *leaders.Directory
-	challenges map[challengeKey]challenge
-	prunings   map[uint32]pruning
+	self           member.ID
+	pruneEvery     time.Duration
+	transport      protocol.Transport
+	numbers        *protocol.Numbering
+	leaders        *leaders.Directory
+	challenges     map[challengeKey]challenge
+	pruneSchedules map[uint32]pruneSchedule
 }
 
 // NewRegistrar returns a registrar that has challenged nobody yet. It looks for ended
 // incarnations every pruneEvery.
 func NewRegistrar(self member.ID, pruneEvery time.Duration, transport protocol.Transport, numbers *protocol.Numbering, directory *leaders.Directory) *Registrar {
 	return &Registrar{
-		self:       self,
-		pruneEvery: pruneEvery,
-		transport:  transport,
-		numbers:    numbers,
-		leaders:    directory,
-		challenges: map[challengeKey]challenge{},
-		prunings:   map[uint32]pruning{},
+		self:           self,
+		pruneEvery:     pruneEvery,
+		transport:      transport,
+		numbers:        numbers,
+		leaders:        directory,
+		challenges:     map[challengeKey]challenge{},
+		pruneSchedules: map[uint32]pruneSchedule{},
 	}
 }
 
@@ -156,11 +156,11 @@
 // or nil. It looks for one now and then in each term, while the evidence is at hand.
 func (r *Registrar) Prune(now time.Duration, shard Shard, members Members) *controlpb.ForgetNode {
 	term := shard.Term()
-	last := r.prunings[shard.ID()]
+	last := r.pruneSchedules[shard.ID()]
 	if last.term == term && now < last.next {
 		return nil
 	}
-	r.prunings[shard.ID()] = pruning{term: term, next: now + r.pruneEvery}
+	r.pruneSchedules[shard.ID()] = pruneSchedule{term: term, next: now + r.pruneEvery}
 	for _, node := range shard.Nodes() {
 		id := member.ID(node.GetNode())
 		if members.IncarnationEnded(id, member.Incarnation(node.GetIncarnation())) && members.FormerIncarnationQuiesced(id) {
