--- a/internal/control/recovery/machine.go
+++ b/internal/control/recovery/machine.go
@@ -244,11 +244,11 @@
 // give way to it. Every node that may serve is registered, since
 // the log may have lost what it had registered.
 func (m *Machine) RecoveredState(shard Shard, replies map[member.ID]WitnessReply) ([]byte, error) {
-	state, covers, err := m.replay(shard)
+	state, coversReceived, err := m.replay(shard)
 	if err != nil {
 		return nil, err
 	}
-	if !covers {
+	if !coversReceived {
 		if state, err = m.witnessedState(shard); err != nil {
 			return nil, err
 		}
@@ -280,7 +280,7 @@
 // replay returns the state after the whole log, and whether the state that this
 // node holds as a witness is one that the log led through. What has been applied
 // is committed, as is all that was ever relayed; of the rest it is not known.
-func (m *Machine) replay(shard Shard) (state shardstate.State, covers bool, err error) {
+func (m *Machine) replay(shard Shard) (state shardstate.State, coversReceived bool, err error) {
 	snapshot, err := shard.State().Snapshot()
 	if err != nil {
 		return nil, false, err
@@ -289,14 +289,14 @@
 		return nil, false, err
 	}
 	received := m.received.Revision(shard.ID())
-	covers = received <= state.Revision()
+	coversReceived = received <= state.Revision()
 	for _, entry := range shard.Unapplied() {
 		if state, err = replayEntry(shard.ID(), state, entry); err != nil {
 			return nil, false, err
 		}
-		covers = covers || m.coversReceived(shard.ID(), state, entry.Kind)
+		coversReceived = coversReceived || m.coversReceived(shard.ID(), state, entry.Kind)
 	}
-	return state, covers, nil
+	return state, coversReceived, nil
 }
 
 // replayEntry applies an entry to a copy of a shard's state.
