--- a/internal/control/driver/control_log.go
+++ b/internal/control/driver/control_log.go
@@ -11,18 +11,18 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 )
 
-// logInterval is how often the log looks for changes.
+// logInterval is the shortest time between two checks for changes to log.
 const logInterval = 200 * time.Millisecond
 
-// controlLog writes log lines when this node begins or ceases to lead a shard, and when a
-// roll-out of weights begins, ends or becomes overdue. It belongs to the control goroutine.
+// controlLog logs when this node begins or ceases to lead a shard, and when a roll-out of
+// weights begins, ends or becomes overdue. It belongs to the control goroutine.
 type controlLog struct {
 	log *logrus.Entry
-	// nextCheck is when changes are looked for again.
+	// nextCheck is the earliest time of the next check for changes.
 	nextCheck time.Duration
-	// ledTerms holds the term of each shard that the node led at the last call.
+	// ledTerms contains the term of each shard that the node led at the last check.
 	ledTerms map[uint32]uint64
-	// rollouts holds the progress of each pool at the last call.
+	// rollouts contains the progress of each pool's roll-out at the last check.
 	rollouts map[string]view.RolloutProgress
 }
 
@@ -30,7 +30,7 @@
 	return &controlLog{log: log, ledTerms: map[uint32]uint64{}, rollouts: map[string]view.RolloutProgress{}}
 }
 
-// logChanges logs what has changed since it last looked, at most once in logInterval.
+// logChanges logs the changes since the last check. It checks at most once per logInterval.
 func (c *controlLog) logChanges(machine *control.Machine) {
 	if machine.Now() < c.nextCheck {
 		return
@@ -43,7 +43,7 @@
 	c.removeAbsentPools(machine.Rollouts())
 }
 
-// removeAbsentPools drops the progress of pools without a roll-out.
+// removeAbsentPools removes the recorded progress of pools without a roll-out.
 func (c *controlLog) removeAbsentPools(rollouts []view.RolloutProgress) {
 	if len(c.rollouts) == len(rollouts) {
 		return
--- a/internal/control/driver/control_log_test.go
+++ b/internal/control/driver/control_log_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 )
 
-var _ = Describe("The log of control", func() {
+var _ = Describe("controlLog", func() {
 	var output *bytes.Buffer
 	var log *controlLog
 
@@ -23,7 +23,7 @@
 		log = newControlLog(logrus.NewEntry(logger))
 	})
 
-	It("tells when a roll-out begins, becomes overdue and ends, once each", func() {
+	It("logs once each that a roll-out begins, becomes overdue and ends", func() {
 		machine := newSoloMachine(nil)
 		progress := view.RolloutProgress{Pool: "chat", Version: "2", Replicas: 4, Outdated: 4, OutdatedAdmitting: 4}
 		for range 2 {
@@ -45,7 +45,7 @@
 		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(3))
 	})
 
-	It("forgets pools that are gone", func() {
+	It("removes the progress of pools without a roll-out", func() {
 		log.logRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "chat", Version: "2"})
 		log.logRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "code", Version: "2"})
 		log.removeAbsentPools([]view.RolloutProgress{{Pool: "code"}})
@@ -53,7 +53,7 @@
 		Expect(log.rollouts).To(HaveKey("code"))
 	})
 
-	It("tells of the shards that the node leads", func() {
+	It("logs that the node begins and ceases to lead a shard", func() {
 		machine := newSoloMachine(nil)
 		run(machine, 3*time.Second)
 		log.logChanges(machine)
--- a/internal/control/driver/doc.go
+++ b/internal/control/driver/doc.go
@@ -1,20 +1,21 @@
-// Package driver runs a control machine in a daemon: it owns the goroutine, the
-// clock and all input and output that the machine in package control leaves out.
+// Package driver runs a control machine in a daemon. The machine in package control has no
+// goroutine, reads no clock and does no I/O; the driver provides all three.
 //
-// Driver owns the machine and the replies that callers wait for; both belong to the
-// goroutine of Serve. What traffic reads (the view, the time until which the node may
-// serve, the live peers) is in PublishedState and read through atomic values, so that a request never
-// waits for control. Inputs are posted to the control goroutine and may come from any
-// goroutine.
+// Driver owns the machine and the replies that callers wait for. Both belong to the control
+// goroutine, which is the goroutine of Serve. PublishedState contains what requests read: the
+// view, the time until which the node may serve, and the live peers. These values are atomic,
+// so that a request never waits for the control goroutine. Inputs may be posted from any
+// goroutine and are handled by the control goroutine.
 //
-// Each shard has a shardWriter, whose goroutine is its own, so that a slow disk of one
+// Each shard has a shardWriter with a goroutine of its own, so that a slow disk of one
 // shard does not delay the others. Serve starts the writers, and they end with its
 // context; Serve does not wait for a write that the disk has not finished.
 //
 //	state                                              owner
-//	machine; queue of inputs                           Driver
-//	view, fence deadline, live peers, as published     PublishedState
-//	channels of those who wait for a reply             replies
+//	machine, queue of inputs                           Driver
+//	published view, fence deadline and live peers      PublishedState
+//	channels of callers that wait for a reply          replies
 //	outstanding write of a shard                       shardWriter
 //	counts of sent messages                            frameSender
+//	measured sizes, count of writers with a full disk  storageMonitor
 package driver
--- a/internal/control/driver/driver.go
+++ b/internal/control/driver/driver.go
@@ -13,65 +13,66 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// inputBacklog bounds the inputs that wait for the control goroutine.
+// inputBacklog is the capacity of the queue of inputs for the control goroutine.
 const inputBacklog = 4096
 
-// Sender carries a frame to the internal address of another node.
+// Sender sends frames to the internal addresses of other nodes.
 type Sender interface {
 	Send(address string, frame []byte)
 }
 
-// Storage makes durable what a shard has to write.
+// Storage stores the replicated log and the state of one shard. What Save and Checkpoint
+// write is durable when they return nil.
 type Storage interface {
 	Save(ready replication.Ready) error
 	Checkpoint(hard replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error
-	// DiskBytes returns how much of the disk the shard takes. It may be called
-	// concurrently.
+	// DiskBytes returns the disk space that the shard uses. It may be called concurrently.
 	DiskBytes() int64
 }
 
-// Commander carries out what control wants of replicas.
+// Commander sends commands and report requests to replicas. The control goroutine calls its
+// methods, so that they must not wait for a replica.
 type Commander interface {
-	// Command orders a replica to load weights; its outcome is passed to
+	// Command sends a replica the command to load weights; the outcome is passed to
 	// Driver.CommandDone.
 	Command(command control.Command)
-	// Report asks a replica for its report, which is handed to
-	// Driver.SetReplicaReport; if none comes, Driver.ReplicaReportFailed is called.
+	// Report requests a replica's report, which is passed to Driver.SetReplicaReport. If
+	// the request fails, Driver.ReplicaReportFailed is called.
 	Report(request control.ReportRequest)
 }
 
-// EndpointReader reads the platform's list, and hands the outcome to Driver.EndpointsRead.
+// EndpointReader reads the platform's list of endpoints, and passes the outcome to
+// Driver.EndpointsRead.
 type EndpointReader interface {
 	ReadEndpoints()
 }
 
-// TrafficReceiver takes in what other nodes report of their traffic. It is safe
-// for concurrent use.
+// TrafficReceiver handles the traffic reports of other nodes. It is safe for concurrent
+// use.
 type TrafficReceiver interface {
 	TakeBatch(batch gossip.Batch)
 }
 
 // Options connect a control machine to its daemon.
 type Options struct {
-	// TickEvery is how often the machine looks at the clock; zero stands for
+	// TickEvery is the interval between ticks of the machine; 0 selects
 	// control.DefaultTickEvery.
 	TickEvery time.Duration
-	// Deployment names the deployment. Frames of others are dropped, so that
-	// two deployments that reach each other never become one.
+	// Deployment is the name of the deployment. Frames with another name are dropped, so
+	// that two deployments that can reach each other never merge.
 	Deployment string
 	Clock      func() time.Duration
 	Sender     Sender
 	Storage    map[uint32]Storage
 	Commander  Commander
 	Endpoints  EndpointReader
-	// Traffic takes in what other nodes report of their traffic; nil on nodes that
-	// serve none.
+	// Traffic handles the traffic reports of other nodes; if nil, they are dropped.
 	Traffic TrafficReceiver
 	Log     *logrus.Entry
 }
 
-// Driver runs a Machine: one goroutine owns it, feeds it inputs and carries out
-// its outputs. Traffic reads PublishedState without waiting for it.
+// Driver runs a control.Machine: one goroutine owns the machine, passes inputs to it and
+// carries out its outputs. Requests read PublishedState without waiting for that goroutine.
 type Driver struct {
 	PublishedState
 
@@ -81,12 +82,12 @@
 	done    chan struct{}
 	writers map[uint32]*shardWriter
 	frames  frameSender
-	// orderIDs counts the identities that NewOrderID has given.
+	// orderIDs is the number of identities that NewOrderID has returned.
 	orderIDs atomic.Uint64
 
 	// replies belongs to the control goroutine.
 	replies replies
-	// loggedFences and loggedBadEntries are what logIncidents saw last.
+	// loggedFences and loggedBadEntries are the counts at the last call of logIncidents.
 	loggedFences     uint64
 	loggedBadEntries uint64
 	// controlLog belongs to the control goroutine.
@@ -94,7 +95,7 @@
 	storage    *storageMonitor
 }
 
-// New returns a driver that is not running yet.
+// New returns a driver, which Serve runs.
 func New(machine *control.Machine, options Options) *Driver {
 	driver := &Driver{
 		PublishedState: PublishedState{clock: options.Clock},
@@ -153,8 +154,8 @@
 	return d.options.TickEvery
 }
 
-// perform carries out an output. What traffic may see changes first, so that
-// nothing is confirmed to others before it is in force here.
+// perform carries out an output. It publishes the view before it sends messages, so that
+// this node confirms a revision to other nodes only once the revision is in force here.
 func (d *Driver) perform(output control.Output) {
 	d.publish(d.machine, output.View)
 	for _, write := range output.Writes {
@@ -179,16 +180,17 @@
 	}
 }
 
-// SendTraffic sends a batch of updates about traffic to other nodes. It may get lost.
+// SendTraffic sends a batch of traffic updates to other nodes. Delivery is not guaranteed.
 func (d *Driver) SendTraffic(send gossip.Outbound) { d.frames.sendTraffic(send) }
 
-// Sent returns the counts of all kinds of messages that have been sent.
+// Sent returns the counts of the sent messages, for each kind and distance that has any.
 func (d *Driver) Sent() []SentCount { return d.frames.sent.all() }
 
-// Storage returns how much of what the machine gives control state takes.
+// Storage returns the present size of control state and its limits on this node.
 func (d *Driver) Storage() StorageStatus { return d.storage.Status() }
 
-// logIncidents logs the counters whose growth has the log ring written out.
+// logIncidents logs an incident for each growth of the counts of fences and of bad log
+// entries. An incident makes the log ring write out the entries that it keeps in memory.
 func (d *Driver) logIncidents() {
 	fences := d.machine.FenceCount()
 	if fences > d.loggedFences {
--- a/internal/control/driver/frame_sender.go
+++ b/internal/control/driver/frame_sender.go
@@ -8,20 +8,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Distance is where the receiver of a message is, as seen from its sender.
+// Distance classifies the zone of a message's receiver in relation to that of the sender.
 type Distance int
 
-// The distances.
+// The values of Distance.
 const (
-	// SameZone and OtherZone are seen from the sender's zone.
+	// SameZone and OtherZone mean a receiver in the sender's zone and in another one.
 	SameZone Distance = iota
 	OtherZone
-	// UnknownZone is that of a seed whose node is not known yet.
+	// UnknownZone means that the receiver's zone is not known, as with the address of a seed
+	// whose node is not known yet.
 	UnknownZone
 	distanceCount
 )
 
-// String is the name of a distance in metrics.
+// String returns the name of the distance in metrics.
 func (d Distance) String() string {
 	switch d {
 	case SameZone:
@@ -33,12 +34,13 @@
 	}
 }
 
-// SentCount is how much of one kind of message a node has sent so far.
+// SentCount counts the messages of one kind that a node has sent over one distance.
 type SentCount struct {
 	Kind     wire.MessageKind
 	Distance Distance
 	Frames   uint64
-	// Bytes are those of frames, without their lengths and the cost of connections.
+	// Bytes is the total size of the frames, without their length prefixes and the overhead
+	// of connections.
 	Bytes uint64
 }
 
@@ -51,7 +53,7 @@
 	count.bytes.Add(uint64(len(frame)))
 }
 
-// distanceBetween compares two zones; an unknown one is "".
+// distanceBetween compares the zone of this node with another one, which is "" if unknown.
 func distanceBetween(self, other string) Distance {
 	switch other {
 	case "":
@@ -63,7 +65,7 @@
 	}
 }
 
-// all returns the counts of all kinds of messages that have been sent.
+// all returns the counts that are not zero.
 func (c *sentCounts) all() []SentCount {
 	var counts []SentCount
 	for kind := range wire.KindCount {
@@ -77,8 +79,8 @@
 	return counts
 }
 
-// frameSender encodes and sends the messages of this node, and owns the counts of them. It
-// is safe for concurrent use.
+// frameSender encodes, sends and counts the messages of this node. It is safe for concurrent
+// use.
 type frameSender struct {
 	deployment string
 	self       member.Info
@@ -86,7 +88,7 @@
 	sent       sentCounts
 }
 
-// send sends a message to an address in a zone, "" if that is not known.
+// send sends a message to an address; zone is "" if it is not known.
 func (s *frameSender) send(address, zone string, envelope wire.Envelope) {
 	envelope.Deployment = s.deployment
 	s.sendFrame(address, zone, wire.Encode(envelope))
@@ -97,7 +99,7 @@
 	s.sender.Send(address, frame)
 }
 
-// sendTraffic sends a batch of updates about traffic, encoded once for all receivers.
+// sendTraffic sends a batch of traffic updates, encoded once for all receivers.
 func (s *frameSender) sendTraffic(send gossip.Outbound) {
 	frame := wire.Encode(wire.Envelope{Deployment: s.deployment, From: s.self.ID, Traffic: &send.Batch})
 	for _, to := range send.To {
--- a/internal/control/driver/frame_sender_test.go
+++ b/internal/control/driver/frame_sender_test.go
@@ -8,8 +8,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-var _ = Describe("Counts of sent messages", func() {
-	It("tell kinds and zones apart", func() {
+var _ = Describe("Driver.Sent", func() {
+	It("counts messages by kind and by distance", func() {
 		driver := &Driver{}
 		probe := wire.Encode(wire.Envelope{From: "a", Membership: &membership.Message{Type: membership.MessageGossip}})
 		beat := wire.Encode(wire.Envelope{From: "a", Membership: &membership.Message{Type: membership.MessageHeartbeat}})
--- a/internal/control/driver/incidents_test.go
+++ b/internal/control/driver/incidents_test.go
@@ -18,7 +18,7 @@
 )
 
 var _ = Describe("Driver", func() {
-	It("writes the log ring out for an entry that could not be read, and once for each growth", func() {
+	It("logs one incident for each growth of the count of unreadable log entries", func() {
 		var written bytes.Buffer
 		log := logrus.NewEntry(logring.New(9, &written).Logger(logrus.InfoLevel))
 		machine := newSoloMachine(map[uint32]replication.Restored{control.ConfigurationShard: {
@@ -35,7 +35,7 @@
 		Expect(written.String()).To(ContainSubstring(`"bad_entries":1`))
 	})
 
-	It("writes the log ring out when the node's incarnation has ended for the others", func() {
+	It("logs one incident when other nodes have fenced the node's incarnation", func() {
 		var written bytes.Buffer
 		log := logrus.NewEntry(logring.New(9, &written).Logger(logrus.InfoLevel))
 		machine := newSoloMachine(nil)
--- a/internal/control/driver/inputs.go
+++ b/internal/control/driver/inputs.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// post hands an input to the control goroutine and drops it once the driver has
+// post queues an input for the control goroutine. The input is dropped if the driver has
 // stopped.
 func (d *Driver) post(input func(now time.Duration) control.Output) {
 	select {
@@ -18,7 +18,7 @@
 	}
 }
 
-// ReceiveFrame takes a frame of another node.
+// ReceiveFrame handles a frame from another node.
 func (d *Driver) ReceiveFrame(frame []byte) {
 	envelope, err := wire.Decode(frame)
 	if err != nil {
@@ -30,8 +30,7 @@
 		return
 	}
 	if envelope.Traffic != nil {
-		// Updates about traffic do not go through the control goroutine, as they change
-		// no control state.
+		// Traffic updates bypass the control goroutine, since they change no control state.
 		if d.options.Traffic != nil {
 			d.options.Traffic.TakeBatch(*envelope.Traffic)
 		}
@@ -40,33 +39,33 @@
 	d.post(func(now time.Duration) control.Output { return d.machine.Receive(now, envelope) })
 }
 
-// EndpointsRead takes the outcome of a reading of the platform's list.
+// EndpointsRead passes the outcome of a reading of the platform's list to the machine.
 func (d *Driver) EndpointsRead(reading control.EndpointReading) {
 	d.post(func(now time.Duration) control.Output { return d.machine.EndpointsRead(now, reading) })
 }
 
-// CommandDone takes the outcome of a command.
+// CommandDone passes the outcome of a command to the machine.
 func (d *Driver) CommandDone(command control.Command, outcome control.CommandOutcome) {
 	d.post(func(now time.Duration) control.Output { return d.machine.CommandDone(now, command, outcome) })
 }
 
-// SetReplicaReport takes what a replica reported of itself.
+// SetReplicaReport passes the report of a replica to the machine.
 func (d *Driver) SetReplicaReport(report control.ReplicaReport) {
 	d.post(func(now time.Duration) control.Output { return d.machine.SetReplicaReport(now, report) })
 }
 
-// ReplicaReportFailed reports that a replica gave no report.
+// ReplicaReportFailed tells the machine that the request for a replica's report failed.
 func (d *Driver) ReplicaReportFailed(address string) {
 	d.post(func(now time.Duration) control.Output { return d.machine.ReplicaReportFailed(now, address) })
 }
 
-// SetSeeds replaces the addresses to join through.
+// SetSeeds replaces the addresses of the seeds, through which the node joins the deployment.
 func (d *Driver) SetSeeds(seeds []string) {
 	d.post(func(now time.Duration) control.Output { return d.machine.SetSeeds(now, seeds) })
 }
 
-// TransferLeadership hands the shards that the node leads to other members, while the
-// node goes on running.
+// TransferLeadership begins to transfer the leadership of the shards that this node leads
+// to other members. The node keeps running.
 func (d *Driver) TransferLeadership() {
 	d.call(func(now time.Duration) control.Output { return d.machine.TransferLeadership(now) })
 }
@@ -81,8 +80,8 @@
 	return addresses
 }
 
-// Weights describes the roll-out of a pool. It fails with an *UnknownPoolError when there
-// is no such pool, and also when the driver has stopped.
+// Weights returns the state of the weights roll-out of a pool. It returns an
+// *UnknownPoolError if there is no such pool, and also if the driver has stopped.
 func (d *Driver) Weights(pool string) (*ridgeswitchv1.WeightsStatus, error) {
 	var status *ridgeswitchv1.WeightsStatus
 	d.call(func(time.Duration) control.Output {
@@ -95,7 +94,7 @@
 	return status, nil
 }
 
-// Status describes this node's view of the deployment.
+// Status returns this node's view of the deployment; it is empty if the driver has stopped.
 func (d *Driver) Status() *ridgeswitchv1.NodeStatus {
 	status := &ridgeswitchv1.NodeStatus{}
 	d.call(func(time.Duration) control.Output {
@@ -105,13 +104,14 @@
 	return status
 }
 
-// Leave announces that the node stops and hands over what it leads.
+// Leave announces to the other nodes that this node stops, and begins to transfer the
+// leadership of its shards.
 func (d *Driver) Leave() {
 	d.call(func(now time.Duration) control.Output { return d.machine.Leave(now) })
 }
 
-// call runs an input and waits until the machine has handled it. Its output is carried out
-// right after that, maybe not before call returns.
+// call posts an input and waits until the machine has handled it or the driver has stopped.
+// The output of the input may be carried out after call has returned.
 func (d *Driver) call(input func(now time.Duration) control.Output) {
 	finished := make(chan struct{})
 	d.post(func(now time.Duration) control.Output {
@@ -134,7 +134,7 @@
 	return "no pool is named " + e.Pool + "; list the pools with `ridgeswitch get`"
 }
 
-// Problem is the error as operators get it.
+// Problem returns the error in the form that operators receive.
 func (e *UnknownPoolError) Problem() *ridgeswitchv1.Problem {
 	return &ridgeswitchv1.Problem{Kind: string(dynamic.KindNotFound), Message: e.Error(), Field: "pool"}
 }
--- a/internal/control/driver/machine_test.go
+++ b/internal/control/driver/machine_test.go
@@ -10,13 +10,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// idleTraffic is traffic without a request.
+// idleTraffic is a routing.LoadReader that reports no requests in flight.
 type idleTraffic struct{}
 
 func (idleTraffic) InFlight(string) int { return 0 }
 
-// newSoloMachine returns the machine of the only node of a deployment, which starts
-// from what its disk kept.
+// newSoloMachine returns the machine of the only node of a deployment, which starts from
+// the restored state of its disk.
 func newSoloMachine(restored map[uint32]replication.Restored) *control.Machine {
 	machine, err := control.New(control.Config{
 		Self:          member.Info{ID: "a", Address: "127.0.0.1:1", Zone: "z1", HoldsState: true, Incarnation: 1},
@@ -28,7 +28,7 @@
 	return machine
 }
 
-// run advances a machine in virtual time, with a disk that is durable at once.
+// run ticks a machine in virtual time, with a disk whose writes are durable at once.
 func run(machine *control.Machine, duration time.Duration) {
 	now := machine.Now()
 	var write func(output control.Output)
--- a/internal/control/driver/peers.go
+++ b/internal/control/driver/peers.go
@@ -7,18 +7,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// livePeers are the live nodes, for traffic to read without waiting for
-// control.
+// livePeers publishes the live nodes, so that requests can read them without waiting for
+// the control goroutine.
 type livePeers struct {
 	published atomic.Pointer[peerSet]
-	// digest is that of the table of members when they were published. Whether a
-	// member is reachable depends on the records of others too, its monitors.
+	// digest is the digest of the whole table of members at the last publication. It covers
+	// all records, because whether a member is reachable also depends on the records of
+	// its monitors.
 	digest uint64
 }
 
-// peerSet are the live nodes, this one included, sorted by ID.
+// peerSet contains the live nodes, this one included, sorted by ID.
 type peerSet struct {
-	all     []member.Info
+	all []member.Info
+	// serving contains the nodes that serve callers: those with a traffic address.
 	serving []member.Info
 }
 
--- a/internal/control/driver/peers_test.go
+++ b/internal/control/driver/peers_test.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-var _ = Describe("Live nodes", func() {
-	It("are published again when a record tells of other monitors, and nothing else has changed", func() {
+var _ = Describe("livePeers", func() {
+	It("publishes the nodes again when only the monitors in a record have changed", func() {
 		machine := newSoloMachine(nil)
 		var peers livePeers
 		receiveRecord := func(id member.ID, version uint64, monitors ...member.ID) []member.ID {
@@ -29,8 +29,8 @@
 			return lo.Map(peers.published.Load().all, func(info member.Info, _ int) member.ID { return info.ID })
 		}
 		self := machine.Self().ID
-		Expect(receiveRecord("c", 1, "b")).To(ConsistOf(self), "its monitor is not known")
-		Expect(receiveRecord("b", 1, "x")).To(ConsistOf(self, member.ID("c")), "nor is that of b")
+		Expect(receiveRecord("c", 1, "b")).To(ConsistOf(self), "b, the monitor of c, is not known")
+		Expect(receiveRecord("b", 1, "x")).To(ConsistOf(self, member.ID("c")), "x, the monitor of b, is not known")
 		infos := func() []member.Info {
 			return lo.Map(machine.Members(), func(record membership.Record, _ int) member.Info { return record.Info })
 		}
--- a/internal/control/driver/published.go
+++ b/internal/control/driver/published.go
@@ -12,19 +12,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ErrNotServing is returned for traffic while the node may be partitioned, or has
-// not learnt yet what is in force.
+// ErrNotServing is returned while the node must not admit traffic: it may be partitioned, or
+// it has not received the current configuration.
 var ErrNotServing = errors.New("the node is not serving: it may be cut off or has not learnt the current configuration; use another node")
 
-// ErrNotPrepared is returned while a node does not know the back ends yet.
+// ErrNotPrepared is returned while the machine is not prepared to serve all that the
+// configuration names; see control.Machine.Prepared.
 var ErrNotPrepared = errors.New("the node has not learnt all back ends yet; use another node")
 
-// stalledAfter is how long the control goroutine may be busy before the node
-// counts as stuck.
+// stalledAfter is how long the control goroutine may handle no input before Live reports
+// the node as stalled.
 const stalledAfter = 5 * time.Second
 
-// PublishedState is what the control goroutine publishes after each input, for traffic and others
-// to read without waiting for control. It is safe for concurrent use.
+// PublishedState contains what the control goroutine publishes after each input, so that
+// requests and other goroutines can read it without waiting for the control goroutine. It is
+// safe for concurrent use.
 type PublishedState struct {
 	clock      func() time.Duration
 	view       atomic.Pointer[routing.View]
@@ -34,8 +36,8 @@
 	peers      livePeers
 }
 
-// publish publishes what may have changed with an input. It is called on the control
-// goroutine.
+// publish updates the state after an input; view is nil if there is no new one. It is called
+// on the control goroutine.
 func (p *PublishedState) publish(machine *control.Machine, view *routing.View) {
 	if view != nil {
 		p.view.Store(view)
@@ -47,7 +49,8 @@
 }
 
 // Configuration returns the configuration in force on this node, or nil before
-// the first view. It may be older than the newest one; see ReadConfiguration.
+// the first view. It may be older than the newest committed one; see
+// Driver.ReadConfiguration.
 func (p *PublishedState) Configuration() *ridgeswitchv1.Configuration {
 	view := p.view.Load()
 	if view == nil {
@@ -59,7 +62,8 @@
 // View returns the newest view, or nil before the first one.
 func (p *PublishedState) View() *routing.View { return p.view.Load() }
 
-// Live returns an error when the control goroutine has handled no input for stalledAfter.
+// Live returns an error if the control goroutine has handled no input for longer than
+// stalledAfter.
 func (p *PublishedState) Live() error {
 	if idle := p.clock() - time.Duration(p.lastRun.Load()); idle > stalledAfter {
 		return errors.Errorf("control has not run for %s; restart the node", idle)
@@ -67,7 +71,7 @@
 	return nil
 }
 
-// Ready returns nil while new connections may be sent to the node.
+// Ready returns nil while the node can accept new connections.
 func (p *PublishedState) Ready() error {
 	if err := p.Serving(); err != nil {
 		return err
@@ -86,7 +90,7 @@
 	return nil
 }
 
-// Peers returns the live nodes that serve callers; read only.
+// Peers returns the live nodes that serve callers, this one included if it does; read only.
 func (p *PublishedState) Peers() []member.Info {
 	if published := p.peers.published.Load(); published != nil {
 		return published.serving
@@ -94,7 +98,7 @@
 	return nil
 }
 
-// LiveNodes returns all live nodes; read only.
+// LiveNodes returns all live nodes, this one included; read only.
 func (p *PublishedState) LiveNodes() []member.Info {
 	if published := p.peers.published.Load(); published != nil {
 		return published.all
--- a/internal/control/driver/replies.go
+++ b/internal/control/driver/replies.go
@@ -2,23 +2,24 @@
 
 import "github.com/ridgeswitch/ridgeswitch/internal/control"
 
-// replies owns the channels of those who wait for a reply of the machine, by the ticket of
-// their request. It belongs to the control goroutine.
+// replies contains the channels of the callers that wait for a reply from the machine, by the
+// ticket of the request. It belongs to the control goroutine.
 type replies struct {
 	channels map[uint64]chan control.Reply
-	// lastTicket is the number of the newest request.
+	// lastTicket is the ticket of the newest request.
 	lastTicket uint64
 }
 
-// register returns the ticket of a request whose reply goes to a channel with room for it.
+// register returns a ticket for a new request, whose reply is sent to channel. The channel
+// must have buffer space for it, so that deliver does not block.
 func (r *replies) register(channel chan control.Reply) uint64 {
 	r.lastTicket++
 	r.channels[r.lastTicket] = channel
 	return r.lastTicket
 }
 
-// remove returns the ticket of the request whose reply a channel waits for, and waits for
-// it no more. It is false if the reply has been delivered.
+// remove removes a channel and returns the ticket of its request. Waiting is false if the
+// reply has been delivered already.
 func (r *replies) remove(channel chan control.Reply) (ticket uint64, waiting bool) {
 	for ticket, other := range r.channels {
 		if other == channel {
@@ -29,7 +30,7 @@
 	return 0, false
 }
 
-// deliver hands a reply to whoever waits for it.
+// deliver sends a reply to the caller that waits for it, if there still is one.
 func (r *replies) deliver(reply control.Reply) {
 	channel, waiting := r.channels[reply.Ticket]
 	if !waiting {
--- a/internal/control/driver/requests.go
+++ b/internal/control/driver/requests.go
@@ -12,17 +12,18 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// ErrStopped is returned for an order or a read that reaches a node that stops.
+// ErrStopped is returned for an order or a read if the driver has stopped.
 var ErrStopped = errors.New("the node is stopping; send the identical order to another node")
 
-// NewOrderID returns an identity that no other order has, for an order that its
-// operator gave none. A resend under another one must have the same effect.
+// NewOrderID returns a unique identity for an order that came without one. If the operator
+// sends such an order again, it gets another identity and may be carried out twice, so that
+// carrying it out twice must have the same effect as once.
 func (d *Driver) NewOrderID() string {
 	return d.machine.OrderIDPrefix() + strconv.FormatUint(d.orderIDs.Add(1), 10)
 }
 
-// Submit gives an order to the machine and waits for its answer. An error means that the
-// outcome is unknown: the identical order may be sent again, at any node.
+// Submit passes an order to the machine and waits for its answer. An error means that the
+// outcome is unknown: the identical order may be sent again, to any node.
 func (d *Driver) Submit(ctx context.Context, order *controlpb.Order) (*controlpb.Answer, error) {
 	reply, err := d.request(ctx, func(now time.Duration, ticket uint64) control.Output {
 		return d.machine.Submit(now, ticket, order)
@@ -33,9 +34,8 @@
 	return reply.Answer, nil
 }
 
-// Source reads the source document of the configuration, as a quorum of the nodes
-// with disks confirms it. It is nil if the configuration in force was not made
-// from a document.
+// Source reads the source document of the configuration in force, as a quorum of the nodes
+// with disks confirms it. It returns nil if the configuration was not made from a document.
 func (d *Driver) Source(ctx context.Context) (*ridgeswitchv1.Source, error) {
 	reply, err := d.request(ctx, d.machine.ReadSource)
 	if err != nil {
@@ -47,9 +47,9 @@
 	return reply.Source, nil
 }
 
-// ReadConfiguration reads the configuration in force, as a quorum of the nodes with
-// disks confirms it; read only. A node that can't be sure of the newest one returns
-// an error that wraps requests.ErrNoQuorum or requests.ErrBehind.
+// ReadConfiguration reads the configuration in force, as a quorum of the nodes with disks
+// confirms it; read only. If no quorum confirms it or this node has not received the newest
+// revision in time, the error wraps requests.ErrNoQuorum or requests.ErrBehind.
 func (d *Driver) ReadConfiguration(ctx context.Context) (*ridgeswitchv1.Configuration, error) {
 	reply, err := d.request(ctx, d.machine.ReadConfiguration)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return reply.Configuration, nil
 }
 
-// request gives a request to the machine and waits for its reply. When the context ends,
-// nobody needs the reply any more, so that the request is cancelled at the machine.
+// request passes a request to the machine and waits for its reply. If the context ends
+// first, the request is cancelled at the machine, since no caller waits for the reply.
 func (d *Driver) request(ctx context.Context, input func(now time.Duration, ticket uint64) control.Output) (control.Reply, error) {
 	channel := make(chan control.Reply, 1)
 	d.post(func(now time.Duration) control.Output { return input(now, d.replies.register(channel)) })
--- a/internal/control/driver/shard_writer.go
+++ b/internal/control/driver/shard_writer.go
@@ -12,23 +12,24 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// writeRetryEvery is the pause before a failed write is tried again.
+// writeRetryEvery is the pause before a failed write is retried.
 const writeRetryEvery = time.Second
 
-// shardWriter makes durable what one shard has to keep, in a goroutine of its own.
+// shardWriter performs the writes of one shard in a goroutine of its own.
 type shardWriter struct {
 	storage Storage
 	log     *logrus.Entry
-	// diskFullWriters counts the writers whose disk refuses a write for lack of space.
+	// diskFullWriters counts the writers of all shards whose disk refuses a write for lack of
+	// space.
 	diskFullWriters *atomic.Int64
-	// queue holds the outstanding write: a shard has one at the most.
+	// queue contains the outstanding write; a shard has at most one.
 	queue chan control.StorageWrite
-	// written is called after each write that is durable.
+	// written is called when a write is durable.
 	written func()
 }
 
-// run writes until the context ends. While a write fails it is repeated, and the shard
-// sends nothing that depends on it: its group goes on without this member.
+// run performs writes until the context ends. While a failed write is retried, the shard
+// sends no message that depends on it, and its replica group continues without this member.
 func (w *shardWriter) run(ctx context.Context) {
 	for {
 		select {
@@ -43,7 +44,8 @@
 	}
 }
 
-// writeUntilDurable repeats a failed write, as a full disk may get free space again.
+// writeUntilDurable retries a write until it succeeds, since space may be freed on a full
+// disk. It returns false if the context ends before that.
 func (w *shardWriter) writeUntilDurable(ctx context.Context, write control.StorageWrite) bool {
 	diskFull := false
 	defer func() { w.updateDiskFullWriters(diskFull, false) }()
@@ -70,7 +72,8 @@
 	return w.storage.Checkpoint(write.Checkpoint.HardState, write.Checkpoint.Snapshot, write.Checkpoint.Entries)
 }
 
-// updateDiskFullWriters counts this writer among those that are refused, or no longer.
+// updateDiskFullWriters adjusts the count when this writer's disk has become full, or is no
+// longer full.
 func (w *shardWriter) updateDiskFullWriters(before, now bool) {
 	switch {
 	case now && !before:
--- a/internal/control/driver/storage_status_test.go
+++ b/internal/control/driver/storage_status_test.go
@@ -15,7 +15,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// sizedStorage is a shard that takes so many bytes and refuses so many writes.
+// sizedStorage is a Storage that uses the given number of bytes. Its disk is full for the
+// given number of calls of Save.
 type sizedStorage struct {
 	bytes    int64
 	refusals atomic.Int64
@@ -33,7 +34,7 @@
 	return nil
 }
 
-var _ = Describe("What control state takes", func() {
+var _ = Describe("storageMonitor", func() {
 	newMonitor := func(shard *sizedStorage) (*storageMonitor, *bytes.Buffer) {
 		written := &bytes.Buffer{}
 		logger := logrus.New()
@@ -43,7 +44,7 @@
 		return monitor, written
 	}
 
-	It("is told, and warned of once when it comes near a limit", func() {
+	It("reports sizes, and warns once each time that a size comes near its limit", func() {
 		shard := &sizedStorage{bytes: 10}
 		monitor, written := newMonitor(shard)
 		monitor.diskLimit = 1000
@@ -63,10 +64,10 @@
 		monitor.configuration.Store(monitor.configurationLimit)
 		monitor.update(machine)
 		monitor.update(machine)
-		Expect(bytes.Count(written.Bytes(), []byte("near the size above which one is refused"))).To(Equal(1))
+		Expect(bytes.Count(written.Bytes(), []byte("near its size limit, above which it is refused"))).To(Equal(1))
 	})
 
-	It("tells for how long the disk refuses a write", func() {
+	It("reports a full disk until the refused write succeeds", func() {
 		shard := &sizedStorage{}
 		shard.refusals.Store(1)
 		monitor, _ := newMonitor(shard)
