--- a/internal/control/requests/client.go
+++ b/internal/control/requests/client.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// largePayloadBytes is the size from which on a payload is sent again less often, and
-	// maxRetryDoublings how many times the pause before that doubles at the most.
+	// largePayloadBytes is the payload size from which a request is retried less often, and
+	// maxRetryDoublings is how many times the pause between its retries doubles at most.
 	largePayloadBytes = 64 << 10
 	maxRetryDoublings = 2
 )
 
-// ErrNoQuorum is returned for a read that no quorum has confirmed in time.
+// ErrNoQuorum is the error of a read that no quorum has confirmed in time.
 var ErrNoQuorum = errors.New("no quorum of the nodes with disks has confirmed the read in time; try again, at another node")
 
-// ErrBehind is returned for a read whose revision a quorum has confirmed, while
-// the node has not received that revision.
+// ErrBehind is the error of a read for which this node has not received the confirmed
+// revision in time.
 var ErrBehind = errors.New("the newest configuration has not reached this node in time; try again, at another node")
 
-// Reply answers an order, or a read, that this node took.
+// Reply answers an order or a read that this node received from an operator.
 type Reply struct {
 	Ticket uint64
 	// Answer is set for an order, Source for a read of the document, and
@@ -40,8 +40,8 @@
 	Err           error
 }
 
-// pendingRequest is an order, or a read, that this node took from an operator and
-// that the leader of the configuration has not answered yet.
+// pendingRequest is an order or a read that this node received from an operator and that
+// is not answered yet.
 type pendingRequest struct {
 	ticket      uint64
 	request     uint64
@@ -51,13 +51,13 @@
 	attempts    int
 	nextAttempt time.Duration
 	deadline    time.Duration
-	// revisionConfirmed means that a quorum confirmed minRevision, for which a read of the
-	// configuration waits on this node.
+	// revisionConfirmed means that a quorum has confirmed minRevision. The read of the
+	// configuration then waits until this node has received that revision.
 	revisionConfirmed bool
 	minRevision       uint64
 }
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// Timeout is how long a request waits for its reply.
 	Timeout time.Duration
@@ -65,7 +65,8 @@
 	RetryEvery time.Duration
 }
 
-// Client keeps the requests that a node took from its operators.
+// Client forwards the requests that a node received from operators to the leader of the
+// configuration, until they are answered or time out.
 type Client struct {
 	config    ClientConfig
 	transport protocol.Transport
@@ -76,12 +77,12 @@
 	replies   []Reply
 }
 
-// NewClient returns a client without requests.
+// NewClient returns a Client without requests.
 func NewClient(config ClientConfig, transport protocol.Transport, numbers *protocol.Numbering, directory *leaders.Directory) *Client {
 	return &Client{config: config, transport: transport, numbers: numbers, leaders: directory}
 }
 
-// Submit takes an operator's order. The Reply carries the ticket.
+// Submit forwards an operator's order to the leader. The Reply carries the ticket.
 func (c *Client) Submit(now time.Duration, ticket uint64, order *controlpb.Order) {
 	command := &controlpb.Command{Command: &controlpb.Command_Order{Order: order}}
 	payload, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
@@ -98,14 +99,14 @@
 	c.begin(now, &pendingRequest{ticket: ticket, kind: protocol.MessageReadSource})
 }
 
-// ReadConfiguration asks for the configuration in force. The leader tells its revision,
-// as a quorum confirms it, and AnswerReads answers by the node's own copy once that is as
-// new. The Reply carries the ticket and the configuration.
+// ReadConfiguration asks for the configuration in force. The leader replies with its
+// revision, as a quorum confirms it, and AnswerReads answers with the node's own copy once
+// that has reached the revision. The Reply carries the ticket and the configuration.
 func (c *Client) ReadConfiguration(now time.Duration, ticket uint64) {
 	c.begin(now, &pendingRequest{ticket: ticket, kind: protocol.MessageReadRevision})
 }
 
-// begin sends a request to the leader.
+// begin gives a request its number and deadline, and sends it to the supposed leader.
 func (c *Client) begin(now time.Duration, pending *pendingRequest) {
 	c.now = now
 	pending.request = c.numbers.Next()
@@ -114,7 +115,8 @@
 	c.send(pending, c.leaders.Guess(shardstate.ConfigurationShard))
 }
 
-// send sends a pending request to a node that may lead the configuration.
+// send sends a pending request to a node that may lead the configuration, and schedules the
+// next attempt. If no such node is known, it only does the latter.
 func (c *Client) send(pending *pendingRequest, target member.ID) {
 	pending.target = target
 	pending.nextAttempt = c.now + c.retryDelay(pending)
@@ -129,8 +131,9 @@
 	})
 }
 
-// retryDelay returns how long a request waits for its reply before it is sent again. For one
-// with a large payload it doubles: most often the reply takes longer, and nothing is lost.
+// retryDelay returns how long a request waits for its reply before it is sent again. The
+// delay doubles for a request with a large payload: usually such a request is not lost and
+// its reply only takes longer.
 func (c *Client) retryDelay(pending *pendingRequest) time.Duration {
 	if len(pending.payload) < largePayloadBytes {
 		return c.config.RetryEvery
@@ -138,7 +141,8 @@
 	return c.config.RetryEvery << min(pending.attempts, maxRetryDoublings)
 }
 
-// Tick sends requests without a reply again, and ends those that have timed out.
+// Tick resends requests without a reply to the next member of the group, and ends those
+// that have timed out.
 func (c *Client) Tick(now time.Duration) {
 	c.now = now
 	for _, pending := range slices.Clone(c.pending) {
@@ -153,9 +157,9 @@
 	}
 }
 
-// timeOut answers a request that nobody decided in time. The outcome of a change is
-// unknown then: it gets the empty answer, which is neither confirmed nor a problem, and
-// which operators are shown as pending.
+// timeOut answers a request that was not answered in time. The outcome of a change is
+// unknown then: it gets the empty answer, which is neither confirmed nor a problem and is
+// shown to operators as pending.
 func (c *Client) timeOut(pending *pendingRequest) {
 	switch {
 	case pending.revisionConfirmed:
@@ -167,20 +171,20 @@
 	}
 }
 
-// complete answers the operator and ends a request.
+// complete adds the reply to a request and ends the request.
 func (c *Client) complete(pending *pendingRequest, reply Reply) {
 	reply.Ticket = pending.ticket
 	c.replies = append(c.replies, reply)
 	c.pending = slices.DeleteFunc(c.pending, func(other *pendingRequest) bool { return other == pending })
 }
 
-// Cancel ends a request whose reply nobody waits for any more: it is not sent again.
-// What was sent already may still take effect.
+// Cancel ends a request whose reply is no longer needed, so that it is not sent again. If it
+// was sent already, it may still take effect.
 func (c *Client) Cancel(ticket uint64) {
 	c.pending = slices.DeleteFunc(c.pending, func(pending *pendingRequest) bool { return pending.ticket == ticket })
 }
 
-// ReceiveReply handles the leader's reply, or a hint who leads the shard.
+// ReceiveReply handles the reply of the leader, or the redirect of another node.
 func (c *Client) ReceiveReply(now time.Duration, from member.ID, message protocol.Message) {
 	c.now = now
 	position := slices.IndexFunc(c.pending, func(pending *pendingRequest) bool {
@@ -210,8 +214,8 @@
 	c.complete(pending, reply)
 }
 
-// AnswerReads answers the reads of the configuration for which the node's copy is new
-// enough.
+// AnswerReads answers the reads of the configuration whose confirmed revision the node's
+// copy has reached.
 func (c *Client) AnswerReads(configuration *ridgeswitchv1.Configuration) {
 	for _, pending := range slices.Clone(c.pending) {
 		if pending.revisionConfirmed && configuration.GetRevision() >= pending.minRevision {
@@ -227,7 +231,7 @@
 	return replies
 }
 
-// decodeReply reads the leader's reply to an order or a read of the document.
+// decodeReply decodes the leader's reply to an order or to a read of the source document.
 func decodeReply(message protocol.Message) (Reply, error) {
 	if message.Type == protocol.MessageReadSourceReply {
 		source := &ridgeswitchv1.Source{}
--- a/internal/control/requests/configuration_changes.go
+++ b/internal/control/requests/configuration_changes.go
@@ -13,35 +13,37 @@
 )
 
 const (
-	// maxQueuedChanges bounds the changes that wait for their turn, and
-	// queuedBytesFactor their bytes, in commands of the largest size.
+	// maxQueuedChanges is how many changes may wait, and queuedBytesFactor bounds their
+	// total size, as a multiple of the largest command.
 	maxQueuedChanges  = 16
 	queuedBytesFactor = 2
 )
 
 // configurationChange is a change that carries a whole configuration. It waits until the
-// one before it is applied, so that only one that is going to take effect enters the log.
+// one before it is applied, so that only a change that will take effect enters the log.
 type configurationChange struct {
 	requestKey
 	message  protocol.Message
 	order    *controlpb.Order
 	deadline time.Duration
-	// reading means that a read was requested, to confirm the leadership under which
-	// the change is refused or answered as a resend, and confirmed that it has ended.
+	// reading means that a read is under way that confirms this node's leadership, which is
+	// needed before the change is refused or answered as a resend. confirmed means that the
+	// read has succeeded.
 	reading   bool
 	confirmed bool
 }
 
-// configurationChanges are the changes that wait, in the order in which they came, and the
-// one that was proposed last.
+// configurationChanges contains the waiting changes, in the order in which they arrived, and
+// the request of the change that was proposed last.
 type configurationChanges struct {
 	waiting  []*configurationChange
 	proposed requestKey
-	// maxCommandBytes is the largest command that may enter the log.
+	// maxCommandBytes is the size of the largest command that may enter the log.
 	maxCommandBytes int
 }
 
-// wholeConfigurationOrder returns the order in a command if it carries a whole configuration.
+// wholeConfigurationOrder returns the order in an encoded command if the order carries a
+// whole configuration, else nil.
 func wholeConfigurationOrder(payload []byte) *controlpb.Order {
 	command := &controlpb.Command{}
 	if err := proto.Unmarshal(payload, command); err != nil {
@@ -64,7 +66,8 @@
 	return c.waiting[position]
 }
 
-// add appends a change, unless too many wait: its sender repeats it.
+// add appends a change. If other changes wait and the queue would become too long or too
+// large, it drops the change, which its sender sends again.
 func (c *configurationChanges) add(change *configurationChange) {
 	queued := len(change.message.Payload)
 	for _, waiting := range c.waiting {
@@ -77,27 +80,28 @@
 	c.waiting = append(c.waiting, change)
 }
 
-// removeFirst ends the wait of the first change.
+// removeFirst removes the first waiting change.
 func (c *configurationChanges) removeFirst() {
 	c.waiting[0] = nil
 	c.waiting = c.waiting[1:]
 }
 
-// expire drops the changes whose senders have given up.
+// expire removes the changes whose senders have given up.
 func (c *configurationChanges) expire(now time.Duration) {
 	c.waiting = slices.DeleteFunc(c.waiting, func(change *configurationChange) bool { return now >= change.deadline })
 }
 
-// readFinished records that the read of a change has ended.
+// readFinished records that the read for a change has ended, and whether it confirmed the
+// leadership.
 func (c *configurationChanges) readFinished(request requestKey, confirmed bool) {
 	if change := c.find(request); change != nil {
 		change.reading, change.confirmed = false, confirmed
 	}
 }
 
-// Advance proposes the first change that waits, or answers it without an entry in the log,
-// once all changes before it are applied. It is called whenever that may have changed. The
-// shard is nil if this node does not host it.
+// Advance handles the waiting changes in order: it proposes the first one, or answers it
+// without an entry in the log, once all changes before it are applied. It is called whenever
+// that may have become possible. The shard is nil if this node does not host it.
 func (l *Leader) Advance(shard Shard) {
 	for len(l.changes.waiting) > 0 {
 		if shard == nil || !shard.IsLeader() {
@@ -123,12 +127,13 @@
 	}
 }
 
-// changeInLog reports whether the change that was proposed last is not applied yet.
+// changeInLog reports whether the change that was proposed last is in the log but not yet
+// applied.
 func (l *Leader) changeInLog(shard Shard) bool {
 	return shard.ChangeProposed(l.changes.proposed.from, l.changes.proposed.request)
 }
 
-// preview returns the answer to a change that needs no entry in the log, or nil.
+// preview returns the answer to a change if it needs no entry in the log, else nil.
 func (l *Leader) preview(shard Shard, change *configurationChange) *controlpb.Answer {
 	if answer := shard.PreviewChange(change.order); answer != nil {
 		return answer
@@ -139,9 +144,9 @@
 	return nil
 }
 
-// confirmLeadership requests a read for a change: a leader that was replaced may know an
-// older state, in which the change is refused though it is not in the newest one. It is
-// false if this node cannot read.
+// confirmLeadership requests a read that confirms the leadership for a change. A leader that
+// was replaced without knowing it may have an older state, by which it would refuse a change
+// that the newest state accepts. It returns false if the read cannot be requested.
 func (l *Leader) confirmLeadership(shard Shard, change *configurationChange) bool {
 	id, err := shard.RequestRead()
 	if err != nil {
@@ -153,7 +158,7 @@
 	return true
 }
 
-// redirectWaiting sends all waiting changes on to the leader.
+// redirectWaiting redirects the senders of all waiting changes to the leader.
 func (l *Leader) redirectWaiting() {
 	waiting := l.changes.waiting
 	l.changes.waiting = nil
@@ -162,7 +167,8 @@
 	}
 }
 
-// enqueue takes a change that carries a whole configuration.
+// enqueue queues a change that carries a whole configuration, and handles it at once if
+// nothing is before it.
 func (l *Leader) enqueue(shard Shard, from member.ID, message protocol.Message, order *controlpb.Order) {
 	l.changes.add(&configurationChange{
 		requestKey: requestKey{from: from, request: message.Request},
--- a/internal/control/requests/configuration_changes_test.go
+++ b/internal/control/requests/configuration_changes_test.go
@@ -40,7 +40,7 @@
 		Expect(proto.Unmarshal(sent[position].message.Payload, decoded)).To(Succeed())
 		return decoded
 	}
-	// finishRead ends the read that the leader has requested last.
+	// finishRead passes the outcome of a read to the leader.
 	finishRead := func(ready replication.Ready) {
 		state := shardstate.NewConfiguration(&controlpb.ConfigurationState{})
 		Expect(leader.FinishReads(state, ready)).To(Succeed())
@@ -56,7 +56,7 @@
 		}, &sent, leaders.NewDirectory(testShards{}))
 	})
 
-	// Guards against refused documents that fill the log (issue 37, review/1).
+	// Guards against refused documents filling the log (issue 37, review/1).
 	It("is refused without an entry in the log, once the leadership is confirmed", func() {
 		shard.preview = &controlpb.Answer{Problem: &ridgeswitchv1.Problem{Kind: string(dynamic.KindBaseRevisionStale)}}
 		leader.ReceiveChange(shard, "n", documentOfBytes(1, 10))
@@ -66,14 +66,14 @@
 		Expect(sent).To(HaveLen(1))
 		Expect(answer(0).GetProblem().GetKind()).To(BeEquivalentTo(dynamic.KindBaseRevisionStale))
 		Expect(shard.proposed).To(BeZero())
-		By("answering a late copy alike, though the change would be taken now")
+		By("refusing a late copy too, although the change would be accepted now")
 		shard.preview = nil
 		leader.ReceiveChange(shard, "n", documentOfBytes(1, 10))
 		Expect(sent).To(HaveLen(2))
 		Expect(shard.proposed).To(BeZero())
 	})
 
-	It("is judged anew when the state has changed while the leadership was confirmed", func() {
+	It("is evaluated again if the state has changed while the leadership was confirmed", func() {
 		shard.preview = &controlpb.Answer{Problem: &ridgeswitchv1.Problem{}}
 		leader.ReceiveChange(shard, "n", documentOfBytes(1, 10))
 		shard.preview = nil
@@ -101,12 +101,12 @@
 		Expect(shard.proposed).To(Equal(1))
 		leader.Tick(0, shard)
 		Expect(shard.proposed).To(Equal(1))
-		shard.proposed = 0 // The first is applied.
+		shard.proposed = 0 // The first change is applied.
 		leader.Tick(0, shard)
 		Expect(shard.proposed).To(Equal(1))
 	})
 
-	It("is sent on when the leadership is lost, and asks again when only the read failed", func() {
+	It("is kept when only the read failed, and redirected when the leadership is lost", func() {
 		shard.preview = &controlpb.Answer{Problem: &ridgeswitchv1.Problem{}}
 		leader.ReceiveChange(shard, "n", documentOfBytes(1, 10))
 		finishRead(replication.Ready{ReadsFailed: []uint64{1}})
@@ -117,7 +117,7 @@
 		Expect(sent[0].message.Accepted).To(BeFalse())
 	})
 
-	It("is refused if the machines have no room for it", func() {
+	It("is refused if it is larger than the largest command", func() {
 		leader.ReceiveChange(shard, "n", documentOfBytes(1, maxCommandBytes))
 		confirmRead()
 		Expect(shard.proposed).To(BeZero())
@@ -126,7 +126,7 @@
 		Expect(answer(0).GetProblem().GetRevision()).To(Equal(shard.Revision()))
 	})
 
-	It("takes bounded memory while it waits, and is dropped when its sender has given up", func() {
+	It("is queued within bounds, and dropped when its sender has given up", func() {
 		shard.behind = true
 		for request := range uint64(100) {
 			leader.ReceiveChange(shard, "n", documentOfBytes(1+request, maxCommandBytes/2))
@@ -140,8 +140,8 @@
 		Expect(leader.changes.waiting).To(HaveLen(maxQueuedChanges))
 	})
 
-	// Guards against a large document sent again while its reply is under way (issue 37).
-	It("is sent again after pauses that double", func() {
+	// Guards against resending a large document while its reply is under way (issue 37).
+	It("is resent after pauses that double", func() {
 		const retryEvery = 300 * time.Millisecond
 		client := NewClient(ClientConfig{Timeout: time.Minute, RetryEvery: retryEvery}, &sent,
 			protocol.NewNumbering(1), leaders.NewDirectory(testShards{}))
--- a/internal/control/requests/leader.go
+++ b/internal/control/requests/leader.go
@@ -14,34 +14,35 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// replyTypes are the replies to what the leader of the configuration is asked.
+// replyTypes maps each request to the leader of the configuration to the type of its reply.
 var replyTypes = map[protocol.MessageType]protocol.MessageType{
 	protocol.MessageChange:       protocol.MessageChangeReply,
 	protocol.MessageReadSource:   protocol.MessageReadSourceReply,
 	protocol.MessageReadRevision: protocol.MessageReadRevisionReply,
 }
 
-// Shard is what the leader's side needs of a shard that this node hosts.
+// Shard is what a Leader needs of a shard that this node hosts.
 type Shard interface {
 	IsLeader() bool
-	// ChangeProposed reports whether a change waits to be committed under the present
-	// leadership.
+	// ChangeProposed reports whether a change that this node proposed in its present
+	// leadership waits to be applied.
 	ChangeProposed(from member.ID, request uint64) bool
-	// ProposeChange appends a change to the log; Leader.Applied takes its outcome.
+	// ProposeChange appends a change to the log; its outcome is passed to Leader.Applied.
 	ProposeChange(from member.ID, message protocol.Message)
-	// PreviewChange returns the answer to an order that needs no entry in the log, or nil.
+	// PreviewChange returns the answer to an order if it needs no entry in the log, else nil.
 	PreviewChange(order *controlpb.Order) *controlpb.Answer
 	// Revision returns the revision in force.
 	Revision() uint64
-	// BarrierApplied reports whether the state holds all that earlier leaders committed.
+	// BarrierApplied reports whether this node leads and its state includes all entries that
+	// earlier leaders committed.
 	BarrierApplied() bool
-	// Process carries out what a requested read leads to.
+	// Process carries out what the group has to do after RequestRead.
 	Process()
 	// ConfirmedEverywhere reports whether no node can serve a revision below the given
 	// one any more.
 	ConfirmedEverywhere(revision uint64) bool
-	// RequestRead asks for a confirmation of the leadership, which Leader.FinishReads
-	// takes under the returned number.
+	// RequestRead asks a quorum to confirm the leadership. The result is passed to
+	// Leader.FinishReads under the returned ID.
 	RequestRead() (id uint64, err error)
 }
 
@@ -54,42 +55,45 @@
 	deadline time.Duration
 }
 
-// pendingRead is a read that waits for a quorum.
+// pendingRead is a read that waits for the confirmation of a quorum. Its kind is
+// MessageChange if it confirms the leadership for a configurationChange.
 type pendingRead struct {
 	requestKey
 	kind protocol.MessageType
 }
 
-// LeaderConfig sets up a Leader.
+// LeaderConfig configures a Leader.
 type LeaderConfig struct {
 	// AcknowledgeTimeout is how long a change waits for confirmations before it is
 	// answered as pending.
 	AcknowledgeTimeout time.Duration
-	// AcknowledgeUnconfirmedAfter is how long a change waits before it is acknowledged
-	// without confirmations; 0 means that it never is.
+	// AcknowledgeUnconfirmedAfter is how long a change waits for confirmations before it is
+	// acknowledged without them; 0 means that it never is.
 	AcknowledgeUnconfirmedAfter time.Duration
 	// RequestTimeout is how long nodes wait for the reply to a request.
 	RequestTimeout time.Duration
-	// MaxCommandBytes is the largest command that may enter the log.
+	// MaxCommandBytes is the size of the largest command that may enter the log.
 	MaxCommandBytes int
 }
 
-// Leader answers requests at the node that leads the configuration.
+// Leader answers requests on the node that leads the configuration, and redirects them on
+// other nodes.
 type Leader struct {
 	config         LeaderConfig
 	transport      protocol.Transport
 	leaders        *leaders.Directory
 	unacknowledged []unacknowledgedChange
 	rejections     rejections
-	// reads are those that wait for a quorum, by their numbers in the replica group.
+	// reads contains the reads that wait for a quorum, by the IDs that Shard.RequestRead
+	// returned.
 	reads map[uint64]pendingRead
-	// changes are those that carry a whole configuration.
+	// changes contains the changes that carry a whole configuration.
 	changes configurationChanges
-	// now is the time of the last tick.
+	// now is the time of the last call of Tick or Applied.
 	now time.Duration
 }
 
-// NewLeader returns the leader's side of a node that has answered nothing.
+// NewLeader returns a Leader without pending requests.
 func NewLeader(config LeaderConfig, transport protocol.Transport, directory *leaders.Directory) *Leader {
 	return &Leader{
 		config:     config,
@@ -101,7 +105,7 @@
 	}
 }
 
-// ReceiveChange takes a change that a node forwarded to the supposed leader. The shard
+// ReceiveChange handles a change that a node forwarded to the supposed leader. The shard
 // is nil if this node does not host it.
 func (l *Leader) ReceiveChange(shard Shard, from member.ID, message protocol.Message) {
 	if shard == nil || !shard.IsLeader() {
@@ -111,7 +115,7 @@
 	request := requestKey{from: from, request: message.Request}
 	waiting := func(change unacknowledgedChange) bool { return change.requestKey == request }
 	if shard.ChangeProposed(from, message.Request) || slices.ContainsFunc(l.unacknowledged, waiting) || l.changes.find(request) != nil {
-		// It is being worked on; a repeated message must not fill the log.
+		// The change is being handled; a repeated message must not fill the log.
 		return
 	}
 	if rejection := l.rejections.lookup(request); rejection != nil {
@@ -125,7 +129,7 @@
 	shard.ProposeChange(from, message)
 }
 
-// redirect tells a node which one leads the shard, as far as this one knows.
+// redirect replies with the leader of the shard, as far as this node knows it.
 func (l *Leader) redirect(from member.ID, message protocol.Message) {
 	l.transport.Send(from, protocol.Message{
 		Type:    replyTypes[message.Type],
@@ -135,14 +139,14 @@
 	})
 }
 
-// Applied takes the outcome of a change that this node proposed.
+// Applied handles the outcome of a change that this node proposed.
 func (l *Leader) Applied(now time.Duration, from member.ID, request uint64, answer *controlpb.Answer) {
 	l.now = now
 	l.handleOutcome(requestKey{from: from, request: request}, answer)
 }
 
-// handleOutcome takes the outcome of a change. A rejected one is answered at once; an accepted
-// one waits until it is confirmed.
+// handleOutcome answers a rejected change at once. An accepted change waits in unacknowledged
+// until it is confirmed.
 func (l *Leader) handleOutcome(request requestKey, answer *controlpb.Answer) {
 	if answer.GetProblem() != nil {
 		l.rejections.add(request, answer, l.now+rejectionRetentionTimeouts*l.config.RequestTimeout)
@@ -157,9 +161,9 @@
 	})
 }
 
-// Tick acknowledges the changes that are confirmed everywhere, and answers as pending
-// those that were not confirmed in time. The shard is nil if this node does not host it, so
-// that no change waits here.
+// Tick acknowledges the changes that are confirmed everywhere, and answers as pending those
+// that were not confirmed in time. The shard is nil if this node does not host it, in which
+// case no change waits here.
 func (l *Leader) Tick(now time.Duration, shard Shard) {
 	l.now = now
 	l.changes.expire(now)
@@ -171,7 +175,7 @@
 		case shard.IsLeader() && shard.ConfirmedEverywhere(change.answer.GetRevision()):
 			l.reply(change.requestKey, change.answer, true)
 		case unconfirmedAfter > 0 && now >= change.since+unconfirmedAfter:
-			// The change is committed, whoever leads the shard by now.
+			// The change is committed, whether or not this node still leads the shard.
 			l.reply(change.requestKey, change.answer, true)
 		case now >= change.deadline:
 			l.reply(change.requestKey, change.answer, false)
@@ -183,7 +187,7 @@
 	l.rejections.expire(now)
 }
 
-// reply sends the answer to the node that took the change.
+// reply sends the answer to the node that forwarded the change.
 func (l *Leader) reply(to requestKey, answer *controlpb.Answer, confirmed bool) {
 	answer = proto.Clone(answer).(*controlpb.Answer)
 	answer.Confirmed = confirmed
@@ -201,9 +205,9 @@
 }
 
 // ReceiveRead begins a read if this node leads the configuration, and reports whether it
-// did. The leader's own copy may be outdated if another leader was elected, so that a
-// quorum has to confirm its leadership first. The shard is nil if this node does not
-// host it.
+// did. If another leader has been elected meanwhile, this node's copy may be outdated, so
+// that a quorum must confirm the leadership before the read is answered. The shard is nil
+// if this node does not host it.
 func (l *Leader) ReceiveRead(shard Shard, from member.ID, message protocol.Message) bool {
 	if shard == nil || message.Shard != shardstate.ConfigurationShard || !shard.IsLeader() {
 		l.redirect(from, message)
@@ -224,8 +228,10 @@
 	return true
 }
 
-// FinishReads answers the reads that a quorum has confirmed. Who asked for one that
-// failed asks again. Changes whose leadership it confirms are left to Advance. An error means that a reply could not be encoded.
+// FinishReads answers the reads that a quorum has confirmed, and drops those that failed:
+// their senders send them again. For a read that confirms the leadership for a change, it
+// only records the result, which Advance uses. An error means that a reply could not be
+// encoded.
 func (l *Leader) FinishReads(state *shardstate.Configuration, ready replication.Ready) error {
 	for _, id := range ready.ReadsFailed {
 		l.changes.readFinished(l.reads[id].requestKey, false)
--- a/internal/control/requests/rejections.go
+++ b/internal/control/requests/rejections.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// maxRejections bounds the rejections that a leader remembers.
+	// maxRejections is how many rejections a leader keeps at most.
 	maxRejections = 4096
-	// rejectionRetentionTimeouts is how long it remembers one, in time-outs of a request: the
-	// node that asked has given up long before, and its last copy has come.
+	// rejectionRetentionTimeouts is how long a leader keeps a rejection, as a multiple of
+	// LeaderConfig.RequestTimeout. By then the sender has given up long before, and the last
+	// copy of its request has arrived.
 	rejectionRetentionTimeouts = 3
 )
 
-// requestKey names a request of a node, which repeats it under the same number until
-// it gets a reply.
+// requestKey identifies a request of a node, which sends it again under the same number
+// until it gets a reply.
 type requestKey struct {
 	from    member.ID
 	request uint64
 }
 
-// rejections are the answers to changes that were rejected. Without them a copy of such
-// a request that comes late would be judged anew, and might be accepted after the
-// operator was informed that it was not.
+// rejections contains the answers to rejected changes. Without them, a copy of a rejected
+// request that arrives late would be evaluated again, and might be accepted after the
+// operator was told that the change was rejected.
 type rejections struct {
 	byRequest map[requestKey]*controlpb.Answer
-	// byExpiry are the requests in the order in which they are forgotten.
+	// byExpiry contains the requests in the order in which they expire.
 	byExpiry []expiringRequest
 }
 
@@ -40,7 +41,7 @@
 	return rejections{byRequest: map[requestKey]*controlpb.Answer{}}
 }
 
-// add keeps the answer to a rejected request until an instant, or until too many
+// add keeps the answer to a rejected request until the given time, or until maxRejections
 // others have followed.
 func (r *rejections) add(rejected requestKey, answer *controlpb.Answer, until time.Duration) {
 	if len(r.byExpiry) >= maxRejections {
@@ -53,7 +54,7 @@
 // lookup returns the answer to a rejected request, or nil.
 func (r *rejections) lookup(request requestKey) *controlpb.Answer { return r.byRequest[request] }
 
-// expire forgets the rejections whose time has passed.
+// expire removes the rejections whose time has passed.
 func (r *rejections) expire(now time.Duration) {
 	for len(r.byExpiry) > 0 && r.byExpiry[0].until <= now {
 		r.removeOldest()
--- a/internal/control/requests/rejections_test.go
+++ b/internal/control/requests/rejections_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("rejections", func() {
-	It("keep the newest within their bound", func() {
+	It("keep the newest answers up to their maximum number", func() {
 		kept := newRejections()
 		for number := range uint64(maxRejections + 10) {
 			kept.add(requestKey{from: "n", request: number}, &controlpb.Answer{Revision: number}, time.Hour)
@@ -22,7 +22,7 @@
 })
 
 var _ = Describe("a rejection", func() {
-	It("is forgotten when its time has passed, and not before", func() {
+	It("is removed when its time has passed, and not before", func() {
 		kept := newRejections()
 		key := requestKey{from: "n", request: 1}
 		kept.add(key, &controlpb.Answer{Revision: 1}, time.Second)
--- a/internal/control/requests/requests_test.go
+++ b/internal/control/requests/requests_test.go
@@ -14,34 +14,34 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// testShards is a group of two nodes that can both be reached.
+// testShards implements leaders.Shards for a group of two reachable nodes.
 type testShards struct{}
 
 func (testShards) HostedLeader(uint32) (member.ID, bool) { return "", false }
 func (testShards) Group(uint32) []member.ID              { return []member.ID{"a", "b"} }
 func (testShards) Reachable(member.ID) bool              { return true }
 
-// sentMessage is a message and the node it was sent to.
+// sentMessage is a message and the node that it was sent to.
 type sentMessage struct {
 	to      member.ID
 	message protocol.Message
 }
 
-// sentMessages implements protocol.Transport.
+// sentMessages implements protocol.Transport and records what is sent.
 type sentMessages []sentMessage
 
 func (s *sentMessages) Send(to member.ID, message protocol.Message) {
 	*s = append(*s, sentMessage{to: to, message: message})
 }
 
-// testShard is the shard of the configuration.
+// testShard implements Shard for the shard of the configuration.
 type testShard struct {
 	leads     bool
 	confirmed bool
 	proposed  int
-	// preview is the answer to an order that needs no entry in the log.
+	// preview is what PreviewChange returns.
 	preview *controlpb.Answer
-	// behind means that entries of an earlier leader are not applied.
+	// behind means that entries of an earlier leader are not applied yet.
 	behind bool
 }
 
@@ -70,7 +70,7 @@
 			protocol.NewNumbering(1), leaders.NewDirectory(testShards{}))
 	})
 
-	It("repeats a change under its number at the next member, until it times out as pending", func() {
+	It("resends a change under the same number to the next member, until it times out as pending", func() {
 		client.Submit(0, 7, &controlpb.Order{OrderId: "o"})
 		client.Tick(retryEvery - 1)
 		Expect(sent).To(HaveLen(1))
@@ -87,7 +87,7 @@
 		Expect(replies[0].Err).NotTo(HaveOccurred())
 	})
 
-	It("follows the hint who leads", func() {
+	It("sends a redirected request to the named leader", func() {
 		client.Submit(0, 7, &controlpb.Order{OrderId: "o"})
 		client.ReceiveReply(0, "a", protocol.Message{
 			Type: protocol.MessageChangeReply, Request: sent[0].message.Request, Leader: "b",
@@ -96,7 +96,7 @@
 		Expect(sent[1].to).To(Equal(member.ID("b")))
 	})
 
-	It("answers a read by its own copy, once that is as new as the quorum confirmed", func() {
+	It("answers a read from its own copy once that has reached the confirmed revision", func() {
 		client.ReadConfiguration(0, 7)
 		client.ReceiveReply(0, "a", protocol.Message{
 			Type: protocol.MessageReadRevisionReply, Request: sent[0].message.Request, Accepted: true, Revision: 3,
@@ -107,7 +107,7 @@
 		Expect(client.TakeReplies()).To(HaveLen(1))
 	})
 
-	It("tells a read that no quorum confirmed from one that its copy is too old for", func() {
+	It("returns different errors for a read without a quorum and a read for which its copy is too old", func() {
 		client.ReadConfiguration(0, 1)
 		client.ReadConfiguration(0, 2)
 		client.ReceiveReply(0, "a", protocol.Message{
@@ -120,7 +120,7 @@
 		Expect(replies[1].Err).To(MatchError(ErrBehind))
 	})
 
-	It("forgets a cancelled request", func() {
+	It("does not answer a cancelled request", func() {
 		client.Submit(0, 7, &controlpb.Order{OrderId: "o"})
 		client.Cancel(7)
 		client.Tick(timeout)
@@ -166,7 +166,7 @@
 		Expect(sent[1].message.Accepted).To(BeFalse())
 	})
 
-	It("proposes a repeated change once, and works on it until it is acknowledged", func() {
+	It("proposes a change once, although it is received again before and after it is applied", func() {
 		leader.ReceiveChange(shard, "n", change)
 		leader.ReceiveChange(shard, "n", change)
 		Expect(shard.proposed).To(Equal(1))
@@ -186,7 +186,7 @@
 		Expect(acknowledged()).To(BeTrue())
 	})
 
-	It("answers as pending what is not confirmed in time", func() {
+	It("answers a change as pending if it is not confirmed in time", func() {
 		leader.Applied(0, "n", 1, &controlpb.Answer{Revision: 1})
 		leader.Tick(acknowledgeTimeout, shard)
 		Expect(acknowledged()).To(BeFalse())
