--- a/internal/control/registration/client.go
+++ b/internal/control/registration/client.go
@@ -9,26 +9,25 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// requiredRevisionTimeout is how long a node waits for the revision that it must hold
-// before it asks the leader again. A group that lost the majority of its disks may
-// have been formed anew without that revision: it reached no node then, and the
-// leader of a later term tells another one.
+// requiredRevisionTimeout is how long a node waits for the revision that it must receive
+// before it serves; then it asks the leader again. A group that lost the majority of its
+// disks may have been recovered without that revision if the revision had reached no node.
+// The leader of a later term then requires another revision.
 const requiredRevisionTimeout = time.Second
 
-// registration is where a node stands with one shard.
+// registration is the state of a node's registration with one shard.
 type registration struct {
 	accepted         bool
 	incarnation      member.Incarnation
 	requiredRevision uint64
-	// term is the one in which the leader told requiredRevision.
+	// term is the term of the leader that required requiredRevision.
 	term uint64
-	// target is the node asked last, by the numbered request; empty after an accepted
-	// registration.
+	// target is the node that was asked last, and request the number of that request. target
+	// is empty after an accepted registration.
 	target      member.ID
 	request     uint64
 	nextAttempt time.Duration
-	// challenger is the leader that sent the number in challenge, to be sent
-	// back to it.
+	// challenger is the leader that sent the number challenge, which is sent back to it.
 	challenger member.ID
 	challenge  uint64
 }
@@ -44,8 +43,8 @@
 	received   *shardstate.Received
 }
 
-// NewClient returns the client of a node that is not registered yet. It asks the next
-// member of a group after retryEvery.
+// NewClient returns the client of a node that is not registered yet. If a member of a group
+// has not accepted the registration after retryEvery, the client asks the next member.
 func NewClient(shardIDs []uint32, retryEvery time.Duration, transport protocol.Transport, numbers *protocol.Numbering, directory *leaders.Directory, received *shardstate.Received) *Client {
 	client := &Client{
 		shardIDs:   shardIDs,
@@ -62,9 +61,10 @@
 	return client
 }
 
-// Tick asks the leaders to register the node, as long as its present incarnation is not.
-// A fenced node must not ask: it takes a new incarnation first, since others may have
-// counted on the end of the old one.
+// Tick asks the leaders to register the node's present incarnation until they have, and
+// again if the required revision has not arrived in time. It must not be called while the
+// node is fenced: the node takes a new incarnation first, since other nodes may already have
+// acted on the end of the old one.
 func (c *Client) Tick(now time.Duration, incarnation member.Incarnation) {
 	for _, id := range c.shardIDs {
 		current := c.byShard[id]
@@ -77,7 +77,7 @@
 	}
 }
 
-// register asks the next node that may lead a shard.
+// register sends the request to the next node that may lead a shard, if any can be reached.
 func (c *Client) register(now time.Duration, shardID uint32, current *registration, incarnation member.Incarnation) {
 	current.accepted = current.accepted && current.incarnation == incarnation
 	current.nextAttempt = now + c.retryEvery
@@ -105,22 +105,22 @@
 	c.transport.Send(current.target, message)
 }
 
-// Result tells what a leader's reply means for the node.
+// Result is what follows from a reply for the node.
 type Result struct {
-	// LaterIncarnation is set if the node is registered in a later incarnation, which
-	// its present one must exceed.
+	// LaterIncarnation is set if the node is registered in a later incarnation than its
+	// present one. The node must take an incarnation above it.
 	LaterIncarnation member.Incarnation
-	// Term is that of a leader which accepted a registration; 0 if none did.
+	// Term is the term of the leader if the reply accepts a registration, else 0.
 	Term uint64
 	// Changed means that Registered may have changed.
 	Changed bool
 }
 
-// ReceiveReply records an accepted registration of the present incarnation, or asks the
-// leader that the reply names. The reply to any request of this incarnation counts, also
-// when the node has asked again meanwhile: what was committed holds for the whole
-// incarnation, and a leader with a slow disk would never be in time for the last
-// request.
+// ReceiveReply handles a reply: it records an accepted registration of the present
+// incarnation, answers a challenge, or asks the leader that the reply names. An acceptance
+// counts for any request of this incarnation, even if the node has sent another request
+// meanwhile: a committed registration holds for the whole incarnation, and a leader with a
+// slow disk would never reply to the last request in time.
 func (c *Client) ReceiveReply(now time.Duration, from member.ID, message protocol.Message, incarnation member.Incarnation) Result {
 	current := c.byShard[message.Shard]
 	switch {
@@ -132,7 +132,7 @@
 	case message.Incarnation > incarnation:
 		return Result{LaterIncarnation: message.Incarnation}
 	case message.Revision != 0:
-		// A challenge, see protocol.Message.
+		// The reply is a challenge; see protocol.Message.
 		c.answerChallenge(from, message, current, incarnation)
 		return Result{}
 	}
@@ -144,8 +144,9 @@
 	return Result{}
 }
 
-// accept records that a leader has registered the node, and reports whether that is new. The
-// leader of a later term may tell another revision, see requiredRevisionTimeout.
+// accept records that a leader has registered the node, and reports whether this changed the
+// registration. The leader of a later term may require another revision; see
+// requiredRevisionTimeout.
 func (c *Client) accept(now time.Duration, from member.ID, message protocol.Message, current *registration, incarnation member.Incarnation) bool {
 	known := current.accepted && current.incarnation == message.Incarnation
 	if (known && message.Term <= current.term) || message.Incarnation != incarnation {
@@ -161,7 +162,8 @@
 	return true
 }
 
-// answerChallenge sends a leader's number back, once for each request.
+// answerChallenge sends a leader's number back to it, once for each number, and only if the
+// challenge is a reply to the last request.
 func (c *Client) answerChallenge(from member.ID, message protocol.Message, current *registration, incarnation member.Incarnation) {
 	answered := current.challenger == from && current.challenge == message.Revision
 	if answered || current.request != message.Request {
--- a/internal/control/registration/client_test.go
+++ b/internal/control/registration/client_test.go
@@ -12,14 +12,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// testShards is one shard, led by another node.
+// testShards implements leaders.Shards for a group of two reachable nodes, of which this node
+// knows no leader.
 type testShards struct{}
 
 func (testShards) HostedLeader(uint32) (member.ID, bool) { return "", false }
 func (testShards) Group(uint32) []member.ID              { return []member.ID{"a", "b"} }
 func (testShards) Reachable(member.ID) bool              { return true }
 
-// sentMessages collects messages and their receivers.
+// sentMessages implements protocol.Transport and records messages and their receivers.
 type sentMessages []struct {
 	to      member.ID
 	message protocol.Message
@@ -53,7 +54,7 @@
 		return client.ReceiveReply(0, "a", message, 5)
 	}
 
-	It("asks the next member of the group after a while, and no earlier", func() {
+	It("asks the next member of the group after retryEvery, and no earlier", func() {
 		client.Tick(retryEvery-1, 5)
 		Expect(sent).To(HaveLen(1))
 		client.Tick(retryEvery, 5)
@@ -61,7 +62,7 @@
 		Expect(sent[1].to).To(Equal(member.ID("b")))
 	})
 
-	It("sends a challenge back, once for each request", func() {
+	It("answers a repeated challenge once", func() {
 		challenge := protocol.Message{Request: sent[0].message.Request, Leader: "a", Revision: 77}
 		Expect(reply(challenge)).To(Equal(Result{}))
 		Expect(reply(challenge)).To(Equal(Result{}))
@@ -69,23 +70,23 @@
 		Expect(sent[1].message.Revision).To(BeEquivalentTo(77))
 	})
 
-	It("is registered once a leader has committed its incarnation", func() {
+	It("is registered once a leader has committed the registration of its incarnation", func() {
 		Expect(client.Registered(0, 5)).To(BeFalse())
 		accepted := protocol.Message{Accepted: true, Incarnation: 5, Term: 3}
 		Expect(reply(accepted)).To(Equal(Result{Term: 3, Changed: true}))
 		Expect(client.Registered(0, 5)).To(BeTrue())
-		Expect(client.Registered(0, 6)).To(BeFalse(), "another incarnation is another registration")
-		Expect(reply(accepted)).To(Equal(Result{Term: 3}), "nothing new")
+		Expect(client.Registered(0, 6)).To(BeFalse(), "another incarnation needs a registration of its own")
+		Expect(reply(accepted)).To(Equal(Result{Term: 3}), "the same reply changes nothing")
 	})
 
-	It("is not registered before it holds the revision that the leader requires", func() {
+	It("is not registered before it has received the revision that the leader requires", func() {
 		Expect(reply(protocol.Message{Accepted: true, Incarnation: 5, Term: 3, Revision: 1}).Changed).To(BeTrue())
 		Expect(client.Registered(0, 5)).To(BeFalse())
 		client.Tick(requiredRevisionTimeout, 5)
-		Expect(sent).To(HaveLen(2), "it asks again")
+		Expect(sent).To(HaveLen(2), "the client asks again")
 	})
 
-	It("learns that it is registered in a later incarnation", func() {
+	It("reports that the node is registered in a later incarnation", func() {
 		Expect(reply(protocol.Message{Incarnation: 8})).To(Equal(Result{LaterIncarnation: 8}))
 	})
 })
--- a/internal/control/registration/registrar.go
+++ b/internal/control/registration/registrar.go
@@ -15,23 +15,23 @@
 	IsLeader() bool
 	Term() uint64
 	Revision() uint64
-	// Nodes are the registered nodes; read only.
+	// Nodes returns the registered nodes; read only.
 	Nodes() []*controlpb.RegisterNode
-	// RegistrationProposed reports whether the registration of an incarnation waits to
-	// be committed under the present leadership.
+	// RegistrationProposed reports whether a registration of an incarnation that this node
+	// proposed in its present leadership waits to be applied.
 	RegistrationProposed(node member.ID, incarnation member.Incarnation) bool
-	// ProposeRegistration appends a registration to the log; Registrar.Applied takes
-	// its outcome.
+	// ProposeRegistration appends a registration to the log; its outcome is passed to
+	// Registrar.Applied.
 	ProposeRegistration(node *controlpb.RegisterNode, message protocol.Message)
 }
 
 // Members is what a Registrar needs of the table of members.
 type Members interface {
-	// IncarnationEnded reports whether a node certainly serves nothing any more in an
+	// IncarnationEnded reports whether it is certain that a node no longer serves in an
 	// incarnation.
 	IncarnationEnded(id member.ID, incarnation member.Incarnation) bool
 	// FormerIncarnationQuiesced reports whether no request of an earlier incarnation of a
-	// node is on its way any more.
+	// node is in flight any more.
 	FormerIncarnationQuiesced(id member.ID) bool
 }
 
@@ -41,13 +41,13 @@
 	number      uint64
 }
 
-// challengeKey names the registration that a challenge belongs to.
+// challengeKey identifies the registration that a challenge belongs to.
 type challengeKey struct {
 	shard uint32
 	node  member.ID
 }
 
-// pruneSchedule is when a leader looks for ended incarnations again.
+// pruneSchedule is when the leader of a term next looks for ended incarnations of a shard.
 type pruneSchedule struct {
 	term uint64
 	next time.Duration
@@ -64,8 +64,8 @@
 	pruneSchedules map[uint32]pruneSchedule
 }
 
-// NewRegistrar returns a registrar that has challenged nobody yet. It looks for ended
-// incarnations every pruneEvery.
+// NewRegistrar returns a registrar without challenges. It looks for ended incarnations of a
+// shard at most once per pruneEvery in a term.
 func NewRegistrar(self member.ID, pruneEvery time.Duration, transport protocol.Transport, numbers *protocol.Numbering, directory *leaders.Directory) *Registrar {
 	return &Registrar{
 		self:           self,
@@ -78,8 +78,9 @@
 	}
 }
 
-// Receive has a node's registration committed if this node leads the shard. The shard is
-// nil if this node does not host it.
+// Receive handles a node's request to be registered. If this node leads the shard, it
+// proposes the registration once the node has passed the challenge, else it redirects the
+// node. The shard is nil if this node does not host it.
 func (r *Registrar) Receive(shard Shard, from member.ID, message protocol.Message) {
 	if shard == nil || !shard.IsLeader() {
 		r.transport.Send(from, protocol.Message{
@@ -91,7 +92,7 @@
 		return
 	}
 	if !r.passesChallenge(from, message) || shard.RegistrationProposed(from, message.Incarnation) {
-		// A repeated message must not fill the log.
+		// The registration is proposed only once: a repeated message must not fill the log.
 		return
 	}
 	shard.ProposeRegistration(&controlpb.RegisterNode{
@@ -100,11 +101,11 @@
 	}, message)
 }
 
-// passesChallenge reports whether a node has shown, in its present incarnation, that
-// messages of this node reach it. Otherwise it is sent a number to send back. A node
-// that can send but not receive would be registered otherwise, and no acknowledgement could be
-// given until the partition ends: it never confirms, and its heartbeats, which do
-// arrive, keep it from being certainly fenced.
+// passesChallenge reports whether a node has proved, in its present incarnation, that
+// messages from this node reach it. If not, it sends the node a number to send back.
+// Without the challenge, a node that can send but not receive would be registered, and no
+// change could be acknowledged until the partition ends: such a node never confirms, and
+// its heartbeats, which do arrive, prevent that it is certainly fenced.
 func (r *Registrar) passesChallenge(from member.ID, message protocol.Message) bool {
 	key := challengeKey{shard: message.Shard, node: from}
 	issued, found := r.challenges[key]
@@ -125,10 +126,11 @@
 	return false
 }
 
-// Applied tells a node that its registration is committed, and the revision that it must
-// hold. A node that registered in a later incarnation before, by a wall clock that was
-// set back since, is informed of that one instead: acknowledgements wait for it until a
-// still later one takes its place.
+// Applied tells a node that its registration is committed, and which revision it must have
+// received before it serves. If the node is registered in a later incarnation already, since
+// its wall clock was set back meanwhile, the reply names that incarnation and does not
+// accept the present one: acknowledgements wait for the later incarnation until the node
+// registers in one that is later still.
 func (r *Registrar) Applied(shard Shard, from member.ID, message protocol.Message) {
 	registered := registeredIncarnation(shard, from)
 	r.transport.Send(from, protocol.Message{
@@ -142,7 +144,8 @@
 	})
 }
 
-// registeredIncarnation is the newest incarnation in which a node registered; 0 if none.
+// registeredIncarnation returns the newest incarnation in which a node is registered; 0 if
+// none.
 func registeredIncarnation(shard Shard, id member.ID) member.Incarnation {
 	for _, node := range shard.Nodes() {
 		if member.ID(node.GetNode()) == id {
@@ -152,8 +155,9 @@
 	return 0
 }
 
-// Prune returns a registered incarnation of a shard that this node leads which has ended,
-// or nil. It looks for one now and then in each term, while the evidence is at hand.
+// Prune returns a registered incarnation that has ended, or nil, for a shard that this node
+// leads. It looks for one when a term begins and then every pruneEvery, while the table of
+// members still has the evidence.
 func (r *Registrar) Prune(now time.Duration, shard Shard, members Members) *controlpb.ForgetNode {
 	term := shard.Term()
 	last := r.pruneSchedules[shard.ID()]
