--- a/internal/control/recovery/machine.go
+++ b/internal/control/recovery/machine.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// minWitnessSearch is how long witnesses are sought at least: a node that has
+	// minWitnessSearch is the shortest duration of a search for witnesses: a node that has
 	// just started does not know all others yet.
 	minWitnessSearch = 500 * time.Millisecond
-	// maxWitnessSearch is how long a live node that does not answer is waited for; then
-	// the group is formed without it.
+	// maxWitnessSearch is how long a search waits for live nodes that do not reply; then the
+	// group is recovered without them.
 	maxWitnessSearch = 1500 * time.Millisecond
 )
 
 // Shard is what a Machine needs of a shard that this node hosts.
 type Shard interface {
 	ID() uint32
-	// State is the state after all entries that have been applied; read only.
+	// State returns the state after all entries that have been applied; read only.
 	State() shardstate.State
-	// Unapplied returns the entries of the log that have not been applied; it is not
-	// known of these whether they are committed.
+	// Unapplied returns the entries of the log that have not been applied. Each of them may
+	// or may not be committed.
 	Unapplied() []replication.Entry
-	// RecoveryTerm returns the term under which this node is to form the group anew,
-	// and whether it is to.
+	// RecoveryTerm returns the recovery term that this node has begun, and whether the node
+	// is elected to recover the group under it.
 	RecoveryTerm() (term uint64, elected bool)
-	// RaiseRecoveryTerm has the election repeated above a term.
+	// RaiseRecoveryTerm repeats the election with a recovery term above the given term.
 	RaiseRecoveryTerm(term uint64)
-	// RecoverQuorum forms the group anew with a state.
+	// RecoverQuorum recovers the group under a recovery term with an encoded state.
 	RecoverQuorum(term uint64, state []byte) error
 }
 
@@ -47,14 +47,15 @@
 	Members() []membership.Record
 }
 
-// WitnessReply is what a node said of a shard.
+// WitnessReply is what a witness reported of a shard: the revision of its state, the newest
+// term that it had observed, and its own incarnation.
 type WitnessReply struct {
 	Revision    uint64
 	Term        uint64
 	Incarnation member.Incarnation
 }
 
-// witnessSearch is the search for the newest state of a shard in one term.
+// witnessSearch is the search for the newest state of a shard for one recovery term.
 type witnessSearch struct {
 	term        uint64
 	request     uint64
@@ -63,42 +64,42 @@
 	replies     map[member.ID]WitnessReply
 }
 
-// observedTerm is the newest term of a shard's group that this node heard of, and
-// the request that told it, if any.
+// observedTerm is the newest term of a shard's group that this node has observed, and the
+// witness request that it was observed in, if any.
 type observedTerm struct {
 	term    uint64
 	from    member.ID
 	request uint64
-	// previous is the newest term from before that request. It is what the reply tells,
-	// as the request's own term must not seem to be in use already.
+	// previous is the newest term that was observed before that request. The reply contains
+	// previous, because the request's own term must not seem to be in use already.
 	previous uint64
 }
 
-// Config sets up a Machine.
+// Config configures a Machine.
 type Config struct {
 	Self member.ID
-	// RetryEvery is the time between two requests to a witness that does not answer.
+	// RetryEvery is the time between two requests to a witness that does not reply.
 	RetryEvery time.Duration
-	// RegisterNodes means that every node that may serve is to be registered in a
-	// recovered state.
+	// RegisterNodes means that a recovered state registers every node that may serve.
 	RegisterNodes bool
 }
 
-// Machine recovers shards on one node, and is a witness for others.
+// Machine recovers shards on one node, and answers as a witness for other nodes.
 type Machine struct {
 	config    Config
 	members   Members
 	transport protocol.Transport
 	numbers   *protocol.Numbering
 	received  *shardstate.Received
-	// sections returns those of the newest relayed state of a shard.
+	// sections returns the sections of the newest state that the relay tree delivered for a
+	// shard.
 	sections func(relaytree.Topic) []relaytree.Section
 	searches map[uint32]*witnessSearch
 	terms    map[uint32]observedTerm
 }
 
-// New returns the machine of a node. Sections returns the sections of the newest state
-// that the relay tree brought.
+// New returns the machine of a node. The function sections returns the sections of the newest
+// state that the relay tree delivered.
 func New(config Config, members Members, transport protocol.Transport, numbers *protocol.Numbering, received *shardstate.Received, sections func(relaytree.Topic) []relaytree.Section) *Machine {
 	return &Machine{
 		config:    config,
@@ -112,19 +113,18 @@
 	}
 }
 
-// ObserveTerm records a term that is in use.
+// ObserveTerm records a term that is in use in a shard's group.
 func (m *Machine) ObserveTerm(shardID uint32, term uint64) {
 	if known := m.terms[shardID]; term > known.term {
 		m.terms[shardID] = observedTerm{term: term}
 	}
 }
 
-// ObservedTerm returns the newest term of a shard's group that this node heard of.
+// ObservedTerm returns the newest term of a shard's group that this node has observed.
 func (m *Machine) ObservedTerm(shardID uint32) uint64 { return m.terms[shardID].term }
 
-// Tick goes on with the recovery of a shard, if this node is to recover it, and tells
-// whether the shard's group has something to do. An error means that the state can't be
-// decoded or encoded.
+// Tick advances the recovery of a shard if this node is elected for it, and reports whether
+// the shard's group has changed. An error means that a state could not be decoded or encoded.
 func (m *Machine) Tick(now time.Duration, shard Shard) (changed bool, err error) {
 	term, elected := shard.RecoveryTerm()
 	if !elected {
@@ -153,7 +153,7 @@
 	return false, nil
 }
 
-// outstandingWitnesses are the live nodes that have not answered.
+// outstandingWitnesses returns the other live nodes that have not replied.
 func (m *Machine) outstandingWitnesses(search *witnessSearch) []member.ID {
 	var outstanding []member.ID
 	for _, record := range m.members.Members() {
@@ -177,8 +177,9 @@
 	}
 }
 
-// ReceiveRequest tells a node what this one holds as a witness. It remembers the term, so
-// that no later one goes below it, even if all disks are lost again.
+// ReceiveRequest replies with the revision that this node has as a witness. It records the
+// term of the request, so that every later recovery term is above it, even if all disks are
+// lost again.
 func (m *Machine) ReceiveRequest(from member.ID, message protocol.Message, incarnation member.Incarnation) {
 	known := m.terms[message.Shard]
 	if known.from != from || known.request != message.Request {
@@ -200,7 +201,7 @@
 	})
 }
 
-// ReceiveReply records what a witness holds.
+// ReceiveReply records the reply of a witness.
 func (m *Machine) ReceiveReply(from member.ID, message protocol.Message) {
 	search := m.searches[message.Shard]
 	if search == nil || search.request != message.Request {
@@ -213,8 +214,9 @@
 	}
 }
 
-// recoverShard forms the group anew with the newest state that is known. The relay tree brings
-// the state of the best witness; until it has, the search goes on.
+// recoverShard recovers the group with the newest known state, and reports whether the group
+// has changed. The relay tree delivers the newest state of the witnesses to this node; until
+// it has, the search continues.
 func (m *Machine) recoverShard(shard Shard, search *witnessSearch) (changed bool, err error) {
 	newest, term := uint64(0), m.ObservedTerm(shard.ID())
 	for _, reply := range search.replies {
@@ -222,7 +224,8 @@
 		term = max(term, reply.Term)
 	}
 	if term >= search.term {
-		// The group must open above it, so that no former leader is taken for the new one.
+		// The group must start above this term, so that no former leader is taken for the
+		// new one.
 		shard.RaiseRecoveryTerm(term)
 		return true, nil
 	}
@@ -233,16 +236,17 @@
 	if err != nil {
 		return false, err
 	}
-	// An error means that another member's term has overtaken this one, which leaves
-	// the recovery to that member.
+	// An error means that another member has begun a later term, which leaves the recovery
+	// to that member.
 	overtaken := shard.RecoverQuorum(search.term, state) != nil
 	return !overtaken, nil
 }
 
-// RecoveredState encodes what the log leads to, unless a witness holds a state that the
-// log did not lead through: then entries of the log that were never committed must
-// give way to it. Every node that may serve is registered, since
-// the log may have lost what it had registered.
+// RecoveredState encodes the state that the recovered group starts with. That is the state
+// after the whole log if the log covers the newest relayed state. Otherwise it is the relayed
+// state, and entries of the log that were never committed are discarded. If
+// Config.RegisterNodes is set, every node that may serve is registered in it, since the log
+// may have lost registrations.
 func (m *Machine) RecoveredState(shard Shard, replies map[member.ID]WitnessReply) ([]byte, error) {
 	state, coversReceived, err := m.replay(shard)
 	if err != nil {
@@ -277,9 +281,10 @@
 	}}})
 }
 
-// replay returns the state after the whole log, and whether the state that this
-// node holds as a witness is one that the log led through. What has been applied
-// is committed, as is all that was ever relayed; of the rest it is not known.
+// replay returns the state after the whole log, and whether the log covers the relayed state
+// that this node has. The log does if that state is not newer than the applied one, or if the
+// replay of the unapplied entries leads through it. All applied entries and all relayed
+// states are committed; an unapplied entry may or may not be.
 func (m *Machine) replay(shard Shard) (state shardstate.State, coversReceived bool, err error) {
 	snapshot, err := shard.State().Snapshot()
 	if err != nil {
@@ -299,7 +304,7 @@
 	return state, coversReceived, nil
 }
 
-// replayEntry applies an entry to a copy of a shard's state.
+// replayEntry applies an entry to a copy of a shard's state, and returns the resulting state.
 func replayEntry(shardID uint32, state shardstate.State, entry replication.Entry) (shardstate.State, error) {
 	switch entry.Kind {
 	case replication.EntryRestore:
@@ -313,8 +318,9 @@
 	return state, nil
 }
 
-// coversReceived reports whether a state that the log led to is the one that this node
-// holds. An earlier recovery took in what witnesses held then.
+// coversReceived reports whether a state during the replay of the log is the relayed state
+// that this node has. After an EntryRestore a newer state counts too: the earlier recovery
+// that wrote the entry included the states of its witnesses.
 func (m *Machine) coversReceived(shardID uint32, state shardstate.State, kind replication.EntryKind) bool {
 	received := m.received.Revision(shardID)
 	if kind == replication.EntryRestore {
@@ -323,8 +329,9 @@
 	return state.Revision() == received && state.Equals(m.received.Message(shardID))
 }
 
-// witnessedState is the state that this node holds as a witness, with the nodes
-// and the older answers that the committed part of the log knows.
+// witnessedState returns the relayed state that this node has, completed from the applied
+// part of the log with the registered nodes, and for the configuration also with older
+// answers and the source document.
 func (m *Machine) witnessedState(shard Shard) (shardstate.State, error) {
 	if shard.ID() != shardstate.ConfigurationShard {
 		received := m.received.Service(shard.ID())
@@ -336,7 +343,7 @@
 	}
 	answers, err := shardstate.DecodeAnswers(m.sections(relaytree.Topic(shard.ID())))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the answers that a witness holds")
+		return nil, errors.Wrap(err, "decode the answers to orders in the relayed state")
 	}
 	logged := shard.State().(*shardstate.Configuration)
 	return shardstate.NewConfiguration(&controlpb.ConfigurationState{
@@ -347,8 +354,8 @@
 	}), nil
 }
 
-// sourceOf is the document that a witnessed configuration was made from, if the
-// committed part of the log has it: documents are not relayed.
+// sourceOf returns the document that a relayed configuration was made from, if the applied
+// part of the log contains it, else nil: documents are not relayed.
 func sourceOf(configuration *ridgeswitchv1.Configuration, logged *shardstate.Configuration) *ridgeswitchv1.Source {
 	if configuration.GetSource().GetVersion() != logged.Configuration().GetSource().GetVersion() {
 		return nil
