--- a/internal/control/driver/published.go
+++ b/internal/control/driver/published.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Ready returns nil while the node can accept new connections.
+// Ready returns nil while new connections may be sent to the node.
 func (p *PublishedState) Ready() error {
 	if err := p.Serving(); err != nil {
 		return err
--- a/internal/control/registration/client_test.go
+++ b/internal/control/registration/client_test.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// testShards implements leaders.Shards for a group of two reachable nodes, of which this node
-// knows no leader.
+// testShards implements leaders.Shards for a group of two reachable nodes. The client's node
+// hosts no copy of the shard.
 type testShards struct{}
 
 func (testShards) HostedLeader(uint32) (member.ID, bool) { return "", false }
--- a/internal/control/registration/doc.go
+++ b/internal/control/registration/doc.go
@@ -9,8 +9,8 @@
 // Registrar runs on the leader. It owns the challenges: before a node is registered, it must
 // send back a number, which proves that messages reach it. The registered nodes themselves
 // are replicated state of the shard. Registrar also finds the registered incarnations that
-// have certainly ended (by a fence, by leaving, or since a later incarnation has begun), so
-// that no later leader waits for them.
+// have certainly ended (they were fenced, left, or were followed by a later one), so that no
+// later leader waits for them.
 //
 // Neither type does I/O, reads a clock or is safe for concurrent use.
 package registration
--- a/internal/control/registration/registrar.go
+++ b/internal/control/registration/registrar.go
@@ -105,7 +105,7 @@
 // messages from this node reach it. If not, it sends the node a number to send back.
 // Without the challenge, a node that can send but not receive would be registered, and no
 // change could be acknowledged until the partition ends: such a node never confirms, and
-// its heartbeats, which do arrive, prevent that it is certainly fenced.
+// its heartbeats, which do arrive, prevent it from being certainly fenced.
 func (r *Registrar) passesChallenge(from member.ID, message protocol.Message) bool {
 	key := challengeKey{shard: message.Shard, node: from}
 	issued, found := r.challenges[key]
--- a/internal/control/requests/configuration_changes.go
+++ b/internal/control/requests/configuration_changes.go
@@ -167,8 +167,7 @@
 	}
 }
 
-// enqueue queues a change that carries a whole configuration, and handles it at once if
-// nothing is before it.
+// enqueue queues a change that carries a whole configuration, and then advances the queue.
 func (l *Leader) enqueue(shard Shard, from member.ID, message protocol.Message, order *controlpb.Order) {
 	l.changes.add(&configurationChange{
 		requestKey: requestKey{from: from, request: message.Request},
--- a/internal/control/requests/configuration_changes_test.go
+++ b/internal/control/requests/configuration_changes_test.go
@@ -117,7 +117,7 @@
 		Expect(sent[0].message.Accepted).To(BeFalse())
 	})
 
-	It("is refused if it is larger than the largest command", func() {
+	It("is refused if it exceeds the size limit of commands", func() {
 		leader.ReceiveChange(shard, "n", documentOfBytes(1, maxCommandBytes))
 		confirmRead()
 		Expect(shard.proposed).To(BeZero())
