--- a/internal/control/driver/control_log_test.go
+++ b/internal/control/driver/control_log_test.go
@@ -11,56 +11,56 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/view"
 )
 
-var _ = Describe("The log of control", func() {
-	var written *bytes.Buffer
+var _ = Describe("controlLog", func() {
+	var output *bytes.Buffer
 	var log *controlLog
 
 	BeforeEach(func() {
-		written = &bytes.Buffer{}
+		output = &bytes.Buffer{}
 		logger := logrus.New()
-		logger.SetOutput(written)
+		logger.SetOutput(output)
 		logger.SetFormatter(&logrus.JSONFormatter{})
 		log = newControlLog(logrus.NewEntry(logger))
 	})
 
-	It("tells when a roll-out begins, becomes overdue and ends, once each", func() {
+	It("logs once each that a roll-out begins, becomes overdue and ends", func() {
 		machine := newSoloMachine(nil)
 		progress := view.RolloutProgress{Pool: "chat", Version: "2", Replicas: 4, Outdated: 4, OutdatedAdmitting: 4}
 		for range 2 {
-			log.followRollout(machine, progress)
+			log.logRollout(machine, progress)
 		}
-		Expect(written.String()).To(ContainSubstring(`"msg":"weights were named"`))
-		Expect(bytes.Count(written.Bytes(), []byte("\n"))).To(Equal(1))
+		Expect(output.String()).To(ContainSubstring(`"msg":"weights were named"`))
+		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(1))
 		progress.Overdue = true
 		for range 2 {
-			log.followRollout(machine, progress)
+			log.logRollout(machine, progress)
 		}
-		Expect(written.String()).To(ContainSubstring(`"outdated_admitting":4`))
-		Expect(bytes.Count(written.Bytes(), []byte("\n"))).To(Equal(2))
+		Expect(output.String()).To(ContainSubstring(`"outdated_admitting":4`))
+		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(2))
 		progress.Outdated = 0
 		for range 2 {
-			log.followRollout(machine, progress)
+			log.logRollout(machine, progress)
 		}
-		Expect(written.String()).To(ContainSubstring("all replicas run the named weights"))
-		Expect(bytes.Count(written.Bytes(), []byte("\n"))).To(Equal(3))
+		Expect(output.String()).To(ContainSubstring("all replicas run the named weights"))
+		Expect(bytes.Count(output.Bytes(), []byte("\n"))).To(Equal(3))
 	})
 
-	It("forgets pools that are gone", func() {
-		log.followRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "chat", Version: "2"})
-		log.followRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "code", Version: "2"})
-		log.forgetAbsent([]view.RolloutProgress{{Pool: "code"}})
+	It("removes the progress of pools without a roll-out", func() {
+		log.logRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "chat", Version: "2"})
+		log.logRollout(newSoloMachine(nil), view.RolloutProgress{Pool: "code", Version: "2"})
+		log.removeAbsentPools([]view.RolloutProgress{{Pool: "code"}})
 		Expect(log.rollouts).To(HaveLen(1))
 		Expect(log.rollouts).To(HaveKey("code"))
 	})
 
-	It("tells of the shards that the node leads", func() {
+	It("logs that the node begins and ceases to lead a shard", func() {
 		machine := newSoloMachine(nil)
 		run(machine, 3*time.Second)
-		log.follow(machine)
-		log.follow(machine)
-		Expect(written.String()).To(ContainSubstring("leads a shard"))
-		Expect(bytes.Count(written.Bytes(), []byte("leads a shard\""))).To(Equal(len(machine.LedTerms())))
-		log.followLeaderships(nil)
-		Expect(written.String()).To(ContainSubstring("leads a shard no more"))
+		log.logChanges(machine)
+		log.logChanges(machine)
+		Expect(output.String()).To(ContainSubstring("leads a shard"))
+		Expect(bytes.Count(output.Bytes(), []byte("leads a shard\""))).To(Equal(len(machine.LedTerms())))
+		log.logLeaderships(nil)
+		Expect(output.String()).To(ContainSubstring("leads a shard no more"))
 	})
 })
--- a/internal/control/driver/shard_writer.go
+++ b/internal/control/driver/shard_writer.go
@@ -12,23 +12,24 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// writeRetryEvery is the pause before a failed write is tried again.
+// writeRetryEvery is the pause before a failed write is retried.
 const writeRetryEvery = time.Second
 
-// shardWriter makes durable what one shard has to keep, in a goroutine of its own.
+// shardWriter performs the writes of one shard in a goroutine of its own.
 type shardWriter struct {
 	storage Storage
 	log     *logrus.Entry
-	// refusing counts the writers whose disk refuses a write for lack of space.
-	refusing *atomic.Int64
-	// queue holds the outstanding write: a shard has one at the most.
+	// diskFullWriters counts the writers of all shards whose disk refuses a write for lack of
+	// space.
+	diskFullWriters *atomic.Int64
+	// queue contains the outstanding write; a shard has at most one.
 	queue chan control.StorageWrite
-	// written is called after each write that is durable.
+	// written is called when a write is durable.
 	written func()
 }
 
-// run writes until the context ends. While a write fails it is repeated, and the shard
-// sends nothing that depends on it: its group goes on without this member.
+// run performs writes until the context ends. While a failed write is retried, the shard
+// sends no message that depends on it, and its replica group continues without this member.
 func (w *shardWriter) run(ctx context.Context) {
 	for {
 		select {
@@ -43,17 +44,18 @@
 	}
 }
 
-// writeUntilDurable repeats a failed write, as a full disk may get free space again.
+// writeUntilDurable retries a write until it succeeds, since space may be freed on a full
+// disk. It returns false if the context ends before that.
 func (w *shardWriter) writeUntilDurable(ctx context.Context, write control.StorageWrite) bool {
-	refused := false
-	defer func() { w.countRefusal(refused, false) }()
+	diskFull := false
+	defer func() { w.updateDiskFullWriters(diskFull, false) }()
 	for {
 		err := w.write(write)
 		if err == nil {
 			return true
 		}
-		w.countRefusal(refused, errors.Is(err, twoslot.ErrDiskFull))
-		refused = errors.Is(err, twoslot.ErrDiskFull)
+		w.updateDiskFullWriters(diskFull, errors.Is(err, twoslot.ErrDiskFull))
+		diskFull = errors.Is(err, twoslot.ErrDiskFull)
 		w.log.WithError(err).WithField("shard", write.Shard).Error("cannot write control state; free space in the data folder or replace the disk")
 		select {
 		case <-ctx.Done():
@@ -70,12 +72,13 @@
 	return w.storage.Checkpoint(write.Checkpoint.HardState, write.Checkpoint.Snapshot, write.Checkpoint.Entries)
 }
 
-// countRefusal counts this writer among those that are refused, or no longer.
-func (w *shardWriter) countRefusal(before, now bool) {
+// updateDiskFullWriters adjusts the count when this writer's disk has become full, or is no
+// longer full.
+func (w *shardWriter) updateDiskFullWriters(before, now bool) {
 	switch {
 	case now && !before:
-		w.refusing.Add(1)
+		w.diskFullWriters.Add(1)
 	case before && !now:
-		w.refusing.Add(-1)
+		w.diskFullWriters.Add(-1)
 	}
 }
