--- a/pkg/membership/anti_entropy.go
+++ b/pkg/membership/anti_entropy.go
@@ -28,11 +28,11 @@
 	joiner  *joiner
 	gossip  *gossip
 	outbox  *outbox
-	// differing is a member whose digest differed since the last exchange; its ID is
+	// differingMember is a member whose digest differed since the last exchange; its ID is
 	// empty if there is none.
-	differing member.Info
-	// next is when this node may start an exchange again.
-	next time.Duration
+	differingMember member.Info
+	// nextExchange is when this node may start an exchange again.
+	nextExchange time.Duration
 }
 
 // A node starts an exchange at most exchangesPerHeartbeat times in HeartbeatEvery, and
@@ -51,10 +51,10 @@
 	if msg.Digest == a.table.digest {
 		return
 	}
-	a.differing = msg.From
+	a.differingMember = msg.From
 	e, known := a.table.entries[msg.From.ID]
 	if known && msg.From.Address == "" {
-		a.differing = e.record.Info
+		a.differingMember = e.record.Info
 	}
 }
 
@@ -64,10 +64,10 @@
 // this node's table.
 func (a *antiEntropy) startExchange(now time.Duration) {
 	joinsWaiting := len(a.joiner.deferred) > 0
-	if now < a.next || a.differing.ID == "" && !joinsWaiting {
+	if now < a.nextExchange || a.differingMember.ID == "" && !joinsWaiting {
 		return
 	}
-	overdue := now >= a.next+a.config.FenceAfter
+	overdue := now >= a.nextExchange+a.config.FenceAfter
 	quiet := now-a.table.changedAt >= a.config.HeartbeatEvery/2
 	if !a.gossip.inBulkChange(now) && !joinsWaiting && !overdue && !quiet {
 		return
@@ -76,8 +76,8 @@
 	if !found {
 		return
 	}
-	a.differing = member.Info{}
-	a.next = now + a.config.HeartbeatEvery/exchangesPerHeartbeat +
+	a.differingMember = member.Info{}
+	a.nextExchange = now + a.config.HeartbeatEvery/exchangesPerHeartbeat +
 		time.Duration(len(a.table.sortedIDs))*exchangeIntervalPerRecord
 	a.outbox.sendTo(partner, Message{Type: MessageGossip, Buckets: a.table.bucketDigests()})
 }
@@ -94,28 +94,28 @@
 		}
 	}
 	if a.sampler.random.IntN(differingPartnerOneIn) > 0 {
-		if near, _, _ := a.sampler.shuffledLiveMembers(); len(near) > 0 {
-			return a.table.entries[near[0]].record.Info, true
+		if sameZone, _, _ := a.sampler.shuffledLiveMembers(); len(sameZone) > 0 {
+			return a.table.entries[sameZone[0]].record.Info, true
 		}
 	}
-	return a.differing, a.differing.ID != ""
+	return a.differingMember, a.differingMember.ID != ""
 }
 
 // onGossip handles a probe or a message of an exchange after its records were merged.
 func (a *antiEntropy) onGossip(msg Message) {
 	var reply Message
-	var any bool
+	var hasReply bool
 	switch {
 	case len(msg.Buckets) > 0:
-		reply, any = a.onBuckets(msg)
+		reply, hasReply = a.onBuckets(msg)
 	case msg.CoveredBuckets != 0:
-		reply, any = a.onSummary(msg)
+		reply, hasReply = a.onSummary(msg)
 	case len(msg.Requested) > 0:
-		reply, any = a.onRequested(msg)
+		reply, hasReply = a.onRequested(msg)
 	case len(msg.Records) == 0:
 		a.compareDigest(msg)
 	}
-	if any {
+	if hasReply {
 		a.outbox.reply(msg, reply)
 	}
 }
@@ -143,9 +143,9 @@
 // requests those that this node lacks or that differ. There is no reply if it would be
 // empty.
 func (a *antiEntropy) onSummary(msg Message) (Message, bool) {
-	theirs := make(map[uint32]uint32, len(msg.Summary))
+	remoteDigests := make(map[uint32]uint32, len(msg.Summary))
 	for _, summary := range msg.Summary {
-		theirs[summary.Member] = summary.Digest
+		remoteDigests[summary.Member] = summary.Digest
 	}
 	reply := Message{Type: MessageGossip}
 	for _, id := range a.table.sortedIDs {
@@ -153,8 +153,8 @@
 		if !e.isCovered(msg.CoveredBuckets) {
 			continue
 		}
-		digest, known := theirs[e.key]
-		delete(theirs, e.key)
+		digest, known := remoteDigests[e.key]
+		delete(remoteDigests, e.key)
 		if known && digest == uint32(e.digest) {
 			continue
 		}
@@ -163,7 +163,7 @@
 			reply.Requested = append(reply.Requested, e.key)
 		}
 	}
-	for key := range theirs {
+	for key := range remoteDigests {
 		reply.Requested = append(reply.Requested, key)
 	}
 	slices.Sort(reply.Requested)
@@ -183,7 +183,7 @@
 		if _, requested := slices.BinarySearch(msg.Requested, e.key); !requested {
 			continue
 		}
-		if their, known := received[id]; !known || !equalRecords(their, e.record) {
+		if sent, known := received[id]; !known || !equalRecords(sent, e.record) {
 			records = append(records, e.record.clone())
 		}
 	}
--- a/pkg/membership/fence.go
+++ b/pkg/membership/fence.go
@@ -52,8 +52,8 @@
 	f.localIncarnation = localIncarnation{number: number, startedAt: now}
 }
 
-// close fences the node for good.
-func (f *fence) close() {
+// markLeft fences the node for good.
+func (f *fence) markLeft() {
 	f.left = true
 	f.deadline = 0
 }
@@ -145,9 +145,9 @@
 	// lastContacts are the times at which the newest heartbeat that each monitor
 	// acknowledged was sent.
 	lastContacts []time.Duration
-	// movedOn marks the monitors that know a later set and never reported this one,
+	// acknowledgedLaterSet marks the monitors that know a later set and never reported this one,
 	// so that they never will.
-	movedOn []bool
+	acknowledgedLaterSet []bool
 }
 
 // deadline is when too few monitors have a contact within fenceAfter.
@@ -164,8 +164,8 @@
 // certainly fenced any more.
 func (s *monitorSet) isRetired() bool {
 	count := 0
-	for _, movedOn := range s.movedOn {
-		if movedOn {
+	for _, acknowledged := range s.acknowledgedLaterSet {
+		if acknowledged {
 			count++
 		}
 	}
@@ -182,6 +182,6 @@
 	}
 	s.lastContacts[at] = max(s.lastContacts[at], sentAt)
 	if reply.MonitorSetVersion > s.version {
-		s.movedOn[at] = true
+		s.acknowledgedLaterSet[at] = true
 	}
 }
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -40,8 +40,8 @@
 	sampler *sampler
 	outbox  *outbox
 	pending map[member.ID]bool
-	// next is when gossip may be sent again.
-	next time.Duration
+	// nextSend is when gossip may be sent again.
+	nextSend time.Duration
 	// bulkUntil is until when so many records change that they are left to
 	// anti-entropy instead of being passed on one by one.
 	bulkUntil time.Duration
@@ -70,10 +70,10 @@
 // sendPending passes the pending updates on if some are due. If urgent is set, they don't
 // wait for the next turn.
 func (g *gossip) sendPending(now time.Duration, urgent bool) {
-	if len(g.pending) == 0 || now < g.next && !urgent {
+	if len(g.pending) == 0 || now < g.nextSend && !urgent {
 		return
 	}
-	g.next = now + g.config.HeartbeatEvery/gossipsPerHeartbeat
+	g.nextSend = now + g.config.HeartbeatEvery/gossipsPerHeartbeat
 	ids := g.takePendingUpdates(now)
 	if len(ids) == 0 {
 		return
@@ -152,12 +152,12 @@
 // of others. The source of an update always sends to other zones; those that pass it
 // on do so now and then, so that each zone gets it from a few.
 func (g *gossip) receivers(originated bool) []member.ID {
-	near, far, zones := g.sampler.shuffledLiveMembers()
-	across := crossZoneFanOut
+	sameZone, otherZones, zones := g.sampler.shuffledLiveMembers()
+	crossZoneCount := crossZoneFanOut
 	if !originated {
-		across = g.crossZoneForwards(zones)
+		crossZoneCount = g.crossZoneForwards(zones)
 	}
-	return slices.Concat(near[:min(zoneFanOut, len(near))], far[:min(across, len(far))])
+	return slices.Concat(sameZone[:min(zoneFanOut, len(sameZone))], otherZones[:min(crossZoneCount, len(otherZones))])
 }
 
 // crossZoneForwards draws how many members of other zones this node passes an update
--- a/pkg/membership/joiner.go
+++ b/pkg/membership/joiner.go
@@ -7,9 +7,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// joinTimeoutFences is for how many FenceAfter periods a starting node waits for some seed
+// joinTimeoutFencePeriods is for how many FenceAfter periods a starting node waits for some seed
 // before it considers itself alone.
-const joinTimeoutFences = 3
+const joinTimeoutFencePeriods = 3
 
 // joiner lets this node join through a seed, and lets others join through this node. It
 // owns the seeds, the progress of the search, and the replies that it defers.
@@ -91,7 +91,7 @@
 // askNextSeed asks one seed after the other until one replies. A node whose seeds don't
 // reply within joinTimeoutFences considers itself alone, and goes on by probes.
 func (j *joiner) askNextSeed(now time.Duration) {
-	if now-j.startedAt >= joinTimeoutFences*j.config.FenceAfter {
+	if now-j.startedAt >= joinTimeoutFencePeriods*j.config.FenceAfter {
 		j.completeJoin(now)
 	}
 	j.nextAttempt = now + j.config.HeartbeatEvery
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -220,7 +220,7 @@
 // after it.
 func (m *Machine) sendDueHeartbeats() {
 	if sent := m.self.sendDueHeartbeats(m.now); sent {
-		m.prober.afterHeartbeats()
+		m.prober.onHeartbeatRound()
 	}
 }
 
--- a/pkg/membership/monitor_selector.go
+++ b/pkg/membership/monitor_selector.go
@@ -7,9 +7,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// unresponsiveBackoffFences is for how many FenceAfter periods a peer that left
+// unresponsiveBackoffFencePeriods is for how many FenceAfter periods a peer that left
 // heartbeats unanswered isn't tried again as a monitor.
-const unresponsiveBackoffFences = 5
+const unresponsiveBackoffFencePeriods = 5
 
 // recordResendRounds is for how many heartbeat rounds a peer may leave heartbeats
 // unanswered before they contain this node's record again.
@@ -81,8 +81,8 @@
 	delete(s.peers, id)
 }
 
-// knows tells whether a node is a peer.
-func (s *monitorSelector) knows(id member.ID) bool {
+// isPeer tells whether a node is a peer.
+func (s *monitorSelector) isPeer(id member.ID) bool {
 	_, known := s.peers[id]
 	return known
 }
@@ -144,7 +144,7 @@
 }
 
 func (s *monitorSelector) avoidUntil(now time.Duration) time.Duration {
-	return now + unresponsiveBackoffFences*s.config.FenceAfter
+	return now + unresponsiveBackoffFencePeriods*s.config.FenceAfter
 }
 
 // target directs heartbeats to the chosen members and to the monitors of all declared
@@ -221,10 +221,10 @@
 // reports FenceAfter+FenceMargin after it learnt of the set at the earliest.
 func (s *monitorSelector) newSet(now time.Duration, chosen []member.ID, replaces bool) monitorSet {
 	set := monitorSet{
-		monitors:     chosen,
-		boots:        make([]member.Incarnation, len(chosen)),
-		lastContacts: make([]time.Duration, len(chosen)),
-		movedOn:      make([]bool, len(chosen)),
+		monitors:             chosen,
+		boots:                make([]member.Incarnation, len(chosen)),
+		lastContacts:         make([]time.Duration, len(chosen)),
+		acknowledgedLaterSet: make([]bool, len(chosen)),
 	}
 	for i, id := range chosen {
 		p, known := s.peers[id]
--- a/pkg/membership/network_test.go
+++ b/pkg/membership/network_test.go
@@ -30,7 +30,7 @@
 	checkedDeadline time.Duration
 }
 
-func (n *node) runs() bool { return n.machine != nil && !n.frozen }
+func (n *node) isRunning() bool { return n.machine != nil && !n.frozen }
 
 // event is the delivery of a message or, without one, a tick.
 type event struct {
@@ -59,7 +59,7 @@
 	return last
 }
 
-type direction struct{ from, to string }
+type link struct{ from, to string }
 
 // network runs machines on a virtual clock, and checks after each event that
 // no member serves that somebody counts as certainly fenced.
@@ -72,15 +72,15 @@
 	nodes      map[string]*node
 	names      []string
 	all        []*node
-	blocked    map[direction]bool
+	blocked    map[link]bool
 	loss       float64
 	duplicates float64
 	latency    time.Duration
 	jitter     time.Duration
 	violations []string
-	// clocksGoBack lets incarnations decrease from one process to the next, a case in
+	// incarnationsMayDecrease lets incarnations decrease from one process to the next, a case in
 	// which IncarnationEnded guarantees nothing.
-	clocksGoBack bool
+	incarnationsMayDecrease bool
 	// onSend, if set, sees each message that a node sends.
 	onSend func(from string, out membership.Outbound)
 }
@@ -89,7 +89,7 @@
 	return &network{
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		nodes:   map[string]*node{},
-		blocked: map[direction]bool{},
+		blocked: map[link]bool{},
 		latency: time.Millisecond,
 		jitter:  time.Millisecond,
 	}
@@ -109,7 +109,7 @@
 func (net *network) start(name string, seeds ...string) {
 	n := net.nodes[name]
 	n.incarnation += 1000
-	if net.clocksGoBack {
+	if net.incarnationsMayDecrease {
 		n.incarnation = member.Incarnation(1 + net.random.IntN(1_000_000_000))
 	}
 	n.process++
@@ -133,8 +133,8 @@
 
 func (net *network) isolate(name string, blocked bool) {
 	for _, other := range net.names {
-		net.blocked[direction{name, other}] = blocked
-		net.blocked[direction{other, name}] = blocked
+		net.blocked[link{name, other}] = blocked
+		net.blocked[link{other, name}] = blocked
 	}
 }
 
@@ -153,7 +153,7 @@
 		if to == "" {
 			to = string(out.To)
 		}
-		if _, known := net.nodes[to]; !known || net.blocked[direction{from, to}] || net.random.Float64() < net.loss {
+		if _, known := net.nodes[to]; !known || net.blocked[link{from, to}] || net.random.Float64() < net.loss {
 			continue
 		}
 		net.deliverLater(from, to, out.Message)
@@ -183,14 +183,14 @@
 	if e.message == nil {
 		if n.machine != nil && e.process == n.process {
 			net.push(event{at: net.now + tickEvery, to: e.to, process: e.process})
-			if n.runs() {
+			if n.isRunning() {
 				net.send(e.to, n.machine.Tick(net.clock(n)))
 				net.check(e.to)
 			}
 		}
 		return
 	}
-	if n.machine == nil || net.blocked[direction{e.from, e.to}] {
+	if n.machine == nil || net.blocked[link{e.from, e.to}] {
 		return
 	}
 	if n.frozen {
@@ -244,7 +244,7 @@
 	incarnation, _ := subject.machine.Incarnation(subject.id)
 	seen, _ := observer.machine.Incarnation(subject.id)
 	certain := observer.machine.CertainlyFenced(subject.id) && seen == incarnation
-	if certain || !net.clocksGoBack && observer.machine.IncarnationEnded(subject.id, incarnation) {
+	if certain || !net.incarnationsMayDecrease && observer.machine.IncarnationEnded(subject.id, incarnation) {
 		net.violations = append(net.violations, fmt.Sprintf("%v: %s is certain that %s@%d is fenced, but it serves", net.now, observer.id, subject.id, incarnation))
 	}
 }
--- a/pkg/membership/prober.go
+++ b/pkg/membership/prober.go
@@ -17,13 +17,13 @@
 	// heartbeatRounds counts the rounds of heartbeats that this node has sent. Each
 	// roundsPerProbe-th one is followed by probes.
 	heartbeatRounds uint64
-	// fencedProbes counts the fenced members that nextFenced has looked at, so that it
+	// fencedCursor counts the fenced members that nextFenced has looked at, so that it
 	// goes on after the last one.
-	fencedProbes int
+	fencedCursor int
 }
 
-// afterHeartbeats sends the probes that are due.
-func (p *prober) afterHeartbeats() {
+// onHeartbeatRound sends the probes that are due.
+func (p *prober) onHeartbeatRound() {
 	p.heartbeatRounds++
 	if p.heartbeatRounds%roundsPerProbe != 0 {
 		return
@@ -46,8 +46,8 @@
 func (p *prober) nextFenced() member.ID {
 	fenced := p.table.fenced
 	for range fenced {
-		p.fencedProbes++
-		id := fenced[p.fencedProbes%len(fenced)]
+		p.fencedCursor++
+		id := fenced[p.fencedCursor%len(fenced)]
 		if id != p.table.self && p.table.entries[id].record.State != StateLeft {
 			return id
 		}
--- a/pkg/membership/random_faults_test.go
+++ b/pkg/membership/random_faults_test.go
@@ -56,7 +56,7 @@
 	})
 
 	DescribeTable("17 nodes of which some are lost at once: certainty everywhere in time",
-		func(monitorCount int, longestGap time.Duration, victims func(net *network) []string) {
+		func(monitorCount int, maxOutage time.Duration, victims func(net *network) []string) {
 			for seed := range uint64(fleetSeeds) {
 				net := newNetwork(seed)
 				net.config.MonitorCount = monitorCount
@@ -67,9 +67,9 @@
 				for _, name := range lost {
 					net.kill(name)
 				}
-				gap := net.longestGap(1700 * time.Millisecond)
-				Expect(gap).To(BeNumerically("<=", longestGap), "seed %d", seed)
-				net.expectCertain(lost, seed)
+				outage := net.longestOutage(1700 * time.Millisecond)
+				Expect(outage).To(BeNumerically("<=", maxOutage), "seed %d", seed)
+				net.expectCertainlyFenced(lost, seed)
 				net.expectAllServing(fmt.Sprintf("seed %d", seed))
 				Expect(net.violations).To(BeEmpty())
 			}
@@ -107,26 +107,26 @@
 	return lo.Filter(net.names, func(name string, _ int) bool { return net.nodes[name].zone == "z1" })
 }
 
-// longestGap runs the network for a duration and returns the longest uninterrupted time
+// longestOutage runs the network for a duration and returns the longest uninterrupted time
 // for which a running node was fenced.
-func (net *network) longestGap(duration time.Duration) time.Duration {
+func (net *network) longestOutage(duration time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
-	gaps := map[string]time.Duration{}
+	outages := map[string]time.Duration{}
 	longest := time.Duration(0)
 	for until := net.now + duration; net.now < until; {
 		net.runUntil(net.now + step)
 		for _, name := range net.names {
-			gaps[name] += step
+			outages[name] += step
 			if net.nodes[name].machine == nil || net.serves(name) {
-				gaps[name] = 0
+				outages[name] = 0
 			}
-			longest = max(longest, gaps[name])
+			longest = max(longest, outages[name])
 		}
 	}
 	return longest
 }
 
-func (net *network) expectCertain(lost []string, seed uint64) {
+func (net *network) expectCertainlyFenced(lost []string, seed uint64) {
 	for _, pair := range lo.CrossJoin2(lo.Without(net.names, lost...), lost) {
 		machine, dead := net.nodes[pair.A].machine, member.ID(pair.B)
 		Expect(machine.CertainlyFenced(dead)).To(BeTrue(), "seed %d: %s of %s", seed, pair.A, dead)
@@ -136,7 +136,7 @@
 
 func randomFleet(seed uint64) *network {
 	net := newNetwork(seed)
-	net.clocksGoBack = seed%5 == 4
+	net.incarnationsMayDecrease = seed%5 == 4
 	net.startFleet(3+int(seed%6), 3)
 	for _, name := range net.names {
 		net.nodes[name].rate = 0.96 + 0.08*net.random.Float64()
@@ -175,11 +175,11 @@
 	case 7, 8:
 		net.isolate(name, net.random.IntN(2) == 0)
 	case 9:
-		net.blocked[direction{name, other}] = true
+		net.blocked[link{name, other}] = true
 	case 10:
 		clear(net.blocked)
 	case 11:
-		if n.runs() && net.random.IntN(4) == 0 {
+		if n.isRunning() && net.random.IntN(4) == 0 {
 			net.leave(name)
 		}
 	}
--- a/pkg/membership/sampler.go
+++ b/pkg/membership/sampler.go
@@ -22,7 +22,7 @@
 
 // shuffledLiveMembers returns the other members that may be running, those of this
 // node's zone and those of other zones, each in random order, and the number of zones.
-func (s *sampler) shuffledLiveMembers() (near, far []member.ID, zones int) {
+func (s *sampler) shuffledLiveMembers() (sameZone, otherZones []member.ID, zones int) {
 	seenZones := map[string]bool{}
 	for _, id := range s.table.sortedIDs {
 		record := &s.table.entries[id].record
@@ -30,15 +30,15 @@
 		switch {
 		case id == s.self.ID || record.certainlyFenced():
 		case record.Info.Zone == s.self.Zone:
-			near = append(near, id)
+			sameZone = append(sameZone, id)
 		default:
-			far = append(far, id)
+			otherZones = append(otherZones, id)
 		}
 	}
-	for _, ids := range [][]member.ID{near, far} {
+	for _, ids := range [][]member.ID{sameZone, otherZones} {
 		s.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	}
-	return near, far, len(seenZones)
+	return sameZone, otherZones, len(seenZones)
 }
 
 // randomMember draws another member that hasn't left, or returns "" if there is none.
--- a/pkg/membership/self_member.go
+++ b/pkg/membership/self_member.go
@@ -83,7 +83,7 @@
 
 // leave fences this node for good and publishes that.
 func (s *selfMember) leave(now time.Duration) {
-	s.fence.close()
+	s.fence.markLeft()
 	s.publishRecord(now)
 }
 
@@ -117,7 +117,7 @@
 // sent. Replies to heartbeats of an earlier incarnation don't count.
 func (s *selfMember) onHeartbeatReply(now time.Duration, msg Message) {
 	sentAt, found := s.heartbeats.sentAt(msg.Sequence)
-	if !found || !s.monitors.knows(msg.From.ID) || msg.Incarnation != s.fence.number {
+	if !found || !s.monitors.isPeer(msg.From.ID) || msg.Incarnation != s.fence.number {
 		return
 	}
 	s.monitors.acknowledge(msg, sentAt)
@@ -154,7 +154,7 @@
 	ready := s.monitors.allResponsive(now, chosen)
 	switch {
 	case len(s.fence.monitorSets) == 0:
-		if ready || s.searchTime(now) >= s.config.unresponsiveAfter() {
+		if ready || s.monitorSearchTime(now) >= s.config.unresponsiveAfter() {
 			s.declareMonitors(now, chosen)
 		}
 	case !ready || !s.monitors.needsReplacement(s.fence.newestSet(), chosen):
@@ -175,14 +175,14 @@
 		return false
 	}
 	if len(s.fence.monitorSets) == 0 {
-		return s.searchTime(now) < s.config.monitorChoiceTimeout()
+		return s.monitorSearchTime(now) < s.config.monitorChoiceTimeout()
 	}
 	return !s.fence.isFenced(now) && s.monitors.isHealthy(now, s.fence.newestSet())
 }
 
-// searchTime is for how long this incarnation has looked for monitors: since its start, or
+// monitorSearchTime is for how long this incarnation has looked for monitors: since its start, or
 // since the node joined if that was later.
-func (s *selfMember) searchTime(now time.Duration) time.Duration {
+func (s *selfMember) monitorSearchTime(now time.Duration) time.Duration {
 	return now - max(s.fence.startedAt, s.joiner.joinedAt)
 }
 
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -17,9 +17,9 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		for range 300 {
 			records := randomRecords(random, 12)
-			first := tableOf(records)
+			first := mergedRecordOfX(records)
 			random.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-			Expect(tableOf(records)).To(Equal(first))
+			Expect(mergedRecordOfX(records)).To(Equal(first))
 		}
 	})
 
@@ -31,7 +31,7 @@
 				{Monitor: "m1", MonitorBoot: firstBoot, Incarnation: record.Info.Incarnation, MonitorSetVersion: version},
 				{Monitor: "m2", MonitorBoot: secondBoot, Incarnation: record.Info.Incarnation, MonitorSetVersion: version},
 			}
-			Expect(tableOf([]membership.Record{record}).State == membership.StateFenced).To(Equal(certain))
+			Expect(mergedRecordOfX([]membership.Record{record}).State == membership.StateFenced).To(Equal(certain))
 		},
 		Entry("both", uint64(2), member.Incarnation(1), member.Incarnation(1), true),
 		Entry("one monitor restarted", uint64(2), member.Incarnation(1), member.Incarnation(9), false),
@@ -53,7 +53,7 @@
 		}
 		for range 20 {
 			random.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-			merged := tableOf(records)
+			merged := mergedRecordOfX(records)
 			Expect(merged.State).To(Equal(membership.StateSuspect))
 			Expect(merged.TimeoutReports).To(Equal([]membership.TimeoutReport{report(1), report(9)}))
 		}
@@ -167,8 +167,8 @@
 			probeEvery := 5 * membership.DefaultHeartbeatEvery
 			net.runUntil(6*time.Second + probesNeeded*probeEvery)
 			for _, name := range net.names[3:] {
-				for _, again := range seeds {
-					Expect(net.nodes[name].machine.Alive(member.ID(again))).To(BeTrue(), "seed %d: %s of %s", seed, name, again)
+				for _, restarted := range seeds {
+					Expect(net.nodes[name].machine.Alive(member.ID(restarted))).To(BeTrue(), "seed %d: %s of %s", seed, name, restarted)
 				}
 			}
 		}
@@ -179,7 +179,7 @@
 		net.runUntil(3 * time.Second)
 		net.isolate("n05", true)
 		for _, name := range net.names[:5] {
-			net.blocked[direction{name, "n05"}] = false
+			net.blocked[link{name, "n05"}] = false
 			net.leave(name)
 			net.runUntil(net.now + 50*time.Millisecond)
 			net.kill(name)
@@ -250,7 +250,7 @@
 	return records
 }
 
-func tableOf(records []membership.Record) membership.Record {
+func mergedRecordOfX(records []membership.Record) membership.Record {
 	machine := membership.New(membership.Config{Self: member.Info{ID: "o", Incarnation: 1}}, 0)
 	for _, record := range records {
 		machine.Step(0, membership.Message{
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -31,13 +31,13 @@
 	for _, instant := range timeline.Instants {
 		net.runUntil(instant.At)
 		for _, step := range instant.Steps {
-			perform(net, net.names[step.Column], step)
+			runStep(net, net.names[step.Column], step)
 		}
 	}
 	Expect(net.violations).To(BeEmpty())
 }
 
-func perform(net *network, name string, step timelinetest.Step) {
+func runStep(net *network, name string, step timelinetest.Step) {
 	verb, argument, where := step.Verb, step.Argument, step.Where
 	n := net.nodes[name]
 	other := member.ID(argument)
@@ -60,7 +60,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		net.send(name, out)
 	case "block", "unblock":
-		net.blocked[direction{name, argument}] = verb == "block"
+		net.blocked[link{name, argument}] = verb == "block"
 	case "isolate", "rejoin":
 		net.isolate(name, verb == "isolate")
 	case "serving", "fenced":
