--- a/pkg/membership/anti_entropy.go
+++ b/pkg/membership/anti_entropy.go
@@ -7,20 +7,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// antiEntropy finds and repairs differences between two nodes' tables by exchanges. Each
-// takes three messages, or four, so that a difference costs little more than the records
-// that differ:
+// antiEntropy detects and repairs differences between the tables of two nodes. An exchange
+// takes three or four messages, and transfers little more than the records that differ:
 //
-//  1. One sends a digest of each of bucketCount key ranges of its table (Buckets).
-//  2. The other replies with a digest of each record in the ranges that differ
+//  1. Node A sends a digest of each of bucketCount key ranges of its table (Buckets).
+//  2. Node B replies with a digest of each record in the ranges that differ
 //     (CoveredBuckets, Summary).
-//  3. The first sends the records that the other lacks or that differ, and names those
-//     that it lacks or that differ (Records, Requested). Of the named ones, the other
-//     sends those that are still newer (Records).
+//  3. A sends the records that B lacks or that differ (Records), and requests those that A
+//     lacks or that differ (Requested).
+//  4. B sends the requested records that still differ from what A sent (Records). It sends
+//     nothing if there are none.
 //
-// It owns what this node knows of the need for an exchange. Nothing is kept of an exchange
-// that runs: each message says all that its receiver needs, so a lost one only delays the
-// repair until the digests are compared again.
+// antiEntropy owns a member whose digest differed and the time of the next exchange. It keeps
+// no state of a running exchange: each message contains all that its receiver needs, so the
+// loss of a message only delays the repair until the digests are compared again.
 type antiEntropy struct {
 	config  Config
 	table   *memberTable
@@ -28,25 +28,26 @@
 	joiner  *joiner
 	gossip  *gossip
 	outbox  *outbox
-	// differingMember is a member whose digest differed since the last exchange; its ID is
-	// empty if there is none.
+	// differingMember is the last member whose digest differed from this node's since the
+	// last exchange; its ID is empty if there is none.
 	differingMember member.Info
 	// nextExchange is when this node may start an exchange again.
 	nextExchange time.Duration
 }
 
-// A node starts an exchange at most exchangesPerHeartbeat times in HeartbeatEvery, and
-// less often the more members there are.
+// A node waits at least HeartbeatEvery/exchangesPerHeartbeat from one exchange that it starts
+// to the next, and longer by exchangeIntervalPerRecord for each record in its table.
 const (
 	exchangesPerHeartbeat     = 4
 	exchangeIntervalPerRecord = 500 * time.Microsecond
-	// differingPartnerOneIn is one in how many exchanges goes to the member whose
-	// digest differed. The others go to some member of this node's zone, which costs
-	// less.
+	// differingPartnerOneIn is the average number of exchanges of which one is with the
+	// member whose digest differed. The others are with a random member of this node's
+	// zone, because traffic within a zone costs less.
 	differingPartnerOneIn = 3
 )
 
-// compareDigest remembers the sender of a message if its table differs.
+// compareDigest stores the sender of a message in differingMember if the sender's digest
+// differs from this node's.
 func (a *antiEntropy) compareDigest(msg Message) {
 	if msg.Digest == a.table.digest {
 		return
@@ -58,10 +59,10 @@
 	}
 }
 
-// startExchange sends the first message of an exchange if one is due. A difference that
-// was seen while records still change is probably repaired by gossip on its way, so it
-// waits for a quiet instant; not so in a bulk change, or while joining nodes wait for
-// this node's table.
+// startExchange sends the first message of an exchange if one is due. While records still
+// change, gossip in transit will probably repair the difference, so the exchange waits until
+// no record has changed for half of HeartbeatEvery, or until it is overdue by FenceAfter. It
+// doesn't wait during a bulk change or while joining nodes wait for this node's table.
 func (a *antiEntropy) startExchange(now time.Duration) {
 	joinsWaiting := len(a.joiner.deferred) > 0
 	if now < a.nextExchange || a.differingMember.ID == "" && !joinsWaiting {
@@ -82,8 +83,9 @@
 	a.outbox.sendTo(partner, Message{Type: MessageGossip, Buckets: a.table.bucketDigests()})
 }
 
-// partner draws whom to exchange records with. While joining nodes wait, it is a member
-// at another seed, since other nodes join through that one.
+// partner selects the member with which to exchange records. While joining nodes wait for
+// this node's table, it prefers a member that listens at another seed, since other nodes join
+// through that seed.
 func (a *antiEntropy) partner() (member.Info, bool) {
 	if len(a.joiner.deferred) > 0 {
 		address := a.sampler.randomSeed(a.joiner.remoteSeeds())
@@ -101,7 +103,8 @@
 	return a.differingMember, a.differingMember.ID != ""
 }
 
-// onGossip handles a probe or a message of an exchange after its records were merged.
+// onGossip handles a probe or a message of an exchange. The message's records have already
+// been merged.
 func (a *antiEntropy) onGossip(msg Message) {
 	var reply Message
 	var hasReply bool
@@ -120,7 +123,8 @@
 	}
 }
 
-// onBuckets replies with a summary of the key ranges that differ, or not at all if none does.
+// onBuckets returns a reply that summarizes the key ranges that differ. It returns false if
+// the tables' digests are equal, or if the message has another number of key ranges.
 func (a *antiEntropy) onBuckets(msg Message) (Message, bool) {
 	if msg.Digest == a.table.digest || len(msg.Buckets) != bucketCount {
 		return Message{}, false
@@ -132,16 +136,16 @@
 		}
 	}
 	if covered == 0 {
-		// The digests by key range are shorter than that of the table, and may
-		// collide where it doesn't.
+		// The tables differ, but the digests of their key ranges, which are shorter than
+		// the digest of the table, collide.
 		covered = allBuckets
 	}
 	return Message{Type: MessageGossip, CoveredBuckets: covered, Summary: a.table.summarize(covered)}, true
 }
 
-// onSummary replies with the records that the sender lacks or that differ, and
-// requests those that this node lacks or that differ. There is no reply if it would be
-// empty.
+// onSummary returns a reply that contains the records that the sender lacks or that differ,
+// and that requests the records that this node lacks or that differ. It returns false if the
+// reply would be empty.
 func (a *antiEntropy) onSummary(msg Message) (Message, bool) {
 	remoteDigests := make(map[uint32]uint32, len(msg.Summary))
 	for _, summary := range msg.Summary {
@@ -170,8 +174,9 @@
 	return reply, len(reply.Records)+len(reply.Requested) > 0
 }
 
-// onRequested replies with the requested records, except those that the sender has by
-// now: what it sent along was merged before. There is no reply if that leaves none.
+// onRequested returns a reply that contains the requested records, except those that equal
+// the ones in the message, which have already been merged into this node's table. It returns
+// false if no records remain.
 func (a *antiEntropy) onRequested(msg Message) (Message, bool) {
 	received := map[member.ID]Record{}
 	for _, record := range msg.Records {
--- a/pkg/membership/config.go
+++ b/pkg/membership/config.go
@@ -16,33 +16,36 @@
 	DefaultForgetAfter    = time.Hour
 )
 
-// Never is the fence deadline of a member that nothing can fence.
+// Never is the fence deadline of a node that can't be fenced.
 const Never = time.Duration(math.MaxInt64)
 
-// minHeartbeatsPerFence heartbeats must fit into FenceAfter, so that one may be lost before
-// other monitors are tried, and there is time to replace the set.
+// minHeartbeatsPerFence is the least number of heartbeat intervals in FenceAfter, so that
+// one heartbeat may be lost before other monitors are tried, and enough time remains to
+// replace the monitor set.
 const minHeartbeatsPerFence = 4
 
-// Config sets up a Machine. Zero values take the defaults.
+// Config contains the settings of a Machine. Fields that are zero get the defaults.
 type Config struct {
 	// Self describes this node. Self.Incarnation must differ from that of every
 	// earlier process under the same ID, and should be greater.
 	Self member.Info
 	// Seeds are internal addresses, host and port, of nodes to join through.
 	Seeds []string
-	// MonitorCount is how many monitors a member chooses, if there are enough
-	// members.
+	// MonitorCount is how many monitors a member chooses. It chooses fewer if there
+	// are too few other members.
 	MonitorCount int
-	// HeartbeatEvery is the time between two heartbeats; a quarter of FenceAfter
-	// at most.
+	// HeartbeatEvery is the time between two heartbeats. It is reduced to a quarter of
+	// FenceAfter if it is longer.
 	HeartbeatEvery time.Duration
 	// FenceAfter is how long a member may serve after it sent the newest
-	// heartbeat that enough monitors acknowledged.
+	// heartbeat that enough of its monitors acknowledged.
 	FenceAfter time.Duration
 	// FenceMargin is how much longer than FenceAfter a monitor waits before it
-	// reports a member. Clocks may differ in rate by FenceMargin/FenceAfter.
+	// reports a member. The clocks of two nodes may differ in rate by less than
+	// FenceMargin/FenceAfter.
 	FenceMargin time.Duration
-	// ForgetAfter is how long the table keeps members that left or are fenced.
+	// ForgetAfter is how long the table keeps the records of members that left or are
+	// certainly fenced.
 	ForgetAfter time.Duration
 }
 
@@ -65,14 +68,14 @@
 	return value
 }
 
-// stabilizationWait is how long the table must be without a new member to count as
+// stabilizationWait is how long no member must have been added for the table to count as
 // stable.
 func (c Config) stabilizationWait() time.Duration {
 	return c.HeartbeatEvery / 2
 }
 
-// startupWindow is how long after its own start a node expects others to start. It is
-// half of the longest time for which a node defers its reply to a joining one.
+// startupWindow is how long after its own start a node expects other nodes to start. It is
+// half of the longest time for which a node defers its reply to a joining node.
 func (c Config) startupWindow() time.Duration {
 	return 2 * c.HeartbeatEvery
 }
@@ -83,15 +86,18 @@
 	return 2 * c.FenceAfter
 }
 
-// unresponsiveAfter is how long a node may leave heartbeats unanswered before others
-// are preferred as monitors. It leaves half of FenceAfter to replace the set. For the same
-// time an incarnation without monitors waits for those that it chose to respond, and a node
-// that gets no Tick for longer counts itself as paused: what it timed meanwhile is void.
+// unresponsiveAfter is how long a node may leave heartbeats unanswered before other nodes
+// are preferred as monitors. It leaves half of FenceAfter to replace the monitor set.
+//
+// It has two further uses: an incarnation without monitors waits this long for its chosen
+// monitors to respond, and a node that gets no Tick for longer was paused, so that it
+// restarts its timers.
 func (c Config) unresponsiveAfter() time.Duration {
 	return c.FenceAfter / 2
 }
 
-// monitorTimeout is how long a monitor receives no heartbeat before it reports.
+// monitorTimeout is how long a monitor receives no heartbeat of a member before it reports
+// the member.
 func (c Config) monitorTimeout() time.Duration {
 	return c.FenceAfter + c.FenceMargin
 }
--- a/pkg/membership/errors.go
+++ b/pkg/membership/errors.go
@@ -6,16 +6,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// RemoveReason tells why Remove refused.
+// RemoveReason is the reason for which Machine.Remove refused to remove a member.
 type RemoveReason uint8
 
 // The reasons of a RemoveError.
 const (
-	// RemoveSelf is for the node that was asked; Leave is the way for it.
+	// RemoveSelf means that the member is the node that got the call; use Leave.
 	RemoveSelf RemoveReason = iota + 1
-	// RemoveUnknown is for a member that isn't in the table.
+	// RemoveUnknown means that the member isn't in the table.
 	RemoveUnknown
-	// RemoveOtherIncarnation is for an incarnation that isn't the member's newest.
+	// RemoveOtherIncarnation means that the given incarnation isn't the member's newest.
 	RemoveOtherIncarnation
 )
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// RemoveError is the error of Remove.
+// RemoveError is the error that Machine.Remove returns.
 type RemoveError struct {
 	ID     member.ID
 	Reason RemoveReason
--- a/pkg/membership/failure_detector.go
+++ b/pkg/membership/failure_detector.go
@@ -6,22 +6,24 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// failureDetector is this node in its role as a monitor of others: it acknowledges
+// failureDetector represents this node as a monitor of other members: it acknowledges
 // heartbeats and reports the members whose heartbeats stopped. It owns a timer for each
 // member.
 //
-// Its invariant is that a report is a promise: after it, this process never again
-// acknowledges that incarnation under that monitor set version. Heartbeats that come after
-// the report get replies nevertheless, since the member may have declared a later set; but
-// each reply states the newest version reported, and the member counts no reply for
-// versions up to it, even before the report itself has reached it. Replies sent before the
-// report need no such mark: by then they have expired, since a report comes timeout after
-// the last of them.
+// Its invariant is that a report is a promise: after the report, this process never again
+// acknowledges that incarnation under that monitor set version. Heartbeats that arrive after
+// the report still get replies, since the member may have declared a later set. But each
+// reply states the newest version reported, and the member counts no reply for versions up
+// to that one, even if the report itself hasn't reached the member yet. Replies sent before
+// the report need no such statement: they have expired by the time of the report, which is
+// made only when timeout has passed since the last of them.
 type failureDetector struct {
 	self member.ID
-	// boot identifies this process in reports, since a promise ends with it.
+	// boot identifies this process in reports, since a promise ends with the process that
+	// made it.
 	boot member.Incarnation
-	// timeout is how long a member may be silent before it is reported.
+	// timeout is how long this node receives no heartbeat of a member before it reports
+	// the member.
 	timeout time.Duration
 	table   *memberTable
 	outbox  *outbox
@@ -31,7 +33,7 @@
 
 // heartbeatTimer times the heartbeats of one member's newest incarnation.
 type heartbeatTimer struct {
-	// lastHeard is when the member was last heard, or when this node learnt of its
+	// lastHeard is when this node received the member's last heartbeat or learned of its
 	// monitor set, whichever is later.
 	lastHeard time.Duration
 	// timedOutVersion is the newest monitor set version reported; 0 if none.
@@ -50,7 +52,7 @@
 }
 
 // recordChanged restarts a member's timer for each new incarnation and each new monitor
-// set: this node learnt of it only now, and owes the member the full time-out.
+// set: the full time-out counts from when this node learned of it.
 func (d *failureDetector) recordChanged(now time.Duration, id member.ID, change tableChange) {
 	switch {
 	case change.newMember || change.newIncarnation:
@@ -60,7 +62,7 @@
 	}
 }
 
-// restartTimers grants every member the full time-out again.
+// restartTimers restarts the full time-out of every member.
 func (d *failureDetector) restartTimers(now time.Duration) {
 	for _, timer := range d.timers {
 		timer.lastHeard = now
@@ -72,9 +74,10 @@
 	delete(d.timers, id)
 }
 
-// onHeartbeat acknowledges a heartbeat of the sender's newest incarnation, and returns
-// whether it did. A sender that has been superseded, left or was removed gets the record
-// that this node has of it instead.
+// onHeartbeat acknowledges a heartbeat if it is of the sender's newest known incarnation, and
+// reports whether it did. If the table contains another incarnation of the sender, or the
+// sender left or was removed, this node replies with its record of the sender instead.
+// Heartbeats of unknown senders are ignored.
 func (d *failureDetector) onHeartbeat(now time.Duration, msg Message) bool {
 	e, known := d.table.entries[msg.From.ID]
 	if !known {
@@ -99,9 +102,9 @@
 // reportTimeouts adds this node's report to the record of each member that chose this
 // node as a monitor and has timed out.
 //
-// A process that the member doesn't count on, because it started after the member's
-// choice, reports too: otherwise a member that died shortly before that start would
-// be considered alive for ever.
+// This process reports the member even if it started after the member declared its set,
+// although such a report doesn't count towards a certain fence. Otherwise a member that died
+// shortly before the restart of its monitors would be considered alive forever.
 func (d *failureDetector) reportTimeouts(now time.Duration) {
 	var reported []Record
 	for _, id := range d.table.monitored {
@@ -125,7 +128,8 @@
 	}
 }
 
-// hasTimedOut tells whether a member has to be reported and hasn't been yet.
+// hasTimedOut reports whether a member has timed out and this process hasn't reported it yet
+// under its present monitor set.
 func (d *failureDetector) hasTimedOut(now time.Duration, timer *heartbeatTimer, record *Record) bool {
 	return record.State != StateLeft &&
 		timer.timedOutVersion < record.MonitorSetVersion &&
--- a/pkg/membership/fence.go
+++ b/pkg/membership/fence.go
@@ -8,27 +8,28 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// noContact is the contact time of a monitor that has acknowledged nothing. Adding
-// durations to it doesn't overflow.
+// noContact is the time of last contact of a monitor that has acknowledged nothing. Adding
+// a duration to it doesn't overflow.
 const noContact = time.Duration(math.MinInt64 / 2)
 
 // fence decides from the acknowledgements of this node's monitors whether the node
 // may serve. It owns the node's present incarnation.
 //
 // Its invariant: before deadline, each set in monitorSets has acksNeeded monitors that
-// acknowledged a heartbeat sent within the last fenceAfter; a set that replaced another
-// counts as acknowledged when it was declared. In other words, the node serves under a
-// lease that a majority of each set renews. update upholds this after each change.
+// acknowledged a heartbeat sent within the last fenceAfter. The monitors of a set that
+// replaced another count as having acknowledged when the set was declared. In other words,
+// the node serves under a lease that a majority of each set renews. update restores the
+// invariant after each change.
 type fence struct {
 	localIncarnation
-	// fenceAfter is how long an acknowledged heartbeat lets the node serve.
+	// fenceAfter is how long the node may serve after it sent an acknowledged heartbeat.
 	fenceAfter time.Duration
 	// endedCount is how many incarnations of this process have ended.
 	endedCount uint64
 }
 
-// localIncarnation is one incarnation of this node. It begins fenced, serves once,
-// and ends for good when it is fenced again.
+// localIncarnation is one incarnation of this node. It begins fenced, may then serve without
+// interruption, and ends permanently when it is fenced again.
 type localIncarnation struct {
 	number member.Incarnation
 	// startedAt is when the incarnation began.
@@ -38,43 +39,43 @@
 	// monitorSets are the sets that may still fence this incarnation, oldest first.
 	// There are two while one replaces the other.
 	monitorSets []monitorSet
-	// deadline is when the node is fenced unless more acknowledgements come. It is 0
-	// without monitorSets, and follows from them otherwise.
+	// deadline is when the node is fenced unless further acknowledgements arrive. It is 0
+	// if there are no monitorSets, and derived from them otherwise.
 	deadline time.Duration
-	// served tells whether this incarnation was ever unfenced.
+	// served reports whether this incarnation was ever unfenced.
 	served bool
-	// left tells whether the node announced that it stops; nothing ends that.
+	// left reports whether the node announced that it stops; it is never reset.
 	left bool
 }
 
-// begin replaces the present incarnation by a fenced one without monitors.
+// begin replaces the present incarnation with a fenced one without monitors.
 func (f *fence) begin(now time.Duration, number member.Incarnation) {
 	f.localIncarnation = localIncarnation{number: number, startedAt: now}
 }
 
-// markLeft fences the node for good.
+// markLeft fences the node permanently.
 func (f *fence) markLeft() {
 	f.left = true
 	f.deadline = 0
 }
 
-// isFenced tells whether the node must refuse traffic.
+// isFenced reports whether the node must refuse traffic.
 func (f *fence) isFenced(now time.Duration) bool {
 	return now >= f.deadline
 }
 
-// hasEnded tells whether the present incarnation served and has been fenced since.
-// Other nodes may be certain of that fence, so it must never serve again.
+// hasEnded reports whether the present incarnation served and has been fenced since.
+// Other nodes may be certain of that fence, so the incarnation must never serve again.
 func (f *fence) hasEnded(now time.Duration) bool {
 	return !f.left && f.served && f.isFenced(now)
 }
 
-// newestSet returns the newest declared monitor set. There must be one.
+// newestSet returns the newest declared monitor set. At least one must have been declared.
 func (f *fence) newestSet() *monitorSet {
 	return &f.monitorSets[len(f.monitorSets)-1]
 }
 
-// declare makes a monitor set the newest one, under the next version.
+// declare adds a monitor set as the newest one, under the next version.
 func (f *fence) declare(now time.Duration, set monitorSet) {
 	set.version = 1
 	if len(f.monitorSets) > 0 {
@@ -95,8 +96,9 @@
 	f.update(now)
 }
 
-// update drops the replaced sets that can't become certainly fenced any more, and
-// derives the deadline: every remaining set must keep its majority.
+// update drops the replaced sets under which the node can no longer become certainly fenced,
+// and derives the deadline: it is the earliest time at which a remaining set lacks its
+// majority.
 func (f *fence) update(now time.Duration) {
 	for len(f.monitorSets) > 1 && f.monitorSets[0].isRetired() {
 		f.monitorSets = f.monitorSets[1:]
@@ -126,9 +128,9 @@
 	return record
 }
 
-// isSupersededBy tells whether a record of this node, received from another, is of an
-// incarnation or version that this process hasn't reached. An earlier process of the
-// node published it.
+// isSupersededBy reports whether a record of this node, received from another node, has an
+// incarnation or version that this process hasn't reached. Another process of this node or
+// an operator's Remove created such a record.
 func (f *fence) isSupersededBy(record Record) bool {
 	if record.Info.Incarnation != f.number {
 		return record.Info.Incarnation > f.number
@@ -136,21 +138,23 @@
 	return record.Version > f.recordVersion
 }
 
-// monitorSet is one declared choice of monitors. The slices run in parallel.
+// monitorSet is a declared set of monitors. The elements of the slices at one index belong
+// to one monitor.
 type monitorSet struct {
 	version  uint64
 	monitors []member.ID
-	// boots are the processes of the monitors that the node counts on.
+	// boots identify the monitors' processes whose acknowledgements count.
 	boots []member.Incarnation
-	// lastContacts are the times at which the newest heartbeat that each monitor
-	// acknowledged was sent.
+	// lastContacts are the times at which this node sent the newest heartbeat that each
+	// monitor acknowledged.
 	lastContacts []time.Duration
-	// acknowledgedLaterSet marks the monitors that know a later set and never reported this one,
-	// so that they never will.
+	// acknowledgedLaterSet marks the monitors that know a later set and haven't reported
+	// this one. They will never report it.
 	acknowledgedLaterSet []bool
 }
 
-// deadline is when too few monitors have a contact within fenceAfter.
+// deadline returns when fewer than acksNeeded monitors will have a contact within the last
+// fenceAfter.
 func (s *monitorSet) deadline(fenceAfter time.Duration) time.Duration {
 	needed := acksNeeded(len(s.monitors))
 	if needed == 0 {
@@ -160,8 +164,8 @@
 	return contacts[len(contacts)-needed] + fenceAfter
 }
 
-// isRetired tells whether so many monitors moved on that this set can't become
-// certainly fenced any more.
+// isRetired reports whether so many monitors know a later set that the node can no longer
+// become certainly fenced under this set.
 func (s *monitorSet) isRetired() bool {
 	count := 0
 	for _, acknowledged := range s.acknowledgedLaterSet {
@@ -172,9 +176,9 @@
 	return count >= acksNeeded(len(s.monitors))
 }
 
-// acknowledge counts the reply of one monitor to a heartbeat that was sent at sentAt.
-// A reply of another process of the monitor, or of one that reported this set, doesn't
-// count.
+// acknowledge counts the reply of one monitor to a heartbeat that was sent at sentAt. The
+// reply doesn't count if another process of the monitor sent it, or if the monitor has
+// reported this set or a later one.
 func (s *monitorSet) acknowledge(reply Message, sentAt time.Duration) {
 	at := slices.Index(s.monitors, reply.From.ID)
 	if at < 0 || s.boots[at] != reply.Boot || reply.TimedOutVersion >= s.version {
--- a/pkg/membership/gossip.go
+++ b/pkg/membership/gossip.go
@@ -9,31 +9,31 @@
 )
 
 // Gossip is sent at most gossipsPerHeartbeat times in HeartbeatEvery, with at most
-// maxGossipRecords records a message. So a deployment that loses many members at once
-// sends few messages of many records.
+// maxGossipRecords records per message. So a deployment that loses many members at once
+// sends few messages with many records each.
 const (
 	gossipsPerHeartbeat = 4
 	maxGossipRecords    = 128
 )
 
-// bulkUpdateThreshold is how many records may change within HeartbeatEvery before the
-// changes are left to anti-entropy.
+// bulkUpdateThreshold is the largest number of non-urgent changes within HeartbeatEvery that
+// gossip sends. More of them are a bulk change, which is left to anti-entropy.
 const bulkUpdateThreshold = 16
 
-// The reach of gossip; see gossip.receivers.
+// Fan-out of gossip; see gossip.receivers.
 const (
-	// zoneFanOut is how many members of its own zone a node passes an update to.
+	// zoneFanOut is the number of members of its own zone to which a node sends an update.
 	zoneFanOut = 3
-	// crossZoneFanOut is how many members of other zones the source of an update
-	// sends it to. It also bounds how many any other node passes it on to.
+	// crossZoneFanOut is the number of members of other zones to which the source of an
+	// update sends it, and the most to which any other node forwards it.
 	crossZoneFanOut = 2
-	// forwardsPerZone times the number of zones is about how often an update is passed on
-	// to another zone by all the nodes together that aren't its source.
+	// forwardsPerZone times the number of zones is about how often the nodes other than
+	// the source, all together, forward an update to a member of another zone.
 	forwardsPerZone = 4
 )
 
-// gossip passes changed records on to a few members. It owns the pending updates: the
-// members whose records changed since they were last passed on.
+// gossip sends changed records to a few members. It owns the pending updates: the IDs of
+// the members whose records changed since this node last sent them.
 type gossip struct {
 	config  Config
 	table   *memberTable
@@ -42,15 +42,15 @@
 	pending map[member.ID]bool
 	// nextSend is when gossip may be sent again.
 	nextSend time.Duration
-	// bulkUntil is until when so many records change that they are left to
-	// anti-entropy instead of being passed on one by one.
+	// bulkUntil is when the present bulk change ends. Until then, changes that aren't
+	// urgent are left to anti-entropy.
 	bulkUntil time.Duration
-	// recentChanges counts the records that changed since recentChangesSince.
+	// recentChanges counts the changes since recentChangesSince that aren't urgent.
 	recentChanges      int
 	recentChangesSince time.Duration
 }
 
-// recordChanged marks a member's record to be passed on.
+// recordChanged marks a member's record as a pending update.
 func (g *gossip) recordChanged(_ time.Duration, id member.ID, _ tableChange) {
 	g.pending[id] = true
 }
@@ -60,15 +60,15 @@
 	clear(g.pending)
 }
 
-// keepOnly drops all pending updates but that of one member, which is passed on in any
-// case.
+// keepOnly makes one member's record the only pending update, whether or not it was pending
+// before.
 func (g *gossip) keepOnly(id member.ID) {
 	g.clear()
 	g.pending[id] = true
 }
 
-// sendPending passes the pending updates on if some are due. If urgent is set, they don't
-// wait for the next turn.
+// sendPending sends the pending updates, at most once per interval. If urgent is set, it
+// doesn't wait for the end of the interval.
 func (g *gossip) sendPending(now time.Duration, urgent bool) {
 	if len(g.pending) == 0 || now < g.nextSend && !urgent {
 		return
@@ -88,12 +88,13 @@
 	}
 }
 
-// takePendingUpdates returns the members whose records are sent now. If there are more
-// than maxGossipRecords, it draws that many, this node among them, and leaves the rest
-// for later.
+// takePendingUpdates returns the members whose records are to be sent now. If more than
+// maxGossipRecords are pending, it selects that many at random, always including this node
+// if its record is pending, and leaves the others pending.
 //
-// In bulk changes, the records that aren't urgent are left to anti-entropy: passed on
-// by each of n nodes to some others, n changes would cost several tables a node.
+// During a bulk change, the records that aren't urgent are left to anti-entropy. If n records
+// changed and each of n nodes sent each of them to a few others, the cost per node would be
+// several times the size of the table.
 func (g *gossip) takePendingUpdates(now time.Duration) []member.ID {
 	ids := slices.Sorted(maps.Keys(g.pending))
 	ids = slices.DeleteFunc(ids, func(id member.ID) bool { return g.table.entries[id] == nil })
@@ -117,8 +118,8 @@
 	return ids
 }
 
-// countChanges counts the changes that aren't urgent within HeartbeatEvery, and
-// recognizes a bulk change.
+// countChanges adds to the count of changes within HeartbeatEvery that aren't urgent, and
+// detects a bulk change.
 func (g *gossip) countChanges(now time.Duration, count int) {
 	if now-g.recentChangesSince >= g.config.HeartbeatEvery {
 		g.recentChangesSince = now
@@ -130,27 +131,28 @@
 	}
 }
 
-// inBulkChange tells whether very many records have changed lately.
+// inBulkChange reports whether countChanges detected a bulk change within the last
+// FenceAfter.
 func (g *gossip) inBulkChange(now time.Duration) bool { return now < g.bulkUntil }
 
-// isUrgent tells whether a record is passed on even in a bulk change: it is this
-// node's, or tells of a member that left or timed out.
+// isUrgent reports whether a record is sent even during a bulk change: it is this node's own
+// record, or it states that a member left or timed out.
 func (g *gossip) isUrgent(id member.ID) bool {
 	record := &g.table.entries[id].record
 	return id == g.config.Self.ID || record.State == StateLeft || len(record.TimeoutReports) > 0
 }
 
-// originatedUpdate tells whether this node is the source of a record's change: the
-// record is its own, or has a report of this process.
+// originatedUpdate reports whether this node is the source of an update: the record is its
+// own, or contains a report that this process made.
 func (g *gossip) originatedUpdate(id member.ID) bool {
 	return id == g.config.Self.ID || slices.ContainsFunc(g.table.entries[id].record.TimeoutReports, func(report TimeoutReport) bool {
 		return report.Monitor == g.config.Self.ID && report.MonitorBoot == g.config.Self.Incarnation
 	})
 }
 
-// receivers draws the members to send updates to: some of this node's zone, and some
-// of others. The source of an update always sends to other zones; those that pass it
-// on do so now and then, so that each zone gets it from a few.
+// receivers selects the members to send updates to at random: some of this node's zone and
+// some of other zones. The source of an update always sends it to other zones. Nodes that
+// forward an update do so with a probability that gives each zone a few copies.
 func (g *gossip) receivers(originated bool) []member.ID {
 	sameZone, otherZones, zones := g.sampler.shuffledLiveMembers()
 	crossZoneCount := crossZoneFanOut
@@ -160,8 +162,9 @@
 	return slices.Concat(sameZone[:min(zoneFanOut, len(sameZone))], otherZones[:min(crossZoneCount, len(otherZones))])
 }
 
-// crossZoneForwards draws how many members of other zones this node passes an update
-// on to. All nodes together make about forwardsPerZone for each zone.
+// crossZoneForwards returns the random number of members of other zones to which this node
+// forwards an update. It is such that all nodes together make about forwardsPerZone
+// forwards for each zone.
 func (g *gossip) crossZoneForwards(zones int) int {
 	expected := float64(forwardsPerZone*zones) / float64(len(g.table.sortedIDs))
 	count := int(expected)
--- a/pkg/membership/heartbeat_log.go
+++ b/pkg/membership/heartbeat_log.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// heartbeatLog remembers when each recent heartbeat was sent, since an acknowledgement
-// counts from the sending. All heartbeats in it belong to the present incarnation.
+// heartbeatLog records when each recent heartbeat was sent, since an acknowledgement counts
+// from the time at which its heartbeat was sent. All heartbeats in the log belong to the
+// present incarnation.
 type heartbeatLog struct {
 	// sequence numbers the heartbeats of this process.
 	sequence uint64
-	// sent are the heartbeats that may still be acknowledged in time, oldest first.
+	// sent are the heartbeats whose acknowledgement would still count, oldest first.
 	sent []sentHeartbeat
 }
 
-// sentHeartbeat is one heartbeat, which went to all monitors at once.
+// sentHeartbeat is a heartbeat that was sent to all targets at once.
 type sentHeartbeat struct {
 	sequence uint64
 	at       time.Duration
 }
 
-// add records that the next heartbeat is sent now, and drops those of maxAge or
-// more, whose acknowledgement would come too late.
+// add records that the next heartbeat is sent at now, and returns its sequence number. It
+// drops heartbeats that are maxAge old or older, whose acknowledgement would come too late.
 func (l *heartbeatLog) add(now, maxAge time.Duration) (sequence uint64) {
 	l.sequence++
 	l.sent = append(l.sent, sentHeartbeat{sequence: l.sequence, at: now})
--- a/pkg/membership/id_set.go
+++ b/pkg/membership/id_set.go
@@ -6,12 +6,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// idSet is a sorted set of members, so that it is iterated in the same order
-// everywhere. It is meant for the few members that a tick has to look at, instead of
-// the whole table.
+// idSet is a set of member IDs, kept sorted so that all iterations have the same order. It
+// indexes the few members that a tick examines, so that a tick needn't scan the whole table.
 type idSet []member.ID
 
-// set adds id to the set, or removes it.
+// set adds id to the set if present is true, and removes it otherwise.
 func (s *idSet) set(id member.ID, present bool) {
 	at, found := slices.BinarySearch(*s, id)
 	switch {
--- a/pkg/membership/joiner.go
+++ b/pkg/membership/joiner.go
@@ -7,15 +7,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// joinTimeoutFencePeriods is for how many FenceAfter periods a starting node waits for some seed
-// before it considers itself alone.
+// joinTimeoutFencePeriods is the number of FenceAfter periods for which a starting node waits
+// for a reply of any seed before it considers itself alone.
 const joinTimeoutFencePeriods = 3
 
-// joiner lets this node join through a seed, and lets others join through this node. It
-// owns the seeds, the progress of the search, and the replies that it defers.
+// joiner joins this node through a seed and answers nodes that join through this node. It
+// owns the seeds, the progress of the join, and the replies that it defers.
 //
 // Its invariant: once joined is set, it stays set. Before that, this node's table may lack
-// most members, so no monitors are chosen and the node stays fenced (selfMember upholds it).
+// most members, so selfMember chooses no monitors and the node stays fenced.
 type joiner struct {
 	config Config
 	table  *memberTable
@@ -23,15 +23,15 @@
 	seeds  []string
 	// startedAt is when this process started.
 	startedAt time.Duration
-	// joined tells whether the search has ended: a seed replied, none did in time, or
-	// there was none to ask. joinedAt is when it ended.
+	// joined is set when a seed has sent its table, no seed replied in time, or there was
+	// no seed to ask. joinedAt is when it was set.
 	joined   bool
 	joinedAt time.Duration
-	// nextAttempt is when the next seed is asked, and nextSeed counts the attempts.
+	// nextAttempt is when the next seed is contacted, and nextSeed selects it.
 	nextAttempt time.Duration
 	nextSeed    int
-	// deferred are the nodes that wait for this node's table, and deferredSince is
-	// when the first of them asked.
+	// deferred are the nodes that wait for this node's table, and deferredSince is when
+	// the join of the first of them arrived.
 	deferred      []member.Info
 	deferredSince time.Duration
 }
@@ -44,7 +44,7 @@
 		seeds:       cfg.Seeds,
 		startedAt:   now,
 		nextAttempt: now,
-		// Nodes with the same seeds begin at different ones.
+		// Nodes with the same list of seeds start at different positions in it.
 		nextSeed: int(ringPosition(cfg.Self.ID) % (1 << 16)),
 	}
 	if len(j.remoteSeeds()) == 0 {
@@ -53,7 +53,8 @@
 	return j
 }
 
-// tick goes on with the search, and sends the deferred replies that are due.
+// tick contacts the next seed if this node hasn't joined, and sends the deferred replies
+// that are due.
 func (j *joiner) tick(now time.Duration) {
 	if !j.joined && now >= j.nextAttempt {
 		j.askNextSeed(now)
@@ -61,7 +62,7 @@
 	j.sendDeferredReplies(now)
 }
 
-// setSeeds replaces the seeds, and contacts those at which no live member listens.
+// setSeeds replaces the seeds and contacts the vacant ones.
 func (j *joiner) setSeeds(seeds []string) {
 	j.seeds = slices.Clone(seeds)
 	for _, seed := range j.vacantSeeds() {
@@ -76,8 +77,9 @@
 	})
 }
 
-// vacantSeeds returns the remote seeds at which no member listens that may be running:
-// where one has left or is fenced, another process may have started.
+// vacantSeeds returns the remote seeds whose address isn't that of a member that may be
+// running. If the member at an address has left or is certainly fenced, another process may
+// have started there.
 func (j *joiner) vacantSeeds() []string {
 	vacant := j.remoteSeeds()
 	for _, e := range j.table.entries {
@@ -88,8 +90,9 @@
 	return vacant
 }
 
-// askNextSeed asks one seed after the other until one replies. A node whose seeds don't
-// reply within joinTimeoutFences considers itself alone, and goes on by probes.
+// askNextSeed contacts the next seed in turn. A node whose seeds don't reply within
+// joinTimeoutFencePeriods considers itself alone. From then on, the prober contacts its
+// seeds.
 func (j *joiner) askNextSeed(now time.Duration) {
 	if now-j.startedAt >= joinTimeoutFencePeriods*j.config.FenceAfter {
 		j.completeJoin(now)
@@ -101,8 +104,9 @@
 	j.contactSeed(seed)
 }
 
-// contactSeed asks for the seed's table; or, if this node's table may hold much of it,
-// sends a digest for comparison.
+// contactSeed requests the seed's table. If this node has joined and knows members that may
+// be running, its table is likely to contain most of the seed's; it then sends a digest for
+// comparison instead.
 func (j *joiner) contactSeed(address string) {
 	message := Message{Type: MessageGossip}
 	if !j.joined || j.table.isAlone() {
@@ -111,8 +115,8 @@
 	j.outbox.sendToSeed(address, message)
 }
 
-// onJoinReply ends the search, or waits for a seed that deferred its reply until its table
-// is stable.
+// onJoinReply completes the join, or waits for the table of a seed that deferred its reply
+// until the table is stable.
 func (j *joiner) onJoinReply(now time.Duration, msg Message) {
 	if msg.Deferred {
 		j.nextAttempt = max(j.nextAttempt, now+2*j.config.startupWindow()+j.config.HeartbeatEvery)
@@ -124,7 +128,7 @@
 	}
 }
 
-// completeJoin ends the search.
+// completeJoin marks this node as joined, unless it already is.
 func (j *joiner) completeJoin(now time.Duration) {
 	if !j.joined {
 		j.joined = true
@@ -132,8 +136,9 @@
 	}
 }
 
-// onJoin replies with the table. While many nodes start it will soon hold more, so the
-// reply is deferred then. Stable tells whether the table was stable before the message.
+// onJoin replies to a joining node with the table. While many nodes are starting, the reply
+// is deferred, because the table will soon contain more members. stable states whether the
+// table was stable before the message arrived.
 func (j *joiner) onJoin(now time.Duration, msg Message, stable bool) {
 	if stable && j.pastStartupWindow(now) {
 		j.outbox.reply(msg, j.joinReply(now))
@@ -149,8 +154,9 @@
 	}
 }
 
-// sendDeferredReplies sends the table to the nodes that wait for it, once it is stable or
-// the first of them has waited for twice the startup window.
+// sendDeferredReplies sends the table to the nodes that wait for it. It does so when the
+// startup window has passed and the table is stable, or when the first of these nodes has
+// waited for twice the startup window.
 func (j *joiner) sendDeferredReplies(now time.Duration) {
 	if len(j.deferred) == 0 {
 		return
@@ -166,8 +172,8 @@
 	j.deferred = nil
 }
 
-// pastStartupWindow tells whether nodes that started together with this one have had
-// the time to join.
+// pastStartupWindow reports whether nodes that started at the same time as this node have
+// had enough time to join.
 func (j *joiner) pastStartupWindow(now time.Duration) bool {
 	return now-j.startedAt >= j.config.startupWindow()
 }
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -10,13 +10,14 @@
 // input states the time, and each output lists the messages to send. It is not safe for
 // concurrent use.
 //
-// Machine only composes: each part owns its state, and sends through the outbox. Tick and
-// Step show the order in which the parts act on an input.
+// Machine only coordinates its components: each component owns its state and sends messages
+// through the outbox. Tick and Step show the order in which the components run.
 type Machine struct {
 	config Config
 
 	now time.Duration
-	// lastTick is the time of the newest Tick. A gap shows that this process was paused.
+	// lastTick is the time of the newest Tick. A long time since then shows that this
+	// process was paused.
 	lastTick time.Duration
 
 	table  *memberTable
@@ -26,14 +27,14 @@
 	self     *selfMember
 	detector *failureDetector
 
-	// Dissemination of records.
+	// The following components disseminate records.
 	gossip      *gossip
 	antiEntropy *antiEntropy
 	prober      *prober
 }
 
-// New returns the machine of a node that starts at now. The node is fenced
-// until enough monitors acknowledged it, or until it is known to be alone.
+// New returns the machine of a node that starts at now. The node is fenced until enough
+// monitors have acknowledged its heartbeats, or until it considers itself alone.
 func New(cfg Config, now time.Duration) *Machine {
 	cfg = cfg.withDefaults()
 	table := newMemberTable(cfg)
@@ -58,14 +59,15 @@
 	}
 	m.self.startIncarnation(now, cfg.Self.Incarnation)
 	if joiner.joined {
-		// Nobody else is expected.
+		// There is no seed to ask, so no other members are expected.
 		table.assumeStable(now)
 	}
 	m.self.maintainMonitors(now)
 	return m
 }
 
-// Tick lets time pass. It should be called several times in HeartbeatEvery.
+// Tick performs the actions that are due at now. It should be called several times in each
+// HeartbeatEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.advance(now)
 	if m.self.fence.left {
@@ -84,7 +86,8 @@
 	return m.flush()
 }
 
-// Step takes one message in: first its records, then what its type asks for.
+// Step handles a received message: it merges the message's records into the table, and then
+// handles the message according to its type.
 func (m *Machine) Step(now time.Duration, msg Message) []Outbound {
 	m.advance(now)
 	if msg.From.ID == m.config.Self.ID || msg.From.ID == "" {
@@ -99,7 +102,8 @@
 		m.joiner.onJoin(m.now, msg, wasStable)
 	case MessageJoinReply:
 		if !m.joiner.joined {
-			// The seed's neighbours know the table already; only this node is new.
+			// Other nodes already know the records that the seed sent; only this
+			// node's own record is new to them.
 			m.gossip.keepOnly(m.config.Self.ID)
 		}
 		m.joiner.onJoinReply(m.now, msg)
@@ -116,8 +120,8 @@
 	return m.flush()
 }
 
-// Leave announces at once that this node stops. The node is fenced from then
-// on, for good.
+// Leave fences this node permanently and announces to all other members that haven't left
+// that this node stops.
 func (m *Machine) Leave(now time.Duration) []Outbound {
 	m.advance(now)
 	if m.self.fence.left {
@@ -134,12 +138,12 @@
 	return m.flush()
 }
 
-// Remove announces that a member's process has stopped for good, as an operator made
-// sure: for a machine that was taken away together with its monitors, so that no node
-// can be certain of its fence. It returns a RemoveError for this node itself, for a
-// member that isn't known, and for an incarnation that isn't the newest. A process that
-// runs nevertheless begins a new incarnation as soon as it hears of it; until then it
-// may serve, contrary to what CertainlyFenced says.
+// Remove announces that a member's process has stopped permanently. The caller, an operator,
+// must have made sure of that. Remove is for a machine that was lost together with its
+// monitors, so that no other node can be certain of its fence. It returns a RemoveError for
+// this node itself, for an unknown member, and for an incarnation that isn't the member's
+// newest. If the process still runs, it begins a new incarnation as soon as it learns of the
+// removal; until then it may serve although CertainlyFenced returns true for it.
 func (m *Machine) Remove(now time.Duration, id member.ID, incarnation member.Incarnation) ([]Outbound, error) {
 	m.advance(now)
 	e, known := m.table.entries[id]
@@ -158,8 +162,8 @@
 	return m.flush(), nil
 }
 
-// SetSeeds replaces the addresses to join through. A node that has joined needs them
-// only to find the other side of a partition.
+// SetSeeds replaces the addresses through which this node joins. A node that has joined
+// needs them only to discover the other side of a partition.
 func (m *Machine) SetSeeds(now time.Duration, seeds []string) []Outbound {
 	m.advance(now)
 	m.joiner.setSeeds(seeds)
@@ -167,9 +171,9 @@
 }
 
 // AdvanceIncarnationPast begins an incarnation after the given one, unless the present
-// one is later already. It is for a node that learns elsewhere of an earlier process of
-// its own with a higher incarnation: its wall clock was set back, say, while no running
-// member remembers that process.
+// incarnation is already later. It is for a node that learns from another source that an
+// earlier process of the same node had a higher incarnation. This happens, for example, when
+// the wall clock was set back and no running member remembers the earlier process.
 func (m *Machine) AdvanceIncarnationPast(now time.Duration, incarnation member.Incarnation) []Outbound {
 	m.advance(now)
 	if incarnation > m.self.fence.number {
@@ -178,12 +182,13 @@
 	return m.flush()
 }
 
-// advance moves the clock, and ends an incarnation that was fenced.
+// advance sets the clock, restarts the timers if this process was paused, and ends the
+// present incarnation if it has been fenced.
 func (m *Machine) advance(now time.Duration) {
 	m.now = max(m.now, now)
 	if m.now-m.lastTick > m.config.unresponsiveAfter() {
-		// This node was paused for so long that what it didn't hear says nothing
-		// about others.
+		// This node was paused for so long that the absence of messages is no evidence
+		// that other nodes have failed.
 		m.lastTick = m.now
 		m.detector.restartTimers(m.now)
 		m.self.monitors.restartTimers(m.now)
@@ -191,9 +196,9 @@
 	m.self.endIfFenced(m.now)
 }
 
-// merge joins a received record into the table. A record of this node that this process
-// hasn't published shows that an earlier process of the node did, or that an operator
-// removed this one: then this node goes on under a later incarnation.
+// merge merges a received record into the table. If the record is of this node and newer
+// than all that this process has published, an earlier process of the node or an operator's
+// Remove created it. In that case this node continues under a later incarnation.
 func (m *Machine) merge(record Record) {
 	switch id := record.Info.ID; {
 	case id == "":
@@ -204,8 +209,8 @@
 	}
 }
 
-// onHeartbeat acknowledges a heartbeat, and compares the sender's table with this node's.
-// A node that has left replies with its own record instead.
+// onHeartbeat acknowledges a heartbeat and compares the sender's table digest with this
+// node's. A node that has left replies with its own record instead.
 func (m *Machine) onHeartbeat(msg Message) {
 	if m.self.fence.left {
 		m.outbox.reply(msg, Message{Type: MessageGossip, Records: []Record{m.table.selfRecord().clone()}})
@@ -216,16 +221,16 @@
 	}
 }
 
-// sendDueHeartbeats sends a round of heartbeats if one is due, and probes now and then
-// after it.
+// sendDueHeartbeats sends a round of heartbeats if one is due, and after some rounds also
+// probes.
 func (m *Machine) sendDueHeartbeats() {
 	if sent := m.self.sendDueHeartbeats(m.now); sent {
 		m.prober.onHeartbeatRound()
 	}
 }
 
-// flush adds gossip if some is due, and returns all messages to send. A node that left
-// passes on at once what it still hears.
+// flush adds the gossip that is due and returns all messages to send. A node that has left
+// forwards the updates that it still receives without delay.
 func (m *Machine) flush() []Outbound {
 	m.gossip.sendPending(m.now, m.self.fence.left)
 	return m.outbox.take()
--- a/pkg/membership/member_table.go
+++ b/pkg/membership/member_table.go
@@ -22,7 +22,8 @@
 	monitored idSet
 	// fenced are the members whose newest incarnation is certainly fenced.
 	fenced idSet
-	// digest sums the digests of all records, and buckets those of each key range.
+	// digest is the sum of the digests of all records, and buckets contains the sum for
+	// each key range.
 	digest  uint64
 	buckets [bucketCount]uint64
 	// forgotten holds the newest incarnation, which has ended, of each member whose
@@ -32,24 +33,24 @@
 	// added.
 	changedAt time.Duration
 	grownAt   time.Duration
-	// stabilizationWait is how long no member must have been added for the table to be
-	// stable.
+	// stabilizationWait is how long no member must have been added for the table to count
+	// as stable.
 	stabilizationWait time.Duration
 	observers         []tableObserver
 }
 
-// tableObserver learns at once of each record that a merge added or changed.
+// tableObserver is notified synchronously of each record that a merge added or changed.
 type tableObserver interface {
 	recordChanged(now time.Duration, id member.ID, change tableChange)
 }
 
-// entry is one record and what this node derived from it.
+// entry is a record with the values that this node derives from it.
 type entry struct {
 	record Record
 	// key and digest represent the member and its record in summaries.
 	key    uint32
 	digest uint64
-	// incarnationSince is when this node learnt of the member's newest incarnation,
+	// incarnationSince is when this node learned of the member's newest incarnation,
 	// or that the member left.
 	incarnationSince time.Duration
 	// fencedSince is when forgetFenced first found the member fenced; valid if
@@ -58,7 +59,7 @@
 	seenFenced  bool
 }
 
-// tableChange tells what a merge changed of one member's record.
+// tableChange describes what a merge changed in one member's record.
 type tableChange struct {
 	newMember      bool
 	newIncarnation bool
@@ -75,7 +76,7 @@
 	}
 }
 
-// merge joins a record into the table, and tells the observers if that changed the table.
+// merge merges a record into the table, and notifies the observers if the table changed.
 func (t *memberTable) merge(now time.Duration, record Record) {
 	change, changed := t.mergeUnobserved(now, record)
 	if !changed {
@@ -86,8 +87,9 @@
 	}
 }
 
-// mergeUnobserved is merge without the observers. It returns false if the table stays the same: the
-// record is not newer, or belongs to a forgotten incarnation.
+// mergeUnobserved merges a record without notifying the observers. It returns false if the
+// table didn't change, because the record adds nothing new or belongs to a forgotten
+// incarnation.
 func (t *memberTable) mergeUnobserved(now time.Duration, record Record) (tableChange, bool) {
 	id := record.Info.ID
 	if ended, forgotten := t.forgotten[id]; forgotten && record.Info.Incarnation <= ended {
@@ -136,14 +138,14 @@
 	t.grownAt = now
 }
 
-// updateIndexes updates the sets that depend on an entry's record.
+// updateIndexes updates the index sets that depend on an entry's record.
 func (t *memberTable) updateIndexes(id member.ID, e *entry) {
 	t.monitored.set(id, e.record.namesMonitor(t.self))
 	t.fenced.set(id, e.record.certainlyFenced())
 }
 
-// forgetFenced drops the other members that have been fenced for at least the given
-// time, keeps only their last incarnation, and returns them.
+// forgetFenced drops the records of other members that have been certainly fenced for at
+// least the given time, and returns these members. Only their last incarnation is kept.
 func (t *memberTable) forgetFenced(now, after time.Duration) []member.ID {
 	var dropped []member.ID
 	for _, id := range slices.Clone(t.fenced) {
@@ -175,18 +177,19 @@
 	t.ring.remove(id)
 }
 
-// isStable tells whether no member has been added lately, so that this node's neighbours
-// on the ring are likely to stay.
+// isStable reports whether no member has been added recently, so that this node's successors
+// on the ring are unlikely to change.
 func (t *memberTable) isStable(now time.Duration) bool {
 	return now-t.grownAt >= t.stabilizationWait
 }
 
-// assumeStable spares the stabilization wait where no more members are expected.
+// assumeStable makes the table count as stable without the stabilization wait. It is called
+// when no further members are expected.
 func (t *memberTable) assumeStable(now time.Duration) {
 	t.grownAt = now - t.stabilizationWait
 }
 
-// selfRecord returns this node's record, which is present from New on.
+// selfRecord returns this node's record. New adds the record, and it is never dropped.
 func (t *memberTable) selfRecord() *Record {
 	return &t.entries[t.self].record
 }
@@ -200,7 +203,7 @@
 	return e.record.Info.Address, true
 }
 
-// copyRecords returns all records in the order of their IDs, without shared memory.
+// copyRecords returns deep copies of all records, sorted by ID.
 func (t *memberTable) copyRecords() []Record {
 	records := make([]Record, 0, len(t.sortedIDs))
 	for _, id := range t.sortedIDs {
@@ -209,15 +212,15 @@
 	return records
 }
 
-// isAlone tells whether this node knows of no other member that may be running.
+// isAlone reports whether all other members in the table, if any, are certainly fenced.
 func (t *memberTable) isAlone() bool {
 	return !slices.ContainsFunc(t.sortedIDs, func(id member.ID) bool {
 		return id != t.self && !t.entries[id].record.certainlyFenced()
 	})
 }
 
-// isOrphaned tells whether so many monitors of a member are not alive that a
-// running member would have replaced them by now.
+// isOrphaned reports whether so many of a member's monitors are not alive that the member, if
+// it were running, would already have replaced them.
 func (t *memberTable) isOrphaned(record *Record) bool {
 	lost := 0
 	for _, id := range record.Monitors {
--- a/pkg/membership/monitor_selector.go
+++ b/pkg/membership/monitor_selector.go
@@ -7,45 +7,49 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// unresponsiveBackoffFencePeriods is for how many FenceAfter periods a peer that left
-// heartbeats unanswered isn't tried again as a monitor.
+// unresponsiveBackoffFencePeriods is the number of FenceAfter periods for which a peer that
+// left heartbeats unanswered isn't tried again as a monitor.
 const unresponsiveBackoffFencePeriods = 5
 
-// recordResendRounds is for how many heartbeat rounds a peer may leave heartbeats
-// unanswered before they contain this node's record again.
+// recordResendRounds is the number of heartbeat rounds for which a peer may leave heartbeats
+// unanswered before the heartbeats to it contain this node's record again.
 const recordResendRounds = 2
 
-// monitorSelector chooses this node's monitors: the successors on the ring that
-// respond to heartbeats, spread over the zones. It owns what this node knows of the
-// peers that it sends heartbeats to.
+// monitorSelector chooses this node's monitors: the successors on the ring that respond to
+// heartbeats, spread over the zones. It owns the state of the peers to which this node sends,
+// or sent, heartbeats.
 type monitorSelector struct {
 	config Config
 	table  *memberTable
 	peers  map[member.ID]*peer
 }
 
-// peer is a node that gets, or got, heartbeats from this one. What it acknowledged
-// refers to this node's present incarnation.
+// peer is a node to which this node sends, or sent, heartbeats. Its acknowledgements are
+// those of this node's present incarnation.
 type peer struct {
-	// targeted tells whether heartbeats go to the peer now, and targetedSince since
-	// when.
+	// targeted reports whether this node now sends heartbeats to the peer. targetedSince
+	// is when it began to, or when the peer's timer was last restarted.
 	targeted      bool
 	targetedSince time.Duration
-	// acknowledged tells whether the peer acknowledged a heartbeat since
-	// targetedSince, and lastContact is when the newest such heartbeat was sent.
+	// acknowledged reports whether the peer has acknowledged a heartbeat of the present
+	// incarnation since it became a target. lastContact is when this node sent the newest
+	// heartbeat of the incarnation that the peer acknowledged as a target.
 	acknowledged bool
 	lastContact  time.Duration
 	// boot is the incarnation with which the peer's process started.
 	boot member.Incarnation
-	// timedOutVersion is the newest monitor set version that the peer reported.
+	// timedOutVersion is the newest monitor set version that the peer reported as timed
+	// out.
 	timedOutVersion uint64
 	// reportedSetVersion is the monitor set version in the peer's newest reply.
 	reportedSetVersion uint64
-	// avoidUntil is until when the peer, having been unresponsive, isn't chosen.
+	// avoidUntil is the time before which the peer, unless it is targeted, counts as
+	// unresponsive, because it left heartbeats unanswered.
 	avoidUntil time.Duration
 }
 
-// lastHeard is when the peer last showed that it responds, or began to be targeted.
+// lastHeard returns the time of the last contact with the peer, or targetedSince if that is
+// later.
 func (p *peer) lastHeard() time.Duration {
 	if p.acknowledged {
 		return max(p.targetedSince, p.lastContact)
@@ -53,8 +57,9 @@
 	return p.targetedSince
 }
 
-// reset forgets what the peers acknowledged to an earlier incarnation. A peer that
-// seems lost is not waited for again.
+// reset clears the peers' acknowledgements, which an earlier incarnation got. A peer that is
+// unresponsive at this time is no longer targeted and is avoided, so that the new incarnation
+// doesn't wait for it again.
 func (s *monitorSelector) reset(now time.Duration) {
 	for _, p := range s.peers {
 		if p.targeted && now-p.lastHeard() >= s.config.unresponsiveAfter() {
@@ -69,7 +74,7 @@
 	}
 }
 
-// restartTimers grants every peer the full time to respond again.
+// restartTimers gives every peer the full time to respond again.
 func (s *monitorSelector) restartTimers(now time.Duration) {
 	for _, p := range s.peers {
 		p.targetedSince = now
@@ -81,13 +86,13 @@
 	delete(s.peers, id)
 }
 
-// isPeer tells whether a node is a peer.
+// isPeer reports whether this node sends, or sent, heartbeats to a node.
 func (s *monitorSelector) isPeer(id member.ID) bool {
 	_, known := s.peers[id]
 	return known
 }
 
-// acknowledge takes in a peer's reply to a heartbeat that was sent at sentAt.
+// acknowledge records a peer's reply to a heartbeat that was sent at sentAt.
 func (s *monitorSelector) acknowledge(reply Message, sentAt time.Duration) {
 	p := s.peers[reply.From.ID]
 	p.boot = reply.Boot
@@ -99,9 +104,9 @@
 	}
 }
 
-// choose returns the members to use as monitors, sorted. It prefers responsive ones
-// and takes others only if there are too few: a node that nobody acknowledges must
-// stay fenced.
+// choose returns the members to use as monitors, sorted by ID. It prefers responsive members
+// and adds unresponsive ones only if there are too few: a set that left them out could be so
+// small that it can't fence this node, and a node that nobody acknowledges must stay fenced.
 func (s *monitorSelector) choose(now time.Duration) []member.ID {
 	count := s.config.MonitorCount
 	responsive := monitorChoice{count: count}
@@ -126,8 +131,9 @@
 	return chosen
 }
 
-// isResponsive tells whether a member acknowledges heartbeats, or hasn't had the time
-// to. A peer found unresponsive is avoided for a while.
+// isResponsive reports whether a member acknowledges heartbeats or hasn't had the time to do
+// so. A member that gets no heartbeats counts as responsive if it seems reachable and isn't
+// avoided. A targeted peer that is found to be unresponsive is avoided for some time.
 func (s *monitorSelector) isResponsive(now time.Duration, record *Record) bool {
 	p, known := s.peers[record.Info.ID]
 	if !known || !p.targeted {
@@ -143,12 +149,13 @@
 	return false
 }
 
+// avoidUntil returns until when to avoid a peer that is found to be unresponsive at now.
 func (s *monitorSelector) avoidUntil(now time.Duration) time.Duration {
 	return now + unresponsiveBackoffFencePeriods*s.config.FenceAfter
 }
 
-// target directs heartbeats to the chosen members and to the monitors of all declared
-// sets, and to nobody else. It tells whether one of them got none before.
+// target makes the chosen members and the monitors of all declared sets the targets of
+// heartbeats. It reports whether a target was added.
 func (s *monitorSelector) target(now time.Duration, chosen []member.ID, declared []monitorSet) bool {
 	targets := slices.Clone(chosen)
 	for _, set := range declared {
@@ -176,7 +183,7 @@
 	return added
 }
 
-// targets returns the peers that get heartbeats, sorted.
+// targets returns the peers that get heartbeats, sorted by ID.
 func (s *monitorSelector) targets() []member.ID {
 	var ids []member.ID
 	for id, p := range s.peers {
@@ -188,8 +195,8 @@
 	return ids
 }
 
-// heartbeat returns the heartbeat for a target. It contains this node's record unless
-// the peer's newest reply shows that the peer has it. A peer that stopped replying gets
+// heartbeat returns the heartbeat for a target. It contains this node's record unless the
+// peer's newest reply shows that the peer has the record. A peer that stopped replying gets
 // the record again, since it may have restarted without a table.
 func (s *monitorSelector) heartbeat(now time.Duration, to member.ID, sequence uint64) Message {
 	p := s.peers[to]
@@ -205,9 +212,10 @@
 	}
 }
 
-// hasSelfRecord tells whether a peer has this node's present record. A peer replies
-// only to the incarnation in its own table, and within an incarnation the record
-// changes with the monitor set version alone, apart from reports.
+// hasSelfRecord reports whether a peer has this node's present record. It compares only the
+// monitor set version, because a peer acknowledges only the incarnation in its own table, and
+// within an incarnation the record changes only with that version, apart from reports. While
+// the record contains reports, or the peer's last contact is too old, the result is false.
 func (s *monitorSelector) hasSelfRecord(now time.Duration, p *peer) bool {
 	self := s.table.selfRecord()
 	return p.acknowledged &&
@@ -216,9 +224,10 @@
 		len(self.TimeoutReports) == 0
 }
 
-// newSet returns a set of the chosen monitors, to be declared now. If it replaces
-// another set, its contacts count from its declaration, which is safe: a monitor
-// reports FenceAfter+FenceMargin after it learnt of the set at the earliest.
+// newSet returns a set of the chosen monitors, to be declared now. If it replaces another
+// set, the monitors' last contacts are set to the time of the declaration. This is safe,
+// because a monitor reports a member no sooner than FenceAfter+FenceMargin after it learned
+// of the set.
 func (s *monitorSelector) newSet(now time.Duration, chosen []member.ID, replaces bool) monitorSet {
 	set := monitorSet{
 		monitors:             chosen,
@@ -243,7 +252,8 @@
 	return set
 }
 
-// allResponsive tells whether each chosen member acknowledged a recent heartbeat.
+// allResponsive reports whether each chosen member acknowledged a heartbeat that was sent
+// within unresponsiveAfter.
 func (s *monitorSelector) allResponsive(now time.Duration, chosen []member.ID) bool {
 	for _, id := range chosen {
 		p := s.peers[id]
@@ -254,8 +264,8 @@
 	return true
 }
 
-// isHealthy tells whether all monitors of a set respond and count, and none suspects
-// this node.
+// isHealthy reports whether all monitors of a set respond, their acknowledgements count, and
+// no monitor reported this node.
 func (s *monitorSelector) isHealthy(now time.Duration, set *monitorSet) bool {
 	for i, id := range set.monitors {
 		e, known := s.table.entries[id]
@@ -266,8 +276,8 @@
 	return !s.table.selfRecord().isSuspected()
 }
 
-// needsReplacement tells whether the declared set differs from the chosen one, has a
-// monitor whose acknowledgements no longer count, or has one that suspects this node.
+// needsReplacement reports whether the declared set differs from the chosen one, or has a
+// monitor whose acknowledgements no longer count or that reported this node.
 func (s *monitorSelector) needsReplacement(set *monitorSet, chosen []member.ID) bool {
 	if !slices.Equal(set.monitors, chosen) {
 		return true
@@ -280,8 +290,8 @@
 	return s.table.selfRecord().isSuspected()
 }
 
-// acknowledgementsVoid tells whether acknowledgements of a set's monitor no longer
-// count: it runs as another process, or reported the set.
+// acknowledgementsVoid reports whether acknowledgements of a set's monitor no longer count:
+// the monitor runs as another process than the set names, or it reported the set.
 func (s *monitorSelector) acknowledgementsVoid(set *monitorSet, position int) bool {
 	p := s.peers[set.monitors[position]]
 	return p.boot != set.boots[position] || p.timedOutVersion >= set.version
--- a/pkg/membership/network_test.go
+++ b/pkg/membership/network_test.go
@@ -12,7 +12,7 @@
 
 const tickEvery = 50 * time.Millisecond
 
-// node is one machine of the virtual network and the process on it.
+// node is a host of the simulated network and the process that runs on it.
 type node struct {
 	id          member.ID
 	zone        string
@@ -23,8 +23,8 @@
 	rate        float64
 	process     int
 	left        bool
-	// checkedTable and checkedDeadline are the digest and the fence deadline at the last
-	// check of this process.
+	// checkedTable and checkedDeadline are the table digest and the fence deadline at the
+	// last check of this process; valid if checked is set.
 	checked         bool
 	checkedTable    uint64
 	checkedDeadline time.Duration
@@ -32,7 +32,7 @@
 
 func (n *node) isRunning() bool { return n.machine != nil && !n.frozen }
 
-// event is the delivery of a message or, without one, a tick.
+// event is the delivery of a message, or a tick if message is nil.
 type event struct {
 	at      time.Duration
 	order   int
@@ -61,8 +61,8 @@
 
 type link struct{ from, to string }
 
-// network runs machines on a virtual clock, and checks after each event that
-// no member serves that somebody counts as certainly fenced.
+// network runs the nodes' machines on a virtual clock. After each event it checks that no
+// serving member is certainly fenced according to any node.
 type network struct {
 	random     *rand.Rand
 	config     membership.Config
@@ -78,10 +78,10 @@
 	latency    time.Duration
 	jitter     time.Duration
 	violations []string
-	// incarnationsMayDecrease lets incarnations decrease from one process to the next, a case in
-	// which IncarnationEnded guarantees nothing.
+	// incarnationsMayDecrease lets a process start with a smaller incarnation than the
+	// node's earlier process. IncarnationEnded guarantees nothing in this case.
 	incarnationsMayDecrease bool
-	// onSend, if set, sees each message that a node sends.
+	// onSend, if set, is called for each message that a node sends.
 	onSend func(from string, out membership.Outbound)
 }
 
@@ -105,7 +105,7 @@
 	return n.offset + time.Duration(float64(net.now)*n.rate)
 }
 
-// start runs a new process, whose clock starts at a random time.
+// start starts a new process on a node. The clock of the process starts at a random time.
 func (net *network) start(name string, seeds ...string) {
 	n := net.nodes[name]
 	n.incarnation += 1000
@@ -168,7 +168,7 @@
 	net.push(event{at: at, to: to, from: from, message: &msg})
 }
 
-// runUntil handles all events up to the instant.
+// runUntil handles all events up to the given time and sets the clock to it.
 func (net *network) runUntil(until time.Duration) {
 	for len(net.queue) > 0 && net.queue[0].at <= until {
 		e := heap.Pop(&net.queue).(event)
@@ -194,7 +194,7 @@
 		return
 	}
 	if n.frozen {
-		// Frames wait in the socket until the process runs again.
+		// Messages to a frozen process stay in the socket buffer until it runs again.
 		net.push(event{at: net.now + tickEvery, to: e.to, from: e.from, message: e.message})
 		return
 	}
@@ -210,8 +210,9 @@
 	return n.machine != nil && !n.machine.Fenced(net.clock(n))
 }
 
-// unchanged tells whether the table and the fence deadline are those of the last check.
-// Then this node has become certain of nothing new, and serves only if it did then.
+// unchanged reports whether the table and the fence deadline are the same as at the last
+// check. If so, this node hasn't become certain of a further fence since, and it serves now
+// only if it served then.
 func (n *node) unchanged() bool {
 	table, deadline := n.machine.Digest(), n.machine.FenceDeadline()
 	same := n.checked && table == n.checkedTable && deadline == n.checkedDeadline
@@ -219,8 +220,8 @@
 	return same
 }
 
-// check compares a node that changed with all others: it may have become certain of
-// another's fence, or may have begun to serve.
+// check compares a node that changed with all other nodes: the changed node may have become
+// certain of another node's fence, or may have begun to serve.
 func (net *network) check(changed string) {
 	n := net.nodes[changed]
 	if n.unchanged() {
@@ -245,6 +246,6 @@
 	seen, _ := observer.machine.Incarnation(subject.id)
 	certain := observer.machine.CertainlyFenced(subject.id) && seen == incarnation
 	if certain || !net.incarnationsMayDecrease && observer.machine.IncarnationEnded(subject.id, incarnation) {
-		net.violations = append(net.violations, fmt.Sprintf("%v: %s is certain that %s@%d is fenced, but it serves", net.now, observer.id, subject.id, incarnation))
+		net.violations = append(net.violations, fmt.Sprintf("%v: %s considers %s@%d certainly fenced or ended, but it serves traffic", net.now, observer.id, subject.id, incarnation))
 	}
 }
--- a/pkg/membership/prober.go
+++ b/pkg/membership/prober.go
@@ -5,24 +5,24 @@
 // roundsPerProbe is the number of heartbeat rounds from one probe to the next.
 const roundsPerProbe = 5
 
-// prober compares this node's table now and then with nodes that neither heartbeats nor
-// gossip reach: a random member, a fenced one, and a vacant seed. So the two sides of a
-// healed partition, or members that all restarted at once, find each other again. It owns
-// the turns.
+// prober sends digests of this node's table at intervals to nodes that heartbeats and gossip
+// may not reach: a random member, a certainly fenced member, and a vacant seed. So the two
+// sides of a healed partition, or members that all restarted at once, discover each other
+// again. It owns the schedule of the probes.
 type prober struct {
 	table   *memberTable
 	sampler *sampler
 	joiner  *joiner
 	outbox  *outbox
-	// heartbeatRounds counts the rounds of heartbeats that this node has sent. Each
-	// roundsPerProbe-th one is followed by probes.
+	// heartbeatRounds counts the rounds of heartbeats that this node has sent. Probes
+	// follow every roundsPerProbe-th round.
 	heartbeatRounds uint64
-	// fencedCursor counts the fenced members that nextFenced has looked at, so that it
-	// goes on after the last one.
+	// fencedCursor counts the fenced members that nextFenced has examined, so that the
+	// next call continues after the last one.
 	fencedCursor int
 }
 
-// onHeartbeatRound sends the probes that are due.
+// onHeartbeatRound counts a round of heartbeats and sends the probes that are due after it.
 func (p *prober) onHeartbeatRound() {
 	p.heartbeatRounds++
 	if p.heartbeatRounds%roundsPerProbe != 0 {
@@ -31,8 +31,8 @@
 	if id := p.sampler.randomMember(); id != "" {
 		p.outbox.send(id, Message{Type: MessageGossip})
 	}
-	// A fenced member that starts again may know nobody but others that did so
-	// together with it.
+	// A fenced member that has started again may know only members that started at the
+	// same time.
 	if id := p.nextFenced(); id != "" {
 		p.outbox.send(id, Message{Type: MessageGossip})
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// nextFenced returns the other members that are certainly fenced and haven't left, one
-// with each call, or "" if there is none.
+// nextFenced cycles through the other members that are certainly fenced and haven't left: it
+// returns the next one with each call, or "" if there is none.
 func (p *prober) nextFenced() member.ID {
 	fenced := p.table.fenced
 	for range fenced {
--- a/pkg/membership/queries.go
+++ b/pkg/membership/queries.go
@@ -6,21 +6,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Fenced tells whether this node must refuse traffic at now. After the node has been
-// fenced, FenceCount has grown before Fenced is false again.
+// Fenced reports whether this node must refuse traffic at now. After the node has been
+// fenced, FenceCount grows before Fenced returns false again.
 func (m *Machine) Fenced(now time.Duration) bool {
 	return m.self.fence.isFenced(now)
 }
 
-// FenceDeadline returns the instant at which Fenced becomes true unless more
-// acknowledgements come; Never if nothing can fence this node.
+// FenceDeadline returns the instant at which Fenced becomes true unless monitors acknowledge
+// further heartbeats. It returns Never if the node can't be fenced.
 func (m *Machine) FenceDeadline() time.Duration {
 	return m.self.fence.deadline
 }
 
 // FenceCount returns how many incarnations of this process have ended. Each time that
-// the count grows, the node may serve again only after it registered its present
-// incarnation and learnt the current revision.
+// the count grows, the node may serve again only after it has registered its present
+// incarnation and learned the current revision.
 func (m *Machine) FenceCount() uint64 {
 	return m.self.fence.endedCount
 }
@@ -30,8 +30,9 @@
 	return m.table.copyRecords()
 }
 
-// Records returns what Members does, but shares memory with the table: the caller may
-// only read it, and only until the next input.
+// Records returns the same records as Members without copying them. They share memory with
+// the table: the caller may only read them, and only until its next call of a method that
+// changes the Machine.
 func (m *Machine) Records() []Record {
 	records := make([]Record, 0, len(m.table.sortedIDs))
 	for _, id := range m.table.sortedIDs {
@@ -43,21 +44,21 @@
 // Size returns the number of members in the table, this node included.
 func (m *Machine) Size() int { return len(m.table.sortedIDs) }
 
-// Digest summarises the table: it changes whenever a record does. It spares
-// callers that follow the table a copy of it.
+// Digest returns a hash of the table, which changes whenever a record changes. Callers
+// compare it to detect changes without copying the table.
 func (m *Machine) Digest() uint64 { return m.table.digest }
 
-// Alive tells whether nothing suggests that the member has failed: no monitor reports
-// it, and it has monitors left that would. A false suspicion ends within about a round
-// trip.
+// Alive reports whether nothing suggests that the member has failed: no monitor reported
+// it, and not so many of its monitors have failed that a running member would have replaced
+// them. A false suspicion ends within about one round trip.
 func (m *Machine) Alive(id member.ID) bool {
 	e, known := m.table.entries[id]
 	return known && e.record.State == StateAlive && !m.table.isOrphaned(&e.record)
 }
 
-// CertainlyFenced tells whether the member's incarnation that Incarnation returns
-// refuses traffic now and for ever, or left. A later incarnation of the same member
-// may serve.
+// CertainlyFenced reports whether the member, in the incarnation that Incarnation returns,
+// has left or will refuse traffic for the rest of that incarnation. A later incarnation of
+// the same member may serve.
 func (m *Machine) CertainlyFenced(id member.ID) bool {
 	e, known := m.table.entries[id]
 	if !known {
@@ -67,8 +68,8 @@
 	return e.record.certainlyFenced()
 }
 
-// IncarnationEnded tells whether the given incarnation of a member certainly serves no
-// more: it is fenced for certain, it left, or a later one has begun.
+// IncarnationEnded reports whether the given incarnation of a member will certainly not serve
+// again: it is certainly fenced, it left, or a later incarnation has begun.
 func (m *Machine) IncarnationEnded(id member.ID, incarnation member.Incarnation) bool {
 	newest, known := m.Incarnation(id)
 	if !known || incarnation > newest {
@@ -77,10 +78,10 @@
 	return incarnation < newest || m.CertainlyFenced(id)
 }
 
-// FormerIncarnationQuiesced tells whether all that the member sent in incarnations that
-// it ended itself, by leaving or by beginning a later one, has arrived by now: it is
-// FenceMargin since this node learnt of that. A fence that monitors are certain of
-// includes that time.
+// FormerIncarnationQuiesced reports whether all messages have arrived that the member sent
+// in incarnations that it ended itself, by leaving or by beginning a later one. They count as
+// arrived FenceMargin after this node learned of that end. A fence that follows from
+// monitors' reports needs no such wait, because it includes FenceMargin.
 func (m *Machine) FormerIncarnationQuiesced(id member.ID) bool {
 	e, known := m.table.entries[id]
 	return !known || m.now-e.incarnationSince >= m.config.FenceMargin
--- a/pkg/membership/random_faults_test.go
+++ b/pkg/membership/random_faults_test.go
@@ -14,10 +14,12 @@
 )
 
 const (
-	// defaultSeeds is what seedsSetting in the environment replaces in long runs.
+	// defaultSeeds is the number of seeds unless the environment variable seedsSetting
+	// gives another one, as for long runs.
 	defaultSeeds = 300
 	seedsSetting = "MEMBERSHIP_SEEDS"
-	fleetSeeds   = 20
+	// fleetSeeds is the number of seeds of the tests with 17 nodes.
+	fleetSeeds = 20
 )
 
 func seedCount() uint64 {
@@ -29,7 +31,7 @@
 }
 
 var _ = Describe("random faults", func() {
-	It("never counts a serving member as certainly fenced", func() {
+	It("never lets any node consider a serving member certainly fenced, and ends with all nodes serving and equal tables", func() {
 		for seed := range seedCount() {
 			net := randomFleet(seed)
 			net.injectFaults(20 * time.Second)
@@ -38,11 +40,11 @@
 			net.runUntil(net.now + 8*time.Second)
 			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
 			net.expectAllServing(fmt.Sprintf("seed %d", seed))
-			Expect(net.distinctTables()).To(Equal(1), "seed %d: one table everywhere", seed)
+			Expect(net.distinctTables()).To(Equal(1), "seed %d: number of distinct tables after the faults", seed)
 		}
 	})
 
-	It("would report clocks that differ by more than the margin", func() {
+	It("detects violations if clocks differ in rate by more than the margin allows", func() {
 		reported := 0
 		for seed := range uint64(50) {
 			net := randomFleet(seed)
@@ -55,14 +57,14 @@
 		Expect(reported).To(BeNumerically(">", 0))
 	})
 
-	DescribeTable("17 nodes of which some are lost at once: certainty everywhere in time",
+	DescribeTable("makes lost members certainly fenced on all other nodes within 1.7 s when some of 17 nodes are lost at once",
 		func(monitorCount int, maxOutage time.Duration, victims func(net *network) []string) {
 			for seed := range uint64(fleetSeeds) {
 				net := newNetwork(seed)
 				net.config.MonitorCount = monitorCount
 				net.startFleet(17, 4)
 				net.runUntil(4 * time.Second)
-				net.expectAllServing("before")
+				net.expectAllServing("before the loss")
 				lost := victims(net)
 				for _, name := range lost {
 					net.kill(name)
@@ -74,10 +76,10 @@
 				Expect(net.violations).To(BeEmpty())
 			}
 		},
-		Entry("one", 3, time.Duration(0), randomVictims(1)),
-		Entry("two", 3, 300*time.Millisecond, randomVictims(2)),
-		Entry("two, with five monitors", 5, time.Duration(0), randomVictims(2)),
-		Entry("a zone", 3, time.Duration(0), zoneVictims),
+		Entry("one node, no outage of others", 3, time.Duration(0), randomVictims(1)),
+		Entry("two nodes, outages of others of at most 300 ms", 3, 300*time.Millisecond, randomVictims(2)),
+		Entry("two nodes, with five monitors, no outage of others", 5, time.Duration(0), randomVictims(2)),
+		Entry("all nodes of one zone, no outage of others", 3, time.Duration(0), zoneVictims),
 	)
 })
 
@@ -107,8 +109,8 @@
 	return lo.Filter(net.names, func(name string, _ int) bool { return net.nodes[name].zone == "z1" })
 }
 
-// longestOutage runs the network for a duration and returns the longest uninterrupted time
-// for which a running node was fenced.
+// longestOutage runs the network for the given duration and returns the longest uninterrupted
+// time for which a running node was fenced.
 func (net *network) longestOutage(duration time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	outages := map[string]time.Duration{}
@@ -129,7 +131,7 @@
 func (net *network) expectCertainlyFenced(lost []string, seed uint64) {
 	for _, pair := range lo.CrossJoin2(lo.Without(net.names, lost...), lost) {
 		machine, dead := net.nodes[pair.A].machine, member.ID(pair.B)
-		Expect(machine.CertainlyFenced(dead)).To(BeTrue(), "seed %d: %s of %s", seed, pair.A, dead)
+		Expect(machine.CertainlyFenced(dead)).To(BeTrue(), "seed %d: %s considers %s certainly fenced", seed, pair.A, dead)
 		Expect(machine.Alive(dead)).To(BeFalse())
 	}
 }
@@ -148,7 +150,7 @@
 	return net
 }
 
-// injectFaults injects a random fault every now and then for a duration.
+// injectFaults injects random faults at random intervals for the given duration.
 func (net *network) injectFaults(duration time.Duration) {
 	until := net.now + duration
 	for net.now < until {
@@ -185,7 +187,7 @@
 	}
 }
 
-// endFaults ends all faults and starts the nodes that don't run.
+// endFaults ends all faults and starts a process on each node that is stopped or has left.
 func (net *network) endFaults() {
 	clear(net.blocked)
 	net.loss, net.duplicates, net.jitter = 0, 0, time.Millisecond
--- a/pkg/membership/ring.go
+++ b/pkg/membership/ring.go
@@ -9,14 +9,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ring lists the other members in the order in which they follow this node on a ring
-// of hashes.
+// ring lists the other members in the order in which they follow this node on a hash ring.
 type ring struct {
 	origin     uint64
 	successors []ringMember
 }
 
-// ringMember is a member and its distance from this node.
+// ringMember is a member and its distance from this node on the ring.
 type ringMember struct {
 	distance uint64
 	id       member.ID
@@ -31,8 +30,8 @@
 	return ring{origin: ringPosition(origin)}
 }
 
-// memberAt computes a member's distance. Unsigned subtraction wraps around, which closes
-// the ring.
+// memberAt returns a member with its distance. Unsigned subtraction wraps around, so the
+// distance is right also across the end of the hash range.
 func (r *ring) memberAt(id member.ID) ringMember {
 	return ringMember{distance: ringPosition(id) - r.origin, id: id}
 }
@@ -56,9 +55,9 @@
 	return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.id, b.id))
 }
 
-// monitorChoice collects monitors from candidates that are offered in ring order: first
-// the nearest one of each zone, then the nearest of the rest, so that the loss of a zone
-// takes as few monitors as possible.
+// monitorChoice selects monitors from candidates that are offered in ring order: first the
+// nearest candidate of each zone, then the nearest of the others, so that the loss of a zone
+// affects as few monitors as possible.
 type monitorChoice struct {
 	count int
 	// perZone are the nearest members of distinct zones.
@@ -67,7 +66,7 @@
 	rest []member.Info
 }
 
-// offer takes in the next candidate.
+// offer considers the next candidate in ring order.
 func (c *monitorChoice) offer(candidate member.Info) {
 	sameZone := func(chosen member.Info) bool { return chosen.Zone == candidate.Zone }
 	switch {
@@ -78,7 +77,7 @@
 	}
 }
 
-// complete tells whether no later candidate can be chosen.
+// complete reports whether the choice is final, so that no further candidate can be chosen.
 func (c *monitorChoice) complete() bool {
 	return len(c.perZone) == c.count
 }
--- a/pkg/membership/sampler.go
+++ b/pkg/membership/sampler.go
@@ -7,21 +7,22 @@
 )
 
 // sampler selects members for gossip, anti-entropy and probes. It owns the machine's
-// only random generator, so that a run repeats exactly for equal inputs.
+// only random number generator, so that equal inputs produce equal outputs.
 type sampler struct {
 	random *rand.Rand
 	self   member.Info
 	table  *memberTable
 }
 
-// newSampler seeds the generator by the node's ID and incarnation.
+// newSampler returns a sampler whose generator is seeded with the node's ID and incarnation.
 func newSampler(self member.Info, table *memberTable) *sampler {
 	source := rand.NewPCG(ringPosition(self.ID), uint64(self.Incarnation))
 	return &sampler{random: rand.New(source), self: self, table: table}
 }
 
-// shuffledLiveMembers returns the other members that may be running, those of this
-// node's zone and those of other zones, each in random order, and the number of zones.
+// shuffledLiveMembers returns the other members that may be running, those of this node's
+// zone and those of other zones, each in random order. zones is the number of zones in the
+// whole table.
 func (s *sampler) shuffledLiveMembers() (sameZone, otherZones []member.ID, zones int) {
 	seenZones := map[string]bool{}
 	for _, id := range s.table.sortedIDs {
@@ -41,7 +42,7 @@
 	return sameZone, otherZones, len(seenZones)
 }
 
-// randomMember draws another member that hasn't left, or returns "" if there is none.
+// randomMember returns a random other member that hasn't left, or "" if there is none.
 func (s *sampler) randomMember() member.ID {
 	ids := s.table.sortedIDs
 	first := s.random.IntN(len(ids))
@@ -54,7 +55,7 @@
 	return ""
 }
 
-// randomSeed draws one of the seeds, or returns "" if there is none.
+// randomSeed returns a random one of the seeds, or "" if there is none.
 func (s *sampler) randomSeed(seeds []string) string {
 	if len(seeds) == 0 {
 		return ""
--- a/pkg/membership/self_member.go
+++ b/pkg/membership/self_member.go
@@ -7,22 +7,22 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// A process that supersedes an earlier one skips minIncarnationSkip incarnations, and
-// up to incarnationSkipJitter more, drawn at random.
+// A process that supersedes another process of its node skips minIncarnationSkip incarnations
+// and a random number of up to incarnationSkipJitter more.
 const (
 	minIncarnationSkip    = 1 << 16
 	incarnationSkipJitter = 1 << 32
 )
 
-// selfMember is this node in its role as a member that others monitor: it sends heartbeats,
+// selfMember represents this node as a member that other nodes monitor: it sends heartbeats,
 // chooses and replaces its monitors, and ends an incarnation that was fenced. It owns the
-// fence, the log of sent heartbeats and the peers that get them, and is the only part that
-// publishes this node's record.
+// fence, the log of sent heartbeats and the peers that get heartbeats, and is the only
+// component that publishes this node's record.
 //
-// Its invariant: an incarnation that served and was fenced never serves again, since others
-// may be certain of that fence. Each input of Machine calls endIfFenced before anything
-// else, so that no acknowledgement that comes too late can move the deadline of such an
-// incarnation.
+// Its invariant: an incarnation that served and was fenced never serves again, since other
+// nodes may be certain of that fence. Each input of Machine calls endIfFenced before anything
+// else, so that an acknowledgement that arrives too late can't extend the deadline of such
+// an incarnation.
 type selfMember struct {
 	config Config
 	table  *memberTable
@@ -39,7 +39,7 @@
 	nextSkip time.Duration
 }
 
-// newSelfMember returns the part without an incarnation; startIncarnation begins one.
+// newSelfMember returns a selfMember without an incarnation; startIncarnation begins one.
 func newSelfMember(cfg Config, table *memberTable, joiner *joiner, sampler *sampler, outbox *outbox, now time.Duration) *selfMember {
 	return &selfMember{
 		config:        cfg,
@@ -67,8 +67,8 @@
 	s.nextHeartbeat = now
 }
 
-// startIncarnation starts a fenced incarnation without monitors. What monitors
-// acknowledged to the one before doesn't count for it.
+// startIncarnation starts a fenced incarnation without monitors. Acknowledgements of
+// heartbeats of earlier incarnations don't count for it.
 func (s *selfMember) startIncarnation(now time.Duration, number member.Incarnation) {
 	s.fence.begin(now, number)
 	s.heartbeats.clear()
@@ -81,15 +81,16 @@
 	s.table.merge(now, s.fence.nextRecord(s.config.Self))
 }
 
-// leave fences this node for good and publishes that.
+// leave fences this node permanently and publishes that it left.
 func (s *selfMember) leave(now time.Duration) {
 	s.fence.markLeft()
 	s.publishRecord(now)
 }
 
-// skipIncarnationsPast begins an incarnation so far after the given one that it doesn't
-// meet those of the earlier process that nobody here has heard of. If two processes
-// run under one ID, they outbid each other at most once in FenceAfter.
+// skipIncarnationsPast begins an incarnation far beyond the given one, so that it doesn't
+// collide with further incarnations of the earlier process of which this node hasn't learned.
+// If two processes run under one ID, each skips past the other's incarnation; the limit of
+// one skip per FenceAfter bounds the rate at which they do so.
 func (s *selfMember) skipIncarnationsPast(now time.Duration, incarnation member.Incarnation) {
 	if s.fence.left || now < s.nextSkip {
 		return
@@ -99,8 +100,8 @@
 	s.startNextIncarnation(now, incarnation+member.Incarnation(skip))
 }
 
-// sendDueHeartbeats sends one heartbeat to each target if a round is due, and returns
-// whether it was. A node that has left sends none.
+// sendDueHeartbeats sends one heartbeat to each target if a round is due, and reports whether
+// a round was due. A node that has left sends none.
 func (s *selfMember) sendDueHeartbeats(now time.Duration) bool {
 	if now < s.nextHeartbeat || s.fence.left {
 		return false
@@ -113,7 +114,7 @@
 	return true
 }
 
-// onHeartbeatReply counts an acknowledgement by the time at which its heartbeat was
+// onHeartbeatReply counts an acknowledgement as of the time at which its heartbeat was
 // sent. Replies to heartbeats of an earlier incarnation don't count.
 func (s *selfMember) onHeartbeatReply(now time.Duration, msg Message) {
 	sentAt, found := s.heartbeats.sentAt(msg.Sequence)
@@ -124,8 +125,8 @@
 	s.fence.acknowledge(now, msg, sentAt)
 }
 
-// maintainMonitorsAfter reconsiders the monitors when a message may allow a change
-// that is waited for.
+// maintainMonitorsAfter calls maintainMonitors if a message may allow a pending change of
+// the monitor set.
 func (s *selfMember) maintainMonitorsAfter(now time.Duration, msg Message) {
 	waiting := len(s.fence.monitorSets) != 1 || s.fence.isFenced(now)
 	if !s.fence.left && (waiting || msg.Type == MessageHeartbeatReply) {
@@ -134,9 +135,9 @@
 }
 
 // maintainMonitors declares a monitor set, replaces it, or begins a new incarnation if the
-// set can't be replaced in this one. A set is replaced only by one whose members all
-// respond, and not before the replacement before it is complete. No set is declared before
-// this node has joined.
+// set can't be replaced in this incarnation. A set is replaced only by a set whose monitors
+// all respond, and only after the previous replacement is complete. No set is declared
+// before this node has joined.
 func (s *selfMember) maintainMonitors(now time.Duration) {
 	if !s.joiner.joined || len(s.fence.monitorSets) > 1 {
 		return
@@ -160,16 +161,16 @@
 	case !ready || !s.monitors.needsReplacement(s.fence.newestSet(), chosen):
 		return
 	case s.fence.isFenced(now):
-		// The declared set can't be replaced without its majority.
+		// The declared set can only be replaced while a majority of it acknowledges.
 		s.startNextIncarnation(now, s.fence.number+1)
 	default:
 		s.declareMonitors(now, chosen)
 	}
 }
 
-// shouldDeferChoice tells whether the choice of monitors had better wait until the
-// table is stable: each new member may take another's place on the ring, and each new
-// set is an update to all. A set that may fail is replaced at once.
+// shouldDeferChoice reports whether the choice of monitors should wait until the table is
+// stable: each new member may change the successors on the ring, and each new set is an
+// update that all nodes receive. An unhealthy set is replaced without this wait.
 func (s *selfMember) shouldDeferChoice(now time.Duration) bool {
 	if s.table.isStable(now) {
 		return false
@@ -180,13 +181,13 @@
 	return !s.fence.isFenced(now) && s.monitors.isHealthy(now, s.fence.newestSet())
 }
 
-// monitorSearchTime is for how long this incarnation has looked for monitors: since its start, or
-// since the node joined if that was later.
+// monitorSearchTime returns for how long this incarnation has searched for monitors: since
+// its start, or since the node joined if that was later.
 func (s *selfMember) monitorSearchTime(now time.Duration) time.Duration {
 	return now - max(s.fence.startedAt, s.joiner.joinedAt)
 }
 
-// declareMonitors makes the chosen members the newest set of this incarnation.
+// declareMonitors declares the chosen members as the newest monitor set of this incarnation.
 func (s *selfMember) declareMonitors(now time.Duration, chosen []member.ID) {
 	replaces := len(s.fence.monitorSets) > 0
 	s.fence.declare(now, s.monitors.newSet(now, chosen, replaces))
--- a/pkg/membership/steady_state_test.go
+++ b/pkg/membership/steady_state_test.go
@@ -13,8 +13,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// heartbeatsWithRecord counts the heartbeats of one node in a duration, and those among
-// them that contained its record.
+// heartbeatsWithRecord runs the network for the given duration and counts the heartbeats that
+// a node sends, and those among them that contain its record.
 func (net *network) heartbeatsWithRecord(name string, duration time.Duration) (all, withRecord int) {
 	net.onSend = func(from string, out membership.Outbound) {
 		if from != name || out.Message.Type != membership.MessageHeartbeat {
@@ -28,7 +28,7 @@
 	return all, withRecord
 }
 
-// distinctTables counts the different tables of all running nodes.
+// distinctTables returns the number of different tables among all running nodes.
 func (net *network) distinctTables() int {
 	return len(lo.UniqBy(net.running(), func(n *node) uint64 { return n.machine.Digest() }))
 }
@@ -38,7 +38,7 @@
 }
 
 var _ = Describe("a fleet without faults", func() {
-	It("sends heartbeats without records", func() {
+	It("sends heartbeats without records once the monitors have them", func() {
 		net := fleetOf(1, 9, 3)
 		net.runUntil(4 * time.Second)
 		all, withRecord := net.heartbeatsWithRecord("n04", 2*time.Second)
@@ -46,7 +46,7 @@
 		Expect(withRecord).To(BeZero())
 	})
 
-	It("sends its record again to a monitor that restarted without a table, which soon acknowledges it", func() {
+	It("sends a node's record again to a monitor that restarted without a table, so that the node declares the new process as its monitor within 1 s", func() {
 		net := fleetOf(1, 9, 3)
 		net.runUntil(4 * time.Second)
 		monitor := recordOf(net, "n04").Monitors[0]
@@ -60,10 +60,11 @@
 		Expect(net.violations).To(BeEmpty())
 	})
 
-	It("converges on one table after many nodes start at once, despite message loss", func() {
-		// Later, some nodes return to monitors that had left heartbeats unanswered, so
-		// that tables differ for an instant. So the test waits for the first instant at
-		// which all agree, instead of checking a given one.
+	It("converges to equal tables after many nodes start at once, despite message loss", func() {
+		// Even after the faults, nodes that return to monitors which had left heartbeats
+		// unanswered change their records, so that tables differ for a short time.
+		// Therefore the test waits for the first time at which all tables are equal,
+		// instead of checking at a fixed time.
 		const step, bound = 50 * time.Millisecond, time.Second
 		for seed := range uint64(20) {
 			net := newNetwork(seed)
@@ -80,7 +81,7 @@
 		}
 	})
 
-	It("leaves a burst of updates to anti-entropy, which sends all of them in one message", func() {
+	It("leaves a bulk change to anti-entropy, which sends all records in one message", func() {
 		const joiners = 400
 		machine := membership.New(membership.Config{Self: member.Info{ID: "a", Incarnation: 1}}, 0)
 		from := member.Info{ID: "j000", Address: "j000"}
@@ -111,7 +112,7 @@
 		Expect(replies[0].Message.Records).To(HaveLen(joiners + 1))
 	})
 
-	It("repairs one differing record at little more than the cost of that record", func() {
+	It("transfers little more than the differing record to repair one difference", func() {
 		pair := newMachinePair(200)
 		pair.exchange()
 		Expect(pair.first.Digest()).To(Equal(pair.second.Digest()), "after the first exchange")
@@ -126,12 +127,12 @@
 	})
 })
 
-// newRecord returns the record of a member that doesn't run.
+// newRecord returns the record of a member without a machine.
 func newRecord(name string) membership.Record {
 	return membership.Record{Info: member.Info{ID: member.ID(name), Address: name, Zone: "other", Incarnation: 5}, State: membership.StateAlive, Version: 1}
 }
 
-// machinePair is two machines with separate tables that exchange records.
+// machinePair contains two machines, with initially different tables, that exchange records.
 type machinePair struct {
 	now           time.Duration
 	first, second *membership.Machine
@@ -156,8 +157,9 @@
 	return pair
 }
 
-// exchange lets the second machine notice that the first one's table differs, and delivers
-// their messages until none is left.
+// exchange sends a probe of the first machine to the second, ticks the second machine for
+// 1 s, and delivers the gossip that follows between them. It returns what the messages
+// contained.
 func (p *machinePair) exchange() exchangeCost {
 	var cost exchangeCost
 	p.now += 5 * time.Second
--- a/pkg/membership/table_digest.go
+++ b/pkg/membership/table_digest.go
@@ -17,14 +17,14 @@
 	allBuckets  = ^uint64(0)
 )
 
-// memberKey represents a member in summaries. Two members with one key are sent more
-// often than they need be.
+// memberKey returns the hash that identifies a member in summaries. If the keys of two
+// members collide, their records are sent more often than necessary.
 func memberKey(id member.ID) uint32 { return uint32(ringPosition(id) >> 32) }
 
 // bucketOf returns the key range of a member.
 func bucketOf(key uint32) int { return int(key >> (32 - bucketBits)) }
 
-// updateDigest takes a new or changed record into the digests.
+// updateDigest updates the digests for a new or changed record.
 func (t *memberTable) updateDigest(e *entry) {
 	digest := recordDigest(e.record)
 	t.digest += digest - e.digest
@@ -32,14 +32,14 @@
 	e.digest = digest
 }
 
-// removeFromDigest takes a record out of the digests.
+// removeFromDigest removes a record's digest from the digests of its key range and the table.
 func (t *memberTable) removeFromDigest(e *entry) {
 	t.digest -= e.digest
 	t.buckets[bucketOf(e.key)] -= e.digest
 	e.digest = 0
 }
 
-// bucketDigests returns the digests by key range, shortened for the wire.
+// bucketDigests returns the digests of the key ranges, truncated to 32 bits for the wire.
 func (t *memberTable) bucketDigests() []uint32 {
 	digests := make([]uint32, bucketCount)
 	for i, digest := range t.buckets {
@@ -63,7 +63,8 @@
 	return coveredBuckets>>bucketOf(e.key)&1 == 1
 }
 
-// equalRecords compares what the digest covers, plus addresses.
+// equalRecords reports whether two records agree in all that the digest covers, and in the
+// rest of Info (addresses, zone, HoldsState).
 func equalRecords(a, b Record) bool {
 	return a.Info == b.Info &&
 		a.Version == b.Version &&
@@ -71,8 +72,8 @@
 		slices.Equal(a.TimeoutReports, b.TimeoutReports)
 }
 
-// recordDigest hashes one record. The digest of a table is the sum of these, and so
-// doesn't depend on their order.
+// recordDigest returns the hash of one record. The digest of a table is the sum of its
+// records' digests, so it doesn't depend on the order of the records.
 func recordDigest(r Record) uint64 {
 	hash := xxhash.New()
 	writeString(hash, string(r.Info.ID))
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("the table", func() {
-	It("does not depend on the order in which records come", func() {
+	It("does not depend on the order in which records arrive", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		for range 300 {
 			records := randomRecords(random, 12)
@@ -23,7 +23,7 @@
 		}
 	})
 
-	DescribeTable("counts a time-out report only under the set and from the processes that the member named",
+	DescribeTable("counts a time-out report only if it is about the declared monitor set and from the monitor processes in it",
 		func(version uint64, firstBoot, secondBoot member.Incarnation, certain bool) {
 			record := randomRecords(rand.New(rand.NewPCG(1, 1)), 1)[0]
 			record.MonitorSetVersion = 2
@@ -33,13 +33,13 @@
 			}
 			Expect(mergedRecordOfX([]membership.Record{record}).State == membership.StateFenced).To(Equal(certain))
 		},
-		Entry("both", uint64(2), member.Incarnation(1), member.Incarnation(1), true),
-		Entry("one monitor restarted", uint64(2), member.Incarnation(1), member.Incarnation(9), false),
+		Entry("the declared set and processes", uint64(2), member.Incarnation(1), member.Incarnation(1), true),
+		Entry("another process of one monitor", uint64(2), member.Incarnation(1), member.Incarnation(9), false),
 		Entry("an earlier set", uint64(1), member.Incarnation(1), member.Incarnation(1), false),
-		Entry("a later set, not yet known", uint64(3), member.Incarnation(1), member.Incarnation(1), false),
+		Entry("a later set whose record isn't known yet", uint64(3), member.Incarnation(1), member.Incarnation(1), false),
 	)
 
-	It("keeps at most two reports of a monitor that restarts again and again", func() {
+	It("keeps at most two reports of a monitor that restarts repeatedly", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		record := randomRecords(random, 1)[0]
 		record.MonitorSetVersion = 2
@@ -59,7 +59,7 @@
 		}
 	})
 
-	It("grants a member the full time-out from when its new monitor set is learnt", func() {
+	It("restarts a member's time-out when its new monitor set becomes known", func() {
 		monitor := membership.New(membership.Config{Self: member.Info{ID: "m1", Incarnation: 1}}, 0)
 		record := membership.Record{
 			Info:              member.Info{ID: "x", Address: "x", Incarnation: 5},
@@ -83,7 +83,7 @@
 		Expect(reportedAt).To(Equal(2200 * time.Millisecond))
 	})
 
-	It("tells when all that a member sent in an ended incarnation has arrived", func() {
+	It("reports an ended incarnation as quiesced FenceMargin after its end became known", func() {
 		machine := membership.New(membership.Config{Self: member.Info{ID: "o", Incarnation: 1}}, 0)
 		record := membership.Record{Info: member.Info{ID: "x", Address: "x", Incarnation: 5}, Version: 1}
 		learn := func(now time.Duration) {
@@ -95,12 +95,12 @@
 			machine.Tick(from + membership.DefaultFenceMargin)
 			ExpectWithOffset(1, machine.FormerIncarnationQuiesced("x")).To(BeTrue())
 		}
-		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "of an unknown member")
+		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "an unknown member is quiesced")
 		learn(time.Second)
 		expectQuiescedAfter(time.Second)
 		record.Version = 2
 		learn(2 * time.Second)
-		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "the same incarnation")
+		Expect(machine.FormerIncarnationQuiesced("x")).To(BeTrue(), "a new version of the same incarnation changes nothing")
 		record.Info.Incarnation, record.Version = 6, 1
 		learn(3 * time.Second)
 		Expect(machine.IncarnationEnded("x", 5)).To(BeTrue())
@@ -111,7 +111,7 @@
 		expectQuiescedAfter(4 * time.Second)
 	})
 
-	It("forgets ended incarnations, and remembers that they ended", func() {
+	It("drops the records of fenced members after ForgetAfter, but still reports their incarnations as ended", func() {
 		net := newNetwork(3)
 		net.config.ForgetAfter = 5 * time.Second
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -137,21 +137,22 @@
 		Expect(net.nodes["a"].machine.IncarnationEnded("e", incarnation)).To(BeTrue())
 	})
 
-	It("lets a process that started with an old incarnation supersede the one in the table", func() {
+	It("lets a process that started with too small an incarnation supersede the one in the table", func() {
 		net := fleetOf(5, 5, 5)
 		net.runUntil(2 * time.Second)
 		net.kill("n04")
 		net.nodes["n04"].incarnation -= 1500
 		net.start("n04", "n00")
 		net.runUntil(5 * time.Second)
-		net.expectAllServing("restarted with an older incarnation")
+		net.expectAllServing("after a restart with a smaller incarnation")
 		incarnation, _ := net.nodes["n00"].machine.Incarnation("n04")
 		Expect(incarnation).To(BeNumerically(">", 1000))
 	})
 
-	It("finds members again that all began anew at once, and know nobody but each other", func() {
-		// Each probe names the next of the three, so that five others take a probe or two
-		// each; a probe of any member at random may miss all three for seconds.
+	It("discovers fenced members again that restarted at once and know only each other", func() {
+		// The probes of fenced members go to the three in turn, so that the five other
+		// nodes need one or two probes each. If only the probes of random members existed,
+		// they could miss all three restarted members for seconds.
 		const probesNeeded = 2
 		for seed := range uint64(30) {
 			net := fleetOf(seed, 8, 4)
@@ -168,13 +169,13 @@
 			net.runUntil(6*time.Second + probesNeeded*probeEvery)
 			for _, name := range net.names[3:] {
 				for _, restarted := range seeds {
-					Expect(net.nodes[name].machine.Alive(member.ID(restarted))).To(BeTrue(), "seed %d: %s of %s", seed, name, restarted)
+					Expect(net.nodes[name].machine.Alive(member.ID(restarted))).To(BeTrue(), "seed %d: %s considers %s alive", seed, name, restarted)
 				}
 			}
 		}
 	})
 
-	It("asks a seed again on which a member listened that has left", func() {
+	It("contacts a seed again after the member that listened at its address has left", func() {
 		net := fleetOf(11, 6, 3)
 		net.runUntil(3 * time.Second)
 		net.isolate("n05", true)
@@ -196,7 +197,7 @@
 		}
 	})
 
-	It("removes only the newest incarnation of another member", func() {
+	It("refuses to remove this node, an unknown member and an incarnation that isn't the newest", func() {
 		net := fleetOf(9, 3, 3)
 		net.runUntil(2 * time.Second)
 		for id, reason := range map[member.ID]membership.RemoveReason{
@@ -207,7 +208,7 @@
 		}
 	})
 
-	It("spreads monitors over zones", func() {
+	It("chooses the monitors of each member from different zones", func() {
 		net := fleetOf(9, 17, 4)
 		net.runUntil(4 * time.Second)
 		for _, record := range net.nodes["n00"].machine.Members() {
@@ -221,7 +222,7 @@
 	})
 })
 
-// randomRecords draws what many tables may say of one member.
+// randomRecords returns random records of member x, as different tables may contain them.
 func randomRecords(random *rand.Rand, count int) []membership.Record {
 	monitors := []member.ID{"m1", "m2", "m3"}
 	boots := []member.Incarnation{1, 1, 1}
@@ -250,6 +251,7 @@
 	return records
 }
 
+// mergedRecordOfX merges the records into a new table and returns the resulting record of x.
 func mergedRecordOfX(records []membership.Record) membership.Record {
 	machine := membership.New(membership.Config{Self: member.Info{ID: "o", Incarnation: 1}}, 0)
 	for _, record := range records {
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -12,10 +12,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Columns of the timelines in testdata are node@zone. A step acts (start, start(seed seed), kill, freeze, wake,
-// leave, remove(b), block(b): no message from here reaches b, unblock(b), isolate, rejoin)
-// or checks (serving, fenced, fences(n): FenceCount, certain(b), uncertain(b), alive(b),
-// notalive(b), unknown(b)).
+// The columns of the timelines in testdata are node@zone. A step is an action on that node:
+// start, start(seed seed), kill, freeze, wake, leave, remove(b), block(b) (messages from the
+// node to b are lost), unblock(b), isolate, rejoin; or a check: serving, fenced, fences(n)
+// (FenceCount is n), certain(b) (CertainlyFenced), uncertain(b), alive(b), notalive(b),
+// unknown(b).
 var _ = Describe("timelines", func() {
 	for _, timeline := range lo.Must(timelinetest.ReadAll("testdata")) {
 		It(timeline.Name, func() { runTimeline(timeline) })
@@ -75,6 +76,6 @@
 		_, known := n.machine.Incarnation(other)
 		Expect(known).To(BeFalse(), where)
 	default:
-		Fail("unknown token: " + where)
+		Fail("unknown verb in the timeline: " + where)
 	}
 }
