--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,13 +1,13 @@
 // Package lease computes the times of a command lease: until when the present holder may
-// give commands, and from when its successor may. Both sides measure on their own clocks,
-// which need not agree; they must only run at nearly the same rate, and the Margin covers
-// the difference. Holder and Successor are plain values, which their owner guards.
+// issue commands, and from when its successor may do so. Both measure time on their own
+// clocks, which may show different times but must run at nearly the same rate; Timing.Margin
+// covers the difference in rate. Holder and Successor are not safe for concurrent use.
 //
 // The holder counts from the instant at which it sent the messages that a majority
 // acknowledged. The successor counts from the instant at which a majority had voted for it
-// in the next term. Any two majorities share a member, and that member acknowledged the
-// holder's message before it voted for the successor. So the holder's lease starts first
-// and, by the two margins, ends before the successor acts.
+// in a later term. Any two majorities have a member in common, and that member acknowledged
+// the holder's messages before it voted for the successor. So the holder's lease starts
+// earlier and, by the two margins, ends before the successor may act.
 package lease
 
 import (
@@ -16,12 +16,13 @@
 	"github.com/pkg/errors"
 )
 
-// Timing is the part of the settings on which holder and successor must agree.
+// Timing contains the settings of a lease. They must be the same for holder and successor.
 type Timing struct {
 	// Duration is the nominal length of the lease.
 	Duration time.Duration
-	// Margin covers the difference of the rates of two clocks over Duration. The holder
-	// stops earlier by it, and the successor starts later by it.
+	// Margin covers the difference between the rates of two clocks over Duration. The
+	// holder stops Margin before Duration has passed, and the successor starts Margin after
+	// Duration has passed.
 	Margin time.Duration
 }
 
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// Holder tells the lease holder until when it may act. The zero Holder has no confirmed
+// Holder computes until when the lease holder may act. The zero Holder has no confirmed
 // lease.
 type Holder struct {
 	timing    Timing
@@ -54,8 +55,8 @@
 	return Holder{timing: timing}
 }
 
-// Confirm renews the lease: a majority acknowledged messages sent at sentAt, on the
-// holder's clock. It changes nothing if later ones were acknowledged already.
+// Confirm renews the lease after a majority acknowledged messages sent at sentAt, on the
+// holder's clock. It changes nothing if messages sent later have already been confirmed.
 func (h *Holder) Confirm(sentAt time.Duration) {
 	if h.confirmed && sentAt <= h.confirmedAt {
 		return
@@ -73,14 +74,14 @@
 	return h.confirmedAt + h.timing.Duration - h.timing.Margin, true
 }
 
-// MayAct tells whether the holder may act at now.
+// MayAct reports whether the holder may act at now.
 func (h *Holder) MayAct(now time.Duration) bool {
 	deadline, confirmed := h.Deadline()
 	return confirmed && now < deadline
 }
 
-// Successor tells the leader of a term from when every lease of an earlier term has
-// expired. The zero Successor isn't elected and may never act.
+// Successor computes from when the leader of a term may act, because every lease of an
+// earlier term has expired. The zero Successor isn't elected and may never act.
 type Successor struct {
 	timing    Timing
 	elected   bool
@@ -102,7 +103,7 @@
 	return s.electedAt + s.timing.Duration + s.timing.Margin, true
 }
 
-// MayAct tells whether all earlier leases have expired at now.
+// MayAct reports whether the successor is elected and all earlier leases have expired at now.
 func (s *Successor) MayAct(now time.Duration) bool {
 	readyAt, elected := s.ReadyAt()
 	return elected && now >= readyAt
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -12,7 +12,7 @@
 var timing = lease.Timing{Duration: 6 * time.Second, Margin: time.Second}
 
 var _ = Describe("a command lease", func() {
-	It("expires for the holder a margin early, counted from the newest acknowledged message", func() {
+	It("expires for the holder one margin before its duration has passed since the newest acknowledged message was sent", func() {
 		holder := lease.NewHolder(timing)
 		Expect(holder.MayAct(0)).To(BeFalse())
 		holder.Confirm(10 * time.Second)
@@ -21,13 +21,13 @@
 		Expect(holder.MayAct(15 * time.Second)).To(BeFalse())
 	})
 
-	It("starts for the successor a margin late", func() {
+	It("starts for the successor one margin after its duration has passed since the election", func() {
 		successor := lease.NewSuccessor(timing, 10*time.Second)
 		Expect(successor.MayAct(17*time.Second - 1)).To(BeFalse())
 		Expect(successor.MayAct(17 * time.Second)).To(BeTrue())
 	})
 
-	It("has no holder with the zero values", func() {
+	It("lets nobody act with zero values", func() {
 		var holder lease.Holder
 		var successor lease.Successor
 		Expect(holder.MayAct(time.Hour)).To(BeFalse())
@@ -37,7 +37,7 @@
 		Expect(disabled.MayAct(time.Second)).To(BeFalse())
 	})
 
-	It("rejects timings under which nobody could act", func() {
+	It("rejects timings under which no holder could act, except the zero timing", func() {
 		Expect(timing.Check()).To(Succeed())
 		Expect(lease.Timing{}.Check()).To(Succeed())
 		Expect(lease.Timing{Duration: time.Second, Margin: time.Second}.Check()).NotTo(Succeed())
