--- a/pkg/membership/doc.go
+++ b/pkg/membership/doc.go
@@ -38,8 +38,8 @@
 // A node joins through its seeds and doesn't depend on them afterwards. Records are
 // ordered by incarnation, version and state, and spread in three ways:
 //
-//   - Gossip: a node whose table changes immediately sends the changed record to a few
-//     members, mostly of its own zone.
+//   - Gossip: a node whose table changes sends the changed record to a few members, mostly
+//     of its own zone, without waiting for the next heartbeat.
 //   - Anti-entropy: heartbeats and their replies contain a digest of the table. If two
 //     nodes' digests differ, they exchange the records that differ.
 //   - Probes: at intervals, a node sends its digest to a random member, to a member that is
