--- a/pkg/membership/sampler.go
+++ b/pkg/membership/sampler.go
@@ -7,22 +7,23 @@
 )
 
 // sampler selects members for gossip, anti-entropy and probes. It owns the machine's
-// only random generator, so that a run repeats exactly for equal inputs.
+// only random number generator, so that equal inputs produce equal outputs.
 type sampler struct {
 	random *rand.Rand
 	self   member.Info
 	table  *memberTable
 }
 
-// newSampler seeds the generator by the node's ID and incarnation.
+// newSampler returns a sampler whose generator is seeded with the node's ID and incarnation.
 func newSampler(self member.Info, table *memberTable) *sampler {
 	source := rand.NewPCG(ringPosition(self.ID), uint64(self.Incarnation))
 	return &sampler{random: rand.New(source), self: self, table: table}
 }
 
-// shuffledLiveMembers returns the other members that may be running, those of this
-// node's zone and those of other zones, each in random order, and the number of zones.
-func (s *sampler) shuffledLiveMembers() (near, far []member.ID, zones int) {
+// shuffledLiveMembers returns the other members that may be running, those of this node's
+// zone and those of other zones, each in random order. zones is the number of zones in the
+// whole table.
+func (s *sampler) shuffledLiveMembers() (sameZone, otherZones []member.ID, zones int) {
 	seenZones := map[string]bool{}
 	for _, id := range s.table.sortedIDs {
 		record := &s.table.entries[id].record
@@ -30,18 +31,18 @@
 		switch {
 		case id == s.self.ID || record.certainlyFenced():
 		case record.Info.Zone == s.self.Zone:
-			near = append(near, id)
+			sameZone = append(sameZone, id)
 		default:
-			far = append(far, id)
+			otherZones = append(otherZones, id)
 		}
 	}
-	for _, ids := range [][]member.ID{near, far} {
+	for _, ids := range [][]member.ID{sameZone, otherZones} {
 		s.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	}
-	return near, far, len(seenZones)
+	return sameZone, otherZones, len(seenZones)
 }
 
-// randomMember draws another member that hasn't left, or returns "" if there is none.
+// randomMember returns a random other member that hasn't left, or "" if there is none.
 func (s *sampler) randomMember() member.ID {
 	ids := s.table.sortedIDs
 	first := s.random.IntN(len(ids))
@@ -54,7 +55,7 @@
 	return ""
 }
 
-// randomSeed draws one of the seeds, or returns "" if there is none.
+// randomSeed returns a random one of the seeds, or "" if there is none.
 func (s *sampler) randomSeed(seeds []string) string {
 	if len(seeds) == 0 {
 		return ""
--- a/pkg/membership/timeline_test.go
+++ b/pkg/membership/timeline_test.go
@@ -12,10 +12,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Columns of the timelines in testdata are node@zone. A step acts (start, start(seed seed), kill, freeze, wake,
-// leave, remove(b), block(b): no message from here reaches b, unblock(b), isolate, rejoin)
-// or checks (serving, fenced, fences(n): FenceCount, certain(b), uncertain(b), alive(b),
-// notalive(b), unknown(b)).
+// The columns of the timelines in testdata are node@zone. A step is an action on that node:
+// start, start(seed seed), kill, freeze, wake, leave, remove(b), block(b) (messages from the
+// node to b are lost), unblock(b), isolate, rejoin; or a check: serving, fenced, fences(n)
+// (FenceCount is n), certain(b) (CertainlyFenced), uncertain(b), alive(b), notalive(b),
+// unknown(b).
 var _ = Describe("timelines", func() {
 	for _, timeline := range lo.Must(timelinetest.ReadAll("testdata")) {
 		It(timeline.Name, func() { runTimeline(timeline) })
@@ -31,13 +32,13 @@
 	for _, instant := range timeline.Instants {
 		net.runUntil(instant.At)
 		for _, step := range instant.Steps {
-			perform(net, net.names[step.Column], step)
+			runStep(net, net.names[step.Column], step)
 		}
 	}
 	Expect(net.violations).To(BeEmpty())
 }
 
-func perform(net *network, name string, step timelinetest.Step) {
+func runStep(net *network, name string, step timelinetest.Step) {
 	verb, argument, where := step.Verb, step.Argument, step.Where
 	n := net.nodes[name]
 	other := member.ID(argument)
@@ -60,7 +61,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		net.send(name, out)
 	case "block", "unblock":
-		net.blocked[direction{name, argument}] = verb == "block"
+		net.blocked[link{name, argument}] = verb == "block"
 	case "isolate", "rejoin":
 		net.isolate(name, verb == "isolate")
 	case "serving", "fenced":
@@ -75,6 +76,6 @@
 		_, known := n.machine.Incarnation(other)
 		Expect(known).To(BeFalse(), where)
 	default:
-		Fail("unknown token: " + where)
+		Fail("unknown verb in the timeline: " + where)
 	}
 }
