--- a/pkg/relaytree/anti_entropy.go
+++ b/pkg/relaytree/anti_entropy.go
@@ -26,10 +26,10 @@
 	sender      *sender
 	outbox      *outbox
 
-	// next is when digests are sent next.
-	next time.Duration
-	// turn selects the parent and the other member that get the next digests.
-	turn uint64
+	// nextDigestAt is when digests are sent next.
+	nextDigestAt time.Duration
+	// rotation selects the parent and the other member that get the next digests.
+	rotation uint64
 	// parentsChanged tells that there may be new parents, and parentsNotifiedAt when
 	// all parents were last sent a digest for that reason.
 	parentsChanged    bool
@@ -43,11 +43,11 @@
 // the other.
 func (a *antiEntropy) treesChanged(now time.Duration) {
 	a.parentsChanged = true
-	a.next = min(a.next, max(now, a.parentsNotifiedAt+a.digestEvery/parentDigestsPerInterval))
+	a.nextDigestAt = min(a.nextDigestAt, max(now, a.parentsNotifiedAt+a.digestEvery/parentDigestsPerInterval))
 }
 
-// forgetAllBut drops what is kept of members that aren't live.
-func (a *antiEntropy) forgetAllBut(live map[member.ID]bool) {
+// removeAllExcept drops what is kept of members that aren't live.
+func (a *antiEntropy) removeAllExcept(live map[member.ID]bool) {
 	maps.DeleteFunc(a.sentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
 }
 
@@ -55,23 +55,23 @@
 // member in turn; after a change of the trees, to all parents. Any of them that has
 // something newer sends it, whatever the topic.
 func (a *antiEntropy) sendDueDigests(now time.Duration) {
-	if now < a.next {
+	if now < a.nextDigestAt {
 		return
 	}
-	a.next = now + a.digestEvery
+	a.nextDigestAt = now + a.digestEvery
 	receivers := a.topology.parents()
 	if a.parentsChanged {
 		a.parentsChanged = false
 		a.parentsNotifiedAt = now
 	} else if len(receivers) > 1 {
-		inTurn := a.turn % uint64(len(receivers))
-		receivers = receivers[inTurn : inTurn+1]
+		selected := a.rotation % uint64(len(receivers))
+		receivers = receivers[selected : selected+1]
 	}
 	if others := a.topology.others(); len(others) > 0 {
-		inTurn := others[a.turn%uint64(len(others))].ID
-		a.turn++
-		if !slices.Contains(receivers, inTurn) {
-			receivers = append(receivers, inTurn)
+		selected := others[a.rotation%uint64(len(others))].ID
+		a.rotation++
+		if !slices.Contains(receivers, selected) {
+			receivers = append(receivers, selected)
 		}
 	}
 	for _, id := range receivers {
@@ -87,11 +87,11 @@
 		revisions = append(revisions, TopicRevision{
 			Topic:      topic,
 			Revision:   state.revision,
-			Assembling: a.assembler.isActive(now, topic),
+			Assembling: a.assembler.isReceiving(now, topic),
 		})
 	}
 	for topic := range a.assembler.assemblies {
-		if a.store.states[topic] == nil && a.assembler.isActive(now, topic) {
+		if a.store.states[topic] == nil && a.assembler.isReceiving(now, topic) {
 			revisions = append(revisions, TopicRevision{Topic: topic, Assembling: true})
 		}
 	}
@@ -101,22 +101,22 @@
 
 // onDigest sends what is newer here, and replies with a digest if something is newer there.
 func (a *antiEntropy) onDigest(now time.Duration, from member.ID, revisions []TopicRevision) {
-	theirs := make(map[Topic]TopicRevision, len(revisions))
+	senderRevisions := make(map[Topic]TopicRevision, len(revisions))
 	senderNewer := false
 	for _, entry := range revisions {
-		theirs[entry.Topic] = entry
+		senderRevisions[entry.Topic] = entry
 		senderNewer = senderNewer || entry.Revision > a.store.revision(entry.Topic)
 	}
 	for _, topic := range slices.Sorted(maps.Keys(a.store.states)) {
-		their := theirs[topic]
-		a.sender.learnRevision(from, topic, their.Revision)
-		if a.store.states[topic].revision > their.Revision && !their.Assembling {
-			a.sender.feed(now, from, topic)
+		atSender := senderRevisions[topic]
+		a.sender.recordRevision(from, topic, atSender.Revision)
+		if a.store.states[topic].revision > atSender.Revision && !atSender.Assembling {
+			a.sender.sendNewest(now, from, topic)
 		}
 	}
 	sentAt, sent := a.sentAt[from]
-	sentLately := sent && now-sentAt < a.digestEvery/2
-	if senderNewer && !sentLately {
+	sentRecently := sent && now-sentAt < a.digestEvery/2
+	if senderNewer && !sentRecently {
 		a.sendDigest(now, from)
 	}
 }
--- a/pkg/relaytree/assembler.go
+++ b/pkg/relaytree/assembler.go
@@ -67,16 +67,16 @@
 	return a.assemblies[topic].change
 }
 
-// isBusyWithOther tells whether another member is sending an update of the topic. Its
+// isReceivingFromOther tells whether another member is sending an update of the topic. Its
 // chunks have precedence, and what doesn't fit meanwhile isn't acknowledged, so that no
 // second transfer begins.
-func (a *assembler) isBusyWithOther(now time.Duration, from member.ID, topic Topic) bool {
+func (a *assembler) isReceivingFromOther(now time.Duration, from member.ID, topic Topic) bool {
 	pending := a.assemblies[topic]
-	return pending != nil && pending.sender != from && a.isActive(now, topic)
+	return pending != nil && pending.sender != from && a.isReceiving(now, topic)
 }
 
-// isActive tells whether chunks of an update of the topic are coming in.
-func (a *assembler) isActive(now time.Duration, topic Topic) bool {
+// isReceiving tells whether chunks of an update of the topic are coming in.
+func (a *assembler) isReceiving(now time.Duration, topic Topic) bool {
 	pending := a.assemblies[topic]
 	return pending != nil && now-pending.lastHeard < assemblyTimeoutIntervals*a.digestEvery
 }
--- a/pkg/relaytree/change_log.go
+++ b/pkg/relaytree/change_log.go
@@ -54,9 +54,9 @@
 	return sort.Search(len(l.entries), func(i int) bool { return l.entries[i].revision > revision })
 }
 
-// reaches tells whether all changes since a revision are in the log, and are at most the
+// containsSince tells whether all changes since a revision are in the log, and are at most the
 // given number.
-func (l *changeLog) reaches(revision uint64, limit int) bool {
+func (l *changeLog) containsSince(revision uint64, limit int) bool {
 	return revision >= l.oldest && len(l.entries)-l.firstAfter(revision) <= limit
 }
 
--- a/pkg/relaytree/delta_test.go
+++ b/pkg/relaytree/delta_test.go
@@ -13,10 +13,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// largeState is a state of many sections of the size of a tenant.
+// largeStateSections is a state of many sections of the size of a tenant.
 const (
-	largeState   = 22_000
-	sectionBytes = 130
+	largeStateSections = 22_000
+	sectionBytes       = 130
 )
 
 // state is a small state that differs by its content.
@@ -24,14 +24,14 @@
 	return []relaytree.Section{{Name: alwaysChanged, Content: []byte(content)}}
 }
 
-// fill publishes the first revision, with many sections.
-func (net *network) fill(root *node, sections int) {
+// publishLargeState publishes the first revision, with many sections.
+func (net *network) publishLargeState(root *node, sections int) {
 	net.published++
 	for i := range sections {
 		content := fmt.Sprintf("%0*d", sectionBytes, i)
 		net.reference.set(fmt.Sprintf("section-%05d", i), net.published, content)
 	}
-	net.reference.names = sections
+	net.reference.sectionNames = sections
 	outbox, updates := root.machine.Publish(topic, net.published, net.reference.sections())
 	net.applyUpdates(root, updates)
 	net.send(root, outbox)
@@ -41,32 +41,32 @@
 	It("cost less than 2 KB a child for one change among 22,000 sections", func() {
 		net := newNetwork(1, nodeNames(5, 1))
 		net.setRoot("n00")
-		net.fill(net.nodes[0], largeState)
-		net.run(convergence)
+		net.publishLargeState(net.nodes[0], largeStateSections)
+		net.run(convergenceTime)
 		Expect(net.lagging()).To(BeEmpty())
-		whole := net.bytes[relaytree.MessageUpdate] / 4
+		fullBytes := net.bytes[relaytree.MessageUpdate] / 4
 		clear(net.bytes)
 		net.publish(net.nodes[0])
 		net.run(betweenDigests)
 		Expect(net.lagging()).To(BeEmpty())
-		delta := net.bytes[relaytree.MessageUpdate] / 4
-		AddReportEntry("bytes a child", fmt.Sprintf("whole %d, delta %d", whole, delta))
-		Expect(whole).To(BeNumerically(">", largeState*sectionBytes))
-		Expect(delta).To(BeNumerically("<", 2<<10))
+		deltaBytes := net.bytes[relaytree.MessageUpdate] / 4
+		AddReportEntry("bytes a child", fmt.Sprintf("whole %d, delta %d", fullBytes, deltaBytes))
+		Expect(fullBytes).To(BeNumerically(">", largeStateSections*sectionBytes))
+		Expect(deltaBytes).To(BeNumerically("<", 2<<10))
 	})
 
 	It("carry a storm on a large state without another whole state", func() {
 		net := newNetwork(2, nodeNames(17, 4))
 		net.setRoot("n00")
-		net.fill(net.nodes[0], 20_000)
-		net.run(convergence)
+		net.publishLargeState(net.nodes[0], 20_000)
+		net.run(convergenceTime)
 		Expect(net.lagging()).To(BeEmpty())
 		clear(net.bytes)
 		for range 200 {
 			net.publish(net.nodes[0])
 			net.run(stepEvery)
 		}
-		net.run(convergence)
+		net.run(convergenceTime)
 		Expect(net.lagging()).To(BeEmpty())
 		Expect(net.violations).To(BeEmpty())
 		Expect(net.bytes[relaytree.MessageUpdate]).To(BeNumerically("<", 200*16*2<<10))
@@ -76,17 +76,17 @@
 		net := newNetworkWithChunks(3, nodeNames(4, 1), 4<<10)
 		net.setRoot("n00")
 		net.nodes[3].isolated = true
-		net.fill(net.nodes[0], 2_000)
-		net.run(convergence)
+		net.publishLargeState(net.nodes[0], 2_000)
+		net.run(convergenceTime)
 		net.nodes[3].isolated = false
 		net.chunks = 0
 		for range 200 {
 			net.publish(net.nodes[0])
 			net.run(2 * stepEvery)
 		}
-		Expect(net.nodes[3].newest).To(BeNumerically(">", 100))
+		Expect(net.nodes[3].revision).To(BeNumerically(">", 100))
 		Expect(net.chunks).To(BeNumerically("<", 150))
-		net.run(convergence)
+		net.run(convergenceTime)
 		Expect(net.lagging()).To(BeEmpty())
 		Expect(net.violations).To(BeEmpty())
 	})
@@ -109,9 +109,9 @@
 		rejection, updates := receiver.Step(0, "sender", delta[0].Message)
 		Expect(updates).To(BeEmpty())
 		Expect(receiver.Revision(topic)).To(Equal(uint64(1)))
-		whole, _ := sender.Step(0, "receiver", rejection[0].Message)
-		Expect(whole[0].Message.BaseRevision).To(BeZero())
-		_, updates = receiver.Step(0, "sender", whole[0].Message)
+		full, _ := sender.Step(0, "receiver", rejection[0].Message)
+		Expect(full[0].Message.BaseRevision).To(BeZero())
+		_, updates = receiver.Step(0, "sender", full[0].Message)
 		Expect(updates).To(HaveLen(1))
 		_, sections := receiver.Snapshot(topic)
 		_, published := sender.Snapshot(topic)
@@ -122,10 +122,10 @@
 		sender := relaytree.New(relaytree.Config{Self: "sender"})
 		sender.SetMembers([]relaytree.Member{{ID: "sender"}, {ID: "receiver"}})
 		sender.SetRoot(topic, "sender")
-		whole, _ := sender.Publish(topic, 1, state("1"))
-		whole[0].Message.Checksum++
+		full, _ := sender.Publish(topic, 1, state("1"))
+		full[0].Message.Checksum++
 		receiver := relaytree.New(relaytree.Config{Self: "receiver"})
-		reply, updates := receiver.Step(0, "sender", whole[0].Message)
+		reply, updates := receiver.Step(0, "sender", full[0].Message)
 		Expect(reply).To(BeEmpty())
 		Expect(updates).To(BeEmpty())
 		Expect(receiver.Revision(topic)).To(BeZero())
@@ -159,19 +159,19 @@
 			net.loss = []float64{0, 0.1, 0.25}[seed%3]
 			net.duplication = []float64{0, 0.3}[seed/3%2]
 			net.jitter = []time.Duration{0, 60 * time.Millisecond}[seed/6%2]
-			net.reference.names = 40
+			net.reference.sectionNames = 40
 			root := net.nodes[net.random.IntN(len(net.nodes))]
 			net.setRoot(root.id)
 			for range 40 {
 				net.publish(root)
 				net.run(time.Duration(net.random.IntN(30)) * time.Millisecond)
 			}
-			net.killInnerNode(root)
+			net.maybeKillInnerNode(root)
 			net.publish(root)
 			net.run(300 * time.Millisecond)
-			net.setMembers(everyone)
+			net.setMembers(everyNode)
 			net.loss = 0
-			net.run(2 * convergence)
+			net.run(2 * convergenceTime)
 			Expect(net.lagging()).To(BeEmpty(), "seed %d", seed)
 			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
 		}
@@ -183,8 +183,8 @@
 func BenchmarkOneChange(b *testing.B) {
 	net := newNetwork(1, nodeNames(2, 1))
 	net.setRoot("n00")
-	net.fill(net.nodes[0], largeState)
-	net.run(convergence)
+	net.publishLargeState(net.nodes[0], largeStateSections)
+	net.run(convergenceTime)
 	root, child := net.nodes[0].machine, net.nodes[1].machine
 	sections := net.reference.sections()
 	b.ResetTimer()
@@ -198,12 +198,12 @@
 	}
 }
 
-// BenchmarkTakeOneChange measures the child's part of that, with the decoding.
-func BenchmarkTakeOneChange(b *testing.B) {
+// BenchmarkApplyOneChange measures the child's part of that, with the decoding.
+func BenchmarkApplyOneChange(b *testing.B) {
 	net := newNetwork(1, nodeNames(2, 1))
 	net.setRoot("n00")
-	net.fill(net.nodes[0], largeState)
-	net.run(convergence)
+	net.publishLargeState(net.nodes[0], largeStateSections)
+	net.run(convergenceTime)
 	root, child := net.nodes[0].machine, net.nodes[1].machine
 	sections := net.reference.sections()
 	for b.Loop() {
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -65,8 +65,8 @@
 		resendAfter:    cfg.DigestEvery,
 		store:          m.store,
 		outbox:         m.outbox,
-		knownRevisions: map[feedKey]uint64{},
-		inFlight:       map[feedKey]*transfer{},
+		knownRevisions: map[receiverTopic]uint64{},
+		inFlight:       map[receiverTopic]*transfer{},
 	}
 	m.antiEntropy = &antiEntropy{
 		digestEvery: cfg.DigestEvery,
@@ -76,8 +76,8 @@
 		sender:      m.sender,
 		outbox:      m.outbox,
 		// Nodes begin with different members.
-		turn:   xxhash.Sum64String(string(cfg.Self)),
-		sentAt: map[member.ID]time.Duration{},
+		rotation: xxhash.Sum64String(string(cfg.Self)),
+		sentAt:   map[member.ID]time.Duration{},
 	}
 	m.SetMembers(nil)
 	return m
@@ -94,8 +94,8 @@
 	for _, other := range m.topology.members {
 		live[other.ID] = true
 	}
-	m.sender.forgetAllBut(live)
-	m.antiEntropy.forgetAllBut(live)
+	m.sender.removeAllExcept(live)
+	m.antiEntropy.removeAllExcept(live)
 }
 
 // SetRoot names the node that publishes a topic.
@@ -111,9 +111,9 @@
 	if revision <= m.Revision(topic) {
 		return nil, nil
 	}
-	change := m.store.get(topic).differenceTo(sections)
+	change := m.store.getOrCreate(topic).differenceTo(sections)
 	updates := m.apply(topic, revision, change)
-	m.feedChildren(topic, "")
+	m.sendNewestToChildren(topic, "")
 	return m.outbox.flush(), updates
 }
 
@@ -128,7 +128,7 @@
 	if m.sender.needsCompleteState(to, topic) && state.size > m.config.ChunkBytes {
 		return nil
 	}
-	m.sender.feed(m.now, to, topic)
+	m.sender.sendNewest(m.now, to, topic)
 	return m.outbox.flush()
 }
 
@@ -175,7 +175,7 @@
 // apply moves a topic to a newer revision. This is the only place that changes a state,
 // and it does so in one step.
 func (m *Machine) apply(topic Topic, revision uint64, change changes) []Update {
-	m.store.get(topic).apply(revision, change)
+	m.store.getOrCreate(topic).apply(revision, change)
 	m.assembler.dropUpTo(topic, revision)
 	return []Update{{
 		Topic:    topic,
@@ -185,11 +185,11 @@
 	}}
 }
 
-// feedChildren sends the newest revision of a topic to the children of this node.
-func (m *Machine) feedChildren(topic Topic, except member.ID) {
+// sendNewestToChildren sends the newest revision of a topic to the children of this node.
+func (m *Machine) sendNewestToChildren(topic Topic, except member.ID) {
 	for _, child := range m.topology.position(topic).children {
 		if child != except {
-			m.sender.feed(m.now, child, topic)
+			m.sender.sendNewest(m.now, child, topic)
 		}
 	}
 }
--- a/pkg/relaytree/machine_test.go
+++ b/pkg/relaytree/machine_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	convergence = 2 * time.Second
+	convergenceTime = 2 * time.Second
 	// betweenDigests is after the first digests and before the next ones: a digest that
 	// crosses an update causes it to be sent twice.
 	betweenDigests = 50 * time.Millisecond
@@ -26,18 +26,18 @@
 			net.publish(net.nodes[0])
 			net.run(within)
 			Expect(net.lagging()).To(BeEmpty())
-			updates, crossings := 0, 0
+			updates, crossZoneUpdates := 0, 0
 			for _, n := range net.nodes {
 				Expect(len(n.children)).To(BeNumerically("<=", 2*relaytree.DefaultFanOut))
 				updates += n.updates
 				for child := range n.children {
 					if net.node(child).zone != n.zone {
-						crossings++
+						crossZoneUpdates++
 					}
 				}
 			}
 			Expect(updates).To(Equal(count - 1))
-			Expect(crossings).To(Equal(zones - 1))
+			Expect(crossZoneUpdates).To(Equal(zones - 1))
 		},
 		Entry("one node", 1, 1, stepEvery),
 		Entry("two", 2, 2, 10*time.Millisecond),
@@ -103,22 +103,22 @@
 			for range 10 {
 				net.publish(root)
 				net.run(time.Duration(net.random.IntN(100)) * time.Millisecond)
-				net.killInnerNode(root)
+				net.maybeKillInnerNode(root)
 			}
 			// Members change late, and for some nodes later than for others.
 			net.setMembers(func(*node) bool { return net.random.IntN(2) == 0 })
 			net.publish(root)
 			net.run(300 * time.Millisecond)
-			net.setMembers(everyone)
-			net.run(convergence)
+			net.setMembers(everyNode)
+			net.run(convergenceTime)
 			Expect(net.lagging()).To(BeEmpty(), "seed %d", seed)
 			Expect(net.violations).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 })
 
-// killInnerNode kills, now and then, a node that has sent updates to others.
-func (net *network) killInnerNode(root *node) {
+// maybeKillInnerNode kills, now and then, a node that has sent updates to others.
+func (net *network) maybeKillInnerNode(root *node) {
 	for _, n := range net.nodes {
 		if n != root && len(n.children) > 0 && net.random.IntN(8) == 0 {
 			n.dead = true
--- a/pkg/relaytree/network_test.go
+++ b/pkg/relaytree/network_test.go
@@ -31,7 +31,7 @@
 	machine  *relaytree.Machine
 	dead     bool
 	isolated bool
-	newest   uint64
+	revision uint64
 	// model is the state that all updates together give.
 	model    map[string]string
 	updates  int
@@ -88,14 +88,14 @@
 		net.nodes = append(net.nodes, n)
 		net.start(n)
 	}
-	net.setMembers(everyone)
+	net.setMembers(everyNode)
 	return net
 }
 
 // start gives a node a machine without any state.
 func (net *network) start(n *node) {
 	n.machine = relaytree.New(relaytree.Config{Self: n.id, ChunkBytes: net.chunkBytes})
-	n.newest = 0
+	n.revision = 0
 	n.model = map[string]string{}
 }
 
@@ -106,7 +106,7 @@
 	n.machine.SetRoot(topic, net.root)
 }
 
-func everyone(*node) bool { return true }
+func everyNode(*node) bool { return true }
 
 // setMembers tells some nodes which nodes are live.
 func (net *network) setMembers(receives func(*node) bool) {
@@ -197,8 +197,8 @@
 	outbox, updates := n.machine.Step(net.now, d.from, d.message)
 	net.applyUpdates(n, updates)
 	net.send(n, outbox)
-	if n.machine.Revision(topic) != n.newest {
-		net.violate("%s has a revision without an update", n.id)
+	if n.machine.Revision(topic) != n.revision {
+		net.recordViolation("%s has a revision without an update", n.id)
 	}
 }
 
@@ -206,8 +206,8 @@
 // what was published under it.
 func (net *network) applyUpdates(n *node, updates []relaytree.Update) {
 	for _, update := range updates {
-		if update.Revision <= n.newest {
-			net.violate("%s went from %d to %d", n.id, n.newest, update.Revision)
+		if update.Revision <= n.revision {
+			net.recordViolation("%s went from %d to %d", n.id, n.revision, update.Revision)
 		}
 		for _, section := range update.Sections {
 			n.model[section.Name] = string(section.Content)
@@ -215,14 +215,14 @@
 		for _, name := range update.Removed {
 			delete(n.model, name)
 		}
-		if mismatch := net.reference.mismatch(n.model, n.newest, update); mismatch != "" {
-			net.violate("%s mixes revision %d: section %s", n.id, update.Revision, mismatch)
+		if mismatch := net.reference.mismatch(n.model, n.revision, update); mismatch != "" {
+			net.recordViolation("%s mixes revision %d: section %s", n.id, update.Revision, mismatch)
 		}
-		n.newest = update.Revision
+		n.revision = update.Revision
 	}
 }
 
-func (net *network) violate(format string, arguments ...any) {
+func (net *network) recordViolation(format string, arguments ...any) {
 	net.violations = append(net.violations, fmt.Sprint(net.now, ": ", fmt.Sprintf(format, arguments...)))
 }
 
--- a/pkg/relaytree/receive.go
+++ b/pkg/relaytree/receive.go
@@ -15,16 +15,16 @@
 		m.outbox.send(from, m.acknowledgement(msg))
 		return nil
 	}
-	busy := m.assembler.isBusyWithOther(m.now, from, msg.Topic)
+	receivingFromOther := m.assembler.isReceivingFromOther(m.now, from, msg.Topic)
 	if msg.BaseRevision > revision {
-		if !busy {
+		if !receivingFromOther {
 			m.outbox.send(from, m.acknowledgement(msg))
 		}
 		return nil
 	}
 	change := changes{sections: msg.Sections, removed: msg.Removed}
 	if msg.ChunkCount > 1 {
-		if busy {
+		if receivingFromOther {
 			return nil
 		}
 		if next := m.assembler.add(m.now, from, msg); next < msg.ChunkCount {
@@ -35,7 +35,7 @@
 		}
 		change = m.assembler.changes(msg.Topic)
 	}
-	state := m.store.get(msg.Topic)
+	state := m.store.getOrCreate(msg.Topic)
 	if msg.BaseRevision == 0 {
 		change = state.differenceTo(change.sections)
 	}
@@ -49,9 +49,9 @@
 		return nil
 	}
 	updates := m.apply(msg.Topic, msg.Revision, change)
-	m.sender.learnRevision(from, msg.Topic, msg.Revision)
+	m.sender.recordRevision(from, msg.Topic, msg.Revision)
 	m.outbox.send(from, m.acknowledgement(msg))
-	m.feedChildren(msg.Topic, from)
+	m.sendNewestToChildren(msg.Topic, from)
 	return updates
 }
 
--- a/pkg/relaytree/reference_model_test.go
+++ b/pkg/relaytree/reference_model_test.go
@@ -13,9 +13,9 @@
 
 // referenceModel is every state that was published, as the history of each section.
 type referenceModel struct {
-	histories map[string][]version
-	changed   map[uint64][]string
-	names     int
+	histories    map[string][]version
+	changed      map[uint64][]string
+	sectionNames int
 }
 
 // version is the content of a section from a revision on; empty if removed.
@@ -25,38 +25,38 @@
 }
 
 func newReferenceModel() referenceModel {
-	return referenceModel{histories: map[string][]version{}, changed: map[uint64][]string{}, names: 12}
+	return referenceModel{histories: map[string][]version{}, changed: map[uint64][]string{}, sectionNames: 12}
 }
 
 // change adds, changes and removes a few sections, and sometimes gives one back
 // a content that it had before.
-func (t *referenceModel) change(random *rand.Rand, revision uint64) {
-	t.set(alwaysChanged, revision, fmt.Sprint(revision))
+func (m *referenceModel) change(random *rand.Rand, revision uint64) {
+	m.set(alwaysChanged, revision, fmt.Sprint(revision))
 	for range random.IntN(3) {
-		name := fmt.Sprintf("section-%03d", random.IntN(t.names))
-		t.set(name, revision, []string{"", "one", "two", fmt.Sprint(revision)}[random.IntN(4)])
+		name := fmt.Sprintf("section-%03d", random.IntN(m.sectionNames))
+		m.set(name, revision, []string{"", "one", "two", fmt.Sprint(revision)}[random.IntN(4)])
 	}
 }
 
-func (t *referenceModel) set(name string, revision uint64, content string) {
-	t.histories[name] = append(t.histories[name], version{revision: revision, content: content})
-	t.changed[revision] = append(t.changed[revision], name)
+func (m *referenceModel) set(name string, revision uint64, content string) {
+	m.histories[name] = append(m.histories[name], version{revision: revision, content: content})
+	m.changed[revision] = append(m.changed[revision], name)
 }
 
 // at is the content of a section at a revision; empty if there is none.
-func (t *referenceModel) at(name string, revision uint64) string {
-	history := t.histories[name]
-	later := sort.Search(len(history), func(i int) bool { return history[i].revision > revision })
-	if later == 0 {
+func (m *referenceModel) at(name string, revision uint64) string {
+	history := m.histories[name]
+	firstLater := sort.Search(len(history), func(i int) bool { return history[i].revision > revision })
+	if firstLater == 0 {
 		return ""
 	}
-	return history[later-1].content
+	return history[firstLater-1].content
 }
 
 // sections is the newest state.
-func (t *referenceModel) sections() []relaytree.Section {
+func (m *referenceModel) sections() []relaytree.Section {
 	var sections []relaytree.Section
-	for name, history := range t.histories {
+	for name, history := range m.histories {
 		if content := history[len(history)-1].content; content != "" {
 			sections = append(sections, relaytree.Section{Name: name, Content: []byte(content)})
 		}
@@ -66,16 +66,16 @@
 
 // mismatch names a section that differs after an update from what was published. The
 // model was correct at the revision before the update.
-func (t *referenceModel) mismatch(model map[string]string, before uint64, update relaytree.Update) string {
-	suspects := append([]string{}, update.Removed...)
+func (m *referenceModel) mismatch(model map[string]string, before uint64, update relaytree.Update) string {
+	candidates := append([]string{}, update.Removed...)
 	for _, section := range update.Sections {
-		suspects = append(suspects, section.Name)
+		candidates = append(candidates, section.Name)
 	}
 	for revision := before + 1; revision <= update.Revision; revision++ {
-		suspects = append(suspects, t.changed[revision]...)
+		candidates = append(candidates, m.changed[revision]...)
 	}
-	for _, name := range suspects {
-		if model[name] != t.at(name, update.Revision) {
+	for _, name := range candidates {
+		if model[name] != m.at(name, update.Revision) {
 			return name
 		}
 	}
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -21,12 +21,12 @@
 	outbox      *outbox
 	// knownRevisions are the revisions that other members were last known to have; 0 for
 	// one that has nothing, or whose state differs and has to be sent whole.
-	knownRevisions map[feedKey]uint64
-	inFlight       map[feedKey]*transfer
+	knownRevisions map[receiverTopic]uint64
+	inFlight       map[receiverTopic]*transfer
 }
 
-// feedKey identifies the feed of one topic to one member.
-type feedKey struct {
+// receiverTopic identifies the feed of one topic to one member.
+type receiverTopic struct {
 	to    member.ID
 	topic Topic
 }
@@ -41,14 +41,14 @@
 	resends int
 }
 
-// feed brings a member to the newest revision of a topic. If an update is in flight, it
+// sendNewest brings a member to the newest revision of a topic. If an update is in flight, it
 // does nothing: the acknowledgement, or the expiry, sends the newest revision then.
-func (s *sender) feed(now time.Duration, to member.ID, topic Topic) {
-	key := feedKey{to: to, topic: topic}
+func (s *sender) sendNewest(now time.Duration, to member.ID, topic Topic) {
+	key := receiverTopic{to: to, topic: topic}
 	if s.inFlight[key] != nil {
 		return
 	}
-	state := s.store.get(topic)
+	state := s.store.getOrCreate(topic)
 	base, known := s.knownRevisions[key]
 	if !known {
 		base = state.guessBase()
@@ -60,27 +60,27 @@
 	s.sendChunk(now, key)
 }
 
-func (s *sender) sendChunk(now time.Duration, key feedKey) {
+func (s *sender) sendChunk(now time.Duration, key receiverTopic) {
 	transfer := s.inFlight[key]
 	transfer.sentAt = now
 	s.outbox.send(key.to, transfer.update.message(key.topic, transfer.chunk))
 }
 
-// learnRevision takes in which revision of a topic a member has.
-func (s *sender) learnRevision(id member.ID, topic Topic, revision uint64) {
-	s.knownRevisions[feedKey{to: id, topic: topic}] = revision
+// recordRevision takes in which revision of a topic a member has.
+func (s *sender) recordRevision(id member.ID, topic Topic, revision uint64) {
+	s.knownRevisions[receiverTopic{to: id, topic: topic}] = revision
 }
 
 // needsCompleteState tells whether a member is known to have nothing of a topic, or a state that
 // differs.
 func (s *sender) needsCompleteState(id member.ID, topic Topic) bool {
-	revision, known := s.knownRevisions[feedKey{to: id, topic: topic}]
+	revision, known := s.knownRevisions[receiverTopic{to: id, topic: topic}]
 	return known && revision == 0
 }
 
 // onAcknowledge sends the next chunk, or what is newer than the receiver's revision.
 func (s *sender) onAcknowledge(now time.Duration, from member.ID, msg Message) {
-	key := feedKey{to: from, topic: msg.Topic}
+	key := receiverTopic{to: from, topic: msg.Topic}
 	transfer := s.inFlight[key]
 	matchesTransfer := transfer != nil && transfer.update.revision == msg.AcknowledgedRevision
 	if matchesTransfer && msg.Chunk > 0 {
@@ -91,20 +91,20 @@
 	if msg.Mismatch {
 		s.knownRevisions[key] = 0
 		// The whole state that is cached may be no newer than the receiver's revision.
-		s.store.get(msg.Topic).completeUpdate = nil
+		s.store.getOrCreate(msg.Topic).completeUpdate = nil
 	}
 	if transfer != nil && !matchesTransfer {
 		return
 	}
 	delete(s.inFlight, key)
 	if msg.Revision < s.store.revision(msg.Topic) {
-		s.feed(now, from, msg.Topic)
+		s.sendNewest(now, from, msg.Topic)
 	}
 }
 
 // advance sends the chunk that the receiver waits for. A duplicate or late
 // acknowledgement changes nothing.
-func (s *sender) advance(now time.Duration, key feedKey, nextChunk int) {
+func (s *sender) advance(now time.Duration, key receiverTopic, nextChunk int) {
 	transfer := s.inFlight[key]
 	if nextChunk <= transfer.chunk || nextChunk >= len(transfer.update.chunks) {
 		return
@@ -127,27 +127,27 @@
 		}
 		delete(s.inFlight, key)
 		if s.store.revision(key.topic) > transfer.update.revision {
-			s.feed(now, key.to, key.topic)
+			s.sendNewest(now, key.to, key.topic)
 		}
 	}
 }
 
 // overdue returns the transfers that weren't acknowledged in time, sorted.
-func (s *sender) overdue(now time.Duration) []feedKey {
-	var overdue []feedKey
+func (s *sender) overdue(now time.Duration) []receiverTopic {
+	var overdue []receiverTopic
 	for key, transfer := range s.inFlight {
 		if now-transfer.sentAt >= s.resendAfter {
 			overdue = append(overdue, key)
 		}
 	}
-	slices.SortFunc(overdue, func(a, b feedKey) int {
+	slices.SortFunc(overdue, func(a, b receiverTopic) int {
 		return cmp.Or(cmp.Compare(a.to, b.to), cmp.Compare(a.topic, b.topic))
 	})
 	return overdue
 }
 
-// forgetAllBut drops the feeds of members that aren't live.
-func (s *sender) forgetAllBut(live map[member.ID]bool) {
-	maps.DeleteFunc(s.inFlight, func(key feedKey, _ *transfer) bool { return !live[key.to] })
-	maps.DeleteFunc(s.knownRevisions, func(key feedKey, _ uint64) bool { return !live[key.to] })
+// removeAllExcept drops the feeds of members that aren't live.
+func (s *sender) removeAllExcept(live map[member.ID]bool) {
+	maps.DeleteFunc(s.inFlight, func(key receiverTopic, _ *transfer) bool { return !live[key.to] })
+	maps.DeleteFunc(s.knownRevisions, func(key receiverTopic, _ uint64) bool { return !live[key.to] })
 }
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -136,7 +136,7 @@
 	s.previous = s.revision
 	s.revision = revision
 	s.latestUpdate = nil
-	if s.completeUpdate != nil && !s.log.reaches(s.completeUpdate.revision, maxCompleteUpdateLag) {
+	if s.completeUpdate != nil && !s.log.containsSince(s.completeUpdate.revision, maxCompleteUpdateLag) {
 		s.completeUpdate = nil
 	}
 }
--- a/pkg/relaytree/state_store.go
+++ b/pkg/relaytree/state_store.go
@@ -14,8 +14,8 @@
 	return 0
 }
 
-// get returns the state of a topic. It adds an empty one if there is none.
-func (s *stateStore) get(topic Topic) *state {
+// getOrCreate returns the state of a topic. It adds an empty one if there is none.
+func (s *stateStore) getOrCreate(topic Topic) *state {
 	if s.states[topic] == nil {
 		s.states[topic] = newState(s.chunkBytes)
 	}
--- a/pkg/relaytree/timeline_test.go
+++ b/pkg/relaytree/timeline_test.go
@@ -44,12 +44,12 @@
 	case "publish":
 		net.publish(n)
 	case "fill":
-		net.fill(n, timelineSections)
+		net.publishLargeState(n, timelineSections)
 	case "restart":
 		net.restart(n)
 	case "kill":
 		n.dead = true
-		net.setMembers(everyone)
+		net.setMembers(everyNode)
 	case "crash":
 		n.dead = true
 	case "isolate", "rejoin":
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -67,7 +67,7 @@
 func split(all changes, chunkBytes int) []changes {
 	chunks := []changes{{}}
 	size := 0
-	next := func(bytes int) *changes {
+	chunkFor := func(bytes int) *changes {
 		if size > 0 && size+bytes > chunkBytes {
 			chunks = append(chunks, changes{})
 			size = 0
@@ -76,11 +76,11 @@
 		return &chunks[len(chunks)-1]
 	}
 	for _, section := range all.sections {
-		chunk := next(len(section.Name) + len(section.Content))
+		chunk := chunkFor(len(section.Name) + len(section.Content))
 		chunk.sections = append(chunk.sections, section)
 	}
 	for _, name := range all.removed {
-		chunk := next(len(name))
+		chunk := chunkFor(len(name))
 		chunk.removed = append(chunk.removed, name)
 	}
 	return chunks
