--- a/pkg/relaytree/anti_entropy.go
+++ b/pkg/relaytree/anti_entropy.go
@@ -9,15 +9,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// parentDigestsPerInterval is how often in DigestEvery new parents get a digest at most.
+// parentDigestsPerInterval is the maximum number of times per Config.DigestEvery that
+// changes of the trees cause digests to all parents.
 const parentDigestsPerInterval = 4
 
-// antiEntropy repairs what updates down the tree did not bring: it tells other members
-// which revisions this node has, and compares theirs. It owns the schedule of digests.
+// antiEntropy repairs the loss of updates: it sends the revisions of this node to other
+// members, and compares their revisions with its own. It owns the schedule of digests.
 //
-// Two nodes never reply to each other's digests without end: a node replies only to one
-// that shows something newer, and not to a member that it sent a digest within half of
-// digestEvery.
+// Two nodes can't reply to each other's digests endlessly: a node replies with a digest only
+// if the received one shows a newer revision, and only if it has sent that member no digest
+// within the last half of digestEvery.
 type antiEntropy struct {
 	digestEvery time.Duration
 	topology    *topology
@@ -26,34 +27,36 @@
 	sender      *sender
 	outbox      *outbox
 
-	// nextDigestAt is when digests are sent next.
+	// nextDigestAt is when the next digests are due.
 	nextDigestAt time.Duration
 	// rotation selects the parent and the other member that get the next digests.
 	rotation uint64
-	// parentsChanged tells that there may be new parents, and parentsNotifiedAt when
-	// all parents were last sent a digest for that reason.
+	// parentsChanged is true if a change of the trees may have given this node new parents
+	// and the digests to all parents are still to be sent. parentsNotifiedAt is when such
+	// digests were last sent.
 	parentsChanged    bool
 	parentsNotifiedAt time.Duration
 	// sentAt is when a digest was last sent to each live member.
 	sentAt map[member.ID]time.Duration
 }
 
-// treesChanged brings the next digests forward after a change of the trees: the new
-// parents get them at once, but not again and again while members come and go one after
-// the other.
+// treesChanged brings the next digests forward after a change of the trees, so that new
+// parents get one without delay. parentDigestsPerInterval limits the number of digests
+// while the members change one after the other.
 func (a *antiEntropy) treesChanged(now time.Duration) {
 	a.parentsChanged = true
 	a.nextDigestAt = min(a.nextDigestAt, max(now, a.parentsNotifiedAt+a.digestEvery/parentDigestsPerInterval))
 }
 
-// removeAllExcept drops what is kept of members that aren't live.
+// removeAllExcept removes the times of digests to members that aren't live.
 func (a *antiEntropy) removeAllExcept(live map[member.ID]bool) {
 	maps.DeleteFunc(a.sentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
 }
 
-// sendDueDigests sends, if digests are due, one to one parent in turn and one to one other
-// member in turn; after a change of the trees, to all parents. Any of them that has
-// something newer sends it, whatever the topic.
+// sendDueDigests sends the digests that are due: to one parent, or after a change of the
+// trees to all parents, and to one of the other members. It selects the parent and the
+// member in rotation. A digest covers all topics, so each receiver can send any topic of
+// which it has a newer revision, and not only those for which it is the parent.
 func (a *antiEntropy) sendDueDigests(now time.Duration) {
 	if now < a.nextDigestAt {
 		return
@@ -99,7 +102,8 @@
 	a.outbox.send(to, Message{Type: MessageDigest, Revisions: revisions})
 }
 
-// onDigest sends what is newer here, and replies with a digest if something is newer there.
+// onDigest handles a member's digest. It sends the member the newer revisions that this node
+// has, and replies with a digest if the member has a newer revision of any topic.
 func (a *antiEntropy) onDigest(now time.Duration, from member.ID, revisions []TopicRevision) {
 	senderRevisions := make(map[Topic]TopicRevision, len(revisions))
 	senderNewer := false
--- a/pkg/relaytree/change_log.go
+++ b/pkg/relaytree/change_log.go
@@ -5,32 +5,33 @@
 	"sort"
 )
 
-// maxLogEntries bounds the memory of a topic's log. It is larger than the number of
-// sections of a large state, so that one revision that changes all of them fits.
+// maxLogEntries is the maximum length of the change log of a topic, which bounds its memory.
+// It exceeds the number of sections of a large state, so that the log has room for a
+// revision that changes all sections.
 const maxLogEntries = 1 << 15
 
-// changeLog lists which sections changed at which revision, oldest first.
+// changeLog records which sections changed at which revision, oldest first.
 type changeLog struct {
-	// oldest is the oldest revision from which all changes are known.
+	// oldest is the oldest revision since which all changes are in the log.
 	oldest  uint64
 	entries []logEntry
 }
 
-// logEntry tells that a revision changed or removed a section.
+// logEntry records that a revision added, changed or removed a section.
 type logEntry struct {
 	revision uint64
 	name     string
 }
 
-// reset empties the log; it reaches back to the given revision.
+// reset empties the log. Changes after the given revision will be recorded.
 func (l *changeLog) reset(revision uint64) {
 	l.oldest = revision
 	l.entries = nil
 }
 
-// add appends the changes of a newer revision. This includes sections that a delta lists
-// though they are equal here: a receiver may be at a revision that this node skipped, at
-// which the section was different.
+// add appends the changes of a newer revision. They include sections that a received delta
+// lists although their contents at this node did not change: another node may be at a
+// revision that this node skipped, in which those sections were different.
 func (l *changeLog) add(revision uint64, change changes) {
 	for _, section := range change.sections {
 		l.entries = append(l.entries, logEntry{revision: revision, name: section.Name})
@@ -43,19 +44,20 @@
 	}
 }
 
-// trim drops the older half, in whole revisions, so that it is rarely needed.
+// trim removes at least the older half of the entries, so that trimming is rare. It removes
+// either all entries of a revision or none.
 func (l *changeLog) trim() {
 	l.oldest = l.entries[len(l.entries)-maxLogEntries/2].revision
 	l.entries = slices.Clone(l.entries[l.firstAfter(l.oldest):])
 }
 
-// firstAfter returns the position of the first entry after a revision.
+// firstAfter returns the position of the first entry of a revision newer than the given one.
 func (l *changeLog) firstAfter(revision uint64) int {
 	return sort.Search(len(l.entries), func(i int) bool { return l.entries[i].revision > revision })
 }
 
-// containsSince tells whether all changes since a revision are in the log, and are at most the
-// given number.
+// containsSince reports whether all changes since a revision are in the log, and take at
+// most limit entries.
 func (l *changeLog) containsSince(revision uint64, limit int) bool {
 	return revision >= l.oldest && len(l.entries)-l.firstAfter(revision) <= limit
 }
--- a/pkg/relaytree/chunks_test.go
+++ b/pkg/relaytree/chunks_test.go
@@ -10,12 +10,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// newChunkedMachine is a machine that sends its state in one chunk a section.
+// newChunkedMachine returns a machine that sends each section in a chunk of its own.
 func newChunkedMachine(id member.ID) *relaytree.Machine {
 	return relaytree.New(relaytree.Config{Self: id, ChunkBytes: 1})
 }
 
-// threeSections is a state in three chunks.
+// threeSections returns a state of three sections, which newChunkedMachine sends in three
+// chunks.
 func threeSections(content string) []relaytree.Section {
 	sections := state(content)
 	for _, name := range []string{"second", "third"} {
@@ -24,13 +25,14 @@
 	return sections
 }
 
-// digestFrom lets a member without any state send its digest.
+// digestFrom passes a digest of a member to sender, and returns what sender sends.
 func digestFrom(id member.ID, sender *relaytree.Machine, known ...relaytree.TopicRevision) []relaytree.Outbound {
 	sent, _ := sender.Step(0, id, relaytree.Message{Type: relaytree.MessageDigest, Revisions: known})
 	return sent
 }
 
-// acknowledgementFrom lets a member acknowledge chunks.
+// acknowledgementFrom passes a member's acknowledgement of the first chunks of an update to
+// sender, and returns what sender sends.
 func acknowledgementFrom(id member.ID, sender *relaytree.Machine, revision uint64, chunk uint32) []relaytree.Outbound {
 	sent, _ := sender.Step(0, id, relaytree.Message{
 		Type: relaytree.MessageAcknowledge, Topic: topic, AcknowledgedRevision: revision, Chunk: chunk,
@@ -65,19 +67,19 @@
 		Expect(sent).To(Equal(8))
 	})
 
-	It("sends another receiver the same snapshot, and then the rest", func() {
+	It("sends a second receiver the same older complete state", func() {
 		digestFrom("late", sender)
 		sender.Publish(topic, 2, threeSections("2"))
 		other := digestFrom("later", sender)
 		Expect(other[0].Message.Revision).To(Equal(uint64(1)))
 	})
 
-	It("sends nothing to a member that is assembling an update from another", func() {
+	It("sends nothing to a member whose digest shows that it is assembling an update", func() {
 		receiving := relaytree.TopicRevision{Topic: topic, Assembling: true}
 		Expect(digestFrom("late", sender, receiving)).To(BeEmpty())
 	})
 
-	It("is shown in the receiver's digests until it ends", func() {
+	It("is shown as Assembling in the receiver's digests until the last chunk is received", func() {
 		receiver := newChunkedMachine("receiver")
 		receiver.SetMembers([]relaytree.Member{{ID: "sender"}})
 		chunk := digestFrom("receiver", sender)
@@ -90,7 +92,7 @@
 		Expect(receiver.Revision(topic)).To(Equal(uint64(1)))
 	})
 
-	It("accepts chunks of one sender and one revision at a time", func() {
+	It("ignores chunks of a second sender, and starts again for another revision", func() {
 		receiver := newChunkedMachine("receiver")
 		chunk := digestFrom("receiver", sender)[0].Message
 		reply, _ := receiver.Step(0, "sender", chunk)
--- a/pkg/relaytree/delta_test.go
+++ b/pkg/relaytree/delta_test.go
@@ -13,18 +13,19 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/relaytree"
 )
 
-// largeStateSections is a state of many sections of the size of a tenant.
+// The large state of the specs has largeStateSections sections of sectionBytes each, which is
+// the size of the section of a tenant.
 const (
 	largeStateSections = 22_000
 	sectionBytes       = 130
 )
 
-// state is a small state that differs by its content.
+// state returns a state of one small section with the given content.
 func state(content string) []relaytree.Section {
 	return []relaytree.Section{{Name: alwaysChanged, Content: []byte(content)}}
 }
 
-// publishLargeState publishes the first revision, with many sections.
+// publishLargeState publishes a revision with the given number of sections.
 func (net *network) publishLargeState(root *node, sections int) {
 	net.published++
 	for i := range sections {
@@ -37,8 +38,8 @@
 	net.send(root, outbox)
 }
 
-var _ = Describe("deltas", func() {
-	It("cost less than 2 KB a child for one change among 22,000 sections", func() {
+var _ = Describe("updates", func() {
+	It("take less than 2 KB per child for one changed section among 22,000", func() {
 		net := newNetwork(1, nodeNames(5, 1))
 		net.setRoot("n00")
 		net.publishLargeState(net.nodes[0], largeStateSections)
@@ -55,7 +56,7 @@
 		Expect(deltaBytes).To(BeNumerically("<", 2<<10))
 	})
 
-	It("carry a storm on a large state without another whole state", func() {
+	It("take less than 2 KB per child and revision during a burst of revisions of a large state", func() {
 		net := newNetwork(2, nodeNames(17, 4))
 		net.setRoot("n00")
 		net.publishLargeState(net.nodes[0], 20_000)
@@ -72,7 +73,7 @@
 		Expect(net.bytes[relaytree.MessageUpdate]).To(BeNumerically("<", 200*16*2<<10))
 	})
 
-	It("reach a node that starts during a storm, which doesn't restart its transfer", func() {
+	It("reach a node that joins during a burst of revisions, without restarts of its transfer", func() {
 		net := newNetworkWithChunks(3, nodeNames(4, 1), 4<<10)
 		net.setRoot("n00")
 		net.nodes[3].isolated = true
@@ -91,7 +92,7 @@
 		Expect(net.violations).To(BeEmpty())
 	})
 
-	It("are rejected for another state, and followed by a whole one", func() {
+	It("are rejected if the result of a delta has another checksum, and followed by the complete state", func() {
 		sender := relaytree.New(relaytree.Config{Self: "sender"})
 		sender.SetMembers([]relaytree.Member{{ID: "sender"}, {ID: "receiver"}})
 		sender.SetRoot(topic, "sender")
@@ -118,7 +119,7 @@
 		Expect(sections).To(Equal(published))
 	})
 
-	It("never apply a damaged whole state", func() {
+	It("are ignored if they contain a complete state with a wrong checksum", func() {
 		sender := relaytree.New(relaytree.Config{Self: "sender"})
 		sender.SetMembers([]relaytree.Member{{ID: "sender"}, {ID: "receiver"}})
 		sender.SetRoot(topic, "sender")
@@ -131,7 +132,7 @@
 		Expect(receiver.Revision(topic)).To(BeZero())
 	})
 
-	It("are replaced by a whole state where the log doesn't reach back", func() {
+	It("contain the complete state if the receiver's revision precedes the log", func() {
 		root := relaytree.New(relaytree.Config{Self: "root"})
 		const sections, revisions = 100, 400
 		for revision := range uint64(revisions) {
@@ -152,7 +153,7 @@
 		Expect(baseFor("too late", 1)).To(BeZero())
 	})
 
-	It("converge under loss, duplication, reordering and crashes, in chunks or whole, and never mix", func() {
+	It("make all nodes converge under loss, duplication, reordering and crashes, and never mix revisions", func() {
 		for seed := range uint64(400) {
 			chunkBytes := []int{relaytree.DefaultChunkBytes, 40}[seed%2]
 			net := newNetworkWithChunks(seed, nodeNames(4+int(seed%9), 1+int(seed%3)), chunkBytes)
@@ -198,7 +199,9 @@
 	}
 }
 
-// BenchmarkApplyOneChange measures the child's part of that, with the decoding.
+// BenchmarkApplyOneChange measures how long the encoding, the decoding and the child's
+// application of the update of BenchmarkOneChange take, and the handling of its
+// acknowledgement.
 func BenchmarkApplyOneChange(b *testing.B) {
 	net := newNetwork(1, nodeNames(2, 1))
 	net.setRoot("n00")
@@ -218,7 +221,8 @@
 	}
 }
 
-// deliverFrame encodes and delivers one update, and its acknowledgement back.
+// deliverFrame encodes an update, decodes it, passes it to receiver, and passes the replies
+// back to sender.
 func deliverFrame(sender, receiver *relaytree.Machine, out relaytree.Outbound, to member.ID) {
 	frame := wire.Encode(wire.Envelope{Relay: &out.Message})
 	decoded, err := wire.Decode(frame)
--- a/pkg/relaytree/doc.go
+++ b/pkg/relaytree/doc.go
@@ -1,47 +1,53 @@
-// Package relaytree distributes the newest revision of each topic from its root to all
-// nodes along a tree that every node derives by itself from the live members.
+// Package relaytree distributes the newest revision of each topic from the topic's root to
+// all nodes, along a tree that every node computes locally from the live members.
 //
 // The package is pure logic: Machine does no I/O, reads no clock and starts no goroutine.
-// Its caller feeds it messages and ticks from one goroutine, and sends the messages that
-// it returns. Messages may be lost, duplicated, delayed and reordered.
+// Its caller passes it messages and ticks from one goroutine, and sends the messages that
+// Machine returns. Messages may be lost, duplicated, delayed and reordered.
 //
 // # States and updates
 //
 // A state is a set of named sections. Each node stores the newest state of each topic and
 // a bounded log of which sections changed at which revision, so that it can send a
-// receiver a delta from the receiver's revision. A receiver whose revision isn't known, or
-// is too old, gets the complete state, in chunks if it is large. Every update carries the
-// checksum of all sections: a receiver that would end in another state applies nothing and
-// requests a complete one.
+// receiver a delta from the receiver's revision. A receiver whose revision is older than
+// the log gets the complete state, in chunks if the state is large. Without knowledge of
+// the receiver's revision, a node sends the complete state if it is small, and otherwise a
+// delta from its own previous revision. Every update contains the checksum of all sections:
+// a receiver whose state would not match the checksum applies nothing. If the update was a
+// delta, the receiver requests the complete state.
 //
 // # Protocol
 //
-// An update goes down the tree at once. Each node acknowledges it. While an update of a
-// topic is in flight to a node, newer ones are coalesced: only the newest is sent after the
-// acknowledgement, so that a storm of revisions costs each link one update a round trip.
-// Digests repair losses: every DigestEvery a node sends the list of its revisions to one of
-// its parents and to one other member, each in turn, and soon after a change of the trees
-// to all its parents. A receiver with something newer sends it, and one with something
-// older replies with its own digest. So a node whose parent died, or whose tree differs
-// from the others' for a while, still converges.
+// Each node that applies an update sends it to its children immediately, and acknowledges
+// it to the sender. While an update of a topic is in flight to a node, newer ones are
+// coalesced: only the newest is sent after the acknowledgement, so that a burst of
+// revisions costs each link at most one update per round trip.
 //
-// # Parts and their state
+// Digests repair losses. Every Config.DigestEvery, a node sends the list of its revisions
+// to one of its parents and to one other member, both selected in rotation. Shortly after a
+// change of the trees, it sends the list to all its parents. A receiver that has a newer
+// revision of a topic sends it, and a receiver that has an older one replies with its own
+// digest. Therefore a node whose parent died, or whose view of the tree differs temporarily
+// from that of the others, still converges.
+//
+// # Components and their state
 //
 //	state                                                owner
 //	live members, roots, positions in the trees          topology
 //	newest state of each topic, change log, cached       stateStore
 //	updates
 //	what other members have, updates in flight to them   sender
-//	received chunks of updates that aren't complete      assembler
+//	received chunks of incomplete updates                assembler
 //	schedule of digests                                  antiEntropy
-//	messages of the present input                        outbox
+//	messages to send for the current input               outbox
 //
-// Machine composes these. Its Step and Tick show the order in which they act; onUpdate is
-// the way of a received update.
+// Machine composes these components. Machine.Step and Machine.Tick show the order in which
+// they run; Machine.onUpdate handles a received update.
 //
 // # Invariants
 //
-// The revision that a node has of a topic never decreases, and what it has or hands out
-// is all of one revision: Machine.apply is the only place that changes it. Contents are
-// opaque and are shared, not copied: nobody may modify one.
+// The revision that a node has of a topic never decreases, and a state that a node stores
+// or returns never mixes sections of several revisions: Machine.apply is the only place
+// that changes a state. Contents of sections are opaque and are shared, not copied: neither
+// the package nor its caller may modify them.
 package relaytree
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -18,19 +18,21 @@
 // Config sets up a Machine. Zero values take the defaults.
 type Config struct {
 	Self member.ID
-	// FanOut bounds the children of a node, in its zone and among the zones.
+	// FanOut is the maximum number of children that a node has in its zone, and also the
+	// maximum number that the entry node of a zone has in other zones.
 	FanOut int
-	// DigestEvery is the time between two digests, and how long an update may
-	// stay unacknowledged before a newer one is sent after it.
+	// DigestEvery is the time between two digests. It is also the time after which an
+	// unacknowledged chunk of an update in several chunks is sent again, and after which an
+	// unacknowledged update in one chunk no longer delays a newer one.
 	DigestEvery time.Duration
-	// ChunkBytes is the size of names and contents, in bytes, from which an update is
-	// sent in several chunks, one a round trip.
+	// ChunkBytes is the size of names and contents, in bytes, above which an update is
+	// sent in several chunks, one per round trip.
 	ChunkBytes int
 }
 
-// Machine is the relay state of one node. It does no I/O and reads no clock;
-// it is not safe for concurrent use. It composes the parts that doc.go lists, and moves
-// their states from one revision to the next.
+// Machine is the relay state machine of one node. It does no I/O and reads no clock; it is
+// not safe for concurrent use. It composes the components that the package comment lists,
+// and applies new revisions.
 type Machine struct {
 	config Config
 	now    time.Duration
@@ -75,7 +77,8 @@
 		assembler:   m.assembler,
 		sender:      m.sender,
 		outbox:      m.outbox,
-		// Nodes begin with different members.
+		// The initial value differs between nodes, so that they do not all send their
+		// first digests to the same member.
 		rotation: xxhash.Sum64String(string(cfg.Self)),
 		sentAt:   map[member.ID]time.Duration{},
 	}
@@ -83,8 +86,9 @@
 	return m
 }
 
-// SetMembers replaces the live nodes. Self need not be among them. The next Tick sends
-// digests to the new parents.
+// SetMembers replaces the live nodes. Config.Self need not be among them. After a change,
+// a Tick sends digests to all parents: the next one, unless such digests were sent less than
+// a quarter of Config.DigestEvery ago.
 func (m *Machine) SetMembers(members []Member) {
 	if !m.topology.setMembers(members) {
 		return
@@ -98,15 +102,15 @@
 	m.antiEntropy.removeAllExcept(live)
 }
 
-// SetRoot names the node that publishes a topic.
+// SetRoot sets the root of a topic: the node that publishes it.
 func (m *Machine) SetRoot(topic Topic, root member.ID) {
 	if m.topology.setRoot(topic, root) {
 		m.antiEntropy.treesChanged(m.now)
 	}
 }
 
-// Publish sends a new revision down the tree, given as all its sections. A revision that
-// isn't newer than the present one is ignored.
+// Publish applies a new revision of a topic, given as all its sections, and sends it to the
+// children of this node. A revision that isn't newer than the current one is ignored.
 func (m *Machine) Publish(topic Topic, revision uint64, sections []Section) ([]Outbound, []Update) {
 	if revision <= m.Revision(topic) {
 		return nil, nil
@@ -117,9 +121,10 @@
 	return m.outbox.flush(), updates
 }
 
-// Feed sends a member the newest revision of a topic, wherever it is in the tree. It is
-// for a publisher that knows which members an update did not reach. A member that is known
-// to have nothing of a large state is left to its parent.
+// Feed sends the newest revision of a topic to a member, even if it isn't a child of this
+// node. It is meant for a publisher that knows which members an update did not reach. A
+// member that is known to need a complete state of more than Config.ChunkBytes gets nothing
+// from Feed, since its parent sends that state.
 func (m *Machine) Feed(to member.ID, topic Topic) []Outbound {
 	state := m.store.states[topic]
 	if state == nil || to == m.config.Self {
@@ -132,8 +137,8 @@
 	return m.outbox.flush()
 }
 
-// Step takes one message in. It returns the messages to send and the revisions that the
-// node has from now on.
+// Step handles one message. It returns the messages to send and the updates that were
+// applied.
 func (m *Machine) Step(now time.Duration, from member.ID, msg Message) ([]Outbound, []Update) {
 	m.now = max(m.now, now)
 	var updates []Update
@@ -148,7 +153,9 @@
 	return m.outbox.flush(), updates
 }
 
-// Tick lets time pass. It should be called several times in DigestEvery.
+// Tick handles the passing of time: it sends overdue chunks again, ends the transfers and
+// assemblies that have expired, and sends the digests that are due. It should be called
+// several times per Config.DigestEvery.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.now = max(m.now, now)
 	m.sender.expire(m.now)
@@ -172,8 +179,8 @@
 	return state.revision, state.sortedSections()
 }
 
-// apply moves a topic to a newer revision. This is the only place that changes a state,
-// and it does so in one step.
+// apply changes the state of a topic to a newer revision. It is the only method that changes
+// a state, and it applies all changes of the revision at once.
 func (m *Machine) apply(topic Topic, revision uint64, change changes) []Update {
 	m.store.getOrCreate(topic).apply(revision, change)
 	m.assembler.dropUpTo(topic, revision)
@@ -185,7 +192,8 @@
 	}}
 }
 
-// sendNewestToChildren sends the newest revision of a topic to the children of this node.
+// sendNewestToChildren sends the newest revision of a topic to the children of this node,
+// except to the given member.
 func (m *Machine) sendNewestToChildren(topic Topic, except member.ID) {
 	for _, child := range m.topology.position(topic).children {
 		if child != except {
--- a/pkg/relaytree/machine_test.go
+++ b/pkg/relaytree/machine_test.go
@@ -11,13 +11,14 @@
 
 const (
 	convergenceTime = 2 * time.Second
-	// betweenDigests is after the first digests and before the next ones: a digest that
-	// crosses an update causes it to be sent twice.
+	// betweenDigests is a time after the first digests and before the next ones. Specs that
+	// count updates publish at this time, because a digest that crosses an update on the
+	// network causes the update to be sent twice.
 	betweenDigests = 50 * time.Millisecond
 )
 
 var _ = Describe("the relay tree", func() {
-	DescribeTable("sends an update to each node once, and into each zone once, with bounded children",
+	DescribeTable("sends an update once to each node and once into each zone, with a bounded number of children",
 		func(count, zones int, within time.Duration) {
 			net := newNetwork(1, nodeNames(count, zones))
 			net.jitter = 0
@@ -40,12 +41,12 @@
 			Expect(crossZoneUpdates).To(Equal(zones - 1))
 		},
 		Entry("one node", 1, 1, stepEvery),
-		Entry("two", 2, 2, 10*time.Millisecond),
-		Entry("17 in 4 zones", 17, 4, 25*time.Millisecond),
-		Entry("200 in 9 zones", 200, 9, 50*time.Millisecond),
+		Entry("2 nodes in 2 zones", 2, 2, 10*time.Millisecond),
+		Entry("17 nodes in 4 zones", 17, 4, 25*time.Millisecond),
+		Entry("200 nodes in 9 zones", 200, 9, 50*time.Millisecond),
 	)
 
-	It("coalesces a storm to one update a link and round trip", func() {
+	It("coalesces a burst of revisions to one update per link and round trip", func() {
 		net := newNetwork(1, nodeNames(17, 4))
 		net.setRoot("n00")
 		for range 1000 {
@@ -57,7 +58,7 @@
 		Expect(net.violations).To(BeEmpty())
 	})
 
-	It("pulls what the sender of a digest has beyond the receiver", func() {
+	It("requests a newer revision that a received digest shows", func() {
 		old := relaytree.New(relaytree.Config{Self: "old"})
 		newer := relaytree.New(relaytree.Config{Self: "newer"})
 		sent, _ := newer.Publish(topic, 7, state("7"))
@@ -76,7 +77,7 @@
 		Expect(again).To(HaveLen(1))
 	})
 
-	It("never applies an older revision, nor a delta that doesn't fit", func() {
+	It("never applies an older revision, nor a delta whose base is newer than its state", func() {
 		machine := relaytree.New(relaytree.Config{Self: "a"})
 		machine.Publish(topic, 5, state("5"))
 		machine.Publish(topic, 4, state("4"))
@@ -93,7 +94,7 @@
 		Expect(sections).To(Equal(state("5")))
 	})
 
-	It("converges within a bound after inner nodes died, whatever the members that nodes know", func() {
+	It("converges in bounded time after inner nodes died, while nodes know different members", func() {
 		for seed := range uint64(300) {
 			net := newNetwork(seed, nodeNames(8+int(seed%12), 1+int(seed%4)))
 			net.loss = []float64{0, 0.1, 0.3}[seed%3]
@@ -105,7 +106,8 @@
 				net.run(time.Duration(net.random.IntN(100)) * time.Millisecond)
 				net.maybeKillInnerNode(root)
 			}
-			// Members change late, and for some nodes later than for others.
+			// The nodes learn the live members late: about half of them here, and the others
+			// 300 ms later.
 			net.setMembers(func(*node) bool { return net.random.IntN(2) == 0 })
 			net.publish(root)
 			net.run(300 * time.Millisecond)
@@ -117,7 +119,8 @@
 	})
 })
 
-// maybeKillInnerNode kills, now and then, a node that has sent updates to others.
+// maybeKillInnerNode kills at most one node, with a chance of one in eight for each node that
+// has sent updates to others. It never kills the root.
 func (net *network) maybeKillInnerNode(root *node) {
 	for _, n := range net.nodes {
 		if n != root && len(n.children) > 0 && net.random.IntN(8) == 0 {
--- a/pkg/relaytree/message.go
+++ b/pkg/relaytree/message.go
@@ -2,29 +2,30 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// Topic names one stream of revisions, such as the state of one shard.
+// Topic identifies one stream of revisions, such as the state of one shard.
 type Topic uint32
 
 // Section is a named piece of a state. Names are unique within a state.
 type Section struct {
 	Name string
-	// Content is opaque and shared: nobody may modify it.
+	// Content is opaque and shared: it must not be modified.
 	Content []byte
 }
 
-// MessageType tells the purpose of a Message.
+// MessageType is the type of a Message.
 type MessageType uint8
 
 // The messages of the relay tree.
 const (
-	// MessageUpdate contains a newer state of a topic, a delta to it, or a chunk of
-	// either.
+	// MessageUpdate contains the complete state of a topic at a newer revision, a delta
+	// to it, or a chunk of either.
 	MessageUpdate MessageType = iota + 1
-	// MessageDigest lists the revisions that the sender has; the receiver replies with
-	// what is newer.
+	// MessageDigest lists the revisions that the sender has. The receiver sends updates
+	// of the topics of which it has a newer revision, and its own digest if the sender
+	// has a newer revision of any topic.
 	MessageDigest
 	// MessageAcknowledge replies to an update with the revision of the topic that the
-	// receiver has now.
+	// receiver of the update has now.
 	MessageAcknowledge
 )
 
@@ -32,39 +33,41 @@
 type TopicRevision struct {
 	Topic    Topic
 	Revision uint64
-	// Assembling tells that the node is receiving a newer revision in chunks, so that
-	// the receiver of the digest should send none.
+	// Assembling is true if the node is receiving a newer revision in chunks. The receiver
+	// of the digest then sends no update of the topic.
 	Assembling bool
 }
 
-// Message is what nodes send along the tree.
+// Message is a message from one node to another. Its Type determines which of the other
+// fields are used.
 type Message struct {
 	Type  MessageType
 	Topic Topic
-	// Revision is, in an update, the one that it leads to; in an acknowledgement, the
-	// one that the sender has.
+	// Revision is, in an update, the revision that the receiver has after the update; in
+	// an acknowledgement, the revision that the sender of the acknowledgement has.
 	Revision uint64
 	// BaseRevision is the revision that a delta is based on; 0 marks a complete state. A
-	// delta fits any state from its base on that is older than its Revision.
+	// delta can be applied to a state at BaseRevision or later that is older than Revision.
 	BaseRevision uint64
 	// Checksum is the checksum of the complete state at Revision.
 	Checksum uint64
-	// Chunk is, in an update, the position of this chunk from 0 on; in an
-	// acknowledgement, how many chunks were received so far, or 0 once the update was
-	// applied or rejected.
+	// Chunk is, in an update, the position of this chunk, counted from 0; in an
+	// acknowledgement, the number of chunks received so far, which is 0 if the first one
+	// is needed, or if the update was applied or rejected.
 	Chunk uint32
 	// ChunkCount is the number of chunks of the update.
 	ChunkCount uint32
 	// Sections are the new and changed sections.
 	Sections []Section
-	// Removed names sections that a delta removes.
+	// Removed contains the names of the sections that a delta removes.
 	Removed []string
-	// AcknowledgedRevision is, in an acknowledgement, the Revision of the update.
+	// AcknowledgedRevision is, in an acknowledgement, the Revision of the acknowledged
+	// update.
 	AcknowledgedRevision uint64
-	// Mismatch tells, in an acknowledgement, that the delta would have led to another
-	// state than that of its sender, and requests a complete one.
+	// Mismatch is true in an acknowledgement if the result of the delta would not have
+	// matched its checksum. It requests the complete state.
 	Mismatch bool
-	// Revisions are the contents of a digest, sorted by topic.
+	// Revisions is the content of a digest, sorted by topic.
 	Revisions []TopicRevision
 }
 
@@ -74,14 +77,16 @@
 	Message Message
 }
 
-// Update is a revision of a topic that the node has from this step on. It tells what has
-// changed since the previous update of the topic, so that all updates together give the
-// state; the first one lists every section.
+// Update reports that the node has moved to a newer revision of a topic. It lists the
+// changes since the previous Update of the topic, so that applying all Updates in order
+// yields the state; the first Update lists every section.
 type Update struct {
 	Topic    Topic
 	Revision uint64
-	// Sections are new or changed, sorted by name.
+	// Sections are the new and changed sections, sorted by name. After a delta, some of
+	// them may be equal to those that the node already had.
 	Sections []Section
-	// Removed names the sections that were removed, sorted.
+	// Removed contains the names of the removed sections, sorted. After a delta, some of
+	// them may be names that the node did not have.
 	Removed []string
 }
--- a/pkg/relaytree/network_test.go
+++ b/pkg/relaytree/network_test.go
@@ -32,14 +32,14 @@
 	dead     bool
 	isolated bool
 	revision uint64
-	// model is the state that all updates together give.
+	// model is the state that results from all updates, by the name of the section.
 	model    map[string]string
 	updates  int
 	children map[member.ID]bool
 }
 
-// network runs machines on a virtual clock. After each step it checks that no
-// node's revision falls.
+// network runs machines on a virtual clock. It records a violation if a node's revision
+// decreases, changes without an update, or is a mix of several revisions.
 type network struct {
 	random *rand.Rand
 	now    time.Duration
@@ -58,7 +58,8 @@
 	violations  []string
 }
 
-// nodeNames names count nodes, spread over zones, as newNetwork takes them.
+// nodeNames returns the names of count nodes, distributed evenly over zones, in the format
+// that newNetwork expects.
 func nodeNames(count, zones int) []string {
 	var names []string
 	for i := range count {
@@ -67,7 +68,7 @@
 	return names
 }
 
-// newNetwork makes a node for each name@zone.
+// newNetwork returns a network with a node for each name, which has the format name@zone.
 func newNetwork(seed uint64, names []string) *network {
 	return newNetworkWithChunks(seed, names, relaytree.DefaultChunkBytes)
 }
@@ -92,14 +93,14 @@
 	return net
 }
 
-// start gives a node a machine without any state.
+// start gives a node a new machine without any state.
 func (net *network) start(n *node) {
 	n.machine = relaytree.New(relaytree.Config{Self: n.id, ChunkBytes: net.chunkBytes})
 	n.revision = 0
 	n.model = map[string]string{}
 }
 
-// restart restarts a node without any state, before the others know of it.
+// restart restarts a node without any state. The other nodes don't learn of the restart.
 func (net *network) restart(n *node) {
 	net.start(n)
 	net.setMembers(func(other *node) bool { return other == n })
@@ -108,7 +109,7 @@
 
 func everyNode(*node) bool { return true }
 
-// setMembers tells some nodes which nodes are live.
+// setMembers passes the live nodes to those nodes for which receives returns true.
 func (net *network) setMembers(receives func(*node) bool) {
 	var members []relaytree.Member
 	for _, n := range net.nodes {
@@ -159,7 +160,8 @@
 	}
 }
 
-// enqueue delivers a message after a random time, so that messages overtake each other.
+// enqueue schedules the delivery of a message after a random delay, so that messages are
+// reordered.
 func (net *network) enqueue(d delivery) {
 	d.at = net.now + time.Millisecond + time.Duration(net.random.Int64N(int64(net.jitter)+1))
 	net.queue = append(net.queue, d)
@@ -198,16 +200,16 @@
 	net.applyUpdates(n, updates)
 	net.send(n, outbox)
 	if n.machine.Revision(topic) != n.revision {
-		net.recordViolation("%s has a revision without an update", n.id)
+		net.recordViolation("%s changed its revision without returning an update", n.id)
 	}
 }
 
-// applyUpdates checks that each update leads to a newer revision, and to nothing but
-// what was published under it.
+// applyUpdates applies updates to the model of a node, and checks that each one has a newer
+// revision, and that the resulting state is the one that was published at that revision.
 func (net *network) applyUpdates(n *node, updates []relaytree.Update) {
 	for _, update := range updates {
 		if update.Revision <= n.revision {
-			net.recordViolation("%s went from %d to %d", n.id, n.revision, update.Revision)
+			net.recordViolation("%s went from revision %d to %d", n.id, n.revision, update.Revision)
 		}
 		for _, section := range update.Sections {
 			n.model[section.Name] = string(section.Content)
@@ -216,7 +218,7 @@
 			delete(n.model, name)
 		}
 		if mismatch := net.reference.mismatch(n.model, n.revision, update); mismatch != "" {
-			net.recordViolation("%s mixes revision %d: section %s", n.id, update.Revision, mismatch)
+			net.recordViolation("%s differs from revision %d as published: section %s", n.id, update.Revision, mismatch)
 		}
 		n.revision = update.Revision
 	}
--- a/pkg/relaytree/outbox.go
+++ b/pkg/relaytree/outbox.go
@@ -2,7 +2,7 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// outbox collects the messages that one input leads to.
+// outbox collects the messages to send in response to one input.
 type outbox struct {
 	messages []Outbound
 }
--- a/pkg/relaytree/receive.go
+++ b/pkg/relaytree/receive.go
@@ -2,13 +2,14 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// onUpdate applies an update that leads from this node's revision to a newer one, and feeds
-// the children. One that doesn't fit is acknowledged with this node's revision, so that the
-// sender sends what fits. A chunk is acknowledged by the position of the next one.
+// onUpdate applies an update to a newer revision, and sends it to the children. A delta
+// whose base is newer than this node's revision is acknowledged with this node's revision,
+// so that the sender sends an update that can be applied. A chunk is acknowledged with the
+// position of the next chunk that is needed.
 //
-// An update that would lead to another state than its sender's is never applied. Instead of
-// a delta, a whole state is requested then (Mismatch). A whole state that is damaged gets
-// no reply: the next digest requests it again.
+// An update after which the state would not match the checksum is never applied. If it is a
+// delta, the acknowledgement requests the complete state (Message.Mismatch). If it is a
+// complete state, there is no reply: the next digest leads to its being sent again.
 func (m *Machine) onUpdate(from member.ID, msg Message) []Update {
 	revision := m.Revision(msg.Topic)
 	if msg.Revision <= revision {
@@ -55,7 +56,7 @@
 	return updates
 }
 
-// acknowledgement is the reply to an update, with the revision that this node has now.
+// acknowledgement returns the reply to an update, with the revision that this node has now.
 func (m *Machine) acknowledgement(msg Message) Message {
 	return Message{
 		Type:                 MessageAcknowledge,
--- a/pkg/relaytree/reference_model_test.go
+++ b/pkg/relaytree/reference_model_test.go
@@ -11,14 +11,14 @@
 // alwaysChanged is a section that every revision changes.
 const alwaysChanged = "revision"
 
-// referenceModel is every state that was published, as the history of each section.
+// referenceModel stores all published states, as a history of each section.
 type referenceModel struct {
 	histories    map[string][]version
 	changed      map[uint64][]string
 	sectionNames int
 }
 
-// version is the content of a section from a revision on; empty if removed.
+// version is the content that a section has since a revision; empty if it was removed.
 type version struct {
 	revision uint64
 	content  string
@@ -28,8 +28,8 @@
 	return referenceModel{histories: map[string][]version{}, changed: map[uint64][]string{}, sectionNames: 12}
 }
 
-// change adds, changes and removes a few sections, and sometimes gives one back
-// a content that it had before.
+// change adds, changes and removes a few sections. Some of them get a content that they had
+// before.
 func (m *referenceModel) change(random *rand.Rand, revision uint64) {
 	m.set(alwaysChanged, revision, fmt.Sprint(revision))
 	for range random.IntN(3) {
@@ -43,7 +43,7 @@
 	m.changed[revision] = append(m.changed[revision], name)
 }
 
-// at is the content of a section at a revision; empty if there is none.
+// at returns the content of a section at a revision; empty if there is none.
 func (m *referenceModel) at(name string, revision uint64) string {
 	history := m.histories[name]
 	firstLater := sort.Search(len(history), func(i int) bool { return history[i].revision > revision })
@@ -53,7 +53,7 @@
 	return history[firstLater-1].content
 }
 
-// sections is the newest state.
+// sections returns the newest state, in no particular order.
 func (m *referenceModel) sections() []relaytree.Section {
 	var sections []relaytree.Section
 	for name, history := range m.histories {
@@ -64,8 +64,10 @@
 	return sections
 }
 
-// mismatch names a section that differs after an update from what was published. The
-// model was correct at the revision before the update.
+// mismatch returns the name of a section that differs, after an update, from the published
+// state of that revision, or "" if there is none. It checks only the sections that the
+// update lists and those that were published as changed since the revision before, at which
+// the model must have been correct.
 func (m *referenceModel) mismatch(model map[string]string, before uint64, update relaytree.Update) string {
 	candidates := append([]string{}, update.Removed...)
 	for _, section := range update.Sections {
--- a/pkg/relaytree/sender.go
+++ b/pkg/relaytree/sender.go
@@ -9,40 +9,43 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxResends is how often a chunk of an update in several chunks is sent again.
+// maxResends is the maximum number of times that a chunk of an update in several chunks is
+// sent again.
 const maxResends = 8
 
-// sender brings other members to the newest revisions. It owns what they are known to
-// have, and the updates in flight: at most one for each topic and member.
+// sender sends the newest revisions to other members. It owns the revisions that they are
+// known to have, and the updates in flight: at most one for each topic and member.
 type sender struct {
-	// resendAfter is how long a chunk may stay unacknowledged.
+	// resendAfter is how long a chunk may be unacknowledged before its transfer is overdue.
 	resendAfter time.Duration
 	store       *stateStore
 	outbox      *outbox
-	// knownRevisions are the revisions that other members were last known to have; 0 for
-	// one that has nothing, or whose state differs and has to be sent whole.
+	// knownRevisions contains the latest known revisions of other members. It is 0 for a
+	// member that needs the complete state, because it has none or because a delta to its
+	// state did not lead to the checksum.
 	knownRevisions map[receiverTopic]uint64
 	inFlight       map[receiverTopic]*transfer
 }
 
-// receiverTopic identifies the feed of one topic to one member.
+// receiverTopic identifies a topic and a member to which it is sent.
 type receiverTopic struct {
 	to    member.ID
 	topic Topic
 }
 
-// transfer is an update of which a chunk was sent and isn't acknowledged yet.
+// transfer is an update in flight: one of its chunks was sent and isn't acknowledged yet.
 type transfer struct {
 	update *outgoingUpdate
-	// chunk is the position of the chunk that was sent last, at sentAt.
+	// chunk is the position of the chunk that was sent last, and sentAt is when.
 	chunk  int
 	sentAt time.Duration
-	// resends counts how often that chunk was sent again.
+	// resends is the number of times that chunk was sent again.
 	resends int
 }
 
-// sendNewest brings a member to the newest revision of a topic. If an update is in flight, it
-// does nothing: the acknowledgement, or the expiry, sends the newest revision then.
+// sendNewest sends the newest revision of a topic to a member unless the member is known to
+// have it. If an update is in flight to the member, sendNewest does nothing: the newest
+// revision is sent when that update is acknowledged or expires.
 func (s *sender) sendNewest(now time.Duration, to member.ID, topic Topic) {
 	key := receiverTopic{to: to, topic: topic}
 	if s.inFlight[key] != nil {
@@ -66,19 +69,20 @@
 	s.outbox.send(key.to, transfer.update.message(key.topic, transfer.chunk))
 }
 
-// recordRevision takes in which revision of a topic a member has.
+// recordRevision records the revision that a member has of a topic.
 func (s *sender) recordRevision(id member.ID, topic Topic, revision uint64) {
 	s.knownRevisions[receiverTopic{to: id, topic: topic}] = revision
 }
 
-// needsCompleteState tells whether a member is known to have nothing of a topic, or a state that
-// differs.
+// needsCompleteState reports whether a member is known to have no state of a topic, or has
+// rejected a delta because of its checksum.
 func (s *sender) needsCompleteState(id member.ID, topic Topic) bool {
 	revision, known := s.knownRevisions[receiverTopic{to: id, topic: topic}]
 	return known && revision == 0
 }
 
-// onAcknowledge sends the next chunk, or what is newer than the receiver's revision.
+// onAcknowledge handles the acknowledgement of an update. It sends the next chunk or, if the
+// transfer has ended and the receiver's revision isn't the newest, the newest revision.
 func (s *sender) onAcknowledge(now time.Duration, from member.ID, msg Message) {
 	key := receiverTopic{to: from, topic: msg.Topic}
 	transfer := s.inFlight[key]
@@ -90,7 +94,8 @@
 	s.knownRevisions[key] = msg.Revision
 	if msg.Mismatch {
 		s.knownRevisions[key] = 0
-		// The whole state that is cached may be no newer than the receiver's revision.
+		// The cached complete state may be no newer than the receiver's revision, in which
+		// case the receiver would not apply it. Without it, a new one is built.
 		s.store.getOrCreate(msg.Topic).completeUpdate = nil
 	}
 	if transfer != nil && !matchesTransfer {
@@ -102,8 +107,8 @@
 	}
 }
 
-// advance sends the chunk that the receiver waits for. A duplicate or late
-// acknowledgement changes nothing.
+// advance sends the next chunk that the receiver needs. It ignores a duplicate or late
+// acknowledgement, which names a chunk that was sent before.
 func (s *sender) advance(now time.Duration, key receiverTopic, nextChunk int) {
 	transfer := s.inFlight[key]
 	if nextChunk <= transfer.chunk || nextChunk >= len(transfer.update.chunks) {
@@ -114,9 +119,10 @@
 	s.sendChunk(now, key)
 }
 
-// expire sends the unacknowledged chunks of updates in several chunks again, up to
-// maxResends times, and gives all other overdue transfers up. If such an update was lost,
-// the receiver's next digest shows it; a newer revision is sent now.
+// expire handles the overdue transfers. A chunk of an update in several chunks is sent
+// again, up to maxResends times. All other overdue transfers end, and a newer revision is
+// sent if there is one. If there is none and the update was lost, the next digest of the
+// receiver shows that the receiver needs it.
 func (s *sender) expire(now time.Duration) {
 	for _, key := range s.overdue(now) {
 		transfer := s.inFlight[key]
@@ -132,7 +138,8 @@
 	}
 }
 
-// overdue returns the transfers that weren't acknowledged in time, sorted.
+// overdue returns the keys of the transfers that weren't acknowledged within resendAfter,
+// sorted by member and topic.
 func (s *sender) overdue(now time.Duration) []receiverTopic {
 	var overdue []receiverTopic
 	for key, transfer := range s.inFlight {
@@ -146,7 +153,8 @@
 	return overdue
 }
 
-// removeAllExcept drops the feeds of members that aren't live.
+// removeAllExcept removes the transfers to members that aren't live, and their known
+// revisions.
 func (s *sender) removeAllExcept(live map[member.ID]bool) {
 	maps.DeleteFunc(s.inFlight, func(key receiverTopic, _ *transfer) bool { return !live[key.to] })
 	maps.DeleteFunc(s.knownRevisions, func(key receiverTopic, _ uint64) bool { return !live[key.to] })
--- a/pkg/relaytree/state.go
+++ b/pkg/relaytree/state.go
@@ -10,27 +10,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// state is the state of a topic at its newest revision here, and a log of which sections changed lately.
+// state is the newest state of a topic that this node has, and a log of the sections that
+// changed recently.
 type state struct {
-	// chunkBytes is the size, in bytes, from which an update is split into chunks.
+	// chunkBytes is the size of names and contents, in bytes, above which an update is
+	// split into chunks.
 	chunkBytes int
 
 	revision uint64
-	// previous is the revision before this one; 0 if none.
+	// previous is the revision that this node had before the current one; 0 if none.
 	previous uint64
 	sections map[string]storedSection
-	// checksum is the sum of the sections' hashes, so that it can be updated from the
+	// checksum is the sum of the hashes of all sections. A sum can be updated from the
 	// changed sections alone.
 	checksum uint64
-	// size is the total size of names and contents in bytes.
+	// size is the total size of the names and contents of all sections, in bytes.
 	size int
 	log  changeLog
 
-	// latestUpdate caches the update built last, since all children usually need the
-	// same one.
+	// latestUpdate caches the update that was built last, since all children usually need
+	// the same one.
 	latestUpdate *outgoingUpdate
-	// completeUpdate is the newest update with a complete state in several chunks; nil if there is
-	// none that may still be sent. It may lead to an older revision than this one.
+	// completeUpdate caches the newest update that contains a complete state in several
+	// chunks. Its revision may be older than the current one; it is nil if there is no such
+	// update, or if it lags behind by more than maxCompleteUpdateLag.
 	completeUpdate *outgoingUpdate
 }
 
@@ -40,7 +43,7 @@
 	hash    uint64
 }
 
-// changes are the sections in which one revision differs from another.
+// changes lists the sections in which one revision differs from an older one.
 type changes struct {
 	sections []Section
 	removed  []string
@@ -50,7 +53,7 @@
 	return &state{chunkBytes: chunkBytes, sections: map[string]storedSection{}}
 }
 
-// sectionHash returns what a section adds to the checksum.
+// sectionHash returns the value that a section adds to the checksum of a state.
 func sectionHash(section Section) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -84,7 +87,8 @@
 	return found
 }
 
-// namesMissingFrom returns the names of the sections that aren't among the given ones.
+// namesMissingFrom returns the names of the sections of this state that aren't among the
+// given ones.
 func (s *state) namesMissingFrom(sections []Section) []string {
 	given := make(map[string]struct{}, len(sections))
 	for _, section := range sections {
@@ -104,7 +108,7 @@
 	slices.Sort(c.removed)
 }
 
-// checksumAfter returns the checksum that the state would have after changes.
+// checksumAfter returns the checksum that the state would have after a change.
 func (s *state) checksumAfter(change changes) uint64 {
 	checksum := s.checksum
 	for _, section := range change.sections {
@@ -116,7 +120,8 @@
 	return checksum
 }
 
-// apply moves the state to a newer revision in one step.
+// apply changes the sections and the revision of the state, logs the change, and clears the
+// cached updates that can no longer be sent.
 func (s *state) apply(revision uint64, change changes) {
 	for _, section := range change.sections {
 		s.remove(section.Name)
@@ -160,8 +165,8 @@
 	return sections
 }
 
-// changesSince returns the changes that lead from an older revision to this one. The log
-// must reach back to it.
+// changesSince returns the changes from an older revision to the current one. The older
+// revision must not precede the oldest one of the log.
 func (s *state) changesSince(base uint64) changes {
 	var found changes
 	for _, name := range s.log.namesSince(base) {
--- a/pkg/relaytree/state_store.go
+++ b/pkg/relaytree/state_store.go
@@ -14,7 +14,7 @@
 	return 0
 }
 
-// getOrCreate returns the state of a topic. It adds an empty one if there is none.
+// getOrCreate returns the state of a topic. It creates an empty one if there is none.
 func (s *stateStore) getOrCreate(topic Topic) *state {
 	if s.states[topic] == nil {
 		s.states[topic] = newState(s.chunkBytes)
--- a/pkg/relaytree/timeline_test.go
+++ b/pkg/relaytree/timeline_test.go
@@ -10,16 +10,26 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/timelinetest"
 )
 
-// A filled state takes 14 chunks, each a round trip of 10 ms.
+// The state that the step "fill" publishes takes 14 chunks, each of which takes a round trip
+// of 10 ms.
 const (
 	timelineChunkBytes = 1 << 10
 	timelineSections   = 100
 )
 
-// Columns of the timelines in testdata are node@zone. A step acts (root, publish, fill:
-// publishes a state that takes many chunks, restart: loses its state, kill: all learn
-// of it, crash: dies and nobody learns of it, isolate: receives nothing, rejoin) or checks
-// (revision(number)).
+// Columns of the timelines in testdata have the format node@zone. These steps change
+// something:
+//
+//	root      the node becomes the root, and all nodes learn of it
+//	publish   the node publishes a revision
+//	fill      the node publishes a state that takes many chunks
+//	restart   the node loses its state
+//	kill      the node dies, and the other nodes learn of it
+//	crash     the node dies, and the other nodes don't learn of it
+//	isolate   the node receives no messages from now on
+//	rejoin    the node receives messages again
+//
+// The step revision(number) checks that the node has that revision.
 var _ = Describe("timelines", func() {
 	for _, timeline := range lo.Must(timelinetest.ReadAll("testdata")) {
 		It(timeline.Name, func() { runTimeline(timeline) })
--- a/pkg/relaytree/topology.go
+++ b/pkg/relaytree/topology.go
@@ -8,7 +8,7 @@
 )
 
 // topology owns this node's view of the trees: the live members, the root of each topic,
-// and this node's positions, which follow from them.
+// and this node's positions in the trees, which are derived from both.
 type topology struct {
 	self   member.ID
 	fanOut int
@@ -21,7 +21,7 @@
 }
 
 // setMembers replaces the live members, and adds this node if it isn't among them. It
-// returns false if nothing changed.
+// reports whether the members changed.
 func (t *topology) setMembers(members []Member) bool {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -37,7 +37,7 @@
 	return true
 }
 
-// setRoot names the root of a topic. It returns false if nothing changed.
+// setRoot sets the root of a topic. It reports whether the root changed.
 func (t *topology) setRoot(topic Topic, root member.ID) bool {
 	if t.roots[topic] == root {
 		return false
@@ -47,8 +47,8 @@
 	return true
 }
 
-// position returns this node's position in the tree of a topic. Without a root it has
-// neither parent nor children.
+// position returns this node's position in the tree of a topic. If the root of the topic
+// isn't known, the position has neither parent nor children.
 func (t *topology) position(topic Topic) treePosition {
 	root, known := t.roots[topic]
 	if !known {
@@ -74,7 +74,7 @@
 	return slices.Compact(parents)
 }
 
-// others returns the members without this node.
+// others returns the live members except this node.
 func (t *topology) others() []Member {
 	return slices.DeleteFunc(slices.Clone(t.members), func(other Member) bool { return other.ID == t.self })
 }
--- a/pkg/relaytree/tree.go
+++ b/pkg/relaytree/tree.go
@@ -22,10 +22,11 @@
 	children []member.ID
 }
 
-// positionInTree returns the position of self in the tree that every node derives from
-// the same root and members. The root feeds one entry node in each other zone, and each
-// entry node feeds its zone. Both levels are heaps with fanOut children a node, so that a
-// node has at most twice fanOut children.
+// positionInTree returns the position of self in the tree of a root. The tree depends only
+// on the root, the members and fanOut, so that all nodes with the same members derive the
+// same tree. It has two levels: a tree of one entry node per zone, with the root at its top,
+// and in each zone a tree of its nodes, with the entry node at its top. Both are fanOut-ary
+// trees in heap order, so that a node has at most twice fanOut children.
 func positionInTree(self, root member.ID, members []Member, fanOut int) treePosition {
 	var entries []member.ID
 	var zones []string
@@ -46,9 +47,9 @@
 	return position
 }
 
-// orderForRoot puts the root first and the others in an order that differs between roots,
-// so that the inner nodes differ as well. While the root isn't live, the first of the
-// others replaces it.
+// orderForRoot returns the members with the root first and the others in an order that
+// depends on the root, so that the trees of different roots have different inner nodes. If
+// the root is not among the members, the first member of the order takes its place.
 func orderForRoot(root member.ID, members []Member) []Member {
 	weighted := make([]weightedMember, len(members))
 	for i, m := range members {
@@ -73,7 +74,8 @@
 	weight uint64
 }
 
-// weightForRoot is the sort key of a member in a root's order; the root comes first.
+// weightForRoot returns the sort key of a member in the order of a root. That of the root
+// itself is 0, so that it comes first.
 func weightForRoot(root, id member.ID) uint64 {
 	if id == root {
 		return 0
@@ -81,8 +83,8 @@
 	return xxhash.Sum64String(string(root) + "\x00" + string(id))
 }
 
-// positionInHeap returns the position of self in a heap of nodes in which each has fanOut
-// children.
+// positionInHeap returns the position of self in the tree that nodes form in heap order,
+// with up to fanOut children per node. It is empty if self is not among the nodes.
 func positionInHeap(self member.ID, nodes []member.ID, fanOut int) treePosition {
 	index := slices.Index(nodes, self)
 	if index < 0 {
--- a/pkg/relaytree/update.go
+++ b/pkg/relaytree/update.go
@@ -1,12 +1,13 @@
 package relaytree
 
-// maxCompleteUpdateLag is how many changed sections a complete state in several chunks may lag
-// behind and still be sent to another receiver, which gets the rest as a delta.
+// maxCompleteUpdateLag is the number of logged section changes by which a cached complete
+// state in several chunks may lag behind the current revision and still be sent to further
+// receivers. A receiver gets the later changes as a delta.
 const maxCompleteUpdateLag = 1024
 
-// outgoingUpdate leads a receiver to a revision: a delta or a complete state, in chunks. It is
-// immutable, and is shared by the transfers to several receivers. (An Update is what the
-// caller of this node's Machine gets.)
+// outgoingUpdate is a delta or a complete state, split into chunks, that is sent to bring a
+// receiver to a revision. It is immutable, and is shared by the transfers to several
+// receivers. (An Update, in contrast, is returned to the caller of this node's Machine.)
 type outgoingUpdate struct {
 	revision uint64
 	// base is 0 for a complete state.
@@ -16,9 +17,10 @@
 }
 
 // updateFrom returns the update for a receiver at a revision: a delta, or the complete state
-// if the log doesn't reach back. A whole state in several chunks may lag behind:
-// otherwise a storm of revisions would restart the transfer again and again, and each
-// receiver's version would take memory.
+// if the revision is 0 or precedes the log. A complete state in several chunks may lag
+// behind the current revision. Otherwise a burst of revisions would restart the transfer of
+// a complete state again and again, and the complete states of several revisions would take
+// memory at the same time, one for each receiver.
 func (s *state) updateFrom(revision uint64) *outgoingUpdate {
 	base := revision
 	if revision == 0 || revision < s.log.oldest {
@@ -37,7 +39,8 @@
 	return s.latestUpdate
 }
 
-// build returns the update from a base, or the complete state if the base is 0.
+// build returns the update from a base to the current revision, or the complete state if
+// the base is 0.
 func (s *state) build(base uint64) *outgoingUpdate {
 	built := &outgoingUpdate{revision: s.revision, base: base, checksum: s.checksum}
 	if base == 0 {
@@ -48,10 +51,11 @@
 	return built
 }
 
-// guessBase returns the base for a receiver whose revision isn't known. A small state is
-// sent whole. Of a large one, only the changes since the previous revision are sent, or none
-// if the log doesn't reach back to it: a receiver that such a delta doesn't fit replies with
-// its own revision.
+// guessBase returns the base of the update for a receiver whose revision isn't known. For a
+// state of at most chunkBytes, it is 0: the complete state is sent. For a larger state, it
+// is the previous revision, or the current one, which gives an empty delta, if the previous
+// revision precedes the log. A receiver that is older than the base replies with its own
+// revision.
 func (s *state) guessBase() uint64 {
 	switch {
 	case s.size <= s.chunkBytes:
@@ -63,7 +67,8 @@
 	}
 }
 
-// split divides changes into chunks of about chunkBytes; there is at least one.
+// split divides changes into one or more chunks of at most chunkBytes each. A section that
+// is larger than chunkBytes gets a chunk of its own.
 func split(all changes, chunkBytes int) []changes {
 	chunks := []changes{{}}
 	size := 0
@@ -86,7 +91,7 @@
 	return chunks
 }
 
-// message returns the message with one chunk of the update.
+// message returns the message that contains one chunk of the update.
 func (u *outgoingUpdate) message(topic Topic, chunk int) Message {
 	return Message{
 		Type:         MessageUpdate,
