--- a/pkg/claims/attempt.go
+++ b/pkg/claims/attempt.go
@@ -50,8 +50,8 @@
 	return len(a.homes) > 0
 }
 
-// unwinnable tells whether some set can no longer have a majority.
-func (a *attempt) unwinnable() bool {
+// cannotSucceed tells whether some set can no longer have a majority.
+func (a *attempt) cannotSucceed() bool {
 	for _, homes := range a.homes {
 		_, rejections := a.count(homes)
 		if len(homes)-rejections < majority(len(homes)) {
@@ -76,8 +76,8 @@
 	return grants, rejections
 }
 
-// conflicting tells whether a home remembers another claim of the key.
-func (a *attempt) conflicting() bool {
+// hasConflict tells whether a home remembers another claim of the key.
+func (a *attempt) hasConflict() bool {
 	for _, reply := range a.replies {
 		if reply == Conflict {
 			return true
--- a/pkg/claims/cluster_test.go
+++ b/pkg/claims/cluster_test.go
@@ -15,8 +15,8 @@
 // retention is short, so that it passes often.
 const retention = 2 * time.Second
 
-// step is how often nodes tick.
-const step = 10 * time.Millisecond
+// tickInterval is how often nodes tick.
+const tickInterval = 10 * time.Millisecond
 
 // packet is a message on its way.
 type packet struct {
@@ -26,15 +26,15 @@
 	message  claims.Message
 }
 
-type wire []packet
+type packetQueue []packet
 
-func (w wire) Len() int { return len(w) }
-func (w wire) Less(i, j int) bool {
+func (w packetQueue) Len() int { return len(w) }
+func (w packetQueue) Less(i, j int) bool {
 	return w[i].at < w[j].at || w[i].at == w[j].at && w[i].order < w[j].order
 }
-func (w wire) Swap(i, j int)   { w[i], w[j] = w[j], w[i] }
-func (w *wire) Push(value any) { *w = append(*w, value.(packet)) }
-func (w *wire) Pop() any {
+func (w packetQueue) Swap(i, j int)   { w[i], w[j] = w[j], w[i] }
+func (w *packetQueue) Push(value any) { *w = append(*w, value.(packet)) }
+func (w *packetQueue) Pop() any {
 	last := (*w)[len(*w)-1]
 	*w = (*w)[:len(*w)-1]
 	return last
@@ -55,12 +55,12 @@
 	id          member.ID
 	incarnation member.Incarnation
 	machine     *claims.Machine
-	open        map[claims.Number]*submission
+	submissions map[claims.Number]*submission
 	frozenUntil time.Duration
 	// inbox has what arrives while the node is frozen.
 	inbox []packet
-	// adopted is how many directories the node has followed.
-	adopted int
+	// directoryIndex is how many directories the node has followed.
+	directoryIndex int
 }
 
 // run is a request that was sent to a back end.
@@ -77,23 +77,23 @@
 
 // cluster is a deployment in virtual time.
 type cluster struct {
-	now    time.Duration
-	random *rand.Rand
-	wire   wire
-	order  int
-	peers  []*peer
+	now      time.Duration
+	random   *rand.Rand
+	inFlight packetQueue
+	order    int
+	peers    []*peer
 	// loss and duplication are the chances of a fault of a message; it takes less than
 	// maxDelay.
 	loss, duplication float64
 	maxDelay          time.Duration
 	// blocked are pairs of nodes of which the first does not reach the second.
 	blocked map[[2]member.ID]bool
-	// plans are the directories in their order; barrierAt is when the last
+	// directories are the directories in their order; oldSetRemovableAt is when the last
 	// one may be followed by one without the older set.
-	plans     [][]claims.Set
-	barrierAt time.Duration
-	runs      map[claims.Key][]*run
-	outcomes  map[claims.Outcome]int
+	directories       [][]claims.Set
+	oldSetRemovableAt time.Duration
+	runs              map[claims.Key][]*run
+	outcomes          map[claims.Outcome]int
 }
 
 func newCluster(seed uint64, size int) *cluster {
@@ -107,7 +107,7 @@
 		members = append(members, id)
 		c.peers = append(c.peers, &peer{id: id})
 	}
-	c.plans = [][]claims.Set{{{Epoch: 1, Members: members}}}
+	c.directories = [][]claims.Set{{{Epoch: 1, Members: members}}}
 	for _, started := range c.peers {
 		c.restart(started)
 	}
@@ -117,12 +117,12 @@
 // restart begins a new incarnation of a node. Its runs go on without it.
 func (c *cluster) restart(p *peer) {
 	p.incarnation++
-	p.open = map[claims.Number]*submission{}
+	p.submissions = map[claims.Number]*submission{}
 	p.inbox = nil
 	p.frozenUntil = 0
-	p.adopted = len(c.plans) - 1
+	p.directoryIndex = len(c.directories) - 1
 	p.machine = claims.New(claims.Config{Self: p.id, Incarnation: p.incarnation, Retention: retention}, c.now)
-	p.machine.SetDirectory(c.plans[p.adopted])
+	p.machine.SetDirectory(c.directories[p.directoryIndex])
 	for _, runs := range c.runs {
 		for _, running := range runs {
 			if running.node == p && !running.ended {
@@ -133,8 +133,8 @@
 }
 
 func (c *cluster) send(from member.ID, out []claims.Outbound) {
-	for _, one := range out {
-		if c.random.Float64() < c.loss || c.blocked[[2]member.ID{from, one.To}] {
+	for _, message := range out {
+		if c.random.Float64() < c.loss || c.blocked[[2]member.ID{from, message.To}] {
 			continue
 		}
 		copies := 1
@@ -144,7 +144,7 @@
 		for range copies {
 			c.order++
 			delay := time.Duration(c.random.Int64N(int64(c.maxDelay)))
-			heap.Push(&c.wire, packet{at: c.now + delay, order: c.order, from: from, to: one.To, message: one.Message})
+			heap.Push(&c.inFlight, packet{at: c.now + delay, order: c.order, from: from, to: message.To, message: message.Message})
 		}
 	}
 }
@@ -157,7 +157,7 @@
 func (c *cluster) submit(p *peer, key claims.Key) claims.Number {
 	number, out, err := p.machine.Claim(c.now, key)
 	Expect(err).NotTo(HaveOccurred())
-	p.open[number] = &submission{key: key, number: number}
+	p.submissions[number] = &submission{key: key, number: number}
 	c.send(p.id, out)
 	c.collect(p)
 	return number
@@ -167,11 +167,11 @@
 func (c *cluster) collect(p *peer) {
 	for _, decision := range p.machine.Decisions() {
 		c.outcomes[decision.Outcome]++
-		decided := p.open[decision.Number]
+		decided := p.submissions[decision.Number]
 		decided.decided, decided.outcome = true, decision.Outcome
 		decided.sendAt = c.now + time.Duration(c.random.Int64N(int64(50*time.Millisecond)))
 		if decision.Outcome != claims.Acquired {
-			delete(p.open, decision.Number)
+			delete(p.submissions, decision.Number)
 		}
 	}
 }
@@ -179,36 +179,36 @@
 // advance lets time pass.
 func (c *cluster) advance(duration time.Duration) {
 	for until := c.now + duration; c.now < until; {
-		c.now += step
-		for c.wire.Len() > 0 && c.wire[0].at <= c.now {
-			c.deliver(heap.Pop(&c.wire).(packet))
+		c.now += tickInterval
+		for c.inFlight.Len() > 0 && c.inFlight[0].at <= c.now {
+			c.deliver(heap.Pop(&c.inFlight).(packet))
 		}
 		for _, p := range c.peers {
 			if p.frozenUntil <= c.now {
-				c.act(p)
+				c.tick(p)
 			}
 		}
-		c.followDirectory()
-		c.checkOneMayRun()
+		c.advanceDirectories()
+		c.checkAtMostOneMayRun()
 	}
 }
 
-func (c *cluster) deliver(one packet) {
-	p := c.peer(one.to)
+func (c *cluster) deliver(received packet) {
+	p := c.peer(received.to)
 	if p.frozenUntil > c.now {
-		p.inbox = append(p.inbox, one)
+		p.inbox = append(p.inbox, received)
 		return
 	}
-	c.send(p.id, p.machine.Step(c.now, one.from, one.message))
+	c.send(p.id, p.machine.Step(c.now, received.from, received.message))
 	c.collect(p)
 }
 
-// act is what a node does at each step. One that wakes sends before it reads what has
+// tick is what a node does at each step. One that wakes sends before it reads what has
 // arrived in the meantime, which is the worst that it can do.
-func (c *cluster) act(p *peer) {
-	for _, number := range sortedNumbers(p.open) {
-		if due := p.open[number]; due.decided && due.sendAt <= c.now {
-			delete(p.open, number)
+func (c *cluster) tick(p *peer) {
+	for _, number := range sortedNumbers(p.submissions) {
+		if due := p.submissions[number]; due.decided && due.sendAt <= c.now {
+			delete(p.submissions, number)
 			c.start(p, due)
 		}
 	}
@@ -240,9 +240,9 @@
 func (c *cluster) runningOn(p *peer) []*run {
 	var running []*run
 	for _, runs := range c.runs {
-		for _, one := range runs {
-			if one.node == p && one.incarnation == p.incarnation && !one.ended {
-				running = append(running, one)
+		for _, candidate := range runs {
+			if candidate.node == p && candidate.incarnation == p.incarnation && !candidate.ended {
+				running = append(running, candidate)
 			}
 		}
 	}
@@ -260,49 +260,49 @@
 
 // changeDirectory begins to replace the set, unless a change is in progress.
 func (c *cluster) changeDirectory(members []member.ID) {
-	newest := c.plans[len(c.plans)-1]
+	newest := c.directories[len(c.directories)-1]
 	if len(newest) > 1 {
 		return
 	}
 	next := claims.Set{Epoch: newest[0].Epoch + 1, Members: members}
-	c.plans = append(c.plans, []claims.Set{newest[0], next})
-	c.barrierAt = 0
+	c.directories = append(c.directories, []claims.Set{newest[0], next})
+	c.oldSetRemovableAt = 0
 }
 
-// followDirectory lets nodes adopt directories late, and leaves the old set out
+// advanceDirectories lets nodes adopt directories late, and leaves the old set out
 // when all have adopted the new one and enough time has passed.
-func (c *cluster) followDirectory() {
-	last := len(c.plans) - 1
+func (c *cluster) advanceDirectories() {
+	last := len(c.directories) - 1
 	all := true
 	for _, p := range c.peers {
-		if p.adopted < last && p.frozenUntil <= c.now && c.random.IntN(20) == 0 {
-			p.adopted++
-			p.machine.SetDirectory(c.plans[p.adopted])
+		if p.directoryIndex < last && p.frozenUntil <= c.now && c.random.IntN(20) == 0 {
+			p.directoryIndex++
+			p.machine.SetDirectory(c.directories[p.directoryIndex])
 		}
-		all = all && p.adopted == last
+		all = all && p.directoryIndex == last
 	}
-	newest := c.plans[last]
+	newest := c.directories[last]
 	if !all || len(newest) == 1 {
 		return
 	}
-	if c.barrierAt == 0 {
-		c.barrierAt = c.now + retention
+	if c.oldSetRemovableAt == 0 {
+		c.oldSetRemovableAt = c.now + retention
 	}
-	if c.now >= c.barrierAt {
-		c.plans = append(c.plans, newest[1:])
+	if c.now >= c.oldSetRemovableAt {
+		c.directories = append(c.directories, newest[1:])
 	}
 }
 
-// checkOneMayRun checks that no two nodes may send the same request.
-func (c *cluster) checkOneMayRun() {
+// checkAtMostOneMayRun checks that no two nodes may send the same request.
+func (c *cluster) checkAtMostOneMayRun() {
 	claimants := map[claims.Key]member.ID{}
 	for _, p := range c.peers {
-		for _, open := range p.open {
-			if !p.machine.MayRun(c.now, open.number) {
+		for _, submitted := range p.submissions {
+			if !p.machine.MayRun(c.now, submitted.number) {
 				continue
 			}
-			Expect(claimants).NotTo(HaveKey(open.key), "two claims are valid at %v", c.now)
-			claimants[open.key] = p.id
+			Expect(claimants).NotTo(HaveKey(submitted.key), "two claims are valid at %v", c.now)
+			claimants[submitted.key] = p.id
 		}
 	}
 }
@@ -310,8 +310,8 @@
 // checkRuns checks how far apart two runs of one request are.
 func (c *cluster) checkRuns() (repeated int) {
 	for _, runs := range c.runs {
-		for at := 1; at < len(runs); at++ {
-			before, after := runs[at-1], runs[at]
+		for i := 1; i < len(runs); i++ {
+			before, after := runs[i-1], runs[i]
 			Expect(after.start-before.start).To(BeNumerically(">", retention/8), "runs that begin together")
 			if !before.interrupted {
 				Expect(before.ended).To(BeTrue(), "a run beside a run that goes on")
@@ -323,9 +323,9 @@
 	return repeated
 }
 
-func sortedNumbers(open map[claims.Number]*submission) []claims.Number {
-	numbers := make([]claims.Number, 0, len(open))
-	for number := range open {
+func sortedNumbers(submissions map[claims.Number]*submission) []claims.Number {
+	numbers := make([]claims.Number, 0, len(submissions))
+	for number := range submissions {
 		numbers = append(numbers, number)
 	}
 	slices.Sort(numbers)
--- a/pkg/claims/config.go
+++ b/pkg/claims/config.go
@@ -58,15 +58,15 @@
 	return c
 }
 
-// margin is how much sooner a claimant gives a claim up than homes forget it,
+// clockMargin is how much sooner a claimant gives a claim up than homes forget it,
 // and how much longer a home waits after its start.
-func (c Config) margin() time.Duration {
+func (c Config) clockMargin() time.Duration {
 	return c.Retention / marginDivisor
 }
 
 // validFor is how long an acknowledged message keeps a claim valid.
 func (c Config) validFor() time.Duration {
-	return c.Retention - c.margin()
+	return c.Retention - c.clockMargin()
 }
 
 // renewInterval is the time between two renewals.
--- a/pkg/claims/directory.go
+++ b/pkg/claims/directory.go
@@ -29,8 +29,8 @@
 // homes returns the homes of a key in each set.
 func (d directory) homes(key Key, count int) [][]member.ID {
 	homes := make([][]member.ID, len(d))
-	for at, set := range d {
-		homes[at] = homesOf(set.Members, key, count)
+	for i, set := range d {
+		homes[i] = homesOf(set.Members, key, count)
 	}
 	return homes
 }
@@ -45,15 +45,15 @@
 // addition of a node moves only the keys that it is a home of.
 func homesOf(members []member.ID, key Key, count int) []member.ID {
 	all := make([]ranked, len(members))
-	for at, id := range members {
-		all[at] = ranked{id: id, weight: xxhash.Sum64(append(key[:len(key):len(key)], id...))}
+	for i, id := range members {
+		all[i] = ranked{id: id, weight: xxhash.Sum64(append(key[:len(key):len(key)], id...))}
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id))
 	})
 	homes := make([]member.ID, min(count, len(all)))
-	for at := range homes {
-		homes[at] = all[at].id
+	for i := range homes {
+		homes[i] = all[i].id
 	}
 	return homes
 }
--- a/pkg/claims/home.go
+++ b/pkg/claims/home.go
@@ -32,8 +32,8 @@
 	// readyAt is when all that an earlier incarnation granted has expired.
 	readyAt time.Duration
 	entries map[Key]entry
-	// sweepAt is when expired entries are next removed.
-	sweepAt time.Duration
+	// nextSweepAt is when expired entries are next removed.
+	nextSweepAt time.Duration
 	// newestEpoch is the newest epoch that a claimant named.
 	newestEpoch uint64
 }
@@ -41,11 +41,11 @@
 // newHome returns the home of a node that starts at the time now.
 func newHome(config Config, now time.Duration) *home {
 	return &home{
-		retention:  config.Retention,
-		maxEntries: config.MaxEntries,
-		readyAt:    now + config.Retention + config.margin(),
-		entries:    make(map[Key]entry),
-		sweepAt:    now + config.renewInterval(),
+		retention:   config.Retention,
+		maxEntries:  config.MaxEntries,
+		readyAt:     now + config.Retention + config.clockMargin(),
+		entries:     make(map[Key]entry),
+		nextSweepAt: now + config.renewInterval(),
 	}
 }
 
@@ -100,9 +100,9 @@
 
 // tick sweeps a few times per retention.
 func (h *home) tick(now time.Duration) {
-	if now < h.sweepAt {
+	if now < h.nextSweepAt {
 		return
 	}
-	h.sweepAt = now + h.retention/renewDivisor
+	h.nextSweepAt = now + h.retention/renewDivisor
 	h.sweep(now)
 }
--- a/pkg/claims/machine.go
+++ b/pkg/claims/machine.go
@@ -76,7 +76,7 @@
 	if !mayHaveRun {
 		return m.release(now, claim)
 	}
-	m.forget(claim)
+	m.remove(claim)
 	if lost := claim.acquired && now >= claim.validUntil; lost {
 		return nil
 	}
@@ -170,7 +170,7 @@
 		claim.nextSendAt = claim.attempt.sentAt + m.config.renewInterval()
 		m.decisions = append(m.decisions, Decision{Number: claim.number, Outcome: Acquired})
 		return nil
-	case claim.attempt.unwinnable():
+	case claim.attempt.cannotSucceed():
 		return m.reject(now, claim)
 	default:
 		return nil
@@ -189,7 +189,7 @@
 // reject decides a claim that was not acquired.
 func (m *Machine) reject(now time.Duration, claim *claim) []Outbound {
 	outcome := Undecided
-	if claim.attempt.conflicting() {
+	if claim.attempt.hasConflict() {
 		outcome = AlreadyClaimed
 	}
 	m.decisions = append(m.decisions, Decision{Number: claim.number, Outcome: outcome})
@@ -198,15 +198,15 @@
 
 // release tells the homes that the request of a claim does not run.
 func (m *Machine) release(now time.Duration, claim *claim) []Outbound {
-	m.forget(claim)
+	m.remove(claim)
 	return m.send(now, claim.messages(Release, m.config.Incarnation))
 }
 
-// forget removes a claim of this node.
-func (m *Machine) forget(claim *claim) {
+// remove removes a claim of this node.
+func (m *Machine) remove(claim *claim) {
 	delete(m.claims, claim.number)
-	if at, present := slices.BinarySearch(m.numbers, claim.number); present {
-		m.numbers = slices.Delete(m.numbers, at, at+1)
+	if index, present := slices.BinarySearch(m.numbers, claim.number); present {
+		m.numbers = slices.Delete(m.numbers, index, index+1)
 	}
 }
 
--- a/pkg/claims/machine_test.go
+++ b/pkg/claims/machine_test.go
@@ -20,7 +20,7 @@
 
 	BeforeEach(func() {
 		c = newCluster(1, 5)
-		c.advance(startupWait + step)
+		c.advance(startupWait + tickInterval)
 	})
 
 	// outcomeOf returns the outcome of a new submission to a node.
@@ -28,7 +28,7 @@
 		before := c.outcomes
 		c.outcomes = map[claims.Outcome]int{}
 		c.submit(p, key)
-		c.advance(claims.DefaultDecisionTimeout + 2*step)
+		c.advance(claims.DefaultDecisionTimeout + 2*tickInterval)
 		Expect(c.outcomes).To(HaveLen(1))
 		for outcome := range c.outcomes {
 			c.outcomes = before
@@ -56,7 +56,7 @@
 	It("releases a key whose request has certainly not run", func() {
 		number := c.submit(c.peers[0], key)
 		c.send("a", c.peers[0].machine.End(c.now, number, false))
-		delete(c.peers[0].open, number)
+		delete(c.peers[0].submissions, number)
 		c.advance(100 * time.Millisecond)
 		Expect(outcomeOf(c.peers[1])).To(Equal(claims.Acquired))
 	})
@@ -152,8 +152,8 @@
 		c.loss, c.duplication, c.maxDelay = 0.05, 0.05, 60*time.Millisecond
 		c.advance(startupWait)
 		for range 1500 {
-			c.disturb()
-			c.advance(time.Duration(c.random.IntN(4)) * step)
+			c.injectFault()
+			c.advance(time.Duration(c.random.IntN(4)) * tickInterval)
 			target := c.peers[c.random.IntN(len(c.peers))]
 			if target.frozenUntil <= c.now {
 				c.submit(target, claims.KeyOf("court", fmt.Sprint(c.random.IntN(12))))
@@ -161,7 +161,7 @@
 		}
 		c.advance(startupWait)
 		repeated := c.checkRuns()
-		GinkgoWriter.Printf("seed %d: %v, run again later %d times, %d directories\n", seed, c.outcomes, repeated, len(c.plans))
+		GinkgoWriter.Printf("seed %d: %v, run again later %d times, %d directories\n", seed, c.outcomes, repeated, len(c.directories))
 		for _, outcome := range []claims.Outcome{claims.Acquired, claims.AlreadyClaimed, claims.Undecided} {
 			Expect(c.outcomes[outcome]).To(BeNumerically(">", 0), outcome.String())
 		}
@@ -172,8 +172,8 @@
 	)
 })
 
-// disturb brings a fault now and then.
-func (c *cluster) disturb() {
+// injectFault brings a fault now and then.
+func (c *cluster) injectFault() {
 	p := c.peers[c.random.IntN(len(c.peers))]
 	switch c.random.IntN(120) {
 	case 0:
@@ -187,9 +187,9 @@
 		clear(c.blocked)
 	case 5:
 		var members []member.ID
-		for _, one := range c.peers {
+		for _, other := range c.peers {
 			if c.random.IntN(4) > 0 {
-				members = append(members, one.id)
+				members = append(members, other.id)
 			}
 		}
 		if len(members) >= 3 {
--- a/pkg/claims/timeline_test.go
+++ b/pkg/claims/timeline_test.go
@@ -37,17 +37,17 @@
 }
 
 func runTimeline(text timelinetest.Timeline) {
-	line := &timeline{
+	execution := &timeline{
 		cluster: newCluster(1, len(text.Columns)), columns: text.Columns,
 		newest: map[string]claims.Number{}, decided: map[string]claims.Outcome{},
 	}
-	for at, column := range text.Columns {
-		Expect(column).To(Equal(string(line.peers[at].id)), "columns are a, b and so on")
+	for i, column := range text.Columns {
+		Expect(column).To(Equal(string(execution.peers[i].id)), "columns are a, b and so on")
 	}
 	for _, instant := range text.Instants {
-		line.runUntil(instant.At)
+		execution.runUntil(instant.At)
 		for _, step := range instant.Steps {
-			line.perform(step)
+			execution.perform(step)
 		}
 	}
 }
@@ -55,9 +55,9 @@
 // runUntil lets messages arrive and nodes tick.
 func (l *timeline) runUntil(at time.Duration) {
 	for l.now < at {
-		l.now += step
-		for l.wire.Len() > 0 && l.wire[0].at <= l.now {
-			next := heap.Pop(&l.wire).(packet)
+		l.now += tickInterval
+		for l.inFlight.Len() > 0 && l.inFlight[0].at <= l.now {
+			next := heap.Pop(&l.inFlight).(packet)
 			l.receive(next)
 		}
 		for _, p := range l.peers {
@@ -69,24 +69,24 @@
 	}
 }
 
-func (l *timeline) receive(one packet) {
-	p := l.peer(one.to)
+func (l *timeline) receive(received packet) {
+	p := l.peer(received.to)
 	if p.frozenUntil > l.now {
-		p.inbox = append(p.inbox, one)
+		p.inbox = append(p.inbox, received)
 		return
 	}
-	l.send(p.id, p.machine.Step(l.now, one.from, one.message))
+	l.send(p.id, p.machine.Step(l.now, received.from, received.message))
 	l.recordDecisions(p)
 }
 
 // recordDecisions records a node's decisions.
 func (l *timeline) recordDecisions(p *peer) {
 	for _, decision := range p.machine.Decisions() {
-		l.decided[decisionName(p, decision.Number)] = decision.Outcome
+		l.decided[claimName(p, decision.Number)] = decision.Outcome
 	}
 }
 
-func decisionName(p *peer, number claims.Number) string {
+func claimName(p *peer, number claims.Number) string {
 	return string(p.id) + "/" + strconv.FormatUint(uint64(p.incarnation), 10) + "/" + strconv.FormatUint(uint64(number), 10)
 }
 
@@ -98,17 +98,17 @@
 }
 
 func (l *timeline) act(p *peer, verb, argument string) bool {
-	claim := string(p.id) + "/" + argument
-	reaches := [2]member.ID{p.id, member.ID(argument)}
+	nodeAndKey := string(p.id) + "/" + argument
+	link := [2]member.ID{p.id, member.ID(argument)}
 	switch verb {
 	case "claim":
 		number, out, err := p.machine.Claim(l.now, claims.KeyOf("court", argument))
 		Expect(err).NotTo(HaveOccurred())
-		l.newest[claim] = number
+		l.newest[nodeAndKey] = number
 		l.send(p.id, out)
 		l.recordDecisions(p)
 	case "end", "unrun":
-		l.send(p.id, p.machine.End(l.now, l.newest[claim], verb == "end"))
+		l.send(p.id, p.machine.End(l.now, l.newest[nodeAndKey], verb == "end"))
 	case "restart":
 		l.restart(p)
 	case "freeze":
@@ -117,13 +117,13 @@
 		p.frozenUntil = 0
 		received := p.inbox
 		p.inbox = nil
-		for _, one := range received {
-			l.receive(one)
+		for _, message := range received {
+			l.receive(message)
 		}
 	case "block":
-		l.blocked[reaches] = true
+		l.blocked[link] = true
 	case "unblock":
-		delete(l.blocked, reaches)
+		delete(l.blocked, link)
 	case "adopt":
 		p.machine.SetDirectory(setsOf(l.columns, argument))
 	default:
@@ -150,7 +150,7 @@
 
 func (l *timeline) check(p *peer, verb, key, where string) {
 	number := l.newest[string(p.id)+"/"+key]
-	outcome, decided := l.decided[decisionName(p, number)]
+	outcome, decided := l.decided[claimName(p, number)]
 	switch verb {
 	case "may":
 		Expect(p.machine.MayRun(l.now, number)).To(BeTrue(), where)
