--- a/pkg/claims/attempt.go
+++ b/pkg/claims/attempt.go
@@ -7,19 +7,19 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// attempt is one round of messages to all homes of a claim, which ask to grant or to renew
-// it, with the replies to them.
+// attempt is one round of Acquire or Renew messages to all homes of a claim, with the replies
+// to them.
 type attempt struct {
 	number uint64
 	epoch  uint64
 	// sentAt is when the first message of the attempt was sent.
 	sentAt time.Duration
-	// homes are those of each set.
+	// homes are the homes of the key in each set of the directory.
 	homes   [][]member.ID
 	replies map[member.ID]Kind
 }
 
-// allHomes returns all homes, each once.
+// allHomes returns the homes of all sets without duplicates.
 func (a *attempt) allHomes() []member.ID {
 	var all []member.ID
 	for _, homes := range a.homes {
@@ -32,14 +32,15 @@
 	return all
 }
 
-// addReply records a reply. What was granted once in an attempt stays granted.
+// addReply records the latest reply of a home. A grant is never replaced by another reply to
+// the same attempt.
 func (a *attempt) addReply(from member.ID, reply Kind) {
 	if a.replies[from] != Granted || reply == Granted {
 		a.replies[from] = reply
 	}
 }
 
-// granted tells whether a majority has granted in every set.
+// granted reports whether a majority of the homes in every set has granted.
 func (a *attempt) granted() bool {
 	for _, homes := range a.homes {
 		grants, _ := a.count(homes)
@@ -50,7 +51,8 @@
 	return len(a.homes) > 0
 }
 
-// cannotSucceed tells whether some set can no longer have a majority.
+// cannotSucceed reports whether so many homes of some set have rejected that no majority can
+// grant.
 func (a *attempt) cannotSucceed() bool {
 	for _, homes := range a.homes {
 		_, rejections := a.count(homes)
@@ -61,7 +63,7 @@
 	return false
 }
 
-// count returns how many of some homes have granted, and how many have rejected.
+// count returns how many of the given homes have granted, and how many have rejected.
 func (a *attempt) count(homes []member.ID) (grants, rejections int) {
 	for _, id := range homes {
 		reply, replied := a.replies[id]
@@ -76,7 +78,7 @@
 	return grants, rejections
 }
 
-// hasConflict tells whether a home remembers another claim of the key.
+// hasConflict reports whether a home has replied that it remembers another claim of the key.
 func (a *attempt) hasConflict() bool {
 	for _, reply := range a.replies {
 		if reply == Conflict {
--- a/pkg/claims/claim.go
+++ b/pkg/claims/claim.go
@@ -11,17 +11,17 @@
 	number   Number
 	key      Key
 	acquired bool
-	// deadline is when an undecided claim is given up.
+	// deadline is when a claim that is still undecided is rejected.
 	deadline time.Duration
-	// validUntil is when an acquired claim is lost.
+	// validUntil is when the validity of an acquired claim ends, unless it is renewed.
 	validUntil time.Duration
-	// nextSendAt is when homes that have not replied are sent the message again, or the
-	// next attempt begins.
+	// nextSendAt is when the message is sent again to the homes that have not granted, or
+	// when the next attempt begins.
 	nextSendAt time.Duration
 	attempt    attempt
 }
 
-// requestKind returns the kind of message that the claim sends to its homes.
+// requestKind returns the kind of message that requests or renews the claim at its homes.
 func (c *claim) requestKind() Kind {
 	if c.acquired {
 		return Renew
@@ -29,7 +29,7 @@
 	return Acquire
 }
 
-// messages returns a message to every home of the claim's attempt.
+// messages returns a message of the given kind to every home of the current attempt.
 func (c *claim) messages(kind Kind, incarnation member.Incarnation) []Outbound {
 	homes := c.attempt.allHomes()
 	out := make([]Outbound, 0, len(homes))
--- a/pkg/claims/cluster_test.go
+++ b/pkg/claims/cluster_test.go
@@ -12,13 +12,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// retention is short, so that it passes often.
+// retention is short, so that claims expire often during a spec.
 const retention = 2 * time.Second
 
-// tickInterval is how often nodes tick.
+// tickInterval is the time between two ticks of a node.
 const tickInterval = 10 * time.Millisecond
 
-// packet is a message on its way.
+// packet is a message that was sent and has not been delivered yet. The field order breaks
+// ties between packets that arrive at the same time.
 type packet struct {
 	at       time.Duration
 	order    int
@@ -26,6 +27,7 @@
 	message  claims.Message
 }
 
+// packetQueue is a heap of packets, ordered by the time of their arrival.
 type packetQueue []packet
 
 func (w packetQueue) Len() int { return len(w) }
@@ -40,13 +42,14 @@
 	return last
 }
 
-// submission is a request in the hands of a node.
+// submission is a request that was submitted to a node and not sent to a back end yet.
 type submission struct {
 	key     claims.Key
 	number  claims.Number
 	outcome claims.Outcome
 	decided bool
-	// sendAt is when the node is about to send it to a back end.
+	// sendAt is when the node sends the request to a back end, if the claim is still valid
+	// then.
 	sendAt time.Duration
 }
 
@@ -57,13 +60,14 @@
 	machine     *claims.Machine
 	submissions map[claims.Number]*submission
 	frozenUntil time.Duration
-	// inbox has what arrives while the node is frozen.
+	// inbox contains the packets that arrived while the node was frozen.
 	inbox []packet
-	// directoryIndex is how many directories the node has followed.
+	// directoryIndex is the index in cluster.directories of the directory that the node
+	// has adopted.
 	directoryIndex int
 }
 
-// run is a request that was sent to a back end.
+// run is the execution of a request that was sent to a back end.
 type run struct {
 	node        *peer
 	incarnation member.Incarnation
@@ -71,25 +75,26 @@
 	start       time.Duration
 	end         time.Duration
 	ended       bool
-	// interrupted tells that the node was restarted or frozen meanwhile.
+	// interrupted is true if the node was restarted or frozen during the run.
 	interrupted bool
 }
 
-// cluster is a deployment in virtual time.
+// cluster simulates a deployment in virtual time.
 type cluster struct {
 	now      time.Duration
 	random   *rand.Rand
 	inFlight packetQueue
 	order    int
 	peers    []*peer
-	// loss and duplication are the chances of a fault of a message; it takes less than
-	// maxDelay.
+	// loss and duplication are the probabilities that a message is lost or delivered
+	// twice. The delay of a message is less than maxDelay.
 	loss, duplication float64
 	maxDelay          time.Duration
-	// blocked are pairs of nodes of which the first does not reach the second.
+	// blocked contains pairs of nodes; messages from the first to the second are lost.
 	blocked map[[2]member.ID]bool
-	// directories are the directories in their order; oldSetRemovableAt is when the last
-	// one may be followed by one without the older set.
+	// directories contains all directories, oldest first. If the newest one has two sets,
+	// oldSetRemovableAt is when a directory without the older set may follow; it is 0 until
+	// all nodes have adopted the newest directory.
 	directories       [][]claims.Set
 	oldSetRemovableAt time.Duration
 	runs              map[claims.Key][]*run
@@ -114,7 +119,8 @@
 	return c
 }
 
-// restart begins a new incarnation of a node. Its runs go on without it.
+// restart begins a new incarnation of a node. The runs in progress continue without the node:
+// they are marked as interrupted, and their end is not recorded.
 func (c *cluster) restart(p *peer) {
 	p.incarnation++
 	p.submissions = map[claims.Number]*submission{}
@@ -153,7 +159,7 @@
 	return c.peers[slices.IndexFunc(c.peers, func(p *peer) bool { return p.id == id })]
 }
 
-// submit hands a request to a node.
+// submit submits a request to a node, which claims its key.
 func (c *cluster) submit(p *peer, key claims.Key) claims.Number {
 	number, out, err := p.machine.Claim(c.now, key)
 	Expect(err).NotTo(HaveOccurred())
@@ -163,7 +169,7 @@
 	return number
 }
 
-// collect records a node's decisions.
+// collect records the decisions of a node and schedules the requests whose claims it acquired.
 func (c *cluster) collect(p *peer) {
 	for _, decision := range p.machine.Decisions() {
 		c.outcomes[decision.Outcome]++
@@ -176,7 +182,8 @@
 	}
 }
 
-// advance lets time pass.
+// advance simulates the given duration in steps of tickInterval, and checks after each step
+// that at most one submission of each request may be sent.
 func (c *cluster) advance(duration time.Duration) {
 	for until := c.now + duration; c.now < until; {
 		c.now += tickInterval
@@ -203,8 +210,9 @@
 	c.collect(p)
 }
 
-// tick is what a node does at each step. One that wakes sends before it reads what has
-// arrived in the meantime, which is the worst that it can do.
+// tick performs the actions of a node at one step. The node sends due requests to back ends
+// before it handles the messages that arrived while it was frozen, which is the order with
+// the greatest risk of a second run.
 func (c *cluster) tick(p *peer) {
 	for _, number := range sortedNumbers(p.submissions) {
 		if due := p.submissions[number]; due.decided && due.sendAt <= c.now {
@@ -226,7 +234,8 @@
 	}
 }
 
-// start sends a request to a back end if its claim is still valid.
+// start begins the run of a request if its claim is still valid, and releases the claim
+// otherwise.
 func (c *cluster) start(p *peer, due *submission) {
 	if !p.machine.MayRun(c.now, due.number) {
 		c.send(p.id, p.machine.End(c.now, due.number, false))
@@ -250,7 +259,7 @@
 	return running
 }
 
-// freeze stops a node for a time.
+// freeze stops a node for a duration. Its runs are marked as interrupted.
 func (c *cluster) freeze(p *peer, duration time.Duration) {
 	p.frozenUntil = c.now + duration
 	for _, running := range c.runningOn(p) {
@@ -258,7 +267,8 @@
 	}
 }
 
-// changeDirectory begins to replace the set, unless a change is in progress.
+// changeDirectory begins to replace the set of the directory by one of the given members,
+// unless a change is in progress.
 func (c *cluster) changeDirectory(members []member.ID) {
 	newest := c.directories[len(c.directories)-1]
 	if len(newest) > 1 {
@@ -269,8 +279,9 @@
 	c.oldSetRemovableAt = 0
 }
 
-// advanceDirectories lets nodes adopt directories late, and leaves the old set out
-// when all have adopted the new one and enough time has passed.
+// advanceDirectories makes each node adopt the next directory after a random delay. It adds a
+// directory without the older set once the retention has passed since all nodes adopted the
+// directory with both sets.
 func (c *cluster) advanceDirectories() {
 	last := len(c.directories) - 1
 	all := true
@@ -293,7 +304,8 @@
 	}
 }
 
-// checkAtMostOneMayRun checks that no two nodes may send the same request.
+// checkAtMostOneMayRun checks that at most one of the submissions of each request may be sent
+// to a back end.
 func (c *cluster) checkAtMostOneMayRun() {
 	claimants := map[claims.Key]member.ID{}
 	for _, p := range c.peers {
@@ -301,21 +313,23 @@
 			if !p.machine.MayRun(c.now, submitted.number) {
 				continue
 			}
-			Expect(claimants).NotTo(HaveKey(submitted.key), "two claims are valid at %v", c.now)
+			Expect(claimants).NotTo(HaveKey(submitted.key), "two claims of one key are valid at %v", c.now)
 			claimants[submitted.key] = p.id
 		}
 	}
 }
 
-// checkRuns checks how far apart two runs of one request are.
+// checkRuns checks that successive runs of each request neither overlap nor follow each other
+// too soon, unless the earlier run was interrupted, and that they never start together. It
+// returns the number of runs that repeat a request.
 func (c *cluster) checkRuns() (repeated int) {
 	for _, runs := range c.runs {
 		for i := 1; i < len(runs); i++ {
 			before, after := runs[i-1], runs[i]
-			Expect(after.start-before.start).To(BeNumerically(">", retention/8), "runs that begin together")
+			Expect(after.start-before.start).To(BeNumerically(">", retention/8), "two runs of a request started nearly together")
 			if !before.interrupted {
-				Expect(before.ended).To(BeTrue(), "a run beside a run that goes on")
-				Expect(after.start-before.end).To(BeNumerically(">=", retention/4), "a run soon after another")
+				Expect(before.ended).To(BeTrue(), "a run started before the earlier one had ended")
+				Expect(after.start-before.end).To(BeNumerically(">=", retention/4), "a run started too soon after the earlier one ended")
 			}
 			repeated++
 		}
--- a/pkg/claims/config.go
+++ b/pkg/claims/config.go
@@ -11,41 +11,43 @@
 const (
 	// DefaultHomesPerKey is the number of homes of a key.
 	DefaultHomesPerKey = 3
-	// DefaultRetention is how long a key is remembered.
+	// DefaultRetention is how long a claim is remembered after its last renewal.
 	DefaultRetention = time.Minute
 	// DefaultDecisionTimeout bounds the time until a claim is decided.
 	DefaultDecisionTimeout = 250 * time.Millisecond
-	// DefaultResendInterval is the time between two messages to a home that does not
-	// reply.
+	// DefaultResendInterval is the time between two messages to a home that has not
+	// granted a claim.
 	DefaultResendInterval = 60 * time.Millisecond
-	// DefaultMaxEntries bounds what a home remembers.
+	// DefaultMaxEntries is the maximum number of claims that a home remembers.
 	DefaultMaxEntries = 1 << 18
 )
 
 const (
-	// marginDivisor is the fraction of the retention that allows for clocks that run at
-	// different rates: an eighth.
+	// marginDivisor is the retention divided by the margin. The margin, an eighth of the
+	// retention, allows for clocks that run at different rates.
 	marginDivisor = 8
-	// renewDivisor is the fraction of the retention after which a claim is renewed: a
-	// quarter.
+	// renewDivisor is the retention divided by the time between two renewals, which is a
+	// quarter of the retention.
 	renewDivisor = 4
 )
 
-// Config sets up a Machine. Zero values mean the defaults, where there are any.
+// Config configures a Machine. A zero value is replaced by the default, if there is one.
 type Config struct {
 	Self member.ID
-	// Incarnation distinguishes this process from every other that had the name.
+	// Incarnation distinguishes this process from all others that ran under the same ID.
 	Incarnation member.Incarnation
-	// HomesPerKey is the number of homes of a key. All nodes have the same.
+	// HomesPerKey is the number of homes of a key. It must be the same on all nodes.
 	HomesPerKey int
-	// Retention is how long homes remember a claim after its last renewal, and, but for
-	// a margin, how long they grant nothing after a start. All nodes have the same.
+	// Retention is how long homes remember a claim after its last renewal. After a start,
+	// they grant no new claims for this time plus a margin of an eighth of it. It must be
+	// the same on all nodes.
 	Retention time.Duration
 	// DecisionTimeout bounds the time until a claim is decided.
 	DecisionTimeout time.Duration
-	// ResendInterval is the time between two messages to a home that does not reply.
+	// ResendInterval is the time between two messages to a home that has not granted a
+	// claim.
 	ResendInterval time.Duration
-	// MaxEntries bounds the claims that this node remembers as a home.
+	// MaxEntries is the maximum number of claims that this node remembers as a home.
 	MaxEntries int
 }
 
@@ -58,18 +60,20 @@
 	return c
 }
 
-// clockMargin is how much sooner a claimant gives a claim up than homes forget it,
-// and how much longer a home waits after its start.
+// clockMargin returns the margin for clocks that run at different rates. The validity of a
+// claim ends by this much before its homes forget it, and after its start a home waits for
+// this much longer than the retention.
 func (c Config) clockMargin() time.Duration {
 	return c.Retention / marginDivisor
 }
 
-// validFor is how long an acknowledged message keeps a claim valid.
+// validFor returns how long a claim is valid after the sending of a request or renewal that a
+// majority acknowledges.
 func (c Config) validFor() time.Duration {
 	return c.Retention - c.clockMargin()
 }
 
-// renewInterval is the time between two renewals.
+// renewInterval returns the time between two renewals.
 func (c Config) renewInterval() time.Duration {
 	return c.Retention / renewDivisor
 }
--- a/pkg/claims/directory.go
+++ b/pkg/claims/directory.go
@@ -9,16 +9,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Set is one agreed set of nodes. Equal epochs name equal sets.
+// Set is a set of nodes on which all nodes agree. Sets of the same epoch are equal.
 type Set struct {
 	Epoch   uint64
 	Members []member.ID
 }
 
-// directory is the sets that have to agree to a claim, the newest last.
+// directory contains the sets, each of which has to grant a claim by a majority of its homes.
+// The newest set is the last.
 type directory []Set
 
-// epoch returns the epoch of the newest set.
+// epoch returns the epoch of the newest set; 0 if there is none.
 func (d directory) epoch() uint64 {
 	if len(d) == 0 {
 		return 0
@@ -41,8 +42,9 @@
 	weight uint64
 }
 
-// homesOf returns the nodes with the greatest weights for a key. The loss or
-// addition of a node moves only the keys that it is a home of.
+// homesOf returns the homes of a key by rendezvous hashing: the count nodes with the greatest
+// weights for the key. The removal or addition of a node changes the homes only of the keys
+// of which that node is a home.
 func homesOf(members []member.ID, key Key, count int) []member.ID {
 	all := make([]ranked, len(members))
 	for i, id := range members {
@@ -58,7 +60,7 @@
 	return homes
 }
 
-// majority returns how many of a number of homes are a majority.
+// majority returns the smallest number of homes that is a majority of the given number.
 func majority(homes int) int {
 	return homes/2 + 1
 }
--- a/pkg/claims/home.go
+++ b/pkg/claims/home.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// claimID names a claim among those of all nodes.
+// claimID identifies a claim among those of all nodes.
 type claimID struct {
 	claimant    member.ID
 	incarnation member.Incarnation
@@ -23,18 +23,19 @@
 	expiresAt time.Duration
 }
 
-// home is this node in its role as a home: it owns the claims that it remembers, of all
-// nodes. Its invariant is that it has one claim of each key at most: an entry is removed
-// only when it has expired, or is released by its claim.
+// home implements the role of this node as a home. It owns the claims, of all nodes, that
+// this node remembers as a home. Its invariant is that it has at most one claim of each
+// key: an entry is removed, or replaced by that of another claim, only when it has expired
+// or its claimant releases the claim.
 type home struct {
 	retention  time.Duration
 	maxEntries int
-	// readyAt is when all that an earlier incarnation granted has expired.
+	// readyAt is when all claims that an earlier incarnation may have granted have expired.
 	readyAt time.Duration
 	entries map[Key]entry
-	// nextSweepAt is when expired entries are next removed.
+	// nextSweepAt is when tick next removes expired entries.
 	nextSweepAt time.Duration
-	// newestEpoch is the newest epoch that a claimant named.
+	// newestEpoch is the newest epoch in the requests and renewals of claimants.
 	newestEpoch uint64
 }
 
@@ -49,9 +50,10 @@
 	}
 }
 
-// handleRequest decides on a request or a renewal, and remembers what it grants. Epoch is
-// that of this node's newest set. A claimant whose directory is older than that, or than
-// one that another claimant named, may know too few homes; only its renewals are accepted.
+// handleRequest returns the reply to a request or a renewal, and remembers the claim if it is
+// granted. The parameter epoch is the epoch of this node's newest set. A claimant whose
+// directory is older than that epoch, or than the epoch of another claimant, might not know
+// all the homes that have to grant; only renewals of such a claimant are accepted.
 func (h *home) handleRequest(now time.Duration, from member.ID, request Message, epoch uint64) Kind {
 	if request.Kind == Acquire && request.Epoch < max(epoch, h.newestEpoch) {
 		return Outdated
@@ -72,15 +74,15 @@
 	return Granted
 }
 
-// release forgets a claim whose request has not run.
+// release removes the entry of a claim whose request has not run.
 func (h *home) release(from member.ID, message Message) {
 	if remembered, present := h.entries[message.Key]; present && remembered.claim == idOf(from, message) {
 		delete(h.entries, message.Key)
 	}
 }
 
-// isFull tells whether the home can remember no more claims, after it has removed those
-// that have expired.
+// isFull reports whether the home can remember no more claims. If maxEntries is reached, it
+// first removes the expired entries.
 func (h *home) isFull(now time.Duration) bool {
 	if len(h.entries) < h.maxEntries {
 		return false
@@ -98,7 +100,7 @@
 	}
 }
 
-// tick sweeps a few times per retention.
+// tick removes the expired entries renewDivisor times per retention.
 func (h *home) tick(now time.Duration) {
 	if now < h.nextSweepAt {
 		return
--- a/pkg/claims/machine.go
+++ b/pkg/claims/machine.go
@@ -9,23 +9,22 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ErrNoDirectory is returned while the node knows no set of homes.
+// ErrNoDirectory is the error of Machine.Claim while the machine has no directory.
 var ErrNoDirectory = errors.New("claims: no directory of homes is known yet: send the request to another node or try again")
 
-// Machine claims keys for its node, and is a home for other nodes' claims. It is not
-// safe for concurrent use.
+// Machine claims keys for its node, and acts as a home for the claims of all nodes. It is
+// not safe for concurrent use.
 type Machine struct {
-	config Config
-	// directory has the sets that have to agree to a claim, the newest last.
+	config    Config
 	directory directory
 	home      *home
-	// claims are those of this node that have not ended, and numbers their numbers,
-	// ascending: the order in which Tick visits them.
+	// claims contains the claims of this node that have not ended. The field numbers
+	// contains their numbers in ascending order, in which Tick handles them.
 	claims  map[Number]*claim
 	numbers []Number
 	// lastNumber is the number of the newest claim.
 	lastNumber Number
-	// decisions were made since the last call of Decisions.
+	// decisions contains the decisions since the last call of Decisions.
 	decisions []Decision
 }
 
@@ -35,9 +34,9 @@
 	return &Machine{config: config, home: newHome(config, now), claims: make(map[Number]*claim)}
 }
 
-// SetDirectory replaces the sets that have to agree to a claim, the newest last. The
-// package comment says when a set may be left out. Directories older than the present
-// one are ignored.
+// SetDirectory replaces the sets that have to grant a claim; the newest set is the last. The
+// package comment says when a set may be removed. A directory whose newest epoch is older
+// than the current one is ignored.
 func (m *Machine) SetDirectory(sets []Set) {
 	next := directory(sets)
 	if next.epoch() < m.directory.epoch() {
@@ -46,8 +45,8 @@
 	m.directory = slices.Clone(next)
 }
 
-// Claim requests a key. The decision comes out of Decisions, at the latest
-// Config.DecisionTimeout later. It fails with ErrNoDirectory.
+// Claim claims a key. Decisions returns the outcome, at the latest after the first Tick that
+// follows Config.DecisionTimeout. Claim returns ErrNoDirectory if no directory was set.
 func (m *Machine) Claim(now time.Duration, key Key) (Number, []Outbound, error) {
 	if len(m.directory) == 0 {
 		return 0, nil, errors.WithStack(ErrNoDirectory)
@@ -59,15 +58,17 @@
 	return claim.number, m.startAttempt(now, claim), nil
 }
 
-// MayRun tells whether an acquired claim is still valid, so that its request may be
-// sent to a back end now.
+// MayRun reports whether a claim has been acquired and is still valid, so that its request
+// may be sent to a back end now.
 func (m *Machine) MayRun(now time.Duration, number Number) bool {
 	claim, present := m.claims[number]
 	return present && claim.acquired && now < claim.validUntil
 }
 
-// End ends a claim. The key of a request that may have run is remembered from now on;
-// that of one that has certainly not run may be claimed again.
+// End ends a claim. If the request may have run, End renews the claim once more, so that its
+// homes remember it for Config.Retention from now on; a claim that is no longer valid is not
+// renewed. If the request has certainly not run, its key is released and may be claimed
+// again.
 func (m *Machine) End(now time.Duration, number Number, mayHaveRun bool) []Outbound {
 	claim, present := m.claims[number]
 	if !present {
@@ -84,7 +85,7 @@
 	return m.send(now, claim.messages(Renew, m.config.Incarnation))
 }
 
-// Decisions returns the decisions since the last call.
+// Decisions returns the decisions since its last call.
 func (m *Machine) Decisions() []Decision {
 	decisions := m.decisions
 	m.decisions = nil
@@ -113,9 +114,9 @@
 	}
 }
 
-// Tick sends to homes again that have not replied, renews the claims that are
-// acquired, and gives up those that were not decided in time. A few ticks in
-// Config.ResendInterval are enough.
+// Tick handles the passing of time: it sends messages again to homes that have not granted,
+// renews acquired claims, rejects the claims that were not decided in time, and removes
+// expired entries of the home. It should be called a few times per Config.ResendInterval.
 func (m *Machine) Tick(now time.Duration) []Outbound {
 	m.home.tick(now)
 	var out []Outbound
@@ -127,13 +128,13 @@
 	return out
 }
 
-// tickClaim does what is due for one claim.
+// tickClaim rejects, renews or resends one claim if that is due.
 func (m *Machine) tickClaim(now time.Duration, claim *claim) []Outbound {
 	switch {
 	case !claim.acquired && now >= claim.deadline:
 		return m.reject(now, claim)
 	case claim.acquired && now >= claim.validUntil:
-		// Lost for good: MayRun is false, and End renews nothing.
+		// The claim is lost permanently: MayRun returns false, and End does not renew it.
 		return nil
 	case now < claim.nextSendAt:
 		return nil
@@ -144,8 +145,8 @@
 	}
 }
 
-// handleReply handles a home's reply to the present attempt of a claim; others are
-// out of date.
+// handleReply handles a home's reply to the current attempt of a claim. It ignores replies to
+// earlier attempts, to ended claims and to earlier incarnations.
 func (m *Machine) handleReply(now time.Duration, from member.ID, message Message) []Outbound {
 	claim, present := m.claims[message.Number]
 	if !present || message.Incarnation != m.config.Incarnation || message.Key != claim.key || message.Attempt != claim.attempt.number {
@@ -159,7 +160,8 @@
 	return m.decide(now, claim)
 }
 
-// decide ends the request for a key when its result is certain.
+// decide decides a claim once its deadline has passed, a majority in every set has granted, or
+// no such majority is possible any more.
 func (m *Machine) decide(now time.Duration, claim *claim) []Outbound {
 	switch {
 	case now >= claim.deadline:
@@ -177,8 +179,9 @@
 	}
 }
 
-// extend prolongs an acquired claim by a renewal that a majority has acknowledged. A
-// claim that has been lost stays lost: others may have had the key since.
+// extend extends the validity of an acquired claim if a majority in every set has acknowledged
+// the current attempt. A claim that is no longer valid is not extended, since another node
+// may have acquired the key in the meantime.
 func (m *Machine) extend(now time.Duration, claim *claim) {
 	if now < claim.validUntil && claim.attempt.granted() {
 		claim.validUntil = max(claim.validUntil, claim.attempt.sentAt+m.config.validFor())
@@ -186,7 +189,8 @@
 	}
 }
 
-// reject decides a claim that was not acquired.
+// reject decides that a claim is not acquired, and releases it. The outcome is AlreadyClaimed
+// if a home has reported a conflict, and Undecided otherwise.
 func (m *Machine) reject(now time.Duration, claim *claim) []Outbound {
 	outcome := Undecided
 	if claim.attempt.hasConflict() {
@@ -196,13 +200,14 @@
 	return m.release(now, claim)
 }
 
-// release tells the homes that the request of a claim does not run.
+// release removes a claim of this node, and returns the messages that inform its homes that
+// its request has not run and will not run.
 func (m *Machine) release(now time.Duration, claim *claim) []Outbound {
 	m.remove(claim)
 	return m.send(now, claim.messages(Release, m.config.Incarnation))
 }
 
-// remove removes a claim of this node.
+// remove removes a claim from the claims of this node.
 func (m *Machine) remove(claim *claim) {
 	delete(m.claims, claim.number)
 	if index, present := slices.BinarySearch(m.numbers, claim.number); present {
@@ -210,15 +215,15 @@
 	}
 }
 
-// startAttempt sends a message to all homes: it requests the key until the claim is
-// acquired, and renews the claim from then on.
+// startAttempt begins a new attempt, and returns its messages to all homes. They request the
+// key if the claim has not been acquired yet, and renew the claim otherwise.
 func (m *Machine) startAttempt(now time.Duration, claim *claim) []Outbound {
 	claim.attempt = m.newAttempt(now, claim)
 	claim.nextSendAt = now + m.config.ResendInterval
 	return m.send(now, claim.messages(claim.requestKind(), m.config.Incarnation))
 }
 
-// newAttempt returns the next attempt, to the homes of the present directory.
+// newAttempt returns the next attempt, with the homes of the key in the current directory.
 func (m *Machine) newAttempt(now time.Duration, claim *claim) attempt {
 	return attempt{
 		number:  claim.attempt.number + 1,
@@ -229,8 +234,8 @@
 	}
 }
 
-// resend repeats the message of the attempt to the homes that have not granted. One
-// that was not ready may be so now.
+// resend returns the messages of the current attempt to the homes that have not granted. They
+// include the homes that have rejected, since a home that replied NotReady may be ready now.
 func (m *Machine) resend(now time.Duration, claim *claim) []Outbound {
 	claim.nextSendAt = now + m.config.ResendInterval
 	var again []Outbound
@@ -242,7 +247,7 @@
 	return m.send(now, again)
 }
 
-// send handles at once what the node sends to itself, and returns the rest.
+// send passes the messages that this node sends to itself to Step, and returns the others.
 func (m *Machine) send(now time.Duration, messages []Outbound) []Outbound {
 	var out []Outbound
 	for _, message := range messages {
--- a/pkg/claims/machine_test.go
+++ b/pkg/claims/machine_test.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// startupWait is how long a home grants nothing after its start.
+// startupWait is how long a home grants no new claims after its start.
 const startupWait = retention + retention/8
 
 var _ = Describe("Machine", func() {
@@ -23,7 +23,7 @@
 		c.advance(startupWait + tickInterval)
 	})
 
-	// outcomeOf returns the outcome of a new submission to a node.
+	// outcomeOf submits the request to a node and returns the outcome of the claim.
 	outcomeOf := func(p *peer) claims.Outcome {
 		before := c.outcomes
 		c.outcomes = map[claims.Outcome]int{}
@@ -37,7 +37,7 @@
 		return claims.Undecided
 	}
 
-	It("lets one node run a request, and rejects it everywhere else", func() {
+	It("allows one node to run a request, and rejects the request on all nodes after that", func() {
 		Expect(outcomeOf(c.peers[0])).To(Equal(claims.Acquired))
 		for _, other := range c.peers {
 			Expect(outcomeOf(other)).To(Equal(claims.AlreadyClaimed))
@@ -45,7 +45,7 @@
 		Expect(c.runs[key]).To(HaveLen(1))
 	})
 
-	It("remembers a run for a while after its end, and then no more", func() {
+	It("remembers the key of a request until the retention has passed since its end", func() {
 		Expect(outcomeOf(c.peers[0])).To(Equal(claims.Acquired))
 		c.advance(c.runs[key][0].end - c.now + retention/2)
 		Expect(outcomeOf(c.peers[1])).To(Equal(claims.AlreadyClaimed))
@@ -61,7 +61,7 @@
 		Expect(outcomeOf(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
-	It("decides without a home that has failed, and rejects at once without two", func() {
+	It("acquires claims if one of three homes has failed, and leaves them undecided if two have failed", func() {
 		c.freeze(c.peers[4], time.Hour)
 		c.freeze(c.peers[3], time.Hour)
 		acquired, undecided := 0, 0
@@ -73,12 +73,12 @@
 				undecided++
 			}
 		}
-		// Of ten sets of three homes, three have both of the frozen ones.
+		// Five nodes have ten subsets of three homes. Three of these contain both frozen nodes.
 		Expect(acquired).To(BeNumerically(">", 30))
 		Expect(undecided).To(BeNumerically(">", 5))
 	})
 
-	It("grants nothing after a start until all that may have been granted has expired", func() {
+	It("grants no claims after a start until all claims granted before it have expired", func() {
 		Expect(outcomeOf(c.peers[0])).To(Equal(claims.Acquired))
 		for _, p := range c.peers {
 			c.restart(p)
@@ -89,7 +89,7 @@
 		Expect(outcomeOf(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
-	It("keeps the claims of running requests over restarts of all homes, one after the other", func() {
+	It("preserves the claims of running requests when all homes restart one after the other", func() {
 		number := c.submit(c.peers[0], key)
 		c.advance(100 * time.Millisecond)
 		c.runs[key][0].end = c.now + time.Hour
@@ -103,7 +103,7 @@
 		Expect(outcomeOf(c.peers[1])).To(Equal(claims.AlreadyClaimed))
 	})
 
-	It("takes the claim from a node that was frozen for long", func() {
+	It("invalidates the claim of a node that was frozen for longer than the retention", func() {
 		number := c.submit(c.peers[0], key)
 		c.advance(30 * time.Millisecond)
 		c.freeze(c.peers[0], 2*retention)
@@ -112,7 +112,7 @@
 		Expect(c.peers[0].machine.MayRun(c.now, number)).To(BeFalse())
 	})
 
-	It("rejects a claimant whose directory is out of date", func() {
+	It("grants nothing to a claimant whose directory is out of date", func() {
 		newer := []claims.Set{{Epoch: 2, Members: []member.ID{"a", "b", "c"}}}
 		for _, p := range c.peers[1:] {
 			p.machine.SetDirectory(newer)
@@ -121,12 +121,12 @@
 		Expect(outcomeOf(c.peers[1])).To(Equal(claims.Acquired))
 	})
 
-	It("reports that it has no directory", func() {
+	It("returns ErrNoDirectory if it has no directory", func() {
 		_, _, err := claims.New(claims.Config{Self: "a"}, 0).Claim(0, key)
 		Expect(err).To(MatchError(claims.ErrNoDirectory))
 	})
 
-	It("forgets nothing when it is full", func() {
+	It("removes no unexpired entry when it is full", func() {
 		home := claims.New(claims.Config{Self: "a", Retention: retention, MaxEntries: 2}, 0)
 		acquire := func(now time.Duration, number claims.Number) claims.Kind {
 			name := claims.KeyOf("court", fmt.Sprint(number))
@@ -141,13 +141,13 @@
 		Expect(home.EntryCount()).To(Equal(1))
 	})
 
-	It("distinguishes tenants whose names and identities concatenate to the same text", func() {
+	It("distinguishes keys whose tenant and request ID concatenate to the same text", func() {
 		Expect(claims.KeyOf("a", "bc")).NotTo(Equal(claims.KeyOf("ab", "c")))
 	})
 })
 
 var _ = Describe("A deployment under faults", func() {
-	DescribeTable("never runs a request twice within its window", func(seed uint64) {
+	DescribeTable("never runs a request twice while its key is remembered", func(seed uint64) {
 		c := newCluster(seed, 5)
 		c.loss, c.duplication, c.maxDelay = 0.05, 0.05, 60*time.Millisecond
 		c.advance(startupWait)
@@ -161,18 +161,19 @@
 		}
 		c.advance(startupWait)
 		repeated := c.checkRuns()
-		GinkgoWriter.Printf("seed %d: %v, run again later %d times, %d directories\n", seed, c.outcomes, repeated, len(c.directories))
+		GinkgoWriter.Printf("seed %d: %v, %d repeated runs, %d directories\n", seed, c.outcomes, repeated, len(c.directories))
 		for _, outcome := range []claims.Outcome{claims.Acquired, claims.AlreadyClaimed, claims.Undecided} {
 			Expect(c.outcomes[outcome]).To(BeNumerically(">", 0), outcome.String())
 		}
-		Expect(repeated).To(BeNumerically(">", 0), "windows have to pass, or nothing was tried")
+		Expect(repeated).To(BeNumerically(">", 0), "the spec must include runs of a request after its key expired")
 	},
 		Entry("seed 1", uint64(1)), Entry("seed 2", uint64(2)), Entry("seed 3", uint64(3)), Entry("seed 4", uint64(4)),
 		Entry("seed 5", uint64(5)), Entry("seed 6", uint64(6)), Entry("seed 7", uint64(7)), Entry("seed 8", uint64(8)),
 	)
 })
 
-// injectFault brings a fault now and then.
+// injectFault injects, with a small probability, one fault: a restart, a freeze, a blocked
+// pair of nodes or a change of the directory. It also removes blocks.
 func (c *cluster) injectFault() {
 	p := c.peers[c.random.IntN(len(c.peers))]
 	switch c.random.IntN(120) {
--- a/pkg/claims/message.go
+++ b/pkg/claims/message.go
@@ -7,10 +7,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// keyBytes is the length of a key, long enough that no two requests share one.
+// keyBytes is the length of a key. It is large enough to make it practically impossible that
+// two requests have the same key.
 const keyBytes = 16
 
-// Key stands for the identity of a request among all tenants.
+// Key identifies a request among those of all tenants.
 type Key [keyBytes]byte
 
 // KeyOf returns the key of a tenant's request.
@@ -22,30 +23,33 @@
 	return Key(digest[:keyBytes])
 }
 
-// Number names a claim among those of one incarnation of a node.
+// Number identifies a claim among those of one incarnation of a node.
 type Number uint64
 
-// Kind tells what a Message says.
+// Kind is the kind of a Message.
 type Kind int
 
-// The kinds of messages. Acquire, Renew and Release go to homes, the others come back
-// from them.
+// The kinds of messages. Claimants send Acquire, Renew and Release to homes. The others are
+// the replies of homes to Acquire and Renew.
 const (
 	// Acquire requests a grant.
 	Acquire Kind = iota
-	// Renew says that the claim has been granted before, and is still valid.
+	// Renew reports that the claim has been granted before and is still valid, and requests
+	// that the home remember it for longer.
 	Renew
-	// Release says that the request has not run and will not run.
+	// Release reports that the request has not run and will not run.
 	Release
-	// Granted says that the home remembers the claim.
+	// Granted reports that the home remembers the claim.
 	Granted
-	// Conflict says that the home remembers another claim of the key.
+	// Conflict reports that the home remembers another claim of the key.
 	Conflict
-	// NotReady says that the home can't decide yet, since it started lately.
+	// NotReady reports that the home can't grant new claims yet, because it started
+	// recently.
 	NotReady
-	// Full says that the home can remember no more claims.
+	// Full reports that the home can remember no more claims.
 	Full
-	// Outdated says that the claimant's directory is older than the home's.
+	// Outdated reports that the claimant's directory is older than that of the home or of
+	// another claimant.
 	Outdated
 )
 
@@ -58,16 +62,18 @@
 	return names[k]
 }
 
-// Message goes between a claimant and a home.
+// Message is a message between a claimant and a home.
 type Message struct {
 	Kind Kind
 	Key  Key
-	// Incarnation and Number name the claim, together with the claimant.
+	// Incarnation is that of the claimant. The claimant, Incarnation and Number together
+	// identify the claim.
 	Incarnation member.Incarnation
 	Number      Number
-	// Attempt numbers the claim's requests and renewals. Replies repeat it.
+	// Attempt is the number of the claim's attempt to which the message belongs. A reply
+	// has the number of the message that it answers.
 	Attempt uint64
-	// Epoch is that of the claimant's newest set.
+	// Epoch is the epoch of the claimant's newest set.
 	Epoch uint64
 }
 
@@ -77,19 +83,19 @@
 	Message Message
 }
 
-// Outcome tells how a claim was decided.
+// Outcome is the result of a claim.
 type Outcome int
 
 // The outcomes of a claim.
 const (
-	// Acquired means that the request may run while MayRun says so.
+	// Acquired means that the request may run as long as Machine.MayRun returns true.
 	Acquired Outcome = iota
-	// AlreadyClaimed means that there is, or was lately, another claim of the key. Its
-	// request may have run.
+	// AlreadyClaimed means that there is, or was recently, another claim of the key. The
+	// request of that claim may have run.
 	AlreadyClaimed
-	// Undecided means that too few homes granted in time, and none named another claim:
-	// they did not reply, or could not grant. The request does not run here; whether it ran
-	// elsewhere is not known.
+	// Undecided means that too few homes granted in time, and none reported a conflict:
+	// the other homes did not reply, or could not grant. The request must not run on this
+	// node; whether it ran on another node is not known.
 	Undecided
 )
 
--- a/pkg/claims/timeline_test.go
+++ b/pkg/claims/timeline_test.go
@@ -15,23 +15,37 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// Columns of the timelines in testdata are nodes. Homes remember for 2s, and grant nothing
-// for 2.25s after a start. A step acts (claim(k), end(k): it may have run, unrun(k): it has
-// not, restart, freeze, wake, block(b): nothing from here reaches b, unblock(b),
-// adopt(1 2): the sets of these epochs agree) or checks the outcome of the node's
-// newest claim of k (acquired(k), claimed(k), undecided(k), pending(k)) and whether its
-// request may be sent (may(k), maynot(k)).
+// Columns of the timelines in testdata are nodes. Homes remember a claim for 2 s, and grant
+// no new claims for 2.25 s after a start. These steps change something:
+//
+//	claim(k)     the node claims the key k
+//	end(k)       the node ends its newest claim of k, and the request may have run
+//	unrun(k)     the node ends its newest claim of k, and the request has not run
+//	restart      the node restarts
+//	freeze       the node is frozen
+//	wake         the node is no longer frozen, and handles the messages that have arrived
+//	block(b)     messages from the node to b are lost from now on
+//	unblock(b)   messages from the node to b are delivered again
+//	adopt(1 2)   the node adopts the directory of the sets of these epochs
+//
+// These steps check the node's newest claim of k:
+//
+//	acquired(k), claimed(k), undecided(k)   the outcome
+//	pending(k)                              there is no outcome yet
+//	may(k), maynot(k)                       whether the request may be sent to a back end
 var _ = Describe("timelines", func() {
 	for _, text := range lo.Must(timelinetest.ReadAll("testdata")) {
 		It(text.Name, func() { runTimeline(text) })
 	}
 })
 
-// timeline is a cluster whose network loses nothing.
+// timeline runs the steps of a timeline on a cluster whose network loses messages only
+// between blocked pairs of nodes.
 type timeline struct {
 	*cluster
 	columns []string
-	// newest are the claims of a node and key; decided are their outcomes.
+	// newest contains the newest claim of each node and key, with the key node/key. The
+	// field decided contains the outcomes of claims, with the key that claimName returns.
 	newest  map[string]claims.Number
 	decided map[string]claims.Outcome
 }
@@ -42,7 +56,7 @@
 		newest: map[string]claims.Number{}, decided: map[string]claims.Outcome{},
 	}
 	for i, column := range text.Columns {
-		Expect(column).To(Equal(string(execution.peers[i].id)), "columns are a, b and so on")
+		Expect(column).To(Equal(string(execution.peers[i].id)), "the columns must be named a, b and so on")
 	}
 	for _, instant := range text.Instants {
 		execution.runUntil(instant.At)
@@ -52,7 +66,7 @@
 	}
 }
 
-// runUntil lets messages arrive and nodes tick.
+// runUntil delivers messages and ticks the nodes until the given time.
 func (l *timeline) runUntil(at time.Duration) {
 	for l.now < at {
 		l.now += tickInterval
@@ -79,7 +93,7 @@
 	l.recordDecisions(p)
 }
 
-// recordDecisions records a node's decisions.
+// recordDecisions records the decisions of a node.
 func (l *timeline) recordDecisions(p *peer) {
 	for _, decision := range p.machine.Decisions() {
 		l.decided[claimName(p, decision.Number)] = decision.Outcome
@@ -132,8 +146,8 @@
 	return true
 }
 
-// setsOf returns the sets of some epochs. That of epoch 1 has all nodes; each
-// later one leaves one more of the first nodes out.
+// setsOf returns the sets of the given epochs. The set of epoch n contains all nodes except
+// the first n-1, so that of epoch 1 contains all nodes.
 func setsOf(columns []string, epochs string) []claims.Set {
 	var sets []claims.Set
 	for _, text := range strings.Fields(epochs) {
