--- a/pkg/relaytree/delta_test.go
+++ b/pkg/relaytree/delta_test.go
@@ -51,7 +51,7 @@
 		net.run(betweenDigests)
 		Expect(net.lagging()).To(BeEmpty())
 		deltaBytes := net.bytes[relaytree.MessageUpdate] / 4
-		AddReportEntry("bytes a child", fmt.Sprintf("whole %d, delta %d", fullBytes, deltaBytes))
+		AddReportEntry("bytes per child", fmt.Sprintf("complete state %d, delta %d", fullBytes, deltaBytes))
 		Expect(fullBytes).To(BeNumerically(">", largeStateSections*sectionBytes))
 		Expect(deltaBytes).To(BeNumerically("<", 2<<10))
 	})
--- a/pkg/relaytree/doc.go
+++ b/pkg/relaytree/doc.go
@@ -36,7 +36,7 @@
 //	live members, roots, positions in the trees          topology
 //	newest state of each topic, change log, cached       stateStore
 //	updates
-//	what other members have, updates in flight to them   sender
+//	known revisions of other members, updates in flight  sender
 //	received chunks of incomplete updates                assembler
 //	schedule of digests                                  antiEntropy
 //	messages to send for the current input               outbox
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -15,7 +15,7 @@
 	DefaultChunkBytes  = 128 << 10
 )
 
-// Config sets up a Machine. Zero values take the defaults.
+// Config configures a Machine. Zero values of the numbers are replaced by the defaults.
 type Config struct {
 	Self member.ID
 	// FanOut is the maximum number of children that a node has in its zone, and also the
--- a/pkg/relaytree/receive.go
+++ b/pkg/relaytree/receive.go
@@ -9,7 +9,7 @@
 //
 // An update after which the state would not match the checksum is never applied. If it is a
 // delta, the acknowledgement requests the complete state (Message.Mismatch). If it is a
-// complete state, there is no reply: the next digest leads to its being sent again.
+// complete state, there is no reply: it is sent again after the next digest.
 func (m *Machine) onUpdate(from member.ID, msg Message) []Update {
 	revision := m.Revision(msg.Topic)
 	if msg.Revision <= revision {
