--- a/pkg/claims/doc.go
+++ b/pkg/claims/doc.go
@@ -8,11 +8,10 @@
 // will be based on its safety argument and its tests. internal/dataplane/claiming is to
 // drive the package, and nodes do not use it yet either.
 //
-// A node that is about to run such a request first claims the key of the request. The
-// homes of a key are a few nodes, selected by rendezvous hashing over a directory on which
-// all nodes agree. Each home grants a key to one claim at a time, and remembers that claim.
-// A claim is acquired if a majority of the homes has granted it. Safety is based on these
-// rules:
+// Before a node runs such a request, it claims the key of the request. The homes of a key
+// are a few nodes, selected by rendezvous hashing over a directory on which all nodes agree.
+// Each home grants a key to one claim at a time, and remembers that claim. A claim is
+// acquired if a majority of the homes has granted it. Safety is based on these rules:
 //
 //   - Any two majorities of the homes of a key have a home in common, and a home never
 //     has two claims of one key. An entry is never removed before it expires, unless its
