--- a/pkg/claims/cluster_test.go
+++ b/pkg/claims/cluster_test.go
@@ -30,15 +30,15 @@
 // packetQueue is a heap of packets, ordered by the time of their arrival.
 type packetQueue []packet
 
-func (w packetQueue) Len() int { return len(w) }
-func (w packetQueue) Less(i, j int) bool {
-	return w[i].at < w[j].at || w[i].at == w[j].at && w[i].order < w[j].order
+func (q packetQueue) Len() int { return len(q) }
+func (q packetQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (w packetQueue) Swap(i, j int)   { w[i], w[j] = w[j], w[i] }
-func (w *packetQueue) Push(value any) { *w = append(*w, value.(packet)) }
-func (w *packetQueue) Pop() any {
-	last := (*w)[len(*w)-1]
-	*w = (*w)[:len(*w)-1]
+func (q packetQueue) Swap(i, j int)   { q[i], q[j] = q[j], q[i] }
+func (q *packetQueue) Push(value any) { *q = append(*q, value.(packet)) }
+func (q *packetQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
