--- a/pkg/relaytree/delta_test.go
+++ b/pkg/relaytree/delta_test.go
@@ -153,7 +153,7 @@
 		Expect(baseFor("too late", 1)).To(BeZero())
 	})
 
-	It("make all nodes converge under loss, duplication, reordering and crashes, and never mix revisions", func() {
+	It("make all nodes converge under loss, duplication, reordering and crashes, with and without chunks, and never mix revisions", func() {
 		for seed := range uint64(400) {
 			chunkBytes := []int{relaytree.DefaultChunkBytes, 40}[seed%2]
 			net := newNetworkWithChunks(seed, nodeNames(4+int(seed%9), 1+int(seed%3)), chunkBytes)
