--- a/pkg/claims/cluster_test.go
+++ b/pkg/claims/cluster_test.go
@@ -12,13 +12,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// retention is short, so that it passes often.
+// retention is short, so that claims expire often during a spec.
 const retention = 2 * time.Second
 
-// step is how often nodes tick.
-const step = 10 * time.Millisecond
+// tickInterval is the time between two ticks of a node.
+const tickInterval = 10 * time.Millisecond
 
-// packet is a message on its way.
+// packet is a message that was sent and has not been delivered yet. The field order breaks
+// ties between packets that arrive at the same time.
 type packet struct {
 	at       time.Duration
 	order    int
@@ -26,27 +27,29 @@
 	message  claims.Message
 }
 
-type wire []packet
+// packetQueue is a heap of packets, ordered by the time of their arrival.
+type packetQueue []packet
 
-func (w wire) Len() int { return len(w) }
-func (w wire) Less(i, j int) bool {
-	return w[i].at < w[j].at || w[i].at == w[j].at && w[i].order < w[j].order
+func (q packetQueue) Len() int { return len(q) }
+func (q packetQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (w wire) Swap(i, j int)   { w[i], w[j] = w[j], w[i] }
-func (w *wire) Push(value any) { *w = append(*w, value.(packet)) }
-func (w *wire) Pop() any {
-	last := (*w)[len(*w)-1]
-	*w = (*w)[:len(*w)-1]
+func (q packetQueue) Swap(i, j int)   { q[i], q[j] = q[j], q[i] }
+func (q *packetQueue) Push(value any) { *q = append(*q, value.(packet)) }
+func (q *packetQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// submission is a request in the hands of a node.
+// submission is a request that was submitted to a node and not sent to a back end yet.
 type submission struct {
 	key     claims.Key
 	number  claims.Number
 	outcome claims.Outcome
 	decided bool
-	// sendAt is when the node is about to send it to a back end.
+	// sendAt is when the node sends the request to a back end, if the claim is still valid
+	// then.
 	sendAt time.Duration
 }
 
@@ -55,15 +58,16 @@
 	id          member.ID
 	incarnation member.Incarnation
 	machine     *claims.Machine
-	open        map[claims.Number]*submission
+	submissions map[claims.Number]*submission
 	frozenUntil time.Duration
-	// inbox has what arrives while the node is frozen.
+	// inbox contains the packets that arrived while the node was frozen.
 	inbox []packet
-	// adopted is how many directories the node has followed.
-	adopted int
+	// directoryIndex is the index in cluster.directories of the directory that the node
+	// has adopted.
+	directoryIndex int
 }
 
-// run is a request that was sent to a back end.
+// run is the execution of a request that was sent to a back end.
 type run struct {
 	node        *peer
 	incarnation member.Incarnation
@@ -71,29 +75,30 @@
 	start       time.Duration
 	end         time.Duration
 	ended       bool
-	// interrupted tells that the node was restarted or frozen meanwhile.
+	// interrupted is true if the node was restarted or frozen during the run.
 	interrupted bool
 }
 
-// cluster is a deployment in virtual time.
+// cluster simulates a deployment in virtual time.
 type cluster struct {
-	now    time.Duration
-	random *rand.Rand
-	wire   wire
-	order  int
-	peers  []*peer
-	// loss and duplication are the chances of a fault of a message; it takes less than
-	// maxDelay.
+	now      time.Duration
+	random   *rand.Rand
+	inFlight packetQueue
+	order    int
+	peers    []*peer
+	// loss and duplication are the probabilities that a message is lost or delivered
+	// twice. The delay of a message is less than maxDelay.
 	loss, duplication float64
 	maxDelay          time.Duration
-	// blocked are pairs of nodes of which the first does not reach the second.
+	// blocked contains pairs of nodes; messages from the first to the second are lost.
 	blocked map[[2]member.ID]bool
-	// plans are the directories in their order; barrierAt is when the last
-	// one may be followed by one without the older set.
-	plans     [][]claims.Set
-	barrierAt time.Duration
-	runs      map[claims.Key][]*run
-	outcomes  map[claims.Outcome]int
+	// directories contains all directories, oldest first. If the newest one has two sets,
+	// oldSetRemovableAt is when a directory without the older set may follow; it is 0 until
+	// all nodes have adopted the newest directory.
+	directories       [][]claims.Set
+	oldSetRemovableAt time.Duration
+	runs              map[claims.Key][]*run
+	outcomes          map[claims.Outcome]int
 }
 
 func newCluster(seed uint64, size int) *cluster {
@@ -107,22 +112,23 @@
 		members = append(members, id)
 		c.peers = append(c.peers, &peer{id: id})
 	}
-	c.plans = [][]claims.Set{{{Epoch: 1, Members: members}}}
+	c.directories = [][]claims.Set{{{Epoch: 1, Members: members}}}
 	for _, started := range c.peers {
 		c.restart(started)
 	}
 	return c
 }
 
-// restart begins a new incarnation of a node. Its runs go on without it.
+// restart begins a new incarnation of a node. The runs in progress continue without the node:
+// they are marked as interrupted, and their end is not recorded.
 func (c *cluster) restart(p *peer) {
 	p.incarnation++
-	p.open = map[claims.Number]*submission{}
+	p.submissions = map[claims.Number]*submission{}
 	p.inbox = nil
 	p.frozenUntil = 0
-	p.adopted = len(c.plans) - 1
+	p.directoryIndex = len(c.directories) - 1
 	p.machine = claims.New(claims.Config{Self: p.id, Incarnation: p.incarnation, Retention: retention}, c.now)
-	p.machine.SetDirectory(c.plans[p.adopted])
+	p.machine.SetDirectory(c.directories[p.directoryIndex])
 	for _, runs := range c.runs {
 		for _, running := range runs {
 			if running.node == p && !running.ended {
@@ -133,8 +139,8 @@
 }
 
 func (c *cluster) send(from member.ID, out []claims.Outbound) {
-	for _, one := range out {
-		if c.random.Float64() < c.loss || c.blocked[[2]member.ID{from, one.To}] {
+	for _, message := range out {
+		if c.random.Float64() < c.loss || c.blocked[[2]member.ID{from, message.To}] {
 			continue
 		}
 		copies := 1
@@ -144,7 +150,7 @@
 		for range copies {
 			c.order++
 			delay := time.Duration(c.random.Int64N(int64(c.maxDelay)))
-			heap.Push(&c.wire, packet{at: c.now + delay, order: c.order, from: from, to: one.To, message: one.Message})
+			heap.Push(&c.inFlight, packet{at: c.now + delay, order: c.order, from: from, to: message.To, message: message.Message})
 		}
 	}
 }
@@ -153,62 +159,64 @@
 	return c.peers[slices.IndexFunc(c.peers, func(p *peer) bool { return p.id == id })]
 }
 
-// submit hands a request to a node.
+// submit submits a request to a node, which claims its key.
 func (c *cluster) submit(p *peer, key claims.Key) claims.Number {
 	number, out, err := p.machine.Claim(c.now, key)
 	Expect(err).NotTo(HaveOccurred())
-	p.open[number] = &submission{key: key, number: number}
+	p.submissions[number] = &submission{key: key, number: number}
 	c.send(p.id, out)
 	c.collect(p)
 	return number
 }
 
-// collect records a node's decisions.
+// collect records the decisions of a node and schedules the requests whose claims it acquired.
 func (c *cluster) collect(p *peer) {
 	for _, decision := range p.machine.Decisions() {
 		c.outcomes[decision.Outcome]++
-		decided := p.open[decision.Number]
+		decided := p.submissions[decision.Number]
 		decided.decided, decided.outcome = true, decision.Outcome
 		decided.sendAt = c.now + time.Duration(c.random.Int64N(int64(50*time.Millisecond)))
 		if decision.Outcome != claims.Acquired {
-			delete(p.open, decision.Number)
+			delete(p.submissions, decision.Number)
 		}
 	}
 }
 
-// advance lets time pass.
+// advance simulates the given duration in steps of tickInterval, and checks after each step
+// that at most one submission of each request may be sent.
 func (c *cluster) advance(duration time.Duration) {
 	for until := c.now + duration; c.now < until; {
-		c.now += step
-		for c.wire.Len() > 0 && c.wire[0].at <= c.now {
-			c.deliver(heap.Pop(&c.wire).(packet))
+		c.now += tickInterval
+		for c.inFlight.Len() > 0 && c.inFlight[0].at <= c.now {
+			c.deliver(heap.Pop(&c.inFlight).(packet))
 		}
 		for _, p := range c.peers {
 			if p.frozenUntil <= c.now {
-				c.act(p)
+				c.tick(p)
 			}
 		}
-		c.followDirectory()
-		c.checkOneMayRun()
+		c.advanceDirectories()
+		c.checkAtMostOneMayRun()
 	}
 }
 
-func (c *cluster) deliver(one packet) {
-	p := c.peer(one.to)
+func (c *cluster) deliver(received packet) {
+	p := c.peer(received.to)
 	if p.frozenUntil > c.now {
-		p.inbox = append(p.inbox, one)
+		p.inbox = append(p.inbox, received)
 		return
 	}
-	c.send(p.id, p.machine.Step(c.now, one.from, one.message))
+	c.send(p.id, p.machine.Step(c.now, received.from, received.message))
 	c.collect(p)
 }
 
-// act is what a node does at each step. One that wakes sends before it reads what has
-// arrived in the meantime, which is the worst that it can do.
-func (c *cluster) act(p *peer) {
-	for _, number := range sortedNumbers(p.open) {
-		if due := p.open[number]; due.decided && due.sendAt <= c.now {
-			delete(p.open, number)
+// tick performs the actions of a node at one step. The node sends due requests to back ends
+// before it handles the messages that arrived while it was frozen, which is the order with
+// the greatest risk of a second run.
+func (c *cluster) tick(p *peer) {
+	for _, number := range sortedNumbers(p.submissions) {
+		if due := p.submissions[number]; due.decided && due.sendAt <= c.now {
+			delete(p.submissions, number)
 			c.start(p, due)
 		}
 	}
@@ -226,7 +234,8 @@
 	}
 }
 
-// start sends a request to a back end if its claim is still valid.
+// start begins the run of a request if its claim is still valid, and releases the claim
+// otherwise.
 func (c *cluster) start(p *peer, due *submission) {
 	if !p.machine.MayRun(c.now, due.number) {
 		c.send(p.id, p.machine.End(c.now, due.number, false))
@@ -240,9 +249,9 @@
 func (c *cluster) runningOn(p *peer) []*run {
 	var running []*run
 	for _, runs := range c.runs {
-		for _, one := range runs {
-			if one.node == p && one.incarnation == p.incarnation && !one.ended {
-				running = append(running, one)
+		for _, candidate := range runs {
+			if candidate.node == p && candidate.incarnation == p.incarnation && !candidate.ended {
+				running = append(running, candidate)
 			}
 		}
 	}
@@ -250,7 +259,7 @@
 	return running
 }
 
-// freeze stops a node for a time.
+// freeze stops a node for a duration. Its runs are marked as interrupted.
 func (c *cluster) freeze(p *peer, duration time.Duration) {
 	p.frozenUntil = c.now + duration
 	for _, running := range c.runningOn(p) {
@@ -258,64 +267,69 @@
 	}
 }
 
-// changeDirectory begins to replace the set, unless a change is in progress.
+// changeDirectory begins to replace the set of the directory by one of the given members,
+// unless a change is in progress.
 func (c *cluster) changeDirectory(members []member.ID) {
-	newest := c.plans[len(c.plans)-1]
+	newest := c.directories[len(c.directories)-1]
 	if len(newest) > 1 {
 		return
 	}
 	next := claims.Set{Epoch: newest[0].Epoch + 1, Members: members}
-	c.plans = append(c.plans, []claims.Set{newest[0], next})
-	c.barrierAt = 0
+	c.directories = append(c.directories, []claims.Set{newest[0], next})
+	c.oldSetRemovableAt = 0
 }
 
-// followDirectory lets nodes adopt directories late, and leaves the old set out
-// when all have adopted the new one and enough time has passed.
-func (c *cluster) followDirectory() {
-	last := len(c.plans) - 1
+// advanceDirectories makes each node adopt the next directory after a random delay. It adds a
+// directory without the older set once the retention has passed since all nodes adopted the
+// directory with both sets.
+func (c *cluster) advanceDirectories() {
+	last := len(c.directories) - 1
 	all := true
 	for _, p := range c.peers {
-		if p.adopted < last && p.frozenUntil <= c.now && c.random.IntN(20) == 0 {
-			p.adopted++
-			p.machine.SetDirectory(c.plans[p.adopted])
+		if p.directoryIndex < last && p.frozenUntil <= c.now && c.random.IntN(20) == 0 {
+			p.directoryIndex++
+			p.machine.SetDirectory(c.directories[p.directoryIndex])
 		}
-		all = all && p.adopted == last
+		all = all && p.directoryIndex == last
 	}
-	newest := c.plans[last]
+	newest := c.directories[last]
 	if !all || len(newest) == 1 {
 		return
 	}
-	if c.barrierAt == 0 {
-		c.barrierAt = c.now + retention
+	if c.oldSetRemovableAt == 0 {
+		c.oldSetRemovableAt = c.now + retention
 	}
-	if c.now >= c.barrierAt {
-		c.plans = append(c.plans, newest[1:])
+	if c.now >= c.oldSetRemovableAt {
+		c.directories = append(c.directories, newest[1:])
 	}
 }
 
-// checkOneMayRun checks that no two nodes may send the same request.
-func (c *cluster) checkOneMayRun() {
+// checkAtMostOneMayRun checks that at most one of the submissions of each request may be sent
+// to a back end.
+func (c *cluster) checkAtMostOneMayRun() {
 	claimants := map[claims.Key]member.ID{}
 	for _, p := range c.peers {
-		for _, open := range p.open {
-			if !p.machine.MayRun(c.now, open.number) {
+		for _, submitted := range p.submissions {
+			if !p.machine.MayRun(c.now, submitted.number) {
 				continue
 			}
-			Expect(claimants).NotTo(HaveKey(open.key), "two claims are valid at %v", c.now)
-			claimants[open.key] = p.id
+			Expect(claimants).NotTo(HaveKey(submitted.key), "two claims of one key are valid at %v", c.now)
+			claimants[submitted.key] = p.id
 		}
 	}
 }
 
-// checkRuns checks how far apart two runs of one request are.
+// checkRuns checks that successive runs of each request neither overlap nor follow each other
+// too soon, unless the earlier run was interrupted, and that they never start together. It
+// returns the number of runs that repeat a request.
 func (c *cluster) checkRuns() (repeated int) {
 	for _, runs := range c.runs {
-		for at := 1; at < len(runs); at++ {
-			before, after := runs[at-1], runs[at]
-			Expect(after.start-before.start).To(BeNumerically(">", retention/8), "runs that begin together")
+		for i := 1; i < len(runs); i++ {
+			before, after := runs[i-1], runs[i]
+			Expect(after.start-before.start).To(BeNumerically(">", retention/8), "two runs of a request started nearly together")
 			if !before.interrupted {
-				Expect(before.ended).To(BeTrue(), "a run beside a run that goes on")
-				Expect(after.start-before.end).To(BeNumerically(">=", retention/4), "a run soon after another")
+				Expect(before.ended).To(BeTrue(), "a run started before the earlier one had ended")
+				Expect(after.start-before.end).To(BeNumerically(">=", retention/4), "a run started too soon after the earlier one ended")
 			}
 			repeated++
 		}
@@ -323,9 +337,9 @@
 	return repeated
 }
 
-func sortedNumbers(open map[claims.Number]*submission) []claims.Number {
-	numbers := make([]claims.Number, 0, len(open))
-	for number := range open {
+func sortedNumbers(submissions map[claims.Number]*submission) []claims.Number {
+	numbers := make([]claims.Number, 0, len(submissions))
+	for number := range submissions {
 		numbers = append(numbers, number)
 	}
 	slices.Sort(numbers)
--- a/pkg/relaytree/anti_entropy.go
+++ b/pkg/relaytree/anti_entropy.go
@@ -9,15 +9,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// parentDigestsPerInterval is how often in DigestEvery new parents get a digest at most.
+// parentDigestsPerInterval is the maximum number of times per Config.DigestEvery that
+// changes of the trees cause digests to all parents.
 const parentDigestsPerInterval = 4
 
-// antiEntropy repairs what updates down the tree did not bring: it tells other members
-// which revisions this node has, and compares theirs. It owns the schedule of digests.
+// antiEntropy repairs the loss of updates: it sends the revisions of this node to other
+// members, and compares their revisions with its own. It owns the schedule of digests.
 //
-// Two nodes never reply to each other's digests without end: a node replies only to one
-// that shows something newer, and not to a member that it sent a digest within half of
-// digestEvery.
+// Two nodes can't reply to each other's digests endlessly: a node replies with a digest only
+// if the received one shows a newer revision, and only if it has sent that member no digest
+// within the last half of digestEvery.
 type antiEntropy struct {
 	digestEvery time.Duration
 	topology    *topology
@@ -26,52 +27,54 @@
 	sender      *sender
 	outbox      *outbox
 
-	// next is when digests are sent next.
-	next time.Duration
-	// turn selects the parent and the other member that get the next digests.
-	turn uint64
-	// parentsChanged tells that there may be new parents, and parentsNotifiedAt when
-	// all parents were last sent a digest for that reason.
+	// nextDigestAt is when the next digests are due.
+	nextDigestAt time.Duration
+	// rotation selects the parent and the other member that get the next digests.
+	rotation uint64
+	// parentsChanged is true if a change of the trees may have given this node new parents
+	// and the digests to all parents are still to be sent. parentsNotifiedAt is when such
+	// digests were last sent.
 	parentsChanged    bool
 	parentsNotifiedAt time.Duration
 	// sentAt is when a digest was last sent to each live member.
 	sentAt map[member.ID]time.Duration
 }
 
-// treesChanged brings the next digests forward after a change of the trees: the new
-// parents get them at once, but not again and again while members come and go one after
-// the other.
+// treesChanged brings the next digests forward after a change of the trees, so that new
+// parents get one without delay. parentDigestsPerInterval limits the number of digests
+// while the members change one after the other.
 func (a *antiEntropy) treesChanged(now time.Duration) {
 	a.parentsChanged = true
-	a.next = min(a.next, max(now, a.parentsNotifiedAt+a.digestEvery/parentDigestsPerInterval))
+	a.nextDigestAt = min(a.nextDigestAt, max(now, a.parentsNotifiedAt+a.digestEvery/parentDigestsPerInterval))
 }
 
-// forgetAllBut drops what is kept of members that aren't live.
-func (a *antiEntropy) forgetAllBut(live map[member.ID]bool) {
+// removeAllExcept removes the times of digests to members that aren't live.
+func (a *antiEntropy) removeAllExcept(live map[member.ID]bool) {
 	maps.DeleteFunc(a.sentAt, func(id member.ID, _ time.Duration) bool { return !live[id] })
 }
 
-// sendDueDigests sends, if digests are due, one to one parent in turn and one to one other
-// member in turn; after a change of the trees, to all parents. Any of them that has
-// something newer sends it, whatever the topic.
+// sendDueDigests sends the digests that are due: to one parent, or after a change of the
+// trees to all parents, and to one of the other members. It selects the parent and the
+// member in rotation. A digest covers all topics, so each receiver can send any topic of
+// which it has a newer revision, and not only those for which it is the parent.
 func (a *antiEntropy) sendDueDigests(now time.Duration) {
-	if now < a.next {
+	if now < a.nextDigestAt {
 		return
 	}
-	a.next = now + a.digestEvery
+	a.nextDigestAt = now + a.digestEvery
 	receivers := a.topology.parents()
 	if a.parentsChanged {
 		a.parentsChanged = false
 		a.parentsNotifiedAt = now
 	} else if len(receivers) > 1 {
-		inTurn := a.turn % uint64(len(receivers))
-		receivers = receivers[inTurn : inTurn+1]
+		selected := a.rotation % uint64(len(receivers))
+		receivers = receivers[selected : selected+1]
 	}
 	if others := a.topology.others(); len(others) > 0 {
-		inTurn := others[a.turn%uint64(len(others))].ID
-		a.turn++
-		if !slices.Contains(receivers, inTurn) {
-			receivers = append(receivers, inTurn)
+		selected := others[a.rotation%uint64(len(others))].ID
+		a.rotation++
+		if !slices.Contains(receivers, selected) {
+			receivers = append(receivers, selected)
 		}
 	}
 	for _, id := range receivers {
@@ -87,11 +90,11 @@
 		revisions = append(revisions, TopicRevision{
 			Topic:      topic,
 			Revision:   state.revision,
-			Assembling: a.assembler.isActive(now, topic),
+			Assembling: a.assembler.isReceiving(now, topic),
 		})
 	}
 	for topic := range a.assembler.assemblies {
-		if a.store.states[topic] == nil && a.assembler.isActive(now, topic) {
+		if a.store.states[topic] == nil && a.assembler.isReceiving(now, topic) {
 			revisions = append(revisions, TopicRevision{Topic: topic, Assembling: true})
 		}
 	}
@@ -99,24 +102,25 @@
 	a.outbox.send(to, Message{Type: MessageDigest, Revisions: revisions})
 }
 
-// onDigest sends what is newer here, and replies with a digest if something is newer there.
+// onDigest handles a member's digest. It sends the member the newer revisions that this node
+// has, and replies with a digest if the member has a newer revision of any topic.
 func (a *antiEntropy) onDigest(now time.Duration, from member.ID, revisions []TopicRevision) {
-	theirs := make(map[Topic]TopicRevision, len(revisions))
+	senderRevisions := make(map[Topic]TopicRevision, len(revisions))
 	senderNewer := false
 	for _, entry := range revisions {
-		theirs[entry.Topic] = entry
+		senderRevisions[entry.Topic] = entry
 		senderNewer = senderNewer || entry.Revision > a.store.revision(entry.Topic)
 	}
 	for _, topic := range slices.Sorted(maps.Keys(a.store.states)) {
-		their := theirs[topic]
-		a.sender.learnRevision(from, topic, their.Revision)
-		if a.store.states[topic].revision > their.Revision && !their.Assembling {
-			a.sender.feed(now, from, topic)
+		atSender := senderRevisions[topic]
+		a.sender.recordRevision(from, topic, atSender.Revision)
+		if a.store.states[topic].revision > atSender.Revision && !atSender.Assembling {
+			a.sender.sendNewest(now, from, topic)
 		}
 	}
 	sentAt, sent := a.sentAt[from]
-	sentLately := sent && now-sentAt < a.digestEvery/2
-	if senderNewer && !sentLately {
+	sentRecently := sent && now-sentAt < a.digestEvery/2
+	if senderNewer && !sentRecently {
 		a.sendDigest(now, from)
 	}
 }
--- a/pkg/relaytree/receive.go
+++ b/pkg/relaytree/receive.go
@@ -2,29 +2,30 @@
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/member"
 
-// onUpdate applies an update that leads from this node's revision to a newer one, and feeds
-// the children. One that doesn't fit is acknowledged with this node's revision, so that the
-// sender sends what fits. A chunk is acknowledged by the position of the next one.
+// onUpdate applies an update to a newer revision, and sends it to the children. A delta
+// whose base is newer than this node's revision is acknowledged with this node's revision,
+// so that the sender sends an update that can be applied. A chunk is acknowledged with the
+// position of the next chunk that is needed.
 //
-// An update that would lead to another state than its sender's is never applied. Instead of
-// a delta, a whole state is requested then (Mismatch). A whole state that is damaged gets
-// no reply: the next digest requests it again.
+// An update after which the state would not match the checksum is never applied. If it is a
+// delta, the acknowledgement requests the complete state (Message.Mismatch). If it is a
+// complete state, there is no reply: it is sent again after the next digest.
 func (m *Machine) onUpdate(from member.ID, msg Message) []Update {
 	revision := m.Revision(msg.Topic)
 	if msg.Revision <= revision {
 		m.outbox.send(from, m.acknowledgement(msg))
 		return nil
 	}
-	busy := m.assembler.isBusyWithOther(m.now, from, msg.Topic)
+	receivingFromOther := m.assembler.isReceivingFromOther(m.now, from, msg.Topic)
 	if msg.BaseRevision > revision {
-		if !busy {
+		if !receivingFromOther {
 			m.outbox.send(from, m.acknowledgement(msg))
 		}
 		return nil
 	}
 	change := changes{sections: msg.Sections, removed: msg.Removed}
 	if msg.ChunkCount > 1 {
-		if busy {
+		if receivingFromOther {
 			return nil
 		}
 		if next := m.assembler.add(m.now, from, msg); next < msg.ChunkCount {
@@ -35,7 +36,7 @@
 		}
 		change = m.assembler.changes(msg.Topic)
 	}
-	state := m.store.get(msg.Topic)
+	state := m.store.getOrCreate(msg.Topic)
 	if msg.BaseRevision == 0 {
 		change = state.differenceTo(change.sections)
 	}
@@ -49,13 +50,13 @@
 		return nil
 	}
 	updates := m.apply(msg.Topic, msg.Revision, change)
-	m.sender.learnRevision(from, msg.Topic, msg.Revision)
+	m.sender.recordRevision(from, msg.Topic, msg.Revision)
 	m.outbox.send(from, m.acknowledgement(msg))
-	m.feedChildren(msg.Topic, from)
+	m.sendNewestToChildren(msg.Topic, from)
 	return updates
 }
 
-// acknowledgement is the reply to an update, with the revision that this node has now.
+// acknowledgement returns the reply to an update, with the revision that this node has now.
 func (m *Machine) acknowledgement(msg Message) Message {
 	return Message{
 		Type:                 MessageAcknowledge,
