--- a/pkg/twoslot/crash_test.go
+++ b/pkg/twoslot/crash_test.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// crashed returns the disk as a crash in the history left it.
-func crashed(crash memdisk.Crash) (*memdisk.Disk, outcome) {
+// diskAfterCrash returns the disk as a crash in the history left it.
+func diskAfterCrash(crash memdisk.Crash) (*memdisk.Disk, outcome) {
 	disk := memdisk.New()
 	disk.CrashAt(crash)
 	result := runHistory(disk, history)
@@ -29,7 +29,7 @@
 	}
 	found := viewOf(contents)
 	if !allowed.allows(found) {
-		return fmt.Errorf("found %v, want %v or %v", found, allowed.acknowledged, allowed.underWay)
+		return fmt.Errorf("found %v, want %v or %v", found, allowed.acknowledged, allowed.inProgress)
 	}
 	further := step{records: []string{"further"}}
 	if err := further.run(store); err != nil {
@@ -67,7 +67,7 @@
 		return err
 	}
 	if found := viewOf(contents); !allowed.allows(found) {
-		return fmt.Errorf("silently found %v, want %v or %v", found, allowed.acknowledged, allowed.underWay)
+		return fmt.Errorf("silently found %v, want %v or %v", found, allowed.acknowledged, allowed.inProgress)
 	}
 	return nil
 }
@@ -88,15 +88,15 @@
 var _ = Describe("A crash", func() {
 	It("at any byte keeps what was acknowledged, or that and the write under way", func() {
 		forEachCrash(func(crash memdisk.Crash) {
-			disk, allowed := crashed(crash)
+			disk, allowed := diskAfterCrash(crash)
 			Expect(checkUsable(disk, allowed)).To(Succeed(), "%+v", crash)
 		})
 	})
 
 	It("at any byte of the recovery from a crash at any byte does so too", func() {
 		forEachCrash(func(first memdisk.Crash) {
-			disk, allowed := crashed(first)
-			start := disk.Stats().Positions
+			disk, allowed := diskAfterCrash(first)
+			completedPositions := disk.Stats().Positions
 			recovered := disk.Clone()
 			_, _, err := twoslot.Open(recovered, storeName)
 			Expect(err).NotTo(HaveOccurred())
@@ -106,7 +106,7 @@
 				_, _, err := twoslot.Open(again, storeName)
 				Expect(err).To(MatchError(memdisk.ErrCrashed))
 				again.Restart()
-				Expect(checkUsable(again, allowed)).To(Succeed(), "%+v then %d of %d", first, position, start)
+				Expect(checkUsable(again, allowed)).To(Succeed(), "%+v then %d of %d", first, position, completedPositions)
 			}
 		})
 	})
@@ -117,7 +117,7 @@
 		for steps := range len(history) + 1 {
 			disk := memdisk.New()
 			allowed := runHistory(disk, history[:steps])
-			allowed.underWay = allowed.acknowledged
+			allowed.inProgress = allowed.acknowledged
 			forEachFlip(disk, func(name string, bit int, damaged *memdisk.Disk) {
 				Expect(checkDamaged(damaged, allowed)).To(Succeed(), "step %d, bit %d of %s", steps, bit, name)
 			})
@@ -130,7 +130,7 @@
 			if crash.Position%everyNthPosition != 0 {
 				return
 			}
-			disk, allowed := crashed(crash)
+			disk, allowed := diskAfterCrash(crash)
 			forEachFlip(disk, func(name string, bit int, damaged *memdisk.Disk) {
 				Expect(checkDamaged(damaged, allowed)).To(Succeed(), "%+v, bit %d of %s", crash, bit, name)
 			})
@@ -200,7 +200,7 @@
 		for steps := range len(history) + 1 {
 			disk := memdisk.New()
 			allowed := runHistory(disk, history[:steps])
-			allowed.underWay = allowed.acknowledged
+			allowed.inProgress = allowed.acknowledged
 			for _, name := range disk.Names() {
 				damaged := disk.Clone()
 				damaged.LoseFile(name)
--- a/pkg/twoslot/fuzz_test.go
+++ b/pkg/twoslot/fuzz_test.go
@@ -50,10 +50,10 @@
 	f.Add([]byte{0xc1, 0x08, 0xc2, 0x30, 0x01, 0xc3, 0x50, 0x41})
 	f.Add([]byte{0x41, 0x41, 0xc1, 0x21, 0x41, 0xc1, 0x22, 0x05, 0xc2, 0x1f, 0x41})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		const longestScript = 64
+		const maxScriptBytes = 64
 		disk := memdisk.New()
 		var durable view
-		for _, steps := range splitScript(script[:min(len(script), longestScript)]) {
+		for _, segment := range splitScript(script[:min(len(script), maxScriptBytes)]) {
 			store, contents, err := twoslot.Open(disk, storeName)
 			if err != nil {
 				t.Fatal(err)
@@ -62,15 +62,15 @@
 				t.Fatalf("found %v, want %v", viewOf(contents), durable)
 			}
 			start := disk.Stats().Positions
-			disk.CrashAt(memdisk.Crash{Position: start + steps.crashAfter, Tear: steps.tear})
-			allowed := runSteps(store, durable, steps.steps)
+			disk.CrashAt(memdisk.Crash{Position: start + segment.crashAfter, Tear: segment.tear})
+			allowed := runSteps(store, durable, segment.steps)
 			disk.Restart()
 			_, contents, err = twoslot.Open(disk, storeName)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if durable = viewOf(contents); !allowed.allows(durable) {
-				t.Fatalf("found %v, want %v or %v", durable, allowed.acknowledged, allowed.underWay)
+				t.Fatalf("found %v, want %v or %v", durable, allowed.acknowledged, allowed.inProgress)
 			}
 		}
 	})
@@ -86,8 +86,8 @@
 // splitScript reads two bits of each byte as its operation: append one record,
 // append two, checkpoint, or crash as far on as the next byte says.
 func splitScript(script []byte) []scriptSegment {
-	const operationShift, sizeMask, reach = 6, 0x3f, 8
-	var parts []scriptSegment
+	const operationShift, sizeMask, positionsPerCrashUnit = 6, 0x3f, 8
+	var segments []scriptSegment
 	var steps []step
 	for i := 0; i < len(script); i++ {
 		size := int(script[i] & sizeMask)
@@ -105,22 +105,22 @@
 				break
 			}
 			tears := memdisk.Tears()
-			parts = append(parts, scriptSegment{steps, tears[size%len(tears)], int(script[i]) * reach})
+			segments = append(segments, scriptSegment{steps, tears[size%len(tears)], int(script[i]) * positionsPerCrashUnit})
 			steps = nil
 		}
 	}
 	const never = 1 << 30
-	return append(parts, scriptSegment{steps, memdisk.TearShort, never})
+	return append(segments, scriptSegment{steps, memdisk.TearShort, never})
 }
 
 func runSteps(store *twoslot.Store, durable view, steps []step) outcome {
 	result := outcome{durable, durable}
 	for _, next := range steps {
-		result.underWay = result.acknowledged.after(next)
+		result.inProgress = result.acknowledged.after(next)
 		if next.run(store) != nil {
 			return result
 		}
-		result.acknowledged = result.underWay
+		result.acknowledged = result.inProgress
 	}
 	return result
 }
--- a/pkg/twoslot/history_test.go
+++ b/pkg/twoslot/history_test.go
@@ -74,11 +74,11 @@
 // acknowledged, or that and the step that was in progress.
 type outcome struct {
 	acknowledged view
-	underWay     view
+	inProgress   view
 }
 
 func (o outcome) allows(seen view) bool {
-	return seen.String() == o.acknowledged.String() || seen.String() == o.underWay.String()
+	return seen.String() == o.acknowledged.String() || seen.String() == o.inProgress.String()
 }
 
 // runHistory runs the steps until one fails.
@@ -89,11 +89,11 @@
 		return result
 	}
 	for _, next := range steps {
-		result.underWay = result.acknowledged.after(next)
+		result.inProgress = result.acknowledged.after(next)
 		if next.run(store) != nil {
 			return result
 		}
-		result.acknowledged = result.underWay
+		result.acknowledged = result.inProgress
 	}
 	return result
 }
--- a/pkg/twoslot/image.go
+++ b/pkg/twoslot/image.go
@@ -109,7 +109,7 @@
 			newest = candidate.slot
 		}
 	}
-	if newest.generation == 0 && !f.startsEmpty() {
+	if newest.generation == 0 && !f.neverCheckpointed() {
 		return slot{}, f.corrupt("no slot is readable")
 	}
 	if !f.nextNeverStarted(newest.generation) {
@@ -118,9 +118,9 @@
 	return newest, nil
 }
 
-// startsEmpty tells whether the files are those of a store without a checkpoint. The
+// neverCheckpointed tells whether the files are those of a store without a checkpoint. The
 // log of generation 0 is written first, then the empty log 1.
-func (f *image) startsEmpty() bool {
+func (f *image) neverCheckpointed() bool {
 	first, second := f.logs[0], f.logs[1]
 	if f.slots[0].state != fileAbsent || len(second.data) > 0 {
 		return false
--- a/pkg/twoslot/store.go
+++ b/pkg/twoslot/store.go
@@ -131,15 +131,15 @@
 	if !s.logStarted || !s.superseded.logStarted {
 		return nil
 	}
-	former := s.generation + 1 // The files of the generation before have its parity.
+	previousParity := s.generation + 1 // The files of the generation before have its parity.
 	if s.superseded.logBytes > headerBytes {
-		if err := s.disk.Truncate(logName(s.name, former), headerBytes); err != nil {
+		if err := s.disk.Truncate(logName(s.name, previousParity), headerBytes); err != nil {
 			return ignoreDiskFull(s.writeError(err))
 		}
 		s.superseded.logBytes = headerBytes
 	}
 	if s.superseded.slotBytes > 0 {
-		if err := s.disk.Truncate(slotName(s.name, former), 0); err != nil {
+		if err := s.disk.Truncate(slotName(s.name, previousParity), 0); err != nil {
 			return ignoreDiskFull(s.writeError(err))
 		}
 		s.superseded.slotBytes = 0
--- a/pkg/twoslot/store_test.go
+++ b/pkg/twoslot/store_test.go
@@ -10,13 +10,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// brokenDisk fails writes in a way that says nothing of what they left.
-type brokenDisk struct {
+// failingDisk fails writes in a way that says nothing of what they left.
+type failingDisk struct {
 	*memdisk.Disk
 	err error
 }
 
-func (d *brokenDisk) Append(name string, data []byte) error {
+func (d *failingDisk) Append(name string, data []byte) error {
 	if d.err != nil {
 		return d.err
 	}
@@ -81,9 +81,9 @@
 	})
 
 	It("is unchanged by a full disk, at any capacity, and goes on once there is room", func() {
-		const mostBytes = 600
+		const maxCapacity = 600
 		refused := 0
-		for capacity := 100; capacity < mostBytes; capacity++ {
+		for capacity := 100; capacity < maxCapacity; capacity++ {
 			disk := memdisk.New()
 			store, _, err := twoslot.Open(disk, storeName)
 			Expect(err).NotTo(HaveOccurred())
@@ -109,7 +109,7 @@
 
 	It("opens with a torn tail on a full disk and appends once there is room", func() {
 		disk := memdisk.New()
-		whole := runHistory(disk, history[:1])
+		beforeCrash := runHistory(disk, history[:1])
 		disk.CrashAt(memdisk.Crash{Position: disk.Stats().Positions + 7, Tear: memdisk.TearShort})
 		store, _, err := twoslot.Open(disk, storeName)
 		Expect(err).NotTo(HaveOccurred())
@@ -118,17 +118,17 @@
 		disk.SetFull(true)
 		store, contents, err := twoslot.Open(disk, storeName)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(viewOf(contents)).To(Equal(whole.acknowledged))
+		Expect(viewOf(contents)).To(Equal(beforeCrash.acknowledged))
 		Expect(store.Append([]byte("further"))).To(MatchError(twoslot.ErrDiskFull))
 		disk.SetFull(false)
 		further := step{records: []string{"further"}}
 		Expect(further.run(store)).To(Succeed())
-		want := whole.acknowledged.after(further)
+		want := beforeCrash.acknowledged.after(further)
 		Expect(checkUsable(disk, outcome{want, want})).To(Succeed())
 	})
 
 	It("accepts no write after one that failed for an unknown reason", func() {
-		disk := &brokenDisk{Disk: memdisk.New()}
+		disk := &failingDisk{Disk: memdisk.New()}
 		store, _, err := twoslot.Open(disk, storeName)
 		Expect(err).NotTo(HaveOccurred())
 		disk.err = errors.New("input/output error")
