--- a/pkg/twoslot/crash_test.go
+++ b/pkg/twoslot/crash_test.go
@@ -11,7 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// diskAfterCrash returns the disk as a crash in the history left it.
+// diskAfterCrash runs the history on a new disk until the crash. It returns the disk as the
+// crash left it, and the contents that are allowed on it.
 func diskAfterCrash(crash memdisk.Crash) (*memdisk.Disk, outcome) {
 	disk := memdisk.New()
 	disk.CrashAt(crash)
@@ -20,8 +21,8 @@
 	return disk, result
 }
 
-// checkUsable opens a disk, and makes sure that what it finds is allowed and
-// that a record appended now is found after it.
+// checkUsable opens the store on a disk, and returns an error unless its contents are
+// allowed and a record that is appended to them is found when the store is opened again.
 func checkUsable(disk *memdisk.Disk, allowed outcome) error {
 	store, contents, err := twoslot.Open(disk, storeName)
 	if err != nil {
@@ -29,7 +30,7 @@
 	}
 	found := viewOf(contents)
 	if !allowed.allows(found) {
-		return fmt.Errorf("found %v, want %v or %v", found, allowed.acknowledged, allowed.inProgress)
+		return fmt.Errorf("store contains %v, want %v or %v", found, allowed.acknowledged, allowed.inProgress)
 	}
 	further := step{records: []string{"further"}}
 	if err := further.run(store); err != nil {
@@ -40,7 +41,7 @@
 		return err
 	}
 	if again := viewOf(contents); again.String() != found.after(further).String() {
-		return fmt.Errorf("found %v, want %v", again, found.after(further))
+		return fmt.Errorf("store contains %v after a further append, want %v", again, found.after(further))
 	}
 	return nil
 }
@@ -56,8 +57,8 @@
 	}
 }
 
-// checkDamaged makes sure that a damaged disk shows what is allowed or an
-// error that says so.
+// checkDamaged returns an error unless opening the store on a damaged disk returns allowed
+// contents or an error that matches ErrCorrupt.
 func checkDamaged(disk *memdisk.Disk, allowed outcome) error {
 	_, contents, err := twoslot.Open(disk, storeName)
 	if errors.Is(err, twoslot.ErrCorrupt) {
@@ -67,7 +68,7 @@
 		return err
 	}
 	if found := viewOf(contents); !allowed.allows(found) {
-		return fmt.Errorf("silently found %v, want %v or %v", found, allowed.acknowledged, allowed.inProgress)
+		return fmt.Errorf("store opened without an error and contains %v, want %v or %v", found, allowed.acknowledged, allowed.inProgress)
 	}
 	return nil
 }
@@ -86,14 +87,14 @@
 }
 
 var _ = Describe("A crash", func() {
-	It("at any byte keeps what was acknowledged, or that and the write under way", func() {
+	It("at any byte keeps what was acknowledged, with or without the write in progress", func() {
 		forEachCrash(func(crash memdisk.Crash) {
 			disk, allowed := diskAfterCrash(crash)
 			Expect(checkUsable(disk, allowed)).To(Succeed(), "%+v", crash)
 		})
 	})
 
-	It("at any byte of the recovery from a crash at any byte does so too", func() {
+	It("at any byte of the recovery from a crash at any byte keeps what was acknowledged, with or without the write in progress", func() {
 		forEachCrash(func(first memdisk.Crash) {
 			disk, allowed := diskAfterCrash(first)
 			completedPositions := disk.Stats().Positions
@@ -106,14 +107,14 @@
 				_, _, err := twoslot.Open(again, storeName)
 				Expect(err).To(MatchError(memdisk.ErrCrashed))
 				again.Restart()
-				Expect(checkUsable(again, allowed)).To(Succeed(), "%+v then %d of %d", first, position, completedPositions)
+				Expect(checkUsable(again, allowed)).To(Succeed(), "first crash %+v, then a crash of the recovery at position %d; positions completed before the first crash: %d", first, position, completedPositions)
 			}
 		})
 	})
 })
 
 var _ = Describe("A flipped bit", func() {
-	It("anywhere after any step never shows older state", func() {
+	It("anywhere after any step is reported or leaves the current state readable", func() {
 		for steps := range len(history) + 1 {
 			disk := memdisk.New()
 			allowed := runHistory(disk, history[:steps])
@@ -124,7 +125,7 @@
 		}
 	})
 
-	It("anywhere after a crash never shows older state", func() {
+	It("anywhere after a crash is reported or leaves the current state readable", func() {
 		const everyNthPosition = 5
 		forEachCrash(func(crash memdisk.Crash) {
 			if crash.Position%everyNthPosition != 0 {
@@ -137,7 +138,7 @@
 		})
 	})
 
-	It("in the newest slot is reported, though the older slot is intact", func() {
+	It("in the newest slot is reported as corruption", func() {
 		disk := memdisk.New()
 		runHistory(disk, history[:5])
 		Expect(disk.FlipBit(storeName+".slot0", 300)).To(BeTrue())
@@ -146,7 +147,7 @@
 		Expect(err).To(MatchError(ContainSubstring("join again")))
 	})
 
-	It("in the last acknowledged record is reported, not taken for a torn tail", func() {
+	It("in the last acknowledged record is reported as corruption, not dropped as a torn tail", func() {
 		disk := memdisk.New()
 		runHistory(disk, history[:1])
 		Expect(disk.FlipBit(storeName+".log0", 8*(24+8+4))).To(BeTrue())
@@ -165,7 +166,7 @@
 		Expect(err).To(MatchError(twoslot.ErrCorrupt))
 	})
 
-	It("that ends a record with a zero is reported when records follow", func() {
+	It("that replaces the last byte of a record's frame by zero is reported when records follow", func() {
 		disk := memdisk.New()
 		runHistory(disk, history[:1])
 		damaged, err := disk.ReadFile(storeName + ".log0")
@@ -180,7 +181,7 @@
 		Expect(err).To(MatchError(twoslot.ErrCorrupt))
 	})
 
-	It("that puts records of an older generation into the log is reported", func() {
+	It("that leaves bytes of an older generation at the end of the log is reported", func() {
 		disk := memdisk.New()
 		runHistory(disk, history[:2])
 		older, err := disk.ReadFile(storeName + ".log0")
@@ -196,7 +197,7 @@
 })
 
 var _ = Describe("A lost file", func() {
-	It("never shows older state", func() {
+	It("is reported or leaves the current state readable", func() {
 		for steps := range len(history) + 1 {
 			disk := memdisk.New()
 			allowed := runHistory(disk, history[:steps])
--- a/pkg/twoslot/error.go
+++ b/pkg/twoslot/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind tells what went wrong with a store.
+// Kind classifies the errors of a store.
 type Kind uint8
 
 // The kinds of errors.
@@ -11,18 +11,20 @@
 	KindCorrupt Kind = iota + 1
 	// KindDiskFull means that a write did not fit; nothing changed.
 	KindDiskFull
-	// KindTooLarge means that records or a payload exceed the format; nothing changed.
+	// KindTooLarge means that records or a payload are larger than the file format allows;
+	// nothing changed.
 	KindTooLarge
-	// KindBroken means that an earlier write failed and may or may not be durable.
+	// KindBroken means that this write or an earlier one failed and may or may not be
+	// durable.
 	KindBroken
 )
 
 // Error is the error of a store.
 type Error struct {
 	Kind Kind
-	// Name is the file or store concerned, if known.
+	// Name is the name of the affected file or store, if known.
 	Name string
-	// Detail tells what is wrong with it, if more is known.
+	// Detail describes the fault, if more than its kind is known.
 	Detail string
 	// Cause is the error of the disk, if there is one.
 	Cause error
@@ -36,7 +38,7 @@
 	ErrBroken   = &Error{Kind: KindBroken}
 )
 
-// Error names the store, the remedy and the details.
+// Error returns the name, the fault with its remedy, the details and the cause.
 func (e *Error) Error() string {
 	message := fmt.Sprintf("twoslot: %s: %s", e.Name, e.remedy())
 	if e.Detail != "" {
@@ -55,7 +57,7 @@
 	case KindDiskFull:
 		return "disk is full and nothing was changed; free space and try again"
 	case KindTooLarge:
-		return "data is larger than a file may hold and nothing was changed; store less at once"
+		return "data is larger than the file format allows and nothing was changed; store less data at once"
 	default:
 		return "a write failed and may or may not be durable; open the store again"
 	}
--- a/pkg/twoslot/format.go
+++ b/pkg/twoslot/format.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// All numbers are little endian.
+// The file formats. All numbers are little endian.
 //
 //	slot file  = header(slotMagic, generation, length of body) body crc(body)
 //	body       = payload length (8) payload frame...
@@ -28,7 +28,8 @@
 	maxFrameContent  = math.MaxInt32
 
 	// frameEnd is not zero, so that a frame whose last bytes the disk never wrote, and
-	// reads as zeros, is distinguished from one that was damaged later.
+	// which therefore read as zeros, can be distinguished from a frame that was damaged
+	// after it was written.
 	frameEnd = 0xa5
 )
 
@@ -41,8 +42,8 @@
 	return crc32.Checksum(data, castagnoli)
 }
 
-// generationChecksum covers the generation besides the data, so that bytes of an older
-// generation are never taken for those of this one.
+// generationChecksum returns a checksum of the generation and the data. It covers the
+// generation so that data of an older generation is never accepted as data of this one.
 func generationChecksum(generation uint64, data []byte) uint32 {
 	var seed [numberBytes]byte
 	byteOrder.PutUint64(seed[:], generation)
@@ -57,7 +58,8 @@
 	return byteOrder.AppendUint32(buffer, checksum(buffer[start:]))
 }
 
-// readHeader is false if data does not start with an intact header.
+// readHeader returns false if data does not start with an intact header with that magic
+// number.
 func readHeader(data []byte, magic uint32) (generation, length uint64, ok bool) {
 	if len(data) < headerBytes || byteOrder.Uint32(data) != magic {
 		return 0, 0, false
@@ -73,7 +75,7 @@
 	return appendHeader(nil, logMagic, generation, 0)
 }
 
-// appendFrame appends one frame, which is read back complete or not at all.
+// appendFrame appends one frame. Its records are read back all or none.
 func appendFrame(buffer []byte, generation uint64, records [][]byte) []byte {
 	start := len(buffer)
 	buffer = byteOrder.AppendUint32(buffer, uint32(contentBytes(records)))
--- a/pkg/twoslot/fuzz_test.go
+++ b/pkg/twoslot/fuzz_test.go
@@ -8,8 +8,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// FuzzOpen opens stores of arbitrary files: each opens to something that
-// stays, or is an error that says it is damaged.
+// FuzzOpen opens stores of arbitrary files. Either Open returns an error that matches
+// ErrCorrupt, or the contents are still found, and records can be appended to them, when the
+// store is opened again.
 func FuzzOpen(f *testing.F) {
 	for steps := range len(history) + 1 {
 		disk := memdisk.New()
@@ -30,7 +31,7 @@
 		_, contents, err := twoslot.Open(disk.Clone(), storeName)
 		if err != nil {
 			if !errors.Is(err, twoslot.ErrCorrupt) {
-				t.Fatalf("untyped error: %v", err)
+				t.Fatalf("Open returned an error that does not match ErrCorrupt: %v", err)
 			}
 			return
 		}
@@ -43,8 +44,8 @@
 
 var fileSuffixes = [4]string{".slot0", ".slot1", ".log0", ".log1"}
 
-// FuzzHistory runs a history that the bytes describe, with crashes within it:
-// whatever was acknowledged is there after each.
+// FuzzHistory runs the writes and crashes that the fuzzed bytes describe, and checks after
+// each crash that the store contains what was acknowledged.
 func FuzzHistory(f *testing.F) {
 	f.Add([]byte{0x01, 0x42, 0x83, 0x04, 0xc5, 0x10, 0x06, 0x47})
 	f.Add([]byte{0xc1, 0x08, 0xc2, 0x30, 0x01, 0xc3, 0x50, 0x41})
@@ -59,7 +60,7 @@
 				t.Fatal(err)
 			}
 			if viewOf(contents).String() != durable.String() {
-				t.Fatalf("found %v, want %v", viewOf(contents), durable)
+				t.Fatalf("store contains %v when opened again, want %v", viewOf(contents), durable)
 			}
 			start := disk.Stats().Positions
 			disk.CrashAt(memdisk.Crash{Position: start + segment.crashAfter, Tear: segment.tear})
@@ -70,21 +71,23 @@
 				t.Fatal(err)
 			}
 			if durable = viewOf(contents); !allowed.allows(durable) {
-				t.Fatalf("found %v, want %v or %v", durable, allowed.acknowledged, allowed.inProgress)
+				t.Fatalf("store contains %v after a crash, want %v or %v", durable, allowed.acknowledged, allowed.inProgress)
 			}
 		}
 	})
 }
 
-// scriptSegment is a run of steps that a crash ends.
+// scriptSegment is a sequence of steps, and the crash that ends it.
 type scriptSegment struct {
 	steps      []step
 	tear       memdisk.Tear
 	crashAfter int
 }
 
-// splitScript reads two bits of each byte as its operation: append one record,
-// append two, checkpoint, or crash as far on as the next byte says.
+// splitScript splits a script at its crashes. The upper two bits of a byte are an operation:
+// append one record, append two, write a checkpoint, or crash. The byte after a crash, times
+// positionsPerCrashUnit, is the number of positions from the start of the segment to the
+// crash.
 func splitScript(script []byte) []scriptSegment {
 	const operationShift, sizeMask, positionsPerCrashUnit = 6, 0x3f, 8
 	var segments []scriptSegment
--- a/pkg/twoslot/history_test.go
+++ b/pkg/twoslot/history_test.go
@@ -45,7 +45,7 @@
 	return converted
 }
 
-// view is what a store contains, in a form that can be compared.
+// view is the contents of a store in a form that can be compared and printed.
 type view struct {
 	payload string
 	records []string
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("%q %q", v.payload, v.records)
 }
 
-// outcome is what a run of the history may have left on the disk: what was
-// acknowledged, or that and the step that was in progress.
+// outcome is the contents that the disk may have after a run of steps: those that were
+// acknowledged, or those with the step that was in progress as well.
 type outcome struct {
 	acknowledged view
 	inProgress   view
@@ -81,7 +81,7 @@
 	return seen.String() == o.acknowledged.String() || seen.String() == o.inProgress.String()
 }
 
-// runHistory runs the steps until one fails.
+// runHistory opens the store on the disk and runs the steps until one fails.
 func runHistory(disk *memdisk.Disk, steps []step) outcome {
 	var result outcome
 	store, _, err := twoslot.Open(disk, storeName)
@@ -98,7 +98,7 @@
 	return result
 }
 
-// positionsOf returns the points at which the history can crash.
+// positionsOf returns the number of points at which a run of the steps can crash.
 func positionsOf(steps []step) int {
 	disk := memdisk.New()
 	runHistory(disk, steps)
--- a/pkg/twoslot/open.go
+++ b/pkg/twoslot/open.go
@@ -4,14 +4,14 @@
 
 // Contents is what a store contained when it was opened.
 type Contents struct {
-	// Payload is that of the newest checkpoint, nil if there was none.
+	// Payload is the payload of the newest checkpoint, empty if there was none.
 	Payload []byte
-	// Records were appended after it, oldest first.
+	// Records are the records appended after that checkpoint, oldest first.
 	Records [][]byte
 }
 
-// Open reads the store of that name, or starts an empty one. Damage to what was
-// acknowledged is an error that matches ErrCorrupt.
+// Open opens the store of that name, or creates an empty one if the disk has none. If
+// acknowledged data is damaged, it returns an error that matches ErrCorrupt.
 func Open(disk Disk, name string) (*Store, Contents, error) {
 	files, err := readImage(disk, name)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return store, contents, nil
 }
 
-// createLogs makes sure that both logs of a store without a checkpoint exist before
-// anything is acknowledged, so that one that is missing later was lost.
+// createLogs creates the missing log files of a store without a checkpoint. Both exist
+// before any record is acknowledged, so a log file that is missing later was lost.
 func (s *Store) createLogs(files *image) error {
 	if s.generation > 0 {
 		return nil
@@ -65,16 +65,17 @@
 	return nil
 }
 
-// repairTail brings the files into a state that can be appended to, or leaves that to
-// the next Append while the disk is full.
+// repairTail prepares the files for appending: it starts a log that was not started,
+// rewrites a torn log, and frees the files of the previous generation otherwise. If the disk
+// is full, the next Append starts or rewrites the log.
 func (s *Store) repairTail(contents Contents, logEnd logEndKind) error {
 	switch {
 	case !s.logStarted:
 		s.logBytes = 0
 		return ignoreDiskFull(s.startLog(logHeader(s.generation)))
 	case logEnd == logTorn:
-		// The torn tail must not stand between records. Rewriting the log in place could
-		// lose it in the next crash; a new generation can't.
+		// No record may be appended after the torn tail. Rewriting the log in place could
+		// lose its records in another crash; writing them to a new generation cannot.
 		s.salvaged = &contents
 		return ignoreDiskFull(s.rewriteSalvaged())
 	default:
@@ -82,7 +83,7 @@
 	}
 }
 
-// ignoreDiskFull ignores the error of a write that can be done later.
+// ignoreDiskFull discards the error of a write that did not fit and can be repeated later.
 func ignoreDiskFull(err error) error {
 	if errors.Is(err, ErrDiskFull) {
 		return nil
--- a/pkg/twoslot/parse.go
+++ b/pkg/twoslot/parse.go
@@ -6,11 +6,11 @@
 type slot struct {
 	generation uint64
 	payload    []byte
-	// records were salvaged from the log of the generation before.
+	// records were salvaged from the torn log of the previous generation.
 	records [][]byte
 }
 
-// parseSlot is false if the file is truncated or damaged.
+// parseSlot parses a slot file. It returns false if the file is truncated or damaged.
 func parseSlot(data []byte) (slot, bool) {
 	generation, length, ok := readHeader(data, slotMagic)
 	if !ok || uint64(len(data)) != headerBytes+length+checksumBytes || length < numberBytes {
@@ -31,7 +31,7 @@
 	return parsed, end == endClean && used == len(rest[payloadBytes:])
 }
 
-// framesEnd tells how a sequence of frames ends.
+// framesEnd describes how a sequence of frames ends.
 type framesEnd uint8
 
 const (
@@ -39,12 +39,12 @@
 	endClean framesEnd = iota + 1
 	// endTorn sequences end in a frame that a crash interrupted.
 	endTorn
-	// endDamaged sequences contain bytes that no crash leaves.
+	// endDamaged sequences contain bytes that a crash cannot leave.
 	endDamaged
 )
 
-// parseFrames returns the records of the intact frames at the start of data, the bytes that
-// these take, and what follows them.
+// parseFrames returns the records of the intact frames at the start of data, the size of
+// these frames in bytes, and how the sequence of frames ends.
 func parseFrames(data []byte, generation uint64) (records [][]byte, used int, end framesEnd) {
 	for used < len(data) {
 		content, size, kind := parseFrame(data[used:], generation)
@@ -62,10 +62,11 @@
 }
 
 // parseFrame returns the content of the frame at the start of data and the size of the
-// frame in bytes. A frame that isn't intact is torn if a crash may have left it so. Either
-// the file ends within it, or the disk had extended the file by zeros and did not write all
-// of the frame: then its last byte and all bytes of the file after it are zeros, and if the
-// start of the frame isn't intact, all bytes after the start.
+// frame in bytes. A frame that is not intact is torn if a crash can have left it in this
+// state: either the file ends within the frame, or the disk extended the file with zeros and
+// did not write all of the frame. In the latter case the last byte of the frame and all bytes
+// of the file after it are zeros; if the start of the frame is not intact, so that its length
+// is unknown, all bytes after the start are.
 func parseFrame(data []byte, generation uint64) (content []byte, size int, kind framesEnd) {
 	if len(data) < frameStartBytes {
 		return nil, 0, endTorn
@@ -110,8 +111,8 @@
 	return records, true
 }
 
-// tornStart tells whether data is what a crash leaves of a file that was to begin with
-// expected: a prefix of that, and zeros.
+// tornStart reports whether a crash while a file that begins with expected was written can
+// have left data: a prefix of expected, followed by zeros at most.
 func tornStart(data, expected []byte) bool {
 	if len(data) > len(expected) && !allZero(data[len(expected):]) {
 		return false
--- a/pkg/twoslot/store.go
+++ b/pkg/twoslot/store.go
@@ -11,23 +11,25 @@
 	disk       Disk
 	name       string
 	generation uint64
-	// logStarted tells whether the log of the generation has its header.
+	// logStarted reports whether the log of that generation has its header.
 	logStarted bool
-	// logBytes is the size of that log in bytes, and slotBytes that of the slot.
+	// logBytes and slotBytes are the sizes in bytes of the log and the slot of that
+	// generation.
 	logBytes  int
 	slotBytes int
-	// superseded is what the generation before still takes of the disk.
+	// superseded describes the files of the previous generation.
 	superseded superseded
-	// salvaged is what was read before a torn tail, until a generation without that tail
-	// is durable; nil otherwise.
+	// salvaged is the content of a store whose log has a torn tail, until a new generation
+	// with that content is durable; nil otherwise.
 	salvaged *Contents
-	// broken is set by a write that may or may not be durable; it ends all writing.
+	// broken is the error of a failed write that may or may not be durable. Once it is set,
+	// all writes return it.
 	broken error
 }
 
-// Append makes records durable after those before. They are read back all or none. On
-// ErrDiskFull and ErrTooLarge nothing changed and the store can still be used; after
-// other errors it must be opened again.
+// Append appends records, which are durable when it returns nil. After a crash they are
+// read back all or none. On ErrDiskFull and ErrTooLarge nothing changed and the store can
+// still be used; after other errors it must be opened again.
 func (s *Store) Append(records ...[]byte) error {
 	if s.broken != nil {
 		return s.broken
@@ -52,16 +54,17 @@
 	return nil
 }
 
-// Checkpoint makes payload durable in place of the payload and all records before. On
-// ErrDiskFull and ErrTooLarge nothing changed and the store can still be used; after
-// other errors it must be opened again, and may then contain either.
+// Checkpoint replaces the previous payload and all records by payload, which is durable
+// when Checkpoint returns nil. On ErrDiskFull and ErrTooLarge nothing changed and the store
+// can still be used; after other errors it must be opened again, and may then contain
+// either the previous or the new content.
 func (s *Store) Checkpoint(payload []byte) error {
 	return s.advance(payload, nil)
 }
 
-// superseded is the size of the files of a generation that a newer one has replaced.
+// superseded describes the files of a generation that a newer one has replaced.
 type superseded struct {
-	// logStarted tells whether the log has the header of that generation, which proves
+	// logStarted reports whether the log has the header of that generation, which proves
 	// that no generation after the newer one was started.
 	logStarted bool
 	logBytes   int
@@ -73,13 +76,13 @@
 	return s.logBytes
 }
 
-// DiskBytes returns how much of the disk the files of the store take, in bytes.
+// DiskBytes returns the total size in bytes of the files of the store.
 func (s *Store) DiskBytes() int {
 	return s.slotBytes + s.logBytes + s.superseded.slotBytes + s.superseded.logBytes
 }
 
-// advance writes the next generation into the slot of the one before the present, and
-// starts its log.
+// advance writes the next generation into the slot of the previous one, and starts its
+// log.
 func (s *Store) advance(payload []byte, records [][]byte) error {
 	if s.broken != nil {
 		return s.broken
@@ -98,12 +101,13 @@
 	s.logStarted = false
 	s.logBytes = 0
 	s.slotBytes = len(slot)
-	// The slot is durable, which is what the caller needs: when only the log does not
-	// fit, the next Append starts it or returns that the disk is full.
+	// The slot is durable, and with it the payload and the records. If only the log does
+	// not fit on the disk, the next Append starts the log or returns ErrDiskFull.
 	return ignoreDiskFull(s.startLog(logHeader(next)))
 }
 
-// rewriteSalvaged writes what was read before a torn tail to a new generation.
+// rewriteSalvaged writes the salvaged content, if there is any, to a new generation, which
+// has no torn tail.
 func (s *Store) rewriteSalvaged() error {
 	if s.salvaged == nil {
 		return nil
@@ -111,8 +115,8 @@
 	return s.advance(s.salvaged.Payload, s.salvaged.Records)
 }
 
-// startLog writes the log of the present generation, from its header on, in place of the
-// log two generations older, if there is one.
+// startLog writes the log of the current generation; content begins with its header. It
+// replaces the log two generations older, if there is one.
 func (s *Store) startLog(content []byte) error {
 	if err := s.disk.WriteFile(logName(s.name, s.generation), content); err != nil {
 		return s.writeError(err)
@@ -122,16 +126,17 @@
 	return s.reclaim()
 }
 
-// reclaim frees what the generation before takes of the disk, but for the header of its
-// log. The present slot is durable and its log started, so that the former state is never
-// read again; the header is left as the proof that no later generation was started
-// (image.nextNeverStarted). Where it doesn't stand, the slot is that proof and stays. On a
-// disk that refuses to free space the files stay until the next checkpoint.
+// reclaim frees the disk space of the previous generation, except for the header of its log.
+// Once the current slot is durable and its log started, the previous state is never read
+// again. The header remains as the proof that no later generation was started
+// (image.nextNeverStarted); if the log has no such header, the slot is that proof and both
+// files remain. If the disk is too full to truncate files, they remain until the next
+// checkpoint or Open.
 func (s *Store) reclaim() error {
 	if !s.logStarted || !s.superseded.logStarted {
 		return nil
 	}
-	previousParity := s.generation + 1 // The files of the generation before have its parity.
+	previousParity := s.generation + 1 // It has the parity, and so the files, of the previous generation.
 	if s.superseded.logBytes > headerBytes {
 		if err := s.disk.Truncate(logName(s.name, previousParity), headerBytes); err != nil {
 			return ignoreDiskFull(s.writeError(err))
@@ -147,8 +152,8 @@
 	return nil
 }
 
-// writeError returns the typed error of a write. It breaks the store unless the disk is
-// full, as nobody knows then whether the write is durable.
+// writeError returns the error of a write as an *Error. Unless the disk is full, it marks the
+// store as broken, because it is unknown whether the write is durable.
 func (s *Store) writeError(err error) error {
 	if errors.Is(err, ErrDiskFull) {
 		return &Error{Kind: KindDiskFull, Name: s.name, Cause: err}
@@ -157,8 +162,7 @@
 	return s.broken
 }
 
-// slotName returns the name of the slot file that a generation of a store is written
-// to.
+// slotName returns the name of the slot file of a generation of a store.
 func slotName(store string, generation uint64) string {
 	return store + ".slot" + strconv.FormatUint(generation%2, 10)
 }
--- a/pkg/twoslot/store_test.go
+++ b/pkg/twoslot/store_test.go
@@ -10,7 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// failingDisk fails writes in a way that says nothing of what they left.
+// failingDisk returns err, if it is set, from Append: an error that does not tell whether
+// the data is durable.
 type failingDisk struct {
 	*memdisk.Disk
 	err error
@@ -24,7 +25,7 @@
 }
 
 var _ = Describe("A store", func() {
-	It("shows after each step what was written", func() {
+	It("contains what was written after each step when it is opened again", func() {
 		disk := memdisk.New()
 		var want view
 		for _, next := range history {
@@ -36,7 +37,7 @@
 		}
 	})
 
-	It("counts the bytes after the newest checkpoint", func() {
+	It("counts the log bytes after the newest checkpoint", func() {
 		store, _, err := twoslot.Open(memdisk.New(), storeName)
 		Expect(err).NotTo(HaveOccurred())
 		empty := store.LogBytes()
@@ -46,8 +47,9 @@
 		Expect(store.LogBytes()).To(Equal(empty))
 	})
 
-	// Guards against a disk that holds two generations of large state at rest (issue 37).
-	It("takes the space of one generation, and of two while a checkpoint is written", func() {
+	// Guards against a store that keeps two generations of a large state on disk when no
+	// checkpoint is being written (issue 37).
+	It("occupies the space of one generation, and of two while a checkpoint is written", func() {
 		const payloadBytes, logBytes, overheadBytes = 1000, 700, 300
 		disk := memdisk.New()
 		for range 4 {
@@ -63,7 +65,7 @@
 		Expect(disk.Stats().PeakBytes).To(BeNumerically("<", 2*payloadBytes+logBytes+overheadBytes))
 	})
 
-	It("frees at its opening what a crash or an earlier release left of the generation before", func() {
+	It("frees the files that a crash or an earlier release left of the previous generation when it is opened", func() {
 		const largeBytes = 5000
 		disk := memdisk.New()
 		store, _, err := twoslot.Open(disk, storeName)
@@ -80,7 +82,7 @@
 		Expect(store.DiskBytes()).To(Equal(disk.Used()))
 	})
 
-	It("is unchanged by a full disk, at any capacity, and goes on once there is room", func() {
+	It("is unchanged by a full disk, at any capacity, and accepts writes again once there is space", func() {
 		const maxCapacity = 600
 		refused := 0
 		for capacity := 100; capacity < maxCapacity; capacity++ {
@@ -107,7 +109,7 @@
 		Expect(refused).To(BeNumerically(">", 0))
 	})
 
-	It("opens with a torn tail on a full disk and appends once there is room", func() {
+	It("opens with a torn tail on a full disk and appends once there is space", func() {
 		disk := memdisk.New()
 		beforeCrash := runHistory(disk, history[:1])
 		disk.CrashAt(memdisk.Crash{Position: disk.Stats().Positions + 7, Tear: memdisk.TearShort})
@@ -127,7 +129,7 @@
 		Expect(checkUsable(disk, outcome{want, want})).To(Succeed())
 	})
 
-	It("accepts no write after one that failed for an unknown reason", func() {
+	It("accepts no write after one that failed for a reason other than a full disk", func() {
 		disk := &failingDisk{Disk: memdisk.New()}
 		store, _, err := twoslot.Open(disk, storeName)
 		Expect(err).NotTo(HaveOccurred())
@@ -145,7 +147,7 @@
 		Expect(checkUsable(disk, outcome{})).To(Succeed())
 	})
 
-	It("keeps stores of different names apart", func() {
+	It("does not share files with a store of another name", func() {
 		disk := memdisk.New()
 		first, _, err := twoslot.Open(disk, "first")
 		Expect(err).NotTo(HaveOccurred())
