--- a/pkg/twoslot/memdisk/faults.go
+++ b/pkg/twoslot/memdisk/faults.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// Tear tells what remains of the write that a crash interrupts.
+// Tear specifies what remains of the write that a crash interrupts.
 type Tear uint8
 
 // The ways in which a write is torn.
 const (
 	// TearShort leaves the bytes up to the crash, and the file ends there.
 	TearShort Tear = iota + 1
-	// TearZeroed leaves the bytes up to the crash, and zeros for the rest:
-	// the file was extended before its bytes were written.
+	// TearZeroed leaves the bytes up to the crash, and zeros for the rest, as when a file is
+	// extended before its bytes are written.
 	TearZeroed
-	// TearLost leaves nothing: what was not synced is gone, and the file is as it was
-	// before the write.
+	// TearLost leaves the file as it was before the write, as when unsynced data is lost.
 	TearLost
 )
 
@@ -27,7 +26,7 @@
 
 // Crash is a planned crash.
 type Crash struct {
-	// Position is the point of the crash, counted as Stats.Positions is.
+	// Position is the value of Stats.Positions at which the crash occurs.
 	Position int
 	Tear     Tear
 }
@@ -40,8 +39,8 @@
 	d.crash = &crash
 }
 
-// Restart ends a crash, and cancels one that has not come yet. Files are as the crash
-// left them.
+// Restart makes a crashed disk usable again, and cancels a planned crash that has not
+// occurred yet. Files are as the crash left them.
 func (d *Disk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -49,7 +48,7 @@
 	d.crashed = false
 }
 
-// SetFull makes every write return that the disk is full, or ends that.
+// SetFull sets whether every write fails with an error that matches twoslot.ErrDiskFull.
 func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,15 +62,15 @@
 	return d.full
 }
 
-// SetCapacity bounds the bytes of all files; 0 means no bound.
+// SetCapacity limits the total size of all files in bytes; 0 means no limit.
 func (d *Disk) SetCapacity(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = bytes
 }
 
-// SetDelay makes each write count as slow. The driver of virtual time adds the growth
-// of Stats.Delay to it.
+// SetDelay sets the time that each call of WriteFile or Append adds to Stats.Delay. The disk
+// does not wait; a caller with virtual time can advance it by the growth of Stats.Delay.
 func (d *Disk) SetDelay(delay time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -79,7 +78,7 @@
 }
 
 // FlipBit inverts one bit of a file, counted from the lowest bit of its first byte. It
-// is false if the file has no such bit.
+// returns false if the file has no such bit.
 func (d *Disk) FlipBit(name string, bit int) bool {
 	const bitsPerByte = 8
 	d.mutex.Lock()
@@ -101,7 +100,7 @@
 	delete(d.files, name)
 }
 
-// Lose empties the disk, as when it was replaced.
+// Lose removes all files, as if the disk had been replaced by an empty one.
 func (d *Disk) Lose() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -114,15 +113,15 @@
 	defer d.mutex.Unlock()
 	clone := New()
 	for name, data := range d.files {
-		// Neither disk may append into the memory of the other.
+		// The disks share the data; clipping it makes an append of either one copy it first.
 		d.files[name] = slices.Clip(data)
 		clone.files[name] = d.files[name]
 	}
 	return clone
 }
 
-// crashWithin tells whether the planned crash comes within a write of that many bytes,
-// and how many of them are written by then.
+// crashWithin reports whether the planned crash occurs within a write of length bytes, and
+// how many of them are written before it.
 func (d *Disk) crashWithin(length int) (written int, ok bool) {
 	if d.crash == nil || d.crash.Position > d.stats.Positions+length {
 		return 0, false
@@ -130,7 +129,7 @@
 	return max(0, d.crash.Position-d.stats.Positions), true
 }
 
-// leaveTorn leaves what remains of the interrupted write in a file.
+// leaveTorn sets the content of a file to what remains of an interrupted write.
 func (d *Disk) leaveTorn(name string, prefix, data []byte, written int) {
 	switch d.crash.Tear {
 	case TearShort:
--- a/pkg/twoslot/memdisk/memdisk.go
+++ b/pkg/twoslot/memdisk/memdisk.go
@@ -1,7 +1,6 @@
-// Package memdisk is a twoslot.Disk in memory that fails on request: it crashes at any
-// byte of what is written to it, becomes full, flips bits, becomes slow, or loses
-// everything. Simulators and tests use it. A Disk owns its files and is safe for
-// concurrent use.
+// Package memdisk implements a twoslot.Disk in memory with injected faults: a crash at any
+// byte that is written, a full disk, flipped bits, slow writes, and lost files. Simulators
+// and tests use it. A Disk owns its files and is safe for concurrent use.
 package memdisk
 
 import (
@@ -32,20 +31,21 @@
 	stats    Stats
 }
 
-// Stats counts what a disk did.
+// Stats counts the operations of a disk.
 type Stats struct {
-	// Writes counts the calls that write, and Reads those that read.
+	// Writes counts the calls that changed a file or crashed, and Reads those of ReadFile.
 	Writes, Reads int
-	// Positions counts the points at which a crash could have come: one before each
-	// write, and one after each byte of it.
+	// Positions counts the points at which a crash could have occurred: one before each
+	// write, and one after each byte of it. A truncation is a write without bytes.
 	Positions int
-	// SlowWrites counts the writes while a delay was set, and Delay sums the time that
-	// they would have taken. The disk itself never waits.
+	// SlowWrites counts the calls of WriteFile and Append that were made while a delay was
+	// set, and Delay is the sum of their delays. The disk itself never waits.
 	SlowWrites int
 	Delay      time.Duration
-	// Refused counts the writes that did not fit.
+	// Refused counts the writes that failed because the disk was full.
 	Refused int
-	// PeakBytes is the most that the files took, with the file that was being replaced.
+	// PeakBytes is the largest total size of all files during a write, including the
+	// previous content of a file that was being replaced.
 	PeakBytes int
 }
 
@@ -69,8 +69,8 @@
 	return slices.Clone(data), nil
 }
 
-// WriteFile replaces a file. The former one takes its space until the new one is complete,
-// as in a data folder, where it is renamed into place.
+// WriteFile replaces a file. The previous content occupies space until the new content is
+// complete, as in a data folder, where a complete new file is renamed into place.
 func (d *Disk) WriteFile(name string, data []byte) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -84,8 +84,8 @@
 	return d.write(name, d.files[name], data)
 }
 
-// Truncate shortens a file. A crash at its only position leaves the shorter file, or, with
-// TearLost, the former one.
+// Truncate shortens a file. A crash during the call leaves the shorter file, or, with
+// TearLost, the previous one.
 func (d *Disk) Truncate(name string, size int) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// write leaves prefix followed by data in the file. The bytes of a file are never
-// changed in place, only appended to.
+// write sets the content of the file to prefix followed by data. The bytes of a file are
+// never changed in place, since clones of the disk share them.
 func (d *Disk) write(name string, prefix, data []byte) error {
 	if d.crashed {
 		return ErrCrashed
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// used returns the bytes of all files.
+// used returns the total size of all files in bytes.
 func (d *Disk) used() int {
 	total := 0
 	for data := range maps.Values(d.files) {
@@ -150,14 +150,14 @@
 	return total
 }
 
-// Used returns the bytes of all files.
+// Used returns the total size of all files in bytes.
 func (d *Disk) Used() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.used()
 }
 
-// Stats returns the counts so far.
+// Stats returns the counts since the disk was created.
 func (d *Disk) Stats() Stats {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/pkg/twoslot/memdisk/memdisk_test.go
+++ b/pkg/twoslot/memdisk/memdisk_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "memdisk")
 }
 
-var _ = Describe("A disk in memory", func() {
+var _ = Describe("An in-memory disk", func() {
 	var disk *memdisk.Disk
 
 	BeforeEach(func() {
@@ -25,7 +25,7 @@
 		Expect(disk.WriteFile("file", []byte("abc"))).To(Succeed())
 	})
 
-	DescribeTable("leaves of an append that a crash tears",
+	DescribeTable("keeps part of an append that a crash interrupts, depending on the kind of tear",
 		func(tear memdisk.Tear, want string) {
 			disk.CrashAt(memdisk.Crash{Position: disk.Stats().Positions + 2, Tear: tear})
 			Expect(disk.Append("file", []byte("def"))).To(MatchError(memdisk.ErrCrashed))
@@ -34,12 +34,12 @@
 			disk.Restart()
 			Expect(disk.ReadFile("file")).To(Equal([]byte(want)))
 		},
-		Entry("a start", memdisk.TearShort, "abcde"),
-		Entry("a start and zeros", memdisk.TearZeroed, "abcde\x00"),
-		Entry("nothing", memdisk.TearLost, "abc"),
+		Entry("the bytes up to the crash", memdisk.TearShort, "abcde"),
+		Entry("the bytes up to the crash, and zeros for the rest", memdisk.TearZeroed, "abcde\x00"),
+		Entry("none of its bytes", memdisk.TearLost, "abc"),
 	)
 
-	It("counts slow writes and the time that they would have taken", func() {
+	It("counts writes made while a delay is set and the sum of their delays", func() {
 		disk.SetDelay(time.Second)
 		Expect(disk.Append("file", []byte("d"))).To(Succeed())
 		Expect(disk.Append("file", []byte("e"))).To(Succeed())
@@ -47,7 +47,7 @@
 		Expect(disk.Stats().Delay).To(Equal(2 * time.Second))
 	})
 
-	It("rejects what exceeds its capacity, with the file that is being replaced", func() {
+	It("rejects writes that exceed its capacity, including the file that is being replaced", func() {
 		disk.SetCapacity(4)
 		Expect(disk.Append("file", []byte("de"))).To(MatchError(twoslot.ErrDiskFull))
 		Expect(disk.WriteFile("file", []byte("four"))).To(MatchError(twoslot.ErrDiskFull))
@@ -59,7 +59,7 @@
 		Expect(disk.Stats().PeakBytes).To(Equal(len("four") + len("ty!")))
 	})
 
-	It("frees what is truncated, unless a crash comes first", func() {
+	It("frees the space of truncated bytes, unless a crash with TearLost interrupts the truncation", func() {
 		disk.SetCapacity(4)
 		Expect(disk.Truncate("file", 1)).To(Succeed())
 		Expect(disk.Append("file", []byte("xyz"))).To(Succeed())
@@ -80,7 +80,7 @@
 		Expect(disk.Truncate("file", 0)).To(MatchError(twoslot.ErrDiskFull))
 	})
 
-	It("shares nothing with its clone", func() {
+	It("is independent of its clone", func() {
 		clone := disk.Clone()
 		Expect(disk.Append("file", []byte("1"))).To(Succeed())
 		Expect(clone.Append("file", []byte("2"))).To(Succeed())
