--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -38,15 +38,15 @@
 	return builder.FinishedBytes()
 }
 
-func packHardState(hard *replication.HardState) *fb.HardStateT {
-	if hard == nil {
+func packHardState(hardState *replication.HardState) *fb.HardStateT {
+	if hardState == nil {
 		return nil
 	}
 	return &fb.HardStateT{
-		Term:                hard.Term,
-		PromisedTo:          string(hard.VotedFor),
-		PromisedIncarnation: hard.VotedForIncarnation,
-		Commit:              hard.Commit,
+		Term:                hardState.Term,
+		PromisedTo:          string(hardState.VotedFor),
+		PromisedIncarnation: hardState.VotedForIncarnation,
+		Commit:              hardState.Commit,
 	}
 }
 
@@ -111,14 +111,14 @@
 	if len(tables) == 0 {
 		return nil
 	}
-	group := make([]replication.Slot, len(tables))
+	slots := make([]replication.Slot, len(tables))
 	for i, table := range tables {
-		group[i] = replication.Slot{
+		slots[i] = replication.Slot{
 			Voter:   replication.Voter{ID: member.ID(table.Id), Incarnation: table.Incarnation},
 			Learner: table.Learner,
 		}
 	}
-	return group
+	return slots
 }
 
 func unpackEntries(tables []*fb.EntryT) []replication.Entry {
--- a/pkg/replication/durable/golden_test.go
+++ b/pkg/replication/durable/golden_test.go
@@ -19,8 +19,8 @@
 	writeGolden  = "RIDGESWITCH_WRITE_GOLDEN"
 )
 
-// everyKind are entries of all kinds.
-var everyKind = []replication.Entry{
+// entriesOfEveryKind are entries of all kinds.
+var entriesOfEveryKind = []replication.Entry{
 	{Index: 28, Term: 6, Kind: replication.EntryBarrier},
 	{Index: 29, Term: 6, Kind: replication.EntryGroupChange, Command: []byte(`[{"ID":"a","Incarnation":1,"Learner":false}]`)},
 	{Index: 30, Term: 6, Kind: replication.EntryRestore, Command: []byte("state")},
@@ -34,8 +34,8 @@
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
 		for _, ready := range []replication.Ready{
-			{HardState: &replication.HardState{Term: 6, VotedFor: "a", VotedForIncarnation: 1 << 60, Commit: 27}, Entries: everyKind[:2]},
-			{Entries: everyKind[2:]},
+			{HardState: &replication.HardState{Term: 6, VotedFor: "a", VotedForIncarnation: 1 << 60, Commit: 27}, Entries: entriesOfEveryKind[:2]},
+			{Entries: entriesOfEveryKind[2:]},
 		} {
 			Expect(log.Save(ready)).To(Succeed())
 			expected = operation{ready: ready}.after(expected)
@@ -51,7 +51,7 @@
 		for _, file := range files {
 			data, err := os.ReadFile(filepath.Join(goldenFolder, file.Name()))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(disk.ReadFile(file.Name())).To(Equal(present(file.Name(), data)), file.Name())
+			Expect(disk.ReadFile(file.Name())).To(Equal(expectedContent(file.Name(), data)), file.Name())
 			Expect(golden.WriteFile(file.Name(), data)).To(Succeed())
 		}
 		_, restored, err := Open(golden, logName)
@@ -60,9 +60,9 @@
 	})
 })
 
-// present returns what this release leaves of a golden file. Earlier releases kept the
+// expectedContent returns what this release leaves of a golden file. Earlier releases kept the
 // generation before the newest one, 3 before 4, in full; now the header of its log stays.
-func present(name string, golden []byte) []byte {
+func expectedContent(name string, golden []byte) []byte {
 	const logHeaderBytes = 24
 	switch name {
 	case logName + ".slot1":
--- a/pkg/replication/durable/log.go
+++ b/pkg/replication/durable/log.go
@@ -57,7 +57,7 @@
 	}
 	log := &Log{store: store, state: state, limits: limits}
 	log.scheduleCheckpoint(len(contents.Payload))
-	log.measure()
+	log.updateDiskBytes()
 	restored := state
 	restored.Entries = slices.Clone(state.Entries)
 	return log, restored, nil
@@ -84,13 +84,13 @@
 		return err
 	}
 	l.state = next
-	l.measure()
+	l.updateDiskBytes()
 	return l.checkpointIfLarge()
 }
 
 // Checkpoint replaces all durable state. It fails as Save does.
-func (l *Log) Checkpoint(hard replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error {
-	replacement := record{hardState: &hard, snapshot: snapshot, entries: entries}
+func (l *Log) Checkpoint(hardState replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error {
+	replacement := record{hardState: &hardState, snapshot: snapshot, entries: entries}
 	next, err := replacement.applyTo(replication.Restored{HardState: replication.HardState{Term: l.state.Term}})
 	if err != nil {
 		return err
@@ -109,11 +109,11 @@
 	}
 	l.state = next
 	l.scheduleCheckpoint(len(payload))
-	l.measure()
+	l.updateDiskBytes()
 	return nil
 }
 
-func (l *Log) measure() { l.diskBytes.Store(int64(l.store.DiskBytes())) }
+func (l *Log) updateDiskBytes() { l.diskBytes.Store(int64(l.store.DiskBytes())) }
 
 // checkpointIfLarge bounds the log. What was saved is durable already, so a disk that
 // is too full for the checkpoint only delays it.
--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -28,8 +28,8 @@
 	checkpoint bool
 }
 
-func hard(term uint64, promisedTo member.ID, commit uint64) *replication.HardState {
-	return &replication.HardState{Term: term, VotedFor: promisedTo, Commit: commit}
+func hardState(term uint64, votedFor member.ID, commit uint64) *replication.HardState {
+	return &replication.HardState{Term: term, VotedFor: votedFor, Commit: commit}
 }
 
 // entries returns the entries first..last of one term.
@@ -58,17 +58,17 @@
 // script has votes, entries, conflicting suffixes, a snapshot from the
 // leader, a compaction, and enough bytes for checkpoints in between.
 var script = []operation{
-	{ready: replication.Ready{HardState: hard(1, "a", 0)}},
-	{ready: replication.Ready{HardState: hard(1, "a", 0), Entries: entries(1, 1, 3)}},
+	{ready: replication.Ready{HardState: hardState(1, "a", 0)}},
+	{ready: replication.Ready{HardState: hardState(1, "a", 0), Entries: entries(1, 1, 3)}},
 	{ready: replication.Ready{Entries: entries(1, 4, 6)}},
-	{ready: replication.Ready{HardState: hard(2, "b", 2), Entries: entries(2, 3, 4)}},
+	{ready: replication.Ready{HardState: hardState(2, "b", 2), Entries: entries(2, 3, 4)}},
 	{ready: replication.Ready{Entries: entries(2, 5, 5)}},
-	{ready: replication.Ready{HardState: hard(4, "c", 20), Snapshot: snapshot(3, 20)}},
+	{ready: replication.Ready{HardState: hardState(4, "c", 20), Snapshot: snapshot(3, 20)}},
 	{ready: replication.Ready{Entries: entries(4, 21, 22)}},
 	{ready: replication.Ready{Entries: entries(4, 23, 24)}},
-	{checkpoint: true, ready: replication.Ready{HardState: hard(4, "c", 23), Snapshot: snapshot(4, 22), Entries: entries(4, 23, 24)}},
-	{ready: replication.Ready{HardState: hard(5, "", 24), Entries: entries(5, 24, 27)}},
-	{ready: replication.Ready{HardState: hard(6, "a", 24)}},
+	{checkpoint: true, ready: replication.Ready{HardState: hardState(4, "c", 23), Snapshot: snapshot(4, 22), Entries: entries(4, 23, 24)}},
+	{ready: replication.Ready{HardState: hardState(5, "", 24), Entries: entries(5, 24, 27)}},
+	{ready: replication.Ready{HardState: hardState(6, "a", 24)}},
 }
 
 func (o operation) run(log *Log) error {
@@ -88,8 +88,8 @@
 		state.Snapshot, state.Entries = o.ready.Snapshot, nil
 	}
 	for _, added := range o.ready.Entries {
-		state.Entries = slices.DeleteFunc(state.Entries, func(held replication.Entry) bool {
-			return held.Index >= added.Index
+		state.Entries = slices.DeleteFunc(state.Entries, func(previous replication.Entry) bool {
+			return previous.Index >= added.Index
 		})
 		state.Entries = append(state.Entries, added)
 	}
@@ -98,19 +98,19 @@
 
 // runScript runs operations until one fails. It returns the state that was
 // acknowledged, and that with the operation in progress.
-func runScript(disk *memdisk.Disk) (acknowledged, underWay replication.Restored) {
+func runScript(disk *memdisk.Disk) (acknowledged, inProgress replication.Restored) {
 	log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 	if err != nil {
 		return replication.Restored{}, replication.Restored{}
 	}
 	for _, next := range script {
-		underWay = next.after(acknowledged)
+		inProgress = next.after(acknowledged)
 		if next.run(log) != nil {
-			return acknowledged, underWay
+			return acknowledged, inProgress
 		}
-		acknowledged = underWay
+		acknowledged = inProgress
 	}
-	return acknowledged, underWay
+	return acknowledged, inProgress
 }
 
 // restoredGroup starts member b from the disk.
@@ -139,21 +139,21 @@
 	})
 
 	It("restores what was acknowledged, or that and the save in progress, after a crash at any byte", func() {
-		whole := memdisk.New()
-		runScript(whole)
-		total := whole.Stats().Positions
+		withoutCrash := memdisk.New()
+		runScript(withoutCrash)
+		total := withoutCrash.Stats().Positions
 		Expect(total).To(BeNumerically(">", 2000))
 		for _, tear := range memdisk.Tears() {
 			for position := range total + 1 {
 				disk := memdisk.New()
 				disk.CrashAt(memdisk.Crash{Position: position, Tear: tear})
-				acknowledged, underWay := runScript(disk)
+				acknowledged, inProgress := runScript(disk)
 				disk.Restart()
 				_, restored, err := Open(disk, logName)
 				if err != nil {
 					Fail(fmt.Sprintf("tear %d at %d: %v", tear, position, err))
 				}
-				if !reflect.DeepEqual(restored, acknowledged) && !reflect.DeepEqual(restored, underWay) {
+				if !reflect.DeepEqual(restored, acknowledged) && !reflect.DeepEqual(restored, inProgress) {
 					Fail(fmt.Sprintf("tear %d at %d: restored %+v", tear, position, restored))
 				}
 				// Opening may have repaired what the crash tore.
@@ -170,12 +170,12 @@
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
 		for term := uint64(1); term <= 200; term++ {
-			Expect(log.Save(replication.Ready{HardState: hard(term, "a", 0)})).To(Succeed())
+			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 0)})).To(Succeed())
 			Expect(log.store.LogBytes()).To(BeNumerically("<", 2*smallLimit))
 		}
 		_, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(restored).To(Equal(replication.Restored{HardState: *hard(200, "a", 0)}))
+		Expect(restored).To(Equal(replication.Restored{HardState: *hardState(200, "a", 0)}))
 	})
 
 	It("is unchanged by a full disk, and saves the same Ready once there is room", func() {
@@ -205,7 +205,7 @@
 		disk.SetFull(false)
 		// Enough for a checkpoint, which is written from memory.
 		for term := uint64(3); term < 30; term++ {
-			Expect(log.Save(replication.Ready{HardState: hard(term, "a", 0)})).To(Succeed())
+			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 0)})).To(Succeed())
 		}
 		_, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
@@ -216,8 +216,8 @@
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: 1})
 		Expect(err).NotTo(HaveOccurred())
-		const roomForTheRecordOnly = 300
-		disk.SetCapacity(roomForTheRecordOnly)
+		const recordOnlyCapacity = 300
+		disk.SetCapacity(recordOnlyCapacity)
 		Expect(log.Save(replication.Ready{Entries: entries(1, 1, 1)})).To(Succeed())
 		Expect(disk.Stats().Refused).To(Equal(1))
 		_, restored, err := Open(disk.Clone(), logName)
@@ -233,10 +233,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		large := snapshot(1, 1)
 		large.Data = make([]byte, 3*maxLogBytes)
-		Expect(log.Checkpoint(*hard(1, "a", 1), large, nil)).To(Succeed())
+		Expect(log.Checkpoint(*hardState(1, "a", 1), large, nil)).To(Succeed())
 		checkpointBytes := log.DiskBytes()
 		for term := uint64(2); term < 200; term++ {
-			Expect(log.Save(replication.Ready{HardState: hard(term, "a", 1), Entries: entries(term, 2, 2)})).To(Succeed())
+			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 1), Entries: entries(term, 2, 2)})).To(Succeed())
 			Expect(log.DiskBytes()).To(BeNumerically("<", checkpointBytes+maxLogBytes+smallLimit))
 			Expect(log.DiskBytes()).To(BeEquivalentTo(disk.Used()))
 		}
@@ -248,7 +248,7 @@
 		log, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
 		before := slices.Clone(restored.Entries)
-		Expect(log.Save(replication.Ready{HardState: hard(9, "a", 0), Entries: entries(9, 25, 26)})).To(Succeed())
+		Expect(log.Save(replication.Ready{HardState: hardState(9, "a", 0), Entries: entries(9, 25, 26)})).To(Succeed())
 		Expect(restored.Entries).To(Equal(before))
 	})
 
@@ -266,10 +266,10 @@
 		disk := memdisk.New()
 		log, _, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(log.Save(replication.Ready{HardState: hard(1, "a", 2), Snapshot: founding})).To(Succeed())
+		Expect(log.Save(replication.Ready{HardState: hardState(1, "a", 2), Snapshot: founding})).To(Succeed())
 		Expect(log.Save(replication.Ready{Entries: append(entries(1, 3, 3), removal)})).To(Succeed())
 		Expect(restoredGroup(disk).Status().Slots).To(Equal(snapshot(1, 2).Slots))
-		Expect(log.Save(replication.Ready{HardState: hard(2, "b", 3), Entries: entries(2, 4, 5)})).To(Succeed())
+		Expect(log.Save(replication.Ready{HardState: hardState(2, "b", 3), Entries: entries(2, 4, 5)})).To(Succeed())
 		Expect(restoredGroup(disk).Status().Slots).To(Equal(founding.Slots))
 	})
 
@@ -288,7 +288,7 @@
 		Entry("entries after a gap", replication.Ready{Entries: entries(6, 29, 30)}),
 		Entry("entries that the snapshot covers", replication.Ready{Entries: entries(6, 22, 30)}),
 		Entry("entries with a gap", replication.Ready{Entries: append(entries(6, 28, 28), entries(6, 30, 30)...)}),
-		Entry("an older term", replication.Ready{HardState: hard(5, "a", 24)}),
+		Entry("an older term", replication.Ready{HardState: hardState(5, "a", 24)}),
 	)
 
 	It("restores the founders to a member that is not told of them", func() {
@@ -317,8 +317,8 @@
 		}
 		expectFounders()
 		Expect(group.Compact(1, nil)).To(Succeed())
-		kept := group.Checkpoint()
-		Expect(log.Checkpoint(kept.HardState, kept.Snapshot, kept.Entries)).To(Succeed())
+		checkpoint := group.Checkpoint()
+		Expect(log.Checkpoint(checkpoint.HardState, checkpoint.Snapshot, checkpoint.Entries)).To(Succeed())
 		expectFounders()
 	})
 
