--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -20,9 +20,9 @@
 
 const initialBuilderBytes = 512
 
-var errEncoding = errors.New("durable: data is not a record of this release")
+var errEncoding = errors.New("durable: data is not a record that this release can decode")
 
-// encode returns the whole state as one record.
+// encode encodes the whole state as one record.
 func encode(state replication.Restored) []byte {
 	return record{hardState: &state.HardState, snapshot: state.Snapshot, entries: state.Entries}.encode()
 }
@@ -62,14 +62,14 @@
 	}
 }
 
-// decode returns a record that shares no memory with data. The store has verified that
-// data is what was written.
+// decode decodes data into a record that shares no memory with it. The store has verified
+// the checksums of data.
 func decode(data []byte) (decoded record, err error) {
 	if len(data) < flatbuffers.SizeUOffsetT+len(identifier) || !flatbuffers.BufferHasIdentifier(data, identifier) {
 		return record{}, errEncoding
 	}
-	// The accessors have no verifier: a wrong offset shows as a panic of the bounds
-	// check.
+	// The generated accessors do not verify offsets: a wrong offset makes a bounds check
+	// panic.
 	defer func() {
 		if recover() != nil {
 			decoded, err = record{}, errEncoding
--- a/pkg/replication/durable/encoding_test.go
+++ b/pkg/replication/durable/encoding_test.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// fill sets every field below value to something that is not zero.
+// fill sets value, and every field and element in it, to something that is not zero.
 func fill(value reflect.Value, path string) {
 	switch value.Kind() {
 	case reflect.Uint8, reflect.Uint64:
@@ -33,7 +33,7 @@
 			fill(value.Field(i), path+"."+value.Type().Field(i).Name)
 		}
 	default:
-		Fail("no value for the kind of " + path)
+		Fail("fill does not support the kind of " + path)
 	}
 }
 
@@ -48,7 +48,7 @@
 		Expect(decoded.entries).To(Equal(state.Entries))
 	})
 
-	It("covers every field of what a Ready makes durable", func() {
+	It("covers every field of Ready that must be durable", func() {
 		ready := reflect.TypeFor[replication.Ready]()
 		var fields []string
 		for i := range ready.NumField() {
@@ -57,7 +57,7 @@
 		Expect(fields).To(ConsistOf("HardState", "Entries", "Snapshot", "Messages", "Committed", "Reads", "ReadsFailed"))
 	})
 
-	It("rejects what it did not write, and never panics", func() {
+	It("rejects data that it did not encode, and never panics", func() {
 		var state replication.Restored
 		fill(reflect.ValueOf(&state).Elem(), "state")
 		data := encode(state)
--- a/pkg/replication/durable/golden_test.go
+++ b/pkg/replication/durable/golden_test.go
@@ -11,15 +11,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// The golden files were written by an earlier release, and are never written anew: an
-// earlier release has to be able to read what this one writes, and the other way
-// round. They are made where there are none and writeGolden is set.
+// The golden files were written by an earlier release and are never regenerated: this
+// release must be able to read the files of an earlier one, and the other way round. They
+// are written only if the folder does not exist and the environment variable writeGolden is
+// set.
 const (
 	goldenFolder = "testdata/golden"
 	writeGolden  = "RIDGESWITCH_WRITE_GOLDEN"
 )
 
-// entriesOfEveryKind are entries of all kinds.
+// entriesOfEveryKind contains an entry of each kind.
 var entriesOfEveryKind = []replication.Entry{
 	{Index: 28, Term: 6, Kind: replication.EntryBarrier},
 	{Index: 29, Term: 6, Kind: replication.EntryGroupChange, Command: []byte(`[{"ID":"a","Incarnation":1,"Learner":false}]`)},
@@ -28,7 +29,7 @@
 }
 
 var _ = Describe("Files of an earlier release", func() {
-	It("are written to the last byte by the same saves, and restore the same state", func() {
+	It("are written byte for byte by the same operations, except for the previous generation, and restore the same state", func() {
 		disk := memdisk.New()
 		_, expected := runScript(disk)
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
@@ -60,8 +61,9 @@
 	})
 })
 
-// expectedContent returns what this release leaves of a golden file. Earlier releases kept the
-// generation before the newest one, 3 before 4, in full; now the header of its log stays.
+// expectedContent returns what this release writes in place of a golden file. Earlier
+// releases kept both files of the previous generation (3, where 4 is the newest) in full;
+// this release keeps only the header of its log.
 func expectedContent(name string, golden []byte) []byte {
 	const logHeaderBytes = 24
 	switch name {
@@ -74,7 +76,7 @@
 	}
 }
 
-// writeGoldenFiles writes the files of a disk, unless there are golden ones.
+// writeGoldenFiles writes the files of a disk as golden files, unless their folder exists.
 func writeGoldenFiles(disk *memdisk.Disk) {
 	if _, err := os.Stat(goldenFolder); err == nil {
 		return
--- a/pkg/replication/durable/log.go
+++ b/pkg/replication/durable/log.go
@@ -9,43 +9,44 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// DefaultMinLogBytes is the size in bytes of the records after a small checkpoint at which
-// Save writes the next checkpoint.
+// DefaultMinLogBytes is the value of Limits.MinLogBytes that Open uses.
 const DefaultMinLogBytes = 4 << 20
 
-// checkpointRatio is how many times as large as a checkpoint the records after it may
-// become, so that a large state isn't written all the time.
+// checkpointRatio is the ratio of the size of the log to the size of the checkpoint before
+// it at which Save writes the next checkpoint. It prevents a large state from being written
+// too often.
 const checkpointRatio = 2
 
-// Log is the durable state of one member. It is not safe for concurrent use.
+// Log is the durable state of one member. It is not safe for concurrent use, except for
+// DiskBytes.
 type Log struct {
 	store *twoslot.Store
-	// state is what is durable.
+	// state is the durable state, as it is on the disk.
 	state  replication.Restored
 	limits Limits
-	// checkpointAt is the size of the records in bytes at which Save writes a
-	// checkpoint.
+	// checkpointAt is the size of the log in bytes at which Save writes a checkpoint.
 	checkpointAt int
-	// diskBytes is what DiskBytes returns.
+	// diskBytes is the result of DiskBytes, for concurrent calls.
 	diskBytes atomic.Int64
 }
 
-// Limits bound the records after a checkpoint, in bytes. A Save that takes them to the bound
-// writes the next checkpoint.
+// Limits determine the limit on the size of the log, that is, of the records after a
+// checkpoint. A Save after which the log has reached the limit writes the next checkpoint.
 type Limits struct {
-	// MinLogBytes is the bound for small states; it grows with the checkpoint.
+	// MinLogBytes is the limit for small states. For larger ones the limit is twice the
+	// size of the checkpoint.
 	MinLogBytes int
-	// MaxLogBytes bounds it for large states; zero is no bound.
+	// MaxLogBytes is the highest limit for large states; zero means that there is none.
 	MaxLogBytes int
 }
 
 // Open reads the state of that name from the disk. The state is empty if the disk has
-// none. Damaged state is an error that matches twoslot.ErrCorrupt.
+// none. If the state is damaged, Open returns an error that matches twoslot.ErrCorrupt.
 func Open(disk twoslot.Disk, name string) (*Log, replication.Restored, error) {
 	return OpenWithLimits(disk, name, Limits{MinLogBytes: DefaultMinLogBytes})
 }
 
-// OpenWithLimits is Open with bounds on the bytes of the records after a checkpoint.
+// OpenWithLimits is Open with other limits on the size of the log.
 func OpenWithLimits(disk twoslot.Disk, name string, limits Limits) (*Log, replication.Restored, error) {
 	store, contents, err := twoslot.Open(disk, name)
 	if err != nil {
@@ -66,8 +67,8 @@
 // Save makes the hard state, snapshot and entries of a Ready durable. All of them are
 // durable when Save returns nil, and after a crash all or none are. On
 // twoslot.ErrDiskFull and *OrderError nothing changed, and Save can be called again;
-// after other errors the log must be opened again. The memory of the Ready must not
-// be changed afterwards.
+// after other errors the log must be opened again. The Log keeps references to the memory
+// of the Ready, which must not be changed afterwards.
 func (l *Log) Save(ready replication.Ready) error {
 	if !ready.MustSync() {
 		return nil
@@ -88,7 +89,7 @@
 	return l.checkpointIfLarge()
 }
 
-// Checkpoint replaces all durable state. It fails as Save does.
+// Checkpoint replaces all durable state by a checkpoint. Its errors are those of Save.
 func (l *Log) Checkpoint(hardState replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error {
 	replacement := record{hardState: &hardState, snapshot: snapshot, entries: entries}
 	next, err := replacement.applyTo(replication.Restored{HardState: replication.HardState{Term: l.state.Term}})
@@ -98,7 +99,7 @@
 	return l.writeCheckpoint(next)
 }
 
-// DiskBytes returns how much of the disk the state takes, in bytes. Unlike the other
+// DiskBytes returns the total size in bytes of the files of the state. Unlike the other
 // methods it may be called concurrently.
 func (l *Log) DiskBytes() int64 { return l.diskBytes.Load() }
 
@@ -115,8 +116,9 @@
 
 func (l *Log) updateDiskBytes() { l.diskBytes.Store(int64(l.store.DiskBytes())) }
 
-// checkpointIfLarge bounds the log. What was saved is durable already, so a disk that
-// is too full for the checkpoint only delays it.
+// checkpointIfLarge writes a checkpoint if the log has reached its limit. The saved state is
+// already durable, so a disk that is too full for the checkpoint is not an error: the next
+// attempt follows when the log has grown by another MinLogBytes.
 func (l *Log) checkpointIfLarge() error {
 	if l.store.LogBytes() < l.checkpointAt {
 		return nil
--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -18,11 +18,11 @@
 
 const (
 	logName = "shard-3"
-	// smallLimit makes Save write checkpoints by itself within the script.
+	// smallLimit is a MinLogBytes at which Save writes checkpoints during the script.
 	smallLimit = 400
 )
 
-// operation is a Save, or a Checkpoint of the same content.
+// operation is a Save of a Ready, or a Checkpoint with the content of the Ready.
 type operation struct {
 	ready      replication.Ready
 	checkpoint bool
@@ -55,7 +55,7 @@
 	}
 }
 
-// script has votes, entries, conflicting suffixes, a snapshot from the
+// script contains votes, entries, conflicting suffixes, a snapshot from the
 // leader, a compaction, and enough bytes for checkpoints in between.
 var script = []operation{
 	{ready: replication.Ready{HardState: hardState(1, "a", 0)}},
@@ -78,7 +78,7 @@
 	return log.Save(o.ready)
 }
 
-// after is what the state must be after the operation, entry by entry.
+// after returns the state that is expected after the operation, computed entry by entry.
 func (o operation) after(state replication.Restored) replication.Restored {
 	state.Entries = slices.Clone(state.Entries)
 	if o.ready.HardState != nil {
@@ -96,8 +96,8 @@
 	return state
 }
 
-// runScript runs operations until one fails. It returns the state that was
-// acknowledged, and that with the operation in progress.
+// runScript runs the operations of the script until one fails. It returns the acknowledged
+// state, and the state that includes the operation in progress as well.
 func runScript(disk *memdisk.Disk) (acknowledged, inProgress replication.Restored) {
 	log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 	if err != nil {
@@ -113,7 +113,7 @@
 	return acknowledged, inProgress
 }
 
-// restoredGroup starts member b from the disk.
+// restoredGroup starts member b from the state on the disk.
 func restoredGroup(disk *memdisk.Disk) *replication.Group {
 	_, restored, err := Open(disk, logName)
 	Expect(err).NotTo(HaveOccurred())
@@ -126,7 +126,7 @@
 }
 
 var _ = Describe("A log", func() {
-	It("restores after each operation what was saved", func() {
+	It("restores the saved state after each operation", func() {
 		disk := memdisk.New()
 		var want replication.Restored
 		for i, next := range script {
@@ -138,7 +138,7 @@
 		}
 	})
 
-	It("restores what was acknowledged, or that and the save in progress, after a crash at any byte", func() {
+	It("restores what was acknowledged, with or without the operation in progress, after a crash at any byte", func() {
 		withoutCrash := memdisk.New()
 		runScript(withoutCrash)
 		total := withoutCrash.Stats().Positions
@@ -151,21 +151,21 @@
 				disk.Restart()
 				_, restored, err := Open(disk, logName)
 				if err != nil {
-					Fail(fmt.Sprintf("tear %d at %d: %v", tear, position, err))
+					Fail(fmt.Sprintf("tear %d at position %d: cannot open the log: %v", tear, position, err))
 				}
 				if !reflect.DeepEqual(restored, acknowledged) && !reflect.DeepEqual(restored, inProgress) {
-					Fail(fmt.Sprintf("tear %d at %d: restored %+v", tear, position, restored))
+					Fail(fmt.Sprintf("tear %d at position %d: restored %+v", tear, position, restored))
 				}
-				// Opening may have repaired what the crash tore.
+				// The first Open may have rewritten a torn log.
 				_, again, err := Open(disk, logName)
 				if err != nil || !reflect.DeepEqual(again, restored) {
-					Fail(fmt.Sprintf("tear %d at %d, opened again: %v, restored %+v", tear, position, err, again))
+					Fail(fmt.Sprintf("tear %d at position %d: opened again with error %v, restored %+v", tear, position, err, again))
 				}
 			}
 		}
 	})
 
-	It("writes checkpoints by itself so that its records stay bounded", func() {
+	It("writes checkpoints automatically, which bounds its size", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
@@ -178,7 +178,7 @@
 		Expect(restored).To(Equal(replication.Restored{HardState: *hardState(200, "a", 0)}))
 	})
 
-	It("is unchanged by a full disk, and saves the same Ready once there is room", func() {
+	It("is unchanged by a full disk, and saves the same Ready once there is space", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
@@ -203,7 +203,7 @@
 		disk.SetFull(true)
 		Expect(log.Save(replication.Ready{Entries: entries(2, 2, 2)})).To(MatchError(twoslot.ErrDiskFull))
 		disk.SetFull(false)
-		// Enough for a checkpoint, which is written from memory.
+		// These saves reach the limit for a checkpoint, which is written from memory.
 		for term := uint64(3); term < 30; term++ {
 			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 0)})).To(Succeed())
 		}
@@ -212,7 +212,7 @@
 		Expect(restored.Entries).To(Equal(entries(1, 1, 3)))
 	})
 
-	It("acknowledges a save whose checkpoint does not fit", func() {
+	It("acknowledges a save if only the checkpoint after it does not fit on the disk", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: 1})
 		Expect(err).NotTo(HaveOccurred())
@@ -225,8 +225,9 @@
 		Expect(restored.Entries).To(Equal(entries(1, 1, 1)))
 	})
 
-	// Guards against a log that grows with its checkpoint beyond the disk (issue 37).
-	It("bounds the log behind a large checkpoint", func() {
+	// Guards against a log that outgrows the disk because its limit grows with the size of
+	// the checkpoint (issue 37).
+	It("bounds the log after a large checkpoint by MaxLogBytes", func() {
 		const maxLogBytes = 4000
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit, MaxLogBytes: maxLogBytes})
@@ -242,7 +243,7 @@
 		}
 	})
 
-	It("hands out entries that later saves do not change", func() {
+	It("returns entries from Open that later saves do not change", func() {
 		disk := memdisk.New()
 		runScript(disk)
 		log, restored, err := Open(disk, logName)
@@ -252,7 +253,7 @@
 		Expect(restored.Entries).To(Equal(before))
 	})
 
-	It("restores the group without a change whose entry was truncated", func() {
+	It("restores the group without a group change whose entry was replaced", func() {
 		founding := snapshot(1, 2)
 		founding.Slots = []replication.Slot{
 			{Voter: replication.Voter{ID: "a", Incarnation: 1}},
@@ -273,7 +274,7 @@
 		Expect(restoredGroup(disk).Status().Slots).To(Equal(founding.Slots))
 	})
 
-	DescribeTable("rejects what does not follow on its state, and writes nothing",
+	DescribeTable("rejects a Ready that is not a valid continuation of its state, and writes nothing",
 		func(ready replication.Ready) {
 			disk := memdisk.New()
 			runScript(disk)
@@ -291,7 +292,7 @@
 		Entry("an older term", replication.Ready{HardState: hardState(5, "a", 24)}),
 	)
 
-	It("restores the founders to a member that is not told of them", func() {
+	It("restores the founders for a member that is configured without them", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
@@ -322,7 +323,7 @@
 		expectFounders()
 	})
 
-	It("reports records that it did not write as damage", func() {
+	It("reports records that it did not write as corruption", func() {
 		disk := memdisk.New()
 		store, _, err := twoslot.Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/replication/durable/record.go
+++ b/pkg/replication/durable/record.go
@@ -7,22 +7,23 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// record is what one Save changes of the state: the hard state replaces the former
-// one, then the snapshot replaces all entries, then the entries replace those from the
-// index of the first one on. Nil and empty fields change nothing.
+// record is the change that one Save makes to the state: the hard state replaces the
+// previous one, then the snapshot replaces the previous one and all entries, then the
+// entries replace those from the index of the first one on. Nil and empty fields change
+// nothing.
 type record struct {
 	hardState *replication.HardState
 	snapshot  *replication.Snapshot
 	entries   []replication.Entry
 }
 
-// applyTo returns the state after the record, or an *OrderError if the record does not
-// follow on the state. It may write after the end of the entries of the former state,
-// but does not change them.
+// applyTo returns the state after the record, or an *OrderError if the record is not a
+// valid continuation of the state. It may write to spare capacity after the entries of the
+// given state, but does not change these entries.
 func (r record) applyTo(state replication.Restored) (replication.Restored, error) {
 	if r.hardState != nil {
 		if r.hardState.Term < state.Term {
-			return state, &OrderError{Message: fmt.Sprintf("term %d after term %d", r.hardState.Term, state.Term)}
+			return state, &OrderError{Message: fmt.Sprintf("its term %d is older than the stored term %d", r.hardState.Term, state.Term)}
 		}
 		state.HardState = *r.hardState
 	}
@@ -44,7 +45,8 @@
 	return state, nil
 }
 
-// coveredIndex returns the index before the first entry.
+// coveredIndex returns the last index that the snapshot covers, which is the one before the
+// first entry.
 func coveredIndex(state replication.Restored) uint64 {
 	if state.Snapshot == nil {
 		return 0
@@ -57,22 +59,22 @@
 	last := covered + uint64(len(state.Entries))
 	first := entries[0].Index
 	if first <= covered || first > last+1 {
-		return &OrderError{Message: fmt.Sprintf("entry %d after entries %d to %d", first, covered+1, last)}
+		return &OrderError{Message: fmt.Sprintf("its first entry has index %d, and the stored entries are %d to %d", first, covered+1, last)}
 	}
 	for i, entry := range entries {
 		if entry.Index != first+uint64(i) {
-			return &OrderError{Message: fmt.Sprintf("entry %d in place of entry %d", entry.Index, first+uint64(i))}
+			return &OrderError{Message: fmt.Sprintf("it has an entry with index %d where index %d is expected", entry.Index, first+uint64(i))}
 		}
 	}
 	return nil
 }
 
-// restore replays the records after a checkpoint.
+// restore returns the state of the checkpoint with the records after it applied.
 func restore(name string, contents twoslot.Contents) (replication.Restored, error) {
 	var state replication.Restored
 	encoded := contents.Records
-	// A state is never encoded to nothing: an empty payload is that of a store that was
-	// repaired before its first checkpoint.
+	// An encoded state is never empty. An empty payload means that the store has no
+	// checkpoint, or was repaired before its first one.
 	if len(contents.Payload) > 0 {
 		encoded = append([][]byte{contents.Payload}, encoded...)
 	}
@@ -82,20 +84,20 @@
 			state, err = saved.applyTo(state)
 		}
 		if err != nil {
-			detail := fmt.Sprintf("record %d of %d", i+1, len(encoded))
+			detail := fmt.Sprintf("cannot decode or apply record %d of %d", i+1, len(encoded))
 			return replication.Restored{}, &twoslot.Error{Kind: twoslot.KindCorrupt, Name: name, Detail: detail, Cause: err}
 		}
 	}
 	return state, nil
 }
 
-// OrderError tells that a record does not follow on the state before it, which is a
-// mistake of the caller; nothing was written.
+// OrderError means that a change is not a valid continuation of the stored state, which is
+// a fault of the caller. Nothing was written.
 type OrderError struct {
 	Message string
 }
 
-// Error names the mistake and the remedy.
+// Error returns the fault and the remedy.
 func (e *OrderError) Error() string {
-	return "durable: change does not follow on what is stored: " + e.Message + "; stop the member and report this"
+	return "durable: change is not a valid continuation of the stored state: " + e.Message + "; stop the member and report this fault"
 }
