--- a/pkg/replication/fbtable/fbtable.go
+++ b/pkg/replication/fbtable/fbtable.go
@@ -1,15 +1,15 @@
-// Package fbtable fills the FlatBuffers tables of entries and slots. The schema of
-// stored state (pkg/replication/durable) and that of frames (internal/wire) declare
-// these tables alike, but generated code makes types of them that differ; the
-// functions serve both. They keep no state and may be called concurrently.
+// Package fbtable converts entries and slots to FlatBuffers tables. The schema of stored
+// state (pkg/replication/durable) and that of frames (internal/wire) declare the same
+// tables, but the code generated from them has different types; the generic functions
+// here serve both. They keep no state and may be called concurrently.
 //
-// Reading is not shared: frames come from the network and are read within a budget
-// of memory, while stored records are protected by checksums.
+// Reading the tables is not shared: frames come from the network and are read within a
+// memory budget, while stored records are protected by checksums.
 package fbtable
 
 import "github.com/ridgeswitch/ridgeswitch/pkg/replication"
 
-// EntryTable is a generated table of a log entry.
+// EntryTable is satisfied by the generated types of the table of a log entry.
 type EntryTable interface {
 	~struct {
 		Index   uint64 `json:"index"`
@@ -19,7 +19,8 @@
 	}
 }
 
-// SlotTable is a generated table of a slot, which the schemas call a place.
+// SlotTable is satisfied by the generated types of the table of a slot, which the schemas
+// call a place.
 type SlotTable interface {
 	~struct {
 		Id          string `json:"id"` //nolint:revive // The generated type names the field so.
@@ -28,8 +29,9 @@
 	}
 }
 
-// PackEntries returns the tables of the entries, which share the memory of their
-// commands. The result is never nil, so that a vector is written even if it is empty.
+// PackEntries returns the tables of the entries. The tables share the memory of the
+// entries' commands. The result is never nil, so that a vector is written even if there are
+// no entries.
 func PackEntries[T EntryTable](entries []replication.Entry) []*T {
 	packed := make([]*T, len(entries))
 	for i, entry := range entries {
@@ -43,7 +45,8 @@
 	return packed
 }
 
-// PackSlots returns the tables of the slots of a group. The result is never nil.
+// PackSlots returns the tables of the slots of a group. The result is never nil, so that a
+// vector is written even if there are no slots.
 func PackSlots[T SlotTable](group []replication.Slot) []*T {
 	packed := make([]*T, len(group))
 	for i, slot := range group {
