--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -149,11 +149,11 @@
 
 // removeTemporary removes files that were written and not renamed before a crash.
 func (d *Disk) removeTemporary() error {
-	left, err := filepath.Glob(filepath.Join(d.folder, "*"+temporarySuffix))
+	leftovers, err := filepath.Glob(filepath.Join(d.folder, "*"+temporarySuffix))
 	if err != nil {
 		return errors.Wrap(err, "disk: cannot list data folder")
 	}
-	for _, path := range left {
+	for _, path := range leftovers {
 		if err := os.Remove(path); err != nil {
 			return errors.Wrap(err, "disk: cannot remove a half written file")
 		}
--- a/internal/disk/disk_test.go
+++ b/internal/disk/disk_test.go
@@ -17,10 +17,10 @@
 type faultyFile struct {
 	content  []byte
 	writeErr error
-	// written is how much of a failing write gets through.
-	written     int
-	syncErrs    []error
-	truncateErr error
+	// partialBytes is how much of a failing write gets through.
+	partialBytes int
+	syncErrs     []error
+	truncateErr  error
 }
 
 func (f *faultyFile) Write(data []byte) (int, error) {
@@ -28,8 +28,8 @@
 		f.content = append(f.content, data...)
 		return len(data), nil
 	}
-	f.content = append(f.content, data[:f.written]...)
-	return f.written, f.writeErr
+	f.content = append(f.content, data[:f.partialBytes]...)
+	return f.partialBytes, f.writeErr
 }
 
 func (f *faultyFile) Sync() error {
@@ -97,13 +97,13 @@
 	})
 
 	It("is cleared of files that a crash left half written", func() {
-		left := filepath.Join(folder, "state"+temporarySuffix)
-		Expect(os.WriteFile(left, []byte("half"), fileMode)).To(Succeed())
+		leftover := filepath.Join(folder, "state"+temporarySuffix)
+		Expect(os.WriteFile(leftover, []byte("half"), fileMode)).To(Succeed())
 		Expect(opened.Close()).To(Succeed())
 		var err error
 		opened, err = Open(folder)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(left).NotTo(BeAnExistingFile())
+		Expect(leftover).NotTo(BeAnExistingFile())
 	})
 
 	It("refuses names that leave it or clash with its own files", func() {
@@ -139,7 +139,7 @@
 	var target *faultyFile
 
 	BeforeEach(func() {
-		target = &faultyFile{content: []byte("former"), written: 2}
+		target = &faultyFile{content: []byte("former"), partialBytes: 2}
 	})
 
 	appendTo := func() error {
