--- a/internal/disk/benchmark_test.go
+++ b/internal/disk/benchmark_test.go
@@ -6,10 +6,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/disk"
 )
 
-// recordBytes is about the size of a record that one changed key leaves.
+// recordBytes is the approximate size of the record of a change to one key.
 const recordBytes = 512
 
-// BenchmarkSyncedAppend measures one appended record, durable on return.
+// BenchmarkSyncedAppend measures the append of one record, which is durable when Append
+// returns.
 func BenchmarkSyncedAppend(b *testing.B) {
 	folder, err := disk.Open(b.TempDir())
 	if err != nil {
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -19,8 +19,8 @@
 	folderMode = 0o700
 	fileMode   = 0o600
 	lockName   = "lock"
-	// temporarySuffix marks files that are written and not yet renamed. Names
-	// that end in it are refused.
+	// temporarySuffix marks files that are not yet complete and renamed. Callers cannot use
+	// names that end in it.
 	temporarySuffix = ".tmp"
 )
 
@@ -29,7 +29,7 @@
 // Disk keeps files in one folder, which it locks against other processes.
 type Disk struct {
 	folder string
-	// directory is the open folder, to sync created and renamed files.
+	// directory is the open folder, which is synced after a file is created or renamed.
 	directory *os.File
 	// lock is the open lock file.
 	lock *os.File
@@ -78,16 +78,17 @@
 	return os.ReadFile(path)
 }
 
-// CapacityBytes returns the size of the file system that holds the folder.
+// CapacityBytes returns the size in bytes of the file system that contains the folder.
 func (d *Disk) CapacityBytes() (int64, error) {
 	var status unix.Statfs_t
 	if err := unix.Statfs(d.folder, &status); err != nil {
-		return 0, errors.Wrapf(err, "disk: cannot tell the size of the file system of %s", d.folder)
+		return 0, errors.Wrapf(err, "disk: cannot determine the size of the file system of %s", d.folder)
 	}
 	return int64(status.Blocks) * status.Bsize, nil
 }
 
-// Empty reports whether the folder holds no file but the disk's own.
+// Empty reports whether the folder contains nothing except the lock file and temporary
+// files.
 func (d *Disk) Empty() (bool, error) {
 	entries, err := os.ReadDir(d.folder)
 	if err != nil {
@@ -101,7 +102,8 @@
 	return true, nil
 }
 
-// createFolder makes the folder and what is missing above it durable.
+// createFolder creates the folder and its missing parents, which are durable when it returns
+// nil.
 func createFolder(folder string) error {
 	if _, err := os.Stat(folder); err == nil {
 		return nil
@@ -131,11 +133,12 @@
 	return syncErr
 }
 
-// lockFolder acquires a lock that ends with the process.
+// lockFolder locks a folder against other processes. The lock ends when the returned file is
+// closed, at the latest with the process.
 func lockFolder(folder string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(folder, lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, errors.Wrapf(err, "disk: cannot write to data folder %s; check its rights", folder)
+		return nil, errors.Wrapf(err, "disk: cannot write to data folder %s; check its permissions", folder)
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
@@ -151,17 +154,18 @@
 func (d *Disk) removeTemporary() error {
 	leftovers, err := filepath.Glob(filepath.Join(d.folder, "*"+temporarySuffix))
 	if err != nil {
-		return errors.Wrap(err, "disk: cannot list data folder")
+		return errors.Wrapf(err, "disk: cannot list the temporary files of data folder %s", d.folder)
 	}
 	for _, path := range leftovers {
 		if err := os.Remove(path); err != nil {
-			return errors.Wrap(err, "disk: cannot remove a half written file")
+			return errors.Wrap(err, "disk: cannot remove a temporary file that a crash left")
 		}
 	}
 	return nil
 }
 
-// path refuses names that leave the folder or clash with its own files.
+// path returns the path of a file in the folder. It rejects names of files outside the folder,
+// and those of the lock file and of temporary files.
 func (d *Disk) path(name string) (string, error) {
 	if name == "" || name != filepath.Base(name) || name == "." || name == ".." ||
 		name == lockName || filepath.Ext(name) == temporarySuffix {
--- a/internal/disk/disk_test.go
+++ b/internal/disk/disk_test.go
@@ -13,11 +13,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// faultyFile is a file in memory whose calls fail on request.
+// faultyFile is a file in memory whose methods return the configured errors.
 type faultyFile struct {
 	content  []byte
 	writeErr error
-	// partialBytes is how much of a failing write gets through.
+	// partialBytes is the number of bytes that a failing write appends.
 	partialBytes int
 	syncErrs     []error
 	truncateErr  error
@@ -75,7 +75,7 @@
 		Expect(opened.ReadFile("state")).To(Equal([]byte("three.")))
 	})
 
-	It("serves a store across restarts of the process", func() {
+	It("keeps the contents of a store when it is closed and opened again", func() {
 		store, _, err := twoslot.Open(opened, "shard")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Checkpoint([]byte("payload"))).To(Succeed())
@@ -88,7 +88,7 @@
 		Expect(contents).To(Equal(twoslot.Contents{Payload: []byte("payload"), Records: [][]byte{[]byte("record")}}))
 	})
 
-	It("belongs to one process at a time", func() {
+	It("cannot be opened again while it is locked", func() {
 		_, err := Open(folder)
 		Expect(err).To(MatchError(&LockedError{Folder: folder}))
 		Expect(opened.Close()).To(Succeed())
@@ -96,7 +96,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("is cleared of files that a crash left half written", func() {
+	It("is cleared of temporary files that a crash left when it is opened", func() {
 		leftover := filepath.Join(folder, "state"+temporarySuffix)
 		Expect(os.WriteFile(leftover, []byte("half"), fileMode)).To(Succeed())
 		Expect(opened.Close()).To(Succeed())
@@ -106,7 +106,7 @@
 		Expect(leftover).NotTo(BeAnExistingFile())
 	})
 
-	It("refuses names that leave it or clash with its own files", func() {
+	It("rejects names of files outside it, and those of its lock file and temporary files", func() {
 		for _, name := range []string{"", ".", "..", "../state", "a/b", "/state", lockName, "state.tmp"} {
 			Expect(opened.WriteFile(name, nil)).To(MatchError(&NameError{Name: name}))
 			Expect(opened.Append(name, nil)).To(MatchError(&NameError{Name: name}))
@@ -115,7 +115,7 @@
 		}
 	})
 
-	It("shortens a file in place, and reports one that is not there", func() {
+	It("truncates a file, and reports a missing file or an invalid name", func() {
 		Expect(opened.WriteFile("state", []byte("former"))).To(Succeed())
 		Expect(opened.Truncate("state", 4)).To(Succeed())
 		Expect(opened.Append("state", []byte("."))).To(Succeed())
@@ -125,8 +125,8 @@
 	})
 
 	It("reports a full disk and leaves the file as it was", func() {
-		// Linux answers writes to /dev/full that the disk is full; a link to
-		// it as the temporary file makes the whole path fail for real.
+		// On Linux, writes to /dev/full fail with ENOSPC. A link to it in place of the
+		// temporary file tests WriteFile with a real error of the operating system.
 		Expect(opened.WriteFile("state", []byte("former"))).To(Succeed())
 		Expect(os.Symlink("/dev/full", filepath.Join(folder, "state"+temporarySuffix))).To(Succeed())
 		Expect(opened.WriteFile("state", []byte("newer"))).To(MatchError(twoslot.ErrDiskFull))
@@ -146,7 +146,7 @@
 		return appendAndClose("log", target, int64(len("former")), []byte("newer"))
 	}
 
-	It("that does not fit is taken back and reported as such", func() {
+	It("that does not fit on the disk is undone and reported as ErrDiskFull", func() {
 		for _, full := range []error{unix.ENOSPC, unix.EDQUOT} {
 			target.writeErr = &fs.PathError{Op: "write", Path: "log", Err: full}
 			Expect(appendTo()).To(MatchError(twoslot.ErrDiskFull))
@@ -154,13 +154,13 @@
 		}
 	})
 
-	It("whose sync finds the disk full is taken back too", func() {
+	It("whose sync finds the disk full is undone and reported as ErrDiskFull", func() {
 		target.syncErrs = []error{unix.ENOSPC}
 		Expect(appendTo()).To(MatchError(twoslot.ErrDiskFull))
 		Expect(target.content).To(Equal([]byte("former")))
 	})
 
-	It("that cannot be taken back is not reported as a full disk", func() {
+	It("that cannot be undone is not reported as ErrDiskFull", func() {
 		target.writeErr = unix.ENOSPC
 		target.truncateErr = unix.EIO
 		err := appendTo()
@@ -174,7 +174,7 @@
 		Expect(errors.Is(err, twoslot.ErrDiskFull)).To(BeFalse())
 	})
 
-	It("that fails for another reason keeps its error", func() {
+	It("that fails for another reason returns the error of that reason", func() {
 		target.syncErrs = []error{unix.EIO}
 		err := appendTo()
 		Expect(err).To(MatchError(unix.EIO))
--- a/internal/disk/error.go
+++ b/internal/disk/error.go
@@ -7,7 +7,7 @@
 	Folder string
 }
 
-// Error names the fault and its remedy.
+// Error returns the fault and its remedy.
 func (e *LockedError) Error() string {
 	return fmt.Sprintf("disk: data folder %s is in use; stop the other process or give this one its own folder", e.Folder)
 }
@@ -17,7 +17,7 @@
 	Name string
 }
 
-// Error names the fault and its remedy.
+// Error returns the fault and its remedy.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("disk: %q is no file name; use one without folders that is not %q and does not end in %q", e.Name, lockName, temporarySuffix)
+	return fmt.Sprintf("disk: %q is not a valid file name; use a name without folders that is not %q and does not end in %q", e.Name, lockName, temporarySuffix)
 }
--- a/internal/disk/write.go
+++ b/internal/disk/write.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot"
 )
 
-// file is what writing needs of an open file.
+// file contains the methods of *os.File that writing needs.
 type file interface {
 	io.Writer
 	Sync() error
@@ -18,8 +18,8 @@
 	Close() error
 }
 
-// WriteFile replaces a file: after a crash it holds either the former content
-// or all of data. Both are on the disk until the former is replaced.
+// WriteFile replaces a file: after a crash it contains either the previous content or all
+// of data. Both occupy disk space until the previous content is replaced.
 func (d *Disk) WriteFile(name string, data []byte) error {
 	path, err := d.path(name)
 	if err != nil {
@@ -34,12 +34,12 @@
 		_ = os.Remove(temporary)
 		return writeError(name, err)
 	}
-	// The rename may be done and not durable, which cannot be found out, so even a full
-	// disk is not reported as one that left the file unchanged.
+	// If the sync fails, it is unknown whether the rename is durable. ErrDiskFull would mean
+	// that the file is unchanged, so even a full disk is not reported as ErrDiskFull here.
 	return errors.Wrapf(d.directory.Sync(), "disk: cannot sync the data folder after writing %s", name)
 }
 
-// writeTemporary writes a file anew and syncs it.
+// writeTemporary creates or truncates a file, writes data to it and syncs it.
 func writeTemporary(path string, data []byte) error {
 	opened, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -52,8 +52,8 @@
 	return opened.Close()
 }
 
-// Append adds to the end of a file, which it creates if there is none. After
-// a crash the file may end in a part of data.
+// Append appends to a file, which it creates if there is none. After a crash the file may
+// contain only a part of data.
 func (d *Disk) Append(name string, data []byte) error {
 	path, err := d.path(name)
 	if err != nil {
@@ -112,8 +112,8 @@
 }
 
 // appendAndClose appends data to a file of the given size, syncs it and closes it. After a
-// failed write it truncates the file to that size: only if that is durable may a full disk
-// be reported as one that left the file unchanged.
+// failed write it truncates the file to that size. Only if the truncation is durable may a
+// full disk be reported as ErrDiskFull, which means that the file is unchanged.
 func appendAndClose(name string, opened file, size int64, data []byte) error {
 	err := writeAndSync(opened, data)
 	if err == nil {
@@ -121,7 +121,7 @@
 	}
 	defer func() { _ = opened.Close() }()
 	if truncateErr := truncateAndSync(opened, size); truncateErr != nil {
-		return errors.Wrapf(truncateErr, "disk: cannot take back a failed write to %s (%v)", name, err)
+		return errors.Wrapf(truncateErr, "disk: cannot undo a failed write to %s (%v)", name, err)
 	}
 	return writeError(name, err)
 }
@@ -133,7 +133,8 @@
 	return opened.Sync()
 }
 
-// writeError makes the errors of a full disk or quota match twoslot.ErrDiskFull.
+// writeError wraps the error of a write. The errors of a full disk and of an exceeded quota
+// match twoslot.ErrDiskFull.
 func writeError(name string, err error) error {
 	if errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) {
 		return &twoslot.Error{Kind: twoslot.KindDiskFull, Name: name, Cause: err}
