--- a/pkg/replication/durable/log.go
+++ b/pkg/replication/durable/log.go
@@ -30,8 +30,8 @@
 	diskBytes atomic.Int64
 }
 
-// Limits determine the limit on the size of the log, that is, of the records after a
-// checkpoint. A Save after which the log has reached the limit writes the next checkpoint.
+// Limits bound the size of the log, that is, of the records after a checkpoint. A Save after
+// which the log has reached its limit writes the next checkpoint.
 type Limits struct {
 	// MinLogBytes is the limit for small states. For larger ones the limit is twice the
 	// size of the checkpoint.
@@ -46,7 +46,7 @@
 	return OpenWithLimits(disk, name, Limits{MinLogBytes: DefaultMinLogBytes})
 }
 
-// OpenWithLimits is Open with other limits on the size of the log.
+// OpenWithLimits is Open with the given limits on the size of the log.
 func OpenWithLimits(disk twoslot.Disk, name string, limits Limits) (*Log, replication.Restored, error) {
 	store, contents, err := twoslot.Open(disk, name)
 	if err != nil {
--- a/pkg/twoslot/image.go
+++ b/pkg/twoslot/image.go
@@ -101,8 +101,8 @@
 	return logFile{state: fileIntact, generation: generation, data: data}
 }
 
-// newest returns the slot of the newest durable generation, or an error if acknowledged
-// data is damaged. Before the first checkpoint it returns an empty slot of generation 0.
+// newest returns the slot of the newest durable generation, or an error that matches
+// ErrCorrupt. Before the first checkpoint it returns an empty slot of generation 0.
 func (f *image) newest() (slot, error) {
 	var newest slot
 	for _, candidate := range f.slots {
@@ -111,7 +111,7 @@
 		}
 	}
 	if newest.generation == 0 && !f.neverCheckpointed() {
-		return slot{}, f.corrupt("no slot file can be read, and the log files are not those of a store without a checkpoint")
+		return slot{}, f.corrupt("no slot file can be read, and the files are not those of a store without a checkpoint")
 	}
 	if !f.nextNeverStarted(newest.generation) {
 		return slot{}, f.corrupt(fmt.Sprintf("the slot of the generation after %d was durable and cannot be read", newest.generation))
--- a/pkg/twoslot/parse.go
+++ b/pkg/twoslot/parse.go
@@ -111,8 +111,8 @@
 	return records, true
 }
 
-// tornStart reports whether a crash while a file that begins with expected was written can
-// have left data: a prefix of expected, followed by zeros at most.
+// tornStart reports whether data can result from a crash during the write of a file that
+// begins with expected: data is then a prefix of expected, followed only by zeros.
 func tornStart(data, expected []byte) bool {
 	if len(data) > len(expected) && !allZero(data[len(expected):]) {
 		return false
