--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -20,9 +20,9 @@
 
 const initialBuilderBytes = 512
 
-var errEncoding = errors.New("durable: data is not a record of this release")
+var errEncoding = errors.New("durable: data is not a record that this release can decode")
 
-// encode returns the whole state as one record.
+// encode encodes the whole state as one record.
 func encode(state replication.Restored) []byte {
 	return record{hardState: &state.HardState, snapshot: state.Snapshot, entries: state.Entries}.encode()
 }
@@ -38,15 +38,15 @@
 	return builder.FinishedBytes()
 }
 
-func packHardState(hard *replication.HardState) *fb.HardStateT {
-	if hard == nil {
+func packHardState(hardState *replication.HardState) *fb.HardStateT {
+	if hardState == nil {
 		return nil
 	}
 	return &fb.HardStateT{
-		Term:                hard.Term,
-		PromisedTo:          string(hard.VotedFor),
-		PromisedIncarnation: hard.VotedForIncarnation,
-		Commit:              hard.Commit,
+		Term:                hardState.Term,
+		PromisedTo:          string(hardState.VotedFor),
+		PromisedIncarnation: hardState.VotedForIncarnation,
+		Commit:              hardState.Commit,
 	}
 }
 
@@ -62,14 +62,14 @@
 	}
 }
 
-// decode returns a record that shares no memory with data. The store has verified that
-// data is what was written.
+// decode decodes data into a record that shares no memory with it. The store has verified
+// the checksums of data.
 func decode(data []byte) (decoded record, err error) {
 	if len(data) < flatbuffers.SizeUOffsetT+len(identifier) || !flatbuffers.BufferHasIdentifier(data, identifier) {
 		return record{}, errEncoding
 	}
-	// The accessors have no verifier: a wrong offset shows as a panic of the bounds
-	// check.
+	// The generated accessors do not verify offsets: a wrong offset makes a bounds check
+	// panic.
 	defer func() {
 		if recover() != nil {
 			decoded, err = record{}, errEncoding
@@ -111,14 +111,14 @@
 	if len(tables) == 0 {
 		return nil
 	}
-	group := make([]replication.Slot, len(tables))
+	slots := make([]replication.Slot, len(tables))
 	for i, table := range tables {
-		group[i] = replication.Slot{
+		slots[i] = replication.Slot{
 			Voter:   replication.Voter{ID: member.ID(table.Id), Incarnation: table.Incarnation},
 			Learner: table.Learner,
 		}
 	}
-	return group
+	return slots
 }
 
 func unpackEntries(tables []*fb.EntryT) []replication.Entry {
--- a/pkg/replication/durable/golden_test.go
+++ b/pkg/replication/durable/golden_test.go
@@ -11,16 +11,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// The golden files were written by an earlier release, and are never written anew: an
-// earlier release has to be able to read what this one writes, and the other way
-// round. They are made where there are none and writeGolden is set.
+// The golden files were written by an earlier release and are never regenerated: this
+// release must be able to read the files of an earlier one, and the other way round. They
+// are written only if the folder does not exist and the environment variable writeGolden is
+// set.
 const (
 	goldenFolder = "testdata/golden"
 	writeGolden  = "RIDGESWITCH_WRITE_GOLDEN"
 )
 
-// everyKind are entries of all kinds.
-var everyKind = []replication.Entry{
+// entriesOfEveryKind contains an entry of each kind.
+var entriesOfEveryKind = []replication.Entry{
 	{Index: 28, Term: 6, Kind: replication.EntryBarrier},
 	{Index: 29, Term: 6, Kind: replication.EntryGroupChange, Command: []byte(`[{"ID":"a","Incarnation":1,"Learner":false}]`)},
 	{Index: 30, Term: 6, Kind: replication.EntryRestore, Command: []byte("state")},
@@ -28,14 +29,14 @@
 }
 
 var _ = Describe("Files of an earlier release", func() {
-	It("are written to the last byte by the same saves, and restore the same state", func() {
+	It("are written byte for byte by the same operations, except for the previous generation, and restore the same state", func() {
 		disk := memdisk.New()
 		_, expected := runScript(disk)
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
 		for _, ready := range []replication.Ready{
-			{HardState: &replication.HardState{Term: 6, VotedFor: "a", VotedForIncarnation: 1 << 60, Commit: 27}, Entries: everyKind[:2]},
-			{Entries: everyKind[2:]},
+			{HardState: &replication.HardState{Term: 6, VotedFor: "a", VotedForIncarnation: 1 << 60, Commit: 27}, Entries: entriesOfEveryKind[:2]},
+			{Entries: entriesOfEveryKind[2:]},
 		} {
 			Expect(log.Save(ready)).To(Succeed())
 			expected = operation{ready: ready}.after(expected)
@@ -51,7 +52,7 @@
 		for _, file := range files {
 			data, err := os.ReadFile(filepath.Join(goldenFolder, file.Name()))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(disk.ReadFile(file.Name())).To(Equal(present(file.Name(), data)), file.Name())
+			Expect(disk.ReadFile(file.Name())).To(Equal(expectedContent(file.Name(), data)), file.Name())
 			Expect(golden.WriteFile(file.Name(), data)).To(Succeed())
 		}
 		_, restored, err := Open(golden, logName)
@@ -60,9 +61,10 @@
 	})
 })
 
-// present returns what this release leaves of a golden file. Earlier releases kept the
-// generation before the newest one, 3 before 4, in full; now the header of its log stays.
-func present(name string, golden []byte) []byte {
+// expectedContent returns what this release writes in place of a golden file. Earlier
+// releases kept both files of the previous generation (3, where 4 is the newest) in full;
+// this release keeps only the header of its log.
+func expectedContent(name string, golden []byte) []byte {
 	const logHeaderBytes = 24
 	switch name {
 	case logName + ".slot1":
@@ -74,7 +76,7 @@
 	}
 }
 
-// writeGoldenFiles writes the files of a disk, unless there are golden ones.
+// writeGoldenFiles writes the files of a disk as golden files, unless their folder exists.
 func writeGoldenFiles(disk *memdisk.Disk) {
 	if _, err := os.Stat(goldenFolder); err == nil {
 		return
--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -18,18 +18,18 @@
 
 const (
 	logName = "shard-3"
-	// smallLimit makes Save write checkpoints by itself within the script.
+	// smallLimit is a MinLogBytes at which Save writes checkpoints during the script.
 	smallLimit = 400
 )
 
-// operation is a Save, or a Checkpoint of the same content.
+// operation is a Save of a Ready, or a Checkpoint with the content of the Ready.
 type operation struct {
 	ready      replication.Ready
 	checkpoint bool
 }
 
-func hard(term uint64, promisedTo member.ID, commit uint64) *replication.HardState {
-	return &replication.HardState{Term: term, VotedFor: promisedTo, Commit: commit}
+func hardState(term uint64, votedFor member.ID, commit uint64) *replication.HardState {
+	return &replication.HardState{Term: term, VotedFor: votedFor, Commit: commit}
 }
 
 // entries returns the entries first..last of one term.
@@ -55,20 +55,20 @@
 	}
 }
 
-// script has votes, entries, conflicting suffixes, a snapshot from the
+// script contains votes, entries, conflicting suffixes, a snapshot from the
 // leader, a compaction, and enough bytes for checkpoints in between.
 var script = []operation{
-	{ready: replication.Ready{HardState: hard(1, "a", 0)}},
-	{ready: replication.Ready{HardState: hard(1, "a", 0), Entries: entries(1, 1, 3)}},
+	{ready: replication.Ready{HardState: hardState(1, "a", 0)}},
+	{ready: replication.Ready{HardState: hardState(1, "a", 0), Entries: entries(1, 1, 3)}},
 	{ready: replication.Ready{Entries: entries(1, 4, 6)}},
-	{ready: replication.Ready{HardState: hard(2, "b", 2), Entries: entries(2, 3, 4)}},
+	{ready: replication.Ready{HardState: hardState(2, "b", 2), Entries: entries(2, 3, 4)}},
 	{ready: replication.Ready{Entries: entries(2, 5, 5)}},
-	{ready: replication.Ready{HardState: hard(4, "c", 20), Snapshot: snapshot(3, 20)}},
+	{ready: replication.Ready{HardState: hardState(4, "c", 20), Snapshot: snapshot(3, 20)}},
 	{ready: replication.Ready{Entries: entries(4, 21, 22)}},
 	{ready: replication.Ready{Entries: entries(4, 23, 24)}},
-	{checkpoint: true, ready: replication.Ready{HardState: hard(4, "c", 23), Snapshot: snapshot(4, 22), Entries: entries(4, 23, 24)}},
-	{ready: replication.Ready{HardState: hard(5, "", 24), Entries: entries(5, 24, 27)}},
-	{ready: replication.Ready{HardState: hard(6, "a", 24)}},
+	{checkpoint: true, ready: replication.Ready{HardState: hardState(4, "c", 23), Snapshot: snapshot(4, 22), Entries: entries(4, 23, 24)}},
+	{ready: replication.Ready{HardState: hardState(5, "", 24), Entries: entries(5, 24, 27)}},
+	{ready: replication.Ready{HardState: hardState(6, "a", 24)}},
 }
 
 func (o operation) run(log *Log) error {
@@ -78,7 +78,7 @@
 	return log.Save(o.ready)
 }
 
-// after is what the state must be after the operation, entry by entry.
+// after returns the state that is expected after the operation, computed entry by entry.
 func (o operation) after(state replication.Restored) replication.Restored {
 	state.Entries = slices.Clone(state.Entries)
 	if o.ready.HardState != nil {
@@ -88,32 +88,32 @@
 		state.Snapshot, state.Entries = o.ready.Snapshot, nil
 	}
 	for _, added := range o.ready.Entries {
-		state.Entries = slices.DeleteFunc(state.Entries, func(held replication.Entry) bool {
-			return held.Index >= added.Index
+		state.Entries = slices.DeleteFunc(state.Entries, func(previous replication.Entry) bool {
+			return previous.Index >= added.Index
 		})
 		state.Entries = append(state.Entries, added)
 	}
 	return state
 }
 
-// runScript runs operations until one fails. It returns the state that was
-// acknowledged, and that with the operation in progress.
-func runScript(disk *memdisk.Disk) (acknowledged, underWay replication.Restored) {
+// runScript runs the operations of the script until one fails. It returns the acknowledged
+// state, and the state that includes the operation in progress as well.
+func runScript(disk *memdisk.Disk) (acknowledged, inProgress replication.Restored) {
 	log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 	if err != nil {
 		return replication.Restored{}, replication.Restored{}
 	}
 	for _, next := range script {
-		underWay = next.after(acknowledged)
+		inProgress = next.after(acknowledged)
 		if next.run(log) != nil {
-			return acknowledged, underWay
+			return acknowledged, inProgress
 		}
-		acknowledged = underWay
+		acknowledged = inProgress
 	}
-	return acknowledged, underWay
+	return acknowledged, inProgress
 }
 
-// restoredGroup starts member b from the disk.
+// restoredGroup starts member b from the state on the disk.
 func restoredGroup(disk *memdisk.Disk) *replication.Group {
 	_, restored, err := Open(disk, logName)
 	Expect(err).NotTo(HaveOccurred())
@@ -126,7 +126,7 @@
 }
 
 var _ = Describe("A log", func() {
-	It("restores after each operation what was saved", func() {
+	It("restores the saved state after each operation", func() {
 		disk := memdisk.New()
 		var want replication.Restored
 		for i, next := range script {
@@ -138,47 +138,47 @@
 		}
 	})
 
-	It("restores what was acknowledged, or that and the save in progress, after a crash at any byte", func() {
-		whole := memdisk.New()
-		runScript(whole)
-		total := whole.Stats().Positions
+	It("restores what was acknowledged, with or without the operation in progress, after a crash at any byte", func() {
+		withoutCrash := memdisk.New()
+		runScript(withoutCrash)
+		total := withoutCrash.Stats().Positions
 		Expect(total).To(BeNumerically(">", 2000))
 		for _, tear := range memdisk.Tears() {
 			for position := range total + 1 {
 				disk := memdisk.New()
 				disk.CrashAt(memdisk.Crash{Position: position, Tear: tear})
-				acknowledged, underWay := runScript(disk)
+				acknowledged, inProgress := runScript(disk)
 				disk.Restart()
 				_, restored, err := Open(disk, logName)
 				if err != nil {
-					Fail(fmt.Sprintf("tear %d at %d: %v", tear, position, err))
+					Fail(fmt.Sprintf("tear %d at position %d: cannot open the log: %v", tear, position, err))
 				}
-				if !reflect.DeepEqual(restored, acknowledged) && !reflect.DeepEqual(restored, underWay) {
-					Fail(fmt.Sprintf("tear %d at %d: restored %+v", tear, position, restored))
+				if !reflect.DeepEqual(restored, acknowledged) && !reflect.DeepEqual(restored, inProgress) {
+					Fail(fmt.Sprintf("tear %d at position %d: restored %+v", tear, position, restored))
 				}
-				// Opening may have repaired what the crash tore.
+				// The first Open may have rewritten a torn log.
 				_, again, err := Open(disk, logName)
 				if err != nil || !reflect.DeepEqual(again, restored) {
-					Fail(fmt.Sprintf("tear %d at %d, opened again: %v, restored %+v", tear, position, err, again))
+					Fail(fmt.Sprintf("tear %d at position %d: opened again with error %v, restored %+v", tear, position, err, again))
 				}
 			}
 		}
 	})
 
-	It("writes checkpoints by itself so that its records stay bounded", func() {
+	It("writes checkpoints automatically, which bounds its size", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
 		for term := uint64(1); term <= 200; term++ {
-			Expect(log.Save(replication.Ready{HardState: hard(term, "a", 0)})).To(Succeed())
+			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 0)})).To(Succeed())
 			Expect(log.store.LogBytes()).To(BeNumerically("<", 2*smallLimit))
 		}
 		_, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(restored).To(Equal(replication.Restored{HardState: *hard(200, "a", 0)}))
+		Expect(restored).To(Equal(replication.Restored{HardState: *hardState(200, "a", 0)}))
 	})
 
-	It("is unchanged by a full disk, and saves the same Ready once there is room", func() {
+	It("is unchanged by a full disk, and saves the same Ready once there is space", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
@@ -203,21 +203,21 @@
 		disk.SetFull(true)
 		Expect(log.Save(replication.Ready{Entries: entries(2, 2, 2)})).To(MatchError(twoslot.ErrDiskFull))
 		disk.SetFull(false)
-		// Enough for a checkpoint, which is written from memory.
+		// These saves reach the limit for a checkpoint, which is written from memory.
 		for term := uint64(3); term < 30; term++ {
-			Expect(log.Save(replication.Ready{HardState: hard(term, "a", 0)})).To(Succeed())
+			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 0)})).To(Succeed())
 		}
 		_, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(restored.Entries).To(Equal(entries(1, 1, 3)))
 	})
 
-	It("acknowledges a save whose checkpoint does not fit", func() {
+	It("acknowledges a save if only the checkpoint after it does not fit on the disk", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: 1})
 		Expect(err).NotTo(HaveOccurred())
-		const roomForTheRecordOnly = 300
-		disk.SetCapacity(roomForTheRecordOnly)
+		const recordOnlyCapacity = 300
+		disk.SetCapacity(recordOnlyCapacity)
 		Expect(log.Save(replication.Ready{Entries: entries(1, 1, 1)})).To(Succeed())
 		Expect(disk.Stats().Refused).To(Equal(1))
 		_, restored, err := Open(disk.Clone(), logName)
@@ -225,34 +225,35 @@
 		Expect(restored.Entries).To(Equal(entries(1, 1, 1)))
 	})
 
-	// Guards against a log that grows with its checkpoint beyond the disk (issue 37).
-	It("bounds the log behind a large checkpoint", func() {
+	// Guards against a log that outgrows the disk because its limit grows with the size of
+	// the checkpoint (issue 37).
+	It("bounds the log after a large checkpoint by MaxLogBytes", func() {
 		const maxLogBytes = 4000
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit, MaxLogBytes: maxLogBytes})
 		Expect(err).NotTo(HaveOccurred())
 		large := snapshot(1, 1)
 		large.Data = make([]byte, 3*maxLogBytes)
-		Expect(log.Checkpoint(*hard(1, "a", 1), large, nil)).To(Succeed())
+		Expect(log.Checkpoint(*hardState(1, "a", 1), large, nil)).To(Succeed())
 		checkpointBytes := log.DiskBytes()
 		for term := uint64(2); term < 200; term++ {
-			Expect(log.Save(replication.Ready{HardState: hard(term, "a", 1), Entries: entries(term, 2, 2)})).To(Succeed())
+			Expect(log.Save(replication.Ready{HardState: hardState(term, "a", 1), Entries: entries(term, 2, 2)})).To(Succeed())
 			Expect(log.DiskBytes()).To(BeNumerically("<", checkpointBytes+maxLogBytes+smallLimit))
 			Expect(log.DiskBytes()).To(BeEquivalentTo(disk.Used()))
 		}
 	})
 
-	It("hands out entries that later saves do not change", func() {
+	It("returns entries from Open that later saves do not change", func() {
 		disk := memdisk.New()
 		runScript(disk)
 		log, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
 		before := slices.Clone(restored.Entries)
-		Expect(log.Save(replication.Ready{HardState: hard(9, "a", 0), Entries: entries(9, 25, 26)})).To(Succeed())
+		Expect(log.Save(replication.Ready{HardState: hardState(9, "a", 0), Entries: entries(9, 25, 26)})).To(Succeed())
 		Expect(restored.Entries).To(Equal(before))
 	})
 
-	It("restores the group without a change whose entry was truncated", func() {
+	It("restores the group without a group change whose entry was replaced", func() {
 		founding := snapshot(1, 2)
 		founding.Slots = []replication.Slot{
 			{Voter: replication.Voter{ID: "a", Incarnation: 1}},
@@ -266,14 +267,14 @@
 		disk := memdisk.New()
 		log, _, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(log.Save(replication.Ready{HardState: hard(1, "a", 2), Snapshot: founding})).To(Succeed())
+		Expect(log.Save(replication.Ready{HardState: hardState(1, "a", 2), Snapshot: founding})).To(Succeed())
 		Expect(log.Save(replication.Ready{Entries: append(entries(1, 3, 3), removal)})).To(Succeed())
 		Expect(restoredGroup(disk).Status().Slots).To(Equal(snapshot(1, 2).Slots))
-		Expect(log.Save(replication.Ready{HardState: hard(2, "b", 3), Entries: entries(2, 4, 5)})).To(Succeed())
+		Expect(log.Save(replication.Ready{HardState: hardState(2, "b", 3), Entries: entries(2, 4, 5)})).To(Succeed())
 		Expect(restoredGroup(disk).Status().Slots).To(Equal(founding.Slots))
 	})
 
-	DescribeTable("rejects what does not follow on its state, and writes nothing",
+	DescribeTable("rejects a Ready that is not a valid continuation of its state, and writes nothing",
 		func(ready replication.Ready) {
 			disk := memdisk.New()
 			runScript(disk)
@@ -288,10 +289,10 @@
 		Entry("entries after a gap", replication.Ready{Entries: entries(6, 29, 30)}),
 		Entry("entries that the snapshot covers", replication.Ready{Entries: entries(6, 22, 30)}),
 		Entry("entries with a gap", replication.Ready{Entries: append(entries(6, 28, 28), entries(6, 30, 30)...)}),
-		Entry("an older term", replication.Ready{HardState: hard(5, "a", 24)}),
+		Entry("an older term", replication.Ready{HardState: hardState(5, "a", 24)}),
 	)
 
-	It("restores the founders to a member that is not told of them", func() {
+	It("restores the founders for a member that is configured without them", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
@@ -317,12 +318,12 @@
 		}
 		expectFounders()
 		Expect(group.Compact(1, nil)).To(Succeed())
-		kept := group.Checkpoint()
-		Expect(log.Checkpoint(kept.HardState, kept.Snapshot, kept.Entries)).To(Succeed())
+		checkpoint := group.Checkpoint()
+		Expect(log.Checkpoint(checkpoint.HardState, checkpoint.Snapshot, checkpoint.Entries)).To(Succeed())
 		expectFounders()
 	})
 
-	It("reports records that it did not write as damage", func() {
+	It("reports records that it did not write as corruption", func() {
 		disk := memdisk.New()
 		store, _, err := twoslot.Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/twoslot/fuzz_test.go
+++ b/pkg/twoslot/fuzz_test.go
@@ -8,8 +8,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/twoslot/memdisk"
 )
 
-// FuzzOpen opens stores of arbitrary files: each opens to something that
-// stays, or is an error that says it is damaged.
+// FuzzOpen opens stores of arbitrary files. Either Open returns an error that matches
+// ErrCorrupt, or the contents are still found, and records can be appended to them, when the
+// store is opened again.
 func FuzzOpen(f *testing.F) {
 	for steps := range len(history) + 1 {
 		disk := memdisk.New()
@@ -30,7 +31,7 @@
 		_, contents, err := twoslot.Open(disk.Clone(), storeName)
 		if err != nil {
 			if !errors.Is(err, twoslot.ErrCorrupt) {
-				t.Fatalf("untyped error: %v", err)
+				t.Fatalf("Open returned an error that does not match ErrCorrupt: %v", err)
 			}
 			return
 		}
@@ -43,51 +44,53 @@
 
 var fileSuffixes = [4]string{".slot0", ".slot1", ".log0", ".log1"}
 
-// FuzzHistory runs a history that the bytes describe, with crashes within it:
-// whatever was acknowledged is there after each.
+// FuzzHistory runs the writes and crashes that the fuzzed bytes describe, and checks after
+// each crash that the store contains what was acknowledged.
 func FuzzHistory(f *testing.F) {
 	f.Add([]byte{0x01, 0x42, 0x83, 0x04, 0xc5, 0x10, 0x06, 0x47})
 	f.Add([]byte{0xc1, 0x08, 0xc2, 0x30, 0x01, 0xc3, 0x50, 0x41})
 	f.Add([]byte{0x41, 0x41, 0xc1, 0x21, 0x41, 0xc1, 0x22, 0x05, 0xc2, 0x1f, 0x41})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		const longestScript = 64
+		const maxScriptBytes = 64
 		disk := memdisk.New()
 		var durable view
-		for _, steps := range splitScript(script[:min(len(script), longestScript)]) {
+		for _, segment := range splitScript(script[:min(len(script), maxScriptBytes)]) {
 			store, contents, err := twoslot.Open(disk, storeName)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if viewOf(contents).String() != durable.String() {
-				t.Fatalf("found %v, want %v", viewOf(contents), durable)
+				t.Fatalf("store contains %v when opened again, want %v", viewOf(contents), durable)
 			}
 			start := disk.Stats().Positions
-			disk.CrashAt(memdisk.Crash{Position: start + steps.crashAfter, Tear: steps.tear})
-			allowed := runSteps(store, durable, steps.steps)
+			disk.CrashAt(memdisk.Crash{Position: start + segment.crashAfter, Tear: segment.tear})
+			allowed := runSteps(store, durable, segment.steps)
 			disk.Restart()
 			_, contents, err = twoslot.Open(disk, storeName)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if durable = viewOf(contents); !allowed.allows(durable) {
-				t.Fatalf("found %v, want %v or %v", durable, allowed.acknowledged, allowed.underWay)
+				t.Fatalf("store contains %v after a crash, want %v or %v", durable, allowed.acknowledged, allowed.inProgress)
 			}
 		}
 	})
 }
 
-// scriptSegment is a run of steps that a crash ends.
+// scriptSegment is a sequence of steps, and the crash that ends it.
 type scriptSegment struct {
 	steps      []step
 	tear       memdisk.Tear
 	crashAfter int
 }
 
-// splitScript reads two bits of each byte as its operation: append one record,
-// append two, checkpoint, or crash as far on as the next byte says.
+// splitScript splits a script at its crashes. The upper two bits of a byte are an operation:
+// append one record, append two, write a checkpoint, or crash. The byte after a crash, times
+// positionsPerCrashUnit, is the number of positions from the start of the segment to the
+// crash.
 func splitScript(script []byte) []scriptSegment {
-	const operationShift, sizeMask, reach = 6, 0x3f, 8
-	var parts []scriptSegment
+	const operationShift, sizeMask, positionsPerCrashUnit = 6, 0x3f, 8
+	var segments []scriptSegment
 	var steps []step
 	for i := 0; i < len(script); i++ {
 		size := int(script[i] & sizeMask)
@@ -105,22 +108,22 @@
 				break
 			}
 			tears := memdisk.Tears()
-			parts = append(parts, scriptSegment{steps, tears[size%len(tears)], int(script[i]) * reach})
+			segments = append(segments, scriptSegment{steps, tears[size%len(tears)], int(script[i]) * positionsPerCrashUnit})
 			steps = nil
 		}
 	}
 	const never = 1 << 30
-	return append(parts, scriptSegment{steps, memdisk.TearShort, never})
+	return append(segments, scriptSegment{steps, memdisk.TearShort, never})
 }
 
 func runSteps(store *twoslot.Store, durable view, steps []step) outcome {
 	result := outcome{durable, durable}
 	for _, next := range steps {
-		result.underWay = result.acknowledged.after(next)
+		result.inProgress = result.acknowledged.after(next)
 		if next.run(store) != nil {
 			return result
 		}
-		result.acknowledged = result.underWay
+		result.acknowledged = result.inProgress
 	}
 	return result
 }
