--- a/internal/control/build.go
+++ b/internal/control/build.go
@@ -18,7 +18,7 @@
 // New returns the control machine of a node. Restored holds the durable state of each shard
 // that was read from the node's disk. The node hosts all shards in whose groups it is, also
 // those that have no entry in restored.
-func New(config Config, restored map[uint32]replication.Restored, load routing.LoadReader, now time.Duration) (*Machine, error) {
+func New(config Config, restored map[uint32]replication.DurableState, load routing.LoadReader, now time.Duration) (*Machine, error) {
 	machine := &Machine{config: config, clock: &clock{now: now}}
 	machine.members = newMemberTable(config, now)
 	machine.outbox = &outbox{self: config.Self.ID, members: machine.members, receive: machine.receiveControl}
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -224,7 +224,7 @@
 // limits returns Limits, or the default if Limits is the zero value.
 func (c Config) limits() storagelimit.Limits {
 	if c.Limits == (storagelimit.Limits{}) {
-		return storagelimit.For(storagelimit.Machine{})
+		return storagelimit.For(storagelimit.Resources{})
 	}
 	return c.Limits
 }
--- a/internal/control/driver/driver.go
+++ b/internal/control/driver/driver.go
@@ -36,9 +36,9 @@
 	// Command sends a replica the command to load weights; the outcome is passed to
 	// Driver.CommandDone.
 	Command(command control.Command)
-	// Report requests a replica's report, which is passed to Driver.SetReplicaReport. If
+	// RequestReport requests a replica's report, which is passed to Driver.SetReplicaReport. If
 	// the request fails, Driver.ReplicaReportFailed is called.
-	Report(request control.ReportRequest)
+	RequestReport(request control.ReportRequest)
 }
 
 // EndpointReader reads the platform's list of endpoints, and passes the outcome to
@@ -50,7 +50,7 @@
 // TrafficReceiver handles the traffic reports of other nodes. It is safe for concurrent
 // use.
 type TrafficReceiver interface {
-	TakeBatch(batch gossip.Batch)
+	ReceiveBatch(batch gossip.Batch)
 }
 
 // Options connect a control machine to its daemon.
@@ -172,8 +172,8 @@
 	for _, command := range output.Commands {
 		d.options.Commander.Command(command)
 	}
-	for _, request := range output.Reports {
-		d.options.Commander.Report(request)
+	for _, request := range output.ReportRequests {
+		d.options.Commander.RequestReport(request)
 	}
 	if output.ReadEndpoints {
 		d.options.Endpoints.ReadEndpoints()
--- a/internal/control/driver/incidents_test.go
+++ b/internal/control/driver/incidents_test.go
@@ -21,7 +21,7 @@
 	It("logs one incident for each growth of the count of unreadable log entries", func() {
 		var written bytes.Buffer
 		log := logrus.NewEntry(logring.New(9, &written).Logger(logrus.InfoLevel))
-		machine := newSoloMachine(map[uint32]replication.Restored{control.ConfigurationShard: {
+		machine := newSoloMachine(map[uint32]replication.DurableState{control.ConfigurationShard: {
 			HardState: replication.HardState{Term: 1},
 			Entries:   []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryCommand, Command: []byte{0xff}}},
 		}})
--- a/internal/control/driver/inputs.go
+++ b/internal/control/driver/inputs.go
@@ -32,7 +32,7 @@
 	if envelope.Traffic != nil {
 		// Traffic updates bypass the control goroutine, since they change no control state.
 		if d.options.Traffic != nil {
-			d.options.Traffic.TakeBatch(*envelope.Traffic)
+			d.options.Traffic.ReceiveBatch(*envelope.Traffic)
 		}
 		return
 	}
@@ -85,7 +85,7 @@
 func (d *Driver) Weights(pool string) (*ridgeswitchv1.WeightsStatus, error) {
 	var status *ridgeswitchv1.WeightsStatus
 	d.call(func(time.Duration) control.Output {
-		status = d.machine.Weights(pool)
+		status = d.machine.WeightsStatus(pool)
 		return control.Output{}
 	})
 	if status == nil {
--- a/internal/control/driver/machine_test.go
+++ b/internal/control/driver/machine_test.go
@@ -17,7 +17,7 @@
 
 // newSoloMachine returns the machine of the only node of a deployment, which starts from
 // the restored state of its disk.
-func newSoloMachine(restored map[uint32]replication.Restored) *control.Machine {
+func newSoloMachine(restored map[uint32]replication.DurableState) *control.Machine {
 	machine, err := control.New(control.Config{
 		Self:          member.Info{ID: "a", Address: "127.0.0.1:1", Zone: "z1", HoldsState: true, Incarnation: 1},
 		Group:         []member.ID{"a"},
--- a/internal/control/hosted_shards.go
+++ b/internal/control/hosted_shards.go
@@ -29,7 +29,7 @@
 }
 
 // start starts this node's copies of the shards that it hosts.
-func (s *hostedShards) start(host shards.Host, restored map[uint32]replication.Restored) error {
+func (s *hostedShards) start(host shards.Host, restored map[uint32]replication.DurableState) error {
 	config := s.config
 	for _, id := range config.hostedIDs() {
 		shard, err := shards.New(id, host, replication.Config{
--- a/internal/control/large_configurations_test.go
+++ b/internal/control/large_configurations_test.go
@@ -33,7 +33,7 @@
 	unwritten []StorageWrite
 }
 
-func newBoundedNode(machine storagelimit.Machine) *boundedNode {
+func newBoundedNode(machine storagelimit.Resources) *boundedNode {
 	node := &boundedNode{limits: storagelimit.For(machine), disk: memdisk.New(), answers: map[uint64]*controlpb.Answer{}}
 	node.disk.SetCapacity(int(machine.DiskBytes))
 	node.start()
@@ -44,7 +44,7 @@
 func (n *boundedNode) start() {
 	n.logs = map[uint32]*durable.Log{}
 	n.unwritten = nil
-	restored := map[uint32]replication.Restored{}
+	restored := map[uint32]replication.DurableState{}
 	for shard := range uint32(2) {
 		log, state, err := durable.OpenWithLimits(n.disk, fmt.Sprint("shard-", shard), durable.Limits{
 			MinLogBytes: durable.DefaultMinLogBytes, MaxLogBytes: n.limits.CheckpointLog,
@@ -125,7 +125,7 @@
 
 var _ = Describe("Large configurations", func() {
 	const mebibyte = 1 << 20
-	machine := storagelimit.Machine{DiskBytes: 8 * mebibyte, MemoryBytes: 20 * mebibyte}
+	machine := storagelimit.Resources{DiskBytes: 8 * mebibyte, MemoryBytes: 20 * mebibyte}
 
 	// Guards against a log that outgrows the disk because its entries are limited by number
 	// and not by size, and because refused changes enter it (issue 37, review/1).
@@ -171,7 +171,7 @@
 	// and that keeps its size after a start.
 	It("are compacted after a start if their log was written without a limit in bytes", func() {
 		const documents, documentBytes = 30, 200 << 10
-		node := newBoundedNode(storagelimit.Machine{})
+		node := newBoundedNode(storagelimit.Resources{})
 		node.limits.Log, node.limits.CheckpointLog = 1<<40, 1<<40
 		node.start()
 		for version := range uint64(documents) {
--- a/internal/control/listing/machine.go
+++ b/internal/control/listing/machine.go
@@ -191,5 +191,5 @@
 // Version returns the version of the newest reading.
 func (m *Machine) Version() Version { return m.table.current.version }
 
-// Reads reports whether this node is the reader.
-func (m *Machine) Reads() bool { return m.reader.active }
+// IsReader reports whether this node is the reader.
+func (m *Machine) IsReader() bool { return m.reader.active }
--- a/internal/control/listing/network_test.go
+++ b/internal/control/listing/network_test.go
@@ -285,7 +285,7 @@
 // reader returns the first running node that is the reader, or nil.
 func (s *simulation) reader() *testNode {
 	for _, one := range s.nodes {
-		if one.up && !one.frozen && one.machine.Reads() {
+		if one.up && !one.frozen && one.machine.IsReader() {
 			return one
 		}
 	}
@@ -295,7 +295,7 @@
 func (s *simulation) readers() int {
 	count := 0
 	for _, one := range s.nodes {
-		if one.up && !one.frozen && one.machine.Reads() {
+		if one.up && !one.frozen && one.machine.IsReader() {
 			count++
 		}
 	}
--- a/internal/control/listing/timeline_test.go
+++ b/internal/control/listing/timeline_test.go
@@ -96,7 +96,7 @@
 	case "fail", "mended":
 		n.failing = verb == "fail"
 	case "reads", "follows":
-		Expect(n.machine.Reads()).To(Equal(verb == "reads"), where)
+		Expect(n.machine.IsReader()).To(Equal(verb == "reads"), where)
 	case "admits", "excludes":
 		Expect(admits(n, argument)).To(Equal(verb == "admits"), where)
 	default:
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -195,13 +195,13 @@
 	m.requests.AnswerReads(m.Configuration())
 	moves := m.rollout.Take()
 	return Output{
-		Sends:         m.outbox.take(),
-		Writes:        m.host.takeWrites(),
-		Replies:       m.requests.TakeReplies(),
-		Commands:      moves.Commands,
-		Reports:       moves.Reports,
-		ReadEndpoints: m.endpoints.takeReadRequest(),
-		View:          refreshed,
+		Sends:          m.outbox.take(),
+		Writes:         m.host.takeWrites(),
+		Replies:        m.requests.TakeReplies(),
+		Commands:       moves.Commands,
+		ReportRequests: moves.Reports,
+		ReadEndpoints:  m.endpoints.takeReadRequest(),
+		View:           refreshed,
 	}
 }
 
--- a/internal/control/namedweights/tracker.go
+++ b/internal/control/namedweights/tracker.go
@@ -43,9 +43,9 @@
 // not modify them.
 func (t *Tracker) Versions(pool string) []Version { return t.pools[pool] }
 
-// Follow updates the versions of a pool from the version that the configuration names and the
+// Update updates the versions of a pool from the version that the configuration names and the
 // ages that the leader of the pool's shard has replicated.
-func (t *Tracker) Follow(now time.Duration, pool *ridgeswitchv1.Pool, ages []*controlpb.WeightsAge) {
+func (t *Tracker) Update(now time.Duration, pool *ridgeswitchv1.Pool, ages []*controlpb.WeightsAge) {
 	name := pool.GetName()
 	versions := t.pools[name]
 	if named := pool.GetWeightVersion(); named != "" {
--- a/internal/control/namedweights/tracker_test.go
+++ b/internal/control/namedweights/tracker_test.go
@@ -41,8 +41,8 @@
 	}
 
 	It("keeps the time and deadline of a version when another one is named", func() {
-		tracker.Follow(time.Second, pool("2"), nil)
-		tracker.Follow(4*time.Second, pool("3"), nil)
+		tracker.Update(time.Second, pool("2"), nil)
+		tracker.Update(4*time.Second, pool("3"), nil)
 		Expect(tracker.Versions(chat)).To(Equal([]Version{{Name: "2", Since: time.Second}, {Name: "3", Since: 4 * time.Second}}))
 		Expect(tracker.DeadlinePassed(10*time.Second, 11*time.Second)).To(BeTrue())
 		Expect(tracker.DeadlinePassed(11*time.Second, 13*time.Second)).To(BeFalse())
@@ -50,42 +50,42 @@
 	})
 
 	It("continues from the replicated ages after a start, including those of earlier versions", func() {
-		tracker.Follow(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", 8*time.Second), age("3", 3*time.Second)})
+		tracker.Update(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", 8*time.Second), age("3", 3*time.Second)})
 		Expect(tracker.Versions(chat)).To(Equal([]Version{
 			{Name: "2", Since: -7 * time.Second, ReplicatedAge: 8 * time.Second},
 			{Name: "3", Since: -2 * time.Second, ReplicatedAge: 3 * time.Second},
 		}))
 		// The same replicated ages do not make a version younger when they are read later.
-		tracker.Follow(5*time.Second, pool("3"), []*controlpb.WeightsAge{age("2", 8*time.Second), age("3", 3*time.Second)})
+		tracker.Update(5*time.Second, pool("3"), []*controlpb.WeightsAge{age("2", 8*time.Second), age("3", 3*time.Second)})
 		Expect(tracker.Versions(chat)[0].Since).To(Equal(-7 * time.Second))
 	})
 
 	It("drops the versions that one whose deadline has passed supersedes, and does not append them again", func() {
-		tracker.Follow(0, pool("2"), nil)
-		tracker.Follow(time.Second, pool("3"), nil)
-		tracker.Follow(2*time.Second, pool("4"), nil)
-		tracker.Follow(11*time.Second, pool("4"), []*controlpb.WeightsAge{age("3", deadline), age("4", 9*time.Second)})
+		tracker.Update(0, pool("2"), nil)
+		tracker.Update(time.Second, pool("3"), nil)
+		tracker.Update(2*time.Second, pool("4"), nil)
+		tracker.Update(11*time.Second, pool("4"), []*controlpb.WeightsAge{age("3", deadline), age("4", 9*time.Second)})
 		Expect(names()).To(Equal([]string{"3", "4"}))
 	})
 
 	It("keeps the current version last while the leader has not replicated its age", func() {
-		tracker.Follow(0, pool("2"), nil)
-		tracker.Follow(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", time.Second)})
+		tracker.Update(0, pool("2"), nil)
+		tracker.Update(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", time.Second)})
 		Expect(names()).To(Equal([]string{"2", "3"}))
 		Expect(tracker.Versions(chat)[1].ReplicatedAge).To(BeZero())
 	})
 
 	It("starts with age 0 for a version that is named again after another one", func() {
-		tracker.Follow(0, pool("a"), nil)
-		tracker.Follow(time.Second, pool("b"), []*controlpb.WeightsAge{age("a", deadline), age("b", 0)})
-		tracker.Follow(20*time.Second, pool("a"), []*controlpb.WeightsAge{age("a", deadline), age("b", deadline)})
+		tracker.Update(0, pool("a"), nil)
+		tracker.Update(time.Second, pool("b"), []*controlpb.WeightsAge{age("a", deadline), age("b", 0)})
+		tracker.Update(20*time.Second, pool("a"), []*controlpb.WeightsAge{age("a", deadline), age("b", deadline)})
 		Expect(names()).To(Equal([]string{"b", "a"}))
 		Expect(tracker.Versions(chat)[1]).To(Equal(Version{Name: "a", Since: 20 * time.Second}))
 	})
 
 	It("limits the number of versions, and extends no deadline when it drops a version", func() {
 		for number := range 100 {
-			tracker.Follow(time.Duration(number)*10*time.Millisecond, pool(fmt.Sprint(number+1)), nil)
+			tracker.Update(time.Duration(number)*10*time.Millisecond, pool(fmt.Sprint(number+1)), nil)
 		}
 		Expect(names()).To(HaveLen(maxVersions))
 		Expect(names()[0]).To(Equal("1"))
@@ -94,17 +94,17 @@
 	})
 
 	It("drops pools that left the configuration", func() {
-		tracker.Follow(0, pool("2"), nil)
+		tracker.Update(0, pool("2"), nil)
 		tracker.Retain(nil)
 		Expect(tracker.Versions(chat)).To(BeEmpty())
 	})
 
 	It("has no versions of a pool that names none, and drops no versions without a deadline", func() {
-		tracker.Follow(0, pool(""), nil)
+		tracker.Update(0, pool(""), nil)
 		Expect(tracker.Versions(chat)).To(BeEmpty())
 		withoutDeadline := New(0)
-		withoutDeadline.Follow(0, pool("2"), nil)
-		withoutDeadline.Follow(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", time.Hour), age("3", time.Hour)})
+		withoutDeadline.Update(0, pool("2"), nil)
+		withoutDeadline.Update(time.Second, pool("3"), []*controlpb.WeightsAge{age("2", time.Hour), age("3", time.Hour)})
 		Expect(withoutDeadline.Versions(chat)).To(HaveLen(2))
 		Expect(withoutDeadline.DeadlinePassed(0, time.Hour)).To(BeFalse())
 	})
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -29,9 +29,9 @@
 	Writes   []StorageWrite
 	Replies  []Reply
 	Commands []Command
-	// Reports lists the replicas to ask for their reports. The driver answers each request
+	// ReportRequests lists the replicas to ask for their reports. The driver answers each request
 	// by SetReplicaReport or ReplicaReportFailed.
-	Reports []ReportRequest
+	ReportRequests []ReportRequest
 	// ReadEndpoints asks for a reading of the platform's endpoint list. The driver answers
 	// by EndpointsRead.
 	ReadEndpoints bool
--- a/internal/control/queries.go
+++ b/internal/control/queries.go
@@ -83,7 +83,7 @@
 }
 
 // ReadsEndpoints reports whether this node reads the platform's endpoint list for all nodes.
-func (m *Machine) ReadsEndpoints() bool { return m.endpoints.machine.Reads() }
+func (m *Machine) ReadsEndpoints() bool { return m.endpoints.machine.IsReader() }
 
 // GroupSlots returns the slots of a shard's group. It returns false unless this node leads
 // the shard and the last change of the group is committed, because otherwise the slots are
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -33,7 +33,7 @@
 // configuration shard. The first entries, up to the index committed, are known to be
 // committed.
 func survivingMember(committed uint64, zones ...string) (*Machine, hostedShard) {
-	restored := replication.Restored{HardState: replication.HardState{Term: 1, Commit: committed}}
+	restored := replication.DurableState{HardState: replication.HardState{Term: 1, Commit: committed}}
 	for position, zone := range zones {
 		restored.Entries = append(restored.Entries, replication.Entry{
 			Index: uint64(position) + 1, Term: 1, Kind: replication.EntryCommand, Command: evacuation(zone),
@@ -43,7 +43,7 @@
 		Self:  member.Info{ID: "a", Address: "a:1", HoldsState: true, Incarnation: 5},
 		Group: []member.ID{"a", "b", "c"},
 		Times: DefaultTimes(),
-	}, map[uint32]replication.Restored{0: restored}, idleTraffic{}, 0)
+	}, map[uint32]replication.DurableState{0: restored}, idleTraffic{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	machine.Tick(time.Millisecond)
 	shard, hosted := machine.shards.find(ConfigurationShard)
--- a/internal/control/rollout_commands_test.go
+++ b/internal/control/rollout_commands_test.go
@@ -112,7 +112,7 @@
 
 func (p *modelPool) perform(output Output) {
 	p.node.perform(output)
-	for _, request := range output.Reports {
+	for _, request := range output.ReportRequests {
 		p.reports++
 		one := p.replicaAt(request.Address)
 		if one.down {
@@ -304,7 +304,7 @@
 		for pool.node.now < 20*time.Second {
 			pool.run(DefaultTickEvery)
 			zones := map[string]int{}
-			for _, status := range pool.node.machine.Weights("pool").GetReplicas() {
+			for _, status := range pool.node.machine.WeightsStatus("pool").GetReplicas() {
 				if status.GetPhase() == "serving" {
 					zones[status.GetZone()]++
 				}
--- a/internal/control/shards/shard.go
+++ b/internal/control/shards/shard.go
@@ -18,7 +18,7 @@
 	Shard uint32
 	Ready replication.Ready
 	// Checkpoint, if set, replaces everything that was written before; Ready is empty then.
-	Checkpoint *replication.Restored
+	Checkpoint *replication.DurableState
 }
 
 // Host sends, writes and uses the results of a shard.
@@ -70,7 +70,7 @@
 }
 
 // New returns a copy of a shard that begins with the restored durable state.
-func New(id uint32, host Host, config replication.Config, restored replication.Restored, now time.Duration) (*Shard, error) {
+func New(id uint32, host Host, config replication.Config, restored replication.DurableState, now time.Duration) (*Shard, error) {
 	group, err := replication.New(config, restored, now)
 	if err != nil {
 		return nil, err
--- a/internal/control/shards/shard_test.go
+++ b/internal/control/shards/shard_test.go
@@ -35,7 +35,7 @@
 		shard, err := New(shardstate.ConfigurationShard, noopHost{}, replication.Config{
 			Self: "a", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"a", "b", "c"},
 			HeartbeatEvery: time.Second, ElectionTimeout: 3 * time.Second,
-		}, replication.Restored{}, 0)
+		}, replication.DurableState{}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		for index := range uint64(9) {
 			shard.proposals[index+1] = Proposal{From: "n"}
--- a/internal/control/solo_node_test.go
+++ b/internal/control/solo_node_test.go
@@ -51,7 +51,7 @@
 		Times:         DefaultTimes(),
 	}
 	change(&config)
-	machine, err := New(config, map[uint32]replication.Restored{}, idleTraffic{}, 0)
+	machine, err := New(config, map[uint32]replication.DurableState{}, idleTraffic{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	return &soloNode{machine: machine, answers: map[uint64]*controlpb.Answer{}}
 }
@@ -104,7 +104,7 @@
 
 // phases counts the pool's replicas by phase.
 func (n *soloNode) phases() map[string]int {
-	return lo.CountValuesBy(n.machine.Weights("pool").GetReplicas(), func(replica *ridgeswitchv1.ReplicaStatus) string {
+	return lo.CountValuesBy(n.machine.WeightsStatus("pool").GetReplicas(), func(replica *ridgeswitchv1.ReplicaStatus) string {
 		return replica.GetPhase()
 	})
 }
--- a/internal/control/state_relay.go
+++ b/internal/control/state_relay.go
@@ -68,7 +68,7 @@
 // sendDirectly sends the newest state of a shard to a node that it did not reach in time
 // through the tree.
 func (r *stateRelay) sendDirectly(to member.ID, shardID uint32) {
-	r.outbox.sendRelay(r.tree.Feed(to, relaytree.Topic(shardID)))
+	r.outbox.sendRelay(r.tree.SendNewest(to, relaytree.Topic(shardID)))
 }
 
 // publishCommitted publishes a shard's newest committed state if this node leads the shard and
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -88,8 +88,8 @@
 	return max(0, until-now).Milliseconds()
 }
 
-// Weights returns the progress of the roll-out of a pool, or nil if there is no such pool.
-func (m *Machine) Weights(poolName string) *ridgeswitchv1.WeightsStatus {
+// WeightsStatus returns the progress of the roll-out of a pool, or nil if there is no such pool.
+func (m *Machine) WeightsStatus(poolName string) *ridgeswitchv1.WeightsStatus {
 	for _, pool := range m.Configuration().GetPools() {
 		if pool.GetName() == poolName {
 			shardID := shardstate.ShardOfService(pool.GetService(), m.config.ServiceShards)
--- a/internal/control/storagelimit/limits.go
+++ b/internal/control/storagelimit/limits.go
@@ -25,9 +25,9 @@
 	maxLogBytes = 4 << 20
 )
 
-// Machine contains the resources that a machine provides for control state, in bytes; 0 where
+// Resources contains the resources that a machine provides for control state, in bytes; 0 where
 // a resource is not known.
-type Machine struct {
+type Resources struct {
 	DiskBytes   int64
 	MemoryBytes int64
 }
@@ -49,7 +49,7 @@
 }
 
 // For returns the limits for a machine.
-func For(machine Machine) Limits {
+func For(machine Resources) Limits {
 	command := min(part(machine.DiskBytes, commandsPerDisk), memoryForCommand(machine.MemoryBytes), maxCommandBytes)
 	command = max(command, minCommandBytes)
 	return Limits{
--- a/internal/control/storagelimit/limits_test.go
+++ b/internal/control/storagelimit/limits_test.go
@@ -28,7 +28,7 @@
 	}
 
 	DescribeTable("leave a tenth of the disk free while a checkpoint is written", func(diskMebibytes int64) {
-		machine := storagelimit.Machine{DiskBytes: diskMebibytes * mebibyte}
+		machine := storagelimit.Resources{DiskBytes: diskMebibytes * mebibyte}
 		Expect(peakBytes(storagelimit.For(machine))).To(BeNumerically("<", machine.DiskBytes*9/10))
 	},
 		Entry(nil, int64(8)), Entry(nil, int64(32)), Entry(nil, int64(64)), Entry(nil, int64(128)), Entry(nil, int64(1024)),
@@ -36,13 +36,13 @@
 
 	It("allow the largest document and configuration if the machine is large enough or not known", func() {
 		const largest = dynamic.MaxSourceBytes + dynamic.MaxConfigurationBytes
-		Expect(storagelimit.For(storagelimit.Machine{}).Command).To(BeNumerically(">", largest))
-		Expect(storagelimit.For(storagelimit.Machine{DiskBytes: 1 << 40, MemoryBytes: 1 << 40}).Command).To(BeNumerically(">", largest))
+		Expect(storagelimit.For(storagelimit.Resources{}).Command).To(BeNumerically(">", largest))
+		Expect(storagelimit.For(storagelimit.Resources{DiskBytes: 1 << 40, MemoryBytes: 1 << 40}).Command).To(BeNumerically(">", largest))
 	})
 
 	It("follow from the scarcer one of disk and memory", func() {
-		disk := storagelimit.For(storagelimit.Machine{DiskBytes: 64 * mebibyte, MemoryBytes: 1 << 40})
-		memory := storagelimit.For(storagelimit.Machine{DiskBytes: 1 << 40, MemoryBytes: 144 * mebibyte})
+		disk := storagelimit.For(storagelimit.Resources{DiskBytes: 64 * mebibyte, MemoryBytes: 1 << 40})
+		memory := storagelimit.For(storagelimit.Resources{DiskBytes: 1 << 40, MemoryBytes: 144 * mebibyte})
 		Expect(disk.Command).To(Equal(64 * mebibyte / 10))
 		Expect(memory.Command).To(Equal(4 * mebibyte))
 		Expect(memory.Log).To(BeNumerically("<=", memory.Command))
--- a/internal/control/view/builder.go
+++ b/internal/control/view/builder.go
@@ -137,7 +137,7 @@
 		excluded := endpoint.Draining || rollout.OutOfService(row, endpoint) || evacuated.Has(endpoint.Zone)
 		entry.Replicas = append(entry.Replicas, replica(endpoint, version, registered && versionKnown && !excluded))
 	}
-	b.weights.Follow(now, pool, service.GetWeightsAges())
+	b.weights.Update(now, pool, service.GetWeightsAges())
 	versions := b.weights.Versions(pool.GetName())
 	overdue := b.excludeOutdated(now, entry, versions)
 	b.recordProgress(entry, versions, overdue)
--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -124,7 +124,7 @@
 			edge.standing[reused] = "i-2"
 			f.source.onView = func(seen int64) {
 				if seen == look {
-					f.server.ApplyUpdate(gossip.Update{Denials: []gossip.Denial{{Address: reused, Instance: "i-0"}}})
+					f.server.ApplyUpdate(gossip.Update{GoneInstances: []gossip.GoneInstance{{Address: reused, Instance: "i-0"}}})
 				}
 			}
 			Expect(f.generate().problem.MayHaveRun).To(BeFalse())
--- a/internal/dataplane/destinations/destinations.go
+++ b/internal/dataplane/destinations/destinations.go
@@ -92,7 +92,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if attempt == 1 {
-		s.budget.First(now)
+		s.budget.AddFirstAttempt(now)
 		s.stats.FirstAttempts++
 		return true
 	}
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -54,7 +54,7 @@
 	// SlowStart limits the attempts on back ends that have started lately.
 	SlowStart *warmup.Limiter
 	// Updates gets what the other nodes are to learn of attempts.
-	Updates *gossip.Outgoing
+	Updates *gossip.OutgoingUpdates
 	// MaxAttempts bounds the attempts of a request whose route does not.
 	MaxAttempts int
 	// MaxUnsent is how many attempts that could not be sent a request may have beyond
--- a/internal/dataplane/dispatch/selector.go
+++ b/internal/dataplane/dispatch/selector.go
@@ -51,6 +51,6 @@
 // one, and tells the other nodes if the incarnation is gone for good.
 func (o *Options) recordWrongTarget(replica routing.Replica, refusal *outbound.RefusedError) {
 	if o.StaleBackends.RecordRefusal(o.Clock(), replica, refusal.Instance) {
-		o.Updates.AddDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
+		o.Updates.AddGoneInstance(gossip.GoneInstance{Address: replica.Address, Instance: replica.Instance})
 	}
 }
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -69,8 +69,8 @@
 	Loads      []kvrouter.AddressLoad
 	Dispatches []Dispatch
 	// Reports are of the cached chunks of back ends that the node reads for all.
-	Reports []Report
-	Denials []Denial
+	Reports       []Report
+	GoneInstances []GoneInstance
 	// Outcomes are those of the node's attempts at back ends that fail some.
 	Outcomes []outlier.Report
 }
@@ -116,9 +116,9 @@
 	Removed bool
 }
 
-// Denial reports that an incarnation which may still be listed is gone from its address:
+// GoneInstance reports that an incarnation which may still be listed is gone from its address:
 // the back end there has said so.
-type Denial struct {
+type GoneInstance struct {
 	Address  string
 	Instance string
 }
@@ -126,5 +126,5 @@
 // Empty reports whether the update is empty.
 func (u *Update) Empty() bool {
 	return len(u.Loads) == 0 && len(u.Dispatches) == 0 && len(u.Reports) == 0 &&
-		len(u.Denials) == 0 && len(u.Outcomes) == 0
+		len(u.GoneInstances) == 0 && len(u.Outcomes) == 0
 }
--- a/internal/dataplane/gossip/outgoing.go
+++ b/internal/dataplane/gossip/outgoing.go
@@ -25,9 +25,9 @@
 	sentAt time.Duration
 }
 
-// Outgoing collects what the other nodes are to learn of this node's traffic. It
+// OutgoingUpdates collects what the other nodes are to learn of this node's traffic. It
 // may be used concurrently.
-type Outgoing struct {
+type OutgoingUpdates struct {
 	mutex sync.Mutex
 	// sentLoads holds the replicas on which the other nodes assume a load of this one, by
 	// address.
@@ -35,25 +35,25 @@
 	// The updates below wait for the next Drain.
 	dispatches []Dispatch
 	reports    []Report
-	denials    []Denial
+	denials    []GoneInstance
 }
 
-// NewOutgoing returns a collection without updates.
-func NewOutgoing() *Outgoing {
-	return &Outgoing{sentLoads: make(map[string]sentLoad)}
+// NewOutgoingUpdates returns a collection without updates.
+func NewOutgoingUpdates() *OutgoingUpdates {
+	return &OutgoingUpdates{sentLoads: make(map[string]sentLoad)}
 }
 
 // AddDispatch adds a request that was sent to a replica.
-func (o *Outgoing) AddDispatch(dispatch Dispatch) { enqueue(o, &o.dispatches, dispatch) }
+func (o *OutgoingUpdates) AddDispatch(dispatch Dispatch) { enqueue(o, &o.dispatches, dispatch) }
 
 // AddReport adds a page of reports that this node has read.
-func (o *Outgoing) AddReport(report Report) { enqueue(o, &o.reports, report) }
+func (o *OutgoingUpdates) AddReport(report Report) { enqueue(o, &o.reports, report) }
 
-// AddDenial adds an incarnation that is gone from its address.
-func (o *Outgoing) AddDenial(denial Denial) { enqueue(o, &o.denials, denial) }
+// AddGoneInstance adds an incarnation that is gone from its address.
+func (o *OutgoingUpdates) AddGoneInstance(denial GoneInstance) { enqueue(o, &o.denials, denial) }
 
 // enqueue appends an entry unless the queue is full.
-func enqueue[T any](o *Outgoing, queue *[]T, entry T) {
+func enqueue[T any](o *OutgoingUpdates, queue *[]T, entry T) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if len(*queue) < maxPendingUpdates {
@@ -62,10 +62,10 @@
 }
 
 // Drain returns and removes what is to be sent now, given the present loads.
-func (o *Outgoing) Drain(now time.Duration, loads []kvrouter.AddressLoad) Update {
+func (o *OutgoingUpdates) Drain(now time.Duration, loads []kvrouter.AddressLoad) Update {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	update := Update{Dispatches: o.dispatches, Reports: o.reports, Denials: o.denials}
+	update := Update{Dispatches: o.dispatches, Reports: o.reports, GoneInstances: o.denials}
 	o.dispatches, o.reports, o.denials = nil, nil, nil
 	for _, load := range loads {
 		if o.markSentIfDue(now, load) {
@@ -78,7 +78,7 @@
 // markSentIfDue reports whether a load is to be sent now, and remembers it as sent if so. It
 // is due when the other nodes assume another load, or would soon discard this one. They expect
 // by themselves that a prefill progresses and a response grows. The lock is held.
-func (o *Outgoing) markSentIfDue(now time.Duration, load kvrouter.AddressLoad) bool {
+func (o *OutgoingUpdates) markSentIfDue(now time.Duration, load kvrouter.AddressLoad) bool {
 	sent, found := o.sentLoads[load.Address]
 	idle := load.Requests == 0
 	if found && sameRequests(sent.load, load.SharedLoad) && (idle || now-sent.sentAt < loadRefresh) {
--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -49,7 +49,7 @@
 func (s *StaleBackends) RecordRefusal(now time.Duration, replica routing.Replica, respondingInstance string) (gone bool) {
 	sameInstancePossible := replica.WeightVersion != "" && (respondingInstance == "" || respondingInstance == replica.Instance)
 	if replica.Instance != "" && !sameInstancePossible {
-		return s.RecordDenial(gossip.Denial{Address: replica.Address, Instance: replica.Instance})
+		return s.RecordDenial(gossip.GoneInstance{Address: replica.Address, Instance: replica.Instance})
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -61,7 +61,7 @@
 
 // RecordDenial records that an incarnation is gone from its address, and returns
 // whether that was not known before.
-func (s *StaleBackends) RecordDenial(denial gossip.Denial) (fresh bool) {
+func (s *StaleBackends) RecordDenial(denial gossip.GoneInstance) (fresh bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	instance, present := s.gone[denial.Address]
--- a/internal/dataplane/health/stale_backends_internal_test.go
+++ b/internal/dataplane/health/stale_backends_internal_test.go
@@ -43,7 +43,7 @@
 		case "refused":
 			subject.RecordRefusal(now, replica, given(event[1]))
 		case "told":
-			subject.RecordDenial(gossip.Denial{Address: "a", Instance: event[1]})
+			subject.RecordDenial(gossip.GoneInstance{Address: "a", Instance: event[1]})
 		case "wait":
 		default:
 			Fail("no such event: " + line)
@@ -114,7 +114,7 @@
 	It("forgets what is no longer listed, and remembers no more than its bound", func() {
 		subject := NewStaleBackends()
 		for number := range 2 * maxDenials {
-			subject.RecordDenial(gossip.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
+			subject.RecordDenial(gossip.GoneInstance{Address: fmt.Sprint(number), Instance: "i-1"})
 		}
 		Expect(subject.gone).To(HaveLen(maxDenials))
 		subject.RecordRefusal(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
--- a/internal/dataplane/reports/full_read_internal_test.go
+++ b/internal/dataplane/reports/full_read_internal_test.go
@@ -68,7 +68,7 @@
 type reportingNode struct {
 	readers  *Readers
 	router   *kvrouter.Router
-	outgoing *gossip.Outgoing
+	outgoing *gossip.OutgoingUpdates
 	reports  *scriptedReports
 	now      time.Duration
 }
@@ -76,7 +76,7 @@
 func newReportingNode() *reportingNode {
 	n := &reportingNode{
 		router:   kvrouter.New(kvrouter.Options{Name: "node"}),
-		outgoing: gossip.NewOutgoing(),
+		outgoing: gossip.NewOutgoingUpdates(),
 		reports:  &scriptedReports{},
 		now:      time.Hour,
 	}
@@ -91,7 +91,7 @@
 		Quarantine:       health.NewQuarantine(),
 		AwaitingSnapshot: func() bool { return false },
 		Publish:          n.outgoing.AddReport,
-		Followed:         func() {},
+		AfterFollow:      func() {},
 	})
 	return n
 }
--- a/internal/dataplane/reports/readers.go
+++ b/internal/dataplane/reports/readers.go
@@ -52,8 +52,8 @@
 	// Publish is called with each page that was read, after it was applied to the index.
 	// It is called by many goroutines.
 	Publish func(report gossip.Report)
-	// Followed is called after each look at the newest view.
-	Followed func()
+	// AfterFollow is called after each look at the newest view.
+	AfterFollow func()
 }
 
 // Readers reads the reports of the replicas and stores that are assigned to this node.
@@ -95,7 +95,7 @@
 		if view := r.options.Source.View(); view != nil {
 			r.Follow(ctx, view)
 			r.forgetRemoved(view)
-			r.options.Followed()
+			r.options.AfterFollow()
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -44,7 +44,7 @@
 	staleBackends *health.StaleBackends
 	slowStart     *warmup.Limiter
 	feeds         *feeds.Manager
-	updates       *gossip.Outgoing
+	updates       *gossip.OutgoingUpdates
 	snapshots     *gossip.SnapshotExchange
 	readers       *reports.Readers
 	startupGate   *startupgate.Gate
@@ -86,7 +86,7 @@
 		quarantine:    health.NewQuarantine(),
 		staleBackends: health.NewStaleBackends(),
 		slowStart:     warmup.New(options.Member),
-		updates:       gossip.NewOutgoing(),
+		updates:       gossip.NewOutgoingUpdates(),
 		startupGate:   startupgate.New(),
 		stopped:       make(chan struct{}),
 	}
@@ -137,7 +137,7 @@
 		Quarantine:       s.quarantine,
 		AwaitingSnapshot: s.AwaitingSnapshot,
 		Publish:          s.publishReport,
-		Followed:         s.updateStartupGate,
+		AfterFollow:      s.updateStartupGate,
 	})
 }
 
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -31,7 +31,7 @@
 	for _, report := range update.Reports {
 		s.applyReport(now, report)
 	}
-	for _, denial := range update.Denials {
+	for _, denial := range update.GoneInstances {
 		s.staleBackends.RecordDenial(denial)
 	}
 	s.health.ApplyOutcomes(now, update)
--- a/internal/lab/bench/ablation.go
+++ b/internal/lab/bench/ablation.go
@@ -119,7 +119,7 @@
 	all = append(all, vary("store_credit", func(s *Settings, v float64) { s.Routing.StoreCredit = v }, 0, 0.5, 0.75, 1)...)
 	all = append(all, vary("busy_threshold_blocks", func(s *Settings, v float64) { s.Routing.BusyThresholdBlocks = v }, 4096, 8192, 16384, 32768, 65536)...)
 	all = append(all, vary("temperature", func(s *Settings, v float64) { s.Routing.Temperature = v }, 0, 0.1, 0.5)...)
-	all = append(all, vary("guess credit", func(s *Settings, v float64) { s.Router.GuessCredit = max(v, noCredit) }, 0, 0.5, 0.75, 1)...)
+	all = append(all, vary("guess credit", func(s *Settings, v float64) { s.Router.UncertainCredit = max(v, noCredit) }, 0, 0.5, 0.75, 1)...)
 	return append(all,
 		Variation{Knob: "pulls", Value: "off", apply: func(s *Settings) { s.Router.PullAdvantage = neverFaster }},
 		Variation{Knob: "store", Value: "none", apply: func(s *Settings) { s.StoreTokens = 0 }},
--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -184,9 +184,9 @@
 
 	It("sees too many retries when nothing asks the budget", func() {
 		budget := retrybudget.New(retrybudget.Options{})
-		Expect(checker.Check(retryRefused(budget.TryRetry, budget.First))).To(BeEmpty())
+		Expect(checker.Check(retryRefused(budget.TryRetry, budget.AddFirstAttempt))).To(BeEmpty())
 		always := func(time.Duration) bool { return true }
-		Expect(names(checker.Check(retryRefused(always, budget.First)))).To(ConsistOf(checker.Name("retry_ratio")))
+		Expect(names(checker.Check(retryRefused(always, budget.AddFirstAttempt)))).To(ConsistOf(checker.Name("retry_ratio")))
 	})
 
 	It("sees two winners when two machines decide apart", func() {
--- a/internal/lab/enginebench/knobs.go
+++ b/internal/lab/enginebench/knobs.go
@@ -18,9 +18,9 @@
 	loadExchange("load shared every 100 ms", 100*time.Millisecond)
 	loadExchange("load shared every 300 ms", 300*time.Millisecond)
 	loadExchange("load not shared", 0)
-	knob("harm weight 0", func(s *RouterSettings) { s.Settings.HarmWeight = 0 })
-	knob("harm weight 4", func(s *RouterSettings) { s.Settings.HarmWeight = 4 })
-	knob("harm weight 1 at any backlog", func(s *RouterSettings) { s.Settings.HarmTime = 0 })
+	knob("harm weight 0", func(s *RouterSettings) { s.Settings.CongestionWeight = 0 })
+	knob("harm weight 4", func(s *RouterSettings) { s.Settings.CongestionWeight = 4 })
+	knob("harm weight 1 at any backlog", func(s *RouterSettings) { s.Settings.CongestionDoublingTime = 0 })
 	knob("pulled parts last", func(s *RouterSettings) { s.Settings.ChurnFraction = 0 })
 	knob("churn share 0.3", func(s *RouterSettings) { s.Settings.ChurnFraction = 0.3 })
 	knob("decode weight 0", func(s *RouterSettings) { s.Settings.DecodeWeight = 0 })
@@ -55,7 +55,7 @@
 	without("priorities at replicas", func(s *RouterSettings) { s.SamePriority = true })
 	without("a preference of each node", func(s *RouterSettings) { s.Settings.SpreadTime = 0 })
 	without("price of zones", func(s *RouterSettings) { s.Settings.ZonePrice, s.Settings.ZonePricePerKilobyte = 0, 0 })
-	without("harm weight", func(s *RouterSettings) { s.Settings.HarmWeight = 0 })
+	without("harm weight", func(s *RouterSettings) { s.Settings.CongestionWeight = 0 })
 	without("price of memory in use", func(s *RouterSettings) { s.Settings.DecodeWeight = 0 })
 	withoutLoadExchange := base
 	withoutLoadExchange.Name, withoutLoadExchange.LoadExchangeInterval = "without shared load", 0
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -34,7 +34,7 @@
 // memory with a log for each shard.
 func newMachine(config control.Config, now time.Duration) (*control.Machine, map[uint32]driver.Storage, error) {
 	storage := map[uint32]driver.Storage{}
-	restored := map[uint32]replication.Restored{}
+	restored := map[uint32]replication.DurableState{}
 	if config.Self.HoldsState {
 		disk := memdisk.New()
 		for shard := uint32(0); shard <= config.ServiceShards; shard++ {
@@ -104,8 +104,8 @@
 	go n.driver.EndpointsRead(control.EndpointReading{StartedAt: n.fleet.clock(), Services: n.fleet.topology.endpoints})
 }
 
-// Report implements driver.Commander.
-func (n *node) Report(request control.ReportRequest) {
+// RequestReport implements driver.Commander.
+func (n *node) RequestReport(request control.ReportRequest) {
 	go n.driver.SetReplicaReport(n.fleet.replicas.report(request.Address, n.fleet.clock()))
 }
 
--- a/internal/lab/hollow/virtual_node.go
+++ b/internal/lab/hollow/virtual_node.go
@@ -123,7 +123,7 @@
 			return n.machine.CommandDone(now, command, control.CommandAccepted)
 		})
 	}
-	for _, request := range output.Reports {
+	for _, request := range output.ReportRequests {
 		report := n.fleet.replicas.report(request.Address, now)
 		n.call(now, func(now time.Duration) control.Output { return n.machine.SetReplicaReport(now, report) })
 	}
--- a/internal/lab/plans/votes.go
+++ b/internal/lab/plans/votes.go
@@ -96,7 +96,7 @@
 }
 
 // lastMemberSlots returns the slots of a shard's group by the last change that is durable.
-func lastMemberSlots(restored replication.Restored) ([]replication.Slot, error) {
+func lastMemberSlots(restored replication.DurableState) ([]replication.Slot, error) {
 	var slots []replication.Slot
 	if restored.Snapshot != nil {
 		slots = restored.Snapshot.Slots
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -183,7 +183,7 @@
 }
 
 // openStorage reads the disk, and reports whether the node can start from it.
-func (n *node) openStorage() (restored map[uint32]replication.Restored, ok bool) {
+func (n *node) openStorage() (restored map[uint32]replication.DurableState, ok bool) {
 	if n.storage == nil {
 		return nil, true
 	}
@@ -369,7 +369,7 @@
 	for _, command := range output.Commands {
 		n.backends.command(n, command)
 	}
-	for _, request := range output.Reports {
+	for _, request := range output.ReportRequests {
 		n.backends.requestReport(n, request)
 	}
 	if output.ReadEndpoints {
--- a/internal/lab/sim/recovery_checks.go
+++ b/internal/lab/sim/recovery_checks.go
@@ -77,11 +77,11 @@
 // service is back within ReplicaOutBound. If newer weights are named in the
 // meantime, the replica may load them at once, and gets the same time again.
 func (c *recoveryChecks) awaitReplicaBack(one *node, pool string) {
-	version := one.machine.Weights(pool).GetWeightVersion()
+	version := one.machine.WeightsStatus(pool).GetWeightVersion()
 	c.env.after(ReplicaOutBound, func() {
 		switch {
 		case !c.mayServe(one.view, pool) || admits(one.view, pool):
-		case one.machine.Weights(pool).GetWeightVersion() != version && c.rollingOut(one, pool):
+		case one.machine.WeightsStatus(pool).GetWeightVersion() != version && c.rollingOut(one, pool):
 			c.awaitReplicaBack(one, pool)
 		default:
 			c.env.violate("service_back", "%s admits nothing to pool %s %v after its last replica was taken out", one.info.ID, pool, ReplicaOutBound)
@@ -93,7 +93,7 @@
 // out of service for a roll-out.
 func (c *recoveryChecks) rollingOut(one *node, pool string) bool {
 	phases := map[string]string{}
-	for _, status := range one.machine.Weights(pool).GetReplicas() {
+	for _, status := range one.machine.WeightsStatus(pool).GetReplicas() {
 		phases[status.GetAddress()] = status.GetPhase()
 	}
 	return lo.EveryBy(c.usable(one.view, pool), func(usable *replica) bool {
--- a/internal/lab/sim/storage.go
+++ b/internal/lab/sim/storage.go
@@ -35,7 +35,7 @@
 func (e *environment) diskLimits() storagelimit.Limits {
 	const commandBytes, logBytes = diskBytes / 10, diskBytes / 5
 	if e.broken(BreakDiskSizeUnknown) {
-		return storagelimit.For(storagelimit.Machine{})
+		return storagelimit.For(storagelimit.Resources{})
 	}
 	return storagelimit.Limits{Command: commandBytes, Log: commandBytes, CheckpointLog: logBytes, Disk: diskBytes}
 }
@@ -97,9 +97,9 @@
 }
 
 // open reads what the disk kept of each shard.
-func (s *storage) open(serviceShards uint32) (map[uint32]replication.Restored, error) {
+func (s *storage) open(serviceShards uint32) (map[uint32]replication.DurableState, error) {
 	s.logs = map[uint32]*durable.Log{}
-	restored := map[uint32]replication.Restored{}
+	restored := map[uint32]replication.DurableState{}
 	for shard := uint32(0); shard <= serviceShards; shard++ {
 		log, state, err := durable.OpenWithLimits(s.disk, fmt.Sprintf("shard-%03d", shard), durable.Limits{
 			MinLogBytes: maxLogBytes,
--- a/internal/node/commander.go
+++ b/internal/node/commander.go
@@ -70,9 +70,9 @@
 	return outcome
 }
 
-// Report implements driver.Commander. The figures of a report count as measured when
+// RequestReport implements driver.Commander. The figures of a report count as measured when
 // the request was sent, less the age that they may have.
-func (c *commander) Report(request control.ReportRequest) {
+func (c *commander) RequestReport(request control.ReportRequest) {
 	go func() {
 		report, err := c.report(request)
 		if err != nil {
--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -134,7 +134,7 @@
 	return dumped
 }
 
-func dumpShard(shard uint32, restored replication.Restored) shardDump {
+func dumpShard(shard uint32, restored replication.DurableState) shardDump {
 	dumped := shardDump{
 		Shard:               shard,
 		Term:                restored.Term,
@@ -271,7 +271,7 @@
 		d.versions[command.Address] = command.WeightVersion
 		d.perform(node, node.machine.CommandDone(d.now, command, control.CommandAccepted))
 	}
-	for _, request := range output.Reports {
+	for _, request := range output.ReportRequests {
 		d.perform(node, node.machine.SetReplicaReport(d.now, control.ReplicaReport{
 			Address: request.Address, Incarnation: 1, WeightVersion: d.versions[request.Address], MeasuredAt: d.now,
 		}))
@@ -358,7 +358,7 @@
 	return deploymentDump{
 		Configuration: jsonOf(node.machine.Configuration()),
 		Document:      jsonOf(reply.Source),
-		Weights:       jsonOf(node.machine.Weights("summaries")),
+		Weights:       jsonOf(node.machine.WeightsStatus("summaries")),
 		Groups:        [][]memberDump{d.group(0), d.group(1)},
 	}
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -16,13 +16,13 @@
 const gossipInterval = 50 * time.Millisecond
 
 // gossipService spreads updates about traffic: it sends those of this node and relays
-// those of others. The supervisor runs Serve; TakeBatch is called by the control driver.
+// those of others. The supervisor runs Serve; ReceiveBatch is called by the control driver.
 type gossipService struct {
 	// dataplane is nil on a node that serves no callers, which only relays updates.
 	dataplane *dataplane.Server
 	driver    *driver.Driver
 
-	// mutex guards the relayer, which Serve and TakeBatch use.
+	// mutex guards the relayer, which Serve and ReceiveBatch use.
 	mutex   sync.Mutex
 	relayer *gossip.Relayer
 }
@@ -72,9 +72,9 @@
 	return s.relayer.Flush(live)
 }
 
-// TakeBatch implements driver.TrafficReceiver: a batch is a message of a snapshot, or
+// ReceiveBatch implements driver.TrafficReceiver: a batch is a message of a snapshot, or
 // updates to apply and to relay.
-func (s *gossipService) TakeBatch(batch gossip.Batch) {
+func (s *gossipService) ReceiveBatch(batch gossip.Batch) {
 	if batch.Stage.Direct() {
 		if s.dataplane != nil {
 			s.dataplane.HandleSnapshotBatch(batch)
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -23,7 +23,7 @@
 	disk *disk.Disk
 	// logs are the durable logs of the shards, and restored what they held, by shard.
 	logs     map[uint32]*durable.Log
-	restored map[uint32]replication.Restored
+	restored map[uint32]replication.DurableState
 	// incarnation identifies the folder. Votes that the node gave under the
 	// incarnation of a lost folder count for that incarnation only.
 	incarnation uint64
@@ -38,8 +38,8 @@
 func openStorage(settings *static.Settings) (*storage, error) {
 	opened := &storage{
 		logs:     map[uint32]*durable.Log{},
-		restored: map[uint32]replication.Restored{},
-		limits:   storagelimit.For(storagelimit.Machine{MemoryBytes: settings.MemoryBytes()}),
+		restored: map[uint32]replication.DurableState{},
+		limits:   storagelimit.For(storagelimit.Resources{MemoryBytes: settings.MemoryBytes()}),
 	}
 	if !settings.HasDisk() {
 		return opened, nil
@@ -59,8 +59,8 @@
 
 // machineOf returns what the machine gives to control: the settings tell it, or else the
 // file system of the data folder tells its size.
-func machineOf(settings *static.Settings, folder *disk.Disk) storagelimit.Machine {
-	machine := storagelimit.Machine{DiskBytes: settings.DiskBytes(), MemoryBytes: settings.MemoryBytes()}
+func machineOf(settings *static.Settings, folder *disk.Disk) storagelimit.Resources {
+	machine := storagelimit.Resources{DiskBytes: settings.DiskBytes(), MemoryBytes: settings.MemoryBytes()}
 	if machine.DiskBytes > 0 {
 		return machine
 	}
--- a/internal/wire/benchmark_test.go
+++ b/internal/wire/benchmark_test.go
@@ -53,7 +53,7 @@
 		update.Reports = append(update.Reports, gossip.Report{
 			Address: address, Changes: []gossip.Change{{Sequence: 10, Name: 1 << 62, Tokens: 64}, {Sequence: 11, Name: 3, Removed: true}},
 		})
-		update.Denials = append(update.Denials, gossip.Denial{Address: address, Instance: "instance-9"})
+		update.GoneInstances = append(update.GoneInstances, gossip.GoneInstance{Address: address, Instance: "instance-9"})
 		update.Outcomes = append(update.Outcomes, outlier.Report{Address: address, Failures: 2.5, Total: 40})
 	}
 	return []benchmarkEnvelope{
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -241,12 +241,12 @@
 				Complete: true,
 				Changes:  []gossip.Change{{Sequence: 10, Name: 1 << 62, Tokens: 64}, {Sequence: 11, Name: 3, Removed: true}},
 			}},
-			Denials:  []gossip.Denial{{Address: "replica-2", Instance: "instance-9"}},
-			Outcomes: []outlier.Report{{Address: "10.1.0.1:8000", Failures: 2.5, Total: 40}},
+			GoneInstances: []gossip.GoneInstance{{Address: "replica-2", Instance: "instance-9"}},
+			Outcomes:      []outlier.Report{{Address: "10.1.0.1:8000", Failures: 2.5, Total: 40}},
 		},
 		{
 			Node: "node-2", Loads: []kvrouter.AddressLoad{}, Dispatches: []gossip.Dispatch{},
-			Reports: []gossip.Report{}, Denials: []gossip.Denial{}, Outcomes: []outlier.Report{},
+			Reports: []gossip.Report{}, GoneInstances: []gossip.GoneInstance{}, Outcomes: []outlier.Report{},
 		},
 	}
 }
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -60,8 +60,8 @@
 	for i := range update.Reports {
 		t.addEndpoint(update.Reports[i].Address)
 	}
-	for i := range update.Denials {
-		t.addEndpoint(update.Denials[i].Address)
+	for i := range update.GoneInstances {
+		t.addEndpoint(update.GoneInstances[i].Address)
 	}
 	for i := range update.Outcomes {
 		t.addEndpoint(update.Outcomes[i].Address)
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -43,7 +43,7 @@
 	for _, report := range update.Reports {
 		packed.Reports = append(packed.Reports, packReport(table, report))
 	}
-	for _, denial := range update.Denials {
+	for _, denial := range update.GoneInstances {
 		packed.Denials = append(packed.Denials, &fb.TrafficDenialT{
 			Address:  table.index(denial.Address),
 			Instance: table.index(denial.Instance),
@@ -122,12 +122,12 @@
 		Updates: readVector(r, table.NewsLength(), minTableBytes, func(i int) gossip.Update {
 			table.News(&stored, i)
 			return gossip.Update{
-				Node:       member.ID(names.at(stored.Node())),
-				Loads:      r.trafficLoads(&stored, names),
-				Dispatches: r.trafficDispatches(&stored, names),
-				Reports:    r.trafficReports(&stored, names),
-				Denials:    r.trafficDenials(&stored, names),
-				Outcomes:   r.trafficOutcomes(&stored, names),
+				Node:          member.ID(names.at(stored.Node())),
+				Loads:         r.trafficLoads(&stored, names),
+				Dispatches:    r.trafficDispatches(&stored, names),
+				Reports:       r.trafficReports(&stored, names),
+				GoneInstances: r.trafficDenials(&stored, names),
+				Outcomes:      r.trafficOutcomes(&stored, names),
 			}
 		}),
 	}
@@ -205,11 +205,11 @@
 	})
 }
 
-func (r *reader) trafficDenials(table *fb.TrafficNews, names receivedNames) []gossip.Denial {
+func (r *reader) trafficDenials(table *fb.TrafficNews, names receivedNames) []gossip.GoneInstance {
 	var stored fb.TrafficDenial
-	return readVector(r, table.DenialsLength(), minTableBytes, func(i int) gossip.Denial {
+	return readVector(r, table.DenialsLength(), minTableBytes, func(i int) gossip.GoneInstance {
 		table.Denials(&stored, i)
-		return gossip.Denial{Address: names.at(stored.Address()), Instance: names.at(stored.Instance())}
+		return gossip.GoneInstance{Address: names.at(stored.Address()), Instance: names.at(stored.Instance())}
 	})
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -122,12 +122,12 @@
 			load.Requests = 2
 			load.PrefillTokens[0], load.PrefillTokens[1] = 100, 30
 			batch.Updates = append(batch.Updates, gossip.Update{
-				Node:       member.ID(name),
-				Loads:      []kvrouter.AddressLoad{load},
-				Dispatches: []gossip.Dispatch{},
-				Reports:    []gossip.Report{},
-				Denials:    []gossip.Denial{},
-				Outcomes:   []outlier.Report{},
+				Node:          member.ID(name),
+				Loads:         []kvrouter.AddressLoad{load},
+				Dispatches:    []gossip.Dispatch{},
+				Reports:       []gossip.Report{},
+				GoneInstances: []gossip.GoneInstance{},
+				Outcomes:      []outlier.Report{},
 			})
 		}
 		envelope := Envelope{Traffic: batch}
--- a/pkg/kvrouter/block_model.go
+++ b/pkg/kvrouter/block_model.go
@@ -93,7 +93,7 @@
 		uncertain += certain
 		certain = 0
 	}
-	credit := settings.LocalCredit * (certain + m.options.GuessCredit*uncertain)
+	credit := settings.LocalCredit * (certain + m.options.UncertainCredit*uncertain)
 	if scored.pulls {
 		credit += scored.pull.credit(settings) * m.options.tokensToBlocks(scored.pull.tokens)
 	}
--- a/pkg/kvrouter/cachefeed/feed.go
+++ b/pkg/kvrouter/cachefeed/feed.go
@@ -53,9 +53,9 @@
 	// reports were lost, the feed did not begin with the owner's first change, or the
 	// weight version has changed. Only a reset or snapshot adds the missing chunks.
 	incomplete bool
-	// reportsEvents is set once the owner has reported what it caches, by events, batches
+	// reportsCache is set once the owner has reported what it caches, by events, batches
 	// or a snapshot.
-	reportsEvents bool
+	reportsCache bool
 }
 
 // New returns the feed of an owner. The feed becomes the only writer of the owner's
@@ -76,7 +76,7 @@
 	if !current || received.Sequence == 0 {
 		return Stale, false
 	}
-	f.reportsEvents = true
+	f.reportsCache = true
 	status = f.events.receive(now, received)
 	if received.Kind == ResetEvent && status == Accepted {
 		f.incomplete = false
@@ -99,7 +99,7 @@
 	if !current {
 		return Stale, false
 	}
-	f.reportsEvents = true
+	f.reportsCache = true
 	if !f.chunks.inUse && !f.chunks.start(position.From) {
 		f.incomplete = true
 	}
@@ -124,7 +124,7 @@
 		}
 	}
 	f.setWeightVersion(weightVersion)
-	if f.reportsEvents {
+	if f.reportsCache {
 		f.events.expect(now, lastSequence)
 	}
 	f.giveUpOnMissingEvents(now)
@@ -221,7 +221,7 @@
 	f.weightVersion = version
 	if changed {
 		f.dropAll()
-		f.incomplete = f.reportsEvents
+		f.incomplete = f.reportsCache
 	}
 }
 
--- a/pkg/kvrouter/cachefeed/prediction.go
+++ b/pkg/kvrouter/cachefeed/prediction.go
@@ -15,7 +15,7 @@
 		return
 	}
 	defer f.record.notifyChange()
-	if f.reportsEvents {
+	if f.reportsCache {
 		f.predictUntilReported(now, links)
 		return
 	}
--- a/pkg/kvrouter/cachefeed/snapshot.go
+++ b/pkg/kvrouter/cachefeed/snapshot.go
@@ -47,7 +47,7 @@
 }
 
 func (f *Feed) replaceChunks(now time.Duration, sequence uint64, chunks []ChunkChange) {
-	f.reportsEvents = true
+	f.reportsCache = true
 	f.incomplete = false
 	f.chunks.replace(now, sequence, chunks)
 }
--- a/pkg/kvrouter/cachefeed/view.go
+++ b/pkg/kvrouter/cachefeed/view.go
@@ -14,8 +14,8 @@
 	// ResyncNeeded is set when the owner may cache chunks that are not recorded, which
 	// only a reset or snapshot adds.
 	ResyncNeeded bool
-	// ReportsEvents is set once the owner has reported what it caches.
-	ReportsEvents bool
+	// ReportsCache is set once the owner has reported what it caches.
+	ReportsCache bool
 }
 
 // View returns the published state. Before that it updates the state, unless another
@@ -36,10 +36,10 @@
 // the feed ends with unlock.
 func (f *Feed) unlock() {
 	state := View{
-		Epoch:         f.epoch,
-		Uncertain:     !f.chunks.inUse && (f.incomplete || len(f.events.buffered) > 0),
-		ResyncNeeded:  f.incomplete,
-		ReportsEvents: f.reportsEvents,
+		Epoch:        f.epoch,
+		Uncertain:    !f.chunks.inUse && (f.incomplete || len(f.events.buffered) > 0),
+		ResyncNeeded: f.incomplete,
+		ReportsCache: f.reportsCache,
 	}
 	if published := f.published.Load(); published == nil || *published != state {
 		changed := state // a copy, so that only a change allocates
--- a/pkg/kvrouter/feed_test.go
+++ b/pkg/kvrouter/feed_test.go
@@ -79,7 +79,7 @@
 		stored(baseTime, 3, 0, 0)
 		uncertain := f.choose(baseTime, prompt(10))
 		uncertain.Reservation.Finish(baseTime, false)
-		Expect(uncertain.Cost - certain.Cost).To(BeNumerically("~", 10*(1-kvrouter.DefaultGuessCredit)))
+		Expect(uncertain.Cost - certain.Cost).To(BeNumerically("~", 10*(1-kvrouter.DefaultUncertainCredit)))
 		Expect(uncertain.OverlapTokens).To(Equal(certain.OverlapTokens))
 	})
 
--- a/pkg/kvrouter/options.go
+++ b/pkg/kvrouter/options.go
@@ -11,7 +11,7 @@
 // Defaults of Options.
 const (
 	DefaultBlockTokens            = 16
-	DefaultGuessCredit            = 0.75
+	DefaultUncertainCredit        = 0.75
 	DefaultReportLag              = 5 * time.Second
 	DefaultByIDPredictionLag      = 20 * time.Second
 	DefaultUncertainTTL           = 60 * time.Second
@@ -37,9 +37,9 @@
 	Index prefixindex.Options
 	// BlockTokens is the size of a block, the unit of load and cost.
 	BlockTokens uint32
-	// GuessCredit multiplies the credit of chunks that are only probably cached: those that
+	// UncertainCredit multiplies the credit of chunks that are only probably cached: those that
 	// are predicted, or that a replica reported before some of its reports were lost.
-	GuessCredit float64
+	UncertainCredit float64
 	// ReportLag is the longest delay of a replica's reports. An event whose number a load
 	// report stated is lost if it has not arrived within ReportLag, and an incarnation from
 	// which no report has come for ReportLag may be replaced by one with a lower number.
@@ -102,7 +102,7 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.BlockTokens, DefaultBlockTokens)
-	setDefault(&o.GuessCredit, DefaultGuessCredit)
+	setDefault(&o.UncertainCredit, DefaultUncertainCredit)
 	setDefault(&o.ReportLag, DefaultReportLag)
 	setDefault(&o.PredictionLag, o.ReportLag)
 	setDefault(&o.ByIDPredictionLag, DefaultByIDPredictionLag)
--- a/pkg/kvrouter/registry.go
+++ b/pkg/kvrouter/registry.go
@@ -42,7 +42,7 @@
 // incarnation, including its load reports and the loads announced by other routers. This
 // router's reservations stay: they are finished when the connections of their requests fail.
 func (s *replicaState) restart(now time.Duration) {
-	s.load.DiscardOthers()
+	s.load.DiscardRemote()
 	s.slowness = speed.Slowness{}
 	s.transferLink = speed.TransferLink{}
 	s.slowStart.since = now
@@ -80,7 +80,7 @@
 		owner:     owner,
 		feed:      cachefeed.New(r.index, r.pending, owner, &r.feedOptions),
 		slowStart: slowStart{since: now},
-		load:      replicaload.NewTracker(now, replicaload.ReportAges{Fresh: r.options.ReportFresh, Useless: r.options.ReportUseless}),
+		load:      replicaload.NewTracker(now, replicaload.ReportAges{Fresh: r.options.ReportFresh, Expired: r.options.ReportUseless}),
 	}
 	r.byAddress[address] = created
 	return created
--- a/pkg/kvrouter/replicaload/tracker.go
+++ b/pkg/kvrouter/replicaload/tracker.go
@@ -10,9 +10,9 @@
 type ReportAges struct {
 	// Fresh is the age up to which a report has full weight.
 	Fresh time.Duration
-	// Useless is the age from which on a report has no weight. Between Fresh and Useless
+	// Expired is the age from which on a report has no weight. Between Fresh and Expired
 	// the weight falls linearly.
-	Useless time.Duration
+	Expired time.Duration
 }
 
 // weight returns the weight of a report of an age, from 1 for full weight to 0.
@@ -20,10 +20,10 @@
 	if age <= a.Fresh {
 		return 1
 	}
-	if age >= a.Useless {
+	if age >= a.Expired {
 		return 0
 	}
-	return float64(a.Useless-age) / float64(a.Useless-a.Fresh)
+	return float64(a.Expired-age) / float64(a.Expired-a.Fresh)
 }
 
 // Memory is the state of its memory that a replica reported, in tokens.
@@ -66,7 +66,7 @@
 
 // ChangeLocal adds a change to the local load.
 func (t *Tracker) ChangeLocal(now time.Duration, change Load) {
-	t.local.add(now, t.ages.Useless, change)
+	t.local.add(now, t.ages.Expired, change)
 }
 
 // Local returns the local load.
@@ -108,9 +108,9 @@
 	t.shared.set(now, router, received)
 }
 
-// DiscardOthers drops the replica's reports and the loads that other routers sent, none
+// DiscardRemote drops the replica's reports and the loads that other routers sent, none
 // of which apply after a restart of the replica.
-func (t *Tracker) DiscardOthers() {
+func (t *Tracker) DiscardRemote() {
 	t.reportedRemote = Load{}
 	t.reported = false
 	t.shared = sharedLoads{}
--- a/pkg/kvrouter/reports.go
+++ b/pkg/kvrouter/reports.go
@@ -114,7 +114,7 @@
 	view := state.feed.View(now)
 	switch {
 	case r.options.Disabled.PendingChunks:
-	case view.ReportsEvents:
+	case view.ReportsCache:
 		state.feed.AddPending(now, links)
 	default:
 		state.feed.Predict(now, view.Epoch, links)
--- a/pkg/kvrouter/request.go
+++ b/pkg/kvrouter/request.go
@@ -79,9 +79,9 @@
 	promptTokens uint32
 	// latency is the learned latency of the model's replicas. The time cost model sets it.
 	latency *speed.Latency
-	// harmWeight is Settings.HarmWeight adjusted to the present backlog of the replicas.
+	// congestionWeight is Settings.CongestionWeight adjusted to the present backlog of the replicas.
 	// The time cost model sets it.
-	harmWeight float64
+	congestionWeight float64
 }
 
 // excludes reports whether the request must not be sent to a candidate.
--- a/pkg/kvrouter/reservation.go
+++ b/pkg/kvrouter/reservation.go
@@ -137,7 +137,7 @@
 		r.removePending()
 		return
 	}
-	if r.firstToken && r.state.feed.View(now).ReportsEvents {
+	if r.firstToken && r.state.feed.View(now).ReportsCache {
 		return
 	}
 	r.state.feed.Predict(now, r.feedEpoch, r.links)
--- a/pkg/kvrouter/settings.go
+++ b/pkg/kvrouter/settings.go
@@ -8,20 +8,20 @@
 // replica's memory: requests with a common prefix share its blocks in memory, but the
 // router's load counts these blocks once per request.
 const (
-	DefaultPrefillLoadScale     = 1.0
-	DefaultLocalCredit          = 1.0
-	DefaultPeerCredit           = 0.75
-	DefaultStoreCredit          = 0.5
-	DefaultBusyThresholdBlocks  = 32768
-	DefaultDecodeWeight         = 0.05
-	DefaultHarmWeight           = 1.0
-	DefaultHarmTime             = 25.0
-	DefaultLessUrgentWeight     = 0.8
-	DefaultTransferPrice        = 0.05
-	DefaultChurnFraction        = 0.1
-	DefaultSpreadTime           = 20.0
-	DefaultZonePrice            = 5.0
-	DefaultZonePricePerKilobyte = 4.0
+	DefaultPrefillLoadScale       = 1.0
+	DefaultLocalCredit            = 1.0
+	DefaultPeerCredit             = 0.75
+	DefaultStoreCredit            = 0.5
+	DefaultBusyThresholdBlocks    = 32768
+	DefaultDecodeWeight           = 0.05
+	DefaultCongestionWeight       = 1.0
+	DefaultCongestionDoublingTime = 25.0
+	DefaultLessUrgentWeight       = 0.8
+	DefaultTransferPrice          = 0.05
+	DefaultChurnFraction          = 0.1
+	DefaultSpreadTime             = 20.0
+	DefaultZonePrice              = 5.0
+	DefaultZonePricePerKilobyte   = 4.0
 )
 
 // Settings are the selection parameters of one pool. Fields that are not listed under one
@@ -52,15 +52,15 @@
 
 	// DecodeWeight is the cost weight per block of memory in use.
 	DecodeWeight float64
-	// HarmWeight is the weight of congestion, the delay that the request's prefill causes to
+	// CongestionWeight is the weight of congestion, the delay that the request's prefill causes to
 	// the requests queued behind it: the cost contains the time of the request's own prefill
-	// once more, multiplied by HarmWeight.
-	HarmWeight float64
-	// HarmTime is the median backlog of the replicas, in milliseconds, at which the effective
-	// weight is twice HarmWeight: the more prompts are queued, the more of them wait for this
-	// one. The effective weight grows linearly with the backlog, up to maxHarmWeight. With 0
+	// once more, multiplied by CongestionWeight.
+	CongestionWeight float64
+	// CongestionDoublingTime is the median backlog of the replicas, in milliseconds, at which the effective
+	// weight is twice CongestionWeight: the more prompts are queued, the more of them wait for this
+	// one. The effective weight grows linearly with the backlog, up to maxCongestionWeight. With 0
 	// it does not depend on the backlog.
-	HarmTime float64
+	CongestionDoublingTime float64
 	// LessUrgentWeight is the fraction of the queued tokens of less urgent prompts that
 	// counts as queued before the request.
 	LessUrgentWeight float64
@@ -83,20 +83,20 @@
 // DefaultSettings returns the settings of a pool without routing configuration.
 func DefaultSettings() Settings {
 	return Settings{
-		PrefillLoadScale:     DefaultPrefillLoadScale,
-		LocalCredit:          DefaultLocalCredit,
-		PeerCredit:           DefaultPeerCredit,
-		StoreCredit:          DefaultStoreCredit,
-		BusyThresholdBlocks:  DefaultBusyThresholdBlocks,
-		DecodeWeight:         DefaultDecodeWeight,
-		HarmWeight:           DefaultHarmWeight,
-		HarmTime:             DefaultHarmTime,
-		LessUrgentWeight:     DefaultLessUrgentWeight,
-		TransferPrice:        DefaultTransferPrice,
-		ChurnFraction:        DefaultChurnFraction,
-		SpreadTime:           DefaultSpreadTime,
-		ZonePrice:            DefaultZonePrice,
-		ZonePricePerKilobyte: DefaultZonePricePerKilobyte,
+		PrefillLoadScale:       DefaultPrefillLoadScale,
+		LocalCredit:            DefaultLocalCredit,
+		PeerCredit:             DefaultPeerCredit,
+		StoreCredit:            DefaultStoreCredit,
+		BusyThresholdBlocks:    DefaultBusyThresholdBlocks,
+		DecodeWeight:           DefaultDecodeWeight,
+		CongestionWeight:       DefaultCongestionWeight,
+		CongestionDoublingTime: DefaultCongestionDoublingTime,
+		LessUrgentWeight:       DefaultLessUrgentWeight,
+		TransferPrice:          DefaultTransferPrice,
+		ChurnFraction:          DefaultChurnFraction,
+		SpreadTime:             DefaultSpreadTime,
+		ZonePrice:              DefaultZonePrice,
+		ZonePricePerKilobyte:   DefaultZonePricePerKilobyte,
 	}
 }
 
--- a/pkg/kvrouter/time_cost.go
+++ b/pkg/kvrouter/time_cost.go
@@ -21,8 +21,8 @@
 	overlapMemoryFraction = 0.5
 	// outputUseFraction is the assumed fraction of OutputTokens that a request generates.
 	outputUseFraction = 0.5
-	// maxHarmWeight is the largest value to which a backlog raises Request.harmWeight.
-	maxHarmWeight = 16
+	// maxCongestionWeight is the largest value to which a backlog raises Request.congestionWeight.
+	maxCongestionWeight = 16
 )
 
 // timeTerms are the terms of the cost of a request on one replica.
@@ -45,12 +45,12 @@
 	full bool
 }
 
-// setHarmWeight sets the request's weight of congestion, the delay that its prefill causes to
+// setCongestionWeight sets the request's weight of congestion, the delay that its prefill causes to
 // the requests queued behind it. The weight grows with the median backlog of the candidates:
 // as long as half of the candidates are idle, hardly any request waits for this prefill.
-func (m *timeModel) setHarmWeight(s *scratch, req *Request, candidates []Candidate) {
-	req.harmWeight = req.Settings.HarmWeight
-	if req.Settings.HarmTime <= 0 || len(candidates) == 0 {
+func (m *timeModel) setCongestionWeight(s *scratch, req *Request, candidates []Candidate) {
+	req.congestionWeight = req.Settings.CongestionWeight
+	if req.Settings.CongestionDoublingTime <= 0 || len(candidates) == 0 {
 		return
 	}
 	s.backlogs = s.backlogs[:0]
@@ -62,7 +62,7 @@
 	}
 	slices.Sort(s.backlogs)
 	backlog := s.backlogs[(len(s.backlogs)-1)/2] * req.latency.PerToken()
-	req.harmWeight = min(req.Settings.HarmWeight*(1+backlog/req.Settings.HarmTime), max(maxHarmWeight, req.Settings.HarmWeight))
+	req.congestionWeight = min(req.Settings.CongestionWeight*(1+backlog/req.Settings.CongestionDoublingTime), max(maxCongestionWeight, req.Settings.CongestionWeight))
 }
 
 // scoreOne estimates the cost of the request on a replica. The unit is the time that an average
@@ -173,12 +173,12 @@
 }
 
 // cost returns the weighted sum of the terms. The time to compute the prompt is part of the
-// delay, and is added once more with the factor harmWeight, since it also delays the requests
+// delay, and is added once more with the factor congestionWeight, since it also delays the requests
 // that are queued behind this one.
 func (m *timeModel) cost(req *Request, terms *timeTerms, active replicaload.Load) float64 {
 	settings := &req.Settings
 	blockTime := req.latency.PerToken() * float64(m.options.BlockTokens)
-	congestion := terms.slowness * req.harmWeight * req.latency.PerToken() * terms.computeTokens
+	congestion := terms.slowness * req.congestionWeight * req.latency.PerToken() * terms.computeTokens
 	pressure := terms.slowness * (active.DecodeTokens + terms.memoryTokens) / float64(m.options.BlockTokens)
 	return settings.PrefillLoadScale*(terms.delay+terms.price+congestion)/blockTime +
 		settings.DecodeWeight*pressure +
--- a/pkg/kvrouter/time_model.go
+++ b/pkg/kvrouter/time_model.go
@@ -35,7 +35,7 @@
 func (m *timeModel) choose(s *scratch, req *Request, candidates []Candidate) (*scoredCandidate, error) {
 	req.latency = m.latencyOf(req.Model, req.Engine)
 	m.gatherSources(s, req, candidates)
-	m.setHarmWeight(s, req, candidates)
+	m.setCongestionWeight(s, req, candidates)
 	allowed := m.score(s, req, candidates)
 	if allowed == 0 {
 		return nil, &NoReplicaError{Reason: AllExcluded, RetryAfter: defaultRetryAfter}
--- a/pkg/kvrouter/time_pull.go
+++ b/pkg/kvrouter/time_pull.go
@@ -132,7 +132,7 @@
 	price := req.Settings.TransferPrice * bytes / units.BytesPerMegabyte
 	saved := prefill - m.options.PullAdvantage*units.Milliseconds(planned.transferTime) - price
 	if !source.certain {
-		saved *= m.options.GuessCredit
+		saved *= m.options.UncertainCredit
 	}
 	planned.price = price
 	planned.saved = units.FromMilliseconds(saved)
--- a/pkg/relaytree/machine.go
+++ b/pkg/relaytree/machine.go
@@ -121,11 +121,11 @@
 	return m.outbox.flush(), updates
 }
 
-// Feed sends the newest revision of a topic to a member, even if it isn't a child of this
+// SendNewest sends the newest revision of a topic to a member, even if it isn't a child of this
 // node. It is meant for a publisher that knows which members an update did not reach. A
 // member that is known to need a complete state of more than Config.ChunkBytes gets nothing
-// from Feed, since its parent sends that state.
-func (m *Machine) Feed(to member.ID, topic Topic) []Outbound {
+// from SendNewest, since its parent sends that state.
+func (m *Machine) SendNewest(to member.ID, topic Topic) []Outbound {
 	state := m.store.states[topic]
 	if state == nil || to == m.config.Self {
 		return nil
--- a/pkg/replication/cluster_incarnations_test.go
+++ b/pkg/replication/cluster_incarnations_test.go
@@ -47,7 +47,7 @@
 
 func (c *cluster) wipe(n *node) {
 	c.crash(n, false)
-	n.disk = replication.Restored{}
+	n.disk = replication.DurableState{}
 	n.incarnation = nextIncarnation(n.incarnation)
 	n.learner = true
 }
--- a/pkg/replication/cluster_test.go
+++ b/pkg/replication/cluster_test.go
@@ -24,7 +24,7 @@
 type node struct {
 	id         member.ID
 	group      *replication.Group
-	disk       replication.Restored
+	disk       replication.DurableState
 	learner    bool
 	startCount int
 	// founder is true if the settings of the node contain the founders.
--- a/pkg/replication/durability_test.go
+++ b/pkg/replication/durability_test.go
@@ -13,7 +13,7 @@
 func newMember(self member.ID, group ...member.ID) *replication.Group {
 	g, err := replication.New(replication.Config{
 		Self: self, Incarnation: replication.FoundingIncarnation, Founders: group, HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
-	}, replication.Restored{}, 0)
+	}, replication.DurableState{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	return g
 }
--- a/pkg/replication/durable/encoding.go
+++ b/pkg/replication/durable/encoding.go
@@ -23,7 +23,7 @@
 var errEncoding = errors.New("durable: data is not a record that this release can decode")
 
 // encode encodes the whole state as one record.
-func encode(state replication.Restored) []byte {
+func encode(state replication.DurableState) []byte {
 	return record{hardState: &state.HardState, snapshot: state.Snapshot, entries: state.Entries}.encode()
 }
 
--- a/pkg/replication/durable/encoding_test.go
+++ b/pkg/replication/durable/encoding_test.go
@@ -39,7 +39,7 @@
 
 var _ = Describe("The encoding", func() {
 	It("keeps every field of every type", func() {
-		var state replication.Restored
+		var state replication.DurableState
 		fill(reflect.ValueOf(&state).Elem(), "state")
 		decoded, err := decode(encode(state))
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 	})
 
 	It("rejects data that it did not encode, and never panics", func() {
-		var state replication.Restored
+		var state replication.DurableState
 		fill(reflect.ValueOf(&state).Elem(), "state")
 		data := encode(state)
 		for length := range data {
--- a/pkg/replication/durable/log.go
+++ b/pkg/replication/durable/log.go
@@ -22,7 +22,7 @@
 type Log struct {
 	store *twoslot.Store
 	// state is the durable state, as it is on the disk.
-	state  replication.Restored
+	state  replication.DurableState
 	limits Limits
 	// checkpointAt is the size of the log in bytes at which Save writes a checkpoint.
 	checkpointAt int
@@ -42,19 +42,19 @@
 
 // Open reads the state of that name from the disk. The state is empty if the disk has
 // none. If the state is damaged, Open returns an error that matches twoslot.ErrCorrupt.
-func Open(disk twoslot.Disk, name string) (*Log, replication.Restored, error) {
+func Open(disk twoslot.Disk, name string) (*Log, replication.DurableState, error) {
 	return OpenWithLimits(disk, name, Limits{MinLogBytes: DefaultMinLogBytes})
 }
 
 // OpenWithLimits is Open with the given limits on the size of the log.
-func OpenWithLimits(disk twoslot.Disk, name string, limits Limits) (*Log, replication.Restored, error) {
+func OpenWithLimits(disk twoslot.Disk, name string, limits Limits) (*Log, replication.DurableState, error) {
 	store, contents, err := twoslot.Open(disk, name)
 	if err != nil {
-		return nil, replication.Restored{}, err
+		return nil, replication.DurableState{}, err
 	}
 	state, err := restore(name, contents)
 	if err != nil {
-		return nil, replication.Restored{}, err
+		return nil, replication.DurableState{}, err
 	}
 	log := &Log{store: store, state: state, limits: limits}
 	log.scheduleCheckpoint(len(contents.Payload))
@@ -92,7 +92,7 @@
 // Checkpoint replaces all durable state by a checkpoint. Its errors are those of Save.
 func (l *Log) Checkpoint(hardState replication.HardState, snapshot *replication.Snapshot, entries []replication.Entry) error {
 	replacement := record{hardState: &hardState, snapshot: snapshot, entries: entries}
-	next, err := replacement.applyTo(replication.Restored{HardState: replication.HardState{Term: l.state.Term}})
+	next, err := replacement.applyTo(replication.DurableState{HardState: replication.HardState{Term: l.state.Term}})
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 // methods it may be called concurrently.
 func (l *Log) DiskBytes() int64 { return l.diskBytes.Load() }
 
-func (l *Log) writeCheckpoint(next replication.Restored) error {
+func (l *Log) writeCheckpoint(next replication.DurableState) error {
 	payload := encode(next)
 	if err := l.store.Checkpoint(payload); err != nil {
 		return err
--- a/pkg/replication/durable/log_test.go
+++ b/pkg/replication/durable/log_test.go
@@ -79,7 +79,7 @@
 }
 
 // after returns the state that is expected after the operation, computed entry by entry.
-func (o operation) after(state replication.Restored) replication.Restored {
+func (o operation) after(state replication.DurableState) replication.DurableState {
 	state.Entries = slices.Clone(state.Entries)
 	if o.ready.HardState != nil {
 		state.HardState = *o.ready.HardState
@@ -98,10 +98,10 @@
 
 // runScript runs the operations of the script until one fails. It returns the acknowledged
 // state, and the state that includes the operation in progress as well.
-func runScript(disk *memdisk.Disk) (acknowledged, inProgress replication.Restored) {
+func runScript(disk *memdisk.Disk) (acknowledged, inProgress replication.DurableState) {
 	log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 	if err != nil {
-		return replication.Restored{}, replication.Restored{}
+		return replication.DurableState{}, replication.DurableState{}
 	}
 	for _, next := range script {
 		inProgress = next.after(acknowledged)
@@ -128,7 +128,7 @@
 var _ = Describe("A log", func() {
 	It("restores the saved state after each operation", func() {
 		disk := memdisk.New()
-		var want replication.Restored
+		var want replication.DurableState
 		for i, next := range script {
 			log, restored, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 			Expect(err).NotTo(HaveOccurred())
@@ -175,14 +175,14 @@
 		}
 		_, restored, err := Open(disk, logName)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(restored).To(Equal(replication.Restored{HardState: *hardState(200, "a", 0)}))
+		Expect(restored).To(Equal(replication.DurableState{HardState: *hardState(200, "a", 0)}))
 	})
 
 	It("is unchanged by a full disk, and saves the same Ready once there is space", func() {
 		disk := memdisk.New()
 		log, _, err := OpenWithLimits(disk, logName, Limits{MinLogBytes: smallLimit})
 		Expect(err).NotTo(HaveOccurred())
-		var want replication.Restored
+		var want replication.DurableState
 		for _, next := range script {
 			disk.SetFull(true)
 			Expect(next.run(log)).To(MatchError(twoslot.ErrDiskFull))
@@ -300,7 +300,7 @@
 			Self: "a", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"a"},
 			HeartbeatEvery: time.Millisecond, ElectionTimeout: time.Second,
 		}
-		group, err := replication.New(config, replication.Restored{}, 0)
+		group, err := replication.New(config, replication.DurableState{}, 0)
 		Expect(err).NotTo(HaveOccurred())
 		group.Tick(time.Second)
 		for group.HasReady() {
--- a/pkg/replication/durable/record.go
+++ b/pkg/replication/durable/record.go
@@ -20,7 +20,7 @@
 // applyTo returns the state after the record, or an *OrderError if the record is not a
 // valid continuation of the state. It may write to spare capacity after the entries of the
 // given state, but does not change these entries.
-func (r record) applyTo(state replication.Restored) (replication.Restored, error) {
+func (r record) applyTo(state replication.DurableState) (replication.DurableState, error) {
 	if r.hardState != nil {
 		if r.hardState.Term < state.Term {
 			return state, &OrderError{Message: fmt.Sprintf("its term %d is older than the stored term %d", r.hardState.Term, state.Term)}
@@ -47,14 +47,14 @@
 
 // coveredIndex returns the last index that the snapshot covers, which is the one before the
 // first entry.
-func coveredIndex(state replication.Restored) uint64 {
+func coveredIndex(state replication.DurableState) uint64 {
 	if state.Snapshot == nil {
 		return 0
 	}
 	return state.Snapshot.Index
 }
 
-func checkEntries(state replication.Restored, entries []replication.Entry) error {
+func checkEntries(state replication.DurableState, entries []replication.Entry) error {
 	covered := coveredIndex(state)
 	last := covered + uint64(len(state.Entries))
 	first := entries[0].Index
@@ -70,8 +70,8 @@
 }
 
 // restore returns the state of the checkpoint with the records after it applied.
-func restore(name string, contents twoslot.Contents) (replication.Restored, error) {
-	var state replication.Restored
+func restore(name string, contents twoslot.Contents) (replication.DurableState, error) {
+	var state replication.DurableState
 	encoded := contents.Records
 	// An encoded state is never empty. An empty payload means that the store has no
 	// checkpoint, or was repaired before its first one.
@@ -85,7 +85,7 @@
 		}
 		if err != nil {
 			detail := fmt.Sprintf("cannot decode or apply record %d of %d", i+1, len(encoded))
-			return replication.Restored{}, &twoslot.Error{Kind: twoslot.KindCorrupt, Name: name, Detail: detail, Cause: err}
+			return replication.DurableState{}, &twoslot.Error{Kind: twoslot.KindCorrupt, Name: name, Detail: detail, Cause: err}
 		}
 	}
 	return state, nil
--- a/pkg/replication/errors.go
+++ b/pkg/replication/errors.go
@@ -41,13 +41,13 @@
 	return fmt.Sprintf("replication config: %s %s", e.Field, e.Message)
 }
 
-// RestoredError means that the durable state is inconsistent.
-type RestoredError struct {
+// DurableStateError means that the durable state is inconsistent.
+type DurableStateError struct {
 	Message string
 }
 
 // Error describes the inconsistency and the remedy.
-func (e *RestoredError) Error() string {
+func (e *DurableStateError) Error() string {
 	return "restored state: " + e.Message
 }
 
--- a/pkg/replication/group.go
+++ b/pkg/replication/group.go
@@ -24,9 +24,9 @@
 	outstanding *Ready
 }
 
-// New returns a member with the given durable state; the zero Restored is that of an empty
-// disk. It fails with a *ConfigError or a *RestoredError.
-func New(cfg Config, restored Restored, now time.Duration) (*Group, error) {
+// New returns a member with the given durable state; the zero DurableState is that of an empty
+// disk. It fails with a *ConfigError or a *DurableStateError.
+func New(cfg Config, restored DurableState, now time.Duration) (*Group, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
--- a/pkg/replication/hard_state.go
+++ b/pkg/replication/hard_state.go
@@ -68,8 +68,8 @@
 	return &hardState
 }
 
-// Restored is the durable state that a member is started with.
-type Restored struct {
+// DurableState is the durable state that a member is started with.
+type DurableState struct {
 	HardState
 	// Snapshot is the newest durable snapshot, or nil.
 	Snapshot *Snapshot
@@ -79,10 +79,10 @@
 }
 
 // check returns an error for durable state that no correct member can have written.
-func (r Restored) check() error {
+func (r DurableState) check() error {
 	if r.Snapshot != nil {
 		if err := slots(r.Snapshot.Slots).check(); err != nil {
-			return &RestoredError{Message: "the group of the snapshot is invalid: " + err.Error()}
+			return &DurableStateError{Message: "the group of the snapshot is invalid: " + err.Error()}
 		}
 	}
 	previous := Entry{}
@@ -94,18 +94,18 @@
 			continue
 		}
 		if entry.Index != previous.Index+1 {
-			return &RestoredError{Message: "the log has a gap: restore the member as a learner with an empty disk"}
+			return &DurableStateError{Message: "the log has a gap: restore the member as a learner with an empty disk"}
 		}
 		if err := entry.check(); err != nil {
-			return &RestoredError{Message: err.Error()}
+			return &DurableStateError{Message: err.Error()}
 		}
 		if entry.Term < previous.Term || entry.Term > r.Term {
-			return &RestoredError{Message: "the terms of the log are out of order: restore the member as a learner with an empty disk"}
+			return &DurableStateError{Message: "the terms of the log are out of order: restore the member as a learner with an empty disk"}
 		}
 		previous = entry
 	}
 	if r.Commit > previous.Index {
-		return &RestoredError{Message: "committed entries are missing: restore the member as a learner with an empty disk"}
+		return &DurableStateError{Message: "committed entries are missing: restore the member as a learner with an empty disk"}
 	}
 	return nil
 }
--- a/pkg/replication/in_flight_test.go
+++ b/pkg/replication/in_flight_test.go
@@ -16,7 +16,7 @@
 	g, err := replication.New(replication.Config{
 		Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2", "n3"},
 		HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout, MaxLogBytes: maxLogBytes,
-	}, replication.Restored{}, 0)
+	}, replication.DurableState{}, 0)
 	Expect(err).NotTo(HaveOccurred())
 	g.Tick(electedAt)
 	for _, preVote := range []bool{true, false} {
--- a/pkg/replication/invalid_input_test.go
+++ b/pkg/replication/invalid_input_test.go
@@ -58,11 +58,11 @@
 		} {
 			config := good
 			invalidate(&config)
-			_, err := replication.New(config, replication.Restored{}, 0)
+			_, err := replication.New(config, replication.DurableState{}, 0)
 			Expect(err).To(BeAssignableToTypeOf(&replication.ConfigError{}))
 		}
 		hardState := replication.HardState{Term: 1}
-		for _, restored := range []replication.Restored{
+		for _, restored := range []replication.DurableState{
 			{HardState: hardState, Entries: []replication.Entry{entry(2, 1)}},
 			{HardState: hardState, Entries: []replication.Entry{entry(1, 2)}},
 			{HardState: replication.HardState{Term: 1, Commit: 1}},
@@ -74,7 +74,7 @@
 			{HardState: hardState, Entries: []replication.Entry{{Index: 1, Term: 1, Kind: replication.EntryGroupChange, Command: []byte("[]")}}},
 		} {
 			_, err := replication.New(good, restored, 0)
-			Expect(err).To(BeAssignableToTypeOf(&replication.RestoredError{}))
+			Expect(err).To(BeAssignableToTypeOf(&replication.DurableStateError{}))
 		}
 	})
 })
--- a/pkg/replication/leadership_test.go
+++ b/pkg/replication/leadership_test.go
@@ -20,7 +20,7 @@
 		Self: "n1", Incarnation: replication.FoundingIncarnation, Founders: []member.ID{"n1", "n2", "n3"},
 		HeartbeatEvery: heartbeatEvery, ElectionTimeout: electionTimeout,
 		LeaseDuration: leaseDuration, LeaseMargin: leaseMargin,
-	}, replication.Restored{
+	}, replication.DurableState{
 		HardState: replication.HardState{Term: 1},
 		Entries:   []replication.Entry{entry(1, 1)},
 	}, 0)
--- a/pkg/replication/log.go
+++ b/pkg/replication/log.go
@@ -23,7 +23,7 @@
 	groups groupHistory
 }
 
-func restoreLog(restored Restored, founding slots) *replicaLog {
+func restoreLog(restored DurableState, founding slots) *replicaLog {
 	log := &replicaLog{groups: groupHistory{newGroupState(0, founding)}}
 	if restored.Snapshot != nil {
 		log.install(restored.Snapshot)
--- a/pkg/replication/log_test.go
+++ b/pkg/replication/log_test.go
@@ -10,7 +10,7 @@
 
 	// logOf returns a log with entries 1 to last, all applied.
 	logOf := func(last uint64) *replicaLog {
-		log := restoreLog(Restored{}, slots{{Voter: Voter{ID: "a", Incarnation: 1}}})
+		log := restoreLog(DurableState{}, slots{{Voter: Voter{ID: "a", Incarnation: 1}}})
 		for range last {
 			log.appendNew(1, EntryCommand, make([]byte, commandBytes))
 		}
--- a/pkg/replication/snapshot.go
+++ b/pkg/replication/snapshot.go
@@ -44,14 +44,14 @@
 // Checkpoint returns the whole durable state. The driver may replace everything that it wrote
 // before with this state. It must not be called while a Ready is outstanding, as that Ready
 // could contain older records that would be written after the checkpoint.
-func (g *Group) Checkpoint() Restored {
+func (g *Group) Checkpoint() DurableState {
 	hardState := g.hardState.HardState
 	hardState.Commit = g.log.committed
 	first := g.log.offset + 1
 	if g.log.snapshot != nil {
 		first = g.log.snapshot.Index + 1
 	}
-	return Restored{
+	return DurableState{
 		HardState: hardState,
 		Snapshot:  g.log.snapshot,
 		Entries:   slices.Clone(g.log.slice(first, g.log.lastIndex())),
--- a/pkg/retrybudget/budget.go
+++ b/pkg/retrybudget/budget.go
@@ -80,8 +80,8 @@
 	return &Budget{options: options, slackFractions: fractionHistory{startedAt: options.StartedAt}}
 }
 
-// First counts a first attempt at the time now.
-func (b *Budget) First(now time.Duration) {
+// AddFirstAttempt counts a first attempt at the time now.
+func (b *Budget) AddFirstAttempt(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.advance(now)
--- a/pkg/retrybudget/budget_test.go
+++ b/pkg/retrybudget/budget_test.go
@@ -13,7 +13,7 @@
 // addFirstAttempts adds a number of first attempts to a budget.
 func addFirstAttempts(budget *retrybudget.Budget, now time.Duration, count int) {
 	for range count {
-		budget.First(now)
+		budget.AddFirstAttempt(now)
 	}
 }
 
@@ -46,7 +46,7 @@
 				now += time.Duration(random.IntN(30)) * time.Second
 			}
 			if random.IntN(2) == 0 {
-				budget.First(now)
+				budget.AddFirstAttempt(now)
 				total++
 			} else if budget.TryRetry(now) {
 				retries++
--- a/pkg/retrybudget/fleet_test.go
+++ b/pkg/retrybudget/fleet_test.go
@@ -107,7 +107,7 @@
 			}
 			node := live[random.IntN(len(live))]
 			if random.IntN(3) == 0 {
-				node.budget.First(fleet.now)
+				node.budget.AddFirstAttempt(fleet.now)
 				fleet.firstAttemptTimes = append(fleet.firstAttemptTimes, fleet.now)
 			} else if node.budget.TryRetry(fleet.now) {
 				fleet.retryTimes = append(fleet.retryTimes, fleet.now)
