--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -25,13 +25,13 @@
 	names := []member.ID{"a", "b", "c"}
 	var drivers map[member.ID]*claiming.Driver
 	var clock atomic.Int64
-	// alone, while it is set, lets nothing through but to itself.
-	var alone atomic.Bool
+	// partitioned, while it is set, lets nothing through but to itself.
+	var partitioned atomic.Bool
 	var dropped chan claims.Message
 
 	BeforeEach(func() {
 		clock.Store(0)
-		alone.Store(false)
+		partitioned.Store(false)
 		dropped = make(chan claims.Message, 64)
 		drivers = map[member.ID]*claiming.Driver{}
 		for _, name := range names {
@@ -39,7 +39,7 @@
 				Config: claims.Config{Self: name, Incarnation: 1},
 				Clock:  func() time.Duration { return time.Duration(clock.Load()) },
 				Send: func(to member.ID, message claims.Message) {
-					if alone.Load() {
+					if partitioned.Load() {
 						dropped <- message
 						return
 					}
@@ -74,7 +74,7 @@
 	})
 
 	It("says in time that too few homes respond", func() {
-		alone.Store(true)
+		partitioned.Store(true)
 		failed := make(chan error, 1)
 		go func() {
 			_, err := claim("a")
@@ -88,19 +88,19 @@
 	})
 
 	It("releases a claim that nobody waits for any more", func() {
-		alone.Store(true)
-		ctx, leave := context.WithCancel(context.Background())
-		leave()
+		partitioned.Store(true)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
 		_, err := drivers["a"].Claim(ctx, "court", "r-1")
 		Expect(err).To(MatchError(claimer.ErrClaimUndecided))
-		alone.Store(false)
+		partitioned.Store(false)
 		_, err = claim("a")
 		Expect(err).NotTo(HaveOccurred())
 	})
 
 	It("is undecided without a directory", func() {
-		lost := claiming.New(claiming.Options{Clock: func() time.Duration { return 0 }})
-		_, err := lost.Claim(context.Background(), "court", "r-1")
+		unconfigured := claiming.New(claiming.Options{Clock: func() time.Duration { return 0 }})
+		_, err := unconfigured.Claim(context.Background(), "court", "r-1")
 		Expect(err).To(MatchError(claimer.ErrClaimUndecided))
 	})
 })
--- a/internal/dataplane/dispatch/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -28,14 +28,14 @@
 // recordFailure records the end of an attempt without a response: it was not sent, the back
 // end has refused to run it, or its outcome is not known.
 func (d *Dispatcher) recordFailure(r *pendingRequest, chosen target, attempt int, err error) {
-	var broken *outbound.Error
-	if errors.As(err, &broken) && !broken.MayHaveBeenSent {
-		r.lastError = d.recordUnsent(r, broken)
+	var sendError *outbound.Error
+	if errors.As(err, &sendError) && !sendError.MayHaveBeenSent {
+		r.lastError = d.recordUnsent(r, sendError)
 		r.apply(attempts.Event{Kind: attempts.NotSent, Attempt: attempt})
 		return
 	}
 	r.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
-	if broken == nil {
+	if sendError == nil {
 		// The back end has responded, with a refusal or with what is not relayed.
 		d.options.Health.RecordResponse(chosen.address())
 	}
@@ -49,7 +49,7 @@
 		r.apply(attempts.Event{Kind: attempts.Refused, Attempt: attempt})
 		return
 	}
-	if broken != nil && deadline.Passed(r.Context) {
+	if sendError != nil && deadline.Passed(r.Context) {
 		d.options.Health.RecordMissedDeadline(d.options.Clock(), chosen.address())
 	}
 	d.recordLoss(r, attempt, err)
@@ -73,10 +73,10 @@
 // not known whether the request has run.
 func (d *Dispatcher) recordLoss(r *pendingRequest, attempt int, err error) {
 	var failed *outbound.FailedResponseError
-	var gone *callerGoneError
+	var disconnected *callerDisconnectedError
 	var otherWeights *versionMismatchError
 	switch {
-	case errors.As(err, &gone):
+	case errors.As(err, &disconnected):
 		r.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 	case errors.As(err, &failed):
 		// A back end that responds is not suspected of being dead.
--- a/internal/dataplane/dispatch/relay.go
+++ b/internal/dataplane/dispatch/relay.go
@@ -18,14 +18,14 @@
 	body   []byte
 }
 
-// callerGoneError reports that bytes could not be written to the caller, who has
+// callerDisconnectedError reports that bytes could not be written to the caller, who has
 // disconnected.
-type callerGoneError struct {
+type callerDisconnectedError struct {
 	cause error
 }
 
 // Error implements error.
-func (e *callerGoneError) Error() string {
+func (e *callerDisconnectedError) Error() string {
 	return "the caller takes no more of the answer: " + e.cause.Error()
 }
 
@@ -41,10 +41,10 @@
 	controller := http.NewResponseController(r.Writer)
 	for err == nil {
 		if _, writeError := r.Writer.Write(data); writeError != nil {
-			return &callerGoneError{cause: writeError}
+			return &callerDisconnectedError{cause: writeError}
 		}
 		if flushError := controller.Flush(); flushError != nil {
-			return &callerGoneError{cause: flushError}
+			return &callerDisconnectedError{cause: flushError}
 		}
 		r.lastEventID = received.LastEventID()
 		data, err = received.Next()
--- a/internal/dataplane/feeds/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -117,13 +117,13 @@
 		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}, {Incarnation: 1, Sequence: 4}}), "the stream that resync ends is the open one")
 
 		source.events = nil
-		requesting := &resyncingSource{}
-		subject.source = requesting
-		requesting.during = subject.resync
+		resyncing := &resyncingSource{}
+		subject.source = resyncing
+		resyncing.during = subject.resync
 		subject.follow(context.Background())
 		subject.follow(context.Background())
-		Expect(requesting.asked).To(Equal([]replica.Position{{Incarnation: 1, Sequence: 4}, {}}))
-		Expect(requesting.ended).To(Equal([]bool{true, false}))
+		Expect(resyncing.positions).To(Equal([]replica.Position{{Incarnation: 1, Sequence: 4}, {}}))
+		Expect(resyncing.ended).To(Equal([]bool{true, false}))
 	})
 
 	It("starts anew when events are missing for too long", func() {
@@ -178,14 +178,14 @@
 
 // resyncingSource runs a hook while its first stream is open.
 type resyncingSource struct {
-	during func()
-	asked  []replica.Position
-	ended  []bool
+	during    func()
+	positions []replica.Position
+	ended     []bool
 }
 
 // Follow implements Source.
 func (s *resyncingSource) Follow(ctx context.Context, _ string, after replica.Position, _ func(replica.Event) error) error {
-	s.asked = append(s.asked, after)
+	s.positions = append(s.positions, after)
 	s.during()
 	s.ended = append(s.ended, ctx.Err() != nil)
 	return io.ErrUnexpectedEOF
--- a/internal/dataplane/feeds/manager.go
+++ b/internal/dataplane/feeds/manager.go
@@ -82,9 +82,9 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	desired := m.desiredFeeds(view)
-	for address, present := range m.running {
+	for address, feed := range m.running {
 		if _, found := desired[address]; !found {
-			m.stop(address, present)
+			m.stop(address, feed)
 		}
 	}
 	for address, spec := range desired {
@@ -98,8 +98,8 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, address := range m.options.Router.ResyncNeeded(m.options.Clock()) {
-		if present, runs := m.running[address]; runs {
-			present.eventFeed.resync()
+		if feed, runs := m.running[address]; runs {
+			feed.eventFeed.resync()
 		}
 	}
 }
@@ -123,12 +123,12 @@
 
 // ensure starts a feed unless it runs, and tells it the expected weight version.
 func (m *Manager) ensure(address string, spec feedSpec) {
-	present, runs := m.running[address]
+	feed, runs := m.running[address]
 	if runs {
-		present.eventFeed.setExpectedVersion(spec.weightVersion)
+		feed.eventFeed.setExpectedVersion(spec.weightVersion)
 		return
 	}
-	present.eventFeed = &eventFeed{
+	feed.eventFeed = &eventFeed{
 		address:    address,
 		source:     spec.source,
 		router:     m.options.Router,
@@ -136,15 +136,15 @@
 		health:     m.options.Health,
 		clock:      m.options.Clock,
 	}
-	present.eventFeed.setExpectedVersion(spec.weightVersion)
-	present.token = m.supervisor.Add(present.eventFeed)
-	m.running[address] = present
+	feed.eventFeed.setExpectedVersion(spec.weightVersion)
+	feed.token = m.supervisor.Add(feed.eventFeed)
+	m.running[address] = feed
 }
 
 // stop ends the feed of a back end that is no longer listed, and forgets all that it
 // has brought.
-func (m *Manager) stop(address string, present runningFeed) {
-	_ = m.supervisor.RemoveAndWait(present.token, maxReconnectDelay)
+func (m *Manager) stop(address string, feed runningFeed) {
+	_ = m.supervisor.RemoveAndWait(feed.token, maxReconnectDelay)
 	delete(m.running, address)
 	m.options.Router.Forget(address)
 	m.options.Quarantine.Forget(address)
--- a/internal/dataplane/gossip/relayer.go
+++ b/internal/dataplane/gossip/relayer.go
@@ -38,15 +38,15 @@
 
 // Receive handles a batch of another node and returns the updates for this node.
 func (r *Relayer) Receive(batch Batch) []Update {
-	foreign := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == r.self })
+	fromOthers := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == r.self })
 	switch batch.Stage {
 	case NodeToRelay:
-		r.toZone = appendBounded(r.toZone, foreign...)
-		r.toRelays = appendBounded(r.toRelays, foreign...)
+		r.toZone = appendBounded(r.toZone, fromOthers...)
+		r.toRelays = appendBounded(r.toRelays, fromOthers...)
 	case RelayToRelay:
-		r.toZone = appendBounded(r.toZone, foreign...)
+		r.toZone = appendBounded(r.toZone, fromOthers...)
 	}
-	return foreign
+	return fromOthers
 }
 
 // Flush returns what is to be sent now, given the live nodes.
@@ -60,16 +60,16 @@
 	if relay.ID != r.self {
 		return outbound(NodeToRelay, toRelays, relay)
 	}
-	listeners := lo.Filter(live, func(node member.Info, _ int) bool {
+	recipients := lo.Filter(live, func(node member.Info, _ int) bool {
 		return node.Zone == r.zone && node.ID != r.self && servesCallers(node)
 	})
-	sends := outbound(RelayToNodes, toZone, listeners...)
-	return append(sends, outbound(RelayToRelay, toRelays, r.foreignRelays(live)...)...)
+	sends := outbound(RelayToNodes, toZone, recipients...)
+	return append(sends, outbound(RelayToRelay, toRelays, r.otherZoneRelays(live)...)...)
 }
 
-// foreignRelays returns the relays of the other zones in which callers are
+// otherZoneRelays returns the relays of the other zones in which callers are
 // served.
-func (r *Relayer) foreignRelays(live []member.Info) []member.Info {
+func (r *Relayer) otherZoneRelays(live []member.Info) []member.Info {
 	serving := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone != r.zone && servesCallers(node) })
 	zones := lo.Uniq(lo.Map(serving, func(node member.Info, _ int) string { return node.Zone }))
 	slices.Sort(zones)
--- a/internal/dataplane/gossip/relayer_test.go
+++ b/internal/dataplane/gossip/relayer_test.go
@@ -20,14 +20,14 @@
 type network struct {
 	peers    []member.Info
 	relayers map[member.ID]*gossip.Relayer
-	// heard counts how often each node received the updates of each.
-	heard map[member.ID]map[member.ID]int
+	// received counts how often each node received the updates of each.
+	received map[member.ID]map[member.ID]int
 	// crossings counts the batches between zones, and sent all batches.
 	crossings, sent int
 }
 
 func newNetwork(zones, perZone int) *network {
-	n := &network{relayers: map[member.ID]*gossip.Relayer{}, heard: map[member.ID]map[member.ID]int{}}
+	n := &network{relayers: map[member.ID]*gossip.Relayer{}, received: map[member.ID]map[member.ID]int{}}
 	for zone := range zones {
 		for number := range perZone {
 			info := member.Info{
@@ -37,7 +37,7 @@
 			}
 			n.peers = append(n.peers, info)
 			n.relayers[info.ID] = gossip.NewRelayer(info.ID, info.Zone)
-			n.heard[info.ID] = map[member.ID]int{}
+			n.received[info.ID] = map[member.ID]int{}
 		}
 	}
 	return n
@@ -65,12 +65,12 @@
 		n.crossings++
 	}
 	for _, update := range n.relayers[to.ID].Receive(batch) {
-		n.heard[to.ID][update.Node]++
+		n.received[to.ID][update.Node]++
 	}
 }
 
-// zoneOfAll is the zone of the nodes that serve no callers in tests.
-const zoneOfAll = "zone-0"
+// idleZone is the zone of the nodes that serve no callers in tests.
+const idleZone = "zone-0"
 
 var _ = Describe("Relayer", func() {
 	It("brings each node's updates to each other node once", func() {
@@ -81,7 +81,7 @@
 		for range 4 {
 			n.round(nil)
 		}
-		for id, received := range n.heard {
+		for id, received := range n.received {
 			Expect(received).To(HaveLen(len(n.peers)-1), "news at %s", id)
 			Expect(received).NotTo(HaveKey(id))
 			for from, times := range received {
@@ -105,33 +105,33 @@
 	It("still brings updates to each node when nodes disagree on who is live", func() {
 		n := newNetwork(3, 3)
 		relay, _ := gossip.RelayFor("zone-0", n.peers)
-		var without []member.Info
+		var withoutRelay []member.Info
 		for _, peer := range n.peers {
 			if peer.ID != relay.ID {
-				without = append(without, peer)
+				withoutRelay = append(withoutRelay, peer)
 			}
 		}
-		sender := without[0]
+		sender := withoutRelay[0]
 		Expect(sender.Zone).To(Equal("zone-0"))
 		n.relayers[sender.ID].Add(gossip.Update{})
 		for range 4 {
 			// The teller alone has noticed that the relay is dead.
-			n.round(map[member.ID][]member.Info{sender.ID: without})
+			n.round(map[member.ID][]member.Info{sender.ID: withoutRelay})
 		}
-		for _, peer := range without {
+		for _, peer := range withoutRelay {
 			if peer.ID != sender.ID && peer.Zone != "zone-0" {
-				Expect(n.heard[peer.ID]).To(HaveKey(sender.ID), "news at %s", peer.ID)
+				Expect(n.received[peer.ID]).To(HaveKey(sender.ID), "news at %s", peer.ID)
 			}
 		}
 	})
 
 	It("relays through a node that serves no callers, and sends it nothing else", func() {
 		n := newNetwork(2, 5)
-		idle := member.Info{ID: "idle", Zone: zoneOfAll}
+		idle := member.Info{ID: "idle", Zone: idleZone}
 		n.peers = append(n.peers, idle)
 		n.relayers[idle.ID] = gossip.NewRelayer(idle.ID, idle.Zone)
-		n.heard[idle.ID] = map[member.ID]int{}
-		relay, found := gossip.RelayFor(zoneOfAll, n.peers)
+		n.received[idle.ID] = map[member.ID]int{}
+		relay, found := gossip.RelayFor(idleZone, n.peers)
 		Expect(found).To(BeTrue())
 		Expect(relay.ID).To(Equal(idle.ID))
 		for id, relayer := range n.relayers {
@@ -142,13 +142,13 @@
 		for range 4 {
 			n.round(nil)
 		}
-		for id, received := range n.heard {
+		for id, received := range n.received {
 			for from, times := range received {
 				Expect(times).To(Equal(1), "%s of %s", id, from)
 			}
 		}
-		Expect(n.heard["node-0-0"]).To(HaveLen(9))
-		Expect(n.heard["node-1-0"]).To(HaveLen(9))
+		Expect(n.received["node-0-0"]).To(HaveLen(9))
+		Expect(n.received["node-1-0"]).To(HaveLen(9))
 	})
 
 	It("queues no more than its bound", func() {
--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -26,8 +26,8 @@
 		live = []member.Info{serving("self", "a"), serving("far", "b"), serving("near", "a"), {ID: "core", Zone: "a"}}
 	})
 
-	// asks expects a question to one node at a time, and returns whom.
-	asks := func(at time.Duration) member.ID {
+	// expectRequest expects a question to one node at a time, and returns whom.
+	expectRequest := func(at time.Duration) member.ID {
 		sends := client.Tick(at, live)
 		ExpectWithOffset(1, sends).To(HaveLen(1))
 		ExpectWithOffset(1, sends[0].To).To(HaveLen(1))
@@ -35,80 +35,80 @@
 		ExpectWithOffset(1, sends[0].Batch.Updates).To(Equal([]gossip.Update{{Node: self}}))
 		return sends[0].To[0].ID
 	}
-	nothingDue := func(at time.Duration) { ExpectWithOffset(1, client.Tick(at, live)).To(BeEmpty()) }
-	sent := func(node member.ID, reports int) gossip.Update {
+	expectNothingDue := func(at time.Duration) { ExpectWithOffset(1, client.Tick(at, live)).To(BeEmpty()) }
+	responseOf := func(node member.ID, reports int) gossip.Update {
 		return gossip.Update{Node: node, Reports: make([]gossip.Report, reports)}
 	}
 
 	It("requests a node of its zone that serves callers, and is done once that has sent all", func() {
-		Expect(asks(0)).To(Equal(member.ID("near")))
-		nothingDue(900 * time.Millisecond)
-		Expect(client.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, sent("near", 2))).To(BeTrue())
-		nothingDue(1800 * time.Millisecond)
+		Expect(expectRequest(0)).To(Equal(member.ID("near")))
+		expectNothingDue(900 * time.Millisecond)
+		Expect(client.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, responseOf("near", 2))).To(BeTrue())
+		expectNothingDue(1800 * time.Millisecond)
 		Expect(client.Pending(1800 * time.Millisecond)).To(BeTrue())
 		Expect(client.Done(1800 * time.Millisecond)).To(BeFalse())
-		Expect(client.HandleResponse(1800*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))).To(BeTrue())
+		Expect(client.HandleResponse(1800*time.Millisecond, gossip.SnapshotEnd, responseOf("near", 0))).To(BeTrue())
 		Expect(client.Done(1800 * time.Millisecond)).To(BeTrue())
 		Expect(client.Pending(1800 * time.Millisecond)).To(BeFalse())
-		nothingDue(4 * time.Second)
+		expectNothingDue(4 * time.Second)
 	})
 
 	It("requests the next one at once if the first one knows nothing", func() {
-		asks(0)
-		client.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, sent("near", 0))
+		expectRequest(0)
+		client.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, responseOf("near", 0))
 		Expect(client.Done(10 * time.Millisecond)).To(BeFalse())
 		Expect(client.Pending(10 * time.Millisecond)).To(BeFalse())
-		Expect(asks(20 * time.Millisecond)).To(Equal(member.ID("far")))
+		Expect(expectRequest(20 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("requests the next one if the first one does not respond for a second, or stops responding", func() {
-		asks(0)
-		client.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, sent("near", 1))
-		nothingDue(1400 * time.Millisecond)
-		Expect(asks(1500 * time.Millisecond)).To(Equal(member.ID("far")))
+		expectRequest(0)
+		client.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, responseOf("near", 1))
+		expectNothingDue(1400 * time.Millisecond)
+		Expect(expectRequest(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
 	It("ignores a response that it does not wait for", func() {
-		Expect(client.HandleResponse(0, gossip.SnapshotEnd, sent("near", 1))).To(BeFalse())
-		asks(0)
-		Expect(client.HandleResponse(0, gossip.SnapshotEnd, sent("far", 1))).To(BeFalse())
+		Expect(client.HandleResponse(0, gossip.SnapshotEnd, responseOf("near", 1))).To(BeFalse())
+		expectRequest(0)
+		Expect(client.HandleResponse(0, gossip.SnapshotEnd, responseOf("far", 1))).To(BeFalse())
 		Expect(client.Done(0)).To(BeFalse())
 	})
 
 	It("waits a while for others to become known", func() {
 		all := live
 		live = live[:1]
-		nothingDue(0)
-		nothingDue(1400 * time.Millisecond)
+		expectNothingDue(0)
+		expectNothingDue(1400 * time.Millisecond)
 		Expect(client.Done(1400 * time.Millisecond)).To(BeFalse())
 		live = all
-		asks(1450 * time.Millisecond)
+		expectRequest(1450 * time.Millisecond)
 	})
 
 	It("is done when it stands alone", func() {
 		live = live[:1]
-		nothingDue(0)
-		nothingDue(1500 * time.Millisecond)
+		expectNothingDue(0)
+		expectNothingDue(1500 * time.Millisecond)
 		Expect(client.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
 	It("gives up after five seconds, whatever is still being sent", func() {
-		sent := sent(asks(0), 1)
+		response := responseOf(expectRequest(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 			Expect(client.Done(at)).To(BeFalse())
-			client.HandleResponse(at, gossip.SnapshotChunk, sent)
-			nothingDue(at)
+			client.HandleResponse(at, gossip.SnapshotChunk, response)
+			expectNothingDue(at)
 		}
 		Expect(client.Done(5 * time.Second)).To(BeTrue())
 	})
 
 	It("is done when all have sent that they know nothing, but not before it can know them all", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
-			client.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
+			client.HandleResponse(at, gossip.SnapshotEnd, responseOf(expectRequest(at), 0))
 		}
-		nothingDue(time.Second)
+		expectNothingDue(time.Second)
 		Expect(client.Done(time.Second)).To(BeFalse())
-		nothingDue(1500 * time.Millisecond)
+		expectNothingDue(1500 * time.Millisecond)
 		Expect(client.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
@@ -116,9 +116,9 @@
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
-			client.HandleResponse(at, gossip.SnapshotEnd, sent(asks(at), 0))
+			client.HandleResponse(at, gossip.SnapshotEnd, responseOf(expectRequest(at), 0))
 		}
-		nothingDue(10 * time.Millisecond)
+		expectNothingDue(10 * time.Millisecond)
 	})
 })
 
@@ -136,12 +136,12 @@
 		return gossip.Report{Address: address, Complete: true, Changes: make([]gossip.Change, changes)}, address != "unknown"
 	}
 	// told is what a send tells: to whom, at what stage, of which back ends.
-	sent := func(send gossip.Outbound) string {
+	describe := func(send gossip.Outbound) string {
 		addresses := lo.Map(send.Batch.Updates[0].Reports, func(report gossip.Report, _ int) string { return report.Address })
 		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == gossip.SnapshotEnd, " ", addresses)
 	}
 	tick := func() []string {
-		return lo.Map(snapshots.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return sent(send) })
+		return lo.Map(snapshots.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return describe(send) })
 	}
 
 	It("sends what it knows in parts, each tick about as much as a small link carries", func() {
