--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -19,18 +19,19 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// maxSelections bounds how often one attempt selects. What it has selected may be of no use
-// any more: the view may have changed meanwhile, or another request may have got the last
-// permit of a back end in slow start.
+// maxSelections is the maximum number of selections for one attempt. A selected back end can
+// become ineligible before the attempt is sent: the view may have changed in the meantime, or
+// another request may have acquired the last permit of a back end in slow start.
 const maxSelections = 8
 
-// DefaultBackendRetry is when a caller may retry where no attempt says it.
+// DefaultBackendRetry is the time after which a caller may retry a failed request if
+// neither the settings nor a back end specify one.
 const DefaultBackendRetry = time.Second
 
 // Options configure a Dispatcher. All but StartupGate are required; MaxUnsent and BackendRetry
 // may be 0.
 type Options struct {
-	// Source provides control state.
+	// Source provides the newest view of control state.
 	Source routing.Source
 	// Clock returns the time elapsed on a clock that counts suspended time.
 	Clock func() time.Duration
@@ -38,34 +39,37 @@
 	Zone string
 	// Replicas and WebServices send attempts.
 	Replicas, WebServices edges.BackendEdge
-	// IDs makes the identities of attempts.
+	// IDs generates the identifiers of attempts.
 	IDs *requestid.Generator
-	// Router chooses replicas, and Naming is how these name the chunks of prompts: by
-	// chain hashes, or by the caller's names.
+	// Router selects replicas. Naming is how the replicas identify the chunks of prompts:
+	// by chain hashes, or by IDs that the caller assigns.
 	Router *kvrouter.Router
 	Naming kvrouter.Naming
-	// StartupGate delays prompts after the start of the node; nil for no delay.
+	// StartupGate delays the requests to pools after the start of the node; nil for no
+	// delay.
 	StartupGate *startupgate.Gate
-	// Health learns the outcomes of attempts. Together with Quarantine and StaleBackends
-	// it says which back ends are avoided.
+	// Health records the outcomes of attempts. Together with Quarantine and StaleBackends,
+	// it determines which back ends are avoided.
 	Health        *health.Tracker
 	Quarantine    *health.Quarantine
 	StaleBackends *health.StaleBackends
-	// SlowStart limits the attempts on back ends that have started lately.
+	// SlowStart limits the attempts on back ends that have started recently.
 	SlowStart *warmup.Limiter
-	// Updates gets what the other nodes are to learn of attempts.
+	// Updates collects what is reported to the other nodes about attempts.
 	Updates *gossip.Outgoing
-	// MaxAttempts bounds the attempts of a request whose route does not.
+	// MaxAttempts is the maximum number of attempts per request on routes that do not
+	// configure one.
 	MaxAttempts int
-	// MaxUnsent is how many attempts that could not be sent a request may have beyond
-	// MaxAttempts.
+	// MaxUnsent is how many attempts of a request that could not be sent do not count
+	// towards MaxAttempts.
 	MaxUnsent int
-	// BackendRetry is when a caller may retry after a failure of a back end.
+	// BackendRetry is the time after which a caller may retry after a failure of a back
+	// end.
 	BackendRetry time.Duration
 }
 
-// Dispatcher is the last handler of the chain: it runs attempts as the request's
-// attempts.Tracker asks for them, and responds.
+// Dispatcher is the last handler of the chain: it runs the attempts that the request's
+// attempts.Tracker asks for, and responds to the caller.
 type Dispatcher struct {
 	options     Options
 	inFlight    *inFlight
@@ -109,7 +113,7 @@
 	}
 }
 
-// selectorFor returns what selects the back ends of a request.
+// selectorFor returns the selector for the kind of destination of a request.
 func (d *Dispatcher) selectorFor(r *pendingRequest) selector {
 	if r.Destination.WebService != nil {
 		return d.webServices
@@ -117,12 +121,12 @@
 	return d.pools
 }
 
-// dispatch runs one attempt, or records why there can be none.
+// dispatch runs one attempt, or records why no attempt is possible.
 func (d *Dispatcher) dispatch(r *pendingRequest, attempt int) {
 	chosen, callerError := d.choose(r)
 	if callerError == nil && r.Context.Err() != nil {
-		// The deadline passed, or the caller disconnected, while the attempt was delayed.
-		// Handle records which.
+		// The deadline passed, or the caller disconnected, before the attempt was sent.
+		// Handle records which of the two happened.
 		d.release(chosen, false)
 		return
 	}
@@ -142,9 +146,9 @@
 	completed = d.run(r, chosen, attempt)
 }
 
-// choose selects a back end, waits if that makes the attempt cheaper, counts the attempt
-// in, and only then looks at the newest view again: the package comment says why in this
-// order. What it returns must be released.
+// choose selects a back end, waits if that saves the back end work, counts the attempt as
+// in flight, and only then checks the back end against the newest view again; the package
+// comment gives the reason for this order. The caller must release the returned target.
 func (d *Dispatcher) choose(r *pendingRequest) (target, *caller.Error) {
 	for range maxSelections {
 		if callerError := r.revalidate(d.options.Source); callerError != nil {
@@ -165,17 +169,18 @@
 		"the back ends are changing: send the request again").WithRetryAfter(d.options.BackendRetry)
 }
 
-// release ends an attempt that choose has counted in.
+// release ends an attempt that choose has counted as in flight.
 func (d *Dispatcher) release(chosen target, completed bool) {
 	chosen.finish(completed)
 	d.inFlight.end(chosen.address())
 }
 
 // run sends an attempt, records its outcome, and returns whether its response is
-// complete. A streamed response is relayed here, any other one by respond.
+// complete. A streamed or overlong response is relayed here, any other response by respond.
 //
-// That bytes may have left is recorded only after send, which says whether any have: the
-// tracker belongs to this goroutine, so that nobody reads it in between.
+// run records only after send that bytes may have left, because the result of send tells
+// whether any have. This is safe because the tracker belongs to this goroutine: no other
+// goroutine reads it in the meantime.
 func (d *Dispatcher) run(r *pendingRequest, chosen target, attempt int) bool {
 	r.apply(attempts.Event{Kind: attempts.AttemptPlanned, Attempt: attempt, Address: chosen.address()})
 	r.apply(attempts.Event{Kind: attempts.ConnectStarted, Attempt: attempt})
@@ -201,9 +206,10 @@
 	return true
 }
 
-// receive reads a response to its end. A stream is relayed as it arrives, and so is a
-// response that is too long to be buffered. A stream that is resumed goes on within the
-// response that the caller already gets, so only another stream can continue it.
+// receive reads a response to its end. Streams, and responses that are too long to be
+// buffered, are relayed as they arrive. When a truncated stream is resumed, the new response
+// continues the one that the caller is already receiving. So it must be a stream as well,
+// with status 200.
 func (d *Dispatcher) receive(r *pendingRequest, chosen target, attempt int, received edges.Response) error {
 	if r.relaying && (!received.Streamed() || received.Status() != http.StatusOK) {
 		return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the stream was not taken up: the back end answered with status %d", received.Status())}
--- a/internal/dataplane/dispatch/doc.go
+++ b/internal/dataplane/dispatch/doc.go
@@ -1,27 +1,29 @@
 // Package dispatch runs the attempts of a request on back ends, and responds to its caller.
 //
 // Dispatcher is the last handler of the chain. For each request it asks an
-// attempts.Tracker what to do next, does that, and records what came of it, until the
-// tracker asks for a response:
+// attempts.Tracker for the next action, performs the action, and records its outcome, until
+// the tracker asks for a response. The files contain:
 //
-//	pending_request.go a request in the dispatcher, and what is looked at again before
+//	pending_request.go a request in the dispatcher, and the checks that are repeated before
 //	                   each attempt
-//	selector.go        what selects back ends (selector), and a back end selected for one
-//	                   attempt (target)
-//	pool_selector.go   the replicas of pools: candidates, and the choice among them
-//	router_request.go  what the router of pkg/kvrouter is asked
+//	selector.go        the interfaces of selectors, and of back ends selected for one
+//	                   attempt (targets)
+//	pool_selector.go   the selection of a replica of a pool
+//	router_request.go  the request to the router of pkg/kvrouter
 //	replica_target.go  a replica selected for an attempt
-//	web_selector.go    the back ends of web services, and one selected for an attempt
-//	outcome.go         what the end of an attempt means, and the final response
-//	relay.go           how a response gets to the caller
-//	in_flight.go       attempts that are running, by back end
+//	web_selector.go    the selection of a back end of a web service, and a back end selected
+//	                   for an attempt
+//	outcome.go         the handling of the outcome of an attempt, and the final response
+//	relay.go           the relaying of responses to the caller
+//	in_flight.go       the number of running attempts on each back end
 //
-// The order in Dispatcher.choose is an invariant: an attempt is counted in before the newest
-// view is looked at for the last time. Control publishes a view in which a back end does not
-// admit, and then reads the count, so that one of the two sees the other.
+// The order of the steps in Dispatcher.choose is an invariant: an attempt is counted as in
+// flight before the back end is checked against the newest view for the last time. Control
+// first publishes a view in which a back end admits no requests and then reads the count of
+// its attempts. So either the dispatcher sees the new view, or control sees the attempt.
 //
 // A request, with its tracker and its health.Attempt, belongs to the goroutine that serves
-// it. What the Options give is shared by all requests and guards itself. The two kinds of
-// back ends stay in this package, because they read and fill the dispatcher's view of a
-// request, which would otherwise be exported for them alone.
+// it. The components in Options are shared by all requests and synchronize access
+// themselves. The selectors and targets of both kinds of back ends are in this package
+// because they read and modify pendingRequest, which would otherwise have to be exported.
 package dispatch
--- a/internal/dataplane/dispatch/in_flight.go
+++ b/internal/dataplane/dispatch/in_flight.go
@@ -13,16 +13,17 @@
 	return &inFlight{counts: make(map[string]int)}
 }
 
-// begin counts an attempt in. It precedes the last look at the newest view: control first
-// publishes a view in which a back end does not admit and then reads the count, so one of
-// the two sees the other.
+// begin counts an attempt as in flight. The dispatcher calls it before it checks the newest
+// view for the last time. Control first publishes a view in which a back end admits no
+// requests and then reads the count, so either the dispatcher sees the new view, or control
+// sees the attempt.
 func (f *inFlight) begin(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.counts[address]++
 }
 
-// end counts an attempt out.
+// end removes an attempt from the count.
 func (f *inFlight) end(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/dataplane/dispatch/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -14,8 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/outlier"
 )
 
-// versionMismatchError reports a response that was produced by other weights than the
-// cache salt of its request is for.
+// versionMismatchError reports a response that was produced by another weight version than
+// the one that the cache salt of its request is for.
 type versionMismatchError struct {
 	expected, actual string
 }
@@ -36,7 +36,8 @@
 	}
 	r.apply(attempts.Event{Kind: attempts.BytesMayHaveLeft, Attempt: attempt})
 	if sendError == nil {
-		// The back end has responded, with a refusal or with what is not relayed.
+		// The back end has responded, with a refusal or with a response that must not be
+		// relayed.
 		d.options.Health.RecordResponse(chosen.address())
 	}
 	var refusal *outbound.RefusedError
@@ -55,8 +56,8 @@
 	d.recordLoss(r, attempt, err)
 }
 
-// recordUnsent returns why nothing was sent. It counts that against the back end, unless
-// the cause is this node's own limit of connections.
+// recordUnsent returns the error for an attempt that was not sent. It counts the failure
+// against the back end, unless the cause is this node's own limit of connections.
 func (d *Dispatcher) recordUnsent(r *pendingRequest, unsent *outbound.Error) *caller.Error {
 	wait := d.options.BackendRetry
 	var atLimit *outbound.ConnectionLimitError
@@ -69,8 +70,8 @@
 		"the back end could not be reached: send the request again").WithRetryAfter(wait)
 }
 
-// recordLoss records that an attempt which was sent got no complete response, so that it is
-// not known whether the request has run.
+// recordLoss records that an attempt may have been sent but got no complete and usable
+// response, so that it is unknown whether the request has run.
 func (d *Dispatcher) recordLoss(r *pendingRequest, attempt int, err error) {
 	var failed *outbound.FailedResponseError
 	var disconnected *callerDisconnectedError
@@ -79,11 +80,12 @@
 	case errors.As(err, &disconnected):
 		r.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 	case errors.As(err, &failed):
-		// A back end that responds is not suspected of being dead.
+		// The back end has responded, so it is not suspected of being unreachable.
 		d.countUnlessCancelled(r, outlier.Errored)
 	case errors.As(err, &otherWeights):
-		// The roll-out has not reached the view yet. That is no failure of the back end,
-		// and temporary, so that it is avoided for a while but not ejected.
+		// The view does not contain the new weight version yet. This is temporary and not
+		// a failure of the back end, so the back end is avoided for a while but not
+		// ejected.
 		d.options.Health.Suspect(d.options.Clock(), r.health.Address)
 	default:
 		d.countUnlessCancelled(r, outlier.Reset)
@@ -146,14 +148,15 @@
 	}
 }
 
-// finalError returns the last error, with the tracker's statement whether the request may
-// have run.
+// finalError returns the last error, marked with whether the request may have run according
+// to the tracker.
 func (r *pendingRequest) finalError() *caller.Error {
 	callerError := r.lastError
 	if callerError == nil {
 		callerError = caller.NewError(caller.KindNoBackend, "no attempt was possible: send the request again").WithRetryAfter(DefaultBackendRetry)
 	}
-	// A lost claim may have let another node run the request.
+	// The last error may say by itself that the request may have run: if this node has lost
+	// its claim, another node may have run the request.
 	callerError.MayHaveRun = callerError.MayHaveRun || r.tracker.MayHaveRun()
 	if r.tracker.MayHaveRun() {
 		callerError.RetryIsSafe = false
--- a/internal/dataplane/dispatch/pending_request.go
+++ b/internal/dataplane/dispatch/pending_request.go
@@ -16,12 +16,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// pendingRequest is a request that has no complete response yet, with what its attempts have
-// left behind. It belongs to the request's goroutine.
+// pendingRequest is a request that has no complete response yet, with the state that its
+// attempts share. It belongs to the request's goroutine.
 type pendingRequest struct {
 	*exchange.Exchange
 	tracker *attempts.Tracker
-	// tried holds the back ends of earlier attempts, of which there are few.
+	// tried holds the addresses of the back ends of earlier attempts. It is a slice because
+	// a request has few attempts.
 	tried []string
 	// lastError is why the last attempt, or the last selection, failed.
 	lastError *caller.Error
@@ -29,15 +30,17 @@
 	health *health.Attempt
 	// buffered is the response that the tracker's Relay action writes.
 	buffered *bufferedResponse
-	// relaying reports whether the header of a response went to the caller. From then on
-	// only the rest of that response can follow, or its abort. lastEventID identifies the
-	// last event that went to the caller; "" if events have no identity.
+	// relaying reports whether the header of a response that is relayed as it arrives has
+	// been sent to the caller. From then on, the response can only be continued or aborted.
+	// lastEventID is the ID of the last event that was sent to the caller; "" if events have
+	// no IDs.
 	relaying    bool
 	lastEventID string
 }
 
-// revalidate looks at the newest view again: a key may have been revoked, or the node may
-// have been partitioned, while the request waited.
+// revalidate checks the request against the newest view: while the request waited, its key may
+// have been revoked, the node may have been partitioned, or the node's claim on the request
+// may have become invalid.
 func (r *pendingRequest) revalidate(source routing.Source) *caller.Error {
 	view, callerError := servingcheck.View(source)
 	if callerError != nil {
@@ -57,7 +60,7 @@
 	return r.Claim == nil || r.Claim.Valid()
 }
 
-// recordContextEnd records the end of the request's context.
+// recordContextEnd records whether the request's context has ended, and why.
 func (r *pendingRequest) recordContextEnd() {
 	if r.Context.Err() == nil {
 		return
@@ -69,15 +72,16 @@
 	r.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 }
 
-// apply applies an event. One that does not fit is a bug of this package, and going on
-// could run a request twice.
+// apply applies an event to the tracker. It panics if the tracker rejects the event: that is a
+// bug in this package, and to continue could run a request twice.
 func (r *pendingRequest) apply(event attempts.Event) {
 	if err := r.tracker.Apply(event); err != nil {
 		panic(err)
 	}
 }
 
-// maxAttempts is the route's bound of attempts, or the default.
+// maxAttempts returns the maximum number of attempts of the route, or fallback if the route
+// does not configure one.
 func (r *pendingRequest) maxAttempts(fallback int) int {
 	if limit := r.Route.Config.GetMaxAttempts(); limit > 0 {
 		return int(limit)
@@ -85,8 +89,8 @@
 	return fallback
 }
 
-// attempt describes an attempt on a back end, as far as that is the same for pools and web
-// services.
+// attempt returns the description of an attempt on a back end, with the fields that pools and
+// web services have in common.
 func (r *pendingRequest) attempt(ids *requestid.Generator, address string, number int) edges.Attempt {
 	described := edges.Attempt{
 		Address:     address,
--- a/internal/dataplane/dispatch/pool_selector.go
+++ b/internal/dataplane/dispatch/pool_selector.go
@@ -16,25 +16,25 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// poolSelector selects replicas for the requests of pools.
+// poolSelector selects replicas for the requests to pools.
 type poolSelector struct {
 	options *Options
-	// randomSources counts the sources of random numbers. Each draws its own sequence
-	// under the common seed.
+	// randomSources counts the sources of random numbers. The count is the stream number of
+	// the next source; all sources share the seed.
 	randomSources atomic.Uint64
 	seed          uint64
 }
 
-// newPoolSelector returns the selector of all pools.
+// newPoolSelector returns the selector for all pools.
 func newPoolSelector(options *Options) *poolSelector {
 	return &poolSelector{options: options, seed: rand.Uint64()}
 }
 
-// selectTarget implements selector. Replicas that failed lately are avoided as long as
-// others take requests.
+// selectTarget implements selector. Replicas that failed recently are avoided as long as other
+// replicas have capacity.
 func (s *poolSelector) selectTarget(r *pendingRequest) (target, *caller.Error) {
 	pool := s.newestPool(r)
-	// The pool may be gone since the request came, or run another model than the caller's.
+	// Since the request arrived, the pool may have been removed or changed to another model.
 	if pool == nil || pool.Config.GetModel() != r.Destination.Pool.Config.GetModel() {
 		return nil, noReplicaError(&kvrouter.NoReplicaError{Reason: kvrouter.NoCandidates}, s.options.BackendRetry)
 	}
@@ -60,7 +60,7 @@
 	}, nil
 }
 
-// selectionResultOf returns how a selection of the router ended.
+// selectionResultOf converts the error of a selection by the router.
 func selectionResultOf(err error) health.SelectionResult {
 	var none *kvrouter.NoReplicaError
 	switch {
@@ -72,8 +72,9 @@
 	return health.NoneLeft
 }
 
-// newestPool returns the request's pool in the newest view, or nil if it is gone. It makes the
-// back ends of that view known to the health tracker first.
+// newestPool returns the request's pool in the newest view, or nil if that view does not
+// contain it. Before that, it passes the view to the health tracker, which tracks the view's
+// back ends.
 func (s *poolSelector) newestPool(r *pendingRequest) *routing.Pool {
 	view := s.options.Source.View()
 	if view == nil {
@@ -83,8 +84,8 @@
 	return view.Pools[r.Destination.Pool.Config.GetName()]
 }
 
-// candidates returns the replicas of a pool that requests may go to. A replica whose
-// weight version is not confirmed is none: no cache salt could be right.
+// candidates returns the replicas of a pool to which requests may be sent. A replica whose
+// weight version is not confirmed is left out, because the correct cache salt is unknown.
 func (s *poolSelector) candidates(now time.Duration, pool *routing.Pool) []kvrouter.Candidate {
 	candidates := make([]kvrouter.Candidate, 0, len(pool.Replicas))
 	for _, replica := range pool.Replicas {
@@ -103,7 +104,7 @@
 	return candidates
 }
 
-// noReplicaError reports why no replica was chosen.
+// noReplicaError returns the error for the caller if no replica was selected.
 func noReplicaError(err error, wait time.Duration) *caller.Error {
 	kind := caller.KindNoBackend
 	var none *kvrouter.NoReplicaError
@@ -116,23 +117,24 @@
 	return caller.NewError(kind, "%v", err).WithRetryAfter(wait)
 }
 
-// mayUse reports whether requests under a weight version may go to a replica, and whether
-// other replicas may pull chunks from it.
+// mayUse reports whether requests for a weight version may be sent to a replica. Only then may
+// other replicas pull chunks of that version from it.
 func (s *poolSelector) mayUse(pool *routing.Pool, address, weightVersion string) bool {
 	found, admits := findAdmitting(pool, address, weightVersion)
 	return admits && !s.options.Quarantine.Contains(address, weightVersion) &&
 		!s.options.StaleBackends.Contains(s.options.Clock(), found)
 }
 
-// findAdmitting returns a pool's replica if it admits requests of a version.
+// findAdmitting returns the pool's replica at an address, if the replica admits requests and
+// has the weight version.
 func findAdmitting(pool *routing.Pool, address, weightVersion string) (routing.Replica, bool) {
 	return lo.Find(pool.Replicas, func(candidate routing.Replica) bool {
 		return candidate.Address == address && candidate.Admitting && candidate.WeightVersion == weightVersion
 	})
 }
 
-// announceDispatch tells the other nodes where the chunks of a request will be cached, so
-// that they predict it as this node does.
+// announceDispatch queues an update that tells the other nodes where the chunks of a request
+// will be cached, so that their routers predict the same cache contents as this node's.
 func (s *poolSelector) announceDispatch(attempt edges.Attempt) {
 	if len(attempt.Generation.Chunks) == 0 {
 		return
--- a/internal/dataplane/dispatch/relay.go
+++ b/internal/dataplane/dispatch/relay.go
@@ -11,14 +11,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// bufferedResponse is a complete response that has not been relayed.
+// bufferedResponse is a complete response that has not been written to the caller yet.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// callerDisconnectedError reports that bytes could not be written to the caller, who has
+// callerDisconnectedError reports that a write to the caller failed because the caller has
 // disconnected.
 type callerDisconnectedError struct {
 	cause error
@@ -29,9 +29,10 @@
 	return "the caller takes no more of the answer: " + e.cause.Error()
 }
 
-// relay relays a response as it arrives, beginning with the data that has been read, or
-// with err if there is none. A streamed response gets its status line only here, once its
-// first data or its end has arrived, so that an earlier loss can still be retried.
+// relay relays a response as it arrives, beginning with the data that has already been read;
+// err is the error of that read, if any. The status line is written only here, when the first
+// data or the end of the response has arrived, so that the request can still be retried if the
+// connection is lost earlier.
 func (d *Dispatcher) relay(r *pendingRequest, attempt int, received edges.Response, data []byte, err error) error {
 	r.apply(attempts.Event{Kind: attempts.ResponseStarted, Attempt: attempt})
 	if !r.relaying {
@@ -55,14 +56,14 @@
 	return err
 }
 
-// isCompleteEnd reports whether Next has said that a response is complete. Only the bare
-// io.EOF says so: an error that wraps one reports a truncation.
+// isCompleteEnd reports whether an error of Response.Next means that the response is complete.
+// Only a bare io.EOF does: an error that wraps io.EOF reports a truncated response.
 func isCompleteEnd(err error) bool {
 	return err == io.EOF //nolint:errorlint // a wrapped io.EOF is a truncated response
 }
 
-// abortRelay ends a truncated response so that nobody mistakes it for a complete one:
-// with an error event where the response is a stream of events, and then by aborting the
+// abortRelay ends a truncated response so that the caller cannot mistake it for a complete
+// one: it writes an error event if the response is an event stream, and then aborts the
 // connection.
 func (d *Dispatcher) abortRelay(r *pendingRequest) {
 	r.Failed = true
@@ -73,8 +74,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeErrorEvent reports the truncation inside the stream, where the protocol has an
-// event for that.
+// writeErrorEvent reports the truncation to the caller with an event in the stream, if the
+// caller's protocol defines such an event.
 func (r *pendingRequest) writeErrorEvent() {
 	event := r.Edges.Callers.ErrorEvent(r.truncationError())
 	if len(event) == 0 {
@@ -93,7 +94,7 @@
 	r.Counters.CountTruncated()
 }
 
-// truncationError reports a truncated response.
+// truncationError returns the error for a truncated response.
 func (r *pendingRequest) truncationError() *caller.Error {
 	callerError := r.finalError()
 	callerError.Kind = caller.KindResponseTruncated
@@ -105,8 +106,8 @@
 	return callerError
 }
 
-// writeBuffered writes a buffered response. There is none if the response was relayed as
-// it arrived.
+// writeBuffered writes the buffered response, if there is one: a response that was relayed as
+// it arrived is not buffered.
 func (r *pendingRequest) writeBuffered() {
 	if r.buffered == nil {
 		return
--- a/internal/dataplane/dispatch/replica_target.go
+++ b/internal/dataplane/dispatch/replica_target.go
@@ -12,21 +12,21 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// spareCapacityFraction is the fraction of its slots up to which a replica certainly has
-// free ones.
+// spareCapacityFraction is the fraction of a replica's slots in use below which the replica
+// is assumed to have free slots.
 const spareCapacityFraction = 0.5
 
-// replicaTarget is a replica chosen for one attempt.
+// replicaTarget is a replica selected for one attempt.
 type replicaTarget struct {
 	selector *poolSelector
 	decision kvrouter.Decision
-	// limits are those of the pool's back ends, in slow start among others.
+	// limits are the limits of the pool's back ends, such as the request rate in slow start.
 	limits *ridgeswitchv1.BackendLimits
 	// slowStartUntil is when the slow start of the replica ends.
 	slowStartUntil time.Duration
-	// slots is how many requests the replica runs at a time; 0 when that is not known.
+	// slots is how many requests the replica runs at a time; 0 if unknown.
 	slots int
-	// targetVersion is the weight version that the pool's replicas are to load.
+	// targetVersion is the weight version that the configuration sets for the pool.
 	targetVersion string
 }
 
@@ -35,8 +35,8 @@
 	return t.decision.Address
 }
 
-// waitBeforeSend implements target: the replica may be about to finish the prefill of
-// chunks that the request shares with an earlier one.
+// waitBeforeSend implements target: it waits for the prefill of an earlier request that
+// shares chunks with this one, if the router decided so.
 func (t *replicaTarget) waitBeforeSend(r *pendingRequest) {
 	awaited := t.decision.Wait
 	if awaited == nil {
@@ -91,7 +91,7 @@
 	return received, nil
 }
 
-// attempt describes the attempt to the replica.
+// attempt returns the description of an attempt on the replica.
 func (t *replicaTarget) attempt(r *pendingRequest, number int) edges.Attempt {
 	described := r.attempt(t.selector.options.IDs, t.decision.Address, number)
 	described.Generation = &edges.Generation{
@@ -109,8 +109,8 @@
 	return described
 }
 
-// pull returns the planned pull if its source may still be used: the pool's store, or an
-// admitting replica of the same version. It returns nil if nothing is to be pulled.
+// pull returns the planned pull if its source is the pool's store or a replica of the same
+// weight version that may still be used. Otherwise, or if no pull is planned, it returns nil.
 func (t *replicaTarget) pull(r *pendingRequest) *edges.Pull {
 	planned := t.decision.Pull
 	pool := t.selector.newestPool(r)
@@ -123,7 +123,8 @@
 	return &edges.Pull{Source: planned.Source, FirstChunk: planned.FirstChunk, LastChunk: planned.LastChunk}
 }
 
-// checkVersion rejects responses that were produced by other weights.
+// checkVersion returns an error for a response that was produced by another weight version
+// than the selected one.
 func (t *replicaTarget) checkVersion(received edges.Response) error {
 	actual := received.WeightVersion()
 	if actual == "" {
@@ -148,8 +149,8 @@
 	}, refusal)
 }
 
-// hasSpareCapacity implements target. A replica that is to load other weights takes no
-// requests while it does.
+// hasSpareCapacity implements target. A replica that has to load another weight version
+// refuses requests while it loads.
 func (t *replicaTarget) hasSpareCapacity() bool {
 	options := t.selector.options
 	now := options.Clock()
--- a/internal/dataplane/dispatch/router_request.go
+++ b/internal/dataplane/dispatch/router_request.go
@@ -9,14 +9,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// waitDivisor divides the time left until the deadline: the quotient is the longest time
-// that a request may be queued at a replica, if all are at capacity.
+// waitDivisor divides the time left until the deadline. The quotient is the maximum time that
+// a request may be queued at a replica if all replicas are at capacity.
 const waitDivisor = 2
 
 // anonymousDomain is the sharing domain of requests without a key.
 const anonymousDomain = "anonymous"
 
-// routerRequest returns what the router of pkg/kvrouter is asked for the request.
+// routerRequest converts the request to a request of the router of pkg/kvrouter.
 func (s *poolSelector) routerRequest(r *pendingRequest, pool *routing.Pool, now time.Duration, exclude func(string) bool) kvrouter.Request {
 	model := pool.Config.GetModel()
 	return kvrouter.Request{
@@ -44,8 +44,8 @@
 	}
 }
 
-// random returns a source of random numbers for one selection, or nil where the
-// temperature makes it unnecessary.
+// random returns a source of random numbers for one selection, or nil if the temperature is
+// not above 0, so that the selection is deterministic.
 func (s *poolSelector) random(temperature float64) *rand.Rand {
 	if temperature <= 0 {
 		return nil
@@ -53,8 +53,9 @@
 	return rand.New(rand.NewPCG(s.seed, s.randomSources.Add(1)))
 }
 
-// sharingDomain returns the tenant's domain in the newest view, because a wall
-// may have gone up while the request waited.
+// sharingDomain returns the tenant's sharing domain in the newest view. The newest view counts
+// because the tenant may have been separated from others (WallTenant) while the request
+// waited.
 func (r *pendingRequest) sharingDomain(view *routing.View) string {
 	if view != nil {
 		if tenant := view.Tenants[r.KeyDigest]; tenant != nil {
@@ -67,8 +68,8 @@
 	return r.Tenant.SharingDomain
 }
 
-// engineProfile describes a pool's engine to the router, or is nil if the
-// configuration does not.
+// engineProfile returns the engine profile of a pool for the router, or nil if the
+// configuration does not describe the engine.
 func engineProfile(pool *routing.Pool) *kvrouter.EngineProfile {
 	engine := pool.Config.GetEngine()
 	if engine == nil {
@@ -84,8 +85,8 @@
 	}
 }
 
-// routerSettings returns the router's settings of a pool: the configured ones, or the
-// defaults for engines that are described or not.
+// routerSettings returns the router settings of a pool: the configured settings, or the
+// defaults for pools with or without an engine profile.
 func routerSettings(pool *routing.Pool) kvrouter.Settings {
 	if pool.Config.GetEngine() == nil || pool.Config.GetRouting() != nil {
 		return kvrouter.SettingsFrom(pool.Config.GetRouting())
@@ -93,8 +94,8 @@
 	return kvrouter.DefaultEngineSettings()
 }
 
-// maxWait returns how long a request may be queued at a replica that is at capacity; 0 if
-// the request has no deadline.
+// maxWait returns the maximum time that a request may be queued at a replica that is at
+// capacity; 0 if the request has no deadline.
 func maxWait(r *pendingRequest) time.Duration {
 	deadline, bounded := r.Context.Deadline()
 	if !bounded {
--- a/internal/dataplane/dispatch/web_selector.go
+++ b/internal/dataplane/dispatch/web_selector.go
@@ -13,22 +13,22 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// webSelector selects back ends for the requests of web services.
+// webSelector selects back ends for the requests to web services.
 type webSelector struct {
 	options  *Options
 	inFlight *inFlight
-	// rotation rotates the choice among equally loaded back ends.
+	// rotation counts the selections. It rotates the choice among equally loaded back ends.
 	rotation atomic.Uint64
 }
 
-// newWebSelector returns the selector of all web services.
+// newWebSelector returns the selector for all web services.
 func newWebSelector(options *Options, running *inFlight) *webSelector {
 	return &webSelector{options: options, inFlight: running}
 }
 
-// selectTarget implements selector: of the admitting back ends, the one with the fewest
-// attempts in flight through this node wins. Back ends that failed lately are avoided as long
-// as there are others.
+// selectTarget implements selector. It selects the back end with the fewest attempts in flight
+// through this node, among those that admit requests. Back ends that failed recently are
+// avoided as long as there are others.
 func (s *webSelector) selectTarget(r *pendingRequest) (target, *caller.Error) {
 	service := s.newestService(r)
 	if service == nil {
@@ -52,14 +52,15 @@
 	return &webTarget{selector: s, chosen: chosen, limits: service.Config.GetBackends()}, nil
 }
 
-// slowStartExhausted reports whether a back end is in slow start and takes no more
-// requests now.
+// slowStartExhausted reports whether a back end is in slow start and its rate limit is
+// exhausted.
 func (s *webSelector) slowStartExhausted(now time.Duration, service *routing.WebService, candidate routing.Replica) bool {
 	return now < candidate.SlowStartUntil && !s.options.SlowStart.Allowed(now, service.Config.GetBackends(), candidate.Address)
 }
 
-// newestService returns the request's service in the newest view, or nil if it is gone. It
-// makes the back ends of that view known to the health tracker first.
+// newestService returns the request's service in the newest view, or nil if that view does not
+// contain it. Before that, it passes the view to the health tracker, which tracks the view's
+// back ends.
 func (s *webSelector) newestService(r *pendingRequest) *routing.WebService {
 	view := s.options.Source.View()
 	if view == nil {
@@ -69,8 +70,8 @@
 	return view.WebServices[r.Destination.WebService.Config.GetName()]
 }
 
-// fewestInFlight returns the admitting back end with the fewest attempts in flight. Among
-// equals the rotation decides, so that idle back ends get requests in turn.
+// fewestInFlight returns the back end with the fewest attempts in flight, among those that
+// admit requests. The rotation breaks ties, so that idle back ends get requests in turn.
 func (s *webSelector) fewestInFlight(service *routing.WebService, exclude func(routing.Replica) bool) (routing.Replica, bool) {
 	best, bestCount, found := routing.Replica{}, 0, false
 	total := uint64(len(service.Replicas))
@@ -88,13 +89,13 @@
 	return best, found
 }
 
-// noWebBackendError reports that no back end admits requests.
+// noWebBackendError returns the error for the caller if no back end can be selected.
 func noWebBackendError() *caller.Error {
 	return caller.NewError(caller.KindNoBackend,
 		"no back end of the web service takes requests: send the request again")
 }
 
-// webTarget is a back end chosen for one attempt.
+// webTarget is a back end selected for one attempt.
 type webTarget struct {
 	selector *webSelector
 	chosen   routing.Replica
@@ -144,9 +145,10 @@
 	t.selector.options.recordWrongTarget(t.chosen, refusal)
 }
 
-// hasSpareCapacity implements target. What the other nodes have sent is not known, so that a
-// back end may be at capacity nevertheless. Its refusals then count as failures, and only the
-// comparison with the other back ends keeps it from being ejected.
+// hasSpareCapacity implements target. It counts only the attempts of this node, so a back end
+// for which it returns true may still be at capacity because of requests from other nodes. The
+// refusals of such a back end count as failures, and only the comparison with the other back
+// ends keeps it from being ejected.
 func (t *webTarget) hasSpareCapacity() bool {
 	return t.selector.inFlight.count(t.chosen.Address) < t.chosen.Slots
 }
