--- a/internal/dataplane/destinations/destinations.go
+++ b/internal/dataplane/destinations/destinations.go
@@ -1,8 +1,8 @@
 // Package destinations counts the requests to each pool and web service on this node by
-// their outcomes, and bounds their retries.
+// their outcomes, and limits their retries.
 //
-// A Set owns the state of every destination that was ever routed to; a State belongs to
-// one of them. Both read no clock, and may be used concurrently.
+// A Set owns the States of all destinations to which requests have been routed. Neither
+// type reads a clock. Both may be used concurrently.
 package destinations
 
 import (
@@ -29,21 +29,22 @@
 	refusals map[caller.Kind]uint64
 }
 
-// Set holds the state of every destination that was ever routed to. Its size is
-// bounded by the names that the configuration has had.
+// Set holds the state of every destination to which requests have been routed. States are
+// never removed; their number is bounded by the number of destination names that
+// configurations have contained since the node started.
 type Set struct {
 	budget retrybudget.Options
 	mutex  sync.Mutex
 	states map[key]*State
 }
 
-// New returns an empty set, in which each destination gets its own retry
-// budget.
+// New returns an empty set. Each destination gets its own retry budget with the given
+// options.
 func New(budget retrybudget.Options) *Set {
 	return &Set{budget: budget, states: make(map[key]*State)}
 }
 
-// State returns the state of a destination.
+// State returns the state of a destination, and creates it at the first call.
 func (s *Set) State(destination routing.Destination) *State {
 	key := keyOf(destination)
 	s.mutex.Lock()
@@ -86,7 +87,7 @@
 }
 
 // PermitAttempt counts an attempt, or returns false if the retry budget does not permit it.
-// Sent is how many earlier attempts of the request may have left this node; until one has,
+// Sent is the number of earlier attempts of the request that may have been sent; if it is 0,
 // every attempt is permitted.
 func (s *State) PermitAttempt(now time.Duration, sent, attempt int) bool {
 	s.mutex.Lock()
@@ -97,8 +98,8 @@
 		return true
 	}
 	if sent == 0 {
-		// Nothing of the earlier attempts left this node, so this is the first that a
-		// back end gets.
+		// No earlier attempt was sent, so this one is the first that puts load on a
+		// back end.
 		s.stats.Retries++
 		return true
 	}
--- a/internal/dataplane/destinations/stats.go
+++ b/internal/dataplane/destinations/stats.go
@@ -20,9 +20,10 @@
 	Name string
 	// WebService distinguishes a web service from a pool.
 	WebService bool
-	// FirstAttempts counts requests for which a back end was chosen.
+	// FirstAttempts counts the requests for which a back end was selected.
 	FirstAttempts uint64
-	// Retries counts their further attempts, also those after one that could not be sent.
+	// Retries counts the further attempts of these requests, including those after an
+	// attempt that could not be sent.
 	Retries uint64
 	// RetriesDenied counts retries that the retry budget did not permit.
 	RetriesDenied uint64
@@ -34,8 +35,9 @@
 	Abandoned uint64
 	// Refusals are sorted by kind.
 	Refusals []RefusalCount
-	// Ejected and Suspected count the back ends that get next to no requests now: those
-	// that failed a fraction of them, and those that could not be reached.
+	// Ejected and Suspected count the back ends that currently get almost no requests:
+	// Ejected those that failed too large a fraction of their requests, and Suspected those
+	// that could not be reached.
 	Ejected, Suspected int
 	// Ejections counts how often a back end was ejected.
 	Ejections uint64
@@ -43,7 +45,7 @@
 	Outcomes []OutcomeCount
 }
 
-// OutcomeCount counts the attempts of one outcome, for the health of back ends.
+// OutcomeCount counts the attempts with one outcome, as the health tracker classifies them.
 type OutcomeCount struct {
 	Name  string
 	Count uint64
