--- a/internal/dataplane/exchange/observer.go
+++ b/internal/dataplane/exchange/observer.go
@@ -9,17 +9,19 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 )
 
-// Observer observes when and how the response to one request starts. A nil
-// observer does nothing.
+// Observer records when and how the response to one request starts. The methods of a nil
+// Observer do nothing.
 type Observer struct {
 	// Clock is the node's clock.
 	Clock func() time.Duration
-	// FirstByteAt and Status are those of the response or error that was written; 0 before.
+	// FirstByteAt is when the response or error started, and Status is its HTTP status; both
+	// are 0 before.
 	FirstByteAt time.Duration
 	Status      int
 	// ErrorKind is empty unless the request was refused.
 	ErrorKind caller.Kind
-	// ReusedTokens is how many tokens of the prompt the replica had cached, as it says.
+	// ReusedTokens is the number of tokens of the prompt that the replica had cached,
+	// according to its response.
 	ReusedTokens uint64
 	// Attempts is the number of the last attempt.
 	Attempts int
