--- a/internal/dataplane/edges/edges.go
+++ b/internal/dataplane/edges/edges.go
@@ -1,10 +1,10 @@
-// Package edges says what the data plane needs of the protocols that it speaks to callers
-// and back ends, and implements the native ones.
+// Package edges defines the interfaces between the data plane and the protocols that it
+// speaks with callers and back ends, and implements them for the native protocols.
 //
-// The data plane knows no header and no path of a protocol: it describes an Attempt to a
-// BackendEdge, and gets a Response. The native protocols are those of internal/edge; a platform
-// with protocols of its own gives others in their place. Implementations are used by many
-// requests at a time.
+// The data plane does not depend on the headers or paths of a protocol: it passes an Attempt
+// to a BackendEdge and gets a Response. The native protocols are those of internal/edge; a
+// platform with its own protocols provides other implementations. All implementations must
+// support concurrent use by many requests.
 package edges
 
 import (
@@ -16,9 +16,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// CallerEdge speaks the protocol of callers.
+// CallerEdge implements a protocol with callers.
 type CallerEdge interface {
-	// RequestID returns the identity that the caller gave its request, or "".
+	// RequestID returns the identity that the caller assigned to its request, or "".
 	RequestID(header http.Header) string
 	// KeyDigest returns the digest of the request's key, or false if the request has
 	// none.
@@ -29,39 +29,41 @@
 	WriteError(writer http.ResponseWriter, callerError *caller.Error)
 	// CompleteHeader adds this node's headers to those of a back end's response.
 	CompleteHeader(header http.Header, requestID string)
-	// ErrorEvent returns what is written of an error into a truncated stream before its
-	// connection is aborted; nil for nothing.
+	// ErrorEvent returns the event that reports an error in a truncated stream before the
+	// connection is aborted; nil if the protocol has no such event.
 	ErrorEvent(callerError *caller.Error) []byte
 }
 
 // BackendEdge runs attempts on back ends of one kind.
 type BackendEdge interface {
 	// Send runs one attempt up to the header of its response. It sends the request at
-	// most once. The error says what is known of the request: an *outbound.Error whether
-	// any of it may have been sent, an *outbound.RefusedError that it has not run and will
-	// not run. After any other one, such as an *outbound.InvalidResponseError or an
-	// *outbound.FailedResponseError, it may have run.
+	// most once. The type of the error tells what is known about the request: an
+	// *outbound.Error tells whether any part of it may have been sent, and an
+	// *outbound.RefusedError that it has not run and will not run. After any other error,
+	// such as an *outbound.InvalidResponseError or an *outbound.FailedResponseError, the
+	// request may have run.
 	Send(ctx context.Context, attempt Attempt) (Response, error)
 }
 
-// Set is the protocols that a node speaks to callers and back ends.
+// Set contains the implementations of the protocols that a node speaks with callers and back
+// ends.
 type Set struct {
 	Callers CallerEdge
-	// Replicas runs attempts on the replicas of pools, and WebServices those on the back
-	// ends of web services.
+	// Replicas runs attempts on the replicas of pools, and WebServices runs attempts on the
+	// back ends of web services.
 	Replicas    BackendEdge
 	WebServices BackendEdge
-	// Reports reads the reports of replicas and stores page by page; nil if they
-	// push a stream of the node's own protocol.
+	// Reports reads the reports of replicas and stores page by page; nil if replicas and
+	// stores push event streams of the native protocol instead.
 	Reports ReportReader
 }
 
 // Attempt is one attempt to have a back end run a request.
 type Attempt struct {
-	// Address is where the attempt goes.
+	// Address is the address of the back end.
 	Address string
-	// Instance names the incarnation that the attempt is for; empty for any at the
-	// address.
+	// Instance identifies the incarnation of the back end that the attempt is meant for;
+	// empty for any incarnation at the address.
 	Instance string
 	// RequestID is the identity of the request.
 	RequestID string
@@ -73,18 +75,20 @@
 	Tenant string
 	// Remaining is the time left until the deadline; 0 if there is none.
 	Remaining time.Duration
-	// Priority is that of the request, from 0, the most urgent, to routing.LowestPriority.
+	// Priority is the priority of the request, from 0, the most urgent, to
+	// routing.LowestPriority.
 	Priority uint32
 	// Idempotent reports whether the request may run more than once.
 	Idempotent bool
 	// Streamed reports whether the caller wants a stream of events.
 	Streamed bool
-	// ResumeAfter is the identity of the last event of an earlier attempt after which the
-	// stream is to resume, or "".
+	// ResumeAfter is the ID of the last event that was relayed from an earlier attempt; the
+	// stream must resume after that event. It is "" for a stream from the beginning.
 	ResumeAfter string
 	// Request is the caller's request. Its body has been read.
 	Request *http.Request
-	// Body is the caller's body, complete. It is the same for all attempts, and read only.
+	// Body is the complete body of the caller's request. All attempts share it, so it must
+	// not be modified.
 	Body []byte
 	// Generation is set for the replicas of pools.
 	Generation *Generation
@@ -96,16 +100,16 @@
 	Model string
 	// WeightVersion is the version that the cache salt is for.
 	WeightVersion string
-	// CacheSalt keeps chunks apart that must not be shared: those of other weights, and of
-	// other sharing domains.
+	// CacheSalt separates chunks that must not be shared: those of different weight versions
+	// or different sharing domains.
 	CacheSalt string
-	// Chunks are those of the prompt, in its order.
+	// Chunks are the chunks of the prompt, in order.
 	Chunks []prefixindex.Chunk
-	// OutputTokens is the caller's bound of the generated tokens; 0 if it gives none.
+	// OutputTokens is the caller's limit on the generated tokens; 0 if the caller sets none.
 	OutputTokens uint32
-	// Pull is nil if nothing is to be fetched.
+	// Pull describes the chunks to fetch; nil for none.
 	Pull *Pull
-	// SaveTo is the address of the store that the chunks are to be saved to, or "".
+	// SaveTo is the address of the store to save the chunks to, or "".
 	SaveTo string
 }
 
@@ -123,7 +127,8 @@
 	Status() int
 	// Header returns the headers that are relayed.
 	Header() http.Header
-	// WeightVersion returns the version that produced the response, or "".
+	// WeightVersion returns the weight version that produced the response, or "" if the
+	// response does not name one.
 	WeightVersion() string
 	// Streamed reports whether the response is to be relayed as it arrives.
 	Streamed() bool
@@ -131,26 +136,26 @@
 	// to be buffered.
 	ReadAll() ([]byte, bool, error)
 	// Next returns the next bytes to relay, and a bare io.EOF after a complete response.
-	// Of a stream of events it returns complete events. The bytes are valid until the
+	// For an event stream, it returns only complete events. The bytes are valid until the
 	// next call.
 	Next() ([]byte, error)
-	// LastEventID returns the identity of the last event that Next returned, or
-	// "" if events have none.
+	// LastEventID returns the ID of the last event that Next returned, or "" if events have
+	// no IDs.
 	LastEventID() string
-	// Close ends the response. Unless it was read to its end, this cancels the attempt,
-	// as far as the back end listens.
+	// Close ends the response. If the response was not read to its end, Close cancels the
+	// attempt, provided that the back end supports that.
 	Close()
 }
 
-// ReportReader reads what back ends report of the prompt chunks that they cache under
-// their own names, a page at a time. Back ends that push a stream of chained names are
-// followed by package feeds instead.
+// ReportReader reads the reports of back ends about the prompt chunks that they cache, a page
+// at a time. These reports identify chunks by the caller's IDs. The event streams of back ends
+// that identify chunks by chain hashes are read by package feeds instead.
 type ReportReader interface {
-	// Read waits up to the given time for changes after a position; the zero position
-	// starts with the oldest that the back end still has.
+	// Read waits up to the given time for changes after a position. Position 0 starts with
+	// the oldest change that the back end still has.
 	Read(ctx context.Context, address string, since uint64, wait time.Duration) (ReportPage, error)
-	// List returns everything that the back end caches. It delays the back end's work,
-	// and is for gaps that matter.
+	// List returns all chunks that the back end caches. It delays the back end's work, so it
+	// should be called only after changes were missed.
 	List(ctx context.Context, address string) (ReportPage, error)
 }
 
@@ -173,8 +178,8 @@
 	Removed   bool
 	CacheSalt string
 	Model     string
-	// ID is the caller's name of the chunk.
+	// ID is the caller's ID of the chunk.
 	ID string
-	// Tokens is how much of the chunk is cached now.
+	// Tokens is the number of tokens of the chunk that are still cached after the change.
 	Tokens uint32
 }
--- a/internal/dataplane/edges/native.go
+++ b/internal/dataplane/edges/native.go
@@ -10,8 +10,9 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/webservice"
 )
 
-// WithDefaults returns the set with the native protocols in place of those that are nil.
-// They send through sender, and buffer responses of at most maxResponseBytes.
+// WithDefaults returns the set with the native protocols in place of those that are nil,
+// except Reports. The native protocols send through sender and buffer responses of at most
+// maxResponseBytes.
 func (s Set) WithDefaults(sender *outbound.Client, maxResponseBytes int64) Set {
 	if s.Callers == nil {
 		s.Callers = nativeCaller{}
@@ -61,8 +62,8 @@
 	client *replica.Client
 }
 
-// Send implements BackendEdge. A response that leaves open whether the request has run is
-// an *outbound.FailedResponseError.
+// Send implements BackendEdge. For a response with status 500 or above, which does not tell
+// whether the request has run, it returns an *outbound.FailedResponseError.
 func (r *nativeReplica) Send(ctx context.Context, attempt Attempt) (Response, error) {
 	received, err := r.client.Generate(ctx, replicaCall(attempt))
 	if err != nil {
@@ -75,7 +76,7 @@
 	return received, nil
 }
 
-// replicaCall describes an attempt in the native protocol.
+// replicaCall converts an attempt to a call of the native protocol.
 func replicaCall(attempt Attempt) replica.Call {
 	call := replica.Call{
 		Address:      attempt.Address,
