--- a/internal/dataplane/claiming/driver.go
+++ b/internal/dataplane/claiming/driver.go
@@ -1,13 +1,14 @@
-// Package claiming runs the claims of a node: it passes the time and the messages of
-// other nodes to the state machine of pkg/claims, and lets requests wait for decisions.
+// Package claiming drives the claims of a node: it passes the time and the messages of
+// other nodes to the state machine of pkg/claims, and makes requests wait for decisions.
 //
-// It is tested, and not wired into nodes: the frames between nodes have no message for
-// claims, and control state has no directory of homes (docs/design/duplicates.md lists
-// what is missing). Until then a node refuses only the duplicates that it has seen
-// itself. The package stays with pkg/claims, because that wiring rests on both.
+// The package is tested but not yet used by nodes: the frames between nodes have no message
+// for claims, and control state has no directory of homes (docs/design/duplicates.md lists
+// what is missing). Until these exist, a node refuses only the duplicates that it has
+// received itself. The package is kept together with pkg/claims because both are needed to
+// connect claims to nodes.
 //
-// A Driver owns the state machine and the channels of the requests that wait. It may be
-// used concurrently.
+// A Driver owns the state machine and the channels of the waiting requests. It may be used
+// concurrently.
 package claiming
 
 import (
@@ -21,19 +22,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// ticksPerResend is the number of ticks between two messages to a home that has not
-// responded.
+// ticksPerResend is the number of ticks in the interval between two messages to a home that
+// has not replied.
 const ticksPerResend = 4
 
 // Options configure a Driver.
 type Options struct {
-	// Config sets up the machine. Its Incarnation must never be used twice, also not
-	// after the loss of a disk.
+	// Config configures the state machine. Its Incarnation must never be used twice, not
+	// even after the loss of a disk.
 	Config claims.Config
 	// Clock returns the time elapsed on a clock that counts suspended time.
 	Clock func() time.Duration
-	// Send sends a message to another node. It must not block; the message may
-	// be lost.
+	// Send sends a message to another node. It must not block. Messages may be lost.
 	Send func(to member.ID, message claims.Message)
 }
 
@@ -48,7 +48,7 @@
 
 var _ claimer.Claims = (*Driver)(nil)
 
-// New returns a driver whose homes start now.
+// New returns a driver. Its node acts as a home that starts now.
 func New(options Options) *Driver {
 	return &Driver{
 		options: options,
@@ -57,8 +57,8 @@
 	}
 }
 
-// SetDirectory replaces the sets of homes. The comment of package claims says
-// when a set may be left out.
+// SetDirectory replaces the sets of nodes that are homes. The comment of package claims
+// defines when a set may be removed.
 func (d *Driver) SetDirectory(sets []claims.Set) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// begin claims a key. The channel gets the decision.
+// begin claims a key. The decision is sent to the returned channel.
 func (d *Driver) begin(key claims.Key) (number claims.Number, decided chan claims.Outcome, err error) {
 	decided = make(chan claims.Outcome, 1)
 	d.do(func(now time.Duration) []claims.Outbound {
@@ -121,7 +121,7 @@
 	return number, decided, err
 }
 
-// result converts an outcome to the data plane's.
+// result converts an outcome to the results of claimer.Claims.
 func (d *Driver) result(number claims.Number, outcome claims.Outcome) (exchange.Claim, error) {
 	switch outcome {
 	case claims.Acquired:
@@ -141,8 +141,8 @@
 	})
 }
 
-// do runs a step of the state machine, delivers decisions, and sends the messages that
-// follow.
+// do runs a step of the state machine, delivers decisions to the waiting requests, and sends
+// the messages that the step returns.
 func (d *Driver) do(step func(now time.Duration) []claims.Outbound) {
 	d.mutex.Lock()
 	out := step(d.options.Clock())
@@ -158,7 +158,7 @@
 	}
 }
 
-// grantedClaim is a claim that was decided for this node.
+// grantedClaim is a claim that this node has acquired.
 type grantedClaim struct {
 	driver *Driver
 	number claims.Number
--- a/internal/dataplane/claiming/driver_test.go
+++ b/internal/dataplane/claiming/driver_test.go
@@ -25,7 +25,7 @@
 	names := []member.ID{"a", "b", "c"}
 	var drivers map[member.ID]*claiming.Driver
 	var clock atomic.Int64
-	// partitioned, while it is set, lets nothing through but to itself.
+	// partitioned drops all messages between nodes while it is set.
 	var partitioned atomic.Bool
 	var dropped chan claims.Message
 
@@ -55,7 +55,7 @@
 		return drivers[name].Claim(context.Background(), "court", "r-1")
 	}
 
-	It("lets one of several nodes run a request", func() {
+	It("grants the claim on a request to one node at a time", func() {
 		granted, err := claim("a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(granted.Valid()).To(BeTrue())
@@ -66,14 +66,14 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("loses a claim that nobody acknowledges any more", func() {
+	It("invalidates a claim that the homes have not acknowledged within the retention period", func() {
 		granted, err := claim("a")
 		Expect(err).NotTo(HaveOccurred())
 		clock.Add(int64(claims.DefaultRetention))
 		Expect(granted.Valid()).To(BeFalse())
 	})
 
-	It("says in time that too few homes respond", func() {
+	It("returns ErrClaimUndecided after the decision timeout if too few homes reply", func() {
 		partitioned.Store(true)
 		failed := make(chan error, 1)
 		go func() {
@@ -87,7 +87,7 @@
 		Expect(<-failed).To(MatchError(claimer.ErrClaimUndecided))
 	})
 
-	It("releases a claim that nobody waits for any more", func() {
+	It("releases a claim when the context of the waiting request is cancelled", func() {
 		partitioned.Store(true)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -98,7 +98,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("is undecided without a directory", func() {
+	It("returns ErrClaimUndecided without a directory", func() {
 		unconfigured := claiming.New(claiming.Options{Clock: func() time.Duration { return 0 }})
 		_, err := unconfigured.Claim(context.Background(), "court", "r-1")
 		Expect(err).To(MatchError(claimer.ErrClaimUndecided))
