--- a/internal/dataplane/duplicates/register.go
+++ b/internal/dataplane/duplicates/register.go
@@ -1,8 +1,8 @@
-// Package duplicates remembers the requests of a node, so that a request which must
-// not run twice is refused when it comes again.
+// Package duplicates records the requests of a node, so that a request that must not run
+// twice is refused when it is submitted again.
 //
-// A Register owns the requests that are running and those that ended lately and may
-// have run. It reads no clock, and may be used concurrently.
+// A Register owns the records of the requests that are running, and of those that ended
+// recently and may have run. It reads no clock and may be used concurrently.
 package duplicates
 
 import (
@@ -16,7 +16,7 @@
 	ID     string
 }
 
-// finishedRequest is a remembered request that has ended.
+// finishedRequest is a request that has ended and may have run.
 type finishedRequest struct {
 	key        Key
 	finishedAt time.Duration
@@ -24,26 +24,27 @@
 
 // registerEntry is the state of one key.
 type registerEntry struct {
-	// idempotent reports whether all submissions with the key may run again.
+	// idempotent reports whether all submissions with the key are idempotent.
 	idempotent bool
 	// running and finished count the submissions with the key.
 	running, finished int
 }
 
-// Register remembers the requests that are running and those that ended lately and
-// may have run. Running ones are bounded by the tenants' limits, finished ones by
-// number and age.
+// Register records the requests that are running, and those that ended recently and may have
+// run. The number of running requests is bounded by the limits of the tenants; finished
+// requests are bounded by number and age.
 //
-// A completely written response does not prove that the caller got it, and a caller may
-// have disconnected long before the node notices. So a request that may run again is not
-// refused because of an earlier submission that may run again too.
+// An idempotent request is not refused because of an earlier idempotent submission, because
+// the caller may have a reason to retry: a completely written response does not prove that
+// the caller has received it, and a caller may have disconnected long before the node
+// notices.
 type Register struct {
 	mutex       sync.Mutex
 	maxFinished int
 	rememberFor time.Duration
 	entries     map[Key]registerEntry
-	// finished is a ring buffer with the oldest entry at first. It grows up to
-	// maxFinished entries.
+	// finished is a ring buffer with count entries, the oldest at index first. It grows up
+	// to maxFinished entries.
 	finished []finishedRequest
 	first    int
 	count    int
@@ -52,8 +53,8 @@
 // initialFinished is the initial capacity of the ring of finished requests.
 const initialFinished = 64
 
-// New returns an empty register. It remembers up to maxFinished requests that have
-// ended, each for rememberFor.
+// New returns an empty register. It remembers up to maxFinished finished requests, each for
+// rememberFor.
 func New(maxFinished int, rememberFor time.Duration) *Register {
 	return &Register{
 		maxFinished: maxFinished,
@@ -63,8 +64,8 @@
 	}
 }
 
-// Begin records a request that is about to run. It reports false, and records nothing,
-// if the key is known and either submission may not run again.
+// Begin records a request that is about to run. It records nothing and returns false if the
+// key is known, unless this submission and all earlier ones with the key are idempotent.
 func (r *Register) Begin(now time.Duration, key Key, idempotent bool) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -79,7 +80,7 @@
 	return true
 }
 
-// Forget removes a running request that has not run.
+// Forget removes a request that Begin has recorded and that has not run.
 func (r *Register) Forget(key Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -88,7 +89,7 @@
 	r.update(key, entry)
 }
 
-// Finish remembers a running request as one that has ended and may have run.
+// Finish records that a running request has ended and may have run.
 func (r *Register) Finish(now time.Duration, key Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -106,7 +107,7 @@
 	r.entries[key] = entry
 }
 
-// grow doubles the ring of finished requests, up to its bound.
+// grow doubles the ring of finished requests, up to maxFinished.
 func (r *Register) grow() {
 	grown := make([]finishedRequest, min(r.maxFinished, 2*len(r.finished)))
 	copied := copy(grown, r.finished[r.first:])
@@ -114,7 +115,7 @@
 	r.finished, r.first = grown, 0
 }
 
-// update replaces the entry of a key, or deletes it when no submission has the key.
+// update replaces the entry of a key, or deletes it if it counts no submission.
 func (r *Register) update(key Key, entry registerEntry) {
 	if entry.running == 0 && entry.finished == 0 {
 		delete(r.entries, key)
@@ -123,7 +124,7 @@
 	r.entries[key] = entry
 }
 
-// expire drops the finished requests that are old enough.
+// expire drops the finished requests that ended at least rememberFor ago.
 func (r *Register) expire(now time.Duration) {
 	for r.count > 0 && now-r.finished[r.first].finishedAt >= r.rememberFor {
 		r.dropOldest()
--- a/internal/dataplane/duplicates/register_internal_test.go
+++ b/internal/dataplane/duplicates/register_internal_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("Register", func() {
-	It("stays within its bounds and forgets by age", func() {
+	It("bounds finished requests by number and age, and does not expire running requests", func() {
 		register := New(2, time.Minute)
 		keys := []Key{{"t", "a"}, {"t", "b"}, {"t", "c"}}
 		for _, key := range keys {
@@ -25,30 +25,30 @@
 		}
 		Expect(register.entries).To(HaveLen(2))
 		Expect(register.Begin(0, keys[2], false)).To(BeFalse())
-		Expect(register.Begin(0, keys[0], false)).To(BeTrue(), "the oldest made room")
-		Expect(register.Begin(time.Minute, keys[2], false)).To(BeTrue(), "it is old enough")
-		Expect(register.Begin(time.Minute, keys[0], false)).To(BeFalse(), "it is running, however old")
+		Expect(register.Begin(0, keys[0], false)).To(BeTrue(), "the oldest request was dropped for a newer one")
+		Expect(register.Begin(time.Minute, keys[2], false)).To(BeTrue(), "the finished request has expired")
+		Expect(register.Begin(time.Minute, keys[0], false)).To(BeFalse(), "a running request does not expire")
 	})
 
-	It("keeps a key for each idempotent submission, and none beside one that may not run again", func() {
+	It("accepts a known key again only if all its submissions are idempotent", func() {
 		register := New(2, time.Minute)
 		key := Key{"t", "a"}
 		Expect(register.Begin(0, key, true)).To(BeTrue())
 		Expect(register.Begin(0, key, true)).To(BeTrue())
 		register.Forget(key)
-		Expect(register.Begin(0, key, false)).To(BeFalse(), "the other one is running")
+		Expect(register.Begin(0, key, false)).To(BeFalse(), "an idempotent submission is running")
 		register.Finish(0, key)
-		Expect(register.Begin(0, key, false)).To(BeFalse(), "the other one has run")
+		Expect(register.Begin(0, key, false)).To(BeFalse(), "an idempotent submission has run")
 		Expect(register.Begin(time.Second, key, true)).To(BeTrue())
 		register.Finish(time.Second, key)
-		Expect(register.Begin(time.Minute, key, false)).To(BeFalse(), "the later one has run lately")
-		Expect(register.Begin(time.Minute+time.Second, key, false)).To(BeTrue(), "both are old enough")
-		Expect(register.Begin(time.Minute+time.Second, key, true)).To(BeFalse(), "one that may not run again is running")
+		Expect(register.Begin(time.Minute, key, false)).To(BeFalse(), "the later submission has not expired")
+		Expect(register.Begin(time.Minute+time.Second, key, false)).To(BeTrue(), "both submissions have expired")
+		Expect(register.Begin(time.Minute+time.Second, key, true)).To(BeFalse(), "a submission that is not idempotent is running")
 		register.Forget(key)
 		Expect(register.entries).To(BeEmpty())
 	})
 
-	It("uses memory for its entries only, and keeps the order of age while it grows", func() {
+	It("grows the ring buffer on demand and keeps its entries in order of age", func() {
 		const limit, submitted = 1 << 16, 3 * initialFinished
 		register := New(limit, time.Minute)
 		Expect(register.finished).To(HaveLen(initialFinished))
@@ -58,7 +58,8 @@
 			Expect(register.Begin(at, key(number), false)).To(BeTrue())
 			register.Finish(at, key(number))
 		}
-		// The first of them are older than a minute, so that the ring has wrapped.
+		// The first requests are older than a minute and were dropped, so the ring has wrapped
+		// around.
 		newest := time.Duration(submitted-1) * time.Second / 2
 		for number := range submitted {
 			old := newest-time.Duration(number)*time.Second/2 >= time.Minute
@@ -67,7 +68,7 @@
 		Expect(len(register.finished)).To(BeNumerically("<=", 4*initialFinished))
 	})
 
-	It("never forgets a running request, under concurrent use", func() {
+	It("never forgets a running request under concurrent use", func() {
 		register := New(8, time.Minute)
 		var wait sync.WaitGroup
 		for worker := range 4 {
