--- a/internal/dataplane/feeds/event_feed.go
+++ b/internal/dataplane/feeds/event_feed.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// minReconnectDelay is how long a feed waits before it opens a stream that has ended
-	// again.
+	// minReconnectDelay is how long a feed waits after the end of a stream before it opens
+	// the stream again.
 	minReconnectDelay = 100 * time.Millisecond
-	// maxReconnectDelay is the upper bound of that after streams without any event, each of
-	// which doubles it.
+	// maxReconnectDelay is the upper bound of the wait, which doubles after each stream that
+	// delivered no event.
 	maxReconnectDelay = 2 * time.Second
 	// resetTimeout is how long a new stream may take until its reset arrives.
 	resetTimeout = 5 * time.Second
 )
 
-// errResync ends a stream that must be opened again from a reset on.
-var errResync = errors.New("the events are to be read again from a reset on")
+// errResync ends a stream that must be reopened from a reset.
+var errResync = errors.New("event stream must be reopened from a reset")
 
 // Source opens the event streams of back ends of one kind.
 type Source interface {
-	// Follow passes the events of a back end after a position to handle, until the
-	// stream, handle or ctx ends. The error is never nil.
+	// Follow passes the events of a back end after a position to handle until the stream
+	// ends, handle returns an error, or ctx ends. The returned error is never nil.
 	Follow(ctx context.Context, address string, after replica.Position, handle func(replica.Event) error) error
 }
 
-// eventFeed brings one back end's events and load reports to the router. It runs under
-// the supervisor for as long as the back end is listed.
+// eventFeed passes the events and load reports of one back end to the router. It runs under
+// the supervisor as long as the newest view lists the back end.
 type eventFeed struct {
 	address    string
 	source     Source
@@ -46,27 +46,28 @@
 	clock      func() time.Duration
 
 	mutex sync.Mutex
-	// expected is the weight version that control state has; empty for stores.
+	// expected is the weight version of the back end in control state; empty for stores.
 	expected string
-	// cancelStream ends the stream that is open.
+	// cancelStream ends the open stream.
 	cancelStream context.CancelFunc
-	// resynced reports whether the open stream needs no reset, since it goes on after the
-	// last event, or has had its reset.
+	// resynced reports whether the open stream needs no reset any more: it continues after
+	// the last event, or its reset has arrived.
 	resynced bool
 	// openedAt is when the open stream was opened.
 	openedAt time.Duration
 
 	// The fields below belong to the goroutine that runs Serve.
 
-	// position is that of the last event; zero to start from a reset.
+	// position is the position of the last event; zero to start from a reset.
 	position replica.Position
-	// receivedEvent reports whether the stream has had an event.
+	// receivedEvent reports whether the stream has delivered an event.
 	receivedEvent bool
-	// quarantined reports whether the back end was in quarantine at its last report.
+	// quarantined reports whether the back end was in quarantine after its last report.
 	quarantined bool
 }
 
-// Serve implements suture.Service: it follows the stream until ctx ends.
+// Serve implements suture.Service: it reads the stream, and reopens it whenever it ends,
+// until ctx ends.
 func (f *eventFeed) Serve(ctx context.Context) error {
 	wait := minReconnectDelay
 	for ctx.Err() == nil {
@@ -103,22 +104,22 @@
 	}
 }
 
-// setExpectedVersion sets the weight version that control state has.
+// setExpectedVersion sets the weight version of the back end in control state.
 func (f *eventFeed) setExpectedVersion(weightVersion string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.expected = weightVersion
 }
 
-// expectedVersion returns the weight version that control state has.
+// expectedVersion returns the weight version of the back end in control state.
 func (f *eventFeed) expectedVersion() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.expected
 }
 
-// resync ends the open stream so that it is opened again from a reset on. A stream that
-// was opened from a reset on gets time for the reset to arrive.
+// resync ends the open stream so that it is reopened from a reset. A stream whose reset has
+// not arrived yet is ended only once it has been open for resetTimeout.
 func (f *eventFeed) resync() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// handle handles one event.
+// handle handles one event. An error ends the stream.
 func (f *eventFeed) handle(event replica.Event) error {
 	f.receivedEvent = true
 	f.health.RecordAlive(f.clock(), f.address)
@@ -156,7 +157,8 @@
 	return nil
 }
 
-// advance remembers the newest event of the back end's present incarnation.
+// advance moves the position to the event if it is the newest of the back end's current
+// incarnation.
 func (f *eventFeed) advance(event replica.Event) {
 	if event.Incarnation != f.position.Incarnation {
 		f.position = replica.Position{Incarnation: event.Incarnation}
@@ -171,7 +173,7 @@
 	f.resynced = true
 }
 
-// wasResynced reports whether the stream has had its reset or needs none.
+// wasResynced reports whether the reset of the stream has arrived or is not needed.
 func (f *eventFeed) wasResynced() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -198,16 +200,17 @@
 		}
 		return f.router.Removed(now, f.address, event.Incarnation, event.Sequence, hashes), nil
 	default:
-		return 0, errors.Errorf("an event has the unknown kind %q", event.Kind)
+		return 0, errors.Errorf("back end %s sent an event of unknown kind %q", f.address, event.Kind)
 	}
 }
 
-// applyLoadReport passes a load report to the router, and enters or leaves quarantine by
-// its weight version.
+// applyLoadReport passes a load report to the router. Depending on the report's weight
+// version, the back end enters or leaves quarantine; the reports of a back end in quarantine
+// are not passed on.
 func (f *eventFeed) applyLoadReport(event replica.Event) error {
 	report := event.Report
 	if report == nil {
-		return errors.New("a report event carries no report")
+		return errors.Errorf("back end %s sent a report event without a report", f.address)
 	}
 	if f.expectedVersion() != "" {
 		f.quarantine.Report(f.address, report.WeightVersion)
@@ -241,7 +244,7 @@
 	}
 }
 
-// sleep waits, and returns false if ctx ends first.
+// sleep waits for a duration. It returns false if ctx ends first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/dataplane/feeds/event_feed_internal_test.go
+++ b/internal/dataplane/feeds/event_feed_internal_test.go
@@ -32,7 +32,8 @@
 	feedModel   = "large"
 )
 
-// scriptedSource plays events and records the positions of its calls.
+// scriptedSource passes fixed events to handle, and records the positions of its calls and the
+// last result of handle.
 type scriptedSource struct {
 	events    []replica.Event
 	positions []replica.Position
@@ -50,12 +51,12 @@
 	return io.ErrUnexpectedEOF
 }
 
-// promptChunks is the prompt of these tests.
+// promptChunks returns the prompt of these tests.
 func promptChunks() []prefixindex.Chunk {
 	return []prefixindex.Chunk{{ID: "case", Tokens: 320}, {ID: "question", Tokens: 160}}
 }
 
-// cacheEvent returns an event by which the prompt is cached under a weight version.
+// cacheEvent returns an event which reports that the prompt is cached under a weight version.
 func cacheEvent(kind replica.EventKind, sequence uint64, weightVersion string) replica.Event {
 	event := replica.Event{Kind: kind, Incarnation: 1, Sequence: sequence}
 	for _, link := range prefixindex.Chain(feedModel, saltOf(weightVersion), promptChunks()) {
@@ -64,7 +65,7 @@
 	return event
 }
 
-// reportEvent returns a report of a weight version.
+// reportEvent returns a load report with a weight version.
 func reportEvent(weightVersion string) replica.Event {
 	return replica.Event{Kind: replica.EventReport, Incarnation: 1, Report: &replica.Report{Incarnation: 1, WeightVersion: weightVersion}}
 }
@@ -73,7 +74,7 @@
 	return replica.CacheSalt(feedModel, weightVersion, "shared")
 }
 
-// overlap returns the tokens that the router believes the replica to keep.
+// overlap returns how many tokens of the prompt the replica caches according to the router.
 func overlap(router *kvrouter.Router, weightVersion string) uint32 {
 	decision, err := router.Select(kvrouter.Request{
 		Model: feedModel, Chunks: promptChunks(), SaltFor: saltOf, Settings: kvrouter.DefaultSettings(),
@@ -100,7 +101,7 @@
 		subject.setExpectedVersion("w1")
 	})
 
-	It("brings cached chunks to the router, and resumes after them", func() {
+	It("passes cached chunks to the router, and resumes the stream after the last event", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1")}
 		subject.follow(context.Background())
 		Expect(overlap(subject.router, "w1")).To(Equal(uint32(480)))
@@ -108,13 +109,13 @@
 		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}}))
 	})
 
-	It("starts from a reset when events were lost, but not while a reset is due", func() {
+	It("reopens the stream from a reset after resync, but gives a new stream time for its reset", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1")}
 		subject.follow(context.Background())
 		subject.resync()
 		subject.follow(context.Background())
 		subject.follow(context.Background())
-		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}, {Incarnation: 1, Sequence: 4}}), "the stream that resync ends is the open one")
+		Expect(source.positions).To(Equal([]replica.Position{{}, {Incarnation: 1, Sequence: 4}, {Incarnation: 1, Sequence: 4}}), "resync after the end of a stream does not change the position")
 
 		source.events = nil
 		resyncing := &resyncingSource{}
@@ -126,10 +127,10 @@
 		Expect(resyncing.ended).To(Equal([]bool{true, false}))
 	})
 
-	It("starts anew when events are missing for too long", func() {
+	It("reopens the stream from a reset when events are missing for longer than the reorder wait", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1"), cacheEvent(replica.EventStored, 6, "w1")}
 		subject.follow(context.Background())
-		Expect(source.err).NotTo(HaveOccurred(), "the missing event may still come")
+		Expect(source.err).NotTo(HaveOccurred(), "the missing event may still arrive")
 		now = kvrouter.DefaultReorderWait
 		source.events = []replica.Event{cacheEvent(replica.EventStored, 7, "w1")}
 		subject.follow(context.Background())
@@ -137,13 +138,13 @@
 		Expect(subject.position).To(Equal(replica.Position{}))
 	})
 
-	It("puts a replica that reports other weights in quarantine, and forgets its chunks", func() {
+	It("puts a replica that reports another weight version in quarantine, and forgets its chunks", func() {
 		source.events = []replica.Event{cacheEvent(replica.EventReset, 4, "w1"), reportEvent("w2"), cacheEvent(replica.EventStored, 5, "w1")}
 		subject.follow(context.Background())
 		Expect(subject.quarantine.Contains(feedAddress, "w1")).To(BeTrue())
 		Expect(overlap(subject.router, "w1")).To(BeZero())
 
-		By("reading everything again once they agree")
+		By("reopening the stream from a reset once the weight versions agree")
 		subject.setExpectedVersion("w2")
 		source.events = []replica.Event{reportEvent("w2")}
 		subject.follow(context.Background())
@@ -155,7 +156,7 @@
 		Expect(overlap(subject.router, "w2")).To(Equal(uint32(480)))
 	})
 
-	It("clears a suspicion once the back end sends something", func() {
+	It("no longer suspects a back end once it sends an event", func() {
 		subject.health.SetPools(map[string][]outlier.Member{"pool": {{Address: feedAddress}}})
 		subject.health.Observe(0, feedAddress, outlier.Unreached)
 		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Suspected))
@@ -164,19 +165,20 @@
 		Expect(subject.health.Verdict(0, feedAddress, false)).To(Equal(outlier.Healthy))
 	})
 
-	DescribeTable("gives a stream up that cannot be read", func(event replica.Event) {
+	DescribeTable("ends a stream with an invalid event", func(event replica.Event) {
 		source.events = []replica.Event{event}
 		subject.follow(context.Background())
 		Expect(source.err).To(HaveOccurred())
 		Expect(errors.Is(source.err, errResync)).To(BeFalse())
 	},
-		Entry("with an unknown kind", replica.Event{Kind: "other", Incarnation: 1, Sequence: 1}),
-		Entry("with a bad hash", replica.Event{Kind: replica.EventStored, Incarnation: 1, Sequence: 1, Chunks: []replica.Chunk{{Hash: "zz"}}}),
-		Entry("with an empty report", replica.Event{Kind: replica.EventReport}),
+		Entry("unknown kind", replica.Event{Kind: "other", Incarnation: 1, Sequence: 1}),
+		Entry("malformed hash", replica.Event{Kind: replica.EventStored, Incarnation: 1, Sequence: 1, Chunks: []replica.Chunk{{Hash: "zz"}}}),
+		Entry("report event without a report", replica.Event{Kind: replica.EventReport}),
 	)
 })
 
-// resyncingSource runs a hook while its first stream is open.
+// resyncingSource calls during while each of its streams is open. It records the positions of
+// its calls, and whether each stream's context had ended after the call.
 type resyncingSource struct {
 	during    func()
 	positions []replica.Position
@@ -191,7 +193,8 @@
 	return io.ErrUnexpectedEOF
 }
 
-// blockingSource reports the streams that are opened and closed.
+// blockingSource keeps its streams open until their context ends, and reports the addresses of
+// the streams that are opened and closed.
 type blockingSource struct {
 	opened, closed chan string
 }
@@ -204,7 +207,7 @@
 	return ctx.Err()
 }
 
-// viewOf lists replicas and a store.
+// viewOf returns a view with one pool that has a store and replicas.
 func viewOf(store string, addresses ...string) *routing.View {
 	pool := &routing.Pool{Config: &ridgeswitchv1.Pool{Name: "pool"}, Store: &ridgeswitchv1.Store{Address: store}}
 	for _, address := range addresses {
@@ -214,7 +217,7 @@
 }
 
 var _ = Describe("Manager", func() {
-	It("runs feeds for what a view lists, and stops them with it", func() {
+	It("runs feeds for the back ends that the newest view lists, and stops the feeds of others", func() {
 		log := logrus.New()
 		log.SetOutput(GinkgoWriter)
 		source := &blockingSource{opened: make(chan string, 8), closed: make(chan string, 8)}
--- a/internal/dataplane/feeds/manager.go
+++ b/internal/dataplane/feeds/manager.go
@@ -1,14 +1,14 @@
-// Package feeds brings what back ends report of the chunks that they cache into the
-// router's prefix index.
+// Package feeds reads the event streams in which back ends report the chunks that they cache,
+// and applies the events to the router's prefix index.
 //
-// A Manager follows the event streams that replicas and stores push. It owns one feed
-// for each back end that the newest view lists; each feed runs in a goroutine of the
-// Manager's supervisor, and reconnects and resynchronizes by itself. The Manager's
-// methods may be called concurrently.
+// A Manager reads the event streams of replicas and stores. It owns one feed for each back
+// end that the newest view lists. Each feed runs in a goroutine of the Manager's supervisor,
+// and reconnects and resynchronizes by itself. The Manager's methods may be called
+// concurrently.
 //
-// The events of a back end are numbered within its incarnation. A reset is the event that
-// carries everything which is cached. A feed opens its stream after the last event that it
-// has; where events are missing, it opens it again from a reset on.
+// The events of a back end are numbered within its incarnation. A reset is an event that
+// contains all chunks that the back end caches. A feed opens its stream after the last event
+// that it has received; if events are missing, it reopens the stream from a reset.
 package feeds
 
 import (
@@ -26,18 +26,18 @@
 
 // Options configure a Manager.
 type Options struct {
-	// Replicas and Stores open event streams. Nil means that back ends push no
-	// events.
+	// Replicas and Stores open the event streams of replicas and stores. Replicas is nil if
+	// back ends push no events; no feed is started then.
 	Replicas, Stores Source
-	// Router gets the chunks and the load reports.
+	// Router receives the chunks and the load reports.
 	Router *kvrouter.Router
-	// Quarantine gets the weight versions that replicas report.
+	// Quarantine receives the weight versions that replicas report.
 	Quarantine *health.Quarantine
-	// Health learns that a back end is alive.
+	// Health records that a back end is alive whenever it sends an event.
 	Health *outlier.Detector
 	// Clock returns the time elapsed on a clock that counts suspended time.
 	Clock func() time.Duration
-	// Log gets the messages of the supervisor.
+	// Log receives the messages of the supervisor.
 	Log *logrus.Entry
 }
 
@@ -62,7 +62,7 @@
 	running map[string]runningFeed // by address
 }
 
-// New returns a Manager without feeds. Its feeds run once its Supervisor does.
+// New returns a Manager without feeds. Feeds run only while its Supervisor is running.
 func New(options Options) *Manager {
 	return &Manager{
 		options: options,
@@ -76,8 +76,8 @@
 // Supervisor returns the supervisor of the feeds, which the caller must run.
 func (m *Manager) Supervisor() *suture.Supervisor { return m.supervisor }
 
-// Reconcile starts and stops feeds so that they fit a view. A feed that stays learns
-// the weight version that control state has for its back end.
+// Reconcile starts and stops feeds so that they match a view, and updates the expected weight
+// versions of the feeds that remain.
 func (m *Manager) Reconcile(view *routing.View) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -92,8 +92,8 @@
 	}
 }
 
-// ResyncAfterGaps resynchronizes the feeds of the back ends of which the router has
-// missed events.
+// ResyncAfterGaps resynchronizes the feeds of the back ends from which the router has missed
+// events.
 func (m *Manager) ResyncAfterGaps() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -121,7 +121,7 @@
 	return desired
 }
 
-// ensure starts a feed unless it runs, and tells it the expected weight version.
+// ensure starts a feed unless it is running, and sets its expected weight version.
 func (m *Manager) ensure(address string, spec feedSpec) {
 	feed, runs := m.running[address]
 	if runs {
@@ -141,8 +141,8 @@
 	m.running[address] = feed
 }
 
-// stop ends the feed of a back end that is no longer listed, and forgets all that it
-// has brought.
+// stop ends the feed of a back end that is no longer listed, and removes the back end's data
+// from the router and the quarantine.
 func (m *Manager) stop(address string, feed runningFeed) {
 	_ = m.supervisor.RemoveAndWait(feed.token, maxReconnectDelay)
 	delete(m.running, address)
