--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -1,18 +1,19 @@
-// Package gossip holds the updates by which nodes inform each other of their traffic: the
-// load that each has on the replicas, which prompts it sent where, which chunks replicas
-// and stores reported to it as cached or evicted, which replicas it found gone, and the
-// outcomes of its requests at replicas that fail some. Updates may be lost, late or
-// duplicated without harm: they only improve the choice of replicas.
+// Package gossip defines the updates by which nodes inform each other of their traffic, and
+// distributes them. An update contains the load that a node puts on replicas, the prompts that
+// it has sent to replicas, the chunks that replicas and stores have reported to it as cached or
+// evicted, the incarnations of back ends that it has found to be gone, and the outcomes of its
+// requests at back ends that failed some of them. Updates may be lost, delayed or duplicated
+// without harm, because they only improve the selection of back ends.
 //
-// Updates travel in batches. A node sends its own to the relay of its zone, which relays
-// what it gets to the other nodes of the zone and to the relays of the other zones. So
-// each update crosses into another zone once, and a node gets few messages however many
-// nodes there are.
+// Updates are sent in batches. A node sends its own updates to the relay of its zone, which
+// relays the updates that it receives to the other nodes of the zone and to the relays of the
+// other zones. So each update is sent to each other zone only once, and a node receives few
+// messages even if there are many nodes.
 //
 // Relayer, SnapshotClient and SnapshotServer are state machines: they do no I/O, read no
-// clock, and must not be used concurrently. Outgoing collects the updates of this node,
-// and SnapshotExchange joins client and server to the node's index; they read no clock
-// either, and may be used concurrently.
+// clock, and must not be used concurrently. Outgoing collects the updates of this node, and
+// SnapshotExchange connects a SnapshotClient and a SnapshotServer to the node's index; they
+// read no clock either, but may be used concurrently.
 package gossip
 
 import (
@@ -25,7 +26,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Stage is what a batch is for: a step of the relaying of updates, or one of the transfer of a
+// Stage is the purpose of a batch: a step of the relaying of updates or of the transfer of a
 // snapshot.
 type Stage uint8
 
@@ -37,25 +38,26 @@
 	RelayToRelay
 	// RelayToNodes batches go from a relay to the nodes of its zone.
 	RelayToNodes
-	// SnapshotRequest batches go from a node that has started to a peer, see
-	// SnapshotClient.
+	// SnapshotRequest batches go from a node that has started to a peer and request a
+	// snapshot, see SnapshotClient.
 	SnapshotRequest
-	// SnapshotChunk batches carry a piece of the snapshot back, and a SnapshotEnd batch the
-	// last piece. The pieces have nothing to do with the chunks of prompts.
+	// SnapshotChunk batches contain a part of the requested snapshot, and a SnapshotEnd
+	// batch contains the last part. These parts are unrelated to the chunks of prompts.
 	SnapshotChunk
 	SnapshotEnd
 )
 
-// Direct reports whether a batch belongs to a snapshot: it is not relayed.
+// Direct reports whether batches of the stage belong to the transfer of a snapshot. They are
+// exchanged directly between two nodes and are not relayed.
 func (s Stage) Direct() bool { return s >= SnapshotRequest && s <= SnapshotEnd }
 
-// Batch carries the updates of several nodes.
+// Batch contains the updates of one or more nodes.
 type Batch struct {
 	Stage   Stage
 	Updates []Update
 }
 
-// Outbound is a batch for other nodes.
+// Outbound is a batch to be sent to other nodes.
 type Outbound struct {
 	To    []member.Info
 	Batch Batch
@@ -65,35 +67,37 @@
 type Update struct {
 	// Node is the node that the update is from.
 	Node member.ID
-	// Loads are those that the node's own requests put on replicas.
+	// Loads are the loads that the node's own requests put on replicas.
 	Loads      []kvrouter.AddressLoad
 	Dispatches []Dispatch
-	// Reports are of the cached chunks of back ends that the node reads for all.
+	// Reports are the reports about cached chunks that the node has read from back ends
+	// on behalf of all nodes.
 	Reports []Report
 	Denials []Denial
-	// Outcomes are those of the node's attempts at back ends that fail some.
+	// Outcomes are the outcomes of the node's attempts at back ends that failed some of
+	// them.
 	Outcomes []outlier.Report
 }
 
-// Dispatch reports a request that was sent to a replica.
+// Dispatch reports that a request was sent to a replica. If the replica saves the chunks to a
+// store, a second Dispatch reports the store.
 type Dispatch struct {
-	// Address is that of the replica, and in a Dispatch of its own that of the store to
-	// which the chunks are saved.
+	// Address is the address of the replica or store.
 	Address string
-	// Links are the prompt's chunks as the index names them.
+	// Links identify the prompt's chunks in the index.
 	Links []prefixindex.Link
 }
 
-// Report is a page of a replica's or store's reports.
+// Report is a page of the reports of a replica or store.
 type Report struct {
 	Address string
 	Feed    cachefeed.Position
-	// Complete reports whether the changes are everything that is cached.
+	// Complete reports whether the changes list all chunks that the back end caches.
 	Complete bool
 	Changes  []Change
 }
 
-// ChunkChanges returns the changes as the router takes them.
+// ChunkChanges converts the changes to the router's type.
 func (r *Report) ChunkChanges() []cachefeed.ChunkChange {
 	return lo.Map(r.Changes, func(change Change, _ int) cachefeed.ChunkChange {
 		return cachefeed.ChunkChange{
@@ -107,17 +111,18 @@
 
 // Change is a change of how much of a chunk a replica or store caches.
 type Change struct {
-	// Sequence is the number of the change; 0 when it is not known.
+	// Sequence is the number of the change; 0 if unknown.
 	Sequence uint64
-	// Name is that of the chunk in the index.
+	// Name identifies the chunk in the index.
 	Name prefixindex.ChainHash
-	// Tokens is how much of the chunk is cached now.
+	// Tokens is the number of tokens of the chunk that are cached after the change.
 	Tokens  uint32
 	Removed bool
 }
 
-// Denial reports that an incarnation which may still be listed is gone from its address:
-// the back end there has said so.
+// Denial reports that an incarnation of a back end is no longer at its address, although
+// control state may still list it. This is known from a response of the back end that is at
+// the address now.
 type Denial struct {
 	Address  string
 	Instance string
--- a/internal/dataplane/gossip/outgoing.go
+++ b/internal/dataplane/gossip/outgoing.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// loadRefresh is how long an unchanged load is not sent again. It is half the time
-	// after which other nodes discard it.
+	// loadRefresh is the interval at which an unchanged load is sent again. It is half the
+	// time after which other nodes discard a load.
 	loadRefresh = 500 * time.Millisecond
-	// maxPendingUpdates bounds the dispatches, the reports and the denials that wait for the
-	// next Drain, each by itself. What comes beyond it is dropped.
+	// maxPendingUpdates is the capacity of each of the three queues of dispatches, reports
+	// and denials that wait for the next Drain. Entries beyond it are dropped.
 	maxPendingUpdates = 1024
 )
 
-// sentLoad is the load of a replica as it was sent last.
+// sentLoad is the load on a replica that was last sent to the other nodes.
 type sentLoad struct {
 	load   replicaload.SharedLoad
 	sentAt time.Duration
 }
 
-// Outgoing collects what the other nodes are to learn of this node's traffic. It
-// may be used concurrently.
+// Outgoing collects the updates about this node's traffic that are to be sent to the other
+// nodes. It may be used concurrently.
 type Outgoing struct {
 	mutex sync.Mutex
-	// sentLoads holds the replicas on which the other nodes assume a load of this one, by
-	// address.
+	// sentLoads holds, by address, the loads that the other nodes currently attribute to
+	// this node.
 	sentLoads map[string]sentLoad
-	// The updates below wait for the next Drain.
+	// The queues below wait for the next Drain.
 	dispatches []Dispatch
 	reports    []Report
 	denials    []Denial
 }
 
-// NewOutgoing returns a collection without updates.
+// NewOutgoing returns an Outgoing without updates.
 func NewOutgoing() *Outgoing {
 	return &Outgoing{sentLoads: make(map[string]sentLoad)}
 }
@@ -46,7 +46,7 @@
 // AddDispatch adds a request that was sent to a replica.
 func (o *Outgoing) AddDispatch(dispatch Dispatch) { enqueue(o, &o.dispatches, dispatch) }
 
-// AddReport adds a page of reports that this node has read.
+// AddReport adds a page of reports that this node has read from a back end.
 func (o *Outgoing) AddReport(report Report) { enqueue(o, &o.reports, report) }
 
 // AddDenial adds an incarnation that is gone from its address.
@@ -61,7 +61,7 @@
 	}
 }
 
-// Drain returns and removes what is to be sent now, given the present loads.
+// Drain returns the update to send now, given the current loads, and empties the queues.
 func (o *Outgoing) Drain(now time.Duration, loads []kvrouter.AddressLoad) Update {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -75,9 +75,10 @@
 	return update
 }
 
-// markSentIfDue reports whether a load is to be sent now, and remembers it as sent if so. It
-// is due when the other nodes assume another load, or would soon discard this one. They expect
-// by themselves that a prefill progresses and a response grows. The lock is held.
+// markSentIfDue reports whether a load must be sent now, and records it as sent if so. A load is
+// due if it differs from the last one sent, or if the other nodes would soon discard that one.
+// The progress of a prefill and the growth of a response do not count as differences, because
+// the other nodes predict them. The caller must hold the mutex.
 func (o *Outgoing) markSentIfDue(now time.Duration, load kvrouter.AddressLoad) bool {
 	sent, found := o.sentLoads[load.Address]
 	idle := load.Requests == 0
@@ -92,8 +93,9 @@
 	return true
 }
 
-// sameRequests reports whether two loads of one replica are those of the same requests,
-// none of which has arrived, ended, or begun to respond in between.
+// sameRequests reports whether two loads on one replica have the same number of requests, and
+// whether both or neither of them contain prefills. If so, it is assumed that no request has
+// arrived, ended, or begun to respond in between.
 func sameRequests(sent, present replicaload.SharedLoad) bool {
 	prefilling := func(load replicaload.SharedLoad) bool {
 		return lo.SomeBy(load.PrefillTokens[:], func(tokens float64) bool { return tokens > 0 })
--- a/internal/dataplane/gossip/relayer.go
+++ b/internal/dataplane/gossip/relayer.go
@@ -10,16 +10,17 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// maxPending bounds the updates that wait at a relay. What comes beyond it is dropped.
+// maxPending is the capacity of each queue of a Relayer. Updates beyond it are dropped.
 const maxPending = 4096
 
-// Relayer passes updates on at one node: as the relay of its zone those of other nodes too,
-// otherwise its own to that relay. It must not be used concurrently.
+// Relayer queues and sends the updates of one node. If the node is the relay of its zone, it
+// also relays the updates of other nodes; otherwise it sends its own updates to that relay. A
+// Relayer must not be used concurrently.
 type Relayer struct {
 	self member.ID
 	zone string
-	// toZone are the pending updates for the nodes of the zone, and toRelays those for
-	// the relays of the other zones.
+	// toZone holds the pending updates for the nodes of the zone, and toRelays the pending
+	// updates for the relays of the other zones.
 	toZone   []Update
 	toRelays []Update
 }
@@ -36,7 +37,8 @@
 	r.toRelays = appendBounded(r.toRelays, update)
 }
 
-// Receive handles a batch of another node and returns the updates for this node.
+// Receive handles a batch of another node. It queues the batch's updates as far as this node
+// has to relay them, and returns them for use at this node, except the node's own updates.
 func (r *Relayer) Receive(batch Batch) []Update {
 	fromOthers := lo.Reject(batch.Updates, func(update Update, _ int) bool { return update.Node == r.self })
 	switch batch.Stage {
@@ -49,7 +51,7 @@
 	return fromOthers
 }
 
-// Flush returns what is to be sent now, given the live nodes.
+// Flush returns the batches to send now, given the live nodes, and empties the queues.
 func (r *Relayer) Flush(live []member.Info) []Outbound {
 	toZone, toRelays := r.toZone, r.toRelays
 	r.toZone, r.toRelays = nil, nil
@@ -67,8 +69,7 @@
 	return append(sends, outbound(RelayToRelay, toRelays, r.otherZoneRelays(live)...)...)
 }
 
-// otherZoneRelays returns the relays of the other zones in which callers are
-// served.
+// otherZoneRelays returns the relays of the other zones that have nodes which serve callers.
 func (r *Relayer) otherZoneRelays(live []member.Info) []member.Info {
 	serving := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone != r.zone && servesCallers(node) })
 	zones := lo.Uniq(lo.Map(serving, func(node member.Info, _ int) string { return node.Zone }))
@@ -76,14 +77,15 @@
 	return lo.FilterMap(zones, func(zone string, _ int) (member.Info, bool) { return RelayFor(zone, live) })
 }
 
-// servesCallers reports whether a node has traffic, and so a use for updates.
+// servesCallers reports whether a node serves callers. Only such nodes use updates.
 func servesCallers(node member.Info) bool {
 	return node.TrafficAddress != ""
 }
 
 // RelayFor returns the relay of a zone: the live node in it with the highest rendezvous
-// weight, so that nodes which see the same live nodes agree without asking each other. Nodes
-// that serve no callers precede those that do, as their links and processors are less busy.
+// weight, so that nodes with the same set of live nodes choose the same relay without
+// communication. Nodes that serve no callers are preferred, because their links and processors
+// are less busy.
 func RelayFor(zone string, live []member.Info) (member.Info, bool) {
 	candidates := lo.Filter(live, func(node member.Info, _ int) bool { return node.Zone == zone })
 	if idle := lo.Reject(candidates, func(node member.Info, _ int) bool { return servesCallers(node) }); len(idle) > 0 {
@@ -97,13 +99,13 @@
 	}), true
 }
 
-// relayWeight is the rendezvous weight of a node as the relay of its zone.
+// relayWeight returns the rendezvous weight of a node for the choice of relays.
 func relayWeight(id member.ID) uint64 {
 	return xxhash.Sum64String("relay\x00" + string(id))
 }
 
-// outbound returns a batch for nodes, or nothing if there are no updates or no nodes. A
-// node ignores its own updates when they come back.
+// outbound returns a batch for nodes, or nil if there are no updates or no nodes. Updates may be
+// sent back to the node that they are from, because a node ignores its own updates.
 func outbound(stage Stage, updates []Update, to ...member.Info) []Outbound {
 	if len(updates) == 0 || len(to) == 0 {
 		return nil
@@ -111,7 +113,7 @@
 	return []Outbound{{To: to, Batch: Batch{Stage: stage, Updates: updates}}}
 }
 
-// appendBounded appends updates up to the bound.
+// appendBounded appends updates to a queue up to maxPending.
 func appendBounded(waiting []Update, added ...Update) []Update {
 	capacity := max(0, maxPending-len(waiting))
 	return append(waiting, added[:min(capacity, len(added))]...)
--- a/internal/dataplane/gossip/relayer_test.go
+++ b/internal/dataplane/gossip/relayer_test.go
@@ -16,13 +16,13 @@
 	RunSpecs(t, "Gossip Suite")
 }
 
-// network is a set of relayers whose batches arrive at once.
+// network is a set of relayers whose batches are delivered immediately.
 type network struct {
 	peers    []member.Info
 	relayers map[member.ID]*gossip.Relayer
-	// received counts how often each node received the updates of each.
+	// received counts the updates that each node received, by receiver and origin.
 	received map[member.ID]map[member.ID]int
-	// crossings counts the batches between zones, and sent all batches.
+	// crossings counts the batches between zones, and sent counts all batches.
 	crossings, sent int
 }
 
@@ -43,7 +43,8 @@
 	return n
 }
 
-// round lets every node flush once by its view of the live nodes.
+// round flushes every relayer once. Views contains the live nodes according to a node, for nodes
+// that do not regard all peers as live.
 func (n *network) round(views map[member.ID][]member.Info) {
 	for _, peer := range n.peers {
 		view, given := views[peer.ID]
@@ -58,7 +59,7 @@
 	}
 }
 
-// deliver lets a batch arrive.
+// deliver passes a batch to its receiver and counts it.
 func (n *network) deliver(from, to member.Info, batch gossip.Batch) {
 	n.sent++
 	if from.Zone != to.Zone {
@@ -69,11 +70,11 @@
 	}
 }
 
-// idleZone is the zone of the nodes that serve no callers in tests.
+// idleZone is the zone of the node that serves no callers.
 const idleZone = "zone-0"
 
 var _ = Describe("Relayer", func() {
-	It("brings each node's updates to each other node once", func() {
+	It("delivers each node's updates to every other node exactly once", func() {
 		n := newNetwork(4, 18)
 		for id, relayer := range n.relayers {
 			relayer.Add(gossip.Update{Node: id})
@@ -82,7 +83,7 @@
 			n.round(nil)
 		}
 		for id, received := range n.received {
-			Expect(received).To(HaveLen(len(n.peers)-1), "news at %s", id)
+			Expect(received).To(HaveLen(len(n.peers)-1), "nodes whose updates %s received", id)
 			Expect(received).NotTo(HaveKey(id))
 			for from, times := range received {
 				Expect(times).To(Equal(1), "%s of %s", id, from)
@@ -90,7 +91,7 @@
 		}
 	})
 
-	It("crosses zones between relays alone", func() {
+	It("sends batches to other zones only between relays", func() {
 		n := newNetwork(4, 18)
 		for range 20 {
 			for _, relayer := range n.relayers {
@@ -102,7 +103,7 @@
 		Expect(n.sent).To(BeNumerically("<=", 20*(72+4*17+4*3)))
 	})
 
-	It("still brings updates to each node when nodes disagree on who is live", func() {
+	It("delivers updates to the other zones even if nodes disagree on which nodes are live", func() {
 		n := newNetwork(3, 3)
 		relay, _ := gossip.RelayFor("zone-0", n.peers)
 		var withoutRelay []member.Info
@@ -115,17 +116,17 @@
 		Expect(sender.Zone).To(Equal("zone-0"))
 		n.relayers[sender.ID].Add(gossip.Update{})
 		for range 4 {
-			// The teller alone has noticed that the relay is dead.
+			// Only the sender regards the relay as dead.
 			n.round(map[member.ID][]member.Info{sender.ID: withoutRelay})
 		}
 		for _, peer := range withoutRelay {
 			if peer.ID != sender.ID && peer.Zone != "zone-0" {
-				Expect(n.received[peer.ID]).To(HaveKey(sender.ID), "news at %s", peer.ID)
+				Expect(n.received[peer.ID]).To(HaveKey(sender.ID), "nodes whose updates %s received", peer.ID)
 			}
 		}
 	})
 
-	It("relays through a node that serves no callers, and sends it nothing else", func() {
+	It("relays through a node that serves no callers, and delivers each update exactly once", func() {
 		n := newNetwork(2, 5)
 		idle := member.Info{ID: "idle", Zone: idleZone}
 		n.peers = append(n.peers, idle)
@@ -151,7 +152,7 @@
 		Expect(n.received["node-1-0"]).To(HaveLen(9))
 	})
 
-	It("queues no more than its bound", func() {
+	It("drops updates beyond the capacity of its queues", func() {
 		relayer := gossip.NewRelayer("relay", "zone")
 		update := make([]gossip.Update, 10000)
 		for i := range update {
--- a/internal/dataplane/gossip/snapshot_exchange.go
+++ b/internal/dataplane/gossip/snapshot_exchange.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// SnapshotExchange copies what a peer knows of cached chunks when this node has started,
-// and serves such snapshots to peers that have started. It may be used concurrently.
+// SnapshotExchange fetches a snapshot of the cached chunks from a peer when this node has
+// started, and serves such snapshots to peers that have started. It may be used concurrently.
 type SnapshotExchange struct {
 	router *kvrouter.Router
 
@@ -21,8 +21,8 @@
 	server *SnapshotServer
 }
 
-// NewSnapshotExchange returns the exchange of a node in a zone, over the index of its
-// router.
+// NewSnapshotExchange returns the exchange of a node in a zone. It reads and updates the index
+// of the router.
 func NewSnapshotExchange(self member.ID, zone string, router *kvrouter.Router) *SnapshotExchange {
 	return &SnapshotExchange{
 		router: router,
@@ -31,22 +31,23 @@
 	}
 }
 
-// Done reports whether the node no longer waits for a snapshot.
+// Done reports whether the transfer of a snapshot to this node has ended, with or without a
+// snapshot.
 func (e *SnapshotExchange) Done(now time.Duration) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.client.Done(now)
 }
 
-// Tick returns the request and the responses that are due.
+// Tick returns the request and the responses to send now, given the live nodes.
 func (e *SnapshotExchange) Tick(now time.Duration, live []member.Info) []Outbound {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return append(e.client.Tick(now, live), e.server.Tick(live, e.snapshot)...)
 }
 
-// Pending reports whether a snapshot has been requested and may still arrive. It is false
-// a few seconds after the first call in any case.
+// Pending reports whether this node waits for the response to a snapshot request. It returns
+// false at the latest maxTransferTime after the first call of Done, Tick or Pending.
 func (e *SnapshotExchange) Pending(now time.Duration) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -64,8 +65,8 @@
 	}
 }
 
-// handleRequest starts a transfer to a peer. A node that still waits for its own snapshot
-// sends an empty one.
+// handleRequest starts a transfer to a peer. If this node is still fetching its own snapshot,
+// it sends an empty one.
 func (e *SnapshotExchange) handleRequest(now time.Duration, by member.ID) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -89,7 +90,8 @@
 	}
 }
 
-// snapshot returns what this node knows of the chunks that a back end caches.
+// snapshot returns a report of the chunks that a back end caches according to this node's
+// index.
 func (e *SnapshotExchange) snapshot(address string) (Report, bool) {
 	feed, chunks, found := e.router.ChunksSnapshot(address)
 	if !found {
--- a/internal/dataplane/gossip/snapshot_server.go
+++ b/internal/dataplane/gossip/snapshot_server.go
@@ -9,21 +9,24 @@
 )
 
 const (
-	// changesPerTick bounds the changes that are sent to all peers in one tick, so that
-	// transfers take only a fraction of a slow link. A change takes 24 bytes.
+	// changesPerTick is the number of changes, over all peers, after which no further report
+	// is sent in a tick, so that transfers use only a fraction of a slow link. A change takes
+	// 24 bytes.
 	changesPerTick = 1024
-	// maxTransfers bounds the peers that are served at a time.
+	// maxTransfers is the maximum number of peers that are served at the same time. Requests
+	// of further peers are ignored.
 	maxTransfers = 16
 )
 
-// SnapshotServer serves snapshots to peers that have requested one, a part in each tick.
+// SnapshotServer sends snapshots to the peers that have requested one, in parts: each Tick
+// returns about changesPerTick changes.
 type SnapshotServer struct {
 	self      member.ID
 	transfers []transfer
 }
 
-// transfer is a peer that has requested a snapshot, with the addresses of back ends that
-// remain to be sent.
+// transfer is the transfer of a snapshot to a peer, with the addresses of the back ends whose
+// reports remain to be sent.
 type transfer struct {
 	id        member.ID
 	remaining []string
@@ -32,8 +35,8 @@
 // NewSnapshotServer returns the server of a node.
 func NewSnapshotServer(self member.ID) *SnapshotServer { return &SnapshotServer{self: self} }
 
-// HandleRequest starts the transfer of what is cached at the addresses. A peer that
-// requests again is served from the beginning.
+// HandleRequest starts the transfer of reports about the back ends at the addresses. If the peer
+// already has a transfer, the transfer is restarted.
 func (s *SnapshotServer) HandleRequest(by member.ID, addresses []string) {
 	s.transfers = slices.DeleteFunc(s.transfers, func(existing transfer) bool { return existing.id == by })
 	if len(s.transfers) < maxTransfers {
@@ -41,8 +44,8 @@
 	}
 }
 
-// Tick returns what is due, given the live nodes and the present snapshot of a back end.
-// Peers that are no longer live are dropped.
+// Tick returns the batches to send now, given the live nodes and a function that returns the
+// current report about a back end. Transfers to peers that are no longer live are dropped.
 func (s *SnapshotServer) Tick(live []member.Info, snapshot func(address string) (Report, bool)) []Outbound {
 	var due []Outbound
 	budget := changesPerTick
@@ -66,7 +69,9 @@
 	return due
 }
 
-// nextReports takes snapshots of back ends until the budget is spent.
+// nextReports returns the reports about the next back ends until the budget of changes is
+// spent. Each report costs one change more than it contains. The last report is not split, so
+// it may exceed the budget.
 func nextReports(addresses []string, budget int, snapshot func(address string) (Report, bool)) (reports []Report, remaining []string, budgetLeft int) {
 	for budget > 0 && len(addresses) > 0 {
 		report, found := snapshot(addresses[0])
--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -12,12 +12,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// serving is a live node that serves callers.
+// serving returns a live node that serves callers.
 func serving(id, zone string) member.Info {
 	return member.Info{ID: member.ID(id), Zone: zone, TrafficAddress: "served"}
 }
 
-var _ = Describe("A node that has started", func() {
+var _ = Describe("SnapshotClient", func() {
 	const self = member.ID("self")
 	var client *gossip.SnapshotClient
 	var live []member.Info
@@ -26,7 +26,7 @@
 		live = []member.Info{serving("self", "a"), serving("far", "b"), serving("near", "a"), {ID: "core", Zone: "a"}}
 	})
 
-	// expectRequest expects a question to one node at a time, and returns whom.
+	// expectRequest expects that Tick returns one request to one node, and returns the node.
 	expectRequest := func(at time.Duration) member.ID {
 		sends := client.Tick(at, live)
 		ExpectWithOffset(1, sends).To(HaveLen(1))
@@ -40,7 +40,7 @@
 		return gossip.Update{Node: node, Reports: make([]gossip.Report, reports)}
 	}
 
-	It("requests a node of its zone that serves callers, and is done once that has sent all", func() {
+	It("sends a request to a node of its zone that serves callers, and is done after the end of the snapshot", func() {
 		Expect(expectRequest(0)).To(Equal(member.ID("near")))
 		expectNothingDue(900 * time.Millisecond)
 		Expect(client.HandleResponse(900*time.Millisecond, gossip.SnapshotChunk, responseOf("near", 2))).To(BeTrue())
@@ -53,7 +53,7 @@
 		expectNothingDue(4 * time.Second)
 	})
 
-	It("requests the next one at once if the first one knows nothing", func() {
+	It("sends a request to the next node at once after an empty snapshot", func() {
 		expectRequest(0)
 		client.HandleResponse(10*time.Millisecond, gossip.SnapshotEnd, responseOf("near", 0))
 		Expect(client.Done(10 * time.Millisecond)).To(BeFalse())
@@ -61,21 +61,21 @@
 		Expect(expectRequest(20 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
-	It("requests the next one if the first one does not respond for a second, or stops responding", func() {
+	It("sends a request to the next node if the current node sends no further part for a second", func() {
 		expectRequest(0)
 		client.HandleResponse(500*time.Millisecond, gossip.SnapshotChunk, responseOf("near", 1))
 		expectNothingDue(1400 * time.Millisecond)
 		Expect(expectRequest(1500 * time.Millisecond)).To(Equal(member.ID("far")))
 	})
 
-	It("ignores a response that it does not wait for", func() {
+	It("ignores a response that is not from the current node", func() {
 		Expect(client.HandleResponse(0, gossip.SnapshotEnd, responseOf("near", 1))).To(BeFalse())
 		expectRequest(0)
 		Expect(client.HandleResponse(0, gossip.SnapshotEnd, responseOf("far", 1))).To(BeFalse())
 		Expect(client.Done(0)).To(BeFalse())
 	})
 
-	It("waits a while for others to become known", func() {
+	It("waits for other nodes to become known", func() {
 		all := live
 		live = live[:1]
 		expectNothingDue(0)
@@ -85,14 +85,14 @@
 		expectRequest(1450 * time.Millisecond)
 	})
 
-	It("is done when it stands alone", func() {
+	It("is done if no other node becomes known within 1.5 seconds", func() {
 		live = live[:1]
 		expectNothingDue(0)
 		expectNothingDue(1500 * time.Millisecond)
 		Expect(client.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
-	It("gives up after five seconds, whatever is still being sent", func() {
+	It("is done after five seconds even if a peer is still sending its snapshot", func() {
 		response := responseOf(expectRequest(0), 1)
 		for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 			Expect(client.Done(at)).To(BeFalse())
@@ -102,7 +102,7 @@
 		Expect(client.Done(5 * time.Second)).To(BeTrue())
 	})
 
-	It("is done when all have sent that they know nothing, but not before it can know them all", func() {
+	It("is done after empty snapshots from all nodes, but not before 1.5 seconds", func() {
 		for _, at := range []time.Duration{0, 10 * time.Millisecond} {
 			client.HandleResponse(at, gossip.SnapshotEnd, responseOf(expectRequest(at), 0))
 		}
@@ -112,7 +112,7 @@
 		Expect(client.Done(1500 * time.Millisecond)).To(BeTrue())
 	})
 
-	It("requests six nodes at most", func() {
+	It("sends requests to at most six nodes", func() {
 		live = lo.Times(20, func(number int) member.Info { return serving(fmt.Sprint("node ", number), "a") })
 		for number := range 6 {
 			at := time.Duration(number) * time.Millisecond
@@ -122,10 +122,10 @@
 	})
 })
 
-var _ = Describe("A node that is requested a snapshot", func() {
+var _ = Describe("SnapshotServer", func() {
 	var snapshots *gossip.SnapshotServer
 	var live []member.Info
-	// changes is how many chunks each back end caches.
+	// changes is the number of changes in the report about each back end.
 	var changes int
 	BeforeEach(func() {
 		snapshots = gossip.NewSnapshotServer("self")
@@ -135,7 +135,8 @@
 	snapshot := func(address string) (gossip.Report, bool) {
 		return gossip.Report{Address: address, Complete: true, Changes: make([]gossip.Change, changes)}, address != "unknown"
 	}
-	// told is what a send tells: to whom, at what stage, of which back ends.
+	// describe returns the recipient of a batch, whether the batch ends the snapshot, and the
+	// back ends that it reports.
 	describe := func(send gossip.Outbound) string {
 		addresses := lo.Map(send.Batch.Updates[0].Reports, func(report gossip.Report, _ int) string { return report.Address })
 		return fmt.Sprint(send.To[0].ID, " ", send.Batch.Stage == gossip.SnapshotEnd, " ", addresses)
@@ -144,14 +145,14 @@
 		return lo.Map(snapshots.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return describe(send) })
 	}
 
-	It("sends what it knows in parts, each tick about as much as a small link carries", func() {
+	It("sends a snapshot in parts, with a bounded number of changes per tick", func() {
 		snapshots.HandleRequest("one", []string{"a", "b", "unknown", "c", "d"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
 		Expect(tick()).To(Equal([]string{"one true [d]"}))
 		Expect(tick()).To(BeEmpty())
 	})
 
-	It("serves one after the other, and from the beginning a node that requests again", func() {
+	It("serves nodes one after the other, and restarts the transfer of a node that requests again", func() {
 		snapshots.HandleRequest("one", []string{"a", "b", "c", "d"})
 		snapshots.HandleRequest("two", []string{"a"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
@@ -159,7 +160,7 @@
 		Expect(tick()).To(Equal([]string{"two true [a]", "one true [a]"}))
 	})
 
-	It("says so at once if it knows nothing", func() {
+	It("sends an empty snapshot at once if there are no addresses", func() {
 		snapshots.HandleRequest("one", nil)
 		Expect(tick()).To(Equal([]string{"one true []"}))
 	})
@@ -174,8 +175,8 @@
 	It("serves a bounded number of nodes at a time", func() {
 		changes = 0
 		for number := range 40 {
-			live = append(live, serving(fmt.Sprint("asker ", number), "a"))
-			snapshots.HandleRequest(member.ID(fmt.Sprint("asker ", number)), []string{"a"})
+			live = append(live, serving(fmt.Sprint("peer ", number), "a"))
+			snapshots.HandleRequest(member.ID(fmt.Sprint("peer ", number)), []string{"a"})
 		}
 		Expect(tick()).To(HaveLen(16))
 	})
