--- a/internal/dataplane/dispatch/outcome.go
+++ b/internal/dataplane/dispatch/outcome.go
@@ -75,14 +75,14 @@
 func (d *Dispatcher) recordLoss(r *pendingRequest, attempt int, err error) {
 	var failed *outbound.FailedResponseError
 	var disconnected *callerDisconnectedError
-	var otherWeights *versionMismatchError
+	var mismatch *versionMismatchError
 	switch {
 	case errors.As(err, &disconnected):
 		r.apply(attempts.Event{Kind: attempts.CallerDisconnected})
 	case errors.As(err, &failed):
 		// The back end has responded, so it is not suspected of being unreachable.
 		d.countUnlessCancelled(r, outlier.Errored)
-	case errors.As(err, &otherWeights):
+	case errors.As(err, &mismatch):
 		// The view does not contain the new weight version yet. This is temporary and not
 		// a failure of the back end, so the back end is avoided for a while but not
 		// ejected.
--- a/internal/dataplane/gossip/snapshot_exchange.go
+++ b/internal/dataplane/gossip/snapshot_exchange.go
@@ -67,14 +67,14 @@
 
 // handleRequest starts a transfer to a peer. If this node is still fetching its own snapshot,
 // it sends an empty one.
-func (e *SnapshotExchange) handleRequest(now time.Duration, by member.ID) {
+func (e *SnapshotExchange) handleRequest(now time.Duration, peer member.ID) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if !e.client.Done(now) {
-		e.server.HandleRequest(by, nil)
+		e.server.HandleRequest(peer, nil)
 		return
 	}
-	e.server.HandleRequest(by, e.router.Addresses())
+	e.server.HandleRequest(peer, e.router.Addresses())
 }
 
 // handleResponse applies a part of a peer's snapshot.
--- a/internal/dataplane/gossip/snapshot_server.go
+++ b/internal/dataplane/gossip/snapshot_server.go
@@ -37,10 +37,10 @@
 
 // HandleRequest starts the transfer of reports about the back ends at the addresses. If the peer
 // already has a transfer, the transfer is restarted.
-func (s *SnapshotServer) HandleRequest(by member.ID, addresses []string) {
-	s.transfers = slices.DeleteFunc(s.transfers, func(existing transfer) bool { return existing.id == by })
+func (s *SnapshotServer) HandleRequest(peer member.ID, addresses []string) {
+	s.transfers = slices.DeleteFunc(s.transfers, func(existing transfer) bool { return existing.id == peer })
 	if len(s.transfers) < maxTransfers {
-		s.transfers = append(s.transfers, transfer{id: by, remaining: addresses})
+		s.transfers = append(s.transfers, transfer{id: peer, remaining: addresses})
 	}
 }
 
