--- a/internal/dataplane/gossip/relayer_test.go
+++ b/internal/dataplane/gossip/relayer_test.go
@@ -43,8 +43,8 @@
 	return n
 }
 
-// round flushes every relayer once. Views contains the live nodes according to a node, for nodes
-// that do not regard all peers as live.
+// round flushes every relayer once. The argument views overrides the live nodes for some of the
+// nodes; the others regard all peers as live.
 func (n *network) round(views map[member.ID][]member.Info) {
 	for _, peer := range n.peers {
 		view, given := views[peer.ID]
@@ -86,7 +86,7 @@
 			Expect(received).To(HaveLen(len(n.peers)-1), "nodes whose updates %s received", id)
 			Expect(received).NotTo(HaveKey(id))
 			for from, times := range received {
-				Expect(times).To(Equal(1), "%s of %s", id, from)
+				Expect(times).To(Equal(1), "deliveries to %s of updates from %s", id, from)
 			}
 		}
 	})
@@ -145,7 +145,7 @@
 		}
 		for id, received := range n.received {
 			for from, times := range received {
-				Expect(times).To(Equal(1), "%s of %s", id, from)
+				Expect(times).To(Equal(1), "deliveries to %s of updates from %s", id, from)
 			}
 		}
 		Expect(n.received["node-0-0"]).To(HaveLen(9))
--- a/internal/dataplane/gossip/snapshot_test.go
+++ b/internal/dataplane/gossip/snapshot_test.go
@@ -145,7 +145,7 @@
 		return lo.Map(snapshots.Tick(live, snapshot), func(send gossip.Outbound, _ int) string { return describe(send) })
 	}
 
-	It("sends a snapshot in parts, with a bounded number of changes per tick", func() {
+	It("sends a snapshot in parts, with about 1024 changes per tick", func() {
 		snapshots.HandleRequest("one", []string{"a", "b", "unknown", "c", "d"})
 		Expect(tick()).To(Equal([]string{"one false [a b c]"}))
 		Expect(tick()).To(Equal([]string{"one true [d]"}))
