--- a/internal/dataplane/gossip/relayer_test.go
+++ b/internal/dataplane/gossip/relayer_test.go
@@ -16,18 +16,18 @@
 	RunSpecs(t, "Gossip Suite")
 }
 
-// network is a set of relayers whose batches arrive at once.
+// network is a set of relayers whose batches are delivered immediately.
 type network struct {
 	peers    []member.Info
 	relayers map[member.ID]*gossip.Relayer
-	// heard counts how often each node received the updates of each.
-	heard map[member.ID]map[member.ID]int
-	// crossings counts the batches between zones, and sent all batches.
+	// received counts the updates that each node received, by receiver and origin.
+	received map[member.ID]map[member.ID]int
+	// crossings counts the batches between zones, and sent counts all batches.
 	crossings, sent int
 }
 
 func newNetwork(zones, perZone int) *network {
-	n := &network{relayers: map[member.ID]*gossip.Relayer{}, heard: map[member.ID]map[member.ID]int{}}
+	n := &network{relayers: map[member.ID]*gossip.Relayer{}, received: map[member.ID]map[member.ID]int{}}
 	for zone := range zones {
 		for number := range perZone {
 			info := member.Info{
@@ -37,13 +37,14 @@
 			}
 			n.peers = append(n.peers, info)
 			n.relayers[info.ID] = gossip.NewRelayer(info.ID, info.Zone)
-			n.heard[info.ID] = map[member.ID]int{}
+			n.received[info.ID] = map[member.ID]int{}
 		}
 	}
 	return n
 }
 
-// round lets every node flush once by its view of the live nodes.
+// round flushes every relayer once. The argument views overrides the live nodes for some of the
+// nodes; the others regard all peers as live.
 func (n *network) round(views map[member.ID][]member.Info) {
 	for _, peer := range n.peers {
 		view, given := views[peer.ID]
@@ -58,22 +59,22 @@
 	}
 }
 
-// deliver lets a batch arrive.
+// deliver passes a batch to its receiver and counts it.
 func (n *network) deliver(from, to member.Info, batch gossip.Batch) {
 	n.sent++
 	if from.Zone != to.Zone {
 		n.crossings++
 	}
 	for _, update := range n.relayers[to.ID].Receive(batch) {
-		n.heard[to.ID][update.Node]++
+		n.received[to.ID][update.Node]++
 	}
 }
 
-// zoneOfAll is the zone of the nodes that serve no callers in tests.
-const zoneOfAll = "zone-0"
+// idleZone is the zone of the node that serves no callers.
+const idleZone = "zone-0"
 
 var _ = Describe("Relayer", func() {
-	It("brings each node's updates to each other node once", func() {
+	It("delivers each node's updates to every other node exactly once", func() {
 		n := newNetwork(4, 18)
 		for id, relayer := range n.relayers {
 			relayer.Add(gossip.Update{Node: id})
@@ -81,16 +82,16 @@
 		for range 4 {
 			n.round(nil)
 		}
-		for id, received := range n.heard {
-			Expect(received).To(HaveLen(len(n.peers)-1), "news at %s", id)
+		for id, received := range n.received {
+			Expect(received).To(HaveLen(len(n.peers)-1), "nodes whose updates %s received", id)
 			Expect(received).NotTo(HaveKey(id))
 			for from, times := range received {
-				Expect(times).To(Equal(1), "%s of %s", id, from)
+				Expect(times).To(Equal(1), "deliveries to %s of updates from %s", id, from)
 			}
 		}
 	})
 
-	It("crosses zones between relays alone", func() {
+	It("sends batches to other zones only between relays", func() {
 		n := newNetwork(4, 18)
 		for range 20 {
 			for _, relayer := range n.relayers {
@@ -102,36 +103,36 @@
 		Expect(n.sent).To(BeNumerically("<=", 20*(72+4*17+4*3)))
 	})
 
-	It("still brings updates to each node when nodes disagree on who is live", func() {
+	It("delivers updates to the other zones even if nodes disagree on which nodes are live", func() {
 		n := newNetwork(3, 3)
 		relay, _ := gossip.RelayFor("zone-0", n.peers)
-		var without []member.Info
+		var withoutRelay []member.Info
 		for _, peer := range n.peers {
 			if peer.ID != relay.ID {
-				without = append(without, peer)
+				withoutRelay = append(withoutRelay, peer)
 			}
 		}
-		sender := without[0]
+		sender := withoutRelay[0]
 		Expect(sender.Zone).To(Equal("zone-0"))
 		n.relayers[sender.ID].Add(gossip.Update{})
 		for range 4 {
-			// The teller alone has noticed that the relay is dead.
-			n.round(map[member.ID][]member.Info{sender.ID: without})
+			// Only the sender regards the relay as dead.
+			n.round(map[member.ID][]member.Info{sender.ID: withoutRelay})
 		}
-		for _, peer := range without {
+		for _, peer := range withoutRelay {
 			if peer.ID != sender.ID && peer.Zone != "zone-0" {
-				Expect(n.heard[peer.ID]).To(HaveKey(sender.ID), "news at %s", peer.ID)
+				Expect(n.received[peer.ID]).To(HaveKey(sender.ID), "nodes whose updates %s received", peer.ID)
 			}
 		}
 	})
 
-	It("relays through a node that serves no callers, and sends it nothing else", func() {
+	It("relays through a node that serves no callers, and delivers each update exactly once", func() {
 		n := newNetwork(2, 5)
-		idle := member.Info{ID: "idle", Zone: zoneOfAll}
+		idle := member.Info{ID: "idle", Zone: idleZone}
 		n.peers = append(n.peers, idle)
 		n.relayers[idle.ID] = gossip.NewRelayer(idle.ID, idle.Zone)
-		n.heard[idle.ID] = map[member.ID]int{}
-		relay, found := gossip.RelayFor(zoneOfAll, n.peers)
+		n.received[idle.ID] = map[member.ID]int{}
+		relay, found := gossip.RelayFor(idleZone, n.peers)
 		Expect(found).To(BeTrue())
 		Expect(relay.ID).To(Equal(idle.ID))
 		for id, relayer := range n.relayers {
@@ -142,16 +143,16 @@
 		for range 4 {
 			n.round(nil)
 		}
-		for id, received := range n.heard {
+		for id, received := range n.received {
 			for from, times := range received {
-				Expect(times).To(Equal(1), "%s of %s", id, from)
+				Expect(times).To(Equal(1), "deliveries to %s of updates from %s", id, from)
 			}
 		}
-		Expect(n.heard["node-0-0"]).To(HaveLen(9))
-		Expect(n.heard["node-1-0"]).To(HaveLen(9))
+		Expect(n.received["node-0-0"]).To(HaveLen(9))
+		Expect(n.received["node-1-0"]).To(HaveLen(9))
 	})
 
-	It("queues no more than its bound", func() {
+	It("drops updates beyond the capacity of its queues", func() {
 		relayer := gossip.NewRelayer("relay", "zone")
 		update := make([]gossip.Update, 10000)
 		for i := range update {
