--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 	// SlowStart limits the attempts on back ends that have started recently.
 	SlowStart *warmup.Limiter
 	// Updates collects what is reported to the other nodes about attempts.
-	Updates *gossip.Outgoing
+	Updates *gossip.OutgoingUpdates
 	// MaxAttempts is the maximum number of attempts per request on routes that do not
 	// configure one.
 	MaxAttempts int
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -37,7 +37,7 @@
 //	health, quarantine, stale ones   health                         any goroutine
 //	slow start                       warmup.Limiter                 any goroutine
 //	start-up gate                    startupgate.Gate               any goroutine
-//	updates for other nodes          gossip.Outgoing                any goroutine
+//	updates for other nodes          gossip.OutgoingUpdates                any goroutine
 //	snapshots from and for others    gossip.SnapshotExchange        any goroutine
 //	event streams                    feeds.Manager                  one goroutine a back end
 //	reports                          reports.Readers                one goroutine a back end
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -11,7 +11,7 @@
 // messages even if there are many nodes.
 //
 // Relayer, SnapshotClient and SnapshotServer are state machines: they do no I/O, read no
-// clock, and must not be used concurrently. Outgoing collects the updates of this node, and
+// clock, and must not be used concurrently. OutgoingUpdates collects the updates of this node, and
 // SnapshotExchange connects a SnapshotClient and a SnapshotServer to the node's index; they
 // read no clock either, but may be used concurrently.
 package gossip
@@ -73,7 +73,7 @@
 	// Reports are the reports about cached chunks that the node has read from back ends
 	// on behalf of all nodes.
 	Reports []Report
-	Denials []Denial
+	GoneInstances []GoneInstance
 	// Outcomes are the outcomes of the node's attempts at back ends that failed some of
 	// them.
 	Outcomes []outlier.Report
@@ -120,10 +120,10 @@
 	Removed bool
 }
 
-// Denial reports that an incarnation of a back end is no longer at its address, although
+// GoneInstance reports that an incarnation of a back end is no longer at its address, although
 // control state may still list it. This is known from a response of the back end that is at
 // the address now.
-type Denial struct {
+type GoneInstance struct {
 	Address  string
 	Instance string
 }
--- a/internal/dataplane/gossip/outgoing.go
+++ b/internal/dataplane/gossip/outgoing.go
@@ -25,9 +25,9 @@
 	sentAt time.Duration
 }
 
-// Outgoing collects the updates about this node's traffic that are to be sent to the other
+// OutgoingUpdates collects the updates about this node's traffic that are to be sent to the other
 // nodes. It may be used concurrently.
-type Outgoing struct {
+type OutgoingUpdates struct {
 	mutex sync.Mutex
 	// sentLoads holds, by address, the loads that the other nodes currently attribute to
 	// this node.
@@ -38,16 +38,16 @@
 	denials    []GoneInstance
 }
 
-// NewOutgoing returns an Outgoing without updates.
-func NewOutgoing() *Outgoing {
-	return &Outgoing{sentLoads: make(map[string]sentLoad)}
+// NewOutgoingUpdates returns an OutgoingUpdates without updates.
+func NewOutgoingUpdates() *OutgoingUpdates {
+	return &OutgoingUpdates{sentLoads: make(map[string]sentLoad)}
 }
 
 // AddDispatch adds a request that was sent to a replica.
 func (o *OutgoingUpdates) AddDispatch(dispatch Dispatch) { enqueue(o, &o.dispatches, dispatch) }
 
 // AddReport adds a page of reports that this node has read from a back end.
-func (o *Outgoing) AddReport(report Report) { enqueue(o, &o.reports, report) }
+func (o *OutgoingUpdates) AddReport(report Report) { enqueue(o, &o.reports, report) }
 
 // AddGoneInstance adds an incarnation that is gone from its address.
 func (o *OutgoingUpdates) AddGoneInstance(denial GoneInstance) { enqueue(o, &o.denials, denial) }
@@ -62,7 +62,7 @@
 }
 
 // Drain returns the update to send now, given the current loads, and empties the queues.
-func (o *Outgoing) Drain(now time.Duration, loads []kvrouter.AddressLoad) Update {
+func (o *OutgoingUpdates) Drain(now time.Duration, loads []kvrouter.AddressLoad) Update {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	update := Update{Dispatches: o.dispatches, Reports: o.reports, GoneInstances: o.denials}
@@ -79,7 +79,7 @@
 // due if it differs from the last one sent, or if the other nodes would soon discard that one.
 // The progress of a prefill and the growth of a response do not count as differences, because
 // the other nodes predict them. The caller must hold the mutex.
-func (o *Outgoing) markSentIfDue(now time.Duration, load kvrouter.AddressLoad) bool {
+func (o *OutgoingUpdates) markSentIfDue(now time.Duration, load kvrouter.AddressLoad) bool {
 	sent, found := o.sentLoads[load.Address]
 	idle := load.Requests == 0
 	if found && sameRequests(sent.load, load.SharedLoad) && (idle || now-sent.sentAt < loadRefresh) {
