--- a/internal/dataplane/health/doc.go
+++ b/internal/dataplane/health/doc.go
@@ -1,8 +1,8 @@
-// Package health decides which back ends get no requests, or as few as possible, although
-// they are listed.
+// Package health decides which listed back ends receive no requests, or as few as possible.
 //
-// A Tracker judges back ends by the outcomes of requests: its own, and those that other
-// nodes report. StaleBackends contains those that the view describes wrongly, and
-// Quarantine the replicas that run other weights than control state has for them. Each
-// owns its state, reads no clock, and may be used concurrently.
+// A Tracker rates back ends by the outcomes of requests, those of this node and those that
+// other nodes report. StaleBackends contains the back ends whose incarnation or weights
+// differ from the view, and Quarantine the replicas that report another weight version than
+// control state has for them. The three types are independent of each other, take the time
+// as a parameter, and are safe for concurrent use.
 package health
--- a/internal/dataplane/health/quarantine.go
+++ b/internal/dataplane/health/quarantine.go
@@ -2,17 +2,18 @@
 
 import "sync"
 
-// Quarantine keeps requests away from replicas that report another weight version than
-// control state has for them, for as long as the two differ. Chunks that such a replica
-// caches may have been computed under either version.
+// Quarantine contains the replicas that report another weight version than control state
+// has for them. They receive no requests while the two versions differ, because the chunks
+// that such a replica caches may have been computed under either version.
 //
-// A replica leaves when control state has the version that it reported last, when it reports
-// the one that control state has, or when it is no longer listed. Since it gets no requests,
-// such a report can only come from its event stream (package feeds): where reports are read
-// page by page there is none.
+// A replica leaves quarantine when control state adopts the version that the replica
+// reported last, when the replica reports the version in control state, or when it is no
+// longer listed. Because a replica in quarantine receives no requests, it can only report
+// another version in its event stream (package feeds). Replicas whose reports are read page
+// by page have no event stream.
 type Quarantine struct {
 	mutex sync.Mutex
-	// reported holds the weight version that each replica reported last, by address.
+	// reported contains the weight version that each replica reported last, by address.
 	reported map[string]string
 }
 
@@ -21,14 +22,14 @@
 	return &Quarantine{reported: make(map[string]string)}
 }
 
-// Report records the weight version that a replica says it runs.
+// Report records the weight version that a replica reports.
 func (q *Quarantine) Report(address, weightVersion string) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.reported[address] = weightVersion
 }
 
-// Forget removes a replica that is no longer listed.
+// Forget removes the report of a replica. It is called when the replica is no longer listed.
 func (q *Quarantine) Forget(address string) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -36,8 +37,8 @@
 }
 
 // Contains reports whether a replica is in quarantine, given the version that control
-// state has for it. A replica that has reported nothing is not: control state has
-// confirmed its version.
+// state has for it. A replica that has reported no version is not in quarantine, because
+// control state has confirmed its version.
 func (q *Quarantine) Contains(address, weightVersion string) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// staleFor is how long a back end is avoided that has refused a request as meant for
-	// another one and may be the same incarnation with other weights. It is avoided for a
-	// shorter time if the view describes it otherwise before.
+	// staleFor is how long a back end receives no requests after it refused one that was
+	// meant for another incarnation or weight version, if it may still be the listed
+	// incarnation with other weights. It ends earlier if the view lists another incarnation
+	// or weight version at the address.
 	staleFor = time.Second
-	// maxDenials bounds the incarnations that are remembered as gone.
+	// maxDenials is the maximum number of addresses whose gone incarnation is recorded.
 	maxDenials = 4096
 )
 
-// staleEntry is what the view said of a back end when that refused a request as meant for
-// another one.
+// staleEntry contains the incarnation and weight version that the view listed for a back end
+// when the back end refused a request that was meant for another one.
 type staleEntry struct {
 	instance, weightVersion string
-	// until is when the back end is used again, on the node's clock.
+	// until is when the back end may receive requests again, on the node's clock.
 	until time.Duration
 }
 
-// StaleBackends remembers the back ends of which the view is out of date: those that
-// refused a request because it was for another incarnation, or for other
-// weights. An incarnation that is gone from its address never comes back to it,
-// so that the address gets nothing until the view names another one there.
+// StaleBackends records the back ends for which the view is out of date: those that refused
+// a request because it was meant for another incarnation or weight version. An incarnation
+// that is gone from its address never returns to it, so the address receives no requests
+// until the view lists another incarnation there.
 type StaleBackends struct {
 	mutex sync.Mutex
-	// entries holds the refusals after which the same incarnation may still be there, by
-	// address.
+	// entries contains the refusals by back ends that may still be the listed incarnation,
+	// by address.
 	entries map[string]staleEntry
-	// gone holds the incarnation that is gone for good from an address, by address.
+	// gone contains the incarnation that is permanently gone from an address, by address.
 	gone map[string]string
 }
 
@@ -43,9 +44,11 @@
 	return &StaleBackends{entries: make(map[string]staleEntry), gone: make(map[string]string)}
 }
 
-// RecordRefusal records that a back end has refused a request as meant for another
-// one, and returns whether the incarnation that the view names is newly found to be
-// gone. respondingInstance is the incarnation that refused, "" if it did not say.
+// RecordRefusal records that a back end has refused a request because it was meant for
+// another incarnation or weight version. replica is the back end as the view lists it, and
+// respondingInstance the incarnation that refused, or "" if the refusal did not name it.
+// RecordRefusal returns true if the refusal shows that the listed incarnation is gone, and
+// this was not recorded before.
 func (s *StaleBackends) RecordRefusal(now time.Duration, replica routing.Replica, respondingInstance string) (gone bool) {
 	sameInstancePossible := replica.WeightVersion != "" && (respondingInstance == "" || respondingInstance == replica.Instance)
 	if replica.Instance != "" && !sameInstancePossible {
@@ -59,8 +62,8 @@
 	return false
 }
 
-// RecordDenial records that an incarnation is gone from its address, and returns
-// whether that was not known before.
+// RecordDenial records that an incarnation is gone from its address, and returns whether
+// this was newly recorded. Beyond maxDenials addresses, it records nothing for further ones.
 func (s *StaleBackends) RecordDenial(denial gossip.Denial) (fresh bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,7 +75,8 @@
 	return true
 }
 
-// Contains reports whether a back end has denied what the view still says of it.
+// Contains reports whether a refusal or denial shows that the view's incarnation or weight
+// version of a back end is out of date.
 func (s *StaleBackends) Contains(now time.Duration, replica routing.Replica) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,8 +95,8 @@
 	return true
 }
 
-// Retain forgets the denials of incarnations, and the refusals of addresses, that a view
-// does not list.
+// Retain removes the denials of incarnations and the refusals of addresses that the view no
+// longer lists.
 func (s *StaleBackends) Retain(view *routing.View) {
 	instances := make(map[string]string)
 	for _, replica := range allReplicas(view) {
@@ -112,8 +116,8 @@
 	}
 }
 
-// allReplicas returns all back ends that a view lists. One that several
-// destinations share is returned for each.
+// allReplicas returns all back ends that a view lists. A back end that several destinations
+// share occurs once for each of them.
 func allReplicas(view *routing.View) []routing.Replica {
 	var all []routing.Replica
 	for _, pool := range view.Pools {
--- a/internal/dataplane/health/stale_backends_internal_test.go
+++ b/internal/dataplane/health/stale_backends_internal_test.go
@@ -18,14 +18,15 @@
 	RunSpecs(t, "Health Suite")
 }
 
-// staleTimeline plays lines of "time event" on a memory of what is out of
-// date, and checks after each whether the address is "held" or "free". Events:
+// staleTimeline applies the events of a timeline to StaleBackends, and checks after each
+// whether the address is contained ("held") or not ("free"). Each line has the form
+// "time event held|free". Events:
 //
-//	list INSTANCE VERSION    the view names them at the address
-//	unlist                   the view does not name the address
-//	refused BY               the back end there refused; "-" for one that did not say who it is
-//	told INSTANCE            another node told that the incarnation is gone
-//	wait                     nothing
+//	list INSTANCE VERSION    the view lists this incarnation and weight version at the address
+//	unlist                   the view does not list the address
+//	refused INSTANCE         this incarnation refused a request; "-" if the refusal named none
+//	told INSTANCE            another node reported that this incarnation is gone
+//	wait                     no event
 func staleTimeline(text string) {
 	subject := NewStaleBackends()
 	replica := routing.Replica{Address: "a"}
@@ -46,14 +47,14 @@
 			subject.RecordDenial(gossip.Denial{Address: "a", Instance: event[1]})
 		case "wait":
 		default:
-			Fail("no such event: " + line)
+			Fail("unknown event in line: " + line)
 		}
 		found := map[bool]string{true: "held", false: "free"}[subject.Contains(now, replica)]
 		Expect(found).To(Equal(expected), line)
 	}
 }
 
-// given reads a word of a timeline, in which "-" stands for nothing.
+// given returns a word of a timeline, or "" for "-".
 func given(word string) string {
 	if word == "-" {
 		return ""
@@ -62,8 +63,8 @@
 }
 
 var _ = Describe("StaleBackends", func() {
-	DescribeTable("excludes an address", staleTimeline,
-		Entry("until the list names another incarnation there", `
+	DescribeTable("contains an address", staleTimeline,
+		Entry("until the view lists another incarnation there", `
 			0s     list i-1 w1   free
 			1s     refused i-9   held
 			2s     wait          held
@@ -71,47 +72,47 @@
 			61s    list i-1 w2   held
 			62s    list i-9 w2   free
 			63s    wait          free`),
-		Entry("when another node has been refused", `
+		Entry("when another node reports the incarnation as gone", `
 			0s     list i-1 w1   free
 			1s     told i-1      held
 			30s    wait          held
 			31s    list i-2 w1   free`),
-		Entry("but not for a denial of an earlier incarnation", `
+		Entry("but not after a denial of an earlier incarnation", `
 			0s     list i-2 w1   free
 			1s     told i-1      free`),
-		Entry("for a second when the incarnation is right, and has other weights", `
+		Entry("for a second if the incarnation is as listed and its weights differ", `
 			0s     list i-1 w1   free
 			1s     refused i-1   held
 			1.9s   wait          held
 			2s     wait          free`),
-		Entry("until the list names its weights", `
+		Entry("until the view lists other weights, if only the weights differ", `
 			0s     list i-1 w1   free
 			1s     refused i-1   held
 			1.2s   list i-1 w2   free`),
-		Entry("for a second when it may be the weights alone", `
+		Entry("for a second if the refusal names no incarnation, so that only the weights may differ", `
 			0s     list i-1 w1   free
 			1s     refused -     held
 			2s     wait          free`),
-		Entry("of a back end without weights, even if that does not say who it is", `
+		Entry("until the view lists another incarnation, if the back end has no weights and the refusal names no incarnation", `
 			0s     list i-1 -    free
 			1s     refused -     held
 			9s     wait          held
 			10s    list i-2 -    free`),
-		Entry("for a second when the list names no incarnation", `
+		Entry("for a second if the view lists no incarnation", `
 			0s     list - w1     free
 			1s     refused i-9   held
 			2s     wait          free`),
 	)
 
-	It("reports once that an incarnation is gone", func() {
+	It("reports only once that an incarnation is gone", func() {
 		subject := NewStaleBackends()
 		replica := routing.Replica{Address: "a", Instance: "i-1", WeightVersion: "w1"}
 		Expect(subject.RecordRefusal(0, replica, "i-9")).To(BeTrue())
 		Expect(subject.RecordRefusal(0, replica, "i-9")).To(BeFalse())
-		Expect(subject.RecordRefusal(0, replica, "i-1")).To(BeFalse(), "other weights are no news for others")
+		Expect(subject.RecordRefusal(0, replica, "i-1")).To(BeFalse(), "the listed incarnation refused, so it is not gone")
 	})
 
-	It("forgets what is no longer listed, and remembers no more than its bound", func() {
+	It("removes denials and refusals that are no longer listed, and records at most maxDenials denials", func() {
 		subject := NewStaleBackends()
 		for number := range 2 * maxDenials {
 			subject.RecordDenial(gossip.Denial{Address: fmt.Sprint(number), Instance: "i-1"})
--- a/internal/dataplane/health/tracker.go
+++ b/internal/dataplane/health/tracker.go
@@ -16,71 +16,73 @@
 )
 
 const (
-	// webOverdueFactor is the multiple of the latency target after which an attempt on
-	// a web service without any output counts against its back end.
+	// webOverdueFactor is the multiple of the latency target after which an attempt on a
+	// web service is overdue if it has no output, and counts against its back end.
 	webOverdueFactor = 2
-	// poolOverdueFactor is the same for the replicas of pools, where a prompt may be
-	// queued for long, and expectedDelayFactor the multiple of the expected delay that
-	// is added to it.
+	// poolOverdueFactor is the corresponding multiple for replicas of pools. It is higher
+	// because a prompt may be queued for long. expectedDelayFactor is the multiple of the
+	// expected delay that is added for web services and pools.
 	poolOverdueFactor   = 6
 	expectedDelayFactor = 3
-	// minOverdue is the least time after which an attempt is overdue.
+	// minOverdue is the minimum of the multiple of the latency target; the multiple of the
+	// expected delay is added to it.
 	minOverdue = 500 * time.Millisecond
 )
 
 // Options configure a Tracker.
 type Options struct {
-	// Outlier configures the detection of outliers. Its Node and Changed are set by
-	// New.
+	// Outlier configures the outlier detection. New overwrites Node and Changed.
 	Outlier outlier.Options
-	// Member is this node, and Zone the zone it is in.
+	// Member identifies this node, and Zone is the node's zone.
 	Member member.ID
 	Zone   string
 	// Peers returns the live nodes that serve callers.
 	Peers func() []member.Info
-	// Log gets a line for each back end that is ejected or readmitted.
+	// Log receives a line for each back end that is ejected or readmitted.
 	Log *logrus.Entry
 }
 
-// Tracker judges back ends by the outcomes of attempts on them: those of this node and
-// those that other nodes report.
+// Tracker rates back ends by the outcomes of attempts on them, those of this node and those
+// that other nodes report.
 type Tracker struct {
 	*outlier.Detector
 	zone  string
 	peers func() []member.Info
 
 	mutex sync.Mutex
-	// view is the newest view that Follow was called with. The Detector has its back ends.
+	// view is the newest view that Follow was called with. The Detector tracks its back
+	// ends.
 	view *routing.View
-	// running holds the attempts without any output so far.
+	// running contains the attempts without any output so far.
 	running map[*Attempt]struct{}
 }
 
-// Attempt observes one attempt for the health of its back end. It may count more than once:
-// when it becomes overdue, by its first output, and by a failure after that.
+// Attempt tracks one attempt and records its outcomes for the health of the back end. One
+// attempt may have several outcomes: that it is overdue, that of its first output, and a
+// failure after the first output.
 type Attempt struct {
-	// Address is that of the back end.
+	// Address is the back end's address.
 	Address string
 
 	tracker *Tracker
 	// overdueAt and slowAt are the times, on the node's clock, from which the attempt
 	// counts as overdue and its output as slow; 0 means never.
 	overdueAt, slowAt time.Duration
-	// counted reports whether it has counted as overdue.
+	// counted is set when the attempt has been counted as overdue.
 	counted bool
 }
 
-// Expectation is what is expected of an attempt.
+// Expectation contains the expected latencies of an attempt.
 type Expectation struct {
-	// Target is the latency target of the route; 0 if it has none.
+	// Target is the latency target of the route; 0 if the route has none.
 	Target time.Duration
-	// Delay is the expected time to the first output; 0 if it is not known.
+	// Delay is the expected time to the first output; 0 if it is unknown.
 	Delay time.Duration
 	// WebService reports whether the back end belongs to a web service.
 	WebService bool
 }
 
-// New returns a Tracker that knows no back end.
+// New returns a Tracker without back ends.
 func New(options Options) *Tracker {
 	settings := options.Outlier
 	settings.Node = string(options.Member)
@@ -96,8 +98,8 @@
 	}
 }
 
-// Follow makes the back ends of a view known. It does nothing for nil or the view of
-// the last call.
+// Follow replaces the tracked back ends by those of a view. It does nothing if the view is
+// nil or that of the last call.
 func (t *Tracker) Follow(view *routing.View) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -115,7 +117,8 @@
 	t.SetPools(pools)
 }
 
-// poolKey identifies a pool or a web service to the Detector, which calls both pools.
+// poolKey returns the Detector's name for a pool or a web service. The Detector treats both
+// as pools.
 func poolKey(name string, webService bool) string {
 	if webService {
 		return "web/" + name
@@ -123,20 +126,21 @@
 	return "pool/" + name
 }
 
-// members returns the incarnations of listed back ends.
+// members converts listed back ends to members for the Detector.
 func members(replicas []routing.Replica) []outlier.Member {
 	return lo.Map(replicas, func(replica routing.Replica, _ int) outlier.Member {
 		return outlier.Member{Address: replica.Address, Instance: replica.Instance}
 	})
 }
 
-// Begin observes an attempt that is about to be sent. The caller must call End on it.
+// Begin starts to track an attempt that is about to be sent. The caller must call End on the
+// returned Attempt.
 func (t *Tracker) Begin(now time.Duration, address string, expected Expectation) *Attempt {
 	started := &Attempt{Address: address, tracker: t}
 	if expected.Target > 0 {
 		factor := time.Duration(poolOverdueFactor)
-		// Replicas are not counted as slow: the router learns by itself how fast they
-		// are.
+		// Replicas of pools are not counted as slow, because the router measures their
+		// speed itself.
 		if expected.WebService {
 			factor = webOverdueFactor
 			started.slowAt = now + expected.Target
@@ -150,7 +154,7 @@
 	return started
 }
 
-// CountOverdue counts the attempts that have become overdue against their back ends.
+// CountOverdue records the attempts that have become overdue as failures of their back ends.
 func (t *Tracker) CountOverdue(now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -162,8 +166,8 @@
 	}
 }
 
-// End records that the attempt has output, or can have none any more, and reports
-// whether it has counted as overdue. It may be called more than once.
+// End records that the attempt has had its first output or can have none any more, and
+// reports whether the attempt was counted as overdue. It may be called more than once.
 func (a *Attempt) End() (overdue bool) {
 	a.tracker.mutex.Lock()
 	defer a.tracker.mutex.Unlock()
@@ -176,8 +180,8 @@
 	overdue := a.End()
 	switch {
 	case status == http.StatusGatewayTimeout:
-		// The caller's deadline may have been too short, so that this counts neither for
-		// nor against the back end; but it is alive.
+		// The caller's deadline may have been too short, so this status counts neither
+		// for nor against the back end. It does show that the back end is alive.
 		a.tracker.RecordResponse(a.Address)
 	case status >= http.StatusInternalServerError && status != http.StatusNotImplemented:
 		a.tracker.Observe(now, a.Address, outlier.Errored)
@@ -188,7 +192,7 @@
 	}
 }
 
-// Failed records how the attempt ended without a response, or in the middle of one.
+// Failed records the outcome of an attempt that ended without a response or during one.
 func (a *Attempt) Failed(now time.Duration, outcome outlier.Outcome) {
 	a.End()
 	a.tracker.Observe(now, a.Address, outcome)
@@ -200,7 +204,7 @@
 	return t.Stats(now, poolKey(name, webService))
 }
 
-// ApplyOutcomes counts the outcomes that another node reports.
+// ApplyOutcomes records the outcomes that another node reports.
 func (t *Tracker) ApplyOutcomes(now time.Duration, update gossip.Update) {
 	if len(update.Outcomes) == 0 {
 		return
@@ -211,26 +215,27 @@
 	}
 }
 
-// SelectionResult is how a selection among back ends ended.
+// SelectionResult is the result of a selection among back ends.
 type SelectionResult int
 
 const (
 	// Found means that a back end was selected.
 	Found SelectionResult = iota
-	// AllBusy means that all back ends which are not excluded are at capacity.
+	// AllBusy means that all back ends that are not excluded are at capacity.
 	AllBusy
 	// NoneLeft means that all back ends are excluded.
 	NoneLeft
 )
 
-// TryHealthiestFirst calls try, which selects a back end that is not excluded, until it finds
-// one: first without unhealthy back ends; if the healthy ones are at capacity or none is left,
-// also with ejected ones; and if none is left still, also with suspected ones. Tried are the
-// back ends of earlier attempts of the request, which are always excluded. What the last call
-// of try has selected counts.
+// TryHealthiestFirst calls try, which selects among the back ends that are not excluded, up
+// to three times and stops at Found. The first call excludes all unhealthy back ends. If the
+// healthy ones are at capacity or none is left, the second call also permits ejected back
+// ends. If none is left then, the third call also permits suspected ones. The result of the
+// last call of try applies. tried contains the back ends of earlier attempts of the request,
+// which are always excluded.
 //
-// Probe permits a probe of an ejected back end. It must be false for retries: a probe is
-// likely to fail, and would take one of the few that the retry budget permits.
+// probe permits a probe of an ejected back end. It must be false for retries: a probe is
+// likely to fail, and would use up one of the few retries that the retry budget permits.
 func (t *Tracker) TryHealthiestFirst(now time.Duration, tried []string, probe bool, try func(exclude func(address string) bool) SelectionResult) {
 	unhealthy := false
 	tryUpTo := func(worst outlier.Verdict) SelectionResult {
