--- a/internal/dataplane/reports/assignment.go
+++ b/internal/dataplane/reports/assignment.go
@@ -10,20 +10,20 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// assignment is the set of back ends that a node reads under a view and a membership.
+// assignment is the set of back ends that a node reads for a given view and membership.
 type assignment struct {
 	view     *routing.View
 	peers    []member.Info
 	backends map[string]bool
 }
 
-// validFor reports whether the assignment was made for a view and a membership.
+// validFor reports whether the assignment was computed for this view and membership.
 func (a *assignment) validFor(view *routing.View, peers []member.Info) bool {
 	same := func(one, other member.Info) bool { return one.ID == other.ID && one.Zone == other.Zone }
 	return a.backends != nil && a.view == view && slices.EqualFunc(a.peers, peers, same)
 }
 
-// assign returns the assignment of a node.
+// assign computes the assignment of a node.
 func assign(self member.ID, view *routing.View, peers []member.Info) assignment {
 	backends := make(map[string]bool)
 	for address, zone := range reportingZones(view) {
@@ -49,7 +49,7 @@
 }
 
 // readerFor returns the node that reads a back end: the one with the highest rendezvous
-// weight among the nodes in its zone, or among all if the zone has none.
+// weight among the nodes in the back end's zone, or among all nodes if the zone has none.
 func readerFor(address, zone string, peers []member.Info) member.ID {
 	inZone, found := heaviest(address, peers, func(peer member.Info) bool { return peer.Zone == zone })
 	if found {
@@ -59,8 +59,8 @@
 	return anywhere
 }
 
-// heaviest returns the node with the highest weight for a back end, among those that
-// may read it.
+// heaviest returns the node with the highest rendezvous weight for a back end, among the
+// nodes for which mayRead is true.
 func heaviest(address string, peers []member.Info, mayRead func(member.Info) bool) (best member.ID, found bool) {
 	highest := uint64(0)
 	for _, peer := range peers {
@@ -75,7 +75,7 @@
 	return best, found
 }
 
-// readerWeight is the rendezvous weight of a node for a back end.
+// readerWeight returns the rendezvous weight of a node for a back end.
 func readerWeight(address string, id member.ID) uint64 {
 	return xxhash.Sum64String(address + "\x00" + string(id))
 }
--- a/internal/dataplane/reports/assignment_internal_test.go
+++ b/internal/dataplane/reports/assignment_internal_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("The reader of a back end", func() {
 	peers := []member.Info{{ID: "n1", Zone: "a"}, {ID: "n2", Zone: "a"}, {ID: "n3", Zone: "b"}}
 
-	It("is one of its zone, or any where the zone has none, and the same for every order of the nodes", func() {
+	It("is a node of the back end's zone, or any node if the zone has none, regardless of the order of the nodes", func() {
 		near := readerFor("10.0.0.1:1", "a", peers)
 		Expect(near).To(BeElementOf(member.ID("n1"), member.ID("n2")))
 		Expect(readerFor("10.0.0.1:1", "a", []member.Info{peers[2], peers[1], peers[0]})).To(Equal(near))
@@ -19,7 +19,7 @@
 		Expect(readerFor("10.0.0.1:1", "a", nil)).To(BeEmpty())
 	})
 
-	It("is worked out anew when the view, a node or its zone is another one, and not before", func() {
+	It("is reassigned only when the view, the live nodes or a node's zone changes", func() {
 		view := &routing.View{}
 		assigned := assignment{view: view, peers: peers, backends: map[string]bool{}}
 		Expect(assigned.validFor(view, peers)).To(BeTrue())
--- a/internal/dataplane/reports/full_read.go
+++ b/internal/dataplane/reports/full_read.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// minFullReadInterval is the least time between two full reads of one back end, since a
-// full read delays the back end's work.
+// minFullReadInterval is the minimum time between two full reads of one back end. It is
+// needed because a full read delays the back end's work.
 const minFullReadInterval = 2 * time.Second
 
-// fullReadLimiter limits the full reads of back ends. A full read is needed when changes
-// were missed: back ends remember only the newest changes.
+// fullReadLimiter limits the rate of full reads of each back end. A full read is needed when
+// changes were missed, because back ends keep only the newest changes.
 type fullReadLimiter struct {
 	mutex sync.Mutex
 	// readAt is the time of the last full read of each back end.
 	readAt map[string]time.Duration
 }
 
-// newFullReadLimiter returns a limiter that has counted no full read.
+// newFullReadLimiter returns a limiter that has recorded no full read.
 func newFullReadLimiter() *fullReadLimiter {
 	return &fullReadLimiter{
 		readAt: make(map[string]time.Duration),
 	}
 }
 
-// tryAcquire reports whether a back end may be read in full now, and counts that.
+// tryAcquire reports whether a back end may be read in full now, and if so, records the time
+// of the full read.
 func (l *fullReadLimiter) tryAcquire(now time.Duration, address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -36,7 +37,7 @@
 	return true
 }
 
-// retain forgets back ends that are not among the reporting ones, by address.
+// retain removes the back ends whose addresses are not among the keys of reporting.
 func (l *fullReadLimiter) retain(reporting map[string]string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -47,7 +48,8 @@
 	}
 }
 
-// readFull reads everything that a back end caches, and sends it to the other nodes.
+// readFull reads all chunks that a back end caches, applies them to the index and publishes
+// them to the other nodes.
 func (r *Readers) readFull(ctx context.Context, address string) error {
 	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
 	defer cancel()
--- a/internal/dataplane/reports/full_read_internal_test.go
+++ b/internal/dataplane/reports/full_read_internal_test.go
@@ -17,12 +17,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// scriptedReports plays a back end that remembers its newest change only.
+// scriptedReports simulates a back end that keeps only its newest change.
 type scriptedReports struct {
 	mutex sync.Mutex
 	// lose makes the next page report a gap.
-	lose      bool
-	refuse    error
+	lose bool
+	// refuse, if set, is returned by List.
+	refuse error
+	// fullReads contains the addresses of the calls of List.
 	fullReads []string
 }
 
@@ -49,7 +51,7 @@
 	}}, nil
 }
 
-// takeFullReads returns what was read in full since the last call.
+// takeFullReads returns the addresses that were read in full since the last call.
 func (s *scriptedReports) takeFullReads() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -58,13 +60,14 @@
 	return addresses
 }
 
-// fixedView is control state that does not change.
+// fixedView is a source of control state that does not change.
 type fixedView struct{ view *routing.View }
 
 func (f fixedView) View() *routing.View { return f.view }
 func (f fixedView) Serving() error      { return nil }
 
-// reportingNode is a node before one replica, without sockets.
+// reportingNode is a node that reads the reports of one replica, without network
+// connections.
 type reportingNode struct {
 	readers  *Readers
 	router   *kvrouter.Router
@@ -96,12 +99,12 @@
 	return n
 }
 
-// published returns what was sent to the other nodes since the last call.
+// published returns the reports for the other nodes that were added since the last call.
 func (n *reportingNode) published() []gossip.Report {
 	return n.outgoing.Drain(n.now, nil).Reports
 }
 
-// read reads once as the back end's reader does.
+// read reads the back end's reports once, as its assigned reader does.
 func (n *reportingNode) read() {
 	Expect(n.readers.readOnce(context.Background(), "replica")).To(Succeed())
 }
@@ -122,9 +125,9 @@
 	var n *reportingNode
 	BeforeEach(func() { n = newReportingNode() })
 
-	It("are read in full by its reader at first, and sent to the others completely", func() {
+	It("are first read in full by the assigned reader, and published completely to the other nodes", func() {
 		n.read()
-		Expect(n.cachedTokens("oldest")).To(Equal(uint32(4000)), "its history does not go back so far")
+		Expect(n.cachedTokens("oldest")).To(Equal(uint32(4000)), "the back end's changes no longer include this chunk, so only a full read finds it")
 		reports := n.published()
 		Expect(reports).To(HaveLen(1))
 		Expect(reports[0].Complete).To(BeTrue())
@@ -132,14 +135,14 @@
 		Expect(reports[0].Changes).To(HaveLen(2))
 	})
 
-	It("are followed from the full read on", func() {
+	It("are updated after a full read by the changes that follow it", func() {
 		n.read()
 		n.read()
 		Expect(n.reports.takeFullReads()).To(HaveLen(1))
 		Expect(n.published()[1].Feed.From).To(Equal(uint64(41)))
 	})
 
-	It("are read in full again after a gap, but not at once a second time", func() {
+	It("are read in full again after a gap, but not twice within minFullReadInterval", func() {
 		n.read()
 		n.reports.lose = true
 		n.read()
@@ -153,7 +156,7 @@
 		Expect(n.reports.takeFullReads()).To(BeEmpty())
 	})
 
-	It("are never read in full by a node that is not the reader, whatever that node has missed", func() {
+	It("are never read in full by a node that is not the assigned reader, even if it has missed changes", func() {
 		n.readers.stabilization.done = true
 		n.readers.options.Peers = func() []member.Info { return []member.Info{{ID: "reader", Zone: "a"}} }
 		for range 20 {
@@ -161,10 +164,10 @@
 			n.readers.Follow(context.Background(), n.readers.options.Source.View())
 		}
 		Expect(n.readers.running).To(BeEmpty())
-		Expect(n.reports.takeFullReads()).To(BeEmpty(), "of a large fleet, each node would hold up each back end")
+		Expect(n.reports.takeFullReads()).To(BeEmpty(), "in a large fleet, full reads by every node would delay every back end")
 	})
 
-	It("are followed by their changes while a full read fails", func() {
+	It("are updated by the changes while full reads fail", func() {
 		n.reports.refuse = context.DeadlineExceeded
 		n.read()
 		Expect(n.cachedTokens("newest")).To(Equal(uint32(100)))
@@ -172,7 +175,7 @@
 })
 
 var _ = Describe("fullReadLimiter", func() {
-	It("forgets back ends that are no longer listed", func() {
+	It("removes back ends that are no longer listed", func() {
 		l := newFullReadLimiter()
 		Expect(l.tryAcquire(0, "a")).To(BeTrue())
 		Expect(l.tryAcquire(1, "a")).To(BeFalse())
--- a/internal/dataplane/reports/page.go
+++ b/internal/dataplane/reports/page.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Apply applies a page of reports, read by this node or by another one, to the router's
-// prefix index.
+// Apply applies a page of reports to the router's prefix index. The page may have been read
+// by this node or by another one.
 func Apply(router *kvrouter.Router, now time.Duration, report gossip.Report) {
 	changes := report.ChunkChanges()
 	if report.Complete {
@@ -23,7 +23,8 @@
 	router.ChunksReported(now, report.Address, report.Feed, changes)
 }
 
-// reportOf converts a page to what is sent to other nodes.
+// reportOf converts a page of changes after the position since to the report that is sent to
+// other nodes.
 func reportOf(address string, since uint64, page edges.ReportPage) gossip.Report {
 	return gossip.Report{
 		Address: address,
--- a/internal/dataplane/reports/readers.go
+++ b/internal/dataplane/reports/readers.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// readWait is how long a back end may hold a read that has no changes to return (a long
-	// poll).
+	// readWait is how long a back end may delay the response to a read while it has no
+	// changes to return (long polling).
 	readWait = time.Second
-	// minReadInterval is the least time between two reads of one back end, so that
-	// changes are read in batches.
+	// minReadInterval is the pause between two reads of one back end. With it, changes are
+	// read in batches.
 	minReadInterval = 200 * time.Millisecond
-	// readBackoff is the backoff after a failed read, and maxReadBackoff its upper bound
-	// after further ones.
+	// readBackoff is the backoff after the first failed read. It doubles with each further
+	// failure in a row, up to maxReadBackoff.
 	readBackoff    = 250 * time.Millisecond
 	maxReadBackoff = 2 * time.Second
-	// readTimeoutMargin is added to the wait of a read for its time-out.
+	// readTimeoutMargin is added to readWait for the time-out of a read.
 	readTimeoutMargin = time.Second
 )
 
 // Options configure Readers.
 type Options struct {
-	// Member is this node's identity among the nodes.
+	// Member identifies this node.
 	Member member.ID
 	// Peers returns the live nodes that serve callers, including this one.
 	Peers func() []member.Info
@@ -38,26 +38,27 @@
 	Source routing.Source
 	// Clock returns the time elapsed on a clock that counts suspended time.
 	Clock func() time.Duration
-	// Interval is the time between two looks at the newest view and the live nodes.
+	// Interval is the time between two checks of the newest view and the live nodes.
 	Interval time.Duration
 	// Reader reads the reports of a back end.
 	Reader edges.ReportReader
-	// Router has the index that the reports are applied to.
+	// Router contains the index that the reports are applied to.
 	Router *kvrouter.Router
-	// Quarantine is cleared of back ends that are no longer listed.
+	// Quarantine is the node's quarantine. Back ends that are no longer listed are removed
+	// from it.
 	Quarantine *health.Quarantine
-	// AwaitingSnapshot reports whether a peer's snapshot of the index may still arrive.
-	// Nothing is read before.
+	// AwaitingSnapshot reports whether a peer's snapshot of the index may still arrive. No
+	// reading starts while it returns true.
 	AwaitingSnapshot func() bool
-	// Publish is called with each page that was read, after it was applied to the index.
-	// It is called by many goroutines.
+	// Publish is called with each page that was applied to the index. It is called by
+	// several goroutines concurrently.
 	Publish func(report gossip.Report)
-	// Followed is called after each look at the newest view.
+	// Followed is called after each check of the newest view.
 	Followed func()
 }
 
 // Readers reads the reports of the replicas and stores that are assigned to this node.
-// Each back end is read in a goroutine of its own, which ends with Serve.
+// Each back end is read in a goroutine of its own, which is stopped when Serve returns.
 type Readers struct {
 	options Options
 
@@ -72,11 +73,12 @@
 	assigned assignment
 
 	mutex sync.Mutex
-	// running holds what ends the read of each back end that is read now, by address.
+	// running contains, for each back end that is being read, the function that stops its
+	// goroutine, by address.
 	running map[string]context.CancelFunc
 }
 
-// New returns readers that read nothing before Serve.
+// New returns readers that read nothing until Serve is called.
 func New(options Options) *Readers {
 	return &Readers{
 		options:   options,
@@ -85,8 +87,8 @@
 	}
 }
 
-// Serve implements suture.Service: it compares what is read with the newest view and the
-// live nodes until ctx ends.
+// Serve implements suture.Service. Until ctx ends, it periodically adapts the set of back
+// ends that are read to the newest view and the live nodes.
 func (r *Readers) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(r.options.Interval)
 	defer ticker.Stop()
@@ -105,10 +107,11 @@
 	}
 }
 
-// Follow brings what is read in line with a view and the live nodes: the back ends that are
-// assigned to this node are read until ctx ends or they are assigned to another one. Before
-// the membership is stable, and while a snapshot may still tell up to which position the
-// reports have been read, it does nothing. It is called by Serve alone, once that runs.
+// Follow adapts the set of back ends that are read to a view and the live nodes: the back
+// ends that are assigned to this node are read until ctx ends or they are assigned to
+// another one. Follow does nothing until the membership is stable, and while a snapshot may
+// still arrive that contains the position up to which the reports have been read. While
+// Serve runs, only Serve may call Follow.
 func (r *Readers) Follow(ctx context.Context, view *routing.View) {
 	stable := r.stabilization.stable(r.options.Clock(), r.options.Peers())
 	if !stable || r.options.AwaitingSnapshot() {
@@ -122,8 +125,8 @@
 	return "report readers"
 }
 
-// forgetRemoved removes back ends that are no longer listed from the index and the
-// quarantine.
+// forgetRemoved removes back ends that are no longer listed from the index, the quarantine
+// and the limiter of full reads.
 func (r *Readers) forgetRemoved(view *routing.View) {
 	if view == r.lastView {
 		return
@@ -148,7 +151,8 @@
 	return r.assigned.backends
 }
 
-// reconcile starts and stops goroutines so that exactly the assigned back ends are read.
+// reconcile starts and stops goroutines so that only the assigned back ends, and all of
+// them, are read.
 func (r *Readers) reconcile(ctx context.Context, assigned map[string]bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -168,7 +172,7 @@
 	}
 }
 
-// stopAll ends all reads.
+// stopAll stops the goroutines of all back ends.
 func (r *Readers) stopAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -178,7 +182,7 @@
 	}
 }
 
-// read reads one back end until ctx ends.
+// read reads the reports of one back end repeatedly until ctx ends.
 func (r *Readers) read(ctx context.Context, address string) {
 	backoff := readBackoff
 	for ctx.Err() == nil {
@@ -196,9 +200,10 @@
 	}
 }
 
-// readOnce reads a back end once and sends what it has read to the other nodes: everything
-// that the back end caches if that is not known and a full read is due, and otherwise, or
-// if that read fails, the changes after the present position.
+// readOnce reads a back end once, applies the result to the index and publishes it. It reads
+// all cached chunks if the index does not contain them completely and the limiter permits a
+// full read. Otherwise, or if the full read fails, it reads the changes after the current
+// position.
 func (r *Readers) readOnce(ctx context.Context, address string) error {
 	if !r.options.Router.ChunksComplete(address) && r.fullReads.tryAcquire(r.options.Clock(), address) {
 		if r.readFull(ctx, address) == nil {
@@ -208,7 +213,8 @@
 	return r.readPage(ctx, address)
 }
 
-// readPage reads the changes after the present position.
+// readPage reads the changes after the current position, applies them to the index and
+// publishes them.
 func (r *Readers) readPage(ctx context.Context, address string) error {
 	incarnation, since, found := r.options.Router.ChunksPosition(address)
 	bounded, cancel := context.WithTimeout(ctx, readWait+readTimeoutMargin)
--- a/internal/dataplane/reports/stabilization_wait.go
+++ b/internal/dataplane/reports/stabilization_wait.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// stableFor is how long the membership must stay the same before a node that has
-	// started acts on it.
+	// stableFor is how long the membership must stay the same before a node that has just
+	// started uses it.
 	stableFor = 200 * time.Millisecond
-	// maxStabilizationWait bounds the wait.
+	// maxStabilizationWait is the longest time that a node waits for a stable membership.
 	maxStabilizationWait = 5 * time.Second
 )
 
-// stabilizationWait waits until a node that has started knows the live nodes. Before, it
-// sees itself as the only node, or as one of a few, and would do the work of others too.
+// stabilizationWait determines when a node that has just started knows the live nodes.
+// Until then the node knows only itself or a few others, and would also read the back ends
+// that are assigned to the nodes that it does not know.
 type stabilizationWait struct {
 	started   bool
 	startedAt time.Duration
@@ -27,8 +28,9 @@
 	done      bool
 }
 
-// stable reports, given the live nodes at each call, whether the membership is stable.
-// Once it is, it stays so.
+// stable reports whether the membership is stable: it includes another node and has stayed
+// the same for stableFor, or maxStabilizationWait has passed. peers are the live nodes at the
+// time of the call. Once stable has returned true, it always does.
 func (s *stabilizationWait) stable(now time.Duration, peers []member.Info) bool {
 	if s.done {
 		return true
--- a/internal/dataplane/reports/stabilization_wait_internal_test.go
+++ b/internal/dataplane/reports/stabilization_wait_internal_test.go
@@ -20,24 +20,24 @@
 	const start = time.Hour
 	at := func(milliseconds int) time.Duration { return start + time.Duration(milliseconds)*time.Millisecond }
 
-	It("waits until the live nodes have stayed the same", func() {
+	It("reports stable once the live nodes have stayed the same for stableFor", func() {
 		var s stabilizationWait
 		Expect(s.stable(at(0), nodes(1))).To(BeFalse())
-		Expect(s.stable(at(1200), nodes(1))).To(BeFalse(), "a node that is alone knows nobody yet")
+		Expect(s.stable(at(1200), nodes(1))).To(BeFalse(), "a node that knows no other node keeps waiting")
 		Expect(s.stable(at(1300), nodes(4))).To(BeFalse())
 		Expect(s.stable(at(1900), nodes(12))).To(BeFalse())
 		Expect(s.stable(at(2099), nodes(12))).To(BeFalse())
 		Expect(s.stable(at(2100), nodes(12))).To(BeTrue())
 	})
 
-	It("stays stable when nodes join and leave", func() {
+	It("keeps reporting stable when nodes join and leave later", func() {
 		var s stabilizationWait
 		s.stable(at(0), nodes(3))
 		Expect(s.stable(at(1000), nodes(3))).To(BeTrue())
 		Expect(s.stable(at(1001), nodes(1))).To(BeTrue())
 	})
 
-	It("ends for a node that stays alone, and where nodes never stop to change", func() {
+	It("reports stable after maxStabilizationWait if there is no other node, or the nodes keep changing", func() {
 		var alone, restless stabilizationWait
 		for step := range 50 {
 			Expect(alone.stable(at(100*step), nodes(1))).To(BeFalse())
