--- a/internal/dataplane/handlers/authenticator/handler.go
+++ b/internal/dataplane/handlers/authenticator/handler.go
@@ -1,4 +1,4 @@
-// Package authenticator finds the tenant of the request's key.
+// Package authenticator looks up the tenant that the request's key belongs to.
 package authenticator
 
 import (
@@ -7,7 +7,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// Handler authenticates requests. Whether a tenant is required is decided by the route.
+// Handler authenticates requests. It refuses none: whether a request needs a tenant depends
+// on its route, and package routematcher checks that.
 type Handler struct{}
 
 // New returns the handler.
@@ -23,7 +24,8 @@
 	next()
 }
 
-// KeyStillValid reports whether a view admits the request's key for the same tenant.
+// KeyStillValid reports whether the request's key still belongs to the same tenant in a view.
+// It is true for a request without a tenant.
 func KeyStillValid(e *exchange.Exchange, view *routing.View) bool {
 	if e.Tenant == nil {
 		return true
@@ -32,7 +34,7 @@
 	return tenant != nil && tenant.Name == e.Tenant.Name
 }
 
-// UnauthorizedError is the refusal of a request without a valid key.
+// UnauthorizedError returns the error for a request without a valid key.
 func UnauthorizedError() *caller.Error {
 	return caller.NewError(caller.KindUnauthorized,
 		"the request carries no valid key: send %s: Bearer KEY with a key of your tenant", caller.HeaderAuthorization)
--- a/internal/dataplane/handlers/bodyreader/handler.go
+++ b/internal/dataplane/handlers/bodyreader/handler.go
@@ -1,5 +1,6 @@
-// Package bodyreader reads the caller's body completely, so that every attempt sends the
-// same bytes and a caller that sends slowly never occupies a back end.
+// Package bodyreader reads the request body completely before the request is sent to a back
+// end, so that every attempt sends the same bytes and a caller that sends slowly never
+// occupies a back end.
 package bodyreader
 
 import (
@@ -15,7 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// maxPreallocatedBytes bounds the buffer that a declared length gets in advance.
+// maxPreallocatedBytes bounds the memory that is allocated in advance for a declared body
+// length.
 const maxPreallocatedBytes = 64 << 10
 
 // Handler reads the body of a request.
@@ -23,7 +25,8 @@
 	maxBytes int64
 }
 
-// New returns the handler. A body has at most maxBytes, unless the configuration bounds it.
+// New returns the handler. A body may have at most maxBytes, unless the configuration sets
+// another limit.
 func New(maxBytes int64) *Handler {
 	return &Handler{maxBytes: maxBytes}
 }
@@ -47,8 +50,8 @@
 	next()
 }
 
-// ReadPending reads the pending body of a request to its end. It may run beside the
-// request's goroutine.
+// ReadPending reads the pending body of a request to its end. It may run in another
+// goroutine than the request's.
 func (h *Handler) ReadPending(e *exchange.Exchange) {
 	defer close(e.Pending.Done)
 	body, err := h.read(e)
@@ -58,10 +61,10 @@
 	e.Pending.Body = body
 }
 
-// read reads the body within the request's deadline. The read deadline is cleared after a
-// complete body only: from then on the server watches the connection for the caller's
-// disconnect. After an incomplete body it stays, because the server tries to read the
-// rest before it writes a response.
+// read reads the body within the request's deadline. It clears the connection's read deadline
+// after a complete body, because from then on the server watches the connection for the
+// caller's disconnect. After an incomplete body it keeps the read deadline, because the server
+// tries to read the rest of the body before it writes a response.
 func (h *Handler) read(e *exchange.Exchange) ([]byte, error) {
 	controller := http.NewResponseController(e.Writer)
 	until, bounded := e.Context.Deadline()
@@ -75,7 +78,7 @@
 	return body, err
 }
 
-// limit returns the configured bound, or the default of this node.
+// limit returns the configured limit of a body in bytes, or the default of this node.
 func (h *Handler) limit(e *exchange.Exchange) int64 {
 	if limit := e.View.Configuration.GetCallerLimits().GetMaxBodyBytes(); limit > 0 {
 		return int64(limit)
@@ -83,8 +86,9 @@
 	return h.maxBytes
 }
 
-// readAll reads to the end. The declared length, -1 if there is none, sizes the buffer,
-// but only up to a bound: no memory is allocated on the word of a caller.
+// readAll reads to the end. The declared length, -1 if there is none, determines the initial
+// size of the buffer up to maxPreallocatedBytes: the caller need not send as much as it
+// declares, so a large declared length must not allocate memory.
 func readAll(reader io.Reader, declared int64) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Grow(int(min(max(declared, 0), maxPreallocatedBytes)) + bytes.MinRead)
@@ -92,14 +96,15 @@
 	return buffer.Bytes(), err
 }
 
-// newBodyError is the refusal of a request whose body cannot be read.
+// newBodyError returns the error for a request whose body cannot be read.
 func newBodyError(e *exchange.Exchange, err error) *caller.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return caller.NewError(caller.KindBodyTooLarge, "the body is larger than %d bytes: send less", tooLarge.Limit)
 	}
-	// The error of a read that the deadline ended does not always say so, and the
-	// context may end a moment later than the read.
+	// A read that fails because of the deadline does not always return a time-out error, and
+	// the context may end slightly later than the read. The time is therefore compared with
+	// the deadline.
 	if until, bounded := e.Context.Deadline(); bounded && !time.Now().Before(until) {
 		return deadline.Error()
 	}
--- a/internal/dataplane/handlers/deadline/handler.go
+++ b/internal/dataplane/handlers/deadline/handler.go
@@ -1,5 +1,6 @@
-// Package deadline bounds the time of a request by the shorter of the caller's deadline and
-// the time-out of the route or destination.
+// Package deadline limits the duration of a request to the shorter of the caller's deadline
+// and the time-out of the route. For a route without a time-out, that of the destination
+// applies.
 package deadline
 
 import (
@@ -14,19 +15,20 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// errPassed is the cause of a context that ends with the request's deadline.
+// errPassed is the cause of a context that ends because the request's deadline has passed.
 var errPassed = errors.New("the request's deadline has passed")
 
-// writeGrace is how long after the deadline the last bytes of a response may be written.
+// writeGrace is the time after the deadline in which the last bytes of a response may still
+// be written.
 const writeGrace = time.Second
 
-// Handler sets the deadline of requests, for the handlers that follow.
+// Handler sets the deadline of requests for the handlers that follow it.
 type Handler struct {
 	fallback time.Duration
 }
 
-// New returns the handler. The fallback is the time-out of requests to a destination
-// without one.
+// New returns the handler. fallback is the time-out of requests for which neither the route
+// nor the destination has one.
 func New(fallback time.Duration) *Handler {
 	return &Handler{fallback: fallback}
 }
@@ -44,14 +46,15 @@
 	defer cancel()
 	e.Context = ctx
 	controller := http.NewResponseController(e.Writer)
-	// A writer that has no deadlines, as in tests, is bounded by the context
-	// alone.
+	// The error is ignored: with a writer that does not support deadlines, as in tests,
+	// only the context limits the request.
 	_ = controller.SetWriteDeadline(time.Now().Add(limit + writeGrace))
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	next()
 }
 
-// destinationTimeout returns the time-out of requests to a destination.
+// destinationTimeout returns the time-out of requests to a destination, or fallback if the
+// destination has none.
 func destinationTimeout(destination routing.Destination, fallback time.Duration) time.Duration {
 	var milliseconds uint32
 	if destination.Pool != nil {
@@ -65,14 +68,14 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// Passed reports whether a context has ended with the request's deadline. Any
-// other end means that the caller has disconnected.
+// Passed reports whether a context has ended because the request's deadline has passed. If it
+// has ended for another reason, the caller has disconnected.
 func Passed(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errPassed)
 }
 
-// Error reports that the request's deadline has passed. The request has not run,
-// unless the caller of this function sets MayHaveRun.
+// Error returns the error for a request whose deadline has passed. It states that the request
+// has not run, unless the caller of Error sets MayHaveRun.
 func Error() *caller.Error {
 	return caller.NewError(caller.KindDeadlineExceeded,
 		"the request's time is up: send a larger %s or fewer requests at a time", caller.HeaderDeadline).WithRetryAfter(time.Second)
--- a/internal/dataplane/handlers/headerlimiter/handler.go
+++ b/internal/dataplane/handlers/headerlimiter/handler.go
@@ -1,5 +1,6 @@
-// Package headerlimiter refuses headers beyond the configured bound. The listener's own
-// bound is that of the largest one, and cannot change while it serves.
+// Package headerlimiter refuses requests whose headers exceed the configured limit. The
+// listener cannot enforce that limit, because its own limit cannot change while it serves; it
+// is the largest that can be configured.
 package headerlimiter
 
 import (
@@ -9,11 +10,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// fieldOverhead is the size of a header field beside its name and value: a colon, a space
-// and the line end.
+// fieldOverhead is the size of a header field in addition to its name and value: a colon, a
+// space and the line end (CR LF).
 const fieldOverhead = 4
 
-// Handler bounds the headers of requests.
+// Handler limits the size of request headers.
 type Handler struct{}
 
 // New returns the handler.
@@ -29,8 +30,8 @@
 	next()
 }
 
-// headerBytes returns the size of the fields of a header as they are sent, without the
-// request line and the host.
+// headerBytes returns the size of a header's fields as sent in HTTP/1.1. The request line and
+// the Host field are not counted.
 func headerBytes(header http.Header) uint64 {
 	size := 0
 	for name, values := range header {
--- a/internal/dataplane/handlers/requestidentifier/handler.go
+++ b/internal/dataplane/handlers/requestidentifier/handler.go
@@ -1,5 +1,5 @@
-// Package requestidentifier gives every request an identity, so that each refusal carries
-// it.
+// Package requestidentifier assigns an identity to every request, so that each refusal can
+// contain it.
 package requestidentifier
 
 import (
@@ -13,13 +13,14 @@
 	ids *requestid.Generator
 }
 
-// New returns the handler, which takes the identities that it makes from ids.
+// New returns the handler. ids generates the identities of requests for which the caller has
+// chosen none that is usable.
 func New(ids *requestid.Generator) *Handler {
 	return &Handler{ids: ids}
 }
 
-// Handle implements exchange.Handler. An identity that cannot be used is replaced here, and
-// refused when the headers are parsed.
+// Handle implements exchange.Handler. An identity that is too long is replaced here, and the
+// request is refused when package requestparser parses the headers.
 func (h *Handler) Handle(e *exchange.Exchange, next func()) {
 	e.RequestID = e.Edges.Callers.RequestID(e.Request.Header)
 	if e.RequestID == "" || len(e.RequestID) > caller.MaxRequestIDBytes {
--- a/internal/dataplane/handlers/requestparser/handler.go
+++ b/internal/dataplane/handlers/requestparser/handler.go
@@ -1,4 +1,5 @@
-// Package requestparser parses the caller's headers, in the callers' protocol.
+// Package requestparser parses the caller's headers according to the callers' protocol, and
+// refuses a request for another model than that of the pool.
 package requestparser
 
 import (
@@ -48,7 +49,8 @@
 	return parsed
 }
 
-// asCallerError returns the *caller.Error that an error wraps, or an internal one.
+// asCallerError returns the *caller.Error in the chain of an error, or a new one of kind
+// internal.
 func asCallerError(err error) *caller.Error {
 	var found *caller.Error
 	if errors.As(err, &found) {
--- a/internal/dataplane/handlers/requestrecorder/handler.go
+++ b/internal/dataplane/handlers/requestrecorder/handler.go
@@ -1,5 +1,6 @@
 // Package requestrecorder records each request when it has ended. In the chain it follows
-// the handlers that determine destination, tenant and headers.
+// the handlers that determine the destination, the tenant and the parsed headers, so
+// requests that these handlers refuse are not recorded.
 package requestrecorder
 
 import (
@@ -14,16 +15,17 @@
 type Handler struct {
 	recorder *recorder.Recorder
 	clock    func() time.Duration
-	// started is when recording began; records tell times from then on.
+	// started is when recording began. The arrival times in records are relative to it.
 	started time.Duration
 }
 
-// New returns the handler, which records from now on.
+// New returns the handler. Recording begins at the time of the call.
 func New(recorder *recorder.Recorder, clock func() time.Duration) *Handler {
 	return &Handler{recorder: recorder, clock: clock, started: clock()}
 }
 
-// Handle implements exchange.Handler. Truncated responses end in a panic.
+// Handle implements exchange.Handler. It records in a deferred call because truncated
+// responses end in a panic.
 func (h *Handler) Handle(e *exchange.Exchange, next func()) {
 	e.Observer = &exchange.Observer{Clock: h.clock}
 	defer func() { h.recorder.Record(h.describe(e)) }()
@@ -62,13 +64,14 @@
 	return record
 }
 
-// outcomeOf returns how an exchange has ended for its caller.
+// outcomeOf returns the outcome of an exchange for its caller.
 func outcomeOf(e *exchange.Exchange) recording.Outcome {
 	switch {
 	case e.Observer.ErrorKind != "":
 		return recording.Refused
 	case e.Observer.Status != 0 && !e.Failed:
-		// A caller may disconnect as soon as it has the last byte.
+		// This case precedes the check for a disconnect, because a caller may disconnect as
+		// soon as it has received the last byte.
 		return recording.Completed
 	case e.Request.Context().Err() != nil:
 		return recording.Disconnected
--- a/internal/dataplane/handlers/requestrecorder/handler_internal_test.go
+++ b/internal/dataplane/handlers/requestrecorder/handler_internal_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("The record of a request", func() {
-	DescribeTable("says how a request has ended", func(watch exchange.Observer, failed, gone bool, expected recording.Outcome) {
+	DescribeTable("contains the outcome of the request", func(watch exchange.Observer, failed, gone bool, expected recording.Outcome) {
 		ctx, cancel := context.WithCancel(context.Background())
 		if gone {
 			cancel()
@@ -23,10 +23,10 @@
 		e := &exchange.Exchange{Request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), Observer: &watch, Failed: failed}
 		Expect(outcomeOf(e)).To(Equal(expected))
 	},
-		Entry("answered", exchange.Observer{Status: 200}, false, false, recording.Completed),
-		Entry("answered to a caller that hangs up after the last byte", exchange.Observer{Status: 200}, false, true, recording.Completed),
+		Entry("completed", exchange.Observer{Status: 200}, false, false, recording.Completed),
+		Entry("completed, and the caller disconnects after the last byte", exchange.Observer{Status: 200}, false, true, recording.Completed),
 		Entry("refused", exchange.Observer{Status: 503, ErrorKind: caller.KindNoBackend}, true, false, recording.Refused),
-		Entry("cut", exchange.Observer{Status: 200}, true, false, recording.Truncated),
+		Entry("truncated", exchange.Observer{Status: 200}, true, false, recording.Truncated),
 		Entry("disconnected during the response", exchange.Observer{Status: 200}, true, true, recording.Disconnected),
-		Entry("disconnected before it", exchange.Observer{}, true, true, recording.Disconnected))
+		Entry("disconnected before the response", exchange.Observer{}, true, true, recording.Disconnected))
 })
--- a/internal/dataplane/handlers/routematcher/handler.go
+++ b/internal/dataplane/handlers/routematcher/handler.go
@@ -1,5 +1,6 @@
-// Package routematcher finds the route and the destination of a request by its host and the
-// longest path prefix, and refuses requests without a key where the route is not public.
+// Package routematcher finds the route of a request by its host and the longest matching path
+// prefix, and selects one of the route's destinations. It refuses requests without a valid
+// key on routes that are not public.
 package routematcher
 
 import (
@@ -15,7 +16,7 @@
 	sampler      *destinationSampler
 }
 
-// New returns the handler. The set has the counters of the destinations.
+// New returns the handler. set contains the counters of the destinations.
 func New(set *destinations.Set) *Handler {
 	return &Handler{destinations: set, sampler: newDestinationSampler()}
 }
--- a/internal/dataplane/handlers/routematcher/sampler.go
+++ b/internal/dataplane/handlers/routematcher/sampler.go
@@ -8,32 +8,36 @@
 )
 
 const (
-	// samplingStep is the golden ratio of the range of uint64. A sequence with this step,
-	// modulo the range, fills every part of the range evenly at any time.
+	// samplingStep is 2^64 divided by the golden ratio. The terms of a sequence with this
+	// step, modulo 2^64, are evenly distributed over the range of uint64 after any number of
+	// terms.
 	samplingStep = 0x9E3779B97F4A7C15
-	// maxSampledRoutes bounds the routes that are remembered.
+	// maxSampledRoutes is the maximum number of routes whose last sample is stored.
 	maxSampledRoutes = 4096
 )
 
-// routeKey identifies a route in all views.
+// routeKey identifies a route across views.
 type routeKey struct {
 	host, prefix string
 }
 
-// destinationSampler samples the destinations of routes with several by their weights.
-// The samples of one route are evenly spaced, so that each destination gets its fraction
-// even of a few requests; they start at random, so that nodes are not in step.
+// destinationSampler generates the samples by which a route with several destinations
+// distributes its requests according to the weights. The samples of one route are evenly
+// distributed, so that each destination gets its fraction even of a few requests. They start
+// at a random value, so that different nodes don't use the same sequence.
 type destinationSampler struct {
 	mutex sync.Mutex
-	last  map[routeKey]uint64
+	// last contains the last sample of each route.
+	last map[routeKey]uint64
 }
 
-// newDestinationSampler returns a sampler of which each route starts at random.
+// newDestinationSampler returns a sampler without samples.
 func newDestinationSampler() *destinationSampler {
 	return &destinationSampler{last: make(map[routeKey]uint64)}
 }
 
-// next returns the sample for a request of a host's route.
+// next returns the sample for the next request on a host's route. It is 0 for a route with a
+// single destination, which needs no sample.
 func (s *destinationSampler) next(host string, route *routing.Route) uint64 {
 	if len(route.Choices) == 1 {
 		return 0
--- a/internal/dataplane/handlers/routematcher/sampler_internal_test.go
+++ b/internal/dataplane/handlers/routematcher/sampler_internal_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("A route with several destinations", func() {
-	// split is a route to pools with the given weights.
+	// split returns a route to pools with the given weights, and the pools.
 	split := func(weights ...uint32) (*routing.Route, []*routing.Pool) {
 		choices, pools := make([]routing.Choice, len(weights)), make([]*routing.Pool, len(weights))
 		for at, weight := range weights {
@@ -22,8 +22,9 @@
 		return routing.NewRoute(&ridgeswitchv1.Route{PathPrefix: "/"}, choices...), pools
 	}
 
-	DescribeTable("gives each its fraction of any consecutive requests", func(weights ...uint32) {
-		// tolerance is how far a count may lie from its share, in requests.
+	DescribeTable("sends each destination its fraction of the requests, from the first request on", func(weights ...uint32) {
+		// tolerance is the largest permitted difference, in requests, between the number of
+		// requests that a destination received and its share.
 		const tolerance, requests, nodes = 3.0, 400, 50
 		route, pools := split(weights...)
 		total := uint64(0)
@@ -34,7 +35,7 @@
 			draws := newDestinationSampler()
 			counts := map[*routing.Pool]int{}
 			for number := 1; number <= requests; number++ {
-				// What other routes get in between changes nothing.
+				// Requests on other routes in between must not affect this route.
 				draws.next("other.example", route)
 				counts[route.Destination(draws.next("models.example", route)).Pool]++
 				for at, pool := range pools {
@@ -45,16 +46,16 @@
 			}
 		}
 	},
-		Entry("halves", uint32(1), uint32(1)),
-		Entry("a tenth", uint32(90), uint32(10)),
-		Entry("a hundredth", uint32(99), uint32(1)),
-		Entry("one of two that gets nothing", uint32(7), uint32(0)),
-		Entry("thirds", uint32(1), uint32(1), uint32(1)),
-		Entry("many", uint32(5), uint32(10), uint32(20), uint32(25), uint32(40)),
-		Entry("great weights", uint32(math.MaxUint32), uint32(math.MaxUint32)),
+		Entry("two equal weights", uint32(1), uint32(1)),
+		Entry("one destination with a tenth", uint32(90), uint32(10)),
+		Entry("one destination with a hundredth", uint32(99), uint32(1)),
+		Entry("one destination with weight 0", uint32(7), uint32(0)),
+		Entry("three equal weights", uint32(1), uint32(1), uint32(1)),
+		Entry("five different weights", uint32(5), uint32(10), uint32(20), uint32(25), uint32(40)),
+		Entry("the maximum weights", uint32(math.MaxUint32), uint32(math.MaxUint32)),
 	)
 
-	It("remembers no more routes than its bound", func() {
+	It("stores the last sample of at most maxSampledRoutes routes", func() {
 		route, _ := split(1, 1)
 		draws := newDestinationSampler()
 		for number := range 2*maxSampledRoutes + 1 {
--- a/internal/dataplane/handlers/servingcheck/handler.go
+++ b/internal/dataplane/handlers/servingcheck/handler.go
@@ -1,5 +1,5 @@
-// Package servingcheck refuses every request while the node may not serve: while it is
-// fenced, or has no configuration.
+// Package servingcheck refuses every request while the node may not serve, for example while
+// it is fenced, or while it has no configuration.
 package servingcheck
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// notServingRetry is when a caller may retry at a node that may not serve.
+// notServingRetry is the time after which a caller may retry on a node that may not serve.
 const notServingRetry = time.Second
 
 // Handler checks that the node may serve.
@@ -18,7 +18,7 @@
 	source routing.Source
 }
 
-// New returns the handler of a node.
+// New returns the handler that reads control state from source.
 func New(source routing.Source) *Handler {
 	return &Handler{source: source}
 }
@@ -37,7 +37,7 @@
 	next()
 }
 
-// View returns the newest view, or why the node may not serve.
+// View returns the newest view, or an error that explains why the node may not serve.
 func View(source routing.Source) (*routing.View, *caller.Error) {
 	if err := source.Serving(); err != nil {
 		return nil, caller.NewError(caller.KindNotServing,
@@ -50,7 +50,7 @@
 	return view, nil
 }
 
-// unconfiguredError is the refusal of a node without a configuration.
+// unconfiguredError returns the error for a request to a node without a configuration.
 func unconfiguredError() *caller.Error {
 	return caller.NewError(caller.KindNotServing,
 		"this node has no configuration yet: send the request to another node or try again").WithRetryAfter(notServingRetry)
--- a/internal/dataplane/handlers/tenantlimiter/handler.go
+++ b/internal/dataplane/handlers/tenantlimiter/handler.go
@@ -1,7 +1,8 @@
-// Package tenantlimiter enforces the limits of each tenant and those of the node: rate,
-// requests at a time, and queues. A request that may not run yet waits in its goroutine.
+// Package tenantlimiter enforces the limits of each tenant and of the node: the request rate,
+// the number of concurrent requests, and the length of queues. A request that may not run yet
+// waits in its goroutine.
 //
-// A Limiter owns the admission state of a node, and may be used concurrently.
+// A Limiter owns the admission state of a node, and is safe for concurrent use.
 package tenantlimiter
 
 import (
@@ -14,18 +15,18 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 )
 
-// publicTenant is the tenant of requests without a key. No configured tenant has this
-// name.
+// publicTenant is the tenant name of requests without a valid key. No configured tenant has
+// this name.
 const publicTenant = ""
 
-// Handler limits requests.
+// Handler applies the limits of a Limiter to requests.
 type Handler struct {
 	limiter *Limiter
 	bodies  *bodyreader.Handler
 }
 
-// New returns the handler over a node's limiter. The body of a request that waits is read
-// meanwhile by bodies, since only then the node notices that its caller disconnects.
+// New returns the handler that uses a node's limiter. While a request waits, bodies reads its
+// body: the node notices a caller's disconnect only after the body has been read.
 func New(limiter *Limiter, bodies *bodyreader.Handler) *Handler {
 	return &Handler{limiter: limiter, bodies: bodies}
 }
@@ -34,7 +35,8 @@
 func (h *Handler) Handle(e *exchange.Exchange, next func()) {
 	ticket, callerError := h.limiter.acquire(e.Context, h.arrival(e), func() <-chan struct{} { return h.readBodyWhileQueued(e) })
 	if callerError != nil {
-		// If the body failed, that ended the wait, and is the better reason.
+		// If the body could not be read, that ended the wait, and the caller gets this
+		// error.
 		e.Refuse(cmp.Or(e.BodyError(), callerError))
 		return
 	}
@@ -42,8 +44,9 @@
 	next()
 }
 
-// readBodyWhileQueued reads the body of a request that waits. The channel is closed when
-// that fails: the caller has disconnected, or its body is refused.
+// readBodyWhileQueued reads the body of a request that waits, in another goroutine. The
+// returned channel is closed if the body cannot be read: the caller has disconnected, or the
+// body is refused. It is nil for a request without a body.
 func (h *Handler) readBodyWhileQueued(e *exchange.Exchange) <-chan struct{} {
 	if !e.HasBody() {
 		return nil
@@ -59,7 +62,8 @@
 	return failed
 }
 
-// arrival describes a request to admission, with its deadline on the node's clock.
+// arrival returns the description of a request for the admission controller, with its
+// deadline on the node's clock.
 func (h *Handler) arrival(e *exchange.Exchange) admission.Arrival {
 	arrival := admission.Arrival{Tenant: publicTenant}
 	if e.Tenant != nil {
@@ -72,7 +76,7 @@
 	return arrival
 }
 
-// admissionLimits returns a tenant's limits as admission reads them.
+// admissionLimits converts a tenant's limits to those of package admission.
 func admissionLimits(tenant *routing.Tenant) admission.Limits {
 	limits := tenant.Limits
 	return admission.Limits{
--- a/internal/dataplane/handlers/tenantlimiter/limiter.go
+++ b/internal/dataplane/handlers/tenantlimiter/limiter.go
@@ -11,16 +11,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/admission"
 )
 
-// Limiter makes the admission controller usable by many goroutines, which wait in it for
-// their grant.
+// Limiter makes the admission controller safe for concurrent use, and lets the goroutines of
+// queued requests wait until these are admitted.
 type Limiter struct {
 	// clock returns the time elapsed on a clock that counts suspended time.
 	clock func() time.Duration
 
 	mutex      sync.Mutex
 	controller *admission.Controller
-	// waiting holds a channel for each queued request, which is closed when the request
-	// is granted.
+	// waiting contains a channel for each queued request, which is closed when the request
+	// is admitted.
 	waiting map[admission.Ticket]chan struct{}
 }
 
@@ -33,9 +33,10 @@
 	}
 }
 
-// acquire admits a request, which may wait in the tenant's queue, or returns why not. The
-// caller must release the ticket of an admitted request. For a request that waits
-// onQueued is called first, and the wait ends when the channel that it returns is closed.
+// acquire admits a request, if necessary after a wait in the tenant's queue, or returns an
+// error that explains why it is not admitted. The caller must release the ticket of an
+// admitted request. Before a wait, acquire calls onQueued; closing the channel that onQueued
+// returns ends the wait.
 func (l *Limiter) acquire(ctx context.Context, arrival admission.Arrival, onQueued func() <-chan struct{}) (admission.Ticket, *caller.Error) {
 	decision, granted := l.arrive(arrival)
 	switch decision.Outcome {
@@ -48,8 +49,8 @@
 	}
 }
 
-// arrive passes a request to the controller. The channel is nil unless the request is
-// queued.
+// arrive passes a request to the controller. The returned channel is closed when a queued
+// request is admitted; it is nil if the request is not queued.
 func (l *Limiter) arrive(arrival admission.Arrival) (admission.Decision, chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,7 +63,7 @@
 	return decision, granted
 }
 
-// admissionError returns why a request was neither admitted nor queued.
+// admissionError returns the error for a request that was neither admitted nor queued.
 func admissionError(tenant string, decision admission.Decision) *caller.Error {
 	var callerError *caller.Error
 	switch decision.Outcome {
@@ -80,8 +81,8 @@
 	return callerError.WithRetryAfter(decision.RetryAfter)
 }
 
-// wait blocks until a queued request is granted. It gives up, and returns why, at the end of
-// the queue's time-out, of the context, or of a body that cannot be read.
+// wait blocks until a queued request is admitted. It returns an error if the queue time-out
+// passes, the context ends, or the body cannot be read before that.
 func (l *Limiter) wait(ctx context.Context, tenant string, decision admission.Decision, granted chan struct{}, bodyFailed <-chan struct{}) *caller.Error {
 	timer := time.NewTimer(max(decision.Until-l.clock(), 0))
 	defer timer.Stop()
@@ -95,12 +96,12 @@
 	if l.abandon(tenant, decision.Ticket) {
 		return queueTimeoutError(ctx, tenant)
 	}
-	// The grant came at the same moment and counts.
+	// The request was admitted at the same time, so its slot is taken.
 	return nil
 }
 
-// queueTimeoutError is the refusal of a request that was not granted in time. A caller that
-// has disconnected doesn't get to see it.
+// queueTimeoutError returns the error for a queued request that was not admitted in time. It
+// does not distinguish a caller that has disconnected, because that caller gets no response.
 func queueTimeoutError(ctx context.Context, tenant string) *caller.Error {
 	if deadline.Passed(ctx) {
 		return deadline.Error()
@@ -109,7 +110,7 @@
 		"no place became free for tenant %q in time: send fewer requests at a time", tenant).WithRetryAfter(time.Second)
 }
 
-// abandon ends the wait of a request. It returns false if the request was granted.
+// abandon ends the wait of a request. It returns false if the request was already admitted.
 func (l *Limiter) abandon(tenant string, ticket admission.Ticket) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -121,8 +122,8 @@
 	return true
 }
 
-// release frees the slot of an admitted request, and wakes the requests that are granted
-// by it.
+// release frees the slot of an admitted request, and wakes the queued requests that are
+// admitted as a result.
 func (l *Limiter) release(ended admission.Ticket) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Retain forgets idle tenants that a view does not have.
+// Retain deletes the state of idle tenants that a view does not contain.
 func (l *Limiter) Retain(view *routing.View) {
 	names := make(map[string]bool, len(view.Tenants))
 	for _, tenant := range view.Tenants {
@@ -146,7 +147,7 @@
 	l.controller.Retain(func(tenant string) bool { return names[tenant] })
 }
 
-// Waiting returns how many requests are queued now.
+// Waiting returns the number of requests that are queued now.
 func (l *Limiter) Waiting() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
