--- a/internal/dataplane/handlers/requestidentifier/handler.go
+++ b/internal/dataplane/handlers/requestidentifier/handler.go
@@ -19,8 +19,9 @@
 	return &Handler{ids: ids}
 }
 
-// Handle implements exchange.Handler. An identity that is too long is replaced here, and the
-// request is refused when package requestparser parses the headers.
+// Handle implements exchange.Handler. An identity that is too long is replaced here. Whether
+// it is also refused is decided later by the parser of the callers' protocol (package
+// requestparser): the native protocol refuses it.
 func (h *Handler) Handle(e *exchange.Exchange, next func()) {
 	e.RequestID = e.Edges.Callers.RequestID(e.Request.Header)
 	if e.RequestID == "" || len(e.RequestID) > caller.MaxRequestIDBytes {
