--- a/internal/dataplane/listener/listener.go
+++ b/internal/dataplane/listener/listener.go
@@ -1,10 +1,9 @@
-// Package listener runs the HTTP server on which a node serves callers, on top of
-// go-zero's.
+// Package listener runs the HTTP server on which a node serves callers. It is based on
+// go-zero's REST server.
 //
-// A Listener owns the bound address and the server. Limits, time-outs and refusals
-// are the handler's alone: all that go-zero would add by itself is switched off.
-// Serve is called once; Shutdown, Close and Address may be called concurrently
-// with it.
+// A Listener owns the bound address and the server. Request limits, time-outs and refusals
+// are left to the handler: go-zero's own middleware and limits are disabled. Serve is called
+// once; Shutdown, Close and Address may be called concurrently with it.
 package listener
 
 import (
@@ -27,17 +26,17 @@
 )
 
 const (
-	// headerTimeout bounds the time in which a caller sends its header.
+	// headerTimeout is the maximum time that a caller may take to send a request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes a caller's connection that carries nothing.
+	// idleTimeout is the time after which an idle connection of a caller is closed.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a caller's header, which carries the names of the prompt's
-	// chunks.
+	// maxHeaderBytes is the maximum size of a request's header. It is large because the
+	// header contains the names of the prompt's chunks.
 	maxHeaderBytes = 1 << 20
-	// forcedQuitGrace is how long after the drain time go-zero ends a process
-	// that has not ended itself.
+	// forcedQuitGrace is added to the drain time-out for the time after which go-zero
+	// terminates a process that has not ended by itself.
 	forcedQuitGrace = 10 * time.Second
-	// logLevel keeps go-zero's line for each request out of the logs.
+	// logLevel suppresses the line that go-zero logs for each request.
 	logLevel = "severe"
 )
 
@@ -45,9 +44,9 @@
 type Options struct {
 	// Address is the host and port to listen on.
 	Address string
-	// DrainTimeout is the longest graceful shutdown.
+	// DrainTimeout is the maximum duration of a graceful shutdown.
 	DrainTimeout time.Duration
-	// Log gets the messages of the HTTP server.
+	// Log receives the messages of the HTTP server.
 	Log *logrus.Entry
 }
 
@@ -57,19 +56,20 @@
 	log  *logrus.Entry
 	// listening is closed when the address is bound.
 	listening chan struct{}
-	// ended gets the error with which the server ended.
+	// ended receives the error with which the server ended, or nil.
 	ended chan error
 
 	mutex   sync.Mutex
 	server  *http.Server
 	address net.Addr
 	started bool
-	// stopped reports that the server must end as soon as there is one.
+	// stopped is set by Shutdown and Close. A server that is configured later is closed at
+	// once.
 	stopped bool
 }
 
-// New sets up the server of a handler. Nothing is bound before Serve. An address
-// that is not host:port is an error.
+// New returns a Listener that passes all requests to a handler. The address is bound only by
+// Serve. New returns an error if the address is not host:port.
 func New(options Options, handler http.Handler) (*Listener, error) {
 	host, portText, err := net.SplitHostPort(options.Address)
 	if err != nil {
@@ -91,9 +91,8 @@
 	}, nil
 }
 
-// restConfiguration returns go-zero's settings. The zero values of Timeout,
-// MaxBytes, MaxConns and CpuThreshold, and of every middleware, switch these
-// off.
+// restConfiguration returns go-zero's settings. Timeout, MaxBytes, MaxConns, CpuThreshold and
+// all middlewares are disabled by their zero values.
 func restConfiguration(options Options, host string, port int) rest.RestConf {
 	return rest.RestConf{
 		ServiceConf: service.ServiceConf{
@@ -111,17 +110,17 @@
 	}
 }
 
-// Serve binds the address and serves until Shutdown or Close. It returns nil after
-// these, and otherwise why it could not serve.
+// Serve binds the address and serves until Shutdown or Close. It returns nil after either of
+// them, and an error if it cannot serve.
 //
-// go-zero's own call returns only after its process-wide shutdown, so it runs
-// in a goroutine of its own, which a server that is stopped earlier leaves
-// behind until the process ends.
+// go-zero's server runs in a goroutine of its own, because go-zero's call returns only after
+// the shutdown of the whole process. If the Listener is stopped before that, the goroutine
+// remains until the process ends.
 func (l *Listener) Serve() error {
 	l.mutex.Lock()
 	if l.started {
 		l.mutex.Unlock()
-		return errors.New("the traffic listener was started before: make a new one")
+		return errors.New("the traffic listener was already started: create a new one")
 	}
 	l.started = true
 	stopped := l.stopped
@@ -147,7 +146,8 @@
 // Listening returns a channel that is closed when the address is bound.
 func (l *Listener) Listening() <-chan struct{} { return l.listening }
 
-// configure sets what go-zero leaves to the HTTP server.
+// configure sets the options of the HTTP server that go-zero does not set. go-zero calls it
+// before it starts the server.
 func (l *Listener) configure(server *http.Server) {
 	server.ReadHeaderTimeout = headerTimeout
 	server.IdleTimeout = idleTimeout
@@ -168,7 +168,8 @@
 	}
 }
 
-// end reports how the server ended. Only the first call counts.
+// end reports the error with which the server ended, or nil, to Serve. It does nothing while
+// an earlier report has not been received.
 func (l *Listener) end(err error) {
 	select {
 	case l.ended <- err:
@@ -176,8 +177,8 @@
 	}
 }
 
-// Shutdown accepts no new connection and waits for running requests until ctx ends,
-// which is an error.
+// Shutdown stops accepting connections and waits for running requests. It returns an error if
+// ctx ends before all of them have finished.
 func (l *Listener) Shutdown(ctx context.Context) error {
 	server := l.stop()
 	if server == nil {
@@ -188,10 +189,10 @@
 	if err == nil {
 		l.end(nil)
 	}
-	return errors.Wrap(err, "requests are still running")
+	return errors.Wrap(err, "the graceful shutdown ended while requests were still running")
 }
 
-// Close ends every connection at once.
+// Close stops the server and closes all connections without waiting for running requests.
 func (l *Listener) Close() {
 	if server := l.stop(); server != nil {
 		_ = server.Close()
@@ -199,8 +200,8 @@
 	l.end(nil)
 }
 
-// stop marks the listener as stopped, and returns the HTTP server if there is
-// one already.
+// stop marks the listener as stopped, and returns the HTTP server, or nil if it is not
+// configured yet.
 func (l *Listener) stop() *http.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
