--- a/internal/dataplane/recorder/recorder.go
+++ b/internal/dataplane/recorder/recorder.go
@@ -1,9 +1,9 @@
-// Package recorder appends a record of each request that has ended to a file, from
-// which the traffic of a day can be replayed.
+// Package recorder appends a record of each request that has ended to a file, from which the
+// traffic can be replayed.
 //
-// A Recorder owns its file and one goroutine that writes to it. Record may be
-// called concurrently and never blocks: a record that finds the queue full is
-// dropped and counted, so that a slow disk never delays a request.
+// A Recorder owns its file and one goroutine that writes to it. Record may be called
+// concurrently and never blocks: if the queue is full, it drops and counts the record, so that
+// a slow disk never delays a request.
 package recorder
 
 import (
@@ -21,49 +21,50 @@
 )
 
 const (
-	// queueLength bounds the records that wait for the disk.
+	// queueLength is the maximum number of records that wait to be written.
 	queueLength = 4096
-	// flushInterval bounds how long a record stays in memory.
+	// flushInterval is the interval at which buffered records are written to the file.
 	flushInterval = time.Second
-	// fileMode keeps recordings from other users of the machine.
+	// fileMode denies other users of the machine access to recordings.
 	fileMode = 0o600
 )
 
-// Stats counts what became of the records of a node.
+// Stats counts the records of a node by their result.
 type Stats struct {
-	// Written counts the records handed to the file's buffer, which is flushed
+	// Written counts the records that were written to the file's buffer, which is flushed
 	// every second.
 	Written uint64
-	// Dropped counts the records that were given up because the disk was too
-	// slow, and Failed those after a failure of the disk.
+	// Dropped counts the records that were dropped because the queue was full, as with a
+	// disk that is too slow. Failed counts the records that could not be written, as after
+	// a disk error.
 	Dropped uint64
 	Failed  uint64
 }
 
 // Options configure a Recorder.
 type Options struct {
-	// Path names the file. Records are appended to what it holds already.
+	// Path is the path of the file. Records are appended to its contents.
 	Path string
-	// Node is the name of the recording node, for the header.
+	// Node is the name of the recording node, for the recording's header.
 	Node string
-	// Log gets the first failure of the disk.
+	// Log receives the first write error, and an error of closing the file.
 	Log *logrus.Entry
 }
 
-// Recorder writes records to a file in a goroutine that Close ends.
+// Recorder writes records to a file, in a goroutine that Close stops.
 type Recorder struct {
 	log *logrus.Entry
-	// target is the file. The writer encodes records into the buffer, which is flushed to it.
+	// target is the file. writer encodes records into buffer, which is flushed to the file.
 	target io.WriteCloser
 	buffer *bufio.Writer
 	writer *recording.Writer
 	queue  chan recording.Record
-	// flush gets the times at which the buffer is flushed; ticker is what sends them, nil in
-	// tests.
+	// flush receives a value whenever the buffer is to be flushed. ticker sends these
+	// values; it is nil in tests.
 	flush  <-chan time.Time
 	ticker *time.Ticker
 
-	// stop tells the goroutine to end, and done is closed when it has.
+	// stop is closed to stop the goroutine, and done is closed when the goroutine has ended.
 	stopOnce sync.Once
 	stop     chan struct{}
 	done     chan struct{}
@@ -71,20 +72,21 @@
 	written atomic.Uint64
 	dropped atomic.Uint64
 	failed  atomic.Uint64
-	// dropsWritten is how many drops the recording reports.
+	// dropsWritten is the number of dropped records that the recording states.
 	dropsWritten uint64
-	// failureLogged reports whether a failure of the disk was logged.
+	// failureLogged is set when a write error has been logged.
 	failureLogged bool
 }
 
-// New opens the file, writes the header of a recording and starts the goroutine
-// that writes records. The caller must Close the Recorder.
+// New opens the file, writes the header of a recording and starts the goroutine that writes
+// records. The caller must call Close on the Recorder.
 func New(options Options) (*Recorder, error) {
 	file, err := os.OpenFile(options.Path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, fileMode)
 	if err != nil {
 		return nil, errors.Wrap(err, "open the recording: name a file that the node may write, or leave record_file out")
 	}
-	// An earlier recording may have ended within a line.
+	// The last line of an earlier recording may be incomplete, so the header must start on
+	// a new line.
 	if status, statErr := file.Stat(); statErr == nil && status.Size() > 0 {
 		if _, err := file.WriteString("\n"); err != nil {
 			_ = file.Close()
@@ -103,7 +105,8 @@
 	return r, nil
 }
 
-// newRecorder writes the header. What is recorded waits until run is called.
+// newRecorder returns a Recorder after writing the header to target. Records stay in the queue
+// until run is called.
 func newRecorder(target io.WriteCloser, header recording.Header, queue int, flush <-chan time.Time, log *logrus.Entry) (*Recorder, error) {
 	buffer := bufio.NewWriter(target)
 	writer, err := recording.NewWriter(buffer, header)
@@ -135,8 +138,8 @@
 	}
 }
 
-// Close writes the queued records and closes the file. Records that come later are
-// not written. It may be called more than once.
+// Close writes the queued records and closes the file. Records that are queued later are not
+// written. Close may be called more than once.
 func (r *Recorder) Close() {
 	r.stopOnce.Do(func() { close(r.stop) })
 	<-r.done
@@ -147,7 +150,7 @@
 	return Stats{Written: r.written.Load(), Dropped: r.dropped.Load(), Failed: r.failed.Load()}
 }
 
-// run writes records until Close.
+// run writes records until Close is called.
 func (r *Recorder) run() {
 	defer close(r.done)
 	for {
@@ -173,11 +176,12 @@
 	}
 	r.flushNow()
 	if err := r.target.Close(); err != nil {
-		r.log.WithError(err).Warn("the recording could not be closed")
+		r.log.WithError(err).Warn("cannot close the recording file")
 	}
 }
 
-// write writes a record to the buffer, after the number of records dropped before it.
+// write writes a record to the buffer. It first writes the number of records that were dropped
+// since the last time, if any.
 func (r *Recorder) write(record recording.Record) {
 	r.writeDropCount()
 	if err := r.writer.Write(record); err != nil {
@@ -188,8 +192,8 @@
 	r.written.Add(1)
 }
 
-// writeDropCount writes how many records were dropped since the last call, so that
-// whoever replays the recording knows that it is incomplete.
+// writeDropCount writes the number of records that were dropped since it was last written, so
+// that a replay of the recording can report that it is incomplete.
 func (r *Recorder) writeDropCount() {
 	dropped := r.dropped.Load()
 	if dropped == r.dropsWritten {
@@ -202,7 +206,8 @@
 	r.dropsWritten = dropped
 }
 
-// flushNow writes the buffer to the file.
+// flushNow writes the number of dropped records to the buffer, and flushes the buffer to the
+// file.
 func (r *Recorder) flushNow() {
 	r.writeDropCount()
 	if err := r.buffer.Flush(); err != nil {
@@ -210,8 +215,8 @@
 	}
 }
 
-// report logs the first failure of the disk. A buffer that has failed stays
-// failed, so that every later record counts as failed.
+// report logs the first write error. After a write error the buffer returns this error for
+// all further writes, so every later record counts as failed.
 func (r *Recorder) report(err error) {
 	if !r.failureLogged {
 		r.failureLogged = true
--- a/internal/dataplane/recorder/recorder_internal_test.go
+++ b/internal/dataplane/recorder/recorder_internal_test.go
@@ -19,11 +19,13 @@
 	RunSpecs(t, "Recorder Suite")
 }
 
-// disk is a file whose first writes succeed, and which may then fail.
+// disk is a file in memory whose writes can be made to fail or to block.
 type disk struct {
 	bytes.Buffer
+	// fails makes every write return an error.
 	fails bool
-	// entered and proceed, if set, hold every write up.
+	// entered and proceed, if set, block every write: it sends to entered and then waits
+	// for a value from proceed.
 	entered chan struct{}
 	proceed chan struct{}
 }
@@ -56,7 +58,7 @@
 }
 
 var _ = Describe("The recorder", func() {
-	It("drops what finds the queue full, and counts it in the recording", func() {
+	It("drops records while the queue is full, and writes their number to the recording", func() {
 		target := &disk{}
 		r, _ := newTestRecorder(target, 3, nil)
 		for range 10 {
@@ -89,7 +91,7 @@
 			case flush <- time.Time{}:
 			}
 		}
-		// The goroutine now hangs in a write.
+		// The recorder's goroutine is now blocked in a write.
 		for range 20 {
 			r.Record(someRecord())
 		}
@@ -104,7 +106,7 @@
 		Expect(r.Stats()).To(Equal(Stats{Written: 3, Dropped: 18}))
 	})
 
-	It("goes on without a disk, counts what is lost and logs it once", func() {
+	It("keeps running after a write error, counts the failed records and logs the error once", func() {
 		target := &disk{}
 		flush := make(chan time.Time)
 		r, log := newTestRecorder(target, 64, flush)
