--- a/internal/dataplane/requestid/generator.go
+++ b/internal/dataplane/requestid/generator.go
@@ -1,5 +1,5 @@
-// Package requestid makes the identities of requests and attempts that callers do not
-// choose.
+// Package requestid generates identities for attempts, and for requests whose caller has not
+// chosen one.
 package requestid
 
 import (
@@ -14,23 +14,23 @@
 // incarnationBytes is the length of the random number that distinguishes processes.
 const incarnationBytes = 8
 
-// Generator makes names that no other process and no earlier incarnation of this one
-// makes. It may be used concurrently.
+// Generator generates identities that are unique among all processes, including earlier
+// incarnations of this node. It is safe for concurrent use.
 type Generator struct {
 	prefix string
 	count  atomic.Uint64
 }
 
-// New returns a generator for one incarnation of a node.
+// New returns a generator for a new incarnation of the named node.
 func New(node string) (*Generator, error) {
 	var incarnation [incarnationBytes]byte
 	if _, err := rand.Read(incarnation[:]); err != nil {
-		return nil, errors.Wrap(err, "no random number can be had")
+		return nil, errors.Wrap(err, "cannot read random bytes for request identities")
 	}
 	return &Generator{prefix: node + "-" + hex.EncodeToString(incarnation[:]) + "-"}, nil
 }
 
-// Next returns a new name.
+// Next returns a new identity.
 func (g *Generator) Next() string {
 	return g.prefix + strconv.FormatUint(g.count.Add(1), 10)
 }
