--- a/internal/dataplane/startupgate/gate.go
+++ b/internal/dataplane/startupgate/gate.go
@@ -1,13 +1,13 @@
-// Package startupgate delays prompts at a node that has just started until it knows what
-// most replicas have cached.
+// Package startupgate delays prompts on a node that has just started until the node knows
+// which chunks most replicas have cached.
 //
-// Prompts that are sent earlier would be computed from their beginnings although other
-// replicas have these cached. When all nodes start at once, that would occupy the replicas for
-// many seconds, longer than the wait takes. Prompts wait only
-// at nodes that read reports page by page: event streams begin with everything that is cached.
+// Without the delay, prompts would be computed from their beginning on one replica although
+// another replica has that beginning cached. If all nodes start at the same time, this would
+// occupy the replicas for many seconds, longer than the delay. Prompts are delayed only on
+// nodes that read reports page by page, because an event stream begins with all cached chunks.
 //
-// A Gate opens once and stays open. It reads no clock: the start is the first Update with a
-// view that has pools. It may be used concurrently.
+// A Gate opens once and stays open. It does not read the clock: its maximum wait starts with
+// the first call of Update with a view that has pools. It is safe for concurrent use.
 package startupgate
 
 import (
@@ -19,18 +19,18 @@
 )
 
 const (
-	// maxWait is the longest time for which prompts wait, from the first view with
-	// pools on.
+	// maxWait is the maximum time that prompts wait. It starts with the first view that has
+	// pools.
 	maxWait = time.Second
-	// coverage is the fraction of the replicas whose cached chunks are known when
-	// prompts no longer wait.
+	// coverage is the fraction of the replicas whose cached chunks must be known for the
+	// gate to open before maxWait has passed.
 	coverage = 0.75
 )
 
 // Gate delays prompts until it opens.
 type Gate struct {
 	mutex sync.Mutex
-	// deadline is when the gate opens in any case; 0 before pools are known.
+	// deadline is when the gate opens at the latest; 0 before pools are known.
 	deadline time.Duration
 	open     bool
 	// opened is closed when the gate opens.
@@ -40,8 +40,8 @@
 // New returns a closed gate.
 func New() *Gate { return &Gate{opened: make(chan struct{})} }
 
-// Update opens the gate if its deadline has passed, or if the cached chunks of enough
-// replicas are known.
+// Update opens the gate if its deadline has passed, or if the cached chunks of enough replicas
+// are known. chunksComplete reports whether all cached chunks of a replica are known.
 func (g *Gate) Update(now time.Duration, view *routing.View, chunksComplete func(address string) bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/dataplane/startupgate/gate_internal_test.go
+++ b/internal/dataplane/startupgate/gate_internal_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-var _ = Describe("startupGate", func() {
+var _ = Describe("Gate", func() {
 	listing := func(addresses ...string) *routing.View {
 		pool := &routing.Pool{}
 		for _, address := range addresses {
@@ -27,7 +27,7 @@
 		complete = make(map[string]bool)
 	})
 
-	It("delays prompts until the cached chunks of most replicas are known", func() {
+	It("opens when the cached chunks of three quarters of the replicas are known", func() {
 		view := listing("a", "b", "c", "d")
 		u.Update(time.Hour, view, whole)
 		complete["a"], complete["b"] = true, true
@@ -38,7 +38,7 @@
 		Expect(u.opened).To(BeClosed())
 	})
 
-	It("opens after its longest wait, which starts with the first pools", func() {
+	It("opens after maxWait, which starts with the first view that has pools", func() {
 		u.Update(time.Minute, nil, whole)
 		u.Update(time.Minute, &routing.View{}, whole)
 		u.Update(time.Hour, listing(), whole)
