--- a/internal/routing/priority.go
+++ b/internal/routing/priority.go
@@ -2,21 +2,22 @@
 
 import ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 
-// LowestPriority is the least urgent of the priorities that replicas distinguish. The most
-// urgent one is 0, for tenants, routes and requests alike.
+// LowestPriority is the priority of the least urgent requests that replicas distinguish. The
+// priority of the most urgent tenants, routes and requests is 0.
 const LowestPriority = 9
 
-// priorities ranks requests by their tenant first, and by their route within a
-// tenant.
+// priorities contains what is needed to rank requests first by the priority of their tenant,
+// and then by that of their route.
 type priorities struct {
-	// mostUrgentTenant is the lowest number that any tenant has as its priority; 0 if none
-	// has one.
+	// mostUrgentTenant is the lowest priority number of any tenant; 0 if no tenant has a
+	// priority.
 	mostUrgentTenant uint32
-	// perTenant is how many priorities the routes distinguish within one of a tenant.
+	// perTenant is the number of request priorities that one tenant priority is divided
+	// into by the priorities of routes.
 	perTenant uint32
 }
 
-// prioritiesOf reads the priorities in use.
+// prioritiesOf computes the priorities from those of a configuration's tenants and routes.
 func prioritiesOf(configuration *ridgeswitchv1.Configuration) priorities {
 	ranked := priorities{perTenant: 1}
 	found := false
@@ -35,16 +36,16 @@
 	return ranked
 }
 
-// RankPriorities reads the priorities of the view's configuration. It is called
-// once, before the view is published.
+// RankPriorities computes the priorities from the view's configuration. It must be called once,
+// before the view is published.
 func (v *View) RankPriorities() {
 	v.priorities = prioritiesOf(v.Configuration)
 }
 
 // Priority returns the priority of a tenant's requests on a route, from 0, the most urgent, to
-// LowestPriority. The tenant's priority outranks the route's, as far as the range allows: what
-// would be beyond LowestPriority gets LowestPriority. Requests without a key (tenant nil), and
-// those of a tenant without a priority, rank with the most urgent tenant.
+// LowestPriority. The tenant's priority takes precedence over the route's, as far as the range
+// allows: priorities beyond LowestPriority are reduced to it. Requests without a valid key
+// (tenant nil) and requests of a tenant without a priority rank with the most urgent tenant.
 func (v *View) Priority(tenant *Tenant, route *Route) uint32 {
 	priority := route.Config.GetPriority()
 	if tenant != nil && tenant.Priority != nil {
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -10,28 +10,28 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// anyPath is the prefix of a route that serves every path.
+// anyPath is the path prefix of a route that serves all paths.
 const anyPath = ""
 
-// Route binds the requests of a host below a path prefix to destinations.
+// Route maps the requests for a host and path prefix to destinations.
 type Route struct {
-	// Config is the configured route; read only.
+	// Config is the configured route; read-only.
 	Config *ridgeswitchv1.Route
-	// Choices are the destinations with their weights; there is at least one.
+	// Choices contains the destinations with their weights; there is at least one.
 	Choices []Choice
 	// totalWeight is the sum of the weights.
 	totalWeight uint64
 }
 
-// Choice is a destination that gets a fraction of a route's requests: its weight, divided by
-// the sum of the route's weights.
+// Choice is a destination that receives a fraction of a route's requests. The fraction is its
+// weight divided by the sum of the route's weights.
 type Choice struct {
 	Destination Destination
 	Weight      uint32
 }
 
-// NewRoute returns a route. A single choice gets everything, whatever its
-// weight.
+// NewRoute returns a route with at least one choice. A single choice receives all requests,
+// regardless of its weight.
 func NewRoute(config *ridgeswitchv1.Route, choices ...Choice) *Route {
 	route := &Route{Config: config, Choices: choices}
 	for _, choice := range choices {
@@ -40,8 +40,9 @@
 	return route
 }
 
-// Destination returns the destination of a sample. Samples are evenly distributed over all
-// of uint64; each destination has a part of that range in proportion to its weight.
+// Destination returns the destination for a sample. Callers pass samples that are evenly
+// distributed over the range of uint64; each destination has a part of that range in
+// proportion to its weight.
 func (r *Route) Destination(sample uint64) Destination {
 	if r.totalWeight == 0 {
 		return r.Choices[0].Destination
@@ -56,7 +57,7 @@
 	return r.Choices[len(r.Choices)-1].Destination
 }
 
-// SendsTo reports whether any of the route's requests go to a destination.
+// SendsTo reports whether any of the route's requests are sent to a destination.
 func (r *Route) SendsTo(destination Destination) bool {
 	return slices.ContainsFunc(r.Choices, func(choice Choice) bool {
 		return choice.Destination.name() == destination.name() &&
@@ -64,30 +65,29 @@
 	})
 }
 
-// Timeout is the longest time for one request; zero leaves it to the
-// destination.
+// Timeout returns the maximum duration of a request; if it is zero, the destination's time-out
+// applies.
 func (r *Route) Timeout() time.Duration {
 	return time.Duration(r.Config.GetTimeoutMs()) * time.Millisecond
 }
 
-// TargetLatency is the latency that the route aims at for its responses; zero if it
-// has no target.
+// TargetLatency returns the latency target for the route's responses; zero if it has none.
 func (r *Route) TargetLatency() time.Duration {
 	return time.Duration(r.Config.GetTargetLatencyMs()) * time.Millisecond
 }
 
-// Routes are the routes of one host, the longest prefix first.
+// Routes contains the routes of one host, with the longest path prefix first.
 type Routes []*Route
 
-// Sort brings the routes into the order that Match needs. It is called before the view is
-// published.
+// Sort sorts the routes into the order that Match requires. It must be called before the view
+// is published.
 func (r Routes) Sort() {
 	slices.SortStableFunc(r, func(a, b *Route) int {
 		return cmp.Compare(len(b.Config.GetPathPrefix()), len(a.Config.GetPathPrefix()))
 	})
 }
 
-// Match returns the route with the longest prefix that begins the path, or nil.
+// Match returns the route with the longest path prefix that matches the path, or nil.
 func (r Routes) Match(path string) *Route {
 	for _, route := range r {
 		prefix := route.Config.GetPathPrefix()
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// destinationName identifies a destination in all views.
+// destinationName identifies a destination across views.
 type destinationName struct {
 	pool, webService string
 }
 
-// name returns the destination's identity, which outlasts the view.
+// name returns the destination's identity, which is the same in all views.
 func (d Destination) name() destinationName {
 	return destinationName{
 		pool:       d.Pool.GetName(),
@@ -111,7 +111,7 @@
 	}
 }
 
-// GetName returns the pool's name, or "" of no pool.
+// GetName returns the pool's name, or "" if p is nil.
 func (p *Pool) GetName() string {
 	if p == nil {
 		return ""
@@ -119,7 +119,7 @@
 	return p.Config.GetName()
 }
 
-// GetName returns the service's name, or "" of no service.
+// GetName returns the service's name, or "" if w is nil.
 func (w *WebService) GetName() string {
 	if w == nil {
 		return ""
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -1,7 +1,6 @@
-// Package routing contains the immutable view of control state that traffic reads. The
-// control machine builds a new View for every change and publishes it through an atomic
-// pointer; nothing in a published View is ever written again, so that any goroutine may
-// read it.
+// Package routing contains the immutable view of control state that the data plane reads. The
+// control plane builds a new View for every change and publishes it through an atomic pointer.
+// A published View is never modified, so any goroutine may read it.
 package routing
 
 import (
@@ -13,103 +12,111 @@
 // KeyDigest is the lower-case hexadecimal SHA-256 digest of a tenant's key.
 type KeyDigest string
 
-// Tenant is a tenant as admission reads it.
+// Tenant is a tenant of the configuration.
 type Tenant struct {
 	Name string
-	// Walled reports whether the tenant shares cached chunks with no other one.
+	// Walled reports whether the tenant is isolated, that is, shares cached chunks with no
+	// other tenant.
 	Walled bool
-	// SharingDomain separates cached chunks: tenants with equal domains may share them.
-	// It changes with every epoch of a wall.
+	// SharingDomain identifies the tenants that may share cached chunks: those with the same
+	// domain. A walled tenant gets a new domain each time it becomes walled. All other
+	// tenants share one domain, which changes whenever one of them becomes walled or is
+	// removed.
 	SharingDomain string
-	// Limits are the configured limits; read only.
+	// Limits contains the configured limits; read-only.
 	Limits *ridgeswitchv1.Limits
-	// Priority outranks that of the route; nil if the tenant has none.
+	// Priority takes precedence over that of the route; nil if the tenant has none.
 	Priority *uint32
 }
 
-// Replica is a back end of a pool or of a web service, as the platform's list
-// and the service's shard describe it together.
+// Replica is a back end of a pool or of a web service. Its fields combine the platform's list
+// and the state of the service's shard.
 type Replica struct {
-	// Address is the host and port that requests go to.
+	// Address is the host and port that requests are sent to.
 	Address string
-	// Instance is the platform's name of the incarnation that it lists at the address;
-	// empty if it names none.
+	// Instance identifies the incarnation that the platform lists at the address; empty if
+	// the platform does not identify it.
 	Instance string
-	// Zone is the zone that it is in; empty if that is not known.
+	// Zone is the zone of the replica; empty if unknown.
 	Zone string
-	// Slots is how many requests it works on at once; 0 if that is not known.
+	// Slots is the number of requests that the replica processes concurrently; 0 if unknown.
 	Slots int
-	// SlowStartUntil is when its slow start ends, on the node's clock; zero if it is in
-	// none.
+	// SlowStartUntil is when the replica's slow start ends, on the node's clock; zero if it
+	// is not in slow start.
 	SlowStartUntil time.Duration
-	// WeightVersion is the version that the replica confirmed; empty before that, when it
-	// gets no requests, and always for the back ends of a web service.
+	// WeightVersion is the weight version that the replica runs according to the shard or the
+	// platform's list. It is empty if unknown, and a replica of a pool then receives no
+	// requests. It is always empty for a back end of a web service.
 	WeightVersion string
-	// Admitting reports whether new requests may go to it: it is listed, not draining for
-	// the platform or for a roll-out, and its zone is not evacuated.
+	// Admitting reports whether new requests may be sent to the replica: it is listed, it is
+	// not draining for the platform or a roll-out, and its zone is not evacuated.
 	Admitting bool
 }
 
-// Pool is a pool with its present replicas, admitting or not.
+// Pool is a pool with its current replicas, including those that are not admitting.
 type Pool struct {
-	// Config is the configured pool; read only.
+	// Config is the configured pool; read-only.
 	Config   *ridgeswitchv1.Pool
 	Replicas []Replica
-	// Store is the pool's store, or nil.
+	// Store is the pool's store; nil if it has none.
 	Store *ridgeswitchv1.Store
 }
 
-// WebService is a plain HTTP service with its present back ends.
+// WebService is a plain HTTP service with its current back ends, including those that are not
+// admitting.
 type WebService struct {
-	// Config is the configured service; read only.
+	// Config is the configured service; read-only.
 	Config   *ridgeswitchv1.WebService
 	Replicas []Replica
 }
 
-// Destination is where a route's requests go: exactly one field is set.
+// Destination is the pool or web service that receives a route's requests. Exactly one field
+// is set.
 type Destination struct {
 	Pool       *Pool
 	WebService *WebService
 }
 
-// View is everything that traffic needs to know of control state.
+// View contains the control state that the data plane needs.
 type View struct {
 	// Revision is the configuration's revision.
 	Revision uint64
-	// Configuration is the source of the maps below; read only.
+	// Configuration is the configuration from which the maps below were built; read-only. The
+	// replicas in the maps come from the platform's list and the shards.
 	Configuration *ridgeswitchv1.Configuration
-	// Tenants holds the tenant of each key.
+	// Tenants contains the tenant of each key.
 	Tenants map[KeyDigest]*Tenant
-	// Hosts holds the routes of each host name, in lower case and without a port.
+	// Hosts contains the routes of each host, by host name in lower case and without a port.
 	Hosts map[string]Routes
-	// Pools and WebServices are by name.
+	// Pools and WebServices contain the pools and web services by name.
 	Pools       map[string]*Pool
 	WebServices map[string]*WebService
 
 	priorities priorities
 }
 
-// Configured reports whether the view has an operator's configuration. A view that has
-// only evacuations or back ends does not say which requests are allowed.
+// Configured reports whether the view contains an operator's configuration. A view that
+// contains only evacuations or back ends does not define which requests are allowed.
 func (v *View) Configured() bool {
 	return v != nil && (len(v.Hosts) > 0 || v.Configuration.GetSource() != nil)
 }
 
-// Source is how traffic reaches control state.
+// Source provides control state to the data plane.
 type Source interface {
 	// View returns the newest view, or nil before the first one.
 	View() *View
-	// Serving returns nil while the node may admit traffic, and otherwise why it may not, in
-	// words for callers. Implementations must read a clock that counts suspended time, so
-	// that a node which was frozen refuses before it serves anything out of date.
+	// Serving returns nil while the node may admit requests, and otherwise an error that
+	// explains why it may not. The text of the error is returned to callers. Implementations
+	// must read a clock that counts suspended time, so that a node that was frozen refuses
+	// requests before it serves any with outdated control state.
 	Serving() error
 }
 
-// LoadReader is how control learns what traffic still sends to a back end.
+// LoadReader provides to the control plane the number of requests that run on a back end.
 type LoadReader interface {
-	// InFlight returns how many attempts run on a back end through this node. Zero means
-	// that the back end is drained only if it was read after the publication of a view in
-	// which the back end does not admit: each attempt is counted in before it looks at the
-	// newest view for the last time.
+	// InFlight returns the number of attempts that this node has running on a back end. Zero
+	// means that the back end is drained only if the call was made after the publication of
+	// a view in which the back end is not admitting, because each attempt is counted before
+	// it checks the newest view for the last time.
 	InFlight(address string) int
 }
