--- a/internal/dataplane/health/quarantine.go
+++ b/internal/dataplane/health/quarantine.go
@@ -37,8 +37,8 @@
 }
 
 // Contains reports whether a replica is in quarantine, given the version that control
-// state has for it. A replica that has reported no version is not in quarantine, because
-// control state has confirmed its version.
+// state has for it. A replica that has reported no version is not in quarantine, because no
+// report contradicts the version that control state has.
 func (q *Quarantine) Contains(address, weightVersion string) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
