--- a/internal/dataplane/handlers/requestrecorder/handler_internal_test.go
+++ b/internal/dataplane/handlers/requestrecorder/handler_internal_test.go
@@ -14,13 +14,13 @@
 )
 
 var _ = Describe("The record of a request", func() {
-	DescribeTable("contains the outcome of the request", func(watch exchange.Observer, failed, gone bool, expected recording.Outcome) {
+	DescribeTable("contains the outcome of the request", func(observer exchange.Observer, failed, disconnected bool, expected recording.Outcome) {
 		ctx, cancel := context.WithCancel(context.Background())
-		if gone {
+		if disconnected {
 			cancel()
 		}
 		defer cancel()
-		e := &exchange.Exchange{Request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), Observer: &watch, Failed: failed}
+		e := &exchange.Exchange{Request: httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), Observer: &observer, Failed: failed}
 		Expect(outcomeOf(e)).To(Equal(expected))
 	},
 		Entry("completed", exchange.Observer{Status: 200}, false, false, recording.Completed),
--- a/internal/dataplane/handlers/routematcher/sampler_internal_test.go
+++ b/internal/dataplane/handlers/routematcher/sampler_internal_test.go
@@ -12,8 +12,8 @@
 )
 
 var _ = Describe("A route with several destinations", func() {
-	// split returns a route to pools with the given weights, and the pools.
-	split := func(weights ...uint32) (*routing.Route, []*routing.Pool) {
+	// newSplitRoute returns a route to pools with the given weights, and the pools.
+	newSplitRoute := func(weights ...uint32) (*routing.Route, []*routing.Pool) {
 		choices, pools := make([]routing.Choice, len(weights)), make([]*routing.Pool, len(weights))
 		for at, weight := range weights {
 			pools[at] = &routing.Pool{Config: &ridgeswitchv1.Pool{Name: fmt.Sprint(at)}}
@@ -26,18 +26,18 @@
 		// tolerance is the largest permitted difference, in requests, between the number of
 		// requests that a destination received and its share.
 		const tolerance, requests, nodes = 3.0, 400, 50
-		route, pools := split(weights...)
+		route, pools := newSplitRoute(weights...)
 		total := uint64(0)
 		for _, weight := range weights {
 			total += uint64(weight)
 		}
 		for range nodes {
-			draws := newDestinationSampler()
+			sampler := newDestinationSampler()
 			counts := map[*routing.Pool]int{}
 			for number := 1; number <= requests; number++ {
 				// Requests on other routes in between must not affect this route.
-				draws.next("other.example", route)
-				counts[route.Destination(draws.next("models.example", route)).Pool]++
+				sampler.next("other.example", route)
+				counts[route.Destination(sampler.next("models.example", route)).Pool]++
 				for at, pool := range pools {
 					share := float64(number) * float64(weights[at]) / float64(total)
 					Expect(math.Abs(float64(counts[pool])-share)).To(BeNumerically("<=", tolerance),
@@ -56,7 +56,7 @@
 	)
 
 	It("stores the last sample of at most maxSampledRoutes routes", func() {
-		route, _ := split(1, 1)
+		route, _ := newSplitRoute(1, 1)
 		draws := newDestinationSampler()
 		for number := range 2*maxSampledRoutes + 1 {
 			draws.next(fmt.Sprint(number), route)
--- a/internal/dataplane/health/stale_backends_internal_test.go
+++ b/internal/dataplane/health/stale_backends_internal_test.go
@@ -37,12 +37,12 @@
 		event, expected := words[1:len(words)-1], words[len(words)-1]
 		switch event[0] {
 		case "list":
-			replica.Instance, replica.WeightVersion = given(event[1]), given(event[2])
+			replica.Instance, replica.WeightVersion = optionalWord(event[1]), optionalWord(event[2])
 			subject.Retain(&routing.View{Pools: map[string]*routing.Pool{"p": {Replicas: []routing.Replica{replica}}}})
 		case "unlist":
 			subject.Retain(&routing.View{})
 		case "refused":
-			subject.RecordRefusal(now, replica, given(event[1]))
+			subject.RecordRefusal(now, replica, optionalWord(event[1]))
 		case "told":
 			subject.RecordDenial(gossip.Denial{Address: "a", Instance: event[1]})
 		case "wait":
@@ -54,8 +54,8 @@
 	}
 }
 
-// given returns a word of a timeline, or "" for "-".
-func given(word string) string {
+// optionalWord returns a word of a timeline, or "" for "-".
+func optionalWord(word string) string {
 	if word == "-" {
 		return ""
 	}
--- a/internal/dataplane/health/tracker.go
+++ b/internal/dataplane/health/tracker.go
@@ -68,8 +68,8 @@
 	// overdueAt and slowAt are the times, on the node's clock, from which the attempt
 	// counts as overdue and its output as slow; 0 means never.
 	overdueAt, slowAt time.Duration
-	// counted is set when the attempt has been counted as overdue.
-	counted bool
+	// countedOverdue is set when the attempt has been counted as overdue.
+	countedOverdue bool
 }
 
 // Expectation contains the expected latencies of an attempt.
@@ -159,8 +159,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for running := range t.running {
-		if running.overdueAt > 0 && now >= running.overdueAt && !running.counted {
-			running.counted = true
+		if running.overdueAt > 0 && now >= running.overdueAt && !running.countedOverdue {
+			running.countedOverdue = true
 			t.Observe(now, running.Address, outlier.Overdue)
 		}
 	}
@@ -172,7 +172,7 @@
 	a.tracker.mutex.Lock()
 	defer a.tracker.mutex.Unlock()
 	delete(a.tracker.running, a)
-	return a.counted
+	return a.countedOverdue
 }
 
 // Responded records the first output of a stream, or a complete response.
--- a/internal/dataplane/recorder/recorder_internal_test.go
+++ b/internal/dataplane/recorder/recorder_internal_test.go
@@ -68,11 +68,11 @@
 		go r.run()
 		r.Close()
 		Expect(r.Stats()).To(Equal(Stats{Written: 3, Dropped: 7}))
-		day, err := recording.Read(&target.Buffer)
+		contents, err := recording.Read(&target.Buffer)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(day.Records).To(HaveLen(3))
-		Expect(day.Dropped).To(Equal(int64(7)))
-		Expect(day.Faults.Total()).To(BeZero())
+		Expect(contents.Records).To(HaveLen(3))
+		Expect(contents.Dropped).To(Equal(int64(7)))
+		Expect(contents.Faults.Total()).To(BeZero())
 	})
 
 	It("never delays a request while the disk does not respond", func() {
--- a/internal/dataplane/reports/assignment_internal_test.go
+++ b/internal/dataplane/reports/assignment_internal_test.go
@@ -12,9 +12,9 @@
 	peers := []member.Info{{ID: "n1", Zone: "a"}, {ID: "n2", Zone: "a"}, {ID: "n3", Zone: "b"}}
 
 	It("is a node of the back end's zone, or any node if the zone has none, regardless of the order of the nodes", func() {
-		near := readerFor("10.0.0.1:1", "a", peers)
-		Expect(near).To(BeElementOf(member.ID("n1"), member.ID("n2")))
-		Expect(readerFor("10.0.0.1:1", "a", []member.Info{peers[2], peers[1], peers[0]})).To(Equal(near))
+		inZone := readerFor("10.0.0.1:1", "a", peers)
+		Expect(inZone).To(BeElementOf(member.ID("n1"), member.ID("n2")))
+		Expect(readerFor("10.0.0.1:1", "a", []member.Info{peers[2], peers[1], peers[0]})).To(Equal(inZone))
 		Expect(readerFor("10.0.0.1:1", "c", peers)).To(BeElementOf(member.ID("n1"), member.ID("n2"), member.ID("n3")))
 		Expect(readerFor("10.0.0.1:1", "a", nil)).To(BeEmpty())
 	})
--- a/internal/dataplane/reports/full_read_internal_test.go
+++ b/internal/dataplane/reports/full_read_internal_test.go
@@ -20,10 +20,10 @@
 // scriptedReports simulates a back end that keeps only its newest change.
 type scriptedReports struct {
 	mutex sync.Mutex
-	// lose makes the next page report a gap.
-	lose bool
-	// refuse, if set, is returned by List.
-	refuse error
+	// reportGap makes the next page report a gap.
+	reportGap bool
+	// listError, if set, is returned by List.
+	listError error
 	// fullReads contains the addresses of the calls of List.
 	fullReads []string
 }
@@ -31,10 +31,10 @@
 func (s *scriptedReports) Read(_ context.Context, _ string, since uint64, _ time.Duration) (edges.ReportPage, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	page := edges.ReportPage{Incarnation: 7, Next: since + 1, Lost: s.lose || since == 0, Changes: []edges.ChunkChange{
+	page := edges.ReportPage{Incarnation: 7, Next: since + 1, Lost: s.reportGap || since == 0, Changes: []edges.ChunkChange{
 		{Sequence: since + 1, CacheSalt: "salt", Model: "model", ID: "newest", Tokens: 100},
 	}}
-	s.lose = false
+	s.reportGap = false
 	return page, nil
 }
 
@@ -42,8 +42,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fullReads = append(s.fullReads, address)
-	if s.refuse != nil {
-		return edges.ReportPage{}, s.refuse
+	if s.listError != nil {
+		return edges.ReportPage{}, s.listError
 	}
 	return edges.ReportPage{Incarnation: 7, Next: 41, Changes: []edges.ChunkChange{
 		{CacheSalt: "salt", Model: "model", ID: "oldest", Tokens: 4000},
@@ -144,12 +144,12 @@
 
 	It("are read in full again after a gap, but not twice within minFullReadInterval", func() {
 		n.read()
-		n.reports.lose = true
+		n.reports.reportGap = true
 		n.read()
 		n.now += minFullReadInterval
 		n.read()
 		Expect(n.reports.takeFullReads()).To(HaveLen(2))
-		n.reports.lose = true
+		n.reports.reportGap = true
 		n.read()
 		n.now += minFullReadInterval - 1
 		n.read()
@@ -168,7 +168,7 @@
 	})
 
 	It("are updated by the changes while full reads fail", func() {
-		n.reports.refuse = context.DeadlineExceeded
+		n.reports.listError = context.DeadlineExceeded
 		n.read()
 		Expect(n.cachedTokens("newest")).To(Equal(uint32(100)))
 	})
--- a/internal/dataplane/reports/stabilization_wait_internal_test.go
+++ b/internal/dataplane/reports/stabilization_wait_internal_test.go
@@ -38,12 +38,12 @@
 	})
 
 	It("reports stable after maxStabilizationWait if there is no other node, or the nodes keep changing", func() {
-		var alone, restless stabilizationWait
+		var alone, changing stabilizationWait
 		for step := range 50 {
 			Expect(alone.stable(at(100*step), nodes(1))).To(BeFalse())
-			Expect(restless.stable(at(100*step), nodes(2+step%2))).To(BeFalse())
+			Expect(changing.stable(at(100*step), nodes(2+step%2))).To(BeFalse())
 		}
 		Expect(alone.stable(at(5000), nodes(1))).To(BeTrue())
-		Expect(restless.stable(at(5000), nodes(2))).To(BeTrue())
+		Expect(changing.stable(at(5000), nodes(2))).To(BeTrue())
 	})
 })
--- a/internal/dataplane/startupgate/gate_internal_test.go
+++ b/internal/dataplane/startupgate/gate_internal_test.go
@@ -18,40 +18,40 @@
 		return &routing.View{Pools: map[string]*routing.Pool{"pool": pool}}
 	}
 	var (
-		u        *Gate
-		complete map[string]bool
-		whole    = func(address string) bool { return complete[address] }
+		gate           *Gate
+		complete       map[string]bool
+		chunksComplete = func(address string) bool { return complete[address] }
 	)
 	BeforeEach(func() {
-		u = New()
+		gate = New()
 		complete = make(map[string]bool)
 	})
 
 	It("opens when the cached chunks of three quarters of the replicas are known", func() {
 		view := listing("a", "b", "c", "d")
-		u.Update(time.Hour, view, whole)
+		gate.Update(time.Hour, view, chunksComplete)
 		complete["a"], complete["b"] = true, true
-		u.Update(time.Hour, view, whole)
-		Expect(u.opened).NotTo(BeClosed())
+		gate.Update(time.Hour, view, chunksComplete)
+		Expect(gate.opened).NotTo(BeClosed())
 		complete["c"] = true
-		u.Update(time.Hour, view, whole)
-		Expect(u.opened).To(BeClosed())
+		gate.Update(time.Hour, view, chunksComplete)
+		Expect(gate.opened).To(BeClosed())
 	})
 
 	It("opens after maxWait, which starts with the first view that has pools", func() {
-		u.Update(time.Minute, nil, whole)
-		u.Update(time.Minute, &routing.View{}, whole)
-		u.Update(time.Hour, listing(), whole)
-		u.Update(time.Hour+maxWait-1, listing("a"), whole)
-		Expect(u.opened).NotTo(BeClosed())
-		u.Update(time.Hour+maxWait, listing("a"), whole)
-		Expect(u.opened).To(BeClosed())
+		gate.Update(time.Minute, nil, chunksComplete)
+		gate.Update(time.Minute, &routing.View{}, chunksComplete)
+		gate.Update(time.Hour, listing(), chunksComplete)
+		gate.Update(time.Hour+maxWait-1, listing("a"), chunksComplete)
+		Expect(gate.opened).NotTo(BeClosed())
+		gate.Update(time.Hour+maxWait, listing("a"), chunksComplete)
+		Expect(gate.opened).To(BeClosed())
 	})
 
 	It("does not close again", func() {
 		complete["a"] = true
-		u.Update(0, listing("a"), whole)
-		u.Update(time.Hour, listing("b", "c"), whole)
-		Expect(u.opened).To(BeClosed())
+		gate.Update(0, listing("a"), chunksComplete)
+		gate.Update(time.Hour, listing("b", "c"), chunksComplete)
+		Expect(gate.opened).To(BeClosed())
 	})
 })
