--- a/internal/dataplane/handlers/routematcher/sampler_internal_test.go
+++ b/internal/dataplane/handlers/routematcher/sampler_internal_test.go
@@ -57,10 +57,10 @@
 
 	It("stores the last sample of at most maxSampledRoutes routes", func() {
 		route, _ := newSplitRoute(1, 1)
-		draws := newDestinationSampler()
+		sampler := newDestinationSampler()
 		for number := range 2*maxSampledRoutes + 1 {
-			draws.next(fmt.Sprint(number), route)
+			sampler.next(fmt.Sprint(number), route)
 		}
-		Expect(len(draws.last)).To(BeNumerically("<=", maxSampledRoutes))
+		Expect(len(sampler.last)).To(BeNumerically("<=", maxSampledRoutes))
 	})
 })
