--- a/internal/dataplane/recorder/recorder_internal_test.go
+++ b/internal/dataplane/recorder/recorder_internal_test.go
@@ -25,7 +25,7 @@
 	// fails makes every write return an error.
 	fails bool
 	// entered and proceed, if set, block every write: it sends to entered and then waits
-	// for a value from proceed.
+	// until proceed is closed.
 	entered chan struct{}
 	proceed chan struct{}
 }
