--- a/internal/dataplane/health/quarantine.go
+++ b/internal/dataplane/health/quarantine.go
@@ -10,7 +10,7 @@
 // reported last, when the replica reports the version in control state, or when it is no
 // longer listed. Because a replica in quarantine receives no requests, it can only report
 // another version in its event stream (package feeds). Replicas whose reports are read page
-// by page have no event stream.
+// by page have no event stream, so their reports cannot end the quarantine.
 type Quarantine struct {
 	mutex sync.Mutex
 	// reported contains the weight version that each replica reported last, by address.
