--- a/internal/dataplane/handlers/bodyreader/handler.go
+++ b/internal/dataplane/handlers/bodyreader/handler.go
@@ -88,7 +88,7 @@
 
 // readAll reads to the end. The declared length, -1 if there is none, determines the initial
 // size of the buffer up to maxPreallocatedBytes: the caller need not send as much as it
-// declares, so a large declared length must not allocate memory.
+// declares, so a declared length alone must not make the node allocate much memory.
 func readAll(reader io.Reader, declared int64) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Grow(int(min(max(declared, 0), maxPreallocatedBytes)) + bytes.MinRead)
