--- a/internal/dataplane/recorder/recorder.go
+++ b/internal/dataplane/recorder/recorder.go
@@ -23,7 +23,8 @@
 const (
 	// queueLength is the maximum number of records that wait to be written.
 	queueLength = 4096
-	// flushInterval is the interval at which buffered records are written to the file.
+	// flushInterval is the interval at which buffered records are written to the file. It
+	// limits how long a record is only in memory.
 	flushInterval = time.Second
 	// fileMode denies other users of the machine access to recordings.
 	fileMode = 0o600
