--- a/internal/routing/priority.go
+++ b/internal/routing/priority.go
@@ -12,8 +12,8 @@
 	// mostUrgentTenant is the lowest priority number of any tenant; 0 if no tenant has a
 	// priority.
 	mostUrgentTenant uint32
-	// perTenant is the number of request priorities that one tenant priority is divided
-	// into by the priorities of routes.
+	// perTenant is the number of route priorities that are distinguished within each tenant
+	// priority.
 	perTenant uint32
 }
 
--- a/internal/routing/view.go
+++ b/internal/routing/view.go
@@ -48,8 +48,9 @@
 	// platform's list. It is empty if unknown, and a replica of a pool then receives no
 	// requests. It is always empty for a back end of a web service.
 	WeightVersion string
-	// Admitting reports whether new requests may be sent to the replica: it is listed, it is
-	// not draining for the platform or a roll-out, and its zone is not evacuated.
+	// Admitting reports whether new requests may be sent to the replica. It must be listed,
+	// it must not be draining for the platform or a roll-out, and its zone must not be
+	// evacuated. For a replica of a pool, package control/view sets further conditions.
 	Admitting bool
 }
 
