--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -16,24 +16,24 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// occupants is a replica edge that knows the incarnation at each address, and refuses
+// incarnationEdge is a replica edge that knows the incarnation at each address, and refuses
 // requests for another one.
-type occupants struct {
+type incarnationEdge struct {
 	mutex sync.Mutex
-	// standing holds the incarnation at each address.
-	standing map[string]string
+	// instances holds the incarnation at each address.
+	instances map[string]string
 	// refusals counts the refused attempts.
 	refusals int
 }
 
 // Send implements dataplane.BackendEdge.
-func (o *occupants) Send(_ context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
+func (o *incarnationEdge) Send(_ context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	standing := o.standing[attempt.Address]
-	if attempt.Instance != standing {
+	instance := o.instances[attempt.Address]
+	if attempt.Instance != instance {
 		o.refusals++
-		return nil, &outbound.RefusedError{Status: http.StatusMisdirectedRequest, WrongTarget: true, Instance: standing}
+		return nil, &outbound.RefusedError{Status: http.StatusMisdirectedRequest, WrongTarget: true, Instance: instance}
 	}
 	return completeResponse{}, nil
 }
@@ -52,10 +52,10 @@
 
 var _ = Describe("An address that another replica has got", func() {
 	const reused, other = "replica-0:1", "replica-1:1"
-	var edge *occupants
+	var edge *incarnationEdge
 
 	BeforeEach(func() {
-		edge = &occupants{standing: map[string]string{reused: "i-0", other: "i-1"}}
+		edge = &incarnationEdge{instances: map[string]string{reused: "i-0", other: "i-1"}}
 	})
 	newNode := func() *fixture {
 		f := newFixtureWith(func(options *dataplane.Options) {
@@ -63,7 +63,7 @@
 			options.RetryBudget.Slack = 1
 		}, reused, other)
 		for at := range f.replicas {
-			f.replicas[at].Instance = edge.standing[f.replicas[at].Address]
+			f.replicas[at].Instance = edge.instances[f.replicas[at].Address]
 		}
 		f.publish()
 		return f
@@ -80,7 +80,7 @@
 	It("costs one refusal, until the list names the replica at the address", func() {
 		f := newNode()
 		serve(f, 0)
-		edge.standing[reused] = "i-2"
+		edge.instances[reused] = "i-2"
 		serve(f, time.Minute)
 		Expect(edge.refusals).To(Equal(1))
 
@@ -96,7 +96,7 @@
 		first, second := newNode(), newNode()
 		serve(first, 0)
 		serve(second, 0)
-		edge.standing[reused] = "i-2"
+		edge.instances[reused] = "i-2"
 		serve(first, time.Minute)
 		second.server.ApplyUpdate(first.server.TakeUpdate())
 		serve(second, time.Minute)
@@ -105,10 +105,10 @@
 
 	It("gets nothing even if a web service has no other", func() {
 		f := newNode()
-		f.webs = f.replicas[:1]
-		f.webs[0].WeightVersion = ""
+		f.webBackends = f.replicas[:1]
+		f.webBackends[0].WeightVersion = ""
 		f.publish()
-		edge.standing[reused] = "i-2"
+		edge.instances[reused] = "i-2"
 		for range 5 {
 			f.clock.Add(int64(time.Minute))
 			Expect(f.send(http.MethodGet, webHost, "/").status).To(Equal(http.StatusServiceUnavailable))
@@ -117,18 +117,18 @@
 	})
 
 	It("gets nothing that was on its way there when the update arrived", func() {
-		for look := int64(1); look <= 4; look++ {
+		for read := int64(1); read <= 4; read++ {
 			f := newNode()
 			f.replicas[1].Admitting = false
 			f.publish()
-			edge.standing[reused] = "i-2"
-			f.source.onView = func(seen int64) {
-				if seen == look {
+			edge.instances[reused] = "i-2"
+			f.source.onView = func(call int64) {
+				if call == read {
 					f.server.ApplyUpdate(gossip.Update{Denials: []gossip.Denial{{Address: reused, Instance: "i-0"}}})
 				}
 			}
 			Expect(f.generate().problem.MayHaveRun).To(BeFalse())
-			Expect(edge.refusals).To(BeZero(), "told at look %d", look)
+			Expect(edge.refusals).To(BeZero(), "told at read %d", read)
 		}
 	})
 })
--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -19,7 +19,7 @@
 )
 
 var _ = Describe("Attempts", func() {
-	var healthy *replicaStandIn
+	var healthy *fakeReplica
 
 	BeforeEach(func() {
 		healthy = newReplica(respondWith("ok"))
@@ -27,7 +27,7 @@
 
 	It("that find no listener go elsewhere, and the next ones avoid it", func() {
 		f := newFixture(healthy.address())
-		f.earn()
+		f.fillRetryBudget()
 		f.replicas = append(f.replicas, f.replicas[0])
 		f.replicas[0].Address = closedAddress()
 		f.publish()
@@ -48,14 +48,14 @@
 	DescribeTable("over two replicas of which one fails", func(script http.HandlerFunc, repeatable string, expected int, mayHaveRun bool) {
 		failing := newReplica(script)
 		f := newFixture(healthy.address())
-		f.earn()
+		f.fillRetryBudget()
 		f.replicas = append(f.replicas, f.replicas[0])
 		f.replicas[0].Address = failing.address()
 		f.replicas[1].Admitting = false
 		f.publish()
 		// The healthy replica begins to admit once the first attempt is on
 		// its way, so that the order of the attempts is certain.
-		f.source.onServing = func(look int) {
+		f.source.onServing = func(call int) {
 			if len(failing.requests()) == 1 {
 				f.replicas[1].Admitting = true
 				f.publish()
@@ -72,8 +72,8 @@
 		}
 	},
 		Entry("a refusal is repeated", refusing(), "false", http.StatusOK, false),
-		Entry("a lost response is not", dying(), "false", http.StatusBadGateway, true),
-		Entry("a lost response is, if idempotent", dying(), "true", http.StatusOK, false),
+		Entry("a lost response is not", aborting(), "false", http.StatusBadGateway, true),
+		Entry("a lost response is, if idempotent", aborting(), "true", http.StatusOK, false),
 	)
 
 	It("are not repeated beyond the budget", func() {
@@ -93,11 +93,11 @@
 
 	It("end at the deadline, with the word that the request may have run", func() {
 		left := make(chan struct{})
-		stand := newReplica(func(_ http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(_ http.ResponseWriter, request *http.Request) {
 			<-request.Context().Done()
 			close(left)
 		})
-		got := newFixture(stand.address()).generate(header{"Deadline-Ms", "400"})
+		got := newFixture(backend.address()).generate(header{"Deadline-Ms", "400"})
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
 		Expect(got.problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
@@ -108,12 +108,12 @@
 	It("end when the caller disconnects", func() {
 		arrived := make(chan struct{})
 		left := make(chan struct{})
-		stand := newReplica(func(_ http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(_ http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-request.Context().Done()
 			close(left)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		ctx, cancel := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.front.URL, strings.NewReader(defaultBody))
 		Expect(err).NotTo(HaveOccurred())
@@ -121,7 +121,7 @@
 		request.Header.Set("Authorization", "Bearer "+courtKey)
 		go func() {
 			<-arrived
-			Expect(f.server.InFlight(stand.address())).To(Equal(1))
+			Expect(f.server.InFlight(backend.address())).To(Equal(1))
 			cancel()
 		}()
 		_, err = http.DefaultClient.Do(request)
@@ -135,11 +135,11 @@
 			full = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nAttempt-Id: ATTEMPT\r\n\r\n" +
 				"9\r\ndata: a\n\n\r\ne\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
 		}
-		backend := newCuttingReplica(full)
+		backend := newTruncatingReplica(full)
 		f := newFixture(backend.listener.Addr().String())
 		complete := 0
 		for truncated := range len(full) + 1 {
-			backend.cut.Store(int64(truncated))
+			backend.truncateAt.Store(int64(truncated))
 			before := backend.runs.Load()
 			got := f.generate()
 			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "cut after %d bytes", truncated)
@@ -163,24 +163,24 @@
 	}, Entry("whole", false), Entry("streamed", true))
 })
 
-// cuttingReplica responds to each request with the first bytes of a script.
-type cuttingReplica struct {
-	listener net.Listener
-	script   string
-	cut      atomic.Int64
-	runs     atomic.Int64
+// truncatingReplica responds to each request with the first bytes of a script.
+type truncatingReplica struct {
+	listener   net.Listener
+	script     string
+	truncateAt atomic.Int64
+	runs       atomic.Int64
 }
 
-func newCuttingReplica(script string) *cuttingReplica {
+func newTruncatingReplica(script string) *truncatingReplica {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	backend := &cuttingReplica{listener: listener, script: script}
+	backend := &truncatingReplica{listener: listener, script: script}
 	go backend.accept()
 	DeferCleanup(listener.Close)
 	return backend
 }
 
-func (c *cuttingReplica) accept() {
+func (c *truncatingReplica) accept() {
 	for {
 		connection, err := c.listener.Accept()
 		if err != nil {
@@ -192,7 +192,7 @@
 
 // serve responds to requests until the connection ends. After a complete response the
 // connection stays open, so that reuse is covered as well.
-func (c *cuttingReplica) serve(connection net.Conn) {
+func (c *truncatingReplica) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
@@ -203,7 +203,7 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		c.runs.Add(1)
 		script := strings.Replace(c.script, "ATTEMPT", request.Header.Get(replica.HeaderAttemptID), 1)
-		truncated := c.cut.Load()
+		truncated := c.truncateAt.Load()
 		if truncated < int64(len(c.script)) {
 			// The cut is counted from the end, as the identity has grown the
 			// script.
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -25,38 +25,38 @@
 
 func (a statusResponse) Status() int { return a.status }
 
-// backends is an edge whose back ends may be grey: of the requests to those that
+// faultInjectingEdge is an edge whose back ends may be faulty: of the requests to those that
 // are, some go wrong.
-type backends struct {
-	// wrong is what then happens, and every which of the requests it happens to.
-	wrong func(ctx context.Context) (dataplane.Response, error)
-	every int
-	mutex sync.Mutex
-	grey  map[string]bool
-	sent  map[string]int
+type faultInjectingEdge struct {
+	// fault is what then happens, and every which of the requests it happens to.
+	fault      func(ctx context.Context) (dataplane.Response, error)
+	faultEvery int
+	mutex      sync.Mutex
+	faulty     map[string]bool
+	sent       map[string]int
 }
 
 // Send implements dataplane.BackendEdge.
-func (b *backends) Send(ctx context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
+func (b *faultInjectingEdge) Send(ctx context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
 	b.mutex.Lock()
 	b.sent[attempt.Address]++
-	wrong := b.grey[attempt.Address] && (b.sent[attempt.Address]-1)%b.every == 0
+	fault := b.faulty[attempt.Address] && (b.sent[attempt.Address]-1)%b.faultEvery == 0
 	b.mutex.Unlock()
-	if wrong {
-		return b.wrong(ctx)
+	if fault {
+		return b.fault(ctx)
 	}
 	return completeResponse{}, nil
 }
 
-// turnGrey makes one back end fail, or healthy again.
-func (b *backends) turnGrey(address string, grey bool) {
+// setFaulty makes one back end fail, or healthy again.
+func (b *faultInjectingEdge) setFaulty(address string, grey bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.grey[address] = grey
+	b.faulty[address] = grey
 }
 
 // count returns how many requests a back end has got.
-func (b *backends) count(address string) int {
+func (b *faultInjectingEdge) count(address string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.sent[address]
@@ -70,13 +70,13 @@
 	shedding = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.RefusedError{Status: http.StatusServiceUnavailable}
 	}
-	unclear = func(context.Context) (dataplane.Response, error) {
+	ambiguous = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.FailedResponseError{Status: http.StatusServiceUnavailable}
 	}
 	resetting = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.Error{MayHaveBeenSent: true}
 	}
-	garbling = func(context.Context) (dataplane.Response, error) {
+	invalidResponse = func(context.Context) (dataplane.Response, error) {
 		return nil, &outbound.InvalidResponseError{Reason: "the answer was cut"}
 	}
 	hanging = func(ctx context.Context) (dataplane.Response, error) {
@@ -90,11 +90,11 @@
 
 var _ = Describe("A back end that fails although it is listed as healthy", func() {
 	const count = 6
-	var edge *backends
+	var edge *faultInjectingEdge
 
 	address := func(number int) string { return fmt.Sprintf("backend-%d:1", number) }
-	newEdge := func(wrong func(context.Context) (dataplane.Response, error)) *backends {
-		return &backends{wrong: wrong, every: 2, grey: map[string]bool{}, sent: map[string]int{}}
+	newEdge := func(fault func(context.Context) (dataplane.Response, error)) *faultInjectingEdge {
+		return &faultInjectingEdge{fault: fault, faultEvery: 2, faulty: map[string]bool{}, sent: map[string]int{}}
 	}
 	// newPool starts a node before a pool whose edge responds.
 	newPool := func(edge dataplane.BackendEdge, change func(*dataplane.Options)) *fixture {
@@ -128,11 +128,11 @@
 		return failed
 	}
 
-	DescribeTable("gets next to nothing while every second request to it ends in", func(wrong func(context.Context) (dataplane.Response, error)) {
-		edge = newEdge(wrong)
+	DescribeTable("gets next to nothing while every second request to it ends in", func(fault func(context.Context) (dataplane.Response, error)) {
+		edge = newEdge(fault)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
-		edge.turnGrey(address(0), true)
+		edge.setFaulty(address(0), true)
 		serve(f, 60)
 		before := edge.count(address(0))
 		failed := serve(f, 200)
@@ -141,7 +141,7 @@
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 
 		By("and its share again once it is well")
-		edge.turnGrey(address(0), false)
+		edge.setFaulty(address(0), false)
 		serve(f, 400)
 		before = edge.count(address(0))
 		serve(f, 200)
@@ -150,16 +150,16 @@
 	},
 		Entry("a failure", failing),
 		Entry("a refusal without need", shedding),
-		Entry("a failure that may be a refusal", unclear),
+		Entry("a failure that may be a refusal", ambiguous),
 		Entry("a reset", resetting),
-		Entry("something that is no response", garbling),
+		Entry("something that is no response", invalidResponse),
 		Entry("no connection", unreachable),
 	)
 
 	DescribeTable("is detected by the requests that wait at it", func(every, requests int) {
 		edge = newEdge(hanging)
 		f := newPool(edge, unchanged)
-		f.target = 100
+		f.targetLatencyMs = 100
 		f.publish()
 		serve(f, 60)
 		f.clock.Add(int64(time.Minute))
@@ -167,11 +167,11 @@
 			f.replicas[at].Admitting = false
 		}
 		f.publish()
-		edge.turnGrey(address(0), true)
-		edge.every = every
+		edge.setFaulty(address(0), true)
+		edge.faultEvery = every
 		edge.sent[address(0)] = 0
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		for number := range requests {
 			go f.generateUntil(ctx)
 			Eventually(func() int { return edge.count(address(0)) }).WithTimeout(waitTimeout).Should(Equal(number + 1))
@@ -190,8 +190,8 @@
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
-		edge.every = 1
-		edge.turnGrey(address(0), true)
+		edge.faultEvery = 1
+		edge.setFaulty(address(0), true)
 		Expect(serve(f, 200)).To(BeNumerically("<=", 7), "two, and then probes")
 	})
 
@@ -201,8 +201,8 @@
 		change(f)
 		f.publish()
 		serve(f, 60)
-		edge.every = 1
-		edge.turnGrey(address(0), true)
+		edge.faultEvery = 1
+		edge.setFaulty(address(0), true)
 		serve(f, 200)
 		Expect(edge.count(address(0))).To(BeNumerically(">", 30))
 		Expect(f.server.Stats()[0].Ejections).To(BeZero())
@@ -222,7 +222,7 @@
 				f.replicas[at].SlowStartUntil = time.Hour
 			}
 		}),
-		Entry("that is to load other weights", func(f *fixture) { f.named = "weights-2" }),
+		Entry("that is to load other weights", func(f *fixture) { f.weightVersion = "weights-2" }),
 	)
 
 	It("costs less each time when it comes and goes", func() {
@@ -231,9 +231,9 @@
 		serve(f, 60)
 		cycle := func() int {
 			before := edge.count(address(0))
-			edge.turnGrey(address(0), true)
+			edge.setFaulty(address(0), true)
 			serve(f, 40)
-			edge.turnGrey(address(0), false)
+			edge.setFaulty(address(0), false)
 			serve(f, 40)
 			return edge.count(address(0)) - before
 		}
@@ -248,7 +248,7 @@
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
-		edge.turnGrey(address(0), true)
+		edge.setFaulty(address(0), true)
 		serve(f, 60)
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 		for at := 1; at < count; at++ {
@@ -263,7 +263,7 @@
 		f := newPool(edge, unchanged)
 		serve(f, 60)
 		for number := range count / 2 {
-			edge.turnGrey(address(number), true)
+			edge.setFaulty(address(number), true)
 		}
 		serve(f, 400)
 		Expect(f.server.Stats()[0].Ejected).To(Equal(count / 2))
@@ -283,9 +283,9 @@
 	Context("by several nodes", func() {
 		peers := []member.Info{{ID: "a-1", Zone: "a"}, {ID: "a-2", Zone: "a"}, {ID: "b-1", Zone: "b"}, {ID: "b-2", Zone: "b"}}
 		// newFleet starts a node for each peer, with an edge of its own.
-		newFleet := func(wrong func(context.Context) (dataplane.Response, error)) (nodes []*fixture, edges []*backends) {
+		newFleet := func(fault func(context.Context) (dataplane.Response, error)) (nodes []*fixture, edges []*faultInjectingEdge) {
 			for _, peer := range peers {
-				edge := newEdge(wrong)
+				edge := newEdge(fault)
 				edges = append(edges, edge)
 				nodes = append(nodes, newPool(edge, func(options *dataplane.Options) {
 					options.Member, options.Zone = peer.ID, peer.Zone
@@ -313,7 +313,7 @@
 				serve(node, 12)
 			}
 			for _, edge := range edges {
-				edge.turnGrey(address(0), true)
+				edge.setFaulty(address(0), true)
 			}
 			for range 10 {
 				for _, node := range nodes[:2] {
@@ -329,7 +329,7 @@
 		It("is not ejected in the zone in which it is healthy", func() {
 			nodes, edges := newFleet(failing)
 			for _, edge := range edges[:2] {
-				edge.turnGrey(address(0), true)
+				edge.setFaulty(address(0), true)
 			}
 			for range 60 {
 				for _, node := range nodes {
@@ -349,7 +349,7 @@
 	It("of a web service is judged by the same rules, and by its slowness", func() {
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
-		f.webs = append([]routing.Replica(nil), f.replicas...)
+		f.webBackends = append([]routing.Replica(nil), f.replicas...)
 		f.publish()
 		sendRequest := func(requests int) {
 			for range requests {
@@ -358,25 +358,25 @@
 			}
 		}
 		sendRequest(60)
-		edge.turnGrey(address(0), true)
+		edge.setFaulty(address(0), true)
 		sendRequest(60)
 		before := edge.count(address(0))
 		sendRequest(100)
 		Expect(edge.count(address(0)) - before).To(BeNumerically("<=", 4))
 
 		By("slowness")
-		edge.turnGrey(address(0), false)
+		edge.setFaulty(address(0), false)
 		sendRequest(400)
-		f.target = 300
+		f.targetLatencyMs = 300
 		f.publish()
 		edge.mutex.Lock()
-		edge.every = 1
-		edge.wrong = func(context.Context) (dataplane.Response, error) {
+		edge.faultEvery = 1
+		edge.fault = func(context.Context) (dataplane.Response, error) {
 			f.clock.Add(int64(400 * time.Millisecond))
 			return completeResponse{}, nil
 		}
 		edge.mutex.Unlock()
-		edge.turnGrey(address(1), true)
+		edge.setFaulty(address(1), true)
 		sendRequest(200)
 		Expect(f.server.Stats()).To(ContainElement(And(HaveField("WebService", true), HaveField("Ejected", 1))))
 	})
@@ -384,7 +384,7 @@
 	It("is counted by the outcomes of the attempts on it", func() {
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
-		edge.turnGrey(address(0), true)
+		edge.setFaulty(address(0), true)
 		serve(f, 60)
 		outcomes := map[string]uint64{}
 		for _, outcome := range f.server.Stats()[0].Outcomes {
--- a/internal/dataplane/caller_disconnect_test.go
+++ b/internal/dataplane/caller_disconnect_test.go
@@ -14,12 +14,12 @@
 var _ = Describe("A caller that disconnects while its request is queued", func() {
 	DescribeTable("leaves the queue, and nothing is sent for it", func(body string) {
 		arrived, proceed := make(chan struct{}, 4), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 60000}
@@ -38,7 +38,7 @@
 		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&responded))
 		Expect(responded.status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		for _, request := range stand.requests() {
+		for _, request := range backend.requests() {
 			Expect(request.Header.Get("Request-Id")).NotTo(Equal("left"))
 		}
 	},
@@ -48,12 +48,12 @@
 
 	It("is refused for a body that is too large, before a slot is free", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixtureWith(func(options *dataplane.Options) { options.MaxBodyBytes = 16 }, stand.address())
+		f := newFixtureWith(func(options *dataplane.Options) { options.MaxBodyBytes = 16 }, backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 60000}
@@ -63,7 +63,7 @@
 		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		connection := f.connect()
 		connection.write(promptHead("Content-Length: 17") + "the prompt is lon")
-		response, _ := connection.answer()
+		response, _ := connection.readResponse()
 		Expect(response.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
 		Expect(f.server.Waiting()).To(BeZero())
 		release()
--- a/internal/dataplane/caller_limits_test.go
+++ b/internal/dataplane/caller_limits_test.go
@@ -15,21 +15,21 @@
 	const bound = 4096
 
 	// limited starts a node whose configuration bounds what callers send.
-	limited := func(limits *ridgeswitchv1.CallerLimits) (*fixture, *replicaStandIn) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+	limited := func(limits *ridgeswitchv1.CallerLimits) (*fixture, *fakeReplica) {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.source.View().Configuration = &ridgeswitchv1.Configuration{CallerLimits: limits}
-		return f, stand
+		return f, backend
 	}
 	filler := func(bytes int) header { return header{"X-Filler", strings.Repeat("x", bytes)} }
 
 	It("refuse a header beyond that of the configuration, and nothing is sent", func() {
-		f, stand := limited(&ridgeswitchv1.CallerLimits{MaxHeaderBytes: bound})
+		f, backend := limited(&ridgeswitchv1.CallerLimits{MaxHeaderBytes: bound})
 		got := f.generate(filler(bound))
 		Expect(got.status).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
 		Expect(got.problem.Kind).To(Equal(caller.KindHeaderTooLarge))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 		Expect(f.generate(filler(bound / 2)).status).To(Equal(http.StatusOK))
 	})
 
@@ -39,9 +39,9 @@
 	})
 
 	It("refuse a body beyond that of the configuration", func() {
-		f, stand := limited(&ridgeswitchv1.CallerLimits{MaxBodyBytes: uint64(len(defaultBody)) - 1})
+		f, backend := limited(&ridgeswitchv1.CallerLimits{MaxBodyBytes: uint64(len(defaultBody)) - 1})
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindBodyTooLarge))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -18,10 +18,10 @@
 type scriptedClaims struct {
 	mutex   sync.Mutex
 	refusal error
-	// validLooks is how many looks at a claim find it valid.
-	validLooks int
-	claimed    []string
-	ended      []bool
+	// validChecks is how many looks at a claim find it valid.
+	validChecks int
+	claimed     []string
+	ended       []bool
 }
 
 func (c *scriptedClaims) Claim(_ context.Context, tenant, requestID string) (exchange.Claim, error) {
@@ -37,8 +37,8 @@
 func (c *scriptedClaims) Valid() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.validLooks--
-	return c.validLooks >= 0
+	c.validChecks--
+	return c.validChecks >= 0
 }
 
 func (c *scriptedClaims) End(mayHaveRun bool) {
@@ -50,70 +50,70 @@
 var _ = Describe("A request that must not run twice", func() {
 	named := header{"Request-Id", "r-1"}
 
-	newNode := func(decided *scriptedClaims, script http.HandlerFunc) (*fixture, *replicaStandIn) {
-		stand := newReplica(script)
-		f := newFixtureWith(func(options *dataplane.Options) { options.Claims = decided }, stand.address())
-		return f, stand
+	newNode := func(claims *scriptedClaims, script http.HandlerFunc) (*fixture, *fakeReplica) {
+		backend := newReplica(script)
+		f := newFixtureWith(func(options *dataplane.Options) { options.Claims = claims }, backend.address())
+		return f, backend
 	}
 
 	It("is claimed before it is sent, and the claim ends as one that may have run", func() {
-		decided := &scriptedClaims{validLooks: 10}
-		f, stand := newNode(decided, respondWith("ok"))
+		claims := &scriptedClaims{validChecks: 10}
+		f, backend := newNode(claims, respondWith("ok"))
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
-		Expect(decided.claimed).To(Equal([]string{"court/r-1"}))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(claims.claimed).To(Equal([]string{"court/r-1"}))
+		Expect(backend.requests()).To(HaveLen(1))
 		f.front.Close()
-		Expect(decided.ended).To(Equal([]bool{true}))
+		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
 	It("is released if it has certainly not run", func() {
-		decided := &scriptedClaims{validLooks: 10}
-		f, _ := newNode(decided, refusing())
+		claims := &scriptedClaims{validChecks: 10}
+		f, _ := newNode(claims, refusing())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
 		f.front.Close()
-		Expect(decided.ended).To(Equal([]bool{false}))
+		Expect(claims.ended).To(Equal([]bool{false}))
 	})
 
 	It("ends as one that may have run if its response was lost", func() {
-		decided := &scriptedClaims{validLooks: 10}
-		f, _ := newNode(decided, dying())
+		claims := &scriptedClaims{validChecks: 10}
+		f, _ := newNode(claims, aborting())
 		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		f.front.Close()
-		Expect(decided.ended).To(Equal([]bool{true}))
+		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
 	It("is refused when another node has it", func() {
-		f, stand := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
+		f, backend := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusConflict))
 		Expect(got.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(got.header).NotTo(HaveKey("Retry-After"))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
 	It("is refused while the claim is undecided, and may be retried at the same node", func() {
-		decided := &scriptedClaims{refusal: claimer.ErrClaimUndecided, validLooks: 10}
-		f, stand := newNode(decided, respondWith("ok"))
+		claims := &scriptedClaims{refusal: claimer.ErrClaimUndecided, validChecks: 10}
+		f, backend := newNode(claims, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(got.header.Get("Retry-After")).To(Equal("1"))
-		Expect(stand.requests()).To(BeEmpty())
-		decided.refusal = nil
+		Expect(backend.requests()).To(BeEmpty())
+		claims.refusal = nil
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
 	})
 
 	It("is not sent once its claim is lost", func() {
-		f, stand := newNode(&scriptedClaims{validLooks: 0}, respondWith("ok"))
+		f, backend := newNode(&scriptedClaims{validChecks: 0}, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	DescribeTable("is retried only while its claim is valid", func(validLooks, sent int) {
+	DescribeTable("is retried only while its claim is valid", func(validChecks, sent int) {
 		script := func(writer http.ResponseWriter, request *http.Request) {
 			if request.Header.Get("Request-Id") == named.value {
 				refusing()(writer, request)
@@ -121,12 +121,12 @@
 			}
 			respondWith("ok")(writer, request)
 		}
-		f, first := newNode(&scriptedClaims{validLooks: validLooks}, script)
+		f, first := newNode(&scriptedClaims{validChecks: validChecks}, script)
 		second := newReplica(script)
 		f.replicas = append(f.replicas, f.replicas[0])
 		f.replicas[1].Address = second.address()
 		f.publish()
-		f.earn()
+		f.fillRetryBudget()
 		before := len(first.requests()) + len(second.requests())
 		got := f.generate(named)
 		Expect(got.problem.MayHaveRun).To(Equal(sent == 1))
@@ -137,10 +137,10 @@
 	)
 
 	It("needs no claim if it may be repeated, or if the caller chose no identity", func() {
-		decided := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
-		f, _ := newNode(decided, respondWith("ok"))
+		claims := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
+		f, _ := newNode(claims, respondWith("ok"))
 		Expect(f.generate(named, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		Expect(decided.claimed).To(BeEmpty())
+		Expect(claims.claimed).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/connection_limit_test.go
+++ b/internal/dataplane/connection_limit_test.go
@@ -54,12 +54,12 @@
 
 	It("are bounded with the native protocol as well", func() {
 		arrived, proceed := make(chan struct{}, 3), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		f.source.View().Pools["pool"].Config.Backends = &ridgeswitchv1.BackendLimits{MaxConnections: 2}
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
@@ -76,15 +76,15 @@
 		for range cap(results) {
 			Expect((<-results).status).To(Equal(http.StatusOK))
 		}
-		Expect(stand.requests()).To(HaveLen(2))
+		Expect(backend.requests()).To(HaveLen(2))
 		Expect(f.server.Stats()[0].Suspected).To(BeZero())
 	})
 
 	It("are no fault of the back end when they are spent", func() {
-		spent := &backends{wrong: func(context.Context) (dataplane.Response, error) {
+		atLimit := &faultInjectingEdge{fault: func(context.Context) (dataplane.Response, error) {
 			return nil, outbound.NotSent(&outbound.ConnectionLimitError{Address: "only:1", Limit: 2})
-		}, every: 2, grey: map[string]bool{"only:1": true}, sent: map[string]int{}}
-		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Replicas = spent }, "only:1", "other:1")
+		}, faultEvery: 2, faulty: map[string]bool{"only:1": true}, sent: map[string]int{}}
+		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Replicas = atLimit }, "only:1", "other:1")
 		f.replicas[1].Admitting = false
 		f.publish()
 		got := f.generate()
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -14,7 +14,7 @@
 //
 // Cached chunks come from the back ends' event streams (feeds) or from their reports
 // (reports), and from other nodes (gossip), into the router's index. updates.go exchanges
-// them, loads and outcomes with the other nodes; viewFollower keeps all in line with the
+// them, loads and outcomes with the other nodes; viewReconciler keeps all in line with the
 // newest view.
 //
 // # State
@@ -41,7 +41,7 @@
 //	snapshots from and for others    gossip.SnapshotExchange        any goroutine
 //	event streams                    feeds.Manager                  one goroutine a back end
 //	reports                          reports.Readers                one goroutine a back end
-//	view followed last               viewFollower                   its goroutine
+//	view followed last               viewReconciler                   its goroutine
 //	recording                        recorder.Recorder              any goroutine; one writes the file
 //	address and connections          listener.Listener              one goroutine a connection
 //
--- a/internal/dataplane/generate_test.go
+++ b/internal/dataplane/generate_test.go
@@ -15,13 +15,13 @@
 
 var _ = Describe("A request to a pool", func() {
 	It("passes to the replica and back", func() {
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("Lab-Digest", "abc")
 			writer.Header().Set(replica.HeaderReusedTokens, "16")
 			writer.Header().Set("Internal-Detail", "hidden")
 			respondWith("the answer")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		got := f.generate(header{"Request-Id", "r-1"}, header{"Lab-Tenant", "court"}, header{"Output-Tokens", "8"}, header{"Idempotency-Key", "k"})
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.body).To(Equal("the answer"))
@@ -30,8 +30,8 @@
 		Expect(got.header.Get("Reused-Tokens")).To(Equal("16"))
 		Expect(got.header).NotTo(HaveKey("Internal-Detail"))
 
-		Expect(stand.requests()).To(HaveLen(1))
-		sent := stand.requests()[0].Header
+		Expect(backend.requests()).To(HaveLen(1))
+		sent := backend.requests()[0].Header
 		Expect(sent.Get(replica.HeaderModel)).To(Equal(poolModel))
 		Expect(sent.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, weightsOne, "shared/1")))
 		Expect(sent.Get(replica.HeaderPrefix)).To(Equal("case;tokens=32, question;tokens=16"))
@@ -41,29 +41,29 @@
 		Expect(sent.Get("Lab-Tenant")).To(Equal("court"))
 		Expect(sent).NotTo(HaveKey("Authorization"))
 		Expect(sent).NotTo(HaveKey("Idempotency-Key"))
-		Expect(stand.bodies).To(Equal([]string{defaultBody}))
-		Expect(f.server.InFlight(stand.address())).To(BeZero())
+		Expect(backend.bodies).To(Equal([]string{defaultBody}))
+		Expect(f.server.InFlight(backend.address())).To(BeZero())
 	})
 
 	It("gives a walled tenant its own salt", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.generate()
 		f.generate(header{"Authorization", "Bearer " + schoolKey})
-		sent := stand.requests()
+		sent := backend.requests()
 		Expect(sent[0].Header.Get(replica.HeaderCacheSalt)).NotTo(Equal(sent[1].Header.Get(replica.HeaderCacheSalt)))
 	})
 
 	DescribeTable("is refused before any attempt", func(status int, kind caller.Kind, headers ...header) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		got := f.generate(headers...)
 		Expect(got.status).To(Equal(status))
 		Expect(got.problem.Kind).To(Equal(kind))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.problem.Message).NotTo(BeEmpty())
 		Expect(got.problem.RequestID).NotTo(BeEmpty())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	},
 		Entry("without a known key", 401, caller.KindUnauthorized, header{"Authorization", "Bearer other"}),
 		Entry("for another model", 400, caller.KindModelMismatch, header{"Model", "small"}),
@@ -79,8 +79,8 @@
 	})
 
 	It("is refused first of all while the node may not serve", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.source.refusal = errors.New("cut off")
 		got := f.generate(header{"Authorization", "Bearer other"})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -115,21 +115,21 @@
 	})
 
 	It("is refused when its key is revoked while it waits", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		f.source.onServing = func(look int) {
-			if look == 2 {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		f.source.onServing = func(call int) {
+			if call == 2 {
 				f.source.view.Store(&routing.View{Pools: f.source.View().Pools})
 			}
 		}
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindUnauthorized))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
 	It("goes to no replica that does not admit", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.replicas[0].Admitting = false
 		f.publish()
 		got := f.generate()
@@ -137,37 +137,37 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindNoBackend))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
 	It("goes to no replica whose weight version is not confirmed", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.replicas[0].WeightVersion = ""
 		f.publish()
 		Expect(f.generate().problem.Kind).To(Equal(caller.KindNoBackend))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
 	It("rejects a response that was produced by other weights", func() {
-		stand := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderWeightVersion, "weights-2")
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		By("keeping further requests away from the replica")
 		Expect(f.generate().problem.Kind).To(Equal(caller.KindNoBackend))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
 	It("rejects a response to another attempt", func() {
-		stand := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderAttemptID, "another")
 			_, _ = writer.Write([]byte("someone else's"))
 		})
-		got := newFixture(stand.address()).generate()
+		got := newFixture(backend.address()).generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		Expect(got.body).NotTo(ContainSubstring("someone else's"))
 	})
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -43,18 +43,18 @@
 	mutex   sync.Mutex
 	refusal error
 	// onServing, if set, runs at each look at whether the node may serve.
-	onServing func(look int)
-	looks     int
+	onServing    func(call int)
+	servingCalls int
 	// onView, if set, runs after each look at the view.
-	onView func(look int64)
-	viewed atomic.Int64
+	onView    func(call int64)
+	viewCalls atomic.Int64
 }
 
 // View returns the newest view. A test's hook runs after it is read.
 func (s *source) View() *routing.View {
 	view := s.view.Load()
 	if s.onView != nil {
-		s.onView(s.viewed.Add(1))
+		s.onView(s.viewCalls.Add(1))
 	}
 	return view
 }
@@ -62,9 +62,9 @@
 func (s *source) Serving() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.looks++
+	s.servingCalls++
 	if s.onServing != nil {
-		s.onServing(s.looks)
+		s.onServing(s.servingCalls)
 	}
 	return s.refusal
 }
@@ -76,19 +76,19 @@
 	server *dataplane.Server
 	front  *httptest.Server
 	// replicas and webs are what the next view lists.
-	replicas []routing.Replica
-	webs     []routing.Replica
-	limits   *ridgeswitchv1.Limits
-	timeout  uint32
+	replicas    []routing.Replica
+	webBackends []routing.Replica
+	limits      *ridgeswitchv1.Limits
+	timeout     uint32
 	// route is the configuration of the route to the pool; nil for one that says
 	// nothing but the target.
 	route *ridgeswitchv1.Route
-	// target is the latency that the routes aim at, in milliseconds; 0 for none.
-	target uint32
-	// named is the weight version that the pool is to run; empty for none.
-	named string
-	// domain is the court's sharing domain.
-	domain string
+	// targetLatencyMs is the latency that the routes aim at, in milliseconds; 0 for none.
+	targetLatencyMs uint32
+	// weightVersion is the weight version that the pool is to run; empty for none.
+	weightVersion string
+	// sharingDomain is the court's sharing domain.
+	sharingDomain string
 	// engine describes the pool's replicas, or is nil.
 	engine *ridgeswitchv1.Engine
 }
@@ -105,7 +105,7 @@
 
 // newFixtureWith starts a node with changed options.
 func newFixtureWith(change func(*dataplane.Options), replicas ...string) *fixture {
-	f := &fixture{source: &source{}, limits: &ridgeswitchv1.Limits{}, timeout: 10000, domain: "shared/1"}
+	f := &fixture{source: &source{}, limits: &ridgeswitchv1.Limits{}, timeout: 10000, sharingDomain: "shared/1"}
 	for _, address := range replicas {
 		f.replicas = append(f.replicas, routing.Replica{Address: address, Zone: "a", WeightVersion: weightsOne, Admitting: true})
 	}
@@ -133,23 +133,23 @@
 func (f *fixture) publish() {
 	pool := &routing.Pool{
 		Config: &ridgeswitchv1.Pool{
-			Name: "pool", Model: poolModel, RequestTimeoutMs: f.timeout, WeightVersion: f.named, Engine: f.engine,
+			Name: "pool", Model: poolModel, RequestTimeoutMs: f.timeout, WeightVersion: f.weightVersion, Engine: f.engine,
 		},
 		Replicas: append([]routing.Replica(nil), f.replicas...),
 	}
 	web := &routing.WebService{
 		Config:   &ridgeswitchv1.WebService{Name: "calendar", RequestTimeoutMs: f.timeout},
-		Replicas: append([]routing.Replica(nil), f.webs...),
+		Replicas: append([]routing.Replica(nil), f.webBackends...),
 	}
 	f.source.view.Store(&routing.View{
 		Revision: 1,
 		Tenants: map[routing.KeyDigest]*routing.Tenant{
-			digest(courtKey):  {Name: "court", SharingDomain: f.domain, Limits: f.limits},
+			digest(courtKey):  {Name: "court", SharingDomain: f.sharingDomain, Limits: f.limits},
 			digest(schoolKey): {Name: "school", Walled: true, SharingDomain: "school/1", Limits: f.limits},
 		},
 		Hosts: map[string]routing.Routes{
 			poolHost: {routing.NewRoute(f.poolRoute(), routing.Choice{Destination: routing.Destination{Pool: pool}})},
-			webHost: {routing.NewRoute(&ridgeswitchv1.Route{Public: true, TargetLatencyMs: f.target},
+			webHost: {routing.NewRoute(&ridgeswitchv1.Route{Public: true, TargetLatencyMs: f.targetLatencyMs},
 				routing.Choice{Destination: routing.Destination{WebService: web}})},
 		},
 		Pools:       map[string]*routing.Pool{"pool": pool},
@@ -162,7 +162,7 @@
 	if f.route != nil {
 		return f.route
 	}
-	return &ridgeswitchv1.Route{TargetLatencyMs: f.target}
+	return &ridgeswitchv1.Route{TargetLatencyMs: f.targetLatencyMs}
 }
 
 func digest(key string) routing.KeyDigest {
@@ -228,8 +228,8 @@
 	}
 }
 
-// replicaStandIn is a replica with a scripted response.
-type replicaStandIn struct {
+// fakeReplica is a replica with a scripted response.
+type fakeReplica struct {
 	server *httptest.Server
 	mutex  sync.Mutex
 	seen   []*http.Request
@@ -237,28 +237,28 @@
 }
 
 // newReplica starts a replica. It echoes the attempt before the script runs.
-func newReplica(script http.HandlerFunc) *replicaStandIn {
-	stand := &replicaStandIn{}
-	stand.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+func newReplica(script http.HandlerFunc) *fakeReplica {
+	backend := &fakeReplica{}
+	backend.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		stand.mutex.Lock()
-		stand.seen = append(stand.seen, request.Clone(request.Context()))
-		stand.bodies = append(stand.bodies, string(body))
-		stand.mutex.Unlock()
+		backend.mutex.Lock()
+		backend.seen = append(backend.seen, request.Clone(request.Context()))
+		backend.bodies = append(backend.bodies, string(body))
+		backend.mutex.Unlock()
 		writer.Header().Set(replica.HeaderAttemptID, request.Header.Get(replica.HeaderAttemptID))
 		script(writer, request)
 	}))
-	DeferCleanup(stand.server.Close)
-	return stand
+	DeferCleanup(backend.server.Close)
+	return backend
 }
 
-// address returns the stand-in's host and port.
-func (r *replicaStandIn) address() string {
+// address returns the replica's host and port.
+func (r *fakeReplica) address() string {
 	return r.server.Listener.Addr().String()
 }
 
-// requests returns the requests that the stand-in has seen.
-func (r *replicaStandIn) requests() []*http.Request {
+// requests returns the requests that the replica has seen.
+func (r *fakeReplica) requests() []*http.Request {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]*http.Request(nil), r.seen...)
@@ -281,8 +281,8 @@
 	}
 }
 
-// dying returns a script that closes the connection without a response.
-func dying() http.HandlerFunc {
+// aborting returns a script that closes the connection without a response.
+func aborting() http.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 }
 
@@ -305,8 +305,8 @@
 	return address
 }
 
-// earn sends enough first attempts that one retry is within the budget.
-func (f *fixture) earn() {
+// fillRetryBudget sends enough first attempts that one retry is within the budget.
+func (f *fixture) fillRetryBudget() {
 	for range 5 {
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 	}
--- a/internal/dataplane/hung_replica_test.go
+++ b/internal/dataplane/hung_replica_test.go
@@ -11,32 +11,32 @@
 )
 
 var _ = Describe("A replica that accepts requests and never responds", func() {
-	// hangs is a replica that hangs while hung is set.
-	type hangs struct {
-		*replicaStandIn
+	// hangingReplica is a replica that hangs while hung is set.
+	type hangingReplica struct {
+		*fakeReplica
 		mutex sync.Mutex
 		hung  bool
 	}
-	newHanging := func() *hangs {
-		stand := &hangs{}
-		stand.replicaStandIn = newReplica(func(writer http.ResponseWriter, request *http.Request) {
-			stand.mutex.Lock()
-			hung := stand.hung
-			stand.mutex.Unlock()
+	newHanging := func() *hangingReplica {
+		backend := &hangingReplica{}
+		backend.fakeReplica = newReplica(func(writer http.ResponseWriter, request *http.Request) {
+			backend.mutex.Lock()
+			hung := backend.hung
+			backend.mutex.Unlock()
 			if hung {
 				<-request.Context().Done()
 				return
 			}
 			respondWith("ok")(writer, request)
 		})
-		return stand
+		return backend
 	}
-	hang := func(stand *hangs, hung bool) {
-		stand.mutex.Lock()
-		defer stand.mutex.Unlock()
-		stand.hung = hung
+	setHung := func(backend *hangingReplica, hung bool) {
+		backend.mutex.Lock()
+		defer backend.mutex.Unlock()
+		backend.hung = hung
 	}
-	expire := func(f *fixture) {
+	expectTimeout := func(f *fixture) {
 		Expect(f.generate(header{"Deadline-Ms", "30"}).problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 	}
 
@@ -46,15 +46,15 @@
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 		// The prompt is kept where it was answered, so that the requests that
 		// follow go there.
-		kept, other := first, second
+		preferred, other := first, second
 		if len(second.requests()) > 0 {
-			kept, other = second, first
+			preferred, other = second, first
 		}
-		hang(kept, true)
+		setHung(preferred, true)
 		for range 3 {
-			expire(f)
+			expectTimeout(f)
 		}
-		Expect(kept.requests()).To(HaveLen(4))
+		Expect(preferred.requests()).To(HaveLen(4))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 		Expect(other.requests()).To(HaveLen(1))
 	})
@@ -63,15 +63,15 @@
 		only, spare := newHanging(), newHanging()
 		f := newFixture(only.address(), spare.address())
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		kept, other := only, spare
+		preferred, other := only, spare
 		if len(spare.requests()) > 0 {
-			kept, other = spare, only
+			preferred, other = spare, only
 		}
 		for range 3 {
-			hang(kept, true)
-			expire(f)
-			expire(f)
-			hang(kept, false)
+			setHung(preferred, true)
+			expectTimeout(f)
+			expectTimeout(f)
+			setHung(preferred, false)
 			Expect(f.generate().status).To(Equal(http.StatusOK))
 		}
 		Expect(other.requests()).To(BeEmpty())
--- a/internal/dataplane/keep_alive_test.go
+++ b/internal/dataplane/keep_alive_test.go
@@ -15,10 +15,10 @@
 )
 
 var _ = Describe("Connections that callers keep alive", func() {
-	// hammer sends requests on one connection, each after the response to the one before,
+	// sendUntilClosed sends requests on one connection, each after the response to the one before,
 	// until the connection ends. It returns the identity of the request without a
 	// response, if there is one.
-	hammer := func(address, name string, responded func()) string {
+	sendUntilClosed := func(address, name string, responded func()) string {
 		connection, err := net.DialTimeout("tcp", address, waitTimeout)
 		if err != nil {
 			return name
@@ -46,8 +46,8 @@
 	It("end without dropping the response to a forwarded request, when the node stops", func() {
 		const rounds, connections = 10, 32
 		for range rounds {
-			stand := newReplica(respondWith("ok"))
-			f := newFixture(stand.address())
+			backend := newReplica(respondWith("ok"))
+			f := newFixture(backend.address())
 			ended := make(chan error, 1)
 			go func() { ended <- f.server.Start() }()
 			<-f.server.Listening()
@@ -59,7 +59,7 @@
 				go func() {
 					defer wait.Done()
 					first := sync.OnceFunc(warm.Done)
-					unanswered := hammer(f.server.Address(), fmt.Sprint(at), first)
+					unanswered := sendUntilClosed(f.server.Address(), fmt.Sprint(at), first)
 					first()
 					lost <- unanswered
 				}()
@@ -69,13 +69,13 @@
 			Expect(<-ended).NotTo(HaveOccurred())
 			wait.Wait()
 			close(lost)
-			passedOn := map[string]bool{}
-			for _, request := range stand.requests() {
-				passedOn[request.Header.Get("Request-Id")] = true
+			forwarded := map[string]bool{}
+			for _, request := range backend.requests() {
+				forwarded[request.Header.Get("Request-Id")] = true
 			}
 			for id := range lost {
 				if id != "" {
-					Expect(passedOn).NotTo(HaveKey(id))
+					Expect(forwarded).NotTo(HaveKey(id))
 				}
 			}
 		}
--- a/internal/dataplane/partial_body_test.go
+++ b/internal/dataplane/partial_body_test.go
@@ -38,8 +38,8 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// answer reads one response with its body, and skips interim ones.
-func (c *callerConnection) answer() (*http.Response, string) {
+// readResponse reads one response with its body, and skips interim ones.
+func (c *callerConnection) readResponse() (*http.Response, string) {
 	response, err := http.ReadResponse(c.reader, nil)
 	for err == nil && response.StatusCode == http.StatusContinue {
 		response, err = http.ReadResponse(c.reader, nil)
@@ -58,33 +58,33 @@
 
 var _ = Describe("A caller that does not send its body completely", func() {
 	const (
-		given = 300 * time.Millisecond
-		// grace is how long after the route's time-out the response may come.
-		grace = 500 * time.Millisecond
+		routeTimeout = 300 * time.Millisecond
+		// tolerance is how long after the route's time-out the response may come.
+		tolerance = 500 * time.Millisecond
 	)
 
 	DescribeTable("gets its response at the route's time-out, and nothing runs", func(lines []string, partial string) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(routeTimeout.Milliseconds())}
 		f.publish()
 		connection := f.connect()
 		full := promptHead(fmt.Sprintf("Content-Length: %d", len(defaultBody))) + defaultBody
 		connection.write(full)
-		response, _ := connection.answer()
+		response, _ := connection.readResponse()
 		Expect(response.StatusCode).To(Equal(http.StatusOK), "a whole request before it, on the same connection")
 
 		began := time.Now()
 		connection.write(promptHead(lines...) + partial)
-		response, _ = connection.answer()
+		response, _ = connection.readResponse()
 		took := time.Since(began)
 		Expect(response.StatusCode).To(Equal(http.StatusGatewayTimeout))
-		Expect(took).To(BeNumerically(">=", given))
-		Expect(took).To(BeNumerically("<", given+grace))
+		Expect(took).To(BeNumerically(">=", routeTimeout))
+		Expect(took).To(BeNumerically("<", routeTimeout+tolerance))
 		Expect(response.Close).To(BeTrue(), "what comes later is no request")
 		_, err := connection.reader.ReadByte()
 		Expect(err).To(MatchError(io.EOF))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	},
 		Entry("but a part", []string{"Content-Length: 100"}, "a part"),
 		Entry("but nothing", []string{"Content-Length: 100"}, ""),
@@ -96,18 +96,18 @@
 	)
 
 	DescribeTable("gets a refusal that needs no body soon", func(status int, change func(f *fixture), host, key string) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		change(f)
-		before := len(stand.requests())
+		before := len(backend.requests())
 		connection := f.connect()
 		began := time.Now()
 		connection.write("POST / HTTP/1.1\r\nHost: " + host + "\r\nAuthorization: Bearer " + key + "\r\nContent-Length: 100\r\n\r\na part")
-		response, _ := connection.answer()
+		response, _ := connection.readResponse()
 		Expect(response.StatusCode).To(Equal(status))
-		Expect(time.Since(began)).To(BeNumerically("<", grace))
+		Expect(time.Since(began)).To(BeNumerically("<", tolerance))
 		Expect(response.Close).To(BeTrue())
-		Expect(stand.requests()).To(HaveLen(before))
+		Expect(backend.requests()).To(HaveLen(before))
 	},
 		Entry("for want of a route", http.StatusNotFound, func(*fixture) {}, "gone.example", courtKey),
 		Entry("for want of a key", http.StatusUnauthorized, func(*fixture) {}, poolHost, "no key"),
@@ -122,16 +122,16 @@
 	)
 
 	It("is no hindrance to one that sends slowly, and to what follows on its connection", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(routeTimeout.Milliseconds())}
 		f.publish()
 		connection := f.connect()
 		for range 3 {
 			for _, piece := range []string{promptHead("Content-Length: 8"), "slow", "ness"} {
 				connection.write(piece)
 			}
-			response, body := connection.answer()
+			response, body := connection.readResponse()
 			Expect(response.StatusCode).To(Equal(http.StatusOK))
 			Expect(body).To(Equal("ok"))
 		}
--- a/internal/dataplane/prefix_wait_test.go
+++ b/internal/dataplane/prefix_wait_test.go
@@ -21,7 +21,7 @@
 
 var _ = Describe("A request whose beginning a replica is reading for another", func() {
 	var (
-		stand    *replicaStandIn
+		backend  *fakeReplica
 		f        *fixture
 		begin    chan struct{}
 		release  func()
@@ -62,7 +62,7 @@
 		ended = make(chan int, 2)
 		started.Store(false)
 		early.Store(0)
-		stand = newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend = newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if !started.Load() {
 				early.Add(1)
 			}
@@ -70,34 +70,34 @@
 			streaming("a", replica.StreamEnd)(writer, request)
 		})
 		DeferCleanup(release)
-		f = newFixture(stand.address())
+		f = newFixture(backend.address())
 		f.engine = &ridgeswitchv1.Engine{Slots: 8, MemoryTokens: 1_000_000}
 		f.publish()
 		generate(context.Background())
-		Eventually(stand.requests, waitTimeout).Should(HaveLen(1))
+		Eventually(backend.requests, waitTimeout).Should(HaveLen(1))
 	})
 
 	It("is sent when the other has its first event", func() {
 		generate(context.Background())
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
-		Consistently(stand.requests, 100*time.Millisecond).Should(HaveLen(1))
+		Consistently(backend.requests, 100*time.Millisecond).Should(HaveLen(1))
 		started.Store(true)
 		release()
-		Eventually(stand.requests, waitTimeout).Should(HaveLen(2))
+		Eventually(backend.requests, waitTimeout).Should(HaveLen(2))
 		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
 		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
 		Expect(early.Load()).To(Equal(int32(1)))
 	})
 
 	It("is never sent when its caller disconnects meanwhile", func() {
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		generate(ctx)
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
-		leave()
+		cancel()
 		Eventually(requests, waitTimeout).Should(Equal(1.0))
 		started.Store(true)
 		release()
 		Eventually(ended, waitTimeout).Should(Receive(Equal(http.StatusOK)))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 })
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -21,11 +21,11 @@
 	run(f)
 	f.front.Close()
 	f.server.Stop()
-	day, err := recording.Load(file)
+	loaded, err := recording.Load(file)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(day.Faults.Total()).To(BeZero())
-	Expect(f.server.RecordStats()).To(Equal(recorder.Stats{Written: uint64(len(day.Records))}))
-	return day.Records
+	Expect(loaded.Faults.Total()).To(BeZero())
+	Expect(f.server.RecordStats()).To(Equal(recorder.Stats{Written: uint64(len(loaded.Records))}))
+	return loaded.Records
 }
 
 var _ = Describe("A recording node", func() {
@@ -35,7 +35,7 @@
 
 	It("records the request and its outcome", func() {
 		var f *fixture
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set(replica.HeaderReusedTokens, "32")
 			f.clock.Add(int64(7 * time.Millisecond))
 			respondWith("ok")(writer, request)
@@ -44,7 +44,7 @@
 			f = started
 			f.clock.Store(int64(3 * time.Second))
 			f.generate(header{"Output-Tokens", "8"}, header{"Repeatable", "true"}, header{"Deadline-Ms", "900"})
-		}, stand.address())
+		}, backend.address())
 		Expect(records).To(Equal([]recording.Record{{
 			AtUS: (3 * time.Second).Microseconds(), Tenant: "court", Host: poolHost, Pool: "pool", Model: poolModel,
 			Chunks:       []recording.Chunk{{ID: recording.ChunkID("case"), Tokens: 32}, {ID: recording.ChunkID("question"), Tokens: 16}},
@@ -54,8 +54,8 @@
 	})
 
 	It("writes neither prompts nor keys nor the names of chunks", func() {
-		stand := newReplica(respondWith("ok"))
-		recorded(file, func(f *fixture) { f.generate() }, stand.address())
+		backend := newReplica(respondWith("ok"))
+		recorded(file, func(f *fixture) { f.generate() }, backend.address())
 		text, err := os.ReadFile(file)
 		Expect(err).NotTo(HaveOccurred())
 		for _, hidden := range []string{courtKey, digestText(courtKey), defaultBody, "case", "question"} {
@@ -85,13 +85,13 @@
 	})
 
 	It("does not record requests that reach no destination", func() {
-		stand := newReplica(respondWith("ok"))
+		backend := newReplica(respondWith("ok"))
 		records := recorded(file, func(f *fixture) {
 			f.send(http.MethodGet, "unknown.example", "/")
 			f.send(http.MethodPost, poolHost, "/")
 			f.generate(header{"Repeatable", "perhaps"})
 			f.generate()
-		}, stand.address())
+		}, backend.address())
 		Expect(records).To(HaveLen(1))
 	})
 
@@ -101,10 +101,10 @@
 		f.generate()
 		f.front.Close()
 		f.server.Stop()
-		day, err := recording.Load(file)
+		loaded, err := recording.Load(file)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(day.Records).To(HaveLen(1))
-		Expect(day.Faults.Torn).To(Equal(1))
+		Expect(loaded.Records).To(HaveLen(1))
+		Expect(loaded.Faults.Torn).To(Equal(1))
 	})
 
 	It("does not start when the file cannot be written", func() {
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -15,24 +15,24 @@
 var _ = Describe("The last look at the newest view", func() {
 	// changeAt publishes a changed view right after a look at the old one, and
 	// returns what the replicas have got when the request is answered.
-	changeAt := func(look int64, change func(f *fixture)) (outcome, *replicaStandIn) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		f.source.onView = func(seen int64) {
-			if seen == look {
+	changeAt := func(read int64, change func(f *fixture)) (outcome, *fakeReplica) {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		f.source.onView = func(call int64) {
+			if call == read {
 				change(f)
 				f.publish()
 			}
 		}
-		return f.generate(), stand
+		return f.generate(), backend
 	}
 
 	It("sends nothing to a replica that has stopped admitting, whenever that happens before it", func() {
-		const looksBeforeSending = 5
-		for look := int64(1); look <= looksBeforeSending; look++ {
-			got, stand := changeAt(look, func(f *fixture) { f.replicas[0].Admitting = false })
-			if len(stand.requests()) > 0 {
-				Expect(look).To(Equal(int64(looksBeforeSending)), "the change came after the last look")
+		const readsBeforeSending = 5
+		for read := int64(1); read <= readsBeforeSending; read++ {
+			got, backend := changeAt(read, func(f *fixture) { f.replicas[0].Admitting = false })
+			if len(backend.requests()) > 0 {
+				Expect(read).To(Equal(int64(readsBeforeSending)), "the change came after the last read")
 				continue
 			}
 			Expect(got.problem.Kind).To(Equal(caller.KindNoBackend))
@@ -41,20 +41,20 @@
 	})
 
 	It("never sends a salt from before a wall", func() {
-		for look := int64(1); look <= 4; look++ {
-			got, stand := changeAt(look, func(f *fixture) { f.domain = "court/2" })
+		for read := int64(1); read <= 4; read++ {
+			got, backend := changeAt(read, func(f *fixture) { f.sharingDomain = "court/2" })
 			Expect(got.status).To(Equal(http.StatusOK))
-			Expect(stand.requests()).To(HaveLen(1))
-			Expect(stand.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(
-				Equal(replica.CacheSalt(poolModel, weightsOne, "court/2")), "changed after look %d", look)
+			Expect(backend.requests()).To(HaveLen(1))
+			Expect(backend.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(
+				Equal(replica.CacheSalt(poolModel, weightsOne, "court/2")), "changed after read %d", read)
 		}
 	})
 
 	It("gives the salt of the newest weight version", func() {
-		got, stand := changeAt(3, func(f *fixture) { f.replicas[0].WeightVersion = "weights-2" })
-		Expect(stand.requests()).To(HaveLen(1))
-		Expect(stand.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, "weights-2", "shared/1")))
-		// The stand-in still responds with the first version.
+		got, backend := changeAt(3, func(f *fixture) { f.replicas[0].WeightVersion = "weights-2" })
+		Expect(backend.requests()).To(HaveLen(1))
+		Expect(backend.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, "weights-2", "shared/1")))
+		// The replica still responds with the first version.
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 	})
 })
@@ -63,72 +63,72 @@
 	named := header{"Request-Id", "same"}
 
 	It("is refused after its response", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
 		again := f.generate(named)
 		Expect(again.status).To(Equal(http.StatusConflict))
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(again.problem.MayHaveRun).To(BeTrue())
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 		By("knowing tenants apart")
 		Expect(f.generate(named, header{"Authorization", "Bearer " + schoolKey}).status).To(Equal(http.StatusOK))
 	})
 
 	It("is refused while it runs", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		first := make(chan outcome)
 		go func() { first <- f.generate(named) }()
 		<-arrived
 		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		close(proceed)
 		Expect((<-first).status).To(Equal(http.StatusOK))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
 	It("is accepted again after it has certainly not run", func() {
 		refuse := true
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if refuse {
 				refusing()(writer, request)
 				return
 			}
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
 		refuse = false
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
 	})
 
 	It("is not accepted again when it may have run", func() {
-		stand := newReplica(dying())
-		f := newFixture(stand.address())
+		backend := newReplica(aborting())
+		f := newFixture(backend.address())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeTrue())
 		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindDuplicateRequest))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
 	repeatable, once := header{"Repeatable", "true"}, header{"Repeatable", "false"}
 
 	DescribeTable("after its response, of which the caller may have got nothing", func(first, second header, accepted bool) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
 		again := f.generate(named, second)
 		if accepted {
 			Expect(again.status).To(Equal(http.StatusOK))
-			Expect(stand.requests()).To(HaveLen(2))
+			Expect(backend.requests()).To(HaveLen(2))
 			return
 		}
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	},
 		Entry("is accepted again if it is idempotent", repeatable, repeatable, true),
 		Entry("is refused if the first may not", once, repeatable, false),
@@ -137,12 +137,12 @@
 
 	DescribeTable("while the first runs, whose caller may have gone unnoticed", func(first, second header, accepted bool) {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		responses := make(chan outcome, 2)
@@ -155,7 +155,7 @@
 			var refused outcome
 			Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&refused))
 			Expect(refused.problem.Kind).To(Equal(caller.KindDuplicateRequest))
-			Expect(stand.requests()).To(HaveLen(1))
+			Expect(backend.requests()).To(HaveLen(1))
 		}
 		release()
 		var responded outcome
@@ -168,21 +168,21 @@
 	)
 
 	It("is refused where it may not run twice after it was lost where it might have", func() {
-		stand := newReplica(dying())
-		f := newFixture(stand.address())
+		backend := newReplica(aborting())
+		f := newFixture(backend.address())
 		Expect(f.generate(named, repeatable).problem.MayHaveRun).To(BeTrue())
 		Expect(f.generate(named, once).problem.Kind).To(Equal(caller.KindDuplicateRequest))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
 	DescribeTable("of a stream that was written completely, and is resumed after an event", func(resumable bool, runs int) {
-		stand := newReplica(streaming("a", "b", replica.StreamEnd))
-		f := newFixture(stand.address())
+		backend := newReplica(streaming("a", "b", replica.StreamEnd))
+		f := newFixture(backend.address())
 		f.route = &ridgeswitchv1.Route{Kind: ridgeswitchv1.RequestKind_STREAMING, Resumable: resumable}
 		f.publish()
 		Expect(f.generate(named).err).NotTo(HaveOccurred())
 		again := f.generate(named, header{"Last-Event-Id", "1"})
-		Expect(stand.requests()).To(HaveLen(runs))
+		Expect(backend.requests()).To(HaveLen(runs))
 		Expect(again.status == http.StatusOK).To(Equal(runs == 2))
 	},
 		Entry("runs again if it may be resumed", true, 2),
--- a/internal/dataplane/route_timeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -16,41 +16,41 @@
 
 var _ = Describe("The time that a route gives a request", func() {
 	const (
-		// given is the route's time.
-		given = 300 * time.Millisecond
-		// grace is how long after it the response may end.
-		grace = 500 * time.Millisecond
+		// routeTimeout is the route's time.
+		routeTimeout = 300 * time.Millisecond
+		// tolerance is how long after it the response may end.
+		tolerance = 500 * time.Millisecond
 		// destinationTimeout is the destination's own, in milliseconds: a node that ignores
 		// the route's time ends the request then, and the specs don't hang.
 		destinationTimeout = 2000
 	)
 
-	// stuck never continues after the start of its response.
-	stuck := func(begin http.HandlerFunc) http.HandlerFunc {
+	// stalled never continues after the start of its response.
+	stalled := func(begin http.HandlerFunc) http.HandlerFunc {
 		return func(writer http.ResponseWriter, request *http.Request) {
 			begin(writer, request)
 			<-request.Context().Done()
 		}
 	}
-	nothing := func(http.ResponseWriter, *http.Request) {}
-	head := func(writer http.ResponseWriter, _ *http.Request) { writer.(http.Flusher).Flush() }
-	partial := func(writer http.ResponseWriter, _ *http.Request) {
+	noResponse := func(http.ResponseWriter, *http.Request) {}
+	headerOnly := func(writer http.ResponseWriter, _ *http.Request) { writer.(http.Flusher).Flush() }
+	partialBody := func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(writer, "a part")
 		writer.(http.Flusher).Flush()
 	}
 
 	DescribeTable("ends it in time, whatever delays it", func(script http.HandlerFunc, streamed, resumable bool) {
-		stand, other := newReplica(script), newReplica(script)
-		f := newFixture(stand.address(), other.address())
+		backend, other := newReplica(script), newReplica(script)
+		f := newFixture(backend.address(), other.address())
 		f.timeout = destinationTimeout
-		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds()), Resumable: resumable}
+		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(routeTimeout.Milliseconds()), Resumable: resumable}
 		f.publish()
 		began := time.Now()
 		got := f.generate(header{"Repeatable", "true"})
 		took := time.Since(began)
-		Expect(took).To(BeNumerically(">=", given))
-		Expect(took).To(BeNumerically("<", given+grace))
+		Expect(took).To(BeNumerically(">=", routeTimeout))
+		Expect(took).To(BeNumerically("<", routeTimeout+tolerance))
 		if streamed {
 			Expect(got.err).To(HaveOccurred(), "a cut stream ends abnormally")
 			Expect(got.body).NotTo(ContainSubstring("[DONE]"))
@@ -60,11 +60,11 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 	},
-		Entry("no response", stuck(nothing), false, false),
-		Entry("a response without a body", stuck(head), false, false),
-		Entry("a part of a response", stuck(partial), false, false),
-		Entry("a stream that stands still", stuck(streaming("a")), true, false),
-		Entry("a stream that stalls and may be resumed", stuck(streaming("a")), true, true),
+		Entry("no response", stalled(noResponse), false, false),
+		Entry("a response without a body", stalled(headerOnly), false, false),
+		Entry("a part of a response", stalled(partialBody), false, false),
+		Entry("a stream that stands still", stalled(streaming("a")), true, false),
+		Entry("a stream that stalls and may be resumed", stalled(streaming("a")), true, true),
 		Entry("a stream that goes on for ever", func(writer http.ResponseWriter, request *http.Request) {
 			for number := 0; request.Context().Err() == nil; number++ {
 				streaming(fmt.Sprint(number))(writer, request)
@@ -74,12 +74,12 @@
 
 	It("ends the wait in the queue too, and says that nothing has run", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 60000}
@@ -87,18 +87,18 @@
 		first := make(chan outcome, 1)
 		go func() { first <- f.generate() }()
 		Eventually(arrived).WithTimeout(waitTimeout).Should(BeClosed())
-		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(given.Milliseconds())}
+		f.route = &ridgeswitchv1.Route{TimeoutMs: uint32(routeTimeout.Milliseconds())}
 		f.timeout = destinationTimeout
 		f.publish()
 		began := time.Now()
 		got := f.generate()
-		Expect(time.Since(began)).To(BeNumerically("<", given+grace))
+		Expect(time.Since(began)).To(BeNumerically("<", routeTimeout+tolerance))
 		Expect(got.status).To(BeNumerically(">=", http.StatusBadRequest))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		release()
 		var earlier outcome
 		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&earlier))
 		Expect(earlier.status).To(Equal(http.StatusOK), "the earlier one has its own time")
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 })
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -148,7 +148,7 @@
 		EventHook: func(event suture.Event) { s.options.Log.Warn(event.String()) },
 	})
 	supervisor.Add(s.feeds.Supervisor())
-	supervisor.Add(&viewFollower{server: s})
+	supervisor.Add(&viewReconciler{server: s})
 	if s.options.Edges.Reports != nil {
 		supervisor.Add(s.readers)
 	}
--- a/internal/dataplane/server_test.go
+++ b/internal/dataplane/server_test.go
@@ -24,7 +24,7 @@
 var _ = Describe("Server", func() {
 	It("finishes running requests before it ends, and accepts no new ones", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if strings.HasSuffix(request.URL.Path, "events") {
 				<-request.Context().Done()
 				return
@@ -33,7 +33,7 @@
 			<-proceed
 			respondWith("late")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		ended := make(chan error, 1)
 		go func() { ended <- f.server.Start() }()
 		<-f.server.Listening()
@@ -62,10 +62,10 @@
 	})
 
 	It("says why it cannot listen", func() {
-		stand := newReplica(respondWith("ok"))
+		backend := newReplica(respondWith("ok"))
 		f := newFixture()
 		server, err := dataplane.New(dataplane.Options{
-			Source: f.source, Clock: clockAtZero, Address: stand.address(),
+			Source: f.source, Clock: clockAtZero, Address: backend.address(),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(server.Start()).To(MatchError(ContainSubstring("address already in use")))
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -66,9 +66,9 @@
 		}
 		server.applyReport(now, page)
 	}
-	complete := func(server *Server) (int, cachefeed.Position) {
-		at, parts, _ := server.router.ChunksSnapshot(backend)
-		return len(parts), at
+	indexed := func(server *Server) (int, cachefeed.Position) {
+		at, chunks, _ := server.router.ChunksSnapshot(backend)
+		return len(chunks), at
 	}
 
 	BeforeEach(func() { now, live, reader = 0, nil, nil })
@@ -85,8 +85,8 @@
 			deliver(started, old)
 		}
 		Expect(started.snapshots.Done(now)).To(BeTrue())
-		parts, at := complete(started)
-		Expect(parts).To(Equal(5001))
+		chunks, at := indexed(started)
+		Expect(chunks).To(Equal(5001))
 		Expect(at).To(Equal(cachefeed.Position{Incarnation: 7, Next: 5001}))
 	})
 
--- a/internal/dataplane/split_route_test.go
+++ b/internal/dataplane/split_route_test.go
@@ -15,7 +15,7 @@
 		const requests, maximum = 60, 3
 		pooled, web := newReplica(respondWith("ok")), newReplica(respondWith("ok"))
 		f := newFixture(pooled.address())
-		f.webs = []routing.Replica{{Address: web.address(), Zone: "a", Admitting: true}}
+		f.webBackends = []routing.Replica{{Address: web.address(), Zone: "a", Admitting: true}}
 		f.publish()
 		view := *f.source.View()
 		view.Hosts = map[string]routing.Routes{poolHost: {
--- a/internal/dataplane/startup_gate_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -28,19 +28,19 @@
 
 var _ = Describe("A node that has just started", func() {
 	It("sends no prompt until it knows what the replicas have cached", func() {
-		stand := newReplica(respondWith("done"))
-		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, stand.address())
+		backend := newReplica(respondWith("done"))
+		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, backend.address())
 		f.timeout = 50
 		f.publish()
 		Expect(f.generate().status).NotTo(Equal(http.StatusOK))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 
 		f.server.ApplyUpdate(gossip.Update{Node: "other", Reports: []gossip.Report{
-			{Address: stand.address(), Feed: cachefeed.Position{Incarnation: 1, Next: 1}, Complete: true},
+			{Address: backend.address(), Feed: cachefeed.Position{Incarnation: 1, Next: 1}, Complete: true},
 		}})
 		f.timeout = 10000
 		f.publish()
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 })
--- a/internal/dataplane/stats_test.go
+++ b/internal/dataplane/stats_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("Load", func() {
 	It("counts an attempt for its destination while it runs", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if strings.HasSuffix(request.URL.Path, "events") {
 				<-request.Context().Done()
 				return
@@ -20,7 +20,7 @@
 			<-proceed
 			respondWith("late")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		inFlight := func() map[bool]int {
 			sums := map[bool]int{}
 			for _, load := range f.server.Load() {
--- a/internal/dataplane/stream_test.go
+++ b/internal/dataplane/stream_test.go
@@ -17,22 +17,22 @@
 	accept := header{"Accept", caller.StreamType}
 
 	It("passes with its end", func() {
-		stand := newReplica(streaming("a", "b", replica.StreamEnd))
-		got := newFixture(stand.address()).generate(accept)
+		backend := newReplica(streaming("a", "b", replica.StreamEnd))
+		got := newFixture(backend.address()).generate(accept)
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.header.Get("Content-Type")).To(Equal(caller.StreamType))
 		Expect(got.body).To(Equal("data: a\n\ndata: b\n\ndata: [DONE]\n\n"))
-		Expect(stand.requests()[0].Header.Get("Accept")).To(Equal(caller.StreamType))
+		Expect(backend.requests()[0].Header.Get("Accept")).To(Equal(caller.StreamType))
 	})
 
 	It("is handed on as it comes", func() {
 		read := make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			<-read
 			streaming(replica.StreamEnd)(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		request, err := http.NewRequest(http.MethodPost, f.front.URL, strings.NewReader(defaultBody))
 		Expect(err).NotTo(HaveOccurred())
 		request.Host = poolHost
@@ -44,7 +44,7 @@
 		line, err := reader.ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
 		Expect(line).To(Equal("data: a\n"))
-		Expect(f.server.InFlight(stand.address())).To(Equal(1))
+		Expect(f.server.InFlight(backend.address())).To(Equal(1))
 		close(read)
 		remainder, err := io.ReadAll(reader)
 		Expect(err).NotTo(HaveOccurred())
@@ -66,11 +66,11 @@
 	})
 
 	It("that is truncated by the deadline says so", func() {
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			<-request.Context().Done()
 		})
-		got := newFixture(stand.address()).generate(accept, header{"Deadline-Ms", "400"})
+		got := newFixture(backend.address()).generate(accept, header{"Deadline-Ms", "400"})
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).To(ContainSubstring(string(caller.KindDeadlineExceeded)))
 	})
--- a/internal/dataplane/tenant_limiter_test.go
+++ b/internal/dataplane/tenant_limiter_test.go
@@ -16,8 +16,8 @@
 
 var _ = Describe("A tenant's limits", func() {
 	It("refuse at once what comes too fast, and say when to retry", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.limits = &ridgeswitchv1.Limits{RequestsPerSecond: 0.5, Burst: 1}
 		f.publish()
 		Expect(f.generate().status).To(Equal(http.StatusOK))
@@ -25,18 +25,18 @@
 		Expect(got.status).To(Equal(http.StatusTooManyRequests))
 		Expect(got.problem.Kind).To(Equal(caller.KindRateLimited))
 		Expect(got.header.Get("Retry-After")).To(Equal("2"))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 		Expect(f.server.Stats()[0].Refusals).To(HaveLen(1))
 	})
 
 	It("queue what cannot run yet, and refuse what finds the queue full", func() {
 		arrived, proceed := make(chan struct{}, 3), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 60000}
 		f.publish()
 		results := make(chan outcome, 3)
@@ -56,11 +56,11 @@
 
 	It("let nothing wait longer than the queue permits", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-proceed
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 20}
 		f.publish()
 		done := make(chan outcome)
@@ -73,14 +73,14 @@
 
 	It("give a slot that becomes free on a node at capacity to the tenant that has none", func() {
 		entered, proceed := make(chan string, 8), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			entered <- request.Header.Get(caller.HeaderRequestID)
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
 		f := newFixtureWith(func(options *dataplane.Options) {
 			options.Admission = admission.Options{Concurrent: 1, Queued: 2, QueueTimeout: time.Minute}
-		}, stand.address())
+		}, backend.address())
 		results := make(chan outcome, 8)
 		send := func(key, id string) {
 			go func() { results <- f.generate(header{"Authorization", "Bearer " + key}, header{"Request-Id", id}) }()
@@ -107,7 +107,7 @@
 	It("refuse at once what would miss its deadline in the queue, and say when to retry", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		var f *fixture
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			f.clock.Add(int64(3 * time.Second))
@@ -115,7 +115,7 @@
 		})
 		f = newFixtureWith(func(options *dataplane.Options) {
 			options.Admission = admission.Options{Concurrent: 1, Queued: 2, QueueTimeout: time.Minute}
-		}, stand.address())
+		}, backend.address())
 		results := make(chan outcome, 2)
 		start := func() {
 			go func() { results <- f.generate() }()
@@ -130,7 +130,7 @@
 		Expect(refused.problem.Kind).To(Equal(caller.KindDeadlineUnreachable))
 		Expect(refused.problem.MayHaveRun).To(BeFalse())
 		Expect(refused.header.Get("Retry-After")).To(Equal("3"))
-		Expect(stand.requests()).To(HaveLen(2))
+		Expect(backend.requests()).To(HaveLen(2))
 		close(proceed)
 		Expect((<-results).status).To(Equal(http.StatusOK))
 	})
--- /dev/null
+++ b/internal/dataplane/view_reconciler.go
@@ -0,0 +1,49 @@
+package dataplane
+
+import (
+	"context"
+	"time"
+
+	"github.com/ridgeswitch/ridgeswitch/internal/routing"
+)
+
+// viewReconciler brings what depends on the view and on the live nodes up to date. Its
+// state belongs to the goroutine that runs Serve.
+type viewReconciler struct {
+	server *Server
+	// last is the view that was followed last.
+	last *routing.View
+}
+
+// Serve implements suture.Service: it looks at the newest view and the live nodes
+// until ctx ends.
+func (r *viewReconciler) Serve(ctx context.Context) error {
+	ticker := time.NewTicker(r.server.options.ViewInterval)
+	defer ticker.Stop()
+	for {
+		r.reconcile(r.server.options.Source.View())
+		r.server.slowStart.SetNodes(r.server.options.Clock(), r.server.options.Peers())
+		r.server.feeds.ResyncAfterGaps()
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		}
+	}
+}
+
+// String implements fmt.Stringer for the supervisor's messages.
+func (r *viewReconciler) String() string { return "view follower" }
+
+// reconcile starts and stops feeds, and forgets tenants and back ends that a new view does
+// not list.
+func (r *viewReconciler) reconcile(view *routing.View) {
+	if view == nil || view == r.last {
+		return
+	}
+	r.last = view
+	r.server.feeds.Reconcile(view)
+	r.server.limiter.Retain(view)
+	r.server.staleBackends.Retain(view)
+	r.server.health.Follow(view)
+}
--- a/internal/dataplane/web_backend_test.go
+++ b/internal/dataplane/web_backend_test.go
@@ -24,7 +24,7 @@
 func newWebFixture(addresses ...string) *fixture {
 	f := newFixture()
 	for _, address := range addresses {
-		f.webs = append(f.webs, routing.Replica{Address: address, Zone: "a", Admitting: true})
+		f.webBackends = append(f.webBackends, routing.Replica{Address: address, Zone: "a", Admitting: true})
 	}
 	f.publish()
 	return f
@@ -79,9 +79,9 @@
 		done := make(chan outcome)
 		go func() { done <- f.send(http.MethodGet, webHost, "/hold") }()
 		<-inFlight
-		busy := f.webs[0].Address
+		busy := f.webBackends[0].Address
 		if f.server.InFlight(busy) == 0 {
-			busy = f.webs[1].Address
+			busy = f.webBackends[1].Address
 		}
 		for range 4 {
 			Expect(f.send(http.MethodGet, webHost, "/").body).NotTo(Equal(busy))
@@ -91,9 +91,9 @@
 	})
 
 	DescribeTable("whose response is truncated", func(method string, budgeted bool, expected int, mayHaveRun bool) {
-		var cutting atomic.Bool
+		var truncating atomic.Bool
 		script := func(writer http.ResponseWriter, _ *http.Request) {
-			if cutting.CompareAndSwap(true, false) {
+			if truncating.CompareAndSwap(true, false) {
 				writer.Header().Set("Content-Length", "100")
 				_, _ = io.WriteString(writer, "part")
 				return
@@ -106,7 +106,7 @@
 				f.send(http.MethodGet, webHost, "/")
 			}
 		}
-		cutting.Store(true)
+		truncating.Store(true)
 		got := f.send(method, webHost, "/")
 		Expect(got.status).To(Equal(expected))
 		Expect(got.problem.MayHaveRun).To(Equal(mayHaveRun))
