--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -16,8 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// incarnationEdge is a replica edge that knows the incarnation at each address, and refuses
-// requests for another one.
+// incarnationEdge is a dataplane.BackendEdge that knows the incarnation at each address, and
+// refuses requests for any other incarnation.
 type incarnationEdge struct {
 	mutex sync.Mutex
 	// instances holds the incarnation at each address.
@@ -50,7 +50,7 @@
 func (completeResponse) LastEventID() string            { return "" }
 func (completeResponse) Close()                         {}
 
-var _ = Describe("An address that another replica has got", func() {
+var _ = Describe("An address that was reassigned to another replica", func() {
 	const reused, other = "replica-0:1", "replica-1:1"
 	var edge *incarnationEdge
 
@@ -68,7 +68,7 @@
 		f.publish()
 		return f
 	}
-	// serve sends a request a second, for prompts that nobody keeps.
+	// serve sends one request per second, each with a prompt that no replica has cached.
 	serve := func(f *fixture, from time.Duration) {
 		for turn := range 30 {
 			f.clock.Store(int64(from + time.Duration(turn)*time.Second))
@@ -77,14 +77,14 @@
 		}
 	}
 
-	It("costs one refusal, until the list names the replica at the address", func() {
+	It("causes one refusal, until the view lists the new replica", func() {
 		f := newNode()
 		serve(f, 0)
 		edge.instances[reused] = "i-2"
 		serve(f, time.Minute)
 		Expect(edge.refusals).To(Equal(1))
 
-		By("sending to the one that the list names")
+		By("sending to the replica that the view lists")
 		f.replicas[0].Instance = "i-2"
 		f.replicas[1].Admitting = false
 		f.publish()
@@ -92,7 +92,7 @@
 		Expect(edge.refusals).To(Equal(1))
 	})
 
-	It("costs one refusal in all, since the nodes inform each other", func() {
+	It("causes one refusal for all nodes, since they inform each other", func() {
 		first, second := newNode(), newNode()
 		serve(first, 0)
 		serve(second, 0)
@@ -103,7 +103,7 @@
 		Expect(edge.refusals).To(Equal(1))
 	})
 
-	It("gets nothing even if a web service has no other", func() {
+	It("receives no further requests even if a web service has no other back end", func() {
 		f := newNode()
 		f.webBackends = f.replicas[:1]
 		f.webBackends[0].WeightVersion = ""
@@ -116,7 +116,7 @@
 		Expect(edge.refusals).To(Equal(1))
 	})
 
-	It("gets nothing that was on its way there when the update arrived", func() {
+	It("does not receive a request that is being processed when the update arrives", func() {
 		for read := int64(1); read <= 4; read++ {
 			f := newNode()
 			f.replicas[1].Admitting = false
@@ -128,7 +128,7 @@
 				}
 			}
 			Expect(f.generate().problem.MayHaveRun).To(BeFalse())
-			Expect(edge.refusals).To(BeZero(), "told at read %d", read)
+			Expect(edge.refusals).To(BeZero(), "denial applied after read %d of the view", read)
 		}
 	})
 })
--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -25,7 +25,7 @@
 		healthy = newReplica(respondWith("ok"))
 	})
 
-	It("that find no listener go elsewhere, and the next ones avoid it", func() {
+	It("to an address without a listener are retried elsewhere, and later requests avoid the address", func() {
 		f := newFixture(healthy.address())
 		f.fillRetryBudget()
 		f.replicas = append(f.replicas, f.replicas[0])
@@ -38,14 +38,14 @@
 		Expect(f.server.Stats()[0].Retries).To(Equal(uint64(1)))
 	})
 
-	It("that find no listener have certainly not run", func() {
+	It("to an address without a listener are reported as not run", func() {
 		got := newFixture(closedAddress()).generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindNoBackend))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	DescribeTable("over two replicas of which one fails", func(script http.HandlerFunc, repeatable string, expected int, mayHaveRun bool) {
+	DescribeTable("on two replicas of which one fails", func(script http.HandlerFunc, repeatable string, expected int, mayHaveRun bool) {
 		failing := newReplica(script)
 		f := newFixture(healthy.address())
 		f.fillRetryBudget()
@@ -53,8 +53,8 @@
 		f.replicas[0].Address = failing.address()
 		f.replicas[1].Admitting = false
 		f.publish()
-		// The healthy replica begins to admit once the first attempt is on
-		// its way, so that the order of the attempts is certain.
+		// The healthy replica begins to admit after the first attempt was sent, so that
+		// the order of the attempts is deterministic.
 		f.source.onServing = func(call int) {
 			if len(failing.requests()) == 1 {
 				f.replicas[1].Admitting = true
@@ -71,12 +71,12 @@
 			Expect(f.server.Stats()[0].Retries).To(Equal(uint64(1)))
 		}
 	},
-		Entry("a refusal is repeated", refusing(), "false", http.StatusOK, false),
-		Entry("a lost response is not", aborting(), "false", http.StatusBadGateway, true),
-		Entry("a lost response is, if idempotent", aborting(), "true", http.StatusOK, false),
+		Entry("are retried after a refusal", refusing(), "false", http.StatusOK, false),
+		Entry("are not retried after a lost response", aborting(), "false", http.StatusBadGateway, true),
+		Entry("are retried after a lost response if the request is idempotent", aborting(), "true", http.StatusOK, false),
 	)
 
-	It("are not repeated beyond the budget", func() {
+	It("are not retried beyond the retry budget", func() {
 		f := newFixture(newReplica(refusing()).address(), newReplica(refusing()).address())
 		got := f.generate(header{"Repeatable", "true"})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -85,13 +85,13 @@
 		Expect(f.server.Stats()[0].RetriesDenied).To(Equal(uint64(1)))
 	})
 
-	It("relay when the replica wants the request to be retried", func() {
+	It("result in a Retry-After when the replica refuses the request", func() {
 		got := newFixture(newReplica(refusing()).address()).generate()
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).To(Or(Equal("1"), Equal("3")))
 	})
 
-	It("end at the deadline, with the word that the request may have run", func() {
+	It("end at the deadline, with an error that says that the request may have run", func() {
 		left := make(chan struct{})
 		backend := newReplica(func(_ http.ResponseWriter, request *http.Request) {
 			<-request.Context().Done()
@@ -101,7 +101,7 @@
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
 		Expect(got.problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
-		Expect(got.header).NotTo(HaveKey("Retry-After"), "sending it again is not safe")
+		Expect(got.header).NotTo(HaveKey("Retry-After"), "the request may have run, so that the caller must not retry it")
 		Eventually(left).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
@@ -142,7 +142,7 @@
 			backend.truncateAt.Store(int64(truncated))
 			before := backend.runs.Load()
 			got := f.generate()
-			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "cut after %d bytes", truncated)
+			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "truncated after %d bytes", truncated)
 			switch {
 			case got.err != nil:
 				Expect(streamed).To(BeTrue())
@@ -160,7 +160,7 @@
 		}
 		Expect(complete).To(BeNumerically(">", 0))
 		Expect(complete).To(BeNumerically("<", 12))
-	}, Entry("whole", false), Entry("streamed", true))
+	}, Entry("buffered", false), Entry("streamed", true))
 })
 
 // truncatingReplica responds to each request with the first bytes of a script.
@@ -191,7 +191,7 @@
 }
 
 // serve responds to requests until the connection ends. After a complete response the
-// connection stays open, so that reuse is covered as well.
+// connection stays open, so that the specs also cover its reuse.
 func (c *truncatingReplica) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
@@ -205,8 +205,8 @@
 		script := strings.Replace(c.script, "ATTEMPT", request.Header.Get(replica.HeaderAttemptID), 1)
 		truncated := c.truncateAt.Load()
 		if truncated < int64(len(c.script)) {
-			// The cut is counted from the end, as the identity has grown the
-			// script.
+			// A position after the attempt ID is counted from the end, because the
+			// ID is longer than its placeholder.
 			keep := int64(len(script)) - (int64(len(c.script)) - truncated)
 			if truncated < int64(strings.Index(c.script, "ATTEMPT")) {
 				keep = truncated
--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -25,10 +25,11 @@
 
 func (a statusResponse) Status() int { return a.status }
 
-// faultInjectingEdge is an edge whose back ends may be faulty: of the requests to those that
-// are, some go wrong.
+// faultInjectingEdge is a dataplane.BackendEdge that injects faults into some of the attempts
+// on faulty back ends.
 type faultInjectingEdge struct {
-	// fault is what then happens, and every which of the requests it happens to.
+	// fault returns the result of a faulty attempt. On a faulty back end, one of faultEvery
+	// attempts is faulty.
 	fault      func(ctx context.Context) (dataplane.Response, error)
 	faultEvery int
 	mutex      sync.Mutex
@@ -48,21 +49,21 @@
 	return completeResponse{}, nil
 }
 
-// setFaulty makes one back end fail, or healthy again.
+// setFaulty makes a back end faulty or healthy.
 func (b *faultInjectingEdge) setFaulty(address string, grey bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.faulty[address] = grey
 }
 
-// count returns how many requests a back end has got.
+// count returns how many attempts were sent to a back end.
 func (b *faultInjectingEdge) count(address string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.sent[address]
 }
 
-// What may go wrong.
+// The faults that a faultInjectingEdge injects.
 var (
 	failing = func(context.Context) (dataplane.Response, error) {
 		return statusResponse{status: http.StatusInternalServerError}, nil
@@ -96,7 +97,7 @@
 	newEdge := func(fault func(context.Context) (dataplane.Response, error)) *faultInjectingEdge {
 		return &faultInjectingEdge{fault: fault, faultEvery: 2, faulty: map[string]bool{}, sent: map[string]int{}}
 	}
-	// newPool starts a node before a pool whose edge responds.
+	// newPool starts a node with a pool whose back ends are reached through the edge.
 	newPool := func(edge dataplane.BackendEdge, change func(*dataplane.Options)) *fixture {
 		var addresses []string
 		for number := range count {
@@ -114,7 +115,7 @@
 		return f
 	}
 	unchanged := func(*dataplane.Options) {}
-	// serve sends requests whose prompts nobody keeps, one every 50 ms.
+	// serve sends one request every 50 ms, each with a prompt that no replica has cached.
 	turn := 0
 	serve := func(f *fixture, requests int) (failed int) {
 		for range requests {
@@ -128,7 +129,7 @@
 		return failed
 	}
 
-	DescribeTable("gets next to nothing while every second request to it ends in", func(fault func(context.Context) (dataplane.Response, error)) {
+	DescribeTable("receives hardly any requests while every second one ends in", func(fault func(context.Context) (dataplane.Response, error)) {
 		edge = newEdge(fault)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
@@ -136,11 +137,11 @@
 		serve(f, 60)
 		before := edge.count(address(0))
 		failed := serve(f, 200)
-		Expect(edge.count(address(0))-before).To(BeNumerically("<=", 8), "ten seconds of probes")
+		Expect(edge.count(address(0))-before).To(BeNumerically("<=", 8), "probes in ten seconds")
 		Expect(failed).To(BeNumerically("<=", 4))
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 
-		By("and its share again once it is well")
+		By("sending it its share again after it has recovered")
 		edge.setFaulty(address(0), false)
 		serve(f, 400)
 		before = edge.count(address(0))
@@ -149,14 +150,14 @@
 		Expect(f.server.Stats()[0].Ejected).To(BeZero())
 	},
 		Entry("a failure", failing),
-		Entry("a refusal without need", shedding),
+		Entry("a refusal although slots are free", shedding),
 		Entry("a failure that may be a refusal", ambiguous),
-		Entry("a reset", resetting),
-		Entry("something that is no response", invalidResponse),
-		Entry("no connection", unreachable),
+		Entry("a connection reset", resetting),
+		Entry("an invalid response", invalidResponse),
+		Entry("a refused connection", unreachable),
 	)
 
-	DescribeTable("is detected by the requests that wait at it", func(every, requests int) {
+	DescribeTable("is detected by overdue requests if it hangs", func(every, requests int) {
 		edge = newEdge(hanging)
 		f := newPool(edge, unchanged)
 		f.targetLatencyMs = 100
@@ -177,25 +178,25 @@
 			Eventually(func() int { return edge.count(address(0)) }).WithTimeout(waitTimeout).Should(Equal(number + 1))
 		}
 		f.server.TakeUpdate()
-		Expect(f.server.Stats()[0].Ejected).To(BeZero(), "the time that is aimed at is not over")
+		Expect(f.server.Stats()[0].Ejected).To(BeZero(), "the target latency has not passed")
 		f.clock.Add(int64(2 * time.Second))
 		f.server.TakeUpdate()
 		Expect(f.server.Stats()[0].Ejected).To(Equal(1))
 	},
-		Entry("for every request", 1, 2),
-		Entry("while it responds to others", 2, 3),
+		Entry("on every request", 1, 2),
+		Entry("on every second request", 2, 3),
 	)
 
-	It("is found out when it fails all requests, whatever it says of its health", func() {
+	It("causes few failures when it fails every request", func() {
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
 		edge.faultEvery = 1
 		edge.setFaulty(address(0), true)
-		Expect(serve(f, 200)).To(BeNumerically("<=", 7), "two, and then probes")
+		Expect(serve(f, 200)).To(BeNumerically("<=", 7), "two failures, and then those of probes")
 	})
 
-	DescribeTable("is not blamed for refusals", func(change func(f *fixture)) {
+	DescribeTable("is not ejected for refusals", func(change func(f *fixture)) {
 		edge = newEdge(shedding)
 		f := newPool(edge, unchanged)
 		change(f)
@@ -207,25 +208,25 @@
 		Expect(edge.count(address(0))).To(BeNumerically(">", 30))
 		Expect(f.server.Stats()[0].Ejections).To(BeZero())
 	},
-		Entry("whose number of slots is not known", func(f *fixture) {
+		Entry("if its number of slots is not known", func(f *fixture) {
 			for at := range f.replicas {
 				f.replicas[at].Slots = 0
 			}
 		}),
-		Entry("that is full", func(f *fixture) {
+		Entry("if its slots are in use", func(f *fixture) {
 			for at := range f.replicas {
 				f.replicas[at].Slots = 1
 			}
 		}),
-		Entry("that is in slow start", func(f *fixture) {
+		Entry("if it is in slow start", func(f *fixture) {
 			for at := range f.replicas {
 				f.replicas[at].SlowStartUntil = time.Hour
 			}
 		}),
-		Entry("that is to load other weights", func(f *fixture) { f.weightVersion = "weights-2" }),
+		Entry("if it has to load other weights", func(f *fixture) { f.weightVersion = "weights-2" }),
 	)
 
-	It("costs less each time when it comes and goes", func() {
+	It("receives fewer requests per failure when it fails and recovers repeatedly", func() {
 		edge = newEdge(unreachable)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
@@ -244,7 +245,7 @@
 		Expect(cycle()).To(BeNumerically("<", first))
 	})
 
-	It("is still used when there is no other", func() {
+	It("is still used when no other one admits", func() {
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
 		serve(f, 60)
@@ -280,9 +281,9 @@
 		Expect(probes).To(BeNumerically("<=", 20))
 	})
 
-	Context("by several nodes", func() {
+	Context("used by several nodes", func() {
 		peers := []member.Info{{ID: "a-1", Zone: "a"}, {ID: "a-2", Zone: "a"}, {ID: "b-1", Zone: "b"}, {ID: "b-2", Zone: "b"}}
-		// newFleet starts a node for each peer, with an edge of its own.
+		// newFleet starts a node for each peer, each with its own edge.
 		newFleet := func(fault func(context.Context) (dataplane.Response, error)) (nodes []*fixture, edges []*faultInjectingEdge) {
 			for _, peer := range peers {
 				edge := newEdge(fault)
@@ -307,7 +308,7 @@
 		}
 		ejected := func(f *fixture) int { return f.server.Stats()[0].Ejected }
 
-		It("is ejected by those that have seen little of it themselves", func() {
+		It("is ejected by nodes that have observed few of its failures themselves", func() {
 			nodes, edges := newFleet(failing)
 			for _, node := range nodes {
 				serve(node, 12)
@@ -346,7 +347,7 @@
 		})
 	})
 
-	It("of a web service is judged by the same rules, and by its slowness", func() {
+	It("of a web service is ejected by the same rules, and also for slowness", func() {
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
 		f.webBackends = append([]routing.Replica(nil), f.replicas...)
@@ -364,7 +365,7 @@
 		sendRequest(100)
 		Expect(edge.count(address(0)) - before).To(BeNumerically("<=", 4))
 
-		By("slowness")
+		By("ejecting a slow back end")
 		edge.setFaulty(address(0), false)
 		sendRequest(400)
 		f.targetLatencyMs = 300
@@ -381,7 +382,7 @@
 		Expect(f.server.Stats()).To(ContainElement(And(HaveField("WebService", true), HaveField("Ejected", 1))))
 	})
 
-	It("is counted by the outcomes of the attempts on it", func() {
+	It("has the attempts on it counted by outcome", func() {
 		edge = newEdge(failing)
 		f := newPool(edge, unchanged)
 		edge.setFaulty(address(0), true)
--- a/internal/dataplane/benchmark_test.go
+++ b/internal/dataplane/benchmark_test.go
@@ -15,14 +15,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// immediateBackends respond to every attempt at once.
+// immediateBackends is a dataplane.BackendEdge that responds to every attempt at once.
 type immediateBackends struct{}
 
 func (immediateBackends) Send(context.Context, dataplane.Attempt) (dataplane.Response, error) {
 	return immediateResponse{}, nil
 }
 
-// immediateResponse is an empty response that is complete.
+// immediateResponse is a complete response without a body.
 type immediateResponse struct{}
 
 func (immediateResponse) Status() int                    { return http.StatusOK }
@@ -34,7 +34,8 @@
 func (immediateResponse) LastEventID() string            { return "" }
 func (immediateResponse) Close()                         {}
 
-// newBenchmarkServer returns a server before 18 replicas and 4 web back ends.
+// newBenchmarkServer returns a server with 18 replicas, 4 of which are also back ends of a
+// web service.
 func newBenchmarkServer(b *testing.B) *dataplane.Server {
 	b.Helper()
 	log := logrus.New()
--- a/internal/dataplane/caller_disconnect_test.go
+++ b/internal/dataplane/caller_disconnect_test.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-var _ = Describe("A caller that disconnects while its request is queued", func() {
-	DescribeTable("leaves the queue, and nothing is sent for it", func(body string) {
+var _ = Describe("A queued request", func() {
+	DescribeTable("is removed from the queue when its caller disconnects, and is not sent", func(body string) {
 		arrived, proceed := make(chan struct{}, 4), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -42,11 +42,11 @@
 			Expect(request.Header.Get("Request-Id")).NotTo(Equal("left"))
 		}
 	},
-		Entry("with its body sent completely", "the prompt"),
-		Entry("with a part of its body sent", "the"),
+		Entry("after the whole body", "the prompt"),
+		Entry("after a part of the body", "the"),
 	)
 
-	It("is refused for a body that is too large, before a slot is free", func() {
+	It("is refused before a slot is free if its body is too large", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
--- a/internal/dataplane/caller_limits_test.go
+++ b/internal/dataplane/caller_limits_test.go
@@ -11,10 +11,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-var _ = Describe("The bounds of callers", func() {
+var _ = Describe("The limits on callers", func() {
 	const bound = 4096
 
-	// limited starts a node whose configuration bounds what callers send.
+	// limited starts a node whose configuration limits the requests of callers.
 	limited := func(limits *ridgeswitchv1.CallerLimits) (*fixture, *fakeReplica) {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
@@ -23,7 +23,7 @@
 	}
 	filler := func(bytes int) header { return header{"X-Filler", strings.Repeat("x", bytes)} }
 
-	It("refuse a header beyond that of the configuration, and nothing is sent", func() {
+	It("refuse a request whose header exceeds the configured limit, and nothing is sent", func() {
 		f, backend := limited(&ridgeswitchv1.CallerLimits{MaxHeaderBytes: bound})
 		got := f.generate(filler(bound))
 		Expect(got.status).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
@@ -33,12 +33,12 @@
 		Expect(f.generate(filler(bound / 2)).status).To(Equal(http.StatusOK))
 	})
 
-	It("leave headers to the listener without a bound in the configuration", func() {
+	It("leave the limit of headers to the listener if the configuration has none", func() {
 		f, _ := limited(nil)
 		Expect(f.generate(filler(bound)).status).To(Equal(http.StatusOK))
 	})
 
-	It("refuse a body beyond that of the configuration", func() {
+	It("refuse a request whose body exceeds the configured limit", func() {
 		f, backend := limited(&ridgeswitchv1.CallerLimits{MaxBodyBytes: uint64(len(defaultBody)) - 1})
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindBodyTooLarge))
--- a/internal/dataplane/chain.go
+++ b/internal/dataplane/chain.go
@@ -20,10 +20,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// chain runs an exchange through its handlers in order.
+// chain is the sequence of handlers that process an exchange.
 type chain []exchange.Handler
 
-// run starts the chain for an exchange.
+// run passes an exchange to the first handler, which may call the next one.
 func (c chain) run(e *exchange.Exchange) {
 	if len(c) == 0 {
 		return
@@ -31,10 +31,10 @@
 	c[0].Handle(e, func() { c[1:].run(e) })
 }
 
-// newChain returns the handlers in their order. The check that the node may serve comes
-// before everything that reads state, so that a node which was frozen refuses before it
-// acts on stale state. Only the request's identity comes first, so that every refusal
-// carries it.
+// newChain returns the handlers in the order in which they run. The check that the node may
+// serve precedes every handler that reads state, so that a node that was suspended refuses
+// requests before it acts on stale state. Only the handler that identifies requests runs
+// earlier, so that every refusal contains the request's ID.
 func (s *Server) newChain() chain {
 	clock := s.options.Clock
 	handlers := chain{
@@ -61,8 +61,8 @@
 	return append(handlers, s.dispatcher)
 }
 
-// newDispatcher returns the last handler of the chain. Where reports are read page by
-// page, prompts wait for them after the start.
+// newDispatcher returns the last handler of the chain. If reports are read page by page, the
+// start-up gate delays prompts until the cached chunks of most replicas are known.
 func (s *Server) newDispatcher() *dispatch.Dispatcher {
 	options := dispatch.Options{
 		Source:        s.options.Source,
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -14,11 +14,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// scriptedClaims decides as a test says, and records its calls.
+// scriptedClaims implements claimer.Claims and exchange.Claim with decisions that a test sets,
+// and records the calls.
 type scriptedClaims struct {
 	mutex   sync.Mutex
 	refusal error
-	// validChecks is how many looks at a claim find it valid.
+	// validChecks is how many calls of Valid return true.
 	validChecks int
 	claimed     []string
 	ended       []bool
@@ -56,7 +57,7 @@
 		return f, backend
 	}
 
-	It("is claimed before it is sent, and the claim ends as one that may have run", func() {
+	It("is claimed before it is sent, and the claim ends with the request possibly run", func() {
 		claims := &scriptedClaims{validChecks: 10}
 		f, backend := newNode(claims, respondWith("ok"))
 		Expect(f.generate(named).status).To(Equal(http.StatusOK))
@@ -66,7 +67,7 @@
 		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
-	It("is released if it has certainly not run", func() {
+	It("has its claim released if it has certainly not run", func() {
 		claims := &scriptedClaims{validChecks: 10}
 		f, _ := newNode(claims, refusing())
 		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
@@ -74,7 +75,7 @@
 		Expect(claims.ended).To(Equal([]bool{false}))
 	})
 
-	It("ends as one that may have run if its response was lost", func() {
+	It("counts as possibly run if its response was lost", func() {
 		claims := &scriptedClaims{validChecks: 10}
 		f, _ := newNode(claims, aborting())
 		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
@@ -82,7 +83,7 @@
 		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
-	It("is refused when another node has it", func() {
+	It("is refused when another node has claimed it", func() {
 		f, backend := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
 		got := f.generate(named)
 		Expect(got.status).To(Equal(http.StatusConflict))
@@ -132,11 +133,11 @@
 		Expect(got.problem.MayHaveRun).To(Equal(sent == 1))
 		Expect(len(first.requests()) + len(second.requests()) - before).To(Equal(sent))
 	},
-		Entry("that is lost after the first attempt", 1, 1),
-		Entry("that stays valid", 10, 2),
+		Entry("which is lost after the first attempt", 1, 1),
+		Entry("which stays valid", 10, 2),
 	)
 
-	It("needs no claim if it may be repeated, or if the caller chose no identity", func() {
+	It("needs no claim if it is repeatable or has no request ID from the caller", func() {
 		claims := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
 		f, _ := newNode(claims, respondWith("ok"))
 		Expect(f.generate(named, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
--- a/internal/dataplane/connection_limit.go
+++ b/internal/dataplane/connection_limit.go
@@ -6,18 +6,17 @@
 )
 
 const (
-	// reservedNodes is the number of further nodes that the connections of a back end are
-	// divided among: those that serve no callers and command replicas, and nodes that
-	// this one does not know yet.
+	// reservedNodes is added to the number of nodes among which the connections to a back
+	// end are divided. It covers nodes that serve no callers but send commands to replicas,
+	// and nodes that this one does not know yet.
 	reservedNodes = 2
-	// minConnections is the least limit: one connection for requests beside one for
-	// reports.
+	// minConnections is the lowest limit: one connection for requests and one for reports.
 	minConnections = 2
 )
 
-// ConnectionLimit returns how many connections this node may have to a back end, which is
-// an equal share of what the back end accepts from all nodes together; 0 if that is not
-// bounded.
+// ConnectionLimit returns how many connections this node may open to a back end: an equal
+// share of the number that the back end accepts from all nodes together, or 0 if that number
+// is not limited.
 func (s *Server) ConnectionLimit(address string) int {
 	total := maxBackendConnections(s.options.Source.View(), address)
 	if total == 0 {
@@ -26,8 +25,8 @@
 	return max(total/(len(s.options.Peers())+reservedNodes), minConnections)
 }
 
-// maxBackendConnections returns how many connections a listed back end accepts, by the
-// lowest limit of its destinations; 0 if none limits them.
+// maxBackendConnections returns how many connections a back end accepts: the lowest limit of
+// the destinations that list it, or 0 if none of them has a limit.
 func maxBackendConnections(view *routing.View, address string) int {
 	lowest := 0
 	consider := func(limits *ridgeswitchv1.BackendLimits, replicas []routing.Replica) {
--- a/internal/dataplane/connection_limit_test.go
+++ b/internal/dataplane/connection_limit_test.go
@@ -17,8 +17,8 @@
 )
 
 var _ = Describe("The connections to a back end", func() {
-	// limits starts a node among others, with a pool and a web service that share
-	// a back end, and returns its bounds.
+	// limits starts one of several nodes, with a pool and a web service that share a back
+	// end, and returns the node's ConnectionLimit.
 	limits := func(nodes int, poolLimit, webLimit uint32) func(address string) int {
 		f := newFixtureWith(func(options *dataplane.Options) {
 			options.Peers = func() []member.Info { return make([]member.Info, nodes) }
@@ -38,21 +38,21 @@
 		return f.server.ConnectionLimit
 	}
 
-	It("are divided among the nodes, with a reserve, by the least bound of its destinations", func() {
+	It("are divided among the nodes and a reserve, by the lowest limit of its destinations", func() {
 		limit := limits(9, 370, 110)
 		Expect([]int{limit("pool:1"), limit("web:1"), limit("both:1")}).To(Equal([]int{33, 10, 10}))
 	})
 
-	It("are at least two, so that reports leave one for requests", func() {
+	It("are at least two, so that one is left for requests beside reports", func() {
 		Expect(limits(72, 40, 0)("pool:1")).To(Equal(2))
 	})
 
-	It("are not bounded where nothing bounds them", func() {
+	It("are not limited if no destination limits them", func() {
 		limit := limits(9, 370, 0)
 		Expect([]int{limit("web:1"), limit("elsewhere:1")}).To(Equal([]int{0, 0}))
 	})
 
-	It("are bounded with the native protocol as well", func() {
+	It("are limited with the native protocol as well", func() {
 		arrived, proceed := make(chan struct{}, 3), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -80,7 +80,7 @@
 		Expect(f.server.Stats()[0].Suspected).To(BeZero())
 	})
 
-	It("are no fault of the back end when they are spent", func() {
+	It("do not count as a failure of the back end when all are in use", func() {
 		atLimit := &faultInjectingEdge{fault: func(context.Context) (dataplane.Response, error) {
 			return nil, outbound.NotSent(&outbound.ConnectionLimitError{Address: "only:1", Limit: 2})
 		}, faultEvery: 2, faulty: map[string]bool{"only:1": true}, sent: map[string]int{}}
--- a/internal/dataplane/embedding.go
+++ b/internal/dataplane/embedding.go
@@ -5,8 +5,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane/edges"
 )
 
-// The names by which programs that embed a Server implement its protocols, which package
-// edges describes, and read its counters.
+// Aliases for programs that embed a Server: the types with which they implement the protocols
+// that package edges describes, and read the Server's counters.
 type (
 	// Edges are the protocols that a node speaks to callers and back ends.
 	Edges = edges.Set
@@ -22,11 +22,11 @@
 	Pull = edges.Pull
 	// Response is a back end's response whose header has arrived.
 	Response = edges.Response
-	// ReportReader reads what back ends report of the chunks that they cache.
+	// ReportReader reads the reports of back ends about the chunks that they cache.
 	ReportReader = edges.ReportReader
 	// ReportPage is one page of a back end's reports.
 	ReportPage = edges.ReportPage
-	// ChunkChange reports a cached chunk, or an evicted one.
+	// ChunkChange reports that a chunk was cached or evicted.
 	ChunkChange = edges.ChunkChange
 	// DestinationStats counts the requests of a pool or a web service on this node by
 	// their outcomes.
--- a/internal/dataplane/generate_test.go
+++ b/internal/dataplane/generate_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("A request to a pool", func() {
-	It("passes to the replica and back", func() {
+	It("is forwarded to the replica, and the response to the caller", func() {
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("Lab-Digest", "abc")
 			writer.Header().Set(replica.HeaderReusedTokens, "16")
@@ -45,7 +45,7 @@
 		Expect(f.server.InFlight(backend.address())).To(BeZero())
 	})
 
-	It("gives a walled tenant its own salt", func() {
+	It("of a walled tenant has its own cache salt", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		f.generate()
@@ -78,7 +78,7 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindUnknownHost))
 	})
 
-	It("is refused first of all while the node may not serve", func() {
+	It("is refused before any other check while the node may not serve", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		f.source.refusal = errors.New("cut off")
@@ -90,7 +90,7 @@
 		Expect(got.header.Get("Retry-After")).To(Equal("1"))
 	})
 
-	DescribeTable("to a node that has no configuration is refused for now, whatever it is", func(view *routing.View) {
+	DescribeTable("is refused with a Retry-After while the node has no configuration", func(view *routing.View) {
 		f := newFixture(newReplica(respondWith("ok")).address())
 		f.source.view.Store(view)
 		for _, key := range []string{courtKey, "no key"} {
@@ -101,20 +101,20 @@
 		}
 		Expect(f.send(http.MethodGet, "gone.example", "/").status).To(Equal(http.StatusServiceUnavailable))
 	},
-		Entry("and no state at all", nil),
-		Entry("but has back ends", &routing.View{}),
-		Entry("but knows what is evacuated", &routing.View{Revision: 3, Configuration: &ridgeswitchv1.Configuration{
+		Entry("and no view", nil),
+		Entry("and an empty view", &routing.View{}),
+		Entry("but knows the evacuated zones", &routing.View{Revision: 3, Configuration: &ridgeswitchv1.Configuration{
 			Revision: 3, Evacuations: []*ridgeswitchv1.ZoneEvacuation{{Zone: "south"}},
 		}}),
 	)
 
-	It("is refused for good where the configuration has no routes", func() {
+	It("is refused with status 404 if the configuration has no routes", func() {
 		f := newFixture()
 		f.source.view.Store(&routing.View{Configuration: &ridgeswitchv1.Configuration{Source: &ridgeswitchv1.SourceVersion{Version: 7}}})
 		Expect(f.generate().status).To(Equal(http.StatusNotFound))
 	})
 
-	It("is refused when its key is revoked while it waits", func() {
+	It("is refused if its key is revoked before it is sent", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		f.source.onServing = func(call int) {
@@ -127,7 +127,7 @@
 		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	It("goes to no replica that does not admit", func() {
+	It("is not sent to a replica that does not admit", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		f.replicas[0].Admitting = false
@@ -140,7 +140,7 @@
 		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	It("goes to no replica whose weight version is not confirmed", func() {
+	It("is not sent to a replica whose weight version is not confirmed", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		f.replicas[0].WeightVersion = ""
@@ -149,7 +149,7 @@
 		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	It("rejects a response that was produced by other weights", func() {
+	It("fails if the response was produced by other weights", func() {
 		backend := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderWeightVersion, "weights-2")
 		})
@@ -157,12 +157,12 @@
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
-		By("keeping further requests away from the replica")
+		By("sending no further requests to the replica")
 		Expect(f.generate().problem.Kind).To(Equal(caller.KindNoBackend))
 		Expect(backend.requests()).To(HaveLen(1))
 	})
 
-	It("rejects a response to another attempt", func() {
+	It("fails if the response belongs to another attempt", func() {
 		backend := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderAttemptID, "another")
 			_, _ = writer.Write([]byte("someone else's"))
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -33,24 +33,25 @@
 	poolModel   = "large"
 	weightsOne  = "weights-1"
 	defaultBody = "the prompt"
-	// waitTimeout bounds every wait on a channel or socket.
+	// waitTimeout is the time-out of each wait for a channel or a socket.
 	waitTimeout = 5 * time.Second
 )
 
-// source is control state in the hands of a test.
+// source is a routing.Source whose state a test sets.
 type source struct {
 	view    atomic.Pointer[routing.View]
 	mutex   sync.Mutex
 	refusal error
-	// onServing, if set, runs at each look at whether the node may serve.
+	// onServing, if set, is called by Serving with the number of calls so far.
 	onServing    func(call int)
 	servingCalls int
-	// onView, if set, runs after each look at the view.
+	// onView, if set, is called by View, after it has read the view, with the number of
+	// calls so far.
 	onView    func(call int64)
 	viewCalls atomic.Int64
 }
 
-// View returns the newest view. A test's hook runs after it is read.
+// View returns the newest view.
 func (s *source) View() *routing.View {
 	view := s.view.Load()
 	if s.onView != nil {
@@ -69,31 +70,31 @@
 	return s.refusal
 }
 
-// fixture is a node with its control state and clock.
+// fixture is a node with the control state and the clock that it uses.
 type fixture struct {
 	source *source
 	clock  atomic.Int64
 	server *dataplane.Server
 	front  *httptest.Server
-	// replicas and webs are what the next view lists.
+	// replicas and webBackends are the back ends that the next view lists.
 	replicas    []routing.Replica
 	webBackends []routing.Replica
 	limits      *ridgeswitchv1.Limits
 	timeout     uint32
-	// route is the configuration of the route to the pool; nil for one that says
-	// nothing but the target.
+	// route is the configuration of the route to the pool; nil for one that sets only
+	// targetLatencyMs.
 	route *ridgeswitchv1.Route
-	// targetLatencyMs is the latency that the routes aim at, in milliseconds; 0 for none.
+	// targetLatencyMs is the target latency of the routes; 0 for none.
 	targetLatencyMs uint32
 	// weightVersion is the weight version that the pool is to run; empty for none.
 	weightVersion string
-	// sharingDomain is the court's sharing domain.
+	// sharingDomain is the sharing domain of the tenant court.
 	sharingDomain string
-	// engine describes the pool's replicas, or is nil.
+	// engine is the configuration of the engine of the pool's replicas; nil for none.
 	engine *ridgeswitchv1.Engine
 }
 
-// newFixture starts a node that lists the given replicas as admitting.
+// newFixture starts a node with a pool of the given replicas, all of which admit.
 func newFixture(replicas ...string) *fixture {
 	return newRecordingFixture("", replicas...)
 }
@@ -129,7 +130,7 @@
 	return f
 }
 
-// publish makes a new view of what the fixture lists.
+// publish publishes a new view made of the fixture's fields.
 func (f *fixture) publish() {
 	pool := &routing.Pool{
 		Config: &ridgeswitchv1.Pool{
@@ -157,7 +158,7 @@
 	})
 }
 
-// poolRoute is the configuration of the route to the pool.
+// poolRoute returns the configuration of the route to the pool.
 func (f *fixture) poolRoute() *ridgeswitchv1.Route {
 	if f.route != nil {
 		return f.route
@@ -170,17 +171,17 @@
 	return routing.KeyDigest(hex.EncodeToString(sum[:]))
 }
 
-// outcome is what a caller got.
+// outcome is the result of a request for its caller.
 type outcome struct {
 	status  int
 	header  http.Header
 	body    string
 	problem caller.Error
-	// err is what went wrong while the response was read.
+	// err is the error of the request or of reading its response.
 	err error
 }
 
-// header is one header of a test's request.
+// header is a header of a request.
 type header struct{ name, value string }
 
 // send sends a request to a host and reads the response.
@@ -209,7 +210,7 @@
 	return got
 }
 
-// generate sends a request to the pool with the court's key.
+// generate sends a request to the pool with the key of the tenant court.
 func (f *fixture) generate(headers ...header) outcome {
 	all := append([]header{{"Authorization", "Bearer " + courtKey}, {"Prefix", "case;tokens=32, question;tokens=16"}}, headers...)
 	return f.send(http.MethodPost, poolHost, "/v1/generate", all...)
@@ -236,7 +237,8 @@
 	bodies []string
 }
 
-// newReplica starts a replica. It echoes the attempt before the script runs.
+// newReplica starts a replica. It sets the attempt ID of the response before it calls the
+// script.
 func newReplica(script http.HandlerFunc) *fakeReplica {
 	backend := &fakeReplica{}
 	backend.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -272,7 +274,7 @@
 	}
 }
 
-// refusing returns a script that promises not to run the request.
+// refusing returns a script that refuses the request and marks it as not run.
 func refusing() http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(replica.HeaderNotRun, "true")
@@ -286,7 +288,7 @@
 	return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 }
 
-// streaming returns a script that streams events, flushing each.
+// streaming returns a script that streams events and flushes each of them.
 func streaming(events ...string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", caller.StreamType)
@@ -305,7 +307,7 @@
 	return address
 }
 
-// fillRetryBudget sends enough first attempts that one retry is within the budget.
+// fillRetryBudget sends enough first attempts for the budget to permit one retry.
 func (f *fixture) fillRetryBudget() {
 	for range 5 {
 		Expect(f.generate().status).To(Equal(http.StatusOK))
--- a/internal/dataplane/hung_replica_test.go
+++ b/internal/dataplane/hung_replica_test.go
@@ -40,12 +40,12 @@
 		Expect(f.generate(header{"Deadline-Ms", "30"}).problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 	}
 
-	It("is avoided after some deadlines in a row", func() {
+	It("is avoided after several consecutive missed deadlines", func() {
 		first, second := newHanging(), newHanging()
 		f := newFixture(first.address(), second.address())
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		// The prompt is kept where it was answered, so that the requests that
-		// follow go there.
+		// The router assumes that the replica which ran the first request has cached the
+		// prompt, and sends the next requests to that replica.
 		preferred, other := first, second
 		if len(second.requests()) > 0 {
 			preferred, other = second, first
@@ -59,7 +59,7 @@
 		Expect(other.requests()).To(HaveLen(1))
 	})
 
-	It("is not avoided for deadlines between which it responded", func() {
+	It("is not avoided if it responds between missed deadlines", func() {
 		only, spare := newHanging(), newHanging()
 		f := newFixture(only.address(), spare.address())
 		Expect(f.generate().status).To(Equal(http.StatusOK))
--- a/internal/dataplane/keep_alive_test.go
+++ b/internal/dataplane/keep_alive_test.go
@@ -15,8 +15,8 @@
 )
 
 var _ = Describe("Connections that callers keep alive", func() {
-	// sendUntilClosed sends requests on one connection, each after the response to the one before,
-	// until the connection ends. It returns the identity of the request without a
+	// sendUntilClosed sends requests on one connection, each after the response to the
+	// previous one, until the connection ends. It returns the ID of the request that got no
 	// response, if there is one.
 	sendUntilClosed := func(address, name string, responded func()) string {
 		connection, err := net.DialTimeout("tcp", address, waitTimeout)
@@ -43,7 +43,7 @@
 		}
 	}
 
-	It("end without dropping the response to a forwarded request, when the node stops", func() {
+	It("end without the loss of a forwarded request's response when the node stops", func() {
 		const rounds, connections = 10, 32
 		for range rounds {
 			backend := newReplica(respondWith("ok"))
--- a/internal/dataplane/options.go
+++ b/internal/dataplane/options.go
@@ -18,37 +18,39 @@
 
 // Defaults of Options.
 const (
-	// DefaultMaxBodyBytes bounds a caller's body.
+	// DefaultMaxBodyBytes bounds the body of a caller's request.
 	DefaultMaxBodyBytes = 16 << 20
 	// DefaultMaxResponseBytes bounds a buffered response.
 	DefaultMaxResponseBytes = 16 << 20
-	// DefaultRequestTimeout is the time-out of requests to a destination without one.
+	// DefaultRequestTimeout is the time-out of requests to a destination that configures
+	// none.
 	DefaultRequestTimeout = 60 * time.Second
 	// DefaultMaxAttempts bounds the attempts of one request.
 	DefaultMaxAttempts = 4
-	// DefaultBackendRetry is when a caller may retry after a failure of a back end.
+	// DefaultBackendRetry is the time after which a caller may retry if no back end was
+	// available or a back end refused the request.
 	DefaultBackendRetry = dispatch.DefaultBackendRetry
-	// DefaultDrainTimeout is the longest graceful shutdown.
+	// DefaultDrainTimeout bounds the duration of a graceful shutdown.
 	DefaultDrainTimeout = 20 * time.Second
-	// DefaultEventTimeout is the longest time without an event of a back end.
+	// DefaultEventTimeout is the longest time without an event on a back end's stream.
 	DefaultEventTimeout = 15 * time.Second
-	// DefaultViewInterval is the time between two looks at the newest view.
+	// DefaultViewInterval is the interval at which the newest view is read.
 	DefaultViewInterval = 200 * time.Millisecond
-	// DefaultRememberedRequests bounds the finished requests whose identity is
-	// remembered.
+	// DefaultRememberedRequests bounds the finished requests whose IDs are stored to detect
+	// duplicates.
 	DefaultRememberedRequests = 1 << 16
-	// DefaultRememberFor is how long their identity is remembered.
+	// DefaultRememberFor is how long the ID of a finished request is stored.
 	DefaultRememberFor = 10 * time.Minute
 	// DefaultConcurrentRequests bounds the requests that run on a node at a time.
 	DefaultConcurrentRequests = 8192
-	// DefaultReservedRequests is how many of these are reserved for tenants below their
-	// fair share.
+	// DefaultReservedRequests is how many of the DefaultConcurrentRequests are reserved for
+	// tenants below their fair share.
 	DefaultReservedRequests = DefaultConcurrentRequests / 8
 	// DefaultQueuedRequests is how many requests of a tenant may be queued for a node at
 	// capacity, unless the tenant's own queue is longer.
 	DefaultQueuedRequests = 1024
-	// DefaultQueueTimeout is how long they may be queued, unless the tenant's own bound
-	// is longer.
+	// DefaultQueueTimeout is how long a request may be queued for a node at capacity, unless
+	// the tenant's own queue time-out is longer.
 	DefaultQueueTimeout = 5 * time.Second
 )
 
@@ -60,11 +62,11 @@
 	QueueTimeout: DefaultQueueTimeout,
 }
 
-// Options configure a Server. Zero values mean the defaults, where there are any.
+// Options configure a Server. A zero value means the default, if there is one.
 type Options struct {
 	// Node is the node's name.
 	Node string
-	// Member is this node's identity among the nodes.
+	// Member is the ID of this node in the membership.
 	Member member.ID
 	// Zone is the zone that the node is in.
 	Zone string
@@ -73,17 +75,17 @@
 	Peers func() []member.Info
 	// Address is the host and port to listen on.
 	Address string
-	// Source provides control state.
+	// Source provides the state of the control plane.
 	Source routing.Source
 	// Clock returns the time elapsed on a clock that counts suspended time.
 	Clock func() time.Duration
-	// Log gets messages for operators, never one for each request.
+	// Log receives messages for operators, but none per request.
 	Log *logrus.Entry
-	// RecordFile is the file to which requests are recorded; empty for no recording.
-	// Records are appended to what it holds.
+	// RecordFile is the file to which records of requests are appended; empty for no
+	// recording.
 	RecordFile string
-	// Edges are the protocols of callers and back ends; those that are nil mean the
-	// native ones.
+	// Edges implement the protocols of callers and back ends; nil fields mean the native
+	// protocols.
 	Edges Edges
 	// Router configures the choice of replicas.
 	Router kvrouter.Options
@@ -94,45 +96,48 @@
 	Outlier outlier.Options
 	// RetryBudget bounds the retries of each destination.
 	RetryBudget retrybudget.Options
-	// Claims decide among all nodes which of them runs a request that must not run twice;
-	// nil leaves that to this node's own register.
+	// Claims decide which of all nodes runs a request that must not run twice. If Claims is
+	// nil, only duplicates that reach this same node are detected.
 	Claims claimer.Claims
-	// MaxBodyBytes bounds a caller's body.
+	// MaxBodyBytes bounds the body of a caller's request.
 	MaxBodyBytes int64
 	// MaxResponseBytes bounds a response that is buffered before any of it is relayed,
 	// and one event of a streamed response.
 	MaxResponseBytes int64
-	// RequestTimeout is the time-out of requests to a destination without one.
+	// RequestTimeout is the time-out of requests to a destination that configures none.
 	RequestTimeout time.Duration
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
-	// MaxUnsent is how many attempts that could not be sent are not counted among these.
+	// MaxUnsent is how many attempts that could not be sent a request may have beyond
+	// MaxAttempts.
 	MaxUnsent int
-	// BackendRetry is when a caller may retry after a failure of a back end.
+	// BackendRetry is the time after which a caller may retry if no back end was available
+	// or a back end refused the request. A longer time given by the back end replaces it.
 	BackendRetry time.Duration
-	// DrainTimeout is the longest graceful shutdown.
+	// DrainTimeout bounds the duration of a graceful shutdown.
 	DrainTimeout time.Duration
-	// EventTimeout is the longest time without an event of a back end.
+	// EventTimeout is the longest time without an event on a back end's stream.
 	EventTimeout time.Duration
-	// ViewInterval is the time between two looks at the newest view.
+	// ViewInterval is the interval at which the newest view is read.
 	ViewInterval time.Duration
-	// RememberedRequests bounds the finished requests whose identity is remembered.
+	// RememberedRequests bounds the finished requests whose IDs are stored to detect
+	// duplicates.
 	RememberedRequests int
-	// RememberFor is how long their identity is remembered.
+	// RememberFor is how long the ID of a finished request is stored.
 	RememberFor time.Duration
 }
 
-// withDefaults returns the options with zero values replaced, or an error that names the
-// required one that is missing.
+// withDefaults returns the options with zero values replaced by defaults, or an error that
+// names the required option that is missing.
 func (o Options) withDefaults() (Options, error) {
 	if o.Source == nil {
-		return o, errors.New("dataplane: Options.Source is missing: give the control state to serve by")
+		return o, errors.New("dataplane: Options.Source is missing: set it to the source of control state")
 	}
 	if o.Clock == nil {
-		return o, errors.New("dataplane: Options.Clock is missing: give a clock that counts suspended time")
+		return o, errors.New("dataplane: Options.Clock is missing: set it to a clock that counts suspended time")
 	}
 	if o.Address == "" {
-		return o, errors.New("dataplane: Options.Address is missing: give the host and port to listen on")
+		return o, errors.New("dataplane: Options.Address is missing: set it to the host and port to listen on")
 	}
 	if o.Log == nil {
 		o.Log = logrus.NewEntry(logrus.StandardLogger())
@@ -156,7 +161,7 @@
 	return o, nil
 }
 
-// setDefault replaces a zero value.
+// setDefault replaces a zero value by the fallback.
 func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
--- a/internal/dataplane/prefix_wait_test.go
+++ b/internal/dataplane/prefix_wait_test.go
@@ -16,10 +16,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 )
 
-// sharedPrompt takes the assumed engine most of a second to read.
+// sharedPrompt has a prefix whose prefill takes the assumed engine most of a second.
 const sharedPrompt = "case;tokens=32000, question;tokens=16"
 
-var _ = Describe("A request whose beginning a replica is reading for another", func() {
+var _ = Describe("A request whose prompt prefix a replica is computing for another request", func() {
 	var (
 		backend  *fakeReplica
 		f        *fixture
@@ -77,7 +77,7 @@
 		Eventually(backend.requests, waitTimeout).Should(HaveLen(1))
 	})
 
-	It("is sent when the other has its first event", func() {
+	It("is sent when the first event of the other one arrives", func() {
 		generate(context.Background())
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
 		Consistently(backend.requests, 100*time.Millisecond).Should(HaveLen(1))
@@ -89,7 +89,7 @@
 		Expect(early.Load()).To(Equal(int32(1)))
 	})
 
-	It("is never sent when its caller disconnects meanwhile", func() {
+	It("is not sent if its caller disconnects while it waits", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		generate(ctx)
 		Eventually(requests, waitTimeout).Should(Equal(2.0))
--- a/internal/dataplane/recording_test.go
+++ b/internal/dataplane/recording_test.go
@@ -15,7 +15,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/recording"
 )
 
-// recorded runs requests on a recording node and returns what it has recorded.
+// recorded runs requests on a recording node and returns the records that the node has written.
 func recorded(file string, run func(*fixture), replicas ...string) []recording.Record {
 	f := newRecordingFixture(file, replicas...)
 	run(f)
@@ -53,7 +53,7 @@
 		}}))
 	})
 
-	It("writes neither prompts nor keys nor the names of chunks", func() {
+	It("records neither prompts nor keys nor chunk IDs", func() {
 		backend := newReplica(respondWith("ok"))
 		recorded(file, func(f *fixture) { f.generate() }, backend.address())
 		text, err := os.ReadFile(file)
@@ -84,7 +84,7 @@
 		Expect(records[0]).To(And(HaveField("Outcome", recording.Truncated), HaveField("Streamed", true)))
 	})
 
-	It("does not record requests that reach no destination", func() {
+	It("does not record requests that are routed to no destination", func() {
 		backend := newReplica(respondWith("ok"))
 		records := recorded(file, func(f *fixture) {
 			f.send(http.MethodGet, "unknown.example", "/")
@@ -95,7 +95,7 @@
 		Expect(records).To(HaveLen(1))
 	})
 
-	It("appends to a recording that ended within a line", func() {
+	It("appends to a recording whose last line is incomplete", func() {
 		Expect(os.WriteFile(file, []byte(`{"format":"ridgeswitch-rec`), 0o600)).To(Succeed())
 		f := newRecordingFixture(file, newReplica(respondWith("ok")).address())
 		f.generate()
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -12,9 +12,9 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 )
 
-var _ = Describe("The last look at the newest view", func() {
-	// changeAt publishes a changed view right after a look at the old one, and
-	// returns what the replicas have got when the request is answered.
+var _ = Describe("The last check of the newest view before an attempt is sent", func() {
+	// changeAt sends a request during which a changed view is published right after the
+	// given read of the view. It returns the request's outcome, and the replica.
 	changeAt := func(read int64, change func(f *fixture)) (outcome, *fakeReplica) {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
@@ -27,7 +27,7 @@
 		return f.generate(), backend
 	}
 
-	It("sends nothing to a replica that has stopped admitting, whenever that happens before it", func() {
+	It("prevents sending to a replica that has stopped admitting at any time before the check", func() {
 		const readsBeforeSending = 5
 		for read := int64(1); read <= readsBeforeSending; read++ {
 			got, backend := changeAt(read, func(f *fixture) { f.replicas[0].Admitting = false })
@@ -40,7 +40,7 @@
 		}
 	})
 
-	It("never sends a salt from before a wall", func() {
+	It("prevents sending the cache salt of an earlier sharing domain", func() {
 		for read := int64(1); read <= 4; read++ {
 			got, backend := changeAt(read, func(f *fixture) { f.sharingDomain = "court/2" })
 			Expect(got.status).To(Equal(http.StatusOK))
@@ -50,16 +50,16 @@
 		}
 	})
 
-	It("gives the salt of the newest weight version", func() {
+	It("determines the cache salt by the newest weight version", func() {
 		got, backend := changeAt(3, func(f *fixture) { f.replicas[0].WeightVersion = "weights-2" })
 		Expect(backend.requests()).To(HaveLen(1))
 		Expect(backend.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, "weights-2", "shared/1")))
-		// The replica still responds with the first version.
+		// The fake replica still responds with the first weight version.
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 	})
 })
 
-var _ = Describe("A request that comes twice", func() {
+var _ = Describe("A request that is submitted twice", func() {
 	named := header{"Request-Id", "same"}
 
 	It("is refused after its response", func() {
@@ -71,7 +71,7 @@
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(again.problem.MayHaveRun).To(BeTrue())
 		Expect(backend.requests()).To(HaveLen(1))
-		By("knowing tenants apart")
+		By("accepting the same request ID of another tenant")
 		Expect(f.generate(named, header{"Authorization", "Bearer " + schoolKey}).status).To(Equal(http.StatusOK))
 	})
 
@@ -117,7 +117,7 @@
 
 	repeatable, once := header{"Repeatable", "true"}, header{"Repeatable", "false"}
 
-	DescribeTable("after its response, of which the caller may have got nothing", func(first, second header, accepted bool) {
+	DescribeTable("after its response, which the caller may not have received", func(first, second header, accepted bool) {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
@@ -130,12 +130,12 @@
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(backend.requests()).To(HaveLen(1))
 	},
-		Entry("is accepted again if it is idempotent", repeatable, repeatable, true),
-		Entry("is refused if the first may not", once, repeatable, false),
-		Entry("is refused if the second may not", repeatable, once, false),
+		Entry("is accepted again if both are repeatable", repeatable, repeatable, true),
+		Entry("is refused if the first is not repeatable", once, repeatable, false),
+		Entry("is refused if the second is not repeatable", repeatable, once, false),
 	)
 
-	DescribeTable("while the first runs, whose caller may have gone unnoticed", func(first, second header, accepted bool) {
+	DescribeTable("while the first one runs, whose caller may have disconnected unnoticed", func(first, second header, accepted bool) {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -162,12 +162,12 @@
 		Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&responded))
 		Expect(responded.status).To(Equal(http.StatusOK))
 	},
-		Entry("is accepted if it is idempotent", repeatable, repeatable, true),
-		Entry("is refused if the first may not", once, repeatable, false),
-		Entry("is refused if the second may not", repeatable, once, false),
+		Entry("is accepted if both are repeatable", repeatable, repeatable, true),
+		Entry("is refused if the first is not repeatable", once, repeatable, false),
+		Entry("is refused if the second is not repeatable", repeatable, once, false),
 	)
 
-	It("is refused where it may not run twice after it was lost where it might have", func() {
+	It("is refused if it is not repeatable, after the response to a repeatable one was lost", func() {
 		backend := newReplica(aborting())
 		f := newFixture(backend.address())
 		Expect(f.generate(named, repeatable).problem.MayHaveRun).To(BeTrue())
@@ -175,7 +175,7 @@
 		Expect(backend.requests()).To(HaveLen(1))
 	})
 
-	DescribeTable("of a stream that was written completely, and is resumed after an event", func(resumable bool, runs int) {
+	DescribeTable("to resume a stream that was written completely", func(resumable bool, runs int) {
 		backend := newReplica(streaming("a", "b", replica.StreamEnd))
 		f := newFixture(backend.address())
 		f.route = &ridgeswitchv1.Route{Kind: ridgeswitchv1.RequestKind_STREAMING, Resumable: resumable}
@@ -185,7 +185,7 @@
 		Expect(backend.requests()).To(HaveLen(runs))
 		Expect(again.status == http.StatusOK).To(Equal(runs == 2))
 	},
-		Entry("runs again if it may be resumed", true, 2),
-		Entry("does not if it may not", false, 1),
+		Entry("runs again if the route is resumable", true, 2),
+		Entry("does not run again if the route is not resumable", false, 1),
 	)
 })
--- a/internal/dataplane/route_timeout_test.go
+++ b/internal/dataplane/route_timeout_test.go
@@ -14,18 +14,17 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-var _ = Describe("The time that a route gives a request", func() {
+var _ = Describe("The time-out of a route", func() {
 	const (
-		// routeTimeout is the route's time.
 		routeTimeout = 300 * time.Millisecond
-		// tolerance is how long after it the response may end.
+		// tolerance is how long after the route's time-out the response may end.
 		tolerance = 500 * time.Millisecond
-		// destinationTimeout is the destination's own, in milliseconds: a node that ignores
-		// the route's time ends the request then, and the specs don't hang.
+		// destinationTimeout is the destination's own time-out, in milliseconds: a node that
+		// ignores the route's time-out ends the request then, so that the specs do not hang.
 		destinationTimeout = 2000
 	)
 
-	// stalled never continues after the start of its response.
+	// stalled returns a script that begins its response and never continues it.
 	stalled := func(begin http.HandlerFunc) http.HandlerFunc {
 		return func(writer http.ResponseWriter, request *http.Request) {
 			begin(writer, request)
@@ -40,7 +39,7 @@
 		writer.(http.Flusher).Flush()
 	}
 
-	DescribeTable("ends it in time, whatever delays it", func(script http.HandlerFunc, streamed, resumable bool) {
+	DescribeTable("ends a request that gets", func(script http.HandlerFunc, streamed, resumable bool) {
 		backend, other := newReplica(script), newReplica(script)
 		f := newFixture(backend.address(), other.address())
 		f.timeout = destinationTimeout
@@ -52,7 +51,7 @@
 		Expect(took).To(BeNumerically(">=", routeTimeout))
 		Expect(took).To(BeNumerically("<", routeTimeout+tolerance))
 		if streamed {
-			Expect(got.err).To(HaveOccurred(), "a cut stream ends abnormally")
+			Expect(got.err).To(HaveOccurred(), "a truncated stream ends abnormally")
 			Expect(got.body).NotTo(ContainSubstring("[DONE]"))
 			return
 		}
@@ -63,16 +62,16 @@
 		Entry("no response", stalled(noResponse), false, false),
 		Entry("a response without a body", stalled(headerOnly), false, false),
 		Entry("a part of a response", stalled(partialBody), false, false),
-		Entry("a stream that stands still", stalled(streaming("a")), true, false),
-		Entry("a stream that stalls and may be resumed", stalled(streaming("a")), true, true),
-		Entry("a stream that goes on for ever", func(writer http.ResponseWriter, request *http.Request) {
+		Entry("a stream that stalls", stalled(streaming("a")), true, false),
+		Entry("a resumable stream that stalls", stalled(streaming("a")), true, true),
+		Entry("a stream without end", func(writer http.ResponseWriter, request *http.Request) {
 			for number := 0; request.Context().Err() == nil; number++ {
 				streaming(fmt.Sprint(number))(writer, request)
 			}
 		}, true, false),
 	)
 
-	It("ends the wait in the queue too, and says that nothing has run", func() {
+	It("ends the wait of a queued request, with an error that says that it has not run", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
@@ -98,7 +97,7 @@
 		release()
 		var earlier outcome
 		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&earlier))
-		Expect(earlier.status).To(Equal(http.StatusOK), "the earlier one has its own time")
+		Expect(earlier.status).To(Equal(http.StatusOK), "the earlier request has its own time-out")
 		Expect(backend.requests()).To(HaveLen(1))
 	})
 })
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -26,7 +26,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter"
 )
 
-// clientName names the client of back ends in go-zero's metrics.
+// clientName is the name of the HTTP client for back ends in go-zero's metrics.
 const clientName = "backends"
 
 // Server serves callers on one address.
@@ -53,14 +53,14 @@
 	// recorder is nil if requests are not recorded.
 	recorder *recorder.Recorder
 
-	// stopped is closed when the server is released.
+	// stopped is closed by release.
 	stopped  chan struct{}
 	stopOnce sync.Once
 }
 
 var _ routing.LoadReader = (*Server)(nil)
 
-// New returns a server that does nothing before Start.
+// New returns a server that is not started.
 func New(options Options) (*Server, error) {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -111,8 +111,8 @@
 	return server, nil
 }
 
-// newFeeds returns the feeds of the native protocol's event streams. Back ends whose
-// reports are read page by page push none.
+// newFeeds returns the feeds that read the event streams of the native protocol. Back ends
+// whose reports are read page by page have no event streams.
 func (s *Server) newFeeds() *feeds.Manager {
 	options := feeds.Options{
 		Router: s.router, Quarantine: s.quarantine, Health: s.health.Detector, Clock: s.options.Clock, Log: s.options.Log,
@@ -141,8 +141,8 @@
 	})
 }
 
-// Start binds the address and serves until Drain or Stop. It returns nil after
-// these, and otherwise why it could not serve.
+// Start binds the address and serves until Drain or Stop. It returns nil after Drain or Stop,
+// and otherwise an error that says why it could not serve.
 func (s *Server) Start() error {
 	supervisor := suture.New("traffic", suture.Spec{
 		EventHook: func(event suture.Event) { s.options.Log.Warn(event.String()) },
@@ -168,19 +168,20 @@
 	return err
 }
 
-// Listening is closed when the address is bound.
+// Listening returns a channel that is closed when the address is bound.
 func (s *Server) Listening() <-chan struct{} {
 	return s.listener.Listening()
 }
 
-// Address returns the address that is listened on, or "" before it is bound.
+// Address returns the address that the server listens on, or "" before it is bound.
 func (s *Server) Address() string {
 	return s.listener.Address()
 }
 
-// Drain accepts no new connection, and returns when the running requests have ended, or
-// with an error when ctx ends first; then Stop must follow. Before it is called, the node must
-// have reported itself as not ready for long enough that load balancers send it nothing new.
+// Drain stops accepting connections and returns when the running requests have ended, or with
+// an error when ctx ends first; then the caller must call Stop. Before Drain is called, the node
+// must have reported itself as not ready for long enough that load balancers send it no new
+// requests.
 func (s *Server) Drain(ctx context.Context) error {
 	err := s.listener.Shutdown(ctx)
 	if err == nil {
@@ -189,7 +190,7 @@
 	return err
 }
 
-// Stop ends everything at once. Running requests are aborted.
+// Stop closes all connections at once, which aborts running requests.
 func (s *Server) Stop() {
 	s.listener.Close()
 	s.release()
@@ -211,7 +212,7 @@
 	return s.dispatcher.InFlight(address)
 }
 
-// Stats returns the counters of every destination that was routed to.
+// Stats returns the counters of every destination to which a request was routed.
 func (s *Server) Stats() []DestinationStats {
 	now := s.options.Clock()
 	stats := s.destinations.Stats()
@@ -221,7 +222,8 @@
 	return stats
 }
 
-// RecordStats returns the counters of the recorder; zero without one.
+// RecordStats returns the counters of the recorder, which are zero if requests are not
+// recorded.
 func (s *Server) RecordStats() recorder.Stats {
 	if s.recorder == nil {
 		return recorder.Stats{}
--- a/internal/dataplane/server_test.go
+++ b/internal/dataplane/server_test.go
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("Server", func() {
-	It("finishes running requests before it ends, and accepts no new ones", func() {
+	It("finishes running requests before it stops, and accepts no new ones", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if strings.HasSuffix(request.URL.Path, "events") {
@@ -53,7 +53,7 @@
 		cancel()
 		Expect(f.server.Drain(expired)).NotTo(Succeed(), "a request is running")
 		_, err := post(address)
-		Expect(err).To(HaveOccurred(), "no new connection is taken")
+		Expect(err).To(HaveOccurred(), "no new connection is accepted")
 
 		close(proceed)
 		Expect(<-responded).To(Equal("late"))
@@ -61,7 +61,7 @@
 		Expect(<-ended).NotTo(HaveOccurred())
 	})
 
-	It("says why it cannot listen", func() {
+	It("reports why it cannot listen", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture()
 		server, err := dataplane.New(dataplane.Options{
@@ -71,7 +71,7 @@
 		Expect(server.Start()).To(MatchError(ContainSubstring("address already in use")))
 	})
 
-	DescribeTable("says which option is missing", func(options dataplane.Options, remedy string) {
+	DescribeTable("reports which option is missing or invalid", func(options dataplane.Options, remedy string) {
 		_, err := dataplane.New(options)
 		Expect(err).To(MatchError(ContainSubstring(remedy)))
 	},
--- a/internal/dataplane/snapshot_exchange_internal_test.go
+++ b/internal/dataplane/snapshot_exchange_internal_test.go
@@ -17,14 +17,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-var _ = Describe("What a node knows of cached chunks when it has started", func() {
+var _ = Describe("The index of cached chunks of a node that has started", func() {
 	const backend = "127.0.0.1:9000"
 	var now time.Duration
 	var live []member.Info
-	// reader is what the next node reads reports with.
+	// reader is the ReportReader of the next node that newNode makes.
 	var reader ReportReader
 
-	// newNode returns a server that runs nothing by itself.
+	// newNode returns a server that is not started.
 	newNode := func(id string) *Server {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
@@ -41,8 +41,8 @@
 		DeferCleanup(server.Stop)
 		return server
 	}
-	// deliver hands over what each server has for another one, and returns how
-	// many batches that were.
+	// deliver delivers the snapshot messages that are due between the servers, and returns
+	// the number of delivered batches.
 	deliver := func(servers ...*Server) int {
 		delivered := 0
 		for _, from := range servers {
@@ -57,7 +57,8 @@
 		}
 		return delivered
 	}
-	// report tells a server of changes of the back end, from a number on.
+	// report applies a page of reports with the changes from+1 to next of the back end to a
+	// server.
 	report := func(server *Server, from, next uint64) {
 		page := gossip.Report{Address: backend, Feed: cachefeed.Position{Incarnation: 7, From: from, Next: next}}
 		for sequence := from + 1; sequence <= next; sequence++ {
@@ -73,7 +74,7 @@
 
 	BeforeEach(func() { now, live, reader = 0, nil, nil })
 
-	It("is what the others know, with the changes since", func() {
+	It("contains the index of a peer, and later changes", func() {
 		old := newNode("old")
 		Expect(old.snapshots.Done(now)).To(BeFalse())
 		now = 10 * time.Second
@@ -90,7 +91,7 @@
 		Expect(at).To(Equal(cachefeed.Position{Incarnation: 7, Next: 5001}))
 	})
 
-	It("goes on from where it was read before, instead of from the beginning", func() {
+	It("continues at the position up to which a peer has read, not from the beginning", func() {
 		old := newNode("old")
 		Expect(old.snapshots.Done(now)).To(BeFalse())
 		now = 10 * time.Second
@@ -104,7 +105,7 @@
 		Expect(since).To(Equal(uint64(50)))
 	})
 
-	It("is nothing when all have started at once, which all find out without waiting for each other", func() {
+	It("stays empty when all nodes start at once, without waiting for each other", func() {
 		servers := []*Server{newNode("one"), newNode("two"), newNode("three")}
 		for range 5 {
 			deliver(servers...)
@@ -117,7 +118,7 @@
 		}
 	})
 
-	It("is waited for before this node reads any report itself", func() {
+	It("is filled from reports only after the node has waited for a snapshot", func() {
 		readsSince := make(observedReads, 1)
 		newNode("silent")
 		reader = readsSince
@@ -126,21 +127,22 @@
 		live = []member.Info{live[1], {ID: live[0].ID, Zone: "b", TrafficAddress: "served"}}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		// follow looks at the view and the live nodes. What it begins to read says so.
+		// follow reconciles the readers with the view and the live nodes. A read that it
+		// starts sends the step to readsSince.
 		follow := func(step string) {
 			started.readers.Follow(context.WithValue(ctx, followStep{}, step), view)
 		}
-		follow("as the nodes are not known")
+		follow("before the nodes are known")
 		now = 500 * time.Millisecond
 		Expect(started.SnapshotMessages(live)).To(HaveLen(1))
 		Expect(started.AwaitingSnapshot()).To(BeTrue())
-		follow("as the snapshot is waited for")
+		follow("while the snapshot may arrive")
 		now += time.Second
-		follow("as it did not come")
-		Expect(<-readsSince).To(Equal("as it did not come"))
+		follow("after the snapshot timed out")
+		Expect(<-readsSince).To(Equal("after the snapshot timed out"))
 	})
 
-	It("goes to the other nodes, where this node has read it itself", func() {
+	It("is sent to the other nodes as far as this node has read it from reports", func() {
 		server := newNode("node")
 		page := gossip.Report{
 			Address: backend, Feed: cachefeed.Position{Incarnation: 7, Next: 1},
@@ -151,10 +153,11 @@
 	})
 })
 
-// followStep is the key of a context's value which names the step that began a read.
+// followStep is the context key of the name of the step that started a read.
 type followStep struct{}
 
-// observedReads is a reader of reports that gets none. It says which step began a read.
+// observedReads is a ReportReader that gets no reports. It receives the step that started a
+// read.
 type observedReads chan any
 
 func (o observedReads) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (ReportPage, error) {
@@ -170,7 +173,7 @@
 	return ReportPage{}, ctx.Err()
 }
 
-// noSource is control state without a view.
+// noSource is a routing.Source without a view.
 type noSource struct{}
 
 func (noSource) View() *routing.View { return nil }
--- a/internal/dataplane/split_route_test.go
+++ b/internal/dataplane/split_route_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("A split route", func() {
-	It("sends each destination its fraction, whatever other routes get", func() {
+	It("sends each destination its fraction of the requests, independently of other routes", func() {
 		const requests, maximum = 60, 3
 		pooled, web := newReplica(respondWith("ok")), newReplica(respondWith("ok"))
 		f := newFixture(pooled.address())
--- a/internal/dataplane/startup_gate_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
-// unresponsiveReports are replicas that this node does not read.
+// unresponsiveReports is a dataplane.ReportReader that gets no response.
 type unresponsiveReports struct{}
 
 func (unresponsiveReports) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (dataplane.ReportPage, error) {
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("A node that has just started", func() {
-	It("sends no prompt until it knows what the replicas have cached", func() {
+	It("sends no prompt until it knows the cached chunks of the replicas", func() {
 		backend := newReplica(respondWith("done"))
 		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, backend.address())
 		f.timeout = 50
--- a/internal/dataplane/stats.go
+++ b/internal/dataplane/stats.go
@@ -11,12 +11,12 @@
 	Name string
 	// WebService distinguishes a web service from a pool.
 	WebService bool
-	// InFlight counts the attempts. A back end that several destinations share is counted
-	// for each.
+	// InFlight counts the attempts. Attempts on a back end that several destinations share
+	// count for each of them.
 	InFlight int
 }
 
-// Load returns the load of every destination of the newest view, in no order.
+// Load returns the load of every destination of the newest view, in no particular order.
 func (s *Server) Load() []DestinationLoad {
 	view := s.options.Source.View()
 	if view == nil {
@@ -32,7 +32,7 @@
 	return loads
 }
 
-// inFlightOn returns how many attempts run on back ends.
+// inFlightOn returns how many attempts run on the given back ends through this node.
 func (s *Server) inFlightOn(replicas []routing.Replica) int {
 	total := 0
 	for _, replica := range replicas {
--- a/internal/dataplane/stream_test.go
+++ b/internal/dataplane/stream_test.go
@@ -16,7 +16,7 @@
 var _ = Describe("A streamed response", func() {
 	accept := header{"Accept", caller.StreamType}
 
-	It("passes with its end", func() {
+	It("is forwarded with its end marker", func() {
 		backend := newReplica(streaming("a", "b", replica.StreamEnd))
 		got := newFixture(backend.address()).generate(accept)
 		Expect(got.err).NotTo(HaveOccurred())
@@ -25,7 +25,7 @@
 		Expect(backend.requests()[0].Header.Get("Accept")).To(Equal(caller.StreamType))
 	})
 
-	It("is handed on as it comes", func() {
+	It("is forwarded event by event", func() {
 		read := make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
@@ -51,7 +51,7 @@
 		Expect(string(remainder)).To(HaveSuffix("data: [DONE]\n\n"))
 	})
 
-	It("that lacks its end never ends cleanly", func() {
+	It("without its end marker ends with an error", func() {
 		got := newFixture(newReplica(streaming("a", "b")).address()).generate(accept)
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.err).To(MatchError(io.ErrUnexpectedEOF))
@@ -59,13 +59,13 @@
 		Expect(got.body).To(ContainSubstring(string(caller.KindResponseTruncated)))
 	})
 
-	It("that goes on after its end never ends cleanly", func() {
+	It("that continues after its end marker ends with an error", func() {
 		got := newFixture(newReplica(streaming("a", replica.StreamEnd, "b")).address()).generate(accept)
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).NotTo(ContainSubstring("data: b"))
 	})
 
-	It("that is truncated by the deadline says so", func() {
+	It("that is truncated by the deadline ends with an error that says so", func() {
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			<-request.Context().Done()
@@ -75,7 +75,7 @@
 		Expect(got.body).To(ContainSubstring(string(caller.KindDeadlineExceeded)))
 	})
 
-	It("that fails before its first event is a typed error", func() {
+	It("that fails before its first event is replaced by a typed error", func() {
 		got := newFixture(newReplica(streaming()).address()).generate(accept)
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusBadGateway))
--- a/internal/dataplane/tenant_limiter_test.go
+++ b/internal/dataplane/tenant_limiter_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("A tenant's limits", func() {
-	It("refuse at once what comes too fast, and say when to retry", func() {
+	It("refuse at once requests above the rate, and say when to retry", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
 		f.limits = &ridgeswitchv1.Limits{RequestsPerSecond: 0.5, Burst: 1}
@@ -29,7 +29,7 @@
 		Expect(f.server.Stats()[0].Refusals).To(HaveLen(1))
 	})
 
-	It("queue what cannot run yet, and refuse what finds the queue full", func() {
+	It("queue requests that cannot run yet, and refuse requests when the queue is full", func() {
 		arrived, proceed := make(chan struct{}, 3), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
@@ -42,7 +42,7 @@
 		results := make(chan outcome, 3)
 		go func() { results <- f.generate() }()
 		<-arrived
-		// Of two more, one waits and one is refused, whichever comes first.
+		// Of two more requests, one is queued and one is refused, in either order.
 		for range 2 {
 			go func() { results <- f.generate() }()
 		}
@@ -54,7 +54,7 @@
 		Expect((<-results).status).To(Equal(http.StatusOK))
 	})
 
-	It("let nothing wait longer than the queue permits", func() {
+	It("let no request wait longer than the queue time-out", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
@@ -87,7 +87,7 @@
 		}
 		send(courtKey, "court-0")
 		Expect(<-entered).To(Equal("court-0"))
-		// Of three requests two wait, which the refusal of the third shows.
+		// Two of three requests are queued; the refusal of the third one shows that they are.
 		for _, tenant := range []struct{ key, name string }{{courtKey, "court"}, {schoolKey, "school"}} {
 			for number := 1; number <= 3; number++ {
 				send(tenant.key, fmt.Sprintf("%s-%d", tenant.name, number))
@@ -104,7 +104,7 @@
 		}
 	})
 
-	It("refuse at once what would miss its deadline in the queue, and say when to retry", func() {
+	It("refuse at once a request that would miss its deadline in the queue, and say when to retry", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 		var f *fixture
 		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -8,9 +8,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// TakeUpdate returns, and forgets, what the other nodes are to learn of this node's traffic
-// since the last call. It also counts overdue attempts. A node calls it each 50 ms,
-// and sends what it returns.
+// TakeUpdate returns the update about this node's traffic since the last call, and removes it
+// from the queue. It also counts overdue attempts. The node calls it every 50 ms and sends the
+// update to the other nodes.
 func (s *Server) TakeUpdate() gossip.Update {
 	now := s.options.Clock()
 	s.health.CountOverdue(now)
@@ -43,19 +43,20 @@
 	s.updateStartupGate()
 }
 
-// publishReport sends a page of reports that this node has read to the other nodes.
+// publishReport queues a page of reports that this node has read for the other nodes.
 func (s *Server) publishReport(report gossip.Report) {
 	s.updateStartupGate()
 	s.updates.AddReport(report)
 }
 
-// updateStartupGate opens the start-up gate if that is due.
+// updateStartupGate opens the start-up gate if the cached chunks of enough replicas are known
+// or its deadline has passed.
 func (s *Server) updateStartupGate() {
 	s.startupGate.Update(s.options.Clock(), s.options.Source.View(), s.router.ChunksComplete)
 }
 
 // SnapshotMessages returns the snapshot requests and responses that are due. It is called
-// periodically, with the live nodes.
+// periodically with the live nodes.
 func (s *Server) SnapshotMessages(live []member.Info) []gossip.Outbound {
 	return s.snapshots.Tick(s.options.Clock(), live)
 }
--- a/internal/dataplane/view_reconciler.go
+++ b/internal/dataplane/view_reconciler.go
@@ -7,16 +7,16 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// viewReconciler brings what depends on the view and on the live nodes up to date. Its
-// state belongs to the goroutine that runs Serve.
+// viewReconciler updates the state that depends on the newest view and on the live nodes. Its
+// fields belong to the goroutine that runs Serve.
 type viewReconciler struct {
 	server *Server
-	// last is the view that was followed last.
+	// last is the view that was reconciled last.
 	last *routing.View
 }
 
-// Serve implements suture.Service: it looks at the newest view and the live nodes
-// until ctx ends.
+// Serve implements suture.Service: it reads the newest view and the live nodes periodically
+// until ctx ends, and resynchronizes feeds that have missed events.
 func (r *viewReconciler) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(r.server.options.ViewInterval)
 	defer ticker.Stop()
@@ -32,8 +32,8 @@
 	}
 }
 
-// String implements fmt.Stringer for the supervisor's messages.
-func (r *viewReconciler) String() string { return "view follower" }
+// String implements fmt.Stringer. The supervisor logs the name.
+func (r *viewReconciler) String() string { return "view reconciler" }
 
 // reconcile starts and stops feeds, and forgets tenants and back ends that a new view does
 // not list.
--- a/internal/dataplane/web_backend_test.go
+++ b/internal/dataplane/web_backend_test.go
@@ -20,7 +20,7 @@
 	return server.Listener.Addr().String()
 }
 
-// newWebFixture starts a node with the back ends of a web service.
+// newWebFixture starts a node with a web service that has back ends at the addresses.
 func newWebFixture(addresses ...string) *fixture {
 	f := newFixture()
 	for _, address := range addresses {
@@ -31,7 +31,7 @@
 }
 
 var _ = Describe("A request to a web service", func() {
-	It("passes unchanged, without the caller's key, and so does the response", func() {
+	It("is forwarded unchanged but for the caller's key, and its response but for hop-by-hop headers", func() {
 		seen := make(chan *http.Request, 1)
 		f := newWebFixture(newWeb(func(writer http.ResponseWriter, request *http.Request) {
 			seen <- request
@@ -111,9 +111,9 @@
 		Expect(got.status).To(Equal(expected))
 		Expect(got.problem.MayHaveRun).To(Equal(mayHaveRun))
 	},
-		Entry("is fetched again", http.MethodGet, true, http.StatusOK, false),
-		Entry("is not fetched again beyond the budget", http.MethodGet, false, http.StatusBadGateway, true),
-		Entry("is not sent again if it may not be repeated", http.MethodPost, true, http.StatusBadGateway, true),
+		Entry("is retried if it may be repeated", http.MethodGet, true, http.StatusOK, false),
+		Entry("is not retried beyond the retry budget", http.MethodGet, false, http.StatusBadGateway, true),
+		Entry("is not retried if it may not be repeated", http.MethodPost, true, http.StatusBadGateway, true),
 	)
 
 	It("is refused when no back end admits", func() {
