--- a/internal/dataplane/backend_health_test.go
+++ b/internal/dataplane/backend_health_test.go
@@ -41,19 +41,19 @@
 func (b *faultInjectingEdge) Send(ctx context.Context, attempt dataplane.Attempt) (dataplane.Response, error) {
 	b.mutex.Lock()
 	b.sent[attempt.Address]++
-	fault := b.faulty[attempt.Address] && (b.sent[attempt.Address]-1)%b.faultEvery == 0
+	fails := b.faulty[attempt.Address] && (b.sent[attempt.Address]-1)%b.faultEvery == 0
 	b.mutex.Unlock()
-	if fault {
+	if fails {
 		return b.fault(ctx)
 	}
 	return completeResponse{}, nil
 }
 
 // setFaulty makes a back end faulty or healthy.
-func (b *faultInjectingEdge) setFaulty(address string, grey bool) {
+func (b *faultInjectingEdge) setFaulty(address string, faulty bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.faulty[address] = grey
+	b.faulty[address] = faulty
 }
 
 // count returns how many attempts were sent to a back end.
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -49,7 +49,7 @@
 }
 
 var _ = Describe("A request that must not run twice", func() {
-	named := header{"Request-Id", "r-1"}
+	requestID := header{"Request-Id", "r-1"}
 
 	newNode := func(claims *scriptedClaims, script http.HandlerFunc) (*fixture, *fakeReplica) {
 		backend := newReplica(script)
@@ -60,7 +60,7 @@
 	It("is claimed before it is sent, and the claim ends with the request possibly run", func() {
 		claims := &scriptedClaims{validChecks: 10}
 		f, backend := newNode(claims, respondWith("ok"))
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
 		Expect(claims.claimed).To(Equal([]string{"court/r-1"}))
 		Expect(backend.requests()).To(HaveLen(1))
 		f.front.Close()
@@ -70,7 +70,7 @@
 	It("has its claim released if it has certainly not run", func() {
 		claims := &scriptedClaims{validChecks: 10}
 		f, _ := newNode(claims, refusing())
-		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
+		Expect(f.generate(requestID).problem.MayHaveRun).To(BeFalse())
 		f.front.Close()
 		Expect(claims.ended).To(Equal([]bool{false}))
 	})
@@ -78,14 +78,14 @@
 	It("counts as possibly run if its response was lost", func() {
 		claims := &scriptedClaims{validChecks: 10}
 		f, _ := newNode(claims, aborting())
-		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
+		Expect(f.generate(requestID).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		f.front.Close()
 		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
 	It("is refused when another node has claimed it", func() {
 		f, backend := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
-		got := f.generate(named)
+		got := f.generate(requestID)
 		Expect(got.status).To(Equal(http.StatusConflict))
 		Expect(got.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
@@ -96,19 +96,19 @@
 	It("is refused while the claim is undecided, and may be retried at the same node", func() {
 		claims := &scriptedClaims{refusal: claimer.ErrClaimUndecided, validChecks: 10}
 		f, backend := newNode(claims, respondWith("ok"))
-		got := f.generate(named)
+		got := f.generate(requestID)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(got.header.Get("Retry-After")).To(Equal("1"))
 		Expect(backend.requests()).To(BeEmpty())
 		claims.refusal = nil
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
 	})
 
 	It("is not sent once its claim is lost", func() {
 		f, backend := newNode(&scriptedClaims{validChecks: 0}, respondWith("ok"))
-		got := f.generate(named)
+		got := f.generate(requestID)
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(backend.requests()).To(BeEmpty())
@@ -116,7 +116,7 @@
 
 	DescribeTable("is retried only while its claim is valid", func(validChecks, sent int) {
 		script := func(writer http.ResponseWriter, request *http.Request) {
-			if request.Header.Get("Request-Id") == named.value {
+			if request.Header.Get("Request-Id") == requestID.value {
 				refusing()(writer, request)
 				return
 			}
@@ -129,7 +129,7 @@
 		f.publish()
 		f.fillRetryBudget()
 		before := len(first.requests()) + len(second.requests())
-		got := f.generate(named)
+		got := f.generate(requestID)
 		Expect(got.problem.MayHaveRun).To(Equal(sent == 1))
 		Expect(len(first.requests()) + len(second.requests()) - before).To(Equal(sent))
 	},
@@ -140,7 +140,7 @@
 	It("needs no claim if it is repeatable or has no request ID from the caller", func() {
 		claims := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
 		f, _ := newNode(claims, respondWith("ok"))
-		Expect(f.generate(named, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
+		Expect(f.generate(requestID, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 		Expect(claims.claimed).To(BeEmpty())
 	})
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -60,19 +60,19 @@
 })
 
 var _ = Describe("A request that is submitted twice", func() {
-	named := header{"Request-Id", "same"}
+	requestID := header{"Request-Id", "same"}
 
 	It("is refused after its response", func() {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
-		again := f.generate(named)
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
+		again := f.generate(requestID)
 		Expect(again.status).To(Equal(http.StatusConflict))
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(again.problem.MayHaveRun).To(BeTrue())
 		Expect(backend.requests()).To(HaveLen(1))
 		By("accepting the same request ID of another tenant")
-		Expect(f.generate(named, header{"Authorization", "Bearer " + schoolKey}).status).To(Equal(http.StatusOK))
+		Expect(f.generate(requestID, header{"Authorization", "Bearer " + schoolKey}).status).To(Equal(http.StatusOK))
 	})
 
 	It("is refused while it runs", func() {
@@ -84,9 +84,9 @@
 		})
 		f := newFixture(backend.address())
 		first := make(chan outcome)
-		go func() { first <- f.generate(named) }()
+		go func() { first <- f.generate(requestID) }()
 		<-arrived
-		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindDuplicateRequest))
+		Expect(f.generate(requestID).problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		close(proceed)
 		Expect((<-first).status).To(Equal(http.StatusOK))
 		Expect(backend.requests()).To(HaveLen(1))
@@ -102,16 +102,16 @@
 			respondWith("ok")(writer, request)
 		})
 		f := newFixture(backend.address())
-		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
+		Expect(f.generate(requestID).problem.MayHaveRun).To(BeFalse())
 		refuse = false
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
 	})
 
 	It("is not accepted again when it may have run", func() {
 		backend := newReplica(aborting())
 		f := newFixture(backend.address())
-		Expect(f.generate(named).problem.MayHaveRun).To(BeTrue())
-		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindDuplicateRequest))
+		Expect(f.generate(requestID).problem.MayHaveRun).To(BeTrue())
+		Expect(f.generate(requestID).problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(backend.requests()).To(HaveLen(1))
 	})
 
@@ -120,8 +120,8 @@
 	DescribeTable("after its response, which the caller may not have received", func(first, second header, accepted bool) {
 		backend := newReplica(respondWith("ok"))
 		f := newFixture(backend.address())
-		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
-		again := f.generate(named, second)
+		Expect(f.generate(requestID, first).status).To(Equal(http.StatusOK))
+		again := f.generate(requestID, second)
 		if accepted {
 			Expect(again.status).To(Equal(http.StatusOK))
 			Expect(backend.requests()).To(HaveLen(2))
@@ -146,9 +146,9 @@
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		responses := make(chan outcome, 2)
-		go func() { responses <- f.generate(named, first) }()
+		go func() { responses <- f.generate(requestID, first) }()
 		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
-		go func() { responses <- f.generate(named, second) }()
+		go func() { responses <- f.generate(requestID, second) }()
 		if accepted {
 			Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		} else {
@@ -170,8 +170,8 @@
 	It("is refused if it is not repeatable, after the response to a repeatable one was lost", func() {
 		backend := newReplica(aborting())
 		f := newFixture(backend.address())
-		Expect(f.generate(named, repeatable).problem.MayHaveRun).To(BeTrue())
-		Expect(f.generate(named, once).problem.Kind).To(Equal(caller.KindDuplicateRequest))
+		Expect(f.generate(requestID, repeatable).problem.MayHaveRun).To(BeTrue())
+		Expect(f.generate(requestID, once).problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(backend.requests()).To(HaveLen(1))
 	})
 
@@ -180,8 +180,8 @@
 		f := newFixture(backend.address())
 		f.route = &ridgeswitchv1.Route{Kind: ridgeswitchv1.RequestKind_STREAMING, Resumable: resumable}
 		f.publish()
-		Expect(f.generate(named).err).NotTo(HaveOccurred())
-		again := f.generate(named, header{"Last-Event-Id", "1"})
+		Expect(f.generate(requestID).err).NotTo(HaveOccurred())
+		again := f.generate(requestID, header{"Last-Event-Id", "1"})
 		Expect(backend.requests()).To(HaveLen(runs))
 		Expect(again.status == http.StatusOK).To(Equal(runs == 2))
 	},
