--- a/internal/dataplane/attempt_test.go
+++ b/internal/dataplane/attempt_test.go
@@ -19,15 +19,15 @@
 )
 
 var _ = Describe("Attempts", func() {
-	var healthy *replicaStandIn
+	var healthy *fakeReplica
 
 	BeforeEach(func() {
 		healthy = newReplica(respondWith("ok"))
 	})
 
-	It("that find no listener go elsewhere, and the next ones avoid it", func() {
+	It("to an address without a listener are retried elsewhere, and later requests avoid the address", func() {
 		f := newFixture(healthy.address())
-		f.earn()
+		f.fillRetryBudget()
 		f.replicas = append(f.replicas, f.replicas[0])
 		f.replicas[0].Address = closedAddress()
 		f.publish()
@@ -38,24 +38,24 @@
 		Expect(f.server.Stats()[0].Retries).To(Equal(uint64(1)))
 	})
 
-	It("that find no listener have certainly not run", func() {
+	It("to an address without a listener are reported as not run", func() {
 		got := newFixture(closedAddress()).generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindNoBackend))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	DescribeTable("over two replicas of which one fails", func(script http.HandlerFunc, repeatable string, expected int, mayHaveRun bool) {
+	DescribeTable("on two replicas of which one fails", func(script http.HandlerFunc, repeatable string, expected int, mayHaveRun bool) {
 		failing := newReplica(script)
 		f := newFixture(healthy.address())
-		f.earn()
+		f.fillRetryBudget()
 		f.replicas = append(f.replicas, f.replicas[0])
 		f.replicas[0].Address = failing.address()
 		f.replicas[1].Admitting = false
 		f.publish()
-		// The healthy replica begins to admit once the first attempt is on
-		// its way, so that the order of the attempts is certain.
-		f.source.onServing = func(look int) {
+		// The healthy replica begins to admit after the first attempt was sent, so that
+		// the order of the attempts is deterministic.
+		f.source.onServing = func(call int) {
 			if len(failing.requests()) == 1 {
 				f.replicas[1].Admitting = true
 				f.publish()
@@ -71,12 +71,12 @@
 			Expect(f.server.Stats()[0].Retries).To(Equal(uint64(1)))
 		}
 	},
-		Entry("a refusal is repeated", refusing(), "false", http.StatusOK, false),
-		Entry("a lost response is not", dying(), "false", http.StatusBadGateway, true),
-		Entry("a lost response is, if idempotent", dying(), "true", http.StatusOK, false),
+		Entry("are retried after a refusal", refusing(), "false", http.StatusOK, false),
+		Entry("are not retried after a lost response", aborting(), "false", http.StatusBadGateway, true),
+		Entry("are retried after a lost response if the request is idempotent", aborting(), "true", http.StatusOK, false),
 	)
 
-	It("are not repeated beyond the budget", func() {
+	It("are not retried beyond the retry budget", func() {
 		f := newFixture(newReplica(refusing()).address(), newReplica(refusing()).address())
 		got := f.generate(header{"Repeatable", "true"})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -85,35 +85,35 @@
 		Expect(f.server.Stats()[0].RetriesDenied).To(Equal(uint64(1)))
 	})
 
-	It("relay when the replica wants the request to be retried", func() {
+	It("result in a Retry-After when the replica refuses the request", func() {
 		got := newFixture(newReplica(refusing()).address()).generate()
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).To(Or(Equal("1"), Equal("3")))
 	})
 
-	It("end at the deadline, with the word that the request may have run", func() {
+	It("end at the deadline, with an error that says that the request may have run", func() {
 		left := make(chan struct{})
-		stand := newReplica(func(_ http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(_ http.ResponseWriter, request *http.Request) {
 			<-request.Context().Done()
 			close(left)
 		})
-		got := newFixture(stand.address()).generate(header{"Deadline-Ms", "400"})
+		got := newFixture(backend.address()).generate(header{"Deadline-Ms", "400"})
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
 		Expect(got.problem.Kind).To(Equal(caller.KindDeadlineExceeded))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
-		Expect(got.header).NotTo(HaveKey("Retry-After"), "sending it again is not safe")
+		Expect(got.header).NotTo(HaveKey("Retry-After"), "the request may have run, so that the caller must not retry it")
 		Eventually(left).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
 	It("end when the caller disconnects", func() {
 		arrived := make(chan struct{})
 		left := make(chan struct{})
-		stand := newReplica(func(_ http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(_ http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-request.Context().Done()
 			close(left)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		ctx, cancel := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.front.URL, strings.NewReader(defaultBody))
 		Expect(err).NotTo(HaveOccurred())
@@ -121,7 +121,7 @@
 		request.Header.Set("Authorization", "Bearer "+courtKey)
 		go func() {
 			<-arrived
-			Expect(f.server.InFlight(stand.address())).To(Equal(1))
+			Expect(f.server.InFlight(backend.address())).To(Equal(1))
 			cancel()
 		}()
 		_, err = http.DefaultClient.Do(request)
@@ -135,14 +135,14 @@
 			full = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nAttempt-Id: ATTEMPT\r\n\r\n" +
 				"9\r\ndata: a\n\n\r\ne\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
 		}
-		backend := newCuttingReplica(full)
+		backend := newTruncatingReplica(full)
 		f := newFixture(backend.listener.Addr().String())
 		complete := 0
 		for truncated := range len(full) + 1 {
-			backend.cut.Store(int64(truncated))
+			backend.truncateAt.Store(int64(truncated))
 			before := backend.runs.Load()
 			got := f.generate()
-			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "cut after %d bytes", truncated)
+			Expect(backend.runs.Load()-before).To(Equal(int64(1)), "truncated after %d bytes", truncated)
 			switch {
 			case got.err != nil:
 				Expect(streamed).To(BeTrue())
@@ -160,27 +160,27 @@
 		}
 		Expect(complete).To(BeNumerically(">", 0))
 		Expect(complete).To(BeNumerically("<", 12))
-	}, Entry("whole", false), Entry("streamed", true))
+	}, Entry("buffered", false), Entry("streamed", true))
 })
 
-// cuttingReplica responds to each request with the first bytes of a script.
-type cuttingReplica struct {
-	listener net.Listener
-	script   string
-	cut      atomic.Int64
-	runs     atomic.Int64
+// truncatingReplica responds to each request with the first bytes of a script.
+type truncatingReplica struct {
+	listener   net.Listener
+	script     string
+	truncateAt atomic.Int64
+	runs       atomic.Int64
 }
 
-func newCuttingReplica(script string) *cuttingReplica {
+func newTruncatingReplica(script string) *truncatingReplica {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	backend := &cuttingReplica{listener: listener, script: script}
+	backend := &truncatingReplica{listener: listener, script: script}
 	go backend.accept()
 	DeferCleanup(listener.Close)
 	return backend
 }
 
-func (c *cuttingReplica) accept() {
+func (c *truncatingReplica) accept() {
 	for {
 		connection, err := c.listener.Accept()
 		if err != nil {
@@ -191,8 +191,8 @@
 }
 
 // serve responds to requests until the connection ends. After a complete response the
-// connection stays open, so that reuse is covered as well.
-func (c *cuttingReplica) serve(connection net.Conn) {
+// connection stays open, so that the specs also cover its reuse.
+func (c *truncatingReplica) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
@@ -203,10 +203,10 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		c.runs.Add(1)
 		script := strings.Replace(c.script, "ATTEMPT", request.Header.Get(replica.HeaderAttemptID), 1)
-		truncated := c.cut.Load()
+		truncated := c.truncateAt.Load()
 		if truncated < int64(len(c.script)) {
-			// The cut is counted from the end, as the identity has grown the
-			// script.
+			// A position after the attempt ID is counted from the end, because the
+			// ID is longer than its placeholder.
 			keep := int64(len(script)) - (int64(len(c.script)) - truncated)
 			if truncated < int64(strings.Index(c.script, "ATTEMPT")) {
 				keep = truncated
--- a/internal/dataplane/caller_disconnect_test.go
+++ b/internal/dataplane/caller_disconnect_test.go
@@ -11,15 +11,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-var _ = Describe("A caller that disconnects while its request is queued", func() {
-	DescribeTable("leaves the queue, and nothing is sent for it", func(body string) {
+var _ = Describe("A queued request", func() {
+	DescribeTable("is removed from the queue when its caller disconnects, and is not sent", func(body string) {
 		arrived, proceed := make(chan struct{}, 4), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 60000}
@@ -38,22 +38,22 @@
 		Eventually(first).WithTimeout(waitTimeout).Should(Receive(&responded))
 		Expect(responded.status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		for _, request := range stand.requests() {
+		for _, request := range backend.requests() {
 			Expect(request.Header.Get("Request-Id")).NotTo(Equal("left"))
 		}
 	},
-		Entry("with its body sent completely", "the prompt"),
-		Entry("with a part of its body sent", "the"),
+		Entry("after the whole body", "the prompt"),
+		Entry("after a part of the body", "the"),
 	)
 
-	It("is refused for a body that is too large, before a slot is free", func() {
+	It("is refused before a slot is free if its body is too large", func() {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixtureWith(func(options *dataplane.Options) { options.MaxBodyBytes = 16 }, stand.address())
+		f := newFixtureWith(func(options *dataplane.Options) { options.MaxBodyBytes = 16 }, backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		f.limits = &ridgeswitchv1.Limits{ConcurrentRequests: 1, QueuedRequests: 1, QueueTimeoutMs: 60000}
@@ -63,7 +63,7 @@
 		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		connection := f.connect()
 		connection.write(promptHead("Content-Length: 17") + "the prompt is lon")
-		response, _ := connection.answer()
+		response, _ := connection.readResponse()
 		Expect(response.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
 		Expect(f.server.Waiting()).To(BeZero())
 		release()
--- a/internal/dataplane/claims_test.go
+++ b/internal/dataplane/claims_test.go
@@ -14,14 +14,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// scriptedClaims decides as a test says, and records its calls.
+// scriptedClaims implements claimer.Claims and exchange.Claim with decisions that a test sets,
+// and records the calls.
 type scriptedClaims struct {
 	mutex   sync.Mutex
 	refusal error
-	// validLooks is how many looks at a claim find it valid.
-	validLooks int
-	claimed    []string
-	ended      []bool
+	// validChecks is how many calls of Valid return true.
+	validChecks int
+	claimed     []string
+	ended       []bool
 }
 
 func (c *scriptedClaims) Claim(_ context.Context, tenant, requestID string) (exchange.Claim, error) {
@@ -37,8 +38,8 @@
 func (c *scriptedClaims) Valid() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.validLooks--
-	return c.validLooks >= 0
+	c.validChecks--
+	return c.validChecks >= 0
 }
 
 func (c *scriptedClaims) End(mayHaveRun bool) {
@@ -48,99 +49,99 @@
 }
 
 var _ = Describe("A request that must not run twice", func() {
-	named := header{"Request-Id", "r-1"}
+	requestID := header{"Request-Id", "r-1"}
 
-	newNode := func(decided *scriptedClaims, script http.HandlerFunc) (*fixture, *replicaStandIn) {
-		stand := newReplica(script)
-		f := newFixtureWith(func(options *dataplane.Options) { options.Claims = decided }, stand.address())
-		return f, stand
+	newNode := func(claims *scriptedClaims, script http.HandlerFunc) (*fixture, *fakeReplica) {
+		backend := newReplica(script)
+		f := newFixtureWith(func(options *dataplane.Options) { options.Claims = claims }, backend.address())
+		return f, backend
 	}
 
-	It("is claimed before it is sent, and the claim ends as one that may have run", func() {
-		decided := &scriptedClaims{validLooks: 10}
-		f, stand := newNode(decided, respondWith("ok"))
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
-		Expect(decided.claimed).To(Equal([]string{"court/r-1"}))
-		Expect(stand.requests()).To(HaveLen(1))
+	It("is claimed before it is sent, and the claim ends with the request possibly run", func() {
+		claims := &scriptedClaims{validChecks: 10}
+		f, backend := newNode(claims, respondWith("ok"))
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
+		Expect(claims.claimed).To(Equal([]string{"court/r-1"}))
+		Expect(backend.requests()).To(HaveLen(1))
 		f.front.Close()
-		Expect(decided.ended).To(Equal([]bool{true}))
+		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
-	It("is released if it has certainly not run", func() {
-		decided := &scriptedClaims{validLooks: 10}
-		f, _ := newNode(decided, refusing())
-		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
+	It("has its claim released if it has certainly not run", func() {
+		claims := &scriptedClaims{validChecks: 10}
+		f, _ := newNode(claims, refusing())
+		Expect(f.generate(requestID).problem.MayHaveRun).To(BeFalse())
 		f.front.Close()
-		Expect(decided.ended).To(Equal([]bool{false}))
+		Expect(claims.ended).To(Equal([]bool{false}))
 	})
 
-	It("ends as one that may have run if its response was lost", func() {
-		decided := &scriptedClaims{validLooks: 10}
-		f, _ := newNode(decided, dying())
-		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
+	It("counts as possibly run if its response was lost", func() {
+		claims := &scriptedClaims{validChecks: 10}
+		f, _ := newNode(claims, aborting())
+		Expect(f.generate(requestID).problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		f.front.Close()
-		Expect(decided.ended).To(Equal([]bool{true}))
+		Expect(claims.ended).To(Equal([]bool{true}))
 	})
 
-	It("is refused when another node has it", func() {
-		f, stand := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
-		got := f.generate(named)
+	It("is refused when another node has claimed it", func() {
+		f, backend := newNode(&scriptedClaims{refusal: claimer.ErrAlreadyClaimed}, respondWith("ok"))
+		got := f.generate(requestID)
 		Expect(got.status).To(Equal(http.StatusConflict))
 		Expect(got.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(got.header).NotTo(HaveKey("Retry-After"))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
 	It("is refused while the claim is undecided, and may be retried at the same node", func() {
-		decided := &scriptedClaims{refusal: claimer.ErrClaimUndecided, validLooks: 10}
-		f, stand := newNode(decided, respondWith("ok"))
-		got := f.generate(named)
+		claims := &scriptedClaims{refusal: claimer.ErrClaimUndecided, validChecks: 10}
+		f, backend := newNode(claims, respondWith("ok"))
+		got := f.generate(requestID)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
 		Expect(got.header.Get("Retry-After")).To(Equal("1"))
-		Expect(stand.requests()).To(BeEmpty())
-		decided.refusal = nil
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
+		Expect(backend.requests()).To(BeEmpty())
+		claims.refusal = nil
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
 	})
 
 	It("is not sent once its claim is lost", func() {
-		f, stand := newNode(&scriptedClaims{validLooks: 0}, respondWith("ok"))
-		got := f.generate(named)
+		f, backend := newNode(&scriptedClaims{validChecks: 0}, respondWith("ok"))
+		got := f.generate(requestID)
 		Expect(got.problem.Kind).To(Equal(caller.KindClaimUndecided))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	DescribeTable("is retried only while its claim is valid", func(validLooks, sent int) {
+	DescribeTable("is retried only while its claim is valid", func(validChecks, sent int) {
 		script := func(writer http.ResponseWriter, request *http.Request) {
-			if request.Header.Get("Request-Id") == named.value {
+			if request.Header.Get("Request-Id") == requestID.value {
 				refusing()(writer, request)
 				return
 			}
 			respondWith("ok")(writer, request)
 		}
-		f, first := newNode(&scriptedClaims{validLooks: validLooks}, script)
+		f, first := newNode(&scriptedClaims{validChecks: validChecks}, script)
 		second := newReplica(script)
 		f.replicas = append(f.replicas, f.replicas[0])
 		f.replicas[1].Address = second.address()
 		f.publish()
-		f.earn()
+		f.fillRetryBudget()
 		before := len(first.requests()) + len(second.requests())
-		got := f.generate(named)
+		got := f.generate(requestID)
 		Expect(got.problem.MayHaveRun).To(Equal(sent == 1))
 		Expect(len(first.requests()) + len(second.requests()) - before).To(Equal(sent))
 	},
-		Entry("that is lost after the first attempt", 1, 1),
-		Entry("that stays valid", 10, 2),
+		Entry("which is lost after the first attempt", 1, 1),
+		Entry("which stays valid", 10, 2),
 	)
 
-	It("needs no claim if it may be repeated, or if the caller chose no identity", func() {
-		decided := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
-		f, _ := newNode(decided, respondWith("ok"))
-		Expect(f.generate(named, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
+	It("needs no claim if it is repeatable or has no request ID from the caller", func() {
+		claims := &scriptedClaims{refusal: claimer.ErrAlreadyClaimed}
+		f, _ := newNode(claims, respondWith("ok"))
+		Expect(f.generate(requestID, header{"Repeatable", "true"}).status).To(Equal(http.StatusOK))
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		Expect(decided.claimed).To(BeEmpty())
+		Expect(claims.claimed).To(BeEmpty())
 	})
 })
--- a/internal/dataplane/generate_test.go
+++ b/internal/dataplane/generate_test.go
@@ -14,14 +14,14 @@
 )
 
 var _ = Describe("A request to a pool", func() {
-	It("passes to the replica and back", func() {
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+	It("is forwarded to the replica, and the response to the caller", func() {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("Lab-Digest", "abc")
 			writer.Header().Set(replica.HeaderReusedTokens, "16")
 			writer.Header().Set("Internal-Detail", "hidden")
 			respondWith("the answer")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		got := f.generate(header{"Request-Id", "r-1"}, header{"Lab-Tenant", "court"}, header{"Output-Tokens", "8"}, header{"Idempotency-Key", "k"})
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.body).To(Equal("the answer"))
@@ -30,8 +30,8 @@
 		Expect(got.header.Get("Reused-Tokens")).To(Equal("16"))
 		Expect(got.header).NotTo(HaveKey("Internal-Detail"))
 
-		Expect(stand.requests()).To(HaveLen(1))
-		sent := stand.requests()[0].Header
+		Expect(backend.requests()).To(HaveLen(1))
+		sent := backend.requests()[0].Header
 		Expect(sent.Get(replica.HeaderModel)).To(Equal(poolModel))
 		Expect(sent.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, weightsOne, "shared/1")))
 		Expect(sent.Get(replica.HeaderPrefix)).To(Equal("case;tokens=32, question;tokens=16"))
@@ -41,29 +41,29 @@
 		Expect(sent.Get("Lab-Tenant")).To(Equal("court"))
 		Expect(sent).NotTo(HaveKey("Authorization"))
 		Expect(sent).NotTo(HaveKey("Idempotency-Key"))
-		Expect(stand.bodies).To(Equal([]string{defaultBody}))
-		Expect(f.server.InFlight(stand.address())).To(BeZero())
+		Expect(backend.bodies).To(Equal([]string{defaultBody}))
+		Expect(f.server.InFlight(backend.address())).To(BeZero())
 	})
 
-	It("gives a walled tenant its own salt", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+	It("of a walled tenant has its own cache salt", func() {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.generate()
 		f.generate(header{"Authorization", "Bearer " + schoolKey})
-		sent := stand.requests()
+		sent := backend.requests()
 		Expect(sent[0].Header.Get(replica.HeaderCacheSalt)).NotTo(Equal(sent[1].Header.Get(replica.HeaderCacheSalt)))
 	})
 
 	DescribeTable("is refused before any attempt", func(status int, kind caller.Kind, headers ...header) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		got := f.generate(headers...)
 		Expect(got.status).To(Equal(status))
 		Expect(got.problem.Kind).To(Equal(kind))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.problem.Message).NotTo(BeEmpty())
 		Expect(got.problem.RequestID).NotTo(BeEmpty())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	},
 		Entry("without a known key", 401, caller.KindUnauthorized, header{"Authorization", "Bearer other"}),
 		Entry("for another model", 400, caller.KindModelMismatch, header{"Model", "small"}),
@@ -78,9 +78,9 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindUnknownHost))
 	})
 
-	It("is refused first of all while the node may not serve", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+	It("is refused before any other check while the node may not serve", func() {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.source.refusal = errors.New("cut off")
 		got := f.generate(header{"Authorization", "Bearer other"})
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
@@ -90,7 +90,7 @@
 		Expect(got.header.Get("Retry-After")).To(Equal("1"))
 	})
 
-	DescribeTable("to a node that has no configuration is refused for now, whatever it is", func(view *routing.View) {
+	DescribeTable("is refused with a Retry-After while the node has no configuration", func(view *routing.View) {
 		f := newFixture(newReplica(respondWith("ok")).address())
 		f.source.view.Store(view)
 		for _, key := range []string{courtKey, "no key"} {
@@ -101,35 +101,35 @@
 		}
 		Expect(f.send(http.MethodGet, "gone.example", "/").status).To(Equal(http.StatusServiceUnavailable))
 	},
-		Entry("and no state at all", nil),
-		Entry("but has back ends", &routing.View{}),
-		Entry("but knows what is evacuated", &routing.View{Revision: 3, Configuration: &ridgeswitchv1.Configuration{
+		Entry("and no view", nil),
+		Entry("and an empty view", &routing.View{}),
+		Entry("but knows the evacuated zones", &routing.View{Revision: 3, Configuration: &ridgeswitchv1.Configuration{
 			Revision: 3, Evacuations: []*ridgeswitchv1.ZoneEvacuation{{Zone: "south"}},
 		}}),
 	)
 
-	It("is refused for good where the configuration has no routes", func() {
+	It("is refused with status 404 if the configuration has no routes", func() {
 		f := newFixture()
 		f.source.view.Store(&routing.View{Configuration: &ridgeswitchv1.Configuration{Source: &ridgeswitchv1.SourceVersion{Version: 7}}})
 		Expect(f.generate().status).To(Equal(http.StatusNotFound))
 	})
 
-	It("is refused when its key is revoked while it waits", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		f.source.onServing = func(look int) {
-			if look == 2 {
+	It("is refused if its key is revoked before it is sent", func() {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		f.source.onServing = func(call int) {
+			if call == 2 {
 				f.source.view.Store(&routing.View{Pools: f.source.View().Pools})
 			}
 		}
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindUnauthorized))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	It("goes to no replica that does not admit", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+	It("is not sent to a replica that does not admit", func() {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.replicas[0].Admitting = false
 		f.publish()
 		got := f.generate()
@@ -137,37 +137,37 @@
 		Expect(got.problem.Kind).To(Equal(caller.KindNoBackend))
 		Expect(got.problem.MayHaveRun).To(BeFalse())
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	It("goes to no replica whose weight version is not confirmed", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
+	It("is not sent to a replica whose weight version is not confirmed", func() {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
 		f.replicas[0].WeightVersion = ""
 		f.publish()
 		Expect(f.generate().problem.Kind).To(Equal(caller.KindNoBackend))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 	})
 
-	It("rejects a response that was produced by other weights", func() {
-		stand := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
+	It("fails if the response was produced by other weights", func() {
+		backend := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderWeightVersion, "weights-2")
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		got := f.generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		Expect(got.problem.MayHaveRun).To(BeTrue())
-		By("keeping further requests away from the replica")
+		By("sending no further requests to the replica")
 		Expect(f.generate().problem.Kind).To(Equal(caller.KindNoBackend))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
-	It("rejects a response to another attempt", func() {
-		stand := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
+	It("fails if the response belongs to another attempt", func() {
+		backend := newReplica(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderAttemptID, "another")
 			_, _ = writer.Write([]byte("someone else's"))
 		})
-		got := newFixture(stand.address()).generate()
+		got := newFixture(backend.address()).generate()
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 		Expect(got.body).NotTo(ContainSubstring("someone else's"))
 	})
--- a/internal/dataplane/harness_test.go
+++ b/internal/dataplane/harness_test.go
@@ -33,28 +33,29 @@
 	poolModel   = "large"
 	weightsOne  = "weights-1"
 	defaultBody = "the prompt"
-	// waitTimeout bounds every wait on a channel or socket.
+	// waitTimeout is the time-out of each wait for a channel or a socket.
 	waitTimeout = 5 * time.Second
 )
 
-// source is control state in the hands of a test.
+// source is a routing.Source whose state a test sets.
 type source struct {
 	view    atomic.Pointer[routing.View]
 	mutex   sync.Mutex
 	refusal error
-	// onServing, if set, runs at each look at whether the node may serve.
-	onServing func(look int)
-	looks     int
-	// onView, if set, runs after each look at the view.
-	onView func(look int64)
-	viewed atomic.Int64
+	// onServing, if set, is called by Serving with the number of calls so far.
+	onServing    func(call int)
+	servingCalls int
+	// onView, if set, is called by View, after it has read the view, with the number of
+	// calls so far.
+	onView    func(call int64)
+	viewCalls atomic.Int64
 }
 
-// View returns the newest view. A test's hook runs after it is read.
+// View returns the newest view.
 func (s *source) View() *routing.View {
 	view := s.view.Load()
 	if s.onView != nil {
-		s.onView(s.viewed.Add(1))
+		s.onView(s.viewCalls.Add(1))
 	}
 	return view
 }
@@ -62,38 +63,38 @@
 func (s *source) Serving() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.looks++
+	s.servingCalls++
 	if s.onServing != nil {
-		s.onServing(s.looks)
+		s.onServing(s.servingCalls)
 	}
 	return s.refusal
 }
 
-// fixture is a node with its control state and clock.
+// fixture is a node with the control state and the clock that it uses.
 type fixture struct {
 	source *source
 	clock  atomic.Int64
 	server *dataplane.Server
 	front  *httptest.Server
-	// replicas and webs are what the next view lists.
-	replicas []routing.Replica
-	webs     []routing.Replica
-	limits   *ridgeswitchv1.Limits
-	timeout  uint32
-	// route is the configuration of the route to the pool; nil for one that says
-	// nothing but the target.
+	// replicas and webBackends are the back ends that the next view lists.
+	replicas    []routing.Replica
+	webBackends []routing.Replica
+	limits      *ridgeswitchv1.Limits
+	timeout     uint32
+	// route is the configuration of the route to the pool; nil for one that sets only
+	// targetLatencyMs.
 	route *ridgeswitchv1.Route
-	// target is the latency that the routes aim at, in milliseconds; 0 for none.
-	target uint32
-	// named is the weight version that the pool is to run; empty for none.
-	named string
-	// domain is the court's sharing domain.
-	domain string
-	// engine describes the pool's replicas, or is nil.
+	// targetLatencyMs is the target latency of the routes; 0 for none.
+	targetLatencyMs uint32
+	// weightVersion is the weight version that the pool is to run; empty for none.
+	weightVersion string
+	// sharingDomain is the sharing domain of the tenant court.
+	sharingDomain string
+	// engine is the configuration of the engine of the pool's replicas; nil for none.
 	engine *ridgeswitchv1.Engine
 }
 
-// newFixture starts a node that lists the given replicas as admitting.
+// newFixture starts a node with a pool of the given replicas, all of which admit.
 func newFixture(replicas ...string) *fixture {
 	return newRecordingFixture("", replicas...)
 }
@@ -105,7 +106,7 @@
 
 // newFixtureWith starts a node with changed options.
 func newFixtureWith(change func(*dataplane.Options), replicas ...string) *fixture {
-	f := &fixture{source: &source{}, limits: &ridgeswitchv1.Limits{}, timeout: 10000, domain: "shared/1"}
+	f := &fixture{source: &source{}, limits: &ridgeswitchv1.Limits{}, timeout: 10000, sharingDomain: "shared/1"}
 	for _, address := range replicas {
 		f.replicas = append(f.replicas, routing.Replica{Address: address, Zone: "a", WeightVersion: weightsOne, Admitting: true})
 	}
@@ -129,27 +130,27 @@
 	return f
 }
 
-// publish makes a new view of what the fixture lists.
+// publish publishes a new view made of the fixture's fields.
 func (f *fixture) publish() {
 	pool := &routing.Pool{
 		Config: &ridgeswitchv1.Pool{
-			Name: "pool", Model: poolModel, RequestTimeoutMs: f.timeout, WeightVersion: f.named, Engine: f.engine,
+			Name: "pool", Model: poolModel, RequestTimeoutMs: f.timeout, WeightVersion: f.weightVersion, Engine: f.engine,
 		},
 		Replicas: append([]routing.Replica(nil), f.replicas...),
 	}
 	web := &routing.WebService{
 		Config:   &ridgeswitchv1.WebService{Name: "calendar", RequestTimeoutMs: f.timeout},
-		Replicas: append([]routing.Replica(nil), f.webs...),
+		Replicas: append([]routing.Replica(nil), f.webBackends...),
 	}
 	f.source.view.Store(&routing.View{
 		Revision: 1,
 		Tenants: map[routing.KeyDigest]*routing.Tenant{
-			digest(courtKey):  {Name: "court", SharingDomain: f.domain, Limits: f.limits},
+			digest(courtKey):  {Name: "court", SharingDomain: f.sharingDomain, Limits: f.limits},
 			digest(schoolKey): {Name: "school", Walled: true, SharingDomain: "school/1", Limits: f.limits},
 		},
 		Hosts: map[string]routing.Routes{
 			poolHost: {routing.NewRoute(f.poolRoute(), routing.Choice{Destination: routing.Destination{Pool: pool}})},
-			webHost: {routing.NewRoute(&ridgeswitchv1.Route{Public: true, TargetLatencyMs: f.target},
+			webHost: {routing.NewRoute(&ridgeswitchv1.Route{Public: true, TargetLatencyMs: f.targetLatencyMs},
 				routing.Choice{Destination: routing.Destination{WebService: web}})},
 		},
 		Pools:       map[string]*routing.Pool{"pool": pool},
@@ -157,12 +158,12 @@
 	})
 }
 
-// poolRoute is the configuration of the route to the pool.
+// poolRoute returns the configuration of the route to the pool.
 func (f *fixture) poolRoute() *ridgeswitchv1.Route {
 	if f.route != nil {
 		return f.route
 	}
-	return &ridgeswitchv1.Route{TargetLatencyMs: f.target}
+	return &ridgeswitchv1.Route{TargetLatencyMs: f.targetLatencyMs}
 }
 
 func digest(key string) routing.KeyDigest {
@@ -170,17 +171,17 @@
 	return routing.KeyDigest(hex.EncodeToString(sum[:]))
 }
 
-// outcome is what a caller got.
+// outcome is the result of a request for its caller.
 type outcome struct {
 	status  int
 	header  http.Header
 	body    string
 	problem caller.Error
-	// err is what went wrong while the response was read.
+	// err is the error of the request or of reading its response.
 	err error
 }
 
-// header is one header of a test's request.
+// header is a header of a request.
 type header struct{ name, value string }
 
 // send sends a request to a host and reads the response.
@@ -209,7 +210,7 @@
 	return got
 }
 
-// generate sends a request to the pool with the court's key.
+// generate sends a request to the pool with the key of the tenant court.
 func (f *fixture) generate(headers ...header) outcome {
 	all := append([]header{{"Authorization", "Bearer " + courtKey}, {"Prefix", "case;tokens=32, question;tokens=16"}}, headers...)
 	return f.send(http.MethodPost, poolHost, "/v1/generate", all...)
@@ -228,37 +229,38 @@
 	}
 }
 
-// replicaStandIn is a replica with a scripted response.
-type replicaStandIn struct {
+// fakeReplica is a replica with a scripted response.
+type fakeReplica struct {
 	server *httptest.Server
 	mutex  sync.Mutex
 	seen   []*http.Request
 	bodies []string
 }
 
-// newReplica starts a replica. It echoes the attempt before the script runs.
-func newReplica(script http.HandlerFunc) *replicaStandIn {
-	stand := &replicaStandIn{}
-	stand.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+// newReplica starts a replica. It sets the attempt ID of the response before it calls the
+// script.
+func newReplica(script http.HandlerFunc) *fakeReplica {
+	backend := &fakeReplica{}
+	backend.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		stand.mutex.Lock()
-		stand.seen = append(stand.seen, request.Clone(request.Context()))
-		stand.bodies = append(stand.bodies, string(body))
-		stand.mutex.Unlock()
+		backend.mutex.Lock()
+		backend.seen = append(backend.seen, request.Clone(request.Context()))
+		backend.bodies = append(backend.bodies, string(body))
+		backend.mutex.Unlock()
 		writer.Header().Set(replica.HeaderAttemptID, request.Header.Get(replica.HeaderAttemptID))
 		script(writer, request)
 	}))
-	DeferCleanup(stand.server.Close)
-	return stand
+	DeferCleanup(backend.server.Close)
+	return backend
 }
 
-// address returns the stand-in's host and port.
-func (r *replicaStandIn) address() string {
+// address returns the replica's host and port.
+func (r *fakeReplica) address() string {
 	return r.server.Listener.Addr().String()
 }
 
-// requests returns the requests that the stand-in has seen.
-func (r *replicaStandIn) requests() []*http.Request {
+// requests returns the requests that the replica has seen.
+func (r *fakeReplica) requests() []*http.Request {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]*http.Request(nil), r.seen...)
@@ -272,7 +274,7 @@
 	}
 }
 
-// refusing returns a script that promises not to run the request.
+// refusing returns a script that refuses the request and marks it as not run.
 func refusing() http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(replica.HeaderNotRun, "true")
@@ -281,12 +283,12 @@
 	}
 }
 
-// dying returns a script that closes the connection without a response.
-func dying() http.HandlerFunc {
+// aborting returns a script that closes the connection without a response.
+func aborting() http.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 }
 
-// streaming returns a script that streams events, flushing each.
+// streaming returns a script that streams events and flushes each of them.
 func streaming(events ...string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", caller.StreamType)
@@ -305,8 +307,8 @@
 	return address
 }
 
-// earn sends enough first attempts that one retry is within the budget.
-func (f *fixture) earn() {
+// fillRetryBudget sends enough first attempts for the budget to permit one retry.
+func (f *fixture) fillRetryBudget() {
 	for range 5 {
 		Expect(f.generate().status).To(Equal(http.StatusOK))
 	}
--- a/internal/dataplane/revalidation_test.go
+++ b/internal/dataplane/revalidation_test.go
@@ -12,27 +12,27 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/replica"
 )
 
-var _ = Describe("The last look at the newest view", func() {
-	// changeAt publishes a changed view right after a look at the old one, and
-	// returns what the replicas have got when the request is answered.
-	changeAt := func(look int64, change func(f *fixture)) (outcome, *replicaStandIn) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		f.source.onView = func(seen int64) {
-			if seen == look {
+var _ = Describe("The last check of the newest view before an attempt is sent", func() {
+	// changeAt sends a request during which a changed view is published right after the
+	// given read of the view. It returns the request's outcome, and the replica.
+	changeAt := func(read int64, change func(f *fixture)) (outcome, *fakeReplica) {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		f.source.onView = func(call int64) {
+			if call == read {
 				change(f)
 				f.publish()
 			}
 		}
-		return f.generate(), stand
+		return f.generate(), backend
 	}
 
-	It("sends nothing to a replica that has stopped admitting, whenever that happens before it", func() {
-		const looksBeforeSending = 5
-		for look := int64(1); look <= looksBeforeSending; look++ {
-			got, stand := changeAt(look, func(f *fixture) { f.replicas[0].Admitting = false })
-			if len(stand.requests()) > 0 {
-				Expect(look).To(Equal(int64(looksBeforeSending)), "the change came after the last look")
+	It("prevents sending to a replica that has stopped admitting at any time before the check", func() {
+		const readsBeforeSending = 5
+		for read := int64(1); read <= readsBeforeSending; read++ {
+			got, backend := changeAt(read, func(f *fixture) { f.replicas[0].Admitting = false })
+			if len(backend.requests()) > 0 {
+				Expect(read).To(Equal(int64(readsBeforeSending)), "the change came after the last read")
 				continue
 			}
 			Expect(got.problem.Kind).To(Equal(caller.KindNoBackend))
@@ -40,152 +40,152 @@
 		}
 	})
 
-	It("never sends a salt from before a wall", func() {
-		for look := int64(1); look <= 4; look++ {
-			got, stand := changeAt(look, func(f *fixture) { f.domain = "court/2" })
+	It("prevents sending the cache salt of an earlier sharing domain", func() {
+		for read := int64(1); read <= 4; read++ {
+			got, backend := changeAt(read, func(f *fixture) { f.sharingDomain = "court/2" })
 			Expect(got.status).To(Equal(http.StatusOK))
-			Expect(stand.requests()).To(HaveLen(1))
-			Expect(stand.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(
-				Equal(replica.CacheSalt(poolModel, weightsOne, "court/2")), "changed after look %d", look)
+			Expect(backend.requests()).To(HaveLen(1))
+			Expect(backend.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(
+				Equal(replica.CacheSalt(poolModel, weightsOne, "court/2")), "changed after read %d", read)
 		}
 	})
 
-	It("gives the salt of the newest weight version", func() {
-		got, stand := changeAt(3, func(f *fixture) { f.replicas[0].WeightVersion = "weights-2" })
-		Expect(stand.requests()).To(HaveLen(1))
-		Expect(stand.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, "weights-2", "shared/1")))
-		// The stand-in still responds with the first version.
+	It("determines the cache salt by the newest weight version", func() {
+		got, backend := changeAt(3, func(f *fixture) { f.replicas[0].WeightVersion = "weights-2" })
+		Expect(backend.requests()).To(HaveLen(1))
+		Expect(backend.requests()[0].Header.Get(replica.HeaderCacheSalt)).To(Equal(replica.CacheSalt(poolModel, "weights-2", "shared/1")))
+		// The fake replica still responds with the first weight version.
 		Expect(got.problem.Kind).To(Equal(caller.KindOutcomeUnknown))
 	})
 })
 
-var _ = Describe("A request that comes twice", func() {
-	named := header{"Request-Id", "same"}
+var _ = Describe("A request that is submitted twice", func() {
+	requestID := header{"Request-Id", "same"}
 
 	It("is refused after its response", func() {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
-		again := f.generate(named)
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
+		again := f.generate(requestID)
 		Expect(again.status).To(Equal(http.StatusConflict))
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		Expect(again.problem.MayHaveRun).To(BeTrue())
-		Expect(stand.requests()).To(HaveLen(1))
-		By("knowing tenants apart")
-		Expect(f.generate(named, header{"Authorization", "Bearer " + schoolKey}).status).To(Equal(http.StatusOK))
+		Expect(backend.requests()).To(HaveLen(1))
+		By("accepting the same request ID of another tenant")
+		Expect(f.generate(requestID, header{"Authorization", "Bearer " + schoolKey}).status).To(Equal(http.StatusOK))
 	})
 
 	It("is refused while it runs", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			close(arrived)
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		first := make(chan outcome)
-		go func() { first <- f.generate(named) }()
+		go func() { first <- f.generate(requestID) }()
 		<-arrived
-		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindDuplicateRequest))
+		Expect(f.generate(requestID).problem.Kind).To(Equal(caller.KindDuplicateRequest))
 		close(proceed)
 		Expect((<-first).status).To(Equal(http.StatusOK))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
 	It("is accepted again after it has certainly not run", func() {
 		refuse := true
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if refuse {
 				refusing()(writer, request)
 				return
 			}
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
-		Expect(f.generate(named).problem.MayHaveRun).To(BeFalse())
+		f := newFixture(backend.address())
+		Expect(f.generate(requestID).problem.MayHaveRun).To(BeFalse())
 		refuse = false
-		Expect(f.generate(named).status).To(Equal(http.StatusOK))
+		Expect(f.generate(requestID).status).To(Equal(http.StatusOK))
 	})
 
 	It("is not accepted again when it may have run", func() {
-		stand := newReplica(dying())
-		f := newFixture(stand.address())
-		Expect(f.generate(named).problem.MayHaveRun).To(BeTrue())
-		Expect(f.generate(named).problem.Kind).To(Equal(caller.KindDuplicateRequest))
-		Expect(stand.requests()).To(HaveLen(1))
+		backend := newReplica(aborting())
+		f := newFixture(backend.address())
+		Expect(f.generate(requestID).problem.MayHaveRun).To(BeTrue())
+		Expect(f.generate(requestID).problem.Kind).To(Equal(caller.KindDuplicateRequest))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
 	repeatable, once := header{"Repeatable", "true"}, header{"Repeatable", "false"}
 
-	DescribeTable("after its response, of which the caller may have got nothing", func(first, second header, accepted bool) {
-		stand := newReplica(respondWith("ok"))
-		f := newFixture(stand.address())
-		Expect(f.generate(named, first).status).To(Equal(http.StatusOK))
-		again := f.generate(named, second)
+	DescribeTable("after its response, which the caller may not have received", func(first, second header, accepted bool) {
+		backend := newReplica(respondWith("ok"))
+		f := newFixture(backend.address())
+		Expect(f.generate(requestID, first).status).To(Equal(http.StatusOK))
+		again := f.generate(requestID, second)
 		if accepted {
 			Expect(again.status).To(Equal(http.StatusOK))
-			Expect(stand.requests()).To(HaveLen(2))
+			Expect(backend.requests()).To(HaveLen(2))
 			return
 		}
 		Expect(again.problem.Kind).To(Equal(caller.KindDuplicateRequest))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	},
-		Entry("is accepted again if it is idempotent", repeatable, repeatable, true),
-		Entry("is refused if the first may not", once, repeatable, false),
-		Entry("is refused if the second may not", repeatable, once, false),
+		Entry("is accepted again if both are repeatable", repeatable, repeatable, true),
+		Entry("is refused if the first is not repeatable", once, repeatable, false),
+		Entry("is refused if the second is not repeatable", repeatable, once, false),
 	)
 
-	DescribeTable("while the first runs, whose caller may have gone unnoticed", func(first, second header, accepted bool) {
+	DescribeTable("while the first one runs, whose caller may have disconnected unnoticed", func(first, second header, accepted bool) {
 		arrived, proceed := make(chan struct{}, 2), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			arrived <- struct{}{}
 			<-proceed
 			respondWith("ok")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		release := sync.OnceFunc(func() { close(proceed) })
 		DeferCleanup(release)
 		responses := make(chan outcome, 2)
-		go func() { responses <- f.generate(named, first) }()
+		go func() { responses <- f.generate(requestID, first) }()
 		Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
-		go func() { responses <- f.generate(named, second) }()
+		go func() { responses <- f.generate(requestID, second) }()
 		if accepted {
 			Eventually(arrived).WithTimeout(waitTimeout).Should(Receive())
 		} else {
 			var refused outcome
 			Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&refused))
 			Expect(refused.problem.Kind).To(Equal(caller.KindDuplicateRequest))
-			Expect(stand.requests()).To(HaveLen(1))
+			Expect(backend.requests()).To(HaveLen(1))
 		}
 		release()
 		var responded outcome
 		Eventually(responses).WithTimeout(waitTimeout).Should(Receive(&responded))
 		Expect(responded.status).To(Equal(http.StatusOK))
 	},
-		Entry("is accepted if it is idempotent", repeatable, repeatable, true),
-		Entry("is refused if the first may not", once, repeatable, false),
-		Entry("is refused if the second may not", repeatable, once, false),
+		Entry("is accepted if both are repeatable", repeatable, repeatable, true),
+		Entry("is refused if the first is not repeatable", once, repeatable, false),
+		Entry("is refused if the second is not repeatable", repeatable, once, false),
 	)
 
-	It("is refused where it may not run twice after it was lost where it might have", func() {
-		stand := newReplica(dying())
-		f := newFixture(stand.address())
-		Expect(f.generate(named, repeatable).problem.MayHaveRun).To(BeTrue())
-		Expect(f.generate(named, once).problem.Kind).To(Equal(caller.KindDuplicateRequest))
-		Expect(stand.requests()).To(HaveLen(1))
+	It("is refused if it is not repeatable, after the response to a repeatable one was lost", func() {
+		backend := newReplica(aborting())
+		f := newFixture(backend.address())
+		Expect(f.generate(requestID, repeatable).problem.MayHaveRun).To(BeTrue())
+		Expect(f.generate(requestID, once).problem.Kind).To(Equal(caller.KindDuplicateRequest))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 
-	DescribeTable("of a stream that was written completely, and is resumed after an event", func(resumable bool, runs int) {
-		stand := newReplica(streaming("a", "b", replica.StreamEnd))
-		f := newFixture(stand.address())
+	DescribeTable("to resume a stream that was written completely", func(resumable bool, runs int) {
+		backend := newReplica(streaming("a", "b", replica.StreamEnd))
+		f := newFixture(backend.address())
 		f.route = &ridgeswitchv1.Route{Kind: ridgeswitchv1.RequestKind_STREAMING, Resumable: resumable}
 		f.publish()
-		Expect(f.generate(named).err).NotTo(HaveOccurred())
-		again := f.generate(named, header{"Last-Event-Id", "1"})
-		Expect(stand.requests()).To(HaveLen(runs))
+		Expect(f.generate(requestID).err).NotTo(HaveOccurred())
+		again := f.generate(requestID, header{"Last-Event-Id", "1"})
+		Expect(backend.requests()).To(HaveLen(runs))
 		Expect(again.status == http.StatusOK).To(Equal(runs == 2))
 	},
-		Entry("runs again if it may be resumed", true, 2),
-		Entry("does not if it may not", false, 1),
+		Entry("runs again if the route is resumable", true, 2),
+		Entry("does not run again if the route is not resumable", false, 1),
 	)
 })
--- a/internal/dataplane/server_test.go
+++ b/internal/dataplane/server_test.go
@@ -22,9 +22,9 @@
 }
 
 var _ = Describe("Server", func() {
-	It("finishes running requests before it ends, and accepts no new ones", func() {
+	It("finishes running requests before it stops, and accepts no new ones", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			if strings.HasSuffix(request.URL.Path, "events") {
 				<-request.Context().Done()
 				return
@@ -33,7 +33,7 @@
 			<-proceed
 			respondWith("late")(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		ended := make(chan error, 1)
 		go func() { ended <- f.server.Start() }()
 		<-f.server.Listening()
@@ -53,7 +53,7 @@
 		cancel()
 		Expect(f.server.Drain(expired)).NotTo(Succeed(), "a request is running")
 		_, err := post(address)
-		Expect(err).To(HaveOccurred(), "no new connection is taken")
+		Expect(err).To(HaveOccurred(), "no new connection is accepted")
 
 		close(proceed)
 		Expect(<-responded).To(Equal("late"))
@@ -61,17 +61,17 @@
 		Expect(<-ended).NotTo(HaveOccurred())
 	})
 
-	It("says why it cannot listen", func() {
-		stand := newReplica(respondWith("ok"))
+	It("reports why it cannot listen", func() {
+		backend := newReplica(respondWith("ok"))
 		f := newFixture()
 		server, err := dataplane.New(dataplane.Options{
-			Source: f.source, Clock: clockAtZero, Address: stand.address(),
+			Source: f.source, Clock: clockAtZero, Address: backend.address(),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(server.Start()).To(MatchError(ContainSubstring("address already in use")))
 	})
 
-	DescribeTable("says which option is missing", func(options dataplane.Options, remedy string) {
+	DescribeTable("reports which option is missing or invalid", func(options dataplane.Options, remedy string) {
 		_, err := dataplane.New(options)
 		Expect(err).To(MatchError(ContainSubstring(remedy)))
 	},
--- a/internal/dataplane/startup_gate_test.go
+++ b/internal/dataplane/startup_gate_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/kvrouter/cachefeed"
 )
 
-// unresponsiveReports are replicas that this node does not read.
+// unresponsiveReports is a dataplane.ReportReader that gets no response.
 type unresponsiveReports struct{}
 
 func (unresponsiveReports) Read(ctx context.Context, _ string, _ uint64, _ time.Duration) (dataplane.ReportPage, error) {
@@ -27,20 +27,20 @@
 }
 
 var _ = Describe("A node that has just started", func() {
-	It("sends no prompt until it knows what the replicas have cached", func() {
-		stand := newReplica(respondWith("done"))
-		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, stand.address())
+	It("sends no prompt until it knows the cached chunks of the replicas", func() {
+		backend := newReplica(respondWith("done"))
+		f := newFixtureWith(func(options *dataplane.Options) { options.Edges.Reports = unresponsiveReports{} }, backend.address())
 		f.timeout = 50
 		f.publish()
 		Expect(f.generate().status).NotTo(Equal(http.StatusOK))
-		Expect(stand.requests()).To(BeEmpty())
+		Expect(backend.requests()).To(BeEmpty())
 
 		f.server.ApplyUpdate(gossip.Update{Node: "other", Reports: []gossip.Report{
-			{Address: stand.address(), Feed: cachefeed.Position{Incarnation: 1, Next: 1}, Complete: true},
+			{Address: backend.address(), Feed: cachefeed.Position{Incarnation: 1, Next: 1}, Complete: true},
 		}})
 		f.timeout = 10000
 		f.publish()
 		Expect(f.generate().status).To(Equal(http.StatusOK))
-		Expect(stand.requests()).To(HaveLen(1))
+		Expect(backend.requests()).To(HaveLen(1))
 	})
 })
--- a/internal/dataplane/stream_test.go
+++ b/internal/dataplane/stream_test.go
@@ -16,23 +16,23 @@
 var _ = Describe("A streamed response", func() {
 	accept := header{"Accept", caller.StreamType}
 
-	It("passes with its end", func() {
-		stand := newReplica(streaming("a", "b", replica.StreamEnd))
-		got := newFixture(stand.address()).generate(accept)
+	It("is forwarded with its end marker", func() {
+		backend := newReplica(streaming("a", "b", replica.StreamEnd))
+		got := newFixture(backend.address()).generate(accept)
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.header.Get("Content-Type")).To(Equal(caller.StreamType))
 		Expect(got.body).To(Equal("data: a\n\ndata: b\n\ndata: [DONE]\n\n"))
-		Expect(stand.requests()[0].Header.Get("Accept")).To(Equal(caller.StreamType))
+		Expect(backend.requests()[0].Header.Get("Accept")).To(Equal(caller.StreamType))
 	})
 
-	It("is handed on as it comes", func() {
+	It("is forwarded event by event", func() {
 		read := make(chan struct{})
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			<-read
 			streaming(replica.StreamEnd)(writer, request)
 		})
-		f := newFixture(stand.address())
+		f := newFixture(backend.address())
 		request, err := http.NewRequest(http.MethodPost, f.front.URL, strings.NewReader(defaultBody))
 		Expect(err).NotTo(HaveOccurred())
 		request.Host = poolHost
@@ -44,14 +44,14 @@
 		line, err := reader.ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
 		Expect(line).To(Equal("data: a\n"))
-		Expect(f.server.InFlight(stand.address())).To(Equal(1))
+		Expect(f.server.InFlight(backend.address())).To(Equal(1))
 		close(read)
 		remainder, err := io.ReadAll(reader)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(remainder)).To(HaveSuffix("data: [DONE]\n\n"))
 	})
 
-	It("that lacks its end never ends cleanly", func() {
+	It("without its end marker ends with an error", func() {
 		got := newFixture(newReplica(streaming("a", "b")).address()).generate(accept)
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.err).To(MatchError(io.ErrUnexpectedEOF))
@@ -59,23 +59,23 @@
 		Expect(got.body).To(ContainSubstring(string(caller.KindResponseTruncated)))
 	})
 
-	It("that goes on after its end never ends cleanly", func() {
+	It("that continues after its end marker ends with an error", func() {
 		got := newFixture(newReplica(streaming("a", replica.StreamEnd, "b")).address()).generate(accept)
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).NotTo(ContainSubstring("data: b"))
 	})
 
-	It("that is truncated by the deadline says so", func() {
-		stand := newReplica(func(writer http.ResponseWriter, request *http.Request) {
+	It("that is truncated by the deadline ends with an error that says so", func() {
+		backend := newReplica(func(writer http.ResponseWriter, request *http.Request) {
 			streaming("a")(writer, request)
 			<-request.Context().Done()
 		})
-		got := newFixture(stand.address()).generate(accept, header{"Deadline-Ms", "400"})
+		got := newFixture(backend.address()).generate(accept, header{"Deadline-Ms", "400"})
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).To(ContainSubstring(string(caller.KindDeadlineExceeded)))
 	})
 
-	It("that fails before its first event is a typed error", func() {
+	It("that fails before its first event is replaced by a typed error", func() {
 		got := newFixture(newReplica(streaming()).address()).generate(accept)
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusBadGateway))
--- a/internal/dataplane/web_backend_test.go
+++ b/internal/dataplane/web_backend_test.go
@@ -20,18 +20,18 @@
 	return server.Listener.Addr().String()
 }
 
-// newWebFixture starts a node with the back ends of a web service.
+// newWebFixture starts a node with a web service that has back ends at the addresses.
 func newWebFixture(addresses ...string) *fixture {
 	f := newFixture()
 	for _, address := range addresses {
-		f.webs = append(f.webs, routing.Replica{Address: address, Zone: "a", Admitting: true})
+		f.webBackends = append(f.webBackends, routing.Replica{Address: address, Zone: "a", Admitting: true})
 	}
 	f.publish()
 	return f
 }
 
 var _ = Describe("A request to a web service", func() {
-	It("passes unchanged, without the caller's key, and so does the response", func() {
+	It("is forwarded unchanged but for the caller's key, and its response but for hop-by-hop headers", func() {
 		seen := make(chan *http.Request, 1)
 		f := newWebFixture(newWeb(func(writer http.ResponseWriter, request *http.Request) {
 			seen <- request
@@ -79,9 +79,9 @@
 		done := make(chan outcome)
 		go func() { done <- f.send(http.MethodGet, webHost, "/hold") }()
 		<-inFlight
-		busy := f.webs[0].Address
+		busy := f.webBackends[0].Address
 		if f.server.InFlight(busy) == 0 {
-			busy = f.webs[1].Address
+			busy = f.webBackends[1].Address
 		}
 		for range 4 {
 			Expect(f.send(http.MethodGet, webHost, "/").body).NotTo(Equal(busy))
@@ -91,9 +91,9 @@
 	})
 
 	DescribeTable("whose response is truncated", func(method string, budgeted bool, expected int, mayHaveRun bool) {
-		var cutting atomic.Bool
+		var truncating atomic.Bool
 		script := func(writer http.ResponseWriter, _ *http.Request) {
-			if cutting.CompareAndSwap(true, false) {
+			if truncating.CompareAndSwap(true, false) {
 				writer.Header().Set("Content-Length", "100")
 				_, _ = io.WriteString(writer, "part")
 				return
@@ -106,14 +106,14 @@
 				f.send(http.MethodGet, webHost, "/")
 			}
 		}
-		cutting.Store(true)
+		truncating.Store(true)
 		got := f.send(method, webHost, "/")
 		Expect(got.status).To(Equal(expected))
 		Expect(got.problem.MayHaveRun).To(Equal(mayHaveRun))
 	},
-		Entry("is fetched again", http.MethodGet, true, http.StatusOK, false),
-		Entry("is not fetched again beyond the budget", http.MethodGet, false, http.StatusBadGateway, true),
-		Entry("is not sent again if it may not be repeated", http.MethodPost, true, http.StatusBadGateway, true),
+		Entry("is retried if it may be repeated", http.MethodGet, true, http.StatusOK, false),
+		Entry("is not retried beyond the retry budget", http.MethodGet, false, http.StatusBadGateway, true),
+		Entry("is not retried if it may not be repeated", http.MethodPost, true, http.StatusBadGateway, true),
 	)
 
 	It("is refused when no back end admits", func() {
