--- a/internal/dataplane/address_reuse_test.go
+++ b/internal/dataplane/address_reuse_test.go
@@ -124,7 +124,7 @@
 			edge.instances[reused] = "i-2"
 			f.source.onView = func(call int64) {
 				if call == read {
-					f.server.ApplyUpdate(gossip.Update{Denials: []gossip.Denial{{Address: reused, Instance: "i-0"}}})
+					f.server.ApplyUpdate(gossip.Update{GoneInstances: []gossip.GoneInstance{{Address: reused, Instance: "i-0"}}})
 				}
 			}
 			Expect(f.generate().problem.MayHaveRun).To(BeFalse())
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -38,7 +38,7 @@
 //	health, quarantine, staleness    health                         any goroutine
 //	slow start                       warmup.Limiter                 any goroutine
 //	start-up gate                    startupgate.Gate               any goroutine
-//	updates for other nodes          gossip.Outgoing                any goroutine
+//	updates for other nodes          gossip.OutgoingUpdates                any goroutine
 //	snapshots from and for peers     gossip.SnapshotExchange        any goroutine
 //	event streams                    feeds.Manager                  one goroutine per back end
 //	reports                          reports.Readers                one goroutine per back end
--- a/internal/dataplane/gossip/message.go
+++ b/internal/dataplane/gossip/message.go
@@ -72,7 +72,7 @@
 	Dispatches []Dispatch
 	// Reports are the reports about cached chunks that the node has read from back ends
 	// on behalf of all nodes.
-	Reports []Report
+	Reports       []Report
 	GoneInstances []GoneInstance
 	// Outcomes are the outcomes of the node's attempts at back ends that failed some of
 	// them.
--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -64,7 +64,7 @@
 
 // RecordDenial records that an incarnation is gone from its address, and returns whether
 // this was newly recorded. Beyond maxDenials addresses, it records nothing for further ones.
-func (s *StaleBackends) RecordDenial(denial gossip.Denial) (fresh bool) {
+func (s *StaleBackends) RecordDenial(denial gossip.GoneInstance) (fresh bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	instance, present := s.gone[denial.Address]
--- a/internal/dataplane/reports/readers.go
+++ b/internal/dataplane/reports/readers.go
@@ -53,8 +53,8 @@
 	// Publish is called with each page that was applied to the index. It is called by
 	// several goroutines concurrently.
 	Publish func(report gossip.Report)
-	// Followed is called after each check of the newest view.
-	Followed func()
+	// AfterFollow is called after each check of the newest view.
+	AfterFollow func()
 }
 
 // Readers reads the reports of the replicas and stores that are assigned to this node.
