--- a/internal/edge/caller/request_test.go
+++ b/internal/edge/caller/request_test.go
@@ -14,8 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// with returns a request with one header.
-func with(method, name, value string) *http.Request {
+// requestWithHeader returns a request with one header.
+func requestWithHeader(method, name, value string) *http.Request {
 	request := httptest.NewRequest(method, "/", nil)
 	request.Header.Set(name, value)
 	return request
@@ -46,7 +46,7 @@
 	)
 
 	DescribeTable("refuses", func(name, value string) {
-		_, err := caller.Parse(with(http.MethodPost, name, value))
+		_, err := caller.Parse(requestWithHeader(http.MethodPost, name, value))
 		var problem *caller.Error
 		Expect(errors.As(err, &problem)).To(BeTrue())
 		Expect(problem.Kind).To(Equal(caller.KindBadRequest))
@@ -71,20 +71,20 @@
 	)
 
 	It("reads what it writes", func() {
-		parts := []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}}
-		Expect(caller.ParsePrefix(caller.FormatPrefix(parts))).To(Equal(parts))
+		chunks := []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}}
+		Expect(caller.ParsePrefix(caller.FormatPrefix(chunks))).To(Equal(chunks))
 	})
 })
 
 var _ = Describe("KeyDigest", func() {
 	It("is the SHA-256 of the key", func() {
-		digest, given := caller.KeyDigest(with(http.MethodGet, "Authorization", "bearer abc").Header)
+		digest, given := caller.KeyDigest(requestWithHeader(http.MethodGet, "Authorization", "bearer abc").Header)
 		Expect(given).To(BeTrue())
 		Expect(digest).To(Equal("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"))
 	})
 
 	DescribeTable("needs the scheme and a key", func(value string) {
-		_, given := caller.KeyDigest(with(http.MethodGet, "Authorization", value).Header)
+		_, given := caller.KeyDigest(requestWithHeader(http.MethodGet, "Authorization", value).Header)
 		Expect(given).To(BeFalse())
 	}, Entry("nothing", ""), Entry("no key", "Bearer "), Entry("another scheme", "Basic abc"))
 })
--- a/internal/edge/operator/routes_test.go
+++ b/internal/edge/operator/routes_test.go
@@ -12,14 +12,14 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// renamed is a resource that serves a call under a name of the test's choice.
-type renamed struct {
+// fakeResource is a resource that serves a call under a name of the test's choice.
+type fakeResource struct {
 	serviceName, callName protoreflect.Name
 }
 
-func (r renamed) service() protoreflect.Name { return r.serviceName }
+func (r fakeResource) service() protoreflect.Name { return r.serviceName }
 
-func (r renamed) calls() []call {
+func (r fakeResource) calls() []call {
 	return []call{newCall(r.callName, func(context.Context, *ridgeswitchv1.GetStatusRequest) (*ridgeswitchv1.NodeStatus, error) {
 		return nil, nil
 	})}
@@ -31,9 +31,9 @@
 		Expect(routes(complete)).To(HaveLen(len(schemaCalls())))
 		_, err := routes(complete[1:])
 		Expect(err).To(MatchError(ContainSubstring("serve each once")))
-		_, err = routes(append(complete, renamed{"Nodes", "GetMore"}))
+		_, err = routes(append(complete, fakeResource{"Nodes", "GetMore"}))
 		Expect(err).To(MatchError(ContainSubstring("serve each once")))
-		_, err = routes(append(complete[:4], renamed{"Nodes", "GetMore"}))
+		_, err = routes(append(complete[:4], fakeResource{"Nodes", "GetMore"}))
 		Expect(err).To(MatchError(ContainSubstring("GetStatus is not served")))
 	})
 })
--- a/internal/edge/operator/server_test.go
+++ b/internal/edge/operator/server_test.go
@@ -39,10 +39,10 @@
 }
 
 var _ = Describe("Control interface", func() {
-	var n *node
+	var n *fakeNode
 
 	BeforeEach(func() {
-		n = newNode()
+		n = newFakeNode()
 		Expect(call(n, "PUT /v1/configuration", firstBody).body).To(Equal(`{"outcome":"ACKNOWLEDGED","revision":"1"}` + "\n"))
 	})
 
@@ -158,8 +158,8 @@
 
 	It("serves the metrics of a node that has any", func() {
 		Expect(call(n, "GET /metrics", "").status).To(Equal(http.StatusNotFound))
-		counted := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("up 1")) })
-		handler, err := operator.NewHandler(n, n, operator.WithMetrics(counted))
+		metrics := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("up 1")) })
+		handler, err := operator.NewHandler(n, n, operator.WithMetrics(metrics))
 		Expect(err).NotTo(HaveOccurred())
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, operator.PathMetrics, nil))
--- a/internal/edge/operator/suite_test.go
+++ b/internal/edge/operator/suite_test.go
@@ -24,8 +24,8 @@
 	RunSpecs(t, "Control interface")
 }
 
-// node is a control state of one machine whose answers a test may bend.
-type node struct {
+// fakeNode is a control state of one machine whose answers a test may bend.
+type fakeNode struct {
 	sync.Mutex
 	machine *dynamic.Machine
 	// pending leaves every response unconfirmed.
@@ -35,11 +35,11 @@
 	ready       error
 }
 
-func newNode() *node {
-	return &node{machine: dynamic.NewMachine(nil)}
+func newFakeNode() *fakeNode {
+	return &fakeNode{machine: dynamic.NewMachine(nil)}
 }
 
-func (n *node) Submit(_ context.Context, order *controlpb.Order) (*controlpb.Answer, error) {
+func (n *fakeNode) Submit(_ context.Context, order *controlpb.Order) (*controlpb.Answer, error) {
 	n.Lock()
 	defer n.Unlock()
 	if n.submitError != nil {
@@ -50,7 +50,7 @@
 	return answer, nil
 }
 
-func (n *node) Configuration() *ridgeswitchv1.Configuration {
+func (n *fakeNode) Configuration() *ridgeswitchv1.Configuration {
 	n.Lock()
 	defer n.Unlock()
 	if n.machine == nil {
@@ -59,14 +59,14 @@
 	return n.machine.Configuration()
 }
 
-func (n *node) ReadConfiguration(context.Context) (*ridgeswitchv1.Configuration, error) {
+func (n *fakeNode) ReadConfiguration(context.Context) (*ridgeswitchv1.Configuration, error) {
 	if n.submitError != nil {
 		return nil, n.submitError
 	}
 	return n.Configuration(), nil
 }
 
-func (n *node) Source(context.Context) (*ridgeswitchv1.Source, error) {
+func (n *fakeNode) Source(context.Context) (*ridgeswitchv1.Source, error) {
 	n.Lock()
 	defer n.Unlock()
 	if n.submitError != nil {
@@ -75,7 +75,7 @@
 	return n.machine.Source(), nil
 }
 
-func (n *node) Weights(pool string) (*ridgeswitchv1.WeightsStatus, error) {
+func (n *fakeNode) Weights(pool string) (*ridgeswitchv1.WeightsStatus, error) {
 	switch pool {
 	case "p":
 		return &ridgeswitchv1.WeightsStatus{Pool: pool, WeightVersion: "w"}, nil
@@ -86,15 +86,15 @@
 	}
 }
 
-func (n *node) Status() *ridgeswitchv1.NodeStatus {
+func (n *fakeNode) Status() *ridgeswitchv1.NodeStatus {
 	if n.ready != nil {
 		panic("status of a node that is not ready")
 	}
 	return &ridgeswitchv1.NodeStatus{Node: "front-1"}
 }
 
-func (n *node) Ready() error { return n.ready }
-func (n *node) Live() error  { return nil }
+func (n *fakeNode) Ready() error { return n.ready }
+func (n *fakeNode) Live() error  { return nil }
 
 // reply is an HTTP answer.
 type reply struct {
@@ -104,7 +104,7 @@
 }
 
 // call sends one request, "METHOD /path", to a node's control interface.
-func call(n *node, target, body string) reply {
+func call(n *fakeNode, target, body string) reply {
 	handler, err := operator.NewHandler(n, n)
 	Expect(err).NotTo(HaveOccurred())
 	method, path, _ := strings.Cut(target, " ")
--- a/internal/edge/outbound/benchmark_test.go
+++ b/internal/edge/outbound/benchmark_test.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return
 			}
-			go respondBlindly(connection)
+			go respondToEveryRead(connection)
 		}
 	}()
 	body := make([]byte, 1000)
@@ -47,8 +47,8 @@
 	}
 }
 
-// respondBlindly answers whatever comes in one piece, at next to no cost.
-func respondBlindly(connection net.Conn) {
+// respondToEveryRead answers whatever comes in one piece, at next to no cost.
+func respondToEveryRead(connection net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		if _, err := connection.Read(buffer); err != nil {
--- a/internal/edge/outbound/client.go
+++ b/internal/edge/outbound/client.go
@@ -42,7 +42,7 @@
 type Client struct {
 	service   httpc.Service
 	transport *http.Transport
-	open      *connectionLimiter
+	limiter   *connectionLimiter
 }
 
 // New returns a client.
@@ -59,16 +59,16 @@
 	// httpc registers a breaker and writes a log line for every request.
 	breaker.NoBreakerFor(options.Name)
 	logx.SetLevel(logx.SevereLevel)
-	open := newConnectionLimiter()
-	transport := newTransport(options, open)
-	client := &http.Client{Transport: transport, CheckRedirect: keepRedirect}
-	return &Client{service: httpc.NewServiceWithClient(options.Name, client), transport: transport, open: open}
+	limiter := newConnectionLimiter()
+	transport := newTransport(options, limiter)
+	client := &http.Client{Transport: transport, CheckRedirect: returnRedirect}
+	return &Client{service: httpc.NewServiceWithClient(options.Name, client), transport: transport, limiter: limiter}
 }
 
 // newTransport returns a transport that changes nothing in what passes.
-func newTransport(options Options, open *connectionLimiter) *http.Transport {
+func newTransport(options Options, limiter *connectionLimiter) *http.Transport {
 	return &http.Transport{
-		DialContext:            dialer(options.DialTimeout, open),
+		DialContext:            dialer(options.DialTimeout, limiter),
 		DisableCompression:     true,
 		IdleConnTimeout:        options.IdleTimeout,
 		MaxIdleConnsPerHost:    options.IdlePerAddress,
@@ -76,9 +76,9 @@
 	}
 }
 
-// keepRedirect hands a redirect on as the response that it is: following it
+// returnRedirect hands a redirect on as the response that it is: following it
 // would send the request a second time.
-func keepRedirect(*http.Request, []*http.Request) error {
+func returnRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
@@ -109,7 +109,7 @@
 // LimitConnections bounds the connections to each back end by what limit returns
 // for its address, 0 for any number. A request that finds all of them in use is not
 // sent; the cause of its error is a *ConnectionLimitError.
-func (c *Client) LimitConnections(limit func(address string) int) { c.open.setLimit(limit) }
+func (c *Client) LimitConnections(limit func(address string) int) { c.limiter.setLimit(limit) }
 
 // CloseIdle closes the connections that carry no request.
 func (c *Client) CloseIdle() {
--- a/internal/edge/outbound/connection_limit_test.go
+++ b/internal/edge/outbound/connection_limit_test.go
@@ -12,20 +12,20 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// boundedSender sends requests over a bounded number of connections.
-type boundedSender interface {
+// limitedSender sends requests over a bounded number of connections.
+type limitedSender interface {
 	Send(request *http.Request, body []byte) (*http.Response, error)
 	LimitConnections(limit func(address string) int)
 	CloseIdle()
 }
 
 var _ = Describe("Direct with a bound on connections", func() {
-	boundOnConnections(func() boundedSender { return outbound.NewDirect(outbound.DirectOptions{}) }, closeBody)
+	limitsConnections(func() limitedSender { return outbound.NewDirect(outbound.DirectOptions{}) }, closeBody)
 })
 
 var _ = Describe("Client with a bound on connections", func() {
 	// Its connection is free again once the response was read to its end.
-	boundOnConnections(func() boundedSender { return outbound.New(outbound.Options{Name: "bounded"}) }, func(body io.ReadCloser) {
+	limitsConnections(func() limitedSender { return outbound.New(outbound.Options{Name: "bounded"}) }, func(body io.ReadCloser) {
 		_, err := io.Copy(io.Discard, body)
 		Expect(err).NotTo(HaveOccurred())
 		closeBody(body)
@@ -34,9 +34,9 @@
 
 func closeBody(body io.ReadCloser) { Expect(body.Close()).To(Succeed()) }
 
-// boundOnConnections specifies what every client keeps to.
-func boundOnConnections(newClient func() boundedSender, finish func(body io.ReadCloser)) {
-	var client boundedSender
+// limitsConnections specifies what every client keeps to.
+func limitsConnections(newClient func() limitedSender, finish func(body io.ReadCloser)) {
+	var client limitedSender
 
 	BeforeEach(func() {
 		client = newClient()
@@ -51,23 +51,23 @@
 		}
 		return response.Body, nil
 	}
-	// boundOf returns the limit that stopped a request, of which nothing was sent.
-	boundOf := func(err error) int {
+	// limitReached returns the limit that stopped a request, of which nothing was sent.
+	limitReached := func(err error) int {
 		var failed *outbound.Error
 		ExpectWithOffset(1, errors.As(err, &failed)).To(BeTrue())
 		ExpectWithOffset(1, failed.MayHaveBeenSent).To(BeFalse())
-		var spent *outbound.ConnectionLimitError
-		ExpectWithOffset(1, errors.As(err, &spent)).To(BeTrue())
-		return spent.Limit
+		var atLimit *outbound.ConnectionLimitError
+		ExpectWithOffset(1, errors.As(err, &atLimit)).To(BeTrue())
+		return atLimit.Limit
 	}
-	endless := func(_ int, connection *scriptedConnection) {
+	respondToAll := func(_ int, connection *scriptedConnection) {
 		for connection.next() != nil {
 			connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	}
 
 	It("opens no more, and sends nothing when all are in use", func() {
-		server := serveScript(endless)
+		server := serveScript(respondToAll)
 		address := server.listener.Addr().String()
 		client.LimitConnections(func(string) int { return 2 })
 		first, err := begin(address)
@@ -75,7 +75,7 @@
 		second, err := begin(address)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = begin(address)
-		Expect(boundOf(err)).To(Equal(2))
+		Expect(limitReached(err)).To(Equal(2))
 		Expect(server.accepted.Load()).To(Equal(int32(2)))
 
 		By("using one again that has become free, and opening one for another that was closed")
@@ -87,29 +87,29 @@
 		fourth, err := begin(address)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = begin(address)
-		Expect(boundOf(err)).To(Equal(2))
+		Expect(limitReached(err)).To(Equal(2))
 		finish(third)
 		finish(fourth)
 	})
 
 	It("counts each back end by itself, and one without a bound not at all", func() {
-		bounded, unbounded := serveScript(endless), serveScript(endless)
+		limited, unlimited := serveScript(respondToAll), serveScript(respondToAll)
 		client.LimitConnections(func(address string) int {
-			if address == bounded.listener.Addr().String() {
+			if address == limited.listener.Addr().String() {
 				return 1
 			}
 			return 0
 		})
 		for range 5 {
-			body, err := begin(unbounded.listener.Addr().String())
+			body, err := begin(unlimited.listener.Addr().String())
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = body.Close() }()
 		}
-		body, err := begin(bounded.listener.Addr().String())
+		body, err := begin(limited.listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = body.Close() }()
-		_, err = begin(bounded.listener.Addr().String())
-		Expect(boundOf(err)).To(Equal(1))
+		_, err = begin(limited.listener.Addr().String())
+		Expect(limitReached(err)).To(Equal(1))
 	})
 
 	It("counts none that did not come about, or was broken", func() {
@@ -126,8 +126,8 @@
 			for range 3 {
 				_, err := begin(address)
 				Expect(err).To(HaveOccurred())
-				var spent *outbound.ConnectionLimitError
-				Expect(errors.As(err, &spent)).To(BeFalse(), "%v", err)
+				var atLimit *outbound.ConnectionLimitError
+				Expect(errors.As(err, &atLimit)).To(BeFalse(), "%v", err)
 			}
 		}
 	})
--- a/internal/edge/outbound/counted_connection.go
+++ b/internal/edge/outbound/counted_connection.go
@@ -70,18 +70,18 @@
 
 // dialer returns the transport's dial function, which opens no more connections
 // to an address than there may be.
-func dialer(timeout time.Duration, open *connectionLimiter) func(ctx context.Context, network, address string) (net.Conn, error) {
+func dialer(timeout time.Duration, limiter *connectionLimiter) func(ctx context.Context, network, address string) (net.Conn, error) {
 	plain := &net.Dialer{Timeout: timeout, KeepAlive: keepAlivePeriod}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if err := open.reserve(address); err != nil {
+		if err := limiter.reserve(address); err != nil {
 			return nil, err
 		}
 		connection, err := plain.DialContext(ctx, network, address)
 		if err != nil {
-			open.release(address)
+			limiter.release(address)
 			return nil, err
 		}
-		return &countedConn{Conn: connection, onClose: sync.OnceFunc(func() { open.release(address) })}, nil
+		return &countedConn{Conn: connection, onClose: sync.OnceFunc(func() { limiter.release(address) })}, nil
 	}
 }
 
--- a/internal/edge/outbound/direct.go
+++ b/internal/edge/outbound/direct.go
@@ -64,7 +64,7 @@
 	options DirectOptions
 	dialer  net.Dialer
 	idle    *idleConnections
-	open    *connectionLimiter
+	limiter *connectionLimiter
 }
 
 // NewDirect returns a client without connections.
@@ -76,7 +76,7 @@
 	return &Direct{
 		options: options,
 		idle:    newIdleConnections(options.IdlePerAddress),
-		open:    newConnectionLimiter(),
+		limiter: newConnectionLimiter(),
 		dialer: net.Dialer{
 			Timeout: options.DialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{
@@ -131,7 +131,7 @@
 // LimitConnections bounds the connections to each back end by what limit returns
 // for its address, 0 for any number. A request that finds all of them in use is not
 // sent; the cause of its error is a *ConnectionLimitError.
-func (d *Direct) LimitConnections(limit func(address string) int) { d.open.setLimit(limit) }
+func (d *Direct) LimitConnections(limit func(address string) int) { d.limiter.setLimit(limit) }
 
 // CloseIdle closes the connections that carry no request.
 func (d *Direct) CloseIdle() { d.idle.closeAll() }
@@ -152,13 +152,13 @@
 		}
 		idle.close()
 	}
-	if err := d.open.reserve(address); err != nil {
+	if err := d.limiter.reserve(address); err != nil {
 		return nil, err
 	}
 	dialled, err := d.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		d.open.release(address)
+		d.limiter.release(address)
 		return nil, err
 	}
-	return newDirectConnection(address, dialled, d.open), nil
+	return newDirectConnection(address, dialled, d.limiter), nil
 }
--- a/internal/edge/outbound/direct_connection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -17,8 +17,8 @@
 type directConnection struct {
 	address string
 	net.Conn
-	// open counts the connection until it is closed.
-	open *connectionLimiter
+	// limiter counts the connection until it is closed.
+	limiter *connectionLimiter
 	// limited bounds what reader reads of the header of a response.
 	limited io.LimitedReader
 	reader  *bufio.Reader
@@ -31,8 +31,8 @@
 	expires time.Time
 }
 
-func newDirectConnection(address string, dialled net.Conn, open *connectionLimiter) *directConnection {
-	connection := &directConnection{address: address, Conn: dialled, open: open}
+func newDirectConnection(address string, dialled net.Conn, limiter *connectionLimiter) *directConnection {
+	connection := &directConnection{address: address, Conn: dialled, limiter: limiter}
 	connection.limited = io.LimitedReader{R: dialled, N: math.MaxInt64}
 	connection.reader = bufio.NewReader(&connection.limited)
 	return connection
@@ -43,7 +43,7 @@
 func (c *directConnection) close() {
 	if !c.closed.Swap(true) {
 		_ = c.Conn.Close() //nolint:staticcheck // the embedded field tells Close from close
-		c.open.release(c.address)
+		c.limiter.release(c.address)
 	}
 }
 
--- a/internal/edge/outbound/direct_test.go
+++ b/internal/edge/outbound/direct_test.go
@@ -19,18 +19,18 @@
 var _ = Describe("Direct", func() {
 	var client *outbound.Direct
 
-	belongs := func(request *http.Request, response *http.Response) bool {
+	sameID := func(request *http.Request, response *http.Response) bool {
 		return request.Header.Get("Id") == response.Header.Get("Id")
 	}
 
-	// use replaces the client.
-	use := func(options outbound.DirectOptions) {
+	// replaceClient replaces the client.
+	replaceClient := func(options outbound.DirectOptions) {
 		client = outbound.NewDirect(options)
 		DeferCleanup(client.CloseIdle)
 	}
 
 	// send sends a request with an identity and reads its response whole.
-	send := func(server *scripted, id string, body []byte) (string, error) {
+	send := func(server *scriptedBackend, id string, body []byte) (string, error) {
 		request := newRequest(http.MethodPost, server.listener.Addr().String())
 		request.Header.Set("Id", id)
 		response, err := client.Send(request, body)
@@ -42,7 +42,7 @@
 		return string(text), err
 	}
 
-	BeforeEach(func() { use(outbound.DirectOptions{}) })
+	BeforeEach(func() { replaceClient(outbound.DirectOptions{}) })
 
 	sendsOnce(func() clientUnderTest { return client })
 
@@ -132,7 +132,7 @@
 	})
 
 	It("discards a late response to an earlier request", func() {
-		use(outbound.DirectOptions{Matches: belongs})
+		replaceClient(outbound.DirectOptions{Matches: sameID})
 		server := serveScript(func(number int, connection *scriptedConnection) {
 			for request := connection.next(); request != nil; request = connection.next() {
 				id := request.Header.Get("Id")
@@ -149,7 +149,7 @@
 	})
 
 	It("accepts no response when only others come", func() {
-		use(outbound.DirectOptions{Matches: belongs})
+		replaceClient(outbound.DirectOptions{Matches: sameID})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("%s%s%s", responseTo("a"), responseTo("b"), responseTo("c"))
@@ -228,12 +228,12 @@
 	})
 
 	It("ends the connection with the request's context", func() {
-		left := make(chan error, 1)
+		disconnected := make(chan error, 1)
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
 			_, err := connection.reader.ReadByte()
-			left <- err
+			disconnected <- err
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		request := newRequest(http.MethodPost, server.listener.Addr().String()).WithContext(ctx)
@@ -241,7 +241,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(io.ReadFull(response.Body, make([]byte, 5))).To(Equal(5))
 		cancel()
-		Eventually(left, testTimeout).Should(Receive(HaveOccurred()))
+		Eventually(disconnected, testTimeout).Should(Receive(HaveOccurred()))
 		_, err = response.Body.Read(make([]byte, 1))
 		Expect(err).To(And(HaveOccurred(), Not(Equal(io.EOF))))
 		Expect(response.Body.Close()).To(Succeed())
@@ -302,7 +302,7 @@
 	)
 
 	It("keeps no connection for longer than it may", func() {
-		use(outbound.DirectOptions{IdleTimeout: time.Nanosecond})
+		replaceClient(outbound.DirectOptions{IdleTimeout: time.Nanosecond})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
 				connection.write("%s", fullResponse)
--- a/internal/edge/outbound/exchange.go
+++ b/internal/edge/outbound/exchange.go
@@ -39,8 +39,8 @@
 	surplus bool
 	// ended means that the connection was closed, or returned to idle.
 	ended bool
-	// failure is the first error of reading the body, io.EOF included.
-	failure error
+	// readError is the first error of reading the body, io.EOF included.
+	readError error
 }
 
 // run writes the request and reads the head of its response.
@@ -130,12 +130,12 @@
 
 // Read implements io.Reader for the response's body.
 func (e *exchange) Read(data []byte) (int, error) {
-	if e.failure != nil {
-		return 0, e.failure
+	if e.readError != nil {
+		return 0, e.readError
 	}
 	count, err := e.body.Read(data)
 	if err != nil {
-		e.failure = err
+		e.readError = err
 		if err == io.EOF {
 			e.finish()
 		} else {
@@ -152,7 +152,7 @@
 		return nil
 	}
 	rest := e.response.ContentLength
-	if e.failure == nil && rest >= 0 && rest <= int64(e.connection.reader.Buffered()) {
+	if e.readError == nil && rest >= 0 && rest <= int64(e.connection.reader.Buffered()) {
 		_, _ = io.Copy(io.Discard, e)
 		return nil
 	}
--- a/internal/edge/outbound/scripted_test.go
+++ b/internal/edge/outbound/scripted_test.go
@@ -14,9 +14,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// scripted is a back end whose connections a script serves, with their numbers
+// scriptedBackend is a back end whose connections a script serves, with their numbers
 // from 1.
-type scripted struct {
+type scriptedBackend struct {
 	listener net.Listener
 	accepted atomic.Int32
 }
@@ -56,11 +56,11 @@
 }
 
 // serveScript starts a scripted back end.
-func serveScript(run script) *scripted {
+func serveScript(run script) *scriptedBackend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
-	server := &scripted{listener: listener}
+	server := &scriptedBackend{listener: listener}
 	go func() {
 		for {
 			connection, err := listener.Accept()
--- a/internal/edge/outbound/single_send_test.go
+++ b/internal/edge/outbound/single_send_test.go
@@ -23,10 +23,10 @@
 // sendsOnce declares the specs of a client that never sends a request twice by
 // itself, and says so when one may have left.
 func sendsOnce(client func() clientUnderTest) {
-	// cutOnce sends a second request on a connection that is cut after some of its
+	// closeDuringRequest sends a second request on a connection that is cut after some of its
 	// bytes. Kept reports whether it went out on that connection at all: a client that
 	// got no processor time to keep it has opened another one.
-	cutOnce := func(method string, body []byte, cut int) (kept bool) {
+	closeDuringRequest := func(method string, body []byte, cut int) (kept bool) {
 		backend := newRawBackend(cut, len(fullResponse))
 		address := backend.listener.Addr().String()
 		Expect(exchangeOnce(client(), method, address, body)).To(Succeed())
@@ -57,7 +57,7 @@
 		for cut := range requestBytes(method, body) + 1 {
 			kept := false
 			for try := 0; try < reuseAttempts && !kept; try++ {
-				kept = cutOnce(method, body, cut)
+				kept = closeDuringRequest(method, body, cut)
 			}
 			Expect(kept).To(BeTrue(), "no connection was kept, cut after %d bytes", cut)
 		}
--- a/internal/edge/platform/endpoints_test.go
+++ b/internal/edge/platform/endpoints_test.go
@@ -14,8 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/platform"
 )
 
-// clientOf returns a client of a scripted platform.
-func clientOf(script http.HandlerFunc) *platform.Client {
+// newClient returns a client of a scripted platform.
+func newClient(script http.HandlerFunc) *platform.Client {
 	server := httptest.NewServer(script)
 	DeferCleanup(server.Close)
 	sender := outbound.New(outbound.Options{Name: "test"})
@@ -30,7 +30,7 @@
 
 var _ = Describe("Client", func() {
 	It("reads the list", func() {
-		list, err := clientOf(respondWith(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
+		list, err := newClient(respondWith(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
 			Fetch(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(list.Services).To(Equal([]platform.Service{
@@ -39,7 +39,7 @@
 	})
 
 	DescribeTable("takes no list", func(text string) {
-		_, err := clientOf(respondWith(text)).Fetch(context.Background())
+		_, err := newClient(respondWith(text)).Fetch(context.Background())
 		Expect(err).To(BeAssignableToTypeOf(&platform.EndpointsError{}))
 	},
 		Entry("that is no JSON", `{`),
@@ -51,7 +51,7 @@
 
 	It("polls again after a failure, and ends with its context", func() {
 		fails := true
-		client := clientOf(func(writer http.ResponseWriter, request *http.Request) {
+		client := newClient(func(writer http.ResponseWriter, request *http.Request) {
 			if fails {
 				fails = false
 				writer.WriteHeader(http.StatusInternalServerError)
--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -22,8 +22,8 @@
 	attemptID        = "attempt-7"
 )
 
-// start starts a replica with a scripted answer, and returns its address.
-func start(script http.HandlerFunc) string {
+// startReplica starts a replica with a scripted answer, and returns its address.
+func startReplica(script http.HandlerFunc) string {
 	server := httptest.NewServer(script)
 	DeferCleanup(server.Close)
 	return server.Listener.Addr().String()
@@ -38,7 +38,7 @@
 
 // generate runs one attempt on a scripted replica that echoes the attempt.
 func generate(call replica.Call, script http.HandlerFunc) (*replica.Response, error) {
-	call.Address = start(func(writer http.ResponseWriter, request *http.Request) {
+	call.Address = startReplica(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(replica.HeaderAttemptID, attemptID)
 		script(writer, request)
 	})
@@ -46,8 +46,8 @@
 	return replica.NewClient(sender(), maxResponseBytes).Generate(context.Background(), call)
 }
 
-// drain reads a stream to its end.
-func drain(response *replica.Response) (string, error) {
+// readStream reads a stream to its end.
+func readStream(response *replica.Response) (string, error) {
 	var all string
 	for {
 		event, err := response.Next()
@@ -122,7 +122,7 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Streamed()).To(BeTrue())
-		text, err := drain(answer)
+		text, err := readStream(answer)
 		Expect(text).To(Equal(received))
 		if properEnd {
 			Expect(err).To(BeIdenticalTo(io.EOF))
@@ -145,7 +145,7 @@
 var _ = Describe("EventClient", func() {
 	It("reads lines, from a position on", func() {
 		var query string
-		address := start(func(writer http.ResponseWriter, request *http.Request) {
+		address := startReplica(func(writer http.ResponseWriter, request *http.Request) {
 			query = request.URL.RawQuery
 			_, _ = io.WriteString(writer, `{"kind":"stored","incarnation":3,"sequence":9,"parts":[{"hash":"ff","tokens":5}]}`+"\n\n"+
 				`{"kind":"report","incarnation":3,"report":{"weight_version":"w","age_ms":1500}}`+"\n")
@@ -165,7 +165,7 @@
 	})
 
 	It("gives a silent stream up", func() {
-		address := start(func(writer http.ResponseWriter, request *http.Request) {
+		address := startReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.(http.Flusher).Flush()
 			<-request.Context().Done()
 		})
@@ -175,7 +175,7 @@
 	})
 
 	DescribeTable("gives up", func(script http.HandlerFunc) {
-		err := replica.NewEventClient(sender(), time.Minute).Follow(context.Background(), start(script), replica.Position{},
+		err := replica.NewEventClient(sender(), time.Minute).Follow(context.Background(), startReplica(script), replica.Position{},
 			func(replica.Event) error { return nil })
 		Expect(err).To(HaveOccurred())
 	},
--- a/internal/edge/replica/generate.go
+++ b/internal/edge/replica/generate.go
@@ -72,12 +72,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkEcho(response, call); err != nil {
+	if err := checkAttemptID(response, call); err != nil {
 		_ = response.Body.Close()
 		return nil, err
 	}
 	if response.Header.Get(HeaderNotRun) == "true" && response.StatusCode >= http.StatusBadRequest {
-		return nil, refusal(response)
+		return nil, readRefusal(response)
 	}
 	return &Response{response: response, maxBytes: c.maxResponseBytes}, nil
 }
@@ -120,8 +120,8 @@
 	}
 }
 
-// checkEcho refuses a response that does not name its attempt.
-func checkEcho(response *http.Response, call Call) error {
+// checkAttemptID refuses a response that does not name its attempt.
+func checkAttemptID(response *http.Response, call Call) error {
 	echoed := response.Header.Get(HeaderAttemptID)
 	if echoed == call.AttemptID {
 		return nil
@@ -129,8 +129,8 @@
 	return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
 }
 
-// refusal reads a rejection and closes the response.
-func refusal(response *http.Response) *outbound.RefusedError {
+// readRefusal reads a rejection and closes the response.
+func readRefusal(response *http.Response) *outbound.RefusedError {
 	defer func() { _ = response.Body.Close() }()
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
 	return &outbound.RefusedError{
--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -26,8 +26,8 @@
 	HeaderNotRun = "Not-Run"
 )
 
-// hopHeaders describe one connection and are not forwarded.
-var hopHeaders = []string{
+// hopByHopHeaders describe one connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
@@ -101,7 +101,7 @@
 // forwardedHeader returns the header without what is not for the back end.
 func forwardedHeader(header http.Header) http.Header {
 	forwarded := header.Clone()
-	removeHopHeaders(forwarded)
+	removeHopByHopHeaders(forwarded)
 	forwarded.Del(headerAuthorization)
 	if _, given := forwarded["User-Agent"]; !given {
 		// An absent value would make net/http add its own.
@@ -110,14 +110,14 @@
 	return forwarded
 }
 
-// removeHopHeaders removes the headers that describe one connection.
-func removeHopHeaders(header http.Header) {
+// removeHopByHopHeaders removes the headers that describe one connection.
+func removeHopByHopHeaders(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/internal/edge/webservice/client_test.go
+++ b/internal/edge/webservice/client_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// echoing refuses with a promise that names an attempt.
-func echoing(attempt string) http.HandlerFunc {
+// refuseNotRun refuses with a promise that names an attempt.
+func refuseNotRun(attempt string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(webservice.HeaderAttemptID, attempt)
 		writer.Header().Set(webservice.HeaderNotRun, "true")
@@ -40,11 +40,11 @@
 
 var _ = Describe("Client", func() {
 	It("accepts a guarantee not to run only if it names the attempt", func() {
-		_, err := forward(echoing("a-1"))
+		_, err := forward(refuseNotRun("a-1"))
 		Expect(err).To(Equal(&outbound.RefusedError{Status: http.StatusServiceUnavailable, RetryAfter: 2 * time.Second}))
-		_, err = forward(echoing("a-2"))
+		_, err = forward(refuseNotRun("a-2"))
 		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
-		answer, err := forward(echoing(""))
+		answer, err := forward(refuseNotRun(""))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
@@ -53,9 +53,9 @@
 		long := strings.Repeat("x", 3*maxBufferedBytes)
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, long) })
 		Expect(err).NotTo(HaveOccurred())
-		first, whole, err := answer.ReadAll()
+		first, complete, err := answer.ReadAll()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole).To(BeFalse())
+		Expect(complete).To(BeFalse())
 		text := string(first)
 		for err == nil {
 			var chunk []byte
--- a/internal/edge/webservice/response.go
+++ b/internal/edge/webservice/response.go
@@ -31,7 +31,7 @@
 // newResponse wraps a response.
 func newResponse(response *http.Response, maxBytes int64) *Response {
 	header := response.Header.Clone()
-	removeHopHeaders(header)
+	removeHopByHopHeaders(header)
 	header.Del(HeaderAttemptID)
 	return &Response{response: response, header: header, maxBytes: maxBytes}
 }
