--- a/internal/edge/outbound/benchmark_test.go
+++ b/internal/edge/outbound/benchmark_test.go
@@ -10,12 +10,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// sender is what both clients are.
+// sender is the common interface of both clients.
 type sender interface {
 	Send(request *http.Request, body []byte) (*http.Response, error)
 }
 
-// benchmarkSender sends requests one after the other over an idle connection.
+// benchmarkSender sends requests one after another, so that an idle connection can be reused.
 func benchmarkSender(b *testing.B, client sender) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,8 @@
 	}
 }
 
-// respondToEveryRead answers whatever comes in one piece, at next to no cost.
+// respondToEveryRead sends a response after every read without parsing the request, so that the
+// server adds little to the measured time.
 func respondToEveryRead(connection net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
--- a/internal/edge/outbound/client.go
+++ b/internal/edge/outbound/client.go
@@ -16,7 +16,7 @@
 const (
 	// DefaultDialTimeout bounds the time to connect.
 	DefaultDialTimeout = time.Second
-	// DefaultIdleTimeout closes connections that have carried nothing lately.
+	// DefaultIdleTimeout is the time after which an idle connection is closed.
 	DefaultIdleTimeout = 2 * time.Second
 	// DefaultIdlePerAddress bounds the idle connections to one back end.
 	DefaultIdlePerAddress = 64
@@ -28,17 +28,17 @@
 
 // Options set up a Client. Zero values mean the defaults.
 type Options struct {
-	// Name is what go-zero registers the client under, which is shared by the process.
+	// Name identifies the client in go-zero's registries, which the whole process shares.
 	Name string
 	// DialTimeout bounds the time to connect.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that have carried nothing lately.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
 	// IdlePerAddress bounds the idle connections to one back end.
 	IdlePerAddress int
 }
 
-// Client sends requests. It may be used by many goroutines.
+// Client sends requests through net/http. It may be used concurrently.
 type Client struct {
 	service   httpc.Service
 	transport *http.Transport
@@ -56,7 +56,8 @@
 	if options.IdlePerAddress <= 0 {
 		options.IdlePerAddress = DefaultIdlePerAddress
 	}
-	// httpc registers a breaker and writes a log line for every request.
+	// httpc runs every request through a circuit breaker and logs it. Both are disabled; the
+	// log level applies to the whole process.
 	breaker.NoBreakerFor(options.Name)
 	logx.SetLevel(logx.SevereLevel)
 	limiter := newConnectionLimiter()
@@ -65,7 +66,7 @@
 	return &Client{service: httpc.NewServiceWithClient(options.Name, client), transport: transport, limiter: limiter}
 }
 
-// newTransport returns a transport that changes nothing in what passes.
+// newTransport returns a transport that does not request or undo compression.
 func newTransport(options Options, limiter *connectionLimiter) *http.Transport {
 	return &http.Transport{
 		DialContext:            dialer(options.DialTimeout, limiter),
@@ -76,15 +77,15 @@
 	}
 }
 
-// returnRedirect hands a redirect on as the response that it is: following it
+// returnRedirect makes the client return a redirect as the response, since following it
 // would send the request a second time.
 func returnRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// Send sends a request with a body once. A returned error is an *Error. The
-// caller closes the response's body; unless it was read to its end the
-// connection is closed with it.
+// Send sends a request with a body at most once. A returned error is an *Error. The caller
+// closes the response's body; if the body was not read to its end, the connection is closed
+// with it.
 func (c *Client) Send(request *http.Request, body []byte) (*http.Response, error) {
 	used := &connectionTrace{}
 	trace := &httptrace.ClientTrace{GotConn: used.add}
@@ -97,7 +98,7 @@
 	return response, nil
 }
 
-// Get fetches a URL that changes nothing at the other end.
+// Get sends a GET request, whose URL must have no side effects at the server, as Send does.
 func (c *Client) Get(ctx context.Context, url string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -106,12 +107,12 @@
 	return c.Send(request, nil)
 }
 
-// LimitConnections bounds the connections to each back end by what limit returns
-// for its address, 0 for any number. A request that finds all of them in use is not
-// sent; the cause of its error is a *ConnectionLimitError.
+// LimitConnections limits the connections to each back end to the number that limit returns
+// for its address; 0 means no limit. A request for which all of them are in use is not sent;
+// the cause of its error is a *ConnectionLimitError.
 func (c *Client) LimitConnections(limit func(address string) int) { c.limiter.setLimit(limit) }
 
-// CloseIdle closes the connections that carry no request.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() {
 	c.transport.CloseIdleConnections()
 }
--- a/internal/edge/outbound/client_test.go
+++ b/internal/edge/outbound/client_test.go
@@ -23,7 +23,7 @@
 
 	sendsOnce(func() clientUnderTest { return client })
 
-	It("is needed: a plain client sends again by itself", func() {
+	It("is needed because a plain http.Client retries a request by itself", func() {
 		plain := &http.Client{Transport: &http.Transport{}}
 		backend := newRawBackend(10, len(fullResponse))
 		address := backend.listener.Addr().String()
@@ -38,7 +38,7 @@
 		Expect(backend.started.Load()).To(Equal(int32(2)))
 	})
 
-	It("knows that nothing left when the connection is refused", func() {
+	It("reports that nothing was sent when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
@@ -49,7 +49,7 @@
 		Expect(failed.MayHaveBeenSent).To(BeFalse())
 	})
 
-	DescribeTable("does not follow a redirect, which would send a second time", func(status int) {
+	DescribeTable("does not follow a redirect, which would send the request a second time", func(status int) {
 		target := newRawBackend(-1, len(fullResponse))
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
--- a/internal/edge/outbound/connection_limit.go
+++ b/internal/edge/outbound/connection_limit.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// ConnectionLimitError says that a back end has as many connections from this
-// node as it may have. Nothing was sent to it.
+// ConnectionLimitError reports that all connections that this node may have to a back end are
+// in use. Nothing of the request was sent.
 type ConnectionLimitError struct {
 	Address string
 	Limit   int
@@ -17,12 +17,12 @@
 	return fmt.Sprintf("all %d connections that this node may have to %s are in use", e.Limit, e.Address)
 }
 
-// connectionLimiter counts the connections to each back end: those with and without a
-// request, and those that are being opened. It is safe for concurrent use.
+// connectionLimiter counts the connections to each back end, whether in use, idle or being
+// opened. It is safe for concurrent use.
 type connectionLimiter struct {
 	mutex sync.Mutex
-	// limit returns how many connections there may be, 0 for any number. Nil means no
-	// bound.
+	// limit returns the most connections to an address, or 0 for no limit. If limit is nil,
+	// no address has a limit.
 	limit  func(address string) int
 	counts map[string]int
 }
@@ -31,14 +31,14 @@
 	return &connectionLimiter{counts: map[string]int{}}
 }
 
-// setLimit replaces the bound. Connections beyond it are not closed.
+// setLimit replaces the limit. Existing connections beyond the new limit are not closed.
 func (l *connectionLimiter) setLimit(limit func(address string) int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.limit = limit
 }
 
-// reserve counts a connection that is to be opened. The error is a
+// reserve counts a connection that is about to be opened. The error is a
 // *ConnectionLimitError.
 func (l *connectionLimiter) reserve(address string) error {
 	l.mutex.Lock()
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// release takes a connection that was closed, or could not be opened, out of the count.
+// release removes a connection that was closed, or could not be opened, from the count.
 func (l *connectionLimiter) release(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/edge/outbound/connection_limit_test.go
+++ b/internal/edge/outbound/connection_limit_test.go
@@ -12,19 +12,19 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// limitedSender sends requests over a bounded number of connections.
+// limitedSender sends requests over a limited number of connections.
 type limitedSender interface {
 	Send(request *http.Request, body []byte) (*http.Response, error)
 	LimitConnections(limit func(address string) int)
 	CloseIdle()
 }
 
-var _ = Describe("Direct with a bound on connections", func() {
+var _ = Describe("Direct with a connection limit", func() {
 	limitsConnections(func() limitedSender { return outbound.NewDirect(outbound.DirectOptions{}) }, closeBody)
 })
 
-var _ = Describe("Client with a bound on connections", func() {
-	// Its connection is free again once the response was read to its end.
+var _ = Describe("Client with a connection limit", func() {
+	// Client keeps the connection only if the response was read to its end.
 	limitsConnections(func() limitedSender { return outbound.New(outbound.Options{Name: "bounded"}) }, func(body io.ReadCloser) {
 		_, err := io.Copy(io.Discard, body)
 		Expect(err).NotTo(HaveOccurred())
@@ -34,7 +34,8 @@
 
 func closeBody(body io.ReadCloser) { Expect(body.Close()).To(Succeed()) }
 
-// limitsConnections specifies what every client keeps to.
+// limitsConnections declares the specs of LimitConnections, which both clients must pass. finish
+// ends a response such that its connection can be reused.
 func limitsConnections(newClient func() limitedSender, finish func(body io.ReadCloser)) {
 	var client limitedSender
 
@@ -43,7 +44,7 @@
 		DeferCleanup(client.CloseIdle)
 	})
 
-	// begin sends a request and returns the body of its response, unread.
+	// begin sends a request and returns the unread body of its response.
 	begin := func(address string) (io.ReadCloser, error) {
 		response, err := client.Send(newRequest(http.MethodPost, address), nil)
 		if err != nil {
@@ -51,7 +52,7 @@
 		}
 		return response.Body, nil
 	}
-	// limitReached returns the limit that stopped a request, of which nothing was sent.
+	// limitReached checks that the connection limit prevented a request, and returns the limit.
 	limitReached := func(err error) int {
 		var failed *outbound.Error
 		ExpectWithOffset(1, errors.As(err, &failed)).To(BeTrue())
@@ -66,7 +67,7 @@
 		}
 	}
 
-	It("opens no more, and sends nothing when all are in use", func() {
+	It("opens no more connections than the limit, and sends nothing when all are in use", func() {
 		server := serveScript(respondToAll)
 		address := server.listener.Addr().String()
 		client.LimitConnections(func(string) int { return 2 })
@@ -78,7 +79,7 @@
 		Expect(limitReached(err)).To(Equal(2))
 		Expect(server.accepted.Load()).To(Equal(int32(2)))
 
-		By("using one again that has become free, and opening one for another that was closed")
+		By("reusing an idle connection, and replacing a closed one")
 		finish(first)
 		third, err := begin(address)
 		Expect(err).NotTo(HaveOccurred())
@@ -92,7 +93,7 @@
 		finish(fourth)
 	})
 
-	It("counts each back end by itself, and one without a bound not at all", func() {
+	It("applies the limit to each back end separately, and none to a back end without a limit", func() {
 		limited, unlimited := serveScript(respondToAll), serveScript(respondToAll)
 		client.LimitConnections(func(address string) int {
 			if address == limited.listener.Addr().String() {
@@ -112,7 +113,7 @@
 		Expect(limitReached(err)).To(Equal(1))
 	})
 
-	It("counts none that did not come about, or was broken", func() {
+	It("does not count connections that failed to open or were reset", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		closed := listener.Addr().String()
--- a/internal/edge/outbound/counted_connection.go
+++ b/internal/edge/outbound/counted_connection.go
@@ -10,18 +10,18 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed is returned by writes to a connection that has been given up.
+// errSealed is returned by writes to a sealed connection.
 var errSealed = errors.New("the connection has been sealed after a failed request")
 
-// countedConn is a connection that counts what it is asked to write and that
-// can be sealed against further writes.
+// countedConn is a connection that counts the calls of Write and can be sealed against
+// further ones.
 type countedConn struct {
 	net.Conn
 	mutex  sync.Mutex
 	writes uint64
 	sealed bool
-	// onClose releases the connection from the limit of its back end. Only its first call
-	// does so.
+	// onClose removes the connection from the count of its back end. Only the first call
+	// has an effect.
 	onClose func()
 }
 
@@ -31,7 +31,7 @@
 	return c.Conn.Close()
 }
 
-// Write counts the call before any byte can leave.
+// Write implements net.Conn. It counts the call before any byte can be sent.
 func (c *countedConn) Write(data []byte) (int, error) {
 	if !c.beginWrite() {
 		return 0, errSealed
@@ -39,7 +39,7 @@
 	return c.Conn.Write(data)
 }
 
-// beginWrite enters a write, unless the connection is sealed.
+// beginWrite counts a write and returns true, or returns false if the connection is sealed.
 func (c *countedConn) beginWrite() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -57,8 +57,8 @@
 	return c.writes
 }
 
-// seal forbids further writes, closes the connection, and returns how many
-// writes have ever begun. After it returns that number is final.
+// seal forbids further writes, closes the connection, and returns how many writes have
+// begun on it. No write begins afterwards.
 func (c *countedConn) seal() uint64 {
 	c.mutex.Lock()
 	c.sealed = true
@@ -68,8 +68,8 @@
 	return writes
 }
 
-// dialer returns the transport's dial function, which opens no more connections
-// to an address than there may be.
+// dialer returns the transport's dial function, which opens no more connections to an
+// address than the limiter permits.
 func dialer(timeout time.Duration, limiter *connectionLimiter) func(ctx context.Context, network, address string) (net.Conn, error) {
 	plain := &net.Dialer{Timeout: timeout, KeepAlive: keepAlivePeriod}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -89,18 +89,18 @@
 type connectionTrace struct {
 	mutex       sync.Mutex
 	connections []usedConnection
-	// untracked means that one of them does not count its writes.
+	// untracked means that a connection of the request is not a countedConn.
 	untracked bool
 }
 
-// usedConnection is a connection, and how many writes had begun on it when the request
-// was given it.
+// usedConnection is a connection of a request. writesBefore is how many writes had begun on
+// it when the request got it.
 type usedConnection struct {
 	connection   *countedConn
 	writesBefore uint64
 }
 
-// add records a connection. It is called before the request is written to it.
+// add records a connection. net/http calls it before it writes the request.
 func (t *connectionTrace) add(info httptrace.GotConnInfo) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -112,7 +112,8 @@
 	t.connections = append(t.connections, usedConnection{connection: counted, writesBefore: counted.writeCount()})
 }
 
-// seal closes the connections, and reports whether any byte of the request may have left.
+// seal seals and closes the connections, and reports whether any byte of the request may have
+// been sent.
 func (t *connectionTrace) seal() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/edge/outbound/direct.go
+++ b/internal/edge/outbound/direct.go
@@ -17,22 +17,23 @@
 const (
 	// DefaultDirectDialTimeout bounds the time to connect.
 	DefaultDirectDialTimeout = 300 * time.Millisecond
-	// DefaultDirectIdleTimeout ends the reuse of connections that have carried
-	// nothing lately.
+	// DefaultDirectIdleTimeout is the time after which an idle connection is not
+	// reused.
 	DefaultDirectIdleTimeout = 3 * time.Second
-	// DefaultAckTimeout is how long sent bytes, or probes of a connection
-	// that waits, may stay without the other machine's acknowledgement.
+	// DefaultAckTimeout is how long sent bytes, or TCP keep-alive probes, may remain
+	// unacknowledged by the peer.
 	DefaultAckTimeout = 3 * time.Second
-	// probeInterval is the interval of probes on a connection that waits.
+	// probeInterval is the interval of TCP keep-alive probes on a silent connection.
 	probeInterval = time.Second
 )
 
-// Bounds of what is read before the awaited response.
+// Limits on what is read before the response to a request.
 const (
-	// maxInterim bounds the interim responses before a response.
+	// maxInterim bounds the responses that are read for one request: interim (1xx)
+	// responses, responses to other requests, and its own.
 	maxInterim = 8
-	// maxSurplus bounds the responses to other requests before it, and
-	// maxSurplusBytes the body of one.
+	// maxSurplus bounds the responses to other requests that are discarded, and
+	// maxSurplusBytes the body of each.
 	maxSurplus      = 2
 	maxSurplusBytes = 1 << 20
 )
@@ -41,25 +42,25 @@
 type DirectOptions struct {
 	// DialTimeout bounds the time to connect.
 	DialTimeout time.Duration
-	// IdleTimeout ends the reuse of connections that have carried nothing lately;
-	// a back end may name a shorter time.
+	// IdleTimeout is the time after which an idle connection is not reused. The Keep-Alive
+	// header of a response may shorten it.
 	IdleTimeout time.Duration
 	// IdlePerAddress bounds the idle connections to one back end.
 	IdlePerAddress int
-	// AckTimeout is how long sent bytes may stay without the other machine's
-	// acknowledgement, as when it has lost power. Then the connection fails.
+	// AckTimeout is how long sent bytes may remain unacknowledged by the peer, as when its
+	// machine has lost power. After that the connection fails.
 	AckTimeout time.Duration
-	// Matches reports whether a response is that of the request. One that is not is
-	// a surplus response to an earlier request and is discarded. Nil accepts every
-	// response.
+	// Matches reports whether a response is that of the request. A response that does not
+	// match is taken for a surplus response to an earlier request and is discarded. Nil
+	// accepts every response.
 	Matches func(request *http.Request, response *http.Response) bool
 }
 
-// Direct sends requests on connections of its own, in place of net/http's
-// transport. It uses no goroutines of its own while a request runs, knows for
-// certain whether a byte has left, looks at an idle connection before it uses it
-// again, keeps none on which anything came behind a response, and keeps each no
-// longer than the back end said. It may be used by many goroutines.
+// Direct sends requests on connections that it manages itself, in place of net/http's
+// transport. It starts a goroutine for a request only to write a long body, and knows for
+// certain whether the kernel has accepted any byte of a request. It checks an idle connection
+// before reusing it, reuses none on which bytes followed a response, and keeps none idle for
+// longer than the back end permits. It may be used concurrently.
 type Direct struct {
 	options DirectOptions
 	dialer  net.Dialer
@@ -90,10 +91,10 @@
 	}
 }
 
-// Send sends a request with a body once. A returned error is an *Error. The
-// caller closes the response's body; unless it was read to its end the connection
-// is closed with it. The request's context ends the connection, until the body
-// has ended.
+// Send sends a request with a body at most once. A returned error is an *Error. The caller
+// closes the response's body, which also closes the connection unless the body was read to
+// its end or has arrived completely. If the request's context ends before the body does, the
+// connection is closed.
 func (d *Direct) Send(request *http.Request, body []byte) (*http.Response, error) {
 	ctx := request.Context()
 	if err := checkHeader(request.Header); err != nil {
@@ -116,27 +117,28 @@
 	return response, nil
 }
 
-// checkHeader refuses values that would end their line.
+// checkHeader rejects values with characters that end a header line or are invalid in it.
 func checkHeader(header http.Header) error {
 	for name, values := range header {
 		for _, value := range values {
 			if strings.ContainsAny(value, "\r\n\x00") {
-				return errors.Errorf("header %s holds a line break: take it out", name)
+				return errors.Errorf("header %s contains a line break or a NUL character; remove it", name)
 			}
 		}
 	}
 	return nil
 }
 
-// LimitConnections bounds the connections to each back end by what limit returns
-// for its address, 0 for any number. A request that finds all of them in use is not
-// sent; the cause of its error is a *ConnectionLimitError.
+// LimitConnections limits the connections to each back end to the number that limit returns
+// for its address; 0 means no limit. A request for which all of them are in use is not sent;
+// the cause of its error is a *ConnectionLimitError.
 func (d *Direct) LimitConnections(limit func(address string) int) { d.limiter.setLimit(limit) }
 
-// CloseIdle closes the connections that carry no request.
+// CloseIdle closes the idle connections.
 func (d *Direct) CloseIdle() { d.idle.closeAll() }
 
-// connect returns an idle connection that is as it was left, or a new one.
+// connect returns an idle connection that is still open and has received nothing since its
+// last response, or a new connection.
 func (d *Direct) connect(ctx context.Context, address string) (*directConnection, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/internal/edge/outbound/direct_connection.go
+++ b/internal/edge/outbound/direct_connection.go
@@ -12,22 +12,21 @@
 	"github.com/pkg/errors"
 )
 
-// directConnection is one connection of a Direct. It carries one request at a
-// time.
+// directConnection is a connection of a Direct. It serves one request at a time.
 type directConnection struct {
 	address string
 	net.Conn
-	// limiter counts the connection until it is closed.
+	// limiter counts the connection until close.
 	limiter *connectionLimiter
-	// limited bounds what reader reads of the header of a response.
+	// limited bounds the bytes that reader reads while a response's header is expected.
 	limited io.LimitedReader
 	reader  *bufio.Reader
-	// head is the buffer for the heads of requests, kept from one to the next.
+	// head is the buffer for the heads of requests. It is reused for every request.
 	head []byte
-	// written counts the bytes of the present request that the kernel has accepted.
+	// written counts the bytes of the current request that the kernel has accepted.
 	written int
 	closed  atomic.Bool
-	// expires is the time from which on the connection is not used again.
+	// expires is the time from which the idle connection is not reused.
 	expires time.Time
 }
 
@@ -38,8 +37,8 @@
 	return connection
 }
 
-// close closes the connection and releases it from the limit. It may be called more than
-// once, and concurrently.
+// close closes the connection and removes it from the limiter's count. It may be called
+// repeatedly and concurrently.
 func (c *directConnection) close() {
 	if !c.closed.Swap(true) {
 		_ = c.Conn.Close() //nolint:staticcheck // the embedded field tells Close from close
@@ -47,8 +46,8 @@
 	}
 }
 
-// isIdle reports whether an idle connection is open and nothing has come on it since
-// its last response.
+// isIdle reports whether an idle connection is open and has received nothing since its last
+// response.
 func (c *directConnection) isIdle() bool {
 	tcp, known := c.Conn.(syscall.Conn)
 	if !known || c.reader.Buffered() > 0 {
@@ -68,8 +67,8 @@
 	return err == nil && idle
 }
 
-// limitHeader bounds the bytes that are read until the bound is lifted.
+// limitHeader limits the bytes that are read from the network until liftLimit.
 func (c *directConnection) limitHeader() { c.limited.N = maxHeaderBytes }
 
-// liftLimit lifts the bound, for the body.
+// liftLimit removes the limit, so that the body can be read.
 func (c *directConnection) liftLimit() { c.limited.N = math.MaxInt64 }
--- a/internal/edge/outbound/direct_test.go
+++ b/internal/edge/outbound/direct_test.go
@@ -29,7 +29,7 @@
 		DeferCleanup(client.CloseIdle)
 	}
 
-	// send sends a request with an identity and reads its response whole.
+	// send sends a request with an ID and returns the body of its response.
 	send := func(server *scriptedBackend, id string, body []byte) (string, error) {
 		request := newRequest(http.MethodPost, server.listener.Addr().String())
 		request.Header.Set("Id", id)
@@ -67,7 +67,7 @@
 		Expect(io.ReadAll(seen.Body)).To(Equal([]byte("text")))
 	})
 
-	It("uses a connection again", func() {
+	It("reuses a connection", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
 				connection.write("%s", fullResponse)
@@ -79,7 +79,7 @@
 		Expect(server.accepted.Load()).To(Equal(int32(1)))
 	})
 
-	DescribeTable("uses a connection no more", func(answer string) {
+	DescribeTable("does not reuse a connection", func(answer string) {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
 				connection.write("%s", answer)
@@ -90,14 +90,14 @@
 		}
 		Expect(server.accepted.Load()).To(Equal(int32(2)))
 	},
-		Entry("that the back end will close", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello"),
-		Entry("that the back end keeps for no time", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=0, max=9\r\n\r\nhello"),
-		Entry("on which a response follows the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"+fullResponse),
+		Entry("that the back end says it will close", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello"),
+		Entry("with a keep-alive time-out of 0", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nKeep-Alive: timeout=0, max=9\r\n\r\nhello"),
+		Entry("on which another response follows the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"+fullResponse),
 		Entry("on which bytes follow the response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello!"),
 		Entry("on which bytes follow the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\nx"),
 	)
 
-	It("uses a connection no more on which bytes have come while it was idle", func() {
+	It("does not reuse a connection that has received bytes while it was idle", func() {
 		written := make(chan struct{})
 		server := serveScript(func(number int, connection *scriptedConnection) {
 			connection.next()
@@ -116,7 +116,7 @@
 		Expect(server.accepted.Load()).To(Equal(int32(2)))
 	})
 
-	It("does not use an idle connection that the back end has closed", func() {
+	It("does not reuse an idle connection that the back end has closed", func() {
 		closed := make(chan struct{})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
@@ -145,10 +145,10 @@
 		for _, id := range []string{"first", "second", "third"} {
 			Expect(send(server, id, nil)).To(Equal(id))
 		}
-		Expect(server.accepted.Load()).To(Equal(int32(2)), "no connection is used again after a surplus answer")
+		Expect(server.accepted.Load()).To(Equal(int32(2)), "a connection that delivered a surplus response must not be reused")
 	})
 
-	It("accepts no response when only others come", func() {
+	It("returns an error when only responses to other requests arrive", func() {
 		replaceClient(outbound.DirectOptions{Matches: sameID})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
@@ -161,7 +161,7 @@
 		Expect(failed.MayHaveBeenSent).To(BeTrue())
 	})
 
-	DescribeTable("accepts no response from bytes that are none", func(bytes string) {
+	DescribeTable("returns an error for bytes that are not a response", func(bytes string) {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.write("%s", bytes)
@@ -171,11 +171,11 @@
 		Expect(errors.As(err, &failed)).To(BeTrue())
 		Expect(failed.MayHaveBeenSent).To(BeTrue())
 	},
-		Entry("nothing", ""),
+		Entry("no bytes", ""),
 		Entry("garbage", "\x16\x03\x01 no answer at all\r\n\r\n"),
-		Entry("a cut head", "HTTP/1.1 200 OK\r\nContent-Le"),
-		Entry("a change of protocols", "HTTP/1.1 101 Switching Protocols\r\n\r\n"),
-		Entry("an endless head", "HTTP/1.1 200 OK\r\nA: "+string(bytes.Repeat([]byte("x"), 300<<10))+"\r\n\r\n"),
+		Entry("a truncated head", "HTTP/1.1 200 OK\r\nContent-Le"),
+		Entry("a switch of protocols", "HTTP/1.1 101 Switching Protocols\r\n\r\n"),
+		Entry("a head above the size limit", "HTTP/1.1 200 OK\r\nA: "+string(bytes.Repeat([]byte("x"), 300<<10))+"\r\n\r\n"),
 	)
 
 	It("skips interim responses", func() {
@@ -186,11 +186,11 @@
 		Expect(send(server, "", nil)).To(Equal("hello"))
 	})
 
-	It("accepts an early response to a long body, and reuses no connection with half a body on it", func() {
+	It("accepts an early response to a long body, and does not reuse a connection with a partly written body", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			_, _ = connection.reader.ReadString('\n')
 			connection.write("%s", fullResponse)
-			// The rest of the body waits until the other end gives up.
+			// The rest of the body cannot be written before the client closes the connection.
 			_, _ = connection.reader.Discard(1 << 10)
 			_, _ = io.Copy(io.Discard, connection.reader)
 		})
@@ -201,7 +201,7 @@
 		Expect(server.accepted.Load()).To(Equal(int32(2)))
 	})
 
-	It("writes a long body whole", func() {
+	It("writes a long body completely", func() {
 		long := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for request := connection.next(); request != nil; request = connection.next() {
@@ -227,7 +227,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("ends the connection with the request's context", func() {
+	It("closes the connection when the request's context ends", func() {
 		disconnected := make(chan error, 1)
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
@@ -247,7 +247,7 @@
 		Expect(response.Body.Close()).To(Succeed())
 	})
 
-	It("says that a request may have left that a silent back end has got", func() {
+	It("reports that a request may have been sent when the back end does not respond", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			connection.next()
 			connection.next()
@@ -261,7 +261,7 @@
 		Expect(errors.Is(err, context.DeadlineExceeded)).To(BeTrue())
 	})
 
-	It("keeps the connection of a short answer that was not read", func() {
+	It("keeps the connection of a short response that was not read", func() {
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
 				connection.write("%s", fullResponse)
@@ -275,7 +275,7 @@
 		Expect(server.accepted.Load()).To(Equal(int32(1)))
 	})
 
-	DescribeTable("knows that nothing has left", func(prepare func(*http.Request) *http.Request) {
+	DescribeTable("reports that nothing was sent", func(prepare func(*http.Request) *http.Request) {
 		server := serveScript(func(int, *scriptedConnection) {})
 		request := prepare(newRequest(http.MethodPost, server.listener.Addr().String()))
 		_, err := client.Send(request, nil)
@@ -283,7 +283,7 @@
 		Expect(errors.As(err, &failed)).To(BeTrue())
 		Expect(failed.MayHaveBeenSent).To(BeFalse())
 	},
-		Entry("when a header would end its line", func(request *http.Request) *http.Request {
+		Entry("when a header value contains a line break", func(request *http.Request) *http.Request {
 			request.Header.Set("Id", "a\r\nB: c")
 			return request
 		}),
@@ -292,7 +292,7 @@
 			cancel()
 			return request.WithContext(ctx)
 		}),
-		Entry("when nobody listens", func(request *http.Request) *http.Request {
+		Entry("when no server listens", func(request *http.Request) *http.Request {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(listener.Close()).To(Succeed())
@@ -301,7 +301,7 @@
 		}),
 	)
 
-	It("keeps no connection for longer than it may", func() {
+	It("does not reuse a connection after its idle time-out", func() {
 		replaceClient(outbound.DirectOptions{IdleTimeout: time.Nanosecond})
 		server := serveScript(func(_ int, connection *scriptedConnection) {
 			for connection.next() != nil {
--- a/internal/edge/outbound/error.go
+++ b/internal/edge/outbound/error.go
@@ -10,14 +10,14 @@
 	"github.com/pkg/errors"
 )
 
-// The errors of an attempt say what is known of the request: with an Error, whether it was
-// sent; with a RefusedError, that it has not run and will not run; with a
-// FailedResponseError or an InvalidResponseError, that it may have run.
+// The type of an attempt's error tells what is known about the request. An Error tells whether
+// the request may have been sent. A RefusedError means that the request has not run and will
+// not run. After a FailedResponseError or an InvalidResponseError the request may have run.
 
-// Error says that a request got no response.
+// Error reports that a request got no response.
 type Error struct {
-	// MayHaveBeenSent reports whether any byte of the request may have left. If it
-	// is false none has left, and none will.
+	// MayHaveBeenSent reports whether any byte of the request may have been sent. If it
+	// is false, no byte was or will be sent.
 	MayHaveBeenSent bool
 	cause           error
 }
@@ -35,21 +35,22 @@
 	return e.cause
 }
 
-// NotSent wraps the reason for which no attempt to send a request was made.
+// NotSent returns the error of a request that was not sent because of cause.
 func NotSent(cause error) *Error {
 	return &Error{cause: errors.WithStack(cause)}
 }
 
-// RefusedError is a rejection: the back end guarantees not to run the request.
+// RefusedError reports that the back end rejected the request and guarantees not to run it.
 type RefusedError struct {
 	Status int
-	// RetryAfter is zero if the back end named no time.
+	// RetryAfter is zero if the back end gave no time to retry after.
 	RetryAfter time.Duration
 	Message    string
-	// WrongTarget means that the back end is not the one that the request was
-	// for, or has other weights: what this node knows of it is out of date.
+	// WrongTarget means that the back end is not the one that the request was meant for,
+	// or has other weights: this node's information about the back end is out of date.
 	WrongTarget bool
-	// Instance is the incarnation that responded, if the response names it.
+	// Instance is the incarnation of the back end that responded, or empty if the response
+	// does not name it.
 	Instance string
 }
 
@@ -61,8 +62,8 @@
 	return fmt.Sprintf("the back end refused the request with status %d: %s", e.Status, e.Message)
 }
 
-// FailedResponseError says that a back end responded with a failure that does not
-// report whether the request has run.
+// FailedResponseError reports that a back end responded with a failure that leaves open
+// whether the request has run.
 type FailedResponseError struct {
 	Status int
 }
@@ -72,12 +73,11 @@
 	return fmt.Sprintf("the back end failed with status %d", e.Status)
 }
 
-// InvalidResponseError says that a response is truncated, that truncation could not be
-// noticed, or that the response is not that of the attempt. The request may have
-// run.
+// InvalidResponseError reports that a response is truncated, too large, not delimited so that
+// truncation would go unnoticed, or not that of the attempt. The request may have run.
 type InvalidResponseError struct {
 	Reason string
-	// Cause is what was seen of the connection; it may be nil.
+	// Cause is the error of reading the response; it may be nil.
 	Cause error
 }
 
@@ -94,8 +94,8 @@
 	return e.Cause
 }
 
-// RetryAfter returns the time to retry after that a response names in whole seconds, or 0
-// if it names none.
+// RetryAfter returns the time from a Retry-After header in whole seconds, or 0 if the header
+// is missing or has another form.
 func RetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(strings.TrimSpace(header.Get("Retry-After")), 10, 32)
 	if err != nil {
--- a/internal/edge/outbound/exchange.go
+++ b/internal/edge/outbound/exchange.go
@@ -11,35 +11,37 @@
 	"github.com/pkg/errors"
 )
 
-// inlineBodyBytes is the longest body that is written before the response is read.
-// The back end may respond to a longer one before it has read it.
+// inlineBodyBytes is the longest body that is written before the response is read. A longer
+// body is written while the response is read, since the back end may respond before it has
+// read the body.
 const inlineBodyBytes = 16 << 10
 
-// errNoResponse says that what came on a connection is not the response.
+// errNoResponse reports that the connection delivered something other than the response to the
+// request.
 var errNoResponse = errors.New("no answer to the request came on its connection")
 
-// exchange is one request on its connection, and the body of its response. It belongs to
-// the goroutine of the request; while a long body is written, the goroutine that write
-// starts owns connection.written and incomplete until it closes writing.
+// exchange is one request on its connection, and the body of its response. It belongs to the
+// goroutine of the request. For a long body, write starts a goroutine that owns
+// connection.written and incomplete until it closes writing.
 type exchange struct {
 	connection *directConnection
 	request    *http.Request
 	options    *DirectOptions
 	idle       *idleConnections
 	// stop prevents the end of the request's context from closing the connection. It
-	// returns false if that has happened already.
+	// returns false if that closing has started already.
 	stop func() bool
-	// writing is closed when a long body has been written; nil otherwise.
+	// writing is closed when the writing of a long body has ended; nil for a short body.
 	writing chan struct{}
 	// incomplete means that the request could not be written completely.
 	incomplete bool
 	response   *http.Response
 	body       io.ReadCloser
-	// surplus means that another response came on the connection.
+	// surplus means that the connection delivered a response to another request.
 	surplus bool
-	// ended means that the connection was closed, or returned to idle.
+	// ended means that the connection was closed or returned to the idle connections.
 	ended bool
-	// readError is the first error of reading the body, io.EOF included.
+	// readError is the first error of reading the body, which may be io.EOF.
 	readError error
 }
 
@@ -58,8 +60,9 @@
 	return response, nil
 }
 
-// write writes the request, a long body beside the reading of the response. A
-// request that was written in part may have a response all the same.
+// write writes the request, with a long body in a goroutine of its own. It returns an error only
+// if the kernel accepted no byte, since the back end may respond to a request that was written
+// in part.
 func (e *exchange) write(body []byte) error {
 	connection := e.connection
 	connection.head = appendHead(connection.head[:0], e.request, len(body))
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// readHead reads the head of the response, past interim responses and those of
-// others.
+// readHead reads the head of the response. It skips interim responses and discards responses
+// to other requests.
 func (e *exchange) readHead() (*http.Response, error) {
 	surplus := 0
 	for range maxInterim {
@@ -111,8 +114,8 @@
 	return nil, errNoResponse
 }
 
-// discardResponse reads a response of another request to its end, and returns false if
-// that cannot be done.
+// discardResponse reads the response to another request to its end. It returns false if the
+// response has no marked end, cannot be read, or has a body of maxSurplusBytes or more.
 func discardResponse(response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
 	if !Delimited(response) {
@@ -122,13 +125,13 @@
 	return err == nil && count < maxSurplusBytes
 }
 
-// Delimited reports whether the end of a response is marked in it, by a length or by chunks.
-// That of another one is the end of its connection.
+// Delimited reports whether a response marks its own end, by a length or by chunked encoding.
+// Any other response ends with its connection.
 func Delimited(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// Read implements io.Reader for the response's body.
+// Read implements io.Reader. It reads the response's body.
 func (e *exchange) Read(data []byte) (int, error) {
 	if e.readError != nil {
 		return 0, e.readError
@@ -145,8 +148,8 @@
 	return count, err
 }
 
-// Close implements io.Closer for the response's body. Of a response that was not
-// read, the connection stays open if the rest of it has arrived already.
+// Close implements io.Closer. It keeps the connection if the response declares its length and
+// that many bytes have been received and not read; otherwise it closes the connection.
 func (e *exchange) Close() error {
 	if e.ended {
 		return nil
@@ -160,7 +163,7 @@
 	return nil
 }
 
-// abort ends the exchange with its connection.
+// abort ends the exchange and closes its connection.
 func (e *exchange) abort() {
 	if e.ended {
 		return
@@ -173,8 +176,8 @@
 	}
 }
 
-// finish ends the exchange after the complete response, and keeps the connection if
-// it may carry another request.
+// finish ends the exchange after the complete response, and keeps the connection if it can be
+// reused.
 func (e *exchange) finish() {
 	if e.ended {
 		return
@@ -187,13 +190,13 @@
 	e.idle.put(e.connection, e.reuseTime())
 }
 
-// reusable reports whether the connection is as it was before the request. What
-// follows a response belongs to no request.
+// reusable reports whether the connection can serve another request: the request was written
+// and its response ended completely, and no other bytes or responses have arrived.
 func (e *exchange) reusable() bool {
 	return e.writeComplete() && !e.surplus && !e.response.Close && Delimited(e.response) && e.connection.reader.Buffered() == 0
 }
 
-// writeComplete reports whether the complete request has been written by now.
+// writeComplete reports whether the whole request has been written.
 func (e *exchange) writeComplete() bool {
 	if e.writing != nil {
 		select {
@@ -205,8 +208,9 @@
 	return !e.incomplete
 }
 
-// reuseTime returns how long the connection may be used again: three quarters of the time
-// after which the back end says that it closes the connection.
+// reuseTime returns how long the idle connection may be reused: three quarters of the time
+// after which the back end closes it according to its Keep-Alive header, and at most the idle
+// time-out.
 func (e *exchange) reuseTime() time.Duration {
 	const numerator, denominator = 3, 4
 	_, parameter, given := strings.Cut(strings.ToLower(e.response.Header.Get("Keep-Alive")), "timeout=")
@@ -221,8 +225,8 @@
 	return min(e.options.IdleTimeout, time.Duration(seconds)*time.Second*numerator/denominator)
 }
 
-// framingHeaders are the headers that appendHead sets itself, or that the connection
-// determines; those of the request are left out.
+// framingHeaders are the headers that appendHead sets itself or that describe the connection.
+// appendHead omits them from the request's own headers.
 var framingHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true, "Trailer": true,
 }
--- a/internal/edge/outbound/idle.go
+++ b/internal/edge/outbound/idle.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// sweepInterval is the interval at which connections that expired are closed.
+// sweepInterval is the interval at which expired idle connections are closed.
 const sweepInterval = time.Second
 
-// idleConnections are the connections that carry no request, by address, the
-// longest idle first. It is safe for concurrent use.
+// idleConnections holds the idle connections by address, the longest idle first. It is safe
+// for concurrent use.
 type idleConnections struct {
-	// perAddress bounds the connections to one address.
+	// perAddress bounds the idle connections to one address.
 	perAddress int
 
 	mutex       sync.Mutex
 	connections map[string][]*directConnection
-	// sweeping means that a timer will call sweep. There is one as long as there are
-	// connections.
+	// sweeping means that a timer will call sweep. Such a timer runs as long as there are
+	// idle connections.
 	sweeping bool
 }
 
@@ -25,7 +25,8 @@
 	return &idleConnections{perAddress: perAddress, connections: map[string][]*directConnection{}}
 }
 
-// put keeps a connection for reuse within a time, or closes it if there are too many.
+// put keeps a connection for reuse within reuseTime. It closes the connection if reuseTime is
+// not positive or its address has perAddress idle connections.
 func (i *idleConnections) put(connection *directConnection, reuseTime time.Duration) {
 	connection.expires = time.Now().Add(reuseTime)
 	i.mutex.Lock()
@@ -42,7 +43,8 @@
 	}
 }
 
-// take returns the connection that was used last, or nil.
+// take removes and returns the most recently used connection to an address that has not
+// expired, or returns nil.
 func (i *idleConnections) take(address string) *directConnection {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -62,7 +64,7 @@
 	}
 }
 
-// sweep closes the connections that expired, and starts the next timer if others are left.
+// sweep closes the expired connections, and starts the next timer if any are left.
 func (i *idleConnections) sweep() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -88,7 +90,7 @@
 	}
 }
 
-// closeAll closes all connections.
+// closeAll closes all idle connections.
 func (i *idleConnections) closeAll() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/edge/outbound/raw_backend_test.go
+++ b/internal/edge/outbound/raw_backend_test.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	// testTimeout bounds every wait on a socket.
+	// testTimeout bounds each wait for a socket or for a spec's event.
 	testTimeout = 5 * time.Second
-	// fullResponse is what the stand-in answers.
+	// fullResponse is the response of the test back ends.
 	fullResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nEcho: yes\r\n\r\nhello"
 )
 
-// rawBackend is a back end made of a bare socket. The first connection answers
-// one request whole, so that it is kept alive, and then closes after reading
-// truncateRequest bytes of the second; all others answer every request by their
-// first truncateResponse bytes and close.
+// rawBackend is a back end on a plain socket. On its first connection it responds to one request
+// completely, so that the connection is kept alive, and closes the connection after reading
+// truncateRequest bytes of the second request. On every other connection, and for the second
+// request on the first one if truncateRequest is negative, it reads one request, sends the first
+// truncateResponse bytes of the response, and closes the connection.
 type rawBackend struct {
 	listener         net.Listener
 	truncateRequest  int
 	truncateResponse int
 	accepted         atomic.Int32
-	// started counts the second request's appearances, by connections that
-	// carried a byte of it; whole counts those that carried all of it.
+	// started counts the connections that received any byte of the second request;
+	// complete counts those that received all of it.
 	started, complete atomic.Int32
 	handlers          sync.WaitGroup
 }
 
-// newRawBackend starts a back end. A negative truncateRequest reads everything.
+// newRawBackend starts a back end. If truncateRequest is negative, it reads all requests
+// completely.
 func newRawBackend(truncateRequest, truncateResponse int) *rawBackend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -87,13 +89,13 @@
 	_, _ = io.WriteString(connection, fullResponse[:b.truncateResponse])
 }
 
-// stop waits for every connection to end, after which nothing can come late.
+// stop waits until every connection has ended, after which no request can arrive.
 func (b *rawBackend) stop() {
 	_ = b.listener.Close()
 	b.handlers.Wait()
 }
 
-// readRequest reads one whole request.
+// readRequest reads one complete request.
 func readRequest(reader *bufio.Reader) error {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -103,7 +105,7 @@
 	return err
 }
 
-// newRequest returns a request that a plain client would take leave to repeat.
+// newRequest returns a request whose headers permit a plain http.Client to retry it.
 func newRequest(method, address string) *http.Request {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+address+"/v1/generate", nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -123,7 +125,7 @@
 	return err
 }
 
-// requestBytes is the size of a request on the wire, as far as it matters here.
+// requestBytes returns the approximate size of a request of newRequest as Client writes it.
 func requestBytes(method string, body []byte) int {
 	var wire bytes.Buffer
 	request := newRequest(method, "127.0.0.1:10000")
--- a/internal/edge/outbound/scripted_test.go
+++ b/internal/edge/outbound/scripted_test.go
@@ -14,14 +14,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// scriptedBackend is a back end whose connections a script serves, with their numbers
-// from 1.
+// scriptedBackend is a back end whose connections are served by a script.
 type scriptedBackend struct {
 	listener net.Listener
 	accepted atomic.Int32
 }
 
-// script serves one connection, which is closed when it returns.
+// script serves one connection, which is closed when it returns. Connections are numbered from 1.
 type script func(number int, connection *scriptedConnection)
 
 // scriptedConnection reads requests and writes text.
@@ -30,7 +29,7 @@
 	reader *bufio.Reader
 }
 
-// next reads a whole request, or returns nil at the end of the connection.
+// next reads a complete request, or returns nil if it cannot, as at the end of the connection.
 func (c *scriptedConnection) next() *http.Request {
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
@@ -44,12 +43,12 @@
 	return request
 }
 
-// write writes text.
+// write writes a formatted text.
 func (c *scriptedConnection) write(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c, format, arguments...)
 }
 
-// reset ends the connection abnormally.
+// reset closes the connection by a TCP reset.
 func (c *scriptedConnection) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
@@ -78,7 +77,7 @@
 	return server
 }
 
-// responseTo returns a response that repeats an identity.
+// responseTo returns a response with the ID of a request as header and body.
 func responseTo(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
--- a/internal/edge/outbound/single_send_test.go
+++ b/internal/edge/outbound/single_send_test.go
@@ -16,16 +16,16 @@
 	CloseIdle()
 }
 
-// reuseAttempts bounds the tries to have a connection kept. The HTTP library keeps
-// none whose writing goroutine got no processor time for 50 ms.
+// reuseAttempts bounds the attempts to get a connection reused. net/http does not keep a
+// connection whose writing goroutine got no processor time for 50 ms.
 const reuseAttempts = 10
 
-// sendsOnce declares the specs of a client that never sends a request twice by
-// itself, and says so when one may have left.
+// sendsOnce declares the specs of a client that never sends a request twice by itself, and
+// reports whether a failed request may have been sent.
 func sendsOnce(client func() clientUnderTest) {
-	// closeDuringRequest sends a second request on a connection that is cut after some of its
-	// bytes. Kept reports whether it went out on that connection at all: a client that
-	// got no processor time to keep it has opened another one.
+	// closeDuringRequest sends two requests to a back end that closes the first connection after
+	// cut bytes of the second request. If cut is positive, it returns whether the second request
+	// used that connection: a client that got no processor time to keep it opens another one.
 	closeDuringRequest := func(method string, body []byte, cut int) (kept bool) {
 		backend := newRawBackend(cut, len(fullResponse))
 		address := backend.listener.Addr().String()
@@ -34,13 +34,13 @@
 		client().CloseIdle()
 		backend.stop()
 
-		Expect(backend.started.Load()).To(BeNumerically("<=", 1), "cut after %d bytes", cut)
+		Expect(backend.started.Load()).To(BeNumerically("<=", 1), "connection closed after %d bytes", cut)
 		var failed *outbound.Error
 		switch {
 		case err == nil:
-			Expect(backend.complete.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
+			Expect(backend.complete.Load()).To(Equal(int32(1)), "connection closed after %d bytes", cut)
 		case errors.As(err, &failed) && !failed.MayHaveBeenSent:
-			Expect(backend.started.Load()).To(BeZero(), "cut after %d bytes", cut)
+			Expect(backend.started.Load()).To(BeZero(), "connection closed after %d bytes", cut)
 		}
 		if cut == 0 {
 			return true
@@ -48,18 +48,18 @@
 		if err == nil && backend.accepted.Load() > 1 {
 			return false
 		}
-		Expect(failed).NotTo(BeNil(), "cut after %d bytes", cut)
-		Expect(failed.MayHaveBeenSent).To(BeTrue(), "cut after %d bytes", cut)
+		Expect(failed).NotTo(BeNil(), "connection closed after %d bytes", cut)
+		Expect(failed.MayHaveBeenSent).To(BeTrue(), "connection closed after %d bytes", cut)
 		return true
 	}
 
-	DescribeTable("sends once at most, wherever the connection ends in the request", func(method string, body []byte) {
+	DescribeTable("sends a request at most once, wherever in the request the connection ends", func(method string, body []byte) {
 		for cut := range requestBytes(method, body) + 1 {
 			kept := false
 			for try := 0; try < reuseAttempts && !kept; try++ {
 				kept = closeDuringRequest(method, body, cut)
 			}
-			Expect(kept).To(BeTrue(), "no connection was kept, cut after %d bytes", cut)
+			Expect(kept).To(BeTrue(), "no connection was kept, connection closed after %d bytes", cut)
 		}
 	},
 		Entry("with a body", http.MethodPost, []byte("prompt")),
@@ -67,7 +67,7 @@
 		Entry("without a body", http.MethodGet, []byte(nil)),
 	)
 
-	DescribeTable("sends once, wherever the connection ends in the response", func(method string) {
+	DescribeTable("sends a request once, wherever in the response the connection ends", func(method string) {
 		for cut := range len(fullResponse) + 1 {
 			backend := newRawBackend(-1, cut)
 			address := backend.listener.Addr().String()
@@ -75,9 +75,9 @@
 			err := exchangeOnce(client(), method, address, nil)
 			client().CloseIdle()
 			backend.stop()
-			Expect(backend.complete.Load()).To(Equal(int32(1)), "cut after %d bytes", cut)
+			Expect(backend.complete.Load()).To(Equal(int32(1)), "connection closed after %d bytes", cut)
 			if cut < len(fullResponse) {
-				Expect(err).To(HaveOccurred(), "cut after %d bytes", cut)
+				Expect(err).To(HaveOccurred(), "connection closed after %d bytes", cut)
 			} else {
 				Expect(err).NotTo(HaveOccurred())
 			}
--- a/internal/edge/outbound/single_use_body.go
+++ b/internal/edge/outbound/single_use_body.go
@@ -6,9 +6,8 @@
 	"net/http"
 )
 
-// singleUseBody is a request body that can be read once. Its type is unknown to
-// net/http, which therefore cannot rewind it and cannot take it for an absent
-// body.
+// singleUseBody is a request body that can be read once. Because net/http does not know its
+// type, it can neither rewind the body nor treat an empty one as absent.
 type singleUseBody struct {
 	reader *bytes.Reader
 }
@@ -25,12 +24,11 @@
 
 var _ io.ReadCloser = (*singleUseBody)(nil)
 
-// idempotencyHeaders are the headers by which net/http decides to send a
-// request again.
+// idempotencyHeaders are the headers that make net/http treat a request as safe to retry.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// preventRetries leaves the transport no way to send the request
-// twice.
+// preventRetries sets the request's body and removes its idempotency headers, so that the
+// transport cannot send the request twice.
 func preventRetries(request *http.Request, body []byte) {
 	request.Body = &singleUseBody{reader: bytes.NewReader(body)}
 	request.GetBody = nil
