--- a/internal/edge/caller/doc.go
+++ b/internal/edge/caller/doc.go
@@ -1,40 +1,41 @@
-// Package caller speaks the product's own protocol with callers: HTTP/1.1 with JSON
-// errors. It parses the headers of requests and writes errors; the data plane does the
-// rest. All header names and JSON shapes of the protocol are declared here and used
-// nowhere else. docs/CALLERS.md describes them to callers.
+// Package caller implements the native protocol with callers: HTTP/1.1 with JSON errors. It
+// parses the headers of requests and writes errors; the data plane does the rest. All header
+// names and JSON shapes of the protocol are declared here. docs/CALLERS.md documents them for
+// callers.
 //
-// The package keeps no state. All functions may be called concurrently.
+// The package has no state. All functions may be called concurrently.
 package caller
 
 // Headers of a caller's request and of its response.
 const (
 	// HeaderAuthorization carries "Bearer KEY".
 	HeaderAuthorization = "Authorization"
-	// HeaderModel names the model; the pool's model when it is missing.
+	// HeaderModel names the model. If it is missing, the pool's model is used.
 	HeaderModel = "Model"
 	// HeaderPrefix lists the prompt's chunks in order: `id;tokens=N, id;tokens=N`.
 	HeaderPrefix = "Prefix"
-	// HeaderRequestID identifies the request; the node makes one when it is
-	// missing. The response echoes it.
+	// HeaderRequestID is the ID of the request. If it is missing, the node generates
+	// one. The response echoes the ID.
 	HeaderRequestID = "Request-Id"
 	// HeaderRepeatable is "true" if the request may run more than once.
 	HeaderRepeatable = "Repeatable"
-	// HeaderDeadline is the longest time that the caller waits, in
+	// HeaderDeadline is the longest time that the caller waits for the response, in
 	// milliseconds.
 	HeaderDeadline = "Deadline-Ms"
 	// HeaderOutputTokens bounds the generated tokens.
 	HeaderOutputTokens = "Output-Tokens"
-	// HeaderAccept asks for a streamed response with "text/event-stream".
+	// HeaderAccept requests a streamed response if it lists "text/event-stream".
 	HeaderAccept = "Accept"
 	// HeaderRetryAfter, in a rejection, is the time to retry after, in seconds.
 	HeaderRetryAfter = "Retry-After"
-	// PassThroughPrefix begins the headers that pass untouched both ways.
+	// PassThroughPrefix is the prefix of headers that are forwarded unchanged in both
+	// directions.
 	PassThroughPrefix = "Lab-"
 	// StreamType is the media type of a streamed response.
 	StreamType = "text/event-stream"
 )
 
-// Bounds of what a caller may send.
+// Limits on what a caller may send.
 const (
 	// MaxRequestIDBytes bounds Request-Id.
 	MaxRequestIDBytes = 256
@@ -42,9 +43,9 @@
 	MaxChunks = 4096
 	// MaxChunkIDBytes bounds the ID of one chunk.
 	MaxChunkIDBytes = 256
-	// MaxChunkTokens bounds the length of one chunk.
+	// MaxChunkTokens bounds the tokens of one chunk.
 	MaxChunkTokens = 1 << 24
-	// MaxPromptTokens bounds the length of a prompt.
+	// MaxPromptTokens bounds the tokens of a prompt.
 	MaxPromptTokens = 1 << 27
 	// MaxOutputTokens bounds the generated tokens that a caller may request.
 	MaxOutputTokens = 1 << 24
--- a/internal/edge/caller/error.go
+++ b/internal/edge/caller/error.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Kind is the stable name of an error.
+// Kind is the name of a kind of error. It is part of the protocol and does not change.
 type Kind string
 
-// The kinds of errors that callers get; docs/CALLERS.md tells what to do about each.
+// The kinds of errors that callers get. docs/CALLERS.md documents the remedy for each.
 const (
 	KindBadRequest          Kind = "bad_request"
 	KindHeaderTooLarge      Kind = "header_too_large"
@@ -64,17 +64,18 @@
 // Error is an error as callers get it.
 type Error struct {
 	Kind Kind `json:"kind"`
-	// Message says what is wrong and what to do about it.
+	// Message describes the error and its remedy.
 	Message string `json:"message"`
-	// MayHaveRun is false only if the request certainly has not run and will
+	// MayHaveRun is false only if it is certain that the request has not run and will
 	// not run.
 	MayHaveRun bool `json:"may_have_run"`
-	// RequestID echoes the request's identity.
+	// RequestID is the ID of the request.
 	RequestID string `json:"request_id"`
-	// RetryIsSafe means that the same request may be sent again, although an
-	// earlier submission of it may have run.
+	// RetryIsSafe means that the same request may be sent again although an earlier
+	// submission of it may have run.
 	RetryIsSafe bool `json:"-"`
-	// RetryAfter is the time after which a retry may help; zero if none does.
+	// RetryAfter is the time after which a retry may succeed, or zero to send no Retry-After
+	// header.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -102,8 +103,8 @@
 	return http.StatusInternalServerError
 }
 
-// retryAfterSeconds rounds a wait up to whole seconds, which is all that the
-// header can say.
+// retryAfterSeconds returns a wait as the value of Retry-After: whole seconds, rounded up, and
+// at least 1.
 func retryAfterSeconds(wait time.Duration) string {
 	seconds := int64((wait + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
@@ -132,7 +133,8 @@
 	_, _ = writer.Write(body)
 }
 
-// ErrorEvent returns the event that ends a truncated stream with its error.
+// ErrorEvent returns the server-sent event that reports the error of a truncated stream and ends
+// it.
 func ErrorEvent(problem *Error) []byte {
 	body, err := json.Marshal(problem)
 	if err != nil {
--- a/internal/edge/caller/prefix.go
+++ b/internal/edge/caller/prefix.go
@@ -10,7 +10,8 @@
 // tokensParameter is the only parameter of a chunk.
 const tokensParameter = "tokens"
 
-// ParsePrefix reads `id;tokens=N, id;tokens=N`. A returned error is an *Error.
+// ParsePrefix parses the value of HeaderPrefix, `id;tokens=N, id;tokens=N`. A returned error is an
+// *Error.
 func ParsePrefix(value string) ([]prefixindex.Chunk, error) {
 	if strings.TrimSpace(value) == "" {
 		return nil, nil
@@ -35,7 +36,7 @@
 	return chunks, nil
 }
 
-// FormatPrefix writes chunks as ParsePrefix reads them.
+// FormatPrefix formats chunks as a value that ParsePrefix parses.
 func FormatPrefix(chunks []prefixindex.Chunk) string {
 	var text strings.Builder
 	text.Grow(prefixBytes(chunks))
@@ -50,7 +51,7 @@
 	return text.String()
 }
 
-// prefixBytes bounds the length of the chunks as text.
+// prefixBytes returns an upper bound of the length of the chunks as formatted by FormatPrefix.
 func prefixBytes(chunks []prefixindex.Chunk) int {
 	const besidesID = len(", ;"+tokensParameter+"=") + len("4294967295")
 	total := besidesID * len(chunks)
@@ -60,7 +61,7 @@
 	return total
 }
 
-// parseChunk reads one chunk.
+// parseChunk parses one chunk, `id;tokens=N`.
 func parseChunk(position int, field string) (prefixindex.Chunk, error) {
 	id, parameter, found := strings.Cut(field, ";")
 	id = strings.TrimSpace(id)
@@ -78,7 +79,7 @@
 	return prefixindex.Chunk{ID: id, Tokens: uint32(tokens)}, nil
 }
 
-// invalidChunk returns the error about a chunk that cannot be read.
+// invalidChunk returns the error for a chunk that cannot be parsed.
 func invalidChunk(position int, field string) *Error {
 	const quoted = 80
 	if len(field) > quoted {
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -12,10 +12,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// bearerScheme begins the value of HeaderAuthorization.
+// bearerScheme is the prefix of HeaderAuthorization's value, in lower case.
 const bearerScheme = "bearer "
 
-// Request is a caller's request as its headers describe it.
+// Request contains what the headers of a caller's request specify.
 type Request struct {
 	// ID is empty if the caller gave none.
 	ID string
@@ -24,15 +24,15 @@
 	Chunks []prefixindex.Chunk
 	// Idempotent permits the request to run more than once.
 	Idempotent bool
-	// Deadline is the longest time that the caller waits; zero if not given.
+	// Deadline is the longest time that the caller waits for the response; zero if not given.
 	Deadline time.Duration
 	// OutputTokens is zero if not given.
 	OutputTokens uint32
-	// Streamed asks for a streamed response.
+	// Streamed means that the caller accepts a streamed response.
 	Streamed bool
 }
 
-// Parse reads the headers of a request. A returned error is an *Error.
+// Parse parses the headers of a request. A returned error is an *Error.
 func Parse(request *http.Request) (Request, error) {
 	header := request.Header
 	parsed := Request{Model: header.Get(HeaderModel), Streamed: acceptsStream(header)}
@@ -59,8 +59,8 @@
 	return parsed, nil
 }
 
-// KeyDigest returns the lower-case hexadecimal SHA-256 digest of the request's
-// key, or false if the request carries none.
+// KeyDigest returns the lower-case hexadecimal SHA-256 digest of the key in a request's
+// Authorization header, or false if the header contains no bearer key.
 func KeyDigest(header http.Header) (string, bool) {
 	value := header.Get(HeaderAuthorization)
 	if len(value) <= len(bearerScheme) || !strings.EqualFold(value[:len(bearerScheme)], bearerScheme) {
@@ -70,7 +70,7 @@
 	return hex.EncodeToString(digest[:]), true
 }
 
-// HostName returns the host of a request in lower case and without its port.
+// HostName returns the host of a request in lower case, without its port and a trailing dot.
 func HostName(request *http.Request) string {
 	host := request.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -79,8 +79,7 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// PassThrough returns the headers that pass untouched, or nil if there are
-// none.
+// PassThrough returns a copy of the headers with PassThroughPrefix, or nil if there are none.
 func PassThrough(header http.Header) http.Header {
 	var passed http.Header
 	for name, values := range header {
@@ -95,7 +94,7 @@
 	return passed
 }
 
-// acceptsStream reports whether the caller asks for a streamed response.
+// acceptsStream reports whether an Accept header lists the media type of streamed responses.
 func acceptsStream(header http.Header) bool {
 	for _, value := range header.Values(HeaderAccept) {
 		for _, choice := range strings.Split(value, ",") {
@@ -108,8 +107,8 @@
 	return false
 }
 
-// parseRequestID checks an identity given by the caller. Only printable
-// characters pass, since the identity is echoed in headers.
+// parseRequestID checks a request ID given by the caller. It permits only printable ASCII
+// characters, since the ID is echoed in headers.
 func parseRequestID(id string) (string, error) {
 	if len(id) > MaxRequestIDBytes {
 		return "", NewError(KindBadRequest, "%s is longer than %d bytes: shorten it", HeaderRequestID, MaxRequestIDBytes)
@@ -122,8 +121,8 @@
 	return id, nil
 }
 
-// parseIdempotent reads whether the request may run more than once. Without
-// the header, only methods that are safe by definition may.
+// parseIdempotent returns whether the request may run more than once. Without the Repeatable
+// header, this holds only for GET and HEAD, which are safe by definition.
 func parseIdempotent(request *http.Request) (bool, error) {
 	value := request.Header.Get(HeaderRepeatable)
 	switch strings.ToLower(strings.TrimSpace(value)) {
@@ -138,7 +137,8 @@
 	}
 }
 
-// parseNumber reads an optional positive number of at most limit.
+// parseNumber parses a header that contains a number from 1 to limit. It returns 0 if the header
+// is missing.
 func parseNumber(header http.Header, name string, limit uint64) (uint64, error) {
 	value := header.Get(name)
 	if value == "" {
--- a/internal/edge/caller/request_test.go
+++ b/internal/edge/caller/request_test.go
@@ -36,7 +36,7 @@
 		}))
 	})
 
-	DescribeTable("takes only methods that are safe for repeatable by themselves", func(method string, repeatable bool) {
+	DescribeTable("treats only safe methods as repeatable without the header", func(method string, repeatable bool) {
 		parsed, err := caller.Parse(httptest.NewRequest(method, "/", nil))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(parsed.Idempotent).To(Equal(repeatable))
@@ -45,7 +45,7 @@
 		Entry("POST", http.MethodPost, false), Entry("PUT", http.MethodPut, false), Entry("DELETE", http.MethodDelete, false),
 	)
 
-	DescribeTable("refuses", func(name, value string) {
+	DescribeTable("rejects", func(name, value string) {
 		_, err := caller.Parse(requestWithHeader(http.MethodPost, name, value))
 		var problem *caller.Error
 		Expect(errors.As(err, &problem)).To(BeTrue())
@@ -54,51 +54,51 @@
 		Expect(problem.MayHaveRun).To(BeFalse())
 	},
 		Entry("a chunk without tokens", "Prefix", "a"),
-		Entry("a chunk without a name", "Prefix", ";tokens=3"),
-		Entry("a chunk of no length", "Prefix", "a;tokens=0"),
-		Entry("a chunk that is too long", "Prefix", "a;tokens=99999999999"),
+		Entry("a chunk without an ID", "Prefix", ";tokens=3"),
+		Entry("a chunk of 0 tokens", "Prefix", "a;tokens=0"),
+		Entry("a chunk with too many tokens", "Prefix", "a;tokens=99999999999"),
 		Entry("an unknown parameter", "Prefix", "a;bytes=3"),
-		Entry("an empty part", "Prefix", "a;tokens=3,,b;tokens=3"),
-		Entry("a name with a blank", "Prefix", "a b;tokens=3"),
+		Entry("an empty chunk", "Prefix", "a;tokens=3,,b;tokens=3"),
+		Entry("a chunk ID with a space", "Prefix", "a b;tokens=3"),
 		Entry("too many chunks", "Prefix", strings.Repeat("a;tokens=1,", caller.MaxChunks)+"a;tokens=1"),
 		Entry("too many tokens", "Prefix", strings.Repeat("a;tokens=16777216,", 8)+"a;tokens=16777216"),
-		Entry("a long identity", "Request-Id", strings.Repeat("x", caller.MaxRequestIDBytes+1)),
-		Entry("an identity that cannot be echoed", "Request-Id", "é"),
+		Entry("a request ID that is too long", "Request-Id", strings.Repeat("x", caller.MaxRequestIDBytes+1)),
+		Entry("a request ID with a non-ASCII character", "Request-Id", "é"),
 		Entry("a negative deadline", "Deadline-Ms", "-1"),
-		Entry("an endless deadline", "Deadline-Ms", "99999999999"),
-		Entry("no output", "Output-Tokens", "0"),
-		Entry("a doubtful repeatable", "Repeatable", "maybe"),
+		Entry("a deadline above the limit", "Deadline-Ms", "99999999999"),
+		Entry("0 output tokens", "Output-Tokens", "0"),
+		Entry("a repeatable that is neither true nor false", "Repeatable", "maybe"),
 	)
 
-	It("reads what it writes", func() {
+	It("parses what FormatPrefix formats", func() {
 		chunks := []prefixindex.Chunk{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 4}}
 		Expect(caller.ParsePrefix(caller.FormatPrefix(chunks))).To(Equal(chunks))
 	})
 })
 
 var _ = Describe("KeyDigest", func() {
-	It("is the SHA-256 of the key", func() {
+	It("returns the SHA-256 digest of the key", func() {
 		digest, given := caller.KeyDigest(requestWithHeader(http.MethodGet, "Authorization", "bearer abc").Header)
 		Expect(given).To(BeTrue())
 		Expect(digest).To(Equal("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"))
 	})
 
-	DescribeTable("needs the scheme and a key", func(value string) {
+	DescribeTable("requires the bearer scheme and a key", func(value string) {
 		_, given := caller.KeyDigest(requestWithHeader(http.MethodGet, "Authorization", value).Header)
 		Expect(given).To(BeFalse())
-	}, Entry("nothing", ""), Entry("no key", "Bearer "), Entry("another scheme", "Basic abc"))
+	}, Entry("empty", ""), Entry("no key", "Bearer "), Entry("another scheme", "Basic abc"))
 })
 
 var _ = Describe("HostName", func() {
-	DescribeTable("is lower case without port", func(host, expected string) {
+	DescribeTable("returns the host in lower case without its port", func(host, expected string) {
 		request := httptest.NewRequest(http.MethodGet, "/", nil)
 		request.Host = host
 		Expect(caller.HostName(request)).To(Equal(expected))
-	}, Entry("plain", "A.Example", "a.example"), Entry("port", "a.example:7200", "a.example"), Entry("root", "a.example.", "a.example"))
+	}, Entry("plain", "A.Example", "a.example"), Entry("with a port", "a.example:7200", "a.example"), Entry("with a trailing dot", "a.example.", "a.example"))
 })
 
-var _ = Describe("WriteProblem", func() {
-	It("says everything a caller needs", func() {
+var _ = Describe("WriteError", func() {
+	It("writes the status, the retry time and the fields of the error", func() {
 		recorder := httptest.NewRecorder()
 		problem := caller.NewError(caller.KindRateLimited, "slow down").WithRetryAfter(1100 * time.Millisecond)
 		problem.RequestID = "r-1"
@@ -108,7 +108,7 @@
 		Expect(recorder.Body.String()).To(MatchJSON(`{"kind":"rate_limited","message":"slow down","may_have_run":false,"request_id":"r-1"}`))
 	})
 
-	It("has a status of its own for every kind", func() {
+	It("maps every kind but internal to a status other than 500", func() {
 		for _, kind := range []caller.Kind{
 			caller.KindBadRequest, caller.KindHeaderTooLarge, caller.KindBodyTooLarge, caller.KindNotServing, caller.KindUnauthorized, caller.KindUnknownHost,
 			caller.KindModelMismatch, caller.KindDuplicateRequest, caller.KindRateLimited, caller.KindQueueFull,
