--- a/internal/edge/webservice/client.go
+++ b/internal/edge/webservice/client.go
@@ -1,6 +1,6 @@
-// Package webservice speaks the protocol between a node and a plain web service: the
-// caller's request is forwarded as it is, and so is the response. A Client keeps no state
-// but the connections of its sender and may be used concurrently; a Response belongs to
+// Package webservice implements the native protocol between a node and a plain web service: the
+// caller's request and the response are forwarded unchanged, except for some headers. A Client has
+// no state but the connections of its sender and may be used concurrently; a Response belongs to
 // one goroutine, which closes it.
 package webservice
 
@@ -14,19 +14,19 @@
 )
 
 const (
-	// headerAuthorization carries the caller's key, which is not for back ends.
+	// headerAuthorization contains the caller's key, which is not forwarded to back ends.
 	headerAuthorization = "Authorization"
-	// HeaderRequestID carries the identity of the request.
+	// HeaderRequestID is the ID of the request.
 	HeaderRequestID = "Request-Id"
-	// HeaderAttemptID carries the identity of the attempt. A back end need not
-	// echo it, unless it refuses with HeaderNotRun.
+	// HeaderAttemptID is the ID of the attempt. A back end must echo it in a rejection with
+	// HeaderNotRun, and need not echo it otherwise.
 	HeaderAttemptID = "Attempt-Id"
 	// HeaderNotRun with the value "true", in a rejection, guarantees that the
 	// request has not run and will not run.
 	HeaderNotRun = "Not-Run"
 )
 
-// hopByHopHeaders describe one connection and are not forwarded.
+// hopByHopHeaders are the headers that apply to one connection only and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -38,27 +38,27 @@
 	// Request is the caller's request; its body has been read.
 	Request *http.Request
 	Body    []byte
-	// RequestID is the identity of the request.
+	// RequestID is the ID of the request.
 	RequestID string
 	// AttemptID is unique among all attempts of all nodes.
 	AttemptID string
 }
 
-// Client forwards requests to web services. It may be used by many goroutines.
+// Client forwards requests to web services. It may be used concurrently.
 type Client struct {
 	sender *outbound.Client
-	// maxBufferedBytes bounds what is read of a response before any of it is
-	// forwarded.
+	// maxBufferedBytes bounds the bytes of a response's body that are buffered before
+	// any are forwarded.
 	maxBufferedBytes int64
 }
 
-// NewClient returns a client that reads up to maxBufferedBytes of a response
-// before it is forwarded.
+// NewClient returns a client that buffers up to maxBufferedBytes of a response's body before it
+// is forwarded.
 func NewClient(sender *outbound.Client, maxBufferedBytes int64) *Client {
 	return &Client{sender: sender, maxBufferedBytes: maxBufferedBytes}
 }
 
-// Forward runs one attempt up to the header of its response. The errors are
+// Forward sends one attempt and reads the header of its response. The errors are
 // *outbound.Error, *outbound.RefusedError and *outbound.InvalidResponseError.
 func (c *Client) Forward(ctx context.Context, call Call) (*Response, error) {
 	target := "http://" + call.Address + call.Request.URL.RequestURI()
@@ -81,9 +81,9 @@
 	return newResponse(response, c.maxBufferedBytes), nil
 }
 
-// checkAttempt refuses a response that names another attempt, and returns a
-// rejection by which the back end guarantees not to run this one. The guarantee
-// counts only if it names the attempt.
+// checkAttempt returns an *outbound.InvalidResponseError if the response names another attempt,
+// and an *outbound.RefusedError if the back end guarantees not to run this attempt. The guarantee
+// counts only if the response names the attempt.
 func checkAttempt(response *http.Response, call Call) error {
 	echoed := response.Header.Get(HeaderAttemptID)
 	if echoed == "" {
@@ -98,19 +98,20 @@
 	return &outbound.RefusedError{Status: response.StatusCode, RetryAfter: outbound.RetryAfter(response.Header)}
 }
 
-// forwardedHeader returns the header without what is not for the back end.
+// forwardedHeader returns a copy of the header without the caller's key and the hop-by-hop
+// headers.
 func forwardedHeader(header http.Header) http.Header {
 	forwarded := header.Clone()
 	removeHopByHopHeaders(forwarded)
 	forwarded.Del(headerAuthorization)
 	if _, given := forwarded["User-Agent"]; !given {
-		// An absent value would make net/http add its own.
+		// Without an entry, net/http would add a User-Agent of its own.
 		forwarded["User-Agent"] = nil
 	}
 	return forwarded
 }
 
-// removeHopByHopHeaders removes the headers that describe one connection.
+// removeHopByHopHeaders removes the hop-by-hop headers and the headers that Connection lists.
 func removeHopByHopHeaders(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
--- a/internal/edge/webservice/client_test.go
+++ b/internal/edge/webservice/client_test.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// refuseNotRun refuses with a promise that names an attempt.
+// refuseNotRun returns a handler that rejects a request, guarantees not to run it, and names an
+// attempt.
 func refuseNotRun(attempt string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(webservice.HeaderAttemptID, attempt)
@@ -49,7 +50,7 @@
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("forwards a response piece by piece if it is too long to be buffered", func() {
+	It("returns a response in pieces if it is too long to be buffered", func() {
 		long := strings.Repeat("x", 3*maxBufferedBytes)
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, long) })
 		Expect(err).NotTo(HaveOccurred())
@@ -78,8 +79,8 @@
 		_, _, err = answer.ReadAll()
 		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 	},
-		Entry("that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage"),
-		Entry("that is cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n"),
-		Entry("whose end is not marked", "HTTP/1.1 200 OK\r\n\r\npage"),
+		Entry("that is truncated", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage"),
+		Entry("that is truncated between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n"),
+		Entry("that does not mark its end", "HTTP/1.1 200 OK\r\n\r\npage"),
 	)
 })
--- a/internal/edge/webservice/response.go
+++ b/internal/edge/webservice/response.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// copyBufferBytes is how much of a response is forwarded at a time.
+	// copyBufferBytes bounds the bytes that one call of Next returns.
 	copyBufferBytes = 32 << 10
-	// streamType is the media type of responses that are forwarded as they come.
+	// streamType is the media type of responses that are forwarded as they arrive.
 	streamType = "text/event-stream"
 )
 
-// Response is the response of an attempt whose header has arrived. Close it.
+// Response is the response of an attempt, whose header has arrived. The caller must close it.
 type Response struct {
 	response *http.Response
-	// header is what is forwarded of the response's header.
+	// header contains the headers that are forwarded.
 	header http.Header
-	// maxBytes bounds what ReadAll reads.
+	// maxBytes bounds the bytes that ReadAll buffers. ReadAll returns one byte more to show
+	// that the response is longer.
 	maxBytes int64
-	// buffer holds what Next returned last; nil before its first call.
+	// buffer holds the bytes that Next returned last; nil before its first call.
 	buffer []byte
 }
 
@@ -46,20 +47,20 @@
 	return r.header
 }
 
-// Streamed reports whether the response is to be forwarded as it comes.
+// Streamed reports whether the response is to be forwarded as it arrives.
 func (r *Response) Streamed() bool {
 	mediaType, _, err := mime.ParseMediaType(r.header.Get("Content-Type"))
 	return err == nil && mediaType == streamType
 }
 
-// Close ends the response.
+// Close closes the body of the response.
 func (r *Response) Close() {
 	_ = r.response.Body.Close()
 }
 
-// ReadAll reads the response up to the bound. It returns false if there is
-// more, which Next returns. A truncated response, or one whose truncation could not be
-// noticed, is a *outbound.InvalidResponseError.
+// ReadAll reads the response up to the client's buffer limit. It returns false if the response is
+// longer; Next returns the rest. The error is an *outbound.InvalidResponseError if the response is
+// truncated, or does not mark its end, so that truncation would go unnoticed.
 func (r *Response) ReadAll() ([]byte, bool, error) {
 	if err := r.checkDelimited(); err != nil {
 		return nil, false, err
@@ -71,7 +72,7 @@
 	return body, int64(len(body)) <= r.maxBytes, nil
 }
 
-// Next returns the next bytes of the response, and io.EOF after its proper end.
+// Next returns the next bytes of the response, and io.EOF after its complete end.
 // The bytes are valid until the next call.
 func (r *Response) Next() ([]byte, error) {
 	if err := r.checkDelimited(); err != nil {
@@ -94,7 +95,8 @@
 	}
 }
 
-// checkDelimited returns a *outbound.InvalidResponseError unless the end of the response is marked.
+// checkDelimited returns an *outbound.InvalidResponseError unless the response marks its end or has
+// no body because the request's method is HEAD.
 func (r *Response) checkDelimited() error {
 	response := r.response
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
@@ -106,12 +108,12 @@
 	return &outbound.InvalidResponseError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
 }
 
-// WeightVersion returns "": a web service has no weights.
+// WeightVersion returns "", since a web service has no weights.
 func (r *Response) WeightVersion() string {
 	return ""
 }
 
-// LastEventID returns "": the events of this protocol have no identities.
+// LastEventID returns "", since the events of this protocol have no IDs.
 func (r *Response) LastEventID() string {
 	return ""
 }
