--- a/internal/edge/platform/endpoints.go
+++ b/internal/edge/platform/endpoints.go
@@ -1,9 +1,9 @@
-// Package platform speaks the product's own protocol with the platform that starts,
-// lists and stops back ends. The list may be out of date. A Client keeps no state but the
-// connections of its sender and may be used concurrently.
+// Package platform implements the native protocol with the platform that starts, lists and stops
+// back ends. The platform's list may be out of date. A Client has no state but the connections of
+// its sender and may be used concurrently.
 //
-// The folder platform/ at the root of the repository is another package: it speaks the
-// protocols of one particular platform in place of this one.
+// The folder platform/ at the root of the repository is another package. It implements the
+// protocols of one particular platform, which replace the native ones.
 package platform
 
 import (
@@ -19,20 +19,20 @@
 )
 
 const (
-	// PathServices is where the platform lists back ends.
+	// PathServices is the path of the platform's list of back ends.
 	PathServices = "/v1/services"
-	// maxResponseBytes bounds the list.
+	// maxResponseBytes bounds the size of the list.
 	maxResponseBytes = 16 << 20
 )
 
-// State is what the platform says of a back end.
+// State is the state of a back end as the platform reports it.
 type State string
 
 // The states of a listed back end.
 const (
 	// StateRunning back ends may get new requests.
 	StateRunning State = "running"
-	// StateDraining back ends are about to be stopped.
+	// StateDraining back ends will be stopped soon.
 	StateDraining State = "draining"
 )
 
@@ -43,19 +43,19 @@
 	State   State  `json:"state"`
 }
 
-// Service is a service with its back ends.
+// Service is a listed service with its back ends.
 type Service struct {
 	Name     string    `json:"name"`
 	Replicas []Replica `json:"replicas"`
 }
 
-// Endpoints are all services that the platform lists.
+// Endpoints is the platform's list of services.
 type Endpoints struct {
 	Services []Service `json:"services"`
 }
 
-// EndpointsError says that the platform's list cannot be used. The last valid one stays
-// in force.
+// EndpointsError reports that the platform's list cannot be used. The last valid list stays in
+// force.
 type EndpointsError struct {
 	Reason string
 }
@@ -65,7 +65,7 @@
 	return "the platform's list cannot be used: " + e.Reason
 }
 
-// Client reads the list.
+// Client fetches the platform's list.
 type Client struct {
 	sender  *outbound.Client
 	address string
@@ -76,8 +76,8 @@
 	return &Client{sender: sender, address: address}
 }
 
-// Fetch returns the list as the platform has it now. The error is an *EndpointsError if the
-// response is no valid list.
+// Fetch returns the platform's current list. The error is an *EndpointsError if the response is
+// not a valid list.
 func (c *Client) Fetch(ctx context.Context) (*Endpoints, error) {
 	response, err := c.sender.Get(ctx, "http://"+c.address+PathServices)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return parseEndpoints(body)
 }
 
-// parseEndpoints reads and checks a list.
+// parseEndpoints parses and validates a list.
 func parseEndpoints(body []byte) (*Endpoints, error) {
 	endpoints := &Endpoints{}
 	if err := json.Unmarshal(body, endpoints); err != nil {
@@ -114,7 +114,7 @@
 	return endpoints, nil
 }
 
-// check returns the first fault of a listed service.
+// check returns an *EndpointsError for the first fault of a listed service.
 func (s Service) check() error {
 	if s.Name == "" {
 		return &EndpointsError{Reason: "a service has no name"}
--- a/internal/edge/platform/endpoints_test.go
+++ b/internal/edge/platform/endpoints_test.go
@@ -14,7 +14,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/platform"
 )
 
-// newClient returns a client of a scripted platform.
+// newClient returns a client of a test platform that script implements.
 func newClient(script http.HandlerFunc) *platform.Client {
 	server := httptest.NewServer(script)
 	DeferCleanup(server.Close)
@@ -23,13 +23,13 @@
 	return platform.NewClient(sender, server.Listener.Addr().String())
 }
 
-// respondWith answers every request with a text.
+// respondWith returns a handler that responds to every request with text.
 func respondWith(text string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, text) }
 }
 
 var _ = Describe("Client", func() {
-	It("reads the list", func() {
+	It("fetches the list", func() {
 		list, err := newClient(respondWith(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
 			Fetch(context.Background())
 		Expect(err).NotTo(HaveOccurred())
@@ -38,18 +38,18 @@
 		}))
 	})
 
-	DescribeTable("takes no list", func(text string) {
+	DescribeTable("rejects a list", func(text string) {
 		_, err := newClient(respondWith(text)).Fetch(context.Background())
 		Expect(err).To(BeAssignableToTypeOf(&platform.EndpointsError{}))
 	},
-		Entry("that is no JSON", `{`),
+		Entry("that is not JSON", `{`),
 		Entry("without services", `{}`),
-		Entry("with a nameless service", `{"services":[{}]}`),
-		Entry("with a replica without address", `{"services":[{"name":"a","replicas":[{"state":"running"}]}]}`),
+		Entry("with a service without a name", `{"services":[{}]}`),
+		Entry("with a replica without an address", `{"services":[{"name":"a","replicas":[{"state":"running"}]}]}`),
 		Entry("with an unknown state", `{"services":[{"name":"a","replicas":[{"address":"a:1","state":"gone"}]}]}`),
 	)
 
-	It("polls again after a failure, and ends with its context", func() {
+	It("polls again after a failure, and stops when its context ends", func() {
 		fails := true
 		client := newClient(func(writer http.ResponseWriter, request *http.Request) {
 			if fails {
--- a/internal/edge/platform/poll.go
+++ b/internal/edge/platform/poll.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// DefaultInterval is the time between two fetches of the list.
+// DefaultInterval is the default interval between two fetches of the list.
 const DefaultInterval = 500 * time.Millisecond
 
-// Poll fetches the list at once and then every interval until the context
-// ends, and hands each outcome to deliver. One fetch may take no longer than
-// the interval, so that a platform which hangs does not delay the next.
+// Poll fetches the list at once and then at every interval until the context ends, and passes
+// each result to deliver. Each fetch is limited to the interval, so that a platform that does not
+// respond cannot delay the next fetch.
 func (c *Client) Poll(ctx context.Context, interval time.Duration, deliver func(*Endpoints, error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -24,7 +24,7 @@
 	}
 }
 
-// fetchOnce fetches the list within a time limit.
+// fetchOnce fetches the list within a time limit. It does not call deliver if ctx has ended.
 func (c *Client) fetchOnce(ctx context.Context, limit time.Duration, deliver func(*Endpoints, error)) {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
