--- a/internal/edge/replica/client_test.go
+++ b/internal/edge/replica/client_test.go
@@ -22,21 +22,22 @@
 	attemptID        = "attempt-7"
 )
 
-// startReplica starts a replica with a scripted answer, and returns its address.
+// startReplica starts a replica whose responses script writes, and returns its address.
 func startReplica(script http.HandlerFunc) string {
 	server := httptest.NewServer(script)
 	DeferCleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// sender returns a client of back ends.
+// sender returns an outbound client that is closed after the spec.
 func sender() *outbound.Client {
 	client := outbound.New(outbound.Options{Name: "test"})
 	DeferCleanup(client.CloseIdle)
 	return client
 }
 
-// generate runs one attempt on a scripted replica that echoes the attempt.
+// generate runs one attempt on a replica whose responses script writes, and which echoes the
+// attempt ID unless script replaces it.
 func generate(call replica.Call, script http.HandlerFunc) (*replica.Response, error) {
 	call.Address = startReplica(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(replica.HeaderAttemptID, attemptID)
@@ -46,7 +47,7 @@
 	return replica.NewClient(sender(), maxResponseBytes).Generate(context.Background(), call)
 }
 
-// readStream reads a stream to its end.
+// readStream reads a stream until an error, which is io.EOF at the stream's complete end.
 func readStream(response *replica.Response) (string, error) {
 	var all string
 	for {
@@ -59,7 +60,7 @@
 }
 
 var _ = Describe("Client", func() {
-	It("asks for a pull", func() {
+	It("sends the headers of a pull", func() {
 		var seen http.Header
 		answer, err := generate(replica.Call{Attempt: 2, Pull: &replica.Pull{Source: "peer:1", FirstChunk: 1, LastChunk: 3}},
 			func(_ http.ResponseWriter, request *http.Request) { seen = request.Header })
@@ -87,7 +88,7 @@
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("accepts no response, and no rejection, of another attempt", func() {
+	It("rejects a response to another attempt, even with the guarantee not to run", func() {
 		_, err := generate(replica.Call{}, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(replica.HeaderAttemptID, "attempt-6")
 			writer.Header().Set(replica.HeaderNotRun, "true")
@@ -96,7 +97,7 @@
 		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 	})
 
-	DescribeTable("accepts no complete response", func(script http.HandlerFunc) {
+	DescribeTable("rejects a complete response", func(script http.HandlerFunc) {
 		answer, err := generate(replica.Call{}, script)
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = answer.ReadAll()
@@ -106,7 +107,7 @@
 		Entry("that is too large", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = writer.Write(make([]byte, maxResponseBytes+1))
 		})),
-		Entry("whose end is not marked", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		Entry("that does not mark its end", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			connection, _, err := writer.(http.Hijacker).Hijack()
 			if err == nil {
 				_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\n\r\nanswer", attemptID)
@@ -128,22 +129,22 @@
 			Expect(err).To(BeIdenticalTo(io.EOF))
 		} else {
 			Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
-			Expect(err).NotTo(MatchError(io.EOF), "no cut may pass for the proper end")
+			Expect(err).NotTo(MatchError(io.EOF), "a truncated stream must not end like a complete one")
 		}
 	},
-		Entry("to its end", "data: a\n\ndata: [DONE]\n\n", "data: a\n\ndata: [DONE]\n\n", true),
-		Entry("with other line ends", "data: a\r\n\r\ndata:[DONE]\r\n\r\n", "data: a\r\n\r\ndata:[DONE]\r\n\r\n", true),
-		Entry("without its end", "data: a\n\n", "data: a\n\n", false),
+		Entry("with its end event", "data: a\n\ndata: [DONE]\n\n", "data: a\n\ndata: [DONE]\n\n", true),
+		Entry("with CRLF line ends", "data: a\r\n\r\ndata:[DONE]\r\n\r\n", "data: a\r\n\r\ndata:[DONE]\r\n\r\n", true),
+		Entry("without its end event", "data: a\n\n", "data: a\n\n", false),
 		Entry("that ends within an event", "data: a\n\ndata: b", "data: a\n\n", false),
-		Entry("that ends within its end", "data: [DONE]\n", "", false),
-		Entry("that goes on after its end", "data: [DONE]\n\ndata: a\n\n", "data: [DONE]\n\n", false),
-		Entry("that speaks of its end", "data: not [DONE]\n\n", "data: not [DONE]\n\n", false),
-		Entry("with a long event", "data: "+string(make([]byte, 2*maxResponseBytes)), "", false),
+		Entry("that ends within its end event", "data: [DONE]\n", "", false),
+		Entry("that continues after its end event", "data: [DONE]\n\ndata: a\n\n", "data: [DONE]\n\n", false),
+		Entry("whose data contains the end marker among other text", "data: not [DONE]\n\n", "data: not [DONE]\n\n", false),
+		Entry("with an event above the size limit", "data: "+string(make([]byte, 2*maxResponseBytes)), "", false),
 	)
 })
 
 var _ = Describe("EventClient", func() {
-	It("reads lines, from a position on", func() {
+	It("reads the events after a position", func() {
 		var query string
 		address := startReplica(func(writer http.ResponseWriter, request *http.Request) {
 			query = request.URL.RawQuery
@@ -164,7 +165,7 @@
 		Expect(events[1].Report.Age()).To(Equal(1500 * time.Millisecond))
 	})
 
-	It("gives a silent stream up", func() {
+	It("ends a stream without events after the idle time-out", func() {
 		address := startReplica(func(writer http.ResponseWriter, request *http.Request) {
 			writer.(http.Flusher).Flush()
 			<-request.Context().Done()
@@ -174,22 +175,22 @@
 		Expect(err).To(MatchError(context.Canceled))
 	})
 
-	DescribeTable("gives up", func(script http.HandlerFunc) {
+	DescribeTable("returns an error", func(script http.HandlerFunc) {
 		err := replica.NewEventClient(sender(), time.Minute).Follow(context.Background(), startReplica(script), replica.Position{},
 			func(replica.Event) error { return nil })
 		Expect(err).To(HaveOccurred())
 	},
-		Entry("on a line that is no event", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		Entry("for a line that is not an event", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(writer, "{\n")
 		})),
-		Entry("on a status that is not OK", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		Entry("for a status other than 200", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 			writer.WriteHeader(http.StatusNotFound)
 		})),
 	)
 })
 
 var _ = Describe("CacheSalt", func() {
-	It("differs with each of its elements, however they join", func() {
+	It("differs if any argument differs, even if the arguments concatenate to the same text", func() {
 		salts := map[string]bool{
 			replica.CacheSalt("m", "v", "d"):  true,
 			replica.CacheSalt("m2", "v", "d"): true,
--- a/internal/edge/replica/command.go
+++ b/internal/edge/replica/command.go
@@ -16,7 +16,7 @@
 // maxControlResponseBytes bounds a replica's response to a control call.
 const maxControlResponseBytes = 1 << 20
 
-// CommandClient requests reports of replicas and commands them to load weights.
+// CommandClient requests reports from replicas and commands them to load weights.
 type CommandClient struct {
 	sender *outbound.Client
 }
@@ -26,8 +26,7 @@
 	return &CommandClient{sender: sender}
 }
 
-// StatusError says that a replica responded to a control call with an unexpected
-// status.
+// StatusError reports that a replica responded to a control call with an unexpected status.
 type StatusError struct {
 	Path   string
 	Status int
@@ -38,15 +37,15 @@
 	return fmt.Sprintf("the replica answered %s with status %d; check that it speaks this protocol", e.Path, e.Status)
 }
 
-// StaleEpochError says that the replica has seen a higher fencing token, which this
-// protocol calls epoch: a later leader commands it.
+// StaleEpochError reports that the replica rejected a command because it has seen a higher
+// fencing token, which this protocol calls epoch: a later leader commands the replica.
 type StaleEpochError struct {
 	Epoch uint64
 }
 
 // Error implements error.
 func (e *StaleEpochError) Error() string {
-	return fmt.Sprintf("the replica refuses epoch %d since it has seen a later one; leave it to the later leader", e.Epoch)
+	return fmt.Sprintf("the replica rejected a weights command with epoch %d because it has seen a higher epoch; the later leader commands it", e.Epoch)
 }
 
 // Report requests the report of a replica.
@@ -64,9 +63,9 @@
 	return report, errors.Wrap(decoder.Decode(&report), "decode a replica's report")
 }
 
-// LoadWeights commands a replica to load weights. The replica has accepted the command
-// when nil is returned; Report shows when it has loaded them. Other errors than
-// *StaleEpochError and *StatusError leave open whether it arrived.
+// LoadWeights commands a replica to load weights. It returns nil if the replica has accepted the
+// command; Report shows when the weights are loaded. Errors other than *StaleEpochError and
+// *StatusError leave open whether the command arrived.
 func (c *CommandClient) LoadWeights(ctx context.Context, address string, command WeightsCommand) error {
 	body, err := json.Marshal(command)
 	if err != nil {
--- a/internal/edge/replica/events.go
+++ b/internal/edge/replica/events.go
@@ -19,17 +19,17 @@
 const (
 	// maxEventBytes bounds one line of the event stream.
 	maxEventBytes = 64 << 20
-	// eventBufferBytes is the first size of the buffer for a line, which grows
-	// with the lines that come. A node follows thousands of streams.
+	// eventBufferBytes is the initial size of the buffer for a line, which grows as needed.
+	// It is small because a node reads thousands of streams.
 	eventBufferBytes = 2 << 10
-	// hexBase is the base in which hashes are written.
+	// hexBase is the base of hashes in events.
 	hexBase = 16
-	// hashBits is the size of a hash.
+	// hashBits is the size of a hash in bits.
 	hashBits = 64
 )
 
-// Position is how far the reader of a back end's events has come. The zero
-// Position is that of a reader without any state.
+// Position is the position of a reader in the events of a back end. The zero Position is that of
+// a reader that has seen no event.
 type Position struct {
 	// Incarnation is the incarnation of the back end that Sequence belongs to.
 	Incarnation uint64
@@ -37,22 +37,22 @@
 	Sequence uint64
 }
 
-// EventClient follows the event streams of replicas.
+// EventClient reads the event streams of replicas.
 type EventClient struct {
 	sender *outbound.Client
-	// idleTimeout is the longest time without an event.
+	// idleTimeout is the time without an event after which a stream is ended.
 	idleTimeout time.Duration
 }
 
-// NewEventClient returns a client that ends a stream without events for idleTimeout.
+// NewEventClient returns a client that ends a stream that has no event for idleTimeout.
 func NewEventClient(sender *outbound.Client, idleTimeout time.Duration) *EventClient {
 	return &EventClient{sender: sender, idleTimeout: idleTimeout}
 }
 
-// Follow reads the events after a position, or from a reset on for the zero Position, and
-// passes each to handle, in the caller's goroutine. It returns, always with an error, when
-// the stream ends, has no event for the idle time-out, or cannot be read, or when handle
-// returns an error, which it returns.
+// Follow reads the events after a position, and passes each to handle in the caller's goroutine.
+// For the zero Position the stream begins with a reset event. Follow returns, always with an
+// error, when the stream ends, has no event for the idle time-out, or cannot be read. If handle
+// returns an error, Follow returns that error.
 func (c *EventClient) Follow(ctx context.Context, address string, after Position, handle func(Event) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -72,7 +72,7 @@
 	})
 }
 
-// eventsURL returns the URL of the events after a position.
+// eventsURL returns the URL of the event stream after a position.
 func eventsURL(address string, after Position) string {
 	if after.Sequence == 0 {
 		return "http://" + address + PathEvents
@@ -80,7 +80,8 @@
 	return fmt.Sprintf("http://%s%s?after=%d&incarnation=%d", address, PathEvents, after.Sequence, after.Incarnation)
 }
 
-// readEvents reads JSON lines until they end.
+// readEvents parses JSON lines and passes each event to handle. It always returns an error:
+// io.ErrUnexpectedEOF if the stream ends.
 func readEvents(stream io.Reader, handle func(Event) error) error {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
@@ -90,7 +91,7 @@
 		}
 		var event Event
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
-			return errors.Wrap(err, "an event cannot be read")
+			return errors.Wrap(err, "decode an event")
 		}
 		if err := handle(event); err != nil {
 			return err
@@ -108,7 +109,7 @@
 	for position, chunk := range e.Chunks {
 		hash, err := strconv.ParseUint(chunk.Hash, hexBase, hashBits)
 		if err != nil {
-			return nil, errors.Wrapf(err, "the hash of part %d of an event cannot be read", position)
+			return nil, errors.Wrapf(err, "parse the hash of chunk %d of an event", position)
 		}
 		links[position] = prefixindex.Link{Hash: prefixindex.ChainHash(hash), Tokens: chunk.Tokens}
 	}
@@ -128,7 +129,7 @@
 	return hashes, nil
 }
 
-// Age returns how old the report was when it was sent.
+// Age returns the age of the report when it was sent.
 func (r Report) Age() time.Duration {
 	return time.Duration(r.AgeMS) * time.Millisecond
 }
--- a/internal/edge/replica/generate.go
+++ b/internal/edge/replica/generate.go
@@ -14,10 +14,10 @@
 // contentTypeStream is the media type of a streamed response.
 const contentTypeStream = "text/event-stream"
 
-// maxRefusalBytes bounds what is read of a refusal's body.
+// maxRefusalBytes bounds the bytes that are read of a rejection's body.
 const maxRefusalBytes = 64 << 10
 
-// Pull makes a replica fetch chunks instead of computing them.
+// Pull tells a replica to fetch cached chunks instead of computing them.
 type Pull struct {
 	// Source is the address to fetch from.
 	Source string
@@ -30,7 +30,7 @@
 	Address   string
 	Model     string
 	CacheSalt string
-	// Prefix is the prompt's chunks as HeaderPrefix writes them.
+	// Prefix lists the prompt's chunks in the form of HeaderPrefix.
 	Prefix    string
 	RequestID string
 	// AttemptID is unique among all attempts of all nodes.
@@ -38,30 +38,31 @@
 	// Attempt is the number of the attempt, from 1.
 	Attempt      int
 	OutputTokens uint32
-	// Idempotent reports whether the caller permits more than one run.
+	// Idempotent reports whether the caller permits the request to run more than once.
 	Idempotent bool
 	Streamed   bool
 	// Pull is nil if nothing is to be fetched.
 	Pull *Pull
-	// Extra headers pass untouched.
+	// Extra contains headers that are sent unchanged.
 	Extra       http.Header
 	ContentType string
 	Body        []byte
 }
 
-// Client runs requests on replicas. It may be used by many goroutines.
+// Client runs requests on replicas. It may be used concurrently.
 type Client struct {
 	sender *outbound.Client
-	// maxResponseBytes bounds a complete response, and one event of a streamed one.
+	// maxResponseBytes bounds a complete response, or one event of a streamed response.
 	maxResponseBytes int64
 }
 
-// NewClient returns a client that accepts responses of at most maxResponseBytes.
+// NewClient returns a client that accepts complete responses, and events of streamed responses, of
+// at most maxResponseBytes.
 func NewClient(sender *outbound.Client, maxResponseBytes int64) *Client {
 	return &Client{sender: sender, maxResponseBytes: maxResponseBytes}
 }
 
-// Generate runs one attempt up to the header of its response. The errors are
+// Generate sends one attempt and reads the header of its response. The errors are
 // *outbound.Error, *outbound.RefusedError and *outbound.InvalidResponseError.
 func (c *Client) Generate(ctx context.Context, call Call) (*Response, error) {
 	request, err := c.request(ctx, call)
@@ -120,7 +121,8 @@
 	}
 }
 
-// checkAttemptID refuses a response that does not name its attempt.
+// checkAttemptID returns an *outbound.InvalidResponseError if the response does not echo the ID of
+// its attempt.
 func checkAttemptID(response *http.Response, call Call) error {
 	echoed := response.Header.Get(HeaderAttemptID)
 	if echoed == call.AttemptID {
@@ -129,7 +131,8 @@
 	return &outbound.InvalidResponseError{Reason: fmt.Sprintf("the answer belongs to attempt %q instead of %q", echoed, call.AttemptID)}
 }
 
-// readRefusal reads a rejection and closes the response.
+// readRefusal returns the error of a rejection, with its body as the message, and closes the
+// response.
 func readRefusal(response *http.Response) *outbound.RefusedError {
 	defer func() { _ = response.Body.Close() }()
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
--- a/internal/edge/replica/response.go
+++ b/internal/edge/replica/response.go
@@ -13,17 +13,18 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/outbound"
 )
 
-// streamBufferBytes is the size of the buffer that a stream is read through.
+// streamBufferBytes is the size of the read buffer of a stream.
 const streamBufferBytes = 16 << 10
 
-// maxPreallocatedBytes bounds the buffer that a response's declared length gets in
-// advance.
+// maxPreallocatedBytes bounds the buffer that is allocated for a response's declared length before
+// the response is read.
 const maxPreallocatedBytes = 64 << 10
 
-// passThroughPrefix begins the headers that pass untouched.
+// passThroughPrefix is the prefix of headers that are forwarded unchanged.
 const passThroughPrefix = "Lab-"
 
-// relayedHeaders are the headers of a response that callers may see.
+// relayedHeaders are the headers of a response that are forwarded to callers, besides those with
+// passThroughPrefix.
 var relayedHeaders = map[string]bool{
 	"Content-Type":      true,
 	"Retry-After":       true,
@@ -31,10 +32,10 @@
 	HeaderReusedTokens:  true,
 }
 
-// Response is the response of an attempt whose header has arrived. Close it.
+// Response is the response of an attempt, whose header has arrived. The caller must close it.
 type Response struct {
 	response *http.Response
-	// maxBytes bounds the response, or one event of a stream.
+	// maxBytes bounds a complete response, or one event of a stream.
 	maxBytes int64
 	// stream reads the body; nil before the first call of Next.
 	stream *bufio.Reader
@@ -52,14 +53,15 @@
 	relayed := make(http.Header, len(r.response.Header))
 	for name, values := range r.response.Header {
 		if relayedHeaders[name] || strings.HasPrefix(name, passThroughPrefix) {
-			// The response's own header is not used again.
+			// The values are not copied, since the response's own header is not changed.
 			relayed[name] = values
 		}
 	}
 	return relayed
 }
 
-// WeightVersion returns the version that produced the response, or "".
+// WeightVersion returns the weight version that produced the response, or "" if the response does
+// not name one.
 func (r *Response) WeightVersion() string {
 	return r.response.Header.Get(HeaderWeightVersion)
 }
@@ -70,15 +72,15 @@
 	return err == nil && mediaType == contentTypeStream
 }
 
-// Close ends the response. Unless it was read to its end, the connection is
-// closed and with it, as far as the replica listens, the attempt.
+// Close closes the body of the response. If it was not read to its end, the connection is closed,
+// which cancels the attempt if the replica notices it.
 func (r *Response) Close() {
 	_ = r.response.Body.Close()
 }
 
-// ReadAll reads the complete response; the second result is always true without
-// an error. A response that is truncated, whose truncation could not be noticed, or that
-// is too large, is a *outbound.InvalidResponseError.
+// ReadAll reads the complete response. The second result is true if there is no error. The error is
+// an *outbound.InvalidResponseError if the response is truncated, is too large, or does not mark its
+// end, so that truncation would go unnoticed.
 func (r *Response) ReadAll() ([]byte, bool, error) {
 	if !r.delimited() {
 		return nil, false, &outbound.InvalidResponseError{Reason: "the answer has neither a length nor chunks, so a cut could not be noticed"}
@@ -94,20 +96,20 @@
 	return body.Bytes(), true, nil
 }
 
-// delimited reports whether the end of the response is marked.
+// delimited reports whether the response marks its own end, by a length or by chunked encoding.
 func (r *Response) delimited() bool {
 	return r.response.ContentLength >= 0 || isChunked(r.response.TransferEncoding)
 }
 
-// isChunked reports whether a message comes in chunks.
+// isChunked reports whether the last transfer encoding of a message is chunked.
 func isChunked(encodings []string) bool {
 	return len(encodings) > 0 && strings.EqualFold(encodings[len(encodings)-1], "chunked")
 }
 
-// Next returns the next complete event of a stream, with the blank line that
-// ends it. After the event that ends the stream it returns io.EOF; a stream
-// that ends in any other way is a *outbound.InvalidResponseError. A part of an event is never
-// returned.
+// Next returns the next complete event of a stream, including the blank line that ends it. After
+// the event that ends the stream it returns io.EOF. If the stream ends in another way, or continues
+// after that event, the error is an *outbound.InvalidResponseError. Next never returns a part of an
+// event.
 func (r *Response) Next() ([]byte, error) {
 	if r.stream == nil {
 		r.stream = bufio.NewReaderSize(r.response.Body, streamBufferBytes)
@@ -123,7 +125,7 @@
 	return event, nil
 }
 
-// readEvent reads up to and with the next blank line.
+// readEvent reads up to and including the next blank line.
 func (r *Response) readEvent() ([]byte, error) {
 	var event []byte
 	for {
@@ -144,8 +146,8 @@
 	}
 }
 
-// unexpectedEOF keeps an end that came too early from being taken for the proper
-// end, which is io.EOF.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, so that a premature end is not taken for
+// the complete end, which is io.EOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return errors.WithStack(io.ErrUnexpectedEOF)
@@ -153,9 +155,8 @@
 	return errors.WithStack(err)
 }
 
-// checkNothingFollows returns io.EOF unless the replica sent more after the
-// end. How the connection ended does not matter any more, as the response's own
-// terminator has been seen.
+// checkNothingFollows returns io.EOF unless the replica sent more bytes after the event that ends the
+// stream. A read error does not matter, since that event has been received.
 func (r *Response) checkNothingFollows() error {
 	if _, err := r.stream.ReadByte(); err == nil {
 		return &outbound.InvalidResponseError{Reason: "the streamed answer goes on after its end"}
@@ -174,7 +175,7 @@
 	return false
 }
 
-// LastEventID returns "": the events of this protocol have no identities.
+// LastEventID returns "", since the events of this protocol have no IDs.
 func (r *Response) LastEventID() string {
 	return ""
 }
--- a/internal/edge/replica/salt.go
+++ b/internal/edge/replica/salt.go
@@ -6,16 +6,16 @@
 	"encoding/hex"
 )
 
-// cacheSaltBytes is the length of a salt before it is written in hexadecimal.
+// cacheSaltBytes is the length of a salt in bytes, before hexadecimal encoding.
 const cacheSaltBytes = 16
 
-// CacheSalt names the set of requests that may share cached chunks: those of one
-// model, under one weight version, in one sharing domain. A walled tenant has a
-// sharing domain of its own, and each domain changes with every epoch of a
-// wall, so that chunks are never shared across weights or walls.
+// CacheSalt returns the ID of the set of requests that may share cached chunks: those for one
+// model and one weight version in one sharing domain. A walled tenant has a sharing domain of its
+// own, and each domain changes with every epoch of a wall, so that chunks are never shared across
+// weight versions or walls.
 //
-// The salt is a digest over the three texts, each with its length before it,
-// so that no two different triples join to the same bytes.
+// The salt is a truncated SHA-256 digest of the three texts. Each is preceded by its length, so
+// that no two different triples are hashed as the same bytes.
 func CacheSalt(model, weightVersion, sharingDomain string) string {
 	digest := sha256.New()
 	for _, text := range []string{model, weightVersion, sharingDomain} {
