--- a/internal/edge/operator/binding.go
+++ b/internal/edge/operator/binding.go
@@ -19,8 +19,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// readRequest fills a request message from the body, the path and the query of
-// a call.
+// readRequest sets the fields of a request message from the body, the path segments and the query
+// of a call.
 func readRequest(w http.ResponseWriter, r *http.Request, segments map[string]string, request proto.Message) error {
 	if err := readBody(w, r, request); err != nil {
 		return err
@@ -34,8 +34,7 @@
 	return bindQuery(request.ProtoReflect(), r.URL.RawQuery)
 }
 
-// readBody reads the JSON of a request message; an empty body is an empty
-// message.
+// readBody parses the JSON of a request message. An empty body leaves the message empty.
 func readBody(w http.ResponseWriter, r *http.Request, request proto.Message) error {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -54,8 +53,8 @@
 	return dynamic.ParseMessage(data, request)
 }
 
-// bindQuery binds each query parameter to the plain field of the request, or of
-// its order header, that has the parameter's name.
+// bindQuery sets, for each query parameter, the plain field of that name in the request or in its
+// order header. It sets them in the order of their names.
 func bindQuery(request protoreflect.Message, rawQuery string) error {
 	query, err := url.ParseQuery(rawQuery)
 	if err != nil {
@@ -94,8 +93,7 @@
 	}
 }
 
-// bindText sets a field from text. A field that already has another value is a
-// contradiction.
+// bindText sets a field from text. It returns an error if the field already has another value.
 func bindText(message protoreflect.Message, field protoreflect.FieldDescriptor, path, text string) error {
 	value, err := parseText(field, text)
 	if err != nil {
@@ -116,8 +114,8 @@
 	return nil
 }
 
-// parseText reads a field's value from text, numbers as protojson reads them
-// from a JSON string.
+// parseText parses a field's value from text. Values other than strings and booleans are parsed as
+// protojson parses them from a JSON string.
 func parseText(field protoreflect.FieldDescriptor, text string) (protoreflect.Value, error) {
 	switch field.Kind() {
 	case protoreflect.StringKind:
--- a/internal/edge/operator/call.go
+++ b/internal/edge/operator/call.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// call is one remote call of the schema with the method that serves it.
+// call is a remote call of the schema and the function that serves it.
 type call struct {
 	// name is the call's name within its service, such as "AddKey".
 	name       protoreflect.Name
@@ -19,7 +19,7 @@
 	serve      func(ctx context.Context, request proto.Message) (proto.Message, error)
 }
 
-// newCall binds a call to a method of a resource's handler object.
+// newCall returns a call that serve handles, with the request type that serve takes.
 func newCall[Request any, Response proto.Message, Pointer interface {
 	*Request
 	proto.Message
@@ -33,15 +33,15 @@
 	}
 }
 
-// resource is the handler object of one service of the schema.
+// resource serves the calls of one service of the schema.
 type resource interface {
-	// service is the name of the service, such as "Tenants".
+	// service returns the name of the service, such as "Tenants".
 	service() protoreflect.Name
 	calls() []call
 }
 
-// submit gives an order to control and turns its response into the result that
-// operators get. When the time is up, the order may still take effect.
+// submit submits an order to control and converts the response into the result for the operator.
+// After a time-out the result is PENDING, since the order may still take effect.
 func submit(ctx context.Context, control Control, order *controlpb.Order) (*ridgeswitchv1.OrderResult, error) {
 	answer, err := control.Submit(ctx, order)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return result, nil
 }
 
-// problemError is a refusal that control decided.
+// problemError is a rejection of an order by control.
 type problemError struct {
 	problem *ridgeswitchv1.Problem
 }
--- a/internal/edge/operator/codec.go
+++ b/internal/edge/operator/codec.go
@@ -20,8 +20,9 @@
 	retryAfterHeader  = "Retry-After"
 )
 
-// encode writes a message as JSON with the schema's field names, including
-// fields that are zero, in a stable layout.
+// encode returns a message as compact JSON with the schema's field names, including fields with
+// zero values, and a final line break. Compacting removes the spaces that protojson inserts at
+// random.
 func encode(message proto.Message) ([]byte, error) {
 	options := protojson.MarshalOptions{UseProtoNames: true, EmitDefaultValues: true}
 	data, err := options.Marshal(message)
@@ -36,8 +37,8 @@
 	return compact.Bytes(), nil
 }
 
-// writeMessage responds with a message. The status line is sent when writing the
-// body fails, so the error of a broken connection has no further use.
+// writeMessage responds with a message. An error of writing the body is ignored, since the status
+// line has been sent by then.
 func writeMessage(w http.ResponseWriter, status int, message proto.Message) {
 	data, err := encode(message)
 	if err != nil {
@@ -49,7 +50,7 @@
 	_, _ = w.Write(data)
 }
 
-// writeRejection responds with a problem and, where it helps, a Retry-After.
+// writeRejection responds with a problem, and with Retry-After if the rejection has one.
 func writeRejection(w http.ResponseWriter, rejected rejection) {
 	if rejected.retryAfter > 0 {
 		setRetryAfter(w, rejected.retryAfter)
@@ -57,13 +58,13 @@
 	writeMessage(w, rejected.status, rejected.problem)
 }
 
-// setRetryAfter sets the time to retry after, in whole seconds.
+// setRetryAfter sets Retry-After in whole seconds, rounded up.
 func setRetryAfter(w http.ResponseWriter, after time.Duration) {
 	seconds := int(math.Ceil(after.Seconds()))
 	w.Header().Set(retryAfterHeader, strconv.Itoa(seconds))
 }
 
-// writeProblem responds with a problem that the control interface itself found.
+// writeProblem responds with a problem that the control interface itself detected.
 func writeProblem(w http.ResponseWriter, problem *ridgeswitchv1.Problem) {
 	writeRejection(w, rejectionFor(problem))
 }
--- a/internal/edge/operator/health.go
+++ b/internal/edge/operator/health.go
@@ -17,7 +17,7 @@
 	PathLive = "/healthz/live"
 )
 
-// healthyBody is the response of a check that passes.
+// healthyBody is the response body of a health check that passes.
 const healthyBody = `{"status":"ok"}` + "\n"
 
 // healthRoutes returns the routes of the health checks.
@@ -28,7 +28,7 @@
 	}
 }
 
-// healthCheck returns the handler of one check; kind is that of the problem if it fails.
+// healthCheck returns the handler of a health check. kind is the kind of the problem if it fails.
 func healthCheck(kind dynamic.Kind, check func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := check(); err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// notFound responds to a path that the control interface does not have.
+// notFound responds to a request for an unknown path.
 func notFound(w http.ResponseWriter, r *http.Request) {
 	writeProblem(w, &ridgeswitchv1.Problem{
 		Kind:    string(KindNoSuchCall),
@@ -48,7 +48,7 @@
 	})
 }
 
-// notAllowed responds to a path that has no such method.
+// notAllowed responds to a request for a known path with a method that it does not support.
 func notAllowed(w http.ResponseWriter, r *http.Request) {
 	writeProblem(w, &ridgeswitchv1.Problem{
 		Kind:    string(KindMethodNotAllowed),
--- a/internal/edge/operator/middleware.go
+++ b/internal/edge/operator/middleware.go
@@ -11,9 +11,8 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// limitCalls refuses calls beyond a number that run at once, so that a storm of
-// calls can't take up the node's memory. Go-zero's own limit does the same
-// without a problem in its response.
+// limitCalls rejects a call if limit calls are already running, so that a burst of calls can't
+// exhaust the node's memory. It replaces go-zero's own limit, whose response contains no problem.
 func limitCalls(limit int) rest.Middleware {
 	running := syncx.NewLimit(limit)
 	return func(next http.HandlerFunc) http.HandlerFunc {
@@ -40,7 +39,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		defer func() { //nolint:contextcheck // the context of the call is used
 			if cause := recover(); cause != nil {
-				logx.WithContext(r.Context()).Errorf("call %s %s: %v\n%s", r.Method, r.URL.Path, cause, debug.Stack())
+				logx.WithContext(r.Context()).Errorf("call %s %s panicked: %v\n%s", r.Method, r.URL.Path, cause, debug.Stack())
 				writeProblem(w, &ridgeswitchv1.Problem{
 					Kind:    string(KindInternal),
 					Message: "the node failed on this call, which may have taken effect; resend it unchanged, to another node",
--- a/internal/edge/operator/option.go
+++ b/internal/edge/operator/option.go
@@ -6,10 +6,10 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// PathMetrics returns the metrics of the node.
+// PathMetrics is the path of the node's metrics.
 const PathMetrics = "/metrics"
 
-// Option adds to what a control interface serves.
+// Option adds routes to a control interface.
 type Option func(server *rest.Server)
 
 // WithMetrics serves the metrics of the node under PathMetrics.
--- a/internal/edge/operator/queries.go
+++ b/internal/edge/operator/queries.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// schemaPaths is how the paths of the calls of the schema begin.
+// schemaPaths is the prefix of the paths of all calls of the schema.
 const schemaPaths = "/v1/"
 
-// WithQueries returns a handler of another operator protocol with the product's own
-// queries beside it: the calls that change nothing, the health checks and the
-// metrics. Changes go through the other protocol alone, since it keeps their source.
+// WithQueries returns a handler that serves another operator protocol, and in addition the native
+// queries: GET requests for calls of the schema, the health checks and the metrics. Changes can be
+// made only through the other protocol, because it stores their source.
 func WithQueries(changes, queries http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if isQuery(request) {
@@ -21,7 +21,7 @@
 	})
 }
 
-// isQuery reports whether a request is one of the product's own queries.
+// isQuery reports whether a request is one of the native queries.
 func isQuery(request *http.Request) bool {
 	if request.Method != http.MethodGet {
 		return false
--- a/internal/edge/operator/rejection.go
+++ b/internal/edge/operator/rejection.go
@@ -19,9 +19,10 @@
 	KindUnavailable dynamic.Kind = "unavailable"
 	// KindNoLeader marks a call for a shard that has no leader now.
 	KindNoLeader dynamic.Kind = "no_leader"
-	// KindNoSuchCall marks a path that the control interface does not have.
+	// KindNoSuchCall marks a request for an unknown path.
 	KindNoSuchCall dynamic.Kind = "no_such_call"
-	// KindMethodNotAllowed marks a path with a method that it does not have.
+	// KindMethodNotAllowed marks a request for a known path with a method that it does not
+	// support.
 	KindMethodNotAllowed dynamic.Kind = "method_not_allowed"
 	// KindNotReady and KindNotLive are the kinds of failed health checks.
 	KindNotReady dynamic.Kind = "not_ready"
@@ -30,8 +31,8 @@
 	KindInternal dynamic.Kind = "internal"
 )
 
-// DefaultRetryAfter is when to come back after a 503 that names no other time,
-// and when to resend a pending order.
+// DefaultRetryAfter is the time after which to retry a call after a 503 that gives no other time,
+// and after which to resend a pending order.
 const DefaultRetryAfter = time.Second
 
 // UnavailableError means that a call was not accepted. It may be retried.
@@ -41,23 +42,23 @@
 	RetryAfter time.Duration
 }
 
-// Error is the message, which names the remedy.
+// Error implements error. The message includes the remedy.
 func (e *UnavailableError) Error() string {
 	return e.Message
 }
 
-// Problem is the error as operators get it.
+// Problem returns the error as a response body for operators.
 func (e *UnavailableError) Problem() *ridgeswitchv1.Problem {
 	return &ridgeswitchv1.Problem{Kind: string(e.Kind), Message: e.Message}
 }
 
-// problemCarrier is an error with the body that operators get.
+// problemCarrier is an error that has a response body for operators.
 type problemCarrier interface {
 	error
 	Problem() *ridgeswitchv1.Problem
 }
 
-// statusByKind holds the HTTP status of each kind of problem.
+// statusByKind maps each kind of problem to its HTTP status.
 var statusByKind = map[dynamic.Kind]int{
 	dynamic.KindMalformed:             http.StatusBadRequest,
 	dynamic.KindUnknownField:          http.StatusBadRequest,
@@ -82,15 +83,15 @@
 	KindInternal:                      http.StatusInternalServerError,
 }
 
-// rejection is a problem with what HTTP adds to it.
+// rejection is a problem with its HTTP status and its Retry-After, or zero for none.
 type rejection struct {
 	status     int
 	retryAfter time.Duration
 	problem    *ridgeswitchv1.Problem
 }
 
-// rejectionOf turns an error into a response. An error without a Problem leaves
-// open whether the call took effect, so the remedy is the identical call.
+// rejectionOf returns the rejection for an error. An error without a Problem method leaves open
+// whether the call took effect, so its message tells the operator to resend the identical call.
 func rejectionOf(err error) rejection {
 	var carrier problemCarrier
 	if !errors.As(err, &carrier) {
@@ -108,8 +109,8 @@
 	return fmt.Sprintf("%v; the call may have taken effect: resend it unchanged, to any node", err)
 }
 
-// rejectionFor finds the status of a problem. A kind that is not known here comes
-// from a newer part of the node; it is not the caller's fault.
+// rejectionFor returns the rejection for a problem. A kind without an entry in statusByKind gets
+// status 500: it comes from a newer part of the node and is not the caller's fault.
 func rejectionFor(problem *ridgeswitchv1.Problem) rejection {
 	status, known := statusByKind[dynamic.Kind(problem.GetKind())]
 	if !known {
@@ -122,7 +123,7 @@
 	return rejected
 }
 
-// isTimeout reports whether a call ended because its time was up.
+// isTimeout reports whether a call ended because its deadline passed.
 func isTimeout(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/edge/operator/resources.go
+++ b/internal/edge/operator/resources.go
@@ -10,7 +10,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// resources holds one handler object for each service of the schema.
+// resources returns one resource for each service of the schema.
 func resources(control Control) []resource {
 	return []resource{
 		&configurations{control: control},
@@ -21,7 +21,8 @@
 	}
 }
 
-// submitRequest returns the method of a call whose request is an order by itself.
+// submitRequest returns the function that serves a call whose request can be converted into an
+// order without further arguments.
 func submitRequest[Request proto.Message](control Control) func(context.Context, Request) (*ridgeswitchv1.OrderResult, error) {
 	return func(ctx context.Context, request Request) (*ridgeswitchv1.OrderResult, error) {
 		order, err := dynamic.OrderFromRequest(request)
@@ -47,7 +48,7 @@
 	}
 }
 
-// source reads the document of the configuration in force.
+// source returns the source document of the configuration in force.
 func (c *configurations) source(ctx context.Context, _ *ridgeswitchv1.GetSourceRequest) (*ridgeswitchv1.Source, error) {
 	source, err := c.control.Source(ctx)
 	if err != nil {
@@ -62,8 +63,8 @@
 	return source, nil
 }
 
-// get reads the configuration that this node serves, if the request says so, and otherwise
-// the one in force.
+// get returns the configuration in force, or the configuration that this node serves if the request
+// sets local.
 func (c *configurations) get(ctx context.Context, request *ridgeswitchv1.GetConfigurationRequest) (*ridgeswitchv1.Configuration, error) {
 	if request.GetLocal() {
 		return requireConfiguration(c.control.Configuration())
@@ -75,7 +76,7 @@
 	return requireConfiguration(configuration)
 }
 
-// requireConfiguration refuses a read before the first configuration.
+// requireConfiguration returns an error if the node has no configuration yet.
 func requireConfiguration(configuration *ridgeswitchv1.Configuration) (*ridgeswitchv1.Configuration, error) {
 	if configuration == nil {
 		return nil, &UnavailableError{
--- a/internal/edge/operator/routes.go
+++ b/internal/edge/operator/routes.go
@@ -15,8 +15,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/operator/schema"
 )
 
-// routes builds the routes of all calls of the schema. A call that no resource
-// serves, or one that the schema does not have, is an error.
+// routes returns the routes of all calls of the schema. It returns an error if a call of the schema
+// has no resource that serves it, or if a resource serves a call that the schema does not have.
 func routes(handlers []resource) ([]rest.Route, error) {
 	described, err := schema.Calls()
 	if err != nil {
@@ -41,7 +41,7 @@
 	return built, nil
 }
 
-// servedCalls holds the calls of all resources under their full names.
+// servedCalls returns the calls of all resources by their full names.
 func servedCalls(handlers []resource) map[protoreflect.FullName]call {
 	schemaPackage := ridgeswitchv1.File_api_ridgeswitch_v1_ridgeswitch_proto.Package()
 	served := make(map[protoreflect.FullName]call)
--- a/internal/edge/operator/routes_test.go
+++ b/internal/edge/operator/routes_test.go
@@ -12,7 +12,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// fakeResource is a resource that serves a call under a name of the test's choice.
+// fakeResource is a resource that serves one call, with names that the test chooses.
 type fakeResource struct {
 	serviceName, callName protoreflect.Name
 }
@@ -26,7 +26,7 @@
 }
 
 var _ = Describe("Routes", func() {
-	It("cover the schema, no less and no more", func() {
+	It("include every call of the schema and no other", func() {
 		complete := resources(nil)
 		Expect(routes(complete)).To(HaveLen(len(schemaCalls())))
 		_, err := routes(complete[1:])
@@ -43,7 +43,7 @@
 }
 
 var _ = Describe("The limit of calls", func() {
-	It("refuses a call beyond it and takes the next one after", func() {
+	It("rejects a call beyond the limit, and accepts one after a running call has ended", func() {
 		entered, leave := make(chan struct{}), make(chan struct{})
 		handler := limitCalls(1)(func(http.ResponseWriter, *http.Request) {
 			entered <- struct{}{}
--- a/internal/edge/operator/server.go
+++ b/internal/edge/operator/server.go
@@ -22,29 +22,30 @@
 	// maxConcurrentCalls bounds the calls that run at once; a call beyond it is
 	// refused with 503.
 	maxConcurrentCalls = 256
-	// callTimeout bounds the wait for a response of control. An order that has
-	// none by then is pending.
+	// callTimeout bounds the wait for a response of control. An order without a response by
+	// then is reported as pending.
 	callTimeout = 10 * time.Second
-	// headerTimeout bounds the wait for the head of a request.
+	// headerTimeout bounds the wait for the header of a request.
 	headerTimeout = 5 * time.Second
 	// readTimeout bounds the wait for a complete request.
 	readTimeout = 30 * time.Second
-	// writeTimeout bounds a complete call, including the response.
+	// writeTimeout bounds a complete call, from the reading of the request to the end of the
+	// response.
 	writeTimeout = readTimeout + callTimeout + 5*time.Second
-	// idleTimeout closes connections that no call comes on.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 2 * time.Minute
 	// stopTimeout bounds the wait for running calls when the server stops.
 	stopTimeout = 5 * time.Second
 )
 
-// Server serves the control interface of one node.
+// Server is the HTTP server of a node's control interface.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
 }
 
-// NewServer listens on an address, such as "127.1.1.1:7300". Calls wait until
-// Start; Stop frees the address.
+// NewServer returns a server that listens on an address, such as "127.1.1.1:7300". Calls wait until
+// Start is called. Stop closes the listener.
 func NewServer(address string, control Control, health Health, options ...Option) (*Server, error) {
 	handler, err := NewHandler(control, health, options...)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return Listen(address, handler)
 }
 
-// Listen is NewServer for calls that another handler serves.
+// Listen returns a server that listens on an address and serves calls with handler. Start and Stop
+// apply as for NewServer.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,12 +71,12 @@
 	return &Server{listener: listener, http: server}, nil
 }
 
-// Address is the address that the server listens on.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Start serves until Stop. It returns nil after Stop.
+// Start serves calls until Stop is called, and then returns nil.
 func (s *Server) Start() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -83,20 +85,20 @@
 	return errors.Wrap(err, "serve operators")
 }
 
-// Stop refuses new calls and waits a short time for those that run.
+// Stop refuses new calls, waits up to stopTimeout for running calls, and closes the connections.
 func (s *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
 		_ = s.http.Close()
 	}
-	// A server that never started does not know its listener.
+	// Shutdown does not close the listener of a server that was never started.
 	_ = s.listener.Close()
 }
 
-// NewHandler serves the control interface without a listener. It lets go-zero
-// route the calls. Its server would listen by itself and stop only with the whole
-// process, so only its routing and its chain of middlewares are taken.
+// NewHandler returns a handler that serves the control interface. go-zero routes the calls. Its
+// server is not used, because it would open a listener of its own and stop only with the whole
+// process; only its router and its middlewares are used.
 func NewHandler(control Control, health Health, options ...Option) (http.Handler, error) {
 	calls, err := routes(resources(control))
 	if err != nil {
@@ -121,7 +123,8 @@
 	return http.HandlerFunc(serverless.Serve), nil
 }
 
-// restConfiguration sets each of go-zero's middlewares on purpose.
+// restConfiguration returns the configuration of go-zero's server. It sets each middleware
+// explicitly.
 func restConfiguration() rest.RestConf {
 	return rest.RestConf{
 		ServiceConf: service.ServiceConf{
@@ -131,24 +134,24 @@
 			Telemetry: trace.Config{Disabled: true},
 		},
 		Middlewares: rest.MiddlewaresConf{
-			// Recover is the last resort; recoverCalls comes first.
+			// Recover handles panics outside of recoverCalls, which handles those of calls.
 			Recover: true,
-			// MaxConns responds without a problem; limitCalls stands in its place.
+			// MaxConns responds without a problem; limitCalls replaces it.
 			MaxConns: false,
-			// Breaker and Shedding refuse calls by guesses; an operator's call
-			// has priority, above all when the node is busy or failing.
+			// Breaker and Shedding reject calls by heuristics. An operator's call has
+			// priority, above all when the node is overloaded or failing.
 			Breaker:  false,
 			Shedding: false,
-			// Timeout buffers responses, and reports a call as failed that may
-			// have taken effect. Calls end by callTimeout instead.
+			// Timeout buffers responses, and reports a call as failed although it may
+			// have taken effect. callTimeout replaces it.
 			Timeout: false,
-			// MaxBytes looks at declared lengths alone, and responds without a
-			// problem. Bodies are bounded where they are read.
+			// MaxBytes checks only declared lengths, and responds without a problem.
+			// readBody limits bodies instead.
 			MaxBytes: false,
-			// Gunzip would let a small body grow beyond its bound.
+			// Gunzip would let a small body exceed its limit when decompressed.
 			Gunzip: false,
-			// Log, Metrics, Prometheus and Trace write for every call; the
-			// node keeps a log ring instead.
+			// Log, Metrics, Prometheus and Trace write records for every call; the node
+			// keeps a log ring instead.
 			Log:        false,
 			Metrics:    false,
 			Prometheus: false,
--- a/internal/edge/operator/suite_test.go
+++ b/internal/edge/operator/suite_test.go
@@ -24,7 +24,8 @@
 	RunSpecs(t, "Control interface")
 }
 
-// fakeNode is a control state of one machine whose answers a test may bend.
+// fakeNode implements Control and Health on a single state machine, whose responses a test can
+// change.
 type fakeNode struct {
 	sync.Mutex
 	machine *dynamic.Machine
@@ -96,7 +97,7 @@
 func (n *fakeNode) Ready() error { return n.ready }
 func (n *fakeNode) Live() error  { return nil }
 
-// reply is an HTTP answer.
+// reply is an HTTP response.
 type reply struct {
 	status int
 	header http.Header
