--- a/internal/edge/operator/codec.go
+++ b/internal/edge/operator/codec.go
@@ -21,8 +21,8 @@
 )
 
 // encode returns a message as compact JSON with the schema's field names, including fields with
-// zero values, and a final line break. Compacting removes the spaces that protojson inserts at
-// random.
+// zero values, and a final line break. Compacting makes the layout stable, since protojson varies
+// the spaces in its output.
 func encode(message proto.Message) ([]byte, error) {
 	options := protojson.MarshalOptions{UseProtoNames: true, EmitDefaultValues: true}
 	data, err := options.Marshal(message)
