--- a/internal/edge/operator/routes_test.go
+++ b/internal/edge/operator/routes_test.go
@@ -12,28 +12,28 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// renamed is a resource that serves a call under a name of the test's choice.
-type renamed struct {
+// fakeResource is a resource that serves one call, with names that the test chooses.
+type fakeResource struct {
 	serviceName, callName protoreflect.Name
 }
 
-func (r renamed) service() protoreflect.Name { return r.serviceName }
+func (r fakeResource) service() protoreflect.Name { return r.serviceName }
 
-func (r renamed) calls() []call {
+func (r fakeResource) calls() []call {
 	return []call{newCall(r.callName, func(context.Context, *ridgeswitchv1.GetStatusRequest) (*ridgeswitchv1.NodeStatus, error) {
 		return nil, nil
 	})}
 }
 
 var _ = Describe("Routes", func() {
-	It("cover the schema, no less and no more", func() {
+	It("include every call of the schema and no other", func() {
 		complete := resources(nil)
 		Expect(routes(complete)).To(HaveLen(len(schemaCalls())))
 		_, err := routes(complete[1:])
 		Expect(err).To(MatchError(ContainSubstring("serve each once")))
-		_, err = routes(append(complete, renamed{"Nodes", "GetMore"}))
+		_, err = routes(append(complete, fakeResource{"Nodes", "GetMore"}))
 		Expect(err).To(MatchError(ContainSubstring("serve each once")))
-		_, err = routes(append(complete[:4], renamed{"Nodes", "GetMore"}))
+		_, err = routes(append(complete[:4], fakeResource{"Nodes", "GetMore"}))
 		Expect(err).To(MatchError(ContainSubstring("GetStatus is not served")))
 	})
 })
@@ -43,7 +43,7 @@
 }
 
 var _ = Describe("The limit of calls", func() {
-	It("refuses a call beyond it and takes the next one after", func() {
+	It("rejects a call beyond the limit, and accepts one after a running call has ended", func() {
 		entered, leave := make(chan struct{}), make(chan struct{})
 		handler := limitCalls(1)(func(http.ResponseWriter, *http.Request) {
 			entered <- struct{}{}
--- a/internal/edge/platform/endpoints_test.go
+++ b/internal/edge/platform/endpoints_test.go
@@ -14,8 +14,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/platform"
 )
 
-// clientOf returns a client of a scripted platform.
-func clientOf(script http.HandlerFunc) *platform.Client {
+// newClient returns a client of a test platform that script implements.
+func newClient(script http.HandlerFunc) *platform.Client {
 	server := httptest.NewServer(script)
 	DeferCleanup(server.Close)
 	sender := outbound.New(outbound.Options{Name: "test"})
@@ -23,14 +23,14 @@
 	return platform.NewClient(sender, server.Listener.Addr().String())
 }
 
-// respondWith answers every request with a text.
+// respondWith returns a handler that responds to every request with text.
 func respondWith(text string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, text) }
 }
 
 var _ = Describe("Client", func() {
-	It("reads the list", func() {
-		list, err := clientOf(respondWith(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
+	It("fetches the list", func() {
+		list, err := newClient(respondWith(`{"services":[{"name":"court","replicas":[{"address":"a:1","zone":"z","state":"draining"}]}]}`)).
 			Fetch(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(list.Services).To(Equal([]platform.Service{
@@ -38,20 +38,20 @@
 		}))
 	})
 
-	DescribeTable("takes no list", func(text string) {
-		_, err := clientOf(respondWith(text)).Fetch(context.Background())
+	DescribeTable("rejects a list", func(text string) {
+		_, err := newClient(respondWith(text)).Fetch(context.Background())
 		Expect(err).To(BeAssignableToTypeOf(&platform.EndpointsError{}))
 	},
-		Entry("that is no JSON", `{`),
+		Entry("that is not JSON", `{`),
 		Entry("without services", `{}`),
-		Entry("with a nameless service", `{"services":[{}]}`),
-		Entry("with a replica without address", `{"services":[{"name":"a","replicas":[{"state":"running"}]}]}`),
+		Entry("with a service without a name", `{"services":[{}]}`),
+		Entry("with a replica without an address", `{"services":[{"name":"a","replicas":[{"state":"running"}]}]}`),
 		Entry("with an unknown state", `{"services":[{"name":"a","replicas":[{"address":"a:1","state":"gone"}]}]}`),
 	)
 
-	It("polls again after a failure, and ends with its context", func() {
+	It("polls again after a failure, and stops when its context ends", func() {
 		fails := true
-		client := clientOf(func(writer http.ResponseWriter, request *http.Request) {
+		client := newClient(func(writer http.ResponseWriter, request *http.Request) {
 			if fails {
 				fails = false
 				writer.WriteHeader(http.StatusInternalServerError)
--- a/internal/edge/webservice/client_test.go
+++ b/internal/edge/webservice/client_test.go
@@ -28,8 +28,9 @@
 	})
 }
 
-// echoing refuses with a promise that names an attempt.
-func echoing(attempt string) http.HandlerFunc {
+// refuseNotRun returns a handler that rejects a request, guarantees not to run it, and names an
+// attempt.
+func refuseNotRun(attempt string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(webservice.HeaderAttemptID, attempt)
 		writer.Header().Set(webservice.HeaderNotRun, "true")
@@ -40,22 +41,22 @@
 
 var _ = Describe("Client", func() {
 	It("accepts a guarantee not to run only if it names the attempt", func() {
-		_, err := forward(echoing("a-1"))
+		_, err := forward(refuseNotRun("a-1"))
 		Expect(err).To(Equal(&outbound.RefusedError{Status: http.StatusServiceUnavailable, RetryAfter: 2 * time.Second}))
-		_, err = forward(echoing("a-2"))
+		_, err = forward(refuseNotRun("a-2"))
 		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
-		answer, err := forward(echoing(""))
+		answer, err := forward(refuseNotRun(""))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Status()).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("forwards a response piece by piece if it is too long to be buffered", func() {
+	It("returns a response in pieces if it is too long to be buffered", func() {
 		long := strings.Repeat("x", 3*maxBufferedBytes)
 		answer, err := forward(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, long) })
 		Expect(err).NotTo(HaveOccurred())
-		first, whole, err := answer.ReadAll()
+		first, complete, err := answer.ReadAll()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole).To(BeFalse())
+		Expect(complete).To(BeFalse())
 		text := string(first)
 		for err == nil {
 			var chunk []byte
@@ -78,8 +79,8 @@
 		_, _, err = answer.ReadAll()
 		Expect(err).To(BeAssignableToTypeOf(&outbound.InvalidResponseError{}))
 	},
-		Entry("that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage"),
-		Entry("that is cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n"),
-		Entry("whose end is not marked", "HTTP/1.1 200 OK\r\n\r\npage"),
+		Entry("that is truncated", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npage"),
+		Entry("that is truncated between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npage\r\n"),
+		Entry("that does not mark its end", "HTTP/1.1 200 OK\r\n\r\npage"),
 	)
 })
