--- a/pkg/config/dynamic/bounds.go
+++ b/pkg/config/dynamic/bounds.go
@@ -89,8 +89,8 @@
 	// MaxCallerIdleTimeout bounds the wait for a caller's next request.
 	MaxCallerIdleTimeout = 24 * time.Hour
 
-	// MaxRoutingKnob bounds the scales, weights and temperature of selection.
-	MaxRoutingKnob = 1e6
+	// MaxRoutingParameter bounds the scales, weights and temperature of selection.
+	MaxRoutingParameter = 1e6
 
 	// MaxFaults bounds the faults that are reported at once.
 	MaxFaults = 1000
--- a/pkg/config/dynamic/change.go
+++ b/pkg/config/dynamic/change.go
@@ -127,7 +127,7 @@
 	if !found {
 		return notFound("pool", fmt.Sprintf("pool %q", change.GetPool()))
 	}
-	if !change.GetRising() || raises(change.GetWeightVersion(), pool.GetWeightVersion()) {
+	if !change.GetRising() || mayRaise(change.GetWeightVersion(), pool.GetWeightVersion()) {
 		pool.WeightVersion = change.GetWeightVersion()
 	}
 	return nil
@@ -145,6 +145,6 @@
 }
 
 // notFound returns the error for a field that names something which is not there.
-func notFound(field, what string) error {
-	return &Error{Kind: KindNotFound, Field: field, Message: "there is no " + what + "; read the configuration and correct the name"}
+func notFound(field, description string) error {
+	return &Error{Kind: KindNotFound, Field: field, Message: "there is no " + description + "; read the configuration and correct the name"}
 }
--- a/pkg/config/dynamic/checks.go
+++ b/pkg/config/dynamic/checks.go
@@ -178,12 +178,12 @@
 // uniqueSet holds the values of one kind that have been checked, each with the path
 // at which it was given first.
 type uniqueSet struct {
-	what  string
+	noun  string
 	first map[string]string
 }
 
-func newUniqueSet(what string) *uniqueSet {
-	return &uniqueSet{what: what, first: make(map[string]string)}
+func newUniqueSet(noun string) *uniqueSet {
+	return &uniqueSet{noun: noun, first: make(map[string]string)}
 }
 
 // unique adds a fault if the value is in the set already, and adds it otherwise.
@@ -193,7 +193,7 @@
 		return
 	}
 	if first, found := set.first[value]; found {
-		c.add(KindDuplicate, path, "%s is already given at %s; make it unique", set.what, first)
+		c.add(KindDuplicate, path, "%s is already given at %s; make it unique", set.noun, first)
 		return
 	}
 	set.first[value] = path
@@ -202,7 +202,7 @@
 // reference checks that a name is in a set.
 func (c *checker) reference(set *uniqueSet, path, value string) {
 	if _, found := set.first[value]; !found {
-		c.add(KindDanglingReference, path, "there is no %s %q; add it or correct the name", set.what, value)
+		c.add(KindDanglingReference, path, "there is no %s %q; add it or correct the name", set.noun, value)
 	}
 }
 
--- a/pkg/config/dynamic/errors.go
+++ b/pkg/config/dynamic/errors.go
@@ -82,7 +82,7 @@
 func (errs Errors) Error() string { return faults.Lines(errs) }
 
 // Unwrap gives errors.As and errors.Is access to the single faults.
-func (errs Errors) Unwrap() []error { return faults.Single(errs) }
+func (errs Errors) Unwrap() []error { return faults.AsErrors(errs) }
 
 // Problem carries the kind and field of the first fault and a message that
 // lists all of them.
--- a/pkg/config/dynamic/machine.go
+++ b/pkg/config/dynamic/machine.go
@@ -152,7 +152,7 @@
 		return nil, m.refuse(order, err)
 	}
 	if first := m.answers.find(order.GetOrderId()); first != nil {
-		return nil, m.repeat(order, first)
+		return nil, m.answerKnownID(order, first)
 	}
 	if m.sourceInForce(order.GetApplyDocument()) {
 		return nil, nil
@@ -179,9 +179,9 @@
 	}
 }
 
-// repeat returns the answer to an order whose identity was accepted before: the first
+// answerKnownID returns the answer to an order whose identity was accepted before: the first
 // answer to a resend, and a refusal of other content.
-func (m *Machine) repeat(order *controlpb.Order, first *controlpb.Answer) *controlpb.Answer {
+func (m *Machine) answerKnownID(order *controlpb.Order, first *controlpb.Answer) *controlpb.Answer {
 	if bytes.Equal(order.GetDigest(), first.GetDigest()) {
 		return first
 	}
--- a/pkg/config/dynamic/single_change.go
+++ b/pkg/config/dynamic/single_change.go
@@ -37,9 +37,9 @@
 	return newOrder(&ridgeswitchv1.OrderHeader{OrderId: orderID}, &controlpb.Order{Change: &controlpb.Order_NameWeights{NameWeights: change}})
 }
 
-// raises reports whether a version is a whole number above another, or the other is
+// mayRaise reports whether a version is a whole number above another, or the other is
 // none.
-func raises(weightVersion, inForce string) bool {
+func mayRaise(weightVersion, inForce string) bool {
 	before, err := strconv.ParseUint(inForce, 10, 64)
 	if err != nil {
 		return true
--- a/pkg/config/dynamic/validate.go
+++ b/pkg/config/dynamic/validate.go
@@ -123,11 +123,11 @@
 }
 
 func (v *validation) routing(path string, routing *ridgeswitchv1.Routing) {
-	v.nonNegative(path+".prefill_load_scale", routing.GetPrefillLoadScale(), MaxRoutingKnob)
-	v.nonNegative(path+".request_weight", routing.GetRequestWeight(), MaxRoutingKnob)
+	v.nonNegative(path+".prefill_load_scale", routing.GetPrefillLoadScale(), MaxRoutingParameter)
+	v.nonNegative(path+".request_weight", routing.GetRequestWeight(), MaxRoutingParameter)
 	v.nonNegative(path+".peer_credit", routing.GetPeerCredit(), 1)
 	v.nonNegative(path+".store_credit", routing.GetStoreCredit(), 1)
-	v.nonNegative(path+".temperature", routing.GetTemperature(), MaxRoutingKnob)
+	v.nonNegative(path+".temperature", routing.GetTemperature(), MaxRoutingParameter)
 }
 
 func (v *validation) webService(path string, service *ridgeswitchv1.WebService) {
--- a/pkg/config/faults/faults.go
+++ b/pkg/config/faults/faults.go
@@ -22,11 +22,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Single returns the faults as single errors, for errors.Is and errors.As.
-func Single[E error](errs []E) []error {
-	single := make([]error, 0, len(errs))
+// AsErrors returns the faults as single errors, for errors.Is and errors.As.
+func AsErrors[E error](errs []E) []error {
+	list := make([]error, 0, len(errs))
 	for _, fault := range errs {
-		single = append(single, fault)
+		list = append(list, fault)
 	}
-	return single
+	return list
 }
--- a/pkg/config/faults/faults_test.go
+++ b/pkg/config/faults/faults_test.go
@@ -28,7 +28,7 @@
 
 	It("gives access to the single faults", func() {
 		var first *fault
-		Expect(errors.As(errors.Join(faults.Single(list)...), &first)).To(BeTrue())
+		Expect(errors.As(errors.Join(faults.AsErrors(list)...), &first)).To(BeTrue())
 		Expect(first).To(BeIdenticalTo(list[0]))
 	})
 })
--- a/pkg/config/static/bounds.go
+++ b/pkg/config/static/bounds.go
@@ -12,14 +12,14 @@
 	MaxGroup = 15
 	// MaxServiceShards bounds the shards of service state.
 	MaxServiceShards = 1024
-	// MinContact leaves time for several heartbeats and an election.
-	MinContact = 2 * time.Second
-	// MaxContact bounds how long a node that no longer responds counts as in contact.
-	MaxContact = time.Minute
-	// MinAcknowledge leaves time for an election.
-	MinAcknowledge = time.Second
-	// MaxAcknowledge bounds the wait for an acknowledgement.
-	MaxAcknowledge = time.Minute
+	// MinContactTimeout leaves time for several heartbeats and an election.
+	MinContactTimeout = 2 * time.Second
+	// MaxContactTimeout bounds how long a node that no longer responds counts as in contact.
+	MaxContactTimeout = time.Minute
+	// MinAcknowledgeTimeout leaves time for an election.
+	MinAcknowledgeTimeout = time.Second
+	// MaxAcknowledgeTimeout bounds the wait for an acknowledgement.
+	MaxAcknowledgeTimeout = time.Minute
 	// MinTickEvery bounds the processor time that ticks take.
 	MinTickEvery = 5 * time.Millisecond
 	// MaxTickEvery leaves several ticks in one heartbeat.
--- a/pkg/config/static/defaults.go
+++ b/pkg/config/static/defaults.go
@@ -10,10 +10,10 @@
 	// DefaultSeededServiceShards is DefaultServiceShards where nodes with disks
 	// find each other through seeds.
 	DefaultSeededServiceShards = 1
-	// DefaultContact is how long a node that no longer responds counts as in contact.
-	DefaultContact = 3 * time.Second
-	// DefaultAcknowledge bounds the wait for the acknowledgement of an order.
-	DefaultAcknowledge = 4 * time.Second
+	// DefaultContactTimeout is how long a node that no longer responds counts as in contact.
+	DefaultContactTimeout = 3 * time.Second
+	// DefaultAcknowledgeTimeout bounds the wait for the acknowledgement of an order.
+	DefaultAcknowledgeTimeout = 4 * time.Second
 	// DefaultTickEvery is the interval of the control machine's ticks.
 	DefaultTickEvery = 20 * time.Millisecond
 	// DefaultDrainTimeout bounds the time to finish requests after SIGTERM.
@@ -58,8 +58,8 @@
 		setDefault(&s.ServiceShards, DefaultSeededServiceShards)
 	}
 	setDefault(&s.ServiceShards, DefaultServiceShards)
-	setDefault(&s.ContactMS, int(DefaultContact.Milliseconds()))
-	setDefault(&s.AcknowledgeMS, int(DefaultAcknowledge.Milliseconds()))
+	setDefault(&s.ContactMS, int(DefaultContactTimeout.Milliseconds()))
+	setDefault(&s.AcknowledgeMS, int(DefaultAcknowledgeTimeout.Milliseconds()))
 	setDefault(&s.TickEveryMS, int(DefaultTickEvery.Milliseconds()))
 	setDefault(&s.HeartbeatEveryMS, int(DefaultHeartbeatEvery.Milliseconds()))
 	setDefault(&s.RetryPercent, DefaultRetryPercent)
--- a/pkg/config/static/errors.go
+++ b/pkg/config/static/errors.go
@@ -44,4 +44,4 @@
 func (errs Errors) Error() string { return faults.Lines(errs) }
 
 // Unwrap gives errors.As access to the single faults.
-func (errs Errors) Unwrap() []error { return faults.Single(errs) }
+func (errs Errors) Unwrap() []error { return faults.AsErrors(errs) }
