--- a/pkg/config/static/accessors.go
+++ b/pkg/config/static/accessors.go
@@ -10,13 +10,14 @@
 	return s.DataFolder != ""
 }
 
-// Seeded reports whether the nodes with disks find each other through seeds instead
-// of being named by a group.
+// Seeded reports whether the nodes with disks discover each other through Seeds, because
+// Group does not name them.
 func (s *Settings) Seeded() bool {
 	return len(s.Group) == 0
 }
 
-// MemberID is the name by which other nodes know this one.
+// MemberID returns the name by which other nodes identify this one: its internal address in
+// a seeded deployment, else its node name.
 func (s *Settings) MemberID() string {
 	if s.Seeded() {
 		return s.Internal
@@ -24,12 +25,13 @@
 	return s.Node
 }
 
-// Founder reports whether the node is one of those that form the replica groups.
+// Founder reports whether the node is one of those that form the replica groups at the
+// first start of a seeded deployment.
 func (s *Settings) Founder() bool {
 	return s.Founding && s.Seeded() && s.HasDisk() && slices.Contains(s.Seeds, s.Internal)
 }
 
-// InternalListener is the IP and port to listen on for other nodes.
+// InternalListener returns the IP and port to listen on for other nodes.
 func (s *Settings) InternalListener() string {
 	if s.InternalListen != "" {
 		return s.InternalListen
@@ -37,44 +39,45 @@
 	return s.Internal
 }
 
-// DrainTimeout bounds the time to finish requests after SIGTERM.
+// DrainTimeout returns the limit of the time to finish requests after SIGTERM.
 func (s *Settings) DrainTimeout() time.Duration { return milliseconds(s.DrainTimeoutMS) }
 
-// Contact is how long a node that no longer responds counts as in contact.
+// Contact returns how long an unresponsive node counts as in contact.
 func (s *Settings) Contact() time.Duration { return milliseconds(s.ContactMS) }
 
-// Acknowledge bounds the wait for the acknowledgement of an order.
+// Acknowledge returns the limit of the wait for the acknowledgement of an operator's order.
 func (s *Settings) Acknowledge() time.Duration { return milliseconds(s.AcknowledgeMS) }
 
-// TickEvery is the interval at which control state looks at the clock.
+// TickEvery returns the interval between ticks of the control machine.
 func (s *Settings) TickEvery() time.Duration { return milliseconds(s.TickEveryMS) }
 
-// HeartbeatEvery is the interval of heartbeats between nodes.
+// HeartbeatEvery returns the interval of heartbeats between nodes.
 func (s *Settings) HeartbeatEvery() time.Duration { return milliseconds(s.HeartbeatEveryMS) }
 
-// PlatformPollEvery is the interval between reads of the platform's endpoint list.
+// PlatformPollEvery returns the interval between reads of the platform's endpoint list.
 func (s *Settings) PlatformPollEvery() time.Duration { return milliseconds(s.PlatformPollEveryMS) }
 
-// CommandGap is how far apart the commands of two nodes to one replica are.
+// CommandGap returns the minimum time between the commands of two nodes to the same replica.
 func (s *Settings) CommandGap() time.Duration { return milliseconds(s.CommandGapMS) }
 
-// DiskBytes is the disk that the data folder may take, or 0 if the settings do not tell it.
+// DiskBytes returns the disk space that the data folder may use, or 0 if the settings do not
+// specify it.
 func (s *Settings) DiskBytes() int64 { return mebibytes(s.DiskMB) }
 
-// MemoryBytes is the memory that the node may take, or 0 if the settings do not tell it.
+// MemoryBytes returns the memory that the node may use, or 0 if the settings do not specify it.
 func (s *Settings) MemoryBytes() int64 { return mebibytes(s.MemoryMB) }
 
-// WeightsDeadline is the time after which replicas without the named weights get no
-// requests; 0 means never.
+// WeightsDeadline returns the time after which replicas that do not run the named weights
+// get no requests; 0 means never.
 func (s *Settings) WeightsDeadline() time.Duration { return milliseconds(s.WeightsDeadlineMS) }
 
-// RetryWindow is the window of the retry budget.
+// RetryWindow returns the length of the window of the retry budget.
 func (s *Settings) RetryWindow() time.Duration { return milliseconds(s.RetryWindowMS) }
 
-// BackendRetry is when a caller may come back after a failure of a back end.
+// BackendRetry returns the time after which a caller may retry after a failure of a back end.
 func (s *Settings) BackendRetry() time.Duration { return milliseconds(s.BackendRetryMS) }
 
-// Ejection is how long an outlier is ejected the first time.
+// Ejection returns how long an outlier is ejected the first time.
 func (s *Settings) Ejection() time.Duration { return milliseconds(s.EjectionMS) }
 
 func milliseconds(number int) time.Duration {
--- a/pkg/config/static/check.go
+++ b/pkg/config/static/check.go
@@ -11,11 +11,11 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// logLevels are the levels that settings may name.
+// logLevels are the valid values of Settings.LogLevel.
 var logLevels = []string{"debug", "info", "warning", "error"}
 
-// Check returns every fault of the settings at once, each an *Error, or none if they
-// are valid. It uses neither disk nor network.
+// Check returns all faults of the settings, each an *Error, or none if the settings are
+// valid. It uses neither disk nor network.
 func (s *Settings) Check() []error {
 	check := &checker{}
 	check.name("node", s.Node)
@@ -52,8 +52,8 @@
 	}
 }
 
-// address checks an address that is passed between nodes, so that others must be able to
-// reach it as it is written.
+// address checks a required IP and port. Nodes pass such addresses to each other unchanged,
+// so that an unspecified IP or port is not valid.
 func (c *checker) address(field, value string) {
 	if value == "" {
 		c.add(KindMissing, field, "is empty; give IP and port, such as 127.1.1.1:7100")
@@ -81,12 +81,13 @@
 	})
 }
 
-// namedValue is a value with the name of its field.
+// namedValue is the value of a field together with the field's name.
 type namedValue struct {
 	field, value string
 }
 
-// distinct adds a fault for each value that an earlier field has too.
+// distinct adds a fault for each value that an earlier field has as well. Empty values are
+// skipped.
 func (c *checker) distinct(values []namedValue) {
 	first := make(map[string]string, len(values))
 	for _, named := range values {
@@ -112,8 +113,8 @@
 	c.distinct(items("seeds", s.Seeds))
 }
 
-// group checks which nodes may replicate control state: those that are named, or those
-// that find each other through seeds.
+// group checks the settings that determine which nodes may replicate control state: those
+// that Group names, or those that discover each other through Seeds.
 func (c *checker) group(s *Settings) {
 	if s.Seeded() && len(s.Seeds) == 0 {
 		c.add(KindMissing, "group", "is empty, as seeds are; name the nodes with disks in the order agreed for the deployment, or give seeds through which they find each other")
@@ -136,8 +137,8 @@
 	}
 }
 
-// disk checks that exactly the nodes of the group, if it is given, have a data
-// folder.
+// disk checks that a node has a data folder if and only if Group names it, and that the zone
+// of the node agrees with GroupZones. It checks nothing if Group is empty.
 func (c *checker) disk(s *Settings) {
 	if s.Seeded() {
 		return
@@ -154,7 +155,7 @@
 	}
 }
 
-// numbers checks the ranges of all numbers and times.
+// numbers checks the ranges of all numbers and durations.
 func (c *checker) numbers(s *Settings) {
 	c.between("service_shards", s.ServiceShards, 1, MaxServiceShards)
 	c.between("log_ring", s.LogRing, 1, MaxLogRing)
@@ -177,24 +178,24 @@
 	c.duration("weights_deadline_ms", s.WeightsDeadlineMS, 0, MaxWeightsDeadline)
 }
 
-// between checks that a number lies in low..high.
+// between checks that a number is at least low and at most high.
 func (c *checker) between(field string, value, low, high int) {
 	if value < low || value > high {
 		c.add(KindOutOfRange, field, "is %d; use a number from %d to %d", value, low, high)
 	}
 }
 
-// duration is between for a time in milliseconds.
+// duration checks that a number of milliseconds is at least low and at most high.
 func (c *checker) duration(field string, milliseconds int, low, high time.Duration) {
 	c.between(field, milliseconds, int(low.Milliseconds()), int(high.Milliseconds()))
 }
 
-// itemField is the name of one element of a list, such as "seeds[1]".
+// itemField returns the name of one element of a list, such as "seeds[1]".
 func itemField(field string, index int) string {
 	return fmt.Sprintf("%s[%d]", field, index)
 }
 
-// items returns the elements of a list with the names of their fields.
+// items returns the elements of a list, each with its name from itemField.
 func items(field string, values []string) []namedValue {
 	named := make([]namedValue, 0, len(values))
 	for i, value := range values {
--- a/pkg/config/static/flags.go
+++ b/pkg/config/static/flags.go
@@ -7,12 +7,12 @@
 	"github.com/urfave/cli/v3"
 )
 
-// FlagSettings names the settings file on the command line.
+// FlagSettings is the name of the command line flag for the settings file.
 const FlagSettings = "settings"
 
-// Flags are the command line flags of the settings: the file, and one flag for
-// each field, which takes precedence over the file. A flag has the field's name with dashes
-// in place of underscores; a list is given by repeating the flag.
+// Flags returns the command line flags of the settings: one for the settings file, and one
+// for each setting, which takes precedence over the file. A flag has the name of the setting
+// with dashes in place of underscores; a list is given by repeating the flag.
 func Flags() []cli.Flag {
 	flags := []cli.Flag{
 		&cli.StringFlag{Name: FlagSettings, Usage: "`FILE` with the node's settings, YAML or JSON"},
@@ -24,13 +24,14 @@
 	return flags
 }
 
-// FromCommand reads the settings file that the command names, if any, overrides it by
-// the given flags, and fills in the defaults. The result is not
-// checked: see Settings.Check.
+// FromCommand reads the settings file that the command names, if any, replaces the settings
+// for which flags are given, and fills in the defaults. The result is not checked: see
+// Settings.Check.
 func FromCommand(command *cli.Command) (*Settings, error) {
 	settings := &Settings{}
 	if path := command.String(FlagSettings); path != "" {
-		// Defaults depend on what flags give.
+		// The defaults are filled in after the flags, because the default of ServiceShards
+		// depends on whether a group is given.
 		loaded, err := readFile(path)
 		if err != nil {
 			return nil, err
@@ -42,7 +43,7 @@
 	return settings, nil
 }
 
-// override applies the given flags.
+// override replaces the settings for which flags are given.
 func (s *Settings) override(command *cli.Command) {
 	for name, field := range s.fields() {
 		flag := flagName(name)
@@ -62,7 +63,7 @@
 	}
 }
 
-// flagFor builds the flag of one field by the field's type and tags.
+// flagFor returns the flag of one field, according to the field's type and tags.
 func flagFor(field reflect.StructField) cli.Flag {
 	name := flagName(settingName(field))
 	usage := field.Tag.Get("usage")
--- a/pkg/config/static/load.go
+++ b/pkg/config/static/load.go
@@ -22,7 +22,7 @@
 	return settings, nil
 }
 
-// readFile is Load without defaults.
+// readFile reads settings as Load does, without the defaults.
 func readFile(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return settings, nil
 }
 
-// read applies every field of a document.
+// read sets every field that a document contains.
 func (s *Settings) read(data []byte) Errors {
 	if len(data) > maxFileBytes {
 		return Errors{{
@@ -67,8 +67,8 @@
 	return s.readMapping(root)
 }
 
-// readMapping applies every pair of a mapping, whose content alternates between names
-// and values.
+// readMapping sets the field of every pair in a mapping, whose content alternates between
+// names and values.
 func (s *Settings) readMapping(mapping *yaml.Node) Errors {
 	var faults Errors
 	fields := s.fields()
@@ -87,7 +87,7 @@
 	return faults
 }
 
-// fields returns a pointer to every field by its name in the file.
+// fields returns a pointer to every field, keyed by the field's name in the file.
 func (s *Settings) fields() map[string]any {
 	value := reflect.ValueOf(s).Elem()
 	fields := make(map[string]any, value.NumField())
--- a/pkg/config/static/reload.go
+++ b/pkg/config/static/reload.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// reloaded are the settings that are applied while a node runs, and founding, which has
-// no effect then.
+// reloaded are the settings whose change needs no restart: seeds and log_level are applied
+// while a node runs, and founding has no effect then.
 var reloaded = []string{"seeds", "log_level", "founding"}
 
-// NeedRestart returns the names of the settings that differ in other and that take
+// NeedRestart returns the sorted names of the settings that differ in other and that take
 // effect only at the next start of a node.
 func (s *Settings) NeedRestart(other *Settings) []string {
 	var changed []string
--- a/pkg/config/static/suite_test.go
+++ b/pkg/config/static/suite_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "Static settings")
 }
 
-// validSettings are those of a node with a disk.
+// validSettings are valid settings of a node with a disk.
 const validSettings = `
 node: core-1
 zone: a
@@ -41,7 +41,7 @@
 	return settings
 }
 
-// faultsOf lists faults as "kind field".
+// faultsOf returns each fault as "kind field".
 func faultsOf(faults []error) []string {
 	var found []string
 	for _, fault := range faults {
@@ -69,17 +69,17 @@
 		Expect(parsed("").LogLevel).To(Equal(static.DefaultLogLevel))
 	})
 
-	DescribeTable("report what can't be read, all at once", func(document string, faults ...string) {
+	DescribeTable("report all parts that can't be read at once", func(document string, faults ...string) {
 		_, err := static.Parse([]byte(document))
 		var found static.Errors
 		Expect(errors.As(err, &found)).To(BeTrue())
 		Expect(faultsOf(found.Unwrap())).To(Equal(faults))
 		Expect(err).To(MatchError(Not(BeEmpty())))
 	},
-		Entry("no mapping", "[]", "unreadable "),
-		Entry("no YAML", "node: [", "unreadable "),
-		Entry("oversize", strings.Repeat(" ", 1<<20+1), "unreadable "),
-		Entry("unknown, twice and of the wrong type", "nodes: a\nzone: a\nzone: b\nlog_ring: many\nseeds: {}\n",
+		Entry("not a mapping", "[]", "unreadable "),
+		Entry("not YAML", "node: [", "unreadable "),
+		Entry("too many bytes", strings.Repeat(" ", 1<<20+1), "unreadable "),
+		Entry("an unknown field, a repeated field and values of the wrong type", "nodes: a\nzone: a\nzone: b\nlog_ring: many\nseeds: {}\n",
 			"unknown_field nodes", "duplicate zone", "malformed log_ring", "malformed seeds"),
 	)
 
@@ -89,44 +89,44 @@
 		Expect(faultsOf(settings.Check())).To(Equal(faults))
 	},
 		Entry("node empty", func(s *static.Settings) { s.Node = "" }, "missing node", "inconsistent data_folder"),
-		Entry("zone of wrong form", func(s *static.Settings) { s.Zone = "a b"; s.GroupZones = nil }, "invalid zone"),
-		Entry("addresses of wrong form", func(s *static.Settings) { s.Internal = "host:1"; s.Traffic = ""; s.Control = "127.0.0.1:0" },
+		Entry("zone of the wrong form", func(s *static.Settings) { s.Zone = "a b"; s.GroupZones = nil }, "invalid zone"),
+		Entry("addresses of the wrong form", func(s *static.Settings) { s.Internal = "host:1"; s.Traffic = ""; s.Control = "127.0.0.1:0" },
 			"invalid internal", "missing traffic", "invalid control"),
 		Entry("unspecified address", func(s *static.Settings) { s.Internal = "0.0.0.0:7100" }, "invalid internal"),
 		Entry("one address for two listeners", func(s *static.Settings) { s.Control = s.Traffic }, "duplicate control"),
-		Entry("a listener of wrong form", func(s *static.Settings) { s.InternalListen = "0.0.0.0:7101" }, "invalid internal_listen"),
-		Entry("a listener that is taken", func(s *static.Settings) { s.InternalListen = s.Internal }, "duplicate internal_listen"),
-		Entry("too many seeds, one twice", func(s *static.Settings) {
+		Entry("internal listener with an unspecified address", func(s *static.Settings) { s.InternalListen = "0.0.0.0:7101" }, "invalid internal_listen"),
+		Entry("internal listener equal to the internal address", func(s *static.Settings) { s.InternalListen = s.Internal }, "duplicate internal_listen"),
+		Entry("too many seeds, one of them invalid and one repeated", func(s *static.Settings) {
 			s.Seeds = []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1", "x"}
 		}, "out_of_range seeds", "invalid seeds[3]", "duplicate seeds[2]"),
 		Entry("group and seeds empty", func(s *static.Settings) { s.Group, s.GroupZones, s.Seeds = nil, nil, nil }, "missing group"),
 		Entry("zones without a group", func(s *static.Settings) { s.Group = nil }, "inconsistent group_zones"),
 		Entry("founding with a group", func(s *static.Settings) { s.Founding = true }, "inconsistent founding"),
-		Entry("waits out of range", func(s *static.Settings) {
+		Entry("time-outs and tick interval out of range", func(s *static.Settings) {
 			s.ContactMS, s.AcknowledgeMS, s.TickEveryMS = 1999, 60_001, 51
 		}, "out_of_range contact_ms", "out_of_range acknowledge_ms", "out_of_range tick_every_ms"),
 		Entry("ejection out of range", func(s *static.Settings) {
 			s.EjectionMS, s.EjectedPercent = 99, 101
 		}, "out_of_range ejection_ms", "out_of_range ejected_percent"),
-		Entry("group member twice", func(s *static.Settings) { s.Group[2] = "core-2" }, "duplicate group[2]"),
+		Entry("group member repeated", func(s *static.Settings) { s.Group[2] = "core-2" }, "duplicate group[2]"),
 		Entry("group too large", func(s *static.Settings) {
 			s.Group = append(strings.Split("abcdefghijklmno", ""), "core-1")
 			s.GroupZones = nil
 		}, "out_of_range group"),
-		Entry("group zones of another length", func(s *static.Settings) { s.GroupZones = s.GroupZones[:2] }, "inconsistent group_zones"),
-		Entry("own zone contradicts", func(s *static.Settings) { s.GroupZones[0] = "b" }, "inconsistent group_zones[0]"),
-		Entry("no folder in group", func(s *static.Settings) { s.DataFolder = "" }, "missing data_folder"),
-		Entry("folder outside group", func(s *static.Settings) { s.Node = "front-1" }, "inconsistent data_folder"),
+		Entry("fewer group zones than group members", func(s *static.Settings) { s.GroupZones = s.GroupZones[:2] }, "inconsistent group_zones"),
+		Entry("zone differs from the node's group zone", func(s *static.Settings) { s.GroupZones[0] = "b" }, "inconsistent group_zones[0]"),
+		Entry("no data folder on a node in the group", func(s *static.Settings) { s.DataFolder = "" }, "missing data_folder"),
+		Entry("data folder on a node outside the group", func(s *static.Settings) { s.Node = "front-1" }, "inconsistent data_folder"),
 		Entry("numbers out of range", func(s *static.Settings) {
 			s.ServiceShards, s.LogRing, s.DrainTimeoutMS, s.HeartbeatEveryMS, s.PlatformPollEveryMS = -1, -1, -1, 251, 1001
 			s.CommandGapMS, s.WeightsDeadlineMS, s.HeapGrowthPercent = 60_001, -1, 9
 		}, "out_of_range service_shards", "out_of_range log_ring", "out_of_range heap_growth_percent", "out_of_range drain_timeout_ms", "out_of_range heartbeat_every_ms", "out_of_range platform_poll_every_ms",
 			"out_of_range command_gap_ms", "out_of_range weights_deadline_ms"),
-		Entry("log level", func(s *static.Settings) { s.LogLevel = "loud" }, "invalid log_level"),
-		Entry("platform address", func(s *static.Settings) { s.PlatformAddress = "" }, "missing platform_address"),
+		Entry("unknown log level", func(s *static.Settings) { s.LogLevel = "loud" }, "invalid log_level"),
+		Entry("platform address empty", func(s *static.Settings) { s.PlatformAddress = "" }, "missing platform_address"),
 	)
 
-	It("need no group where nodes with disks find each other through seeds", func() {
+	It("need no group if the nodes with disks discover each other through seeds", func() {
 		seeded := func(extra string) *static.Settings {
 			document := strings.ReplaceAll(validSettings, "group: [core-1, core-2, core-3]\ngroup_zones: [a, b, c]\n", extra)
 			settings := parsed(document)
@@ -155,7 +155,7 @@
 		Expect(grouped.ServiceShards).To(Equal(16))
 	})
 
-	It("name what takes effect at the next start alone", func() {
+	It("list the changed settings that need a restart", func() {
 		settings := parsed(validSettings)
 		Expect(settings.NeedRestart(parsed(validSettings))).To(BeEmpty())
 		Expect(settings.NeedRestart(parsed(validSettings + "log_level: debug\nfail_open: true\nlog_ring: 7\n"))).To(Equal([]string{"fail_open", "log_ring"}))
@@ -164,7 +164,7 @@
 		Expect(settings.NeedRestart(next)).To(BeEmpty())
 	})
 
-	It("listen for other nodes elsewhere only when told to", func() {
+	It("use the internal address as the listener unless internal_listen is set", func() {
 		settings := parsed(validSettings)
 		Expect(settings.InternalListener()).To(Equal(settings.Internal))
 		settings = parsed(validSettings + "internal_listen: 127.1.1.1:7101\n")
@@ -172,7 +172,7 @@
 		Expect(settings.InternalListener()).To(Equal("127.1.1.1:7101"))
 	})
 
-	It("take flags over the file", func() {
+	It("prefer flags to the file", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
 		Expect(os.WriteFile(path, []byte(validSettings), 0o600)).To(Succeed())
 		var settings *static.Settings
