--- a/pkg/config/faults/faults_test.go
+++ b/pkg/config/faults/faults_test.go
@@ -22,11 +22,11 @@
 var _ = Describe("A list of faults", func() {
 	list := []*fault{{field: "seeds[1]"}, {}}
 
-	It("is told one a line, with the field where one is meant", func() {
+	It("is formatted one per line, with the field if a fault has one", func() {
 		Expect(faults.Lines(list)).To(Equal("seeds[1]: is wrong\nis wrong"))
 	})
 
-	It("gives access to the single faults", func() {
+	It("gives errors.As access to each fault", func() {
 		var first *fault
 		Expect(errors.As(errors.Join(faults.AsErrors(list)...), &first)).To(BeTrue())
 		Expect(first).To(BeIdenticalTo(list[0]))
