--- a/pkg/config/dynamic/answers.go
+++ b/pkg/config/dynamic/answers.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// answerLog remembers the answers of the newest MaxAnswers accepted orders.
+// answerLog contains the answers to the newest MaxAnswers accepted orders.
 type answerLog struct {
 	oldestFirst []*controlpb.Answer
 	byID        map[string]*controlpb.Answer
@@ -20,7 +20,7 @@
 	return log
 }
 
-// add appends an answer and removes the oldest one beyond the bound.
+// add appends an answer. If there are then more than MaxAnswers, it removes the oldest one.
 func (l *answerLog) add(answer *controlpb.Answer) {
 	l.oldestFirst = append(l.oldestFirst, answer)
 	l.byID[answer.GetOrderId()] = answer
@@ -40,8 +40,8 @@
 	return cloneAnswer(answer)
 }
 
-// AcceptedAnswers are the remembered answers, oldest first. They are shared: no
-// one may write to them.
+// AcceptedAnswers returns the stored answers, oldest first. They are shared and must not be
+// modified.
 func (m *Machine) AcceptedAnswers() []*controlpb.Answer {
 	return m.answers.oldestFirst
 }
--- a/pkg/config/dynamic/bounds.go
+++ b/pkg/config/dynamic/bounds.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Bounds of a configuration. They keep the state of a node, a snapshot and the
-// frames between nodes bounded.
+// Bounds of a configuration. They also bound the state of a node, its snapshots and the
+// frames between nodes.
 const (
-	// MaxDocumentBytes bounds a configuration as JSON text.
+	// MaxDocumentBytes bounds the JSON text of a configuration or request.
 	MaxDocumentBytes = 16 << 20
-	// MaxConfigurationBytes bounds a configuration as nodes hold and relay it.
-	// Together with a source document it has to fit one frame between nodes.
+	// MaxConfigurationBytes bounds the protobuf encoding of a configuration. A
+	// configuration and its source document must fit into one frame between nodes.
 	MaxConfigurationBytes = 6 << 20
 	// MaxSourceBytes bounds the source document of a configuration.
 	MaxSourceBytes = 8 << 20
@@ -27,8 +27,8 @@
 	MaxRoutes = 20000
 	// MaxEvacuations bounds the evacuated zones of a configuration.
 	MaxEvacuations = 64
-	// MaxEvacuationChanges bounds the zones of which it is remembered when their
-	// evacuation last began or ended.
+	// MaxEvacuationChanges bounds the zones for which a Machine stores the revision in
+	// which their evacuation last began or ended.
 	MaxEvacuationChanges = 4 * MaxEvacuations
 
 	// MaxNameBytes bounds names, order identities and weight versions.
@@ -41,7 +41,7 @@
 	// MaxReasonBytes bounds the reason of an evacuation.
 	MaxReasonBytes = 1024
 
-	// MaxSplit bounds the destinations that one route is split over.
+	// MaxSplit bounds the destinations that the requests of one route are split over.
 	MaxSplit = 64
 	// MaxWeight bounds the weight of one destination of a split.
 	MaxWeight = 1_000_000
@@ -50,7 +50,8 @@
 	// MaxAttempts bounds the back ends that one request may be sent to.
 	MaxAttempts = 100
 
-	// MaxRequestsPerSecond bounds a tenant's rate on one node.
+	// MaxRequestsPerSecond bounds a tenant's rate on one node, and the rate of requests to
+	// a cold back end.
 	MaxRequestsPerSecond = 1e6
 	// MaxBurst bounds a tenant's burst on one node.
 	MaxBurst = 1_000_000
@@ -58,7 +59,7 @@
 	MaxConcurrentRequests = 100_000
 	// MaxQueuedRequests bounds a tenant's waiting requests on one node.
 	MaxQueuedRequests = 100_000
-	// MaxQueueTimeout bounds a wait for a free slot.
+	// MaxQueueTimeout bounds the time that a request waits for a free slot.
 	MaxQueueTimeout = 10 * time.Minute
 	// MaxRequestTimeout bounds the time of one request.
 	MaxRequestTimeout = 24 * time.Hour
@@ -66,7 +67,8 @@
 	MaxSlowStart = time.Hour
 	// MaxBackendConnections bounds the limit on the connections to one back end.
 	MaxBackendConnections = 1_000_000
-	// MaxReportReaders bounds the readers of a back end's reports.
+	// MaxReportReaders bounds the limit on the readers of the reports of a replica or
+	// store.
 	MaxReportReaders = 1_000_000
 
 	// MaxEngineSlots bounds the requests that a replica runs at once.
@@ -77,23 +79,26 @@
 	MaxTokenBytes = 1 << 30
 	// MaxTokensPerEvent bounds the tokens of one event of a stream.
 	MaxTokensPerEvent = 1_000_000
-	// MaxLinkBitsPerSecond bounds the rate at which cached chunks move.
+	// MaxLinkBitsPerSecond bounds the rate at which a replica or store transfers cached
+	// prompt chunks.
 	MaxLinkBitsPerSecond = 1e15
 
-	// MaxCallerHeaderBytes bounds what a caller's header may be allowed to take.
+	// MaxCallerHeaderBytes bounds the limit on the size of a request's header.
 	MaxCallerHeaderBytes = 1 << 20
-	// MaxCallerBodyBytes bounds what a caller's body may be allowed to take.
+	// MaxCallerBodyBytes bounds the limit on the size of a request's body.
 	MaxCallerBodyBytes = 1 << 32
-	// MaxCallerHeaderTimeout bounds the wait for a caller's header.
+	// MaxCallerHeaderTimeout bounds the time-out for the arrival of a request's header.
 	MaxCallerHeaderTimeout = 10 * time.Minute
-	// MaxCallerIdleTimeout bounds the wait for a caller's next request.
+	// MaxCallerIdleTimeout bounds the time-out for the next request on a caller's
+	// connection.
 	MaxCallerIdleTimeout = 24 * time.Hour
 
-	// MaxRoutingParameter bounds the scales, weights and temperature of selection.
+	// MaxRoutingParameter bounds the scale, the weight and the temperature of the
+	// selection of replicas (see Routing).
 	MaxRoutingParameter = 1e6
 
 	// MaxFaults bounds the faults that are reported at once.
 	MaxFaults = 1000
-	// MaxAnswers bounds the accepted orders that are remembered.
+	// MaxAnswers bounds the accepted orders whose answers a Machine stores.
 	MaxAnswers = 4096
 )
--- a/pkg/config/dynamic/change.go
+++ b/pkg/config/dynamic/change.go
@@ -12,7 +12,7 @@
 )
 
 // configurationAfter returns the validated configuration that an order leads to. It is a
-// copy, whose revision and epochs are left to the caller. The error is an *Error or Errors.
+// copy; the caller sets its revision and epochs. The error is an *Error or Errors.
 func configurationAfter(current *ridgeswitchv1.Configuration, order *controlpb.Order) (*ridgeswitchv1.Configuration, error) {
 	if err := checkChange(order); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	}
 }
 
-// addKey adds a key to a tenant. A key that the tenant has already changes nothing.
+// addKey adds a key to a tenant. It changes nothing if the tenant already has the key.
 func addKey(next *ridgeswitchv1.Configuration, change *controlpb.AddKey) error {
 	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// setWall walls or unwalls a tenant.
+// setWall sets whether a tenant is walled.
 func setWall(next *ridgeswitchv1.Configuration, change *controlpb.SetWall) error {
 	tenant, err := tenantByName(next, change.GetTenant())
 	if err != nil {
@@ -118,8 +118,8 @@
 	}
 }
 
-// nameWeights names the weight version that the replicas of a pool are to run. A version
-// that may only rise changes nothing if it is not above the one in force.
+// nameWeights sets the weight version that the replicas of a pool are to run. If the versions
+// of the pool may only rise, a version that is not above the one in force changes nothing.
 func nameWeights(next *ridgeswitchv1.Configuration, change *controlpb.NameWeights) error {
 	pool, found := lo.Find(next.GetPools(), func(pool *ridgeswitchv1.Pool) bool {
 		return pool.GetName() == change.GetPool()
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// tenantByName returns the tenant in a configuration. The error is an *Error.
+// tenantByName returns the tenant of that name in a configuration. The error is an *Error.
 func tenantByName(configuration *ridgeswitchv1.Configuration, name string) (*ridgeswitchv1.Tenant, error) {
 	tenant, found := lo.Find(configuration.GetTenants(), func(tenant *ridgeswitchv1.Tenant) bool {
 		return tenant.GetName() == name
@@ -144,7 +144,7 @@
 	return tenant, nil
 }
 
-// notFound returns the error for a field that names something which is not there.
+// notFound returns the error for a field that names something that does not exist.
 func notFound(field, description string) error {
 	return &Error{Kind: KindNotFound, Field: field, Message: "there is no " + description + "; read the configuration and correct the name"}
 }
--- a/pkg/config/dynamic/checks.go
+++ b/pkg/config/dynamic/checks.go
@@ -17,16 +17,16 @@
 	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// checker collects the faults of single values. Each check takes the path of the
-// field, which the fault names.
+// checker checks single values and collects their faults. Each check takes the path of the
+// field, which becomes part of the fault.
 type checker struct {
 	collector
 }
 
 // textRule is the form that a required text must have.
 type textRule struct {
-	// missing is the message about an empty text, and invalid the format of the one
-	// about a text of another form, which takes the text.
+	// missing is the message for an empty text. invalid is the format of the message for
+	// a text of another form; its argument is the text.
 	missing, invalid string
 	maxBytes         int
 	valid            func(value string) bool
@@ -65,7 +65,7 @@
 	}
 }
 
-// name checks an identifier that may stand in a path of the control interface.
+// name checks an identifier that may be part of a URL path of the control interface.
 func (c *checker) name(path, value string) { c.text(path, value, nameRule) }
 
 // label checks an opaque text that nodes pass on, such as a model.
@@ -106,8 +106,8 @@
 	}
 }
 
-// checkEach checks a repeated field: the number of its elements, at most bound, and then
-// each element with the path of it, such as "routes[3]".
+// checkEach checks a repeated field: that it has at most bound elements, and then each
+// element, with the element's path, such as "routes[3]".
 func checkEach[T any](c *checker, field string, elements []T, bound int, check func(path string, element T)) {
 	if len(elements) > bound {
 		c.add(KindOversize, field, "has %d entries; use at most %d", len(elements), bound)
@@ -117,26 +117,26 @@
 	}
 }
 
-// positive checks a whole number that must lie in 1..bound.
+// positive checks a whole number that must be at least 1 and at most bound.
 func (c *checker) positive(path string, value uint32, bound uint64) {
 	if value == 0 || uint64(value) > bound {
 		c.add(KindOutOfRange, path, "is %d; use a number from 1 to %d", value, bound)
 	}
 }
 
-// atMost checks an upper bound; 0 is valid and means the default, or no bound.
+// atMost checks a whole number from 0 to bound. What 0 means depends on the field.
 func (c *checker) atMost(path string, value, bound uint64) {
 	if value > bound {
 		c.add(KindOutOfRange, path, "is %d; use a number from 0 to %d", value, bound)
 	}
 }
 
-// timeoutOrZero is atMost for a time in milliseconds.
+// timeoutOrZero checks a time in milliseconds from 0 to bound.
 func (c *checker) timeoutOrZero(path string, milliseconds uint32, bound time.Duration) {
 	c.atMost(path, uint64(milliseconds), uint64(bound.Milliseconds()))
 }
 
-// path checks an optional path of a URL, or the prefix of one.
+// path checks an optional URL path, or the prefix of one.
 func (c *checker) path(path, value string) {
 	switch {
 	case value == "":
@@ -156,7 +156,7 @@
 	c.path(path, value)
 }
 
-// timeout checks a positive time in milliseconds.
+// timeout checks a time in milliseconds that must be above 0 and at most bound.
 func (c *checker) timeout(path string, milliseconds uint32, bound time.Duration) {
 	c.positive(path, milliseconds, uint64(bound.Milliseconds()))
 }
@@ -168,16 +168,17 @@
 	}
 }
 
-// nonNegative checks a number from 0 to bound; 0 means the default.
+// nonNegative checks a number from 0 to bound. What 0 means depends on the field.
 func (c *checker) nonNegative(path string, value, bound float64) {
 	if math.IsNaN(value) || value < 0 || value > bound {
 		c.add(KindOutOfRange, path, "is %v; use a number from 0 to %v", value, bound)
 	}
 }
 
-// uniqueSet holds the values of one kind that have been checked, each with the path
-// at which it was given first.
+// uniqueSet contains the values of one kind that have been checked, each with the path at
+// which it was first given.
 type uniqueSet struct {
+	// noun names the kind of the values in messages.
 	noun  string
 	first map[string]string
 }
@@ -186,8 +187,8 @@
 	return &uniqueSet{noun: noun, first: make(map[string]string)}
 }
 
-// unique adds a fault if the value is in the set already, and adds it otherwise.
-// Empty values are skipped: the checks of their form report them.
+// unique adds a fault if the value is already in the set; otherwise it adds the value to the
+// set. It skips empty values, which are reported by the checks of the form.
 func (c *checker) unique(set *uniqueSet, path, value string) {
 	if value == "" {
 		return
@@ -199,15 +200,15 @@
 	set.first[value] = path
 }
 
-// reference checks that a name is in a set.
+// reference checks that a name refers to a value in a set.
 func (c *checker) reference(set *uniqueSet, path, value string) {
 	if _, found := set.first[value]; !found {
 		c.add(KindDanglingReference, path, "there is no %s %q; add it or correct the name", set.noun, value)
 	}
 }
 
-// isVisibleASCII reports whether a text has no spaces, control characters or characters
-// beyond ASCII.
+// isVisibleASCII reports whether a text contains no spaces, control characters or characters
+// outside ASCII.
 func isVisibleASCII(value string) bool {
 	for _, character := range value {
 		if character <= ' ' || character > '~' {
--- a/pkg/config/dynamic/document.go
+++ b/pkg/config/dynamic/document.go
@@ -16,14 +16,15 @@
 const (
 	// documentOrderPrefix begins the identities of orders that apply a document.
 	documentOrderPrefix = "document/"
-	// documentDigestBytes is how much of a document's digest its identity holds.
+	// documentDigestBytes is how many bytes of a document's digest are part of the
+	// identity of its order.
 	documentDigestBytes = 16
 )
 
-// DocumentOrder returns the order that applies a configuration which was made from a
-// document of the operator. The document's versions replace base revisions, and its
-// identity is derived from them and its content, so that a resend needs no identity of
-// its own. The error is an *Error or Errors.
+// DocumentOrder returns the order that applies a configuration which was made from an
+// operator's document. The versions of the document replace the base revision. The identity
+// of the order is derived from the versions and the content of the document, so that the
+// operator need not choose one. The error is an *Error or Errors.
 func DocumentOrder(configuration *ridgeswitchv1.Configuration, source *ridgeswitchv1.Source) (*controlpb.Order, error) {
 	if err := Validate(configuration); err != nil {
 		return nil, err
@@ -41,8 +42,8 @@
 	}, nil
 }
 
-// checkDocument checks what Validate does not: the size, the versions and the fields that
-// a document may not set.
+// checkDocument checks the rules for documents that Validate does not: the versions and the
+// size of the document, and that its configuration contains no evacuations.
 func checkDocument(configuration *ridgeswitchv1.Configuration, source *ridgeswitchv1.Source) error {
 	check := &checker{}
 	switch {
@@ -60,7 +61,8 @@
 	return check.faults.orNil()
 }
 
-// OversizeAnswer returns the refusal of an order that takes more than a machine has room for.
+// OversizeAnswer returns the refusal of an order that takes more bytes than the machines of
+// the deployment have room for.
 func OversizeAnswer(order *controlpb.Order, revision uint64, bytes, maxBytes int) *controlpb.Answer {
 	fault := &Error{
 		Kind:    KindOversize,
@@ -75,16 +77,17 @@
 	}
 }
 
-// documentOrderID is equal for equal documents under equal versions, and for no
-// others.
+// documentOrderID returns the identity of the order for a document. Documents get the same
+// identity only if their contents, versions and base versions are equal.
 func documentOrderID(source *ridgeswitchv1.Source) string {
 	digest := sha256.Sum256(source.GetDocument())
 	return fmt.Sprintf("%s%d/%d/%s", documentOrderPrefix, source.GetVersion(), source.GetBaseVersion(),
 		hex.EncodeToString(digest[:documentDigestBytes]))
 }
 
-// documentDigest covers the versions and the document, but not the configuration, which
-// a node of another release may translate differently.
+// documentDigest returns the digest of the order for a document. It covers the versions and
+// the document, but not the configuration, because a node of another release may translate
+// the same document into a different configuration.
 func documentDigest(source *ridgeswitchv1.Source) []byte {
 	digest := sha256.New()
 	// A hash never returns an error.
@@ -93,8 +96,8 @@
 	return digest.Sum(nil)
 }
 
-// documentConfiguration returns the configuration that a document leads to: it preserves
-// the evacuations in force, and the weight versions of pools that stay.
+// documentConfiguration returns the configuration that a document leads to. It preserves the
+// evacuations in force, and the weight versions of pools that keep their name and model.
 func documentConfiguration(current *ridgeswitchv1.Configuration, document *controlpb.ApplyDocument) *ridgeswitchv1.Configuration {
 	next := withoutAssignedFields(document.GetConfiguration())
 	next.Evacuations = proto.CloneOf(&ridgeswitchv1.Configuration{Evacuations: current.GetEvacuations()}).Evacuations
@@ -109,14 +112,14 @@
 	return next
 }
 
-// Source returns the document that the configuration in force was made from, or nil. It
-// is shared and must not be written.
+// Source returns the document that the configuration in force was made from, or nil. The
+// document is shared and must not be modified.
 func (m *Machine) Source() *ridgeswitchv1.Source {
 	return m.source
 }
 
-// sourceInForce reports whether a document is the one in force, so that a resend is
-// accepted also when its answer is not remembered any more.
+// sourceInForce reports whether a document is the one in force. A resend of that document is
+// accepted even if the answer to its order is no longer stored.
 func (m *Machine) sourceInForce(document *controlpb.ApplyDocument) bool {
 	inForce := m.configuration.GetSource()
 	if document == nil || document.GetSource().GetVersion() != inForce.GetVersion() {
@@ -129,7 +132,8 @@
 	return bytes.Equal(digest[:], inForce.GetSha256())
 }
 
-// checkSourceBase compares the versions of a document with the one in force.
+// checkSourceBase returns an *Error unless a document is based on the version in force and
+// has a higher version.
 func (m *Machine) checkSourceBase(source *ridgeswitchv1.Source) error {
 	inForce := m.configuration.GetSource().GetVersion()
 	if source.GetBaseVersion() != inForce {
@@ -149,8 +153,9 @@
 	return nil
 }
 
-// adoptSource stores the document of the configuration that an order has put in force. A
-// complete configuration without a document removes it; a single change preserves it.
+// adoptSource stores the document of the configuration that an order has put in force. An
+// order for a complete configuration without a document removes the stored document; an
+// order for a single change preserves it.
 func (m *Machine) adoptSource(order *controlpb.Order) {
 	switch change := order.GetChange().(type) {
 	case *controlpb.Order_ApplyDocument:
--- a/pkg/config/dynamic/document_test.go
+++ b/pkg/config/dynamic/document_test.go
@@ -18,7 +18,8 @@
 	return &ridgeswitchv1.Source{Version: version, BaseVersion: base, Document: []byte(document)}
 }
 
-// documentConfiguration is one that a document may lead to.
+// documentConfiguration returns a valid configuration for a document: one without
+// evacuations.
 func documentConfiguration() *config {
 	configuration := validConfiguration()
 	configuration.Evacuations = nil
@@ -31,7 +32,7 @@
 	return &controlpb.Command{Command: &controlpb.Command_Order{Order: order}}
 }
 
-// evacuationCommand begins or ends the evacuation of zone a.
+// evacuationCommand returns the command that begins or ends the evacuation of zone a.
 func evacuationCommand(id string, evacuated bool) *controlpb.Command {
 	order, err := dynamic.EvacuationOrder(id, "a", evacuated, "")
 	Expect(err).NotTo(HaveOccurred())
@@ -45,7 +46,7 @@
 		return outcome(machine.Apply(documentCommand(documentConfiguration(), source)))
 	}
 
-	// restart passes the machine through a snapshot.
+	// restart replaces the machine by one that is restored from its snapshot.
 	restart := func() {
 		snapshot, err := machine.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +59,7 @@
 		Expect(apply(source(3, 0, "first"))).To(Equal("1"))
 	})
 
-	It("are taken on the version in force, under a higher one", func() {
+	It("are accepted if based on the version in force and under a higher version", func() {
 		Expect(apply(source(9, 0, "second"))).To(Equal("base_revision_stale 1"))
 		Expect(apply(source(9, 2, "second"))).To(Equal("base_revision_stale 1"))
 		Expect(apply(source(9, 3, "second"))).To(Equal("2"))
@@ -66,19 +67,19 @@
 		Expect(apply(source(12, 9, "third"))).To(Equal("3"))
 	})
 
-	It("are refused under a version that is not above", func() {
+	It("are refused if their version is not above the base version or the version in force", func() {
 		for _, version := range []uint64{0, 2, 3} {
 			_, err := dynamic.DocumentOrder(documentConfiguration(), source(version, 3, "x"))
 			kind := map[bool]string{true: "missing", false: "source_version_not_above"}[version == 0]
 			Expect(faultsOf(err)).To(Equal([]string{kind + " source.version"}))
 		}
-		By("an order that got past the node's own check")
+		By("an order that did not pass through the check of DocumentOrder")
 		bare := documentCommand(documentConfiguration(), source(4, 3, "x"))
 		bare.GetOrder().GetApplyDocument().Source.Version = 2
 		Expect(outcome(machine.Apply(bare))).To(Equal("source_version_not_above 1"))
 	})
 
-	It("get their first answer again, also when superseded and after a restart", func() {
+	It("get the first answer again when resent, also if superseded and after a restart", func() {
 		Expect(apply(source(4, 3, "second"))).To(Equal("2"))
 		Expect(outcome(machine.Apply(evacuationCommand("e", true)))).To(Equal("3"))
 		for range 2 {
@@ -90,7 +91,7 @@
 		}
 	})
 
-	It("get it also when the translated configuration differs, and once the answer is forgotten", func() {
+	It("are accepted again when resent, also if the translated configuration differs or the answer is no longer stored", func() {
 		changed := documentConfiguration()
 		changed.Routes = changed.Routes[:1]
 		Expect(outcome(machine.Apply(documentCommand(changed, source(3, 0, "first"))))).To(Equal("1"))
@@ -102,7 +103,7 @@
 		Expect(machine.Configuration().GetRoutes()).To(HaveLen(2))
 	})
 
-	It("leave evacuations and the weights of pools that stay", func() {
+	It("preserve evacuations, and the weight versions of pools that keep their name and model", func() {
 		Expect(outcome(machine.Apply(evacuationCommand("e", true)))).To(Equal("2"))
 		name, err := dynamic.NameWeightsOrder("w", "summaries", "w9")
 		Expect(err).NotTo(HaveOccurred())
@@ -117,28 +118,28 @@
 		Expect(inForce.GetEvacuations()).To(HaveExactElements(equalMessage(&ridgeswitchv1.ZoneEvacuation{Zone: "a"})))
 		Expect(inForce.GetPools()[0].GetWeightVersion()).To(Equal("w9"))
 		Expect(inForce.GetPools()[1].GetWeightVersion()).To(Equal("w1"))
-		By("another model under the same name")
+		By("replacing the model of a pool under the same name")
 		next.Pools[0].Model = "other"
 		Expect(outcome(machine.Apply(documentCommand(next, source(6, 5, "third"))))).To(Equal("5"))
 		Expect(machine.Configuration().GetPools()[0].GetWeightVersion()).To(BeEmpty())
 	})
 
-	It("are kept as they were sent, and named in the configuration", func() {
+	It("are stored unchanged, and the configuration contains their version and digest", func() {
 		restart()
 		Expect(machine.Source()).To(equalMessage(source(3, 0, "first")))
 		digest := sha256.Sum256([]byte("first"))
 		Expect(machine.Configuration().GetSource()).To(equalMessage(&ridgeswitchv1.SourceVersion{Version: 3, Sha256: digest[:]}))
-		By("a single change")
+		By("applying a single change")
 		machine.Apply(evacuationCommand("e", true))
 		Expect(machine.Source().GetVersion()).To(Equal(uint64(3)))
 		Expect(machine.Configuration().GetSource().GetVersion()).To(Equal(uint64(3)))
-		By("a whole configuration without a document")
+		By("applying a whole configuration without a document")
 		Expect(outcome(machine.Apply(applyCommand("a", 2, machine.Configuration())))).To(Equal("3"))
 		Expect(machine.Source()).To(BeNil())
 		Expect(machine.Configuration().GetSource()).To(BeNil())
 	})
 
-	It("never change when others write to what they were given", func() {
+	It("are not changed by writes to commands and states outside the machine", func() {
 		command := documentCommand(documentConfiguration(), source(4, 3, "second"))
 		machine.Apply(command)
 		command.GetOrder().GetApplyDocument().GetSource().Document[0] = 'x'
@@ -147,7 +148,7 @@
 		Expect(machine.Source().GetDocument()).To(Equal([]byte("second")))
 	})
 
-	It("need no identity in a request, and no other order may use theirs", func() {
+	It("need no identity in a request, and no other order may use their identity", func() {
 		order, err := dynamic.OrderFromRequest(&ridgeswitchv1.ApplyConfigurationRequest{
 			Configuration: documentConfiguration(), Source: source(4, 3, "second"),
 		})
@@ -157,7 +158,7 @@
 		Expect(faultsOf(err)).To(Equal([]string{"invalid order.order_id"}))
 	})
 
-	It("name every fault", func() {
+	It("are refused with all faults at once", func() {
 		_, err := dynamic.DocumentOrder(validConfiguration(), source(3, 3, strings.Repeat("x", dynamic.MaxSourceBytes+1)))
 		Expect(faultsOf(err)).To(Equal([]string{"source_version_not_above source.version", "oversize source.document", "invalid configuration.evacuations"}))
 		_, err = dynamic.DocumentOrder(nil, source(3, 2, ""))
@@ -167,8 +168,8 @@
 	})
 })
 
-var _ = Describe("Orders without an identity of the operator's", func() {
-	It("are accepted again under a new identity, as the state holds already", func() {
+var _ = Describe("Orders that are resent under new identities", func() {
+	It("are accepted and change nothing if the change is already in force", func() {
 		machine := dynamic.NewMachine(nil)
 		Expect(outcome(machine.Apply(evacuationCommand("n1/1", true)))).To(Equal("1"))
 		Expect(outcome(machine.Apply(evacuationCommand("n2/1", true)))).To(Equal("1"))
@@ -177,8 +178,8 @@
 	})
 })
 
-var _ = Describe("Weights that rise", func() {
-	It("are whole numbers, and never lowered", func() {
+var _ = Describe("Weight versions that only rise", func() {
+	It("are compared as whole numbers and never lowered", func() {
 		machine := dynamic.NewMachine(nil)
 		Expect(outcome(machine.Apply(applyCommand("a", 0, validConfiguration())))).To(Equal("1"))
 		for position, step := range []struct {
--- a/pkg/config/dynamic/errors.go
+++ b/pkg/config/dynamic/errors.go
@@ -9,10 +9,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/faults"
 )
 
-// Kind is the stable name of what is wrong with an order or a configuration.
+// Kind classifies a fault of an order or a configuration. The values of its constants are
+// stable.
 type Kind string
 
-// The kinds of errors. Each message names the remedy.
+// The kinds of faults.
 const (
 	// KindMalformed marks input that is not JSON, or a value of the wrong type.
 	KindMalformed Kind = "malformed"
@@ -24,48 +25,52 @@
 	KindInvalid Kind = "invalid"
 	// KindOutOfRange marks a number outside its bounds.
 	KindOutOfRange Kind = "out_of_range"
-	// KindDuplicate marks a name, host or key that must be unique and is not.
+	// KindDuplicate marks a field that is given more than once, or a value that must be
+	// unique and is not.
 	KindDuplicate Kind = "duplicate"
-	// KindDanglingReference marks a reference to something that is not there.
+	// KindDanglingReference marks a reference to something that the configuration does
+	// not contain.
 	KindDanglingReference Kind = "dangling_reference"
-	// KindOversize marks a document, a list or a text above its bound.
+	// KindOversize marks a document, configuration, list or text that is larger than its
+	// bound.
 	KindOversize Kind = "oversize"
-	// KindNotFound marks an order for a tenant, key or pool that is not there.
+	// KindNotFound marks an order for a tenant, key or pool that does not exist.
 	KindNotFound Kind = "not_found"
 	// KindOrderIDMissing marks an order without an identity.
 	KindOrderIDMissing Kind = "order_id_missing"
 	// KindOrderIDConflict marks an order whose identity belongs to an accepted
 	// order of other content.
 	KindOrderIDConflict Kind = "order_id_conflict"
-	// KindBaseRevisionStale marks an order that is based on another revision
-	// than the one in force.
+	// KindBaseRevisionStale marks an order that is based on another revision than the one
+	// in force, or a document that is based on another version.
 	KindBaseRevisionStale Kind = "base_revision_stale"
-	// KindEvacuationChanged marks an order for a zone whose evacuation has begun or
-	// ended after the revision that the order builds on.
+	// KindEvacuationChanged marks a conditional order for a zone whose evacuation has
+	// begun or ended after the revision of the condition, or whose condition names a
+	// revision that has not been in force.
 	KindEvacuationChanged Kind = "evacuation_changed"
-	// KindSourceVersionNotAbove marks a document whose version is not above the
-	// one in force.
+	// KindSourceVersionNotAbove marks a document whose version is not above its base
+	// version or the version in force.
 	KindSourceVersionNotAbove Kind = "source_version_not_above"
 )
 
-// maxReportedFaults bounds the faults that one Problem spells out.
+// maxReportedFaults bounds the faults whose messages one Problem contains.
 const maxReportedFaults = 20
 
-// Error is one fault. Its message names the remedy.
+// Error is one fault. Its message says how to correct it.
 type Error struct {
 	Kind Kind
 	// Field is the path of the offending field, such as
-	// "tenants[2].limits.burst"; empty when the whole input is meant.
+	// "tenants[2].limits.burst"; empty if the fault concerns the whole input.
 	Field   string
 	Message string
-	// Revision is the revision in force, where it matters.
+	// Revision is the revision in force if the fault depends on it, else 0.
 	Revision uint64
 }
 
-// Error describes the fault with the path of its field.
+// Error returns the path of the field and the message.
 func (e *Error) Error() string { return faults.Text(e.Field, e.Message) }
 
-// Problem is the fault as operators get it.
+// Problem returns the fault in the form in which operators get it.
 func (e *Error) Problem() *ridgeswitchv1.Problem {
 	return &ridgeswitchv1.Problem{
 		Kind:     string(e.Kind),
@@ -75,17 +80,17 @@
 	}
 }
 
-// Errors are all faults of one input, in the order of its fields.
+// Errors contains all faults of one input, in the order in which they were found.
 type Errors []*Error
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (errs Errors) Error() string { return faults.Lines(errs) }
 
-// Unwrap gives errors.As and errors.Is access to the single faults.
+// Unwrap returns the faults, so that errors.As and errors.Is find each of them.
 func (errs Errors) Unwrap() []error { return faults.AsErrors(errs) }
 
-// Problem carries the kind and field of the first fault and a message that
-// lists all of them.
+// Problem returns the kind and the field of the first fault, and a message that lists the
+// faults, up to maxReportedFaults of them. It returns nil if there are none.
 func (errs Errors) Problem() *ridgeswitchv1.Problem {
 	if len(errs) == 0 {
 		return nil
@@ -119,8 +124,8 @@
 	faults Errors
 }
 
-// add keeps a fault, up to MaxFaults, so that a document of nothing but faults
-// can't take up the node's memory.
+// add appends a fault, unless there are MaxFaults already: a document that consists of
+// faults must not exhaust the node's memory.
 func (c *collector) add(kind Kind, path, format string, arguments ...any) {
 	if len(c.faults) >= MaxFaults {
 		return
@@ -136,7 +141,7 @@
 	return errs
 }
 
-// problemOf turns an error of this package into the body that operators get.
+// problemOf returns the Problem that operators get for an error of this package.
 func problemOf(err error, revision uint64) *ridgeswitchv1.Problem {
 	problem := &ridgeswitchv1.Problem{Kind: string(KindInvalid), Message: err.Error()}
 	var fault interface {
--- a/pkg/config/dynamic/evacuation_changes.go
+++ b/pkg/config/dynamic/evacuation_changes.go
@@ -11,11 +11,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// evacuationChanges remembers in which revision the evacuation of each zone last began or
-// ended, for the newest MaxEvacuationChanges zones. By it the machine refuses a copy of an
-// order that comes after a later order for the same zone.
+// evacuationChanges contains the revision in which the evacuation of a zone last began or
+// ended, for the MaxEvacuationChanges zones that changed last. With it, the machine refuses a
+// copy of a conditional order that arrives after a later order for the same zone.
 type evacuationChanges struct {
-	// oldestFirst has each zone once, in the order of the revisions.
+	// oldestFirst contains each zone once, ordered by revision.
 	oldestFirst []*controlpb.EvacuationChange
 }
 
@@ -23,8 +23,8 @@
 	return &evacuationChanges{oldestFirst: cloneEvacuationChanges(changes)}
 }
 
-// record takes the zones whose evacuation begins or ends where one configuration follows
-// another.
+// record stores the zones whose evacuation begins or ends when the configuration before is
+// replaced by after.
 func (c *evacuationChanges) record(before, after *ridgeswitchv1.Configuration) {
 	ended, begun := lo.Difference(evacuatedZones(before), evacuatedZones(after))
 	for _, zone := range slices.Concat(ended, begun) {
@@ -32,7 +32,8 @@
 	}
 }
 
-// add replaces the revision of a zone, and removes the oldest zone beyond the bound.
+// add replaces the revision of a zone. If there are then more than MaxEvacuationChanges
+// zones, it removes the oldest one.
 func (c *evacuationChanges) add(zone string, revision uint64) {
 	c.oldestFirst = slices.DeleteFunc(c.oldestFirst, func(change *controlpb.EvacuationChange) bool {
 		return change.GetZone() == zone
@@ -43,8 +44,9 @@
 	}
 }
 
-// last returns the revision after which the evacuation of a zone has not changed. Of a
-// zone that may have been removed beyond the bound it is that of the oldest one kept.
+// last returns a revision after which the evacuation of a zone has not changed: that of its
+// last change, or 0 if there was none. For a zone that may have been removed because of the
+// bound, it returns the revision of the oldest zone that is stored.
 func (c *evacuationChanges) last(zone string) uint64 {
 	for _, change := range c.oldestFirst {
 		if change.GetZone() == zone {
@@ -57,8 +59,9 @@
 	return c.oldestFirst[0].GetRevision()
 }
 
-// check refuses a conditional change of a zone whose evacuation has changed since, and one
-// that builds on a revision which has never been in force.
+// check returns an *Error for a conditional change of a zone whose evacuation has changed
+// after the revision of the condition, and for a condition on a revision that has not been in
+// force. inForce is the revision in force.
 func (c *evacuationChanges) check(change *controlpb.SetEvacuation, inForce uint64) error {
 	if change == nil || change.UnchangedSince == nil {
 		return nil
--- a/pkg/config/dynamic/evacuation_changes_test.go
+++ b/pkg/config/dynamic/evacuation_changes_test.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// conditionalEvacuation begins or ends the evacuation of a zone that has not changed since
-// a revision.
+// conditionalEvacuation returns the command that begins or ends the evacuation of a zone if
+// that evacuation has not changed since a revision.
 func conditionalEvacuation(id, zone string, evacuated bool, unchangedSince uint64) *controlpb.Command {
 	order, err := dynamic.ConditionalEvacuationOrder(id, zone, evacuated, unchangedSince)
 	Expect(err).NotTo(HaveOccurred())
@@ -34,9 +34,9 @@
 		return zones
 	}
 
-	// Guards against a copy that comes late and undoes an order that was accepted after it
-	// (review/3).
-	It("is refused once the zone has changed, under any identity and after a restart", func() {
+	// Guards against a late copy of an order that undoes an order which was accepted after
+	// the original (review/3).
+	It("is refused if the evacuation of the zone has changed, under any identity and after a restart", func() {
 		Expect(outcome(machine.Apply(conditionalEvacuation("1", "a", true, 1)))).To(Equal("2"))
 		Expect(outcome(machine.Apply(conditionalEvacuation("2", "a", false, 2)))).To(Equal("3"))
 		Expect(outcome(machine.Apply(conditionalEvacuation("3", "a", true, 3)))).To(Equal("4"))
@@ -53,7 +53,7 @@
 		Expect(evacuated()).To(BeEmpty())
 	})
 
-	It("is refused after a change of any kind that evacuates the zone or ends that", func() {
+	It("is refused after any kind of order that begins or ends the evacuation of the zone", func() {
 		whole := documentConfiguration()
 		Expect(outcome(machine.Apply(evacuationCommand("by-order", true)))).To(Equal("2"))
 		Expect(outcome(machine.Apply(conditionalEvacuation("1", "a", false, 1)))).To(Equal("evacuation_changed 2"))
@@ -62,7 +62,7 @@
 		Expect(outcome(machine.Apply(conditionalEvacuation("2", "a", true, 2)))).To(Equal("evacuation_changed 3"))
 	})
 
-	It("is not held up by other changes, and changes nothing where it is in force", func() {
+	It("is accepted after other changes, and changes nothing if it is already in force", func() {
 		Expect(outcome(machine.Apply(conditionalEvacuation("b", "b", true, 1)))).To(Equal("2"))
 		Expect(outcome(machine.Apply(documentCommand(documentConfiguration(), source(9, 3, "second"))))).To(Equal("3"))
 		Expect(outcome(machine.Apply(conditionalEvacuation("a", "a", true, 1)))).To(Equal("4"))
@@ -74,7 +74,7 @@
 		Expect(outcome(machine.Apply(conditionalEvacuation("1", "a", true, 2)))).To(Equal("evacuation_changed 1"))
 	})
 
-	It("is refused for a zone that was forgotten, if it may have changed since", func() {
+	It("is refused for a zone that is no longer stored, if its evacuation may have changed", func() {
 		for number := range dynamic.MaxEvacuationChanges + 1 {
 			zone, revision := fmt.Sprint("zone-", number), machine.Revision()
 			machine.Apply(conditionalEvacuation("begin-"+zone, zone, true, revision))
--- a/pkg/config/dynamic/machine.go
+++ b/pkg/config/dynamic/machine.go
@@ -10,22 +10,22 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// Machine is the replicated state machine of the configuration. It is not safe
-// for concurrent use, except that a published Configuration is never written
-// again.
+// Machine is the replicated state machine of the configuration. It is not safe for
+// concurrent use, but a configuration that it has returned is never modified and may be read
+// concurrently.
 type Machine struct {
 	configuration *ridgeswitchv1.Configuration
 	answers       *answerLog
 	nodes         *registry
-	// evacuationChanges knows when evacuations last began or ended.
+	// evacuationChanges contains the revisions in which evacuations last began or ended.
 	evacuationChanges *evacuationChanges
 	// source is the document that the configuration was made from, or nil. It is
-	// replaced and never changed.
+	// replaced and never modified.
 	source *ridgeswitchv1.Source
 }
 
-// NewMachine begins with a copy of a state. A nil state, like an empty one, is
-// the empty configuration at revision 0.
+// NewMachine returns a machine that begins with a copy of a state. A nil state, like an
+// empty one, means the empty configuration at revision 0.
 func NewMachine(state *controlpb.ConfigurationState) *Machine {
 	configuration := &ridgeswitchv1.Configuration{}
 	if state.GetConfiguration() != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// RestoreMachine begins with the state of a snapshot.
+// RestoreMachine returns a machine that begins with the state of a snapshot.
 func RestoreMachine(snapshot []byte) (*Machine, error) {
 	state := &controlpb.ConfigurationState{}
 	if err := proto.Unmarshal(snapshot, state); err != nil {
@@ -57,12 +57,12 @@
 	return data, errors.Wrap(err, "encode the configuration snapshot")
 }
 
-// State is a deep copy of the whole state.
+// State returns a deep copy of the whole state.
 func (m *Machine) State() *controlpb.ConfigurationState {
 	return proto.CloneOf(m.sharedState())
 }
 
-// sharedState is the whole state, to read only: it is the machine's own.
+// sharedState returns the whole state without copying it. The result must not be modified.
 func (m *Machine) sharedState() *controlpb.ConfigurationState {
 	return &controlpb.ConfigurationState{
 		Configuration: m.configuration,
@@ -74,30 +74,30 @@
 	}
 }
 
-// Configuration is the configuration in force. It is shared: no one may write
-// to it, and the machine replaces it instead of changing it.
+// Configuration returns the configuration in force. It is shared and must not be modified;
+// the machine replaces it instead of modifying it.
 func (m *Machine) Configuration() *ridgeswitchv1.Configuration {
 	return m.configuration
 }
 
-// Revision is the revision in force; 0 is the empty configuration.
+// Revision returns the revision in force; 0 is that of the empty configuration.
 func (m *Machine) Revision() uint64 {
 	return m.configuration.GetRevision()
 }
 
-// Nodes are the registered nodes, sorted by name.
+// Nodes returns the registered nodes, sorted by name.
 func (m *Machine) Nodes() []*controlpb.RegisterNode {
 	return m.nodes.nodes()
 }
 
-// Answer is the answer that an accepted order got, or nil. Its confirmed field
-// is as it was when the order was applied: false.
+// Answer returns a copy of the stored answer to an accepted order, or nil. Its confirmed
+// field has the value from when the order was applied, which is false.
 func (m *Machine) Answer(orderID string) *controlpb.Answer {
 	return m.answers.find(orderID)
 }
 
-// Apply applies one command of the log and returns its answer. The answer is
-// owned by the caller. A rejected command changes nothing.
+// Apply applies one command of the log and returns its answer, which the caller may modify. A
+// rejected command changes nothing.
 func (m *Machine) Apply(command *controlpb.Command) *controlpb.Answer {
 	switch command := command.GetCommand().(type) {
 	case *controlpb.Command_Order:
@@ -116,13 +116,13 @@
 	}
 }
 
-// Preview returns the answer that an order would get now if it needs no entry in the log:
-// a refusal, or the answer to a resend. It returns nil for an order that would be carried
-// out, which Apply then does if the state is still the same.
+// Preview returns the answer to an order that needs no entry in the log, because the order
+// would be refused or is a resend. It returns nil for an order that Apply would carry out if
+// the state were still the same.
 func (m *Machine) Preview(order *controlpb.Order) *controlpb.Answer {
 	next, answer := m.decide(order)
 	if next == nil && answer == nil {
-		// The document is in force, though its answer is not remembered any more.
+		// The document is in force, although the answer to its order is no longer stored.
 		return m.accepted(order)
 	}
 	return answer
@@ -144,9 +144,9 @@
 	return cloneAnswer(answer)
 }
 
-// decide checks an order, and changes nothing. It returns the answer to one that is refused,
-// or that was accepted before, or else the configuration that the order leads to: nil if
-// that is the one in force.
+// decide checks an order without changing the state. It returns the answer if the order is
+// refused or was accepted before, and otherwise the configuration that the order leads to. It
+// returns neither if the order applies the document that is already in force.
 func (m *Machine) decide(order *controlpb.Order) (*ridgeswitchv1.Configuration, *controlpb.Answer) {
 	if err := checkOrderID(order.GetOrderId()); err != nil {
 		return nil, m.refuse(order, err)
@@ -170,7 +170,7 @@
 	return next, nil
 }
 
-// accepted returns the answer to an order that is in force.
+// accepted returns the answer that accepts an order at the revision in force.
 func (m *Machine) accepted(order *controlpb.Order) *controlpb.Answer {
 	return &controlpb.Answer{
 		OrderId:  order.GetOrderId(),
@@ -180,7 +180,7 @@
 }
 
 // answerKnownID returns the answer to an order whose identity was accepted before: the first
-// answer to a resend, and a refusal of other content.
+// answer if the order is a resend, and a refusal if its content differs.
 func (m *Machine) answerKnownID(order *controlpb.Order, first *controlpb.Answer) *controlpb.Answer {
 	if bytes.Equal(order.GetDigest(), first.GetDigest()) {
 		return first
@@ -192,8 +192,9 @@
 	})
 }
 
-// checkBase compares the base revision of an order with the revision in force. Only a
-// single change may leave it out. A document has a base version instead.
+// checkBase returns an *Error if the base revision of an order is not the revision in force.
+// An order for a single change may omit the base revision. An order for a document has a base
+// version instead.
 func (m *Machine) checkBase(order *controlpb.Order) error {
 	if document := order.GetApplyDocument(); document != nil {
 		return m.checkSourceBase(document.GetSource())
--- a/pkg/config/dynamic/machine_test.go
+++ b/pkg/config/dynamic/machine_test.go
@@ -12,12 +12,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// header is an order header.
 func header(id string, base uint64) *ridgeswitchv1.OrderHeader {
 	return &ridgeswitchv1.OrderHeader{OrderId: id, BaseRevision: base}
 }
 
-// command turns a request into a command of the log.
+// command returns the command of the log for a request.
 func command(request proto.Message) *controlpb.Command {
 	order, err := dynamic.OrderFromRequest(request)
 	Expect(err).NotTo(HaveOccurred())
@@ -50,7 +49,7 @@
 	}}
 }
 
-// outcome spells an answer as its revision or the kind of its problem.
+// outcome returns the revision of an answer, or the kind and the revision of its problem.
 func outcome(answer *controlpb.Answer) string {
 	if answer.GetProblem() != nil {
 		return fmt.Sprint(answer.GetProblem().GetKind(), " ", answer.GetProblem().GetRevision())
@@ -66,44 +65,44 @@
 		Expect(outcome(machine.Apply(applyCommand("first", 0, validConfiguration())))).To(Equal("1"))
 	})
 
-	It("compares the base revision and remembers accepted orders alone", func() {
+	It("compares the base revision, and stores the answers to accepted orders only", func() {
 		second := validConfiguration()
 		second.Evacuations = nil
-		By("taking one of two racing changes on one base")
+		By("accepting one of two concurrent changes on the same base")
 		Expect(outcome(machine.Apply(applyCommand("a", 1, second)))).To(Equal("2"))
 		Expect(outcome(machine.Apply(applyCommand("b", 1, validConfiguration())))).To(Equal("base_revision_stale 2"))
 		Expect(outcome(machine.Apply(applyCommand("b", 0, validConfiguration())))).To(Equal("base_revision_stale 2"))
 		Expect(outcome(machine.Apply(evacuate("b", 1, "a")))).To(Equal("base_revision_stale 2"))
 		Expect(machine.Answer("b")).To(BeNil())
-		By("letting a corrected order use the identity of a refused one")
+		By("accepting a corrected order under the identity of a refused one")
 		Expect(outcome(machine.Apply(applyCommand("b", 2, validConfiguration())))).To(Equal("3"))
-		By("answering a resend as the first time, whatever is in force")
+		By("giving a resend the first answer, whatever revision is in force")
 		Expect(outcome(machine.Apply(applyCommand("a", 1, second)))).To(Equal("2"))
 		Expect(machine.Answer("a").GetRevision()).To(Equal(uint64(2)))
-		By("refusing other content under a known identity")
+		By("refusing other content under the identity of an accepted order")
 		Expect(outcome(machine.Apply(applyCommand("a", 3, second)))).To(Equal("order_id_conflict 3"))
 		Expect(outcome(machine.Apply(evacuate("a", 0, "a")))).To(Equal("order_id_conflict 3"))
-		By("taking a single change without a base")
+		By("accepting a single change without a base")
 		Expect(outcome(machine.Apply(evacuate("c", 0, "a")))).To(Equal("4"))
-		By("acknowledging what changes nothing at the revision in force")
+		By("accepting orders that change nothing at the revision in force")
 		Expect(outcome(machine.Apply(evacuate("d", 4, "a")))).To(Equal("4"))
 		Expect(outcome(machine.Apply(applyCommand("e", 4, machine.Configuration())))).To(Equal("4"))
 	})
 
-	DescribeTable("changes one thing", func(id string, request proto.Message, want string) {
+	DescribeTable("carries out or refuses a single change", func(id string, request proto.Message, want string) {
 		Expect(outcome(machine.Apply(command(request)))).To(Equal(want))
 	},
 		Entry("add a key", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "chamber", Key: &ridgeswitchv1.Key{Name: "k", Sha256: dynamic.KeyDigest("s")}}, "2"),
 		Entry("add the same key again", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "registry", Key: &ridgeswitchv1.Key{Name: "desk", Sha256: dynamic.KeyDigest("")}}, "1"),
 		Entry("add another key of the same name", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "registry", Key: &ridgeswitchv1.Key{Name: "desk", Sha256: dynamic.KeyDigest("s")}}, "duplicate 1"),
-		Entry("add another tenant's digest", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "chamber", Key: &ridgeswitchv1.Key{Name: "k", Sha256: dynamic.KeyDigest("")}}, "duplicate 1"),
-		Entry("add a key to no tenant", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "x", Key: &ridgeswitchv1.Key{Name: "k", Sha256: dynamic.KeyDigest("s")}}, "not_found 1"),
+		Entry("add a key with the digest of another tenant's key", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "chamber", Key: &ridgeswitchv1.Key{Name: "k", Sha256: dynamic.KeyDigest("")}}, "duplicate 1"),
+		Entry("add a key to an unknown tenant", "a", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "x", Key: &ridgeswitchv1.Key{Name: "k", Sha256: dynamic.KeyDigest("s")}}, "not_found 1"),
 		Entry("revoke a key", "a", &ridgeswitchv1.RevokeKeyRequest{Order: header("a", 0), Tenant: "registry", Key: "desk"}, "2"),
-		Entry("revoke no key", "a", &ridgeswitchv1.RevokeKeyRequest{Order: header("a", 0), Tenant: "registry", Key: "x"}, "not_found 1"),
+		Entry("revoke an unknown key", "a", &ridgeswitchv1.RevokeKeyRequest{Order: header("a", 0), Tenant: "registry", Key: "x"}, "not_found 1"),
 		Entry("name weights", "a", &ridgeswitchv1.NameWeightsRequest{Order: header("a", 1), Pool: "summaries", WeightVersion: "w2"}, "2"),
-		Entry("name weights of no pool", "a", &ridgeswitchv1.NameWeightsRequest{Order: header("a", 0), Pool: "x", WeightVersion: "w2"}, "not_found 1"),
+		Entry("name weights of an unknown pool", "a", &ridgeswitchv1.NameWeightsRequest{Order: header("a", 0), Pool: "x", WeightVersion: "w2"}, "not_found 1"),
 		Entry("restore a zone", "a", &ridgeswitchv1.RestoreZoneRequest{Order: header("a", 0), Zone: "d"}, "2"),
-		Entry("restore a zone that takes requests", "a", &ridgeswitchv1.RestoreZoneRequest{Order: header("a", 0), Zone: "c"}, "1"),
+		Entry("restore a zone that is not evacuated", "a", &ridgeswitchv1.RestoreZoneRequest{Order: header("a", 0), Zone: "c"}, "1"),
 		Entry("evacuate for another reason", "a", &ridgeswitchv1.EvacuateZoneRequest{Order: header("a", 0), Zone: "d", Reason: "fire"}, "2"),
 	)
 
@@ -112,15 +111,15 @@
 		Expect(faultsOf(err)).To(ContainElement(fault))
 	},
 		Entry("no identity", &ridgeswitchv1.RestoreZoneRequest{Zone: "a"}, "order_id_missing order.order_id"),
-		Entry("bad identity", &ridgeswitchv1.RestoreZoneRequest{Order: header("a b", 0), Zone: "a"}, "invalid order.order_id"),
+		Entry("identity with a space", &ridgeswitchv1.RestoreZoneRequest{Order: header("a b", 0), Zone: "a"}, "invalid order.order_id"),
 		Entry("no configuration", &ridgeswitchv1.ApplyConfigurationRequest{Order: header("a", 0)}, "missing configuration"),
-		Entry("no key", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "t"}, "missing key.sha256"),
+		Entry("empty key", &ridgeswitchv1.AddKeyRequest{Order: header("a", 0), Tenant: "t"}, "missing key.sha256"),
 		Entry("no key name", &ridgeswitchv1.RevokeKeyRequest{Order: header("a", 0), Tenant: "t"}, "missing key"),
 		Entry("no zone", &ridgeswitchv1.EvacuateZoneRequest{Order: header("a", 0)}, "missing zone"),
-		Entry("no version", &ridgeswitchv1.NameWeightsRequest{Order: header("a", 0), Pool: "p"}, "missing weight_version"),
+		Entry("no weight version", &ridgeswitchv1.NameWeightsRequest{Order: header("a", 0), Pool: "p"}, "missing weight_version"),
 	)
 
-	It("refuses commands of other shards, and orders that did not come through a request", func() {
+	It("refuses commands of other shards, and invalid orders that were not made by OrderFromRequest", func() {
 		before := machine.State()
 		bare := &controlpb.Order{OrderId: "x", Change: &controlpb.Order_Apply{Apply: &config{Tenants: []*ridgeswitchv1.Tenant{{}}}}, BaseRevision: 1}
 		for _, refused := range []*controlpb.Command{
@@ -138,7 +137,7 @@
 		Expect(err).To(MatchError(ContainSubstring("is no order")))
 	})
 
-	It("takes a resend as identical when it differs in assigned fields alone", func() {
+	It("treats an order that differs only in assigned fields as a resend", func() {
 		read := proto.CloneOf(machine.Configuration())
 		Expect(read.GetTenants()[0].GetWallEpoch()).NotTo(BeZero())
 		resent := applyCommand("first", 0, read)
@@ -146,7 +145,7 @@
 		Expect(outcome(machine.Apply(resent))).To(Equal("1"))
 	})
 
-	It("never writes to what it has published, and keeps nothing that others write to", func() {
+	It("modifies no configuration that it has returned, and shares no data with commands, answers and states", func() {
 		next := applyCommand("own", 1, &config{})
 		machine.Apply(next)
 		next.GetOrder().GetApply().Revision = 99
@@ -162,7 +161,7 @@
 		Expect(machine.Configuration().GetTenants()[0].GetName()).To(Equal("registry"))
 	})
 
-	It("registers the newest incarnation of each node and forgets no newer one", func() {
+	It("registers the newest incarnation of each node, and does not remove a newer incarnation than the given one", func() {
 		for _, c := range []*controlpb.Command{register("b", 3), register("a", 1), register("b", 2), register("c", 5), forget("c", 5), forget("b", 2), forget("x", 1)} {
 			Expect(outcome(machine.Apply(c))).To(Equal("1"))
 		}
@@ -171,7 +170,7 @@
 			equalMessage(&controlpb.RegisterNode{Node: "b", Incarnation: 3})))
 	})
 
-	It("forgets the oldest answers beyond the bound, before and after a snapshot", func() {
+	It("removes the oldest answers beyond the bound, before and after a snapshot", func() {
 		for i := range dynamic.MaxAnswers {
 			machine.Apply(evacuate(fmt.Sprint("order-", i), 0, "a"))
 		}
@@ -188,7 +187,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("renews sharing domains when a tenant leaves them", func() {
+	It("replaces sharing domains when a tenant leaves them", func() {
 		domains := func() string {
 			c := machine.Configuration()
 			return dynamic.SharingDomain(c, "registry") + " " + dynamic.SharingDomain(c, "chamber") + " " + dynamic.SharingDomain(c, "x")
@@ -201,13 +200,13 @@
 		machine.Apply(wallCommand("c", "registry", false))
 		machine.Apply(wallCommand("d", "registry", true))
 		Expect(domains()).To(Equal("walled/registry/5 shared/5 unknown/x/5"))
-		By("removing a shared tenant, with assigned fields in the input ignored")
+		By("removing a tenant of the shared domain, and ignoring assigned fields in the input")
 		next := validConfiguration()
 		next.Tenants = next.Tenants[:1]
 		next.Revision, next.SharedEpoch, next.Tenants[0].WallEpoch = 77, 77, 77
 		Expect(outcome(machine.Apply(applyCommand("e", 5, next)))).To(Equal("6"))
 		Expect(domains()).To(Equal("shared/6 unknown/chamber/6 unknown/x/6"))
-		By("a tenant that comes back")
+		By("adding a removed tenant again")
 		Expect(outcome(machine.Apply(applyCommand("f", 6, validConfiguration())))).To(Equal("7"))
 		Expect(domains()).To(Equal("shared/6 walled/chamber/7 unknown/x/7"))
 	})
--- a/pkg/config/dynamic/order.go
+++ b/pkg/config/dynamic/order.go
@@ -13,16 +13,16 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// KeyDigest is the digest under which a key's secret is configured.
+// KeyDigest returns the digest that a configuration contains in place of a key's secret.
 func KeyDigest(secret string) string {
 	digest := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(digest[:])
 }
 
-// OrderFromRequest turns a request of the control interface into an order with
-// its digest. What can be refused without knowing the present configuration is
-// refused here with an *Error or Errors. A request to set a tenant's wall does
-// not tell the direction by itself: see WallOrder.
+// OrderFromRequest turns a request of the control interface into an order with its digest.
+// Faults that can be found without the configuration in force are returned as an *Error or
+// Errors. A message that is not a request for an order gives another error. That includes
+// SetTenantWallRequest, which does not contain whether to wall or to unwall: see WallOrder.
 func OrderFromRequest(request proto.Message) (*controlpb.Order, error) {
 	switch request := request.(type) {
 	case *ridgeswitchv1.ApplyConfigurationRequest:
@@ -44,14 +44,15 @@
 	}
 }
 
-// WallOrder turns a request to wall or unwall a tenant into an order.
+// WallOrder turns a request to wall or unwall a tenant into an order. A walled tenant shares
+// no cached prompt chunks with other tenants.
 func WallOrder(request *ridgeswitchv1.SetTenantWallRequest, walled bool) (*controlpb.Order, error) {
 	change := &controlpb.SetWall{Tenant: request.GetTenant(), Walled: walled}
 	return newOrder(request.GetOrder(), &controlpb.Order{Change: &controlpb.Order_SetWall{SetWall: change}})
 }
 
-// applyOrder returns the order for a complete configuration: that of its document, if the
-// request has one.
+// applyOrder returns the order for a complete configuration. If the request has a document,
+// that is the order of DocumentOrder.
 func applyOrder(request *ridgeswitchv1.ApplyConfigurationRequest) (*controlpb.Order, error) {
 	if request.GetSource() != nil {
 		return DocumentOrder(request.GetConfiguration(), request.GetSource())
@@ -63,7 +64,7 @@
 	return newOrder(request.GetOrder(), &controlpb.Order{Change: &controlpb.Order_Apply{Apply: change}})
 }
 
-// newOrder completes an order with its identity and digest.
+// newOrder completes an order with its identity, base revision and digest.
 func newOrder(header *ridgeswitchv1.OrderHeader, order *controlpb.Order) (*controlpb.Order, error) {
 	if err := checkChosenOrderID(header.GetOrderId()); err != nil {
 		return nil, err
@@ -96,8 +97,8 @@
 	return check.faults.orNil()
 }
 
-// checkChosenOrderID checks an identity that an operator chose: it must not look like one
-// that is derived from a document.
+// checkChosenOrderID checks an identity that an operator chose. It must not have the prefix
+// of identities that are derived from documents.
 func checkChosenOrderID(id string) error {
 	if err := checkOrderID(id); err != nil {
 		return err
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// checkChange checks the form of a single change. A complete configuration is left
-// to Validate.
+// checkChange checks the form of a single change. Complete configurations are checked by
+// Validate instead.
 func checkChange(order *controlpb.Order) error {
 	check := &checker{}
 	switch change := order.GetChange().(type) {
@@ -135,8 +136,8 @@
 	return check.faults.orNil()
 }
 
-// orderDigest covers the kind, the base revision and the content of an order,
-// and not its identity.
+// orderDigest returns the digest of an order. It covers the kind, the base revision and the
+// content of the order, but not its identity.
 func orderDigest(order *controlpb.Order) ([]byte, error) {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(order)
 	if err != nil {
@@ -146,8 +147,8 @@
 	return digest[:], nil
 }
 
-// withoutAssignedFields is a copy of a configuration without the fields that
-// the system assigns.
+// withoutAssignedFields returns a copy of a configuration without the fields that the system
+// assigns.
 func withoutAssignedFields(configuration *ridgeswitchv1.Configuration) *ridgeswitchv1.Configuration {
 	copied := proto.Clone(configuration).(*ridgeswitchv1.Configuration)
 	copied.Revision = 0
@@ -159,7 +160,8 @@
 	return copied
 }
 
-// conflictMessage tells what to do when an identity was used before.
+// conflictMessage returns the message for an order whose identity belongs to an accepted
+// order of other content.
 func conflictMessage(id string) string {
 	return fmt.Sprintf("order %q was accepted with other content; choose a new identity for a new order", id)
 }
--- a/pkg/config/dynamic/parse.go
+++ b/pkg/config/dynamic/parse.go
@@ -17,7 +17,7 @@
 )
 
 // Parse reads a configuration from JSON. It returns an *Error when the text is
-// too large or is no JSON, and Errors with every unknown field, repeated field
+// too large or is not JSON, and Errors with every unknown field, repeated field
 // and value of the wrong type, up to MaxFaults, otherwise. The result is not validated.
 func Parse(data []byte) (*ridgeswitchv1.Configuration, error) {
 	configuration := &ridgeswitchv1.Configuration{}
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// checkSyntax returns an *Error that says where a document is no JSON, or nil.
+// checkSyntax returns nil if a document is JSON, and otherwise an *Error with the position of
+// a syntax error.
 func checkSyntax(data []byte) error {
 	var document json.RawMessage
 	err := json.Unmarshal(data, &document)
@@ -65,8 +66,8 @@
 	return &Error{Kind: KindMalformed, Message: message + "; write the document as JSON"}
 }
 
-// walker compares a JSON document with a message descriptor and collects every
-// fault with the path of its field, which protojson alone does not tell.
+// walker compares a JSON document with a message descriptor and collects all faults with the
+// paths of their fields, which protojson does not report.
 type walker struct {
 	collector
 }
@@ -130,7 +131,7 @@
 	w.value(fieldPath, value, field)
 }
 
-// alternative checks that a field of a oneof is the only one given.
+// alternative checks that no other field of the same oneof is given.
 func (w *walker) alternative(path string, field protoreflect.FieldDescriptor, seen map[protoreflect.FullName]bool) {
 	oneof := field.ContainingOneof()
 	if oneof == nil {
@@ -142,8 +143,9 @@
 	seen[oneof.FullName()] = true
 }
 
-// array checks every element of a repeated field. It stops at the longest list
-// that any configuration may hold, before the list takes up memory.
+// array checks every element of a repeated field. It reports a list of more than MaxRoutes
+// elements and stops there, before the list takes up memory. This applies to each repeated
+// field, also to tenants, for which Validate permits more elements.
 func (w *walker) array(path string, data []byte, field protoreflect.FieldDescriptor) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	token, err := decoder.Token()
@@ -165,7 +167,7 @@
 	}
 }
 
-// value checks one value that is no list.
+// value checks one value that is not a list.
 func (w *walker) value(path string, data []byte, field protoreflect.FieldDescriptor) {
 	if field.Message() != nil {
 		w.message(path, data, field.Message())
@@ -179,14 +181,14 @@
 	}
 }
 
-// isPlainString reports whether JSON is a string without escapes, which needs no
-// checkScalar.
+// isPlainString reports whether a JSON value is a string without escapes. Such a value is
+// valid for a string field without a call of checkScalar.
 func isPlainString(data []byte) bool {
 	return data[0] == '"' && !bytes.ContainsRune(data, '\\') && utf8.Valid(data)
 }
 
-// checkScalar lets protojson parse the value alone, so that exactly what it
-// accepts in the complete document is accepted here.
+// checkScalar parses a single value with protojson, so that it accepts exactly the values
+// that protojson accepts in the complete document.
 func checkScalar(data []byte, field protoreflect.FieldDescriptor) error {
 	if field.IsList() {
 		data = []byte("[" + string(data) + "]")
@@ -203,8 +205,8 @@
 	return descriptor.Fields().ByTextName(name)
 }
 
-// joinPath returns the path of a field of the message at a path; that of the document is
-// empty.
+// joinPath returns the path of a field of the message at a path. The path of the document
+// itself is empty.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
--- a/pkg/config/dynamic/parse_test.go
+++ b/pkg/config/dynamic/parse_test.go
@@ -19,24 +19,24 @@
 		Expect(faultsOf(err)).To(Equal(faults))
 	},
 		Entry("empty", "", "malformed "),
-		Entry("cut", `{"tenants":[`, "malformed "),
+		Entry("truncated", `{"tenants":[`, "malformed "),
 		Entry("trailing text", `{} {}`, "malformed "),
-		Entry("no object", `[]`, "malformed "),
+		Entry("not an object", `[]`, "malformed "),
 		Entry("null", `null`, "malformed "),
-		Entry("oversize", strings.Repeat(" ", dynamic.MaxDocumentBytes+1), "oversize "),
+		Entry("too many bytes", strings.Repeat(" ", dynamic.MaxDocumentBytes+1), "oversize "),
 		Entry("unknown field", `{"tennants":[]}`, "unknown_field tennants"),
 		Entry("unknown fields at any depth", `{"tenants":[{},{"limits":{"bursts":1},"key":1}],"x":{}}`,
 			"unknown_field tenants[1].limits.bursts", "unknown_field tenants[1].key", "unknown_field x"),
 		Entry("extension", `{"[ridgeswitch.v1.http]":{}}`, "unknown_field [ridgeswitch.v1.http]"),
-		Entry("wrong types", `{"tenants":[{"name":1,"walled":"yes","limits":{"burst":-1}}],"routes":{}}`,
+		Entry("values of the wrong type", `{"tenants":[{"name":1,"walled":"yes","limits":{"burst":-1}}],"routes":{}}`,
 			"malformed tenants[0].name", "malformed tenants[0].walled", "malformed tenants[0].limits.burst", "malformed routes"),
 		Entry("null element", `{"tenants":[null]}`, "malformed tenants[0]"),
 		Entry("field twice", `{"pools":[],"pools":[]}`, "duplicate pools"),
-		Entry("field twice by both names", `{"web_services":[],"webServices":[]}`, "duplicate web_services"),
+		Entry("field twice, by its proto name and its JSON name", `{"web_services":[],"webServices":[]}`, "duplicate web_services"),
 		Entry("two destinations", `{"routes":[{"host":"h","pool":"p","web_service":"w"}]}`, "invalid routes[0].web_service"),
-		Entry("a list too long for any configuration", `{"routes":[{}`+strings.Repeat(",{}", dynamic.MaxRoutes)+`]}`, "oversize routes"),
+		Entry("a list of more than MaxRoutes elements", `{"routes":[{}`+strings.Repeat(",{}", dynamic.MaxRoutes)+`]}`, "oversize routes"),
 		Entry("a lone surrogate", `{"tenants":[{"name":"\ud800"}]}`, "malformed tenants[0].name"),
-		Entry("bad UTF-8", "{\"tenants\":[{\"name\":\"\xff\"}]}", "malformed tenants[0].name"),
+		Entry("invalid UTF-8", "{\"tenants\":[{\"name\":\"\xff\"}]}", "malformed tenants[0].name"),
 	)
 
 	It("reports a bounded number of faults", func() {
@@ -44,7 +44,7 @@
 		Expect(err).To(HaveLen(dynamic.MaxFaults))
 	})
 
-	It("reads what it should and null as absence", func() {
+	It("reads JSON names and numbers in strings, and treats null as absence", func() {
 		configuration, err := dynamic.Parse([]byte(`{"tenants":null,"webServices":[{"requestTimeoutMs":5}],"revision":"7"}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(configuration.GetWebServices()[0].GetRequestTimeoutMs()).To(Equal(uint32(5)))
@@ -52,8 +52,9 @@
 	})
 })
 
-// FuzzParse checks that Parse accepts exactly what protojson accepts, short of
-// the size bounds, and that what it accepts can be validated and read again.
+// FuzzParse checks that Parse accepts exactly the documents that protojson accepts, within
+// the size bounds, and that an accepted document can be validated and, once it is encoded
+// again, parsed to an equal configuration.
 func FuzzParse(f *testing.F) {
 	f.Fuzz(func(t *testing.T, document []byte) {
 		configuration, err := dynamic.Parse(document)
@@ -72,7 +73,7 @@
 		}
 		again, err := dynamic.Parse(encoded)
 		if err != nil || !proto.Equal(configuration, again) {
-			t.Fatalf("read again: %v", err)
+			t.Fatalf("the encoded configuration is not parsed to an equal one: %v", err)
 		}
 	})
 }
--- a/pkg/config/dynamic/property_test.go
+++ b/pkg/config/dynamic/property_test.go
@@ -13,8 +13,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// randomCommand draws a command; identities and bases are few, so that resends,
-// conflicts and stale orders come up often.
+// randomCommand returns a random command. It chooses among few identities and bases, so that
+// resends, conflicts and stale orders are frequent.
 func randomCommand(random *rand.Rand, revision uint64) *controlpb.Command {
 	id := fmt.Sprint("order-", random.IntN(60))
 	base := uint64(0)
@@ -50,7 +50,7 @@
 
 var _ = Describe("Machines that apply the same commands", func() {
 	for seed := range uint64(20) {
-		It(fmt.Sprint("agree, through snapshots too, seed ", seed), func() {
+		It(fmt.Sprint("reach equal states and answers, also after a restore from a snapshot, seed ", seed), func() {
 			random := rand.New(rand.NewPCG(seed, 1))
 			machine, follower := dynamic.NewMachine(nil), dynamic.NewMachine(nil)
 			accepted := make(map[string]*controlpb.Answer)
@@ -75,9 +75,9 @@
 	}
 })
 
-// checkAnswer checks the promises that every answer keeps: a refusal changes
-// nothing, a resend gets the first answer, and no two orders on one base both
-// change the configuration.
+// checkAnswer checks the guarantees for every answer: a refusal changes nothing, a resend
+// gets the first answer, and of the orders on the same base at most one changes the
+// configuration.
 func checkAnswer(order *controlpb.Order, answer *controlpb.Answer, before *controlpb.ConfigurationState,
 	machine *dynamic.Machine, accepted map[string]*controlpb.Answer, bases map[uint64]string,
 ) {
--- a/pkg/config/dynamic/registry.go
+++ b/pkg/config/dynamic/registry.go
@@ -9,8 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// registry is the set of nodes that an acknowledgement waits for, each with the
-// newest incarnation that registered.
+// registry contains the nodes that an acknowledgement waits for, each with its newest
+// registered incarnation.
 type registry struct {
 	incarnations map[string]uint64
 }
@@ -23,13 +23,14 @@
 	return r
 }
 
-// register adds a node. An older incarnation than the registered one changes nothing.
+// register adds an incarnation of a node. An incarnation older than the registered one
+// changes nothing.
 func (r *registry) register(node *controlpb.RegisterNode) {
 	r.incarnations[node.GetNode()] = max(r.incarnations[node.GetNode()], node.GetIncarnation())
 }
 
-// forget ends the registration of an incarnation and of those before it. A
-// newer incarnation that has registered since stays.
+// forget removes a node if its registered incarnation is the given one or an older one. A
+// newer incarnation that has registered since remains.
 func (r *registry) forget(node *controlpb.ForgetNode) {
 	if r.incarnations[node.GetNode()] <= node.GetIncarnation() {
 		delete(r.incarnations, node.GetNode())
--- a/pkg/config/dynamic/sharing_domain.go
+++ b/pkg/config/dynamic/sharing_domain.go
@@ -8,11 +8,11 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// SharingDomain separates cached prompt chunks: two requests may share them only
-// when their domains are equal. All tenants that are not walled share one
-// domain, which is renewed whenever one of them leaves; each walled tenant has
-// its own, renewed whenever its wall goes up. A name that is not configured
-// gets a domain that no tenant has.
+// SharingDomain returns the sharing domain of a tenant. Two requests may share cached prompt
+// chunks only if their domains are equal. All tenants that are not walled share one domain,
+// which is replaced whenever one of them is walled or removed. Each walled tenant has a
+// domain of its own, which is replaced whenever the tenant is walled again. A name that is
+// not configured gets a domain that no tenant has.
 func SharingDomain(configuration *ridgeswitchv1.Configuration, name string) string {
 	tenant, found := lo.Find(configuration.GetTenants(), func(tenant *ridgeswitchv1.Tenant) bool {
 		return tenant.GetName() == name
@@ -27,11 +27,11 @@
 	}
 }
 
-// assignEpochs sets the fields by which sharing domains are renewed in a
-// configuration that is to follow another one. A tenant that is new, or whose
-// wall flips, gets the new revision as its wall epoch. The shared epoch becomes
-// the new revision when a tenant of the shared domain is walled or removed, so
-// that nothing made for it is reused by those who stay.
+// assignEpochs sets the epochs, which are part of the sharing domains, in the configuration
+// that replaces the previous one. A tenant that is new, walled or unwalled gets the new
+// revision as its wall epoch. The shared epoch becomes the new revision if a tenant of the
+// shared domain is walled or removed, so that the remaining tenants reuse no chunks that were
+// cached for that tenant.
 func assignEpochs(previous, next *ridgeswitchv1.Configuration) {
 	before := lo.KeyBy(previous.GetTenants(), (*ridgeswitchv1.Tenant).GetName)
 	staysShared := make(map[string]bool, len(next.GetTenants()))
--- a/pkg/config/dynamic/single_change.go
+++ b/pkg/config/dynamic/single_change.go
@@ -7,38 +7,40 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/controlpb"
 )
 
-// EvacuationOrder orders that a zone be evacuated, or that its evacuation end.
-// Each copy of it under another identity is an order of its own, which takes effect
-// whenever it comes: see ConditionalEvacuationOrder.
+// EvacuationOrder returns the order that begins or ends the evacuation of a zone. A copy
+// under another identity is a separate order, which takes effect whenever it arrives: see
+// ConditionalEvacuationOrder.
 func EvacuationOrder(orderID, zone string, evacuated bool, reason string) (*controlpb.Order, error) {
 	return evacuationOrder(&ridgeswitchv1.OrderHeader{OrderId: orderID}, zone, evacuated, reason)
 }
 
-// ConditionalEvacuationOrder is EvacuationOrder on the condition that the evacuation of the
-// zone has neither begun nor ended after a revision; otherwise the order is refused with
-// KindEvacuationChanged. A caller without identities of its own may resend it under new
-// ones: no copy undoes an order that was accepted after that revision, however late it comes.
+// ConditionalEvacuationOrder returns the order that begins or ends the evacuation of a zone
+// on the condition that the evacuation has neither begun nor ended after a revision.
+// Otherwise the order is refused with KindEvacuationChanged. A caller that has no identities
+// of its own may resend the order under new ones: no copy, however late it arrives, undoes
+// an order that was accepted after that revision.
 func ConditionalEvacuationOrder(orderID, zone string, evacuated bool, unchangedSince uint64) (*controlpb.Order, error) {
 	change := &controlpb.SetEvacuation{Zone: zone, Evacuated: evacuated, UnchangedSince: &unchangedSince}
 	return setEvacuationOrder(&ridgeswitchv1.OrderHeader{OrderId: orderID}, change)
 }
 
-// NameWeightsOrder orders that every replica of a pool run a weight version. An order
-// under another identity for what is in force already is accepted and changes nothing.
+// NameWeightsOrder returns the order that names the weight version which every replica of a
+// pool is to run. An order for the version that is already in force is accepted under any
+// new identity and changes nothing.
 func NameWeightsOrder(orderID, pool, weightVersion string) (*controlpb.Order, error) {
 	return nameWeightsOrder(&ridgeswitchv1.OrderHeader{OrderId: orderID}, pool, weightVersion)
 }
 
-// RaiseWeightsOrder is NameWeightsOrder for versions that are whole numbers and
-// only rise: an order for one that is not above the version in force is accepted
-// and changes nothing, so that a late resend takes nothing back.
+// RaiseWeightsOrder returns the order of NameWeightsOrder for versions that are whole numbers
+// and only rise. An order for a version that is not above the one in force is accepted and
+// changes nothing, so that a late resend does not restore an older version.
 func RaiseWeightsOrder(orderID, pool string, weightVersion uint64) (*controlpb.Order, error) {
 	change := &controlpb.NameWeights{Pool: pool, WeightVersion: strconv.FormatUint(weightVersion, 10), Rising: true}
 	return newOrder(&ridgeswitchv1.OrderHeader{OrderId: orderID}, &controlpb.Order{Change: &controlpb.Order_NameWeights{NameWeights: change}})
 }
 
-// mayRaise reports whether a version is a whole number above another, or the other is
-// none.
+// mayRaise reports whether a version that may only rise may replace the one in force: it is a
+// higher whole number, or the version in force is not a whole number.
 func mayRaise(weightVersion, inForce string) bool {
 	before, err := strconv.ParseUint(inForce, 10, 64)
 	if err != nil {
--- a/pkg/config/dynamic/suite_test.go
+++ b/pkg/config/dynamic/suite_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "Dynamic configuration")
 }
 
-// validDocument is a configuration that uses every part of the schema.
+// validDocument returns the JSON text of a valid configuration with elements of every kind.
 func validDocument() []byte {
 	data, err := os.ReadFile("testdata/valid.json")
 	Expect(err).NotTo(HaveOccurred())
@@ -34,7 +34,7 @@
 	return configuration
 }
 
-// faultsOf lists an error's faults as "kind field".
+// faultsOf returns each fault of an error as "kind field".
 func faultsOf(err error) []string {
 	var single *dynamic.Error
 	var all dynamic.Errors
@@ -51,7 +51,7 @@
 	return found
 }
 
-// equalMessage matches a message of equal content.
+// equalMessage matches a message that is equal to the expected one.
 func equalMessage(expected proto.Message) types.GomegaMatcher {
 	return gcustom.MakeMatcher(func(actual proto.Message) (bool, error) {
 		return proto.Equal(expected, actual), nil
--- a/pkg/config/dynamic/validate.go
+++ b/pkg/config/dynamic/validate.go
@@ -33,14 +33,16 @@
 	tenants, digests, pools, webServices, services, stores, routes, zones *uniqueSet
 }
 
-// validation is the state of one call of Validate. Its methods check one field or
-// message each; like the checks of a single value, they take the path that faults name.
+// validation is the state of one call of Validate. Each of its methods checks one field or
+// message. Like the checks of checker, they take the path of the field, which becomes part
+// of faults.
 type validation struct {
 	checker
 	names nameSets
 }
 
-// run checks each kind of element after those that it refers to.
+// run checks all elements of a configuration. Elements are checked after those that they
+// refer to.
 func (v *validation) run(configuration *ridgeswitchv1.Configuration) {
 	if size := proto.Size(configuration); size > MaxConfigurationBytes {
 		v.add(KindOversize, "", "configuration takes %d bytes; reduce it to at most %d", size, MaxConfigurationBytes)
@@ -116,8 +118,8 @@
 }
 
 // service checks the name under which the platform lists the back ends of a
-// destination. It must be unique: two pools of one service could demand two weight
-// versions from the same replicas.
+// destination. It must be unique: two pools with the same service could require different
+// weight versions of the same replicas.
 func (v *validation) service(path, service string) {
 	v.uniqueName(v.names.services, path, service)
 }
--- a/pkg/config/dynamic/validate_backends.go
+++ b/pkg/config/dynamic/validate_backends.go
@@ -20,7 +20,7 @@
 	v.atMost(path+".max_report_readers", uint64(engine.GetMaxReportReaders()), MaxReportReaders)
 }
 
-// backends checks the limits of one back end; 0 means no limit.
+// backends checks the limits that apply to each back end of a destination; 0 means no limit.
 func (v *validation) backends(path string, limits *ridgeswitchv1.BackendLimits) {
 	v.atMost(path+".max_connections", uint64(limits.GetMaxConnections()), MaxBackendConnections)
 	v.path(path+".health_path", limits.GetHealthPath())
--- a/pkg/config/dynamic/validate_routes.go
+++ b/pkg/config/dynamic/validate_routes.go
@@ -4,7 +4,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// everyPath is what an empty path prefix means.
+// everyPath is the path prefix that matches every path; an empty prefix means the same.
 const everyPath = "/"
 
 func (v *validation) route(path string, route *ridgeswitchv1.Route) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// splitDestination checks that the destination of a split exists.
+// splitDestination checks that one of the destinations of a split exists.
 func (v *validation) splitDestination(path string, destination *ridgeswitchv1.WeightedDestination) {
 	switch target := destination.GetDestination().(type) {
 	case *ridgeswitchv1.WeightedDestination_Pool:
@@ -77,8 +77,8 @@
 	}
 }
 
-// handling checks how requests of a route are treated: their kind, times, attempts
-// and priority.
+// handling checks the fields that determine how the requests of a route are handled: kind,
+// time-outs, target times, attempts and priority.
 func (v *validation) handling(path string, route *ridgeswitchv1.Route) {
 	if _, known := ridgeswitchv1.RequestKind_name[int32(route.GetKind())]; !known {
 		v.add(KindInvalid, path+".kind", "is %d; use a kind that the schema names", route.GetKind())
@@ -94,7 +94,7 @@
 	v.atMost(path, uint64(priority), MaxPriority)
 }
 
-// callerLimits checks the bounds on requests of callers; 0 means the default of the
+// callerLimits checks the limits on the requests of callers; 0 means the default of the
 // node.
 func (v *validation) callerLimits(path string, limits *ridgeswitchv1.CallerLimits) {
 	v.atMost(path+".max_header_bytes", uint64(limits.GetMaxHeaderBytes()), MaxCallerHeaderBytes)
--- a/pkg/config/dynamic/validate_test.go
+++ b/pkg/config/dynamic/validate_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// repeated makes a list longer than its bound.
+// repeated returns a list with one element more than bound.
 func repeated[T any](bound int, make func(i int) *T) []*T {
 	var list []*T
 	for i := range bound + 1 {
@@ -60,8 +60,8 @@
 		Entry("weight version too long", func(c *config) { c.Pools[0].WeightVersion = strings.Repeat("w", 129) }, "oversize pools[0].weight_version"),
 		Entry("request timeout zero", func(c *config) { c.Pools[0].RequestTimeoutMs = 0 }, "out_of_range pools[0].request_timeout_ms"),
 		Entry("pool's store dangling", func(c *config) { c.Pools[0].Store = "other" }, "dangling_reference pools[0].store"),
-		Entry("knob negative", func(c *config) { c.Pools[0].Routing.Temperature = -1 }, "out_of_range pools[0].routing.temperature"),
-		Entry("credit above own memory's", func(c *config) { c.Pools[0].Routing.StoreCredit = 1.5 }, "out_of_range pools[0].routing.store_credit"),
+		Entry("routing parameter negative", func(c *config) { c.Pools[0].Routing.Temperature = -1 }, "out_of_range pools[0].routing.temperature"),
+		Entry("store credit above 1", func(c *config) { c.Pools[0].Routing.StoreCredit = 1.5 }, "out_of_range pools[0].routing.store_credit"),
 		Entry("service shared by two destinations", func(c *config) { c.WebServices[0].Service = "summaries" }, "duplicate web_services[0].service"),
 		Entry("web service timeout zero", func(c *config) { c.WebServices[0].RequestTimeoutMs = 0 }, "out_of_range web_services[0].request_timeout_ms"),
 		Entry("store address without port", func(c *config) { c.Stores[0].Address = "127.3.1.1" }, "invalid stores[0].address"),
@@ -105,7 +105,7 @@
 				return &ridgeswitchv1.Route{Host: fmt.Sprint("h", i), Destination: &ridgeswitchv1.Route_Pool{Pool: "summaries"}}
 			})
 		}, "oversize routes"),
-		Entry("too many bytes in all", func(c *config) {
+		Entry("configuration of too many bytes", func(c *config) {
 			host := strings.Repeat("a", 240)
 			c.Routes = repeated(dynamic.MaxRoutes-1, func(i int) *ridgeswitchv1.Route {
 				return &ridgeswitchv1.Route{Host: host + fmt.Sprint(i), PathPrefix: "/" + host + "/", Destination: &ridgeswitchv1.Route_Pool{Pool: "summaries"}}
@@ -118,7 +118,7 @@
 		}, "out_of_range tenants[0].limits.burst", "dangling_reference pools[0].store", "duplicate routes[1].host"),
 	)
 
-	It("takes the largest number of routes and a missing configuration is a fault", func() {
+	It("accepts the largest number of routes and an empty configuration, but not a missing one", func() {
 		configuration := validConfiguration()
 		configuration.Routes = repeated(dynamic.MaxRoutes-1, func(i int) *ridgeswitchv1.Route {
 			return &ridgeswitchv1.Route{Host: fmt.Sprint("h", i), Destination: &ridgeswitchv1.Route_Pool{Pool: "summaries"}}
@@ -128,7 +128,7 @@
 		Expect(faultsOf(dynamic.Validate(nil))).To(Equal([]string{"missing configuration"}))
 	})
 
-	It("puts all faults into one problem, up to a bound", func() {
+	It("lists all faults in one problem, up to a bound", func() {
 		configuration := validConfiguration()
 		configuration.Routes = repeated(29, func(int) *ridgeswitchv1.Route { return &ridgeswitchv1.Route{Host: "h"} })
 		var faults dynamic.Errors
