--- a/internal/dataplane/health/stale_backends.go
+++ b/internal/dataplane/health/stale_backends.go
@@ -52,7 +52,7 @@
 func (s *StaleBackends) RecordRefusal(now time.Duration, replica routing.Replica, respondingInstance string) (gone bool) {
 	sameInstancePossible := replica.WeightVersion != "" && (respondingInstance == "" || respondingInstance == replica.Instance)
 	if replica.Instance != "" && !sameInstancePossible {
-		return s.RecordDenial(gossip.GoneInstance{Address: replica.Address, Instance: replica.Instance})
+		return s.RecordGoneInstance(gossip.GoneInstance{Address: replica.Address, Instance: replica.Instance})
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,9 +62,9 @@
 	return false
 }
 
-// RecordDenial records that an incarnation is gone from its address, and returns whether
+// RecordGoneInstance records that an incarnation is gone from its address, and returns whether
 // this was newly recorded. Beyond maxDenials addresses, it records nothing for further ones.
-func (s *StaleBackends) RecordDenial(denial gossip.GoneInstance) (fresh bool) {
+func (s *StaleBackends) RecordGoneInstance(denial gossip.GoneInstance) (fresh bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	instance, present := s.gone[denial.Address]
--- a/internal/dataplane/health/stale_backends_internal_test.go
+++ b/internal/dataplane/health/stale_backends_internal_test.go
@@ -44,7 +44,7 @@
 		case "refused":
 			subject.RecordRefusal(now, replica, optionalWord(event[1]))
 		case "told":
-			subject.RecordDenial(gossip.GoneInstance{Address: "a", Instance: event[1]})
+			subject.RecordGoneInstance(gossip.GoneInstance{Address: "a", Instance: event[1]})
 		case "wait":
 		default:
 			Fail("unknown event in line: " + line)
@@ -115,7 +115,7 @@
 	It("removes denials and refusals that are no longer listed, and records at most maxDenials denials", func() {
 		subject := NewStaleBackends()
 		for number := range 2 * maxDenials {
-			subject.RecordDenial(gossip.GoneInstance{Address: fmt.Sprint(number), Instance: "i-1"})
+			subject.RecordGoneInstance(gossip.GoneInstance{Address: fmt.Sprint(number), Instance: "i-1"})
 		}
 		Expect(subject.gone).To(HaveLen(maxDenials))
 		subject.RecordRefusal(0, routing.Replica{Address: "a", WeightVersion: "w1"}, "")
--- a/internal/dataplane/updates.go
+++ b/internal/dataplane/updates.go
@@ -32,7 +32,7 @@
 		s.applyReport(now, report)
 	}
 	for _, denial := range update.GoneInstances {
-		s.staleBackends.RecordDenial(denial)
+		s.staleBackends.RecordGoneInstance(denial)
 	}
 	s.health.ApplyOutcomes(now, update)
 }
