--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -87,8 +87,8 @@
 	Groups [][]memberDump `json:"groups"`
 }
 
-// jsonOf is the JSON of a message, in the order of its fields.
-func jsonOf(message proto.Message) json.RawMessage {
+// marshalJSON is the JSON of a message, in the order of its fields.
+func marshalJSON(message proto.Message) json.RawMessage {
 	data, err := protojson.Marshal(message)
 	Expect(err).NotTo(HaveOccurred())
 	var compact bytes.Buffer
@@ -96,17 +96,17 @@
 	return compact.Bytes()
 }
 
-// decoded is the JSON of an encoded message.
-func decoded(data []byte, message proto.Message) json.RawMessage {
+// decodeToJSON is the JSON of an encoded message.
+func decodeToJSON(data []byte, message proto.Message) json.RawMessage {
 	Expect(proto.Unmarshal(data, message)).To(Succeed())
-	return jsonOf(message)
+	return marshalJSON(message)
 }
 
 func stateDump(shard uint32, data []byte) json.RawMessage {
 	if shard == control.ConfigurationShard {
-		return decoded(data, &controlpb.ConfigurationState{})
+		return decodeToJSON(data, &controlpb.ConfigurationState{})
 	}
-	return decoded(data, &controlpb.ServiceState{})
+	return decodeToJSON(data, &controlpb.ServiceState{})
 }
 
 func dumpGroup(group []replication.Slot) []memberDump {
@@ -121,7 +121,7 @@
 	dumped := entryDump{Index: entry.Index, Term: entry.Term, Kind: uint8(entry.Kind)}
 	switch entry.Kind {
 	case replication.EntryCommand:
-		dumped.Command = decoded(entry.Command, &controlpb.Command{})
+		dumped.Command = decodeToJSON(entry.Command, &controlpb.Command{})
 	case replication.EntryRestore:
 		dumped.Command = stateDump(shard, entry.Command)
 	case replication.EntryGroupChange:
@@ -195,9 +195,9 @@
 	replies map[uint64]control.Reply
 	// versions are the weight versions that the replicas run.
 	versions map[string]string
-	// formedAnew is set once a node has written the restored state of a group that is
+	// groupRestored is set once a node has written the restored state of a group that is
 	// formed anew.
-	formedAnew bool
+	groupRestored bool
 }
 
 // newGoldenDeployment returns a deployment that was not started, with replicas that run
@@ -292,7 +292,7 @@
 		Expect(log.Save(save.Ready)).To(Succeed())
 	}
 	for _, entry := range save.Ready.Entries {
-		d.formedAnew = d.formedAnew || entry.Kind == replication.EntryRestore
+		d.groupRestored = d.groupRestored || entry.Kind == replication.EntryRestore
 	}
 	d.perform(node, node.machine.StorageWritten(d.now, save.Shard))
 }
@@ -356,9 +356,9 @@
 	reply := d.replies[d.tickets]
 	Expect(reply.Err).NotTo(HaveOccurred())
 	return deploymentDump{
-		Configuration: jsonOf(node.machine.Configuration()),
-		Document:      jsonOf(reply.Source),
-		Weights:       jsonOf(node.machine.WeightsStatus("summaries")),
+		Configuration: marshalJSON(node.machine.Configuration()),
+		Document:      marshalJSON(reply.Source),
+		Weights:       marshalJSON(node.machine.WeightsStatus("summaries")),
 		Groups:        [][]memberDump{d.group(0), d.group(1)},
 	}
 }
@@ -387,8 +387,8 @@
 	}
 }
 
-// useDeployment orders changes of several kinds.
-func (d *goldenDeployment) useDeployment() {
+// submitChanges orders changes of several kinds.
+func (d *goldenDeployment) submitChanges() {
 	source := &ridgeswitchv1.Source{Version: 3, Document: []byte("pools: [summaries]\n")}
 	order, err := dynamic.DocumentOrder(goldenConfiguration("w1"), source)
 	d.submit("core-1", order, err)
@@ -449,15 +449,15 @@
 type goldenScenario struct {
 	name   string
 	seeded bool
-	// happen is what the deployment went through before all nodes stopped.
-	happen func(d *goldenDeployment)
+	// prepare is what the deployment went through before all nodes stopped.
+	prepare func(d *goldenDeployment)
 }
 
 var goldenScenarios = []goldenScenario{
 	// Nodes that found each other through seeds; one has got another disk.
-	{name: "seeded", seeded: true, happen: func(d *goldenDeployment) {
+	{name: "seeded", seeded: true, prepare: func(d *goldenDeployment) {
 		d.startAll()
-		d.useDeployment()
+		d.submitChanges()
 		d.loseDisk("core-2")
 		d.run(10 * time.Second)
 		d.start("core-2")
@@ -466,25 +466,25 @@
 		d.stopAll()
 	}},
 	// Nodes of a named group; the last record of each log of one is torn.
-	{name: "torn", happen: func(d *goldenDeployment) {
+	{name: "torn", prepare: func(d *goldenDeployment) {
 		d.startAll()
-		d.useDeployment()
+		d.submitChanges()
 		d.stopAll()
 		d.tearLogs("core-3")
 	}},
 	// Two of three lost their disks, and the groups have just been formed anew.
-	{name: "recovery", happen: func(d *goldenDeployment) {
+	{name: "recovery", prepare: func(d *goldenDeployment) {
 		d.startAll()
-		d.useDeployment()
+		d.submitChanges()
 		d.loseDisk("core-2")
 		d.loseDisk("core-3")
 		d.run(5 * time.Second)
 		d.start("core-2")
 		d.start("core-3")
-		for limit := d.now + time.Minute; !d.formedAnew && d.now < limit; {
+		for limit := d.now + time.Minute; !d.groupRestored && d.now < limit; {
 			d.run(control.DefaultTickEvery)
 		}
-		Expect(d.formedAnew).To(BeTrue())
+		Expect(d.groupRestored).To(BeTrue())
 		d.stopAll()
 	}},
 }
@@ -507,7 +507,7 @@
 		It("gives the same state: "+scenario.name, func() {
 			golden := filepath.Join(goldenFolders, scenario.name)
 			if _, err := os.Stat(golden); os.Getenv(writeGolden) != "" && os.IsNotExist(err) {
-				scenario.happen(newGoldenDeployment(golden, scenario.seeded, "w1"))
+				scenario.prepare(newGoldenDeployment(golden, scenario.seeded, "w1"))
 			}
 			deployment := newGoldenDeployment(GinkgoT().TempDir(), scenario.seeded, "w2")
 			Expect(os.CopyFS(deployment.folder, os.DirFS(golden))).To(Succeed())
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -34,8 +34,8 @@
 	return listener
 }
 
-// acceptedBy tells when a first connection has come.
-func acceptedBy(listener net.Listener) <-chan error {
+// acceptOne tells when a first connection has come.
+func acceptOne(listener net.Listener) <-chan error {
 	accepted := make(chan error, 1)
 	go func() {
 		connection, err := listener.Accept()
@@ -119,8 +119,8 @@
 		addresses, err := json.Marshal([]string{known.Addr().String()})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(node.storage.disk.WriteFile(addressesFile, addresses)).To(Succeed())
-		asked := acceptedBy(known)
+		connected := acceptOne(known)
 		Expect(node.Reload(settings(func(s *static.Settings) { s.Seeds = []string{freeAddress()} }))).To(Succeed())
-		Eventually(asked, testTimeout).Should(Receive(Succeed()))
+		Eventually(connected, testTimeout).Should(Receive(Succeed()))
 	})
 })
--- a/internal/node/slow_start_test.go
+++ b/internal/node/slow_start_test.go
@@ -22,14 +22,14 @@
 		cold = 30 * time.Second
 	)
 	var view *routing.View
-	var seen *slowStart
+	var tracker *slowStart
 
 	// remaining reads a list of a service's addresses.
 	remaining := func(now time.Duration, service string, addresses ...string) []time.Duration {
 		services := []control.ServiceEndpoints{{Name: service, Endpoints: lo.Map(addresses, func(address string, _ int) control.Endpoint {
 			return control.Endpoint{Address: address}
 		})}}
-		seen.setWarmUpRemaining(now, services)
+		tracker.setWarmUpRemaining(now, services)
 		return lo.Map(services[0].Endpoints, func(replica control.Endpoint, _ int) time.Duration { return replica.WarmUpRemaining })
 	}
 
@@ -39,7 +39,7 @@
 			Pools:       map[string]*routing.Pool{"pool": {Config: &ridgeswitchv1.Pool{Service: "model", Backends: limits}}},
 			WebServices: map[string]*routing.WebService{"web": {Config: &ridgeswitchv1.WebService{Service: "pages", Backends: limits}}},
 		}
-		seen = &slowStart{view: func() *routing.View { return view }}
+		tracker = &slowStart{view: func() *routing.View { return view }}
 	})
 
 	DescribeTable("are cold from when they appear, for as long as the configuration says", func(service string) {
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	opened.disk = folder
-	opened.limits = storagelimit.For(machineOf(settings, folder))
+	opened.limits = storagelimit.For(machineResources(settings, folder))
 	if err := opened.read(settings); err != nil {
 		opened.close()
 		return nil, err
@@ -57,9 +57,9 @@
 	return opened, nil
 }
 
-// machineOf returns what the machine gives to control: the settings tell it, or else the
+// machineResources returns what the machine gives to control: the settings tell it, or else the
 // file system of the data folder tells its size.
-func machineOf(settings *static.Settings, folder *disk.Disk) storagelimit.Resources {
+func machineResources(settings *static.Settings, folder *disk.Disk) storagelimit.Resources {
 	machine := storagelimit.Resources{DiskBytes: settings.DiskBytes(), MemoryBytes: settings.MemoryBytes()}
 	if machine.DiskBytes > 0 {
 		return machine
--- a/internal/node/storage_test.go
+++ b/internal/node/storage_test.go
@@ -77,13 +77,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		log, _, err := durable.Open(folder, shardName(1))
 		Expect(err).NotTo(HaveOccurred())
-		promised := replication.HardState{Term: 7, VotedFor: "core-2", VotedForIncarnation: 1}
-		Expect(log.Save(replication.Ready{HardState: &promised})).To(Succeed())
+		vote := replication.HardState{Term: 7, VotedFor: "core-2", VotedForIncarnation: 1}
+		Expect(log.Save(replication.Ready{HardState: &vote})).To(Succeed())
 		Expect(folder.Close()).To(Succeed())
 		for range 2 {
 			opened, err := openStorage(settings)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(opened.restored[1].HardState).To(Equal(promised))
+			Expect(opened.restored[1].HardState).To(Equal(vote))
 			opened.close()
 		}
 	})
