--- a/internal/reload/watcher_test.go
+++ b/internal/reload/watcher_test.go
@@ -32,9 +32,9 @@
 		entries *logged.Hook
 		// applied are the nodes' names in the settings that were handed over.
 		applied []string
-		// refuse is what the node says of the next settings.
-		refuse error
-		target Target
+		// applyErr is what the node says of the next settings.
+		applyErr error
+		target   Target
 	)
 	began := time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
@@ -45,14 +45,14 @@
 	}
 	BeforeEach(func() {
 		path = filepath.Join(GinkgoT().TempDir(), "settings.yaml")
-		applied, refuse = nil, nil
+		applied, applyErr = nil, nil
 		logger, hook := logged.NewNullLogger()
 		entries = hook
 		target = Target{
 			Read: func() (*static.Settings, error) { return static.Load(path) },
 			Apply: func(settings *static.Settings) error {
-				if refuse != nil {
-					return refuse
+				if applyErr != nil {
+					return applyErr
 				}
 				applied = append(applied, settings.Node)
 				return nil
@@ -183,13 +183,13 @@
 	It("logs what the node says of settings that it does not take, once", func() {
 		write("node: a", began)
 		start()
-		refuse = errors.New("zone: is empty")
+		applyErr = errors.New("zone: is empty")
 		write("node: b", began.Add(time.Second))
 		watcher.poll(target)
 		watcher.poll(target)
 		Expect(applied).To(BeEmpty())
 		Expect(entries.AllEntries()).To(HaveLen(1))
-		Expect(entries.LastEntry().Data[logrus.ErrorKey]).To(MatchError(refuse))
+		Expect(entries.LastEntry().Data[logrus.ErrorKey]).To(MatchError(applyErr))
 	})
 
 	It("reports a missing file at a hangup", func() {
