--- a/internal/node/adapters.go
+++ b/internal/node/adapters.go
@@ -12,8 +12,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// driverSource implements routing.Source by the driver, which is built after the data
-// plane. The driver is set before the node runs.
+// driverSource implements routing.Source with the driver. The data plane is built before
+// the driver and gets a driverSource instead; build sets its driver before the node runs.
 type driverSource struct {
 	driver *driver.Driver
 }
@@ -27,8 +27,8 @@
 // Serving implements routing.Source.
 func (s *driverSource) Serving() error { return s.driver.Serving() }
 
-// frameReceiver passes frames to the driver. Frames that arrive before it is set are
-// dropped; the senders repeat what matters.
+// frameReceiver passes received frames to the driver. Frames that arrive before the driver
+// is set are dropped; their senders repeat those that matter.
 type frameReceiver struct {
 	driver atomic.Pointer[driver.Driver]
 }
@@ -40,10 +40,10 @@
 	}
 }
 
-// controlService runs the control driver under the supervisor. It must not be restarted
-// within the process, since the state in memory and on disk must stay in step. An error
-// that Serve returns ends the supervised loops; a panic, however, the supervisor answers
-// with a restart (see the findings in docs/ROADMAP.md).
+// controlService runs the control driver under the supervisor. The driver must not be
+// restarted within the process, because its state in memory must match the state on disk.
+// An error from Serve therefore terminates the whole supervisor tree. After a panic,
+// however, the supervisor restarts the service (see the findings in docs/ROADMAP.md).
 type controlService struct {
 	driver *driver.Driver
 }
--- a/internal/node/addresses.go
+++ b/internal/node/addresses.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// addressesFile holds the internal addresses of other nodes with disks.
+	// addressesFile is the file that contains the internal addresses of other nodes with disks.
 	addressesFile = "addresses"
-	// addressesInterval is how often they are compared with the file.
+	// addressesInterval is how often the known addresses are compared with the file.
 	addressesInterval = 5 * time.Second
 )
 
-// seeds returns those of the settings, followed by the nodes with disks that the node
-// knew before it stopped: seeds may be down, or name machines that are gone.
+// seeds returns the seeds from the settings, followed by the stored addresses of nodes with
+// disks that this node knew before it stopped. The stored addresses help when the seeds are
+// down or name machines that no longer exist.
 func (s *storage) seeds(settings *static.Settings) []string {
 	if s.disk == nil || !settings.Seeded() {
 		return settings.Seeds
 	}
 	stored, err := readAddresses(s.disk)
 	if err != nil {
-		// They only help to find others; the settings' seeds are enough.
+		// The stored addresses are optional: the seeds from the settings are enough.
 		return settings.Seeds
 	}
 	return lo.Uniq(slices.Concat(settings.Seeds, stored))
 }
 
-// readAddresses reads the file of addresses.
+// readAddresses returns the addresses in addressesFile.
 func readAddresses(folder *disk.Disk) ([]string, error) {
 	data, err := folder.ReadFile(addressesFile)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return addresses, errors.Wrap(err, "read the addresses of other nodes")
 }
 
-// addressService saves the addresses of other nodes with disks in the data folder.
+// addressService keeps addressesFile in the data folder up to date.
 type addressService struct {
 	storage *storage
 	driver  *driver.Driver
@@ -69,8 +70,9 @@
 	}
 }
 
-// write updates the file and returns its content. A node that knows no other one leaves
-// the file as it is: it may be partitioned.
+// write updates the file if the known addresses differ from written, and returns the
+// addresses that the file then contains. A node that knows no other node may be partitioned
+// and leaves the file unchanged.
 func (s *addressService) write(written []string) []string {
 	addresses := s.driver.CoreNodeAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, written) {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// maxUnsent is how many attempts that could not be sent do not count among the
+	// maxUnsent is how many attempts that could not be sent are not counted as
 	// attempts of a request.
 	maxUnsent = 3
-	// budgetMargin is how many nodes may have started without this one knowing it, when
-	// the slack of the retry budget is divided among the nodes.
+	// budgetMargin is how many additional live nodes, which this node may not know of yet,
+	// are counted when the slack of the retry budget is divided among the nodes.
 	budgetMargin = 2
-	// maxEjectionFactor is the longest ejection of a back end that goes on failing, as a
-	// multiple of the first one.
+	// maxEjectionFactor is the longest ejection of a back end that keeps failing, as a
+	// multiple of its first ejection.
 	maxEjectionFactor = 8
-	// percent turns percentages of the settings into fractions.
+	// percent divides percentages from the settings to give fractions.
 	percent = 100.0
 )
 
-// build makes the parts in the order in which they need each other: storage, data plane,
-// gossip, control machine, transport and driver, and the listeners of operators. Those
-// that need the driver before it exists (driverSource, health, commander, gossip,
-// endpoints, frameReceiver) get it once it is built. Of these only frameReceiver is called
-// before, and drops frames.
+// build creates the components in the order of their dependencies: storage, data plane,
+// gossip, control machine, transport and driver, and the operators' listeners. Components
+// that are created before the driver and depend on it (driverSource, health, commander,
+// gossip, endpoints, frameReceiver) get it once it is built. Of these, only frameReceiver
+// may be called before that; it drops the frames.
 func (n *Node) build() error {
 	var err error
 	n.storage, err = openStorage(n.settings)
@@ -62,8 +62,8 @@
 	return n.buildOperators()
 }
 
-// buildDataplane makes the server for callers. A node that serves no callers has it as
-// well, and never starts it.
+// buildDataplane creates the server for callers. A node that serves no callers has this
+// server too, but never starts it.
 func (n *Node) buildDataplane(source *driverSource) error {
 	live := func() int { return max(1, len(source.peers())) }
 	var err error
@@ -148,8 +148,9 @@
 	return nil
 }
 
-// operatorHandler returns the handler for operators: that of the product's own protocol,
-// or that of Edges.Operator with the product's queries beside it.
+// operatorHandler returns the handler for operators: the handler of the product's own
+// protocol or, if Edges.Operator is set, the handler that it returns with the product's
+// queries added.
 func (n *Node) operatorHandler() (http.Handler, error) {
 	metricsHandler, err := metrics.NewHandler(n.driver, n.dataplane, n.transport)
 	if err != nil {
--- a/internal/node/commander.go
+++ b/internal/node/commander.go
@@ -15,21 +15,21 @@
 const (
 	// replicaCallTimeout bounds one control call to a replica.
 	replicaCallTimeout = 2 * time.Second
-	// maxReplicaCalls bounds the control calls that run at once.
+	// maxReplicaCalls limits the number of concurrent control calls.
 	maxReplicaCalls = 256
 )
 
-// errTooManyCalls means that a control call was not made.
+// errTooManyCalls means that a control call was not made because maxReplicaCalls were running.
 var errTooManyCalls = errors.New("too many control calls to replicas are under way")
 
-// commander implements driver.Commander: it requests reports of replicas and sends them
-// commands, each call in a goroutine of its own. Nothing waits for these goroutines: each
+// commander implements driver.Commander: it requests reports from replicas and sends them
+// commands, each call in its own goroutine. Nothing waits for these goroutines: each
 // call has a time limit, and the driver ignores results after it has stopped.
 type commander struct {
 	replicas ReplicaCommander
 	driver   *driver.Driver
 	log      *logrus.Entry
-	// slots has a token for each call that runs.
+	// slots contains one element for each running call.
 	slots chan struct{}
 }
 
@@ -46,8 +46,9 @@
 	go func() { c.driver.CommandDone(command, c.send(command)) }()
 }
 
-// send checks the command lease (command.Deadline) again at the moment of sending, on the
-// clock that counts suspended time; the call itself ends with the lease.
+// send sends a command and returns its outcome. Immediately before sending, it checks the
+// command lease (command.Deadline) again, on the clock that includes suspended time. The
+// call is cancelled when the lease ends.
 func (c *commander) send(command control.Command) control.CommandOutcome {
 	if !c.acquireSlot() {
 		return control.CommandNotSent
@@ -70,8 +71,8 @@
 	return outcome
 }
 
-// RequestReport implements driver.Commander. The figures of a report count as measured when
-// the request was sent, less the age that they may have.
+// RequestReport implements driver.Commander. The values of a report count as measured when
+// the request was sent, less the age of the report.
 func (c *commander) RequestReport(request control.ReportRequest) {
 	go func() {
 		report, err := c.report(request)
@@ -83,7 +84,7 @@
 	}()
 }
 
-// report requests the report of a replica and adds when it was measured.
+// report requests the report of a replica and sets its Address and MeasuredAt.
 func (c *commander) report(request control.ReportRequest) (control.ReplicaReport, error) {
 	if !c.acquireSlot() {
 		return control.ReplicaReport{}, errTooManyCalls
@@ -101,7 +102,7 @@
 	return report, nil
 }
 
-// acquireSlot reserves one of maxReplicaCalls; it returns false if all are in use.
+// acquireSlot reserves one of the maxReplicaCalls slots. It returns false if all are in use.
 func (c *commander) acquireSlot() bool {
 	select {
 	case c.slots <- struct{}{}:
--- a/internal/node/control_config.go
+++ b/internal/node/control_config.go
@@ -9,9 +9,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// controlConfig returns the configuration of the control machine, as far as it follows
-// from the settings and the data folder. The incarnation is the wall clock in milliseconds,
-// so that it is above those of earlier processes of the node, which nothing stores.
+// controlConfig returns the part of the control machine's configuration that depends on the
+// settings and the data folder. The member incarnation is the wall clock in milliseconds:
+// the incarnations of the node's earlier processes are not stored, and a later process needs
+// a higher one.
 func controlConfig(settings *static.Settings, stored *storage) control.Config {
 	config := control.Config{
 		Self: member.Info{
@@ -45,8 +46,8 @@
 	return config
 }
 
-// trafficAddress is where the node serves callers, as it tells others; empty if
-// it serves none.
+// trafficAddress returns the address for callers that the node announces to other nodes, or
+// an empty string if it serves no callers.
 func trafficAddress(settings *static.Settings) string {
 	if settings.ControlOnly {
 		return ""
@@ -54,8 +55,8 @@
 	return settings.Traffic
 }
 
-// groupZones returns the zones of the nodes with disks, or nothing when the
-// settings do not tell them.
+// groupZones returns the zone of each node of the group, or an empty map if the settings do
+// not give the zones.
 func groupZones(settings *static.Settings) map[member.ID]string {
 	zones := map[member.ID]string{}
 	for position, zone := range settings.GroupZones {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,24 +11,24 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/control/driver"
 )
 
-// endpointReadTimeout bounds one reading of the platform's endpoint list with all its pages.
+// endpointReadTimeout limits one read of the platform's endpoint list, including all its pages.
 const endpointReadTimeout = 1500 * time.Millisecond
 
 // endpointLoader implements driver.EndpointReader: it reads the platform's endpoint list
-// when control asks for it. Nothing waits for its goroutine, which ends within
-// endpointReadTimeout.
+// when control requests it. Nothing waits for the goroutine that reads the list; it ends
+// within endpointReadTimeout.
 type endpointLoader struct {
 	reader EndpointReader
 	driver *driver.Driver
 	log    *logrus.Entry
 }
 
-// ReadEndpoints implements driver.EndpointReader. Control asks for one reading at a time.
+// ReadEndpoints implements driver.EndpointReader. Control requests one read at a time.
 func (l *endpointLoader) ReadEndpoints() {
 	go func() { l.driver.EndpointsRead(l.read()) }()
 }
 
-// read reads the list once. A failure is part of the result.
+// read reads the list once. Err in the result is set if that fails.
 func (l *endpointLoader) read() control.EndpointReading {
 	ctx, cancel := context.WithTimeout(context.Background(), endpointReadTimeout)
 	defer cancel()
--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -23,23 +23,23 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// The golden data folders were written by an earlier release, and are never written
-// anew: a later release has to find the same state in them. To add a scenario, run
-// the specs once with writeGolden set, and keep the new folders alone.
+// The golden data folders were written by an earlier release and must never be rewritten:
+// later releases must read the same state from them. To add a scenario, run the specs once
+// with the environment variable writeGolden set, and commit only the new folders.
 const (
 	goldenFolders = "testdata/folders"
 	writeGolden   = "RIDGESWITCH_WRITE_GOLDEN"
-	// goldenLogEntries makes shards write snapshots after few entries.
+	// goldenLogEntries is small so that shards write snapshots after few entries.
 	goldenLogEntries = 6
-	// tornBytes is how much of its newest record a torn log lacks.
+	// tornBytes is how many bytes are cut from the newest record of a torn log.
 	tornBytes = 5
 )
 
-// replicaAddresses are those of the replicas in the golden deployments.
+// replicaAddresses are the addresses of the replicas in the golden deployments.
 var replicaAddresses = []string{"127.2.0.1:8000", "127.2.0.2:8000", "127.2.0.3:8000"}
 
-// The dumps name what a folder holds by keys of their own, so that they stay when
-// identifiers of the program change.
+// folderDump is the content of a data folder. The dump types have their own JSON keys, so
+// that the golden files stay valid when identifiers in the program are renamed.
 type folderDump struct {
 	Incarnation uint64      `json:"incarnation"`
 	Founders    []string    `json:"founders,omitempty"`
@@ -77,17 +77,17 @@
 	Command json.RawMessage `json:"command,omitempty"`
 }
 
-// deploymentDump is the state that the nodes of a deployment agree on once they run
+// deploymentDump is the state that all nodes of a deployment serve after they were started
 // on their folders.
 type deploymentDump struct {
 	Configuration json.RawMessage `json:"configuration"`
 	Document      json.RawMessage `json:"document"`
 	Weights       json.RawMessage `json:"weights"`
-	// Groups are the groups of the shards, as their leaders know them.
+	// Groups contains the group of each shard, as its leader knows it.
 	Groups [][]memberDump `json:"groups"`
 }
 
-// marshalJSON is the JSON of a message, in the order of its fields.
+// marshalJSON returns the compact JSON of a message, in the order of its fields.
 func marshalJSON(message proto.Message) json.RawMessage {
 	data, err := protojson.Marshal(message)
 	Expect(err).NotTo(HaveOccurred())
@@ -96,7 +96,7 @@
 	return compact.Bytes()
 }
 
-// decodeToJSON is the JSON of an encoded message.
+// decodeToJSON decodes data into message and returns the JSON of the message.
 func decodeToJSON(data []byte, message proto.Message) json.RawMessage {
 	Expect(proto.Unmarshal(data, message)).To(Succeed())
 	return marshalJSON(message)
@@ -129,7 +129,7 @@
 	case replication.EntryBarrier:
 		Expect(entry.Command).To(BeEmpty())
 	default:
-		Fail(fmt.Sprintf("an entry of kind %d", entry.Kind))
+		Fail(fmt.Sprintf("unknown entry kind %d", entry.Kind))
 	}
 	return dumped
 }
@@ -157,14 +157,15 @@
 	return dumped
 }
 
-// goldenNode is a node on a data folder, without network and in virtual time.
+// goldenNode is a node with a data folder, without a network and in virtual time.
 type goldenNode struct {
 	settings *static.Settings
 	storage  *storage
 	machine  *control.Machine
 }
 
-// dump is what the node found in its folder; it is taken before the node runs.
+// dump returns the content that the node read from its folder. It is called before the node
+// runs.
 func (n *goldenNode) dump() folderDump {
 	dumped := folderDump{
 		Incarnation: n.storage.incarnation,
@@ -177,7 +178,7 @@
 	return dumped
 }
 
-// idleTraffic is traffic without a request.
+// idleTraffic reports that no request is in flight.
 type idleTraffic struct{}
 
 func (idleTraffic) InFlight(string) int { return 0 }
@@ -188,20 +189,20 @@
 	seeded bool
 	now    time.Duration
 	nodes  map[string]*goldenNode
-	// names are those of all nodes, in the order in which they run.
+	// names are the names of all nodes, in the order in which their ticks run.
 	names   []string
 	sends   []control.Send
 	tickets uint64
 	replies map[uint64]control.Reply
 	// versions are the weight versions that the replicas run.
 	versions map[string]string
-	// groupRestored is set once a node has written the restored state of a group that is
-	// formed anew.
+	// groupRestored is set once a node has written an EntryRestore, which contains the
+	// state of a group that is formed again after a loss of disks.
 	groupRestored bool
 }
 
-// newGoldenDeployment returns a deployment that was not started, with replicas that run
-// a weight version.
+// newGoldenDeployment returns a deployment that is not started, whose replicas run the
+// weight version weights.
 func newGoldenDeployment(folder string, seeded bool, weights string) *goldenDeployment {
 	deployment := &goldenDeployment{
 		folder: folder,
@@ -233,7 +234,7 @@
 	return settings
 }
 
-// start starts a node on its folder.
+// start starts a node with its existing folder, or with a new one.
 func (d *goldenDeployment) start(name string) *goldenNode {
 	settings := d.settings(name)
 	opened, err := openStorage(settings)
@@ -248,7 +249,7 @@
 	return started
 }
 
-// stop ends a node's process without notice.
+// stop closes the storage of a node and removes the node, as when its process is killed.
 func (d *goldenDeployment) stop(name string) {
 	if running := d.nodes[name]; running != nil {
 		running.storage.close()
@@ -297,7 +298,7 @@
 	d.perform(node, node.machine.StorageWritten(d.now, save.Shard))
 }
 
-// reading is the list of replicas.
+// reading returns a list with all replicas.
 func (d *goldenDeployment) reading() control.EndpointReading {
 	service := control.ServiceEndpoints{Name: "summaries"}
 	for _, address := range replicaAddresses {
@@ -306,7 +307,8 @@
 	return control.EndpointReading{StartedAt: d.now, Services: []control.ServiceEndpoints{service}}
 }
 
-// run lets time pass. Messages arrive at the next tick, in the order of sending.
+// run advances the virtual time by duration. The messages of a tick are delivered, in the
+// order of sending, after all nodes have run the tick.
 func (d *goldenDeployment) run(duration time.Duration) {
 	for end := d.now + duration; d.now < end; d.now += control.DefaultTickEvery {
 		for _, name := range d.names {
@@ -334,7 +336,7 @@
 	return nil
 }
 
-// submit has a node take an order, and expects that it is accepted.
+// submit submits an order to a node and expects that the order is accepted.
 func (d *goldenDeployment) submit(name string, order *controlpb.Order, err error) {
 	Expect(err).NotTo(HaveOccurred())
 	d.tickets++
@@ -347,7 +349,7 @@
 	Expect(reply.Answer.GetRevision()).NotTo(BeZero())
 }
 
-// dump is the state that a node serves, once the deployment runs.
+// dump returns the state that a running node serves.
 func (d *goldenDeployment) dump(name string) deploymentDump {
 	node := d.nodes[name]
 	d.tickets++
@@ -363,18 +365,18 @@
 	}
 }
 
-// group is that of a shard.
+// group returns the group of a shard, as its leader knows it.
 func (d *goldenDeployment) group(shard uint32) []memberDump {
 	for _, name := range d.names {
 		if group, leads := d.nodes[name].machine.GroupSlots(shard); leads {
 			return dumpGroup(group)
 		}
 	}
-	Fail(fmt.Sprintf("nobody leads shard %d", shard))
+	Fail(fmt.Sprintf("shard %d has no leader", shard))
 	return nil
 }
 
-// goldenConfiguration is the configuration of the golden deployments.
+// goldenConfiguration returns the configuration of the golden deployments.
 func goldenConfiguration(weights string) *ridgeswitchv1.Configuration {
 	return &ridgeswitchv1.Configuration{
 		Tenants: []*ridgeswitchv1.Tenant{{Name: "registry", Limits: &ridgeswitchv1.Limits{
@@ -387,7 +389,7 @@
 	}
 }
 
-// submitChanges orders changes of several kinds.
+// submitChanges submits a document, evacuations and a weights order.
 func (d *goldenDeployment) submitChanges() {
 	source := &ridgeswitchv1.Source{Version: 3, Document: []byte("pools: [summaries]\n")}
 	order, err := dynamic.DocumentOrder(goldenConfiguration("w1"), source)
@@ -417,7 +419,7 @@
 	Expect(os.RemoveAll(filepath.Join(d.folder, name))).To(Succeed())
 }
 
-// writeAddresses has all nodes keep the addresses of the others, as a running node does.
+// writeAddresses writes addressesFile of all nodes, as addressService does in a running node.
 func (d *goldenDeployment) writeAddresses() {
 	for _, name := range d.names {
 		node := d.nodes[name]
@@ -427,7 +429,7 @@
 	}
 }
 
-// tearLogs cuts the newest record of each shard of a node.
+// tearLogs truncates the newest record of each shard of a node.
 func (d *goldenDeployment) tearLogs(name string) {
 	for _, shard := range []string{"shard-000", "shard-001"} {
 		path := filepath.Join(d.folder, name, shard)
@@ -445,16 +447,16 @@
 	return info
 }
 
-// A goldenScenario leads to the folders below goldenFolders/name.
+// goldenScenario is the history of a deployment whose folders are below goldenFolders/name.
 type goldenScenario struct {
 	name   string
 	seeded bool
-	// prepare is what the deployment went through before all nodes stopped.
+	// prepare runs the deployment through the scenario and stops all nodes.
 	prepare func(d *goldenDeployment)
 }
 
 var goldenScenarios = []goldenScenario{
-	// Nodes that found each other through seeds; one has got another disk.
+	// The nodes find each other through seeds; one of them then gets an empty disk.
 	{name: "seeded", seeded: true, prepare: func(d *goldenDeployment) {
 		d.startAll()
 		d.submitChanges()
@@ -465,14 +467,15 @@
 		d.writeAddresses()
 		d.stopAll()
 	}},
-	// Nodes of a named group; the last record of each log of one is torn.
+	// The settings name the group; the last record of each log of one node is torn.
 	{name: "torn", prepare: func(d *goldenDeployment) {
 		d.startAll()
 		d.submitChanges()
 		d.stopAll()
 		d.tearLogs("core-3")
 	}},
-	// Two of three lost their disks, and the groups have just been formed anew.
+	// Two of three nodes lose their disks, and all nodes stop just after the first
+	// EntryRestore was written.
 	{name: "recovery", prepare: func(d *goldenDeployment) {
 		d.startAll()
 		d.submitChanges()
@@ -489,7 +492,8 @@
 	}},
 }
 
-// checkGolden compares a dump with the golden one.
+// checkGolden compares a dump with the golden file at path. If the file does not exist and
+// writeGolden is set, checkGolden writes it.
 func checkGolden(path string, dump any) {
 	data, err := json.MarshalIndent(dump, "", "  ")
 	Expect(err).NotTo(HaveOccurred())
@@ -502,9 +506,9 @@
 	ExpectWithOffset(1, string(data)).To(Equal(string(golden)))
 }
 
-var _ = Describe("A data folder of an earlier release", func() {
+var _ = Describe("A data folder that an earlier release wrote", func() {
 	for _, scenario := range goldenScenarios {
-		It("gives the same state: "+scenario.name, func() {
+		It("is read with the same state: "+scenario.name, func() {
 			golden := filepath.Join(goldenFolders, scenario.name)
 			if _, err := os.Stat(golden); os.Getenv(writeGolden) != "" && os.IsNotExist(err) {
 				scenario.prepare(newGoldenDeployment(golden, scenario.seeded, "w1"))
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -11,12 +11,13 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/member"
 )
 
-// gossipInterval is how often a node sends the others an update about its traffic, if
-// there is any.
+// gossipInterval is how often a node sends an update about its traffic to the other nodes,
+// if it has one.
 const gossipInterval = 50 * time.Millisecond
 
-// gossipService spreads updates about traffic: it sends those of this node and relays
-// those of others. The supervisor runs Serve; ReceiveBatch is called by the control driver.
+// gossipService distributes updates about traffic: it sends the updates of this node and
+// relays the updates of other nodes. The supervisor runs Serve; the control driver calls
+// ReceiveBatch.
 type gossipService struct {
 	// dataplane is nil on a node that serves no callers, which only relays updates.
 	dataplane *dataplane.Server
@@ -27,7 +28,8 @@
 	relayer *gossip.Relayer
 }
 
-// newGossipService returns the service of a node. The driver is set before it serves.
+// newGossipService returns the gossip service of a node. Its driver must be set before
+// Serve is called.
 func newGossipService(id member.ID, zone string, server *dataplane.Server) *gossipService {
 	return &gossipService{dataplane: server, relayer: gossip.NewRelayer(id, zone)}
 }
@@ -46,8 +48,8 @@
 	}
 }
 
-// sendDue sends the update of this node, the updates that it relays, and the messages of
-// snapshots.
+// sendDue sends the update of this node, the updates that it relays, and the snapshot
+// messages that are due.
 func (s *gossipService) sendDue() {
 	live := s.driver.LiveNodes()
 	var update gossip.Update
@@ -72,8 +74,8 @@
 	return s.relayer.Flush(live)
 }
 
-// ReceiveBatch implements driver.TrafficReceiver: a batch is a message of a snapshot, or
-// updates to apply and to relay.
+// ReceiveBatch implements driver.TrafficReceiver. A batch is either a snapshot message or a
+// list of updates to apply and relay.
 func (s *gossipService) ReceiveBatch(batch gossip.Batch) {
 	if batch.Stage.Direct() {
 		if s.dataplane != nil {
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -9,13 +9,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/dataplane"
 )
 
-// errAwaitingSnapshot is the reason why a node that has just started is not ready.
+// errAwaitingSnapshot is returned by Ready while a node that has just started waits for the
+// snapshot of what back ends keep.
 var errAwaitingSnapshot = errors.New("the node is still learning from others what back ends keep; it is ready within seconds")
 
-// errDraining is the reason why a stopping node is not ready.
+// errDraining is returned by Ready while the node is stopping.
 var errDraining = errors.New("the node is draining; use another one")
 
-// health is the health check of the node. Its fields but draining are set before the
+// health is the health check of the node. All fields except draining are set before the
 // node runs.
 type health struct {
 	driver *driver.Driver
--- a/internal/node/heap_growth.go
+++ b/internal/node/heap_growth.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// heapGrowthInterval is how often the growth of the heap is adapted to the number of
-	// live nodes.
+	// heapGrowthInterval is how often the heap growth is adapted to the number of live
+	// nodes.
 	heapGrowthInterval = 2 * time.Second
-	// smallFleet is the number of live nodes up to which the setting holds as it is.
+	// smallFleet is the number of live nodes up to which the setting is used unchanged.
 	smallFleet = 80
-	// nodesPerPercent is how many nodes beyond smallFleet add one percent to the growth.
+	// nodesPerPercent is how many nodes beyond smallFleet add one percentage point to the
+	// heap growth.
 	nodesPerPercent = 2
-	// maxExtraGrowth bounds what they add, in percent.
+	// maxExtraGrowth limits how much the nodes beyond smallFleet add, in percentage points.
 	maxExtraGrowth = 120
 )
 
-// heapGrowth is a supervised loop. It lets the heap grow further between two collections
-// (see debug.SetGCPercent) where there are many nodes. Their gossip about
-// traffic is decoded and dropped again at each of them, so that garbage grows
-// with the fleet, and with it the processor time of collections, while the live heap
-// grows little.
+// heapGrowth is a supervised loop that lets the heap grow further between two garbage
+// collections (see debug.SetGCPercent) in large fleets. Every node decodes the traffic
+// gossip of all nodes and drops it again. In a larger fleet this makes more garbage and costs
+// more processor time in collections, while the live heap grows little.
 type heapGrowth struct {
-	// percent is the setting, which holds up to smallFleet nodes.
+	// percent is the setting, which is used unchanged up to smallFleet nodes.
 	percent int
 	driver  *driver.Driver
 }
@@ -52,8 +52,8 @@
 // String implements fmt.Stringer for the supervisor's messages.
 func (h *heapGrowth) String() string { return "growth of the heap" }
 
-// growthFor returns the growth of the heap, in percent, for a number of live nodes. The
-// first argument is the setting.
+// growthFor returns the heap growth in percent (see debug.SetGCPercent) for a number of
+// live nodes. The argument percent is the setting.
 func growthFor(percent, nodes int) int {
 	return percent + min(max(nodes-smallFleet, 0)/nodesPerPercent, maxExtraGrowth)
 }
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -15,22 +15,23 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// identityFile marks a data folder as initialised.
+// identityFile is the file whose presence marks a data folder as initialised.
 const identityFile = "identity"
 
-// identity is the content of the identity file. Folders of earlier releases must stay
-// readable, see testdata/folders.
+// identity is the content of the identity file. Folders that earlier releases wrote must
+// stay readable; see testdata/folders.
 type identity struct {
 	Node string `json:"node"`
-	// Incarnation distinguishes the folders that the node has had; that of a
-	// founder's first folder is replication.FoundingIncarnation. The key has an
-	// older name, since a file without it would be read as a founder's.
+	// Incarnation distinguishes the folders that the node has had; the first folder of
+	// a founder has replication.FoundingIncarnation. The JSON key keeps its older name
+	// because a file without this key is read as the file of a founder.
 	Incarnation uint64 `json:"life"`
-	// Founders are the founding voters of the groups that the node has helped to
-	// form through seeds; empty on a node that joined them.
+	// Founders are the founding voters of the groups if this node formed them together
+	// with the other seeds; empty on a node that joined the groups later.
 	Founders []string `json:"founders,omitempty"`
-	// Shards is how many shards have files in the folder, from shard 0 on. It is
-	// written after the files, and before anything is sent of their shards.
+	// Shards is the number of shards that have files in the folder, counted from shard
+	// 0. It is written after these files, and before the node sends any message of these
+	// shards.
 	Shards uint32 `json:"shards,omitempty"`
 }
 
@@ -46,9 +47,9 @@
 	return fmt.Sprintf("data folder %s belongs to node %q and not to %q; point data_folder at this node's own folder", e.Folder, e.Found, e.Expected)
 }
 
-// Initialise marks an empty data folder as that of a founding member, which may
-// vote. It is run once on each node with a disk when a deployment is first set
-// up, and never on a machine that replaces another.
+// Initialise marks an empty data folder as the folder of a founding member, which may
+// vote. Operators run it once on each node with a disk when they set up a deployment, and
+// never on a machine that replaces another.
 func Initialise(settings *static.Settings) error {
 	if !settings.HasDisk() {
 		return errors.New("the settings name no data_folder; only nodes with disks are initialised")
@@ -75,9 +76,9 @@
 	return err
 }
 
-// createIdentity makes a new identity durable in a folder that can't vote under a former
-// incarnation. Initialised says that the folder had an identity before. Groups are formed
-// only in a folder that nothing was ever written to.
+// createIdentity writes a new identity to a folder that must not vote under an earlier
+// incarnation, and makes it durable. The argument initialised says whether the folder had an
+// identity before. The node becomes a founder only if nothing was ever written to the folder.
 func createIdentity(folder *disk.Disk, settings *static.Settings, initialised bool) (identity, error) {
 	empty, err := folder.Empty()
 	if err != nil {
@@ -93,8 +94,8 @@
 	return writeIdentity(folder, settings, incarnation)
 }
 
-// createFounder makes the identity of a founder durable. The order of the founders
-// must not depend on that of the seeds in the settings.
+// createFounder writes the identity of a founder and makes it durable. The founders are
+// sorted, because their order must not depend on the order of the seeds in the settings.
 func createFounder(folder *disk.Disk, settings *static.Settings) (identity, error) {
 	founder := identity{
 		Node:        settings.MemberID(),
@@ -104,9 +105,9 @@
 	return founder, founder.write(folder)
 }
 
-// newIncarnation draws the incarnation of a folder that must not vote under a former one:
-// it was found empty, or had lost files of a shard. It is random, since the incarnations of
-// lost folders are not known.
+// newIncarnation returns a random incarnation for a folder that must not vote under an
+// earlier one, because it was empty or had lost the files of a shard. The incarnation is
+// random because those of lost folders are not known.
 func newIncarnation() (uint64, error) {
 	var drawn [8]byte
 	if _, err := rand.Read(drawn[:]); err != nil {
@@ -115,23 +116,24 @@
 	return max(binary.BigEndian.Uint64(drawn[:]), replication.FoundingIncarnation+1), nil
 }
 
-// writeIdentity makes an identity durable. Nothing may be sent under it before.
+// writeIdentity writes an identity and makes it durable. The node may send nothing under an
+// identity before it is durable.
 func writeIdentity(folder *disk.Disk, settings *static.Settings, incarnation uint64) (identity, error) {
 	written := identity{Node: settings.MemberID(), Incarnation: incarnation}
 	return written, written.write(folder)
 }
 
-// write makes an identity durable in place of the one that the folder has.
+// write replaces the identity in the folder and makes the new one durable.
 func (i identity) write(folder *disk.Disk) error {
 	data, err := json.Marshal(i)
 	if err != nil {
-		return errors.Wrap(err, "encode the identity")
+		return errors.Wrap(err, "encode the identity of the data folder")
 	}
 	return folder.WriteFile(identityFile, data)
 }
 
-// readIdentity returns the identity of a data folder. Initialised is false if the folder
-// has none. The error is a *ForeignDataError if the folder belongs to another node.
+// readIdentity returns the identity of a data folder. The result initialised is false if the
+// folder has no identity. The error is a *ForeignDataError if the folder belongs to another node.
 func readIdentity(folder *disk.Disk, settings *static.Settings) (stored identity, initialised bool, err error) {
 	data, err := folder.ReadFile(identityFile)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -147,7 +149,7 @@
 		return identity{}, false, &ForeignDataError{Folder: settings.DataFolder, Found: stored.Node, Expected: settings.MemberID()}
 	}
 	if stored.Incarnation == 0 {
-		// Written by init before incarnations were numbered.
+		// The file was written by the init command of a release without incarnations.
 		stored.Incarnation = replication.FoundingIncarnation
 	}
 	return stored, true, nil
--- a/internal/node/native_edges.go
+++ b/internal/node/native_edges.go
@@ -14,8 +14,9 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-// withDefaults fills in the product's own protocols with the platform and with
-// replicas. The function view returns the view of the node, or nil before the first one.
+// withDefaults sets Endpoints and Replicas, where they are not set, to the product's own
+// protocols. The function view returns the routing view of the node, or nil if there is none
+// yet.
 func (e Edges) withDefaults(platformAddress string, view func() *routing.View) Edges {
 	sender := outbound.New(outbound.Options{Name: "control"})
 	if e.Endpoints == nil {
@@ -27,8 +28,8 @@
 	return e
 }
 
-// nativeEndpoints reads the platform's endpoint list by the product's own protocol. One
-// goroutine at a time may use it.
+// nativeEndpoints reads the platform's endpoint list with the product's own protocol. It is
+// not safe for concurrent use.
 type nativeEndpoints struct {
 	client    *platform.Client
 	slowStart slowStart
@@ -45,7 +46,7 @@
 	return services, nil
 }
 
-// serviceEndpoints returns a listed service in the terms of control.
+// serviceEndpoints converts a service of the platform's list to the type of package control.
 func serviceEndpoints(service platform.Service, _ int) control.ServiceEndpoints {
 	return control.ServiceEndpoints{
 		Name: service.Name,
@@ -59,7 +60,7 @@
 	}
 }
 
-// nativeReplicas speaks to replicas by the product's own protocol.
+// nativeReplicas implements ReplicaCommander with the product's own protocol.
 type nativeReplicas struct {
 	client *replica.CommandClient
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// leaveDelay is how long a stopping node goes on sending after it has left, so that
-	// its last messages are sent.
+	// leaveDelay is how long a stopping node continues to run after it has left the
+	// membership, so that its last messages are sent.
 	leaveDelay = 200 * time.Millisecond
 	// readinessDelay is how long a stopping node still accepts connections after its
 	// readiness check fails, so that load balancers can choose other nodes first.
 	readinessDelay = time.Second
 )
 
-// Node is one running node. New makes it, and Run ends it. Its fields are set by New and
-// not changed afterwards, but for seeds.
+// Node is one node of a deployment. New creates it; after Run has returned, it cannot be
+// used again. New sets all fields; only seeds is changed afterwards.
 type Node struct {
 	settings *static.Settings
 	edges    Edges
@@ -43,13 +43,13 @@
 	health    *health
 	commander *commander
 	endpoints *endpointLoader
-	// seeds are those in use. Only Reload uses them, in one goroutine.
+	// seeds are the seeds in use. Only Reload accesses them after New, from one goroutine.
 	seeds []string
 }
 
-// New builds a node from checked settings and the protocols that it speaks. It
-// listens for other nodes at once, and for callers and operators when Run is
-// called.
+// New builds a node from validated settings and its protocols with external systems. The
+// node accepts connections of other nodes at once, and those of callers and operators when
+// Run is called.
 func New(settings *static.Settings, edges Edges, log *logrus.Entry) (*Node, error) {
 	node := &Node{settings: settings, log: log, health: &health{}, seeds: settings.Seeds}
 	node.edges = edges.withDefaults(settings.PlatformAddress, node.view)
@@ -74,15 +74,15 @@
 	return n.driver.View()
 }
 
-// Run serves until the context ends; then it drains and leaves. It returns nil after an
-// orderly stop, and the error of a listener that fails.
+// Run serves until the context ends, and then drains the node and leaves the membership. It
+// returns nil after an orderly stop, or the error of a listener that fails.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.close()
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	// Buffered for all listeners, so that their goroutines end without a reader.
+	// The buffer has room for all listeners, so that their goroutines end without a reader.
 	failed := make(chan error, len(n.operators)+1)
-	// What is supervised outlives ctx: it has to drain.
+	// The supervised loops must run until the drain is complete, after ctx has ended.
 	finished := n.supervise(background) //nolint:contextcheck // see above
 	for _, server := range n.operators {
 		go func() { failed <- errors.Wrap(server.Start(), "operators' listener") }()
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// supervise starts the supervised loops and returns a channel that closes when
-// they have ended.
+// supervise starts the supervised loops and returns a channel that is closed when they have
+// ended.
 func (n *Node) supervise(ctx context.Context) <-chan struct{} {
 	supervisor := suture.New("node "+n.settings.Node, suture.Spec{EventHook: n.logEvent})
 	supervisor.Add(&controlService{driver: n.driver})
@@ -122,16 +122,16 @@
 	return finished
 }
 
-// logEvent logs that a supervised loop has ended.
+// logEvent logs an event of the supervisor, such as the end of a supervised loop.
 func (n *Node) logEvent(event suture.Event) {
 	n.log.WithField("event", event.Map()).Error(event.String())
 }
 
-// drain turns readiness off, transfers leadership, waits up to the drain time for running
-// requests, leaves the membership and stops the listeners. Leadership goes first, so that
-// its new owners command replicas and acknowledge changes while requests still finish here.
-// The node leaves only after its requests: until then it confirms which replicas it has
-// drained.
+// drain makes the readiness check fail, transfers leadership, waits up to the drain time for
+// running requests, leaves the membership and stops the listeners. Leadership is transferred
+// first, so that the new leaders command replicas and acknowledge changes while requests
+// still finish here. The node leaves the membership only after its requests have finished,
+// because until then it confirms which replicas it has drained.
 func (n *Node) drain() {
 	n.health.draining.Store(true)
 	n.driver.TransferLeadership()
@@ -151,7 +151,7 @@
 	}
 }
 
-// close closes the transport and the data folder, as far as New opened them.
+// close closes the transport and the data folder if New has opened them.
 func (n *Node) close() {
 	if n.transport != nil {
 		n.transport.Close()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,9 +9,9 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// Reload applies what may change in the settings while the node runs: the
-// seeds and the level of the log. Faulty settings change nothing, and all their
-// faults are returned. What needs a restart is logged.
+// Reload applies the settings that can change while the node runs: the seeds and the log
+// level. Invalid settings change nothing, and the error contains all their faults. Reload
+// logs the names of changed settings that need a restart.
 func (n *Node) Reload(next *static.Settings) error {
 	if faults := next.Check(); len(faults) > 0 {
 		return errors.Join(faults...)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -17,24 +17,24 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// testTimeout bounds every wait on a socket.
+// testTimeout limits every wait on a socket and for the end of the node.
 const testTimeout = 10 * time.Second
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns a loopback address with a free port.
 func freeAddress() string {
 	address, err := loopback.Address("127.0.0.1")
 	Expect(err).NotTo(HaveOccurred())
 	return address
 }
 
-// listen takes a free port of this machine.
+// listen listens on a free loopback port.
 func listen() net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	return listener
 }
 
-// acceptOne tells when a first connection has come.
+// acceptOne accepts one connection, closes it, and sends the result to the channel.
 func acceptOne(listener net.Listener) <-chan error {
 	accepted := make(chan error, 1)
 	go func() {
@@ -47,7 +47,7 @@
 	return accepted
 }
 
-var _ = Describe("Changed settings of a running node", func() {
+var _ = Describe("Reload of a running node", func() {
 	var (
 		node    *Node
 		entries *logged.Hook
@@ -55,14 +55,14 @@
 		folder  string
 	)
 
-	// settings are those of the node, with a change.
+	// settings returns a copy of the node's settings with a change.
 	settings := func(change func(s *static.Settings)) *static.Settings {
 		changed := *node.settings
 		change(&changed)
 		return &changed
 	}
 
-	// run starts a node with a disk that finds others through seeds.
+	// run starts a node that has a disk and finds other nodes through seeds.
 	run := func() {
 		parsed, err := static.Parse(fmt.Appendf(nil, `{"node":"n1","zone":"a","data_folder":%q,"seeds":[%q],"internal":%q,
 "traffic":%q,"control":%q,"platform_address":%q,"drain_timeout_ms":100}`, folder, seed, freeAddress(), freeAddress(), freeAddress(), freeAddress()))
@@ -86,7 +86,7 @@
 		folder = filepath.Join(GinkgoT().TempDir(), "data")
 	})
 
-	It("are taken over as far as they can be", func() {
+	It("applies changed seeds and a changed log level", func() {
 		run()
 		next := settings(func(s *static.Settings) { s.Seeds, s.LogLevel = []string{freeAddress()}, "debug" })
 		Expect(node.Reload(next)).To(Succeed())
@@ -94,14 +94,14 @@
 		Expect(node.log.Logger.GetLevel()).To(Equal(logrus.DebugLevel))
 	})
 
-	It("are named if they need a restart, and change nothing", func() {
+	It("logs the names of changed settings that need a restart, and does not apply them", func() {
 		run()
 		Expect(node.Reload(settings(func(s *static.Settings) { s.Zone, s.LogRing = "b", 7 }))).To(Succeed())
 		Expect(entries.AllEntries()).To(ContainElement(HaveField("Data", HaveKeyWithValue("settings", []string{"log_ring", "zone"}))))
 		Expect(node.settings.Zone).To(Equal("a"))
 	})
 
-	It("change nothing when they are faulty, and every fault is named", func() {
+	It("changes nothing if the settings are invalid, and returns every fault", func() {
 		run()
 		seeds, level := node.seeds, node.log.Logger.GetLevel()
 		err := node.Reload(settings(func(s *static.Settings) {
@@ -112,7 +112,7 @@
 		Expect(node.log.Logger.GetLevel()).To(Equal(level))
 	})
 
-	It("do not make a node forget the nodes that it knows from its disk", func() {
+	It("still uses the stored addresses of other nodes after a change of the seeds", func() {
 		run()
 		known := listen()
 		DeferCleanup(known.Close)
--- a/internal/node/seeded_storage_test.go
+++ b/internal/node/seeded_storage_test.go
@@ -12,7 +12,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-var _ = Describe("A data folder of nodes that find each other through seeds", func() {
+var _ = Describe("A data folder of a node that finds other nodes through seeds", func() {
 	seeds := []string{"127.1.3.1:7100", "127.1.1.1:7100", "127.1.2.1:7100"}
 	var settings *static.Settings
 
@@ -27,7 +27,7 @@
 		}
 	})
 
-	// foundersAtStart opens the folder as a start does.
+	// foundersAtStart opens the folder as at the start of a node, and returns the founders.
 	foundersAtStart := func() []string {
 		opened, err := openStorage(settings)
 		ExpectWithOffset(1, err).NotTo(HaveOccurred())
@@ -42,7 +42,7 @@
 		return group
 	}
 
-	It("forms the groups at the first start, in an order of its own, and keeps the founders", func() {
+	It("stores the founders at the first start, sorted, and keeps them at later starts", func() {
 		founders := slices.Sorted(slices.Values(seeds))
 		Expect(foundersAtStart()).To(Equal(founders))
 		Expect(incarnationAtStart(settings)).To(Equal(uint64(replication.FoundingIncarnation)))
@@ -52,23 +52,23 @@
 		Expect(incarnationAtStart(settings)).To(Equal(uint64(replication.FoundingIncarnation)))
 	})
 
-	DescribeTable("joins with an incarnation of its own", func(change func()) {
+	DescribeTable("has no founders and gets a random incarnation", func(change func()) {
 		change()
 		Expect(foundersAtStart()).To(BeEmpty())
 		incarnation := incarnationAtStart(settings)
 		Expect(incarnation).NotTo(Equal(uint64(replication.FoundingIncarnation)))
 		settings.Founding = true
 		settings.Seeds = seeds
-		Expect(foundersAtStart()).To(BeEmpty(), "a folder in use forms nothing")
+		Expect(foundersAtStart()).To(BeEmpty(), "a folder in use must not form groups")
 		Expect(incarnationAtStart(settings)).To(Equal(incarnation))
 	},
-		Entry("without founding", func() { settings.Founding = false }),
-		Entry("beside the seeds", func() { settings.Seeds = seeds[:1] }),
+		Entry("if founding is not set", func() { settings.Founding = false }),
+		Entry("if the node is not one of the seeds", func() { settings.Seeds = seeds[:1] }),
 	)
 
-	It("forms nothing after a loss, also while the settings still say so", func() {
+	It("does not form groups after a loss of shard files, even if founding is still set", func() {
 		Expect(foundersAtStart()).NotTo(BeEmpty())
-		By("losing the files of a shard")
+		By("removing the files of a shard")
 		files, err := filepath.Glob(filepath.Join(settings.DataFolder, "shard-001*"))
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
@@ -78,7 +78,7 @@
 		Expect(incarnationAtStart(settings)).NotTo(Equal(uint64(replication.FoundingIncarnation)))
 	})
 
-	It("forms nothing beside files of which it does not know", func() {
+	It("does not form groups in a folder that has files but no identity", func() {
 		Expect(os.MkdirAll(settings.DataFolder, 0o700)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(settings.DataFolder, "shard-000.slot0"), nil, 0o600)).To(Succeed())
 		opened, err := openStorage(settings)
@@ -88,7 +88,7 @@
 		}
 	})
 
-	It("is not initialised by a command, and is refused under another address", func() {
+	It("is not initialised by Initialise, and is refused if the node has another address", func() {
 		Expect(Initialise(settings)).To(MatchError(ContainSubstring("set founding")))
 		Expect(foundersAtStart()).NotTo(BeEmpty())
 		settings.Internal = "127.1.4.1:7100"
--- a/internal/node/slow_start.go
+++ b/internal/node/slow_start.go
@@ -9,23 +9,23 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// slowStart determines which back ends are warming up where the platform's list does
-// not say so: a back end that appears in the list does for as long as the configuration
-// of its destination says. Those of the first reading count as warm, since their time
-// of start is not known.
+// slowStart determines which back ends are warming up, because the platform's list of the
+// product's own protocol does not say so. A back end that newly appears in the list warms up
+// for the time that the configuration of its destination gives. The back ends in the first
+// list count as warm, because the time when they started is not known.
 type slowStart struct {
 	view func() *routing.View
-	// startedAt is when each listed back end started, as far as the list shows; nil
-	// before the first reading.
+	// startedAt is when each listed back end first appeared in the list; nil before the
+	// first list was read.
 	startedAt map[backendKey]time.Duration
 }
 
-// backendKey identifies a back end in the list.
+// backendKey identifies a back end in the platform's list.
 type backendKey struct {
 	service, address string
 }
 
-// setWarmUpRemaining sets how much longer each back end warms up.
+// setWarmUpRemaining sets WarmUpRemaining of each endpoint: how much longer it warms up.
 func (s *slowStart) setWarmUpRemaining(now time.Duration, services []control.ServiceEndpoints) {
 	appeared := now
 	if s.startedAt == nil {
--- a/internal/node/slow_start_test.go
+++ b/internal/node/slow_start_test.go
@@ -16,7 +16,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/routing"
 )
 
-var _ = Describe("Starts of listed back ends", func() {
+var _ = Describe("The slow start of listed back ends", func() {
 	const (
 		hour = time.Hour
 		cold = 30 * time.Second
@@ -24,7 +24,8 @@
 	var view *routing.View
 	var tracker *slowStart
 
-	// remaining reads a list of a service's addresses.
+	// remaining passes a list with one service and its addresses to the tracker, and returns
+	// the remaining warm-up time of each address.
 	remaining := func(now time.Duration, service string, addresses ...string) []time.Duration {
 		services := []control.ServiceEndpoints{{Name: service, Endpoints: lo.Map(addresses, func(address string, _ int) control.Endpoint {
 			return control.Endpoint{Address: address}
@@ -42,25 +43,25 @@
 		tracker = &slowStart{view: func() *routing.View { return view }}
 	})
 
-	DescribeTable("are cold from when they appear, for as long as the configuration says", func(service string) {
-		Expect(remaining(hour, service, "a:1")).To(Equal([]time.Duration{0}), "the first reading tells no start")
+	DescribeTable("begins when a back end appears in the list, and takes the configured time", func(service string) {
+		Expect(remaining(hour, service, "a:1")).To(Equal([]time.Duration{0}), "back ends in the first list count as warm")
 		Expect(remaining(hour+time.Second, service, "a:1", "b:1")).To(Equal([]time.Duration{0, cold}))
 		Expect(remaining(hour+11*time.Second, service, "b:1", "a:1")).To(Equal([]time.Duration{cold - 10*time.Second, 0}))
 		Expect(remaining(hour+2*cold, service, "b:1")).To(Equal([]time.Duration{0}))
-		Expect(remaining(hour+3*cold, service, "a:1", "b:1")).To(Equal([]time.Duration{cold, 0}), "a came back")
+		Expect(remaining(hour+3*cold, service, "a:1", "b:1")).To(Equal([]time.Duration{cold, 0}), "a:1 is listed again")
 	},
 		Entry("in a pool", "model"),
 		Entry("in a web service", "pages"),
 	)
 
-	It("are warm without such a time, and as long as the node has no view", func() {
+	It("takes no time if none is configured, or while the node has no routing view", func() {
 		Expect(remaining(hour, "other", "a:1")).To(Equal([]time.Duration{0}))
 		Expect(remaining(hour, "other", "b:1")).To(Equal([]time.Duration{0}))
 		view = nil
 		Expect(remaining(hour, "model", "c:1")).To(Equal([]time.Duration{0}))
 	})
 
-	It("are marked in what is read by the product's own protocol", func() {
+	It("is set in endpoints that are read with the product's own protocol", func() {
 		lists := []string{
 			`{"services":[{"name":"model","replicas":[{"address":"a:1","state":"running"}]}]}`,
 			`{"services":[{"name":"model","replicas":[{"address":"a:1","state":"running"},{"address":"b:1","state":"running"}]}]}`,
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -15,22 +15,23 @@
 )
 
 // storage is the data folder of a node: its identity, and the durable log of each
-// shard. New uses it in one goroutine. While the node runs, the logs belong to the control
-// driver, and the file of addresses to addressService, which writes it, and Reload, which
-// reads it; the rest stays as New left it.
+// shard. New uses it from one goroutine. While the node runs, the control driver owns the
+// logs, addressService writes addressesFile, and Reload reads addressesFile; nothing else
+// changes.
 type storage struct {
 	// disk is nil on a node without a data folder.
 	disk *disk.Disk
-	// logs are the durable logs of the shards, and restored what they held, by shard.
+	// logs contains the durable log of each shard, and restored the state that was read
+	// from it; the keys are shard numbers.
 	logs     map[uint32]*durable.Log
 	restored map[uint32]replication.DurableState
 	// incarnation identifies the folder. Votes that the node gave under the
 	// incarnation of a lost folder count for that incarnation only.
 	incarnation uint64
-	// founders are the founding voters, if the node is one of them and the groups
-	// were formed through seeds.
+	// founders are the founding voters if this node is one of them and the groups were
+	// formed through seeds; otherwise empty.
 	founders []string
-	// limits follow from what the machine gives.
+	// limits are derived from the resources of the machine.
 	limits storagelimit.Limits
 }
 
@@ -57,21 +58,22 @@
 	return opened, nil
 }
 
-// machineResources returns what the machine gives to control: the settings tell it, or else the
-// file system of the data folder tells its size.
+// machineResources returns the resources that the machine provides for control state. The
+// disk capacity is the one in the settings or, if they give none, the capacity of the file
+// system of the data folder.
 func machineResources(settings *static.Settings, folder *disk.Disk) storagelimit.Resources {
 	machine := storagelimit.Resources{DiskBytes: settings.DiskBytes(), MemoryBytes: settings.MemoryBytes()}
 	if machine.DiskBytes > 0 {
 		return machine
 	}
-	// A file system that doesn't tell its size sets no bound.
+	// If the capacity of the file system can't be read, DiskBytes stays 0: no limit.
 	if capacity, err := folder.CapacityBytes(); err == nil {
 		machine.DiskBytes = capacity
 	}
 	return machine
 }
 
-// read reads the identity of the folder, or creates one, and opens all shards.
+// read reads or creates the identity of the folder, and opens all shards.
 func (s *storage) read(settings *static.Settings) error {
 	stored, initialised, err := readIdentity(s.disk, settings)
 	if err != nil {
@@ -82,8 +84,8 @@
 		return err
 	}
 	if !initialised || !complete {
-		// The votes of a shard whose files are gone are lost, so that the node must
-		// not vote again under the former incarnation.
+		// If the files of a shard are missing, its votes are lost, and the node must not
+		// vote again under the earlier incarnation.
 		stored, err = createIdentity(s.disk, settings, initialised)
 		if err != nil {
 			return err
@@ -103,8 +105,8 @@
 	return nil
 }
 
-// openShard opens the durable log of a shard. It writes a first checkpoint if there is
-// none, so that a loss of the files is noticed at a later start.
+// openShard opens the durable log of a shard. If the shard has no checkpoint, openShard
+// writes one, so that a later start detects the loss of the files.
 func (s *storage) openShard(shard uint32) error {
 	log, restored, err := durable.OpenWithLimits(s.disk, shardName(shard), durable.Limits{
 		MinLogBytes: durable.DefaultMinLogBytes,
@@ -122,11 +124,10 @@
 	return log.Checkpoint(restored.HardState, restored.Snapshot, restored.Entries)
 }
 
-// shardName returns how the names of a shard's files begin.
+// shardName returns the common prefix of the names of a shard's files.
 func shardName(shard uint32) string { return fmt.Sprintf("shard-%03d", shard) }
 
-// hasShards reports whether the folder has the files of every shard that its identity
-// counts.
+// hasShards reports whether the folder has a checkpoint of each of the stored.Shards shards.
 func hasShards(folder *disk.Disk, stored identity) (bool, error) {
 	for shard := range stored.Shards {
 		if found, err := hasShard(folder, shard); !found || err != nil {
@@ -151,7 +152,7 @@
 	return false, nil
 }
 
-// shards returns the durable log of each shard for the control driver.
+// shards returns the durable log of each shard as the type that the control driver needs.
 func (s *storage) shards() map[uint32]driver.Storage {
 	shards := map[uint32]driver.Storage{}
 	for id, log := range s.logs {
@@ -160,7 +161,7 @@
 	return shards
 }
 
-// close releases the folder, if there is one.
+// close closes the data folder, if the node has one.
 func (s *storage) close() {
 	if s.disk != nil {
 		_ = s.disk.Close()
--- a/internal/node/storage_test.go
+++ b/internal/node/storage_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication/durable"
 )
 
-// incarnationAtStart opens the folder as a start does and returns its incarnation.
+// incarnationAtStart opens the folder as at the start of a node, and returns its incarnation.
 func incarnationAtStart(settings *static.Settings) uint64 {
 	opened, err := openStorage(settings)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
@@ -33,14 +33,14 @@
 		}
 	})
 
-	It("has the founding incarnation once initialised, at every start", func() {
+	It("has the founding incarnation at every start after Initialise", func() {
 		Expect(Initialise(settings)).To(Succeed())
 		Expect(incarnationAtStart(settings)).To(Equal(uint64(replication.FoundingIncarnation)))
 		Expect(incarnationAtStart(settings)).To(Equal(uint64(replication.FoundingIncarnation)))
 		Expect(Initialise(settings)).To(MatchError(ContainSubstring("initialised already")))
 	})
 
-	It("has an incarnation of its own when it is found empty, kept for later starts", func() {
+	It("gets a new incarnation if it is empty, and keeps it at later starts", func() {
 		incarnations := map[uint64]bool{replication.FoundingIncarnation: true}
 		for range 3 {
 			incarnation := incarnationAtStart(settings)
@@ -51,13 +51,13 @@
 		}
 	})
 
-	It("does not become a founder's after a start without init", func() {
+	It("cannot be initialised after a start without init", func() {
 		incarnation := incarnationAtStart(settings)
 		Expect(Initialise(settings)).To(MatchError(ContainSubstring("empty the folder first")))
 		Expect(incarnationAtStart(settings)).To(Equal(incarnation))
 	})
 
-	It("gets a new incarnation when the files of a shard are gone", func() {
+	It("gets a new incarnation if the files of a shard are missing", func() {
 		Expect(Initialise(settings)).To(Succeed())
 		incarnation := incarnationAtStart(settings)
 		files, err := filepath.Glob(filepath.Join(settings.DataFolder, "shard-001*"))
@@ -71,7 +71,7 @@
 		Expect(incarnationAtStart(settings)).To(Equal(next))
 	})
 
-	It("keeps what a shard wrote before its first checkpoint", func() {
+	It("keeps the records that a shard wrote before its first checkpoint", func() {
 		Expect(Initialise(settings)).To(Succeed())
 		folder, err := disk.Open(settings.DataFolder)
 		Expect(err).NotTo(HaveOccurred())
@@ -88,7 +88,7 @@
 		}
 	})
 
-	It("keeps its incarnation when the deployment gets more shards", func() {
+	It("keeps its incarnation if the number of shards increases", func() {
 		Expect(Initialise(settings)).To(Succeed())
 		incarnation := incarnationAtStart(settings)
 		settings.ServiceShards = 3
@@ -96,7 +96,7 @@
 		Expect(incarnationAtStart(settings)).To(Equal(incarnation))
 	})
 
-	It("of another node is refused", func() {
+	It("is refused if it belongs to another node", func() {
 		Expect(Initialise(settings)).To(Succeed())
 		settings.Node = "core-2"
 		_, err := openStorage(settings)
