--- a/internal/reload/watcher.go
+++ b/internal/reload/watcher.go
@@ -1,6 +1,6 @@
-// Package reload watches the settings file of a running node: it applies the settings
-// when the file has changed, and on SIGHUP. A Watcher owns the signal handler; one
-// goroutine calls Run.
+// Package reload watches the settings file of a running node. It applies the settings when
+// the file has changed, and on SIGHUP. A Watcher owns the signal handler; its methods are
+// called from one goroutine at a time.
 package reload
 
 import (
@@ -18,29 +18,29 @@
 // PollEvery is the interval of checks of the settings file.
 const PollEvery = time.Second
 
-// Target is what a Watcher reloads: how settings are read, and what applies them. Run
-// calls its functions in its own goroutine.
+// Target has the functions that a Watcher calls to read and apply settings. Run calls them
+// in the goroutine in which Run itself was called.
 type Target struct {
-	// Read reads the settings that the file holds now.
+	// Read returns the present settings of the file.
 	Read func() (*static.Settings, error)
-	// Apply applies them to the node, all of them or none.
+	// Apply applies the settings to the node. If it returns an error, it has applied none.
 	Apply func(settings *static.Settings) error
-	// Log gets an entry when settings can't be read or applied.
+	// Log receives an entry when settings can't be read or applied.
 	Log *logrus.Entry
 }
 
-// Watcher notices changes of a settings file since NewWatcher.
+// Watcher detects changes of a settings file that are made after NewWatcher is called.
 type Watcher struct {
 	path string
 	// lastInfo describes the file at the last check, or is nil if there was none.
 	lastInfo os.FileInfo
-	// hangups gets each SIGHUP until Close.
+	// hangups receives SIGHUP until Close; signals that arrive while one is pending are merged.
 	hangups chan os.Signal
 }
 
-// NewWatcher returns a watcher of a file; an empty path stands for settings that
-// are in no file, of which nothing is reloaded. Call it before the settings are first read, so that no change is missed.
-// From then on SIGHUP does not end the process, until Close.
+// NewWatcher returns a watcher of a file. An empty path means that the settings are not in a
+// file, and Run then returns at once. Call NewWatcher before the settings are first read, so
+// that no change is missed. From then on, until Close, SIGHUP does not end the process.
 func NewWatcher(path string) *Watcher {
 	w := &Watcher{path: path, hangups: make(chan os.Signal, 1)}
 	signal.Notify(w.hangups, syscall.SIGHUP)
@@ -52,7 +52,7 @@
 func (w *Watcher) Close() { signal.Stop(w.hangups) }
 
 // Run applies the settings on each SIGHUP, and whenever their file has changed, until
-// the context ends. It returns at once if there is no file.
+// the context ends. It returns at once if the path is empty.
 func (w *Watcher) Run(ctx context.Context, target Target) {
 	if w.path == "" {
 		return
@@ -71,8 +71,8 @@
 	}
 }
 
-// reloadOnHangup applies the settings whether their file has changed or not. The present
-// state of the file counts as applied, so that poll does not apply it again.
+// reloadOnHangup applies the settings, even if their file is unchanged. It records the
+// present state of the file, so that poll does not apply the same content again.
 func (w *Watcher) reloadOnHangup(target Target) {
 	w.checkFile()
 	target.reload()
@@ -85,9 +85,9 @@
 	}
 }
 
-// checkFile records the present state of the file, and reports whether it differs from that
-// of the last check, by identity, size and time of modification. A file that can't be read
-// counts as unchanged: the settings in force stay.
+// checkFile records the present state of the file, and reports whether its identity, size or
+// modification time differs from the last check. A file whose state can't be read counts as
+// unchanged, so that the settings in force stay.
 func (w *Watcher) checkFile() (changed bool) {
 	present, err := os.Stat(w.path)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return last == nil || !os.SameFile(last, present) || last.Size() != present.Size() || !last.ModTime().Equal(present.ModTime())
 }
 
-// reload reads and applies the settings. If they are faulty, it logs one entry with every
-// fault, and the settings in force stay.
+// reload reads and applies the settings. If that fails, it logs one entry with the error,
+// which contains every fault of the settings, and the settings in force stay.
 func (t Target) reload() {
 	settings, err := t.Read()
 	if err == nil {
--- a/internal/reload/watcher_test.go
+++ b/internal/reload/watcher_test.go
@@ -22,23 +22,23 @@
 	RunSpecs(t, "reload")
 }
 
-// testTimeout bounds every wait for a signal.
+// testTimeout limits every run of a watcher.
 const testTimeout = 5 * time.Second
 
-var _ = Describe("A watcher of settings", func() {
+var _ = Describe("A Watcher", func() {
 	var (
 		path    string
 		watcher *Watcher
 		entries *logged.Hook
-		// applied are the nodes' names in the settings that were handed over.
+		// applied contains the node name of each settings that were applied.
 		applied []string
-		// applyErr is what the node says of the next settings.
+		// applyErr, if not nil, is returned by Apply.
 		applyErr error
 		target   Target
 	)
 	began := time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
-	// write replaces the content of the file, as of a time.
+	// write replaces the content of the file and sets its modification time.
 	write := func(text string, at time.Time) {
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		Expect(os.Chtimes(path, at, at)).To(Succeed())
@@ -61,20 +61,20 @@
 		}
 	})
 
-	// start makes a watcher that follows the file until the spec ends.
+	// start creates a watcher of the file and closes it when the spec ends.
 	start := func() {
 		watcher = NewWatcher(path)
 		DeferCleanup(watcher.Close)
 	}
 
-	It("hands nothing over while the file stays as it was", func() {
+	It("applies nothing while the file is unchanged", func() {
 		write("node: a", began)
 		start()
 		watcher.poll(target)
 		Expect(applied).To(BeEmpty())
 	})
 
-	DescribeTable("hands a changed file over, once", func(change func()) {
+	DescribeTable("applies a changed file once", func(change func()) {
 		write("node: a", began)
 		start()
 		change()
@@ -83,10 +83,10 @@
 		Expect(applied).To(Equal([]string{"b"}))
 		Expect(entries.AllEntries()).To(BeEmpty())
 	},
-		Entry("of another time", func() { write("node: b", began.Add(time.Second)) }),
-		Entry("of an earlier time", func() { write("node: b", began.Add(-time.Hour)) }),
-		Entry("of another size", func() { write("node: b # changed", began) }),
-		Entry("that took the place of the old one, of the same time and size", func() {
+		Entry("with a later modification time", func() { write("node: b", began.Add(time.Second)) }),
+		Entry("with an earlier modification time", func() { write("node: b", began.Add(-time.Hour)) }),
+		Entry("with another size", func() { write("node: b # changed", began) }),
+		Entry("that replaced the old file, with the same modification time and size", func() {
 			old := path
 			path += ".new"
 			write("node: b", began)
@@ -95,7 +95,7 @@
 		}),
 	)
 
-	// runUntilApplied runs a watcher until the node takes settings.
+	// runUntilApplied runs the watcher until Apply has returned, or until testTimeout.
 	runUntilApplied := func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
@@ -107,7 +107,7 @@
 		watcher.Run(ctx, target)
 	}
 
-	It("notices by the clock a change that came between its making and its start", func() {
+	It("applies, at a poll, a change that was made between NewWatcher and Run", func() {
 		write("node: a", began)
 		start()
 		write("node: b", began.Add(time.Second))
@@ -115,7 +115,7 @@
 		Expect(applied).To(Equal([]string{"b"}))
 	})
 
-	It("takes the hangups of the process, which do not end it", func() {
+	It("applies the file on SIGHUP, which does not end the process", func() {
 		write("node: a", began)
 		start()
 		write("node: b", began)
@@ -124,19 +124,19 @@
 		Expect(applied).To(Equal([]string{"b"}))
 	})
 
-	It("hands the file over at a hangup, changed or not", func() {
+	It("applies the file on SIGHUP even if it seems unchanged", func() {
 		write("node: a", began)
 		start()
 		write("node: b", began)
 		watcher.poll(target)
-		Expect(applied).To(BeEmpty(), "nothing tells the files apart")
+		Expect(applied).To(BeEmpty(), "the identity, size and modification time are unchanged")
 		watcher.reloadOnHangup(target)
 		Expect(applied).To(Equal([]string{"b"}))
 		watcher.reloadOnHangup(target)
 		Expect(applied).To(Equal([]string{"b", "b"}))
 	})
 
-	It("does not hand over again by the clock what a hangup has handed over", func() {
+	It("does not apply again, at a poll, a change that was applied on SIGHUP", func() {
 		write("node: a", began)
 		start()
 		write("node: b", began.Add(time.Second))
@@ -145,7 +145,7 @@
 		Expect(applied).To(Equal([]string{"b"}))
 	})
 
-	It("keeps what is in force while there is no file, and takes the one that comes", func() {
+	It("keeps the settings in force while the file is missing, and applies it once it exists", func() {
 		write("node: a", began)
 		start()
 		Expect(os.Remove(path)).To(Succeed())
@@ -157,14 +157,14 @@
 		Expect(applied).To(Equal([]string{"b"}))
 	})
 
-	It("takes a file that was not there when it was made", func() {
+	It("applies a file that was created after NewWatcher", func() {
 		start()
 		write("node: b", began)
 		watcher.poll(target)
 		Expect(applied).To(Equal([]string{"b"}))
 	})
 
-	It("names every fault of a file that cannot be read in one entry, and takes the corrected one", func() {
+	It("logs every fault of an invalid file in one entry, and applies the corrected file", func() {
 		write("node: a", began)
 		start()
 		write("nodes: a\nlog_ring: many\n", began.Add(time.Second))
@@ -180,7 +180,7 @@
 		Expect(applied).To(Equal([]string{"b"}))
 	})
 
-	It("logs what the node says of settings that it does not take, once", func() {
+	It("logs the error of Apply once", func() {
 		write("node: a", began)
 		start()
 		applyErr = errors.New("zone: is empty")
@@ -192,14 +192,14 @@
 		Expect(entries.LastEntry().Data[logrus.ErrorKey]).To(MatchError(applyErr))
 	})
 
-	It("reports a missing file at a hangup", func() {
+	It("logs that the file is missing on SIGHUP", func() {
 		start()
 		watcher.reloadOnHangup(target)
 		Expect(entries.AllEntries()).To(HaveLen(1))
 		Expect(entries.LastEntry().Data[logrus.ErrorKey]).To(MatchError(ContainSubstring("name a readable settings file")))
 	})
 
-	It("follows nothing without a file", func() {
+	It("returns from Run at once if the path is empty", func() {
 		path = ""
 		start()
 		watcher.Run(context.Background(), target)
