--- a/internal/logring/incident.go
+++ b/internal/logring/incident.go
@@ -6,33 +6,33 @@
 	"github.com/sirupsen/logrus"
 )
 
-// IncidentKind is the kind of an incident: an event for which the ring is written out,
-// whatever the level of its entry.
+// IncidentKind is the kind of an incident. An incident is an event on which the ring is
+// written out, whatever the level of its log entry.
 type IncidentKind string
 
 // The kinds of incidents.
 const (
 	// Fence marks that the node has fenced itself.
 	Fence IncidentKind = "fence"
-	// Invariant marks that a rule that the software relies on was broken.
+	// Invariant marks that an invariant of the software was violated.
 	Invariant IncidentKind = "invariant"
 )
 
-// IncidentEvery is the shortest time between two writes for incidents of one
-// kind, so that a fault that repeats does not flood the output. Entries that come
-// in between stay in the ring.
+// IncidentEvery is the minimum time between two dumps of the ring for incidents of one kind,
+// so that a repeated fault does not flood the output. Entries that are logged between two
+// dumps stay in the ring.
 const IncidentEvery = time.Minute
 
-// incidentField is the field of an entry that holds its kind of incident.
+// incidentField is the log field that contains the IncidentKind of an entry.
 const incidentField = "incident"
 
-// Incident marks the entries of log as incidents.
+// Incident adds to log the field that marks its messages as incidents of the given kind.
 func Incident(log *logrus.Entry, kind IncidentKind) *logrus.Entry {
 	return log.WithField(incidentField, kind)
 }
 
-// triggersDump reports whether an entry makes the ring write out. The caller holds the
-// mutex.
+// triggersDump reports whether the ring must be written out because of an entry, and records
+// the time of an incident that does so. The caller holds the mutex.
 func (r *Ring) triggersDump(entry *logrus.Entry) bool {
 	kind, isIncident := entry.Data[incidentField].(IncidentKind)
 	if !isIncident {
@@ -40,7 +40,7 @@
 	}
 	last, dumped := r.incidents[kind]
 	elapsed := entry.Time.Sub(last)
-	// A clock that was set back must not silence the ring.
+	// If the wall clock was set back, elapsed is negative, and the ring is written out.
 	if dumped && elapsed >= 0 && elapsed < IncidentEvery {
 		return false
 	}
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,8 +1,7 @@
-// Package logring keeps the newest log entries in memory and writes them out
-// when something goes wrong: on an entry of level Error or above, on an entry
-// that Incident marks (at most once in IncidentEvery for each kind), and when Dump is
-// called, as a node does on SIGUSR1. Otherwise a node writes next to nothing. A Ring may be
-// used concurrently.
+// Package logring keeps the newest log entries in a ring buffer in memory. It writes them
+// out on an entry of level Error or above, on an entry that Incident marks (at most once in
+// IncidentEvery for each kind), and when Dump is called, as a node does on SIGUSR1. At other
+// times entries are not written anywhere. A Ring may be used concurrently.
 package logring
 
 import (
@@ -14,21 +13,21 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// Ring is a logrus hook that keeps formatted entries.
+// Ring is a logrus hook that stores formatted entries in a ring buffer.
 type Ring struct {
 	mutex     sync.Mutex
 	formatter logrus.Formatter
-	// entries are the formatted entries. The next one goes to index next; once the ring
-	// is full, that is the oldest one.
+	// entries contains the formatted entries. The next entry is stored at index next; once
+	// the ring is full, it replaces the oldest entry there.
 	entries [][]byte
 	next    int
 	full    bool
 	output  io.Writer
-	// incidents holds when an incident of each kind was written out last.
+	// incidents contains, for each kind, the time of the last incident that caused a dump.
 	incidents map[IncidentKind]time.Time
 }
 
-// New returns a ring of size entries that is written out to output.
+// New returns a ring with room for size entries, at least one, that is written out to output.
 func New(size int, output io.Writer) *Ring {
 	return &Ring{
 		formatter: &logrus.JSONFormatter{},
@@ -65,22 +64,22 @@
 	return nil
 }
 
-// Dump writes the kept entries out, oldest first, and empties the ring, so that
-// no entry is written twice.
+// Dump writes the stored entries to the output, oldest first, and empties the ring, so that
+// no entry is written twice. If a write fails, the ring is not emptied.
 func (r *Ring) Dump() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.dump()
 }
 
-// add keeps an entry in place of the oldest one. The caller holds the mutex.
+// add stores an entry; in a full ring it replaces the oldest one. The caller holds the mutex.
 func (r *Ring) add(formatted []byte) {
 	r.entries[r.next] = formatted
 	r.next = (r.next + 1) % len(r.entries)
 	r.full = r.full || r.next == 0
 }
 
-// dump is Dump for callers that hold the mutex.
+// dump implements Dump. The caller holds the mutex.
 func (r *Ring) dump() error {
 	ordered := r.entries[:r.next]
 	if r.full {
@@ -97,15 +96,15 @@
 	return nil
 }
 
-// UseForFramework sends the log of the HTTP framework into a logger. Its access
-// and statistics lines are turned off.
+// UseForFramework directs the log of the HTTP framework (go-zero) to a logger, and turns off
+// the framework's statistics.
 func UseForFramework(logger *logrus.Logger) {
 	logx.DisableStat()
 	logx.SetWriter(frameworkWriter{entry: logger.WithField("component", "http")})
 }
 
-// frameworkWriter implements logx.Writer over logrus. An error of the framework is a
-// warning here, which is below the level that writes the ring out.
+// frameworkWriter implements logx.Writer with logrus. Errors of the framework are logged as
+// warnings, so that they do not cause a dump of the ring.
 type frameworkWriter struct {
 	entry *logrus.Entry
 }
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -19,7 +19,7 @@
 }
 
 var _ = Describe("Ring", func() {
-	It("writes nothing in quiet times and the newest entries on an error, once", func() {
+	It("writes nothing below level Error, and on an error writes the newest entries once", func() {
 		var output bytes.Buffer
 		logger := logring.New(3, &output).Logger(logrus.InfoLevel)
 		for _, text := range []string{"one", "two", "three"} {
@@ -36,7 +36,7 @@
 		Expect(strings.Split(strings.TrimSpace(output.String()), "\n")).To(HaveLen(1))
 	})
 
-	It("writes out for an incident at most once a minute a kind, and loses none", func() {
+	It("is written out at most once a minute for incidents of one kind, and loses no entry", func() {
 		var output bytes.Buffer
 		log := logrus.NewEntry(logring.New(9, &output).Logger(logrus.InfoLevel))
 		at := func(second int, kind logring.IncidentKind) int {
