--- a/internal/socket/user_timeout.go
+++ b/internal/socket/user_timeout.go
@@ -9,10 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a net.Dialer's Control function for connections that fail when sent
-// bytes stay without the other machine's acknowledgement for the limit (TCP_USER_TIMEOUT,
-// RFC 5482). Without it, bytes sent to a machine that vanished count as written until the
-// kernel gives up after many minutes.
+// UserTimeout returns a Control function for a net.Dialer. Connections of this dialer fail
+// when sent bytes are not acknowledged by the other machine within the limit
+// (TCP_USER_TIMEOUT, RFC 5482). Without this option, the loss of the other machine is
+// noticed only when the kernel stops retransmitting after many minutes; until then, writes
+// succeed.
 func UserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
--- a/internal/socket/user_timeout_test.go
+++ b/internal/socket/user_timeout_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "socket")
 }
 
-var _ = Describe("A dialer with a user time-out", func() {
-	It("opens connections that have it", func() {
+var _ = Describe("A dialer with UserTimeout", func() {
+	It("sets TCP_USER_TIMEOUT on its connections", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
