--- a/internal/timelinetest/timeline.go
+++ b/internal/timelinetest/timeline.go
@@ -1,17 +1,18 @@
-// Package timelinetest reads the timelines in which specs of coordination packages state
-// what happens to several nodes, and what is expected of them.
+// Package timelinetest reads timelines: text files that describe what happens to several
+// nodes in a spec, and what the spec expects of them. The specs of coordination packages use
+// them.
 //
-// A timeline is a text of rows whose cells are separated by "|". Lines that begin with #
-// and empty ones are remarks. The first row names the columns behind its first cell, mostly
-// a node each. Each further row is an instant: its first cell is the time since the start,
-// and the others hold the steps of their columns, separated by commas. A step is a verb, or
-// a verb with an argument: isolate, block(b), start(a b).
+// A timeline consists of rows whose cells are separated by "|". Lines that begin with # and
+// empty lines are ignored. The first row names the columns after its first cell; a column
+// usually stands for a node. Each further row is an instant: its first cell is the time since
+// the start, and the other cells contain the steps of their columns, separated by commas. A
+// step is a verb, or a verb with an argument: isolate, block(b), start(a b).
 //
 //	at  | a | b
 //	0s  | start | start
 //	3s  | serving, alive(b) | isolate
 //
-// The package knows no verb: its users say what each does, or checks.
+// The package does not interpret verbs: its callers define what each verb does or checks.
 package timelinetest
 
 import (
@@ -24,41 +25,41 @@
 	"github.com/pkg/errors"
 )
 
-// Timeline is a timeline that was read.
+// Timeline is a parsed timeline.
 type Timeline struct {
-	// Name is that of the file, without its ending.
+	// Name is the file name without its extension.
 	Name    string
 	Columns []string
-	// Instants are in the order of time.
+	// Instants are in chronological order.
 	Instants []Instant
 }
 
-// Instant is one row.
+// Instant is one row of a timeline after the first row.
 type Instant struct {
 	At    time.Duration
 	Steps []Step
 }
 
-// Step is one thing to do, or to check.
+// Step is one action or check.
 type Step struct {
 	// Column is the position of the step's column in Timeline.Columns.
 	Column int
 	Verb   string
-	// Argument is what stands in brackets behind the verb.
+	// Argument is the text in parentheses after the verb; empty if there is none.
 	Argument string
-	// Where names line, column and text of the step in messages.
+	// Where is the line number, column name and text of the step, for messages.
 	Where string
 }
 
-// ReadAll reads the timelines of a folder: its files that end in .txt. It is an error if
-// there is none.
+// ReadAll reads the timelines in a folder: all files whose names end in .txt. It returns an
+// error if there are none.
 func ReadAll(folder string) ([]Timeline, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.txt"))
 	if err != nil {
 		return nil, errors.Wrap(err, "timelines")
 	}
 	if len(paths) == 0 {
-		return nil, errors.Errorf("no timelines in %s: add one, or mend the name", folder)
+		return nil, errors.Errorf("no timelines in %s: add a .txt file or correct the folder name", folder)
 	}
 	var timelines []Timeline
 	for _, path := range paths {
@@ -108,7 +109,8 @@
 	return timeline, nil
 }
 
-// splitRow returns the first cell of a row and the others, without spaces around them.
+// splitRow returns the first cell of a row and the other cells, each without surrounding
+// spaces.
 func splitRow(line string) (first string, others []string) {
 	cells := strings.Split(line, "|")
 	for at, cell := range cells {
--- a/internal/timelinetest/timeline_test.go
+++ b/internal/timelinetest/timeline_test.go
@@ -19,8 +19,8 @@
 2s   | kill
 `
 
-var _ = Describe("timelines", func() {
-	It("are read in their order, with the place of each step", func() {
+var _ = Describe("Timelines", func() {
+	It("are parsed in the order of their rows, with the position of each step", func() {
 		timeline, err := timelinetest.Parse(text)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(timeline.Columns).To(Equal([]string{"a@z1", "b"}))
@@ -39,19 +39,19 @@
 		}))
 	})
 
-	DescribeTable("are refused",
+	DescribeTable("are rejected",
 		func(rows, message string) {
 			_, err := timelinetest.Parse(rows)
 			Expect(err).To(MatchError(ContainSubstring(message)))
 		},
-		Entry("without a row behind the first", "time | a\n", "no instants"),
-		Entry("with a time that is none", "time | a\nsoon | start\n", "line 2"),
+		Entry("without a row after the first", "time | a\n", "no instants"),
+		Entry("with an invalid time", "time | a\nsoon | start\n", "line 2"),
 		Entry("with a time before zero", "time | a\n-1s | start\n", "line 2: -1s is before 0s"),
-		Entry("whose times fall", "time | a\n2s | start\n1s | kill\n", "line 3: 1s is before 2s"),
+		Entry("whose times decrease", "time | a\n2s | start\n1s | kill\n", "line 3: 1s is before 2s"),
 		Entry("with a cell that has no column", "time | a\n1s | start | kill\n", "line 2 has more cells"),
 	)
 
-	It("of a folder have the names of its files", func() {
+	It("in a folder are named after their files", func() {
 		folder := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(folder, "leave.txt"), []byte(text), 0o600)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(folder, "notes.md"), nil, 0o600)).To(Succeed())
@@ -61,7 +61,7 @@
 		Expect(timelines[0].Name).To(Equal("leave"))
 	})
 
-	It("must exist in a folder that is read", func() {
+	It("must exist in the folder", func() {
 		_, err := timelinetest.ReadAll(GinkgoT().TempDir())
 		Expect(err).To(MatchError(ContainSubstring("no timelines")))
 	})
