--- a/internal/node/golden_folders_test.go
+++ b/internal/node/golden_folders_test.go
@@ -25,7 +25,7 @@
 
 // The golden data folders were written by an earlier release and must never be rewritten:
 // later releases must read the same state from them. To add a scenario, run the specs once
-// with the environment variable writeGolden set, and commit only the new folders.
+// with the environment variable that writeGolden names set, and commit only the new folders.
 const (
 	goldenFolders = "testdata/folders"
 	writeGolden   = "RIDGESWITCH_WRITE_GOLDEN"
--- a/internal/node/heap_growth.go
+++ b/internal/node/heap_growth.go
@@ -23,8 +23,8 @@
 
 // heapGrowth is a supervised loop that lets the heap grow further between two garbage
 // collections (see debug.SetGCPercent) in large fleets. Every node decodes the traffic
-// gossip of all nodes and drops it again. In a larger fleet this makes more garbage and costs
-// more processor time in collections, while the live heap grows little.
+// gossip of all nodes and drops it again, so that the garbage, and with it the processor time
+// of collections, grows with the number of nodes, while the live heap grows little.
 type heapGrowth struct {
 	// percent is the setting, which is used unchanged up to smallFleet nodes.
 	percent int
