--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -103,8 +103,9 @@
 	logx.SetWriter(frameworkWriter{entry: logger.WithField("component", "http")})
 }
 
-// frameworkWriter implements logx.Writer with logrus. Errors of the framework are logged as
-// warnings, so that they do not cause a dump of the ring.
+// frameworkWriter implements logx.Writer with logrus. The framework's Error entries are
+// logged as warnings, so that they do not cause a dump of the ring; its Alert, Severe and
+// Stack entries do.
 type frameworkWriter struct {
 	entry *logrus.Entry
 }
