--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// isTimeout reports whether a peer did not respond at all. A refused connection is a
-// response.
+// isTimeout reports whether an operation on a connection timed out. A refused connection
+// is not a time-out: the peer's host responded.
 func isTimeout(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
@@ -33,7 +33,8 @@
 	options *Options
 	// timeout bounds the next attempt.
 	timeout time.Duration
-	// timedOutFor is the sum of the time-outs since frames were last sent.
+	// timedOutFor is the sum of the time-outs of the attempts that timed out since
+	// frames were last sent.
 	timedOutFor time.Duration
 	// backoff is the pause after the next failure.
 	backoff time.Duration
@@ -52,8 +53,8 @@
 	d.backoff = d.options.MinBackoff
 }
 
-// failed records an attempt and returns the backoff before the next one. The error is nil
-// if the peer accepted the connection and then took no frame.
+// failed records a failed attempt and returns the backoff before the next one. The error
+// is nil if the peer accepted the connection, but no frame was sent on it.
 func (d *dialAttempts) failed(err error) time.Duration {
 	if isTimeout(err) {
 		d.timedOutFor += d.timeout
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -16,7 +16,7 @@
 	timeoutErr := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refusedErr := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
-	It("are short until the peer has been silent for a while, and a refusal is no silence", func() {
+	It("have the short time-out until their time-outs add up to DialTimeout, and a refused connection does not count", func() {
 		options := Options{FirstDialTimeout: 400 * time.Millisecond, DialTimeout: time.Second}.withDefaults()
 		attempts := newDialAttempts(&options)
 		timeouts := []time.Duration{attempts.timeout}
@@ -31,18 +31,18 @@
 		Expect(attempts.timeout).To(Equal(short))
 	})
 
-	It("pause longer after each failure, up to a bound", func() {
+	It("are followed by a backoff that doubles after each failure, up to MaxBackoff", func() {
 		options := Options{MinBackoff: 20 * time.Millisecond, MaxBackoff: 50 * time.Millisecond}.withDefaults()
 		attempts := newDialAttempts(&options)
 		Expect([]time.Duration{attempts.failed(timeoutErr), attempts.failed(nil), attempts.failed(refusedErr)}).
 			To(Equal([]time.Duration{20 * time.Millisecond, 40 * time.Millisecond, 50 * time.Millisecond}))
 	})
 
-	It("reach a peer that was silent at first long before the kernel would try again", func() {
+	It("reach a peer after several attempts timed out, and pass their time-outs to the dialer", func() {
 		var mutex sync.Mutex
 		var timeouts []time.Duration
 		second := start(secondHost, Options{})
-		// The last attempt is a real one, which the time-out bounds as well.
+		// Only the fourth attempt dials; testTimeout bounds it in place of its time-out.
 		const short, long = time.Second, 2 * time.Second
 		first := start(firstHost, Options{FirstDialTimeout: short, DialTimeout: long})
 		real := first.dial
@@ -62,7 +62,7 @@
 		Expect(timeouts).To(Equal([]time.Duration{short, short, long, long}))
 	})
 
-	It("do not take longer at first than they may", func() {
+	It("have a first time-out no longer than DialTimeout", func() {
 		Expect(Options{DialTimeout: 100 * time.Millisecond}.withDefaults().FirstDialTimeout).To(Equal(100 * time.Millisecond))
 	})
 })
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,13 +1,14 @@
 // Package transport carries frames between nodes over TCP.
 //
-// A connection carries frames in one direction, each after its length. A sender keeps
-// a bounded queue for each peer and drops the oldest frames when it is full: the
-// protocols above repeat what matters, and old frames matter least. No peer, whether
-// slow, frozen or hostile, can make a node use more memory than the bounds in Options.
+// A TCP connection carries frames in one direction; the length of each frame precedes it.
+// A sender has a bounded queue for each peer and drops the oldest frames when the queue is
+// full: the protocols that use the transport repeat the messages that still matter, and
+// the oldest frames matter least. A slow, frozen or hostile peer cannot make a node use
+// more memory than MaxFrameBytes and the bounds in Options allow.
 //
-// A Transport owns the listener and these goroutines: one that accepts; for each peer
-// that frames are sent to, one that dials and sends (peer.run), and while a connection is
-// open one that notices that the other side closed it; and one for each connection that
-// another node opened. Close ends all of them and waits. All methods may be called
-// concurrently.
+// A Transport owns the listener and these goroutines: one that accepts connections; one
+// for each peer that frames are sent to, which dials and sends (peer.run); one for each
+// connection to a peer, which detects that the other side closed the connection; and one
+// for each connection that another node opened. Close ends all of them and waits for
+// their end. All methods may be called concurrently.
 package transport
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -10,7 +10,7 @@
 // MaxFrameBytes is the size above which a frame is neither sent nor accepted.
 const MaxFrameBytes = 16 << 20
 
-// The values of Options that are not set.
+// The defaults of the fields of Options.
 const (
 	DefaultMaxQueuedFrames  = 4096
 	DefaultMaxQueuedBytes   = 32 << 20
@@ -28,32 +28,35 @@
 // keepAliveProbes is how many unanswered keep-alive probes end a connection.
 const keepAliveProbes = 3
 
-// Options bounds what a Transport uses. Zero values mean the defaults.
+// Options contains the limits and time-outs of a Transport. A value that is not positive
+// means the default.
 type Options struct {
 	// MaxQueuedFrames and MaxQueuedBytes bound the queue of one peer.
 	MaxQueuedFrames int
 	MaxQueuedBytes  int
-	// MaxConnections bounds the connections that others opened to this node.
+	// MaxConnections bounds the connections that other nodes opened to this node.
 	MaxConnections int
-	// FirstDialTimeout is the time-out of the first attempts to connect. Once they
-	// have timed out for DialTimeout together, that is the time-out of each further
-	// one. The kernel retransmits a lost SYN only after a second, and a peer that
-	// was down may be back before that.
+	// FirstDialTimeout is the time-out of the first attempts to connect. Once the
+	// time-outs of the failed attempts add up to DialTimeout, each further attempt
+	// has the time-out DialTimeout. The first attempts are short because the kernel
+	// retransmits a lost SYN only after a second, and a peer that was down may be
+	// back before that.
 	FirstDialTimeout time.Duration
 	DialTimeout      time.Duration
-	// WriteTimeout is how long one write, of a few small frames or one large
-	// one, may take before the connection is closed, and how long bytes may
-	// stay without the peer's acknowledgement.
+	// WriteTimeout is how long one write, of a batch of small frames or one large
+	// frame, may take before the connection is closed, and how long sent bytes may
+	// stay unacknowledged by the peer (TCP_USER_TIMEOUT).
 	WriteTimeout time.Duration
 	// FrameTimeout is how long a sender may take for the rest of a frame after its
 	// first byte.
 	FrameTimeout time.Duration
 	// KeepAlive is the interval of TCP keep-alive probes on idle connections.
 	KeepAlive time.Duration
-	// IdleTimeout is how long a connection stays open on which nothing is sent. Each
-	// node sends something to each other one now and then, and regularly only to a few.
+	// IdleTimeout is how long a connection stays open while nothing is sent on it. A
+	// node sends frames to every other node occasionally, but regularly only to a few.
 	IdleTimeout time.Duration
-	// MinBackoff doubles with each failure to connect up to MaxBackoff.
+	// MinBackoff is the pause after the first failure to connect. The pause doubles
+	// with each further failure, up to MaxBackoff.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
@@ -83,9 +86,9 @@
 	return net.KeepAliveConfig{Enable: true, Idle: o.KeepAlive, Interval: o.KeepAlive, Count: keepAliveProbes}
 }
 
-// newDialer returns a dialer whose connections come from the IP that the node
-// listens on, so that receivers and faults between machines can tell nodes
-// apart by source address.
+// newDialer returns a dialer whose connections have as their source the IP that the node
+// listens on, unless that is unspecified, so that receivers and injected network faults
+// can distinguish nodes by source address.
 func newDialer(listenAddress net.Addr, options Options) *net.Dialer {
 	dialer := &net.Dialer{
 		Timeout:         options.DialTimeout,
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -10,7 +10,8 @@
 const (
 	// lengthBytes is the size of the length before each frame, a big-endian uint32.
 	lengthBytes = 4
-	// batchBytes is about how much one write takes from the queue.
+	// batchBytes bounds the frames that one write takes from the queue. A larger frame
+	// is written alone.
 	batchBytes = 256 << 10
 )
 
@@ -22,8 +23,8 @@
 	queue     *queue
 	// cancel stops the goroutine.
 	cancel context.CancelFunc
-	// retired means that the transport has dropped this peer as idle. Only the goroutine
-	// of the peer uses it.
+	// retired means that the transport has removed this peer as idle. Only the goroutine
+	// of the peer accesses the field.
 	retired bool
 }
 
@@ -46,9 +47,9 @@
 	p.cancel()
 }
 
-// run connects when there is something to send, and again after each loss, until
-// nothing has been sent for IdleTimeout, or the peer is stopped. Then it drops what is
-// queued.
+// run connects when frames are queued, and again after each loss of the connection, until
+// nothing has been sent on a connection for IdleTimeout, or the peer is stopped. Then it
+// drops the queued frames.
 func (p *peer) run(ctx context.Context) {
 	defer p.cancel()
 	defer p.dropQueued()
@@ -64,8 +65,8 @@
 				continue
 			}
 		}
-		// A peer that accepts connections and takes no frame must not be dialled in a
-		// busy loop either.
+		// The backoff also follows a connection on which no frame was sent: a peer that
+		// accepts connections and then closes them must not be dialled in a busy loop.
 		if !p.waitBackoff(ctx, attempts.failed(err)) {
 			return
 		}
@@ -87,8 +88,8 @@
 	}
 }
 
-// serve sends frames until the connection is lost or the peer stopped. It
-// reports whether any frame was sent.
+// serve sends frames until the connection is lost, the peer is stopped, or the transport
+// retires the peer as idle. It reports whether any frame was sent.
 func (p *peer) serve(ctx context.Context, connection net.Conn) (sentAny bool) {
 	lost := make(chan struct{})
 	p.transport.running.Go(func() { closeOnPeerClose(connection, lost) })
@@ -123,8 +124,9 @@
 	}
 }
 
-// closeOnPeerClose notices that the other side closed the connection, on which it never
-// sends anything, before a frame is lost on it.
+// closeOnPeerClose closes the connection when the other side has closed it, so that
+// further frames are not lost on it. The other side never sends anything on the
+// connection, so that any return of Read counts as its end.
 func closeOnPeerClose(connection net.Conn, lost chan<- struct{}) {
 	var unexpected [1]byte
 	_, _ = connection.Read(unexpected[:])
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -7,7 +7,7 @@
 type queue struct {
 	maxFrames int
 	maxBytes  int
-	// ready has a token when the queue may hold frames.
+	// ready contains a token when the queue may contain frames.
 	ready chan struct{}
 
 	mutex  sync.Mutex
@@ -19,8 +19,8 @@
 	return &queue{maxFrames: maxFrames, maxBytes: maxBytes, ready: make(chan struct{}, 1)}
 }
 
-// push adds a frame and returns how many older ones it dropped. A frame larger
-// than the byte bound is kept alone: it is no larger than MaxFrameBytes.
+// push adds a frame and returns how many older frames it dropped. A frame larger than
+// maxBytes is queued alone: Send accepts no frame larger than MaxFrameBytes.
 func (q *queue) push(frame []byte) (dropped int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -37,8 +37,8 @@
 	return dropped
 }
 
-// pop takes the oldest frames up to about maxBytes together, at least one if
-// there is any.
+// pop removes and returns the oldest frames, as many as fit into maxBytes together. If
+// the oldest frame alone is larger, pop returns that frame.
 func (q *queue) pop(maxBytes int) [][]byte {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -55,15 +55,15 @@
 	return batch
 }
 
-// size returns the numbers of queued frames and of their bytes.
+// size returns the number of queued frames and the sum of their sizes.
 func (q *queue) size() (frames, bytes int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return len(q.frames), q.bytes
 }
 
-// removeOldest takes the oldest frame of a queue that is not empty. The caller holds the
-// mutex.
+// removeOldest removes and returns the oldest frame of a queue that is not empty. The
+// caller holds the mutex.
 func (q *queue) removeOldest() []byte {
 	oldest := q.frames[0]
 	q.frames[0] = nil
--- a/internal/transport/queue_test.go
+++ b/internal/transport/queue_test.go
@@ -14,7 +14,7 @@
 }
 
 var _ = Describe("A queue", func() {
-	It("drops the oldest frames beyond its bound on frames", func() {
+	It("drops the oldest frames when it would exceed its maximum number of frames", func() {
 		bounded := newQueue(2, 100)
 		Expect(bounded.push([]byte("a"))).To(Equal(0))
 		Expect(bounded.push([]byte("b"))).To(Equal(0))
@@ -22,7 +22,7 @@
 		Expect(text(bounded.pop(100))).To(Equal([]string{"b", "c"}))
 	})
 
-	It("drops the oldest frames beyond its bound on bytes", func() {
+	It("drops the oldest frames when it would exceed its maximum number of bytes", func() {
 		bounded := newQueue(100, 6)
 		bounded.push([]byte("aaa"))
 		bounded.push([]byte("bbb"))
@@ -31,7 +31,7 @@
 		Expect([]int{frames, bytes}).To(Equal([]int{1, 4}))
 	})
 
-	It("hands out at least one frame, and no more bytes than asked for", func() {
+	It("pops at least one frame, and further frames only up to the requested number of bytes", func() {
 		bounded := newQueue(100, 100)
 		for _, frame := range []string{"aaaa", "bb", "cc", "d"} {
 			bounded.push([]byte(frame))
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// readBufferBytes is the buffer of each connection that another node opened, of
-	// which there are as many as nodes. Most frames are smaller, and of larger ones
-	// what the buffer lacks is read past it.
+	// readBufferBytes is the size of the read buffer of each connection that another
+	// node opened. It is small because there are as many such connections as nodes.
+	// Most frames fit into it; the rest of a larger frame is read past the buffer.
 	readBufferBytes = 4 << 10
-	// maxPreallocatedBytes bounds what is allocated for a frame before its bytes
-	// arrive: its length alone is not trusted. Larger frames grow as they arrive.
+	// maxPreallocatedBytes bounds the memory that is allocated for a frame before its
+	// bytes arrive: the announced length is not trusted. The buffer of a larger frame
+	// grows as the bytes arrive.
 	maxPreallocatedBytes = 64 << 10
-	// acceptRetryDelay is the pause after a failed accept, as when the process is
-	// out of file descriptors.
+	// acceptRetryDelay is the pause after a failed accept, for example when the process
+	// is out of file descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-var errFrameLength = errors.New("transport: frame length out of bounds")
+var errFrameLength = errors.New("transport: frame length is 0 or exceeds MaxFrameBytes")
 
-// accept runs until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (t *Transport) accept(ctx context.Context) {
 	for {
 		connection, err := t.listener.Accept()
@@ -48,8 +49,8 @@
 	}
 }
 
-// admit registers a connection so that Close finds it. It returns false if the transport
-// is closed or has MaxConnections already.
+// admit registers a connection so that Close can close it. It returns false if the
+// transport is closed or already has MaxConnections connections that other nodes opened.
 func (t *Transport) admit(connection net.Conn) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// release closes a connection and takes back its registration.
+// release closes a connection and removes its registration.
 func (t *Transport) release(connection net.Conn) {
 	_ = connection.Close()
 	t.mutex.Lock()
@@ -91,12 +92,12 @@
 	delete(t.inbound, connection)
 }
 
-// readFrame waits for as long as it takes for a frame to begin, and for
-// FrameTimeout for the rest of it. It returns io.EOF when the sender closed
-// the connection between frames.
+// readFrame waits without a time limit for the first byte of a frame, and at most
+// FrameTimeout for the rest. It returns io.EOF if the connection ends between frames.
 func (t *Transport) readFrame(connection net.Conn, reader *bufio.Reader) ([]byte, error) {
 	if _, err := reader.Peek(1); err != nil {
-		// A peer that was killed or forgot this node may send a reset.
+		// Any error between frames counts as the end of the connection: a peer that was
+		// killed, or that called Forget for this node, may send a reset.
 		return nil, io.EOF
 	}
 	if err := connection.SetReadDeadline(time.Now().Add(t.options.FrameTimeout)); err != nil {
@@ -117,7 +118,8 @@
 	return frame, connection.SetReadDeadline(time.Time{})
 }
 
-// readExactly reads length bytes. An end before that is io.ErrUnexpectedEOF.
+// readExactly reads length bytes. It returns io.ErrUnexpectedEOF if a read fails before
+// that.
 func readExactly(reader io.Reader, length int) ([]byte, error) {
 	if length <= maxPreallocatedBytes {
 		frame := make([]byte, length)
--- a/internal/transport/stats.go
+++ b/internal/transport/stats.go
@@ -2,30 +2,35 @@
 
 import "sync/atomic"
 
-// Stats counts what a Transport did since Listen.
+// Stats contains the counters of a Transport since Listen and its current queue sizes.
 type Stats struct {
 	FramesSent     uint64
 	BytesSent      uint64
 	FramesReceived uint64
 	BytesReceived  uint64
-	// DroppedFull frames gave way to newer ones in a full queue.
+	// DroppedFull counts frames dropped from a full queue to make room for newer ones.
 	DroppedFull uint64
-	// DroppedUnsent frames were lost with a connection.
+	// DroppedUnsent counts the frames of writes that failed, which ends the connection.
 	DroppedUnsent uint64
-	// DroppedSize frames were empty or larger than MaxFrameBytes.
+	// DroppedSize counts frames passed to Send that were empty or larger than
+	// MaxFrameBytes.
 	DroppedSize uint64
-	// DroppedClosed frames were sent after Close, or waited at Close or Forget.
+	// DroppedClosed counts frames passed to Send after Close, and frames that were
+	// queued at Close or Forget.
 	DroppedClosed       uint64
 	ConnectionsOpened   uint64
 	ConnectFailures     uint64
 	ConnectionsAccepted uint64
-	// ConnectionsRetired were closed by this node since nothing was sent on them.
+	// ConnectionsRetired counts connections that this node closed because nothing was
+	// sent on them for IdleTimeout.
 	ConnectionsRetired uint64
-	// ConnectionsRefused exceeded MaxConnections.
+	// ConnectionsRefused counts connections of other nodes that were closed at once
+	// because there were MaxConnections already, or because the transport was closed.
 	ConnectionsRefused uint64
-	// BadFrames had a length out of bounds, or were cut or stalled half way.
+	// BadFrames counts received frames whose length was out of bounds, that were
+	// truncated, or that took longer than FrameTimeout.
 	BadFrames uint64
-	// Peers, QueuedFrames and QueuedBytes are of the present moment.
+	// Peers, QueuedFrames and QueuedBytes are the current values.
 	Peers        int
 	QueuedFrames int
 	QueuedBytes  int
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -8,12 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// Handler takes a frame that arrived. It owns the frame. It is called from one
-// goroutine for each connection, so from several at once, and no further frame
-// of that connection is read until it returns. It must not call Close.
+// Handler processes a received frame and owns it. Each connection has its own goroutine
+// that calls the handler, so that calls may be concurrent, and no further frame of that
+// connection is read until the handler returns. A handler must not call Close, which waits
+// for all handlers to return.
 type Handler func(frame []byte)
 
-// Transport sends frames to peers and hands frames that arrive to its handler.
+// Transport sends frames to peers and passes received frames to its handler.
 type Transport struct {
 	options  Options
 	listener net.Listener
@@ -21,26 +22,28 @@
 	dial     dialFunc
 	counters counters
 	// peerContext returns a context for a new peer, which ends with the transport. It is
-	// a function, since peers start in Send, and a struct is not to hold a context.
+	// a function because peers start in Send, and a struct should not contain a context.
 	peerContext func() (context.Context, context.CancelFunc)
-	// cancel ends everything that Listen or Send started, and running waits for it.
+	// cancel cancels the context of the goroutines that Listen and Send started, and
+	// running waits for their end.
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
 	mutex  sync.Mutex
 	closed bool
-	// peers are those that frames are sent to, by address.
+	// peers contains the peers that frames are sent to, by address.
 	peers map[string]*peer
-	// inbound are the connections that other nodes opened.
+	// inbound contains the connections that other nodes opened.
 	inbound map[net.Conn]struct{}
 }
 
-// Listen starts to accept frames on address, a host and port, and to send from
-// the host of address. The handler gets each frame that arrives. Close ends the transport.
+// Listen starts a transport that accepts connections on address, a host and port, and
+// sends frames from the host of address. The transport calls the handler with each
+// received frame. Close stops the transport.
 func Listen(address string, handler Handler, options Options) (*Transport, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "transport: cannot listen on %s; check that the address is this machine's and free", address)
+		return nil, errors.Wrapf(err, "transport: cannot listen on %s; check that the address belongs to this machine and that its port is not in use", address)
 	}
 	options = options.withDefaults()
 	background, cancel := context.WithCancel(context.Background())
@@ -67,9 +70,9 @@
 
 // Send queues a frame for the peer that listens on address, a host and port.
 // It never blocks. A frame that cannot be queued or sent is dropped and
-// counted. The transport owns the frame from here on. A peer costs a connection and
-// goroutines until nothing has been sent to it for IdleTimeout, or until Forget, which
-// is for those that have left.
+// counted. The caller must not use the frame after the call. A peer takes up a connection
+// and goroutines until its connection has been idle for IdleTimeout, or until Forget,
+// which is meant for peers that have left.
 func (t *Transport) Send(address string, frame []byte) {
 	if len(frame) > MaxFrameBytes || len(frame) == 0 {
 		t.counters.droppedSize.Add(1)
@@ -97,8 +100,8 @@
 	return existing
 }
 
-// Forget closes the connection to a peer and drops what is queued for it. A
-// later Send starts afresh.
+// Forget closes the connection to a peer and drops the frames queued for it. A later Send
+// opens a new connection.
 func (t *Transport) Forget(address string) {
 	t.mutex.Lock()
 	forgotten := t.peers[address]
@@ -109,8 +112,8 @@
 	}
 }
 
-// Close stops listening, closes all connections, drops what is queued, and
-// returns when no handler runs any more.
+// Close stops listening, closes all connections, drops the queued frames, and returns
+// when no handler is running any more.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
@@ -128,8 +131,9 @@
 	t.running.Wait()
 }
 
-// retire drops a peer that has sent nothing for IdleTimeout, unless its queue has frames
-// again, and reports whether it did. A later Send starts afresh.
+// retire removes a peer to which nothing has been sent for IdleTimeout, unless its queue
+// contains frames again, and reports whether it removed the peer. A later Send opens a new
+// connection.
 func (t *Transport) retire(idle *peer) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,11 +16,11 @@
 const (
 	firstHost  = "127.77.1.1"
 	secondHost = "127.77.1.2"
-	// testTimeout bounds how long a test waits for what must happen.
+	// testTimeout bounds how long a test waits for an expected event.
 	testTimeout = 20 * time.Second
 )
 
-// node is a transport whose frames arrive on a channel.
+// node is a transport that sends the frames it receives to a channel.
 type node struct {
 	*Transport
 	frames chan []byte
@@ -44,12 +44,12 @@
 	case frame := <-n.frames:
 		return frame
 	case <-time.After(testTimeout):
-		Fail("no frame arrived")
+		Fail("no frame was received within testTimeout")
 		return nil
 	}
 }
 
-// rawListener is a peer that takes connections and does nothing by itself.
+// rawListener returns a TCP listener that stands for a peer without a Transport.
 func rawListener() net.Listener {
 	listener, err := net.Listen("tcp", net.JoinHostPort(secondHost, "0"))
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
@@ -78,8 +78,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...)
 }
 
-// sendUntilAccepted sends a frame again and again until the peer has taken a
-// new connection and has done with it.
+// sendUntilAccepted sends a frame repeatedly until the peer has accepted a new connection
+// and use has returned.
 func sendUntilAccepted(sender *node, peer net.Listener, frame []byte, use func(net.Conn)) {
 	done := make(chan struct{})
 	go func() {
@@ -118,7 +118,7 @@
 		Expect(first.Stats().ConnectionsOpened).To(BeEquivalentTo(3))
 	})
 
-	It("stays while frames go on", func() {
+	It("stays open while frames are sent", func() {
 		const idle = 500 * time.Millisecond
 		second := start(secondHost, Options{})
 		first := start(firstHost, Options{IdleTimeout: idle})
@@ -129,7 +129,7 @@
 		Expect(first.Stats().ConnectionsOpened).To(BeEquivalentTo(1))
 	})
 
-	It("loses no frame that is sent as it is closed", func() {
+	It("loses no frame that is sent while it is being closed", func() {
 		const frames = 2000
 		second := start(secondHost, Options{})
 		first := start(firstHost, Options{IdleTimeout: time.Nanosecond, MinBackoff: time.Nanosecond})
@@ -158,7 +158,7 @@
 		Expect(got).To(Equal(want))
 	})
 
-	It("delivers between two of its kind, and to itself", func() {
+	It("delivers frames to another transport and to itself", func() {
 		first, second := start(firstHost, Options{}), start(secondHost, Options{})
 		first.Send(second.Address(), []byte("there"))
 		Expect(second.next()).To(Equal([]byte("there")))
@@ -180,7 +180,7 @@
 		Expect(first.Stats().DroppedSize).To(Equal(uint64(2)))
 	})
 
-	It("keeps frames for a peer that is down until it comes", func() {
+	It("keeps frames for a peer that is down until the peer listens", func() {
 		held := rawListener()
 		address := held.Addr().String()
 		Expect(held.Close()).To(Succeed())
@@ -201,7 +201,8 @@
 		_, err := io.ReadFull(lost, make([]byte, len(prefixed([]byte("first")))))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lost.Close()).To(Succeed())
-		// A frame may be lost with the connection: the protocols send on.
+		// A frame may be lost with the connection, so the frame is sent repeatedly, as the
+		// protocols that use the transport do.
 		sendUntilAccepted(sender, peer, []byte("again"), func(connection net.Conn) {
 			got := make([]byte, len(prefixed([]byte("again"))))
 			_, err := io.ReadFull(connection, got)
@@ -210,7 +211,7 @@
 		})
 	})
 
-	It("never blocks on a frozen peer, holds bounded memory for it, and gives its connection up", func() {
+	It("never blocks on a frozen peer, queues a bounded number of bytes for it, and closes the connection to it", func() {
 		const queuedBytes = 4 << 20
 		options := Options{MaxQueuedBytes: queuedBytes, WriteTimeout: 50 * time.Millisecond, MinBackoff: time.Millisecond}
 		sender, frozen := start(firstHost, options), rawListener()
@@ -224,7 +225,7 @@
 		Expect(stats.DroppedUnsent).To(BeNumerically(">", 0))
 	})
 
-	It("starts afresh with a peer that it was told to forget", func() {
+	It("closes the connection to a peer on Forget, and opens a new one for the next frame", func() {
 		sender, peer := start(firstHost, Options{}), rawListener()
 		address := peer.Addr().String()
 		sender.Send(address, []byte("before"))
@@ -241,7 +242,7 @@
 		Expect(got).To(Equal(prefixed([]byte("after"))))
 	})
 
-	It("ends all it runs on Close, and counts what it then drops", func() {
+	It("stops listening and closes all connections on Close, and counts the frames that it then drops", func() {
 		held := rawListener()
 		address := held.Addr().String()
 		Expect(held.Close()).To(Succeed())
@@ -257,15 +258,15 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("names the remedy when it cannot listen", func() {
+	It("returns an error with the remedy when it cannot listen", func() {
 		taken := start(firstHost, Options{})
 		_, err := Listen(taken.Address(), func([]byte) {}, Options{})
-		Expect(err).To(MatchError(ContainSubstring("check that the address is this machine's and free")))
+		Expect(err).To(MatchError(ContainSubstring("check that the address belongs to this machine and that its port is not in use")))
 	})
 })
 
 var _ = Describe("A hostile or broken sender", func() {
-	It("is cut off when the length of a frame is out of bounds", func() {
+	It("is disconnected when the length of a frame is out of bounds", func() {
 		receiver := start(firstHost, Options{})
 		for _, length := range []uint32{0, MaxFrameBytes + 1, 1<<32 - 1} {
 			connection := dialRaw(receiver.Address())
@@ -276,7 +277,7 @@
 		Expect(receiver.Stats().BadFrames).To(Equal(uint64(3)))
 	})
 
-	It("is cut off when it stalls within a frame, whole frames before count", func() {
+	It("is disconnected when it stalls within a frame, and its earlier complete frames are delivered", func() {
 		receiver := start(firstHost, Options{FrameTimeout: 20 * time.Millisecond})
 		connection := dialRaw(receiver.Address())
 		_, err := connection.Write(append(prefixed([]byte("whole")), 0, 0, 1, 0, 'h'))
@@ -286,7 +287,7 @@
 		Expect(receiver.Stats().BadFrames).To(Equal(uint64(1)))
 	})
 
-	It("takes no memory by claiming a large frame", func() {
+	It("causes no large allocation by announcing a large frame", func() {
 		receiver := start(firstHost, Options{FrameTimeout: 20 * time.Millisecond})
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
@@ -301,7 +302,7 @@
 		Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<", MaxFrameBytes))
 	})
 
-	It("opens no more connections than allowed", func() {
+	It("cannot open more than MaxConnections connections", func() {
 		receiver := start(firstHost, Options{MaxConnections: 1})
 		first := dialRaw(receiver.Address())
 		_, err := first.Write(prefixed([]byte("first")))
@@ -313,7 +314,7 @@
 })
 
 var _ = Describe("A connection that another node opened", func() {
-	It("has a small buffer, however many there are, and brings frames larger than it whole", func() {
+	It("has a read buffer of at most 4 KiB, and delivers frames larger than the buffer", func() {
 		Expect(readBufferBytes).To(BeNumerically("<=", 4<<10))
 		receiver := start(secondHost, Options{})
 		sender := start(firstHost, Options{})
