--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -264,8 +264,8 @@
 
 func goldenMessages() []goldenMessage {
 	var messages []goldenMessage
-	for _, some := range [][]goldenMessage{goldenReplication(), goldenMembership(), goldenRelay(), goldenControl(), goldenTraffic()} {
-		messages = append(messages, some...)
+	for _, group := range [][]goldenMessage{goldenReplication(), goldenMembership(), goldenRelay(), goldenControl(), goldenTraffic()} {
+		messages = append(messages, group...)
 	}
 	return messages
 }
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -43,10 +43,10 @@
 	for _, report := range update.Reports {
 		packed.Reports = append(packed.Reports, packReport(table, report))
 	}
-	for _, denial := range update.GoneInstances {
+	for _, gone := range update.GoneInstances {
 		packed.Denials = append(packed.Denials, &fb.TrafficDenialT{
-			Address:  table.index(denial.Address),
-			Instance: table.index(denial.Instance),
+			Address:  table.index(gone.Address),
+			Instance: table.index(gone.Instance),
 		})
 	}
 	for _, report := range update.Outcomes {
@@ -126,7 +126,7 @@
 				Loads:         r.trafficLoads(&stored, names),
 				Dispatches:    r.trafficDispatches(&stored, names),
 				Reports:       r.trafficReports(&stored, names),
-				GoneInstances: r.trafficDenials(&stored, names),
+				GoneInstances: r.trafficGoneInstances(&stored, names),
 				Outcomes:      r.trafficOutcomes(&stored, names),
 			}
 		}),
@@ -205,7 +205,7 @@
 	})
 }
 
-func (r *reader) trafficDenials(table *fb.TrafficNews, names receivedNames) []gossip.GoneInstance {
+func (r *reader) trafficGoneInstances(table *fb.TrafficNews, names receivedNames) []gossip.GoneInstance {
 	var stored fb.TrafficDenial
 	return readVector(r, table.DenialsLength(), minTableBytes, func(i int) gossip.GoneInstance {
 		table.Denials(&stored, i)
