--- a/internal/wire/error.go
+++ b/internal/wire/error.go
@@ -7,23 +7,23 @@
 
 // The reasons to reject a frame.
 const (
-	// ErrorTooLarge frames exceed MaxFrameBytes.
+	// ErrorTooLarge means that the frame exceeds MaxFrameBytes.
 	ErrorTooLarge ErrorKind = iota + 1
-	// ErrorForeign frames do not carry this schema's identifier.
+	// ErrorForeign means that the bytes do not contain this schema's identifier.
 	ErrorForeign
-	// ErrorMalformed frames have offsets or lengths that do not fit them.
+	// ErrorMalformed means that offsets, lengths or indexes in the frame are invalid.
 	ErrorMalformed
-	// ErrorMessageCount frames carry no message, or more than one.
+	// ErrorMessageCount means that the frame contains no message, or more than one.
 	ErrorMessageCount
 )
 
-// Error means that bytes are not a frame of a node.
+// Error reports why Decode rejected bytes as a frame.
 type Error struct {
 	Kind       ErrorKind
 	FrameBytes int
 }
 
-// Error names the fault and its remedy.
+// Error returns a text that states the fault and its remedy.
 func (e *Error) Error() string {
 	switch e.Kind {
 	case ErrorTooLarge:
@@ -33,6 +33,6 @@
 	case ErrorMessageCount:
 		return "wire: frame must carry exactly one message; check that all nodes run the same release"
 	default:
-		return fmt.Sprintf("wire: frame of %d bytes is damaged; drop it, the sender repeats what matters", e.FrameBytes)
+		return fmt.Sprintf("wire: frame of %d bytes is malformed; drop it, the sender repeats messages that still matter", e.FrameBytes)
 	}
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzDecode checks that any bytes give an envelope that survives another
-// round trip, or a typed error.
+// FuzzDecode checks that Decode returns, for any bytes, either an *Error or an envelope that
+// another round trip encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
 	for _, envelope := range filledEnvelopes() {
 		f.Add(Encode(envelope))
@@ -17,17 +17,17 @@
 		if err != nil {
 			var refused *Error
 			if !errors.As(err, &refused) {
-				t.Fatalf("untyped error: %v", err)
+				t.Fatalf("Decode returned an error that is not an *Error: %v", err)
 			}
 			return
 		}
 		encoded := Encode(envelope)
 		again, err := Decode(encoded)
 		if err != nil {
-			t.Fatalf("own frame refused: %v", err)
+			t.Fatalf("Decode rejected a frame that Encode returned: %v", err)
 		}
 		if !bytes.Equal(Encode(again), encoded) {
-			t.Fatal("second round trip differs from the first")
+			t.Fatal("the second round trip gave other bytes than the first")
 		}
 	})
 }
--- a/internal/wire/golden_frames_test.go
+++ b/internal/wire/golden_frames_test.go
@@ -22,15 +22,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/replication"
 )
 
-// The golden frames were written by an earlier release, and never change: nodes of two
-// releases run beside each other. A frame of a new message is added by one run of the
-// specs with writeGolden set, which leaves the frames that are there.
+// The golden frames were written by an earlier release and must not change, because nodes
+// of two releases run side by side during an upgrade. To add the frame of a new message,
+// run the specs once with the environment variable that writeGolden names set to any text;
+// existing frames stay.
 const (
 	goldenFrames = "testdata/golden_frames.txt"
 	writeGolden  = "RIDGESWITCH_WRITE_GOLDEN"
 )
 
-// goldenMessage is a message whose frame is known.
+// goldenMessage is a message whose expected frame is in goldenFrames under its name.
 type goldenMessage struct {
 	name     string
 	kind     MessageKind
@@ -91,7 +92,7 @@
 	}
 }
 
-// goldenRecords are rows of each state.
+// goldenRecords returns a record in each state.
 func goldenRecords() []membership.Record {
 	var records []membership.Record
 	states := []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateFenced, membership.StateLeft}
@@ -112,7 +113,8 @@
 			Version: 12,
 		})
 	}
-	// Processes too far apart for differences travel as they are.
+	// An incarnation that is too far from that of the record for an int32 difference makes
+	// packBoots return the incarnations in full.
 	records[1].MonitorBoots[1] = 1
 	return records
 }
@@ -224,7 +226,8 @@
 	return goldenMessage{name: "traffic " + name, kind: kind, envelope: envelope}
 }
 
-// goldenUpdates is news of every sort, of a node with an IPv4 address and of one with a name.
+// goldenUpdates returns an update with every kind of content, from a node with an IPv4
+// address, and an empty update from a node with a name.
 func goldenUpdates() []gossip.Update {
 	load := kvrouter.AddressLoad{Address: "10.1.0.1:8000"}
 	load.DecodeTokens, load.Requests = 1200, 3
@@ -289,7 +292,7 @@
 	return frames
 }
 
-// addGoldenFrames writes frames of messages that have none so far.
+// addGoldenFrames appends the frames of messages that have no golden frame yet.
 func addGoldenFrames() {
 	file, err := os.OpenFile(goldenFrames, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	Expect(err).NotTo(HaveOccurred())
@@ -314,7 +317,7 @@
 	})
 
 	for _, message := range goldenMessages() {
-		It("are read, and written to the last byte: "+message.name, func() {
+		It("are decoded, and are encoded again to the same bytes: "+message.name, func() {
 			frame, found := frames[message.name]
 			Expect(found).To(BeTrue())
 			Expect(MessageKindOf(frame)).To(Equal(message.kind))
@@ -336,7 +339,7 @@
 		Expect(frames).To(HaveLen(len(goldenMessages())))
 	})
 
-	It("name their kinds as before", func() {
+	It("have kinds whose names are unchanged", func() {
 		var names []string
 		for kind := range KindCount {
 			names = append(names, kind.String())
--- a/internal/wire/member_rows.go
+++ b/internal/wire/member_rows.go
@@ -13,16 +13,17 @@
 )
 
 // Records of members are encoded as rows that refer to a table of texts in the same
-// message: the complete membership names each member in several rows, and the
+// message: in a message with all records, several rows name each member, and the
 // addresses of one member usually differ only in their ports.
 
-// maxTexts bounds the texts that the rows of one message may refer to: an index is a
-// uint16, and 0 means no text. Records beyond it are left out of the message; the
-// digests of the membership protocol repair the receiver's table.
+// maxTexts bounds the number of texts that the rows of one message may refer to: an index
+// is a uint16, and 0 means no text. The first record whose texts might exceed the bound
+// and all records after it are left out of the message; the receiver gets them when the
+// membership protocol compares the digests of tables.
 const maxTexts = math.MaxUint16
 
-// maxBaseBytes bounds the address that a port is joined to; no IP address with a zone
-// and a port is longer.
+// maxBaseBytes bounds the length of an address whose host joinPort combines with another
+// port; no IP address with a zone and a port is longer.
 const maxBaseBytes = 64
 
 // rowPacker packs the rows of one message.
@@ -52,7 +53,7 @@
 	return textsOfInfo + len(record.Monitors) + len(record.TimeoutReports)
 }
 
-// text returns the index of a text, 0 for none.
+// text returns the index by which rows refer to a text, which is 0 for the empty text.
 func (p rowPacker) text(text string) uint16 {
 	if text == "" {
 		return 0
@@ -89,8 +90,8 @@
 	return row
 }
 
-// port returns the port of an address whose host is that of base, or else the text
-// index of the complete address.
+// port returns the port of address if its host is that of base, and otherwise the text
+// index of the complete address. The other result is 0.
 func (p rowPacker) port(address, base string) (port, addressIndex uint16) {
 	host, text, err := net.SplitHostPort(address)
 	if err != nil {
@@ -98,7 +99,8 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 16)
 	baseHost, _, baseErr := net.SplitHostPort(base)
-	// The receiver rebuilds the address from the port: it has to get the same text.
+	// The receiver rebuilds the address from base and the port, and must get the same
+	// text.
 	same := err == nil && baseErr == nil && number > 0 && host == baseHost && len(base) <= maxBaseBytes
 	if !same || joinPort(base, uint16(number)) != address {
 		return 0, p.text(address)
@@ -106,7 +108,8 @@
 	return uint16(number), 0
 }
 
-// joinPort returns the address with the host of base and a port.
+// joinPort returns the address with the host of base and the given port, or "" if base is
+// not a host and port.
 func joinPort(base string, port uint16) string {
 	host, _, err := net.SplitHostPort(base)
 	if err != nil {
@@ -115,8 +118,8 @@
 	return net.JoinHostPort(host, strconv.FormatUint(uint64(port), 10))
 }
 
-// packBoots returns the incarnations with which the processes of monitors started, as
-// differences from a base, or all of them in full if one of the differences does not fit.
+// packBoots returns the incarnations with which the processes of monitors started: as
+// differences from base, or all of them in full if a difference does not fit into an int32.
 func packBoots(boots []member.Incarnation, base member.Incarnation) (near []int32, far []uint64) {
 	for _, boot := range boots {
 		difference := int64(boot - base)
@@ -144,7 +147,8 @@
 	})
 }
 
-// sharedText returns a text by its index. Rows share its memory.
+// sharedText returns the text with an index. Rows that refer to the same text share its
+// memory.
 func (r rowReader) sharedText(index uint16) string {
 	if index == 0 {
 		return ""
@@ -177,8 +181,8 @@
 	}
 }
 
-// address is the inverse of rowPacker.port. A joined address allocates, unlike a shared
-// text, so that it counts against the budget of the reader.
+// address is the inverse of rowPacker.port. Unlike a shared text, a joined address is
+// allocated, so it counts against the budget of the reader.
 func (r rowReader) address(port, addressIndex uint16, base string) string {
 	if port == 0 {
 		return r.sharedText(addressIndex)
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -8,8 +8,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/membership"
 )
 
-// packMembership leaves From out when it holds nothing but the sender's ID, which is in the
-// envelope.
+// packMembership omits From when it contains only the sender's ID, which the envelope
+// contains as well.
 func packMembership(message *membership.Message, sender member.ID) *fb.MembershipT {
 	if message == nil {
 		return nil
--- a/internal/wire/message_kind.go
+++ b/internal/wire/message_kind.go
@@ -45,7 +45,8 @@
 	KindCount
 )
 
-// String returns the name of a kind in reports and metrics. The names are published.
+// String returns the name of a kind in reports and metrics. The names are published, so
+// they must not change.
 func (k MessageKind) String() string {
 	if k < 0 || k >= KindCount {
 		return kindNames[KindOther]
@@ -84,7 +85,7 @@
 }
 
 // MessageKindOf returns the kind of a frame that this process has encoded, without
-// decoding it. It panics on bytes that are no frame.
+// decoding it. It panics on bytes that are not a frame.
 func MessageKindOf(frame []byte) MessageKind {
 	envelope := fb.GetRootAsEnvelope(frame, 0)
 	if message := envelope.Membership(nil); message != nil {
@@ -122,8 +123,8 @@
 	}
 }
 
-// membershipGossipKind distinguishes the steps of the comparison of tables by the fields
-// that each has.
+// membershipGossipKind returns the kind of a gossip message, which is determined by the
+// fields that the message contains.
 func membershipGossipKind(message *fb.Membership) MessageKind {
 	switch {
 	case message.BucketsLength() > 0:
@@ -186,7 +187,8 @@
 	}
 }
 
-// trafficKind counts all messages of a snapshot as one kind.
+// trafficKind returns the kind of a batch by its stage. All stages of a snapshot transfer
+// are one kind.
 func trafficKind(stage gossip.Stage) MessageKind {
 	switch stage {
 	case gossip.NodeToRelay:
--- a/internal/wire/name_table.go
+++ b/internal/wire/name_table.go
@@ -31,15 +31,15 @@
 }
 
 // nameTable assigns an index to each distinct name of a Traffic message. Most names
-// are IPv4 addresses with ports: 8 bytes as an endpoint, and about 24 as a text.
+// are IPv4 addresses with ports, which take 8 bytes as endpoints and about 24 as texts.
 type nameTable struct {
 	indexes   map[string]uint32
 	endpoints []uint64
 	texts     *textTable
 }
 
-// newNameTable collects the endpoints of a batch first, since the indexes of texts
-// follow theirs.
+// newNameTable returns a table that contains the endpoints of a batch. They are collected
+// before any text is added, since the indexes of texts follow those of all endpoints.
 func newNameTable(batch *gossip.Batch) *nameTable {
 	table := &nameTable{indexes: map[string]uint32{}, texts: newTextTable()}
 	for i := range batch.Updates {
@@ -68,7 +68,7 @@
 	}
 }
 
-// addEndpoint adds a name as an endpoint if it has that form.
+// addEndpoint adds a name as an endpoint if endpointOf can encode it.
 func (t *nameTable) addEndpoint(name string) {
 	if _, found := t.indexes[name]; found {
 		return
@@ -91,8 +91,8 @@
 
 const portBits = 16
 
-// endpointOf returns a name as an endpoint. Fits is false unless endpointName gives the
-// same name again.
+// endpointOf encodes a name, an IPv4 address with a port, as an endpoint. The result fits
+// is false unless endpointName returns the same name for the endpoint.
 func endpointOf(name string) (endpoint uint64, fits bool) {
 	parsed, err := netip.ParseAddrPort(name)
 	if err != nil || !parsed.Addr().Is4() || parsed.String() != name {
@@ -105,7 +105,8 @@
 	return endpoint<<portBits | uint64(parsed.Port()), true
 }
 
-// maxEndpointNames bounds the cached names. A full cache is emptied.
+// maxEndpointNames bounds the number of cached names. A full cache is cleared before a name
+// is added.
 const maxEndpointNames = 16384
 
 // endpointNames caches the names of endpoints that were received, so that decoding the
@@ -115,7 +116,7 @@
 	names map[uint64]string
 }{names: map[uint64]string{}}
 
-// endpointName is the inverse of endpointOf.
+// endpointName is the inverse of endpointOf. It takes the name from the cache, or adds it.
 func endpointName(endpoint uint64) string {
 	endpointNames.RLock()
 	name, known := endpointNames.names[endpoint]
@@ -135,10 +136,10 @@
 	return name
 }
 
-// receivedNames are the names of a received message by their indexes.
+// receivedNames contains the names of a received message by index.
 type receivedNames []string
 
-// at returns the name of an index, or "" if the message has no such index.
+// at returns the name with an index, or "" if the message has no such index.
 func (n receivedNames) at(index uint32) string {
 	if int64(index) >= int64(len(n)) {
 		return ""
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -2,8 +2,8 @@
 
 import flatbuffers "github.com/google/flatbuffers/go"
 
-// The minimum bytes of an element of a vector in a well-formed frame: its offset in the
-// vector, and what the builder always stores for it.
+// The minimum sizes, in bytes, of the elements of vectors in a well-formed frame: the offset
+// of the element in the vector, if it has one, and what the builder always stores for it.
 const (
 	incarnationBytes  = flatbuffers.SizeUint64
 	offsetBytes       = flatbuffers.SizeUOffsetT
@@ -21,7 +21,8 @@
 // can refer to the same bytes many times; the budget bounds what is copied.
 type reader struct {
 	// budget is how many bytes of values may still be read.
-	budget    int
+	budget int
+	// exhausted means that a value exceeded the budget, or that a member row was invalid.
 	exhausted bool
 }
 
@@ -37,7 +38,7 @@
 }
 
 // vectorLength accounts for a vector of elements of at least minElementBytes each. It
-// returns its length, or 0 if the frame is too small for that many.
+// returns the length of the vector, or 0 if the budget is too small for it.
 func (r *reader) vectorLength(length, minElementBytes int) int {
 	if r.exhausted || !r.spend(length*minElementBytes) {
 		return 0
@@ -68,10 +69,10 @@
 
 // readVector copies a vector of the given length, whose elements take at least
 // minElementBytes each in the frame. It calls element for each index in turn. The result
-// is never nil; it is empty if the frame is too small for the vector.
+// is never nil; it is empty if the budget is too small for the vector.
 //
-// The callback takes an index, and no table to read into: passed to an unknown function,
-// such a table would be allocated for each vector.
+// The callback takes an index instead of a table to read into: a table that readVector
+// passed to the callback would escape to the heap and be allocated for each vector.
 func readVector[T any](r *reader, length, minElementBytes int, element func(index int) T) []T {
 	elements := make([]T, r.vectorLength(length, minElementBytes))
 	for i := range elements {
--- a/internal/wire/replication.go
+++ b/internal/wire/replication.go
@@ -26,7 +26,7 @@
 		RejectHint:  message.RejectHint,
 		Snapshot:    packSnapshot(message.Snapshot),
 	}
-	// An empty vector is left out of a frame.
+	// Without entries, Entries stays nil, so that the frame omits the vector.
 	if len(message.Entries) > 0 {
 		packed.Entries = fbtable.PackEntries[fb.EntryT](message.Entries)
 	}
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -11,11 +11,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// The minimum bytes of an element of a vector in a Traffic message.
+// The sizes, in bytes, of the structs that are elements of vectors in a Traffic message.
 const (
 	chunkChangeBytes = 24
 	chunkLinkBytes   = 16
-	// A load has an entry for each priority with tokens to prefill.
+	// trafficLoadBytes is the size of one entry of a load, which has an entry for each
+	// priority with tokens to prefill.
 	trafficLoadBytes = 20
 )
 
@@ -59,8 +60,8 @@
 	return packed
 }
 
-// packLoads returns an entry for each priority that has tokens to prefill. The first
-// one carries the rest of the load as well.
+// packLoads returns an entry for each priority that has tokens to prefill, and at least one
+// entry. The first entry also contains the rest of the load.
 func packLoads(table *nameTable, load kvrouter.AddressLoad) []*fb.TrafficLoadT {
 	first := &fb.TrafficLoadT{
 		Address:      table.index(load.Address),
@@ -133,7 +134,8 @@
 	}
 }
 
-// trafficLoads merges the entries of one replica, which are adjacent.
+// trafficLoads reads loads. It merges the entries of each replica, which are adjacent, into
+// one load.
 func (r *reader) trafficLoads(table *fb.TrafficNews, names receivedNames) []kvrouter.AddressLoad {
 	length := r.vectorLength(table.LoadsLength(), trafficLoadBytes)
 	loads := make([]kvrouter.AddressLoad, 0, length)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,17 +15,18 @@
 //go:generate flatc --go --gen-object-api -o . wire.fbs
 //go:generate gofmt -w fb
 
-// MaxFrameBytes is the size above which Decode rejects a frame. It is that of package
-// transport, which carries the frames.
+// MaxFrameBytes is the size above which Decode rejects a frame. It equals the limit of
+// package transport, which carries the frames.
 const MaxFrameBytes = 16 << 20
 
-// identifier marks the frames of this schema; it follows the root offset.
+// identifier is the FlatBuffers file identifier in the frames of this schema. It follows
+// the root offset.
 const identifier = "RSW1"
 
 const (
-	// initialBuilderBytes is the first size of the buffer in which a frame is built.
+	// initialBuilderBytes is the initial size of the buffer in which a frame is built.
 	initialBuilderBytes = 512
-	// smallestFrameBytes is the size of the root offset and the identifier.
+	// smallestFrameBytes is the total size of the root offset and the identifier.
 	smallestFrameBytes = flatbuffers.SizeUOffsetT + len(identifier)
 )
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,8 +23,8 @@
 
 const filledElements = 2
 
-// filler sets every field that it reaches to a value of its own, so that a
-// field which the wire drops or mixes up shows.
+// filler sets every field that it reaches to a non-zero value, mostly one that no other
+// field has, so that a round trip shows fields that the encoding drops or confuses.
 type filler struct{ next uint64 }
 
 func (f *filler) fill(value reflect.Value, path string) {
@@ -57,7 +57,7 @@
 			f.fill(value.Field(i), path+"."+value.Type().Field(i).Name)
 		}
 	default:
-		Fail("the filler does not know the kind of " + path)
+		Fail("filler does not support the kind of " + path)
 	}
 }
 
@@ -108,13 +108,13 @@
 		}
 	})
 
-	It("keep an empty command apart from none", func() {
+	It("distinguish an empty command from a missing one", func() {
 		entries := []replication.Entry{{Index: 1, Command: []byte{}}, {Index: 2}}
 		envelope := Envelope{Replication: &replication.Message{Entries: entries}}
 		Expect(Decode(Encode(envelope))).To(Equal(envelope))
 	})
 
-	It("name IPv4 endpoints by number, and what is spelt otherwise by text", func() {
+	It("encode names that are canonical IPv4 endpoints as numbers, and other names as texts", func() {
 		names := []string{"10.4.64.49:8782", "255.255.255.255:65535", "0.0.0.0:0", "010.4.64.49:8782", "10.4.64.49", "[::1]:80", "node-1", ""}
 		batch := &gossip.Batch{Stage: gossip.RelayToRelay}
 		for _, name := range names {
@@ -135,7 +135,7 @@
 		Expect(fb.GetRootAsEnvelope(Encode(envelope), 0).Traffic(nil).EndpointsLength()).To(Equal(3))
 	})
 
-	It("carry the table of a large deployment", func() {
+	It("carry the membership table of a large deployment in less than 120 bytes per member", func() {
 		message := &membership.Message{}
 		for number := range 4000 {
 			host := fmt.Sprintf("10.%d.%d.7", number/250, number%250)
@@ -170,7 +170,7 @@
 		Expect(Decode(Encode(Envelope{Membership: message}))).To(Equal(Envelope{Membership: message}))
 	})
 
-	It("share no memory with what they are decoded to", func() {
+	It("share no memory with the decoded envelope", func() {
 		sections := []relaytree.Section{{Name: "name", Content: []byte("state")}}
 		envelope := Envelope{Relay: &relaytree.Message{Sections: sections}}
 		frame := Encode(envelope)
@@ -180,14 +180,14 @@
 		Expect(decoded).To(Equal(envelope))
 	})
 
-	It("are refused without exactly one message", func() {
+	It("are rejected unless they contain exactly one message", func() {
 		_, err := Decode(Encode(Envelope{From: "a"}))
 		Expect(kindOf(err)).To(Equal(ErrorMessageCount))
 		_, err = Decode(Encode(Envelope{Relay: &relaytree.Message{}, Control: &protocol.Message{}}))
 		Expect(kindOf(err)).To(Equal(ErrorMessageCount))
 	})
 
-	It("are refused when foreign or too large", func() {
+	It("are rejected without the identifier of the schema, and when too large", func() {
 		_, err := Decode([]byte("GET / HTTP/1.1\r\n"))
 		Expect(kindOf(err)).To(Equal(ErrorForeign))
 		_, err = Decode(nil)
@@ -196,7 +196,7 @@
 		Expect(kindOf(err)).To(Equal(ErrorTooLarge))
 	})
 
-	It("never panic when cut or damaged at any byte", func() {
+	It("never make Decode panic when truncated at any byte or with any bit flipped", func() {
 		for _, envelope := range filledEnvelopes() {
 			frame := Encode(envelope)
 			for position := range frame {
@@ -210,7 +210,7 @@
 		}
 	})
 
-	It("use bounded memory when many offsets share one large value", func() {
+	It("are decoded in bounded memory when many offsets refer to one large value", func() {
 		const members, memberBytes = 10_000, 1 << 20
 		builder := flatbuffers.NewBuilder(0)
 		large := builder.CreateByteString(make([]byte, memberBytes))
