--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -37,7 +37,7 @@
 	// MaxConnections bounds the connections that other nodes opened to this node.
 	MaxConnections int
 	// FirstDialTimeout is the time-out of the first attempts to connect. Once the
-	// time-outs of the failed attempts add up to DialTimeout, each further attempt
+	// time-outs of those that timed out add up to DialTimeout, each further attempt
 	// has the time-out DialTimeout. The first attempts are short because the kernel
 	// retransmits a lost SYN only after a second, and a peer that was down may be
 	// back before that.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -70,7 +70,7 @@
 
 // Send queues a frame for the peer that listens on address, a host and port.
 // It never blocks. A frame that cannot be queued or sent is dropped and
-// counted. The caller must not use the frame after the call. A peer takes up a connection
+// counted. The transport owns the frame after the call. A peer takes up a connection
 // and goroutines until its connection has been idle for IdleTimeout, or until Forget,
 // which is meant for peers that have left.
 func (t *Transport) Send(address string, frame []byte) {
