--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -11,11 +11,12 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// The minimum bytes of an element of a vector in a Traffic message.
+// The sizes, in bytes, of the structs that are elements of vectors in a Traffic message.
 const (
 	chunkChangeBytes = 24
 	chunkLinkBytes   = 16
-	// A load has an entry for each priority with tokens to prefill.
+	// trafficLoadBytes is the size of one entry of a load, which has an entry for each
+	// priority with tokens to prefill.
 	trafficLoadBytes = 20
 )
 
@@ -43,10 +44,10 @@
 	for _, report := range update.Reports {
 		packed.Reports = append(packed.Reports, packReport(table, report))
 	}
-	for _, denial := range update.GoneInstances {
+	for _, gone := range update.GoneInstances {
 		packed.Denials = append(packed.Denials, &fb.TrafficDenialT{
-			Address:  table.index(denial.Address),
-			Instance: table.index(denial.Instance),
+			Address:  table.index(gone.Address),
+			Instance: table.index(gone.Instance),
 		})
 	}
 	for _, report := range update.Outcomes {
@@ -59,8 +60,8 @@
 	return packed
 }
 
-// packLoads returns an entry for each priority that has tokens to prefill. The first
-// one carries the rest of the load as well.
+// packLoads returns an entry for each priority that has tokens to prefill, and at least one
+// entry. The first entry also contains the rest of the load.
 func packLoads(table *nameTable, load kvrouter.AddressLoad) []*fb.TrafficLoadT {
 	first := &fb.TrafficLoadT{
 		Address:      table.index(load.Address),
@@ -126,14 +127,15 @@
 				Loads:         r.trafficLoads(&stored, names),
 				Dispatches:    r.trafficDispatches(&stored, names),
 				Reports:       r.trafficReports(&stored, names),
-				GoneInstances: r.trafficDenials(&stored, names),
+				GoneInstances: r.trafficGoneInstances(&stored, names),
 				Outcomes:      r.trafficOutcomes(&stored, names),
 			}
 		}),
 	}
 }
 
-// trafficLoads merges the entries of one replica, which are adjacent.
+// trafficLoads reads loads. It merges the entries of each replica, which are adjacent, into
+// one load.
 func (r *reader) trafficLoads(table *fb.TrafficNews, names receivedNames) []kvrouter.AddressLoad {
 	length := r.vectorLength(table.LoadsLength(), trafficLoadBytes)
 	loads := make([]kvrouter.AddressLoad, 0, length)
@@ -205,7 +207,7 @@
 	})
 }
 
-func (r *reader) trafficDenials(table *fb.TrafficNews, names receivedNames) []gossip.GoneInstance {
+func (r *reader) trafficGoneInstances(table *fb.TrafficNews, names receivedNames) []gossip.GoneInstance {
 	var stored fb.TrafficDenial
 	return readVector(r, table.DenialsLength(), minTableBytes, func(i int) gossip.GoneInstance {
 		table.Denials(&stored, i)
