--- a/internal/metrics/destinations.go
+++ b/internal/metrics/destinations.go
@@ -33,8 +33,8 @@
 	return &destinationNames{limit: limit, known: make(map[destination]struct{})}
 }
 
-// of returns the series of a destination.
-func (d *destinationNames) of(name string, webService bool) destination {
+// seriesOf returns the series of a destination.
+func (d *destinationNames) seriesOf(name string, webService bool) destination {
 	series := destination{kind: kindPool, name: name}
 	if webService {
 		series.kind = kindWebService
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -156,10 +156,10 @@
 
 	It("add destinations up beyond the bound, and nothing gets lost or moves", func() {
 		names := newDestinationNames(2)
-		Expect(names.of("a", false).name).To(Equal("a"))
-		Expect(names.of("b", true).name).To(Equal("b"))
-		Expect(names.of("0", false)).To(Equal(destination{kind: kindPool, name: overflowName}))
-		Expect(names.of("a", false).name).To(Equal("a"))
+		Expect(names.seriesOf("a", false).name).To(Equal("a"))
+		Expect(names.seriesOf("b", true).name).To(Equal("b"))
+		Expect(names.seriesOf("0", false)).To(Equal(destination{kind: kindPool, name: overflowName}))
+		Expect(names.seriesOf("a", false).name).To(Equal("a"))
 		node := busyNode()
 		node.destinations = nil
 		for number := range MaxDestinations + 2 {
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -51,7 +51,7 @@
 	}
 	loads := make(map[destination]int)
 	for _, load := range c.traffic.Load() {
-		loads[c.names.of(load.Name, load.WebService)] += load.InFlight
+		loads[c.names.seriesOf(load.Name, load.WebService)] += load.InFlight
 	}
 	for name, inFlight := range loads {
 		c.inFlight.send(into, float64(inFlight), name.kind, name.name)
@@ -69,7 +69,7 @@
 func (c *trafficCollector) sums() map[destination]*destinationSum {
 	sums := make(map[destination]*destinationSum)
 	for _, stats := range c.traffic.Stats() {
-		name := c.names.of(stats.Name, stats.WebService)
+		name := c.names.seriesOf(stats.Name, stats.WebService)
 		sum, found := sums[name]
 		if !found {
 			sum = &destinationSum{refusals: make(map[caller.Kind]uint64), outcomes: make(map[string]uint64)}
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -86,7 +86,7 @@
 		case reply.pending():
 			pending = &reply
 		case reply.final():
-			return accept(node, reply)
+			return checkResponse(node, reply)
 		default:
 			failures = append(failures, fmt.Sprintf("%s: %s", node, describe(reply)))
 		}
@@ -94,11 +94,11 @@
 	if pending != nil {
 		return *pending, nil
 	}
-	return nodeReply{}, unanswered(call, failures)
+	return nodeReply{}, unansweredError(call, failures)
 }
 
-// unanswered returns the error for a call to which no node gave a final response.
-func unanswered(call schema.Call, failures []string) error {
+// unansweredError returns the error for a call to which no node gave a final response.
+func unansweredError(call schema.Call, failures []string) error {
 	message := "no node answered: " + strings.Join(failures, "; ")
 	if isOrder(call.Method.Input()) {
 		message += "; the order may take effect: resend it with the same --order-id"
@@ -106,8 +106,8 @@
 	return &ExitError{Code: ExitUnanswered, Message: message}
 }
 
-// accept turns a final response that is no success into a refusal.
-func accept(node string, reply nodeReply) (nodeReply, error) {
+// checkResponse turns a final response that is no success into a refusal.
+func checkResponse(node string, reply nodeReply) (nodeReply, error) {
 	if reply.status == http.StatusOK {
 		return reply, nil
 	}
--- a/internal/operatorcli/flags.go
+++ b/internal/operatorcli/flags.go
@@ -130,7 +130,7 @@
 		field := request.Fields().Get(i)
 		switch {
 		case field.Message() == nil:
-			fields = append(fields, flagField{flag: dashed(field.Name()), path: []protoreflect.FieldDescriptor{field}})
+			fields = append(fields, flagField{flag: flagName(field.Name()), path: []protoreflect.FieldDescriptor{field}})
 		case field.Message().FullName() == configurationName():
 			fields = append(fields, flagField{flag: flagFile, path: []protoreflect.FieldDescriptor{field}})
 		default:
@@ -151,7 +151,7 @@
 		if name == nameField {
 			name = parent.Name()
 		}
-		fields = append(fields, flagField{flag: dashed(name), path: []protoreflect.FieldDescriptor{parent, field}})
+		fields = append(fields, flagField{flag: flagName(name), path: []protoreflect.FieldDescriptor{parent, field}})
 	}
 	return fields
 }
@@ -160,8 +160,8 @@
 	return (&ridgeswitchv1.Configuration{}).ProtoReflect().Descriptor().FullName()
 }
 
-// dashed returns the flag for the name of a field.
-func dashed(name protoreflect.Name) string {
+// flagName returns the flag for the name of a field.
+func flagName(name protoreflect.Name) string {
 	return strings.ReplaceAll(string(name), "_", "-")
 }
 
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -11,7 +11,7 @@
 )
 
 // checkRevisions reports whether all nodes that responded serve the same revision.
-func (s *survey) checkRevisions() check {
+func (s *statusSummary) checkRevisions() check {
 	if !s.allNodes {
 		return check{"revisions", resultUnknown, fmt.Sprintf("%d on %s; --all asks every node", s.status.GetServedRevision(), s.status.GetNode())}
 	}
@@ -41,7 +41,7 @@
 
 // checkRollOuts names the pools that do not serve their weight version on every
 // replica.
-func (s *survey) checkRollOuts() check {
+func (s *statusSummary) checkRollOuts() check {
 	const name = "roll-outs"
 	if s.weightsError != nil {
 		return check{name, resultUnknown, s.weightsError.Error()}
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -62,12 +62,12 @@
 	if err != nil {
 		return err
 	}
-	collected := &survey{status: status, allNodes: command.Bool(flagAll)}
-	if collected.allNodes {
-		collected.responses = queries.queryMembers(ctx, call, status)
+	summary := &statusSummary{status: status, allNodes: command.Bool(flagAll)}
+	if summary.allNodes {
+		summary.responses = queries.queryMembers(ctx, call, status)
 	}
-	collected.weights, collected.weightsError = queries.queryWeights(ctx)
-	if err := collected.print(printer.out); err != nil {
+	summary.weights, summary.weightsError = queries.queryWeights(ctx)
+	if err := summary.print(printer.out); err != nil {
 		return err
 	}
 	return printer.print(body)
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := accept(member.GetControlAddress(), reply); err != nil {
+	if _, err := checkResponse(member.GetControlAddress(), reply); err != nil {
 		return nil, err
 	}
 	status := &ridgeswitchv1.NodeStatus{}
--- a/internal/operatorcli/survey.go
+++ b/internal/operatorcli/summary.go
@@ -48,8 +48,8 @@
 	detail string
 }
 
-// survey is what was collected for the summary of a deployment; its checks make the lines.
-type survey struct {
+// statusSummary is what was collected for the summary of a deployment; its checks make the lines.
+type statusSummary struct {
 	// status is the view of the node that was queried first.
 	status *ridgeswitchv1.NodeStatus
 	// allNodes is set if the live members were queried as well; their responses
@@ -71,7 +71,7 @@
 }
 
 // print writes the summary and, where all were queried, a table of the nodes.
-func (s *survey) print(out io.Writer) error {
+func (s *statusSummary) print(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(writer, "summary\nCHECK\tRESULT\tDETAIL")
 	for _, line := range s.checks() {
@@ -85,7 +85,7 @@
 }
 
 // writeNodes writes what each node said of itself.
-func (s *survey) writeNodes(writer io.Writer) {
+func (s *statusSummary) writeNodes(writer io.Writer) {
 	_, _ = fmt.Fprintln(writer, "nodes\nNODE\tCONTROL_ADDRESS\tFENCED\tFENCES\tSERVED_REVISION\tSHARDS_LED")
 	for _, response := range s.responses {
 		member := response.member
@@ -102,13 +102,13 @@
 
 // checks returns the checks that an operator looks at first when something seems
 // wrong.
-func (s *survey) checks() []check {
+func (s *statusSummary) checks() []check {
 	return []check{s.checkShards(), s.checkMembers(), s.checkTraffic(), s.checkRevisions(), s.checkRollOuts()}
 }
 
 // checkShards reports whether every shard has a leader: one that says so itself
 // if all were queried, else one that is live as far as the queried node knows.
-func (s *survey) checkShards() check {
+func (s *statusSummary) checkShards() check {
 	shards := s.status.GetShards()
 	var faults []string
 	for _, shard := range shards {
@@ -127,7 +127,7 @@
 }
 
 // leaderFault tells what is wrong with the leadership of a shard.
-func (s *survey) leaderFault(shard *ridgeswitchv1.ShardStatus) string {
+func (s *statusSummary) leaderFault(shard *ridgeswitchv1.ShardStatus) string {
 	if !s.allNodes {
 		return s.knownLeaderFault(shard.GetLeader())
 	}
@@ -150,7 +150,7 @@
 }
 
 // knownLeaderFault judges a leader by the queried node's table of members.
-func (s *survey) knownLeaderFault(leader string) string {
+func (s *statusSummary) knownLeaderFault(leader string) string {
 	if leader == "" {
 		return "no known leader"
 	}
@@ -163,7 +163,7 @@
 }
 
 // checkMembers names the members that are neither alive nor left in order.
-func (s *survey) checkMembers() check {
+func (s *statusSummary) checkMembers() check {
 	byState := lo.GroupBy(s.status.GetMembers(), func(member *ridgeswitchv1.MemberStatus) string { return member.GetState() })
 	detail := fmt.Sprintf("%d alive", len(byState[stateAlive]))
 	if left := len(byState[stateLeft]); left > 0 {
@@ -180,7 +180,7 @@
 }
 
 // checkTraffic names the nodes that refuse traffic, and those that did not respond.
-func (s *survey) checkTraffic() check {
+func (s *statusSummary) checkTraffic() check {
 	if !s.allNodes {
 		if s.status.GetFenced() {
 			return check{"traffic", resultAttention, s.status.GetNode() + " refuses traffic"}
