--- a/internal/operatorcli/check.go
+++ b/internal/operatorcli/check.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// flagConfiguration names a configuration file to check.
+// flagConfiguration is the flag for the configuration file to check.
 const flagConfiguration = "configuration"
 
 // configCommand returns the command "config check".
@@ -30,8 +30,8 @@
 	return &cli.Command{Name: "config", Usage: "checks of files", Commands: []*cli.Command{check}}
 }
 
-// runCheck prints the faults one a line. The settings are left out when only a
-// configuration is named.
+// runCheck prints the faults of the settings and of the configuration, one per line. The
+// settings are not checked if a configuration file is given without a settings file.
 func runCheck(_ context.Context, command *cli.Command) error {
 	var faults []string
 	configuration := command.String(flagConfiguration)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// settingsFaults returns the faults of the node's settings, one a line.
+// settingsFaults returns the faults of the node's settings, one line each.
 func settingsFaults(command *cli.Command) []string {
 	settings, err := static.FromCommand(command)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return faults
 }
 
-// configurationFaults returns the faults of a configuration, one a line. The error says why
-// the file could not be read.
+// configurationFaults returns the faults of a configuration, one line each. It returns an
+// error only if the file could not be read.
 func configurationFaults(command *cli.Command, path string) ([]string, error) {
 	data, err := readInput(command, path)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return nil, nil
 }
 
-// prefixed splits an error into its faults, one a line.
+// prefixed splits an error text into lines, one fault each, and prefixes each with its source.
 func prefixed(source string, err error) []string {
 	lines := strings.Split(err.Error(), "\n")
 	for i := range lines {
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -24,20 +24,20 @@
 )
 
 const (
-	// serviceName names the nodes to go-zero.
+	// serviceName is the name that go-zero's HTTP client and breaker use for the nodes.
 	serviceName = "ridgeswitch-control"
-	// dialTimeout bounds the wait for a connection, so that a machine that is
-	// gone is passed over soon.
+	// dialTimeout bounds the wait for a connection, so that the next node is tried soon
+	// if a machine is down.
 	dialTimeout = 2 * time.Second
-	// maxResponseBytes bounds what is read of a response: a configuration of the
-	// largest size, with the fields that the system adds.
+	// maxResponseBytes bounds the bytes that are read of a response. The largest response
+	// is a configuration of the largest size with the fields that the system adds.
 	maxResponseBytes = 2 * dynamic.MaxDocumentBytes
 )
 
-// client sends calls to nodes in turn, until one has a final response. It is safe for
-// concurrent use.
+// client sends a call to one node after the other until one gives a final response. It is
+// safe for concurrent use.
 type client struct {
-	// nodes are control addresses, in the order of the attempts.
+	// nodes contains the control addresses in the order in which they are tried.
 	nodes   []string
 	service httpc.Service
 }
@@ -48,19 +48,20 @@
 	body   []byte
 }
 
-// pending reports whether an order waits for its confirmation.
+// pending reports whether the response says that an order is not confirmed yet.
 func (r nodeReply) pending() bool {
 	return r.status == http.StatusAccepted
 }
 
-// final reports whether another node could not give a better response.
+// final reports whether the response is final, so that no other node needs to be tried: it is
+// neither pending nor a server error.
 func (r nodeReply) final() bool {
 	return !r.pending() && r.status < http.StatusInternalServerError
 }
 
-// newClient builds a client without the breaker and the per-request log of
-// go-zero, which both report a node that is down: here that is expected. The time-out
-// bounds the call to one node.
+// newClient returns a client. The breaker and the log of go-zero are switched off: both
+// report a node that is down, which is an expected condition here. The time-out bounds the
+// call to one node.
 func newClient(nodes []string, timeout time.Duration) *client {
 	logx.Disable()
 	breaker.NoBreakerFor(serviceName)
@@ -72,9 +73,9 @@
 	}
 }
 
-// send sends the identical call to one node after the other until one has a final
-// response, and returns a pending one only if there is none. A rejection, and the lack of
-// any response, are an *ExitError.
+// send sends the identical call to one node after the other until one gives a final
+// response. It returns a pending response only if no node gave a final one. The error is
+// always an *ExitError: a node refused the call, or no node gave a final or pending response.
 func (c *client) send(ctx context.Context, call schema.Call, request protoreflect.Message) (nodeReply, error) {
 	var failures []string
 	var pending *nodeReply
@@ -97,7 +98,8 @@
 	return nodeReply{}, unansweredError(call, failures)
 }
 
-// unansweredError returns the error for a call to which no node gave a final response.
+// unansweredError returns the error for a call to which no node gave a final or pending
+// response.
 func unansweredError(call schema.Call, failures []string) error {
 	message := "no node answered: " + strings.Join(failures, "; ")
 	if isOrder(call.Method.Input()) {
@@ -106,7 +108,8 @@
 	return &ExitError{Code: ExitUnanswered, Message: message}
 }
 
-// checkResponse turns a final response that is no success into a refusal.
+// checkResponse returns the response if its status is 200, and otherwise an *ExitError with
+// the code ExitRefused.
 func checkResponse(node string, reply nodeReply) (nodeReply, error) {
 	if reply.status == http.StatusOK {
 		return reply, nil
@@ -114,7 +117,7 @@
 	return nodeReply{}, &ExitError{Code: ExitRefused, Message: fmt.Sprintf("%s: %s", node, describe(reply))}
 }
 
-// describe returns the problem that a response carries as text, or its HTTP status.
+// describe returns the Problem in a response as text, or the HTTP status if there is none.
 func describe(reply nodeReply) string {
 	problem := &ridgeswitchv1.Problem{}
 	if err := protojson.Unmarshal(reply.body, problem); err != nil || problem.GetKind() == "" {
@@ -152,8 +155,8 @@
 	return nodeReply{status: response.StatusCode, body: body}, nil
 }
 
-// newHTTPRequest puts the request into the body as JSON, or into the query for GET and
-// DELETE, which have no body by custom.
+// newHTTPRequest encodes the request as a JSON body, or as a query for GET and DELETE, which
+// have no body by convention.
 func newHTTPRequest(ctx context.Context, node string, call schema.Call, request protoreflect.Message) (*http.Request, error) {
 	method := call.Binding.GetMethod()
 	target := "http://" + node + call.URLPath(request)
@@ -175,8 +178,8 @@
 	return outgoing, nil
 }
 
-// queryOf gives the plain fields that are not in the path, and those of the
-// order header, as query parameters.
+// queryOf returns the query parameters of a call: the fields of the request and of the
+// messages nested in it, such as the order header, that are set and not part of the URL path.
 func queryOf(call schema.Call, request protoreflect.Message) string {
 	query := url.Values{}
 	for _, field := range flagFields(call.Method.Input()) {
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -11,8 +11,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/operator/schema"
 )
 
-// Commands are the operator verbs: one for each call of the schema, and "config
-// check". It panics when the compiled schema is incomplete.
+// Commands returns the operator verbs: one for each call of the schema, and "config check".
+// It panics if the compiled schema is incomplete.
 func Commands() []*cli.Command {
 	commands := []*cli.Command{configCommand()}
 	for _, call := range lo.Must(schema.Calls()) {
@@ -22,8 +22,8 @@
 	return commands
 }
 
-// addVerb adds a call under its words; calls whose verbs begin with the same
-// word share a command.
+// addVerb adds the command of a call below the commands that the words of its verb name.
+// Verbs that begin with the same word share a parent command.
 func addVerb(commands []*cli.Command, verbs []string, call schema.Call) []*cli.Command {
 	if len(verbs) == 1 {
 		return append(commands, verbCommand(verbs[0], call))
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// refuseUsage ends a command whose flags can't be read.
+// refuseUsage turns an error in the flags of a command into an *ExitError with the code
+// ExitUsage.
 func refuseUsage(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return usageError(err.Error() + "; see --help")
 }
--- a/internal/operatorcli/commands_test.go
+++ b/internal/operatorcli/commands_test.go
@@ -29,39 +29,39 @@
 		Expect(applied).To(Equal(result{out: "{\n  \"outcome\": \"ACKNOWLEDGED\",\n  \"revision\": \"1\"\n}\n", log: "order-id: first\n"}))
 	})
 
-	DescribeTable("end with a status", func(line string, code int, fragment string) {
+	DescribeTable("return an exit status and print the reason", func(line string, code int, fragment string) {
 		ended := run("hidden\n", line, first)
 		Expect(ended.code).To(Equal(code), ended.err)
 		Expect(ended.out + ended.err).To(ContainSubstring(fragment))
 	},
 		Entry("get", "get", 0, `"wall_epoch": "1"`),
-		Entry("get of what the node serves", "get --local", 0, `"wall_epoch": "1"`),
+		Entry("get of the configuration that the node serves", "get --local", 0, `"wall_epoch": "1"`),
 		Entry("key add", "key add --tenant t --key k --sha256 "+strings.Repeat("a", 64), 0, "ACKNOWLEDGED"),
-		Entry("key add, digest of wrong form", "key add --tenant t --key k --sha256 x", operatorcli.ExitRefused, "invalid: key.sha256"),
+		Entry("key add with a malformed digest", "key add --tenant t --key k --sha256 x", operatorcli.ExitRefused, "invalid: key.sha256"),
 		Entry("key add without secret", "key add --tenant t --key k", operatorcli.ExitUsage, "either --secret or --sha256"),
-		Entry("key revoke of no key", "key revoke --tenant t --key k", operatorcli.ExitRefused, "(revision in force: 1)"),
-		Entry("path field missing", "key revoke --key k", operatorcli.ExitUsage, "--tenant is missing"),
+		Entry("key revoke of a key that does not exist", "key revoke --tenant t --key k", operatorcli.ExitRefused, "(revision in force: 1)"),
+		Entry("missing field of the URL path", "key revoke --key k", operatorcli.ExitUsage, "--tenant is missing"),
 		Entry("tenant wall", "tenant wall --tenant t --base-revision 1", 0, "ACKNOWLEDGED"),
 		Entry("tenant unwall", "tenant unwall --tenant t", 0, `"revision": "1"`),
 		Entry("zone evacuate", "zone evacuate --zone a --reason fire", 0, "ACKNOWLEDGED"),
 		Entry("zone restore", "zone restore --zone a --base-revision 9", operatorcli.ExitRefused, "base_revision_stale: order.base_revision"),
-		Entry("base revision of wrong form", "zone restore --zone a --base-revision x", operatorcli.ExitUsage, "order.base_revision"),
+		Entry("malformed base revision", "zone restore --zone a --base-revision x", operatorcli.ExitUsage, "order.base_revision"),
 		Entry("weights name", "weights name --pool p --weight-version w2", 0, "ACKNOWLEDGED"),
 		Entry("weights status", "weights status --pool p", operatorcli.ExitRefused, "not_found: pool"),
 		Entry("status", "status", 0, `"node": "front-1"`),
-		Entry("status in another layout", "status --output xml", operatorcli.ExitUsage, "use json or table"),
+		Entry("status in an unknown output format", "status --output xml", operatorcli.ExitUsage, "use json or table"),
 		Entry("status of all as JSON", "status --all", operatorcli.ExitUsage, "--all needs --output table"),
-		Entry("stray argument of a table", "status --output table now", operatorcli.ExitUsage, "unexpected argument now"),
-		Entry("stray argument", "status now", operatorcli.ExitUsage, "unexpected argument now"),
+		Entry("unexpected argument of a table", "status --output table now", operatorcli.ExitUsage, "unexpected argument now"),
+		Entry("unexpected argument", "status now", operatorcli.ExitUsage, "unexpected argument now"),
 		Entry("unknown flag", "status --nope", operatorcli.ExitUsage, "-nope; see --help"),
 		Entry("unknown flag of a check", "config check --nope", operatorcli.ExitUsage, "-nope; see --help"),
-		Entry("no file", "apply", operatorcli.ExitUsage, "--file is missing"),
-		Entry("absent file", "apply --file /absent", operatorcli.ExitUsage, "name a readable file"),
-		Entry("file that is no JSON", "apply --file -", operatorcli.ExitUsage, "holds no JSON"),
-		Entry("identity taken", "zone evacuate --zone a --order-id first", operatorcli.ExitRefused, "order_id_conflict"),
+		Entry("missing --file", "apply", operatorcli.ExitUsage, "--file is missing"),
+		Entry("file that does not exist", "apply --file /absent", operatorcli.ExitUsage, "name a readable file"),
+		Entry("file that is not JSON", "apply --file -", operatorcli.ExitUsage, "holds no JSON"),
+		Entry("order ID of another order", "zone evacuate --zone a --order-id first", operatorcli.ExitRefused, "order_id_conflict"),
 	)
 
-	It("applies a document and reads it", func() {
+	It("applies a configuration with its source document, and reads the version back", func() {
 		folder := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(folder, "document"), []byte("as written"), 0o600)).To(Succeed())
 		line := "apply --file - --version 3 --document " + filepath.Join(folder, "document")
@@ -71,7 +71,7 @@
 		Expect(run("", "apply --file - --version 4 --document /absent", first).code).To(Equal(operatorcli.ExitUsage))
 	})
 
-	It("tells a fault of the configuration before anything is sent", func() {
+	It("reports a fault of the configuration before anything is sent", func() {
 		ended := run(`{"tennants":[]}`, "apply --file -", first)
 		Expect(ended.code).To(Equal(operatorcli.ExitUsage))
 		Expect(ended.err).To(ContainSubstring("configuration.tennants"))
@@ -87,12 +87,12 @@
 		Expect(strings.Join(first.requests, "")).NotTo(Or(ContainSubstring("hidden"), ContainSubstring(`"open"`)))
 	})
 
-	It("gives the identical order to the next node until one has a final answer", func() {
-		dead := &node{address: "127.0.0.1:1"}
+	It("sends the identical order to the next node until one gives a final response", func() {
+		unreachable := &node{address: "127.0.0.1:1"}
 		broken := startNode(state, http.StatusServiceUnavailable)
 		waiting := startNode(state, http.StatusAccepted)
 		spare := startNode(state)
-		ended := run("", "zone evacuate --zone a", dead, broken, waiting, first, spare)
+		ended := run("", "zone evacuate --zone a", unreachable, broken, waiting, first, spare)
 		Expect(ended.code).To(BeZero(), ended.err)
 		Expect(ended.out).To(ContainSubstring(`"revision": "2"`))
 		Expect(broken.requests).To(Equal(waiting.requests))
@@ -103,17 +103,17 @@
 		Expect(state.machine.Answer(id)).NotTo(BeNil())
 	})
 
-	It("says pending, and unknown when no node answers", func() {
+	It("reports an unconfirmed order as pending, and that an order may take effect if no node responds", func() {
 		state.pending = true
 		pending := run("", "zone evacuate --zone a --order-id x", first, first)
 		Expect(pending.code).To(Equal(operatorcli.ExitPending))
 		Expect(pending.out).To(ContainSubstring("PENDING"))
 		Expect(pending.err).To(ContainSubstring("resend it with --order-id x"))
 		Expect(first.requests).To(HaveLen(3))
-		dead := &node{address: "127.0.0.1:1"}
-		Expect(run("", "zone restore --zone a", dead).code).To(Equal(operatorcli.ExitUnanswered))
-		Expect(run("", "zone restore --zone a", dead).err).To(ContainSubstring("the order may take effect"))
-		Expect(run("", "get", dead).err).NotTo(ContainSubstring("the order may take effect"))
+		unreachable := &node{address: "127.0.0.1:1"}
+		Expect(run("", "zone restore --zone a", unreachable).code).To(Equal(operatorcli.ExitUnanswered))
+		Expect(run("", "zone restore --zone a", unreachable).err).To(ContainSubstring("the order may take effect"))
+		Expect(run("", "get", unreachable).err).NotTo(ContainSubstring("the order may take effect"))
 	})
 
 	It("prints the status as a table", func() {
@@ -148,7 +148,7 @@
 `, "\n")))
 	})
 
-	It("checks settings and a configuration, every fault at once", func() {
+	It("reports all faults of settings and of a configuration at once", func() {
 		settings := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
 		Expect(os.WriteFile(settings, []byte("node: front-1\nzone: a\ngroup: [core-1]\ninternal: 127.0.0.1:1\ntraffic: 127.0.0.1:2\n"), 0o600)).To(Succeed())
 		ended := run(`{"routes":[{"host":"h"},{"host":"h"}]}`, "config check --configuration - --settings "+settings)
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -1,32 +1,32 @@
 package operatorcli
 
-// The exit statuses of operator verbs, beside 0 for success.
+// The exit statuses of operator verbs other than 0, which means success.
 const (
-	// ExitRefused means that a node rejected the call, or that "config check" found
+	// ExitRefused means that a node refused the call, or that "config check" found
 	// faults.
 	ExitRefused = 1
 	// ExitUsage means that the command line or a file is wrong. Nothing was sent.
 	ExitUsage = 2
-	// ExitPending means that an order may take effect. A resend with the same order ID is
-	// safe.
+	// ExitPending means that a node accepted an order but did not confirm it. The order may
+	// take effect. A resend with the same order ID is safe.
 	ExitPending = 3
-	// ExitUnanswered means that no node gave a final response. An order may take effect
-	// all the same.
+	// ExitUnanswered means that no node gave a final response. An order may nevertheless
+	// take effect.
 	ExitUnanswered = 4
 )
 
-// ExitError ends a verb with an exit status.
+// ExitError is an error with which a verb ends, and its exit status.
 type ExitError struct {
 	Code    int
 	Message string
 }
 
-// Error is the message, which names the remedy.
+// Error returns the message, which names the remedy.
 func (e *ExitError) Error() string {
 	return e.Message
 }
 
-// ExitCode is the exit status of the process.
+// ExitCode returns the exit status of the process.
 func (e *ExitError) ExitCode() int {
 	return e.Code
 }
--- a/internal/operatorcli/flags.go
+++ b/internal/operatorcli/flags.go
@@ -24,17 +24,18 @@
 )
 
 const (
-	// defaultNode is where a node on this machine listens in the examples.
+	// defaultNode is the control address of a node on the local machine in the examples.
 	defaultNode = "127.0.0.1:7300"
 	// defaultTimeout bounds the wait for one node's response.
 	defaultTimeout = 15 * time.Second
 	// digestField is the name of fields that hold the digest of a secret.
 	digestField protoreflect.Name = "sha256"
-	// nameField is the name of fields that name the message they stand in.
+	// nameField is the name of fields that identify the message that contains them.
 	nameField protoreflect.Name = "name"
 )
 
-// clientFlags are the flags of every verb.
+// clientFlags returns the flags that every verb has. --output exists only if the response can
+// be printed as a table.
 func clientFlags(response protoreflect.MessageDescriptor) []cli.Flag {
 	flags := []cli.Flag{
 		&cli.StringSliceFlag{
@@ -51,7 +52,7 @@
 	return flags
 }
 
-// requestFlags are the flags of the fields of a request.
+// requestFlags returns the flags for the fields of a request.
 func requestFlags(request protoreflect.MessageDescriptor) []cli.Flag {
 	var flags []cli.Flag
 	for _, field := range flagFields(request) {
@@ -70,14 +71,14 @@
 	return flags
 }
 
-// flagField is a field of a request that a flag gives.
+// flagField is a field of a request that is set by a flag.
 type flagField struct {
 	flag string
-	// path leads from the request to the field.
+	// path contains the fields from the request down to this field, the field itself last.
 	path []protoreflect.FieldDescriptor
 }
 
-// last is the field itself.
+// last returns the field itself, without the messages that contain it.
 func (f flagField) last() protoreflect.FieldDescriptor {
 	return f.path[len(f.path)-1]
 }
@@ -92,7 +93,7 @@
 	return f.last().Kind() == protoreflect.BytesKind
 }
 
-// isSwitch reports whether the flag needs no value.
+// isSwitch reports whether the flag takes no value.
 func (f flagField) isSwitch() bool {
 	return f.last().Kind() == protoreflect.BoolKind
 }
@@ -102,7 +103,7 @@
 	return f.last().Name() == digestField
 }
 
-// usage is the help text of the flag.
+// usage returns the help text of the flag.
 func (f flagField) usage() string {
 	switch {
 	case f.isFile():
@@ -122,8 +123,8 @@
 	}
 }
 
-// flagFields lists the fields of a request that flags give. The fields of a
-// nested message are given one by one, those of a configuration by a file.
+// flagFields returns the fields of a request that are set by flags. Each field of a nested
+// message has a flag of its own, except that a configuration is read from a file as a whole.
 func flagFields(request protoreflect.MessageDescriptor) []flagField {
 	var fields []flagField
 	for i := range request.Fields().Len() {
@@ -140,8 +141,8 @@
 	return fields
 }
 
-// nestedFields lists the fields of a nested message. A field called name goes by the name
-// of the message.
+// nestedFields returns the fields of a nested message. The flag of a field called name is the
+// name of the message.
 func nestedFields(parent protoreflect.FieldDescriptor) []flagField {
 	var fields []flagField
 	nested := parent.Message().Fields()
@@ -160,13 +161,14 @@
 	return (&ridgeswitchv1.Configuration{}).ProtoReflect().Descriptor().FullName()
 }
 
-// flagName returns the flag for the name of a field.
+// flagName returns the name of the flag for a field: the field's name with hyphens in place of
+// underscores.
 func flagName(name protoreflect.Name) string {
 	return strings.ReplaceAll(string(name), "_", "-")
 }
 
-// orderIDOf is the identity of an order: the one given, or a new one that no
-// other order has. It is empty for a call that is no order.
+// orderIDOf returns the order ID: the value of --order-id, or a random ID if the flag is not
+// given. It is empty for a call that is not an order.
 func orderIDOf(command *cli.Command, request protoreflect.MessageDescriptor) string {
 	if !isOrder(request) {
 		return ""
@@ -177,7 +179,7 @@
 	return rand.Text()
 }
 
-// isSegment reports whether a field stands in the path of a call.
+// isSegment reports whether a field is a segment of the URL path of a call.
 func isSegment(call schema.Call, field flagField) bool {
 	for _, name := range call.Segments() {
 		if len(field.path) == 1 && string(field.last().Name()) == name {
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -15,26 +15,26 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 )
 
-// The layouts of a response.
+// The values of --output.
 const (
 	outputJSON  = "json"
 	outputTable = "table"
 )
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
 // printer prints the response of a verb.
 type printer struct {
 	response protoreflect.MessageDescriptor
-	// table is set for the layout as a table; otherwise it is JSON.
+	// table selects the output as tables; otherwise the output is JSON.
 	table bool
-	// out takes the response, and messages everything else.
+	// out receives the response, and messages all other output.
 	out      io.Writer
 	messages io.Writer
 }
 
-// newPrinter returns a printer of responses in the layout that the flags name.
+// newPrinter returns a printer for the format that --output names.
 func newPrinter(command *cli.Command, response protoreflect.MessageDescriptor) (*printer, error) {
 	p := &printer{response: response, out: command.Root().Writer, messages: command.Root().ErrWriter}
 	if !isTabular(response) {
@@ -56,7 +56,7 @@
 	_, _ = fmt.Fprintln(p.messages, text)
 }
 
-// print prints the JSON of a response message.
+// print prints a response, whose body is JSON, in the format of the printer.
 func (p *printer) print(body []byte) error {
 	if p.table {
 		return p.printTable(body)
@@ -70,7 +70,8 @@
 	return err
 }
 
-// printTable prints the plain fields one a line, then a table for each list.
+// printTable prints the fields that are not messages, one per line, and then a table for each
+// list of messages.
 func (p *printer) printTable(body []byte) error {
 	message := dynamicpb.NewMessage(p.response)
 	options := protojson.UnmarshalOptions{DiscardUnknown: true}
@@ -108,7 +109,7 @@
 	}
 }
 
-// cell is the text of one field, or a dash when it has none.
+// cell returns the text of one field, or a dash if the text is empty.
 func cell(message protoreflect.Message, field protoreflect.FieldDescriptor) string {
 	value := message.Get(field)
 	texts := []string{value.String()}
@@ -124,7 +125,8 @@
 	return "-"
 }
 
-// isTabular reports whether a response has lists of rows and nothing deeper.
+// isTabular reports whether a response can be printed as tables: it contains lists of messages,
+// no other nested messages, and the listed messages contain none.
 func isTabular(response protoreflect.MessageDescriptor) bool {
 	hasRows := false
 	for _, field := range fieldsOf(response) {
@@ -149,7 +151,7 @@
 	return true
 }
 
-// fieldsOf lists the fields of a message in the order of the schema.
+// fieldsOf returns the fields of a message in the order of the schema.
 func fieldsOf(descriptor protoreflect.MessageDescriptor) []protoreflect.FieldDescriptor {
 	fields := make([]protoreflect.FieldDescriptor, 0, descriptor.Fields().Len())
 	for i := range descriptor.Fields().Len() {
--- a/internal/operatorcli/progress.go
+++ b/internal/operatorcli/progress.go
@@ -10,7 +10,8 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// checkRevisions reports whether all nodes that responded serve the same revision.
+// checkRevisions reports whether all nodes that responded serve the same revision. The result
+// is unknown unless all live members were queried.
 func (s *statusSummary) checkRevisions() check {
 	if !s.allNodes {
 		return check{"revisions", resultUnknown, fmt.Sprintf("%d on %s; --all asks every node", s.status.GetServedRevision(), s.status.GetNode())}
@@ -39,8 +40,8 @@
 	return check{"revisions", resultAttention, strings.Join(shortened(groups), "; ")}
 }
 
-// checkRollOuts names the pools that do not serve their weight version on every
-// replica.
+// checkRollOuts reports the pools in which some replicas do not serve the pool's weight
+// version.
 func (s *statusSummary) checkRollOuts() check {
 	const name = "roll-outs"
 	if s.weightsError != nil {
@@ -58,8 +59,8 @@
 	return check{name, resultUnderWay, strings.Join(shortened(underWay), "; ")}
 }
 
-// rollOutProgress describes the roll-out of a pool, or returns "" if every replica serves
-// the named version. A replica that the platform is about to stop is not counted.
+// rollOutProgress returns the progress of a pool's roll-out, or "" if every replica serves the
+// pool's weight version. Replicas that the platform is about to stop are not counted.
 func rollOutProgress(pool *ridgeswitchv1.WeightsStatus) string {
 	staying := lo.Reject(pool.GetReplicas(), func(replica *ridgeswitchv1.ReplicaStatus, _ int) bool {
 		return replica.GetPlatformDraining()
--- a/internal/operatorcli/request.go
+++ b/internal/operatorcli/request.go
@@ -15,14 +15,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// standardInput is the file name that stands for standard input.
+// standardInput is the file name that means standard input.
 const standardInput = "-"
 
-// document is a JSON object under construction, by the names of fields.
+// document is a JSON object that is being built: values by the names of their fields.
 type document map[string]any
 
-// buildRequest fills the request of a call from the flags, with the same strict
-// reading as on a node.
+// buildRequest returns the request of a call with the values of the flags. It parses them as
+// strictly as a node does, so that a wrong value is reported before anything is sent.
 func buildRequest(command *cli.Command, call schema.Call, orderID string) (protoreflect.Message, error) {
 	content := document{}
 	for _, field := range flagFields(call.Method.Input()) {
@@ -45,7 +45,7 @@
 	return request, nil
 }
 
-// fieldValue is the JSON value of one field, or nil when it is not given.
+// fieldValue returns the JSON value of one field, or nil if its flag is not given.
 func fieldValue(command *cli.Command, call schema.Call, field flagField, orderID string) (any, error) {
 	if field.isSwitch() {
 		return switchValue(command, field.flag), nil
@@ -69,7 +69,7 @@
 	}
 }
 
-// switchValue is true if a flag without a value is given, and nil otherwise.
+// switchValue returns true if a flag that takes no value is set, and nil otherwise.
 func switchValue(command *cli.Command, flag string) any {
 	if command.Bool(flag) {
 		return true
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// fileValue is the JSON that a file holds.
+// fileValue returns the JSON text in a file.
 func fileValue(command *cli.Command, path string) (any, error) {
 	if path == "" {
 		return nil, usageError("--" + flagFile + " is missing; name the file to read")
@@ -92,7 +92,8 @@
 	return json.RawMessage(data), nil
 }
 
-// bytesValue is what a file holds, as JSON spells bytes; nil when no file is named.
+// bytesValue returns the content of a file in base64, the JSON encoding of bytes, or nil if no
+// file is named.
 func bytesValue(command *cli.Command, path string) (any, error) {
 	if path == "" {
 		return nil, nil
@@ -104,7 +105,8 @@
 	return base64.StdEncoding.EncodeToString(data), nil
 }
 
-// digestValue is a digest that is given, or that of a secret that is given.
+// digestValue returns the given digest, or the digest of the secret that --secret gives. An
+// error is returned unless exactly one of the two is given.
 func digestValue(command *cli.Command, digest string) (any, error) {
 	secret := command.String(flagSecret)
 	if (digest == "") == (secret == "") {
@@ -126,7 +128,8 @@
 	return dynamic.KeyDigest(secret), nil
 }
 
-// readInput reads a file or standard input, up to the bound of a configuration.
+// readInput reads a file or standard input. Input larger than the largest configuration is an
+// error.
 func readInput(command *cli.Command, path string) ([]byte, error) {
 	source := command.Root().Reader
 	if path != standardInput {
@@ -147,7 +150,7 @@
 	return data, nil
 }
 
-// set puts a value under a path of fields.
+// set sets the value at a path of fields and creates the nested objects on the way.
 func (d document) set(path []protoreflect.FieldDescriptor, value any) {
 	name := string(path[0].Name())
 	if len(path) == 1 {
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// flagAll makes status ask every node.
+	// flagAll is the flag with which status queries every live member.
 	flagAll = "all"
 	// statusCall is the call whose table begins with a summary.
 	statusCall protoreflect.Name = "GetStatus"
 
-	// maxConcurrentQueries bounds the calls that run at once.
+	// maxConcurrentQueries bounds the number of concurrent calls.
 	maxConcurrentQueries = 32
-	// queryTimeout bounds the query of one member, so that nodes that hang do not delay
-	// the summary.
+	// queryTimeout bounds the query of one member, so that a node that hangs delays the
+	// summary by no more than this.
 	queryTimeout = 3 * time.Second
 )
 
-// isStatus reports whether a call is the one that runStatus serves.
+// isStatus reports whether a call is the one that runStatus implements.
 func isStatus(call schema.Call) bool {
 	return call.Method.Name() == statusCall
 }
 
-// statusFlags are the flags that status has beside those of every verb.
+// statusFlags returns the flags that only the verb status has.
 func statusFlags() []cli.Flag {
 	return []cli.Flag{&cli.BoolFlag{
 		Name:  flagAll,
@@ -41,7 +41,7 @@
 	}}
 }
 
-// runStatus prints the status: as JSON alone, or as tables after a summary.
+// runStatus prints the status as JSON, or as a summary followed by tables.
 func runStatus(ctx context.Context, command *cli.Command, call schema.Call) error {
 	if command.String(flagOutput) != outputTable {
 		if command.Bool(flagAll) {
@@ -73,13 +73,14 @@
 	return printer.print(body)
 }
 
-// queryClient sends calls that change nothing, of which status makes several. It is safe
-// for concurrent use.
+// queryClient sends the read-only calls that the verb status makes. It is safe for concurrent
+// use.
 type queryClient struct {
 	client *client
 }
 
-// call sends a call to the named nodes in turn and fills the response.
+// call sends a call to the nodes of --node in turn, parses the response into response, and
+// returns its body.
 func (q *queryClient) call(ctx context.Context, name protoreflect.Name, request, response proto.Message) ([]byte, error) {
 	call := lo.FindOrElse(lo.Must(schema.Calls()), schema.Call{}, func(call schema.Call) bool {
 		return call.Method.Name() == name
@@ -91,7 +92,8 @@
 	return reply.body, parseResponse(reply.body, response)
 }
 
-// parseResponse parses a response, which may have fields of a newer version.
+// parseResponse parses a response. It ignores unknown fields, which a node of a newer release
+// may send.
 func parseResponse(body []byte, response proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, response); err != nil {
 		return &ExitError{Code: ExitRefused, Message: "the node's answer does not fit the schema; use --output json: " + err.Error()}
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// queryMembers reads the status of every live member of a table, several
-// concurrently. The responses are in the order of the table.
+// queryMembers reads the status of every live member in a node's table of members,
+// maxConcurrentQueries at a time. The responses are in the order of the table.
 func (q *queryClient) queryMembers(ctx context.Context, call schema.Call, table *ridgeswitchv1.NodeStatus) []nodeResponse {
 	live := lo.Filter(table.GetMembers(), func(member *ridgeswitchv1.MemberStatus, _ int) bool { return isLive(member) })
 	responses := make([]nodeResponse, len(live))
@@ -117,7 +119,7 @@
 	return responses
 }
 
-// queryMember reads the status that one member reports of itself.
+// queryMember reads the status of one member from that member.
 func (q *queryClient) queryMember(ctx context.Context, call schema.Call, member *ridgeswitchv1.MemberStatus) (*ridgeswitchv1.NodeStatus, error) {
 	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -133,7 +135,7 @@
 	return status, parseResponse(reply.body, status)
 }
 
-// queryWeights reads the state of every pool's roll-out.
+// queryWeights reads the state of the roll-out of every pool in the configuration.
 func (q *queryClient) queryWeights(ctx context.Context) ([]*ridgeswitchv1.WeightsStatus, error) {
 	configuration := &ridgeswitchv1.Configuration{}
 	if _, err := q.call(ctx, "GetConfiguration", &ridgeswitchv1.GetConfigurationRequest{Local: true}, configuration); err != nil {
--- a/internal/operatorcli/status_test.go
+++ b/internal/operatorcli/status_test.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// deployment is a core node that leads shards and a front node, each with a state
-// of its own.
+// deployment is a core node that leads two shards, and a front node. Each reports a status of
+// its own.
 type deployment struct {
 	core, front         *cluster
 	coreNode, frontNode *node
@@ -38,7 +38,8 @@
 	return d
 }
 
-// summary is the lines of the summary, with one space between the columns.
+// summary runs a status command and returns the lines of the summary, with one space between
+// the columns.
 func (d *deployment) summary(line string) []string {
 	ended := run("", line, d.coreNode)
 	ExpectWithOffset(1, ended.code).To(BeZero(), ended.err)
@@ -50,13 +51,13 @@
 	return lines
 }
 
-var _ = Describe("The summary of the status", func() {
+var _ = Describe("The summary of a status table", func() {
 	const all = "status --output table --all"
 	var d *deployment
 
 	BeforeEach(func() { d = newDeployment() })
 
-	It("says that all is well", func() {
+	It("reports ok for a healthy deployment", func() {
 		Expect(d.summary(all)).To(HaveExactElements(
 			"shards ok each of 2 has a leader",
 			"members ok 2 alive, 1 left",
@@ -67,15 +68,15 @@
 		Expect(run("", all, d.coreNode).out).To(MatchRegexp(`(?m)^front-1 +\S+ +false +0 +7 +0$`))
 	})
 
-	DescribeTable("tells what needs attention", func(line string, spoil func(), expected string) {
-		spoil()
+	DescribeTable("reports each condition on the line of its check", func(line string, inject func(), expected string) {
+		inject()
 		Expect(d.summary(line)).To(ContainElement(expected))
 	},
 		Entry("no leader known", "status --output table", func() { d.core.status.Shards[1].Leader = "" },
 			"shards ATTENTION shard 1: no known leader"),
 		Entry("leader fenced", "status --output table", func() { d.core.status.Members[0].State = "fenced" },
 			"shards ATTENTION shard 0: leader core-1 is fenced; shard 1: leader core-1 is fenced"),
-		Entry("a leader that does not know of it", all, func() { d.core.status.Shards[1].Leader = "front-1" },
+		Entry("a leader that does not report itself as the leader", all, func() { d.core.status.Shards[1].Leader = "front-1" },
 			"shards ATTENTION shard 1: no node that answered leads it"),
 		Entry("two leaders", all, func() { d.front.status.Shards[0] = &ridgeswitchv1.ShardStatus{Leader: "front-1", Term: 5} },
 			"shards ATTENTION shard 0: claimed by core-1 in term 4 and front-1 in term 5"),
@@ -83,17 +84,17 @@
 			d.core.status.Members[1].State = "suspect"
 			d.core.status.Members[2].State = "fenced"
 		}, "members ATTENTION 1 alive; fenced: front-2; suspect: front-1"),
-		Entry("the node itself fenced", "status --output table", func() { d.core.status.Fenced = true },
+		Entry("the queried node fenced", "status --output table", func() { d.core.status.Fenced = true },
 			"traffic ATTENTION core-1 refuses traffic"),
 		Entry("another node fenced", all, func() { d.front.status.Fenced = true },
 			"traffic ATTENTION 1 of 2 live members serve; refusing: front-1"),
-		Entry("a node that does not answer", all, func() { d.core.status.Members[1].ControlAddress = "127.0.0.1:1" },
+		Entry("a node that does not respond", all, func() { d.core.status.Members[1].ControlAddress = "127.0.0.1:1" },
 			"traffic ATTENTION 1 of 2 live members serve; no answer: front-1"),
-		Entry("a node that answers with a refusal", all, func() { d.frontNode.statuses = []int{503} },
+		Entry("a node that responds with a server error", all, func() { d.frontNode.statuses = []int{503} },
 			"traffic ATTENTION 1 of 2 live members serve; no answer: front-1"),
-		Entry("a node that lags", all, func() { d.front.status.ServedRevision = 6 },
+		Entry("a node that serves an older revision", all, func() { d.front.status.ServedRevision = 6 },
 			"revisions ATTENTION 7 on core-1; 6 on front-1"),
-		Entry("a roll-out", all, func() {
+		Entry("a roll-out under way", all, func() {
 			d.core.weights.Replicas = []*ridgeswitchv1.ReplicaStatus{
 				{Phase: "serving", WeightVersion: "w"},
 				{Phase: "serving", WeightVersion: "v"},
--- a/internal/operatorcli/suite_test.go
+++ b/internal/operatorcli/suite_test.go
@@ -27,12 +27,12 @@
 	RunSpecs(t, "Operator verbs")
 }
 
-// cluster is one control state behind all nodes of a test.
+// cluster is the control state that the nodes of a test serve.
 type cluster struct {
 	sync.Mutex
 	machine *dynamic.Machine
 	pending bool
-	// status and weights, when set, are what the nodes answer.
+	// status and weights, if set, are the responses of the nodes to these calls.
 	status  *ridgeswitchv1.NodeStatus
 	weights *ridgeswitchv1.WeightsStatus
 }
@@ -79,8 +79,8 @@
 func (c *cluster) Ready() error { return nil }
 func (c *cluster) Live() error  { return nil }
 
-// node serves the cluster and records what comes; it first gives each of the
-// statuses in turn instead of an answer.
+// node is an HTTP server that serves the cluster and records the requests that it receives. It
+// responds to the first requests with the HTTP statuses in statuses, one each.
 type node struct {
 	address  string
 	statuses []int
@@ -91,7 +91,7 @@
 	handler, err := operator.NewHandler(c, c)
 	Expect(err).NotTo(HaveOccurred())
 	n := &node{statuses: statuses}
-	listening := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -105,19 +105,19 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		handler.ServeHTTP(w, r)
 	}))
-	DeferCleanup(listening.Close)
-	n.address = strings.TrimPrefix(listening.URL, "http://")
+	DeferCleanup(server.Close)
+	n.address = strings.TrimPrefix(server.URL, "http://")
 	return n
 }
 
-// result is how a verb ended.
+// result is the outcome of a command: its exit code, output and error.
 type result struct {
 	code     int
 	out, log string
 	err      string
 }
 
-// run runs one command line; its words are split at spaces.
+// run runs a command line, split at spaces, with a --node flag for each of the nodes.
 func run(input, line string, nodes ...*node) result {
 	var out, log bytes.Buffer
 	root := &cli.Command{
--- a/internal/operatorcli/summary.go
+++ b/internal/operatorcli/summary.go
@@ -11,7 +11,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// result is the verdict of a check.
+// result is the outcome of a check.
 type result string
 
 const (
@@ -30,7 +30,7 @@
 	stateUnknown = "unknown"
 )
 
-// The phases of a replica, as nodes report them. One that serves takes requests.
+// The phases of a replica, as nodes report them. A replica in phaseServing accepts requests.
 const (
 	phaseServing  = "serving"
 	phaseDraining = "draining"
@@ -38,39 +38,40 @@
 	phaseUnknown  = "unknown"
 )
 
-// maxNames bounds the names, or other texts, that a line of the summary lists.
+// maxNames bounds the number of names, or of other texts, in a list on a line of the summary.
 const maxNames = 8
 
-// check is one line of the summary: what was checked, the verdict, and the reason.
+// check is one line of the summary: the subject of the check, its result, and the details.
 type check struct {
 	name   string
 	result result
 	detail string
 }
 
-// statusSummary is what was collected for the summary of a deployment; its checks make the lines.
+// statusSummary contains the responses from which the summary of a deployment is made. Each
+// of its checks is a line of the summary.
 type statusSummary struct {
 	// status is the view of the node that was queried first.
 	status *ridgeswitchv1.NodeStatus
-	// allNodes is set if the live members were queried as well; their responses
-	// follow.
+	// allNodes means that all live members were queried as well. Their responses are in
+	// responses.
 	allNodes  bool
 	responses []nodeResponse
-	// weights are the states of the pools' roll-outs, unless weightsError says
-	// why they are unknown.
+	// weights contains the state of each pool's roll-out. If it could not be read,
+	// weightsError is the reason.
 	weights      []*ridgeswitchv1.WeightsStatus
 	weightsError error
 }
 
-// nodeResponse is the status that one member reports of itself.
+// nodeResponse is the response of one member to the query of its status.
 type nodeResponse struct {
 	member *ridgeswitchv1.MemberStatus
-	// status is nil if err says why there is no response.
+	// status is valid only if err is nil.
 	status *ridgeswitchv1.NodeStatus
 	err    error
 }
 
-// print writes the summary and, where all were queried, a table of the nodes.
+// print writes the summary and, if all live members were queried, a table of them.
 func (s *statusSummary) print(out io.Writer) error {
 	writer := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(writer, "summary\nCHECK\tRESULT\tDETAIL")
@@ -84,7 +85,7 @@
 	return writer.Flush()
 }
 
-// writeNodes writes what each node said of itself.
+// writeNodes writes a table of the statuses that the live members reported.
 func (s *statusSummary) writeNodes(writer io.Writer) {
 	_, _ = fmt.Fprintln(writer, "nodes\nNODE\tCONTROL_ADDRESS\tFENCED\tFENCES\tSERVED_REVISION\tSHARDS_LED")
 	for _, response := range s.responses {
@@ -100,14 +101,16 @@
 	_, _ = fmt.Fprintln(writer)
 }
 
-// checks returns the checks that an operator looks at first when something seems
-// wrong.
+// checks returns the checks in the order of the summary. They cover what an operator needs
+// first to diagnose a problem.
 func (s *statusSummary) checks() []check {
 	return []check{s.checkShards(), s.checkMembers(), s.checkTraffic(), s.checkRevisions(), s.checkRollOuts()}
 }
 
-// checkShards reports whether every shard has a leader: one that says so itself
-// if all were queried, else one that is live as far as the queried node knows.
+// checkShards reports whether every shard has a leader. If all live members were queried,
+// exactly one of them must report itself as the leader. Otherwise the queried node must know
+// a leader, and its table of members must not contain that leader in a state other than alive
+// or suspect.
 func (s *statusSummary) checkShards() check {
 	shards := s.status.GetShards()
 	var faults []string
@@ -126,7 +129,7 @@
 	return check{"shards", resultOK, detail}
 }
 
-// leaderFault tells what is wrong with the leadership of a shard.
+// leaderFault returns the problem with the leadership of a shard, or "" if there is none.
 func (s *statusSummary) leaderFault(shard *ridgeswitchv1.ShardStatus) string {
 	if !s.allNodes {
 		return s.knownLeaderFault(shard.GetLeader())
@@ -149,7 +152,8 @@
 	}
 }
 
-// knownLeaderFault judges a leader by the queried node's table of members.
+// knownLeaderFault returns the problem with a leader according to the queried node's table of
+// members, or "" if there is none.
 func (s *statusSummary) knownLeaderFault(leader string) string {
 	if leader == "" {
 		return "no known leader"
@@ -162,7 +166,7 @@
 	return ""
 }
 
-// checkMembers names the members that are neither alive nor left in order.
+// checkMembers reports the members that are fenced, suspect or of unknown state.
 func (s *statusSummary) checkMembers() check {
 	byState := lo.GroupBy(s.status.GetMembers(), func(member *ridgeswitchv1.MemberStatus) string { return member.GetState() })
 	detail := fmt.Sprintf("%d alive", len(byState[stateAlive]))
@@ -179,7 +183,7 @@
 	return members
 }
 
-// checkTraffic names the nodes that refuse traffic, and those that did not respond.
+// checkTraffic reports the nodes that refuse traffic and those that did not respond.
 func (s *statusSummary) checkTraffic() check {
 	if !s.allNodes {
 		if s.status.GetFenced() {
@@ -208,7 +212,7 @@
 	return traffic
 }
 
-// ledBy lists the shards that a node takes itself for the leader of.
+// ledBy returns the shards of which a node reports itself as the leader.
 func ledBy(status *ridgeswitchv1.NodeStatus) []*ridgeswitchv1.ShardStatus {
 	return lo.Filter(status.GetShards(), func(shard *ridgeswitchv1.ShardStatus, _ int) bool {
 		return shard.GetLeader() == status.GetNode()
@@ -222,12 +226,13 @@
 
 func nodeOfMember(member *ridgeswitchv1.MemberStatus, _ int) string { return member.GetNode() }
 
-// joinNames joins names, of which there may be very many.
+// joinNames joins the first maxNames names and appends how many more there are.
 func joinNames(names []string) string {
 	return strings.Join(shortened(names), ", ")
 }
 
-// shortened returns the first maxNames texts, and how many more there are.
+// shortened returns the first maxNames texts and, if there are more, a text with the number
+// of the others.
 func shortened(texts []string) []string {
 	if len(texts) <= maxNames {
 		return texts
