--- a/cmd/ridgeswitch/main.go
+++ b/cmd/ridgeswitch/main.go
@@ -1,5 +1,5 @@
-// Command ridgeswitch is the one binary of a deployment: the node itself and the
-// operators' commands.
+// Command ridgeswitch runs a node of a deployment ("node"), initialises its data folder
+// ("init"), and provides the operators' commands.
 package main
 
 import (
@@ -22,7 +22,7 @@
 		Name:     "ridgeswitch",
 		Usage:    "one front for language-model replicas",
 		Commands: append([]*cli.Command{nodeCommand(), initCommand()}, operatorcli.Commands()...),
-		// Exit codes are chosen in exitCode alone.
+		// By default the library ends the process itself; exitCode chooses the exit status.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 	err := root.Run(ctx, os.Args)
@@ -34,10 +34,11 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode returns the exit status for an error: that which an operators' command chose,
-// or operatorcli.ExitUsage if the command line library rejected the command line. Its own
-// statuses are not used, since operators would take them for outcomes of an order. Any
-// other error, such as that of a node that can't start, ends with operatorcli.ExitRefused.
+// exitCode returns the exit status for an error: the status of an *operatorcli.ExitError, or
+// operatorcli.ExitUsage if the command line library rejected the command line. The library's
+// own statuses are not used, since operators would take them for outcomes of an order. The
+// status of any other error, such as that of a node that can't start, is
+// operatorcli.ExitRefused.
 func exitCode(err error) int {
 	var chosen *operatorcli.ExitError
 	if errors.As(err, &chosen) {
--- a/cmd/ridgeswitch/node.go
+++ b/cmd/ridgeswitch/node.go
@@ -19,8 +19,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// forceQuitMargin is the time beyond the drain time after which the HTTP
-// framework may end a process that hangs.
+// forceQuitMargin is how long after the drain time-out the HTTP framework ends a process that
+// still runs.
 const forceQuitMargin = 10 * time.Second
 
 func nodeCommand() *cli.Command {
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkedSettings reads the settings and returns all their faults at once.
+// checkedSettings reads and checks the settings. The error contains all faults.
 func checkedSettings(command *cli.Command) (*static.Settings, error) {
 	settings, err := static.FromCommand(command)
 	if err != nil {
@@ -81,8 +81,8 @@
 	logger := ring.Logger(level)
 	logring.UseForFramework(logger)
 	defer dumpOnSignal(ring)()
-	// The HTTP framework ends the process on its own some time after SIGTERM;
-	// the node drains first.
+	// The HTTP framework ends the process a fixed time after SIGTERM. The node needs its
+	// drain time-out before that.
 	proc.SetTimeToForceQuit(settings.DrainTimeout() + forceQuitMargin)
 	running, err := node.New(settings, node.Edges{}, logger.WithField("node", settings.Node)) //nolint:contextcheck // the node listens until Run ends, and Run takes the context
 	if err != nil {
@@ -96,8 +96,8 @@
 	return running.Run(ctx)
 }
 
-// dumpOnPanic, deferred, writes the log ring out when its own goroutine panics, and lets
-// the panic go on. A panic of another goroutine ends the process without it.
+// dumpOnPanic is to be deferred: if its goroutine panics, it dumps the log ring and panics
+// again with the same cause. A panic of another goroutine ends the process without a dump.
 func dumpOnPanic(ring *logring.Ring) {
 	if cause := recover(); cause != nil {
 		_ = ring.Dump()
@@ -105,10 +105,11 @@
 	}
 }
 
-// dumpOnSignal writes the log ring out on every SIGUSR1. Its goroutine runs until the
-// returned function is called.
+// dumpOnSignal dumps the log ring on every SIGUSR1. The returned function stops this and ends
+// the goroutine.
 func dumpOnSignal(ring *logring.Ring) func() {
-	// On these signals the HTTP framework would write profiles to the temporary folder.
+	// By default the HTTP framework writes goroutine dumps and profiles to the temporary
+	// folder on these signals.
 	signal.Reset(syscall.SIGUSR1, syscall.SIGUSR2)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
