--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -10,17 +10,19 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// memberStates are the states of a member, each of which always has a series.
+// memberStates contains the states of a member. Each has a series, also while no member is in
+// that state.
 var memberStates = []string{"alive", "suspect", "fenced", "left", "unknown"}
 
 const (
-	// shardLabel holds the number of a shard.
+	// shardLabel is the label for the number of a shard.
 	shardLabel = "shard"
-	// poolLabel holds the name of a pool.
+	// poolLabel is the label for the name of a pool.
 	poolLabel = "pool"
 )
 
-// controlCollector reads a node's view of the deployment.
+// controlCollector collects the state of a node and what the node knows of members, shards
+// and roll-outs.
 type controlCollector struct {
 	metricSet
 	control Control
@@ -108,7 +110,8 @@
 	c.shardBadEntries.send(into, float64(shard.GetBadEntries()), label)
 }
 
-// serveRemainingSeconds is +Inf for a node that nothing can fence.
+// serveRemainingSeconds returns for how long the node serves without further contact. It is
+// +Inf for a node that nothing can fence, whose status contains a negative number.
 func serveRemainingSeconds(status *ridgeswitchv1.NodeStatus) float64 {
 	remaining := status.GetServeRemainingMs()
 	if remaining < 0 {
--- a/internal/metrics/destinations.go
+++ b/internal/metrics/destinations.go
@@ -2,27 +2,27 @@
 
 import "sync"
 
-// MaxDestinations bounds the destinations that have series of their own.
+// MaxDestinations is the maximum number of destinations that have series of their own.
 const MaxDestinations = 256
 
-// The kinds of destinations, as values of a label.
+// The kinds of destinations: the values of the label "kind".
 const (
 	kindPool       = "pool"
 	kindWebService = "web_service"
 )
 
-// overflowName stands for all destinations beyond MaxDestinations. No
-// destination is called so: names hold no parentheses.
+// overflowName is the name in the series of all destinations beyond MaxDestinations. No
+// destination has this name, since names contain no parentheses.
 const overflowName = "(other)"
 
-// destination names the series of a destination.
+// destination contains the label values of a destination's series.
 type destination struct {
 	kind string
 	name string
 }
 
-// destinationNames gives series of their own to the first destinations that it
-// sees, for good, so that a counter never moves from one series to another.
+// destinationNames assigns series to destinations. The first limit destinations get series of
+// their own, and keep them, so that a counter never moves from one series to another.
 type destinationNames struct {
 	limit int
 	mutex sync.Mutex
@@ -33,7 +33,7 @@
 	return &destinationNames{limit: limit, known: make(map[destination]struct{})}
 }
 
-// seriesOf returns the series of a destination.
+// seriesOf returns the label values of a destination's series.
 func (d *destinationNames) seriesOf(name string, webService bool) destination {
 	series := destination{kind: kindPool, name: name}
 	if webService {
--- a/internal/metrics/doc.go
+++ b/internal/metrics/doc.go
@@ -1,10 +1,11 @@
 // Package metrics serves the counters and gauges of a node in the Prometheus
-// text format. Everything is read at the time of a scrape: nothing is counted here.
+// text format. The package counts nothing itself: it reads all values from their sources at
+// the time of a scrape.
 //
 // The number of series is bounded. There is no label that names a tenant, a
 // replica or another node, and at most MaxDestinations destinations have series
 // of their own.
 //
-// The collectors keep no state but the destinations that have series, and may be used
-// concurrently.
+// The only state of the collectors is the set of destinations that have series. They are safe
+// for concurrent use.
 package metrics
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -17,36 +17,37 @@
 )
 
 const (
-	// namespace begins the name of every metric of ridgeswitch.
+	// namespace is the prefix of every metric name of ridgeswitch.
 	namespace = "ridgeswitch"
-	// maxScrapes bounds the scrapes that are served at once.
+	// maxScrapes bounds the number of concurrent scrapes.
 	maxScrapes = 4
-	// scrapeTimeout bounds one response, for a node whose control is stuck.
+	// scrapeTimeout bounds the time of one scrape, since the sources may block if the
+	// node's control driver hangs.
 	scrapeTimeout = 5 * time.Second
 )
 
-// Control is where the state of the node and of its shards comes from.
+// Control provides the state of the node and of its shards.
 type Control interface {
 	Status() *ridgeswitchv1.NodeStatus
-	// Sent counts the messages to other nodes by kind and distance.
+	// Sent returns the numbers of messages to other nodes by kind and distance.
 	Sent() []driver.SentCount
-	// Storage returns how much of what the machine gives control state takes.
+	// Storage returns the size of control state and the limits of that size.
 	Storage() driver.StorageStatus
 }
 
-// Traffic is where the counters of requests come from.
+// Traffic provides the counters of requests and the size of the prefix index.
 type Traffic interface {
 	Stats() []dataplane.DestinationStats
 	Load() []dataplane.DestinationLoad
 	IndexStats() prefixindex.Stats
 }
 
-// Transport is where the counters of frames between nodes come from.
+// Transport provides the counters of frames between nodes.
 type Transport interface {
 	Stats() transport.Stats
 }
 
-// NewHandler serves the metrics of a node. The sources must be safe for
+// NewHandler returns a handler that serves the metrics of a node. The sources must be safe for
 // concurrent use.
 func NewHandler(node Control, traffic Traffic, frames Transport) (http.Handler, error) {
 	registry := prometheus.NewRegistry()
--- a/internal/metrics/index.go
+++ b/internal/metrics/index.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// indexCollector reads the size of the index of prefixes.
+// indexCollector collects the size of the prefix index.
 type indexCollector struct {
 	metricSet
 	traffic       Traffic
--- a/internal/metrics/messages.go
+++ b/internal/metrics/messages.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// messageCollector reads the counters of messages to other nodes, by kind and by
-// whether they stay in the zone.
+// messageCollector collects the counters of messages to other nodes, by kind and by whether
+// the recipient is in the same zone.
 type messageCollector struct {
 	metricSet
 	control      Control
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -54,7 +54,7 @@
 
 func (f frames) Stats() transport.Stats { return transport.Stats(f) }
 
-// scrape returns the series of ridgeswitch, each a line, and all the names.
+// scrape returns the lines of all series, and the set of metric names.
 func scrape(node *fakeNode) (lines []string, names map[string]bool) {
 	handler, err := NewHandler(node, node, frames{FramesSent: 1, BytesReceived: 2, DroppedFull: 3})
 	Expect(err).NotTo(HaveOccurred())
@@ -96,7 +96,7 @@
 }
 
 var _ = Describe("Metrics", func() {
-	It("tell the counters of requests, control, frames, index and process", func() {
+	It("contain the counters of requests, control, frames, index and process", func() {
 		lines, names := scrape(busyNode())
 		Expect(lines).To(ContainElements(
 			`ridgeswitch_first_attempts_total{destination="demo",kind="pool"} 10`,
@@ -138,7 +138,7 @@
 		Expect(names).To(And(HaveKey("process_cpu_seconds_total"), HaveKey("process_resident_memory_bytes")))
 	})
 
-	It("are all described in the operators' page", func() {
+	It("match the names in the operators' page", func() {
 		page, err := os.ReadFile("../../docs/operations/metrics.md")
 		Expect(err).NotTo(HaveOccurred())
 		_, names := scrape(busyNode())
@@ -154,7 +154,7 @@
 		}
 	})
 
-	It("add destinations up beyond the bound, and nothing gets lost or moves", func() {
+	It("sum the destinations beyond the limit in one series, and keep each destination in its series", func() {
 		names := newDestinationNames(2)
 		Expect(names.seriesOf("a", false).name).To(Equal("a"))
 		Expect(names.seriesOf("b", true).name).To(Equal("b"))
@@ -169,7 +169,7 @@
 		Expect(lines).To(ContainElement(`ridgeswitch_first_attempts_total{destination="(other)",kind="pool"} 10`))
 	})
 
-	It("say +Inf for a node that nothing can fence", func() {
+	It("report +Inf as the remaining time of a node that nothing can fence", func() {
 		node := busyNode()
 		node.status.ServeRemainingMs = -1
 		lines, _ := scrape(node)
--- a/internal/metrics/storage.go
+++ b/internal/metrics/storage.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// storageCollector reads how much of what the machine gives control state takes.
+// storageCollector collects the size of control state and the limits of that size.
 type storageCollector struct {
 	metricSet
 	control                           Control
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -7,10 +7,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// destinationLabels name the series of a destination.
+// destinationLabels contains the labels that identify a destination.
 var destinationLabels = []string{"kind", "destination"}
 
-// trafficCollector reads what became of callers' requests.
+// trafficCollector collects the outcomes of callers' requests by destination.
 type trafficCollector struct {
 	metricSet
 	traffic Traffic
@@ -58,14 +58,14 @@
 	}
 }
 
-// destinationSum is the sum of the destinations that share series.
+// destinationSum contains the summed statistics of the destinations that share series.
 type destinationSum struct {
 	stats    dataplane.DestinationStats
 	refusals map[caller.Kind]uint64
 	outcomes map[string]uint64
 }
 
-// sums adds up the statistics of the destinations that share series.
+// sums returns the statistics by series, summed over the destinations that share a series.
 func (c *trafficCollector) sums() map[destination]*destinationSum {
 	sums := make(map[destination]*destinationSum)
 	for _, stats := range c.traffic.Stats() {
--- a/internal/metrics/transport.go
+++ b/internal/metrics/transport.go
@@ -8,7 +8,7 @@
 	received = "received"
 )
 
-// transportCollector reads the counters of frames between nodes.
+// transportCollector collects the counters of frames and connections between nodes.
 type transportCollector struct {
 	metricSet
 	frames                           Transport
