--- a/cmd/ridgeswitch-replay/generate.go
+++ b/cmd/ridgeswitch-replay/generate.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	// exampleRequests keeps the example day small.
+	// exampleRequests is the default number of model requests, which keeps the recording
+	// small.
 	exampleRequests = 3000
-	// exampleLength is the length of the made-up day.
+	// exampleLength is the default length of the generated day.
 	exampleLength = 24 * time.Hour
 )
 
--- a/cmd/ridgeswitch-replay/main.go
+++ b/cmd/ridgeswitch-replay/main.go
@@ -1,5 +1,5 @@
-// Command ridgeswitch-replay replays recorded days against a fleet on this
-// machine or against emulated replicas, and compares the reports.
+// Command ridgeswitch-replay replays recorded days against nodes on this machine or against
+// emulated replicas, summarizes recordings, compares reports, and generates recordings.
 package main
 
 import (
--- a/cmd/ridgeswitch-replay/output.go
+++ b/cmd/ridgeswitch-replay/output.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/report"
 )
 
-// reportFlags say where a report goes.
+// reportFlags returns the flags for the files to which a report is written.
 func reportFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "report", Usage: "`FILE` for the report as JSON"},
@@ -19,7 +19,7 @@
 	}
 }
 
-// writeReport writes the files that are asked for, and prints the report.
+// writeReport writes the report to the files that the flags name, and prints it as text.
 func writeReport(command *cli.Command, made *report.Report) error {
 	if path := command.String("report"); path != "" {
 		if err := writeFile(path, made.Write); err != nil {
@@ -34,7 +34,8 @@
 	return made.WriteText(command.Root().Writer)
 }
 
-// writeFile writes a file, and reports a failure to close it.
+// writeFile creates a file and writes it with a function. It also returns an error of closing
+// the file, since written data may be lost then.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/ridgeswitch-replay/run.go
+++ b/cmd/ridgeswitch-replay/run.go
@@ -17,8 +17,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/replay/report"
 )
 
-// keysVariable is the environment variable for keys that are not to be seen in
-// the list of processes.
+// keysVariable is the environment variable for keys. Unlike the values of --key, its value is
+// not shown in the list of processes.
 const keysVariable = "RIDGESWITCH_REPLAY_KEYS"
 
 func runCommand() *cli.Command {
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordFlags choose the recording and the part of it.
+// recordFlags returns the flags that select a recording and a part of it.
 func recordFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "records", Usage: "`FILE` with the recording, plain or gzip", Required: true},
@@ -49,8 +49,8 @@
 	}
 }
 
-// run replays a recording and writes the report. An interrupted replay reports
-// what it has done.
+// run replays a recording and writes the report. If the replay is interrupted, the report
+// covers the requests that were sent, and run returns an error.
 func run(ctx context.Context, command *cli.Command) error {
 	if err := checkRunFlags(command); err != nil {
 		return err
@@ -91,12 +91,14 @@
 	return nil
 }
 
-// selectionOf returns the part of the day that the flags choose, at a speed.
+// selectionOf returns the selection of the part of the day between --from and --until, at a
+// speed.
 func selectionOf(command *cli.Command, speed float64) player.Selection {
 	return player.Selection{Speed: speed, From: command.Duration("from"), Until: command.Duration("until")}
 }
 
-// describeRun returns the description of a report, without target and skipped records.
+// describeRun returns the description of a replay for its report, without the target, the
+// skipped records and the lag.
 func describeRun(command *cli.Command, source report.Source, day *recording.Day, selection player.Selection) report.Run {
 	return report.Run{
 		Source:         source,
@@ -128,8 +130,8 @@
 	})
 }
 
-// keysOf reads TENANT=SECRET. Errors do not repeat what was given, since it may
-// be a secret.
+// keysOf parses keys of the form TENANT=SECRET. Errors contain the position of a key in place
+// of its text, which may be a secret.
 func keysOf(pairs []string) ([]player.Key, error) {
 	var keys []player.Key
 	for position, text := range pairs {
@@ -152,7 +154,8 @@
 	return player.Emulate(records, selection, settings, bench.PolicyName(command.String("policy")))
 }
 
-// emulatedTarget names the settings that a replay on the emulator depends on.
+// emulatedTarget returns the target of a replay on the emulator: the settings of the emulated
+// fleet.
 func emulatedTarget(command *cli.Command) string {
 	replicas := ""
 	if count := command.Int("replicas"); count > 0 {
@@ -161,7 +164,8 @@
 	return fmt.Sprintf("%s%s, policy %s, seed %d", command.String("fleet"), replicas, command.String("policy"), command.Uint64("seed"))
 }
 
-// summarizeCommand reports what a recording itself tells.
+// summarizeCommand returns the command "summarize", which reports the outcomes in a recording
+// without replaying it.
 func summarizeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "summarize",
