--- a/cmd/ridgeswitch-lab/bench.go
+++ b/cmd/ridgeswitch-lab/bench.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// runBenchRouting prints a JSON line for each policy, or for each row of the
-// ablation.
+// runBenchRouting prints one line of JSON for each policy, or with --ablation for each row of
+// the ablation.
 func runBenchRouting(_ context.Context, command *cli.Command) error {
 	mix, err := workload.ByName(command.String("mix"))
 	if err != nil {
@@ -61,7 +61,7 @@
 	return printLines(command, results)
 }
 
-// routingSettings returns the bench's settings with those that were given.
+// routingSettings returns the default settings of the bench, overridden by the flags.
 func routingSettings(command *cli.Command, mix workload.Mix) bench.Settings {
 	settings := bench.DefaultSettings(mix, command.Uint64("seed"))
 	settings.Rate = command.Float64("rate")
@@ -81,8 +81,8 @@
 	return settings
 }
 
-// printAblation moves one knob at a time, on the traces of the seed given and
-// of those after it.
+// printAblation runs the ablation, which changes one routing parameter at a time, and prints
+// its rows. The traces are those of consecutive seeds that begin with --seed.
 func printAblation(command *cli.Command, settings bench.Settings) error {
 	seeds := lo.RangeFrom(command.Uint64("seed"), command.Int("seeds"))
 	rows, err := bench.Ablate(settings, seeds, bench.Variations())
@@ -96,7 +96,7 @@
 	return printLines(command, rows)
 }
 
-// printLines prints each value as a line of JSON.
+// printLines prints each value as one line of JSON.
 func printLines[T any](command *cli.Command, values []T) error {
 	encoder := json.NewEncoder(command.Root().Writer)
 	for _, value := range values {
--- a/cmd/ridgeswitch-lab/bench_engine.go
+++ b/cmd/ridgeswitch-lab/bench_engine.go
@@ -50,7 +50,7 @@
 	return err
 }
 
-// variantsOf returns the variants that a value of --variants names.
+// variantsOf returns the variants for a value of --variants.
 func variantsOf(name string) ([]enginebench.Variant, error) {
 	switch name {
 	case "policies":
--- a/cmd/ridgeswitch-lab/bench_proxy.go
+++ b/cmd/ridgeswitch-lab/bench_proxy.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// runBenchProxy prints a JSON line for each target and one that compares them.
+// runBenchProxy prints one line of JSON for each target, and one that compares the targets.
 func runBenchProxy(ctx context.Context, command *cli.Command) error {
 	report, err := proxybench.Measure(ctx, proxybench.Settings{
 		Replicas:       command.Int("replicas"),
--- a/cmd/ridgeswitch-lab/demo.go
+++ b/cmd/ridgeswitch-lab/demo.go
@@ -9,12 +9,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/fleet"
 )
 
-// Bounds of a demonstration.
+// The time limit and the default load of a demonstration.
 const (
-	// runMargin is how long the start, the convergence and the checks may take
-	// beside the load. What is left of a minute is for the collection and the end.
+	// runMargin is the time for the start, the convergence and the checks, in addition to
+	// the time of the load. With the default load of 10 s, the rest of a minute is left for
+	// collecting the results and stopping the processes.
 	runMargin = 44 * time.Second
-	// demoModelRate is the requests to the model per second.
+	// demoModelRate is the default number of model requests per second.
 	demoModelRate = 64
 )
 
@@ -29,7 +30,7 @@
 	}
 }
 
-// runDemo runs a demonstration and prints its summary as the last line.
+// runDemo runs a demonstration and prints its summary on the last line.
 func runDemo(ctx context.Context, command *cli.Command) error {
 	return runFleet(ctx, command, command.Duration("duration")+runMargin, func(ctx context.Context, run fleetRun) (summary, error) {
 		return fleet.Demonstrate(ctx, fleet.Demonstration{
--- a/cmd/ridgeswitch-lab/experiment.go
+++ b/cmd/ridgeswitch-lab/experiment.go
@@ -10,15 +10,17 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/plans"
 )
 
-// Defaults of experiments. They are gentler than those of a demonstration, since
-// a run is longer and the faults are what matters.
+// The default load and the time limit of an experiment. The load is lower and the limit is
+// longer than those of a demonstration, since a run takes longer and its purpose is to test
+// faults.
 const (
+	// experimentModelRate is the default number of model requests per second.
 	experimentModelRate = 40
-	// experimentTimeout bounds a run from the first process to the last.
+	// experimentTimeout bounds a run, in addition to the time of the load.
 	experimentTimeout = 6 * time.Minute
 )
 
-// showPlans is the name by which the plans are listed.
+// showPlans is the value of --plan with which the command lists all plans.
 const showPlans = "list"
 
 func experimentCommand() *cli.Command {
@@ -33,7 +35,7 @@
 	}
 }
 
-// runExperiment runs a plan and prints its summary as the last line.
+// runExperiment runs a plan and prints its summary on the last line.
 func runExperiment(ctx context.Context, command *cli.Command) error {
 	if command.String("plan") == showPlans {
 		printPlans()
--- a/cmd/ridgeswitch-lab/flags.go
+++ b/cmd/ridgeswitch-lab/flags.go
@@ -9,13 +9,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/emulator"
 )
 
-// standInFlags returns the flags of a stand-in with cached chunks: its own, and those
-// of the clock, of its events and of its links.
+// standInFlags returns the flags of a stand-in that caches chunks: its own flags, and those of
+// the clock, of the cache events and of the links.
 func standInFlags(own ...cli.Flag) []cli.Flag {
 	return slices.Concat(own, timeFlags(), feedFlags(), linkFlags())
 }
 
-// timeFlags are the flags of every stand-in that runs on a scaled clock.
+// timeFlags returns the flags of every stand-in that runs on a scaled clock.
 func timeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.Float64Flag{Name: "time-scale", Usage: "how many times faster than real machines work runs", Value: 1},
@@ -23,7 +23,8 @@
 	}
 }
 
-// feedFlags say how cache events go wrong on their way. Times are real ones.
+// feedFlags returns the flags for the faults in the delivery of cache events. Their durations
+// are in real time, not scaled by --time-scale.
 func feedFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.DurationFlag{Name: "event-delay", Usage: "delay of cache events", Value: 50 * time.Millisecond},
@@ -35,7 +36,7 @@
 	}
 }
 
-// feedPlan returns the plan that the flags describe.
+// feedPlan returns the delivery faults that the flags describe.
 func feedPlan(command *cli.Command) emulator.FeedPlan {
 	return emulator.FeedPlan{
 		Delay:          command.Duration("event-delay"),
@@ -47,7 +48,7 @@
 	}
 }
 
-// linkFlags describe the links between machines.
+// linkFlags returns the flags for the links between machines.
 func linkFlags() []cli.Flag {
 	const gigabytePerSecond = 1e9
 	return []cli.Flag{
--- a/cmd/ridgeswitch-lab/fleet_run.go
+++ b/cmd/ridgeswitch-lab/fleet_run.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// buildTimeout bounds the build of the node's binary, before the run.
+	// buildTimeout bounds the build of the node's binary, which precedes the run.
 	buildTimeout = 5 * time.Minute
-	// fleetTimeScale is how many times faster than real machines replicas compute,
-	// so that ten seconds hold enough requests for the rules to be tried.
+	// fleetTimeScale is how many times faster than real machines the replicas compute. At
+	// this speed, 10 s of load contain enough requests to test the rules.
 	fleetTimeScale = 16
 )
 
-// nodePackage is what the node's binary is built from.
+// nodePackage is the Go package of the node's binary.
 const nodePackage = "./cmd/ridgeswitch"
 
-// fleetFlags are the flags of every command that runs a whole deployment.
+// fleetFlags returns the flags of every command that runs a whole deployment.
 func fleetFlags(modelRate float64) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "deployment", Usage: "name of a folder below --deploy-folder", Value: "hivatal"},
@@ -42,19 +42,19 @@
 
 // summary is the result of a run of a fleet, printed as JSON.
 type summary interface {
-	// Err is the failure of the run, or nil.
+	// Err returns the failure of the run, or nil.
 	Err() error
 }
 
-// fleetRun is what a run of a whole fleet is made of.
+// fleetRun contains the deployment, the options and the log of a run of a whole fleet.
 type fleetRun struct {
 	deployment *fleet.Deployment
 	options    fleet.Options
 	log        *logrus.Entry
 }
 
-// runFleet runs a fleet by the flags, and prints the summary as the last line. The
-// timeout bounds the run, and not the build of the binary before it.
+// runFleet prepares a fleet according to the flags, calls run, and prints the summary on the
+// last line. The time-out bounds the run, but not the build of the binary before it.
 func runFleet(ctx context.Context, command *cli.Command, timeout time.Duration, run func(context.Context, fleetRun) (summary, error)) error {
 	folder, cleanUp, err := fleetFolder(command.String("folder"))
 	if err != nil {
@@ -83,7 +83,7 @@
 	return result.Err()
 }
 
-// prepareFleet reads the deployment and the flags of a run.
+// prepareFleet loads the deployment and returns the run that the flags describe.
 func prepareFleet(command *cli.Command, folder, binary string) (fleetRun, error) {
 	deployment, err := fleet.LoadDeployment(filepath.Join(command.String("deploy-folder"), command.String("deployment")))
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 	lab, err := os.Executable()
 	if err != nil {
-		return fleetRun{}, errors.Wrap(err, "find the lab's own binary")
+		return fleetRun{}, errors.Wrap(err, "locate the executable of this process")
 	}
 	options := fleet.Options{
 		NodeBinary: binary, LabBinary: lab, Folder: folder,
@@ -100,21 +100,22 @@
 	return fleetRun{deployment: deployment, options: options, log: logrus.NewEntry(fleetLog())}, nil
 }
 
-// fleetFolder returns the folder to use, and a function that removes it if it is a
-// temporary one.
+// fleetFolder creates and returns the folder of the flag, or a temporary folder if the flag is
+// empty. The returned function removes a temporary folder.
 func fleetFolder(flag string) (string, func(), error) {
 	if flag != "" {
-		return flag, func() {}, errors.Wrap(os.MkdirAll(flag, 0o755), "make the folder")
+		return flag, func() {}, errors.Wrap(os.MkdirAll(flag, 0o755), "create the folder that --folder names")
 	}
 	folder, err := os.MkdirTemp("", "ridgeswitch-demo-")
-	return folder, func() { _ = os.RemoveAll(folder) }, errors.Wrap(err, "make a temporary folder")
+	return folder, func() { _ = os.RemoveAll(folder) }, errors.Wrap(err, "create a temporary folder")
 }
 
-// nodeBinary returns the binary that is given, or builds it.
+// nodeBinary returns the path of the binary in the flag, or builds the binary in the folder if
+// the flag is empty.
 func nodeBinary(ctx context.Context, flag, folder string) (string, error) {
 	if flag != "" {
 		path, err := filepath.Abs(flag)
-		return path, errors.Wrap(err, "find the binary")
+		return path, errors.Wrap(err, "resolve the path that --binary names")
 	}
 	ctx, cancel := context.WithTimeout(ctx, buildTimeout)
 	defer cancel()
--- a/cmd/ridgeswitch-lab/hollow.go
+++ b/cmd/ridgeswitch-lab/hollow.go
@@ -55,13 +55,14 @@
 	}
 }
 
-// runHollowStart prints a line for each size.
+// runHollowStart measures the start of a fleet of each size, and prints one line of JSON for
+// each.
 func runHollowStart(ctx context.Context, command *cli.Command) error {
-	endProfile, err := startProfile(command.String("cpu-profile"))
+	stopProfile, err := startProfile(command.String("cpu-profile"))
 	if err != nil {
 		return err
 	}
-	defer endProfile()
+	defer stopProfile()
 	for _, nodes := range command.IntSlice("sizes") {
 		figures, err := hollow.MeasureStart(ctx, hollow.Settings{
 			Nodes:      nodes,
@@ -85,9 +86,10 @@
 	return nil
 }
 
-// runHollow prints the result as the last line.
+// runHollow runs the nodes and prints the result on the last line. It returns an error if the
+// measurement was stopped early.
 func runHollow(ctx context.Context, command *cli.Command) error {
-	endProfile, err := startProfile(command.String("cpu-profile"))
+	stopProfile, err := startProfile(command.String("cpu-profile"))
 	if err != nil {
 		return err
 	}
@@ -109,7 +111,7 @@
 		MemoryLimit:        hollow.DefaultMemoryLimit,
 		Seed:               command.Uint64("seed"),
 	})
-	endProfile()
+	stopProfile()
 	if err != nil {
 		return err
 	}
@@ -122,19 +124,19 @@
 	return nil
 }
 
-// startProfile begins a processor profile, if a file is named, and returns what
-// ends it.
+// startProfile starts a CPU profile if a file is named. The returned function stops the
+// profile and closes the file.
 func startProfile(name string) (func(), error) {
 	if name == "" {
 		return func() {}, nil
 	}
 	file, err := os.Create(name)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the file of the profile")
+		return nil, errors.Wrap(err, "create the file of the CPU profile")
 	}
 	if err := pprof.StartCPUProfile(file); err != nil {
 		_ = file.Close()
-		return nil, errors.Wrap(err, "start the profile")
+		return nil, errors.Wrap(err, "start the CPU profile")
 	}
 	return func() {
 		pprof.StopCPUProfile()
--- a/cmd/ridgeswitch-lab/main.go
+++ b/cmd/ridgeswitch-lab/main.go
@@ -1,5 +1,5 @@
-// Command ridgeswitch-lab is the means of proof of ridgeswitch: stand-ins for
-// its counterparts, benches, and whole fleets on one machine.
+// Command ridgeswitch-lab tests and measures ridgeswitch. It runs stand-ins for the systems
+// that ridgeswitch communicates with, benches, simulations, and whole fleets on one machine.
 package main
 
 import (
@@ -13,8 +13,7 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// commands builds the subcommands, a function each. A new subcommand is one
-// more line here and one more file.
+// commands contains the constructors of the subcommands.
 var commands = []func() *cli.Command{
 	replicaCommand,
 	storeCommand,
@@ -28,7 +27,7 @@
 }
 
 func main() {
-	// The standard output belongs to results.
+	// go-zero logs to the standard output, which is reserved for results.
 	logx.Disable()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/ridgeswitch-lab/replica.go
+++ b/cmd/ridgeswitch-lab/replica.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/replica"
 )
 
-// The names of the machine classes.
+// The machine classes: the values of --class.
 const (
 	classLargeMemory   = "large"
 	classSmallerMemory = "smaller"
@@ -48,7 +48,8 @@
 	model.Address = command.String("address")
 	model.Zone = command.String("zone")
 	model.WeightVersion = command.String("weight-version")
-	// Incarnations differ over restarts of the process, too.
+	// The first incarnation is the current time, so that incarnations also differ between
+	// restarts of the process.
 	model.Incarnation = uint64(time.Now().UnixMilli())
 	if tokens := command.Uint64("capacity-tokens"); tokens > 0 {
 		model.CapacityTokens = tokens
--- a/cmd/ridgeswitch-lab/sim.go
+++ b/cmd/ridgeswitch-lab/sim.go
@@ -16,11 +16,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/sim"
 )
 
-// simGCPercent is the percentage by which the heap grows before a garbage collection:
-// more than the default of 100, for speed.
+// simGCPercent is the percentage by which the heap grows before a garbage collection. It is
+// higher than Go's default of 100, for speed.
 const simGCPercent = 400
 
-// showBreaks is the value of --break by which all other values are listed.
+// showBreaks is the value of --break with which the command lists all other values.
 const showBreaks = "list"
 
 func simCommand() *cli.Command {
@@ -42,8 +42,8 @@
 	}
 }
 
-// runSim prints the timeline of the first failing seed and, as its last line, a
-// JSON summary.
+// runSim runs the campaign, and prints the timeline of the failing seed with the lowest number
+// and, on the last line, a summary as JSON.
 func runSim(_ context.Context, command *cli.Command) error {
 	if command.String("break") == showBreaks {
 		return printBreaks(command)
@@ -52,7 +52,8 @@
 	if err != nil {
 		return err
 	}
-	// Many small deployments live for a moment each: memory is plenty.
+	// Each simulated deployment is small and exists only for a short time, so memory is
+	// sufficient for fewer garbage collections.
 	debug.SetGCPercent(simGCPercent)
 	started := time.Now()
 	summary := campaign.Run()
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// campaignOf returns the campaign that the flags describe.
+// campaignOf returns the campaign that the flags describe. It returns an error for a flag that
+// is out of range or unknown.
 func campaignOf(command *cli.Command) (sim.Campaign, error) {
 	first, last, err := sim.ParseSeeds(command.String("seeds"))
 	if err != nil {
@@ -110,7 +112,8 @@
 	return nil
 }
 
-// printFailure runs a failing seed again to draw its timeline.
+// printFailure runs a failing seed again to record its timeline, and prints the timeline, the
+// violations and the command line that repeats the run.
 func printFailure(command *cli.Command, campaign sim.Campaign, failure sim.Failure) {
 	writer := command.Root().Writer
 	settings := campaign.Settings(failure.Seed)
--- a/cmd/ridgeswitch-lab/store.go
+++ b/cmd/ridgeswitch-lab/store.go
@@ -9,7 +9,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/store"
 )
 
-// storeCapacityTokens is the default size of a store: 2 TB of kept state.
+// storeCapacityTokens is the default capacity of a store. It corresponds to 2 TB of cached
+// chunks.
 const storeCapacityTokens = 6_400_000
 
 func storeCommand() *cli.Command {
