--- a/cmd/ridgeswitch/main.go
+++ b/cmd/ridgeswitch/main.go
@@ -1,5 +1,6 @@
-// Command ridgeswitch runs a node of a deployment ("node"), initialises its data folder
-// ("init"), and provides the operators' commands.
+// Command ridgeswitch is the only binary of a deployment. It runs a node ("node"), marks a
+// node's data folder as that of a founding member ("init"), and contains the operators'
+// commands.
 package main
 
 import (
