--- a/cmd/ridgeswitch-lab/demo.go
+++ b/cmd/ridgeswitch-lab/demo.go
@@ -9,7 +9,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/fleet"
 )
 
-// The time limit and the default load of a demonstration.
+// The time margin and the default load of a demonstration.
 const (
 	// runMargin is the time for the start, the convergence and the checks, in addition to
 	// the time of the load. With the default load of 10 s, the rest of a minute is left for
--- a/cmd/ridgeswitch-lab/experiment.go
+++ b/cmd/ridgeswitch-lab/experiment.go
@@ -16,7 +16,8 @@
 const (
 	// experimentModelRate is the default number of model requests per second.
 	experimentModelRate = 40
-	// experimentTimeout bounds a run, in addition to the time of the load.
+	// experimentTimeout, added to --duration, bounds a run from the first process to the
+	// last.
 	experimentTimeout = 6 * time.Minute
 )
 
