--- a/internal/operatorcli/summary.go
+++ b/internal/operatorcli/summary.go
@@ -38,7 +38,8 @@
 	phaseUnknown  = "unknown"
 )
 
-// maxNames bounds the number of names, or of other texts, in a list on a line of the summary.
+// maxNames bounds the number of names, or of other texts, in a list on a line of the summary,
+// since a deployment may have very many nodes.
 const maxNames = 8
 
 // check is one line of the summary: the subject of the check, its result, and the details.
