--- a/internal/operatorcli/doc.go
+++ b/internal/operatorcli/doc.go
@@ -22,9 +22,9 @@
 //
 // # Exit status
 //
-//	0  success; an order was acknowledged
+//	0  success; for an order: acknowledged
 //	1  refused, or "config check" found faults
 //	2  the command line or a file is wrong; nothing was sent
 //	3  pending: the order may take effect; resend it with the same --order-id
-//	4  no node gave a final response; an order may nevertheless have taken effect
+//	4  no node gave a final or pending response; an order may nevertheless take effect
 package operatorcli
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -10,8 +10,8 @@
 	// ExitPending means that a node accepted an order but did not confirm it. The order may
 	// take effect. A resend with the same order ID is safe.
 	ExitPending = 3
-	// ExitUnanswered means that no node gave a final response. An order may nevertheless
-	// take effect.
+	// ExitUnanswered means that no node gave a final or pending response. An order may
+	// nevertheless take effect.
 	ExitUnanswered = 4
 )
 
