--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -7,10 +7,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/caller"
 )
 
-// destinationLabels name the series of a destination.
+// destinationLabels contains the labels that identify a destination.
 var destinationLabels = []string{"kind", "destination"}
 
-// trafficCollector reads what became of callers' requests.
+// trafficCollector collects the outcomes of callers' requests by destination.
 type trafficCollector struct {
 	metricSet
 	traffic Traffic
@@ -51,25 +51,25 @@
 	}
 	loads := make(map[destination]int)
 	for _, load := range c.traffic.Load() {
-		loads[c.names.of(load.Name, load.WebService)] += load.InFlight
+		loads[c.names.seriesOf(load.Name, load.WebService)] += load.InFlight
 	}
 	for name, inFlight := range loads {
 		c.inFlight.send(into, float64(inFlight), name.kind, name.name)
 	}
 }
 
-// destinationSum is the sum of the destinations that share series.
+// destinationSum contains the summed statistics of the destinations that share series.
 type destinationSum struct {
 	stats    dataplane.DestinationStats
 	refusals map[caller.Kind]uint64
 	outcomes map[string]uint64
 }
 
-// sums adds up the statistics of the destinations that share series.
+// sums returns the statistics by series, summed over the destinations that share a series.
 func (c *trafficCollector) sums() map[destination]*destinationSum {
 	sums := make(map[destination]*destinationSum)
 	for _, stats := range c.traffic.Stats() {
-		name := c.names.of(stats.Name, stats.WebService)
+		name := c.names.seriesOf(stats.Name, stats.WebService)
 		sum, found := sums[name]
 		if !found {
 			sum = &destinationSum{refusals: make(map[caller.Kind]uint64), outcomes: make(map[string]uint64)}
