--- a/internal/control/namedweights/tracker.go
+++ b/internal/control/namedweights/tracker.go
@@ -19,7 +19,8 @@
 	// Since is when the version was named, as far as this node knows. It may be before
 	// the start of the process.
 	Since time.Duration
-	// ReplicatedAge is the age that the leader of the shard has replicated.
+	// ReplicatedAge is the greatest age of the version that a leader of the pool's shard
+	// has replicated, as far as this node knows; 0 if none.
 	ReplicatedAge time.Duration
 }
 
@@ -66,7 +67,8 @@
 	}
 }
 
-// DeadlinePassed reports whether the deadline of a version is after before and not after now.
+// DeadlinePassed reports whether any version reached its deadline between the times before
+// (exclusive) and now (inclusive).
 func (t *Tracker) DeadlinePassed(before, now time.Duration) bool {
 	if t.deadline <= 0 {
 		return false
@@ -81,8 +83,9 @@
 	return false
 }
 
-// appendNamed adds the version that the configuration names as the last one. A version that
-// is named again after other versions starts with age 0.
+// appendNamed appends the version that the configuration names, unless it is the last one
+// already. A version that is named again after other versions moves to the end and starts
+// with age 0.
 func appendNamed(versions []Version, named string, now time.Duration) []Version {
 	if last, found := lo.Last(versions); found && last.Name == named {
 		return versions
@@ -92,9 +95,9 @@
 }
 
 // adoptAges updates versions from the replicated ages, which may include versions from before
-// the start of this process. Versions without a replicated age are dropped if a version with
-// one follows, since they are superseded; otherwise they are newer than the replicated ones
-// and kept.
+// the start of this process. The leader does not replicate the ages of superseded versions. A
+// version without a replicated age is therefore dropped as superseded if a later version has a
+// replicated age; otherwise it is newer than the versions with replicated ages, and is kept.
 func adoptAges(versions []Version, now time.Duration, ages []*controlpb.WeightsAge) []Version {
 	if len(versions) == 0 || len(ages) == 0 {
 		return versions
@@ -103,7 +106,8 @@
 	var adopted []Version
 	for position, replicated := range ages {
 		if replicated.GetWeightVersion() == inForce.Name && position < len(ages)-1 {
-			// The current version was named before as well; this is its age from then.
+			// Ages of versions that were named later follow. This age therefore counts
+			// from an earlier time at which the current version was named.
 			continue
 		}
 		adopted = append(adopted, adoptAge(versions, now, replicated))
@@ -115,7 +119,8 @@
 	return append(adopted, versions[last+1:]...)
 }
 
-// adoptAge returns a version with its replicated age.
+// adoptAge returns the version whose age was replicated, with that age. Neither the age
+// nor the replicated age of a version that this node knows decreases.
 func adoptAge(versions []Version, now time.Duration, replicated *controlpb.WeightsAge) Version {
 	version, known := lo.Find(versions, func(version Version) bool { return version.Name == replicated.GetWeightVersion() })
 	if !known {
@@ -141,8 +146,8 @@
 }
 
 // mergeExcess limits the versions to maxVersions. It removes the version whose successor was
-// named soonest after it; the successor takes over its time of naming, so that no deadline is
-// extended. The first version stays, since its deadline may have passed.
+// named soonest after it; the successor takes over its time of naming and its replicated age,
+// so that no deadline is extended. The first version stays, since its deadline may have passed.
 func mergeExcess(versions []Version) []Version {
 	for len(versions) > maxVersions {
 		merged := 1
--- a/internal/control/rollout/pace.go
+++ b/internal/control/rollout/pace.go
@@ -9,22 +9,28 @@
 const (
 	// rolloutTarget is the time in which a roll-out is to update all replicas if they
 	// must be drained. rolloutTargetWithoutDrain applies if they need not be drained
-	// and Config.WeightsDeadline is unset or too short to derive the time from.
+	// and Config.WeightsDeadline is unset or at most twice weightsDeadlineMargin, which
+	// is too short to derive the time from.
 	rolloutTarget             = 12 * time.Second
 	rolloutTargetWithoutDrain = 9 * time.Second
-	// weightsDeadlineMargin is how long before Config.WeightsDeadline, after which nodes
-	// stop sending requests to replicas without the version, a roll-out is to end.
+	// weightsDeadlineMargin is how long before Config.WeightsDeadline a roll-out is to
+	// end. Once that deadline has passed, nodes stop sending requests to replicas that do
+	// not run the version.
 	weightsDeadlineMargin = 1500 * time.Millisecond
 	// replicaRolloutTime is the assumed time that a replica needs to finish its
-	// requests, load the weights and report them. It applies until a time was measured.
+	// requests, load the weights and report them. replicaRolloutTimeWithoutDrain is that
+	// time for replicas that need not be drained. Both apply only until a time has been
+	// measured for the pool.
 	replicaRolloutTime             = 5 * time.Second
 	replicaRolloutTimeWithoutDrain = 2500 * time.Millisecond
-	// overdueAfter is how long after its deadline a replica is taken out of service
-	// regardless of how many others are. By then, updating all replicas within the time
-	// that operators rely on has priority over capacity.
+	// overdueAfter is how long after its deadline a replica that need not be drained is
+	// taken out of service, regardless of how many other replicas of the pool are out of
+	// service. By then, updating all replicas within the time that operators rely on has
+	// priority over capacity.
 	overdueAfter = time.Second
 	// minOutOfService is how many replicas of a pool may be out of service at once
-	// even if fewer would meet the deadline. usualPoolDivisor takes precedence.
+	// even if fewer would meet the deadline, unless the limit of usualPoolDivisor is
+	// lower.
 	minOutOfService = 3
 	// usualPoolDivisor bounds how many replicas are out of service at once to the size
 	// of the pool divided by it. urgentPoolDivisor replaces it if the deadline cannot be
@@ -35,16 +41,18 @@
 
 // pace decides how many replicas of a pool are out of service at once.
 type pace struct {
-	// target is the named version. targetSince is when this leader first saw it.
+	// target is the version that the configuration names for the pool. targetSince is when
+	// this leader first saw that it is named.
 	target      string
 	targetSince time.Duration
 	// withoutDrain means that replicas need not be drained.
 	withoutDrain bool
 	// duration is the time in which the roll-out is to update all replicas.
 	duration time.Duration
-	// outDurations contains the mean time that a replica was out of service, by the
-	// number of replicas that were out of service at that time. loadDurations contains
-	// the part of that time after the command.
+	// outDurations contains the mean time that a replica was out of service for an
+	// update. loadDurations contains the mean time from the command to load the weights
+	// until the replica was back in service. The key of both is the level: how many
+	// replicas of the shard were out of service (see replicaProgress.outOfService).
 	outDurations  map[int]time.Duration
 	loadDurations map[int]time.Duration
 }
@@ -83,8 +91,8 @@
 	}
 }
 
-// measure records how long a replica was out of service while level replicas were, and how
-// much of that time was after its command.
+// measure records how long a replica was out of service while level replicas were out of
+// service, and how much of that time followed the command to load the weights.
 func (p *pace) measure(level int, out, load time.Duration) {
 	if level <= 0 {
 		return
@@ -93,7 +101,8 @@
 	updateMean(p.loadDurations, level, load)
 }
 
-// updateMean replaces the mean at a level by the mean of the old value and length.
+// updateMean replaces the mean at a level by the average of that mean and length, so that
+// recent measurements weigh most. The first length at a level becomes the mean.
 func updateMean(means map[int]time.Duration, level int, length time.Duration) {
 	if earlier, found := means[level]; found {
 		length = (earlier + length) / 2
@@ -101,14 +110,15 @@
 	means[level] = length
 }
 
-// expectedOut returns how long a replica is expected to be out of service while level
-// replicas are.
+// expectedOut returns how long a replica is expected to be out of service for an update while
+// level replicas are out of service.
 func (p *pace) expectedOut(level int) time.Duration { return p.nearest(p.outDurations, level) }
 
-// expectedLoad returns how long a replica is expected to be out of service after its command
-// while level replicas are. It is measured separately from expectedOut: the latter includes
-// the time that a leader had to wait before it was entitled to command, which would make the
-// leader request reports too late.
+// expectedLoad returns how long a replica is expected to be out of service after the command
+// to load the weights while level replicas are out of service. The leader derives from it when
+// to request the first report after the command. expectedOut would make that request too late,
+// since it includes the time that a leader had to wait before it was entitled to command the
+// replica.
 func (p *pace) expectedLoad(level int) time.Duration { return p.nearest(p.loadDurations, level) }
 
 // nearest returns the duration that was measured at the nearest level, or the default if
@@ -133,16 +143,18 @@
 func distance(a, b int) int { return max(a-b, b-a) }
 
 // overdue reports whether a replica with a deadline is taken out of service regardless of
-// the pace. Replicas that must be drained never are, since all of them might then be out of
-// service for as long as their requests run.
+// the pace. Replicas that must be drained are never overdue, since all of them might then be
+// out of service for as long as their requests run.
 func (p *pace) overdue(now, deadline time.Duration) bool {
 	return p.withoutDrain && now >= deadline+overdueAfter
 }
 
-// allowed returns how many replicas of a pool may be out of service at once if left replicas
-// have to be updated before the deadline. It returns the smallest number that meets the
-// deadline, since replicas that load at the same time slow each other down. It exceeds the
-// limit of usualPoolDivisor only if that limit does not meet the deadline.
+// allowed returns how many replicas of a pool with the given size may be out of service at once
+// if left replicas have to be updated by the deadline. It returns the smallest number that
+// meets the deadline, since replicas that load at the same time slow each other down, but at
+// least minOutOfService or the limit of usualPoolDivisor, whichever is lower. The number exceeds
+// the limit of usualPoolDivisor only if that limit does not meet the deadline, and never exceeds
+// that of urgentPoolDivisor.
 func (p *pace) allowed(now, deadline time.Duration, left, pool int) int {
 	usual := max(1, pool/usualPoolDivisor)
 	for level := min(minOutOfService, usual); level <= usual; level++ {
@@ -159,8 +171,8 @@
 	return limit
 }
 
-// inTime reports whether left replicas are updated before the deadline if level of them are
-// out of service at once.
+// inTime reports whether left replicas are expected to be updated by the deadline if level
+// replicas are out of service at once.
 func (p *pace) inTime(now, deadline time.Duration, left, level int) bool {
 	return time.Duration(left)*p.expectedOut(level)/time.Duration(level) <= deadline-now
 }
--- a/internal/control/shards/shard.go
+++ b/internal/control/shards/shard.go
@@ -21,7 +21,9 @@
 	Checkpoint *replication.DurableState
 }
 
-// Host sends, writes and uses the results of a shard.
+// Host is implemented by the user of this package. A Shard calls its Host to send replication
+// messages and write data durably, and to pass on applied commands, finished reads and its
+// new state.
 type Host interface {
 	// SendReplication sends a message to another member of a shard's group.
 	SendReplication(to member.ID, shardID uint32, message replication.Message)
