--- a/internal/lab/checker/mechanism_test.go
+++ b/internal/lab/checker/mechanism_test.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// forgetAnswers returns the state of a machine without the answers it gave.
-func forgetAnswers(machine *dynamic.Machine) *dynamic.Machine {
+// withoutAnswers returns the state of a machine without the answers it gave.
+func withoutAnswers(machine *dynamic.Machine) *dynamic.Machine {
 	state := machine.State()
 	state.Answers = nil
 	return dynamic.NewMachine(state)
@@ -202,7 +202,7 @@
 		machine := dynamic.NewMachine(nil)
 		first := race(machine, 0, "order")
 		Expect(checker.Check(&checker.Records{Orders: append(first, race(machine, 0, "order")...)})).To(BeEmpty())
-		resent := race(forgetAnswers(machine), 0, "order")
+		resent := race(withoutAnswers(machine), 0, "order")
 		Expect(names(checker.Check(&checker.Records{Orders: append(first, resent...)}))).To(ConsistOf(checker.Name("resent_order")))
 	})
 })
--- a/internal/lab/checker/outage.go
+++ b/internal/lab/checker/outage.go
@@ -50,7 +50,7 @@
 		switch {
 		case request.Result == ResultComplete:
 			delete(open, request.Service)
-		case !blamesService(request):
+		case !countsAsOutage(request):
 		case open[request.Service] != nil:
 			open[request.Service].To = request.Sent
 		default:
@@ -66,9 +66,9 @@
 	return all
 }
 
-// blamesService reports whether an unanswered request was due an answer: its
+// countsAsOutage reports whether an unanswered request was due an answer: its
 // caller stayed, was admitted, and kept to its limits.
-func blamesService(request Request) bool {
-	callersOwn := request.Status == http.StatusUnauthorized || request.Status == http.StatusTooManyRequests
-	return request.Result != ResultDisconnected && !callersOwn
+func countsAsOutage(request Request) bool {
+	callerError := request.Status == http.StatusUnauthorized || request.Status == http.StatusTooManyRequests
+	return request.Result != ResultDisconnected && !callerError
 }
