--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -15,9 +15,9 @@
 
 // The machines, and how long a test waits for what must come.
 const (
-	senderIP = "127.77.1.1"
-	targetIP = "127.77.1.2"
-	patience = 10 * time.Second
+	senderIP  = "127.77.1.1"
+	targetIP  = "127.77.1.2"
+	ioTimeout = 10 * time.Second
 )
 
 var (
@@ -64,7 +64,7 @@
 	target, err = made.target.Accept()
 	Expect(err).NotTo(HaveOccurred())
 	for _, end := range []net.Conn{sender, target} {
-		Expect(end.SetDeadline(time.Now().Add(patience))).To(Succeed())
+		Expect(end.SetDeadline(time.Now().Add(ioTimeout))).To(Succeed())
 		DeferCleanup(func() { _ = end.Close() })
 	}
 	return sender, target
@@ -79,7 +79,7 @@
 		return err
 	}
 	DeferCleanup(sender.Close)
-	Expect(sender.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(sender.SetDeadline(time.Now().Add(ioTimeout))).To(Succeed())
 	_, err = sender.Read(make([]byte, 1))
 	return err
 }
