--- a/internal/lab/links/forwarder.go
+++ b/internal/lab/links/forwarder.go
@@ -21,18 +21,18 @@
 // where the machine listens.
 type Forwarder struct {
 	network *Network
-	// machine is the IP number of the address, by which links name the machine.
+	// machine is the IP address of the listener, by which links name the machine.
 	machine netip.Addr
-	// target is where the machine listens, IP number and port.
+	// target is the IP address and port at which the machine listens.
 	target   string
 	listener net.Listener
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
 
-// Forward starts a forwarder from an address to a target, both IP number and
-// port. The address's IP number is the machine's name in links. The forwarder
-// outlives the context: only Close ends it.
+// Forward starts a forwarder from an address to a target, both an IP address and a
+// port. Links name the machine by the IP address of address. The forwarder outlives
+// the context: only Close stops it.
 func (network *Network) Forward(ctx context.Context, address, target string) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -47,10 +47,10 @@
 	return forwarder, nil
 }
 
-// Address is where the forwarder accepts connections.
+// Address returns the address at which the forwarder accepts connections.
 func (forwarder *Forwarder) Address() string { return forwarder.listener.Addr().String() }
 
-// Close ends all connections and returns when nothing runs any more.
+// Close closes all connections and returns when all goroutines have ended.
 func (forwarder *Forwarder) Close() {
 	forwarder.cancel()
 	_ = forwarder.listener.Close()
@@ -68,8 +68,8 @@
 	}
 }
 
-// relay joins a connection with one to the target. The target sees it come
-// from the same IP number.
+// relay relays between a connection and a new one to the target, which has the same
+// source IP address as the first.
 func (forwarder *Forwarder) relay(ctx context.Context, inbound net.Conn) {
 	defer func() { _ = inbound.Close() }()
 	from := ipOf(inbound.RemoteAddr())
@@ -99,15 +99,16 @@
 	pumping.Wait()
 }
 
-// reset has a connection closed by a reset, so that the other side sees that nobody
-// listens here.
+// reset makes a later close of the connection send a TCP reset, so that the other side
+// sees that nobody listens here.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// ipOf returns the IP number of a TCP address, an IPv4 one in its short form.
+// ipOf returns the IP address of a TCP address; an IPv4-mapped IPv6 address is returned
+// as IPv4.
 func ipOf(address net.Addr) netip.Addr {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
--- a/internal/lab/links/network.go
+++ b/internal/lab/links/network.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Link is one direction between two machines, by their IP numbers.
+// Link is one direction between two machines, by their IP addresses.
 type Link struct {
 	From netip.Addr
 	To   netip.Addr
 }
 
-// LinkState is what a link does to bytes. The zero value passes them at once.
+// LinkState is how a link treats bytes. The zero value passes them without delay.
 type LinkState struct {
 	// Blocked loses all bytes.
 	Blocked bool
@@ -22,20 +22,20 @@
 
 // Network owns the state of every link. It is safe for concurrent use.
 type Network struct {
-	// OnLoss is called with the link and the number of bytes that it lost; nil
-	// for nothing. It is set before the first forwarder starts.
+	// OnLoss, unless nil, is called with the link and the number of bytes that it
+	// lost. It must be set before the first forwarder starts.
 	OnLoss func(link Link, bytes int)
 
-	// lock guards what follows, and the streams' closed.
+	// lock guards the fields below and the closed field of every stream.
 	lock   sync.Mutex
 	states map[Link]LinkState
 	// changed is closed and replaced whenever a state changes.
 	changed chan struct{}
-	// gapped are the streams that have lost bytes.
+	// gapped is the set of streams that have lost bytes.
 	gapped map[*stream]struct{}
 }
 
-// NewNetwork returns a network in which everything passes at once.
+// NewNetwork returns a network whose links pass all bytes without delay.
 func NewNetwork() *Network {
 	return &Network{
 		states: make(map[Link]LinkState), changed: make(chan struct{}),
@@ -69,8 +69,8 @@
 	return network.states[link], network.changed
 }
 
-// loses reports whether bytes of a stream are lost. Once some were lost, all that
-// follow are, since the receiver must not see a stream with a gap.
+// loses reports whether bytes of a stream are lost. Once a stream has lost bytes, all
+// later ones are lost too, because the receiver must not see a stream with a gap.
 func (network *Network) loses(s *stream, bytes int) bool {
 	network.lock.Lock()
 	_, gapped := network.gapped[s]
@@ -85,7 +85,7 @@
 	return lost
 }
 
-// forget drops a stream that has ended.
+// forget removes a stream that has ended from gapped.
 func (network *Network) forget(s *stream) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -13,7 +13,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 )
 
-// The machines, and how long a test waits for what must come.
+// The IP addresses of the machines, and the time limit for reads and writes.
 const (
 	senderIP  = "127.77.1.1"
 	targetIP  = "127.77.1.2"
@@ -27,7 +27,7 @@
 	whole = links.LinkState{}
 )
 
-// loss is what a link lost.
+// loss is one call of Network.OnLoss.
 type loss struct {
 	link  links.Link
 	bytes int
@@ -70,8 +70,8 @@
 	return sender, target
 }
 
-// attempt connects and returns how that ended, which may be seen at once or by
-// the first read.
+// attempt connects through the forwarder and returns the error of the dial, or else of
+// the first read, since either can report that the target does not listen.
 func (made *path) attempt() error {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(senderIP)}}
 	sender, err := dialer.Dial("tcp", made.forwarder.Address())
@@ -97,7 +97,7 @@
 }
 
 var _ = Describe("a link", func() {
-	It("passes bytes both ways, from the sender's IP number", func() {
+	It("passes bytes both ways, from the sender's IP address", func() {
 		sender, target := newPath().connect()
 		Expect(target.RemoteAddr().(*net.TCPAddr).IP.String()).To(Equal(senderIP))
 		write(sender, "question")
@@ -109,7 +109,7 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	DescribeTable("cut in one direction loses that direction alone", func(lost links.Link, forward bool) {
+	DescribeTable("blocked in one direction loses only the bytes of that direction", func(lost links.Link, forward bool) {
 		made := newPath()
 		near, far := made.connect()
 		if !forward {
@@ -123,18 +123,18 @@
 
 		made.network.SetState([]links.Link{lost}, whole)
 		received, _ := io.ReadAll(far)
-		Expect(received).To(BeEmpty(), "a stream with a gap must not go on")
+		Expect(received).To(BeEmpty(), "a stream that has lost bytes must not deliver later bytes")
 		sender, target := made.connect()
 		write(sender, "again")
 		Expect(read(target, 5)).To(Equal("again"))
 		write(target, "and back")
 		Expect(read(sender, 8)).To(Equal("and back"))
 	},
-		Entry("there", there, true),
-		Entry("back", back, false),
+		Entry("from the sender to the target", there, true),
+		Entry("from the target to the sender", back, false),
 	)
 
-	It("keeps a stream that lost nothing during a cut", func() {
+	It("keeps a stream that lost no bytes while the link was blocked", func() {
 		made := newPath()
 		sender, target := made.connect()
 		made.network.SetState([]links.Link{there, back}, cut)
@@ -143,7 +143,7 @@
 		Expect(read(target, 5)).To(Equal("whole"))
 	})
 
-	It("loses what a connection carries that was made during a cut", func() {
+	It("loses the bytes of a connection that was made while the link was blocked", func() {
 		made := newPath()
 		made.network.SetState([]links.Link{there}, cut)
 		sender, target := made.connect()
@@ -154,7 +154,7 @@
 		Expect(received).To(BeEmpty())
 	})
 
-	It("tells of a machine's end only after the cut", func() {
+	It("closes the sender's connection after the target closed it while the link was blocked", func() {
 		made := newPath()
 		sender, target := made.connect()
 		made.network.SetState([]links.Link{back}, cut)
@@ -165,7 +165,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("holds bytes back by the delay", func() {
+	It("delays bytes by the delay of the link", func() {
 		const delay = 20 * time.Millisecond
 		made := newPath()
 		sender, target := made.connect()
--- a/internal/lab/links/stream.go
+++ b/internal/lab/links/stream.go
@@ -17,8 +17,8 @@
 	closed bool
 }
 
-// pump relays until the stream ends. The end passes the link as bytes do: not
-// while the link is blocked.
+// pump relays bytes until the stream ends. Like bytes, the end of the stream does not
+// pass a blocked link: it is relayed once the link is unblocked.
 func (s *stream) pump(ctx context.Context) {
 	defer s.network.forget(s)
 	buffer := make([]byte, bufferBytes)
@@ -35,8 +35,8 @@
 	}
 }
 
-// pass hands bytes on, unless the link loses them. It returns false when the
-// stream has ended.
+// pass writes bytes to the receiver after the link's delay, unless the link loses them.
+// It returns false when the stream has ended.
 func (s *stream) pass(ctx context.Context, bytes []byte) bool {
 	state, _ := s.network.state(s.link)
 	if !pause.For(ctx, state.Delay) {
@@ -52,7 +52,7 @@
 	return true
 }
 
-// awaitOpen returns when the link is not blocked, or the context ends.
+// awaitOpen waits until the link is not blocked or the context ends.
 func (s *stream) awaitOpen(ctx context.Context) {
 	for {
 		state, changed := s.network.state(s.link)
@@ -67,7 +67,7 @@
 	}
 }
 
-// close ends both directions. The caller holds the network's lock.
+// close closes both connections and thereby ends both directions. The caller holds the network's lock.
 func (s *stream) close() {
 	s.closed = true
 	_ = s.from.Close()
