--- a/internal/lab/timers/ordered.go
+++ b/internal/lab/timers/ordered.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ordered holds values by their time, and by the order in which they were added
-// when times are equal: a binary heap. The zero Ordered is empty.
+// Ordered is a binary heap of values, ordered by their time and, when times are equal,
+// by the order in which they were added. The zero Ordered is empty.
 type Ordered[Value any] struct {
 	heap  []entry[Value]
 	added uint64
@@ -37,7 +37,7 @@
 	}
 }
 
-// Next returns the time of the first value; it is false if there is none.
+// Next returns the time of the first value, or false if there is none.
 func (o *Ordered[Value]) Next() (time.Duration, bool) {
 	if len(o.heap) == 0 {
 		return 0, false
@@ -45,19 +45,20 @@
 	return o.heap[0].at, true
 }
 
-// Pop takes the first value out. There must be one.
+// Pop removes the first value and returns it with its time. Ordered must not be empty.
 func (o *Ordered[Value]) Pop() (time.Duration, Value) {
 	first := o.heap[0]
 	last := len(o.heap) - 1
 	o.heap[0] = o.heap[last]
-	// The value must not be kept in memory by the end of the slice.
+	// Clears the last element, so that the slice's spare capacity does not keep its
+	// value in memory.
 	o.heap[last] = entry[Value]{}
 	o.heap = o.heap[:last]
 	o.sink()
 	return first.at, first.value
 }
 
-// sink moves the root down to where it belongs.
+// sink moves the root down until the heap is ordered again.
 func (o *Ordered[Value]) sink() {
 	parent := 0
 	for {
--- a/internal/lab/timers/timers.go
+++ b/internal/lab/timers/timers.go
@@ -1,28 +1,30 @@
-// Package timers is the queue of what a simulation in virtual time has yet to
-// do. It is not safe for concurrent use.
+// Package timers provides queues of actions and values ordered by virtual time, for
+// simulations. They are not safe for concurrent use.
 package timers
 
 import "time"
 
-// Queue holds actions by their time, and by the order in which they were added
-// when times are equal. The zero Queue is empty.
+// Queue is a queue of actions, ordered by their time and, when times are equal, by the
+// order in which they were added. The zero Queue is empty.
 type Queue struct {
 	waiting Ordered[func(now time.Duration)]
 }
 
-// Add has an action run at a time of the simulation.
+// Add schedules an action at a time of the simulation.
 func (q *Queue) Add(at time.Duration, action func(now time.Duration)) { q.waiting.Add(at, action) }
 
-// Next returns the time of the first action; it is false if there is none.
+// Next returns the time of the first action, or false if there is none.
 func (q *Queue) Next() (time.Duration, bool) { return q.waiting.Next() }
 
-// RunNext runs the first action at its own time. There must be one.
+// RunNext removes the first action and runs it with its own time. The queue must not be
+// empty.
 func (q *Queue) RunNext() {
 	at, action := q.waiting.Pop()
 	action(at)
 }
 
-// RunDue runs everything that is due, and what becomes due by that.
+// RunDue runs all actions that are due at now, including those that they add. Each is
+// given now as its time.
 func (q *Queue) RunDue(now time.Duration) {
 	for at, found := q.Next(); found && at <= now; at, found = q.Next() {
 		_, action := q.waiting.Pop()
@@ -30,7 +32,7 @@
 	}
 }
 
-// Run runs everything up to a time, each action at its own.
+// Run runs all actions up to and including a time, each with its own time.
 func (q *Queue) Run(until time.Duration) {
 	for at, found := q.Next(); found && at <= until; at, found = q.Next() {
 		q.RunNext()
--- a/internal/lab/timers/timers_test.go
+++ b/internal/lab/timers/timers_test.go
@@ -46,7 +46,7 @@
 		Expect(at).To(Equal([]time.Duration{3, 3, 3}))
 	})
 
-	It("runs everything up to a time at its own, also what is added meanwhile", func() {
+	It("runs all actions up to a time, each with its own time, including those added meanwhile", func() {
 		queue.Add(3, func(now time.Duration) { queue.Add(now+1, note("added")) })
 		queue.Run(4)
 		Expect(ran).To(Equal([]string{"first", "second", "third", "added"}))
@@ -56,7 +56,7 @@
 		Expect(found).To(BeFalse())
 	})
 
-	It("keeps to time, and to the order of adding within an instant, one action at a time", func() {
+	It("runs one action at a time, by time and then by the order of adding", func() {
 		queue, ran, at = timers.Queue{}, nil, nil
 		for _, planned := range []struct {
 			at   time.Duration
@@ -102,7 +102,7 @@
 		Expect(found).To(BeFalse())
 	})
 
-	It("come out in order also when they are added in between", func() {
+	It("come out by time when values are added between pops", func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		var ordered timers.Ordered[int]
 		now := time.Duration(0)
