--- a/internal/lab/pause/pause.go
+++ b/internal/lab/pause/pause.go
@@ -1,5 +1,4 @@
-// Package pause waits in real time, for the parts of the lab that drive real
-// processes.
+// Package pause waits in real time, for the lab packages that run real processes.
 package pause
 
 import (
@@ -7,8 +6,8 @@
 	"time"
 )
 
-// For waits for a duration, or less when the context ends. It reports whether the
-// context goes on. A duration that is not positive waits for nothing.
+// For waits for a duration, or until the context ends. It reports whether the context
+// has not ended. If the duration is not positive, For returns at once.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/pause/pause_test.go
+++ b/internal/lab/pause/pause_test.go
@@ -17,11 +17,11 @@
 }
 
 var _ = Describe("A pause", func() {
-	It("ends by itself", func() {
+	It("ends after its duration", func() {
 		Expect(pause.For(context.Background(), time.Nanosecond)).To(BeTrue())
 	})
 
-	It("waits for nothing when its duration is not positive", func() {
+	It("ends at once when its duration is not positive", func() {
 		Expect(pause.For(context.Background(), 0)).To(BeTrue())
 		Expect(pause.For(context.Background(), -time.Hour)).To(BeTrue())
 	})
