--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -18,12 +18,12 @@
 	// elsewhere), so that no connection takes an allotted port before its listener.
 	FirstPort = 12_000
 	LastPort  = 31_999
-	// processStride sets the first ports of two processes apart. It has no factor in
-	// common with the number of ports.
+	// processStride is the distance between the first ports of processes with
+	// consecutive IDs. It has no factor in common with the number of ports.
 	processStride = 251
 )
 
-// ErrNoPort means that no port is left; end some of the listeners.
+// ErrNoPort means that every port was allotted or is in use.
 var ErrNoPort = errors.New("loopback: every port is allotted or in use; end some of the processes that listen")
 
 // Allotter allots each port once. It is safe for concurrent use.
@@ -33,8 +33,8 @@
 	remaining int
 }
 
-// NewAllotter returns an allotter that begins at a place which follows from a
-// number, such as that of the process.
+// NewAllotter returns an allotter whose first port is derived from a number, such as a
+// process ID.
 func NewAllotter(number int) *Allotter {
 	const ports = LastPort - FirstPort + 1
 	return &Allotter{next: (number % ports) * processStride % ports, remaining: ports}
@@ -47,7 +47,8 @@
 // listens at any address of this machine.
 func Port() (int, error) { return process.Port() }
 
-// Address returns a free port, see Port, at an IP of this machine.
+// Address returns an address that joins an IP address of this machine and a port from
+// Port.
 func Address(ip string) (string, error) {
 	port, err := Port()
 	if err != nil {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -14,7 +14,7 @@
 }
 
 var _ = Describe("Allotted ports", func() {
-	It("differ, and lie outside those of outgoing connections", func() {
+	It("differ, and lie between FirstPort and LastPort", func() {
 		allotted := make(map[int]bool)
 		for range 500 {
 			port, err := Port()
@@ -25,7 +25,7 @@
 		}
 	})
 
-	It("are in use at no address of the machine", func() {
+	It("are not in use at any address of the machine", func() {
 		first, err := NewAllotter(1).Port()
 		Expect(err).NotTo(HaveOccurred())
 		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: first})
@@ -41,7 +41,7 @@
 		Expect(err).To(MatchError(ErrNoPort))
 	})
 
-	It("are given as addresses", func() {
+	It("are returned as addresses", func() {
 		address, err := Address("127.0.0.9")
 		Expect(err).NotTo(HaveOccurred())
 		listener, err := net.Listen("tcp", address)
