--- a/internal/lab/checker/breakage_test.go
+++ b/internal/lab/checker/breakage_test.go
@@ -30,8 +30,8 @@
 	records.Executions = append(records.Executions, execution)
 }
 
-// unanswered adds refused requests to the model, one a second.
-func unanswered(records *checker.Records, from, to time.Duration) {
+// addUnanswered adds refused requests to the model, one a second.
+func addUnanswered(records *checker.Records, from, to time.Duration) {
 	for at := from; at <= to; at += second {
 		records.Requests = append(records.Requests, checker.Request{
 			ID: "unanswered", Service: "model",
@@ -66,7 +66,7 @@
 	for _, one := range breakages {
 		It("reports "+string(one.name)+" when "+one.when, func() {
 			records := healthyRecords()
-			one.how(records)
+			one.modify(records)
 			violations := checker.Check(records)
 			Expect(violations).NotTo(BeEmpty())
 			for _, violation := range violations {
@@ -79,16 +79,16 @@
 	for _, one := range boundaries {
 		It("allows that "+one.when, func() {
 			records := healthyRecords()
-			one.how(records)
+			one.modify(records)
 			Expect(checker.Check(records)).To(BeEmpty())
 		})
 	}
 })
 
 type history struct {
-	name checker.Name
-	when string
-	how  func(*checker.Records)
+	name   checker.Name
+	when   string
+	modify func(*checker.Records)
 }
 
 var brokenNames = lo.Map(breakages, func(one history, _ int) checker.Name { return one.name })
@@ -214,7 +214,7 @@
 		}
 	}},
 	{"service_returns", "a service answers no request for longer than the bound", func(records *checker.Records) {
-		unanswered(records, 20*second, 33*second)
+		addUnanswered(records, 20*second, 33*second)
 	}},
 	{"records_complete", "no back end recorded an answered request", func(records *checker.Records) {
 		records.Executions = lo.Reject(records.Executions, func(one checker.Execution, _ int) bool {
@@ -238,10 +238,10 @@
 		run(records, "unseen", 20*second, zone)
 	}},
 	{"", "a service answers no request for a time within the bound", func(records *checker.Records) {
-		unanswered(records, 20*second, 31*second)
+		addUnanswered(records, 20*second, 31*second)
 	}},
 	{"", "requests without a valid key get no answer for longer than the bound", func(records *checker.Records) {
-		unanswered(records, 20*second, 33*second)
+		addUnanswered(records, 20*second, 33*second)
 		for position := range records.Requests {
 			if records.Requests[position].ID == "unanswered" {
 				records.Requests[position].Status = 401
--- a/internal/lab/checker/served.go
+++ b/internal/lab/checker/served.go
@@ -139,8 +139,8 @@
 	var violations []Violation
 	for _, run := range records.Nodes {
 		at, served := last[run.Node]
-		lately := served && at >= run.From && at+recoveryWindow >= records.End
-		if run.Ended || lately {
+		recently := served && at >= run.From && at+recoveryWindow >= records.End
+		if run.Ended || recently {
 			continue
 		}
 		violations = append(violations, violation(rule.Name(), records.End,
