--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -21,10 +21,10 @@
 )
 
 var (
-	there = links.Link{From: netip.MustParseAddr(senderIP), To: netip.MustParseAddr(targetIP)}
-	back  = links.Link{From: there.To, To: there.From}
-	cut   = links.LinkState{Blocked: true}
-	whole = links.LinkState{}
+	toTarget  = links.Link{From: netip.MustParseAddr(senderIP), To: netip.MustParseAddr(targetIP)}
+	toSender  = links.Link{From: toTarget.To, To: toTarget.From}
+	blocked   = links.LinkState{Blocked: true}
+	unblocked = links.LinkState{}
 )
 
 // loss is one call of Network.OnLoss.
@@ -115,13 +115,13 @@
 		if !forward {
 			near, far = far, near
 		}
-		made.network.SetState([]links.Link{lost}, cut)
+		made.network.SetState([]links.Link{lost}, blocked)
 		write(near, "lost")
 		Expect(<-made.losses).To(Equal(loss{lost, 4}))
 		write(far, "kept")
 		Expect(read(near, 4)).To(Equal("kept"))
 
-		made.network.SetState([]links.Link{lost}, whole)
+		made.network.SetState([]links.Link{lost}, unblocked)
 		received, _ := io.ReadAll(far)
 		Expect(received).To(BeEmpty(), "a stream that has lost bytes must not deliver later bytes")
 		sender, target := made.connect()
@@ -130,26 +130,26 @@
 		write(target, "and back")
 		Expect(read(sender, 8)).To(Equal("and back"))
 	},
-		Entry("from the sender to the target", there, true),
-		Entry("from the target to the sender", back, false),
+		Entry("from the sender to the target", toTarget, true),
+		Entry("from the target to the sender", toSender, false),
 	)
 
 	It("keeps a stream that lost no bytes while the link was blocked", func() {
 		made := newPath()
 		sender, target := made.connect()
-		made.network.SetState([]links.Link{there, back}, cut)
-		made.network.SetState([]links.Link{there, back}, whole)
+		made.network.SetState([]links.Link{toTarget, toSender}, blocked)
+		made.network.SetState([]links.Link{toTarget, toSender}, unblocked)
 		write(sender, "whole")
 		Expect(read(target, 5)).To(Equal("whole"))
 	})
 
 	It("loses the bytes of a connection that was made while the link was blocked", func() {
 		made := newPath()
-		made.network.SetState([]links.Link{there}, cut)
+		made.network.SetState([]links.Link{toTarget}, blocked)
 		sender, target := made.connect()
 		write(sender, "lost")
-		Expect(<-made.losses).To(Equal(loss{there, 4}))
-		made.network.SetState([]links.Link{there}, whole)
+		Expect(<-made.losses).To(Equal(loss{toTarget, 4}))
+		made.network.SetState([]links.Link{toTarget}, unblocked)
 		received, _ := io.ReadAll(target)
 		Expect(received).To(BeEmpty())
 	})
@@ -157,10 +157,10 @@
 	It("closes the sender's connection after the target closed it while the link was blocked", func() {
 		made := newPath()
 		sender, target := made.connect()
-		made.network.SetState([]links.Link{back}, cut)
+		made.network.SetState([]links.Link{toSender}, blocked)
 		Expect(target.Close()).To(Succeed())
 		write(sender, "into the void")
-		made.network.SetState([]links.Link{back}, whole)
+		made.network.SetState([]links.Link{toSender}, unblocked)
 		_, err := sender.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 	})
@@ -169,7 +169,7 @@
 		const delay = 20 * time.Millisecond
 		made := newPath()
 		sender, target := made.connect()
-		made.network.SetState([]links.Link{there}, links.LinkState{Delay: delay})
+		made.network.SetState([]links.Link{toTarget}, links.LinkState{Delay: delay})
 		began := time.Now()
 		write(sender, "late")
 		Expect(read(target, 4)).To(Equal("late"))
