--- a/internal/lab/checker/records.go
+++ b/internal/lab/checker/records.go
@@ -117,7 +117,7 @@
 }
 
 // Reuse is a cached chunk that an execution reused, with the tenant and the weight
-// version that produced the chunk.
+// version that actually produced the chunk, whatever its cache salt says.
 type Reuse struct {
 	Chunk         string `json:"Part"`
 	Tenant        string
