--- a/internal/lab/links/network_test.go
+++ b/internal/lab/links/network_test.go
@@ -13,21 +13,21 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 )
 
-// The machines, and how long a test waits for what must come.
+// The IP addresses of the machines, and the time limit for reads and writes.
 const (
-	senderIP = "127.77.1.1"
-	targetIP = "127.77.1.2"
-	patience = 10 * time.Second
+	senderIP  = "127.77.1.1"
+	targetIP  = "127.77.1.2"
+	ioTimeout = 10 * time.Second
 )
 
 var (
-	there = links.Link{From: netip.MustParseAddr(senderIP), To: netip.MustParseAddr(targetIP)}
-	back  = links.Link{From: there.To, To: there.From}
-	cut   = links.LinkState{Blocked: true}
-	whole = links.LinkState{}
+	toTarget  = links.Link{From: netip.MustParseAddr(senderIP), To: netip.MustParseAddr(targetIP)}
+	toSender  = links.Link{From: toTarget.To, To: toTarget.From}
+	blocked   = links.LinkState{Blocked: true}
+	unblocked = links.LinkState{}
 )
 
-// loss is what a link lost.
+// loss is one call of Network.OnLoss.
 type loss struct {
 	link  links.Link
 	bytes int
@@ -64,14 +64,14 @@
 	target, err = made.target.Accept()
 	Expect(err).NotTo(HaveOccurred())
 	for _, end := range []net.Conn{sender, target} {
-		Expect(end.SetDeadline(time.Now().Add(patience))).To(Succeed())
+		Expect(end.SetDeadline(time.Now().Add(ioTimeout))).To(Succeed())
 		DeferCleanup(func() { _ = end.Close() })
 	}
 	return sender, target
 }
 
-// attempt connects and returns how that ended, which may be seen at once or by
-// the first read.
+// attempt connects through the forwarder and returns the error of the dial, or else of
+// the first read, since either can report that the target does not listen.
 func (made *path) attempt() error {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(senderIP)}}
 	sender, err := dialer.Dial("tcp", made.forwarder.Address())
@@ -79,7 +79,7 @@
 		return err
 	}
 	DeferCleanup(sender.Close)
-	Expect(sender.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(sender.SetDeadline(time.Now().Add(ioTimeout))).To(Succeed())
 	_, err = sender.Read(make([]byte, 1))
 	return err
 }
@@ -97,7 +97,7 @@
 }
 
 var _ = Describe("a link", func() {
-	It("passes bytes both ways, from the sender's IP number", func() {
+	It("passes bytes both ways, from the sender's IP address", func() {
 		sender, target := newPath().connect()
 		Expect(target.RemoteAddr().(*net.TCPAddr).IP.String()).To(Equal(senderIP))
 		write(sender, "question")
@@ -109,67 +109,67 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	DescribeTable("cut in one direction loses that direction alone", func(lost links.Link, forward bool) {
+	DescribeTable("blocked in one direction loses only the bytes of that direction", func(lost links.Link, forward bool) {
 		made := newPath()
 		near, far := made.connect()
 		if !forward {
 			near, far = far, near
 		}
-		made.network.SetState([]links.Link{lost}, cut)
+		made.network.SetState([]links.Link{lost}, blocked)
 		write(near, "lost")
 		Expect(<-made.losses).To(Equal(loss{lost, 4}))
 		write(far, "kept")
 		Expect(read(near, 4)).To(Equal("kept"))
 
-		made.network.SetState([]links.Link{lost}, whole)
+		made.network.SetState([]links.Link{lost}, unblocked)
 		received, _ := io.ReadAll(far)
-		Expect(received).To(BeEmpty(), "a stream with a gap must not go on")
+		Expect(received).To(BeEmpty(), "a stream that has lost bytes must not deliver later bytes")
 		sender, target := made.connect()
 		write(sender, "again")
 		Expect(read(target, 5)).To(Equal("again"))
 		write(target, "and back")
 		Expect(read(sender, 8)).To(Equal("and back"))
 	},
-		Entry("there", there, true),
-		Entry("back", back, false),
+		Entry("from the sender to the target", toTarget, true),
+		Entry("from the target to the sender", toSender, false),
 	)
 
-	It("keeps a stream that lost nothing during a cut", func() {
+	It("keeps a stream that lost no bytes while the link was blocked", func() {
 		made := newPath()
 		sender, target := made.connect()
-		made.network.SetState([]links.Link{there, back}, cut)
-		made.network.SetState([]links.Link{there, back}, whole)
+		made.network.SetState([]links.Link{toTarget, toSender}, blocked)
+		made.network.SetState([]links.Link{toTarget, toSender}, unblocked)
 		write(sender, "whole")
 		Expect(read(target, 5)).To(Equal("whole"))
 	})
 
-	It("loses what a connection carries that was made during a cut", func() {
+	It("loses the bytes of a connection that was made while the link was blocked", func() {
 		made := newPath()
-		made.network.SetState([]links.Link{there}, cut)
+		made.network.SetState([]links.Link{toTarget}, blocked)
 		sender, target := made.connect()
 		write(sender, "lost")
-		Expect(<-made.losses).To(Equal(loss{there, 4}))
-		made.network.SetState([]links.Link{there}, whole)
+		Expect(<-made.losses).To(Equal(loss{toTarget, 4}))
+		made.network.SetState([]links.Link{toTarget}, unblocked)
 		received, _ := io.ReadAll(target)
 		Expect(received).To(BeEmpty())
 	})
 
-	It("tells of a machine's end only after the cut", func() {
+	It("closes the sender's connection after the target closed it while the link was blocked", func() {
 		made := newPath()
 		sender, target := made.connect()
-		made.network.SetState([]links.Link{back}, cut)
+		made.network.SetState([]links.Link{toSender}, blocked)
 		Expect(target.Close()).To(Succeed())
 		write(sender, "into the void")
-		made.network.SetState([]links.Link{back}, whole)
+		made.network.SetState([]links.Link{toSender}, unblocked)
 		_, err := sender.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("holds bytes back by the delay", func() {
+	It("delays bytes by the delay of the link", func() {
 		const delay = 20 * time.Millisecond
 		made := newPath()
 		sender, target := made.connect()
-		made.network.SetState([]links.Link{there}, links.LinkState{Delay: delay})
+		made.network.SetState([]links.Link{toTarget}, links.LinkState{Delay: delay})
 		began := time.Now()
 		write(sender, "late")
 		Expect(read(target, 4)).To(Equal("late"))
