--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -73,7 +73,7 @@
 // different nodes at the same time. One must win; its order is then sent again
 // to other nodes, as if the answer had been lost.
 func (scenario *Scenario) Race(ctx context.Context) error {
-	orders, err := scenario.rivalOrders(ctx)
+	orders, err := scenario.conflictingOrders(ctx)
 	if err != nil {
 		return err
 	}
@@ -93,8 +93,8 @@
 	return scenario.Resend(ctx, orders[winner])
 }
 
-// rivalOrders returns orders on one base that differ in content.
-func (scenario *Scenario) rivalOrders(ctx context.Context) ([]Order, error) {
+// conflictingOrders returns orders on one base that differ in content.
+func (scenario *Scenario) conflictingOrders(ctx context.Context) ([]Order, error) {
 	present, err := scenario.Present(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -65,8 +65,8 @@
 	failures []error
 	// next counts the calls of Targets.
 	next atomic.Int64
-	// disturbed is when the last fault or change ended.
-	disturbed time.Duration
+	// lastStepEnded is when the last fault or change ended.
+	lastStepEnded time.Duration
 }
 
 // step is one action of the scenario, at a fraction of the plan's duration.
@@ -115,7 +115,7 @@
 		if err := scenario.runStep(ctx, step); err != nil {
 			scenario.fail(step.name, err)
 		}
-		scenario.disturbed = scenario.Recorder.now()
+		scenario.lastStepEnded = scenario.Recorder.now()
 	}
 }
 
@@ -135,7 +135,7 @@
 func (scenario *Scenario) Failures() []error { return scenario.failures }
 
 // Disturbed returns when the last step ended.
-func (scenario *Scenario) Disturbed() time.Duration { return scenario.disturbed }
+func (scenario *Scenario) Disturbed() time.Duration { return scenario.lastStepEnded }
 
 // Targets returns the live nodes, beginning with another one each time.
 func (scenario *Scenario) Targets() []Target {
