--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -62,7 +62,7 @@
 
 func requestID(r *http.Request) string { return r.Header.Get("Request-Id") }
 
-func answerWhole(w http.ResponseWriter, id string) {
+func writeCompleteResponse(w http.ResponseWriter, id string) {
 	_ = json.NewEncoder(w).Encode(standin.NewCompleteResponse(id, 20))
 }
 
@@ -80,7 +80,7 @@
 
 var _ = Describe("callers", func() {
 	It("take a whole answer for complete only with its digest and their identity", func() {
-		records := send(caller.Job{}, func(w http.ResponseWriter, r *http.Request) { answerWhole(w, requestID(r)) })
+		records := send(caller.Job{}, func(w http.ResponseWriter, r *http.Request) { writeCompleteResponse(w, requestID(r)) })
 		Expect(records).To(HaveLen(1))
 		Expect(records[0].Result).To(Equal(checker.ResultComplete))
 		Expect(records[0].EchoID).To(Equal(records[0].ID))
@@ -88,7 +88,7 @@
 	})
 
 	It("see the answer of another request", func() {
-		records := send(caller.Job{}, func(w http.ResponseWriter, _ *http.Request) { answerWhole(w, "other") })
+		records := send(caller.Job{}, func(w http.ResponseWriter, _ *http.Request) { writeCompleteResponse(w, "other") })
 		Expect(records[0].EchoID).To(Equal("other"))
 		Expect(records[0].DigestMatches).To(BeFalse())
 	})
@@ -135,7 +135,7 @@
 		var calls atomic.Int32
 		records := send(caller.Job{RetriesAfterRefusal: true}, func(w http.ResponseWriter, r *http.Request) {
 			if calls.Add(1) > 1 {
-				answerWhole(w, requestID(r))
+				writeCompleteResponse(w, requestID(r))
 				return
 			}
 			w.Header().Set("Retry-After", "1")
--- a/internal/lab/caller/exchange.go
+++ b/internal/lab/caller/exchange.go
@@ -124,7 +124,7 @@
 	call.record.Ended = call.now()
 	if err != nil {
 		call.record.Result = checker.ResultTruncated
-		call.recordDeparture(ctx)
+		call.recordDisconnect(ctx)
 	}
 }
 
@@ -136,11 +136,11 @@
 	if isDialError(err) {
 		call.record.ErrorKind = "dial"
 	}
-	call.recordDeparture(ctx)
+	call.recordDisconnect(ctx)
 }
 
-// recordDeparture marks an unfinished exchange that the caller itself gave up.
-func (call *exchange) recordDeparture(ctx context.Context) {
+// recordDisconnect marks an unfinished exchange that the caller itself gave up.
+func (call *exchange) recordDisconnect(ctx context.Context) {
 	if ctx.Err() != nil {
 		call.record.Result = checker.ResultDisconnected
 	}
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -59,17 +59,17 @@
 		}
 		running.Go(func() {
 			defer func() { <-slots }()
-			runner.serve(ctx, fmt.Sprintf("%s-%d", runner.Run, number), job)
+			runner.sendWithRetries(ctx, fmt.Sprintf("%s-%d", runner.Run, number), job)
 		})
 	}
 	running.Wait()
 }
 
-// serve sends one job, and again under new identities while it is refused and
+// sendWithRetries sends one job, and again under new identities while it is refused and
 // its caller comes back.
-func (runner *Runner) serve(ctx context.Context, id string, job Job) {
+func (runner *Runner) sendWithRetries(ctx context.Context, id string, job Job) {
 	record := runner.send(ctx, id, "", job)
-	for number := 1; number <= maxRetries && retries(job, record); number++ {
+	for number := 1; number <= maxRetries && shouldRetry(job, record); number++ {
 		wait := min(max(record.RetryAfter, time.Millisecond), maxRetryWait)
 		if !pause.For(ctx, wait) {
 			return
@@ -78,9 +78,9 @@
 	}
 }
 
-// retries reports whether a caller repeats a request: only one that has not run,
+// shouldRetry reports whether a caller repeats a request: only one that has not run,
 // and only when the response named a time to retry.
-func retries(job Job, record checker.Request) bool {
+func shouldRetry(job Job, record checker.Request) bool {
 	refused := record.Result == checker.ResultRefused && record.Claim == checker.ClaimNotRun
 	return job.RetriesAfterRefusal && refused && record.RetryAfter > 0
 }
