--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -13,14 +13,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// raceOperators is how many operators change the configuration on one base.
+// raceOperators is the number of operators that concurrently change the configuration
+// on the same base revision.
 const raceOperators = 2
 
 // resends is the number of nodes to which an acknowledged order is sent again.
 const resends = 3
 
-// ApplyOrder is the order to apply a complete configuration on a base revision; 0 means
-// any.
+// ApplyOrder returns the order to apply a complete configuration on a base revision;
+// base 0 means any revision.
 func ApplyOrder(orderID string, base uint64, configuration *ridgeswitchv1.Configuration) Order {
 	return Order{
 		Call: "ApplyConfiguration",
@@ -32,7 +33,8 @@
 	}
 }
 
-// editOrder returns the order to apply the present configuration with an edit.
+// editOrder returns the order that applies an edit to the configuration in force, with
+// its revision as the base.
 func (scenario *Scenario) editOrder(ctx context.Context, name string, edit func(*ridgeswitchv1.Configuration)) (Order, error) {
 	present, err := scenario.Present(ctx)
 	if err != nil {
@@ -43,9 +45,9 @@
 	return ApplyOrder(scenario.OrderID(name), present.GetRevision(), changed), nil
 }
 
-// Present reads the configuration in force from the first node that shows it.
+// Present returns the configuration that the first node to answer serves.
 func (scenario *Scenario) Present(ctx context.Context) (*ridgeswitchv1.Configuration, error) {
-	err := errors.New("no node is left to show the configuration")
+	err := errors.New("no live node to read the configuration from; start one")
 	for _, target := range scenario.Targets() {
 		var configuration *ridgeswitchv1.Configuration
 		configuration, err = scenario.Recorder.Configuration(ctx, target)
@@ -56,7 +58,8 @@
 	return nil, err
 }
 
-// changeLimits applies a configuration in which every tenant has another burst.
+// changeLimits applies a configuration in which the burst limit of every tenant is one
+// higher.
 func (scenario *Scenario) changeLimits(ctx context.Context) error {
 	order, err := scenario.editOrder(ctx, "limits", func(configuration *ridgeswitchv1.Configuration) {
 		for _, tenant := range configuration.GetTenants() {
@@ -69,9 +72,9 @@
 	return scenario.RequireAcknowledged(ctx, order)
 }
 
-// Race lets operators change the configuration on the same base through
-// different nodes at the same time. One must win; its order is then sent again
-// to other nodes, as if the answer had been lost.
+// Race submits conflicting orders on the same base revision concurrently,
+// starting at different nodes if more than one is live. At least one must be acknowledged; the first acknowledged order
+// is then resent to several nodes, as if the response had been lost.
 func (scenario *Scenario) Race(ctx context.Context) error {
 	orders, err := scenario.conflictingOrders(ctx)
 	if err != nil {
@@ -88,12 +91,12 @@
 		return result.Outcome == checker.OutcomeAcknowledged
 	})
 	if winner < 0 {
-		return errors.Errorf("no operator won the race: %s and %s", results[0].Outcome, results[1].Outcome)
+		return errors.Errorf("no concurrent order on the same base revision was acknowledged: outcomes %s and %s", results[0].Outcome, results[1].Outcome)
 	}
 	return scenario.Resend(ctx, orders[winner])
 }
 
-// conflictingOrders returns orders on one base that differ in content.
+// conflictingOrders returns orders on the same base revision that differ in content.
 func (scenario *Scenario) conflictingOrders(ctx context.Context) ([]Order, error) {
 	present, err := scenario.Present(ctx)
 	if err != nil {
@@ -108,7 +111,7 @@
 	return orders, nil
 }
 
-// Resend sends an identical order to several nodes.
+// Resend submits the identical order again, to up to resends nodes one after the other.
 func (scenario *Scenario) Resend(ctx context.Context, order Order) error {
 	targets := scenario.Targets()
 	for _, target := range targets[:min(resends, len(targets))] {
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// SendInvalid sends configurations that break a rule each. All must be refused.
+// SendInvalid submits configurations that each break one rule. All must be refused.
 func (scenario *Scenario) SendInvalid(ctx context.Context) error {
 	for _, fault := range invalidEdits {
 		order, err := scenario.editOrder(ctx, "invalid-"+fault.name, fault.edit)
@@ -132,13 +135,13 @@
 			return err
 		}
 		if record.Outcome != checker.OutcomeRefused {
-			return errors.Errorf("invalid configuration %s was %s", fault.name, record.Outcome)
+			return errors.Errorf("invalid configuration %s must be refused, but its outcome was %s", fault.name, record.Outcome)
 		}
 	}
 	return nil
 }
 
-// invalidEdit breaks one rule of a configuration.
+// invalidEdit is an edit that makes a configuration break one rule.
 type invalidEdit struct {
 	name string
 	edit func(*ridgeswitchv1.Configuration)
--- a/internal/lab/operator/changes.go
+++ b/internal/lab/operator/changes.go
@@ -9,13 +9,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// Single changes. They name no base revision, so that they race with nothing.
+// The orders in this file make a single change each. They name no base revision, so
+// they can't conflict with concurrent orders.
 
 func (scenario *Scenario) header(name string) *ridgeswitchv1.OrderHeader {
 	return &ridgeswitchv1.OrderHeader{OrderId: scenario.OrderID(name)}
 }
 
-// AddKey adds the key of the plan.
+// AddKey adds the plan's AddedKey to KeyTenant.
 func (scenario *Scenario) AddKey(ctx context.Context) error {
 	plan := scenario.Plan
 	return scenario.RequireAcknowledged(ctx, Order{
@@ -28,7 +29,7 @@
 	})
 }
 
-// RevokeKey revokes the key of the plan.
+// RevokeKey revokes the plan's RevokedKey of RevokedTenant.
 func (scenario *Scenario) RevokeKey(ctx context.Context) error {
 	plan := scenario.Plan
 	return scenario.RequireAcknowledged(ctx, Order{
@@ -41,7 +42,7 @@
 	})
 }
 
-// NameWeights names a version of the weights of the plan's pool.
+// NameWeights names the weight version that the plan's pool is to serve.
 func (scenario *Scenario) NameWeights(ctx context.Context, version string) error {
 	pool := scenario.Plan.Pool
 	return scenario.RequireAcknowledged(ctx, Order{
@@ -83,7 +84,7 @@
 	return scenario.setWall(ctx, "UnwallTenant", "unwall", checker.ChangeUnwall)
 }
 
-// setWall raises or takes down the wall of the plan's tenant.
+// setWall walls or unwalls the plan's WalledTenant, by the call that is given.
 func (scenario *Scenario) setWall(ctx context.Context, call protoreflect.Name, name string, kind checker.ChangeKind) error {
 	tenant := scenario.Plan.WalledTenant
 	return scenario.RequireAcknowledged(ctx, Order{
--- a/internal/lab/operator/client.go
+++ b/internal/lab/operator/client.go
@@ -17,10 +17,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/edge/operator/schema"
 )
 
-// callTimeout bounds one call to one node.
+// callTimeout bounds the duration of one call to one node.
 const callTimeout = 8 * time.Second
 
-// maxReplyBytes bounds what is read of one reply.
+// maxReplyBytes bounds the number of bytes that are read from the body of one response.
 const maxReplyBytes = 32 << 20
 
 // Client makes the remote calls of the schema. It is safe for concurrent use.
@@ -28,23 +28,26 @@
 	http *http.Client
 }
 
-// NewClient returns a client. It opens a connection for each call, so that no
-// call is sent twice unnoticed.
+// NewClient returns a client that opens a new connection for each call, because
+// net/http may silently resend a call on a reused connection.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// Reply is what a node answered.
+// Reply contains the status, the problem and the Retry-After header of a node's response.
 type Reply struct {
 	Status int
 	// Problem is set for every status of 400 and above.
 	Problem *ridgeswitchv1.Problem
-	// RetryAfter is when to come back; zero if the node did not say.
+	// RetryAfter is the time after which to retry; zero if the response has no valid
+	// Retry-After header.
 	RetryAfter time.Duration
 }
 
 // Call makes a remote call of the schema, such as "AddKey", at a control address
-// and reads the answer into response. An error means that no answer came.
+// and decodes the body into response if the status is below 400. It returns an error
+// if the call is unknown or can't be built, if no complete response came, or if the body
+// of a response below 400 can't be decoded.
 func (client *Client) Call(ctx context.Context, address string, name protoreflect.Name, request, response proto.Message) (Reply, error) {
 	call, err := findCall(name)
 	if err != nil {
@@ -61,7 +64,7 @@
 	defer func() { _ = answer.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxReplyBytes))
 	if err != nil {
-		return Reply{}, errors.Wrap(err, "read the answer")
+		return Reply{}, errors.Wrap(err, "read the response")
 	}
 	return readReply(answer, body, response)
 }
@@ -105,7 +108,7 @@
 		reply.RetryAfter = time.Duration(seconds) * time.Second
 	}
 	if httpResponse.StatusCode < http.StatusBadRequest {
-		return reply, errors.Wrap(protojson.Unmarshal(body, response), "read the answer")
+		return reply, errors.Wrap(protojson.Unmarshal(body, response), "decode the response")
 	}
 	reply.Problem = &ridgeswitchv1.Problem{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, reply.Problem); err != nil {
--- a/internal/lab/operator/doc.go
+++ b/internal/lab/operator/doc.go
@@ -1,10 +1,11 @@
-// Package operator plays the operators of a deployment: it sends orders to the
-// nodes' control addresses, resends what got no final outcome, and records every
-// submission with its times and its outcome.
+// Package operator simulates the operators of a deployment: it sends orders to the
+// nodes' control addresses, resends orders that got no final outcome, and records
+// every submission with its times and its outcome.
 //
-// Paths and bodies follow from the schema, so that a call is described only
-// there.
+// Paths and bodies of calls are derived from the schema, which is the only
+// description of a call.
 //
-// A Recorder is shared by all operators of a run and guards its records by a lock; a
-// Scenario belongs to the goroutine that runs it, but for Targets.
+// All operators of a run share one Recorder, which guards its records by a lock. A
+// Scenario may be used only by the goroutine that runs it, except for
+// Scenario.Targets, which any goroutine may call.
 package operator
--- a/internal/lab/operator/operator_test.go
+++ b/internal/lab/operator/operator_test.go
@@ -24,13 +24,14 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/dynamic"
 )
 
-// reply is a canned answer.
+// reply is a canned response.
 type reply struct {
 	status int
 	body   string
 }
 
-// node answers with canned replies in turn and keeps what it was asked.
+// node starts a server that returns the replies in turn, repeating the last one, and
+// records the requests that it received.
 func node(replies ...reply) (operator.Target, *[]string) {
 	var lock sync.Mutex
 	asked := &[]string{}
@@ -47,7 +48,7 @@
 	return operator.Target{Node: "node", ControlAddress: strings.TrimPrefix(server.URL, "http://")}, asked
 }
 
-// compact drops the spaces that the encoder puts into JSON at random.
+// compact removes the spaces that protojson inserts at random.
 func compact(body string) string { return strings.ReplaceAll(body, " ", "") }
 
 func now() time.Duration { return time.Second }
@@ -59,7 +60,7 @@
 }
 
 var _ = Describe("a submission", func() {
-	It("goes to the path of the schema", func() {
+	It("uses the method and path that the schema defines", func() {
 		target, asked := node(reply{200, `{"outcome":"ACKNOWLEDGED","revision":"7"}`})
 		record := operator.NewRecorder(now).Submit(context.Background(), target, revoke())
 		Expect(*asked).To(Equal([]string{
@@ -69,7 +70,7 @@
 		Expect(record.Revision).To(BeEquivalentTo(7))
 	})
 
-	DescribeTable("has an outcome", func(answer reply, outcome checker.Outcome, kind string) {
+	DescribeTable("gets its outcome from the status and body of the response", func(answer reply, outcome checker.Outcome, kind string) {
 		target, _ := node(answer)
 		recorder := operator.NewRecorder(now)
 		record := recorder.Submit(context.Background(), target, revoke())
@@ -80,11 +81,11 @@
 		Entry("pending", reply{202, `{"outcome":"PENDING"}`}, checker.OutcomePending, ""),
 		Entry("refused", reply{409, `{"kind":"base_revision_stale"}`}, checker.OutcomeRefused, "base_revision_stale"),
 		Entry("unavailable", reply{503, `{"kind":"no_leader"}`}, checker.OutcomeUnavailable, "no_leader"),
-		Entry("broken", reply{500, `oops`}, checker.OutcomeLost, "untyped"),
-		Entry("unreadable", reply{200, `{`}, checker.OutcomeLost, ""),
+		Entry("internal error without a problem", reply{500, `oops`}, checker.OutcomeLost, "untyped"),
+		Entry("undecodable body", reply{200, `{`}, checker.OutcomeLost, ""),
 	)
 
-	It("is repeated at other nodes until there is a verdict", func() {
+	It("is resent to the nodes in turn until one acknowledges it", func() {
 		first, asked := node(reply{503, `{"kind":"no_leader"}`}, reply{202, `{"outcome":"PENDING"}`})
 		second, _ := node(reply{202, `{"outcome":"PENDING"}`}, reply{200, `{"outcome":"ACKNOWLEDGED","revision":"3"}`})
 		recorder := operator.NewRecorder(now)
@@ -96,7 +97,7 @@
 		Expect(recorder.Records()).To(HaveLen(4))
 	})
 
-	It("stays undecided when the time is up", func() {
+	It("returns UndecidedError when the context ends first", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		target, _ := node(reply{202, `{}`})
@@ -105,8 +106,8 @@
 	})
 })
 
-// state is the control state behind nodes: the product's own machine, whose
-// every change is confirmed at once.
+// state is the control state that the nodes share: the replicated state machine of
+// pkg/config/dynamic, with every change confirmed immediately.
 type state struct {
 	lock    sync.Mutex
 	machine *dynamic.Machine
@@ -143,7 +144,7 @@
 func (s *state) Ready() error                      { return nil }
 func (s *state) Live() error                       { return nil }
 
-// machines records what a scenario does to machines.
+// machines records the calls that a scenario makes to it, and does nothing else.
 type machines struct {
 	targets []operator.Target
 	done    []string
@@ -167,7 +168,7 @@
 func (m *machines) LiveTargets() []operator.Target { return m.targets }
 
 var _ = Describe("a scenario", func() {
-	It("brings about everything against the control interface of nodes", func() {
+	It("completes every step against the control interface of nodes", func() {
 		shared := &state{machine: dynamic.NewMachine(nil)}
 		involved := &machines{}
 		for number := range 2 {
@@ -214,7 +215,7 @@
 		}))
 		Expect(checker.Check(&checker.Records{Orders: recorder.Records()})).To(BeEmpty())
 		outcomes := lo.CountValuesBy(recorder.Records(), func(one checker.Order) checker.Outcome { return one.Outcome })
-		Expect(outcomes[checker.OutcomeRefused]).To(Equal(4), "three invalid configurations and the loser of the race")
+		Expect(outcomes[checker.OutcomeRefused]).To(Equal(4), "three invalid configurations and one of the two conflicting orders")
 		Expect(shared.machine.Configuration().GetPools()[0].GetWeightVersion()).To(Equal("v3"))
 		Expect(shared.machine.Configuration().GetEvacuations()).To(BeEmpty())
 	})
--- a/internal/lab/operator/orders.go
+++ b/internal/lab/operator/orders.go
@@ -15,12 +15,12 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
-// resendPause is the wait before an order without a final outcome is sent again,
-// whatever time the node named.
+// resendPause is the wait before an order without a final outcome is sent again. The
+// Retry-After header of the response is ignored.
 const resendPause = 100 * time.Millisecond
 
-// statusTimeout bounds the wait for a node's status, so that a frozen node
-// delays no other.
+// statusTimeout bounds the wait for a status call to one node, so that a frozen node
+// does not delay the calls to other nodes.
 const statusTimeout = time.Second
 
 // Target is a node that takes orders.
@@ -31,7 +31,7 @@
 
 // Order is an order with the call that carries it.
 type Order struct {
-	// Call is the remote call in the schema.
+	// Call is the name of the remote call in the schema.
 	Call    protoreflect.Name
 	Request OrderRequest
 	Change  checker.Change
@@ -48,8 +48,8 @@
 // Recorder submits orders and records every submission. It is safe for concurrent use.
 type Recorder struct {
 	// AttemptTimeout is how long an operator waits for one node before the order
-	// goes to another; zero stands for the client's own bound. It is set before
-	// the first order.
+	// goes to another; zero means only the client's callTimeout applies. It must be
+	// set before the first order is submitted.
 	AttemptTimeout time.Duration
 
 	client *Client
@@ -60,12 +60,12 @@
 	records []checker.Order
 }
 
-// NewRecorder returns a recorder whose times come from now.
+// NewRecorder returns a recorder that takes the times of its records from now.
 func NewRecorder(now func() time.Duration) *Recorder {
 	return &Recorder{client: NewClient(), now: now}
 }
 
-// Submit sends an order to one node, once, and returns what became of it.
+// Submit sends an order to one node, once, and returns the record of the submission.
 func (recorder *Recorder) Submit(ctx context.Context, target Target, order Order) checker.Order {
 	record := checker.Order{
 		OrderID:      order.Request.GetOrder().GetOrderId(),
@@ -92,8 +92,8 @@
 	return record
 }
 
-// outcomeOf returns the outcome of a submission by the reply, its result, or the error
-// that came in place of both.
+// outcomeOf returns the outcome of a submission, given the reply and its result, or the
+// error of the call.
 func outcomeOf(reply Reply, result *ridgeswitchv1.OrderResult, err error) checker.Outcome {
 	switch {
 	case err != nil:
@@ -112,24 +112,24 @@
 	}
 }
 
-// UndecidedError reports that no node decided an order in time.
+// UndecidedError reports that no node acknowledged or refused an order in time.
 type UndecidedError struct {
 	OrderID string
 	Last    checker.Outcome
 	Kind    string
 }
 
-// Error names the remedy.
+// Error returns the last outcome and the remedy.
 func (err *UndecidedError) Error() string {
-	return "order " + err.OrderID + " got no verdict (last: " + string(err.Last) + " " + err.Kind +
+	return "order " + err.OrderID + " was neither acknowledged nor refused in time (last: " + string(err.Last) + " " + err.Kind +
 		"); resend the identical order to any node"
 }
 
-// SubmitUntilDecided sends an order to the targets in turn until one gives a final outcome: it is
-// acknowledged or refused. A context that ends before gives *UndecidedError.
+// SubmitUntilDecided sends an order to the targets in turn until one of them acknowledges
+// or refuses it. If the context ends first, it returns an *UndecidedError.
 func (recorder *Recorder) SubmitUntilDecided(ctx context.Context, targets []Target, order Order) (checker.Order, error) {
 	if len(targets) == 0 {
-		return checker.Order{}, errors.New("no node is left to take the order; start one")
+		return checker.Order{}, errors.New("no live node to submit the order to; start one")
 	}
 	var last checker.Order
 	for number := 0; ctx.Err() == nil; number++ {
@@ -151,24 +151,24 @@
 		return nil, err
 	}
 	if reply.Problem != nil {
-		return nil, errors.Errorf("%s refused to show its configuration: %s", target.Node, reply.Problem.GetKind())
+		return nil, errors.Errorf("node %s refused GetConfiguration: %s", target.Node, reply.Problem.GetKind())
 	}
 	return configuration, nil
 }
 
-// Status reads what a node says of itself.
+// Status reads the status that a node reports of itself.
 func (recorder *Recorder) Status(ctx context.Context, target Target) (*ridgeswitchv1.NodeStatus, error) {
 	status := &ridgeswitchv1.NodeStatus{}
 	return status, recorder.call(ctx, target, "GetStatus", &ridgeswitchv1.GetStatusRequest{}, status)
 }
 
-// Weights reads how far a node knows the roll-out of a pool to have come.
+// Weights reads the progress of the weight roll-out of a pool, as one node knows it.
 func (recorder *Recorder) Weights(ctx context.Context, target Target, pool string) (*ridgeswitchv1.WeightsStatus, error) {
 	status := &ridgeswitchv1.WeightsStatus{}
 	return status, recorder.call(ctx, target, "GetWeights", &ridgeswitchv1.GetWeightsRequest{Pool: pool}, status)
 }
 
-// call makes a call that reads.
+// call makes a read-only call within statusTimeout.
 func (recorder *Recorder) call(ctx context.Context, target Target, call protoreflect.Name, request, response proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -177,12 +177,12 @@
 		return err
 	}
 	if reply.Problem != nil {
-		return errors.Errorf("%s refused %s: %s", target.Node, call, reply.Problem.GetKind())
+		return errors.Errorf("node %s refused %s: %s", target.Node, call, reply.Problem.GetKind())
 	}
 	return nil
 }
 
-// Records returns every submission so far.
+// Records returns the records of all submissions so far.
 func (recorder *Recorder) Records() []checker.Order {
 	recorder.lock.Lock()
 	defer recorder.lock.Unlock()
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -13,29 +13,31 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
-// orderTimeout bounds how long an operator resends one order.
+// orderTimeout bounds the duration of one step, including all resends of its orders.
 const orderTimeout = 20 * time.Second
 
-// Machines are what a scenario does to machines rather than by orders.
+// Machines performs the actions of a scenario that are not orders: it acts on node and
+// replica processes.
 type Machines interface {
 	KillNode(name string) error
 	RestartNode(name string) error
 	DrainReplica(ctx context.Context, address string) error
-	// DisturbReplicas lets replicas refuse requests and truncate responses, or ends
-	// that.
+	// DisturbReplicas makes replicas refuse requests and truncate responses if disturbed
+	// is set, and returns them to normal operation otherwise.
 	DisturbReplicas(ctx context.Context, addresses []string, disturbed bool) error
-	// LiveTargets returns the nodes that run, in a fixed order.
+	// LiveTargets returns the running nodes, in a fixed order.
 	LiveTargets() []Target
 }
 
-// Plan names what a scenario acts on.
+// Plan names the objects that a scenario acts on.
 type Plan struct {
-	// Run names the run in the identities of its orders.
+	// Run identifies the run; it is the prefix of the IDs of its orders.
 	Run string
-	// Duration is the length of the load, over which the steps are distributed.
+	// Duration is the duration of the load; steps start at fixed fractions of it.
 	Duration time.Duration
 	Pool     string
-	// FirstWeights is named first, and LastWeights before it has rolled out.
+	// FirstWeights is the weight version that is named first; LastWeights is named
+	// before the roll-out of FirstWeights has completed.
 	FirstWeights   string
 	LastWeights    string
 	EvacuatedZone  string
@@ -44,8 +46,8 @@
 	DisturbedReplicas []string
 	KilledFront       string
 	KilledCore        string
-	// KeyTenant gets a further key with AddedDigest, RevokedKey is taken from
-	// RevokedTenant, and WalledTenant is walled and unwalled.
+	// KeyTenant gets the additional key AddedKey with AddedDigest, RevokedKey of
+	// RevokedTenant is revoked, and WalledTenant is walled and unwalled.
 	KeyTenant     string
 	AddedKey      string
 	AddedDigest   string
@@ -54,8 +56,8 @@
 	WalledTenant  string
 }
 
-// Scenario drives a plan: Run does the steps one after the other, and is the only one to
-// change the scenario, but for Targets, which any goroutine may call.
+// Scenario executes a plan: Run performs the steps one after the other. Only the goroutine
+// of Run may change the scenario; Targets may be called by any goroutine.
 type Scenario struct {
 	Plan     Plan
 	Recorder *Recorder
@@ -65,7 +67,7 @@
 	failures []error
 	// next counts the calls of Targets.
 	next atomic.Int64
-	// lastStepEnded is when the last fault or change ended.
+	// lastStepEnded is the time at which the last step ended.
 	lastStepEnded time.Duration
 }
 
@@ -100,8 +102,8 @@
 	}
 }
 
-// Run does every step at its time, or as soon after it as the steps before it
-// have ended. A step that fails is recorded and the others go on.
+// Run performs every step at its time, or later if earlier steps have not ended by then.
+// A step that fails is recorded, and Run continues with the next one.
 func (scenario *Scenario) Run(ctx context.Context) {
 	started := scenario.Recorder.now()
 	for _, step := range scenario.steps() {
@@ -125,19 +127,20 @@
 	return step.do(ctx)
 }
 
-// fail records a step that could not be done.
+// fail logs and records that a step failed.
 func (scenario *Scenario) fail(name string, err error) {
 	scenario.Log.WithError(err).Warn(name + " failed")
 	scenario.failures = append(scenario.failures, errors.Wrap(err, name))
 }
 
-// Failures returns the steps that could not be done.
+// Failures returns the errors of the steps that failed.
 func (scenario *Scenario) Failures() []error { return scenario.failures }
 
-// Disturbed returns when the last step ended.
+// Disturbed returns the time at which the last step ended.
 func (scenario *Scenario) Disturbed() time.Duration { return scenario.lastStepEnded }
 
-// Targets returns the live nodes, beginning with another one each time.
+// Targets returns the live nodes, rotated so that consecutive calls begin with
+// different nodes.
 func (scenario *Scenario) Targets() []Target {
 	live := scenario.Machines.LiveTargets()
 	if len(live) == 0 {
@@ -147,12 +150,13 @@
 	return append(append([]Target(nil), live[first:]...), live[:first]...)
 }
 
-// OrderID returns the identity of an order of this run.
+// OrderID returns the ID of an order, prefixed by the name of the run.
 func (scenario *Scenario) OrderID(name string) string {
 	return fmt.Sprintf("%s-%s", scenario.Plan.Run, name)
 }
 
-// RequireAcknowledged submits an order until it is decided, and fails unless it is acknowledged.
+// RequireAcknowledged submits an order until a node acknowledges or refuses it, and
+// returns an error unless it is acknowledged.
 func (scenario *Scenario) RequireAcknowledged(ctx context.Context, order Order) error {
 	record, err := scenario.Recorder.SubmitUntilDecided(ctx, scenario.Targets(), order)
 	if err != nil {
