--- a/internal/lab/caller/balancer.go
+++ b/internal/lab/caller/balancer.go
@@ -12,34 +12,37 @@
 const (
 	// pollEvery is how often the balancer polls the readiness of a node.
 	pollEvery = 200 * time.Millisecond
-	// pollTimeout is when a node that does not answer counts as not ready.
+	// pollTimeout is the time after which a node that does not answer counts as not
+	// ready.
 	pollTimeout = 400 * time.Millisecond
 )
 
-// readinessPath is where a node's control address reports whether it is ready.
+// readinessPath is the path at a node's control address that reports whether the node is
+// ready.
 const readinessPath = "/healthz/ready"
 
-// Target is a front node as the balancer knows it.
+// Target is a front node with its addresses.
 type Target struct {
 	Node string
-	// TrafficAddress takes requests; ControlAddress tells of readiness.
+	// TrafficAddress accepts requests; ControlAddress reports readiness.
 	TrafficAddress string
 	ControlAddress string
 }
 
-// Balancer stands for the platform's connection balancer: it hands out ready
-// front nodes in turn. It is safe for concurrent use.
+// Balancer simulates the platform's connection balancer: it returns the ready front nodes
+// in round-robin order. It is safe for concurrent use.
 type Balancer struct {
 	targets []Target
 	client  *http.Client
 
-	// lock guards ready, by node, and next, which counts the nodes considered.
+	// lock guards ready, which is keyed by node name, and next, the number of nodes that
+	// Next has considered so far.
 	lock  sync.Mutex
 	ready map[string]bool
 	next  int
 }
 
-// NewBalancer returns a balancer to which no node is ready yet.
+// NewBalancer returns a balancer that considers no node ready until it has polled it.
 func NewBalancer(targets []Target) *Balancer {
 	return &Balancer{
 		targets: targets, ready: make(map[string]bool),
@@ -80,7 +83,7 @@
 	}
 }
 
-// poll reports whether a node says that it is ready.
+// poll reports whether a node answers that it is ready.
 func (balancer *Balancer) poll(ctx context.Context, target Target) bool {
 	url := "http://" + target.ControlAddress + readinessPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -102,7 +105,7 @@
 	balancer.ready[node] = ready
 }
 
-// Next returns the next ready node in turn, or false when none is ready.
+// Next returns the next ready node in round-robin order, or false if none is ready.
 func (balancer *Balancer) Next() (Target, bool) {
 	balancer.lock.Lock()
 	defer balancer.lock.Unlock()
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -19,7 +19,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// jobs is a load of given jobs.
+// jobs is a load that returns its jobs in order.
 type jobs []caller.Job
 
 // Next implements caller.Load.
@@ -32,7 +32,7 @@
 	return next, true
 }
 
-// serveNode starts a node that answers with a handler and is ready.
+// serveNode starts a node that reports ready and serves all other paths by the handler.
 func serveNode(handler http.HandlerFunc) caller.Target {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz/ready", func(http.ResponseWriter, *http.Request) {})
@@ -43,7 +43,7 @@
 	return caller.Target{Node: "node", TrafficAddress: address, ControlAddress: address}
 }
 
-// send lets callers send one job to a node and returns their records.
+// send runs a load of one job against a node with the handler and returns the records.
 func send(job caller.Job, handler http.HandlerFunc) []checker.Request {
 	target := serveNode(handler)
 	balancer := caller.NewBalancer([]caller.Target{target})
@@ -66,7 +66,7 @@
 	_ = json.NewEncoder(w).Encode(standin.NewCompleteResponse(id, 20))
 }
 
-// streamEvents writes the events of a complete streamed answer, up to a count.
+// streamEvents writes the first count of the three events of a complete streamed response.
 func streamEvents(w http.ResponseWriter, id string, count int) {
 	output := standin.Output(id, 0, 3)
 	chunk, _ := json.Marshal(standin.ChunkResponse{RequestID: id, Output: output})
@@ -79,7 +79,7 @@
 }
 
 var _ = Describe("callers", func() {
-	It("take a whole answer for complete only with its digest and their identity", func() {
+	It("record a complete response with its request ID and a matching digest", func() {
 		records := send(caller.Job{}, func(w http.ResponseWriter, r *http.Request) { writeCompleteResponse(w, requestID(r)) })
 		Expect(records).To(HaveLen(1))
 		Expect(records[0].Result).To(Equal(checker.ResultComplete))
@@ -87,13 +87,13 @@
 		Expect(records[0].DigestMatches).To(BeTrue())
 	})
 
-	It("see the answer of another request", func() {
+	It("detect a response to another request", func() {
 		records := send(caller.Job{}, func(w http.ResponseWriter, _ *http.Request) { writeCompleteResponse(w, "other") })
 		Expect(records[0].EchoID).To(Equal("other"))
 		Expect(records[0].DigestMatches).To(BeFalse())
 	})
 
-	It("see a whole answer that breaks off", func() {
+	It("record a response as truncated when the connection breaks before Content-Length bytes", func() {
 		records := send(caller.Job{}, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
 			_, _ = w.Write([]byte("{"))
@@ -103,7 +103,7 @@
 		Expect(records[0].Result).To(Equal(checker.ResultTruncated))
 	})
 
-	It("see a cut answer that ends as if it were complete", func() {
+	It("detect by the digest a truncated response that ends like a complete one", func() {
 		records := send(caller.Job{}, func(w http.ResponseWriter, r *http.Request) {
 			data, _ := json.Marshal(standin.NewCompleteResponse(requestID(r), 20))
 			_, _ = w.Write(data[:len(data)-10])
@@ -112,7 +112,7 @@
 		Expect(records[0].DigestMatches).To(BeFalse())
 	})
 
-	It("take a stream for complete once its last event has come", func() {
+	It("record a stream as complete only once its last event has arrived", func() {
 		job := caller.Job{Streamed: true}
 		records := send(job, func(w http.ResponseWriter, r *http.Request) { streamEvents(w, requestID(r), 3) })
 		Expect(records[0].Result).To(Equal(checker.ResultComplete))
@@ -121,7 +121,7 @@
 		Expect(records[0].Result).To(Equal(checker.ResultTruncated))
 	})
 
-	It("read the error event of a cut stream", func() {
+	It("record the problem in the error event of a truncated stream", func() {
 		records := send(caller.Job{Streamed: true}, func(w http.ResponseWriter, r *http.Request) {
 			streamEvents(w, requestID(r), 1)
 			_, _ = fmt.Fprint(w, "event: error\ndata: {\"kind\":\"answer_cut\",\"may_have_run\":true}\n\n")
@@ -131,7 +131,7 @@
 		Expect(records[0].Claim).To(Equal(checker.ClaimMayHaveRun))
 	})
 
-	It("come back under a new identity when a refusal says when", func() {
+	It("retry a refusal that has a Retry-After header with a new request ID", func() {
 		var calls atomic.Int32
 		records := send(caller.Job{RetriesAfterRefusal: true}, func(w http.ResponseWriter, r *http.Request) {
 			if calls.Add(1) > 1 {
@@ -149,7 +149,7 @@
 		Expect(records[1].Sent - records[0].Ended).To(BeNumerically(">=", time.Second))
 	})
 
-	It("do not take an error without a claim for not run", func() {
+	It("do not treat an error without may_have_run as not run", func() {
 		records := send(caller.Job{RetriesAfterRefusal: true}, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusBadGateway)
@@ -159,7 +159,7 @@
 		Expect(records[0].Claim).To(Equal(checker.ClaimNone))
 	})
 
-	It("leave early without counting it as a failure", func() {
+	It("record a request that the caller abandons as disconnected", func() {
 		gone := make(chan struct{})
 		records := send(caller.Job{LeaveAfter: 20 * time.Millisecond}, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -172,7 +172,7 @@
 })
 
 var _ = Describe("the balancer", func() {
-	It("hands out ready nodes in turn and leaves out the others", func() {
+	It("returns the ready nodes in round-robin order and skips the others", func() {
 		ready := serveNode(func(http.ResponseWriter, *http.Request) {})
 		second := serveNode(func(http.ResponseWriter, *http.Request) {})
 		second.Node = "second"
--- a/internal/lab/caller/doc.go
+++ b/internal/lab/caller/doc.go
@@ -1,10 +1,10 @@
-// Package caller plays the callers of a deployment: it sends a bounded open
-// loop of requests to front nodes that are ready, reads every answer to the
-// byte, and records what a caller learnt of each request.
+// Package caller simulates the callers of a deployment: it sends requests to ready
+// front nodes in an open loop with a bounded number in flight, checks every byte of the
+// responses, and records what the caller can observe of each request.
 //
-// It uses net/http directly and a connection of its own for each request, so
-// that nothing between it and the node sends a request a second time.
+// It uses net/http directly and opens a new connection for each request, so that
+// nothing between the caller and the node resends a request.
 //
-// A Runner has one goroutine for each request, up to a bound, and a Balancer one for
-// each node that it polls; both guard what these share by a lock.
+// A Runner has one goroutine for each request in flight, and a Balancer one for each
+// node that it polls. Both guard the state that their goroutines share by a lock.
 package caller
--- a/internal/lab/caller/exchange.go
+++ b/internal/lab/caller/exchange.go
@@ -16,10 +16,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// requestBody is what a POST carries besides its headers; nodes pass it on.
+// requestBody is the body of every POST; nodes forward it.
 const requestBody = `{"input":"lab"}`
 
-// maxResponseBytes bounds what a caller reads of one answer.
+// maxResponseBytes bounds the number of bytes that a caller reads of one response body.
 const maxResponseBytes = 64 << 20
 
 // Elapsed returns the time since the run began.
@@ -39,9 +39,8 @@
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext}}
 }
 
-// do sends the request and fills in the record. It reports whether any
-// connection was made: without one nothing was sent, and another node may be
-// asked.
+// do sends the request and fills in the record. It returns false if no connection could be
+// made: nothing was sent then, and the request may be sent to another node.
 func (call *exchange) do(ctx context.Context, target Target) bool {
 	call.record.Node = target.Node
 	request, err := call.request(ctx, target)
@@ -61,7 +60,7 @@
 	return true
 }
 
-// isDialError reports whether no connection was made, so that nothing was sent.
+// isDialError reports whether the connection could not be made, so that nothing was sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
@@ -107,7 +106,7 @@
 	}
 }
 
-// read reads a response to its end and records it.
+// read reads a response to its end and records the result.
 func (call *exchange) read(ctx context.Context, response *http.Response) {
 	body := io.LimitReader(response.Body, maxResponseBytes)
 	var err error
@@ -128,7 +127,7 @@
 	}
 }
 
-// fail records that no response came.
+// fail records that the request ended without a response.
 func (call *exchange) fail(ctx context.Context, err error) {
 	call.record.Ended = call.now()
 	call.record.Result = checker.ResultLost
@@ -139,7 +138,8 @@
 	call.recordDisconnect(ctx)
 }
 
-// recordDisconnect marks an unfinished exchange that the caller itself gave up.
+// recordDisconnect marks an unfinished exchange as disconnected by the caller if its
+// context has ended.
 func (call *exchange) recordDisconnect(ctx context.Context) {
 	if ctx.Err() != nil {
 		call.record.Result = checker.ResultDisconnected
--- a/internal/lab/caller/job.go
+++ b/internal/lab/caller/job.go
@@ -6,16 +6,16 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Job is one request that a caller is to send.
+// Job describes one request that a caller is to send.
 type Job struct {
-	// At is when to send it, since the load began.
+	// At is the time to send the request, counted from the start of the load.
 	At time.Duration
-	// Tenant and Key say who sends it; Secret proves it. All are empty for the
-	// public.
+	// Tenant and Key name the sender and its key; Secret is the key's secret. All are
+	// empty for a public caller.
 	Tenant string
 	Key    string
 	Secret string
-	// Service is the back end service that the host leads to.
+	// Service is the back end service to which Host is routed.
 	Service string
 	// WebService is set if the service is a plain HTTP service.
 	WebService   bool
@@ -27,17 +27,18 @@
 	OutputTokens uint32
 	Repeatable   bool
 	Streamed     bool
-	// Deadline is the longest time that the caller waits; zero for no bound.
+	// Deadline is the longest wait for the response that the request states in its
+	// header; zero states none.
 	Deadline time.Duration
-	// LeaveAfter is when the caller goes away without an answer; zero if it
-	// stays.
+	// LeaveAfter is the time after which the caller disconnects if the exchange has not
+	// ended; zero means never.
 	LeaveAfter time.Duration
-	// RetriesAfterRefusal is set if the caller repeats a refused request under a new
-	// identity once Retry-After has passed.
+	// RetriesAfterRefusal is set if the caller retries a refused request with a new
+	// request ID once Retry-After has passed.
 	RetriesAfterRefusal bool
 }
 
-// Load is a source of jobs in the order of their time.
+// Load is a source of jobs, ordered by Job.At.
 type Load interface {
 	// Next returns the next job, or false at the end.
 	Next() (Job, bool)
--- a/internal/lab/caller/response.go
+++ b/internal/lab/caller/response.go
@@ -18,22 +18,23 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// errorEvent is the name of the event by which a node tells that a streamed
-// response is truncated.
+// errorEvent is the name of the event by which a node reports that a streamed response
+// is truncated.
 const errorEvent = "error"
 
-// errTruncated is the end of a response that the node itself declared to be truncated.
-var errTruncated = errors.New("the answer was cut")
+// errTruncated reports a stream that the node ended with an error event.
+var errTruncated = errors.New("response truncated: the node ended the stream with an error event")
 
-// refusal is the body of an error. The claim is a pointer, since a body that
-// does not make it must not be read as "not run".
+// refusal is the body of an error response. MayHaveRun is a pointer, because a body without
+// this field must not be taken as a claim that the request has not run.
 type refusal struct {
 	Kind       string `json:"kind"`
 	MayHaveRun *bool  `json:"may_have_run"`
 	RequestID  string `json:"request_id"`
 }
 
-// readRefusal reads an error response. An error is returned when it was truncated.
+// readRefusal reads and records an error response. It returns an error if the body is
+// truncated.
 func readRefusal(record *checker.Request, header http.Header, body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// recordProblem records the kind of an error and what it claims of the execution.
+// recordProblem records the kind of an error, the request ID that it names, and whether it
+// claims that the request may have run.
 func recordProblem(record *checker.Request, problem refusal) {
 	record.ErrorKind = problem.Kind
 	record.EchoID = problem.RequestID
@@ -72,7 +74,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// readComplete reads a replica's answer in one piece.
+// readComplete reads a replica's response that is not streamed.
 func readComplete(record *checker.Request, body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -86,8 +88,7 @@
 	return nil
 }
 
-// readPage reads a web service's answer, whose digest and request stand in
-// headers.
+// readPage reads a web service's response, whose digest and request ID are in headers.
 func readPage(record *checker.Request, header http.Header, body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// readStream reads a streamed answer. To its caller it is complete once its
-// last event has come.
+// readStream reads a streamed response. The response counts as complete once its last event
+// has been read.
 func readStream(record *checker.Request, body io.Reader) error {
 	check := standin.NewStreamCheck(record.ID)
 	reader := bufio.NewReader(body)
@@ -129,8 +130,8 @@
 	return errTruncated
 }
 
-// recordEcho records the identity of the request that an event names. One that is not
-// the caller's stays, whatever follows.
+// recordEcho records the request ID that an event names. Once an ID other than the caller's
+// is recorded, later events do not replace it.
 func recordEcho(record *checker.Request, event serverEvent) {
 	var chunk standin.ChunkResponse
 	if json.Unmarshal([]byte(event.data), &chunk) != nil || chunk.RequestID == "" {
@@ -147,7 +148,7 @@
 	data string
 }
 
-// readEvent reads up to the blank line that ends an event.
+// readEvent reads one event, up to the blank line that ends it.
 func readEvent(reader *bufio.Reader) (serverEvent, error) {
 	var event serverEvent
 	for {
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -13,23 +13,23 @@
 
 // Bounds of the load.
 const (
-	// maxInFlight bounds the requests that run at once.
+	// maxInFlight bounds the number of jobs in progress.
 	maxInFlight = 1024
-	// maxDials bounds the nodes that one request tries to connect to.
+	// maxDials bounds the number of connection attempts of one request.
 	maxDials = 3
 	// maxRetries bounds the retries of a refused request.
 	maxRetries = 2
-	// maxRetryWait bounds the wait before each.
+	// maxRetryWait bounds the wait before each retry.
 	maxRetryWait = 5 * time.Second
 )
 
-// Runner sends the jobs of a load and records them. Records and Skipped may be called
-// while Do runs; Do runs once.
+// Runner sends the jobs of a load and records their requests. Do may be called only once;
+// Records and Skipped may be called while it runs.
 type Runner struct {
-	// Run names the run in the identities of its requests.
+	// Run identifies the run; it is the prefix of the IDs of its requests.
 	Run      string
 	Balancer *Balancer
-	// Now is the clock of the records.
+	// Now is the clock that the times of the records are taken from.
 	Now Elapsed
 
 	client *http.Client
@@ -39,8 +39,9 @@
 	skipped int
 }
 
-// Do sends every job at its time and returns when all have ended. Jobs due
-// after the context's end are left out.
+// Do sends every job at its time and returns when all have ended. It skips a job that is
+// due while maxInFlight jobs are in progress, and sends no more jobs once the context has
+// ended.
 func (runner *Runner) Do(ctx context.Context, load Load) {
 	runner.client = newClient()
 	started := time.Now()
@@ -65,8 +66,8 @@
 	running.Wait()
 }
 
-// sendWithRetries sends one job, and again under new identities while it is refused and
-// its caller comes back.
+// sendWithRetries sends one job, and retries it with a new request ID while shouldRetry
+// holds, up to maxRetries times.
 func (runner *Runner) sendWithRetries(ctx context.Context, id string, job Job) {
 	record := runner.send(ctx, id, "", job)
 	for number := 1; number <= maxRetries && shouldRetry(job, record); number++ {
@@ -78,14 +79,14 @@
 	}
 }
 
-// shouldRetry reports whether a caller repeats a request: only one that has not run,
-// and only when the response named a time to retry.
+// shouldRetry reports whether the caller retries a request: only if it was refused as not
+// run, and the response had a Retry-After header.
 func shouldRetry(job Job, record checker.Request) bool {
 	refused := record.Result == checker.ResultRefused && record.Claim == checker.ClaimNotRun
 	return job.RetriesAfterRefusal && refused && record.RetryAfter > 0
 }
 
-// send makes one request of a job.
+// send sends one request of a job and records it.
 func (runner *Runner) send(ctx context.Context, id, follows string, job Job) checker.Request {
 	if job.LeaveAfter > 0 {
 		left, cancel := context.WithTimeout(ctx, job.LeaveAfter)
@@ -104,7 +105,8 @@
 	return record
 }
 
-// dispatch takes nodes from the balancer until one accepts the connection.
+// dispatch sends the request to the first node from the balancer that accepts a connection,
+// with up to maxDials attempts.
 func (runner *Runner) dispatch(ctx context.Context, call *exchange) {
 	for range maxDials {
 		target, ready := runner.Balancer.Next()
@@ -127,14 +129,15 @@
 	runner.skipped++
 }
 
-// Records returns what has been recorded so far.
+// Records returns the records of all requests that have ended so far.
 func (runner *Runner) Records() []checker.Request {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
 	return append([]checker.Request(nil), runner.records...)
 }
 
-// Skipped counts the jobs that were left out because too many requests ran.
+// Skipped returns the number of jobs that were not sent because maxInFlight jobs were in
+// progress.
 func (runner *Runner) Skipped() int {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
