--- a/internal/lab/workload/doc.go
+++ b/internal/lab/workload/doc.go
@@ -1,8 +1,8 @@
-// Package workload makes seeded streams of requests as the two deployments see
-// them: prompts as ordered chunks with their lengths, tenants of which a few are
-// large, and arrivals at random times of a given mean rate. Equal options give
-// equal streams.
+// Package workload generates seeded streams of requests that model the load of the two
+// deployments: prompts as ordered chunks with their lengths, tenants of which a few are
+// large, and arrivals at random times with a given mean rate. The same mix and options
+// give the same stream.
 //
-// A Mix says what a deployment's requests are like and never changes; a Generator owns
-// the state of one stream, and belongs to one goroutine.
+// A Mix describes a deployment's requests and never changes. A Generator contains the state
+// of one stream and may be used by only one goroutine.
 package workload
--- a/internal/lab/workload/dossier.go
+++ b/internal/lab/workload/dossier.go
@@ -15,15 +15,16 @@
 	documents []prefixindex.Chunk
 }
 
-// dossiers are those of one activity that are in use, the most used ones first.
+// dossiers contains the dossiers of one activity that are in use, by descending weight.
 type dossiers struct {
 	plan   dossierPlan
 	kind   Kind
 	random *rand.Rand
 	active []*dossier
-	// weights are the cumulative weights of the active dossiers, by a Zipf law.
+	// weights are the cumulative weights of the active dossiers, which follow a Zipf
+	// distribution.
 	weights []float64
-	// opened counts the dossiers so far.
+	// opened counts the dossiers that have been opened so far.
 	opened int
 	// drawTenant draws the tenant of a new dossier.
 	drawTenant func() string
@@ -60,8 +61,9 @@
 	})
 }
 
-// use returns the tenant and the documents of one request, which may come with one more
-// document, or be the last one of its dossier.
+// use draws a dossier and returns its tenant and documents for one request. With the
+// plan's probabilities, the request adds a document to the dossier, and a new dossier
+// replaces the drawn one after the request.
 func (d *dossiers) use() (tenant string, documents []prefixindex.Chunk) {
 	rank := d.rank()
 	used := d.active[rank]
@@ -74,7 +76,7 @@
 	return used.tenant, used.documents
 }
 
-// rank draws an active dossier by its weight.
+// rank draws the index of an active dossier with a probability proportional to its weight.
 func (d *dossiers) rank() int {
 	at := d.random.Float64() * d.weights[len(d.weights)-1]
 	for rank, weight := range d.weights {
@@ -85,7 +87,7 @@
 	return len(d.weights) - 1
 }
 
-// draw draws a size of the span, each with the same chance.
+// draw returns a uniformly distributed size of the span.
 func (s span) draw(random *rand.Rand) uint32 {
 	return s.min + random.Uint32N(s.max-s.min+1)
 }
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -10,10 +10,10 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Options choose a stream of a mix.
+// Options select one stream of a mix.
 type Options struct {
 	Seed uint64
-	// Duration bounds the stream; 0 means that it does not end.
+	// Duration bounds the arrival times of the stream; 0 means that it does not end.
 	Duration time.Duration
 	// ModelRate and WebRate are requests per second. 0 means the rate of the mix, and
 	// a negative rate means none.
@@ -21,25 +21,28 @@
 	WebRate   float64
 }
 
-// Generator makes a stream of requests. It isn't safe for concurrent use.
+// Generator generates a stream of requests. It isn't safe for concurrent use.
 type Generator struct {
 	mix     Mix
 	options Options
 	random  *rand.Rand
 
-	// dossiers are those of each activity of the mix.
+	// dossiers contains the dossiers of each activity, in the order of mix.activities.
 	dossiers []*dossiers
-	// requests counts the requests so far.
+	// requests counts the requests that Next has returned.
 	requests int
-	// nextModel and nextWeb are the times of the next requests.
+	// nextModel and nextWeb are the arrival times of the next model request and the next
+	// web request.
 	nextModel time.Duration
 	nextWeb   time.Duration
 }
 
-// requestStream separates the draws of the requests from others of the same seed.
+// requestStream is the second PCG seed word, which makes the random numbers of requests
+// differ from those that other code draws from the same seed.
 const requestStream = 0x10ad
 
-// New returns a stream that begins with its first arrival.
+// New returns a generator at the start of the stream. It returns an error if the rates of
+// both model and web requests are negative.
 func New(mix Mix, options Options) (*Generator, error) {
 	if options.ModelRate == 0 {
 		options.ModelRate = mix.ModelRate
@@ -59,11 +62,11 @@
 	return g, nil
 }
 
-// never is later than any arrival.
+// never is an arrival time later than that of any request.
 const never = time.Duration(1<<63 - 1)
 
-// after draws the time of the next arrival of a Poisson process with a rate a second.
-// A negative rate has none.
+// after draws the time of the next arrival after at in a Poisson process with a rate per
+// second. It returns never for a negative rate.
 func (g *Generator) after(at time.Duration, rate float64) time.Duration {
 	if rate < 0 {
 		return never
@@ -108,7 +111,7 @@
 	}
 }
 
-// prompt returns the chunks of a prompt, the most shared ones first.
+// prompt returns the chunks of a prompt, those that most requests share first.
 func (g *Generator) prompt(activity activity, tenant string, documents []prefixindex.Chunk) []prefixindex.Chunk {
 	chunks := []prefixindex.Chunk{
 		{ID: fmt.Sprintf("%s/system", g.mix.Name), Tokens: g.mix.systemTokens},
@@ -121,8 +124,8 @@
 	})
 }
 
-// useDossier returns the tenant and the documents of a request of an activity. One
-// without dossiers has no documents, and any tenant.
+// useDossier returns the tenant and the documents for a request of the activity at a
+// position. For an activity without dossiers it returns a drawn tenant and no documents.
 func (g *Generator) useDossier(position int) (tenant string, documents []prefixindex.Chunk) {
 	if g.mix.activities[position].dossiers.active == 0 {
 		return g.drawTenant(), nil
@@ -130,7 +133,7 @@
 	return g.dossiers[position].use()
 }
 
-// drawActivity returns the number of an activity, drawn by the fractions of the mix.
+// drawActivity returns the position of an activity, drawn by the fractions of the mix.
 func (g *Generator) drawActivity() int {
 	return drawByFraction(g.random, g.mix.activities, func(activity activity) float64 { return activity.fraction })
 }
@@ -141,7 +144,8 @@
 	return g.mix.Tenants[position].Name
 }
 
-// drawByFraction draws the position of one of several items, whose fractions make 1.
+// drawByFraction returns the position of an item, drawn with the item's fraction as its
+// probability. The fractions must sum to 1.
 func drawByFraction[Item any](random *rand.Rand, items []Item, fractionOf func(Item) float64) int {
 	remaining := random.Float64()
 	for position, item := range items {
--- a/internal/lab/workload/generator_test.go
+++ b/internal/lab/workload/generator_test.go
@@ -27,7 +27,8 @@
 	return lo.Filter(requests, func(request workload.Request, _ int) bool { return request.Kind == kind })
 }
 
-// meanShared returns the mean length of prompts without the callers' own words.
+// meanShared returns the mean length of prompts without their last chunk, the caller's own
+// text.
 func meanShared(requests []workload.Request) uint64 {
 	return lo.MeanBy(requests, func(request workload.Request) uint64 {
 		return request.PromptTokens() - uint64(request.Chunks[len(request.Chunks)-1].Tokens)
@@ -35,12 +36,12 @@
 }
 
 var _ = Describe("Generator", func() {
-	It("makes the same stream for the same seed, and another for another", func() {
+	It("generates equal streams for equal seeds and different streams for different seeds", func() {
 		Expect(stream(workload.HivatalMix(), 3)).To(Equal(stream(workload.HivatalMix(), 3)))
 		Expect(stream(workload.HivatalMix(), 3)).NotTo(Equal(stream(workload.HivatalMix(), 4)))
 	})
 
-	DescribeTable("keeps the mix's rates, in the order of time", func(mix workload.Mix) {
+	DescribeTable("generates requests with unique IDs at the mix's rates, ordered by time", func(mix workload.Mix) {
 		requests := stream(mix, 1)
 		web := lo.CountBy(requests, func(request workload.Request) bool { return request.Web })
 		Expect(float64(web) / 300).To(BeNumerically("~", mix.WebRate, 1.5))
@@ -53,7 +54,7 @@
 		Entry("Hivatal", workload.HivatalMix()),
 		Entry("Lakeshore", workload.LakeshoreMix()))
 
-	DescribeTable("has shares that make a whole", func(mix workload.Mix) {
+	DescribeTable("has eight tenants whose fractions sum to 1", func(mix workload.Mix) {
 		total := lo.SumBy(mix.Tenants, func(tenant workload.Tenant) float64 { return tenant.Fraction })
 		Expect(total).To(BeNumerically("~", 1, 1e-9))
 		Expect(mix.Tenants).To(HaveLen(8))
@@ -61,7 +62,7 @@
 		Entry("Hivatal", workload.HivatalMix()),
 		Entry("Lakeshore", workload.LakeshoreMix()))
 
-	It("has long shared prefixes in summaries, and tagging most often", func() {
+	It("has the longest shared prefixes in summaries, and more tagging requests than others", func() {
 		requests := stream(workload.HivatalMix(), 1)
 		tagging, summaries := ofKind(requests, workload.KindTagging), ofKind(requests, workload.KindCaseSummary)
 		notices := ofKind(requests, workload.KindHearingNotice)
@@ -70,14 +71,14 @@
 		Expect(meanShared(summaries)).To(BeNumerically(">", 3*meanShared(tagging)))
 	})
 
-	It("asks for streams that must not run twice, and for no others", func() {
+	It("marks only streamed requests, and at least one, as not repeatable", func() {
 		requests := stream(workload.HivatalMix(), 1)
 		once := lo.Filter(requests, func(request workload.Request, _ int) bool { return !request.Repeatable })
 		Expect(once).NotTo(BeEmpty())
 		Expect(lo.EveryBy(once, func(request workload.Request) bool { return request.Streamed })).To(BeTrue())
 	})
 
-	It("ends a prompt with words of its own, after parts that others share", func() {
+	It("ends each prompt with a unique chunk, after chunks that other prompts share", func() {
 		summaries := ofKind(stream(workload.HivatalMix(), 1), workload.KindCaseSummary)
 		lasts := lo.Map(summaries, func(request workload.Request, _ int) string { return request.Chunks[len(request.Chunks)-1].ID })
 		firsts := lo.Map(summaries, func(request workload.Request, _ int) string { return request.Chunks[2].ID })
@@ -85,7 +86,7 @@
 		Expect(len(lo.Uniq(firsts))).To(BeNumerically("<", len(summaries)*3/4))
 	})
 
-	It("refuses a stream without any rate", func() {
+	It("returns an error if both rates are negative", func() {
 		_, err := workload.New(workload.HivatalMix(), workload.Options{ModelRate: -1, WebRate: -1})
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/lab/workload/mix.go
+++ b/internal/lab/workload/mix.go
@@ -19,7 +19,7 @@
 type Mix struct {
 	Name    MixName
 	Tenants []Tenant
-	// ModelRate and WebRate are the usual requests per second.
+	// ModelRate and WebRate are the default rates in requests per second.
 	ModelRate float64
 	WebRate   float64
 
@@ -40,17 +40,19 @@
 // caller's own text.
 type activity struct {
 	kind Kind
-	// fraction is that of the model requests which the activity makes; all make 1.
+	// fraction is the activity's fraction of all model requests; the fractions of a mix
+	// sum to 1.
 	fraction float64
-	// instructions is the length of what a tenant tells the model each time, in tokens.
+	// instructions is the length of the tenant's instructions, which are part of every
+	// prompt, in tokens.
 	instructions uint32
 	dossiers     dossierPlan
-	// text is the length of the caller's own words, which differ each time, and output
-	// that of the response, in tokens.
+	// text is the length of the caller's own text, which differs in every request, and
+	// output is the length of the response, both in tokens.
 	text   span
 	output span
-	// streamed is the fraction of streamed requests, and unrepeatable the fraction of
-	// those which must not run twice.
+	// streamed is the fraction of requests that are streamed, and unrepeatable the
+	// fraction of the streamed requests that must not run twice.
 	streamed     float64
 	unrepeatable float64
 	// deadline is the longest time that a caller waits.
@@ -59,23 +61,23 @@
 
 // dossierPlan describes the documents that requests of an activity share.
 type dossierPlan struct {
-	// active is how many dossiers of all tenants are in use at a time; 0 for an
-	// activity without them.
+	// active is the number of dossiers, of all tenants together, that are in use at a
+	// time; 0 for an activity without dossiers.
 	active int
-	// documents and tokens are the count and the length of a new dossier's
-	// documents.
+	// documents is the number of documents of a new dossier, and tokens the length of
+	// each document.
 	documents span
 	tokens    span
-	// skew is the exponent of the Zipf law of the dossiers' use.
+	// skew is the exponent of the Zipf distribution by which requests use dossiers.
 	skew float64
-	// turnover is the chance that a request is the last one of its dossier, after
-	// which another takes its place.
+	// turnover is the probability that a request is the last one of its dossier, which a
+	// new dossier then replaces.
 	turnover float64
-	// growth is the chance that a request comes with one more document.
+	// growth is the probability that a request adds a document to its dossier.
 	growth float64
 }
 
-// webActivity is the fetches from the web service.
+// webActivity describes the requests to the web service.
 type webActivity struct {
 	kind Kind
 	// pages is the number of pages, whose paths begin with prefix. Each is also a file.
@@ -86,7 +88,7 @@
 	deadline time.Duration
 }
 
-// ByName returns a mix.
+// ByName returns the mix with a name, or an error if there is none.
 func ByName(name string) (Mix, error) {
 	switch MixName(name) {
 	case Hivatal:
@@ -97,11 +99,11 @@
 	return Mix{}, errors.Errorf("mix %q is unknown; use %s or %s", name, Hivatal, Lakeshore)
 }
 
-// HivatalMix returns the courts' requests: tagging of single documents comes
-// most often, case summaries have the longest shared prefixes, and hearing
-// notices are checked against the day's list. A case file is 3 to 12 documents
-// of 2,000 to 6,000 tokens, some 50 pages on average, of which clerks and lawyers ask
-// some thirty questions while it is in work; 160 are at a time.
+// HivatalMix returns the mix of the courts: tagging of single documents is the most
+// frequent activity, case summaries have the longest shared prefixes, and hearing notices
+// are checked against the day's list. A case file has 3 to 12 documents of 2,000 to 6,000
+// tokens, about 50 pages on average. Clerks and lawyers ask about 30 questions on a case
+// file while it is in use; 160 case files are in use at a time.
 func HivatalMix() Mix {
 	return Mix{
 		Name: Hivatal,
@@ -150,9 +152,9 @@
 	}
 }
 
-// LakeshoreMix returns the schools' requests: questions about room clashes come
-// most often, term grids and teacher audits share a school's data, and batch
-// jobs draft grids without a stream. Deadlines are tighter and fewer requests
+// LakeshoreMix returns the mix of the schools: questions about room clashes are the most
+// frequent activity, term grids and teacher audits share a school's data, and batch jobs
+// draft term grids without streaming. Deadlines are tighter and fewer requests
 // are streamed than at the courts.
 func LakeshoreMix() Mix {
 	return Mix{
--- a/internal/lab/workload/request.go
+++ b/internal/lab/workload/request.go
@@ -6,7 +6,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// Kind names what a request is for.
+// Kind names the purpose of a request.
 type Kind string
 
 // The kinds of requests.
@@ -25,14 +25,14 @@
 
 // Request is one request of a stream.
 type Request struct {
-	// At is when it is sent: the time since the start of the stream.
+	// At is the time to send the request, counted from the start of the stream.
 	At time.Duration
 	// ID is unique in the stream.
 	ID   string
 	Kind Kind
-	// Tenant is empty for the public.
+	// Tenant is empty for a public caller.
 	Tenant string
-	// Web is set if the request is a fetch of Path from the web service, and has
+	// Web is set if the request fetches Path from the web service; such a request has
 	// no prompt.
 	Web  bool
 	Path string
@@ -40,9 +40,9 @@
 	Chunks       []prefixindex.Chunk
 	OutputTokens uint32
 	Streamed     bool
-	// Repeatable is set if the request may run twice.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Deadline is the longest time that the caller waits.
+	// Deadline is the longest time that the caller waits for the response.
 	Deadline time.Duration
 }
 
@@ -58,7 +58,8 @@
 // Tenant is a tenant of a mix.
 type Tenant struct {
 	Name string
-	// Fraction is that of the model requests which the tenant makes; all make 1.
+	// Fraction is the probability with which the tenant is drawn; the fractions of a mix
+	// sum to 1.
 	Fraction float64
 	// Walled tenants share no cached chunks with others.
 	Walled bool
