--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// editOrder returns the order that applies an edit to the configuration in force, with
-// its revision as the base.
+// editOrder returns the order that applies an edit to the configuration that Present
+// returns, with its revision as the base.
 func (scenario *Scenario) editOrder(ctx context.Context, name string, edit func(*ridgeswitchv1.Configuration)) (Order, error) {
 	present, err := scenario.Present(ctx)
 	if err != nil {
@@ -72,9 +72,10 @@
 	return scenario.RequireAcknowledged(ctx, order)
 }
 
-// Race submits conflicting orders on the same base revision concurrently,
-// starting at different nodes if more than one is live. At least one must be acknowledged; the first acknowledged order
-// is then resent to several nodes, as if the response had been lost.
+// Race submits conflicting orders on the same base revision concurrently, starting at
+// different nodes if more than one is live. It returns an error if none is acknowledged.
+// Otherwise it resends the acknowledged order to several nodes, as if the response had been
+// lost.
 func (scenario *Scenario) Race(ctx context.Context) error {
 	orders, err := scenario.conflictingOrders(ctx)
 	if err != nil {
--- a/internal/lab/operator/changes.go
+++ b/internal/lab/operator/changes.go
@@ -10,7 +10,7 @@
 )
 
 // The orders in this file make a single change each. They name no base revision, so
-// they can't conflict with concurrent orders.
+// that they are not refused because of a concurrent change.
 
 func (scenario *Scenario) header(name string) *ridgeswitchv1.OrderHeader {
 	return &ridgeswitchv1.OrderHeader{OrderId: scenario.OrderID(name)}
--- a/internal/lab/operator/scenario.go
+++ b/internal/lab/operator/scenario.go
@@ -103,7 +103,8 @@
 }
 
 // Run performs every step at its time, or later if earlier steps have not ended by then.
-// A step that fails is recorded, and Run continues with the next one.
+// A step that fails is recorded, and Run continues with the next one. If the context ends,
+// Run records the step that is due next as failed and returns.
 func (scenario *Scenario) Run(ctx context.Context) {
 	started := scenario.Recorder.now()
 	for _, step := range scenario.steps() {
