--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -131,7 +131,7 @@
 		Expect(records[0].Claim).To(Equal(checker.ClaimMayHaveRun))
 	})
 
-	It("retry a refusal that has a Retry-After header with a new request ID", func() {
+	It("retry a refused request with a new request ID after the time in Retry-After", func() {
 		var calls atomic.Int32
 		records := send(caller.Job{RetriesAfterRefusal: true}, func(w http.ResponseWriter, r *http.Request) {
 			if calls.Add(1) > 1 {
