--- a/internal/lab/fleet/disruption_test.go
+++ b/internal/lab/fleet/disruption_test.go
@@ -16,8 +16,8 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// still is a fleet of which nothing runs.
-func still(network *links.Network) (*fleet.Fleet, string) {
+// newUnstartedFleet is a fleet of which nothing runs.
+func newUnstartedFleet(network *links.Network) (*fleet.Fleet, string) {
 	folder := GinkgoT().TempDir()
 	return fleet.New(fleet.Options{Topology: deployment("hivatal").Topology, Folder: folder, Network: network}), folder
 }
@@ -34,7 +34,7 @@
 
 var _ = Describe("a machine", func() {
 	It("moves with its node, and seeds with their names", func() {
-		running, _ := still(nil)
+		running, _ := newUnstartedFleet(nil)
 		before := running.Topology()
 		Expect(running.MoveNode("core-1", "127.1.1.91")).To(Succeed())
 		Expect(settingsOf(running, "core-1").Internal).To(Equal("127.1.1.91:7100"))
@@ -46,7 +46,7 @@
 	})
 
 	It("does not move to where it can't be", func() {
-		running, _ := still(nil)
+		running, _ := newUnstartedFleet(nil)
 		Expect(running.MoveNode("core-1", "elsewhere")).NotTo(Succeed())
 		Expect(running.MoveNode("core-1", "127.1.2.1")).To(MatchError(ContainSubstring("given twice")))
 		Expect(running.MoveSeeds([]string{"missing"})).NotTo(Succeed())
@@ -54,7 +54,7 @@
 	})
 
 	It("loses its disk only while its node does not run", func() {
-		running, folder := still(nil)
+		running, folder := newUnstartedFleet(nil)
 		kept := filepath.Join(settingsOf(running, "core-1").DataFolder, "kept")
 		Expect(filepath.Dir(kept)).To(Equal(running.DataFolder("core-1")))
 		Expect(os.WriteFile(kept, nil, 0o600)).To(Succeed())
@@ -68,7 +68,7 @@
 	})
 
 	It("listens behind the relay where links are held", func() {
-		running, _ := still(links.NewNetwork())
+		running, _ := newUnstartedFleet(links.NewNetwork())
 		settings := settingsOf(running, "core-1")
 		Expect(settings.Internal).To(Equal("127.1.1.1:7100"))
 		Expect(settings.InternalListener()).To(Equal("127.1.1.1:7101"))
@@ -89,11 +89,11 @@
 	})
 })
 
-// oneJob is a load without an end.
-type oneJob struct{}
+// endlessLoad is a load without an end.
+type endlessLoad struct{}
 
 // Next implements caller.Load.
-func (oneJob) Next() (caller.Job, bool) { return caller.Job{Service: "model"}, true }
+func (endlessLoad) Next() (caller.Job, bool) { return caller.Job{Service: "model"}, true }
 
 // script is a script that ends when it is told to.
 type script struct {
@@ -107,7 +107,7 @@
 var _ = Describe("a load beside a script", func() {
 	It("ends with the script", func() {
 		one := &script{end: make(chan struct{})}
-		ending, load := fleet.Beside(one, oneJob{})
+		ending, load := fleet.EndLoadWithScript(one, endlessLoad{})
 		job, more := load.Next()
 		Expect(more).To(BeTrue())
 		Expect(job.Service).To(Equal("model"))
--- a/internal/lab/fleet/ending.go
+++ b/internal/lab/fleet/ending.go
@@ -6,8 +6,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
 )
 
-// loadBeside returns the script, and the load, which ends with the script.
-func loadBeside(script Script, load caller.Load) (Script, caller.Load) {
+// endLoadWithScript returns the script, and the load, which ends with the script.
+func endLoadWithScript(script Script, load caller.Load) (Script, caller.Load) {
 	ending := &endingScript{Script: script, ended: make(chan struct{})}
 	return ending, &endingLoad{Load: load, ended: ending.ended}
 }
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -114,7 +114,7 @@
 		Deployment: experiment.Deployment, Fleet: experiment.Fleet,
 		Recorder: recorder, Plan: experiment.Plan, Clock: experiment.Clock, Log: experiment.Log,
 	})
-	return loadBeside(chosen, experiment.Load)
+	return endLoadWithScript(chosen, experiment.Load)
 }
 
 // collect reads the ground truth, also when the time for the run is up.
@@ -154,12 +154,12 @@
 // awaitConvergence waits until every replica runs the last weights, or until it should
 // have.
 func (experiment *Experiment) awaitConvergence(ctx context.Context, sampler *Sampler, script Script, outcome *Outcome) {
-	calmSince := script.Disturbed()
-	for ctx.Err() == nil && experiment.Clock.Now() < calmSince+convergenceTimeout {
+	disturbedUntil := script.Disturbed()
+	for ctx.Err() == nil && experiment.Clock.Now() < disturbedUntil+convergenceTimeout {
 		if sampler.ReplicasRunning(experiment.Plan.LastWeights) {
 			outcome.Converged = true
-			outcome.ConvergenceTime = max(0, experiment.Clock.Now()-calmSince)
-			pause.For(ctx, calmSince+samplingAfterConvergence-experiment.Clock.Now())
+			outcome.ConvergenceTime = max(0, experiment.Clock.Now()-disturbedUntil)
+			pause.For(ctx, disturbedUntil+samplingAfterConvergence-experiment.Clock.Now())
 			return
 		}
 		pause.For(ctx, convergencePollEvery)
--- a/internal/lab/fleet/export_test.go
+++ b/internal/lab/fleet/export_test.go
@@ -18,5 +18,7 @@
 	return fleet.writeSettings(node)
 }
 
-// Beside returns a script, and a load that ends with it.
-func Beside(script Script, load caller.Load) (Script, caller.Load) { return loadBeside(script, load) }
+// EndLoadWithScript returns a script, and a load that ends with it.
+func EndLoadWithScript(script Script, load caller.Load) (Script, caller.Load) {
+	return endLoadWithScript(script, load)
+}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -35,8 +35,8 @@
 	retryProbability = 0.5
 )
 
-// longestStay is the longest time after which a caller goes away.
-const longestStay = 400 * time.Millisecond
+// maxLeaveAfter is the longest time after which a caller goes away.
+const maxLeaveAfter = 400 * time.Millisecond
 
 // addedKeyUse is the fraction of the load's duration after which callers know the
 // added key. The order that adds it was acknowledged by then.
@@ -107,7 +107,7 @@
 		RetriesAfterRefusal: load.random.Float64() < retryProbability,
 	}
 	if load.random.Float64() < leaveProbability {
-		job.LeaveAfter = time.Duration(load.random.Int64N(int64(longestStay))) + time.Millisecond
+		job.LeaveAfter = time.Duration(load.random.Int64N(int64(maxLeaveAfter))) + time.Millisecond
 	}
 	if request.Web {
 		load.directToWeb(&job, request)
