--- a/internal/lab/fleet/claim.go
+++ b/internal/lab/fleet/claim.go
@@ -6,12 +6,13 @@
 	"github.com/pkg/errors"
 )
 
-// claimPort is listened on at the platform's address while a fleet runs. Deployments
-// use fixed loopback addresses, so that two fleets at once would mix.
+// claimPort is the port on which a running fleet listens at the platform's address, as a
+// lock. Deployments use fixed loopback addresses, so processes of two fleets that run at
+// the same time would connect to each other.
 const claimPort = "7599"
 
-// claim keeps other fleets of the same addresses from starting on this machine
-// until it is closed.
+// claim returns a listener that keeps other fleets with the same platform address from
+// starting on this machine until the listener is closed.
 func claim(topology *Topology) (net.Listener, error) {
 	host, _, err := net.SplitHostPort(topology.Platform.Address)
 	if err != nil {
--- a/internal/lab/fleet/clock.go
+++ b/internal/lab/fleet/clock.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Clock gives the time since a run began. All processes of a fleet share the
-// machine's clock, so that their records can be put in one order.
+// Clock measures the time since the start of a run. All processes of a fleet use the
+// clock of the same machine, so their records can be ordered by time.
 type Clock struct {
 	start time.Time
 }
 
-// NewClock starts a run.
+// NewClock returns a clock for a run that begins now.
 func NewClock() *Clock {
 	return &Clock{start: time.Now()}
 }
@@ -16,7 +16,7 @@
 // Now returns the time since the run began.
 func (clock *Clock) Now() time.Duration { return time.Since(clock.start) }
 
-// At turns a moment into the time since the run began.
+// At converts a moment to the time since the run began.
 func (clock *Clock) At(moment time.Time) time.Duration { return moment.Sub(clock.start) }
 
 // Start returns the moment at which the run began.
--- a/internal/lab/fleet/demonstration.go
+++ b/internal/lab/fleet/demonstration.go
@@ -12,19 +12,20 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// Demonstration is a deployment with a load, to be run and judged.
+// Demonstration is a deployment and a load to run on it. The checker verifies the
+// records of the run.
 type Demonstration struct {
 	Deployment *Deployment
 	Load       LoadOptions
-	// Fleet says how to run the processes; topology, clock and log are filled in.
+	// Fleet says how to run the processes; Perform sets Topology, Clock and Log.
 	Fleet Options
-	// Script is as in Experiment.
+	// Script is passed to Experiment.Script.
 	Script func(Stage) Script
 	Log    *logrus.Entry
 }
 
-// Demonstrate runs a demonstration from the first process to the last and
-// judges it.
+// Demonstrate starts a fleet, runs a demonstration on it, stops the fleet and returns
+// the checked result.
 func Demonstrate(ctx context.Context, demonstration Demonstration) (*Summary, error) {
 	outcome, err := Perform(ctx, demonstration)
 	if err != nil {
@@ -33,7 +34,8 @@
 	return Summarize(demonstration.Deployment.Topology, demonstration.Load.Seed, outcome), nil
 }
 
-// Perform runs a demonstration from the first process to the last.
+// Perform starts a fleet, runs a demonstration on it and stops the fleet. It writes the
+// records of the run to the fleet's folder.
 func Perform(ctx context.Context, demonstration Demonstration) (*Outcome, error) {
 	deployment := demonstration.Deployment
 	plan, err := NewPlan(deployment, demonstration.Load.Seed, demonstration.Load.Duration)
@@ -51,7 +53,7 @@
 	running := New(options)
 	defer func() {
 		if late := running.Stop(); len(late) > 0 {
-			demonstration.Log.WithField("nodes", late).Warn("nodes did not end by themselves and were killed")
+			demonstration.Log.WithField("nodes", late).Warn("nodes did not exit in time after SIGTERM and were killed")
 		}
 	}()
 	if err := running.Start(ctx); err != nil {
--- a/internal/lab/fleet/disruption.go
+++ b/internal/lab/fleet/disruption.go
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 )
 
-// nodeStopTimeout is how long a node may take to end after SIGTERM: its drain
-// time, the notice to balancers before it, and a busy machine.
+// nodeStopTimeout is how long a node may take to exit after SIGTERM. It covers the drain
+// timeout, the notice to load balancers before the drain, and delays on a busy machine.
 const nodeStopTimeout = drainTimeoutMS*time.Millisecond + 7*time.Second
 
-// KillNode ends a node at once, as a power loss would.
+// KillNode kills a node without a shutdown, as a power loss would.
 func (fleet *Fleet) KillNode(name string) error {
 	process, err := fleet.processes.runningNode(name)
 	if err != nil {
@@ -23,32 +23,32 @@
 	return nil
 }
 
-// RestartNode starts a node again on the data that it left.
+// RestartNode starts a stopped node again with its existing data folder.
 func (fleet *Fleet) RestartNode(name string) error {
 	node, known := fleet.Topology().Node(name)
 	if !known {
 		return errors.Errorf("the topology has no node %s", name)
 	}
 	if fleet.processes.running(name) != nil {
-		return errors.Errorf("node %s runs already", name)
+		return errors.Errorf("node %s is already running", name)
 	}
 	return fleet.StartNode(node)
 }
 
-// StopNode signals a node to end and returns when it has. A node that does not end
-// by itself in time is killed, which is an error, as a failure is.
+// StopNode sends SIGTERM to a node and waits until it has exited. It returns an error if
+// the node exits with a failure, or does not exit within nodeStopTimeout and is killed.
 func (fleet *Fleet) StopNode(name string) error {
 	process, err := fleet.processes.runningNode(name)
 	if err != nil {
 		return err
 	}
 	if !process.Terminate(nodeStopTimeout) {
-		return errors.Errorf("node %s did not end by itself within %v", name, nodeStopTimeout)
+		return errors.Errorf("node %s did not exit within %v after SIGTERM and was killed", name, nodeStopTimeout)
 	}
-	return errors.Wrapf(process.Err(), "node %s ended", name)
+	return errors.Wrapf(process.Err(), "node %s exited with a failure", name)
 }
 
-// FreezeNode stops a node's process where it is.
+// FreezeNode suspends a node's process with SIGSTOP.
 func (fleet *Fleet) FreezeNode(name string) error {
 	process, err := fleet.processes.runningNode(name)
 	if err != nil {
@@ -68,14 +68,15 @@
 	return nil
 }
 
-// LoseDisk removes all that a node kept, which must not run.
+// LoseDisk removes the data folder of a node, as the loss of its disk would. The node
+// must not be running.
 func (fleet *Fleet) LoseDisk(name string) error {
 	node, known := fleet.Topology().Node(name)
 	if !known || !node.Disk {
 		return errors.Errorf("the topology has no node %s with a disk", name)
 	}
 	if fleet.processes.running(name) != nil {
-		return errors.Errorf("node %s runs; kill it first", name)
+		return errors.Errorf("node %s is running; kill it first", name)
 	}
 	return errors.Wrap(os.RemoveAll(dataFolder(node, fleet.options.Folder)), "remove a data folder")
 }
@@ -85,17 +86,17 @@
 	return dataFolder(Node{Name: name}, fleet.options.Folder)
 }
 
-// MoveNode gives a node, which must not run, a machine at another address. It
-// is the seed that it was.
+// MoveNode changes the address of a node, which must not be running. The node keeps its
+// name, so it remains a seed if it was one.
 func (fleet *Fleet) MoveNode(name, address string) error {
 	if fleet.processes.running(name) != nil {
-		return errors.Errorf("node %s runs; kill it first", name)
+		return errors.Errorf("node %s is running; kill it first", name)
 	}
 	if fleet.options.Network != nil {
-		return errors.New("machines do not move where links are held: relays stand at the addresses of the start")
+		return errors.New("nodes cannot move to other addresses while a link network relays their traffic: the relays listen at the initial addresses")
 	}
 	if _, err := netip.ParseAddr(address); err != nil {
-		return errors.Wrap(err, "move a node")
+		return errors.Wrapf(err, "parse the new address of node %s", name)
 	}
 	return fleet.change(func(topology *Topology) {
 		for number := range topology.Nodes {
@@ -106,12 +107,12 @@
 	})
 }
 
-// MoveSeeds names other seeds, of which nodes learn when they start again.
+// MoveSeeds replaces the list of seeds. A node gets the new list when it is started again.
 func (fleet *Fleet) MoveSeeds(seeds []string) error {
 	return fleet.change(func(topology *Topology) { topology.Seeds = seeds })
 }
 
-// change replaces the topology by a changed copy.
+// change replaces the topology with an edited copy if the copy is valid.
 func (fleet *Fleet) change(edit func(*Topology)) error {
 	changed := *fleet.Topology()
 	changed.Nodes = append([]Node(nil), changed.Nodes...)
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// AwaitNode returns when a node is ready.
+// AwaitNode waits until a node is ready.
 func (fleet *Fleet) AwaitNode(ctx context.Context, name string) error {
 	node, known := fleet.Topology().Node(name)
 	if !known {
--- a/internal/lab/fleet/disruption_test.go
+++ b/internal/lab/fleet/disruption_test.go
@@ -16,7 +16,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// newUnstartedFleet is a fleet of which nothing runs.
+// newUnstartedFleet returns a fleet without running processes, and its folder.
 func newUnstartedFleet(network *links.Network) (*fleet.Fleet, string) {
 	folder := GinkgoT().TempDir()
 	return fleet.New(fleet.Options{Topology: deployment("hivatal").Topology, Folder: folder, Network: network}), folder
@@ -33,7 +33,7 @@
 }
 
 var _ = Describe("a machine", func() {
-	It("moves with its node, and seeds with their names", func() {
+	It("changes its address, and nodes get the new addresses of seeds by name", func() {
 		running, _ := newUnstartedFleet(nil)
 		before := running.Topology()
 		Expect(running.MoveNode("core-1", "127.1.1.91")).To(Succeed())
@@ -42,10 +42,10 @@
 		Expect(running.MoveSeeds([]string{"front-9", "core-1"})).To(Succeed())
 		Expect(settingsOf(running, "front-1").Seeds).To(Equal([]string{"127.1.4.12:7100", "127.1.1.91:7100"}))
 		node, _ := before.Node("core-1")
-		Expect(node.Address).To(Equal("127.1.1.1"), "who reads the former topology must not see it change")
+		Expect(node.Address).To(Equal("127.1.1.1"), "a topology that was read before the move must not change")
 	})
 
-	It("does not move to where it can't be", func() {
+	It("does not move to an invalid or used address, and unknown seeds are refused", func() {
 		running, _ := newUnstartedFleet(nil)
 		Expect(running.MoveNode("core-1", "elsewhere")).NotTo(Succeed())
 		Expect(running.MoveNode("core-1", "127.1.2.1")).To(MatchError(ContainSubstring("given twice")))
@@ -53,7 +53,7 @@
 		Expect(settingsOf(running, "core-1").Internal).To(Equal("127.1.1.1:7100"))
 	})
 
-	It("loses its disk only while its node does not run", func() {
+	It("loses its disk only if it has one, and refuses process signals while its node is not running", func() {
 		running, folder := newUnstartedFleet(nil)
 		kept := filepath.Join(settingsOf(running, "core-1").DataFolder, "kept")
 		Expect(filepath.Dir(kept)).To(Equal(running.DataFolder("core-1")))
@@ -67,7 +67,7 @@
 		}
 	})
 
-	It("listens behind the relay where links are held", func() {
+	It("listens behind the relay and cannot move when a link network is used", func() {
 		running, _ := newUnstartedFleet(links.NewNetwork())
 		settings := settingsOf(running, "core-1")
 		Expect(settings.Internal).To(Equal("127.1.1.1:7100"))
@@ -77,7 +77,7 @@
 })
 
 var _ = Describe("a frozen process", func() {
-	It("still ends by itself when it is asked to", func() {
+	It("exits by itself after Terminate", func() {
 		folder := GinkgoT().TempDir()
 		script := filepath.Join(folder, "patient")
 		Expect(os.WriteFile(script, []byte("#!/bin/sh\ntrap 'exit 0' TERM\nwhile :; do read line < \"$0.never\"; done\n"), 0o755)).To(Succeed())
@@ -89,13 +89,13 @@
 	})
 })
 
-// endlessLoad is a load without an end.
+// endlessLoad is a load that returns the same job without end.
 type endlessLoad struct{}
 
 // Next implements caller.Load.
 func (endlessLoad) Next() (caller.Job, bool) { return caller.Job{Service: "model"}, true }
 
-// script is a script that ends when it is told to.
+// script is a script whose Run returns when the channel end is closed.
 type script struct {
 	fleet.Script
 	end chan struct{}
@@ -104,7 +104,7 @@
 // Run implements fleet.Script.
 func (one *script) Run(context.Context) { <-one.end }
 
-var _ = Describe("a load beside a script", func() {
+var _ = Describe("a load that runs with a script", func() {
 	It("ends with the script", func() {
 		one := &script{end: make(chan struct{})}
 		ending, load := fleet.EndLoadWithScript(one, endlessLoad{})
--- a/internal/lab/fleet/doc.go
+++ b/internal/lab/fleet/doc.go
@@ -1,12 +1,12 @@
-// Package fleet runs a whole deployment as processes of one machine, each on an
-// address of its own in 127.0.0.0/8: nodes and the stand-ins of everything that
-// nodes talk to. It watches what the nodes serve and what the platform lists,
-// and reads at the end what the stand-ins recorded.
+// Package fleet runs a whole deployment as processes on one machine, each with its own
+// address in 127.0.0.0/8: the nodes, and stand-ins for the services that nodes connect
+// to. It samples which configuration the nodes serve and what the platform lists, and
+// at the end reads the records of the stand-ins.
 //
-// A fleet ends only processes that it started, by their identity, and ends all
-// of them when it stops.
+// A fleet signals only processes that it started and has not yet waited for, and ends
+// all of them when it stops.
 //
-// A Fleet may be used from several goroutines once it has started: its processes are
-// behind a lock, and its topology is replaced as a whole. Only one goroutine at a time
-// may move machines or seeds.
+// A Fleet is safe for concurrent use once it has started: a lock guards its processes,
+// and its topology is replaced as a whole. Only one goroutine at a time may move
+// machines or seeds.
 package fleet
--- a/internal/lab/fleet/ending.go
+++ b/internal/lab/fleet/ending.go
@@ -6,13 +6,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
 )
 
-// endLoadWithScript returns the script, and the load, which ends with the script.
+// endLoadWithScript wraps a script and a load so that the load ends when the script has ended.
 func endLoadWithScript(script Script, load caller.Load) (Script, caller.Load) {
 	ending := &endingScript{Script: script, ended: make(chan struct{})}
 	return ending, &endingLoad{Load: load, ended: ending.ended}
 }
 
-// endingScript tells when its script has ended.
+// endingScript closes ended when its script has ended.
 type endingScript struct {
 	Script
 	ended chan struct{}
--- a/internal/lab/fleet/experiment.go
+++ b/internal/lab/fleet/experiment.go
@@ -15,33 +15,35 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/pause"
 )
 
-// Bounds of an experiment beside its load.
+// Time limits of an experiment, apart from the duration of its load, and its first revision.
 const (
-	// setupTimeout bounds the start up to the first served request.
+	// setupTimeout bounds the time until all running nodes serve the first configuration.
 	setupTimeout = 25 * time.Second
-	// convergenceTimeout is how long the deployment gets after the last change. It
-	// exceeds the bound on a roll-out, so that a late one is seen as such.
+	// convergenceTimeout is how long the deployment has to converge after the last
+	// disturbance. It exceeds the bound on a weight roll-out, so that a run records a
+	// roll-out that exceeds its bound.
 	convergenceTimeout = checker.WeightsBound + time.Second
 	// convergencePollEvery is the time between two checks whether the replicas converged.
 	convergencePollEvery = 100 * time.Millisecond
-	// samplingAfterConvergence is how long the samples go on once all replicas have converged, so that
-	// the newest configuration is due everywhere before they end.
+	// samplingAfterConvergence is how long sampling continues after the last disturbance even if
+	// all replicas have converged, so that the samples cover the time by which every node
+	// must serve the newest configuration.
 	samplingAfterConvergence = checker.ServedBound + time.Second
-	// firstRevision is the base of the first configuration.
+	// firstRevision is the base revision of the order that applies the first configuration.
 	firstRevision = 0
 )
 
-// Script is what happens during a run beside the load.
+// Script performs faults and changes while the load runs.
 type Script interface {
-	// Run returns when all is done, or at the context's end.
+	// Run performs all steps. It returns early when the context ends.
 	Run(ctx context.Context)
-	// Disturbed returns when the last fault or change ended.
+	// Disturbed returns the time at which the last fault or change ended.
 	Disturbed() time.Duration
-	// Failures returns what could not be done.
+	// Failures returns the errors of the steps that could not be performed.
 	Failures() []error
 }
 
-// Stage is what a script acts on.
+// Stage contains what a script needs to act on a run.
 type Stage struct {
 	Deployment *Deployment
 	Fleet      *Fleet
@@ -59,26 +61,26 @@
 	Plan       operator.Plan
 	Load       caller.Load
 	Log        *logrus.Entry
-	// Script returns what happens beside the load, which then ends with it; nil
-	// stands for the scenario of the plan, beside the whole load.
+	// Script returns the script to run; the load then ends with the script. If Script is
+	// nil, the scenario of the plan runs with the whole load.
 	Script func(Stage) Script
 }
 
-// Outcome is what an experiment found.
+// Outcome is the result of an experiment.
 type Outcome struct {
 	Records *checker.Records
-	// Skipped counts requests that were not sent since too many ran.
+	// Skipped counts requests that were not sent because too many were in flight.
 	Skipped int
 	// ConvergenceTime is the time from the last disturbance until every replica
 	// ran the last weights; Converged reports whether all of them did.
 	ConvergenceTime time.Duration
 	Converged       bool
-	// Failures are the steps of the scenario that could not be done.
+	// Failures are the errors of the script's steps that could not be performed.
 	Failures []error
 }
 
-// Run runs the experiment on a fleet that has been started. Callers bound it by
-// the context.
+// Run runs the experiment on a fleet that has been started. The caller limits
+// its duration with the context.
 func (experiment *Experiment) Run(ctx context.Context) (*Outcome, error) {
 	recorder := operator.NewRecorder(experiment.Clock.Now)
 	if err := experiment.configure(ctx, recorder); err != nil {
@@ -102,7 +104,7 @@
 	return outcome, experiment.collect(ctx, outcome.Records)
 }
 
-// script returns what is to happen, and the load beside it.
+// script returns the script of the run and the load that runs with it.
 func (experiment *Experiment) script(recorder *operator.Recorder) (Script, caller.Load) {
 	if experiment.Script == nil {
 		return &operator.Scenario{
@@ -117,14 +119,14 @@
 	return endLoadWithScript(chosen, experiment.Load)
 }
 
-// collect reads the ground truth, also when the time for the run is up.
+// collect reads the records of the stand-ins, even if the context of the run has ended.
 func (experiment *Experiment) collect(ctx context.Context, records *checker.Records) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), collectTimeout)
 	defer cancel()
 	return experiment.Fleet.Collect(ctx, records)
 }
 
-// configure applies the first configuration and waits until all nodes serve it.
+// configure applies the first configuration and waits until all running nodes are ready.
 func (experiment *Experiment) configure(ctx context.Context, recorder *operator.Recorder) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
@@ -139,7 +141,7 @@
 	return errors.Wrap(experiment.Fleet.AwaitReady(ctx), "wait for the nodes to serve the first configuration")
 }
 
-// watch has the sampler and the balancer run while act does.
+// watch runs the sampler and the balancer until act returns.
 func (experiment *Experiment) watch(ctx context.Context, sampler *Sampler, balancer *caller.Balancer, act func()) {
 	balancer.Poll(ctx)
 	ctx, stop := context.WithCancel(ctx)
@@ -151,8 +153,8 @@
 	watching.Wait()
 }
 
-// awaitConvergence waits until every replica runs the last weights, or until it should
-// have.
+// awaitConvergence waits until every listed replica that is not draining runs the last
+// weights, or until convergenceTimeout after the last disturbance.
 func (experiment *Experiment) awaitConvergence(ctx context.Context, sampler *Sampler, script Script, outcome *Outcome) {
 	disturbedUntil := script.Disturbed()
 	for ctx.Err() == nil && experiment.Clock.Now() < disturbedUntil+convergenceTimeout {
@@ -166,7 +168,7 @@
 	}
 }
 
-// records returns what was recorded of the run, but for the ground truth.
+// records returns the records of the run except those of the stand-ins, which collect adds.
 func (experiment *Experiment) records(recorder *operator.Recorder, runner *caller.Runner, sampler *Sampler, script Script) *checker.Records {
 	end := experiment.Clock.Now()
 	records := &checker.Records{
--- a/internal/lab/fleet/export_test.go
+++ b/internal/lab/fleet/export_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/ridgeswitch/ridgeswitch/internal/lab/caller"
 
-// What the tests reach beside the exported interface.
+// Unexported functions that the tests use.
 var (
 	StartProcess = startProcess
 )
@@ -18,7 +18,7 @@
 	return fleet.writeSettings(node)
 }
 
-// EndLoadWithScript returns a script, and a load that ends with it.
+// EndLoadWithScript wraps a script and a load so that the load ends when the script has ended.
 func EndLoadWithScript(script Script, load caller.Load) (Script, caller.Load) {
 	return endLoadWithScript(script, load)
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -14,13 +14,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/links"
 )
 
-// Bounds of a fleet's start and end.
+// Times for the start and the stop of a fleet.
 const (
-	// startTimeout bounds the wait for one process to answer.
+	// startTimeout bounds the wait for one process to answer its probe.
 	startTimeout = 20 * time.Second
 	// pollEvery is how often a starting process is polled.
 	pollEvery = 50 * time.Millisecond
-	// stopTimeout is how long processes may take to finish by themselves.
+	// stopTimeout is how long a process may take to exit after SIGTERM before it is killed.
 	stopTimeout = 5 * time.Second
 )
 
@@ -33,15 +33,15 @@
 // Options say how to run a fleet.
 type Options struct {
 	Topology *Topology
-	// NodeBinary runs nodes, LabBinary the stand-ins.
+	// NodeBinary is the program of the nodes, LabBinary that of the stand-ins.
 	NodeBinary string
 	LabBinary  string
-	// Folder takes settings, data and logs.
+	// Folder is where settings, data and logs are written.
 	Folder string
-	// Network relays what nodes send each other; nil lets them reach each other
-	// without it.
+	// Network relays the traffic between nodes. If it is nil, nodes connect to each
+	// other directly.
 	Network *links.Network
-	// TimeScale is how many times faster than a real machine replicas compute.
+	// TimeScale is the factor by which replicas compute faster than a real machine.
 	TimeScale float64
 	Seed      uint64
 	Clock     *Clock
@@ -60,18 +60,18 @@
 	forwarders []*links.Forwarder
 }
 
-// New returns a fleet of which nothing runs yet.
+// New returns a fleet whose processes have not been started.
 func New(options Options) *Fleet {
 	fleet := &Fleet{options: options, probe: &http.Client{Timeout: time.Second}, processes: &processTable{folder: options.Folder}}
 	fleet.topology.Store(options.Topology)
 	return fleet
 }
 
-// Topology returns the machines as they are now. It must not be changed.
+// Topology returns the current topology. The caller must not modify it.
 func (fleet *Fleet) Topology() *Topology { return fleet.topology.Load() }
 
-// Start starts every process and returns when all of them answer. Nodes are
-// alive then, but serve nothing before they have a configuration. The caller
+// Start starts every process and waits until all of them answer. Nodes are then live,
+// but serve no requests until they have a configuration. The caller
 // stops the fleet whether or not Start succeeds.
 func (fleet *Fleet) Start(ctx context.Context) error {
 	claimed, err := claim(fleet.options.Topology)
@@ -106,8 +106,9 @@
 	return fleet.awaitNodes(ctx, livePath)
 }
 
-// initialise marks the empty folders of the nodes with disks as those of
-// founding members, as operators do when a deployment is first set up.
+// initialise runs the init command for each node with a disk. The command marks the
+// empty data folder as that of a founding member, as operators do when they set up a
+// new deployment.
 func (fleet *Fleet) initialise(ctx context.Context) error {
 	for _, node := range fleet.Topology().Nodes {
 		if !node.Disk {
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// forward starts a relay at the address that each node tells the others.
+// forward starts a relay at the internal address that each node advertises to the others.
 func (fleet *Fleet) forward(ctx context.Context) error {
 	if fleet.options.Network == nil {
 		return nil
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// StartNode starts a node, or starts it again on the data that it left.
+// StartNode starts a node, or starts it again with its existing data folder.
 func (fleet *Fleet) StartNode(node Node) error {
 	path, err := fleet.writeSettings(node)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return err
 }
 
-// AwaitReady returns when every node that runs is ready.
+// AwaitReady waits until every running node is ready.
 func (fleet *Fleet) AwaitReady(ctx context.Context) error {
 	return fleet.awaitNodes(ctx, readyPath)
 }
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// await polls an address until it answers with success.
+// await polls a URL of a process until it answers with status 200, the process has ended
+// or startTimeout has passed.
 func (fleet *Fleet) await(ctx context.Context, name, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -188,7 +190,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("%s did not answer %s in time; see %s.log in %s", name, url, name, fleet.options.Folder)
+			return errors.Errorf("%s did not answer %s with status 200 in time; see %s.log in %s", name, url, name, fleet.options.Folder)
 		case <-process.Done():
 		case <-ticker.C:
 		}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -73,7 +73,7 @@
 		Expect(jobs(1)).NotTo(Equal(jobs(2)))
 	})
 
-	It("holds revoked keys, early leavers, streams and pages", func() {
+	It("contains requests with revoked keys, early disconnects, streams and web requests", func() {
 		all := jobs(1)
 		Expect(len(all)).To(BeNumerically("~", 780, 150))
 		Expect(lo.CountBy(all, func(job caller.Job) bool { return job.Key == "spare" })).To(BeNumerically(">", 20))
@@ -101,14 +101,14 @@
 })
 
 var _ = Describe("a fleet", func() {
-	It("ends what it started when a process does not come up", func() {
+	It("ends its processes when one of them exits during the start", func() {
 		shell, err := exec.LookPath("sh")
 		Expect(err).NotTo(HaveOccurred())
 		folder := GinkgoT().TempDir()
-		// Each stand-in notes its process number and ends, since sh does not know
-		// the commands that it is given.
+		// Each stand-in exits with an error, because sh cannot open a script with the name
+		// of the command.
 		topology := deployment("hivatal").Topology
-		// A fleet of the real addresses may be running beside the tests.
+		// A fleet with the deployment's own addresses may be running during the tests.
 		topology.Platform.Address = "127.5.254.1:7500"
 		running := fleet.New(fleet.Options{
 			Topology: topology, LabBinary: shell,
@@ -125,7 +125,7 @@
 		Expect(logs).NotTo(BeEmpty())
 	})
 
-	It("ends a process at once, and one that does not listen when its time is up", func() {
+	It("kills a process that has not exited after SIGTERM within the timeout", func() {
 		folder := GinkgoT().TempDir()
 		script := filepath.Join(folder, "deaf")
 		Expect(os.WriteFile(script, []byte("#!/bin/sh\ntrap '' TERM\nread line < \"$0.never\"\n"), 0o755)).To(Succeed())
--- a/internal/lab/fleet/ground_truth.go
+++ b/internal/lab/fleet/ground_truth.go
@@ -16,21 +16,21 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/webservice"
 )
 
-// Paths at which stand-ins tell what they recorded, as JSON lines.
+// Paths at which stand-ins serve their records as JSON lines.
 const (
 	executionsPath = "/lab/executions"
 	commandsPath   = "/lab/commands"
 )
 
-// Bounds of the collection.
+// Limits of the collection.
 const (
 	// collectTimeout bounds the whole collection.
 	collectTimeout = 5 * time.Second
-	// maxCollectBytes bounds what is read of one stand-in.
+	// maxCollectBytes bounds the size of one response of a stand-in.
 	maxCollectBytes = 256 << 20
 )
 
-// Collect reads from every stand-in what it recorded.
+// Collect adds the records of all replicas and web service back ends to records.
 func (fleet *Fleet) Collect(ctx context.Context, records *checker.Records) error {
 	client := &http.Client{Timeout: collectTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, member := range fleet.options.Topology.Replicas.Members {
@@ -74,8 +74,9 @@
 	return nil
 }
 
-// execution turns a stand-in's record into the checker's. What has not started
-// when the run is over cannot start any more, since its callers are gone.
+// execution converts a stand-in's record to the checker's. An execution that has not
+// started when the run is over counts as refused: it cannot start any more, because its
+// callers have disconnected.
 func (fleet *Fleet) execution(record replica.ExecutionRecord) checker.Execution {
 	return checker.Execution{
 		RequestID:     record.RequestID,
@@ -96,8 +97,8 @@
 	}
 }
 
-// collectPages reads the requests to one back end of a web service. Pages belong to
-// no tenant, so that only the attempts matter.
+// collectPages reads the requests to one back end of a web service. Web
+// requests have no tenant, so only their attempts are recorded.
 func (fleet *Fleet) collectPages(ctx context.Context, client *http.Client, group WebGroup, member Backend, records *checker.Records) error {
 	visits, err := lines[webservice.VisitRecord](ctx, client, member.Address, executionsPath)
 	if err != nil {
@@ -119,12 +120,12 @@
 	return nil
 }
 
-// at returns the time since the run began, of a time since 1970 in nanoseconds.
+// at converts a Unix time in nanoseconds to the time since the run began.
 func (fleet *Fleet) at(unixNano int64) time.Duration {
 	return fleet.options.Clock.At(time.Unix(0, unixNano))
 }
 
-// lines reads JSON values, a line each.
+// lines reads a sequence of JSON values, one per line, from an HTTP server.
 func lines[T any](ctx context.Context, client *http.Client, address, path string) ([]T, error) {
 	body, err := get(ctx, client, address, path, maxCollectBytes)
 	if err != nil {
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -14,7 +14,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/workload"
 )
 
-// Names of the keys that every tenant of a deployment begins with.
+// Names of keys. Every tenant of a deployment has the main and the spare key at the start.
 const (
 	mainKey  = "main"
 	spareKey = "spare"
@@ -24,22 +24,25 @@
 
 // Probabilities of what a caller does, from 0 to 1.
 const (
-	// spareKeyProbability is that of using the tenant's spare key, also after it was
-	// revoked.
+	// spareKeyProbability is the probability that a request of the tenant whose spare key
+	// is revoked uses that key, before as well as after the revocation.
 	spareKeyProbability = 0.4
-	// addedKeyProbability is that of using the added key.
+	// addedKeyProbability is the probability that a request of the tenant with the added
+	// key uses that key once callers know it.
 	addedKeyProbability = 0.2
-	// leaveProbability is that of going away before the response is complete.
+	// leaveProbability is the probability that a caller gets a time after which it
+	// disconnects, even if the response is not complete.
 	leaveProbability = 0.03
-	// retryProbability is that of a retry after a refusal.
+	// retryProbability is the probability that a caller retries after a refusal.
 	retryProbability = 0.5
 )
 
-// maxLeaveAfter is the longest time after which a caller goes away.
+// maxLeaveAfter bounds the random time after which a caller disconnects, to which 1 ms is
+// added.
 const maxLeaveAfter = 400 * time.Millisecond
 
-// addedKeyUse is the fraction of the load's duration after which callers know the
-// added key. The order that adds it was acknowledged by then.
+// addedKeyUse is the fraction of the load's duration after which callers use the
+// added key. The order that adds the key has been acknowledged by then.
 const addedKeyUse = 0.3
 
 // Secret returns the secret of a key of the demonstration. Anybody can derive
@@ -48,7 +51,7 @@
 	return fmt.Sprintf("demo-%s-%s-%s", deployment, tenant, key)
 }
 
-// LoadOptions choose a load.
+// LoadOptions are the parameters of a load.
 type LoadOptions struct {
 	Seed     uint64
 	Duration time.Duration
@@ -56,7 +59,7 @@
 	ModelRate float64
 }
 
-// load turns a stream of the deployment's mix into jobs of callers.
+// load converts the generated requests of the deployment's workload mix to jobs of callers.
 type load struct {
 	deployment *Deployment
 	plan       operator.Plan
@@ -65,14 +68,15 @@
 	random     *rand.Rand
 }
 
-// callerStream separates the draws of the callers from others of the same seed.
+// callerStream is the PCG stream of the callers' random choices. It keeps them independent
+// of other generators with the same seed.
 const callerStream = 0xca11
 
 // NewLoad returns the load of a deployment. The plan says which keys change
 // while it runs.
 func NewLoad(deployment *Deployment, plan operator.Plan, options LoadOptions) (caller.Load, error) {
 	if len(deployment.Configuration.GetPools()) != 1 || len(deployment.Configuration.GetRoutes()) != 2 {
-		return nil, errors.New("a deployment needs one pool, and a route each to the pool and to the web service")
+		return nil, errors.New("a deployment needs one pool and two routes: one to the pool and one to the web service")
 	}
 	mix, err := workload.ByName(deployment.Topology.Name)
 	if err != nil {
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -14,7 +14,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/operator"
 )
 
-// Versions that the scenario names after the one that replicas begin with.
+// Weight versions that the scenario rolls out after the initial one.
 const (
 	firstWeights = "v2"
 	lastWeights  = "v3"
@@ -26,10 +26,11 @@
 // changedTenants is how many unwalled tenants the scenario needs.
 const changedTenants = 3
 
-// planStream separates the draws of the scenario's choices from others of the same seed.
+// planStream is the PCG stream of the scenario's random choices. It keeps them independent
+// of other generators with the same seed.
 const planStream = 0x91a4
 
-// NewPlan chooses by a seed what the scenario acts on.
+// NewPlan uses the seed to choose the nodes, replicas, keys and tenants of the scenario.
 func NewPlan(deployment *Deployment, seed uint64, duration time.Duration) (operator.Plan, error) {
 	topology := deployment.Topology
 	open := lo.Filter(deployment.Configuration.GetTenants(), func(tenant *ridgeswitchv1.Tenant, _ int) bool {
@@ -44,7 +45,7 @@
 	evacuated := members[len(members)-1].Zone
 	staying := lo.Filter(members, func(member Backend, _ int) bool { return member.Zone != evacuated })
 	if len(staying) == 0 {
-		return operator.Plan{}, errors.New("a scenario needs replicas in two zones")
+		return operator.Plan{}, errors.New("a scenario needs replicas in at least two zones")
 	}
 	random.Shuffle(len(staying), func(i, j int) { staying[i], staying[j] = staying[j], staying[i] })
 	disturbed := lo.Map(staying[1:min(1+disturbedReplicas, len(staying))],
@@ -70,7 +71,7 @@
 	}, nil
 }
 
-// digest returns what a configuration holds of a secret.
+// digest returns the hexadecimal SHA-256 digest of a secret, as a configuration stores it.
 func digest(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// ProcessKind tells what a process stands for.
+// ProcessKind is the role of a process in a fleet.
 type ProcessKind string
 
 // The kinds of processes.
@@ -37,8 +37,8 @@
 	err   error
 }
 
-// startProcess starts a program whose output goes to a file of the folder. A
-// further process of the same name appends to the same file.
+// startProcess starts a program and appends its output to a log file in the folder. Processes
+// of the same name share the log file.
 func startProcess(kind ProcessKind, name, folder, binary string, arguments ...string) (*Process, error) {
 	path := filepath.Join(folder, name+".log")
 	log, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -48,9 +48,9 @@
 	command := exec.Command(binary, arguments...)
 	command.Stdout = log
 	command.Stderr = log
-	// A group of its own keeps the terminal's interrupt from reaching it before
-	// the fleet has recorded how the run ended.
-	// Should the lab itself be killed, the system ends what it started.
+	// A process group of its own keeps an interrupt of the terminal from reaching the
+	// process before the fleet has recorded how the run ended. Pdeathsig makes the kernel
+	// kill the process if the lab itself is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	process := &Process{
 		Name: name, Kind: kind, Started: time.Now(), command: command, log: log,
@@ -77,7 +77,7 @@
 // Done is closed when the process has ended.
 func (process *Process) Done() <-chan struct{} { return process.done }
 
-// Ended returns when the process ended, or false while it runs.
+// Ended returns the time at which the process ended, or false while it runs.
 func (process *Process) Ended() (time.Time, bool) {
 	process.lock.Lock()
 	defer process.lock.Unlock()
@@ -91,28 +91,28 @@
 	return process.err
 }
 
-// signal sends a signal unless the process has been waited for, so that it can
-// never reach a stranger that got the same number.
+// signal sends a signal unless the process has been waited for, so that the signal never
+// reaches an unrelated process that got the same process ID.
 func (process *Process) signal(signal os.Signal) {
 	if _, ended := process.Ended(); !ended {
 		_ = process.command.Process.Signal(signal)
 	}
 }
 
-// Freeze stops the process where it is, as a machine that is suspended.
+// Freeze suspends the process with SIGSTOP, as on a suspended machine.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
 // Thaw resumes a frozen process.
 func (process *Process) Thaw() { process.signal(syscall.SIGCONT) }
 
-// Kill ends the process at once and returns when it is gone.
+// Kill sends SIGKILL and waits until the process has ended.
 func (process *Process) Kill() {
 	process.signal(syscall.SIGKILL)
 	<-process.done
 }
 
-// Terminate signals the process to finish, and kills it when it has not done so
-// in time. It reports whether the process ended by itself.
+// Terminate sends SIGTERM, resumes the process if it is frozen, and kills it if it has
+// not exited within the timeout. It reports whether the process exited without a kill.
 func (process *Process) Terminate(timeout time.Duration) bool {
 	process.signal(syscall.SIGTERM)
 	process.Thaw()
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -8,10 +8,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/checker"
 )
 
-// processTable holds the processes of a fleet, also those that have ended. It is
+// processTable contains the processes of a fleet, including those that have ended. It is
 // safe for concurrent use.
 type processTable struct {
-	// folder takes the logs of the processes.
+	// folder is where the logs of the processes are written.
 	folder string
 
 	lock      sync.Mutex
@@ -20,7 +20,7 @@
 	closed bool
 }
 
-// launch starts a process.
+// launch starts a process unless the fleet has been stopped.
 func (table *processTable) launch(kind ProcessKind, name, binary string, arguments ...string) (*Process, error) {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -35,7 +35,7 @@
 	return process, nil
 }
 
-// running returns the process of a name that has not ended, or nil.
+// running returns the process with the name that has not ended, or nil.
 func (table *processTable) running(name string) *Process {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// runningNode returns the process of a node that has not ended.
+// runningNode returns the running process of a node, or an error if there is none.
 func (table *processTable) runningNode(name string) (*Process, error) {
 	process := table.running(name)
 	if process == nil {
@@ -76,8 +76,8 @@
 	return runs
 }
 
-// stop ends every process: nodes first, so that they find their counterparts to
-// the end. It returns the names of nodes that had to be killed.
+// stop ends every process: nodes first, so that they can reach the stand-ins until
+// they have exited. It returns the names of nodes that had to be killed.
 func (table *processTable) stop() []string {
 	table.lock.Lock()
 	table.closed = true
@@ -90,7 +90,7 @@
 }
 
 // terminate ends all processes of a kind at the same time and returns the names
-// of those that did not end by themselves.
+// of those that had to be killed.
 func terminate(processes []*Process, kind ProcessKind) []string {
 	var lock sync.Mutex
 	var late []string
--- a/internal/lab/fleet/sampler.go
+++ b/internal/lab/fleet/sampler.go
@@ -25,7 +25,7 @@
 	sampleTimeout = time.Second
 )
 
-// maxSampleBytes bounds what is read for one sample.
+// maxSampleBytes bounds the size of the response that is read for one sample.
 const maxSampleBytes = 4 << 20
 
 // Paths that are sampled.
@@ -34,10 +34,10 @@
 	servicesPath = "/v1/services"
 )
 
-// Sampler watches a fleet from outside: it polls each node, each replica and the
+// Sampler samples a fleet through its HTTP interfaces: it polls each node, each replica and the
 // platform in a goroutine of its own. It is safe for concurrent use.
 type Sampler struct {
-	// machines returns the machines as they are now.
+	// machines returns the current topology.
 	machines func() *Topology
 	clock    *Clock
 	client   *http.Client
@@ -47,8 +47,8 @@
 	served    []checker.ServedSample
 	versions  []checker.VersionSample
 	endpoints []checker.EndpointSample
-	// currentEndpoints are the last samples of each replica, by address, with a time
-	// of 0.
+	// currentEndpoints contains the last sample of each replica, by address. At is 0 in
+	// these samples, so that samples can be compared.
 	currentEndpoints map[string]checker.EndpointSample
 }
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// sampleStatus reads what a node serves. The sample has the time before the request:
-// the node may have learnt of what it serves after that.
+// sampleStatus reads which revision a node serves. The time of the sample is the time
+// before the request; the node may have received the revision after that time.
 func (sampler *Sampler) sampleStatus(ctx context.Context, name string) {
 	node, _ := sampler.machines().Node(name)
 	at := sampler.clock.Now()
@@ -128,7 +128,7 @@
 	})
 }
 
-// platformServices is the platform's list.
+// platformServices is the platform's list of services and their replicas.
 type platformServices struct {
 	Services []struct {
 		Name     string `json:"name"`
@@ -140,11 +140,11 @@
 	} `json:"services"`
 }
 
-// stateDraining is how the list marks a replica that is to go.
+// stateDraining is the state of a replica that is about to be removed from the platform's list.
 const stateDraining = "draining"
 
-// sampleEndpoints reads the list and records what changed. An entry has the time
-// after the response, by which the list certainly showed it.
+// sampleEndpoints reads the platform's list and records the changes. The time of a sample
+// is the time after the response, when the list certainly contained the change.
 func (sampler *Sampler) sampleEndpoints(ctx context.Context) {
 	body, err := sampler.get(ctx, sampler.machines().Platform.Address, servicesPath)
 	if err != nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-// recordEndpoint keeps an entry if it differs from the last one of its replica.
+// recordEndpoint records a sample if it differs from the last one of its replica.
 func (sampler *Sampler) recordEndpoint(sample checker.EndpointSample, at time.Duration) {
 	sample.At = 0
 	if last, known := sampler.currentEndpoints[sample.Replica]; known && last == sample {
@@ -194,7 +194,7 @@
 func get(ctx context.Context, client *http.Client, address, path string, maxBytes int64) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "build the question")
+		return nil, errors.Wrap(err, "build the request")
 	}
 	response, err := client.Do(request)
 	if err != nil {
@@ -205,11 +205,12 @@
 		return nil, errors.Errorf("%s%s answered with status %d", address, path, response.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBytes))
-	return body, errors.Wrap(err, "read the answer")
+	return body, errors.Wrapf(err, "read the response of %s%s", address, path)
 }
 
-// ReplicasRunning reports whether the newest sample of every listed replica that
-// is not draining shows a weight version.
+// ReplicasRunning reports whether the newest version sample of every listed replica that
+// is not draining has the given weight version. Replicas without a version sample are
+// ignored; without any version sample, it returns false.
 func (sampler *Sampler) ReplicasRunning(version string) bool {
 	sampler.lock.Lock()
 	defer sampler.lock.Unlock()
@@ -227,7 +228,7 @@
 	return len(newest) > 0
 }
 
-// Fill puts the samples into the records of a run.
+// Fill appends the samples to the records of a run.
 func (sampler *Sampler) Fill(records *checker.Records) {
 	sampler.lock.Lock()
 	defer sampler.lock.Unlock()
--- a/internal/lab/fleet/settings.go
+++ b/internal/lab/fleet/settings.go
@@ -11,7 +11,7 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/config/static"
 )
 
-// drainTimeoutMS keeps a fleet that is to stop from lingering.
+// drainTimeoutMS is short so that a fleet stops quickly.
 const drainTimeoutMS = 3000
 
 // settingsOf returns the settings of a node. The data folder of a node with a
@@ -36,7 +36,7 @@
 	return settings
 }
 
-// dataFolder is the folder of a node with a disk.
+// dataFolder returns the path of the data folder of a node with a disk.
 func dataFolder(node Node, folder string) string {
 	return filepath.Join(folder, node.Name+"-data")
 }
@@ -49,7 +49,7 @@
 	})
 }
 
-// groupZones returns the zones of the group, in the same order.
+// groupZones returns the zones of the group's nodes, in the order of the group.
 func groupZones(topology *Topology) []string {
 	return lo.Map(topology.Group, func(name string, _ int) string {
 		node, _ := topology.Node(name)
@@ -57,7 +57,7 @@
 	})
 }
 
-// writeSettings writes a node's settings as the fleet is now.
+// writeSettings writes a node's settings file for the current topology.
 func (fleet *Fleet) writeSettings(node Node) (string, error) {
 	settings := settingsOf(fleet.Topology(), node, fleet.options.Folder)
 	if fleet.options.Network != nil {
@@ -66,7 +66,8 @@
 	return writeSettings(settings, node, fleet.options.Folder)
 }
 
-// writeSettings writes a node's settings file and makes its data folder.
+// writeSettings writes a node's settings file, creates its data folder and returns the
+// path of the file.
 func writeSettings(settings *static.Settings, node Node, folder string) (string, error) {
 	data, err := yaml.Marshal(settings)
 	if err != nil {
--- a/internal/lab/fleet/stand_in_changes.go
+++ b/internal/lab/fleet/stand_in_changes.go
@@ -12,21 +12,21 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/platform"
 )
 
-// changesPath is where the platform's stand-in takes changes of its list.
+// changesPath is the path at which the platform's stand-in accepts changes to its list.
 const changesPath = "/lab/services"
 
-// faultsPath is where a replica's stand-in takes its faults.
+// faultsPath is the path at which a replica's stand-in accepts the faults to inject.
 const faultsPath = "/lab/faults"
 
-// What disturbed replicas do: the fractions of requests that they refuse and of
-// responses that they truncate, and after how many bytes.
+// Faults of disturbed replicas: the fraction of requests that they refuse, the fraction of
+// responses that they truncate, and the number of bytes after which they truncate.
 const (
 	refuseRatio    = 0.3
 	truncateRatio  = 0.15
 	truncateAtByte = 400
 )
 
-// DrainReplica lets the platform list a model replica as draining.
+// DrainReplica makes the platform's stand-in list a model replica as draining.
 func (fleet *Fleet) DrainReplica(ctx context.Context, address string) error {
 	changes := platform.Changes{Changes: []platform.Change{{
 		Service: fleet.Topology().Replicas.Service,
@@ -36,7 +36,8 @@
 	return fleet.post(ctx, fleet.Topology().Platform.Address, changesPath, changes)
 }
 
-// DisturbReplicas lets replicas refuse requests and truncate responses, or ends that.
+// DisturbReplicas makes replicas refuse requests and truncate responses, or, if disturbed
+// is false, removes their faults.
 func (fleet *Fleet) DisturbReplicas(ctx context.Context, addresses []string, disturbed bool) error {
 	var faults standin.Faults
 	if disturbed {
@@ -59,7 +60,7 @@
 	url := "http://" + address + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "build the change")
+		return errors.Wrap(err, "build the request for the change")
 	}
 	response, err := fleet.probe.Do(request)
 	if err != nil {
--- a/internal/lab/fleet/stand_ins.go
+++ b/internal/lab/fleet/stand_ins.go
@@ -15,17 +15,17 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/platform"
 )
 
-// platformLag is how long the platform's list lags behind the truth.
+// platformLag is the delay after which the platform's list shows a change.
 const platformLag = time.Second
 
-// servicesFile holds the platform's initial list.
+// servicesFile is the name of the file with the platform's initial list.
 const servicesFile = "services.json"
 
-// standIn is a process that stands for a counterpart of the nodes.
+// standIn is a process that emulates a service to which nodes connect.
 type standIn struct {
 	name      string
 	arguments []string
-	// probe is an address that answers once the process serves.
+	// probe is a URL that answers with status 200 once the process serves.
 	probe string
 }
 
@@ -79,11 +79,12 @@
 	}
 }
 
-// eventFaultRatio is the fraction of cache events that are lost, that come twice, and
-// that come out of order.
+// eventFaultRatio is the fraction of cache events that are lost, the fraction that are
+// duplicated, and the fraction that are reordered.
 const eventFaultRatio = "0.01"
 
-// modelFlags are the flags of replicas and the store. The number tells their seeds apart.
+// modelFlags returns the flags that replicas and the store share. The number is added to
+// the seed, so that each process has its own.
 func modelFlags(options Options, number int) []string {
 	links := options.Topology.Links
 	latency := time.Duration(links.CrossZoneLatencyMicroseconds) * time.Microsecond
--- a/internal/lab/fleet/summary.go
+++ b/internal/lab/fleet/summary.go
@@ -21,7 +21,7 @@
 	Refused    int    `json:"refused"`
 	// Failed counts truncated responses and connections without an answer.
 	Failed int `json:"failed"`
-	// Disconnected counts callers that went away on purpose.
+	// Disconnected counts requests whose callers disconnected on purpose.
 	Disconnected int `json:"left"`
 	// Skipped counts requests that the callers could not send.
 	Skipped int `json:"skipped"`
@@ -39,13 +39,14 @@
 	WeightsConverged   bool           `json:"weights_settled"`
 	WeightsConvergedMS float64        `json:"weights_settled_ms"`
 	Commands           int            `json:"commands"`
-	// LongestOutageMS is the longest time for which a service answered nobody.
+	// LongestOutageMS is the longest span between the first and the last of several
+	// unanswered requests to a service, with no answered one between them.
 	LongestOutageMS float64             `json:"longest_outage_ms"`
 	FailedSteps     []string            `json:"failed_steps"`
 	Violations      []checker.Violation `json:"violations"`
 }
 
-// Summarize judges an experiment.
+// Summarize checks the records of an experiment and returns the summary.
 func Summarize(topology *Topology, seed uint64, outcome *Outcome) *Summary {
 	records := outcome.Records
 	summary := &Summary{
@@ -71,8 +72,8 @@
 	return summary
 }
 
-// countRequests counts how requests ended, how long streamed ones to the model
-// waited for their first byte, and how long all of them took.
+// countRequests counts requests by result and computes the latency of complete requests
+// to the model: the time to the first byte of streamed ones, and the duration of all.
 func (summary *Summary) countRequests(records *checker.Records, model string) {
 	summary.ErrorKinds = make(map[string]int)
 	var waits, answers []time.Duration
@@ -108,8 +109,8 @@
 	return float64(duration.Microseconds()) / 1000
 }
 
-// Err returns an error when an invariant was broken, or when a step of the
-// scenario could not be done, since the run proves nothing of it then.
+// Err returns an error if an invariant was violated or a step of the scenario could not
+// be performed: a run without that step proves nothing about it.
 func (summary *Summary) Err() error {
 	if len(summary.Violations) > 0 || len(summary.FailedSteps) > 0 {
 		return errors.Errorf("%d violations and %d failed steps; see the summary",
--- a/internal/lab/fleet/topology.go
+++ b/internal/lab/fleet/topology.go
@@ -14,7 +14,7 @@
 	ridgeswitchv1 "github.com/ridgeswitch/ridgeswitch/api/ridgeswitch/v1"
 )
 
-// Names of the files of a deployment's folder.
+// Names of the files in a deployment's folder.
 const (
 	topologyFile      = "topology.json"
 	configurationFile = "configuration.json"
@@ -23,11 +23,11 @@
 // Topology says which machines a deployment has.
 type Topology struct {
 	Name string `json:"name"`
-	// Nodes with Disk hold control state; the others route and relay.
+	// Nodes with Disk store control state; the others route and relay.
 	Nodes []Node `json:"nodes"`
 	// Group names the nodes with disks in the agreed order.
 	Group []string `json:"group"`
-	// Seeds names up to three nodes that others find the deployment by.
+	// Seeds names up to three nodes through which other nodes find the deployment.
 	Seeds       []string     `json:"seeds"`
 	Replicas    ReplicaGroup `json:"replicas"`
 	Store       Backend      `json:"store"`
@@ -40,14 +40,14 @@
 type Node struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Address is the machine's IP number.
+	// Address is the machine's IP address.
 	Address string `json:"address"`
 	Disk    bool   `json:"disk,omitempty"`
 }
 
 // Backend is one machine behind the nodes.
 type Backend struct {
-	// Address is IP number and port.
+	// Address is an IP address and port.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
@@ -56,7 +56,7 @@
 type ReplicaGroup struct {
 	Service string `json:"service"`
 	Pool    string `json:"pool"`
-	// MachineClass is "large" or "smaller", by memory for cached chunks.
+	// MachineClass is "large" or "smaller", according to the memory for cached chunks.
 	MachineClass  string    `json:"machine_class"`
 	WeightVersion string    `json:"weight_version"`
 	Members       []Backend `json:"members"`
@@ -66,7 +66,7 @@
 type WebGroup struct {
 	Service string    `json:"service"`
 	Members []Backend `json:"members"`
-	// FetchesPerSecond is the load of today.
+	// FetchesPerSecond is the current load in requests per second.
 	FetchesPerSecond float64 `json:"fetches_per_second"`
 }
 
@@ -118,7 +118,8 @@
 	return topology, topology.Check()
 }
 
-// Check returns an error for the first name that is unknown or given twice.
+// Check returns an error for the first name that is unknown or listed twice, for a group
+// member without a disk, or for an address that is given twice.
 func (topology *Topology) Check() error {
 	disks := make(map[string]bool)
 	for _, node := range topology.Nodes {
@@ -129,12 +130,12 @@
 	}
 	for _, name := range topology.Group {
 		if !disks[name] {
-			return errors.Errorf("topology: group member %q is no node with a disk", name)
+			return errors.Errorf("topology: group member %q is not a node with a disk", name)
 		}
 	}
 	for _, name := range topology.Seeds {
 		if _, known := disks[name]; !known {
-			return errors.Errorf("topology: seed %q is no node", name)
+			return errors.Errorf("topology: seed %q is not a node", name)
 		}
 	}
 	return topology.checkAddresses()
@@ -171,7 +172,7 @@
 	return backends
 }
 
-// Node returns the node of a name.
+// Node returns the node with the name, or false if there is none.
 func (topology *Topology) Node(name string) (Node, bool) {
 	for _, node := range topology.Nodes {
 		if node.Name == name {
@@ -192,32 +193,32 @@
 	return front
 }
 
-// Ports of a node, which has an IP number of its own.
+// Ports of a node. They are the same for all nodes, because each has its own IP address.
 const (
 	internalPort = 7100
-	// listenPort takes what a relay at internalPort passes on.
+	// listenPort is where a node receives the traffic that a relay at internalPort forwards.
 	listenPort  = 7101
 	trafficPort = 7200
 	controlPort = 7300
 )
 
-// InternalAddress is where other nodes reach the node.
+// InternalAddress returns the address at which other nodes reach the node.
 func (node Node) InternalAddress() string { return withPort(node.Address, internalPort) }
 
-// listenAddress is where the node listens for other nodes behind a relay.
+// listenAddress returns the address at which the node listens when it is behind a relay.
 func (node Node) listenAddress() string { return withPort(node.Address, listenPort) }
 
-// TrafficAddress is where callers reach the node.
+// TrafficAddress returns the address at which callers reach the node.
 func (node Node) TrafficAddress() string { return withPort(node.Address, trafficPort) }
 
-// ControlAddress is where operators and readiness checks reach the node.
+// ControlAddress returns the address at which operators and readiness checks reach the node.
 func (node Node) ControlAddress() string { return withPort(node.Address, controlPort) }
 
 func withPort(address string, port int) string {
 	return fmt.Sprintf("%s:%d", address, port)
 }
 
-// Zones returns the zones in which nodes stand, in the order of the nodes.
+// Zones returns the distinct zones of the nodes, in the order of the nodes.
 func (topology *Topology) Zones() []string {
 	return lo.Uniq(lo.Map(topology.Nodes, func(node Node, _ int) string { return node.Zone }))
 }
