--- a/internal/lab/standin/response.go
+++ b/internal/lab/standin/response.go
@@ -87,7 +87,7 @@
 	requestID string
 	output    strings.Builder
 	digest    string
-	foreign   error
+	firstErr   error
 	ended     bool
 }
 
@@ -102,17 +102,17 @@
 	switch {
 	case name == EventDigest:
 		var digest DigestResponse
-		c.read(data, &digest)
+		c.decode(data, &digest)
 		c.digest = digest.Digest
-		c.owner(digest.RequestID)
+		c.checkRequestID(digest.RequestID)
 	case name != "":
 	case data == streamEnd:
 		c.ended = true
 	default:
 		var chunk ChunkResponse
-		c.read(data, &chunk)
+		c.decode(data, &chunk)
 		c.output.WriteString(chunk.Output)
-		c.owner(chunk.RequestID)
+		c.checkRequestID(chunk.RequestID)
 	}
 }
 
@@ -121,8 +121,8 @@
 
 // Err returns what is wrong with a stream that looks complete, or nil.
 func (c *StreamCheck) Err() error {
-	if c.foreign != nil {
-		return c.foreign
+	if c.firstErr != nil {
+		return c.firstErr
 	}
 	if !c.ended {
 		return errors.New("stream ended without its last event")
@@ -130,15 +130,15 @@
 	return check(c.requestID, c.requestID, c.output.String(), c.digest)
 }
 
-func (c *StreamCheck) read(data string, into any) {
-	if err := json.Unmarshal([]byte(data), into); err != nil && c.foreign == nil {
-		c.foreign = errors.Wrap(err, "event cannot be read")
+func (c *StreamCheck) decode(data string, into any) {
+	if err := json.Unmarshal([]byte(data), into); err != nil && c.firstErr == nil {
+		c.firstErr = errors.Wrap(err, "event cannot be read")
 	}
 }
 
-func (c *StreamCheck) owner(requestID string) {
-	if requestID != c.requestID && c.foreign == nil {
-		c.foreign = errors.Errorf("event of request %q in the answer to %q", requestID, c.requestID)
+func (c *StreamCheck) checkRequestID(requestID string) {
+	if requestID != c.requestID && c.firstErr == nil {
+		c.firstErr = errors.Errorf("event of request %q in the answer to %q", requestID, c.requestID)
 	}
 }
 
