--- a/internal/lab/standin/store/server_test.go
+++ b/internal/lab/standin/store/server_test.go
@@ -17,7 +17,7 @@
 )
 
 var _ = Describe("Server", func() {
-	part := emulator.CachedChunk{Hash: 0xab, Parent: 0xaa, Tokens: 50, Tenant: "t", WeightVersion: "v1"}
+	chunk := emulator.CachedChunk{Hash: 0xab, Parent: 0xaa, Tokens: 50, Tenant: "t", WeightVersion: "v1"}
 	var server *store.Server
 	call := func(method, path, body string) *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
@@ -25,7 +25,7 @@
 		return recorder
 	}
 	encoded := func() string {
-		data, err := json.Marshal(part)
+		data, err := json.Marshal(chunk)
 		Expect(err).NotTo(HaveOccurred())
 		return string(data)
 	}
