--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -51,7 +51,7 @@
 
 	// mutex guards visits.
 	mutex  sync.Mutex
-	visits []*VisitRecord
+	records []*VisitRecord
 }
 
 // New returns a back end for an address.
@@ -72,7 +72,7 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
-	mux.HandleFunc("GET /lab/executions", s.showVisits)
+	mux.HandleFunc("GET /lab/executions", s.listRecords)
 	mux.HandleFunc("POST /lab/faults", s.setFaults)
 	return mux
 }
@@ -100,19 +100,19 @@
 		standin.WriteJSON(w, http.StatusRequestEntityTooLarge, standin.Problem{Kind: "bad_body", Message: err.Error()})
 		return
 	}
-	visit := s.begin(r)
-	fate := s.faults.Draw()
-	w.Header().Set(protocol.HeaderRequestID, visit.RequestID)
-	w.Header().Set(protocol.HeaderAttemptID, visit.AttemptID)
-	if fate.Refuse || s.faults.Current().Draining {
-		s.end(visit, func() { visit.Refused = true })
+	record := s.begin(r)
+	faults := s.faults.Draw()
+	w.Header().Set(protocol.HeaderRequestID, record.RequestID)
+	w.Header().Set(protocol.HeaderAttemptID, record.AttemptID)
+	if faults.Refuse || s.faults.Current().Draining {
+		s.end(record, func() { record.Refused = true })
 		w.Header().Set(protocol.HeaderNotRun, "true")
 		w.Header().Set("Retry-After", "1")
 		standin.WriteJSON(w, http.StatusServiceUnavailable, standin.Problem{Kind: "busy", Message: "the back end is busy; send the request to another one"})
 		return
 	}
-	defer s.end(visit, func() {})
-	if fate.Hang {
+	defer s.end(record, func() {})
+	if faults.Hang {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
@@ -123,8 +123,8 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	if _, err := standin.NewTruncatingWriter(w, fate).Write(body); err == nil {
-		s.end(visit, func() { visit.Delivered = true })
+	if _, err := standin.NewTruncatingWriter(w, faults).Write(body); err == nil {
+		s.end(record, func() { record.Delivered = true })
 	}
 }
 
@@ -133,7 +133,7 @@
 	if err != nil {
 		attempt = 1
 	}
-	visit := &VisitRecord{
+	record := &VisitRecord{
 		Server:          s.address,
 		RequestID:       r.Header.Get(protocol.HeaderRequestID),
 		Attempt:         attempt,
@@ -144,27 +144,27 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.visits = append(s.visits, visit)
-	return visit
+	s.records = append(s.records, record)
+	return record
 }
 
-func (s *Server) end(visit *VisitRecord, update func()) {
+func (s *Server) end(record *VisitRecord, update func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	update()
-	visit.FinishedUnixNano = s.now()
+	record.FinishedUnixNano = s.now()
 }
 
 func (s *Server) now() int64 { return s.clock.UnixNano(s.clock.Now()) }
 
-func (s *Server) showVisits(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listRecords(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	visits := make([]VisitRecord, len(s.visits))
-	for position, visit := range s.visits {
-		visits[position] = *visit
+	records := make([]VisitRecord, len(s.records))
+	for position, record := range s.records {
+		records[position] = *record
 	}
 	s.mutex.Unlock()
-	standin.WriteLines(w, visits)
+	standin.WriteLines(w, records)
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
