--- a/internal/lab/standin/replica/chunks.go
+++ b/internal/lab/standin/replica/chunks.go
@@ -30,7 +30,7 @@
 		return
 	}
 	var kept []emulator.CachedChunk
-	s.do(func(now time.Duration) { kept = s.model.Export(now, []prefixindex.ChainHash{hash}) })
+	s.update(func(now time.Duration) { kept = s.model.Export(now, []prefixindex.ChainHash{hash}) })
 	if len(kept) == 0 {
 		standin.WriteJSON(w, http.StatusNotFound, standin.Problem{Kind: "not_kept", Message: "the part is not kept here; compute it"})
 		return
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.clock.Real(pullTimeout))
 	defer cancel()
 	var missing []prefixindex.ChainHash
-	s.do(func(time.Duration) { missing = s.model.Missing(handle, requested.first, requested.last) })
+	s.update(func(time.Duration) { missing = s.model.Missing(handle, requested.first, requested.last) })
 	var chunks []emulator.CachedChunk
 	for _, hash := range missing {
 		chunk, err := s.fetch(ctx, requested.source, hash)
@@ -59,7 +59,7 @@
 		}
 		chunks = append(chunks, chunk)
 	}
-	s.act(func(now time.Duration) { s.model.PullDone(now, handle, chunks) })
+	s.updateAndWake(func(now time.Duration) { s.model.PullDone(now, handle, chunks) })
 }
 
 func (s *Server) fetch(ctx context.Context, source string, hash prefixindex.ChainHash) (emulator.CachedChunk, error) {
@@ -114,7 +114,7 @@
 		}
 		var chunk emulator.CachedChunk
 		var kept bool
-		s.do(func(time.Duration) { chunk, kept = s.model.Chunk(hash) })
+		s.update(func(time.Duration) { chunk, kept = s.model.Chunk(hash) })
 		// A store that is down misses the chunk; it is a cache.
 		if kept && s.push(ctx, chunk) != nil {
 			return
--- a/internal/lab/standin/replica/control.go
+++ b/internal/lab/standin/replica/control.go
@@ -44,7 +44,7 @@
 func (s *Server) command(command protocol.WeightsCommand) (emulator.CommandOutcome, error) {
 	var outcome emulator.CommandOutcome
 	var err error
-	s.act(func(now time.Duration) {
+	s.updateAndWake(func(now time.Duration) {
 		outcome, err = s.model.Command(now, command)
 		s.commands = append(s.commands, CommandRecord{
 			UnixNano:      s.clock.UnixNano(now),
@@ -70,7 +70,7 @@
 	crash := faults.Crash
 	faults.Crash = false
 	s.faults.Set(faults)
-	s.act(func(now time.Duration) {
+	s.updateAndWake(func(now time.Duration) {
 		s.model.Drain(now, faults.Draining)
 		if crash {
 			s.crash(now)
--- a/internal/lab/standin/replica/generate.go
+++ b/internal/lab/standin/replica/generate.go
@@ -24,7 +24,7 @@
 // generate runs one attempt.
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	read, err := readCall(r.Header)
-	echo(w, read.request)
+	setIDHeaders(w, read.request)
 	if err == nil {
 		err = standin.DrainBody(r)
 	}
@@ -52,7 +52,7 @@
 	var handle emulator.Handle
 	var notices chan emulator.Notice
 	var err error
-	s.act(func(now time.Duration) {
+	s.updateAndWake(func(now time.Duration) {
 		if faults.Refuse {
 			s.model.RecordRefusal(now, request, refusedByFault)
 			err = &emulator.RefusedError{Reason: refusedByFault}
@@ -68,7 +68,7 @@
 
 // abandon stops an attempt whose answer has ended, if it still runs.
 func (s *Server) abandon(handle emulator.Handle) {
-	s.act(func(now time.Duration) {
+	s.updateAndWake(func(now time.Duration) {
 		delete(s.waiting, handle)
 		s.model.Cancel(now, handle)
 	})
@@ -86,7 +86,7 @@
 	standin.WriteJSON(w, http.StatusServiceUnavailable, standin.Problem{Kind: kind, Message: err.Error()})
 }
 
-func echo(w http.ResponseWriter, request emulator.Request) {
+func setIDHeaders(w http.ResponseWriter, request emulator.Request) {
 	w.Header().Set(protocol.HeaderRequestID, request.RequestID)
 	w.Header().Set(protocol.HeaderAttemptID, request.AttemptID)
 }
@@ -127,7 +127,7 @@
 // writeComplete writes the answer in one piece.
 func (a *responseWriter) writeComplete(w http.ResponseWriter, r *http.Request, notice emulator.Notice) {
 	a.hang(r)
-	a.describe(w, notice)
+	a.setExecutionHeaders(w, notice)
 	body, err := json.Marshal(standin.NewCompleteResponse(a.call.request.RequestID, notice.Tokens))
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -144,7 +144,7 @@
 func (a *responseWriter) stream(w http.ResponseWriter, r *http.Request, notice emulator.Notice) http.ResponseWriter {
 	if notice.Kind == emulator.NoticeFirstToken {
 		a.hang(r)
-		a.describe(w, notice)
+		a.setExecutionHeaders(w, notice)
 		w.Header().Set("Content-Type", eventStream)
 		w.WriteHeader(http.StatusOK)
 		w = standin.NewTruncatingWriter(w, a.faults)
@@ -180,8 +180,8 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 }
 
-// describe sets the headers that are known from the first token on.
-func (a *responseWriter) describe(w http.ResponseWriter, notice emulator.Notice) {
+// setExecutionHeaders sets the headers that are known from the first token on.
+func (a *responseWriter) setExecutionHeaders(w http.ResponseWriter, notice emulator.Notice) {
 	w.Header().Set(protocol.HeaderWeightVersion, notice.WeightVersion)
 	w.Header().Set(protocol.HeaderReusedTokens, strconv.FormatUint(notice.ReusedTokens, 10))
 }
--- a/internal/lab/standin/replica/ground_truth.go
+++ b/internal/lab/standin/replica/ground_truth.go
@@ -51,7 +51,7 @@
 // Executions returns the truth about every arrival, in order.
 func (s *Server) Executions() []ExecutionRecord {
 	var records []ExecutionRecord
-	s.do(func(time.Duration) {
+	s.update(func(time.Duration) {
 		records = lo.Map(s.model.Executions(), func(execution *emulator.Execution, _ int) ExecutionRecord {
 			return s.record(execution)
 		})
--- a/internal/lab/standin/replica/server.go
+++ b/internal/lab/standin/replica/server.go
@@ -81,7 +81,7 @@
 
 func (s *Server) run(ctx context.Context, serve func(http.Handler) error) error {
 	var background sync.WaitGroup
-	background.Go(func() { s.drive(ctx) })
+	background.Go(func() { s.runModel(ctx) })
 	if s.settings.Store != "" {
 		background.Go(func() { s.pushNewChunks(ctx) })
 	}
@@ -108,7 +108,7 @@
 	served.HandleFunc("POST "+protocol.PathWeights, s.loadWeights)
 	served.HandleFunc("GET "+protocol.PathChunks+"{hash}", s.serveChunk)
 	all := http.NewServeMux()
-	all.Handle("/v1/", s.whileUp(served))
+	all.Handle("/v1/", s.abortWhileDown(served))
 	all.HandleFunc("GET /lab/executions", s.showExecutions)
 	all.HandleFunc("GET /lab/commands", s.showCommands)
 	all.HandleFunc("GET /lab/faults", s.showFaults)
@@ -116,9 +116,9 @@
 	return all
 }
 
-// whileUp closes connections without an answer while the replica is down, and
+// abortWhileDown closes connections without an answer while the replica is down, and
 // cuts answers short when it crashes.
-func (s *Server) whileUp(next http.Handler) http.Handler {
+func (s *Server) abortWhileDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		up := s.model.Up(s.clock.Now())
@@ -145,11 +145,11 @@
 	})
 }
 
-// drive runs the model in real time.
-func (s *Server) drive(ctx context.Context) {
+// runModel runs the model in real time.
+func (s *Server) runModel(ctx context.Context) {
 	for {
 		wait := time.Hour
-		s.do(func(now time.Duration) {
+		s.update(func(now time.Duration) {
 			if next, ok := s.model.NextChange(); ok {
 				wait = s.clock.Real(next - now)
 			}
@@ -166,17 +166,17 @@
 	}
 }
 
-// act does something to the model and lets the driver look at it again.
-func (s *Server) act(action func(now time.Duration)) {
-	s.do(action)
+// updateAndWake does something to the model and lets the driver look at it again.
+func (s *Server) updateAndWake(action func(now time.Duration)) {
+	s.update(action)
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// do brings the model up to now, does something to it, and tells those who wait.
-func (s *Server) do(action func(now time.Duration)) {
+// update brings the model up to now, does something to it, and tells those who wait.
+func (s *Server) update(action func(now time.Duration)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
@@ -185,7 +185,7 @@
 	for _, notice := range s.model.Notices() {
 		s.deliver(notice)
 	}
-	s.announce()
+	s.notifyReaders()
 }
 
 // deliver hands a notice to the attempt's handler. The channel has room for
@@ -201,8 +201,8 @@
 	}
 }
 
-// announce wakes the readers of events when the journal has grown.
-func (s *Server) announce() {
+// notifyReaders wakes the readers of events when the journal has grown.
+func (s *Server) notifyReaders() {
 	journal := s.model.Journal()
 	if journal.Incarnation() == s.incarnation && journal.LastSequence() == s.sequence {
 		return
@@ -217,7 +217,7 @@
 func (s *Server) EventsAfter(position standin.Position) ([]protocol.Event, <-chan struct{}) {
 	var events []protocol.Event
 	var changed <-chan struct{}
-	s.do(func(time.Duration) {
+	s.update(func(time.Duration) {
 		events = standin.JournalAfter(s.model.Journal(), position, s.model.Snapshot)
 		changed = s.changed
 	})
@@ -227,7 +227,7 @@
 // Report implements standin.EventSource. The age is in real time.
 func (s *Server) Report() protocol.Report {
 	var report protocol.Report
-	s.do(func(now time.Duration) { report = s.model.Report(now) })
+	s.update(func(now time.Duration) { report = s.model.Report(now) })
 	age := time.Duration(report.AgeMS) * time.Millisecond
 	report.AgeMS = emulator.CeilMilliseconds(s.clock.Real(age))
 	return report
--- a/internal/lab/standin/replica/server_test.go
+++ b/internal/lab/standin/replica/server_test.go
@@ -20,11 +20,11 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/store"
 )
 
-// patience bounds every wait on a socket.
-const patience = 10 * time.Second
+// timeout bounds every wait on a socket.
+const timeout = 10 * time.Second
 
-// machine is a running stand-in.
-type machine struct {
+// testReplica is a running stand-in.
+type testReplica struct {
 	server  *replica.Server
 	address string
 }
@@ -49,7 +49,7 @@
 	})
 }
 
-func start(storeAddress string) machine {
+func start(storeAddress string) testReplica {
 	listener := listen()
 	model := emulator.LargeMemory()
 	model.Address = listener.Addr().String()
@@ -63,10 +63,10 @@
 	server, err := replica.New(settings, false)
 	Expect(err).NotTo(HaveOccurred())
 	serve(server.RunListener, listener)
-	return machine{server: server, address: model.Address}
+	return testReplica{server: server, address: model.Address}
 }
 
-func (m machine) request(ctx context.Context, id string, change func(http.Header)) *http.Request {
+func (m testReplica) request(ctx context.Context, id string, change func(http.Header)) *http.Request {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.address+protocol.PathGenerate, strings.NewReader("{}"))
 	Expect(err).NotTo(HaveOccurred())
 	for name, value := range map[string]string{
@@ -82,8 +82,8 @@
 	return request
 }
 
-func (m machine) generate(id string, change func(http.Header)) (*http.Response, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (m testReplica) generate(id string, change func(http.Header)) (*http.Response, []byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return do(m.request(ctx, id, change))
 }
@@ -98,7 +98,7 @@
 	return response, body, err
 }
 
-func (m machine) post(path, body string) int {
+func (m testReplica) post(path, body string) int {
 	response, err := http.Post("http://"+m.address+path, "application/json", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(response.Body.Close()).To(Succeed())
@@ -107,7 +107,7 @@
 
 // awaitEvent reads an event stream until an event is the wanted one.
 func awaitEvent(address string, wanted func(protocol.Event) bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	Expect(readEvents(ctx, address, wanted)).To(BeTrue(), "the event stream ended without the wanted event")
 }
@@ -132,31 +132,31 @@
 	return false
 }
 
-func (m machine) last() replica.ExecutionRecord {
+func (m testReplica) last() replica.ExecutionRecord {
 	executions := m.server.Executions()
 	return executions[len(executions)-1]
 }
 
 var _ = Describe("Server", func() {
-	var one machine
-	BeforeEach(func() { one = start("") })
+	var instance testReplica
+	BeforeEach(func() { instance = start("") })
 
 	It("answers whole, with the echo and what was reused", func() {
-		response, body, err := one.generate("r1", nil)
+		response, body, err := instance.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(standin.CheckComplete("r1", body)).To(Succeed())
 		Expect(response.Header.Get(protocol.HeaderAttemptID)).To(Equal("attempt-r1"))
 		Expect(response.Header.Get(protocol.HeaderWeightVersion)).To(Equal("v1"))
-		response, _, err = one.generate("r2", nil)
+		response, _, err = instance.generate("r2", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Header.Get(protocol.HeaderReusedTokens)).To(Equal("5000"))
-		Expect(one.last().Outcome).To(Equal("completed"))
-		Expect(one.last().Delivered).To(BeTrue())
+		Expect(instance.last().Outcome).To(Equal("completed"))
+		Expect(instance.last().Delivered).To(BeTrue())
 	})
 
 	It("streams a complete answer, or one that is seen to be cut", func() {
 		stream := func(header http.Header) { header.Set("Accept", "text/event-stream") }
-		_, body, err := one.generate("r1", stream)
+		_, body, err := instance.generate("r1", stream)
 		Expect(err).NotTo(HaveOccurred())
 		check := standin.NewStreamCheck("r1")
 		for _, block := range strings.Split(strings.TrimSpace(string(body)), "\n\n") {
@@ -167,33 +167,33 @@
 			check.Event(name, strings.TrimPrefix(data, "data: "))
 		}
 		Expect(check.Err()).To(Succeed())
-		Expect(one.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":60}`)).To(Equal(http.StatusOK))
-		_, body, err = one.generate("r2", stream)
+		Expect(instance.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":60}`)).To(Equal(http.StatusOK))
+		_, body, err = instance.generate("r2", stream)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 		Expect(body).To(HaveLen(60))
-		Expect(one.last().Delivered).To(BeFalse())
+		Expect(instance.last().Delivered).To(BeFalse())
 	})
 
 	It("cuts whole answers at a byte, or drops them after the run", func() {
-		Expect(one.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":10}`)).To(Equal(http.StatusOK))
-		_, body, err := one.generate("r1", nil)
+		Expect(instance.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":10}`)).To(Equal(http.StatusOK))
+		_, body, err := instance.generate("r1", nil)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 		Expect(body).To(HaveLen(10))
-		Expect(one.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":-1}`)).To(Equal(http.StatusOK))
-		_, _, err = one.generate("r2", nil)
+		Expect(instance.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":-1}`)).To(Equal(http.StatusOK))
+		_, _, err = instance.generate("r2", nil)
 		Expect(err).To(HaveOccurred())
-		Expect(one.last().Started).To(BeTrue())
+		Expect(instance.last().Started).To(BeTrue())
 	})
 
 	It("promises that what it refuses has not run, and logs the arrival", func() {
-		Expect(one.post("/lab/faults", `{"refuse_ratio":1}`)).To(Equal(http.StatusOK))
-		response, _, err := one.generate("r1", nil)
+		Expect(instance.post("/lab/faults", `{"refuse_ratio":1}`)).To(Equal(http.StatusOK))
+		response, _, err := instance.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(response.Header.Get(protocol.HeaderNotRun)).To(Equal("true"))
-		Expect(one.last().Outcome).To(Equal("refused"))
-		Expect(one.last().Started).To(BeFalse())
-		response, _, err = one.generate("r2", func(header http.Header) { header.Set(protocol.HeaderPrefix, "a;tokens=none") })
+		Expect(instance.last().Outcome).To(Equal("refused"))
+		Expect(instance.last().Started).To(BeFalse())
+		response, _, err = instance.generate("r2", func(header http.Header) { header.Set(protocol.HeaderPrefix, "a;tokens=none") })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 		Expect(response.Header.Get(protocol.HeaderNotRun)).To(Equal("true"))
@@ -201,55 +201,55 @@
 	})
 
 	It("stops a request whose caller has gone", func() {
-		ctx, leave := context.WithCancel(context.Background())
-		response, err := http.DefaultClient.Do(one.request(ctx, "r1", func(header http.Header) {
+		ctx, cancel := context.WithCancel(context.Background())
+		response, err := http.DefaultClient.Do(instance.request(ctx, "r1", func(header http.Header) {
 			header.Set("Accept", "text/event-stream")
 			header.Set(protocol.HeaderOutputTokens, "60000")
 		}))
 		Expect(err).NotTo(HaveOccurred())
-		leave()
+		cancel()
 		_ = response.Body.Close()
-		awaitEvent(one.address, func(event protocol.Event) bool {
+		awaitEvent(instance.address, func(event protocol.Event) bool {
 			return event.Report != nil && event.Report.ActiveRequests == 0
 		})
-		Expect(one.last().Outcome).To(Equal("cancelled"))
+		Expect(instance.last().Outcome).To(Equal("cancelled"))
 	})
 
 	It("loads weights, refuses older epochs, and shows a salt that did not follow", func() {
-		_, _, err := one.generate("r1", nil)
+		_, _, err := instance.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(one.post(protocol.PathWeights, `{"weight_version":"v2","epoch":5,"holder":"n"}`)).To(Equal(http.StatusAccepted))
-		Expect(one.post(protocol.PathWeights, `{"weight_version":"v3","epoch":4,"holder":"o"}`)).To(Equal(http.StatusConflict))
-		awaitEvent(one.address, func(event protocol.Event) bool {
+		Expect(instance.post(protocol.PathWeights, `{"weight_version":"v2","epoch":5,"holder":"n"}`)).To(Equal(http.StatusAccepted))
+		Expect(instance.post(protocol.PathWeights, `{"weight_version":"v3","epoch":4,"holder":"o"}`)).To(Equal(http.StatusConflict))
+		awaitEvent(instance.address, func(event protocol.Event) bool {
 			return event.Report != nil && event.Report.WeightVersion == "v2"
 		})
-		_, _, err = one.generate("r2", nil)
+		_, _, err = instance.generate("r2", nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(one.last().WeightVersion).To(Equal("v2"))
-		Expect(one.last().ReusedChunks[0].WeightVersion).To(Equal("v1"))
+		Expect(instance.last().WeightVersion).To(Equal("v2"))
+		Expect(instance.last().ReusedChunks[0].WeightVersion).To(Equal("v1"))
 	})
 
 	It("breaks open answers in a crash", func() {
-		response, err := http.DefaultClient.Do(one.request(context.Background(), "r1", func(header http.Header) {
+		response, err := http.DefaultClient.Do(instance.request(context.Background(), "r1", func(header http.Header) {
 			header.Set("Accept", "text/event-stream")
 			header.Set(protocol.HeaderOutputTokens, "60000")
 		}))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(one.post("/lab/faults", `{"crash":true}`)).To(Equal(http.StatusOK))
+		Expect(instance.post("/lab/faults", `{"crash":true}`)).To(Equal(http.StatusOK))
 		_, err = io.ReadAll(response.Body)
 		Expect(err).To(HaveOccurred())
-		Expect(one.last().Outcome).To(Equal("crashed"))
-		_, _, err = one.generate("r2", nil)
+		Expect(instance.last().Outcome).To(Equal("crashed"))
+		_, _, err = instance.generate("r2", nil)
 		Expect(err).To(HaveOccurred())
 	})
 
 	It("ends open event streams in a crash", func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		crashed := false
-		readEvents(ctx, one.address, func(protocol.Event) bool {
+		readEvents(ctx, instance.address, func(protocol.Event) bool {
 			if !crashed {
-				Expect(one.post("/lab/faults", `{"crash":true}`)).To(Equal(http.StatusOK))
+				Expect(instance.post("/lab/faults", `{"crash":true}`)).To(Equal(http.StatusOK))
 			}
 			crashed = true
 			return false
@@ -265,15 +265,15 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		serve(kept.RunListener, listener)
-		maker := start(listener.Addr().String())
-		_, _, err = maker.generate("made", nil)
+		producer := start(listener.Addr().String())
+		_, _, err = producer.generate("made", nil)
 		Expect(err).NotTo(HaveOccurred())
-		storeHas := 0
+		storedChunks := 0
 		awaitEvent(listener.Addr().String(), func(event protocol.Event) bool {
-			storeHas += len(event.Chunks)
-			return storeHas == 2
+			storedChunks += len(event.Chunks)
+			return storedChunks == 2
 		})
-		for id, source := range map[string]string{"from-peer": maker.address, "from-store": listener.Addr().String()} {
+		for id, source := range map[string]string{"from-peer": producer.address, "from-store": listener.Addr().String()} {
 			puller := start("")
 			response, _, err := puller.generate(id, func(header http.Header) {
 				header.Set(protocol.HeaderPullSource, source)
