--- a/internal/lab/standin/event_stream.go
+++ b/internal/lab/standin/event_stream.go
@@ -15,25 +15,26 @@
 
 const streamEnd = replica.StreamEnd
 
-// Position is how far a reader of events has come. The zero Position is that of
-// a reader that knows nothing.
+// Position identifies the last event that a reader has seen. The zero Position
+// stands for a reader that has seen no event.
 type Position struct {
 	Known       bool
 	Incarnation uint64
 	Sequence    uint64
 }
 
-// EventSource is what a replica or store shows to readers of events.
+// EventSource is a replica or store whose events can be streamed.
 type EventSource interface {
-	// EventsAfter returns the events that follow a position, beginning with a
-	// reset when the position is unknown or too old. The channel is closed when
-	// there is more.
+	// EventsAfter returns the events that follow a position, or a reset event
+	// with a snapshot if the position is unknown or too old. The returned channel
+	// is closed when later events are available.
 	EventsAfter(position Position) ([]replica.Event, <-chan struct{})
-	// Report returns the present report.
+	// Report returns the current report.
 	Report() replica.Report
 }
 
-// JournalAfter answers EventsAfter from a journal.
+// JournalAfter returns the events of a journal that follow a position, or only
+// the snapshot if the position is unknown, too old or of another incarnation.
 func JournalAfter(journal *emulator.Journal, position Position, snapshot func() replica.Event) []replica.Event {
 	if position.Known && position.Incarnation == journal.Incarnation() {
 		if events, ok := journal.After(position.Sequence); ok {
@@ -47,16 +48,18 @@
 type EventStream struct {
 	Source EventSource
 	Clock  Clock
-	// Plan, in the model's time, and Seed say what goes wrong on the way.
+	// Plan, in model time, and Seed determine how events are delayed, reordered,
+	// duplicated or lost on delivery.
 	Plan emulator.FeedPlan
 	Seed uint64
-	// Drop, if set, reports whether the next event is lost besides.
+	// Drop, if set, reports whether the next event is lost in addition to the
+	// losses of Plan. Reset events are never lost because of Drop.
 	Drop func() bool
 	// ReportEvery is the real time between reports.
 	ReportEvery time.Duration
 }
 
-// ServeHTTP streams until the reader goes away.
+// ServeHTTP streams events until the client disconnects.
 func (s *EventStream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	position, err := s.position(r)
 	if err != nil {
@@ -75,8 +78,8 @@
 	_ = reader.run(r.Context())
 }
 
-// position reads where the reader stands. Without the query parameter
-// "incarnation" a sequence number is taken to be one of the present incarnation.
+// position returns the position given in the query parameters. Without the
+// parameter "incarnation", the sequence number refers to the current incarnation.
 func (s *EventStream) position(r *http.Request) (Position, error) {
 	after := r.URL.Query().Get("after")
 	if after == "" {
@@ -95,7 +98,7 @@
 	return Position{Known: true, Incarnation: incarnation, Sequence: sequence}, nil
 }
 
-// eventReader is one open stream.
+// eventReader is one open event stream.
 type eventReader struct {
 	stream     *EventStream
 	position   Position
@@ -134,7 +137,8 @@
 	}
 }
 
-// readEvents reads new events from the source and schedules their delivery.
+// readEvents reads new events from the source and schedules their delivery. The
+// returned channel is closed when the source has later events.
 func (r *eventReader) readEvents() <-chan struct{} {
 	events, more := r.stream.Source.EventsAfter(r.position)
 	now := r.stream.Clock.Now()
@@ -150,8 +154,8 @@
 	return more
 }
 
-// writeDue writes what has arrived and returns the real time until the next
-// arrival.
+// writeDue writes the events whose delivery is due and returns the real time
+// until the next delivery, or ReportEvery if none is pending.
 func (r *eventReader) writeDue() (time.Duration, error) {
 	now := r.stream.Clock.Now()
 	written := 0
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -8,29 +8,29 @@
 	"github.com/pkg/errors"
 )
 
-// Faults are what a stand-in does wrong on purpose. Ratios are shares of the
-// requests, from 0 to 1.
+// Faults are the faults that a stand-in injects. A ratio is the share of requests
+// (of events for DropEventRatio) that are affected, from 0 to 1.
 type Faults struct {
-	// RefuseRatio refuses requests with the statement that they did not run.
+	// RefuseRatio refuses requests and states in the response that they did not run.
 	RefuseRatio float64 `json:"refuse_ratio"`
-	// TruncateRatio cuts answers after TruncateAtByte bytes of the body. A negative
-	// TruncateAtByte closes the connection with no answer at all, after the request
-	// has run.
+	// TruncateRatio truncates responses after TruncateAtByte bytes of the body. A
+	// negative TruncateAtByte closes the connection without a response: a replica
+	// does so after the run, or at the first token of a streamed response.
 	TruncateRatio  float64 `json:"cut_ratio"`
 	TruncateAtByte int     `json:"cut_at_byte"`
-	// HangRatio runs requests and never answers them.
+	// HangRatio runs requests and never sends a response.
 	HangRatio float64 `json:"hang_ratio"`
 	// SlowLink divides the bandwidth of transfers; 0 means 1.
 	SlowLink float64 `json:"slow_link"`
-	// DropEventRatio loses cache events beside what the feed plan loses.
+	// DropEventRatio drops cache events in addition to the losses of the feed plan.
 	DropEventRatio float64 `json:"drop_event_ratio"`
 	// Draining refuses all new requests.
 	Draining bool `json:"draining"`
-	// Crash loses everything in memory once, when the faults are set.
+	// Crash discards everything in memory once, when the faults are set.
 	Crash bool `json:"crash"`
 }
 
-// Check returns an error that names a setting out of its range.
+// Check returns an error if a setting is out of range.
 func (f Faults) Check() error {
 	for _, ratio := range []float64{f.RefuseRatio, f.TruncateRatio, f.HangRatio, f.DropEventRatio} {
 		if ratio < 0 || ratio > 1 {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// ReadFaults reads faults from a request's body. When they are malformed or out of
-// range, it answers with a Problem and returns false.
+// ReadFaults reads faults from a request body. If they are malformed or out of
+// range, it writes a Problem as the response and returns false.
 func ReadFaults(w http.ResponseWriter, r *http.Request) (Faults, bool) {
 	var faults Faults
 	if !ReadJSON(w, r, &faults) {
@@ -57,14 +57,16 @@
 	return faults, true
 }
 
-// FaultPlan draws from the present faults. It is safe for concurrent use.
+// FaultPlan decides at random which requests and events the current faults affect.
+// It is safe for concurrent use.
 type FaultPlan struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	faults Faults
 }
 
-// faultStream separates the draws of the faults from others of the same seed.
+// faultStream selects a random stream that is independent of others with the same
+// seed.
 const faultStream = 0xfa01
 
 // NewFaultPlan returns a plan without faults.
@@ -79,14 +81,14 @@
 	p.faults = faults
 }
 
-// Current returns the present faults.
+// Current returns the current faults.
 func (p *FaultPlan) Current() Faults {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.faults
 }
 
-// RequestFaults is what the faults do to one request.
+// RequestFaults are the faults that apply to one request.
 type RequestFaults struct {
 	Refuse   bool
 	Hang     bool
@@ -95,7 +97,7 @@
 	TruncateAtByte int
 }
 
-// Draw returns the fate of the next request.
+// Draw returns the faults of the next request.
 func (p *FaultPlan) Draw() RequestFaults {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -107,21 +109,23 @@
 	}
 }
 
-// DropEvent reports whether the next event is to be lost.
+// DropEvent reports whether to drop the next event.
 func (p *FaultPlan) DropEvent() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.random.Float64() < p.faults.DropEventRatio
 }
 
-// TruncatingWriter passes an answer on up to a number of bytes of its body, and then
-// ends the connection so that the client sees a broken answer.
+// TruncatingWriter forwards a limited number of bytes of a response body, and then
+// aborts the connection so that the client sees a truncated response.
 type TruncatingWriter struct {
 	http.ResponseWriter
 	remaining int
 }
 
-// NewTruncatingWriter returns the writer that a fate calls for.
+// NewTruncatingWriter returns a writer that applies the truncation in faults, or w
+// if there is none. It panics with http.ErrAbortHandler if TruncateAtByte is
+// negative.
 func NewTruncatingWriter(w http.ResponseWriter, faults RequestFaults) http.ResponseWriter {
 	if !faults.Truncate {
 		return w
@@ -132,8 +136,8 @@
 	return &TruncatingWriter{ResponseWriter: w, remaining: faults.TruncateAtByte}
 }
 
-// Write sends what fits before the cut and panics with http.ErrAbortHandler when
-// it is reached.
+// Write forwards data up to the limit and panics with http.ErrAbortHandler when
+// the limit is reached.
 func (w *TruncatingWriter) Write(data []byte) (int, error) {
 	if len(data) < w.remaining {
 		w.remaining -= len(data)
@@ -144,5 +148,5 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Flush sends what has been written.
+// Flush sends buffered data to the client.
 func (w *TruncatingWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
--- a/internal/lab/standin/faults_test.go
+++ b/internal/lab/standin/faults_test.go
@@ -11,28 +11,28 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-var _ = Describe("Faults of a request", func() {
+var _ = Describe("ReadFaults", func() {
 	read := func(body string) (standin.Faults, bool, *httptest.ResponseRecorder) {
 		response := httptest.NewRecorder()
 		faults, ok := standin.ReadFaults(response, httptest.NewRequest(http.MethodPost, "/lab/faults", strings.NewReader(body)))
 		return faults, ok, response
 	}
 
-	It("are read", func() {
+	It("reads faults from a request body", func() {
 		faults, ok, _ := read(`{"refuse_ratio": 0.5, "crash": true}`)
 		Expect(ok).To(BeTrue())
 		Expect(faults).To(Equal(standin.Faults{RefuseRatio: 0.5, Crash: true}))
 	})
 
-	DescribeTable("are refused with the kind of the problem",
+	DescribeTable("rejects invalid faults with the kind of the problem",
 		func(body, kind string) {
 			_, ok, response := read(body)
 			Expect(ok).To(BeFalse())
 			Expect(response.Code).To(Equal(http.StatusBadRequest))
 			Expect(response.Body.String()).To(ContainSubstring(kind))
 		},
-		Entry("out of range", `{"refuse_ratio": 2}`, "bad_faults"),
-		Entry("a negative factor", `{"slow_link": -1}`, "bad_faults"),
-		Entry("of another shape", `{"refuse": 1}`, "bad_body"),
+		Entry("ratio out of range", `{"refuse_ratio": 2}`, "bad_faults"),
+		Entry("negative slow_link", `{"slow_link": -1}`, "bad_faults"),
+		Entry("unknown field", `{"refuse": 1}`, "bad_body"),
 	)
 })
--- a/internal/lab/standin/response.go
+++ b/internal/lab/standin/response.go
@@ -10,42 +10,42 @@
 	"github.com/pkg/errors"
 )
 
-// Headers by which callers in the lab tell the truth about a request, and
-// stand-ins about an answer.
+// Headers with the ground truth: lab clients set them on requests, and stand-ins
+// on responses.
 const (
-	// HeaderTenant names the true tenant of a request.
+	// HeaderTenant is the actual tenant of a request.
 	HeaderTenant = "Lab-Tenant"
-	// HeaderZone names the zone of a machine that fetches a chunk.
+	// HeaderZone is the zone of the replica that fetches or pushes a chunk.
 	HeaderZone = "Lab-Zone"
-	// HeaderDigest is the hexadecimal SHA-256 digest of an answer's body.
+	// HeaderDigest is the hexadecimal SHA-256 digest of a response body.
 	HeaderDigest = "Lab-Digest"
 )
 
 // EventDigest is the name of the server-sent event that carries a Digest.
 const EventDigest = "digest"
 
-// CompleteResponse is the body of an answer in one piece.
+// CompleteResponse is the body of a response that is not streamed.
 type CompleteResponse struct {
 	RequestID string `json:"request_id"`
 	Output    string `json:"output"`
 	Digest    string `json:"digest"`
 }
 
-// ChunkResponse is the data of one event of a streamed answer.
+// ChunkResponse is the data of one output event of a streamed response.
 type ChunkResponse struct {
 	RequestID string `json:"request_id"`
 	Output    string `json:"output"`
 }
 
-// DigestResponse is the data of the digest event, which precedes the end of a
-// streamed answer.
+// DigestResponse is the data of the digest event, which precedes the end event
+// of a streamed response.
 type DigestResponse struct {
 	RequestID string `json:"request_id"`
 	Digest    string `json:"digest"`
 }
 
-// Output returns the generated tokens from position first up to position end of
-// a request's answer. It depends on the request alone.
+// Output returns the generated tokens from position first up to, but excluding,
+// position end. The text depends only on the request ID and the positions.
 func Output(requestID string, first, end uint32) string {
 	const syllables = "kalomenirutavosipedagu"
 	var text strings.Builder
@@ -61,43 +61,47 @@
 	return text.String()
 }
 
-// Digest names an answer: it covers the request's identity and the whole output.
+// Digest returns the hexadecimal SHA-256 digest of a request ID and the complete
+// output.
 func Digest(requestID, output string) string {
 	sum := sha256.Sum256([]byte(requestID + "\n" + output))
 	return hex.EncodeToString(sum[:])
 }
 
-// NewCompleteResponse returns the complete answer to a request.
+// NewCompleteResponse returns the response to a request with the given number of
+// output tokens.
 func NewCompleteResponse(requestID string, tokens uint32) CompleteResponse {
 	output := Output(requestID, 0, tokens)
 	return CompleteResponse{RequestID: requestID, Output: output, Digest: Digest(requestID, output)}
 }
 
-// CheckComplete reports whether a body is the complete answer to a request.
+// CheckComplete returns an error if a body is not the complete response to a
+// request.
 func CheckComplete(requestID string, body []byte) error {
 	var response CompleteResponse
 	if err := json.Unmarshal(body, &response); err != nil {
-		return errors.Wrap(err, "answer is cut or no answer")
+		return errors.Wrap(err, "response body is truncated or not a JSON response")
 	}
 	return check(requestID, response.RequestID, response.Output, response.Digest)
 }
 
-// StreamCheck follows a streamed answer and reports whether it came whole.
+// StreamCheck reads the events of a streamed response and reports whether the
+// response is complete and belongs to the request.
 type StreamCheck struct {
 	requestID string
 	output    strings.Builder
 	digest    string
-	firstErr   error
+	firstErr  error
 	ended     bool
 }
 
-// NewStreamCheck returns a check of the answer to a request.
+// NewStreamCheck returns a check of the streamed response to a request.
 func NewStreamCheck(requestID string) *StreamCheck {
 	return &StreamCheck{requestID: requestID}
 }
 
-// Event takes the name (empty for a plain one) and the data of one server-sent
-// event.
+// Event adds one server-sent event to the check. The name is empty for an output
+// event and for the end event; events with an unknown name are ignored.
 func (c *StreamCheck) Event(name, data string) {
 	switch {
 	case name == EventDigest:
@@ -116,38 +120,39 @@
 	}
 }
 
-// Ended reports whether the stream's last event has come.
+// Ended reports whether the end event was received.
 func (c *StreamCheck) Ended() bool { return c.ended }
 
-// Err returns what is wrong with a stream that looks complete, or nil.
+// Err returns the first error found in the events, or an error if the end event
+// is missing or the output does not match the digest.
 func (c *StreamCheck) Err() error {
 	if c.firstErr != nil {
 		return c.firstErr
 	}
 	if !c.ended {
-		return errors.New("stream ended without its last event")
+		return errors.New("stream ended without the end event")
 	}
 	return check(c.requestID, c.requestID, c.output.String(), c.digest)
 }
 
 func (c *StreamCheck) decode(data string, into any) {
 	if err := json.Unmarshal([]byte(data), into); err != nil && c.firstErr == nil {
-		c.firstErr = errors.Wrap(err, "event cannot be read")
+		c.firstErr = errors.Wrap(err, "decode event")
 	}
 }
 
 func (c *StreamCheck) checkRequestID(requestID string) {
 	if requestID != c.requestID && c.firstErr == nil {
-		c.firstErr = errors.Errorf("event of request %q in the answer to %q", requestID, c.requestID)
+		c.firstErr = errors.Errorf("received an event of request %q in the response to request %q", requestID, c.requestID)
 	}
 }
 
 func check(expected, requestID, output, digest string) error {
 	if requestID != expected {
-		return errors.Errorf("answer of request %q came to %q", requestID, expected)
+		return errors.Errorf("received the response to request %q for request %q", requestID, expected)
 	}
 	if Digest(requestID, output) != digest {
-		return errors.Errorf("answer to %q does not match its digest", expected)
+		return errors.Errorf("output of the response to request %q does not match its digest", expected)
 	}
 	return nil
 }
--- a/internal/lab/standin/response_test.go
+++ b/internal/lab/standin/response_test.go
@@ -15,8 +15,8 @@
 	return string(data)
 }
 
-var _ = Describe("answers", func() {
-	It("tells a whole answer from a cut, swapped or changed one", func() {
+var _ = Describe("Responses", func() {
+	It("distinguishes a complete response from a truncated, swapped or changed one", func() {
 		answer := standin.NewCompleteResponse("r1", 20)
 		body := encode(answer)
 		Expect(standin.CheckComplete("r1", []byte(body))).To(Succeed())
@@ -26,7 +26,7 @@
 		Expect(standin.CheckComplete("r1", []byte(encode(answer)))).NotTo(Succeed())
 	})
 
-	It("joins chunks to the whole output", func() {
+	It("returns the same output in chunks as in one piece", func() {
 		Expect(standin.Output("r", 0, 8) + standin.Output("r", 8, 20)).To(Equal(standin.Output("r", 0, 20)))
 		Expect(standin.Output("r", 0, 20)).NotTo(Equal(standin.Output("s", 0, 20)))
 	})
@@ -47,7 +47,7 @@
 			Expect(check.Err()).To(Succeed())
 		})
 
-		It("rejects a stream without an end, with a hole, or with another's event", func() {
+		It("rejects a stream without the end event, with missing output, or with an event of another request", func() {
 			check.Event("", chunk("r1", 0, 8))
 			Expect(check.Err()).NotTo(Succeed())
 			check.Event(standin.EventDigest, digest)
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -11,19 +11,20 @@
 	"github.com/pkg/errors"
 )
 
-// maxBodyBytes bounds what a stand-in reads of one request.
+// maxBodyBytes is the maximum number of bytes that a stand-in reads from a
+// request body; DrainBody reads one more to detect a longer body.
 const maxBodyBytes = 16 << 20
 
-// shutdownTime is how long a stand-in lets running answers finish.
+// shutdownTime is how long a stand-in waits for open responses on shutdown.
 const shutdownTime = time.Second
 
-// Problem is the body of a refused call.
+// Problem is the body of an error response.
 type Problem struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
 }
 
-// Serve answers on an address until the context ends.
+// Serve serves HTTP on an address until the context ends.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return ServeListener(ctx, listener, handler)
 }
 
-// ServeListener answers on a listener until the context ends.
+// ServeListener serves HTTP on a listener until the context ends.
 func ServeListener(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler}
 	stopped := make(chan struct{})
@@ -52,14 +53,14 @@
 	return nil
 }
 
-// WriteJSON answers with one JSON value.
+// WriteJSON writes a response with one JSON value.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// WriteLines answers with JSON values, a line each.
+// WriteLines writes a response with one JSON value per line.
 func WriteLines[T any](w http.ResponseWriter, values []T) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	encoder := json.NewEncoder(w)
@@ -70,8 +71,8 @@
 	}
 }
 
-// ReadJSON reads a request's body strictly. When it cannot, it answers with a
-// Problem and returns false.
+// ReadJSON decodes a request body and rejects unknown fields. If decoding fails,
+// it writes a Problem as the response and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -82,8 +83,8 @@
 	return true
 }
 
-// DrainBody reads a request's body to its end, after which the server notices
-// when the caller goes away.
+// DrainBody reads and discards a request body. net/http detects that the client
+// has disconnected only after the body was read to its end.
 func DrainBody(r *http.Request) error {
 	read, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil {
