--- a/internal/lab/standin/store/server.go
+++ b/internal/lab/standin/store/server.go
@@ -1,6 +1,6 @@
-// Package store is the HTTP stand-in for a store of cached chunks: replicas
-// push chunks to it and pull them from it, and nodes read its events and its
-// report as they read a replica's.
+// Package store is the HTTP stand-in for a store of cached chunks. Replicas push
+// chunks to it and pull chunks from it; nodes read its events and its report in
+// the same way as those of a replica.
 package store
 
 import (
@@ -17,13 +17,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// Settings describe one stand-in store. Feed times are in real time.
+// Settings configure one stand-in store. Feed and ReportEvery are in
+// real time, Links in model time.
 type Settings struct {
 	Address        string
 	Zone           string
 	Incarnation    uint64
 	CapacityTokens uint64
-	// TimeScale is how many times faster than real links transfers run.
+	// TimeScale is the factor by which transfers are faster than on real links.
 	TimeScale   float64
 	Seed        uint64
 	Links       emulator.LinkModel
@@ -31,7 +32,8 @@
 	ReportEvery time.Duration
 }
 
-// journalEvents is how many events a reader that comes back may have missed.
+// journalEvents is the number of events kept for readers that reconnect. A reader
+// that has missed more gets a reset event.
 const journalEvents = 16384
 
 // Server is one stand-in store.
@@ -122,7 +124,7 @@
 	standin.WriteJSON(w, http.StatusOK, s.Report())
 }
 
-// get serves a chunk in the time that its transfer takes.
+// get serves a chunk after the simulated transfer time.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	hash, err := emulator.ParseHash(r.PathValue("hash"))
 	if err != nil {
@@ -141,7 +143,7 @@
 	}
 }
 
-// put keeps a chunk that a replica pushes.
+// put stores a chunk that a replica pushes, after the simulated transfer time.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	var chunk emulator.CachedChunk
 	if !standin.ReadJSON(w, r, &chunk) {
@@ -165,7 +167,7 @@
 	return standin.Wait(r.Context(), s.clock.Real(span))
 }
 
-// change does something to the model and wakes the readers of events.
+// change applies an action to the model and notifies the readers of events.
 func (s *Server) change(action func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -187,7 +189,7 @@
 	standin.WriteJSON(w, http.StatusOK, faults)
 }
 
-// empty loses everything, as when the store comes back after a failure.
+// empty discards all chunks, as when the store restarts after a failure.
 func (s *Server) empty(w http.ResponseWriter, _ *http.Request) {
 	s.change(s.model.Empty)
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/lab/standin/store/server_test.go
+++ b/internal/lab/standin/store/server_test.go
@@ -38,7 +38,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("keeps what is pushed, with its true maker, and reports it", func() {
+	It("stores a pushed chunk with its tenant and weight version, and reports it", func() {
 		Expect(call("PUT", protocol.PathChunks+"ab", encoded()).Code).To(Equal(http.StatusNoContent))
 		Expect(call("GET", protocol.PathChunks+"ab", "").Body.String()).To(MatchJSON(encoded()))
 		Expect(server.Report().CachedTokens).To(Equal(uint64(50)))
@@ -47,12 +47,12 @@
 		Expect(events[0].Chunks).To(Equal([]protocol.Chunk{{Hash: "ab", Parent: "aa", Tokens: 50}}))
 	})
 
-	It("refuses a part under another's name", func() {
+	It("rejects a chunk whose hash differs from the one in the path", func() {
 		Expect(call("PUT", protocol.PathChunks+"ac", encoded()).Code).To(Equal(http.StatusBadRequest))
 		Expect(call("GET", protocol.PathChunks+"ac", "").Code).To(Equal(http.StatusNotFound))
 	})
 
-	It("comes back empty in a new life, and tells readers so", func() {
+	It("is empty in a new incarnation after a restart, and notifies readers with a reset event", func() {
 		Expect(call("PUT", protocol.PathChunks+"ab", encoded()).Code).To(Equal(http.StatusNoContent))
 		_, changed := server.EventsAfter(standin.Position{})
 		Expect(call("POST", "/lab/empty", "").Code).To(Equal(http.StatusNoContent))
