--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -1,6 +1,6 @@
 // Package webservice is the HTTP stand-in for a plain web service, such as a
-// calendar or a portal: small pages and files whose content follows from their
-// path, with a digest.
+// calendar or a portal. It serves small pages and larger files with a digest;
+// their content is derived from the path.
 package webservice
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// Sizes of the content, which the path decides.
+// Limits of the content size; the actual size is derived from the path.
 const (
 	smallestPageBytes = 1 << 10
 	largestPageBytes  = 16 << 10
@@ -27,7 +27,8 @@
 	filesPath         = "/files/"
 )
 
-// VisitRecord is the truth about one request, as /lab/executions tells it.
+// VisitRecord is the ground truth about one request, as served at
+// /lab/executions.
 type VisitRecord struct {
 	Server           string `json:"server"`
 	RequestID        string `json:"request_id"`
@@ -37,24 +38,24 @@
 	Path             string `json:"path"`
 	StartedUnixNano  int64  `json:"started_unix_nano"`
 	FinishedUnixNano int64  `json:"finished_unix_nano"`
-	// Refused is set if the request has not run.
+	// Refused is set if the request was refused and not run.
 	Refused bool `json:"refused"`
-	// Delivered reports whether the whole answer was written to the connection.
+	// Delivered reports whether the complete response was written to the connection.
 	Delivered bool `json:"delivered"`
 }
 
-// Server is one stand-in back end of a web service.
+// Server is one stand-in backend of a web service.
 type Server struct {
 	address string
 	clock   standin.Clock
 	faults  *standin.FaultPlan
 
-	// mutex guards visits.
-	mutex  sync.Mutex
+	// mutex guards records.
+	mutex   sync.Mutex
 	records []*VisitRecord
 }
 
-// New returns a back end for an address.
+// New returns a backend for an address. The seed determines the random faults.
 func New(address string, seed uint64) *Server {
 	return &Server{
 		address: address,
@@ -63,12 +64,12 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run serves on the backend's address until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	return standin.Serve(ctx, s.address, s.Handler())
 }
 
-// Handler returns the back end's HTTP interface.
+// Handler returns the HTTP handler of the backend.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
@@ -77,7 +78,7 @@
 	return mux
 }
 
-// Content returns what a path names.
+// Content returns the content of the page or file at a path.
 func Content(path string) []byte {
 	smallest, largest := smallestPageBytes, largestPageBytes
 	if strings.HasPrefix(path, filesPath) {
@@ -89,7 +90,7 @@
 	return []byte(strings.Repeat(line, size/len(line)+1)[:size])
 }
 
-// Digest returns what HeaderDigest says of a body.
+// Digest returns the value of standin.HeaderDigest for a body.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
--- a/internal/lab/standin/webservice/server_test.go
+++ b/internal/lab/standin/webservice/server_test.go
@@ -44,7 +44,7 @@
 		Expect(len(file)).To(BeNumerically(">", len(page)))
 	})
 
-	It("cuts answers and refuses requests as the faults say, and logs both", func() {
+	It("truncates responses and refuses requests according to the faults, and records both", func() {
 		setFaults(`{"cut_ratio":1,"cut_at_byte":100}`)
 		_, page, err := get("/hearings/3")
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
