--- a/internal/lab/standin/platform/lagging_endpoints.go
+++ b/internal/lab/standin/platform/lagging_endpoints.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Record tells when a change was made and when it was first seen.
+// Record contains the times when a change was made, became visible and was first
+// served.
 type Record struct {
 	Change  Change
 	Made    time.Duration
 	Visible time.Duration
-	// FirstServed is when a reader first got a list that shows the change; it is
-	// valid when Served is set.
+	// FirstServed is the time when a list that includes the change was first
+	// served; it is valid if Served is set.
 	FirstServed time.Duration
 	Served      bool
 }
 
-// LaggingEndpoints is a list of services that shows changes only after a lag. It is
-// not safe for concurrent use.
+// LaggingEndpoints is a list of services in which changes become visible after a
+// lag. It is not safe for concurrent use.
 type LaggingEndpoints struct {
 	lag     time.Duration
 	shown   Endpoints
 	records []*Record
-	// visible counts the records that shown contains.
+	// visible is the number of records that are applied to shown.
 	visible int
 }
 
-// NewLaggingEndpoints returns a list that shows its initial content at once.
+// NewLaggingEndpoints returns a list whose initial content is visible at once.
 func NewLaggingEndpoints(initial Endpoints, lag time.Duration) *LaggingEndpoints {
 	return &LaggingEndpoints{lag: lag, shown: initial}
 }
 
-// Change makes a change, which shows after the lag.
+// Change records a change, which becomes visible after the lag.
 func (l *LaggingEndpoints) Change(now time.Duration, change Change) error {
 	if err := change.check(); err != nil {
 		return err
@@ -37,11 +38,12 @@
 	return nil
 }
 
-// SetLag changes the lag of later changes. A change never shows before an
+// SetLag sets the lag of later changes. A change never becomes visible before an
 // earlier one.
 func (l *LaggingEndpoints) SetLag(lag time.Duration) { l.lag = lag }
 
-// Serve returns the list as a reader sees it now.
+// Serve returns the list as it is visible now, and records the changes that it
+// includes for the first time as served.
 func (l *LaggingEndpoints) Serve(now time.Duration) Endpoints {
 	for l.visible < len(l.records) && l.records[l.visible].Visible <= now {
 		l.shown = l.shown.with(l.records[l.visible].Change)
@@ -52,7 +54,7 @@
 	return l.shown
 }
 
-// History returns every change, in order.
+// History returns the records of all changes, in the order in which they were made.
 func (l *LaggingEndpoints) History() []Record {
 	history := make([]Record, len(l.records))
 	for position, record := range l.records {
--- a/internal/lab/standin/platform/lagging_endpoints_test.go
+++ b/internal/lab/standin/platform/lagging_endpoints_test.go
@@ -22,12 +22,12 @@
 	return list
 }
 
-var _ = Describe("LaggingList", func() {
+var _ = Describe("LaggingEndpoints", func() {
 	drain := platform.Change{Service: "cases", Address: "a:1", State: platform.StateDraining}
 	remove := platform.Change{Service: "cases", Address: "b:1", State: platform.StateRemoved}
 	add := platform.Change{Service: "cases", Address: "c:1", Zone: "z3", State: platform.StateRunning}
 
-	It("shows changes after the lag, and remembers when they were first served", func() {
+	It("makes changes visible after the lag, and records when they were first served", func() {
 		list := platform.NewLaggingEndpoints(parseInitial(), time.Second)
 		for _, change := range []platform.Change{drain, remove, add} {
 			Expect(list.Change(5*time.Second, change)).To(Succeed())
@@ -45,7 +45,7 @@
 		}))
 	})
 
-	It("refuses an unknown state", func() {
+	It("rejects an unknown state and an empty address", func() {
 		list := platform.NewLaggingEndpoints(parseInitial(), 0)
 		Expect(list.Change(0, platform.Change{Service: "cases", Address: "a:1", State: "gone"})).NotTo(Succeed())
 		_, err := platform.ParseEndpoints([]byte(`{"services":[{"name":"x","replicas":[{"address":"","state":"running"}]}]}`))
@@ -54,7 +54,7 @@
 })
 
 var _ = Describe("Server", func() {
-	It("serves the list, takes changes whole or not at all, and tells its history", func() {
+	It("serves the list, applies all changes of a request or none, and serves the history", func() {
 		handler := platform.New("", parseInitial(), 0).Handler()
 		call := func(method, path, body string) *httptest.ResponseRecorder {
 			recorder := httptest.NewRecorder()
--- a/internal/lab/standin/platform/server.go
+++ b/internal/lab/standin/platform/server.go
@@ -1,5 +1,5 @@
-// Package platform is the HTTP stand-in for the platform's list of replicas,
-// which lags behind the truth.
+// Package platform is the HTTP stand-in for the platform's list of services and
+// their backends, which lags behind the actual state.
 package platform
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// HistoryRecord is one change, as GET /lab/history tells it. Times are Unix
+// HistoryRecord is one change, as served at GET /lab/history. Times are Unix
 // nanoseconds.
 type HistoryRecord struct {
 	Change
 	MadeUnixNano int64 `json:"made_unix_nano"`
-	// VisibleUnixNano is from when on the list shows the change.
+	// VisibleUnixNano is the time from which the list includes the change.
 	VisibleUnixNano int64 `json:"visible_unix_nano"`
-	// FirstServedUnixNano is when a reader first got a list that shows the
-	// change; 0 when none has.
+	// FirstServedUnixNano is the time when a list that includes the change was
+	// first served; 0 if it was not served yet.
 	FirstServedUnixNano int64 `json:"first_served_unix_nano"`
 }
 
@@ -33,7 +33,7 @@
 	address string
 	clock   standin.Clock
 
-	// mutex guards list.
+	// mutex guards endpoints.
 	mutex     sync.Mutex
 	endpoints *LaggingEndpoints
 }
@@ -47,12 +47,12 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run serves on the platform's address until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	return standin.Serve(ctx, s.address, s.Handler())
 }
 
-// Handler returns the platform's HTTP interface.
+// Handler returns the HTTP handler of the platform.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/services", s.services)
@@ -69,7 +69,7 @@
 	standin.WriteJSON(w, http.StatusOK, endpoints)
 }
 
-// change takes all changes of a body or none.
+// change applies all changes of a request body, or none if one is invalid.
 func (s *Server) change(w http.ResponseWriter, r *http.Request) {
 	var body Changes
 	if !standin.ReadJSON(w, r, &body) {
--- a/internal/lab/standin/platform/services.go
+++ b/internal/lab/standin/platform/services.go
@@ -6,35 +6,36 @@
 	"github.com/pkg/errors"
 )
 
-// ReplicaState is what the platform says of a back end.
+// ReplicaState is the state of a backend as reported by the platform.
 type ReplicaState string
 
-// The states of back ends. A removed one leaves the list.
+// States of a backend. A removed backend is deleted from the list.
 const (
 	StateRunning  ReplicaState = "running"
 	StateDraining ReplicaState = "draining"
 	StateRemoved  ReplicaState = "removed"
 )
 
-// Replica is a back end as listed.
+// Replica is one backend in the list of a service.
 type Replica struct {
 	Address string       `json:"address"`
 	Zone    string       `json:"zone"`
 	State   ReplicaState `json:"state"`
 }
 
-// Service is a service as listed.
+// Service is one service in the list.
 type Service struct {
 	Name     string    `json:"name"`
 	Replicas []Replica `json:"replicas"`
 }
 
-// Endpoints is the answer to GET /v1/services, and the form of the initial file.
+// Endpoints is the response to GET /v1/services and the format of the file with
+// the initial list.
 type Endpoints struct {
 	Services []Service `json:"services"`
 }
 
-// Change sets the state of one back end, and adds it when it is new.
+// Change sets the state of one backend, and adds the backend if it is not listed.
 type Change struct {
 	Service string       `json:"service"`
 	Address string       `json:"address"`
@@ -47,11 +48,11 @@
 	Changes []Change `json:"changes"`
 }
 
-// ParseEndpoints reads and checks an initial list.
+// ParseEndpoints parses and validates an initial list.
 func ParseEndpoints(data []byte) (Endpoints, error) {
 	var endpoints Endpoints
 	if err := json.Unmarshal(data, &endpoints); err != nil {
-		return endpoints, errors.Wrap(err, "platform: read services")
+		return endpoints, errors.Wrap(err, "platform: parse list of services")
 	}
 	for _, service := range endpoints.Services {
 		for _, replica := range service.Replicas {
@@ -75,7 +76,8 @@
 	return errors.Errorf("platform: state %q is unknown; use %s, %s or %s", c.State, StateRunning, StateDraining, StateRemoved)
 }
 
-// with returns the list after a change; the old list stays as it was.
+// with returns a copy of the list with a change applied; the original list is not
+// modified.
 func (l Endpoints) with(change Change) Endpoints {
 	next := Endpoints{}
 	found := false
