--- a/internal/lab/standin/replica/chunks.go
+++ b/internal/lab/standin/replica/chunks.go
@@ -15,14 +15,15 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/prefixindex"
 )
 
-// minPushTokens is the length from which a chunk is worth keeping in the store.
+// minPushTokens is the minimum length of a chunk that is pushed to the store;
+// shorter chunks are not worth storing.
 const minPushTokens = 256
 
-// pullTimeout, in the model's time, is how long an attempt waits for chunks before
+// pullTimeout is how long, in model time, an attempt waits for pulled chunks before
 // it computes them.
 const pullTimeout = 15 * time.Second
 
-// serveChunk serves a cached chunk to a peer, in the time that its transfer takes.
+// serveChunk serves a cached chunk to a peer after the simulated transfer time.
 func (s *Server) serveChunk(w http.ResponseWriter, r *http.Request) {
 	hash, err := emulator.ParseHash(r.PathValue("hash"))
 	if err != nil {
@@ -44,8 +45,8 @@
 	standin.WriteJSON(w, http.StatusOK, kept[0])
 }
 
-// pull fetches what an attempt lacks, up to the first chunk that cannot be had in
-// time, and lets the attempt go on.
+// pull fetches the missing chunks of an attempt in order, stops at the first error
+// or at the time-out, and lets the attempt continue with the chunks fetched so far.
 func (s *Server) pull(ctx context.Context, handle emulator.Handle, requested pullRange) {
 	ctx, cancel := context.WithTimeout(ctx, s.clock.Real(pullTimeout))
 	defer cancel()
@@ -67,27 +68,28 @@
 	url := "http://" + source + protocol.PathChunks + emulator.FormatHash(hash)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return chunk, errors.Wrap(err, "replica: fetch part")
+		return chunk, errors.Wrap(err, "replica: fetch chunk")
 	}
 	request.Header.Set(standin.HeaderZone, s.settings.Model.Zone)
 	response, err := s.client.Do(request)
 	if err != nil {
-		return chunk, errors.Wrap(err, "replica: fetch part")
+		return chunk, errors.Wrap(err, "replica: fetch chunk")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return chunk, errors.Errorf("replica: %s does not keep part %s", source, emulator.FormatHash(hash))
+		return chunk, errors.Errorf("replica: chunk source %s does not have chunk %s", source, emulator.FormatHash(hash))
 	}
 	if err := json.NewDecoder(response.Body).Decode(&chunk); err != nil {
-		return chunk, errors.Wrap(err, "replica: read part")
+		return chunk, errors.Wrap(err, "replica: decode fetched chunk")
 	}
 	if chunk.Hash != hash {
-		return chunk, errors.Errorf("replica: %s answered with another part", source)
+		return chunk, errors.Errorf("replica: chunk source %s returned a chunk with another hash", source)
 	}
 	return chunk, nil
 }
 
-// pushNewChunks sends each long chunk that is newly kept to the store.
+// pushNewChunks pushes each newly cached chunk of at least minPushTokens to the
+// store.
 func (s *Server) pushNewChunks(ctx context.Context) {
 	var position standin.Position
 	for {
@@ -115,7 +117,8 @@
 		var chunk emulator.CachedChunk
 		var kept bool
 		s.update(func(time.Duration) { chunk, kept = s.model.Chunk(hash) })
-		// A store that is down misses the chunk; it is a cache.
+		// Chunks are not pushed again after an error: the store is a cache and may
+		// miss chunks while it is down.
 		if kept && s.push(ctx, chunk) != nil {
 			return
 		}
@@ -125,17 +128,17 @@
 func (s *Server) push(ctx context.Context, chunk emulator.CachedChunk) error {
 	body, err := json.Marshal(chunk)
 	if err != nil {
-		return errors.Wrap(err, "replica: push part")
+		return errors.Wrap(err, "replica: push chunk")
 	}
 	url := "http://" + s.settings.Store + protocol.PathChunks + emulator.FormatHash(chunk.Hash)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "replica: push part")
+		return errors.Wrap(err, "replica: push chunk")
 	}
 	request.Header.Set(standin.HeaderZone, s.settings.Model.Zone)
 	response, err := s.client.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "replica: push part")
+		return errors.Wrap(err, "replica: push chunk")
 	}
-	return errors.Wrap(response.Body.Close(), "replica: push part")
+	return errors.Wrap(response.Body.Close(), "replica: push chunk")
 }
--- a/internal/lab/standin/replica/control.go
+++ b/internal/lab/standin/replica/control.go
@@ -11,13 +11,14 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// report answers with the delayed report.
+// report serves the delayed report.
 func (s *Server) report(w http.ResponseWriter, _ *http.Request) {
 	standin.WriteJSON(w, http.StatusOK, s.Report())
 }
 
-// loadWeights takes a weights command: 200 when the version is loaded already,
-// 202 when it is being loaded, 409 when the epoch is below one seen before.
+// loadWeights handles a weights command. It responds with status 200 if the version
+// is already loaded, 202 if it is being loaded, and 409 if the epoch is lower than
+// one seen before.
 func (s *Server) loadWeights(w http.ResponseWriter, r *http.Request) {
 	var command protocol.WeightsCommand
 	if !standin.ReadJSON(w, r, &command) {
@@ -61,7 +62,7 @@
 	standin.WriteJSON(w, http.StatusOK, s.faults.Current())
 }
 
-// setFaults replaces the faults, and crashes the replica when they say so.
+// setFaults replaces the faults, and crashes the replica if Crash is set.
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	faults, ok := standin.ReadFaults(w, r)
 	if !ok {
@@ -79,8 +80,8 @@
 	standin.WriteJSON(w, http.StatusOK, faults)
 }
 
-// crash loses the model's memory and breaks every open answer. The caller holds
-// the mutex.
+// crash discards the memory of the model and aborts every open response. The caller
+// must hold the mutex.
 func (s *Server) crash(now time.Duration) {
 	s.model.Crash(now)
 	close(s.crashed)
--- a/internal/lab/standin/replica/doc.go
+++ b/internal/lab/standin/replica/doc.go
@@ -1,4 +1,4 @@
-// Package replica is the HTTP stand-in for a model replica: the emulated model
-// of package emulator in real time behind the replica protocol, with a log of
-// what has really run.
+// Package replica is the HTTP stand-in for a model replica. It runs the emulated
+// replica of package emulator in scaled real time behind the replica protocol, and
+// records the ground truth about every execution.
 package replica
--- a/internal/lab/standin/replica/generate.go
+++ b/internal/lab/standin/replica/generate.go
@@ -15,13 +15,13 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// refusedByFault marks refusals that were asked for as a fault.
+// refusedByFault is the reason of refusals that are injected as a fault.
 const refusedByFault emulator.RefusalReason = "fault"
 
-// retryAfterSeconds is what a busy replica tells its callers.
+// retryAfterSeconds is the Retry-After value of a refusal.
 const retryAfterSeconds = 1
 
-// generate runs one attempt.
+// generate handles one attempt of a generate request.
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	read, err := readCall(r.Header)
 	setIDHeaders(w, read.request)
@@ -47,7 +47,7 @@
 	answer.write(w, r)
 }
 
-// submit offers an attempt to the model.
+// submit submits an attempt to the model, or refuses it if the faults demand so.
 func (s *Server) submit(request emulator.Request, faults standin.RequestFaults) (emulator.Handle, <-chan emulator.Notice, error) {
 	var handle emulator.Handle
 	var notices chan emulator.Notice
@@ -66,7 +66,7 @@
 	return handle, notices, err
 }
 
-// abandon stops an attempt whose answer has ended, if it still runs.
+// abandon cancels an attempt that is still running when its response has ended.
 func (s *Server) abandon(handle emulator.Handle) {
 	s.updateAndWake(func(now time.Duration) {
 		delete(s.waiting, handle)
@@ -74,7 +74,8 @@
 	})
 }
 
-// refuse answers that an attempt has not run and will not run.
+// refuse writes a response stating that an attempt or a weights command has not run
+// and will not run.
 func refuse(w http.ResponseWriter, err error) {
 	kind := "refused"
 	var refusal *emulator.RefusedError
@@ -91,7 +92,7 @@
 	w.Header().Set(protocol.HeaderAttemptID, request.AttemptID)
 }
 
-// responseWriter writes what comes of one attempt.
+// responseWriter writes the response of one attempt.
 type responseWriter struct {
 	server  *Server
 	call    call
@@ -102,7 +103,8 @@
 	output  strings.Builder
 }
 
-// write follows the attempt to its end, or to the end of the connection.
+// write handles the notices of the attempt until it has finished or the request's
+// context ends. It aborts the connection if the replica crashes.
 func (a *responseWriter) write(w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
@@ -124,7 +126,7 @@
 	}
 }
 
-// writeComplete writes the answer in one piece.
+// writeComplete writes a response that is not streamed.
 func (a *responseWriter) writeComplete(w http.ResponseWriter, r *http.Request, notice emulator.Notice) {
 	a.hang(r)
 	a.setExecutionHeaders(w, notice)
@@ -140,7 +142,8 @@
 	}
 }
 
-// stream writes one further piece of a streamed answer.
+// stream writes the events of a streamed response that a notice adds, and returns
+// the writer for the next notice.
 func (a *responseWriter) stream(w http.ResponseWriter, r *http.Request, notice emulator.Notice) http.ResponseWriter {
 	if notice.Kind == emulator.NoticeFirstToken {
 		a.hang(r)
@@ -167,8 +170,8 @@
 	return w
 }
 
-// event writes one server-sent event. A write that fails shows as the end of
-// the request's context.
+// event writes one server-sent event. It ignores write errors, because a broken
+// connection also ends the request's context.
 func (a *responseWriter) event(w http.ResponseWriter, name string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -180,13 +183,15 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 }
 
-// setExecutionHeaders sets the headers that are known from the first token on.
+// setExecutionHeaders sets the headers whose values are known from the first token
+// on.
 func (a *responseWriter) setExecutionHeaders(w http.ResponseWriter, notice emulator.Notice) {
 	w.Header().Set(protocol.HeaderWeightVersion, notice.WeightVersion)
 	w.Header().Set(protocol.HeaderReusedTokens, strconv.FormatUint(notice.ReusedTokens, 10))
 }
 
-// hang keeps the answer back for good when the faults say so.
+// hang blocks until the request's context ends and then aborts the connection, if
+// the faults demand it.
 func (a *responseWriter) hang(r *http.Request) {
 	if !a.faults.Hang {
 		return
--- a/internal/lab/standin/replica/ground_truth.go
+++ b/internal/lab/standin/replica/ground_truth.go
@@ -10,8 +10,8 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// ExecutionRecord is the truth about one arrival, as /lab/executions tells it.
-// Times are Unix nanoseconds; 0 stands for never.
+// ExecutionRecord is the ground truth about one attempt that arrived, as served at
+// /lab/executions. Times are Unix nanoseconds; 0 means never.
 type ExecutionRecord struct {
 	Replica    string `json:"replica"`
 	RequestID  string `json:"request_id"`
@@ -24,13 +24,13 @@
 	// Outcome is one of the outcomes of package emulator.
 	Outcome string `json:"outcome"`
 	Refusal string `json:"refusal,omitempty"`
-	// Started reports whether any of the request has run.
+	// Started reports whether the request has run at least in part.
 	Started            bool  `json:"started"`
 	ArrivedUnixNano    int64 `json:"arrived_unix_nano"`
 	StartedUnixNano    int64 `json:"started_unix_nano"`
 	FirstTokenUnixNano int64 `json:"first_token_unix_nano"`
 	FinishedUnixNano   int64 `json:"finished_unix_nano"`
-	// Delivered reports whether the whole answer was written to the connection.
+	// Delivered reports whether the complete response was written to the connection.
 	Delivered          bool                   `json:"delivered"`
 	PrefilledTokens    uint64                 `json:"prefilled_tokens"`
 	ReusedTokens       uint64                 `json:"reused_tokens"`
@@ -39,7 +39,7 @@
 	FinalWeightVersion string                 `json:"final_weight_version"`
 }
 
-// CommandRecord is one weights command, as /lab/commands tells it.
+// CommandRecord is one weights command, as served at /lab/commands.
 type CommandRecord struct {
 	UnixNano      int64  `json:"unix_nano"`
 	Sender        string `json:"holder"`
@@ -48,7 +48,7 @@
 	Accepted      bool   `json:"accepted"`
 }
 
-// Executions returns the truth about every arrival, in order.
+// Executions returns the ground truth about every attempt, in order of arrival.
 func (s *Server) Executions() []ExecutionRecord {
 	var records []ExecutionRecord
 	s.update(func(time.Duration) {
@@ -86,7 +86,8 @@
 	}
 }
 
-// unixNanoOrNever keeps the model's zero time, which means never.
+// unixNanoOrNever converts model time to Unix nanoseconds. It returns 0 for model
+// time 0, which means never.
 func (s *Server) unixNanoOrNever(at time.Duration) int64 {
 	if at == 0 {
 		return 0
--- a/internal/lab/standin/replica/request.go
+++ b/internal/lab/standin/replica/request.go
@@ -16,19 +16,20 @@
 const (
 	defaultOutputTokens = 128
 	maxOutputTokens     = 1 << 16
-	// chunkTokens is how many tokens one event of a stream carries.
+	// chunkTokens is the number of output tokens per event of a stream.
 	chunkTokens = 8
 	eventStream = "text/event-stream"
 )
 
-// pullRange is what a replica is told to pull before prefill.
+// pullRange identifies the chunks to pull before prefill: positions first to last,
+// inclusive, from the address source.
 type pullRange struct {
 	source string
 	first  int
 	last   int
 }
 
-// call is a generate request as read from its headers.
+// call is a generate request parsed from its headers.
 type call struct {
 	request emulator.Request
 	pull    *pullRange
@@ -66,8 +67,8 @@
 	return read, err
 }
 
-// parsePrefix reads `id;tokens=N, id;tokens=N`. An absent header is a prompt
-// without chunks.
+// parsePrefix parses `id;tokens=N, id;tokens=N`. It returns no chunks if the header
+// is absent.
 func parsePrefix(text string) ([]prefixindex.Chunk, error) {
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
--- a/internal/lab/standin/replica/server.go
+++ b/internal/lab/standin/replica/server.go
@@ -31,12 +31,12 @@
 	incarnation uint64
 	sequence    uint64
 	// crashed is closed when the replica crashes, which ends every open response,
-	// and replaced for the next run.
+	// and replaced for the next incarnation.
 	crashed chan struct{}
 }
 
-// New returns a stand-in whose machine has been up for long enough to be warm
-// when cold is false.
+// New returns a stand-in replica. Unless warmingUp is set, the emulated replica has
+// already completed its warm-up.
 func New(settings Settings, warmingUp bool) (*Server, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -65,14 +65,14 @@
 	return s, nil
 }
 
-// Run serves on the model's address until the context ends.
+// Run runs the model and serves on its address until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	return s.run(ctx, func(handler http.Handler) error {
 		return standin.Serve(ctx, s.settings.Model.Address, handler)
 	})
 }
 
-// RunListener serves on a listener until the context ends.
+// RunListener runs the model and serves on a listener until the context ends.
 func (s *Server) RunListener(ctx context.Context, listener net.Listener) error {
 	return s.run(ctx, func(handler http.Handler) error {
 		return standin.ServeListener(ctx, listener, handler)
@@ -90,8 +90,8 @@
 	return err
 }
 
-// Handler returns the replica's HTTP interface. The model moves only while Run
-// or RunListener runs.
+// Handler returns the HTTP handler of the replica. The model advances on its own
+// only while Run or RunListener is running.
 func (s *Server) Handler() http.Handler {
 	events := &standin.EventStream{
 		Source:      s,
@@ -116,8 +116,8 @@
 	return all
 }
 
-// abortWhileDown closes connections without an answer while the replica is down, and
-// cuts answers short when it crashes.
+// abortWhileDown closes connections without a response while the replica is down,
+// and aborts open responses when it crashes.
 func (s *Server) abortWhileDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
@@ -145,7 +145,8 @@
 	})
 }
 
-// runModel runs the model in real time.
+// runModel advances the model at the time of each of its changes, until the context
+// ends.
 func (s *Server) runModel(ctx context.Context) {
 	for {
 		wait := time.Hour
@@ -166,7 +167,8 @@
 	}
 }
 
-// updateAndWake does something to the model and lets the driver look at it again.
+// updateAndWake applies an action like update, and wakes runModel so that it
+// recomputes the time of the next change.
 func (s *Server) updateAndWake(action func(now time.Duration)) {
 	s.update(action)
 	select {
@@ -175,7 +177,8 @@
 	}
 }
 
-// update brings the model up to now, does something to it, and tells those who wait.
+// update advances the model to the current time, applies an action to it, delivers
+// its notices, and notifies the readers of events.
 func (s *Server) update(action func(now time.Duration)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -188,8 +191,8 @@
 	s.notifyReaders()
 }
 
-// deliver hands a notice to the attempt's handler. The channel has room for
-// every notice that an attempt can get.
+// deliver sends a notice to the handler of the attempt. It does not block, because
+// the channel has room for every notice that an attempt can get.
 func (s *Server) deliver(notice emulator.Notice) {
 	waiting, ok := s.waiting[notice.Handle]
 	if !ok {
@@ -224,7 +227,7 @@
 	return events, changed
 }
 
-// Report implements standin.EventSource. The age is in real time.
+// Report implements standin.EventSource. AgeMS is converted to real time.
 func (s *Server) Report() protocol.Report {
 	var report protocol.Report
 	s.update(func(now time.Duration) { report = s.model.Report(now) })
--- a/internal/lab/standin/replica/server_test.go
+++ b/internal/lab/standin/replica/server_test.go
@@ -20,10 +20,10 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin/store"
 )
 
-// timeout bounds every wait on a socket.
+// timeout limits every wait for a network operation.
 const timeout = 10 * time.Second
 
-// testReplica is a running stand-in.
+// testReplica is a running stand-in replica.
 type testReplica struct {
 	server  *replica.Server
 	address string
@@ -105,15 +105,16 @@
 	return response.StatusCode
 }
 
-// awaitEvent reads an event stream until an event is the wanted one.
+// awaitEvent reads an event stream until an event matches, and fails the test if the
+// stream ends before.
 func awaitEvent(address string, wanted func(protocol.Event) bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	Expect(readEvents(ctx, address, wanted)).To(BeTrue(), "the event stream ended without the wanted event")
+	Expect(readEvents(ctx, address, wanted)).To(BeTrue(), "the event stream ended without a matching event")
 }
 
-// readEvents reads an event stream until an event is the wanted one, or until it
-// ends.
+// readEvents reads an event stream until an event matches or the stream ends. It
+// reports whether an event matched.
 func readEvents(ctx context.Context, address string, wanted func(protocol.Event) bool) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+protocol.PathEvents, nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -141,7 +142,7 @@
 	var instance testReplica
 	BeforeEach(func() { instance = start("") })
 
-	It("answers whole, with the echo and what was reused", func() {
+	It("sends a complete response with the attempt ID, the weight version and the reused tokens", func() {
 		response, body, err := instance.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(standin.CheckComplete("r1", body)).To(Succeed())
@@ -154,7 +155,7 @@
 		Expect(instance.last().Delivered).To(BeTrue())
 	})
 
-	It("streams a complete answer, or one that is seen to be cut", func() {
+	It("streams a complete response, or one that is visibly truncated", func() {
 		stream := func(header http.Header) { header.Set("Accept", "text/event-stream") }
 		_, body, err := instance.generate("r1", stream)
 		Expect(err).NotTo(HaveOccurred())
@@ -174,7 +175,7 @@
 		Expect(instance.last().Delivered).To(BeFalse())
 	})
 
-	It("cuts whole answers at a byte, or drops them after the run", func() {
+	It("truncates a non-streamed response at a byte, or drops it after the run", func() {
 		Expect(instance.post("/lab/faults", `{"cut_ratio":1,"cut_at_byte":10}`)).To(Equal(http.StatusOK))
 		_, body, err := instance.generate("r1", nil)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
@@ -185,7 +186,7 @@
 		Expect(instance.last().Started).To(BeTrue())
 	})
 
-	It("promises that what it refuses has not run, and logs the arrival", func() {
+	It("marks refused requests as not run, and records refusals by fault", func() {
 		Expect(instance.post("/lab/faults", `{"refuse_ratio":1}`)).To(Equal(http.StatusOK))
 		response, _, err := instance.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -200,7 +201,7 @@
 		Expect(response.Header.Get(protocol.HeaderAttemptID)).To(Equal("attempt-r2"))
 	})
 
-	It("stops a request whose caller has gone", func() {
+	It("cancels a request whose client has disconnected", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		response, err := http.DefaultClient.Do(instance.request(ctx, "r1", func(header http.Header) {
 			header.Set("Accept", "text/event-stream")
@@ -215,7 +216,7 @@
 		Expect(instance.last().Outcome).To(Equal("cancelled"))
 	})
 
-	It("loads weights, refuses older epochs, and shows a salt that did not follow", func() {
+	It("loads weights, rejects older epochs, and records reuse across weight versions under an unchanged cache salt", func() {
 		_, _, err := instance.generate("r1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(instance.post(protocol.PathWeights, `{"weight_version":"v2","epoch":5,"holder":"n"}`)).To(Equal(http.StatusAccepted))
@@ -229,7 +230,7 @@
 		Expect(instance.last().ReusedChunks[0].WeightVersion).To(Equal("v1"))
 	})
 
-	It("breaks open answers in a crash", func() {
+	It("aborts open responses in a crash", func() {
 		response, err := http.DefaultClient.Do(instance.request(context.Background(), "r1", func(header http.Header) {
 			header.Set("Accept", "text/event-stream")
 			header.Set(protocol.HeaderOutputTokens, "60000")
@@ -257,7 +258,7 @@
 		Expect(ctx.Err()).NotTo(HaveOccurred())
 	})
 
-	It("pulls parts from a peer, and from the store that they were pushed to", func() {
+	It("pulls chunks from a peer, and from the store to which they were pushed", func() {
 		listener := listen()
 		kept, err := store.New(store.Settings{
 			Zone: "z1", Incarnation: 1, CapacityTokens: 100_000, TimeScale: 100,
--- a/internal/lab/standin/replica/settings.go
+++ b/internal/lab/standin/replica/settings.go
@@ -8,16 +8,17 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/emulator"
 )
 
-// Settings describe one stand-in. The times are real ones.
+// Settings configure one stand-in replica. The durations in Feed and those declared
+// here are in real time; Links and the other durations in Model are in model time.
 type Settings struct {
-	// Model is the machine class with its address and zone.
+	// Model is the configuration of the emulated replica, with its address and zone.
 	Model emulator.Config
-	// TimeScale is how many times faster than a real machine prefill, decode and
-	// transfers run.
+	// TimeScale is the factor by which prefill, decode and transfers are faster than
+	// on a real replica.
 	TimeScale float64
 	Seed      uint64
-	// Store is the address of the store that made chunks are pushed to; may be
-	// empty.
+	// Store is the address of the store to which newly cached chunks are pushed;
+	// empty to push none.
 	Store string
 	Links emulator.LinkModel
 	Feed  emulator.FeedPlan
@@ -29,7 +30,7 @@
 	ReportDelay time.Duration
 }
 
-// DefaultSettings returns a stand-in of a machine class.
+// DefaultSettings returns the default settings for an emulated replica.
 func DefaultSettings(model emulator.Config) Settings {
 	return Settings{
 		Model:       model,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Check returns an error that names a setting out of its range.
+// Check returns an error if a setting is out of range.
 func (s Settings) Check() error {
 	if s.TimeScale <= 0 {
 		return errors.New("replica: TimeScale must be positive")
@@ -57,7 +58,8 @@
 	return s.scaledModel().Check()
 }
 
-// scaledModel returns the model's config in the model's time.
+// scaledModel returns the configuration of the model with the real-time durations
+// converted to model time.
 func (s Settings) scaledModel() emulator.Config {
 	model := s.Model
 	model.WeightLoad = s.modelTime(s.WeightLoad)
@@ -67,7 +69,7 @@
 	return model
 }
 
-// scaledFeed returns the feed plan in the model's time.
+// scaledFeed returns the feed plan with its durations converted to model time.
 func (s Settings) scaledFeed() emulator.FeedPlan {
 	plan := s.Feed
 	plan.Delay = s.modelTime(plan.Delay)
