--- a/internal/lab/standin/replica/generate.go
+++ b/internal/lab/standin/replica/generate.go
@@ -15,16 +15,16 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// refusedByFault marks refusals that were asked for as a fault.
+// refusedByFault is the reason of refusals that are injected as a fault.
 const refusedByFault emulator.RefusalReason = "fault"
 
-// retryAfterSeconds is what a busy replica tells its callers.
+// retryAfterSeconds is the Retry-After value of a refusal.
 const retryAfterSeconds = 1
 
-// generate runs one attempt.
+// generate handles one attempt of a generate request.
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	read, err := readCall(r.Header)
-	echo(w, read.request)
+	setIDHeaders(w, read.request)
 	if err == nil {
 		err = standin.DrainBody(r)
 	}
@@ -47,12 +47,12 @@
 	answer.write(w, r)
 }
 
-// submit offers an attempt to the model.
+// submit submits an attempt to the model, or refuses it if the faults demand so.
 func (s *Server) submit(request emulator.Request, faults standin.RequestFaults) (emulator.Handle, <-chan emulator.Notice, error) {
 	var handle emulator.Handle
 	var notices chan emulator.Notice
 	var err error
-	s.act(func(now time.Duration) {
+	s.updateAndWake(func(now time.Duration) {
 		if faults.Refuse {
 			s.model.RecordRefusal(now, request, refusedByFault)
 			err = &emulator.RefusedError{Reason: refusedByFault}
@@ -66,15 +66,16 @@
 	return handle, notices, err
 }
 
-// abandon stops an attempt whose answer has ended, if it still runs.
+// abandon cancels an attempt that is still running when its response has ended.
 func (s *Server) abandon(handle emulator.Handle) {
-	s.act(func(now time.Duration) {
+	s.updateAndWake(func(now time.Duration) {
 		delete(s.waiting, handle)
 		s.model.Cancel(now, handle)
 	})
 }
 
-// refuse answers that an attempt has not run and will not run.
+// refuse writes a response stating that an attempt or a weights command has not run
+// and will not run.
 func refuse(w http.ResponseWriter, err error) {
 	kind := "refused"
 	var refusal *emulator.RefusedError
@@ -86,12 +87,12 @@
 	standin.WriteJSON(w, http.StatusServiceUnavailable, standin.Problem{Kind: kind, Message: err.Error()})
 }
 
-func echo(w http.ResponseWriter, request emulator.Request) {
+func setIDHeaders(w http.ResponseWriter, request emulator.Request) {
 	w.Header().Set(protocol.HeaderRequestID, request.RequestID)
 	w.Header().Set(protocol.HeaderAttemptID, request.AttemptID)
 }
 
-// responseWriter writes what comes of one attempt.
+// responseWriter writes the response of one attempt.
 type responseWriter struct {
 	server  *Server
 	call    call
@@ -102,7 +103,8 @@
 	output  strings.Builder
 }
 
-// write follows the attempt to its end, or to the end of the connection.
+// write handles the notices of the attempt until it has finished or the request's
+// context ends. It aborts the connection if the replica crashes.
 func (a *responseWriter) write(w http.ResponseWriter, r *http.Request) {
 	for {
 		select {
@@ -124,10 +126,10 @@
 	}
 }
 
-// writeComplete writes the answer in one piece.
+// writeComplete writes a response that is not streamed.
 func (a *responseWriter) writeComplete(w http.ResponseWriter, r *http.Request, notice emulator.Notice) {
 	a.hang(r)
-	a.describe(w, notice)
+	a.setExecutionHeaders(w, notice)
 	body, err := json.Marshal(standin.NewCompleteResponse(a.call.request.RequestID, notice.Tokens))
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -140,11 +142,12 @@
 	}
 }
 
-// stream writes one further piece of a streamed answer.
+// stream writes the events of a streamed response that a notice adds, and returns
+// the writer for the next notice.
 func (a *responseWriter) stream(w http.ResponseWriter, r *http.Request, notice emulator.Notice) http.ResponseWriter {
 	if notice.Kind == emulator.NoticeFirstToken {
 		a.hang(r)
-		a.describe(w, notice)
+		a.setExecutionHeaders(w, notice)
 		w.Header().Set("Content-Type", eventStream)
 		w.WriteHeader(http.StatusOK)
 		w = standin.NewTruncatingWriter(w, a.faults)
@@ -167,8 +170,8 @@
 	return w
 }
 
-// event writes one server-sent event. A write that fails shows as the end of
-// the request's context.
+// event writes one server-sent event. It ignores write errors, because a broken
+// connection also ends the request's context.
 func (a *responseWriter) event(w http.ResponseWriter, name string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -180,13 +183,15 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 }
 
-// describe sets the headers that are known from the first token on.
-func (a *responseWriter) describe(w http.ResponseWriter, notice emulator.Notice) {
+// setExecutionHeaders sets the headers whose values are known from the first token
+// on.
+func (a *responseWriter) setExecutionHeaders(w http.ResponseWriter, notice emulator.Notice) {
 	w.Header().Set(protocol.HeaderWeightVersion, notice.WeightVersion)
 	w.Header().Set(protocol.HeaderReusedTokens, strconv.FormatUint(notice.ReusedTokens, 10))
 }
 
-// hang keeps the answer back for good when the faults say so.
+// hang blocks until the request's context ends and then aborts the connection, if
+// the faults demand it.
 func (a *responseWriter) hang(r *http.Request) {
 	if !a.faults.Hang {
 		return
--- a/internal/lab/standin/replica/server.go
+++ b/internal/lab/standin/replica/server.go
@@ -31,12 +31,12 @@
 	incarnation uint64
 	sequence    uint64
 	// crashed is closed when the replica crashes, which ends every open response,
-	// and replaced for the next run.
+	// and replaced for the next incarnation.
 	crashed chan struct{}
 }
 
-// New returns a stand-in whose machine has been up for long enough to be warm
-// when cold is false.
+// New returns a stand-in replica. Unless warmingUp is set, the emulated replica has
+// already completed its warm-up.
 func New(settings Settings, warmingUp bool) (*Server, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -65,14 +65,14 @@
 	return s, nil
 }
 
-// Run serves on the model's address until the context ends.
+// Run runs the model and serves on its address until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	return s.run(ctx, func(handler http.Handler) error {
 		return standin.Serve(ctx, s.settings.Model.Address, handler)
 	})
 }
 
-// RunListener serves on a listener until the context ends.
+// RunListener runs the model and serves on a listener until the context ends.
 func (s *Server) RunListener(ctx context.Context, listener net.Listener) error {
 	return s.run(ctx, func(handler http.Handler) error {
 		return standin.ServeListener(ctx, listener, handler)
@@ -81,7 +81,7 @@
 
 func (s *Server) run(ctx context.Context, serve func(http.Handler) error) error {
 	var background sync.WaitGroup
-	background.Go(func() { s.drive(ctx) })
+	background.Go(func() { s.runModel(ctx) })
 	if s.settings.Store != "" {
 		background.Go(func() { s.pushNewChunks(ctx) })
 	}
@@ -90,8 +90,8 @@
 	return err
 }
 
-// Handler returns the replica's HTTP interface. The model moves only while Run
-// or RunListener runs.
+// Handler returns the HTTP handler of the replica. The model advances on its own
+// only while Run or RunListener is running.
 func (s *Server) Handler() http.Handler {
 	events := &standin.EventStream{
 		Source:      s,
@@ -108,7 +108,7 @@
 	served.HandleFunc("POST "+protocol.PathWeights, s.loadWeights)
 	served.HandleFunc("GET "+protocol.PathChunks+"{hash}", s.serveChunk)
 	all := http.NewServeMux()
-	all.Handle("/v1/", s.whileUp(served))
+	all.Handle("/v1/", s.abortWhileDown(served))
 	all.HandleFunc("GET /lab/executions", s.showExecutions)
 	all.HandleFunc("GET /lab/commands", s.showCommands)
 	all.HandleFunc("GET /lab/faults", s.showFaults)
@@ -116,9 +116,9 @@
 	return all
 }
 
-// whileUp closes connections without an answer while the replica is down, and
-// cuts answers short when it crashes.
-func (s *Server) whileUp(next http.Handler) http.Handler {
+// abortWhileDown closes connections without a response while the replica is down,
+// and aborts open responses when it crashes.
+func (s *Server) abortWhileDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		up := s.model.Up(s.clock.Now())
@@ -145,11 +145,12 @@
 	})
 }
 
-// drive runs the model in real time.
-func (s *Server) drive(ctx context.Context) {
+// runModel advances the model at the time of each of its changes, until the context
+// ends.
+func (s *Server) runModel(ctx context.Context) {
 	for {
 		wait := time.Hour
-		s.do(func(now time.Duration) {
+		s.update(func(now time.Duration) {
 			if next, ok := s.model.NextChange(); ok {
 				wait = s.clock.Real(next - now)
 			}
@@ -166,17 +167,19 @@
 	}
 }
 
-// act does something to the model and lets the driver look at it again.
-func (s *Server) act(action func(now time.Duration)) {
-	s.do(action)
+// updateAndWake applies an action like update, and wakes runModel so that it
+// recomputes the time of the next change.
+func (s *Server) updateAndWake(action func(now time.Duration)) {
+	s.update(action)
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// do brings the model up to now, does something to it, and tells those who wait.
-func (s *Server) do(action func(now time.Duration)) {
+// update advances the model to the current time, applies an action to it, delivers
+// its notices, and notifies the readers of events.
+func (s *Server) update(action func(now time.Duration)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
@@ -185,11 +188,11 @@
 	for _, notice := range s.model.Notices() {
 		s.deliver(notice)
 	}
-	s.announce()
+	s.notifyReaders()
 }
 
-// deliver hands a notice to the attempt's handler. The channel has room for
-// every notice that an attempt can get.
+// deliver sends a notice to the handler of the attempt. It does not block, because
+// the channel has room for every notice that an attempt can get.
 func (s *Server) deliver(notice emulator.Notice) {
 	waiting, ok := s.waiting[notice.Handle]
 	if !ok {
@@ -201,8 +204,8 @@
 	}
 }
 
-// announce wakes the readers of events when the journal has grown.
-func (s *Server) announce() {
+// notifyReaders wakes the readers of events when the journal has grown.
+func (s *Server) notifyReaders() {
 	journal := s.model.Journal()
 	if journal.Incarnation() == s.incarnation && journal.LastSequence() == s.sequence {
 		return
@@ -217,17 +220,17 @@
 func (s *Server) EventsAfter(position standin.Position) ([]protocol.Event, <-chan struct{}) {
 	var events []protocol.Event
 	var changed <-chan struct{}
-	s.do(func(time.Duration) {
+	s.update(func(time.Duration) {
 		events = standin.JournalAfter(s.model.Journal(), position, s.model.Snapshot)
 		changed = s.changed
 	})
 	return events, changed
 }
 
-// Report implements standin.EventSource. The age is in real time.
+// Report implements standin.EventSource. AgeMS is converted to real time.
 func (s *Server) Report() protocol.Report {
 	var report protocol.Report
-	s.do(func(now time.Duration) { report = s.model.Report(now) })
+	s.update(func(now time.Duration) { report = s.model.Report(now) })
 	age := time.Duration(report.AgeMS) * time.Millisecond
 	report.AgeMS = emulator.CeilMilliseconds(s.clock.Real(age))
 	return report
--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -1,6 +1,6 @@
 // Package webservice is the HTTP stand-in for a plain web service, such as a
-// calendar or a portal: small pages and files whose content follows from their
-// path, with a digest.
+// calendar or a portal. It serves small pages and larger files with a digest;
+// their content is derived from the path.
 package webservice
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/ridgeswitch/ridgeswitch/internal/lab/standin"
 )
 
-// Sizes of the content, which the path decides.
+// Limits of the content size; the actual size is derived from the path.
 const (
 	smallestPageBytes = 1 << 10
 	largestPageBytes  = 16 << 10
@@ -27,7 +27,8 @@
 	filesPath         = "/files/"
 )
 
-// VisitRecord is the truth about one request, as /lab/executions tells it.
+// VisitRecord is the ground truth about one request, as served at
+// /lab/executions.
 type VisitRecord struct {
 	Server           string `json:"server"`
 	RequestID        string `json:"request_id"`
@@ -37,24 +38,24 @@
 	Path             string `json:"path"`
 	StartedUnixNano  int64  `json:"started_unix_nano"`
 	FinishedUnixNano int64  `json:"finished_unix_nano"`
-	// Refused is set if the request has not run.
+	// Refused is set if the request was refused and not run.
 	Refused bool `json:"refused"`
-	// Delivered reports whether the whole answer was written to the connection.
+	// Delivered reports whether the complete response was written to the connection.
 	Delivered bool `json:"delivered"`
 }
 
-// Server is one stand-in back end of a web service.
+// Server is one stand-in backend of a web service.
 type Server struct {
 	address string
 	clock   standin.Clock
 	faults  *standin.FaultPlan
 
-	// mutex guards visits.
-	mutex  sync.Mutex
-	visits []*VisitRecord
+	// mutex guards records.
+	mutex   sync.Mutex
+	records []*VisitRecord
 }
 
-// New returns a back end for an address.
+// New returns a backend for an address. The seed determines the random faults.
 func New(address string, seed uint64) *Server {
 	return &Server{
 		address: address,
@@ -63,21 +64,21 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run serves on the backend's address until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	return standin.Serve(ctx, s.address, s.Handler())
 }
 
-// Handler returns the back end's HTTP interface.
+// Handler returns the HTTP handler of the backend.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
-	mux.HandleFunc("GET /lab/executions", s.showVisits)
+	mux.HandleFunc("GET /lab/executions", s.listRecords)
 	mux.HandleFunc("POST /lab/faults", s.setFaults)
 	return mux
 }
 
-// Content returns what a path names.
+// Content returns the content of the page or file at a path.
 func Content(path string) []byte {
 	smallest, largest := smallestPageBytes, largestPageBytes
 	if strings.HasPrefix(path, filesPath) {
@@ -89,7 +90,7 @@
 	return []byte(strings.Repeat(line, size/len(line)+1)[:size])
 }
 
-// Digest returns what HeaderDigest says of a body.
+// Digest returns the value of standin.HeaderDigest for a body.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
@@ -100,19 +101,19 @@
 		standin.WriteJSON(w, http.StatusRequestEntityTooLarge, standin.Problem{Kind: "bad_body", Message: err.Error()})
 		return
 	}
-	visit := s.begin(r)
-	fate := s.faults.Draw()
-	w.Header().Set(protocol.HeaderRequestID, visit.RequestID)
-	w.Header().Set(protocol.HeaderAttemptID, visit.AttemptID)
-	if fate.Refuse || s.faults.Current().Draining {
-		s.end(visit, func() { visit.Refused = true })
+	record := s.begin(r)
+	faults := s.faults.Draw()
+	w.Header().Set(protocol.HeaderRequestID, record.RequestID)
+	w.Header().Set(protocol.HeaderAttemptID, record.AttemptID)
+	if faults.Refuse || s.faults.Current().Draining {
+		s.end(record, func() { record.Refused = true })
 		w.Header().Set(protocol.HeaderNotRun, "true")
 		w.Header().Set("Retry-After", "1")
 		standin.WriteJSON(w, http.StatusServiceUnavailable, standin.Problem{Kind: "busy", Message: "the back end is busy; send the request to another one"})
 		return
 	}
-	defer s.end(visit, func() {})
-	if fate.Hang {
+	defer s.end(record, func() {})
+	if faults.Hang {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
@@ -123,8 +124,8 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	if _, err := standin.NewTruncatingWriter(w, fate).Write(body); err == nil {
-		s.end(visit, func() { visit.Delivered = true })
+	if _, err := standin.NewTruncatingWriter(w, faults).Write(body); err == nil {
+		s.end(record, func() { record.Delivered = true })
 	}
 }
 
@@ -133,7 +134,7 @@
 	if err != nil {
 		attempt = 1
 	}
-	visit := &VisitRecord{
+	record := &VisitRecord{
 		Server:          s.address,
 		RequestID:       r.Header.Get(protocol.HeaderRequestID),
 		Attempt:         attempt,
@@ -144,27 +145,27 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.visits = append(s.visits, visit)
-	return visit
+	s.records = append(s.records, record)
+	return record
 }
 
-func (s *Server) end(visit *VisitRecord, update func()) {
+func (s *Server) end(record *VisitRecord, update func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	update()
-	visit.FinishedUnixNano = s.now()
+	record.FinishedUnixNano = s.now()
 }
 
 func (s *Server) now() int64 { return s.clock.UnixNano(s.clock.Now()) }
 
-func (s *Server) showVisits(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listRecords(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	visits := make([]VisitRecord, len(s.visits))
-	for position, visit := range s.visits {
-		visits[position] = *visit
+	records := make([]VisitRecord, len(s.records))
+	for position, record := range s.records {
+		records[position] = *record
 	}
 	s.mutex.Unlock()
-	standin.WriteLines(w, visits)
+	standin.WriteLines(w, records)
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
