--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -161,7 +161,7 @@
 
 	It("record a request that the caller abandons as disconnected", func() {
 		gone := make(chan struct{})
-		records := send(caller.Job{LeaveAfter: 20 * time.Millisecond}, func(_ http.ResponseWriter, r *http.Request) {
+		records := send(caller.Job{DisconnectAfter: 20 * time.Millisecond}, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 			close(gone)
--- a/internal/lab/caller/job.go
+++ b/internal/lab/caller/job.go
@@ -30,9 +30,9 @@
 	// Deadline is the longest wait for the response that the request states in its
 	// header; zero states none.
 	Deadline time.Duration
-	// LeaveAfter is the time after which the caller disconnects if the exchange has not
+	// DisconnectAfter is the time after which the caller disconnects if the exchange has not
 	// ended; zero means never.
-	LeaveAfter time.Duration
+	DisconnectAfter time.Duration
 	// RetriesAfterRefusal is set if the caller retries a refused request with a new
 	// request ID once Retry-After has passed.
 	RetriesAfterRefusal bool
--- a/internal/lab/caller/runner.go
+++ b/internal/lab/caller/runner.go
@@ -88,8 +88,8 @@
 
 // send sends one request of a job and records it.
 func (runner *Runner) send(ctx context.Context, id, follows string, job Job) checker.Request {
-	if job.LeaveAfter > 0 {
-		left, cancel := context.WithTimeout(ctx, job.LeaveAfter)
+	if job.DisconnectAfter > 0 {
+		left, cancel := context.WithTimeout(ctx, job.DisconnectAfter)
 		defer cancel()
 		ctx = left
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -77,7 +77,7 @@
 		all := jobs(1)
 		Expect(len(all)).To(BeNumerically("~", 780, 150))
 		Expect(lo.CountBy(all, func(job caller.Job) bool { return job.Key == "spare" })).To(BeNumerically(">", 20))
-		Expect(lo.CountBy(all, func(job caller.Job) bool { return job.LeaveAfter > 0 })).To(BeNumerically(">", 5))
+		Expect(lo.CountBy(all, func(job caller.Job) bool { return job.DisconnectAfter > 0 })).To(BeNumerically(">", 5))
 		Expect(lo.CountBy(all, func(job caller.Job) bool { return job.Streamed && !job.Repeatable })).To(BeNumerically(">", 5))
 		Expect(lo.CountBy(all, func(job caller.Job) bool { return job.WebService })).To(BeNumerically(">", 80))
 		Expect(lo.EveryBy(all, func(job caller.Job) bool { return job.Host != "" })).To(BeTrue())
--- a/internal/lab/fleet/ground_truth.go
+++ b/internal/lab/fleet/ground_truth.go
@@ -100,7 +100,7 @@
 // collectPages reads the requests to one back end of a web service. Web
 // requests have no tenant, so only their attempts are recorded.
 func (fleet *Fleet) collectPages(ctx context.Context, client *http.Client, group WebGroup, member Backend, records *checker.Records) error {
-	visits, err := lines[webservice.VisitRecord](ctx, client, member.Address, executionsPath)
+	visits, err := lines[webservice.RequestRecord](ctx, client, member.Address, executionsPath)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -111,7 +111,7 @@
 		RetriesAfterRefusal: load.random.Float64() < retryProbability,
 	}
 	if load.random.Float64() < leaveProbability {
-		job.LeaveAfter = time.Duration(load.random.Int64N(int64(maxLeaveAfter))) + time.Millisecond
+		job.DisconnectAfter = time.Duration(load.random.Int64N(int64(maxLeaveAfter))) + time.Millisecond
 	}
 	if request.Web {
 		load.directToWeb(&job, request)
--- a/internal/lab/operator/applications.go
+++ b/internal/lab/operator/applications.go
@@ -36,7 +36,7 @@
 // editOrder returns the order that applies an edit to the configuration that Present
 // returns, with its revision as the base.
 func (scenario *Scenario) editOrder(ctx context.Context, name string, edit func(*ridgeswitchv1.Configuration)) (Order, error) {
-	present, err := scenario.Present(ctx)
+	present, err := scenario.CurrentConfiguration(ctx)
 	if err != nil {
 		return Order{}, err
 	}
@@ -45,8 +45,8 @@
 	return ApplyOrder(scenario.OrderID(name), present.GetRevision(), changed), nil
 }
 
-// Present returns the configuration that the first node to answer serves.
-func (scenario *Scenario) Present(ctx context.Context) (*ridgeswitchv1.Configuration, error) {
+// CurrentConfiguration returns the configuration that the first node to answer serves.
+func (scenario *Scenario) CurrentConfiguration(ctx context.Context) (*ridgeswitchv1.Configuration, error) {
 	err := errors.New("no live node to read the configuration from; start one")
 	for _, target := range scenario.Targets() {
 		var configuration *ridgeswitchv1.Configuration
@@ -99,7 +99,7 @@
 
 // conflictingOrders returns orders on the same base revision that differ in content.
 func (scenario *Scenario) conflictingOrders(ctx context.Context) ([]Order, error) {
-	present, err := scenario.Present(ctx)
+	present, err := scenario.CurrentConfiguration(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/plans/storm.go
+++ b/internal/lab/plans/storm.go
@@ -65,7 +65,7 @@
 // may show a configuration that is not the newest, on which nobody wins.
 func (run *run) grow(ctx context.Context, number, rivals int) (operator.Order, error) {
 	for attempt := range stormAttempts {
-		present, err := run.scenario.Present(ctx)
+		present, err := run.scenario.CurrentConfiguration(ctx)
 		if err != nil {
 			return operator.Order{}, err
 		}
@@ -130,7 +130,7 @@
 
 // applyInvalid submits a configuration with a route to nowhere.
 func (run *run) applyInvalid(ctx context.Context, number int) error {
-	present, err := run.scenario.Present(ctx)
+	present, err := run.scenario.CurrentConfiguration(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/standin/webservice/server.go
+++ b/internal/lab/standin/webservice/server.go
@@ -27,9 +27,9 @@
 	filesPath         = "/files/"
 )
 
-// VisitRecord is the ground truth about one request, as served at
+// RequestRecord is the ground truth about one request, as served at
 // /lab/executions.
-type VisitRecord struct {
+type RequestRecord struct {
 	Server           string `json:"server"`
 	RequestID        string `json:"request_id"`
 	Attempt          int    `json:"attempt"`
@@ -52,7 +52,7 @@
 
 	// mutex guards records.
 	mutex   sync.Mutex
-	records []*VisitRecord
+	records []*RequestRecord
 }
 
 // New returns a backend for an address. The seed determines the random faults.
@@ -129,12 +129,12 @@
 	}
 }
 
-func (s *Server) begin(r *http.Request) *VisitRecord {
+func (s *Server) begin(r *http.Request) *RequestRecord {
 	attempt, err := strconv.Atoi(r.Header.Get(protocol.HeaderAttempt))
 	if err != nil {
 		attempt = 1
 	}
-	record := &VisitRecord{
+	record := &RequestRecord{
 		Server:          s.address,
 		RequestID:       r.Header.Get(protocol.HeaderRequestID),
 		Attempt:         attempt,
@@ -149,7 +149,7 @@
 	return record
 }
 
-func (s *Server) end(record *VisitRecord, update func()) {
+func (s *Server) end(record *RequestRecord, update func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	update()
@@ -160,7 +160,7 @@
 
 func (s *Server) listRecords(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	records := make([]VisitRecord, len(s.records))
+	records := make([]RequestRecord, len(s.records))
 	for position, record := range s.records {
 		records[position] = *record
 	}
--- a/internal/node/control_config.go
+++ b/internal/node/control_config.go
@@ -33,7 +33,7 @@
 		Limits:          stored.limits,
 	}
 	if settings.FailOpen {
-		config.Times = control.FailOpenTimes(settings.Contact(), settings.Acknowledge())
+		config.Times = control.FailOpenTimes(settings.ContactTimeout(), settings.AcknowledgeTimeout())
 	}
 	config.Times.HeartbeatEvery = settings.HeartbeatEvery()
 	config.Times.EndpointReadEvery = settings.PlatformPollEvery()
--- a/pkg/config/static/accessors.go
+++ b/pkg/config/static/accessors.go
@@ -42,11 +42,11 @@
 // DrainTimeout returns the limit of the time to finish requests after SIGTERM.
 func (s *Settings) DrainTimeout() time.Duration { return milliseconds(s.DrainTimeoutMS) }
 
-// Contact returns how long an unresponsive node counts as in contact.
-func (s *Settings) Contact() time.Duration { return milliseconds(s.ContactMS) }
+// ContactTimeout returns how long an unresponsive node counts as in contact.
+func (s *Settings) ContactTimeout() time.Duration { return milliseconds(s.ContactMS) }
 
-// Acknowledge returns the limit of the wait for the acknowledgement of an operator's order.
-func (s *Settings) Acknowledge() time.Duration { return milliseconds(s.AcknowledgeMS) }
+// AcknowledgeTimeout returns the limit of the wait for the acknowledgement of an operator's order.
+func (s *Settings) AcknowledgeTimeout() time.Duration { return milliseconds(s.AcknowledgeMS) }
 
 // TickEvery returns the interval between ticks of the control machine.
 func (s *Settings) TickEvery() time.Duration { return milliseconds(s.TickEveryMS) }
--- a/pkg/config/static/suite_test.go
+++ b/pkg/config/static/suite_test.go
@@ -145,8 +145,8 @@
 		Expect(founder.Founder()).To(BeTrue())
 		Expect(founder.ServiceShards).To(Equal(4))
 		Expect(founder.FailOpen).To(BeTrue())
-		Expect(founder.Contact()).To(Equal(3 * time.Second))
-		Expect(founder.Acknowledge()).To(Equal(4 * time.Second))
+		Expect(founder.ContactTimeout()).To(Equal(3 * time.Second))
+		Expect(founder.AcknowledgeTimeout()).To(Equal(4 * time.Second))
 		Expect(founder.TickEvery()).To(Equal(50 * time.Millisecond))
 		founder.DataFolder = ""
 		Expect(founder.Founder()).To(BeFalse(), "the node has no disk")
