--- a/pkg/attempts/tracker_test.go
+++ b/pkg/attempts/tracker_test.go
@@ -9,11 +9,11 @@
 	"github.com/ridgeswitch/ridgeswitch/pkg/attempts"
 )
 
-// sequenceLength bounds the input sequences that are explored exhaustively.
+// sequenceLength is the maximum length of the event sequences that are tested exhaustively.
 const sequenceLength = 7
 
-// inputs returns every event that could come next, fitting or not.
-func inputs(planned int) []attempts.Event {
+// possibleEvents returns every event that could come next, permitted or not.
+func possibleEvents(planned int) []attempts.Event {
 	events := []attempts.Event{
 		{Kind: attempts.DeadlineExceeded},
 		{Kind: attempts.CallerDisconnected},
@@ -28,35 +28,35 @@
 	return events
 }
 
-// truth is what may have happened at the back ends, kept apart from the tracker
-// and by rules of its own: a request may run from the first byte on, unless the
-// back end promised that it will not.
-type truth struct {
-	mayRun   []bool
-	finished []bool
+// backendModel is what may have happened at the back ends, independently of the tracker and
+// by its own rules: a request may run once its first byte may have left, unless the back
+// end promised not to run it.
+type backendModel struct {
+	mayRun []bool
+	ended  []bool
 }
 
-// after returns the truth after an event that the tracker accepted.
-func (t truth) after(event attempts.Event) truth {
-	next := truth{mayRun: append([]bool(nil), t.mayRun...), finished: append([]bool(nil), t.finished...)}
+// apply returns the model after an event that the tracker accepted.
+func (t backendModel) apply(event attempts.Event) backendModel {
+	next := backendModel{mayRun: append([]bool(nil), t.mayRun...), ended: append([]bool(nil), t.ended...)}
 	position := event.Attempt - 1
 	switch event.Kind {
 	case attempts.AttemptPlanned:
 		next.mayRun = append(next.mayRun, false)
-		next.finished = append(next.finished, false)
+		next.ended = append(next.ended, false)
 	case attempts.BytesMayHaveLeft:
 		next.mayRun[position] = true
 	case attempts.Refused:
 		next.mayRun[position] = false
-		next.finished[position] = true
+		next.ended[position] = true
 	case attempts.NotSent, attempts.ResponseCompleted, attempts.OutcomeLost:
-		next.finished[position] = true
+		next.ended[position] = true
 	}
 	return next
 }
 
 // possibleRuns counts the attempts that may have run the request.
-func (t truth) possibleRuns() int {
+func (t backendModel) possibleRuns() int {
 	runs := 0
 	for _, ran := range t.mayRun {
 		if ran {
@@ -67,9 +67,9 @@
 }
 
 // running counts the attempts that have not ended.
-func (t truth) running() int {
+func (t backendModel) running() int {
 	count := 0
-	for _, finished := range t.finished {
+	for _, finished := range t.ended {
 		if !finished {
 			count++
 		}
@@ -77,7 +77,7 @@
 	return count
 }
 
-// replay builds a tracker from events that it is known to accept.
+// replay returns a tracker to which events were applied, all of which it must accept.
 func replay(options attempts.Options, events []attempts.Event) *attempts.Tracker {
 	tracker := attempts.New(options)
 	for _, event := range events {
@@ -86,26 +86,27 @@
 	return tracker
 }
 
-// explore visits every sequence that the tracker accepts.
-func explore(options attempts.Options, events []attempts.Event, actual truth, visit func([]attempts.Event, *attempts.Tracker, truth)) int {
+// visitSequences calls visit for every sequence that begins with events, that the tracker
+// accepts and that has at most sequenceLength events. It returns the number of calls.
+func visitSequences(options attempts.Options, events []attempts.Event, model backendModel, visit func([]attempts.Event, *attempts.Tracker, backendModel)) int {
 	tracker := replay(options, events)
-	visit(events, tracker, actual)
+	visit(events, tracker, model)
 	visited := 1
 	if len(events) == sequenceLength {
 		return visited
 	}
-	for _, event := range inputs(len(actual.mayRun)) {
+	for _, event := range possibleEvents(len(model.mayRun)) {
 		if replay(options, events).Apply(event) != nil {
 			continue
 		}
 		longer := append(append([]attempts.Event(nil), events...), event)
-		visited += explore(options, longer, actual.after(event), visit)
+		visited += visitSequences(options, longer, model.apply(event), visit)
 	}
 	return visited
 }
 
-// describe draws a sequence for a failure message.
-func describe(events []attempts.Event) string {
+// formatEvents formats a sequence for a failure message.
+func formatEvents(events []attempts.Event) string {
 	names := make([]string, len(events))
 	for position, event := range events {
 		names[position] = event.Kind.String()
@@ -114,47 +115,47 @@
 }
 
 var _ = Describe("Tracker", func() {
-	DescribeTable("over every short input sequence", func(repeatable bool) {
-		options := attempts.Options{Idempotent: repeatable, MaxAttempts: 3}
-		visited := explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
+	DescribeTable("dispatches and responds correctly in every short event sequence", func(idempotent bool) {
+		options := attempts.Options{Idempotent: idempotent, MaxAttempts: 3}
+		visited := visitSequences(options, nil, backendModel{}, func(events []attempts.Event, tracker *attempts.Tracker, model backendModel) {
 			action := tracker.Next()
-			if tracker.MayHaveRun() != (actual.possibleRuns() > 0) {
-				// The tracker may only be the more careful of the two, while
-				// a connection is being obtained.
-				Expect(tracker.MayHaveRun()).To(BeTrue(), describe(events))
-				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
+			if tracker.MayHaveRun() != (model.possibleRuns() > 0) {
+				// They may differ only while a connection is being obtained: the tracker
+				// then reports that the request may have run.
+				Expect(tracker.MayHaveRun()).To(BeTrue(), formatEvents(events))
+				Expect(model.running()).To(BeNumerically(">", 0), formatEvents(events))
 			}
-			if !repeatable && actual.possibleRuns() > 1 {
-				Fail("a second run was possible: " + describe(events))
+			if !idempotent && model.possibleRuns() > 1 {
+				Fail("the request may have run twice: " + formatEvents(events))
 			}
 			switch action.Kind {
 			case attempts.Dispatch:
-				Expect(actual.running()).To(BeZero(), describe(events))
-				if !repeatable {
-					Expect(actual.possibleRuns()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				if !idempotent {
+					Expect(model.possibleRuns()).To(BeZero(), formatEvents(events))
 				}
 			case attempts.RespondNotRun:
-				Expect(actual.running()).To(BeZero(), describe(events))
-				Expect(actual.possibleRuns()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				Expect(model.possibleRuns()).To(BeZero(), formatEvents(events))
 			case attempts.RespondUnknown:
-				Expect(actual.running()).To(BeZero(), describe(events))
-				Expect(actual.possibleRuns()).To(BeNumerically(">", 0), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				Expect(model.possibleRuns()).To(BeNumerically(">", 0), formatEvents(events))
 			case attempts.RespondDeadline, attempts.Abandon:
-				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
 			case attempts.Wait, attempts.Cancel:
-				Expect(actual.running()).To(BeNumerically(">", 0), describe(events))
+				Expect(model.running()).To(BeNumerically(">", 0), formatEvents(events))
 			}
 		})
 		Expect(visited).To(BeNumerically(">", 1000))
 	},
-		Entry("of a request that may not be repeated", false),
-		Entry("of a repeatable request", true),
+		Entry("of a request that is not idempotent", false),
+		Entry("of an idempotent request", true),
 	)
 
-	DescribeTable("of a stream, over every short input sequence", func(resumable bool) {
+	DescribeTable("resumes or aborts a truncated response in every short event sequence", func(resumable bool) {
 		options := attempts.Options{Idempotent: resumable, Resumable: resumable, MaxAttempts: 2}
 		resumed, aborted := 0, 0
-		explore(options, nil, truth{}, func(events []attempts.Event, tracker *attempts.Tracker, actual truth) {
+		visitSequences(options, nil, backendModel{}, func(events []attempts.Event, tracker *attempts.Tracker, model backendModel) {
 			started, ended := false, false
 			for _, event := range events {
 				started = started || event.Kind == attempts.ResponseStarted
@@ -166,25 +167,25 @@
 			}
 			switch action.Kind {
 			case attempts.RespondNotRun, attempts.RespondUnknown, attempts.RespondDeadline:
-				Fail("an answer of the node's own after a part of a back end's: " + describe(events))
+				Fail("the node responds itself after a part of a back end's response was relayed: " + formatEvents(events))
 			case attempts.Dispatch:
 				resumed++
-				Expect(actual.running()).To(BeZero(), describe(events))
-				Expect(ended).To(BeFalse(), describe(events))
-				Expect(action.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
+				Expect(ended).To(BeFalse(), formatEvents(events))
+				Expect(action.Attempt).To(BeNumerically("<=", options.MaxAttempts+options.MaxUnsent), formatEvents(events))
 			case attempts.AbortRelay:
 				aborted++
-				Expect(actual.running()).To(BeZero(), describe(events))
+				Expect(model.running()).To(BeZero(), formatEvents(events))
 			}
 		})
 		Expect(resumed > 0).To(Equal(resumable))
 		Expect(aborted).To(BeNumerically(">", 0))
 	},
-		Entry("that may be resumed", true),
-		Entry("that may not", false),
+		Entry("of a resumable request", true),
+		Entry("of a request that is not resumable", false),
 	)
 
-	It("never dispatches again once a part of a response was relayed", func() {
+	It("never dispatches again after a part of a response was relayed, unless the request is resumable", func() {
 		tracker := replay(attempts.Options{Idempotent: true, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
@@ -195,7 +196,7 @@
 		Expect(tracker.Next()).To(Equal(attempts.Action{Kind: attempts.AbortRelay, Attempt: 1}))
 	})
 
-	It("relays a response from its first part to its end", func() {
+	It("relays a response until it is complete", func() {
 		tracker := replay(attempts.Options{MaxAttempts: 1}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
@@ -208,8 +209,8 @@
 		Expect(tracker.Apply(attempts.Event{Kind: attempts.OutcomeLost, Attempt: 1})).NotTo(Succeed())
 	})
 
-	DescribeTable("the next move", func(repeatable bool, last attempts.EventKind, expected attempts.ActionKind) {
-		tracker := replay(attempts.Options{Idempotent: repeatable, MaxAttempts: 3}, []attempts.Event{
+	DescribeTable("returns the next action", func(idempotent bool, last attempts.EventKind, expected attempts.ActionKind) {
+		tracker := replay(attempts.Options{Idempotent: idempotent, MaxAttempts: 3}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1}, {Kind: attempts.ConnectStarted, Attempt: 1},
 		})
 		if last != attempts.NotSent {
@@ -220,12 +221,12 @@
 	},
 		Entry("after an unsent attempt", false, attempts.NotSent, attempts.Dispatch),
 		Entry("after a refusal", false, attempts.Refused, attempts.Dispatch),
-		Entry("after a lost end", false, attempts.OutcomeLost, attempts.RespondUnknown),
-		Entry("after a lost end, repeatable", true, attempts.OutcomeLost, attempts.Dispatch),
+		Entry("after a lost outcome", false, attempts.OutcomeLost, attempts.RespondUnknown),
+		Entry("after a lost outcome of an idempotent request", true, attempts.OutcomeLost, attempts.Dispatch),
 		Entry("after a response", false, attempts.ResponseCompleted, attempts.Relay),
 	)
 
-	It("names the state in which an event does not fit", func() {
+	It("names the state in an error about an event that is not permitted", func() {
 		tracker := replay(attempts.Options{}, []attempts.Event{
 			{Kind: attempts.AttemptPlanned, Attempt: 1},
 			{Kind: attempts.ConnectStarted, Attempt: 1},
